--- /dev/null
+++ b/tests/pinned_parts.py
@@ -0,0 +1,46 @@
+"""Builds the parts that `tests.test_pinned_rows` needs.
+
+The pinned forms stand in that module and are not edited; how a part is built may change with the
+code, and changes here.
+"""
+
+from larkpost.clock import LoopClock
+from larkpost.eventlog import EventLog
+from larkpost.fleet.members import Membership
+from larkpost.fleet.regions import RegionMap
+from larkpost.policy import Policy
+from larkpost.proxy.request import ClientRequest
+from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
+from tests.platform_fleet import PlatformFleet
+
+
+def make_member(name: str, store: MemoryStore, clock: LoopClock, told: dict) -> Membership:
+    """Returns a member that needs no heartbeats of others and puts their summaries into `told`."""
+    client = StoreClient(store, answer_seconds=0.0)
+    return Membership(name, client, clock, dict, told.__setitem__, EventLog(name))
+
+
+def make_active_member(name: str, store: MemoryStore, clock: LoopClock) -> Membership:
+    """Returns a member that owns batches, uses two places of engine-3/1 and relays calls."""
+    return Membership(
+        name,
+        StoreClient(store, answer_seconds=0.0),
+        clock,
+        lambda: {"engine-3/1": (2, 0.5)},
+        lambda *_: None,
+        EventLog(name),
+        lambda: True,
+        "10.0.0.9:7000",
+        clock_offset=lambda: 0.01234,
+        regions=RegionMap("north"),
+    )
+
+
+def make_scaled_fleet() -> PlatformFleet:
+    """Returns a fleet whose daemons order servers anew for those that are lost."""
+    return PlatformFleet(gateways=3, engines=12, policy=Policy(replace_servers=True))
+
+
+async def forward(fleet: PlatformFleet, request: ClientRequest, route) -> None:
+    """Sends a client's request to the first daemon of a fleet."""
+    await fleet.gateways[0].forwarder.forward(request, route)
--- a/tests/test_pinned_rows.py
+++ b/tests/test_pinned_rows.py
@@ -11,7 +11,6 @@
 from dataclasses import replace
 
 from larkpost.clock import LoopClock
-from larkpost.eventlog import EventLog
 from larkpost.fleet.configuration import (
     Configuration,
     RequestLimits,
@@ -24,13 +23,10 @@
 from larkpost.fleet.evacuations import ZoneEvacuation
 from larkpost.fleet.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
 from larkpost.fleet.leases import Duty, LeaseSubject, LeaseTable
-from larkpost.fleet.members import Membership
-from larkpost.fleet.regions import RegionMap
 from larkpost.fleet.tenants import Tenant, digest_key
 from larkpost.fleet.weights import WeightTarget
 from larkpost.platform.operator import UnreadableRowError
 from larkpost.platform.process import READERS
-from larkpost.policy import Policy
 from larkpost.proxy.request import ClientRequest
 from larkpost.quarantine.content import digest_content
 from larkpost.quarantine.known_crashes import Crash
@@ -67,7 +63,8 @@
 from larkpost.telemetry import Telemetry
 from larkpost.usage.port import UsageReport
 from larkpost.usage.repository import DecidedReport, UsageRepository
-from tests.platform_fleet import MODEL, PAGES, PlatformFleet, make_batch
+from tests.pinned_parts import forward, make_active_member, make_member, make_scaled_fleet
+from tests.platform_fleet import MODEL, PAGES, make_batch
 from tests.virtual import run
 
 NOW = 12.5
@@ -520,18 +517,7 @@
         async def play() -> None:
             clock = LoopClock()
             store = MemoryStore(clock)
-            member = Membership(
-                DAEMON,
-                StoreClient(store, answer_seconds=0.0),
-                clock,
-                lambda: {"engine-3/1": (2, 0.5)},
-                lambda *_: None,
-                EventLog("m1"),
-                lambda: True,
-                "10.0.0.9:7000",
-                clock_offset=lambda: 0.01234,
-                regions=RegionMap("north"),
-            )
+            member = make_active_member(DAEMON, store, clock)
             tasks = TaskSet(clock, Telemetry("m1", log=False))
             member.start(tasks)
             await clock.sleep(3.0)
@@ -549,14 +535,7 @@
             clock = LoopClock()
             store = MemoryStore(clock)
             told = {}
-            member = Membership(
-                "m2/ffee0011",
-                StoreClient(store, answer_seconds=0.0),
-                clock,
-                dict,
-                told.__setitem__,
-                EventLog("m2"),
-            )
+            member = make_member("m2/ffee0011", store, clock, told)
             puts = ((KNOWN_KEY, KNOWN_VALUE), (AWAITED_KEY, AWAITED_VALUE))
             rows = tuple((RowKey(*key), value) for key, value in puts)
             store.apply(Transaction(puts=rows))
@@ -577,7 +556,7 @@
 
     def test_all_keys_that_a_fleet_writes(self) -> None:
         async def play() -> None:
-            fleet = PlatformFleet(gateways=3, engines=12, policy=Policy(replace_servers=True))
+            fleet = make_scaled_fleet()
             keys = set()
             fleet.store.watchers.append(lambda change: keys.update(key for key, _ in change.puts))
             fleet.put("operator", "configuration", b"scaled")
@@ -587,7 +566,7 @@
             route = Route("pages", "h", b"/", RouteKind.IDEMPOTENT, pages, 2.0, 0.2)
             now = fleet.clock.now()
             request = ClientRequest(b"r1", "GET", b"h", b"/", (), b"", now, 1.5, "reading")
-            await fleet.gateways[0].forwarder.forward(request, route)
+            await forward(fleet, request, route)
             await fleet.submit(make_batch("batch-7", tenant="training"))
             await fleet.wait(4.0)
             fleet.put("operator", MODEL, b"2")
