--- a/src/larkpost/explain.py
+++ b/src/larkpost/explain.py
@@ -49,7 +49,7 @@
             event = document["message_type"]
             at = float(document["timestamp"])
         except (ValueError, KeyError, TypeError):
-            continue
+            continue  # not a line of this log: a process's other output may lie in the same file
         fields = {name: value for name, value in document.items() if name not in HIDDEN_FIELDS}
         yield LogLine(at, str(document.get("daemon", "?")), str(event), fields)
 
