--- a/src/larkpost/cli.py
+++ b/src/larkpost/cli.py
@@ -10,16 +10,16 @@
 import typer
 from rich.console import Console
 
-from larkpost import operator_calls
-from larkpost.batch_times import COLUMNS, read_batch_times, table
-from larkpost.config.plan import Plan
-from larkpost.errors import LarkpostError
-from larkpost.explain import explain
-from larkpost.ids import Address
+from larkpost.common.errors import LarkpostError
+from larkpost.common.ids import Address
+from larkpost.gateway.observability.batch_times import COLUMNS, read_batch_times, table
+from larkpost.gateway.observability.explain import explain
 from larkpost.platform.process import run as run_on_platform
 from larkpost.rehearsal.commands import rehearsal
-from larkpost.server import run_server
-from larkpost.settings import load_settings
+from larkpost.standalone import operator_calls
+from larkpost.standalone.config.plan import Plan
+from larkpost.standalone.server import run_server
+from larkpost.standalone.settings import load_settings
 
 app = typer.Typer(no_args_is_help=True, add_completion=False, pretty_exceptions_enable=False)
 intent = typer.Typer(no_args_is_help=True, help="Plan, confirm and show the configuration.")
--- a/src/larkpost/client.py
+++ b/src/larkpost/client.py
@@ -13,18 +13,18 @@
 import aiohttp
 import orjson
 
-from larkpost.api.schema import (
+from larkpost.common.errors import LarkpostError, Ran, UnknownBatchError
+from larkpost.common.ids import Address, BatchId, PolicyId
+from larkpost.standalone.api.schema import (
     BatchDocument,
     ErrorDocument,
     PageDocument,
     PullDocument,
     compress_slots,
 )
-from larkpost.batches.ledger import BatchSpec, Page, Sample
-from larkpost.batches.service import Pull
-from larkpost.errors import LarkpostError, Ran, UnknownBatchError
-from larkpost.ids import Address, BatchId, PolicyId
-from larkpost.routing.work import VersionSpan
+from larkpost.standalone.batches.ledger import BatchSpec, Page, Sample
+from larkpost.standalone.batches.service import Pull
+from larkpost.standalone.routing.work import VersionSpan
 
 Result = TypeVar("Result")
 RETRY_SECONDS = 0.2
--- a/src/larkpost/http_server.py
+++ b/src/larkpost/common/http_server.py
@@ -7,8 +7,8 @@
 
 import uvicorn
 
-from larkpost.addresses import split_address
-from larkpost.ids import Address
+from larkpost.common.addresses import split_address
+from larkpost.common.ids import Address
 
 BACKLOG = 1024
 KEEP_ALIVE_SECONDS = 75
--- a/src/larkpost/tasks.py
+++ b/src/larkpost/common/tasks.py
@@ -4,9 +4,9 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
 
-from larkpost.clock import Clock
-from larkpost.errors import LarkpostError
-from larkpost.telemetry import Telemetry
+from larkpost.common.clock import Clock
+from larkpost.common.errors import LarkpostError
+from larkpost.common.telemetry import Telemetry
 
 
 class TaskSet:
--- a/src/larkpost/assembly/duties.py
+++ b/src/larkpost/gateway/assembly/duties.py
@@ -2,22 +2,22 @@
 
 from dataclasses import dataclass
 
-from larkpost.assembly.environment import GatewayPorts, GatewaySettings
-from larkpost.assembly.feeds import Feeds
-from larkpost.fleet.beliefs import Beliefs
-from larkpost.fleet.leases import LeaseTable
-from larkpost.fleet.load_plan import LoadPlan
-from larkpost.fleet.loader import WeightLoader
-from larkpost.fleet.members import Membership
-from larkpost.fleet.true_time import TrueTime
-from larkpost.proxy.balancer import Balancer
-from larkpost.rollouts.keeper import BatchKeeper
-from larkpost.scaling.controller import ScalingController, ScalingMode
-from larkpost.scaling.demand import DemandForecast
-from larkpost.tasks import TaskSet
-from larkpost.usage.counter import UsageCounter
-from larkpost.usage.reporter import UsageReporter
-from larkpost.usage.repository import UsageRepository
+from larkpost.common.tasks import TaskSet
+from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
+from larkpost.gateway.blackboard.board import Beliefs
+from larkpost.gateway.controllers.feeds import Feeds
+from larkpost.gateway.controllers.leases import LeaseTable
+from larkpost.gateway.controllers.load_plan import LoadPlan
+from larkpost.gateway.controllers.loader import WeightLoader
+from larkpost.gateway.controllers.members import Membership
+from larkpost.gateway.controllers.true_time import TrueTime
+from larkpost.gateway.proxy.balancer import Balancer
+from larkpost.gateway.rollouts.keeper import BatchKeeper
+from larkpost.gateway.scaling.controller import ScalingController, ScalingMode
+from larkpost.gateway.scaling.demand import DemandForecast
+from larkpost.gateway.usage.counter import UsageCounter
+from larkpost.gateway.usage.reporter import UsageReporter
+from larkpost.gateway.usage.repository import UsageRepository
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/larkpost/assembly/environment.py
+++ b/src/larkpost/gateway/assembly/environment.py
@@ -3,19 +3,19 @@
 import random
 from dataclasses import dataclass, field
 
-from larkpost.clock import Clock
-from larkpost.eventlog import EventLog
-from larkpost.fleet.cold import ColdTerms
-from larkpost.fleet.regions import RegionMap
-from larkpost.fleet.row_intake import RowReaders
-from larkpost.ids import Address
-from larkpost.metrics import Metrics
-from larkpost.policy import DEFAULT_POLICY, Policy
-from larkpost.proxy.port import ServerPort
-from larkpost.scaling.port import ScalingPort
-from larkpost.store.port import Store
-from larkpost.store.relay import RelayedStore
-from larkpost.usage.port import UsagePort, UsageTerms
+from larkpost.common.clock import Clock
+from larkpost.common.ids import Address
+from larkpost.gateway.blackboard.cold_instances import ColdTerms
+from larkpost.gateway.blackboard.regions import RegionMap
+from larkpost.gateway.controllers.row_intake import RowReaders
+from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.observability.metrics import Metrics
+from larkpost.gateway.policy import DEFAULT_POLICY, Policy
+from larkpost.gateway.scaling.port import ScalingPort
+from larkpost.gateway.servers.port import ServerPort
+from larkpost.gateway.store.port import Store
+from larkpost.gateway.store.relay import RelayedStore
+from larkpost.gateway.usage.port import UsagePort, UsageTerms
 
 
 @dataclass(slots=True)
--- a/src/larkpost/assembly/loop_watch.py
+++ b/src/larkpost/gateway/assembly/loop_watch.py
@@ -1,8 +1,8 @@
 """Measures how late the event loop is; a long delay means a freeze or a busy machine."""
 
-from larkpost.clock import Clock
-from larkpost.eventlog import Event, EventLog
-from larkpost.tasks import TaskSet
+from larkpost.common.clock import Clock
+from larkpost.common.tasks import TaskSet
+from larkpost.gateway.observability.eventlog import Event, EventLog
 
 LOOP_INTERVAL_SECONDS = 0.5
 LATE_LOOP_SECONDS = 0.5
--- a/src/larkpost/fleet/beliefs.py
+++ b/src/larkpost/gateway/blackboard/board.py
@@ -6,13 +6,13 @@
 
 from dataclasses import dataclass, field
 
-from larkpost.fleet.cold import ColdInstances
-from larkpost.fleet.configuration import ConfigurationState
-from larkpost.fleet.directory import Directory
-from larkpost.fleet.evacuations import Evacuations
-from larkpost.fleet.regions import RegionMap
-from larkpost.fleet.weights import WeightTargets
-from larkpost.quarantine.known_crashes import KnownCrashes
+from larkpost.gateway.blackboard.cold_instances import ColdInstances
+from larkpost.gateway.blackboard.configuration import ConfigurationState
+from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.blackboard.evacuations import Evacuations
+from larkpost.gateway.blackboard.known_crashes import KnownCrashes
+from larkpost.gateway.blackboard.regions import RegionMap
+from larkpost.gateway.controllers.weights import WeightTargets
 
 
 @dataclass(slots=True)
--- a/src/larkpost/fleet/cold.py
+++ b/src/larkpost/gateway/blackboard/cold_instances.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass
 
-from larkpost.fleet.configuration import ConfigurationState
-from larkpost.fleet.directory import Directory
-from larkpost.ids import EngineId, ZoneId
+from larkpost.common.ids import EngineId, ZoneId
+from larkpost.gateway.blackboard.configuration import ConfigurationState
+from larkpost.gateway.blackboard.directory import Directory
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/larkpost/fleet/configuration.py
+++ b/src/larkpost/gateway/blackboard/configuration.py
@@ -6,9 +6,9 @@
 from functools import cached_property
 from typing import NewType
 
-from larkpost.fleet.tenants import KeyDigest, Tenant, TenantName, index_by_key
-from larkpost.ids import RegionId
-from larkpost.scaling.terms import ScalingTerms
+from larkpost.common.ids import RegionId
+from larkpost.gateway.blackboard.scaling_terms import ScalingTerms
+from larkpost.gateway.blackboard.tenants import KeyDigest, Tenant, TenantName, index_by_key
 
 ServiceName = NewType("ServiceName", str)
 ModelName = NewType("ModelName", str)
--- a/src/larkpost/fleet/directory.py
+++ b/src/larkpost/gateway/blackboard/directory.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass, field, replace
 from enum import StrEnum
 
-from larkpost.fleet.configuration import ModelName, ServiceName
-from larkpost.ids import Address, EngineId, ZoneId
+from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
 
 
 class InstanceState(StrEnum):
--- a/src/larkpost/fleet/regions.py
+++ b/src/larkpost/gateway/blackboard/regions.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from enum import IntEnum
 
-from larkpost.ids import RegionId, ZoneId
+from larkpost.common.ids import RegionId, ZoneId
 
 
 class Distance(IntEnum):
--- a/src/larkpost/scaling/terms.py
+++ b/src/larkpost/gateway/blackboard/scaling_terms.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from larkpost.ids import ZoneId
+from larkpost.common.ids import ZoneId
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/larkpost/fleet/tenants.py
+++ b/src/larkpost/gateway/blackboard/tenants.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import NewType
 
-from larkpost.ids import RegionId
+from larkpost.common.ids import RegionId
 
 TenantName = NewType("TenantName", str)
 KeyDigest = NewType("KeyDigest", bytes)
--- a/src/larkpost/fleet/division.py
+++ b/src/larkpost/gateway/controllers/division.py
@@ -3,14 +3,14 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from larkpost.clock import Clock
-from larkpost.fleet.beliefs import Beliefs
-from larkpost.fleet.configuration import ModelName, Service, ServiceName
-from larkpost.fleet.directory import InstanceState
-from larkpost.fleet.load_plan import LoadPlan
-from larkpost.fleet.weights import Demands, assign_models, split_evacuated
-from larkpost.ids import EngineId
-from larkpost.policy import DEFAULT_POLICY, Policy
+from larkpost.common.clock import Clock
+from larkpost.common.ids import EngineId
+from larkpost.gateway.blackboard.board import Beliefs
+from larkpost.gateway.blackboard.configuration import ModelName, Service, ServiceName
+from larkpost.gateway.blackboard.directory import InstanceState
+from larkpost.gateway.controllers.load_plan import LoadPlan
+from larkpost.gateway.controllers.weights import Demands, assign_models, split_evacuated
+from larkpost.gateway.policy import DEFAULT_POLICY, Policy
 
 LIFETIME_SECONDS = 0.1
 """How long a division serves: items ask for it again and again."""
--- a/src/larkpost/assembly/feeds.py
+++ b/src/larkpost/gateway/controllers/feeds.py
@@ -3,14 +3,14 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from larkpost.assembly.environment import GatewayPorts, GatewaySettings
-from larkpost.fleet.beliefs import Beliefs
-from larkpost.fleet.row_intake import RowIntake
-from larkpost.quarantine.repository import CRASH_PART
-from larkpost.rollouts.repository import HEAD_TABLE, PARTS
-from larkpost.store.follower import TableFollower
-from larkpost.store.port import Row
-from larkpost.tasks import TaskSet
+from larkpost.common.tasks import TaskSet
+from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
+from larkpost.gateway.blackboard.board import Beliefs
+from larkpost.gateway.controllers.row_intake import RowIntake
+from larkpost.gateway.quarantine.repository import CRASH_PART
+from larkpost.gateway.rollouts.repository import HEAD_TABLE, PARTS
+from larkpost.gateway.store.follower import TableFollower
+from larkpost.gateway.store.port import Row
 
 FAST_RELIST_SECONDS = 1.5
 SLOW_RELIST_SECONDS = 3.0
--- a/src/larkpost/fleet/heartbeat.py
+++ b/src/larkpost/gateway/controllers/heartbeat.py
@@ -5,7 +5,7 @@
 
 import orjson
 
-from larkpost.ids import Address, DaemonId, EngineId, ZoneId
+from larkpost.common.ids import Address, DaemonId, EngineId, ZoneId
 
 LIFE_SEPARATOR = "/"
 
--- a/src/larkpost/fleet/heartbeat_list.py
+++ b/src/larkpost/gateway/controllers/heartbeat_list.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from larkpost.clock import Clock
-from larkpost.eventlog import Event, EventLog
-from larkpost.fleet.heartbeat import Heartbeat, UseSummary, decode_heartbeat
-from larkpost.ids import DaemonId
-from larkpost.store.port import Row, RowKey, Store, StoreUnavailableError, read_all
+from larkpost.common.clock import Clock
+from larkpost.common.ids import DaemonId
+from larkpost.gateway.controllers.heartbeat import Heartbeat, UseSummary, decode_heartbeat
+from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.store.port import Row, RowKey, Store, StoreUnavailableError, read_all
 
 MEMBER_TABLE = "members"
 MISSED_HEARTBEATS = 3.2
--- a/src/larkpost/fleet/leases.py
+++ b/src/larkpost/gateway/controllers/leases.py
@@ -12,9 +12,9 @@
 
 import orjson
 
-from larkpost.clock import Clock
-from larkpost.ids import DaemonId
-from larkpost.store.port import (
+from larkpost.common.clock import Clock
+from larkpost.common.ids import DaemonId
+from larkpost.gateway.store.port import (
     ABSENT,
     RowKey,
     Store,
--- a/src/larkpost/fleet/load_plan.py
+++ b/src/larkpost/gateway/controllers/load_plan.py
@@ -2,11 +2,11 @@
 
 from collections.abc import Callable
 
-from larkpost.fleet.beliefs import Beliefs
-from larkpost.fleet.configuration import Service
-from larkpost.fleet.weights import Demands, WeightTarget, due_loads
-from larkpost.ids import EngineId
-from larkpost.policy import DEFAULT_POLICY, Policy
+from larkpost.common.ids import EngineId
+from larkpost.gateway.blackboard.board import Beliefs
+from larkpost.gateway.blackboard.configuration import Service
+from larkpost.gateway.controllers.weights import Demands, WeightTarget, due_loads
+from larkpost.gateway.policy import DEFAULT_POLICY, Policy
 
 
 class LoadPlan:
--- a/src/larkpost/fleet/loader.py
+++ b/src/larkpost/gateway/controllers/loader.py
@@ -5,19 +5,19 @@
 must have taken, so one that is carried out late does nothing.
 """
 
-from larkpost.clock import Clock
-from larkpost.eventlog import Event, EventLog
-from larkpost.fleet.beliefs import Beliefs
-from larkpost.fleet.configuration import RouteKind, Service
-from larkpost.fleet.directory import InstanceInfo
-from larkpost.fleet.leases import Duty, LeaseSubject, LeaseTable
-from larkpost.fleet.load_plan import LoadPlan
-from larkpost.fleet.members import Membership
-from larkpost.fleet.weights import WeightTarget
-from larkpost.ids import EngineId
-from larkpost.metrics import Count, Metrics
-from larkpost.proxy.port import OrderOutcome, RunningWork, ServerPort, VersionOrder
-from larkpost.tasks import TaskSet
+from larkpost.common.clock import Clock
+from larkpost.common.ids import EngineId
+from larkpost.common.tasks import TaskSet
+from larkpost.gateway.blackboard.board import Beliefs
+from larkpost.gateway.blackboard.configuration import RouteKind, Service
+from larkpost.gateway.blackboard.directory import InstanceInfo
+from larkpost.gateway.controllers.leases import Duty, LeaseSubject, LeaseTable
+from larkpost.gateway.controllers.load_plan import LoadPlan
+from larkpost.gateway.controllers.members import Membership
+from larkpost.gateway.controllers.weights import WeightTarget
+from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.observability.metrics import Count, Metrics
+from larkpost.gateway.servers.port import OrderOutcome, RunningWork, ServerPort, VersionOrder
 
 INTERVAL_SECONDS = 0.1
 IDLE_INTERVAL_SECONDS = 0.5
--- a/src/larkpost/fleet/members.py
+++ b/src/larkpost/gateway/controllers/members.py
@@ -18,16 +18,21 @@
 import math
 from collections.abc import Callable, Iterable
 
-from larkpost.clock import Clock
-from larkpost.eventlog import Event, EventLog
-from larkpost.fleet.heartbeat import Heartbeat, UseSummary, encode_heartbeat, machine_of
-from larkpost.fleet.heartbeat_list import MISSED_HEARTBEATS, HeartbeatList
-from larkpost.fleet.regions import Distance, RegionMap
-from larkpost.hashing import hash64
-from larkpost.ids import Address, DaemonId, RegionId, ZoneId
-from larkpost.policy import DEFAULT_POLICY, Policy
-from larkpost.store.port import Store, Transaction, WriteOutcome
-from larkpost.tasks import TaskSet
+from larkpost.common.clock import Clock
+from larkpost.common.hashing import hash64
+from larkpost.common.ids import Address, DaemonId, RegionId, ZoneId
+from larkpost.common.tasks import TaskSet
+from larkpost.gateway.blackboard.regions import Distance, RegionMap
+from larkpost.gateway.controllers.heartbeat import (
+    Heartbeat,
+    UseSummary,
+    encode_heartbeat,
+    machine_of,
+)
+from larkpost.gateway.controllers.heartbeat_list import MISSED_HEARTBEATS, HeartbeatList
+from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.policy import DEFAULT_POLICY, Policy
+from larkpost.gateway.store.port import Store, Transaction, WriteOutcome
 
 KNOWN_PART = "known"
 AWAITED_PART = "awaited"
--- a/src/larkpost/fleet/row_intake.py
+++ b/src/larkpost/gateway/controllers/row_intake.py
@@ -3,15 +3,15 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from larkpost.clock import Clock
-from larkpost.eventlog import Event, EventLog
-from larkpost.fleet.beliefs import Beliefs
-from larkpost.fleet.configuration import Configuration
-from larkpost.fleet.directory import InstanceInfo
-from larkpost.fleet.evacuations import ZoneEvacuation
-from larkpost.fleet.weights import WeightTarget
-from larkpost.ids import EngineId
-from larkpost.store.port import Row
+from larkpost.common.clock import Clock
+from larkpost.common.ids import EngineId
+from larkpost.gateway.blackboard.board import Beliefs
+from larkpost.gateway.blackboard.configuration import Configuration
+from larkpost.gateway.blackboard.directory import InstanceInfo
+from larkpost.gateway.blackboard.evacuations import ZoneEvacuation
+from larkpost.gateway.controllers.weights import WeightTarget
+from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.store.port import Row
 
 LAPSED_SECONDS = 2.2
 """How long the store must have been sound for an entry that is missing to be gone for good."""
--- a/src/larkpost/fleet/true_time.py
+++ b/src/larkpost/gateway/controllers/true_time.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable, Iterable
 
-from larkpost.clock import Clock
+from larkpost.common.clock import Clock
 
 
 class TrueTime:
--- a/src/larkpost/fleet/weights.py
+++ b/src/larkpost/gateway/controllers/weights.py
@@ -10,11 +10,11 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from larkpost.fleet.configuration import ModelName, Service
-from larkpost.fleet.directory import Directory, InstanceInfo, InstanceState
-from larkpost.hashing import hash64
-from larkpost.ids import EngineId, ZoneId
-from larkpost.policy import DEFAULT_POLICY, Policy
+from larkpost.common.hashing import hash64
+from larkpost.common.ids import EngineId, ZoneId
+from larkpost.gateway.blackboard.configuration import ModelName, Service
+from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.policy import DEFAULT_POLICY, Policy
 
 MIN_ENGINES_PER_MODEL = 2
 GROUP_SECONDS = 1.0
--- a/src/larkpost/gateway.py
+++ b/src/larkpost/gateway/daemon.py
@@ -12,46 +12,46 @@
 
 import asyncio
 
-from larkpost.assembly.duties import Duties, DutyNeeds
-from larkpost.assembly.environment import GatewayPorts, GatewaySettings
-from larkpost.assembly.feeds import Feeds, HeadListener
-from larkpost.assembly.loop_watch import LoopWatch
-from larkpost.eventlog import Event
-from larkpost.fleet.beliefs import Beliefs
-from larkpost.fleet.configuration import Route
-from larkpost.fleet.division import EngineDivision
-from larkpost.fleet.heartbeat import new_life
-from larkpost.fleet.lifecycle import Lifecycle
-from larkpost.fleet.load_plan import LoadPlan
-from larkpost.fleet.members import Membership
-from larkpost.fleet.tenants import TenantName
-from larkpost.fleet.true_time import TrueTime
-from larkpost.metrics import Level
-from larkpost.placement.cold import LOOK_SECONDS, ColdRule
-from larkpost.placement.cold_senders import ColdSenders
-from larkpost.placement.evacuated import EvacuatedRule
-from larkpost.placement.homes import HomeRule
-from larkpost.placement.rules import Placement
-from larkpost.planned_stop import PlannedStop
-from larkpost.proxy.admission import Admission
-from larkpost.proxy.balancer import Balancer
-from larkpost.proxy.forwarder import Forwarder
-from larkpost.proxy.shares import ShareChooser
-from larkpost.quarantine.apart import ApartRule
-from larkpost.quarantine.guard import GuardedServers
-from larkpost.quarantine.recorder import CrashRecorder
-from larkpost.quarantine.repository import CrashRepository
-from larkpost.quarantine.trials import Trials
-from larkpost.quarantine.watch import CrashWatch
-from larkpost.rollouts.context import RunServices
-from larkpost.rollouts.keeper import BatchKeeper
-from larkpost.rollouts.repository import ITEM_TABLE, BatchRepository
-from larkpost.rollouts.reward import MAX_CALLS_IN_FLIGHT
-from larkpost.rollouts.service import BatchService
-from larkpost.rollouts.view import ViewCache
-from larkpost.tasks import TaskSet
-from larkpost.telemetry import Telemetry
-from larkpost.usage.counter import UsageCounter
+from larkpost.common.tasks import TaskSet
+from larkpost.common.telemetry import Telemetry
+from larkpost.gateway.assembly.duties import Duties, DutyNeeds
+from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
+from larkpost.gateway.assembly.loop_watch import LoopWatch
+from larkpost.gateway.blackboard.board import Beliefs
+from larkpost.gateway.blackboard.configuration import Route
+from larkpost.gateway.blackboard.lifecycle import Lifecycle
+from larkpost.gateway.blackboard.tenants import TenantName
+from larkpost.gateway.controllers.division import EngineDivision
+from larkpost.gateway.controllers.feeds import Feeds, HeadListener
+from larkpost.gateway.controllers.heartbeat import new_life
+from larkpost.gateway.controllers.load_plan import LoadPlan
+from larkpost.gateway.controllers.members import Membership
+from larkpost.gateway.controllers.true_time import TrueTime
+from larkpost.gateway.observability.eventlog import Event
+from larkpost.gateway.observability.metrics import Level
+from larkpost.gateway.placement.cold import LOOK_SECONDS, ColdRule
+from larkpost.gateway.placement.cold_senders import ColdSenders
+from larkpost.gateway.placement.evacuated import EvacuatedRule
+from larkpost.gateway.placement.homes import HomeRule
+from larkpost.gateway.placement.rules import Placement
+from larkpost.gateway.planned_stop import PlannedStop
+from larkpost.gateway.proxy.admission import Admission
+from larkpost.gateway.proxy.balancer import Balancer
+from larkpost.gateway.proxy.forwarder import Forwarder
+from larkpost.gateway.proxy.shares import ShareChooser
+from larkpost.gateway.quarantine.apart import ApartRule
+from larkpost.gateway.quarantine.guard import GuardedServers
+from larkpost.gateway.quarantine.recorder import CrashRecorder
+from larkpost.gateway.quarantine.repository import CrashRepository
+from larkpost.gateway.quarantine.trials import Trials
+from larkpost.gateway.quarantine.watch import CrashWatch
+from larkpost.gateway.rollouts.context import RunServices
+from larkpost.gateway.rollouts.keeper import BatchKeeper
+from larkpost.gateway.rollouts.repository import ITEM_TABLE, BatchRepository
+from larkpost.gateway.rollouts.reward import MAX_CALLS_IN_FLIGHT
+from larkpost.gateway.rollouts.service import BatchService
+from larkpost.gateway.rollouts.view import ViewCache
+from larkpost.gateway.usage.counter import UsageCounter
 
 READINESS_INTERVAL_SECONDS = 0.05
 BATCH_RETENTION_SLACK_SECONDS = 60.0
--- a/src/larkpost/batch_times.py
+++ b/src/larkpost/gateway/observability/batch_times.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from larkpost.eventlog import Event
-from larkpost.explain import LogLine, read_lines
+from larkpost.gateway.observability.eventlog import Event
+from larkpost.gateway.observability.explain import LogLine, read_lines
 
 WHOLE = "whole"
 SCORED = "scored"
--- a/src/larkpost/eventlog.py
+++ b/src/larkpost/gateway/observability/eventlog.py
@@ -13,8 +13,8 @@
 import eliot
 import orjson
 
-from larkpost.metrics import Count, Metrics
-from larkpost.steady_time import steady_seconds
+from larkpost.common.steady_time import steady_seconds
+from larkpost.gateway.observability.metrics import Count, Metrics
 
 STANDARD_OUTPUT = 1
 LINES_PER_SECOND = 40
--- a/src/larkpost/explain.py
+++ b/src/larkpost/gateway/observability/explain.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from larkpost.eventlog import Event
+from larkpost.gateway.observability.eventlog import Event
 
 HIDDEN_FIELDS = frozenset({"timestamp", "task_uuid", "task_level", "message_type", "daemon"})
 CLOSING_EVENTS = frozenset({Event.REQUEST_DONE, Event.REQUEST_FAILED})
--- a/src/larkpost/placement/cold.py
+++ b/src/larkpost/gateway/placement/cold.py
@@ -7,22 +7,22 @@
 
 from collections import deque
 
-from larkpost.clock import Clock
-from larkpost.eventlog import Event, EventLog
-from larkpost.fleet.beliefs import Beliefs
-from larkpost.fleet.cold import ColdTerms
-from larkpost.fleet.configuration import Service
-from larkpost.fleet.directory import InstanceInfo
-from larkpost.ids import EngineId
-from larkpost.placement.cold_senders import ColdSenders
-from larkpost.placement.cold_share import (
+from larkpost.common.clock import Clock
+from larkpost.common.ids import EngineId
+from larkpost.gateway.blackboard.board import Beliefs
+from larkpost.gateway.blackboard.cold_instances import ColdTerms
+from larkpost.gateway.blackboard.configuration import Service
+from larkpost.gateway.blackboard.directory import InstanceInfo
+from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.placement.cold_senders import ColdSenders
+from larkpost.gateway.placement.cold_share import (
     SenderView,
     client_sends,
     owner_sends,
     unheard_sends,
 )
-from larkpost.placement.verdict import Verdict
-from larkpost.placement.work import Work, WorkKind
+from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.work import Work, WorkKind
 
 SEND_WITHIN_SECONDS = 0.25
 """A send that is admitted is on a connection within this time, or it is not made: a daemon that
--- a/src/larkpost/placement/cold_senders.py
+++ b/src/larkpost/gateway/placement/cold_senders.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from larkpost.clock import Clock
-from larkpost.ids import DaemonId
-from larkpost.placement.cold_share import SenderView
+from larkpost.common.clock import Clock
+from larkpost.common.ids import DaemonId
+from larkpost.gateway.placement.cold_share import SenderView
 
 OWNER_MEMORY_SECONDS = 2.0
 """For so long an owner counts after it is named no longer: it may not know yet."""
--- a/src/larkpost/placement/cold_share.py
+++ b/src/larkpost/gateway/placement/cold_share.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 from itertools import islice
 
-from larkpost.hashing import hash64
-from larkpost.ids import DaemonId, EngineId
+from larkpost.common.hashing import hash64
+from larkpost.common.ids import DaemonId, EngineId
 
 MAIN_PART = 0.8
 """Part of the bound that is the owners' at engines, and the clients' at other instances."""
--- a/src/larkpost/placement/evacuated.py
+++ b/src/larkpost/gateway/placement/evacuated.py
@@ -1,10 +1,10 @@
 """The rule that nothing new goes to the instances of an evacuated zone."""
 
-from larkpost.fleet.directory import InstanceInfo
-from larkpost.fleet.evacuations import Evacuations
-from larkpost.placement.rules import PlainRule
-from larkpost.placement.verdict import Verdict
-from larkpost.placement.work import Work, WorkKind
+from larkpost.gateway.blackboard.directory import InstanceInfo
+from larkpost.gateway.blackboard.evacuations import Evacuations
+from larkpost.gateway.placement.rules import PlainRule
+from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.work import Work, WorkKind
 
 
 class EvacuatedRule(PlainRule):
--- a/src/larkpost/placement/homes.py
+++ b/src/larkpost/gateway/placement/homes.py
@@ -1,10 +1,10 @@
 """Work whose route or tenant has homes goes only to instances in those regions."""
 
-from larkpost.fleet.directory import InstanceInfo
-from larkpost.fleet.regions import RegionMap
-from larkpost.placement.rules import PlainRule
-from larkpost.placement.verdict import Verdict
-from larkpost.placement.work import Work
+from larkpost.gateway.blackboard.directory import InstanceInfo
+from larkpost.gateway.blackboard.regions import RegionMap
+from larkpost.gateway.placement.rules import PlainRule
+from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.work import Work
 
 
 class HomeRule(PlainRule):
--- a/src/larkpost/placement/rules.py
+++ b/src/larkpost/gateway/placement/rules.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from larkpost.fleet.directory import Directory, InstanceInfo, InstanceState
-from larkpost.ids import EngineId
-from larkpost.metrics import Count, Metrics
-from larkpost.placement.verdict import Verdict
-from larkpost.placement.work import Work
-from larkpost.proxy.port import NotRunError, NotRunReason
+from larkpost.common.ids import EngineId
+from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.observability.metrics import Count, Metrics
+from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.work import Work
+from larkpost.gateway.servers.port import NotRunError, NotRunReason
 
 NOT_RUN_REASONS = {
     Verdict.UNKNOWN: NotRunReason.LEAVING,
--- a/src/larkpost/placement/work.py
+++ b/src/larkpost/gateway/placement/work.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from larkpost.fleet.configuration import ModelName
-from larkpost.ids import RegionId
+from larkpost.common.ids import RegionId
+from larkpost.gateway.blackboard.configuration import ModelName
 
 
 class WorkKind(StrEnum):
--- a/src/larkpost/planned_stop.py
+++ b/src/larkpost/gateway/planned_stop.py
@@ -7,9 +7,9 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from larkpost.clock import Clock
-from larkpost.eventlog import Event, EventLog
-from larkpost.fleet.lifecycle import Lifecycle
+from larkpost.common.clock import Clock
+from larkpost.gateway.blackboard.lifecycle import Lifecycle
+from larkpost.gateway.observability.eventlog import Event, EventLog
 
 LEAVE_SECONDS = 2.6
 """From the request to stop until no new connections are expected: readiness is asked for each
--- a/src/larkpost/policy.py
+++ b/src/larkpost/gateway/policy.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from larkpost.errors import LarkpostError
+from larkpost.common.errors import LarkpostError
 
 
 class PolicyError(LarkpostError):
--- a/src/larkpost/proxy/admission.py
+++ b/src/larkpost/gateway/proxy/admission.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from larkpost.errors import LarkpostError
-from larkpost.eventlog import Event, EventLog
-from larkpost.fleet.configuration import Configuration, ConfigurationState, Route
-from larkpost.fleet.tenants import ANYONE, Caller, KeyDigest, TenantName
-from larkpost.ids import RegionId
-from larkpost.metrics import Count, Metrics
+from larkpost.common.errors import LarkpostError
+from larkpost.common.ids import RegionId
+from larkpost.gateway.blackboard.configuration import Configuration, ConfigurationState, Route
+from larkpost.gateway.blackboard.tenants import ANYONE, Caller, KeyDigest, TenantName
+from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.observability.metrics import Count, Metrics
 
 RETRY_AFTER_SECONDS = 0.3
 """When to come back to a daemon that lacks the configuration: others usually have it."""
--- a/src/larkpost/proxy/attempts.py
+++ b/src/larkpost/gateway/proxy/attempts.py
@@ -2,12 +2,12 @@
 
 from dataclasses import dataclass, field
 
-from larkpost.fleet.configuration import Route
-from larkpost.ids import EngineId
-from larkpost.proxy.forecast import Forecast
-from larkpost.proxy.port import NotRunReason
-from larkpost.proxy.request import ClientRequest, WholeAnswer
-from larkpost.proxy.waiting import Waiter
+from larkpost.common.ids import EngineId
+from larkpost.gateway.blackboard.configuration import Route
+from larkpost.gateway.proxy.forecast import Forecast
+from larkpost.gateway.proxy.request import ClientRequest, WholeAnswer
+from larkpost.gateway.proxy.waiting import Waiter
+from larkpost.gateway.servers.port import NotRunReason
 
 
 @dataclass(slots=True)
--- a/src/larkpost/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -5,20 +5,20 @@
 from collections.abc import Callable, Collection, Iterator
 from contextlib import contextmanager
 
-from larkpost.clock import Clock
-from larkpost.fleet.configuration import ServiceName
-from larkpost.fleet.directory import Directory, InstanceInfo
-from larkpost.fleet.heartbeat import UseSummary
-from larkpost.fleet.regions import Distance, RegionMap
-from larkpost.ids import DaemonId, EngineId, ZoneId
-from larkpost.placement.cold import ColdRule
-from larkpost.placement.rules import Placement
-from larkpost.placement.verdict import Verdict
-from larkpost.placement.work import CLIENT_WORK, Work
-from larkpost.policy import DEFAULT_POLICY, Policy
-from larkpost.proxy.closeness import Closeness
-from larkpost.proxy.instance_use import InstanceUse, PeerUse
-from larkpost.proxy.port import NotRunError, NotRunReason, ServerLoad
+from larkpost.common.clock import Clock
+from larkpost.common.ids import DaemonId, EngineId, ZoneId
+from larkpost.gateway.blackboard.configuration import ServiceName
+from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
+from larkpost.gateway.blackboard.regions import Distance, RegionMap
+from larkpost.gateway.controllers.heartbeat import UseSummary
+from larkpost.gateway.placement.cold import ColdRule
+from larkpost.gateway.placement.rules import Placement
+from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.work import CLIENT_WORK, Work
+from larkpost.gateway.policy import DEFAULT_POLICY, Policy
+from larkpost.gateway.proxy.closeness import Closeness
+from larkpost.gateway.proxy.instance_use import InstanceUse, PeerUse
+from larkpost.gateway.servers.port import NotRunError, NotRunReason, ServerLoad
 
 LOAD_LIFETIME_SECONDS = 1.0
 """How long a load that a server told of itself is used."""
--- a/src/larkpost/proxy/closeness.py
+++ b/src/larkpost/gateway/proxy/closeness.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass
 
-from larkpost.clock import Clock
-from larkpost.fleet.configuration import ServiceName
-from larkpost.fleet.regions import Distance
+from larkpost.common.clock import Clock
+from larkpost.gateway.blackboard.configuration import ServiceName
+from larkpost.gateway.blackboard.regions import Distance
 
 DEFAULT_FACTORS = {
     Distance.SAME_ZONE: 1.0,
--- a/src/larkpost/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -9,11 +9,11 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from larkpost.fleet.configuration import ServiceName
-from larkpost.fleet.directory import Directory
-from larkpost.placement.verdict import Verdict
-from larkpost.placement.work import Work
-from larkpost.proxy.balancer import Balancer
+from larkpost.gateway.blackboard.configuration import ServiceName
+from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.work import Work
+from larkpost.gateway.proxy.balancer import Balancer
 
 LEAST_SHARE_OF_PACE = 0.5
 """A request may need half of what requests take: the smallest of a service do, and a refusal that
--- a/src/larkpost/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -14,33 +14,33 @@
 from contextlib import asynccontextmanager
 from dataclasses import replace
 
-from larkpost.clock import Clock
-from larkpost.eventlog import EventLog
-from larkpost.fleet.configuration import Route, RouteKind, ServiceName
-from larkpost.fleet.directory import Directory, InstanceInfo
-from larkpost.fleet.tenants import TenantName
-from larkpost.ids import EngineId
-from larkpost.metrics import Metrics
-from larkpost.placement.work import Work, WorkKind
-from larkpost.policy import DEFAULT_POLICY, Policy
-from larkpost.proxy.attempts import Attempts
-from larkpost.proxy.balancer import Balancer
-from larkpost.proxy.forecast import Limits, Places, survey, unreachable
-from larkpost.proxy.outcomes import Outcomes
-from larkpost.proxy.patience import FirstTries
-from larkpost.proxy.port import (
+from larkpost.common.clock import Clock
+from larkpost.common.ids import EngineId
+from larkpost.gateway.blackboard.configuration import Route, RouteKind, ServiceName
+from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
+from larkpost.gateway.blackboard.known_crashes import CLIENT_CRASH_LIMIT, KnownCrashes
+from larkpost.gateway.blackboard.tenants import TenantName
+from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.observability.metrics import Metrics
+from larkpost.gateway.placement.work import Work, WorkKind
+from larkpost.gateway.policy import DEFAULT_POLICY, Policy
+from larkpost.gateway.proxy.attempts import Attempts
+from larkpost.gateway.proxy.balancer import Balancer
+from larkpost.gateway.proxy.forecast import Limits, Places, survey, unreachable
+from larkpost.gateway.proxy.outcomes import Outcomes
+from larkpost.gateway.proxy.patience import FirstTries
+from larkpost.gateway.proxy.request import ClientRequest, WholeAnswer
+from larkpost.gateway.proxy.shares import ShareChooser
+from larkpost.gateway.proxy.waiting import Waiter, WaitingLines
+from larkpost.gateway.quarantine.trials import Trials
+from larkpost.gateway.servers.port import (
     BrokenAnswerError,
     NotRunError,
     OutgoingRequest,
     ServerAnswer,
     ServerPort,
 )
-from larkpost.proxy.request import ClientRequest, WholeAnswer
-from larkpost.proxy.shares import ShareChooser
-from larkpost.proxy.waiting import Waiter, WaitingLines
-from larkpost.quarantine.known_crashes import CLIENT_CRASH_LIMIT, KnownCrashes
-from larkpost.quarantine.trials import Trials
-from larkpost.usage.counter import UsageCounter
+from larkpost.gateway.usage.counter import UsageCounter
 
 MIN_HEDGE_SECONDS = 0.1
 HEDGE_PACE_FACTOR = 3.0
--- a/src/larkpost/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from larkpost.ids import ZoneId
+from larkpost.common.ids import ZoneId
 
 
 @dataclass(slots=True)
--- a/src/larkpost/proxy/outcomes.py
+++ b/src/larkpost/gateway/proxy/outcomes.py
@@ -1,23 +1,23 @@
 """Notes how attempts and requests ended: counters, lines, usage, and what the balancer learns."""
 
-from larkpost.clock import Clock
-from larkpost.errors import LarkpostError, Ran
-from larkpost.eventlog import Event, EventLog
-from larkpost.fleet.directory import InstanceInfo
-from larkpost.metrics import Count, Metrics, Timing
-from larkpost.proxy.attempts import Attempts
-from larkpost.proxy.balancer import Balancer
-from larkpost.proxy.port import NotRunError
-from larkpost.proxy.request import (
+from larkpost.common.clock import Clock
+from larkpost.common.errors import LarkpostError, Ran
+from larkpost.gateway.blackboard.directory import InstanceInfo
+from larkpost.gateway.blackboard.known_crashes import REMEMBERED_SECONDS
+from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.observability.metrics import Count, Metrics, Timing
+from larkpost.gateway.proxy.attempts import Attempts
+from larkpost.gateway.proxy.balancer import Balancer
+from larkpost.gateway.proxy.request import (
     ClientRequest,
     QuarantinedError,
     RefusedError,
     RequestFailedError,
     RequestTimeoutError,
 )
-from larkpost.quarantine.content import digest_request
-from larkpost.quarantine.known_crashes import REMEMBERED_SECONDS
-from larkpost.usage.counter import UsageCounter
+from larkpost.gateway.quarantine.content import digest_request
+from larkpost.gateway.servers.port import NotRunError
+from larkpost.gateway.usage.counter import UsageCounter
 
 FULL_AVOID_SECONDS = 0.05
 BROKEN_AVOID_SECONDS = 0.3
--- a/src/larkpost/proxy/patience.py
+++ b/src/larkpost/gateway/proxy/patience.py
@@ -5,7 +5,7 @@
 is an estimate: it decides who comes first and what is foreseen to be late, never a refusal.
 """
 
-from larkpost.clock import Clock
+from larkpost.common.clock import Clock
 
 WINDOW_SECONDS = 30.0
 """How long the longest time left is remembered, at least; twice as long at most."""
--- a/src/larkpost/proxy/request.py
+++ b/src/larkpost/gateway/proxy/request.py
@@ -2,10 +2,10 @@
 
 from dataclasses import dataclass
 
-from larkpost.errors import LarkpostError
-from larkpost.fleet.tenants import TenantName
-from larkpost.ids import RegionId
-from larkpost.proxy.port import Headers
+from larkpost.common.errors import LarkpostError
+from larkpost.common.ids import RegionId
+from larkpost.gateway.blackboard.tenants import TenantName
+from larkpost.gateway.servers.port import Headers
 
 
 class RefusedError(LarkpostError):
--- a/src/larkpost/proxy/shares.py
+++ b/src/larkpost/gateway/proxy/shares.py
@@ -2,7 +2,7 @@
 
 import random
 
-from larkpost.fleet.configuration import Route, ServiceName
+from larkpost.gateway.blackboard.configuration import Route, ServiceName
 
 FIRST_ROUNDS = 97
 """A route begins after fewer requests than this that are only thought of."""
--- a/src/larkpost/proxy/waiting.py
+++ b/src/larkpost/gateway/proxy/waiting.py
@@ -12,10 +12,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from larkpost.clock import Clock
-from larkpost.fleet.configuration import ServiceName
-from larkpost.placement.work import Work
-from larkpost.proxy.forecast import Forecast, Limits, Places, foresee, is_late_anyway
+from larkpost.common.clock import Clock
+from larkpost.gateway.blackboard.configuration import ServiceName
+from larkpost.gateway.placement.work import Work
+from larkpost.gateway.proxy.forecast import Forecast, Limits, Places, foresee, is_late_anyway
 
 LOOK_INTERVAL_SECONDS = 0.02
 """Between two tries at servers that were full: a tenth of the shortest objectives, and less than
--- a/src/larkpost/quarantine/apart.py
+++ b/src/larkpost/gateway/quarantine/apart.py
@@ -11,11 +11,11 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from larkpost.fleet.directory import InstanceInfo
-from larkpost.ids import EngineId
-from larkpost.placement.rules import PlainRule
-from larkpost.placement.verdict import Verdict
-from larkpost.placement.work import Work
+from larkpost.common.ids import EngineId
+from larkpost.gateway.blackboard.directory import InstanceInfo
+from larkpost.gateway.placement.rules import PlainRule
+from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.work import Work
 
 
 class ApartRule(PlainRule):
--- a/src/larkpost/quarantine/content.py
+++ b/src/larkpost/gateway/quarantine/content.py
@@ -7,7 +7,7 @@
 import hashlib
 from typing import NewType, Protocol
 
-from larkpost.fleet.tenants import TenantName
+from larkpost.gateway.blackboard.tenants import TenantName
 
 ContentDigest = NewType("ContentDigest", str)
 """Hexadecimal digits that are equal for requests that ask the same for the same caller."""
--- a/src/larkpost/quarantine/guard.py
+++ b/src/larkpost/gateway/quarantine/guard.py
@@ -7,8 +7,13 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager, nullcontext
 
-from larkpost.fleet.directory import InstanceInfo
-from larkpost.proxy.port import (
+from larkpost.gateway.blackboard.directory import InstanceInfo
+from larkpost.gateway.blackboard.known_crashes import KnownCrashes
+from larkpost.gateway.quarantine.apart import ApartRule
+from larkpost.gateway.quarantine.content import digest_request
+from larkpost.gateway.quarantine.recorder import CrashRecorder
+from larkpost.gateway.quarantine.watch import CrashWatch
+from larkpost.gateway.servers.port import (
     BrokenAnswerError,
     EngineReport,
     NotRunError,
@@ -20,11 +25,6 @@
     ServerPort,
     VersionOrder,
 )
-from larkpost.quarantine.apart import ApartRule
-from larkpost.quarantine.content import digest_request
-from larkpost.quarantine.known_crashes import KnownCrashes
-from larkpost.quarantine.recorder import CrashRecorder
-from larkpost.quarantine.watch import CrashWatch
 
 LEAST_FAILURE_STATUS = 400
 
--- a/src/larkpost/quarantine/recorder.py
+++ b/src/larkpost/gateway/quarantine/recorder.py
@@ -3,21 +3,21 @@
 import asyncio
 from collections.abc import Callable, Iterable
 
-from larkpost.clock import Clock
-from larkpost.eventlog import Event, EventLog
-from larkpost.ids import EngineId
-from larkpost.metrics import Count, Metrics
-from larkpost.proxy.port import OutgoingRequest
-from larkpost.quarantine.content import ContentDigest
-from larkpost.quarantine.known_crashes import (
+from larkpost.common.clock import Clock
+from larkpost.common.ids import EngineId
+from larkpost.common.tasks import TaskSet
+from larkpost.gateway.blackboard.known_crashes import (
     CLIENT_CRASH_LIMIT,
     REMEMBERED_SECONDS,
     Crash,
     KnownCrashes,
 )
-from larkpost.quarantine.repository import MAX_ROWS, CrashRepository, crash_of_row
-from larkpost.store.port import Row
-from larkpost.tasks import TaskSet
+from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.observability.metrics import Count, Metrics
+from larkpost.gateway.quarantine.content import ContentDigest
+from larkpost.gateway.quarantine.repository import MAX_ROWS, CrashRepository, crash_of_row
+from larkpost.gateway.servers.port import OutgoingRequest
+from larkpost.gateway.store.port import Row
 
 RETRY_SECONDS = 0.2
 FORGET_INTERVAL_SECONDS = 60.0
--- a/src/larkpost/quarantine/repository.py
+++ b/src/larkpost/gateway/quarantine/repository.py
@@ -7,11 +7,11 @@
 
 import orjson
 
-from larkpost.ids import EngineId
-from larkpost.quarantine.content import ContentDigest
-from larkpost.quarantine.known_crashes import Crash
-from larkpost.rollouts.repository import HEAD_TABLE
-from larkpost.store.port import ABSENT, Row, RowKey, Store, Transaction, WriteOutcome
+from larkpost.common.ids import EngineId
+from larkpost.gateway.blackboard.known_crashes import Crash
+from larkpost.gateway.quarantine.content import ContentDigest
+from larkpost.gateway.rollouts.repository import HEAD_TABLE
+from larkpost.gateway.store.port import ABSENT, Row, RowKey, Store, Transaction, WriteOutcome
 
 CRASH_TABLE = HEAD_TABLE
 CRASH_PART = "crashes"
--- a/src/larkpost/quarantine/trials.py
+++ b/src/larkpost/gateway/quarantine/trials.py
@@ -7,12 +7,12 @@
 two more by then.
 """
 
-from larkpost.clock import Clock
-from larkpost.eventlog import Event, EventLog
-from larkpost.ids import EngineId
-from larkpost.quarantine.content import ContentDigest, Request
-from larkpost.quarantine.known_crashes import Crash, KnownCrashes
-from larkpost.quarantine.repository import CrashRepository
+from larkpost.common.clock import Clock
+from larkpost.common.ids import EngineId
+from larkpost.gateway.blackboard.known_crashes import Crash, KnownCrashes
+from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.quarantine.content import ContentDigest, Request
+from larkpost.gateway.quarantine.repository import CrashRepository
 
 TRIAL_PAUSES_SECONDS = (5.0, 60.0)
 """From the last crash to the first trial, and from then to the second: crashed servers are back
--- a/src/larkpost/quarantine/watch.py
+++ b/src/larkpost/gateway/quarantine/watch.py
@@ -11,12 +11,12 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from larkpost.clock import Clock
-from larkpost.fleet.directory import Directory, InstanceInfo, InstanceState
-from larkpost.ids import Address, EngineId
-from larkpost.proxy.port import PortState, ServerPort
-from larkpost.quarantine.content import ContentDigest
-from larkpost.tasks import TaskSet
+from larkpost.common.clock import Clock
+from larkpost.common.ids import Address, EngineId
+from larkpost.common.tasks import TaskSet
+from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.quarantine.content import ContentDigest
+from larkpost.gateway.servers.port import PortState, ServerPort
 
 PROBE_SECONDS = 0.5
 """Longest wait for a new connection to a server: a dead port answers within the time of the way."""
--- a/src/larkpost/rollouts/attempt.py
+++ b/src/larkpost/gateway/rollouts/attempt.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from larkpost.rollouts.model import Item, Result, ResultState
+from larkpost.gateway.rollouts.model import Item, Result, ResultState
 
 LONG_RUN_EVENTS = 30
 """Events after which an item has shown itself long; three in four items have fewer."""
--- a/src/larkpost/rollouts/codec.py
+++ b/src/larkpost/gateway/rollouts/codec.py
@@ -5,10 +5,10 @@
 
 import orjson
 
-from larkpost.fleet.configuration import ModelName
-from larkpost.ids import BatchId, DaemonId
-from larkpost.rollouts.attempt import Progress
-from larkpost.rollouts.model import (
+from larkpost.common.ids import BatchId, DaemonId
+from larkpost.gateway.blackboard.configuration import ModelName
+from larkpost.gateway.rollouts.attempt import Progress
+from larkpost.gateway.rollouts.model import (
     BatchHead,
     GroupId,
     Item,
--- a/src/larkpost/rollouts/context.py
+++ b/src/larkpost/gateway/rollouts/context.py
@@ -4,18 +4,18 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from larkpost.clock import Clock
-from larkpost.eventlog import EventLog
-from larkpost.fleet.configuration import ConfigurationState
-from larkpost.fleet.directory import Directory
-from larkpost.fleet.division import EngineDivision
-from larkpost.metrics import Metrics
-from larkpost.placement.cold import ColdRule
-from larkpost.policy import DEFAULT_POLICY, Policy
-from larkpost.proxy.balancer import Balancer
-from larkpost.proxy.port import ServerPort
-from larkpost.proxy.shares import ShareChooser
-from larkpost.quarantine.known_crashes import KnownCrashes
+from larkpost.common.clock import Clock
+from larkpost.gateway.blackboard.configuration import ConfigurationState
+from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.blackboard.known_crashes import KnownCrashes
+from larkpost.gateway.controllers.division import EngineDivision
+from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.observability.metrics import Metrics
+from larkpost.gateway.placement.cold import ColdRule
+from larkpost.gateway.policy import DEFAULT_POLICY, Policy
+from larkpost.gateway.proxy.balancer import Balancer
+from larkpost.gateway.proxy.shares import ShareChooser
+from larkpost.gateway.servers.port import ServerPort
 
 
 @dataclass(slots=True)
--- a/src/larkpost/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_choice.py
@@ -2,13 +2,13 @@
 
 from dataclasses import replace
 
-from larkpost.fleet.configuration import Configuration, Route, RouteKind, ServiceName
-from larkpost.fleet.directory import InstanceInfo
-from larkpost.ids import EngineId
-from larkpost.placement.work import Work, WorkKind
-from larkpost.rollouts.attempt import Progress
-from larkpost.rollouts.context import RunServices
-from larkpost.rollouts.model import BatchHead, Item, ItemId
+from larkpost.common.ids import EngineId
+from larkpost.gateway.blackboard.configuration import Configuration, Route, RouteKind, ServiceName
+from larkpost.gateway.blackboard.directory import InstanceInfo
+from larkpost.gateway.placement.work import Work, WorkKind
+from larkpost.gateway.rollouts.attempt import Progress
+from larkpost.gateway.rollouts.context import RunServices
+from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId
 
 FASTER_RATIO = 1.12
 """An engine counts as faster than another by this factor of their paces."""
--- a/src/larkpost/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -4,22 +4,22 @@
 from dataclasses import replace
 from enum import StrEnum
 
-from larkpost.fleet.configuration import Route
-from larkpost.fleet.directory import InstanceInfo
-from larkpost.metrics import Timing
-from larkpost.proxy.port import (
+from larkpost.gateway.blackboard.configuration import Route
+from larkpost.gateway.blackboard.directory import InstanceInfo
+from larkpost.gateway.blackboard.known_crashes import BATCH_CRASH_LIMIT
+from larkpost.gateway.observability.metrics import Timing
+from larkpost.gateway.rollouts.attempt import Progress
+from larkpost.gateway.rollouts.context import RunServices
+from larkpost.gateway.rollouts.engine_choice import EngineChoice
+from larkpost.gateway.rollouts.model import ITEM_METHOD, BatchHead, Item
+from larkpost.gateway.rollouts.place_queue import PlaceQueue
+from larkpost.gateway.rollouts.stalls import RunWatch, StallWatcher
+from larkpost.gateway.rollouts.urgency import Urgency
+from larkpost.gateway.servers.port import (
     BrokenAnswerError,
     OutgoingRequest,
     ServerAnswer,
 )
-from larkpost.quarantine.known_crashes import BATCH_CRASH_LIMIT
-from larkpost.rollouts.attempt import Progress
-from larkpost.rollouts.context import RunServices
-from larkpost.rollouts.engine_choice import EngineChoice
-from larkpost.rollouts.model import ITEM_METHOD, BatchHead, Item
-from larkpost.rollouts.place_queue import PlaceQueue
-from larkpost.rollouts.stalls import RunWatch, StallWatcher
-from larkpost.rollouts.urgency import Urgency
 
 FIRST_EVENT_SECONDS = 2.5
 """Longest wait for an answer's head and for its first event."""
--- a/src/larkpost/rollouts/keeper.py
+++ b/src/larkpost/gateway/rollouts/keeper.py
@@ -10,20 +10,20 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from larkpost.clock import Clock
-from larkpost.eventlog import Event, EventLog
-from larkpost.fleet.configuration import ModelName
-from larkpost.fleet.members import Membership
-from larkpost.fleet.weights import ModelDemand
-from larkpost.ids import BatchId, DaemonId, RegionId
-from larkpost.metrics import Count
-from larkpost.rollouts.context import RunServices
-from larkpost.rollouts.model import BatchHead, BatchSpec, Item
-from larkpost.rollouts.owned import OwnedBatch
-from larkpost.rollouts.repository import BatchRepository, head_of_row
-from larkpost.rollouts.view import BatchView, ViewCache
-from larkpost.store.port import Row, StoreUnavailableError
-from larkpost.tasks import TaskSet
+from larkpost.common.clock import Clock
+from larkpost.common.ids import BatchId, DaemonId, RegionId
+from larkpost.common.tasks import TaskSet
+from larkpost.gateway.blackboard.configuration import ModelName
+from larkpost.gateway.controllers.members import Membership
+from larkpost.gateway.controllers.weights import ModelDemand
+from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.observability.metrics import Count
+from larkpost.gateway.rollouts.context import RunServices
+from larkpost.gateway.rollouts.model import BatchHead, BatchSpec, Item
+from larkpost.gateway.rollouts.owned import OwnedBatch
+from larkpost.gateway.rollouts.repository import BatchRepository, head_of_row
+from larkpost.gateway.rollouts.view import BatchView, ViewCache
+from larkpost.gateway.store.port import Row, StoreUnavailableError
 
 INTERVAL_SECONDS = 0.1
 IDLE_INTERVAL_SECONDS = 0.5
--- a/src/larkpost/rollouts/model.py
+++ b/src/larkpost/gateway/rollouts/model.py
@@ -5,10 +5,10 @@
 from enum import StrEnum
 from typing import NewType
 
-from larkpost.fleet.configuration import ModelName
-from larkpost.fleet.tenants import TenantName
-from larkpost.ids import BatchId, DaemonId
-from larkpost.quarantine.content import ContentDigest, digest_content
+from larkpost.common.ids import BatchId, DaemonId
+from larkpost.gateway.blackboard.configuration import ModelName
+from larkpost.gateway.blackboard.tenants import TenantName
+from larkpost.gateway.quarantine.content import ContentDigest, digest_content
 
 ItemId = NewType("ItemId", str)
 GroupId = NewType("GroupId", str)
--- a/src/larkpost/rollouts/owned.py
+++ b/src/larkpost/gateway/rollouts/owned.py
@@ -2,16 +2,16 @@
 
 import asyncio
 
-from larkpost.clock import Clock
-from larkpost.eventlog import Event, EventLog
-from larkpost.metrics import Count, Timing
-from larkpost.rollouts.attempt import Progress
-from larkpost.rollouts.context import RunServices
-from larkpost.rollouts.model import BatchHead, Item, ItemId, Result, Tail
-from larkpost.rollouts.repository import BatchRepository
-from larkpost.rollouts.run import BatchRun
-from larkpost.rollouts.view import BatchView
-from larkpost.store.port import StoreUnavailableError, WriteOutcome
+from larkpost.common.clock import Clock
+from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.observability.metrics import Count, Timing
+from larkpost.gateway.rollouts.attempt import Progress
+from larkpost.gateway.rollouts.context import RunServices
+from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId, Result, Tail
+from larkpost.gateway.rollouts.repository import BatchRepository
+from larkpost.gateway.rollouts.run import BatchRun
+from larkpost.gateway.rollouts.view import BatchView
+from larkpost.gateway.store.port import StoreUnavailableError, WriteOutcome
 
 APPEND_GAP_SECONDS = 0.06
 RETRY_SECONDS = 0.15
--- a/src/larkpost/rollouts/place_queue.py
+++ b/src/larkpost/gateway/rollouts/place_queue.py
@@ -12,14 +12,14 @@
 import itertools
 from dataclasses import dataclass
 
-from larkpost.clock import Clock
-from larkpost.fleet.configuration import Route, ServiceName
-from larkpost.fleet.directory import InstanceInfo
-from larkpost.placement.work import Work
-from larkpost.proxy.balancer import Balancer
-from larkpost.rollouts.attempt import Progress
-from larkpost.rollouts.engine_choice import EngineChoice
-from larkpost.rollouts.model import Item
+from larkpost.common.clock import Clock
+from larkpost.gateway.blackboard.configuration import Route, ServiceName
+from larkpost.gateway.blackboard.directory import InstanceInfo
+from larkpost.gateway.placement.work import Work
+from larkpost.gateway.proxy.balancer import Balancer
+from larkpost.gateway.rollouts.attempt import Progress
+from larkpost.gateway.rollouts.engine_choice import EngineChoice
+from larkpost.gateway.rollouts.model import Item
 
 PASS_INTERVAL_SECONDS = 0.03
 """Places free up without notice when other daemons' requests end, so they are looked for."""
--- a/src/larkpost/rollouts/repository.py
+++ b/src/larkpost/gateway/rollouts/repository.py
@@ -15,13 +15,13 @@
 from dataclasses import replace
 from enum import StrEnum
 
-from larkpost.clock import Clock
-from larkpost.hashing import hash64
-from larkpost.ids import BatchId, DaemonId
-from larkpost.rollouts import codec
-from larkpost.rollouts.attempt import Progress
-from larkpost.rollouts.model import BatchHead, BatchSpec, Item, ItemId, Result, Tail
-from larkpost.store.port import (
+from larkpost.common.clock import Clock
+from larkpost.common.hashing import hash64
+from larkpost.common.ids import BatchId, DaemonId
+from larkpost.gateway.rollouts import codec
+from larkpost.gateway.rollouts.attempt import Progress
+from larkpost.gateway.rollouts.model import BatchHead, BatchSpec, Item, ItemId, Result, Tail
+from larkpost.gateway.store.port import (
     ABSENT,
     Row,
     RowKey,
--- a/src/larkpost/rollouts/reward.py
+++ b/src/larkpost/gateway/rollouts/reward.py
@@ -12,22 +12,22 @@
 from dataclasses import dataclass, replace
 from enum import StrEnum
 
-from larkpost.eventlog import Event
-from larkpost.fleet.configuration import Route, ServiceName
-from larkpost.fleet.directory import InstanceInfo
-from larkpost.ids import EngineId
-from larkpost.metrics import Count, Timing
-from larkpost.placement.work import REWARD_WORK, Work, WorkKind
-from larkpost.proxy.port import (
+from larkpost.common.ids import EngineId
+from larkpost.gateway.blackboard.configuration import Route, ServiceName
+from larkpost.gateway.blackboard.directory import InstanceInfo
+from larkpost.gateway.blackboard.known_crashes import BATCH_CRASH_LIMIT
+from larkpost.gateway.observability.eventlog import Event
+from larkpost.gateway.observability.metrics import Count, Timing
+from larkpost.gateway.placement.work import REWARD_WORK, Work, WorkKind
+from larkpost.gateway.rollouts.attempt import Progress
+from larkpost.gateway.rollouts.context import RunServices
+from larkpost.gateway.rollouts.model import ITEM_METHOD, BatchHead, RewardCall
+from larkpost.gateway.servers.port import (
     BrokenAnswerError,
     NotRunError,
     NotRunReason,
     OutgoingRequest,
 )
-from larkpost.quarantine.known_crashes import BATCH_CRASH_LIMIT
-from larkpost.rollouts.attempt import Progress
-from larkpost.rollouts.context import RunServices
-from larkpost.rollouts.model import ITEM_METHOD, BatchHead, RewardCall
 
 MAX_CALLS_IN_FLIGHT = 24
 """Reward calls of one daemon at servers, or about to be sent; the others wait their turn."""
--- a/src/larkpost/rollouts/run.py
+++ b/src/larkpost/gateway/rollouts/run.py
@@ -3,27 +3,27 @@
 import asyncio
 from collections.abc import Callable
 
-from larkpost.eventlog import Event
-from larkpost.fleet.configuration import (
+from larkpost.gateway.blackboard.configuration import (
     Configuration,
     Route,
     ServiceName,
 )
-from larkpost.fleet.directory import InstanceInfo
-from larkpost.metrics import Count, Timing
-from larkpost.proxy.port import (
+from larkpost.gateway.blackboard.directory import InstanceInfo
+from larkpost.gateway.blackboard.known_crashes import BATCH_CRASH_LIMIT
+from larkpost.gateway.observability.eventlog import Event
+from larkpost.gateway.observability.metrics import Count, Timing
+from larkpost.gateway.rollouts.attempt import DiscontinuityError, Progress
+from larkpost.gateway.rollouts.context import RunServices
+from larkpost.gateway.rollouts.engine_choice import EngineChoice
+from larkpost.gateway.rollouts.engine_run import EngineRuns, MoveAwayError, RunEnd, StalledError
+from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId, Result, ResultState, RewardCall
+from larkpost.gateway.rollouts.place_queue import PlaceQueue
+from larkpost.gateway.rollouts.reward import RewardScorer, RewardState
+from larkpost.gateway.rollouts.stalls import LOOK_SECONDS, StallWatcher
+from larkpost.gateway.servers.port import (
     BrokenAnswerError,
     NotRunError,
 )
-from larkpost.quarantine.known_crashes import BATCH_CRASH_LIMIT
-from larkpost.rollouts.attempt import DiscontinuityError, Progress
-from larkpost.rollouts.context import RunServices
-from larkpost.rollouts.engine_choice import EngineChoice
-from larkpost.rollouts.engine_run import EngineRuns, MoveAwayError, RunEnd, StalledError
-from larkpost.rollouts.model import BatchHead, Item, ItemId, Result, ResultState, RewardCall
-from larkpost.rollouts.place_queue import PlaceQueue
-from larkpost.rollouts.reward import RewardScorer, RewardState
-from larkpost.rollouts.stalls import LOOK_SECONDS, StallWatcher
 
 AGAIN_PAUSE_SECONDS = 0.03
 REFUSED_AVOID_SECONDS = 0.15
--- a/src/larkpost/rollouts/service.py
+++ b/src/larkpost/gateway/rollouts/service.py
@@ -3,19 +3,19 @@
 import secrets
 from dataclasses import dataclass
 
-from larkpost.clock import Clock
-from larkpost.errors import LarkpostError, Ran
-from larkpost.eventlog import Event, EventLog
-from larkpost.fleet.tenants import ANYONE, Caller
-from larkpost.ids import BatchId, DaemonId
-from larkpost.metrics import Count
-from larkpost.placement.work import Work, WorkKind
-from larkpost.rollouts.context import RunServices
-from larkpost.rollouts.keeper import BatchKeeper
-from larkpost.rollouts.model import BatchHead, BatchSpec, ItemId, Result
-from larkpost.rollouts.repository import AcceptOutcome, BatchRepository, EndOutcome
-from larkpost.rollouts.view import BatchView, ViewCache
-from larkpost.store.port import StoreUnavailableError
+from larkpost.common.clock import Clock
+from larkpost.common.errors import LarkpostError, Ran
+from larkpost.common.ids import BatchId, DaemonId
+from larkpost.gateway.blackboard.tenants import ANYONE, Caller
+from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.observability.metrics import Count
+from larkpost.gateway.placement.work import Work, WorkKind
+from larkpost.gateway.rollouts.context import RunServices
+from larkpost.gateway.rollouts.keeper import BatchKeeper
+from larkpost.gateway.rollouts.model import BatchHead, BatchSpec, ItemId, Result
+from larkpost.gateway.rollouts.repository import AcceptOutcome, BatchRepository, EndOutcome
+from larkpost.gateway.rollouts.view import BatchView, ViewCache
+from larkpost.gateway.store.port import StoreUnavailableError
 
 END_PATIENCE_SECONDS = 2.0
 READ_POLL_SECONDS = 0.05
--- a/src/larkpost/rollouts/stalls.py
+++ b/src/larkpost/gateway/rollouts/stalls.py
@@ -10,9 +10,9 @@
 from contextlib import contextmanager
 from dataclasses import dataclass
 
-from larkpost.clock import Clock
-from larkpost.fleet.directory import InstanceInfo
-from larkpost.ids import EngineId
+from larkpost.common.clock import Clock
+from larkpost.common.ids import EngineId
+from larkpost.gateway.blackboard.directory import InstanceInfo
 
 LOOK_SECONDS = 0.1
 """Interval at which the runs of a batch are looked at."""
--- a/src/larkpost/rollouts/urgency.py
+++ b/src/larkpost/gateway/rollouts/urgency.py
@@ -8,8 +8,8 @@
 import math
 from collections.abc import Sequence
 
-from larkpost.rollouts.attempt import Progress
-from larkpost.rollouts.model import Item
+from larkpost.gateway.rollouts.attempt import Progress
+from larkpost.gateway.rollouts.model import Item
 
 HIGHEST_PRIORITY = 0
 LOWEST_PRIORITY = 9
--- a/src/larkpost/rollouts/view.py
+++ b/src/larkpost/gateway/rollouts/view.py
@@ -3,8 +3,8 @@
 import asyncio
 from collections import Counter
 
-from larkpost.ids import BatchId
-from larkpost.rollouts.model import BatchHead, GroupId, Item, ItemId, Result
+from larkpost.common.ids import BatchId
+from larkpost.gateway.rollouts.model import BatchHead, GroupId, Item, ItemId, Result
 
 MAX_CACHE_BYTES = 24_000_000
 
--- a/src/larkpost/scaling/census.py
+++ b/src/larkpost/gateway/scaling/census.py
@@ -6,11 +6,11 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from larkpost.fleet.configuration import ServiceName
-from larkpost.fleet.directory import Directory, InstanceState
-from larkpost.fleet.evacuations import Evacuations
-from larkpost.ids import ZoneId
-from larkpost.scaling.planner import ZoneServers
+from larkpost.common.ids import ZoneId
+from larkpost.gateway.blackboard.configuration import ServiceName
+from larkpost.gateway.blackboard.directory import Directory, InstanceState
+from larkpost.gateway.blackboard.evacuations import Evacuations
+from larkpost.gateway.scaling.planner import ZoneServers
 
 USUAL_SECONDS = 60.0
 """How long the most servers seen at once count as usual: longer than a release takes, shorter than
--- a/src/larkpost/scaling/controller.py
+++ b/src/larkpost/gateway/scaling/controller.py
@@ -9,19 +9,19 @@
 from collections.abc import Callable
 from enum import StrEnum
 
-from larkpost.clock import Clock
-from larkpost.eventlog import Event, EventLog
-from larkpost.fleet.beliefs import Beliefs
-from larkpost.fleet.configuration import Configuration, Service, ServiceName
-from larkpost.fleet.leases import Duty, LeaseSubject, LeaseTable
-from larkpost.fleet.members import Membership
-from larkpost.ids import ZoneId
-from larkpost.metrics import Count, Level, Metrics
-from larkpost.scaling.census import ServerCensus
-from larkpost.scaling.demand import DemandForecast
-from larkpost.scaling.planner import Plan, plan_servers
-from larkpost.scaling.port import ScalingOrder, ScalingOutcome, ScalingPort, ServerKind
-from larkpost.tasks import TaskSet
+from larkpost.common.clock import Clock
+from larkpost.common.ids import ZoneId
+from larkpost.common.tasks import TaskSet
+from larkpost.gateway.blackboard.board import Beliefs
+from larkpost.gateway.blackboard.configuration import Configuration, Service, ServiceName
+from larkpost.gateway.controllers.leases import Duty, LeaseSubject, LeaseTable
+from larkpost.gateway.controllers.members import Membership
+from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.observability.metrics import Count, Level, Metrics
+from larkpost.gateway.scaling.census import ServerCensus
+from larkpost.gateway.scaling.demand import DemandForecast
+from larkpost.gateway.scaling.planner import Plan, plan_servers
+from larkpost.gateway.scaling.port import ScalingOrder, ScalingOutcome, ScalingPort, ServerKind
 
 INTERVAL_SECONDS = 1.0
 LOST_SECONDS = 8.0
--- a/src/larkpost/scaling/demand.py
+++ b/src/larkpost/gateway/scaling/demand.py
@@ -2,11 +2,11 @@
 
 from collections.abc import Callable
 
-from larkpost.fleet.configuration import Configuration, RouteKind, Service
-from larkpost.fleet.directory import Directory
-from larkpost.fleet.weights import Demands
-from larkpost.ids import EngineId
-from larkpost.scaling.planner import Demand
+from larkpost.common.ids import EngineId
+from larkpost.gateway.blackboard.configuration import Configuration, RouteKind, Service
+from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.controllers.weights import Demands
+from larkpost.gateway.scaling.planner import Demand
 
 
 class DemandForecast:
--- a/src/larkpost/scaling/planner.py
+++ b/src/larkpost/gateway/scaling/planner.py
@@ -8,10 +8,10 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from larkpost.fleet.configuration import ServiceName
-from larkpost.ids import ZoneId
-from larkpost.scaling.port import ScalingOrder, ServerKind
-from larkpost.scaling.terms import ScalingTerms
+from larkpost.common.ids import ZoneId
+from larkpost.gateway.blackboard.configuration import ServiceName
+from larkpost.gateway.blackboard.scaling_terms import ScalingTerms
+from larkpost.gateway.scaling.port import ScalingOrder, ServerKind
 
 PREEMPTIBLE_SHARE = 0.5
 """Most of a zone's servers that are preemptible: the zone serves on when all of them go."""
--- a/src/larkpost/scaling/port.py
+++ b/src/larkpost/gateway/scaling/port.py
@@ -4,9 +4,9 @@
 from enum import StrEnum
 from typing import Protocol
 
-from larkpost.fleet.configuration import ServiceName
-from larkpost.fleet.leases import Lease
-from larkpost.ids import ZoneId
+from larkpost.common.ids import ZoneId
+from larkpost.gateway.blackboard.configuration import ServiceName
+from larkpost.gateway.controllers.leases import Lease
 
 
 class ServerKind(StrEnum):
--- a/src/larkpost/proxy/port.py
+++ b/src/larkpost/gateway/servers/port.py
@@ -6,11 +6,11 @@
 from enum import StrEnum
 from typing import Protocol
 
-from larkpost.errors import LarkpostError, Ran
-from larkpost.fleet.configuration import ModelName
-from larkpost.fleet.directory import InstanceInfo
-from larkpost.fleet.tenants import TenantName
-from larkpost.quarantine.known_crashes import CLIENT_CRASH_LIMIT
+from larkpost.common.errors import LarkpostError, Ran
+from larkpost.gateway.blackboard.configuration import ModelName
+from larkpost.gateway.blackboard.directory import InstanceInfo
+from larkpost.gateway.blackboard.known_crashes import CLIENT_CRASH_LIMIT
+from larkpost.gateway.blackboard.tenants import TenantName
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
--- a/src/larkpost/store/follower.py
+++ b/src/larkpost/gateway/store/follower.py
@@ -7,9 +7,10 @@
 
 from collections.abc import Callable
 
-from larkpost.clock import Clock
-from larkpost.eventlog import Event, EventLog
-from larkpost.store.port import (
+from larkpost.common.clock import Clock
+from larkpost.common.tasks import TaskSet
+from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.store.port import (
     HistoryLostError,
     Row,
     RowKey,
@@ -17,7 +18,6 @@
     StoreUnavailableError,
     read_all,
 )
-from larkpost.tasks import TaskSet
 
 FEED_WAIT_SECONDS = 1.0
 FEED_GAP_SECONDS = 0.05
--- a/src/larkpost/store/port.py
+++ b/src/larkpost/gateway/store/port.py
@@ -10,7 +10,7 @@
 from enum import StrEnum
 from typing import NamedTuple, Protocol
 
-from larkpost.errors import LarkpostError
+from larkpost.common.errors import LarkpostError
 
 ABSENT = 0
 """The version of a row that does not exist; as a condition it means "not there"."""
--- a/src/larkpost/store/relay.py
+++ b/src/larkpost/gateway/store/relay.py
@@ -17,11 +17,12 @@
 from collections.abc import Awaitable, Callable, Mapping
 from typing import Protocol, TypeVar
 
-from larkpost.clock import Clock
-from larkpost.eventlog import Event, EventLog
-from larkpost.fleet.regions import Distance
-from larkpost.ids import Address
-from larkpost.store.port import (
+from larkpost.common.clock import Clock
+from larkpost.common.ids import Address
+from larkpost.common.tasks import TaskSet
+from larkpost.gateway.blackboard.regions import Distance
+from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.store.port import (
     RowPage,
     Store,
     StoreUnavailableError,
@@ -29,7 +30,6 @@
     WriteOutcome,
     WriteResult,
 )
-from larkpost.tasks import TaskSet
 
 PROBE_INTERVAL_SECONDS = 0.5
 """How often a relayed daemon looks whether the store takes its own calls again."""
@@ -55,7 +55,9 @@
 
 
 class RelayedStore:
-    """The store, reached directly or by way of a peer; implements `larkpost.store.port.Store`.
+    """The store, reached directly or by way of a peer.
+
+    Implements `larkpost.gateway.store.port.Store`.
 
     Args:
         direct: the store as this daemon reaches it.
--- a/src/larkpost/usage/counter.py
+++ b/src/larkpost/gateway/usage/counter.py
@@ -3,9 +3,9 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from larkpost.fleet.tenants import TenantName
-from larkpost.fleet.true_time import TrueTime
-from larkpost.usage.port import TenantCounts, WindowNumber
+from larkpost.gateway.blackboard.tenants import TenantName
+from larkpost.gateway.controllers.true_time import TrueTime
+from larkpost.gateway.usage.port import TenantCounts, WindowNumber
 
 KEPT_WINDOWS = 24
 """Windows that a daemon counts at once; older counts are of no use to anybody."""
--- a/src/larkpost/usage/port.py
+++ b/src/larkpost/gateway/usage/port.py
@@ -5,8 +5,8 @@
 from enum import StrEnum
 from typing import NewType, Protocol
 
-from larkpost.fleet.leases import Lease
-from larkpost.fleet.tenants import TenantName
+from larkpost.gateway.blackboard.tenants import TenantName
+from larkpost.gateway.controllers.leases import Lease
 
 WindowNumber = NewType("WindowNumber", int)
 """Window k begins k times the length of a window after the start of 1970."""
--- a/src/larkpost/usage/reporter.py
+++ b/src/larkpost/gateway/usage/reporter.py
@@ -8,23 +8,23 @@
 import contextlib
 from collections.abc import Callable
 
-from larkpost.clock import Clock
-from larkpost.eventlog import Event, EventLog
-from larkpost.fleet.leases import Duty, LeaseSubject, LeaseTable
-from larkpost.fleet.members import Membership
-from larkpost.fleet.true_time import TrueTime
-from larkpost.metrics import Count, Metrics
-from larkpost.store.port import StoreUnavailableError, WriteOutcome
-from larkpost.tasks import TaskSet
-from larkpost.usage.counter import UsageCounter
-from larkpost.usage.port import (
+from larkpost.common.clock import Clock
+from larkpost.common.tasks import TaskSet
+from larkpost.gateway.controllers.leases import Duty, LeaseSubject, LeaseTable
+from larkpost.gateway.controllers.members import Membership
+from larkpost.gateway.controllers.true_time import TrueTime
+from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.observability.metrics import Count, Metrics
+from larkpost.gateway.store.port import StoreUnavailableError, WriteOutcome
+from larkpost.gateway.usage.counter import UsageCounter
+from larkpost.gateway.usage.port import (
     ReportOutcome,
     UsagePort,
     UsageReport,
     UsageTerms,
     WindowNumber,
 )
-from larkpost.usage.repository import DecidedReport, UsageRepository
+from larkpost.gateway.usage.repository import DecidedReport, UsageRepository
 
 SAVE_SECONDS = 0.5
 """Least time between two savings of a daemon's counts: what it counts meanwhile dies with it."""
--- a/src/larkpost/usage/repository.py
+++ b/src/larkpost/gateway/usage/repository.py
@@ -13,9 +13,9 @@
 
 import orjson
 
-from larkpost.fleet.tenants import TenantName
-from larkpost.ids import DaemonId
-from larkpost.store.port import (
+from larkpost.common.ids import DaemonId
+from larkpost.gateway.blackboard.tenants import TenantName
+from larkpost.gateway.store.port import (
     ABSENT,
     RowKey,
     Store,
@@ -23,7 +23,7 @@
     WriteOutcome,
     read_all,
 )
-from larkpost.usage.port import TenantCounts, UsageReport, WindowNumber
+from larkpost.gateway.usage.port import TenantCounts, UsageReport, WindowNumber
 
 COUNT_TABLE = "usage_counts"
 REPORT_TABLE = "usage_reports"
--- a/src/larkpost/platform/batches.py
+++ b/src/larkpost/platform/batches.py
@@ -6,12 +6,19 @@
 
 import orjson
 
-from larkpost.fleet.configuration import ModelName
-from larkpost.fleet.tenants import TenantName
-from larkpost.ids import BatchId
+from larkpost.common.ids import BatchId
+from larkpost.gateway.blackboard.configuration import ModelName
+from larkpost.gateway.blackboard.tenants import TenantName
+from larkpost.gateway.rollouts.model import (
+    BatchSpec,
+    GroupId,
+    Item,
+    ItemId,
+    RewardCall,
+    RewardCallId,
+)
+from larkpost.gateway.rollouts.service import ResultPage
 from larkpost.platform import names
-from larkpost.rollouts.model import BatchSpec, GroupId, Item, ItemId, RewardCall, RewardCallId
-from larkpost.rollouts.service import ResultPage
 
 MAX_ID_LENGTH = 120
 
--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -10,9 +10,9 @@
 from aiohttp.client_proto import ResponseHandler
 from aiohttp.client_reqrep import ConnectionKey
 
-from larkpost.ids import Address
+from larkpost.common.ids import Address
+from larkpost.common.steady_time import steady_seconds
 from larkpost.platform.silence import PROOF_SECONDS, CallKind, Line, Silences
-from larkpost.steady_time import steady_seconds
 
 CONNECT_TIMEOUT_SECONDS = 1.0
 IDLE_SECONDS = 3.0
--- a/src/larkpost/platform/descriptors.py
+++ b/src/larkpost/platform/descriptors.py
@@ -8,8 +8,8 @@
 import asyncio
 from collections.abc import Callable
 
-from larkpost.eventlog import Event, EventLog
-from larkpost.fleet.lifecycle import Lifecycle
+from larkpost.gateway.blackboard.lifecycle import Lifecycle
+from larkpost.gateway.observability.eventlog import Event, EventLog
 
 LOOK_INTERVAL_SECONDS = 0.5
 FILE_DESCRIPTORS = 200
--- a/src/larkpost/platform/duties.py
+++ b/src/larkpost/platform/duties.py
@@ -6,13 +6,13 @@
 import orjson
 from yarl import URL
 
-from larkpost.fleet.leases import Lease
-from larkpost.ids import Address
+from larkpost.common.ids import Address
+from larkpost.gateway.controllers.leases import Lease
+from larkpost.gateway.scaling.port import ScalingOrder, ScalingOutcome, ServerKind
+from larkpost.gateway.usage.port import ReportOutcome, UsageReport
 from larkpost.platform import names
 from larkpost.platform.connections import make_session
 from larkpost.platform.silence import Peer, Silences
-from larkpost.scaling.port import ScalingOrder, ScalingOutcome, ServerKind
-from larkpost.usage.port import ReportOutcome, UsageReport
 
 CALL_FAILURES = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
 """Everything a call may end with besides an answer."""
--- a/src/larkpost/platform/events.py
+++ b/src/larkpost/platform/events.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Iterator
 
+from larkpost.gateway.servers.port import StreamEvent
 from larkpost.platform import names
-from larkpost.proxy.port import StreamEvent
 
 EVENT_END = b"\n\n"
 
--- a/src/larkpost/platform/http_protocol.py
+++ b/src/larkpost/platform/http_protocol.py
@@ -6,9 +6,9 @@
 
 from uvicorn.protocols.http.httptools_impl import HttpToolsProtocol, RequestResponseCycle
 
-from larkpost.fleet.configuration import RequestLimits
-from larkpost.http_server import HttpServer
-from larkpost.ids import Address
+from larkpost.common.http_server import HttpServer
+from larkpost.common.ids import Address
+from larkpost.gateway.blackboard.configuration import RequestLimits
 from larkpost.platform.connections import TCP_USER_TIMEOUT, probe_for_silence
 
 LONGEST_IDLE_SECONDS = 3600
--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -7,22 +7,27 @@
 
 import orjson
 
-from larkpost.errors import LarkpostError
-from larkpost.fleet.configuration import ConfigurationState, RequestLimits, Route, RouteKind
-from larkpost.fleet.lifecycle import Lifecycle
-from larkpost.fleet.tenants import Caller, KeyDigest, TenantName, digest_key
-from larkpost.ids import BatchId
+from larkpost.common.errors import LarkpostError
+from larkpost.common.ids import BatchId
+from larkpost.gateway.blackboard.configuration import (
+    ConfigurationState,
+    RequestLimits,
+    Route,
+    RouteKind,
+)
+from larkpost.gateway.blackboard.lifecycle import Lifecycle
+from larkpost.gateway.blackboard.tenants import Caller, KeyDigest, TenantName, digest_key
+from larkpost.gateway.proxy.admission import Admission, Admitted
+from larkpost.gateway.proxy.forwarder import Forwarder
+from larkpost.gateway.proxy.request import (
+    ClientRequest,
+)
+from larkpost.gateway.rollouts.model import ItemId
+from larkpost.gateway.rollouts.service import BatchService
+from larkpost.gateway.servers.port import Headers
 from larkpost.platform import names
 from larkpost.platform.batches import read_batch, read_position, write_page
 from larkpost.platform.http_protocol import OVERSIZED
-from larkpost.proxy.admission import Admission, Admitted
-from larkpost.proxy.forwarder import Forwarder
-from larkpost.proxy.port import Headers
-from larkpost.proxy.request import (
-    ClientRequest,
-)
-from larkpost.rollouts.model import ItemId
-from larkpost.rollouts.service import BatchService
 
 Receive = Callable[[], Awaitable[dict]]
 Send = Callable[[dict], Awaitable[None]]
--- a/src/larkpost/platform/operator.py
+++ b/src/larkpost/platform/operator.py
@@ -4,7 +4,8 @@
 
 import orjson
 
-from larkpost.fleet.configuration import (
+from larkpost.common.ids import Address, EngineId, RegionId, ZoneId
+from larkpost.gateway.blackboard.configuration import (
     Configuration,
     ModelName,
     RequestLimits,
@@ -14,14 +15,13 @@
     ServiceName,
     ServiceShare,
 )
-from larkpost.fleet.directory import InstanceInfo, InstanceState
-from larkpost.fleet.evacuations import ZoneEvacuation
-from larkpost.fleet.tenants import Tenant, TenantName, digest_key
-from larkpost.fleet.weights import WeightTarget
-from larkpost.ids import Address, EngineId, RegionId, ZoneId
+from larkpost.gateway.blackboard.directory import InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.evacuations import ZoneEvacuation
+from larkpost.gateway.blackboard.scaling_terms import ScalingTerms
+from larkpost.gateway.blackboard.tenants import Tenant, TenantName, digest_key
+from larkpost.gateway.controllers.weights import WeightTarget
+from larkpost.gateway.store.port import Row
 from larkpost.platform import names
-from larkpost.scaling.terms import ScalingTerms
-from larkpost.store.port import Row
 
 KINDS = {
     "idempotent": RouteKind.IDEMPOTENT,
--- a/src/larkpost/platform/process.py
+++ b/src/larkpost/platform/process.py
@@ -6,14 +6,16 @@
 import signal
 from pathlib import Path
 
-from larkpost.assembly.environment import GatewayPorts, GatewaySettings
-from larkpost.clock import LoopClock
-from larkpost.errors import SettingsError
-from larkpost.eventlog import Event, EventLog, LineWriter
-from larkpost.fleet.row_intake import RowReaders
-from larkpost.gateway import Gateway
-from larkpost.ids import Address
-from larkpost.metrics import Metrics
+from larkpost.common.clock import LoopClock
+from larkpost.common.errors import SettingsError
+from larkpost.common.ids import Address
+from larkpost.common.steady_time import run_steadily
+from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
+from larkpost.gateway.controllers.row_intake import RowReaders
+from larkpost.gateway.daemon import Gateway
+from larkpost.gateway.observability.eventlog import Event, EventLog, LineWriter
+from larkpost.gateway.observability.metrics import Metrics
+from larkpost.gateway.store.relay import RelayedStore
 from larkpost.platform import names, operator
 from larkpost.platform.descriptors import DescriptorGuard
 from larkpost.platform.duties import HttpDuties
@@ -29,8 +31,6 @@
 from larkpost.platform.silence import Peer
 from larkpost.platform.status_apps import MetricsApp, ReadinessApp
 from larkpost.platform.store import HttpStore
-from larkpost.steady_time import run_steadily
-from larkpost.store.relay import RelayedStore
 
 SETTINGS_POLL_SECONDS = 1.0
 
--- a/src/larkpost/platform/server_messages.py
+++ b/src/larkpost/platform/server_messages.py
@@ -2,9 +2,9 @@
 
 import orjson
 
+from larkpost.gateway.servers.port import EngineReport, RunningWork, ServerLoad, VersionOrder
 from larkpost.platform import names
 from larkpost.platform.operator import read_versions
-from larkpost.proxy.port import EngineReport, RunningWork, ServerLoad, VersionOrder
 
 ORDER_MODES = {
     RunningWork.CARRY: "retain",
--- a/src/larkpost/platform/servers.py
+++ b/src/larkpost/platform/servers.py
@@ -11,10 +11,23 @@
 from multidict import CIMultiDict
 from yarl import URL
 
-from larkpost.addresses import split_address
-from larkpost.eventlog import EventLog
-from larkpost.fleet.directory import InstanceInfo
-from larkpost.metrics import Metrics
+from larkpost.common.addresses import split_address
+from larkpost.common.steady_time import steady_seconds
+from larkpost.gateway.blackboard.directory import InstanceInfo
+from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.observability.metrics import Metrics
+from larkpost.gateway.servers.port import (
+    BrokenAnswerError,
+    EngineReport,
+    Headers,
+    NotRunError,
+    NotRunReason,
+    OrderOutcome,
+    OutgoingRequest,
+    PortState,
+    StreamEvent,
+    VersionOrder,
+)
 from larkpost.platform import names
 from larkpost.platform.connections import CallLimits, SilentConnectionError, make_session
 from larkpost.platform.events import EventDecoder
@@ -27,19 +40,6 @@
     read_whole,
 )
 from larkpost.platform.silence import CallKind, Peer, Silences
-from larkpost.proxy.port import (
-    BrokenAnswerError,
-    EngineReport,
-    Headers,
-    NotRunError,
-    NotRunReason,
-    OrderOutcome,
-    OutgoingRequest,
-    PortState,
-    StreamEvent,
-    VersionOrder,
-)
-from larkpost.steady_time import steady_seconds
 
 REFUSAL_BYTES = 4096
 """Longest body of a refusal that is read so that its connection serves again."""
@@ -68,7 +68,7 @@
 
 
 class HttpAnswer:
-    """An answer from a server; implements `larkpost.proxy.port.ServerAnswer`."""
+    """An answer from a server; implements `larkpost.gateway.servers.port.ServerAnswer`."""
 
     def __init__(self, response: aiohttp.ClientResponse) -> None:
         self._response = response
@@ -119,7 +119,7 @@
 
 
 class HttpServers:
-    """Sends requests and orders to servers; implements `larkpost.proxy.port.ServerPort`.
+    """Sends requests and orders to servers; implements `larkpost.gateway.servers.port.ServerPort`.
 
     Args:
         metrics: counts connections that go silent.
--- a/src/larkpost/platform/settings.py
+++ b/src/larkpost/platform/settings.py
@@ -7,13 +7,13 @@
 from pathlib import Path
 from typing import Any
 
-from larkpost.addresses import split_address
-from larkpost.errors import SettingsError
-from larkpost.fleet.cold import ColdTerms
-from larkpost.fleet.regions import RegionMap
-from larkpost.ids import Address, RegionId, ZoneId
+from larkpost.common.addresses import split_address
+from larkpost.common.errors import SettingsError
+from larkpost.common.ids import Address, RegionId, ZoneId
+from larkpost.gateway.blackboard.cold_instances import ColdTerms
+from larkpost.gateway.blackboard.regions import RegionMap
+from larkpost.gateway.usage.port import UsageTerms
 from larkpost.platform import names
-from larkpost.usage.port import UsageTerms
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/larkpost/platform/silence.py
+++ b/src/larkpost/platform/silence.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from larkpost.eventlog import Event, EventLog
-from larkpost.ids import Address
-from larkpost.metrics import Count, Metrics
-from larkpost.steady_time import steady_seconds
+from larkpost.common.ids import Address
+from larkpost.common.steady_time import steady_seconds
+from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.observability.metrics import Count, Metrics
 
 LEAST_PATIENCE_SECONDS = 0.25
 """No silence is taken for one for good before: links lose packets, which come again within it."""
--- a/src/larkpost/platform/stand_in/daemon_settings.py
+++ b/src/larkpost/platform/stand_in/daemon_settings.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from larkpost.addresses import split_address
-from larkpost.ids import Address, ZoneId
+from larkpost.common.addresses import split_address
+from larkpost.common.ids import Address, ZoneId
 from larkpost.platform import names
 
 TEMPLATE = """\
--- a/src/larkpost/platform/stand_in/programs.py
+++ b/src/larkpost/platform/stand_in/programs.py
@@ -6,10 +6,11 @@
 import asyncio
 import sys
 
-from larkpost.clock import Clock, LoopClock
-from larkpost.fleet.configuration import ModelName, ServiceName
-from larkpost.http_server import HttpServer
-from larkpost.ids import Address, EngineId, ZoneId
+from larkpost.common.clock import Clock, LoopClock
+from larkpost.common.http_server import HttpServer
+from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
+from larkpost.gateway.store.port import Transaction
 from larkpost.platform import names
 from larkpost.platform.stand_in.rows import StandInServer, server_change
 from larkpost.platform.stand_in.server_app import ServerApp
@@ -17,7 +18,6 @@
 from larkpost.platform.store import HttpStore
 from larkpost.rehearsal.memory_store import MemoryStore
 from larkpost.rehearsal.scripted_engines import EngineState
-from larkpost.store.port import Transaction
 
 HEARTBEAT_SECONDS = 0.4
 LAPSE_SECONDS = 1.5
--- a/src/larkpost/platform/stand_in/rows.py
+++ b/src/larkpost/platform/stand_in/rows.py
@@ -4,11 +4,11 @@
 
 import orjson
 
-from larkpost.fleet.configuration import ModelName, ServiceName
-from larkpost.fleet.tenants import TenantName
-from larkpost.ids import Address, EngineId, ZoneId
+from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
+from larkpost.gateway.blackboard.tenants import TenantName
+from larkpost.gateway.store.port import RowKey, Transaction
 from larkpost.platform import names
-from larkpost.store.port import RowKey, Transaction
 
 HOST = "users.example"
 TRAINING = TenantName("training")
--- a/src/larkpost/platform/stand_in/server_app.py
+++ b/src/larkpost/platform/stand_in/server_app.py
@@ -9,10 +9,10 @@
 from starlette.responses import Response, StreamingResponse
 from starlette.routing import Route
 
-from larkpost.fleet.configuration import ModelName
-from larkpost.ids import EngineId
+from larkpost.common.ids import EngineId
+from larkpost.gateway.blackboard.configuration import ModelName
+from larkpost.gateway.servers.port import OrderOutcome, VersionOrder
 from larkpost.platform import names
-from larkpost.proxy.port import OrderOutcome, VersionOrder
 from larkpost.rehearsal.scripted_engines import EngineState, output_of, take_order
 
 PAGE_SECONDS = 0.02
--- a/src/larkpost/platform/stand_in/store_app.py
+++ b/src/larkpost/platform/stand_in/store_app.py
@@ -9,10 +9,8 @@
 from starlette.responses import Response
 from starlette.routing import Route
 
-from larkpost.clock import Clock
-from larkpost.platform import names
-from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
-from larkpost.store.port import (
+from larkpost.common.clock import Clock
+from larkpost.gateway.store.port import (
     HistoryLostError,
     Row,
     RowKey,
@@ -21,6 +19,8 @@
     Transaction,
     WriteOutcome,
 )
+from larkpost.platform import names
+from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
 
 WRITE_STATUSES = {
     WriteOutcome.DONE: 200,
--- a/src/larkpost/platform/status_apps.py
+++ b/src/larkpost/platform/status_apps.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable
 
-from larkpost.fleet.lifecycle import Lifecycle
-from larkpost.metrics import CONTENT_TYPE
+from larkpost.gateway.blackboard.lifecycle import Lifecycle
+from larkpost.gateway.observability.metrics import CONTENT_TYPE
 from larkpost.platform import names
 from larkpost.platform.ingress import Receive, Send
 
--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -10,14 +10,11 @@
 import orjson
 from yarl import URL
 
-from larkpost.eventlog import EventLog
-from larkpost.ids import Address
-from larkpost.metrics import Count, Metrics, Timing
-from larkpost.platform import names
-from larkpost.platform.connections import CallLimits, SilentConnectionError, make_session
-from larkpost.platform.silence import Peer, Silences
-from larkpost.steady_time import steady_seconds
-from larkpost.store.port import (
+from larkpost.common.ids import Address
+from larkpost.common.steady_time import steady_seconds
+from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.observability.metrics import Count, Metrics, Timing
+from larkpost.gateway.store.port import (
     HistoryLostError,
     Row,
     RowKey,
@@ -27,6 +24,9 @@
     WriteOutcome,
     WriteResult,
 )
+from larkpost.platform import names
+from larkpost.platform.connections import CallLimits, SilentConnectionError, make_session
+from larkpost.platform.silence import Peer, Silences
 
 READ_TIMEOUT_SECONDS = 1.5
 FEED_WAIT_SECONDS = 1.0
@@ -45,7 +45,7 @@
 
 
 class HttpStore:
-    """The platform's store; implements `larkpost.store.port.Store`.
+    """The platform's store; implements `larkpost.gateway.store.port.Store`.
 
     Args:
         address: where the store listens.
--- a/src/larkpost/rehearsal/bench.py
+++ b/src/larkpost/rehearsal/bench.py
@@ -18,8 +18,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from larkpost.config.intent import Intent, PoolIntent, ServiceIntent
-from larkpost.ids import Address, PoolId
+from larkpost.common.ids import Address, PoolId
 from larkpost.rehearsal.processes import (
     Process,
     ProcessGroup,
@@ -28,6 +27,7 @@
     free_address,
     wait_for,
 )
+from larkpost.standalone.config.intent import Intent, PoolIntent, ServiceIntent
 
 POOL = PoolId("bench")
 SERVICE = "bench"
--- a/src/larkpost/rehearsal/bench_servers.py
+++ b/src/larkpost/rehearsal/bench_servers.py
@@ -11,8 +11,8 @@
 from starlette.responses import Response, StreamingResponse
 from starlette.routing import Route
 
-from larkpost.http_server import HttpServer
-from larkpost.ids import Address, EngineId
+from larkpost.common.http_server import HttpServer
+from larkpost.common.ids import Address, EngineId
 
 SLOTS = 4096
 
--- a/src/larkpost/rehearsal/clients.py
+++ b/src/larkpost/rehearsal/clients.py
@@ -9,11 +9,11 @@
 import aiohttp
 import orjson
 
-from larkpost.api.inference import KEY_HEADER, REQUEST_HEADER, RUN_ONCE_HEADER
 from larkpost.client import parse_error
-from larkpost.errors import LarkpostError, Ran
-from larkpost.ids import Address
+from larkpost.common.errors import LarkpostError, Ran
+from larkpost.common.ids import Address
 from larkpost.rehearsal.tokens import expected_answer
+from larkpost.standalone.api.inference import KEY_HEADER, REQUEST_HEADER, RUN_ONCE_HEADER
 
 MAX_TRIES = 6
 RETRY_SECONDS = 0.2
--- a/src/larkpost/rehearsal/commands.py
+++ b/src/larkpost/rehearsal/commands.py
@@ -8,8 +8,8 @@
 import orjson
 import typer
 
-from larkpost.errors import LarkpostError
-from larkpost.ids import Address, EngineId, PolicyId, PoolId, TrainerId
+from larkpost.common.errors import LarkpostError
+from larkpost.common.ids import Address, EngineId, PolicyId, PoolId, TrainerId
 from larkpost.rehearsal.clients import ClientShape, run_clients
 from larkpost.rehearsal.engine_model import EngineShape
 from larkpost.rehearsal.engine_server import run_engine
--- a/src/larkpost/rehearsal/demo.py
+++ b/src/larkpost/rehearsal/demo.py
@@ -14,7 +14,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from larkpost.fleet.configuration import ModelName
+from larkpost.gateway.blackboard.configuration import ModelName
+from larkpost.gateway.store.port import Transaction, WriteOutcome
 from larkpost.platform.stand_in.callers import (
     Caller,
     CallerRecord,
@@ -31,7 +32,6 @@
     wait_until_ready,
 )
 from larkpost.rehearsal.processes import ProcessGroup, RehearsalError
-from larkpost.store.port import Transaction, WriteOutcome
 
 SITES = (CASABLANCA, SANTIAGO)
 ROW_BYTES = 65536
--- a/src/larkpost/rehearsal/engine_cache.py
+++ b/src/larkpost/rehearsal/engine_cache.py
@@ -3,7 +3,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from larkpost.hashing import hash64
+from larkpost.common.hashing import hash64
 
 BLOCK_CHARACTERS = 64
 CHARACTERS_PER_TOKEN = 4
--- a/src/larkpost/rehearsal/engine_model.py
+++ b/src/larkpost/rehearsal/engine_model.py
@@ -11,16 +11,16 @@
 from collections.abc import AsyncIterator, Awaitable, Callable
 from dataclasses import dataclass, field
 
-from larkpost.engines.port import (
+from larkpost.common.ids import AttemptId, DaemonId, EngineId, PolicyId, RequestId
+from larkpost.rehearsal.engine_cache import PrefixCache
+from larkpost.rehearsal.tokens import answer_length, answer_seed, token_at
+from larkpost.standalone.engines.port import (
     EngineChunk,
     EngineReport,
     GenerateRequest,
     Order,
     OrderKind,
 )
-from larkpost.ids import AttemptId, DaemonId, EngineId, PolicyId, RequestId
-from larkpost.rehearsal.engine_cache import PrefixCache
-from larkpost.rehearsal.tokens import answer_length, answer_seed, token_at
 
 SHORTEST_WAIT = 0.001
 """A shorter wait may not advance a virtual clock."""
--- a/src/larkpost/rehearsal/engine_server.py
+++ b/src/larkpost/rehearsal/engine_server.py
@@ -14,9 +14,8 @@
 from starlette.responses import Response, StreamingResponse
 from starlette.routing import Route
 
-from larkpost.engines.port import EngineChunk, GenerateRequest, Order, OrderKind
-from larkpost.http_server import HttpServer
-from larkpost.ids import Address, AttemptId, EngineId, PolicyId
+from larkpost.common.http_server import HttpServer
+from larkpost.common.ids import Address, AttemptId, EngineId, PolicyId
 from larkpost.rehearsal.engine_model import (
     EngineModel,
     EngineRecord,
@@ -26,6 +25,7 @@
     StreamCutError,
     UnknownAttemptError,
 )
+from larkpost.standalone.engines.port import EngineChunk, GenerateRequest, Order, OrderKind
 
 RETRY_AFTER_FULL = 0.5
 STOP_POLL = 0.05
--- a/src/larkpost/rehearsal/experiment/plot.py
+++ b/src/larkpost/rehearsal/experiment/plot.py
@@ -3,7 +3,7 @@
 import statistics
 from pathlib import Path
 
-from larkpost.errors import InvalidRequestError
+from larkpost.common.errors import InvalidRequestError
 from larkpost.rehearsal.experiment.run import RunResult
 
 PANELS = ("idle_fraction", "staleness_mean", "client_p99_ms", "tokens_wasted")
--- a/src/larkpost/rehearsal/experiment/report.py
+++ b/src/larkpost/rehearsal/experiment/report.py
@@ -12,7 +12,7 @@
 from rich.progress import Progress
 from rich.table import Table
 
-from larkpost.errors import InvalidRequestError
+from larkpost.common.errors import InvalidRequestError
 from larkpost.rehearsal.experiment.policies import POLICIES
 from larkpost.rehearsal.experiment.run import (
     RunResult,
--- a/src/larkpost/rehearsal/experiment/run.py
+++ b/src/larkpost/rehearsal/experiment/run.py
@@ -7,8 +7,6 @@
 import async_solipsism
 from hdrh.histogram import HdrHistogram
 
-from larkpost.batches.ledger import BatchSpec
-from larkpost.config.intent import Intent
 from larkpost.rehearsal.engine_model import EngineShape
 from larkpost.rehearsal.experiment.policies import Policy
 from larkpost.rehearsal.experiment.scenario import Fault, FaultKind, Scenario
@@ -19,6 +17,8 @@
 from larkpost.rehearsal.sites import Site
 from larkpost.rehearsal.tokens import answer_length, answer_seed
 from larkpost.rehearsal.workload import TrainerShape
+from larkpost.standalone.batches.ledger import BatchSpec
+from larkpost.standalone.config.intent import Intent
 
 ENGINE = EngineShape(tokens_per_step=4, step_base=0.008, step_per_sequence=0.0004)
 MAX_TRIES = 5
--- a/src/larkpost/rehearsal/experiment/scenario.py
+++ b/src/larkpost/rehearsal/experiment/scenario.py
@@ -7,9 +7,9 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from larkpost.errors import InvalidRequestError
+from larkpost.common.errors import InvalidRequestError
 from larkpost.rehearsal.sites import SITES, Site
-from larkpost.settings import describe_validation
+from larkpost.standalone.settings import describe_validation
 
 BUNDLED = Path(__file__).resolve().parent.parent / "scenarios"
 
--- a/src/larkpost/rehearsal/fleet.py
+++ b/src/larkpost/rehearsal/fleet.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from larkpost.ids import Address
+from larkpost.common.ids import Address
 from larkpost.rehearsal.processes import (
     Process,
     ProcessGroup,
--- a/src/larkpost/rehearsal/memory_store.py
+++ b/src/larkpost/rehearsal/memory_store.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from larkpost.clock import Clock
-from larkpost.store.port import (
+from larkpost.common.clock import Clock
+from larkpost.gateway.store.port import (
     ABSENT,
     HistoryLostError,
     Row,
@@ -102,7 +102,7 @@
 
 
 class StoreClient:
-    """One daemon's way to a `MemoryStore`; implements `larkpost.store.port.Store`.
+    """One daemon's way to a `MemoryStore`; implements `larkpost.gateway.store.port.Store`.
 
     Attributes:
         cut_off: whether this client cannot reach the store.
--- a/src/larkpost/rehearsal/platform_fleet.py
+++ b/src/larkpost/rehearsal/platform_fleet.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from larkpost.fleet.configuration import ModelName, ServiceName
-from larkpost.ids import Address, EngineId, ZoneId
+from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
 from larkpost.platform.stand_in.daemon_settings import DaemonPlace, ready_path, write_settings
 from larkpost.rehearsal.processes import Process, ProcessGroup, answers, free_address, wait_for
 
--- a/src/larkpost/rehearsal/platform_model.py
+++ b/src/larkpost/rehearsal/platform_model.py
@@ -3,8 +3,8 @@
 import asyncio
 from dataclasses import dataclass, field, replace
 
-from larkpost.ids import EngineId, PolicyId, ZoneId
-from larkpost.table_service.ports import MachineEntry, Row
+from larkpost.common.ids import EngineId, PolicyId, ZoneId
+from larkpost.standalone.table_service.ports import MachineEntry, Row
 
 
 class PlatformDownError(Exception):
--- a/src/larkpost/rehearsal/platform_server.py
+++ b/src/larkpost/rehearsal/platform_server.py
@@ -13,15 +13,15 @@
 from starlette.responses import Response
 from starlette.routing import Route
 
-from larkpost.http_server import HttpServer
-from larkpost.ids import Address, EngineId, PolicyId, PoolId, ZoneId
+from larkpost.common.http_server import HttpServer
+from larkpost.common.ids import Address, EngineId, PolicyId, PoolId, ZoneId
 from larkpost.rehearsal.platform_model import (
     AnswerLostError,
     PlatformDownError,
     PlatformModel,
     RateLimitedError,
 )
-from larkpost.table_service.ports import MachineEntry
+from larkpost.standalone.table_service.ports import MachineEntry
 
 LOST_ANSWER_SECONDS = 30.0
 """A lost answer keeps its caller waiting for so long."""
--- a/src/larkpost/rehearsal/processes.py
+++ b/src/larkpost/rehearsal/processes.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import IO
 
-from larkpost.ids import Address
+from larkpost.common.ids import Address
 
 START_TIMEOUT = 30.0
 STOP_TIMEOUT = 20.0
--- a/src/larkpost/rehearsal/scripted_engines.py
+++ b/src/larkpost/rehearsal/scripted_engines.py
@@ -6,12 +6,12 @@
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, field
 
-from larkpost.clock import Clock
-from larkpost.fleet.configuration import ModelName
-from larkpost.fleet.directory import InstanceInfo
-from larkpost.hashing import hash64
-from larkpost.ids import EngineId
-from larkpost.proxy.port import (
+from larkpost.common.clock import Clock
+from larkpost.common.hashing import hash64
+from larkpost.common.ids import EngineId
+from larkpost.gateway.blackboard.configuration import ModelName
+from larkpost.gateway.blackboard.directory import InstanceInfo
+from larkpost.gateway.servers.port import (
     BrokenAnswerError,
     EngineReport,
     Headers,
@@ -107,7 +107,7 @@
 
 
 class ScriptedAnswer:
-    """An answer of a scripted engine; implements `larkpost.proxy.port.ServerAnswer`."""
+    """An answer of a scripted engine; implements `larkpost.gateway.servers.port.ServerAnswer`."""
 
     def __init__(
         self,
@@ -177,7 +177,7 @@
 
 
 class ScriptedEngines:
-    """All engines; implements `larkpost.proxy.port.ServerPort`.
+    """All engines; implements `larkpost.gateway.servers.port.ServerPort`.
 
     Attributes:
         crashing: targets of the requests that crash each engine that begins to run them.
--- a/src/larkpost/rehearsal/scripted_scaling.py
+++ b/src/larkpost/rehearsal/scripted_scaling.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass, field
 
-from larkpost.clock import Clock
-from larkpost.fleet.leases import Lease
-from larkpost.scaling.port import ScalingOrder, ScalingOutcome, ServerKind
+from larkpost.common.clock import Clock
+from larkpost.gateway.controllers.leases import Lease
+from larkpost.gateway.scaling.port import ScalingOrder, ScalingOutcome, ServerKind
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class ScriptedScaling:
-    """Takes orders; implements `larkpost.scaling.port.ScalingPort`.
+    """Takes orders; implements `larkpost.gateway.scaling.port.ScalingPort`.
 
     Attributes:
         down: nothing is answered and nothing is taken.
--- a/src/larkpost/rehearsal/scripted_usage.py
+++ b/src/larkpost/rehearsal/scripted_usage.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass, field
 
-from larkpost.clock import Clock
-from larkpost.fleet.leases import Lease
-from larkpost.usage.port import ReportOutcome, TenantCounts, UsageReport, WindowNumber
+from larkpost.common.clock import Clock
+from larkpost.gateway.controllers.leases import Lease
+from larkpost.gateway.usage.port import ReportOutcome, TenantCounts, UsageReport, WindowNumber
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class ScriptedUsage:
-    """Takes reports; implements `larkpost.usage.port.UsagePort`.
+    """Takes reports; implements `larkpost.gateway.usage.port.UsagePort`.
 
     Attributes:
         down: nothing is answered and nothing is taken.
--- a/src/larkpost/rehearsal/simulation/callers.py
+++ b/src/larkpost/rehearsal/simulation/callers.py
@@ -5,17 +5,17 @@
 from collections.abc import Awaitable, Callable
 from contextlib import aclosing
 
-from larkpost.batches.ledger import BatchSpec, Page
-from larkpost.batches.service import Pull
 from larkpost.client import BatchSession, DaemonUnreachableError
-from larkpost.errors import LarkpostError, Ran
-from larkpost.ids import Address, BatchId, DaemonId, RequestId, ZoneId
+from larkpost.common.errors import LarkpostError, Ran
+from larkpost.common.ids import Address, BatchId, DaemonId, RequestId, ZoneId
 from larkpost.rehearsal.simulation.network import HostUnreachableError
 from larkpost.rehearsal.simulation.records import ClientCall, Delivery, Told
 from larkpost.rehearsal.simulation.world import World
 from larkpost.rehearsal.workload import TrainerShape
-from larkpost.routing.inference import InferenceCall
-from larkpost.routing.work import Answer
+from larkpost.standalone.batches.ledger import BatchSpec, Page
+from larkpost.standalone.batches.service import Pull
+from larkpost.standalone.routing.inference import InferenceCall
+from larkpost.standalone.routing.work import Answer
 
 PULL_TIMEOUT = 10.0
 CALL_TIMEOUT = 3.0
--- a/src/larkpost/rehearsal/simulation/network.py
+++ b/src/larkpost/rehearsal/simulation/network.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any, TypeVar
 
-from larkpost.ids import Address, ZoneId
+from larkpost.common.ids import Address, ZoneId
 
 Result = TypeVar("Result")
 SHORTEST_WAIT = 0.001
--- a/src/larkpost/rehearsal/simulation/operators.py
+++ b/src/larkpost/rehearsal/simulation/operators.py
@@ -4,12 +4,12 @@
 from collections.abc import Awaitable, Callable
 from typing import TYPE_CHECKING, TypeVar
 
-from larkpost.config.intent import Intent
-from larkpost.config.plan import Plan, make_plan
-from larkpost.errors import LarkpostError, OutdatedPlanError
-from larkpost.ids import DaemonId, EngineId
+from larkpost.common.errors import LarkpostError, OutdatedPlanError
+from larkpost.common.ids import DaemonId, EngineId
 from larkpost.rehearsal.simulation.network import HostUnreachableError
 from larkpost.rehearsal.simulation.records import ConfirmedPlan, LeavingMark, LeavingSource
+from larkpost.standalone.config.intent import Intent
+from larkpost.standalone.config.plan import Plan, make_plan
 
 if TYPE_CHECKING:
     from larkpost.rehearsal.simulation.world import DaemonNode, World
--- a/src/larkpost/rehearsal/simulation/oracle.py
+++ b/src/larkpost/rehearsal/simulation/oracle.py
@@ -6,11 +6,11 @@
 
 from collections import defaultdict
 
-from larkpost.blackboard.facts import CONFIGURATION_KEY
-from larkpost.controllers.configuration import ConfigurationRow
 from larkpost.rehearsal.simulation.records import EngineWork, LeavingSource, Records, Told
 from larkpost.rehearsal.simulation.world import World
 from larkpost.rehearsal.tokens import expected_answer
+from larkpost.standalone.blackboard.facts import CONFIGURATION_KEY
+from larkpost.standalone.controllers.configuration import ConfigurationRow
 
 LEAVING_SECONDS = {
     LeavingSource.ENGINE: 5.0,
--- a/src/larkpost/rehearsal/simulation/ports.py
+++ b/src/larkpost/rehearsal/simulation/ports.py
@@ -4,18 +4,8 @@
 from collections.abc import AsyncIterator, Awaitable, Callable
 from typing import TYPE_CHECKING, TypeVar
 
-from larkpost.engines.port import (
-    EngineBrokenError,
-    EngineChunk,
-    EngineNotSentError,
-    EngineRefusedError,
-    EngineReport,
-    GenerateRequest,
-    Order,
-    StaleTokenError,
-)
-from larkpost.errors import PlatformError
-from larkpost.ids import Address, AttemptId, ZoneId
+from larkpost.common.errors import PlatformError
+from larkpost.common.ids import Address, AttemptId, ZoneId
 from larkpost.rehearsal.engine_model import (
     EngineModel,
     QueueFullError,
@@ -30,8 +20,18 @@
     RateLimitedError,
 )
 from larkpost.rehearsal.simulation.network import Host, HostUnreachableError
-from larkpost.table_service.ports import MachineEntry, Row
-from larkpost.wire.peer import PeerError, PeerMethod
+from larkpost.standalone.engines.port import (
+    EngineBrokenError,
+    EngineChunk,
+    EngineNotSentError,
+    EngineRefusedError,
+    EngineReport,
+    GenerateRequest,
+    Order,
+    StaleTokenError,
+)
+from larkpost.standalone.table_service.ports import MachineEntry, Row
+from larkpost.standalone.wire.peer import PeerError, PeerMethod
 
 if TYPE_CHECKING:
     from larkpost.rehearsal.simulation.world import EngineNode, World
--- a/src/larkpost/rehearsal/simulation/records.py
+++ b/src/larkpost/rehearsal/simulation/records.py
@@ -3,10 +3,10 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from larkpost.batches.ledger import BatchSpec, Sample
-from larkpost.ids import EngineId, PlanId, ZoneId
+from larkpost.common.ids import EngineId, PlanId, ZoneId
 from larkpost.rehearsal.engine_model import EngineRecord
-from larkpost.routing.work import VersionSpan
+from larkpost.standalone.batches.ledger import BatchSpec, Sample
+from larkpost.standalone.routing.work import VersionSpan
 
 
 class Told(StrEnum):
--- a/src/larkpost/rehearsal/simulation/world.py
+++ b/src/larkpost/rehearsal/simulation/world.py
@@ -5,9 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from larkpost.config.intent import Intent
-from larkpost.daemon import Daemon, Ports
-from larkpost.ids import Address, DaemonId, EngineId, ZoneId
+from larkpost.common.ids import Address, DaemonId, EngineId, ZoneId
 from larkpost.rehearsal.engine_model import EngineModel, EngineRecord, EngineShape
 from larkpost.rehearsal.platform_model import (
     PlatformDownError,
@@ -30,8 +28,10 @@
     Records,
 )
 from larkpost.rehearsal.sites import Machine
-from larkpost.settings import Settings
-from larkpost.table_service.ports import MachineEntry
+from larkpost.standalone.config.intent import Intent
+from larkpost.standalone.daemon import Daemon, Ports
+from larkpost.standalone.settings import Settings
+from larkpost.standalone.table_service.ports import MachineEntry
 
 PLATFORM_ZONE = ZoneId("platform")
 STOP_POLL = 0.05
--- a/src/larkpost/rehearsal/sites.py
+++ b/src/larkpost/rehearsal/sites.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass
 
-from larkpost.config.intent import Intent, PoolIntent, ServiceIntent, TrainerIntent
-from larkpost.ids import EngineId, PolicyId, PoolId, TrainerId, ZoneId
+from larkpost.common.ids import EngineId, PolicyId, PoolId, TrainerId, ZoneId
+from larkpost.standalone.config.intent import Intent, PoolIntent, ServiceIntent, TrainerIntent
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/larkpost/rehearsal/tokens.py
+++ b/src/larkpost/rehearsal/tokens.py
@@ -9,7 +9,7 @@
 
 import xxhash
 
-from larkpost.hashing import hash64
+from larkpost.common.hashing import hash64
 
 VOCABULARY = 50_000
 MEDIAN_SHARE = 0.12
--- a/src/larkpost/rehearsal/trainer.py
+++ b/src/larkpost/rehearsal/trainer.py
@@ -7,12 +7,12 @@
 
 import aiohttp
 
-from larkpost.batches.ledger import BatchSpec, Sample
 from larkpost.client import BatchSession, HttpBatchEndpoint
-from larkpost.errors import LarkpostError
-from larkpost.ids import Address, BatchId
+from larkpost.common.errors import LarkpostError
+from larkpost.common.ids import Address, BatchId
 from larkpost.rehearsal.tokens import expected_answer
 from larkpost.rehearsal.workload import TrainerShape
+from larkpost.standalone.batches.ledger import BatchSpec, Sample
 
 
 @dataclass(slots=True)
--- a/src/larkpost/rehearsal/workload.py
+++ b/src/larkpost/rehearsal/workload.py
@@ -3,9 +3,9 @@
 import random
 from dataclasses import dataclass
 
-from larkpost.batches.ledger import BatchSpec
-from larkpost.ids import BatchId, PolicyId, PoolId, TrainerId
+from larkpost.common.ids import BatchId, PolicyId, PoolId, TrainerId
 from larkpost.rehearsal.tokens import answer_length, answer_seed
+from larkpost.standalone.batches.ledger import BatchSpec
 
 HINT_ERROR = 0.5
 """Expected lengths are off by up to this share."""
--- a/src/larkpost/api/app.py
+++ b/src/larkpost/standalone/api/app.py
@@ -2,10 +2,10 @@
 
 from starlette.applications import Starlette
 
-from larkpost.api.batches import BatchRoutes
-from larkpost.api.inference import InferenceRoutes
-from larkpost.api.operations import OperationRoutes
-from larkpost.daemon import Daemon
+from larkpost.standalone.api.batches import BatchRoutes
+from larkpost.standalone.api.inference import InferenceRoutes
+from larkpost.standalone.api.operations import OperationRoutes
+from larkpost.standalone.daemon import Daemon
 
 
 def make_app(daemon: Daemon) -> Starlette:
--- a/src/larkpost/api/batches.py
+++ b/src/larkpost/standalone/api/batches.py
@@ -4,11 +4,11 @@
 from starlette.responses import Response
 from starlette.routing import Route
 
-from larkpost.api.responses import Endpoint, json_response, read_document, with_errors
-from larkpost.api.schema import BatchDocument, PullDocument, expand_ranges, page_document
-from larkpost.daemon import Daemon
-from larkpost.errors import InvalidRequestError
-from larkpost.ids import BatchId, PolicyId
+from larkpost.common.errors import InvalidRequestError
+from larkpost.common.ids import BatchId, PolicyId
+from larkpost.standalone.api.responses import Endpoint, json_response, read_document, with_errors
+from larkpost.standalone.api.schema import BatchDocument, PullDocument, expand_ranges, page_document
+from larkpost.standalone.daemon import Daemon
 
 
 class BatchRoutes:
--- a/src/larkpost/api/inference.py
+++ b/src/larkpost/standalone/api/inference.py
@@ -9,13 +9,13 @@
 from starlette.responses import Response, StreamingResponse
 from starlette.routing import Route
 
-from larkpost.api.responses import JSON, Endpoint, read_document, with_errors
-from larkpost.api.schema import CompletionRequest, error_document
-from larkpost.daemon import Daemon
-from larkpost.errors import CallerLeftError, InvalidRequestError, LarkpostError, Ran
-from larkpost.ids import RequestId
-from larkpost.routing.inference import InferenceCall
-from larkpost.routing.work import Answer, TokenRun
+from larkpost.common.errors import CallerLeftError, InvalidRequestError, LarkpostError, Ran
+from larkpost.common.ids import RequestId
+from larkpost.standalone.api.responses import JSON, Endpoint, read_document, with_errors
+from larkpost.standalone.api.schema import CompletionRequest, error_document
+from larkpost.standalone.daemon import Daemon
+from larkpost.standalone.routing.inference import InferenceCall
+from larkpost.standalone.routing.work import Answer, TokenRun
 
 KEY_HEADER = "Idempotency-Key"
 RUN_ONCE_HEADER = "Larkpost-Run-Once"
--- a/src/larkpost/api/operations.py
+++ b/src/larkpost/standalone/api/operations.py
@@ -8,13 +8,19 @@
 from starlette.responses import PlainTextResponse, Response
 from starlette.routing import Route
 
-from larkpost.api.responses import JSON, Endpoint, json_response, read_document, with_errors
-from larkpost.config.intent import Intent
-from larkpost.config.plan import Plan, make_plan, pool_of
-from larkpost.daemon import Daemon
-from larkpost.ids import EngineId
-from larkpost.wire.http_peer import PEER_PATH
-from larkpost.wire.peer import PeerMethod
+from larkpost.common.ids import EngineId
+from larkpost.standalone.api.responses import (
+    JSON,
+    Endpoint,
+    json_response,
+    read_document,
+    with_errors,
+)
+from larkpost.standalone.config.intent import Intent
+from larkpost.standalone.config.plan import Plan, make_plan, pool_of
+from larkpost.standalone.daemon import Daemon
+from larkpost.standalone.wire.http_peer import PEER_PATH
+from larkpost.standalone.wire.peer import PeerMethod
 
 
 class OperationRoutes:
--- a/src/larkpost/api/responses.py
+++ b/src/larkpost/standalone/api/responses.py
@@ -8,10 +8,10 @@
 from starlette.requests import Request
 from starlette.responses import Response
 
-from larkpost.api.schema import error_document
-from larkpost.errors import InvalidRequestError, LarkpostError, Ran
-from larkpost.settings import describe_validation
-from larkpost.telemetry import Telemetry
+from larkpost.common.errors import InvalidRequestError, LarkpostError, Ran
+from larkpost.common.telemetry import Telemetry
+from larkpost.standalone.api.schema import error_document
+from larkpost.standalone.settings import describe_validation
 
 Document = TypeVar("Document", bound=BaseModel)
 Endpoint = Callable[[Request], Awaitable[Response]]
--- a/src/larkpost/api/schema.py
+++ b/src/larkpost/standalone/api/schema.py
@@ -4,10 +4,10 @@
 
 from pydantic import BaseModel, ConfigDict, Field
 
-from larkpost.batches.ledger import BatchSpec, Page, Sample
-from larkpost.batches.service import Pull
-from larkpost.errors import InvalidRequestError, LarkpostError
-from larkpost.ids import BatchId, PoolId, TrainerId
+from larkpost.common.errors import InvalidRequestError, LarkpostError
+from larkpost.common.ids import BatchId, PoolId, TrainerId
+from larkpost.standalone.batches.ledger import BatchSpec, Page, Sample
+from larkpost.standalone.batches.service import Pull
 
 MAX_HELD = 65_536
 
--- a/src/larkpost/batches/ledger.py
+++ b/src/larkpost/standalone/batches/ledger.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from larkpost.ids import BatchId, EngineId, PoolId, TrainerId
-from larkpost.routing.work import VersionSpan
+from larkpost.common.ids import BatchId, EngineId, PoolId, TrainerId
+from larkpost.standalone.routing.work import VersionSpan
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/larkpost/batches/messages.py
+++ b/src/larkpost/standalone/batches/messages.py
@@ -1,9 +1,9 @@
 """Encoding of batches for other daemons."""
 
-from larkpost.batches.ledger import BatchSpec, Sample
-from larkpost.ids import BatchId, PoolId, TrainerId
-from larkpost.routing.work import VersionSpan
-from larkpost.wire import larkpost_pb2 as pb
+from larkpost.common.ids import BatchId, PoolId, TrainerId
+from larkpost.standalone.batches.ledger import BatchSpec, Sample
+from larkpost.standalone.routing.work import VersionSpan
+from larkpost.standalone.wire import larkpost_pb2 as pb
 
 
 def spec_to_message(spec: BatchSpec) -> pb.BatchSpec:
--- a/src/larkpost/batches/placement.py
+++ b/src/larkpost/standalone/batches/placement.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from larkpost.ids import EngineId
-from larkpost.routing.selection import Candidate
+from larkpost.common.ids import EngineId
+from larkpost.standalone.routing.selection import Candidate
 
 
 @dataclass(slots=True)
--- a/src/larkpost/batches/replication.py
+++ b/src/larkpost/standalone/batches/replication.py
@@ -9,20 +9,20 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from larkpost.batches.ledger import BatchLedger, BatchSpec, Sample
-from larkpost.batches.messages import (
+from larkpost.common.clock import Clock
+from larkpost.common.ids import BatchId, DaemonId
+from larkpost.standalone.batches.ledger import BatchLedger, BatchSpec, Sample
+from larkpost.standalone.batches.messages import (
     sample_from_message,
     sample_to_message,
     spec_from_message,
     spec_to_message,
 )
-from larkpost.blackboard.board import Blackboard
-from larkpost.blackboard.members import MemberInfo
-from larkpost.clock import Clock
-from larkpost.ids import BatchId, DaemonId
-from larkpost.rendezvous import ranked
-from larkpost.wire import larkpost_pb2 as pb
-from larkpost.wire.peer import PeerError, PeerMethod, PeerTransport
+from larkpost.standalone.blackboard.board import Blackboard
+from larkpost.standalone.blackboard.members import MemberInfo
+from larkpost.standalone.rendezvous import ranked
+from larkpost.standalone.wire import larkpost_pb2 as pb
+from larkpost.standalone.wire.peer import PeerError, PeerMethod, PeerTransport
 
 STANDBY_CANDIDATES = 3
 REPLICATE_TIMEOUT = 1.0
--- a/src/larkpost/batches/runner.py
+++ b/src/larkpost/standalone/batches/runner.py
@@ -11,24 +11,24 @@
 from contextlib import aclosing
 from dataclasses import dataclass
 
-from larkpost.batches.ledger import BatchLedger, Sample
-from larkpost.batches.placement import (
+from larkpost.common.clock import Clock
+from larkpost.common.errors import LarkpostError
+from larkpost.common.ids import EngineId, RequestId
+from larkpost.common.tasks import TaskSet
+from larkpost.common.telemetry import Telemetry
+from larkpost.standalone.batches.ledger import BatchLedger, Sample
+from larkpost.standalone.batches.placement import (
     LoadPlacement,
     Placement,
     RoundRobinPlacement,
     make_rooms,
 )
-from larkpost.blackboard.board import Blackboard
-from larkpost.clock import Clock
-from larkpost.config.intent import TrainerIntent
-from larkpost.errors import LarkpostError
-from larkpost.ids import EngineId, RequestId
-from larkpost.routing.dispatcher import Dispatcher, chunk_size
-from larkpost.routing.selection import Selector
-from larkpost.routing.work import Answer, Work, WorkClass
-from larkpost.settings import BatchSettings, PlacementKind
-from larkpost.tasks import TaskSet
-from larkpost.telemetry import Telemetry
+from larkpost.standalone.blackboard.board import Blackboard
+from larkpost.standalone.config.intent import TrainerIntent
+from larkpost.standalone.routing.dispatcher import Dispatcher, chunk_size
+from larkpost.standalone.routing.selection import Selector
+from larkpost.standalone.routing.work import Answer, Work, WorkClass
+from larkpost.standalone.settings import BatchSettings, PlacementKind
 
 ROLLOUT_PRIORITY = 0
 SILENT_ENGINE_SECONDS = 3.0
--- a/src/larkpost/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -5,25 +5,25 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from larkpost.activity import Activity
-from larkpost.batches.ledger import BatchLedger, BatchSpec, Page, Sample
-from larkpost.batches.replication import ReplicaStore, Replicator, encode_fetch_reply
-from larkpost.batches.runner import BatchRunner
-from larkpost.blackboard.board import Blackboard, Phase
-from larkpost.clock import Clock
-from larkpost.controllers.directory import Directory
-from larkpost.controllers.readiness import Readiness
-from larkpost.errors import (
+from larkpost.common.clock import Clock
+from larkpost.common.errors import (
     BatchConflictError,
     InvalidRequestError,
     OverloadedError,
     StoppingError,
     UnknownBatchError,
 )
-from larkpost.ids import BatchId
-from larkpost.settings import BatchSettings
-from larkpost.telemetry import Telemetry
-from larkpost.wire import larkpost_pb2 as pb
+from larkpost.common.ids import BatchId
+from larkpost.common.telemetry import Telemetry
+from larkpost.standalone.activity import Activity
+from larkpost.standalone.batches.ledger import BatchLedger, BatchSpec, Page, Sample
+from larkpost.standalone.batches.replication import ReplicaStore, Replicator, encode_fetch_reply
+from larkpost.standalone.batches.runner import BatchRunner
+from larkpost.standalone.blackboard.board import Blackboard, Phase
+from larkpost.standalone.controllers.directory import Directory
+from larkpost.standalone.controllers.readiness import Readiness
+from larkpost.standalone.settings import BatchSettings
+from larkpost.standalone.wire import larkpost_pb2 as pb
 
 SCHEDULE_INTERVAL = 0.05
 MAX_SLOTS = 65_536
--- a/src/larkpost/blackboard/board.py
+++ b/src/larkpost/standalone/blackboard/board.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from larkpost.blackboard.engines import EngineTable
-from larkpost.blackboard.facts import FactTable
-from larkpost.blackboard.members import MemberTable
-from larkpost.config.intent import Intent, PoolIntent
-from larkpost.config.plan import pool_of
-from larkpost.ids import EngineId, PlanId, PolicyId, PoolId
+from larkpost.common.ids import EngineId, PlanId, PolicyId, PoolId
+from larkpost.standalone.blackboard.engines import EngineTable
+from larkpost.standalone.blackboard.facts import FactTable
+from larkpost.standalone.blackboard.members import MemberTable
+from larkpost.standalone.config.intent import Intent, PoolIntent
+from larkpost.standalone.config.plan import pool_of
 
 
 class Phase(StrEnum):
--- a/src/larkpost/blackboard/engines.py
+++ b/src/larkpost/standalone/blackboard/engines.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from larkpost.blackboard.speeds import EngineSpeeds
-from larkpost.ids import Address, EngineId, PoolId, ZoneId
+from larkpost.common.ids import Address, EngineId, PoolId, ZoneId
+from larkpost.standalone.blackboard.speeds import EngineSpeeds
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/larkpost/blackboard/facts.py
+++ b/src/larkpost/standalone/blackboard/facts.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from larkpost.hashing import hash64
+from larkpost.common.hashing import hash64
 
 CONFIGURATION_KEY = "configuration"
 POLICY_PREFIX = "policy/"
--- a/src/larkpost/blackboard/members.py
+++ b/src/larkpost/standalone/blackboard/members.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass, replace
 from enum import IntEnum
 
-from larkpost.ids import Address, DaemonId, ZoneId
-from larkpost.wire import larkpost_pb2 as pb
+from larkpost.common.ids import Address, DaemonId, ZoneId
+from larkpost.standalone.wire import larkpost_pb2 as pb
 
 
 class MemberState(IntEnum):
--- a/src/larkpost/blackboard/speeds.py
+++ b/src/larkpost/standalone/blackboard/speeds.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from larkpost.ids import EngineId
+from larkpost.common.ids import EngineId
 
 SMOOTHING = 0.1
 """Weight of a new observation in the moving average."""
--- a/src/larkpost/config/intent.py
+++ b/src/larkpost/standalone/config/intent.py
@@ -4,7 +4,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, model_validator
 
-from larkpost.ids import EngineId, PolicyId, PoolId, TrainerId
+from larkpost.common.ids import EngineId, PolicyId, PoolId, TrainerId
 
 
 class _StrictModel(BaseModel):
--- a/src/larkpost/config/plan.py
+++ b/src/larkpost/standalone/config/plan.py
@@ -5,10 +5,10 @@
 
 from pydantic import BaseModel, ConfigDict
 
-from larkpost.blackboard.engines import EngineInfo
-from larkpost.config.intent import Intent, PoolIntent, ServiceIntent, TrainerIntent
-from larkpost.hashing import short_digest
-from larkpost.ids import EngineId, PlanId, PoolId
+from larkpost.common.hashing import short_digest
+from larkpost.common.ids import EngineId, PlanId, PoolId
+from larkpost.standalone.blackboard.engines import EngineInfo
+from larkpost.standalone.config.intent import Intent, PoolIntent, ServiceIntent, TrainerIntent
 
 User = TrainerIntent | ServiceIntent
 
--- a/src/larkpost/controllers/configuration.py
+++ b/src/larkpost/standalone/controllers/configuration.py
@@ -9,21 +9,21 @@
 
 from pydantic import BaseModel, ConfigDict, ValidationError
 
-from larkpost.activity import Activity
-from larkpost.blackboard.board import Blackboard, Phase
-from larkpost.blackboard.facts import CONFIGURATION_KEY, Fact
-from larkpost.blackboard.members import MemberInfo
-from larkpost.clock import Clock
-from larkpost.config.intent import Intent
-from larkpost.config.plan import Plan
-from larkpost.controllers.duty import is_on_duty
-from larkpost.controllers.facts import Dissemination
-from larkpost.controllers.readiness import Readiness
-from larkpost.errors import OutdatedPlanError, PlatformError
-from larkpost.ids import DaemonId, PlanId, ZoneId
-from larkpost.settings import ConfigurationSettings
-from larkpost.table_service.ports import Row, TableStore
-from larkpost.telemetry import Telemetry
+from larkpost.common.clock import Clock
+from larkpost.common.errors import OutdatedPlanError, PlatformError
+from larkpost.common.ids import DaemonId, PlanId, ZoneId
+from larkpost.common.telemetry import Telemetry
+from larkpost.standalone.activity import Activity
+from larkpost.standalone.blackboard.board import Blackboard, Phase
+from larkpost.standalone.blackboard.facts import CONFIGURATION_KEY, Fact
+from larkpost.standalone.blackboard.members import MemberInfo
+from larkpost.standalone.config.intent import Intent
+from larkpost.standalone.config.plan import Plan
+from larkpost.standalone.controllers.duty import is_on_duty
+from larkpost.standalone.controllers.facts import Dissemination
+from larkpost.standalone.controllers.readiness import Readiness
+from larkpost.standalone.settings import ConfigurationSettings
+from larkpost.standalone.table_service.ports import Row, TableStore
 
 HISTORY_LENGTH = 64
 WRITE_ATTEMPTS = 3
--- a/src/larkpost/controllers/directory.py
+++ b/src/larkpost/standalone/controllers/directory.py
@@ -6,17 +6,17 @@
 
 import json
 
-from larkpost.blackboard.board import Blackboard
-from larkpost.blackboard.engines import EngineInfo
-from larkpost.blackboard.facts import DRAIN_PREFIX, MACHINE_PREFIX, POLICY_PREFIX, Fact
-from larkpost.clock import Clock
-from larkpost.controllers.duty import is_on_duty
-from larkpost.controllers.facts import Dissemination
-from larkpost.errors import InvalidRequestError, PlatformError
-from larkpost.ids import Address, EngineId, PolicyId, PoolId, ZoneId
-from larkpost.settings import ConfigurationSettings
-from larkpost.table_service.ports import MachineEntry, MachineList
-from larkpost.telemetry import Telemetry
+from larkpost.common.clock import Clock
+from larkpost.common.errors import InvalidRequestError, PlatformError
+from larkpost.common.ids import Address, EngineId, PolicyId, PoolId, ZoneId
+from larkpost.common.telemetry import Telemetry
+from larkpost.standalone.blackboard.board import Blackboard
+from larkpost.standalone.blackboard.engines import EngineInfo
+from larkpost.standalone.blackboard.facts import DRAIN_PREFIX, MACHINE_PREFIX, POLICY_PREFIX, Fact
+from larkpost.standalone.controllers.duty import is_on_duty
+from larkpost.standalone.controllers.facts import Dissemination
+from larkpost.standalone.settings import ConfigurationSettings
+from larkpost.standalone.table_service.ports import MachineEntry, MachineList
 
 WHOLE_LIST_POLLS = 15
 """Every so many polls the whole machine list is read in place of the zone's."""
--- a/src/larkpost/controllers/duty.py
+++ b/src/larkpost/standalone/controllers/duty.py
@@ -1,7 +1,7 @@
 """Which daemons of a zone poll the platform on behalf of the others."""
 
-from larkpost.blackboard.board import Blackboard
-from larkpost.rendezvous import ranked
+from larkpost.standalone.blackboard.board import Blackboard
+from larkpost.standalone.rendezvous import ranked
 
 DUTY_HOLDERS = 2
 """Daemons on duty in each zone, so that the death of one leaves no gap."""
--- a/src/larkpost/controllers/facts.py
+++ b/src/larkpost/standalone/controllers/facts.py
@@ -9,15 +9,15 @@
 import random
 from collections.abc import Iterable
 
-from larkpost.blackboard.board import Blackboard
-from larkpost.blackboard.facts import Fact
-from larkpost.clock import Clock
-from larkpost.controllers.gossip import Gossip
-from larkpost.ids import Address, DaemonId
-from larkpost.tasks import TaskSet
-from larkpost.telemetry import Telemetry
-from larkpost.wire import larkpost_pb2 as pb
-from larkpost.wire.peer import PeerError, PeerMethod, PeerTransport
+from larkpost.common.clock import Clock
+from larkpost.common.ids import Address, DaemonId
+from larkpost.common.tasks import TaskSet
+from larkpost.common.telemetry import Telemetry
+from larkpost.standalone.blackboard.board import Blackboard
+from larkpost.standalone.blackboard.facts import Fact
+from larkpost.standalone.controllers.gossip import Gossip
+from larkpost.standalone.wire import larkpost_pb2 as pb
+from larkpost.standalone.wire.peer import PeerError, PeerMethod, PeerTransport
 
 FANOUT = 4
 PUSH_GROUPING = 0.02
--- a/src/larkpost/controllers/gossip.py
+++ b/src/larkpost/standalone/controllers/gossip.py
@@ -4,12 +4,12 @@
 
 from google.protobuf.message import DecodeError
 
-from larkpost.blackboard.board import Blackboard
-from larkpost.blackboard.members import MemberInfo, MemberState
-from larkpost.ids import Address, DaemonId
-from larkpost.telemetry import Telemetry
-from larkpost.wire import larkpost_pb2 as pb
-from larkpost.wire.peer import PeerTransport
+from larkpost.common.ids import Address, DaemonId
+from larkpost.common.telemetry import Telemetry
+from larkpost.standalone.blackboard.board import Blackboard
+from larkpost.standalone.blackboard.members import MemberInfo, MemberState
+from larkpost.standalone.wire import larkpost_pb2 as pb
+from larkpost.standalone.wire.peer import PeerTransport
 
 BodyHandler = Callable[[pb.Envelope], None]
 
--- a/src/larkpost/controllers/membership.py
+++ b/src/larkpost/standalone/controllers/membership.py
@@ -10,16 +10,16 @@
 import random
 from dataclasses import replace
 
-from larkpost.blackboard.board import Blackboard
-from larkpost.blackboard.members import MemberInfo, MemberState, member_from_message
-from larkpost.clock import Clock
-from larkpost.controllers.gossip import Gossip
-from larkpost.ids import Address, DaemonId
-from larkpost.settings import MembershipSettings
-from larkpost.tasks import TaskSet
-from larkpost.telemetry import Telemetry
-from larkpost.wire import larkpost_pb2 as pb
-from larkpost.wire.peer import PeerError, PeerMethod, PeerTransport
+from larkpost.common.clock import Clock
+from larkpost.common.ids import Address, DaemonId
+from larkpost.common.tasks import TaskSet
+from larkpost.common.telemetry import Telemetry
+from larkpost.standalone.blackboard.board import Blackboard
+from larkpost.standalone.blackboard.members import MemberInfo, MemberState, member_from_message
+from larkpost.standalone.controllers.gossip import Gossip
+from larkpost.standalone.settings import MembershipSettings
+from larkpost.standalone.wire import larkpost_pb2 as pb
+from larkpost.standalone.wire.peer import PeerError, PeerMethod, PeerTransport
 
 UPDATES_PER_DATAGRAM = 6
 EAGER_FANOUT = 3
--- a/src/larkpost/controllers/monitor.py
+++ b/src/larkpost/standalone/controllers/monitor.py
@@ -9,17 +9,17 @@
 from dataclasses import replace
 from heapq import nlargest
 
-from larkpost.blackboard.board import Blackboard
-from larkpost.blackboard.engines import EngineInfo, EngineLoad
-from larkpost.clock import Clock
-from larkpost.controllers.gossip import Gossip
-from larkpost.controllers.ownership import Ownership, load_from_report
-from larkpost.engines.port import EngineError, EnginePort
-from larkpost.ids import DaemonId, EngineId, PoolId
-from larkpost.rendezvous import score
-from larkpost.settings import EngineSettings
-from larkpost.telemetry import Telemetry
-from larkpost.wire import larkpost_pb2 as pb
+from larkpost.common.clock import Clock
+from larkpost.common.ids import DaemonId, EngineId, PoolId
+from larkpost.common.telemetry import Telemetry
+from larkpost.standalone.blackboard.board import Blackboard
+from larkpost.standalone.blackboard.engines import EngineInfo, EngineLoad
+from larkpost.standalone.controllers.gossip import Gossip
+from larkpost.standalone.controllers.ownership import Ownership, load_from_report
+from larkpost.standalone.engines.port import EngineError, EnginePort
+from larkpost.standalone.rendezvous import score
+from larkpost.standalone.settings import EngineSettings
+from larkpost.standalone.wire import larkpost_pb2 as pb
 
 SUBSCRIPTION_LIFETIME = 10.0
 SUBSCRIBE_INTERVAL = 4.0
--- a/src/larkpost/controllers/owner_map.py
+++ b/src/larkpost/standalone/controllers/owner_map.py
@@ -9,10 +9,10 @@
 
 from collections.abc import Iterable
 
-from larkpost.blackboard.board import Blackboard
-from larkpost.blackboard.engines import EngineInfo
-from larkpost.ids import DaemonId, EngineId, ZoneId
-from larkpost.rendezvous import score
+from larkpost.common.ids import DaemonId, EngineId, ZoneId
+from larkpost.standalone.blackboard.board import Blackboard
+from larkpost.standalone.blackboard.engines import EngineInfo
+from larkpost.standalone.rendezvous import score
 
 
 class OwnerMap:
--- a/src/larkpost/controllers/ownership.py
+++ b/src/larkpost/standalone/controllers/ownership.py
@@ -6,11 +6,13 @@
 needed, and a paused owner that wakes up cannot give an order.
 """
 
-from larkpost.blackboard.board import Blackboard, Phase
-from larkpost.blackboard.engines import EngineInfo, EngineLoad
-from larkpost.clock import Clock
-from larkpost.controllers.owner_map import OwnerMap
-from larkpost.engines.port import (
+from larkpost.common.clock import Clock
+from larkpost.common.ids import DaemonId, EngineId
+from larkpost.common.telemetry import Telemetry
+from larkpost.standalone.blackboard.board import Blackboard, Phase
+from larkpost.standalone.blackboard.engines import EngineInfo, EngineLoad
+from larkpost.standalone.controllers.owner_map import OwnerMap
+from larkpost.standalone.engines.port import (
     EngineError,
     EnginePort,
     EngineReport,
@@ -18,9 +20,7 @@
     OrderKind,
     StaleTokenError,
 )
-from larkpost.ids import DaemonId, EngineId
-from larkpost.settings import EngineSettings
-from larkpost.telemetry import Telemetry
+from larkpost.standalone.settings import EngineSettings
 
 RECLAIM_DELAY = 2.0
 """Seconds an owner waits after it was replaced, for the two views to agree."""
--- a/src/larkpost/controllers/readiness.py
+++ b/src/larkpost/standalone/controllers/readiness.py
@@ -11,16 +11,16 @@
 import random
 from collections.abc import Collection
 
-from larkpost.blackboard.board import Blackboard, Phase
-from larkpost.blackboard.members import MemberInfo, MemberState
-from larkpost.clock import Clock
-from larkpost.controllers.facts import Dissemination
-from larkpost.errors import NotReadyError, StoppingError
-from larkpost.ids import DaemonId, ZoneId
-from larkpost.rendezvous import choose
-from larkpost.settings import ConfigurationSettings, MembershipSettings
-from larkpost.wire import larkpost_pb2 as pb
-from larkpost.wire.peer import PeerError, PeerMethod, PeerTransport
+from larkpost.common.clock import Clock
+from larkpost.common.errors import NotReadyError, StoppingError
+from larkpost.common.ids import DaemonId, ZoneId
+from larkpost.standalone.blackboard.board import Blackboard, Phase
+from larkpost.standalone.blackboard.members import MemberInfo, MemberState
+from larkpost.standalone.controllers.facts import Dissemination
+from larkpost.standalone.rendezvous import choose
+from larkpost.standalone.settings import ConfigurationSettings, MembershipSettings
+from larkpost.standalone.wire import larkpost_pb2 as pb
+from larkpost.standalone.wire.peer import PeerError, PeerMethod, PeerTransport
 
 STATE_TIMEOUT = 0.5
 RETRY_AFTER_NOT_READY = 1.0
--- a/src/larkpost/controllers/weights.py
+++ b/src/larkpost/standalone/controllers/weights.py
@@ -8,16 +8,22 @@
 
 import random
 
-from larkpost.blackboard.board import Blackboard
-from larkpost.clock import Clock
-from larkpost.config.intent import PoolIntent
-from larkpost.controllers.monitor import Monitor
-from larkpost.controllers.ownership import Ownership
-from larkpost.controllers.readiness import Readiness
-from larkpost.engines.port import EngineError, EnginePort, Order, OrderKind, StaleTokenError
-from larkpost.ids import EngineId
-from larkpost.settings import EngineSettings
-from larkpost.telemetry import Telemetry
+from larkpost.common.clock import Clock
+from larkpost.common.ids import EngineId
+from larkpost.common.telemetry import Telemetry
+from larkpost.standalone.blackboard.board import Blackboard
+from larkpost.standalone.config.intent import PoolIntent
+from larkpost.standalone.controllers.monitor import Monitor
+from larkpost.standalone.controllers.ownership import Ownership
+from larkpost.standalone.controllers.readiness import Readiness
+from larkpost.standalone.engines.port import (
+    EngineError,
+    EnginePort,
+    Order,
+    OrderKind,
+    StaleTokenError,
+)
+from larkpost.standalone.settings import EngineSettings
 
 RETRY_BASE = 0.5
 RETRY_LIMIT = 8.0
--- a/src/larkpost/daemon.py
+++ b/src/larkpost/standalone/daemon.py
@@ -1,41 +1,41 @@
 """Assembles one daemon from its ports: blackboard, controllers, data path and services.
 
-The same class runs in a process of its own (`larkpost.server`) and, on simulated ports and time, in
-the tests.
+The same class runs in a process of its own (`larkpost.standalone.server`) and, on simulated ports
+and time, in the tests.
 """
 
 import random
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from larkpost.activity import Activity
-from larkpost.batches.ledger import BatchLedger, Sample
-from larkpost.batches.replication import ReplicaStore, Replicator
-from larkpost.batches.runner import BatchRunner
-from larkpost.batches.service import SCHEDULE_INTERVAL, BatchService
-from larkpost.blackboard.board import Blackboard, Phase
-from larkpost.blackboard.members import MemberInfo, MemberTable
-from larkpost.clock import Clock
-from larkpost.controllers.configuration import ConfigurationController
-from larkpost.controllers.directory import Directory
-from larkpost.controllers.facts import Dissemination
-from larkpost.controllers.gossip import Gossip
-from larkpost.controllers.membership import Membership
-from larkpost.controllers.monitor import SUBSCRIBE_INTERVAL, Monitor
-from larkpost.controllers.ownership import Ownership
-from larkpost.controllers.readiness import Readiness
-from larkpost.controllers.weights import WeightController
-from larkpost.engines.port import EnginePort
-from larkpost.routing.dispatcher import Dispatcher
-from larkpost.routing.inference import InferenceService
-from larkpost.routing.retry import RetryBudgets
-from larkpost.routing.run_once import RunOnceRegistry
-from larkpost.routing.selection import Selector
-from larkpost.settings import Settings
-from larkpost.table_service.ports import MachineList, TableStore
-from larkpost.tasks import TaskSet
-from larkpost.telemetry import Telemetry
-from larkpost.wire.peer import PeerHandler, PeerMethod, PeerTransport
+from larkpost.common.clock import Clock
+from larkpost.common.tasks import TaskSet
+from larkpost.common.telemetry import Telemetry
+from larkpost.standalone.activity import Activity
+from larkpost.standalone.batches.ledger import BatchLedger, Sample
+from larkpost.standalone.batches.replication import ReplicaStore, Replicator
+from larkpost.standalone.batches.runner import BatchRunner
+from larkpost.standalone.batches.service import SCHEDULE_INTERVAL, BatchService
+from larkpost.standalone.blackboard.board import Blackboard, Phase
+from larkpost.standalone.blackboard.members import MemberInfo, MemberTable
+from larkpost.standalone.controllers.configuration import ConfigurationController
+from larkpost.standalone.controllers.directory import Directory
+from larkpost.standalone.controllers.facts import Dissemination
+from larkpost.standalone.controllers.gossip import Gossip
+from larkpost.standalone.controllers.membership import Membership
+from larkpost.standalone.controllers.monitor import SUBSCRIBE_INTERVAL, Monitor
+from larkpost.standalone.controllers.ownership import Ownership
+from larkpost.standalone.controllers.readiness import Readiness
+from larkpost.standalone.controllers.weights import WeightController
+from larkpost.standalone.engines.port import EnginePort
+from larkpost.standalone.routing.dispatcher import Dispatcher
+from larkpost.standalone.routing.inference import InferenceService
+from larkpost.standalone.routing.retry import RetryBudgets
+from larkpost.standalone.routing.run_once import RunOnceRegistry
+from larkpost.standalone.routing.selection import Selector
+from larkpost.standalone.settings import Settings
+from larkpost.standalone.table_service.ports import MachineList, TableStore
+from larkpost.standalone.wire.peer import PeerHandler, PeerMethod, PeerTransport
 
 CONTROL_INTERVAL = 0.5
 """Seconds between rounds of the controllers that reconcile."""
--- a/src/larkpost/engines/http_adapter.py
+++ b/src/larkpost/standalone/engines/http_adapter.py
@@ -11,8 +11,9 @@
 import aiohttp
 import orjson
 
-from larkpost.documents import read_fields
-from larkpost.engines.port import (
+from larkpost.common.ids import Address, AttemptId, DaemonId, EngineId
+from larkpost.standalone.documents import read_fields
+from larkpost.standalone.engines.port import (
     EngineBrokenError,
     EngineChunk,
     EngineError,
@@ -23,7 +24,6 @@
     Order,
     StaleTokenError,
 )
-from larkpost.ids import Address, AttemptId, DaemonId, EngineId
 
 CONNECT_TIMEOUT = 2.0
 CANCEL_TIMEOUT = 1.0
--- a/src/larkpost/engines/port.py
+++ b/src/larkpost/standalone/engines/port.py
@@ -5,7 +5,7 @@
 from enum import StrEnum
 from typing import Protocol
 
-from larkpost.ids import Address, AttemptId, DaemonId, EngineId, PolicyId, RequestId
+from larkpost.common.ids import Address, AttemptId, DaemonId, EngineId, PolicyId, RequestId
 
 
 class EngineError(Exception):
--- a/src/larkpost/operator_calls.py
+++ b/src/larkpost/standalone/operator_calls.py
@@ -11,11 +11,11 @@
 from rich.table import Table
 
 from larkpost.client import DaemonUnreachableError, parse_error
-from larkpost.config.intent import Intent
-from larkpost.config.plan import Plan
-from larkpost.errors import InvalidRequestError, Ran
-from larkpost.ids import Address
-from larkpost.settings import describe_validation
+from larkpost.common.errors import InvalidRequestError, Ran
+from larkpost.common.ids import Address
+from larkpost.standalone.config.intent import Intent
+from larkpost.standalone.config.plan import Plan
+from larkpost.standalone.settings import describe_validation
 
 CALL_TIMEOUT = 30.0
 
--- a/src/larkpost/rendezvous.py
+++ b/src/larkpost/standalone/rendezvous.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable
 from functools import lru_cache
 
-from larkpost.blackboard.members import MemberInfo
-from larkpost.hashing import hash64
+from larkpost.common.hashing import hash64
+from larkpost.standalone.blackboard.members import MemberInfo
 
 
 @lru_cache(maxsize=200_000)
--- a/src/larkpost/routing/dispatcher.py
+++ b/src/larkpost/standalone/routing/dispatcher.py
@@ -13,10 +13,20 @@
 from contextlib import aclosing
 from dataclasses import dataclass, field
 
-from larkpost.blackboard.board import Blackboard
-from larkpost.clock import Clock
-from larkpost.controllers.monitor import Monitor
-from larkpost.engines.port import (
+from larkpost.common.clock import Clock
+from larkpost.common.errors import (
+    BrokenAnswerError,
+    DeadlineError,
+    NoEngineError,
+    OverloadedError,
+    Ran,
+)
+from larkpost.common.ids import AttemptId, EngineId
+from larkpost.common.tasks import TaskSet
+from larkpost.common.telemetry import Telemetry
+from larkpost.standalone.blackboard.board import Blackboard
+from larkpost.standalone.controllers.monitor import Monitor
+from larkpost.standalone.engines.port import (
     EngineBrokenError,
     EngineChunk,
     EngineError,
@@ -25,20 +35,10 @@
     EngineRefusedError,
     GenerateRequest,
 )
-from larkpost.errors import (
-    BrokenAnswerError,
-    DeadlineError,
-    NoEngineError,
-    OverloadedError,
-    Ran,
-)
-from larkpost.ids import AttemptId, EngineId
-from larkpost.routing.retry import RetryBudgets, backoff
-from larkpost.routing.selection import Selector
-from larkpost.routing.work import TokenRun, Work, WorkClass
-from larkpost.settings import RoutingSettings
-from larkpost.tasks import TaskSet
-from larkpost.telemetry import Telemetry
+from larkpost.standalone.routing.retry import RetryBudgets, backoff
+from larkpost.standalone.routing.selection import Selector
+from larkpost.standalone.routing.work import TokenRun, Work, WorkClass
+from larkpost.standalone.settings import RoutingSettings
 
 MAX_ATTEMPTS = 6
 RETRY_AFTER_NO_ENGINE = 1.0
--- a/src/larkpost/routing/inference.py
+++ b/src/larkpost/standalone/routing/inference.py
@@ -4,23 +4,23 @@
 from contextlib import aclosing
 from dataclasses import dataclass
 
-from larkpost.activity import Activity
-from larkpost.blackboard.board import Blackboard
-from larkpost.clock import Clock
-from larkpost.controllers.readiness import Readiness
-from larkpost.errors import (
+from larkpost.common.clock import Clock
+from larkpost.common.errors import (
     InvalidRequestError,
     LarkpostError,
     OverloadedError,
     Ran,
 )
-from larkpost.ids import RequestId
-from larkpost.routing.dispatcher import Dispatcher, chunk_size
-from larkpost.routing.run_once import RunOnceRegistry
-from larkpost.routing.selection import Selector
-from larkpost.routing.work import TokenRun, Work, WorkClass
-from larkpost.settings import RoutingSettings
-from larkpost.telemetry import Telemetry
+from larkpost.common.ids import RequestId
+from larkpost.common.telemetry import Telemetry
+from larkpost.standalone.activity import Activity
+from larkpost.standalone.blackboard.board import Blackboard
+from larkpost.standalone.controllers.readiness import Readiness
+from larkpost.standalone.routing.dispatcher import Dispatcher, chunk_size
+from larkpost.standalone.routing.run_once import RunOnceRegistry
+from larkpost.standalone.routing.selection import Selector
+from larkpost.standalone.routing.work import TokenRun, Work, WorkClass
+from larkpost.standalone.settings import RoutingSettings
 
 RETRY_AFTER_OVERLOAD = 0.5
 MAX_TOKENS_LIMIT = 131_072
--- a/src/larkpost/routing/retry.py
+++ b/src/larkpost/standalone/routing/retry.py
@@ -3,7 +3,7 @@
 import random
 from collections import OrderedDict
 
-from larkpost.settings import RoutingSettings
+from larkpost.standalone.settings import RoutingSettings
 
 MAX_BUDGETS = 4096
 """Budgets kept; the least recently used is forgotten."""
--- a/src/larkpost/routing/run_once.py
+++ b/src/larkpost/standalone/routing/run_once.py
@@ -9,13 +9,13 @@
 import uuid
 from dataclasses import dataclass
 
-from larkpost.blackboard.board import Blackboard
-from larkpost.errors import AlreadyClaimedError, LarkpostError, PlatformError, Ran
-from larkpost.ids import DaemonId
-from larkpost.settings import ConfigurationSettings
-from larkpost.table_service.ports import TableStore
-from larkpost.wire import larkpost_pb2 as pb
-from larkpost.wire.peer import PeerError, PeerMethod, PeerTransport
+from larkpost.common.errors import AlreadyClaimedError, LarkpostError, PlatformError, Ran
+from larkpost.common.ids import DaemonId
+from larkpost.standalone.blackboard.board import Blackboard
+from larkpost.standalone.settings import ConfigurationSettings
+from larkpost.standalone.table_service.ports import TableStore
+from larkpost.standalone.wire import larkpost_pb2 as pb
+from larkpost.standalone.wire.peer import PeerError, PeerMethod, PeerTransport
 
 TICKET_PREFIX = "ticket"
 ROW_PREFIX = "run-once/"
--- a/src/larkpost/routing/selection.py
+++ b/src/larkpost/standalone/routing/selection.py
@@ -4,13 +4,13 @@
 from collections.abc import Callable, Collection
 from dataclasses import dataclass
 
-from larkpost.blackboard.board import Blackboard
-from larkpost.blackboard.engines import EngineLoad
-from larkpost.clock import Clock
-from larkpost.controllers.monitor import Monitor
-from larkpost.ids import EngineId, PoolId
-from larkpost.routing.work import Work, WorkClass
-from larkpost.settings import EngineSettings
+from larkpost.common.clock import Clock
+from larkpost.common.ids import EngineId, PoolId
+from larkpost.standalone.blackboard.board import Blackboard
+from larkpost.standalone.blackboard.engines import EngineLoad
+from larkpost.standalone.controllers.monitor import Monitor
+from larkpost.standalone.routing.work import Work, WorkClass
+from larkpost.standalone.settings import EngineSettings
 
 SMALL_POOL = 8
 """Up to so many candidates all are compared; above it two random ones."""
--- a/src/larkpost/routing/work.py
+++ b/src/larkpost/standalone/routing/work.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from larkpost.ids import PoolId, RequestId
+from larkpost.common.ids import PoolId, RequestId
 
 
 class WorkClass(StrEnum):
--- a/src/larkpost/server.py
+++ b/src/larkpost/standalone/server.py
@@ -8,16 +8,16 @@
 import aiohttp
 from eliot import to_file
 
-from larkpost.api.app import make_app
-from larkpost.clock import LoopClock
-from larkpost.daemon import Daemon, Ports
-from larkpost.engines.http_adapter import HttpEnginePort, close_session
-from larkpost.errors import SettingsError
-from larkpost.http_server import HttpServer
-from larkpost.settings import Settings
-from larkpost.steady_time import run_steadily
-from larkpost.table_service.http_adapter import HttpPlatform
-from larkpost.wire.http_peer import HttpPeerTransport, TelemetrySource
+from larkpost.common.clock import LoopClock
+from larkpost.common.errors import SettingsError
+from larkpost.common.http_server import HttpServer
+from larkpost.common.steady_time import run_steadily
+from larkpost.standalone.api.app import make_app
+from larkpost.standalone.daemon import Daemon, Ports
+from larkpost.standalone.engines.http_adapter import HttpEnginePort, close_session
+from larkpost.standalone.settings import Settings
+from larkpost.standalone.table_service.http_adapter import HttpPlatform
+from larkpost.standalone.wire.http_peer import HttpPeerTransport, TelemetrySource
 
 IDLE_CONNECTION_SECONDS = 30
 
--- a/src/larkpost/settings.py
+++ b/src/larkpost/standalone/settings.py
@@ -13,13 +13,13 @@
     TomlConfigSettingsSource,
 )
 
-from larkpost.addresses import split_address
-from larkpost.errors import SettingsError
-from larkpost.ids import Address, DaemonId, ZoneId
+from larkpost.common.addresses import split_address
+from larkpost.common.errors import SettingsError
+from larkpost.common.ids import Address, DaemonId, ZoneId
 
 
 class PlacementKind(StrEnum):
-    """How a rollout's engine is chosen; `larkpost.batches.placement` has one class for each."""
+    """How a rollout's engine is chosen; `standalone.batches.placement` has one class for each."""
 
     LOAD = "load"
     ROUND_ROBIN = "round_robin"
--- a/src/larkpost/table_service/http_adapter.py
+++ b/src/larkpost/standalone/table_service/http_adapter.py
@@ -6,10 +6,10 @@
 import aiohttp
 import orjson
 
-from larkpost.documents import read_fields
-from larkpost.errors import PlatformError
-from larkpost.ids import Address, EngineId, PoolId, ZoneId
-from larkpost.table_service.ports import MachineEntry, Row
+from larkpost.common.errors import PlatformError
+from larkpost.common.ids import Address, EngineId, PoolId, ZoneId
+from larkpost.standalone.documents import read_fields
+from larkpost.standalone.table_service.ports import MachineEntry, Row
 
 NETWORK_ERRORS = (aiohttp.ClientError, TimeoutError, OSError, ValueError, KeyError)
 
--- a/src/larkpost/table_service/ports.py
+++ b/src/larkpost/standalone/table_service/ports.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from larkpost.ids import Address, EngineId, PoolId, ZoneId
+from larkpost.common.ids import Address, EngineId, PoolId, ZoneId
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/larkpost/wire/http_peer.py
+++ b/src/larkpost/standalone/wire/http_peer.py
@@ -4,10 +4,10 @@
 
 import aiohttp
 
-from larkpost.addresses import split_address
-from larkpost.ids import Address
-from larkpost.telemetry import Telemetry
-from larkpost.wire.peer import DatagramHandler, PeerError, PeerMethod
+from larkpost.common.addresses import split_address
+from larkpost.common.ids import Address
+from larkpost.common.telemetry import Telemetry
+from larkpost.standalone.wire.peer import DatagramHandler, PeerError, PeerMethod
 
 PEER_PATH = "/internal/v1/"
 HTTP_OVERHEAD = 300
--- a/src/larkpost/wire/peer.py
+++ b/src/larkpost/standalone/wire/peer.py
@@ -4,7 +4,7 @@
 from enum import StrEnum
 from typing import Protocol
 
-from larkpost.ids import Address
+from larkpost.common.ids import Address
 
 
 class PeerError(Exception):
--- a/tests/cold_views.py
+++ b/tests/cold_views.py
@@ -1,11 +1,11 @@
 """An engine that turns cold, and what daemons know of each other then, for the tests."""
 
-from larkpost.fleet.directory import InstanceInfo, InstanceState
-from larkpost.ids import Address, DaemonId, EngineId, ZoneId
-from larkpost.placement.cold_share import (
+from larkpost.common.ids import Address, DaemonId, EngineId, ZoneId
+from larkpost.gateway.blackboard.directory import InstanceInfo, InstanceState
+from larkpost.gateway.placement.cold_share import (
     SenderView,
 )
-from larkpost.placement.work import Work, WorkKind
+from larkpost.gateway.placement.work import Work, WorkKind
 from tests.platform_fleet import (
     COLD_TERMS,
     CONFIGURATION,
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -6,14 +6,14 @@
 
 import async_solipsism
 
-from larkpost.config.intent import Intent, PoolIntent, ServiceIntent, TrainerIntent
-from larkpost.ids import EngineId, PolicyId, PoolId, TrainerId, ZoneId
+from larkpost.common.ids import EngineId, PolicyId, PoolId, TrainerId, ZoneId
 from larkpost.rehearsal.simulation.callers import SimulatedClients, SimulatedTrainer
 from larkpost.rehearsal.simulation.operators import SimulatedOperators
 from larkpost.rehearsal.simulation.oracle import Oracle
 from larkpost.rehearsal.simulation.world import World, WorldShape
 from larkpost.rehearsal.sites import Machine
 from larkpost.rehearsal.workload import TrainerShape
+from larkpost.standalone.config.intent import Intent, PoolIntent, ServiceIntent, TrainerIntent
 
 ZONES = (ZoneId("zone-a"), ZoneId("zone-b"), ZoneId("zone-c"))
 ROLLOUT_POOLS = (PoolId("language"), PoolId("drafts"))
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -25,7 +25,7 @@
 
 def trust_first_version():
     """Point 1: stamps the whole answer with the version of its first chunk."""
-    from larkpost.routing import dispatcher
+    from larkpost.standalone.routing import dispatcher
 
     original = dispatcher._check_chunk
     first: dict[str, int] = {}
@@ -39,7 +39,7 @@
 
 def check_staleness_when_made():
     """Point 2: judges samples by the trainer's version at the batch's opening."""
-    from larkpost.batches.ledger import BatchLedger
+    from larkpost.standalone.batches.ledger import BatchLedger
 
     def oldest(self):
         return max(self.spec.policy_version - self.spec.staleness_bound, 0)
@@ -49,7 +49,7 @@
 
 def ignore_held_slots():
     """Point 3: does not ask the trainer what it has."""
-    from larkpost.batches.ledger import BatchLedger
+    from larkpost.standalone.batches.ledger import BatchLedger
 
     original = BatchLedger.note_trainer
     return mock.patch.object(
@@ -59,7 +59,7 @@
 
 def accept_any_attempt():
     """Point 4: does not compare the attempt that a chunk names."""
-    from larkpost.routing import dispatcher
+    from larkpost.standalone.routing import dispatcher
 
     original = dispatcher._check_chunk
     return mock.patch.object(
@@ -73,8 +73,8 @@
 
 def close_broken_streams_as_whole():
     """Point 4: takes the end of a stream for the end of the answer."""
-    from larkpost.engines.port import EngineError
-    from larkpost.routing.dispatcher import Dispatcher
+    from larkpost.standalone.engines.port import EngineError
+    from larkpost.standalone.routing.dispatcher import Dispatcher
 
     original = Dispatcher._receive
 
@@ -92,15 +92,15 @@
 
 def always_say_not_run():
     """Point 5: says "not run" whatever was sent."""
-    from larkpost.errors import Ran
-    from larkpost.routing import dispatcher
+    from larkpost.common.errors import Ran
+    from larkpost.standalone.routing import dispatcher
 
     return mock.patch.object(dispatcher._Progress, "ran", property(lambda _self: Ran.NO))
 
 
 def resend_after_reset():
     """Point 6: sends run-once work again like any other."""
-    from larkpost.routing.dispatcher import Dispatcher
+    from larkpost.standalone.routing.dispatcher import Dispatcher
 
     original = Dispatcher.run
     return mock.patch.object(
@@ -114,7 +114,7 @@
 
 def grant_every_key():
     """Point 6: does not remember which keys were used."""
-    from larkpost.routing.run_once import RunOnceRegistry
+    from larkpost.standalone.routing.run_once import RunOnceRegistry
 
     async def claim(_self, _key):
         return None
@@ -124,14 +124,14 @@
 
 def ignore_leaving():
     """Point 7: sends work to leaving engines."""
-    from larkpost.blackboard.engines import EngineTable
+    from larkpost.standalone.blackboard.engines import EngineTable
 
     return mock.patch.object(EngineTable, "is_leaving", lambda _self, _engine: False)
 
 
 def stop_without_waiting():
     """Point 8: leaves at once on a planned stop."""
-    from larkpost.daemon import Daemon
+    from larkpost.standalone.daemon import Daemon
 
     async def drain(self):
         await asyncio.sleep(0)
@@ -143,8 +143,8 @@
 
 def accept_lower_epochs():
     """Point 9: takes any other version of a fact for news."""
-    from larkpost.blackboard.facts import FactTable
-    from larkpost.controllers.configuration import ConfigurationController
+    from larkpost.standalone.blackboard.facts import FactTable
+    from larkpost.standalone.controllers.configuration import ConfigurationController
 
     original_merge, original_apply = FactTable.merge, ConfigurationController._apply
 
@@ -166,21 +166,21 @@
 
 def act_on_unverified_configuration():
     """Point 9: acts after a pause as if nothing had happened."""
-    from larkpost.controllers.readiness import Readiness
+    from larkpost.standalone.controllers.readiness import Readiness
 
     return mock.patch.object(Readiness, "is_current", lambda _self: True)
 
 
 def forget_applied_plans():
     """Point 9: does not read back whether a lost write was applied."""
-    from larkpost.controllers.configuration import ConfigurationRow
+    from larkpost.standalone.controllers.configuration import ConfigurationRow
 
     return mock.patch.object(ConfigurationRow, "epoch_of", lambda _self, _plan: None)
 
 
 def keep_engines_while_draining():
     """Liveness: a draining daemon stays the owner of its engines."""
-    from larkpost.blackboard.members import MemberInfo
+    from larkpost.standalone.blackboard.members import MemberInfo
 
     return mock.patch.object(MemberInfo, "eligible", property(lambda self: self.usable))
 
--- a/tests/noting_log.py
+++ b/tests/noting_log.py
@@ -1,6 +1,6 @@
 """A log for tests, which keeps what is noted."""
 
-from larkpost.eventlog import Event, EventLog
+from larkpost.gateway.observability.eventlog import Event, EventLog
 
 
 class NotingLog(EventLog):
--- a/tests/pinned_parts.py
+++ b/tests/pinned_parts.py
@@ -4,12 +4,12 @@
 code, and changes here.
 """
 
-from larkpost.clock import LoopClock
-from larkpost.eventlog import EventLog
-from larkpost.fleet.members import Membership
-from larkpost.fleet.regions import RegionMap
-from larkpost.policy import Policy
-from larkpost.proxy.request import ClientRequest
+from larkpost.common.clock import LoopClock
+from larkpost.gateway.blackboard.regions import RegionMap
+from larkpost.gateway.controllers.members import Membership
+from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.policy import Policy
+from larkpost.gateway.proxy.request import ClientRequest
 from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
 from tests.platform_fleet import PlatformFleet
 
--- a/tests/platform_callers.py
+++ b/tests/platform_callers.py
@@ -2,8 +2,8 @@
 
 from dataclasses import replace
 
-from larkpost.errors import LarkpostError
-from larkpost.proxy.request import ClientRequest
+from larkpost.common.errors import LarkpostError
+from larkpost.gateway.proxy.request import ClientRequest
 from tests.platform_fleet import SCORER_HOST, PlatformFleet
 
 CALLER_TRIES = 2
--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -7,11 +7,11 @@
 
 import orjson
 
-from larkpost.assembly.environment import GatewayPorts, GatewaySettings
-from larkpost.clock import LoopClock
-from larkpost.eventlog import EventLog
-from larkpost.fleet.cold import ColdTerms
-from larkpost.fleet.configuration import (
+from larkpost.common.clock import LoopClock
+from larkpost.common.ids import Address, BatchId, EngineId, RegionId, ZoneId
+from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
+from larkpost.gateway.blackboard.cold_instances import ColdTerms
+from larkpost.gateway.blackboard.configuration import (
     Configuration,
     ModelName,
     Route,
@@ -20,20 +20,17 @@
     ServiceName,
     ServiceShare,
 )
-from larkpost.fleet.directory import InstanceInfo, InstanceState
-from larkpost.fleet.evacuations import ZoneEvacuation
-from larkpost.fleet.regions import RegionMap
-from larkpost.fleet.row_intake import RowReaders
-from larkpost.fleet.tenants import TenantName
-from larkpost.fleet.weights import WeightTarget
-from larkpost.gateway import Gateway
-from larkpost.ids import Address, BatchId, EngineId, RegionId, ZoneId
-from larkpost.policy import DEFAULT_POLICY, Policy
-from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
-from larkpost.rehearsal.scripted_engines import EngineState, ScriptedEngines, output_of
-from larkpost.rehearsal.scripted_scaling import ScriptedScaling
-from larkpost.rehearsal.scripted_usage import ScriptedUsage
-from larkpost.rollouts.model import (
+from larkpost.gateway.blackboard.directory import InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.evacuations import ZoneEvacuation
+from larkpost.gateway.blackboard.regions import RegionMap
+from larkpost.gateway.blackboard.scaling_terms import ScalingTerms
+from larkpost.gateway.blackboard.tenants import TenantName
+from larkpost.gateway.controllers.row_intake import RowReaders
+from larkpost.gateway.controllers.weights import WeightTarget
+from larkpost.gateway.daemon import Gateway
+from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.policy import DEFAULT_POLICY, Policy
+from larkpost.gateway.rollouts.model import (
     BatchSpec,
     GroupId,
     Item,
@@ -43,11 +40,14 @@
     RewardCall,
     RewardCallId,
 )
-from larkpost.rollouts.repository import RESULT_TABLE, BatchRepository
-from larkpost.scaling.terms import ScalingTerms
-from larkpost.store.port import Row, RowKey, Transaction
-from larkpost.store.relay import RelayedStore
-from larkpost.usage.port import UsageTerms
+from larkpost.gateway.rollouts.repository import RESULT_TABLE, BatchRepository
+from larkpost.gateway.store.port import Row, RowKey, Transaction
+from larkpost.gateway.store.relay import RelayedStore
+from larkpost.gateway.usage.port import UsageTerms
+from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
+from larkpost.rehearsal.scripted_engines import EngineState, ScriptedEngines, output_of
+from larkpost.rehearsal.scripted_scaling import ScriptedScaling
+from larkpost.rehearsal.scripted_usage import ScriptedUsage
 from tests.platform_checks import CALL_ATTEMPTS
 from tests.platform_places import EAST, REGIONS, WatchedClient
 
@@ -573,7 +573,7 @@
             for key, row in sorted(self.store.rows.items())
             if key.table == RESULT_TABLE and key.key.startswith(prefix)
         ]
-        from larkpost.rollouts.codec import decode_result
+        from larkpost.gateway.rollouts.codec import decode_result
 
         return [decode_result(row.value) for row in rows]
 
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -3,8 +3,8 @@
 from dataclasses import replace
 from unittest import mock
 
-from larkpost.policy import Policy
-from larkpost.store.port import Transaction, WriteOutcome, WriteResult
+from larkpost.gateway.policy import Policy
+from larkpost.gateway.store.port import Transaction, WriteOutcome, WriteResult
 
 FUZZ = "tests.test_platform_fuzz"
 SCALE = "tests.test_scale_mechanisms"
@@ -12,8 +12,8 @@
 
 def append_without_condition():
     """Appends results whatever the tail's version is."""
+    from larkpost.gateway.rollouts.repository import HEAD_TABLE, TAIL_TABLE
     from larkpost.rehearsal.memory_store import StoreClient
-    from larkpost.rollouts.repository import HEAD_TABLE, TAIL_TABLE
 
     original = StoreClient.write
 
@@ -28,7 +28,7 @@
 
 def take_unknown_for_done():
     """Does not read back after a write without an answer."""
-    from larkpost.rollouts.repository import BatchRepository
+    from larkpost.gateway.rollouts.repository import BatchRepository
 
     original = BatchRepository.append
 
@@ -43,7 +43,7 @@
 
 def refuse_after_unknown():
     """Says "not accepted" though a write was without an answer."""
-    from larkpost.rollouts.repository import AcceptOutcome, BatchRepository
+    from larkpost.gateway.rollouts.repository import AcceptOutcome, BatchRepository
 
     original = BatchRepository.accept
 
@@ -56,7 +56,7 @@
 
 def list_again():
     """Appends what another owner has listed."""
-    from larkpost.rollouts.owned import OwnedBatch
+    from larkpost.gateway.rollouts.owned import OwnedBatch
 
     def finished(self, result):
         self._pending.append(result)
@@ -68,7 +68,7 @@
 
 
 def _synchronise_without_drop():
-    from larkpost.rollouts.owned import OwnedBatch
+    from larkpost.gateway.rollouts.owned import OwnedBatch
 
     original = OwnedBatch._synchronise
 
@@ -84,14 +84,14 @@
 
 def order_without_lease():
     """Takes a lease that another daemon holds."""
-    from larkpost.fleet.leases import LeaseTable
+    from larkpost.gateway.controllers.leases import LeaseTable
 
     return mock.patch.object(LeaseTable, "_may_take", lambda *_: True)
 
 
 def accept_any_version():
     """Takes any version for new enough."""
-    from larkpost.rollouts import repository
+    from larkpost.gateway.rollouts import repository
 
     original = repository.codec.decode_head
     return mock.patch.object(
@@ -110,7 +110,7 @@
 
 def take_lower_version():
     """Takes an older configuration."""
-    from larkpost.fleet.configuration import ConfigurationState
+    from larkpost.gateway.blackboard.configuration import ConfigurationState
 
     def update(self, configuration):
         self.current = configuration
@@ -121,7 +121,7 @@
 
 def trust_stale_listing():
     """Takes rows as they come, older ones too."""
-    from larkpost.store.follower import TableFollower
+    from larkpost.gateway.store.follower import TableFollower
 
     def take(self, row):
         if row.removed:
@@ -135,14 +135,14 @@
 
 def own_without_awaited_heartbeats():
     """Owns batches, but beats like an idle daemon."""
-    from larkpost.fleet.members import Membership
+    from larkpost.gateway.controllers.members import Membership
 
     return mock.patch.object(Membership, "_is_awaited", lambda self: self.is_coordinator())
 
 
 def keep_rows_of_earlier_lives():
     """Leaves the rows of the machine's earlier lives, so that others wait for them."""
-    from larkpost.fleet.members import Membership
+    from larkpost.gateway.controllers.members import Membership
 
     async def remove_old(self, rows):
         return None
@@ -152,7 +152,7 @@
 
 def judge_owner_like_an_idle_daemon():
     """Waits for the long interval of an idle daemon though it owns a batch."""
-    from larkpost.fleet.members import Membership
+    from larkpost.gateway.controllers.members import Membership
 
     def is_owner_alive(self, owner, since):
         return self.is_alive(owner)
@@ -162,7 +162,7 @@
 
 def let_everyone_coordinate():
     """Makes every daemon a coordinator."""
-    from larkpost.fleet.members import Membership
+    from larkpost.gateway.controllers.members import Membership
 
     policy = Policy(coordinators=1_000_000)
     original = Membership._judge
@@ -176,7 +176,7 @@
 
 def list_without_score():
     """Lists whole outputs without their scores."""
-    from larkpost.rollouts.owned import OwnedBatch
+    from larkpost.gateway.rollouts.owned import OwnedBatch
 
     original = OwnedBatch._finished
 
@@ -188,7 +188,7 @@
 
 def score_before_the_text():
     """Sends an item's reward call before the item runs."""
-    from larkpost.rollouts.run import BatchRun
+    from larkpost.gateway.rollouts.run import BatchRun
 
     async def finish_item(self, item):
         progress = self.progress[item.id]
@@ -204,7 +204,7 @@
 
 def score_unsigned_answers():
     """Takes any success for a score."""
-    from larkpost.rollouts import reward
+    from larkpost.gateway.rollouts import reward
 
     original = reward._judge
     return mock.patch.object(
@@ -214,7 +214,7 @@
 
 def give_up_after_one_failed_call():
     """Ends an item with the first failure of its reward call."""
-    from larkpost.rollouts.reward import RewardScorer
+    from larkpost.gateway.rollouts.reward import RewardScorer
 
     original = RewardScorer.score
 
@@ -227,21 +227,21 @@
 
 def relay_unanswered_writes():
     """Sends a write without an answer again by way of a peer."""
-    from larkpost.store import relay
+    from larkpost.gateway.store import relay
 
     return mock.patch.object(relay, "REFUSED", (*relay.REFUSED, WriteOutcome.UNKNOWN))
 
 
 def keep_one_row_of_an_output():
     """Keeps of an output only what fits in one row."""
-    from larkpost.rollouts import repository
+    from larkpost.gateway.rollouts import repository
 
     return mock.patch.object(repository, "MAX_KEPT_BYTES", 48_000)
 
 
 def believe_that_outputs_are_kept():
     """Takes an output for kept, whatever the store answered."""
-    from larkpost.rollouts.repository import BatchRepository
+    from larkpost.gateway.rollouts.repository import BatchRepository
 
     original = BatchRepository.keep_partials
 
@@ -254,7 +254,7 @@
 
 def ask_silent_peers_again():
     """Asks a peer that did not answer again at once."""
-    from larkpost.store import relay
+    from larkpost.gateway.store import relay
 
     return mock.patch.object(relay, "PEER_REST_SECONDS", 0.0)
 
@@ -268,7 +268,7 @@
 
 def forget_whole_texts():
     """Keeps whole outputs as if they were not whole."""
-    from larkpost.rollouts import repository
+    from larkpost.gateway.rollouts import repository
 
     original = repository.codec.decode_progress
 
@@ -282,7 +282,7 @@
 
 def admit_unknown_keys():
     """Lets callers in whose key nobody holds."""
-    from larkpost.fleet.configuration import Configuration
+    from larkpost.gateway.blackboard.configuration import Configuration
 
     return mock.patch.object(Configuration, "tenant_of", lambda self, _: (self.tenants or [])[0])
 
@@ -296,14 +296,14 @@
 
 def show_batches_to_other_tenants():
     """Lets every tenant see every batch."""
-    from larkpost.fleet.tenants import Caller
+    from larkpost.gateway.blackboard.tenants import Caller
 
     return mock.patch.object(Caller, "may_see", lambda *_: True)
 
 
 def refuse_for_good_by_old_configurations():
     """Says that there is no such key or route however old the configuration is."""
-    from larkpost.proxy import admission
+    from larkpost.gateway.proxy import admission
 
     original = admission.Admission.__init__
 
@@ -315,8 +315,8 @@
 
 def decide_usage_anew():
     """Sends whatever the counts are now, not what was decided."""
-    from larkpost.usage import reporter
-    from larkpost.usage.repository import DecidedReport
+    from larkpost.gateway.usage import reporter
+    from larkpost.gateway.usage.repository import DecidedReport
 
     async def decide(self, window):
         return DecidedReport(await self._repository.sum_counts(window), False, 0)
@@ -326,8 +326,8 @@
 
 def save_counts_without_condition():
     """Writes counts whatever the row's version is, so that late writes undo later ones."""
+    from larkpost.gateway.usage.repository import COUNT_TABLE
     from larkpost.rehearsal.memory_store import StoreClient
-    from larkpost.usage.repository import COUNT_TABLE
 
     original = StoreClient.write
 
@@ -341,14 +341,14 @@
 
 def believe_own_clock():
     """Takes this machine's time of day for the true one."""
-    from larkpost.fleet.true_time import TrueTime
+    from larkpost.gateway.controllers.true_time import TrueTime
 
     return mock.patch.object(TrueTime, "now", lambda self: self._clock.wall_ms() / 1000)
 
 
 def end_stalled_runs_without_places():
     """Ends every run that makes nothing, whether another engine has a place or not."""
-    from larkpost.rollouts.engine_choice import EngineChoice
+    from larkpost.gateway.rollouts.engine_choice import EngineChoice
 
     return mock.patch.object(EngineChoice, "count_places", lambda *_: 1000)
 
@@ -362,29 +362,29 @@
 
 def ignore_permits():
     """Sends to cold engines as to others."""
-    from larkpost.placement.cold import ColdRule
+    from larkpost.gateway.placement.cold import ColdRule
 
     return mock.patch.object(ColdRule, "_limit", lambda *_: None)
 
 
 def claim_outside_homes():
     """Has a batch claimed by any coordinator, wherever it may be served."""
-    from larkpost.rollouts.keeper import BatchKeeper
+    from larkpost.gateway.rollouts.keeper import BatchKeeper
 
     return mock.patch.object(BatchKeeper, "_homes", lambda *_: None)
 
 
 def serve_anywhere():
     """Sends work to instances in any region."""
-    from larkpost.placement.homes import HomeRule
-    from larkpost.placement.verdict import Verdict
+    from larkpost.gateway.placement.homes import HomeRule
+    from larkpost.gateway.placement.verdict import Verdict
 
     return mock.patch.object(HomeRule, "judge", lambda *_: Verdict.ALLOWED)
 
 
 def forget_evacuations():
     """Lets an evacuation lapse by itself after a while."""
-    from larkpost.fleet.row_intake import RowIntake
+    from larkpost.gateway.controllers.row_intake import RowIntake
 
     original = RowIntake.drop_lapsed
     lapse_seconds = 2.0
@@ -401,7 +401,7 @@
 
 def miss_ends_of_evacuations():
     """Passes rows over that are gone, as those of configurations are."""
-    from larkpost.fleet.row_intake import RowIntake
+    from larkpost.gateway.controllers.row_intake import RowIntake
 
     original = RowIntake.take_operator_row
 
@@ -435,14 +435,14 @@
 
 def send_crashing_requests_on():
     """Sends a request on, however many servers have crashed under it."""
-    from larkpost.quarantine.known_crashes import KnownCrashes
+    from larkpost.gateway.blackboard.known_crashes import KnownCrashes
 
     return mock.patch.object(KnownCrashes, "holds_content", lambda *_: False)
 
 
 def keep_crashes_to_oneself():
     """Tells no other daemon of crashes."""
-    from larkpost.quarantine.repository import CrashRepository
+    from larkpost.gateway.quarantine.repository import CrashRepository
 
     async def save(self, added, removed):
         return True
@@ -452,7 +452,7 @@
 
 def take_lost_connections_for_crashes():
     """Takes a server for crashed whenever it leaves a request without an answer."""
-    from larkpost.quarantine.watch import CrashWatch, Evidence
+    from larkpost.gateway.quarantine.watch import CrashWatch, Evidence
 
     async def seek_evidence(self, suspicion, *, is_fresh):
         return Evidence.DEAD_PORT
@@ -462,22 +462,22 @@
 
 def run_suspects_together():
     """Runs requests under which servers crashed side by side."""
-    from larkpost.placement.verdict import Verdict
-    from larkpost.quarantine.apart import ApartRule
+    from larkpost.gateway.placement.verdict import Verdict
+    from larkpost.gateway.quarantine.apart import ApartRule
 
     return mock.patch.object(ApartRule, "judge", lambda *_: Verdict.ALLOWED)
 
 
 def never_clear_requests():
     """Holds a request on though a server has run it whole."""
-    from larkpost.quarantine.recorder import CrashRecorder
+    from larkpost.gateway.quarantine.recorder import CrashRecorder
 
     return mock.patch.object(CrashRecorder, "served", lambda *_: None)
 
 
 def stand_still_while_suspended():
     """Goes by a clock that stands still while the machine is suspended."""
-    from larkpost.clock import LoopClock
+    from larkpost.common.clock import LoopClock
     from tests.platform_fleet import MachineClock
 
     def now(self):
@@ -493,7 +493,7 @@
     """Reads the system's plain steady clock."""
     import time
 
-    from larkpost import steady_time
+    from larkpost.common import steady_time
 
     return mock.patch.object(steady_time, "CLOCK", time.CLOCK_MONOTONIC)
 
--- a/tests/platform_oracle.py
+++ b/tests/platform_oracle.py
@@ -1,10 +1,10 @@
 """What must hold of a fleet on the platform, checked from what callers, engines and store saw."""
 
-from larkpost.errors import LarkpostError
-from larkpost.ids import BatchId, RegionId
+from larkpost.common.errors import LarkpostError
+from larkpost.common.ids import BatchId, RegionId
+from larkpost.gateway.rollouts.model import BatchSpec, Result, ResultState, RewardCallId
+from larkpost.gateway.rollouts.service import BatchRefusedError
 from larkpost.rehearsal.memory_store import StoreFaults
-from larkpost.rollouts.model import BatchSpec, Result, ResultState, RewardCallId
-from larkpost.rollouts.service import BatchRefusedError
 from tests import platform_checks as checks
 from tests.platform_fleet import (
     CONFIGURATION,
--- a/tests/platform_places.py
+++ b/tests/platform_places.py
@@ -2,10 +2,10 @@
 
 import asyncio
 
-from larkpost.ids import RegionId, ZoneId
+from larkpost.common.ids import RegionId, ZoneId
+from larkpost.gateway.rollouts.repository import ITEM_TABLE
+from larkpost.gateway.store.port import RowPage, Transaction, WriteResult
 from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
-from larkpost.rollouts.repository import ITEM_TABLE
-from larkpost.store.port import RowPage, Transaction, WriteResult
 
 EAST = RegionId("east")
 WEST = RegionId("west")
--- a/tests/process_soak/callers.py
+++ b/tests/process_soak/callers.py
@@ -10,8 +10,8 @@
 import aiohttp
 import orjson
 
-from larkpost.fleet.configuration import ModelName
-from larkpost.ids import Address
+from larkpost.common.ids import Address
+from larkpost.gateway.blackboard.configuration import ModelName
 from larkpost.platform import names
 from larkpost.platform.stand_in.rows import (
     BATCH_PREFIX,
--- a/tests/process_soak/judge.py
+++ b/tests/process_soak/judge.py
@@ -6,9 +6,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
+from larkpost.gateway.rollouts.model import ResultState
 from larkpost.platform.stand_in.rows import TRAINING
 from larkpost.rehearsal.scripted_engines import output_of
-from larkpost.rollouts.model import ResultState
 from tests import platform_checks as checks
 from tests.process_soak.records import Evacuation, Records
 
--- a/tests/process_soak/proxy.py
+++ b/tests/process_soak/proxy.py
@@ -4,8 +4,8 @@
 import contextlib
 from enum import StrEnum
 
-from larkpost.addresses import split_address
-from larkpost.ids import Address
+from larkpost.common.addresses import split_address
+from larkpost.common.ids import Address
 from larkpost.rehearsal.processes import free_address
 from tests.connections import ConnectionServer
 
--- a/tests/process_soak/records.py
+++ b/tests/process_soak/records.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from larkpost.ids import ZoneId
+from larkpost.common.ids import ZoneId
 
 FAILING_CALL = "/-/failing"
 """Tells a server whether to answer all pages with 500."""
--- a/tests/process_soak/server_program.py
+++ b/tests/process_soak/server_program.py
@@ -15,9 +15,9 @@
 from starlette.responses import Response
 from starlette.routing import Route
 
-from larkpost.fleet.configuration import ModelName, ServiceName
-from larkpost.http_server import HttpServer
-from larkpost.ids import Address, EngineId, ZoneId
+from larkpost.common.http_server import HttpServer
+from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
 from larkpost.platform import names
 from larkpost.platform.stand_in.programs import HEARTBEAT_SECONDS, ROW_BYTES, WRITE_SECONDS
 from larkpost.platform.stand_in.rows import StandInServer, server_change
--- a/tests/process_soak/site.py
+++ b/tests/process_soak/site.py
@@ -9,9 +9,10 @@
 import aiohttp
 import orjson
 
-from larkpost.fleet.configuration import ModelName, ServiceName
-from larkpost.http_server import HttpServer
-from larkpost.ids import Address, ZoneId
+from larkpost.common.http_server import HttpServer
+from larkpost.common.ids import Address, ZoneId
+from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
+from larkpost.gateway.store.port import RowKey, Transaction, WriteOutcome
 from larkpost.platform import names
 from larkpost.platform.stand_in.daemon_settings import DaemonPlace, write_settings
 from larkpost.platform.stand_in.rows import (
@@ -21,7 +22,6 @@
 )
 from larkpost.platform.store import HttpStore
 from larkpost.rehearsal.processes import Process, ProcessGroup, free_address
-from larkpost.store.port import RowKey, Transaction, WriteOutcome
 from tests.platform_checks import CALL_ATTEMPTS
 from tests.process_soak.callers import ONCE_PREFIX
 from tests.process_soak.daemon_program import SUSPENDED_SIGNAL
--- a/tests/process_soak/store_program.py
+++ b/tests/process_soak/store_program.py
@@ -14,9 +14,9 @@
 from starlette.responses import Response
 from starlette.routing import Route
 
-from larkpost.clock import LoopClock
-from larkpost.http_server import HttpServer
-from larkpost.ids import Address
+from larkpost.common.clock import LoopClock
+from larkpost.common.http_server import HttpServer
+from larkpost.common.ids import Address
 from larkpost.platform import names
 from larkpost.platform.stand_in.programs import HEARTBEAT_SECONDS, _drop_silent
 from larkpost.platform.stand_in.store_app import StoreApp
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -19,7 +19,7 @@
 
 import typer
 
-from larkpost.ids import EngineId
+from larkpost.common.ids import EngineId
 from larkpost.rehearsal.memory_store import StoreFaults
 from tests.platform_fleet import MODEL, PlatformFleet, make_batch
 from tests.platform_oracle import PlatformOracle
--- a/tests/test_batch_times.py
+++ b/tests/test_batch_times.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from larkpost.batch_times import COLUMNS, read_batch_times, table
-from larkpost.eventlog import Event
+from larkpost.gateway.observability.batch_times import COLUMNS, read_batch_times, table
+from larkpost.gateway.observability.eventlog import Event
 from tests.test_explain import line
 
 LINES = [
--- a/tests/test_cold_choices.py
+++ b/tests/test_cold_choices.py
@@ -3,9 +3,9 @@
 import unittest
 from unittest import mock
 
-from larkpost.ids import EngineId
-from larkpost.rollouts.engine_choice import OWN_ENGINES_SECONDS, EngineChoice
-from larkpost.rollouts.model import BatchHead
+from larkpost.common.ids import EngineId
+from larkpost.gateway.rollouts.engine_choice import OWN_ENGINES_SECONDS, EngineChoice
+from larkpost.gateway.rollouts.model import BatchHead
 from tests.cold_views import ENGINE, LONG_SECONDS, OTHER_ENGINE
 from tests.platform_fleet import COLD_TERMS, ENGINES, MODEL, PlatformFleet, make_batch
 from tests.virtual import run
--- a/tests/test_cold_owners.py
+++ b/tests/test_cold_owners.py
@@ -3,16 +3,16 @@
 import random
 import unittest
 
-from larkpost.clock import LoopClock
-from larkpost.eventlog import EventLog
-from larkpost.fleet.beliefs import Beliefs
-from larkpost.fleet.members import HEARING_INTERVALS, HEARTBEAT_SECONDS
-from larkpost.ids import DaemonId
-from larkpost.placement.cold import (
+from larkpost.common.clock import LoopClock
+from larkpost.common.ids import DaemonId
+from larkpost.gateway.blackboard.board import Beliefs
+from larkpost.gateway.controllers.members import HEARING_INTERVALS, HEARTBEAT_SECONDS
+from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.placement.cold import (
     LOOK_SECONDS,
     ColdRule,
 )
-from larkpost.placement.cold_senders import (
+from larkpost.gateway.placement.cold_senders import (
     ColdSenders,
 )
 from tests.cold_views import BOUND, ENGINE, INFO, ITEM_WORK, LONG_SECONDS, RATE, names
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -7,28 +7,28 @@
 
 import orjson
 
-from larkpost.clock import LoopClock
-from larkpost.eventlog import EventLog
-from larkpost.fleet.beliefs import Beliefs
-from larkpost.fleet.cold import ColdInstances, ColdTerms
-from larkpost.fleet.row_intake import RowIntake
-from larkpost.ids import ZoneId
-from larkpost.placement.cold import (
+from larkpost.common.clock import LoopClock
+from larkpost.common.ids import ZoneId
+from larkpost.gateway.blackboard.board import Beliefs
+from larkpost.gateway.blackboard.cold_instances import ColdInstances, ColdTerms
+from larkpost.gateway.controllers.row_intake import RowIntake
+from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.placement.cold import (
     SEND_WITHIN_SECONDS,
     WINDOW_SECONDS,
     ColdRule,
     SlidingCount,
 )
-from larkpost.placement.cold_share import (
+from larkpost.gateway.placement.cold_share import (
     owner_sends,
 )
-from larkpost.placement.rules import Placement
-from larkpost.placement.verdict import Verdict
-from larkpost.placement.work import CLIENT_WORK, ORDER_WORK, REWARD_WORK, Work
+from larkpost.gateway.placement.rules import Placement
+from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.work import CLIENT_WORK, ORDER_WORK, REWARD_WORK, Work
+from larkpost.gateway.proxy.balancer import Balancer
+from larkpost.gateway.servers.port import NotRunError, NotRunReason
+from larkpost.gateway.store.port import Row, RowKey
 from larkpost.platform.operator import read_configuration, read_instance
-from larkpost.proxy.balancer import Balancer
-from larkpost.proxy.port import NotRunError, NotRunReason
-from larkpost.store.port import Row, RowKey
 from tests.cold_views import (
     BOUND,
     ENGINE,
--- a/tests/test_cold_servers.py
+++ b/tests/test_cold_servers.py
@@ -3,8 +3,8 @@
 import asyncio
 import unittest
 
-from larkpost.fleet.cold import ColdTerms
-from larkpost.ids import EngineId
+from larkpost.common.ids import EngineId
+from larkpost.gateway.blackboard.cold_instances import ColdTerms
 from larkpost.rehearsal.memory_store import StoreFaults
 from tests.cold_views import (
     ENGINE,
--- a/tests/test_cold_shares.py
+++ b/tests/test_cold_shares.py
@@ -4,18 +4,18 @@
 from dataclasses import replace
 from unittest import mock
 
-from larkpost.clock import LoopClock
-from larkpost.fleet.cold import ColdTerms
-from larkpost.ids import DaemonId, EngineId
-from larkpost.placement import cold_share
-from larkpost.placement.cold_senders import (
+from larkpost.common.clock import LoopClock
+from larkpost.common.ids import DaemonId, EngineId
+from larkpost.gateway.blackboard.cold_instances import ColdTerms
+from larkpost.gateway.placement import cold_share
+from larkpost.gateway.placement.cold_senders import (
     NEWCOMER_SECONDS,
     OWNER_MEMORY_SECONDS,
     UPDATE_SECONDS,
     YOUNG_SECONDS,
     ColdSenders,
 )
-from larkpost.placement.cold_share import (
+from larkpost.gateway.placement.cold_share import (
     LEAST_SENDS,
     SenderView,
     client_sends,
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -5,22 +5,22 @@
 import unittest
 from dataclasses import replace
 
-from larkpost.clock import LoopClock
-from larkpost.errors import LarkpostError
-from larkpost.fleet.configuration import ServiceShare
-from larkpost.fleet.directory import Directory, InstanceInfo, InstanceState
-from larkpost.fleet.members import DEAD_AFTER_SECONDS
-from larkpost.ids import Address, EngineId, ZoneId
-from larkpost.policy import DEFAULT_POLICY, Policy
-from larkpost.proxy.balancer import Balancer
-from larkpost.proxy.shares import ShareChooser
+from larkpost.common.clock import LoopClock
+from larkpost.common.errors import LarkpostError
+from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.gateway.blackboard.configuration import ServiceShare
+from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.controllers.members import DEAD_AFTER_SECONDS
+from larkpost.gateway.policy import DEFAULT_POLICY, Policy
+from larkpost.gateway.proxy.balancer import Balancer
+from larkpost.gateway.proxy.shares import ShareChooser
+from larkpost.gateway.rollouts.attempt import LONG_RUN_EVENTS, Progress
+from larkpost.gateway.rollouts.engine_choice import EngineChoice
+from larkpost.gateway.rollouts.engine_run import FasterPlace, MoveAwayError
+from larkpost.gateway.rollouts.model import BatchHead
+from larkpost.gateway.rollouts.place_queue import PlaceQueue
+from larkpost.gateway.store.port import RowKey, Transaction
 from larkpost.rehearsal.memory_store import StoreFaults
-from larkpost.rollouts.attempt import LONG_RUN_EVENTS, Progress
-from larkpost.rollouts.engine_choice import EngineChoice
-from larkpost.rollouts.engine_run import FasterPlace, MoveAwayError
-from larkpost.rollouts.model import BatchHead
-from larkpost.rollouts.place_queue import PlaceQueue
-from larkpost.store.port import RowKey, Transaction
 from tests.platform_fleet import (
     ENGINES,
     MODEL,
