--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -4,9 +4,9 @@
 import errno
 import unittest
 
-from larkpost.eventlog import EventLog
-from larkpost.fleet.lifecycle import Lifecycle
-from larkpost.ids import Address
+from larkpost.common.ids import Address
+from larkpost.gateway.blackboard.lifecycle import Lifecycle
+from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.platform.descriptors import FILE_DESCRIPTORS, DescriptorGuard
 from larkpost.platform.http_protocol import Listener
 from larkpost.rehearsal.processes import free_address
--- a/tests/test_durable_batches.py
+++ b/tests/test_durable_batches.py
@@ -2,11 +2,11 @@
 
 import unittest
 
-from larkpost.ids import BatchId
+from larkpost.common.ids import BatchId
+from larkpost.gateway.rollouts.attempt import Progress
+from larkpost.gateway.rollouts.repository import PARTS, part_of
+from larkpost.gateway.rollouts.service import BatchRefusedError, BatchUncertainError
 from larkpost.rehearsal.memory_store import StoreFaults
-from larkpost.rollouts.attempt import Progress
-from larkpost.rollouts.repository import PARTS, part_of
-from larkpost.rollouts.service import BatchRefusedError, BatchUncertainError
 from tests.platform_fleet import PlatformFleet, check_results, make_batch
 from tests.virtual import run
 
@@ -255,7 +255,7 @@
 
 async def _list_elsewhere(fleet, spec, count):
     """Appends results of the first items as another owner of the batch would."""
-    from larkpost.rollouts.model import Result, ResultState
+    from larkpost.gateway.rollouts.model import Result, ResultState
     from tests.platform_fleet import expected_text
 
     repository = fleet.repository()
--- a/tests/test_engine_adapter.py
+++ b/tests/test_engine_adapter.py
@@ -5,16 +5,16 @@
 
 import aiohttp
 
-from larkpost.engines.http_adapter import HttpEnginePort
-from larkpost.engines.port import (
+from larkpost.common.ids import Address, AttemptId, RequestId
+from larkpost.rehearsal.processes import free_address
+from larkpost.standalone.engines.http_adapter import HttpEnginePort
+from larkpost.standalone.engines.port import (
     EngineBrokenError,
     EngineError,
     EngineNotSentError,
     EngineRefusedError,
     GenerateRequest,
 )
-from larkpost.ids import Address, AttemptId, RequestId
-from larkpost.rehearsal.processes import free_address
 from tests.connections import ConnectionServer
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -5,40 +5,40 @@
 import unittest
 from dataclasses import replace
 
-from larkpost.clock import LoopClock
-from larkpost.eventlog import Event, EventLog
-from larkpost.fleet.beliefs import Beliefs
-from larkpost.fleet.configuration import Route, RouteKind, ServiceName, ServiceShare
-from larkpost.fleet.directory import Directory, InstanceInfo, InstanceState
-from larkpost.fleet.division import EngineDivision
-from larkpost.fleet.evacuations import Evacuations, ZoneEvacuation
-from larkpost.fleet.load_plan import LoadPlan
-from larkpost.fleet.regions import RegionMap
-from larkpost.fleet.weights import (
+from larkpost.common.clock import LoopClock
+from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.gateway.blackboard.board import Beliefs
+from larkpost.gateway.blackboard.configuration import Route, RouteKind, ServiceName, ServiceShare
+from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.evacuations import Evacuations, ZoneEvacuation
+from larkpost.gateway.blackboard.regions import RegionMap
+from larkpost.gateway.controllers.division import EngineDivision
+from larkpost.gateway.controllers.load_plan import LoadPlan
+from larkpost.gateway.controllers.weights import (
     FIRST_SECONDS,
     GROUP_SECONDS,
     WeightTarget,
     WeightTargets,
     due_loads,
 )
-from larkpost.ids import Address, EngineId, ZoneId
-from larkpost.metrics import Metrics
-from larkpost.placement.evacuated import EvacuatedRule
-from larkpost.placement.rules import Placement
-from larkpost.placement.verdict import Verdict
-from larkpost.placement.work import CLIENT_WORK, ORDER_WORK, REWARD_WORK, Work, WorkKind
+from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.observability.metrics import Metrics
+from larkpost.gateway.placement.evacuated import EvacuatedRule
+from larkpost.gateway.placement.rules import Placement
+from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.work import CLIENT_WORK, ORDER_WORK, REWARD_WORK, Work, WorkKind
+from larkpost.gateway.policy import DEFAULT_POLICY, Policy
+from larkpost.gateway.proxy.balancer import Balancer
+from larkpost.gateway.proxy.forecast import MOST_RETRY_SECONDS, NO_PLACE_RETRY_SECONDS
+from larkpost.gateway.proxy.forwarder import Forwarder
+from larkpost.gateway.proxy.request import ClientRequest, RefusedError
+from larkpost.gateway.proxy.shares import ShareChooser
+from larkpost.gateway.servers.port import NotRunReason
+from larkpost.gateway.store.port import Row, RowKey
 from larkpost.platform import names, operator
 from larkpost.platform.stand_in.rows import evacuation_change
-from larkpost.policy import DEFAULT_POLICY, Policy
-from larkpost.proxy.balancer import Balancer
-from larkpost.proxy.forecast import MOST_RETRY_SECONDS, NO_PLACE_RETRY_SECONDS
-from larkpost.proxy.forwarder import Forwarder
-from larkpost.proxy.port import NotRunReason
-from larkpost.proxy.request import ClientRequest, RefusedError
-from larkpost.proxy.shares import ShareChooser
 from larkpost.rehearsal.memory_store import StoreFaults
 from larkpost.rehearsal.scripted_engines import EngineState, ScriptedEngines
-from larkpost.store.port import Row, RowKey
 from tests.noting_log import NotingLog
 from tests.platform_checks import EVACUATE_SECONDS, known_by
 from tests.platform_fleet import (
--- a/tests/test_eventlog.py
+++ b/tests/test_eventlog.py
@@ -5,8 +5,8 @@
 
 import orjson
 
-from larkpost.eventlog import Event, EventLog, LineWriter
-from larkpost.placement.verdict import Verdict
+from larkpost.gateway.observability.eventlog import Event, EventLog, LineWriter
+from larkpost.gateway.placement.verdict import Verdict
 
 
 class LineTest(unittest.TestCase):
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -7,9 +7,15 @@
 
 import orjson
 
-from larkpost.eventlog import LINES_PER_SECOND, MAX_PENDING_BYTES, Event, EventLog, LineWriter
-from larkpost.explain import explain
-from larkpost.metrics import COUNTS, LEVELS, TIMINGS, Count, Metrics
+from larkpost.gateway.observability.eventlog import (
+    LINES_PER_SECOND,
+    MAX_PENDING_BYTES,
+    Event,
+    EventLog,
+    LineWriter,
+)
+from larkpost.gateway.observability.explain import explain
+from larkpost.gateway.observability.metrics import COUNTS, LEVELS, TIMINGS, Count, Metrics
 
 DOCS = Path(__file__).resolve().parent.parent / "docs"
 
--- a/tests/test_fault_kinds.py
+++ b/tests/test_fault_kinds.py
@@ -6,7 +6,8 @@
 from pathlib import Path
 from unittest import mock
 
-from larkpost.fleet.configuration import (
+from larkpost.common.ids import EngineId
+from larkpost.gateway.blackboard.configuration import (
     Configuration,
     ConfigurationState,
     Route,
@@ -14,13 +15,12 @@
     ServiceName,
     ServiceShare,
 )
-from larkpost.ids import EngineId
 from larkpost.rehearsal.scripted_engines import EngineState
 from tests.platform_fleet import MODEL, PlatformFleet, check_results, make_batch
 from tests.virtual import run
 
 SOURCE = Path(__file__).resolve().parent.parent / "src" / "larkpost"
-DECIDING_PACKAGES = ("fleet", "proxy", "rollouts", "store", "platform")
+DECIDING_PACKAGES = ("gateway", "platform")
 TIME_OF_DAY = re.compile(
     r"\btime\.time(_ns)?\(|\bdatetime\b|\btime\.localtime\(|\bCLOCK_REALTIME\b"
 )
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -7,15 +7,21 @@
 import random
 import unittest
 
-from larkpost.clock import LoopClock
-from larkpost.eventlog import EventLog
-from larkpost.fleet.configuration import ModelName, Route, RouteKind, ServiceName, ServiceShare
-from larkpost.fleet.directory import Directory, InstanceInfo, InstanceState
-from larkpost.ids import Address, EngineId, ZoneId
-from larkpost.metrics import Metrics
-from larkpost.placement.work import CLIENT_WORK
-from larkpost.proxy.balancer import Balancer
-from larkpost.proxy.forecast import (
+from larkpost.common.clock import LoopClock
+from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.gateway.blackboard.configuration import (
+    ModelName,
+    Route,
+    RouteKind,
+    ServiceName,
+    ServiceShare,
+)
+from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.observability.metrics import Metrics
+from larkpost.gateway.placement.work import CLIENT_WORK
+from larkpost.gateway.proxy.balancer import Balancer
+from larkpost.gateway.proxy.forecast import (
     HEEDED_SHARE,
     MOST_RETRY_SECONDS,
     Limits,
@@ -24,16 +30,21 @@
     foresee,
     survey,
 )
-from larkpost.proxy.forwarder import Forwarder
-from larkpost.proxy.patience import WINDOW_SECONDS, FirstTries
-from larkpost.proxy.request import (
+from larkpost.gateway.proxy.forwarder import Forwarder
+from larkpost.gateway.proxy.patience import WINDOW_SECONDS, FirstTries
+from larkpost.gateway.proxy.request import (
     ClientRequest,
     RefusedError,
     RequestFailedError,
     RequestTimeoutError,
 )
-from larkpost.proxy.shares import ShareChooser
-from larkpost.proxy.waiting import LOOK_INTERVAL_SECONDS, Waiter, WaitingLines, look_interval
+from larkpost.gateway.proxy.shares import ShareChooser
+from larkpost.gateway.proxy.waiting import (
+    LOOK_INTERVAL_SECONDS,
+    Waiter,
+    WaitingLines,
+    look_interval,
+)
 from larkpost.rehearsal.scripted_engines import EngineState, ScriptedEngines
 from tests.virtual import run
 
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -5,22 +5,28 @@
 import unittest
 from contextlib import asynccontextmanager
 
-from larkpost.clock import LoopClock
-from larkpost.eventlog import EventLog
-from larkpost.fleet.configuration import ModelName, Route, RouteKind, ServiceName, ServiceShare
-from larkpost.fleet.directory import Directory, InstanceInfo, InstanceState
-from larkpost.ids import Address, EngineId, ZoneId
-from larkpost.metrics import Metrics
-from larkpost.proxy.balancer import Balancer
-from larkpost.proxy.forwarder import Forwarder
-from larkpost.proxy.port import BrokenAnswerError
-from larkpost.proxy.request import (
+from larkpost.common.clock import LoopClock
+from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.gateway.blackboard.configuration import (
+    ModelName,
+    Route,
+    RouteKind,
+    ServiceName,
+    ServiceShare,
+)
+from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.observability.metrics import Metrics
+from larkpost.gateway.proxy.balancer import Balancer
+from larkpost.gateway.proxy.forwarder import Forwarder
+from larkpost.gateway.proxy.request import (
     ClientRequest,
     RefusedError,
     RequestFailedError,
     RequestTimeoutError,
 )
-from larkpost.proxy.shares import ShareChooser
+from larkpost.gateway.proxy.shares import ShareChooser
+from larkpost.gateway.servers.port import BrokenAnswerError
 from larkpost.rehearsal.scripted_engines import EngineState, ScriptedAnswer, ScriptedEngines
 from tests.virtual import run
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from larkpost.config.intent import Intent
 from larkpost.rehearsal.simulation.records import LeavingSource
+from larkpost.standalone.config.intent import Intent
 from tests.fleet import INTENT, MACHINES, SERVICES, ZONES, SimulatedFleet
 
 EXAMPLES = int(os.environ.get("LARKPOST_FUZZ_EXAMPLES", "40"))
--- a/tests/test_held_reads.py
+++ b/tests/test_held_reads.py
@@ -3,10 +3,10 @@
 import unittest
 from dataclasses import replace
 
-from larkpost.ids import BatchId
-from larkpost.policy import DEFAULT_POLICY, Policy
+from larkpost.common.ids import BatchId
+from larkpost.gateway.policy import DEFAULT_POLICY, Policy
+from larkpost.gateway.rollouts.model import GroupId, Item, ItemId
 from larkpost.rehearsal.memory_store import StoreFaults
-from larkpost.rollouts.model import GroupId, Item, ItemId
 from tests.platform_fleet import ROUTE, PlatformFleet, make_batch
 from tests.virtual import run
 
--- a/tests/test_http_api.py
+++ b/tests/test_http_api.py
@@ -5,7 +5,7 @@
 
 import httpx
 
-from larkpost.api.app import make_app
+from larkpost.standalone.api.app import make_app
 from tests.fleet import INTENT, SimulatedFleet
 
 
--- a/tests/test_leaving_clients.py
+++ b/tests/test_leaving_clients.py
@@ -7,9 +7,9 @@
 import random
 import unittest
 
-from larkpost.clock import LoopClock
-from larkpost.eventlog import EventLog
-from larkpost.fleet.configuration import (
+from larkpost.common.clock import LoopClock
+from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.gateway.blackboard.configuration import (
     Configuration,
     ConfigurationState,
     Route,
@@ -18,17 +18,17 @@
     ServiceName,
     ServiceShare,
 )
-from larkpost.fleet.directory import Directory, InstanceInfo, InstanceState
-from larkpost.fleet.lifecycle import Lifecycle
-from larkpost.ids import Address, EngineId, ZoneId
-from larkpost.metrics import Metrics
+from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.lifecycle import Lifecycle
+from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.observability.metrics import Metrics
+from larkpost.gateway.proxy.admission import Admission
+from larkpost.gateway.proxy.balancer import Balancer
+from larkpost.gateway.proxy.forwarder import Forwarder
+from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.platform.http_protocol import Listener
 from larkpost.platform.ingress import Ingress
 from larkpost.platform.servers import HttpServers
-from larkpost.proxy.admission import Admission
-from larkpost.proxy.balancer import Balancer
-from larkpost.proxy.forwarder import Forwarder
-from larkpost.proxy.shares import ShareChooser
 from larkpost.rehearsal.processes import free_address
 
 PAGES = ServiceName("pages")
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -2,9 +2,9 @@
 
 import unittest
 
-from larkpost.batches.ledger import BatchLedger, BatchSpec, Sample, SlotState
-from larkpost.ids import BatchId, EngineId, PoolId, TrainerId
-from larkpost.routing.work import VersionSpan
+from larkpost.common.ids import BatchId, EngineId, PoolId, TrainerId
+from larkpost.standalone.batches.ledger import BatchLedger, BatchSpec, Sample, SlotState
+from larkpost.standalone.routing.work import VersionSpan
 
 ENGINE = EngineId("engine-1")
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -2,13 +2,18 @@
 
 import unittest
 
-from larkpost.clock import LoopClock
-from larkpost.eventlog import EventLog
-from larkpost.fleet.heartbeat import machine_of, new_life
-from larkpost.fleet.members import AWAITED_PART, DEAD_AFTER_SECONDS, HEARTBEAT_SECONDS, Membership
+from larkpost.common.clock import LoopClock
+from larkpost.common.tasks import TaskSet
+from larkpost.common.telemetry import Telemetry
+from larkpost.gateway.controllers.heartbeat import machine_of, new_life
+from larkpost.gateway.controllers.members import (
+    AWAITED_PART,
+    DEAD_AFTER_SECONDS,
+    HEARTBEAT_SECONDS,
+    Membership,
+)
+from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.rehearsal.memory_store import MemoryStore, StoreClient, StoreFaults
-from larkpost.tasks import TaskSet
-from larkpost.telemetry import Telemetry
 from tests.virtual import run
 
 
--- a/tests/test_nearness.py
+++ b/tests/test_nearness.py
@@ -3,30 +3,30 @@
 import random
 import unittest
 
-from larkpost.clock import LoopClock
-from larkpost.eventlog import EventLog
-from larkpost.fleet.configuration import (
+from larkpost.common.clock import LoopClock
+from larkpost.common.ids import Address, EngineId, RegionId, ZoneId
+from larkpost.common.tasks import TaskSet
+from larkpost.common.telemetry import Telemetry
+from larkpost.gateway.blackboard.configuration import (
     Route,
     RouteKind,
     ServiceShare,
 )
-from larkpost.fleet.directory import Directory, InstanceInfo, InstanceState
-from larkpost.fleet.regions import Distance, RegionMap
-from larkpost.ids import Address, EngineId, RegionId, ZoneId
-from larkpost.metrics import Metrics
-from larkpost.placement.homes import HomeRule
-from larkpost.placement.rules import Placement
-from larkpost.proxy.balancer import Balancer
-from larkpost.proxy.forwarder import Forwarder
-from larkpost.proxy.request import ClientRequest, RefusedError
-from larkpost.proxy.shares import ShareChooser
+from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.regions import Distance, RegionMap
+from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.observability.metrics import Metrics
+from larkpost.gateway.placement.homes import HomeRule
+from larkpost.gateway.placement.rules import Placement
+from larkpost.gateway.proxy.balancer import Balancer
+from larkpost.gateway.proxy.forwarder import Forwarder
+from larkpost.gateway.proxy.request import ClientRequest, RefusedError
+from larkpost.gateway.proxy.shares import ShareChooser
+from larkpost.gateway.rollouts.repository import ITEM_TABLE
+from larkpost.gateway.store.port import RowKey, StoreUnavailableError, Transaction, WriteOutcome
+from larkpost.gateway.store.relay import PEERS_ASKED, RelayedStore
 from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
 from larkpost.rehearsal.scripted_engines import EngineState, ScriptedEngines
-from larkpost.rollouts.repository import ITEM_TABLE
-from larkpost.store.port import RowKey, StoreUnavailableError, Transaction, WriteOutcome
-from larkpost.store.relay import PEERS_ASKED, RelayedStore
-from larkpost.tasks import TaskSet
-from larkpost.telemetry import Telemetry
 from tests.platform_fleet import (
     MODEL,
     PAGES,
--- a/tests/test_owner_map.py
+++ b/tests/test_owner_map.py
@@ -5,11 +5,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larkpost.blackboard.board import Blackboard
-from larkpost.blackboard.engines import EngineInfo
-from larkpost.blackboard.members import MemberInfo, MemberState, MemberTable
-from larkpost.controllers.owner_map import OwnerMap
-from larkpost.ids import Address, DaemonId, EngineId, PoolId, ZoneId
+from larkpost.common.ids import Address, DaemonId, EngineId, PoolId, ZoneId
+from larkpost.standalone.blackboard.board import Blackboard
+from larkpost.standalone.blackboard.engines import EngineInfo
+from larkpost.standalone.blackboard.members import MemberInfo, MemberState, MemberTable
+from larkpost.standalone.controllers.owner_map import OwnerMap
 
 ZONES = (ZoneId("a"), ZoneId("b"))
 changes = st.lists(
--- a/tests/test_pinned_calls.py
+++ b/tests/test_pinned_calls.py
@@ -12,9 +12,8 @@
 import httpx
 import orjson
 
-from larkpost.api.app import make_app
-from larkpost.eventlog import EventLog
-from larkpost.fleet.configuration import (
+from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.gateway.blackboard.configuration import (
     Configuration,
     ConfigurationState,
     ModelName,
@@ -24,21 +23,18 @@
     ServiceName,
     ServiceShare,
 )
-from larkpost.fleet.directory import InstanceInfo, InstanceState
-from larkpost.fleet.leases import Duty, Lease, LeaseSubject
-from larkpost.fleet.lifecycle import Lifecycle
-from larkpost.fleet.tenants import TenantName
-from larkpost.ids import Address, EngineId, ZoneId
-from larkpost.metrics import Metrics
-from larkpost.platform.duties import HttpDuties
-from larkpost.platform.http_protocol import Listener
-from larkpost.platform.ingress import Ingress
-from larkpost.platform.peer_store import PeerStoreApp
-from larkpost.platform.servers import HttpServers
-from larkpost.platform.status_apps import MetricsApp, ReadinessApp
-from larkpost.platform.store import HttpStore
-from larkpost.proxy.admission import Admission
-from larkpost.proxy.port import (
+from larkpost.gateway.blackboard.directory import InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.lifecycle import Lifecycle
+from larkpost.gateway.blackboard.tenants import TenantName
+from larkpost.gateway.controllers.leases import Duty, Lease, LeaseSubject
+from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.observability.metrics import Metrics
+from larkpost.gateway.proxy.admission import Admission
+from larkpost.gateway.proxy.request import QuarantinedError, RefusedError, WholeAnswer
+from larkpost.gateway.rollouts.model import ItemId, Result, ResultState
+from larkpost.gateway.rollouts.service import NoSuchBatchError, ResultPage
+from larkpost.gateway.scaling.port import ScalingOrder, ServerKind
+from larkpost.gateway.servers.port import (
     BrokenAnswerError,
     NotRunError,
     OrderOutcome,
@@ -47,13 +43,17 @@
     RunningWork,
     VersionOrder,
 )
-from larkpost.proxy.request import QuarantinedError, RefusedError, WholeAnswer
+from larkpost.gateway.store.port import RowKey, Transaction, WriteOutcome
+from larkpost.gateway.usage.port import UsageReport
+from larkpost.platform.duties import HttpDuties
+from larkpost.platform.http_protocol import Listener
+from larkpost.platform.ingress import Ingress
+from larkpost.platform.peer_store import PeerStoreApp
+from larkpost.platform.servers import HttpServers
+from larkpost.platform.status_apps import MetricsApp, ReadinessApp
+from larkpost.platform.store import HttpStore
 from larkpost.rehearsal.processes import free_address
-from larkpost.rollouts.model import ItemId, Result, ResultState
-from larkpost.rollouts.service import NoSuchBatchError, ResultPage
-from larkpost.scaling.port import ScalingOrder, ServerKind
-from larkpost.store.port import RowKey, Transaction, WriteOutcome
-from larkpost.usage.port import UsageReport
+from larkpost.standalone.api.app import make_app
 from tests.connections import ConnectionServer
 from tests.fleet import INTENT, SimulatedFleet
 
--- a/tests/test_pinned_rows.py
+++ b/tests/test_pinned_rows.py
@@ -10,8 +10,10 @@
 import unittest
 from dataclasses import replace
 
-from larkpost.clock import LoopClock
-from larkpost.fleet.configuration import (
+from larkpost.common.clock import LoopClock
+from larkpost.common.tasks import TaskSet
+from larkpost.common.telemetry import Telemetry
+from larkpost.gateway.blackboard.configuration import (
     Configuration,
     RequestLimits,
     Route,
@@ -19,21 +21,19 @@
     Service,
     ServiceShare,
 )
-from larkpost.fleet.directory import InstanceInfo, InstanceState
-from larkpost.fleet.evacuations import ZoneEvacuation
-from larkpost.fleet.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
-from larkpost.fleet.leases import Duty, LeaseSubject, LeaseTable
-from larkpost.fleet.tenants import Tenant, digest_key
-from larkpost.fleet.weights import WeightTarget
-from larkpost.platform.operator import UnreadableRowError
-from larkpost.platform.process import READERS
-from larkpost.proxy.request import ClientRequest
-from larkpost.quarantine.content import digest_content
-from larkpost.quarantine.known_crashes import Crash
-from larkpost.quarantine.repository import CrashRepository, crash_of_row
-from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
-from larkpost.rollouts.attempt import Progress
-from larkpost.rollouts.codec import (
+from larkpost.gateway.blackboard.directory import InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.evacuations import ZoneEvacuation
+from larkpost.gateway.blackboard.known_crashes import Crash
+from larkpost.gateway.blackboard.scaling_terms import ScalingTerms
+from larkpost.gateway.blackboard.tenants import Tenant, digest_key
+from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
+from larkpost.gateway.controllers.leases import Duty, LeaseSubject, LeaseTable
+from larkpost.gateway.controllers.weights import WeightTarget
+from larkpost.gateway.proxy.request import ClientRequest
+from larkpost.gateway.quarantine.content import digest_content
+from larkpost.gateway.quarantine.repository import CrashRepository, crash_of_row
+from larkpost.gateway.rollouts.attempt import Progress
+from larkpost.gateway.rollouts.codec import (
     decode_head,
     decode_items,
     decode_progress,
@@ -47,7 +47,7 @@
     join_rewritten,
     split_rewritten,
 )
-from larkpost.rollouts.model import (
+from larkpost.gateway.rollouts.model import (
     BatchHead,
     BatchSpec,
     Item,
@@ -56,13 +56,13 @@
     RewardCall,
     Tail,
 )
-from larkpost.rollouts.repository import BatchRepository, head_of_row, part_of
-from larkpost.scaling.terms import ScalingTerms
-from larkpost.store.port import Row, RowKey, Transaction
-from larkpost.tasks import TaskSet
-from larkpost.telemetry import Telemetry
-from larkpost.usage.port import UsageReport
-from larkpost.usage.repository import DecidedReport, UsageRepository
+from larkpost.gateway.rollouts.repository import BatchRepository, head_of_row, part_of
+from larkpost.gateway.store.port import Row, RowKey, Transaction
+from larkpost.gateway.usage.port import UsageReport
+from larkpost.gateway.usage.repository import DecidedReport, UsageRepository
+from larkpost.platform.operator import UnreadableRowError
+from larkpost.platform.process import READERS
+from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
 from tests.pinned_parts import forward, make_active_member, make_member, make_scaled_fleet
 from tests.platform_fleet import MODEL, PAGES, make_batch
 from tests.virtual import run
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -3,14 +3,14 @@
 import unittest
 from dataclasses import replace
 
-from larkpost.fleet.configuration import ModelName, ServiceName
-from larkpost.fleet.directory import Directory, InstanceInfo, InstanceState
-from larkpost.ids import Address, EngineId, ZoneId
-from larkpost.metrics import Metrics
-from larkpost.placement.rules import NOT_RUN_REASONS, Placement
-from larkpost.placement.verdict import Verdict
-from larkpost.placement.work import CLIENT_WORK, Work, WorkKind
-from larkpost.proxy.port import NotRunError, NotRunReason
+from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
+from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.observability.metrics import Metrics
+from larkpost.gateway.placement.rules import NOT_RUN_REASONS, Placement
+from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.work import CLIENT_WORK, Work, WorkKind
+from larkpost.gateway.servers.port import NotRunError, NotRunReason
 
 MODEL = ModelName("model")
 ENGINE = InstanceInfo(
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -3,10 +3,10 @@
 import asyncio
 import unittest
 
-from larkpost.addresses import split_address
-from larkpost.http_server import HttpServer
-from larkpost.ids import Address
-from larkpost.planned_stop import KILL_MARGIN_SECONDS, LEAVE_SECONDS
+from larkpost.common.addresses import split_address
+from larkpost.common.http_server import HttpServer
+from larkpost.common.ids import Address
+from larkpost.gateway.planned_stop import KILL_MARGIN_SECONDS, LEAVE_SECONDS
 from tests.platform_fleet import PlatformFleet, make_batch
 from tests.virtual import run as run_virtual
 
--- a/tests/test_platform_fuzz.py
+++ b/tests/test_platform_fuzz.py
@@ -16,8 +16,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from larkpost.fleet.cold import ColdTerms
-from larkpost.ids import EngineId
+from larkpost.common.ids import EngineId
+from larkpost.gateway.blackboard.cold_instances import ColdTerms
 from larkpost.rehearsal.memory_store import StoreFaults
 from tests.platform_callers import Caller
 from tests.platform_checks import EVACUATE_SECONDS
--- a/tests/test_platform_ingress.py
+++ b/tests/test_platform_ingress.py
@@ -6,8 +6,8 @@
 import unittest
 from contextlib import asynccontextmanager
 
-from larkpost.eventlog import EventLog
-from larkpost.fleet.configuration import (
+from larkpost.common.ids import Address
+from larkpost.gateway.blackboard.configuration import (
     Configuration,
     ConfigurationState,
     RequestLimits,
@@ -17,17 +17,17 @@
     ServiceName,
     ServiceShare,
 )
-from larkpost.fleet.lifecycle import Lifecycle
-from larkpost.ids import Address
-from larkpost.metrics import Metrics
-from larkpost.platform.http_protocol import Listener
-from larkpost.platform.ingress import Ingress
-from larkpost.proxy.admission import Admission
-from larkpost.proxy.port import BrokenAnswerError
-from larkpost.proxy.request import (
+from larkpost.gateway.blackboard.lifecycle import Lifecycle
+from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.observability.metrics import Metrics
+from larkpost.gateway.proxy.admission import Admission
+from larkpost.gateway.proxy.request import (
     RefusedError,
     WholeAnswer,
 )
+from larkpost.gateway.servers.port import BrokenAnswerError
+from larkpost.platform.http_protocol import Listener
+from larkpost.platform.ingress import Ingress
 from larkpost.rehearsal.processes import free_address
 
 LIMITS = RequestLimits(header_bytes=2000, body_bytes=5000, header_time=0.3, idle_time=0.4)
--- a/tests/test_platform_servers.py
+++ b/tests/test_platform_servers.py
@@ -8,13 +8,10 @@
 from dataclasses import replace
 from unittest import mock
 
-from larkpost.fleet.configuration import ModelName, ServiceName
-from larkpost.fleet.directory import InstanceInfo, InstanceState
-from larkpost.ids import Address, EngineId, ZoneId
-from larkpost.platform import connections
-from larkpost.platform.connections import CheckedConnector
-from larkpost.platform.servers import HttpServers
-from larkpost.proxy.port import (
+from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
+from larkpost.gateway.blackboard.directory import InstanceInfo, InstanceState
+from larkpost.gateway.servers.port import (
     BrokenAnswerError,
     NotRunError,
     NotRunReason,
@@ -23,6 +20,9 @@
     PortState,
     VersionOrder,
 )
+from larkpost.platform import connections
+from larkpost.platform.connections import CheckedConnector
+from larkpost.platform.servers import HttpServers
 
 ECHO = b"Larkpost-Attempt-Id: r1\r\nLarkpost-Server-Stamp: s\r\n"
 
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -7,17 +7,17 @@
 import unittest
 from pathlib import Path
 
-from larkpost.assembly.environment import GatewaySettings
-from larkpost.errors import SettingsError
-from larkpost.eventlog import EventLog
-from larkpost.fleet.cold import ColdTerms
-from larkpost.ids import Address, ZoneId
+from larkpost.common.errors import SettingsError
+from larkpost.common.ids import Address, ZoneId
+from larkpost.gateway.assembly.environment import GatewaySettings
+from larkpost.gateway.blackboard.cold_instances import ColdTerms
+from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.usage.port import UsageTerms
 from larkpost.platform.process import watch_settings
 from larkpost.platform.settings import load_platform_settings
 from larkpost.platform.stand_in.daemon_settings import DaemonPlace, write_settings
 from larkpost.platform.store import HttpStore
 from larkpost.rehearsal.processes import ProcessGroup, free_address, wait_for
-from larkpost.usage.port import UsageTerms
 
 GOOD = """
 node = "front-1"
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -7,37 +7,37 @@
 from contextlib import suppress
 from dataclasses import fields, replace
 
-from larkpost.clock import LoopClock
-from larkpost.errors import LarkpostError
-from larkpost.eventlog import EventLog
-from larkpost.fleet.configuration import ModelName, RouteKind, Service, ServiceName
-from larkpost.fleet.directory import Directory, InstanceInfo, InstanceState
-from larkpost.fleet.regions import RegionMap
-from larkpost.fleet.weights import (
+from larkpost.common.clock import LoopClock
+from larkpost.common.errors import LarkpostError
+from larkpost.common.ids import Address, EngineId, RegionId, ZoneId
+from larkpost.gateway.blackboard.configuration import ModelName, RouteKind, Service, ServiceName
+from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.regions import RegionMap
+from larkpost.gateway.controllers.weights import (
     ModelDemand,
     WeightTarget,
     WeightTargets,
     assign_models,
     due_loads,
 )
-from larkpost.ids import Address, EngineId, RegionId, ZoneId
-from larkpost.metrics import Metrics
-from larkpost.policy import DEFAULT_POLICY, Policy, PolicyError
-from larkpost.proxy.balancer import PROBE_SECONDS, Balancer
-from larkpost.proxy.forwarder import Forwarder
-from larkpost.proxy.port import NotRunReason
-from larkpost.proxy.request import (
+from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.observability.metrics import Metrics
+from larkpost.gateway.policy import DEFAULT_POLICY, Policy, PolicyError
+from larkpost.gateway.proxy.balancer import PROBE_SECONDS, Balancer
+from larkpost.gateway.proxy.forwarder import Forwarder
+from larkpost.gateway.proxy.request import (
     ClientRequest,
 )
-from larkpost.proxy.shares import ShareChooser
+from larkpost.gateway.proxy.shares import ShareChooser
+from larkpost.gateway.rollouts.attempt import Progress
+from larkpost.gateway.rollouts.engine_choice import EngineChoice
+from larkpost.gateway.rollouts.model import BatchHead
+from larkpost.gateway.rollouts.repository import PARTIAL_TABLE
+from larkpost.gateway.rollouts.reward import RewardScorer
+from larkpost.gateway.servers.port import NotRunReason
+from larkpost.gateway.store.port import RowKey, Transaction
 from larkpost.rehearsal.memory_store import StoreFaults
 from larkpost.rehearsal.scripted_engines import EngineState, ScriptedEngines
-from larkpost.rollouts.attempt import Progress
-from larkpost.rollouts.engine_choice import EngineChoice
-from larkpost.rollouts.model import BatchHead
-from larkpost.rollouts.repository import PARTIAL_TABLE
-from larkpost.rollouts.reward import RewardScorer
-from larkpost.store.port import RowKey, Transaction
 from tests.platform_fleet import ENGINES, MODEL, SCORERS, PlatformFleet, make_batch
 from tests.test_forwarder import PAGES, make_route
 from tests.virtual import run
--- a/tests/test_process_soak.py
+++ b/tests/test_process_soak.py
@@ -6,7 +6,7 @@
 import unittest
 from pathlib import Path
 
-from larkpost.addresses import split_address
+from larkpost.common.addresses import split_address
 from larkpost.platform.stand_in.rows import READING, TRAINING
 from larkpost.rehearsal.processes import free_address
 from larkpost.rehearsal.scripted_engines import output_of
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -3,33 +3,33 @@
 import unittest
 from dataclasses import replace
 
-from larkpost.clock import LoopClock
-from larkpost.eventlog import Event
-from larkpost.fleet.configuration import ModelName, ServiceName
-from larkpost.fleet.directory import Directory, InstanceInfo, InstanceState
-from larkpost.ids import Address, EngineId, ZoneId
-from larkpost.metrics import Metrics
-from larkpost.placement.verdict import Verdict
-from larkpost.placement.work import CLIENT_WORK, Work, WorkKind
-from larkpost.proxy.port import BrokenAnswerError, NotRunError, OutgoingRequest, PortState
-from larkpost.quarantine.apart import ApartRule
-from larkpost.quarantine.content import ContentDigest, digest_request
-from larkpost.quarantine.guard import GuardedServers
-from larkpost.quarantine.known_crashes import (
+from larkpost.common.clock import LoopClock
+from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.common.tasks import TaskSet
+from larkpost.common.telemetry import Telemetry
+from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
+from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.known_crashes import (
     CLIENT_CRASH_LIMIT,
     REMEMBERED_SECONDS,
     SUSPECT_CRASHES,
     Crash,
     KnownCrashes,
 )
-from larkpost.quarantine.recorder import CrashRecorder
-from larkpost.quarantine.repository import CRASH_PART, CRASH_TABLE, CrashRepository
-from larkpost.quarantine.watch import SUSPICION_SECONDS, CrashWatch, Evidence
+from larkpost.gateway.observability.eventlog import Event
+from larkpost.gateway.observability.metrics import Metrics
+from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.work import CLIENT_WORK, Work, WorkKind
+from larkpost.gateway.quarantine.apart import ApartRule
+from larkpost.gateway.quarantine.content import ContentDigest, digest_request
+from larkpost.gateway.quarantine.guard import GuardedServers
+from larkpost.gateway.quarantine.recorder import CrashRecorder
+from larkpost.gateway.quarantine.repository import CRASH_PART, CRASH_TABLE, CrashRepository
+from larkpost.gateway.quarantine.watch import SUSPICION_SECONDS, CrashWatch, Evidence
+from larkpost.gateway.servers.port import BrokenAnswerError, NotRunError, OutgoingRequest, PortState
+from larkpost.gateway.store.port import Row, RowKey
 from larkpost.rehearsal.memory_store import MemoryStore, StoreClient, StoreFaults
 from larkpost.rehearsal.scripted_engines import EngineState, ScriptedEngines
-from larkpost.store.port import Row, RowKey
-from larkpost.tasks import TaskSet
-from larkpost.telemetry import Telemetry
 from tests.noting_log import NotingLog
 from tests.virtual import run
 
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -5,28 +5,28 @@
 
 import orjson
 
-from larkpost.eventlog import EventLog
-from larkpost.fleet.configuration import (
+from larkpost.common.ids import ZoneId
+from larkpost.gateway.blackboard.configuration import (
     Configuration,
     ConfigurationState,
     Route,
     RouteKind,
     ServiceShare,
 )
-from larkpost.fleet.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
-from larkpost.fleet.members import DEAD_AFTER_SECONDS
-from larkpost.fleet.regions import Distance, RegionMap
-from larkpost.fleet.tenants import Tenant, TenantName
-from larkpost.ids import ZoneId
-from larkpost.metrics import Metrics
+from larkpost.gateway.blackboard.regions import Distance, RegionMap
+from larkpost.gateway.blackboard.tenants import Tenant, TenantName
+from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
+from larkpost.gateway.controllers.members import DEAD_AFTER_SECONDS
+from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.observability.metrics import Metrics
+from larkpost.gateway.proxy.admission import Admission
+from larkpost.gateway.rollouts.engine_choice import EngineChoice
+from larkpost.gateway.rollouts.model import BatchHead
+from larkpost.gateway.rollouts.repository import ITEM_TABLE
+from larkpost.gateway.rollouts.service import BatchRefusedError
+from larkpost.gateway.store.port import Row, RowKey
 from larkpost.platform import names, operator
 from larkpost.platform.operator import UnreadableRowError
-from larkpost.proxy.admission import Admission
-from larkpost.rollouts.engine_choice import EngineChoice
-from larkpost.rollouts.model import BatchHead
-from larkpost.rollouts.repository import ITEM_TABLE
-from larkpost.rollouts.service import BatchRefusedError
-from larkpost.store.port import Row, RowKey
 from tests.platform_fleet import (
     CONFIGURATION,
     ENGINES,
--- a/tests/test_regressions.py
+++ b/tests/test_regressions.py
@@ -3,12 +3,12 @@
 import asyncio
 import unittest
 
-from larkpost.blackboard.engines import EngineLoad
-from larkpost.blackboard.facts import CONFIGURATION_KEY
-from larkpost.engines.port import EngineReport
-from larkpost.errors import LarkpostError
-from larkpost.ids import DaemonId, EngineId
+from larkpost.common.errors import LarkpostError
+from larkpost.common.ids import DaemonId, EngineId
 from larkpost.rehearsal.simulation.records import LeavingSource, Told
+from larkpost.standalone.blackboard.engines import EngineLoad
+from larkpost.standalone.blackboard.facts import CONFIGURATION_KEY
+from larkpost.standalone.engines.port import EngineReport
 from tests.fleet import INTENT, MACHINES, ZONES, SimulatedFleet
 
 LANGUAGE_ENGINE = MACHINES[0].engine
--- a/tests/test_repeated_crashes.py
+++ b/tests/test_repeated_crashes.py
@@ -3,10 +3,10 @@
 import asyncio
 import unittest
 
-from larkpost.quarantine.content import digest_content
-from larkpost.quarantine.trials import TRIAL_PAUSES_SECONDS
+from larkpost.gateway.quarantine.content import digest_content
+from larkpost.gateway.quarantine.trials import TRIAL_PAUSES_SECONDS
+from larkpost.gateway.rollouts.model import ResultState
 from larkpost.rehearsal.memory_store import StoreFaults
-from larkpost.rollouts.model import ResultState
 from tests.platform_callers import Caller
 from tests.platform_checks import CONTACT_SECONDS
 from tests.platform_fleet import ROUTE, SCORER_HOST, PlatformFleet, make_batch
--- a/tests/test_reward_calls.py
+++ b/tests/test_reward_calls.py
@@ -5,14 +5,14 @@
 
 import orjson
 
-from larkpost.ids import EngineId
+from larkpost.common.ids import EngineId
+from larkpost.gateway.rollouts import codec
+from larkpost.gateway.rollouts.attempt import Progress
+from larkpost.gateway.rollouts.model import BatchSpec, Result, ResultState
+from larkpost.gateway.rollouts.service import ResultPage
 from larkpost.platform.batches import read_batch, write_page
 from larkpost.rehearsal.memory_store import StoreFaults
 from larkpost.rehearsal.scripted_engines import EngineState
-from larkpost.rollouts import codec
-from larkpost.rollouts.attempt import Progress
-from larkpost.rollouts.model import BatchSpec, Result, ResultState
-from larkpost.rollouts.service import ResultPage
 from tests.platform_fleet import (
     OTHER_SCORERS,
     SCORER_SLOTS,
--- a/tests/test_scale_mechanisms.py
+++ b/tests/test_scale_mechanisms.py
@@ -5,12 +5,15 @@
 import unittest
 from collections import Counter
 
-from larkpost.clock import LoopClock
-from larkpost.eventlog import EventLog
-from larkpost.fleet.directory import Directory
-from larkpost.fleet.heartbeat import machine_of, new_life
-from larkpost.fleet.heartbeat_list import MEMBER_TABLE
-from larkpost.fleet.members import (
+from larkpost.common.clock import LoopClock
+from larkpost.common.http_server import HttpServer
+from larkpost.common.ids import Address
+from larkpost.common.tasks import TaskSet
+from larkpost.common.telemetry import Telemetry
+from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.controllers.heartbeat import machine_of, new_life
+from larkpost.gateway.controllers.heartbeat_list import MEMBER_TABLE
+from larkpost.gateway.controllers.members import (
     AWAITED_PART,
     DEAD_AFTER_SECONDS,
     HEARTBEAT_SECONDS,
@@ -19,15 +22,12 @@
     KNOWN_PART,
     Membership,
 )
-from larkpost.http_server import HttpServer
-from larkpost.ids import Address
-from larkpost.policy import DEFAULT_POLICY
-from larkpost.proxy.balancer import Balancer
+from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.policy import DEFAULT_POLICY
+from larkpost.gateway.proxy.balancer import Balancer
+from larkpost.gateway.rollouts.engine_choice import EngineChoice
+from larkpost.gateway.rollouts.repository import HEAD_TABLE
 from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
-from larkpost.rollouts.engine_choice import EngineChoice
-from larkpost.rollouts.repository import HEAD_TABLE
-from larkpost.tasks import TaskSet
-from larkpost.telemetry import Telemetry
 from tests.platform_fleet import PlatformFleet, check_results, make_batch
 from tests.virtual import run
 
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -4,14 +4,14 @@
 import unittest
 from dataclasses import replace
 
-from larkpost.fleet.configuration import ServiceName
-from larkpost.ids import ZoneId
+from larkpost.common.ids import ZoneId
+from larkpost.gateway.blackboard.configuration import ServiceName
+from larkpost.gateway.blackboard.scaling_terms import ScalingTerms
+from larkpost.gateway.policy import Policy
+from larkpost.gateway.scaling.planner import Demand, ZoneServers, plan_servers
+from larkpost.gateway.scaling.port import ScalingOrder, ScalingOutcome, ServerKind
+from larkpost.gateway.store.port import Row, RowKey, Transaction
 from larkpost.platform.operator import UnreadableRowError, read_configuration
-from larkpost.policy import Policy
-from larkpost.scaling.planner import Demand, ZoneServers, plan_servers
-from larkpost.scaling.port import ScalingOrder, ScalingOutcome, ServerKind
-from larkpost.scaling.terms import ScalingTerms
-from larkpost.store.port import Row, RowKey, Transaction
 from tests.platform_checks import check_turns
 from tests.platform_fleet import ENGINES, PlatformFleet
 from tests.virtual import run
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -4,8 +4,8 @@
 import unittest
 from pathlib import Path
 
-from larkpost.errors import SettingsError
-from larkpost.settings import load_settings
+from larkpost.common.errors import SettingsError
+from larkpost.standalone.settings import load_settings
 
 FILE = """
 daemon_id = "d1"
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -7,14 +7,26 @@
 
 from aiohttp.client_reqrep import ConnectionKey
 
-from larkpost.addresses import split_address
-from larkpost.clock import LoopClock
-from larkpost.eventlog import Event, EventLog
-from larkpost.fleet.configuration import ModelName, Route, RouteKind, ServiceName, ServiceShare
-from larkpost.fleet.directory import Directory, InstanceInfo, InstanceState
-from larkpost.http_server import HttpServer
-from larkpost.ids import Address, EngineId, ZoneId
-from larkpost.metrics import Count, Metrics
+from larkpost.common.addresses import split_address
+from larkpost.common.clock import LoopClock
+from larkpost.common.http_server import HttpServer
+from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.gateway.blackboard.configuration import (
+    ModelName,
+    Route,
+    RouteKind,
+    ServiceName,
+    ServiceShare,
+)
+from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.observability.metrics import Count, Metrics
+from larkpost.gateway.proxy.balancer import Balancer
+from larkpost.gateway.proxy.forwarder import MIN_HEDGE_SECONDS, Forwarder
+from larkpost.gateway.proxy.request import ClientRequest
+from larkpost.gateway.proxy.shares import ShareChooser
+from larkpost.gateway.servers.port import OrderOutcome, OutgoingRequest, VersionOrder
+from larkpost.gateway.store.port import RowKey, Transaction, WriteOutcome
 from larkpost.platform.connections import LEAST_ADDRESSES_KEPT, make_session
 from larkpost.platform.http_protocol import Listener
 from larkpost.platform.peer_store import PeerStoreApp
@@ -31,14 +43,8 @@
 )
 from larkpost.platform.stand_in.store_app import StoreApp
 from larkpost.platform.store import READ_TIMEOUT_SECONDS, HttpStore
-from larkpost.proxy.balancer import Balancer
-from larkpost.proxy.forwarder import MIN_HEDGE_SECONDS, Forwarder
-from larkpost.proxy.port import OrderOutcome, OutgoingRequest, VersionOrder
-from larkpost.proxy.request import ClientRequest
-from larkpost.proxy.shares import ShareChooser
 from larkpost.rehearsal.memory_store import MemoryStore
 from larkpost.rehearsal.processes import free_address
-from larkpost.store.port import RowKey, Transaction, WriteOutcome
 from tests.connections import ConnectionServer
 from tests.process_soak.proxy import FaultProxy, LinkFault
 
--- a/tests/test_speeds.py
+++ b/tests/test_speeds.py
@@ -2,9 +2,9 @@
 
 import unittest
 
-from larkpost.batches.placement import EngineRoom, LoadPlacement
-from larkpost.blackboard.speeds import LIFETIME, EngineSpeeds
-from larkpost.ids import EngineId
+from larkpost.common.ids import EngineId
+from larkpost.standalone.batches.placement import EngineRoom, LoadPlacement
+from larkpost.standalone.blackboard.speeds import LIFETIME, EngineSpeeds
 
 ENGINES = tuple(EngineId(f"engine-{i}") for i in range(4))
 
--- a/tests/test_store_clock.py
+++ b/tests/test_store_clock.py
@@ -3,7 +3,7 @@
 import unittest
 from unittest import mock
 
-from larkpost.ids import Address
+from larkpost.common.ids import Address
 from larkpost.platform import store
 from larkpost.platform.store import HttpStore
 
--- a/tests/test_store_relay.py
+++ b/tests/test_store_relay.py
@@ -5,32 +5,32 @@
 
 import aiohttp
 
-from larkpost.clock import LoopClock
-from larkpost.eventlog import EventLog
-from larkpost.fleet.regions import Distance
-from larkpost.http_server import HttpServer
-from larkpost.ids import Address
-from larkpost.platform import names
-from larkpost.platform.peer_store import PeerStoreApp
-from larkpost.platform.stand_in.store_app import StoreApp
-from larkpost.platform.store import HttpStore
-from larkpost.rehearsal.memory_store import MemoryStore, StoreClient, StoreFaults
-from larkpost.rehearsal.processes import free_address
-from larkpost.store.port import (
+from larkpost.common.clock import LoopClock
+from larkpost.common.http_server import HttpServer
+from larkpost.common.ids import Address
+from larkpost.common.tasks import TaskSet
+from larkpost.common.telemetry import Telemetry
+from larkpost.gateway.blackboard.regions import Distance
+from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.store.port import (
     HistoryLostError,
     RowKey,
     StoreUnavailableError,
     Transaction,
     WriteOutcome,
 )
-from larkpost.store.relay import (
+from larkpost.gateway.store.relay import (
     MOST_PEER_SECONDS,
     NO_PEER_PAUSE_SECONDS,
     PEERS_ASKED,
     RelayedStore,
 )
-from larkpost.tasks import TaskSet
-from larkpost.telemetry import Telemetry
+from larkpost.platform import names
+from larkpost.platform.peer_store import PeerStoreApp
+from larkpost.platform.stand_in.store_app import StoreApp
+from larkpost.platform.store import HttpStore
+from larkpost.rehearsal.memory_store import MemoryStore, StoreClient, StoreFaults
+from larkpost.rehearsal.processes import free_address
 from tests.platform_fleet import PlatformFleet, check_results, make_batch
 from tests.virtual import run
 
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -6,10 +6,10 @@
 import unittest
 from unittest import mock
 
-from larkpost import steady_time
-from larkpost.clock import LoopClock
-from larkpost.fleet.leases import Duty, LeaseSubject
-from larkpost.steady_time import SteadyLoop, run_steadily
+from larkpost.common import steady_time
+from larkpost.common.clock import LoopClock
+from larkpost.common.steady_time import SteadyLoop, run_steadily
+from larkpost.gateway.controllers.leases import Duty, LeaseSubject
 from tests.platform_checks import LEASE_SECONDS
 from tests.platform_fleet import MODEL, PlatformFleet
 from tests.platform_oracle import PlatformOracle
--- a/tests/test_swallowed_errors.py
+++ b/tests/test_swallowed_errors.py
@@ -5,9 +5,9 @@
 from pathlib import Path
 
 SOURCES = Path(__file__).resolve().parent.parent / "src" / "larkpost"
-PACKAGES = ("fleet", "proxy", "quarantine", "rollouts", "store", "usage", "platform")
-"""The system in use; the older core goes with issue 17."""
-MODULES = ("gateway.py", "eventlog.py", "metrics.py", "policy.py", "tasks.py")
+PACKAGES = ("gateway", "platform")
+"""The program on the platform."""
+MODULES = ("common/tasks.py",)
 
 
 def find_swallowed(source: str) -> list[int]:
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -8,9 +8,9 @@
 
 import orjson
 
-from larkpost.errors import LarkpostError
-from larkpost.eventlog import EventLog, LineWriter
-from larkpost.fleet.configuration import (
+from larkpost.common.errors import LarkpostError
+from larkpost.common.ids import Address, BatchId
+from larkpost.gateway.blackboard.configuration import (
     Configuration,
     ConfigurationState,
     Route,
@@ -19,27 +19,27 @@
     ServiceName,
     ServiceShare,
 )
-from larkpost.fleet.lifecycle import Lifecycle
-from larkpost.fleet.tenants import Caller, Tenant, TenantName, digest_key
-from larkpost.ids import Address, BatchId
-from larkpost.metrics import Metrics
-from larkpost.platform.batches import read_batch
-from larkpost.platform.http_protocol import Listener
-from larkpost.platform.ingress import Ingress
-from larkpost.platform.operator import UnreadableRowError, read_configuration
-from larkpost.proxy.admission import (
+from larkpost.gateway.blackboard.lifecycle import Lifecycle
+from larkpost.gateway.blackboard.tenants import Caller, Tenant, TenantName, digest_key
+from larkpost.gateway.observability.eventlog import EventLog, LineWriter
+from larkpost.gateway.observability.metrics import Metrics
+from larkpost.gateway.proxy.admission import (
     Admission,
     NoRouteError,
     NotConfiguredError,
     UnknownKeyError,
 )
-from larkpost.proxy.request import (
+from larkpost.gateway.proxy.request import (
     WholeAnswer,
 )
+from larkpost.gateway.rollouts.model import ItemId
+from larkpost.gateway.rollouts.service import BatchIdTakenError, NoSuchBatchError
+from larkpost.gateway.store.port import Row, RowKey
+from larkpost.platform.batches import read_batch
+from larkpost.platform.http_protocol import Listener
+from larkpost.platform.ingress import Ingress
+from larkpost.platform.operator import UnreadableRowError, read_configuration
 from larkpost.rehearsal.processes import free_address
-from larkpost.rollouts.model import ItemId
-from larkpost.rollouts.service import BatchIdTakenError, NoSuchBatchError
-from larkpost.store.port import Row, RowKey
 from tests.platform_fleet import PlatformFleet, check_results, make_batch
 from tests.virtual import run
 
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -5,12 +5,18 @@
 
 import orjson
 
-from larkpost.clock import LoopClock
-from larkpost.fleet.configuration import Configuration, Route, RouteKind, ServiceName, ServiceShare
-from larkpost.fleet.tenants import Tenant, TenantName
-from larkpost.rollouts.attempt import LONG_RUN_EVENTS, Progress
-from larkpost.rollouts.stalls import LEAST_SILENCE_SECONDS, StallWatcher
-from larkpost.rollouts.urgency import Urgency
+from larkpost.common.clock import LoopClock
+from larkpost.gateway.blackboard.configuration import (
+    Configuration,
+    Route,
+    RouteKind,
+    ServiceName,
+    ServiceShare,
+)
+from larkpost.gateway.blackboard.tenants import Tenant, TenantName
+from larkpost.gateway.rollouts.attempt import LONG_RUN_EVENTS, Progress
+from larkpost.gateway.rollouts.stalls import LEAST_SILENCE_SECONDS, StallWatcher
+from larkpost.gateway.rollouts.urgency import Urgency
 from tests.platform_fleet import ENGINES, PlatformFleet, check_results, make_batch
 from tests.test_policy import make_info
 from tests.virtual import run
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -3,19 +3,19 @@
 import unittest
 from collections import Counter
 
-from larkpost.clock import LoopClock
-from larkpost.fleet.configuration import Route, RouteKind, ServiceShare
-from larkpost.fleet.leases import Duty, LeaseSubject, LeaseTable
-from larkpost.fleet.tenants import TenantName
-from larkpost.fleet.true_time import TrueTime
-from larkpost.ids import DaemonId, EngineId
-from larkpost.proxy.request import (
+from larkpost.common.clock import LoopClock
+from larkpost.common.ids import DaemonId, EngineId
+from larkpost.gateway.blackboard.configuration import Route, RouteKind, ServiceShare
+from larkpost.gateway.blackboard.tenants import TenantName
+from larkpost.gateway.controllers.leases import Duty, LeaseSubject, LeaseTable
+from larkpost.gateway.controllers.true_time import TrueTime
+from larkpost.gateway.proxy.request import (
     ClientRequest,
 )
+from larkpost.gateway.usage.counter import UsageCounter
+from larkpost.gateway.usage.port import ReportOutcome
+from larkpost.gateway.usage.repository import COUNT_TABLE, REPORT_TABLE
 from larkpost.rehearsal.memory_store import MemoryStore, StoreClient, StoreFaults
-from larkpost.usage.counter import UsageCounter
-from larkpost.usage.port import ReportOutcome
-from larkpost.usage.repository import COUNT_TABLE, REPORT_TABLE
 from tests.platform_checks import check_turns
 from tests.platform_fleet import EPOCH_SECONDS, PAGES, USAGE_TERMS, PlatformFleet
 from tests.virtual import run
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -2,9 +2,10 @@
 
 import unittest
 
-from larkpost.fleet.configuration import ModelName, Service, ServiceName
-from larkpost.fleet.directory import Directory, InstanceInfo, InstanceState
-from larkpost.fleet.weights import (
+from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.gateway.blackboard.configuration import ModelName, Service, ServiceName
+from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.controllers.weights import (
     BUSY_FIRST_SECONDS,
     FIRST_SECONDS,
     GROUP_SECONDS,
@@ -14,7 +15,6 @@
     assign_models,
     due_loads,
 )
-from larkpost.ids import Address, EngineId, ZoneId
 from tests.platform_fleet import MODEL, PlatformFleet, check_results, make_batch
 from tests.virtual import run
 
@@ -190,6 +190,6 @@
 
 
 def _rank(fleet: PlatformFleet, name: EngineId) -> int:
-    from larkpost.hashing import hash64
+    from larkpost.common.hashing import hash64
 
     return hash64(name)
