--- a/src/larkpost/gateway/assembly/duties.py
+++ b/src/larkpost/gateway/assembly/duties.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.controllers.true_time import TrueTime
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.rollouts.keeper import BatchKeeper
-from larkpost.gateway.scaling.controller import ScalingController, ScalingMode
+from larkpost.gateway.scaling.controller import ScalingController
 from larkpost.gateway.scaling.demand import DemandForecast
 from larkpost.gateway.usage.counter import UsageCounter
 from larkpost.gateway.usage.reporter import UsageReporter
@@ -100,7 +100,6 @@
             return None
         needs = self._needs
         demand = DemandForecast(needs.beliefs.directory, needs.keeper.demands, needs.balancer.pace)
-        replaces = self._settings.policy.replace_servers
         return ScalingController(
             needs.beliefs,
             needs.membership,
@@ -111,5 +110,5 @@
             self._ports.metrics,
             demand,
             needs.feeds.sound_for,
-            ScalingMode.REPLACE if replaces else ScalingMode.ANNOUNCE,
+            self._settings.scaling_mode,
         )
--- a/src/larkpost/gateway/assembly/environment.py
+++ b/src/larkpost/gateway/assembly/environment.py
@@ -10,8 +10,7 @@
 from larkpost.gateway.controllers.row_intake import RowReaders
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
-from larkpost.gateway.policy import DEFAULT_POLICY, Policy
-from larkpost.gateway.scaling.port import ScalingPort
+from larkpost.gateway.scaling.port import ScalingMode, ScalingPort
 from larkpost.gateway.servers.port import ServerPort
 from larkpost.gateway.store.port import Store
 from larkpost.gateway.store.relay import RelayedStore
@@ -30,7 +29,7 @@
         grace_time: time between the request to stop and the kill.
         batch_lifetime: time for which a batch must be readable.
         peer_address: where it makes calls to the store for other daemons, or None.
-        policy: how it decides.
+        scaling_mode: whether lost servers are ordered anew where they can be ordered.
         usage: what is agreed about usage reports; None if there are none.
         regions: where the deployment's zones lie, seen from this daemon's.
         cold: what is agreed about cold instances; None if they have no limits.
@@ -43,7 +42,7 @@
     grace_time: float = 8.0
     batch_lifetime: float = 120.0
     peer_address: Address | None = None
-    policy: Policy = DEFAULT_POLICY
+    scaling_mode: ScalingMode = ScalingMode.ANNOUNCE
     usage: UsageTerms | None = None
     regions: RegionMap = field(default_factory=RegionMap)
     cold: ColdTerms | None = None
--- a/src/larkpost/gateway/controllers/division.py
+++ b/src/larkpost/gateway/controllers/division.py
@@ -10,7 +10,6 @@
 from larkpost.gateway.blackboard.directory import InstanceState
 from larkpost.gateway.controllers.load_plan import LoadPlan
 from larkpost.gateway.controllers.weights import Demands, assign_models, split_evacuated
-from larkpost.gateway.policy import DEFAULT_POLICY, Policy
 
 LIFETIME_SECONDS = 0.1
 """How long a division serves: items ask for it again and again."""
@@ -45,13 +44,11 @@
         plan: LoadPlan,
         clock: Clock,
         demands: Callable[[], Demands],
-        policy: Policy = DEFAULT_POLICY,
     ) -> None:
         self._beliefs = beliefs
         self._plan = plan
         self._clock = clock
         self._demands = demands
-        self._policy = policy
         self._known: dict[ServiceName, Division] = {}
 
     def engines_of(self, service: ServiceName, model: ModelName) -> frozenset[EngineId]:
@@ -87,5 +84,5 @@
             info for info in directory.of_service(service.name) if info.state is InstanceState.READY
         ]
         serving, _ = split_evacuated(ready, self._beliefs.evacuations.zones())
-        division = assign_models(service, serving, directory, self._demands(), self._policy)
+        division = assign_models(service, serving, directory, self._demands())
         return {model: frozenset(engines) for model, engines in division.items()}
--- a/src/larkpost/gateway/controllers/feeds.py
+++ b/src/larkpost/gateway/controllers/feeds.py
@@ -54,7 +54,7 @@
             ports.clock,
             ports.log,
             self.sound_for,
-            lambda: settings.contact_time if settings.policy.lapsed_serve else 0.0,
+            lambda: settings.contact_time,
             lambda: self.instances.listed,
         )
         self.operator = self._follow(
--- a/src/larkpost/gateway/controllers/load_plan.py
+++ b/src/larkpost/gateway/controllers/load_plan.py
@@ -6,7 +6,6 @@
 from larkpost.gateway.blackboard.board import Beliefs
 from larkpost.gateway.blackboard.configuration import Service
 from larkpost.gateway.controllers.weights import Demands, WeightTarget, due_loads
-from larkpost.gateway.policy import DEFAULT_POLICY, Policy
 
 
 class LoadPlan:
@@ -16,12 +15,9 @@
         demands: tells what the batches of each model ask for.
     """
 
-    def __init__(
-        self, beliefs: Beliefs, demands: Callable[[], Demands], policy: Policy = DEFAULT_POLICY
-    ) -> None:
+    def __init__(self, beliefs: Beliefs, demands: Callable[[], Demands]) -> None:
         self._beliefs = beliefs
         self._demands = demands
-        self._policy = policy
 
     def due(self, service: Service, now: float) -> list[tuple[EngineId, WeightTarget]]:
         """Returns the engines of a service that should be loading now, and what."""
@@ -31,6 +27,5 @@
             self._beliefs.targets,
             self._demands(),
             now,
-            self._policy,
             self._beliefs.evacuations.zones(),
         )
--- a/src/larkpost/gateway/controllers/members.py
+++ b/src/larkpost/gateway/controllers/members.py
@@ -31,11 +31,13 @@
 )
 from larkpost.gateway.controllers.heartbeat_list import MISSED_HEARTBEATS, HeartbeatList
 from larkpost.gateway.observability.eventlog import Event, EventLog
-from larkpost.gateway.policy import DEFAULT_POLICY, Policy
 from larkpost.gateway.store.port import Store, Transaction, WriteOutcome
 
 KNOWN_PART = "known"
 AWAITED_PART = "awaited"
+COORDINATORS = 12
+"""Daemons of the whole fleet that give orders and claim batches: enough that not all of them fail
+at once, few enough that their heartbeats fit into one part of the store."""
 HEARTBEAT_SECONDS = 0.25
 """Interval of awaited heartbeats and their listings: a step has less than a second to spare."""
 LISTED_ROWS_PER_SECOND = 200.0
@@ -93,14 +95,12 @@
         log: EventLog,
         is_owner: Callable[[], bool] = lambda: False,
         address: Address | None = None,
-        policy: Policy = DEFAULT_POLICY,
         clock_offset: Callable[[], float | None] = lambda: None,
         regions: RegionMap | None = None,
     ) -> None:
         self.own = own
         self._clock_offset = clock_offset
         self._regions = regions or RegionMap()
-        self._policy = policy
         self._summary = summary
         self._listener = listener
         self._log = log
@@ -228,7 +228,7 @@
     def _is_awaited(self) -> bool:
         """Tells whether others wait for this daemon, or did a moment ago."""
         now = self._clock.now()
-        if not self._policy.idle_intervals or self.is_coordinator() or self._is_owner():
+        if self.is_coordinator() or self._is_owner():
             self._needed_until = now + STAY_SECONDS
         return now < self._needed_until
 
@@ -346,7 +346,7 @@
         rank = hash64(f"coordinator\x00{self.own}")
         regions = {name: self.region_of(name) for name in alive}
         neighbours = [name for name in alive if regions[name] == regions[self.own]]
-        share = math.ceil(self._policy.coordinators / len(set(regions.values())))
+        share = math.ceil(COORDINATORS / len(set(regions.values())))
         before = sum(hash64(f"coordinator\x00{name}") < rank for name in neighbours)
         return before < share
 
--- a/src/larkpost/gateway/controllers/weights.py
+++ b/src/larkpost/gateway/controllers/weights.py
@@ -14,9 +14,10 @@
 from larkpost.common.ids import EngineId, ZoneId
 from larkpost.gateway.blackboard.configuration import ModelName, Service
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
-from larkpost.gateway.policy import DEFAULT_POLICY, Policy
 
 MIN_ENGINES_PER_MODEL = 2
+LOAD_GROUPS = 3
+"""Groups of a model's engines that load a version one after the other; two thirds serve on."""
 GROUP_SECONDS = 1.0
 """Time for one group, after which it is the next one's turn."""
 FIRST_SECONDS = 0.3
@@ -78,7 +79,6 @@
     engines: list[InstanceInfo],
     directory: Directory,
     demands: Demands,
-    policy: Policy = DEFAULT_POLICY,
 ) -> dict[ModelName, list[EngineId]]:
     """Divides the engines of a service among its models by the work their batches bring.
 
@@ -92,9 +92,7 @@
     chosen: dict[ModelName, list[EngineId]] = {model: [] for model in service.models}
     burden = dict.fromkeys((engine.id for engine in engines), 0)
     enough = min(MIN_ENGINES_PER_MODEL, len(engines))
-    works = dict.fromkeys(chosen, 0)
-    if policy.engines_by_work:
-        works = {model: demands.get(model, ModelDemand()).work for model in chosen}
+    works = {model: demands.get(model, ModelDemand()).work for model in chosen}
     usual = max(works.values(), default=0) or 1
     while engines and chosen:
         open_models = [model for model in chosen if len(chosen[model]) < enough]
@@ -124,7 +122,6 @@
     targets: WeightTargets,
     demands: Demands,
     now: float,
-    policy: Policy = DEFAULT_POLICY,
     evacuated: frozenset[ZoneId] = frozenset(),
 ) -> list[tuple[EngineId, WeightTarget]]:
     """Returns the loads that should be under way now.
@@ -142,20 +139,18 @@
         return []
     due: list[tuple[EngineId, WeightTarget]] = []
     serving, resting = split_evacuated(engines, evacuated)
-    assigned = assign_models(service, serving, directory, demands, policy)
-    assigned_resting = assign_models(service, resting, directory, demands, policy)
+    assigned = assign_models(service, serving, directory, demands)
+    assigned_resting = assign_models(service, resting, directory, demands)
     for model, engine_ids in assigned.items():
         target = WeightTarget(model, targets.version(model))
         first = BUSY_FIRST_SECONDS if demands.get(model, ModelDemand()).open else FIRST_SECONDS
-        if policy.load_groups == 1:
-            first = 0.0
         elapsed = targets.named_for(model, now) - first
         versions = {name: directory.version_of(name, model) for name in engine_ids}
-        names = _serving_loads(engine_ids, versions, target.version, elapsed, policy)
-        if not names or elapsed >= policy.load_groups * GROUP_SECONDS:
+        names = _serving_loads(engine_ids, versions, target.version, elapsed)
+        if not names or elapsed >= LOAD_GROUPS * GROUP_SECONDS:
             resting_ids = assigned_resting[model]
             versions = {name: directory.version_of(name, model) for name in resting_ids}
-            names += _resting_loads(resting_ids, versions, target.version, elapsed, policy)
+            names += _resting_loads(resting_ids, versions, target.version, elapsed)
         due.extend((name, target) for name in names)
     return due
 
@@ -174,13 +169,12 @@
     versions: dict[EngineId, int],
     target: int,
     elapsed: float,
-    policy: Policy,
 ) -> list[EngineId]:
     """Returns the engines that get work and load a version now."""
     late = [name for name in engine_ids if versions[name] < target - 1]
     if elapsed < 0:
         return late
-    groups = _cut(engine_ids, policy.load_groups)
+    groups = _cut(engine_ids, LOAD_GROUPS)
     behind = [[name for name in group if versions[name] == target - 1] for group in groups]
     return late + _group_on_turn(behind, elapsed)
 
@@ -190,7 +184,6 @@
     versions: dict[EngineId, int],
     target: int,
     elapsed: float,
-    policy: Policy,
 ) -> list[EngineId]:
     """Returns the engines of evacuated zones that load a version now, in groups all the same.
 
@@ -198,7 +191,7 @@
     """
     if elapsed < 0:
         return []
-    groups = _cut(engine_ids, policy.load_groups)
+    groups = _cut(engine_ids, LOAD_GROUPS)
     return _group_on_turn(
         [[name for name in group if versions[name] < target] for group in groups], elapsed
     )
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -123,7 +123,6 @@
             self.directory,
             ports.clock,
             ports.chance,
-            self.settings.policy,
             ports.servers.is_connected,
             Placement(self.directory, rules, ports.metrics, self.cold.send_within),
             self.cold,
@@ -144,7 +143,6 @@
             ports.log,
             lambda: self.keeper.is_owner(),
             self.settings.peer_address,
-            self.settings.policy,
             self.true_time.own_offset,
             self.beliefs.regions,
         )
@@ -185,7 +183,6 @@
             ports.log,
             ports.metrics,
             ShareChooser(ports.chance),
-            self.settings.policy,
             counter,
             self._priority_of,
             self.beliefs.crashes,
@@ -201,9 +198,7 @@
 
     def _make_rollouts(self) -> None:
         ports = self._ports
-        self._load_plan = LoadPlan(
-            self.beliefs, lambda: self.keeper.demands(), self.settings.policy
-        )
+        self._load_plan = LoadPlan(self.beliefs, lambda: self.keeper.demands())
         services = RunServices(
             self.configuration,
             self.directory,
@@ -216,7 +211,6 @@
             ports.store.time,
             asyncio.Semaphore(MAX_CALLS_IN_FLIGHT),
             self._make_division(),
-            self.settings.policy,
             self.cold,
             self.beliefs.crashes,
         )
@@ -238,7 +232,6 @@
             self._load_plan,
             self._clock,
             lambda: self.keeper.demands(),
-            self.settings.policy,
         )
 
     def start(self) -> None:
@@ -246,7 +239,7 @@
         self._log.note(Event.START, id=self.id)
         self._feeds.start(self._tasks)
         self._crash_recorder.start(self._tasks)
-        if self._ports.relay is not None and self.settings.policy.peer_calls:
+        if self._ports.relay is not None:
             self._ports.relay.start(self.membership.peers, self._tasks, self._is_confined)
         self.membership.start(self._tasks)
         self.keeper.start(self._tasks)
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -15,7 +15,6 @@
 from larkpost.gateway.placement.rules import Placement
 from larkpost.gateway.placement.verdict import Verdict
 from larkpost.gateway.placement.work import CLIENT_WORK, Work
-from larkpost.gateway.policy import DEFAULT_POLICY, Policy
 from larkpost.gateway.proxy.closeness import Closeness
 from larkpost.gateway.proxy.instance_use import InstanceUse, PeerUse
 from larkpost.gateway.servers.port import NotRunError, NotRunReason, ServerLoad
@@ -58,7 +57,6 @@
         directory: Directory,
         clock: Clock,
         chance: random.Random,
-        policy: Policy = DEFAULT_POLICY,
         is_connected: Callable[[InstanceInfo], bool] = lambda _: False,
         placement: Placement | None = None,
         cold: ColdRule | None = None,
@@ -76,7 +74,6 @@
         self._regions = regions or RegionMap()
         self._closeness = Closeness(clock)
         self._placement = placement or Placement(directory)
-        self._policy = policy
         self._is_connected = is_connected
         self._cold = cold
         self._directory = directory
@@ -148,7 +145,7 @@
         Only instances from which it takes longer are named.
         """
         distances = {info.id: self.distance(info) for info in fitting}
-        if not self._policy.near_first or len(set(distances.values())) < 2:
+        if len(set(distances.values())) < 2:
             return {}
         nearest = min(
             (
@@ -188,10 +185,8 @@
         """
         now = self._clock.now()
         use = self.use(instance)
-        if self._policy.own_paces and now - use.pace_at < PACE_LIFETIME_SECONDS:
+        if now - use.pace_at < PACE_LIFETIME_SECONDS:
             return use.pace
-        if not self._policy.told_paces:
-            return 0.0
         told = [
             (peer.at, peer.pace)
             for peer in self._peers.get(instance, {}).values()
@@ -318,8 +313,6 @@
 
     def avoid(self, instance: EngineId, seconds: float) -> None:
         """Makes an instance a last resort for a while."""
-        if not self._policy.avoid_failed:
-            return
         use = self.use(instance)
         use.avoid_until = max(use.avoid_until, self._clock.now() + seconds)
 
@@ -345,7 +338,7 @@
         """
         use = self.use(info.id)
         is_asked = use.is_refusing and self._clock.now() - use.asked_at < PROBE_SECONDS
-        if is_asked and self._policy.probe_refusing:
+        if is_asked:
             return False
         return self.occupied(info) < max(1, info.slots)
 
@@ -381,8 +374,7 @@
         return self._placement
 
     def _connection_factor(self, info: InstanceInfo) -> float:
-        is_new = self._policy.kept_connections_first and not self._is_connected(info)
-        return NEW_CONNECTION_FACTOR if is_new else 1.0
+        return 1.0 if self._is_connected(info) else NEW_CONNECTION_FACTOR
 
     def _expected_wait(self, info: InstanceInfo, pace: float, best_pace: float) -> float:
         ratio = min(pace / best_pace, MAX_PACE_RATIO) if pace and best_pace else 1.0
--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -23,7 +23,6 @@
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.placement.work import Work, WorkKind
-from larkpost.gateway.policy import DEFAULT_POLICY, Policy
 from larkpost.gateway.proxy.attempts import Attempts
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.forecast import Limits, Places, survey, unreachable
@@ -69,13 +68,11 @@
         log: EventLog,
         metrics: Metrics,
         shares: ShareChooser,
-        policy: Policy = DEFAULT_POLICY,
         usage: UsageCounter | None = None,
         priority_of: PriorityOf = lambda _, route: route.priority,
         crashes: KnownCrashes | None = None,
         trials: Trials | None = None,
     ) -> None:
-        self._policy = policy
         self._directory = directory
         self._balancer = balancer
         self._servers = servers
@@ -216,7 +213,7 @@
                     if attempts.ran_at or not await self._may_try(attempts, must_wait=True):
                         return attempts.last
                     continue
-                may_hedge = self._policy.hedged_tries and len(attempts.ran_at) < most
+                may_hedge = len(attempts.ran_at) < most
                 delay = self._hedge_delay(attempts) if may_hedge else None
                 done, running = await asyncio.wait(
                     running, timeout=delay, return_when=asyncio.FIRST_COMPLETED
--- a/src/larkpost/gateway/rollouts/context.py
+++ b/src/larkpost/gateway/rollouts/context.py
@@ -12,7 +12,6 @@
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.placement.cold import ColdRule
-from larkpost.gateway.policy import DEFAULT_POLICY, Policy
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.servers.port import ServerPort
@@ -41,6 +40,5 @@
     store_time: Callable[[], float | None]
     reward_places: asyncio.Semaphore
     division: EngineDivision
-    policy: Policy = DEFAULT_POLICY
     cold: ColdRule | None = None
     crashes: KnownCrashes = field(default_factory=KnownCrashes)
--- a/src/larkpost/gateway/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_choice.py
@@ -115,8 +115,6 @@
     def _nearest_like(self, best: InstanceInfo, candidates: list[InstanceInfo]) -> InstanceInfo:
         """Returns the nearest of the engines that are about as fast and loaded as the best one."""
         balancer = self._services.balancer
-        if not self._services.policy.near_first:
-            return best
         pace, occupied = balancer.pace(best.id), balancer.occupied(best)
         alike = [
             info
@@ -134,7 +132,7 @@
         If all of those are cold, as after the return of a zone, it need not wait for them.
         """
         is_new = self._services.clock.now() - self._began_at < OWN_ENGINES_SECONDS
-        if not is_new or not self._services.policy.own_engines_first:
+        if not is_new:
             return candidates
         own = self._services.division.engines_of(service, self._head.model)
         directory, balancer = self._services.directory, self._services.balancer
@@ -147,8 +145,6 @@
         self, service: ServiceName, candidates: list[InstanceInfo]
     ) -> list[InstanceInfo]:
         """Leaves out the engines that load or are about to, unless there are no others."""
-        if not self._services.policy.loading_last:
-            return candidates
         loading = self._services.division.loading(service)
         return [info for info in candidates if info.id not in loading] or candidates
 
@@ -180,8 +176,6 @@
 
         An engine whose weights are older than this one's is about to load and to refuse all work.
         """
-        if not self._services.policy.faster_engine_moves:
-            return False
         directory = self._services.directory
         version = directory.version_of(engine.id, self._head.model)
         pace = self._services.balancer.pace(engine.id)
--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -223,7 +223,7 @@
             may_move = progress.moves < MAX_MOVES and count % EVENTS_BETWEEN_LOOKS == 0
             if may_move and self._engines.is_outpaced(engine, progress):
                 raise MoveAwayError
-            if may_move and self._services.policy.long_runs_wish:
+            if may_move:
                 wish.look()
 
     def _request(self, item: Item, route: Route, progress: Progress) -> OutgoingRequest:
@@ -245,7 +245,7 @@
     def _priority(self, item: Item, route: Route, progress: Progress) -> int | None:
         """Returns the rank that an engine is told; None for none."""
         configuration = self._services.configuration.current
-        if configuration is None or not self._services.policy.long_items_urgent:
+        if configuration is None:
             return None
         priority = configuration.priority_of(self._head.tenant, route)
         return self._urgency.rank(item, progress, priority)
--- a/src/larkpost/gateway/rollouts/owned.py
+++ b/src/larkpost/gateway/rollouts/owned.py
@@ -17,6 +17,9 @@
 RETRY_SECONDS = 0.15
 FLUSH_SECONDS = 1.0
 """Longest time to append what waits when the batch is handed over."""
+PARTIAL_SECONDS = 0.4
+"""Between two times at which the output of running items is kept for another owner: less than the
+second that a step has to spare."""
 MIN_NEW_EVENTS = 4
 """An item's output is kept again once it has grown by this many events."""
 FAULT_PAUSE_SECONDS = 1.0
@@ -58,9 +61,7 @@
             fresh: whether the batch was accepted just now, so that nothing is listed yet.
         """
         self._tasks.append(asyncio.create_task(self._work(items, fresh)))
-        interval = self._services.policy.partial_seconds
-        if interval:
-            self._tasks.append(asyncio.create_task(self._keep_partials(interval)))
+        self._tasks.append(asyncio.create_task(self._keep_partials()))
 
     @property
     def running(self) -> int:
@@ -246,9 +247,9 @@
             except StoreUnavailableError:
                 await self._clock.sleep(RETRY_SECONDS)
 
-    async def _keep_partials(self, interval: float) -> None:
+    async def _keep_partials(self) -> None:
         while not self.complete:
-            await self._clock.sleep(interval)
+            await self._clock.sleep(PARTIAL_SECONDS)
             await self._keep(MIN_NEW_EVENTS)
 
     async def _keep(self, minimum: int) -> None:
--- a/src/larkpost/gateway/rollouts/place_queue.py
+++ b/src/larkpost/gateway/rollouts/place_queue.py
@@ -9,7 +9,6 @@
 
 import asyncio
 import bisect
-import itertools
 from dataclasses import dataclass
 
 from larkpost.common.clock import Clock
@@ -50,11 +49,7 @@
 class PlaceQueue:
     """Gives waiting items places at engines."""
 
-    def __init__(
-        self, engines: EngineChoice, balancer: Balancer, clock: Clock, *, longest_first: bool = True
-    ) -> None:
-        self._longest_first = longest_first
-        self._arrivals = itertools.count()
+    def __init__(self, engines: EngineChoice, balancer: Balancer, clock: Clock) -> None:
         self._engines = engines
         self._balancer = balancer
         self._clock = clock
@@ -92,7 +87,7 @@
     ) -> asyncio.Future[InstanceInfo]:
         """Asks for a place without waiting; see `take`. It must be used, or withdrawn from."""
         place: asyncio.Future[InstanceInfo] = asyncio.get_running_loop().create_future()
-        entry = _Waiting(progress.item, route, pace_limit, place, self._order(progress))
+        entry = _Waiting(progress.item, route, pace_limit, place, _order(progress))
         bisect.insort(self._waiting, entry, key=lambda waiting: waiting.order)
         if self._server is None or self._server.done():
             self._server = asyncio.create_task(self._serve())
@@ -105,12 +100,6 @@
             return
         self._waiting = [entry for entry in self._waiting if entry.place is not place]
 
-    def _order(self, progress: Progress) -> tuple[bool, float]:
-        """Returns an item's place in the queue: the lowest is served first."""
-        if not self._longest_first:
-            return True, next(self._arrivals)
-        return not progress.is_long, -progress.item.expected_work
-
     def cancel(self) -> None:
         """Stops serving."""
         if self._server is not None:
@@ -155,3 +144,8 @@
             given += 1
         self._waiting = left
         return given
+
+
+def _order(progress: Progress) -> tuple[bool, float]:
+    """Returns an item's place in the queue: the lowest is served first."""
+    return not progress.is_long, -progress.item.expected_work
--- a/src/larkpost/gateway/rollouts/reward.py
+++ b/src/larkpost/gateway/rollouts/reward.py
@@ -29,6 +29,8 @@
     OutgoingRequest,
 )
 
+CLIENT_SLOTS_SHARE = 1 / 3
+"""Share of a server's slots that reward calls leave to clients."""
 MAX_CALLS_IN_FLIGHT = 24
 """Reward calls of one daemon at servers, or about to be sent; the others wait their turn."""
 PLACE_PAUSE_SECONDS = 0.03
@@ -185,8 +187,7 @@
         return fresh[0] if fresh else None
 
     def _has_place(self, info: InstanceInfo) -> bool:
-        share = self._services.policy.client_slots_share
-        usable = max(1, int(info.slots * (1 - share)))
+        usable = max(1, int(info.slots * (1 - CLIENT_SLOTS_SHARE)))
         return self._services.balancer.occupied(info) < usable
 
     def _limit(self, server: InstanceInfo, tries: _Tries) -> float:
--- a/src/larkpost/gateway/rollouts/run.py
+++ b/src/larkpost/gateway/rollouts/run.py
@@ -59,24 +59,18 @@
         self._finished = finished
         self._engines = EngineChoice(head, services)
         self._scorer = RewardScorer(head, services)
-        longest_first = services.policy.longest_first
-        self._places = PlaceQueue(
-            self._engines, services.balancer, services.clock, longest_first=longest_first
-        )
+        self._places = PlaceQueue(self._engines, services.balancer, services.clock)
         self._stalls = StallWatcher(services.clock)
         self._runs = EngineRuns(head, items, self._engines, self._stalls, self._places, services)
         self._granted: dict[ItemId, InstanceInfo] = {}
         """Places that runs have taken for their items before they ended, by item."""
-        self._waiting = list(items)
-        if longest_first:
-            self._waiting.sort(key=lambda item: item.expected_work, reverse=True)
+        self._waiting = sorted(items, key=lambda item: item.expected_work, reverse=True)
         self._stall_task: asyncio.Task | None = None
         self._tasks: dict[ItemId, asyncio.Task] = {}
 
     def start(self) -> None:
         """Starts all items; each waits for its place at an engine, the longest first."""
-        if self._services.policy.stalled_moves:
-            self._stall_task = asyncio.create_task(self._move_stalled())
+        self._stall_task = asyncio.create_task(self._move_stalled())
         for item in self._waiting:
             task = asyncio.create_task(self._finish_item(item), name=item.id)
             self._tasks[item.id] = task
--- a/src/larkpost/gateway/rollouts/service.py
+++ b/src/larkpost/gateway/rollouts/service.py
@@ -17,6 +17,13 @@
 from larkpost.gateway.rollouts.view import BatchView, ViewCache
 from larkpost.gateway.store.port import StoreUnavailableError
 
+ACCEPT_SECONDS = 0.6
+"""For so long a batch is tried for while the store refuses it, before the trainer is sent to
+another daemon, which may reach the store."""
+HOLD_SECONDS = 0.5
+"""For so long a read that may wait holds results back for those that make a step whole: the last
+items of a step often end within half a second of each other, and a trainer that is answered asks
+again after as long."""
 END_PATIENCE_SECONDS = 2.0
 READ_POLL_SECONDS = 0.05
 """How often a held read looks for what another daemon appends: a step waits for the last one."""
@@ -119,8 +126,7 @@
             )
         began = self._clock.now()
         upload = secrets.token_hex(8)
-        patience = self._services.policy.accept_seconds
-        outcome = await self._repository.accept(spec, self._owner, upload, patience)
+        outcome = await self._repository.accept(spec, self._owner, upload, ACCEPT_SECONDS)
         if outcome is AcceptOutcome.REFUSED:
             self._services.metrics.count(Count.BATCH_CALLS, "submit", "refused")
             self._log.note(Event.BATCH_REFUSED, batch=spec.id, uncertain=False)
@@ -179,7 +185,7 @@
             now = self._clock.now()
             has_new = len(view.results) > position
             if has_new:
-                give_up_at = min(give_up_at, now + self._services.policy.hold_seconds)
+                give_up_at = min(give_up_at, now + HOLD_SECONDS)
             is_over = failed or not may_hold or give_up_at - now < LEAST_WAIT_SECONDS
             is_complete = len(view.results) >= view.head.total
             if is_complete or (has_new and (is_over or view.has_step())):
@@ -199,7 +205,7 @@
         head = view.head
         now = self._services.store_time()
         configuration = self._services.configuration.current
-        if not self._services.policy.hold_seconds or not head.group_size or not head.desired_groups:
+        if not head.group_size or not head.desired_groups:
             return False
         if now is None or configuration is None:
             return False
--- a/src/larkpost/gateway/scaling/controller.py
+++ b/src/larkpost/gateway/scaling/controller.py
@@ -1,4 +1,4 @@
-"""Plans the size of services, says so, and orders what the policy lets it order.
+"""Plans the size of services, says so, and orders what its mode lets it order.
 
 Each service and zone is a matter of its own: the coordinator that rendezvous hashing names for it
 orders under its lease. An order says how many servers there are to be, so one that is repeated or
@@ -7,7 +7,6 @@
 """
 
 from collections.abc import Callable
-from enum import StrEnum
 
 from larkpost.common.clock import Clock
 from larkpost.common.ids import ZoneId
@@ -21,7 +20,13 @@
 from larkpost.gateway.scaling.census import ServerCensus
 from larkpost.gateway.scaling.demand import DemandForecast
 from larkpost.gateway.scaling.planner import Plan, plan_servers
-from larkpost.gateway.scaling.port import ScalingOrder, ScalingOutcome, ScalingPort, ServerKind
+from larkpost.gateway.scaling.port import (
+    ScalingMode,
+    ScalingOrder,
+    ScalingOutcome,
+    ScalingPort,
+    ServerKind,
+)
 
 INTERVAL_SECONDS = 1.0
 LOST_SECONDS = 8.0
@@ -36,13 +41,6 @@
 """How long a zone that has no preemptible servers is not asked for them."""
 
 
-class ScalingMode(StrEnum):
-    """What a daemon does with a plan."""
-
-    ANNOUNCE = "announce"  # says what it would order
-    REPLACE = "replace"  # orders in place of servers that were lost
-
-
 class ScalingController:
     """Plans for all services that have terms; orders for those that are this daemon's."""
 
--- a/src/larkpost/gateway/scaling/port.py
+++ b/src/larkpost/gateway/scaling/port.py
@@ -9,6 +9,13 @@
 from larkpost.gateway.controllers.leases import Lease
 
 
+class ScalingMode(StrEnum):
+    """What a daemon does with a plan."""
+
+    ANNOUNCE = "announce"  # says what it would order
+    REPLACE = "replace"  # orders in place of servers that were lost
+
+
 class ServerKind(StrEnum):
     """On which terms a server runs."""
 
--- /dev/null
+++ b/tests/switched_off.py
@@ -0,0 +1,94 @@
+"""Mechanisms of a daemon switched off, each by one function or figure that is replaced.
+
+A test that shows what a mechanism changes plays the same scene with it and without it. Daemons have
+no such switches.
+"""
+
+import contextlib
+from unittest import mock
+
+from larkpost.gateway.controllers import members
+from larkpost.gateway.proxy import balancer
+from larkpost.gateway.proxy.forwarder import Forwarder
+from larkpost.gateway.rollouts import reward, service
+from larkpost.gateway.rollouts.engine_choice import EngineChoice
+from larkpost.gateway.rollouts.engine_run import EngineRuns, FasterPlace
+from larkpost.gateway.rollouts.owned import OwnedBatch
+from larkpost.gateway.rollouts.run import BatchRun
+from larkpost.gateway.rollouts.service import BatchService
+
+
+def hedged_attempts():
+    """No second server is tried beside a slow one."""
+    return mock.patch.object(Forwarder, "_hedge_delay", lambda *_: None)
+
+
+def moves_to_faster_engines():
+    """No run leaves its engine for a faster one that has a place."""
+    return mock.patch.object(EngineChoice, "is_outpaced", lambda *_: False)
+
+
+def moves_of_stalled_runs():
+    """No run that makes nothing leaves its engine."""
+    return mock.patch.object(BatchRun, "_move_stalled", _nothing)
+
+
+def requests_for_faster_places():
+    """No long run asks for the next free place at a faster engine."""
+    return mock.patch.object(FasterPlace, "look", lambda *_: None)
+
+
+def ranks_of_items():
+    """Engines are not told how urgent an item is."""
+    return mock.patch.object(EngineRuns, "_priority", lambda *_: None)
+
+
+def own_engines_first():
+    """A new batch takes any engine at once."""
+    return mock.patch.object(EngineChoice, "_allowed", lambda _, __, candidates: candidates)
+
+
+def held_reads():
+    """A read that may wait is answered with the first result."""
+    return mock.patch.object(BatchService, "_may_hold", lambda *_: False)
+
+
+def kept_partial_outputs():
+    """The output of running items is not kept for another owner."""
+    return mock.patch.object(OwnedBatch, "_keep_partials", _nothing)
+
+
+def kept_connections_first():
+    """A kept connection counts no more than a new one."""
+    return mock.patch.object(balancer, "NEW_CONNECTION_FACTOR", 1.0)
+
+
+def pauses_after_failures():
+    """An instance that failed gets the next request like any other."""
+    return mock.patch.object(balancer.Balancer, "avoid", lambda *_: None)
+
+
+def slots_left_to_clients():
+    """Reward calls may take all slots of a server."""
+    return mock.patch.object(reward, "CLIENT_SLOTS_SHARE", 0.0)
+
+
+def early_refusal_of_batches():
+    """A batch is tried for much longer while the store refuses it."""
+    return mock.patch.object(service, "ACCEPT_SECONDS", 3.0)
+
+
+def most_coordinators():
+    """Two daemons coordinate in place of a dozen."""
+    return mock.patch.object(members, "COORDINATORS", 2)
+
+
+@contextlib.contextmanager
+def all_moves():
+    """Runs stay at their engines, so that some last long."""
+    with moves_to_faster_engines(), moves_of_stalled_runs(), requests_for_faster_places():
+        yield
+
+
+async def _nothing(*_) -> None:
+    """Does nothing, in place of background work."""
