--- a/src/larkpost/common/ids.py
+++ b/src/larkpost/common/ids.py
@@ -3,6 +3,7 @@
 from typing import NewType
 
 DaemonId = NewType("DaemonId", str)
+InstanceId = NewType("InstanceId", str)
 EngineId = NewType("EngineId", str)
 ZoneId = NewType("ZoneId", str)
 RegionId = NewType("RegionId", str)
--- a/src/larkpost/gateway/blackboard/cold_instances.py
+++ b/src/larkpost/gateway/blackboard/cold_instances.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from larkpost.common.ids import EngineId, ZoneId
+from larkpost.common.ids import InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ConfigurationState
 from larkpost.gateway.blackboard.directory import Directory
 
@@ -32,9 +32,9 @@
     """
 
     def __init__(self) -> None:
-        self._until: dict[EngineId, float] = {}
+        self._until: dict[InstanceId, float] = {}
 
-    def note(self, instance: EngineId, left: float | None, now: float) -> None:
+    def note(self, instance: InstanceId, left: float | None, now: float) -> None:
         """Takes for how many seconds from now an instance stays cold; None tells nothing."""
         if left:
             self._until[instance] = max(now + left, self._until.get(instance, now))
@@ -48,15 +48,15 @@
             if info.zone == zone and service is not None:
                 self.note(info.id, service.cold_start, now)
 
-    def is_cold(self, instance: EngineId, now: float) -> bool:
+    def is_cold(self, instance: InstanceId, now: float) -> bool:
         """Tells whether an instance is cold."""
         return now < self._until.get(instance, now)
 
-    def left(self, instance: EngineId, now: float) -> float:
+    def left(self, instance: InstanceId, now: float) -> float:
         """Returns the seconds for which an instance stays cold, as far as is known."""
         return max(0.0, self._until.get(instance, now) - now)
 
-    def current(self, now: float) -> frozenset[EngineId]:
+    def current(self, now: float) -> frozenset[InstanceId]:
         """Returns the instances that are cold, and forgets those that no longer are."""
         self._until = {name: until for name, until in self._until.items() if now < until}
         return frozenset(self._until)
--- a/src/larkpost/gateway/blackboard/directory.py
+++ b/src/larkpost/gateway/blackboard/directory.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field, replace
 from enum import StrEnum
 
-from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
 
 
@@ -32,7 +32,7 @@
         cold_left: seconds, from the entry's writing, for which it stays cold; None if not told.
     """
 
-    id: EngineId
+    id: InstanceId
     service: ServiceName
     address: Address
     zone: ZoneId
@@ -54,14 +54,14 @@
     """
 
     def __init__(self) -> None:
-        self._instances: dict[EngineId, InstanceInfo] = {}
-        self._observed: dict[tuple[EngineId, ModelName], int] = {}
-        self._buried: set[EngineId] = set()
+        self._instances: dict[InstanceId, InstanceInfo] = {}
+        self._observed: dict[tuple[InstanceId, ModelName], int] = {}
+        self._buried: set[InstanceId] = set()
 
     def __len__(self) -> int:
         return len(self._instances)
 
-    def get(self, instance: EngineId) -> InstanceInfo | None:
+    def get(self, instance: InstanceId) -> InstanceInfo | None:
         """Returns an instance, or None if it is unknown."""
         return self._instances.get(instance)
 
@@ -74,7 +74,7 @@
             info = replace(info, state=InstanceState.LEAVING)
         self._instances[info.id] = info
 
-    def remove(self, instance: EngineId, *, sound: bool) -> None:
+    def remove(self, instance: InstanceId, *, sound: bool) -> None:
         """Takes the news that an entry is gone.
 
         Args:
@@ -89,18 +89,18 @@
         else:
             self._instances[instance] = replace(known, state=InstanceState.UNLISTED)
 
-    def observe_version(self, instance: EngineId, model: ModelName, version: int) -> None:
+    def observe_version(self, instance: InstanceId, model: ModelName, version: int) -> None:
         """Takes a weight version that an instance itself has told; it may be ahead of its entry."""
         key = (instance, model)
         self._observed[key] = max(version, self._observed.get(key, 0))
 
-    def version_of(self, instance: EngineId, model: ModelName) -> int:
+    def version_of(self, instance: InstanceId, model: ModelName) -> int:
         """Returns the newest weight version known of a model at an instance; 0 if none is."""
         info = self._instances.get(instance)
         listed = info.versions.get(model, 0) if info is not None else 0
         return max(listed, self._observed.get((instance, model), 0))
 
-    def bury(self, instance: EngineId) -> None:
+    def bury(self, instance: InstanceId) -> None:
         """Drops an instance for good: another one has answered at its address.
 
         Its entry may stand for a while; each start has an id of its own, so it never comes back.
@@ -108,7 +108,7 @@
         self.forget(instance)
         self._buried.add(instance)
 
-    def forget(self, instance: EngineId) -> None:
+    def forget(self, instance: InstanceId) -> None:
         """Drops an instance."""
         self._instances.pop(instance, None)
         for key in [key for key in self._observed if key[0] == instance]:
@@ -122,7 +122,7 @@
             if info.service == service and info.state is not InstanceState.LEAVING
         ]
 
-    def drop_unlisted(self) -> list[EngineId]:
+    def drop_unlisted(self) -> list[InstanceId]:
         """Drops the instances whose entries are not back, and returns them."""
         lapsed = [
             name for name, info in self._instances.items() if info.state is InstanceState.UNLISTED
@@ -131,7 +131,7 @@
             self.forget(name)
         return lapsed
 
-    def takes_work(self, instance: EngineId) -> bool:
+    def takes_work(self, instance: InstanceId) -> bool:
         """Tells whether an instance may be given new work at this moment."""
         info = self._instances.get(instance)
         return info is not None and info.state is not InstanceState.LEAVING
--- a/src/larkpost/gateway/blackboard/known_crashes.py
+++ b/src/larkpost/gateway/blackboard/known_crashes.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from larkpost.common.ids import EngineId
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.quarantine.content import ContentDigest, Request, digest_request
 
 CLIENT_CRASH_LIMIT = 3
@@ -34,7 +34,7 @@
     """
 
     content: ContentDigest
-    instance: EngineId
+    instance: InstanceId
     at: float
 
 
@@ -42,7 +42,7 @@
     """The crashes that this daemon knows of, its own and those of the others, by content."""
 
     def __init__(self) -> None:
-        self._crashes: dict[ContentDigest, dict[EngineId, Crash]] = {}
+        self._crashes: dict[ContentDigest, dict[InstanceId, Crash]] = {}
         self._suspects: set[ContentDigest] = set()
 
     def __len__(self) -> int:
@@ -57,7 +57,7 @@
             self._suspects.add(crash.content)
         return is_new
 
-    def remove(self, content: ContentDigest, instance: EngineId) -> bool:
+    def remove(self, content: ContentDigest, instance: InstanceId) -> bool:
         """Forgets one crash, and tells whether it was known."""
         crashes = self._crashes.get(content, {})
         was_known = crashes.pop(instance, None) is not None
--- a/src/larkpost/gateway/controllers/division.py
+++ b/src/larkpost/gateway/controllers/division.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from larkpost.common.clock import Clock
-from larkpost.common.ids import EngineId
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.board import Beliefs
 from larkpost.gateway.blackboard.configuration import ModelName, Service, ServiceName
 from larkpost.gateway.blackboard.directory import InstanceState
@@ -26,8 +26,8 @@
     """
 
     made_at: float
-    own: dict[ModelName, frozenset[EngineId]]
-    loading: frozenset[EngineId]
+    own: dict[ModelName, frozenset[InstanceId]]
+    loading: frozenset[InstanceId]
 
 
 class EngineDivision:
@@ -51,14 +51,14 @@
         self._demands = demands
         self._known: dict[ServiceName, Division] = {}
 
-    def engines_of(self, service: ServiceName, model: ModelName) -> frozenset[EngineId]:
+    def engines_of(self, service: ServiceName, model: ModelName) -> frozenset[InstanceId]:
         """Returns a model's own engines; none if the service does not hold the model.
 
         None of them is in an evacuated zone: a batch would wait for engines that get nothing.
         """
         return self._division(service).own.get(model, frozenset())
 
-    def loading(self, service: ServiceName) -> frozenset[EngineId]:
+    def loading(self, service: ServiceName) -> frozenset[InstanceId]:
         """Returns the engines that refuse work now, or will in a moment, as they load."""
         return self._division(service).loading
 
@@ -78,7 +78,7 @@
         loading = frozenset(engine for engine, _ in self._plan.due(service, now))
         return Division(now, self._own(service), loading)
 
-    def _own(self, service: Service) -> dict[ModelName, frozenset[EngineId]]:
+    def _own(self, service: Service) -> dict[ModelName, frozenset[InstanceId]]:
         directory = self._beliefs.directory
         ready = [
             info for info in directory.of_service(service.name) if info.state is InstanceState.READY
--- a/src/larkpost/gateway/controllers/heartbeat.py
+++ b/src/larkpost/gateway/controllers/heartbeat.py
@@ -5,11 +5,11 @@
 
 import orjson
 
-from larkpost.common.ids import Address, DaemonId, EngineId, ZoneId
+from larkpost.common.ids import Address, DaemonId, InstanceId, ZoneId
 
 LIFE_SEPARATOR = "/"
 
-UseSummary = dict[EngineId, tuple[int, float]]
+UseSummary = dict[InstanceId, tuple[int, float]]
 """For each instance in use: requests there, and seconds a unit of work takes (0: unknown)."""
 
 
--- a/src/larkpost/gateway/controllers/load_plan.py
+++ b/src/larkpost/gateway/controllers/load_plan.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from larkpost.common.ids import EngineId
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.board import Beliefs
 from larkpost.gateway.blackboard.configuration import Service
 from larkpost.gateway.controllers.weights import Demands, WeightTarget, due_loads
@@ -19,7 +19,7 @@
         self._beliefs = beliefs
         self._demands = demands
 
-    def due(self, service: Service, now: float) -> list[tuple[EngineId, WeightTarget]]:
+    def due(self, service: Service, now: float) -> list[tuple[InstanceId, WeightTarget]]:
         """Returns the engines of a service that should be loading now, and what."""
         return due_loads(
             service,
--- a/src/larkpost/gateway/controllers/loader.py
+++ b/src/larkpost/gateway/controllers/loader.py
@@ -6,7 +6,7 @@
 """
 
 from larkpost.common.clock import Clock
-from larkpost.common.ids import EngineId
+from larkpost.common.ids import InstanceId
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.blackboard.board import Beliefs
 from larkpost.gateway.blackboard.configuration import RouteKind, Service
@@ -58,8 +58,8 @@
         self._log = log
         self._metrics = metrics
         self._tasks: TaskSet | None = None
-        self._next_try: dict[EngineId, float] = {}
-        self._under_way: set[EngineId] = set()
+        self._next_try: dict[InstanceId, float] = {}
+        self._under_way: set[InstanceId] = set()
 
     def start(self, tasks: TaskSet) -> None:
         """Starts reconciling."""
@@ -82,14 +82,14 @@
                     self._under_way.add(engine)
                     self._tasks.spawn(self._order(service, engine, target), "order")
 
-    def _should_order(self, engine: EngineId) -> bool:
+    def _should_order(self, engine: InstanceId) -> bool:
         if engine in self._under_way:
             return False
         if self._clock.now() < self._next_try.get(engine, 0.0):
             return False
         return self._membership.first_choice(f"engine\x00{engine}") == self._membership.own
 
-    async def _order(self, service: Service, engine: EngineId, target: WeightTarget) -> None:
+    async def _order(self, service: Service, engine: InstanceId, target: WeightTarget) -> None:
         pause = RETRY_SECONDS
         try:
             info = self._directory.get(engine)
--- a/src/larkpost/gateway/controllers/row_intake.py
+++ b/src/larkpost/gateway/controllers/row_intake.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from larkpost.common.clock import Clock
-from larkpost.common.ids import EngineId
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.board import Beliefs
 from larkpost.gateway.blackboard.configuration import Configuration
 from larkpost.gateway.blackboard.directory import InstanceInfo
@@ -110,7 +110,7 @@
 
     def take_instance_row(self, row: Row) -> None:
         """Takes an instance's entry, or the news that it is gone."""
-        instance = EngineId(row.key.key)
+        instance = InstanceId(row.key.key)
         if row.removed:
             sound = self._store_sound_for() >= self._trust_after()
             self._directory.remove(instance, sound=sound)
--- a/src/larkpost/gateway/controllers/weights.py
+++ b/src/larkpost/gateway/controllers/weights.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from larkpost.common.hashing import hash64
-from larkpost.common.ids import EngineId, ZoneId
+from larkpost.common.ids import InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ModelName, Service
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
 
@@ -79,7 +79,7 @@
     engines: list[InstanceInfo],
     directory: Directory,
     demands: Demands,
-) -> dict[ModelName, list[EngineId]]:
+) -> dict[ModelName, list[InstanceId]]:
     """Divides the engines of a service among its models by the work their batches bring.
 
     The model with the most work for each of its engines chooses next. A choice falls on the engine
@@ -89,7 +89,7 @@
     Returns:
         For each model its engines, in the order in which they load new versions.
     """
-    chosen: dict[ModelName, list[EngineId]] = {model: [] for model in service.models}
+    chosen: dict[ModelName, list[InstanceId]] = {model: [] for model in service.models}
     burden = dict.fromkeys((engine.id for engine in engines), 0)
     enough = min(MIN_ENGINES_PER_MODEL, len(engines))
     works = {model: demands.get(model, ModelDemand()).work for model in chosen}
@@ -123,7 +123,7 @@
     demands: Demands,
     now: float,
     evacuated: frozenset[ZoneId] = frozenset(),
-) -> list[tuple[EngineId, WeightTarget]]:
+) -> list[tuple[InstanceId, WeightTarget]]:
     """Returns the loads that should be under way now.
 
     An engine two versions behind loads at once: it is of no use to the next step. The others load
@@ -137,7 +137,7 @@
     ]
     if not _is_any_behind(service, engines, directory, targets):
         return []
-    due: list[tuple[EngineId, WeightTarget]] = []
+    due: list[tuple[InstanceId, WeightTarget]] = []
     serving, resting = split_evacuated(engines, evacuated)
     assigned = assign_models(service, serving, directory, demands)
     assigned_resting = assign_models(service, resting, directory, demands)
@@ -165,11 +165,11 @@
 
 
 def _serving_loads(
-    engine_ids: list[EngineId],
-    versions: dict[EngineId, int],
+    engine_ids: list[InstanceId],
+    versions: dict[InstanceId, int],
     target: int,
     elapsed: float,
-) -> list[EngineId]:
+) -> list[InstanceId]:
     """Returns the engines that get work and load a version now."""
     late = [name for name in engine_ids if versions[name] < target - 1]
     if elapsed < 0:
@@ -180,11 +180,11 @@
 
 
 def _resting_loads(
-    engine_ids: list[EngineId],
-    versions: dict[EngineId, int],
+    engine_ids: list[InstanceId],
+    versions: dict[InstanceId, int],
     target: int,
     elapsed: float,
-) -> list[EngineId]:
+) -> list[InstanceId]:
     """Returns the engines of evacuated zones that load a version now, in groups all the same.
 
     Many loads at once slow each other down, also those of engines that serve.
@@ -208,13 +208,13 @@
     )
 
 
-def _cut(engine_ids: list[EngineId], count: int) -> list[list[EngineId]]:
+def _cut(engine_ids: list[InstanceId], count: int) -> list[list[InstanceId]]:
     """Cuts engines into at most ``count`` groups of about the same size."""
     size = math.ceil(len(engine_ids) / count) or 1
     return [engine_ids[start : start + size] for start in range(0, len(engine_ids), size)]
 
 
-def _group_on_turn(behind: list[list[EngineId]], elapsed: float) -> list[EngineId]:
+def _group_on_turn(behind: list[list[InstanceId]], elapsed: float) -> list[InstanceId]:
     """Returns the engines of the group that loads now.
 
     The groups take turns by time, so that one which can't load holds the others up for its turn
--- a/src/larkpost/gateway/placement/cold.py
+++ b/src/larkpost/gateway/placement/cold.py
@@ -8,7 +8,7 @@
 from collections import deque
 
 from larkpost.common.clock import Clock
-from larkpost.common.ids import EngineId
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.board import Beliefs
 from larkpost.gateway.blackboard.cold_instances import ColdTerms
 from larkpost.gateway.blackboard.configuration import Service
@@ -81,11 +81,11 @@
         self._clock = clock
         self._log = log
         self._senders = senders
-        self._sent: dict[tuple[EngineId, bool], SlidingCount] = {}
-        self._promised: dict[EngineId, SlidingCount] = {}
-        self._noted: frozenset[EngineId] = frozenset()
+        self._sent: dict[tuple[InstanceId, bool], SlidingCount] = {}
+        self._promised: dict[InstanceId, SlidingCount] = {}
+        self._noted: frozenset[InstanceId] = frozenset()
         self._view: SenderView | None = None
-        self._limits: dict[tuple[EngineId, bool, bool, float], int] = {}
+        self._limits: dict[tuple[InstanceId, bool, bool, float], int] = {}
         """What was worked out by the view, as it is asked for again and again."""
 
     def judge(self, instance: InstanceInfo, work: Work) -> Verdict:
@@ -128,7 +128,7 @@
             promised = self._promised.setdefault(instance.id, SlidingCount(PROMISE_SECONDS))
             promised.add(self._clock.now())
 
-    def note(self, instance: EngineId, left: float | None) -> None:
+    def note(self, instance: InstanceId, left: float | None) -> None:
         """Takes for how many seconds an instance says that it stays cold; None tells nothing."""
         self._beliefs.cold.note(instance, left, self._clock.now())
 
@@ -161,7 +161,7 @@
         self._sent = {key: sent for key, sent in self._sent.items() if sent.count(now)}
         self._promised = {name: given for name, given in self._promised.items() if given.count(now)}
 
-    def _cold_now(self) -> frozenset[EngineId]:
+    def _cold_now(self) -> frozenset[InstanceId]:
         current = self._beliefs.cold.current(self._clock.now())
         infos = (self._beliefs.directory.get(name) for name in current)
         return frozenset(
@@ -194,7 +194,7 @@
             self._limits[key] = _work_out(view, bool(service.models), *key)
         return self._limits[key]
 
-    def _count_of(self, instance: EngineId, work: Work) -> SlidingCount:
+    def _count_of(self, instance: InstanceId, work: Work) -> SlidingCount:
         """Returns the count of one kind of sends; each kind has its part of the bound."""
         key = (instance, work.kind in OWNER_WORK)
         return self._sent.setdefault(key, SlidingCount(WINDOW_SECONDS))
@@ -203,7 +203,7 @@
 def _work_out(
     view: SenderView,
     is_engine: bool,
-    instance: EngineId,
+    instance: InstanceId,
     is_owner_work: bool,
     is_cold: bool,
     bound: float,
--- a/src/larkpost/gateway/placement/cold_share.py
+++ b/src/larkpost/gateway/placement/cold_share.py
@@ -12,7 +12,7 @@
 from itertools import islice
 
 from larkpost.common.hashing import hash64
-from larkpost.common.ids import DaemonId, EngineId
+from larkpost.common.ids import DaemonId, InstanceId
 
 MAIN_PART = 0.8
 """Part of the bound that is the owners' at engines, and the clients' at other instances."""
@@ -52,7 +52,7 @@
     is_blind: bool = True
 
 
-def owner_sends(bound: float, view: SenderView, instance: EngineId, *, is_engine: bool) -> int:
+def owner_sends(bound: float, view: SenderView, instance: InstanceId, *, is_engine: bool) -> int:
     """Returns how many runs of items and reward calls this daemon may send."""
     part = bound * (MAIN_PART if is_engine else 1 - MAIN_PART)
     share = _even_share(part, view)
@@ -70,7 +70,7 @@
     return max(LEAST_SENDS, _even_share(part, view))
 
 
-def client_sends(bound: float, view: SenderView, instance: EngineId, *, is_engine: bool) -> int:
+def client_sends(bound: float, view: SenderView, instance: InstanceId, *, is_engine: bool) -> int:
     """Returns how many clients' requests this daemon may send."""
     part = bound * (1 - MAIN_PART if is_engine else MAIN_PART)
     named = _is_named(view.members, view.own, instance, _count_named(part))
@@ -87,7 +87,9 @@
     return max(int(part / (DISAGREEMENT_FACTOR * LEAST_SENDS)), int(part >= 1))
 
 
-def _is_named(daemons: Collection[DaemonId], own: DaemonId, instance: EngineId, count: int) -> bool:
+def _is_named(
+    daemons: Collection[DaemonId], own: DaemonId, instance: InstanceId, count: int
+) -> bool:
     """Tells whether rendezvous hashing names this daemon among the first for an instance.
 
     As soon as enough others come before it the rest is not asked: a whole zone's instances are
@@ -100,5 +102,5 @@
     return next(islice(before, count - 1, None), None) is None
 
 
-def _weight(daemon: DaemonId, instance: EngineId) -> int:
+def _weight(daemon: DaemonId, instance: InstanceId) -> int:
     return hash64(f"cold\x00{daemon}\x00{instance}")
--- a/src/larkpost/gateway/placement/rules.py
+++ b/src/larkpost/gateway/placement/rules.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from larkpost.common.ids import EngineId
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
 from larkpost.gateway.observability.metrics import Count, Metrics
 from larkpost.gateway.placement.verdict import Verdict
@@ -106,7 +106,7 @@
         """Tells whether work may go to an instance now."""
         return self.judge(instance, work).is_allowed
 
-    def admit(self, instance: EngineId, work: Work) -> float | None:
+    def admit(self, instance: InstanceId, work: Work) -> float | None:
         """Asks once more right before a send, by what is known of the instance now.
 
         Returns:
@@ -123,7 +123,7 @@
             self._metrics.count(Count.NOT_PLACED, work.kind, verdict)
         raise NotRunError(NOT_RUN_REASONS[verdict])
 
-    def _admit(self, instance: EngineId, work: Work) -> Verdict:
+    def _admit(self, instance: InstanceId, work: Work) -> Verdict:
         info = self._directory.get(instance)
         if info is None:
             return Verdict.UNKNOWN
--- a/src/larkpost/gateway/proxy/attempts.py
+++ b/src/larkpost/gateway/proxy/attempts.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from larkpost.common.ids import EngineId
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import Route
 from larkpost.gateway.proxy.forecast import Forecast
 from larkpost.gateway.proxy.request import ClientRequest, WholeAnswer
@@ -31,8 +31,8 @@
     waiter: Waiter
     first_forecast: Forecast
     forecast: Forecast
-    ran_at: set[EngineId] = field(default_factory=set)
-    refused_by: set[EngineId] = field(default_factory=set)
+    ran_at: set[InstanceId] = field(default_factory=set)
+    refused_by: set[InstanceId] = field(default_factory=set)
     reasons: set[NotRunReason] = field(default_factory=set)
     last: WholeAnswer | None = None
     is_quarantined: bool = False
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -6,7 +6,7 @@
 from contextlib import contextmanager
 
 from larkpost.common.clock import Clock
-from larkpost.common.ids import DaemonId, EngineId, ZoneId
+from larkpost.common.ids import DaemonId, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ServiceName
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
 from larkpost.gateway.blackboard.regions import Distance, RegionMap
@@ -79,13 +79,13 @@
         self._directory = directory
         self._clock = clock
         self._chance = chance
-        self._uses: dict[EngineId, InstanceUse] = {}
-        self._peers: dict[EngineId, dict[DaemonId, PeerUse]] = {}
+        self._uses: dict[InstanceId, InstanceUse] = {}
+        self._peers: dict[InstanceId, dict[DaemonId, PeerUse]] = {}
         """For each instance, only the daemons that use it: most daemons use few."""
         self._tidy_at = float("-inf")
-        self._release_listeners: list[Callable[[EngineId], None]] = []
+        self._release_listeners: list[Callable[[InstanceId], None]] = []
 
-    def use(self, instance: EngineId) -> InstanceUse:
+    def use(self, instance: InstanceId) -> InstanceUse:
         """Returns the record of an instance."""
         use = self._uses.get(instance)
         if use is None:
@@ -97,7 +97,7 @@
         service: ServiceName,
         work: Work = CLIENT_WORK,
         *,
-        exclude: Collection[EngineId] = (),
+        exclude: Collection[InstanceId] = (),
         eligible: Callable[[InstanceInfo], bool] | None = None,
         for_client: bool = False,
     ) -> list[InstanceInfo]:
@@ -139,7 +139,7 @@
 
     def _way_factors(
         self, service: ServiceName, fitting: list[InstanceInfo]
-    ) -> dict[EngineId, float]:
+    ) -> dict[InstanceId, float]:
         """Returns by how much longer an answer takes than from the nearest that has a place.
 
         Only instances from which it takes longer are named.
@@ -161,7 +161,7 @@
             if distance > nearest
         }
 
-    def _pace_here(self, instance: EngineId, way: float) -> float:
+    def _pace_here(self, instance: InstanceId, way: float) -> float:
         """Returns an instance's pace, without the longer way if this daemon measured it in."""
         is_answer = self._clock.now() - self.use(instance).answered_at < PACE_LIFETIME_SECONDS
         return self.pace(instance) / (way if is_answer else 1.0)
@@ -178,7 +178,7 @@
             if now - peer.at < PEER_LIFETIME_SECONDS
         )
 
-    def pace(self, instance: EngineId) -> float:
+    def pace(self, instance: InstanceId) -> float:
         """Returns the seconds a unit of work takes at an instance; 0 if not known lately.
 
         This daemon's own measurement counts before what the others told.
@@ -240,7 +240,7 @@
                 del self._peers[instance]
 
     @contextmanager
-    def placed(self, instance: EngineId) -> Iterator[None]:
+    def placed(self, instance: InstanceId) -> Iterator[None]:
         """Counts a request while it is at an instance; if it did not run, no place came free."""
         self.occupy(instance)
         try:
@@ -253,7 +253,7 @@
             raise
         self.release(instance)
 
-    def occupy(self, instance: EngineId) -> None:
+    def occupy(self, instance: InstanceId) -> None:
         """Counts a request at an instance until `release` is called for it."""
         self._tidy(self._clock.now())
         use = self.use(instance)
@@ -263,17 +263,17 @@
         info = self._directory.get(instance)
         use.zone = info.zone if info is not None else use.zone
 
-    def release(self, instance: EngineId) -> None:
+    def release(self, instance: InstanceId) -> None:
         """Ends the count of a request at an instance."""
         self.use(instance).outstanding -= 1
         for listener in self._release_listeners:
             listener(instance)
 
-    def when_released(self, listener: Callable[[EngineId], None]) -> None:
+    def when_released(self, listener: Callable[[InstanceId], None]) -> None:
         """Has a listener told of each request of this daemon that ends at an instance."""
         self._release_listeners.append(listener)
 
-    def note_load(self, instance: EngineId, load: ServerLoad | None) -> None:
+    def note_load(self, instance: InstanceId, load: ServerLoad | None) -> None:
         """Takes that an instance answers a request, and what it told of its load meanwhile."""
         self.use(instance).is_refusing = False
         if load is None:
@@ -282,7 +282,7 @@
         use.others = max(0, load.running + load.waiting - use.outstanding)
         use.load_at = self._clock.now()
 
-    def note_cold(self, instance: EngineId, left: float | None) -> None:
+    def note_cold(self, instance: InstanceId, left: float | None) -> None:
         """Takes for how many seconds an instance says that it stays cold; None: it says nothing."""
         if self._cold is not None:
             self._cold.note(instance, left)
@@ -291,7 +291,7 @@
         """Tells whether an instance is cold and gets few requests."""
         return self._cold is not None and self._cold.is_cold(info)
 
-    def note_pace(self, instance: EngineId, seconds: float, weight: float = PACE_WEIGHT) -> None:
+    def note_pace(self, instance: InstanceId, seconds: float, weight: float = PACE_WEIGHT) -> None:
         """Takes a measurement of the time that a unit of work took at an instance.
 
         Args:
@@ -311,12 +311,12 @@
         self.use(info.id).answered_at = self._clock.now()
         self._closeness.note(info.service, self.distance(info), seconds)
 
-    def avoid(self, instance: EngineId, seconds: float) -> None:
+    def avoid(self, instance: InstanceId, seconds: float) -> None:
         """Makes an instance a last resort for a while."""
         use = self.use(instance)
         use.avoid_until = max(use.avoid_until, self._clock.now() + seconds)
 
-    def note_not_run(self, instance: EngineId, reason: NotRunReason, full_seconds: float) -> None:
+    def note_not_run(self, instance: InstanceId, reason: NotRunReason, full_seconds: float) -> None:
         """Takes that an instance certainly did not run a request.
 
         Args:
@@ -342,7 +342,7 @@
             return False
         return self.occupied(info) < max(1, info.slots)
 
-    def is_avoided(self, instance: EngineId) -> bool:
+    def is_avoided(self, instance: InstanceId) -> bool:
         """Tells whether an instance is only a last resort at the moment."""
         return self._clock.now() < self.use(instance).avoid_until
 
--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -15,7 +15,7 @@
 from dataclasses import replace
 
 from larkpost.common.clock import Clock
-from larkpost.common.ids import EngineId
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import Route, RouteKind, ServiceName
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
 from larkpost.gateway.blackboard.known_crashes import CLIENT_CRASH_LIMIT, KnownCrashes
@@ -337,7 +337,7 @@
     def _survey(self, service: ServiceName, work: Work) -> Places:
         return survey(self._directory, self._balancer, service, work)
 
-    def _note_released(self, instance: EngineId) -> None:
+    def _note_released(self, instance: InstanceId) -> None:
         info = self._directory.get(instance)
         if info is not None:
             self._lines.note_end(info.service)
--- a/src/larkpost/gateway/quarantine/apart.py
+++ b/src/larkpost/gateway/quarantine/apart.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from larkpost.common.ids import EngineId
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.placement.rules import PlainRule
 from larkpost.gateway.placement.verdict import Verdict
@@ -22,7 +22,7 @@
     """A suspect request goes to no server at which this daemon has another one."""
 
     def __init__(self) -> None:
-        self._running: Counter[EngineId] = Counter()
+        self._running: Counter[InstanceId] = Counter()
 
     def judge(self, instance: InstanceInfo, work: Work) -> Verdict:
         """Tells whether the work is no suspect, or none runs at the instance."""
@@ -31,7 +31,7 @@
         return Verdict.ALLOWED
 
     @contextmanager
-    def running(self, instance: EngineId) -> Iterator[None]:
+    def running(self, instance: InstanceId) -> Iterator[None]:
         """Takes that a suspect runs at an instance, until the context is left."""
         self._running[instance] += 1
         try:
--- a/src/larkpost/gateway/quarantine/recorder.py
+++ b/src/larkpost/gateway/quarantine/recorder.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable
 
 from larkpost.common.clock import Clock
-from larkpost.common.ids import EngineId
+from larkpost.common.ids import InstanceId
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.blackboard.known_crashes import (
     CLIENT_CRASH_LIMIT,
@@ -49,7 +49,7 @@
         self._log = log
         self._metrics = metrics
         self._may_forget = may_forget
-        self._unsaved: dict[tuple[ContentDigest, EngineId], Crash | None] = {}
+        self._unsaved: dict[tuple[ContentDigest, InstanceId], Crash | None] = {}
         """Changes that the store does not have yet; None for a removal."""
         self._wake = asyncio.Event()
 
@@ -70,7 +70,9 @@
         else:
             self._add(crash)
 
-    def crashed(self, instance: EngineId, contents: Iterable[ContentDigest], evidence: str) -> None:
+    def crashed(
+        self, instance: InstanceId, contents: Iterable[ContentDigest], evidence: str
+    ) -> None:
         """Takes that a server has crashed under requests of this daemon.
 
         Args:
@@ -117,12 +119,12 @@
             self._log.note(Event.QUARANTINE, content=crash.content, state="begun", crashes=count)
         return is_new
 
-    def _remove(self, content: ContentDigest, instance: EngineId) -> None:
+    def _remove(self, content: ContentDigest, instance: InstanceId) -> None:
         count = self._crashes.count(content)
         if self._crashes.remove(content, instance) and count == CLIENT_CRASH_LIMIT:
             self._log.note(Event.QUARANTINE, content=content, state="ended", crashes=count - 1)
 
-    def _keep(self, content: ContentDigest, instance: EngineId, crash: Crash | None) -> None:
+    def _keep(self, content: ContentDigest, instance: InstanceId, crash: Crash | None) -> None:
         """Has a change saved; the newest one for a row replaces those before it."""
         self._unsaved.pop((content, instance), None)
         self._unsaved[content, instance] = crash
--- a/src/larkpost/gateway/quarantine/repository.py
+++ b/src/larkpost/gateway/quarantine/repository.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from larkpost.common.ids import EngineId
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.known_crashes import Crash
 from larkpost.gateway.quarantine.content import ContentDigest
 from larkpost.gateway.rollouts.repository import HEAD_TABLE
@@ -32,7 +32,7 @@
     if not slash:
         raise ValueError("the key names no instance")
     at = 0.0 if row.removed else float(orjson.loads(row.value)["at"])
-    return Crash(ContentDigest(content), EngineId(instance), at)
+    return Crash(ContentDigest(content), InstanceId(instance), at)
 
 
 class CrashRepository:
--- a/src/larkpost/gateway/quarantine/trials.py
+++ b/src/larkpost/gateway/quarantine/trials.py
@@ -8,7 +8,7 @@
 """
 
 from larkpost.common.clock import Clock
-from larkpost.common.ids import EngineId
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.known_crashes import Crash, KnownCrashes
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.quarantine.content import ContentDigest, Request
@@ -47,7 +47,7 @@
         is_early = now - max(crash.at for crash in known) < TRIAL_PAUSES_SECONDS[used]
         if is_early or not self._may_claim(content):
             return False
-        trial = Crash(content, EngineId(f"{TRIAL_PREFIX}{used + 1}"), now)
+        trial = Crash(content, InstanceId(f"{TRIAL_PREFIX}{used + 1}"), now)
         if not await self._repository.claim(trial):
             return False
         self._crashes.add(trial)
--- a/src/larkpost/gateway/quarantine/watch.py
+++ b/src/larkpost/gateway/quarantine/watch.py
@@ -12,7 +12,7 @@
 from enum import StrEnum
 
 from larkpost.common.clock import Clock
-from larkpost.common.ids import Address, EngineId
+from larkpost.common.ids import Address, InstanceId
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
 from larkpost.gateway.quarantine.content import ContentDigest
@@ -25,7 +25,7 @@
 """After this long a server that is still listed has not crashed: an entry goes after three missed
 heartbeats of 1.2 s, and news of that take up to two seconds when the store has just come back."""
 
-CrashListener = Callable[[EngineId, Iterable[ContentDigest], str], None]
+CrashListener = Callable[[InstanceId, Iterable[ContentDigest], str], None]
 
 
 class Evidence(StrEnum):
@@ -50,7 +50,7 @@
 
     info: InstanceInfo
     since: float
-    neighbours: frozenset[EngineId]
+    neighbours: frozenset[InstanceId]
     contents: set[ContentDigest] = field(default_factory=set)
     crashed: Evidence | None = None
     is_fresh: asyncio.Event = field(default_factory=asyncio.Event)
@@ -77,7 +77,7 @@
         self._clock = clock
         self._tasks = tasks
         self._listener = listener
-        self._suspicions: dict[EngineId, _Suspicion] = {}
+        self._suspicions: dict[InstanceId, _Suspicion] = {}
 
     def note_lost(self, content: ContentDigest, instance: InstanceInfo) -> None:
         """Takes that a server closed the connection of a request without a whole answer."""
@@ -131,6 +131,6 @@
         is_gone = self._directory.get(info.id) is None
         return Evidence.GONE if state is PortState.SILENT and is_gone else None
 
-    def _at(self, address: Address) -> frozenset[EngineId]:
+    def _at(self, address: Address) -> frozenset[InstanceId]:
         """Returns the instances that are listed at an address."""
         return frozenset(info.id for info in self._directory.all() if info.address == address)
--- a/src/larkpost/gateway/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_choice.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from larkpost.common.ids import EngineId
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import Configuration, Route, RouteKind, ServiceName
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.placement.work import Work, WorkKind
@@ -38,7 +38,9 @@
         """What is asked of the items of each path, by the configuration `_works_of`."""
         self._works_of: Configuration | None = None
         self._item_services: dict[ItemId, ServiceName] = {}
-        self._paces: dict[tuple[ServiceName, Work], tuple[float, list[tuple[EngineId, float]]]] = {}
+        self._paces: dict[
+            tuple[ServiceName, Work], tuple[float, list[tuple[InstanceId, float]]]
+        ] = {}
 
     def work_of(self, item: Item | None = None) -> Work:
         """Returns what the rules of placement ask of an item, as the configuration stands now.
@@ -215,7 +217,7 @@
         best = min(paces, default=0.0)
         return best * FASTER_RATIO if balancer.pace(engine.id) > best * LONG_RUN_RATIO else 0.0
 
-    def _free_paces(self, service: ServiceName, work: Work) -> list[tuple[EngineId, float]]:
+    def _free_paces(self, service: ServiceName, work: Work) -> list[tuple[InstanceId, float]]:
         """Returns the known paces of the engines with a free place, as of a moment ago."""
         now = self._services.clock.now()
         known = self._paces.get((service, work))
--- a/src/larkpost/gateway/rollouts/reward.py
+++ b/src/larkpost/gateway/rollouts/reward.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, replace
 from enum import StrEnum
 
-from larkpost.common.ids import EngineId
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import Route, ServiceName
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.blackboard.known_crashes import BATCH_CRASH_LIMIT
@@ -92,7 +92,7 @@
         silences: tries that ended in silence.
     """
 
-    servers: set[EngineId]
+    servers: set[InstanceId]
     silences: int = 0
 
 
--- a/src/larkpost/gateway/rollouts/stalls.py
+++ b/src/larkpost/gateway/rollouts/stalls.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from larkpost.common.clock import Clock
-from larkpost.common.ids import EngineId
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.directory import InstanceInfo
 
 LOOK_SECONDS = 0.1
@@ -64,7 +64,7 @@
         finally:
             self._watches.remove(watch)
 
-    def stalled(self, pace_of: Callable[[EngineId], float]) -> list[RunWatch]:
+    def stalled(self, pace_of: Callable[[InstanceId], float]) -> list[RunWatch]:
         """Returns the runs that have been silent for too long, the longest silence first.
 
         Args:
--- a/src/larkpost/gateway/scaling/demand.py
+++ b/src/larkpost/gateway/scaling/demand.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from larkpost.common.ids import EngineId
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import Configuration, RouteKind, Service
 from larkpost.gateway.blackboard.directory import Directory
 from larkpost.gateway.controllers.weights import Demands
@@ -21,7 +21,7 @@
         self,
         directory: Directory,
         demands: Callable[[], Demands],
-        pace: Callable[[EngineId], float],
+        pace: Callable[[InstanceId], float],
     ) -> None:
         self._directory = directory
         self._demands = demands
--- a/src/larkpost/platform/operator.py
+++ b/src/larkpost/platform/operator.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from larkpost.common.ids import Address, EngineId, RegionId, ZoneId
+from larkpost.common.ids import Address, InstanceId, RegionId, ZoneId
 from larkpost.gateway.blackboard.configuration import (
     Configuration,
     ModelName,
@@ -101,7 +101,7 @@
         draining = document.get("state") == "draining"
         cold = document.get("cold-left-ms")
         return InstanceInfo(
-            id=EngineId(row.key.key),
+            id=InstanceId(row.key.key),
             service=ServiceName(document["service"]),
             address=Address(document["address"]),
             zone=ZoneId(document.get("zone", "")),
--- a/src/larkpost/platform/stand_in/programs.py
+++ b/src/larkpost/platform/stand_in/programs.py
@@ -8,7 +8,7 @@
 
 from larkpost.common.clock import Clock, LoopClock
 from larkpost.common.http_server import HttpServer
-from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
 from larkpost.gateway.store.port import Transaction
 from larkpost.platform import names
@@ -52,11 +52,11 @@
     """Serves as one instance of a service and keeps its entry in the store."""
     versions = dict.fromkeys((ModelName(name) for name in models.split(",") if name), 1)
     state = EngineState(slots=slots, versions=versions)
-    await HttpServer(ServerApp(EngineId(instance), state).app(), Address(address)).start()
+    await HttpServer(ServerApp(InstanceId(instance), state).app(), Address(address)).start()
     client = HttpStore(Address(store), ROW_BYTES)
     while True:
         entry = StandInServer(
-            EngineId(instance),
+            InstanceId(instance),
             ServiceName(service),
             Address(address),
             ZoneId(zone),
--- a/src/larkpost/platform/stand_in/rows.py
+++ b/src/larkpost/platform/stand_in/rows.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
 from larkpost.gateway.blackboard.tenants import TenantName
 from larkpost.gateway.store.port import RowKey, Transaction
@@ -27,7 +27,7 @@
         versions: weight version of each model; empty if the server is no engine.
     """
 
-    id: EngineId
+    id: InstanceId
     service: ServiceName
     address: Address
     zone: ZoneId
--- a/src/larkpost/platform/stand_in/server_app.py
+++ b/src/larkpost/platform/stand_in/server_app.py
@@ -9,7 +9,7 @@
 from starlette.responses import Response, StreamingResponse
 from starlette.routing import Route
 
-from larkpost.common.ids import EngineId
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import ModelName
 from larkpost.gateway.servers.port import OrderOutcome, VersionOrder
 from larkpost.platform import names
@@ -27,7 +27,7 @@
 class ServerApp:
     """Answers requests, orders and questions for a report."""
 
-    def __init__(self, instance: EngineId, state: EngineState) -> None:
+    def __init__(self, instance: InstanceId, state: EngineState) -> None:
         self._instance = instance
         self._state = state
 
--- a/src/larkpost/rehearsal/platform_fleet.py
+++ b/src/larkpost/rehearsal/platform_fleet.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
 from larkpost.platform.stand_in.daemon_settings import DaemonPlace, ready_path, write_settings
 from larkpost.rehearsal.processes import Process, ProcessGroup, answers, free_address, wait_for
@@ -73,7 +73,7 @@
     store: Address
     engine_service: ServiceName
     page_service: ServiceName
-    servers: dict[EngineId, Process] = field(default_factory=dict)
+    servers: dict[InstanceId, Process] = field(default_factory=dict)
     daemons: dict[str, Process] = field(default_factory=dict)
     fronts: dict[str, Address] = field(default_factory=dict)
     ready: dict[str, Address] = field(default_factory=dict)
@@ -110,7 +110,7 @@
 def _start_server(group: ProcessGroup, site: PlatformSite, number: int, *, engine: bool) -> None:
     shape = site.shape
     service = site.engine_service if engine else site.page_service
-    instance = EngineId(f"{service}-{number}")
+    instance = InstanceId(f"{service}-{number}")
     site.servers[instance] = group.start_module(
         instance,
         STAND_IN_MODULE,
--- a/src/larkpost/rehearsal/scripted_engines.py
+++ b/src/larkpost/rehearsal/scripted_engines.py
@@ -8,7 +8,7 @@
 
 from larkpost.common.clock import Clock
 from larkpost.common.hashing import hash64
-from larkpost.common.ids import EngineId
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import ModelName
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.servers.port import (
@@ -187,11 +187,11 @@
     def __init__(self, clock: Clock, model: ModelName) -> None:
         self._clock = clock
         self._model = model
-        self.engines: dict[EngineId, EngineState] = {}
-        self.connected: set[EngineId] = set()
+        self.engines: dict[InstanceId, EngineState] = {}
+        self.connected: set[InstanceId] = set()
         self.output_events: int | None = None
         self.crashing: set[bytes] = set()
-        self.when_crashed: Callable[[EngineId], None] = lambda _: None
+        self.when_crashed: Callable[[InstanceId], None] = lambda _: None
 
     @asynccontextmanager
     async def send(
@@ -223,7 +223,7 @@
         finally:
             state.running -= 1
 
-    def crash(self, engine: EngineId) -> None:
+    def crash(self, engine: InstanceId) -> None:
         """Crashes an engine: all that it runs breaks off, and its port is dead."""
         state = self.engines[engine]
         if not state.down:
--- a/tests/cold_views.py
+++ b/tests/cold_views.py
@@ -1,6 +1,6 @@
 """An engine that turns cold, and what daemons know of each other then, for the tests."""
 
-from larkpost.common.ids import Address, DaemonId, EngineId, ZoneId
+from larkpost.common.ids import Address, DaemonId, InstanceId, ZoneId
 from larkpost.gateway.blackboard.directory import InstanceInfo, InstanceState
 from larkpost.gateway.placement.cold_share import (
     SenderView,
@@ -12,9 +12,9 @@
     ENGINES,
 )
 
-ENGINE = EngineId("engine-0")
-OTHER_ENGINE = EngineId("engine-1")
-NEW_ENGINE = EngineId("new")
+ENGINE = InstanceId("engine-0")
+OTHER_ENGINE = InstanceId("engine-1")
+NEW_ENGINE = InstanceId("new")
 RATE = CONFIGURATION.services[ENGINES].cold_rate
 BOUND = COLD_TERMS.bound(RATE)
 ITEM_WORK = Work(WorkKind.ITEM)
--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -8,7 +8,7 @@
 import orjson
 
 from larkpost.common.clock import LoopClock
-from larkpost.common.ids import Address, BatchId, EngineId, RegionId, ZoneId
+from larkpost.common.ids import Address, BatchId, InstanceId, RegionId, ZoneId
 from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
 from larkpost.gateway.blackboard.cold_instances import ColdTerms
 from larkpost.gateway.blackboard.configuration import (
@@ -155,7 +155,7 @@
 def _read_instance(row: Row) -> InstanceInfo:
     fields = orjson.loads(row.value)
     return InstanceInfo(
-        EngineId(row.key.key),
+        InstanceId(row.key.key),
         ServiceName(fields["service"]),
         Address(fields["address"]),
         ZoneId(fields["zone"]),
@@ -229,7 +229,7 @@
     """A request that a daemon sent to an instance, whatever became of it."""
 
     daemon: int
-    instance: EngineId
+    instance: InstanceId
     zone: ZoneId
     at: float
 
@@ -239,7 +239,7 @@
     """A request that an instance began to run."""
 
     daemon: int
-    instance: EngineId
+    instance: InstanceId
     target: bytes
     at: float
 
@@ -321,7 +321,7 @@
         self.cold = cold
         self.zones = zones
         self.gateway_zones: list[ZoneId] = []
-        self.engine_zones: dict[EngineId, ZoneId] = {}
+        self.engine_zones: dict[InstanceId, ZoneId] = {}
         self.relays = relays
         self.clock = LoopClock()
         self._loop = asyncio.get_running_loop()
@@ -335,16 +335,16 @@
         self.scaling = ScriptedScaling(self.clock)
         self.sends: list[Send] = []
         self.arrivals: list[Arrival] = []
-        self.crashed_at: dict[EngineId, float] = {}
+        self.crashed_at: dict[InstanceId, float] = {}
         self._restarts: set[asyncio.Task] = set()
-        self._addresses: dict[EngineId, Address] = {}
+        self._addresses: dict[InstanceId, Address] = {}
         self.engines.when_crashed = self._note_crash
         self.evacuations: list[EvacuationSpan] = []
         self.put("operator", "configuration", configuration)
         for number in range(engines):
-            self.add_engine(EngineId(f"engine-{number}"))
+            self.add_engine(InstanceId(f"engine-{number}"))
         for number in range(scorers):
-            self.add_scorer(EngineId(f"scorer-{number}"))
+            self.add_scorer(InstanceId(f"scorer-{number}"))
         for number in range(gateways):
             self.add_gateway(f"daemon-{number}")
         self._heartbeats = asyncio.create_task(self._beat())
@@ -374,30 +374,30 @@
         """Returns the zones that are evacuated by the store."""
         return [span.zone for span in self.evacuations if span.ended_at == float("inf")]
 
-    def zone_of(self, instance: EngineId) -> ZoneId:
+    def zone_of(self, instance: InstanceId) -> ZoneId:
         """Returns an instance's zone, which it gets when it is first asked for."""
         zones = self.zones or ZONES
         return self.engine_zones.setdefault(instance, zones[len(self.engine_zones) % len(zones)])
 
-    def address_of(self, instance: EngineId) -> Address:
+    def address_of(self, instance: InstanceId) -> Address:
         """Returns an instance's address, which it gets when it is first asked for."""
         number = len(self._addresses) + 1
         return self._addresses.setdefault(instance, Address(f"10.0.0.{number}:1"))
 
-    def _note_crash(self, instance: EngineId) -> None:
+    def _note_crash(self, instance: InstanceId) -> None:
         """Takes that a request has crashed an instance; another one follows at its address."""
         self.crashed_at[instance] = self.clock.now()
         task = asyncio.create_task(self._restart(instance))
         self._restarts.add(task)
         task.add_done_callback(self._restarts.discard)
 
-    async def _restart(self, instance: EngineId) -> None:
+    async def _restart(self, instance: InstanceId) -> None:
         """Drops a crashed instance's entry, and starts the one that follows it."""
         await self.clock.sleep(MISSED_HEARTBEATS * HEARTBEAT_SECONDS)
         self.store.apply(Transaction(removals=(RowKey("instances", "", instance),)))
         await self.clock.sleep(RESTART_SECONDS - MISSED_HEARTBEATS * HEARTBEAT_SECONDS)
         lives = int(instance.partition("+")[2] or "1") + 1
-        follower = EngineId(f"{instance.partition('+')[0]}+{lives}")
+        follower = InstanceId(f"{instance.partition('+')[0]}+{lives}")
         self._addresses[follower] = self.address_of(instance)
         self.engine_zones[follower] = self.zone_of(instance)
         versions = dict(self.engines.engines[instance].versions)
@@ -407,7 +407,7 @@
         else:
             self.add_scorer(follower)
 
-    def add_engine(self, engine: EngineId, state: InstanceState = InstanceState.READY) -> None:
+    def add_engine(self, engine: InstanceId, state: InstanceState = InstanceState.READY) -> None:
         """Lists an engine."""
         if engine not in self.engines.engines:
             self.engines.engines[engine] = EngineState(versions={MODEL: 1})
@@ -423,14 +423,14 @@
         }
         self.put("instances", engine, orjson.dumps(entry))
 
-    def start_cold_engine(self, engine: EngineId, seconds: float = COLD_SECONDS) -> EngineState:
+    def start_cold_engine(self, engine: InstanceId, seconds: float = COLD_SECONDS) -> EngineState:
         """Starts an engine that is cold for some seconds, and lists it."""
         state = EngineState(versions={MODEL: 1}, cold_until=self.clock.now() + seconds)
         self.engines.engines[engine] = state
         self.add_engine(engine)
         return state
 
-    def turn_cold(self, engine: EngineId, seconds: float, known_after: float) -> EngineState:
+    def turn_cold(self, engine: InstanceId, seconds: float, known_after: float) -> EngineState:
         """Turns an engine cold again, which its entry says.
 
         Args:
@@ -444,7 +444,7 @@
 
     def add_scorer(
         self,
-        scorer: EngineId,
+        scorer: InstanceId,
         service: ServiceName = SCORERS,
         state: InstanceState = InstanceState.READY,
     ) -> None:
--- a/tests/process_soak/server_program.py
+++ b/tests/process_soak/server_program.py
@@ -16,7 +16,7 @@
 from starlette.routing import Route
 
 from larkpost.common.http_server import HttpServer
-from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
 from larkpost.platform import names
 from larkpost.platform.stand_in.programs import HEARTBEAT_SECONDS, ROW_BYTES, WRITE_SECONDS
@@ -40,7 +40,7 @@
 class RecordingServerApp(ServerApp):
     """A stand-in server that records its runs, answers and orders, and may fail all pages."""
 
-    def __init__(self, instance: EngineId, state: EngineState, zone: ZoneId) -> None:
+    def __init__(self, instance: InstanceId, state: EngineState, zone: ZoneId) -> None:
         super().__init__(instance, state)
         self._zone = zone
         self._failing = False
@@ -136,12 +136,12 @@
     """Serves, and keeps the entry in the store."""
     versions = dict.fromkeys((ModelName(name) for name in models.split(",") if name), 1)
     state = EngineState(slots=slots, versions=versions)
-    app = RecordingServerApp(EngineId(instance), state, ZoneId(zone)).app()
+    app = RecordingServerApp(InstanceId(instance), state, ZoneId(zone)).app()
     await HttpServer(app, Address(own)).start()
     client = HttpStore(Address(store), ROW_BYTES)
     while True:
         entry = StandInServer(
-            EngineId(instance),
+            InstanceId(instance),
             ServiceName(service),
             Address(listed),
             ZoneId(zone),
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -19,7 +19,7 @@
 
 import typer
 
-from larkpost.common.ids import EngineId
+from larkpost.common.ids import InstanceId
 from larkpost.rehearsal.memory_store import StoreFaults
 from tests.platform_fleet import MODEL, PlatformFleet, make_batch
 from tests.platform_oracle import PlatformOracle
@@ -218,7 +218,7 @@
 
     def _engine(self):
         names = sorted(self.fleet.engines.engines)
-        return self.fleet.engines.engines[EngineId(self.chance.choice(names))]
+        return self.fleet.engines.engines[InstanceId(self.chance.choice(names))]
 
     async def _trouble_engine(self) -> None:
         engine = self._engine()
--- a/tests/test_cold_choices.py
+++ b/tests/test_cold_choices.py
@@ -3,7 +3,7 @@
 import unittest
 from unittest import mock
 
-from larkpost.common.ids import EngineId
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.rollouts.engine_choice import OWN_ENGINES_SECONDS, EngineChoice
 from larkpost.gateway.rollouts.model import BatchHead
 from tests.cold_views import ENGINE, LONG_SECONDS, OTHER_ENGINE
@@ -31,16 +31,16 @@
         )
         self.choice = EngineChoice(head, self.services)
 
-    def cool(self, engine: EngineId) -> None:
+    def cool(self, engine: InstanceId) -> None:
         """Makes an engine cold."""
         self.beliefs.cold.note(engine, LONG_SECONDS, self.fleet.clock.now())
 
-    def fill(self, engine: EngineId) -> None:
+    def fill(self, engine: InstanceId) -> None:
         """Takes all places of an engine."""
         for _ in range(self.beliefs.directory.get(engine).slots):
             self.balancer.occupy(engine)
 
-    def own(self, *engines: EngineId) -> None:
+    def own(self, *engines: InstanceId) -> None:
         """Makes some engines the model's own."""
         self.services.division = mock.Mock()
         self.services.division.engines_of.return_value = frozenset(engines)
--- a/tests/test_cold_servers.py
+++ b/tests/test_cold_servers.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from larkpost.common.ids import EngineId
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.cold_instances import ColdTerms
 from larkpost.rehearsal.memory_store import StoreFaults
 from tests.cold_views import (
@@ -70,7 +70,7 @@
     def test_batches_that_begin_while_all_engines_are_cold_still_flow(self) -> None:
         async def work() -> None:
             for number in range(4):
-                self.fleet.start_cold_engine(EngineId(f"cold-{number}"), LONG_SECONDS)
+                self.fleet.start_cold_engine(InstanceId(f"cold-{number}"), LONG_SECONDS)
             await self.fleet.wait(0.5)
             began = self.fleet.clock.now()
             await asyncio.gather(*self.submit_everywhere())
--- a/tests/test_cold_shares.py
+++ b/tests/test_cold_shares.py
@@ -5,7 +5,7 @@
 from unittest import mock
 
 from larkpost.common.clock import LoopClock
-from larkpost.common.ids import DaemonId, EngineId
+from larkpost.common.ids import DaemonId, InstanceId
 from larkpost.gateway.blackboard.cold_instances import ColdTerms
 from larkpost.gateway.placement import cold_share
 from larkpost.gateway.placement.cold_senders import (
@@ -89,7 +89,7 @@
         view, instances = settled(members[0], members), 200
         with mock.patch.object(cold_share, "_weight", wraps=cold_share._weight) as weigh:
             named = sum(
-                client_sends(BOUND, view, EngineId(f"engine-{number}"), is_engine=False)
+                client_sends(BOUND, view, InstanceId(f"engine-{number}"), is_engine=False)
                 for number in range(instances)
             )
         self.assertGreater(named, 0)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -7,7 +7,7 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.common.errors import LarkpostError
-from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ServiceShare
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
 from larkpost.gateway.controllers.members import DEAD_AFTER_SECONDS
@@ -124,10 +124,10 @@
                 key = RowKey("instances", "", name)
                 fleet.store.apply(Transaction(removals=(key,)))
             fleet.store.faults = StoreFaults()
-            fleet.add_engine(EngineId("engine-0"))
+            fleet.add_engine(InstanceId("engine-0"))
             await fleet.wait(1.0)
             self.assertEqual(3, len(directory.of_service(ENGINES)))
-            fleet.add_engine(EngineId("engine-1"))
+            fleet.add_engine(InstanceId("engine-1"))
             await fleet.wait(3.5)
             left = {info.id for info in directory.of_service(ENGINES)}
             self.assertEqual({"engine-0", "engine-1"}, left)
@@ -157,12 +157,12 @@
         for number in range(4):
             state = InstanceState.READY
             address = Address("10.0.0.1:1")
-            name = EngineId(f"e{number}")
+            name = InstanceId(f"e{number}")
             directory.update(InstanceInfo(name, ENGINES, address, ZoneId("z"), 6, state))
         chance = random.Random(0)
         return Balancer(directory, LoopClock(), chance, lambda info: info.id == "e0")
 
-    def first_choices(self, balancer: Balancer) -> set[EngineId]:
+    def first_choices(self, balancer: Balancer) -> set[InstanceId]:
         """Returns the instances that come first in some choices."""
         choices = [balancer.candidates(ENGINES, for_client=True)[0] for _ in range(20)]
         return {info.id for info in choices}
@@ -186,12 +186,12 @@
     def test_a_request_more_or_a_slower_pace_outweighs_the_connection(self):
         async def play():
             balancer = self.begin()
-            balancer.occupy(EngineId("e0"))
+            balancer.occupy(InstanceId("e0"))
             self.assertNotIn("e0", self.first_choices(balancer))
-            balancer.release(EngineId("e0"))
-            balancer.note_pace(EngineId("e0"), 0.05)
+            balancer.release(InstanceId("e0"))
+            balancer.note_pace(InstanceId("e0"), 0.05)
             for number in (1, 2, 3):
-                balancer.note_pace(EngineId(f"e{number}"), 0.04)
+                balancer.note_pace(InstanceId(f"e{number}"), 0.04)
             self.assertNotIn("e0", self.first_choices(balancer))
 
         run(play())
@@ -203,7 +203,7 @@
     def test_pace_that_a_daemon_does_not_know_hides_none_that_another_told(self):
         async def play():
             balancer = Balancer(Directory(), LoopClock(), random.Random(0))
-            engine = EngineId("e0")
+            engine = InstanceId("e0")
             balancer.take_summary("first", {engine: (1, 0.04)})
             await asyncio.sleep(0.1)
             balancer.take_summary("second", {engine: (2, 0.0)})
@@ -225,7 +225,7 @@
         for number, pace in enumerate(paces):
             self.put(number, version=1)
             if pace:
-                self.balancer.note_pace(EngineId(f"e{number}"), pace)
+                self.balancer.note_pace(InstanceId(f"e{number}"), pace)
         spec = make_batch(items=1)
         head = BatchHead(
             spec.id, spec.host, spec.path, MODEL, 0, 0, 1, 1, fleet.gateways[0].id, 0.0, False, "u"
@@ -235,7 +235,7 @@
 
     def put(self, number: int, version: int) -> None:
         """Lists an engine with a version."""
-        engine = EngineId(f"e{number}")
+        engine = InstanceId(f"e{number}")
         state = InstanceState.READY
         address = Address("10.0.0.1:1")
         self.directory.update(
@@ -245,11 +245,11 @@
     def fill(self, number: int) -> None:
         """Takes all places of an engine."""
         for _ in range(2):
-            self.balancer.occupy(EngineId(f"e{number}"))
+            self.balancer.occupy(InstanceId(f"e{number}"))
 
     def engine(self, number: int) -> InstanceInfo:
         """Returns an engine."""
-        return self.directory.get(EngineId(f"e{number}"))
+        return self.directory.get(InstanceId(f"e{number}"))
 
     def test_moved_run_takes_no_slower_engine(self):
         async def play():
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -5,7 +5,7 @@
 import unittest
 
 from larkpost.common.clock import LoopClock
-from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.gateway.blackboard.board import Beliefs
 from larkpost.gateway.blackboard.configuration import Route, RouteKind, ServiceName, ServiceShare
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
@@ -89,7 +89,9 @@
 def make_info(name: str, zone: ZoneId, service: ServiceName = PAGES) -> InstanceInfo:
     """Returns an instance's entry."""
     address = Address("10.0.0.1:1")
-    return InstanceInfo(EngineId(name), service, address, zone, 4, InstanceState.READY, {MODEL: 1})
+    return InstanceInfo(
+        InstanceId(name), service, address, zone, 4, InstanceState.READY, {MODEL: 1}
+    )
 
 
 class RuleTest(unittest.TestCase):
@@ -120,7 +122,7 @@
             evacuations.begin(zone, 0.0)
         for zone in ZONES:
             pace = 1.0 if zone == slow else 0.03
-            self.engines.engines[EngineId(zone)] = EngineState(slots=4, event_seconds=pace)
+            self.engines.engines[InstanceId(zone)] = EngineState(slots=4, event_seconds=pace)
             directory.update(make_info(zone, zone))
         chance = random.Random(1)
         placement = Placement(directory, (EvacuatedRule(evacuations),))
@@ -146,7 +148,7 @@
 
     def runs(self, zone: ZoneId) -> int:
         """Returns how many requests a zone's server has run."""
-        return len(self.engines.engines[EngineId(zone)].runs)
+        return len(self.engines.engines[InstanceId(zone)].runs)
 
     def test_second_try_avoids_the_zone(self):
         async def play():
@@ -173,7 +175,7 @@
     def test_full_server_elsewhere_is_waited_for(self):
         async def play():
             self.begin(NORTH)
-            self.engines.engines[EngineId(SOUTH)].slots = 0
+            self.engines.engines[InstanceId(SOUTH)].slots = 0
             began = self.clock.now()
             with self.assertRaises(RefusedError) as refusal:
                 await self.forward(RouteKind.RUN_ONCE)
@@ -190,10 +192,10 @@
         async def play():
             balancer = Balancer(Directory(), LoopClock(), random.Random(1))
             for reason in (NotRunReason.EVACUATED, NotRunReason.OUTSIDE_REGIONS):
-                balancer.note_not_run(EngineId("a"), reason, 1.0)
-                self.assertFalse(balancer.is_avoided(EngineId("a")), reason)
-            balancer.note_not_run(EngineId("a"), NotRunReason.UNREACHABLE, 1.0)
-            self.assertTrue(balancer.is_avoided(EngineId("a")))
+                balancer.note_not_run(InstanceId("a"), reason, 1.0)
+                self.assertFalse(balancer.is_avoided(InstanceId("a")), reason)
+            balancer.note_not_run(InstanceId("a"), NotRunReason.UNREACHABLE, 1.0)
+            self.assertTrue(balancer.is_avoided(InstanceId("a")))
 
         run(play())
 
@@ -208,17 +210,17 @@
             self.directory.update(make_info(f"e{number}", ZONES[number % 2], ENGINES))
         self.targets = WeightTargets()
         self.targets.update(WeightTarget(MODEL, 2), now=10.0)
-        self.north = {EngineId(f"e{number}") for number in (0, 2, 4)}
-        self.south = {EngineId(f"e{number}") for number in (1, 3, 5)}
+        self.north = {InstanceId(f"e{number}") for number in (0, 2, 4)}
+        self.south = {InstanceId(f"e{number}") for number in (1, 3, 5)}
 
-    def due(self, seconds: float, zone: ZoneId = NORTH) -> set[EngineId]:
+    def due(self, seconds: float, zone: ZoneId = NORTH) -> set[InstanceId]:
         """Returns the engines that load so long after the version was named."""
         now = 10.0 + FIRST_SECONDS + seconds
         evacuated = frozenset({zone})
         loads = due_loads(self.service, self.directory, self.targets, {}, now, evacuated)
         return {engine for engine, _ in loads}
 
-    def load(self, engines: set[EngineId]) -> None:
+    def load(self, engines: set[InstanceId]) -> None:
         """Brings engines to the version."""
         for engine in engines:
             self.directory.observe_version(engine, MODEL, 2)
@@ -494,8 +496,8 @@
         async def play():
             await self.begin(gateways=1)
             gateway = self.fleet.gateways[0]
-            with gateway.balancer.placed(EngineId("engine-0")):
-                gateway.directory.forget(EngineId("engine-0"))
+            with gateway.balancer.placed(InstanceId("engine-0")):
+                gateway.directory.forget(InstanceId("engine-0"))
                 self.assertEqual(1, gateway.balancer.outstanding_in(NORTH))
             self.assertEqual(0, gateway.balancer.outstanding_in(NORTH))
 
--- a/tests/test_fault_kinds.py
+++ b/tests/test_fault_kinds.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from unittest import mock
 
-from larkpost.common.ids import EngineId
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import (
     Configuration,
     ConfigurationState,
@@ -100,13 +100,13 @@
             await fleet.gateways[0].batches.submit(spec)
             await fleet.wait(0.2)
             for number in range(3):
-                name = EngineId(f"late-{number}")
+                name = InstanceId(f"late-{number}")
                 fleet.engines.engines[name] = EngineState(versions={MODEL: 1})
                 fleet.add_engine(name)
             results = await fleet.read_all(fleet.gateways[0], "batch")
             check_results(self, spec, results)
             for number in range(3):
-                self.assertTrue(fleet.engines.engines[EngineId(f"late-{number}")].runs)
+                self.assertTrue(fleet.engines.engines[InstanceId(f"late-{number}")].runs)
 
         run(play())
 
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -8,7 +8,7 @@
 import unittest
 
 from larkpost.common.clock import LoopClock
-from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import (
     ModelName,
     Route,
@@ -134,7 +134,7 @@
         self.directory = Directory()
         self.balancer = Balancer(self.directory, self.clock, random.Random(1))
         for number in range(count):
-            name = EngineId(f"e{number}")
+            name = InstanceId(f"e{number}")
             self.engines.engines[name] = EngineState(slots=SLOTS, event_seconds=pace)
             self.list(name, InstanceState.READY)
             self.balancer.note_pace(name, pace)
@@ -150,7 +150,7 @@
         )
         self.sent = 0
 
-    def list(self, name: EngineId, state: InstanceState) -> None:
+    def list(self, name: InstanceId, state: InstanceState) -> None:
         """Writes a server's entry."""
         self.directory.update(
             InstanceInfo(name, PAGES, Address("10.0.0.1:1"), ZoneId("z"), SLOTS, state)
@@ -158,7 +158,7 @@
 
     def state(self) -> EngineState:
         """Returns the first server."""
-        return self.engines.engines[EngineId("e0")]
+        return self.engines.engines[InstanceId("e0")]
 
     def send(self, route: Route, time_left: float = 1.5) -> asyncio.Task:
         """Sends a request."""
@@ -213,7 +213,7 @@
     def test_service_without_instances_is_refused_at_once(self):
         async def play():
             self.begin()
-            self.list(EngineId("e0"), InstanceState.LEAVING)
+            self.list(InstanceId("e0"), InstanceState.LEAVING)
             seconds, _ = await self.refusal(self.send(make_route()))
             self.assertLess(seconds, LOOK_INTERVAL_SECONDS)
 
@@ -296,8 +296,8 @@
             self.take_places(0.1)
             waiting = self.send(make_route(priority=1))
             await self.clock.sleep(SETTLE_SECONDS)
-            self.balancer.occupy(EngineId("e0"))
-            self.balancer.occupy(EngineId("e0"))
+            self.balancer.occupy(InstanceId("e0"))
+            self.balancer.occupy(InstanceId("e0"))
             await self.clock.sleep(0.1 - SETTLE_SECONDS + 0.001)
             newcomer = self.send(make_route(priority=3))
             await asyncio.gather(waiting, newcomer)
@@ -376,12 +376,12 @@
             for kind in (RouteKind.IDEMPOTENT, RouteKind.RUN_ONCE):
                 self.begin(count=2)
                 self.take_places(10.0)
-                self.balancer.note_pace(EngineId("e1"), 2 * PACE, weight=1.0)  # tried second
+                self.balancer.note_pace(InstanceId("e1"), 2 * PACE, weight=1.0)  # tried second
                 leaving = self.send(make_route(kind))
                 await self.clock.sleep(0.0005)  # before the first has answered "full"
                 leaving.cancel()
                 await self.clock.sleep(0.5)
-                self.assertEqual([], self.engines.engines[EngineId("e1")].runs)
+                self.assertEqual([], self.engines.engines[InstanceId("e1")].runs)
 
         run(play())
 
@@ -395,7 +395,7 @@
                     (EngineState(slots=SLOTS, break_after=0), RequestFailedError),
                 ):
                     self.begin()
-                    self.engines.engines[EngineId("e0")] = state
+                    self.engines.engines[InstanceId("e0")] = state
                     self.take_places(0.1)
                     with self.assertRaises(error):
                         await self.send(make_route(kind), 0.8)
@@ -408,8 +408,8 @@
             for kind in (RouteKind.IDEMPOTENT, RouteKind.RUN_ONCE):
                 self.begin(count=2)
                 self.state().break_after = 0
-                self.balancer.note_pace(EngineId("e1"), 2 * PACE, weight=1.0)  # tried second
-                self.engines.engines[EngineId("e1")].running = SLOTS
+                self.balancer.note_pace(InstanceId("e1"), 2 * PACE, weight=1.0)  # tried second
+                self.engines.engines[InstanceId("e1")].running = SLOTS
                 with self.assertRaises(RequestFailedError):
                     await self.send(make_route(kind))
 
@@ -429,8 +429,8 @@
 
         async def play():
             self.begin()
-            self.balancer.note_pace(EngineId("e0"), 0.5, weight=1.0)  # others' requests took long
-            self.balancer.avoid(EngineId("e0"), 0.3)
+            self.balancer.note_pace(InstanceId("e0"), 0.5, weight=1.0)  # others' requests took long
+            self.balancer.avoid(InstanceId("e0"), 0.3)
             answer = await self.send(make_route(), 0.4)
             self.assertEqual(200, answer.status)
 
@@ -497,9 +497,9 @@
         async def play():
             self.begin(count=2)
             self.assertEqual(2 * SLOTS, survey(*self.surveyed()).free)
-            self.balancer.avoid(EngineId("e0"), 1.0)
+            self.balancer.avoid(InstanceId("e0"), 1.0)
             self.assertEqual(SLOTS, survey(*self.surveyed()).free)
-            self.list(EngineId("e1"), InstanceState.LEAVING)
+            self.list(InstanceId("e1"), InstanceState.LEAVING)
             self.assertEqual(Places(SLOTS, SLOTS, PACE), survey(*self.surveyed()))
 
         run(play())
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -6,7 +6,7 @@
 from contextlib import asynccontextmanager
 
 from larkpost.common.clock import LoopClock
-from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import (
     ModelName,
     Route,
@@ -85,7 +85,7 @@
         self.directory = Directory()
         for name, state in states.items():
             state.slots = SLOTS
-            self.engines.engines[EngineId(name)] = state
+            self.engines.engines[InstanceId(name)] = state
             self.list(name)
         self.balancer = Balancer(self.directory, self.clock, random.Random(1))
         self.forwarder = Forwarder(
@@ -102,7 +102,7 @@
     def list(self, name: str, state: InstanceState = InstanceState.READY) -> None:
         """Writes a server's entry."""
         address = Address("10.0.0.1:1")
-        info = InstanceInfo(EngineId(name), PAGES, address, ZoneId("z"), SLOTS, state, {}, 1)
+        info = InstanceInfo(InstanceId(name), PAGES, address, ZoneId("z"), SLOTS, state, {}, 1)
         self.directory.update(info)
 
     def request(self, time_left: float | None = 1.5) -> ClientRequest:
@@ -280,7 +280,7 @@
             self.list("leaving", InstanceState.LEAVING)
             for _ in range(10):
                 await self.forwarder.forward(self.request(), REPEATABLE)
-            self.assertEqual([], self.engines.engines[EngineId("leaving")].runs)
+            self.assertEqual([], self.engines.engines[InstanceId("leaving")].runs)
 
         run(play())
 
--- a/tests/test_leaving_clients.py
+++ b/tests/test_leaving_clients.py
@@ -8,7 +8,7 @@
 import unittest
 
 from larkpost.common.clock import LoopClock
-from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import (
     Configuration,
     ConfigurationState,
@@ -84,7 +84,7 @@
         own = Address(f"127.0.0.1:{listening.sockets[0].getsockname()[1]}")
         directory = Directory()
         directory.update(
-            InstanceInfo(EngineId("e0"), PAGES, own, ZoneId("z"), 4, InstanceState.READY)
+            InstanceInfo(InstanceId("e0"), PAGES, own, ZoneId("z"), 4, InstanceState.READY)
         )
         servers = HttpServers()
         self.addAsyncCleanup(servers.close)
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -9,7 +9,7 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.common.errors import LarkpostError
-from larkpost.common.ids import Address, EngineId, RegionId, ZoneId
+from larkpost.common.ids import Address, InstanceId, RegionId, ZoneId
 from larkpost.gateway.blackboard.configuration import ModelName, RouteKind, Service, ServiceName
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
 from larkpost.gateway.blackboard.regions import RegionMap
@@ -54,7 +54,7 @@
     address = Address("10.0.0.1:1")
     versions = {FIRST: 1, SECOND: 1, MODEL: 1}
     state = InstanceState.READY
-    return InstanceInfo(EngineId(name), service, address, ZoneId("z"), slots, state, versions)
+    return InstanceInfo(InstanceId(name), service, address, ZoneId("z"), slots, state, versions)
 
 
 def make_directory(count: int, service: ServiceName = ENGINES) -> Directory:
@@ -80,11 +80,11 @@
             clock = LoopClock()
             servers = ScriptedEngines(clock, MODEL)
             for name, state in (("e0", EngineState(event_seconds=1.4)), ("e1", EngineState())):
-                servers.engines[EngineId(name)] = state
+                servers.engines[InstanceId(name)] = state
             directory = make_directory(2, PAGES)
             balancer = Balancer(directory, clock, random.Random(1))
-            balancer.note_pace(EngineId("e0"), 0.01)  # so that the slow one is tried first
-            balancer.note_pace(EngineId("e1"), 0.05)
+            balancer.note_pace(InstanceId("e0"), 0.01)  # so that the slow one is tried first
+            balancer.note_pace(InstanceId("e1"), 0.05)
             shares = ShareChooser(random.Random(0))
             log = EventLog("daemon")
             forwarder = Forwarder(directory, balancer, servers, clock, log, Metrics(), shares)
@@ -106,8 +106,8 @@
             services = fleet.gateways[0].keeper._services
             services.directory = make_directory(2)
             services.balancer = Balancer(services.directory, fleet.clock, random.Random(0))
-            services.balancer.note_pace(EngineId("e0"), 0.09)
-            services.balancer.note_pace(EngineId("e1"), 0.04)
+            services.balancer.note_pace(InstanceId("e0"), 0.09)
+            services.balancer.note_pace(InstanceId("e1"), 0.04)
             choice = EngineChoice(make_head(fleet), services)
             return choice.is_outpaced(make_info("e0"), Progress(make_batch(items=1).items[0]))
 
@@ -146,7 +146,7 @@
         async def engines() -> int:
             """Returns how many engines a new batch uses, of which two are its model's own."""
             fleet = PlatformFleet(1, 4)
-            own = frozenset({EngineId("engine-0"), EngineId("engine-1")})
+            own = frozenset({InstanceId("engine-0"), InstanceId("engine-1")})
             await fleet.wait(1.0)
             services = fleet.gateways[0].keeper._services
             services.division.engines_of = lambda *_: own
@@ -196,7 +196,7 @@
             services = fleet.gateways[0].keeper._services
             services.directory = make_directory(2)
             services.balancer = Balancer(services.directory, fleet.clock, random.Random(0))
-            services.balancer.occupy(EngineId("e1"))
+            services.balancer.occupy(InstanceId("e1"))
             services.division.loading = lambda _: frozenset(loading)
             return EngineChoice(make_head(fleet), services).choose(ENGINES).id
 
@@ -243,9 +243,9 @@
 
         async def play() -> tuple[float, float]:
             balancer = Balancer(make_directory(2), LoopClock(), random.Random(0))
-            balancer.note_pace(EngineId("e0"), 0.04)
-            balancer.take_summary("other", {EngineId("e1"): (1, 0.05)})
-            return balancer.pace(EngineId("e0")), balancer.pace(EngineId("e1"))
+            balancer.note_pace(InstanceId("e0"), 0.04)
+            balancer.take_summary("other", {InstanceId("e1"): (1, 0.05)})
+            return balancer.pace(InstanceId("e0")), balancer.pace(InstanceId("e1"))
 
         return run(play())
 
@@ -319,8 +319,8 @@
     def test_avoid_failed(self):
         async def is_avoided() -> bool:
             balancer = Balancer(make_directory(1), LoopClock(), random.Random(0))
-            balancer.avoid(EngineId("e0"), 1.0)
-            return balancer.is_avoided(EngineId("e0"))
+            balancer.avoid(InstanceId("e0"), 1.0)
+            return balancer.is_avoided(InstanceId("e0"))
 
         self.assertTrue(run(is_avoided()))
 
--- a/tests/test_nearness.py
+++ b/tests/test_nearness.py
@@ -4,7 +4,7 @@
 import unittest
 
 from larkpost.common.clock import LoopClock
-from larkpost.common.ids import Address, EngineId, RegionId, ZoneId
+from larkpost.common.ids import Address, InstanceId, RegionId, ZoneId
 from larkpost.common.tasks import TaskSet
 from larkpost.common.telemetry import Telemetry
 from larkpost.gateway.blackboard.configuration import (
@@ -49,7 +49,7 @@
         self.servers = ScriptedEngines(self.clock, MODEL)
         self.directory = Directory()
         for number, zone in enumerate(zones):
-            name = EngineId(f"s{number}")
+            name = InstanceId(f"s{number}")
             self.servers.engines[name] = EngineState(slots=4)
             address = Address("10.0.0.1:1")
             self.directory.update(
@@ -98,14 +98,14 @@
             self.begin(EAST_ZONES[0], WEST_ZONE)
             for _ in range(5):
                 await self.forwarder.forward(self.request(WEST), ROUTE)
-            self.assertEqual(5, len(self.servers.engines[EngineId("s1")].runs))
+            self.assertEqual(5, len(self.servers.engines[InstanceId("s1")].runs))
 
         run(play())
 
     def test_no_server_in_the_homes_is_refused_at_once(self):
         async def play():
             self.begin(WEST_ZONE, ZoneId("nowhere"))
-            self.balancer.avoid(EngineId("s0"), 5.0)
+            self.balancer.avoid(InstanceId("s0"), 5.0)
             self.assertEqual(0.0, await self.seconds_until_refused(EAST))
 
         run(play())
@@ -123,7 +123,7 @@
         async def play():
             self.begin(WEST_ZONE, EAST_ZONES[1], EAST_ZONES[0])
             self.assertEqual({"s2"}, self.firsts())
-            self.directory.forget(EngineId("s2"))
+            self.directory.forget(InstanceId("s2"))
             self.assertEqual({"s1"}, self.firsts())
 
         run(play())
@@ -132,7 +132,7 @@
         async def play():
             self.begin(WEST_ZONE, EAST_ZONES[0])
             for _ in range(3):
-                self.balancer.occupy(EngineId("s1"))
+                self.balancer.occupy(InstanceId("s1"))
             self.assertEqual({"s0"}, self.firsts())
 
         run(play())
@@ -140,7 +140,7 @@
     def test_full_near_server_is_not_preferred_however_far_the_other(self):
         async def play():
             self.begin(WEST_ZONE, EAST_ZONES[0])
-            far, near = (self.directory.get(EngineId(name)) for name in ("s0", "s1"))
+            far, near = (self.directory.get(InstanceId(name)) for name in ("s0", "s1"))
             self.balancer.note_answer(far, 0.5)
             self.balancer.note_answer(near, 0.01)
             self.assertEqual({"s1"}, self.firsts())
@@ -156,8 +156,8 @@
     def test_slow_near_server_is_not_preferred(self):
         async def play():
             self.begin(WEST_ZONE, EAST_ZONES[0])
-            self.balancer.note_answer(self.directory.get(EngineId("s1")), 0.4)
-            self.balancer.take_summary("other", {EngineId("s0"): (0, 0.04)})
+            self.balancer.note_answer(self.directory.get(InstanceId("s1")), 0.4)
+            self.balancer.take_summary("other", {InstanceId("s0"): (0, 0.04)})
             self.assertEqual({"s0"}, self.firsts())
 
         run(play())
@@ -165,7 +165,7 @@
     def test_the_way_is_counted_as_measured_and_once(self):
         async def play():
             self.begin(WEST_ZONE, EAST_ZONES[0])
-            far, near = (self.directory.get(EngineId(name)) for name in ("s0", "s1"))
+            far, near = (self.directory.get(InstanceId(name)) for name in ("s0", "s1"))
             self.balancer.note_answer(near, 0.04)
             self.balancer.note_answer(far, 0.08)
             self.assertEqual({"s1"}, self.firsts())
@@ -178,7 +178,7 @@
     def test_the_way_is_known_when_the_paces_are_forgotten(self):
         async def play():
             self.begin(WEST_ZONE, EAST_ZONES[0])
-            far, near = (self.directory.get(EngineId(name)) for name in ("s0", "s1"))
+            far, near = (self.directory.get(InstanceId(name)) for name in ("s0", "s1"))
             self.balancer.note_answer(near, 0.04)
             self.balancer.note_answer(far, 0.12)
             await self.clock.sleep(5.0)
--- a/tests/test_pinned_calls.py
+++ b/tests/test_pinned_calls.py
@@ -12,7 +12,8 @@
 import httpx
 import orjson
 
-from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.common.ids import Address, ZoneId
+from larkpost.common.ids import InstanceId as EngineId
 from larkpost.gateway.blackboard.configuration import (
     Configuration,
     ConfigurationState,
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -3,7 +3,7 @@
 import unittest
 from dataclasses import replace
 
-from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
 from larkpost.gateway.observability.metrics import Metrics
@@ -14,7 +14,7 @@
 
 MODEL = ModelName("model")
 ENGINE = InstanceInfo(
-    EngineId("e0"),
+    InstanceId("e0"),
     ServiceName("engines"),
     Address("10.0.0.1:1"),
     ZoneId("z"),
--- a/tests/test_platform_fuzz.py
+++ b/tests/test_platform_fuzz.py
@@ -16,7 +16,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from larkpost.common.ids import EngineId
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.cold_instances import ColdTerms
 from larkpost.rehearsal.memory_store import StoreFaults
 from tests.platform_callers import Caller
@@ -208,7 +208,7 @@
     @rule(number=st.integers(0, ENGINES - 1), down=st.booleans())
     def trouble_engine(self, number, down):
         """An engine goes down or comes back."""
-        engine = EngineId(f"engine-{number}")
+        engine = InstanceId(f"engine-{number}")
         if engine not in self.fleet.crashed_at:  # another one follows a crashed engine
             self.fleet.engines.engines[engine].down = down
 
@@ -217,24 +217,24 @@
         """An engine starts, and is cold."""
         if self.started < MAX_STARTED:
             self.started += 1
-            name = EngineId(f"started-{self.started}")
+            name = InstanceId(f"started-{self.started}")
             self.run(self._do(self.fleet.start_cold_engine, name, seconds))
 
     @rule(number=st.integers(0, ENGINES - 1), seconds=st.sampled_from([3.0, 10.0]))
     def turn_cold(self, number, seconds):
         """An engine turns cold again."""
-        engine = EngineId(f"engine-{number}")
+        engine = InstanceId(f"engine-{number}")
         self.run(self._do(self.fleet.turn_cold, engine, seconds, NEWS_SECONDS))
 
     @rule(number=st.integers(0, ENGINES - 1), after=st.sampled_from([None, 0, 2]))
     def break_streams(self, number, after):
         """An engine begins or ceases to break its streams off."""
-        self.fleet.engines.engines[EngineId(f"engine-{number}")].break_after = after
+        self.fleet.engines.engines[InstanceId(f"engine-{number}")].break_after = after
 
     @rule(number=st.integers(0, SCORERS - 1), trouble=st.sampled_from(SCORER_TROUBLES))
     def trouble_scorer(self, number, trouble):
         """A server that scores outputs falls ill, or heals."""
-        scorer = EngineId(f"scorer-{number}")
+        scorer = InstanceId(f"scorer-{number}")
         state = self.fleet.engines.engines[scorer]
         state.down = trouble == "down" or scorer in self.fleet.crashed_at
         state.break_after = 0 if trouble == "broken" else None
--- a/tests/test_platform_servers.py
+++ b/tests/test_platform_servers.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 from unittest import mock
 
-from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
 from larkpost.gateway.blackboard.directory import InstanceInfo, InstanceState
 from larkpost.gateway.servers.port import (
@@ -56,7 +56,7 @@
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         port = self._server.sockets[0].getsockname()[1]
         self.instance = InstanceInfo(
-            EngineId("i-1"),
+            InstanceId("i-1"),
             ServiceName("s"),
             Address(f"127.0.0.1:{port}"),
             ZoneId("z"),
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from larkpost.common.clock import LoopClock
-from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.common.tasks import TaskSet
 from larkpost.common.telemetry import Telemetry
 from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
@@ -41,7 +41,7 @@
 def make_instance(name: str, number: int = 1) -> InstanceInfo:
     """Returns an instance at an address."""
     address = Address(f"10.0.0.{number}:1")
-    return InstanceInfo(EngineId(name), PAGES, address, ZoneId("z"), 4, InstanceState.READY)
+    return InstanceInfo(InstanceId(name), PAGES, address, ZoneId("z"), 4, InstanceState.READY)
 
 
 class Probes:
@@ -65,7 +65,7 @@
         self.clock = LoopClock()
         self.directory = Directory()
         self.probes = Probes(state)
-        self.found: list[tuple[EngineId, set[ContentDigest], str]] = []
+        self.found: list[tuple[InstanceId, set[ContentDigest], str]] = []
         self.instance = make_instance("a")
         self.directory.update(self.instance)
         self.watch = CrashWatch(
@@ -211,7 +211,7 @@
         """Has some servers crash under the request."""
         for number in range(first, first + count):
             contents = (digest_request(REQUEST),)
-            self.recorder.crashed(EngineId(f"i{number}"), contents, Evidence.DEAD_PORT)
+            self.recorder.crashed(InstanceId(f"i{number}"), contents, Evidence.DEAD_PORT)
 
     def tell_other(self) -> None:
         """Has the second recorder hear of all rows, those that are gone too."""
@@ -243,7 +243,7 @@
             self.begin()
             for recorder in (self.recorder, self.other):
                 contents = (digest_request(REQUEST),)
-                recorder.crashed(EngineId("i0"), contents, Evidence.DEAD_PORT)
+                recorder.crashed(InstanceId("i0"), contents, Evidence.DEAD_PORT)
             await self.clock.sleep(0.1)
             self.tell_other()
             self.assertEqual(1, self.others.count(digest_request(REQUEST)))
@@ -379,7 +379,7 @@
             self.begin()
             suspect = Work(WorkKind.CLIENT, is_suspect=True)
             for number in range(SUSPECT_CRASHES):
-                self.crashes.add(Crash(digest_request(REQUEST), EngineId(f"i{number}"), 0.0))
+                self.crashes.add(Crash(digest_request(REQUEST), InstanceId(f"i{number}"), 0.0))
             async with self.guard.send(self.instance, REQUEST):
                 self.assertIs(Verdict.APART, self.apart.judge(self.instance, suspect))
                 self.assertIs(Verdict.ALLOWED, self.apart.judge(self.instance, CLIENT_WORK))
@@ -393,7 +393,7 @@
         async def play():
             self.begin()
             for number in range(CLIENT_CRASH_LIMIT):
-                crash = Crash(digest_request(REQUEST), EngineId(f"i{number}"), 0.0)
+                crash = Crash(digest_request(REQUEST), InstanceId(f"i{number}"), 0.0)
                 self.crashes.add(crash)
             with self.assertRaises(NotRunError):
                 await self.send()
--- a/tests/test_reward_calls.py
+++ b/tests/test_reward_calls.py
@@ -5,7 +5,7 @@
 
 import orjson
 
-from larkpost.common.ids import EngineId
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.rollouts import codec
 from larkpost.gateway.rollouts.attempt import Progress
 from larkpost.gateway.rollouts.model import BatchSpec, Result, ResultState
@@ -227,14 +227,14 @@
     def test_calls_follow_a_moved_route(self):
         async def play():
             fleet = await start_fleet()
-            fleet.add_scorer(EngineId("other-0"), OTHER_SCORERS)
+            fleet.add_scorer(InstanceId("other-0"), OTHER_SCORERS)
             spec, _ = await submit_while_scorers_are_down(fleet, items=4)
             await fleet.wait(2.0)
             fleet.put("operator", "configuration", b"moved")
             await fleet.wait(1.0)
             bring_scorers_back(fleet)
             check_results(self, spec, await fleet.read_all(fleet.gateways[1], spec.id))
-            self.assertEqual(4, len(fleet.engines.engines[EngineId("other-0")].runs))
+            self.assertEqual(4, len(fleet.engines.engines[InstanceId("other-0")].runs))
             self.assertEqual(4, calls(fleet))
 
         run(play())
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -10,7 +10,7 @@
 from larkpost.common.addresses import split_address
 from larkpost.common.clock import LoopClock
 from larkpost.common.http_server import HttpServer
-from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import (
     ModelName,
     Route,
@@ -244,7 +244,7 @@
         self.gap = 0.0
         self.link = FaultProxy(address)
         self.instance = InstanceInfo(
-            EngineId(name),
+            InstanceId(name),
             ServiceName("s"),
             self.link.address,
             ZoneId("z"),
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 from larkpost.common.clock import LoopClock
-from larkpost.common.ids import DaemonId, EngineId
+from larkpost.common.ids import DaemonId, InstanceId
 from larkpost.gateway.blackboard.configuration import Route, RouteKind, ServiceShare
 from larkpost.gateway.blackboard.tenants import TenantName
 from larkpost.gateway.controllers.leases import Duty, LeaseSubject, LeaseTable
@@ -42,7 +42,7 @@
         self.fleet = fleet
         self.sent = 0
         self.truth: dict[int, Counter] = {}
-        fleet.add_scorer(EngineId("page-0"), PAGES)
+        fleet.add_scorer(InstanceId("page-0"), PAGES)
 
     async def send(self, number: int, tenant: TenantName) -> None:
         """Sends a request at one gateway and waits for its answer."""
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from larkpost.common.ids import Address, EngineId, ZoneId
+from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ModelName, Service, ServiceName
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
 from larkpost.gateway.controllers.weights import (
@@ -29,7 +29,7 @@
     for number in range(count):
         directory.update(
             InstanceInfo(
-                EngineId(f"e{number}"),
+                InstanceId(f"e{number}"),
                 SERVICE.name,
                 Address("10.0.0.1:1"),
                 ZoneId("z"),
@@ -189,7 +189,7 @@
         run(play())
 
 
-def _rank(fleet: PlatformFleet, name: EngineId) -> int:
+def _rank(fleet: PlatformFleet, name: InstanceId) -> int:
     from larkpost.common.hashing import hash64
 
     return hash64(name)
