--- a/src/larkpost/gateway/assembly/duties.py
+++ b/src/larkpost/gateway/assembly/duties.py
@@ -4,7 +4,7 @@
 
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
-from larkpost.gateway.blackboard.board import Beliefs
+from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.controllers.feeds import Feeds
 from larkpost.gateway.controllers.leases import LeaseTable
 from larkpost.gateway.controllers.load_plan import LoadPlan
@@ -28,7 +28,7 @@
         counter: counts this daemon's requests by tenant; None if no usage is reported.
     """
 
-    beliefs: Beliefs
+    blackboard: Blackboard
     load_plan: LoadPlan
     membership: Membership
     balancer: Balancer
@@ -67,7 +67,7 @@
 
     def _make_loader(self) -> WeightLoader:
         return WeightLoader(
-            self._needs.beliefs,
+            self._needs.blackboard,
             self._needs.load_plan,
             self._needs.membership,
             self._leases,
@@ -99,9 +99,11 @@
         if self._ports.scaling is None:
             return None
         needs = self._needs
-        demand = DemandForecast(needs.beliefs.directory, needs.keeper.demands, needs.balancer.pace)
+        demand = DemandForecast(
+            needs.blackboard.directory, needs.keeper.demands, needs.balancer.pace
+        )
         return ScalingController(
-            needs.beliefs,
+            needs.blackboard,
             needs.membership,
             self._leases,
             self._ports.scaling,
--- a/src/larkpost/gateway/blackboard/board.py
+++ b/src/larkpost/gateway/blackboard/board.py
@@ -16,8 +16,8 @@
 
 
 @dataclass(slots=True)
-class Beliefs:
-    """The beliefs of one daemon.
+class Blackboard:
+    """The blackboard of one daemon.
 
     Attributes:
         configuration: routes, services, tenants and limits in force.
--- a/src/larkpost/gateway/controllers/division.py
+++ b/src/larkpost/gateway/controllers/division.py
@@ -5,7 +5,7 @@
 
 from larkpost.common.clock import Clock
 from larkpost.common.ids import InstanceId
-from larkpost.gateway.blackboard.board import Beliefs
+from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.configuration import ModelName, Service, ServiceName
 from larkpost.gateway.blackboard.directory import InstanceState
 from larkpost.gateway.controllers.load_plan import LoadPlan
@@ -40,12 +40,12 @@
 
     def __init__(
         self,
-        beliefs: Beliefs,
+        blackboard: Blackboard,
         plan: LoadPlan,
         clock: Clock,
         demands: Callable[[], Demands],
     ) -> None:
-        self._beliefs = beliefs
+        self._beliefs = blackboard
         self._plan = plan
         self._clock = clock
         self._demands = demands
--- a/src/larkpost/gateway/controllers/feeds.py
+++ b/src/larkpost/gateway/controllers/feeds.py
@@ -1,11 +1,11 @@
-"""The tables that a daemon follows, and what takes their rows into its beliefs."""
+"""The tables that a daemon follows, and what takes their rows into its blackboard."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
-from larkpost.gateway.blackboard.board import Beliefs
+from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.controllers.row_intake import RowIntake
 from larkpost.gateway.quarantine.repository import CRASH_PART
 from larkpost.gateway.rollouts.repository import HEAD_TABLE, PARTS
@@ -43,14 +43,14 @@
         self,
         settings: GatewaySettings,
         ports: GatewayPorts,
-        beliefs: Beliefs,
+        blackboard: Blackboard,
         heads: HeadListener,
         crashes: Callable[[Row], None],
     ) -> None:
         self._ports = ports
         self.intake = RowIntake(
             ports.readers,
-            beliefs,
+            blackboard,
             ports.clock,
             ports.log,
             self.sound_for,
--- a/src/larkpost/gateway/controllers/load_plan.py
+++ b/src/larkpost/gateway/controllers/load_plan.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from larkpost.common.ids import InstanceId
-from larkpost.gateway.blackboard.board import Beliefs
+from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.configuration import Service
 from larkpost.gateway.controllers.weights import Demands, WeightTarget, due_loads
 
@@ -15,8 +15,8 @@
         demands: tells what the batches of each model ask for.
     """
 
-    def __init__(self, beliefs: Beliefs, demands: Callable[[], Demands]) -> None:
-        self._beliefs = beliefs
+    def __init__(self, blackboard: Blackboard, demands: Callable[[], Demands]) -> None:
+        self._beliefs = blackboard
         self._demands = demands
 
     def due(self, service: Service, now: float) -> list[tuple[InstanceId, WeightTarget]]:
--- a/src/larkpost/gateway/controllers/loader.py
+++ b/src/larkpost/gateway/controllers/loader.py
@@ -8,7 +8,7 @@
 from larkpost.common.clock import Clock
 from larkpost.common.ids import InstanceId
 from larkpost.common.tasks import TaskSet
-from larkpost.gateway.blackboard.board import Beliefs
+from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.configuration import RouteKind, Service
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.controllers.leases import Duty, LeaseSubject, LeaseTable
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        beliefs: Beliefs,
+        blackboard: Blackboard,
         plan: LoadPlan,
         membership: Membership,
         leases: LeaseTable,
@@ -48,8 +48,8 @@
         log: EventLog,
         metrics: Metrics,
     ) -> None:
-        self._configuration = beliefs.configuration
-        self._directory = beliefs.directory
+        self._configuration = blackboard.configuration
+        self._directory = blackboard.directory
         self._plan = plan
         self._membership = membership
         self._leases = leases
--- a/src/larkpost/gateway/controllers/row_intake.py
+++ b/src/larkpost/gateway/controllers/row_intake.py
@@ -5,7 +5,7 @@
 
 from larkpost.common.clock import Clock
 from larkpost.common.ids import InstanceId
-from larkpost.gateway.blackboard.board import Beliefs
+from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.configuration import Configuration
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.blackboard.evacuations import ZoneEvacuation
@@ -52,7 +52,7 @@
     def __init__(
         self,
         readers: RowReaders,
-        beliefs: Beliefs,
+        blackboard: Blackboard,
         clock: Clock,
         log: EventLog,
         store_sound_for: Callable[[], float],
@@ -60,16 +60,16 @@
         had_whole_list: Callable[[], bool] = lambda: False,
     ) -> None:
         self._readers = readers
-        self._configuration = beliefs.configuration
-        self._targets = beliefs.targets
-        self._directory = beliefs.directory
-        self._evacuations = beliefs.evacuations
+        self._configuration = blackboard.configuration
+        self._targets = blackboard.targets
+        self._directory = blackboard.directory
+        self._evacuations = blackboard.evacuations
         self._clock = clock
         self._log = log
         self._store_sound_for = store_sound_for
         self._trust_after = trust_after
         self._had_whole_list = had_whole_list
-        self._cold = beliefs.cold
+        self._cold = blackboard.cold
 
     async def drop_lapsed(self) -> None:
         """Gives up instances whose entries lapsed while the store was away and are not back."""
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -1,6 +1,6 @@
 """One daemon on the platform: its groups of parts, and its start and planned stop.
 
-beliefs       what it believes of the world; feeds write them, everything else reads
+blackboard       what it believes of the world; feeds write them, everything else reads
 feeds         the tables that it follows
 placement     whether work may go to an instance, and which instance is best
 fleet         which daemons are alive, and what the time is
@@ -17,7 +17,7 @@
 from larkpost.gateway.assembly.duties import Duties, DutyNeeds
 from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
 from larkpost.gateway.assembly.loop_watch import LoopWatch
-from larkpost.gateway.blackboard.board import Beliefs
+from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.configuration import Route
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
 from larkpost.gateway.blackboard.tenants import TenantName
@@ -69,7 +69,7 @@
         self._tasks = TaskSet(ports.clock, Telemetry(settings.machine, log=False))
         self._loop_watch = LoopWatch(ports.clock, ports.log)
         self.lifecycle = Lifecycle()
-        self._make_beliefs()
+        self._make_blackboard()
         self._make_placement()
         self._make_fleet()
         self._make_quarantine()
@@ -80,7 +80,7 @@
             settings,
             ports,
             DutyNeeds(
-                self.beliefs,
+                self.blackboard,
                 self._load_plan,
                 self.membership,
                 self.balancer,
@@ -91,16 +91,16 @@
             ),
         )
 
-    def _make_beliefs(self) -> None:
-        self.beliefs = Beliefs(self.settings.regions)
-        self.configuration = self.beliefs.configuration
-        self.directory = self.beliefs.directory
-        self.targets = self.beliefs.targets
+    def _make_blackboard(self) -> None:
+        self.blackboard = Blackboard(self.settings.regions)
+        self.configuration = self.blackboard.configuration
+        self.directory = self.blackboard.directory
+        self.targets = self.blackboard.targets
         heads = HeadListener(lambda row: self.keeper.take_head(row), self._is_active)
         self._feeds = Feeds(
             self.settings,
             self._ports,
-            self.beliefs,
+            self.blackboard,
             heads,
             lambda row: self._crash_recorder.take_row(row),
         )
@@ -109,13 +109,13 @@
         ports = self._ports
         self._cold_senders = ColdSenders(self.id, ports.clock)
         self.cold = ColdRule(
-            self.settings.cold, self.beliefs, ports.clock, ports.log, self._cold_senders
+            self.settings.cold, self.blackboard, ports.clock, ports.log, self._cold_senders
         )
         self._apart = ApartRule()
         # Rules that count sends come last, so that they count none that another forbids.
         rules = (
-            EvacuatedRule(self.beliefs.evacuations),
-            HomeRule(self.beliefs.regions),
+            EvacuatedRule(self.blackboard.evacuations),
+            HomeRule(self.blackboard.regions),
             self._apart,
             self.cold,
         )
@@ -126,7 +126,7 @@
             ports.servers.is_connected,
             Placement(self.directory, rules, ports.metrics, self.cold.send_within),
             self.cold,
-            self.beliefs.regions,
+            self.blackboard.regions,
         )
 
     def _make_fleet(self) -> None:
@@ -144,13 +144,13 @@
             lambda: self.keeper.is_owner(),
             self.settings.peer_address,
             self.true_time.own_offset,
-            self.beliefs.regions,
+            self.blackboard.regions,
         )
 
     def _make_quarantine(self) -> None:
         ports = self._ports
         self._crash_recorder = CrashRecorder(
-            self.beliefs.crashes,
+            self.blackboard.crashes,
             CrashRepository(ports.store),
             ports.clock,
             ports.log,
@@ -165,7 +165,7 @@
             self._crash_recorder.crashed,
         )
         self._servers = GuardedServers(
-            ports.servers, self.beliefs.crashes, watch, self._crash_recorder, self._apart
+            ports.servers, self.blackboard.crashes, watch, self._crash_recorder, self._apart
         )
 
     def _make_counter(self) -> UsageCounter | None:
@@ -185,8 +185,8 @@
             ShareChooser(ports.chance),
             counter,
             self._priority_of,
-            self.beliefs.crashes,
-            Trials(self.beliefs.crashes, CrashRepository(ports.store), ports.clock, ports.log),
+            self.blackboard.crashes,
+            Trials(self.blackboard.crashes, CrashRepository(ports.store), ports.clock, ports.log),
         )
         self.admission = Admission(
             self.configuration,
@@ -198,7 +198,7 @@
 
     def _make_rollouts(self) -> None:
         ports = self._ports
-        self._load_plan = LoadPlan(self.beliefs, lambda: self.keeper.demands())
+        self._load_plan = LoadPlan(self.blackboard, lambda: self.keeper.demands())
         services = RunServices(
             self.configuration,
             self.directory,
@@ -212,7 +212,7 @@
             asyncio.Semaphore(MAX_CALLS_IN_FLIGHT),
             self._make_division(),
             self.cold,
-            self.beliefs.crashes,
+            self.blackboard.crashes,
         )
         repository = BatchRepository(ports.store, ports.clock)
         views = ViewCache()
@@ -228,7 +228,7 @@
 
     def _make_division(self) -> EngineDivision:
         return EngineDivision(
-            self.beliefs,
+            self.blackboard,
             self._load_plan,
             self._clock,
             lambda: self.keeper.demands(),
@@ -269,7 +269,7 @@
     def read_metrics(self) -> bytes:
         """Returns all metrics as text, the gauges as of now."""
         metrics = self._ports.metrics
-        self._set_beliefs()
+        self._set_blackboard()
         metrics.set(Level.MEMBERS, len(list(self.membership.alive())))
         metrics.set(Level.COORDINATOR, int(self.membership.is_coordinator()))
         metrics.set(Level.OPEN_REQUESTS, self.lifecycle.open_requests)
@@ -284,7 +284,7 @@
         metrics.set(Level.STORE_RELAYED, int(relay is not None and relay.is_relayed))
         return metrics.text()
 
-    def _set_beliefs(self) -> None:
+    def _set_blackboard(self) -> None:
         """Sets the gauges of what this daemon believes."""
         metrics = self._ports.metrics
         current = self.configuration.current
@@ -294,9 +294,9 @@
         for state, count in self.directory.counts().items():
             metrics.set(Level.INSTANCES, count, state)
         metrics.set(Level.INSTANCES_COLD, self.cold.count_cold())
-        metrics.set(Level.QUARANTINED, self.beliefs.crashes.held())
-        metrics.set(Level.CRASHES_KNOWN, len(self.beliefs.crashes))
-        zones = self.beliefs.evacuations.zones()
+        metrics.set(Level.QUARANTINED, self.blackboard.crashes.held())
+        metrics.set(Level.CRASHES_KNOWN, len(self.blackboard.crashes))
+        zones = self.blackboard.evacuations.zones()
         metrics.replace(Level.EVACUATED, dict.fromkeys(zones, 1))
         in_zones = {zone: self.balancer.outstanding_in(zone) for zone in zones}
         metrics.replace(Level.EVACUATED_REQUESTS, in_zones)
--- a/src/larkpost/gateway/placement/cold.py
+++ b/src/larkpost/gateway/placement/cold.py
@@ -9,7 +9,7 @@
 
 from larkpost.common.clock import Clock
 from larkpost.common.ids import InstanceId
-from larkpost.gateway.blackboard.board import Beliefs
+from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.cold_instances import ColdTerms
 from larkpost.gateway.blackboard.configuration import Service
 from larkpost.gateway.blackboard.directory import InstanceInfo
@@ -71,13 +71,13 @@
     def __init__(
         self,
         terms: ColdTerms | None,
-        beliefs: Beliefs,
+        blackboard: Blackboard,
         clock: Clock,
         log: EventLog,
         senders: ColdSenders,
     ) -> None:
         self._terms = terms
-        self._beliefs = beliefs
+        self._beliefs = blackboard
         self._clock = clock
         self._log = log
         self._senders = senders
--- a/src/larkpost/gateway/scaling/controller.py
+++ b/src/larkpost/gateway/scaling/controller.py
@@ -11,7 +11,7 @@
 from larkpost.common.clock import Clock
 from larkpost.common.ids import ZoneId
 from larkpost.common.tasks import TaskSet
-from larkpost.gateway.blackboard.board import Beliefs
+from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.configuration import Configuration, Service, ServiceName
 from larkpost.gateway.controllers.leases import Duty, LeaseSubject, LeaseTable
 from larkpost.gateway.controllers.members import Membership
@@ -46,7 +46,7 @@
 
     def __init__(
         self,
-        beliefs: Beliefs,
+        blackboard: Blackboard,
         membership: Membership,
         leases: LeaseTable,
         port: ScalingPort,
@@ -63,7 +63,7 @@
             demand: works out what is asked of a service.
             store_sound_for: returns for how many seconds each call to the store was answered.
         """
-        self._beliefs = beliefs
+        self._beliefs = blackboard
         self._membership = membership
         self._leases = leases
         self._port = port
@@ -73,7 +73,7 @@
         self._demand = demand
         self._store_sound_for = store_sound_for
         self._mode = mode
-        self._census = ServerCensus(beliefs.directory, beliefs.evacuations)
+        self._census = ServerCensus(blackboard.directory, blackboard.evacuations)
         self._announced: dict[ServiceName, Plan] = {}
         self._next_order: dict[tuple[ServiceName, ZoneId], float] = {}
         self._no_preemptible_until: dict[ZoneId, float] = {}
--- a/tests/test_cold_choices.py
+++ b/tests/test_cold_choices.py
@@ -21,7 +21,7 @@
         self.fleet = PlatformFleet(gateways=1, engines=2, cold=COLD_TERMS)
         await self.fleet.wait(4.0)
         gateway = self.fleet.gateways[0]
-        self.beliefs, self.balancer = gateway.beliefs, gateway.balancer
+        self.blackboard, self.balancer = gateway.blackboard, gateway.balancer
         self.services = gateway.keeper._services
         for name in (ENGINE, OTHER_ENGINE):
             self.balancer.note_pace(name, PACE)
@@ -33,11 +33,11 @@
 
     def cool(self, engine: InstanceId) -> None:
         """Makes an engine cold."""
-        self.beliefs.cold.note(engine, LONG_SECONDS, self.fleet.clock.now())
+        self.blackboard.cold.note(engine, LONG_SECONDS, self.fleet.clock.now())
 
     def fill(self, engine: InstanceId) -> None:
         """Takes all places of an engine."""
-        for _ in range(self.beliefs.directory.get(engine).slots):
+        for _ in range(self.blackboard.directory.get(engine).slots):
             self.balancer.occupy(engine)
 
     def own(self, *engines: InstanceId) -> None:
--- a/tests/test_cold_owners.py
+++ b/tests/test_cold_owners.py
@@ -5,7 +5,7 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.common.ids import DaemonId
-from larkpost.gateway.blackboard.board import Beliefs
+from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.controllers.members import HEARING_INTERVALS, HEARTBEAT_SECONDS
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.placement.cold import (
@@ -40,13 +40,13 @@
         self.delay = 0.05
         self.cut_at: float | None = None
         self.is_owner = False
-        beliefs = Beliefs()
-        beliefs.configuration.update(CONFIGURATION)
-        beliefs.directory.update(INFO)
-        beliefs.cold.note(ENGINE, 10 * LONG_SECONDS, clock.now())
+        blackboard = Blackboard()
+        blackboard.configuration.update(CONFIGURATION)
+        blackboard.directory.update(INFO)
+        blackboard.cold.note(ENGINE, 10 * LONG_SECONDS, clock.now())
         senders = ColdSenders(own, clock)
         senders.follow(self.owners, self, self)
-        self.rule = ColdRule(COLD_TERMS, beliefs, clock, EventLog(own), senders)
+        self.rule = ColdRule(COLD_TERMS, blackboard, clock, EventLog(own), senders)
 
     def silence(self) -> float:
         """Returns for how long it has heard nothing."""
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -9,7 +9,7 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.common.ids import ZoneId
-from larkpost.gateway.blackboard.board import Beliefs
+from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.cold_instances import ColdInstances, ColdTerms
 from larkpost.gateway.controllers.row_intake import RowIntake
 from larkpost.gateway.observability.eventlog import EventLog
@@ -79,14 +79,16 @@
 
         async def begin() -> None:
             self.clock = LoopClock()
-            self.beliefs = Beliefs()
-            self.beliefs.configuration.update(CONFIGURATION)
-            self.beliefs.directory.update(INFO)
+            self.blackboard = Blackboard()
+            self.blackboard.configuration.update(CONFIGURATION)
+            self.blackboard.directory.update(INFO)
             self.senders = mock.Mock()
             self.senders.view.return_value = settled(names(1)[0], names(1))
-            self.rule = ColdRule(terms, self.beliefs, self.clock, EventLog("daemon"), self.senders)
+            self.rule = ColdRule(
+                terms, self.blackboard, self.clock, EventLog("daemon"), self.senders
+            )
             self.share = owner_sends(BOUND, self.senders.view(), ENGINE, is_engine=True)
-            self.beliefs.cold.note(ENGINE, LONG_SECONDS, self.clock.now())
+            self.blackboard.cold.note(ENGINE, LONG_SECONDS, self.clock.now())
             await work()
 
         run(begin())
@@ -130,16 +132,16 @@
 
     def test_sends_made_while_it_was_warm_count_once_it_is_cold(self) -> None:
         async def work() -> None:
-            self.beliefs.cold = self.rule._beliefs.cold = ColdInstances()
+            self.blackboard.cold = self.rule._beliefs.cold = ColdInstances()
             self.assertEqual(8, self.admitted(tries=8))
-            self.beliefs.cold.note(ENGINE, LONG_SECONDS, self.clock.now())
+            self.blackboard.cold.note(ENGINE, LONG_SECONDS, self.clock.now())
             self.assertEqual(0, self.admitted())
 
         self.play(work)
 
     def test_daemon_that_hears_nothing_is_limited_at_engines_that_may_have_turned_cold(self):
         async def work() -> None:
-            self.beliefs.cold = self.rule._beliefs.cold = ColdInstances()
+            self.blackboard.cold = self.rule._beliefs.cold = ColdInstances()
             self.senders.view.return_value = replace(self.senders.view(), is_blind=True)
             self.assertEqual(self.share, self.admitted())
             self.assertEqual(100, self.admitted(CLIENT_WORK))
@@ -159,7 +161,7 @@
     def test_shares_of_different_engines_are_independent(self) -> None:
         async def work() -> None:
             other = replace(INFO, id=NEW_ENGINE)
-            self.beliefs.cold.note(NEW_ENGINE, LONG_SECONDS, self.clock.now())
+            self.blackboard.cold.note(NEW_ENGINE, LONG_SECONDS, self.clock.now())
             self.admitted()
             self.assertIs(Verdict.ALLOWED, self.rule.judge(other, ITEM_WORK))
 
@@ -177,7 +179,7 @@
     def test_only_a_send_to_a_cold_engine_must_be_made_at_once(self) -> None:
         async def work() -> None:
             placement = Placement(
-                self.beliefs.directory, (self.rule,), send_within=self.rule.send_within
+                self.blackboard.directory, (self.rule,), send_within=self.rule.send_within
             )
             self.assertEqual(SEND_WITHIN_SECONDS, placement.admit(ENGINE, ITEM_WORK))
             await self.clock.sleep(LONG_SECONDS)
@@ -193,7 +195,9 @@
 
         async def without_rate() -> None:
             services = {ENGINES: replace(CONFIGURATION.services[ENGINES], cold_rate=0.0)}
-            self.beliefs.configuration.update(replace(CONFIGURATION, version=2, services=services))
+            self.blackboard.configuration.update(
+                replace(CONFIGURATION, version=2, services=services)
+            )
             await work()
 
         self.play(work, None)
@@ -202,8 +206,10 @@
     def test_client_goes_to_a_busy_warm_server_before_a_cold_one(self) -> None:
         async def work() -> None:
             warm = replace(INFO, id=OTHER_ENGINE)
-            self.beliefs.directory.update(warm)
-            balancer = Balancer(self.beliefs.directory, self.clock, random.Random(), cold=self.rule)
+            self.blackboard.directory.update(warm)
+            balancer = Balancer(
+                self.blackboard.directory, self.clock, random.Random(), cold=self.rule
+            )
             for _ in range(20):
                 balancer.occupy(OTHER_ENGINE)
             found = balancer.candidates(ENGINES)
@@ -215,9 +221,9 @@
 
     def test_refusal_leaves_the_engine_to_others_at_once(self) -> None:
         async def work() -> None:
-            placement = Placement(self.beliefs.directory, (self.rule,))
+            placement = Placement(self.blackboard.directory, (self.rule,))
             balancer = Balancer(
-                self.beliefs.directory, self.clock, random.Random(), placement=placement
+                self.blackboard.directory, self.clock, random.Random(), placement=placement
             )
             self.admitted()
             with self.assertRaises(NotRunError) as caught:
@@ -258,13 +264,13 @@
 
         async def begin() -> None:
             self.clock = LoopClock()
-            self.beliefs = Beliefs()
-            self.beliefs.configuration.update(CONFIGURATION)
+            self.blackboard = Blackboard()
+            self.blackboard.configuration.update(CONFIGURATION)
             self.sound = 100.0
             readers = replace(READERS, instance=lambda row: self.info)
             self.intake = RowIntake(
                 readers,
-                self.beliefs,
+                self.blackboard,
                 self.clock,
                 EventLog("daemon"),
                 lambda: self.sound,
@@ -279,7 +285,7 @@
         """Takes an entry of the engine, and returns for how long it counts as cold."""
         self.info = replace(INFO, cold_left=cold_left)
         self.intake.take_instance_row(Row(RowKey("instances", "", ENGINE), b"", 1))
-        return self.beliefs.cold.left(ENGINE, self.clock.now())
+        return self.blackboard.cold.left(ENGINE, self.clock.now())
 
     def test_new_during_traffic_whether_its_entry_says_so_or_nothing(self) -> None:
         for told in (None, 0.5, COLD_SECONDS):
@@ -325,8 +331,8 @@
     def test_zone_whose_evacuation_has_ended(self) -> None:
         async def work() -> None:
             self.take(0.0)
-            cold, now = self.beliefs.cold, self.clock.now()
-            directory, configuration = self.beliefs.directory, self.beliefs.configuration
+            cold, now = self.blackboard.cold, self.clock.now()
+            directory, configuration = self.blackboard.directory, self.blackboard.configuration
             cold.note_zone_returned(ZoneId("other"), directory, configuration, now)
             self.assertEqual(0.0, cold.left(ENGINE, now))
             cold.note_zone_returned(INFO.zone, directory, configuration, now)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -283,8 +283,8 @@
         self.fleet = PlatformFleet(gateways=1, engines=2)
         await self.fleet.wait(1.0)
         gateway = self.fleet.gateways[0]
-        self.beliefs, self.balancer = gateway.beliefs, gateway.balancer
-        self.slow, self.fast = self.beliefs.directory.of_service(ENGINES)
+        self.blackboard, self.balancer = gateway.blackboard, gateway.balancer
+        self.slow, self.fast = self.blackboard.directory.of_service(ENGINES)
         self.balancer.note_pace(self.slow.id, 0.09)
         self.balancer.note_pace(self.fast.id, 0.03)
         spec = make_batch(items=1)
@@ -293,7 +293,7 @@
         )
         engines = EngineChoice(head, gateway.keeper._services)
         places = PlaceQueue(engines, self.balancer, self.fleet.clock)
-        route = self.beliefs.configuration.current.match(spec.host, spec.path.encode())
+        route = self.blackboard.configuration.current.match(spec.host, spec.path.encode())
         progress = Progress(spec.items[0])
         progress.events = [b"x"] * LONG_RUN_EVENTS
         self.wish = FasterPlace(places, engines, self.slow, route, progress)
@@ -313,7 +313,7 @@
     def test_run_stays_if_the_place_is_in_an_evacuated_zone_by_then(self):
         async def play():
             await self.begin()
-            self.beliefs.evacuations.begin(self.fast.zone, self.fleet.clock.now())
+            self.blackboard.evacuations.begin(self.fast.zone, self.fleet.clock.now())
             self.wish.raise_if_given()
             self.assertEqual(0, self.balancer.use(self.fast.id).outstanding)
             self.wish.look()
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -6,7 +6,7 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.common.ids import Address, InstanceId, ZoneId
-from larkpost.gateway.blackboard.board import Beliefs
+from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.configuration import Route, RouteKind, ServiceName, ServiceShare
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
 from larkpost.gateway.blackboard.evacuations import Evacuations, ZoneEvacuation
@@ -248,9 +248,9 @@
         async def play():
             configuration = PlatformFleet(gateways=1).gateways[0].configuration
             configuration.update(CONFIGURATION)
-            beliefs = Beliefs(RegionMap(), configuration, self.directory, self.targets)
-            evacuations = beliefs.evacuations
-            division = EngineDivision(beliefs, LoadPlan(beliefs, dict), LoopClock(), dict)
+            blackboard = Blackboard(RegionMap(), configuration, self.directory, self.targets)
+            evacuations = blackboard.evacuations
+            division = EngineDivision(blackboard, LoadPlan(blackboard, dict), LoopClock(), dict)
             self.assertEqual(self.north | self.south, division.engines_of(ENGINES, MODEL))
             evacuations.begin(NORTH, 0.0)
             await asyncio.sleep(1.0)
@@ -427,7 +427,7 @@
             await self.fleet.wait(1.0)
             self.fleet.evacuate(NORTH)
             await self.fleet.wait(EVACUATE_SECONDS)
-            self.assertTrue(self.fleet.gateways[0].beliefs.evacuations.is_evacuated(NORTH))
+            self.assertTrue(self.fleet.gateways[0].blackboard.evacuations.is_evacuated(NORTH))
             self.assertEqual({SOUTH}, await self.run_batch())
 
         run(play())
@@ -441,7 +441,7 @@
             await self.fleet.wait(0.08)
             north = [name for name, zone in self.fleet.engine_zones.items() if zone == NORTH]
             self.assertTrue(any(self.fleet.engines.engines[name].running for name in north))
-            self.fleet.gateways[0].beliefs.evacuations.begin(NORTH, 0.0)
+            self.fleet.gateways[0].blackboard.evacuations.begin(NORTH, 0.0)
             first = len(self.fleet.sends)
             for name in north:
                 self.fleet.engines.engines[name].break_after = 3
@@ -456,7 +456,7 @@
             spec = make_batch(items=8)
             await self.fleet.gateways[0].batches.submit(spec)
             await self.fleet.wait(0.08)
-            self.fleet.gateways[0].beliefs.evacuations.begin(NORTH, 0.0)
+            self.fleet.gateways[0].blackboard.evacuations.begin(NORTH, 0.0)
             sent = len(self.fleet.sends)
             check_results(self, spec, await self.fleet.read_all(self.fleet.gateways[0], spec.id))
             self.assertEqual(sent, len(self.fleet.sends))
@@ -470,7 +470,7 @@
             spec = make_batch(items=8)
             await gateway.batches.submit(spec)
             await self.fleet.wait(0.08)
-            gateway.beliefs.evacuations.begin(NORTH, 0.0)
+            gateway.blackboard.evacuations.begin(NORTH, 0.0)
             count = sum(
                 state.running
                 for name, state in self.fleet.engines.engines.items()
@@ -480,7 +480,7 @@
             self.check_gauges(count)
             await self.fleet.read_all(gateway, spec.id)
             self.check_gauges(0)
-            gateway.beliefs.evacuations.end(NORTH)
+            gateway.blackboard.evacuations.end(NORTH)
             self.assertNotIn(b'larkpost_evacuated{zone="north"}', gateway.read_metrics())
             self.assertNotIn(b'larkpost_evacuated_requests{zone="north"}', gateway.read_metrics())
 
@@ -506,7 +506,7 @@
     def test_daemon_in_the_zone_serves_its_callers(self):
         async def play():
             await self.begin(gateways=1)
-            self.fleet.gateways[0].beliefs.regions.own_zone = NORTH
+            self.fleet.gateways[0].blackboard.regions.own_zone = NORTH
             await self.change(NORTH)
             self.assertEqual({SOUTH}, await self.run_batch())
 
--- a/tests/test_repeated_crashes.py
+++ b/tests/test_repeated_crashes.py
@@ -71,7 +71,9 @@
             await fleet.wait(OUTAGE_SECONDS)
             fleet.store.faults = StoreFaults()
             await fleet.wait(CONTACT_SECONDS)
-            self.assertEqual([3, 3, 3], [g.beliefs.crashes.count(CONTENT) for g in fleet.gateways])
+            self.assertEqual(
+                [3, 3, 3], [g.blackboard.crashes.count(CONTENT) for g in fleet.gateways]
+            )
             before = len(fleet.arrivals)
             self.assertEqual({502, 503}, await self.ask_all(caller))
             self.assertEqual(before + 1, len(fleet.arrivals))  # a trial is due by now, and only one
