--- a/src/larkpost/gateway/assembly/loop_watch.py
+++ b/src/larkpost/gateway/assembly/loop_watch.py
@@ -33,4 +33,4 @@
             lag = self._clock.now() - started - LOOP_INTERVAL_SECONDS
             self._largest = max(self._largest, lag)
             if lag > LATE_LOOP_SECONDS:
-                self._log.note(Event.LOOP_LATE, seconds=round(lag, 3))
+                self._log.record(Event.LOOP_LATE, seconds=round(lag, 3))
--- a/src/larkpost/gateway/controllers/heartbeat_list.py
+++ b/src/larkpost/gateway/controllers/heartbeat_list.py
@@ -139,5 +139,5 @@
         try:
             return decode_heartbeat(row.value)
         except ValueError as error:
-            self._log.note(Event.UNREADABLE, row=name, error=str(error))
+            self._log.record(Event.UNREADABLE, row=name, error=str(error))
             return Heartbeat(UNREADABLE_INTERVAL_SECONDS)
--- a/src/larkpost/gateway/controllers/loader.py
+++ b/src/larkpost/gateway/controllers/loader.py
@@ -118,7 +118,7 @@
             self._note_no_order(engine, target, "no_lease")
             return RETRY_SECONDS
         if self._clock.now() >= lease.usable_until:
-            self._log.note(Event.LEASE_LAPSED, subject=lease.subject.key, token=lease.token)
+            self._log.record(Event.LEASE_LAPSED, subject=lease.subject.key, token=lease.token)
             return RETRY_SECONDS
         if not self._directory.takes_work(engine.id):
             self._note_no_order(engine, target, "leaving")
@@ -133,7 +133,7 @@
         )
         outcome = await self._servers.order(engine, order, ORDER_TIMEOUT_SECONDS)
         self._metrics.count(Count.ORDERS, outcome)
-        self._log.note(
+        self._log.record(
             Event.ORDER,
             engine=engine.id,
             model=target.model,
@@ -152,7 +152,7 @@
     def _note_no_order(self, engine: InstanceInfo, target: WeightTarget, reason: str) -> None:
         """Notes that an order which is due could not be given."""
         self._metrics.count(Count.ORDERS, reason)
-        self._log.note(
+        self._log.record(
             Event.ORDER,
             engine=engine.id,
             model=target.model,
--- a/src/larkpost/gateway/controllers/members.py
+++ b/src/larkpost/gateway/controllers/members.py
@@ -372,11 +372,11 @@
             rows = self._awaited if name in self._awaited.seen else self._known
             age = round(rows.silence(name), 3) if name in rows.seen else None
             state = "alive" if name in self._alive else "dead"
-            self._log.note(Event.MEMBER, member=name, state=state, heartbeat_age=age)
+            self._log.record(Event.MEMBER, member=name, state=state, heartbeat_age=age)
         self._noted = self._alive
         if self.is_coordinator() != self._noted_coordinator:
             self._noted_coordinator = self.is_coordinator()
-            self._log.note(
+            self._log.record(
                 Event.COORDINATOR,
                 acting=self._noted_coordinator,
                 alive=len(self._alive),
--- a/src/larkpost/gateway/controllers/row_intake.py
+++ b/src/larkpost/gateway/controllers/row_intake.py
@@ -76,7 +76,7 @@
         if self._store_sound_for() < LAPSED_SECONDS:
             return
         for instance in self._directory.drop_unlisted():
-            self._log.note(Event.INSTANCE, instance=instance, state="gone", sound=True)
+            self._log.record(Event.INSTANCE, instance=instance, state="gone", sound=True)
 
     def take_operator_row(self, row: Row) -> None:
         """Takes a row with a configuration, a named weight version or an evacuated zone.
@@ -88,12 +88,12 @@
             target = self._readers.weight_target(row)
             evacuation = self._readers.evacuation(row)
         except ValueError as error:
-            self._log.note(Event.UNREADABLE, row=row.key.key, error=str(error))
+            self._log.record(Event.UNREADABLE, row=row.key.key, error=str(error))
             return
         if configuration is not None and self._configuration.update(configuration):
-            self._log.note(Event.CONFIGURATION, version=configuration.version)
+            self._log.record(Event.CONFIGURATION, version=configuration.version)
         if target is not None and self._targets.update(target, self._clock.now()):
-            self._log.note(Event.WEIGHT_TARGET, model=target.model, version=target.version)
+            self._log.record(Event.WEIGHT_TARGET, model=target.model, version=target.version)
         if evacuation is not None:
             self._take_evacuation(evacuation)
 
@@ -106,7 +106,7 @@
             self._cold.note_zone_returned(zone, self._directory, self._configuration, now)
         instances = sum(info.zone == evacuation.zone for info in self._directory.all())
         state = "begun" if evacuation.is_on else "ended"
-        self._log.note(Event.EVACUATION, zone=evacuation.zone, state=state, instances=instances)
+        self._log.record(Event.EVACUATION, zone=evacuation.zone, state=state, instances=instances)
 
     def take_instance_row(self, row: Row) -> None:
         """Takes an instance's entry, or the news that it is gone."""
@@ -114,18 +114,18 @@
         if row.removed:
             sound = self._store_sound_for() >= self._trust_after()
             self._directory.remove(instance, sound=sound)
-            self._log.note(Event.INSTANCE, instance=instance, state="gone", sound=sound)
+            self._log.record(Event.INSTANCE, instance=instance, state="gone", sound=sound)
             return
         try:
             info = self._readers.instance(row)
         except ValueError as error:
-            self._log.note(Event.UNREADABLE, row=row.key.key, error=str(error))
+            self._log.record(Event.UNREADABLE, row=row.key.key, error=str(error))
             return
         known = self._directory.get(instance)
         self._directory.update(info)
         self._note_cold(info, is_new=known is None and self._had_whole_list())
         if known is None or known.state != info.state:
-            self._log.note(
+            self._log.record(
                 Event.INSTANCE, instance=instance, state=info.state, service=info.service
             )
 
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -236,7 +236,7 @@
 
     def start(self) -> None:
         """Starts all background work."""
-        self._log.note(Event.START, id=self.id)
+        self._log.record(Event.START, id=self.id)
         self._feeds.start(self._tasks)
         self._crash_recorder.start(self._tasks)
         if self._ports.relay is not None:
@@ -306,7 +306,7 @@
         while self.configuration.current is None or not self._feeds.instances.listed:
             await self._clock.sleep(READINESS_INTERVAL_SECONDS)
         self.lifecycle.informed = True
-        self._log.note(Event.READY, instances=len(self.directory))
+        self._log.record(Event.READY, instances=len(self.directory))
 
     def _priority_of(self, tenant: TenantName | None, route: Route) -> int:
         """Returns how urgent a client's request is by the configuration in force."""
--- a/src/larkpost/gateway/placement/cold.py
+++ b/src/larkpost/gateway/placement/cold.py
@@ -155,7 +155,7 @@
         for name in sorted(cold ^ self._noted):
             left = self._beliefs.cold.left(name, self._clock.now())
             state = "cold" if name in cold else "warm"
-            self._log.note(Event.INSTANCE_COLD, instance=name, state=state, left=round(left, 3))
+            self._log.record(Event.INSTANCE_COLD, instance=name, state=state, left=round(left, 3))
         self._noted = cold
         now = self._clock.now()
         self._sent = {key: sent for key, sent in self._sent.items() if sent.count(now)}
--- a/src/larkpost/gateway/planned_stop.py
+++ b/src/larkpost/gateway/planned_stop.py
@@ -54,12 +54,12 @@
         """Stops taking clients, hands over, and waits for the answers under way."""
         began = self._clock.now()
         self._lifecycle.stopping = True
-        self._log.note(Event.STOPPING, open_requests=self._lifecycle.open_requests)
+        self._log.record(Event.STOPPING, open_requests=self._lifecycle.open_requests)
         latest = began + max(LOOK_SECONDS, self._grace_time() - KILL_MARGIN_SECONDS)
         await self._hand_over(began + (latest - began) * HAND_OVER_SHARE)
         await self._wait_for_answers(began + LEAVE_SECONDS, latest)
         await self._save_last()
-        self._log.note(
+        self._log.record(
             Event.STOP,
             open_requests=self._lifecycle.open_requests,
             seconds=round(self._clock.now() - began, 3),
@@ -72,7 +72,7 @@
                 async with asyncio.timeout(max(0.0, latest - self._clock.now())):
                     await step()
             except TimeoutError:
-                self._log.note(Event.STOP_STEP_LEFT, step=name)
+                self._log.record(Event.STOP_STEP_LEFT, step=name)
 
     async def _wait_for_answers(self, earliest: float, latest: float) -> None:
         while self._clock.now() < latest:
--- a/src/larkpost/gateway/proxy/admission.py
+++ b/src/larkpost/gateway/proxy/admission.py
@@ -141,7 +141,7 @@
                 retry_after=RETRY_AFTER_SECONDS,
             )
         self._metrics.count(Count.DENIALS, error.code)
-        self._log.note(
+        self._log.record(
             Event.REQUEST_DENIED,
             request=request_id,
             reason=error.code,
--- a/src/larkpost/gateway/proxy/outcomes.py
+++ b/src/larkpost/gateway/proxy/outcomes.py
@@ -61,7 +61,7 @@
         attempts.ran_at.add(instance.id)
         self._metrics.count(Count.ATTEMPTS, instance.service, "broken")
         self._balancer.avoid(instance.id, BROKEN_AVOID_SECONDS)
-        self._log.note(
+        self._log.record(
             Event.ATTEMPT_FAILED,
             request=attempts.request.request_id.decode("latin-1"),
             content=digest_request(attempts.request),
@@ -87,7 +87,7 @@
         self._metrics.count(Count.REQUESTS, route.name, "answered")
         self._metrics.observe(Timing.REQUEST, held, route.name)
         self.forecast_served(attempts, status)
-        self._log.note(
+        self._log.record(
             Event.REQUEST_DONE,
             request=request.request_id.decode("latin-1"),
             route=route.name,
@@ -123,7 +123,7 @@
             error = RequestFailedError("no whole answer came", ran=Ran.UNKNOWN)
         self._metrics.count(Count.REQUESTS, route.name, error.code)
         self._count_forecast(attempts, NOT_SERVED)
-        self._log.note(
+        self._log.record(
             Event.REQUEST_FAILED,
             request=request.request_id.decode("latin-1"),
             content=digest_request(request),
--- a/src/larkpost/gateway/quarantine/recorder.py
+++ b/src/larkpost/gateway/quarantine/recorder.py
@@ -63,7 +63,7 @@
         try:
             crash = crash_of_row(row)
         except (ValueError, KeyError, TypeError) as error:
-            self._log.note(Event.UNREADABLE, row=row.key.key, error=repr(error))
+            self._log.record(Event.UNREADABLE, row=row.key.key, error=repr(error))
             return
         if row.removed:
             self._remove(crash.content, crash.instance)
@@ -84,7 +84,7 @@
         if not added:
             return
         self._metrics.count(Count.CRASHES, evidence)
-        self._log.note(
+        self._log.record(
             Event.SERVER_CRASH,
             instance=instance,
             evidence=evidence,
@@ -116,13 +116,13 @@
         is_new = self._crashes.add(crash)
         count = self._crashes.count(crash.content)
         if is_new and count == CLIENT_CRASH_LIMIT:
-            self._log.note(Event.QUARANTINE, content=crash.content, state="begun", crashes=count)
+            self._log.record(Event.QUARANTINE, content=crash.content, state="begun", crashes=count)
         return is_new
 
     def _remove(self, content: ContentDigest, instance: InstanceId) -> None:
         count = self._crashes.count(content)
         if self._crashes.remove(content, instance) and count == CLIENT_CRASH_LIMIT:
-            self._log.note(Event.QUARANTINE, content=content, state="ended", crashes=count - 1)
+            self._log.record(Event.QUARANTINE, content=content, state="ended", crashes=count - 1)
 
     def _keep(self, content: ContentDigest, instance: InstanceId, crash: Crash | None) -> None:
         """Has a change saved; the newest one for a row replaces those before it."""
--- a/src/larkpost/gateway/quarantine/trials.py
+++ b/src/larkpost/gateway/quarantine/trials.py
@@ -51,7 +51,9 @@
         if not await self._repository.claim(trial):
             return False
         self._crashes.add(trial)
-        self._log.note(Event.QUARANTINE, content=content, state="trial", crashes=len(known) - used)
+        self._log.record(
+            Event.QUARANTINE, content=content, state="trial", crashes=len(known) - used
+        )
         return True
 
     def _may_claim(self, content: ContentDigest) -> bool:
--- a/src/larkpost/gateway/rollouts/keeper.py
+++ b/src/larkpost/gateway/rollouts/keeper.py
@@ -223,7 +223,7 @@
         done = await self._repository.claim(known.head, known.version, owner)
         outcome = "done" if done else "failed"
         self._services.metrics.count(Count.CLAIMS, outcome)
-        self._log.note(
+        self._log.record(
             Event.BATCH_CLAIMED,
             batch=batch,
             owner=known.head.owner,
@@ -241,7 +241,7 @@
         view: BatchView = self._views.get_or_add(head)
         owned = OwnedBatch(head, view, self._repository, self._services)
         self._owned[head.id] = owned
-        self._log.note(Event.BATCH_OWNED, batch=head.id, fresh=fresh)
+        self._log.record(Event.BATCH_OWNED, batch=head.id, fresh=fresh)
         owned.start(items, fresh)
 
     def _release(self, batch: BatchId) -> None:
@@ -249,7 +249,7 @@
         if owned is None:
             return
         owned.stop()
-        self._log.note(Event.BATCH_RELEASED, batch=batch, complete=owned.complete)
+        self._log.record(Event.BATCH_RELEASED, batch=batch, complete=owned.complete)
 
     async def _hand_over(self, batch: BatchId) -> None:
         owned = self._owned[batch]
--- a/src/larkpost/gateway/rollouts/owned.py
+++ b/src/larkpost/gateway/rollouts/owned.py
@@ -108,7 +108,7 @@
                 await self._append_all()
                 return
             except Exception as error:
-                self._log.note(Event.FAULT, where=f"batch {self.head.id}", error=repr(error))
+                self._log.record(Event.FAULT, where=f"batch {self.head.id}", error=repr(error))
             if self._run is not None:
                 self._run.cancel()
                 self._run = None
@@ -132,7 +132,7 @@
         self._view.items = {item.id: item for item in items}
         ended_items = self._listed | {result.item for result in self._pending}
         open_items = tuple(item for item in items if item.id not in ended_items)
-        self._log.note(
+        self._log.record(
             Event.BATCH_LOADED,
             batch=self.head.id,
             listed=len(self._listed),
@@ -186,7 +186,7 @@
         self.complete = True
         if self._run is not None:
             self._run.cancel()
-        self._log.note(Event.BATCH_COMPLETE, batch=self.head.id, listed=len(self._view.results))
+        self._log.record(Event.BATCH_COMPLETE, batch=self.head.id, listed=len(self._view.results))
 
     def _is_over(self) -> bool:
         if self._tail is None:
@@ -212,7 +212,7 @@
             self._pending = self._pending[taken:]
             self._tail = tail
             return
-        self._log.note(
+        self._log.record(
             Event.APPEND_FAILED,
             batch=self.head.id,
             outcome=result.outcome,
@@ -230,7 +230,7 @@
             waited = now - self._ended_at.pop(result.item, now)
             self._services.metrics.observe(Timing.APPEND_WAIT, waited)
             self._services.metrics.count(Count.RESULTS, result.state)
-        self._log.note(
+        self._log.record(
             Event.APPENDED,
             batch=self.head.id,
             position=position,
--- a/src/larkpost/gateway/rollouts/reward.py
+++ b/src/larkpost/gateway/rollouts/reward.py
@@ -234,7 +234,7 @@
     ) -> None:
         self._services.metrics.count(Count.REWARD_CALLS, ended.end)
         self._services.metrics.observe(Timing.REWARD_CALL, seconds)
-        self._services.log.note(
+        self._services.log.record(
             Event.REWARD_CALL,
             batch=self._head.id,
             item=progress.item.id,
--- a/src/larkpost/gateway/rollouts/run.py
+++ b/src/larkpost/gateway/rollouts/run.py
@@ -124,7 +124,7 @@
                 break
             except Exception as error:
                 where = f"item {item.id}"
-                self._services.log.note(Event.FAULT, where=where, error=repr(error))
+                self._services.log.record(Event.FAULT, where=where, error=repr(error))
             await self._services.clock.sleep(FAULT_PAUSE_SECONDS)
         self.progress.pop(item.id, None)
         if is_done:
@@ -182,7 +182,7 @@
         return crashes.holds_content(item.content(self.head), BATCH_CRASH_LIMIT)
 
     def _finish_dead(self, item: Item, progress: Progress) -> None:
-        self._services.log.note(
+        self._services.log.record(
             Event.ITEM_DEAD,
             batch=self.head.id,
             item=item.id,
@@ -267,7 +267,7 @@
         directory = self._services.directory
         self._services.metrics.count(Count.ITEM_RUNS, reason.partition(":")[0])
         self._services.metrics.observe(Timing.ITEM_RUN, seconds)
-        self._services.log.note(
+        self._services.log.record(
             Event.ITEM_RUN,
             batch=self.head.id,
             item=progress.item.id,
--- a/src/larkpost/gateway/rollouts/service.py
+++ b/src/larkpost/gateway/rollouts/service.py
@@ -120,7 +120,7 @@
             return
         if self._is_homeless(spec):
             self._services.metrics.count(Count.BATCH_CALLS, "submit", "homeless")
-            self._log.note(Event.BATCH_REFUSED, batch=spec.id, uncertain=False, homeless=True)
+            self._log.record(Event.BATCH_REFUSED, batch=spec.id, uncertain=False, homeless=True)
             raise BatchRefusedError(
                 "no engine lies where the batch may be served", retry_after=RETRY_AFTER_SECONDS
             )
@@ -129,18 +129,18 @@
         outcome = await self._repository.accept(spec, self._owner, upload, ACCEPT_SECONDS)
         if outcome is AcceptOutcome.REFUSED:
             self._services.metrics.count(Count.BATCH_CALLS, "submit", "refused")
-            self._log.note(Event.BATCH_REFUSED, batch=spec.id, uncertain=False)
+            self._log.record(Event.BATCH_REFUSED, batch=spec.id, uncertain=False)
             raise BatchRefusedError("the store refused the batch", retry_after=RETRY_AFTER_SECONDS)
         if outcome is AcceptOutcome.UNCERTAIN:
             self._services.metrics.count(Count.BATCH_CALLS, "submit", "uncertain")
-            self._log.note(Event.BATCH_REFUSED, batch=spec.id, uncertain=True)
+            self._log.record(Event.BATCH_REFUSED, batch=spec.id, uncertain=True)
             raise BatchUncertainError("the store did not answer", ran=Ran.UNKNOWN)
         if outcome is AcceptOutcome.TAKEN:
             self._services.metrics.count(Count.BATCH_CALLS, "submit", "taken")
-            self._log.note(Event.BATCH_REFUSED, batch=spec.id, uncertain=False, taken=True)
+            self._log.record(Event.BATCH_REFUSED, batch=spec.id, uncertain=False, taken=True)
             raise BatchIdTakenError(f"there is another batch {spec.id}")
         self._services.metrics.count(Count.BATCH_CALLS, "submit", "accepted")
-        self._log.note(
+        self._log.record(
             Event.BATCH_ACCEPTED,
             batch=spec.id,
             tenant=spec.tenant,
@@ -193,7 +193,7 @@
             if give_up_at - now < LEAST_WAIT_SECONDS:
                 if failed:
                     self._services.metrics.count(Count.BATCH_CALLS, "read", "failed")
-                    self._log.note(Event.READ_FAILED, batch=batch, position=position)
+                    self._log.record(Event.READ_FAILED, batch=batch, position=position)
                     raise BatchUnreadableError(
                         "the store does not answer", retry_after=RETRY_AFTER_SECONDS
                     )
@@ -216,7 +216,7 @@
         """Returns a page and notes it, with the age of what was known."""
         page = _page(view, position)
         self._services.metrics.count(Count.BATCH_CALLS, "read", "answered")
-        self._log.note(
+        self._log.record(
             Event.BATCH_READ,
             batch=view.head.id,
             position=position,
@@ -268,7 +268,7 @@
         if outcome is EndOutcome.UNCERTAIN:
             raise BatchUncertainError("the store did not answer", ran=Ran.UNKNOWN)
         self._services.metrics.count(Count.BATCH_CALLS, "end", "done")
-        self._log.note(Event.BATCH_ENDED, batch=batch)
+        self._log.record(Event.BATCH_ENDED, batch=batch)
         self._keeper.finish(batch)
 
     async def _view(self, batch: BatchId, caller: Caller) -> BatchView:
--- a/src/larkpost/gateway/scaling/controller.py
+++ b/src/larkpost/gateway/scaling/controller.py
@@ -113,7 +113,7 @@
         if self._announced.get(service) == plan or not self._membership.is_coordinator():
             return
         self._announced[service] = plan
-        self._log.note(
+        self._log.record(
             Event.SCALING_PLAN,
             service=service,
             present=present,
@@ -143,7 +143,7 @@
 
     def _note(self, order: ScalingOrder, outcome: str, token: int | None) -> None:
         self._metrics.count(Count.SERVER_ORDERS, outcome)
-        self._log.note(
+        self._log.record(
             Event.SERVERS_ORDERED,
             service=order.service,
             zone=order.zone,
--- a/src/larkpost/gateway/store/follower.py
+++ b/src/larkpost/gateway/store/follower.py
@@ -98,7 +98,7 @@
             except HistoryLostError:
                 self._list_began = float("-inf")
                 self._position = 0
-                self._log.note(Event.STORE, table=self._table, state="history_lost")
+                self._log.record(Event.STORE, table=self._table, state="history_lost")
             except StoreUnavailableError as error:
                 self.failed_at = self._clock.now()
                 self._note(following=False, reason=error.message)
@@ -111,7 +111,7 @@
         self._following = following
         age = round(self.age(self._clock.now()), 3)
         state = "regained" if following else "lost"
-        self._log.note(Event.STORE, table=self._table, state=state, age=age, reason=reason)
+        self._log.record(Event.STORE, table=self._table, state=state, age=age, reason=reason)
 
     async def _step(self) -> None:
         started = self._clock.now()
--- a/src/larkpost/gateway/store/relay.py
+++ b/src/larkpost/gateway/store/relay.py
@@ -217,7 +217,7 @@
         if address not in self._connected:
             self._connected[address] = self._connect(address)
         self._peer = self._connected[address]
-        self._log.note(Event.STORE_RELAY, peer=address, state="relayed")
+        self._log.record(Event.STORE_RELAY, peer=address, state="relayed")
         return self._peer
 
     def _drop_peer(self, peer: PeerStore, *, silent: bool = False) -> None:
@@ -231,7 +231,7 @@
     def _leave_peers_alone(self) -> None:
         """Asks no peer for a while: none of those asked reaches the store."""
         self._no_peer_until = self._clock.now() + NO_PEER_PAUSE_SECONDS
-        self._log.note(Event.STORE_RELAY, state="no_peer")
+        self._log.record(Event.STORE_RELAY, state="no_peer")
 
     async def _probe(self) -> None:
         """Goes back to direct calls once the store takes them again."""
@@ -242,4 +242,4 @@
         except StoreUnavailableError:
             return  # the store still turns this daemon away
         self._peer = None
-        self._log.note(Event.STORE_RELAY, state="direct")
+        self._log.record(Event.STORE_RELAY, state="direct")
--- a/src/larkpost/gateway/usage/reporter.py
+++ b/src/larkpost/gateway/usage/reporter.py
@@ -172,7 +172,7 @@
             self._note(decided.report, "no_lease", None)
             return False
         if self._clock.now() >= lease.usable_until:
-            self._log.note(Event.LEASE_LAPSED, subject=SUBJECT.key, token=lease.token)
+            self._log.record(Event.LEASE_LAPSED, subject=SUBJECT.key, token=lease.token)
             return False
         outcome = await self._port.report_usage(
             decided.report, self._membership.own, lease, REPORT_TIMEOUT_SECONDS
@@ -195,7 +195,7 @@
         report = await self._repository.sum_counts(window)
         if await self._repository.decide(report) not in (WriteOutcome.DONE, WriteOutcome.CONFLICT):
             return None
-        self._log.note(
+        self._log.record(
             Event.USAGE_DECIDED,
             window=window,
             tenants=len(report.counts),
@@ -205,7 +205,7 @@
 
     def _note(self, report: UsageReport, outcome: str, token: int | None) -> None:
         self._metrics.count(Count.USAGE_REPORTS, outcome)
-        self._log.note(
+        self._log.record(
             Event.USAGE_REPORTED,
             window=report.window,
             requests=sum(report.counts.values()),
--- a/src/larkpost/platform/descriptors.py
+++ b/src/larkpost/platform/descriptors.py
@@ -69,7 +69,7 @@
 
     def _settle(self, held: int, shed: int, *, accepting: bool) -> None:
         if shed or accepting is not self._lifecycle.accepting:
-            self._log.note(
+            self._log.record(
                 Event.DESCRIPTORS, held=held, limit=self._limit, closed=shed, accepting=accepting
             )
         self._lifecycle.accepting = accepting
--- a/src/larkpost/platform/process.py
+++ b/src/larkpost/platform/process.py
@@ -185,7 +185,7 @@
             content = found
             settings = load_platform_settings(path)
         except SettingsError as error:
-            log.note(Event.SETTINGS, outcome="refused", error=str(error))
+            log.record(Event.SETTINGS, outcome="refused", error=str(error))
             continue
         store.move(settings.store)
         if duties is not None and settings.duties is not None:
@@ -194,7 +194,7 @@
         for name in ("contact_time", "lease_time", "apply_time", "grace_time", "batch_lifetime"):
             setattr(current, name, getattr(changed, name))
         current.regions.take(changed.regions)
-        log.note(Event.SETTINGS, outcome="taken")
+        log.record(Event.SETTINGS, outcome="taken")
 
 
 if __name__ == "__main__":
--- a/src/larkpost/platform/silence.py
+++ b/src/larkpost/platform/silence.py
@@ -204,7 +204,7 @@
         if self._metrics is not None:
             self._metrics.count(Count.SILENT_CONNECTIONS, self._peer)
         if self._log is not None:
-            self._log.note(
+            self._log.record(
                 Event.CONNECTIONS_SILENT,
                 to=self._peer,
                 address=line.address,
--- a/tests/noting_log.py
+++ b/tests/recording_log.py
@@ -3,7 +3,7 @@
 from larkpost.gateway.observability.eventlog import Event, EventLog
 
 
-class NotingLog(EventLog):
+class RecordingLog(EventLog):
     """Keeps the events of one daemon."""
 
     def __init__(self) -> None:
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -39,7 +39,6 @@
 from larkpost.rehearsal.memory_store import StoreFaults
 from larkpost.rehearsal.scripted_engines import EngineState, ScriptedEngines
 from tests import switched_off
-from tests.noting_log import NotingLog
 from tests.platform_checks import EVACUATE_SECONDS, known_by
 from tests.platform_fleet import (
     CONFIGURATION,
@@ -51,6 +50,7 @@
     make_batch,
 )
 from tests.platform_oracle import PlatformOracle
+from tests.recording_log import RecordingLog
 from tests.virtual import run
 
 NORTH, SOUTH = ZONES
@@ -309,7 +309,7 @@
     def test_begin_and_end_have_one_line_each(self):
         async def play():
             await self.begin(gateways=1)
-            log = NotingLog()
+            log = RecordingLog()
             self.fleet.gateways[0]._feeds.intake._log = log
             await self.change(NORTH)
             self.fleet.put("operator", f"evacuate-{NORTH}", b"{}")  # said again: no news
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -91,7 +91,7 @@
         metrics = Metrics()
         log = EventLog("d", LineWriter(writer), metrics)
         for _ in range(5 * LINES_PER_SECOND):
-            log.note(Event.ITEM_RUN, batch="b")
+            log.record(Event.ITEM_RUN, batch="b")
         name = Count.LINES_LEFT_OUT.value
         left_out = metrics.registry.get_sample_value(name, {"event": Event.ITEM_RUN.value})
         self.assertGreaterEqual(left_out, 3 * LINES_PER_SECOND)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -30,7 +30,7 @@
 from larkpost.gateway.store.port import Row, RowKey
 from larkpost.rehearsal.memory_store import MemoryStore, StoreClient, StoreFaults
 from larkpost.rehearsal.scripted_engines import EngineState, ScriptedEngines
-from tests.noting_log import NotingLog
+from tests.recording_log import RecordingLog
 from tests.virtual import run
 
 PAGES = ServiceName("pages")
@@ -195,7 +195,7 @@
         self.clock = LoopClock()
         self.store = MemoryStore(self.clock)
         self.tasks = TaskSet(self.clock, Telemetry("t", log=False))
-        self.log = NotingLog()
+        self.log = RecordingLog()
         self.crashes, self.recorder = self.make()
         self.others, self.other = self.make()
 
