--- a/src/larkpost/gateway/blackboard/cold_instances.py
+++ b/src/larkpost/gateway/blackboard/cold_instances.py
@@ -39,7 +39,7 @@
         if left:
             self._until[instance] = max(now + left, self._until.get(instance, now))
 
-    def note_zone_returned(
+    def record_zone_returned(
         self, zone: ZoneId, directory: Directory, configuration: ConfigurationState, now: float
     ) -> None:
         """Takes that a zone is evacuated no longer: its instances may have become cold before."""
--- a/src/larkpost/gateway/controllers/loader.py
+++ b/src/larkpost/gateway/controllers/loader.py
@@ -105,7 +105,7 @@
         """Gives one order and returns the seconds to wait before the engine is looked at again."""
         report = await self._servers.report(engine, REPORT_TIMEOUT_SECONDS)
         if report is None:
-            self._note_no_order(engine, target, "no_report")
+            self._record_no_order(engine, target, "no_report")
             return RETRY_SECONDS
         if report.busy:
             return RETRY_SECONDS
@@ -115,13 +115,13 @@
             return 0.0
         lease = await self._leases.take(LeaseSubject(Duty.ENGINE_ORDERS, engine.id))
         if lease is None:
-            self._note_no_order(engine, target, "no_lease")
+            self._record_no_order(engine, target, "no_lease")
             return RETRY_SECONDS
         if self._clock.now() >= lease.usable_until:
             self._log.record(Event.LEASE_LAPSED, subject=lease.subject.key, token=lease.token)
             return RETRY_SECONDS
         if not self._directory.takes_work(engine.id):
-            self._note_no_order(engine, target, "leaving")
+            self._record_no_order(engine, target, "leaving")
             return RETRY_SECONDS
         order = VersionOrder(
             target.model,
@@ -149,7 +149,7 @@
             return UNANSWERED_SECONDS
         return RETRY_SECONDS  # whatever it holds, its next report tells
 
-    def _note_no_order(self, engine: InstanceInfo, target: WeightTarget, reason: str) -> None:
+    def _record_no_order(self, engine: InstanceInfo, target: WeightTarget, reason: str) -> None:
         """Notes that an order which is due could not be given."""
         self._metrics.count(Count.ORDERS, reason)
         self._log.record(
--- a/src/larkpost/gateway/controllers/members.py
+++ b/src/larkpost/gateway/controllers/members.py
@@ -304,7 +304,7 @@
                 await self._remove_old(rows)
         if is_changed:
             self._judge()
-            self._note_changes()
+            self._record_changes()
 
     def _judge(self) -> None:
         """Works out who is alive, and who of them are the coordinators."""
@@ -366,7 +366,7 @@
         if old:
             await self._write(Transaction(conditions=tuple(old.items()), removals=tuple(old)))
 
-    def _note_changes(self) -> None:
+    def _record_changes(self) -> None:
         """Notes who is newly held alive or dead, and whether this daemon coordinates now."""
         for name in sorted(self._alive ^ self._noted):
             rows = self._awaited if name in self._awaited.seen else self._known
--- a/src/larkpost/gateway/controllers/row_intake.py
+++ b/src/larkpost/gateway/controllers/row_intake.py
@@ -103,7 +103,7 @@
             return
         if not evacuation.is_on:
             zone = evacuation.zone
-            self._cold.note_zone_returned(zone, self._directory, self._configuration, now)
+            self._cold.record_zone_returned(zone, self._directory, self._configuration, now)
         instances = sum(info.zone == evacuation.zone for info in self._directory.all())
         state = "begun" if evacuation.is_on else "ended"
         self._log.record(Event.EVACUATION, zone=evacuation.zone, state=state, instances=instances)
@@ -123,13 +123,13 @@
             return
         known = self._directory.get(instance)
         self._directory.update(info)
-        self._note_cold(info, is_new=known is None and self._had_whole_list())
+        self._record_cold(info, is_new=known is None and self._had_whole_list())
         if known is None or known.state != info.state:
             self._log.record(
                 Event.INSTANCE, instance=instance, state=info.state, service=info.service
             )
 
-    def _note_cold(self, info: InstanceInfo, *, is_new: bool) -> None:
+    def _record_cold(self, info: InstanceInfo, *, is_new: bool) -> None:
         """Takes how long an instance stays cold; one that has just started may not say it yet."""
         left = info.cold_left
         if is_new and left != 0.0:
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -273,7 +273,7 @@
         """Has a listener told of each request of this daemon that ends at an instance."""
         self._release_listeners.append(listener)
 
-    def note_load(self, instance: InstanceId, load: ServerLoad | None) -> None:
+    def record_load(self, instance: InstanceId, load: ServerLoad | None) -> None:
         """Takes that an instance answers a request, and what it told of its load meanwhile."""
         self.use(instance).is_refusing = False
         if load is None:
@@ -282,7 +282,7 @@
         use.others = max(0, load.running + load.waiting - use.outstanding)
         use.load_at = self._clock.now()
 
-    def note_cold(self, instance: InstanceId, left: float | None) -> None:
+    def record_cold(self, instance: InstanceId, left: float | None) -> None:
         """Takes for how many seconds an instance says that it stays cold; None: it says nothing."""
         if self._cold is not None:
             self._cold.note(instance, left)
@@ -291,7 +291,9 @@
         """Tells whether an instance is cold and gets few requests."""
         return self._cold is not None and self._cold.is_cold(info)
 
-    def note_pace(self, instance: InstanceId, seconds: float, weight: float = PACE_WEIGHT) -> None:
+    def record_pace(
+        self, instance: InstanceId, seconds: float, weight: float = PACE_WEIGHT
+    ) -> None:
         """Takes a measurement of the time that a unit of work took at an instance.
 
         Args:
@@ -305,9 +307,9 @@
             use.pace += weight * (seconds - use.pace)
         use.pace_at = now
 
-    def note_answer(self, info: InstanceInfo, seconds: float) -> None:
+    def record_answer(self, info: InstanceInfo, seconds: float) -> None:
         """Takes the time from a client's request to its whole answer."""
-        self.note_pace(info.id, seconds)
+        self.record_pace(info.id, seconds)
         self.use(info.id).answered_at = self._clock.now()
         self._closeness.note(info.service, self.distance(info), seconds)
 
@@ -316,7 +318,9 @@
         use = self.use(instance)
         use.avoid_until = max(use.avoid_until, self._clock.now() + seconds)
 
-    def note_not_run(self, instance: InstanceId, reason: NotRunReason, full_seconds: float) -> None:
+    def record_not_run(
+        self, instance: InstanceId, reason: NotRunReason, full_seconds: float
+    ) -> None:
         """Takes that an instance certainly did not run a request.
 
         Args:
--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -84,7 +84,7 @@
         self._crashes = KnownCrashes() if crashes is None else crashes
         self._trials = trials
         self._outcomes = Outcomes(balancer, clock, log, metrics, usage)
-        balancer.when_released(self._note_released)
+        balancer.when_released(self._record_released)
 
     @property
     def waiting(self) -> int:
@@ -138,9 +138,9 @@
                 async with asyncio.timeout_at(attempts.waiter.limits.end_at) as limit:
                     with self._balancer.placed(instance.id):
                         async with self._servers.send(instance, outgoing) as answer:
-                            self._balancer.note_cold(instance.id, answer.cold_left)
+                            self._balancer.record_cold(instance.id, answer.cold_left)
                             limit.reschedule(None)  # from here on the client decides
-                            self._lines.note_taken(instance.service)
+                            self._lines.record_taken(instance.service)
                             self._outcomes.begun(request, self._clock.now())
                             attempts.ran_at.add(instance.id)
                             self._outcomes.forecast_served(attempts, answer.status)
@@ -236,9 +236,9 @@
             outgoing = replace(outgoing, send_within=within)
             with self._balancer.placed(instance.id):
                 async with self._servers.send(instance, outgoing) as answer:
-                    self._lines.note_taken(instance.service)
-                    self._balancer.note_load(instance.id, answer.load)
-                    self._balancer.note_cold(instance.id, answer.cold_left)
+                    self._lines.record_taken(instance.service)
+                    self._balancer.record_load(instance.id, answer.load)
+                    self._balancer.record_cold(instance.id, answer.cold_left)
                     body = b"".join([chunk async for chunk in answer.chunks()])
                     whole = WholeAnswer(answer.status, answer.headers, body)
                     of_server = answer.signature is not None
@@ -258,7 +258,7 @@
             raise
         self._outcomes.begun(request, started)
         attempts.ran_at.add(instance.id)
-        self._balancer.note_answer(instance, self._clock.now() - started)
+        self._balancer.record_answer(instance, self._clock.now() - started)
         if whole.status < 300 and not of_server:
             self._outcomes.broken(instance, attempts, "a success without a signature")
             return None
@@ -337,7 +337,7 @@
     def _survey(self, service: ServiceName, work: Work) -> Places:
         return survey(self._directory, self._balancer, service, work)
 
-    def _note_released(self, instance: InstanceId) -> None:
+    def _record_released(self, instance: InstanceId) -> None:
         info = self._directory.get(instance)
         if info is not None:
-            self._lines.note_end(info.service)
+            self._lines.record_end(info.service)
--- a/src/larkpost/gateway/proxy/outcomes.py
+++ b/src/larkpost/gateway/proxy/outcomes.py
@@ -46,15 +46,15 @@
     def begun(self, request: ClientRequest, at: float) -> None:
         """Counts a run at a server for its tenant; one that may have begun counts as well."""
         if self._usage is not None and request.tenant is not None:
-            self._usage.note_begun(request.tenant, at)
+            self._usage.record_begun(request.tenant, at)
 
     def not_run(self, instance: InstanceInfo, attempts: Attempts, error: NotRunError) -> None:
         """Notes that a server certainly did not run a request."""
         attempts.refused_by.add(instance.id)
         attempts.reasons.add(error.reason)
         self._metrics.count(Count.ATTEMPTS, instance.service, error.reason)
-        self._balancer.note_cold(instance.id, error.cold_left)
-        self._balancer.note_not_run(instance.id, error.reason, FULL_AVOID_SECONDS)
+        self._balancer.record_cold(instance.id, error.cold_left)
+        self._balancer.record_not_run(instance.id, error.reason, FULL_AVOID_SECONDS)
 
     def broken(self, instance: InstanceInfo, attempts: Attempts, reason: str) -> None:
         """Notes that a server gave no answer that may be passed on."""
@@ -72,7 +72,7 @@
     def silence(self, instance: InstanceInfo, attempts: Attempts, started: float) -> None:
         """Notes an attempt that was overtaken: its server is slower than it then had time for."""
         elapsed = self._clock.now() - started
-        self._balancer.note_pace(instance.id, elapsed)
+        self._balancer.record_pace(instance.id, elapsed)
         if elapsed > attempts.route.objective:
             self._balancer.avoid(instance.id, SILENT_AVOID_SECONDS)
 
--- a/src/larkpost/gateway/proxy/waiting.py
+++ b/src/larkpost/gateway/proxy/waiting.py
@@ -112,13 +112,13 @@
             if waiter in line.waiters:
                 line.waiters.remove(waiter)
 
-    def note_taken(self, service: ServiceName) -> None:
+    def record_taken(self, service: ServiceName) -> None:
         """Takes that a server of a service had a place."""
         line = self._lines.get(service)
         if line is not None:
             line.blocked_since = line.seen_at = float("-inf")
 
-    def note_end(self, service: ServiceName) -> None:
+    def record_end(self, service: ServiceName) -> None:
         """Takes that a request of this daemon has ended at a service.
 
         The line of a large service waits for its next look: each look counts all places.
--- a/src/larkpost/gateway/quarantine/guard.py
+++ b/src/larkpost/gateway/quarantine/guard.py
@@ -60,7 +60,7 @@
                     yield answer
         except BrokenAnswerError as error:
             if error.connection_lost:
-                self._watch.note_lost(digest_request(request), instance)
+                self._watch.record_lost(digest_request(request), instance)
             raise
         if answer.status < LEAST_FAILURE_STATUS and answer.signature is not None:
             self._recorder.served(request)
--- a/src/larkpost/gateway/quarantine/watch.py
+++ b/src/larkpost/gateway/quarantine/watch.py
@@ -79,7 +79,7 @@
         self._listener = listener
         self._suspicions: dict[InstanceId, _Suspicion] = {}
 
-    def note_lost(self, content: ContentDigest, instance: InstanceInfo) -> None:
+    def record_lost(self, content: ContentDigest, instance: InstanceInfo) -> None:
         """Takes that a server closed the connection of a request without a whole answer."""
         suspicion = self._suspicions.get(instance.id)
         if suspicion is None:
--- a/src/larkpost/gateway/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_choice.py
@@ -155,7 +155,7 @@
         balancer = self._services.balancer
         return [info for info in candidates if not balancer.is_cold(info)] or candidates
 
-    def note_given(self, engine: InstanceInfo) -> None:
+    def record_given(self, engine: InstanceInfo) -> None:
         """Takes that a place at an engine was given to an item, which will send in a moment."""
         if self._services.cold is not None:
             self._services.cold.promise(engine)
--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -166,8 +166,8 @@
         within = self._services.balancer.placement.admit(engine.id, self._engines.work_of(item))
         request = replace(request, send_within=within)
         async with self._services.servers.send(engine, request) as answer:
-            self._services.balancer.note_load(engine.id, answer.load)
-            self._services.balancer.note_cold(engine.id, answer.cold_left)
+            self._services.balancer.record_load(engine.id, answer.load)
+            self._services.balancer.record_cold(engine.id, answer.cold_left)
             if answer.status != 200:
                 return _judge_failure(route, progress, answer)
             wish = FasterPlace(self._places, self._engines, engine, route, progress)
@@ -216,7 +216,7 @@
             if last_at is None:
                 self._services.metrics.observe(Timing.ITEM_FIRST_EVENT, now - began)
             else:
-                self._services.balancer.note_pace(engine.id, now - last_at, EVENT_PACE_WEIGHT)
+                self._services.balancer.record_pace(engine.id, now - last_at, EVENT_PACE_WEIGHT)
             last_at = now
             count += 1
             wish.raise_if_given()
--- a/src/larkpost/gateway/rollouts/owned.py
+++ b/src/larkpost/gateway/rollouts/owned.py
@@ -205,7 +205,7 @@
         result, tail, taken = await self._repository.append(self.head.id, before, pending)
         self._services.metrics.count(Count.APPENDS, result.outcome)
         if result.outcome is WriteOutcome.DONE:
-            self._note_appended(before.count, pending[:taken], started)
+            self._record_appended(before.count, pending[:taken], started)
             self._view.add(before.count, pending[:taken])
             self._view.confirm(started)
             self._listed.update(added.item for added in pending[:taken])
@@ -224,7 +224,7 @@
         else:
             await self._clock.sleep(RETRY_SECONDS)
 
-    def _note_appended(self, position: int, results: list[Result], started: float) -> None:
+    def _record_appended(self, position: int, results: list[Result], started: float) -> None:
         now = self._clock.now()
         for result in results:
             waited = now - self._ended_at.pop(result.item, now)
--- a/src/larkpost/gateway/rollouts/place_queue.py
+++ b/src/larkpost/gateway/rollouts/place_queue.py
@@ -139,7 +139,7 @@
                 left.append(entry)
                 continue
             self._balancer.occupy(engine.id)
-            self._engines.note_given(engine)
+            self._engines.record_given(engine)
             entry.place.set_result(engine)
             given += 1
         self._waiting = left
--- a/src/larkpost/gateway/rollouts/reward.py
+++ b/src/larkpost/gateway/rollouts/reward.py
@@ -206,14 +206,14 @@
                     asyncio.timeout(limit),
                     self._services.servers.send(server, request) as answer,
                 ):
-                    balancer.note_load(server.id, answer.load)
-                    balancer.note_cold(server.id, answer.cold_left)
+                    balancer.record_load(server.id, answer.load)
+                    balancer.record_cold(server.id, answer.cold_left)
                     async for _ in answer.chunks():
                         pass  # only the signature matters, but the body must come whole
                     status, signature = answer.status, answer.signature
         except NotRunError as error:
-            balancer.note_cold(server.id, error.cold_left)
-            balancer.note_not_run(server.id, error.reason, FULL_AVOID_SECONDS)
+            balancer.record_cold(server.id, error.cold_left)
+            balancer.record_not_run(server.id, error.reason, FULL_AVOID_SECONDS)
             return _Try(error.reason)
         except BrokenAnswerError:
             balancer.avoid(server.id, BROKEN_AVOID_SECONDS)
@@ -221,7 +221,7 @@
         except TimeoutError:
             balancer.avoid(server.id, SILENT_AVOID_SECONDS)
             return _Try(CallEnd.SILENT)
-        balancer.note_pace(server.id, self._services.clock.now() - began)
+        balancer.record_pace(server.id, self._services.clock.now() - began)
         return _judge(status, signature)
 
     def _note(
--- a/src/larkpost/gateway/rollouts/run.py
+++ b/src/larkpost/gateway/rollouts/run.py
@@ -222,8 +222,8 @@
             end = await self._runs.run(engine, item, route, progress)
             reason = end.value if end is not RunEnd.AGAIN else "failed"
         except NotRunError as error:
-            balancer.note_cold(engine.id, error.cold_left)
-            balancer.note_not_run(engine.id, error.reason, REFUSED_AVOID_SECONDS)
+            balancer.record_cold(engine.id, error.cold_left)
+            balancer.record_not_run(engine.id, error.reason, REFUSED_AVOID_SECONDS)
             reason = error.reason
         except MoveAwayError as move:
             progress.moves += 1
@@ -250,10 +250,10 @@
             reason = f"broken: {error}"
         finally:
             balancer.release(engine.id)
-        self._note_run(engine, progress, resumed_after, began, reason)
+        self._record_run(engine, progress, resumed_after, began, reason)
         return end
 
-    def _note_run(
+    def _record_run(
         self,
         engine: InstanceInfo,
         progress: Progress,
--- a/src/larkpost/gateway/usage/counter.py
+++ b/src/larkpost/gateway/usage/counter.py
@@ -33,7 +33,7 @@
         self._counts: dict[WindowNumber, Counter[TenantName]] = {}
         self._unsaved: set[WindowNumber] = set()
 
-    def note_begun(self, tenant: TenantName, at: float) -> None:
+    def record_begun(self, tenant: TenantName, at: float) -> None:
         """Takes that a request of a tenant began to run at a steady time."""
         self._begun.append(_Begun(tenant, at))
 
@@ -45,7 +45,7 @@
         self._assign()
         return {window: dict(self._counts[window]) for window in sorted(self._unsaved)}
 
-    def note_saved(self, saved: dict[WindowNumber, TenantCounts]) -> None:
+    def record_saved(self, saved: dict[WindowNumber, TenantCounts]) -> None:
         """Takes that counts, as `unsaved` returned them, are kept in the store."""
         for window, counts in saved.items():
             if self._counts.get(window) == counts:
--- a/src/larkpost/gateway/usage/reporter.py
+++ b/src/larkpost/gateway/usage/reporter.py
@@ -101,7 +101,7 @@
             if not counts:
                 return
             if await self._repository.save_counts(self._membership.own, counts, timeout):
-                self._counter.note_saved(counts)
+                self._counter.record_saved(counts)
                 return
 
     async def save_last(self) -> None:
@@ -180,7 +180,7 @@
         self._note(decided.report, outcome, lease.token)
         if outcome is not ReportOutcome.TAKEN:
             return False
-        await self._repository.note_taken(decided)
+        await self._repository.record_taken(decided)
         return True
 
     async def _decide(self, window: WindowNumber) -> DecidedReport | None:
--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -173,7 +173,7 @@
         """The connections that are open, in use or resting."""
         return len(self._acquired) + sum(len(idle) for idle in self._conns.values())
 
-    def note_idle_time(self, server: Address, seconds: float) -> None:
+    def record_idle_time(self, server: Address, seconds: float) -> None:
         """Takes what a server said of how long it keeps connections that rest."""
         usable = max(0.0, seconds - IDLE_MARGIN_SECONDS)
         self._idle_times[server] = min(MOST_IDLE_SECONDS, usable)
--- a/src/larkpost/platform/descriptors.py
+++ b/src/larkpost/platform/descriptors.py
@@ -59,7 +59,7 @@
             shed = self._shed(held - int(self._limit * CALM_SHARE))
         self._settle(held, shed, accepting=held - shed < self._limit * FULL_SHARE)
 
-    def note_failure(self, _loop: asyncio.AbstractEventLoop, context: dict) -> None:
+    def record_failure(self, _loop: asyncio.AbstractEventLoop, context: dict) -> None:
         """Takes an error of the event loop: of accepting, or another one, which is passed on."""
         if not _is_accept_failure(context):
             _loop.default_exception_handler(context)
--- a/src/larkpost/platform/process.py
+++ b/src/larkpost/platform/process.py
@@ -111,7 +111,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     loop.add_signal_handler(signal.SIGHUP, reload.set)
-    loop.set_exception_handler(guard.note_failure)
+    loop.set_exception_handler(guard.record_failure)
     gateway.start()
     for listener in listeners:
         await listener.start()
--- a/src/larkpost/platform/servers.py
+++ b/src/larkpost/platform/servers.py
@@ -149,7 +149,7 @@
         except ANSWER_FAILURES as error:
             raise _broken("no answer: ", error) from None
         try:
-            _note_idle_time(session, instance, response)
+            _record_idle_time(session, instance, response)
             try:
                 _check_ran(response, instance, request)
             except NotRunError:
@@ -280,7 +280,7 @@
             if names.REQUEST_ID.decode() in response.headers:
                 response.close()
                 raise BrokenAnswerError("the answer belongs to an earlier request")
-            _note_idle_time(self._kept, instance, response)
+            _record_idle_time(self._kept, instance, response)
             return response.status, await response.read()
 
 
@@ -328,13 +328,13 @@
     )
 
 
-def _note_idle_time(
+def _record_idle_time(
     session: aiohttp.ClientSession, instance: InstanceInfo, response: aiohttp.ClientResponse
 ) -> None:
     """Keeps how long the server says that it leaves the connection open while it rests."""
     told = IDLE_TIME.search(response.headers.get("Keep-Alive", ""))
     if told is not None:
-        session.connector.note_idle_time(instance.address, float(told[1]))
+        session.connector.record_idle_time(instance.address, float(told[1]))
 
 
 def _check_ran(
--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -169,7 +169,7 @@
         if status not in (200, 412):
             return status, None
         answer = orjson.loads(content)
-        self._note_time(answer, sent)
+        self._record_time(answer, sent)
         return status, answer
 
     async def _exchange(
@@ -217,7 +217,7 @@
             ):
                 await response.read()
 
-    def _note_time(self, answer: Any, sent: float) -> None:
+    def _record_time(self, answer: Any, sent: float) -> None:
         """Takes the store's clock from an answer, unless a quicker one told it better.
 
         The store read its clock some time between the call and its answer. Both clocks are
--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -338,7 +338,7 @@
         self.crashed_at: dict[InstanceId, float] = {}
         self._restarts: set[asyncio.Task] = set()
         self._addresses: dict[InstanceId, Address] = {}
-        self.engines.when_crashed = self._note_crash
+        self.engines.when_crashed = self._record_crash
         self.evacuations: list[EvacuationSpan] = []
         self.put("operator", "configuration", configuration)
         for number in range(engines):
@@ -384,7 +384,7 @@
         number = len(self._addresses) + 1
         return self._addresses.setdefault(instance, Address(f"10.0.0.{number}:1"))
 
-    def _note_crash(self, instance: InstanceId) -> None:
+    def _record_crash(self, instance: InstanceId) -> None:
         """Takes that a request has crashed an instance; another one follows at its address."""
         self.crashed_at[instance] = self.clock.now()
         task = asyncio.create_task(self._restart(instance))
--- a/tests/platform_oracle.py
+++ b/tests/platform_oracle.py
@@ -153,7 +153,7 @@
 
     def check_evacuated(self) -> None:
         """No daemon has sent anything to an evacuated zone after it had to know."""
-        self._note_troubles()
+        self._record_troubles()
         sends = self.fleet.sends[self._sends_checked :]
         self._sends_checked = len(self.fleet.sends)
         for send in sends:
@@ -163,7 +163,7 @@
                     known_at = checks.known_by(span.began_at, troubles)
                     checks.check_evacuated(send.instance, send.at, known_at, span.ended_at)
 
-    def _note_troubles(self) -> None:
+    def _record_troubles(self) -> None:
         """Notes which daemons cannot read the store, or only slowly."""
         now = self.fleet.now()
         faults = self.fleet.store.faults
--- a/tests/process_soak/daemon_program.py
+++ b/tests/process_soak/daemon_program.py
@@ -34,7 +34,7 @@
         self._read_at = self._true()
         return self._read_at - self._lost
 
-    def note_suspension(self, *_) -> None:
+    def record_suspension(self, *_) -> None:
         """Takes that the machine was suspended until now."""
         self._lost += self._true() - self._read_at
 
@@ -50,7 +50,7 @@
     """Runs the daemon, under mutants of `tests.platform_mutants` if any are named."""
     clock = PlainClock(time.clock_gettime)
     time.monotonic, time.clock_gettime = clock.seconds, clock.gettime
-    signal.signal(SUSPENDED_SIGNAL, clock.note_suspension)
+    signal.signal(SUSPENDED_SIGNAL, clock.record_suspension)
     with contextlib.ExitStack() as stack:
         for name in names:
             stack.enter_context(MUTANTS[name]())
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -214,7 +214,7 @@
                 balancer.occupy(OTHER_ENGINE)
             found = balancer.candidates(ENGINES)
             self.assertEqual([OTHER_ENGINE, ENGINE], [info.id for info in found])
-            balancer.note_cold(OTHER_ENGINE, 2.0)  # its own answer says so
+            balancer.record_cold(OTHER_ENGINE, 2.0)  # its own answer says so
             self.assertEqual(ENGINE, balancer.candidates(ENGINES)[0].id)
 
         self.play(work)
@@ -229,7 +229,7 @@
             with self.assertRaises(NotRunError) as caught:
                 placement.admit(ENGINE, ITEM_WORK)
             self.assertIs(NotRunReason.COLD, caught.exception.reason)
-            balancer.note_not_run(ENGINE, caught.exception.reason, 1.0)
+            balancer.record_not_run(ENGINE, caught.exception.reason, 1.0)
             self.assertFalse(balancer.is_avoided(ENGINE))
 
         self.play(work)
@@ -333,9 +333,9 @@
             self.take(0.0)
             cold, now = self.blackboard.cold, self.clock.now()
             directory, configuration = self.blackboard.directory, self.blackboard.configuration
-            cold.note_zone_returned(ZoneId("other"), directory, configuration, now)
+            cold.record_zone_returned(ZoneId("other"), directory, configuration, now)
             self.assertEqual(0.0, cold.left(ENGINE, now))
-            cold.note_zone_returned(INFO.zone, directory, configuration, now)
+            cold.record_zone_returned(INFO.zone, directory, configuration, now)
             self.assertEqual(COLD_SECONDS, cold.left(ENGINE, now))
 
         self.play(work)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -189,9 +189,9 @@
             balancer.occupy(InstanceId("e0"))
             self.assertNotIn("e0", self.first_choices(balancer))
             balancer.release(InstanceId("e0"))
-            balancer.note_pace(InstanceId("e0"), 0.05)
+            balancer.record_pace(InstanceId("e0"), 0.05)
             for number in (1, 2, 3):
-                balancer.note_pace(InstanceId(f"e{number}"), 0.04)
+                balancer.record_pace(InstanceId(f"e{number}"), 0.04)
             self.assertNotIn("e0", self.first_choices(balancer))
 
         run(play())
@@ -225,7 +225,7 @@
         for number, pace in enumerate(paces):
             self.put(number, version=1)
             if pace:
-                self.balancer.note_pace(InstanceId(f"e{number}"), pace)
+                self.balancer.record_pace(InstanceId(f"e{number}"), pace)
         spec = make_batch(items=1)
         head = BatchHead(
             spec.id, spec.host, spec.path, MODEL, 0, 0, 1, 1, fleet.gateways[0].id, 0.0, False, "u"
@@ -285,8 +285,8 @@
         gateway = self.fleet.gateways[0]
         self.blackboard, self.balancer = gateway.blackboard, gateway.balancer
         self.slow, self.fast = self.blackboard.directory.of_service(ENGINES)
-        self.balancer.note_pace(self.slow.id, 0.09)
-        self.balancer.note_pace(self.fast.id, 0.03)
+        self.balancer.record_pace(self.slow.id, 0.09)
+        self.balancer.record_pace(self.fast.id, 0.03)
         spec = make_batch(items=1)
         head = BatchHead(
             spec.id, spec.host, spec.path, MODEL, 0, 0, 1, 1, gateway.id, 0.0, False, "u"
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -192,9 +192,9 @@
         async def play():
             balancer = Balancer(Directory(), LoopClock(), random.Random(1))
             for reason in (NotRunReason.EVACUATED, NotRunReason.OUTSIDE_REGIONS):
-                balancer.note_not_run(InstanceId("a"), reason, 1.0)
+                balancer.record_not_run(InstanceId("a"), reason, 1.0)
                 self.assertFalse(balancer.is_avoided(InstanceId("a")), reason)
-            balancer.note_not_run(InstanceId("a"), NotRunReason.UNREACHABLE, 1.0)
+            balancer.record_not_run(InstanceId("a"), NotRunReason.UNREACHABLE, 1.0)
             self.assertTrue(balancer.is_avoided(InstanceId("a")))
 
         run(play())
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -137,7 +137,7 @@
             name = InstanceId(f"e{number}")
             self.engines.engines[name] = EngineState(slots=SLOTS, event_seconds=pace)
             self.list(name, InstanceState.READY)
-            self.balancer.note_pace(name, pace)
+            self.balancer.record_pace(name, pace)
         self.metrics = Metrics()
         self.forwarder = Forwarder(
             self.directory,
@@ -376,7 +376,7 @@
             for kind in (RouteKind.IDEMPOTENT, RouteKind.RUN_ONCE):
                 self.begin(count=2)
                 self.take_places(10.0)
-                self.balancer.note_pace(InstanceId("e1"), 2 * PACE, weight=1.0)  # tried second
+                self.balancer.record_pace(InstanceId("e1"), 2 * PACE, weight=1.0)  # tried second
                 leaving = self.send(make_route(kind))
                 await self.clock.sleep(0.0005)  # before the first has answered "full"
                 leaving.cancel()
@@ -408,7 +408,7 @@
             for kind in (RouteKind.IDEMPOTENT, RouteKind.RUN_ONCE):
                 self.begin(count=2)
                 self.state().break_after = 0
-                self.balancer.note_pace(InstanceId("e1"), 2 * PACE, weight=1.0)  # tried second
+                self.balancer.record_pace(InstanceId("e1"), 2 * PACE, weight=1.0)  # tried second
                 self.engines.engines[InstanceId("e1")].running = SLOTS
                 with self.assertRaises(RequestFailedError):
                     await self.send(make_route(kind))
@@ -429,7 +429,9 @@
 
         async def play():
             self.begin()
-            self.balancer.note_pace(InstanceId("e0"), 0.5, weight=1.0)  # others' requests took long
+            self.balancer.record_pace(
+                InstanceId("e0"), 0.5, weight=1.0
+            )  # others' requests took long
             self.balancer.avoid(InstanceId("e0"), 0.3)
             answer = await self.send(make_route(), 0.4)
             self.assertEqual(200, answer.status)
@@ -472,7 +474,7 @@
         await asyncio.sleep(look_interval(places.total) + SETTLE_SECONDS)
         before = len(surveys)
         for _ in range(20):
-            lines.note_end(PAGES)
+            lines.record_end(PAGES)
         looks = len(surveys) - before
         for turn in turns:
             turn.cancel()
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -83,8 +83,8 @@
                 servers.engines[InstanceId(name)] = state
             directory = make_directory(2, PAGES)
             balancer = Balancer(directory, clock, random.Random(1))
-            balancer.note_pace(InstanceId("e0"), 0.01)  # so that the slow one is tried first
-            balancer.note_pace(InstanceId("e1"), 0.05)
+            balancer.record_pace(InstanceId("e0"), 0.01)  # so that the slow one is tried first
+            balancer.record_pace(InstanceId("e1"), 0.05)
             shares = ShareChooser(random.Random(0))
             log = EventLog("daemon")
             forwarder = Forwarder(directory, balancer, servers, clock, log, Metrics(), shares)
@@ -106,8 +106,8 @@
             services = fleet.gateways[0].keeper._services
             services.directory = make_directory(2)
             services.balancer = Balancer(services.directory, fleet.clock, random.Random(0))
-            services.balancer.note_pace(InstanceId("e0"), 0.09)
-            services.balancer.note_pace(InstanceId("e1"), 0.04)
+            services.balancer.record_pace(InstanceId("e0"), 0.09)
+            services.balancer.record_pace(InstanceId("e1"), 0.04)
             choice = EngineChoice(make_head(fleet), services)
             return choice.is_outpaced(make_info("e0"), Progress(make_batch(items=1).items[0]))
 
@@ -243,7 +243,7 @@
 
         async def play() -> tuple[float, float]:
             balancer = Balancer(make_directory(2), LoopClock(), random.Random(0))
-            balancer.note_pace(InstanceId("e0"), 0.04)
+            balancer.record_pace(InstanceId("e0"), 0.04)
             balancer.take_summary("other", {InstanceId("e1"): (1, 0.05)})
             return balancer.pace(InstanceId("e0")), balancer.pace(InstanceId("e1"))
 
@@ -304,14 +304,14 @@
             balancer = Balancer(make_directory(1), LoopClock(), random.Random(0))
             engine = make_info("e0")
             balancer.occupy(engine.id)  # runs there all the time
-            balancer.note_not_run(engine.id, NotRunReason.FULL, 0.0)
+            balancer.record_not_run(engine.id, NotRunReason.FULL, 0.0)
             found = [balancer.has_place(engine)]
             balancer.occupy(engine.id)
             found.append(balancer.has_place(engine))
             await asyncio.sleep(PROBE_SECONDS + 0.01)
             found.append(balancer.has_place(engine))
             balancer.occupy(engine.id)
-            balancer.note_load(engine.id, None)
+            balancer.record_load(engine.id, None)
             return [*found, balancer.has_place(engine)]
 
         self.assertEqual([True, False, True, True], run(places()))
--- a/tests/test_nearness.py
+++ b/tests/test_nearness.py
@@ -141,8 +141,8 @@
         async def play():
             self.begin(WEST_ZONE, EAST_ZONES[0])
             far, near = (self.directory.get(InstanceId(name)) for name in ("s0", "s1"))
-            self.balancer.note_answer(far, 0.5)
-            self.balancer.note_answer(near, 0.01)
+            self.balancer.record_answer(far, 0.5)
+            self.balancer.record_answer(near, 0.01)
             self.assertEqual({"s1"}, self.firsts())
             await self.clock.sleep(5.0)  # the paces are forgotten, the way is not
             for _ in range(3):
@@ -156,7 +156,7 @@
     def test_slow_near_server_is_not_preferred(self):
         async def play():
             self.begin(WEST_ZONE, EAST_ZONES[0])
-            self.balancer.note_answer(self.directory.get(InstanceId("s1")), 0.4)
+            self.balancer.record_answer(self.directory.get(InstanceId("s1")), 0.4)
             self.balancer.take_summary("other", {InstanceId("s0"): (0, 0.04)})
             self.assertEqual({"s0"}, self.firsts())
 
@@ -166,8 +166,8 @@
         async def play():
             self.begin(WEST_ZONE, EAST_ZONES[0])
             far, near = (self.directory.get(InstanceId(name)) for name in ("s0", "s1"))
-            self.balancer.note_answer(near, 0.04)
-            self.balancer.note_answer(far, 0.08)
+            self.balancer.record_answer(near, 0.04)
+            self.balancer.record_answer(far, 0.08)
             self.assertEqual({"s1"}, self.firsts())
             for _ in range(2):  # three in four slots wait longer than one that has twice the way
                 self.balancer.occupy(near.id)
@@ -179,8 +179,8 @@
         async def play():
             self.begin(WEST_ZONE, EAST_ZONES[0])
             far, near = (self.directory.get(InstanceId(name)) for name in ("s0", "s1"))
-            self.balancer.note_answer(near, 0.04)
-            self.balancer.note_answer(far, 0.12)
+            self.balancer.record_answer(near, 0.04)
+            self.balancer.record_answer(far, 0.12)
             await self.clock.sleep(5.0)
             self.balancer.occupy(near.id)
             self.assertEqual({"s1"}, self.firsts())  # 2/4 is less than three times 1/4
--- a/tests/test_scale_mechanisms.py
+++ b/tests/test_scale_mechanisms.py
@@ -355,7 +355,7 @@
                 balancer.take_summary(f"daemon-{number}", {instance: (1, 0.05)})
                 balancer.take_summary(f"daemon-{number}", {})
                 with balancer.placed(instance):
-                    balancer.note_pace(instance, 0.05)
+                    balancer.record_pace(instance, 0.05)
                 await asyncio.sleep(10.0)
             self.assertLess(len(balancer._uses), 25)
             self.assertLess(len(balancer._peers), 25)
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -227,7 +227,7 @@
             for number in range(3 * LEAST_ADDRESSES_KEPT):
                 server = Address(f"10.0.0.1:{number}")
                 key = ConnectionKey("10.0.0.1", number, False, True, None, None, None)
-                session.connector.note_idle_time(server, 5.0)
+                session.connector.record_idle_time(server, 5.0)
                 self.assertIsNone(await session.connector._get(key, ()))
             self.assertLessEqual(len(session.connector._keys), LEAST_ADDRESSES_KEPT + 1)
             self.assertLessEqual(len(session.connector._idle_times), LEAST_ADDRESSES_KEPT + 1)
--- a/tests/test_store_clock.py
+++ b/tests/test_store_clock.py
@@ -27,7 +27,7 @@
         sent = self.now
         told = sent + there + ahead
         self.now = sent + there + back
-        self.store._note_time({"now_ms": told * 1000}, sent)
+        self.store._record_time({"now_ms": told * 1000}, sent)
 
     def error(self, ahead: float = AHEAD) -> float:
         """Returns by how much the estimate is off."""
@@ -35,7 +35,7 @@
 
     async def test_unknown_until_an_answer_tells_it(self):
         self.assertIsNone(self.store.time())
-        self.store._note_time({}, self.now)
+        self.store._record_time({}, self.now)
         self.assertIsNone(self.store.time())
 
     async def test_a_slow_answer_does_not_spoil_what_a_quick_one_told(self):
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -192,7 +192,7 @@
     def test_items_run_as_the_tenant_also_at_a_successor(self):
         async def play():
             fleet = PlatformFleet()
-            told = note_tenants(fleet)
+            told = record_tenants(fleet)
             await fleet.wait(1.0)
             spec = make_batch(items=40, tenant=FIRST)
             owner = await fleet.submit(spec)
@@ -244,7 +244,7 @@
         self.assertEqual(FIRST, spec.tenant)
 
 
-def note_tenants(fleet: PlatformFleet) -> list:
+def record_tenants(fleet: PlatformFleet) -> list:
     """Returns the list that is to hold the tenant of each request that reaches an engine."""
     told = []
     send = fleet.engines.send
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -220,14 +220,14 @@
             clock = LoopClock()
             offsets: list[float] = []
             counter = UsageCounter(TrueTime(clock, clock.now, lambda: offsets), WINDOW)
-            counter.note_begun(FIRST, clock.now())
+            counter.record_begun(FIRST, clock.now())
             self.assertEqual({}, counter.unsaved())
             await clock.sleep(7.0)
             offsets.append(1000.0)
             counts = counter.unsaved()
             self.assertEqual({200: {FIRST: 1}}, counts)
-            counter.note_begun(FIRST, 0.5)
-            counter.note_saved(counts)
+            counter.record_begun(FIRST, 0.5)
+            counter.record_saved(counts)
             self.assertEqual({200: {FIRST: 2}}, counter.unsaved())
 
         run(play())
