--- a/src/larkpost/gateway/blackboard/cold_instances.py
+++ b/src/larkpost/gateway/blackboard/cold_instances.py
@@ -34,7 +34,7 @@
     def __init__(self) -> None:
         self._until: dict[InstanceId, float] = {}
 
-    def note(self, instance: InstanceId, left: float | None, now: float) -> None:
+    def record(self, instance: InstanceId, left: float | None, now: float) -> None:
         """Takes for how many seconds from now an instance stays cold; None tells nothing."""
         if left:
             self._until[instance] = max(now + left, self._until.get(instance, now))
@@ -46,7 +46,7 @@
         for info in directory.all():
             service = configuration.service(info.service)
             if info.zone == zone and service is not None:
-                self.note(info.id, service.cold_start, now)
+                self.record(info.id, service.cold_start, now)
 
     def is_cold(self, instance: InstanceId, now: float) -> bool:
         """Tells whether an instance is cold."""
--- a/src/larkpost/gateway/controllers/row_intake.py
+++ b/src/larkpost/gateway/controllers/row_intake.py
@@ -135,4 +135,4 @@
         if is_new and left != 0.0:
             service = self._configuration.service(info.service)
             left = max(left or 0.0, service.cold_start if service is not None else 0.0)
-        self._cold.note(info.id, left, self._clock.now())
+        self._cold.record(info.id, left, self._clock.now())
--- a/src/larkpost/gateway/observability/eventlog.py
+++ b/src/larkpost/gateway/observability/eventlog.py
@@ -126,7 +126,7 @@
         if writer is not None:
             eliot.add_destinations(self._write)
 
-    def note(self, event: Event, **fields: Any) -> None:
+    def record(self, event: Event, **fields: Any) -> None:
         """Notes an event, unless its budget for this second is used up."""
         if self._writer is None:
             return
--- a/src/larkpost/gateway/placement/cold.py
+++ b/src/larkpost/gateway/placement/cold.py
@@ -128,9 +128,9 @@
             promised = self._promised.setdefault(instance.id, SlidingCount(PROMISE_SECONDS))
             promised.add(self._clock.now())
 
-    def note(self, instance: InstanceId, left: float | None) -> None:
+    def record(self, instance: InstanceId, left: float | None) -> None:
         """Takes for how many seconds an instance says that it stays cold; None tells nothing."""
-        self._beliefs.cold.note(instance, left, self._clock.now())
+        self._beliefs.cold.record(instance, left, self._clock.now())
 
     def is_cold(self, instance: InstanceInfo) -> bool:
         """Tells whether an instance is cold and its service has a limit."""
--- a/src/larkpost/gateway/proxy/attempts.py
+++ b/src/larkpost/gateway/proxy/attempts.py
@@ -5,7 +5,7 @@
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import Route
 from larkpost.gateway.proxy.forecast import Forecast
-from larkpost.gateway.proxy.request import ClientRequest, WholeAnswer
+from larkpost.gateway.proxy.request import ClientRequest, WholeResponse
 from larkpost.gateway.proxy.waiting import Waiter
 from larkpost.gateway.servers.port import NotRunReason
 
@@ -34,7 +34,7 @@
     ran_at: set[InstanceId] = field(default_factory=set)
     refused_by: set[InstanceId] = field(default_factory=set)
     reasons: set[NotRunReason] = field(default_factory=set)
-    last: WholeAnswer | None = None
+    last: WholeResponse | None = None
     is_quarantined: bool = False
     is_trial: bool = False
 
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -285,7 +285,7 @@
     def record_cold(self, instance: InstanceId, left: float | None) -> None:
         """Takes for how many seconds an instance says that it stays cold; None: it says nothing."""
         if self._cold is not None:
-            self._cold.note(instance, left)
+            self._cold.record(instance, left)
 
     def is_cold(self, info: InstanceInfo) -> bool:
         """Tells whether an instance is cold and gets few requests."""
@@ -311,7 +311,7 @@
         """Takes the time from a client's request to its whole answer."""
         self.record_pace(info.id, seconds)
         self.use(info.id).answered_at = self._clock.now()
-        self._closeness.note(info.service, self.distance(info), seconds)
+        self._closeness.record(info.service, self.distance(info), seconds)
 
     def avoid(self, instance: InstanceId, seconds: float) -> None:
         """Makes an instance a last resort for a while."""
--- a/src/larkpost/gateway/proxy/closeness.py
+++ b/src/larkpost/gateway/proxy/closeness.py
@@ -36,7 +36,7 @@
         self._clock = clock
         self._quickest: dict[tuple[ServiceName, Distance], _Quickest] = {}
 
-    def note(self, service: ServiceName, distance: Distance, seconds: float) -> None:
+    def record(self, service: ServiceName, distance: Distance, seconds: float) -> None:
         """Takes the time that one whole answer took."""
         now = self._clock.now()
         known = self._quickest.get((service, distance))
--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -28,16 +28,16 @@
 from larkpost.gateway.proxy.forecast import Limits, Places, survey, unreachable
 from larkpost.gateway.proxy.outcomes import Outcomes
 from larkpost.gateway.proxy.patience import FirstTries
-from larkpost.gateway.proxy.request import ClientRequest, WholeAnswer
+from larkpost.gateway.proxy.request import ClientRequest, WholeResponse
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.proxy.waiting import Waiter, WaitingLines
 from larkpost.gateway.quarantine.trials import Trials
 from larkpost.gateway.servers.port import (
-    BrokenAnswerError,
+    BrokenResponseError,
     NotRunError,
     OutgoingRequest,
-    ServerAnswer,
     ServerPort,
+    ServerResponse,
 )
 from larkpost.gateway.usage.counter import UsageCounter
 
@@ -91,7 +91,7 @@
         """The requests that wait for a place."""
         return len(self._lines)
 
-    async def forward(self, request: ClientRequest, route: Route) -> WholeAnswer:
+    async def forward(self, request: ClientRequest, route: Route) -> WholeResponse:
         """Returns a server's whole answer.
 
         Raises:
@@ -116,7 +116,7 @@
         return answer
 
     @asynccontextmanager
-    async def stream(self, request: ClientRequest, route: Route) -> AsyncIterator[ServerAnswer]:
+    async def stream(self, request: ClientRequest, route: Route) -> AsyncIterator[ServerResponse]:
         """Opens a stream at a server; its events are passed on as they arrive.
 
         Raises:
@@ -151,7 +151,7 @@
                 raise self._outcomes.failure(attempts, timed_out=True) from None
             except NotRunError as error:
                 self._outcomes.not_run(instance, attempts, error)
-            except BrokenAnswerError:
+            except BrokenResponseError:
                 attempts.ran_at.add(instance.id)
                 raise self._outcomes.failure(attempts, timed_out=False) from None
 
@@ -188,7 +188,7 @@
             if not await self._may_try(attempts, must_wait=True):
                 return None
 
-    async def _forward_once(self, attempts: Attempts) -> WholeAnswer | None:
+    async def _forward_once(self, attempts: Attempts) -> WholeResponse | None:
         """Sends a request on until a server may have run it."""
         while True:
             instance = await self._find(attempts)
@@ -198,7 +198,7 @@
             if answer is not None or attempts.ran_at:
                 return answer or attempts.last
 
-    async def _forward_repeatable(self, attempts: Attempts) -> WholeAnswer | None:
+    async def _forward_repeatable(self, attempts: Attempts) -> WholeResponse | None:
         """Sends a request to one server after another, a second one early if the first is slow."""
         most = 1 if attempts.is_trial else attempts.route.max_attempts
         running: set[asyncio.Task] = set()
@@ -226,7 +226,7 @@
             for task in running:
                 task.cancel()
 
-    async def _attempt(self, instance: InstanceInfo, attempts: Attempts) -> WholeAnswer | None:
+    async def _attempt(self, instance: InstanceInfo, attempts: Attempts) -> WholeResponse | None:
         """Tries one server; None if it gave no answer that the client should get."""
         request = attempts.request
         outgoing = self._outgoing(attempts, fresh=attempts.route.kind is not RouteKind.IDEMPOTENT)
@@ -240,13 +240,13 @@
                     self._balancer.record_load(instance.id, answer.load)
                     self._balancer.record_cold(instance.id, answer.cold_left)
                     body = b"".join([chunk async for chunk in answer.chunks()])
-                    whole = WholeAnswer(answer.status, answer.headers, body)
+                    whole = WholeResponse(answer.status, answer.headers, body)
                     of_server = answer.signature is not None
         except NotRunError as error:
             attempts.ran_at.discard(instance.id)
             self._outcomes.not_run(instance, attempts, error)
             return None
-        except BrokenAnswerError as error:
+        except BrokenResponseError as error:
             self._outcomes.begun(request, started)
             self._outcomes.broken(instance, attempts, error.message)
             return None
--- a/src/larkpost/gateway/proxy/request.py
+++ b/src/larkpost/gateway/proxy/request.py
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeAnswer:
+class WholeResponse:
     """A server's whole answer."""
 
     status: int
--- a/src/larkpost/gateway/quarantine/guard.py
+++ b/src/larkpost/gateway/quarantine/guard.py
@@ -14,15 +14,15 @@
 from larkpost.gateway.quarantine.recorder import CrashRecorder
 from larkpost.gateway.quarantine.watch import CrashWatch
 from larkpost.gateway.servers.port import (
-    BrokenAnswerError,
+    BrokenResponseError,
     EngineReport,
     NotRunError,
     NotRunReason,
     OrderOutcome,
     OutgoingRequest,
     PortState,
-    ServerAnswer,
     ServerPort,
+    ServerResponse,
     VersionOrder,
 )
 
@@ -49,7 +49,7 @@
     @asynccontextmanager
     async def send(
         self, instance: InstanceInfo, request: OutgoingRequest
-    ) -> AsyncIterator[ServerAnswer]:
+    ) -> AsyncIterator[ServerResponse]:
         """Sends a request; see the port."""
         if self._crashes.holds(request, request.crash_limit):
             raise NotRunError(NotRunReason.QUARANTINED)
@@ -58,7 +58,7 @@
             with self._apart.running(instance.id) if is_suspect else nullcontext():
                 async with self._servers.send(instance, request) as answer:
                     yield answer
-        except BrokenAnswerError as error:
+        except BrokenResponseError as error:
             if error.connection_lost:
                 self._watch.record_lost(digest_request(request), instance)
             raise
--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -16,9 +16,9 @@
 from larkpost.gateway.rollouts.stalls import RunWatch, StallWatcher
 from larkpost.gateway.rollouts.urgency import Urgency
 from larkpost.gateway.servers.port import (
-    BrokenAnswerError,
+    BrokenResponseError,
     OutgoingRequest,
-    ServerAnswer,
+    ServerResponse,
 )
 
 FIRST_EVENT_SECONDS = 2.5
@@ -135,7 +135,7 @@
 
         Raises:
             NotRunError: it certainly did not run.
-            BrokenAnswerError: the stream broke off, or its version is not to be used.
+            BrokenResponseError: the stream broke off, or its version is not to be used.
             DiscontinuityError: an event does not follow the last one.
             UnicodeDecodeError: the whole output is no text.
             MoveAwayError: a faster engine is free.
@@ -176,7 +176,7 @@
             finally:
                 wish.withdraw()
         if not progress.events:
-            raise BrokenAnswerError("a stream without events")
+            raise BrokenResponseError("a stream without events")
         progress.complete()
         return RunEnd.WHOLE
 
@@ -185,14 +185,14 @@
         engine: InstanceInfo,
         route: Route,
         progress: Progress,
-        answer: ServerAnswer,
+        answer: ServerResponse,
         watch: RunWatch,
         wish: "FasterPlace",
     ) -> None:
         """Takes the events of a run.
 
         Raises:
-            BrokenAnswerError: the stream broke off, or its version is not to be used.
+            BrokenResponseError: the stream broke off, or its version is not to be used.
             MoveAwayError: a faster engine is free.
         """
         loop = asyncio.get_running_loop()
@@ -208,10 +208,10 @@
                 version = event.version
                 self._services.directory.observe_version(engine.id, self._head.model, version)
             if version < self._head.minimum_version:
-                raise BrokenAnswerError(f"version {version} is too old")
+                raise BrokenResponseError(f"version {version} is too old")
             if route.single_version and progress.versions - {version}:
                 progress.restart()
-                raise BrokenAnswerError("the version changed within a result")
+                raise BrokenResponseError("the version changed within a result")
             progress.take(event.id, event.data, version)
             if last_at is None:
                 self._services.metrics.observe(Timing.ITEM_FIRST_EVENT, now - began)
@@ -256,7 +256,7 @@
             progress.restart()
 
 
-def _judge_failure(route: Route, progress: Progress, answer: ServerAnswer) -> RunEnd:
+def _judge_failure(route: Route, progress: Progress, answer: ServerResponse) -> RunEnd:
     """Returns what an answer means that is no stream, and counts it."""
     if answer.status == 422:
         progress.impossible_answers += 1
--- a/src/larkpost/gateway/rollouts/reward.py
+++ b/src/larkpost/gateway/rollouts/reward.py
@@ -23,7 +23,7 @@
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.model import ITEM_METHOD, BatchHead, RewardCall
 from larkpost.gateway.servers.port import (
-    BrokenAnswerError,
+    BrokenResponseError,
     NotRunError,
     NotRunReason,
     OutgoingRequest,
@@ -215,7 +215,7 @@
             balancer.record_cold(server.id, error.cold_left)
             balancer.record_not_run(server.id, error.reason, FULL_AVOID_SECONDS)
             return _Try(error.reason)
-        except BrokenAnswerError:
+        except BrokenResponseError:
             balancer.avoid(server.id, BROKEN_AVOID_SECONDS)
             return _Try(CallEnd.BROKEN)
         except TimeoutError:
--- a/src/larkpost/gateway/rollouts/run.py
+++ b/src/larkpost/gateway/rollouts/run.py
@@ -21,7 +21,7 @@
 from larkpost.gateway.rollouts.reward import RewardScorer, RewardState
 from larkpost.gateway.rollouts.stalls import LOOK_SECONDS, StallWatcher
 from larkpost.gateway.servers.port import (
-    BrokenAnswerError,
+    BrokenResponseError,
     NotRunError,
 )
 
@@ -245,7 +245,7 @@
             progress.restart()  # an output that is no text has no good beginning
             balancer.avoid(engine.id, BROKEN_AVOID_SECONDS)
             reason = f"broken: {error}"
-        except BrokenAnswerError as error:
+        except BrokenResponseError as error:
             balancer.avoid(engine.id, BROKEN_AVOID_SECONDS)
             reason = f"broken: {error}"
         finally:
--- a/src/larkpost/gateway/servers/port.py
+++ b/src/larkpost/gateway/servers/port.py
@@ -78,7 +78,7 @@
     version: int | None = None
 
 
-class ServerAnswer(Protocol):
+class ServerResponse(Protocol):
     """An answer whose head has arrived and belongs to the request.
 
     Attributes:
@@ -98,14 +98,14 @@
         """Yields the body. It ends only if the body is whole.
 
         Raises:
-            BrokenAnswerError: the body broke off.
+            BrokenResponseError: the body broke off.
         """
 
     def events(self) -> AsyncIterator[StreamEvent]:
         """Yields the body's events. It ends only if the stream is whole.
 
         Raises:
-            BrokenAnswerError: the stream broke off; a partial event is dropped.
+            BrokenResponseError: the stream broke off; a partial event is dropped.
         """
 
 
@@ -141,7 +141,7 @@
         self.cold_left = cold_left
 
 
-class BrokenAnswerError(LarkpostError):
+class BrokenResponseError(LarkpostError):
     """No whole answer came, though the request may have run.
 
     Attributes:
@@ -224,12 +224,12 @@
 
     def send(
         self, instance: InstanceInfo, request: OutgoingRequest
-    ) -> AbstractAsyncContextManager[ServerAnswer]:
+    ) -> AbstractAsyncContextManager[ServerResponse]:
         """Sends a request; leaving the context early cancels it at the server.
 
         Raises:
             NotRunError: it certainly did not run.
-            BrokenAnswerError: it may have run.
+            BrokenResponseError: it may have run.
         """
 
     def is_connected(self, instance: InstanceInfo) -> bool:
--- a/src/larkpost/platform/servers.py
+++ b/src/larkpost/platform/servers.py
@@ -17,7 +17,7 @@
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.servers.port import (
-    BrokenAnswerError,
+    BrokenResponseError,
     EngineReport,
     Headers,
     NotRunError,
@@ -67,8 +67,8 @@
 CONTROL_LIMITS = CallLimits(kind=CallKind.CONTROL)
 
 
-class HttpAnswer:
-    """An answer from a server; implements `larkpost.gateway.servers.port.ServerAnswer`."""
+class HttpResponse:
+    """An answer from a server; implements `larkpost.gateway.servers.port.ServerResponse`."""
 
     def __init__(self, response: aiohttp.ClientResponse) -> None:
         self._response = response
@@ -84,14 +84,14 @@
     async def chunks(self) -> AsyncIterator[bytes]:
         """Yields the body; see the port."""
         if "Content-Encoding" in self._response.headers:
-            raise BrokenAnswerError("the body is encoded, though no encoding was asked for")
+            raise BrokenResponseError("the body is encoded, though no encoding was asked for")
         try:
             async for chunk in self._response.content.iter_any():
                 yield chunk
         except ANSWER_FAILURES as error:
             raise _broken("", error) from None
         if self._was_reset():
-            raise BrokenAnswerError(
+            raise BrokenResponseError(
                 "a body without a length ended in a reset", connection_lost=True
             )
 
@@ -103,9 +103,9 @@
                 for event in decoder.feed(chunk):
                     yield event
             except ValueError as error:
-                raise BrokenAnswerError(f"no event stream: {error}") from None
+                raise BrokenResponseError(f"no event stream: {error}") from None
         if decoder.partial:
-            raise BrokenAnswerError("the stream ended within an event", connection_lost=True)
+            raise BrokenResponseError("the stream ended within an event", connection_lost=True)
 
     def _was_reset(self) -> bool:
         """Tells whether a body without a length ended otherwise than by an orderly close."""
@@ -139,7 +139,7 @@
     @asynccontextmanager
     async def send(
         self, instance: InstanceInfo, request: OutgoingRequest
-    ) -> AsyncIterator[HttpAnswer]:
+    ) -> AsyncIterator[HttpResponse]:
         """Sends a request; see the port."""
         session = self._fresh if request.fresh_connection else self._kept
         try:
@@ -155,7 +155,7 @@
             except NotRunError:
                 await self._read_refusal(response, instance, request)
                 raise
-            yield HttpAnswer(response)
+            yield HttpResponse(response)
         finally:
             response.close()
 
@@ -185,7 +185,7 @@
             if status != 200:
                 return None
             return read_report(content)
-        except (BrokenAnswerError, *ANSWER_FAILURES, *UNREADABLE):
+        except (BrokenResponseError, *ANSWER_FAILURES, *UNREADABLE):
             return None  # the loader notes it and asks again
 
     async def order(
@@ -199,7 +199,7 @@
         body = orjson.dumps(order_document(order))
         try:
             status, _ = await self._call("POST", instance, names.ORDER_CALL, body, headers, timeout)
-        except (BrokenAnswerError, *ANSWER_FAILURES):
+        except (BrokenResponseError, *ANSWER_FAILURES):
             return OrderOutcome.UNKNOWN  # the next report shows whether it was carried out
         return ORDER_OUTCOMES.get(status, OrderOutcome.UNKNOWN)
 
@@ -268,7 +268,7 @@
         """Makes a call that may be lost or made twice without harm, on a kept connection.
 
         Raises:
-            BrokenAnswerError: the answer belongs to a request that was sent earlier.
+            BrokenResponseError: the answer belongs to a request that was sent earlier.
         """
         url = URL(f"http://{instance.address}{call}", encoded=True)
         async with (
@@ -279,7 +279,7 @@
         ):
             if names.REQUEST_ID.decode() in response.headers:
                 response.close()
-                raise BrokenAnswerError("the answer belongs to an earlier request")
+                raise BrokenResponseError("the answer belongs to an earlier request")
             _record_idle_time(self._kept, instance, response)
             return response.status, await response.read()
 
@@ -320,9 +320,9 @@
     return headers
 
 
-def _broken(prefix: str, error: Exception) -> BrokenAnswerError:
+def _broken(prefix: str, error: Exception) -> BrokenResponseError:
     """Returns the error for an answer that did not come whole."""
-    return BrokenAnswerError(
+    return BrokenResponseError(
         f"{prefix}{type(error).__name__}: {error}",
         connection_lost=isinstance(error, LOST_CONNECTIONS),
     )
@@ -344,12 +344,12 @@
 
     Raises:
         NotRunError: the server says that it did not run it.
-        BrokenAnswerError: the answer belongs to another request.
+        BrokenResponseError: the answer belongs to another request.
     """
     echo = response.headers.get(names.REQUEST_ID.decode())
     own = request.request_id.decode("latin-1")
     if echo is not None and echo != own:
-        raise BrokenAnswerError("the answer belongs to another request")
+        raise BrokenResponseError("the answer belongs to another request")
     if response.status == 421:
         found = response.headers.get(names.INSTANCE_ID.decode(), instance.id)
         replaced = found != instance.id
@@ -357,4 +357,4 @@
     if names.NOT_EXECUTED.decode() in response.headers:
         raise NotRunError(NotRunReason.FULL, read_cold(response.headers))
     if echo is None:
-        raise BrokenAnswerError("the answer names no request")
+        raise BrokenResponseError("the answer names no request")
--- a/src/larkpost/rehearsal/scripted_engines.py
+++ b/src/larkpost/rehearsal/scripted_engines.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.blackboard.configuration import ModelName
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.servers.port import (
-    BrokenAnswerError,
+    BrokenResponseError,
     EngineReport,
     Headers,
     NotRunError,
@@ -107,7 +107,7 @@
 
 
 class ScriptedAnswer:
-    """An answer of a scripted engine; implements `larkpost.gateway.servers.port.ServerAnswer`."""
+    """An answer of a scripted engine; implements `larkpost.gateway.servers.port.ServerResponse`."""
 
     def __init__(
         self,
@@ -140,7 +140,7 @@
         await self._crash_if_so()
         await self._clock.sleep(self._state.event_seconds)
         if self._state.down or self._state.break_after is not None:
-            raise BrokenAnswerError("the answer broke off", connection_lost=True)
+            raise BrokenResponseError("the answer broke off", connection_lost=True)
         yield b"answer to " + self._request.request_id
 
     async def events(self) -> AsyncIterator[StreamEvent]:
@@ -154,7 +154,7 @@
                 await self._clock.sleep(STALL_SECONDS)
             await self._clock.sleep(self._state.event_seconds)
             if self._state.down or made == self._state.break_after:
-                raise BrokenAnswerError("the stream broke off", connection_lost=True)
+                raise BrokenResponseError("the stream broke off", connection_lost=True)
             newest = self._state.versions.get(self._model, 1)
             changed = newest if newest != version else None
             version = newest
@@ -167,13 +167,13 @@
         """Crashes the engine a moment after its begin, if the request is one that does so.
 
         Raises:
-            BrokenAnswerError: the engine has crashed.
+            BrokenResponseError: the engine has crashed.
         """
         if self._crash is None:
             return
         await self._clock.sleep(CRASH_SECONDS)
         self._crash()
-        raise BrokenAnswerError("the server has crashed", connection_lost=True)
+        raise BrokenResponseError("the server has crashed", connection_lost=True)
 
 
 class ScriptedEngines:
--- a/tests/recording_log.py
+++ b/tests/recording_log.py
@@ -10,6 +10,6 @@
         super().__init__("daemon")
         self.events: list[tuple[Event, dict]] = []
 
-    def note(self, event: Event, **fields) -> None:
+    def record(self, event: Event, **fields) -> None:
         """Keeps an event."""
         self.events.append((event, fields))
--- a/tests/test_cold_choices.py
+++ b/tests/test_cold_choices.py
@@ -33,7 +33,7 @@
 
     def cool(self, engine: InstanceId) -> None:
         """Makes an engine cold."""
-        self.blackboard.cold.note(engine, LONG_SECONDS, self.fleet.clock.now())
+        self.blackboard.cold.record(engine, LONG_SECONDS, self.fleet.clock.now())
 
     def fill(self, engine: InstanceId) -> None:
         """Takes all places of an engine."""
--- a/tests/test_cold_owners.py
+++ b/tests/test_cold_owners.py
@@ -43,7 +43,7 @@
         blackboard = Blackboard()
         blackboard.configuration.update(CONFIGURATION)
         blackboard.directory.update(INFO)
-        blackboard.cold.note(ENGINE, 10 * LONG_SECONDS, clock.now())
+        blackboard.cold.record(ENGINE, 10 * LONG_SECONDS, clock.now())
         senders = ColdSenders(own, clock)
         senders.follow(self.owners, self, self)
         self.rule = ColdRule(COLD_TERMS, blackboard, clock, EventLog(own), senders)
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -88,7 +88,7 @@
                 terms, self.blackboard, self.clock, EventLog("daemon"), self.senders
             )
             self.share = owner_sends(BOUND, self.senders.view(), ENGINE, is_engine=True)
-            self.blackboard.cold.note(ENGINE, LONG_SECONDS, self.clock.now())
+            self.blackboard.cold.record(ENGINE, LONG_SECONDS, self.clock.now())
             await work()
 
         run(begin())
@@ -134,7 +134,7 @@
         async def work() -> None:
             self.blackboard.cold = self.rule._beliefs.cold = ColdInstances()
             self.assertEqual(8, self.admitted(tries=8))
-            self.blackboard.cold.note(ENGINE, LONG_SECONDS, self.clock.now())
+            self.blackboard.cold.record(ENGINE, LONG_SECONDS, self.clock.now())
             self.assertEqual(0, self.admitted())
 
         self.play(work)
@@ -161,7 +161,7 @@
     def test_shares_of_different_engines_are_independent(self) -> None:
         async def work() -> None:
             other = replace(INFO, id=NEW_ENGINE)
-            self.blackboard.cold.note(NEW_ENGINE, LONG_SECONDS, self.clock.now())
+            self.blackboard.cold.record(NEW_ENGINE, LONG_SECONDS, self.clock.now())
             self.admitted()
             self.assertIs(Verdict.ALLOWED, self.rule.judge(other, ITEM_WORK))
 
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -26,7 +26,7 @@
     RequestTimeoutError,
 )
 from larkpost.gateway.proxy.shares import ShareChooser
-from larkpost.gateway.servers.port import BrokenAnswerError
+from larkpost.gateway.servers.port import BrokenResponseError
 from larkpost.rehearsal.scripted_engines import EngineState, ScriptedAnswer, ScriptedEngines
 from tests.virtual import run
 
@@ -71,7 +71,7 @@
     async def chunks(self):
         """Yields nothing."""
         await asyncio.sleep(0.01)
-        raise BrokenAnswerError("the answer was lost")
+        raise BrokenResponseError("the answer was lost")
         yield b""
 
 
--- a/tests/test_pinned_calls.py
+++ b/tests/test_pinned_calls.py
@@ -31,12 +31,15 @@
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.proxy.admission import Admission
-from larkpost.gateway.proxy.request import QuarantinedError, RefusedError, WholeAnswer
+from larkpost.gateway.proxy.request import QuarantinedError, RefusedError
+from larkpost.gateway.proxy.request import WholeResponse as WholeAnswer
 from larkpost.gateway.rollouts.model import ItemId, Result, ResultState
 from larkpost.gateway.rollouts.service import NoSuchBatchError, ResultPage
 from larkpost.gateway.scaling.port import ScalingOrder, ServerKind
 from larkpost.gateway.servers.port import (
-    BrokenAnswerError,
+    BrokenResponseError as BrokenAnswerError,
+)
+from larkpost.gateway.servers.port import (
     NotRunError,
     OrderOutcome,
     OutgoingRequest,
--- a/tests/test_platform_ingress.py
+++ b/tests/test_platform_ingress.py
@@ -23,9 +23,9 @@
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.proxy.request import (
     RefusedError,
-    WholeAnswer,
+    WholeResponse,
 )
-from larkpost.gateway.servers.port import BrokenAnswerError
+from larkpost.gateway.servers.port import BrokenResponseError
 from larkpost.platform.http_protocol import Listener
 from larkpost.platform.ingress import Ingress
 from larkpost.rehearsal.processes import free_address
@@ -60,7 +60,7 @@
             self.cancelled.set()
             raise
         headers = ((b"X-Own", b"1"), (b"Connection", b"close"), (b"Transfer-Encoding", b"chunked"))
-        return WholeAnswer(200, headers, b"whole")
+        return WholeResponse(200, headers, b"whole")
 
     @asynccontextmanager
     async def stream(self, request, _route):
@@ -86,7 +86,7 @@
         """Yields the body."""
         yield b"id: 1\ndata: a\n\n"
         await asyncio.sleep(self._delay)
-        raise BrokenAnswerError("broke off")
+        raise BrokenResponseError("broke off")
 
 
 class IngressTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_platform_servers.py
+++ b/tests/test_platform_servers.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
 from larkpost.gateway.blackboard.directory import InstanceInfo, InstanceState
 from larkpost.gateway.servers.port import (
-    BrokenAnswerError,
+    BrokenResponseError,
     NotRunError,
     NotRunReason,
     OrderOutcome,
@@ -157,7 +157,7 @@
             async with self.servers.send(server.instance, sent) as answer:
                 async for event in answer.events():
                     found.append(event)
-        except BrokenAnswerError as error:
+        except BrokenResponseError as error:
             return found, error
         return found, None
 
@@ -237,18 +237,18 @@
 
     async def test_answer_of_another_request(self):
         async with ScriptedServer(whole(b"x", ECHO.replace(b"r1", b"r9"))) as server:
-            with self.assertRaises(BrokenAnswerError):
+            with self.assertRaises(BrokenResponseError):
                 await self.fetch(server, request(1))
 
     async def test_answer_that_names_no_request(self):
         async with ScriptedServer(whole(b"x", b"")) as server:
-            with self.assertRaises(BrokenAnswerError):
+            with self.assertRaises(BrokenResponseError):
                 await self.fetch(server, request(1))
 
     async def test_no_length_then_reset(self):
         content = b"HTTP/1.1 200 OK\r\n" + ECHO + b"\r\nhalf of it"
         async with ScriptedServer(content, reset=True) as server:
-            with self.assertRaises(BrokenAnswerError):
+            with self.assertRaises(BrokenResponseError):
                 await self.fetch(server, request(1))
 
     async def test_no_length_then_orderly_end(self):
@@ -259,18 +259,18 @@
     async def test_body_that_breaks_off(self):
         content = whole(b"0123456789")[:-4]
         async with ScriptedServer(content) as server:
-            with self.assertRaises(BrokenAnswerError):
+            with self.assertRaises(BrokenResponseError):
                 await self.fetch(server, request(1))
 
     async def test_content_encoding_is_not_the_body(self):
         content = whole(b"zip", ECHO + b"Content-Encoding: gzip\r\n")
         async with ScriptedServer(content) as server:
-            with self.assertRaises(BrokenAnswerError):
+            with self.assertRaises(BrokenResponseError):
                 await self.fetch(server, request(1))
 
     async def test_no_http_at_all(self):
         async with ScriptedServer(b"\x00\x01garbage\r\n\r\n") as server:
-            with self.assertRaises(BrokenAnswerError):
+            with self.assertRaises(BrokenResponseError):
                 await self.fetch(server, request(1))
 
     async def test_refusals_are_proof_that_it_did_not_run(self):
@@ -289,7 +289,7 @@
             b"503 Service Unavailable",
         )
         async with ScriptedServer(late) as server:
-            with self.assertRaises(BrokenAnswerError):
+            with self.assertRaises(BrokenResponseError):
                 await self.fetch(server, request(1))
 
     async def test_only_lost_connections_are_called_so(self):
@@ -312,7 +312,7 @@
             for name, (content, reset) in answers.items():
                 with self.subTest(name):
                     async with ScriptedServer(content, reset=reset) as server:
-                        with self.assertRaises(BrokenAnswerError) as caught:
+                        with self.assertRaises(BrokenResponseError) as caught:
                             await self.fetch(server, request(1))
                     self.assertEqual(expected, caught.exception.connection_lost)
 
@@ -321,7 +321,7 @@
             with self.subTest(is_dead=is_dead):
                 async with ClosingServer(is_dead=is_dead) as server:
                     await self.fetch(server, request(1, method="GET", body=b""))
-                    with self.assertRaises(BrokenAnswerError) as caught:
+                    with self.assertRaises(BrokenResponseError) as caught:
                         await self.fetch(server, request(2, method="GET", body=b""))
                 self.assertTrue(caught.exception.connection_lost)
                 self.assertEqual((1, 2), (server.connections, len(server.heads)))
@@ -396,7 +396,7 @@
             for number in (1, 2):
                 try:
                     content = await self.fetch(server, request(number, body=body))
-                except BrokenAnswerError:
+                except BrokenResponseError:
                     continue  # the answer may also be given up
                 self.assertEqual(b"early", content)
             await asyncio.sleep(0.7)
@@ -467,4 +467,4 @@
             async with ScriptedServer(content) as server:
                 found, error = await self.events(server, request(1))
             self.assertEqual([1], [event.id for event in found])
-            self.assertIsInstance(error, BrokenAnswerError)
+            self.assertIsInstance(error, BrokenResponseError)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -26,7 +26,12 @@
 from larkpost.gateway.quarantine.recorder import CrashRecorder
 from larkpost.gateway.quarantine.repository import CRASH_PART, CRASH_TABLE, CrashRepository
 from larkpost.gateway.quarantine.watch import SUSPICION_SECONDS, CrashWatch, Evidence
-from larkpost.gateway.servers.port import BrokenAnswerError, NotRunError, OutgoingRequest, PortState
+from larkpost.gateway.servers.port import (
+    BrokenResponseError,
+    NotRunError,
+    OutgoingRequest,
+    PortState,
+)
 from larkpost.gateway.store.port import Row, RowKey
 from larkpost.rehearsal.memory_store import MemoryStore, StoreClient, StoreFaults
 from larkpost.rehearsal.scripted_engines import EngineState, ScriptedEngines
@@ -358,7 +363,7 @@
         async def play():
             self.begin()
             self.state.break_after = 0
-            with self.assertRaises(BrokenAnswerError):
+            with self.assertRaises(BrokenResponseError):
                 await self.send()
             self.assertEqual(([digest_request(REQUEST)], []), (self.lost, self.served_requests))
 
@@ -367,9 +372,9 @@
     def test_answer_that_is_not_wanted_is_no_lost_connection(self):
         async def play():
             self.begin()
-            with self.assertRaises(BrokenAnswerError):
+            with self.assertRaises(BrokenResponseError):
                 async with self.guard.send(self.instance, REQUEST):
-                    raise BrokenAnswerError("its version is too old")
+                    raise BrokenResponseError("its version is too old")
             self.assertEqual(([], []), (self.lost, self.served_requests))
 
         run(play())
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -69,7 +69,7 @@
     def __init__(self) -> None:
         self.lines: list[tuple[Event, dict]] = []
 
-    def note(self, event: Event, **fields) -> None:
+    def record(self, event: Event, **fields) -> None:
         """Keeps a line."""
         self.lines.append((event, fields))
 
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -30,7 +30,7 @@
     UnknownKeyError,
 )
 from larkpost.gateway.proxy.request import (
-    WholeAnswer,
+    WholeResponse,
 )
 from larkpost.gateway.rollouts.model import ItemId
 from larkpost.gateway.rollouts.service import BatchIdTakenError, NoSuchBatchError
@@ -268,7 +268,7 @@
     async def forward(self, request, _route):
         """Answers a request."""
         self.requests.append(request)
-        return WholeAnswer(200, (), b"whole")
+        return WholeResponse(200, (), b"whole")
 
 
 class TenantIngressTest(unittest.IsolatedAsyncioTestCase):
