--- a/src/larkpost/gateway/blackboard/directory.py
+++ b/src/larkpost/gateway/blackboard/directory.py
@@ -56,7 +56,7 @@
     def __init__(self) -> None:
         self._instances: dict[InstanceId, InstanceInfo] = {}
         self._observed: dict[tuple[InstanceId, ModelName], int] = {}
-        self._buried: set[InstanceId] = set()
+        self._retired: set[InstanceId] = set()
 
     def __len__(self) -> int:
         return len(self._instances)
@@ -67,7 +67,7 @@
 
     def update(self, info: InstanceInfo) -> None:
         """Takes an entry that is new or has changed."""
-        if info.id in self._buried:
+        if info.id in self._retired:
             return
         known = self._instances.get(info.id)
         if known is not None and known.state is InstanceState.LEAVING:
@@ -80,7 +80,7 @@
         Args:
             sound: whether the store has been without fault for long enough to be believed.
         """
-        self._buried.discard(instance)
+        self._retired.discard(instance)
         known = self._instances.get(instance)
         if known is None:
             return
@@ -100,13 +100,13 @@
         listed = info.versions.get(model, 0) if info is not None else 0
         return max(listed, self._observed.get((instance, model), 0))
 
-    def bury(self, instance: InstanceId) -> None:
+    def retire(self, instance: InstanceId) -> None:
         """Drops an instance for good: another one has answered at its address.
 
         Its entry may stand for a while; each start has an id of its own, so it never comes back.
         """
         self.forget(instance)
-        self._buried.add(instance)
+        self._retired.add(instance)
 
     def forget(self, instance: InstanceId) -> None:
         """Drops an instance."""
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -329,7 +329,7 @@
         if reason in RULED_OUT:
             return  # it was not asked at all, and may have room for other work
         if reason is NotRunReason.REPLACED:
-            self._directory.bury(instance)
+            self._directory.retire(instance)
         full = reason is NotRunReason.FULL
         self.use(instance).is_refusing = full
         self.avoid(instance, full_seconds if full else UNREACHABLE_AVOID_SECONDS)
