--- a/src/larkpost/gateway/usage/reporter.py
+++ b/src/larkpost/gateway/usage/reporter.py
@@ -180,7 +180,7 @@
         self._note(decided.report, outcome, lease.token)
         if outcome is not ReportOutcome.TAKEN:
             return False
-        await self._repository.record_taken(decided)
+        await self._repository.note_taken(decided)
         return True
 
     async def _decide(self, window: WindowNumber) -> DecidedReport | None:
--- a/src/larkpost/gateway/usage/repository.py
+++ b/src/larkpost/gateway/usage/repository.py
@@ -99,7 +99,7 @@
         )
         return (await self._store.write(change, WRITE_TIMEOUT_SECONDS)).outcome
 
-    async def record_taken(self, decided: DecidedReport) -> WriteOutcome:
+    async def note_taken(self, decided: DecidedReport) -> WriteOutcome:
         """Keeps that a report was taken, so that nobody sends it again."""
         key = RowKey(REPORT_TABLE, PART, _key(decided.report.window))
         change = Transaction(
