--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -18,7 +18,7 @@
 from larkpost.gateway.rollouts.stalls import LEAST_SILENCE_SECONDS, StallWatcher
 from larkpost.gateway.rollouts.urgency import Urgency
 from tests.platform_fleet import ENGINES, PlatformFleet, check_results, make_batch
-from tests.test_policy import make_info
+from tests.test_mechanisms import make_info
 from tests.virtual import run
 
 FIRST = TenantName("first")
