--- a/src/larkpost/gateway/controllers/feeds.py
+++ b/src/larkpost/gateway/controllers/feeds.py
@@ -8,7 +8,7 @@
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.controllers.row_intake import RowIntake
 from larkpost.gateway.quarantine.repository import CRASH_PART
-from larkpost.gateway.rollouts.repository import HEAD_TABLE, PARTS
+from larkpost.gateway.store.batch_tables import HEAD_TABLE, PARTS
 from larkpost.gateway.store.follower import TableFollower
 from larkpost.gateway.store.port import Row
 
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -47,10 +47,11 @@
 from larkpost.gateway.quarantine.watch import CrashWatch
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.keeper import BatchKeeper
-from larkpost.gateway.rollouts.repository import ITEM_TABLE, BatchRepository
+from larkpost.gateway.rollouts.repository import BatchRepository
 from larkpost.gateway.rollouts.reward import MAX_CALLS_IN_FLIGHT
 from larkpost.gateway.rollouts.service import BatchService
 from larkpost.gateway.rollouts.view import ViewCache
+from larkpost.gateway.store.batch_tables import ITEM_TABLE
 from larkpost.gateway.usage.counter import UsageCounter
 
 READINESS_INTERVAL_SECONDS = 0.05
--- a/src/larkpost/gateway/quarantine/repository.py
+++ b/src/larkpost/gateway/quarantine/repository.py
@@ -10,7 +10,7 @@
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.known_crashes import Crash
 from larkpost.gateway.quarantine.content import ContentDigest
-from larkpost.gateway.rollouts.repository import HEAD_TABLE
+from larkpost.gateway.store.batch_tables import HEAD_TABLE
 from larkpost.gateway.store.port import ABSENT, Row, RowKey, Store, Transaction, WriteOutcome
 
 CRASH_TABLE = HEAD_TABLE
--- a/src/larkpost/gateway/rollouts/repository.py
+++ b/src/larkpost/gateway/rollouts/repository.py
@@ -1,26 +1,26 @@
 """Batches in the store: accepted once, results appended at fixed places, ended once.
 
-Rows of one batch lie in one part, which a hash of its id names:
-
-    batches        <id>                       the head, followed by every daemon
-    batch_items    <id>/<upload>/<piece>      the items, cut into pieces
-    batch_tails    <id>                       count of results, and whether the batch is ended
-    batch_results  <id>/<position>/<piece>    one result
-    batch_partials <id>/<item>/<piece>        output so far of an item that runs
-
-A batch is there once its head is. Each append is made on condition of the tail's version, so two
-daemons that run the same batch cost work, but never a second result at a place.
+`store/batch_tables.py` names the tables and tells where rows lie. A batch is there once its head
+is. Each append is made on condition of the tail's version, so two daemons that run the same batch
+cost work, but never a second result at a place.
 """
 
 from dataclasses import replace
 from enum import StrEnum
 
 from larkpost.common.clock import Clock
-from larkpost.common.hashing import hash64
 from larkpost.common.ids import BatchId, DaemonId
 from larkpost.gateway.rollouts import codec
 from larkpost.gateway.rollouts.attempt import Progress
 from larkpost.gateway.rollouts.model import BatchHead, BatchSpec, Item, ItemId, Result, Tail
+from larkpost.gateway.store.batch_tables import (
+    HEAD_TABLE,
+    ITEM_TABLE,
+    PARTIAL_TABLE,
+    RESULT_TABLE,
+    TAIL_TABLE,
+    part_of,
+)
 from larkpost.gateway.store.port import (
     ABSENT,
     Row,
@@ -32,13 +32,6 @@
     read_all,
 )
 
-HEAD_TABLE = "batches"
-ITEM_TABLE = "batch_items"
-TAIL_TABLE = "batch_tails"
-RESULT_TABLE = "batch_results"
-PARTIAL_TABLE = "batch_partials"
-PARTS = tuple(f"b{number}" for number in range(8))
-
 MAX_TRANSACTION_BYTES = 600_000
 MAX_TRANSACTION_ROWS = 90
 MAX_KEPT_BYTES = 300_000
@@ -70,11 +63,6 @@
     UNCERTAIN = "uncertain"
 
 
-def part_of(batch: BatchId) -> str:
-    """Returns the part that holds a batch's rows."""
-    return PARTS[hash64(batch) % len(PARTS)]
-
-
 def head_of_row(row: Row) -> BatchHead:
     """Reads a row of the head table."""
     return codec.decode_head(BatchId(row.key.key), row.value)
--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -39,8 +39,9 @@
     RewardCall,
     RewardCallId,
 )
-from larkpost.gateway.rollouts.repository import RESULT_TABLE, BatchRepository
+from larkpost.gateway.rollouts.repository import BatchRepository
 from larkpost.gateway.scaling.port import ScalingMode
+from larkpost.gateway.store.batch_tables import RESULT_TABLE
 from larkpost.gateway.store.port import Row, RowKey, Transaction
 from larkpost.gateway.store.relay import RelayedStore
 from larkpost.gateway.usage.port import UsageTerms
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -11,7 +11,7 @@
 
 def append_without_condition():
     """Appends results whatever the tail's version is."""
-    from larkpost.gateway.rollouts.repository import HEAD_TABLE, TAIL_TABLE
+    from larkpost.gateway.store.batch_tables import HEAD_TABLE, TAIL_TABLE
     from larkpost.rehearsal.memory_store import StoreClient
 
     original = StoreClient.write
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -32,10 +32,10 @@
 from larkpost.gateway.rollouts.attempt import Progress
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
 from larkpost.gateway.rollouts.model import BatchHead
-from larkpost.gateway.rollouts.repository import PARTIAL_TABLE
 from larkpost.gateway.rollouts.reward import RewardScorer
 from larkpost.gateway.scaling.port import ScalingMode
 from larkpost.gateway.servers.port import NotRunReason
+from larkpost.gateway.store.batch_tables import PARTIAL_TABLE
 from larkpost.gateway.store.port import RowKey, Transaction
 from larkpost.rehearsal.memory_store import StoreFaults
 from larkpost.rehearsal.scripted_engines import EngineState, ScriptedEngines
--- a/tests/test_nearness.py
+++ b/tests/test_nearness.py
@@ -22,7 +22,7 @@
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.request import ClientRequest, RefusedError
 from larkpost.gateway.proxy.shares import ShareChooser
-from larkpost.gateway.rollouts.repository import ITEM_TABLE
+from larkpost.gateway.store.batch_tables import ITEM_TABLE
 from larkpost.gateway.store.port import RowKey, StoreUnavailableError, Transaction, WriteOutcome
 from larkpost.gateway.store.relay import PEERS_ASKED, RelayedStore
 from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
--- a/tests/test_pinned_rows.py
+++ b/tests/test_pinned_rows.py
@@ -56,7 +56,8 @@
     RewardCall,
     Tail,
 )
-from larkpost.gateway.rollouts.repository import BatchRepository, head_of_row, part_of
+from larkpost.gateway.rollouts.repository import BatchRepository, head_of_row
+from larkpost.gateway.store.batch_tables import part_of
 from larkpost.gateway.store.port import Row, RowKey, Transaction
 from larkpost.gateway.usage.port import UsageReport
 from larkpost.gateway.usage.repository import DecidedReport, UsageRepository
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -22,8 +22,8 @@
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
 from larkpost.gateway.rollouts.model import BatchHead
-from larkpost.gateway.rollouts.repository import ITEM_TABLE
 from larkpost.gateway.rollouts.service import BatchRefusedError
+from larkpost.gateway.store.batch_tables import ITEM_TABLE
 from larkpost.gateway.store.port import Row, RowKey
 from larkpost.platform import names, operator
 from larkpost.platform.operator import UnreadableRowError
--- a/tests/test_scale_mechanisms.py
+++ b/tests/test_scale_mechanisms.py
@@ -26,7 +26,7 @@
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
-from larkpost.gateway.rollouts.repository import HEAD_TABLE
+from larkpost.gateway.store.batch_tables import HEAD_TABLE
 from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
 from tests.platform_fleet import PlatformFleet, check_results, make_batch
 from tests.virtual import run
