--- a/src/larkpost/gateway/rollouts/attempt.py
+++ b/src/larkpost/gateway/rollouts/attempt.py
@@ -1,11 +1,17 @@
-"""One item's way to its result: runs at engines, continued where the last one broke off."""
+"""An item's output so far, and its runs at engines, each continued where the last one broke off.
+
+Owns the output of one item until it has a result. `codec.py` writes it for the next owner.
+"""
 
 from dataclasses import dataclass, field
 
+from larkpost.gateway.blackboard.configuration import Route
+from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.rollouts.model import Item, Result, ResultState
 
 LONG_RUN_EVENTS = 30
-"""Events after which an item has shown itself long; three in four items have fewer."""
+"""Events after which an item has shown itself long; three in four items have fewer. Not compared
+with other figures."""
 
 
 class DiscontinuityError(ValueError):
@@ -73,7 +79,7 @@
         self.failed_calls = 0
 
     def complete(self) -> None:
-        """Notes that the output is whole.
+        """Records that the output is whole.
 
         Raises:
             ValueError: there is no output, or it is not text.
@@ -96,3 +102,23 @@
 
     def _text(self) -> str:
         return b"\n".join(self.events).decode()
+
+
+@dataclass(frozen=True, slots=True)
+class ItemRun:
+    """One run of an item at an engine, from where its output is.
+
+    Attributes:
+        engine: where the item has its place.
+        route: the item's, when the run began.
+        progress: the item with its output so far; the run adds to it.
+    """
+
+    engine: InstanceInfo
+    route: Route
+    progress: Progress
+
+    @property
+    def item(self) -> Item:
+        """The item that runs."""
+        return self.progress.item
--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -1,20 +1,29 @@
-"""One run of an item at an engine: the request, its events, and how they end."""
+"""One run of an item at an engine: the request, its stream, and how they end.
+
+Owns nothing but the runs under way. It relies on `run_events.py` to record the stream, on
+`engine_rules.py` for whether a run moves, and on `retry_rules.py` for what a refusal means.
+"""
 
 import asyncio
 from dataclasses import replace
-from enum import StrEnum
 
 from larkpost.gateway.blackboard.configuration import Route
-from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.blackboard.known_crashes import BATCH_CRASH_LIMIT
-from larkpost.gateway.observability.metrics import Timing
-from larkpost.gateway.rollouts.attempt import Progress
+from larkpost.gateway.rollouts.attempt import ItemRun, Progress
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
+from larkpost.gateway.rollouts.engine_rules import may_move
 from larkpost.gateway.rollouts.faster_place import FasterPlace, MoveAwayError
 from larkpost.gateway.rollouts.model import ITEM_METHOD, BatchHead, Item
 from larkpost.gateway.rollouts.place_queue import PlaceQueue
-from larkpost.gateway.rollouts.stalls import RunWatch, StallWatcher
+from larkpost.gateway.rollouts.retry_rules import (
+    FAILED_STATUS,
+    IMPOSSIBLE_STATUS,
+    RunEnd,
+    judge_failed_response,
+)
+from larkpost.gateway.rollouts.run_events import RunEvents
+from larkpost.gateway.rollouts.stalls import RunWatch, StalledError, StallWatcher
 from larkpost.gateway.rollouts.urgency import Urgency
 from larkpost.gateway.servers.port import (
     BrokenResponseError,
@@ -23,27 +32,9 @@
 )
 
 FIRST_EVENT_SECONDS = 2.5
-"""Longest wait for an answer's head and for its first event."""
-EVENT_GAP_SECONDS = 1.2
-"""Longest pause between two events before the run is continued elsewhere."""
-MAX_MOVES = 2
-"""An item is moved this often at most: what it has made is read again at each new engine."""
-EVENT_PACE_WEIGHT = 0.06
-"""Weight of one pause between two events in an engine's pace: single pauses vary with prefills."""
-EVENTS_BETWEEN_LOOKS = 4
-"""How often a run looks for a faster engine."""
-
-
-class RunEnd(StrEnum):
-    """How one run of an item ended."""
-
-    WHOLE = "whole"
-    AGAIN = "again"
-    DEAD = "dead"
-
-
-class StalledError(Exception):
-    """The run made nothing, and is to go on at an engine with a free place."""
+"""Longest wait for a response's head and for its first event. Not measured."""
+EVENTS_BETWEEN_CHECKS = 4
+"""Events of a run between two checks for a faster engine. Not measured."""
 
 
 class EngineRuns:
@@ -51,6 +42,7 @@
 
     Args:
         items: all items of the batch that are to run.
+        places: where runs request places at faster engines.
     """
 
     def __init__(
@@ -58,21 +50,18 @@
         head: BatchHead,
         items: tuple[Item, ...],
         engines: EngineChoice,
-        stalls: StallWatcher,
         places: PlaceQueue,
         services: RunServices,
     ) -> None:
+        self.stalls = StallWatcher(services.clock)
         self._head = head
         self._engines = engines
-        self._stalls = stalls
         self._places = places
         self._services = services
         self._urgency = Urgency(items)
 
-    async def run(
-        self, engine: InstanceInfo, item: Item, route: Route, progress: Progress
-    ) -> RunEnd:
-        """Runs an item at an engine from where it is, and tells how that ended.
+    async def run(self, run: ItemRun) -> RunEnd:
+        """Runs an item at an engine from where it is, and returns how that ended.
 
         Raises:
             NotRunError: it certainly did not run.
@@ -83,91 +72,66 @@
             StalledError: the run was ended by the watcher of stalls.
             TimeoutError: the engine was silent.
         """
-        if progress.last_event is not None and route.single_version:
-            self._keep_pure(engine, progress)
+        if run.progress.last_event is not None and run.route.single_version:
+            self._keep_single_version(run)
         watch: RunWatch | None = None
         try:
             async with asyncio.timeout(FIRST_EVENT_SECONDS) as limit:
-                with self._stalls.watch(engine, limit) as watch:
-                    return await self._stream(engine, item, route, progress, watch)
+                with self.stalls.watch(run.engine, limit) as watch:
+                    return await self._stream(run, watch)
         except TimeoutError:
             if watch is not None and watch.is_stalled:
                 raise StalledError from None
             raise
 
-    async def _stream(
-        self,
-        engine: InstanceInfo,
-        item: Item,
-        route: Route,
-        progress: Progress,
-        watch: RunWatch,
-    ) -> RunEnd:
-        request = self._request(item, route, progress)
-        within = self._services.balancer.placement.admit(engine.id, self._engines.work_of(item))
+    async def _stream(self, run: ItemRun, watch: RunWatch) -> RunEnd:
+        """Sends the request and records the response."""
+        balancer = self._services.balancer
+        request = self._request(run)
+        within = balancer.placement.admit(run.engine.id, self._engines.work_of(run.item))
         request = replace(request, send_within=within)
-        async with self._services.servers.send(engine, request) as answer:
-            self._services.balancer.record_load(engine.id, answer.load)
-            self._services.balancer.record_cold(engine.id, answer.cold_left)
-            if answer.status != 200:
-                return _judge_failure(route, progress, answer)
-            faster = FasterPlace(self._places, self._engines, engine, route, progress)
-            try:
-                await self._take_events(engine, route, progress, answer, watch, faster)
-            finally:
-                faster.cancel()
-        if not progress.events:
+        async with self._services.servers.send(run.engine, request) as response:
+            balancer.record_load(run.engine.id, response.load)
+            balancer.record_cold(run.engine.id, response.cold_left)
+            if response.status != 200:
+                return _record_failure(run, response.status)
+            await self._read_events(run, watch, response)
+        if not run.progress.events:
             raise BrokenResponseError("a stream without events")
-        progress.complete()
+        run.progress.complete()
         return RunEnd.WHOLE
 
-    async def _take_events(
-        self,
-        engine: InstanceInfo,
-        route: Route,
-        progress: Progress,
-        answer: ServerResponse,
-        watch: RunWatch,
-        faster: FasterPlace,
-    ) -> None:
-        """Takes the events of a run.
+    async def _read_events(self, run: ItemRun, watch: RunWatch, response: ServerResponse) -> None:
+        """Records the events of a run until the stream ends or the run is to move.
 
         Raises:
             BrokenResponseError: the stream broke off, or its version is not to be used.
+            DiscontinuityError: an event does not follow the last one.
+            MoveAwayError: a faster engine is free.
+        """
+        faster = FasterPlace(self._places, self._engines, run)
+        try:
+            events = RunEvents(run, watch, self._head, self._services, response.version or 0)
+            async for event in response.events():
+                events.record(event)
+                faster.raise_if_assigned()
+                if may_move(run.progress.moves) and events.count % EVENTS_BETWEEN_CHECKS == 0:
+                    self._check_engine(run, faster)
+        finally:
+            faster.cancel()
+
+    def _check_engine(self, run: ItemRun, faster: FasterPlace) -> None:
+        """Ends the run if a much faster engine has a place; requests one if none has.
+
+        Raises:
             MoveAwayError: a faster engine is free.
         """
-        loop = asyncio.get_running_loop()
-        began = watch.began_at
-        version = answer.version or 0
-        self._services.directory.observe_version(engine.id, self._head.model, version)
-        last_at: float | None = None
-        count = 0
-        async for event in answer.events():
-            now = loop.time()
-            watch.heard(now, EVENT_GAP_SECONDS)
-            if event.version is not None:
-                version = event.version
-                self._services.directory.observe_version(engine.id, self._head.model, version)
-            if version < self._head.minimum_version:
-                raise BrokenResponseError(f"version {version} is too old")
-            if route.single_version and progress.versions - {version}:
-                progress.restart()
-                raise BrokenResponseError("the version changed within a result")
-            progress.take(event.id, event.data, version)
-            if last_at is None:
-                self._services.metrics.observe(Timing.ITEM_FIRST_EVENT, now - began)
-            else:
-                self._services.balancer.record_pace(engine.id, now - last_at, EVENT_PACE_WEIGHT)
-            last_at = now
-            count += 1
-            faster.raise_if_assigned()
-            may_move = progress.moves < MAX_MOVES and count % EVENTS_BETWEEN_LOOKS == 0
-            if may_move and self._engines.is_outpaced(engine, progress):
-                raise MoveAwayError
-            if may_move:
-                faster.request_if_slow()
-
-    def _request(self, item: Item, route: Route, progress: Progress) -> OutgoingRequest:
+        if self._engines.is_outpaced(run.engine, run.progress):
+            raise MoveAwayError
+        faster.request_if_slow()
+
+    def _request(self, run: ItemRun) -> OutgoingRequest:
+        item = run.item
         return OutgoingRequest(
             request_id=item.id.encode("latin-1"),
             method=ITEM_METHOD,
@@ -177,33 +141,32 @@
                 (name.encode("latin-1"), value.encode("latin-1")) for name, value in item.headers
             ),
             body=item.body,
-            resume_after=progress.last_event,
+            resume_after=run.progress.last_event,
             tenant=self._head.tenant,
-            priority=self._priority(item, route, progress),
+            priority=self._priority(run.route, run.progress),
             crash_limit=BATCH_CRASH_LIMIT,
         )
 
-    def _priority(self, item: Item, route: Route, progress: Progress) -> int | None:
-        """Returns the rank that an engine is told; None for none."""
+    def _priority(self, route: Route, progress: Progress) -> int | None:
+        """Returns the rank that the engine is sent; None for none."""
         configuration = self._services.configuration.current
         if configuration is None:
             return None
         priority = configuration.priority_of(self._head.tenant, route)
-        return self._urgency.rank(item, progress, priority)
+        return self._urgency.rank(progress, priority)
 
-    def _keep_pure(self, engine: InstanceInfo, progress: Progress) -> None:
-        version = self._services.directory.version_of(engine.id, self._head.model)
-        if progress.versions != {version}:
-            progress.restart()
+    def _keep_single_version(self, run: ItemRun) -> None:
+        """Drops the output if the engine has another version than the one that made it."""
+        version = self._services.directory.version_of(run.engine.id, self._head.model)
+        if run.progress.versions != {version}:
+            run.progress.restart()
 
 
-def _judge_failure(route: Route, progress: Progress, answer: ServerResponse) -> RunEnd:
-    """Returns what an answer means that is no stream, and counts it."""
-    if answer.status == 422:
+def _record_failure(run: ItemRun, status: int) -> RunEnd:
+    """Counts a response that is no stream, and returns whether the item runs again."""
+    progress = run.progress
+    if status == IMPOSSIBLE_STATUS:
         progress.impossible_answers += 1
-        return RunEnd.DEAD
-    if answer.status == 500:
+    if status == FAILED_STATUS:
         progress.failed_runs += 1
-        if progress.failed_runs >= route.max_attempts:
-            return RunEnd.DEAD
-    return RunEnd.AGAIN
+    return judge_failed_response(status, progress.failed_runs, run.route.max_attempts)
--- a/src/larkpost/gateway/rollouts/faster_place.py
+++ b/src/larkpost/gateway/rollouts/faster_place.py
@@ -6,9 +6,8 @@
 
 import asyncio
 
-from larkpost.gateway.blackboard.configuration import Route
 from larkpost.gateway.blackboard.directory import InstanceInfo
-from larkpost.gateway.rollouts.attempt import Progress
+from larkpost.gateway.rollouts.attempt import ItemRun
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
 from larkpost.gateway.rollouts.place_queue import PlaceQueue
 
@@ -28,28 +27,20 @@
 class FasterPlace:
     """The request of a long run at a slow engine for a place at a fast one."""
 
-    def __init__(
-        self,
-        places: PlaceQueue,
-        engines: EngineChoice,
-        engine: InstanceInfo,
-        route: Route,
-        progress: Progress,
-    ) -> None:
+    def __init__(self, places: PlaceQueue, engines: EngineChoice, run: ItemRun) -> None:
         self._places = places
         self._engines = engines
-        self._engine = engine
-        self._route = route
-        self._progress = progress
+        self._run = run
         self._place: asyncio.Future[InstanceInfo] | None = None
 
     def request_if_slow(self) -> None:
         """Requests a place if the run has shown itself long and the engine is slow."""
-        if self._place is not None or not self._progress.is_long:
+        run = self._run
+        if self._place is not None or not run.progress.is_long:
             return
-        pace = self._engines.fast_pace(self._engine, self._progress.item)
+        pace = self._engines.fast_pace(run.engine, run.item)
         if pace:
-            self._place = self._places.request(self._progress, self._route, pace)
+            self._place = self._places.request(run.progress, run.route, pace)
 
     def raise_if_assigned(self) -> None:
         """Ends the run once it has a place; a place that may be used no longer is given back.
@@ -60,7 +51,7 @@
         if self._place is None or not self._place.done():
             return
         engine = self._place.result()
-        if not self._engines.may_move_to(engine, self._progress.item):
+        if not self._engines.may_move_to(engine, self._run.item):
             self.cancel()
             return
         self._place = None
--- /dev/null
+++ b/src/larkpost/gateway/rollouts/retry_rules.py
@@ -0,0 +1,97 @@
+"""The rules by which an item runs again, dies or is given up, and an engine rests after a failure.
+
+Each rule stands here once, as a function of its inputs; the module owns no state.
+"""
+
+from dataclasses import dataclass
+from enum import StrEnum
+
+from larkpost.gateway.rollouts.attempt import DiscontinuityError
+from larkpost.gateway.rollouts.stalls import StalledError
+from larkpost.gateway.servers.port import BrokenResponseError
+
+IMPOSSIBLE_STATUS = 422
+"""The engine says that the item can never be done."""
+FAILED_STATUS = 500
+"""The engine says that this run has failed."""
+REFUSED_AVOID_SECONDS = 0.15
+"""How long an engine that refused an item gets no more of them. Not measured."""
+BROKEN_AVOID_SECONDS = 0.3
+"""The same after a stream that broke off or can't be used. Not measured."""
+SILENT_AVOID_SECONDS = 1.5
+"""The same after a silence beyond the run's time limit. Not measured."""
+STALLED_AVOID_SECONDS = 0.3
+"""The same after it left an item waiting though another engine had a place. Not measured."""
+
+
+class RunEnd(StrEnum):
+    """How one run of an item ended."""
+
+    WHOLE = "whole"
+    AGAIN = "again"
+    DEAD = "dead"
+
+
+@dataclass(frozen=True, slots=True)
+class RunFailure:
+    """What follows from a run that ended without a response that says what it means.
+
+    Attributes:
+        outcome: what the log calls it.
+        avoid_seconds: how long the engine gets no more items.
+        loses_output: whether the output so far can't be continued, so that the item starts anew.
+    """
+
+    outcome: str
+    avoid_seconds: float
+    loses_output: bool = False
+
+
+def judge_failed_response(status: int, failed_runs: int, max_attempts: int) -> RunEnd:
+    """Returns whether an item runs again after a response that is no stream.
+
+    Refusals and other statuses don't count as attempts: the item did not run.
+
+    Args:
+        failed_runs: the item's runs that ended with `FAILED_STATUS`, this one included.
+        max_attempts: as many of them as the item's route allows.
+    """
+    if status == IMPOSSIBLE_STATUS:
+        return RunEnd.DEAD
+    if status == FAILED_STATUS and failed_runs >= max_attempts:
+        return RunEnd.DEAD
+    return RunEnd.AGAIN
+
+
+def judge_run_error(
+    error: TimeoutError | StalledError | ValueError | BrokenResponseError,
+) -> RunFailure:
+    """Returns what follows from a run that a time limit or a useless stream ended."""
+    if isinstance(error, StalledError):
+        return RunFailure("stalled", STALLED_AVOID_SECONDS)
+    if isinstance(error, TimeoutError):
+        return RunFailure("silent", SILENT_AVOID_SECONDS)
+    # After a gap, or if the whole output is no text, the beginning is no good either.
+    loses_output = isinstance(error, (DiscontinuityError, UnicodeDecodeError))
+    return RunFailure(f"broken: {error}", BROKEN_AVOID_SECONDS, loses_output)
+
+
+def is_out_of_time(age: float, queue_lifetime: float) -> bool:
+    """Returns whether an item has been tried for as long as its route wants, and is given up.
+
+    Args:
+        age: seconds since its batch was accepted.
+        queue_lifetime: seconds; 0 if it is tried until its batch ends.
+    """
+    return bool(queue_lifetime) and age > queue_lifetime
+
+
+def is_call_dead(failed_calls: int, item_attempts: int, call_attempts: int) -> bool:
+    """Returns whether a reward call is given up, and its item with it.
+
+    Args:
+        failed_calls: tries that the server itself answered as failed.
+        item_attempts: as many of them as the item's route allows; 0 if it has no route.
+        call_attempts: as many as the call's own route allows. The greater figure counts.
+    """
+    return failed_calls >= max(item_attempts, call_attempts)
--- a/src/larkpost/gateway/rollouts/reward.py
+++ b/src/larkpost/gateway/rollouts/reward.py
@@ -8,7 +8,6 @@
 """
 
 import asyncio
-from collections.abc import Callable
 from dataclasses import dataclass, replace
 from enum import StrEnum
 
@@ -21,7 +20,9 @@
 from larkpost.gateway.placement.work import REWARD_WORK, Work, WorkKind
 from larkpost.gateway.rollouts.attempt import Progress
 from larkpost.gateway.rollouts.context import RunServices
+from larkpost.gateway.rollouts.item_routes import ItemRoutes
 from larkpost.gateway.rollouts.model import ITEM_METHOD, BatchHead, RewardCall
+from larkpost.gateway.rollouts.retry_rules import is_call_dead
 from larkpost.gateway.servers.port import (
     BrokenResponseError,
     NotRunError,
@@ -37,8 +38,8 @@
 """Pause between two looks for a place at a server."""
 AGAIN_PAUSE_SECONDS = 0.05
 """Pause before a call is tried again."""
-HELD_PAUSE_SECONDS = 0.5
-"""Between two looks whether a call that crashes servers may be sent again."""
+QUARANTINE_CHECK_SECONDS = 0.5
+"""Between two checks whether a call that crashes servers may be sent again. Not measured."""
 LEAST_LIMIT_SECONDS = 0.8
 """Least time that a server is given for a call."""
 MOST_LIMIT_SECONDS = 10.0
@@ -99,29 +100,24 @@
 class RewardScorer:
     """Has the outputs of one batch scored."""
 
-    def __init__(self, head: BatchHead, services: RunServices) -> None:
+    def __init__(self, head: BatchHead, routes: ItemRoutes, services: RunServices) -> None:
         self._head = head
+        self._routes = routes
         self._services = services
 
-    async def score(
-        self,
-        progress: Progress,
-        call: RewardCall,
-        item_attempts: int,
-        is_given_up: Callable[[], bool],
-    ) -> RewardOutcome:
+    async def score(self, progress: Progress, call: RewardCall) -> RewardOutcome:
         """Sends an output's reward call until it has a score, or must be given up.
 
         Args:
             progress: a whole output; its count of failed calls is kept there.
-            item_attempts: failures that the item's own route allows; the call's may allow more.
-            is_given_up: tells whether the item's time is over.
         """
+        item_route = self._routes.route_of(progress.item)
+        item_attempts = item_route.max_attempts if item_route is not None else 0
         began = self._services.clock.now()
         tries = _Tries(set())
-        while not is_given_up():
-            if self._is_held(call):
-                await self._services.clock.sleep(HELD_PAUSE_SECONDS)
+        while not self._routes.is_given_up(self._routes.route_of(progress.item)):
+            if self._is_quarantined(call):
+                await self._services.clock.sleep(QUARANTINE_CHECK_SECONDS)
                 continue
             route = self._route(call)
             ended = await self._try(progress, call, route, tries) if route is not None else None
@@ -131,13 +127,13 @@
                 return RewardOutcome(RewardState.SCORED, ended.score)
             if ended is not None and ended.end is CallEnd.FAILED:
                 progress.failed_calls += 1
-                if progress.failed_calls >= max(item_attempts, route.max_attempts):
+                if is_call_dead(progress.failed_calls, item_attempts, route.max_attempts):
                     return RewardOutcome(RewardState.FAILED)
             await self._services.clock.sleep(AGAIN_PAUSE_SECONDS)
         return RewardOutcome(RewardState.GIVEN_UP)
 
-    def _is_held(self, call: RewardCall) -> bool:
-        """Tells whether a call must not be sent, as too many servers crashed under its like."""
+    def _is_quarantined(self, call: RewardCall) -> bool:
+        """Returns whether a call must not be sent, as too many servers crashed under its like."""
         crashes = self._services.crashes
         return crashes.has_suspects and crashes.holds_content(call.content, BATCH_CRASH_LIMIT)
 
--- /dev/null
+++ b/src/larkpost/gateway/rollouts/run_events.py
@@ -0,0 +1,95 @@
+"""Records the events of one run of an item: output, versions, and the pace of the engine.
+
+Owns what is known of one stream; the output itself is the item's `Progress`.
+"""
+
+import asyncio
+
+from larkpost.gateway.blackboard.directory import InstanceInfo
+from larkpost.gateway.observability.metrics import Timing
+from larkpost.gateway.rollouts.attempt import ItemRun
+from larkpost.gateway.rollouts.context import RunServices
+from larkpost.gateway.rollouts.model import BatchHead
+from larkpost.gateway.rollouts.stalls import RunWatch
+from larkpost.gateway.servers.port import BrokenResponseError, StreamEvent
+
+EVENT_GAP_SECONDS = 1.2
+"""Longest pause between two events before the run is continued elsewhere. A trial with 0.8 s
+together with another change was worse than this, and was reverted."""
+EVENT_PACE_WEIGHT = 0.06
+"""Weight of one pause between two events in an engine's pace, which is so smoothed over about 16
+events: single pauses vary with the prefills of other requests, and runs left their engines for
+ones whose pace was a stray measurement."""
+
+
+class RunEvents:
+    """The events of one run.
+
+    Args:
+        version: of the engine's weights, as the head of its response names it.
+
+    Attributes:
+        count: events of this run.
+    """
+
+    def __init__(
+        self,
+        run: ItemRun,
+        watch: RunWatch,
+        head: BatchHead,
+        services: RunServices,
+        version: int,
+    ) -> None:
+        self._run = run
+        self._watch = watch
+        self._head = head
+        self._services = services
+        self._version = version
+        self._last_at: float | None = None
+        self.count = 0
+        self._observe_version(version)
+
+    def record(self, event: StreamEvent) -> None:
+        """Adds an event to the item's output.
+
+        Raises:
+            BrokenResponseError: its version is not to be used.
+            DiscontinuityError: it does not follow the last one.
+        """
+        now = asyncio.get_running_loop().time()
+        self._watch.record_event(now, EVENT_GAP_SECONDS)
+        if event.version is not None:
+            self._version = event.version
+            self._observe_version(event.version)
+        self._check_version()
+        self._run.progress.take(event.id, event.data, self._version)
+        self._record_pause(now)
+        self.count += 1
+
+    def _observe_version(self, version: int) -> None:
+        engine: InstanceInfo = self._run.engine
+        self._services.directory.observe_version(engine.id, self._head.model, version)
+
+    def _check_version(self) -> None:
+        """Raises unless the engine's version may make the next event.
+
+        Raises:
+            BrokenResponseError: it is too old, or another than that of the output so far though
+                the route wants a single one; the output is dropped then.
+        """
+        if self._version < self._head.minimum_version:
+            raise BrokenResponseError(f"version {self._version} is too old")
+        progress = self._run.progress
+        if self._run.route.single_version and progress.versions - {self._version}:
+            progress.restart()
+            raise BrokenResponseError("the version changed within a result")
+
+    def _record_pause(self, now: float) -> None:
+        """Records the time from the beginning to the first event, and all later pauses as pace."""
+        if self._last_at is None:
+            seconds = now - self._watch.began_at
+            self._services.metrics.observe(Timing.ITEM_FIRST_EVENT, seconds)
+        else:
+            seconds = now - self._last_at
+            self._services.balancer.record_pace(self._run.engine.id, seconds, EVENT_PACE_WEIGHT)
+        self._last_at = now
--- a/src/larkpost/gateway/rollouts/stalls.py
+++ b/src/larkpost/gateway/rollouts/stalls.py
@@ -3,6 +3,8 @@
 An engine takes more requests than it runs at once, and more texts than its memory has room for.
 The others wait there, or are put off, and their streams are silent. The daemon that sent them
 cannot see why, but a silence of several events is plain, and so is a free place elsewhere.
+
+Owns the record of the runs of one batch and of their last events.
 """
 
 import asyncio
@@ -14,12 +16,18 @@
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.directory import InstanceInfo
 
-LOOK_SECONDS = 0.1
-"""Interval at which the runs of a batch are looked at."""
+CHECK_INTERVAL_SECONDS = 0.1
+"""Interval at which the runs of a batch are checked. Not measured: a third of the shortest silence
+that counts."""
 LEAST_SILENCE_SECONDS = 0.3
 """A run is not stalled before: the first event takes about 0.1 s, a queue at least as long."""
 SILENCE_PACES = 6.0
-"""Nor before as many events could have come at the engine's pace: slow engines are not silent."""
+"""Nor before as many events could have come at the engine's pace: slow engines are not silent. Not
+measured."""
+
+
+class StalledError(Exception):
+    """The run made nothing, and is to go on at an engine with a free place."""
 
 
 @dataclass(slots=True)
@@ -29,19 +37,23 @@
     Attributes:
         limit: ends the run when its time is over; moved forward to end it at once.
         began_at: steady time at which the run began.
-        heard_at: steady time of the last sign of progress.
+        progress_at: steady time of the last event; of the beginning before the first one.
         is_stalled: whether the run was ended because it made nothing.
     """
 
     engine: InstanceInfo
     limit: asyncio.Timeout
     began_at: float
-    heard_at: float
+    progress_at: float
     is_stalled: bool = False
 
-    def heard(self, now: float, longest_gap: float) -> None:
-        """Takes that an event has come, and gives the run time for the next one."""
-        self.heard_at = now
+    def record_event(self, now: float, longest_gap: float) -> None:
+        """Records that an event has come, and gives the run time for the next one.
+
+        Args:
+            longest_gap: seconds until the next event, after which the run is over.
+        """
+        self.progress_at = now
         if not self.is_stalled:
             self.limit.reschedule(now + longest_gap)
 
@@ -75,9 +87,9 @@
             watch
             for watch in self._watches
             if not (watch.is_stalled or watch.limit.expired())
-            and now - watch.heard_at >= _patience(pace_of(watch.engine.id))
+            and now - watch.progress_at >= stall_seconds(pace_of(watch.engine.id))
         ]
-        return sorted(silent, key=lambda watch: watch.heard_at)
+        return sorted(silent, key=lambda watch: watch.progress_at)
 
     def end(self, watch: RunWatch) -> None:
         """Ends a run, so that it goes on elsewhere."""
@@ -85,6 +97,10 @@
         watch.limit.reschedule(self._clock.now())
 
 
-def _patience(pace: float) -> float:
-    """Returns the silence, in seconds, after which a run at an engine of this pace is stalled."""
+def stall_seconds(pace: float) -> float:
+    """Returns the silence, in seconds, after which a run at an engine of this pace is stalled.
+
+    Args:
+        pace: seconds for an event; 0 if not known.
+    """
     return max(LEAST_SILENCE_SECONDS, SILENCE_PACES * pace)
--- a/src/larkpost/gateway/rollouts/urgency.py
+++ b/src/larkpost/gateway/rollouts/urgency.py
@@ -3,6 +3,8 @@
 Engines admit more urgent requests first, and put less urgent ones off when their memory runs out.
 Priorities of tenants and routes come before lengths. An item that has shown itself long is urgent
 whatever its trainer guessed.
+
+Owns the limits between long and short items of one batch, which follow from all its items.
 """
 
 import math
@@ -15,10 +17,11 @@
 LOWEST_PRIORITY = 9
 """The ranks that an engine tells apart; requests without one have the middle of them."""
 LENGTH_CLASSES = 3
+"""Ranks within one priority: long, middling and short items."""
 LONG_SHARE = 0.15
 """Share of a batch's items that count as long: about one in ten is several times the others."""
 SHORT_SHARE = 0.5
-"""Share of them that count as short."""
+"""Share of them that count as short. Not measured."""
 
 
 class Urgency:
@@ -29,20 +32,21 @@
         self._long_from = _at_share(works, LONG_SHARE)
         self._short_to = _at_share(works, 1 - SHORT_SHARE)
 
-    def rank(self, item: Item, progress: Progress, priority: int) -> int:
-        """Returns the rank that an engine is told, from 0, the most urgent, to 9.
+    def rank(self, progress: Progress, priority: int) -> int:
+        """Returns the rank that an engine is sent, from 0, the most urgent, to 9.
 
         Args:
             priority: of the item's tenant or route, 0 highest.
         """
-        rank = priority * LENGTH_CLASSES + self._length_class(item, progress)
+        rank = priority * LENGTH_CLASSES + self._length_class(progress)
         return max(HIGHEST_PRIORITY, min(LOWEST_PRIORITY, rank))
 
-    def _length_class(self, item: Item, progress: Progress) -> int:
+    def _length_class(self, progress: Progress) -> int:
         """Returns 0 for a long item, 2 for a short one."""
-        if progress.is_long or item.expected_work >= self._long_from:
+        work = progress.item.expected_work
+        if progress.is_long or work >= self._long_from:
             return 0
-        return 1 if item.expected_work > self._short_to else 2
+        return 1 if work > self._short_to else 2
 
 
 def _at_share(works: list[int], share: float) -> float:
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -186,8 +186,8 @@
         progress = self.progress[item.id]
         score = None
         if item.reward_call is not None:
-            score = await self._score(item, item.reward_call, progress)
-        await self._make_whole(item, progress)
+            score = (await self._scorer.score(progress, item.reward_call)).score
+        await self._outputs.make_whole(progress)
         self.progress.pop(item.id, None)
         self._finished(progress.result(score))
 
@@ -210,9 +210,9 @@
 
     original = RewardScorer.score
 
-    async def score(self, progress, call, item_attempts, is_given_up):
+    async def score(self, progress, call):
         progress.failed_calls = 100
-        return await original(self, progress, call, item_attempts, is_given_up)
+        return await original(self, progress, call)
 
     return mock.patch.object(RewardScorer, "score", score)
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.controllers.members import DEAD_AFTER_SECONDS
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.shares import ShareChooser
-from larkpost.gateway.rollouts.attempt import LONG_RUN_EVENTS, Progress
+from larkpost.gateway.rollouts.attempt import LONG_RUN_EVENTS, ItemRun, Progress
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
 from larkpost.gateway.rollouts.faster_place import FasterPlace, MoveAwayError
 from larkpost.gateway.rollouts.model import BatchHead
@@ -296,7 +296,7 @@
         route = self.blackboard.configuration.current.match(spec.host, spec.path.encode())
         progress = Progress(spec.items[0])
         progress.events = [b"x"] * LONG_RUN_EVENTS
-        self.request = FasterPlace(places, engines, self.slow, route, progress)
+        self.request = FasterPlace(places, engines, ItemRun(self.slow, route, progress))
         self.request.request_if_slow()
         await self.fleet.wait(0.1)
         self.assertEqual(1, self.balancer.use(self.fast.id).outstanding)
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -31,6 +31,7 @@
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.rollouts.attempt import Progress
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
+from larkpost.gateway.rollouts.item_routes import ItemRoutes
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.rollouts.reward import RewardScorer
 from larkpost.gateway.scaling.port import ScalingMode
@@ -387,7 +388,8 @@
         async def has_place() -> bool:
             fleet = PlatformFleet(1, 1, scorers=1)
             services = fleet.gateways[0].keeper._services
-            scorer = RewardScorer(make_head(fleet), services)
+            head = make_head(fleet)
+            scorer = RewardScorer(head, ItemRoutes(head, services), services)
             info = make_info("scorer-0", SCORERS, slots=6)
             for _ in range(4):
                 services.balancer.occupy(info.id)
--- /dev/null
+++ b/tests/test_retry_rules.py
@@ -0,0 +1,96 @@
+"""The rules by which items run again, die or are given up, each as a table of cases."""
+
+import unittest
+
+from larkpost.gateway.rollouts.attempt import DiscontinuityError
+from larkpost.gateway.rollouts.retry_rules import (
+    BROKEN_AVOID_SECONDS,
+    SILENT_AVOID_SECONDS,
+    STALLED_AVOID_SECONDS,
+    RunEnd,
+    RunFailure,
+    is_call_dead,
+    is_out_of_time,
+    judge_failed_response,
+    judge_run_error,
+)
+from larkpost.gateway.rollouts.stalls import StalledError, stall_seconds
+from larkpost.gateway.servers.port import BrokenResponseError
+
+RESPONSES = (
+    # status, failed runs, attempts that the route allows, how the run ended
+    (422, 0, 3, RunEnd.DEAD),
+    (500, 1, 3, RunEnd.AGAIN),
+    (500, 2, 3, RunEnd.AGAIN),
+    (500, 3, 3, RunEnd.DEAD),
+    (503, 3, 3, RunEnd.AGAIN),
+    (429, 9, 1, RunEnd.AGAIN),
+    (404, 0, 1, RunEnd.AGAIN),
+)
+ERRORS = (
+    (StalledError(), RunFailure("stalled", STALLED_AVOID_SECONDS)),
+    (TimeoutError(), RunFailure("silent", SILENT_AVOID_SECONDS)),
+    (BrokenResponseError("cut"), RunFailure("broken: cut", BROKEN_AVOID_SECONDS)),
+    (DiscontinuityError("gap"), RunFailure("broken: gap", BROKEN_AVOID_SECONDS, True)),
+)
+AGES = (
+    # seconds since the acceptance, for how long the route wants items to be tried, is that over
+    (9.0, 0.0, False),
+    (9.0, 10.0, False),
+    (10.0, 10.0, False),
+    (10.1, 10.0, True),
+)
+CALLS = (
+    # failed calls, attempts by the item's route, by the call's, is the call dead
+    (1, 0, 1, True),
+    (1, 2, 1, False),
+    (2, 2, 1, True),
+    (2, 1, 3, False),
+    (3, 1, 3, True),
+)
+SILENCES = (
+    # pace, seconds of silence after which a run is stalled
+    (0.0, 0.3),
+    (0.04, 0.3),
+    (0.1, 0.6),
+)
+
+
+class RetryRulesTest(unittest.TestCase):
+    """Each case of each table."""
+
+    def test_responses_that_are_no_stream(self):
+        for status, failed_runs, attempts, expected in RESPONSES:
+            with self.subTest(status=status, failed_runs=failed_runs):
+                self.assertIs(expected, judge_failed_response(status, failed_runs, attempts))
+
+    def test_errors_of_runs(self):
+        for error, expected in ERRORS:
+            with self.subTest(repr(error)):
+                self.assertEqual(expected, judge_run_error(error))
+
+    def test_an_output_that_is_no_text_is_lost(self):
+        with self.assertRaises(UnicodeDecodeError) as caught:
+            b"\xff".decode()
+        failure = judge_run_error(caught.exception)
+        self.assertTrue(failure.loses_output)
+        self.assertEqual(BROKEN_AVOID_SECONDS, failure.avoid_seconds)
+
+    def test_time_in_which_items_are_tried(self):
+        for age, lifetime, expected in AGES:
+            with self.subTest(age=age, lifetime=lifetime):
+                self.assertEqual(expected, is_out_of_time(age, lifetime))
+
+    def test_failed_reward_calls(self):
+        for failed, item_attempts, call_attempts, expected in CALLS:
+            with self.subTest(failed=failed, item=item_attempts, call=call_attempts):
+                self.assertEqual(expected, is_call_dead(failed, item_attempts, call_attempts))
+
+    def test_silences(self):
+        for pace, expected in SILENCES:
+            with self.subTest(pace=pace):
+                self.assertAlmostEqual(expected, stall_seconds(pace))
+
+
+if __name__ == "__main__":
+    unittest.main()
