--- a/tests/switched_off.py
+++ b/tests/switched_off.py
@@ -15,8 +15,8 @@
 from larkpost.gateway.rollouts.engine_run import EngineRuns
 from larkpost.gateway.rollouts.faster_place import FasterPlace
 from larkpost.gateway.rollouts.owned import OwnedBatch
+from larkpost.gateway.rollouts.reader import BatchReader
 from larkpost.gateway.rollouts.run import BatchRun
-from larkpost.gateway.rollouts.service import BatchService
 
 
 def hedged_attempts():
@@ -51,7 +51,7 @@
 
 def held_reads():
     """A read that may wait is answered with the first result."""
-    return mock.patch.object(BatchService, "_may_hold", lambda *_: False)
+    return mock.patch.object(BatchReader, "_may_hold", lambda *_: False)
 
 
 def kept_partial_outputs():
--- /dev/null
+++ b/tests/test_read_rules.py
@@ -0,0 +1,71 @@
+"""The rule by which a read is answered, held, or fails, as a table of cases."""
+
+import unittest
+from dataclasses import replace
+
+from larkpost.gateway.rollouts.read_rules import (
+    LEAST_WAIT_SECONDS,
+    ReadState,
+    ReadStep,
+    judge_read,
+    may_hold,
+)
+
+NOTHING = ReadState(
+    is_complete=False,
+    has_new=False,
+    has_step=False,
+    may_hold=True,
+    store_failed=False,
+    seconds_left=0.4,
+)
+SOME = replace(NOTHING, has_new=True)
+CASES = (
+    ("nothing yet", NOTHING, ReadStep.WAIT),
+    ("nothing, and the store is silent", replace(NOTHING, store_failed=True), ReadStep.WAIT),
+    ("nothing within the time", replace(NOTHING, seconds_left=0.0), ReadStep.GIVE),
+    (
+        "nothing within the time, and the store is silent",
+        replace(NOTHING, seconds_left=0.0, store_failed=True),
+        ReadStep.FAIL,
+    ),
+    ("less time than counts", replace(NOTHING, seconds_left=0.0009), ReadStep.GIVE),
+    ("just enough time", replace(NOTHING, seconds_left=LEAST_WAIT_SECONDS), ReadStep.WAIT),
+    ("all results are known", replace(NOTHING, is_complete=True), ReadStep.GIVE),
+    (
+        "all results are known, though the store is silent",
+        replace(NOTHING, is_complete=True, store_failed=True, seconds_left=0.0),
+        ReadStep.GIVE,
+    ),
+    ("some, but no whole step", SOME, ReadStep.WAIT),
+    ("a whole step", replace(SOME, has_step=True), ReadStep.GIVE),
+    ("a whole step before the position", replace(NOTHING, has_step=True), ReadStep.WAIT),
+    ("some of a batch that is due", replace(SOME, may_hold=False), ReadStep.GIVE),
+    ("some, and the store is silent", replace(SOME, store_failed=True), ReadStep.GIVE),
+    ("some within the time", replace(SOME, seconds_left=0.0), ReadStep.GIVE),
+)
+AGES = (
+    # seconds since the acceptance, within which a step is due, may results be held back
+    (0.0, 7.5, True),
+    (7.4, 7.5, True),
+    (7.5, 7.5, False),
+    (0.0, 0.0, False),
+)
+
+
+class ReadRulesTest(unittest.TestCase):
+    """Each case of each table."""
+
+    def test_reads(self):
+        for case, state, expected in CASES:
+            with self.subTest(case):
+                self.assertIs(expected, judge_read(state))
+
+    def test_time_in_which_results_may_be_held_back(self):
+        for age, due, expected in AGES:
+            with self.subTest(age=age, due=due):
+                self.assertEqual(expected, may_hold(age, due))
+
+
+if __name__ == "__main__":
+    unittest.main()
