--- /dev/null
+++ b/src/larkpost/gateway/rollouts/acceptance.py
@@ -0,0 +1,176 @@
+"""Accepts a batch for good, once: its items first, then its head and its tail.
+
+Owns the time that the store is given for the next write, learnt from the last ones. A batch is
+there once its head is, which is written on condition that there is none of its id.
+"""
+
+from dataclasses import dataclass
+from enum import StrEnum
+
+from larkpost.common.clock import Clock
+from larkpost.common.ids import DaemonId
+from larkpost.gateway.rollouts import codec
+from larkpost.gateway.rollouts.batch_rows import (
+    WRITE_TIMEOUT_SECONDS,
+    BatchRows,
+    RowPut,
+    fits,
+    head_of_row,
+    key_of,
+)
+from larkpost.gateway.rollouts.model import BatchHead, BatchSpec, Tail
+from larkpost.gateway.store.batch_tables import HEAD_TABLE, ITEM_TABLE, TAIL_TABLE
+from larkpost.gateway.store.port import (
+    ABSENT,
+    Row,
+    Store,
+    Transaction,
+    WriteOutcome,
+    WriteResult,
+)
+
+ACCEPT_TIMEOUT_SECONDS = 0.7
+"""First time limit of the write that accepts a batch; doubled after each silence. Not measured."""
+ACCEPT_TIMEOUT_FACTOR = 4.0
+"""After a response, the next write that accepts a batch may take this many times as long. Not
+measured."""
+RETRY_SECONDS = 0.1
+"""Pause before a write is tried again. Not measured."""
+
+
+class AcceptOutcome(StrEnum):
+    """What became of a submitted batch."""
+
+    ACCEPTED = "accepted"
+    REFUSED = "refused"  # certainly not accepted, and it never will be by this call
+    UNCERTAIN = "uncertain"  # it may have been accepted, or may be yet
+    TAKEN = "taken"  # the id is that of another tenant's batch
+
+
+@dataclass(slots=True)
+class _Submission:
+    """A batch on its way into the store.
+
+    Attributes:
+        upload: a name for the item rows that no other call uses.
+        rows: the items.
+        is_uploaded: whether the items need no write of their own (any more).
+        is_uncertain: whether a write of the head had no response.
+    """
+
+    spec: BatchSpec
+    owner: DaemonId
+    upload: str
+    rows: list[RowPut]
+    is_uploaded: bool
+    is_uncertain: bool = False
+
+
+class BatchAcceptance:
+    """Accepts batches."""
+
+    def __init__(self, store: Store, clock: Clock, rows: BatchRows) -> None:
+        self._store = store
+        self._clock = clock
+        self._rows = rows
+        self._timeout = ACCEPT_TIMEOUT_SECONDS
+
+    async def accept(
+        self, spec: BatchSpec, owner: DaemonId, upload: str, seconds: float
+    ) -> AcceptOutcome:
+        """Stores a batch for good, once.
+
+        The same transaction is repeated after a lost response: its condition lets it take effect
+        only once, and a conflict tells that the batch is there.
+
+        Args:
+            upload: a name for the item rows that no other call uses.
+            seconds: for which it is tried.
+        """
+        give_up_at = self._clock.now() + seconds
+        rows = self._item_rows(spec, upload)
+        submission = _Submission(spec, owner, upload, rows, is_uploaded=fits(rows))
+        while True:
+            outcome = await self._try(submission)
+            if outcome is not None:
+                return outcome
+            if self._clock.now() + RETRY_SECONDS >= give_up_at:
+                is_uncertain = submission.is_uncertain
+                return AcceptOutcome.UNCERTAIN if is_uncertain else AcceptOutcome.REFUSED
+            await self._clock.sleep(RETRY_SECONDS)
+
+    async def _try(self, submission: _Submission) -> AcceptOutcome | None:
+        """Writes what is missing; None if that has to be tried again."""
+        if not submission.is_uploaded:
+            outcome = await self._rows.write([[row] for row in submission.rows])
+            if outcome is not WriteOutcome.DONE:
+                return None
+            submission.is_uploaded = True
+        result = await self._write(self._transaction(submission))
+        if result.outcome is WriteOutcome.UNKNOWN:
+            submission.is_uncertain = True
+        if result.outcome is WriteOutcome.CONFLICT and _is_of_another(submission.spec, result.rows):
+            return AcceptOutcome.TAKEN
+        is_there = result.outcome in (WriteOutcome.DONE, WriteOutcome.CONFLICT)
+        return AcceptOutcome.ACCEPTED if is_there else None
+
+    async def _write(self, change: Transaction) -> WriteResult:
+        """Writes a batch's head, and learns how long the store may take for the next one.
+
+        A store that is silent to this daemon alone must not hold a trainer up that another daemon
+        could serve; one that is slow to all must be given its time.
+        """
+        started = self._clock.now()
+        result = await self._store.write(change, self._timeout)
+        if result.outcome is WriteOutcome.UNKNOWN:
+            wanted = 2 * self._timeout
+        else:
+            wanted = ACCEPT_TIMEOUT_FACTOR * (self._clock.now() - started)
+        self._timeout = min(WRITE_TIMEOUT_SECONDS, max(ACCEPT_TIMEOUT_SECONDS, wanted))
+        return result
+
+    def _item_rows(self, spec: BatchSpec, upload: str) -> list[RowPut]:
+        pieces = self._rows.cut(codec.encode_items(spec.items))
+        return [
+            (key_of(ITEM_TABLE, spec.id, f"/{upload}/{number:06d}"), piece)
+            for number, piece in enumerate(pieces)
+        ]
+
+    def _transaction(self, submission: _Submission) -> Transaction:
+        """Returns what makes a batch be there: its head, an empty tail, its items if they fit."""
+        batch = submission.spec.id
+        head_key = key_of(HEAD_TABLE, batch)
+        tail_key = key_of(TAIL_TABLE, batch)
+        puts = [
+            (head_key, codec.encode_head(self._head(submission))),
+            (tail_key, codec.encode_tail(Tail(0, False, 0))),
+        ]
+        if fits(submission.rows):
+            puts.extend(submission.rows)
+        return Transaction(conditions=((head_key, ABSENT),), puts=tuple(puts))
+
+    def _head(self, submission: _Submission) -> BatchHead:
+        spec = submission.spec
+        return BatchHead(
+            id=spec.id,
+            host=spec.host,
+            path=spec.path,
+            model=spec.model,
+            step=spec.step,
+            minimum_version=spec.minimum_version,
+            desired_groups=spec.desired_groups,
+            total=len(spec.items),
+            owner=submission.owner,
+            created_at=self._store.time() or 0.0,
+            ended=False,
+            upload=submission.upload,
+            work=sum(item.expected_work for item in spec.items),
+            tenant=spec.tenant,
+            group_size=spec.group_size,
+        )
+
+
+def _is_of_another(spec: BatchSpec, rows: tuple[Row, ...]) -> bool:
+    """Returns whether the rows hold the head of a batch of this id that is another tenant's."""
+    heads = [head_of_row(row) for row in rows if row.key.table == HEAD_TABLE and row.value]
+    return any(head.id == spec.id and head.tenant != spec.tenant for head in heads)
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -228,9 +228,9 @@
 
 def keep_one_row_of_an_output():
     """Keeps of an output only what fits in one row."""
-    from larkpost.gateway.rollouts import repository
+    from larkpost.gateway.rollouts import partial_outputs
 
-    return mock.patch.object(repository, "MAX_KEPT_BYTES", 48_000)
+    return mock.patch.object(partial_outputs, "MAX_KEPT_BYTES", 48_000)
 
 
 def believe_that_outputs_are_kept():
