--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -55,7 +55,6 @@
 from larkpost.gateway.usage.counter import UsageCounter
 
 READINESS_INTERVAL_SECONDS = 0.05
-BATCH_RETENTION_SLACK_SECONDS = 60.0
 
 
 class Gateway:
@@ -222,7 +221,7 @@
             self.membership,
             services,
             views,
-            lambda: self.settings.batch_lifetime + BATCH_RETENTION_SLACK_SECONDS,
+            lambda: self.settings.batch_lifetime,
         )
         self.batches = BatchService(self.id, repository, self.keeper, views, services)
         self._cold_senders.follow(self.keeper.open_owners, self.membership, self._feeds.heads)
--- /dev/null
+++ b/src/larkpost/gateway/rollouts/claims.py
@@ -0,0 +1,101 @@
+"""Who owns a batch after its owner: the rule of claiming, and the claims that are written.
+
+The head of a batch names its owner. If the owner counts as dead, the daemon that rendezvous hashing
+names writes its own name there, on condition of the head's version. Two daemons may run one batch
+for a moment: that costs work, and the conditional appends keep the list of results right.
+
+Owns the times of this daemon's claims. It relies on the membership for who is alive.
+"""
+
+from collections.abc import Callable
+
+from larkpost.common.clock import Clock
+from larkpost.common.ids import BatchId, DaemonId, RegionId
+from larkpost.gateway.controllers.members import Membership
+from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.observability.metrics import Count
+from larkpost.gateway.rollouts.context import RunServices
+from larkpost.gateway.rollouts.known_heads import KnownHead
+from larkpost.gateway.rollouts.model import BatchHead
+from larkpost.gateway.rollouts.repository import BatchRepository
+from larkpost.gateway.store.port import Row, StoreUnavailableError
+
+CLAIM_PAUSE_SECONDS = 0.5
+"""Pause between two claims of one batch: the feed has to bring what became of the first. Not
+measured."""
+
+
+class BatchClaims:
+    """Decides which batches this daemon claims, and writes owners into heads.
+
+    Args:
+        learn: called with the head's row after each claim, whoever is the owner by then.
+    """
+
+    def __init__(
+        self,
+        repository: BatchRepository,
+        membership: Membership,
+        services: RunServices,
+        learn: Callable[[Row], None],
+    ) -> None:
+        self._repository = repository
+        self._membership = membership
+        self._services = services
+        self._learn = learn
+        self._clock: Clock = services.clock
+        self._log: EventLog = services.log
+        self._claimed_at: dict[BatchId, float] = {}
+
+    def should_claim(self, known: KnownHead) -> bool:
+        """Returns whether this daemon is to claim a batch that another one owns."""
+        membership = self._membership
+        return (
+            membership.listed  # before, each owner would seem to be gone
+            and membership.is_coordinator()  # few daemons have to know all batches at once
+            and not membership.is_owner_alive(known.head.owner, known.owner_since)
+            and not self._has_just_claimed(known.head.id)
+            and self.successor(known.head) == membership.own
+        )
+
+    def _has_just_claimed(self, batch: BatchId) -> bool:
+        last = self._claimed_at.get(batch, float("-inf"))
+        return self._clock.now() - last < CLAIM_PAUSE_SECONDS
+
+    def record_claim(self, batch: BatchId) -> None:
+        """Records that a claim of a batch begins."""
+        self._claimed_at[batch] = self._clock.now()
+
+    def successor(self, head: BatchHead) -> DaemonId | None:
+        """Returns the daemon that is to claim a batch; None if none may.
+
+        Who runs or removes a batch reads its items, so it must be where they may be served.
+        """
+        return self._membership.first_choice(head.id, self._homes(head))
+
+    def _homes(self, head: BatchHead) -> frozenset[RegionId] | None:
+        """Returns the only regions in which a batch may be served; None for all."""
+        configuration = self._services.configuration.current
+        if configuration is None:
+            return frozenset()
+        return configuration.homes_at(head.tenant, head.host, head.path.encode("latin-1"))
+
+    async def claim(self, known: KnownHead, owner: DaemonId) -> None:
+        """Writes an owner into a head; if another change came first, learns the head as it is."""
+        batch = known.head.id
+        done = await self._repository.claim(known.head, known.version, owner)
+        outcome = "done" if done else "failed"
+        self._services.metrics.count(Count.CLAIMS, outcome)
+        self._log.record(
+            Event.BATCH_CLAIMED,
+            batch=batch,
+            owner=known.head.owner,
+            successor=owner,
+            outcome=outcome,
+        )
+        try:
+            row = await self._repository.head_row(batch)
+        except StoreUnavailableError:
+            return  # the feed will tell what the head is
+        if row is not None:
+            self._learn(row)
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -363,9 +363,9 @@
 
 def claim_outside_homes():
     """Has a batch claimed by any coordinator, wherever it may be served."""
-    from larkpost.gateway.rollouts.keeper import BatchKeeper
+    from larkpost.gateway.rollouts.claims import BatchClaims
 
-    return mock.patch.object(BatchKeeper, "_homes", lambda *_: None)
+    return mock.patch.object(BatchClaims, "_homes", lambda *_: None)
 
 
 def serve_anywhere():
