--- a/src/larkpost/gateway/rollouts/codec.py
+++ b/src/larkpost/gateway/rollouts/codec.py
@@ -1,4 +1,7 @@
-"""Writes batches as values of store rows, and reads them."""
+"""Writes batches as values of store rows, and reads them, those of earlier versions too.
+
+Owns the form of the values; it is fixed, as daemons of two versions read each other's rows.
+"""
 
 import base64
 from collections.abc import Iterable
@@ -100,20 +103,16 @@
 
 def decode_items(content: bytes) -> tuple[Item, ...]:
     """Reads a document of items."""
-    return tuple(_item(*fields) for fields in orjson.loads(content))
-
-
-def _item(
-    item_id: str,
-    path: str,
-    headers: list[list[str]],
-    body: str,
-    tokens: int,
-    group: str,
-    length_hint: int,
-    reward_call: list[str] | None = None,
-) -> Item:
-    """Returns an item; rows of earlier versions have no reward call."""
+    return tuple(_item(fields) for fields in orjson.loads(content))
+
+
+def _item(fields: list) -> Item:
+    """Returns an item from the fields of `encode_items`.
+
+    Rows of earlier versions have no reward call.
+    """
+    item_id, path, headers, body, tokens, group, length_hint, *later = fields
+    (reward_call,) = later or (None,)
     return Item(
         ItemId(item_id),
         path,
@@ -153,27 +152,30 @@
 def encode_progress(progress: Progress, limit: int) -> bytes:
     """Returns as much of an item's output so far as fits in ``limit`` bytes.
 
-    Only an output that fits altogether is told to be whole.
+    Only an output that fits altogether is stored as whole.
     """
     count = len(progress.events)
     while True:
-        events = [base64.b64encode(data).decode() for data in progress.events[:count]]
-        first = 0 if progress.last_event is None else progress.last_event - len(progress.events) + 1
-        whole = progress.whole and count == len(progress.events)
-        document = [
-            events,
-            progress.event_versions[:count],
-            first,
-            progress.failed_runs,
-            whole,
-            progress.failed_calls if whole else 0,
-        ]
-        content = orjson.dumps(document)
+        content = orjson.dumps(_progress_fields(progress, count))
         if len(content) <= limit or count == 0:
             return content
         count = count * limit // len(content)
 
 
+def _progress_fields(progress: Progress, count: int) -> list:
+    """Returns the fields of an output's first ``count`` events."""
+    first = 0 if progress.last_event is None else progress.last_event - len(progress.events) + 1
+    whole = progress.whole and count == len(progress.events)
+    return [
+        [base64.b64encode(data).decode() for data in progress.events[:count]],
+        progress.event_versions[:count],
+        first,
+        progress.failed_runs,
+        whole,
+        progress.failed_calls if whole else 0,
+    ]
+
+
 def decode_progress(item: Item, content: bytes) -> Progress:
     """Reads an item's output so far; rows of earlier versions know nothing of reward calls."""
     events, versions, first, failed_runs, *scoring = orjson.loads(content)
--- a/src/larkpost/gateway/rollouts/context.py
+++ b/src/larkpost/gateway/rollouts/context.py
@@ -1,4 +1,4 @@
-"""What running batches needs of its daemon."""
+"""The parts of a daemon that batches rely on, passed together."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
     Attributes:
         store_time: returns the store's clock in seconds, or None if it is not known.
-        division: tells which engines are a model's own.
+        division: knows which engines are a model's own.
         cold: limits what is sent to cold engines; None if nothing does.
         crashes: the servers that have crashed, and under which requests.
         reward_places: bounds the reward calls that the daemon has at servers at once.
--- a/src/larkpost/gateway/rollouts/owned.py
+++ b/src/larkpost/gateway/rollouts/owned.py
@@ -1,4 +1,8 @@
-"""A batch that this daemon owns: its run, and the appending of its results."""
+"""A batch that this daemon owns: its run, and the appending of its results.
+
+Owns the batch's tail as last known, the results that wait for their append, and the background
+work. `run.py` makes the results, `output_saver.py` stores what running items have made so far.
+"""
 
 import asyncio
 
@@ -8,22 +12,24 @@
 from larkpost.gateway.rollouts.attempt import Progress
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId, Result, Tail
+from larkpost.gateway.rollouts.output_saver import (
+    MIN_NEW_EVENTS,
+    SAVE_INTERVAL_SECONDS,
+    OutputSaver,
+)
 from larkpost.gateway.rollouts.repository import BatchRepository
 from larkpost.gateway.rollouts.run import BatchRun
 from larkpost.gateway.rollouts.view import BatchView
 from larkpost.gateway.store.port import StoreUnavailableError, WriteOutcome
 
 APPEND_GAP_SECONDS = 0.06
+"""Pause between two appends, in which results gather. Not measured."""
 RETRY_SECONDS = 0.15
+"""Pause after a call that the store refused or did not answer. Not measured."""
 FLUSH_SECONDS = 1.0
-"""Longest time to append what waits when the batch is handed over."""
-PARTIAL_SECONDS = 0.4
-"""Between two times at which the output of running items is kept for another owner: less than the
-second that a step has to spare."""
-MIN_NEW_EVENTS = 4
-"""An item's output is kept again once it has grown by this many events."""
+"""Longest time to append what waits when the batch is handed over. Not measured."""
 FAULT_PAUSE_SECONDS = 1.0
-"""Pause before a batch is worked on again after an unexpected error."""
+"""Pause before a batch is worked on again after an unexpected error. Not measured."""
 
 
 class OwnedBatch:
@@ -48,8 +54,7 @@
         self._pending: list[Result] = []
         self._listed: set[ItemId] = set()
         self._wake = asyncio.Event()
-        self._kept_events: dict[ItemId, int] = {}
-        self._kept_whole: set[ItemId] = set()
+        self._saver = OutputSaver(head.id, repository)
         self._ended_at: dict[ItemId, float] = {}
         self._tasks: list[asyncio.Task] = []
 
@@ -88,9 +93,9 @@
             self._run.cancel()
 
     async def hand_over(self) -> None:
-        """Stops all runs and keeps what they made, so that another daemon goes on from there."""
+        """Stops all runs and stores what they made, so that another daemon goes on from there."""
         self.stop()
-        await self._keep(minimum=1)
+        await self._save_outputs(minimum=1)
         if not self._pending:
             return
         try:
@@ -116,19 +121,8 @@
             await self._clock.sleep(FAULT_PAUSE_SECONDS)
 
     async def _load(self, items: tuple[Item, ...] | None, fresh: bool) -> None:
-        kept = {}
-        while True:
-            try:
-                if items is None:
-                    items = await self._repository.items(self.head)
-                if not fresh:
-                    kept = await self._repository.partials(self.head.id, items)
-                await self._synchronise()
-                break
-            except StoreUnavailableError:
-                if fresh and items is not None:
-                    break
-                await self._clock.sleep(RETRY_SECONDS)
+        """Reads what is missing of the batch, and starts the items that have no result."""
+        items, stored = await self._read(items, fresh)
         self._view.items = {item.id: item for item in items}
         ended_items = self._listed | {result.item for result in self._pending}
         open_items = tuple(item for item in items if item.id not in ended_items)
@@ -137,15 +131,36 @@
             batch=self.head.id,
             listed=len(self._listed),
             open=len(open_items),
-            kept=sum(1 for item in open_items if item.id in kept),
-            kept_events=sum(len(progress.events) for progress in kept.values()),
+            kept=sum(1 for item in open_items if item.id in stored),
+            kept_events=sum(len(progress.events) for progress in stored.values()),
         )
         ended = self._tail is not None and self._tail.ended
         if ended or not open_items:
             return
-        self._run = BatchRun(self.head, open_items, self._services, self._finished, kept)
+        self._run = BatchRun(self.head, open_items, self._services, self._finished, stored)
         self._run.start()
 
+    async def _read(
+        self, items: tuple[Item, ...] | None, fresh: bool
+    ) -> tuple[tuple[Item, ...], dict[ItemId, Progress]]:
+        """Returns a batch's items and their stored output, once the store has told the tail too.
+
+        A batch that was accepted here just now is run though the store does not answer.
+        """
+        stored: dict[ItemId, Progress] = {}
+        while True:
+            try:
+                if items is None:
+                    items = await self._repository.items(self.head)
+                if not fresh:
+                    stored = await self._repository.partials(self.head.id, items)
+                await self._synchronise()
+                return items, stored
+            except StoreUnavailableError:
+                if fresh and items is not None:
+                    return items, stored
+                await self._clock.sleep(RETRY_SECONDS)
+
     def _finished(self, result: Result) -> None:
         if result.item in self._listed:
             return  # another daemon that ran the batch has listed it meanwhile
@@ -206,10 +221,6 @@
         self._services.metrics.count(Count.APPENDS, result.outcome)
         if result.outcome is WriteOutcome.DONE:
             self._record_appended(before.count, pending[:taken], started)
-            self._view.add(before.count, pending[:taken])
-            self._view.confirm(started)
-            self._listed.update(added.item for added in pending[:taken])
-            self._pending = self._pending[taken:]
             self._tail = tail
             return
         self._log.record(
@@ -225,6 +236,14 @@
             await self._clock.sleep(RETRY_SECONDS)
 
     def _record_appended(self, position: int, results: list[Result], started: float) -> None:
+        """Records that the first results that wait are listed from a position on."""
+        self._log_appended(position, results, started)
+        self._view.add(position, results)
+        self._view.confirm(started)
+        self._listed.update(added.item for added in results)
+        self._pending = self._pending[len(results) :]
+
+    def _log_appended(self, position: int, results: list[Result], started: float) -> None:
         now = self._clock.now()
         for result in results:
             waited = now - self._ended_at.pop(result.item, now)
@@ -249,28 +268,9 @@
 
     async def _keep_partials(self) -> None:
         while not self.complete:
-            await self._clock.sleep(PARTIAL_SECONDS)
-            await self._keep(MIN_NEW_EVENTS)
+            await self._clock.sleep(SAVE_INTERVAL_SECONDS)
+            await self._save_outputs(MIN_NEW_EVENTS)
 
-    async def _keep(self, minimum: int) -> None:
-        """Keeps the output of items that are whole or have grown by ``minimum`` events or more."""
-        if self._run is None:
-            return
-        grown = [
-            progress
-            for progress in self._run.progress.values()
-            if self._has_grown(progress, minimum)
-        ]
-        if not grown:
-            return
-        counts = {progress.item.id: len(progress.events) for progress in grown}
-        whole = {progress.item.id for progress in grown if progress.whole}
-        if await self._repository.keep_partials(self.head.id, grown):
-            self._kept_events |= counts
-            self._kept_whole |= whole
-
-    def _has_grown(self, progress: Progress, minimum: int) -> bool:
-        """Tells whether an output is worth keeping once more."""
-        if progress.whole and progress.item.id not in self._kept_whole:
-            return True
-        return len(progress.events) - self._kept_events.get(progress.item.id, 0) >= minimum
+    async def _save_outputs(self, minimum: int) -> None:
+        if self._run is not None:
+            await self._saver.save(self._run.progress.values(), minimum)
--- a/src/larkpost/gateway/rollouts/view.py
+++ b/src/larkpost/gateway/rollouts/view.py
@@ -1,4 +1,7 @@
-"""What one daemon knows of a batch's list of results. Places never change, so it only grows."""
+"""What one daemon knows of a batch's list of results. Places never change, so it only grows.
+
+Owns the views of all batches that were read or run here lately, bounded in memory.
+"""
 
 import asyncio
 from collections import Counter
@@ -7,6 +10,7 @@
 from larkpost.gateway.rollouts.model import BatchHead, GroupId, Item, ItemId, Result
 
 MAX_CACHE_BYTES = 24_000_000
+"""Most bytes of texts and bodies that the views of batches not run here hold. Not measured."""
 
 
 class BatchView:
@@ -28,7 +32,7 @@
         self._changed = asyncio.Event()
 
     def add(self, position: int, results: list[Result]) -> None:
-        """Takes results that the store holds from a position on."""
+        """Adds results that the store holds from a position on."""
         known = len(self.results)
         if position > known:
             return
@@ -40,13 +44,13 @@
             self._changed = asyncio.Event()
 
     def has_step(self) -> bool:
-        """Tells whether enough groups are whole for the trainer to go on."""
+        """Returns whether enough groups are whole for the trainer to go on."""
         size = self.head.group_size
         whole = sum(count >= size for group, count in self._group_counts.items() if group)
         return bool(size) and whole >= self.head.desired_groups
 
     def confirm(self, at: float) -> None:
-        """Notes that the list was complete at a time."""
+        """Records that the list was complete at a steady time."""
         self.confirmed_at = max(self.confirmed_at, at)
 
     async def wait_for_change(self, timeout: float) -> None:
