--- /dev/null
+++ b/src/larkpost/gateway/rollouts/result_list.py
@@ -0,0 +1,163 @@
+"""The end of a batch's list of results, as its owner appends to it.
+
+Owns the tail as last known, the items that are listed, and the results that wait for their append.
+Each append is made on condition of the tail's version, so that another owner's results are never
+overwritten; after a conflict or a write without a response, the list is read anew.
+"""
+
+import asyncio
+from collections.abc import Callable
+
+from larkpost.common.clock import Clock
+from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.observability.metrics import Count, Timing
+from larkpost.gateway.rollouts.context import RunServices
+from larkpost.gateway.rollouts.model import BatchHead, ItemId, Result, Tail
+from larkpost.gateway.rollouts.repository import BatchRepository
+from larkpost.gateway.rollouts.view import BatchView
+from larkpost.gateway.store.port import StoreUnavailableError, WriteOutcome
+
+APPEND_GAP_SECONDS = 0.06
+"""Pause between two appends, in which results gather. Not measured."""
+RETRY_SECONDS = 0.15
+"""Pause after a call that the store refused or did not answer. Not measured."""
+
+
+class ResultList:
+    """The list of results of one batch.
+
+    Args:
+        drop: called with the items that are listed by anyone, each time they were read.
+
+    Attributes:
+        tail: of the list; None until it is known.
+        listed: items that have a result in the list, as far as is known.
+        pending: results that wait for their append, in the order in which they arose.
+    """
+
+    def __init__(
+        self,
+        head: BatchHead,
+        view: BatchView,
+        repository: BatchRepository,
+        services: RunServices,
+        drop: Callable[[set[ItemId]], None],
+    ) -> None:
+        self._batch = head.id
+        self._total = head.total
+        self._view = view
+        self._repository = repository
+        self._services = services
+        self._drop = drop
+        self._clock: Clock = services.clock
+        self._log: EventLog = services.log
+        self.tail: Tail | None = None
+        self.listed: set[ItemId] = set()
+        self.pending: list[Result] = []
+        self._ended_at: dict[ItemId, float] = {}
+        self._wake = asyncio.Event()
+
+    def add(self, result: Result) -> None:
+        """Adds a result to those that wait, unless another daemon has listed the item."""
+        if result.item in self.listed:
+            return  # another daemon that ran the batch has listed it meanwhile
+        self.pending.append(result)
+        self._ended_at[result.item] = self._clock.now()
+        self._wake.set()
+
+    @property
+    def is_over(self) -> bool:
+        """Whether nothing can be appended any more: the batch is ended, or all is listed."""
+        if self.tail is None:
+            return False
+        return self.tail.ended or self.tail.count >= self._total
+
+    async def synchronise(self) -> None:
+        """Reads the tail and the results listed by anyone.
+
+        Raises:
+            StoreUnavailableError: the store did not answer.
+        """
+        started = self._clock.now()
+        tail = await self._repository.tail(self._batch)
+        if tail is None:
+            return
+        known = len(self._view.results)
+        if tail.count > known:
+            self._view.add(known, await self._repository.results(self._batch, known))
+        if len(self._view.results) < tail.count:
+            raise StoreUnavailableError("the list of results is behind its tail")
+        self.tail = tail
+        self._view.confirm(started)
+        self.listed = {result.item for result in self._view.results}
+        self.pending = [result for result in self.pending if result.item not in self.listed]
+        self._drop(self.listed)
+
+    async def append_all(self) -> None:
+        """Appends results as they come, until nothing can be appended any more."""
+        while not self.is_over:
+            if not self.pending or self.tail is None:
+                self._wake.clear()
+                if self.tail is not None:
+                    await self._wake.wait()
+            await self.append_once()
+            await self._clock.sleep(APPEND_GAP_SECONDS)
+
+    async def append_once(self) -> None:
+        """Appends as many results as one write takes; reads the list anew if that is not done."""
+        before = self.tail
+        if before is None:
+            await self._resynchronise()
+            return
+        pending = list(self.pending)
+        if not pending:
+            return
+        started = self._clock.now()
+        result, tail, taken = await self._repository.append(self._batch, before, pending)
+        self._services.metrics.count(Count.APPENDS, result.outcome)
+        if result.outcome is WriteOutcome.DONE:
+            self._record_appended(before.count, pending[:taken], started)
+            self.tail = tail
+            return
+        self._log.record(
+            Event.APPEND_FAILED,
+            batch=self._batch,
+            outcome=result.outcome,
+            position=before.count,
+            waiting=len(self.pending),
+        )
+        if result.outcome in (WriteOutcome.CONFLICT, WriteOutcome.UNKNOWN):
+            await self._resynchronise()
+        else:
+            await self._clock.sleep(RETRY_SECONDS)
+
+    def _record_appended(self, position: int, results: list[Result], started: float) -> None:
+        """Records that the first results that wait are listed from a position on."""
+        self._log_appended(position, results, started)
+        self._view.add(position, results)
+        self._view.confirm(started)
+        self.listed.update(added.item for added in results)
+        self.pending = self.pending[len(results) :]
+
+    def _log_appended(self, position: int, results: list[Result], started: float) -> None:
+        now = self._clock.now()
+        for result in results:
+            waited = now - self._ended_at.pop(result.item, now)
+            self._services.metrics.observe(Timing.APPEND_WAIT, waited)
+            self._services.metrics.count(Count.RESULTS, result.state)
+        self._log.record(
+            Event.APPENDED,
+            batch=self._batch,
+            position=position,
+            items=[result.item for result in results],
+            waiting=len(self.pending) - len(results),
+            seconds=round(now - started, 3),
+        )
+
+    async def _resynchronise(self) -> None:
+        while True:
+            try:
+                await self.synchronise()
+                return
+            except StoreUnavailableError:
+                await self._clock.sleep(RETRY_SECONDS)
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -55,30 +55,18 @@
 
 def list_again():
     """Appends what another owner has listed."""
-    from larkpost.gateway.rollouts.owned import OwnedBatch
+    from larkpost.gateway.rollouts.result_list import ResultList
 
-    def finished(self, result):
-        self._pending.append(result)
-        self._wake.set()
-
-    return mock.patch.multiple(
-        OwnedBatch, _finished=finished, _synchronise=_synchronise_without_drop()
-    )
+    original = ResultList.__init__
 
+    def begin(self, head, view, repository, services, drop):
+        original(self, head, view, repository, services, lambda _: None)
 
-def _synchronise_without_drop():
-    from larkpost.gateway.rollouts.owned import OwnedBatch
-
-    original = OwnedBatch._synchronise
-
-    async def synchronise(self):
-        run, self._run = self._run, None
-        try:
-            await original(self)
-        finally:
-            self._run = run
+    def add(self, result):
+        self.pending.append(result)
+        self._wake.set()
 
-    return synchronise
+    return mock.patch.multiple(ResultList, __init__=begin, add=add)
 
 
 def order_without_lease():
