--- a/src/larkpost/gateway/rollouts/acceptance.py
+++ b/src/larkpost/gateway/rollouts/acceptance.py
@@ -81,7 +81,7 @@
         """Stores a batch for good, once.
 
         The same transaction is repeated after a lost response: its condition lets it take effect
-        only once, and a conflict tells that the batch is there.
+        only once, and a conflict means that the batch is there.
 
         Args:
             upload: a name for the item rows that no other call uses.
--- a/src/larkpost/gateway/rollouts/claims.py
+++ b/src/larkpost/gateway/rollouts/claims.py
@@ -4,7 +4,7 @@
 names writes its own name there, on condition of the head's version. Two daemons may run one batch
 for a moment: that costs work, and the conditional appends keep the list of results right.
 
-Owns the times of this daemon's claims. It relies on the membership for who is alive.
+Owns the times of this daemon's claims. The membership knows which daemons count as alive.
 """
 
 from collections.abc import Callable
--- a/src/larkpost/gateway/rollouts/codec.py
+++ b/src/larkpost/gateway/rollouts/codec.py
@@ -10,7 +10,6 @@
 
 from larkpost.common.ids import BatchId, DaemonId
 from larkpost.gateway.blackboard.configuration import ModelName
-from larkpost.gateway.rollouts.attempt import Progress
 from larkpost.gateway.rollouts.model import (
     BatchHead,
     GroupId,
@@ -22,6 +21,7 @@
     RewardCallId,
     Tail,
 )
+from larkpost.gateway.rollouts.progress import Progress
 
 LENGTH_DIGITS = 8
 """Digits of the length that stands before a document which is written again and again."""
--- a/src/larkpost/gateway/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_choice.py
@@ -11,7 +11,6 @@
 from larkpost.gateway.blackboard.configuration import Configuration, Route, RouteKind, ServiceName
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.placement.work import Work, WorkKind
-from larkpost.gateway.rollouts.attempt import Progress
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.engine_rules import (
     EngineState,
@@ -22,6 +21,7 @@
     pace_to_move_to,
 )
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId
+from larkpost.gateway.rollouts.progress import Progress
 
 OWN_ENGINES_SECONDS = 0.6
 """For so long a batch takes places at its model's own engines only. Batches often come at the same
--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -9,13 +9,13 @@
 
 from larkpost.gateway.blackboard.configuration import Route
 from larkpost.gateway.blackboard.known_crashes import BATCH_CRASH_LIMIT
-from larkpost.gateway.rollouts.attempt import ItemRun, Progress
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
 from larkpost.gateway.rollouts.engine_rules import may_move
 from larkpost.gateway.rollouts.faster_place import FasterPlace, MoveAwayError
 from larkpost.gateway.rollouts.model import ITEM_METHOD, BatchHead, Item
 from larkpost.gateway.rollouts.place_queue import PlaceQueue
+from larkpost.gateway.rollouts.progress import ItemRun, Progress
 from larkpost.gateway.rollouts.retry_rules import (
     FAILED_STATUS,
     IMPOSSIBLE_STATUS,
@@ -166,7 +166,7 @@
     """Counts a response that is no stream, and returns whether the item runs again."""
     progress = run.progress
     if status == IMPOSSIBLE_STATUS:
-        progress.impossible_answers += 1
+        progress.impossible_responses += 1
     if status == FAILED_STATUS:
         progress.failed_runs += 1
     return judge_failed_response(status, progress.failed_runs, run.route.max_attempts)
--- a/src/larkpost/gateway/rollouts/faster_place.py
+++ b/src/larkpost/gateway/rollouts/faster_place.py
@@ -7,9 +7,9 @@
 import asyncio
 
 from larkpost.gateway.blackboard.directory import InstanceInfo
-from larkpost.gateway.rollouts.attempt import ItemRun
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
 from larkpost.gateway.rollouts.place_queue import PlaceQueue
+from larkpost.gateway.rollouts.progress import ItemRun
 
 
 class MoveAwayError(Exception):
--- a/src/larkpost/gateway/rollouts/item_runs.py
+++ b/src/larkpost/gateway/rollouts/item_runs.py
@@ -10,13 +10,13 @@
 from larkpost.gateway.blackboard.known_crashes import BATCH_CRASH_LIMIT
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.metrics import Count, Timing
-from larkpost.gateway.rollouts.attempt import DiscontinuityError, ItemRun, Progress
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.engine_run import EngineRuns
 from larkpost.gateway.rollouts.faster_place import MoveAwayError
 from larkpost.gateway.rollouts.item_routes import ItemRoutes
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId
 from larkpost.gateway.rollouts.place_queue import PlaceQueue
+from larkpost.gateway.rollouts.progress import DiscontinuityError, ItemRun, Progress
 from larkpost.gateway.rollouts.retry_rules import REFUSED_AVOID_SECONDS, RunEnd, judge_run_error
 from larkpost.gateway.rollouts.stalls import StalledError
 from larkpost.gateway.servers.port import BrokenResponseError, NotRunError
--- a/src/larkpost/gateway/rollouts/keeper.py
+++ b/src/larkpost/gateway/rollouts/keeper.py
@@ -1,4 +1,4 @@
-"""Looks after batches: runs those this daemon owns, claims those whose owner is dead.
+"""Updates batches: runs those this daemon owns, claims those whose owner is dead.
 
 Owns the batches that this daemon runs. `known_heads.py` tells who owns which batch, `claims.py`
 who claims one whose owner is dead, `owned.py` runs one.
@@ -65,7 +65,7 @@
         self._leaving = False
 
     def start(self, tasks: TaskSet) -> None:
-        """Starts looking after batches."""
+        """Starts to update and remove batches, each at its interval."""
         tasks.every(self._interval, self.update, "batches")
         tasks.every(REMOVAL_INTERVAL_SECONDS, self.remove_old, "batch_removal")
 
@@ -125,7 +125,7 @@
     async def update(self) -> None:
         """Starts, claims and releases batches as what is known of them demands."""
         for known in self._heads:
-            self._look_after(known)
+            self._update_batch(known)
         for batch, owned in list(self._owned.items()):
             if owned.complete:
                 self.finish(batch)
@@ -150,7 +150,7 @@
                 except StoreUnavailableError:
                     return  # tried again after the next interval
 
-    def _look_after(self, known: KnownHead) -> None:
+    def _update_batch(self, known: KnownHead) -> None:
         """Runs, releases or claims a batch, by its owner and whether it is over."""
         head, batch = known.head, known.head.id
         mine = head.owner == self._membership.own and not self._leaving
--- a/src/larkpost/gateway/rollouts/model.py
+++ b/src/larkpost/gateway/rollouts/model.py
@@ -1,4 +1,7 @@
-"""What a batch of rollouts consists of."""
+"""What a batch of rollouts consists of, and what is stored of it.
+
+Owns the types only; `codec.py` writes them as rows, `platform/` reads them from submissions.
+"""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -102,7 +105,7 @@
     """What every daemon knows of a batch.
 
     Attributes:
-        owner: the daemon that accepted it and runs it as long as it is alive.
+        owner: the daemon that accepted it and runs it as long as it counts as alive.
         created_at: store time, in seconds, shortly before it was accepted.
         ended: whether the trainer has ended it.
         upload: names the rows that hold the items.
@@ -140,9 +143,9 @@
     """The end of an item; its place in the list of results never changes.
 
     Attributes:
-        text: data of all events in order, parted by line feeds.
+        text: data of all events in order, joined by line feeds.
         versions: the weight versions that made an event of the text, rising.
-        score: the signature of the answer to the item's reward call; None if it has no such call.
+        score: the signature of the response to the item's reward call; None if it has no such call.
         group: the item's group; None in rows of earlier versions.
     """
 
--- a/src/larkpost/gateway/rollouts/output_saver.py
+++ b/src/larkpost/gateway/rollouts/output_saver.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable
 
 from larkpost.common.ids import BatchId
-from larkpost.gateway.rollouts.attempt import Progress
 from larkpost.gateway.rollouts.model import ItemId
+from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.repository import BatchRepository
 
 SAVE_INTERVAL_SECONDS = 0.4
--- a/src/larkpost/gateway/rollouts/owned.py
+++ b/src/larkpost/gateway/rollouts/owned.py
@@ -8,7 +8,6 @@
 
 from larkpost.common.clock import Clock
 from larkpost.gateway.observability.eventlog import Event, EventLog
-from larkpost.gateway.rollouts.attempt import Progress
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId, Result
 from larkpost.gateway.rollouts.output_saver import (
@@ -16,6 +15,7 @@
     SAVE_INTERVAL_SECONDS,
     OutputSaver,
 )
+from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.repository import BatchRepository
 from larkpost.gateway.rollouts.result_list import RETRY_SECONDS, ResultList
 from larkpost.gateway.rollouts.run import BatchRun
@@ -136,7 +136,7 @@
     async def _read(
         self, items: tuple[Item, ...] | None, fresh: bool
     ) -> tuple[tuple[Item, ...], dict[ItemId, Progress]]:
-        """Returns a batch's items and their stored output, once the store has told the tail too.
+        """Returns a batch's items and their stored output, once the tail is read too.
 
         A batch that was accepted here just now is run though the store does not answer.
         """
--- a/src/larkpost/gateway/rollouts/partial_outputs.py
+++ b/src/larkpost/gateway/rollouts/partial_outputs.py
@@ -6,9 +6,9 @@
 
 from larkpost.common.ids import BatchId
 from larkpost.gateway.rollouts import codec
-from larkpost.gateway.rollouts.attempt import Progress
 from larkpost.gateway.rollouts.batch_rows import BatchRows, RowPut, end_of, key_of
 from larkpost.gateway.rollouts.model import Item, ItemId
+from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.store.batch_tables import PARTIAL_TABLE, part_of
 from larkpost.gateway.store.port import Store, WriteOutcome, read_all
 
--- a/src/larkpost/gateway/rollouts/place_queue.py
+++ b/src/larkpost/gateway/rollouts/place_queue.py
@@ -19,9 +19,9 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.placement.work import Work
 from larkpost.gateway.proxy.balancer import Balancer
-from larkpost.gateway.rollouts.attempt import Progress
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
 from larkpost.gateway.rollouts.model import Item
+from larkpost.gateway.rollouts.progress import Progress
 
 PASS_INTERVAL_SECONDS = 0.03
 """Pause between two passes: places free up without notice when other daemons' requests end. Not
--- a/src/larkpost/gateway/rollouts/attempt.py
+++ b/src/larkpost/gateway/rollouts/progress.py
@@ -26,13 +26,13 @@
         events: data of the whole events in order.
         last_event: id of the last one, or None.
         event_versions: the weight version that made each of them.
-        failed_runs: runs that the engine itself answered as failed.
-        impossible_answers: answers that say the item can never be done.
+        failed_runs: runs that the engine itself reported as failed.
+        impossible_responses: responses that say the item can never be done.
         moves: how often it was moved to a faster engine.
         pace_left: pace of the engine that it was last moved away from, which bounds that of the
             next one; 0 if it was not moved, or no engine as fast had a place.
         whole: whether the output is complete, so that no engine has to run the item again.
-        failed_calls: reward calls of the whole output that the server itself answered as failed.
+        failed_calls: reward calls of the whole output that the server itself reported as failed.
     """
 
     item: Item
@@ -40,7 +40,7 @@
     last_event: int | None = None
     event_versions: list[int] = field(default_factory=list)
     failed_runs: int = 0
-    impossible_answers: int = 0
+    impossible_responses: int = 0
     moves: int = 0
     pace_left: float = 0.0
     whole: bool = False
--- a/src/larkpost/gateway/rollouts/reader.py
+++ b/src/larkpost/gateway/rollouts/reader.py
@@ -32,7 +32,8 @@
 """A list confirmed this recently is given without asking the store again. Not measured: less than
 the interval of checks."""
 RETRY_AFTER_SECONDS = 0.2
-"""What a caller is asked to wait after a call that the store did not answer. Not measured alone."""
+"""What a caller is asked to wait, in seconds, after a call that the store did not answer. Not
+measured alone."""
 MAX_PAGE_BYTES = 900_000
 """Most bytes of texts in one page, unless a single text is longer."""
 
@@ -188,7 +189,7 @@
         try:
             results = await self._repository.results(view.head.id, known)
         except StoreUnavailableError:
-            return False  # the reader is told if nothing is known
+            return False  # the read fails if nothing is known
         view.add(known, results)
         view.confirm(started)
         return True
@@ -208,7 +209,7 @@
 
 
 def _check_seen(head: BatchHead, caller: Caller) -> None:
-    """Raises unless a caller may see a batch; another tenant's is as good as none.
+    """Raises unless a caller may see a batch; another tenant's does not exist to it.
 
     Raises:
         NoSuchBatchError: it is another tenant's.
--- a/src/larkpost/gateway/rollouts/repository.py
+++ b/src/larkpost/gateway/rollouts/repository.py
@@ -1,6 +1,6 @@
 """Batches in the store: accepted once, results appended at fixed places, ended once.
 
-`store/batch_tables.py` names the tables and tells where rows lie. A batch is there once its head
+`store/batch_tables.py` names the tables and says where rows lie. A batch is there once its head
 is. Each append is made on condition of the tail's version, so two daemons that run the same batch
 cost work, but never a second result at a place. `acceptance.py` writes new batches,
 `partial_outputs.py` the output of items that run.
@@ -13,7 +13,6 @@
 from larkpost.common.ids import BatchId, DaemonId
 from larkpost.gateway.rollouts import codec
 from larkpost.gateway.rollouts.acceptance import AcceptOutcome, BatchAcceptance
-from larkpost.gateway.rollouts.attempt import Progress
 from larkpost.gateway.rollouts.batch_rows import (
     MAX_TRANSACTION_BYTES,
     MAX_TRANSACTION_ROWS,
@@ -26,6 +25,7 @@
 )
 from larkpost.gateway.rollouts.model import BatchHead, BatchSpec, Item, ItemId, Result, Tail
 from larkpost.gateway.rollouts.partial_outputs import PartialOutputs
+from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.store.batch_tables import (
     HEAD_TABLE,
     ITEM_TABLE,
--- a/src/larkpost/gateway/rollouts/retry_rules.py
+++ b/src/larkpost/gateway/rollouts/retry_rules.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from larkpost.gateway.rollouts.attempt import DiscontinuityError
+from larkpost.gateway.rollouts.progress import DiscontinuityError
 from larkpost.gateway.rollouts.stalls import StalledError
 from larkpost.gateway.servers.port import BrokenResponseError
 
@@ -90,7 +90,7 @@
     """Returns whether a reward call is given up, and its item with it.
 
     Args:
-        failed_calls: tries that the server itself answered as failed.
+        failed_calls: attempts that the server itself reported as failed.
         item_attempts: as many of them as the item's route allows; 0 if it has no route.
         call_attempts: as many as the call's own route allows. The greater figure counts.
     """
--- a/src/larkpost/gateway/rollouts/reward.py
+++ b/src/larkpost/gateway/rollouts/reward.py
@@ -11,10 +11,10 @@
 from larkpost.gateway.blackboard.configuration import Route
 from larkpost.gateway.blackboard.known_crashes import BATCH_CRASH_LIMIT
 from larkpost.gateway.observability.metrics import Timing
-from larkpost.gateway.rollouts.attempt import Progress
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.item_routes import ItemRoutes
 from larkpost.gateway.rollouts.model import BatchHead, RewardCall
+from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.retry_rules import is_call_dead
 from larkpost.gateway.rollouts.reward_attempt import RewardAttempts
 from larkpost.gateway.rollouts.reward_rules import CallEnd, CallHistory
--- a/src/larkpost/gateway/rollouts/reward_attempt.py
+++ b/src/larkpost/gateway/rollouts/reward_attempt.py
@@ -14,9 +14,9 @@
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.metrics import Count, Timing
 from larkpost.gateway.placement.work import REWARD_WORK, Work, WorkKind
-from larkpost.gateway.rollouts.attempt import Progress
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.model import ITEM_METHOD, BatchHead, RewardCall
+from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.reward_rules import (
     CallAttempt,
     CallEnd,
@@ -92,7 +92,7 @@
         return self._services.balancer.occupied(info) < usable_slots(info.slots)
 
     async def _send(self, server: InstanceInfo, call: RewardCall, limit: float) -> CallAttempt:
-        """Sends a call and records what its end tells of the server."""
+        """Sends a call and records what its end says of the server."""
         balancer = self._services.balancer
         began = self._services.clock.now()
         try:
--- a/src/larkpost/gateway/rollouts/reward_rules.py
+++ b/src/larkpost/gateway/rollouts/reward_rules.py
@@ -27,7 +27,7 @@
     """How one attempt of a reward call ended; one that did not run ends with its reason."""
 
     SCORED = "scored"
-    FAILED = "failed"  # the server answered that it failed
+    FAILED = "failed"  # the server reported that it failed
     BROKEN = "broken"  # no whole response, or a success without a signature
     SILENT = "silent"
     REJECTED = "rejected"  # any other response
--- a/src/larkpost/gateway/rollouts/run.py
+++ b/src/larkpost/gateway/rollouts/run.py
@@ -9,7 +9,6 @@
 
 from larkpost.gateway.blackboard.configuration import ServiceName
 from larkpost.gateway.observability.eventlog import Event
-from larkpost.gateway.rollouts.attempt import Progress
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
 from larkpost.gateway.rollouts.engine_run import EngineRuns
@@ -17,6 +16,7 @@
 from larkpost.gateway.rollouts.item_runs import ItemRuns
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId, Result, ResultState
 from larkpost.gateway.rollouts.place_queue import PlaceQueue
+from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.reward import RewardScorer, RewardState
 from larkpost.gateway.rollouts.stalls import CHECK_INTERVAL_SECONDS
 
@@ -138,7 +138,7 @@
             batch=self.head.id,
             item=item.id,
             failed_runs=progress.failed_runs,
-            impossible=progress.impossible_answers,
+            impossible=progress.impossible_responses,
             failed_calls=progress.failed_calls,
         )
         self._finished(Result(item.id, ResultState.DEAD, group=item.group))
--- a/src/larkpost/gateway/rollouts/run_events.py
+++ b/src/larkpost/gateway/rollouts/run_events.py
@@ -7,9 +7,9 @@
 
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.observability.metrics import Timing
-from larkpost.gateway.rollouts.attempt import ItemRun
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.model import BatchHead
+from larkpost.gateway.rollouts.progress import ItemRun
 from larkpost.gateway.rollouts.stalls import RunWatch
 from larkpost.gateway.servers.port import BrokenResponseError, StreamEvent
 
--- a/src/larkpost/gateway/rollouts/urgency.py
+++ b/src/larkpost/gateway/rollouts/urgency.py
@@ -10,12 +10,12 @@
 import math
 from collections.abc import Sequence
 
-from larkpost.gateway.rollouts.attempt import Progress
 from larkpost.gateway.rollouts.model import Item
+from larkpost.gateway.rollouts.progress import Progress
 
 HIGHEST_PRIORITY = 0
 LOWEST_PRIORITY = 9
-"""The ranks that an engine tells apart; requests without one have the middle of them."""
+"""The ranks that an engine distinguishes; requests without one have the middle of them."""
 LENGTH_CLASSES = 3
 """Ranks within one priority: long, middling and short items."""
 LONG_SHARE = 0.15
--- a/src/larkpost/gateway/rollouts/view.py
+++ b/src/larkpost/gateway/rollouts/view.py
@@ -63,7 +63,7 @@
 
     @property
     def size(self) -> int:
-        """Bytes of text held, roughly."""
+        """Bytes of texts and bodies, without the overhead of objects."""
         bodies = sum(len(item.body) for item in self.items.values()) if self.items else 0
         return bodies + sum(len(result.text) for result in self.results)
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -13,11 +13,11 @@
 from larkpost.gateway.controllers.members import DEAD_AFTER_SECONDS
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.shares import ShareChooser
-from larkpost.gateway.rollouts.attempt import LONG_RUN_EVENTS, ItemRun, Progress
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
 from larkpost.gateway.rollouts.faster_place import FasterPlace, MoveAwayError
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.rollouts.place_queue import PlaceQueue
+from larkpost.gateway.rollouts.progress import LONG_RUN_EVENTS, ItemRun, Progress
 from larkpost.gateway.store.port import RowKey, Transaction
 from larkpost.rehearsal.memory_store import StoreFaults
 from tests import switched_off
--- a/tests/test_durable_batches.py
+++ b/tests/test_durable_batches.py
@@ -3,7 +3,7 @@
 import unittest
 
 from larkpost.common.ids import BatchId
-from larkpost.gateway.rollouts.attempt import Progress
+from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.service import BatchRefusedError, BatchUncertainError
 from larkpost.gateway.store.batch_tables import PARTS, part_of
 from larkpost.rehearsal.memory_store import StoreFaults
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -29,9 +29,9 @@
     ClientRequest,
 )
 from larkpost.gateway.proxy.shares import ShareChooser
-from larkpost.gateway.rollouts.attempt import Progress
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
 from larkpost.gateway.rollouts.model import BatchHead
+from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.reward_attempt import RewardAttempts
 from larkpost.gateway.scaling.port import ScalingMode
 from larkpost.gateway.servers.port import NotRunReason
--- a/tests/test_pinned_rows.py
+++ b/tests/test_pinned_rows.py
@@ -32,7 +32,6 @@
 from larkpost.gateway.proxy.request import ClientRequest
 from larkpost.gateway.quarantine.content import digest_content
 from larkpost.gateway.quarantine.repository import CrashRepository, crash_of_row
-from larkpost.gateway.rollouts.attempt import Progress
 from larkpost.gateway.rollouts.codec import (
     decode_head,
     decode_items,
@@ -56,6 +55,7 @@
     RewardCall,
     Tail,
 )
+from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.repository import BatchRepository, head_of_row
 from larkpost.gateway.store.batch_tables import part_of
 from larkpost.gateway.store.port import Row, RowKey, Transaction
--- a/tests/test_retry_rules.py
+++ b/tests/test_retry_rules.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from larkpost.gateway.rollouts.attempt import DiscontinuityError
+from larkpost.gateway.rollouts.progress import DiscontinuityError
 from larkpost.gateway.rollouts.retry_rules import (
     BROKEN_AVOID_SECONDS,
     SILENT_AVOID_SECONDS,
--- a/tests/test_reward_calls.py
+++ b/tests/test_reward_calls.py
@@ -7,8 +7,8 @@
 
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.rollouts import codec
-from larkpost.gateway.rollouts.attempt import Progress
 from larkpost.gateway.rollouts.model import BatchSpec, Result, ResultState
+from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.service import ResultPage
 from larkpost.platform.batches import read_batch, write_page
 from larkpost.rehearsal.memory_store import StoreFaults
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -15,8 +15,8 @@
     ServiceShare,
 )
 from larkpost.gateway.blackboard.tenants import Tenant, TenantName
-from larkpost.gateway.rollouts.attempt import LONG_RUN_EVENTS, Progress
 from larkpost.gateway.rollouts.place_queue import queue_rank
+from larkpost.gateway.rollouts.progress import LONG_RUN_EVENTS, Progress
 from larkpost.gateway.rollouts.stalls import LEAST_SILENCE_SECONDS, StallWatcher
 from larkpost.gateway.rollouts.urgency import Urgency
 from tests.platform_fleet import ENGINES, PlatformFleet, check_results, make_batch
