--- a/src/larkpost/gateway/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_choice.py
@@ -1,16 +1,15 @@
 """Finds the engines that fit an item of a batch, and applies the rules of the choice to them.
 
 Items come longest first, so that the longest ones get the fastest engines. The module owns what is
-known of one batch: when it began, and the service that each item was given. It relies on the
-balancer for loads, paces and the rules of placement, and on `engine_rules.py` for the choice.
+known of one batch: when it began, and the paces as of a moment ago. It relies on the balancer for
+loads, paces and the rules of placement, on `item_work.py` for what an item asks, and on
+`engine_rules.py` for the choice.
 """
 
-from dataclasses import replace
-
 from larkpost.common.ids import InstanceId
-from larkpost.gateway.blackboard.configuration import Configuration, Route, RouteKind, ServiceName
+from larkpost.gateway.blackboard.configuration import ServiceName
 from larkpost.gateway.blackboard.directory import InstanceInfo
-from larkpost.gateway.placement.work import Work, WorkKind
+from larkpost.gateway.placement.work import Work
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.engine_rules import (
     EngineState,
@@ -20,7 +19,8 @@
     move_ratio,
     pace_to_move_to,
 )
-from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId
+from larkpost.gateway.rollouts.item_work import ItemWork
+from larkpost.gateway.rollouts.model import BatchHead, Item
 from larkpost.gateway.rollouts.progress import Progress
 
 OWN_ENGINES_SECONDS = 0.6
@@ -29,7 +29,7 @@
 trials of one day, one run each, the day's value was 0.655 of 1 with it and 0.565 without."""
 PACES_LIFETIME_SECONDS = 0.05
 """How long the paces of free engines are reused: each run of a batch asks for them at every few
-events. Not measured: it is to be less than one event takes."""
+events. Not measured: about the time of one event."""
 
 
 class EngineChoice:
@@ -39,53 +39,11 @@
         self._head = head
         self._services = services
         self._began_at = services.clock.now()
-        self._works: dict[str, Work] = {}
-        """What is asked of the items of each path, by the configuration `_works_of`."""
-        self._works_of: Configuration | None = None
-        self._item_services: dict[ItemId, ServiceName] = {}
+        self.items = ItemWork(head, services)
         self._paces: dict[
             tuple[ServiceName, Work], tuple[float, list[tuple[InstanceId, float]]]
         ] = {}
 
-    def work_of(self, item: Item | None = None) -> Work:
-        """Returns what the rules of placement ask of an item, as the configuration stands now.
-
-        Args:
-            item: None for what they ask of the batch's own path.
-        """
-        configuration = self._services.configuration.current
-        if configuration is not self._works_of:
-            self._works_of = configuration
-            self._works.clear()
-        path = item.path if item is not None else self._head.path
-        if path not in self._works:
-            self._works[path] = self._make_work(configuration, path)
-        crashes = self._services.crashes
-        if item is None or not crashes.has_suspects:
-            return self._works[path]
-        return replace(self._works[path], is_suspect=crashes.is_suspect(item.content(self._head)))
-
-    def _make_work(self, configuration: Configuration | None, path: str) -> Work:
-        head = self._head
-        regions = None
-        if configuration is not None:
-            place = path.partition("?")[0].encode()
-            regions = configuration.homes_at(head.tenant, head.host, place)
-        return Work(WorkKind.ITEM, regions, head.model, head.minimum_version)
-
-    def service_of(self, item: Item, route: Route) -> ServiceName | None:
-        """Returns the service of an item, or None if its route takes no batches.
-
-        It is chosen once by the route's weights and kept while it stands.
-        """
-        if route.kind is not RouteKind.BATCH:
-            return None
-        chosen = self._item_services.get(item.id)
-        if chosen is None or all(share.service != chosen for share in route.shares):
-            chosen = self._services.shares.choose(route)
-            self._item_services[item.id] = chosen
-        return chosen
-
     def choose(
         self, service: ServiceName, pace_limit: float = 0.0, work: Work | None = None
     ) -> InstanceInfo | None:
@@ -97,7 +55,7 @@
             work: what the rules of placement ask of the item; None for the batch's own.
         """
         balancer = self._services.balancer
-        candidates = self._with_place(service, work or self.work_of())
+        candidates = self._with_place(service, work or self.items.work_of())
         only = self._only_engines(service)
         if only is not None:
             candidates = [info for info in candidates if info.id in only]
@@ -148,7 +106,7 @@
 
     def count_places(self, service: ServiceName) -> int:
         """Returns how many places the engines that fit are believed to have free."""
-        work = self.work_of()
+        work = self.items.work_of()
         fitting = self._with_place(service, work)
         return sum(self._places_at(info, work) for info in fitting)
 
@@ -170,7 +128,7 @@
         ratio = move_ratio(progress.is_long)
         return any(
             is_outpaced_by(pace, other, ratio)
-            for name, other in self._free_paces(engine.service, self.work_of(progress.item))
+            for name, other in self._free_paces(engine.service, self.items.work_of(progress.item))
             if name != engine.id and directory.version_of(name, self._head.model) >= version
         )
 
@@ -180,7 +138,7 @@
         balancer = self._services.balancer
         if known is None or balancer.is_cold(known):
             return False
-        return balancer.placement.allows(known, self.work_of(item))
+        return balancer.placement.allows(known, self.items.work_of(item))
 
     def fast_pace(self, engine: InstanceInfo, item: Item) -> float:
         """Returns the pace that a long run at an engine should go on at elsewhere; 0 if at none.
@@ -189,7 +147,7 @@
         """
         balancer = self._services.balancer
         directory = self._services.directory
-        work = self.work_of(item)
+        work = self.items.work_of(item)
         version = directory.version_of(engine.id, self._head.model)
         paces = [
             pace
--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -88,7 +88,7 @@
         """Sends the request and records the response."""
         balancer = self._services.balancer
         request = self._request(run)
-        within = balancer.placement.admit(run.engine.id, self._engines.work_of(run.item))
+        within = balancer.placement.admit(run.engine.id, self._engines.items.work_of(run.item))
         request = replace(request, send_within=within)
         async with self._services.servers.send(run.engine, request) as response:
             balancer.record_load(run.engine.id, response.load)
--- a/src/larkpost/gateway/rollouts/output_saver.py
+++ b/src/larkpost/gateway/rollouts/output_saver.py
@@ -12,7 +12,7 @@
 
 SAVE_INTERVAL_SECONDS = 0.4
 """Between two times at which the output of running items is stored: less than the second that a
-step has to spare. At 1 s, the death of an owner was seen to cost as much output."""
+step has to spare. When it was longer, the death of an owner cost up to 1 s of output."""
 MIN_NEW_EVENTS = 4
 """An item's output is stored again once it has grown by this many events. Not measured."""
 
--- a/src/larkpost/gateway/rollouts/place_queue.py
+++ b/src/larkpost/gateway/rollouts/place_queue.py
@@ -157,10 +157,10 @@
 
     def _assign(self, entry: _PlaceRequest, missing: _NoPlaces) -> bool:
         """Gives an item a place if there is one, and returns whether there is."""
-        service = self._engines.service_of(entry.item, entry.route)
+        service = self._engines.items.service_of(entry.item, entry.route)
         if service is None:
             return False
-        work = self._engines.work_of(entry.item)
+        work = self._engines.items.work_of(entry.item)
         wanted = (service, work)
         if missing.rules_out(wanted, entry.pace_limit):
             return False
--- a/src/larkpost/gateway/rollouts/reader.py
+++ b/src/larkpost/gateway/rollouts/reader.py
@@ -27,7 +27,7 @@
 
 READ_POLL_SECONDS = 0.05
 """How often a held read checks for what another daemon appends: a step waits for the last one. At
-0.1 to 0.4 s, listed results were seen to be given as much later."""
+0.2 to 0.4 s, listed results were seen to be given 0.1 to 0.4 s late."""
 FRESH_SECONDS = 0.04
 """A list confirmed this recently is given without asking the store again. Not measured: less than
 the interval of checks."""
