--- a/src/larkpost/gateway/rollouts/attempt.py
+++ b/src/larkpost/gateway/rollouts/progress.py
@@ -1,11 +1,17 @@
-"""One item's way to its result: runs at engines, continued where the last one broke off."""
+"""An item's output so far, and its runs at engines, each continued where the last one broke off.
+
+Owns the output of one item until it has a result. `codec.py` writes it for the next owner.
+"""
 
 from dataclasses import dataclass, field
 
+from larkpost.gateway.blackboard.configuration import Route
+from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.rollouts.model import Item, Result, ResultState
 
 LONG_RUN_EVENTS = 30
-"""Events after which an item has shown itself long; three in four items have fewer."""
+"""Events after which an item has shown itself long; three in four items have fewer. Not compared
+with other figures."""
 
 
 class DiscontinuityError(ValueError):
@@ -20,13 +26,13 @@
         events: data of the whole events in order.
         last_event: id of the last one, or None.
         event_versions: the weight version that made each of them.
-        failed_runs: runs that the engine itself answered as failed.
-        impossible_answers: answers that say the item can never be done.
+        failed_runs: runs that the engine itself reported as failed.
+        impossible_responses: responses that say the item can never be done.
         moves: how often it was moved to a faster engine.
         pace_left: pace of the engine that it was last moved away from, which bounds that of the
             next one; 0 if it was not moved, or no engine as fast had a place.
         whole: whether the output is complete, so that no engine has to run the item again.
-        failed_calls: reward calls of the whole output that the server itself answered as failed.
+        failed_calls: reward calls of the whole output that the server itself reported as failed.
     """
 
     item: Item
@@ -34,7 +40,7 @@
     last_event: int | None = None
     event_versions: list[int] = field(default_factory=list)
     failed_runs: int = 0
-    impossible_answers: int = 0
+    impossible_responses: int = 0
     moves: int = 0
     pace_left: float = 0.0
     whole: bool = False
@@ -73,7 +79,7 @@
         self.failed_calls = 0
 
     def complete(self) -> None:
-        """Notes that the output is whole.
+        """Records that the output is whole.
 
         Raises:
             ValueError: there is no output, or it is not text.
@@ -96,3 +102,23 @@
 
     def _text(self) -> str:
         return b"\n".join(self.events).decode()
+
+
+@dataclass(frozen=True, slots=True)
+class ItemRun:
+    """One run of an item at an engine, from where its output is.
+
+    Attributes:
+        engine: where the item has its place.
+        route: the item's, when the run began.
+        progress: the item with its output so far; the run adds to it.
+    """
+
+    engine: InstanceInfo
+    route: Route
+    progress: Progress
+
+    @property
+    def item(self) -> Item:
+        """The item that runs."""
+        return self.progress.item
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -11,7 +11,7 @@
 
 def append_without_condition():
     """Appends results whatever the tail's version is."""
-    from larkpost.gateway.rollouts.repository import HEAD_TABLE, TAIL_TABLE
+    from larkpost.gateway.store.batch_tables import HEAD_TABLE, TAIL_TABLE
     from larkpost.rehearsal.memory_store import StoreClient
 
     original = StoreClient.write
@@ -55,30 +55,18 @@
 
 def list_again():
     """Appends what another owner has listed."""
-    from larkpost.gateway.rollouts.owned import OwnedBatch
-
-    def finished(self, result):
-        self._pending.append(result)
-        self._wake.set()
-
-    return mock.patch.multiple(
-        OwnedBatch, _finished=finished, _synchronise=_synchronise_without_drop()
-    )
-
+    from larkpost.gateway.rollouts.result_list import ResultList
 
-def _synchronise_without_drop():
-    from larkpost.gateway.rollouts.owned import OwnedBatch
+    original = ResultList.__init__
 
-    original = OwnedBatch._synchronise
+    def begin(self, head, view, repository, services, drop):
+        original(self, head, view, repository, services, lambda _: None)
 
-    async def synchronise(self):
-        run, self._run = self._run, None
-        try:
-            await original(self)
-        finally:
-            self._run = run
+    def add(self, result):
+        self.pending.append(result)
+        self._wake.set()
 
-    return synchronise
+    return mock.patch.multiple(ResultList, __init__=begin, add=add)
 
 
 def order_without_lease():
@@ -186,8 +174,8 @@
         progress = self.progress[item.id]
         score = None
         if item.reward_call is not None:
-            score = await self._score(item, item.reward_call, progress)
-        await self._make_whole(item, progress)
+            score = (await self._scorer.score(progress, item.reward_call)).score
+        await self._outputs.make_whole(progress)
         self.progress.pop(item.id, None)
         self._finished(progress.result(score))
 
@@ -196,11 +184,13 @@
 
 def score_unsigned_answers():
     """Takes any success for a score."""
-    from larkpost.gateway.rollouts import reward
+    from larkpost.gateway.rollouts import reward_attempt
 
-    original = reward._judge
+    original = reward_attempt.judge_call_response
     return mock.patch.object(
-        reward, "_judge", lambda status, signature: original(status, signature or "unsigned")
+        reward_attempt,
+        "judge_call_response",
+        lambda status, signature: original(status, signature or "unsigned"),
     )
 
 
@@ -210,9 +200,9 @@
 
     original = RewardScorer.score
 
-    async def score(self, progress, call, item_attempts, is_given_up):
+    async def score(self, progress, call):
         progress.failed_calls = 100
-        return await original(self, progress, call, item_attempts, is_given_up)
+        return await original(self, progress, call)
 
     return mock.patch.object(RewardScorer, "score", score)
 
@@ -226,9 +216,9 @@
 
 def keep_one_row_of_an_output():
     """Keeps of an output only what fits in one row."""
-    from larkpost.gateway.rollouts import repository
+    from larkpost.gateway.rollouts import partial_outputs
 
-    return mock.patch.object(repository, "MAX_KEPT_BYTES", 48_000)
+    return mock.patch.object(partial_outputs, "MAX_KEPT_BYTES", 48_000)
 
 
 def believe_that_outputs_are_kept():
@@ -361,9 +351,9 @@
 
 def claim_outside_homes():
     """Has a batch claimed by any coordinator, wherever it may be served."""
-    from larkpost.gateway.rollouts.keeper import BatchKeeper
+    from larkpost.gateway.rollouts.claims import BatchClaims
 
-    return mock.patch.object(BatchKeeper, "_homes", lambda *_: None)
+    return mock.patch.object(BatchClaims, "_homes", lambda *_: None)
 
 
 def serve_anywhere():
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -29,13 +29,13 @@
     ClientRequest,
 )
 from larkpost.gateway.proxy.shares import ShareChooser
-from larkpost.gateway.rollouts.attempt import Progress
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
 from larkpost.gateway.rollouts.model import BatchHead
-from larkpost.gateway.rollouts.repository import PARTIAL_TABLE
-from larkpost.gateway.rollouts.reward import RewardScorer
+from larkpost.gateway.rollouts.progress import Progress
+from larkpost.gateway.rollouts.reward_attempt import RewardAttempts
 from larkpost.gateway.scaling.port import ScalingMode
 from larkpost.gateway.servers.port import NotRunReason
+from larkpost.gateway.store.batch_tables import PARTIAL_TABLE
 from larkpost.gateway.store.port import RowKey, Transaction
 from larkpost.rehearsal.memory_store import StoreFaults
 from larkpost.rehearsal.scripted_engines import EngineState, ScriptedEngines
@@ -387,12 +387,12 @@
         async def has_place() -> bool:
             fleet = PlatformFleet(1, 1, scorers=1)
             services = fleet.gateways[0].keeper._services
-            scorer = RewardScorer(make_head(fleet), services)
+            attempts = RewardAttempts(make_head(fleet), services)
             info = make_info("scorer-0", SCORERS, slots=6)
             for _ in range(4):
                 services.balancer.occupy(info.id)
             await asyncio.sleep(0)
-            return scorer._has_place(info)
+            return attempts._has_place(info)
 
         self.assertFalse(run(has_place()))
         with switched_off.slots_left_to_clients():
