--- a/src/larkpost/gateway/assembly/duties.py
+++ b/src/larkpost/gateway/assembly/duties.py
@@ -5,12 +5,14 @@
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
 from larkpost.gateway.blackboard.board import Blackboard
+from larkpost.gateway.controllers.coordination import Coordination
+from larkpost.gateway.controllers.division import EngineDivision
 from larkpost.gateway.controllers.feeds import Feeds
 from larkpost.gateway.controllers.leases import LeaseTable
-from larkpost.gateway.controllers.load_plan import LoadPlan
 from larkpost.gateway.controllers.loader import WeightLoader
 from larkpost.gateway.controllers.members import Membership
 from larkpost.gateway.controllers.true_time import TrueTime
+from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.rollouts.keeper import BatchKeeper
 from larkpost.gateway.scaling.controller import ScalingController
@@ -29,7 +31,7 @@
     """
 
     blackboard: Blackboard
-    load_plan: LoadPlan
+    division: EngineDivision
     membership: Membership
     balancer: Balancer
     keeper: BatchKeeper
@@ -68,13 +70,10 @@
     def _make_loader(self) -> WeightLoader:
         return WeightLoader(
             self._needs.blackboard,
-            self._needs.load_plan,
-            self._needs.membership,
-            self._leases,
+            self._needs.division,
+            Coordination(self._needs.membership, self._leases),
             self._ports.servers,
-            self._ports.clock,
-            self._ports.log,
-            self._ports.metrics,
+            Instruments(self._ports.clock, self._ports.log, self._ports.metrics),
         )
 
     def _make_usage(self) -> UsageReporter | None:
--- a/src/larkpost/gateway/blackboard/board.py
+++ b/src/larkpost/gateway/blackboard/board.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.blackboard.evacuations import Evacuations
 from larkpost.gateway.blackboard.known_crashes import KnownCrashes
 from larkpost.gateway.blackboard.regions import RegionMap
-from larkpost.gateway.controllers.weights import WeightTargets
+from larkpost.gateway.blackboard.weight_targets import WeightTargets
 
 
 @dataclass(slots=True)
--- /dev/null
+++ b/src/larkpost/gateway/blackboard/weight_targets.py
@@ -0,0 +1,62 @@
+"""The weight version that each model should have, and what the batches of each model ask for.
+
+Owns the newest version named for each model. `controllers.row_intake` writes it from the rows of
+trainers; `controllers.due_loads` reads it.
+"""
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+
+from larkpost.gateway.blackboard.configuration import ModelName
+
+
+@dataclass(frozen=True, slots=True)
+class WeightTarget:
+    """A version that a trainer has named for its model."""
+
+    model: ModelName
+    version: int
+
+
+class WeightTargets:
+    """The newest version named for each model; it never goes back."""
+
+    def __init__(self) -> None:
+        self._versions: dict[ModelName, int] = {}
+        self._named_at: dict[ModelName, float] = {}
+
+    def update(self, target: WeightTarget, now: float) -> bool:
+        """Stores a named version if it is newer, and returns whether it was.
+
+        Args:
+            now: steady time in seconds.
+        """
+        if target.version <= self._versions.get(target.model, 0):
+            return False
+        self._versions[target.model] = target.version
+        self._named_at[target.model] = now
+        return True
+
+    def named_for(self, model: ModelName, now: float) -> float:
+        """Returns the seconds since this daemon learnt of a model's newest version."""
+        return now - self._named_at.get(model, now)
+
+    def version(self, model: ModelName) -> int:
+        """Returns the newest version named for a model; 0 if none was."""
+        return self._versions.get(model, 0)
+
+
+@dataclass(frozen=True, slots=True)
+class ModelDemand:
+    """What the batches of a model ask for.
+
+    Attributes:
+        work: expected tokens of the newest batch; 0 if none is known.
+        open: whether a batch runs now.
+    """
+
+    work: int = 0
+    open: bool = False
+
+
+Demands = Mapping[ModelName, ModelDemand]
--- a/src/larkpost/gateway/controllers/division.py
+++ b/src/larkpost/gateway/controllers/division.py
@@ -1,4 +1,8 @@
-"""Which engines are a model's own, and which are to load now: all daemons work out the same."""
+"""The division of each service's engines among its models, and the loads that follow from it.
+
+`controllers.loader` asks for the due loads, of which it gives the orders; `rollouts` asks for a
+model's own engines and for those that load, which it avoids. All daemons work out the same.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,12 +11,13 @@
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.configuration import ModelName, Service, ServiceName
-from larkpost.gateway.blackboard.directory import InstanceState
-from larkpost.gateway.controllers.load_plan import LoadPlan
-from larkpost.gateway.controllers.weights import Demands, assign_models, split_evacuated
+from larkpost.gateway.blackboard.weight_targets import Demands, WeightTarget
+from larkpost.gateway.controllers.due_loads import LoadInputs, due_loads, ready_engines
+from larkpost.gateway.controllers.model_assignment import assign_models, split_evacuated
 
 LIFETIME_SECONDS = 0.1
-"""How long a division serves: items ask for it again and again."""
+"""Seconds for which a division serves: items ask for it again and again. Not measured: as long as
+the loader's interval."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,7 +27,7 @@
     Attributes:
         made_at: steady time at which it was worked out.
         own: each model's engines.
-        loading: engines that load a version now, or will be told to in a moment.
+        loading: engines that load a version now, or will be ordered to in a moment.
     """
 
     made_at: float
@@ -31,26 +36,30 @@
 
 
 class EngineDivision:
-    """The division of each service's engines among its models, as of a moment ago.
+    """The division of each service's engines among its models, and the loads that are due.
 
     Args:
-        plan: tells which loads are due.
-        demands: tells what the batches of each model ask for.
+        demands: returns what the batches of each model ask for.
     """
 
     def __init__(
-        self,
-        blackboard: Blackboard,
-        plan: LoadPlan,
-        clock: Clock,
-        demands: Callable[[], Demands],
+        self, blackboard: Blackboard, clock: Clock, demands: Callable[[], Demands]
     ) -> None:
-        self._beliefs = blackboard
-        self._plan = plan
+        self._blackboard = blackboard
         self._clock = clock
         self._demands = demands
         self._known: dict[ServiceName, Division] = {}
 
+    def due(self, service: Service, now: float) -> list[tuple[InstanceId, WeightTarget]]:
+        """Returns the engines of a service that should be loading now, and what."""
+        inputs = LoadInputs(
+            self._blackboard.directory,
+            self._blackboard.targets,
+            self._demands(),
+            self._blackboard.evacuations.zones(),
+        )
+        return due_loads(service, inputs, now)
+
     def engines_of(self, service: ServiceName, model: ModelName) -> frozenset[InstanceId]:
         """Returns a model's own engines; none if the service does not hold the model.
 
@@ -71,18 +80,16 @@
         return known
 
     def _divide(self, name: ServiceName, now: float) -> Division:
-        configuration = self._beliefs.configuration.current
+        configuration = self._blackboard.configuration.current
         service = configuration.services.get(name) if configuration is not None else None
         if service is None or not service.models:
             return Division(now, {}, frozenset())
-        loading = frozenset(engine for engine, _ in self._plan.due(service, now))
+        loading = frozenset(engine for engine, _ in self.due(service, now))
         return Division(now, self._own(service), loading)
 
     def _own(self, service: Service) -> dict[ModelName, frozenset[InstanceId]]:
-        directory = self._beliefs.directory
-        ready = [
-            info for info in directory.of_service(service.name) if info.state is InstanceState.READY
-        ]
-        serving, _ = split_evacuated(ready, self._beliefs.evacuations.zones())
+        directory = self._blackboard.directory
+        ready = ready_engines(service, directory)
+        serving, _ = split_evacuated(ready, self._blackboard.evacuations.zones())
         division = assign_models(service, serving, directory, self._demands())
         return {model: frozenset(engines) for model, engines in division.items()}
--- /dev/null
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -0,0 +1,183 @@
+"""Which engines should load which weight version now.
+
+Owns the rule by which the engines of one model load in groups, one after the other, so that some
+always serve. Engines of evacuated zones load last: nobody waits for them, but they may be back at
+any moment. It is a function of the blackboard's state and the time: all daemons that have read the
+same rows work out the same.
+"""
+
+import math
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+from larkpost.common.ids import InstanceId, ZoneId
+from larkpost.gateway.blackboard.configuration import ModelName, Service
+from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.weight_targets import (
+    Demands,
+    ModelDemand,
+    WeightTarget,
+    WeightTargets,
+)
+from larkpost.gateway.controllers.model_assignment import assign_models, split_evacuated
+
+LOAD_GROUPS = 3
+"""Groups of a model's engines that load a version one after the other; two thirds serve on.
+Not measured."""
+GROUP_SECONDS = 1.0
+"""Seconds for one group, after which it is the next one's turn. Not measured: above the time that
+one load takes."""
+FIRST_SECONDS = 0.3
+"""Seconds before the first group loads while no batch of the model runs: one may come at once.
+Not measured."""
+BUSY_FIRST_SECONDS = 0.9
+"""The same while one runs, so that its items have found their places before. Not measured."""
+
+
+@dataclass(frozen=True, slots=True)
+class LoadInputs:
+    """What the due loads of a service follow from.
+
+    Attributes:
+        demands: what the batches of each model ask for.
+        evacuated: zones whose engines get no work; they load after the others.
+    """
+
+    directory: Directory
+    targets: WeightTargets
+    demands: Demands
+    evacuated: frozenset[ZoneId] = frozenset()
+
+
+@dataclass(frozen=True, slots=True)
+class ModelState:
+    """How far the engines of one model are; engines are in the order in which they load.
+
+    Attributes:
+        target: the version that they should have.
+        elapsed: seconds since the first group's turn began; negative before it.
+        serving: the version at each engine that gets work.
+        resting: the version at each engine of an evacuated zone.
+    """
+
+    target: int
+    elapsed: float
+    serving: dict[InstanceId, int]
+    resting: dict[InstanceId, int]
+
+
+def due_loads(
+    service: Service, inputs: LoadInputs, now: float
+) -> list[tuple[InstanceId, WeightTarget]]:
+    """Returns the loads that should be under way now.
+
+    Args:
+        now: steady time in seconds.
+    """
+    engines = ready_engines(service, inputs.directory)
+    if not _is_any_behind(service, engines, inputs):
+        return []
+    serving, resting = split_evacuated(engines, inputs.evacuated)
+    assigned = assign_models(service, serving, inputs.directory, inputs.demands)
+    assigned_resting = assign_models(service, resting, inputs.directory, inputs.demands)
+    due: list[tuple[InstanceId, WeightTarget]] = []
+    for model, engine_ids in assigned.items():
+        target = WeightTarget(model, inputs.targets.version(model))
+        state = ModelState(
+            target.version,
+            _seconds_into_turns(model, inputs, now),
+            _versions(engine_ids, model, inputs.directory),
+            _versions(assigned_resting[model], model, inputs.directory),
+        )
+        due.extend((name, target) for name in engines_to_load(state))
+    return due
+
+
+def ready_engines(service: Service, directory: Directory) -> list[InstanceInfo]:
+    """Returns the engines of a service whose entries stand and that are not leaving."""
+    return [
+        info for info in directory.of_service(service.name) if info.state is InstanceState.READY
+    ]
+
+
+def engines_to_load(state: ModelState) -> list[InstanceId]:
+    """Returns the engines of one model that should be loading its version now.
+
+    Those of evacuated zones are added once the others are done or have all had their turn.
+    """
+    names = _serving_to_load(state)
+    if not names or state.elapsed >= LOAD_GROUPS * GROUP_SECONDS:
+        names += _resting_to_load(state)
+    return names
+
+
+def _serving_to_load(state: ModelState) -> list[InstanceId]:
+    """Returns the engines that get work and load now.
+
+    One that is two versions behind loads at once: it is of no use to the next step. The others load
+    in groups, once the items of a running batch have found their places.
+    """
+    late = [name for name, version in state.serving.items() if version < state.target - 1]
+    if state.elapsed < 0:
+        return late
+    behind = {name for name, version in state.serving.items() if version == state.target - 1}
+    return late + _group_on_turn(list(state.serving), behind, state.elapsed)
+
+
+def _resting_to_load(state: ModelState) -> list[InstanceId]:
+    """Returns the engines of evacuated zones that load now, in groups all the same.
+
+    Many loads at once slow each other down, also those of engines that serve.
+    """
+    if state.elapsed < 0:
+        return []
+    behind = {name for name, version in state.resting.items() if version < state.target}
+    return _group_on_turn(list(state.resting), behind, state.elapsed)
+
+
+def _group_on_turn(
+    engine_ids: list[InstanceId], behind: set[InstanceId], elapsed: float
+) -> list[InstanceId]:
+    """Returns the engines of the group that loads now.
+
+    The groups take turns by time, so that one which can't load holds the others up for its turn
+    only; a group whose engines are all done gives its turn to the next.
+
+    Args:
+        behind: the engines that lack the version.
+        elapsed: seconds since the first group's turn began.
+    """
+    groups = _cut(engine_ids, LOAD_GROUPS)
+    turn = int(elapsed / GROUP_SECONDS)
+    for step in range(len(groups)):
+        group = [name for name in groups[(turn + step) % len(groups)] if name in behind]
+        if group:
+            return group
+    return []
+
+
+def _cut(engine_ids: list[InstanceId], count: int) -> list[list[InstanceId]]:
+    """Cuts engines into at most ``count`` groups of about the same size."""
+    size = math.ceil(len(engine_ids) / count) or 1
+    return [engine_ids[start : start + size] for start in range(0, len(engine_ids), size)]
+
+
+def _seconds_into_turns(model: ModelName, inputs: LoadInputs, now: float) -> float:
+    is_busy = inputs.demands.get(model, ModelDemand()).open
+    wait = BUSY_FIRST_SECONDS if is_busy else FIRST_SECONDS
+    return inputs.targets.named_for(model, now) - wait
+
+
+def _versions(
+    engine_ids: Iterable[InstanceId], model: ModelName, directory: Directory
+) -> dict[InstanceId, int]:
+    return {name: directory.version_of(name, model) for name in engine_ids}
+
+
+def _is_any_behind(service: Service, engines: list[InstanceInfo], inputs: LoadInputs) -> bool:
+    """Returns whether any engine lacks any named version: a check that costs little."""
+    return any(
+        inputs.directory.version_of(engine.id, model) < inputs.targets.version(model)
+        for model in service.models
+        for engine in engines
+    )
--- a/src/larkpost/gateway/controllers/loader.py
+++ b/src/larkpost/gateway/controllers/loader.py
@@ -1,62 +1,65 @@
-"""Gives engines their orders to load weight versions.
+"""Orders engines to load weight versions.
 
 Every daemon computes the same loads that are due; the one that rendezvous hashing names for an
 engine takes the lease on it and gives the order. An order names the count of orders that the engine
 must have taken, so one that is carried out late does nothing.
 """
 
-from larkpost.common.clock import Clock
 from larkpost.common.ids import InstanceId
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.blackboard.board import Blackboard
-from larkpost.gateway.blackboard.configuration import RouteKind, Service
+from larkpost.gateway.blackboard.configuration import Configuration, RouteKind, Service
 from larkpost.gateway.blackboard.directory import InstanceInfo
-from larkpost.gateway.controllers.leases import Duty, LeaseSubject, LeaseTable
-from larkpost.gateway.controllers.load_plan import LoadPlan
-from larkpost.gateway.controllers.members import Membership
-from larkpost.gateway.controllers.weights import WeightTarget
-from larkpost.gateway.observability.eventlog import Event, EventLog
-from larkpost.gateway.observability.metrics import Count, Metrics
-from larkpost.gateway.servers.port import OrderOutcome, RunningWork, ServerPort, VersionOrder
+from larkpost.gateway.blackboard.weight_targets import WeightTarget
+from larkpost.gateway.controllers.coordination import Coordination
+from larkpost.gateway.controllers.division import EngineDivision
+from larkpost.gateway.controllers.leases import Duty, Lease, LeaseSubject
+from larkpost.gateway.observability.eventlog import Event
+from larkpost.gateway.observability.instruments import Instruments
+from larkpost.gateway.observability.metrics import Count
+from larkpost.gateway.servers.port import (
+    EngineReport,
+    OrderOutcome,
+    RunningWork,
+    ServerPort,
+    VersionOrder,
+)
 
 INTERVAL_SECONDS = 0.1
+"""Seconds between two checks of a coordinator. Not measured."""
 IDLE_INTERVAL_SECONDS = 0.5
+"""The same for a daemon that is none: it checks only whether it has become one. Not measured."""
 REPORT_TIMEOUT_SECONDS = 0.7
+"""Seconds for an engine's report. Not measured."""
 ORDER_TIMEOUT_SECONDS = 0.4
+"""Seconds for an engine's response to an order; under `leases.USE_SECONDS`. Not measured."""
 TAKEN_SECONDS = 2.5
-"""After an order was taken, before the engine is looked at again."""
+"""Seconds after an order was taken before the engine is checked again: it loads. Not measured."""
 UNANSWERED_SECONDS = 0.6
-"""The same after an order that was not answered: it may have been lost, or come late."""
+"""The same after an order without a response: it may have been lost, or come late. Not measured."""
 RETRY_SECONDS = 0.4
+"""The same after an order that was refused or could not be given. Not measured."""
 
 
 class WeightLoader:
-    """Reconciles the engines' weight versions with the named ones.
-
-    Args:
-        plan: tells which loads are due.
-    """
+    """Reconciles the engines' weight versions with the named ones."""
 
     def __init__(
         self,
         blackboard: Blackboard,
-        plan: LoadPlan,
-        membership: Membership,
-        leases: LeaseTable,
+        division: EngineDivision,
+        coordination: Coordination,
         servers: ServerPort,
-        clock: Clock,
-        log: EventLog,
-        metrics: Metrics,
+        instruments: Instruments,
     ) -> None:
         self._configuration = blackboard.configuration
         self._directory = blackboard.directory
-        self._plan = plan
-        self._membership = membership
-        self._leases = leases
+        self._division = division
+        self._coordination = coordination
         self._servers = servers
-        self._clock = clock
-        self._log = log
-        self._metrics = metrics
+        self._clock = instruments.clock
+        self._log = instruments.log
+        self._metrics = instruments.metrics
         self._tasks: TaskSet | None = None
         self._next_try: dict[InstanceId, float] = {}
         self._under_way: set[InstanceId] = set()
@@ -67,17 +70,19 @@
         tasks.every(self._interval, self.update, "weights")
 
     def _interval(self) -> float:
-        return INTERVAL_SECONDS if self._membership.is_coordinator() else IDLE_INTERVAL_SECONDS
+        return INTERVAL_SECONDS if self._coordination.is_coordinator() else IDLE_INTERVAL_SECONDS
 
     async def update(self) -> None:
         """Starts the orders that are due and are this daemon's to give."""
         configuration = self._configuration.current
-        if configuration is None or self._tasks is None or not self._membership.is_coordinator():
+        if configuration is None or self._tasks is None:
+            return
+        if not self._coordination.is_coordinator():
             return
         for service in configuration.services.values():
             if not service.models:
                 continue
-            for engine, target in self._plan.due(service, self._clock.now()):
+            for engine, target in self._division.due(service, self._clock.now()):
                 if self._should_order(engine):
                     self._under_way.add(engine)
                     self._tasks.spawn(self._order(service, engine, target), "order")
@@ -87,7 +92,7 @@
             return False
         if self._clock.now() < self._next_try.get(engine, 0.0):
             return False
-        return self._membership.first_choice(f"engine\x00{engine}") == self._membership.own
+        return self._coordination.is_chosen(f"engine\x00{engine}")
 
     async def _order(self, service: Service, engine: InstanceId, target: WeightTarget) -> None:
         pause = RETRY_SECONDS
@@ -102,7 +107,7 @@
     async def _order_once(
         self, service: Service, engine: InstanceInfo, target: WeightTarget
     ) -> float:
-        """Gives one order and returns the seconds to wait before the engine is looked at again."""
+        """Gives one order if it is needed, and returns the seconds until the next check."""
         report = await self._servers.report(engine, REPORT_TIMEOUT_SECONDS)
         if report is None:
             self._record_no_order(engine, target, "no_report")
@@ -113,44 +118,61 @@
             self._directory.observe_version(engine.id, model, version)
         if report.versions.get(target.model, 0) >= target.version:
             return 0.0
-        lease = await self._leases.take(LeaseSubject(Duty.ENGINE_ORDERS, engine.id))
+        lease = await self._take_lease(engine, target)
         if lease is None:
-            self._record_no_order(engine, target, "no_lease")
             return RETRY_SECONDS
+        order = self._make_order(service, target, report, lease)
+        outcome = await self._servers.order(engine, order, ORDER_TIMEOUT_SECONDS)
+        self._record_order(engine, order, report, outcome)
+        return seconds_until_next_check(outcome)
+
+    async def _take_lease(self, engine: InstanceInfo, target: WeightTarget) -> Lease | None:
+        """Takes the lease for one order; returns None, and records why, if none may be given."""
+        lease = await self._coordination.take_lease(LeaseSubject(Duty.ENGINE_ORDERS, engine.id))
+        if lease is None:
+            self._record_no_order(engine, target, "no_lease")
+            return None
         if self._clock.now() >= lease.usable_until:
             self._log.record(Event.LEASE_LAPSED, subject=lease.subject.key, token=lease.token)
-            return RETRY_SECONDS
+            return None
         if not self._directory.takes_work(engine.id):
             self._record_no_order(engine, target, "leaving")
-            return RETRY_SECONDS
-        order = VersionOrder(
+            return None
+        return lease
+
+    def _make_order(
+        self, service: Service, target: WeightTarget, report: EngineReport, lease: Lease
+    ) -> VersionOrder:
+        return VersionOrder(
             target.model,
             target.version,
-            self._membership.own,
+            self._coordination.own,
             lease.token,
             report.orders,
-            self._running_work(service),
+            running_work(service, self._configuration.current),
         )
-        outcome = await self._servers.order(engine, order, ORDER_TIMEOUT_SECONDS)
+
+    def _record_order(
+        self,
+        engine: InstanceInfo,
+        order: VersionOrder,
+        report: EngineReport,
+        outcome: OrderOutcome,
+    ) -> None:
         self._metrics.count(Count.ORDERS, outcome)
         self._log.record(
             Event.ORDER,
             engine=engine.id,
-            model=target.model,
-            version=target.version,
-            token=lease.token,
-            had=report.versions.get(target.model, 0),
+            model=order.model,
+            version=order.version,
+            token=order.fencing_token,
+            had=report.versions.get(order.model, 0),
             orders=report.orders,
             outcome=outcome,
         )
-        if outcome is OrderOutcome.TAKEN:
-            return TAKEN_SECONDS
-        if outcome is OrderOutcome.UNKNOWN:
-            return UNANSWERED_SECONDS
-        return RETRY_SECONDS  # whatever it holds, its next report tells
 
     def _record_no_order(self, engine: InstanceInfo, target: WeightTarget, reason: str) -> None:
-        """Notes that an order which is due could not be given."""
+        """Records that an order which is due could not be given."""
         self._metrics.count(Count.ORDERS, reason)
         self._log.record(
             Event.ORDER,
@@ -160,14 +182,26 @@
             outcome=reason,
         )
 
-    def _running_work(self, service: Service) -> RunningWork:
-        """Runs go on under the new version unless a route wants one version in each result."""
-        configuration = self._configuration.current
-        routes = configuration.routes if configuration is not None else ()
-        pure = any(
-            route.single_version
-            for route in routes
-            if route.kind is RouteKind.BATCH
-            and any(share.service == service.name for share in route.shares)
-        )
-        return RunningWork.FINISH if pure else RunningWork.CARRY
+
+def seconds_until_next_check(outcome: OrderOutcome) -> float:
+    """Returns the seconds from an order's outcome until the engine is checked again."""
+    if outcome is OrderOutcome.TAKEN:
+        return TAKEN_SECONDS
+    if outcome is OrderOutcome.UNKNOWN:
+        return UNANSWERED_SECONDS
+    return RETRY_SECONDS  # whatever it holds, its next report says it
+
+
+def running_work(service: Service, configuration: Configuration | None) -> RunningWork:
+    """Returns what an engine is to do with its runs when it loads.
+
+    They go on under the new version unless a route wants one version in each result.
+    """
+    routes = configuration.routes if configuration is not None else ()
+    wants_one_version = any(
+        route.single_version
+        for route in routes
+        if route.kind is RouteKind.BATCH
+        and any(share.service == service.name for share in route.shares)
+    )
+    return RunningWork.FINISH if wants_one_version else RunningWork.CARRY
--- a/src/larkpost/gateway/controllers/row_intake.py
+++ b/src/larkpost/gateway/controllers/row_intake.py
@@ -9,7 +9,7 @@
 from larkpost.gateway.blackboard.configuration import Configuration
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.blackboard.evacuations import ZoneEvacuation
-from larkpost.gateway.controllers.weights import WeightTarget
+from larkpost.gateway.blackboard.weight_targets import WeightTarget
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.store.port import Row
 
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -24,7 +24,6 @@
 from larkpost.gateway.controllers.division import EngineDivision
 from larkpost.gateway.controllers.feeds import Feeds, HeadListener
 from larkpost.gateway.controllers.heartbeat import new_life
-from larkpost.gateway.controllers.load_plan import LoadPlan
 from larkpost.gateway.controllers.members import Membership
 from larkpost.gateway.controllers.true_time import TrueTime
 from larkpost.gateway.observability.eventlog import Event
@@ -81,7 +80,7 @@
             ports,
             DutyNeeds(
                 self.blackboard,
-                self._load_plan,
+                self._division,
                 self.membership,
                 self.balancer,
                 self.keeper,
@@ -198,7 +197,7 @@
 
     def _make_rollouts(self) -> None:
         ports = self._ports
-        self._load_plan = LoadPlan(self.blackboard, lambda: self.keeper.demands())
+        self._division = EngineDivision(self.blackboard, ports.clock, lambda: self.keeper.demands())
         services = RunServices(
             self.configuration,
             self.directory,
@@ -210,7 +209,7 @@
             ShareChooser(ports.chance),
             ports.store.time,
             asyncio.Semaphore(MAX_CALLS_IN_FLIGHT),
-            self._make_division(),
+            self._division,
             self.cold,
             self.blackboard.crashes,
         )
@@ -226,14 +225,6 @@
         self.batches = BatchService(self.id, repository, self.keeper, views, services)
         self._cold_senders.follow(self.keeper.open_owners, self.membership, self._feeds.heads)
 
-    def _make_division(self) -> EngineDivision:
-        return EngineDivision(
-            self.blackboard,
-            self._load_plan,
-            self._clock,
-            lambda: self.keeper.demands(),
-        )
-
     def start(self) -> None:
         """Starts all background work."""
         self._log.record(Event.START, id=self.id)
--- /dev/null
+++ b/src/larkpost/gateway/observability/instruments.py
@@ -0,0 +1,16 @@
+"""What a part measures time with and reports by."""
+
+from dataclasses import dataclass
+
+from larkpost.common.clock import Clock
+from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.observability.metrics import Metrics
+
+
+@dataclass(frozen=True, slots=True)
+class Instruments:
+    """The clock, the log and the metrics of one daemon."""
+
+    clock: Clock
+    log: EventLog
+    metrics: Metrics
--- a/src/larkpost/gateway/rollouts/keeper.py
+++ b/src/larkpost/gateway/rollouts/keeper.py
@@ -14,8 +14,8 @@
 from larkpost.common.ids import BatchId, DaemonId, RegionId
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.blackboard.configuration import ModelName
+from larkpost.gateway.blackboard.weight_targets import ModelDemand
 from larkpost.gateway.controllers.members import Membership
-from larkpost.gateway.controllers.weights import ModelDemand
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.metrics import Count
 from larkpost.gateway.rollouts.context import RunServices
--- a/src/larkpost/gateway/scaling/demand.py
+++ b/src/larkpost/gateway/scaling/demand.py
@@ -5,7 +5,7 @@
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import Configuration, RouteKind, Service
 from larkpost.gateway.blackboard.directory import Directory
-from larkpost.gateway.controllers.weights import Demands
+from larkpost.gateway.blackboard.weight_targets import Demands
 from larkpost.gateway.scaling.planner import Demand
 
 
--- a/src/larkpost/platform/operator.py
+++ b/src/larkpost/platform/operator.py
@@ -19,7 +19,7 @@
 from larkpost.gateway.blackboard.evacuations import ZoneEvacuation
 from larkpost.gateway.blackboard.scaling_terms import ScalingTerms
 from larkpost.gateway.blackboard.tenants import Tenant, TenantName, digest_key
-from larkpost.gateway.controllers.weights import WeightTarget
+from larkpost.gateway.blackboard.weight_targets import WeightTarget
 from larkpost.gateway.store.port import Row
 from larkpost.platform import names
 
--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -25,8 +25,8 @@
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.blackboard.scaling_terms import ScalingTerms
 from larkpost.gateway.blackboard.tenants import TenantName
+from larkpost.gateway.blackboard.weight_targets import WeightTarget
 from larkpost.gateway.controllers.row_intake import RowReaders
-from larkpost.gateway.controllers.weights import WeightTarget
 from larkpost.gateway.daemon import Gateway
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.rollouts.model import (
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -11,14 +11,13 @@
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
 from larkpost.gateway.blackboard.evacuations import Evacuations, ZoneEvacuation
 from larkpost.gateway.blackboard.regions import RegionMap
+from larkpost.gateway.blackboard.weight_targets import WeightTarget, WeightTargets
 from larkpost.gateway.controllers.division import EngineDivision
-from larkpost.gateway.controllers.load_plan import LoadPlan
-from larkpost.gateway.controllers.weights import (
+from larkpost.gateway.controllers.due_loads import (
     FIRST_SECONDS,
     GROUP_SECONDS,
     LOAD_GROUPS,
-    WeightTarget,
-    WeightTargets,
+    LoadInputs,
     due_loads,
 )
 from larkpost.gateway.observability.eventlog import Event, EventLog
@@ -216,8 +215,8 @@
     def due(self, seconds: float, zone: ZoneId = NORTH) -> set[InstanceId]:
         """Returns the engines that load so long after the version was named."""
         now = 10.0 + FIRST_SECONDS + seconds
-        evacuated = frozenset({zone})
-        loads = due_loads(self.service, self.directory, self.targets, {}, now, evacuated)
+        inputs = LoadInputs(self.directory, self.targets, {}, frozenset({zone}))
+        loads = due_loads(self.service, inputs, now)
         return {engine for engine, _ in loads}
 
     def load(self, engines: set[InstanceId]) -> None:
@@ -250,7 +249,7 @@
             configuration.update(CONFIGURATION)
             blackboard = Blackboard(RegionMap(), configuration, self.directory, self.targets)
             evacuations = blackboard.evacuations
-            division = EngineDivision(blackboard, LoadPlan(blackboard, dict), LoopClock(), dict)
+            division = EngineDivision(blackboard, LoopClock(), dict)
             self.assertEqual(self.north | self.south, division.engines_of(ENGINES, MODEL))
             evacuations.begin(NORTH, 0.0)
             await asyncio.sleep(1.0)
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -13,14 +13,9 @@
 from larkpost.gateway.blackboard.configuration import ModelName, RouteKind, Service, ServiceName
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
 from larkpost.gateway.blackboard.regions import RegionMap
-from larkpost.gateway.controllers.weights import (
-    BUSY_FIRST_SECONDS,
-    ModelDemand,
-    WeightTarget,
-    WeightTargets,
-    assign_models,
-    due_loads,
-)
+from larkpost.gateway.blackboard.weight_targets import ModelDemand, WeightTarget, WeightTargets
+from larkpost.gateway.controllers.due_loads import BUSY_FIRST_SECONDS, LoadInputs, due_loads
+from larkpost.gateway.controllers.model_assignment import assign_models
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.proxy.balancer import PROBE_SECONDS, Balancer
@@ -272,7 +267,7 @@
         targets.update(WeightTarget(FIRST, 2), now=10.0)
         demands = {FIRST: ModelDemand(100, True)}
         for elapsed, count in ((0.1, 0), (BUSY_FIRST_SECONDS + 0.1, 2)):
-            loads = due_loads(service, directory, targets, demands, 10.0 + elapsed)
+            loads = due_loads(service, LoadInputs(directory, targets, demands), 10.0 + elapsed)
             self.assertEqual(count, len(loads))
 
     def test_replace_servers(self):
--- a/tests/test_pinned_rows.py
+++ b/tests/test_pinned_rows.py
@@ -26,9 +26,9 @@
 from larkpost.gateway.blackboard.known_crashes import Crash
 from larkpost.gateway.blackboard.scaling_terms import ScalingTerms
 from larkpost.gateway.blackboard.tenants import Tenant, digest_key
+from larkpost.gateway.blackboard.weight_targets import WeightTarget
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
 from larkpost.gateway.controllers.leases import Duty, LeaseSubject, LeaseTable
-from larkpost.gateway.controllers.weights import WeightTarget
 from larkpost.gateway.proxy.request import ClientRequest
 from larkpost.gateway.quarantine.content import digest_content
 from larkpost.gateway.quarantine.repository import CrashRepository, crash_of_row
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -5,16 +5,19 @@
 from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ModelName, Service, ServiceName
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
-from larkpost.gateway.controllers.weights import (
+from larkpost.gateway.blackboard.weight_targets import ModelDemand, WeightTarget, WeightTargets
+from larkpost.gateway.controllers.due_loads import (
     BUSY_FIRST_SECONDS,
     FIRST_SECONDS,
     GROUP_SECONDS,
-    ModelDemand,
-    WeightTarget,
-    WeightTargets,
-    assign_models,
+    LoadInputs,
+    ModelState,
     due_loads,
+    engines_to_load,
 )
+from larkpost.gateway.controllers.loader import seconds_until_next_check
+from larkpost.gateway.controllers.model_assignment import assign_models
+from larkpost.gateway.servers.port import OrderOutcome
 from tests.platform_fleet import MODEL, PlatformFleet, check_results, make_batch
 from tests.virtual import run
 
@@ -69,7 +72,9 @@
     def due(self, directory, targets, now, open_batch=False):
         """Returns the engines that should load now."""
         demands = {FIRST: ModelDemand(100, open_batch)}
-        return [name for name, _ in due_loads(SERVICE, directory, targets, demands, now)]
+        return [
+            name for name, _ in due_loads(SERVICE, LoadInputs(directory, targets, demands), now)
+        ]
 
     def test_second_group_waits_for_the_first_but_not_for_ever(self):
         directory = make_directory(4, {FIRST: 1, SECOND: 1})
@@ -115,6 +120,39 @@
         self.assertEqual(4, targets.version(FIRST))
 
 
+class RuleTest(unittest.TestCase):
+    """The rules of loads and orders, case by case."""
+
+    def test_engines_to_load(self):
+        """Engines a, b, c serve and d rests; the version is 5, and each group is one engine."""
+        cases = (
+            ("too early", -0.1, (4, 4, 4), 4, ""),
+            ("too early, one two versions behind", -0.1, (4, 3, 4), 4, "b"),
+            ("first turn", 0.0, (4, 4, 4), 4, "a"),
+            ("first turn, one two versions behind", 0.0, (4, 4, 3), 4, "ca"),
+            ("second turn", 1.0, (4, 4, 4), 4, "b"),
+            ("first is done", 0.5, (5, 4, 4), 4, "b"),
+            ("third turn, third is done", 2.5, (4, 4, 5), 4, "a"),
+            ("all that serve are done", 0.5, (5, 5, 5), 4, "d"),
+            ("all are done", 0.5, (5, 5, 5), 5, ""),
+            ("first could not load in its turn", 3.1, (4, 5, 5), 4, "ad"),
+            ("a resting one is far behind", 0.5, (4, 4, 4), 1, "a"),
+            ("ahead of the version", 0.5, (6, 6, 6), 6, ""),
+        )
+        for name, elapsed, versions, resting, expected in cases:
+            with self.subTest(name):
+                serving = dict(zip("abc", versions, strict=True))
+                state = ModelState(5, elapsed, serving, {"d": resting})
+                self.assertEqual(list(expected), engines_to_load(state))
+
+    def test_seconds_until_the_next_check(self):
+        cases = dict.fromkeys(OrderOutcome, 0.4)
+        cases |= {OrderOutcome.TAKEN: 2.5, OrderOutcome.UNKNOWN: 0.6}
+        for outcome, seconds in cases.items():
+            with self.subTest(outcome):
+                self.assertEqual(seconds, seconds_until_next_check(outcome))
+
+
 class OrderTest(unittest.TestCase):
     """Orders of a small fleet on virtual time."""
 
