--- /dev/null
+++ b/src/larkpost/gateway/controllers/fleet_view.py
@@ -0,0 +1,175 @@
+"""What this daemon knows of the others: who is alive, who coordinates, where they stand.
+
+Owns what follows from the two lists of heartbeats. `members` brings the lists up to date and has
+the view worked out anew after each change.
+"""
+
+from collections.abc import Iterable
+
+from larkpost.common.clock import Clock
+from larkpost.common.ids import Address, DaemonId, RegionId, ZoneId
+from larkpost.gateway.blackboard.regions import Distance, RegionMap
+from larkpost.gateway.controllers.coordinators import first_choice, is_to_coordinate
+from larkpost.gateway.controllers.heartbeat import machine_of
+from larkpost.gateway.controllers.heartbeat_intervals import awaited_interval
+from larkpost.gateway.controllers.heartbeat_list import HeartbeatList
+
+HEARING_INTERVALS = 3.0
+"""Intervals without a listing after which an awaited daemon takes it that it hears nothing; fewer
+than those after which others consider it dead (`heartbeat_list.MISSED_HEARTBEATS`)."""
+
+
+class FleetView:
+    """The daemons of the fleet, as listed by this one.
+
+    Args:
+        own: this process's id, unique to one incarnation.
+        known: the known heartbeats, which every daemon writes.
+        awaited: the awaited heartbeats, which coordinators and owners of batches write.
+        regions: where zones lie, this daemon's among them.
+    """
+
+    def __init__(
+        self,
+        own: DaemonId,
+        known: HeartbeatList,
+        awaited: HeartbeatList,
+        regions: RegionMap,
+        clock: Clock,
+    ) -> None:
+        self.own = own
+        self.known = known
+        self.awaited = awaited
+        self.is_leaving = False
+        self._regions = regions
+        self._clock = clock
+        self._started_at = clock.now()
+        self._alive: frozenset[DaemonId] = frozenset({own})
+        self._coordinators: tuple[DaemonId, ...] = ()
+
+    @property
+    def listed(self) -> bool:
+        """Whether the daemons were listed at least once."""
+        return self.known.listed_at is not None and self.awaited.listed_at is not None
+
+    def age(self) -> float:
+        """Returns the seconds since this daemon started."""
+        return self._clock.now() - self._started_at
+
+    def is_hearing(self) -> bool:
+        """Returns whether this daemon, if it is awaited, has listed the others a moment ago.
+
+        One that has not may be considered dead soon, and another be at its work.
+        """
+        listed_at = self.awaited.listed_at
+        if listed_at is None:
+            return False
+        interval = awaited_interval(len(self.awaited.seen))
+        return self._clock.now() - listed_at < HEARING_INTERVALS * interval
+
+    def alive(self) -> frozenset[DaemonId]:
+        """Returns the daemons considered alive; this one too, unless it is leaving."""
+        return self._alive
+
+    def is_alive(self, daemon: DaemonId) -> bool:
+        """Returns whether a daemon is considered alive."""
+        return daemon in self._alive
+
+    def is_owner_alive(self, owner: DaemonId, since: float) -> bool:
+        """Returns whether the owner of a batch is considered alive.
+
+        An owner is awaited: from the moment it is known, its heartbeats must come often.
+
+        Args:
+            since: steady time at which this daemon learnt that it is the owner.
+        """
+        if owner == self.own:
+            return not self.is_leaving
+        listed_at = self.awaited.listed_at
+        if listed_at is None:
+            return False
+        seen = self.awaited.seen.get(owner)
+        if seen is not None and seen.heartbeat.leaving:
+            return False
+        heard_at = max(seen.changed_at, since) if seen is not None else since
+        reported = seen.heartbeat.interval if seen is not None else 0.0
+        interval = max(reported, awaited_interval(len(self.awaited.seen)))
+        return listed_at - heard_at < self.awaited.silence_allowed(interval)
+
+    def is_coordinator(self) -> bool:
+        """Returns whether this daemon gives orders and claims batches."""
+        return self.own in self._coordinators
+
+    def first_choice(self, key: str, regions: frozenset[RegionId] | None = None) -> DaemonId | None:
+        """Returns the coordinator that rendezvous hashing names for a key; None if there is none.
+
+        Args:
+            regions: it must be in one of these; None for anywhere.
+        """
+        fitting = [
+            name
+            for name in self._coordinators
+            if regions is None or self.region_of(name) in regions
+        ]
+        return first_choice(key, fitting)
+
+    def region_of(self, daemon: DaemonId) -> RegionId | None:
+        """Returns the region of a daemon; None if it is not known."""
+        if daemon == self.own:
+            return self._regions.own_region
+        seen = self.known.seen.get(daemon)
+        zone = seen.heartbeat.zone if seen is not None else None
+        return self._regions.region_of(zone) if zone is not None else None
+
+    def peers(self) -> dict[Address, Distance]:
+        """Returns where the other daemons considered alive make calls, and how far that is."""
+        return {
+            seen.heartbeat.address: self._regions.distance(seen.heartbeat.zone or ZoneId(""))
+            for name, seen in self.known.seen.items()
+            if seen.heartbeat.address is not None and name in self._alive and name != self.own
+        }
+
+    def clock_offsets(self) -> list[float]:
+        """Returns by how many seconds the clock of each daemon is ahead of the store's."""
+        reported = (seen.heartbeat.clock_offset for seen in self.known.seen.values())
+        return [offset for offset in reported if offset is not None]
+
+    def update(self) -> None:
+        """Works out from the lists who is alive, and who of them are the coordinators."""
+        alive = self._heard()
+        alive.discard(self.own)
+        acting = [name for name in alive if self._says_that_it_coordinates(name)]
+        if not self.is_leaving:
+            alive.add(self.own)
+            if is_to_coordinate(self.own, self._regions_of(alive), self.age()):
+                acting.append(self.own)
+        self._alive = frozenset(alive)
+        self._coordinators = tuple(sorted(acting))
+
+    def _heard(self) -> set[DaemonId]:
+        """Returns the daemons whose heartbeats come."""
+        newest = self._newest_incarnations()
+        names = self.known.seen.keys() | self.awaited.seen.keys()
+        return {name for name in names if self._is_heard(name, newest)}
+
+    def _is_heard(self, daemon: DaemonId, newest: dict[str, int]) -> bool:
+        """Returns whether a daemon's heartbeats come; awaited ones count before known ones."""
+        if daemon in self.awaited.seen:
+            return self.awaited.is_heard(daemon)
+        is_newest = self.known.seen[daemon].version == newest[machine_of(daemon)]
+        return is_newest and self.known.is_heard(daemon)
+
+    def _newest_incarnations(self) -> dict[str, int]:
+        """Returns for each machine the newest version of its incarnations' known heartbeats."""
+        newest: dict[str, int] = {}
+        for name, seen in self.known.seen.items():
+            machine = machine_of(name)
+            newest[machine] = max(seen.version, newest.get(machine, 0))
+        return newest
+
+    def _says_that_it_coordinates(self, daemon: DaemonId) -> bool:
+        seen = self.awaited.seen.get(daemon)
+        return seen is not None and seen.heartbeat.coordinates
+
+    def _regions_of(self, daemons: Iterable[DaemonId]) -> dict[DaemonId, RegionId | None]:
+        return {name: self.region_of(name) for name in daemons}
--- a/src/larkpost/gateway/controllers/heartbeat.py
+++ b/src/larkpost/gateway/controllers/heartbeat.py
@@ -7,20 +7,20 @@
 
 from larkpost.common.ids import Address, DaemonId, InstanceId, ZoneId
 
-LIFE_SEPARATOR = "/"
+INCARNATION_SEPARATOR = "/"
 
 UseSummary = dict[InstanceId, tuple[int, float]]
 """For each instance in use: requests there, and seconds a unit of work takes (0: unknown)."""
 
 
-def new_life(machine: str) -> DaemonId:
-    """Returns the id of a new life of a machine's daemon."""
-    return DaemonId(f"{machine}{LIFE_SEPARATOR}{secrets.token_hex(4)}")
+def new_incarnation(machine: str) -> DaemonId:
+    """Returns the id of a new incarnation of a machine's daemon."""
+    return DaemonId(f"{machine}{INCARNATION_SEPARATOR}{secrets.token_hex(4)}")
 
 
 def machine_of(daemon: DaemonId) -> str:
     """Returns the machine that a daemon runs on."""
-    return daemon.rpartition(LIFE_SEPARATOR)[0]
+    return daemon.rpartition(INCARNATION_SEPARATOR)[0]
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,12 +29,12 @@
 
     Attributes:
         interval: seconds until it will write again.
-        uses: what it tells the others of its use of instances.
+        uses: what it reports to the others of its use of instances.
         address: where it makes calls to the store for daemons that the store turns away, or None.
         coordinates: whether it gives orders and claims batches.
         leaving: whether this is its last heartbeat.
         clock_offset: seconds by which its time of day is ahead of the store's clock, or None.
-        zone: where it stands; None in rows of earlier versions.
+        zone: where it runs; None in rows of earlier versions.
     """
 
     interval: float
@@ -47,7 +47,7 @@
 
 
 def encode_heartbeat(heartbeat: Heartbeat) -> bytes:
-    """Returns a heartbeat as a row's value; fields that tell nothing are left out."""
+    """Returns a heartbeat as a row's value; fields that hold nothing are left out."""
     fields: dict[str, object] = {"interval": heartbeat.interval}
     if heartbeat.uses:
         fields["uses"] = heartbeat.uses
--- /dev/null
+++ b/src/larkpost/gateway/controllers/heartbeat_intervals.py
@@ -0,0 +1,61 @@
+"""How often heartbeats are written and listed, by the size of the fleet.
+
+The store's cost must not grow with the square of the fleet, and a dead owner of a batch must be
+found within a second in any fleet. So there are two kinds of heartbeat, each in a part of its own:
+
+    known    every daemon, seldom: who there is, and where it makes calls for others
+    awaited  coordinators and owners of batches, often: they are alive, what they use, who acts
+
+Coordinators and owners list the awaited ones often, all others seldom.
+"""
+
+from larkpost.gateway.controllers.heartbeat_list import MISSED_HEARTBEATS
+
+HEARTBEAT_SECONDS = 0.25
+"""Interval of awaited heartbeats and their listings: a step has less than a second to spare."""
+LISTED_ROWS_PER_SECOND = 200.0
+"""Most rows that a coordinator or owner lists a second; with more of them it lists slower.
+Not measured."""
+IDLE_HEARTBEAT_SECONDS = 2.0
+"""Interval of known heartbeats, in a fleet small enough for it. Not measured."""
+IDLE_HEARTBEATS_PER_SECOND = 80.0
+"""Most known heartbeats that a fleet writes together: one part takes 200 writes a second."""
+IDLE_ROWS_PER_SECOND = 38.0
+"""Most known heartbeats that a daemon lists a second: of 180 B each, under the 7 KB/s budget."""
+YOUNG_SECONDS = 3.0
+"""Seconds for which a new daemon lists the known ones often: after an outage all are new.
+Not measured."""
+YOUNG_ROWS_PER_SECOND = 400.0
+"""Most known heartbeats that it lists a second then: two listings a second at 200 daemons."""
+DEAD_AFTER_SECONDS = MISSED_HEARTBEATS * HEARTBEAT_SECONDS
+"""Seconds until an awaited daemon is considered dead over a quick store."""
+
+
+def awaited_interval(awaited: int) -> float:
+    """Returns the seconds between two heartbeats of an awaited daemon, and between its listings.
+
+    Args:
+        awaited: daemons that have awaited heartbeats.
+    """
+    return max(HEARTBEAT_SECONDS, awaited / LISTED_ROWS_PER_SECOND)
+
+
+def known_interval(alive: int) -> float:
+    """Returns the seconds between two known heartbeats of a daemon.
+
+    Args:
+        alive: daemons that are considered alive.
+    """
+    return max(IDLE_HEARTBEAT_SECONDS, alive / IDLE_HEARTBEATS_PER_SECOND)
+
+
+def known_listing_interval(known: int, age: float) -> float:
+    """Returns the seconds between two listings of the known heartbeats.
+
+    Args:
+        known: daemons that have known heartbeats.
+        age: seconds since this daemon started.
+    """
+    if age < YOUNG_SECONDS:
+        return max(HEARTBEAT_SECONDS, known / YOUNG_ROWS_PER_SECOND)
+    return max(IDLE_HEARTBEAT_SECONDS, known / IDLE_ROWS_PER_SECOND)
--- a/src/larkpost/gateway/controllers/heartbeat_list.py
+++ b/src/larkpost/gateway/controllers/heartbeat_list.py
@@ -15,15 +15,18 @@
 
 MEMBER_TABLE = "members"
 MISSED_HEARTBEATS = 3.2
-"""A daemon has fallen silent once this many of its intervals have gone by without a heartbeat."""
+"""A daemon has fallen silent once this many of its intervals have elapsed without a heartbeat.
+Not measured: three may be lost, and a little more for the listing."""
 STORE_CALLS_ALLOWED = 4.0
-"""Calls to the store, as they take now, that are added to the time until a daemon is silent."""
+"""Calls to the store, as they take now, that are added to the time until a daemon is silent.
+Not measured."""
 STORE_CALL_WEIGHT = 0.3
-"""Weight of the newest call in the usual time of one."""
+"""Weight of the newest call in the usual time of one. Not measured."""
 BLIND_INTERVALS = 2.2
-"""Intervals between two successful listings after which all observations start afresh."""
+"""Intervals between two successful listings after which all observations start afresh.
+Not measured."""
 UNREADABLE_INTERVAL_SECONDS = 0.25
-"""Interval that counts for a row that cannot be read: the shortest that a daemon tells."""
+"""Interval that counts for a row that cannot be read: the shortest that a daemon reports."""
 
 
 @dataclass(slots=True)
@@ -44,7 +47,8 @@
     """The rows of one part.
 
     Args:
-        listener: called with what each daemon newly told of its use; nothing once it is gone.
+        listener: called with what each daemon newly reports of its use; an empty summary once it
+            is gone.
     """
 
     def __init__(
@@ -68,10 +72,13 @@
         """Returns the key of a daemon's row."""
         return RowKey(MEMBER_TABLE, self.part, daemon)
 
-    def patience(self, interval: float) -> float:
-        """Returns the seconds after which a daemon with this interval has fallen silent.
+    def silence_allowed(self, interval: float) -> float:
+        """Returns the seconds without a heartbeat after which a daemon has fallen silent.
 
         A slow store delays the heartbeat, its listing and what lies between, and blames nobody.
+
+        Args:
+            interval: seconds between the daemon's heartbeats.
         """
         return MISSED_HEARTBEATS * interval + STORE_CALLS_ALLOWED * self._usual_call
 
@@ -87,11 +94,11 @@
         return self.listed_at - self.seen[daemon].changed_at
 
     def is_heard(self, daemon: DaemonId) -> bool:
-        """Tells whether a daemon has a row here, has not fallen silent and is not leaving."""
+        """Returns whether a daemon has a row here, has not fallen silent and is not leaving."""
         seen = self.seen.get(daemon)
         if seen is None or seen.heartbeat.leaving:
             return False
-        return self.silence(daemon) < self.patience(seen.heartbeat.interval)
+        return self.silence(daemon) < self.silence_allowed(seen.heartbeat.interval)
 
     def silent_for(self, seconds: float) -> list[tuple[RowKey, int]]:
         """Returns the rows, with their versions, that have not changed for as long as this."""
@@ -102,7 +109,7 @@
         ]
 
     async def update(self, interval: float) -> bool:
-        """Lists the rows, and tells whether the store answered.
+        """Lists the rows, and returns whether the store answered.
 
         Args:
             interval: seconds between two listings, as planned now.
@@ -117,11 +124,11 @@
         gap = now - self.listed_at if self.listed_at is not None else float("inf")
         self.listed_at = now
         usual_gap = interval + STORE_CALLS_ALLOWED * self._usual_call
-        self._take(page.rows, now, blind=gap > BLIND_INTERVALS * usual_gap)
+        self._store_rows(page.rows, now, blind=gap > BLIND_INTERVALS * usual_gap)
         return True
 
-    def _take(self, rows: tuple[Row, ...], now: float, *, blind: bool) -> None:
-        """Takes the rows of all daemons; if ``blind``, none is blamed for the time before."""
+    def _store_rows(self, rows: tuple[Row, ...], now: float, *, blind: bool) -> None:
+        """Stores the rows of all daemons; if ``blind``, none is blamed for the time before."""
         for row in rows:
             name = DaemonId(row.key.key)
             seen = self.seen.get(name)
--- /dev/null
+++ b/src/larkpost/gateway/controllers/heartbeat_writer.py
@@ -0,0 +1,144 @@
+"""Writes this daemon's heartbeats: the known one seldom, the awaited one while others wait for it.
+
+Owns when each was last written, and until when this daemon is awaited.
+"""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from larkpost.common.clock import Clock
+from larkpost.common.ids import Address, DaemonId
+from larkpost.gateway.blackboard.regions import RegionMap
+from larkpost.gateway.controllers.fleet_view import FleetView
+from larkpost.gateway.controllers.heartbeat import Heartbeat, UseSummary, encode_heartbeat
+from larkpost.gateway.controllers.heartbeat_intervals import (
+    HEARTBEAT_SECONDS,
+    awaited_interval,
+    known_interval,
+)
+from larkpost.gateway.controllers.heartbeat_list import HeartbeatList
+from larkpost.gateway.store.port import Store, Transaction, WriteOutcome
+
+STAY_SECONDS = 5.0
+"""Seconds for which a daemon stays awaited after its last reason: the next step's batch is near.
+Not measured."""
+MOST_REPORTED_CALL_SECONDS = 0.4
+"""Most seconds of a call by which a daemon reports its interval longer: a full link between regions
+takes 0.3 s. Others wait 3.2 times as long for it, so more would hold up its batches once it is
+dead."""
+TIMER_SLACK_SECONDS = 0.05
+"""Seconds by which a timer may be early and still count: a tick of `HEARTBEAT_SECONDS` that comes a
+little early must not wait for the next one. Not measured."""
+WRITE_TIMEOUT_SECONDS = 1.0
+"""Seconds for one call that writes. Not measured."""
+
+
+@dataclass(frozen=True, slots=True)
+class OwnDaemon:
+    """This daemon, as it shows itself to the others.
+
+    Attributes:
+        id: this process's id, unique to one incarnation.
+        use: returns what it reports of its use of instances with each awaited heartbeat.
+        is_owner: returns whether it owns batches that are not ended.
+        clock_offset: returns the seconds by which this machine's time of day is ahead of the
+            store's clock, or None if that is not known.
+        address: where it makes calls to the store for others, or None.
+    """
+
+    id: DaemonId
+    use: Callable[[], UseSummary] = dict
+    is_owner: Callable[[], bool] = lambda: False
+    clock_offset: Callable[[], float | None] = lambda: None
+    address: Address | None = None
+
+
+class HeartbeatWriter:
+    """Keeps this daemon's rows current."""
+
+    def __init__(
+        self, own: OwnDaemon, view: FleetView, regions: RegionMap, store: Store, clock: Clock
+    ) -> None:
+        self._own = own
+        self._view = view
+        self._regions = regions
+        self._store = store
+        self._clock = clock
+        self._known_written_at: float | None = None
+        self._awaited_written_at: float | None = None
+        self._awaited_until = float("-inf")
+
+    def is_awaited(self) -> bool:
+        """Returns whether others wait for this daemon, or did a moment ago."""
+        now = self._clock.now()
+        if self._view.is_coordinator() or self._own.is_owner():
+            self._awaited_until = now + STAY_SECONDS
+        return now < self._awaited_until
+
+    async def write_due(self) -> None:
+        """Writes the heartbeats that are due, and removes the awaited one if nobody awaits it."""
+        if self._view.is_leaving:
+            return
+        if self.is_awaited():
+            if is_due(self._awaited_written_at, self._awaited_interval(), self._clock.now()):
+                await self._write_awaited()
+        elif self._awaited_written_at is not None:
+            await self._remove_awaited()
+        if is_due(self._known_written_at, self._known_interval(), self._clock.now()):
+            await self._write_known()
+
+    async def write_last(self) -> None:
+        """Removes the known heartbeat, and says in the awaited one that this daemon is leaving."""
+        await self._write(Transaction(removals=(self._view.known.row_of(self._own.id),)))
+        if self._awaited_written_at is not None:
+            await self._put(self._view.awaited, Heartbeat(HEARTBEAT_SECONDS, leaving=True))
+
+    def _awaited_interval(self) -> float:
+        return awaited_interval(len(self._view.awaited.seen))
+
+    def _known_interval(self) -> float:
+        return known_interval(len(self._view.alive()))
+
+    async def _write_known(self) -> None:
+        self._known_written_at = self._clock.now()
+        heartbeat = Heartbeat(
+            self._known_interval(),
+            address=self._own.address,
+            clock_offset=self._own.clock_offset(),
+            zone=self._regions.own_zone,
+        )
+        await self._put(self._view.known, heartbeat)
+
+    async def _write_awaited(self) -> None:
+        self._awaited_written_at = self._clock.now()
+        call = min(self._view.awaited.usual_call, MOST_REPORTED_CALL_SECONDS)
+        interval = round(self._awaited_interval() + call, 3)
+        is_acting = self._view.is_coordinator()
+        await self._put(
+            self._view.awaited, Heartbeat(interval, self._own.use(), coordinates=is_acting)
+        )
+
+    async def _remove_awaited(self) -> None:
+        """Removes the awaited heartbeat; until that is done it goes on, as others count on it."""
+        removal = Transaction(removals=(self._view.awaited.row_of(self._own.id),))
+        if await self._write(removal) is WriteOutcome.DONE:
+            self._awaited_written_at = None
+        else:
+            await self._write_awaited()
+
+    async def _put(self, rows: HeartbeatList, heartbeat: Heartbeat) -> None:
+        put = (rows.row_of(self._own.id), encode_heartbeat(heartbeat))
+        await self._write(Transaction(puts=(put,)))
+
+    async def _write(self, transaction: Transaction) -> WriteOutcome:
+        return (await self._store.write(transaction, WRITE_TIMEOUT_SECONDS)).outcome
+
+
+def is_due(last: float | None, interval: float, now: float) -> bool:
+    """Returns whether it is time again.
+
+    Args:
+        last: steady time of the last time; None if there was none.
+        interval: seconds.
+    """
+    return last is None or now - last >= interval - TIMER_SLACK_SECONDS
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -23,10 +23,12 @@
 from larkpost.gateway.blackboard.tenants import TenantName
 from larkpost.gateway.controllers.division import EngineDivision
 from larkpost.gateway.controllers.feeds import Feeds, HeadListener
-from larkpost.gateway.controllers.heartbeat import new_life
+from larkpost.gateway.controllers.heartbeat import new_incarnation
+from larkpost.gateway.controllers.heartbeat_writer import OwnDaemon
 from larkpost.gateway.controllers.members import Membership
 from larkpost.gateway.controllers.true_time import TrueTime
 from larkpost.gateway.observability.eventlog import Event
+from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.observability.metrics import Level
 from larkpost.gateway.placement.cold import LOOK_SECONDS, ColdRule
 from larkpost.gateway.placement.cold_senders import ColdSenders
@@ -61,7 +63,7 @@
 
     def __init__(self, settings: GatewaySettings, ports: GatewayPorts) -> None:
         self.settings = settings
-        self.id = new_life(settings.machine)
+        self.id = new_incarnation(settings.machine)
         self._ports = ports
         self._clock = ports.clock
         self._log = ports.log
@@ -133,17 +135,19 @@
         self.true_time = TrueTime(
             ports.clock, ports.store.time, lambda: self.membership.clock_offsets()
         )
-        self.membership = Membership(
+        own = OwnDaemon(
             self.id,
-            ports.store,
-            ports.clock,
             self.balancer.summary,
-            self.balancer.take_summary,
-            ports.log,
             lambda: self.keeper.is_owner(),
-            self.settings.peer_address,
             self.true_time.own_offset,
+            self.settings.peer_address,
+        )
+        self.membership = Membership(
+            own,
+            ports.store,
+            Instruments(ports.clock, ports.log, ports.metrics),
             self.blackboard.regions,
+            self.balancer.take_summary,
         )
 
     def _make_quarantine(self) -> None:
--- a/src/larkpost/gateway/observability/instruments.py
+++ b/src/larkpost/gateway/observability/instruments.py
@@ -1,6 +1,6 @@
 """What a part measures time with and reports by."""
 
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 
 from larkpost.common.clock import Clock
 from larkpost.gateway.observability.eventlog import EventLog
@@ -13,4 +13,4 @@
 
     clock: Clock
     log: EventLog
-    metrics: Metrics
+    metrics: Metrics = field(default_factory=Metrics)
--- a/src/larkpost/gateway/rollouts/keeper.py
+++ b/src/larkpost/gateway/rollouts/keeper.py
@@ -135,7 +135,9 @@
     async def own_accepted(self, spec: BatchSpec, upload: str) -> None:
         """Starts an accepted batch at once if it is this daemon's, without waiting for the feed."""
         try:
-            head, _ = await asyncio.gather(self._repository.head(spec.id), self._membership.look())
+            head, _ = await asyncio.gather(
+                self._repository.head(spec.id), self._membership.refresh()
+            )
         except StoreUnavailableError:
             return  # the feed will tell of the head
         if head is None or head.upload != upload or self._leaving or spec.id in self._owned:
--- a/tests/pinned_parts.py
+++ b/tests/pinned_parts.py
@@ -6,8 +6,10 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.gateway.blackboard.regions import RegionMap
+from larkpost.gateway.controllers.heartbeat_writer import OwnDaemon
 from larkpost.gateway.controllers.members import Membership
 from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.proxy.request import ClientRequest
 from larkpost.gateway.scaling.port import ScalingMode
 from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
@@ -17,23 +19,21 @@
 def make_member(name: str, store: MemoryStore, clock: LoopClock, told: dict) -> Membership:
     """Returns a member that needs no heartbeats of others and puts their summaries into `told`."""
     client = StoreClient(store, answer_seconds=0.0)
-    return Membership(name, client, clock, dict, told.__setitem__, EventLog(name))
+    instruments = Instruments(clock, EventLog(name))
+    return Membership(OwnDaemon(name), client, instruments, RegionMap(), told.__setitem__)
 
 
 def make_active_member(name: str, store: MemoryStore, clock: LoopClock) -> Membership:
     """Returns a member that owns batches, uses two places of engine-3/1 and relays calls."""
-    return Membership(
+    own = OwnDaemon(
         name,
-        StoreClient(store, answer_seconds=0.0),
-        clock,
-        lambda: {"engine-3/1": (2, 0.5)},
-        lambda *_: None,
-        EventLog(name),
-        lambda: True,
-        "10.0.0.9:7000",
+        use=lambda: {"engine-3/1": (2, 0.5)},
+        is_owner=lambda: True,
         clock_offset=lambda: 0.01234,
-        regions=RegionMap("north"),
+        address="10.0.0.9:7000",
     )
+    client = StoreClient(store, answer_seconds=0.0)
+    return Membership(own, client, Instruments(clock, EventLog(name)), RegionMap("north"))
 
 
 def make_scaled_fleet() -> PlatformFleet:
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -134,9 +134,11 @@
 
 def own_without_awaited_heartbeats():
     """Owns batches, but beats like an idle daemon."""
-    from larkpost.gateway.controllers.members import Membership
+    from larkpost.gateway.controllers.heartbeat_writer import HeartbeatWriter
 
-    return mock.patch.object(Membership, "_is_awaited", lambda self: self.is_coordinator())
+    return mock.patch.object(
+        HeartbeatWriter, "is_awaited", lambda self: self._view.is_coordinator()
+    )
 
 
 def keep_rows_of_earlier_lives():
@@ -161,9 +163,9 @@
 
 def let_everyone_coordinate():
     """Makes every daemon a coordinator."""
-    from larkpost.gateway.controllers import members
+    from larkpost.gateway.controllers import coordinators
 
-    return mock.patch.object(members, "COORDINATORS", 1_000_000)
+    return mock.patch.object(coordinators, "COORDINATORS", 1_000_000)
 
 
 def list_without_score():
--- a/tests/switched_off.py
+++ b/tests/switched_off.py
@@ -7,7 +7,7 @@
 import contextlib
 from unittest import mock
 
-from larkpost.gateway.controllers import members
+from larkpost.gateway.controllers import coordinators
 from larkpost.gateway.proxy import balancer
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.rollouts import reward, service
@@ -80,7 +80,7 @@
 
 def most_coordinators():
     """Two daemons coordinate in place of a dozen."""
-    return mock.patch.object(members, "COORDINATORS", 2)
+    return mock.patch.object(coordinators, "COORDINATORS", 2)
 
 
 @contextlib.contextmanager
--- a/tests/test_cold_owners.py
+++ b/tests/test_cold_owners.py
@@ -6,7 +6,8 @@
 from larkpost.common.clock import LoopClock
 from larkpost.common.ids import DaemonId
 from larkpost.gateway.blackboard.board import Blackboard
-from larkpost.gateway.controllers.members import HEARING_INTERVALS, HEARTBEAT_SECONDS
+from larkpost.gateway.controllers.fleet_view import HEARING_INTERVALS
+from larkpost.gateway.controllers.heartbeat_intervals import HEARTBEAT_SECONDS
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.placement.cold import (
     LOOK_SECONDS,
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -10,7 +10,7 @@
 from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ServiceShare
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
-from larkpost.gateway.controllers.members import DEAD_AFTER_SECONDS
+from larkpost.gateway.controllers.heartbeat_intervals import DEAD_AFTER_SECONDS
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.rollouts.attempt import LONG_RUN_EVENTS, Progress
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -328,7 +328,7 @@
             members = [gateway.membership for gateway in fleet.gateways]
             return Counter(
                 coordinators=sum(member.is_coordinator() for member in members),
-                awaited=len(members[0]._awaited.seen),
+                awaited=len(members[0].awaited.seen),
             )
 
         return run(play())
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -5,14 +5,20 @@
 from larkpost.common.clock import LoopClock
 from larkpost.common.tasks import TaskSet
 from larkpost.common.telemetry import Telemetry
-from larkpost.gateway.controllers.heartbeat import machine_of, new_life
-from larkpost.gateway.controllers.members import (
-    AWAITED_PART,
+from larkpost.gateway.blackboard.regions import RegionMap
+from larkpost.gateway.controllers.coordinators import first_choice, is_to_coordinate
+from larkpost.gateway.controllers.heartbeat import machine_of, new_incarnation
+from larkpost.gateway.controllers.heartbeat_intervals import (
     DEAD_AFTER_SECONDS,
     HEARTBEAT_SECONDS,
-    Membership,
+    awaited_interval,
+    known_interval,
+    known_listing_interval,
 )
+from larkpost.gateway.controllers.heartbeat_writer import OwnDaemon, is_due
+from larkpost.gateway.controllers.members import AWAITED_PART, Membership
 from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.observability.instruments import Instruments
 from larkpost.rehearsal.memory_store import MemoryStore, StoreClient, StoreFaults
 from tests.virtual import run
 
@@ -29,7 +35,10 @@
         """Starts a daemon's heartbeat; the store answers it after a time."""
         client = StoreClient(self.store, answer_seconds)
         membership = Membership(
-            new_life(machine), client, self.clock, dict, lambda *_: None, EventLog(machine)
+            OwnDaemon(new_incarnation(machine)),
+            client,
+            Instruments(self.clock, EventLog(machine)),
+            RegionMap(),
         )
         membership.client = client
         membership.tasks = TaskSet(self.clock, Telemetry(machine, log=False))
@@ -43,7 +52,7 @@
             await self.clock.sleep(2.0)
             self.assertTrue(first.is_alive(second.own))
             second.tasks.cancel_all()
-            last_heartbeat = self.store.written_at[second._awaited.row_of(second.own)]
+            last_heartbeat = self.store.written_at[second.awaited.row_of(second.own)]
             latest = DEAD_AFTER_SECONDS + 2 * HEARTBEAT_SECONDS
             while (silence := self.clock.now() - last_heartbeat) < 2 * DEAD_AFTER_SECONDS:
                 if silence < DEAD_AFTER_SECONDS:
@@ -106,7 +115,7 @@
 
         run(play())
 
-    def test_late_heartbeat_of_an_earlier_life_ends_nobody(self):
+    def test_late_heartbeat_of_an_earlier_incarnation_ends_nobody(self):
         async def play():
             self.begin()
             old = self.start("a")
@@ -115,7 +124,7 @@
             old.tasks.cancel_all()
             new = self.start("a")
             await self.clock.sleep(2.0)
-            await old._beat()
+            await old._writer.write_due()
             for _ in range(20):
                 await self.clock.sleep(0.1)
                 self.assertTrue(observer.is_alive(new.own))
@@ -134,7 +143,7 @@
 
         run(play())
 
-    def test_new_life_removes_the_rows_of_the_earlier_one(self):
+    def test_new_incarnation_removes_the_rows_of_the_earlier_one(self):
         """So its batches are claimed without waiting for it to fall silent."""
 
         async def play():
@@ -145,7 +154,7 @@
             old.tasks.cancel_all()
             self.start("a")
             await self.clock.sleep(2 * HEARTBEAT_SECONDS)
-            self.assertFalse(observer._awaited.seen.get(old.own))
+            self.assertFalse(observer.awaited.seen.get(old.own))
             self.assertFalse([key for key in self.store.rows if key.key == old.own])
             await self.clock.sleep(DEAD_AFTER_SECONDS - HEARTBEAT_SECONDS)
             self.assertFalse(observer.is_owner_alive(old.own, since))
@@ -184,5 +193,49 @@
 
         run(play())
 
-    def test_machine_of_a_life(self):
-        self.assertEqual("front-a-1", machine_of(new_life("front-a-1")))
+    def test_machine_of_an_incarnation(self):
+        self.assertEqual("front-a-1", machine_of(new_incarnation("front-a-1")))
+
+
+class RuleTest(unittest.TestCase):
+    """The rules of intervals and coordinators, case by case."""
+
+    def test_intervals(self):
+        cases = (
+            ("few awaited", awaited_interval(12), 0.25),
+            ("many awaited", awaited_interval(100), 0.5),
+            ("few alive", known_interval(160), 2.0),
+            ("many alive", known_interval(400), 5.0),
+            ("listing by a young daemon", known_listing_interval(100, age=2.9), 0.25),
+            ("listing of many by a young daemon", known_listing_interval(400, age=0.0), 1.0),
+            ("listing of few", known_listing_interval(76, age=3.0), 2.0),
+            ("listing of many", known_listing_interval(380, age=3.0), 10.0),
+        )
+        for name, interval, seconds in cases:
+            with self.subTest(name):
+                self.assertEqual(seconds, interval)
+
+    def test_when_a_heartbeat_is_due(self):
+        for last, interval, now, expected in (
+            (None, 2.0, 0.0, True),
+            (1.0, 0.25, 1.1, False),
+            (1.0, 0.25, 1.21, True),
+            (1.0, 2.0, 2.9, False),
+            (1.0, 2.0, 3.0, True),
+        ):
+            with self.subTest(last=last, interval=interval, now=now):
+                self.assertEqual(expected, is_due(last, interval, now))
+
+    def test_daemons_that_are_to_coordinate(self):
+        for count, regions, expected in ((5, 1, 5), (40, 1, 12), (40, 2, 12), (40, 5, 15)):
+            with self.subTest(count=count, regions=regions):
+                fleet = {f"m{number}/a": f"region-{number % regions}" for number in range(count)}
+                chosen = [name for name in fleet if is_to_coordinate(name, fleet, age=1.0)]
+                self.assertEqual(expected, len(chosen))
+                self.assertFalse(any(is_to_coordinate(name, fleet, age=0.4) for name in fleet))
+
+    def test_first_choice_is_the_same_in_any_order(self):
+        names = [f"m{number}/a" for number in range(12)]
+        choices = {first_choice("key", order) for order in (names, names[::-1])}
+        self.assertEqual(1, len(choices))
+        self.assertIsNone(first_choice("key", []))
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -16,7 +16,7 @@
 from larkpost.gateway.blackboard.regions import Distance, RegionMap
 from larkpost.gateway.blackboard.tenants import Tenant, TenantName
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
-from larkpost.gateway.controllers.members import DEAD_AFTER_SECONDS
+from larkpost.gateway.controllers.heartbeat_intervals import DEAD_AFTER_SECONDS
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.proxy.admission import Admission
--- a/tests/test_scale_mechanisms.py
+++ b/tests/test_scale_mechanisms.py
@@ -11,19 +11,20 @@
 from larkpost.common.tasks import TaskSet
 from larkpost.common.telemetry import Telemetry
 from larkpost.gateway.blackboard.directory import Directory
-from larkpost.gateway.controllers.heartbeat import machine_of, new_life
-from larkpost.gateway.controllers.heartbeat_list import MEMBER_TABLE
-from larkpost.gateway.controllers.members import (
-    AWAITED_PART,
-    COORDINATORS,
+from larkpost.gateway.blackboard.regions import RegionMap
+from larkpost.gateway.controllers.coordinators import COORDINATORS
+from larkpost.gateway.controllers.heartbeat import machine_of, new_incarnation
+from larkpost.gateway.controllers.heartbeat_intervals import (
     DEAD_AFTER_SECONDS,
     HEARTBEAT_SECONDS,
     IDLE_HEARTBEAT_SECONDS,
     IDLE_HEARTBEATS_PER_SECOND,
-    KNOWN_PART,
-    Membership,
 )
+from larkpost.gateway.controllers.heartbeat_list import MEMBER_TABLE
+from larkpost.gateway.controllers.heartbeat_writer import OwnDaemon
+from larkpost.gateway.controllers.members import AWAITED_PART, KNOWN_PART, Membership
 from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
 from larkpost.gateway.rollouts.repository import HEAD_TABLE
@@ -65,13 +66,10 @@
     def start(self, machine: str) -> Membership:
         """Starts a daemon's heartbeat."""
         membership = Membership(
-            new_life(machine),
+            OwnDaemon(new_incarnation(machine), is_owner=lambda: membership in self.owners),
             StoreClient(self.store),
-            self.clock,
-            dict,
-            lambda *_: None,
-            EventLog(machine),
-            lambda: membership in self.owners,
+            Instruments(self.clock, EventLog(machine)),
+            RegionMap(),
         )
         membership.tasks = TaskSet(self.clock, Telemetry(machine, log=False))
         membership.start(membership.tasks)
