--- /dev/null
+++ b/src/larkpost/gateway/assembly/leased_controllers.py
@@ -0,0 +1,119 @@
+"""The controllers of which one daemon at a time acts: weight loads, usage reports, scaling.
+
+Each daemon runs all of them; each acts only on what this daemon is chosen for, under a lease.
+"""
+
+from dataclasses import dataclass
+
+from larkpost.common.tasks import TaskSet
+from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
+from larkpost.gateway.blackboard.board import Blackboard
+from larkpost.gateway.controllers.coordination import Coordination
+from larkpost.gateway.controllers.division import EngineDivision
+from larkpost.gateway.controllers.feeds import Feeds
+from larkpost.gateway.controllers.leases import LeaseTable
+from larkpost.gateway.controllers.loader import WeightLoader
+from larkpost.gateway.controllers.members import Membership
+from larkpost.gateway.controllers.true_time import TrueTime
+from larkpost.gateway.observability.instruments import Instruments
+from larkpost.gateway.proxy.balancer import Balancer
+from larkpost.gateway.rollouts.keeper import BatchKeeper
+from larkpost.gateway.scaling.controller import ScalingController, ScalingInputs
+from larkpost.gateway.scaling.demand import DemandForecast
+from larkpost.gateway.usage.counter import UsageCounter
+from larkpost.gateway.usage.reporter import ReportTiming, UsageReporter
+from larkpost.gateway.usage.repository import UsageRepository
+from larkpost.gateway.usage.saver import UsageSaver
+
+
+@dataclass(frozen=True, slots=True)
+class ControllerInputs:
+    """What the controllers need of the other groups.
+
+    Attributes:
+        counter: counts this daemon's requests by tenant; None if no usage is reported.
+    """
+
+    blackboard: Blackboard
+    division: EngineDivision
+    membership: Membership
+    balancer: Balancer
+    keeper: BatchKeeper
+    feeds: Feeds
+    true_time: TrueTime
+    counter: UsageCounter | None
+
+
+class LeasedControllers:
+    """The leased controllers of one daemon."""
+
+    def __init__(
+        self, settings: GatewaySettings, ports: GatewayPorts, inputs: ControllerInputs
+    ) -> None:
+        self._settings = settings
+        self._ports = ports
+        self._inputs = inputs
+        self._instruments = Instruments(ports.clock, ports.log, ports.metrics)
+        self.leases = LeaseTable(
+            inputs.membership.own, ports.store, ports.clock, settings.lease_time
+        )
+        self._coordination = Coordination(inputs.membership, self.leases)
+        self._loader = WeightLoader(
+            inputs.blackboard,
+            inputs.division,
+            self._coordination,
+            ports.servers,
+            self._instruments,
+        )
+        self._usage_repository = UsageRepository(ports.store)
+        self._usage_saver = self._make_usage_saver()
+        self._usage_reporter = self._make_usage_reporter()
+        self._scaling = self._make_scaling()
+
+    def start(self, tasks: TaskSet) -> None:
+        """Starts all controllers."""
+        self._loader.start(tasks)
+        if self._usage_saver is not None:
+            self._usage_saver.start(tasks)
+        if self._usage_reporter is not None:
+            self._usage_reporter.start(tasks)
+        if self._scaling is not None:
+            self._scaling.start(tasks)
+
+    async def save_last(self) -> None:
+        """Saves at a planned stop what would die with this process."""
+        if self._usage_saver is not None:
+            await self._usage_saver.save_last()
+
+    def _make_usage_saver(self) -> UsageSaver | None:
+        counter = self._inputs.counter
+        if counter is None:
+            return None
+        return UsageSaver(self._usage_repository, counter, self._coordination)
+
+    def _make_usage_reporter(self) -> UsageReporter | None:
+        port, terms = self._ports.usage, self._settings.usage
+        if self._inputs.counter is None or port is None or terms is None:
+            return None
+        return UsageReporter(
+            self._usage_repository,
+            self._coordination,
+            port,
+            self._instruments,
+            ReportTiming(terms, self._inputs.true_time, self._inputs.feeds.sound_for),
+        )
+
+    def _make_scaling(self) -> ScalingController | None:
+        if self._ports.scaling is None:
+            return None
+        inputs = self._inputs
+        demand = DemandForecast(
+            inputs.blackboard.directory, inputs.keeper.demands, inputs.balancer.pace
+        )
+        return ScalingController(
+            ScalingInputs(inputs.blackboard, demand, inputs.feeds.sound_for),
+            self._coordination,
+            self._ports.scaling,
+            self._instruments,
+            self._settings.scaling_mode,
+        )
--- a/src/larkpost/gateway/blackboard/directory.py
+++ b/src/larkpost/gateway/blackboard/directory.py
@@ -66,7 +66,7 @@
         return self._instances.get(instance)
 
     def update(self, info: InstanceInfo) -> None:
-        """Takes an entry that is new or has changed."""
+        """Stores an entry that is new or has changed."""
         if info.id in self._retired:
             return
         known = self._instances.get(info.id)
@@ -75,7 +75,7 @@
         self._instances[info.id] = info
 
     def remove(self, instance: InstanceId, *, sound: bool) -> None:
-        """Takes the news that an entry is gone.
+        """Records that an entry is gone.
 
         Args:
             sound: whether the store has been without fault for long enough to be believed.
@@ -90,7 +90,7 @@
             self._instances[instance] = replace(known, state=InstanceState.UNLISTED)
 
     def observe_version(self, instance: InstanceId, model: ModelName, version: int) -> None:
-        """Takes a weight version that an instance itself has told; it may be ahead of its entry."""
+        """Records a weight version that an instance reports; it may be ahead of its entry."""
         key = (instance, model)
         self._observed[key] = max(version, self._observed.get(key, 0))
 
@@ -101,7 +101,7 @@
         return max(listed, self._observed.get((instance, model), 0))
 
     def retire(self, instance: InstanceId) -> None:
-        """Drops an instance for good: another one has answered at its address.
+        """Drops an instance for good: another one has responded at its address.
 
         Its entry may stand for a while; each start has an id of its own, so it never comes back.
         """
@@ -122,6 +122,10 @@
             if info.service == service and info.state is not InstanceState.LEAVING
         ]
 
+    def ready_of(self, service: ServiceName) -> list[InstanceInfo]:
+        """Returns the instances whose entries stand, of those that may take new work."""
+        return [info for info in self.of_service(service) if info.state is InstanceState.READY]
+
     def drop_unlisted(self) -> list[InstanceId]:
         """Drops the instances whose entries are not back, and returns them."""
         lapsed = [
@@ -132,7 +136,7 @@
         return lapsed
 
     def takes_work(self, instance: InstanceId) -> bool:
-        """Tells whether an instance may be given new work at this moment."""
+        """Returns whether an instance may be given new work at this moment."""
         info = self._instances.get(instance)
         return info is not None and info.state is not InstanceState.LEAVING
 
--- a/src/larkpost/gateway/controllers/division.py
+++ b/src/larkpost/gateway/controllers/division.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.configuration import ModelName, Service, ServiceName
 from larkpost.gateway.blackboard.weight_targets import Demands, WeightTarget
-from larkpost.gateway.controllers.due_loads import LoadInputs, due_loads, ready_engines
+from larkpost.gateway.controllers.due_loads import LoadInputs, due_loads
 from larkpost.gateway.controllers.model_assignment import assign_models, split_evacuated
 
 LIFETIME_SECONDS = 0.1
@@ -89,7 +89,7 @@
 
     def _own(self, service: Service) -> dict[ModelName, frozenset[InstanceId]]:
         directory = self._blackboard.directory
-        ready = ready_engines(service, directory)
+        ready = directory.ready_of(service.name)
         serving, _ = split_evacuated(ready, self._blackboard.evacuations.zones())
         division = assign_models(service, serving, directory, self._demands())
         return {model: frozenset(engines) for model, engines in division.items()}
--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -12,7 +12,7 @@
 
 from larkpost.common.ids import InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ModelName, Service
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
 from larkpost.gateway.blackboard.weight_targets import (
     Demands,
     ModelDemand,
@@ -74,7 +74,7 @@
     Args:
         now: steady time in seconds.
     """
-    engines = ready_engines(service, inputs.directory)
+    engines = inputs.directory.ready_of(service.name)
     if not _is_any_behind(service, engines, inputs):
         return []
     serving, resting = split_evacuated(engines, inputs.evacuated)
@@ -93,13 +93,6 @@
     return due
 
 
-def ready_engines(service: Service, directory: Directory) -> list[InstanceInfo]:
-    """Returns the engines of a service whose entries stand and that are not leaving."""
-    return [
-        info for info in directory.of_service(service.name) if info.state is InstanceState.READY
-    ]
-
-
 def engines_to_load(state: ModelState) -> list[InstanceId]:
     """Returns the engines of one model that should be loading its version now.
 
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -14,8 +14,8 @@
 
 from larkpost.common.tasks import TaskSet
 from larkpost.common.telemetry import Telemetry
-from larkpost.gateway.assembly.duties import Duties, DutyNeeds
 from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
+from larkpost.gateway.assembly.leased_controllers import ControllerInputs, LeasedControllers
 from larkpost.gateway.assembly.loop_watch import LoopWatch
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.configuration import Route
@@ -77,10 +77,10 @@
         counter = self._make_counter()
         self._make_proxy(counter)
         self._make_rollouts()
-        self._duties = Duties(
+        self.leased_controllers = LeasedControllers(
             settings,
             ports,
-            DutyNeeds(
+            ControllerInputs(
                 self.blackboard,
                 self._division,
                 self.membership,
@@ -238,7 +238,7 @@
             self._ports.relay.start(self.membership.peers, self._tasks, self._is_confined)
         self.membership.start(self._tasks)
         self.keeper.start(self._tasks)
-        self._duties.start(self._tasks)
+        self.leased_controllers.start(self._tasks)
         if self.settings.cold is not None:
             self._tasks.every(LOOK_SECONDS, self.cold.look, "cold")
         self._tasks.spawn(self._become_ready(), "readiness")
@@ -252,7 +252,7 @@
             self._clock,
             self._log,
             steps,
-            self._duties.save_last,
+            self.leased_controllers.save_last,
             lambda: self.settings.grace_time,
         )
         await stop.run()
--- a/src/larkpost/gateway/scaling/census.py
+++ b/src/larkpost/gateway/scaling/census.py
@@ -8,13 +8,13 @@
 
 from larkpost.common.ids import ZoneId
 from larkpost.gateway.blackboard.configuration import ServiceName
-from larkpost.gateway.blackboard.directory import Directory, InstanceState
+from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
 from larkpost.gateway.blackboard.evacuations import Evacuations
 from larkpost.gateway.scaling.planner import ZoneServers
 
 USUAL_SECONDS = 60.0
-"""How long the most servers seen at once count as usual: longer than a release takes, shorter than
-an operator needs to change the size by hand and wonder."""
+"""Seconds for which the most servers seen at once count as usual: longer than a release takes,
+shorter than an operator needs to change the size by hand and wonder. Not measured."""
 
 
 @dataclass(slots=True)
@@ -35,11 +35,7 @@
 
     def take(self, service: ServiceName, now: float) -> dict[ZoneId, ZoneServers]:
         """Counts a service's servers by zone, those zones included that have none any more."""
-        ready = [
-            info
-            for info in self._directory.of_service(service)
-            if info.state is InstanceState.READY
-        ]
+        ready = self._directory.ready_of(service)
         zones = {info.zone for info in ready} | {
             zone for known, zone in self._seen if known == service
         }
@@ -48,7 +44,9 @@
             for zone in zones
         }
 
-    def _count(self, service: ServiceName, zone: ZoneId, ready: list, now: float) -> ZoneServers:
+    def _count(
+        self, service: ServiceName, zone: ZoneId, ready: list[InstanceInfo], now: float
+    ) -> ZoneServers:
         seen = self._seen.setdefault((service, zone), _Seen())
         seen.counts.append((now, len(ready)))
         while seen.counts[0][0] < now - USUAL_SECONDS:
--- a/src/larkpost/gateway/scaling/controller.py
+++ b/src/larkpost/gateway/scaling/controller.py
@@ -1,22 +1,23 @@
 """Plans the size of services, says so, and orders what its mode lets it order.
 
-Each service and zone is a matter of its own: the coordinator that rendezvous hashing names for it
+Each service and zone is a subject of its own: the coordinator that rendezvous hashing names for it
 orders under its lease. An order says how many servers there are to be, so one that is repeated or
 carried out late does no harm that the next one does not mend. Nothing is ordered while the store
 is not sound: what is known of the servers may be old then.
 """
 
 from collections.abc import Callable
+from dataclasses import dataclass
 
-from larkpost.common.clock import Clock
 from larkpost.common.ids import ZoneId
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.configuration import Configuration, Service, ServiceName
-from larkpost.gateway.controllers.leases import Duty, LeaseSubject, LeaseTable
-from larkpost.gateway.controllers.members import Membership
-from larkpost.gateway.observability.eventlog import Event, EventLog
-from larkpost.gateway.observability.metrics import Count, Level, Metrics
+from larkpost.gateway.controllers.coordination import Coordination
+from larkpost.gateway.controllers.leases import Duty, LeaseSubject
+from larkpost.gateway.observability.eventlog import Event
+from larkpost.gateway.observability.instruments import Instruments
+from larkpost.gateway.observability.metrics import Count, Level
 from larkpost.gateway.scaling.census import ServerCensus
 from larkpost.gateway.scaling.demand import DemandForecast
 from larkpost.gateway.scaling.planner import Plan, plan_servers
@@ -29,51 +30,55 @@
 )
 
 INTERVAL_SECONDS = 1.0
+"""Seconds between two plans. Not measured."""
 LOST_SECONDS = 8.0
-"""After this long a missing server is held lost for good: one that crashed is back before, listed
-anew, and its entry lapses three heartbeats (3.6 s) after its end."""
+"""Seconds after which a missing server is considered lost for good: one that crashed is back
+before, listed anew, and its entry lapses three heartbeats (3.6 s) after its end."""
 SOUND_SECONDS = 4.0
-"""How long the store must have answered for counts to be believed."""
+"""Seconds for which the store must have responded for counts to be believed. Not measured."""
 ORDER_TIMEOUT_SECONDS = 1.0
+"""Seconds for one call that orders. Not measured."""
 RETRY_SECONDS = 2.0
-"""Pause after an order that was not taken, or not for certain."""
+"""Seconds after an order that was not taken, or not for certain, before the next. Not measured."""
 REFUSED_SECONDS = 20.0
-"""How long a zone that has no preemptible servers is not asked for them."""
+"""Seconds for which a zone that has no preemptible servers is not asked for them. Not measured."""
+
+
+@dataclass(frozen=True, slots=True)
+class ScalingInputs:
+    """What the sizes of services follow from.
+
+    Attributes:
+        demand: works out what is asked of a service.
+        store_sound_for: returns for how many seconds each call to the store has succeeded.
+    """
+
+    blackboard: Blackboard
+    demand: DemandForecast
+    store_sound_for: Callable[[], float]
 
 
 class ScalingController:
-    """Plans for all services that have terms; orders for those that are this daemon's."""
+    """Plans for all services that have terms; orders for those that this daemon is chosen for."""
 
     def __init__(
         self,
-        blackboard: Blackboard,
-        membership: Membership,
-        leases: LeaseTable,
+        inputs: ScalingInputs,
+        coordination: Coordination,
         port: ScalingPort,
-        clock: Clock,
-        log: EventLog,
-        metrics: Metrics,
-        demand: DemandForecast,
-        store_sound_for: Callable[[], float],
+        instruments: Instruments,
         mode: ScalingMode,
     ) -> None:
-        """Makes a controller.
-
-        Args:
-            demand: works out what is asked of a service.
-            store_sound_for: returns for how many seconds each call to the store was answered.
-        """
-        self._beliefs = blackboard
-        self._membership = membership
-        self._leases = leases
+        self._blackboard = inputs.blackboard
+        self._demand = inputs.demand
+        self._store_sound_for = inputs.store_sound_for
+        self._coordination = coordination
         self._port = port
-        self._clock = clock
-        self._log = log
-        self._metrics = metrics
-        self._demand = demand
-        self._store_sound_for = store_sound_for
+        self._clock = instruments.clock
+        self._log = instruments.log
+        self._metrics = instruments.metrics
         self._mode = mode
-        self._census = ServerCensus(blackboard.directory, blackboard.evacuations)
+        self._census = ServerCensus(inputs.blackboard.directory, inputs.blackboard.evacuations)
         self._announced: dict[ServiceName, Plan] = {}
         self._next_order: dict[tuple[ServiceName, ZoneId], float] = {}
         self._no_preemptible_until: dict[ZoneId, float] = {}
@@ -83,8 +88,8 @@
         tasks.every(INTERVAL_SECONDS, self.update, "scaling")
 
     async def update(self) -> None:
-        """Plans each service, and orders what is due and this daemon's to order."""
-        configuration = self._beliefs.configuration.current
+        """Plans each service, and orders what is due and this daemon is chosen for."""
+        configuration = self._blackboard.configuration.current
         if configuration is None or self._store_sound_for() < SOUND_SECONDS:
             return
         for service in configuration.services.values():
@@ -108,9 +113,9 @@
                 self._next_order[order.service, order.zone] = self._clock.now() + pause
 
     def _announce(self, service: ServiceName, plan: Plan, present: int) -> None:
-        """Says what should be ordered, once for each change."""
+        """Logs what should be ordered, once for each change."""
         self._metrics.set(Level.SERVERS_NEEDED, plan.needed, service)
-        if self._announced.get(service) == plan or not self._membership.is_coordinator():
+        if self._announced.get(service) == plan or not self._coordination.is_coordinator():
             return
         self._announced[service] = plan
         self._log.record(
@@ -123,25 +128,25 @@
         )
 
     def _is_mine(self, order: ScalingOrder) -> bool:
-        return self._membership.first_choice(_subject(order).key) == self._membership.own
+        return self._coordination.is_chosen(_subject(order).key)
 
     async def _order(self, order: ScalingOrder, boot_time: float) -> float:
-        """Orders, and returns the seconds until the zone is looked at again."""
-        lease = await self._leases.take(_subject(order))
+        """Orders, and returns the seconds until the zone is checked again."""
+        lease = await self._coordination.take_lease(_subject(order))
         if lease is None or self._clock.now() >= lease.usable_until:
-            self._note(order, "no_lease", None)
+            self._record(order, "no_lease", None)
             return RETRY_SECONDS
         outcome = await self._port.order_servers(
-            order, self._membership.own, lease, ORDER_TIMEOUT_SECONDS
+            order, self._coordination.own, lease, ORDER_TIMEOUT_SECONDS
         )
-        self._note(order, outcome, lease.token)
+        self._record(order, outcome, lease.token)
         if outcome is ScalingOutcome.TAKEN:
             return boot_time + LOST_SECONDS
         if outcome is ScalingOutcome.REFUSED and order.kind is ServerKind.PREEMPTIBLE:
             self._no_preemptible_until[order.zone] = self._clock.now() + REFUSED_SECONDS
         return RETRY_SECONDS
 
-    def _note(self, order: ScalingOrder, outcome: str, token: int | None) -> None:
+    def _record(self, order: ScalingOrder, outcome: str, token: int | None) -> None:
         self._metrics.count(Count.SERVER_ORDERS, outcome)
         self._log.record(
             Event.SERVERS_ORDERED,
@@ -155,5 +160,5 @@
 
 
 def _subject(order: ScalingOrder) -> LeaseSubject:
-    """A service together with a zone is one matter, whatever the kind."""
+    """A service together with a zone is one subject, whatever the kind."""
     return LeaseSubject(Duty.SCALING, f"{order.service}\x00{order.zone}")
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -91,7 +91,7 @@
         async def play():
             fleet = PlatformFleet(gateways=1, engines=1)
             await fleet.wait(1.0)
-            leases = fleet.gateways[0]._duties._leases
+            leases = fleet.gateways[0].leased_controllers.leases
             clock = fleet.clocks[0]
             lease = await leases.take(LeaseSubject(Duty.ENGINE_ORDERS, "engine-0"))
             clock.suspend()
