--- a/src/larkpost/gateway/blackboard/configuration.py
+++ b/src/larkpost/gateway/blackboard/configuration.py
@@ -199,12 +199,18 @@
         self.current: Configuration | None = None
 
     def update(self, configuration: Configuration) -> bool:
-        """Takes a configuration if it is newer, and tells whether it was."""
+        """Stores a configuration if it is newer, and returns whether it was."""
         if self.current is not None and configuration.version <= self.current.version:
             return False
         self.current = configuration
         return True
 
+    def priority_of(self, tenant: TenantName | None, route: Route) -> int:
+        """Returns a request's priority by the configuration in force; see `Configuration`."""
+        if self.current is None:
+            return route.priority
+        return self.current.priority_of(tenant, route)
+
     def service(self, name: ServiceName) -> Service | None:
         """Returns a service of the configuration in force; None if there is none."""
         return self.current.services.get(name) if self.current is not None else None
--- a/src/larkpost/gateway/controllers/feeds.py
+++ b/src/larkpost/gateway/controllers/feeds.py
@@ -1,80 +1,100 @@
-"""The tables that a daemon follows, and what takes their rows into its blackboard."""
+"""The tables that a daemon follows, and what records their rows on its blackboard.
+
+Owns the followers of the operator's rows, the instances' entries and the heads of batches.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 
 from larkpost.common.tasks import TaskSet
-from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
 from larkpost.gateway.blackboard.board import Blackboard
-from larkpost.gateway.controllers.row_intake import RowIntake
+from larkpost.gateway.controllers.row_intake import InstanceTrust, RowIntake, RowReaders
+from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.quarantine.repository import CRASH_PART
 from larkpost.gateway.rollouts.repository import HEAD_TABLE, PARTS
-from larkpost.gateway.store.follower import TableFollower
-from larkpost.gateway.store.port import Row
+from larkpost.gateway.store.follower import Relisting, TableFollower, TableParts
+from larkpost.gateway.store.port import Row, Store
 
 FAST_RELIST_SECONDS = 1.5
+"""Seconds between two listings of the instances. Not measured."""
 SLOW_RELIST_SECONDS = 3.0
+"""Seconds between two listings of the operator's rows and of the heads. Not measured."""
 IDLE_RELIST_FACTOR = 4
-"""How much less often a daemon lists the batches that neither coordinates nor owns any."""
+"""How much less often a daemon lists the batches that neither coordinates nor owns any.
+Not measured."""
 LAPSED_INTERVAL_SECONDS = 0.25
+"""Seconds between two checks for instances whose entries lapsed. Not measured."""
 
 
 @dataclass(frozen=True, slots=True)
-class HeadListener:
-    """Whoever takes the heads of batches.
+class FeedSource:
+    """Where rows come from, and when it is believed that one is gone.
 
     Attributes:
-        take: takes a head's row.
-        is_active: tells whether this daemon has to act on news of batches at once.
+        contact_time: returns the seconds without a fault after which the store's news are believed;
+            read at each use, as settings change while the daemon runs.
     """
 
-    take: Callable[[Row], None]
-    is_active: Callable[[], bool]
+    store: Store
+    readers: RowReaders
+    contact_time: Callable[[], float]
 
 
-class Feeds:
-    """The operator's rows, the instances' entries and the heads of batches, each followed.
+@dataclass(frozen=True, slots=True)
+class BatchListener:
+    """What records the rows of the table of batches.
 
-    Args:
-        crashes: takes the rows of crashes, which lie in a part of the table of batches.
+    Attributes:
+        record_head: records a head's row.
+        record_crash: records the row of a server's crash, which is in a part of the same table.
+        is_active: returns whether this daemon has to act on news of batches at once.
     """
 
+    record_head: Callable[[Row], None]
+    record_crash: Callable[[Row], None]
+    is_active: Callable[[], bool]
+
+    def record(self, row: Row) -> None:
+        """Records a row of the table."""
+        if row.key.part == CRASH_PART:
+            self.record_crash(row)
+        else:
+            self.record_head(row)
+
+    def relist_factor(self) -> int:
+        """Returns by how much the interval between two listings is longer at the moment."""
+        return 1 if self.is_active() else IDLE_RELIST_FACTOR
+
+
+class Feeds:
+    """The followed tables of one daemon."""
+
     def __init__(
         self,
-        settings: GatewaySettings,
-        ports: GatewayPorts,
+        source: FeedSource,
         blackboard: Blackboard,
-        heads: HeadListener,
-        crashes: Callable[[Row], None],
+        instruments: Instruments,
+        batches: BatchListener,
     ) -> None:
-        self._ports = ports
-        self.intake = RowIntake(
-            ports.readers,
-            blackboard,
-            ports.clock,
-            ports.log,
-            self.sound_for,
-            lambda: settings.contact_time,
-            lambda: self.instances.listed,
-        )
+        self._source = source
+        self._instruments = instruments
+        # A cycle: a row that is gone is believed by the state of the follower that brings it.
+        trust = InstanceTrust(self.sound_for, source.contact_time, lambda: self.instances.listed)
+        self.intake = RowIntake(source.readers, blackboard, instruments, trust)
         self.operator = self._follow(
-            ports.readers.operator_table,
-            ("",),
-            self.intake.take_operator_row,
-            SLOW_RELIST_SECONDS,
+            TableParts(source.readers.operator_table),
+            self.intake.record_operator_row,
+            Relisting(SLOW_RELIST_SECONDS),
         )
         self.instances = self._follow(
-            ports.readers.instance_table,
-            ("",),
-            self.intake.take_instance_row,
-            FAST_RELIST_SECONDS,
+            TableParts(source.readers.instance_table),
+            self.intake.record_instance_row,
+            Relisting(FAST_RELIST_SECONDS),
         )
         self.heads = self._follow(
-            HEAD_TABLE,
-            (*PARTS, CRASH_PART),
-            lambda row: crashes(row) if row.key.part == CRASH_PART else heads.take(row),
-            SLOW_RELIST_SECONDS,
-            lambda: 1 if heads.is_active() else IDLE_RELIST_FACTOR,
+            TableParts(HEAD_TABLE, (*PARTS, CRASH_PART)),
+            batches.record,
+            Relisting(SLOW_RELIST_SECONDS, batches.relist_factor),
         )
 
     def start(self, tasks: TaskSet) -> None:
@@ -84,16 +104,16 @@
         tasks.every(LAPSED_INTERVAL_SECONDS, self.intake.drop_lapsed, "lapsed")
 
     def sound_for(self) -> float:
-        """Returns for how many seconds each call to the store was answered."""
-        return self.instances.sound_for(self._ports.clock.now())
+        """Returns for how many seconds each call to the store has succeeded."""
+        return self.instances.sound_for(self._instruments.clock.now())
 
     def operator_age(self) -> float:
         """Returns the seconds since the operator's rows were last known to be current."""
-        return self.operator.age(self._ports.clock.now())
+        return self.operator.age(self._instruments.clock.now())
 
     def ages(self) -> dict[str, float]:
         """Returns the age of each table in seconds."""
-        now = self._ports.clock.now()
+        now = self._instruments.clock.now()
         return {
             "operator": self.operator.age(now),
             "instances": self.instances.age(now),
@@ -101,20 +121,6 @@
         }
 
     def _follow(
-        self,
-        table: str,
-        parts: tuple[str, ...],
-        listener: Callable[[Row], None],
-        relist_interval: float,
-        idle_factor: Callable[[], int] = lambda: 1,
+        self, parts: TableParts, listener: Callable[[Row], None], relisting: Relisting
     ) -> TableFollower:
-        return TableFollower(
-            self._ports.store,
-            self._ports.clock,
-            table,
-            parts,
-            listener,
-            self._ports.log,
-            relist_interval=relist_interval,
-            idle_factor=idle_factor,
-        )
+        return TableFollower(self._source.store, parts, listener, self._instruments, relisting)
--- a/src/larkpost/gateway/controllers/row_intake.py
+++ b/src/larkpost/gateway/controllers/row_intake.py
@@ -1,20 +1,24 @@
-"""Takes the rows that operators, trainers and servers write into what a daemon believes."""
+"""Records on the blackboard the rows that operators, trainers and servers write.
+
+Owns the rule by which an instance's entry that is gone ends the instance.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from larkpost.common.clock import Clock
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.configuration import Configuration
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.blackboard.evacuations import ZoneEvacuation
 from larkpost.gateway.blackboard.weight_targets import WeightTarget
-from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.observability.eventlog import Event
+from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.store.port import Row
 
 LAPSED_SECONDS = 2.2
-"""How long the store must have been sound for an entry that is missing to be gone for good."""
+"""Seconds for which the store must have been sound for a missing entry to be gone for good.
+Not measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,46 +44,54 @@
     evacuation: Callable[[Row], ZoneEvacuation | None]
 
 
-class RowIntake:
-    """Takes rows, and notes what changes by them; rows that cannot be read change nothing.
+@dataclass(frozen=True, slots=True)
+class InstanceTrust:
+    """How far what is read of instances is believed; durations in seconds.
 
-    Args:
-        store_sound_for: returns for how many seconds each call to the store was answered.
-        trust_after: returns for how many it must have been for a row that is gone to be believed.
-        had_whole_list: tells whether all instances were listed: one that is new then has started.
+    Attributes:
+        sound_for: returns for how long each call to the store has succeeded.
+        trust_after: returns for how long it must have for a row that is gone to be believed.
+        had_whole_list: returns whether all instances were listed: one that is new then has started.
     """
 
+    sound_for: Callable[[], float]
+    trust_after: Callable[[], float]
+    had_whole_list: Callable[[], bool]
+
+    def is_removal_believed(self) -> bool:
+        """Returns whether an instance has ended if its entry is gone."""
+        return self.sound_for() >= self.trust_after()
+
+
+class RowIntake:
+    """Records rows, and logs what changes by them; rows that cannot be read change nothing."""
+
     def __init__(
         self,
         readers: RowReaders,
         blackboard: Blackboard,
-        clock: Clock,
-        log: EventLog,
-        store_sound_for: Callable[[], float],
-        trust_after: Callable[[], float],
-        had_whole_list: Callable[[], bool] = lambda: False,
+        instruments: Instruments,
+        trust: InstanceTrust,
     ) -> None:
         self._readers = readers
         self._configuration = blackboard.configuration
         self._targets = blackboard.targets
         self._directory = blackboard.directory
         self._evacuations = blackboard.evacuations
-        self._clock = clock
-        self._log = log
-        self._store_sound_for = store_sound_for
-        self._trust_after = trust_after
-        self._had_whole_list = had_whole_list
+        self._clock = instruments.clock
+        self._log = instruments.log
+        self._trust = trust
         self._cold = blackboard.cold
 
     async def drop_lapsed(self) -> None:
         """Gives up instances whose entries lapsed while the store was away and are not back."""
-        if self._store_sound_for() < LAPSED_SECONDS:
+        if self._trust.sound_for() < LAPSED_SECONDS:
             return
         for instance in self._directory.drop_unlisted():
             self._log.record(Event.INSTANCE, instance=instance, state="gone", sound=True)
 
-    def take_operator_row(self, row: Row) -> None:
-        """Takes a row with a configuration, a named weight version or an evacuated zone.
+    def record_operator_row(self, row: Row) -> None:
+        """Records a row with a configuration, a named weight version or an evacuated zone.
 
         Rows that are gone change nothing but evacuations, which end by it.
         """
@@ -95,9 +107,9 @@
         if target is not None and self._targets.update(target, self._clock.now()):
             self._log.record(Event.WEIGHT_TARGET, model=target.model, version=target.version)
         if evacuation is not None:
-            self._take_evacuation(evacuation)
+            self._record_evacuation(evacuation)
 
-    def _take_evacuation(self, evacuation: ZoneEvacuation) -> None:
+    def _record_evacuation(self, evacuation: ZoneEvacuation) -> None:
         now = self._clock.now()
         if not self._evacuations.update(evacuation, now):
             return
@@ -108,11 +120,11 @@
         state = "begun" if evacuation.is_on else "ended"
         self._log.record(Event.EVACUATION, zone=evacuation.zone, state=state, instances=instances)
 
-    def take_instance_row(self, row: Row) -> None:
-        """Takes an instance's entry, or the news that it is gone."""
+    def record_instance_row(self, row: Row) -> None:
+        """Records an instance's entry, or that it is gone."""
         instance = InstanceId(row.key.key)
         if row.removed:
-            sound = self._store_sound_for() >= self._trust_after()
+            sound = self._trust.is_removal_believed()
             self._directory.remove(instance, sound=sound)
             self._log.record(Event.INSTANCE, instance=instance, state="gone", sound=sound)
             return
@@ -123,14 +135,14 @@
             return
         known = self._directory.get(instance)
         self._directory.update(info)
-        self._record_cold(info, is_new=known is None and self._had_whole_list())
+        self._record_cold(info, is_new=known is None and self._trust.had_whole_list())
         if known is None or known.state != info.state:
             self._log.record(
                 Event.INSTANCE, instance=instance, state=info.state, service=info.service
             )
 
     def _record_cold(self, info: InstanceInfo, *, is_new: bool) -> None:
-        """Takes how long an instance stays cold; one that has just started may not say it yet."""
+        """Records how long an instance stays cold; one that just started may not say it yet."""
         left = info.cold_left
         if is_new and left != 0.0:
             service = self._configuration.service(info.service)
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -1,13 +1,13 @@
 """One daemon on the platform: its groups of parts, and its start and planned stop.
 
-blackboard       what it believes of the world; feeds write them, everything else reads
-feeds         the tables that it follows
-placement     whether work may go to an instance, and which instance is best
-fleet         which daemons are alive, and what the time is
-quarantine    which requests crash servers; the way to servers for all others
-proxy         client requests
-rollouts      batches
-duties        what one daemon at a time does
+blackboard            what it knows of the world; controllers write it, everything else reads it
+placement             whether work may go to an instance, and which instance is best
+membership            which daemons are alive, and what the time is
+quarantine            which requests crash servers; the way to servers for all others
+proxy                 client requests
+rollouts              batches
+feeds                 the tables that it follows
+leased controllers    what one daemon at a time does
 """
 
 import asyncio
@@ -15,27 +15,26 @@
 from larkpost.common.tasks import TaskSet
 from larkpost.common.telemetry import Telemetry
 from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
+from larkpost.gateway.assembly.gauges import Gauges
 from larkpost.gateway.assembly.leased_controllers import ControllerInputs, LeasedControllers
 from larkpost.gateway.assembly.loop_watch import LoopWatch
 from larkpost.gateway.blackboard.board import Blackboard
-from larkpost.gateway.blackboard.configuration import Route
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
-from larkpost.gateway.blackboard.tenants import TenantName
+from larkpost.gateway.blackboard.weight_targets import Demands
 from larkpost.gateway.controllers.division import EngineDivision
-from larkpost.gateway.controllers.feeds import Feeds, HeadListener
+from larkpost.gateway.controllers.feeds import BatchListener, Feeds, FeedSource
 from larkpost.gateway.controllers.heartbeat import new_incarnation
 from larkpost.gateway.controllers.heartbeat_writer import OwnDaemon
 from larkpost.gateway.controllers.members import Membership
-from larkpost.gateway.controllers.true_time import TrueTime
+from larkpost.gateway.controllers.true_time import ClockOffset, TrueTime
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
-from larkpost.gateway.observability.metrics import Level
 from larkpost.gateway.placement.cold import LOOK_SECONDS, ColdRule
 from larkpost.gateway.placement.cold_senders import ColdSenders
 from larkpost.gateway.placement.evacuated import EvacuatedRule
 from larkpost.gateway.placement.homes import HomeRule
 from larkpost.gateway.placement.rules import Placement
-from larkpost.gateway.planned_stop import PlannedStop
+from larkpost.gateway.planned_stop import PlannedStop, StopSteps
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.forwarder import Forwarder
@@ -55,11 +54,22 @@
 from larkpost.gateway.usage.counter import UsageCounter
 
 READINESS_INTERVAL_SECONDS = 0.05
+"""Seconds between two checks whether enough is known to take clients. Not measured."""
 BATCH_RETENTION_SLACK_SECONDS = 60.0
+"""Seconds for which a batch is kept beyond the time for which it must be readable: clocks and
+readers may be late. Not measured."""
 
 
 class Gateway:
-    """One daemon."""
+    """One daemon.
+
+    Its parts are made in the order in which they depend on each other. Two dependencies are real
+    cycles, and are closed by methods that are called only once all parts stand: the keeper of
+    batches relies on the membership and on the division of engines, which ask it in turn which
+    batches this daemon owns (`_is_owner`) and what the open ones demand (`_demands`); and the
+    senders of work to cold instances follow the batches that are placed by their rule
+    (`ColdSenders.follow`).
+    """
 
     def __init__(self, settings: GatewaySettings, ports: GatewayPorts) -> None:
         self.settings = settings
@@ -67,44 +77,23 @@
         self._ports = ports
         self._clock = ports.clock
         self._log = ports.log
+        self._instruments = Instruments(ports.clock, ports.log, ports.metrics)
         self._tasks = TaskSet(ports.clock, Telemetry(settings.machine, log=False))
         self._loop_watch = LoopWatch(ports.clock, ports.log)
         self.lifecycle = Lifecycle()
-        self._make_blackboard()
-        self._make_placement()
-        self._make_fleet()
-        self._make_quarantine()
-        counter = self._make_counter()
-        self._make_proxy(counter)
-        self._make_rollouts()
-        self.leased_controllers = LeasedControllers(
-            settings,
-            ports,
-            ControllerInputs(
-                self.blackboard,
-                self._division,
-                self.membership,
-                self.balancer,
-                self.keeper,
-                self._feeds,
-                self.true_time,
-                counter,
-            ),
-        )
-
-    def _make_blackboard(self) -> None:
-        self.blackboard = Blackboard(self.settings.regions)
+        self.blackboard = Blackboard(settings.regions)
         self.configuration = self.blackboard.configuration
         self.directory = self.blackboard.directory
         self.targets = self.blackboard.targets
-        heads = HeadListener(lambda row: self.keeper.take_head(row), self._is_active)
-        self._feeds = Feeds(
-            self.settings,
-            self._ports,
-            self.blackboard,
-            heads,
-            lambda row: self._crash_recorder.take_row(row),
-        )
+        self._make_placement()
+        self._make_membership()
+        self._make_quarantine()
+        self._make_forwarder()
+        self._make_rollouts()
+        self._make_feeds()
+        self._make_admission()
+        self._make_leased_controllers()
+        self._make_gauges()
 
     def _make_placement(self) -> None:
         ports = self._ports
@@ -130,25 +119,23 @@
             self.blackboard.regions,
         )
 
-    def _make_fleet(self) -> None:
-        ports = self._ports
-        self.true_time = TrueTime(
-            ports.clock, ports.store.time, lambda: self.membership.clock_offsets()
-        )
+    def _make_membership(self) -> None:
+        store = self._ports.store
         own = OwnDaemon(
             self.id,
             self.balancer.summary,
-            lambda: self.keeper.is_owner(),
-            self.true_time.own_offset,
+            self._is_owner,
+            ClockOffset(self._clock, store.time).now,
             self.settings.peer_address,
         )
         self.membership = Membership(
             own,
-            ports.store,
-            Instruments(ports.clock, ports.log, ports.metrics),
+            store,
+            self._instruments,
             self.blackboard.regions,
             self.balancer.take_summary,
         )
+        self.true_time = TrueTime(self._clock, store.time, self.membership.clock_offsets)
 
     def _make_quarantine(self) -> None:
         ports = self._ports
@@ -158,7 +145,7 @@
             ports.clock,
             ports.log,
             ports.metrics,
-            lambda: self.membership.first_choice("crashes") == self.id,
+            self._may_forget_crashes,
         )
         watch = CrashWatch(
             self.directory,
@@ -171,13 +158,11 @@
             ports.servers, self.blackboard.crashes, watch, self._crash_recorder, self._apart
         )
 
-    def _make_counter(self) -> UsageCounter | None:
-        if self._ports.usage is None or self.settings.usage is None:
-            return None
-        return UsageCounter(self.true_time, self.settings.usage.window_length)
-
-    def _make_proxy(self, counter: UsageCounter | None) -> None:
+    def _make_forwarder(self) -> None:
         ports = self._ports
+        self._counter: UsageCounter | None = None
+        if ports.usage is not None and self.settings.usage is not None:
+            self._counter = UsageCounter(self.true_time, self.settings.usage.window_length)
         self.forwarder = Forwarder(
             self.directory,
             self.balancer,
@@ -186,22 +171,15 @@
             ports.log,
             ports.metrics,
             ShareChooser(ports.chance),
-            counter,
-            self._priority_of,
+            self._counter,
+            self.configuration.priority_of,
             self.blackboard.crashes,
             Trials(self.blackboard.crashes, CrashRepository(ports.store), ports.clock, ports.log),
         )
-        self.admission = Admission(
-            self.configuration,
-            self._feeds.operator_age,
-            lambda: self.settings.apply_time,
-            ports.log,
-            ports.metrics,
-        )
 
     def _make_rollouts(self) -> None:
         ports = self._ports
-        self._division = EngineDivision(self.blackboard, ports.clock, lambda: self.keeper.demands())
+        self._division = EngineDivision(self.blackboard, ports.clock, self._demands)
         services = RunServices(
             self.configuration,
             self.directory,
@@ -220,15 +198,59 @@
         repository = BatchRepository(ports.store, ports.clock)
         views = ViewCache()
         self.keeper = BatchKeeper(
-            repository,
-            self.membership,
-            services,
-            views,
-            lambda: self.settings.batch_lifetime + BATCH_RETENTION_SLACK_SECONDS,
+            repository, self.membership, services, views, self._batch_retention
         )
         self.batches = BatchService(self.id, repository, self.keeper, views, services)
+
+    def _make_feeds(self) -> None:
+        ports = self._ports
+        self._feeds = Feeds(
+            FeedSource(ports.store, ports.readers, self._contact_time),
+            self.blackboard,
+            self._instruments,
+            BatchListener(self.keeper.take_head, self._crash_recorder.take_row, self._is_active),
+        )
         self._cold_senders.follow(self.keeper.open_owners, self.membership, self._feeds.heads)
 
+    def _make_admission(self) -> None:
+        self.admission = Admission(
+            self.configuration,
+            self._feeds.operator_age,
+            self._apply_time,
+            self._ports.log,
+            self._ports.metrics,
+        )
+
+    def _make_leased_controllers(self) -> None:
+        self.leased_controllers = LeasedControllers(
+            self.settings,
+            self._ports,
+            ControllerInputs(
+                self.blackboard,
+                self._division,
+                self.membership,
+                self.balancer,
+                self.keeper,
+                self._feeds,
+                self.true_time,
+                self._counter,
+            ),
+        )
+
+    def _make_gauges(self) -> None:
+        self._gauges = Gauges(
+            self._ports.metrics,
+            self.lifecycle,
+            self.blackboard,
+            self._feeds,
+            self.membership,
+            self.balancer,
+            self.cold,
+            self.keeper,
+            self._loop_watch,
+            self._ports.relay,
+        )
+
     def start(self) -> None:
         """Starts all background work."""
         self._log.record(Event.START, id=self.id)
@@ -245,16 +267,12 @@
         self._loop_watch.start(self._tasks)
 
     async def drain(self) -> None:
-        """Stops as planned: hands its work over and waits for the answers under way."""
-        steps = (("leave", self.membership.leave), ("hand_over", self.keeper.hand_over))
-        stop = PlannedStop(
-            self.lifecycle,
-            self._clock,
-            self._log,
-            steps,
-            self.leased_controllers.save_last,
-            lambda: self.settings.grace_time,
+        """Stops as planned: hands its work over and waits for the responses under way."""
+        steps = StopSteps(
+            at_once=(("leave", self.membership.leave), ("hand_over", self.keeper.hand_over)),
+            at_end=self.leased_controllers.save_last,
         )
+        stop = PlannedStop(self.lifecycle, self._instruments, steps, self.settings.grace_time)
         await stop.run()
 
     def stop(self) -> None:
@@ -263,38 +281,8 @@
 
     def read_metrics(self) -> bytes:
         """Returns all metrics as text, the gauges as of now."""
-        metrics = self._ports.metrics
-        self._set_blackboard()
-        metrics.set(Level.MEMBERS, len(list(self.membership.alive())))
-        metrics.set(Level.COORDINATOR, int(self.membership.is_coordinator()))
-        metrics.set(Level.OPEN_REQUESTS, self.lifecycle.open_requests)
-        metrics.set(Level.READY, int(self.lifecycle.ready))
-        owned = self.keeper.owned()
-        metrics.set(Level.BATCHES_OWNED, len(owned))
-        metrics.set(Level.ITEMS_RUNNING, sum(batch.running for batch in owned))
-        metrics.set(Level.REWARDS_WAITING, sum(batch.unscored for batch in owned))
-        metrics.set(Level.RESULTS_WAITING, sum(batch.waiting for batch in owned))
-        metrics.set(Level.LOOP_LAG, self._loop_watch.take_largest())
-        relay = self._ports.relay
-        metrics.set(Level.STORE_RELAYED, int(relay is not None and relay.is_relayed))
-        return metrics.text()
-
-    def _set_blackboard(self) -> None:
-        """Sets the gauges of what this daemon believes."""
-        metrics = self._ports.metrics
-        current = self.configuration.current
-        metrics.set(Level.CONFIGURATION_VERSION, current.version if current is not None else 0)
-        for name, age in self._feeds.ages().items():
-            metrics.set(Level.FEED_AGE, age, name)
-        for state, count in self.directory.counts().items():
-            metrics.set(Level.INSTANCES, count, state)
-        metrics.set(Level.INSTANCES_COLD, self.cold.count_cold())
-        metrics.set(Level.QUARANTINED, self.blackboard.crashes.held())
-        metrics.set(Level.CRASHES_KNOWN, len(self.blackboard.crashes))
-        zones = self.blackboard.evacuations.zones()
-        metrics.replace(Level.EVACUATED, dict.fromkeys(zones, 1))
-        in_zones = {zone: self.balancer.outstanding_in(zone) for zone in zones}
-        metrics.replace(Level.EVACUATED_REQUESTS, in_zones)
+        self._gauges.update()
+        return self._ports.metrics.text()
 
     async def _become_ready(self) -> None:
         """Waits until enough is known to take clients."""
@@ -303,16 +291,34 @@
         self.lifecycle.informed = True
         self._log.record(Event.READY, instances=len(self.directory))
 
-    def _priority_of(self, tenant: TenantName | None, route: Route) -> int:
-        """Returns how urgent a client's request is by the configuration in force."""
-        current = self.configuration.current
-        return current.priority_of(tenant, route) if current is not None else route.priority
-
     def _is_confined(self, table: str) -> bool:
-        """Tells whether rows of a table hold bodies that may be bound to this daemon's region."""
+        """Returns whether rows of a table hold bodies that may be bound to this daemon's region."""
         current = self.configuration.current
         return table == ITEM_TABLE and current is not None and current.has_homes
 
     def _is_active(self) -> bool:
-        """Tells whether this daemon has to act on news of batches at once."""
+        """Returns whether this daemon has to act on news of batches at once."""
         return self.membership.is_coordinator() or bool(self.keeper.owned())
+
+    def _is_owner(self) -> bool:
+        """Returns whether this daemon owns batches that are not ended."""
+        return self.keeper.is_owner()
+
+    def _demands(self) -> Demands:
+        """Returns what the batches of each model ask for."""
+        return self.keeper.demands()
+
+    def _may_forget_crashes(self) -> bool:
+        """Returns whether this daemon is the one that removes old crashes."""
+        return self.membership.first_choice("crashes") == self.id
+
+    # Settings change while the daemon runs, so these are read at each use; durations in seconds.
+
+    def _contact_time(self) -> float:
+        return self.settings.contact_time
+
+    def _apply_time(self) -> float:
+        return self.settings.apply_time
+
+    def _batch_retention(self) -> float:
+        return self.settings.batch_lifetime + BATCH_RETENTION_SLACK_SECONDS
--- a/src/larkpost/gateway/planned_stop.py
+++ b/src/larkpost/gateway/planned_stop.py
@@ -1,64 +1,74 @@
 """A daemon's planned stop: it hands its work over and ends before it is killed.
 
 Each step has a time limit, so that a store or a caller that is silent delays none of the others:
-the platform kills a process that is still there after its grace time, and a kill cuts answers.
+the platform kills a process that is still there after its grace time, and a kill cuts responses.
 """
 
 import asyncio
 from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
 
-from larkpost.common.clock import Clock
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
-from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.observability.eventlog import Event
+from larkpost.gateway.observability.instruments import Instruments
 
 LEAVE_SECONDS = 2.6
-"""From the request to stop until no new connections are expected: readiness is asked for each
-second, and two answers must be missed."""
+"""Seconds from the request to stop until no new connections are expected: readiness is asked for
+each second, and two responses must be missed."""
 KILL_MARGIN_SECONDS = 1.8
-"""What is left of the grace time once no more answers are waited for: for the last counts of usage
-(0.8 s at most), the listeners (0.4 s at most), and a machine that is slow."""
+"""Seconds that are left of the grace time once no more responses are waited for: for the last
+counts of usage (0.8 s at most), the listeners (0.4 s at most), and a machine that is slow."""
 HAND_OVER_SHARE = 0.6
 """Share of the grace time, less the margin, within which batches are handed over; those that are
-not are claimed by others once this daemon is held dead."""
-LOOK_SECONDS = 0.05
+not are claimed by others once this daemon is considered dead. Not measured."""
+POLL_SECONDS = 0.05
+"""Seconds between two checks for responses under way. Not measured."""
 
 Step = Callable[[], Awaitable[None]]
 
 
+@dataclass(frozen=True, slots=True)
+class StopSteps:
+    """What a planned stop does.
+
+    Attributes:
+        at_once: what is done first and in this order, by name: leave the fleet, hand over.
+        at_end: what is done once all responses are given.
+    """
+
+    at_once: tuple[tuple[str, Step], ...]
+    at_end: Step
+
+
 class PlannedStop:
     """The planned stop of one daemon.
 
     Args:
-        steps: what is done at once and in this order, by name: leave the fleet, hand over.
-        save_last: what is done once all answers are given.
-        grace_time: returns the seconds from the request to stop to the kill.
+        grace_time: seconds from the request to stop to the kill.
     """
 
     def __init__(
         self,
         lifecycle: Lifecycle,
-        clock: Clock,
-        log: EventLog,
-        steps: tuple[tuple[str, Step], ...],
-        save_last: Step,
-        grace_time: Callable[[], float],
+        instruments: Instruments,
+        steps: StopSteps,
+        grace_time: float,
     ) -> None:
         self._lifecycle = lifecycle
-        self._clock = clock
-        self._log = log
+        self._clock = instruments.clock
+        self._log = instruments.log
         self._steps = steps
-        self._save_last = save_last
         self._grace_time = grace_time
 
     async def run(self) -> None:
-        """Stops taking clients, hands over, and waits for the answers under way."""
+        """Stops taking clients, hands over, and waits for the responses under way."""
         began = self._clock.now()
         self._lifecycle.stopping = True
         self._log.record(Event.STOPPING, open_requests=self._lifecycle.open_requests)
-        latest = began + max(LOOK_SECONDS, self._grace_time() - KILL_MARGIN_SECONDS)
+        latest = began + max(POLL_SECONDS, self._grace_time - KILL_MARGIN_SECONDS)
         await self._hand_over(began + (latest - began) * HAND_OVER_SHARE)
-        await self._wait_for_answers(began + LEAVE_SECONDS, latest)
-        await self._save_last()
+        await self._wait_for_responses(began + LEAVE_SECONDS, latest)
+        await self._steps.at_end()
         self._log.record(
             Event.STOP,
             open_requests=self._lifecycle.open_requests,
@@ -67,15 +77,15 @@
 
     async def _hand_over(self, latest: float) -> None:
         """Takes the steps; what is not done in time is left."""
-        for name, step in self._steps:
+        for name, step in self._steps.at_once:
             try:
                 async with asyncio.timeout(max(0.0, latest - self._clock.now())):
                     await step()
             except TimeoutError:
                 self._log.record(Event.STOP_STEP_LEFT, step=name)
 
-    async def _wait_for_answers(self, earliest: float, latest: float) -> None:
+    async def _wait_for_responses(self, earliest: float, latest: float) -> None:
         while self._clock.now() < latest:
             if self._clock.now() >= earliest and self._lifecycle.open_requests == 0:
                 return
-            await self._clock.sleep(LOOK_SECONDS)
+            await self._clock.sleep(POLL_SECONDS)
--- a/src/larkpost/gateway/store/follower.py
+++ b/src/larkpost/gateway/store/follower.py
@@ -6,10 +6,11 @@
 """
 
 from collections.abc import Callable
+from dataclasses import dataclass
 
-from larkpost.common.clock import Clock
 from larkpost.common.tasks import TaskSet
-from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.observability.eventlog import Event
+from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.store.port import (
     HistoryLostError,
     Row,
@@ -20,46 +21,63 @@
 )
 
 FEED_WAIT_SECONDS = 1.0
+"""Seconds for which a call of the feed may wait for a change. Not measured."""
 FEED_GAP_SECONDS = 0.05
+"""Seconds between two calls of the feed, so that changes are grouped. Not measured."""
 RETRY_SECONDS = 0.15
+"""Seconds after a call that failed before the next one. Not measured."""
 RELIST_SECONDS = 0.5
-"""After a listing in which some parts could not be read, before the next one."""
+"""Seconds after a listing in which some parts could not be read before the next. Not measured."""
+
+
+@dataclass(frozen=True, slots=True)
+class TableParts:
+    """What is followed.
+
+    Attributes:
+        parts: the parts to list; the feed covers all of them.
+    """
+
+    table: str
+    parts: tuple[str, ...] = ("",)
+
+
+@dataclass(frozen=True, slots=True)
+class Relisting:
+    """How often a table is listed again.
+
+    Attributes:
+        interval: seconds between two listings.
+        factor: returns by how much the interval is longer at the moment; read at each step.
+    """
+
+    interval: float
+    factor: Callable[[], int] = lambda: 1
 
 
 class TableFollower:
     """A copy of the rows of some parts of one table.
 
     Args:
-        parts: the parts to list; the feed covers all of them.
         listener: called with each row that is new or gone, in the order learned.
-        relist_interval: seconds between two listings.
-        idle_factor: by how much the interval is longer at the moment; read at each step.
-        feed_gap: seconds to wait between two answers of the feed, so that changes are grouped.
     """
 
     def __init__(
         self,
         store: Store,
-        clock: Clock,
-        table: str,
-        parts: tuple[str, ...],
+        parts: TableParts,
         listener: Callable[[Row], None],
-        log: EventLog,
-        *,
-        relist_interval: float,
-        idle_factor: Callable[[], int] = lambda: 1,
-        feed_gap: float = FEED_GAP_SECONDS,
+        instruments: Instruments,
+        relisting: Relisting,
     ) -> None:
         self._store = store
-        self._clock = clock
-        self._table = table
-        self._parts = parts
+        self._table = parts.table
+        self._parts = parts.parts
         self._listener = listener
-        self._log = log
+        self._clock = instruments.clock
+        self._log = instruments.log
+        self._relisting = relisting
         self._following = True
-        self._relist_interval = relist_interval
-        self._idle_factor = idle_factor
-        self._feed_gap = feed_gap
         self._position = 0
         self._newest_seen = 0
         self._list_began = float("-inf")
@@ -94,18 +112,18 @@
         while True:
             try:
                 await self._step()
-                self._note(following=True)
+                self._log_change(following=True)
             except HistoryLostError:
                 self._list_began = float("-inf")
                 self._position = 0
                 self._log.record(Event.STORE, table=self._table, state="history_lost")
             except StoreUnavailableError as error:
                 self.failed_at = self._clock.now()
-                self._note(following=False, reason=error.message)
+                self._log_change(following=False, reason=error.message)
                 await self._clock.sleep(RETRY_SECONDS)
 
-    def _note(self, *, following: bool, reason: str = "") -> None:
-        """Notes that the table is lost or regained."""
+    def _log_change(self, *, following: bool, reason: str = "") -> None:
+        """Logs that the table is lost or regained."""
         if following == self._following:
             return
         self._following = following
@@ -115,21 +133,21 @@
 
     async def _step(self) -> None:
         started = self._clock.now()
-        if started - self._list_began >= self._list_again_after * self._idle_factor():
+        if started - self._list_began >= self._list_again_after * self._relisting.factor():
             whole = await self._list()
             self._listed_whole = self._listed_whole or whole
             self._list_began = started
-            self._list_again_after = self._relist_interval if whole else RELIST_SECONDS
+            self._list_again_after = self._relisting.interval if whole else RELIST_SECONDS
         page = await self._store.changes(self._table, self._position, FEED_WAIT_SECONDS)
         for row in page.rows:
-            self._take(row)
+            self._apply(row)
         self._position = max(self._position, page.version)
         self._newest_seen = max(self._newest_seen, page.version)
         self.confirmed_at = started
-        await self._clock.sleep(self._feed_gap)
+        await self._clock.sleep(FEED_GAP_SECONDS)
 
     async def _list(self) -> bool:
-        """Reads all parts, and tells whether all of them could be read.
+        """Reads all parts, and returns whether all of them could be read.
 
         Parts of the store may be down alone: the others are read, and the feed is followed.
 
@@ -155,24 +173,25 @@
         """Reads one part and returns the store's version at that moment.
 
         Raises:
-            StoreUnavailableError: no answer, or one older than what is known already.
+            StoreUnavailableError: no response, or one older than what is known already.
         """
         page = await read_all(self._store, self._table, part)
         if page.version < self._newest_seen:
             raise StoreUnavailableError(f"the listing of {self._table} is out of date")
         found = {row.key for row in page.rows}
         for row in page.rows:
-            self._take(row)
+            self._apply(row)
         gone = [
             row
             for key, row in self.rows.items()
             if key.part == part and key not in found and row.version <= page.version
         ]
         for row in gone:
-            self._take(Row(row.key, b"", page.version, removed=True))
+            self._apply(Row(row.key, b"", page.version, removed=True))
         return page.version
 
-    def _take(self, row: Row) -> None:
+    def _apply(self, row: Row) -> None:
+        """Stores a row unless it is older than the copy's, and calls the listener."""
         known = self.rows.get(row.key)
         if known is not None and row.version <= known.version and not row.removed:
             return
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -129,7 +129,7 @@
             self.rows[row.key] = row
         self._listener(row)
 
-    return mock.patch.object(TableFollower, "_take", take)
+    return mock.patch.object(TableFollower, "_apply", take)
 
 
 def own_without_awaited_heartbeats():
@@ -397,13 +397,13 @@
     """Passes rows over that are gone, as those of configurations are."""
     from larkpost.gateway.controllers.row_intake import RowIntake
 
-    original = RowIntake.take_operator_row
+    original = RowIntake.record_operator_row
 
-    def take_operator_row(self, row):
+    def record_operator_row(self, row):
         if not row.removed:
             original(self, row)
 
-    return mock.patch.object(RowIntake, "take_operator_row", take_operator_row)
+    return mock.patch.object(RowIntake, "record_operator_row", record_operator_row)
 
 
 def trust_silent_connections():
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -11,8 +11,9 @@
 from larkpost.common.ids import ZoneId
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.cold_instances import ColdInstances, ColdTerms
-from larkpost.gateway.controllers.row_intake import RowIntake
+from larkpost.gateway.controllers.row_intake import InstanceTrust, RowIntake
 from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.placement.cold import (
     SEND_WITHIN_SECONDS,
     WINDOW_SECONDS,
@@ -271,11 +272,8 @@
             self.intake = RowIntake(
                 readers,
                 self.blackboard,
-                self.clock,
-                EventLog("daemon"),
-                lambda: self.sound,
-                lambda: 3.0,
-                lambda: had_whole_list,
+                Instruments(self.clock, EventLog("daemon")),
+                InstanceTrust(lambda: self.sound, lambda: 3.0, lambda: had_whole_list),
             )
             await work()
 
@@ -284,7 +282,7 @@
     def take(self, cold_left: float | None) -> float:
         """Takes an entry of the engine, and returns for how long it counts as cold."""
         self.info = replace(INFO, cold_left=cold_left)
-        self.intake.take_instance_row(Row(RowKey("instances", "", ENGINE), b"", 1))
+        self.intake.record_instance_row(Row(RowKey("instances", "", ENGINE), b"", 1))
         return self.blackboard.cold.left(ENGINE, self.clock.now())
 
     def test_new_during_traffic_whether_its_entry_says_so_or_nothing(self) -> None:
@@ -312,7 +310,7 @@
         async def work() -> None:
             self.take(0.0)
             self.sound = 0.0
-            self.intake.take_instance_row(
+            self.intake.record_instance_row(
                 Row(RowKey("instances", "", ENGINE), b"", 2, removed=True)
             )
             self.assertEqual(0.0, self.take(None))
--- a/tests/test_store_follower.py
+++ b/tests/test_store_follower.py
@@ -7,7 +7,8 @@
 from larkpost.common.telemetry import Telemetry
 from larkpost.gateway.blackboard.configuration import Configuration, ConfigurationState
 from larkpost.gateway.observability.eventlog import EventLog
-from larkpost.gateway.store.follower import TableFollower
+from larkpost.gateway.observability.instruments import Instruments
+from larkpost.gateway.store.follower import Relisting, TableFollower, TableParts
 from larkpost.gateway.store.port import Row, RowKey, RowPage, Transaction
 from larkpost.rehearsal.memory_store import MemoryStore, StoreClient, StoreFaults
 from tests.virtual import run
@@ -43,12 +44,10 @@
         self.news: list[Row] = []
         self.follower = TableFollower(
             self.client,
-            clock,
-            TABLE,
-            ("",),
+            TableParts(TABLE),
             self.news.append,
-            EventLog("d"),
-            relist_interval=1.0,
+            Instruments(clock, EventLog("d")),
+            Relisting(1.0),
         )
         self.follower.start(TaskSet(clock, Telemetry("d", log=False)))
         return clock
@@ -112,7 +111,7 @@
             clock = self.begin()
             self.put("a", b"1")
             await clock.sleep(0.5)
-            self.follower._take(Row(key("a"), b"old", 0))
+            self.follower._apply(Row(key("a"), b"old", 0))
             self.assertEqual({"a": b"1"}, self.values())
 
         run(play())
