--- a/src/larkpost/gateway/blackboard/regions.py
+++ b/src/larkpost/gateway/blackboard/regions.py
@@ -1,19 +1,11 @@
 """Where zones lie: their regions, and how far they are from this daemon."""
 
 from collections.abc import Mapping
-from enum import IntEnum
 
+from larkpost.common.distance import Distance
 from larkpost.common.ids import RegionId, ZoneId
 
 
-class Distance(IntEnum):
-    """How far an instance or a daemon is from this daemon; less is nearer."""
-
-    SAME_ZONE = 0
-    SAME_REGION = 1
-    OTHER_REGION = 2
-
-
 class RegionMap:
     """The regions of a deployment's zones, seen from one of them.
 
@@ -44,7 +36,7 @@
         return self._regions.get(self.own_zone)
 
     def take(self, other: "RegionMap") -> None:
-        """Takes what changed settings say of zones."""
+        """Stores what changed settings say of zones."""
         self.own_zone = other.own_zone
         self._regions = other._regions
         self._own_region = other._own_region
--- a/src/larkpost/gateway/controllers/fleet_view.py
+++ b/src/larkpost/gateway/controllers/fleet_view.py
@@ -7,8 +7,9 @@
 from collections.abc import Iterable
 
 from larkpost.common.clock import Clock
+from larkpost.common.distance import Distance
 from larkpost.common.ids import Address, DaemonId, RegionId, ZoneId
-from larkpost.gateway.blackboard.regions import Distance, RegionMap
+from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.controllers.coordinators import first_choice, is_to_coordinate
 from larkpost.gateway.controllers.heartbeat import machine_of
 from larkpost.gateway.controllers.heartbeat_intervals import awaited_interval
--- /dev/null
+++ b/src/larkpost/gateway/store/peers.py
@@ -0,0 +1,136 @@
+"""Which peer makes this daemon's calls to the store while the store turns this daemon away.
+
+Owns the connections to peers, and which of them are not asked for a while. `store.relay` decides
+when a peer is needed, and says whether it helped.
+"""
+
+import random
+from collections.abc import Callable, Mapping
+from typing import Protocol
+
+from larkpost.common.clock import Clock
+from larkpost.common.distance import Distance
+from larkpost.common.ids import Address
+from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.store.port import Store
+
+PEERS_ASKED = 3
+"""Peers that are asked for one call, the last of them a far one. Not measured."""
+PEER_REST_SECONDS = 3.0
+"""Seconds for which a peer that did not respond is not asked again: it may be frozen, or cut off as
+well. Not measured."""
+NO_PEER_PAUSE_SECONDS = 0.7
+"""Seconds for which no peer is asked after none of those asked could help. Not measured."""
+
+PeerDistances = Mapping[Address, Distance]
+"""Where peers make calls for others, and how far each is."""
+
+
+class PeerStore(Store, Protocol):
+    """The store as a peer reaches it."""
+
+    async def close(self) -> None:
+        """Closes all connections to the peer."""
+
+
+class Peers:
+    """The peers of one daemon, at most one of which makes its calls.
+
+    Args:
+        connect: returns the store by way of the peer at an address.
+    """
+
+    def __init__(
+        self,
+        connect: Callable[[Address], PeerStore],
+        clock: Clock,
+        log: EventLog,
+        chance: random.Random,
+    ) -> None:
+        self.current: PeerStore | None = None
+        self._connect = connect
+        self._clock = clock
+        self._log = log
+        self._chance = chance
+        self._distances: Callable[[], PeerDistances] = dict
+        self._connected: dict[Address, PeerStore] = {}
+        self._current_distance = Distance.SAME_ZONE
+        self._silent_at: dict[Address, float] = {}
+        self._none_until = float("-inf")
+
+    def follow(self, distances: Callable[[], PeerDistances]) -> None:
+        """Sets who is asked where the other daemons are that are considered alive."""
+        self._distances = distances
+
+    def find(self, tried: int, *, confined: bool) -> PeerStore | None:
+        """Returns the peer that makes this daemon's calls, a new one if there is none.
+
+        Args:
+            tried: peers that were asked in vain for this call.
+            confined: whether the peer must be in this daemon's region.
+        """
+        if self.current is not None and may_ask(self._current_distance, confined=confined):
+            return self.current
+        usable = self._usable(confined=confined)
+        if not usable or self._clock.now() < self._none_until:
+            return None
+        self._current_distance = distance_to_ask(usable, tried)
+        address = self._chance.choice(
+            [name for name, distance in usable.items() if distance is self._current_distance]
+        )
+        if address not in self._connected:
+            self._connected[address] = self._connect(address)
+        self.current = self._connected[address]
+        self._log.record(Event.STORE_RELAY, peer=address, state="relayed")
+        return self.current
+
+    def drop(self, peer: PeerStore, *, silent: bool = False) -> None:
+        """Drops a peer that did not help; a silent one is not asked again for a while."""
+        if silent:
+            address = next(name for name, known in self._connected.items() if known is peer)
+            self._silent_at[address] = self._clock.now()
+        if self.current is peer:
+            self.current = None
+
+    def pause(self) -> None:
+        """Asks no peer for a while: none of those asked reaches the store."""
+        self._none_until = self._clock.now() + NO_PEER_PAUSE_SECONDS
+        self._log.record(Event.STORE_RELAY, state="no_peer")
+
+    async def close(self) -> None:
+        """Closes the connections to all peers."""
+        for peer in self._connected.values():
+            await peer.close()
+        self._connected.clear()
+
+    def _usable(self, *, confined: bool) -> dict[Address, Distance]:
+        """Returns the peers that may be asked now."""
+        now = self._clock.now()
+        return {
+            address: distance
+            for address, distance in self._distances().items()
+            if now - self._silent_at.get(address, float("-inf")) >= PEER_REST_SECONDS
+            and may_ask(distance, confined=confined)
+        }
+
+
+def may_ask(distance: Distance, *, confined: bool) -> bool:
+    """Returns whether a peer so far away may make a call.
+
+    Args:
+        confined: whether the call's content must not leave this daemon's region.
+    """
+    return not (confined and distance is Distance.OTHER_REGION)
+
+
+def distance_to_ask(usable: PeerDistances, tried: int) -> Distance:
+    """Returns how far the next peer is to be: near ones first, the last one as far as there are.
+
+    Whatever cuts this daemon off may cut its whole region off.
+
+    Args:
+        usable: the peers that may be asked; at least one.
+        tried: peers that were asked in vain for the same call.
+    """
+    is_last = tried == PEERS_ASKED - 1
+    return max(usable.values()) if is_last else min(usable.values())
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -248,9 +248,9 @@
 
 def ask_silent_peers_again():
     """Asks a peer that did not answer again at once."""
-    from larkpost.gateway.store import relay
+    from larkpost.gateway.store import peers
 
-    return mock.patch.object(relay, "PEER_REST_SECONDS", 0.0)
+    return mock.patch.object(peers, "PEER_REST_SECONDS", 0.0)
 
 
 def keep_connections_of_nameless_refusals():
--- a/tests/test_nearness.py
+++ b/tests/test_nearness.py
@@ -4,6 +4,7 @@
 import unittest
 
 from larkpost.common.clock import LoopClock
+from larkpost.common.distance import Distance
 from larkpost.common.ids import Address, InstanceId, RegionId, ZoneId
 from larkpost.common.tasks import TaskSet
 from larkpost.common.telemetry import Telemetry
@@ -13,7 +14,7 @@
     ServiceShare,
 )
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
-from larkpost.gateway.blackboard.regions import Distance, RegionMap
+from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.placement.homes import HomeRule
@@ -23,8 +24,9 @@
 from larkpost.gateway.proxy.request import ClientRequest, RefusedError
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.rollouts.repository import ITEM_TABLE
+from larkpost.gateway.store.peers import PEERS_ASKED
 from larkpost.gateway.store.port import RowKey, StoreUnavailableError, Transaction, WriteOutcome
-from larkpost.gateway.store.relay import PEERS_ASKED, RelayedStore
+from larkpost.gateway.store.relay import RelayedStore
 from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
 from larkpost.rehearsal.scripted_engines import EngineState, ScriptedEngines
 from tests.platform_fleet import (
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -5,6 +5,7 @@
 
 import orjson
 
+from larkpost.common.distance import Distance
 from larkpost.common.ids import ZoneId
 from larkpost.gateway.blackboard.configuration import (
     Configuration,
@@ -13,7 +14,7 @@
     RouteKind,
     ServiceShare,
 )
-from larkpost.gateway.blackboard.regions import Distance, RegionMap
+from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.blackboard.tenants import Tenant, TenantName
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
 from larkpost.gateway.controllers.heartbeat_intervals import DEAD_AFTER_SECONDS
--- a/tests/test_store_relay.py
+++ b/tests/test_store_relay.py
@@ -6,12 +6,18 @@
 import aiohttp
 
 from larkpost.common.clock import LoopClock
+from larkpost.common.distance import Distance
 from larkpost.common.http_server import HttpServer
 from larkpost.common.ids import Address
 from larkpost.common.tasks import TaskSet
 from larkpost.common.telemetry import Telemetry
-from larkpost.gateway.blackboard.regions import Distance
 from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.store.peers import (
+    NO_PEER_PAUSE_SECONDS,
+    PEERS_ASKED,
+    distance_to_ask,
+    may_ask,
+)
 from larkpost.gateway.store.port import (
     HistoryLostError,
     RowKey,
@@ -19,12 +25,7 @@
     Transaction,
     WriteOutcome,
 )
-from larkpost.gateway.store.relay import (
-    MOST_PEER_SECONDS,
-    NO_PEER_PAUSE_SECONDS,
-    PEERS_ASKED,
-    RelayedStore,
-)
+from larkpost.gateway.store.relay import MOST_PEER_SECONDS, RelayedStore
 from larkpost.platform import names
 from larkpost.platform.peer_store import PeerStoreApp
 from larkpost.platform.stand_in.store_app import StoreApp
@@ -39,6 +40,31 @@
 PEERS = [Address("peer:0"), Address("peer:1")]
 
 
+class PeerRuleTest(unittest.TestCase):
+    """Which peer is asked, case by case."""
+
+    def test_distance_to_ask(self):
+        zone, region, other = Distance
+        cases = (
+            ("nearest first", (other, zone, region), 0, zone),
+            ("nearest again", (other, zone, region), 1, zone),
+            ("the last one is far", (other, zone, region), 2, other),
+            ("the last one, none is far", (zone, region), 2, region),
+            ("all in one region", (region, region), 0, region),
+        )
+        for name, distances, tried, expected in cases:
+            with self.subTest(name):
+                usable = {Address(f"peer:{at}"): far for at, far in enumerate(distances)}
+                self.assertEqual(expected, distance_to_ask(usable, tried))
+
+    def test_only_confined_calls_stay_in_the_region(self):
+        for distance in Distance:
+            with self.subTest(distance):
+                self.assertTrue(may_ask(distance, confined=False))
+                is_near = distance is not Distance.OTHER_REGION
+                self.assertEqual(is_near, may_ask(distance, confined=True))
+
+
 class RelayTest(unittest.TestCase):
     """One daemon and two peers over a store in memory."""
 
@@ -183,7 +209,7 @@
 
     def direct_peer_first(self, address: Address) -> None:
         """Makes a peer the one that is asked whenever it may be."""
-        self.store._chance.choice = lambda found: address if address in found else found[0]
+        self.store._peers._chance.choice = lambda found: address if address in found else found[0]
 
     def test_lost_history_is_told_and_not_asked_of_a_peer(self):
         async def play():
