--- a/src/larkpost/gateway/__init__.py
+++ b/src/larkpost/gateway/__init__.py
@@ -12,10 +12,19 @@
 - `quarantine`: requests that crash their servers, and who may still send one.
 - `rollouts`: batches of items: storage, ownership, placement at engines, results, scores.
 - `blackboard`: what a daemon knows of the world; controllers write it, everything else reads it.
-- `controllers`: feeds, membership, leases, and the orders that bring weights to engines.
+- `controllers`: feeds, membership, leases, true time, and the orders of weights to engines.
 - `servers`: the port to the servers that run requests.
 - `store`: the port to the platform's store, and how its tables are followed.
 - `usage`, `scaling`: reports of what tenants used, and of how many servers the demand takes.
 - `observability`: the log and the metrics, and the commands that read the log.
 - `assembly`, `daemon`: how a daemon is put together.
+
+A folder imports nothing of those that stand after it in this order: `larkpost.common`,
+`observability`, `store`, `blackboard`, `servers`, `controllers`, `usage`, `placement`,
+`quarantine`, `proxy`, `rollouts`, `scaling`, `assembly`, `daemon`. `usage` stands above
+`controllers`, as reports are sent under leases and by true time; `proxy` needs only its counter.
+
+Exceptions: `controllers.feeds` and `quarantine.repository` know the table of batches by `rollouts`,
+`controllers.feeds` its part with crashes by `quarantine`, and `blackboard.known_crashes` the
+digests of `quarantine.content`.
 """
--- a/src/larkpost/gateway/assembly/environment.py
+++ b/src/larkpost/gateway/assembly/environment.py
@@ -23,7 +23,7 @@
 
     Attributes:
         machine: name of the machine, for logs.
-        contact_time: time without a fault after which the store's news are believed.
+        contact_time: time without a fault after which what the store says is believed.
         lease_time: time after a holder's last order before another holder may order.
         apply_time: time within which a new configuration is to be in force everywhere.
         grace_time: time between the request to stop and the kill.
--- a/src/larkpost/gateway/assembly/loop_watch.py
+++ b/src/larkpost/gateway/assembly/loop_watch.py
@@ -5,8 +5,9 @@
 from larkpost.gateway.observability.eventlog import Event, EventLog
 
 LOOP_INTERVAL_SECONDS = 0.5
+"""Seconds between two measurements. Not measured."""
 LATE_LOOP_SECONDS = 0.5
-"""A delay of the event loop that is worth a line."""
+"""Seconds of delay of the event loop from which it is logged. Not measured."""
 
 
 class LoopWatch:
--- a/src/larkpost/gateway/blackboard/board.py
+++ b/src/larkpost/gateway/blackboard/board.py
@@ -1,7 +1,7 @@
-"""What a daemon believes of the world: the blackboard that its controllers write.
+"""What a daemon knows of the world: the blackboard that its controllers write.
 
-Feeds and answers write it (`row_intake`, `directory`); forwarding, runs and orders read it. Each
-part says by itself how old its news are or which version it holds.
+Feeds and the responses of servers write it (`row_intake`, `directory`); forwarding, runs and orders
+read it. Each part says by itself how old its news are or which version it holds.
 """
 
 from dataclasses import dataclass, field
--- a/src/larkpost/gateway/blackboard/cold_instances.py
+++ b/src/larkpost/gateway/blackboard/cold_instances.py
@@ -1,4 +1,4 @@
-"""Which instances are cold: slow after their start, and overthrown by more than a few requests."""
+"""Which instances are cold: slow after their start, and overloaded by more than a few requests."""
 
 from dataclasses import dataclass
 
@@ -27,29 +27,29 @@
 class ColdInstances:
     """Until when each instance is cold, by this daemon's steady clock.
 
-    Whoever says that an instance is cold for longer is believed: its entry, its own answers, the
-    end of an evacuation. Nothing makes the time shorter, as news may overtake each other.
+    Whoever says that an instance is cold for longer is believed: its entry, its own responses,
+    the end of an evacuation. Nothing makes the time shorter, as news may overtake each other.
     """
 
     def __init__(self) -> None:
         self._until: dict[InstanceId, float] = {}
 
     def record(self, instance: InstanceId, left: float | None, now: float) -> None:
-        """Takes for how many seconds from now an instance stays cold; None tells nothing."""
+        """Records for how many seconds from now an instance stays cold; None if not known."""
         if left:
             self._until[instance] = max(now + left, self._until.get(instance, now))
 
     def record_zone_returned(
         self, zone: ZoneId, directory: Directory, configuration: ConfigurationState, now: float
     ) -> None:
-        """Takes that a zone is evacuated no longer: its instances may have become cold before."""
+        """Records that a zone's evacuation has ended: its instances may have become cold before."""
         for info in directory.all():
             service = configuration.service(info.service)
             if info.zone == zone and service is not None:
                 self.record(info.id, service.cold_start, now)
 
     def is_cold(self, instance: InstanceId, now: float) -> bool:
-        """Tells whether an instance is cold."""
+        """Returns whether an instance is cold."""
         return now < self._until.get(instance, now)
 
     def left(self, instance: InstanceId, now: float) -> float:
--- a/src/larkpost/gateway/blackboard/configuration.py
+++ b/src/larkpost/gateway/blackboard/configuration.py
@@ -126,6 +126,15 @@
         """Returns the tenant that holds a key, or None."""
         return self._tenants_by_key.get(key) if key is not None else None
 
+    def batch_routes_to(self, service: ServiceName) -> list[Route]:
+        """Returns the routes of batches that may run at a service."""
+        return [
+            route
+            for route in self.routes
+            if route.kind is RouteKind.BATCH
+            and any(share.service == service for share in route.shares)
+        ]
+
     def priority_of(self, tenant: TenantName | None, route: Route) -> int:
         """Returns a request's priority, 0 highest: its tenant's if that has one, else its route's.
 
--- a/src/larkpost/gateway/blackboard/directory.py
+++ b/src/larkpost/gateway/blackboard/directory.py
@@ -29,7 +29,8 @@
         versions: weight version of each model it holds.
         listed_version: version of the entry in the store.
         is_preemptible: whether it may be taken away at short notice.
-        cold_left: seconds, from the entry's writing, for which it stays cold; None if not told.
+        cold_left: seconds, from the entry's writing, for which it stays cold; None if not
+            known.
     """
 
     id: InstanceId
--- a/src/larkpost/gateway/blackboard/evacuations.py
+++ b/src/larkpost/gateway/blackboard/evacuations.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneEvacuation:
-    """The operator's word on one zone.
+    """What the operator says of one zone.
 
     Attributes:
         is_on: whether the zone is evacuated from now on, or no longer.
@@ -24,24 +24,24 @@
         self._since: dict[ZoneId, float] = {}
 
     def begin(self, zone: ZoneId, now: float) -> bool:
-        """Takes that a zone is evacuated, and tells whether that was news."""
+        """Records that a zone is evacuated, and returns whether that was news."""
         if zone in self._since:
             return False
         self._since[zone] = now
         return True
 
     def end(self, zone: ZoneId) -> bool:
-        """Takes that a zone is evacuated no longer, and tells whether that was news."""
+        """Records that a zone's evacuation has ended, and returns whether that was news."""
         return self._since.pop(zone, None) is not None
 
     def update(self, evacuation: ZoneEvacuation, now: float) -> bool:
-        """Takes the operator's word on a zone, and tells whether it was news."""
+        """Records what the operator says of a zone, and returns whether it was news."""
         if evacuation.is_on:
             return self.begin(evacuation.zone, now)
         return self.end(evacuation.zone)
 
     def is_evacuated(self, zone: ZoneId) -> bool:
-        """Tells whether nothing new may be sent to a zone's instances."""
+        """Returns whether nothing new may be sent to a zone's instances."""
         return zone in self._since
 
     def zones(self) -> frozenset[ZoneId]:
--- a/src/larkpost/gateway/blackboard/known_crashes.py
+++ b/src/larkpost/gateway/blackboard/known_crashes.py
@@ -49,7 +49,7 @@
         return sum(len(crashes) for crashes in self._crashes.values())
 
     def add(self, crash: Crash) -> bool:
-        """Takes a crash, and tells whether it was news."""
+        """Records a crash, and returns whether it was news."""
         crashes = self._crashes.setdefault(crash.content, {})
         is_new = crash.instance not in crashes
         crashes[crash.instance] = crash
@@ -58,7 +58,7 @@
         return is_new
 
     def remove(self, content: ContentDigest, instance: InstanceId) -> bool:
-        """Forgets one crash, and tells whether it was known."""
+        """Forgets one crash, and returns whether it was known."""
         crashes = self._crashes.get(content, {})
         was_known = crashes.pop(instance, None) is not None
         if len(crashes) < SUSPECT_CRASHES:
@@ -86,7 +86,7 @@
         return content if content in self._suspects else None
 
     def is_suspect(self, content: ContentDigest) -> bool:
-        """Tells whether servers have crashed repeatedly under a content."""
+        """Returns whether servers have crashed repeatedly under a content."""
         return content in self._suspects
 
     @property
@@ -95,7 +95,7 @@
         return bool(self._suspects)
 
     def holds(self, request: Request, limit: int) -> bool:
-        """Tells whether a request must not be sent to any server.
+        """Returns whether a request must not be sent to any server.
 
         Args:
             limit: servers that may crash under it.
@@ -104,7 +104,7 @@
         return content is not None and self.holds_content(content, limit)
 
     def holds_content(self, content: ContentDigest, limit: int) -> bool:
-        """Tells the same of a content."""
+        """Returns the same of a content."""
         return self.is_suspect(content) and self.count(content) >= limit
 
     def held(self) -> int:
--- a/src/larkpost/gateway/blackboard/tenants.py
+++ b/src/larkpost/gateway/blackboard/tenants.py
@@ -60,7 +60,7 @@
     is_restricted: bool = False
 
     def may_see(self, owner: TenantName | None) -> bool:
-        """Tells whether the caller may see what belongs to a tenant, or to none (None)."""
+        """Returns whether the caller may see what belongs to a tenant, or to none (None)."""
         return not self.is_restricted or owner is None or owner == self.tenant
 
 
--- a/src/larkpost/gateway/controllers/feeds.py
+++ b/src/larkpost/gateway/controllers/feeds.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FeedSource:
-    """Where rows come from, and when it is believed that one is gone.
+    """Where rows come from, and how long the store must be sound to be believed.
 
     Attributes:
         contact_time: returns the seconds without a fault after which the store's news are believed;
--- a/src/larkpost/gateway/controllers/heartbeat.py
+++ b/src/larkpost/gateway/controllers/heartbeat.py
@@ -8,6 +8,7 @@
 from larkpost.common.ids import Address, DaemonId, InstanceId, ZoneId
 
 INCARNATION_SEPARATOR = "/"
+"""Between a machine's name and what tells its incarnations apart; part of stored rows' keys."""
 
 UseSummary = dict[InstanceId, tuple[int, float]]
 """For each instance in use: requests there, and seconds a unit of work takes (0: unknown)."""
--- a/src/larkpost/gateway/controllers/heartbeat_list.py
+++ b/src/larkpost/gateway/controllers/heartbeat_list.py
@@ -14,6 +14,7 @@
 from larkpost.gateway.store.port import Row, RowKey, Store, StoreUnavailableError, read_all
 
 MEMBER_TABLE = "members"
+"""Table of the store that has the heartbeats of all daemons, by kind and daemon."""
 MISSED_HEARTBEATS = 3.2
 """A daemon has fallen silent once this many of its intervals have elapsed without a heartbeat.
 Not measured: three may be lost, and a little more for the listing."""
@@ -109,7 +110,7 @@
         ]
 
     async def update(self, interval: float) -> bool:
-        """Lists the rows, and returns whether the store answered.
+        """Lists the rows, and returns whether the store responded.
 
         Args:
             interval: seconds between two listings, as planned now.
--- a/src/larkpost/gateway/controllers/leases.py
+++ b/src/larkpost/gateway/controllers/leases.py
@@ -1,7 +1,7 @@
-"""Leases: the right to act on one matter, with a fencing token.
+"""Leases: the right to act on one subject, with a fencing token.
 
-A matter is a duty and what it is about: the orders of one engine, the usage reports. Its lease is a
-row in the store that names its holder and the store's time before which nobody else may take it.
+A subject is a duty and what it is about: the orders of one engine, the usage reports. Its lease is
+a row in the store that names its holder and the store's time before which nobody else may take it.
 The row's version is the fencing token. A lease is taken for one act and serves only for a moment,
 measured on the steady clock from before the call that took it; so a holder that was paused in
 between does not use it, and after a refusal the token is not used again.
@@ -24,11 +24,14 @@
 )
 
 LEASE_TABLE = "leases"
+"""Table of the store; its parts are the duties, its keys the subjects."""
 USE_SECONDS = 0.5
-"""How long after the call was sent a lease may be used."""
+"""Seconds after the call was sent for which a lease may be used. Not measured."""
 SLACK_SECONDS = 0.5
-"""Added for the time an act travels and for the error of the estimated store clock."""
+"""Seconds added for the time an act travels and for the error of the estimated store clock.
+Not measured."""
 WRITE_TIMEOUT_SECONDS = 1.0
+"""Seconds for the call that takes a lease. Not measured."""
 
 
 class Duty(StrEnum):
@@ -97,7 +100,7 @@
         try:
             known = await self._read(key)
         except StoreUnavailableError:
-            return None  # whoever wants it notes it and tries again
+            return None  # whoever wants it logs that and tries again
         started = self._clock.now()
         store_time = self._store.time()
         if store_time is None or not self._may_take(known, store_time):
--- a/src/larkpost/gateway/controllers/loader.py
+++ b/src/larkpost/gateway/controllers/loader.py
@@ -8,7 +8,7 @@
 from larkpost.common.ids import InstanceId
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.blackboard.board import Blackboard
-from larkpost.gateway.blackboard.configuration import Configuration, RouteKind, Service
+from larkpost.gateway.blackboard.configuration import Configuration, Service
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.blackboard.weight_targets import WeightTarget
 from larkpost.gateway.controllers.coordination import Coordination
@@ -197,11 +197,6 @@
 
     They go on under the new version unless a route wants one version in each result.
     """
-    routes = configuration.routes if configuration is not None else ()
-    wants_one_version = any(
-        route.single_version
-        for route in routes
-        if route.kind is RouteKind.BATCH
-        and any(share.service == service.name for share in route.shares)
-    )
+    routes = configuration.batch_routes_to(service.name) if configuration is not None else ()
+    wants_one_version = any(route.single_version for route in routes)
     return RunningWork.FINISH if wants_one_version else RunningWork.CARRY
--- a/src/larkpost/gateway/controllers/members.py
+++ b/src/larkpost/gateway/controllers/members.py
@@ -32,7 +32,9 @@
 from larkpost.gateway.store.port import RowKey, Store, Transaction
 
 KNOWN_PART = "known"
+"""Part of the store that has the known heartbeats; see `heartbeat_intervals`."""
 AWAITED_PART = "awaited"
+"""Part of the store that has the awaited heartbeats."""
 FORGET_AFTER_SECONDS = 60.0
 """Seconds of silence after which a daemon's rows are removed. Not measured: far above any outage
 that its machine survives."""
--- a/src/larkpost/gateway/observability/__init__.py
+++ b/src/larkpost/gateway/observability/__init__.py
@@ -1,1 +1,1 @@
-"""What a daemon tells of itself: log, metrics, and the commands that tell a story from the log."""
+"""What a daemon reports of itself: log, metrics, and the commands that read the log."""
--- a/src/larkpost/gateway/observability/batch_times.py
+++ b/src/larkpost/gateway/observability/batch_times.py
@@ -1,4 +1,4 @@
-"""Tells from the daemons' logs where the time of each batch went.
+"""Shows from the daemons' logs where the time of each batch went.
 
 For each batch, in the order of acceptance: when it was accepted, who owned it, and for its items
 when the middle one and the last one had begun to run, were whole, were scored, got their places in
@@ -50,7 +50,7 @@
     ended_at: float | None = None
 
     def take(self, line: LogLine) -> None:
-        """Takes one line that names this batch."""
+        """Reads one line that names this batch."""
         fields = line.fields
         match line.event:
             case Event.BATCH_ACCEPTED:
--- a/src/larkpost/gateway/observability/eventlog.py
+++ b/src/larkpost/gateway/observability/eventlog.py
@@ -2,7 +2,7 @@
 
 It is bounded and never blocks.
 
-Each event has a budget of lines a second; what is over it is counted and told once a second. A
+Each event has a budget of lines a second; what is over it is counted and logged once a second. A
 reader that stops reading makes lines be dropped and counted; it never holds the process up.
 """
 
@@ -17,8 +17,11 @@
 from larkpost.gateway.observability.metrics import Count, Metrics
 
 STANDARD_OUTPUT = 1
+"""File descriptor of standard output."""
 LINES_PER_SECOND = 40
+"""Lines of one event that are written a second; the others are counted. Not measured."""
 MAX_PENDING_BYTES = 262144
+"""Bytes that may wait for a slow reader; lines beyond are dropped and counted. Not measured."""
 LINE_OPTIONS = orjson.OPT_APPEND_NEWLINE | orjson.OPT_NON_STR_KEYS
 """Fields may be tables by an enumeration's members, which are no plain texts."""
 
@@ -107,7 +110,7 @@
 
 
 class EventLog:
-    """Notes events of one daemon.
+    """Records events of one daemon.
 
     Args:
         writer: where lines go; None for nowhere.
@@ -127,7 +130,7 @@
             eliot.add_destinations(self._write)
 
     def record(self, event: Event, **fields: Any) -> None:
-        """Notes an event, unless its budget for this second is used up."""
+        """Records an event, unless its budget for this second is used up."""
         if self._writer is None:
             return
         second = int(steady_seconds())
--- a/src/larkpost/gateway/observability/explain.py
+++ b/src/larkpost/gateway/observability/explain.py
@@ -1,4 +1,4 @@
-"""Tells the story of one request, batch, item or instance from the logs of all daemons.
+"""Shows the story of one request, batch, item or instance from the logs of all daemons.
 
 Lines are read from files or standard input, one JSON object a line; whatever stands before the
 first brace (a time, a machine's name) is passed over. Times are those of the writing machines,
@@ -31,7 +31,7 @@
     fields: dict[str, Any]
 
     def names(self, wanted: str) -> bool:
-        """Tells whether the line names an id, alone or in a list."""
+        """Returns whether the line names an id, alone or in a list."""
         return any(
             value == wanted or (isinstance(value, list) and wanted in value)
             for value in self.fields.values()
--- a/src/larkpost/gateway/planned_stop.py
+++ b/src/larkpost/gateway/planned_stop.py
@@ -76,7 +76,7 @@
         )
 
     async def _hand_over(self, latest: float) -> None:
-        """Takes the steps; what is not done in time is left."""
+        """Carries out the first steps; what is not done in time is left."""
         for name, step in self._steps.at_once:
             try:
                 async with asyncio.timeout(max(0.0, latest - self._clock.now())):
--- a/src/larkpost/gateway/scaling/controller.py
+++ b/src/larkpost/gateway/scaling/controller.py
@@ -20,7 +20,7 @@
 from larkpost.gateway.observability.metrics import Count, Level
 from larkpost.gateway.scaling.census import ServerCensus
 from larkpost.gateway.scaling.demand import DemandForecast
-from larkpost.gateway.scaling.planner import Plan, plan_servers
+from larkpost.gateway.scaling.planner import Plan, PlanInputs, plan_servers
 from larkpost.gateway.scaling.port import (
     ScalingMode,
     ScalingOrder,
@@ -103,8 +103,9 @@
             zone for zone, until in self._no_preemptible_until.items() if now < until
         )
         demand = self._demand.of(service, configuration)
-        plan = plan_servers(service.name, service.scaling, zones, demand, LOST_SECONDS, refused)
-        self._announce(service.name, plan, sum(known.count for known in zones.values()))
+        inputs = PlanInputs(service.name, service.scaling, zones, demand, LOST_SECONDS, refused)
+        plan = plan_servers(inputs)
+        self._announce(service.name, plan, inputs.present)
         if self._mode is ScalingMode.ANNOUNCE:
             return
         for order in plan.orders:
--- a/src/larkpost/gateway/scaling/demand.py
+++ b/src/larkpost/gateway/scaling/demand.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from larkpost.common.ids import InstanceId
-from larkpost.gateway.blackboard.configuration import Configuration, RouteKind, Service
+from larkpost.gateway.blackboard.configuration import Configuration, Service
 from larkpost.gateway.blackboard.directory import Directory
 from larkpost.gateway.blackboard.weight_targets import Demands
 from larkpost.gateway.scaling.planner import Demand
@@ -13,7 +13,7 @@
     """Works out the demand of services.
 
     Args:
-        demands: tells what the batches of each model ask for.
+        demands: returns what the batches of each model ask for.
         pace: returns the seconds between two events of a run at an engine; 0 if not known.
     """
 
@@ -29,16 +29,8 @@
 
     def of(self, service: Service, configuration: Configuration) -> Demand:
         """Returns the demand of a service: the tokens of each open batch within its due time."""
-        due = min(
-            (
-                route.due
-                for route in configuration.routes
-                if route.kind is RouteKind.BATCH
-                and route.due
-                and any(share.service == service.name for share in route.shares)
-            ),
-            default=0.0,
-        )
+        routes = configuration.batch_routes_to(service.name)
+        due = min((route.due for route in routes if route.due), default=0.0)
         if not due:
             return Demand()
         demands = self._demands()
--- a/src/larkpost/gateway/scaling/planner.py
+++ b/src/larkpost/gateway/scaling/planner.py
@@ -14,12 +14,13 @@
 from larkpost.gateway.scaling.port import ScalingOrder, ServerKind
 
 PREEMPTIBLE_SHARE = 0.5
-"""Most of a zone's servers that are preemptible: the zone serves on when all of them go."""
+"""Most of a zone's servers that are preemptible: the zone serves on when all of them go.
+Not measured."""
 PREEMPTIBLE_WORTH = 0.6
 """Highest price of a preemptible server, as a share of one on demand, at which one is taken: what
-is lost with it, its runs and its weights, must cost less than it saves."""
+is lost with it, its runs and its weights, must cost less than it saves. Not measured."""
 HEADROOM = 1.25
-"""Servers are planned for this multiple of the demand: batches come in bursts."""
+"""Servers are planned for this multiple of the demand: batches come in bursts. Not measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,32 +80,37 @@
     orders: tuple[ScalingOrder, ...]
 
 
-def plan_servers(
-    service: ServiceName,
-    terms: ScalingTerms,
-    zones: Mapping[ZoneId, ZoneServers],
-    demand: Demand,
-    lost_after: float,
-    refused: frozenset[ZoneId] = frozenset(),
-) -> Plan:
-    """Returns the orders that replace what is missing, as far as it is needed.
+@dataclass(frozen=True, slots=True)
+class PlanInputs:
+    """What the plan of one service follows from.
 
-    Args:
+    Attributes:
         zones: what the service has; zones without a price are passed over.
-        lost_after: seconds after which a missing server is held lost for good.
+        lost_after: seconds after which a missing server is considered lost for good.
         refused: zones that have no preemptible servers at the moment.
     """
-    needed = demand.servers
-    present = sum(known.count for known in zones.values())
-    if needed and present >= needed:
+
+    service: ServiceName
+    terms: ScalingTerms
+    zones: Mapping[ZoneId, ZoneServers]
+    demand: Demand
+    lost_after: float
+    refused: frozenset[ZoneId] = frozenset()
+
+    @property
+    def present(self) -> int:
+        """Servers that the service has, in all zones."""
+        return sum(known.count for known in self.zones.values())
+
+
+def plan_servers(inputs: PlanInputs) -> Plan:
+    """Returns the orders that replace what is missing and needed, the cheapest zones first."""
+    needed = inputs.demand.servers
+    if needed and inputs.present >= needed:
         return Plan(needed, ())  # what is missing is not needed: it would cost more than it serves
-    orders = []
-    for zone in sorted(zones, key=lambda name: terms.zone_prices.get(name, 0.0)):
-        known = zones[zone]
-        missing = _missing(known, lost_after)
-        if zone not in terms.zone_prices or not missing:
-            continue
-        orders.append(_order(service, terms, zone, known, zone not in refused))
+    prices = inputs.terms.zone_prices
+    priced = sorted((zone for zone in inputs.zones if zone in prices), key=prices.__getitem__)
+    orders = (_order(inputs, zone) for zone in priced)
     return Plan(needed, tuple(order for order in orders if order is not None))
 
 
@@ -115,14 +121,15 @@
     return max(0, known.usual - known.count)
 
 
-def _order(
-    service: ServiceName, terms: ScalingTerms, zone: ZoneId, known: ZoneServers, has_cheap: bool
-) -> ScalingOrder | None:
-    """Returns the order for one zone; None if its limits leave no room."""
+def _order(inputs: PlanInputs, zone: ZoneId) -> ScalingOrder | None:
+    """Returns the order for one zone; None if nothing is missing or its limits leave no room."""
+    service, terms, known = inputs.service, inputs.terms, inputs.zones[zone]
+    if not _missing(known, inputs.lost_after):
+        return None
     wanted = max(terms.minimum, min(known.usual, terms.maximum))
     if wanted <= known.count:
         return None
-    if has_cheap and is_preemptible_worth(terms):
+    if zone not in inputs.refused and is_preemptible_worth(terms):
         cheap = min(wanted - known.on_demand, int(wanted * PREEMPTIBLE_SHARE))
         if cheap > known.preemptible:
             return ScalingOrder(service, zone, ServerKind.PREEMPTIBLE, cheap)
@@ -130,6 +137,6 @@
 
 
 def is_preemptible_worth(terms: ScalingTerms) -> bool:
-    """Tells whether preemptible servers are cheap enough for the chance that they go."""
+    """Returns whether preemptible servers are cheap enough for the chance that they go."""
     price = terms.preemptible_price
     return price is not None and price <= PREEMPTIBLE_WORTH
--- a/src/larkpost/gateway/scaling/port.py
+++ b/src/larkpost/gateway/scaling/port.py
@@ -1,4 +1,4 @@
-"""The port to whoever starts and ends servers, and what it is told."""
+"""The port to whoever starts and ends servers, and what is ordered by it."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -39,7 +39,7 @@
     TAKEN = "taken"
     REFUSED = "refused"  # a higher fencing token was seen, or there are no such servers now
     NOT_TAKEN = "not_taken"  # refused for the moment
-    UNKNOWN = "unknown"  # no answer; it may be taken, even seconds later
+    UNKNOWN = "unknown"  # no response; it may be taken, even seconds later
 
 
 class ScalingPort(Protocol):
--- a/src/larkpost/gateway/store/port.py
+++ b/src/larkpost/gateway/store/port.py
@@ -61,7 +61,7 @@
     CONFLICT = "conflict"  # a condition did not hold; nothing was changed
     NOT_DONE = "not_done"  # refused; nothing was changed and nothing will be
     THROTTLED = "throttled"  # refused because of the rate; nothing was changed
-    UNKNOWN = "unknown"  # no answer; it may have been done, or may be done later
+    UNKNOWN = "unknown"  # no response; it may have been done, or may be done later
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,7 +101,7 @@
 
 
 class StoreUnavailableError(StoreError):
-    """The store did not answer, refused, or throttled a reading call."""
+    """The store did not respond, refused, or throttled a reading call."""
 
     code = "store_unavailable"
 
@@ -128,7 +128,7 @@
         """Reads rows of a part from key ``first`` on, up to and without ``end`` if given.
 
         Raises:
-            StoreUnavailableError: no answer.
+            StoreUnavailableError: no response.
         """
 
     async def changes(self, table: str, after: int, wait: float) -> RowPage:
@@ -136,7 +136,7 @@
 
         Raises:
             HistoryLostError: list the table again.
-            StoreUnavailableError: no answer.
+            StoreUnavailableError: no response.
         """
 
     def time(self) -> float | None:
--- a/src/larkpost/gateway/usage/counter.py
+++ b/src/larkpost/gateway/usage/counter.py
@@ -34,7 +34,7 @@
         self._unsaved: set[WindowNumber] = set()
 
     def record_begun(self, tenant: TenantName, at: float) -> None:
-        """Takes that a request of a tenant began to run at a steady time."""
+        """Records that a request of a tenant began to run at a steady time."""
         self._begun.append(_Begun(tenant, at))
 
     def unsaved(self) -> dict[WindowNumber, TenantCounts]:
@@ -46,7 +46,7 @@
         return {window: dict(self._counts[window]) for window in sorted(self._unsaved)}
 
     def record_saved(self, saved: dict[WindowNumber, TenantCounts]) -> None:
-        """Takes that counts, as `unsaved` returned them, are kept in the store."""
+        """Records that counts, as `unsaved` returned them, are kept in the store."""
         for window, counts in saved.items():
             if self._counts.get(window) == counts:
                 self._unsaved.discard(window)
--- a/src/larkpost/gateway/usage/port.py
+++ b/src/larkpost/gateway/usage/port.py
@@ -42,7 +42,7 @@
     TAKEN = "taken"
     FENCED = "fenced"  # a higher fencing token was seen
     NOT_TAKEN = "not_taken"  # refused for the moment
-    UNKNOWN = "unknown"  # no answer; it may be taken, even seconds later
+    UNKNOWN = "unknown"  # no response; it may be taken, even seconds later
 
 
 class UsagePort(Protocol):
--- a/src/larkpost/gateway/usage/reporter.py
+++ b/src/larkpost/gateway/usage/reporter.py
@@ -169,7 +169,7 @@
         """Returns the decision on a window, made now unless there is one; None if it is not known.
 
         Raises:
-            StoreUnavailableError: the store did not answer.
+            StoreUnavailableError: the store did not respond.
         """
         known = (await self._repository.decided_since(window)).get(window)
         if known is not None:
--- a/src/larkpost/gateway/usage/repository.py
+++ b/src/larkpost/gateway/usage/repository.py
@@ -26,9 +26,13 @@
 from larkpost.gateway.usage.port import TenantCounts, UsageReport, WindowNumber
 
 COUNT_TABLE = "usage_counts"
+"""Table of the store that has what each daemon counted."""
 REPORT_TABLE = "usage_reports"
+"""Table of the store that has what was decided."""
 PART = "usage"
+"""The only part of both tables."""
 WRITE_TIMEOUT_SECONDS = 1.0
+"""Seconds for one call that writes. Not measured."""
 MAX_REMOVALS = 90
 """Rows removed at once: a transaction takes a hundred entries."""
 
@@ -82,7 +86,7 @@
         """Returns what all daemons together have counted in a window.
 
         Raises:
-            StoreUnavailableError: the store did not answer.
+            StoreUnavailableError: the store did not respond.
         """
         first, end = f"{_key(window)}/", _key(WindowNumber(window + 1))
         page = await read_all(self._store, COUNT_TABLE, PART, first, end)
@@ -100,7 +104,7 @@
         return (await self._store.write(change, WRITE_TIMEOUT_SECONDS)).outcome
 
     async def note_taken(self, decided: DecidedReport) -> WriteOutcome:
-        """Keeps that a report was taken, so that nobody sends it again."""
+        """Records that a report was taken, so that nobody sends it again."""
         key = RowKey(REPORT_TABLE, PART, _key(decided.report.window))
         change = Transaction(
             conditions=((key, decided.version),),
@@ -112,7 +116,7 @@
         """Returns the decided reports from a window on.
 
         Raises:
-            StoreUnavailableError: the store did not answer.
+            StoreUnavailableError: the store did not respond.
         """
         page = await read_all(self._store, REPORT_TABLE, PART, _key(window))
         reports = {}
@@ -127,7 +131,7 @@
         """Removes the counts and reports of windows before one.
 
         Raises:
-            StoreUnavailableError: the store did not answer.
+            StoreUnavailableError: the store did not respond.
         """
         for table in (COUNT_TABLE, REPORT_TABLE):
             page = await self._store.read(table, PART, "", _key(window), MAX_REMOVALS)
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -7,7 +7,7 @@
 from larkpost.common.ids import ZoneId
 from larkpost.gateway.blackboard.configuration import ServiceName
 from larkpost.gateway.blackboard.scaling_terms import ScalingTerms
-from larkpost.gateway.scaling.planner import Demand, ZoneServers, plan_servers
+from larkpost.gateway.scaling.planner import Demand, PlanInputs, ZoneServers, plan_servers
 from larkpost.gateway.scaling.port import ScalingMode, ScalingOrder, ScalingOutcome, ServerKind
 from larkpost.gateway.store.port import Row, RowKey, Transaction
 from larkpost.platform.operator import UnreadableRowError, read_configuration
@@ -26,7 +26,7 @@
 def plan(zones: dict[ZoneId, ZoneServers], terms: ScalingTerms = TERMS, **options):
     """Returns the planned orders."""
     demand = options.pop("demand", Demand())
-    return plan_servers(SERVICE, terms, zones, demand, LOST_AFTER, **options).orders
+    return plan_servers(PlanInputs(SERVICE, terms, zones, demand, LOST_AFTER, **options)).orders
 
 
 class PlannerTest(unittest.TestCase):
