--- a/src/larkpost/gateway/store/relay.py
+++ b/src/larkpost/gateway/store/relay.py
@@ -155,6 +155,21 @@
                 return await call(self._direct)
             except StoreUnavailableError as error:
                 failure = error
+        return await self._call_by_peer(call, wait, failure, confined=confined)
+
+    async def _call_by_peer(
+        self,
+        call: Callable[[Store], Awaitable[Response]],
+        wait: float,
+        failure: StoreUnavailableError,
+        *,
+        confined: bool,
+    ) -> Response:
+        """Makes a reading call by way of a peer; see `_call`.
+
+        Args:
+            failure: what to raise if no peer helps.
+        """
         for tried in range(PEERS_ASKED):
             peer = self._peers.find(tried, confined=confined)
             if peer is None:
