--- a/src/larkpost/gateway/blackboard/configuration.py
+++ b/src/larkpost/gateway/blackboard/configuration.py
@@ -126,6 +126,15 @@
         """Returns the tenant that holds a key, or None."""
         return self._tenants_by_key.get(key) if key is not None else None
 
+    def batch_routes_to(self, service: ServiceName) -> list[Route]:
+        """Returns the routes of batches that may run at a service."""
+        return [
+            route
+            for route in self.routes
+            if route.kind is RouteKind.BATCH
+            and any(share.service == service for share in route.shares)
+        ]
+
     def priority_of(self, tenant: TenantName | None, route: Route) -> int:
         """Returns a request's priority, 0 highest: its tenant's if that has one, else its route's.
 
@@ -199,12 +208,18 @@
         self.current: Configuration | None = None
 
     def update(self, configuration: Configuration) -> bool:
-        """Takes a configuration if it is newer, and tells whether it was."""
+        """Stores a configuration if it is newer, and returns whether it was."""
         if self.current is not None and configuration.version <= self.current.version:
             return False
         self.current = configuration
         return True
 
+    def priority_of(self, tenant: TenantName | None, route: Route) -> int:
+        """Returns a request's priority by the configuration in force; see `Configuration`."""
+        if self.current is None:
+            return route.priority
+        return self.current.priority_of(tenant, route)
+
     def service(self, name: ServiceName) -> Service | None:
         """Returns a service of the configuration in force; None if there is none."""
         return self.current.services.get(name) if self.current is not None else None
--- a/src/larkpost/gateway/rollouts/keeper.py
+++ b/src/larkpost/gateway/rollouts/keeper.py
@@ -11,8 +11,8 @@
 from larkpost.common.ids import BatchId, DaemonId
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.blackboard.configuration import ModelName
+from larkpost.gateway.blackboard.weight_targets import ModelDemand
 from larkpost.gateway.controllers.members import Membership
-from larkpost.gateway.controllers.weights import ModelDemand
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.rollouts.claims import BatchClaims
 from larkpost.gateway.rollouts.context import RunServices
@@ -108,7 +108,9 @@
     async def own_accepted(self, spec: BatchSpec, upload: str) -> None:
         """Starts an accepted batch at once if it is this daemon's, without waiting for the feed."""
         try:
-            head, _ = await asyncio.gather(self._repository.head(spec.id), self._membership.look())
+            head, _ = await asyncio.gather(
+                self._repository.head(spec.id), self._membership.refresh()
+            )
         except StoreUnavailableError:
             return  # the feed will tell of the head
         if head is None or head.upload != upload or self._leaving or spec.id in self._owned:
--- a/src/larkpost/gateway/rollouts/known_heads.py
+++ b/src/larkpost/gateway/rollouts/known_heads.py
@@ -9,7 +9,7 @@
 from larkpost.common.clock import Clock
 from larkpost.common.ids import BatchId, DaemonId
 from larkpost.gateway.blackboard.configuration import ModelName
-from larkpost.gateway.controllers.weights import ModelDemand
+from larkpost.gateway.blackboard.weight_targets import ModelDemand
 from larkpost.gateway.rollouts.batch_rows import head_of_row
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.store.port import Row
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -117,14 +117,16 @@
             self.rows[row.key] = row
         self._listener(row)
 
-    return mock.patch.object(TableFollower, "_take", take)
+    return mock.patch.object(TableFollower, "_apply", take)
 
 
 def own_without_awaited_heartbeats():
     """Owns batches, but beats like an idle daemon."""
-    from larkpost.gateway.controllers.members import Membership
+    from larkpost.gateway.controllers.heartbeat_writer import HeartbeatWriter
 
-    return mock.patch.object(Membership, "_is_awaited", lambda self: self.is_coordinator())
+    return mock.patch.object(
+        HeartbeatWriter, "is_awaited", lambda self: self._view.is_coordinator()
+    )
 
 
 def keep_rows_of_earlier_lives():
@@ -149,9 +151,9 @@
 
 def let_everyone_coordinate():
     """Makes every daemon a coordinator."""
-    from larkpost.gateway.controllers import members
+    from larkpost.gateway.controllers import coordinators
 
-    return mock.patch.object(members, "COORDINATORS", 1_000_000)
+    return mock.patch.object(coordinators, "COORDINATORS", 1_000_000)
 
 
 def list_without_score():
@@ -236,9 +238,9 @@
 
 def ask_silent_peers_again():
     """Asks a peer that did not answer again at once."""
-    from larkpost.gateway.store import relay
+    from larkpost.gateway.store import peers
 
-    return mock.patch.object(relay, "PEER_REST_SECONDS", 0.0)
+    return mock.patch.object(peers, "PEER_REST_SECONDS", 0.0)
 
 
 def keep_connections_of_nameless_refusals():
@@ -385,13 +387,13 @@
     """Passes rows over that are gone, as those of configurations are."""
     from larkpost.gateway.controllers.row_intake import RowIntake
 
-    original = RowIntake.take_operator_row
+    original = RowIntake.record_operator_row
 
-    def take_operator_row(self, row):
+    def record_operator_row(self, row):
         if not row.removed:
             original(self, row)
 
-    return mock.patch.object(RowIntake, "take_operator_row", take_operator_row)
+    return mock.patch.object(RowIntake, "record_operator_row", record_operator_row)
 
 
 def trust_silent_connections():
