--- /dev/null
+++ b/src/larkpost/platform/assembly.py
@@ -0,0 +1,171 @@
+"""Builds the parts of one daemon of the platform from its settings.
+
+Owns nothing after the start: whoever asks for a part starts it and closes it. The parts that hold
+sessions need a running event loop.
+"""
+
+import random
+from dataclasses import dataclass
+
+from larkpost.common.clock import LoopClock
+from larkpost.common.ids import Address
+from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
+from larkpost.gateway.blackboard.lifecycle import Lifecycle
+from larkpost.gateway.controllers.row_intake import RowReaders
+from larkpost.gateway.daemon import Gateway
+from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.observability.metrics import Metrics
+from larkpost.gateway.store.relay import RelayedStore
+from larkpost.platform import names, operator
+from larkpost.platform.descriptors import DescriptorGuard
+from larkpost.platform.duties import HttpDuties
+from larkpost.platform.http_protocol import Listener
+from larkpost.platform.ingress import Ingress
+from larkpost.platform.peer_store import PeerStoreApp
+from larkpost.platform.servers import HttpServers
+from larkpost.platform.settings import PlatformSettings
+from larkpost.platform.silence import Peer
+from larkpost.platform.status_apps import MetricsApp, ReadinessApp
+from larkpost.platform.store import HttpStore
+
+READERS = RowReaders(
+    operator_table=names.OPERATOR_TABLE,
+    instance_table=names.SERVER_TABLE,
+    configuration=operator.read_configuration,
+    weight_target=operator.read_weight_target,
+    instance=operator.read_instance,
+    evacuation=operator.read_evacuation,
+)
+
+
+@dataclass(frozen=True, slots=True)
+class Clients:
+    """The clients of everything that the daemon calls.
+
+    Attributes:
+        store: the store on the direct way.
+        relayed_store: the same store, by way of peers where the direct way fails.
+        servers: the model servers.
+        duties: the platform's calls that one daemon at a time makes; None if there are none.
+    """
+
+    store: HttpStore
+    relayed_store: RelayedStore
+    servers: HttpServers
+    duties: HttpDuties | None
+
+    async def close(self) -> None:
+        """Closes all connections."""
+        await self.servers.close()
+        if self.duties is not None:
+            await self.duties.close()
+        await self.relayed_store.close()
+        await self.store.close()
+
+
+def open_clients(settings: PlatformSettings, metrics: Metrics, log: EventLog) -> Clients:
+    """Returns the clients; they connect with their first calls."""
+    store = HttpStore(settings.store, settings.row_bytes, metrics, log)
+
+    def open_peer(address: Address) -> HttpStore:
+        return HttpStore(address, settings.row_bytes, metrics, log, Peer.PEER)
+
+    return Clients(
+        store=store,
+        relayed_store=RelayedStore(store, open_peer, LoopClock(), log, random.Random()),
+        servers=HttpServers(metrics, log),
+        duties=HttpDuties(settings.duties) if settings.duties is not None else None,
+    )
+
+
+def make_gateway(
+    settings: PlatformSettings, clients: Clients, metrics: Metrics, log: EventLog
+) -> Gateway:
+    """Returns the daemon itself, not yet started."""
+    ports = GatewayPorts(
+        clients.relayed_store,
+        clients.servers,
+        LoopClock(),
+        READERS,
+        log,
+        metrics,
+        relay=clients.relayed_store,
+        usage=clients.duties,
+        scaling=clients.duties if settings.orders_servers else None,
+    )
+    return Gateway(gateway_settings(settings), ports)
+
+
+def gateway_settings(settings: PlatformSettings) -> GatewaySettings:
+    """Returns what the daemon needs to know of its surroundings."""
+    return GatewaySettings(
+        machine=settings.machine,
+        contact_time=settings.contact_time,
+        lease_time=settings.lease_time,
+        apply_time=settings.apply_time,
+        grace_time=settings.grace_time,
+        batch_lifetime=settings.batch_lifetime,
+        peer_address=settings.peer,
+        usage=settings.usage,
+        cold=settings.cold,
+        regions=settings.regions,
+    )
+
+
+@dataclass(frozen=True, slots=True)
+class Listeners:
+    """The addresses at which the daemon listens.
+
+    Attributes:
+        front: for clients.
+        others: for readiness, metrics and peers, as far as the settings name them.
+    """
+
+    front: Listener
+    others: tuple[Listener, ...]
+
+    def every(self) -> tuple[Listener, ...]:
+        """Returns all listeners, in the order in which they start."""
+        return (self.front, *self.others)
+
+    def count_connections(self) -> int:
+        """Returns how many connections are open at all listeners together."""
+        return sum(len(listener.connections) for listener in self.every())
+
+
+def make_listeners(settings: PlatformSettings, gateway: Gateway, store: HttpStore) -> Listeners:
+    """Returns the listeners, not yet started."""
+    others = [Listener(ReadinessApp(gateway.lifecycle), settings.ready)]
+    if settings.metrics is not None:
+        port, path = settings.metrics
+        address = Address(f"{settings.ip}:{port}")
+        others.append(Listener(MetricsApp(gateway.read_metrics, path), address))
+    if settings.peer is not None:
+        others.append(Listener(PeerStoreApp(store), settings.peer))
+    return Listeners(_make_front(settings, gateway), tuple(others))
+
+
+def _make_front(settings: PlatformSettings, gateway: Gateway) -> Listener:
+    ingress = Ingress(
+        gateway.configuration,
+        gateway.lifecycle,
+        gateway.admission,
+        gateway.forwarder,
+        gateway.batches,
+    )
+    return Listener(ingress, settings.front, ingress.limits)
+
+
+def make_guard(
+    limit: int, servers: HttpServers, listeners: Listeners, lifecycle: Lifecycle, log: EventLog
+) -> DescriptorGuard:
+    """Returns the guard of the descriptors; it closes idle connections of clients.
+
+    Args:
+        limit: the most descriptors that the process may hold.
+    """
+
+    def count_sockets() -> int:
+        return servers.held + listeners.count_connections()
+
+    return DescriptorGuard(limit, count_sockets, listeners.front.shed, lifecycle, log)
--- a/src/larkpost/platform/duties.py
+++ b/src/larkpost/platform/duties.py
@@ -44,8 +44,8 @@
         self._base = f"http://{address}"
         self._session = make_session(Silences(Peer.STORE))
 
-    def move(self, address: Address) -> None:
-        """Takes another address for all later calls."""
+    def use_address(self, address: Address) -> None:
+        """Uses another address for all later calls."""
         self._base = f"http://{address}"
 
     async def close(self) -> None:
--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -76,8 +76,8 @@
         self._offset_at = 0.0
         self.is_failing = False
 
-    def move(self, address: Address) -> None:
-        """Takes another address for all later calls."""
+    def use_address(self, address: Address) -> None:
+        """Uses another address for all later calls."""
         self._base = f"http://{address}"
 
     async def close(self) -> None:
--- a/tests/test_pinned_rows.py
+++ b/tests/test_pinned_rows.py
@@ -60,8 +60,8 @@
 from larkpost.gateway.store.port import Row, RowKey, Transaction
 from larkpost.gateway.usage.port import UsageReport
 from larkpost.gateway.usage.repository import DecidedReport, UsageRepository
+from larkpost.platform.assembly import READERS
 from larkpost.platform.operator import UnreadableRowError
-from larkpost.platform.process import READERS
 from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
 from tests.pinned_parts import forward, make_active_member, make_member, make_scaled_fleet
 from tests.platform_fleet import MODEL, PAGES, make_batch
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -13,8 +13,8 @@
 from larkpost.gateway.blackboard.cold_instances import ColdTerms
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.usage.port import UsageTerms
-from larkpost.platform.process import watch_settings
 from larkpost.platform.settings import load_platform_settings
+from larkpost.platform.settings_watch import LiveSettings, SettingsWatcher
 from larkpost.platform.stand_in.daemon_settings import DaemonPlace, write_settings
 from larkpost.platform.store import HttpStore
 from larkpost.rehearsal.processes import ProcessGroup, free_address, wait_for
@@ -173,11 +173,11 @@
                 current = GatewaySettings("front-1", grace_time=7.5)
                 store = HttpStore(Address("10.9.0.1:8169"), 4096)
                 log = EventLog("front-1")
-                watcher = asyncio.create_task(
-                    watch_settings(path, GOOD.encode(), reload, current, store, None, log)
-                )
+                live = LiveSettings(current, store, None)
+                watcher = SettingsWatcher(path, GOOD.encode(), reload, live, log)
+                watching = asyncio.create_task(watcher.watch())
                 await asyncio.sleep(0.05)
-                watcher.cancel()
+                watching.cancel()
                 await store.close()
                 return current
 
