--- /dev/null
+++ b/src/larkpost/platform/batch_calls.py
@@ -0,0 +1,99 @@
+"""The clients' calls about batches: submit one, read its results or an item, end it.
+
+Translates the calls for `larkpost.gateway.rollouts.service.BatchService` and its results back.
+"""
+
+from urllib.parse import unquote
+
+from larkpost.common.ids import BatchId
+from larkpost.gateway.blackboard.tenants import Caller, TenantName
+from larkpost.gateway.proxy.admission import Admission
+from larkpost.gateway.rollouts.model import ItemId
+from larkpost.gateway.rollouts.service import BatchService
+from larkpost.platform import names
+from larkpost.platform.batches import read_batch, read_position, write_page
+from larkpost.platform.client_call import ClientCall
+from larkpost.platform.client_response import ClientResponse
+
+OK = 200
+ACCEPTED = 202
+BAD_REQUEST = 400
+NOT_FOUND = 404
+NOT_ALLOWED = 405
+MAX_WAIT_SECONDS = 10.0
+"""Longest time for which a call for results is held. Not measured: as long as the callers of the
+platform wait for a held call."""
+
+
+class BatchCalls:
+    """Serves the calls about batches."""
+
+    def __init__(self, admission: Admission, batches: BatchService) -> None:
+        self._admission = admission
+        self._batches = batches
+
+    async def submit(
+        self, call: ClientCall, response: ClientResponse, body: bytes, tenant: TenantName | None
+    ) -> None:
+        """Submits the batch that a request holds.
+
+        Raises:
+            LarkpostError: it is not accepted.
+        """
+        if call.method != "POST":
+            await response.send_whole(NOT_ALLOWED)
+            return
+        try:
+            spec = read_batch(call.request_id, call.host_name, call.path, body, tenant)
+        except ValueError as error:
+            await response.send_whole(BAD_REQUEST, str(error).encode())
+            return
+        await self._batches.submit(spec)
+        await response.send_whole(ACCEPTED)
+
+    async def serve(self, call: ClientCall, response: ClientResponse) -> None:
+        """Serves a call about a batch that was submitted.
+
+        Raises:
+            LarkpostError: the call cannot be served.
+        """
+        caller = self._admission.caller(call.request_name, call.host_name, call.key)
+        if call.path.startswith(names.BATCH_CALL):
+            await self._serve_batch(call, response, caller)
+        elif call.path.startswith(names.ITEM_CALL) and call.method == "GET":
+            batch = _batch_after(names.ITEM_CALL, call)
+            item = call.query.get("id", [""])[0]
+            body = await self._batches.body(batch, ItemId(item), caller)
+            await response.send_whole(OK, body)
+        else:
+            await response.send_whole(NOT_FOUND)
+
+    async def _serve_batch(
+        self, call: ClientCall, response: ClientResponse, caller: Caller
+    ) -> None:
+        batch = _batch_after(names.BATCH_CALL, call)
+        if call.method == "GET":
+            await self._read_results(call, response, batch, caller)
+        elif call.method == "DELETE":
+            await self._batches.end(batch, caller)
+            await response.send_whole(OK)
+        else:
+            await response.send_whole(NOT_ALLOWED)
+
+    async def _read_results(
+        self, call: ClientCall, response: ClientResponse, batch: BatchId, caller: Caller
+    ) -> None:
+        try:
+            position = read_position(call.query)
+        except ValueError as error:
+            await response.send_whole(BAD_REQUEST, str(error).encode())
+            return
+        wait_ms = call.whole_header(names.WAIT_MS) or 0
+        wait = min(wait_ms / 1000, MAX_WAIT_SECONDS)
+        page = await self._batches.read(batch, position, wait, caller)
+        await response.send_json(write_page(page))
+
+
+def _batch_after(prefix: bytes, call: ClientCall) -> BatchId:
+    """Returns the batch's id in the path of a call, behind its prefix."""
+    return BatchId(unquote(call.path[len(prefix) :].decode("latin-1")))
--- /dev/null
+++ b/src/larkpost/platform/client_call.py
@@ -0,0 +1,134 @@
+"""Reads what a client's call says: its head, its body, and that the client has left."""
+
+import asyncio
+from urllib.parse import parse_qs
+
+from larkpost.gateway.blackboard.tenants import KeyDigest, digest_key
+from larkpost.gateway.proxy.admission import Admitted
+from larkpost.gateway.proxy.request import ClientRequest
+from larkpost.gateway.servers.port import Headers
+from larkpost.platform import asgi, names
+from larkpost.platform.asgi import Receive
+from larkpost.platform.http_protocol import OVERSIZED
+
+CONNECTION_HEADERS = frozenset(
+    {
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"content-length",
+    }
+)
+"""Headers that concern one connection, or that are set anew for each."""
+
+OWN_REQUEST_HEADERS = names.CALLER_HEADERS | {
+    b"host",
+    b"expect",
+    names.REQUEST_ID,
+    names.DEADLINE_MS,
+}
+"""Headers of a request that larkpost reads itself, and sets anew or leaves out towards a server."""
+
+
+class ClientCall:
+    """One call of a client.
+
+    Attributes:
+        received_at: the loop's time at which its head was read, in seconds.
+        path: the path as it was sent, still encoded.
+        headers: names in lower case, in the order in which they were sent.
+        request_id: the caller's id of this attempt; empty if it sent none.
+    """
+
+    def __init__(self, scope: dict, receive: Receive) -> None:
+        self._scope = scope
+        self._receive = receive
+        self.received_at = asyncio.get_running_loop().time()
+        self.method: str = scope["method"]
+        self.path: bytes = scope["raw_path"]
+        self.headers: Headers = tuple(scope["headers"])
+        self.request_id = self.header(names.REQUEST_ID)
+
+    @property
+    def is_oversized(self) -> bool:
+        """Whether the head is larger than allowed."""
+        return bool(self._scope.get("state", {}).get(OVERSIZED))
+
+    @property
+    def host(self) -> bytes:
+        """The host header as sent."""
+        return self.header(b"host")
+
+    @property
+    def host_name(self) -> str:
+        """The host without its port, in lower case."""
+        return self.host.decode("latin-1").partition(":")[0].lower()
+
+    @property
+    def request_name(self) -> str:
+        """The request id as text, for logs."""
+        return self.request_id.decode("latin-1")
+
+    @property
+    def key(self) -> KeyDigest | None:
+        """The digest of the caller's key; None if there is none, or several that differ."""
+        keys = {value for name, value in self.headers if name == names.API_KEY}
+        return digest_key(keys.pop()) if len(keys) == 1 else None
+
+    @property
+    def query(self) -> dict[str, list[str]]:
+        """The parameters of the query."""
+        return parse_qs(self._scope["query_string"].decode("latin-1"))
+
+    def header(self, name: bytes) -> bytes:
+        """Returns a header's first value; empty if it is not there."""
+        return next((value for key, value in self.headers if key == name), b"")
+
+    def whole_header(self, name: bytes) -> int | None:
+        """Returns a header's value as a whole number, or None."""
+        text = self.header(name)
+        return int(text) if text.isdigit() else None
+
+    def to_forward(self, body: bytes, admitted: Admitted) -> ClientRequest:
+        """Returns the request as it is to be forwarded."""
+        deadline_ms = self.whole_header(names.DEADLINE_MS)  # not a time: what is left of it
+        return ClientRequest(
+            request_id=self.request_id,
+            method=self.method,
+            host=self.host,
+            target=self._target(),
+            headers=self._passed_headers(),
+            body=body,
+            received_at=self.received_at,
+            time_left=deadline_ms / 1000 if deadline_ms is not None else None,
+            tenant=admitted.tenant,
+            regions=admitted.regions,
+        )
+
+    async def read_body(self, limit: int) -> bytes | None:
+        """Returns the whole body, or None if it is larger than ``limit`` bytes.
+
+        Raises:
+            ClientLeftError: the client closed its connection.
+        """
+        return await asgi.read_body(self._receive, limit)
+
+    async def wait_for_close(self) -> None:
+        """Returns once the client has closed its connection, or the response is complete."""
+        while (await self._receive())["type"] != "http.disconnect":
+            pass
+
+    def _target(self) -> bytes:
+        query = self._scope["query_string"]
+        return self.path + (b"?" + query if query else b"")
+
+    def _passed_headers(self) -> Headers:
+        return tuple(
+            (name, value)
+            for name, value in self.headers
+            if name not in CONNECTION_HEADERS and name not in OWN_REQUEST_HEADERS
+        )
--- /dev/null
+++ b/src/larkpost/platform/client_response.py
@@ -0,0 +1,89 @@
+"""Writes the response to one call of a client."""
+
+import orjson
+
+from larkpost.common.errors import LarkpostError
+from larkpost.gateway.blackboard.lifecycle import Lifecycle
+from larkpost.gateway.servers.port import Headers
+from larkpost.platform import asgi, names
+from larkpost.platform.asgi import Send
+from larkpost.platform.client_call import CONNECTION_HEADERS
+
+
+class StreamCutError(Exception):
+    """A response under way cannot be completed; the connection is closed within it."""
+
+
+class ClientResponse:
+    """The response to one call.
+
+    Args:
+        request_id: the caller's id of the attempt, which the response repeats.
+        lifecycle: once the daemon is stopping, each response closes its connection.
+    """
+
+    def __init__(self, send: Send, request_id: bytes, lifecycle: Lifecycle) -> None:
+        self._send = send
+        self._request_id = request_id
+        self._lifecycle = lifecycle
+        self._started = False
+
+    async def send_whole(
+        self,
+        status: int,
+        body: bytes = b"",
+        headers: Headers = (),
+        retry_after: float | None = None,
+    ) -> None:
+        """Sends a whole response.
+
+        Args:
+            headers: a server's; if there are any, they name the request themselves.
+            retry_after: seconds after which the caller may come back; None if that is not said.
+        """
+        own: list[tuple[bytes, bytes]] = [(b"content-length", str(len(body)).encode())]
+        if retry_after is not None:
+            own.append((b"retry-after", f"{retry_after:g}".encode()))
+        if not headers and self._request_id:
+            own.append((names.REQUEST_ID, self._request_id))
+        await self._start(status, headers, own)
+        await self._send({"type": "http.response.body", "body": body})
+
+    async def send_json(self, document: object) -> None:
+        """Sends a document as a whole response."""
+        headers = ((b"content-type", b"application/json"), (names.REQUEST_ID, self._request_id))
+        await self.send_whole(200, orjson.dumps(document), headers)
+
+    async def fail(self, error: LarkpostError) -> None:
+        """Responds with an error, or cuts a response that is under way.
+
+        Raises:
+            StreamCutError: the response was under way.
+        """
+        if self._started:
+            raise StreamCutError(error.message)
+        text = f"{error.code}: {error.message}. {error.remedy}".encode()
+        await self.send_whole(error.status, text, retry_after=error.retry_after)
+
+    async def begin(self, status: int, headers: Headers) -> None:
+        """Starts a response whose length is not known."""
+        await self._start(status, headers, [])
+
+    async def send_part(self, content: bytes) -> None:
+        """Sends a part of a started response."""
+        await self._send({"type": "http.response.body", "body": content, "more_body": True})
+
+    async def finish(self) -> None:
+        """Ends a started response."""
+        await self._send({"type": "http.response.body", "body": b""})
+
+    async def _start(self, status: int, headers: Headers, own: list[tuple[bytes, bytes]]) -> None:
+        passed = [
+            (name.lower(), value)
+            for name, value in headers
+            if name.lower() not in CONNECTION_HEADERS
+        ]
+        if self._lifecycle.stopping:
+            own.append((b"connection", b"close"))
+        self._started = True
+        await asgi.send_head(self._send, status, passed + own)
--- a/src/larkpost/platform/peer_store.py
+++ b/src/larkpost/platform/peer_store.py
@@ -4,9 +4,8 @@
 peer as it speaks to the store.
 """
 
-from collections.abc import Awaitable, Callable
-
-from larkpost.platform import names
+from larkpost.platform import asgi, names
+from larkpost.platform.asgi import ClientLeftError, Receive, Send
 from larkpost.platform.store import HttpStore
 
 RELAYED_CALLS = {
@@ -15,13 +14,11 @@
     ("GET", names.FEED_CALL),
 }
 MAX_BODY_BYTES = 1_500_000
+"""Largest body of a call. Not measured: well above the largest transaction that a daemon writes."""
 NOT_FOUND = 404
 TOO_LARGE = 413
 UNAVAILABLE = 503
 
-Receive = Callable[[], Awaitable[dict]]
-Send = Callable[[dict], Awaitable[None]]
-
 
 class PeerStoreApp:
     """The application behind the address at which peers ask for calls to the store."""
@@ -31,15 +28,15 @@
 
     async def __call__(self, scope: dict, receive: Receive, send: Send) -> None:
         """Makes the call, unless the store turns this daemon away as well."""
-        status, content = await self._answer(scope, receive)
+        status, content = await self._relay(scope, receive)
         headers = [
             (b"content-type", b"application/json"),
             (b"content-length", str(len(content)).encode()),
         ]
-        await send({"type": "http.response.start", "status": status, "headers": headers})
-        await send({"type": "http.response.body", "body": content})
+        await asgi.send_whole(send, status, headers, content)
 
-    async def _answer(self, scope: dict, receive: Receive) -> tuple[int, bytes]:
+    async def _relay(self, scope: dict, receive: Receive) -> tuple[int, bytes]:
+        """Returns the status and the body for the peer."""
         if (scope["method"], scope["path"]) not in RELAYED_CALLS:
             return NOT_FOUND, b""
         body = await _read_body(receive)
@@ -54,16 +51,7 @@
 
 async def _read_body(receive: Receive) -> bytes | None:
     """Returns a request's whole body, or None if it is too large or broke off."""
-    parts: list[bytes] = []
-    size = 0
-    while True:
-        message = await receive()
-        if message["type"] == "http.disconnect":
-            return None
-        part = message.get("body", b"")
-        size += len(part)
-        if size > MAX_BODY_BYTES:
-            return None
-        parts.append(part)
-        if not message.get("more_body", False):
-            return b"".join(parts)
+    try:
+        return await asgi.read_body(receive, MAX_BODY_BYTES)
+    except ClientLeftError:
+        return None  # nobody reads the status that is sent instead
--- a/src/larkpost/platform/status_apps.py
+++ b/src/larkpost/platform/status_apps.py
@@ -1,26 +1,29 @@
-"""The applications behind the addresses that tell of this daemon: readiness and metrics."""
+"""The applications behind the addresses for readiness and metrics."""
 
 from collections.abc import Callable
 
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
 from larkpost.gateway.observability.metrics import CONTENT_TYPE
 from larkpost.platform import names
-from larkpost.platform.ingress import Receive, Send
+from larkpost.platform.asgi import Receive, Send, send_whole
+
+OK = 200
+NOT_FOUND = 404
+NOT_READY = 503
 
 
 class ReadinessApp:
-    """The application behind the address that tells whether this daemon takes clients."""
+    """The application that reports whether this daemon admits clients."""
 
     def __init__(self, lifecycle: Lifecycle) -> None:
         self._lifecycle = lifecycle
 
     async def __call__(self, scope: dict, receive: Receive, send: Send) -> None:
-        """Answers 200 if ready, else 503."""
-        known = scope["path"] == names.READY_CALL
-        status = (200 if self._lifecycle.ready else 503) if known else 404
-        headers = [(b"content-length", b"0")]
-        await send({"type": "http.response.start", "status": status, "headers": headers})
-        await send({"type": "http.response.body", "body": b""})
+        """Responds with 200 if ready, else with 503."""
+        status = NOT_FOUND
+        if scope["path"] == names.READY_CALL:
+            status = OK if self._lifecycle.ready else NOT_READY
+        await send_whole(send, status, [(b"content-length", b"0")], b"")
 
 
 class MetricsApp:
@@ -28,7 +31,7 @@
 
     Args:
         read: returns the metrics as text.
-        path: where they are.
+        path: the path at which they are read.
     """
 
     def __init__(self, read: Callable[[], bytes], path: str) -> None:
@@ -36,13 +39,11 @@
         self._path = path
 
     async def __call__(self, scope: dict, receive: Receive, send: Send) -> None:
-        """Answers with the metrics."""
-        known = scope["path"] == self._path
-        body = self._read() if known else b""
+        """Responds with the metrics."""
+        is_known = scope["path"] == self._path
+        body = self._read() if is_known else b""
         headers = [
             (b"content-type", CONTENT_TYPE.encode()),
             (b"content-length", str(len(body)).encode()),
         ]
-        status = 200 if known else 404
-        await send({"type": "http.response.start", "status": status, "headers": headers})
-        await send({"type": "http.response.body", "body": body})
+        await send_whole(send, OK if is_known else NOT_FOUND, headers, body)
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -281,9 +281,9 @@
 
 def pass_keys_on():
     """Passes a caller's key, and what it says of its tenant, on to the server."""
-    from larkpost.platform import ingress
+    from larkpost.platform import client_call
 
-    return mock.patch.object(ingress, "OWN_REQUEST_HEADERS", frozenset({b"host", b"expect"}))
+    return mock.patch.object(client_call, "OWN_REQUEST_HEADERS", frozenset({b"host", b"expect"}))
 
 
 def show_batches_to_other_tenants():
