--- a/src/larkpost/platform/assembly.py
+++ b/src/larkpost/platform/assembly.py
@@ -166,6 +166,6 @@
     """
 
     def count_sockets() -> int:
-        return servers.held + listeners.count_connections()
+        return servers.open_connections + listeners.count_connections()
 
     return DescriptorGuard(limit, count_sockets, listeners.front.shed, lifecycle, log)
--- a/src/larkpost/platform/batch_calls.py
+++ b/src/larkpost/platform/batch_calls.py
@@ -21,8 +21,7 @@
 NOT_FOUND = 404
 NOT_ALLOWED = 405
 MAX_WAIT_SECONDS = 10.0
-"""Longest time for which a call for results is held. Not measured: as long as the callers of the
-platform wait for a held call."""
+"""Longest time for which a call for results is held. Not measured: ten times what callers ask."""
 
 
 class BatchCalls:
--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -169,7 +169,7 @@
         self._most_keys = LEAST_ADDRESSES_KEPT
 
     @property
-    def held(self) -> int:
+    def open_connections(self) -> int:
         """The connections that are open, in use or resting."""
         return len(self._acquired) + sum(len(idle) for idle in self._conns.values())
 
--- a/src/larkpost/platform/peer_store.py
+++ b/src/larkpost/platform/peer_store.py
@@ -14,7 +14,8 @@
     ("GET", names.FEED_CALL),
 }
 MAX_BODY_BYTES = 1_500_000
-"""Largest body of a call. Not measured: well above the largest transaction that a daemon writes."""
+"""Largest body of a call: half as much again as the largest transaction that the store takes, so
+that each call that the store would take passes."""
 NOT_FOUND = 404
 TOO_LARGE = 413
 UNAVAILABLE = 503
--- /dev/null
+++ b/src/larkpost/platform/server_control.py
@@ -0,0 +1,116 @@
+"""Control calls to engines: their reports, and orders of weight versions.
+
+Both may be lost or made twice without harm: a report changes nothing, and an order names the count
+of orders that the engine must have taken before, so a second one of the same is refused.
+"""
+
+import asyncio
+from dataclasses import dataclass
+
+import aiohttp
+import orjson
+
+from larkpost.gateway.blackboard.directory import InstanceInfo
+from larkpost.gateway.servers.port import (
+    BrokenResponseError,
+    EngineReport,
+    OrderOutcome,
+    VersionOrder,
+)
+from larkpost.platform import names
+from larkpost.platform.connections import CallLimits
+from larkpost.platform.operator import UNREADABLE
+from larkpost.platform.server_messages import order_document, read_report
+from larkpost.platform.server_refusals import ResponseOwner, response_owner
+from larkpost.platform.server_requests import server_url
+from larkpost.platform.server_responses import RESPONSE_FAILURES, record_idle_time
+from larkpost.platform.silence import CallKind
+
+OK = 200
+ORDER_OUTCOMES = {
+    200: OrderOutcome.HOLDS,
+    202: OrderOutcome.TAKEN,
+    400: OrderOutcome.REJECTED,
+    409: OrderOutcome.BUSY,
+    412: OrderOutcome.FENCED,
+    421: OrderOutcome.WRONG_INSTANCE,
+}
+CONTROL_LIMITS = CallLimits(kind=CallKind.CONTROL)
+
+
+@dataclass(frozen=True, slots=True)
+class ControlCall:
+    """One control call.
+
+    Attributes:
+        target: the path, as it is on the wire.
+        body: a JSON document; None for a call without a body.
+    """
+
+    method: str
+    target: str
+    body: bytes | None = None
+
+    def headers(self, instance: InstanceInfo) -> dict[str, str]:
+        """Returns the headers; an engine that is not the instance meant refuses the call."""
+        headers = {names.EXPECT_INSTANCE.decode(): instance.id}
+        if self.body is not None:
+            headers["Content-Type"] = "application/json"
+        return headers
+
+
+class ControlCalls:
+    """Makes control calls on the kept connections of a session."""
+
+    def __init__(self, session: aiohttp.ClientSession) -> None:
+        self._session = session
+
+    async def report(self, instance: InstanceInfo, timeout: float) -> EngineReport | None:
+        """Asks an engine for its report; see the port.
+
+        A late response to an earlier request on the connection names that request, or is no report.
+        """
+        call = ControlCall("GET", names.REPORT_CALL)
+        try:
+            status, content = await self._make(call, instance, timeout)
+            return read_report(content) if status == OK else None
+        except (BrokenResponseError, *RESPONSE_FAILURES, *UNREADABLE):
+            return None  # the loader logs it and asks again
+
+    async def order(
+        self, instance: InstanceInfo, order: VersionOrder, timeout: float
+    ) -> OrderOutcome:
+        """Gives an engine an order; see the port."""
+        call = ControlCall("POST", names.ORDER_CALL, orjson.dumps(order_document(order)))
+        try:
+            status, _ = await self._make(call, instance, timeout)
+        except (BrokenResponseError, *RESPONSE_FAILURES):
+            return OrderOutcome.UNKNOWN  # the next report shows whether it was carried out
+        return ORDER_OUTCOMES.get(status, OrderOutcome.UNKNOWN)
+
+    async def _make(
+        self, call: ControlCall, instance: InstanceInfo, timeout: float
+    ) -> tuple[int, bytes]:
+        """Makes a call and returns the response's status and body.
+
+        Args:
+            timeout: seconds for the whole call.
+
+        Raises:
+            BrokenResponseError: the response belongs to a request that was sent earlier.
+        """
+        async with (
+            asyncio.timeout(timeout),
+            self._session.request(
+                call.method,
+                server_url(instance.address, call.target),
+                data=call.body,
+                headers=call.headers(instance),
+                timeout=CONTROL_LIMITS,
+            ) as response,
+        ):
+            if response_owner(response.headers, None) is ResponseOwner.OTHER_REQUEST:
+                response.close()
+                raise BrokenResponseError("the answer belongs to an earlier request")
+            record_idle_time(self._session.connector, instance.address, response)
+            return response.status, await response.read()
--- a/src/larkpost/platform/server_messages.py
+++ b/src/larkpost/platform/server_messages.py
@@ -1,4 +1,7 @@
-"""What servers say of themselves, and what they are told, in the platform's words."""
+"""What servers say of themselves and what they are told, on the wire and as larkpost's types."""
+
+import re
+from collections.abc import Mapping
 
 import orjson
 
@@ -11,21 +14,29 @@
     RunningWork.FINISH: "wait",
     RunningWork.INTERRUPT: "preempt",
 }
+"""How a server treats the work that runs under the old version while it changes to the new one."""
+IDLE_TIME = re.compile(r"timeout=(\d+)")
 
 
-def read_whole(headers, name: bytes) -> int | None:
+def read_whole(headers: Mapping[str, str], name: bytes) -> int | None:
     """Returns a header that is a whole number; None if it is none."""
     text = headers.get(name.decode())
     return int(text) if text is not None and text.isdigit() else None
 
 
-def read_cold(headers) -> float | None:
+def read_idle_time(headers: Mapping[str, str]) -> float | None:
+    """Returns the seconds for which a server leaves an idle connection open; None if not said."""
+    found = IDLE_TIME.search(headers.get("Keep-Alive", ""))
+    return float(found[1]) if found is not None else None
+
+
+def read_cold(headers: Mapping[str, str]) -> float | None:
     """Returns the seconds for which a server says that it stays cold; None if it says nothing."""
     left = read_whole(headers, names.COLD_MS)
     return left / 1000 if left is not None else None
 
 
-def read_load(headers) -> ServerLoad | None:
+def read_load(headers: Mapping[str, str]) -> ServerLoad | None:
     """Returns what a server says of its load; None if it says nothing."""
     parts = headers.get(names.INSTANCE_LOAD.decode(), "").split(",")
     if len(parts) != 3 or not all(part.strip().isdigit() for part in parts):
@@ -42,7 +53,7 @@
     """
     document = orjson.loads(content)
     return EngineReport(
-        orders=int(document["seq"]),
+        orders=int(document["seq"]),  # the count of orders, not of reports
         busy=bool(document["busy"]),
         running=int(document.get("running", 0)),
         waiting=int(document.get("waiting", 0)),
@@ -59,5 +70,5 @@
         "mode": ORDER_MODES[order.running_work],
         "holder": order.holder,
         "fence": order.fencing_token,
-        "expected": order.expected_orders,
+        "expected": order.expected_orders,  # the count of orders that the engine reported
     }
--- /dev/null
+++ b/src/larkpost/platform/server_requests.py
@@ -0,0 +1,62 @@
+"""Sends one request to a server, in the form in which servers take requests."""
+
+import aiohttp
+from multidict import CIMultiDict
+from yarl import URL
+
+from larkpost.common.ids import Address
+from larkpost.gateway.blackboard.directory import InstanceInfo
+from larkpost.gateway.servers.port import OutgoingRequest
+from larkpost.platform import names
+from larkpost.platform.connections import CallLimits
+
+LEAST_DEADLINE_MS = 1
+"""What a server is told where less is left: none at all would be no limit to it."""
+
+
+async def send_once(
+    session: aiohttp.ClientSession,
+    instance: InstanceInfo,
+    request: OutgoingRequest,
+    limits: CallLimits,
+) -> aiohttp.ClientResponse:
+    """Sends a request and returns the response once its head has come.
+
+    Raises:
+        aiohttp.ClientError, TimeoutError, OSError, ValueError: no head of a response came.
+    """
+    return await session.request(
+        request.method,
+        server_url(instance.address, request.target.decode("latin-1")),
+        data=request.body or None,
+        headers=_headers(instance, request),
+        allow_redirects=False,
+        timeout=limits,
+    )
+
+
+def server_url(server: Address, target: str) -> URL:
+    """Returns the URL of a target, path and query as they are."""
+    return URL(f"http://{server}{target}", encoded=True)
+
+
+def _headers(instance: InstanceInfo, request: OutgoingRequest) -> CIMultiDict[str]:
+    """Returns the caller's headers, then those that larkpost sets, in the order of the wire."""
+    headers: CIMultiDict[str] = CIMultiDict()
+    for name, value in request.headers:
+        headers.add(name.decode("latin-1"), value.decode("latin-1"))
+    headers["Host"] = request.host.decode("latin-1")
+    headers[names.REQUEST_ID.decode()] = request.request_id.decode("latin-1")
+    headers[names.EXPECT_INSTANCE.decode()] = instance.id
+    if request.time_left is not None:
+        left_ms = max(LEAST_DEADLINE_MS, int(request.time_left * 1000))
+        headers[names.DEADLINE_MS.decode()] = str(left_ms)
+    if request.resume_after is not None:
+        headers[names.LAST_EVENT_ID.decode()] = str(request.resume_after)
+    if request.expected_version is not None:
+        headers[names.EXPECT_VERSION.decode()] = str(request.expected_version)
+    if request.tenant is not None:
+        headers[names.TENANT.decode()] = request.tenant
+    if request.priority is not None:
+        headers[names.REQUEST_PRIORITY.decode()] = str(request.priority)
+    return headers
--- /dev/null
+++ b/src/larkpost/platform/server_responses.py
@@ -0,0 +1,94 @@
+"""A server's response: its head, its body and how it shows that the body is not whole."""
+
+import asyncio
+from collections.abc import AsyncIterator
+
+import aiohttp
+
+from larkpost.common.ids import Address
+from larkpost.gateway.servers.port import BrokenResponseError, Headers, StreamEvent
+from larkpost.platform import names
+from larkpost.platform.connections import CheckedConnector
+from larkpost.platform.events import EventDecoder
+from larkpost.platform.server_messages import read_cold, read_idle_time, read_load, read_whole
+
+LOST_CONNECTIONS = (
+    aiohttp.ServerDisconnectedError,
+    aiohttp.ClientOSError,
+    aiohttp.ClientPayloadError,
+    ConnectionError,
+)
+"""How it shows that a connection was closed or reset before the whole response had come."""
+RESPONSE_FAILURES = (aiohttp.ClientError, asyncio.TimeoutError, OSError, ValueError)
+"""Everything that a call may end with besides a whole response."""
+EMPTY_STATUSES = (204, 304)
+"""Their responses have no body, whatever their headers say."""
+
+
+class HttpResponse:
+    """A response from a server; implements `larkpost.gateway.servers.port.ServerResponse`."""
+
+    def __init__(self, response: aiohttp.ClientResponse) -> None:
+        self._response = response
+        connection = response.connection
+        self._protocol = connection.protocol if connection is not None else None
+        self.status = response.status
+        self.headers: Headers = tuple(response.raw_headers)
+        self.load = read_load(response.headers)
+        # One number, though the header's name is in the plural: the version of the one model.
+        self.version = read_whole(response.headers, names.WEIGHT_VERSIONS)
+        self.cold_left = read_cold(response.headers)
+        self.signature = response.headers.get(names.SERVER_STAMP.decode())
+
+    async def chunks(self) -> AsyncIterator[bytes]:
+        """Yields the body; see the port."""
+        if "Content-Encoding" in self._response.headers:
+            raise BrokenResponseError("the body is encoded, though no encoding was asked for")
+        try:
+            async for chunk in self._response.content.iter_any():
+                yield chunk
+        except RESPONSE_FAILURES as error:
+            raise broken_response("", error) from None
+        if self._was_reset():
+            raise BrokenResponseError(
+                "a body without a length ended in a reset", connection_lost=True
+            )
+
+    async def events(self) -> AsyncIterator[StreamEvent]:
+        """Yields the body's events; see the port."""
+        decoder = EventDecoder()
+        async for chunk in self.chunks():
+            try:
+                for event in decoder.feed(chunk):
+                    yield event
+            except ValueError as error:
+                raise BrokenResponseError(f"no event stream: {error}") from None
+        if decoder.partial:
+            raise BrokenResponseError("the stream ended within an event", connection_lost=True)
+
+    def _was_reset(self) -> bool:
+        """Returns whether a body without a length ended otherwise than by an orderly close."""
+        headers = self._response.headers
+        is_framed = "Content-Length" in headers or "Transfer-Encoding" in headers
+        if is_framed or self.status in EMPTY_STATUSES:
+            return False
+        if self._protocol is None:
+            return True
+        return not isinstance(self._protocol.exception(), aiohttp.ServerDisconnectedError)
+
+
+def broken_response(prefix: str, error: Exception) -> BrokenResponseError:
+    """Returns the error for a response that did not come whole."""
+    return BrokenResponseError(
+        f"{prefix}{type(error).__name__}: {error}",
+        connection_lost=isinstance(error, LOST_CONNECTIONS),
+    )
+
+
+def record_idle_time(
+    connector: CheckedConnector, server: Address, response: aiohttp.ClientResponse
+) -> None:
+    """Records how long the server says that it leaves an idle connection open, if it says so."""
+    seconds = read_idle_time(response.headers)
+    if seconds is not None:
+        connector.record_idle_time(server, seconds)
