--- a/src/larkpost/platform/duties.py
+++ b/src/larkpost/platform/duties.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.usage.port import ReportOutcome, UsageReport
 from larkpost.platform import names
 from larkpost.platform.connections import make_session
-from larkpost.platform.silence import Peer, Silences
+from larkpost.platform.silence import Peer, SilenceWatch
 
 CALL_FAILURES = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
 """Everything a call may end with besides an answer."""
@@ -42,7 +42,7 @@
 
     def __init__(self, address: Address) -> None:
         self._base = f"http://{address}"
-        self._session = make_session(Silences(Peer.STORE))
+        self._session = make_session(SilenceWatch(Peer.STORE))
 
     def use_address(self, address: Address) -> None:
         """Uses another address for all later calls."""
--- a/src/larkpost/platform/http_protocol.py
+++ b/src/larkpost/platform/http_protocol.py
@@ -9,7 +9,7 @@
 from larkpost.common.http_server import HttpServer
 from larkpost.common.ids import Address
 from larkpost.gateway.blackboard.configuration import RequestLimits
-from larkpost.platform.connections import TCP_USER_TIMEOUT, probe_for_silence
+from larkpost.platform.sockets import TCP_USER_TIMEOUT, probe_for_silence
 
 LONGEST_IDLE_SECONDS = 3600
 """Until a connection's first request; then the limit in force holds."""
--- a/src/larkpost/platform/server_requests.py
+++ b/src/larkpost/platform/server_requests.py
@@ -8,7 +8,7 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.servers.port import OutgoingRequest
 from larkpost.platform import names
-from larkpost.platform.connections import CallLimits
+from larkpost.platform.watched_connection import CallLimits
 
 LEAST_DEADLINE_MS = 1
 """What a server is told where less is left: none at all would be no limit to it."""
--- a/src/larkpost/platform/servers.py
+++ b/src/larkpost/platform/servers.py
@@ -26,7 +26,7 @@
     PortState,
     VersionOrder,
 )
-from larkpost.platform.connections import CallLimits, SilentConnectionError, make_session
+from larkpost.platform.connections import make_session
 from larkpost.platform.server_control import ControlCalls
 from larkpost.platform.server_refusals import check_ran, read_refusal
 from larkpost.platform.server_requests import send_once
@@ -36,7 +36,8 @@
     broken_response,
     record_idle_time,
 )
-from larkpost.platform.silence import Peer, Silences
+from larkpost.platform.silence import Peer, SilenceWatch
+from larkpost.platform.watched_connection import CallLimits, SilentConnectionError
 
 CONNECT_FAILURES = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 """How it shows that there was no connection, so that nothing was sent."""
@@ -51,7 +52,7 @@
     """
 
     def __init__(self, metrics: Metrics | None = None, log: EventLog | None = None) -> None:
-        silences = Silences(Peer.SERVER, metrics, log)
+        silences = SilenceWatch(Peer.SERVER, metrics, log)
         self._kept = make_session(silences)
         self._fresh = make_session(silences, keep=False)
         self._control = ControlCalls(self._kept)
--- a/src/larkpost/platform/silence.py
+++ b/src/larkpost/platform/silence.py
@@ -1,10 +1,9 @@
-"""Tells connections that have gone silent for good from servers that are slow.
+"""Watches connections for those that have gone silent for good, as against slow servers.
 
-A connection may go silent without a reset while new ones work. What shows it is a call that waits
-much longer than calls to that address do, on a connection that has brought bytes before, while no
-other old connection to the address brings any. The address is suspect then: none of the connections
-that were open at that moment is trusted again. A connection that never brought a byte shows nothing
-but that its server is slow or gone, so a slow server costs no more than one set of connections.
+Owns what each open connection has shown, how long calls to each address usually take, and which
+addresses are suspect. The rule itself stands in `larkpost.platform.silence_rule`. Once a connection
+is silent for good, its address is suspect: none of the connections that were open at that moment is
+trusted again. So a slow server costs no more than one set of connections.
 """
 
 from collections.abc import Callable
@@ -15,24 +14,25 @@
 from larkpost.common.steady_time import steady_seconds
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.metrics import Count, Metrics
-
-LEAST_PATIENCE_SECONDS = 0.25
-"""No silence is taken for one for good before: links lose packets, which come again within it."""
-LEAST_OVERTAKEN_SECONDS = 0.08
-"""Less than the least time after which a second server is tried."""
-MOST_PATIENCE_SECONDS = 1.5
-USUAL_DECAY = 0.1
-"""Share by which the usual time of an address nears that of a quicker call; it rises at once."""
-GAP_SECONDS = 1.0
-"""The same for a pause within an answer: engines that put a stream off make shorter ones."""
-PROOF_SECONDS = 0.2
-"""How much longer a call that must not be given up lightly waits for proof from a new connection:
-a server that turned slow all at once answers both late, and is not to blame."""
-REST_SECONDS = 2.0
+from larkpost.platform.silence_rule import (
+    ABANDONED,
+    ENDING,
+    MAX_PAUSE_SECONDS,
+    CallWait,
+    SilenceLimit,
+    is_slowness,
+    is_too_long,
+)
+
+USUAL_TIME_DECAY = 0.1
+"""Share by which the usual time of an address nears that of a quicker call; it rises at once. Not
+measured."""
+SUSPICION_PAUSE_SECONDS = 2.0
 """After a suspicion, before connections opened since may be suspected as well: a server that is
-slow now and then does not have its connections closed again and again."""
+slow now and then does not have its connections closed again and again. Not measured."""
 FORGET_SECONDS = 60.0
-"""How long an address without connections is remembered: servers come back at new ones."""
+"""How long an address without connections is remembered: servers come back at new ones. Not
+measured."""
 
 
 class Peer(StrEnum):
@@ -43,26 +43,6 @@
     SERVER = "server"
 
 
-@dataclass(frozen=True, slots=True)
-class Patience:
-    """How long a call may go without a byte before its connection may be silent for good.
-
-    Attributes:
-        least: seconds, however quick the calls to its address are.
-        factor: by how much it must outlast the slow ones among the last calls.
-    """
-
-    least: float
-    factor: float
-
-
-ENDING = Patience(LEAST_PATIENCE_SECONDS, 4.0)
-"""Before a call is ended for it."""
-OVERTAKEN = Patience(LEAST_OVERTAKEN_SECONDS, 2.0)
-"""For a call that is given up anyway, as another server's answer came first, or its time is over:
-by a mistake only connections that rest are lost."""
-
-
 class CallKind(StrEnum):
     """Kinds of calls whose usual times have nothing to do with each other."""
 
@@ -71,35 +51,37 @@
 
 
 @dataclass(slots=True, eq=False)
-class Line:
+class ConnectionRecord:
     """What one open connection has shown. All times are steady ones.
 
     Attributes:
-        heard_at: when it last brought bytes; None if it never did.
-        asked_at: when its last call began.
+        received_at: when it last brought bytes; None if it never did.
+        called_at: when its last call began.
         kind: the kind of that call.
-        held: seconds that this call may be held at the other end before it is answered.
-        is_awaited: whether the call has not got a byte of answer yet.
+        hold_time: seconds that this call may be held at the other end before it is answered.
+        is_awaited: whether the call has not got a byte of its response yet.
     """
 
     address: Address
     opened_at: float
-    heard_at: float | None = None
-    asked_at: float = 0.0
+    received_at: float | None = None
+    called_at: float = 0.0
     kind: CallKind = CallKind.REQUEST
-    held: float = 0.0
+    hold_time: float = 0.0
     is_awaited: bool = False
 
-    def quiet_since(self) -> float:
+    def waiting_since(self) -> float:
         """Returns since when a call has waited for bytes."""
-        return max(self.asked_at, self.heard_at or 0.0)
+        return max(self.called_at, self.received_at or 0.0)
 
 
-class Silences:
+class SilenceWatch:
     """Watches the connections to all addresses of one kind.
 
     Args:
         peer: what the connections lead to.
+        metrics: counts suspicions.
+        log: records them.
         now: returns steady time.
     """
 
@@ -114,108 +96,112 @@
         self._metrics = metrics
         self._log = log
         self._now = now
-        self._lines: dict[Address, set[Line]] = {}
-        self._usual: dict[tuple[Address, CallKind], float] = {}
+        self._records: dict[Address, set[ConnectionRecord]] = {}
+        self._usual_times: dict[tuple[Address, CallKind], float] = {}
         self._suspected_at: dict[Address, float] = {}
         self._left_at: dict[Address, float] = {}
         """When the last connection to each address without one was closed, in that order."""
 
-    def open(self, address: Address) -> Line:
-        """Returns the line of a connection that has just been opened."""
-        line = Line(address, self._now())
+    def open(self, address: Address) -> ConnectionRecord:
+        """Returns the record of a connection that has just been opened."""
+        record = ConnectionRecord(address, self._now())
         self._left_at.pop(address, None)
         self._forget_old()
-        self._lines.setdefault(address, set()).add(line)
-        return line
+        self._records.setdefault(address, set()).add(record)
+        return record
 
-    def close(self, line: Line) -> None:
+    def close(self, record: ConnectionRecord) -> None:
         """Forgets a connection that is closed."""
-        lines = self._lines.get(line.address)
-        if lines is not None:
-            lines.discard(line)
-            if not lines:
-                del self._lines[line.address]
-                self._left_at[line.address] = self._now()
-
-    def ask(self, line: Line, kind: CallKind, held: float) -> None:
-        """Takes that a call begins on a connection."""
-        line.asked_at = self._now()
-        line.kind = kind
-        line.held = held
-        line.is_awaited = True
-
-    def hear(self, line: Line) -> None:
-        """Takes that a connection has brought bytes."""
-        line.heard_at = self._now()
-        if line.is_awaited:
-            line.is_awaited = False
-            if not line.held:
-                self._learn(line, line.heard_at - line.asked_at)
-
-    def end(self, line: Line) -> None:
-        """Takes that a call ends, whole or not; after a long silence its address is suspect."""
-        if self.is_silent(line, OVERTAKEN):
-            self.suspect(line)
-        elif line.is_awaited and not line.held:
-            elapsed = self._now() - line.asked_at
-            if elapsed > self._usual.get((line.address, line.kind), 0.0):
-                self._learn(line, elapsed)
-        line.is_awaited = False
-
-    def patience(self, line: Line, patience: Patience = ENDING) -> float:
+        records = self._records.get(record.address)
+        if records is not None:
+            records.discard(record)
+            if not records:
+                del self._records[record.address]
+                self._left_at[record.address] = self._now()
+
+    def begin_call(self, record: ConnectionRecord, kind: CallKind, hold_time: float) -> None:
+        """Records that a call begins on a connection."""
+        record.called_at = self._now()
+        record.kind = kind
+        record.hold_time = hold_time
+        record.is_awaited = True
+
+    def record_bytes(self, record: ConnectionRecord) -> None:
+        """Records that a connection has brought bytes."""
+        record.received_at = self._now()
+        if record.is_awaited:
+            record.is_awaited = False
+            if not record.hold_time:
+                self._learn(record, record.received_at - record.called_at)
+
+    def end_call(self, record: ConnectionRecord) -> None:
+        """Records that a call ends, whole or not; after a long silence its address is suspect."""
+        if self.is_silent(record, ABANDONED):
+            self.suspect(record)
+        elif record.is_awaited and not record.hold_time:
+            elapsed = self._now() - record.called_at
+            if elapsed > self._usual_time(record):
+                self._learn(record, elapsed)
+        record.is_awaited = False
+
+    def limit_of(self, record: ConnectionRecord, limit: SilenceLimit = ENDING) -> float:
         """Returns the seconds without a byte after which a connection may be silent for good.
 
         They count from when its call could have been answered at the earliest.
         """
-        if not line.is_awaited:
-            return GAP_SECONDS
-        usual = patience.factor * self._usual.get((line.address, line.kind), 0.0)
-        return min(MOST_PATIENCE_SECONDS, max(patience.least, usual))
-
-    def is_silent(self, line: Line, patience: Patience = ENDING) -> bool:
-        """Tells whether a connection with a call on it has gone silent for good."""
-        if line.heard_at is None:
-            return False
-        now = self._now()
-        longest = self.patience(line, patience)
-        held = line.held if line.is_awaited else 0.0
-        if now - line.quiet_since() < longest + held:
-            return False
-        return not any(
-            other.heard_at is not None and other.heard_at > now - longest
-            for other in self._lines.get(line.address, ())
-            if other.opened_at < line.asked_at
+        if not record.is_awaited:
+            return MAX_PAUSE_SECONDS
+        return limit.seconds(self._usual_time(record))
+
+    def is_silent(self, record: ConnectionRecord, limit: SilenceLimit = ENDING) -> bool:
+        """Returns whether a connection with a call on it has gone silent for good."""
+        wait = CallWait(
+            now=self._now(),
+            since=record.waiting_since(),
+            limit=self.limit_of(record, limit),
+            hold_time=record.hold_time if record.is_awaited else 0.0,
+            received_at=record.received_at,
         )
+        return is_too_long(wait) and not is_slowness(wait, self._others_received_at(record))
 
-    def is_proven(self, line: Line) -> bool:
-        """Tells whether a connection opened since its call began has brought bytes."""
+    def is_proven(self, record: ConnectionRecord) -> bool:
+        """Returns whether a connection opened since its call began has brought bytes."""
         return any(
-            other.heard_at is not None and other.opened_at > line.asked_at
-            for other in self._lines.get(line.address, ())
+            other.received_at is not None and other.opened_at > record.called_at
+            for other in self._records.get(record.address, ())
         )
 
-    def suspect(self, line: Line) -> None:
+    def suspect(self, record: ConnectionRecord) -> None:
         """Trusts no connection to an address any more that is open now."""
         now = self._now()
-        suspected_at = self._suspected_at.get(line.address, float("-inf"))
-        if now - suspected_at < REST_SECONDS or line.opened_at < suspected_at:
+        suspected_at = self._suspected_at.get(record.address, float("-inf"))
+        if now - suspected_at < SUSPICION_PAUSE_SECONDS or record.opened_at < suspected_at:
             return
-        self._suspected_at[line.address] = now
+        self._suspected_at[record.address] = now
         if self._metrics is not None:
             self._metrics.count(Count.SILENT_CONNECTIONS, self._peer)
         if self._log is not None:
             self._log.record(
                 Event.CONNECTIONS_SILENT,
                 to=self._peer,
-                address=line.address,
-                silent=round(now - line.quiet_since(), 3),
-                patience=round(self.patience(line), 3),
-                open=len(self._lines.get(line.address, ())),
+                address=record.address,
+                silent=round(now - record.waiting_since(), 3),
+                patience=round(self.limit_of(record), 3),
+                open=len(self._records.get(record.address, ())),
             )
 
-    def is_suspect(self, line: Line) -> bool:
-        """Tells whether a connection was open when its address became suspect."""
-        return line.opened_at <= self._suspected_at.get(line.address, float("-inf"))
+    def is_suspect(self, record: ConnectionRecord) -> bool:
+        """Returns whether a connection was open when its address became suspect."""
+        return record.opened_at <= self._suspected_at.get(record.address, float("-inf"))
+
+    def _others_received_at(self, record: ConnectionRecord) -> float | None:
+        """Returns when a connection that was open when the call began last brought bytes."""
+        times = (
+            other.received_at
+            for other in self._records.get(record.address, ())
+            if other.opened_at < record.called_at and other.received_at is not None
+        )
+        return max(times, default=None)
 
     def _forget_old(self) -> None:
         oldest = self._now() - FORGET_SECONDS
@@ -226,11 +212,14 @@
             del self._left_at[address]
             self._suspected_at.pop(address, None)
             for kind in CallKind:
-                self._usual.pop((address, kind), None)
+                self._usual_times.pop((address, kind), None)
+
+    def _usual_time(self, record: ConnectionRecord) -> float:
+        """Returns what calls like a connection's last usually take; 0 if nothing is known."""
+        return self._usual_times.get((record.address, record.kind), 0.0)
 
-    def _learn(self, line: Line, seconds: float) -> None:
-        key = (line.address, line.kind)
-        usual = self._usual.get(key, 0.0)
+    def _learn(self, record: ConnectionRecord, seconds: float) -> None:
+        usual = self._usual_time(record)
         if seconds < usual:
-            seconds = usual + USUAL_DECAY * (seconds - usual)
-        self._usual[key] = seconds
+            seconds = usual + USUAL_TIME_DECAY * (seconds - usual)
+        self._usual_times[(record.address, record.kind)] = seconds
--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -25,8 +25,9 @@
     WriteResult,
 )
 from larkpost.platform import names
-from larkpost.platform.connections import CallLimits, SilentConnectionError, make_session
-from larkpost.platform.silence import Peer, Silences
+from larkpost.platform.connections import make_session
+from larkpost.platform.silence import Peer, SilenceWatch
+from larkpost.platform.watched_connection import CallLimits, SilentConnectionError
 
 READ_TIMEOUT_SECONDS = 1.5
 FEED_WAIT_SECONDS = 1.0
@@ -69,7 +70,7 @@
         self.row_bytes = row_bytes
         self._base = f"http://{address}"
         self._metrics = metrics or Metrics()
-        self._session = make_session(Silences(peer, self._metrics, log))
+        self._session = make_session(SilenceWatch(peer, self._metrics, log))
         self._proof: asyncio.Task | None = None
         self._clock_offset: float | None = None
         self._offset_error = 0.0
@@ -197,7 +198,7 @@
         headers = {"Content-Type": "application/json"} if body is not None else {}
         url = URL(self._base + target, encoded=True)
         prove = self._begin_proof if body is not None else None
-        limits = CallLimits(held=held, ends_if_silent=True, prove=prove)
+        limits = CallLimits(hold_time=held, ends_if_silent=True, prove=prove)
         async with self._session.request(
             method, url, data=body, headers=headers, timeout=limits
         ) as response:
--- /dev/null
+++ b/src/larkpost/platform/watched_connection.py
@@ -0,0 +1,133 @@
+"""One connection to a server or to the store, and the end of its call once it is silent.
+
+Relies on `larkpost.platform.silence` for whether a connection is silent for good.
+"""
+
+import asyncio
+from collections.abc import Callable
+
+import aiohttp
+import attrs
+from aiohttp.client_proto import ResponseHandler
+
+from larkpost.common.ids import Address
+from larkpost.platform.silence import CallKind, ConnectionRecord, SilenceWatch
+
+CONNECT_TIMEOUT_SECONDS = 1.0
+"""Longest wait for a new connection. Not measured."""
+PROOF_SECONDS = 0.2
+"""How much longer a call that must not be given up lightly waits for proof from a new connection: a
+server that turned slow all at once answers both late, and is not to blame. Measured with a store
+that turned from 5 or 42 ms a call to 0.3 or 0.4 s: without proof, each write under way ended as
+unknown after 0.25 s; at 0.6 s a call they still do, at 0.45 s."""
+PROOF_POLL_SECONDS = 0.01
+"""Between two checks whether a new connection has proven an old one silent. Not measured."""
+
+
+class SilentConnectionError(aiohttp.ClientError):
+    """The connection of a call has gone silent for good; the call may have been made."""
+
+
+@attrs.frozen
+class CallLimits(aiohttp.ClientTimeout):
+    """The limits of one call.
+
+    Attributes:
+        sock_connect: seconds within which a new connection must be open.
+        kind: which calls it takes about as long as.
+        hold_time: seconds that the other end may hold the call before it responds.
+        ends_if_silent: whether the call ends with `SilentConnectionError` once its connection is
+            taken to be silent for good; if not, its own time limit shows that.
+        prove: asks for proof on a new connection, as it harms to end this call without need; it
+            ends once there is proof, or `PROOF_SECONDS` later. None if it ends without.
+        is_sent_once: whether the call ends when its connection is lost. The library sends some
+            again by itself then, and reports only how that ended: a server that has crashed would
+            look as if it had never been reached.
+        connections: one number, which counts the connections that the call was given.
+    """
+
+    sock_connect: float | None = CONNECT_TIMEOUT_SECONDS
+    kind: CallKind = CallKind.REQUEST
+    hold_time: float = 0.0
+    ends_if_silent: bool = False
+    prove: Callable[[], None] | None = None
+    is_sent_once: bool = False
+    connections: list[int] = attrs.field(factory=lambda: [0], eq=False)
+
+
+class WatchedConnection(ResponseHandler):
+    """One connection, whose bytes and calls are recorded.
+
+    Attributes:
+        record: what the connection has shown; None until its first call.
+    """
+
+    def __init__(self, silences: SilenceWatch, loop: asyncio.AbstractEventLoop) -> None:
+        super().__init__(loop)
+        self._silences = silences
+        self._watch: asyncio.TimerHandle | None = None
+        self._prove: Callable[[], None] | None = None
+        self._proof_until: float | None = None
+        self.record: ConnectionRecord | None = None
+
+    def begin_call(self, address: Address, limits: CallLimits) -> None:
+        """Records that a call begins, and ends it if the connection is silent."""
+        if self.record is None:
+            self.record = self._silences.open(address)
+        self._silences.begin_call(self.record, limits.kind, limits.hold_time)
+        self._prove, self._proof_until = limits.prove, None
+        if limits.ends_if_silent and self.record.received_at is not None:
+            self._check_later(limits.hold_time + self._silences.limit_of(self.record))
+
+    def end_call(self) -> None:
+        """Records that a call has ended, or was given up."""
+        self._stop_watch()
+        if self.record is not None and self.is_connected() and not self._is_paused_here():
+            self._silences.end_call(self.record)
+
+    def data_received(self, data: bytes) -> None:
+        """Records that bytes of a response came, and passes them on."""
+        if data and self.record is not None:
+            self._stop_watch()
+            self._silences.record_bytes(self.record)
+        super().data_received(data)
+
+    def connection_lost(self, exc: BaseException | None) -> None:
+        """Forgets the connection."""
+        self._stop_watch()
+        if self.record is not None:
+            self._silences.close(self.record)
+        super().connection_lost(exc)
+
+    def _is_paused_here(self) -> bool:
+        """Returns whether no bytes come as nobody here reads them."""
+        return self._reading_paused or self._buffer_paused
+
+    def _check_later(self, delay: float) -> None:
+        self._watch = self._loop.call_later(delay, self._check)
+
+    def _check(self) -> None:
+        """Breaks the call off if its connection is silent for good."""
+        if not self._silences.is_silent(self.record):
+            self._check_later(self._silences.limit_of(self.record))
+            return
+        self._silences.suspect(self.record)
+        if self._waits_for_proof():
+            self._check_later(PROOF_POLL_SECONDS)
+            return
+        self.set_exception(SilentConnectionError(f"{self.record.address} is silent"))
+        self.transport.abort()
+
+    def _waits_for_proof(self) -> bool:
+        """Returns whether a new connection may yet prove this one silent; asks for that once."""
+        if self._prove is None:
+            return False
+        if self._proof_until is None:
+            self._proof_until = self._loop.time() + PROOF_SECONDS
+            self._prove()
+        return self._loop.time() < self._proof_until and not self._silences.is_proven(self.record)
+
+    def _stop_watch(self) -> None:
+        if self._watch is not None:
+            self._watch.cancel()
+            self._watch = None
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -406,21 +406,21 @@
 
 def trust_silent_connections():
     """Goes on using the other connections to an address of which one has gone silent."""
-    from larkpost.platform.silence import Silences
+    from larkpost.platform.silence import SilenceWatch
 
-    return mock.patch.object(Silences, "is_suspect", lambda *_: False)
+    return mock.patch.object(SilenceWatch, "is_suspect", lambda *_: False)
 
 
 def wait_on_silent_connections():
     """Leaves a call on a silent connection until its time is over."""
-    from larkpost.platform.connections import WatchedConnection
+    from larkpost.platform.watched_connection import WatchedConnection
 
-    return mock.patch.object(WatchedConnection, "_look_again", lambda *_: None)
+    return mock.patch.object(WatchedConnection, "_check_later", lambda *_: None)
 
 
 def give_up_writes_without_proof():
     """Ends a write on a connection that looks silent, though the store may only be slow."""
-    from larkpost.platform.connections import WatchedConnection
+    from larkpost.platform.watched_connection import WatchedConnection
 
     return mock.patch.object(WatchedConnection, "_waits_for_proof", lambda _: False)
 
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -4,6 +4,7 @@
 import random
 import socket
 import unittest
+from dataclasses import replace
 
 from aiohttp.client_reqrep import ConnectionKey
 
@@ -27,19 +28,25 @@
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.servers.port import OrderOutcome, OutgoingRequest, VersionOrder
 from larkpost.gateway.store.port import RowKey, Transaction, WriteOutcome
-from larkpost.platform.connections import LEAST_ADDRESSES_KEPT, make_session
+from larkpost.platform.connections import MIN_ADDRESSES_KEPT, make_session
 from larkpost.platform.http_protocol import Listener
 from larkpost.platform.peer_store import PeerStoreApp
 from larkpost.platform.servers import HttpServers
 from larkpost.platform.silence import (
-    ENDING,
     FORGET_SECONDS,
-    GAP_SECONDS,
-    LEAST_PATIENCE_SECONDS,
-    REST_SECONDS,
+    SUSPICION_PAUSE_SECONDS,
     CallKind,
     Peer,
-    Silences,
+    SilenceWatch,
+)
+from larkpost.platform.silence_rule import (
+    ABANDONED,
+    ENDING,
+    MAX_PAUSE_SECONDS,
+    MIN_SILENCE_SECONDS,
+    CallWait,
+    is_slowness,
+    is_too_long,
 )
 from larkpost.platform.stand_in.store_app import StoreApp
 from larkpost.platform.store import READ_TIMEOUT_SECONDS, HttpStore
@@ -56,7 +63,7 @@
 """A request that is not answered by then has failed."""
 SLACK_SECONDS = 0.4
 """What a busy machine adds to a time."""
-LATE_SECONDS = LEAST_PATIENCE_SECONDS + SLACK_SECONDS
+LATE_SECONDS = MIN_SILENCE_SECONDS + SLACK_SECONDS
 """An answer to a call that met a silent connection is here by then."""
 SETTLING_CALLS = 40
 """Calls one after another, after which the time that many at once take is no longer the usual."""
@@ -163,7 +170,7 @@
 
     async def test_held_feed_that_nothing_changes_is_not_taken_for_silent(self):
         await self.open_connections(self.store)
-        await self.store.changes("table", 0, 3 * LEAST_PATIENCE_SECONDS)
+        await self.store.changes("table", 0, 3 * MIN_SILENCE_SECONDS)
         self.assertEqual(3, self.link.connections)
         self.assertEqual(0.0, count_silences(self.metrics, Peer.STORE))
 
@@ -198,39 +205,39 @@
 
     def test_addresses_without_connections_are_forgotten_after_a_while(self):
         now = 0.0
-        silences = Silences(Peer.SERVER, now=lambda: now)
+        silences = SilenceWatch(Peer.SERVER, now=lambda: now)
         for number in range(500):
             now += 1.0
             line = silences.open(Address(f"10.0.0.1:{number}"))
-            silences.ask(line, CallKind.REQUEST, 0.0)
-            silences.hear(line)
+            silences.begin_call(line, CallKind.REQUEST, 0.0)
+            silences.record_bytes(line)
             silences.suspect(line)
             silences.close(line)
-        for kept in (silences._usual, silences._suspected_at, silences._left_at):
+        for kept in (silences._usual_times, silences._suspected_at, silences._left_at):
             self.assertLessEqual(len(kept), FORGET_SECONDS + 1)
 
     def test_address_with_a_connection_is_remembered(self):
         now = 0.0
-        silences = Silences(Peer.SERVER, now=lambda: now)
+        silences = SilenceWatch(Peer.SERVER, now=lambda: now)
         line = silences.open(ADDRESS)
         silences.close(silences.open(ADDRESS))
-        silences.ask(line, CallKind.REQUEST, 0.0)
+        silences.begin_call(line, CallKind.REQUEST, 0.0)
         now = 0.3
-        silences.hear(line)
+        silences.record_bytes(line)
         now += 10 * FORGET_SECONDS
         silences.open(Address("10.0.0.2:1"))
-        silences.ask(line, CallKind.REQUEST, 0.0)
-        self.assertGreater(silences.patience(line), LEAST_PATIENCE_SECONDS)
+        silences.begin_call(line, CallKind.REQUEST, 0.0)
+        self.assertGreater(silences.limit_of(line), MIN_SILENCE_SECONDS)
 
     async def test_connector_forgets_servers_to_which_no_connection_rests(self):
-        async with make_session(Silences(Peer.SERVER)) as session:
-            for number in range(3 * LEAST_ADDRESSES_KEPT):
+        async with make_session(SilenceWatch(Peer.SERVER)) as session:
+            for number in range(3 * MIN_ADDRESSES_KEPT):
                 server = Address(f"10.0.0.1:{number}")
                 key = ConnectionKey("10.0.0.1", number, False, True, None, None, None)
                 session.connector.record_idle_time(server, 5.0)
                 self.assertIsNone(await session.connector._get(key, ()))
-            self.assertLessEqual(len(session.connector._keys), LEAST_ADDRESSES_KEPT + 1)
-            self.assertLessEqual(len(session.connector._idle_times), LEAST_ADDRESSES_KEPT + 1)
+            self.assertLessEqual(len(session.connector._keys), MIN_ADDRESSES_KEPT + 1)
+            self.assertLessEqual(len(session.connector._idle_times), MIN_ADDRESSES_KEPT + 1)
 
 
 class Pages:
@@ -368,12 +375,12 @@
 
     async def test_connections_in_use_are_not_kept_once_they_are_free(self):
         await self.open_connections(2)
-        self.pages.events, self.pages.gap = 3, LEAST_PATIENCE_SECONDS
+        self.pages.events, self.pages.gap = 3, MIN_SILENCE_SECONDS
         long = asyncio.create_task(self.ask(8))
         await asyncio.sleep(0.05)
         self.pages.events = 0
         silences = self.servers._kept.connector._silences
-        lines = silences._lines[self.instance.address]
+        lines = silences._records[self.instance.address]
         silences.suspect(next(iter(lines)))
         await long
         self.assertFalse(self.servers.is_connected(self.instance))
@@ -381,7 +388,7 @@
     async def test_slow_server_keeps_its_connections(self):
         """New ones are as slow, and a connection that has never answered shows nothing."""
         await self.open_connections()
-        self.pages.delay = 3 * LEAST_PATIENCE_SECONDS
+        self.pages.delay = 3 * MIN_SILENCE_SECONDS
         for number in range(10, 15):
             await self.ask(number)
         self.assertLessEqual(self.pages.link.connections, 4)
@@ -389,7 +396,7 @@
 
     async def test_single_slow_request_beside_others_shows_nothing(self):
         await self.open_connections()
-        self.pages.delay = 3 * LEAST_PATIENCE_SECONDS
+        self.pages.delay = 3 * MIN_SILENCE_SECONDS
         slow = asyncio.create_task(self.ask(9))
         await asyncio.sleep(0.05)
         self.pages.delay = 0.0
@@ -404,7 +411,7 @@
         self.pages.events, self.pages.gap = 20, 0.1
         seen = []
         with self.assertRaises(TimeoutError):
-            async with asyncio.timeout(GAP_SECONDS + 0.5) as limit:
+            async with asyncio.timeout(MAX_PAUSE_SECONDS + 0.5) as limit:
                 request = page_request(9, repeat=False)
                 async with self.servers.send(self.instance, request) as answer:
                     async for event in answer.events():
@@ -412,7 +419,7 @@
                         if event.id == 3:
                             self.pages.link.harm(LinkFault.OLD_SILENT)
                             now = asyncio.get_running_loop().time()
-                            limit.reschedule(now + GAP_SECONDS + 0.2)
+                            limit.reschedule(now + MAX_PAUSE_SECONDS + 0.2)
         self.assertEqual([1, 2, 3], seen)
         self.pages.events = 1
         async with asyncio.timeout(2 * SLACK_SECONDS):
@@ -537,7 +544,7 @@
 
     def setUp(self):
         self.time = 100.0
-        self.silences = Silences(Peer.SERVER, now=lambda: self.time)
+        self.silences = SilenceWatch(Peer.SERVER, now=lambda: self.time)
 
     def open(self):
         """Returns a connection that has answered a call."""
@@ -547,10 +554,10 @@
 
     def call(self, line, seconds: float | None, held: float = 0.0) -> None:
         """Makes a call that is answered after some time, or never."""
-        self.silences.ask(line, CallKind.REQUEST, held)
+        self.silences.begin_call(line, CallKind.REQUEST, held)
         if seconds is not None:
             self.time += seconds
-            self.silences.hear(line)
+            self.silences.record_bytes(line)
 
     def test_silence_is_long_by_the_usual_time(self):
         line = self.open()
@@ -573,7 +580,7 @@
         line = self.open()
         self.call(line, 1.0, held=1.0)
         self.call(line, None)
-        self.time += LEAST_PATIENCE_SECONDS + 0.01
+        self.time += MIN_SILENCE_SECONDS + 0.01
         self.assertTrue(self.silences.is_silent(line))
 
     def test_new_connection_that_never_answered_shows_nothing(self):
@@ -597,13 +604,45 @@
         young = self.open()
         self.silences.suspect(young)
         self.assertEqual((True, False), tuple(map(self.silences.is_suspect, (old, young))))
-        self.time += REST_SECONDS
+        self.time += SUSPICION_PAUSE_SECONDS
         self.silences.suspect(young)
         self.assertTrue(self.silences.is_suspect(young))
 
+    def test_rule_by_cases(self):
+        """Each case changes one input of a wait that is too long and shows a silent connection."""
+        silent = CallWait(now=10.0, since=9.0, limit=0.5, hold_time=0.25, received_at=8.0)
+        for change, others_received_at, too_long, slow in (
+            ({}, None, True, False),
+            ({"received_at": None}, None, False, False),
+            ({"since": 9.25}, None, True, False),
+            ({"since": 9.375}, None, False, False),
+            ({"limit": 0.75}, None, True, False),
+            ({"limit": 0.875}, None, False, False),
+            ({"hold_time": 0.5}, None, True, False),
+            ({"hold_time": 0.625}, None, False, False),
+            ({}, 9.5, True, False),
+            ({}, 9.625, True, True),
+            ({"limit": 0.25}, 9.625, True, False),
+        ):
+            wait = replace(silent, **change)
+            found = (is_too_long(wait), is_slowness(wait, others_received_at))
+            self.assertEqual((too_long, slow), found, (change, others_received_at))
+
+    def test_limits_by_usual_time(self):
+        for limit, usual, seconds in (
+            (ENDING, 0.0, 0.25),
+            (ENDING, 0.0625, 0.25),
+            (ENDING, 0.125, 0.5),
+            (ENDING, 1.0, 1.5),
+            (ABANDONED, 0.0, 0.08),
+            (ABANDONED, 0.125, 0.25),
+            (ABANDONED, 1.0, 1.5),
+        ):
+            self.assertEqual(seconds, limit.seconds(usual), (limit, usual))
+
     def test_closed_connections_are_forgotten(self):
         self.silences.close(self.open())
-        self.assertEqual({}, self.silences._lines)
+        self.assertEqual({}, self.silences._records)
 
 
 class AcceptedTest(unittest.IsolatedAsyncioTestCase):
