--- a/src/larkpost/platform/duties.py
+++ b/src/larkpost/platform/duties.py
@@ -1,4 +1,7 @@
-"""The adapter to the platform's calls that one daemon at a time makes."""
+"""The adapter to the platform's calls that one daemon at a time makes, under a lease.
+
+Translates usage reports and orders of servers, and the statuses of the responses.
+"""
 
 import asyncio
 
@@ -15,21 +18,21 @@
 from larkpost.platform.silence import Peer, SilenceWatch
 
 CALL_FAILURES = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
-"""Everything a call may end with besides an answer."""
-UNANSWERED = 0
-"""Stands for the status of a call without an answer."""
+"""Everything a call may end with besides a response."""
+NO_RESPONSE = 0
+"""Stands for the status of a call without a response."""
 REPORT_OUTCOMES = {
     200: ReportOutcome.TAKEN,
     409: ReportOutcome.FENCED,
     500: ReportOutcome.UNKNOWN,
-    UNANSWERED: ReportOutcome.UNKNOWN,
+    NO_RESPONSE: ReportOutcome.UNKNOWN,
 }
 
 SCALING_OUTCOMES = {
     200: ScalingOutcome.TAKEN,
     409: ScalingOutcome.REFUSED,
     500: ScalingOutcome.UNKNOWN,
-    UNANSWERED: ScalingOutcome.UNKNOWN,
+    NO_RESPONSE: ScalingOutcome.UNKNOWN,
 }
 
 
@@ -37,7 +40,7 @@
     """Makes the calls; implements `UsagePort` and `ScalingPort`.
 
     Args:
-        address: where the platform takes them.
+        address: where the platform listens for them.
     """
 
     def __init__(self, address: Address) -> None:
@@ -77,7 +80,7 @@
     async def _call(
         self, call: str, document: dict[str, object], holder: str, lease: Lease, timeout: float
     ) -> int:
-        """Makes a call under a lease and returns its status; UNANSWERED if there was none."""
+        """Makes a call under a lease and returns its status; `NO_RESPONSE` if there was none."""
         headers = {
             names.LEASE_HOLDER.decode(): holder,
             names.FENCING_TOKEN.decode(): str(lease.token),
@@ -92,4 +95,4 @@
                 await response.read()
                 return response.status
         except CALL_FAILURES:
-            return UNANSWERED  # whoever has the duty notes it and tries again
+            return NO_RESPONSE  # whoever has the duty logs it and tries again
--- a/src/larkpost/platform/events.py
+++ b/src/larkpost/platform/events.py
@@ -1,6 +1,6 @@
 """Splits the body of a stream into events.
 
-The libraries for event streams drop unknown fields, and the platform tells a change of the weight
+The libraries for event streams drop unknown fields, and the platform reports a change of the weight
 version in a field of its own; so the lines of an event are read here. Framing of the body itself
 is the HTTP library's.
 """
@@ -20,7 +20,7 @@
         self._pending = b""
 
     def feed(self, content: bytes) -> Iterator[StreamEvent]:
-        """Takes bytes as they arrive and yields the events that are now whole.
+        """Adds bytes as they arrive and yields the events that are now whole.
 
         Raises:
             ValueError: an event has no readable id.
--- a/src/larkpost/platform/http_protocol.py
+++ b/src/larkpost/platform/http_protocol.py
@@ -1,8 +1,13 @@
-"""The server side of HTTP: the library's protocol, with the configured limits on clients."""
+"""The server side of HTTP: the library's protocol, with the configured limits on clients.
+
+Owns the limits on a request's head, and when a connection is idle. Relies on the HTTP library's
+protocol, of which private methods are overridden: its version is pinned.
+"""
 
 import asyncio
 import socket
 from collections.abc import Callable
+from operator import attrgetter
 
 from uvicorn.protocols.http.httptools_impl import HttpToolsProtocol, RequestResponseCycle
 
@@ -11,15 +16,17 @@
 from larkpost.gateway.blackboard.configuration import RequestLimits
 from larkpost.platform.sockets import TCP_USER_TIMEOUT, probe_for_silence
 
-LONGEST_IDLE_SECONDS = 3600
-"""Until a connection's first request; then the limit in force holds."""
+MAX_FIRST_IDLE_SECONDS = 3600
+"""How long a connection may wait with its first request; then the limit in force holds. Not
+measured."""
 PROBE_AFTER_SECONDS = 3
 PROBE_INTERVAL_SECONDS = 1
 PROBES = 3
-"""The system asks a client that sends nothing for a sign of life: one whose connection has gone
-silent for good, or whose machine has, holds its request and its place for six seconds."""
-UNTAKEN_ANSWER_MS = 6000
-"""So long may an answer wait for its client's machine to acknowledge it."""
+"""The system probes a client that sends nothing: one whose connection has gone silent for good, or
+whose machine has, holds its request and its place for six seconds. Not measured."""
+UNACKNOWLEDGED_MS = 6000
+"""So long may a response wait for its client's machine to acknowledge it: as long as the probes
+take. Not measured."""
 OVERSIZED = "oversized"
 """Marks, in a request's state, that its head is larger than allowed."""
 HEAD_TOO_LARGE = (
@@ -28,6 +35,9 @@
 )
 HEAD_TOO_SLOW = b"HTTP/1.1 408 Request Timeout\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"
 
+HEADER_OVERHEAD_BYTES = 4
+"""What a header has on the wire besides its name and value: a colon, a space and a line end."""
+
 LimitSource = Callable[[], RequestLimits]
 
 
@@ -41,18 +51,18 @@
         self._in_head = False
         self._head_bytes = 0
         self._head_timer: asyncio.TimerHandle | None = None
-        self.resting_since: float | None = self.loop.time()
+        self.idle_since: float | None = self.loop.time()
         self._served: RequestResponseCycle | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Takes a connection, and has the system watch it."""
+        """Begins a connection, and has the system watch it."""
         super().connection_made(transport)
         accepted = transport.get_extra_info("socket")
         probe_for_silence(accepted, PROBE_AFTER_SECONDS, PROBE_INTERVAL_SECONDS, PROBES)
-        accepted.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, UNTAKEN_ANSWER_MS)
+        accepted.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes from the client; the head's are counted."""
+        """Reads bytes from the client; the head's are counted."""
         if self._in_head or self._is_between_requests():
             self._count_head(len(data))
         super().data_received(data)
@@ -62,9 +72,9 @@
             self._refuse(HEAD_TOO_LARGE)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forgets the connection, and tells the request that is served of it.
+        """Forgets the connection, and wakes the request that is served.
 
-        The library tells only the newest request, which may be one that was sent ahead.
+        The library wakes only the newest request, which may be one that was sent ahead.
         """
         self._stop_head_timer()
         self.pipeline.clear()
@@ -77,12 +87,12 @@
         """Starts a request."""
         super().on_message_begin()
         self._in_head = True
-        self.resting_since = None
+        self.idle_since = None
 
     def on_response_complete(self) -> None:
-        """Notes that the connection rests, unless a request was sent ahead."""
+        """Records that the connection is idle, unless a request was sent ahead."""
         if not self.pipeline:
-            self.resting_since = self.loop.time()
+            self.idle_since = self.loop.time()
         super().on_response_complete()
 
     def on_headers_complete(self) -> None:
@@ -90,7 +100,9 @@
         self._in_head = False
         self._head_bytes = 0
         limits = self.limits()
-        size = len(self.url) + sum(len(name) + len(value) + 4 for name, value in self.headers)
+        size = len(self.url) + sum(
+            len(name) + len(value) + HEADER_OVERHEAD_BYTES for name, value in self.headers
+        )
         if size > limits.header_bytes:
             self.scope["state"][OVERSIZED] = True
         self.timeout_keep_alive = limits.idle_time
@@ -118,9 +130,9 @@
             self._head_timer.cancel()
             self._head_timer = None
 
-    def _refuse(self, answer: bytes) -> None:
+    def _refuse(self, response: bytes) -> None:
         if not self.transport.is_closing():
-            self.transport.write(answer)
+            self.transport.write(response)
             self.transport.close()
 
 
@@ -129,12 +141,13 @@
 
     def __init__(self, app, address: Address, limits: LimitSource = RequestLimits) -> None:
         protocol = type("Protocol", (LimitedProtocol,), {"limits": staticmethod(limits)})
-        super().__init__(app, address, protocol, idle_seconds=LONGEST_IDLE_SECONDS)
+        super().__init__(app, address, protocol, idle_seconds=MAX_FIRST_IDLE_SECONDS)
 
     def shed(self, most: int) -> int:
-        """Closes up to ``most`` connections that rest, the longest first, and counts them."""
-        resting = [one for one in self.connections if one.resting_since is not None]
-        resting.sort(key=lambda one: one.resting_since)
-        for one in resting[:most]:
-            one.transport.close()
-        return len(resting[:most])
+        """Closes up to ``most`` idle connections, those idle longest first; returns how many."""
+        idle = [one for one in self.connections if one.idle_since is not None]
+        idle.sort(key=attrgetter("idle_since"))
+        chosen = idle[:most]
+        for connection in chosen:
+            connection.transport.close()
+        return len(chosen)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -7,7 +7,7 @@
 from larkpost.common.ids import Address
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
 from larkpost.gateway.observability.eventlog import EventLog
-from larkpost.platform.descriptors import FILE_DESCRIPTORS, DescriptorGuard
+from larkpost.platform.descriptors import RESERVED_DESCRIPTORS, DescriptorGuard
 from larkpost.platform.http_protocol import Listener
 from larkpost.rehearsal.processes import free_address
 
@@ -45,7 +45,7 @@
         self.host, port = address.split(":")
         self.port = int(port)
         self.guard = DescriptorGuard(
-            FILE_DESCRIPTORS + SOCKETS,
+            RESERVED_DESCRIPTORS + SOCKETS,
             lambda: len(self.listener.connections),
             self.listener.shed,
             self.lifecycle,
@@ -77,14 +77,14 @@
 
     async def test_few_resting_connections_are_left_alone(self):
         readers = await self.rest(SOCKETS // 2)
-        self.guard.look()
+        self.guard.check()
         await asyncio.sleep(0.05)
         self.assertFalse(any(reader.at_eof() for reader in readers))
 
     async def test_longest_resting_connections_are_closed_before_descriptors_run_out(self):
         working = await self.work(4)
         resting = await self.rest(14)
-        self.guard.look()
+        self.guard.check()
         await asyncio.sleep(0.05)
         self.assertEqual([True] * 3 + [False] * 11, [reader.at_eof() for reader in resting])
         self.assertTrue(self.lifecycle.ready)
@@ -94,12 +94,12 @@
 
     async def test_daemon_whose_connections_are_all_in_use_is_not_ready_until_some_end(self):
         working = await self.work(SOCKETS)
-        self.guard.look()
+        self.guard.check()
         self.assertFalse(self.lifecycle.ready)
         self.app.release.set()
         for reader in working:
             await asyncio.wait_for(reader.readuntil(b"ok"), 1)
-        self.guard.look()
+        self.guard.check()
         self.assertTrue(self.lifecycle.ready)
 
     async def test_failure_to_accept_closes_resting_connections_at_once(self):
