--- a/src/larkpost/platform/assembly.py
+++ b/src/larkpost/platform/assembly.py
@@ -16,7 +16,7 @@
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.store.relay import RelayedStore
-from larkpost.platform import names, operator
+from larkpost.platform import instance_rows, names, operator
 from larkpost.platform.descriptors import DescriptorGuard
 from larkpost.platform.duties import HttpDuties
 from larkpost.platform.http_protocol import Listener
@@ -33,7 +33,7 @@
     instance_table=names.SERVER_TABLE,
     configuration=operator.read_configuration,
     weight_target=operator.read_weight_target,
-    instance=operator.read_instance,
+    instance=instance_rows.read_instance,
     evacuation=operator.read_evacuation,
 )
 
--- a/src/larkpost/platform/batches.py
+++ b/src/larkpost/platform/batches.py
@@ -1,4 +1,9 @@
-"""Reads and writes the documents of batch calls."""
+"""Reads and writes the documents of batch calls.
+
+Names that mislead: ``desired`` counts groups, ``tokens`` sums those of the prompt and the most out,
+``after-rev`` and ``next-token`` are positions in the results, and ``scorer-url`` holds a whole
+call, not its address.
+"""
 
 import base64
 import binascii
@@ -21,6 +26,7 @@
 from larkpost.platform import names
 
 MAX_ID_LENGTH = 120
+"""Longest id of a batch in characters: it is part of keys in the store. Not measured."""
 
 
 def read_batch(
@@ -29,6 +35,8 @@
     """Reads a submitted batch.
 
     Args:
+        batch: the id, as it was sent.
+        path: the path, as it was sent.
         tenant: whose batch it is; None if it is no tenant's.
 
     Raises:
--- a/src/larkpost/platform/server_messages.py
+++ b/src/larkpost/platform/server_messages.py
@@ -7,7 +7,7 @@
 
 from larkpost.gateway.servers.port import EngineReport, RunningWork, ServerLoad, VersionOrder
 from larkpost.platform import names
-from larkpost.platform.operator import read_versions
+from larkpost.platform.instance_rows import read_versions
 
 ORDER_MODES = {
     RunningWork.CARRY: "retain",
--- a/src/larkpost/platform/settings.py
+++ b/src/larkpost/platform/settings.py
@@ -1,11 +1,15 @@
-"""Reads the settings file that the platform writes for a process."""
+"""Reads the settings file that the platform writes for a process, and checks it.
+
+The file is the platform's: fields that are not needed here are passed over. Durations become
+seconds.
+"""
 
 import os
 import resource
 import tomllib
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from larkpost.common.addresses import split_address
 from larkpost.common.errors import SettingsError
@@ -15,6 +19,25 @@
 from larkpost.gateway.usage.port import UsageTerms
 from larkpost.platform import names
 
+DEFAULT_ROW_BYTES = 65536
+DEFAULT_CONTACT_MS = 3000
+DEFAULT_LEASE_MS = 3000
+DEFAULT_APPLY_MS = 2000
+DEFAULT_GRACE_SECONDS = 8
+DEFAULT_BATCH_LIFETIME_SECONDS = 120
+DEFAULT_WINDOW_SECONDS = 5
+DEFAULT_REPORT_DUE_SECONDS = 10
+"""What holds where the file does not say it; most are figures of the platform's sample file. Not
+measured."""
+MAX_PORT = 65535
+
+
+class MetricsPlace(NamedTuple):
+    """Where the metrics are read: a port, and a path that begins with a slash."""
+
+    port: int
+    path: str
+
 
 @dataclass(frozen=True, slots=True)
 class PlatformSettings:
@@ -22,17 +45,17 @@
 
     Attributes:
         regions: where the deployment's zones lie, seen from this daemon's.
-        contact_time: time without disturbance after which the store counts as sound.
+        contact_time: time without a fault after which the store's news are believed.
         lease_time: time after a holder's last order before another holder may order.
         apply_time: time within which a new configuration is to be in force everywhere.
         grace_time: time between the request to stop and the kill.
         batch_lifetime: time after its submission for which a batch must be readable.
         peer: where this daemon makes calls to the store for others; None if no port is free.
-        metrics: port and path of the metrics, or None.
-        duties: where the platform takes the calls of duties; None if there are none.
-        max_descriptors: the most that this daemon may hold.
+        metrics: where the metrics are read; None if they are not.
+        duties: where the platform listens for the calls of duties; None if there are none.
+        max_descriptors: the most descriptors that this daemon may use.
         usage: what is agreed about usage reports; None if none are asked for.
-        orders_servers: whether the platform takes orders of servers.
+        orders_servers: whether servers may be ordered from the platform.
         cold: what is agreed about cold servers; None if nothing is.
     """
 
@@ -50,7 +73,7 @@
     apply_time: float
     grace_time: float
     batch_lifetime: float
-    metrics: tuple[int, str] | None
+    metrics: MetricsPlace | None
     duties: Address | None
     max_descriptors: int
     usage: UsageTerms | None
@@ -95,23 +118,25 @@
         ready=_address(document, "listen", "ready"),
         store=_address(document, "platform", "address"),
         peer=_peer(document, ip),
-        row_bytes=int(_number(document, "platform", "row_bytes", default=65536)),
-        contact_time=_number(document, "bounds", "contact-ms", default=3000) / 1000,
-        lease_time=_number(document, "bounds", "lease-ms", default=3000) / 1000,
-        apply_time=_number(document, "bounds", "config-apply-ms", default=2000) / 1000,
-        grace_time=_number(document, "bounds", "grace-s", default=8),
-        batch_lifetime=_number(document, "bounds", "status-s", default=120),
+        row_bytes=int(_number(document, "platform", "row_bytes", default=DEFAULT_ROW_BYTES)),
+        contact_time=_number(document, "bounds", "contact-ms", default=DEFAULT_CONTACT_MS) / 1000,
+        lease_time=_number(document, "bounds", "lease-ms", default=DEFAULT_LEASE_MS) / 1000,
+        apply_time=_number(document, "bounds", "config-apply-ms", default=DEFAULT_APPLY_MS) / 1000,
+        grace_time=_number(document, "bounds", "grace-s", default=DEFAULT_GRACE_SECONDS),
+        batch_lifetime=_number(
+            document, "bounds", "status-s", default=DEFAULT_BATCH_LIFETIME_SECONDS
+        ),
         metrics=_metrics(document),
         duties=_optional_address(document, "cloud-api", "address"),
-        max_descriptors=int(_number(document, "limits", "max-fds", default=_own_limit())),
+        max_descriptors=int(_number(document, "limits", "max-fds", default=_descriptor_limit())),
         usage=_usage(document),
         orders_servers=_has_duty(document, names.SCALING_DUTY),
         cold=_cold(document),
     )
 
 
-def _own_limit() -> int:
-    """Returns how many descriptors the system lets this process hold."""
+def _descriptor_limit() -> int:
+    """Returns how many descriptors the system lets this process use."""
     return resource.getrlimit(resource.RLIMIT_NOFILE)[0]
 
 
@@ -164,8 +189,10 @@
     if not _has_duty(document, names.USAGE_DUTY):
         return None
     return UsageTerms(
-        window_length=_number(document, "bounds", "report-window-s", default=5),
-        due_after=_number(document, "bounds", "usage-late-s", default=10),
+        window_length=_number(
+            document, "bounds", "report-window-s", default=DEFAULT_WINDOW_SECONDS
+        ),
+        due_after=_number(document, "bounds", "usage-late-s", default=DEFAULT_REPORT_DUE_SECONDS),
     )
 
 
@@ -192,19 +219,19 @@
     ports = _find(document, ("port-range",))
     if not ports:
         return None
-    if not isinstance(ports, list) or not isinstance(ports[0], int) or not 0 < ports[0] < 65536:
+    if not isinstance(ports, list) or not isinstance(ports[0], int) or not 0 < ports[0] <= MAX_PORT:
         raise _wrong(("port-range",), ports, "two ports")
     return Address(f"{ip}:{ports[0]}")
 
 
-def _metrics(document: dict[str, Any]) -> tuple[int, str] | None:
+def _metrics(document: dict[str, Any]) -> MetricsPlace | None:
     value = _find(document, ("metrics",))
     if not value:
         return None
     port, separator, path = str(value).partition("/")
-    if not port.isdigit() or not 0 < int(port) < 65536 or not separator:
+    if not port.isdigit() or not 0 < int(port) <= MAX_PORT or not separator:
         raise _wrong(("metrics",), value, "PORT/PATH")
-    return int(port), f"/{path}"
+    return MetricsPlace(int(port), f"/{path}")
 
 
 def _wrong(path: tuple[str, ...], value: Any, wanted: str) -> SettingsError:
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -28,7 +28,8 @@
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.servers.port import NotRunError, NotRunReason
 from larkpost.gateway.store.port import Row, RowKey
-from larkpost.platform.operator import read_configuration, read_instance
+from larkpost.platform.instance_rows import read_instance
+from larkpost.platform.operator import read_configuration
 from tests.cold_views import (
     BOUND,
     ENGINE,
