--- a/src/larkpost/common/tasks.py
+++ b/src/larkpost/common/tasks.py
@@ -1,24 +1,56 @@
-"""Background tasks of one daemon: started, watched and ended together."""
+"""Background tasks of one daemon: started, watched and ended together.
+
+Owns the tasks; what becomes of their failures is up to the reporter that the daemon gives.
+"""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Coroutine
-from typing import Any
+from typing import Any, Protocol
 
 from larkpost.common.clock import Clock
 from larkpost.common.errors import LarkpostError
-from larkpost.common.telemetry import Telemetry
+
+MIN_PAUSE_DIVISOR = 10
+"""A repeated step pauses for at least this part of its interval, however long it took: a slow step
+must not take the whole loop. Not measured."""
+
+
+class FailureReporter(Protocol):
+    """Is told of the failures of background tasks."""
+
+    def report_refused_round(self, task: str, error: LarkpostError) -> None:
+        """Reports a round of a repeated step that ended with an error of a known kind."""
+
+    def report_failed_round(self, task: str, error: Exception) -> None:
+        """Reports a round of a repeated step that ended with an unexpected error."""
+
+    def report_failed_task(self, task: str, error: BaseException) -> None:
+        """Reports a task that ended with an error."""
+
+
+class UnreportedFailures:
+    """Reports nothing: a failure that a task does not log itself leaves no trace."""
+
+    def report_refused_round(self, task: str, error: LarkpostError) -> None:
+        """Does nothing."""
+
+    def report_failed_round(self, task: str, error: Exception) -> None:
+        """Does nothing."""
+
+    def report_failed_task(self, task: str, error: BaseException) -> None:
+        """Does nothing."""
 
 
 class TaskSet:
     """Owns a daemon's background tasks."""
 
-    def __init__(self, clock: Clock, telemetry: Telemetry) -> None:
+    def __init__(self, clock: Clock, reporter: FailureReporter) -> None:
         self._clock = clock
-        self._telemetry = telemetry
+        self._reporter = reporter
         self._tasks: dict[asyncio.Task, None] = {}
 
     def spawn(self, work: Coroutine[Any, Any, Any], name: str) -> asyncio.Task:
-        """Starts a task; its failure is logged and counted, never lost."""
+        """Starts a task, whose failure is reported."""
         task = asyncio.create_task(work, name=name)
         self._tasks[task] = None
         task.add_done_callback(self._finished)
@@ -53,16 +85,14 @@
             try:
                 await step()
             except LarkpostError as error:
-                self._telemetry.count("controller_errors", kind=name)
-                self._telemetry.change(f"controller.{name}", error.code)
+                self._reporter.report_refused_round(name, error)
             except Exception as error:  # one failed round must not end the controller
-                self._telemetry.count("controller_errors", kind=name)
-                self._telemetry.fault(name, error)
+                self._reporter.report_failed_round(name, error)
             elapsed = self._clock.now() - started
             interval = interval_of()
-            await self._clock.sleep(max(interval - elapsed, interval / 10))
+            await self._clock.sleep(max(interval - elapsed, interval / MIN_PAUSE_DIVISOR))
 
     def _finished(self, task: asyncio.Task) -> None:
         self._tasks.pop(task, None)
         if not task.cancelled() and task.exception() is not None:
-            self._telemetry.fault(task.get_name(), task.exception())
+            self._reporter.report_failed_task(task.get_name(), task.exception())
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -12,8 +12,7 @@
 
 import asyncio
 
-from larkpost.common.tasks import TaskSet
-from larkpost.common.telemetry import Telemetry
+from larkpost.common.tasks import TaskSet, UnreportedFailures
 from larkpost.gateway.assembly.duties import Duties, DutyNeeds
 from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
 from larkpost.gateway.assembly.loop_watch import LoopWatch
@@ -66,7 +65,7 @@
         self._ports = ports
         self._clock = ports.clock
         self._log = ports.log
-        self._tasks = TaskSet(ports.clock, Telemetry(settings.machine, log=False))
+        self._tasks = TaskSet(ports.clock, UnreportedFailures())
         self._loop_watch = LoopWatch(ports.clock, ports.log)
         self.lifecycle = Lifecycle()
         self._make_blackboard()
--- a/src/larkpost/standalone/api/responses.py
+++ b/src/larkpost/standalone/api/responses.py
@@ -9,9 +9,9 @@
 from starlette.responses import Response
 
 from larkpost.common.errors import InvalidRequestError, LarkpostError, Ran
-from larkpost.common.telemetry import Telemetry
 from larkpost.standalone.api.schema import error_document
 from larkpost.standalone.settings import describe_validation
+from larkpost.standalone.telemetry import Telemetry
 
 Document = TypeVar("Document", bound=BaseModel)
 Endpoint = Callable[[Request], Awaitable[Response]]
--- a/src/larkpost/standalone/batches/runner.py
+++ b/src/larkpost/standalone/batches/runner.py
@@ -15,7 +15,6 @@
 from larkpost.common.errors import LarkpostError
 from larkpost.common.ids import EngineId, RequestId
 from larkpost.common.tasks import TaskSet
-from larkpost.common.telemetry import Telemetry
 from larkpost.standalone.batches.ledger import BatchLedger, Sample
 from larkpost.standalone.batches.placement import (
     LoadPlacement,
@@ -29,6 +28,7 @@
 from larkpost.standalone.routing.selection import Selector
 from larkpost.standalone.routing.work import Answer, Work, WorkClass
 from larkpost.standalone.settings import BatchSettings, PlacementKind
+from larkpost.standalone.telemetry import Telemetry
 
 ROLLOUT_PRIORITY = 0
 SILENT_ENGINE_SECONDS = 3.0
--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -14,7 +14,6 @@
     UnknownBatchError,
 )
 from larkpost.common.ids import BatchId
-from larkpost.common.telemetry import Telemetry
 from larkpost.standalone.activity import Activity
 from larkpost.standalone.batches.ledger import BatchLedger, BatchSpec, Page, Sample
 from larkpost.standalone.batches.replication import ReplicaStore, Replicator, encode_fetch_reply
@@ -23,6 +22,7 @@
 from larkpost.standalone.controllers.directory import Directory
 from larkpost.standalone.controllers.readiness import Readiness
 from larkpost.standalone.settings import BatchSettings
+from larkpost.standalone.telemetry import Telemetry
 from larkpost.standalone.wire import larkpost_pb2 as pb
 
 SCHEDULE_INTERVAL = 0.05
--- a/src/larkpost/standalone/controllers/configuration.py
+++ b/src/larkpost/standalone/controllers/configuration.py
@@ -12,7 +12,6 @@
 from larkpost.common.clock import Clock
 from larkpost.common.errors import OutdatedPlanError, PlatformError
 from larkpost.common.ids import DaemonId, PlanId, ZoneId
-from larkpost.common.telemetry import Telemetry
 from larkpost.standalone.activity import Activity
 from larkpost.standalone.blackboard.board import Blackboard, Phase
 from larkpost.standalone.blackboard.facts import CONFIGURATION_KEY, Fact
@@ -24,6 +23,7 @@
 from larkpost.standalone.controllers.readiness import Readiness
 from larkpost.standalone.settings import ConfigurationSettings
 from larkpost.standalone.table_service.ports import Row, TableStore
+from larkpost.standalone.telemetry import Telemetry
 
 HISTORY_LENGTH = 64
 WRITE_ATTEMPTS = 3
--- a/src/larkpost/standalone/controllers/directory.py
+++ b/src/larkpost/standalone/controllers/directory.py
@@ -9,7 +9,6 @@
 from larkpost.common.clock import Clock
 from larkpost.common.errors import InvalidRequestError, PlatformError
 from larkpost.common.ids import Address, EngineId, PolicyId, PoolId, ZoneId
-from larkpost.common.telemetry import Telemetry
 from larkpost.standalone.blackboard.board import Blackboard
 from larkpost.standalone.blackboard.engines import EngineInfo
 from larkpost.standalone.blackboard.facts import DRAIN_PREFIX, MACHINE_PREFIX, POLICY_PREFIX, Fact
@@ -17,6 +16,7 @@
 from larkpost.standalone.controllers.facts import Dissemination
 from larkpost.standalone.settings import ConfigurationSettings
 from larkpost.standalone.table_service.ports import MachineEntry, MachineList
+from larkpost.standalone.telemetry import Telemetry
 
 WHOLE_LIST_POLLS = 15
 """Every so many polls the whole machine list is read in place of the zone's."""
--- a/src/larkpost/standalone/controllers/facts.py
+++ b/src/larkpost/standalone/controllers/facts.py
@@ -12,10 +12,10 @@
 from larkpost.common.clock import Clock
 from larkpost.common.ids import Address, DaemonId
 from larkpost.common.tasks import TaskSet
-from larkpost.common.telemetry import Telemetry
 from larkpost.standalone.blackboard.board import Blackboard
 from larkpost.standalone.blackboard.facts import Fact
 from larkpost.standalone.controllers.gossip import Gossip
+from larkpost.standalone.telemetry import Telemetry
 from larkpost.standalone.wire import larkpost_pb2 as pb
 from larkpost.standalone.wire.peer import PeerError, PeerMethod, PeerTransport
 
--- a/src/larkpost/standalone/controllers/gossip.py
+++ b/src/larkpost/standalone/controllers/gossip.py
@@ -5,9 +5,9 @@
 from google.protobuf.message import DecodeError
 
 from larkpost.common.ids import Address, DaemonId
-from larkpost.common.telemetry import Telemetry
 from larkpost.standalone.blackboard.board import Blackboard
 from larkpost.standalone.blackboard.members import MemberInfo, MemberState
+from larkpost.standalone.telemetry import Telemetry
 from larkpost.standalone.wire import larkpost_pb2 as pb
 from larkpost.standalone.wire.peer import PeerTransport
 
--- a/src/larkpost/standalone/controllers/monitor.py
+++ b/src/larkpost/standalone/controllers/monitor.py
@@ -11,7 +11,6 @@
 
 from larkpost.common.clock import Clock
 from larkpost.common.ids import DaemonId, EngineId, PoolId
-from larkpost.common.telemetry import Telemetry
 from larkpost.standalone.blackboard.board import Blackboard
 from larkpost.standalone.blackboard.engines import EngineInfo, EngineLoad
 from larkpost.standalone.controllers.gossip import Gossip
@@ -19,6 +18,7 @@
 from larkpost.standalone.engines.port import EngineError, EnginePort
 from larkpost.standalone.rendezvous import score
 from larkpost.standalone.settings import EngineSettings
+from larkpost.standalone.telemetry import Telemetry
 from larkpost.standalone.wire import larkpost_pb2 as pb
 
 SUBSCRIPTION_LIFETIME = 10.0
--- a/src/larkpost/standalone/controllers/ownership.py
+++ b/src/larkpost/standalone/controllers/ownership.py
@@ -8,7 +8,6 @@
 
 from larkpost.common.clock import Clock
 from larkpost.common.ids import DaemonId, EngineId
-from larkpost.common.telemetry import Telemetry
 from larkpost.standalone.blackboard.board import Blackboard, Phase
 from larkpost.standalone.blackboard.engines import EngineInfo, EngineLoad
 from larkpost.standalone.controllers.owner_map import OwnerMap
@@ -21,6 +20,7 @@
     StaleTokenError,
 )
 from larkpost.standalone.settings import EngineSettings
+from larkpost.standalone.telemetry import Telemetry
 
 RECLAIM_DELAY = 2.0
 """Seconds an owner waits after it was replaced, for the two views to agree."""
--- a/src/larkpost/standalone/controllers/weights.py
+++ b/src/larkpost/standalone/controllers/weights.py
@@ -10,7 +10,6 @@
 
 from larkpost.common.clock import Clock
 from larkpost.common.ids import EngineId
-from larkpost.common.telemetry import Telemetry
 from larkpost.standalone.blackboard.board import Blackboard
 from larkpost.standalone.config.intent import PoolIntent
 from larkpost.standalone.controllers.monitor import Monitor
@@ -24,6 +23,7 @@
     StaleTokenError,
 )
 from larkpost.standalone.settings import EngineSettings
+from larkpost.standalone.telemetry import Telemetry
 
 RETRY_BASE = 0.5
 RETRY_LIMIT = 8.0
--- a/src/larkpost/standalone/daemon.py
+++ b/src/larkpost/standalone/daemon.py
@@ -10,7 +10,6 @@
 
 from larkpost.common.clock import Clock
 from larkpost.common.tasks import TaskSet
-from larkpost.common.telemetry import Telemetry
 from larkpost.standalone.activity import Activity
 from larkpost.standalone.batches.ledger import BatchLedger, Sample
 from larkpost.standalone.batches.replication import ReplicaStore, Replicator
@@ -35,6 +34,7 @@
 from larkpost.standalone.routing.selection import Selector
 from larkpost.standalone.settings import Settings
 from larkpost.standalone.table_service.ports import MachineList, TableStore
+from larkpost.standalone.telemetry import Telemetry
 from larkpost.standalone.wire.peer import PeerHandler, PeerMethod, PeerTransport
 
 CONTROL_INTERVAL = 0.5
--- a/src/larkpost/standalone/routing/dispatcher.py
+++ b/src/larkpost/standalone/routing/dispatcher.py
@@ -23,7 +23,6 @@
 )
 from larkpost.common.ids import AttemptId, EngineId
 from larkpost.common.tasks import TaskSet
-from larkpost.common.telemetry import Telemetry
 from larkpost.standalone.blackboard.board import Blackboard
 from larkpost.standalone.controllers.monitor import Monitor
 from larkpost.standalone.engines.port import (
@@ -39,6 +38,7 @@
 from larkpost.standalone.routing.selection import Selector
 from larkpost.standalone.routing.work import TokenRun, Work, WorkClass
 from larkpost.standalone.settings import RoutingSettings
+from larkpost.standalone.telemetry import Telemetry
 
 MAX_ATTEMPTS = 6
 RETRY_AFTER_NO_ENGINE = 1.0
--- a/src/larkpost/standalone/routing/inference.py
+++ b/src/larkpost/standalone/routing/inference.py
@@ -12,7 +12,6 @@
     Ran,
 )
 from larkpost.common.ids import RequestId
-from larkpost.common.telemetry import Telemetry
 from larkpost.standalone.activity import Activity
 from larkpost.standalone.blackboard.board import Blackboard
 from larkpost.standalone.controllers.readiness import Readiness
@@ -21,6 +20,7 @@
 from larkpost.standalone.routing.selection import Selector
 from larkpost.standalone.routing.work import TokenRun, Work, WorkClass
 from larkpost.standalone.settings import RoutingSettings
+from larkpost.standalone.telemetry import Telemetry
 
 RETRY_AFTER_OVERLOAD = 0.5
 MAX_TOKENS_LIMIT = 131_072
--- a/src/larkpost/common/telemetry.py
+++ b/src/larkpost/standalone/telemetry.py
@@ -1,4 +1,7 @@
-"""Counters first, log lines only for changes of state."""
+"""The counters and the log of a standalone daemon: log lines only for changes of state.
+
+Implements `larkpost.common.tasks.FailureReporter`.
+"""
 
 import traceback
 from typing import Any
@@ -6,6 +9,8 @@
 from eliot import log_message
 from prometheus_client import CollectorRegistry, Counter, Gauge
 
+from larkpost.common.errors import LarkpostError
+
 COUNTERS = {
     "client_requests": "Client requests admitted.",
     "client_refused": "Client requests refused, by error code.",
@@ -79,6 +84,20 @@
                 "larkpost:state", daemon=self._daemon, subject=subject, state=state, **details
             )
 
+    def report_refused_round(self, task: str, error: LarkpostError) -> None:
+        """Counts a controller's round that ended with an error of a known kind, and logs it."""
+        self.count("controller_errors", kind=task)
+        self.change(f"controller.{task}", error.code)
+
+    def report_failed_round(self, task: str, error: Exception) -> None:
+        """Counts a controller's round that ended with an unexpected error, and logs it."""
+        self.count("controller_errors", kind=task)
+        self.fault(task, error)
+
+    def report_failed_task(self, task: str, error: BaseException) -> None:
+        """Logs a task that ended with an error."""
+        self.fault(task, error)
+
     def fault(self, where: str, error: BaseException) -> None:
         """Logs an unexpected error with its origin."""
         if self._log:
--- a/src/larkpost/standalone/wire/http_peer.py
+++ b/src/larkpost/standalone/wire/http_peer.py
@@ -6,7 +6,7 @@
 
 from larkpost.common.addresses import split_address
 from larkpost.common.ids import Address
-from larkpost.common.telemetry import Telemetry
+from larkpost.standalone.telemetry import Telemetry
 from larkpost.standalone.wire.peer import DatagramHandler, PeerError, PeerMethod
 
 PEER_PATH = "/internal/v1/"
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -4,7 +4,6 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.common.tasks import TaskSet
-from larkpost.common.telemetry import Telemetry
 from larkpost.gateway.controllers.heartbeat import machine_of, new_life
 from larkpost.gateway.controllers.members import (
     AWAITED_PART,
@@ -14,6 +13,7 @@
 )
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.rehearsal.memory_store import MemoryStore, StoreClient, StoreFaults
+from larkpost.standalone.telemetry import Telemetry
 from tests.virtual import run
 
 
--- a/tests/test_nearness.py
+++ b/tests/test_nearness.py
@@ -6,7 +6,6 @@
 from larkpost.common.clock import LoopClock
 from larkpost.common.ids import Address, InstanceId, RegionId, ZoneId
 from larkpost.common.tasks import TaskSet
-from larkpost.common.telemetry import Telemetry
 from larkpost.gateway.blackboard.configuration import (
     Route,
     RouteKind,
@@ -27,6 +26,7 @@
 from larkpost.gateway.store.relay import PEERS_ASKED, RelayedStore
 from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
 from larkpost.rehearsal.scripted_engines import EngineState, ScriptedEngines
+from larkpost.standalone.telemetry import Telemetry
 from tests.platform_fleet import (
     MODEL,
     PAGES,
--- a/tests/test_pinned_rows.py
+++ b/tests/test_pinned_rows.py
@@ -12,7 +12,6 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.common.tasks import TaskSet
-from larkpost.common.telemetry import Telemetry
 from larkpost.gateway.blackboard.configuration import (
     Configuration,
     RequestLimits,
@@ -63,6 +62,7 @@
 from larkpost.platform.assembly import READERS
 from larkpost.platform.operator import UnreadableRowError
 from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
+from larkpost.standalone.telemetry import Telemetry
 from tests.pinned_parts import forward, make_active_member, make_member, make_scaled_fleet
 from tests.platform_fleet import MODEL, PAGES, make_batch
 from tests.virtual import run
--- a/tests/test_pinned_surface.py
+++ b/tests/test_pinned_surface.py
@@ -23,10 +23,10 @@
 import larkpost
 from larkpost.cli import app
 from larkpost.common.errors import LarkpostError
-from larkpost.common.telemetry import Telemetry
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.standalone.settings import Settings
+from larkpost.standalone.telemetry import Telemetry
 
 ROOT = Path(__file__).resolve().parent.parent
 PINNED = Path(__file__).with_name("pinned_surface.json")
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -6,7 +6,6 @@
 from larkpost.common.clock import LoopClock
 from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.common.tasks import TaskSet
-from larkpost.common.telemetry import Telemetry
 from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
 from larkpost.gateway.blackboard.known_crashes import (
@@ -35,6 +34,7 @@
 from larkpost.gateway.store.port import Row, RowKey
 from larkpost.rehearsal.memory_store import MemoryStore, StoreClient, StoreFaults
 from larkpost.rehearsal.scripted_engines import EngineState, ScriptedEngines
+from larkpost.standalone.telemetry import Telemetry
 from tests.recording_log import RecordingLog
 from tests.virtual import run
 
--- a/tests/test_scale_mechanisms.py
+++ b/tests/test_scale_mechanisms.py
@@ -9,7 +9,6 @@
 from larkpost.common.http_server import HttpServer
 from larkpost.common.ids import Address
 from larkpost.common.tasks import TaskSet
-from larkpost.common.telemetry import Telemetry
 from larkpost.gateway.blackboard.directory import Directory
 from larkpost.gateway.controllers.heartbeat import machine_of, new_life
 from larkpost.gateway.controllers.heartbeat_list import MEMBER_TABLE
@@ -28,6 +27,7 @@
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
 from larkpost.gateway.rollouts.repository import HEAD_TABLE
 from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
+from larkpost.standalone.telemetry import Telemetry
 from tests.platform_fleet import PlatformFleet, check_results, make_batch
 from tests.virtual import run
 
--- a/tests/test_store_follower.py
+++ b/tests/test_store_follower.py
@@ -4,12 +4,12 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.common.tasks import TaskSet
-from larkpost.common.telemetry import Telemetry
 from larkpost.gateway.blackboard.configuration import Configuration, ConfigurationState
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.store.follower import TableFollower
 from larkpost.gateway.store.port import Row, RowKey, RowPage, Transaction
 from larkpost.rehearsal.memory_store import MemoryStore, StoreClient, StoreFaults
+from larkpost.standalone.telemetry import Telemetry
 from tests.virtual import run
 
 TABLE = "t"
--- a/tests/test_store_relay.py
+++ b/tests/test_store_relay.py
@@ -9,7 +9,6 @@
 from larkpost.common.http_server import HttpServer
 from larkpost.common.ids import Address
 from larkpost.common.tasks import TaskSet
-from larkpost.common.telemetry import Telemetry
 from larkpost.gateway.blackboard.regions import Distance
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.store.port import (
@@ -31,6 +30,7 @@
 from larkpost.platform.store import HttpStore
 from larkpost.rehearsal.memory_store import MemoryStore, StoreClient, StoreFaults
 from larkpost.rehearsal.processes import free_address
+from larkpost.standalone.telemetry import Telemetry
 from tests.platform_fleet import PlatformFleet, check_results, make_batch
 from tests.virtual import run
 
