--- a/src/larkpost/standalone/batches/replication.py
+++ b/src/larkpost/standalone/batches/replication.py
@@ -173,6 +173,19 @@
         return pb.BatchFetchReply.FromString(answer)
 
 
+@dataclass(frozen=True, slots=True)
+class Replication:
+    """Both sides of the copying of batches.
+
+    Attributes:
+        replicas: copies of other daemons' batches.
+        replicator: sends copies of this daemon's.
+    """
+
+    replicas: ReplicaStore
+    replicator: Replicator
+
+
 def encode_fetch_reply(spec: BatchSpec, samples: list[Sample], owner: DaemonId) -> bytes:
     """Answers a fetch with a known batch."""
     reply = pb.BatchFetchReply(
--- a/src/larkpost/standalone/batches/runner.py
+++ b/src/larkpost/standalone/batches/runner.py
@@ -11,10 +11,8 @@
 from contextlib import aclosing
 from dataclasses import dataclass
 
-from larkpost.common.clock import Clock
 from larkpost.common.errors import LarkpostError
 from larkpost.common.ids import EngineId, RequestId
-from larkpost.common.tasks import TaskSet
 from larkpost.standalone.batches.ledger import BatchLedger, Sample
 from larkpost.standalone.batches.placement import (
     LoadPlacement,
@@ -22,13 +20,12 @@
     RoundRobinPlacement,
     make_rooms,
 )
-from larkpost.standalone.blackboard.board import Blackboard
 from larkpost.standalone.config.intent import TrainerIntent
 from larkpost.standalone.routing.dispatcher import Dispatcher, chunk_size
 from larkpost.standalone.routing.selection import Selector
 from larkpost.standalone.routing.work import Answer, Work, WorkClass
-from larkpost.standalone.settings import BatchSettings, PlacementKind
-from larkpost.standalone.telemetry import Telemetry
+from larkpost.standalone.runtime import Runtime
+from larkpost.standalone.settings import PlacementKind
 
 ROLLOUT_PRIORITY = 0
 SILENT_ENGINE_SECONDS = 3.0
@@ -51,23 +48,19 @@
     def __init__(
         self,
         ledger: BatchLedger,
-        board: Blackboard,
+        runtime: Runtime,
         dispatcher: Dispatcher,
         selector: Selector,
-        clock: Clock,
-        tasks: TaskSet,
-        telemetry: Telemetry,
-        settings: BatchSettings,
         on_sample: Callable[[Sample], None],
     ) -> None:
         self.ledger = ledger
-        self._board = board
+        self._board = runtime.board
         self._dispatcher = dispatcher
         self._selector = selector
-        self._clock = clock
-        self._tasks = tasks
-        self._telemetry = telemetry
-        self._settings = settings
+        self._clock = runtime.clock
+        self._tasks = runtime.tasks
+        self._telemetry = runtime.telemetry
+        self._settings = runtime.settings.batches
         self._on_sample = on_sample
         self._attempts: list[_Attempt] = []
         self._last_engine: EngineId | None = None
--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -5,7 +5,6 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from larkpost.common.clock import Clock
 from larkpost.common.errors import (
     BatchConflictError,
     InvalidRequestError,
@@ -14,15 +13,13 @@
     UnknownBatchError,
 )
 from larkpost.common.ids import BatchId
-from larkpost.standalone.activity import Activity
 from larkpost.standalone.batches.ledger import BatchLedger, BatchSpec, Page, Sample
-from larkpost.standalone.batches.replication import ReplicaStore, Replicator, encode_fetch_reply
+from larkpost.standalone.batches.replication import Replication, encode_fetch_reply
 from larkpost.standalone.batches.runner import BatchRunner
-from larkpost.standalone.blackboard.board import Blackboard, Phase
+from larkpost.standalone.blackboard.board import Phase
 from larkpost.standalone.controllers.directory import Directory
 from larkpost.standalone.controllers.readiness import Readiness
-from larkpost.standalone.settings import BatchSettings
-from larkpost.standalone.telemetry import Telemetry
+from larkpost.standalone.runtime import Runtime
 from larkpost.standalone.wire import larkpost_pb2 as pb
 
 SCHEDULE_INTERVAL = 0.05
@@ -69,27 +66,22 @@
 
     def __init__(
         self,
-        board: Blackboard,
+        runtime: Runtime,
         directory: Directory,
-        replicas: ReplicaStore,
-        replicator: Replicator,
+        replication: Replication,
         make_runner: RunnerFactory,
-        clock: Clock,
-        telemetry: Telemetry,
-        settings: BatchSettings,
-        activity: Activity,
         readiness: Readiness,
     ) -> None:
-        self._board = board
+        self._board = runtime.board
         self._directory = directory
-        self._replicas = replicas
-        self._replicator = replicator
+        self._replicas = replication.replicas
+        self._replicator = replication.replicator
         self._make_runner = make_runner
-        self._clock = clock
-        self._telemetry = telemetry
-        self._settings = settings
+        self._clock = runtime.clock
+        self._telemetry = runtime.telemetry
+        self._settings = runtime.settings.batches
         self._batches: dict[BatchId, _OpenBatch] = {}
-        self._activity = activity
+        self._activity = runtime.activity
         self._readiness = readiness
 
     @property
--- a/src/larkpost/standalone/controllers/configuration.py
+++ b/src/larkpost/standalone/controllers/configuration.py
@@ -9,11 +9,9 @@
 
 from pydantic import BaseModel, ConfigDict, ValidationError
 
-from larkpost.common.clock import Clock
 from larkpost.common.errors import OutdatedPlanError, PlatformError
 from larkpost.common.ids import DaemonId, PlanId, ZoneId
-from larkpost.standalone.activity import Activity
-from larkpost.standalone.blackboard.board import Blackboard, Phase
+from larkpost.standalone.blackboard.board import Phase
 from larkpost.standalone.blackboard.facts import CONFIGURATION_KEY, Fact
 from larkpost.standalone.blackboard.members import MemberInfo
 from larkpost.standalone.config.intent import Intent
@@ -21,9 +19,8 @@
 from larkpost.standalone.controllers.duty import is_on_duty
 from larkpost.standalone.controllers.facts import Dissemination
 from larkpost.standalone.controllers.readiness import Readiness
-from larkpost.standalone.settings import ConfigurationSettings
+from larkpost.standalone.runtime import Runtime
 from larkpost.standalone.table_service.ports import Row, TableStore
-from larkpost.standalone.telemetry import Telemetry
 
 HISTORY_LENGTH = 64
 WRITE_ATTEMPTS = 3
@@ -60,25 +57,21 @@
 
     def __init__(
         self,
-        board: Blackboard,
+        runtime: Runtime,
         table: TableStore,
         dissemination: Dissemination,
         readiness: Readiness,
-        clock: Clock,
-        telemetry: Telemetry,
-        settings: ConfigurationSettings,
-        activity: Activity,
     ) -> None:
-        self._board = board
+        self._board = runtime.board
         self._table = table
         self._dissemination = dissemination
         self._readiness = readiness
-        self._clock = clock
-        self._telemetry = telemetry
-        self._settings = settings
-        self._activity = activity
+        self._clock = runtime.clock
+        self._telemetry = runtime.telemetry
+        self._settings = runtime.settings.configuration
+        self._activity = runtime.activity
         self._last_read = float("-inf")
-        board.facts.listen(CONFIGURATION_KEY, self._apply)
+        runtime.board.facts.listen(CONFIGURATION_KEY, self._apply)
 
     async def poll(self) -> None:
         """Reads the row when it is this daemon's turn."""
--- a/src/larkpost/standalone/controllers/directory.py
+++ b/src/larkpost/standalone/controllers/directory.py
@@ -6,17 +6,14 @@
 
 import json
 
-from larkpost.common.clock import Clock
 from larkpost.common.errors import InvalidRequestError, PlatformError
 from larkpost.common.ids import Address, EngineId, PolicyId, PoolId, ZoneId
-from larkpost.standalone.blackboard.board import Blackboard
 from larkpost.standalone.blackboard.engines import EngineInfo
 from larkpost.standalone.blackboard.facts import DRAIN_PREFIX, MACHINE_PREFIX, POLICY_PREFIX, Fact
 from larkpost.standalone.controllers.duty import is_on_duty
 from larkpost.standalone.controllers.facts import Dissemination
-from larkpost.standalone.settings import ConfigurationSettings
+from larkpost.standalone.runtime import Runtime
 from larkpost.standalone.table_service.ports import MachineEntry, MachineList
-from larkpost.standalone.telemetry import Telemetry
 
 WHOLE_LIST_POLLS = 15
 """Every so many polls the whole machine list is read in place of the zone's."""
@@ -27,23 +24,20 @@
 
     def __init__(
         self,
-        board: Blackboard,
+        runtime: Runtime,
         machines: MachineList,
         dissemination: Dissemination,
-        clock: Clock,
-        telemetry: Telemetry,
-        settings: ConfigurationSettings,
     ) -> None:
-        self._board = board
+        self._board = runtime.board
         self._machines = machines
         self._dissemination = dissemination
-        self._clock = clock
-        self._telemetry = telemetry
-        self._settings = settings
+        self._clock = runtime.clock
+        self._telemetry = runtime.telemetry
+        self._settings = runtime.settings.configuration
         self._polls = 0
-        board.facts.listen(MACHINE_PREFIX, self._on_machine)
-        board.facts.listen(DRAIN_PREFIX, self._on_drain)
-        board.facts.listen(POLICY_PREFIX, self._on_policy)
+        runtime.board.facts.listen(MACHINE_PREFIX, self._on_machine)
+        runtime.board.facts.listen(DRAIN_PREFIX, self._on_drain)
+        runtime.board.facts.listen(POLICY_PREFIX, self._on_policy)
 
     async def poll(self) -> None:
         """Reads the zone's machines if this daemon is on duty, and now and then all machines.
--- a/src/larkpost/standalone/controllers/facts.py
+++ b/src/larkpost/standalone/controllers/facts.py
@@ -6,16 +6,12 @@
 """
 
 import asyncio
-import random
 from collections.abc import Iterable
 
-from larkpost.common.clock import Clock
 from larkpost.common.ids import Address, DaemonId
-from larkpost.common.tasks import TaskSet
-from larkpost.standalone.blackboard.board import Blackboard
 from larkpost.standalone.blackboard.facts import Fact
 from larkpost.standalone.controllers.gossip import Gossip
-from larkpost.standalone.telemetry import Telemetry
+from larkpost.standalone.runtime import Runtime
 from larkpost.standalone.wire import larkpost_pb2 as pb
 from larkpost.standalone.wire.peer import PeerError, PeerMethod, PeerTransport
 
@@ -34,20 +30,16 @@
 
     def __init__(
         self,
-        board: Blackboard,
+        runtime: Runtime,
         gossip: Gossip,
         transport: PeerTransport,
-        clock: Clock,
-        tasks: TaskSet,
-        telemetry: Telemetry,
-        rng: random.Random,
     ) -> None:
-        self._board = board
+        self._board = runtime.board
         self._transport = transport
-        self._clock = clock
-        self._tasks = tasks
-        self._telemetry = telemetry
-        self._rng = rng
+        self._clock = runtime.clock
+        self._tasks = runtime.tasks
+        self._telemetry = runtime.telemetry
+        self._rng = runtime.rng
         self._outgoing: dict[str, Fact] = {}
         self._repairing = False
         gossip.compare_digest = self._compare
--- a/src/larkpost/standalone/controllers/membership.py
+++ b/src/larkpost/standalone/controllers/membership.py
@@ -7,17 +7,12 @@
 
 import asyncio
 import math
-import random
 from dataclasses import replace
 
-from larkpost.common.clock import Clock
 from larkpost.common.ids import Address, DaemonId
-from larkpost.common.tasks import TaskSet
-from larkpost.standalone.blackboard.board import Blackboard
 from larkpost.standalone.blackboard.members import MemberInfo, MemberState, member_from_message
 from larkpost.standalone.controllers.gossip import Gossip
-from larkpost.standalone.settings import MembershipSettings
-from larkpost.standalone.telemetry import Telemetry
+from larkpost.standalone.runtime import Runtime
 from larkpost.standalone.wire import larkpost_pb2 as pb
 from larkpost.standalone.wire.peer import PeerError, PeerMethod, PeerTransport
 
@@ -39,25 +34,21 @@
 
     def __init__(
         self,
-        board: Blackboard,
+        runtime: Runtime,
         gossip: Gossip,
         transport: PeerTransport,
-        clock: Clock,
-        tasks: TaskSet,
-        telemetry: Telemetry,
-        settings: MembershipSettings,
-        peers: tuple[Address, ...],
-        rng: random.Random,
     ) -> None:
-        self._table = board.members
+        self._table = runtime.board.members
         self._gossip = gossip
         self._transport = transport
-        self._clock = clock
-        self._tasks = tasks
-        self._telemetry = telemetry
-        self._settings = settings
-        self._peers = [peer for peer in peers if peer != board.members.own.address]
-        self._rng = rng
+        self._clock = runtime.clock
+        self._tasks = runtime.tasks
+        self._telemetry = runtime.telemetry
+        self._settings = runtime.settings.membership
+        self._peers = [
+            peer for peer in runtime.settings.peers if peer != runtime.board.members.own.address
+        ]
+        self._rng = runtime.rng
         self._updates: dict[DaemonId, int] = {}
         self._news = 0
         """Changes learned since the last eager datagrams."""
--- a/src/larkpost/standalone/controllers/monitor.py
+++ b/src/larkpost/standalone/controllers/monitor.py
@@ -9,16 +9,13 @@
 from dataclasses import replace
 from heapq import nlargest
 
-from larkpost.common.clock import Clock
 from larkpost.common.ids import DaemonId, EngineId, PoolId
-from larkpost.standalone.blackboard.board import Blackboard
 from larkpost.standalone.blackboard.engines import EngineInfo, EngineLoad
 from larkpost.standalone.controllers.gossip import Gossip
 from larkpost.standalone.controllers.ownership import Ownership, load_from_report
 from larkpost.standalone.engines.port import EngineError, EnginePort
 from larkpost.standalone.rendezvous import score
-from larkpost.standalone.settings import EngineSettings
-from larkpost.standalone.telemetry import Telemetry
+from larkpost.standalone.runtime import Runtime
 from larkpost.standalone.wire import larkpost_pb2 as pb
 
 SUBSCRIPTION_LIFETIME = 10.0
@@ -31,21 +28,18 @@
 
     def __init__(
         self,
-        board: Blackboard,
+        runtime: Runtime,
         engines: EnginePort,
         gossip: Gossip,
         ownership: Ownership,
-        clock: Clock,
-        telemetry: Telemetry,
-        settings: EngineSettings,
     ) -> None:
-        self._board = board
+        self._board = runtime.board
         self._engines = engines
         self._gossip = gossip
         self._ownership = ownership
-        self._clock = clock
-        self._telemetry = telemetry
-        self._settings = settings
+        self._clock = runtime.clock
+        self._telemetry = runtime.telemetry
+        self._settings = runtime.settings.engines
         self._subscribers: dict[tuple[DaemonId, PoolId], float] = {}
         self._watched: dict[PoolId, list[EngineId]] = {}
         self._remote: dict[PoolId, tuple[tuple[int, int, int], list[EngineId]]] = {}
--- a/src/larkpost/standalone/controllers/ownership.py
+++ b/src/larkpost/standalone/controllers/ownership.py
@@ -6,9 +6,8 @@
 needed, and a paused owner that wakes up cannot give an order.
 """
 
-from larkpost.common.clock import Clock
 from larkpost.common.ids import DaemonId, EngineId
-from larkpost.standalone.blackboard.board import Blackboard, Phase
+from larkpost.standalone.blackboard.board import Phase
 from larkpost.standalone.blackboard.engines import EngineInfo, EngineLoad
 from larkpost.standalone.controllers.owner_map import OwnerMap
 from larkpost.standalone.engines.port import (
@@ -19,8 +18,7 @@
     OrderKind,
     StaleTokenError,
 )
-from larkpost.standalone.settings import EngineSettings
-from larkpost.standalone.telemetry import Telemetry
+from larkpost.standalone.runtime import Runtime
 
 RECLAIM_DELAY = 2.0
 """Seconds an owner waits after it was replaced, for the two views to agree."""
@@ -31,19 +29,16 @@
 
     def __init__(
         self,
-        board: Blackboard,
+        runtime: Runtime,
         engines: EnginePort,
-        clock: Clock,
-        telemetry: Telemetry,
-        settings: EngineSettings,
     ) -> None:
-        self._board = board
+        self._board = runtime.board
         self._engines = engines
-        self._clock = clock
-        self._telemetry = telemetry
-        self._settings = settings
+        self._clock = runtime.clock
+        self._telemetry = runtime.telemetry
+        self._settings = runtime.settings.engines
         self._not_before: dict[EngineId, float] = {}
-        self._owners = OwnerMap(board)
+        self._owners = OwnerMap(runtime.board)
         self._assigned: list[EngineInfo] = []
         self._assigned_at: tuple[int, int] = (-1, -1)
 
--- a/src/larkpost/standalone/controllers/readiness.py
+++ b/src/larkpost/standalone/controllers/readiness.py
@@ -8,17 +8,15 @@
 finds itself invalid before it does anything.
 """
 
-import random
 from collections.abc import Collection
 
-from larkpost.common.clock import Clock
 from larkpost.common.errors import NotReadyError, StoppingError
 from larkpost.common.ids import DaemonId, ZoneId
-from larkpost.standalone.blackboard.board import Blackboard, Phase
+from larkpost.standalone.blackboard.board import Phase
 from larkpost.standalone.blackboard.members import MemberInfo, MemberState
 from larkpost.standalone.controllers.facts import Dissemination
 from larkpost.standalone.rendezvous import choose
-from larkpost.standalone.settings import ConfigurationSettings, MembershipSettings
+from larkpost.standalone.runtime import Runtime
 from larkpost.standalone.wire import larkpost_pb2 as pb
 from larkpost.standalone.wire.peer import PeerError, PeerMethod, PeerTransport
 
@@ -31,21 +29,17 @@
 
     def __init__(
         self,
-        board: Blackboard,
+        runtime: Runtime,
         transport: PeerTransport,
         dissemination: Dissemination,
-        clock: Clock,
-        settings: ConfigurationSettings,
-        membership: MembershipSettings,
-        rng: random.Random,
     ) -> None:
-        self._board = board
+        self._board = runtime.board
         self._transport = transport
         self._dissemination = dissemination
-        self._clock = clock
-        self._settings = settings
-        self._forget_time = membership.forget_time
-        self._rng = rng
+        self._clock = runtime.clock
+        self._settings = runtime.settings.configuration
+        self._forget_time = runtime.settings.membership.forget_time
+        self._rng = runtime.rng
         self._verified_at = float("-inf")
         self._alone = False
         self._alone_at = -1
--- a/src/larkpost/standalone/controllers/weights.py
+++ b/src/larkpost/standalone/controllers/weights.py
@@ -6,11 +6,7 @@
 when the engine reports the version, never when the order was accepted.
 """
 
-import random
-
-from larkpost.common.clock import Clock
 from larkpost.common.ids import EngineId
-from larkpost.standalone.blackboard.board import Blackboard
 from larkpost.standalone.config.intent import PoolIntent
 from larkpost.standalone.controllers.monitor import Monitor
 from larkpost.standalone.controllers.ownership import Ownership
@@ -22,8 +18,7 @@
     OrderKind,
     StaleTokenError,
 )
-from larkpost.standalone.settings import EngineSettings
-from larkpost.standalone.telemetry import Telemetry
+from larkpost.standalone.runtime import Runtime
 
 RETRY_BASE = 0.5
 RETRY_LIMIT = 8.0
@@ -34,25 +29,21 @@
 
     def __init__(
         self,
-        board: Blackboard,
+        runtime: Runtime,
         engines: EnginePort,
         ownership: Ownership,
         monitor: Monitor,
         readiness: Readiness,
-        clock: Clock,
-        telemetry: Telemetry,
-        settings: EngineSettings,
-        rng: random.Random,
     ) -> None:
-        self._board = board
+        self._board = runtime.board
         self._engines = engines
         self._ownership = ownership
         self._monitor = monitor
         self._readiness = readiness
-        self._clock = clock
-        self._telemetry = telemetry
-        self._settings = settings
-        self._rng = rng
+        self._clock = runtime.clock
+        self._telemetry = runtime.telemetry
+        self._settings = runtime.settings.engines
+        self._rng = runtime.rng
         self._failures: dict[EngineId, int] = {}
         self._not_before: dict[EngineId, float] = {}
 
--- a/src/larkpost/standalone/daemon.py
+++ b/src/larkpost/standalone/daemon.py
@@ -12,7 +12,7 @@
 from larkpost.common.tasks import TaskSet
 from larkpost.standalone.activity import Activity
 from larkpost.standalone.batches.ledger import BatchLedger, Sample
-from larkpost.standalone.batches.replication import ReplicaStore, Replicator
+from larkpost.standalone.batches.replication import ReplicaStore, Replication, Replicator
 from larkpost.standalone.batches.runner import BatchRunner
 from larkpost.standalone.batches.service import SCHEDULE_INTERVAL, BatchService
 from larkpost.standalone.blackboard.board import Blackboard, Phase
@@ -32,6 +32,7 @@
 from larkpost.standalone.routing.retry import RetryBudgets
 from larkpost.standalone.routing.run_once import RunOnceRegistry
 from larkpost.standalone.routing.selection import Selector
+from larkpost.standalone.runtime import Runtime
 from larkpost.standalone.settings import Settings
 from larkpost.standalone.table_service.ports import MachineList, TableStore
 from larkpost.standalone.telemetry import Telemetry
@@ -42,11 +43,20 @@
 SWAP_INTERVAL = 0.1
 """Seconds between rounds of the weight swaps, on whose end trainers wait."""
 JOIN_INTERVAL = 0.25
+"""Seconds between the first two tries to join; doubles with each."""
 JOIN_INTERVAL_LIMIT = 4.0
+"""Most seconds between two tries to join."""
 REFRESH_INTERVAL = 1.0
+"""Seconds between checks that the configuration in force is known to be current."""
 EXPIRE_INTERVAL = 10.0
+"""Seconds between rounds that drop batches and replicas that nobody asks for."""
 DRAIN_POLL = 0.05
+"""Seconds between checks, in a planned stop, whether anything is still in flight."""
 LAG_INTERVAL = 1.0
+"""Seconds between measurements of the event loop's delay."""
+REPLICA_LIFETIME_FACTOR = 2
+"""A replica is kept so many times as long as an idle batch: its owner must drop the batch first."""
+# None of the intervals is measured.
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,11 +80,16 @@
         self.telemetry = Telemetry(settings.daemon_id, log)
         own = MemberInfo(settings.daemon_id, settings.zone, settings.listen, ports.clock.wall_ms())
         self.board = Blackboard(MemberTable(own))
-        self._ports = ports
-        self._rng = rng
         self.tasks = TaskSet(ports.clock, self.telemetry)
         self.activity = Activity()
-        self._build_controllers()
+        self._ports = ports
+        self._rng = rng
+        self._runtime = Runtime(
+            settings, self.board, ports.clock, self.tasks, self.telemetry, self.activity, rng
+        )
+        self._build_membership()
+        self._build_configuration()
+        self._build_engines()
         self._build_data_path()
         self._build_batches()
 
@@ -127,130 +142,54 @@
         """Ends all tasks at once."""
         self.tasks.cancel_all()
 
-    def _build_controllers(self) -> None:
-        settings, ports, board = self.settings, self._ports, self.board
-        self.gossip = Gossip(board, ports.transport, self.telemetry)
-        self.membership = Membership(
-            board,
-            self.gossip,
-            ports.transport,
-            ports.clock,
-            self.tasks,
-            self.telemetry,
-            settings.membership,
-            settings.peers,
-            self._rng,
-        )
-        self.dissemination = Dissemination(
-            board, self.gossip, ports.transport, ports.clock, self.tasks, self.telemetry, self._rng
-        )
-        self.readiness = Readiness(
-            board,
-            ports.transport,
-            self.dissemination,
-            ports.clock,
-            settings.configuration,
-            settings.membership,
-            self._rng,
-        )
+    def _build_membership(self) -> None:
+        runtime, transport = self._runtime, self._ports.transport
+        self.gossip = Gossip(self.board, transport, self.telemetry)
+        self.membership = Membership(runtime, self.gossip, transport)
+        self.dissemination = Dissemination(runtime, self.gossip, transport)
+
+    def _build_configuration(self) -> None:
+        runtime, ports = self._runtime, self._ports
+        self.readiness = Readiness(runtime, ports.transport, self.dissemination)
         self.configuration = ConfigurationController(
-            board,
-            ports.table,
-            self.dissemination,
-            self.readiness,
-            ports.clock,
-            self.telemetry,
-            settings.configuration,
-            self.activity,
-        )
-        self.directory = Directory(
-            board,
-            ports.machines,
-            self.dissemination,
-            ports.clock,
-            self.telemetry,
-            settings.configuration,
-        )
-        self.ownership = Ownership(
-            board, ports.engines, ports.clock, self.telemetry, settings.engines
-        )
-        self.monitor = Monitor(
-            board,
-            ports.engines,
-            self.gossip,
-            self.ownership,
-            ports.clock,
-            self.telemetry,
-            settings.engines,
+            runtime, ports.table, self.dissemination, self.readiness
         )
+        self.directory = Directory(runtime, ports.machines, self.dissemination)
+
+    def _build_engines(self) -> None:
+        runtime, engines = self._runtime, self._ports.engines
+        self.ownership = Ownership(runtime, engines)
+        self.monitor = Monitor(runtime, engines, self.gossip, self.ownership)
         self.weights = WeightController(
-            board,
-            ports.engines,
-            self.ownership,
-            self.monitor,
-            self.readiness,
-            ports.clock,
-            self.telemetry,
-            settings.engines,
-            self._rng,
+            runtime, engines, self.ownership, self.monitor, self.readiness
         )
 
     def _build_data_path(self) -> None:
-        settings, ports, board = self.settings, self._ports, self.board
-        self.selector = Selector(board, self.monitor, ports.clock, settings.engines, self._rng)
-        self.dispatcher = Dispatcher(
-            board,
-            ports.engines,
-            self.selector,
-            self.monitor,
-            RetryBudgets(settings.routing),
-            ports.clock,
-            self.tasks,
-            self.telemetry,
-            settings.routing,
-            self._rng,
+        runtime, ports, settings = self._runtime, self._ports, self.settings
+        self.selector = Selector(runtime, self.monitor)
+        budgets = RetryBudgets(settings.routing)
+        self.dispatcher = Dispatcher(runtime, ports.engines, self.selector, self.monitor, budgets)
+        self.run_once = RunOnceRegistry(
+            self.board, ports.table, ports.transport, settings.configuration
         )
-        self.run_once = RunOnceRegistry(board, ports.table, ports.transport, settings.configuration)
         self.inference = InferenceService(
-            board,
-            self.dispatcher,
-            self.selector,
-            self.run_once,
-            ports.clock,
-            self.telemetry,
-            settings.routing,
-            self.activity,
-            self.readiness,
+            runtime, self.dispatcher, self.selector, self.run_once, self.readiness
         )
 
     def _build_batches(self) -> None:
-        settings, ports, board = self.settings, self._ports, self.board
-        self.replicas = ReplicaStore(ports.clock, 2 * settings.batches.idle_timeout)
+        lifetime = REPLICA_LIFETIME_FACTOR * self.settings.batches.idle_timeout
+        self.replicas = ReplicaStore(self._ports.clock, lifetime)
+        replicator = Replicator(self.board, self._ports.transport)
         self.batches = BatchService(
-            board,
+            self._runtime,
             self.directory,
-            self.replicas,
-            Replicator(board, ports.transport),
+            Replication(self.replicas, replicator),
             self._make_runner,
-            ports.clock,
-            self.telemetry,
-            settings.batches,
-            self.activity,
             self.readiness,
         )
 
     def _make_runner(self, ledger: BatchLedger, on_sample: Callable[[Sample], None]) -> BatchRunner:
-        return BatchRunner(
-            ledger,
-            self.board,
-            self.dispatcher,
-            self.selector,
-            self._ports.clock,
-            self.tasks,
-            self.telemetry,
-            self.settings.batches,
-            on_sample,
-        )
+        return BatchRunner(ledger, self._runtime, self.dispatcher, self.selector, on_sample)
 
     async def _join(self) -> None:
         """Joins the fleet and waits until the configuration in force is known."""
--- a/src/larkpost/standalone/routing/dispatcher.py
+++ b/src/larkpost/standalone/routing/dispatcher.py
@@ -8,12 +8,10 @@
 - Work that may run only once is never sent again after an attempt whose outcome is unknown.
 """
 
-import random
 from collections.abc import AsyncIterator
 from contextlib import aclosing
 from dataclasses import dataclass, field
 
-from larkpost.common.clock import Clock
 from larkpost.common.errors import (
     BrokenAnswerError,
     DeadlineError,
@@ -22,8 +20,6 @@
     Ran,
 )
 from larkpost.common.ids import AttemptId, EngineId
-from larkpost.common.tasks import TaskSet
-from larkpost.standalone.blackboard.board import Blackboard
 from larkpost.standalone.controllers.monitor import Monitor
 from larkpost.standalone.engines.port import (
     EngineBrokenError,
@@ -37,8 +33,7 @@
 from larkpost.standalone.routing.retry import RetryBudgets, backoff
 from larkpost.standalone.routing.selection import Selector
 from larkpost.standalone.routing.work import TokenRun, Work, WorkClass
-from larkpost.standalone.settings import RoutingSettings
-from larkpost.standalone.telemetry import Telemetry
+from larkpost.standalone.runtime import Runtime
 
 MAX_ATTEMPTS = 6
 RETRY_AFTER_NO_ENGINE = 1.0
@@ -69,27 +64,22 @@
 
     def __init__(
         self,
-        board: Blackboard,
+        runtime: Runtime,
         engines: EnginePort,
         selector: Selector,
         monitor: Monitor,
         budgets: RetryBudgets,
-        clock: Clock,
-        tasks: TaskSet,
-        telemetry: Telemetry,
-        settings: RoutingSettings,
-        rng: random.Random,
     ) -> None:
-        self._board = board
+        self._board = runtime.board
         self._engines = engines
         self._selector = selector
         self._monitor = monitor
         self._budgets = budgets
-        self._clock = clock
-        self._tasks = tasks
-        self._telemetry = telemetry
-        self._settings = settings
-        self._rng = rng
+        self._clock = runtime.clock
+        self._tasks = runtime.tasks
+        self._telemetry = runtime.telemetry
+        self._settings = runtime.settings.routing
+        self._rng = runtime.rng
         self._attempt_number = 0
 
     async def run(
--- a/src/larkpost/standalone/routing/inference.py
+++ b/src/larkpost/standalone/routing/inference.py
@@ -4,7 +4,6 @@
 from contextlib import aclosing
 from dataclasses import dataclass
 
-from larkpost.common.clock import Clock
 from larkpost.common.errors import (
     InvalidRequestError,
     LarkpostError,
@@ -12,15 +11,12 @@
     Ran,
 )
 from larkpost.common.ids import RequestId
-from larkpost.standalone.activity import Activity
-from larkpost.standalone.blackboard.board import Blackboard
 from larkpost.standalone.controllers.readiness import Readiness
 from larkpost.standalone.routing.dispatcher import Dispatcher, chunk_size
 from larkpost.standalone.routing.run_once import RunOnceRegistry
 from larkpost.standalone.routing.selection import Selector
 from larkpost.standalone.routing.work import TokenRun, Work, WorkClass
-from larkpost.standalone.settings import RoutingSettings
-from larkpost.standalone.telemetry import Telemetry
+from larkpost.standalone.runtime import Runtime
 
 RETRY_AFTER_OVERLOAD = 0.5
 MAX_TOKENS_LIMIT = 131_072
@@ -51,24 +47,20 @@
 
     def __init__(
         self,
-        board: Blackboard,
+        runtime: Runtime,
         dispatcher: Dispatcher,
         selector: Selector,
         registry: RunOnceRegistry,
-        clock: Clock,
-        telemetry: Telemetry,
-        settings: RoutingSettings,
-        activity: Activity,
         readiness: Readiness,
     ) -> None:
-        self._board = board
+        self._board = runtime.board
         self._dispatcher = dispatcher
         self._selector = selector
         self._registry = registry
-        self._clock = clock
-        self._telemetry = telemetry
-        self._settings = settings
-        self._activity = activity
+        self._clock = runtime.clock
+        self._telemetry = runtime.telemetry
+        self._settings = runtime.settings.routing
+        self._activity = runtime.activity
         self._readiness = readiness
 
     async def complete(self, call: InferenceCall) -> AsyncIterator[TokenRun]:
--- a/src/larkpost/standalone/routing/selection.py
+++ b/src/larkpost/standalone/routing/selection.py
@@ -1,16 +1,13 @@
 """Choice of an engine for a piece of work, from what the blackboard holds at this moment."""
 
-import random
 from collections.abc import Callable, Collection
 from dataclasses import dataclass
 
-from larkpost.common.clock import Clock
 from larkpost.common.ids import EngineId, PoolId
-from larkpost.standalone.blackboard.board import Blackboard
 from larkpost.standalone.blackboard.engines import EngineLoad
 from larkpost.standalone.controllers.monitor import Monitor
 from larkpost.standalone.routing.work import Work, WorkClass
-from larkpost.standalone.settings import EngineSettings
+from larkpost.standalone.runtime import Runtime
 
 SMALL_POOL = 8
 """Up to so many candidates all are compared; above it two random ones."""
@@ -40,17 +37,14 @@
 
     def __init__(
         self,
-        board: Blackboard,
+        runtime: Runtime,
         monitor: Monitor,
-        clock: Clock,
-        settings: EngineSettings,
-        rng: random.Random,
     ) -> None:
-        self._board = board
+        self._board = runtime.board
         self._monitor = monitor
-        self._clock = clock
-        self._settings = settings
-        self._rng = rng
+        self._clock = runtime.clock
+        self._settings = runtime.settings.engines
+        self._rng = runtime.rng
 
     def choose(self, work: Work, excluded: Collection[EngineId]) -> Candidate | None:
         """Returns an engine with a fresh report that may take the work, or None."""
