--- a/src/larkpost/standalone/batches/ledger.py
+++ b/src/larkpost/standalone/batches/ledger.py
@@ -140,7 +140,7 @@
         return self._slots[slot].engines
 
     def abandon(self, slot: int, engine: EngineId) -> None:
-        """Notes that an attempt ended without a sample."""
+        """Records that an attempt ended without a sample."""
         entry = self._slots[slot]
         if engine in entry.engines:
             entry.engines.remove(engine)
@@ -148,7 +148,7 @@
             self._make_pending(slot)
 
     def finish(self, sample: Sample) -> bool:
-        """Takes a finished sample.
+        """Stores a finished sample.
 
         Returns:
             Whether it is the slot's value; False if the slot already had one.
@@ -166,7 +166,7 @@
         return True
 
     def note_trainer(self, version: int, held: Iterable[int]) -> None:
-        """Takes what a pull says of the trainer: its version and the slots it has."""
+        """Records what a pull says of the trainer: its version and the slots it has."""
         self.trainer_version = max(self.trainer_version, version)
         for slot in held:
             entry = self._slots[slot]
--- a/src/larkpost/standalone/batches/placement.py
+++ b/src/larkpost/standalone/batches/placement.py
@@ -36,7 +36,7 @@
         self._rooms = {room.engine: room for room in rooms}
 
     def take(self, preferred: EngineId | None) -> EngineId | None:
-        """Takes a slot.
+        """Occupies a slot.
 
         Args:
             preferred: the engine that runs the sample's prompt already.
@@ -51,7 +51,7 @@
         return _occupy(room)
 
     def take_other(self, current: EngineId) -> EngineId | None:
-        """Takes a slot at another engine, for a sample that is stuck at its current one."""
+        """Occupies a slot at another engine, for a sample that is stuck at its current one."""
         others = [
             r for r in self._rooms.values() if r.free > 0 and r.engine != current and not r.is_slow
         ]
@@ -65,7 +65,7 @@
 
 
 class LoadPlacement(Placement):
-    """Takes the prompt's engine, else the least loaded one."""
+    """Chooses the prompt's engine, else the least loaded one."""
 
     def _choose(self, usable: list[EngineRoom], preferred: EngineId | None) -> EngineRoom:
         for room in usable:
@@ -77,7 +77,7 @@
 
 
 class RoundRobinPlacement(Placement):
-    """Takes the engines in turn; a baseline."""
+    """Chooses the engines in turn; a baseline."""
 
     def __init__(self, rooms: Iterable[EngineRoom], last: EngineId | None) -> None:
         super().__init__(rooms)
--- a/src/larkpost/standalone/batches/replication.py
+++ b/src/larkpost/standalone/batches/replication.py
@@ -45,7 +45,6 @@
 
     spec: BatchSpec
     samples: list[Sample]
-    owner: DaemonId | None
 
 
 class ReplicaStore:
@@ -113,7 +112,7 @@
         return False
 
     async def drop(self, spec: BatchSpec) -> None:
-        """Tells the standby that the batch is closed."""
+        """Has the standby drop its copy of a batch that is closed."""
         standby = self._standbys.pop(spec.id, None)
         member = self._board.members.get(standby) if standby is not None else None
         if member is not None:
@@ -136,7 +135,7 @@
                 known.append(last_state)
         samples = {s.slot: s for answer in known for s in answer.samples}
         decoded = [sample_from_message(message) for message in samples.values()]
-        return Recovered(spec_from_message(known[0].spec), decoded, owner)
+        return Recovered(spec_from_message(known[0].spec), decoded)
 
     def _candidates(self, batch: BatchId) -> list[MemberInfo]:
         own = self._board.members.own
--- a/src/larkpost/standalone/batches/runner.py
+++ b/src/larkpost/standalone/batches/runner.py
@@ -21,9 +21,9 @@
     make_rooms,
 )
 from larkpost.standalone.config.intent import TrainerIntent
-from larkpost.standalone.routing.dispatcher import Dispatcher, chunk_size
+from larkpost.standalone.routing.dispatcher import Dispatcher
 from larkpost.standalone.routing.selection import Selector
-from larkpost.standalone.routing.work import Answer, Work, WorkClass
+from larkpost.standalone.routing.work import Answer, Work, WorkClass, chunk_size
 from larkpost.standalone.runtime import Runtime
 from larkpost.standalone.settings import PlacementKind
 
--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -23,7 +23,11 @@
 from larkpost.standalone.wire import larkpost_pb2 as pb
 
 SCHEDULE_INTERVAL = 0.05
+"""Seconds between rounds that start samples. Not measured."""
 MAX_SLOTS = 65_536
+"""Most samples of one batch. Not measured."""
+MAX_PULL_WAIT = 30.0
+"""Longest time in seconds for which a pull is held. Not measured."""
 RunnerFactory = Callable[[BatchLedger, Callable[[Sample], None]], BatchRunner]
 
 
@@ -126,7 +130,7 @@
             batch = await self._find(call.batch)
             _check_slots(batch.ledger.spec, call.held)
             batch.touched = self._clock.now()
-            self._note_version(batch.ledger.spec, call.trainer_version)
+            self._announce_version(batch.ledger.spec, call.trainer_version)
             batch.ledger.note_trainer(call.trainer_version, call.held)
             await self._wait_for_samples(batch, call.wait)
             return self._build_page(batch, call)
@@ -173,7 +177,7 @@
                 await self.close(batch_id)
 
     async def on_replicate(self, payload: bytes) -> bytes:
-        """Takes a copy from another daemon."""
+        """Stores a copy from another daemon."""
         self._replicas.take(pb.BatchReplica.FromString(payload))
         return b""
 
@@ -225,7 +229,7 @@
 
         batch.runner = self._make_runner(ledger, on_sample)
         self._batches[spec.id] = batch
-        self._note_version(spec, spec.policy_version)
+        self._announce_version(spec, spec.policy_version)
         self._update_gauge()
         return batch
 
@@ -261,7 +265,7 @@
         self._update_gauge()
 
     async def _wait_for_samples(self, batch: _OpenBatch, wait: float | None) -> None:
-        seconds = self._settings.pull_wait if wait is None else min(wait, 30.0)
+        seconds = self._settings.pull_wait if wait is None else min(wait, MAX_PULL_WAIT)
         deadline = self._clock.now() + seconds
         while not batch.ledger.finished() and not batch.ledger.is_complete():
             remaining = deadline - self._clock.now()
@@ -287,7 +291,7 @@
         self._telemetry.count("samples_stale", batch.ledger.stale_dropped - before)
         return page
 
-    def _note_version(self, spec: BatchSpec, version: int) -> None:
+    def _announce_version(self, spec: BatchSpec, version: int) -> None:
         pool = self._board.configuration.intent.pool(spec.pool)
         if pool is not None and pool.policy is not None:
             self._directory.announce_version(pool.policy, version)
--- a/src/larkpost/standalone/blackboard/facts.py
+++ b/src/larkpost/standalone/blackboard/facts.py
@@ -63,7 +63,7 @@
         self._listeners.append((prefix, listener))
 
     def merge(self, fact: Fact) -> bool:
-        """Takes a fact if it is newer than the known one.
+        """Stores a fact if it is newer than the known one.
 
         Returns:
             Whether the table changed.
--- a/src/larkpost/standalone/blackboard/members.py
+++ b/src/larkpost/standalone/blackboard/members.py
@@ -1,6 +1,6 @@
-"""The membership table: every daemon this one knows, and what it believes of it."""
+"""The membership table: every daemon that this one knows, and its last known state."""
 
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
 from dataclasses import dataclass, replace
 from enum import IntEnum
 
@@ -9,7 +9,7 @@
 
 
 class MemberState(IntEnum):
-    """Belief about a daemon. At one incarnation only a higher state replaces a lower one."""
+    """State of a daemon. At one incarnation only a higher state replaces a lower one."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -41,11 +41,11 @@
         return self.usable and not self.leaving
 
     def replaces(self, other: "MemberInfo") -> bool:
-        """Whether this belief is newer than ``other``."""
+        """Returns whether this state is newer than ``other``."""
         return (self.incarnation, self.state) > (other.incarnation, other.state)
 
     def to_message(self) -> pb.Member:
-        """Encodes the belief."""
+        """Returns the message that other daemons are sent."""
         return pb.Member(
             id=self.id,
             zone=self.zone,
@@ -57,7 +57,11 @@
 
 
 def member_from_message(message: pb.Member, since: float) -> MemberInfo:
-    """Decodes a belief; ``since`` is the local time at which it was learned."""
+    """Returns the state in a message.
+
+    Args:
+        since: the local time at which it was learned, in seconds.
+    """
     return MemberInfo(
         DaemonId(message.id),
         ZoneId(message.zone),
@@ -70,30 +74,25 @@
 
 
 class MemberTable:
-    """Members by id. Listeners hear of each change."""
+    """Members by id."""
 
     def __init__(self, own: MemberInfo) -> None:
         self.own = own
         self._others: dict[DaemonId, MemberInfo] = {}
-        self._listeners: list[Callable[[MemberInfo], None]] = []
         self.revision = 0
         """Grows with each change, so that derived values can be cached."""
 
     def __len__(self) -> int:
         return len(self._others) + 1
 
-    def listen(self, listener: Callable[[MemberInfo], None]) -> None:
-        """Calls ``listener`` on each changed member."""
-        self._listeners.append(listener)
-
     def get(self, daemon: DaemonId) -> MemberInfo | None:
         """Returns what is known of a daemon."""
         return self.own if daemon == self.own.id else self._others.get(daemon)
 
     def put(self, member: MemberInfo) -> None:
-        """Stores a belief; the caller has checked that it is newer."""
+        """Stores a member's state; the caller has checked that it is newer."""
         self._others[member.id] = member
-        self._changed(member)
+        self.revision += 1
 
     def put_own(
         self, incarnation: int, state: MemberState = MemberState.ALIVE, leaving: bool = False
@@ -101,7 +100,7 @@
         """Raises the daemon's own incarnation or state; leaving is never taken back."""
         leaving = leaving or self.own.leaving
         self.own = replace(self.own, incarnation=incarnation, state=state, leaving=leaving)
-        self._changed(self.own)
+        self.revision += 1
 
     def others(self) -> Iterable[MemberInfo]:
         """Returns every other known daemon, dead ones included."""
@@ -125,8 +124,3 @@
     def zones(self) -> set[ZoneId]:
         """Returns the zones that have a known daemon, dead ones included."""
         return {member.zone for member in self._others.values()} | {self.own.zone}
-
-    def _changed(self, member: MemberInfo) -> None:
-        self.revision += 1
-        for listener in self._listeners:
-            listener(member)
--- a/src/larkpost/standalone/blackboard/speeds.py
+++ b/src/larkpost/standalone/blackboard/speeds.py
@@ -29,7 +29,7 @@
         self._speeds: dict[EngineId, _Speed] = {}
 
     def note(self, engine: EngineId, tokens: int, seconds: float, now: float) -> None:
-        """Takes an observation: so many tokens of one sequence arrived within some seconds."""
+        """Records an observation: so many tokens of one sequence arrived within some seconds."""
         if tokens <= 0 or seconds <= 0:
             return
         observed = tokens / seconds
--- a/src/larkpost/standalone/controllers/directory.py
+++ b/src/larkpost/standalone/controllers/directory.py
@@ -66,7 +66,7 @@
         return entry.revision > self._board.facts.version(MACHINE_PREFIX + entry.engine)
 
     def announce_version(self, policy: PolicyId, version: int) -> None:
-        """Takes a policy version that a trainer published. Only higher ones have an effect."""
+        """Publishes a policy version of a trainer. Only higher ones have an effect."""
         self._dissemination.publish(Fact(POLICY_PREFIX + policy, version, b""))
 
     def drain(self, engine: EngineId) -> None:
--- a/src/larkpost/standalone/controllers/facts.py
+++ b/src/larkpost/standalone/controllers/facts.py
@@ -45,7 +45,7 @@
         gossip.compare_digest = self._compare
 
     def publish(self, *facts: Fact) -> bool:
-        """Takes facts and spreads those that are new.
+        """Merges facts and spreads those that are new.
 
         Very many at once, as when a machine list is first read, are left to comparing digests.
 
@@ -66,7 +66,7 @@
         return news
 
     async def on_push(self, payload: bytes) -> bytes:
-        """Takes pushed facts."""
+        """Merges pushed facts."""
         self.publish(*map(_from_message, pb.FactPush.FromString(payload).facts))
         return b""
 
--- a/src/larkpost/standalone/controllers/gossip.py
+++ b/src/larkpost/standalone/controllers/gossip.py
@@ -25,16 +25,16 @@
         self.pick_updates: Callable[[], list[pb.Member]] = list
         """Set by the membership controller: updates to carry along."""
         self.apply_updates: Callable[[pb.Member, list[pb.Member]], None] = lambda _s, _u: None
-        """Set by the membership controller: takes the sender and its updates."""
+        """Set by the membership controller: applies the sender's state and its updates."""
         self.compare_digest: Callable[[DaemonId, int], None] = lambda _d, _n: None
-        """Set by the fact controller: takes a peer's digest."""
+        """Set by the fact controller: compares a peer's digest."""
 
     def handle(self, body: str, handler: BodyHandler) -> None:
         """Registers the handler of a body kind; None as body is an envelope without one."""
         self._handlers[body] = handler
 
     def send(self, target: MemberInfo, envelope: pb.Envelope) -> None:
-        """Sends to a known member; tells it if it is wrongly held dead."""
+        """Sends to a known member; one not considered alive gets its state, to refute it."""
         if target.state != MemberState.ALIVE:
             envelope.updates.append(target.to_message())
         self.send_to_address(target.address, envelope)
@@ -49,7 +49,7 @@
         self._transport.send(address, data)
 
     def receive(self, data: bytes) -> None:
-        """Takes a datagram; one that cannot be decoded is dropped."""
+        """Handles a datagram; one that cannot be decoded is dropped."""
         self._telemetry.count("control_bytes_received", len(data))
         try:
             envelope = pb.Envelope.FromString(data)
--- a/src/larkpost/standalone/controllers/membership.py
+++ b/src/larkpost/standalone/controllers/membership.py
@@ -17,16 +17,22 @@
 from larkpost.standalone.wire.peer import PeerError, PeerMethod, PeerTransport
 
 UPDATES_PER_DATAGRAM = 6
+"""Changes of members that one datagram carries."""
 EAGER_FANOUT = 3
+"""Daemons to which a change is passed on at once."""
 MAX_EAGER_DATAGRAMS = 16
+"""Most datagrams to each of them."""
 RETRANSMIT_FACTOR = 3
+"""A change travels on this many datagrams for each doubling of the fleet."""
 REVIVE_EVERY_PROBES = 5
 """Every so many probes one goes to a dead daemon or a configured peer, to heal a partition."""
 JOIN_TIMEOUT = 1.0
+"""Seconds to wait for a peer's member table."""
 JOIN_ANSWERS = 2
 """Tables to read on joining; probes and exchanges bring what two peers do not know."""
 SYNC_INTERVAL = 30.0
 """Seconds between exchanges of the whole table with one random daemon."""
+# None of these figures is measured.
 
 
 class Membership:
@@ -94,9 +100,9 @@
             self._gossip.send(target, pb.Envelope())
 
     def apply(self, sender: pb.Member, updates: list[pb.Member]) -> None:
-        """Takes the beliefs of a datagram."""
+        """Applies what a datagram says of its sender and of other members."""
         for message in [sender, *updates]:
-            self._take(member_from_message(message, self._clock.now()))
+            self._apply_update(member_from_message(message, self._clock.now()))
 
     async def on_join(self, payload: bytes) -> bytes:
         """Answers a join request with the whole table."""
@@ -114,7 +120,7 @@
         except PeerError:
             return False
         for message in pb.JoinReply.FromString(answer).members:
-            self._take(member_from_message(message, self._clock.now()))
+            self._apply_update(member_from_message(message, self._clock.now()))
         return True
 
     async def _synchronise(self) -> None:
@@ -122,33 +128,33 @@
         if targets:
             await self._exchange_with(self._rng.choice(targets).address)
 
-    def _take(self, belief: MemberInfo) -> None:
-        if belief.id == self._table.own.id:
-            self._refute(belief)
+    def _apply_update(self, update: MemberInfo) -> None:
+        if update.id == self._table.own.id:
+            self._refute(update)
             return
-        known = self._table.get(belief.id)
-        if known is not None and not belief.replaces(known):
+        known = self._table.get(update.id)
+        if known is not None and not update.replaces(known):
             return
-        if known is None and not belief.usable:
+        if known is None and not update.usable:
             return
-        self._adopt(belief)
+        self._adopt(update)
 
-    def _refute(self, belief: MemberInfo) -> None:
+    def _refute(self, update: MemberInfo) -> None:
         own = self._table.own
-        if own.state == MemberState.LEFT or belief.state == MemberState.ALIVE:
+        if own.state == MemberState.LEFT or update.state == MemberState.ALIVE:
             return
-        if belief.incarnation >= own.incarnation:
-            self._table.put_own(belief.incarnation + 1)
+        if update.incarnation >= own.incarnation:
+            self._table.put_own(update.incarnation + 1)
             self._spread(own.id)
 
-    def _adopt(self, belief: MemberInfo) -> None:
-        known = self._table.get(belief.id)
-        self._table.put(belief)
-        if known is None or known.state != belief.state:
-            self._telemetry.change(f"member.{belief.id}", belief.state.name.lower())
-        self._spread(belief.id)
-        if belief.state == MemberState.SUSPECT:
-            self._tasks.spawn(self._confirm_death(belief), "suspicion")
+    def _adopt(self, update: MemberInfo) -> None:
+        known = self._table.get(update.id)
+        self._table.put(update)
+        if known is None or known.state != update.state:
+            self._telemetry.change(f"member.{update.id}", update.state.name.lower())
+        self._spread(update.id)
+        if update.state == MemberState.SUSPECT:
+            self._tasks.spawn(self._confirm_death(update), "suspicion")
 
     def _spread(self, daemon: DaemonId) -> None:
         self._updates[daemon] = RETRANSMIT_FACTOR * math.ceil(math.log2(len(self._table) + 2))
@@ -182,7 +188,7 @@
         growth = max(math.log10(len(self._table)), 1.0)
         await self._clock.sleep(self._settings.suspicion_time * growth)
         known = self._table.get(suspect.id)
-        if known is not None and _same_belief(known, suspect):
+        if known is not None and _is_unchanged(known, suspect):
             self._change_state(known, MemberState.DEAD)
 
     def _change_state(self, member: MemberInfo, state: MemberState) -> None:
@@ -199,7 +205,7 @@
         if await self._ping(target) or await self._ping_by_helpers(target):
             return
         known = self._table.get(target.id)
-        if known is not None and known.state == MemberState.ALIVE and _same_belief(known, target):
+        if known is not None and known.state == MemberState.ALIVE and _is_unchanged(known, target):
             self._change_state(known, MemberState.SUSPECT)
 
     def _next_target(self) -> MemberInfo | None:
@@ -281,5 +287,5 @@
         self._relayed.pop(sequence, None)
 
 
-def _same_belief(known: MemberInfo, earlier: MemberInfo) -> bool:
+def _is_unchanged(known: MemberInfo, earlier: MemberInfo) -> bool:
     return (known.incarnation, known.state) == (earlier.incarnation, earlier.state)
--- a/src/larkpost/standalone/controllers/monitor.py
+++ b/src/larkpost/standalone/controllers/monitor.py
@@ -99,14 +99,14 @@
         for daemon, pool in self._subscribers:
             self._send_loads(daemon, self._loads_of(pool))
 
-    def note_swapping(self, engine: EngineId) -> None:
-        """Notes that an owned engine was just ordered to swap, and tells the subscribers."""
+    def record_swapping(self, engine: EngineId) -> None:
+        """Records that an owned engine was just ordered to swap, and informs the subscribers."""
         load = self._board.engines.loads[engine]
         self._board.engines.loads[engine] = replace(load, swapping=True)
         self._push(engine)
 
     def _push(self, engine: EngineId) -> None:
-        """Tells the subscribers at once what has changed at an engine."""
+        """Sends the subscribers at once what has changed at an engine."""
         load = _load_message(self._board.engines.loads[engine], self._clock.now())
         for daemon, pool in self._subscribers:
             if self._board.engine_pool(engine) == pool:
--- a/src/larkpost/standalone/controllers/weights.py
+++ b/src/larkpost/standalone/controllers/weights.py
@@ -104,7 +104,7 @@
         address = self._board.engines.directory[engine].address
         try:
             await self._engines.order(address, order, self._settings.order_timeout)
-            self._monitor.note_swapping(engine)
+            self._monitor.record_swapping(engine)
         except StaleTokenError:
             self._ownership.give_up(engine)
         except EngineError:
--- a/src/larkpost/standalone/routing/dispatcher.py
+++ b/src/larkpost/standalone/routing/dispatcher.py
@@ -10,7 +10,6 @@
 
 from collections.abc import AsyncIterator
 from contextlib import aclosing
-from dataclasses import dataclass, field
 
 from larkpost.common.errors import (
     BrokenAnswerError,
@@ -23,40 +22,26 @@
 from larkpost.standalone.controllers.monitor import Monitor
 from larkpost.standalone.engines.port import (
     EngineBrokenError,
-    EngineChunk,
     EngineError,
     EngineNotSentError,
     EnginePort,
     EngineRefusedError,
     GenerateRequest,
 )
+from larkpost.standalone.routing.progress import Progress, check_chunk
 from larkpost.standalone.routing.retry import RetryBudgets, backoff
 from larkpost.standalone.routing.selection import Selector
 from larkpost.standalone.routing.work import TokenRun, Work, WorkClass
 from larkpost.standalone.runtime import Runtime
 
 MAX_ATTEMPTS = 6
+"""Attempts at one piece of work. Not measured."""
 RETRY_AFTER_NO_ENGINE = 1.0
+"""Seconds after which a caller may come back that found no engine. Not measured."""
 MAX_PROBES = 3
-"""Engines asked for a report at once when no report is fresh."""
+"""Engines asked for a report at once when no report is fresh. Not measured."""
 RESUME_ATTEMPTS = 2
-
-
-@dataclass(slots=True)
-class _Progress:
-    """State of one piece of work over its attempts."""
-
-    tokens: list[int] = field(default_factory=list)
-    attempts: int = 0
-    failures: int = 0
-    uncertain: bool = False
-    excluded: set[EngineId] = field(default_factory=set)
-    finished: bool = False
-
-    @property
-    def ran(self) -> Ran:
-        """What a failure answer may say."""
-        return Ran.UNKNOWN if self.uncertain else Ran.NO
+"""Streams of one attempt: the first, and one that goes on where it broke. Not measured."""
 
 
 class Dispatcher:
@@ -95,7 +80,7 @@
         Raises:
             LarkpostError: there is no whole answer; the error says whether the request ran.
         """
-        progress = _Progress(tokens=list(prefix))
+        progress = Progress(tokens=list(prefix))
         self._budgets.earn(_caller_key(work))
         while not progress.finished:
             engine = await self._next_engine(work, progress, prefer)
@@ -104,7 +89,7 @@
                     yield run
 
     async def _next_engine(
-        self, work: Work, progress: _Progress, prefer: EngineId | None
+        self, work: Work, progress: Progress, prefer: EngineId | None
     ) -> EngineId:
         self._check_deadline(work, progress)
         if progress.attempts > 0:
@@ -129,7 +114,7 @@
     def _fits(self, work: Work, engine: EngineId) -> bool:
         return any(c.engine == engine for c in self._selector.candidates(work, ()))
 
-    async def _pay_for_retry(self, work: Work, progress: _Progress) -> None:
+    async def _pay_for_retry(self, work: Work, progress: Progress) -> None:
         if progress.attempts >= MAX_ATTEMPTS or not self._budgets.spend(_caller_key(work)):
             raise OverloadedError(
                 "the request failed and its caller's retries are spent",
@@ -139,11 +124,11 @@
         self._telemetry.count("retries", kind=work.work_class)
         await self._clock.sleep(backoff(self._settings, progress.failures, self._rng))
 
-    def _check_deadline(self, work: Work, progress: _Progress) -> None:
+    def _check_deadline(self, work: Work, progress: Progress) -> None:
         if self._clock.now() >= work.deadline:
             raise DeadlineError("the request's deadline has passed", ran=progress.ran)
 
-    async def _probe(self, work: Work, progress: _Progress) -> None:
+    async def _probe(self, work: Work, progress: Progress) -> None:
         """Asks engines whose report is too old, so that a dead owner does not stop traffic."""
         stale = self._selector.stale(work.pool, progress.excluded)
         for engine in self._rng.sample(stale, min(len(stale), MAX_PROBES)):
@@ -153,7 +138,7 @@
             self._board.engines.avoid(engine, self._clock.now() + self._settings.avoid_time)
 
     async def _attempt(
-        self, work: Work, engine: EngineId, progress: _Progress
+        self, work: Work, engine: EngineId, progress: Progress
     ) -> AsyncIterator[TokenRun]:
         """Runs one attempt; on a failure that allows another it returns with ``finished`` unset."""
         request = self._make_request(work, progress)
@@ -172,13 +157,13 @@
                 async for run in runs:
                     yield run
         except EngineError as error:
-            self._note_failure(engine, work, progress, error)
+            self._record_failure(engine, work, progress, error)
         finally:
             self._board.engines.end(engine)
             if not progress.finished:
                 self._tasks.spawn(self._cancel(engine, request.attempt), "cancel-attempt")
 
-    def _make_request(self, work: Work, progress: _Progress) -> GenerateRequest:
+    def _make_request(self, work: Work, progress: Progress) -> GenerateRequest:
         self._attempt_number += 1
         own = self._board.members.own
         attempt = f"{own.id}.{own.incarnation}.{self._attempt_number}"
@@ -193,7 +178,7 @@
         )
 
     async def _receive(
-        self, work: Work, engine: EngineId, request: GenerateRequest, progress: _Progress
+        self, work: Work, engine: EngineId, request: GenerateRequest, progress: Progress
     ) -> AsyncIterator[TokenRun]:
         """Yields checked runs of one attempt, attaching to it again if its stream breaks."""
         address = self._board.engines.directory[engine].address
@@ -206,8 +191,8 @@
             try:
                 async with aclosing(stream):
                     async for chunk in stream:
-                        run = _check_chunk(chunk, request, progress)
-                        last_chunk_at = self._note_speed(engine, run, last_chunk_at)
+                        run = check_chunk(chunk, request, progress)
+                        last_chunk_at = self._record_speed(engine, run, last_chunk_at)
                         if run.tokens:
                             yield run
                         if progress.finished:
@@ -224,7 +209,7 @@
             timeout = self._chunk_timeout(work)
             stream = self._engines.resume(address, request.attempt, offset, timeout)
 
-    def _note_speed(self, engine: EngineId, run: TokenRun, last_chunk_at: float | None) -> float:
+    def _record_speed(self, engine: EngineId, run: TokenRun, last_chunk_at: float | None) -> float:
         """Measures between chunks, so that waiting in the engine's queue does not count."""
         now = self._clock.now()
         if last_chunk_at is not None:
@@ -239,8 +224,8 @@
             return self._settings.rollout_chunk_timeout
         return min(self._settings.chunk_timeout, max(work.deadline - self._clock.now(), 0.0))
 
-    def _note_failure(
-        self, engine: EngineId, work: Work, progress: _Progress, error: EngineError
+    def _record_failure(
+        self, engine: EngineId, work: Work, progress: Progress, error: EngineError
     ) -> None:
         """Decides whether another attempt is allowed.
 
@@ -274,33 +259,3 @@
 
 def _engine_key(engine: EngineId) -> str:
     return f"engine/{engine}"
-
-
-def _check_chunk(chunk: EngineChunk, request: GenerateRequest, progress: _Progress) -> TokenRun:
-    """Takes a chunk into the progress.
-
-    Raises:
-        EngineBrokenError: the chunk is another attempt's, out of place, or ends the answer wrongly.
-    """
-    if chunk.attempt != request.attempt:
-        raise EngineBrokenError(f"got a chunk of attempt {chunk.attempt!r}")
-    have = len(progress.tokens)
-    if chunk.offset > have:
-        raise EngineBrokenError(f"a gap: token {chunk.offset} came after {have} tokens")
-    fresh = chunk.tokens[have - chunk.offset :]
-    repeated = chunk.tokens[: have - chunk.offset]
-    if repeated != tuple(progress.tokens[chunk.offset : chunk.offset + len(repeated)]):
-        raise EngineBrokenError("a repeated chunk differs from the first one")
-    progress.tokens.extend(fresh)
-    if chunk.total is not None:
-        if chunk.total != len(progress.tokens):
-            raise EngineBrokenError(
-                f"the answer ends at {len(progress.tokens)} of {chunk.total} tokens"
-            )
-        progress.finished = True
-    return TokenRun(have, fresh, chunk.version)
-
-
-def chunk_size(work_class: WorkClass) -> int:
-    """Returns how many tokens an engine may gather in a chunk: rollouts need no low latency."""
-    return 1 if work_class == WorkClass.CLIENT else 16
--- a/src/larkpost/standalone/routing/inference.py
+++ b/src/larkpost/standalone/routing/inference.py
@@ -12,10 +12,10 @@
 )
 from larkpost.common.ids import RequestId
 from larkpost.standalone.controllers.readiness import Readiness
-from larkpost.standalone.routing.dispatcher import Dispatcher, chunk_size
+from larkpost.standalone.routing.dispatcher import Dispatcher
 from larkpost.standalone.routing.run_once import RunOnceRegistry
 from larkpost.standalone.routing.selection import Selector
-from larkpost.standalone.routing.work import TokenRun, Work, WorkClass
+from larkpost.standalone.routing.work import TokenRun, Work, WorkClass, chunk_size
 from larkpost.standalone.runtime import Runtime
 
 RETRY_AFTER_OVERLOAD = 0.5
--- a/src/larkpost/standalone/routing/retry.py
+++ b/src/larkpost/standalone/routing/retry.py
@@ -27,7 +27,7 @@
             self._budgets[key] = min(credit, self._settings.retry_reserve)
 
     def spend(self, *keys: str) -> bool:
-        """Takes one retry from every key, or from none.
+        """Spends one retry of every key, or of none.
 
         Returns:
             Whether every key had one.
--- a/src/larkpost/standalone/routing/run_once.py
+++ b/src/larkpost/standalone/routing/run_once.py
@@ -24,7 +24,7 @@
 
 
 class KeyStoreUnavailableError(LarkpostError):
-    """Whether the key was used before cannot be told now."""
+    """Whether the key was used before cannot be known now."""
 
     code = "key_store_unavailable"
     status = 503
@@ -81,7 +81,7 @@
         return Ticket(self._board.members.own.id, self._born, self._issued)
 
     async def claim(self, key: str) -> None:
-        """Takes the right to run the key's request.
+        """Claims the right to run the key's request.
 
         Raises:
             AlreadyClaimedError: it was taken before; the request may have run.
--- a/src/larkpost/standalone/routing/work.py
+++ b/src/larkpost/standalone/routing/work.py
@@ -5,6 +5,10 @@
 
 from larkpost.common.ids import PoolId, RequestId
 
+CLIENT_CHUNK_TOKENS = 1
+ROLLOUT_CHUNK_TOKENS = 16
+"""Tokens that an engine may gather in a chunk. Not measured."""
+
 
 class WorkClass(StrEnum):
     """Client requests go before rollouts everywhere."""
@@ -80,3 +84,8 @@
     def oldest_version(self) -> int:
         """The lowest version in the answer; 0 for an empty one."""
         return min((span.version for span in self.spans), default=0)
+
+
+def chunk_size(work_class: WorkClass) -> int:
+    """Returns how many tokens an engine may gather in a chunk: rollouts need no low latency."""
+    return CLIENT_CHUNK_TOKENS if work_class == WorkClass.CLIENT else ROLLOUT_CHUNK_TOKENS
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -27,14 +27,14 @@
     """Point 1: stamps the whole answer with the version of its first chunk."""
     from larkpost.standalone.routing import dispatcher
 
-    original = dispatcher._check_chunk
+    original = dispatcher.check_chunk
     first: dict[str, int] = {}
 
     def check(chunk, request, progress):
         run = original(chunk, request, progress)
         return replace(run, version=first.setdefault(request.attempt, chunk.version))
 
-    return mock.patch.object(dispatcher, "_check_chunk", check)
+    return mock.patch.object(dispatcher, "check_chunk", check)
 
 
 def check_staleness_when_made():
@@ -61,10 +61,10 @@
     """Point 4: does not compare the attempt that a chunk names."""
     from larkpost.standalone.routing import dispatcher
 
-    original = dispatcher._check_chunk
+    original = dispatcher.check_chunk
     return mock.patch.object(
         dispatcher,
-        "_check_chunk",
+        "check_chunk",
         lambda chunk, request, progress: original(
             replace(chunk, attempt=request.attempt), request, progress
         ),
@@ -95,7 +95,7 @@
     from larkpost.common.errors import Ran
     from larkpost.standalone.routing import dispatcher
 
-    return mock.patch.object(dispatcher._Progress, "ran", property(lambda _self: Ran.NO))
+    return mock.patch.object(dispatcher.Progress, "ran", property(lambda _self: Ran.NO))
 
 
 def resend_after_reset():
