--- a/src/larkpost/client.py
+++ b/src/larkpost/client.py
@@ -28,7 +28,14 @@
 
 Result = TypeVar("Result")
 RETRY_SECONDS = 0.2
+"""The pause after a failure grows by this with each failure in a row. Not measured."""
 RETRY_LIMIT_SECONDS = 2.0
+"""Longest pause after a failure. Not measured."""
+CALL_TIMEOUT_SECONDS = 10.0
+"""Longest time for one call: a daemon holds a pull for two seconds by default. Not measured."""
+CONNECT_TIMEOUT_SECONDS = 1.0
+"""Longest wait for a connection. Not measured."""
+INVALID_REQUEST = 400
 
 
 class DaemonUnreachableError(LarkpostError):
@@ -140,7 +147,7 @@
             try:
                 result = await call(self._daemons[0])
             except LarkpostError as error:
-                if error.status == 400:
+                if error.status == INVALID_REQUEST:
                     raise
                 self._daemons.append(self._daemons.pop(0))
                 self._failures += 1
@@ -154,9 +161,11 @@
 class HttpBatchEndpoint:
     """Calls daemons over HTTP."""
 
-    def __init__(self, session: aiohttp.ClientSession, timeout: float = 10.0) -> None:
+    def __init__(
+        self, session: aiohttp.ClientSession, timeout: float = CALL_TIMEOUT_SECONDS
+    ) -> None:
         self._session = session
-        self._timeout = aiohttp.ClientTimeout(total=timeout, sock_connect=1.0)
+        self._timeout = aiohttp.ClientTimeout(total=timeout, sock_connect=CONNECT_TIMEOUT_SECONDS)
 
     async def open(self, daemon: Address, spec: BatchSpec, held: tuple[int, ...]) -> None:
         document = BatchDocument(
@@ -190,7 +199,7 @@
         await self._call("DELETE", f"http://{daemon}/v1/batches/{batch}", b"")
 
     async def announce_version(self, daemon: Address, policy: PolicyId, version: int) -> None:
-        """Tells a daemon that a new weight version is in the weight store."""
+        """Announces to a daemon that a new weight version is in the weight store."""
         await self._call("PUT", f"http://{daemon}/v1/policies/{policy}/versions/{version}", b"")
 
     async def _call(self, verb: str, url: str, body: bytes) -> bytes:
@@ -207,7 +216,7 @@
 
 
 def parse_error(status: int, content: bytes) -> RemoteError:
-    """Reads an error answer; one that is not larkpost's becomes an unknown outcome."""
+    """Returns the error in a response; one that is not larkpost's is an unknown outcome."""
     try:
         document = ErrorDocument.model_validate(orjson.loads(content)["error"])
     except (ValueError, KeyError, TypeError):
--- a/src/larkpost/platform/batches.py
+++ b/src/larkpost/platform/batches.py
@@ -42,17 +42,14 @@
     Raises:
         ValueError: the document or the id cannot be read; the message names the field.
     """
-    batch_id = batch.decode("latin-1")
-    if not batch_id or len(batch_id) > MAX_ID_LENGTH or "/" in batch_id:
-        raise ValueError("the batch has no usable id")
+    batch_id = _batch_id(batch)
     document = orjson.loads(content)
     if not isinstance(document, dict):
         raise ValueError("the batch is no JSON object")
     try:
-        entries = document["requests"]
-        items = tuple(_item(entry) for entry in entries)
+        items = tuple(_item(entry) for entry in document["requests"])
         spec = BatchSpec(
-            id=BatchId(batch_id),
+            id=batch_id,
             host=host,
             path=path.decode("latin-1"),
             model=ModelName(document.get("model", "")),
@@ -64,11 +61,27 @@
         )
     except (KeyError, TypeError, AttributeError, binascii.Error) as error:
         raise ValueError(f"the batch cannot be read: {error!r}") from None
+    _check_items(items)
+    return spec
+
+
+def _batch_id(batch: bytes) -> BatchId:
+    text = batch.decode("latin-1")
+    if not text or len(text) > MAX_ID_LENGTH or "/" in text:
+        raise ValueError("the batch has no usable id")
+    return BatchId(text)
+
+
+def _check_items(items: tuple[Item, ...]) -> None:
+    """Checks that all items can be sent, and that each has an id of its own.
+
+    Raises:
+        ValueError: it is not so.
+    """
     for item in items:
         _check_sendable(item)
     if len({item.id for item in items}) != len(items):
         raise ValueError("two requests of the batch have one id")
-    return spec
 
 
 def _check_sendable(item: Item) -> None:
--- a/src/larkpost/standalone/routing/dispatcher.py
+++ b/src/larkpost/standalone/routing/dispatcher.py
@@ -18,10 +18,11 @@
     OverloadedError,
     Ran,
 )
-from larkpost.common.ids import AttemptId, EngineId
+from larkpost.common.ids import Address, AttemptId, EngineId
 from larkpost.standalone.controllers.monitor import Monitor
 from larkpost.standalone.engines.port import (
     EngineBrokenError,
+    EngineChunk,
     EngineError,
     EngineNotSentError,
     EnginePort,
@@ -203,11 +204,16 @@
                 progress.uncertain = True
                 if resumes_left == 0:
                     raise
-            self._check_deadline(work, progress)
-            self._telemetry.count("resumes")
-            offset = len(progress.tokens)
-            timeout = self._chunk_timeout(work)
-            stream = self._engines.resume(address, request.attempt, offset, timeout)
+            stream = self._resume(work, address, request.attempt, progress)
+
+    def _resume(
+        self, work: Work, address: Address, attempt: AttemptId, progress: Progress
+    ) -> AsyncIterator[EngineChunk]:
+        """Attaches to an attempt again, after the tokens that have come."""
+        self._check_deadline(work, progress)
+        self._telemetry.count("resumes")
+        offset = len(progress.tokens)
+        return self._engines.resume(address, attempt, offset, self._chunk_timeout(work))
 
     def _record_speed(self, engine: EngineId, run: TokenRun, last_chunk_at: float | None) -> float:
         """Measures between chunks, so that waiting in the engine's queue does not count."""
--- a/src/larkpost/standalone/routing/inference.py
+++ b/src/larkpost/standalone/routing/inference.py
@@ -11,6 +11,7 @@
     Ran,
 )
 from larkpost.common.ids import RequestId
+from larkpost.standalone.config.intent import ServiceIntent
 from larkpost.standalone.controllers.readiness import Readiness
 from larkpost.standalone.routing.dispatcher import Dispatcher
 from larkpost.standalone.routing.run_once import RunOnceRegistry
@@ -19,7 +20,9 @@
 from larkpost.standalone.runtime import Runtime
 
 RETRY_AFTER_OVERLOAD = 0.5
+"""Seconds after which a refused caller may come back. Not measured."""
 MAX_TOKENS_LIMIT = 131_072
+"""Most tokens that one request may ask for. Not measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,10 +108,20 @@
                 remedy="Name a service of the intent in the field `model`, or admit it there.",
             )
         _check_call(call)
+        work = self._make_work(call, service)
+        crowded = self._activity.requests > self._settings.max_client_requests
+        if crowded or self._selector.is_full(work):
+            raise OverloadedError(
+                f"pool {service.pool!r} is full", retry_after=RETRY_AFTER_OVERLOAD
+            )
+        self._telemetry.count("client_requests")
+        return work
+
+    def _make_work(self, call: InferenceCall, service: ServiceIntent) -> Work:
         seconds = call.deadline_seconds
         if seconds is None:
             seconds = self._settings.default_deadline
-        work = Work(
+        return Work(
             request=call.request,
             caller=call.service,
             work_class=WorkClass.CLIENT,
@@ -120,13 +133,6 @@
             run_once=call.run_once,
             chunk_tokens=chunk_size(WorkClass.CLIENT),
         )
-        crowded = self._activity.requests > self._settings.max_client_requests
-        if crowded or self._selector.is_full(work):
-            raise OverloadedError(
-                f"pool {service.pool!r} is full", retry_after=RETRY_AFTER_OVERLOAD
-            )
-        self._telemetry.count("client_requests")
-        return work
 
 
 def _check_call(call: InferenceCall) -> None:
