--- a/src/larkpost/common/http_server.py
+++ b/src/larkpost/common/http_server.py
@@ -1,4 +1,7 @@
-"""An HTTP listener inside the process's one event loop; signals stay with the process."""
+"""An HTTP listener inside the process's one event loop; signals stay with the process.
+
+Owns the library's server; what is served is the application's.
+"""
 
 import asyncio
 import contextlib
@@ -11,11 +14,14 @@
 from larkpost.common.ids import Address
 
 BACKLOG = 1024
+"""Connections that may wait to be accepted. Not measured."""
 KEEP_ALIVE_SECONDS = 75
+"""How long a connection may be idle. Not measured."""
 START_POLL_SECONDS = 0.005
+"""Between two checks whether the server has started: the library has no event for it."""
 CLOSE_SECONDS = 0.4
-"""Longest wait for answers under way once the server is to end: whoever closes it has waited for
-them before, and a process that stays too long is killed."""
+"""Longest wait for responses under way once the server is to end: whoever closes it has waited for
+them before, and a process that stays too long is killed. Not measured."""
 
 
 Application = Callable[[dict, Callable, Callable], Awaitable[None]]
@@ -52,7 +58,7 @@
 
     Args:
         protocol: the class that speaks HTTP on a connection, or the library's name for one.
-        idle_seconds: how long a connection may rest; a protocol class may set its own.
+        idle_seconds: how long a connection may be idle; a protocol class may set its own.
     """
 
     def __init__(
@@ -104,7 +110,7 @@
             await asyncio.sleep(START_POLL_SECONDS)
 
     async def close(self) -> None:
-        """Stops listening, and closes connections once their answers are complete, or late."""
+        """Stops listening, and closes connections once their responses are complete, or late."""
         self._server.close()
         if self._task is not None:
             await self._task
--- a/src/larkpost/standalone/controllers/membership.py
+++ b/src/larkpost/standalone/controllers/membership.py
@@ -1,17 +1,17 @@
 """Membership by random probing (after SWIM): constant cost per daemon at any fleet size.
 
-Each period a daemon probes one other. Without an answer it asks helpers; without theirs it suspects
-the daemon, which has some time to refute with a higher incarnation. Changes travel on the probes,
-and each daemon that first learns of one passes it on at once to a few others.
+Each period a daemon probes one other, see `larkpost.standalone.controllers.probing`. If it does
+not answer it is suspected and has some time to refute with a higher incarnation. Changes
+travel on the probes, and each daemon that first learns of one passes it on at once to a few others.
 """
 
-import asyncio
 import math
 from dataclasses import replace
 
 from larkpost.common.ids import Address, DaemonId
 from larkpost.standalone.blackboard.members import MemberInfo, MemberState, member_from_message
 from larkpost.standalone.controllers.gossip import Gossip
+from larkpost.standalone.controllers.probing import Prober
 from larkpost.standalone.runtime import Runtime
 from larkpost.standalone.wire import larkpost_pb2 as pb
 from larkpost.standalone.wire.peer import PeerError, PeerMethod, PeerTransport
@@ -22,6 +22,8 @@
 """Daemons to which a change is passed on at once."""
 MAX_EAGER_DATAGRAMS = 16
 """Most datagrams to each of them."""
+GATHERING_DIVISOR = 20
+"""Changes are gathered for this part of the probe interval before they are passed on."""
 RETRANSMIT_FACTOR = 3
 """A change travels on this many datagrams for each doubling of the fleet."""
 REVIVE_EVERY_PROBES = 5
@@ -60,14 +62,9 @@
         """Changes learned since the last eager datagrams."""
         self._probe_order: list[DaemonId] = []
         self._probes = 0
-        self._sequence = 0
-        self._waiting: dict[int, asyncio.Event] = {}
-        self._relayed: dict[int, tuple[MemberInfo, int]] = {}
         gossip.pick_updates = self._pick_updates
         gossip.apply_updates = self.apply
-        gossip.handle("ping", self._on_ping)
-        gossip.handle("ack", self._on_ack)
-        gossip.handle("ping_request", self._on_ping_request)
+        self._prober = Prober(runtime, gossip)
 
     def start(self) -> None:
         """Starts probing and joining."""
@@ -164,7 +161,7 @@
 
     async def _send_eagerly(self) -> None:
         """Passes on what is new, gathered for a moment: a lost zone is many changes at once."""
-        await self._clock.sleep(self._settings.probe_interval / 20)
+        await self._clock.sleep(self._settings.probe_interval / GATHERING_DIVISOR)
         datagrams = min(math.ceil(self._news / UPDATES_PER_DATAGRAM), MAX_EAGER_DATAGRAMS)
         self._news = 0
         targets = self._table.alive_others()
@@ -202,7 +199,7 @@
         target = self._next_target()
         if target is None:
             return
-        if await self._ping(target) or await self._ping_by_helpers(target):
+        if await self._prober.is_alive(target):
             return
         known = self._table.get(target.id)
         if known is not None and known.state == MemberState.ALIVE and _is_unchanged(known, target):
@@ -218,35 +215,6 @@
         self._probe_order = order
         return self._table.get(self._probe_order.pop()) if order else None
 
-    async def _ping(self, target: MemberInfo) -> bool:
-        sequence, answered = self._expect()
-        self._gossip.send(target, pb.Envelope(ping=pb.Ping(sequence=sequence)))
-        return await self._await_ack(sequence, answered, self._settings.probe_timeout)
-
-    async def _ping_by_helpers(self, target: MemberInfo) -> bool:
-        helpers = [member for member in self._table.alive_others() if member.id != target.id]
-        helpers = self._rng.sample(helpers, min(len(helpers), self._settings.indirect_probes))
-        sequence, answered = self._expect()
-        request = pb.PingRequest(sequence=sequence, target=target.to_message())
-        for helper in helpers:
-            self._gossip.send(helper, pb.Envelope(ping_request=request))
-        return await self._await_ack(sequence, answered, self._settings.probe_timeout)
-
-    def _expect(self) -> tuple[int, asyncio.Event]:
-        self._sequence += 1
-        answered = asyncio.Event()
-        self._waiting[self._sequence] = answered
-        return self._sequence, answered
-
-    async def _await_ack(self, sequence: int, answered: asyncio.Event, timeout: float) -> bool:
-        """Waits for an answer; a loop that is itself late blames nobody and reports one."""
-        started = self._clock.now()
-        while not answered.is_set() and self._clock.now() < started + timeout:
-            await self._clock.sleep(timeout / 8)
-        self._waiting.pop(sequence, None)
-        own_delay = self._clock.now() - started - timeout
-        return answered.is_set() or own_delay > timeout / 2
-
     async def _try_to_heal(self) -> None:
         now = self._clock.now()
         limit = self._settings.forget_time
@@ -258,34 +226,6 @@
         if missing:
             await self._exchange_with(self._rng.choice(missing))
 
-    def _on_ping(self, envelope: pb.Envelope) -> None:
-        sender = self._table.get(DaemonId(envelope.sender.id))
-        if sender is not None:
-            self._gossip.send(sender, pb.Envelope(ack=pb.Ack(sequence=envelope.ping.sequence)))
-
-    def _on_ack(self, envelope: pb.Envelope) -> None:
-        sequence = envelope.ack.sequence
-        relayed = self._relayed.pop(sequence, None)
-        if relayed is not None:
-            origin, origin_sequence = relayed
-            self._gossip.send(origin, pb.Envelope(ack=pb.Ack(sequence=origin_sequence)))
-        elif sequence in self._waiting:
-            self._waiting[sequence].set()
-
-    def _on_ping_request(self, envelope: pb.Envelope) -> None:
-        origin = self._table.get(DaemonId(envelope.sender.id))
-        if origin is None:
-            return
-        self._sequence += 1
-        self._relayed[self._sequence] = (origin, envelope.ping_request.sequence)
-        target = member_from_message(envelope.ping_request.target, self._clock.now())
-        self._gossip.send(target, pb.Envelope(ping=pb.Ping(sequence=self._sequence)))
-        self._tasks.spawn(self._forget_relay(self._sequence), "relayed-probe")
-
-    async def _forget_relay(self, sequence: int) -> None:
-        await self._clock.sleep(2 * self._settings.probe_timeout)
-        self._relayed.pop(sequence, None)
-
 
 def _is_unchanged(known: MemberInfo, earlier: MemberInfo) -> bool:
     return (known.incarnation, known.state) == (earlier.incarnation, earlier.state)
--- a/src/larkpost/standalone/controllers/readiness.py
+++ b/src/larkpost/standalone/controllers/readiness.py
@@ -21,7 +21,9 @@
 from larkpost.standalone.wire.peer import PeerError, PeerMethod, PeerTransport
 
 STATE_TIMEOUT = 0.5
+"""Seconds to wait for a daemon's configuration state. Not measured."""
 RETRY_AFTER_NOT_READY = 1.0
+"""Seconds after which a refused caller may come back. Not measured."""
 
 
 class Readiness:
