--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -12,8 +12,7 @@
 
 import asyncio
 
-from larkpost.common.tasks import TaskSet
-from larkpost.common.telemetry import Telemetry
+from larkpost.common.tasks import TaskSet, UnreportedFailures
 from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
 from larkpost.gateway.assembly.gauges import Gauges
 from larkpost.gateway.assembly.leased_controllers import ControllerInputs, LeasedControllers
@@ -76,7 +75,7 @@
         self._clock = ports.clock
         self._log = ports.log
         self._instruments = Instruments(ports.clock, ports.log, ports.metrics)
-        self._tasks = TaskSet(ports.clock, Telemetry(settings.machine, log=False))
+        self._tasks = TaskSet(ports.clock, UnreportedFailures())
         self._loop_watch = LoopWatch(ports.clock, ports.log)
         self.lifecycle = Lifecycle()
         self.blackboard = Blackboard(settings.regions)
--- a/src/larkpost/standalone/controllers/monitor.py
+++ b/src/larkpost/standalone/controllers/monitor.py
@@ -9,21 +9,21 @@
 from dataclasses import replace
 from heapq import nlargest
 
-from larkpost.common.clock import Clock
 from larkpost.common.ids import DaemonId, EngineId, PoolId
-from larkpost.common.telemetry import Telemetry
-from larkpost.standalone.blackboard.board import Blackboard
 from larkpost.standalone.blackboard.engines import EngineInfo, EngineLoad
 from larkpost.standalone.controllers.gossip import Gossip
 from larkpost.standalone.controllers.ownership import Ownership, load_from_report
 from larkpost.standalone.engines.port import EngineError, EnginePort
 from larkpost.standalone.rendezvous import score
-from larkpost.standalone.settings import EngineSettings
+from larkpost.standalone.runtime import Runtime
 from larkpost.standalone.wire import larkpost_pb2 as pb
 
 SUBSCRIPTION_LIFETIME = 10.0
+"""Seconds for which a subscription holds: a renewal may be lost. Not measured."""
 SUBSCRIBE_INTERVAL = 4.0
+"""Seconds between two renewals of the subscriptions. Not measured."""
 LOADS_PER_DATAGRAM = 24
+"""Loads of engines that one datagram carries. Not measured."""
 
 
 class Monitor:
@@ -31,21 +31,18 @@
 
     def __init__(
         self,
-        board: Blackboard,
+        runtime: Runtime,
         engines: EnginePort,
         gossip: Gossip,
         ownership: Ownership,
-        clock: Clock,
-        telemetry: Telemetry,
-        settings: EngineSettings,
     ) -> None:
-        self._board = board
+        self._board = runtime.board
         self._engines = engines
         self._gossip = gossip
         self._ownership = ownership
-        self._clock = clock
-        self._telemetry = telemetry
-        self._settings = settings
+        self._clock = runtime.clock
+        self._telemetry = runtime.telemetry
+        self._settings = runtime.settings.engines
         self._subscribers: dict[tuple[DaemonId, PoolId], float] = {}
         self._watched: dict[PoolId, list[EngineId]] = {}
         self._remote: dict[PoolId, tuple[tuple[int, int, int], list[EngineId]]] = {}
@@ -105,14 +102,14 @@
         for daemon, pool in self._subscribers:
             self._send_loads(daemon, self._loads_of(pool))
 
-    def note_swapping(self, engine: EngineId) -> None:
-        """Notes that an owned engine was just ordered to swap, and tells the subscribers."""
+    def record_swapping(self, engine: EngineId) -> None:
+        """Records that an owned engine was just ordered to swap, and informs the subscribers."""
         load = self._board.engines.loads[engine]
         self._board.engines.loads[engine] = replace(load, swapping=True)
         self._push(engine)
 
     def _push(self, engine: EngineId) -> None:
-        """Tells the subscribers at once what has changed at an engine."""
+        """Sends the subscribers at once what has changed at an engine."""
         load = _load_message(self._board.engines.loads[engine], self._clock.now())
         for daemon, pool in self._subscribers:
             if self._board.engine_pool(engine) == pool:
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -273,9 +273,9 @@
 
 def pass_keys_on():
     """Passes a caller's key, and what it says of its tenant, on to the server."""
-    from larkpost.platform import ingress
+    from larkpost.platform import client_call
 
-    return mock.patch.object(ingress, "OWN_REQUEST_HEADERS", frozenset({b"host", b"expect"}))
+    return mock.patch.object(client_call, "OWN_REQUEST_HEADERS", frozenset({b"host", b"expect"}))
 
 
 def show_batches_to_other_tenants():
@@ -398,21 +398,21 @@
 
 def trust_silent_connections():
     """Goes on using the other connections to an address of which one has gone silent."""
-    from larkpost.platform.silence import Silences
+    from larkpost.platform.silence import SilenceWatch
 
-    return mock.patch.object(Silences, "is_suspect", lambda *_: False)
+    return mock.patch.object(SilenceWatch, "is_suspect", lambda *_: False)
 
 
 def wait_on_silent_connections():
     """Leaves a call on a silent connection until its time is over."""
-    from larkpost.platform.connections import WatchedConnection
+    from larkpost.platform.watched_connection import WatchedConnection
 
-    return mock.patch.object(WatchedConnection, "_look_again", lambda *_: None)
+    return mock.patch.object(WatchedConnection, "_check_later", lambda *_: None)
 
 
 def give_up_writes_without_proof():
     """Ends a write on a connection that looks silent, though the store may only be slow."""
-    from larkpost.platform.connections import WatchedConnection
+    from larkpost.platform.watched_connection import WatchedConnection
 
     return mock.patch.object(WatchedConnection, "_waits_for_proof", lambda _: False)
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -4,7 +4,6 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.common.tasks import TaskSet
-from larkpost.common.telemetry import Telemetry
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.controllers.coordinators import first_choice, is_to_coordinate
 from larkpost.gateway.controllers.heartbeat import machine_of, new_incarnation
@@ -20,6 +19,7 @@
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.rehearsal.memory_store import MemoryStore, StoreClient, StoreFaults
+from larkpost.standalone.telemetry import Telemetry
 from tests.virtual import run
 
 
