--- a/src/larkpost/platform/stand_in/callers.py
+++ b/src/larkpost/platform/stand_in/callers.py
@@ -13,6 +13,7 @@
 from larkpost.common.ids import Address
 from larkpost.gateway.blackboard.configuration import ModelName
 from larkpost.platform import names
+from larkpost.platform.stand_in.engine_state import output_of
 from larkpost.platform.stand_in.rows import (
     BATCH_PREFIX,
     HOST,
@@ -21,7 +22,6 @@
     TRAINING,
     key_of,
 )
-from larkpost.rehearsal.scripted_engines import output_of
 
 READ_WAIT_MS = "500"
 RETRY_SECONDS = 0.1
--- a/src/larkpost/platform/stand_in/programs.py
+++ b/src/larkpost/platform/stand_in/programs.py
@@ -12,12 +12,12 @@
 from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
 from larkpost.gateway.store.port import Transaction
 from larkpost.platform import names
+from larkpost.platform.stand_in.engine_state import EngineState
+from larkpost.platform.stand_in.memory_store import MemoryStore
 from larkpost.platform.stand_in.rows import StandInServer, server_change
 from larkpost.platform.stand_in.server_app import ServerApp
 from larkpost.platform.stand_in.store_app import StoreApp
 from larkpost.platform.store import HttpStore
-from larkpost.rehearsal.memory_store import MemoryStore
-from larkpost.rehearsal.scripted_engines import EngineState
 
 HEARTBEAT_SECONDS = 0.4
 LAPSE_SECONDS = 1.5
--- a/src/larkpost/platform/stand_in/server_app.py
+++ b/src/larkpost/platform/stand_in/server_app.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.blackboard.configuration import ModelName
 from larkpost.gateway.servers.port import OrderOutcome, VersionOrder
 from larkpost.platform import names
-from larkpost.rehearsal.scripted_engines import EngineState, output_of, take_order
+from larkpost.platform.stand_in.engine_state import EngineState, output_of, take_order
 
 PAGE_SECONDS = 0.02
 STATUSES = {
--- a/src/larkpost/platform/stand_in/store_app.py
+++ b/src/larkpost/platform/stand_in/store_app.py
@@ -20,7 +20,7 @@
     WriteOutcome,
 )
 from larkpost.platform import names
-from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
+from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient
 
 WRITE_STATUSES = {
     WriteOutcome.DONE: 200,
--- a/src/larkpost/rehearsal/demo.py
+++ b/src/larkpost/rehearsal/demo.py
@@ -24,7 +24,7 @@
 )
 from larkpost.platform.stand_in.rows import configuration_change, version_change
 from larkpost.platform.store import HttpStore
-from larkpost.rehearsal.platform_fleet import (
+from larkpost.rehearsal.platform_site import (
     CASABLANCA,
     SANTIAGO,
     PlatformSite,
--- a/src/larkpost/rehearsal/platform_fleet.py
+++ b/src/larkpost/rehearsal/platform_site.py
@@ -1,4 +1,7 @@
-"""A site over the platform's stand-ins, as real processes: store, servers and daemons."""
+"""A site over the platform's stand-ins, as real processes: store, servers and daemons.
+
+The demonstration runs two of them. Owns the sizes of both sites and how their processes start.
+"""
 
 from dataclasses import dataclass, field
 from pathlib import Path
--- a/tests/pinned_parts.py
+++ b/tests/pinned_parts.py
@@ -10,7 +10,7 @@
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.proxy.request import ClientRequest
 from larkpost.gateway.scaling.port import ScalingMode
-from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
+from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient
 from tests.platform_fleet import PlatformFleet
 
 
--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -44,12 +44,13 @@
 from larkpost.gateway.store.port import Row, RowKey, Transaction
 from larkpost.gateway.store.relay import RelayedStore
 from larkpost.gateway.usage.port import UsageTerms
-from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
-from larkpost.rehearsal.scripted_engines import EngineState, ScriptedEngines, output_of
-from larkpost.rehearsal.scripted_scaling import ScriptedScaling
-from larkpost.rehearsal.scripted_usage import ScriptedUsage
+from larkpost.platform.stand_in.engine_state import output_of
+from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient
 from tests.platform_checks import CALL_ATTEMPTS
 from tests.platform_places import EAST, REGIONS, WatchedClient
+from tests.scripted_engines import ScriptedEngine, ScriptedEngines
+from tests.scripted_scaling import ScriptedScaling
+from tests.scripted_usage import ScriptedUsage
 
 MODEL = ModelName("model")
 SCORERS = ServiceName("scorers")
@@ -402,7 +403,7 @@
         self.engine_zones[follower] = self.zone_of(instance)
         versions = dict(self.engines.engines[instance].versions)
         if versions:
-            self.engines.engines[follower] = EngineState(versions=versions)
+            self.engines.engines[follower] = ScriptedEngine(versions=versions)
             self.add_engine(follower)
         else:
             self.add_scorer(follower)
@@ -410,7 +411,7 @@
     def add_engine(self, engine: InstanceId, state: InstanceState = InstanceState.READY) -> None:
         """Lists an engine."""
         if engine not in self.engines.engines:
-            self.engines.engines[engine] = EngineState(versions={MODEL: 1})
+            self.engines.engines[engine] = ScriptedEngine(versions={MODEL: 1})
         known = self.engines.engines[engine]
         entry = {
             "service": ENGINES,
@@ -423,14 +424,16 @@
         }
         self.put("instances", engine, orjson.dumps(entry))
 
-    def start_cold_engine(self, engine: InstanceId, seconds: float = COLD_SECONDS) -> EngineState:
+    def start_cold_engine(
+        self, engine: InstanceId, seconds: float = COLD_SECONDS
+    ) -> ScriptedEngine:
         """Starts an engine that is cold for some seconds, and lists it."""
-        state = EngineState(versions={MODEL: 1}, cold_until=self.clock.now() + seconds)
+        state = ScriptedEngine(versions={MODEL: 1}, cold_until=self.clock.now() + seconds)
         self.engines.engines[engine] = state
         self.add_engine(engine)
         return state
 
-    def turn_cold(self, engine: InstanceId, seconds: float, known_after: float) -> EngineState:
+    def turn_cold(self, engine: InstanceId, seconds: float, known_after: float) -> ScriptedEngine:
         """Turns an engine cold again, which its entry says.
 
         Args:
@@ -450,7 +453,7 @@
     ) -> None:
         """Lists a server that scores outputs."""
         if scorer not in self.engines.engines:
-            self.engines.engines[scorer] = EngineState(slots=SCORER_SLOTS)
+            self.engines.engines[scorer] = ScriptedEngine(slots=SCORER_SLOTS)
         entry = {
             "service": service,
             "zone": self.zone_of(scorer),
@@ -469,7 +472,7 @@
         """Returns a daemon's region; None if zones are not spoken of."""
         return REGIONS.get(self.gateway_zones[number])
 
-    def scorers(self) -> list[EngineState]:
+    def scorers(self) -> list[ScriptedEngine]:
         """Returns the servers that score outputs."""
         return [state for state in self.engines.engines.values() if not state.versions]
 
@@ -477,7 +480,7 @@
         """Returns how often servers have answered a request with their failure status."""
         return sum(state.failures[request] for state in self.engines.engines.values())
 
-    def model_engines(self) -> list[EngineState]:
+    def model_engines(self) -> list[ScriptedEngine]:
         """Returns the engines."""
         return [state for state in self.engines.engines.values() if state.versions]
 
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -12,7 +12,7 @@
 def append_without_condition():
     """Appends results whatever the tail's version is."""
     from larkpost.gateway.rollouts.repository import HEAD_TABLE, TAIL_TABLE
-    from larkpost.rehearsal.memory_store import StoreClient
+    from larkpost.platform.stand_in.memory_store import StoreClient
 
     original = StoreClient.write
 
@@ -319,7 +319,7 @@
 def save_counts_without_condition():
     """Writes counts whatever the row's version is, so that late writes undo later ones."""
     from larkpost.gateway.usage.repository import COUNT_TABLE
-    from larkpost.rehearsal.memory_store import StoreClient
+    from larkpost.platform.stand_in.memory_store import StoreClient
 
     original = StoreClient.write
 
--- a/tests/platform_oracle.py
+++ b/tests/platform_oracle.py
@@ -4,7 +4,7 @@
 from larkpost.common.ids import BatchId, RegionId
 from larkpost.gateway.rollouts.model import BatchSpec, Result, ResultState, RewardCallId
 from larkpost.gateway.rollouts.service import BatchRefusedError
-from larkpost.rehearsal.memory_store import StoreFaults
+from larkpost.platform.stand_in.memory_store import StoreFaults
 from tests import platform_checks as checks
 from tests.platform_fleet import (
     CONFIGURATION,
--- a/tests/platform_places.py
+++ b/tests/platform_places.py
@@ -5,7 +5,7 @@
 from larkpost.common.ids import RegionId, ZoneId
 from larkpost.gateway.rollouts.repository import ITEM_TABLE
 from larkpost.gateway.store.port import RowPage, Transaction, WriteResult
-from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
+from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient
 
 EAST = RegionId("east")
 WEST = RegionId("west")
--- a/src/larkpost/rehearsal/summary.py
+++ b/tests/process_load.py
@@ -6,8 +6,8 @@
 import orjson
 from hdrh.histogram import HdrHistogram
 
-from larkpost.rehearsal.fleet import Fleet
 from larkpost.rehearsal.processes import Process, RehearsalError
+from tests.process_fleet import Fleet
 
 MUST_BE_ZERO = (
     "samples_doubled",
--- a/tests/process_soak/judge.py
+++ b/tests/process_soak/judge.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 
 from larkpost.gateway.rollouts.model import ResultState
+from larkpost.platform.stand_in.engine_state import output_of
 from larkpost.platform.stand_in.rows import TRAINING
-from larkpost.rehearsal.scripted_engines import output_of
 from tests import platform_checks as checks
 from tests.process_soak.records import Evacuation, Records
 
--- a/tests/process_soak/server_program.py
+++ b/tests/process_soak/server_program.py
@@ -19,11 +19,11 @@
 from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
 from larkpost.platform import names
+from larkpost.platform.stand_in.engine_state import EngineState
 from larkpost.platform.stand_in.programs import HEARTBEAT_SECONDS, ROW_BYTES, WRITE_SECONDS
 from larkpost.platform.stand_in.rows import StandInServer, server_change
 from larkpost.platform.stand_in.server_app import ServerApp
 from larkpost.platform.store import HttpStore
-from larkpost.rehearsal.scripted_engines import EngineState
 from tests.process_soak.records import (
     CRASHING_PAGE,
     FAILING_CALL,
--- a/tests/process_soak/store_program.py
+++ b/tests/process_soak/store_program.py
@@ -18,9 +18,9 @@
 from larkpost.common.http_server import HttpServer
 from larkpost.common.ids import Address
 from larkpost.platform import names
+from larkpost.platform.stand_in.memory_store import MemoryStore, StoreFaults
 from larkpost.platform.stand_in.programs import HEARTBEAT_SECONDS, _drop_silent
 from larkpost.platform.stand_in.store_app import StoreApp
-from larkpost.rehearsal.memory_store import MemoryStore, StoreFaults
 from tests.process_soak.records import FORGET_CALL, STORE_FAULTS_CALL, RecordKind, tell
 
 
--- a/src/larkpost/rehearsal/scripted_engines.py
+++ b/tests/scripted_engines.py
@@ -7,7 +7,6 @@
 from dataclasses import dataclass, field
 
 from larkpost.common.clock import Clock
-from larkpost.common.hashing import hash64
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import ModelName
 from larkpost.gateway.blackboard.directory import InstanceInfo
@@ -24,50 +23,33 @@
     StreamEvent,
     VersionOrder,
 )
+from larkpost.platform.stand_in.engine_state import EngineState, output_of, take_order
 
-MIN_EVENTS = 4
-SPREAD_EVENTS = 12
-LOAD_SECONDS = 0.9
 STALL_SECONDS = 1000.0
 CRASH_SECONDS = 0.08
 """From the begin of a request that crashes its server to the crash."""
 
 
-def output_of(request_id: str, events: int | None = None) -> list[bytes]:
-    """Returns the events' data that every engine makes for a request.
-
-    Args:
-        events: how many; None for a number that hangs on the request.
-    """
-    count = MIN_EVENTS + hash64(request_id) % SPREAD_EVENTS if events is None else events
-    return [f"{request_id}-{number}".encode() for number in range(1, count + 1)]
-
-
 @dataclass(slots=True)
-class EngineState:
-    """One engine.
+class ScriptedEngine(EngineState):
+    """An engine that fails as a test tells it, and records what it ran.
 
     Attributes:
-        event_seconds: time it takes for an event.
-        down: it does not answer.
+        down: it does not respond.
         stall_after: its streams make nothing more after so many events, or never.
         break_after: its next streams break off after so many events, or never.
-        status: answered instead of a stream, if set.
-        unsigned: its answers carry no signature.
-        runs: ids of all requests it has run.
-        whole_at: when each stream that came to its end ended, in seconds.
-        ranks: what each request that ran was told of its urgency.
-        signatures: of all its answers by request, each with the time at which the run began.
-        failures: how often it answered each request with its failure status.
-        cold_until: when it is warm, in seconds; its answers say how long it stays cold.
+        status: of its responses instead of a stream, if set.
+        unsigned: its responses carry no signature.
+        cold_until: when it is warm, in seconds; its responses say how long it stays cold.
         cold_known_from: when every daemon can know that it is cold, in seconds.
         cold_arrivals: when requests arrived from then on while it was cold, in seconds.
         most_running: the most requests it has run at once.
-        orders: (holder, fencing token, model, version, time) of each order that arrived.
+        whole_at: when each stream that came to its end ended, in seconds.
+        ranks: the priority that each request which ran was sent with.
+        signatures: of all its responses by request, each with the time at which the run began.
+        failures: how often it responded to each request with its failure status.
     """
 
-    slots: int = 8
-    event_seconds: float = 0.03
     down: bool = False
     break_after: int | None = None
     stall_after: int | None = None
@@ -76,43 +58,20 @@
     cold_until: float = 0.0
     cold_known_from: float = 0.0
     cold_arrivals: list[float] = field(default_factory=list)
-    running: int = 0
     most_running: int = 0
-    versions: dict[ModelName, int] = field(default_factory=dict)
-    highest_token: int = 0
-    orders_taken: int = 0
-    loading_until: float = 0.0
-    runs: list[str] = field(default_factory=list)
     whole_at: dict[str, float] = field(default_factory=dict)
     ranks: dict[str, int | None] = field(default_factory=dict)
     signatures: dict[str, list[tuple[str, float]]] = field(default_factory=dict)
     failures: Counter[str] = field(default_factory=Counter)
-    orders: list[tuple[str, int, ModelName, int, float]] = field(default_factory=list)
-
-
-def take_order(state: EngineState, order: VersionOrder, now: float) -> OrderOutcome:
-    """Judges an order as an engine does, and takes it if it holds."""
-    state.orders.append((order.holder, order.fencing_token, order.model, order.version, now))
-    if order.fencing_token < state.highest_token:
-        return OrderOutcome.FENCED
-    state.highest_token = order.fencing_token
-    if order.expected_orders != state.orders_taken or now < state.loading_until:
-        return OrderOutcome.BUSY
-    if state.versions.get(order.model, 0) >= order.version:
-        return OrderOutcome.HOLDS
-    state.orders_taken += 1
-    state.loading_until = now + LOAD_SECONDS
-    state.versions[order.model] = order.version
-    return OrderOutcome.TAKEN
 
 
-class ScriptedAnswer:
-    """An answer of a scripted engine; implements `larkpost.gateway.servers.port.ServerResponse`."""
+class ScriptedResponse:
+    """An engine's response; implements `larkpost.gateway.servers.port.ServerResponse`."""
 
     def __init__(
         self,
         clock: Clock,
-        state: EngineState,
+        state: ScriptedEngine,
         request: OutgoingRequest,
         model: ModelName,
         output_events: int | None = None,
@@ -130,7 +89,7 @@
         self.cold_left = max(0.0, state.cold_until - clock.now())
         self.version = state.versions.get(model, 1)
         name = request.request_id.decode()
-        signature = f"{name}.{id(state)}.{len(state.runs)}"  # no other answer has it
+        signature = f"{name}.{id(state)}.{len(state.runs)}"  # no other response has it
         self.signature = None if state.unsigned else signature
         state.signatures.setdefault(name, []).append((signature, clock.now()))
         state.failures[name] += state.status is not None
@@ -187,7 +146,7 @@
     def __init__(self, clock: Clock, model: ModelName) -> None:
         self._clock = clock
         self._model = model
-        self.engines: dict[InstanceId, EngineState] = {}
+        self.engines: dict[InstanceId, ScriptedEngine] = {}
         self.connected: set[InstanceId] = set()
         self.output_events: int | None = None
         self.crashing: set[bytes] = set()
@@ -196,7 +155,7 @@
     @asynccontextmanager
     async def send(
         self, instance: InstanceInfo, request: OutgoingRequest
-    ) -> AsyncIterator[ScriptedAnswer]:
+    ) -> AsyncIterator[ScriptedResponse]:
         """Sends a request; see the port."""
         await self._clock.sleep(0.001)
         state = self.engines.get(instance.id)
@@ -212,7 +171,7 @@
         state.ranks[request.request_id.decode()] = request.priority
         try:
             crash = functools.partial(self.crash, instance.id)
-            yield ScriptedAnswer(
+            yield ScriptedResponse(
                 self._clock,
                 state,
                 request,
--- a/tests/fleet.py
+++ b/tests/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""A simulated fleet that synchronous tests drive: each step runs the virtual-time loop."""
+"""A simulated fleet of `larkpost serve` that tests drive: each step runs the virtual-time loop."""
 
 import asyncio
 import random
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -20,7 +20,7 @@
 import typer
 
 from larkpost.common.ids import InstanceId
-from larkpost.rehearsal.memory_store import StoreFaults
+from larkpost.platform.stand_in.memory_store import StoreFaults
 from tests.platform_fleet import MODEL, PlatformFleet, make_batch
 from tests.platform_oracle import PlatformOracle
 from tests.virtual import run
--- a/tests/test_cold_servers.py
+++ b/tests/test_cold_servers.py
@@ -5,7 +5,7 @@
 
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.cold_instances import ColdTerms
-from larkpost.rehearsal.memory_store import StoreFaults
+from larkpost.platform.stand_in.memory_store import StoreFaults
 from tests.cold_views import (
     ENGINE,
     LONG_SECONDS,
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -19,7 +19,7 @@
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.rollouts.place_queue import PlaceQueue
 from larkpost.gateway.store.port import RowKey, Transaction
-from larkpost.rehearsal.memory_store import StoreFaults
+from larkpost.platform.stand_in.memory_store import StoreFaults
 from tests import switched_off
 from tests.platform_fleet import (
     ENGINES,
--- a/tests/test_durable_batches.py
+++ b/tests/test_durable_batches.py
@@ -6,7 +6,7 @@
 from larkpost.gateway.rollouts.attempt import Progress
 from larkpost.gateway.rollouts.repository import PARTS, part_of
 from larkpost.gateway.rollouts.service import BatchRefusedError, BatchUncertainError
-from larkpost.rehearsal.memory_store import StoreFaults
+from larkpost.platform.stand_in.memory_store import StoreFaults
 from tests.platform_fleet import PlatformFleet, check_results, make_batch
 from tests.virtual import run
 
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -35,9 +35,8 @@
 from larkpost.gateway.servers.port import NotRunReason
 from larkpost.gateway.store.port import Row, RowKey
 from larkpost.platform import names, operator
+from larkpost.platform.stand_in.memory_store import StoreFaults
 from larkpost.platform.stand_in.rows import evacuation_change
-from larkpost.rehearsal.memory_store import StoreFaults
-from larkpost.rehearsal.scripted_engines import EngineState, ScriptedEngines
 from tests import switched_off
 from tests.platform_checks import EVACUATE_SECONDS, known_by
 from tests.platform_fleet import (
@@ -51,6 +50,7 @@
 )
 from tests.platform_oracle import PlatformOracle
 from tests.recording_log import RecordingLog
+from tests.scripted_engines import ScriptedEngine, ScriptedEngines
 from tests.virtual import run
 
 NORTH, SOUTH = ZONES
@@ -122,7 +122,7 @@
             evacuations.begin(zone, 0.0)
         for zone in ZONES:
             pace = 1.0 if zone == slow else 0.03
-            self.engines.engines[InstanceId(zone)] = EngineState(slots=4, event_seconds=pace)
+            self.engines.engines[InstanceId(zone)] = ScriptedEngine(slots=4, event_seconds=pace)
             directory.update(make_info(zone, zone))
         chance = random.Random(1)
         placement = Placement(directory, (EvacuatedRule(evacuations),))
--- a/tests/test_fault_kinds.py
+++ b/tests/test_fault_kinds.py
@@ -15,8 +15,8 @@
     ServiceName,
     ServiceShare,
 )
-from larkpost.rehearsal.scripted_engines import EngineState
 from tests.platform_fleet import MODEL, PlatformFleet, check_results, make_batch
+from tests.scripted_engines import ScriptedEngine
 from tests.virtual import run
 
 SOURCE = Path(__file__).resolve().parent.parent / "src" / "larkpost"
@@ -101,7 +101,7 @@
             await fleet.wait(0.2)
             for number in range(3):
                 name = InstanceId(f"late-{number}")
-                fleet.engines.engines[name] = EngineState(versions={MODEL: 1})
+                fleet.engines.engines[name] = ScriptedEngine(versions={MODEL: 1})
                 fleet.add_engine(name)
             results = await fleet.read_all(fleet.gateways[0], "batch")
             check_results(self, spec, results)
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -45,7 +45,7 @@
     WaitingLines,
     look_interval,
 )
-from larkpost.rehearsal.scripted_engines import EngineState, ScriptedEngines
+from tests.scripted_engines import ScriptedEngine, ScriptedEngines
 from tests.virtual import run
 
 PAGES = ServiceName("pages")
@@ -135,7 +135,7 @@
         self.balancer = Balancer(self.directory, self.clock, random.Random(1))
         for number in range(count):
             name = InstanceId(f"e{number}")
-            self.engines.engines[name] = EngineState(slots=SLOTS, event_seconds=pace)
+            self.engines.engines[name] = ScriptedEngine(slots=SLOTS, event_seconds=pace)
             self.list(name, InstanceState.READY)
             self.balancer.record_pace(name, pace)
         self.metrics = Metrics()
@@ -156,7 +156,7 @@
             InstanceInfo(name, PAGES, Address("10.0.0.1:1"), ZoneId("z"), SLOTS, state)
         )
 
-    def state(self) -> EngineState:
+    def state(self) -> ScriptedEngine:
         """Returns the first server."""
         return self.engines.engines[InstanceId("e0")]
 
@@ -391,8 +391,8 @@
         async def play():
             for kind in (RouteKind.IDEMPOTENT, RouteKind.RUN_ONCE):
                 for state, error in (
-                    (EngineState(slots=SLOTS, event_seconds=1000.0), RequestTimeoutError),
-                    (EngineState(slots=SLOTS, break_after=0), RequestFailedError),
+                    (ScriptedEngine(slots=SLOTS, event_seconds=1000.0), RequestTimeoutError),
+                    (ScriptedEngine(slots=SLOTS, break_after=0), RequestFailedError),
                 ):
                     self.begin()
                     self.engines.engines[InstanceId("e0")] = state
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -27,7 +27,7 @@
 )
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.servers.port import BrokenResponseError
-from larkpost.rehearsal.scripted_engines import EngineState, ScriptedAnswer, ScriptedEngines
+from tests.scripted_engines import ScriptedEngine, ScriptedEngines, ScriptedResponse
 from tests.virtual import run
 
 PAGES = ServiceName("pages")
@@ -65,7 +65,7 @@
             yield answer
 
 
-class LosingAnswer(ScriptedAnswer):
+class LosingAnswer(ScriptedResponse):
     """An answer that breaks off after the request ran."""
 
     async def chunks(self):
@@ -78,7 +78,7 @@
 class ForwarderTest(unittest.TestCase):
     """Each test scripts some servers and sends requests."""
 
-    def begin(self, **states: EngineState) -> None:
+    def begin(self, **states: ScriptedEngine) -> None:
         """Lists servers by name, each in its state."""
         self.clock = LoopClock()
         self.engines = RecordingEngines(self.clock)
@@ -122,7 +122,7 @@
 
     def test_slow_server_is_overtaken_by_a_second_one(self):
         async def play():
-            self.begin(slow=EngineState(event_seconds=1.4), quick=EngineState())
+            self.begin(slow=ScriptedEngine(event_seconds=1.4), quick=ScriptedEngine())
             for _ in range(10):
                 began = self.clock.now()
                 answer = await self.forwarder.forward(self.request(), REPEATABLE)
@@ -135,7 +135,7 @@
 
     def test_silent_server_costs_few_requests_their_objective(self):
         async def play():
-            self.begin(silent=EngineState(event_seconds=SILENT_SECONDS), quick=EngineState())
+            self.begin(silent=ScriptedEngine(event_seconds=SILENT_SECONDS), quick=ScriptedEngine())
             late = 0
             for _ in range(30):
                 began = self.clock.now()
@@ -147,7 +147,7 @@
 
     def test_failing_server_is_left_for_another_within_the_budget(self):
         async def play():
-            self.begin(grey=EngineState(status=500), sound=EngineState())
+            self.begin(grey=ScriptedEngine(status=500), sound=ScriptedEngine())
             for _ in range(10):
                 answer = await self.forwarder.forward(self.request(), REPEATABLE)
                 self.assertEqual(200, answer.status)
@@ -156,7 +156,7 @@
 
     def test_no_more_servers_than_the_route_allows(self):
         async def play():
-            self.begin(**{f"grey-{number}": EngineState(status=500) for number in range(5)})
+            self.begin(**{f"grey-{number}": ScriptedEngine(status=500) for number in range(5)})
             for route in (make_route(RouteKind.IDEMPOTENT, 1), make_route(RouteKind.IDEMPOTENT, 3)):
                 before = self.runs()
                 answer = await self.forwarder.forward(self.request(), route)
@@ -173,7 +173,7 @@
         """
 
         async def play():
-            self.begin(full=EngineState(running=SLOTS), other=EngineState(running=SLOTS))
+            self.begin(full=ScriptedEngine(running=SLOTS), other=ScriptedEngine(running=SLOTS))
             for route, most in ((REPEATABLE, 0.75), (ONCE, 0.4)):
                 began = self.clock.now()
                 self.engines.times_left.clear()
@@ -188,7 +188,7 @@
 
     def test_burst_is_spread_over_all_places(self):
         async def play():
-            self.begin(**{f"s{number}": EngineState(event_seconds=0.05) for number in range(4)})
+            self.begin(**{f"s{number}": ScriptedEngine(event_seconds=0.05) for number in range(4)})
             requests = [
                 self.forwarder.forward(self.request(), REPEATABLE) for _ in range(4 * SLOTS)
             ]
@@ -201,14 +201,14 @@
 
     def test_request_that_may_run_once_is_never_sent_again_after_a_lost_answer(self):
         async def play():
-            self.begin(a=EngineState(), b=EngineState())
-            original = ScriptedAnswer.chunks
-            ScriptedAnswer.chunks = LosingAnswer.chunks
+            self.begin(a=ScriptedEngine(), b=ScriptedEngine())
+            original = ScriptedResponse.chunks
+            ScriptedResponse.chunks = LosingAnswer.chunks
             try:
                 with self.assertRaises(RequestFailedError):
                     await self.forwarder.forward(self.request(), ONCE)
             finally:
-                ScriptedAnswer.chunks = original
+                ScriptedResponse.chunks = original
             self.assertEqual(1, self.runs())
 
         run(play())
@@ -216,7 +216,9 @@
     def test_request_that_may_run_once_goes_on_after_proof_that_it_did_not_run(self):
         async def play():
             self.begin(
-                down=EngineState(down=True), full=EngineState(running=SLOTS), ok=EngineState()
+                down=ScriptedEngine(down=True),
+                full=ScriptedEngine(running=SLOTS),
+                ok=ScriptedEngine(),
             )
             for _ in range(6):
                 answer = await self.forwarder.forward(self.request(), ONCE)
@@ -227,7 +229,7 @@
 
     def test_servers_get_the_time_that_is_left_and_no_more(self):
         async def play():
-            self.begin(silent=EngineState(event_seconds=SILENT_SECONDS))
+            self.begin(silent=ScriptedEngine(event_seconds=SILENT_SECONDS))
             cases = ((0.7, REPEATABLE, 0.7), (9.0, REPEATABLE, 2.0), (None, ONCE, 2.0))
             for time_left, route, expected in cases:
                 self.engines.times_left.clear()
@@ -245,7 +247,7 @@
         """It was sent, so a refusal would be a false promise."""
 
         async def play():
-            self.begin(silent=EngineState(event_seconds=SILENT_SECONDS))
+            self.begin(silent=ScriptedEngine(event_seconds=SILENT_SECONDS))
             with self.assertRaises(RequestTimeoutError) as caught:
                 await self.forwarder.forward(self.request(0.5), ONCE)
             self.assertEqual(504, caught.exception.status)
@@ -255,7 +257,7 @@
 
     def test_stream_that_does_not_begin_ends_with_its_time(self):
         async def play():
-            self.begin(silent=EngineState())
+            self.begin(silent=ScriptedEngine())
             self.engines.head_delay = SILENT_SECONDS
             began = self.clock.now()
             with self.assertRaises(RequestTimeoutError):
@@ -268,7 +270,7 @@
 
     def test_stream_that_has_begun_is_not_cut_by_its_time(self):
         async def play():
-            self.begin(slow=EngineState(event_seconds=1.0))
+            self.begin(slow=ScriptedEngine(event_seconds=1.0))
             async with self.forwarder.stream(self.request(0.5), STREAM) as answer:
                 self.assertTrue([chunk async for chunk in answer.chunks()])
 
@@ -276,7 +278,7 @@
 
     def test_leaving_server_gets_no_new_request(self):
         async def play():
-            self.begin(leaving=EngineState(), stays=EngineState())
+            self.begin(leaving=ScriptedEngine(), stays=ScriptedEngine())
             self.list("leaving", InstanceState.LEAVING)
             for _ in range(10):
                 await self.forwarder.forward(self.request(), REPEATABLE)
@@ -286,7 +288,7 @@
 
     def test_client_that_leaves_ends_the_work_at_the_server(self):
         async def play():
-            self.begin(slow=EngineState(event_seconds=1.0))
+            self.begin(slow=ScriptedEngine(event_seconds=1.0))
             work = asyncio.create_task(self.forwarder.forward(self.request(), REPEATABLE))
             await self.clock.sleep(0.1)
             self.assertEqual(1, self.running())
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -12,7 +12,7 @@
 
 from larkpost.rehearsal.simulation.records import LeavingSource
 from larkpost.standalone.config.intent import Intent
-from tests.fleet import INTENT, MACHINES, SERVICES, ZONES, SimulatedFleet
+from tests.simulated_fleet import INTENT, MACHINES, SERVICES, ZONES, SimulatedFleet
 
 EXAMPLES = int(os.environ.get("LARKPOST_FUZZ_EXAMPLES", "40"))
 STEPS = int(os.environ.get("LARKPOST_FUZZ_STEPS", "40"))
--- a/tests/test_held_reads.py
+++ b/tests/test_held_reads.py
@@ -6,7 +6,7 @@
 from larkpost.common.ids import BatchId
 from larkpost.gateway.rollouts.model import GroupId, Item, ItemId
 from larkpost.gateway.rollouts.service import HOLD_SECONDS
-from larkpost.rehearsal.memory_store import StoreFaults
+from larkpost.platform.stand_in.memory_store import StoreFaults
 from tests import switched_off
 from tests.platform_fleet import ROUTE, PlatformFleet, make_batch
 from tests.virtual import run
--- a/tests/test_http_api.py
+++ b/tests/test_http_api.py
@@ -6,7 +6,7 @@
 import httpx
 
 from larkpost.standalone.api.app import make_app
-from tests.fleet import INTENT, SimulatedFleet
+from tests.simulated_fleet import INTENT, SimulatedFleet
 
 
 class HttpApiTest(unittest.TestCase):
--- a/tests/test_import_layers.py
+++ b/tests/test_import_layers.py
@@ -54,11 +54,6 @@
     ("larkpost.gateway.usage.reporter", "larkpost.gateway.controllers.leases"),
     ("larkpost.gateway.usage.reporter", "larkpost.gateway.controllers.members"),
     ("larkpost.gateway.usage.reporter", "larkpost.gateway.controllers.true_time"),
-    ("larkpost.platform.stand_in.callers", "larkpost.rehearsal.scripted_engines"),
-    ("larkpost.platform.stand_in.programs", "larkpost.rehearsal.memory_store"),
-    ("larkpost.platform.stand_in.programs", "larkpost.rehearsal.scripted_engines"),
-    ("larkpost.platform.stand_in.server_app", "larkpost.rehearsal.scripted_engines"),
-    ("larkpost.platform.stand_in.store_app", "larkpost.rehearsal.memory_store"),
 }
 """Imports that break a rule and still stand, as (importing module, imported module)."""
 
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -37,10 +37,10 @@
 from larkpost.gateway.scaling.port import ScalingMode
 from larkpost.gateway.servers.port import NotRunReason
 from larkpost.gateway.store.port import RowKey, Transaction
-from larkpost.rehearsal.memory_store import StoreFaults
-from larkpost.rehearsal.scripted_engines import EngineState, ScriptedEngines
+from larkpost.platform.stand_in.memory_store import StoreFaults
 from tests import switched_off
 from tests.platform_fleet import ENGINES, MODEL, SCORERS, PlatformFleet, make_batch
+from tests.scripted_engines import ScriptedEngine, ScriptedEngines
 from tests.test_forwarder import PAGES, make_route
 from tests.virtual import run
 
@@ -79,7 +79,10 @@
         async def seconds() -> float:
             clock = LoopClock()
             servers = ScriptedEngines(clock, MODEL)
-            for name, state in (("e0", EngineState(event_seconds=1.4)), ("e1", EngineState())):
+            for name, state in (
+                ("e0", ScriptedEngine(event_seconds=1.4)),
+                ("e1", ScriptedEngine()),
+            ):
                 servers.engines[InstanceId(name)] = state
             directory = make_directory(2, PAGES)
             balancer = Balancer(directory, clock, random.Random(1))
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -13,7 +13,7 @@
     Membership,
 )
 from larkpost.gateway.observability.eventlog import EventLog
-from larkpost.rehearsal.memory_store import MemoryStore, StoreClient, StoreFaults
+from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient, StoreFaults
 from tests.virtual import run
 
 
--- a/tests/test_nearness.py
+++ b/tests/test_nearness.py
@@ -25,13 +25,13 @@
 from larkpost.gateway.rollouts.repository import ITEM_TABLE
 from larkpost.gateway.store.port import RowKey, StoreUnavailableError, Transaction, WriteOutcome
 from larkpost.gateway.store.relay import PEERS_ASKED, RelayedStore
-from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
-from larkpost.rehearsal.scripted_engines import EngineState, ScriptedEngines
+from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient
 from tests.platform_fleet import (
     MODEL,
     PAGES,
 )
 from tests.platform_places import EAST, EAST_ZONES, REGIONS, WEST, WEST_ZONE
+from tests.scripted_engines import ScriptedEngine, ScriptedEngines
 from tests.virtual import run
 
 ROUTE = Route(
@@ -50,7 +50,7 @@
         self.directory = Directory()
         for number, zone in enumerate(zones):
             name = InstanceId(f"s{number}")
-            self.servers.engines[name] = EngineState(slots=4)
+            self.servers.engines[name] = ScriptedEngine(slots=4)
             address = Address("10.0.0.1:1")
             self.directory.update(
                 InstanceInfo(name, PAGES, address, zone, 4, InstanceState.READY, {MODEL: 1})
--- a/tests/test_pinned_calls.py
+++ b/tests/test_pinned_calls.py
@@ -59,7 +59,7 @@
 from larkpost.rehearsal.processes import free_address
 from larkpost.standalone.api.app import make_app
 from tests.connections import ConnectionServer
-from tests.fleet import INTENT, SimulatedFleet
+from tests.simulated_fleet import INTENT, SimulatedFleet
 
 ECHO = b"larkpost-attempt-id: r1\r\nlarkpost-server-stamp: s\r\n"
 REPORT = b'{"seq":3,"busy":false,"running":1,"waiting":2,"versions":{"m":7}}'
--- a/tests/test_pinned_rows.py
+++ b/tests/test_pinned_rows.py
@@ -62,7 +62,7 @@
 from larkpost.gateway.usage.repository import DecidedReport, UsageRepository
 from larkpost.platform.operator import UnreadableRowError
 from larkpost.platform.process import READERS
-from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
+from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient
 from tests.pinned_parts import forward, make_active_member, make_member, make_scaled_fleet
 from tests.platform_fleet import MODEL, PAGES, make_batch
 from tests.virtual import run
--- a/tests/test_platform_fuzz.py
+++ b/tests/test_platform_fuzz.py
@@ -18,7 +18,7 @@
 
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.cold_instances import ColdTerms
-from larkpost.rehearsal.memory_store import StoreFaults
+from larkpost.platform.stand_in.memory_store import StoreFaults
 from tests.platform_callers import Caller
 from tests.platform_checks import EVACUATE_SECONDS
 from tests.platform_fleet import MODEL, ZONES, PlatformFleet, make_batch
--- a/tests/test_process_soak.py
+++ b/tests/test_process_soak.py
@@ -7,9 +7,9 @@
 from pathlib import Path
 
 from larkpost.common.addresses import split_address
+from larkpost.platform.stand_in.engine_state import output_of
 from larkpost.platform.stand_in.rows import READING, TRAINING
 from larkpost.rehearsal.processes import free_address
-from larkpost.rehearsal.scripted_engines import output_of
 from tests.connections import ConnectionServer
 from tests.process_soak.__main__ import play
 from tests.process_soak.judge import Judge, SubmittedBatch
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -7,10 +7,10 @@
 import unittest
 from pathlib import Path
 
-from larkpost.rehearsal.fleet import Fleet, begin_fleet, finish_fleet
 from larkpost.rehearsal.processes import ProcessGroup, wait_for
 from larkpost.rehearsal.sites import SANTIAGO
-from larkpost.rehearsal.summary import MUST_BE_ZERO, start_load, summarise, wait_for_load
+from tests.process_fleet import Fleet, begin_fleet, finish_fleet
+from tests.process_load import MUST_BE_ZERO, start_load, summarise, wait_for_load
 
 LOAD_SECONDS = 14.0
 FREEZE_SECONDS = 5.0
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -33,9 +33,9 @@
     PortState,
 )
 from larkpost.gateway.store.port import Row, RowKey
-from larkpost.rehearsal.memory_store import MemoryStore, StoreClient, StoreFaults
-from larkpost.rehearsal.scripted_engines import EngineState, ScriptedEngines
+from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient, StoreFaults
 from tests.recording_log import RecordingLog
+from tests.scripted_engines import ScriptedEngine, ScriptedEngines
 from tests.virtual import run
 
 PAGES = ServiceName("pages")
@@ -317,7 +317,7 @@
         """Starts a server."""
         self.clock = LoopClock()
         self.engines = ScriptedEngines(self.clock, ModelName("model"))
-        self.state = EngineState()
+        self.state = ScriptedEngine()
         self.instance = make_instance("a")
         self.engines.engines[self.instance.id] = self.state
         self.crashes = KnownCrashes()
--- a/tests/test_regressions.py
+++ b/tests/test_regressions.py
@@ -9,7 +9,7 @@
 from larkpost.standalone.blackboard.engines import EngineLoad
 from larkpost.standalone.blackboard.facts import CONFIGURATION_KEY
 from larkpost.standalone.engines.port import EngineReport
-from tests.fleet import INTENT, MACHINES, ZONES, SimulatedFleet
+from tests.simulated_fleet import INTENT, MACHINES, ZONES, SimulatedFleet
 
 LANGUAGE_ENGINE = MACHINES[0].engine
 
--- a/tests/test_repeated_crashes.py
+++ b/tests/test_repeated_crashes.py
@@ -6,7 +6,7 @@
 from larkpost.gateway.quarantine.content import digest_content
 from larkpost.gateway.quarantine.trials import TRIAL_PAUSES_SECONDS
 from larkpost.gateway.rollouts.model import ResultState
-from larkpost.rehearsal.memory_store import StoreFaults
+from larkpost.platform.stand_in.memory_store import StoreFaults
 from tests.platform_callers import Caller
 from tests.platform_checks import CONTACT_SECONDS
 from tests.platform_fleet import ROUTE, SCORER_HOST, PlatformFleet, make_batch
--- a/tests/test_reward_calls.py
+++ b/tests/test_reward_calls.py
@@ -11,8 +11,7 @@
 from larkpost.gateway.rollouts.model import BatchSpec, Result, ResultState
 from larkpost.gateway.rollouts.service import ResultPage
 from larkpost.platform.batches import read_batch, write_page
-from larkpost.rehearsal.memory_store import StoreFaults
-from larkpost.rehearsal.scripted_engines import EngineState
+from larkpost.platform.stand_in.memory_store import StoreFaults
 from tests.platform_fleet import (
     OTHER_SCORERS,
     SCORER_SLOTS,
@@ -21,6 +20,7 @@
     make_batch,
 )
 from tests.platform_oracle import PlatformOracle
+from tests.scripted_engines import ScriptedEngine
 from tests.virtual import run
 
 CANCEL_SECONDS = 3.0
@@ -47,7 +47,7 @@
         state.down = False
 
 
-def scores_of(state: EngineState) -> set[str]:
+def scores_of(state: ScriptedEngine) -> set[str]:
     """Returns all scores that a server has signed."""
     return {name for signed in state.signatures.values() for name, _ in signed}
 
--- a/tests/test_scale_mechanisms.py
+++ b/tests/test_scale_mechanisms.py
@@ -27,7 +27,7 @@
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
 from larkpost.gateway.rollouts.repository import HEAD_TABLE
-from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
+from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient
 from tests.platform_fleet import PlatformFleet, check_results, make_batch
 from tests.virtual import run
 
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -41,9 +41,9 @@
     Peer,
     Silences,
 )
+from larkpost.platform.stand_in.memory_store import MemoryStore
 from larkpost.platform.stand_in.store_app import StoreApp
 from larkpost.platform.store import READ_TIMEOUT_SECONDS, HttpStore
-from larkpost.rehearsal.memory_store import MemoryStore
 from larkpost.rehearsal.processes import free_address
 from tests.connections import ConnectionServer
 from tests.process_soak.proxy import FaultProxy, LinkFault
--- a/tests/test_store_follower.py
+++ b/tests/test_store_follower.py
@@ -9,7 +9,7 @@
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.store.follower import TableFollower
 from larkpost.gateway.store.port import Row, RowKey, RowPage, Transaction
-from larkpost.rehearsal.memory_store import MemoryStore, StoreClient, StoreFaults
+from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient, StoreFaults
 from tests.virtual import run
 
 TABLE = "t"
--- a/tests/test_store_relay.py
+++ b/tests/test_store_relay.py
@@ -27,9 +27,9 @@
 )
 from larkpost.platform import names
 from larkpost.platform.peer_store import PeerStoreApp
+from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient, StoreFaults
 from larkpost.platform.stand_in.store_app import StoreApp
 from larkpost.platform.store import HttpStore
-from larkpost.rehearsal.memory_store import MemoryStore, StoreClient, StoreFaults
 from larkpost.rehearsal.processes import free_address
 from tests.platform_fleet import PlatformFleet, check_results, make_batch
 from tests.virtual import run
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.usage.counter import UsageCounter
 from larkpost.gateway.usage.port import ReportOutcome
 from larkpost.gateway.usage.repository import COUNT_TABLE, REPORT_TABLE
-from larkpost.rehearsal.memory_store import MemoryStore, StoreClient, StoreFaults
+from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient, StoreFaults
 from tests.platform_checks import check_turns
 from tests.platform_fleet import EPOCH_SECONDS, PAGES, USAGE_TERMS, PlatformFleet
 from tests.virtual import run
