--- a/src/larkpost/rehearsal/commands.py
+++ b/src/larkpost/rehearsal/commands.py
@@ -11,8 +11,8 @@
 from larkpost.common.errors import LarkpostError
 from larkpost.common.ids import Address, EngineId, PolicyId, PoolId, TrainerId
 from larkpost.rehearsal.clients import ClientShape, run_clients
-from larkpost.rehearsal.engine_model import EngineShape
 from larkpost.rehearsal.engine_server import run_engine
+from larkpost.rehearsal.engine_types import EngineShape
 from larkpost.rehearsal.platform_model import PlatformModel
 from larkpost.rehearsal.platform_server import run_platform
 from larkpost.rehearsal.trainer import run_trainer
--- a/src/larkpost/rehearsal/engine_model.py
+++ b/src/larkpost/rehearsal/engine_model.py
@@ -7,13 +7,22 @@
 """
 
 import asyncio
-from collections import deque
 from collections.abc import AsyncIterator, Awaitable, Callable
-from dataclasses import dataclass, field
 
-from larkpost.common.ids import AttemptId, DaemonId, EngineId, PolicyId, RequestId
+from larkpost.common.ids import AttemptId, DaemonId, EngineId, PolicyId
 from larkpost.rehearsal.engine_cache import PrefixCache
-from larkpost.rehearsal.tokens import answer_length, answer_seed, token_at
+from larkpost.rehearsal.engine_load import LoadHistory, LoadPoint
+from larkpost.rehearsal.engine_sequence import Sequence
+from larkpost.rehearsal.engine_types import (
+    EngineFaults,
+    EngineRecord,
+    EngineShape,
+    QueueFullError,
+    StaleOrderError,
+    StreamCutError,
+    UnknownAttemptError,
+)
+from larkpost.rehearsal.tokens import answer_length, answer_seed
 from larkpost.standalone.engines.port import (
     EngineChunk,
     EngineReport,
@@ -28,88 +37,6 @@
 """Ended attempts that can still be resumed."""
 
 
-class StreamCutError(Exception):
-    """The stream is cut by a fault."""
-
-
-class UnknownAttemptError(Exception):
-    """The engine does not run such an attempt."""
-
-
-class QueueFullError(Exception):
-    """The engine refuses the attempt; it does not execute it."""
-
-
-class StaleOrderError(Exception):
-    """The order's token is below the highest accepted one."""
-
-
-@dataclass(frozen=True, slots=True)
-class EngineShape:
-    """Size and speed of a stand-in engine. Times in seconds."""
-
-    slots: int = 16
-    queue_limit: int = 64
-    step_base: float = 0.008
-    step_per_sequence: float = 0.0002
-    prefill_per_token: float = 0.00002
-    tokens_per_step: int = 1
-    cache_blocks: int = 4096
-    report_lag: float = 0.3
-    swap_seconds: float = 0.5
-
-
-@dataclass(slots=True)
-class EngineFaults:
-    """Fault switches; all are off at first."""
-
-    frozen_until: float = 0.0
-    slow_factor: float = 1.0
-    late_seconds: float = 0.0
-    doubled_chunks: int = 0
-    crossed_chunks: int = 0
-    cut_streams: int = 0
-    failing_swaps: int = 0
-
-
-@dataclass(slots=True)
-class EngineRecord:
-    """What the engine really did for one attempt; the evidence of the checks."""
-
-    request: RequestId
-    attempt: AttemptId
-    started_at: float
-    first_token: int
-    spans: list[list[int]] = field(default_factory=list)
-    """[version, first token, count] of every token produced here."""
-
-
-@dataclass(slots=True)
-class _Sequence:
-    """An attempt inside the engine."""
-
-    request: GenerateRequest
-    record: EngineRecord
-    seed: int
-    length: int
-    arrival: int
-    tokens: list[int]
-    prefilled: bool = False
-    cancelled: bool = False
-    news: asyncio.Event = field(default_factory=asyncio.Event)
-
-    @property
-    def done(self) -> bool:
-        return len(self.tokens) >= self.length
-
-
-@dataclass(frozen=True, slots=True)
-class _LoadPoint:
-    at: float
-    running: int
-    waiting: int
-
-
 class EngineModel:
     """One engine. ``start`` runs it on the current event loop."""
 
@@ -128,18 +55,15 @@
         self.token = 0
         self.owner: DaemonId | None = None
         self.swapping = False
-        self.adapters: set[str] = set()
-        self.model = ""
-        self.role = "both"
         self.cache = PrefixCache(shape.cache_blocks)
         self._fetch_weights = fetch_weights
         self._on_record = on_record
-        self._attempts: dict[AttemptId, _Sequence] = {}
-        self._running: list[_Sequence] = []
-        self._waiting: list[_Sequence] = []
+        self._attempts: dict[AttemptId, Sequence] = {}
+        self._running: list[Sequence] = []
+        self._waiting: list[Sequence] = []
         self._arrivals = 0
         self._work = asyncio.Event()
-        self._history: deque[_LoadPoint] = deque([_LoadPoint(0.0, 0, 0)], maxlen=512)
+        self._load = LoadHistory()
         self._tasks: dict[asyncio.Task, None] = {}
 
     def start(self) -> None:
@@ -169,11 +93,11 @@
         start = len(request.prefix)
         record = EngineRecord(request.request, request.attempt, _now(), start)
         self._arrivals += 1
-        sequence = _Sequence(request, record, seed, length, self._arrivals, list(request.prefix))
+        sequence = Sequence(request, record, seed, length, self._arrivals, list(request.prefix))
         self._on_record(record)
         self._remember(sequence)
         self._waiting.append(sequence)
-        self._note_load()
+        self._record_load()
         self._work.set()
 
     async def stream(self, attempt: AttemptId, offset: int) -> AsyncIterator[EngineChunk]:
@@ -188,7 +112,7 @@
             raise UnknownAttemptError(attempt)
         chunks = 0
         while True:
-            chunk = await self._next_chunk(sequence, offset)
+            chunk = await sequence.next_chunk(offset)
             if self.faults.late_seconds:
                 await asyncio.sleep(self.faults.late_seconds)
             await self.thawed()
@@ -211,11 +135,11 @@
         sequence.news.set()
         self._running = [s for s in self._running if s is not sequence]
         self._waiting = [s for s in self._waiting if s is not sequence]
-        self._note_load()
+        self._record_load()
 
     def report(self) -> EngineReport:
         """Returns the report: load as it was ``report_lag`` ago, everything else as it is."""
-        load = self._lagged_load()
+        load = self._load.at(_now() - self.shape.report_lag)
         return EngineReport(
             engine=self.id,
             running=load.running,
@@ -242,12 +166,6 @@
         if order.kind == OrderKind.LOAD_VERSION and not self.swapping:
             self.swapping = True
             self._spawn(self._swap(order.policy or PolicyId(""), order.version))
-        elif order.kind == OrderKind.LOAD_ADAPTER:
-            self.adapters.add(order.name)
-        elif order.kind == OrderKind.LOAD_MODEL:
-            self.model = order.name
-        elif order.kind == OrderKind.CHANGE_ROLE:
-            self.role = order.name
 
     async def _swap(self, policy: PolicyId, version: int) -> None:
         """Loads weights; sequences pause during the load and then go on under the new version."""
@@ -284,7 +202,7 @@
             Prompt tokens to compute in this step.
         """
         candidates = sorted(
-            self._running + self._waiting, key=lambda s: (-s.request.priority, s.arrival)
+            self._running + self._waiting, key=lambda sequence: sequence.place_in_queue
         )
         self._running = candidates[: self.shape.slots]
         self._waiting = candidates[self.shape.slots :]
@@ -299,45 +217,17 @@
         for sequence in self._running:
             for _ in range(self.shape.tokens_per_step):
                 if not sequence.done:
-                    self._add_token(sequence)
+                    sequence.add_token(self.version)
             sequence.news.set()
         self._running = [s for s in self._running if not s.done]
-        self._note_load()
+        self._record_load()
 
-    def _add_token(self, sequence: _Sequence) -> None:
-        index = len(sequence.tokens)
-        sequence.tokens.append(token_at(sequence.seed, index, self.version))
-        spans = sequence.record.spans
-        if spans and spans[-1][0] == self.version:
-            spans[-1][2] += 1
-        else:
-            spans.append([self.version, index, 1])
-
-    async def _next_chunk(self, sequence: _Sequence, offset: int) -> EngineChunk:
-        wanted = sequence.request.chunk_tokens
-        while True:
-            if sequence.cancelled:
-                raise UnknownAttemptError(sequence.request.attempt)
-            version, end = _span_end(sequence, offset)
-            span_closed = end < len(sequence.tokens)
-            if sequence.done or span_closed or end - offset >= wanted:
-                total = sequence.length if sequence.done and end >= sequence.length else None
-                return EngineChunk(
-                    sequence.request.attempt,
-                    offset,
-                    tuple(sequence.tokens[offset:end]),
-                    version,
-                    total,
-                )
-            sequence.news.clear()
-            await sequence.news.wait()
-
-    def _disturb(self, sequence: _Sequence, chunk: EngineChunk) -> list[EngineChunk]:
+    def _disturb(self, sequence: Sequence, chunk: EngineChunk) -> list[EngineChunk]:
         if self.faults.crossed_chunks:
             others = [s for s in self._attempts.values() if s is not sequence and s.tokens]
             if others:
                 self.faults.crossed_chunks -= 1
-                return [_crossed_chunk(others[-1], chunk)]
+                return [others[-1].crossed_with(chunk)]
         if self.faults.doubled_chunks:
             self.faults.doubled_chunks -= 1
             return [chunk, chunk]
@@ -348,20 +238,13 @@
         while (wait := self.faults.frozen_until - _now()) > 0:
             await asyncio.sleep(max(wait, SHORTEST_WAIT))
 
-    def _remember(self, sequence: _Sequence) -> None:
+    def _remember(self, sequence: Sequence) -> None:
         self._attempts[sequence.request.attempt] = sequence
         while len(self._attempts) > KEPT_ATTEMPTS:
             self._attempts.pop(next(iter(self._attempts)))
 
-    def _note_load(self) -> None:
-        self._history.append(_LoadPoint(_now(), len(self._running), len(self._waiting)))
-
-    def _lagged_load(self) -> _LoadPoint:
-        limit = _now() - self.shape.report_lag
-        for point in reversed(self._history):
-            if point.at <= limit:
-                return point
-        return self._history[0]
+    def _record_load(self) -> None:
+        self._load.record(LoadPoint(_now(), len(self._running), len(self._waiting)))
 
     def _spawn(self, work) -> None:
         task = asyncio.create_task(work)
@@ -371,17 +254,3 @@
 
 def _now() -> float:
     return asyncio.get_running_loop().time()
-
-
-def _span_end(sequence: _Sequence, offset: int) -> tuple[int, int]:
-    """Returns the version at ``offset`` and where its run of tokens ends so far."""
-    for version, first, count in sequence.record.spans:
-        if first <= offset < first + count:
-            return version, first + count
-    return 0, offset
-
-
-def _crossed_chunk(other: _Sequence, chunk: EngineChunk) -> EngineChunk:
-    """Returns another attempt's tokens in place of the right chunk."""
-    tokens = tuple(other.tokens[: max(len(chunk.tokens), 1)])
-    return EngineChunk(other.request.attempt, chunk.offset, tokens, chunk.version, chunk.total)
--- /dev/null
+++ b/src/larkpost/rehearsal/engine_sequence.py
@@ -0,0 +1,87 @@
+"""An attempt inside a stand-in engine: the tokens it has made, and the chunks they are sent in."""
+
+import asyncio
+from dataclasses import dataclass, field
+
+from larkpost.rehearsal.engine_types import EngineRecord, UnknownAttemptError
+from larkpost.rehearsal.tokens import token_at
+from larkpost.standalone.engines.port import EngineChunk, GenerateRequest
+
+
+@dataclass(slots=True)
+class Sequence:
+    """An attempt inside the engine.
+
+    Attributes:
+        record: what the engine did for it.
+        seed: decides its tokens.
+        length: tokens of its whole answer.
+        arrival: its number in the order of arrival.
+        tokens: those made so far, and before them those it was sent with.
+        prefilled: its prompt has been computed.
+        news: set when there is a token more, or when it is cancelled.
+    """
+
+    request: GenerateRequest
+    record: EngineRecord
+    seed: int
+    length: int
+    arrival: int
+    tokens: list[int]
+    prefilled: bool = False
+    cancelled: bool = False
+    news: asyncio.Event = field(default_factory=asyncio.Event)
+
+    @property
+    def done(self) -> bool:
+        """Whether its answer is whole."""
+        return len(self.tokens) >= self.length
+
+    @property
+    def place_in_queue(self) -> tuple[int, int]:
+        """What the batch is filled by, lowest first."""
+        return (
+            -self.request.priority,
+            self.arrival,
+        )
+
+    def add_token(self, version: int) -> None:
+        """Makes the next token under a weight version."""
+        index = len(self.tokens)
+        self.tokens.append(token_at(self.seed, index, version))
+        spans = self.record.spans
+        if spans and spans[-1][0] == version:
+            spans[-1][2] += 1
+        else:
+            spans.append([version, index, 1])
+
+    async def next_chunk(self, offset: int) -> EngineChunk:
+        """Waits for the chunk that begins at ``offset`` and returns it.
+
+        Raises:
+            UnknownAttemptError: the attempt is cancelled.
+        """
+        wanted = self.request.chunk_tokens
+        while True:
+            if self.cancelled:
+                raise UnknownAttemptError(self.request.attempt)
+            version, end = self._span_end(offset)
+            span_closed = end < len(self.tokens)
+            if self.done or span_closed or end - offset >= wanted:
+                total = self.length if self.done and end >= self.length else None
+                tokens = tuple(self.tokens[offset:end])
+                return EngineChunk(self.request.attempt, offset, tokens, version, total)
+            self.news.clear()
+            await self.news.wait()
+
+    def crossed_with(self, chunk: EngineChunk) -> EngineChunk:
+        """Returns tokens of this attempt in place of another one's chunk."""
+        tokens = tuple(self.tokens[: max(len(chunk.tokens), 1)])
+        return EngineChunk(self.request.attempt, chunk.offset, tokens, chunk.version, chunk.total)
+
+    def _span_end(self, offset: int) -> tuple[int, int]:
+        """Returns the version at ``offset`` and where its run of tokens ends so far."""
+        for version, first, count in self.record.spans:
+            if first <= offset < first + count:
+                return version, first + count
+        return 0, offset
--- a/src/larkpost/rehearsal/engine_server.py
+++ b/src/larkpost/rehearsal/engine_server.py
@@ -16,8 +16,8 @@
 
 from larkpost.common.http_server import HttpServer
 from larkpost.common.ids import Address, AttemptId, EngineId, PolicyId
-from larkpost.rehearsal.engine_model import (
-    EngineModel,
+from larkpost.rehearsal.engine_model import EngineModel
+from larkpost.rehearsal.engine_types import (
     EngineRecord,
     EngineShape,
     QueueFullError,
@@ -38,7 +38,6 @@
         self._platform = platform
         self._session = aiohttp.ClientSession()
         self.model = EngineModel(engine, shape, self._fetch_weights, self._write_record)
-        self._records: list[EngineRecord] = []
 
     def app(self) -> Starlette:
         """Returns the HTTP application."""
@@ -49,10 +48,6 @@
                 Route("/v1/attempts/{attempt}", self._cancel, methods=["DELETE"]),
                 Route("/v1/report", self._report, methods=["GET"]),
                 Route("/v1/orders", self._order, methods=["POST"]),
-                Route("/v1/cache/events", self._cache_events, methods=["GET"]),
-                Route("/v1/cache/export", self._export, methods=["POST"]),
-                Route("/v1/cache/import", self._import, methods=["POST"]),
-                Route("/records", self._list_records, methods=["GET"]),
                 Route("/faults", self._set_faults, methods=["POST"]),
                 Route("/leave", self._leave, methods=["POST"]),
                 Route("/crash", self._crash, methods=["POST"]),
@@ -80,7 +75,6 @@
         return False
 
     def _write_record(self, record: EngineRecord) -> None:
-        self._records.append(record)
         line = {"engine": self.model.id, "request": record.request, "attempt": record.attempt}
         sys.stdout.write(orjson.dumps(line).decode() + "\n")
         sys.stdout.flush()
@@ -137,24 +131,6 @@
             return Response(orjson.dumps({"token": self.model.token}), 412)
         return Response(b"{}")
 
-    async def _cache_events(self, request: Request) -> Response:
-        """Publishes events late (not the newest eight) and with gaps (not every seventh)."""
-        after = int(request.query_params.get("after", "0"))
-        events = [e for e in self.model.cache.events[:-8] if e.sequence > after and e.sequence % 7]
-        return Response(orjson.dumps([asdict(event) for event in events[:256]]))
-
-    async def _export(self, request: Request) -> Response:
-        fields = orjson.loads(await request.body())
-        return Response(orjson.dumps({"blocks": self.model.cache.export(fields["prompt"])}))
-
-    async def _import(self, request: Request) -> Response:
-        fields = orjson.loads(await request.body())
-        self.model.cache.load(fields["blocks"])
-        return Response(status_code=204)
-
-    async def _list_records(self, _request: Request) -> Response:
-        return Response(orjson.dumps([asdict(record) for record in self._records]))
-
     async def _set_faults(self, request: Request) -> Response:
         fields = orjson.loads(await request.body())
         freeze = fields.pop("freeze_seconds", 0.0)
--- a/src/larkpost/rehearsal/experiment/run.py
+++ b/src/larkpost/rehearsal/experiment/run.py
@@ -7,7 +7,7 @@
 import async_solipsism
 from hdrh.histogram import HdrHistogram
 
-from larkpost.rehearsal.engine_model import EngineShape
+from larkpost.rehearsal.engine_types import EngineShape
 from larkpost.rehearsal.experiment.policies import Policy
 from larkpost.rehearsal.experiment.scenario import Fault, FaultKind, Scenario
 from larkpost.rehearsal.simulation.callers import SimulatedClients, SimulatedTrainer
--- a/src/larkpost/rehearsal/simulation/ports.py
+++ b/src/larkpost/rehearsal/simulation/ports.py
@@ -6,8 +6,8 @@
 
 from larkpost.common.errors import PlatformError
 from larkpost.common.ids import Address, AttemptId, ZoneId
-from larkpost.rehearsal.engine_model import (
-    EngineModel,
+from larkpost.rehearsal.engine_model import EngineModel
+from larkpost.rehearsal.engine_types import (
     QueueFullError,
     StaleOrderError,
     StreamCutError,
--- a/src/larkpost/rehearsal/simulation/records.py
+++ b/src/larkpost/rehearsal/simulation/records.py
@@ -4,7 +4,7 @@
 from enum import StrEnum
 
 from larkpost.common.ids import EngineId, PlanId, ZoneId
-from larkpost.rehearsal.engine_model import EngineRecord
+from larkpost.rehearsal.engine_types import EngineRecord
 from larkpost.standalone.batches.ledger import BatchSpec, Sample
 from larkpost.standalone.routing.work import VersionSpan
 
--- a/src/larkpost/rehearsal/simulation/world.py
+++ b/src/larkpost/rehearsal/simulation/world.py
@@ -9,7 +9,8 @@
 from dataclasses import dataclass, field
 
 from larkpost.common.ids import Address, DaemonId, EngineId, PolicyId, ZoneId
-from larkpost.rehearsal.engine_model import EngineModel, EngineRecord, EngineShape
+from larkpost.rehearsal.engine_model import EngineModel
+from larkpost.rehearsal.engine_types import EngineRecord, EngineShape
 from larkpost.rehearsal.simulation.fabric import DaemonNode, EngineNode, Fabric
 from larkpost.rehearsal.simulation.faults import FaultLog
 from larkpost.rehearsal.simulation.network import Host, Network
