--- a/src/larkpost/platform/stand_in/callers.py
+++ b/src/larkpost/platform/stand_in/callers.py
@@ -5,6 +5,7 @@
 import itertools
 import random
 import secrets
+from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 
 import aiohttp
@@ -59,7 +60,7 @@
 
     def __init__(self, daemons: list[Address], record: CallerRecord, seed: int) -> None:
         self._daemons = daemons
-        self._record = record
+        self.record = record
         self._chance = random.Random(seed)
 
     async def call(
@@ -94,27 +95,35 @@
             answer = await self.call(method, target, request_id, body)
             if answer is not None and answer[0] == wanted:
                 return answer[1]
-            self._record.retries += 1
+            self.record.retries += 1
             await asyncio.sleep(RETRY_SECONDS)
 
 
+@dataclass(frozen=True, slots=True)
+class BatchShape:
+    """What one trainer asks for: batches of items in groups, for one model."""
+
+    model: ModelName
+    items: int
+    group_size: int
+
+
 class StandInTrainer:
-    """Submits one batch after the other and names a weight version after each."""
+    """Submits one batch after the other and names a weight version after each.
+
+    Args:
+        name_version: writes a weight version of a model to the store.
+    """
 
     def __init__(
         self,
         caller: Caller,
-        record: CallerRecord,
-        model: ModelName,
-        items: int,
-        group_size: int,
-        name_version,
+        shape: BatchShape,
+        name_version: Callable[[ModelName, int], Awaitable[None]],
     ) -> None:
         self._caller = caller
-        self._record = record
-        self._model = model
-        self._items = items
-        self._group_size = group_size
+        self._record = caller.record
+        self._shape = shape
         self._name_version = name_version
 
     async def run(self, until: float) -> None:
@@ -124,13 +133,13 @@
             if loop.time() >= until:
                 return
             if step:
-                await self._name_version(self._model, step + 1)
+                await self._name_version(self._shape.model, step + 1)
             await self._step(step)
 
     async def _step(self, step: int) -> None:
         began = asyncio.get_running_loop().time()
         batch = secrets.token_hex(8)
-        items = [secrets.token_hex(8) for _ in range(self._items)]
+        items = [secrets.token_hex(8) for _ in range(self._shape.items)]
         body = orjson.dumps(self._document(step, items))
         await self._caller.call_until("POST", f"{BATCH_PREFIX}{batch}", batch, body, 202)
         self._record.batches_accepted += 1
@@ -151,17 +160,20 @@
     def _document(self, step: int, items: list[str]) -> dict:
         return {
             "step": step,
-            "model": self._model,
+            "model": self._shape.model,
             "min-version": max(1, step),
-            "desired": len(items) // self._group_size,
+            "desired": len(items) // self._shape.group_size,
             "requests": [
                 {
                     "id": item,
                     "path": f"{BATCH_PREFIX}{item}",
-                    "headers": {"Larkpost-Model": self._model, "Larkpost-Token-Count": "100,900"},
+                    "headers": {
+                        "Larkpost-Model": self._shape.model,
+                        "Larkpost-Token-Count": "100,900",
+                    },
                     "body": base64.b64encode(item.encode()).decode(),
                     "tokens": 1000,
-                    "group": f"g{number // self._group_size}",
+                    "group": f"g{number // self._shape.group_size}",
                     "scorer-url": _reward_call(item),
                 }
                 for number, item in enumerate(items)
@@ -199,9 +211,9 @@
 class StandInClient:
     """Sends requests for pages at a steady rate."""
 
-    def __init__(self, caller: Caller, record: CallerRecord, per_second: float) -> None:
+    def __init__(self, caller: Caller, per_second: float) -> None:
         self._caller = caller
-        self._record = record
+        self._record = caller.record
         self._pause = 1 / per_second
         self._running: set[asyncio.Task] = set()
 
--- a/src/larkpost/platform/stand_in/programs.py
+++ b/src/larkpost/platform/stand_in/programs.py
@@ -1,10 +1,12 @@
 """The stand-ins as processes.
 
-Run as ``python -m larkpost.platform.stand_in.programs store|server ...``.
+Run as ``python -m larkpost.platform.stand_in.programs`` with ``store ADDRESS``, or with ``server``,
+the store's address and what `server_arguments` returns.
 """
 
 import asyncio
 import sys
+from dataclasses import replace
 
 from larkpost.common.clock import Clock, LoopClock
 from larkpost.common.http_server import HttpServer
@@ -32,10 +34,10 @@
     await HttpServer(StoreApp(store, clock).app(), address).start()
     while True:
         await asyncio.sleep(HEARTBEAT_SECONDS)
-        _drop_silent(store, clock)
+        drop_silent_servers(store, clock)
 
 
-def _drop_silent(store: MemoryStore, clock: Clock) -> None:
+def drop_silent_servers(store: MemoryStore, clock: Clock) -> None:
     """Drops the entries of servers that have not written for some heartbeats."""
     removals = tuple(
         key
@@ -46,35 +48,55 @@
         store.apply(Transaction(removals=removals))
 
 
-async def run_server(
-    instance: str, service: str, address: str, zone: str, slots: int, store: str, models: str
-) -> None:
+async def run_server(server: StandInServer, store: Address) -> None:
     """Serves as one instance of a service and keeps its entry in the store."""
-    versions = dict.fromkeys((ModelName(name) for name in models.split(",") if name), 1)
-    state = EngineState(slots=slots, versions=versions)
-    await HttpServer(ServerApp(InstanceId(instance), state).app(), Address(address)).start()
-    client = HttpStore(Address(store), ROW_BYTES)
+    state = EngineState(slots=server.slots, versions=dict(server.versions))
+    await HttpServer(ServerApp(server.id, state).app(), server.address).start()
+    await keep_listed(server, state, store)
+
+
+async def keep_listed(server: StandInServer, state: EngineState, store: Address) -> None:
+    """Writes a server's entry with each heartbeat, with the versions that it then holds."""
+    client = HttpStore(store, ROW_BYTES)
     while True:
-        entry = StandInServer(
-            InstanceId(instance),
-            ServiceName(service),
-            Address(address),
-            ZoneId(zone),
-            slots,
-            dict(state.versions),
-        )
+        entry = replace(server, versions=dict(state.versions))
         await client.write(server_change(entry), WRITE_SECONDS)
         await asyncio.sleep(HEARTBEAT_SECONDS)
 
 
+def read_server(arguments: list[str]) -> StandInServer:
+    """Reads a server from a program's arguments, in the order of `server_arguments`."""
+    instance, service, address, zone, slots, models = arguments
+    return StandInServer(
+        InstanceId(instance),
+        ServiceName(service),
+        Address(address),
+        ZoneId(zone),
+        int(slots),
+        dict.fromkeys((ModelName(name) for name in models.split(",") if name), 1),
+    )
+
+
+def server_arguments(server: StandInServer) -> list[str]:
+    """Returns the arguments that name a server to its program; each model is at version 1."""
+    return [
+        server.id,
+        server.service,
+        server.address,
+        server.zone,
+        str(server.slots),
+        ",".join(server.versions),
+    ]
+
+
 def main(arguments: list[str]) -> None:
     """Runs one stand-in until it is ended."""
     kind, *rest = arguments
     if kind == "store":
         asyncio.run(run_store(Address(rest[0])))
     else:
-        instance, service, address, zone, slots, store, models = rest
-        asyncio.run(run_server(instance, service, address, zone, int(slots), store, models))
+        store, *server = rest
+        asyncio.run(run_server(read_server(server), Address(store)))
 
 
 if __name__ == "__main__":
--- a/src/larkpost/platform/stand_in/rows.py
+++ b/src/larkpost/platform/stand_in/rows.py
@@ -1,6 +1,7 @@
 """The rows that the operator, the trainers and the servers write."""
 
 from dataclasses import dataclass
+from typing import Any
 
 import orjson
 
@@ -17,6 +18,13 @@
 """Who submits batches, and who asks for pages."""
 BATCH_PREFIX = "/rollouts/"
 PAGE_PREFIX = "/pages/"
+LIMITS = {
+    "max-header-bytes": 16384,
+    "max-body-bytes": 33554432,
+    "header-timeout-ms": 3000,
+    "idle-timeout-ms": 15000,
+}
+"""The daemons' limits for each request and connection. Not measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,33 +62,7 @@
     """Returns the operator's change to a configuration with one route for each service."""
     document = {
         "version": version,
-        "routes": [
-            {
-                "name": "rollouts",
-                "host": HOST,
-                "path-prefix": BATCH_PREFIX,
-                "kind": "rollout",
-                "timeout-ms": 10000,
-                "target-ms": 400,
-                "priority": 1,
-                "service": engines,
-                "max-attempts": 3,
-                "queue-ttl-s": 40.0,
-                "result-due-ms": 7500,
-                "resumable": True,
-            },
-            {
-                "name": "pages",
-                "host": HOST,
-                "path-prefix": PAGE_PREFIX,
-                "kind": "idempotent",
-                "timeout-ms": 1500,
-                "target-ms": 192,
-                "priority": 2,
-                "service": pages,
-                "max-attempts": 2,
-            },
-        ],
+        "routes": [_rollout_route(engines), _page_route(pages)],
         "services": [
             {
                 "name": engines,
@@ -94,17 +76,45 @@
             {"name": tenant, "api-keys": [key_of(tenant, version), key_of(tenant, version - 1)]}
             for tenant in TENANTS
         ],
-        "limits": {
-            "max-header-bytes": 16384,
-            "max-body-bytes": 33554432,
-            "header-timeout-ms": 3000,
-            "idle-timeout-ms": 15000,
-        },
+        "limits": LIMITS,
     }
     key = RowKey(names.OPERATOR_TABLE, "", names.CONFIGURATION_KEY)
     return Transaction(puts=((key, orjson.dumps(document)),))
 
 
+def _rollout_route(engines: ServiceName) -> dict[str, Any]:
+    """Returns the route of the batches; its times are not measured."""
+    return {
+        "name": "rollouts",
+        "host": HOST,
+        "path-prefix": BATCH_PREFIX,
+        "kind": "rollout",
+        "timeout-ms": 10000,
+        "target-ms": 400,
+        "priority": 1,
+        "service": engines,
+        "max-attempts": 3,
+        "queue-ttl-s": 40.0,
+        "result-due-ms": 7500,
+        "resumable": True,
+    }
+
+
+def _page_route(pages: ServiceName) -> dict[str, Any]:
+    """Returns the route of the clients' requests."""
+    return {
+        "name": "pages",
+        "host": HOST,
+        "path-prefix": PAGE_PREFIX,
+        "kind": "idempotent",
+        "timeout-ms": 1500,
+        "target-ms": 192,
+        "priority": 2,
+        "service": pages,
+        "max-attempts": 2,
+    }
+
+
 def version_change(model: ModelName, version: int) -> Transaction:
     """Returns a trainer's naming of a weight version."""
     key = RowKey(names.OPERATOR_TABLE, "", f"{names.VERSION_KEY_PREFIX}{model}")
--- a/src/larkpost/rehearsal/bench.py
+++ b/src/larkpost/rehearsal/bench.py
@@ -101,6 +101,16 @@
         f"--listen={daemon}",
         f"--platform={platform}",
     )
+    _configure(platform, engine, daemon)
+    return [
+        Target("engine", f"http://{engine}/v1/generate", engine_process),
+        Target("relay", f"http://{relay}/v1/generate", relay_process),
+        Target("larkpost", f"http://{daemon}/v1/completions", daemon_process),
+    ]
+
+
+def _configure(platform: Address, engine: Address, daemon: Address) -> None:
+    """Waits for the processes, lists the engine and confirms an intent with one service."""
     wait_for(lambda: answers(platform, "/machines"), "platform")
     wait_for(lambda: answers(engine, "/v1/report"), "engine")
     machine = {"zone": "bench", "address": engine, "pool": POOL}
@@ -112,11 +122,6 @@
     plan = call(daemon, "POST", "/v1/intent/plan", intent.model_dump_json().encode())
     call(daemon, "POST", "/v1/intent/confirm", plan)
     wait_for(lambda: _knows_engine(daemon), "daemon sees the engine")
-    return [
-        Target("engine", f"http://{engine}/v1/generate", engine_process),
-        Target("relay", f"http://{relay}/v1/generate", relay_process),
-        Target("larkpost", f"http://{daemon}/v1/completions", daemon_process),
-    ]
 
 
 def _knows_engine(daemon: Address) -> bool:
--- a/src/larkpost/rehearsal/bench_servers.py
+++ b/src/larkpost/rehearsal/bench_servers.py
@@ -3,6 +3,7 @@
 import asyncio
 import signal
 from collections.abc import AsyncIterator
+from dataclasses import asdict
 
 import aiohttp
 import orjson
@@ -13,50 +14,55 @@
 
 from larkpost.common.http_server import HttpServer
 from larkpost.common.ids import Address, EngineId
+from larkpost.standalone.engines.port import EngineReport
 
 SLOTS = 4096
 
 
-def make_instant_engine(engine: EngineId) -> Starlette:
-    """Returns an engine that sends ``max_tokens`` chunks of one token as fast as it can."""
-    token = 0
+class InstantEngine:
+    """An engine that sends ``max_tokens`` chunks of one token as fast as it can."""
 
-    async def generate(request: Request) -> Response:
+    def __init__(self, engine: EngineId) -> None:
+        self._engine = engine
+        self._token = 0
+
+    def app(self) -> Starlette:
+        """Returns the HTTP application."""
+        return Starlette(
+            routes=[
+                Route("/v1/generate", self._generate, methods=["POST"]),
+                Route("/v1/report", self._report, methods=["GET"]),
+                Route("/v1/orders", self._order, methods=["POST"]),
+                Route("/v1/attempts/{attempt}", self._cancel, methods=["DELETE"]),
+            ]
+        )
+
+    async def _generate(self, request: Request) -> Response:
         fields = orjson.loads(await request.body())
         chunks = _chunks(fields["attempt"], fields["max_tokens"])
         return StreamingResponse(chunks, media_type="text/event-stream")
 
-    async def report(_request: Request) -> Response:
-        fields = {
-            "engine": engine,
-            "running": 0,
-            "waiting": 0,
-            "slots": SLOTS,
-            "version": 1,
-            "leaving": False,
-            "token": token,
-            "owner": None,
-            "swapping": False,
-        }
-        return Response(orjson.dumps(fields))
-
-    async def order(request: Request) -> Response:
-        nonlocal token
-        token = orjson.loads(await request.body())["token"]
+    async def _report(self, _request: Request) -> Response:
+        report = EngineReport(
+            engine=self._engine,
+            running=0,
+            waiting=0,
+            slots=SLOTS,
+            version=1,
+            leaving=False,
+            token=self._token,
+            owner=None,
+            swapping=False,
+        )
+        return Response(orjson.dumps(asdict(report)))
+
+    async def _order(self, request: Request) -> Response:
+        self._token = orjson.loads(await request.body())["token"]
         return Response(b"{}")
 
-    async def cancel(_request: Request) -> Response:
+    async def _cancel(self, _request: Request) -> Response:
         return Response(status_code=204)
 
-    return Starlette(
-        routes=[
-            Route("/v1/generate", generate, methods=["POST"]),
-            Route("/v1/report", report, methods=["GET"]),
-            Route("/v1/orders", order, methods=["POST"]),
-            Route("/v1/attempts/{attempt}", cancel, methods=["DELETE"]),
-        ]
-    )
-
 
 async def _chunks(attempt: str, count: int) -> AsyncIterator[bytes]:
     for index in range(count):
@@ -90,7 +96,7 @@
 
 async def run_instant_engine(engine: EngineId, listen: Address) -> None:
     """Runs the engine until SIGTERM."""
-    await _run(HttpServer(make_instant_engine(engine), listen))
+    await _run(HttpServer(InstantEngine(engine).app(), listen))
 
 
 async def run_bare_relay(listen: Address, engine: Address) -> None:
--- a/src/larkpost/rehearsal/clients.py
+++ b/src/larkpost/rehearsal/clients.py
@@ -17,6 +17,8 @@
 
 MAX_TRIES = 6
 RETRY_SECONDS = 0.2
+TRY_TIMEOUT = aiohttp.ClientTimeout(total=30, sock_connect=1.0)
+"""Seconds that a try may take, and to connect. Not measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -138,11 +140,21 @@
             "max_tokens": self._shape.max_tokens,
             "stream": stream,
         }
+        content = await self._post(daemon, headers, orjson.dumps(body))
+        text, spans = _read_stream(content) if stream else _read_whole(content)
+        expected = expected_answer(name, prompt, self._shape.max_tokens, spans)
+        self.record.wrong_answers += text != " ".join(map(str, expected))
+
+    async def _post(self, daemon: Address, headers: dict[str, str], body: bytes) -> bytes:
+        """Sends a request and returns the whole content of a good response.
+
+        Raises:
+            _TryError: there was none.
+        """
         url = f"http://{daemon}/v1/completions"
-        limit = aiohttp.ClientTimeout(total=30, sock_connect=1.0)
         try:
             async with self._session.post(
-                url, data=orjson.dumps(body), headers=headers, timeout=limit
+                url, data=body, headers=headers, timeout=TRY_TIMEOUT
             ) as response:
                 content = await response.read()
         except aiohttp.ClientConnectorError:
@@ -151,9 +163,7 @@
             raise _TryError("broken", Ran.UNKNOWN, None) from None
         if response.status != 200:
             raise _try_error_of(parse_error(response.status, content))
-        text, spans = _read_stream(content) if stream else _read_whole(content)
-        expected = expected_answer(name, prompt, self._shape.max_tokens, spans)
-        self.record.wrong_answers += text != " ".join(map(str, expected))
+        return content
 
 
 def _try_error_of(error: LarkpostError) -> _TryError:
--- a/src/larkpost/rehearsal/demo.py
+++ b/src/larkpost/rehearsal/demo.py
@@ -88,7 +88,8 @@
     until = asyncio.get_running_loop().time() + seconds
     async with asyncio.timeout(seconds + LOAD_SLACK_SECONDS), asyncio.TaskGroup() as tasks:
         for seed, (site, store) in enumerate(zip(sites, stores, strict=True)):
-            _start_callers(tasks, site, store, record, until, seed)
+            caller = Caller(list(site.fronts.values()), record, seed)
+            _start_callers(tasks, site, store, caller, until)
         if faults:
             await asyncio.sleep(seconds / 2)
             _break_things(sites, console)
@@ -100,20 +101,16 @@
     tasks: asyncio.TaskGroup,
     site: PlatformSite,
     store: HttpStore,
-    record: CallerRecord,
+    caller: Caller,
     until: float,
-    seed: int,
 ) -> None:
     async def name_version(model: ModelName, version: int) -> None:
         await _write(store, version_change(model, version))
 
-    caller = Caller(list(site.fronts.values()), record, seed)
     for shape in site.shape.trainers:
-        trainer = StandInTrainer(
-            caller, record, shape.model, shape.items, shape.group_size, name_version
-        )
+        trainer = StandInTrainer(caller, shape, name_version)
         tasks.create_task(trainer.run(until))
-    client = StandInClient(caller, record, site.shape.client_requests_per_second)
+    client = StandInClient(caller, site.shape.client_requests_per_second)
     tasks.create_task(client.run(until))
 
 
--- a/src/larkpost/rehearsal/experiment/report.py
+++ b/src/larkpost/rehearsal/experiment/report.py
@@ -5,6 +5,7 @@
 from concurrent.futures import ProcessPoolExecutor, as_completed
 from dataclasses import asdict, dataclass
 from multiprocessing import get_context
+from operator import attrgetter
 from pathlib import Path
 
 import orjson
@@ -53,26 +54,32 @@
     """
     console = Console(width=140)
     jobs = list(_weight_jobs(scenario, weights) if weights else _policy_jobs(scenario))
+    columns = _run_jobs(console, scenario.name, jobs)
+    _print(console, scenario, columns)
+    if output is not None:
+        output.write_bytes(_encode(scenario, columns))
+    if plot is not None:
+        from larkpost.rehearsal.experiment.plot import write_plot
+
+        write_plot(scenario.name, columns, plot)
+    return columns
+
+
+def _run_jobs(console: Console, title: str, jobs: list[_Job]) -> dict[str, list[RunResult]]:
+    """Runs all jobs in processes of their own; returns each column's results by seed."""
     columns: dict[str, list[RunResult]] = {job.label: [] for job in jobs}
     with (
         ProcessPoolExecutor(PARALLEL, get_context("spawn")) as pool,
         Progress(console=console, transient=True) as progress,
     ):
-        bar = progress.add_task(scenario.name, total=len(jobs))
+        bar = progress.add_task(title, total=len(jobs))
         futures = {pool.submit(run_once, j.scenario, POLICIES[j.policy], j.seed): j for j in jobs}
         for future in as_completed(futures):
             label = futures[future].label
             columns[label].append(rename(future.result(), label))
             progress.advance(bar)
     for results in columns.values():
-        results.sort(key=lambda result: result.seed)
-    _print(console, scenario, columns)
-    if output is not None:
-        output.write_bytes(_encode(scenario, columns))
-    if plot is not None:
-        from larkpost.rehearsal.experiment.plot import write_plot
-
-        write_plot(scenario.name, columns, plot)
+        results.sort(key=attrgetter("seed"))
     return columns
 
 
--- a/src/larkpost/rehearsal/platform_site.py
+++ b/src/larkpost/rehearsal/platform_site.py
@@ -8,20 +8,16 @@
 
 from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
+from larkpost.platform.stand_in.callers import BatchShape
 from larkpost.platform.stand_in.daemon_settings import DaemonPlace, ready_path, write_settings
+from larkpost.platform.stand_in.programs import server_arguments
+from larkpost.platform.stand_in.rows import StandInServer
 from larkpost.rehearsal.processes import Process, ProcessGroup, answers, free_address, wait_for
 
 DAEMON_MODULE = "larkpost.platform.process"
 STAND_IN_MODULE = "larkpost.platform.stand_in.programs"
-
-
-@dataclass(frozen=True, slots=True)
-class TrainerShape:
-    """What one trainer asks for: batches of items in groups, for one model."""
-
-    model: ModelName
-    items: int
-    group_size: int
+PAGE_SLOTS = 6
+"""Requests that a server of pages answers at once. Not measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +30,7 @@
     engines: int
     engine_slots: int
     page_servers: int
-    trainers: tuple[TrainerShape, ...]
+    trainers: tuple[BatchShape, ...]
     client_requests_per_second: float
 
     @property
@@ -51,8 +47,8 @@
     engine_slots=16,
     page_servers=3,
     trainers=(
-        TrainerShape(ModelName("briefs"), 56, 8),
-        TrainerShape(ModelName("news"), 56, 4),
+        BatchShape(ModelName("briefs"), 56, 8),
+        BatchShape(ModelName("news"), 56, 4),
     ),
     client_requests_per_second=2.4,
 )
@@ -63,7 +59,7 @@
     engines=6,
     engine_slots=12,
     page_servers=3,
-    trainers=(TrainerShape(ModelName("drafts"), 92, 4),),
+    trainers=(BatchShape(ModelName("drafts"), 92, 4),),
     client_requests_per_second=3.0,
 )
 
@@ -114,17 +110,16 @@
     shape = site.shape
     service = site.engine_service if engine else site.page_service
     instance = InstanceId(f"{service}-{number}")
-    site.servers[instance] = group.start_module(
-        instance,
-        STAND_IN_MODULE,
-        "server",
+    server = StandInServer(
         instance,
         service,
         free_address(),
         shape.zones[number % len(shape.zones)],
-        str(shape.engine_slots if engine else 6),
-        site.store,
-        ",".join(shape.models) if engine else "",
+        shape.engine_slots if engine else PAGE_SLOTS,
+        dict.fromkeys(shape.models, 1) if engine else {},
+    )
+    site.servers[instance] = group.start_module(
+        instance, STAND_IN_MODULE, "server", site.store, *server_arguments(server)
     )
 
 
--- a/src/larkpost/rehearsal/simulation/callers.py
+++ b/src/larkpost/rehearsal/simulation/callers.py
@@ -193,15 +193,7 @@
         if node is None:
             call.told, call.code = Told.NOTHING, "refused"
             return
-        inference = InferenceCall(
-            RequestId(call.request),
-            call.service,
-            call.prompt,
-            call.max_tokens,
-            deadline,
-            call.run_once,
-            call.key,
-        )
+        inference = _inference_call(call, deadline)
         stream = self._world.network.stream(
             self._world.callers[zone],
             node.host,
@@ -221,3 +213,16 @@
         else:
             call.told = Told.ANSWER
             call.tokens, call.spans = tuple(answer.tokens), tuple(answer.spans)
+
+
+def _inference_call(call: ClientCall, deadline: float | None) -> InferenceCall:
+    """Returns a client's try as a daemon takes it."""
+    return InferenceCall(
+        RequestId(call.request),
+        call.service,
+        call.prompt,
+        call.max_tokens,
+        deadline,
+        call.run_once,
+        call.key,
+    )
--- a/tests/process_soak/server_program.py
+++ b/tests/process_soak/server_program.py
@@ -1,7 +1,7 @@
 """A stand-in server that tells on standard output what it ran, so that a judge can read it.
 
-Run as ``python -m tests.process_soak.server_program`` with the instance, its service, the address
-in its entry (a proxy's), the address where it listens, its zone, slots, the store and its models.
+Run as ``python -m tests.process_soak.server_program`` with the address where it listens, the
+store's, and what `server_arguments` returns; the address in its entry is a proxy's.
 """
 
 import asyncio
@@ -17,13 +17,12 @@
 
 from larkpost.common.http_server import HttpServer
 from larkpost.common.ids import Address, InstanceId, ZoneId
-from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
+from larkpost.gateway.blackboard.configuration import ModelName
 from larkpost.platform import names
 from larkpost.platform.stand_in.engine_state import EngineState
-from larkpost.platform.stand_in.programs import HEARTBEAT_SECONDS, ROW_BYTES, WRITE_SECONDS
-from larkpost.platform.stand_in.rows import StandInServer, server_change
+from larkpost.platform.stand_in.programs import keep_listed, read_server
+from larkpost.platform.stand_in.rows import StandInServer
 from larkpost.platform.stand_in.server_app import ServerApp
-from larkpost.platform.store import HttpStore
 from tests.process_soak.records import (
     CRASHING_PAGE,
     FAILING_CALL,
@@ -123,35 +122,14 @@
         await super()._order(request)
 
 
-async def serve(
-    instance: str,
-    service: str,
-    listed: str,
-    own: str,
-    zone: str,
-    slots: int,
-    store: str,
-    models: str,
-) -> None:
-    """Serves, and keeps the entry in the store."""
-    versions = dict.fromkeys((ModelName(name) for name in models.split(",") if name), 1)
-    state = EngineState(slots=slots, versions=versions)
-    app = RecordingServerApp(InstanceId(instance), state, ZoneId(zone)).app()
-    await HttpServer(app, Address(own)).start()
-    client = HttpStore(Address(store), ROW_BYTES)
-    while True:
-        entry = StandInServer(
-            InstanceId(instance),
-            ServiceName(service),
-            Address(listed),
-            ZoneId(zone),
-            slots,
-            dict(state.versions),
-        )
-        await client.write(server_change(entry), WRITE_SECONDS)
-        await asyncio.sleep(HEARTBEAT_SECONDS)
+async def serve(server: StandInServer, own: Address, store: Address) -> None:
+    """Serves at its own address, and keeps the entry with the listed one in the store."""
+    state = EngineState(slots=server.slots, versions=dict(server.versions))
+    app = RecordingServerApp(server.id, state, server.zone).app()
+    await HttpServer(app, own).start()
+    await keep_listed(server, state, store)
 
 
 if __name__ == "__main__":
-    arguments = sys.argv[1:]
-    asyncio.run(serve(*arguments[:5], int(arguments[5]), *arguments[6:]))
+    own, store, *server = sys.argv[1:]
+    asyncio.run(serve(read_server(server), Address(own), Address(store)))
--- a/tests/process_soak/site.py
+++ b/tests/process_soak/site.py
@@ -10,12 +10,14 @@
 import orjson
 
 from larkpost.common.http_server import HttpServer
-from larkpost.common.ids import Address, ZoneId
+from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
 from larkpost.gateway.store.port import RowKey, Transaction, WriteOutcome
 from larkpost.platform import names
 from larkpost.platform.stand_in.daemon_settings import DaemonPlace, write_settings
+from larkpost.platform.stand_in.programs import server_arguments
 from larkpost.platform.stand_in.rows import (
+    StandInServer,
     configuration_change,
     evacuation_change,
     version_change,
@@ -265,18 +267,21 @@
     def _start_server(
         self, service: ServiceName, number: int, own: Address, proxy: FaultProxy, life: int
     ) -> Process:
-        engine = service == ENGINES
+        is_engine = service == ENGINES
+        server = StandInServer(
+            InstanceId(f"{service}-{number}-{life}"),
+            service,
+            proxy.address,
+            ZONES[number % len(ZONES)],
+            ENGINE_SLOTS if is_engine else PAGE_SLOTS,
+            {MODEL: 1} if is_engine else {},
+        )
         return self._group.start_module(
             f"server-{number}-{life}",
             SERVER_MODULE,
-            f"{service}-{number}-{life}",
-            service,
-            proxy.address,
             own,
-            ZONES[number % len(ZONES)],
-            str(ENGINE_SLOTS if engine else PAGE_SLOTS),
             self._store_address,
-            MODEL if engine else "",
+            *server_arguments(server),
         )
 
     async def _restart(self, daemon: Daemon, number: signal.Signals, seconds: float) -> None:
