--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -7,9 +7,9 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.common.errors import LarkpostError
-from larkpost.common.ids import Address, InstanceId, ZoneId
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import ServiceShare
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
 from larkpost.gateway.controllers.members import DEAD_AFTER_SECONDS
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.shares import ShareChooser
@@ -30,6 +30,7 @@
     check_results,
     make_batch,
 )
+from tests.server_parts import make_directory, make_instance
 from tests.virtual import run
 
 REFUSAL_SECONDS = 1.0
@@ -153,13 +154,8 @@
 
     def begin(self) -> Balancer:
         """Returns a balancer of four instances, connected to the first only."""
-        directory = Directory()
-        for number in range(4):
-            state = InstanceState.READY
-            address = Address("10.0.0.1:1")
-            name = InstanceId(f"e{number}")
-            directory.update(InstanceInfo(name, ENGINES, address, ZoneId("z"), 6, state))
         chance = random.Random(0)
+        directory = make_directory(4, slots=6)
         return Balancer(directory, LoopClock(), chance, lambda info: info.id == "e0")
 
     def first_choices(self, balancer: Balancer) -> set[InstanceId]:
@@ -235,12 +231,8 @@
 
     def put(self, number: int, version: int) -> None:
         """Lists an engine with a version."""
-        engine = InstanceId(f"e{number}")
-        state = InstanceState.READY
-        address = Address("10.0.0.1:1")
-        self.directory.update(
-            InstanceInfo(engine, ENGINES, address, ZoneId("z"), 2, state, {MODEL: version})
-        )
+        engine = make_instance(f"e{number}", ENGINES, slots=2)
+        self.directory.update(replace(engine, versions={MODEL: version}))
 
     def fill(self, number: int) -> None:
         """Takes all places of an engine."""
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -5,10 +5,10 @@
 import unittest
 
 from larkpost.common.clock import LoopClock
-from larkpost.common.ids import Address, InstanceId, ZoneId
+from larkpost.common.ids import InstanceId, ZoneId
 from larkpost.gateway.blackboard.board import Blackboard
-from larkpost.gateway.blackboard.configuration import Route, RouteKind, ServiceName, ServiceShare
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.configuration import Route, RouteKind, ServiceShare
+from larkpost.gateway.blackboard.directory import Directory
 from larkpost.gateway.blackboard.evacuations import Evacuations, ZoneEvacuation
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.controllers.division import EngineDivision
@@ -43,6 +43,7 @@
     CONFIGURATION,
     ENGINES,
     MODEL,
+    PAGES,
     ZONES,
     PlatformFleet,
     check_results,
@@ -51,10 +52,10 @@
 from tests.platform_oracle import PlatformOracle
 from tests.recording_log import RecordingLog
 from tests.scripted_engines import ScriptedEngine, ScriptedEngines
+from tests.server_parts import make_instance
 from tests.virtual import run
 
 NORTH, SOUTH = ZONES
-PAGES = ServiceName("pages")
 OBJECTIVE_SECONDS = 0.2
 CHANGE_SECONDS = 1.5
 """Time for news of the store to have reached every daemon that can read it."""
@@ -86,14 +87,6 @@
             self.read(names.EVACUATION_KEY_PREFIX)
 
 
-def make_info(name: str, zone: ZoneId, service: ServiceName = PAGES) -> InstanceInfo:
-    """Returns an instance's entry."""
-    address = Address("10.0.0.1:1")
-    return InstanceInfo(
-        InstanceId(name), service, address, zone, 4, InstanceState.READY, {MODEL: 1}
-    )
-
-
 class RuleTest(unittest.TestCase):
     """Which work an evacuation forbids."""
 
@@ -101,7 +94,7 @@
         evacuations = Evacuations()
         evacuations.begin(NORTH, 0.0)
         rule = EvacuatedRule(evacuations)
-        inside, outside = make_info("a", NORTH), make_info("b", SOUTH)
+        inside, outside = make_instance("a", zone=NORTH), make_instance("b", zone=SOUTH)
         for work in (CLIENT_WORK, REWARD_WORK, Work(WorkKind.ITEM)):
             self.assertIs(Verdict.EVACUATED, rule.judge(inside, work))
             self.assertIs(Verdict.EVACUATED, rule.admit(inside, work))
@@ -123,7 +116,7 @@
         for zone in ZONES:
             pace = 1.0 if zone == slow else 0.03
             self.engines.engines[InstanceId(zone)] = ScriptedEngine(slots=4, event_seconds=pace)
-            directory.update(make_info(zone, zone))
+            directory.update(make_instance(zone, zone=zone))
         chance = random.Random(1)
         placement = Placement(directory, (EvacuatedRule(evacuations),))
         balancer = Balancer(directory, self.clock, chance, placement=placement)
@@ -207,7 +200,7 @@
         self.service = CONFIGURATION.services[ENGINES]
         self.directory = Directory()
         for number in range(6):
-            self.directory.update(make_info(f"e{number}", ZONES[number % 2], ENGINES))
+            self.directory.update(make_instance(f"e{number}", ENGINES, zone=ZONES[number % 2]))
         self.targets = WeightTargets()
         self.targets.update(WeightTarget(MODEL, 2), now=10.0)
         self.north = {InstanceId(f"e{number}") for number in (0, 2, 4)}
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -6,17 +6,17 @@
 import asyncio
 import random
 import unittest
+from dataclasses import replace
 
 from larkpost.common.clock import LoopClock
-from larkpost.common.ids import Address, InstanceId, ZoneId
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import (
     ModelName,
     Route,
     RouteKind,
-    ServiceName,
     ServiceShare,
 )
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.directory import Directory, InstanceState
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.placement.work import CLIENT_WORK
@@ -45,10 +45,11 @@
     WaitingLines,
     look_interval,
 )
+from tests.platform_fleet import PAGES
 from tests.scripted_engines import ScriptedEngine, ScriptedEngines
+from tests.server_parts import make_instance
 from tests.virtual import run
 
-PAGES = ServiceName("pages")
 SLOTS = 2
 OBJECTIVE = 0.2
 TIME_LIMIT = 2.0
@@ -152,9 +153,7 @@
 
     def list(self, name: InstanceId, state: InstanceState) -> None:
         """Writes a server's entry."""
-        self.directory.update(
-            InstanceInfo(name, PAGES, Address("10.0.0.1:1"), ZoneId("z"), SLOTS, state)
-        )
+        self.directory.update(replace(make_instance(name, slots=SLOTS), state=state))
 
     def state(self) -> ScriptedEngine:
         """Returns the first server."""
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -4,17 +4,14 @@
 import random
 import unittest
 from contextlib import asynccontextmanager
+from dataclasses import replace
 
 from larkpost.common.clock import LoopClock
-from larkpost.common.ids import Address, InstanceId, ZoneId
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import (
-    ModelName,
-    Route,
     RouteKind,
-    ServiceName,
-    ServiceShare,
 )
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.directory import Directory, InstanceState
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.proxy.balancer import Balancer
@@ -27,22 +24,12 @@
 )
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.servers.port import BrokenResponseError
+from tests.platform_fleet import MODEL
 from tests.scripted_engines import ScriptedEngine, ScriptedEngines, ScriptedResponse
+from tests.server_parts import OBJECTIVE, SLOTS, make_instance, make_route
 from tests.virtual import run
 
-PAGES = ServiceName("pages")
-MODEL = ModelName("model")
-OBJECTIVE = 0.2
 SILENT_SECONDS = 1000.0
-SLOTS = 4
-
-
-def make_route(kind: RouteKind, max_attempts: int = 3, time_limit: float = 2.0) -> Route:
-    """Returns a route to the pages."""
-    shares = (ServiceShare(PAGES, 1.0),)
-    return Route("r", "h", b"/", kind, shares, time_limit, OBJECTIVE, max_attempts=max_attempts)
-
-
 REPEATABLE = make_route(RouteKind.IDEMPOTENT)
 ONCE = make_route(RouteKind.RUN_ONCE)
 STREAM = make_route(RouteKind.STREAM)
@@ -101,9 +88,7 @@
 
     def list(self, name: str, state: InstanceState = InstanceState.READY) -> None:
         """Writes a server's entry."""
-        address = Address("10.0.0.1:1")
-        info = InstanceInfo(InstanceId(name), PAGES, address, ZoneId("z"), SLOTS, state, {}, 1)
-        self.directory.update(info)
+        self.directory.update(replace(make_instance(name), state=state, listed_version=1))
 
     def request(self, time_left: float | None = 1.5) -> ClientRequest:
         """Returns a new request, received now."""
--- a/tests/test_leaving_clients.py
+++ b/tests/test_leaving_clients.py
@@ -8,17 +8,16 @@
 import unittest
 
 from larkpost.common.clock import LoopClock
-from larkpost.common.ids import Address, InstanceId, ZoneId
+from larkpost.common.ids import Address
 from larkpost.gateway.blackboard.configuration import (
     Configuration,
     ConfigurationState,
     Route,
     RouteKind,
     Service,
-    ServiceName,
     ServiceShare,
 )
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.directory import Directory
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
@@ -30,8 +29,9 @@
 from larkpost.platform.ingress import Ingress
 from larkpost.platform.servers import HttpServers
 from larkpost.rehearsal.processes import free_address
+from tests.platform_fleet import PAGES
+from tests.server_parts import make_instance
 
-PAGES = ServiceName("pages")
 KINDS = {b"/p/": RouteKind.IDEMPOTENT, b"/o/": RouteKind.RUN_ONCE, b"/s/": RouteKind.STREAM}
 STOP_SECONDS = 0.5
 """Within so long nothing may go on for a client that left."""
@@ -83,9 +83,7 @@
         self.addCleanup(listening.close)
         own = Address(f"127.0.0.1:{listening.sockets[0].getsockname()[1]}")
         directory = Directory()
-        directory.update(
-            InstanceInfo(InstanceId("e0"), PAGES, own, ZoneId("z"), 4, InstanceState.READY)
-        )
+        directory.update(make_instance("e0", address=own))
         servers = HttpServers()
         self.addAsyncCleanup(servers.close)
         clock, log, metrics = LoopClock(), EventLog("daemon"), Metrics()
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -9,9 +9,8 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.common.errors import LarkpostError
-from larkpost.common.ids import Address, InstanceId, RegionId, ZoneId
-from larkpost.gateway.blackboard.configuration import ModelName, RouteKind, Service, ServiceName
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.common.ids import InstanceId, RegionId, ZoneId
+from larkpost.gateway.blackboard.configuration import RouteKind, Service
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.controllers.weights import (
     BUSY_FIRST_SECONDS,
@@ -39,31 +38,18 @@
 from larkpost.gateway.store.port import RowKey, Transaction
 from larkpost.platform.stand_in.memory_store import StoreFaults
 from tests import switched_off
-from tests.platform_fleet import ENGINES, MODEL, SCORERS, PlatformFleet, make_batch
+from tests.platform_fleet import ENGINES, MODEL, PAGES, SCORERS, PlatformFleet, make_batch
 from tests.scripted_engines import ScriptedEngine, ScriptedEngines
-from tests.test_forwarder import PAGES, make_route
+from tests.server_parts import (
+    FIRST,
+    SECOND,
+    TWO_MODELS,
+    make_directory,
+    make_instance,
+    make_route,
+)
 from tests.virtual import run
 
-FIRST = ModelName("first")
-SECOND = ModelName("second")
-SERVICE = Service(ServiceName("s"), 100, slots=8, models=(FIRST, SECOND))
-
-
-def make_info(name: str, service: ServiceName = ENGINES, slots: int = 4) -> InstanceInfo:
-    """Returns an instance's entry."""
-    address = Address("10.0.0.1:1")
-    versions = {FIRST: 1, SECOND: 1, MODEL: 1}
-    state = InstanceState.READY
-    return InstanceInfo(InstanceId(name), service, address, ZoneId("z"), slots, state, versions)
-
-
-def make_directory(count: int, service: ServiceName = ENGINES) -> Directory:
-    """Returns a directory of some instances: e0, e1 and so on."""
-    directory = Directory()
-    for number in range(count):
-        directory.update(make_info(f"e{number}", service))
-    return directory
-
 
 def make_head(fleet: PlatformFleet) -> BatchHead:
     """Returns the head of a batch of a fleet's first daemon."""
@@ -112,7 +98,8 @@
             services.balancer.record_pace(InstanceId("e0"), 0.09)
             services.balancer.record_pace(InstanceId("e1"), 0.04)
             choice = EngineChoice(make_head(fleet), services)
-            return choice.is_outpaced(make_info("e0"), Progress(make_batch(items=1).items[0]))
+            progress = Progress(make_batch(items=1).items[0])
+            return choice.is_outpaced(make_instance("e0", ENGINES), progress)
 
         self.assertTrue(run(is_outpaced()))
 
@@ -238,7 +225,7 @@
         demands = {FIRST: ModelDemand(100), SECOND: ModelDemand(210)}
         engines = directory.of_service(ENGINES)
         for known, sizes in ((demands, (2, 4)), ({}, (3, 3))):
-            chosen = assign_models(SERVICE, engines, directory, known)
+            chosen = assign_models(TWO_MODELS, engines, directory, known)
             self.assertEqual(sizes, (len(chosen[FIRST]), len(chosen[SECOND])))
 
     def paces(self) -> tuple[float, float]:
@@ -293,7 +280,7 @@
     def test_near_first(self):
         async def first(regions: RegionMap) -> set[str]:
             directory = make_directory(2)
-            directory.update(replace(make_info("e0"), zone=ZoneId("far")))
+            directory.update(replace(make_instance("e0", ENGINES), zone=ZoneId("far")))
             balancer = Balancer(directory, LoopClock(), random.Random(0), regions=regions)
             return {balancer.candidates(ENGINES, for_client=True)[0].id for _ in range(20)}
 
@@ -305,7 +292,7 @@
         async def places() -> list[bool]:
             """Tells whether an engine that refused has a place, at four moments."""
             balancer = Balancer(make_directory(1), LoopClock(), random.Random(0))
-            engine = make_info("e0")
+            engine = make_instance("e0", ENGINES)
             balancer.occupy(engine.id)  # runs there all the time
             balancer.record_not_run(engine.id, NotRunReason.FULL, 0.0)
             found = [balancer.has_place(engine)]
@@ -391,7 +378,7 @@
             fleet = PlatformFleet(1, 1, scorers=1)
             services = fleet.gateways[0].keeper._services
             scorer = RewardScorer(make_head(fleet), services)
-            info = make_info("scorer-0", SCORERS, slots=6)
+            info = make_instance("scorer-0", SCORERS, slots=6)
             for _ in range(4):
                 services.balancer.occupy(info.id)
             await asyncio.sleep(0)
--- a/tests/test_nearness.py
+++ b/tests/test_nearness.py
@@ -12,7 +12,7 @@
     RouteKind,
     ServiceShare,
 )
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.directory import Directory
 from larkpost.gateway.blackboard.regions import Distance, RegionMap
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
@@ -32,6 +32,7 @@
 )
 from tests.platform_places import EAST, EAST_ZONES, REGIONS, WEST, WEST_ZONE
 from tests.scripted_engines import ScriptedEngine, ScriptedEngines
+from tests.server_parts import make_instance
 from tests.virtual import run
 
 ROUTE = Route(
@@ -51,10 +52,7 @@
         for number, zone in enumerate(zones):
             name = InstanceId(f"s{number}")
             self.servers.engines[name] = ScriptedEngine(slots=4)
-            address = Address("10.0.0.1:1")
-            self.directory.update(
-                InstanceInfo(name, PAGES, address, zone, 4, InstanceState.READY, {MODEL: 1})
-            )
+            self.directory.update(make_instance(name, zone=zone))
         placement = Placement(self.directory, (HomeRule(regions),))
         chance = random.Random(1)
         self.balancer = Balancer(
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -4,10 +4,10 @@
 from dataclasses import replace
 
 from larkpost.common.clock import LoopClock
-from larkpost.common.ids import Address, InstanceId, ZoneId
+from larkpost.common.ids import Address, InstanceId
 from larkpost.common.tasks import TaskSet
 from larkpost.common.telemetry import Telemetry
-from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
+from larkpost.gateway.blackboard.configuration import ModelName
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
 from larkpost.gateway.blackboard.known_crashes import (
     CLIENT_CRASH_LIMIT,
@@ -36,19 +36,13 @@
 from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient, StoreFaults
 from tests.recording_log import RecordingLog
 from tests.scripted_engines import ScriptedEngine, ScriptedEngines
+from tests.server_parts import make_instance
 from tests.virtual import run
 
-PAGES = ServiceName("pages")
 CONTENT = ContentDigest("aa")
 REQUEST = OutgoingRequest(b"1", "GET", b"h", b"/", (), b"")
 
 
-def make_instance(name: str, number: int = 1) -> InstanceInfo:
-    """Returns an instance at an address."""
-    address = Address(f"10.0.0.{number}:1")
-    return InstanceInfo(InstanceId(name), PAGES, address, ZoneId("z"), 4, InstanceState.READY)
-
-
 class Probes:
     """Servers whose ports are as a test says."""
 
@@ -388,7 +382,7 @@
             async with self.guard.send(self.instance, REQUEST):
                 self.assertIs(Verdict.APART, self.apart.judge(self.instance, suspect))
                 self.assertIs(Verdict.ALLOWED, self.apart.judge(self.instance, CLIENT_WORK))
-                other = make_instance("b", 2)
+                other = make_instance("b", address=Address("10.0.0.2:1"))
                 self.assertIs(Verdict.ALLOWED, self.apart.judge(other, suspect))
             self.assertIs(Verdict.ALLOWED, self.apart.judge(self.instance, suspect))
 
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -16,7 +16,6 @@
     Route,
     RouteKind,
     Service,
-    ServiceName,
     ServiceShare,
 )
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
@@ -40,10 +39,9 @@
 from larkpost.platform.ingress import Ingress
 from larkpost.platform.operator import UnreadableRowError, read_configuration
 from larkpost.rehearsal.processes import free_address
-from tests.platform_fleet import PlatformFleet, check_results, make_batch
+from tests.platform_fleet import PAGES, PlatformFleet, check_results, make_batch
 from tests.virtual import run
 
-PAGES = ServiceName("pages")
 HOST = "pages.example"
 FIRST_KEY = b"key-of-first-0123456789"
 SECOND_KEY = b"key-of-second-0123456789"
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -18,7 +18,7 @@
 from larkpost.gateway.rollouts.stalls import LEAST_SILENCE_SECONDS, StallWatcher
 from larkpost.gateway.rollouts.urgency import Urgency
 from tests.platform_fleet import ENGINES, PlatformFleet, check_results, make_batch
-from tests.test_mechanisms import make_info
+from tests.server_parts import make_instance
 from tests.virtual import run
 
 FIRST = TenantName("first")
@@ -80,7 +80,7 @@
             clock = LoopClock()
             watcher = StallWatcher(clock)
             async with asyncio.timeout(10.0) as limit:
-                with watcher.watch(make_info("fast"), limit) as watch:
+                with watcher.watch(make_instance("fast", ENGINES), limit) as watch:
                     await clock.sleep(LEAST_SILENCE_SECONDS - 0.01)
                     self.assertEqual([], watcher.stalled(lambda _: 0.0))
                     await clock.sleep(0.02)
@@ -101,7 +101,7 @@
             loop = asyncio.get_running_loop()
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(1.0) as limit:
-                    with watcher.watch(make_info("e"), limit):
+                    with watcher.watch(make_instance("e", ENGINES), limit):
                         # Called after the limit's own timer, before the run hears of it.
                         loop.call_at(loop.time() + 1.0, self._look, watcher, limit, found)
                         await asyncio.sleep(5.0)
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -2,9 +2,7 @@
 
 import unittest
 
-from larkpost.common.ids import Address, InstanceId, ZoneId
-from larkpost.gateway.blackboard.configuration import ModelName, Service, ServiceName
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.controllers.weights import (
     BUSY_FIRST_SECONDS,
     FIRST_SECONDS,
@@ -16,39 +14,18 @@
     due_loads,
 )
 from tests.platform_fleet import MODEL, PlatformFleet, check_results, make_batch
+from tests.server_parts import FIRST, SECOND, TWO_MODELS, make_directory
 from tests.virtual import run
 
-FIRST = ModelName("first")
-SECOND = ModelName("second")
-SERVICE = Service(ServiceName("s"), 100, slots=8, models=(FIRST, SECOND))
-
-
-def make_directory(count: int, versions: dict[ModelName, int]) -> Directory:
-    """Returns a directory of some engines."""
-    directory = Directory()
-    for number in range(count):
-        directory.update(
-            InstanceInfo(
-                InstanceId(f"e{number}"),
-                SERVICE.name,
-                Address("10.0.0.1:1"),
-                ZoneId("z"),
-                8,
-                InstanceState.READY,
-                dict(versions),
-            )
-        )
-    return directory
-
 
 class DivisionTest(unittest.TestCase):
     """How engines are divided and when they load."""
 
     def test_every_engine_has_a_model_and_every_model_enough_engines(self):
         for count in range(1, 9):
-            directory = make_directory(count, {FIRST: 1, SECOND: 1})
-            engines = directory.of_service(SERVICE.name)
-            chosen = assign_models(SERVICE, engines, directory, {})
+            directory = make_directory(count, TWO_MODELS.name, slots=8)
+            engines = directory.of_service(TWO_MODELS.name)
+            chosen = assign_models(TWO_MODELS, engines, directory, {})
             self.assertEqual(
                 {info.id for info in engines}, set(chosen[FIRST]) | set(chosen[SECOND])
             )
@@ -58,26 +35,26 @@
                 self.assertFalse(set(chosen[FIRST]) & set(chosen[SECOND]))
 
     def test_division_stays_when_versions_rise(self):
-        directory = make_directory(5, {FIRST: 1, SECOND: 1})
-        engines = directory.of_service(SERVICE.name)
-        before = assign_models(SERVICE, engines, directory, {})
+        directory = make_directory(5, TWO_MODELS.name, slots=8)
+        engines = directory.of_service(TWO_MODELS.name)
+        before = assign_models(TWO_MODELS, engines, directory, {})
         for model, engine_ids in before.items():
             for engine in engine_ids:
                 directory.observe_version(engine, model, 7)
-        self.assertEqual(before, assign_models(SERVICE, engines, directory, {}))
+        self.assertEqual(before, assign_models(TWO_MODELS, engines, directory, {}))
 
     def due(self, directory, targets, now, open_batch=False):
         """Returns the engines that should load now."""
         demands = {FIRST: ModelDemand(100, open_batch)}
-        return [name for name, _ in due_loads(SERVICE, directory, targets, demands, now)]
+        return [name for name, _ in due_loads(TWO_MODELS, directory, targets, demands, now)]
 
     def test_second_group_waits_for_the_first_but_not_for_ever(self):
-        directory = make_directory(4, {FIRST: 1, SECOND: 1})
+        directory = make_directory(4, TWO_MODELS.name, slots=8)
         targets = WeightTargets()
         targets.update(WeightTarget(FIRST, 2), now=10.0)
-        engines = directory.of_service(SERVICE.name)
+        engines = directory.of_service(TWO_MODELS.name)
         demands = {FIRST: ModelDemand(100, False)}
-        first, second = assign_models(SERVICE, engines, directory, demands)[FIRST]
+        first, second = assign_models(TWO_MODELS, engines, directory, demands)[FIRST]
         start = 10.0 + FIRST_SECONDS
         self.assertEqual([], self.due(directory, targets, start - 0.1))
         self.assertEqual([first], self.due(directory, targets, start + 0.1))
@@ -88,7 +65,7 @@
         self.assertEqual([second], self.due(directory, targets, start + 0.1))
 
     def test_first_group_waits_while_a_batch_finds_its_places(self):
-        directory = make_directory(4, {FIRST: 1, SECOND: 1})
+        directory = make_directory(4, TWO_MODELS.name, slots=8)
         targets = WeightTargets()
         targets.update(WeightTarget(FIRST, 2), now=10.0)
         before = 10.0 + BUSY_FIRST_SECONDS - 0.1
@@ -96,16 +73,16 @@
         self.assertEqual(1, len(self.due(directory, targets, before + 0.2, open_batch=True)))
 
     def test_engine_two_versions_behind_loads_at_once(self):
-        directory = make_directory(4, {FIRST: 1, SECOND: 1})
+        directory = make_directory(4, TWO_MODELS.name, slots=8)
         targets = WeightTargets()
         targets.update(WeightTarget(FIRST, 3), now=10.0)
         self.assertEqual(2, len(self.due(directory, targets, 10.0, open_batch=True)))
 
     def test_model_with_more_work_gets_more_engines(self):
-        directory = make_directory(6, {FIRST: 1, SECOND: 1})
-        engines = directory.of_service(SERVICE.name)
+        directory = make_directory(6, TWO_MODELS.name, slots=8)
+        engines = directory.of_service(TWO_MODELS.name)
         demands = {FIRST: ModelDemand(100), SECOND: ModelDemand(210)}
-        chosen = assign_models(SERVICE, engines, directory, demands)
+        chosen = assign_models(TWO_MODELS, engines, directory, demands)
         self.assertEqual((2, 4), (len(chosen[FIRST]), len(chosen[SECOND])))
 
     def test_named_version_never_goes_back(self):
