--- a/tests/process_soak/__main__.py
+++ b/tests/process_soak/__main__.py
@@ -24,6 +24,7 @@
 from tests.process_soak.plan import HINDERING, UNTOLD, Fault, Kind, draw_plan
 from tests.process_soak.records import read_records
 from tests.process_soak.site import DAEMONS, MODEL, Site
+from tests.process_soak.strikes import Strikes
 
 CHECK_SECONDS = 3.0
 CRASHING_PAGES = 2
@@ -88,7 +89,7 @@
         work = asyncio.gather(
             callers.train(MODEL, ITEMS, until),
             callers.ask(REQUESTS_PER_SECOND, until),
-            self._strike(site, callers),
+            self._strike(Strikes(site), callers),
         )
         try:
             while not work.done():
@@ -112,17 +113,17 @@
         self._fill_report(callers)
         return self.report
 
-    async def _strike(self, site: Site, callers: Callers) -> None:
+    async def _strike(self, strikes: Strikes, callers: Callers) -> None:
         """Carries the plan out; faults overlap as it says."""
         started = time.monotonic()
         running = []
         for fault in self._plan:
             await asyncio.sleep(max(0.0, started + fault.at - time.monotonic()))
             print(f"{fault.at:7.2f} {fault}", file=sys.stderr)
-            running.append(asyncio.create_task(self._strike_once(site, callers, fault)))
+            running.append(asyncio.create_task(self._strike_once(strikes, callers, fault)))
         await asyncio.gather(*running)
 
-    async def _strike_once(self, site: Site, callers: Callers, fault: Fault) -> None:
+    async def _strike_once(self, strikes: Strikes, callers: Callers, fault: Fault) -> None:
         began_at = time.monotonic()
         hindrances = self._judge.hindrances
         if fault.kind in HINDERING:
@@ -135,7 +136,7 @@
         if fault.kind is Kind.CRASHING_REQUEST:
             await callers.ask_again_and_again(fault.target % CRASHING_PAGES, fault.seconds)
         else:
-            await site.strike(fault)
+            await strikes.strike(fault)
         if fault.kind in UNTOLD:
             untold.remove((began_at, float("inf")))
             untold.append((began_at, time.monotonic()))
--- /dev/null
+++ b/tests/process_soak/strikes.py
@@ -0,0 +1,263 @@
+"""Carries the faults of a plan out on a soak's site, and ends each after its time."""
+
+import asyncio
+import signal
+import time
+from collections.abc import Awaitable, Callable
+from pathlib import Path
+
+import aiohttp
+import orjson
+
+from larkpost.common.ids import Address
+from larkpost.platform import names
+from larkpost.platform.stand_in.rows import evacuation_change
+from larkpost.rehearsal.processes import Process
+from tests.process_soak.daemon_program import SUSPENDED_SIGNAL
+from tests.process_soak.plan import Fault, Kind
+from tests.process_soak.proxy import FaultProxy, LinkFault
+from tests.process_soak.records import (
+    FAILING_CALL,
+    FORGET_CALL,
+    LATE_ORDERS_CALL,
+    STORE_FAULTS_CALL,
+    Evacuation,
+)
+from tests.process_soak.site import (
+    ENGINE_COUNT,
+    PAGES,
+    STORE_SECONDS,
+    ZONES,
+    Daemon,
+    Server,
+    Site,
+)
+
+STORE_FAULTS = {
+    Kind.STORE_REFUSES: {"refuses": True},
+    Kind.STORE_LOSES_ANSWERS: {"lost_answers": 0.3},
+    Kind.STORE_WRITES_LATE: {"late_writes": 0.3},
+    Kind.STORE_SLOW: {"slow_seconds": 0.2},
+    Kind.STORE_PARTS_DOWN: {"parts_down": ["b0", "b1", "b2", "b3"]},
+}
+STOP_SECONDS = 12.0
+"""A daemon that has not ended by then after its planned stop is killed."""
+BAD_SETTINGS_SECONDS = 1.5
+
+Strike = Callable[[Fault], Awaitable[None]]
+
+
+class Strikes:
+    """The faults of one site."""
+
+    def __init__(self, site: Site) -> None:
+        self._site = site
+        self._strikes: dict[Kind, Strike] = {
+            Kind.DAEMON_KILL: self._kill_daemon,
+            Kind.DAEMON_STOP: self._stop_daemon,
+            Kind.ALL_DAEMONS_KILL: self._kill_all_daemons,
+            Kind.DAEMON_MOVE: self._move_daemon,
+            Kind.DAEMON_PAUSE: self._pause_daemon,
+            Kind.DAEMON_SUSPEND: self._suspend_daemon,
+            Kind.GOOD_SETTINGS: self._change_settings,
+            Kind.BAD_SETTINGS: self._break_settings,
+            Kind.STORE_TURNS_AWAY: self._turn_away,
+            Kind.STORE_FORGETS: self._forget_history,
+            Kind.STORE_PAUSE: self._pause_store,
+            Kind.STORE_LINK: self._harm_store_link,
+            Kind.FRONT_LINK: self._harm_front_link,
+            Kind.SERVER_LINK: self._harm_server_link,
+            Kind.SERVER_GARBLES: self._harm_server_link,
+            Kind.SERVER_PAUSE: self._pause_server,
+            Kind.SERVER_KILL: self._replace_server,
+            Kind.ORDERS_LATE: self._delay_orders,
+            Kind.SCORER_FAILS: self._fail_scorer,
+            Kind.CONFIGURATION: self._configure,
+            Kind.EVACUATION: self._evacuate,
+        } | dict.fromkeys(STORE_FAULTS, self._trouble_store)
+
+    async def strike(self, fault: Fault) -> None:
+        """Carries a fault out and ends it."""
+        await self._strikes[fault.kind](fault)
+
+    # Daemons
+
+    async def _kill_daemon(self, fault: Fault) -> None:
+        await self._restart(self._daemon(fault), signal.SIGKILL, fault.seconds)
+
+    async def _stop_daemon(self, fault: Fault) -> None:
+        await self._restart(self._daemon(fault), signal.SIGTERM, fault.seconds)
+
+    async def _kill_all_daemons(self, fault: Fault) -> None:
+        restarts = (
+            self._restart(daemon, signal.SIGKILL, fault.seconds) for daemon in self._site.daemons
+        )
+        await asyncio.gather(*restarts)
+
+    async def _restart(self, daemon: Daemon, number: signal.Signals, seconds: float) -> None:
+        process = daemon.process
+        process.send(signal.SIGCONT)
+        process.send(number)
+        await _ended(process)
+        await asyncio.sleep(seconds)
+        if daemon.process is process and daemon in self._site.daemons:
+            daemon.process = self._site.start_daemon(daemon.place, daemon.environment)
+
+    async def _move_daemon(self, fault: Fault) -> None:
+        """Kills a daemon for good; another one starts under a new address."""
+        old = self._daemon(fault)
+        old.process.send(signal.SIGKILL)
+        self._site.daemons.remove(old)
+        self._site.daemons.append(await self._site.new_daemon())
+        await old.front.close()
+        await old.store.close()
+
+    async def _pause_daemon(self, fault: Fault) -> None:
+        await _pause(self._daemon(fault).process, fault.seconds)
+
+    async def _suspend_daemon(self, fault: Fault) -> None:
+        """Stops a daemon's process; its plain steady clock stands still meanwhile."""
+        process = self._daemon(fault).process
+        process.send(signal.SIGSTOP)
+        await asyncio.sleep(fault.seconds)
+        process.send(SUSPENDED_SIGNAL)
+        process.send(signal.SIGCONT)
+
+    async def _change_settings(self, fault: Fault) -> None:
+        """Changes a daemon's settings so that nothing is different."""
+        daemon = self._daemon(fault)
+        path, changed = _changed_settings(daemon)
+        path.write_text(changed, encoding="utf-8")
+        daemon.process.send(signal.SIGHUP)
+
+    async def _break_settings(self, fault: Fault) -> None:
+        """Changes a daemon's settings to what it must refuse, and to good ones a while later."""
+        daemon = self._daemon(fault)
+        path, changed = _changed_settings(daemon)
+        path.write_text("this is no TOML = [", encoding="utf-8")
+        daemon.process.send(signal.SIGHUP)
+        asyncio.get_running_loop().call_later(BAD_SETTINGS_SECONDS, path.write_text, changed)
+
+    # Store
+
+    async def _turn_away(self, fault: Fault) -> None:
+        """Lets the store refuse all calls of one daemon."""
+        link = self._daemon(fault).store
+        upstream, link.upstream = link.upstream, self._site.refuser_address
+        link.break_off()
+        await asyncio.sleep(fault.seconds)
+        link.upstream = upstream
+        link.break_off()
+
+    async def _forget_history(self, fault: Fault) -> None:
+        await _control(self._site.store_address, FORGET_CALL, b"")
+
+    async def _trouble_store(self, fault: Fault) -> None:
+        """Lets faults strike the calls of all daemons; a later fault of the kind replaces them."""
+        faults = orjson.dumps(STORE_FAULTS[fault.kind])
+        await _control(self._site.store_address, STORE_FAULTS_CALL, faults)
+        await asyncio.sleep(fault.seconds)
+        await _control(self._site.store_address, STORE_FAULTS_CALL, b"{}")
+
+    async def _pause_store(self, fault: Fault) -> None:
+        await _pause(self._site.store, fault.seconds)
+
+    async def _harm_store_link(self, fault: Fault) -> None:
+        await _harm(self._daemon(fault).store, fault)
+
+    # Servers
+
+    async def _harm_front_link(self, fault: Fault) -> None:
+        await _harm(self._daemon(fault).front, fault)
+
+    async def _harm_server_link(self, fault: Fault) -> None:
+        await _harm(self._server(fault).proxy, fault)
+
+    async def _pause_server(self, fault: Fault) -> None:
+        await _pause(self._server(fault).process, fault.seconds)
+
+    async def _replace_server(self, fault: Fault) -> None:
+        server = self._server(fault)
+        process = server.process
+        process.send(signal.SIGKILL)
+        await _ended(process)
+        await asyncio.sleep(fault.seconds)
+        self._site.follow(server, process)
+
+    async def _delay_orders(self, fault: Fault) -> None:
+        engine = self._site.servers[fault.target % ENGINE_COUNT]
+        await _control(engine.own, LATE_ORDERS_CALL, b"1")
+        await asyncio.sleep(fault.seconds)
+        await _control(engine.own, LATE_ORDERS_CALL, b"0")
+
+    async def _fail_scorer(self, fault: Fault) -> None:
+        pages = [server for server in self._site.servers if server.service == PAGES]
+        server = pages[fault.target % len(pages)]
+        await _control(server.own, FAILING_CALL, b"1")
+        await asyncio.sleep(fault.seconds)
+        await _control(server.own, FAILING_CALL, b"0")
+
+    # Operator
+
+    async def _configure(self, fault: Fault) -> None:
+        await self._site.change_configuration()
+
+    async def _evacuate(self, fault: Fault) -> None:
+        """Evacuates a zone for a while, unless it is evacuated already."""
+        zone = ZONES[fault.target % len(ZONES)]
+        spans = self._site.evacuations
+        if any(span.zone == zone and span.ended_at == float("inf") for span in spans):
+            return
+        span = Evacuation(zone, float("inf"))
+        spans.append(span)
+        await self._site.write(evacuation_change(zone, is_on=True))
+        span.began_at = time.monotonic()
+        await asyncio.sleep(fault.seconds)
+        span.ended_at = time.monotonic()
+        await self._site.write(evacuation_change(zone, is_on=False))
+
+    def _daemon(self, fault: Fault) -> Daemon:
+        return self._site.daemons[fault.target % len(self._site.daemons)]
+
+    def _server(self, fault: Fault) -> Server:
+        return self._site.servers[fault.target % len(self._site.servers)]
+
+
+async def _pause(process: Process, seconds: float) -> None:
+    process.send(signal.SIGSTOP)
+    await asyncio.sleep(seconds)
+    process.send(signal.SIGCONT)
+
+
+async def _harm(proxy: FaultProxy, fault: Fault) -> None:
+    proxy.harm(fault.link)
+    await asyncio.sleep(fault.seconds)
+    proxy.harm(LinkFault.NONE)
+
+
+async def _control(address: Address, call: str, body: bytes) -> None:
+    """Tells a stand-in what to do, unless another fault has struck it too."""
+    try:
+        async with (
+            aiohttp.ClientSession() as session,
+            asyncio.timeout(STORE_SECONDS),
+            session.post(f"http://{address}{call}", data=body) as answer,
+        ):
+            assert answer.status == 200, f"{call}: {answer.status}"
+    except (aiohttp.ClientError, OSError, TimeoutError):
+        return
+
+
+async def _ended(process: Process) -> None:
+    """Waits for the end of a process; kills it if a planned stop takes too long."""
+    give_up_at = time.monotonic() + STOP_SECONDS
+    while process.popen.poll() is None:
+        if time.monotonic() > give_up_at:
+            process.send(signal.SIGKILL)
+        await asyncio.sleep(0.05)
+
+
+def _changed_settings(daemon: Daemon) -> tuple[Path, str]:
+    """Returns a daemon's settings file, and its text with a harmless change."""
+    path = Path(daemon.environment[names.SETTINGS_VARIABLE])
+    return path, path.read_text(encoding="utf-8") + f"# changed at {time.monotonic()}\n"
