--- a/src/larkpost/gateway/rollouts/engine_rules.py
+++ b/src/larkpost/gateway/rollouts/engine_rules.py
@@ -8,8 +8,8 @@
 
 from dataclasses import dataclass
 
+from larkpost.common.distance import Distance
 from larkpost.gateway.blackboard.directory import InstanceInfo
-from larkpost.gateway.blackboard.regions import Distance
 
 FASTER_RATIO = 1.12
 """Ratio of paces from which one engine counts as faster than another. Not measured alone: it is to
--- a/src/larkpost/gateway/rollouts/service.py
+++ b/src/larkpost/gateway/rollouts/service.py
@@ -13,6 +13,7 @@
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.metrics import Count
 from larkpost.gateway.placement.work import Work, WorkKind
+from larkpost.gateway.rollouts.acceptance import AcceptOutcome
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.errors import (
     BatchIdTakenError,
@@ -24,7 +25,7 @@
 from larkpost.gateway.rollouts.keeper import BatchKeeper
 from larkpost.gateway.rollouts.model import BatchSpec, ItemId
 from larkpost.gateway.rollouts.reader import RETRY_AFTER_SECONDS, BatchReader, ResultPage
-from larkpost.gateway.rollouts.repository import AcceptOutcome, BatchRepository, EndOutcome
+from larkpost.gateway.rollouts.repository import BatchRepository, EndOutcome
 from larkpost.gateway.rollouts.view import ViewCache
 from larkpost.gateway.store.port import StoreUnavailableError
 
--- a/src/larkpost/platform/batches.py
+++ b/src/larkpost/platform/batches.py
@@ -22,7 +22,7 @@
     RewardCall,
     RewardCallId,
 )
-from larkpost.gateway.rollouts.service import ResultPage
+from larkpost.gateway.rollouts.reader import ResultPage
 from larkpost.platform import names
 
 MAX_ID_LENGTH = 120
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -12,7 +12,7 @@
 def append_without_condition():
     """Appends results whatever the tail's version is."""
     from larkpost.gateway.store.batch_tables import HEAD_TABLE, TAIL_TABLE
-    from larkpost.rehearsal.memory_store import StoreClient
+    from larkpost.platform.stand_in.memory_store import StoreClient
 
     original = StoreClient.write
 
@@ -42,7 +42,8 @@
 
 def refuse_after_unknown():
     """Says "not accepted" though a write was without an answer."""
-    from larkpost.gateway.rollouts.repository import AcceptOutcome, BatchRepository
+    from larkpost.gateway.rollouts.acceptance import AcceptOutcome
+    from larkpost.gateway.rollouts.repository import BatchRepository
 
     original = BatchRepository.accept
 
@@ -311,7 +312,7 @@
 def save_counts_without_condition():
     """Writes counts whatever the row's version is, so that late writes undo later ones."""
     from larkpost.gateway.usage.repository import COUNT_TABLE
-    from larkpost.rehearsal.memory_store import StoreClient
+    from larkpost.platform.stand_in.memory_store import StoreClient
 
     original = StoreClient.write
 
--- a/tests/test_durable_batches.py
+++ b/tests/test_durable_batches.py
@@ -3,10 +3,10 @@
 import unittest
 
 from larkpost.common.ids import BatchId
+from larkpost.gateway.rollouts.errors import BatchRefusedError, BatchUncertainError
 from larkpost.gateway.rollouts.progress import Progress
-from larkpost.gateway.rollouts.service import BatchRefusedError, BatchUncertainError
 from larkpost.gateway.store.batch_tables import PARTS, part_of
-from larkpost.rehearsal.memory_store import StoreFaults
+from larkpost.platform.stand_in.memory_store import StoreFaults
 from tests.platform_fleet import PlatformFleet, check_results, make_batch
 from tests.virtual import run
 
--- a/tests/test_engine_rules.py
+++ b/tests/test_engine_rules.py
@@ -2,10 +2,10 @@
 
 import unittest
 
+from larkpost.common.distance import Distance
 from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ServiceName
 from larkpost.gateway.blackboard.directory import InstanceInfo, InstanceState
-from larkpost.gateway.blackboard.regions import Distance
 from larkpost.gateway.rollouts.engine_rules import (
     EngineState,
     choose_engine,
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -6,17 +6,17 @@
 import asyncio
 import random
 import unittest
+from dataclasses import replace
 
 from larkpost.common.clock import LoopClock
-from larkpost.common.ids import Address, InstanceId, ZoneId
+from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import (
     ModelName,
     Route,
     RouteKind,
-    ServiceName,
     ServiceShare,
 )
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.directory import Directory, InstanceState
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.placement.work import CLIENT_WORK
@@ -45,10 +45,11 @@
     WaitingLines,
     look_interval,
 )
-from larkpost.rehearsal.scripted_engines import EngineState, ScriptedEngines
+from tests.platform_fleet import PAGES
+from tests.scripted_engines import ScriptedEngine, ScriptedEngines
+from tests.server_parts import make_instance
 from tests.virtual import run
 
-PAGES = ServiceName("pages")
 SLOTS = 2
 OBJECTIVE = 0.2
 TIME_LIMIT = 2.0
@@ -135,7 +136,7 @@
         self.balancer = Balancer(self.directory, self.clock, random.Random(1))
         for number in range(count):
             name = InstanceId(f"e{number}")
-            self.engines.engines[name] = EngineState(slots=SLOTS, event_seconds=pace)
+            self.engines.engines[name] = ScriptedEngine(slots=SLOTS, event_seconds=pace)
             self.list(name, InstanceState.READY)
             self.balancer.record_pace(name, pace)
         self.metrics = Metrics()
@@ -152,11 +153,9 @@
 
     def list(self, name: InstanceId, state: InstanceState) -> None:
         """Writes a server's entry."""
-        self.directory.update(
-            InstanceInfo(name, PAGES, Address("10.0.0.1:1"), ZoneId("z"), SLOTS, state)
-        )
+        self.directory.update(replace(make_instance(name, slots=SLOTS), state=state))
 
-    def state(self) -> EngineState:
+    def state(self) -> ScriptedEngine:
         """Returns the first server."""
         return self.engines.engines[InstanceId("e0")]
 
@@ -391,8 +390,8 @@
         async def play():
             for kind in (RouteKind.IDEMPOTENT, RouteKind.RUN_ONCE):
                 for state, error in (
-                    (EngineState(slots=SLOTS, event_seconds=1000.0), RequestTimeoutError),
-                    (EngineState(slots=SLOTS, break_after=0), RequestFailedError),
+                    (ScriptedEngine(slots=SLOTS, event_seconds=1000.0), RequestTimeoutError),
+                    (ScriptedEngine(slots=SLOTS, break_after=0), RequestFailedError),
                 ):
                     self.begin()
                     self.engines.engines[InstanceId("e0")] = state
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -18,7 +18,7 @@
 from larkpost.gateway.controllers.members import AWAITED_PART, Membership
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
-from larkpost.rehearsal.memory_store import MemoryStore, StoreClient, StoreFaults
+from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient, StoreFaults
 from larkpost.standalone.telemetry import Telemetry
 from tests.virtual import run
 
--- a/tests/test_nearness.py
+++ b/tests/test_nearness.py
@@ -12,7 +12,7 @@
     RouteKind,
     ServiceShare,
 )
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.directory import Directory
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
@@ -26,14 +26,15 @@
 from larkpost.gateway.store.peers import PEERS_ASKED
 from larkpost.gateway.store.port import RowKey, StoreUnavailableError, Transaction, WriteOutcome
 from larkpost.gateway.store.relay import RelayedStore
-from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
-from larkpost.rehearsal.scripted_engines import EngineState, ScriptedEngines
+from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient
 from larkpost.standalone.telemetry import Telemetry
 from tests.platform_fleet import (
     MODEL,
     PAGES,
 )
 from tests.platform_places import EAST, EAST_ZONES, REGIONS, WEST, WEST_ZONE
+from tests.scripted_engines import ScriptedEngine, ScriptedEngines
+from tests.server_parts import make_instance
 from tests.virtual import run
 
 ROUTE = Route(
@@ -52,11 +53,8 @@
         self.directory = Directory()
         for number, zone in enumerate(zones):
             name = InstanceId(f"s{number}")
-            self.servers.engines[name] = EngineState(slots=4)
-            address = Address("10.0.0.1:1")
-            self.directory.update(
-                InstanceInfo(name, PAGES, address, zone, 4, InstanceState.READY, {MODEL: 1})
-            )
+            self.servers.engines[name] = ScriptedEngine(slots=4)
+            self.directory.update(make_instance(name, zone=zone))
         placement = Placement(self.directory, (HomeRule(regions),))
         chance = random.Random(1)
         self.balancer = Balancer(
--- a/tests/test_pinned_rows.py
+++ b/tests/test_pinned_rows.py
@@ -31,6 +31,7 @@
 from larkpost.gateway.proxy.request import ClientRequest
 from larkpost.gateway.quarantine.content import digest_content
 from larkpost.gateway.quarantine.repository import CrashRepository, crash_of_row
+from larkpost.gateway.rollouts.batch_rows import head_of_row
 from larkpost.gateway.rollouts.codec import (
     decode_head,
     decode_items,
@@ -55,14 +56,14 @@
     Tail,
 )
 from larkpost.gateway.rollouts.progress import Progress
-from larkpost.gateway.rollouts.repository import BatchRepository, head_of_row
+from larkpost.gateway.rollouts.repository import BatchRepository
 from larkpost.gateway.store.batch_tables import part_of
 from larkpost.gateway.store.port import Row, RowKey, Transaction
 from larkpost.gateway.usage.port import UsageReport
 from larkpost.gateway.usage.repository import DecidedReport, UsageRepository
 from larkpost.platform.assembly import READERS
 from larkpost.platform.operator import UnreadableRowError
-from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
+from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient
 from larkpost.standalone.telemetry import Telemetry
 from tests.pinned_parts import forward, make_active_member, make_member, make_scaled_fleet
 from tests.platform_fleet import MODEL, PAGES, make_batch
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -4,9 +4,9 @@
 from dataclasses import replace
 
 from larkpost.common.clock import LoopClock
-from larkpost.common.ids import Address, InstanceId, ZoneId
+from larkpost.common.ids import Address, InstanceId
 from larkpost.common.tasks import TaskSet
-from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
+from larkpost.gateway.blackboard.configuration import ModelName
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
 from larkpost.gateway.blackboard.known_crashes import (
     CLIENT_CRASH_LIMIT,
@@ -32,23 +32,17 @@
     PortState,
 )
 from larkpost.gateway.store.port import Row, RowKey
-from larkpost.rehearsal.memory_store import MemoryStore, StoreClient, StoreFaults
-from larkpost.rehearsal.scripted_engines import EngineState, ScriptedEngines
+from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient, StoreFaults
 from larkpost.standalone.telemetry import Telemetry
 from tests.recording_log import RecordingLog
+from tests.scripted_engines import ScriptedEngine, ScriptedEngines
+from tests.server_parts import make_instance
 from tests.virtual import run
 
-PAGES = ServiceName("pages")
 CONTENT = ContentDigest("aa")
 REQUEST = OutgoingRequest(b"1", "GET", b"h", b"/", (), b"")
 
 
-def make_instance(name: str, number: int = 1) -> InstanceInfo:
-    """Returns an instance at an address."""
-    address = Address(f"10.0.0.{number}:1")
-    return InstanceInfo(InstanceId(name), PAGES, address, ZoneId("z"), 4, InstanceState.READY)
-
-
 class Probes:
     """Servers whose ports are as a test says."""
 
@@ -317,7 +311,7 @@
         """Starts a server."""
         self.clock = LoopClock()
         self.engines = ScriptedEngines(self.clock, ModelName("model"))
-        self.state = EngineState()
+        self.state = ScriptedEngine()
         self.instance = make_instance("a")
         self.engines.engines[self.instance.id] = self.state
         self.crashes = KnownCrashes()
@@ -388,7 +382,7 @@
             async with self.guard.send(self.instance, REQUEST):
                 self.assertIs(Verdict.APART, self.apart.judge(self.instance, suspect))
                 self.assertIs(Verdict.ALLOWED, self.apart.judge(self.instance, CLIENT_WORK))
-                other = make_instance("b", 2)
+                other = make_instance("b", address=Address("10.0.0.2:1"))
                 self.assertIs(Verdict.ALLOWED, self.apart.judge(other, suspect))
             self.assertIs(Verdict.ALLOWED, self.apart.judge(self.instance, suspect))
 
--- a/tests/test_reward_rules.py
+++ b/tests/test_reward_rules.py
@@ -11,7 +11,7 @@
     limit_seconds,
     usable_slots,
 )
-from tests.test_mechanisms import make_info
+from tests.server_parts import make_instance
 
 SLOTS = (
     # slots of a server, those that may be occupied
@@ -69,7 +69,7 @@
         for names, tried, expected, left in SERVERS:
             with self.subTest(names=names, tried=tried):
                 history = CallHistory(set(tried))
-                chosen = choose_server([make_info(name) for name in names], history)
+                chosen = choose_server([make_instance(name) for name in names], history)
                 self.assertEqual(expected, chosen.id if chosen is not None else None)
                 self.assertEqual(set(left), history.servers)
 
