--- /dev/null
+++ b/src/larkpost/gateway/blackboard/use_summary.py
@@ -0,0 +1,6 @@
+"""What daemons report to each other of their use of instances; it travels with their heartbeats."""
+
+from larkpost.common.ids import InstanceId
+
+UseSummary = dict[InstanceId, tuple[int, float]]
+"""For each instance in use: requests there, and seconds a unit of work takes (0: unknown)."""
--- a/src/larkpost/gateway/controllers/heartbeat.py
+++ b/src/larkpost/gateway/controllers/heartbeat.py
@@ -5,13 +5,11 @@
 
 import orjson
 
-from larkpost.common.ids import Address, DaemonId, InstanceId, ZoneId
+from larkpost.common.ids import Address, DaemonId, ZoneId
+from larkpost.gateway.blackboard.use_summary import UseSummary
 
 LIFE_SEPARATOR = "/"
 
-UseSummary = dict[InstanceId, tuple[int, float]]
-"""For each instance in use: requests there, and seconds a unit of work takes (0: unknown)."""
-
 
 def new_life(machine: str) -> DaemonId:
     """Returns the id of a new life of a machine's daemon."""
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -36,7 +36,7 @@
 from larkpost.gateway.placement.rules import Placement
 from larkpost.gateway.planned_stop import PlannedStop
 from larkpost.gateway.proxy.admission import Admission
-from larkpost.gateway.proxy.balancer import Balancer
+from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.quarantine.apart import ApartRule
@@ -123,10 +123,12 @@
             self.directory,
             ports.clock,
             ports.chance,
-            ports.servers.is_connected,
-            Placement(self.directory, rules, ports.metrics, self.cold.send_within),
-            self.cold,
-            self.blackboard.regions,
+            BalancerSources(
+                ports.servers.is_connected,
+                Placement(self.directory, rules, ports.metrics, self.cold.send_within),
+                self.cold,
+                self.blackboard.regions,
+            ),
         )
 
     def _make_fleet(self) -> None:
@@ -139,7 +141,7 @@
             ports.store,
             ports.clock,
             self.balancer.summary,
-            self.balancer.take_summary,
+            self.balancer.record_peer_summary,
             ports.log,
             lambda: self.keeper.is_owner(),
             self.settings.peer_address,
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -1,96 +1,111 @@
-"""Chooses an instance of a service by its load and speed, as far as this daemon knows them."""
+"""Chooses an instance of a service by its load and speed, as far as this daemon knows them.
+
+Joins what this daemon's own requests show (`instance_use`), what the others report (`peer_use`),
+how far instances are (`latency`) and where work may go at all (`placement`), and has the candidates
+put in order (`ranking`). Owns none of these rules but two: how many requests count as being at an
+instance, and what a request that did not run says about it.
+"""
 
 import random
 from collections import Counter
 from collections.abc import Callable, Collection, Iterator
 from contextlib import contextmanager
+from dataclasses import dataclass
 
 from larkpost.common.clock import Clock
 from larkpost.common.ids import DaemonId, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ServiceName
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
 from larkpost.gateway.blackboard.regions import Distance, RegionMap
-from larkpost.gateway.controllers.heartbeat import UseSummary
+from larkpost.gateway.blackboard.use_summary import UseSummary
 from larkpost.gateway.placement.cold import ColdRule
 from larkpost.gateway.placement.rules import Placement
 from larkpost.gateway.placement.verdict import Verdict
 from larkpost.gateway.placement.work import CLIENT_WORK, Work
-from larkpost.gateway.proxy.closeness import Closeness
-from larkpost.gateway.proxy.instance_use import InstanceUse, PeerUse
+from larkpost.gateway.proxy.instance_use import (
+    FORGET_SECONDS,
+    PACE_WEIGHT,
+    InstanceUse,
+    OwnUse,
+)
+from larkpost.gateway.proxy.latency import LatencyFactors
+from larkpost.gateway.proxy.peer_use import PeerUses
+from larkpost.gateway.proxy.ranking import Candidate, connection_factor, rank
 from larkpost.gateway.servers.port import NotRunError, NotRunReason, ServerLoad
 
-LOAD_LIFETIME_SECONDS = 1.0
-"""How long a load that a server told of itself is used."""
-PACE_WEIGHT = 0.25
-"""Weight of the newest measurement in an instance's pace."""
-PACE_LIFETIME_SECONDS = 4.0
-PEER_LIFETIME_SECONDS = 1.2
-"""How long the requests that another daemon told of are counted."""
-PEER_PACE_LIFETIME_SECONDS = 12.0
-MAX_PACE_RATIO = 8.0
-TIDY_SECONDS = 60.0
-"""Between two looks for records of instances and daemons that are gone."""
 UNREACHABLE_AVOID_SECONDS = 1.0
-PROBE_SECONDS = 0.15
-"""Pause between two requests to an instance that refuses: loads of weights take about a second."""
-RULED_OUT = (
+"""For so long an instance is a last resort that did not run a request, unless it was full. Not
+measured."""
+NOT_ASKED_REASONS = (
     NotRunReason.COLD,
     NotRunReason.EVACUATED,
     NotRunReason.OUTSIDE_REGIONS,
     NotRunReason.APART,
     NotRunReason.QUARANTINED,
 )
-"""Reasons that tell nothing of an instance: a rule forbade one send, and judges the next anew."""
-NEW_CONNECTION_FACTOR = 1.2
-"""By how much longer the wait counts at an instance to which no connection is kept.
+"""Reasons that say nothing of an instance: a rule forbade one send, and judges the next anew."""
 
-More than the paces of equal servers differ by chance, less than one request more in a queue of
-five (6/5) does: a new connection costs a server time, but not as much as a request.
-"""
+
+def _never_connected(_: InstanceInfo) -> bool:
+    return False
+
+
+@dataclass(frozen=True, slots=True)
+class BalancerSources:
+    """What a balancer asks about instances besides their use.
+
+    Attributes:
+        is_connected: returns whether a connection to an instance is kept.
+        placement: the rules by which instances are judged; None for no more than that they do not
+            leave.
+        cold: knows which instances are cold; None if none ever is.
+        regions: where zones lie; None if that is not known.
+    """
+
+    is_connected: Callable[[InstanceInfo], bool] = _never_connected
+    placement: Placement | None = None
+    cold: ColdRule | None = None
+    regions: RegionMap | None = None
 
 
 class Balancer:
-    """Keeps the use of all instances and chooses among them."""
+    """Keeps the use of all instances and chooses among them.
+
+    Args:
+        chance: breaks ties; one number is drawn for each candidate, in the directory's order.
+    """
 
     def __init__(
         self,
         directory: Directory,
         clock: Clock,
         chance: random.Random,
-        is_connected: Callable[[InstanceInfo], bool] = lambda _: False,
-        placement: Placement | None = None,
-        cold: ColdRule | None = None,
-        regions: RegionMap | None = None,
+        sources: BalancerSources | None = None,
     ) -> None:
-        """Makes an empty record.
-
-        Args:
-            is_connected: tells whether a connection to an instance is kept.
-            placement: the rules by which instances are judged; None for no more than that they
-                do not leave.
-            cold: knows which instances are cold; None if none ever is.
-            regions: where zones lie; None if that is not known.
-        """
-        self._regions = regions or RegionMap()
-        self._closeness = Closeness(clock)
-        self._placement = placement or Placement(directory)
-        self._is_connected = is_connected
-        self._cold = cold
+        sources = sources or BalancerSources()
         self._directory = directory
         self._clock = clock
         self._chance = chance
-        self._uses: dict[InstanceId, InstanceUse] = {}
-        self._peers: dict[InstanceId, dict[DaemonId, PeerUse]] = {}
-        """For each instance, only the daemons that use it: most daemons use few."""
-        self._tidy_at = float("-inf")
+        self._is_connected = sources.is_connected
+        self._placement = sources.placement or Placement(directory)
+        self._cold = sources.cold
+        self._regions = sources.regions or RegionMap()
+        self._latency = LatencyFactors(clock)
+        self._own = OwnUse(directory, clock)
+        self._peers = PeerUses(clock)
+        self._forget_at = float("-inf")
         self._release_listeners: list[Callable[[InstanceId], None]] = []
 
+    @property
+    def placement(self) -> Placement:
+        """The rules by which instances are judged."""
+        return self._placement
+
     def use(self, instance: InstanceId) -> InstanceUse:
-        """Returns the record of an instance."""
-        use = self._uses.get(instance)
-        if use is None:
-            use = self._uses[instance] = InstanceUse()
-        return use
+        """Returns the record of this daemon's use of an instance."""
+        return self._own.of(instance)
+
+    # The choice.
 
     def candidates(
         self,
@@ -107,7 +122,7 @@
 
         Args:
             work: what is to be sent.
-            eligible: tells what else the caller wants of an instance.
+            eligible: returns what else the caller wants of an instance.
             for_client: whether it is a client's request, which rather takes a kept connection
                 and a near instance.
         """
@@ -118,126 +133,88 @@
             and (eligible is None or eligible(info))
             and self._placement.allows(info, work)
         ]
-        ways = self._way_factors(service, fitting) if for_client else {}
-        paces = {info.id: self._pace_here(info.id, ways.get(info.id, 1.0)) for info in fitting}
+        factors = self._latency_factors(service, fitting) if for_client else {}
+        paces = {info.id: self._local_pace(info.id, factors.get(info.id, 1.0)) for info in fitting}
+        candidates = [
+            Candidate(
+                info,
+                is_avoided=self.is_avoided(info.id),
+                is_cold=self.is_cold(info),
+                occupied=self.occupied(info),
+                pace=paces[info.id],
+                latency_factor=factors.get(info.id, 1.0),
+                connection_factor=self._connection_factor(info) if for_client else 1.0,
+                tie_break=self._chance.random(),
+            )
+            for info in fitting
+        ]
         best_pace = min((pace for pace in paces.values() if pace), default=0.0)
-        return sorted(
-            fitting,
-            key=lambda info: (
-                self.is_avoided(info.id),
-                self.is_cold(info),
-                self._expected_wait(info, paces[info.id], best_pace)
-                * ways.get(info.id, 1.0)
-                * (self._connection_factor(info) if for_client else 1.0),
-                self._chance.random(),
-            ),
-        )
-
-    def distance(self, info: InstanceInfo) -> Distance:
-        """Returns how far an instance is."""
-        return self._regions.distance(info.zone)
+        return rank(candidates, best_pace)
 
-    def _way_factors(
-        self, service: ServiceName, fitting: list[InstanceInfo]
-    ) -> dict[InstanceId, float]:
-        """Returns by how much longer an answer takes than from the nearest that has a place.
+    def has_place(self, info: InstanceInfo) -> bool:
+        """Returns whether an instance is believed to have a free place.
 
-        Only instances from which it takes longer are named.
+        One that refused is asked with a single request at a time until it takes one: while it
+        loads weights it refuses all that come, however few it has.
         """
-        distances = {info.id: self.distance(info) for info in fitting}
-        if len(set(distances.values())) < 2:
-            return {}
-        nearest = min(
-            (
-                distances[info.id]
-                for info in fitting
-                if not self.is_avoided(info.id) and self.occupied(info) < max(1, info.slots)
-            ),
-            default=Distance.OTHER_REGION,
-        )
-        return {
-            name: self._closeness.factor(service, distance, nearest)
-            for name, distance in distances.items()
-            if distance > nearest
-        }
+        if self._own.is_probed(info.id):
+            return False
+        return self.occupied(info) < max(1, info.slots)
 
-    def _pace_here(self, instance: InstanceId, way: float) -> float:
-        """Returns an instance's pace, without the longer way if this daemon measured it in."""
-        is_answer = self._clock.now() - self.use(instance).answered_at < PACE_LIFETIME_SECONDS
-        return self.pace(instance) / (way if is_answer else 1.0)
+    def is_avoided(self, instance: InstanceId) -> bool:
+        """Returns whether an instance is only a last resort at the moment."""
+        return self._own.is_avoided(instance)
+
+    def is_cold(self, info: InstanceInfo) -> bool:
+        """Returns whether an instance is cold and gets few requests."""
+        return self._cold is not None and self._cold.is_cold(info)
+
+    def distance(self, info: InstanceInfo) -> Distance:
+        """Returns how far an instance is."""
+        return self._regions.distance(info.zone)
 
     def occupied(self, info: InstanceInfo) -> int:
         """Returns the requests believed to be at an instance, this daemon's and others'."""
-        now = self._clock.now()
-        use = self.use(info.id)
-        if now - use.load_at < LOAD_LIFETIME_SECONDS:
+        use = self._own.of(info.id)
+        if self._own.has_recent_load(info.id):
             return use.outstanding + use.others
-        return use.outstanding + sum(
-            peer.requests
-            for peer in self._peers.get(info.id, {}).values()
-            if now - peer.at < PEER_LIFETIME_SECONDS
-        )
+        return use.outstanding + self._peers.requests(info.id)
 
     def pace(self, instance: InstanceId) -> float:
         """Returns the seconds a unit of work takes at an instance; 0 if not known lately.
 
-        This daemon's own measurement counts before what the others told.
+        This daemon's own measurement counts before what the others reported.
         """
-        now = self._clock.now()
-        use = self.use(instance)
-        if now - use.pace_at < PACE_LIFETIME_SECONDS:
-            return use.pace
-        told = [
-            (peer.at, peer.pace)
-            for peer in self._peers.get(instance, {}).values()
-            if peer.pace and now - peer.at < PEER_PACE_LIFETIME_SECONDS
-        ]
-        return max(told, default=(0.0, 0.0))[1]
+        if self._own.has_recent_pace(instance):
+            return self._own.of(instance).pace
+        return self._peers.pace(instance)
+
+    def verdicts(self, service: ServiceName, work: Work = CLIENT_WORK) -> dict[Verdict, int]:
+        """Returns how many instances of a service get each verdict; for the line on a refusal."""
+        return dict(
+            Counter(self._verdict(info, work) for info in self._directory.of_service(service))
+        )
+
+    def is_outside_regions(self, service: ServiceName, work: Work) -> bool:
+        """Returns whether no server of a service lies where work may be served."""
+        if work.regions is None:
+            return False
+        infos = self._directory.of_service(service)
+        regions = {self._regions.region_of(info.zone) for info in infos}
+        return not work.regions or bool(regions) and not regions & work.regions
+
+    # What the other daemons report, and are told.
 
     def summary(self) -> UseSummary:
-        """Returns what this daemon tells the others of its use."""
-        now = self._clock.now()
-        return {
-            name: (use.outstanding, round(use.pace, 4))
-            for name, use in self._uses.items()
-            if self._directory.takes_work(name)
-            and (use.outstanding or now - use.pace_at < PACE_LIFETIME_SECONDS)
-        }
+        """Returns what this daemon reports to the others of its use."""
+        return self._own.summary()
 
-    def take_summary(self, daemon: DaemonId, summary: UseSummary) -> None:
-        """Takes what another daemon told of its use, in place of what it told before.
+    def record_peer_summary(self, daemon: DaemonId, summary: UseSummary) -> None:
+        """Records what another daemon reports of its use, in place of its last report."""
+        self._forget_unused()
+        self._peers.record(daemon, summary)
 
-        Of instances that it uses no longer, the paces are kept for a while.
-        """
-        now = self._clock.now()
-        self._tidy(now)
-        for instance, (requests, pace) in summary.items():
-            self._peers.setdefault(instance, {})[daemon] = PeerUse(requests, pace, now)
-        for instance, peers in list(self._peers.items()):
-            known = peers.get(daemon)
-            if known is None or instance in summary:
-                continue
-            if now - known.at > PEER_PACE_LIFETIME_SECONDS:
-                del peers[daemon]
-            elif known.requests:
-                peers[daemon] = PeerUse(0, known.pace, known.at)
-            if not peers:
-                del self._peers[instance]
-
-    def _tidy(self, now: float) -> None:
-        """Forgets now and then what is too old to be used, of instances and daemons long gone."""
-        if now < self._tidy_at:
-            return
-        self._tidy_at = now + TIDY_SECONDS
-        for instance, use in list(self._uses.items()):
-            last = max(use.pace_at + TIDY_SECONDS, use.avoid_until)
-            if not use.outstanding and last < now and self._directory.get(instance) is None:
-                del self._uses[instance]
-        for instance, peers in list(self._peers.items()):
-            for daemon in [name for name, peer in peers.items() if now - peer.at > TIDY_SECONDS]:
-                del peers[daemon]
-            if not peers:
-                del self._peers[instance]
+    # Requests in flight.
 
     @contextmanager
     def placed(self, instance: InstanceId) -> Iterator[None]:
@@ -246,7 +223,7 @@
         try:
             yield
         except NotRunError:
-            self.use(instance).outstanding -= 1
+            self._own.of(instance).outstanding -= 1
             raise
         except BaseException:
             self.release(instance)
@@ -255,131 +232,113 @@
 
     def occupy(self, instance: InstanceId) -> None:
         """Counts a request at an instance until `release` is called for it."""
-        self._tidy(self._clock.now())
-        use = self.use(instance)
-        use.outstanding += 1
-        if use.is_refusing:
-            use.asked_at = self._clock.now()
-        info = self._directory.get(instance)
-        use.zone = info.zone if info is not None else use.zone
+        self._forget_unused()
+        self._own.occupy(instance)
 
     def release(self, instance: InstanceId) -> None:
         """Ends the count of a request at an instance."""
-        self.use(instance).outstanding -= 1
+        self._own.of(instance).outstanding -= 1
         for listener in self._release_listeners:
             listener(instance)
 
-    def when_released(self, listener: Callable[[InstanceId], None]) -> None:
-        """Has a listener told of each request of this daemon that ends at an instance."""
+    def add_release_listener(self, listener: Callable[[InstanceId], None]) -> None:
+        """Calls a listener at the end of each request of this daemon, with its instance."""
         self._release_listeners.append(listener)
 
+    def outstanding_in(self, zone: ZoneId) -> int:
+        """Returns this daemon's requests at a zone's instances, also those that left the list."""
+        return self._own.outstanding_in(zone)
+
+    # What requests show.
+
     def record_load(self, instance: InstanceId, load: ServerLoad | None) -> None:
-        """Takes that an instance answers a request, and what it told of its load meanwhile."""
-        self.use(instance).is_refusing = False
-        if load is None:
-            return
-        use = self.use(instance)
-        use.others = max(0, load.running + load.waiting - use.outstanding)
-        use.load_at = self._clock.now()
+        """Records that an instance responds, and the load that it reported, if any."""
+        self._own.of(instance).is_refusing = False
+        if load is not None:
+            self._own.record_load(instance, load)
 
     def record_cold(self, instance: InstanceId, left: float | None) -> None:
-        """Takes for how many seconds an instance says that it stays cold; None: it says nothing."""
+        """Records for how many seconds an instance says that it stays cold; None: it says none."""
         if self._cold is not None:
             self._cold.record(instance, left)
 
-    def is_cold(self, info: InstanceInfo) -> bool:
-        """Tells whether an instance is cold and gets few requests."""
-        return self._cold is not None and self._cold.is_cold(info)
-
     def record_pace(
         self, instance: InstanceId, seconds: float, weight: float = PACE_WEIGHT
     ) -> None:
-        """Takes a measurement of the time that a unit of work took at an instance.
+        """Records the time that a unit of work took at an instance.
 
         Args:
             weight: share of this measurement in the smoothed pace.
         """
-        use = self.use(instance)
-        now = self._clock.now()
-        if now - use.pace_at > PACE_LIFETIME_SECONDS:
-            use.pace = seconds
-        else:
-            use.pace += weight * (seconds - use.pace)
-        use.pace_at = now
-
-    def record_answer(self, info: InstanceInfo, seconds: float) -> None:
-        """Takes the time from a client's request to its whole answer."""
+        self._own.record_pace(instance, seconds, weight)
+
+    def record_response(self, info: InstanceInfo, seconds: float) -> None:
+        """Records the time from a client's request to its whole response."""
         self.record_pace(info.id, seconds)
-        self.use(info.id).answered_at = self._clock.now()
-        self._closeness.record(info.service, self.distance(info), seconds)
+        self._own.of(info.id).response_at = self._clock.now()
+        self._latency.record(info.service, self.distance(info), seconds)
 
     def avoid(self, instance: InstanceId, seconds: float) -> None:
         """Makes an instance a last resort for a while."""
-        use = self.use(instance)
-        use.avoid_until = max(use.avoid_until, self._clock.now() + seconds)
+        self._own.avoid(instance, seconds)
 
     def record_not_run(
         self, instance: InstanceId, reason: NotRunReason, full_seconds: float
     ) -> None:
-        """Takes that an instance certainly did not run a request.
+        """Records that an instance certainly did not run a request.
 
         Args:
             full_seconds: how long to avoid it if it was full.
         """
-        if reason in RULED_OUT:
+        if reason in NOT_ASKED_REASONS:
             return  # it was not asked at all, and may have room for other work
         if reason is NotRunReason.REPLACED:
             self._directory.retire(instance)
-        full = reason is NotRunReason.FULL
-        self.use(instance).is_refusing = full
-        self.avoid(instance, full_seconds if full else UNREACHABLE_AVOID_SECONDS)
+        is_full = reason is NotRunReason.FULL
+        self._own.of(instance).is_refusing = is_full
+        self.avoid(instance, full_seconds if is_full else UNREACHABLE_AVOID_SECONDS)
 
-    def has_place(self, info: InstanceInfo) -> bool:
-        """Tells whether an instance is believed to have a free place.
+    def _latency_factors(
+        self, service: ServiceName, fitting: list[InstanceInfo]
+    ) -> dict[InstanceId, float]:
+        """Returns how many times as long a response takes as from the nearest that has a place.
 
-        One that refused is asked with a single request at a time until it takes one: while it
-        loads weights it refuses all that come, however few it has.
+        Only instances that are farther than it are named.
         """
-        use = self.use(info.id)
-        is_asked = use.is_refusing and self._clock.now() - use.asked_at < PROBE_SECONDS
-        if is_asked:
-            return False
-        return self.occupied(info) < max(1, info.slots)
-
-    def is_avoided(self, instance: InstanceId) -> bool:
-        """Tells whether an instance is only a last resort at the moment."""
-        return self._clock.now() < self.use(instance).avoid_until
-
-    def verdicts(self, service: ServiceName, work: Work = CLIENT_WORK) -> dict[Verdict, int]:
-        """Returns how many instances of a service get each verdict; for the line on a refusal."""
-        return dict(
-            Counter(self._verdict(info, work) for info in self._directory.of_service(service))
+        distances = {info.id: self.distance(info) for info in fitting}
+        if len(set(distances.values())) < 2:
+            return {}
+        nearest = min(
+            (
+                distances[info.id]
+                for info in fitting
+                if not self.is_avoided(info.id) and self.occupied(info) < max(1, info.slots)
+            ),
+            default=Distance.OTHER_REGION,
         )
+        return {
+            name: self._latency.factor(service, distance, nearest)
+            for name, distance in distances.items()
+            if distance > nearest
+        }
 
-    def is_homeless(self, service: ServiceName, work: Work) -> bool:
-        """Tells whether no server of a service lies where work may be served."""
-        if work.regions is None:
-            return False
-        infos = self._directory.of_service(service)
-        regions = {self._regions.region_of(info.zone) for info in infos}
-        return not work.regions or bool(regions) and not regions & work.regions
+    def _local_pace(self, instance: InstanceId, latency_factor: float) -> float:
+        """Returns an instance's pace, without the latency if this daemon measured it in."""
+        has_latency = self._own.has_recent_response(instance)
+        return self.pace(instance) / (latency_factor if has_latency else 1.0)
 
-    def outstanding_in(self, zone: ZoneId) -> int:
-        """Returns this daemon's requests at a zone's instances, also those that left the list."""
-        return sum(use.outstanding for use in self._uses.values() if use.zone == zone)
+    def _connection_factor(self, info: InstanceInfo) -> float:
+        return connection_factor(is_connected=self._is_connected(info))
 
     def _verdict(self, info: InstanceInfo, work: Work) -> Verdict:
         verdict = self._placement.judge(info, work)
         return Verdict.AVOIDED if verdict.is_allowed and self.is_avoided(info.id) else verdict
 
-    @property
-    def placement(self) -> Placement:
-        """The rules by which instances are judged."""
-        return self._placement
-
-    def _connection_factor(self, info: InstanceInfo) -> float:
-        return 1.0 if self._is_connected(info) else NEW_CONNECTION_FACTOR
-
-    def _expected_wait(self, info: InstanceInfo, pace: float, best_pace: float) -> float:
-        ratio = min(pace / best_pace, MAX_PACE_RATIO) if pace and best_pace else 1.0
-        return (self.occupied(info) + 1) / max(1, info.slots) * ratio
+    def _forget_unused(self) -> None:
+        """Drops now and then the records of instances and daemons that are gone."""
+        now = self._clock.now()
+        if now < self._forget_at:
+            return
+        self._forget_at = now + FORGET_SECONDS
+        self._own.forget_unused(now)
+        self._peers.forget_old(now)
--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -84,7 +84,7 @@
         self._crashes = KnownCrashes() if crashes is None else crashes
         self._trials = trials
         self._outcomes = Outcomes(balancer, clock, log, metrics, usage)
-        balancer.when_released(self._record_released)
+        balancer.add_release_listener(self._record_released)
 
     @property
     def waiting(self) -> int:
@@ -258,7 +258,7 @@
             raise
         self._outcomes.begun(request, started)
         attempts.ran_at.add(instance.id)
-        self._balancer.record_answer(instance, self._clock.now() - started)
+        self._balancer.record_response(instance, self._clock.now() - started)
         if whole.status < 300 and not of_server:
             self._outcomes.broken(instance, attempts, "a success without a signature")
             return None
--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -1,22 +1,48 @@
-"""What a daemon knows of the use of one instance: its own, and what others told of theirs."""
+"""What a daemon knows of instances from its own requests.
+
+Owns the counts of its requests in flight, the paces that it measured, and the pauses after
+failures. What other daemons report is kept in `peer_use`.
+"""
 
 from dataclasses import dataclass
 
-from larkpost.common.ids import ZoneId
+from larkpost.common.clock import Clock
+from larkpost.common.ids import InstanceId, ZoneId
+from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.blackboard.use_summary import UseSummary
+from larkpost.gateway.servers.port import ServerLoad
+
+LOAD_LIFETIME_SECONDS = 1.0
+"""How long a load that a server reported of itself is used. Not measured."""
+PACE_WEIGHT = 0.25
+"""Share of the newest measurement in an instance's pace, without unit. Not measured."""
+PACE_LIFETIME_SECONDS = 4.0
+"""How long a pace that this daemon measured is used. Not measured."""
+FORGET_SECONDS = 60.0
+"""After this long without use the records of instances and daemons that are gone are dropped. Not
+measured: it only bounds memory, and is longer than anything in them is used."""
+PROBE_SECONDS = 0.15
+"""Pause between two requests to an instance that refuses. Not measured: short beside a load of
+weights, which takes about a second."""
+SUMMARY_PACE_DIGITS = 4
+"""Decimal places of a pace in seconds as it is reported: a tenth of a millisecond."""
 
 
 @dataclass(slots=True)
 class InstanceUse:
-    """What this daemon knows of one instance from its own requests.
+    """What this daemon knows of one instance from its own requests; times are steady.
 
     Attributes:
         outstanding: this daemon's requests there.
-        others: requests of other daemons there, when it last told its load.
-        is_refusing: whether it refused the last request that it answered.
+        others: requests of other daemons there, when the server last reported its load.
+        load_at: when the server last reported its load.
+        is_refusing: whether it refused the last request to which it responded.
         asked_at: when it was last sent a request while it was refusing.
-        avoid_until: steady time before which it is only a last resort.
+        avoid_until: time before which it is only a last resort.
         pace: seconds a unit of work takes there, smoothed; 0 if unknown.
-        answered_at: when the pace last was that of a whole answer, the way there and back in it.
+        pace_at: when that was last measured.
+        response_at: when the pace last was that of a whole response, which includes the latency of
+            the network.
         zone: where it is, kept for requests that outlast its entry; None if not known.
     """
 
@@ -28,14 +54,100 @@
     avoid_until: float = float("-inf")
     pace: float = 0.0
     pace_at: float = float("-inf")
-    answered_at: float = float("-inf")
+    response_at: float = float("-inf")
     zone: ZoneId | None = None
 
 
-@dataclass(frozen=True, slots=True)
-class PeerUse:
-    """What another daemon told of its use of one instance, and when."""
+class OwnUse:
+    """The records of all instances that this daemon has used."""
+
+    def __init__(self, directory: Directory, clock: Clock) -> None:
+        self._directory = directory
+        self._clock = clock
+        self._uses: dict[InstanceId, InstanceUse] = {}
+
+    def __len__(self) -> int:
+        return len(self._uses)
+
+    def of(self, instance: InstanceId) -> InstanceUse:
+        """Returns the record of an instance."""
+        use = self._uses.get(instance)
+        if use is None:
+            use = self._uses[instance] = InstanceUse()
+        return use
+
+    def occupy(self, instance: InstanceId) -> None:
+        """Counts a request at an instance."""
+        use = self.of(instance)
+        use.outstanding += 1
+        if use.is_refusing:
+            use.asked_at = self._clock.now()
+        info = self._directory.get(instance)
+        use.zone = info.zone if info is not None else use.zone
+
+    def outstanding_in(self, zone: ZoneId) -> int:
+        """Returns this daemon's requests at a zone's instances, also those that left the list."""
+        return sum(use.outstanding for use in self._uses.values() if use.zone == zone)
+
+    def record_load(self, instance: InstanceId, load: ServerLoad) -> None:
+        """Records the load that a server reported of itself."""
+        use = self.of(instance)
+        use.others = max(0, load.running + load.waiting - use.outstanding)
+        use.load_at = self._clock.now()
+
+    def record_pace(self, instance: InstanceId, seconds: float, weight: float) -> None:
+        """Records the time that a unit of work took.
+
+        Args:
+            weight: share of this measurement in the smoothed pace.
+        """
+        use = self.of(instance)
+        now = self._clock.now()
+        if now - use.pace_at > PACE_LIFETIME_SECONDS:
+            use.pace = seconds
+        else:
+            use.pace += weight * (seconds - use.pace)
+        use.pace_at = now
+
+    def has_recent_load(self, instance: InstanceId) -> bool:
+        """Returns whether the load that the server last reported is still used."""
+        return self._clock.now() - self.of(instance).load_at < LOAD_LIFETIME_SECONDS
+
+    def has_recent_pace(self, instance: InstanceId) -> bool:
+        """Returns whether the pace that this daemon last measured is still used."""
+        return self._clock.now() - self.of(instance).pace_at < PACE_LIFETIME_SECONDS
+
+    def has_recent_response(self, instance: InstanceId) -> bool:
+        """Returns whether the pace is one of whole responses, with the network's latency in it."""
+        return self._clock.now() - self.of(instance).response_at < PACE_LIFETIME_SECONDS
+
+    def avoid(self, instance: InstanceId, seconds: float) -> None:
+        """Makes an instance a last resort for a while."""
+        use = self.of(instance)
+        use.avoid_until = max(use.avoid_until, self._clock.now() + seconds)
+
+    def is_avoided(self, instance: InstanceId) -> bool:
+        """Returns whether an instance is only a last resort at the moment."""
+        return self._clock.now() < self.of(instance).avoid_until
+
+    def is_probed(self, instance: InstanceId) -> bool:
+        """Returns whether an instance that refuses was sent a request a moment ago."""
+        use = self.of(instance)
+        return use.is_refusing and self._clock.now() - use.asked_at < PROBE_SECONDS
+
+    def summary(self) -> UseSummary:
+        """Returns what this daemon reports to the others of its use."""
+        now = self._clock.now()
+        return {
+            name: (use.outstanding, round(use.pace, SUMMARY_PACE_DIGITS))
+            for name, use in self._uses.items()
+            if self._directory.takes_work(name)
+            and (use.outstanding or now - use.pace_at < PACE_LIFETIME_SECONDS)
+        }
 
-    requests: int
-    pace: float
-    at: float
+    def forget_unused(self, now: float) -> None:
+        """Drops the records of instances that are gone and were not used for long."""
+        for instance, use in list(self._uses.items()):
+            last = max(use.pace_at + FORGET_SECONDS, use.avoid_until)
+            if not use.outstanding and last < now and self._directory.get(instance) is None:
+                del self._uses[instance]
--- a/src/larkpost/gateway/proxy/closeness.py
+++ b/src/larkpost/gateway/proxy/latency.py
@@ -1,4 +1,8 @@
-"""How much longer answers take from servers farther away, as this daemon's own requests show."""
+"""How much longer responses take from servers farther away, as this daemon's own requests show.
+
+The quickest responses of a service from each distance tell the latency of the network; the others
+tell the load. Owns those measurements; relies on the caller for distances.
+"""
 
 from dataclasses import dataclass
 
@@ -11,33 +15,37 @@
     Distance.SAME_REGION: 1.05,
     Distance.OTHER_REGION: 1.5,
 }
-"""By how much longer an answer is taken to take until it was measured: a little, so that the
-nearer one of two equal servers is taken, and load and pace decide otherwise."""
+"""How many times as long a response is taken to take until it was measured, without unit. Not
+measured: a little, so that the nearer of two equal servers is taken, and load and pace decide
+otherwise."""
 MAX_FACTOR = 4.0
-"""A single late answer must not close a region for long."""
+"""Largest factor, without unit. Not measured: a single late response must not close a region for
+long."""
 RISE_WEIGHT = 0.05
-"""Weight of an answer slower than the usual one: the quickest tell the way, the others the load."""
+"""Share of a response slower than the usual one, without unit. Not measured: small, as the quickest
+ones tell the latency, the others the load."""
 LIFETIME_SECONDS = 120.0
-"""How long a measurement counts: servers and links change, and a far one is seldom asked."""
+"""How long a measurement counts. Not measured: servers and links change, and a far one is seldom
+asked."""
 
 
 @dataclass(slots=True)
 class _Quickest:
-    """About the quickest answers lately, in seconds, and when the last one came."""
+    """About the quickest responses lately, in seconds, and when the last one came (steady)."""
 
     seconds: float
     at: float
 
 
-class Closeness:
-    """The quickest answers of each service from each distance."""
+class LatencyFactors:
+    """The quickest responses of each service from each distance."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._quickest: dict[tuple[ServiceName, Distance], _Quickest] = {}
 
     def record(self, service: ServiceName, distance: Distance, seconds: float) -> None:
-        """Takes the time that one whole answer took."""
+        """Records the seconds that one whole response took."""
         now = self._clock.now()
         known = self._quickest.get((service, distance))
         if known is None or now - known.at > LIFETIME_SECONDS or seconds < known.seconds:
@@ -47,7 +55,7 @@
         known.at = now
 
     def factor(self, service: ServiceName, distance: Distance, nearest: Distance) -> float:
-        """Returns how many times as long an answer takes from a distance as from a nearer one."""
+        """Returns how many times as long a response takes from a distance as from a nearer one."""
         if distance <= nearest:
             return 1.0
         far, near = (self._measured(service, place) for place in (distance, nearest))
--- /dev/null
+++ b/src/larkpost/gateway/proxy/peer_use.py
@@ -0,0 +1,87 @@
+"""What the other daemons report of their use of instances, and for how long it is believed."""
+
+from dataclasses import dataclass
+
+from larkpost.common.clock import Clock
+from larkpost.common.ids import DaemonId, InstanceId
+from larkpost.gateway.blackboard.use_summary import UseSummary
+from larkpost.gateway.proxy.instance_use import FORGET_SECONDS
+
+PEER_LIFETIME_SECONDS = 1.2
+"""How long the requests that another daemon reported are counted. Not measured."""
+PEER_PACE_LIFETIME_SECONDS = 12.0
+"""How long a pace that another daemon reported is used. Not measured: longer than one's own, as
+it is used only where there is none of one's own."""
+
+
+@dataclass(frozen=True, slots=True)
+class PeerUse:
+    """What another daemon reported of its use of one instance.
+
+    Attributes:
+        requests: its requests there.
+        pace: seconds a unit of work takes there; 0 if it does not know.
+        at: steady time of the report.
+    """
+
+    requests: int
+    pace: float
+    at: float
+
+
+class PeerUses:
+    """The reports of all other daemons, by instance."""
+
+    def __init__(self, clock: Clock) -> None:
+        self._clock = clock
+        self._peers: dict[InstanceId, dict[DaemonId, PeerUse]] = {}
+        """For each instance, only the daemons that use it: most daemons use few."""
+
+    def __len__(self) -> int:
+        return len(self._peers)
+
+    def record(self, daemon: DaemonId, summary: UseSummary) -> None:
+        """Records a daemon's report in place of the one before.
+
+        Of instances that it uses no longer, the paces are kept for a while.
+        """
+        now = self._clock.now()
+        for instance, (requests, pace) in summary.items():
+            self._peers.setdefault(instance, {})[daemon] = PeerUse(requests, pace, now)
+        for instance, peers in list(self._peers.items()):
+            known = peers.get(daemon)
+            if known is None or instance in summary:
+                continue
+            if now - known.at > PEER_PACE_LIFETIME_SECONDS:
+                del peers[daemon]
+            elif known.requests:
+                peers[daemon] = PeerUse(0, known.pace, known.at)
+            if not peers:
+                del self._peers[instance]
+
+    def requests(self, instance: InstanceId) -> int:
+        """Returns the other daemons' requests at an instance, as far as they reported lately."""
+        now = self._clock.now()
+        return sum(
+            peer.requests
+            for peer in self._peers.get(instance, {}).values()
+            if now - peer.at < PEER_LIFETIME_SECONDS
+        )
+
+    def pace(self, instance: InstanceId) -> float:
+        """Returns the newest reported pace in seconds; 0 if none was reported lately."""
+        now = self._clock.now()
+        reported = [
+            (peer.at, peer.pace)
+            for peer in self._peers.get(instance, {}).values()
+            if peer.pace and now - peer.at < PEER_PACE_LIFETIME_SECONDS
+        ]
+        return max(reported, default=(0.0, 0.0))[1]
+
+    def forget_old(self, now: float) -> None:
+        """Drops the reports of daemons that have reported nothing for long."""
+        for instance, peers in list(self._peers.items()):
+            for daemon in [name for name, peer in peers.items() if now - peer.at > FORGET_SECONDS]:
+                del peers[daemon]
+            if not peers:
+                del self._peers[instance]
--- a/src/larkpost/gateway/rollouts/service.py
+++ b/src/larkpost/gateway/rollouts/service.py
@@ -162,7 +162,7 @@
             return False
         work = Work(WorkKind.ITEM, configuration.homes_of(spec.tenant, route))
         balancer = self._services.balancer
-        return all(balancer.is_homeless(share.service, work) for share in route.shares)
+        return all(balancer.is_outside_regions(share.service, work) for share in route.shares)
 
     async def read(
         self, batch: BatchId, position: int, wait: float, caller: Caller = ANYONE
--- a/tests/switched_off.py
+++ b/tests/switched_off.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 from larkpost.gateway.controllers import members
-from larkpost.gateway.proxy import balancer
+from larkpost.gateway.proxy import balancer, ranking
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.rollouts import reward, service
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
@@ -60,7 +60,7 @@
 
 def kept_connections_first():
     """A kept connection counts no more than a new one."""
-    return mock.patch.object(balancer, "NEW_CONNECTION_FACTOR", 1.0)
+    return mock.patch.object(ranking, "NEW_CONNECTION_FACTOR", 1.0)
 
 
 def pauses_after_failures():
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -25,7 +25,7 @@
 from larkpost.gateway.placement.rules import Placement
 from larkpost.gateway.placement.verdict import Verdict
 from larkpost.gateway.placement.work import CLIENT_WORK, ORDER_WORK, REWARD_WORK, Work
-from larkpost.gateway.proxy.balancer import Balancer
+from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.servers.port import NotRunError, NotRunReason
 from larkpost.gateway.store.port import Row, RowKey
 from larkpost.platform.operator import read_configuration, read_instance
@@ -208,7 +208,10 @@
             warm = replace(INFO, id=OTHER_ENGINE)
             self.blackboard.directory.update(warm)
             balancer = Balancer(
-                self.blackboard.directory, self.clock, random.Random(), cold=self.rule
+                self.blackboard.directory,
+                self.clock,
+                random.Random(),
+                BalancerSources(cold=self.rule),
             )
             for _ in range(20):
                 balancer.occupy(OTHER_ENGINE)
@@ -223,7 +226,10 @@
         async def work() -> None:
             placement = Placement(self.blackboard.directory, (self.rule,))
             balancer = Balancer(
-                self.blackboard.directory, self.clock, random.Random(), placement=placement
+                self.blackboard.directory,
+                self.clock,
+                random.Random(),
+                BalancerSources(placement=placement),
             )
             self.admitted()
             with self.assertRaises(NotRunError) as caught:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.blackboard.configuration import ServiceShare
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
 from larkpost.gateway.controllers.members import DEAD_AFTER_SECONDS
-from larkpost.gateway.proxy.balancer import Balancer
+from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.rollouts.attempt import LONG_RUN_EVENTS, Progress
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
@@ -160,7 +160,8 @@
             name = InstanceId(f"e{number}")
             directory.update(InstanceInfo(name, ENGINES, address, ZoneId("z"), 6, state))
         chance = random.Random(0)
-        return Balancer(directory, LoopClock(), chance, lambda info: info.id == "e0")
+        sources = BalancerSources(is_connected=lambda info: info.id == "e0")
+        return Balancer(directory, LoopClock(), chance, sources)
 
     def first_choices(self, balancer: Balancer) -> set[InstanceId]:
         """Returns the instances that come first in some choices."""
@@ -204,9 +205,9 @@
         async def play():
             balancer = Balancer(Directory(), LoopClock(), random.Random(0))
             engine = InstanceId("e0")
-            balancer.take_summary("first", {engine: (1, 0.04)})
+            balancer.record_peer_summary("first", {engine: (1, 0.04)})
             await asyncio.sleep(0.1)
-            balancer.take_summary("second", {engine: (2, 0.0)})
+            balancer.record_peer_summary("second", {engine: (2, 0.0)})
             self.assertEqual(0.04, balancer.pace(engine))
 
         run(play())
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -27,7 +27,7 @@
 from larkpost.gateway.placement.rules import Placement
 from larkpost.gateway.placement.verdict import Verdict
 from larkpost.gateway.placement.work import CLIENT_WORK, ORDER_WORK, REWARD_WORK, Work, WorkKind
-from larkpost.gateway.proxy.balancer import Balancer
+from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.forecast import MOST_RETRY_SECONDS, NO_PLACE_RETRY_SECONDS
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.request import ClientRequest, RefusedError
@@ -126,7 +126,7 @@
             directory.update(make_info(zone, zone))
         chance = random.Random(1)
         placement = Placement(directory, (EvacuatedRule(evacuations),))
-        balancer = Balancer(directory, self.clock, chance, placement=placement)
+        balancer = Balancer(directory, self.clock, chance, BalancerSources(placement=placement))
         self.forwarder = Forwarder(
             directory,
             balancer,
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -23,8 +23,9 @@
 )
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
-from larkpost.gateway.proxy.balancer import PROBE_SECONDS, Balancer
+from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.forwarder import Forwarder
+from larkpost.gateway.proxy.instance_use import PROBE_SECONDS
 from larkpost.gateway.proxy.request import (
     ClientRequest,
 )
@@ -244,7 +245,7 @@
         async def play() -> tuple[float, float]:
             balancer = Balancer(make_directory(2), LoopClock(), random.Random(0))
             balancer.record_pace(InstanceId("e0"), 0.04)
-            balancer.take_summary("other", {InstanceId("e1"): (1, 0.05)})
+            balancer.record_peer_summary("other", {InstanceId("e1"): (1, 0.05)})
             return balancer.pace(InstanceId("e0")), balancer.pace(InstanceId("e1"))
 
         return run(play())
@@ -257,7 +258,8 @@
             chance = random.Random(0)
             clock = LoopClock()
             directory = make_directory(4)
-            balancer = Balancer(directory, clock, chance, lambda info: info.id == "e0")
+            sources = BalancerSources(is_connected=lambda info: info.id == "e0")
+            balancer = Balancer(directory, clock, chance, sources)
             choices = [balancer.candidates(ENGINES, for_client=True)[0] for _ in range(30)]
             return len({info.id for info in choices})
 
@@ -291,7 +293,8 @@
         async def first(regions: RegionMap) -> set[str]:
             directory = make_directory(2)
             directory.update(replace(make_info("e0"), zone=ZoneId("far")))
-            balancer = Balancer(directory, LoopClock(), random.Random(0), regions=regions)
+            sources = BalancerSources(regions=regions)
+            balancer = Balancer(directory, LoopClock(), random.Random(0), sources)
             return {balancer.candidates(ENGINES, for_client=True)[0].id for _ in range(20)}
 
         named = {ZoneId("z"): RegionId("here"), ZoneId("far"): RegionId("there")}
--- a/tests/test_nearness.py
+++ b/tests/test_nearness.py
@@ -18,7 +18,7 @@
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.placement.homes import HomeRule
 from larkpost.gateway.placement.rules import Placement
-from larkpost.gateway.proxy.balancer import Balancer
+from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.request import ClientRequest, RefusedError
 from larkpost.gateway.proxy.shares import ShareChooser
@@ -58,7 +58,10 @@
         placement = Placement(self.directory, (HomeRule(regions),))
         chance = random.Random(1)
         self.balancer = Balancer(
-            self.directory, self.clock, chance, placement=placement, regions=regions
+            self.directory,
+            self.clock,
+            chance,
+            BalancerSources(placement=placement, regions=regions),
         )
         shares = ShareChooser(random.Random(0))
         self.forwarder = Forwarder(
@@ -141,8 +144,8 @@
         async def play():
             self.begin(WEST_ZONE, EAST_ZONES[0])
             far, near = (self.directory.get(InstanceId(name)) for name in ("s0", "s1"))
-            self.balancer.record_answer(far, 0.5)
-            self.balancer.record_answer(near, 0.01)
+            self.balancer.record_response(far, 0.5)
+            self.balancer.record_response(near, 0.01)
             self.assertEqual({"s1"}, self.firsts())
             await self.clock.sleep(5.0)  # the paces are forgotten, the way is not
             for _ in range(3):
@@ -156,8 +159,8 @@
     def test_slow_near_server_is_not_preferred(self):
         async def play():
             self.begin(WEST_ZONE, EAST_ZONES[0])
-            self.balancer.record_answer(self.directory.get(InstanceId("s1")), 0.4)
-            self.balancer.take_summary("other", {InstanceId("s0"): (0, 0.04)})
+            self.balancer.record_response(self.directory.get(InstanceId("s1")), 0.4)
+            self.balancer.record_peer_summary("other", {InstanceId("s0"): (0, 0.04)})
             self.assertEqual({"s0"}, self.firsts())
 
         run(play())
@@ -166,8 +169,8 @@
         async def play():
             self.begin(WEST_ZONE, EAST_ZONES[0])
             far, near = (self.directory.get(InstanceId(name)) for name in ("s0", "s1"))
-            self.balancer.record_answer(near, 0.04)
-            self.balancer.record_answer(far, 0.08)
+            self.balancer.record_response(near, 0.04)
+            self.balancer.record_response(far, 0.08)
             self.assertEqual({"s1"}, self.firsts())
             for _ in range(2):  # three in four slots wait longer than one that has twice the way
                 self.balancer.occupy(near.id)
@@ -179,8 +182,8 @@
         async def play():
             self.begin(WEST_ZONE, EAST_ZONES[0])
             far, near = (self.directory.get(InstanceId(name)) for name in ("s0", "s1"))
-            self.balancer.record_answer(near, 0.04)
-            self.balancer.record_answer(far, 0.12)
+            self.balancer.record_response(near, 0.04)
+            self.balancer.record_response(far, 0.12)
             await self.clock.sleep(5.0)
             self.balancer.occupy(near.id)
             self.assertEqual({"s1"}, self.firsts())  # 2/4 is less than three times 1/4
--- /dev/null
+++ b/tests/test_ranking.py
@@ -0,0 +1,107 @@
+"""The order of candidates: one table of cases, each with what decides it."""
+
+import unittest
+from dataclasses import replace
+
+from larkpost.common.ids import Address, InstanceId, ZoneId
+from larkpost.gateway.blackboard.configuration import ServiceName
+from larkpost.gateway.blackboard.directory import InstanceInfo, InstanceState
+from larkpost.gateway.proxy.ranking import (
+    MAX_PACE_RATIO,
+    NEW_CONNECTION_FACTOR,
+    Candidate,
+    connection_factor,
+    expected_wait,
+    rank,
+)
+
+SLOTS = 8
+PACE = 0.04
+PLAIN = Candidate(
+    InstanceInfo(
+        InstanceId("plain"),
+        ServiceName("pages"),
+        Address("10.0.0.1:1"),
+        ZoneId("z"),
+        SLOTS,
+        InstanceState.READY,
+        {},
+        1,
+    ),
+    is_avoided=False,
+    is_cold=False,
+    occupied=2,
+    pace=PACE,
+    latency_factor=1.0,
+    connection_factor=1.0,
+    tie_break=0.5,
+)
+
+
+def candidate(name: str, **changes) -> Candidate:
+    """Returns a candidate that differs from the plain one as named."""
+    info = replace(PLAIN.instance, id=InstanceId(name), slots=changes.pop("slots", SLOTS))
+    return replace(PLAIN, instance=info, **changes)
+
+
+ORDERS = {
+    "a slow one before one that failed a moment ago": (
+        {"pace": 5 * PACE, "occupied": 8},
+        {"is_avoided": True, "occupied": 0},
+    ),
+    "a full one before a cold one": ({"occupied": 8}, {"is_cold": True, "occupied": 0}),
+    "a cold one before one that failed": ({"is_cold": True}, {"is_avoided": True}),
+    "one that failed before one that failed and is cold": (
+        {"is_avoided": True},
+        {"is_avoided": True, "is_cold": True},
+    ),
+    "fewer requests first": ({"occupied": 1, "tie_break": 0.9}, {"occupied": 2}),
+    "more slots first": ({"slots": 16, "tie_break": 0.9}, {"slots": 8}),
+    "the faster first": ({"pace": PACE, "tie_break": 0.9}, {"pace": 1.1 * PACE}),
+    "an unknown pace counts as the best": ({"pace": 0.0, "tie_break": 0.9}, {"pace": 1.1 * PACE}),
+    "a slow one with no request before a fast one with six": (
+        {"pace": 3 * PACE, "occupied": 0},
+        {"occupied": 6},
+    ),
+    "the nearer first": ({"tie_break": 0.9}, {"latency_factor": 1.05}),
+    "the farther if the nearer has one request more": (
+        {"latency_factor": 1.05, "tie_break": 0.9},
+        {"occupied": 3},
+    ),
+    "a kept connection first": ({"tie_break": 0.9}, {"connection_factor": NEW_CONNECTION_FACTOR}),
+    "a new connection if the other has one request more": (
+        {"connection_factor": NEW_CONNECTION_FACTOR, "tie_break": 0.9},
+        {"occupied": 3},
+    ),
+    "the smaller number among equals": ({"tie_break": 0.1}, {"tie_break": 0.2}),
+}
+"""What it says, and how the first and the second differ from the plain candidate."""
+
+
+class RankTest(unittest.TestCase):
+    """Candidates side by side."""
+
+    def test_each_criterion_decides_where_those_before_it_are_equal(self):
+        for name, (first, second) in ORDERS.items():
+            better, worse = candidate("first", **first), candidate("second", **second)
+            for order in ((better, worse), (worse, better)):
+                with self.subTest(name):
+                    self.assertEqual(["first", "second"], [info.id for info in rank(order, PACE)])
+
+    def test_expected_wait_counts_the_request_itself_its_slots_and_the_pace(self):
+        for expected, best_pace, changes in (
+            (3 / 8, PACE, {}),
+            (3 / 8, 0.0, {}),  # no pace is known
+            (3 / 8, PACE, {"pace": 0.0}),
+            (2 * 3 / 8, PACE, {"pace": 2 * PACE}),
+            (MAX_PACE_RATIO * 3 / 8, PACE, {"pace": 100 * PACE}),
+            (3.0, PACE, {"slots": 0}),
+        ):
+            with self.subTest(changes=changes, best_pace=best_pace):
+                self.assertAlmostEqual(
+                    expected, expected_wait(candidate("one", **changes), best_pace)
+                )
+
+    def test_connection_factor(self):
+        self.assertEqual(1.0, connection_factor(is_connected=True))
+        self.assertEqual(NEW_CONNECTION_FACTOR, connection_factor(is_connected=False))
--- a/tests/test_scale_mechanisms.py
+++ b/tests/test_scale_mechanisms.py
@@ -335,10 +335,10 @@
             clock = LoopClock()
             balancer = Balancer(Directory(), clock, None)
             info = type("Info", (), {"id": "engine"})()
-            balancer.take_summary("a", {"engine": (3, 0.05)})
-            balancer.take_summary("b", {"engine": (2, 0.0)})
+            balancer.record_peer_summary("a", {"engine": (3, 0.05)})
+            balancer.record_peer_summary("b", {"engine": (2, 0.0)})
             self.assertEqual(5, balancer.occupied(info))
-            balancer.take_summary("a", {})
+            balancer.record_peer_summary("a", {})
             self.assertEqual(2, balancer.occupied(info))
             await asyncio.sleep(1.5)
             self.assertEqual(0, balancer.occupied(info))
@@ -352,12 +352,12 @@
             balancer = Balancer(Directory(), LoopClock(), None)
             for number in range(100):
                 instance = f"engine-{number}"
-                balancer.take_summary(f"daemon-{number}", {instance: (1, 0.05)})
-                balancer.take_summary(f"daemon-{number}", {})
+                balancer.record_peer_summary(f"daemon-{number}", {instance: (1, 0.05)})
+                balancer.record_peer_summary(f"daemon-{number}", {})
                 with balancer.placed(instance):
                     balancer.record_pace(instance, 0.05)
                 await asyncio.sleep(10.0)
-            self.assertLess(len(balancer._uses), 25)
+            self.assertLess(len(balancer._own), 25)
             self.assertLess(len(balancer._peers), 25)
 
         run(play())
@@ -368,7 +368,7 @@
             with balancer.placed("engine"):
                 for _ in range(5):
                     await asyncio.sleep(60.0)
-                    balancer.take_summary("a", {})
+                    balancer.record_peer_summary("a", {})
                 self.assertEqual(1, balancer.use("engine").outstanding)
             self.assertEqual(0, balancer.use("engine").outstanding)
 
