--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -38,6 +38,7 @@
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.forwarder import Forwarder
+from larkpost.gateway.proxy.parts import ForwarderParts
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.quarantine.apart import ApartRule
 from larkpost.gateway.quarantine.guard import GuardedServers
@@ -178,17 +179,21 @@
     def _make_proxy(self, counter: UsageCounter | None) -> None:
         ports = self._ports
         self.forwarder = Forwarder(
-            self.directory,
-            self.balancer,
-            self._servers,
-            ports.clock,
-            ports.log,
-            ports.metrics,
-            ShareChooser(ports.chance),
-            counter,
-            self._priority_of,
-            self.blackboard.crashes,
-            Trials(self.blackboard.crashes, CrashRepository(ports.store), ports.clock, ports.log),
+            ForwarderParts(
+                self.directory,
+                self.balancer,
+                self._servers,
+                ports.clock,
+                ports.log,
+                ports.metrics,
+                ShareChooser(ports.chance),
+                counter,
+                self._priority_of,
+                self.blackboard.crashes,
+                Trials(
+                    self.blackboard.crashes, CrashRepository(ports.store), ports.clock, ports.log
+                ),
+            )
         )
         self.admission = Admission(
             self.configuration,
--- /dev/null
+++ b/src/larkpost/gateway/proxy/parts.py
@@ -0,0 +1,49 @@
+"""What the forwarding of client requests relies on."""
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from larkpost.common.clock import Clock
+from larkpost.gateway.blackboard.configuration import Route
+from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.blackboard.known_crashes import KnownCrashes
+from larkpost.gateway.blackboard.tenants import TenantName
+from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.observability.metrics import Metrics
+from larkpost.gateway.proxy.balancer import Balancer
+from larkpost.gateway.proxy.shares import ShareChooser
+from larkpost.gateway.quarantine.trials import Trials
+from larkpost.gateway.servers.port import ServerPort
+from larkpost.gateway.usage.counter import UsageCounter
+
+PriorityOf = Callable[[TenantName | None, Route], int]
+
+
+def route_priority(_: TenantName | None, route: Route) -> int:
+    """Returns a route's own priority, whoever the tenant is."""
+    return route.priority
+
+
+@dataclass(frozen=True, slots=True)
+class ForwarderParts:
+    """The parts of a daemon that a forwarder works with.
+
+    Attributes:
+        shares: choose the service for a route's next request.
+        usage: counts runs for tenants; None if nothing is counted.
+        priority_of: returns how urgent a request is, 0 the most.
+        crashes: the servers that have crashed, and under which requests.
+        trials: lets a quarantined request run once more; None if nothing does.
+    """
+
+    directory: Directory
+    balancer: Balancer
+    servers: ServerPort
+    clock: Clock
+    log: EventLog
+    metrics: Metrics
+    shares: ShareChooser
+    usage: UsageCounter | None = None
+    priority_of: PriorityOf = route_priority
+    crashes: KnownCrashes = field(default_factory=KnownCrashes)
+    trials: Trials | None = None
--- /dev/null
+++ b/src/larkpost/gateway/proxy/places.py
@@ -0,0 +1,73 @@
+"""Counts the places of a service, and says how far they are taken.
+
+Relies on the balancer for what is believed of each instance; decides nothing itself.
+"""
+
+from dataclasses import dataclass, field
+
+from larkpost.gateway.blackboard.configuration import ServiceName
+from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.work import Work
+from larkpost.gateway.proxy.balancer import Balancer
+
+FREE_SHARE = 0.5
+"""While less than this share of the places is taken, nothing waits and nothing is refused: what is
+known of the others' requests is a second old, and is not believed against so many free places. Not
+measured."""
+
+
+@dataclass(frozen=True, slots=True)
+class Places:
+    """The places of a service that a piece of work may take.
+
+    Attributes:
+        total: of all instances that placement allows, now or in a moment.
+        taken: those believed taken; more than all if instances let requests wait.
+        pace: seconds a request takes there; 0 if not known lately.
+        closed: those of the taken that have no request: their instance failed, refused or is cold.
+    """
+
+    total: int
+    taken: int
+    pace: float
+    closed: int = field(default=0, compare=False)
+
+    @property
+    def free(self) -> int:
+        """Places believed free."""
+        return max(0, self.total - self.taken)
+
+    @property
+    def are_mostly_free(self) -> bool:
+        """Whether so few are taken that nothing need wait."""
+        return self.taken < self.total * FREE_SHARE
+
+    @property
+    def run_few_requests(self) -> bool:
+        """Whether so few have a request that instances which failed may well take another."""
+        return self.taken - self.closed < self.total * FREE_SHARE
+
+
+def survey(directory: Directory, balancer: Balancer, service: ServiceName, work: Work) -> Places:
+    """Counts the places of a service for a piece of work.
+
+    An instance that failed or refused a moment ago, or that is cold, has no free place.
+    """
+    total = taken = closed = 0
+    paced_slots, rate = 0, 0.0
+    for info in directory.of_service(service):
+        verdict = balancer.placement.judge(info, work)
+        if not verdict.is_allowed and verdict is not Verdict.COLD:
+            continue
+        slots = max(1, info.slots)
+        occupied = balancer.occupied(info)
+        is_closed = not verdict.is_allowed or balancer.is_avoided(info.id)
+        total += slots
+        taken += max(occupied, slots) if is_closed else occupied
+        closed += max(0, slots - occupied) if is_closed else 0
+        pace = balancer.pace(info.id)
+        if pace:
+            paced_slots += slots
+            rate += slots / pace
+    return Places(total, taken, paced_slots / rate if rate else 0.0, closed)
--- /dev/null
+++ b/src/larkpost/gateway/proxy/retry.py
@@ -0,0 +1,79 @@
+"""What the outcome of an attempt means: another attempt, a response, or an error.
+
+Pure rules. A request that may run more than once is sent to as many servers as its route allows;
+any other goes on to another server only after proof that it did not run.
+"""
+
+from dataclasses import dataclass
+
+from larkpost.common.errors import LarkpostError, Ran
+from larkpost.gateway.blackboard.configuration import RouteKind
+from larkpost.gateway.blackboard.known_crashes import REMEMBERED_SECONDS
+from larkpost.gateway.proxy.request import (
+    QuarantinedError,
+    RefusedError,
+    RequestFailedError,
+    RequestTimeoutError,
+)
+
+LEAST_ERROR_STATUS = 500
+"""From this status on a response is a server's failure, and another server may do better."""
+LEAST_STATUS_NOT_SUCCESS = 300
+"""Below this status a response is a success; it counts only with the server's signature, as
+anything else on the way may respond with one as well."""
+
+
+def max_servers(kind: RouteKind, max_attempts: int, *, is_trial: bool) -> int:
+    """Returns at how many servers a request may run.
+
+    Args:
+        max_attempts: what the route allows.
+        is_trial: whether servers have crashed under such requests: then one more at most.
+    """
+    if kind is not RouteKind.IDEMPOTENT or is_trial:
+        return 1
+    return max_attempts
+
+
+def response_failure(status: int, *, is_signed: bool) -> str | None:
+    """Returns why a whole response is not passed on while others may be had; None if it is."""
+    if status < LEAST_STATUS_NOT_SUCCESS and not is_signed:
+        return "a success without a signature"
+    if status >= LEAST_ERROR_STATUS:
+        return f"status {status}"
+    return None
+
+
+def is_last_resort(status: int, *, is_signed: bool) -> bool:
+    """Returns whether a failed response is passed on if no better one comes."""
+    return status >= LEAST_ERROR_STATUS and is_signed
+
+
+@dataclass(frozen=True, slots=True)
+class Unserved:
+    """A request that ends without a response, and all that its error depends on.
+
+    Attributes:
+        may_have_run: whether any server may have run it.
+        is_quarantined: whether it was sent to no server as others crashed under its like.
+        is_timed_out: whether its time is over.
+        retry_after: seconds after which the caller should come back if it was refused.
+    """
+
+    may_have_run: bool
+    is_quarantined: bool
+    is_timed_out: bool
+    retry_after: float
+
+
+def final_error(unserved: Unserved) -> LarkpostError:
+    """Returns the error in which a request ends that gets no response."""
+    if not unserved.may_have_run and unserved.is_quarantined:
+        return QuarantinedError(
+            "servers have crashed under this request", retry_after=REMEMBERED_SECONDS
+        )
+    if not unserved.may_have_run:
+        return RefusedError("no server could take it", retry_after=unserved.retry_after)
+    if unserved.is_timed_out:
+        return RequestTimeoutError("its time is over", ran=Ran.UNKNOWN)
+    return RequestFailedError("no whole answer came", ran=Ran.UNKNOWN)
--- /dev/null
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -0,0 +1,130 @@
+"""Sends a client request to one server, and says what came of it."""
+
+import asyncio
+import sys
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+
+from larkpost.gateway.blackboard.configuration import RouteKind
+from larkpost.gateway.blackboard.directory import InstanceInfo
+from larkpost.gateway.blackboard.known_crashes import CLIENT_CRASH_LIMIT
+from larkpost.gateway.proxy.attempts import Attempts
+from larkpost.gateway.proxy.outcomes import Outcomes
+from larkpost.gateway.proxy.parts import ForwarderParts
+from larkpost.gateway.proxy.request import WholeResponse
+from larkpost.gateway.proxy.retry import is_last_resort, response_failure
+from larkpost.gateway.proxy.turn_gate import TurnGate
+from larkpost.gateway.servers.port import (
+    BrokenResponseError,
+    NotRunError,
+    OutgoingRequest,
+    ServerResponse,
+)
+
+LEAST_TIME_LEFT_SECONDS = 0.001
+"""What a server is told at least that is left of a request's time. Not measured."""
+
+
+class ServerAttempt:
+    """Makes attempts at single servers."""
+
+    def __init__(self, parts: ForwarderParts, gate: TurnGate, outcomes: Outcomes) -> None:
+        self._balancer = parts.balancer
+        self._servers = parts.servers
+        self._clock = parts.clock
+        self._gate = gate
+        self._outcomes = outcomes
+
+    async def make(self, instance: InstanceInfo, attempts: Attempts) -> WholeResponse | None:
+        """Tries one server; None if it gave no response that the client should get now."""
+        started = self._clock.now()
+        try:
+            response, is_signed = await self._exchange(instance, attempts)
+        except NotRunError as error:
+            self._outcomes.record_not_run(instance, attempts, error)
+            return None
+        except BrokenResponseError as error:
+            self._outcomes.record_begun(attempts.request, started)
+            self._outcomes.record_broken(instance, attempts, error.message)
+            return None
+        except asyncio.CancelledError:
+            # Its time is over or another response came first; the server may have run it.
+            self._outcomes.record_begun(attempts.request, started)
+            self._outcomes.record_overtaken(instance, attempts, started)
+            raise
+        self._outcomes.record_begun(attempts.request, started)
+        attempts.record_may_have_run(instance.id)
+        self._balancer.record_response(instance, self._clock.now() - started)
+        return self._judge(instance, attempts, response, is_signed=is_signed)
+
+    @asynccontextmanager
+    async def open(
+        self, instance: InstanceInfo, attempts: Attempts
+    ) -> AsyncIterator[ServerResponse]:
+        """Sends a request and yields the response once its head has come.
+
+        Raises:
+            NotRunError: it certainly did not run.
+            BrokenResponseError: it may have run.
+        """
+        outgoing = self._outgoing(instance, attempts)
+        with self._balancer.placed(instance.id):
+            async with self._servers.send(instance, outgoing) as response:
+                self._gate.record_taken(instance.service)
+                self._balancer.record_cold(instance.id, response.cold_left)
+                yield response
+
+    async def _exchange(
+        self, instance: InstanceInfo, attempts: Attempts
+    ) -> tuple[WholeResponse, bool]:
+        """Returns a server's whole response, and whether the server signed it."""
+        async with self.open(instance, attempts) as response:
+            self._balancer.record_load(instance.id, response.load)
+            body = b"".join([chunk async for chunk in response.chunks()])
+            whole = WholeResponse(response.status, response.headers, body)
+            return whole, response.signature is not None
+
+    def _judge(
+        self,
+        instance: InstanceInfo,
+        attempts: Attempts,
+        response: WholeResponse,
+        *,
+        is_signed: bool,
+    ) -> WholeResponse | None:
+        """Returns a response if it is to be passed on now, and records it if it is not."""
+        failure = response_failure(response.status, is_signed=is_signed)
+        if failure is None:
+            self._outcomes.record_response(instance)
+            return response
+        self._outcomes.record_broken(instance, attempts, failure)
+        if is_last_resort(response.status, is_signed=is_signed):
+            attempts.last = response
+        return None
+
+    def _outgoing(self, instance: InstanceInfo, attempts: Attempts) -> OutgoingRequest:
+        """Returns a request as it goes to a server, if it may go there.
+
+        A request that must run once gets a connection of its own, on which no response to an
+        earlier request can come; any other may be repeated if a kept connection has gone silent.
+
+        Raises:
+            NotRunError: a rule forbids the send; nothing was sent.
+        """
+        request = attempts.request
+        is_repeatable = attempts.route.kind is RouteKind.IDEMPOTENT
+        time_left = attempts.waiter.limits.end_at - self._clock.now()
+        return OutgoingRequest(
+            request_id=request.request_id,
+            method=request.method,
+            host=request.host,
+            target=request.target,
+            headers=request.headers,
+            body=request.body,
+            time_left=max(LEAST_TIME_LEFT_SECONDS, time_left),
+            fresh_connection=not is_repeatable,
+            repeat_if_silent=is_repeatable,
+            tenant=request.tenant,
+            send_within=self._balancer.placement.admit(instance.id, attempts.waiter.work),
+            crash_limit=sys.maxsize if attempts.is_trial else CLIENT_CRASH_LIMIT,
+        )
--- /dev/null
+++ b/src/larkpost/gateway/proxy/server_choice.py
@@ -0,0 +1,53 @@
+"""Decides which server a client request is sent to next, and when a second one is tried.
+
+Relies on the balancer for the order of the servers and their paces.
+"""
+
+from dataclasses import replace
+
+from larkpost.gateway.blackboard.directory import InstanceInfo
+from larkpost.gateway.proxy.attempts import Attempts
+from larkpost.gateway.proxy.parts import ForwarderParts
+from larkpost.gateway.proxy.turn_gate import TurnGate
+
+MIN_HEDGE_SECONDS = 0.1
+"""No second server is tried sooner than this. Not measured."""
+HEDGE_PACE_FACTOR = 3.0
+"""A second server is tried after so many times the pace of the fastest, without unit. Not
+measured."""
+UNKNOWN_PACE_DIVISOR = 2
+"""Where no pace is known, this part of the objective stands in for it. Not measured."""
+
+
+class ServerChoice:
+    """Chooses the servers of client requests."""
+
+    def __init__(self, parts: ForwarderParts, gate: TurnGate) -> None:
+        self._directory = parts.directory
+        self._balancer = parts.balancer
+        self._crashes = parts.crashes
+        self._gate = gate
+
+    def choose(self, attempts: Attempts) -> InstanceInfo | None:
+        """Returns the best server that was not tried yet; None if there is none, or none may be."""
+        if self._gate.is_quarantined(attempts):
+            return None
+        if self._crashes.suspect(attempts.request) is not None:
+            attempts.waiter.work = replace(attempts.waiter.work, is_suspect=True)
+        candidates = self._balancer.candidates(
+            attempts.waiter.service,
+            attempts.waiter.work,
+            exclude=attempts.tried,
+            for_client=True,
+        )
+        return candidates[0] if candidates else None
+
+    def hedge_delay(self, attempts: Attempts) -> float:
+        """Returns the seconds after which a second server is tried beside the first."""
+        paces = [
+            pace
+            for info in self._directory.of_service(attempts.waiter.service)
+            if (pace := self._balancer.pace(info.id))
+        ]
+        usual = min(paces, default=attempts.route.objective / UNKNOWN_PACE_DIVISOR)
+        return max(MIN_HEDGE_SECONDS, HEDGE_PACE_FACTOR * usual)
--- /dev/null
+++ b/src/larkpost/gateway/proxy/turn_gate.py
@@ -0,0 +1,101 @@
+"""Decides whether a client request may be tried at a server now, must wait, or is refused.
+
+In this order: a quarantined request needs a trial; one that reached no server is refused; one that
+others come before, or that found no place, waits in its queue; one that cannot be served in time is
+refused. Owns the queues and the estimates of callers' times.
+"""
+
+from larkpost.common.ids import InstanceId
+from larkpost.gateway.blackboard.configuration import Route, ServiceName
+from larkpost.gateway.blackboard.known_crashes import CLIENT_CRASH_LIMIT
+from larkpost.gateway.placement.work import Work, WorkKind
+from larkpost.gateway.proxy.attempts import Attempts, QuarantineState
+from larkpost.gateway.proxy.elapsed_time import ElapsedTimes
+from larkpost.gateway.proxy.forecast import Limits, forecast_unreachable
+from larkpost.gateway.proxy.parts import ForwarderParts
+from larkpost.gateway.proxy.places import Places, survey
+from larkpost.gateway.proxy.request import ClientRequest
+from larkpost.gateway.proxy.request_queue import RequestQueues, Waiter
+
+UNKNOWN_PACE_SHARE = 0.25
+"""Share of the objective that a request is taken to need where no pace is known: objectives leave
+room for a few requests one after the other. Not measured."""
+
+
+class TurnGate:
+    """Lets requests through to the servers, one after the other."""
+
+    def __init__(self, parts: ForwarderParts) -> None:
+        self._parts = parts
+        self._clock = parts.clock
+        self._elapsed_times = ElapsedTimes(parts.clock)
+        self._queues = RequestQueues(parts.clock, self._survey)
+
+    @property
+    def waiting(self) -> int:
+        """The requests that wait for a place."""
+        return len(self._queues)
+
+    def begin(self, request: ClientRequest, route: Route) -> tuple[Attempts, bool]:
+        """Returns a request's attempts with their forecast, and whether others come before it."""
+        waiter = Waiter(
+            self._parts.shares.choose(route),
+            Work(WorkKind.CLIENT, request.regions),
+            self._parts.priority_of(request.tenant, route),
+            self._limits(request, route),
+            request.received_at,
+        )
+        forecast, must_wait = self._queues.forecast(waiter)
+        return Attempts(request, route, waiter, forecast, forecast), must_wait
+
+    async def may_try(self, attempts: Attempts, *, must_wait: bool) -> bool:
+        """Waits for a request's turn if it must; returns whether it may be served at all."""
+        if self.is_quarantined(attempts) and not await self._claim_trial(attempts):
+            return False
+        if attempts.are_all_unreachable:
+            # No place comes free by waiting here, but another daemon may reach the servers.
+            attempts.forecast = forecast_unreachable(attempts.waiter.limits, self._clock.now())
+        elif must_wait and not attempts.forecast.is_hopeless:
+            attempts.forecast = await self._queues.wait_for_turn(attempts.waiter)
+            attempts.begin_round()
+        return not attempts.forecast.is_hopeless
+
+    def is_quarantined(self, attempts: Attempts) -> bool:
+        """Returns whether a request must go to no server now, as others crashed under its like."""
+        is_held = self._parts.crashes.holds(attempts.request, CLIENT_CRASH_LIMIT)
+        if not attempts.is_trial:
+            attempts.quarantine = QuarantineState.QUARANTINED if is_held else QuarantineState.NONE
+        return attempts.quarantine is QuarantineState.QUARANTINED
+
+    def record_taken(self, service: ServiceName) -> None:
+        """Records that a server of a service had a place."""
+        self._queues.record_taken(service)
+
+    def record_released(self, instance: InstanceId) -> None:
+        """Records that a request of this daemon has ended at an instance."""
+        info = self._parts.directory.get(instance)
+        if info is not None:
+            self._queues.record_end(info.service)
+
+    async def _claim_trial(self, attempts: Attempts) -> bool:
+        """Claims for a quarantined request that it may be sent to one server all the same."""
+        if self._parts.trials is None or attempts.ran_at:
+            return False
+        if await self._parts.trials.claim(attempts.request):
+            attempts.quarantine = QuarantineState.TRIAL
+        return attempts.is_trial
+
+    def _limits(self, request: ClientRequest, route: Route) -> Limits:
+        """Returns a request's times; the objective counts from its caller's first attempt."""
+        time_left = route.time_limit
+        if request.time_left is not None:
+            time_left = min(time_left, request.time_left)
+        elapsed = self._elapsed_times.elapsed(route.name, request.time_left)
+        return Limits(
+            objective_at=request.received_at - elapsed + route.objective,
+            end_at=request.received_at + time_left,
+            usual_pace=route.objective * UNKNOWN_PACE_SHARE,
+        )
+
+    def _survey(self, service: ServiceName, work: Work) -> Places:
+        return survey(self._parts.directory, self._parts.balancer, service, work)
--- a/tests/switched_off.py
+++ b/tests/switched_off.py
@@ -9,7 +9,7 @@
 
 from larkpost.gateway.controllers import members
 from larkpost.gateway.proxy import balancer, ranking
-from larkpost.gateway.proxy.forwarder import Forwarder
+from larkpost.gateway.proxy.server_choice import ServerChoice
 from larkpost.gateway.rollouts import reward, service
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
 from larkpost.gateway.rollouts.engine_run import EngineRuns, FasterPlace
@@ -20,7 +20,7 @@
 
 def hedged_attempts():
     """No second server is tried beside a slow one."""
-    return mock.patch.object(Forwarder, "_hedge_delay", lambda *_: None)
+    return mock.patch.object(ServerChoice, "hedge_delay", lambda *_: None)
 
 
 def moves_to_faster_engines():
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -30,6 +30,7 @@
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.forecast import MOST_RETRY_SECONDS, NO_PLACE_RETRY_SECONDS
 from larkpost.gateway.proxy.forwarder import Forwarder
+from larkpost.gateway.proxy.parts import ForwarderParts
 from larkpost.gateway.proxy.request import ClientRequest, RefusedError
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.servers.port import NotRunReason
@@ -128,13 +129,15 @@
         placement = Placement(directory, (EvacuatedRule(evacuations),))
         balancer = Balancer(directory, self.clock, chance, BalancerSources(placement=placement))
         self.forwarder = Forwarder(
-            directory,
-            balancer,
-            self.engines,
-            self.clock,
-            EventLog("daemon"),
-            Metrics(),
-            ShareChooser(chance),
+            ForwarderParts(
+                directory,
+                balancer,
+                self.engines,
+                self.clock,
+                EventLog("daemon"),
+                Metrics(),
+                ShareChooser(chance),
+            )
         )
 
     def forward(self, kind: RouteKind):
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -1,4 +1,4 @@
-"""Client requests before servers without a free place: what is foreseen, who waits, who is refused.
+"""Client requests before servers without a free place: what is forecast, who waits, who is refused.
 
 The scripted servers have no queue: a request beyond their slots is answered "full".
 """
@@ -21,30 +21,30 @@
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.placement.work import CLIENT_WORK
 from larkpost.gateway.proxy.balancer import Balancer
+from larkpost.gateway.proxy.elapsed_time import WINDOW_SECONDS, ElapsedTimes
 from larkpost.gateway.proxy.forecast import (
     HEEDED_SHARE,
     MOST_RETRY_SECONDS,
+    Expectation,
     Limits,
-    Outlook,
-    Places,
-    foresee,
-    survey,
+    make_forecast,
 )
 from larkpost.gateway.proxy.forwarder import Forwarder
-from larkpost.gateway.proxy.patience import WINDOW_SECONDS, FirstTries
+from larkpost.gateway.proxy.parts import ForwarderParts
+from larkpost.gateway.proxy.places import Places, survey
 from larkpost.gateway.proxy.request import (
     ClientRequest,
     RefusedError,
     RequestFailedError,
     RequestTimeoutError,
 )
-from larkpost.gateway.proxy.shares import ShareChooser
-from larkpost.gateway.proxy.waiting import (
-    LOOK_INTERVAL_SECONDS,
+from larkpost.gateway.proxy.request_queue import (
+    POLL_INTERVAL_SECONDS,
+    RequestQueues,
     Waiter,
-    WaitingLines,
-    look_interval,
+    poll_interval,
 )
+from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.rehearsal.scripted_engines import EngineState, ScriptedEngines
 from tests.virtual import run
 
@@ -65,61 +65,63 @@
     return Route(name, "h", b"/", kind, shares, TIME_LIMIT, OBJECTIVE, priority, 3)
 
 
-class ForeseeTest(unittest.TestCase):
+class ForecastTest(unittest.TestCase):
     """The forecast alone; the time is 0."""
 
-    def outlook(self, places: Places, ahead: int = 0, blocked_for: float = 0.0) -> Outlook:
-        """Returns what is foreseen."""
-        return foresee(places, LIMITS, 0.0, ahead, blocked_for).outlook
+    def expectation(self, places: Places, ahead: int = 0, blocked_for: float = 0.0) -> Expectation:
+        """Returns what is expected."""
+        return make_forecast(places, LIMITS, 0.0, ahead, blocked_for).expectation
 
     def test_more_requests_in_front_turn_it_from_in_time_to_late_to_hopeless(self):
-        outlooks = [self.outlook(Places(4, 4, 0.1), ahead) for ahead in (0, 3, 4, 29, 30, 60)]
-        expected = [Outlook.IN_TIME, Outlook.IN_TIME, Outlook.LATE, Outlook.LATE]
-        self.assertEqual([*expected, Outlook.NOT_AT_ALL, Outlook.NOT_AT_ALL], outlooks)
+        expectations = [
+            self.expectation(Places(4, 4, 0.1), ahead) for ahead in (0, 3, 4, 29, 30, 60)
+        ]
+        expected = [Expectation.IN_TIME, Expectation.IN_TIME, Expectation.LATE, Expectation.LATE]
+        self.assertEqual([*expected, Expectation.NOT_AT_ALL, Expectation.NOT_AT_ALL], expectations)
 
     def test_slow_servers_are_no_hope_for_short_times(self):
-        self.assertIs(Outlook.NOT_AT_ALL, self.outlook(Places(4, 3, 1.7)))
+        self.assertIs(Expectation.NOT_AT_ALL, self.expectation(Places(4, 3, 1.7)))
 
     def test_nothing_is_refused_while_most_places_are_free(self):
-        self.assertIs(Outlook.LATE, self.outlook(Places(4, 1, 1.7), blocked_for=9.0))
+        self.assertIs(Expectation.LATE, self.expectation(Places(4, 1, 1.7), blocked_for=9.0))
 
     def test_service_without_places_is_hopeless(self):
-        self.assertIs(Outlook.NOT_AT_ALL, self.outlook(Places(0, 0, 0.0)))
+        self.assertIs(Expectation.NOT_AT_ALL, self.expectation(Places(0, 0, 0.0)))
 
     def test_request_whose_time_is_over_is_hopeless_whatever_is_free(self):
-        forecast = foresee(Places(4, 0, 0.1), LIMITS, LIMITS.end_at)
-        self.assertIs(Outlook.NOT_AT_ALL, forecast.outlook)
+        forecast = make_forecast(Places(4, 0, 0.1), LIMITS, LIMITS.end_at)
+        self.assertIs(Expectation.NOT_AT_ALL, forecast.expectation)
 
     def test_places_that_stay_taken_are_expected_to_stay_so_for_as_long(self):
         places = Places(4, 4, 0.1)
-        self.assertIs(Outlook.IN_TIME, self.outlook(places, blocked_for=0.05))
-        self.assertIs(Outlook.LATE, self.outlook(places, blocked_for=0.3))
-        self.assertIs(Outlook.NOT_AT_ALL, self.outlook(places, blocked_for=0.77))
+        self.assertIs(Expectation.IN_TIME, self.expectation(places, blocked_for=0.05))
+        self.assertIs(Expectation.LATE, self.expectation(places, blocked_for=0.3))
+        self.assertIs(Expectation.NOT_AT_ALL, self.expectation(places, blocked_for=0.77))
 
     def test_caller_is_told_the_wait_but_never_more_than_it_can_use(self):
         for ahead in (0, 1, 5, 40, 4000):
-            forecast = foresee(Places(4, 4, 0.1), LIMITS, 0.3, ahead)
+            forecast = make_forecast(Places(4, 4, 0.1), LIMITS, 0.3, ahead)
             self.assertGreater(forecast.retry_after, 0)
             self.assertLessEqual(forecast.retry_after, 0.5 * HEEDED_SHARE)
         patient = Limits(objective_at=0.2, end_at=100.0, usual_pace=0.05)
-        told = foresee(Places(4, 4, 0.4), patient, 0.0, ahead=1).retry_after
+        told = make_forecast(Places(4, 4, 0.4), patient, 0.0, ahead=1).retry_after
         self.assertAlmostEqual(0.2, told)
-        told = foresee(Places(4, 4, 0.4), patient, 0.0, ahead=900).retry_after
+        told = make_forecast(Places(4, 4, 0.4), patient, 0.0, ahead=900).retry_after
         self.assertEqual(MOST_RETRY_SECONDS, told)
 
 
-class FirstTriesTest(unittest.TestCase):
+class ElapsedTimesTest(unittest.TestCase):
     """The estimate of how long ago a caller first tried."""
 
     def test_caller_that_came_back_lacks_what_went_by(self):
         async def play():
-            tries = FirstTries(LoopClock())
-            self.assertEqual(0.0, tries.gone_by("r", 0.8))
-            self.assertAlmostEqual(0.3, tries.gone_by("r", 0.5))
-            self.assertEqual(0.0, tries.gone_by("other", 0.5))
-            self.assertEqual(0.0, tries.gone_by("r", None))
+            times = ElapsedTimes(LoopClock())
+            self.assertEqual(0.0, times.elapsed("r", 0.8))
+            self.assertAlmostEqual(0.3, times.elapsed("r", 0.5))
+            self.assertEqual(0.0, times.elapsed("other", 0.5))
+            self.assertEqual(0.0, times.elapsed("r", None))
             await asyncio.sleep(3 * WINDOW_SECONDS)
-            self.assertEqual(0.0, tries.gone_by("r", 0.5))
+            self.assertEqual(0.0, times.elapsed("r", 0.5))
 
         run(play())
 
@@ -140,13 +142,15 @@
             self.balancer.record_pace(name, pace)
         self.metrics = Metrics()
         self.forwarder = Forwarder(
-            self.directory,
-            self.balancer,
-            self.engines,
-            self.clock,
-            EventLog("daemon"),
-            self.metrics,
-            ShareChooser(random.Random(0)),
+            ForwarderParts(
+                self.directory,
+                self.balancer,
+                self.engines,
+                self.clock,
+                EventLog("daemon"),
+                self.metrics,
+                ShareChooser(random.Random(0)),
+            )
         )
         self.sent = 0
 
@@ -203,7 +207,7 @@
                 others = [self.send(make_route(), 1.9) for _ in range(SLOTS)]
                 await self.clock.sleep(SETTLE_SECONDS)
                 seconds, error = await self.refusal(send(make_route(), 0.6))
-                self.assertLess(seconds, LOOK_INTERVAL_SECONDS)
+                self.assertLess(seconds, POLL_INTERVAL_SECONDS)
                 self.assertLessEqual(error.retry_after, 0.6 * HEEDED_SHARE)
                 self.assertEqual(SLOTS, len(self.state().runs))
                 await asyncio.gather(*others)
@@ -215,7 +219,7 @@
             self.begin()
             self.list(InstanceId("e0"), InstanceState.LEAVING)
             seconds, _ = await self.refusal(self.send(make_route()))
-            self.assertLess(seconds, LOOK_INTERVAL_SECONDS)
+            self.assertLess(seconds, POLL_INTERVAL_SECONDS)
 
         run(play())
 
@@ -228,7 +232,7 @@
                 for state in self.engines.engines.values():
                     state.down = True
                 seconds, error = await self.refusal(self.send(make_route(kind)))
-                self.assertLess(seconds, LOOK_INTERVAL_SECONDS)
+                self.assertLess(seconds, POLL_INTERVAL_SECONDS)
                 self.assertGreater(error.retry_after, 0)
                 self.state().down = False
                 self.take_places(0.1)
@@ -258,7 +262,7 @@
             await asyncio.gather(*others)
             free_at = self.clock.now()
             await waiting
-            self.assertLess(self.clock.now() - free_at, PACE + LOOK_INTERVAL_SECONDS / 4)
+            self.assertLess(self.clock.now() - free_at, PACE + POLL_INTERVAL_SECONDS / 4)
 
         run(play())
 
@@ -270,7 +274,7 @@
                 began = self.clock.now()
                 await self.send(make_route(kind))
                 waited = self.clock.now() - began - PACE
-                self.assertLess(waited, 0.15 + 2 * LOOK_INTERVAL_SECONDS)
+                self.assertLess(waited, 0.15 + 2 * POLL_INTERVAL_SECONDS)
 
         run(play())
 
@@ -280,7 +284,7 @@
             others = [self.send(make_route()) for _ in range(SLOTS)]
             await self.clock.sleep(SETTLE_SECONDS)
             waiting = [self.send(make_route(priority=5)) for _ in range(3)]
-            await self.clock.sleep(LOOK_INTERVAL_SECONDS)
+            await self.clock.sleep(POLL_INTERVAL_SECONDS)
             urgent = [self.send(make_route(priority=1)) for _ in range(2)]
             await asyncio.gather(*others, *waiting, *urgent)
             first = set(self.state().runs[SLOTS : SLOTS + 2])
@@ -333,7 +337,7 @@
         run(play())
 
     def test_refusals_of_full_servers_do_not_wake_the_line(self):
-        """Each look costs one try; else the requests in line would call each other for ever."""
+        """Each poll costs one attempt; else the queued requests would call each other for ever."""
 
         async def play():
             self.begin()
@@ -349,7 +353,7 @@
             self.engines.send = send
             tasks = [self.send(make_route(), 0.8) for _ in range(5)]
             await self.clock.sleep(0.2)
-            self.assertLess(tried, 5 + 0.2 / LOOK_INTERVAL_SECONDS + 2)
+            self.assertLess(tried, 5 + 0.2 / POLL_INTERVAL_SECONDS + 2)
             for task in tasks:
                 task.cancel()
 
@@ -419,7 +423,7 @@
         async def play():
             self.begin()
             seconds, _ = await self.refusal(self.send(make_route(), 0.0))
-            self.assertLess(seconds, LOOK_INTERVAL_SECONDS)
+            self.assertLess(seconds, POLL_INTERVAL_SECONDS)
             self.assertEqual([], self.state().runs)
 
         run(play())
@@ -449,36 +453,36 @@
 
         run(play())
 
-    def test_line_of_a_large_service_is_looked_at_less_often(self):
-        self.assertEqual(LOOK_INTERVAL_SECONDS, look_interval(24 * 8))
-        self.assertGreater(look_interval(3200 * 8), 10 * LOOK_INTERVAL_SECONDS)
+    def test_queue_of_a_large_service_is_polled_less_often(self):
+        self.assertEqual(POLL_INTERVAL_SECONDS, poll_interval(24 * 8))
+        self.assertGreater(poll_interval(3200 * 8), 10 * POLL_INTERVAL_SECONDS)
 
-    def test_line_of_a_large_service_is_not_looked_at_for_each_end(self):
-        for places, looks in ((24 * 8, 20), (3200 * 8, 0)):
-            self.assertEqual(looks, run(self.looks_for_ends(Places(places, places, PACE))))
+    def test_queue_of_a_large_service_is_not_polled_for_each_end(self):
+        for places, polls in ((24 * 8, 20), (3200 * 8, 0)):
+            self.assertEqual(polls, run(self.polls_for_ends(Places(places, places, PACE))))
 
-    async def looks_for_ends(self, places: Places) -> int:
-        """Returns how many looks at a line twenty requests cost that end at once."""
+    async def polls_for_ends(self, places: Places) -> int:
+        """Returns how many polls of a queue twenty requests cost that end at once."""
         surveys = []
 
-        def look(service, work) -> Places:
+        def count(service, work) -> Places:
             surveys.append(service)
             return places
 
-        lines = WaitingLines(LoopClock(), look)
+        queues = RequestQueues(LoopClock(), count)
         limits = Limits(1.0, 60.0, PACE)
         turns = [
-            asyncio.create_task(lines.turn(Waiter(PAGES, CLIENT_WORK, 0, limits, 0.0)))
+            asyncio.create_task(queues.wait_for_turn(Waiter(PAGES, CLIENT_WORK, 0, limits, 0.0)))
             for _ in range(40)
         ]
-        await asyncio.sleep(look_interval(places.total) + SETTLE_SECONDS)
+        await asyncio.sleep(poll_interval(places.total) + SETTLE_SECONDS)
         before = len(surveys)
         for _ in range(20):
-            lines.record_end(PAGES)
-        looks = len(surveys) - before
+            queues.record_end(PAGES)
+        polls = len(surveys) - before
         for turn in turns:
             turn.cancel()
-        return looks
+        return polls
 
     def test_forecasts_are_counted_with_what_became_of_them(self):
         async def play():
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -19,6 +19,7 @@
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.forwarder import Forwarder
+from larkpost.gateway.proxy.parts import ForwarderParts
 from larkpost.gateway.proxy.request import (
     ClientRequest,
     RefusedError,
@@ -89,13 +90,15 @@
             self.list(name)
         self.balancer = Balancer(self.directory, self.clock, random.Random(1))
         self.forwarder = Forwarder(
-            self.directory,
-            self.balancer,
-            self.engines,
-            self.clock,
-            EventLog("daemon"),
-            Metrics(),
-            ShareChooser(random.Random(0)),
+            ForwarderParts(
+                self.directory,
+                self.balancer,
+                self.engines,
+                self.clock,
+                EventLog("daemon"),
+                Metrics(),
+                ShareChooser(random.Random(0)),
+            )
         )
         self.sent = 0
 
--- a/tests/test_leaving_clients.py
+++ b/tests/test_leaving_clients.py
@@ -25,6 +25,7 @@
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.forwarder import Forwarder
+from larkpost.gateway.proxy.parts import ForwarderParts
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.platform.http_protocol import Listener
 from larkpost.platform.ingress import Ingress
@@ -91,7 +92,9 @@
         clock, log, metrics = LoopClock(), EventLog("daemon"), Metrics()
         balancer = Balancer(directory, clock, random.Random(1))
         self.forwarder = Forwarder(
-            directory, balancer, servers, clock, log, metrics, ShareChooser(random.Random(0))
+            ForwarderParts(
+                directory, balancer, servers, clock, log, metrics, ShareChooser(random.Random(0))
+            )
         )
         configuration = ConfigurationState()
         shares = (ServiceShare(PAGES, 1.0),)
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -26,6 +26,7 @@
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.instance_use import PROBE_SECONDS
+from larkpost.gateway.proxy.parts import ForwarderParts
 from larkpost.gateway.proxy.request import (
     ClientRequest,
 )
@@ -88,7 +89,9 @@
             balancer.record_pace(InstanceId("e1"), 0.05)
             shares = ShareChooser(random.Random(0))
             log = EventLog("daemon")
-            forwarder = Forwarder(directory, balancer, servers, clock, log, Metrics(), shares)
+            forwarder = Forwarder(
+                ForwarderParts(directory, balancer, servers, clock, log, Metrics(), shares)
+            )
             sent = self.client_request(clock)
             await forwarder.forward(sent, make_route(RouteKind.IDEMPOTENT))
             return clock.now() - sent.received_at
--- a/tests/test_nearness.py
+++ b/tests/test_nearness.py
@@ -20,6 +20,7 @@
 from larkpost.gateway.placement.rules import Placement
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.forwarder import Forwarder
+from larkpost.gateway.proxy.parts import ForwarderParts
 from larkpost.gateway.proxy.request import ClientRequest, RefusedError
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.rollouts.repository import ITEM_TABLE
@@ -65,13 +66,15 @@
         )
         shares = ShareChooser(random.Random(0))
         self.forwarder = Forwarder(
-            self.directory,
-            self.balancer,
-            self.servers,
-            self.clock,
-            EventLog("d"),
-            Metrics(),
-            shares,
+            ForwarderParts(
+                self.directory,
+                self.balancer,
+                self.servers,
+                self.clock,
+                EventLog("d"),
+                Metrics(),
+                shares,
+            )
         )
 
     def request(self, *regions: RegionId) -> ClientRequest:
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -22,8 +22,10 @@
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.metrics import Count, Metrics
 from larkpost.gateway.proxy.balancer import Balancer
-from larkpost.gateway.proxy.forwarder import MIN_HEDGE_SECONDS, Forwarder
+from larkpost.gateway.proxy.forwarder import Forwarder
+from larkpost.gateway.proxy.parts import ForwarderParts
 from larkpost.gateway.proxy.request import ClientRequest
+from larkpost.gateway.proxy.server_choice import MIN_HEDGE_SECONDS
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.servers.port import OrderOutcome, OutgoingRequest, VersionOrder
 from larkpost.gateway.store.port import RowKey, Transaction, WriteOutcome
@@ -458,13 +460,15 @@
         clock = LoopClock()
         chance = random.Random(1)
         self.forwarder = Forwarder(
-            directory,
-            Balancer(directory, clock, chance),
-            self.servers,
-            clock,
-            EventLog("daemon"),
-            Metrics(),
-            ShareChooser(chance),
+            ForwarderParts(
+                directory,
+                Balancer(directory, clock, chance),
+                self.servers,
+                clock,
+                EventLog("daemon"),
+                Metrics(),
+                ShareChooser(chance),
+            )
         )
         await asyncio.gather(*(self.ask() for _ in range(8 * len(names))))
         for pages in self.all_pages:
