--- a/src/larkpost/gateway/blackboard/known_crashes.py
+++ b/src/larkpost/gateway/blackboard/known_crashes.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from larkpost.common.ids import InstanceId
-from larkpost.gateway.quarantine.content import ContentDigest, Request, digest_request
+from larkpost.gateway.blackboard.request_content import ContentDigest, Request, digest_request
 
 CLIENT_CRASH_LIMIT = 3
 """Servers that may crash under a client's request before it is held. Two crashes may be another
--- a/src/larkpost/gateway/quarantine/content.py
+++ b/src/larkpost/gateway/blackboard/request_content.py
@@ -1,7 +1,7 @@
-"""Tells requests apart by what they ask, as a caller asks the same again under a new id.
+"""Identifies requests by what they ask, as a caller asks the same again under a new id.
 
-A digest covers caller, method, host, target and body. It names the request in log lines and rows,
-which so hold neither bodies nor paths.
+Pure functions. A digest covers caller, method, host, target and body. It names the request in log
+lines and rows, which so contain neither bodies nor paths.
 """
 
 import hashlib
@@ -15,6 +15,7 @@
 DIGEST_BYTES = 12
 """96 bits: among a million contents two have the same digest with a chance below 1 in 10**16."""
 LENGTH_BYTES = 8
+"""Each part is preceded by its length, so that no two requests run together to the same bytes."""
 
 
 class Request(Protocol):
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -29,10 +29,10 @@
 from larkpost.gateway.controllers.true_time import TrueTime
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.metrics import Level
-from larkpost.gateway.placement.cold import LOOK_SECONDS, ColdRule
+from larkpost.gateway.placement.cold_rule import POLL_SECONDS, ColdRule
 from larkpost.gateway.placement.cold_senders import ColdSenders
-from larkpost.gateway.placement.evacuated import EvacuatedRule
-from larkpost.gateway.placement.homes import HomeRule
+from larkpost.gateway.placement.evacuation_rule import EvacuationRule
+from larkpost.gateway.placement.region_rule import RegionRule
 from larkpost.gateway.placement.rules import Placement
 from larkpost.gateway.planned_stop import PlannedStop
 from larkpost.gateway.proxy.admission import Admission
@@ -40,8 +40,8 @@
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.parts import ForwarderParts
 from larkpost.gateway.proxy.shares import ShareChooser
-from larkpost.gateway.quarantine.apart import ApartRule
 from larkpost.gateway.quarantine.guard import GuardedServers
+from larkpost.gateway.quarantine.isolation import IsolationRule
 from larkpost.gateway.quarantine.recorder import CrashRecorder
 from larkpost.gateway.quarantine.repository import CrashRepository
 from larkpost.gateway.quarantine.trials import Trials
@@ -112,12 +112,12 @@
         self.cold = ColdRule(
             self.settings.cold, self.blackboard, ports.clock, ports.log, self._cold_senders
         )
-        self._apart = ApartRule()
+        self._isolation = IsolationRule()
         # Rules that count sends come last, so that they count none that another forbids.
         rules = (
-            EvacuatedRule(self.blackboard.evacuations),
-            HomeRule(self.blackboard.regions),
-            self._apart,
+            EvacuationRule(self.blackboard.evacuations),
+            RegionRule(self.blackboard.regions),
+            self._isolation,
             self.cold,
         )
         self.balancer = Balancer(
@@ -165,10 +165,10 @@
             ports.servers,
             ports.clock,
             self._tasks,
-            self._crash_recorder.crashed,
+            self._crash_recorder.record_crash,
         )
         self._servers = GuardedServers(
-            ports.servers, self.blackboard.crashes, watch, self._crash_recorder, self._apart
+            ports.servers, self.blackboard.crashes, watch, self._crash_recorder, self._isolation
         )
 
     def _make_counter(self) -> UsageCounter | None:
@@ -252,7 +252,7 @@
         self.keeper.start(self._tasks)
         self._duties.start(self._tasks)
         if self.settings.cold is not None:
-            self._tasks.every(LOOK_SECONDS, self.cold.look, "cold")
+            self._tasks.every(POLL_SECONDS, self.cold.poll, "cold")
         self._tasks.spawn(self._become_ready(), "readiness")
         self._loop_watch.start(self._tasks)
 
--- a/src/larkpost/gateway/placement/cold_senders.py
+++ b/src/larkpost/gateway/placement/cold_senders.py
@@ -1,4 +1,8 @@
-"""Who else sends to cold instances, as this daemon has learnt it from heads and heartbeats."""
+"""Who else sends to cold instances, as this daemon has learnt it from heads and heartbeats.
+
+Owns the memory of who owned batches a moment ago; relies on the heartbeats and on the feed of heads
+for who is there and how current that is.
+"""
 
 from collections.abc import Callable, Iterable
 from typing import Protocol
@@ -8,18 +12,21 @@
 from larkpost.gateway.placement.cold_share import SenderView
 
 OWNER_MEMORY_SECONDS = 2.0
-"""For so long an owner counts after it is named no longer: it may not know yet."""
+"""For so long an owner counts after it is named no longer: it may not know yet. Not
+measured."""
 NEWCOMER_SECONDS = 1.0
-"""For so long a new owner takes the least share, as the others may not have heard of it."""
+"""For so long a new owner takes the least share, as the others may not have heard of it. Not
+measured."""
 BLIND_SECONDS = 1.6
-"""Age of the feed of heads from which this daemon does not know the other owners: an answer of the
-feed may wait for a second."""
+"""Age of the feed of heads from which this daemon does not know the other owners: a response
+of the feed may wait for a second."""
 YOUNG_SECONDS = 3.0
-"""For so long after its start a daemon may not know all members."""
+"""For so long after its start a daemon may not know all members. Not measured."""
 UNHEARD_SECONDS = 4.0
-"""Age of the feed from which others may soon hold this daemon dead, and name another."""
+"""Age of the feed from which others may soon consider this daemon dead, and name another. Not
+measured."""
 UPDATE_SECONDS = 0.1
-"""How old a view may be."""
+"""How old a view may be. Not measured."""
 
 
 class Members(Protocol):
@@ -28,10 +35,10 @@
     listed: bool
 
     def is_hearing(self) -> bool:
-        """Tells whether this daemon, if it is awaited, has listed the others a moment ago."""
+        """Returns whether this daemon, if it is awaited, has listed the others a moment ago."""
 
     def alive(self) -> Iterable[DaemonId]:
-        """Returns the daemons held alive."""
+        """Returns the daemons that are considered alive."""
 
 
 class Heads(Protocol):
@@ -44,7 +51,7 @@
 
 
 class ColdSenders:
-    """The view of one daemon, which knows nobody until it is told whom to ask."""
+    """The view of one daemon, which knows nobody until `follow` is called."""
 
     def __init__(self, own: DaemonId, clock: Clock) -> None:
         self._own = own
@@ -61,7 +68,7 @@
     def follow(
         self, owners: Callable[[], Iterable[DaemonId]], members: Members, heads: Heads
     ) -> None:
-        """Takes whom to ask.
+        """Sets where the view comes from.
 
         Args:
             owners: returns the owners of open batches.
@@ -78,12 +85,12 @@
         self._updated_at = now
         if self._members is not None and self._heads is not None:
             self._remember_owners(now)
-            view = self._look(now, self._members, self._heads)
+            view = self._current_view(now, self._members, self._heads)
             if view != self._view:
                 self._view = view
         return self._view
 
-    def _look(self, now: float, members: Members, heads: Heads) -> SenderView:
+    def _current_view(self, now: float, members: Members, heads: Heads) -> SenderView:
         since = self._owner_since
         is_known = since is not None and now - since >= NEWCOMER_SECONDS
         is_old = now - self._started_at >= YOUNG_SECONDS and members.listed
@@ -98,12 +105,13 @@
         )
 
     def _is_blind(self, now: float, members: Members, heads: Heads) -> bool:
+        """Returns whether the others may know of owners of which this daemon has not heard."""
         if not members.listed or not heads.listed or heads.age(now) > BLIND_SECONDS:
             return True
         return self._own in self._named_at and not members.is_hearing()
 
     def _remember_owners(self, now: float) -> None:
-        """Forgets the owners that were named a while ago, and takes those named now."""
+        """Forgets the owners that were named a while ago, and adds those named now."""
         self._named_at = {
             name: at for name, at in self._named_at.items() if now - at < OWNER_MEMORY_SECONDS
         }
--- a/src/larkpost/gateway/placement/cold_share.py
+++ b/src/larkpost/gateway/placement/cold_share.py
@@ -5,6 +5,8 @@
 whom everyone knows from the heads, and a few that rendezvous hashing names for clients' requests.
 Each kind has its part of the bound. The owners' part is divided by one more than there are, so
 that one of whom the others have not heard yet takes what is left over.
+
+Pure rules over a typed view; `cold_senders` makes the view.
 """
 
 from collections.abc import Collection
@@ -15,7 +17,8 @@
 from larkpost.common.ids import DaemonId, InstanceId
 
 MAIN_PART = 0.8
-"""Part of the bound that is the owners' at engines, and the clients' at other instances."""
+"""Part of the bound that is the owners' at engines, and the clients' at other instances; without
+unit. Not measured."""
 MIN_OWNERS_COUNTED = 2
 """Batches come from several trainers at once: one owner alone leaves as much as two do."""
 UNHEARD_OWNERS = 1
@@ -38,9 +41,9 @@
     Attributes:
         own: this daemon.
         owners: owners of open batches, now or a moment ago.
-        members: daemons held alive.
+        members: daemons that are considered alive.
         is_settled: whether the other owners have heard of this one, and it of them.
-        is_informed: whether this daemon knows the members well enough to tell who is named.
+        is_informed: whether this daemon knows the members well enough to know who is named.
         is_blind: whether it may not have heard of late what the others have.
     """
 
@@ -52,6 +55,35 @@
     is_blind: bool = True
 
 
+@dataclass(frozen=True, slots=True)
+class SendKind:
+    """Sends to one instance that are limited alike.
+
+    Attributes:
+        is_owner_work: whether an owner of a batch sends; else it is a client's request.
+        is_cold: whether the instance is known to be cold.
+        bound: requests that all daemons together may send there in any second.
+    """
+
+    instance: InstanceId
+    is_owner_work: bool
+    is_cold: bool
+    bound: float
+
+
+def allowed_sends(view: SenderView, kind: SendKind, *, is_engine: bool) -> int:
+    """Returns how many sends of a kind this daemon may make in a window.
+
+    Args:
+        is_engine: whether the instance's service holds models.
+    """
+    if not kind.is_owner_work:
+        return client_sends(kind.bound, view, kind.instance, is_engine=is_engine)
+    if not kind.is_cold:
+        return unheard_sends(kind.bound, view, is_engine=is_engine)
+    return owner_sends(kind.bound, view, kind.instance, is_engine=is_engine)
+
+
 def owner_sends(bound: float, view: SenderView, instance: InstanceId, *, is_engine: bool) -> int:
     """Returns how many runs of items and reward calls this daemon may send."""
     part = bound * (MAIN_PART if is_engine else 1 - MAIN_PART)
@@ -90,7 +122,7 @@
 def _is_named(
     daemons: Collection[DaemonId], own: DaemonId, instance: InstanceId, count: int
 ) -> bool:
-    """Tells whether rendezvous hashing names this daemon among the first for an instance.
+    """Returns whether rendezvous hashing names this daemon among the first for an instance.
 
     As soon as enough others come before it the rest is not asked: a whole zone's instances are
     judged at once when an evacuation ends.
--- a/src/larkpost/gateway/placement/evacuated.py
+++ b/src/larkpost/gateway/placement/evacuation_rule.py
@@ -7,7 +7,7 @@
 from larkpost.gateway.placement.work import Work, WorkKind
 
 
-class EvacuatedRule(PlainRule):
+class EvacuationRule(PlainRule):
     """No request goes to an evacuated zone.
 
     Orders do: an engine that kept old weights through an evacuation could not serve after it.
@@ -17,7 +17,7 @@
         self._evacuations = evacuations
 
     def judge(self, instance: InstanceInfo, work: Work) -> Verdict:
-        """Tells whether the instance's zone takes requests, or the work is none."""
+        """Returns whether the instance's zone takes requests, or the work is none."""
         if work.kind is WorkKind.ORDER or not self._evacuations.is_evacuated(instance.zone):
             return Verdict.ALLOWED
         return Verdict.EVACUATED
--- a/src/larkpost/gateway/placement/homes.py
+++ b/src/larkpost/gateway/placement/region_rule.py
@@ -1,4 +1,4 @@
-"""Work whose route or tenant has homes goes only to instances in those regions."""
+"""The rule that work whose route or tenant names regions goes only to instances in them."""
 
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.blackboard.regions import RegionMap
@@ -7,14 +7,14 @@
 from larkpost.gateway.placement.work import Work
 
 
-class HomeRule(PlainRule):
-    """An instance whose region is not known is in nobody's home."""
+class RegionRule(PlainRule):
+    """An instance whose region is not known serves no work that names regions."""
 
     def __init__(self, regions: RegionMap) -> None:
         self._regions = regions
 
     def judge(self, instance: InstanceInfo, work: Work) -> Verdict:
-        """Tells whether the instance's region may serve the work."""
+        """Returns whether the instance's region may serve the work."""
         if work.regions is None or self._regions.region_of(instance.zone) in work.regions:
             return Verdict.ALLOWED
         return Verdict.OUTSIDE_REGIONS
--- a/src/larkpost/gateway/placement/rules.py
+++ b/src/larkpost/gateway/placement/rules.py
@@ -1,7 +1,7 @@
 """The rules of placement, asked by everything that sends work to instances.
 
-`judge` answers for a choice among instances and takes nothing. `admit` answers right before the
-send, from what is known then, and counts the send where a rule limits how many there may be. The
+`judge` is asked for a choice among instances and counts nothing. `admit` is asked right before
+the send, by what is known then, and counts the send where a rule limits how many there may be. The
 choice and the send may be some time apart, so both are asked.
 """
 
@@ -22,31 +22,31 @@
     Verdict.COLD: NotRunReason.COLD,
     Verdict.OUTSIDE_REGIONS: NotRunReason.OUTSIDE_REGIONS,
     Verdict.OLD_VERSION: NotRunReason.MISDIRECTED,
-    Verdict.APART: NotRunReason.APART,
+    Verdict.ISOLATED: NotRunReason.ISOLATED,
     Verdict.AVOIDED: NotRunReason.FULL,
 }
-"""What a send that is not made is told to have ended in."""
+"""The reason that is given for a send that is not made."""
 
 
 class PlacementRule(Protocol):
     """One reason why work may not go to an instance."""
 
     def judge(self, instance: InstanceInfo, work: Work) -> Verdict:
-        """Tells whether work may go to an instance now; takes nothing."""
+        """Returns whether work may go to an instance now; counts nothing."""
 
     def admit(self, instance: InstanceInfo, work: Work) -> Verdict:
-        """Tells the same right before the send, and counts the send if it is allowed."""
+        """Returns the same right before the send, and counts the send if it is allowed."""
 
 
 class PlainRule:
     """A rule that counts nothing; subclasses define `judge`."""
 
     def judge(self, instance: InstanceInfo, work: Work) -> Verdict:
-        """Tells whether work may go to an instance now."""
+        """Returns whether work may go to an instance now."""
         raise NotImplementedError
 
     def admit(self, instance: InstanceInfo, work: Work) -> Verdict:
-        """Tells the same right before the send."""
+        """Returns the same right before the send."""
         return self.judge(instance, work)
 
 
@@ -54,7 +54,7 @@
     """Nothing new goes to an instance that leaves."""
 
     def judge(self, instance: InstanceInfo, work: Work) -> Verdict:
-        """Tells whether the instance stays."""
+        """Returns whether the instance stays."""
         leaves = instance.state is InstanceState.LEAVING
         return Verdict.LEAVING if leaves else Verdict.ALLOWED
 
@@ -66,7 +66,7 @@
         self._directory = directory
 
     def judge(self, instance: InstanceInfo, work: Work) -> Verdict:
-        """Tells whether the instance's weights will do."""
+        """Returns whether the instance's weights will do."""
         if work.model is None:
             return Verdict.ALLOWED
         version = self._directory.version_of(instance.id, work.model)
@@ -79,7 +79,7 @@
     Args:
         rules: those of the deployment, besides leaving instances and weight versions. A rule that
             counts sends comes last, so that it counts none that another rule forbids.
-        send_within: tells how soon an admitted send must be made at an instance; None for any.
+        send_within: returns how soon an admitted send must be made at an instance; None for any.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
         self._send_within = send_within
 
     def judge(self, instance: InstanceInfo, work: Work) -> Verdict:
-        """Tells whether work may go to an instance now, or why not."""
+        """Returns whether work may go to an instance now, or why not."""
         for rule in self._rules:
             verdict = rule.judge(instance, work)
             if not verdict.is_allowed:
@@ -103,7 +103,7 @@
         return Verdict.ALLOWED
 
     def allows(self, instance: InstanceInfo, work: Work) -> bool:
-        """Tells whether work may go to an instance now."""
+        """Returns whether work may go to an instance now."""
         return self.judge(instance, work).is_allowed
 
     def admit(self, instance: InstanceId, work: Work) -> float | None:
--- a/src/larkpost/gateway/placement/verdict.py
+++ b/src/larkpost/gateway/placement/verdict.py
@@ -1,4 +1,4 @@
-"""The answers to the question whether work may go to an instance."""
+"""What a rule of placement says of an instance and a piece of work."""
 
 from enum import StrEnum
 
@@ -13,7 +13,7 @@
     COLD = "cold"  # it is cold, and this daemon's share of its requests is used up
     OUTSIDE_REGIONS = "outside_regions"  # the work may not be served in its region
     OLD_VERSION = "old_version"  # its weights are older than the work allows
-    APART = "apart"  # servers crashed under the work, and a request like it runs there
+    ISOLATED = "apart"  # servers crashed under the work, and a request like it runs there
     AVOIDED = "avoided"  # it failed or refused a moment ago
 
     @property
--- a/src/larkpost/gateway/proxy/admission.py
+++ b/src/larkpost/gateway/proxy/admission.py
@@ -17,7 +17,8 @@
 from larkpost.gateway.observability.metrics import Count, Metrics
 
 RETRY_AFTER_SECONDS = 0.3
-"""When to come back to a daemon that lacks the configuration: others usually have it."""
+"""When to come back to a daemon that lacks the configuration: others usually have it. Not
+measured."""
 
 
 class NotConfiguredError(LarkpostError):
@@ -133,7 +134,7 @@
     def _refusal(
         self, error: LarkpostError, request_id: str, configuration: Configuration | None
     ) -> LarkpostError:
-        """Returns the error to answer with, and notes what it was decided on."""
+        """Returns the error to respond with, and logs what it was decided on."""
         age = self._configuration_age()
         if configuration is not None and age > self._apply_time():
             error = NotConfiguredError(
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -18,7 +18,7 @@
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
 from larkpost.gateway.blackboard.regions import Distance, RegionMap
 from larkpost.gateway.blackboard.use_summary import UseSummary
-from larkpost.gateway.placement.cold import ColdRule
+from larkpost.gateway.placement.cold_rule import ColdRule
 from larkpost.gateway.placement.rules import Placement
 from larkpost.gateway.placement.verdict import Verdict
 from larkpost.gateway.placement.work import CLIENT_WORK, Work
@@ -40,7 +40,7 @@
     NotRunReason.COLD,
     NotRunReason.EVACUATED,
     NotRunReason.OUTSIDE_REGIONS,
-    NotRunReason.APART,
+    NotRunReason.ISOLATED,
     NotRunReason.QUARANTINED,
 )
 """Reasons that say nothing of an instance: a rule forbade one send, and judges the next anew."""
@@ -203,7 +203,7 @@
         regions = {self._regions.region_of(info.zone) for info in infos}
         return not work.regions or bool(regions) and not regions & work.regions
 
-    # What the other daemons report, and are told.
+    # What daemons report to each other.
 
     def summary(self) -> UseSummary:
         """Returns what this daemon reports to the others of its use."""
--- a/src/larkpost/gateway/proxy/outcomes.py
+++ b/src/larkpost/gateway/proxy/outcomes.py
@@ -5,13 +5,13 @@
 
 from larkpost.common.errors import LarkpostError
 from larkpost.gateway.blackboard.directory import InstanceInfo
+from larkpost.gateway.blackboard.request_content import digest_request
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.metrics import Count, Timing
 from larkpost.gateway.proxy.attempts import Attempts, QuarantineState
 from larkpost.gateway.proxy.parts import ForwarderParts
 from larkpost.gateway.proxy.request import ClientRequest
 from larkpost.gateway.proxy.retry import LEAST_ERROR_STATUS, Unserved, final_error
-from larkpost.gateway.quarantine.content import digest_request
 from larkpost.gateway.servers.port import NotRunError
 
 FULL_AVOID_SECONDS = 0.05
--- a/src/larkpost/gateway/proxy/request.py
+++ b/src/larkpost/gateway/proxy/request.py
@@ -1,4 +1,4 @@
-"""A client's request, its whole answer, and the errors in which it may end."""
+"""A client's request, its whole response, and the errors in which it may end."""
 
 from dataclasses import dataclass
 
@@ -28,7 +28,7 @@
 
 
 class RequestFailedError(LarkpostError):
-    """No whole answer came; the request may have run."""
+    """No whole response came; the request may have run."""
 
     code = "request_failed"
     status = 502
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WholeResponse:
-    """A server's whole answer."""
+    """A server's whole response."""
 
     status: int
     headers: Headers
--- a/src/larkpost/gateway/proxy/shares.py
+++ b/src/larkpost/gateway/proxy/shares.py
@@ -1,11 +1,14 @@
-"""Divides a route's requests among its services by weight, evenly at any moment."""
+"""Divides a route's requests among its services by weight, evenly at any moment.
+
+Owns each route's place in its round; two daemons need not know of each other.
+"""
 
 import random
 
 from larkpost.gateway.blackboard.configuration import Route, ServiceName
 
 FIRST_ROUNDS = 97
-"""A route begins after fewer requests than this that are only thought of."""
+"""A route begins as if a random number of requests, below this, had come before. Not measured."""
 
 
 class ShareChooser:
--- a/src/larkpost/gateway/quarantine/guard.py
+++ b/src/larkpost/gateway/quarantine/guard.py
@@ -1,5 +1,6 @@
-"""The way to servers for all requests: what crashes them is recognised here, and sent on no more.
+"""The port to servers for all requests: what crashes them is recognised here, and sent on no more.
 
+Relies on the known crashes for what is quarantined, and has the watch and the recorder learn more.
 Client requests, items of batches and reward calls are all sent through this port, so none of them
 can be sent on, or be left out of the count, by a path of its own.
 """
@@ -9,8 +10,8 @@
 
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.blackboard.known_crashes import KnownCrashes
-from larkpost.gateway.quarantine.apart import ApartRule
-from larkpost.gateway.quarantine.content import digest_request
+from larkpost.gateway.blackboard.request_content import digest_request
+from larkpost.gateway.quarantine.isolation import IsolationRule
 from larkpost.gateway.quarantine.recorder import CrashRecorder
 from larkpost.gateway.quarantine.watch import CrashWatch
 from larkpost.gateway.servers.port import (
@@ -27,10 +28,11 @@
 )
 
 LEAST_FAILURE_STATUS = 400
+"""Below this status a signed response shows that the server ran the request whole."""
 
 
 class GuardedServers:
-    """Servers that are sent no request that crashes them; implements `ServerPort`."""
+    """Servers that are sent no quarantined request; implements `ServerPort`."""
 
     def __init__(
         self,
@@ -38,13 +40,13 @@
         crashes: KnownCrashes,
         watch: CrashWatch,
         recorder: CrashRecorder,
-        apart: ApartRule,
+        isolation: IsolationRule,
     ) -> None:
         self._servers = servers
         self._crashes = crashes
         self._watch = watch
         self._recorder = recorder
-        self._apart = apart
+        self._isolation = isolation
 
     @asynccontextmanager
     async def send(
@@ -55,18 +57,18 @@
             raise NotRunError(NotRunReason.QUARANTINED)
         is_suspect = self._crashes.suspect(request) is not None
         try:
-            with self._apart.running(instance.id) if is_suspect else nullcontext():
-                async with self._servers.send(instance, request) as answer:
-                    yield answer
+            with self._isolation.running(instance.id) if is_suspect else nullcontext():
+                async with self._servers.send(instance, request) as response:
+                    yield response
         except BrokenResponseError as error:
             if error.connection_lost:
                 self._watch.record_lost(digest_request(request), instance)
             raise
-        if answer.status < LEAST_FAILURE_STATUS and answer.signature is not None:
-            self._recorder.served(request)
+        if response.status < LEAST_FAILURE_STATUS and response.signature is not None:
+            self._recorder.record_served(request)
 
     def is_connected(self, instance: InstanceInfo) -> bool:
-        """Tells whether a connection to a server is kept; see the port."""
+        """Returns whether a connection to a server is kept; see the port."""
         return self._servers.is_connected(instance)
 
     async def probe(self, instance: InstanceInfo, timeout: float) -> PortState:
--- a/src/larkpost/gateway/quarantine/apart.py
+++ b/src/larkpost/gateway/quarantine/isolation.py
@@ -1,10 +1,10 @@
-"""The rule that requests under which servers crashed repeatedly run apart from each other.
+"""The rule that requests under which servers crashed repeatedly are isolated from each other.
 
 All that runs at a server ends with its crash. Two crashes can be one request's fault and leave a
 dozen others as suspect as that one; if they went on side by side, each further crash would count
-for all of them, and harmless items would be held with the one that crashes engines. Apart from each
-other, the next crash counts for one, and those that are served are cleared. A daemon knows only its
-own sends: another daemon's suspect may run at the same server.
+for all of them, and harmless items would be quarantined with the one that crashes engines. Isolated
+from each other, the next crash counts for one, and those that are served are cleared. A daemon
+knows only its own sends: another daemon's suspect may run at the same server.
 """
 
 from collections import Counter
@@ -18,21 +18,21 @@
 from larkpost.gateway.placement.work import Work
 
 
-class ApartRule(PlainRule):
+class IsolationRule(PlainRule):
     """A suspect request goes to no server at which this daemon has another one."""
 
     def __init__(self) -> None:
         self._running: Counter[InstanceId] = Counter()
 
     def judge(self, instance: InstanceInfo, work: Work) -> Verdict:
-        """Tells whether the work is no suspect, or none runs at the instance."""
+        """Returns whether the work is no suspect, or none runs at the instance."""
         if work.is_suspect and self._running[instance.id]:
-            return Verdict.APART
+            return Verdict.ISOLATED
         return Verdict.ALLOWED
 
     @contextmanager
     def running(self, instance: InstanceId) -> Iterator[None]:
-        """Takes that a suspect runs at an instance, until the context is left."""
+        """Counts a suspect at an instance until the context is left."""
         self._running[instance] += 1
         try:
             yield
--- a/src/larkpost/gateway/quarantine/recorder.py
+++ b/src/larkpost/gateway/quarantine/recorder.py
@@ -1,4 +1,8 @@
-"""Keeps what daemons know of crashes the same everywhere, and has it forgotten in time."""
+"""Keeps what daemons know of crashes the same everywhere, and has it forgotten in time.
+
+Owns the changes that the store does not have yet; relies on the blackboard for what is known and on
+the repository for the rows.
+"""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -12,26 +16,29 @@
     Crash,
     KnownCrashes,
 )
+from larkpost.gateway.blackboard.request_content import ContentDigest
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.metrics import Count, Metrics
-from larkpost.gateway.quarantine.content import ContentDigest
 from larkpost.gateway.quarantine.repository import MAX_ROWS, CrashRepository, crash_of_row
 from larkpost.gateway.servers.port import OutgoingRequest
 from larkpost.gateway.store.port import Row
 
 RETRY_SECONDS = 0.2
+"""Pause after a write that the store did not carry out. Not measured."""
 FORGET_INTERVAL_SECONDS = 60.0
+"""Between two removals of old crashes. Not measured: short beside the time they are remembered."""
 MAX_UNSAVED = 2000
-"""Changes that wait for the store; when it is away for long, the oldest ones are dropped."""
-MAX_TOLD = 20
-"""Contents named in a line."""
+"""Changes that wait for the store; when it is away for long, the oldest ones are dropped.
+Not measured."""
+MAX_LOGGED = 20
+"""Contents named in a line of the log. Not measured."""
 
 
 class CrashRecorder:
-    """Takes crashes and whole answers, and tells the other daemons by way of the store.
+    """Records crashes and whole responses, and informs the other daemons by way of the store.
 
     Args:
-        may_forget: tells whether this daemon is the one that removes what is old.
+        may_forget: returns whether this daemon is the one that removes what is old.
     """
 
     def __init__(
@@ -59,7 +66,7 @@
         tasks.every(FORGET_INTERVAL_SECONDS, self.forget_old, "old_crashes")
 
     def take_row(self, row: Row) -> None:
-        """Takes what the store has of a crash."""
+        """Records what the store has of a crash."""
         try:
             crash = crash_of_row(row)
         except (ValueError, KeyError, TypeError) as error:
@@ -70,10 +77,10 @@
         else:
             self._add(crash)
 
-    def crashed(
+    def record_crash(
         self, instance: InstanceId, contents: Iterable[ContentDigest], evidence: str
     ) -> None:
-        """Takes that a server has crashed under requests of this daemon.
+        """Records that a server has crashed under requests of this daemon.
 
         Args:
             evidence: how that is known.
@@ -88,20 +95,20 @@
             Event.SERVER_CRASH,
             instance=instance,
             evidence=evidence,
-            contents=[crash.content for crash in added[:MAX_TOLD]],
+            contents=[crash.content for crash in added[:MAX_LOGGED]],
             crashes=max(self._crashes.count(crash.content) for crash in added),
         )
         for crash in added:
-            self._keep(crash.content, crash.instance, crash)
+            self._save_later(crash.content, crash.instance, crash)
 
-    def served(self, request: OutgoingRequest) -> None:
-        """Takes that a server has run a request whole: it was not what crashed the others."""
+    def record_served(self, request: OutgoingRequest) -> None:
+        """Records that a server has run a request whole: it was not what crashed the others."""
         content = self._crashes.suspect(request)
         if content is None:
             return
         for crash in self._crashes.of(content):
             self._remove(content, crash.instance)
-            self._keep(content, crash.instance, None)
+            self._save_later(content, crash.instance, None)
 
     async def forget_old(self) -> None:
         """Removes the crashes that are remembered no longer."""
@@ -110,7 +117,7 @@
             return
         for crash in self._crashes.older_than(now - REMEMBERED_SECONDS):
             self._remove(crash.content, crash.instance)
-            self._keep(crash.content, crash.instance, None)
+            self._save_later(crash.content, crash.instance, None)
 
     def _add(self, crash: Crash) -> bool:
         is_new = self._crashes.add(crash)
@@ -124,8 +131,10 @@
         if self._crashes.remove(content, instance) and count == CLIENT_CRASH_LIMIT:
             self._log.record(Event.QUARANTINE, content=content, state="ended", crashes=count - 1)
 
-    def _keep(self, content: ContentDigest, instance: InstanceId, crash: Crash | None) -> None:
-        """Has a change saved; the newest one for a row replaces those before it."""
+    def _save_later(
+        self, content: ContentDigest, instance: InstanceId, crash: Crash | None
+    ) -> None:
+        """Has a change saved soon; the newest one for a row replaces those before it."""
         self._unsaved.pop((content, instance), None)
         self._unsaved[content, instance] = crash
         while len(self._unsaved) > MAX_UNSAVED:
@@ -141,7 +150,7 @@
                     await self._clock.sleep(RETRY_SECONDS)
 
     async def _save_some(self) -> bool:
-        """Saves the oldest changes, and tells whether that is done."""
+        """Saves the oldest changes, and returns whether that is done."""
         taken = dict(list(self._unsaved.items())[:MAX_ROWS])
         removed = [Crash(*key, 0.0) for key, crash in taken.items() if crash is None]
         added = [crash for crash in taken.values() if crash is not None]
--- a/src/larkpost/gateway/quarantine/repository.py
+++ b/src/larkpost/gateway/quarantine/repository.py
@@ -9,7 +9,7 @@
 
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.known_crashes import Crash
-from larkpost.gateway.quarantine.content import ContentDigest
+from larkpost.gateway.blackboard.request_content import ContentDigest
 from larkpost.gateway.rollouts.repository import HEAD_TABLE
 from larkpost.gateway.store.port import ABSENT, Row, RowKey, Store, Transaction, WriteOutcome
 
@@ -18,8 +18,9 @@
 MAX_ROWS = 90
 """Rows written at once; a transaction takes a hundred entries."""
 WRITE_TIMEOUT_SECONDS = 1.0
+"""Longest wait for the store. Not measured: nobody waits for it."""
 CLAIM_TIMEOUT_SECONDS = 0.3
-"""A client waits for it."""
+"""Longest wait for the claim of a trial. Not measured: short, as a client waits for it."""
 
 
 def crash_of_row(row: Row) -> Crash:
@@ -46,7 +47,7 @@
         return self._store.time()
 
     async def save(self, added: list[Crash], removed: list[Crash]) -> bool:
-        """Writes some crashes and removes others, `MAX_ROWS` in all, and tells whether it is done.
+        """Writes some crashes, removes others, `MAX_ROWS` in all; returns whether it is done.
 
         What is not certainly done is to be saved again; a second time changes nothing.
         """
@@ -58,7 +59,7 @@
         return result.outcome is WriteOutcome.DONE
 
     async def claim(self, trial: Crash) -> bool:
-        """Writes a trial that no daemon has claimed yet, and tells whether that is done."""
+        """Writes a trial that no daemon has claimed yet, and returns whether that is done."""
         key = _key(trial)
         change = Transaction(
             conditions=((key, ABSENT),), puts=((key, orjson.dumps({"at": trial.at})),)
--- a/src/larkpost/gateway/quarantine/trials.py
+++ b/src/larkpost/gateway/quarantine/trials.py
@@ -1,25 +1,27 @@
-"""Lets a held request of a client run once more, seldom, to see whether it was held by mistake.
+"""Lets a client's quarantined request run once more, to see whether that is a mistake.
 
 A page that many ask for may be at three servers when each of them crashes under another request.
-It would be held until its crashes are forgotten, and nothing could clear it, as it runs nowhere. So
-one daemon of all may send it to one server, a while after the last crash, and once more later; it
-claims that in the store. A whole answer clears the request; one that does crash servers has crashed
-two more by then.
+It would be quarantined until its crashes are forgotten, and nothing could clear it, as it runs
+nowhere. So one daemon of all may send it to one server, a while after the last crash, and once more
+later; it claims that in the store. A whole response clears the request; one that does crash servers
+has crashed two more by then.
 """
 
 from larkpost.common.clock import Clock
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.known_crashes import Crash, KnownCrashes
+from larkpost.gateway.blackboard.request_content import ContentDigest, Request
 from larkpost.gateway.observability.eventlog import Event, EventLog
-from larkpost.gateway.quarantine.content import ContentDigest, Request
 from larkpost.gateway.quarantine.repository import CrashRepository
 
 TRIAL_PAUSES_SECONDS = (5.0, 60.0)
 """From the last crash to the first trial, and from then to the second: crashed servers are back
 after some seconds. Two trials are one less than users bear retries after the third crash."""
 CLAIM_PAUSE_SECONDS = 1.0
-"""Between two claims of this daemon for one content, if the store did not grant the first."""
+"""Between two claims of this daemon for one content, if the store did not grant the first. Not
+measured."""
 TRIAL_PREFIX = "trial-"
+"""Begins the name that stands for the instance in the row of a trial."""
 
 
 class Trials:
@@ -35,7 +37,7 @@
         self._claimed_at: dict[ContentDigest, float] = {}
 
     async def claim(self, request: Request) -> bool:
-        """Tells whether a held request may be sent to one server now, by this daemon alone."""
+        """Returns whether this daemon alone may send a quarantined request to one server now."""
         content = self._crashes.suspect(request)
         now = self._repository.time()
         if content is None or now is None:
@@ -57,7 +59,7 @@
         return True
 
     def _may_claim(self, content: ContentDigest) -> bool:
-        """Tells whether this daemon has claimed none a moment ago, and notes that it does."""
+        """Returns whether this daemon has claimed none a moment ago, and remembers that it does."""
         now = self._clock.now()
         self._claimed_at = {
             name: at for name, at in self._claimed_at.items() if now - at < CLAIM_PAUSE_SECONDS
--- a/src/larkpost/gateway/quarantine/watch.py
+++ b/src/larkpost/gateway/quarantine/watch.py
@@ -1,8 +1,10 @@
-"""Finds out whether a server has crashed under the requests that it left without an answer.
+"""Finds out whether a server has crashed under the requests that it left without a response.
 
-A connection that closes without an answer may have been reset on the way, or by a server that
+A connection that closes without a response may have been reset on the way, or by a server that
 lives. A server has crashed if its port is dead right afterwards, or if it goes from the directory
-without having said that it leaves, and another follows at its address or nothing answers there.
+without having said that it leaves, and another follows at its address or nothing responds there.
+
+Owns the suspicions; relies on the directory and on probes, and calls a listener with what it finds.
 """
 
 import asyncio
@@ -15,12 +17,14 @@
 from larkpost.common.ids import Address, InstanceId
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
-from larkpost.gateway.quarantine.content import ContentDigest
+from larkpost.gateway.blackboard.request_content import ContentDigest
 from larkpost.gateway.servers.port import PortState, ServerPort
 
 PROBE_SECONDS = 0.5
-"""Longest wait for a new connection to a server: a dead port answers within the time of the way."""
-LOOK_SECONDS = 0.25
+"""Longest wait for a new connection to a server: a dead port refuses within the
+latency of the network. Not measured."""
+POLL_SECONDS = 0.25
+"""Between two checks of the directory while a server is suspect. Not measured."""
 SUSPICION_SECONDS = 6.0
 """After this long a server that is still listed has not crashed: an entry goes after three missed
 heartbeats of 1.2 s, and news of that take up to two seconds when the store has just come back."""
@@ -38,14 +42,14 @@
 
 @dataclass(slots=True)
 class _Suspicion:
-    """A server that left requests without an answer, and may have crashed.
+    """A server that left requests without a response, and may have crashed.
 
     Attributes:
         since: steady time of the last such request.
         neighbours: instances that were listed at its address at the first one.
         contents: of all those requests.
         crashed: how it is known that it has crashed; None if it is not.
-        is_fresh: set by each such request, until it is looked into.
+        is_fresh: set by each such request, until it is investigated.
     """
 
     info: InstanceInfo
@@ -57,7 +61,7 @@
 
 
 class CrashWatch:
-    """The servers that left requests of this daemon without an answer a moment ago.
+    """The servers that left requests of this daemon without a response a moment ago.
 
     Args:
         listener: called with a server that has crashed, the contents of the requests that it
@@ -80,7 +84,7 @@
         self._suspicions: dict[InstanceId, _Suspicion] = {}
 
     def record_lost(self, content: ContentDigest, instance: InstanceInfo) -> None:
-        """Takes that a server closed the connection of a request without a whole answer."""
+        """Records that a server closed the connection of a request without a whole response."""
         suspicion = self._suspicions.get(instance.id)
         if suspicion is None:
             if not self._directory.takes_work(instance.id):
@@ -105,8 +109,8 @@
                     if evidence is not None:
                         suspicion.crashed = evidence
                         self._listener(suspicion.info.id, suspicion.contents, evidence)
-                with contextlib.suppress(TimeoutError):  # the directory is looked at again
-                    async with asyncio.timeout(LOOK_SECONDS):
+                with contextlib.suppress(TimeoutError):  # the directory is checked again
+                    async with asyncio.timeout(POLL_SECONDS):
                         await suspicion.is_fresh.wait()
         finally:
             del self._suspicions[suspicion.info.id]
--- a/src/larkpost/gateway/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_choice.py
@@ -158,7 +158,7 @@
     def record_given(self, engine: InstanceInfo) -> None:
         """Takes that a place at an engine was given to an item, which will send in a moment."""
         if self._services.cold is not None:
-            self._services.cold.promise(engine)
+            self._services.cold.reserve(engine)
 
     def count_places(self, service: ServiceName) -> int:
         """Returns how many places the engines that fit are believed to have free."""
--- a/src/larkpost/gateway/rollouts/model.py
+++ b/src/larkpost/gateway/rollouts/model.py
@@ -7,8 +7,8 @@
 
 from larkpost.common.ids import BatchId, DaemonId
 from larkpost.gateway.blackboard.configuration import ModelName
+from larkpost.gateway.blackboard.request_content import ContentDigest, digest_content
 from larkpost.gateway.blackboard.tenants import TenantName
-from larkpost.gateway.quarantine.content import ContentDigest, digest_content
 
 ItemId = NewType("ItemId", str)
 GroupId = NewType("GroupId", str)
--- a/src/larkpost/gateway/servers/port.py
+++ b/src/larkpost/gateway/servers/port.py
@@ -1,4 +1,7 @@
-"""The port to servers: what larkpost sends them and what it learns from their answers."""
+"""The port to servers: what larkpost sends them and what it learns from their responses.
+
+Owns the types and errors only; adapters implement `ServerPort`.
+"""
 
 from collections.abc import AsyncIterator
 from contextlib import AbstractAsyncContextManager
@@ -20,13 +23,13 @@
     """One request as it goes to a server.
 
     Attributes:
-        request_id: the caller's id of this attempt; the server's answer repeats it.
+        request_id: the caller's id of this attempt; the server's response repeats it.
         target: path and query exactly as the caller sent them.
         headers: the caller's headers without those that concern one connection.
         time_left: seconds the server may take, or None for no limit.
         resume_after: the last event that is already known, or None for a new run.
         expected_version: the weight version the server must have, or None for any.
-        fresh_connection: whether to open a connection for this request alone. Then an answer
+        fresh_connection: whether to open a connection for this request alone. Then a response
             cannot be one that belongs to an earlier request.
         repeat_if_silent: whether a second run is harmless, so that the request may be sent to the
             server again if the kept connection it went on has gone silent for good.
@@ -55,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLoad:
-    """What a server said of itself: requests running and waiting, and its slots."""
+    """What a server reported of itself: requests running and waiting, and its slots."""
 
     running: int
     waiting: int
@@ -79,12 +82,12 @@
 
 
 class ServerResponse(Protocol):
-    """An answer whose head has arrived and belongs to the request.
+    """A response whose head has arrived and belongs to the request.
 
     Attributes:
-        version: the weight version the answer began under, or None if not told.
-        signature: marks the answer as the server's own and names the run; None if it has none.
-        cold_left: seconds for which the server says that it stays cold; None if not told.
+        version: the weight version the response began under, or None if not reported.
+        signature: marks the response as the server's own and names the run; None if it has none.
+        cold_left: seconds for which the server says that it stays cold; None if not reported.
     """
 
     status: int
@@ -117,10 +120,12 @@
     MISDIRECTED = "misdirected"  # it has another instance or weight version than expected
     REPLACED = "replaced"  # another instance answers at the address
     LEAVING = "leaving"  # the instance left before anything was sent
-    EVACUATED = "evacuated"  # its zone is to get nothing; nothing was sent
-    COLD = "cold"  # it is cold and bears no more requests now; nothing was sent
+    EVACUATED = "evacuated"  # its zone is to get no requests; nothing was sent
+    COLD = "cold"  # it is cold and takes no more requests now; nothing was sent
     OUTSIDE_REGIONS = "outside_regions"  # the request may not go there; nothing was sent
-    APART = "apart"  # servers crashed under it, and a request like it runs there; nothing was sent
+    ISOLATED = (
+        "apart"  # servers crashed under it, and a request like it runs there; nothing was sent
+    )
     QUARANTINED = "quarantined"  # servers crashed under the request; it goes to none
 
 
@@ -128,7 +133,7 @@
     """The request certainly did not run at this server, and never will.
 
     Attributes:
-        cold_left: seconds for which the server says that it stays cold; None if not told.
+        cold_left: seconds for which the server says that it stays cold; None if not reported.
     """
 
     code = "not_run"
@@ -142,7 +147,7 @@
 
 
 class BrokenResponseError(LarkpostError):
-    """No whole answer came, though the request may have run.
+    """No whole response came, though the request may have run.
 
     Attributes:
         connection_lost: whether that is because the connection was closed or reset.
@@ -162,11 +167,11 @@
 
     LISTENS = "listens"
     DEAD = "dead"  # connections are refused
-    SILENT = "silent"  # nothing answers
+    SILENT = "silent"  # nothing responds
 
 
 class OrderOutcome(StrEnum):
-    """What an engine answered to an order."""
+    """What an engine responded to an order."""
 
     TAKEN = "taken"
     HOLDS = "holds"  # the engine already is as ordered
@@ -174,7 +179,7 @@
     FENCED = "fenced"  # a higher fencing token was seen
     WRONG_INSTANCE = "wrong_instance"
     REJECTED = "rejected"
-    UNKNOWN = "unknown"  # no answer; it may be carried out, even seconds later
+    UNKNOWN = "unknown"  # no response; it may be carried out, even seconds later
 
 
 class RunningWork(StrEnum):
@@ -233,7 +238,7 @@
         """
 
     def is_connected(self, instance: InstanceInfo) -> bool:
-        """Tells whether a connection to a server is kept that a request could use."""
+        """Returns whether a connection to a server is kept that a request could use."""
 
     async def probe(self, instance: InstanceInfo, timeout: float) -> PortState:
         """Opens a connection to a server and closes it, to see whether it listens."""
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -354,7 +354,7 @@
 
 def ignore_permits():
     """Sends to cold engines as to others."""
-    from larkpost.gateway.placement.cold import ColdRule
+    from larkpost.gateway.placement.cold_rule import ColdRule
 
     return mock.patch.object(ColdRule, "_limit", lambda *_: None)
 
@@ -368,10 +368,10 @@
 
 def serve_anywhere():
     """Sends work to instances in any region."""
-    from larkpost.gateway.placement.homes import HomeRule
+    from larkpost.gateway.placement.region_rule import RegionRule
     from larkpost.gateway.placement.verdict import Verdict
 
-    return mock.patch.object(HomeRule, "judge", lambda *_: Verdict.ALLOWED)
+    return mock.patch.object(RegionRule, "judge", lambda *_: Verdict.ALLOWED)
 
 
 def forget_evacuations():
@@ -455,16 +455,16 @@
 def run_suspects_together():
     """Runs requests under which servers crashed side by side."""
     from larkpost.gateway.placement.verdict import Verdict
-    from larkpost.gateway.quarantine.apart import ApartRule
+    from larkpost.gateway.quarantine.isolation import IsolationRule
 
-    return mock.patch.object(ApartRule, "judge", lambda *_: Verdict.ALLOWED)
+    return mock.patch.object(IsolationRule, "judge", lambda *_: Verdict.ALLOWED)
 
 
 def never_clear_requests():
     """Holds a request on though a server has run it whole."""
     from larkpost.gateway.quarantine.recorder import CrashRecorder
 
-    return mock.patch.object(CrashRecorder, "served", lambda *_: None)
+    return mock.patch.object(CrashRecorder, "record_served", lambda *_: None)
 
 
 def stand_still_while_suspended():
--- a/tests/test_cold_owners.py
+++ b/tests/test_cold_owners.py
@@ -8,8 +8,8 @@
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.controllers.members import HEARING_INTERVALS, HEARTBEAT_SECONDS
 from larkpost.gateway.observability.eventlog import EventLog
-from larkpost.gateway.placement.cold import (
-    LOOK_SECONDS,
+from larkpost.gateway.placement.cold_rule import (
+    POLL_SECONDS,
     ColdRule,
 )
 from larkpost.gateway.placement.cold_senders import (
@@ -102,9 +102,9 @@
                     whole = [daemon for daemon in daemons if daemon.cut_at is None]
                     owners = {daemon.own for daemon in chance.sample(whole, self.TRAINERS)}
                     history.append((clock.now(), owners))
-                if step % int(LOOK_SECONDS / self.TICK_SECONDS) == 0:
+                if step % int(POLL_SECONDS / self.TICK_SECONDS) == 0:
                     for daemon in daemons:
-                        await daemon.rule.look()
+                        await daemon.rule.poll()
                 self.disturb(chance, daemons, cuts)
                 for daemon in chance.sample(daemons, len(daemons)):
                     times += [clock.now()] * daemon.send()
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -13,16 +13,16 @@
 from larkpost.gateway.blackboard.cold_instances import ColdInstances, ColdTerms
 from larkpost.gateway.controllers.row_intake import RowIntake
 from larkpost.gateway.observability.eventlog import EventLog
-from larkpost.gateway.placement.cold import (
+from larkpost.gateway.placement.cold_rule import (
     SEND_WITHIN_SECONDS,
     WINDOW_SECONDS,
     ColdRule,
-    SlidingCount,
 )
 from larkpost.gateway.placement.cold_share import (
     owner_sends,
 )
 from larkpost.gateway.placement.rules import Placement
+from larkpost.gateway.placement.sliding_count import SlidingCount
 from larkpost.gateway.placement.verdict import Verdict
 from larkpost.gateway.placement.work import CLIENT_WORK, ORDER_WORK, REWARD_WORK, Work
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
@@ -132,7 +132,7 @@
 
     def test_sends_made_while_it_was_warm_count_once_it_is_cold(self) -> None:
         async def work() -> None:
-            self.blackboard.cold = self.rule._beliefs.cold = ColdInstances()
+            self.blackboard.cold = self.rule._blackboard.cold = ColdInstances()
             self.assertEqual(8, self.admitted(tries=8))
             self.blackboard.cold.record(ENGINE, LONG_SECONDS, self.clock.now())
             self.assertEqual(0, self.admitted())
@@ -141,7 +141,7 @@
 
     def test_daemon_that_hears_nothing_is_limited_at_engines_that_may_have_turned_cold(self):
         async def work() -> None:
-            self.blackboard.cold = self.rule._beliefs.cold = ColdInstances()
+            self.blackboard.cold = self.rule._blackboard.cold = ColdInstances()
             self.senders.view.return_value = replace(self.senders.view(), is_blind=True)
             self.assertEqual(self.share, self.admitted())
             self.assertEqual(100, self.admitted(CLIENT_WORK))
@@ -152,7 +152,7 @@
         async def work() -> None:
             for _ in range(self.share):
                 self.assertIs(Verdict.ALLOWED, self.rule.judge(INFO, ITEM_WORK))
-                self.rule.promise(INFO)
+                self.rule.reserve(INFO)
             self.assertIs(Verdict.COLD, self.rule.judge(INFO, ITEM_WORK))
             self.assertEqual(self.share, self.admitted())
 
--- a/tests/test_cold_shares.py
+++ b/tests/test_cold_shares.py
@@ -18,6 +18,8 @@
 from larkpost.gateway.placement.cold_share import (
     LEAST_SENDS,
     SenderView,
+    SendKind,
+    allowed_sends,
     client_sends,
     owner_sends,
 )
@@ -81,6 +83,30 @@
         self.assertEqual(7, sum(sent))
 
 
+class AllowedSendsTest(unittest.TestCase):
+    """Which share a send counts against, as a table of cases; the bound is 18.95."""
+
+    def test_each_kind_of_send(self) -> None:
+        own = names(1)[0]
+        alone = settled(own, [own])
+        newcomer = replace(alone, is_settled=False)
+        blind = replace(newcomer, is_blind=True, is_informed=False)
+        for view, is_owner_work, is_cold, is_engine, expected in (
+            (alone, True, True, True, 5),  # 0.8 of the bound among two owners and one unheard of
+            (alone, True, True, False, 1),
+            (newcomer, True, True, True, 1),  # a twelfth of the owners' part
+            (blind, True, True, True, LEAST_SENDS),
+            (blind, True, False, True, 5),  # it may have turned cold unheard
+            (blind, True, False, False, LEAST_SENDS),
+            (alone, False, True, True, LEAST_SENDS),
+            (alone, False, True, False, LEAST_SENDS),
+            (blind, False, True, True, 0),  # it may not be the one that is named
+        ):
+            kind = SendKind(ENGINE, is_owner_work, is_cold, BOUND)
+            with self.subTest(view=view, kind=kind, is_engine=is_engine):
+                self.assertEqual(expected, allowed_sends(view, kind, is_engine=is_engine))
+
+
 class ManyDaemonsTest(unittest.TestCase):
     """A zone's instances turn cold at once in a large fleet."""
 
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -23,7 +23,7 @@
 )
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.metrics import Metrics
-from larkpost.gateway.placement.evacuated import EvacuatedRule
+from larkpost.gateway.placement.evacuation_rule import EvacuationRule
 from larkpost.gateway.placement.rules import Placement
 from larkpost.gateway.placement.verdict import Verdict
 from larkpost.gateway.placement.work import CLIENT_WORK, ORDER_WORK, REWARD_WORK, Work, WorkKind
@@ -101,7 +101,7 @@
     def test_requests_are_forbidden_and_orders_are_not(self):
         evacuations = Evacuations()
         evacuations.begin(NORTH, 0.0)
-        rule = EvacuatedRule(evacuations)
+        rule = EvacuationRule(evacuations)
         inside, outside = make_info("a", NORTH), make_info("b", SOUTH)
         for work in (CLIENT_WORK, REWARD_WORK, Work(WorkKind.ITEM)):
             self.assertIs(Verdict.EVACUATED, rule.judge(inside, work))
@@ -126,7 +126,7 @@
             self.engines.engines[InstanceId(zone)] = EngineState(slots=4, event_seconds=pace)
             directory.update(make_info(zone, zone))
         chance = random.Random(1)
-        placement = Placement(directory, (EvacuatedRule(evacuations),))
+        placement = Placement(directory, (EvacuationRule(evacuations),))
         balancer = Balancer(directory, self.clock, chance, BalancerSources(placement=placement))
         self.forwarder = Forwarder(
             ForwarderParts(
--- a/tests/test_nearness.py
+++ b/tests/test_nearness.py
@@ -16,7 +16,7 @@
 from larkpost.gateway.blackboard.regions import Distance, RegionMap
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
-from larkpost.gateway.placement.homes import HomeRule
+from larkpost.gateway.placement.region_rule import RegionRule
 from larkpost.gateway.placement.rules import Placement
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.forwarder import Forwarder
@@ -56,7 +56,7 @@
             self.directory.update(
                 InstanceInfo(name, PAGES, address, zone, 4, InstanceState.READY, {MODEL: 1})
             )
-        placement = Placement(self.directory, (HomeRule(regions),))
+        placement = Placement(self.directory, (RegionRule(regions),))
         chance = random.Random(1)
         self.balancer = Balancer(
             self.directory,
--- a/tests/test_pinned_rows.py
+++ b/tests/test_pinned_rows.py
@@ -24,13 +24,13 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo, InstanceState
 from larkpost.gateway.blackboard.evacuations import ZoneEvacuation
 from larkpost.gateway.blackboard.known_crashes import Crash
+from larkpost.gateway.blackboard.request_content import digest_content
 from larkpost.gateway.blackboard.scaling_terms import ScalingTerms
 from larkpost.gateway.blackboard.tenants import Tenant, digest_key
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
 from larkpost.gateway.controllers.leases import Duty, LeaseSubject, LeaseTable
 from larkpost.gateway.controllers.weights import WeightTarget
 from larkpost.gateway.proxy.request import ClientRequest
-from larkpost.gateway.quarantine.content import digest_content
 from larkpost.gateway.quarantine.repository import CrashRepository, crash_of_row
 from larkpost.gateway.rollouts.attempt import Progress
 from larkpost.gateway.rollouts.codec import (
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -16,13 +16,13 @@
     Crash,
     KnownCrashes,
 )
+from larkpost.gateway.blackboard.request_content import ContentDigest, digest_request
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.placement.verdict import Verdict
 from larkpost.gateway.placement.work import CLIENT_WORK, Work, WorkKind
-from larkpost.gateway.quarantine.apart import ApartRule
-from larkpost.gateway.quarantine.content import ContentDigest, digest_request
 from larkpost.gateway.quarantine.guard import GuardedServers
+from larkpost.gateway.quarantine.isolation import IsolationRule
 from larkpost.gateway.quarantine.recorder import CrashRecorder
 from larkpost.gateway.quarantine.repository import CRASH_PART, CRASH_TABLE, CrashRepository
 from larkpost.gateway.quarantine.watch import SUSPICION_SECONDS, CrashWatch, Evidence
@@ -216,7 +216,7 @@
         """Has some servers crash under the request."""
         for number in range(first, first + count):
             contents = (digest_request(REQUEST),)
-            self.recorder.crashed(InstanceId(f"i{number}"), contents, Evidence.DEAD_PORT)
+            self.recorder.record_crash(InstanceId(f"i{number}"), contents, Evidence.DEAD_PORT)
 
     def tell_other(self) -> None:
         """Has the second recorder hear of all rows, those that are gone too."""
@@ -248,7 +248,7 @@
             self.begin()
             for recorder in (self.recorder, self.other):
                 contents = (digest_request(REQUEST),)
-                recorder.crashed(InstanceId("i0"), contents, Evidence.DEAD_PORT)
+                recorder.record_crash(InstanceId("i0"), contents, Evidence.DEAD_PORT)
             await self.clock.sleep(0.1)
             self.tell_other()
             self.assertEqual(1, self.others.count(digest_request(REQUEST)))
@@ -262,7 +262,7 @@
             self.crash(3)
             await self.clock.sleep(0.1)
             self.tell_other()
-            self.recorder.served(replace(REQUEST, request_id=b"2"))
+            self.recorder.record_served(replace(REQUEST, request_id=b"2"))
             await self.clock.sleep(0.1)
             self.assertEqual({}, self.store.rows)
             self.tell_other()
@@ -321,16 +321,16 @@
         self.instance = make_instance("a")
         self.engines.engines[self.instance.id] = self.state
         self.crashes = KnownCrashes()
-        self.apart = ApartRule()
+        self.isolation = IsolationRule()
         self.lost: list[ContentDigest] = []
-        self.guard = GuardedServers(self.engines, self.crashes, self, self, self.apart)
+        self.guard = GuardedServers(self.engines, self.crashes, self, self, self.isolation)
         self.served_requests: list[OutgoingRequest] = []
 
     def record_lost(self, content: ContentDigest, instance: InstanceInfo) -> None:
         """Takes what a watch is told."""
         self.lost.append(content)
 
-    def served(self, request: OutgoingRequest) -> None:
+    def record_served(self, request: OutgoingRequest) -> None:
         """Takes what a recorder is told."""
         self.served_requests.append(request)
 
@@ -386,11 +386,11 @@
             for number in range(SUSPECT_CRASHES):
                 self.crashes.add(Crash(digest_request(REQUEST), InstanceId(f"i{number}"), 0.0))
             async with self.guard.send(self.instance, REQUEST):
-                self.assertIs(Verdict.APART, self.apart.judge(self.instance, suspect))
-                self.assertIs(Verdict.ALLOWED, self.apart.judge(self.instance, CLIENT_WORK))
+                self.assertIs(Verdict.ISOLATED, self.isolation.judge(self.instance, suspect))
+                self.assertIs(Verdict.ALLOWED, self.isolation.judge(self.instance, CLIENT_WORK))
                 other = make_instance("b", 2)
-                self.assertIs(Verdict.ALLOWED, self.apart.judge(other, suspect))
-            self.assertIs(Verdict.ALLOWED, self.apart.judge(self.instance, suspect))
+                self.assertIs(Verdict.ALLOWED, self.isolation.judge(other, suspect))
+            self.assertIs(Verdict.ALLOWED, self.isolation.judge(self.instance, suspect))
 
         run(play())
 
--- a/tests/test_repeated_crashes.py
+++ b/tests/test_repeated_crashes.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from larkpost.gateway.quarantine.content import digest_content
+from larkpost.gateway.blackboard.request_content import digest_content
 from larkpost.gateway.quarantine.trials import TRIAL_PAUSES_SECONDS
 from larkpost.gateway.rollouts.model import ResultState
 from larkpost.rehearsal.memory_store import StoreFaults
--- a/tests/test_request_content.py
+++ b/tests/test_request_content.py
@@ -3,9 +3,9 @@
 import unittest
 from dataclasses import replace
 
+from larkpost.gateway.blackboard.request_content import digest_request
 from larkpost.gateway.blackboard.tenants import TenantName
 from larkpost.gateway.proxy.request import ClientRequest
-from larkpost.gateway.quarantine.content import digest_request
 from tests.platform_fleet import make_batch
 
 FIRST = ClientRequest(b"1", "POST", b"Pages.example:80", b"/x/1?a", (), b"body", 0.0, 1.0)
