--- /dev/null
+++ b/tests/test_balancer.py
@@ -0,0 +1,128 @@
+"""The balancer: kept connections, and what other daemons report of their use of instances."""
+
+import asyncio
+import random
+import unittest
+
+from larkpost.common.clock import LoopClock
+from larkpost.common.ids import Address, InstanceId, ZoneId
+from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
+from tests import switched_off
+from tests.platform_fleet import (
+    ENGINES,
+)
+from tests.virtual import run
+
+
+class ConnectedInstanceTest(unittest.TestCase):
+    """The choice between instances to which a connection is kept and others."""
+
+    def begin(self) -> Balancer:
+        """Returns a balancer of four instances, connected to the first only."""
+        directory = Directory()
+        for number in range(4):
+            state = InstanceState.READY
+            address = Address("10.0.0.1:1")
+            name = InstanceId(f"e{number}")
+            directory.update(InstanceInfo(name, ENGINES, address, ZoneId("z"), 6, state))
+        chance = random.Random(0)
+        sources = BalancerSources(is_connected=lambda info: info.id == "e0")
+        return Balancer(directory, LoopClock(), chance, sources)
+
+    def first_choices(self, balancer: Balancer) -> set[InstanceId]:
+        """Returns the instances that come first in some choices."""
+        choices = [balancer.candidates(ENGINES, for_client=True)[0] for _ in range(20)]
+        return {info.id for info in choices}
+
+    def test_connected_instance_comes_first_among_equals(self):
+        async def play():
+            self.assertEqual({"e0"}, self.first_choices(self.begin()))
+            with switched_off.kept_connections_first():
+                self.assertEqual(4, len(self.first_choices(self.begin())))
+
+        run(play())
+
+    def test_items_of_batches_are_spread_whatever_is_connected(self):
+        async def play():
+            balancer = self.begin()
+            first = {balancer.candidates(ENGINES)[0].id for _ in range(30)}
+            self.assertEqual(4, len(first))
+
+        run(play())
+
+    def test_a_request_more_or_a_slower_pace_outweighs_the_connection(self):
+        async def play():
+            balancer = self.begin()
+            balancer.occupy(InstanceId("e0"))
+            self.assertNotIn("e0", self.first_choices(balancer))
+            balancer.release(InstanceId("e0"))
+            balancer.record_pace(InstanceId("e0"), 0.05)
+            for number in (1, 2, 3):
+                balancer.record_pace(InstanceId(f"e{number}"), 0.04)
+            self.assertNotIn("e0", self.first_choices(balancer))
+
+        run(play())
+
+
+class PaceTest(unittest.TestCase):
+    """What other daemons tell of the speed of instances."""
+
+    def test_pace_that_a_daemon_does_not_know_hides_none_that_another_told(self):
+        async def play():
+            balancer = Balancer(Directory(), LoopClock(), random.Random(0))
+            engine = InstanceId("e0")
+            balancer.record_peer_summary("first", {engine: (1, 0.04)})
+            await asyncio.sleep(0.1)
+            balancer.record_peer_summary("second", {engine: (2, 0.0)})
+            self.assertEqual(0.04, balancer.pace(engine))
+
+        run(play())
+
+
+class PeerUseTest(unittest.TestCase):
+    """What the others tell of their use of an instance."""
+
+    def test_requests_of_a_peer_end_with_its_next_summary(self):
+        async def play():
+            clock = LoopClock()
+            balancer = Balancer(Directory(), clock, None)
+            info = type("Info", (), {"id": "engine"})()
+            balancer.record_peer_summary("a", {"engine": (3, 0.05)})
+            balancer.record_peer_summary("b", {"engine": (2, 0.0)})
+            self.assertEqual(5, balancer.occupied(info))
+            balancer.record_peer_summary("a", {})
+            self.assertEqual(2, balancer.occupied(info))
+            await asyncio.sleep(1.5)
+            self.assertEqual(0, balancer.occupied(info))
+
+        run(play())
+
+    def test_instances_and_daemons_that_are_gone_are_forgotten(self):
+        """Both come back under new names for months."""
+
+        async def play():
+            balancer = Balancer(Directory(), LoopClock(), None)
+            for number in range(100):
+                instance = f"engine-{number}"
+                balancer.record_peer_summary(f"daemon-{number}", {instance: (1, 0.05)})
+                balancer.record_peer_summary(f"daemon-{number}", {})
+                with balancer.placed(instance):
+                    balancer.record_pace(instance, 0.05)
+                await asyncio.sleep(10.0)
+            self.assertLess(len(balancer._own), 25)
+            self.assertLess(len(balancer._peers), 25)
+
+        run(play())
+
+    def test_instance_with_a_request_is_remembered_when_its_entry_is_gone(self):
+        async def play():
+            balancer = Balancer(Directory(), LoopClock(), None)
+            with balancer.placed("engine"):
+                for _ in range(5):
+                    await asyncio.sleep(60.0)
+                    balancer.record_peer_summary("a", {})
+                self.assertEqual(1, balancer.use("engine").outstanding)
+            self.assertEqual(0, balancer.use("engine").outstanding)
+
+        run(play())
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -22,7 +22,6 @@
     owner_sends,
 )
 from larkpost.gateway.placement.rules import Placement
-from larkpost.gateway.placement.sliding_count import SlidingCount
 from larkpost.gateway.placement.verdict import Verdict
 from larkpost.gateway.placement.work import CLIENT_WORK, ORDER_WORK, REWARD_WORK, Work
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
@@ -40,7 +39,7 @@
     names,
     settled,
 )
-from tests.platform_checks import SECOND, check_cold
+from tests.platform_checks import SECOND
 from tests.platform_fleet import (
     COLD_SECONDS,
     COLD_TERMS,
@@ -51,26 +50,6 @@
 from tests.virtual import run
 
 
-class SlidingCountTest(unittest.TestCase):
-    """The window, and its edge."""
-
-    def test_edge(self) -> None:
-        sent = SlidingCount(WINDOW_SECONDS)
-        sent.add(10.0)
-        self.assertEqual(1, sent.count(10.0 + WINDOW_SECONDS - 0.001))
-        self.assertEqual(0, sent.count(10.0 + WINDOW_SECONDS))
-
-    def test_no_second_has_more_than_was_left_however_the_sends_come(self) -> None:
-        chance = random.Random(1)
-        limit, sent, times, now = 4, SlidingCount(WINDOW_SECONDS), [], 0.0
-        for _ in range(2000):
-            now += chance.choice((0.0, 0.01, 0.3, 0.999))
-            if sent.count(now) < limit:
-                sent.add(now)
-                times.append(now)
-        check_cold("engine", times, limit)
-
-
 class RuleTest(unittest.TestCase):
     """The rule of one daemon that is the only owner."""
 
--- a/tests/test_cold_shares.py
+++ b/tests/test_cold_share.py
@@ -1,20 +1,12 @@
-"""Cold servers: how much each daemon may send, and what it knows of the other senders."""
+"""Cold servers: how much of the bound each daemon may use."""
 
 import unittest
 from dataclasses import replace
 from unittest import mock
 
-from larkpost.common.clock import LoopClock
 from larkpost.common.ids import DaemonId, InstanceId
 from larkpost.gateway.blackboard.cold_instances import ColdTerms
 from larkpost.gateway.placement import cold_share
-from larkpost.gateway.placement.cold_senders import (
-    NEWCOMER_SECONDS,
-    OWNER_MEMORY_SECONDS,
-    UPDATE_SECONDS,
-    YOUNG_SECONDS,
-    ColdSenders,
-)
 from larkpost.gateway.placement.cold_share import (
     LEAST_SENDS,
     SenderView,
@@ -23,8 +15,7 @@
     client_sends,
     owner_sends,
 )
-from tests.cold_views import BOUND, ENGINE, LONG_SECONDS, names, settled
-from tests.virtual import run
+from tests.cold_views import BOUND, ENGINE, names, settled
 
 
 class ShareTest(unittest.TestCase):
@@ -122,120 +113,5 @@
         self.assertLess(weigh.call_count, instances * len(members) / 4)
 
 
-class FakeMembers:
-    """Heartbeats as a test wishes."""
-
-    def __init__(self) -> None:
-        self.listed = True
-        self.hears = True
-        self.everyone = names(3)
-
-    def is_hearing(self) -> bool:
-        """Tells whether this daemon hears the others."""
-        return self.hears
-
-    def alive(self) -> list[DaemonId]:
-        """Returns the daemons held alive."""
-        return self.everyone
-
-
-class FakeHeads:
-    """A feed of heads as a test wishes."""
-
-    def __init__(self) -> None:
-        self.listed = True
-        self.age_seconds = 0.0
-
-    def age(self, now: float) -> float:
-        """Returns the age of the feed."""
-        return self.age_seconds
-
-
-class SendersTest(unittest.TestCase):
-    """What a daemon knows of the other senders."""
-
-    def play(self, work) -> None:
-        """Runs a test on virtual time with the senders of the first of three daemons."""
-
-        async def begin() -> None:
-            self.clock = LoopClock()
-            self.own, *self.others = names(3)
-            self.owners = {self.own, *self.others}
-            self.members = FakeMembers()
-            self.heads = FakeHeads()
-            self.senders = ColdSenders(self.own, self.clock)
-            self.senders.follow(lambda: self.owners, self.members, self.heads)
-            await work()
-
-        run(begin())
-
-    async def wait(self, seconds: float) -> SenderView:
-        """Lets time pass while the rule asks again and again, and returns the view then."""
-        end = self.clock.now() + seconds
-        while self.clock.now() < end:
-            await self.clock.sleep(UPDATE_SECONDS)
-            view = self.senders.view()
-        return view
-
-    def test_new_owner_is_settled_after_a_while(self) -> None:
-        async def work() -> None:
-            self.assertFalse(self.senders.view().is_settled)
-            self.assertFalse((await self.wait(NEWCOMER_SECONDS - 0.2)).is_settled)
-            self.assertTrue((await self.wait(0.4)).is_settled)
-
-        self.play(work)
-
-    def test_owner_that_hears_nothing_of_the_store_is_not_settled(self) -> None:
-        async def work() -> None:
-            self.assertTrue((await self.wait(2.0)).is_settled)
-            self.members.hears = False
-            view = await self.wait(0.2)
-            self.assertEqual((False, True), (view.is_settled, view.is_blind))
-            self.members.hears = True
-            self.assertTrue((await self.wait(0.2)).is_settled)
-            self.heads.age_seconds = 5.0
-            self.assertFalse((await self.wait(0.2)).is_settled)
-
-        self.play(work)
-
-    def test_owner_of_long_ago_is_new_again(self) -> None:
-        async def work() -> None:
-            self.assertTrue((await self.wait(2.0)).is_settled)
-            await self.clock.sleep(LONG_SECONDS)  # nobody asks meanwhile
-            self.assertFalse(self.senders.view().is_settled)
-
-        self.play(work)
-
-    def test_owners_are_counted_at_once_and_forgotten_late(self) -> None:
-        async def work() -> None:
-            self.owners = {self.own}
-            self.assertEqual(1, len((await self.wait(2.0)).owners))
-            self.owners = {self.own, *self.others}
-            self.assertEqual(3, len((await self.wait(0.1)).owners))
-            self.owners = {self.own}
-            self.assertEqual(3, len((await self.wait(OWNER_MEMORY_SECONDS - 0.3)).owners))
-            self.assertEqual(1, len((await self.wait(0.5)).owners))
-
-        self.play(work)
-
-    def test_young_daemon_sends_no_requests_of_clients(self) -> None:
-        async def work() -> None:
-            self.assertFalse((await self.wait(YOUNG_SECONDS - 0.3)).is_informed)
-            self.assertTrue((await self.wait(0.5)).is_informed)
-            self.members.listed = False
-            self.assertFalse((await self.wait(0.2)).is_informed)
-
-        self.play(work)
-
-    def test_daemon_that_was_not_told_whom_to_ask_knows_nobody(self) -> None:
-        async def work() -> None:
-            view = ColdSenders(self.own, self.clock).view()
-            self.assertEqual(
-                (False, False, True), (view.is_settled, view.is_informed, view.is_blind)
-            )
-
-        self.play(work)
-
-
 if __name__ == "__main__":
     unittest.main()
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,18 +1,13 @@
 """How soon and how well a fleet decides: acceptance, taking over, places of moved runs."""
 
-import asyncio
 import random
 import unittest
-from dataclasses import replace
 
-from larkpost.common.clock import LoopClock
 from larkpost.common.errors import LarkpostError
 from larkpost.common.ids import Address, InstanceId, ZoneId
-from larkpost.gateway.blackboard.configuration import ServiceShare
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
 from larkpost.gateway.controllers.members import DEAD_AFTER_SECONDS
-from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
-from larkpost.gateway.proxy.shares import ShareChooser
+from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.rollouts.attempt import LONG_RUN_EVENTS, Progress
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
 from larkpost.gateway.rollouts.engine_run import FasterPlace, MoveAwayError
@@ -20,12 +15,9 @@
 from larkpost.gateway.rollouts.place_queue import PlaceQueue
 from larkpost.gateway.store.port import RowKey, Transaction
 from larkpost.rehearsal.memory_store import StoreFaults
-from tests import switched_off
 from tests.platform_fleet import (
     ENGINES,
     MODEL,
-    PAGES,
-    SCORER_ROUTE,
     PlatformFleet,
     check_results,
     make_batch,
@@ -135,84 +127,6 @@
         run(play())
 
 
-class ShareTest(unittest.TestCase):
-    """Weights of a route's services, over many daemons with few requests each."""
-
-    def test_few_requests_at_many_daemons_keep_the_weights(self):
-        shares = (ServiceShare(ENGINES, 0.7), ServiceShare(PAGES, 0.3))
-        route = replace(SCORER_ROUTE, shares=shares)
-        chosen = []
-        for daemon in range(40):
-            chooser = ShareChooser(random.Random(daemon))
-            chosen.extend(chooser.choose(route) for _ in range(2))
-        self.assertAlmostEqual(0.7, chosen.count(ENGINES) / len(chosen), delta=0.1)
-
-
-class ConnectedInstanceTest(unittest.TestCase):
-    """The choice between instances to which a connection is kept and others."""
-
-    def begin(self) -> Balancer:
-        """Returns a balancer of four instances, connected to the first only."""
-        directory = Directory()
-        for number in range(4):
-            state = InstanceState.READY
-            address = Address("10.0.0.1:1")
-            name = InstanceId(f"e{number}")
-            directory.update(InstanceInfo(name, ENGINES, address, ZoneId("z"), 6, state))
-        chance = random.Random(0)
-        sources = BalancerSources(is_connected=lambda info: info.id == "e0")
-        return Balancer(directory, LoopClock(), chance, sources)
-
-    def first_choices(self, balancer: Balancer) -> set[InstanceId]:
-        """Returns the instances that come first in some choices."""
-        choices = [balancer.candidates(ENGINES, for_client=True)[0] for _ in range(20)]
-        return {info.id for info in choices}
-
-    def test_connected_instance_comes_first_among_equals(self):
-        async def play():
-            self.assertEqual({"e0"}, self.first_choices(self.begin()))
-            with switched_off.kept_connections_first():
-                self.assertEqual(4, len(self.first_choices(self.begin())))
-
-        run(play())
-
-    def test_items_of_batches_are_spread_whatever_is_connected(self):
-        async def play():
-            balancer = self.begin()
-            first = {balancer.candidates(ENGINES)[0].id for _ in range(30)}
-            self.assertEqual(4, len(first))
-
-        run(play())
-
-    def test_a_request_more_or_a_slower_pace_outweighs_the_connection(self):
-        async def play():
-            balancer = self.begin()
-            balancer.occupy(InstanceId("e0"))
-            self.assertNotIn("e0", self.first_choices(balancer))
-            balancer.release(InstanceId("e0"))
-            balancer.record_pace(InstanceId("e0"), 0.05)
-            for number in (1, 2, 3):
-                balancer.record_pace(InstanceId(f"e{number}"), 0.04)
-            self.assertNotIn("e0", self.first_choices(balancer))
-
-        run(play())
-
-
-class PaceTest(unittest.TestCase):
-    """What other daemons tell of the speed of instances."""
-
-    def test_pace_that_a_daemon_does_not_know_hides_none_that_another_told(self):
-        async def play():
-            balancer = Balancer(Directory(), LoopClock(), random.Random(0))
-            engine = InstanceId("e0")
-            balancer.record_peer_summary("first", {engine: (1, 0.04)})
-            await asyncio.sleep(0.1)
-            balancer.record_peer_summary("second", {engine: (2, 0.0)})
-            self.assertEqual(0.04, balancer.pace(engine))
-
-        run(play())
-
-
 class MovedRunTest(unittest.TestCase):
     """Where a run that leaves a slow engine goes on."""
 
--- /dev/null
+++ b/tests/test_elapsed_time.py
@@ -0,0 +1,24 @@
+"""The estimate of how long a caller has been trying."""
+
+import asyncio
+import unittest
+
+from larkpost.common.clock import LoopClock
+from larkpost.gateway.proxy.elapsed_time import WINDOW_SECONDS, ElapsedTimes
+from tests.virtual import run
+
+
+class ElapsedTimesTest(unittest.TestCase):
+    """The estimate of how long ago a caller first tried."""
+
+    def test_caller_that_came_back_lacks_what_went_by(self):
+        async def play():
+            times = ElapsedTimes(LoopClock())
+            self.assertEqual(0.0, times.elapsed("r", 0.8))
+            self.assertAlmostEqual(0.3, times.elapsed("r", 0.5))
+            self.assertEqual(0.0, times.elapsed("other", 0.5))
+            self.assertEqual(0.0, times.elapsed("r", None))
+            await asyncio.sleep(3 * WINDOW_SECONDS)
+            self.assertEqual(0.0, times.elapsed("r", 0.5))
+
+        run(play())
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -21,7 +21,6 @@
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.placement.work import CLIENT_WORK
 from larkpost.gateway.proxy.balancer import Balancer
-from larkpost.gateway.proxy.elapsed_time import WINDOW_SECONDS, ElapsedTimes
 from larkpost.gateway.proxy.forecast import (
     HEEDED_SHARE,
     MOST_RETRY_SECONDS,
@@ -110,22 +109,6 @@
         self.assertEqual(MOST_RETRY_SECONDS, told)
 
 
-class ElapsedTimesTest(unittest.TestCase):
-    """The estimate of how long ago a caller first tried."""
-
-    def test_caller_that_came_back_lacks_what_went_by(self):
-        async def play():
-            times = ElapsedTimes(LoopClock())
-            self.assertEqual(0.0, times.elapsed("r", 0.8))
-            self.assertAlmostEqual(0.3, times.elapsed("r", 0.5))
-            self.assertEqual(0.0, times.elapsed("other", 0.5))
-            self.assertEqual(0.0, times.elapsed("r", None))
-            await asyncio.sleep(3 * WINDOW_SECONDS)
-            self.assertEqual(0.0, times.elapsed("r", 0.5))
-
-        run(play())
-
-
 class WaitingTest(unittest.TestCase):
     """Requests through the forwarder, on virtual time."""
 
--- /dev/null
+++ b/tests/test_route_shares.py
@@ -0,0 +1,26 @@
+"""How a route's requests are divided among its services."""
+
+import random
+import unittest
+from dataclasses import replace
+
+from larkpost.gateway.blackboard.configuration import ServiceShare
+from larkpost.gateway.proxy.shares import ShareChooser
+from tests.platform_fleet import (
+    ENGINES,
+    PAGES,
+    SCORER_ROUTE,
+)
+
+
+class ShareTest(unittest.TestCase):
+    """Weights of a route's services, over many daemons with few requests each."""
+
+    def test_few_requests_at_many_daemons_keep_the_weights(self):
+        shares = (ServiceShare(ENGINES, 0.7), ServiceShare(PAGES, 0.3))
+        route = replace(SCORER_ROUTE, shares=shares)
+        chosen = []
+        for daemon in range(40):
+            chooser = ShareChooser(random.Random(daemon))
+            chosen.extend(chooser.choose(route) for _ in range(2))
+        self.assertAlmostEqual(0.7, chosen.count(ENGINES) / len(chosen), delta=0.1)
--- a/tests/test_scale_mechanisms.py
+++ b/tests/test_scale_mechanisms.py
@@ -10,7 +10,6 @@
 from larkpost.common.ids import Address
 from larkpost.common.tasks import TaskSet
 from larkpost.common.telemetry import Telemetry
-from larkpost.gateway.blackboard.directory import Directory
 from larkpost.gateway.controllers.heartbeat import machine_of, new_life
 from larkpost.gateway.controllers.heartbeat_list import MEMBER_TABLE
 from larkpost.gateway.controllers.members import (
@@ -24,7 +23,6 @@
     Membership,
 )
 from larkpost.gateway.observability.eventlog import EventLog
-from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
 from larkpost.gateway.rollouts.repository import HEAD_TABLE
 from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
@@ -327,53 +325,5 @@
         asyncio.run(play())
 
 
-class PeerUseTest(unittest.TestCase):
-    """What the others tell of their use of an instance."""
-
-    def test_requests_of_a_peer_end_with_its_next_summary(self):
-        async def play():
-            clock = LoopClock()
-            balancer = Balancer(Directory(), clock, None)
-            info = type("Info", (), {"id": "engine"})()
-            balancer.record_peer_summary("a", {"engine": (3, 0.05)})
-            balancer.record_peer_summary("b", {"engine": (2, 0.0)})
-            self.assertEqual(5, balancer.occupied(info))
-            balancer.record_peer_summary("a", {})
-            self.assertEqual(2, balancer.occupied(info))
-            await asyncio.sleep(1.5)
-            self.assertEqual(0, balancer.occupied(info))
-
-        run(play())
-
-    def test_instances_and_daemons_that_are_gone_are_forgotten(self):
-        """Both come back under new names for months."""
-
-        async def play():
-            balancer = Balancer(Directory(), LoopClock(), None)
-            for number in range(100):
-                instance = f"engine-{number}"
-                balancer.record_peer_summary(f"daemon-{number}", {instance: (1, 0.05)})
-                balancer.record_peer_summary(f"daemon-{number}", {})
-                with balancer.placed(instance):
-                    balancer.record_pace(instance, 0.05)
-                await asyncio.sleep(10.0)
-            self.assertLess(len(balancer._own), 25)
-            self.assertLess(len(balancer._peers), 25)
-
-        run(play())
-
-    def test_instance_with_a_request_is_remembered_when_its_entry_is_gone(self):
-        async def play():
-            balancer = Balancer(Directory(), LoopClock(), None)
-            with balancer.placed("engine"):
-                for _ in range(5):
-                    await asyncio.sleep(60.0)
-                    balancer.record_peer_summary("a", {})
-                self.assertEqual(1, balancer.use("engine").outstanding)
-            self.assertEqual(0, balancer.use("engine").outstanding)
-
-        run(play())
-
-
 if __name__ == "__main__":
     unittest.main()
