--- a/src/larkpost/gateway/placement/rules.py
+++ b/src/larkpost/gateway/placement/rules.py
@@ -73,6 +73,10 @@
         return Verdict.ALLOWED if version >= work.minimum_version else Verdict.OLD_VERSION
 
 
+def _at_any_time(_: InstanceInfo) -> None:
+    """Returns None: an admitted send may be made at any time."""
+
+
 class Placement:
     """Asks all rules in turn; the first one that objects decides.
 
@@ -87,7 +91,7 @@
         directory: Directory,
         rules: Iterable[PlacementRule] = (),
         metrics: Metrics | None = None,
-        send_within: Callable[[InstanceInfo], float | None] = lambda _: None,
+        send_within: Callable[[InstanceInfo], float | None] = _at_any_time,
     ) -> None:
         self._directory = directory
         self._rules = (LeavingRule(), VersionRule(directory), *rules)
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -133,23 +133,7 @@
             and (eligible is None or eligible(info))
             and self._placement.allows(info, work)
         ]
-        factors = self._latency_factors(service, fitting) if for_client else {}
-        paces = {info.id: self._local_pace(info.id, factors.get(info.id, 1.0)) for info in fitting}
-        candidates = [
-            Candidate(
-                info,
-                is_avoided=self.is_avoided(info.id),
-                is_cold=self.is_cold(info),
-                occupied=self.occupied(info),
-                pace=paces[info.id],
-                latency_factor=factors.get(info.id, 1.0),
-                connection_factor=self._connection_factor(info) if for_client else 1.0,
-                tie_break=self._chance.random(),
-            )
-            for info in fitting
-        ]
-        best_pace = min((pace for pace in paces.values() if pace), default=0.0)
-        return rank(candidates, best_pace)
+        return self._ranked(service, fitting, for_client=for_client)
 
     def has_place(self, info: InstanceInfo) -> bool:
         """Returns whether an instance is believed to have a free place.
@@ -298,6 +282,28 @@
         self._own.of(instance).is_refusing = is_full
         self.avoid(instance, full_seconds if is_full else UNREACHABLE_AVOID_SECONDS)
 
+    def _ranked(
+        self, service: ServiceName, fitting: list[InstanceInfo], *, for_client: bool
+    ) -> list[InstanceInfo]:
+        """Returns the instances that work may go to, the best first."""
+        factors = self._latency_factors(service, fitting) if for_client else {}
+        paces = {info.id: self._local_pace(info.id, factors.get(info.id, 1.0)) for info in fitting}
+        candidates = [
+            Candidate(
+                info,
+                is_avoided=self.is_avoided(info.id),
+                is_cold=self.is_cold(info),
+                occupied=self.occupied(info),
+                pace=paces[info.id],
+                latency_factor=factors.get(info.id, 1.0),
+                connection_factor=self._connection_factor(info) if for_client else 1.0,
+                tie_break=self._chance.random(),
+            )
+            for info in fitting
+        ]
+        best_pace = min((pace for pace in paces.values() if pace), default=0.0)
+        return rank(candidates, best_pace)
+
     def _latency_factors(
         self, service: ServiceName, fitting: list[InstanceInfo]
     ) -> dict[InstanceId, float]:
--- a/src/larkpost/gateway/proxy/turn_gate.py
+++ b/src/larkpost/gateway/proxy/turn_gate.py
@@ -5,6 +5,9 @@
 refused. Owns the queues and the estimates of callers' times.
 """
 
+from dataclasses import dataclass
+from enum import StrEnum
+
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import Route, ServiceName
 from larkpost.gateway.blackboard.known_crashes import CLIENT_CRASH_LIMIT
@@ -22,6 +25,40 @@
 room for a few requests one after the other. Not measured."""
 
 
+class Turn(StrEnum):
+    """What happens to a request next."""
+
+    TRY = "try"  # it is tried at a server now
+    WAIT = "wait"  # it waits in the queue of its service
+    REFUSE = "refuse"
+
+
+@dataclass(frozen=True, slots=True)
+class TurnInputs:
+    """What a request's turn depends on.
+
+    Attributes:
+        are_all_unreachable: whether each server that it was sent to could not be reached.
+        is_hopeless: whether its forecast says that it cannot be served in its time.
+        must_wait: whether others come before it, or it found no place.
+    """
+
+    are_all_unreachable: bool
+    is_hopeless: bool
+    must_wait: bool
+
+
+def decide_turn(inputs: TurnInputs) -> Turn:
+    """Returns whether a request that is not quarantined is tried now, waits, or is refused.
+
+    One that reached no server is refused although it has time left: no place comes free by waiting
+    here, but another daemon may reach the servers.
+    """
+    if inputs.are_all_unreachable or inputs.is_hopeless:
+        return Turn.REFUSE
+    return Turn.WAIT if inputs.must_wait else Turn.TRY
+
+
 class TurnGate:
     """Lets requests through to the servers, one after the other."""
 
@@ -53,11 +90,14 @@
         if self.is_quarantined(attempts) and not await self._claim_trial(attempts):
             return False
         if attempts.are_all_unreachable:
-            # No place comes free by waiting here, but another daemon may reach the servers.
             attempts.forecast = forecast_unreachable(attempts.waiter.limits, self._clock.now())
-        elif must_wait and not attempts.forecast.is_hopeless:
-            attempts.forecast = await self._queues.wait_for_turn(attempts.waiter)
-            attempts.begin_round()
+        turn = decide_turn(
+            TurnInputs(attempts.are_all_unreachable, attempts.forecast.is_hopeless, must_wait)
+        )
+        if turn is not Turn.WAIT:
+            return turn is Turn.TRY
+        attempts.forecast = await self._queues.wait_for_turn(attempts.waiter)
+        attempts.begin_round()
         return not attempts.forecast.is_hopeless
 
     def is_quarantined(self, attempts: Attempts) -> bool:
