--- a/src/larkpost/gateway/blackboard/known_crashes.py
+++ b/src/larkpost/gateway/blackboard/known_crashes.py
@@ -2,7 +2,9 @@
 
 A request may crash each server that begins to run it, and come again at any daemon. One crash
 proves nothing, as all that a server runs ends with it; so crashes are counted by content, over all
-daemons. A content under which too many servers have crashed is held: it goes to no server.
+daemons. A content under which too many servers have crashed is quarantined: it goes to no server.
+
+Owns what this daemon knows; the rows in the store are written by `quarantine`.
 """
 
 from dataclasses import dataclass
@@ -11,18 +13,19 @@
 from larkpost.gateway.blackboard.request_content import ContentDigest, Request, digest_request
 
 CLIENT_CRASH_LIMIT = 3
-"""Servers that may crash under a client's request before it is held. Two crashes may be another
-request's, which ran beside it at both; a small service that loses three servers is gone."""
+"""Servers that may crash under a client's request before it is quarantined. Two crashes may be
+another request's, which ran beside it at both; a small service that loses three servers is gone."""
 BATCH_CRASH_LIMIT = 4
-"""The same for items of batches and their reward calls. They cannot be refused, so one that is held
+"""The same for items of batches and their reward calls. They cannot be refused, so a quarantine
 by mistake costs its trainer a group; one crash more than a client's request is granted covers an
 item that was beside two different ones that crash engines."""
 SUSPECT_CRASHES = 2
-"""A content under which so many have crashed is suspect: it runs apart from others, and its next
-whole answer clears it. One crash is forgotten with time, which saves a write for each request that
-a crash broke off."""
+"""A content under which so many have crashed is suspect: it is isolated from other suspects, and
+its next whole response clears it. One crash is forgotten with time, which saves a write for each
+request that a crash broke off."""
 REMEMBERED_SECONDS = 3600.0
-"""How long a crash counts; software that bears the request may be rolled out by then."""
+"""How long a crash counts; software that survives the request may be rolled out by then. Not
+measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +52,7 @@
         return sum(len(crashes) for crashes in self._crashes.values())
 
     def add(self, crash: Crash) -> bool:
-        """Takes a crash, and tells whether it was news."""
+        """Records a crash, and returns whether it was not known yet."""
         crashes = self._crashes.setdefault(crash.content, {})
         is_new = crash.instance not in crashes
         crashes[crash.instance] = crash
@@ -58,7 +61,7 @@
         return is_new
 
     def remove(self, content: ContentDigest, instance: InstanceId) -> bool:
-        """Forgets one crash, and tells whether it was known."""
+        """Forgets one crash, and returns whether it was known."""
         crashes = self._crashes.get(content, {})
         was_known = crashes.pop(instance, None) is not None
         if len(crashes) < SUSPECT_CRASHES:
@@ -86,7 +89,7 @@
         return content if content in self._suspects else None
 
     def is_suspect(self, content: ContentDigest) -> bool:
-        """Tells whether servers have crashed repeatedly under a content."""
+        """Returns whether servers have crashed repeatedly under a content."""
         return content in self._suspects
 
     @property
@@ -95,7 +98,7 @@
         return bool(self._suspects)
 
     def holds(self, request: Request, limit: int) -> bool:
-        """Tells whether a request must not be sent to any server.
+        """Returns whether a request is quarantined: it must not be sent to any server.
 
         Args:
             limit: servers that may crash under it.
@@ -104,11 +107,11 @@
         return content is not None and self.holds_content(content, limit)
 
     def holds_content(self, content: ContentDigest, limit: int) -> bool:
-        """Tells the same of a content."""
+        """Returns the same of a content."""
         return self.is_suspect(content) and self.count(content) >= limit
 
     def held(self) -> int:
-        """Returns how many contents no client's request is sent on with."""
+        """Returns how many contents are quarantined as clients' requests."""
         return sum(self.count(content) >= CLIENT_CRASH_LIMIT for content in self._suspects)
 
     def older_than(self, at: float) -> list[Crash]:
--- a/src/larkpost/gateway/proxy/server_choice.py
+++ b/src/larkpost/gateway/proxy/server_choice.py
@@ -3,6 +3,7 @@
 Relies on the balancer for the order of the servers and their paces.
 """
 
+from collections.abc import Collection
 from dataclasses import replace
 
 from larkpost.gateway.blackboard.directory import InstanceInfo
@@ -19,6 +20,17 @@
 """Where no pace is known, this part of the objective stands in for it. Not measured."""
 
 
+def hedge_delay(paces: Collection[float], objective: float) -> float:
+    """Returns the seconds after which a second server is tried beside a silent first one.
+
+    Args:
+        paces: seconds a request takes at each server whose pace is known.
+        objective: seconds within which a response is worth most.
+    """
+    usual = min(paces, default=objective / UNKNOWN_PACE_DIVISOR)
+    return max(MIN_HEDGE_SECONDS, HEDGE_PACE_FACTOR * usual)
+
+
 class ServerChoice:
     """Chooses the servers of client requests."""
 
@@ -49,5 +61,4 @@
             for info in self._directory.of_service(attempts.waiter.service)
             if (pace := self._balancer.pace(info.id))
         ]
-        usual = min(paces, default=attempts.route.objective / UNKNOWN_PACE_DIVISOR)
-        return max(MIN_HEDGE_SECONDS, HEDGE_PACE_FACTOR * usual)
+        return hedge_delay(paces, attempts.route.objective)
--- a/src/larkpost/gateway/proxy/turn_gate.py
+++ b/src/larkpost/gateway/proxy/turn_gate.py
@@ -102,10 +102,13 @@
 
     def is_quarantined(self, attempts: Attempts) -> bool:
         """Returns whether a request must go to no server now, as others crashed under its like."""
-        is_held = self._parts.crashes.holds(attempts.request, CLIENT_CRASH_LIMIT)
-        if not attempts.is_trial:
-            attempts.quarantine = QuarantineState.QUARANTINED if is_held else QuarantineState.NONE
-        return attempts.quarantine is QuarantineState.QUARANTINED
+        if attempts.is_trial:
+            return False
+        is_quarantined = self._parts.crashes.holds(attempts.request, CLIENT_CRASH_LIMIT)
+        attempts.quarantine = QuarantineState.NONE
+        if is_quarantined:
+            attempts.quarantine = QuarantineState.QUARANTINED
+        return is_quarantined
 
     def record_taken(self, service: ServiceName) -> None:
         """Records that a server of a service had a place."""
--- /dev/null
+++ b/tests/test_known_crashes.py
@@ -0,0 +1,50 @@
+"""Which requests are suspect and which are quarantined, by their crashes, as a table of cases."""
+
+import unittest
+
+from larkpost.common.ids import InstanceId
+from larkpost.gateway.blackboard.known_crashes import (
+    BATCH_CRASH_LIMIT,
+    CLIENT_CRASH_LIMIT,
+    Crash,
+    KnownCrashes,
+)
+from larkpost.gateway.blackboard.request_content import ContentDigest
+
+CONTENT = ContentDigest("aa")
+OTHER = ContentDigest("bb")
+
+
+class QuarantineRuleTest(unittest.TestCase):
+    """Contents with a number of crashes each."""
+
+    def test_each_count_of_crashes(self):
+        for crashes, limit, is_suspect, is_quarantined in (
+            (0, CLIENT_CRASH_LIMIT, False, False),
+            (1, CLIENT_CRASH_LIMIT, False, False),
+            (1, 1, False, False),  # one crash proves nothing, whatever the limit
+            (2, CLIENT_CRASH_LIMIT, True, False),
+            (3, CLIENT_CRASH_LIMIT, True, True),
+            (3, BATCH_CRASH_LIMIT, True, False),
+            (4, BATCH_CRASH_LIMIT, True, True),
+            (9, CLIENT_CRASH_LIMIT, True, True),
+        ):
+            known = KnownCrashes()
+            for number in range(crashes):
+                self.assertTrue(known.add(Crash(CONTENT, InstanceId(f"i{number}"), 0.0)))
+            known.add(Crash(OTHER, InstanceId("i0"), 0.0))
+            with self.subTest(crashes=crashes, limit=limit):
+                self.assertEqual(is_suspect, known.is_suspect(CONTENT))
+                self.assertEqual(is_quarantined, known.holds_content(CONTENT, limit))
+                self.assertFalse(known.holds_content(OTHER, limit))
+
+    def test_same_crash_counts_once_and_a_removed_one_no_more(self):
+        known = KnownCrashes()
+        for _ in range(2):
+            known.add(Crash(CONTENT, InstanceId("i0"), 0.0))
+        self.assertEqual(1, known.count(CONTENT))
+        known.add(Crash(CONTENT, InstanceId("i1"), 0.0))
+        self.assertTrue(known.is_suspect(CONTENT))
+        self.assertTrue(known.remove(CONTENT, InstanceId("i1")))
+        self.assertFalse(known.remove(CONTENT, InstanceId("i1")))
+        self.assertFalse(known.is_suspect(CONTENT))
--- /dev/null
+++ b/tests/test_server_choice.py
@@ -0,0 +1,20 @@
+"""When a second server is tried beside a silent first one, as a table of cases."""
+
+import unittest
+
+from larkpost.gateway.proxy.server_choice import MIN_HEDGE_SECONDS, hedge_delay
+
+
+class HedgeDelayTest(unittest.TestCase):
+    """Three times the fastest pace; half of the objective stands in for an unknown one."""
+
+    def test_each_case(self):
+        for paces, objective, expected in (
+            ((0.1,), 0.4, 0.3),
+            ((0.2, 0.1, 5.0), 0.4, 0.3),
+            ((), 0.4, 0.6),
+            ((0.01,), 0.4, MIN_HEDGE_SECONDS),
+            ((), 0.02, MIN_HEDGE_SECONDS),
+        ):
+            with self.subTest(paces=paces, objective=objective):
+                self.assertAlmostEqual(expected, hedge_delay(paces, objective))
