--- a/src/larkpost/gateway/__init__.py
+++ b/src/larkpost/gateway/__init__.py
@@ -23,8 +23,4 @@
 `observability`, `store`, `blackboard`, `servers`, `controllers`, `usage`, `placement`,
 `quarantine`, `proxy`, `rollouts`, `scaling`, `assembly`, `daemon`. `usage` stands above
 `controllers`, as reports are sent under leases and by true time; `proxy` needs only its counter.
-
-Exceptions: `controllers.feeds` and `quarantine.repository` know the table of batches by `rollouts`,
-`controllers.feeds` its part with crashes by `quarantine`, and `blackboard.known_crashes` the
-digests of `quarantine.content`.
 """
--- a/src/larkpost/gateway/controllers/feeds.py
+++ b/src/larkpost/gateway/controllers/feeds.py
@@ -10,8 +10,7 @@
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.controllers.row_intake import InstanceTrust, RowIntake, RowReaders
 from larkpost.gateway.observability.instruments import Instruments
-from larkpost.gateway.quarantine.repository import CRASH_PART
-from larkpost.gateway.store.batch_tables import HEAD_TABLE, PARTS
+from larkpost.gateway.store.batch_tables import CRASH_PART, HEAD_TABLE, PARTS
 from larkpost.gateway.store.follower import Relisting, TableFollower, TableParts
 from larkpost.gateway.store.port import Row, Store
 
--- a/src/larkpost/gateway/quarantine/repository.py
+++ b/src/larkpost/gateway/quarantine/repository.py
@@ -10,11 +10,10 @@
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.known_crashes import Crash
 from larkpost.gateway.blackboard.request_content import ContentDigest
-from larkpost.gateway.store.batch_tables import HEAD_TABLE
+from larkpost.gateway.store.batch_tables import CRASH_PART, HEAD_TABLE
 from larkpost.gateway.store.port import ABSENT, Row, RowKey, Store, Transaction, WriteOutcome
 
 CRASH_TABLE = HEAD_TABLE
-CRASH_PART = "crashes"
 MAX_ROWS = 90
 """Rows written at once; a transaction takes a hundred entries."""
 WRITE_TIMEOUT_SECONDS = 1.0
--- a/src/larkpost/gateway/store/batch_tables.py
+++ b/src/larkpost/gateway/store/batch_tables.py
@@ -4,6 +4,7 @@
 hash of its id names:
 
     batches        <id>                       the head, followed by every daemon
+    batches        <content>/<instance>       a crash of a server, in a part of its own
     batch_items    <id>/<upload>/<piece>      the items, cut into pieces
     batch_tails    <id>                       count of results, and whether the batch is ended
     batch_results  <id>/<position>/<piece>    one result
@@ -21,6 +22,8 @@
 PARTS = tuple(f"b{number}" for number in range(8))
 """Parts of each table. Not measured how many serve best; the count can't change while batches are
 stored, as the part of a batch follows from it."""
+CRASH_PART = "crashes"
+"""Part of the table of heads that holds crashes of servers: every daemon follows that table."""
 
 
 def part_of(batch: BatchId) -> str:
