--- a/src/larkpost/gateway/rollouts/run.py
+++ b/src/larkpost/gateway/rollouts/run.py
@@ -17,7 +17,7 @@
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId, Result, ResultState
 from larkpost.gateway.rollouts.place_queue import PlaceQueue
 from larkpost.gateway.rollouts.progress import Progress
-from larkpost.gateway.rollouts.reward import RewardScorer, RewardState
+from larkpost.gateway.rollouts.reward import RewardScorer
 from larkpost.gateway.rollouts.stalls import CHECK_INTERVAL_SECONDS
 
 FAULT_PAUSE_SECONDS = 1.0
@@ -129,8 +129,8 @@
         call = progress.item.reward_call
         if call is None:
             return True, None
-        outcome = await self._scorer.score(progress, call)
-        return outcome.state is RewardState.SCORED, outcome.score
+        score = await self._scorer.score(progress, call)
+        return score is not None, score
 
     def _finish_dead(self, item: Item, progress: Progress) -> None:
         self._services.log.record(
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -177,7 +177,7 @@
         progress = self.progress[item.id]
         score = None
         if item.reward_call is not None:
-            score = (await self._scorer.score(progress, item.reward_call)).score
+            score = await self._scorer.score(progress, item.reward_call)
         await self._outputs.make_whole(progress)
         self.progress.pop(item.id, None)
         self._finished(progress.result(score))
