--- a/src/larkpost/gateway/quarantine/recorder.py
+++ b/src/larkpost/gateway/quarantine/recorder.py
@@ -1,13 +1,10 @@
 """Keeps what daemons know of crashes the same everywhere, and has it forgotten in time.
 
-Owns the changes that the store does not have yet; relies on the blackboard for what is known and on
-the repository for the rows.
+Relies on the blackboard for what is known, and on the saver to bring changes into the store.
 """
 
-import asyncio
 from collections.abc import Callable, Iterable
 
-from larkpost.common.clock import Clock
 from larkpost.common.ids import InstanceId
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.blackboard.known_crashes import (
@@ -19,17 +16,13 @@
 from larkpost.gateway.blackboard.request_content import ContentDigest
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.metrics import Count, Metrics
-from larkpost.gateway.quarantine.repository import MAX_ROWS, CrashRepository, crash_of_row
+from larkpost.gateway.quarantine.repository import crash_of_row
+from larkpost.gateway.quarantine.saver import CrashSaver
 from larkpost.gateway.servers.port import OutgoingRequest
 from larkpost.gateway.store.port import Row
 
-RETRY_SECONDS = 0.2
-"""Pause after a write that the store did not carry out. Not measured."""
 FORGET_INTERVAL_SECONDS = 60.0
 """Between two removals of old crashes. Not measured: short beside the time they are remembered."""
-MAX_UNSAVED = 2000
-"""Changes that wait for the store; when it is away for long, the oldest ones are dropped.
-Not measured."""
 MAX_LOGGED = 20
 """Contents named in a line of the log. Not measured."""
 
@@ -44,25 +37,20 @@
     def __init__(
         self,
         crashes: KnownCrashes,
-        repository: CrashRepository,
-        clock: Clock,
+        saver: CrashSaver,
         log: EventLog,
         metrics: Metrics,
         may_forget: Callable[[], bool],
     ) -> None:
         self._crashes = crashes
-        self._repository = repository
-        self._clock = clock
+        self._saver = saver
         self._log = log
         self._metrics = metrics
         self._may_forget = may_forget
-        self._unsaved: dict[tuple[ContentDigest, InstanceId], Crash | None] = {}
-        """Changes that the store does not have yet; None for a removal."""
-        self._wake = asyncio.Event()
 
     def start(self, tasks: TaskSet) -> None:
         """Starts saving and forgetting."""
-        tasks.spawn(self._save_all(), "crashes")
+        tasks.spawn(self._saver.run(), "crashes")
         tasks.every(FORGET_INTERVAL_SECONDS, self.forget_old, "old_crashes")
 
     def take_row(self, row: Row) -> None:
@@ -85,7 +73,7 @@
         Args:
             evidence: how that is known.
         """
-        at = self._repository.time() or 0.0
+        at = self._saver.time() or 0.0
         added = [Crash(content, instance, at) for content in contents]
         added = [crash for crash in added if self._add(crash)]
         if not added:
@@ -99,7 +87,7 @@
             crashes=max(self._crashes.count(crash.content) for crash in added),
         )
         for crash in added:
-            self._save_later(crash.content, crash.instance, crash)
+            self._saver.save_later(crash.content, crash.instance, crash)
 
     def record_served(self, request: OutgoingRequest) -> None:
         """Records that a server has run a request whole: it was not what crashed the others."""
@@ -108,16 +96,16 @@
             return
         for crash in self._crashes.of(content):
             self._remove(content, crash.instance)
-            self._save_later(content, crash.instance, None)
+            self._saver.save_later(content, crash.instance, None)
 
     async def forget_old(self) -> None:
         """Removes the crashes that are remembered no longer."""
-        now = self._repository.time()
+        now = self._saver.time()
         if now is None or not self._may_forget():
             return
         for crash in self._crashes.older_than(now - REMEMBERED_SECONDS):
             self._remove(crash.content, crash.instance)
-            self._save_later(crash.content, crash.instance, None)
+            self._saver.save_later(crash.content, crash.instance, None)
 
     def _add(self, crash: Crash) -> bool:
         is_new = self._crashes.add(crash)
@@ -130,33 +118,3 @@
         count = self._crashes.count(content)
         if self._crashes.remove(content, instance) and count == CLIENT_CRASH_LIMIT:
             self._log.record(Event.QUARANTINE, content=content, state="ended", crashes=count - 1)
-
-    def _save_later(
-        self, content: ContentDigest, instance: InstanceId, crash: Crash | None
-    ) -> None:
-        """Has a change saved soon; the newest one for a row replaces those before it."""
-        self._unsaved.pop((content, instance), None)
-        self._unsaved[content, instance] = crash
-        while len(self._unsaved) > MAX_UNSAVED:
-            del self._unsaved[next(iter(self._unsaved))]
-        self._wake.set()
-
-    async def _save_all(self) -> None:
-        while True:
-            await self._wake.wait()
-            self._wake.clear()
-            while self._unsaved:
-                if not await self._save_some():
-                    await self._clock.sleep(RETRY_SECONDS)
-
-    async def _save_some(self) -> bool:
-        """Saves the oldest changes, and returns whether that is done."""
-        taken = dict(list(self._unsaved.items())[:MAX_ROWS])
-        removed = [Crash(*key, 0.0) for key, crash in taken.items() if crash is None]
-        added = [crash for crash in taken.values() if crash is not None]
-        is_done = await self._repository.save(added, removed)
-        if is_done:
-            for key, crash in taken.items():
-                if key in self._unsaved and self._unsaved[key] is crash:
-                    del self._unsaved[key]
-        return is_done
