--- a/src/larkpost/gateway/proxy/turn_gate.py
+++ b/src/larkpost/gateway/proxy/turn_gate.py
@@ -1,8 +1,10 @@
 """Decides whether a client request may be tried at a server now, must wait, or is refused.
 
-In this order: a quarantined request needs a trial; one that reached no server is refused; one that
-others come before, or that found no place, waits in its queue; one that cannot be served in time is
-refused. Owns the queues and the estimates of callers' times.
+In this order: a quarantined request needs a trial; one that reached no server is refused, and one
+that cannot be served in its time; one that others come before, or that found no place, waits in its
+queue, and is refused once it can no longer be served in its time.
+
+Owns the queues and the estimates of callers' times.
 """
 
 from dataclasses import dataclass
