--- a/src/larkpost/gateway/blackboard/known_crashes.py
+++ b/src/larkpost/gateway/blackboard/known_crashes.py
@@ -2,7 +2,7 @@
 
 A request may crash each server that begins to run it, and come again at any daemon. One crash
 proves nothing, as all that a server runs ends with it; so crashes are counted by content, over all
-daemons. A content under which too many servers have crashed is held: it goes to no server.
+daemons. A content under which too many servers have crashed is quarantined: it goes to no server.
 """
 
 from dataclasses import dataclass
@@ -11,18 +11,18 @@
 from larkpost.gateway.quarantine.content import ContentDigest, Request, digest_request
 
 CLIENT_CRASH_LIMIT = 3
-"""Servers that may crash under a client's request before it is held. Two crashes may be another
-request's, which ran beside it at both; a small service that loses three servers is gone."""
+"""Servers that may crash under a client's request before it is quarantined. Two crashes may be
+another request's, which ran beside it at both; a small service that loses three servers is gone."""
 BATCH_CRASH_LIMIT = 4
-"""The same for items of batches and their reward calls. They cannot be refused, so one that is held
-by mistake costs its trainer a group; one crash more than a client's request is granted covers an
-item that was beside two different ones that crash engines."""
+"""The same for items of batches and their reward calls. They cannot be refused, so one that is
+quarantined by mistake costs its trainer a group; one crash more than a client's request is granted
+covers an item that was beside two different ones that crash engines."""
 SUSPECT_CRASHES = 2
-"""A content under which so many have crashed is suspect: it runs apart from others, and its next
-whole answer clears it. One crash is forgotten with time, which saves a write for each request that
+"""A content under which so many have crashed is suspect: it runs in isolation, and its next whole
+response clears it. One crash is forgotten with time, which saves a write for each request that
 a crash broke off."""
 REMEMBERED_SECONDS = 3600.0
-"""How long a crash counts; software that bears the request may be rolled out by then."""
+"""Seconds for which a crash counts; software that bears the request may be rolled out by then."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,7 +104,7 @@
         return content is not None and self.holds_content(content, limit)
 
     def holds_content(self, content: ContentDigest, limit: int) -> bool:
-        """Returns the same of a content."""
+        """Returns whether a content must not be sent to any server; see `holds`."""
         return self.is_suspect(content) and self.count(content) >= limit
 
     def held(self) -> int:
--- a/src/larkpost/gateway/observability/batch_times.py
+++ b/src/larkpost/gateway/observability/batch_times.py
@@ -14,7 +14,9 @@
 from larkpost.gateway.observability.explain import LogLine, read_lines
 
 WHOLE = "whole"
+"""Outcome of a run, as logged, that left a whole output."""
 SCORED = "scored"
+"""Outcome of a reward call, as logged, that gave a score."""
 
 
 @dataclass(slots=True)
@@ -49,8 +51,8 @@
     calls: Counter[str] = field(default_factory=Counter)
     ended_at: float | None = None
 
-    def take(self, line: LogLine) -> None:
-        """Reads one line that names this batch."""
+    def add(self, line: LogLine) -> None:
+        """Adds what one line says that names this batch."""
         fields = line.fields
         match line.event:
             case Event.BATCH_ACCEPTED:
@@ -62,7 +64,7 @@
             case Event.BATCH_OWNED:
                 self.owners.append(line.daemon)
             case Event.ITEM_RUN:
-                self._take_run(line)
+                self._add_run(line)
             case Event.REWARD_CALL:
                 self.calls[fields["outcome"]] += 1
                 if fields["outcome"] == SCORED:
@@ -75,7 +77,7 @@
             case Event.BATCH_ENDED:
                 self.ended_at = self.ended_at or line.at
 
-    def _take_run(self, line: LogLine) -> None:
+    def _add_run(self, line: LogLine) -> None:
         item = line.fields["item"]
         self.groups[item] = line.fields.get("group", item)
         outcome = line.fields["outcome"].partition(":")[0]
@@ -150,7 +152,7 @@
     for line in sorted(read_lines(lines), key=lambda entry: entry.at):
         name = line.fields.get("batch")
         if isinstance(name, str):
-            batches.setdefault(name, BatchTimes(name)).take(line)
+            batches.setdefault(name, BatchTimes(name)).add(line)
     return sorted(batches.values(), key=lambda times: times.accepted_at or float("inf"))
 
 
