--- a/src/larkpost/gateway/assembly/gauges.py
+++ b/src/larkpost/gateway/assembly/gauges.py
@@ -8,7 +8,7 @@
 from larkpost.gateway.controllers.feeds import Feeds
 from larkpost.gateway.controllers.members import Membership
 from larkpost.gateway.observability.metrics import Level, Metrics
-from larkpost.gateway.placement.cold import ColdRule
+from larkpost.gateway.placement.cold_rule import ColdRule
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.rollouts.keeper import BatchKeeper
 from larkpost.gateway.store.relay import RelayedStore
--- a/src/larkpost/gateway/rollouts/context.py
+++ b/src/larkpost/gateway/rollouts/context.py
@@ -1,4 +1,4 @@
-"""What running batches needs of its daemon."""
+"""The parts of a daemon that batches rely on, passed together."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 from larkpost.gateway.controllers.division import EngineDivision
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
-from larkpost.gateway.placement.cold import ColdRule
+from larkpost.gateway.placement.cold_rule import ColdRule
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.servers.port import ServerPort
@@ -23,7 +23,7 @@
 
     Attributes:
         store_time: returns the store's clock in seconds, or None if it is not known.
-        division: tells which engines are a model's own.
+        division: knows which engines are a model's own.
         cold: limits what is sent to cold engines; None if nothing does.
         crashes: the servers that have crashed, and under which requests.
         reward_places: bounds the reward calls that the daemon has at servers at once.
--- a/tests/test_pinned_calls.py
+++ b/tests/test_pinned_calls.py
@@ -33,8 +33,9 @@
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.proxy.request import QuarantinedError, RefusedError
 from larkpost.gateway.proxy.request import WholeResponse as WholeAnswer
+from larkpost.gateway.rollouts.errors import NoSuchBatchError
 from larkpost.gateway.rollouts.model import ItemId, Result, ResultState
-from larkpost.gateway.rollouts.service import NoSuchBatchError, ResultPage
+from larkpost.gateway.rollouts.reader import ResultPage
 from larkpost.gateway.scaling.port import ScalingOrder, ServerKind
 from larkpost.gateway.servers.port import (
     BrokenResponseError as BrokenAnswerError,
@@ -59,7 +60,7 @@
 from larkpost.rehearsal.processes import free_address
 from larkpost.standalone.api.app import make_app
 from tests.connections import ConnectionServer
-from tests.fleet import INTENT, SimulatedFleet
+from tests.simulated_fleet import INTENT, SimulatedFleet
 
 ECHO = b"larkpost-attempt-id: r1\r\nlarkpost-server-stamp: s\r\n"
 REPORT = b'{"seq":3,"busy":false,"running":1,"waiting":2,"versions":{"m":7}}'
--- a/tests/test_pinned_rows.py
+++ b/tests/test_pinned_rows.py
@@ -12,7 +12,6 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.common.tasks import TaskSet
-from larkpost.common.telemetry import Telemetry
 from larkpost.gateway.blackboard.configuration import (
     Configuration,
     RequestLimits,
@@ -24,15 +23,15 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo, InstanceState
 from larkpost.gateway.blackboard.evacuations import ZoneEvacuation
 from larkpost.gateway.blackboard.known_crashes import Crash
+from larkpost.gateway.blackboard.request_content import digest_content
 from larkpost.gateway.blackboard.scaling_terms import ScalingTerms
 from larkpost.gateway.blackboard.tenants import Tenant, digest_key
 from larkpost.gateway.blackboard.weight_targets import WeightTarget
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
 from larkpost.gateway.controllers.leases import Duty, LeaseSubject, LeaseTable
 from larkpost.gateway.proxy.request import ClientRequest
-from larkpost.gateway.quarantine.content import digest_content
 from larkpost.gateway.quarantine.repository import CrashRepository, crash_of_row
-from larkpost.gateway.rollouts.attempt import Progress
+from larkpost.gateway.rollouts.batch_rows import head_of_row
 from larkpost.gateway.rollouts.codec import (
     decode_head,
     decode_items,
@@ -56,13 +55,16 @@
     RewardCall,
     Tail,
 )
-from larkpost.gateway.rollouts.repository import BatchRepository, head_of_row, part_of
+from larkpost.gateway.rollouts.progress import Progress
+from larkpost.gateway.rollouts.repository import BatchRepository
+from larkpost.gateway.store.batch_tables import part_of
 from larkpost.gateway.store.port import Row, RowKey, Transaction
 from larkpost.gateway.usage.port import UsageReport
 from larkpost.gateway.usage.repository import DecidedReport, UsageRepository
+from larkpost.platform.assembly import READERS
 from larkpost.platform.operator import UnreadableRowError
-from larkpost.platform.process import READERS
-from larkpost.rehearsal.memory_store import MemoryStore, StoreClient
+from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient
+from larkpost.standalone.telemetry import Telemetry
 from tests.pinned_parts import forward, make_active_member, make_member, make_scaled_fleet
 from tests.platform_fleet import MODEL, PAGES, make_batch
 from tests.virtual import run
--- a/tests/test_store_follower.py
+++ b/tests/test_store_follower.py
@@ -4,13 +4,13 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.common.tasks import TaskSet
-from larkpost.common.telemetry import Telemetry
 from larkpost.gateway.blackboard.configuration import Configuration, ConfigurationState
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.store.follower import Relisting, TableFollower, TableParts
 from larkpost.gateway.store.port import Row, RowKey, RowPage, Transaction
-from larkpost.rehearsal.memory_store import MemoryStore, StoreClient, StoreFaults
+from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient, StoreFaults
+from larkpost.standalone.telemetry import Telemetry
 from tests.virtual import run
 
 TABLE = "t"
