--- a/src/larkpost/platform/descriptors.py
+++ b/src/larkpost/platform/descriptors.py
@@ -9,6 +9,7 @@
 
 import asyncio
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
 from larkpost.gateway.observability.eventlog import Event, EventLog
@@ -27,6 +28,31 @@
 measured."""
 
 
+@dataclass(frozen=True, slots=True)
+class DescriptorUse:
+    """How many sockets are open, and how many may be.
+
+    Attributes:
+        used: sockets that are open.
+        limit: descriptors that are left to sockets.
+    """
+
+    used: int
+    limit: int
+
+    def count_above_calm(self) -> int:
+        """Returns how many connections must be closed until no more than `CALM_SHARE` is used."""
+        return self.used - int(self.limit * CALM_SHARE)
+
+    def must_shed(self) -> bool:
+        """Returns whether idle connections must be closed."""
+        return self.used >= self.limit * SHED_SHARE
+
+    def has_room(self, closed: int) -> bool:
+        """Returns whether connections can be accepted once ``closed`` ones have been closed."""
+        return self.used - closed < self.limit * FULL_SHARE
+
+
 class DescriptorGuard:
     """Watches how many descriptors one daemon uses.
 
@@ -58,20 +84,21 @@
 
     def check(self) -> None:
         """Closes idle connections if too many are open, and sets whether more can be accepted."""
-        used = self._count_sockets()
-        closed = 0
-        if used >= self._limit * SHED_SHARE:
-            closed = self._shed(used - int(self._limit * CALM_SHARE))
-        self._set_accepting(used, closed, accepting=used - closed < self._limit * FULL_SHARE)
+        use = self._measure()
+        closed = self._shed(use.count_above_calm()) if use.must_shed() else 0
+        self._set_accepting(use.used, closed, accepting=use.has_room(closed))
 
     def record_failure(self, loop: asyncio.AbstractEventLoop, context: dict) -> None:
         """Handles an error of the event loop: of accepting, or another one, which is passed on."""
         if not _is_accept_failure(context):
             loop.default_exception_handler(context)
             return
-        closed = self._shed(max(1, self._count_sockets() - int(self._limit * CALM_SHARE)))
+        closed = self._shed(max(1, self._measure().count_above_calm()))
         self._set_accepting(self._count_sockets(), closed, accepting=closed > 0)
 
+    def _measure(self) -> DescriptorUse:
+        return DescriptorUse(self._count_sockets(), self._limit)
+
     def _set_accepting(self, used: int, closed: int, *, accepting: bool) -> None:
         if closed or accepting is not self._lifecycle.accepting:
             self._log.record(
--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -1,9 +1,14 @@
-"""The batch service: opens, pulls and closes batches, and takes over those of other daemons."""
+"""The batch service: opens, pulls and closes batches, and takes over those of other daemons.
+
+Owns the batches that are open at this daemon; their slots are the ledger's, their attempts the
+runner's.
+"""
 
 import asyncio
 import math
 from collections.abc import Callable
-from dataclasses import dataclass, field, replace
+from dataclasses import dataclass
+from operator import attrgetter
 
 from larkpost.common.errors import (
     BatchConflictError,
@@ -13,7 +18,9 @@
     UnknownBatchError,
 )
 from larkpost.common.ids import BatchId
+from larkpost.standalone.batches.checks import check_slots, check_spec
 from larkpost.standalone.batches.ledger import BatchLedger, BatchSpec, Page, Sample
+from larkpost.standalone.batches.open_batch import OpenBatch
 from larkpost.standalone.batches.replication import Replication, encode_fetch_reply
 from larkpost.standalone.batches.runner import BatchRunner
 from larkpost.standalone.blackboard.board import Phase
@@ -24,8 +31,6 @@
 
 SCHEDULE_INTERVAL = 0.05
 """Seconds between rounds that start samples. Not measured."""
-MAX_SLOTS = 65_536
-"""Most samples of one batch. Not measured."""
 MAX_PULL_WAIT = 30.0
 """Longest time in seconds for which a pull is held. Not measured."""
 RunnerFactory = Callable[[BatchLedger, Callable[[Sample], None]], BatchRunner]
@@ -51,20 +56,6 @@
     wait: float | None = None
 
 
-@dataclass(slots=True)
-class _OpenBatch:
-    """A batch owned by this daemon."""
-
-    ledger: BatchLedger
-    touched: float
-    due_at: float
-    """Local monotonic time by which the trainer wants the batch whole, or infinity."""
-    runner: BatchRunner | None = None
-    unreplicated: list[Sample] = field(default_factory=list)
-    changed: asyncio.Event = field(default_factory=asyncio.Event)
-    copied: bool = False
-
-
 class BatchService:
     """Owns batches."""
 
@@ -84,7 +75,7 @@
         self._clock = runtime.clock
         self._telemetry = runtime.telemetry
         self._settings = runtime.settings.batches
-        self._batches: dict[BatchId, _OpenBatch] = {}
+        self._batches: dict[BatchId, OpenBatch] = {}
         self._activity = runtime.activity
         self._readiness = readiness
 
@@ -103,13 +94,13 @@
             LarkpostError: the daemon is not serving, the batch is wrong, or there are too many.
         """
         self._readiness.check()
-        spec = self._check_spec(spec)
-        _check_slots(spec, held)
+        spec = check_spec(spec, self._board.configuration.intent)
+        check_slots(spec, held)
         known = self._batches.get(spec.id)
         if known is not None:
             if known.ledger.spec != spec:
                 raise BatchConflictError(f"batch {spec.id!r} is open with another content")
-            known.ledger.note_trainer(spec.policy_version, held)
+            known.ledger.record_trainer(spec.policy_version, held)
             return
         if len(self._batches) >= self._settings.max_batches:
             raise OverloadedError(
@@ -128,10 +119,10 @@
         """
         with self._activity.request():
             batch = await self._find(call.batch)
-            _check_slots(batch.ledger.spec, call.held)
+            check_slots(batch.ledger.spec, call.held)
             batch.touched = self._clock.now()
             self._announce_version(batch.ledger.spec, call.trainer_version)
-            batch.ledger.note_trainer(call.trainer_version, call.held)
+            batch.ledger.record_trainer(call.trainer_version, call.held)
             await self._wait_for_samples(batch, call.wait)
             return self._build_page(batch, call)
 
@@ -155,7 +146,7 @@
         """Starts samples of every batch, the one due first before the others."""
         if not self._batches or not self._readiness.admits:
             return
-        for batch in sorted(self._batches.values(), key=lambda b: b.due_at):
+        for batch in sorted(self._batches.values(), key=attrgetter("due_at")):
             if batch.runner is not None:
                 batch.runner.schedule()
 
@@ -198,28 +189,11 @@
             return encode_fetch_reply(replica.spec, samples, replica.owner)
         return pb.BatchFetchReply(known=False).SerializeToString()
 
-    def _check_spec(self, spec: BatchSpec) -> BatchSpec:
-        """Checks a specification against the intent and returns it with the bound in force."""
-        trainer = self._board.configuration.intent.trainer(spec.trainer)
-        if trainer is None or spec.pool not in trainer.pools:
-            raise InvalidRequestError(
-                f"trainer {spec.trainer!r} may not draw from pool {spec.pool!r}",
-                remedy="Admit the trainer to the pool in the intent.",
-            )
-        if not 0 < spec.slot_count <= MAX_SLOTS:
-            raise InvalidRequestError(f"a batch has 1 to {MAX_SLOTS} samples")
-        if spec.expected_tokens and len(spec.expected_tokens) != len(spec.prompts):
-            raise InvalidRequestError("expected_tokens needs one number per prompt")
-        if spec.max_tokens < 1 or not all(spec.prompts):
-            raise InvalidRequestError("max_tokens must be above 0 and no prompt may be empty")
-        bound = min(spec.staleness_bound, trainer.staleness_bound)
-        return replace(spec, staleness_bound=bound)
-
-    def _adopt(self, spec: BatchSpec, samples: list[Sample], held: tuple[int, ...]) -> _OpenBatch:
+    def _adopt(self, spec: BatchSpec, samples: list[Sample], held: tuple[int, ...]) -> OpenBatch:
         ledger = BatchLedger(spec, self._settings.longest_first)
         now = self._clock.now()
-        batch = _OpenBatch(ledger, now, now + spec.due if spec.due > 0 else math.inf)
-        ledger.note_trainer(spec.policy_version, held)
+        batch = OpenBatch(ledger, now, now + spec.due if spec.due > 0 else math.inf)
+        ledger.record_trainer(spec.policy_version, held)
         for sample in samples:
             ledger.finish(sample)
 
@@ -233,7 +207,7 @@
         self._update_gauge()
         return batch
 
-    async def _find(self, batch_id: BatchId) -> _OpenBatch:
+    async def _find(self, batch_id: BatchId) -> OpenBatch:
         batch = self._batches.get(batch_id)
         if batch is not None:
             if self._is_handed_over(batch):
@@ -253,7 +227,7 @@
         self._telemetry.change(f"batch.{batch_id}", "taken over", samples=len(samples))
         return self._adopt(spec, samples, ())
 
-    def _is_handed_over(self, batch: _OpenBatch) -> bool:
+    def _is_handed_over(self, batch: OpenBatch) -> bool:
         stopping = self._board.phase == Phase.STOPPING
         return stopping and batch.runner.running == 0 and not batch.ledger.finished()
 
@@ -264,7 +238,7 @@
         self._telemetry.change(f"batch.{batch_id}", "given up")
         self._update_gauge()
 
-    async def _wait_for_samples(self, batch: _OpenBatch, wait: float | None) -> None:
+    async def _wait_for_samples(self, batch: OpenBatch, wait: float | None) -> None:
         seconds = self._settings.pull_wait if wait is None else min(wait, MAX_PULL_WAIT)
         deadline = self._clock.now() + seconds
         while not batch.ledger.finished() and not batch.ledger.is_complete():
@@ -277,7 +251,7 @@
             except TimeoutError:
                 return
 
-    def _build_page(self, batch: _OpenBatch, call: Pull) -> Page:
+    def _build_page(self, batch: OpenBatch, call: Pull) -> Page:
         before = batch.ledger.stale_dropped
         limit = call.limit if call.limit > 0 else self._settings.page_size
         if batch.ledger.trainer_version > call.trainer_version:
@@ -298,8 +272,3 @@
 
     def _update_gauge(self) -> None:
         self._telemetry.gauge("open_batches", len(self._batches))
-
-
-def _check_slots(spec: BatchSpec, held: tuple[int, ...]) -> None:
-    if any(not 0 <= slot < spec.slot_count for slot in held):
-        raise InvalidRequestError(f"held slots must lie between 0 and {spec.slot_count - 1}")
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -51,9 +51,9 @@
     """Point 3: does not ask the trainer what it has."""
     from larkpost.standalone.batches.ledger import BatchLedger
 
-    original = BatchLedger.note_trainer
+    original = BatchLedger.record_trainer
     return mock.patch.object(
-        BatchLedger, "note_trainer", lambda self, version, held: original(self, version, ())
+        BatchLedger, "record_trainer", lambda self, version, held: original(self, version, ())
     )
 
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -7,7 +7,11 @@
 from larkpost.common.ids import Address
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
 from larkpost.gateway.observability.eventlog import EventLog
-from larkpost.platform.descriptors import RESERVED_DESCRIPTORS, DescriptorGuard
+from larkpost.platform.descriptors import (
+    RESERVED_DESCRIPTORS,
+    DescriptorGuard,
+    DescriptorUse,
+)
 from larkpost.platform.http_protocol import Listener
 from larkpost.rehearsal.processes import free_address
 
@@ -119,5 +123,24 @@
         self.assertTrue(self.lifecycle.ready)
 
 
+class DescriptorUseTest(unittest.TestCase):
+    """The rule alone."""
+
+    def test_rule_by_cases(self):
+        for used, closed, must_shed, above_calm, has_room in (
+            (0, 0, False, -75, True),
+            (84, 0, False, 9, True),
+            (85, 0, True, 10, True),
+            (94, 0, True, 19, True),
+            (95, 0, True, 20, False),
+            (95, 1, True, 20, True),
+            (200, 105, True, 125, False),
+            (200, 106, True, 125, True),
+        ):
+            use = DescriptorUse(used, limit=100)
+            found = (use.must_shed(), use.count_above_calm(), use.has_room(closed))
+            self.assertEqual((must_shed, above_calm, has_room), found, (used, closed))
+
+
 if __name__ == "__main__":
     unittest.main()
