--- a/src/larkpost/platform/batches.py
+++ b/src/larkpost/platform/batches.py
@@ -42,7 +42,7 @@
     Raises:
         ValueError: the document or the id cannot be read; the message names the field.
     """
-    batch_id = _batch_id(batch)
+    batch_id = _read_id(batch)
     document = orjson.loads(content)
     if not isinstance(document, dict):
         raise ValueError("the batch is no JSON object")
@@ -65,7 +65,7 @@
     return spec
 
 
-def _batch_id(batch: bytes) -> BatchId:
+def _read_id(batch: bytes) -> BatchId:
     text = batch.decode("latin-1")
     if not text or len(text) > MAX_ID_LENGTH or "/" in text:
         raise ValueError("the batch has no usable id")
--- a/src/larkpost/standalone/batches/placement.py
+++ b/src/larkpost/standalone/batches/placement.py
@@ -8,6 +8,8 @@
 from abc import ABC, abstractmethod
 from collections.abc import Iterable
 from dataclasses import dataclass
+from operator import attrgetter
+from typing import NamedTuple
 
 from larkpost.common.ids import EngineId
 from larkpost.standalone.routing.selection import Candidate
@@ -57,7 +59,7 @@
         ]
         if not others:
             return None
-        return _occupy(min(others, key=lambda r: r.running))
+        return _occupy(min(others, key=attrgetter("running")))
 
     @abstractmethod
     def _choose(self, usable: list[EngineRoom], preferred: EngineId | None) -> EngineRoom:
@@ -71,9 +73,21 @@
         for room in usable:
             if room.engine == preferred and not room.is_slow:
                 return room
-        return min(
-            usable, key=lambda room: (room.is_slow, room.running / (room.running + room.free))
-        )
+        return min(usable, key=_load_order)
+
+
+class _LoadOrder(NamedTuple):
+    """The criteria by which an engine comes first, the first one before the others."""
+
+    is_slow: bool
+    occupied_share: float
+
+
+def _load_order(room: EngineRoom) -> _LoadOrder:
+    return _LoadOrder(
+        is_slow=room.is_slow,
+        occupied_share=room.running / (room.running + room.free),
+    )
 
 
 class RoundRobinPlacement(Placement):
@@ -85,7 +99,7 @@
 
     def _choose(self, usable: list[EngineRoom], preferred: EngineId | None) -> EngineRoom:
         later = [r for r in usable if self._last is not None and r.engine > self._last]
-        room = min(later or usable, key=lambda r: r.engine)
+        room = min(later or usable, key=attrgetter("engine"))
         self._last = room.engine
         return room
 
--- a/src/larkpost/standalone/batches/replication.py
+++ b/src/larkpost/standalone/batches/replication.py
@@ -58,7 +58,7 @@
     def __len__(self) -> int:
         return len(self._replicas)
 
-    def take(self, message: pb.BatchReplica) -> None:
+    def store(self, message: pb.BatchReplica) -> None:
         """Adds to a copy, or drops it once the batch is closed."""
         batch = BatchId(message.spec.id)
         if message.closed:
--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -169,7 +169,7 @@
 
     async def on_replicate(self, payload: bytes) -> bytes:
         """Stores a copy from another daemon."""
-        self._replicas.take(pb.BatchReplica.FromString(payload))
+        self._replicas.store(pb.BatchReplica.FromString(payload))
         return b""
 
     async def on_fetch(self, payload: bytes) -> bytes:
--- a/src/larkpost/standalone/blackboard/speeds.py
+++ b/src/larkpost/standalone/blackboard/speeds.py
@@ -28,7 +28,7 @@
     def __init__(self) -> None:
         self._speeds: dict[EngineId, _Speed] = {}
 
-    def note(self, engine: EngineId, tokens: int, seconds: float, now: float) -> None:
+    def record(self, engine: EngineId, tokens: int, seconds: float, now: float) -> None:
         """Records an observation: so many tokens of one sequence arrived within some seconds."""
         if tokens <= 0 or seconds <= 0:
             return
--- a/src/larkpost/standalone/controllers/configuration.py
+++ b/src/larkpost/standalone/controllers/configuration.py
@@ -99,7 +99,7 @@
             return False
         self._telemetry.change("platform.table", "reachable")
         self._take(row)
-        self._readiness.note_verified(asked_at)
+        self._readiness.record_verified(asked_at)
         return True
 
     async def learn_from_zone(self) -> bool:
@@ -127,7 +127,7 @@
             await self._dissemination.fetch_from(member.address)
         if self._board.configuration.epoch < highest.epoch:
             return False
-        self._readiness.note_verified(asked_at)
+        self._readiness.record_verified(asked_at)
         return True
 
     async def confirm(self, plan: Plan) -> Confirmation:
--- a/src/larkpost/standalone/controllers/readiness.py
+++ b/src/larkpost/standalone/controllers/readiness.py
@@ -66,8 +66,8 @@
                 retry_after=RETRY_AFTER_NOT_READY,
             )
 
-    def note_verified(self, asked_at: float) -> None:
-        """Notes that the table service or the zone confirmed the epoch.
+    def record_verified(self, asked_at: float) -> None:
+        """Records that the table service or the zone confirmed the epoch.
 
         Args:
             asked_at: when it was asked; the answer may have waited for this daemon to wake up.
@@ -92,7 +92,7 @@
             return
         peers = [member for member in alive if member.id != self._board.members.own.id]
         if not peers:
-            self.note_verified(self._clock.now())
+            self.record_verified(self._clock.now())
             return
         await self._verify_with(self._rng.choice(peers))
 
@@ -138,7 +138,7 @@
         if state.epoch > self._board.configuration.epoch:
             await self._dissemination.fetch_from(peer.address)
         if self._board.configuration.epoch >= state.epoch:
-            self.note_verified(asked_at)
+            self.record_verified(asked_at)
 
     def _is_alone_in_zone(self) -> bool:
         """Whether no other daemon of the zone is known; computed once per state of the members."""
--- a/src/larkpost/standalone/routing/dispatcher.py
+++ b/src/larkpost/standalone/routing/dispatcher.py
@@ -10,6 +10,7 @@
 
 from collections.abc import AsyncIterator
 from contextlib import aclosing
+from functools import partial
 
 from larkpost.common.errors import (
     BrokenAnswerError,
@@ -185,7 +186,7 @@
         address = self._board.engines.directory[engine].address
         timeout = self._chunk_timeout(work)
         stream = self._engines.generate(
-            address, request, timeout, lambda: self._may_send(work, engine)
+            address, request, timeout, partial(self._may_send, work, engine)
         )
         for resumes_left in reversed(range(RESUME_ATTEMPTS)):
             last_chunk_at: float | None = None
@@ -219,7 +220,7 @@
         """Measures between chunks, so that waiting in the engine's queue does not count."""
         now = self._clock.now()
         if last_chunk_at is not None:
-            self._board.engines.speeds.note(engine, len(run.tokens), now - last_chunk_at, now)
+            self._board.engines.speeds.record(engine, len(run.tokens), now - last_chunk_at, now)
         return now
 
     def _may_send(self, work: Work, engine: EngineId) -> bool:
--- a/src/larkpost/standalone/routing/selection.py
+++ b/src/larkpost/standalone/routing/selection.py
@@ -1,7 +1,8 @@
 """Choice of an engine for a piece of work, from what the blackboard holds at this moment."""
 
-from collections.abc import Callable, Collection
+from collections.abc import Collection
 from dataclasses import dataclass
+from operator import attrgetter
 
 from larkpost.common.ids import EngineId, PoolId
 from larkpost.standalone.blackboard.engines import EngineLoad
@@ -35,11 +36,7 @@
 class Selector:
     """Finds the engine for the next attempt."""
 
-    def __init__(
-        self,
-        runtime: Runtime,
-        monitor: Monitor,
-    ) -> None:
+    def __init__(self, runtime: Runtime, monitor: Monitor) -> None:
         self._board = runtime.board
         self._monitor = monitor
         self._clock = runtime.clock
@@ -52,11 +49,20 @@
         if len(candidates) > SMALL_POOL:
             candidates = self._rng.sample(candidates, 2)
         self._rng.shuffle(candidates)
-        return min(candidates, key=lambda candidate: candidate.score, default=None)
+        return min(candidates, key=attrgetter("score"), default=None)
 
     def candidates(self, work: Work, excluded: Collection[EngineId]) -> list[Candidate]:
         """Returns every engine that may take the work now."""
-        return self._collect(work.pool, excluded, lambda load: self._admits(work, load))
+        now = self._clock.now()
+        watched = self._monitor.watched(work.pool)
+        slow = self._board.engines.speeds.stragglers(watched, now)
+        found = []
+        for engine in watched:
+            if engine in excluded or not self._may_use(engine, now):
+                continue
+            if self._fresh(engine, now) and self._admits(work, self._board.engines.loads[engine]):
+                found.append(self._weigh(engine, engine in slow))
+        return found
 
     def stale(self, pool: PoolId, excluded: Collection[EngineId]) -> list[EngineId]:
         """Returns the pool's engines that need to be asked before they may be used."""
@@ -83,23 +89,6 @@
         now = self._clock.now()
         return self._may_use(engine, now) and self._fresh(engine, now)
 
-    def _collect(
-        self,
-        pool: PoolId,
-        excluded: Collection[EngineId],
-        admits: Callable[[EngineLoad], bool],
-    ) -> list[Candidate]:
-        now = self._clock.now()
-        watched = self._monitor.watched(pool)
-        slow = self._board.engines.speeds.stragglers(watched, now)
-        found = []
-        for engine in watched:
-            if engine in excluded or not self._may_use(engine, now):
-                continue
-            if self._fresh(engine, now) and admits(self._board.engines.loads[engine]):
-                found.append(self._weigh(engine, engine in slow))
-        return found
-
     def _weigh(self, engine: EngineId, is_slow: bool) -> Candidate:
         engines = self._board.engines
         load = engines.loads[engine]
--- a/tests/test_speeds.py
+++ b/tests/test_speeds.py
@@ -13,18 +13,18 @@
     def setUp(self):
         self.speeds = EngineSpeeds()
         for engine in ENGINES[:3]:
-            self.speeds.note(engine, 10, 0.1, now=0.0)
+            self.speeds.record(engine, 10, 0.1, now=0.0)
 
     def test_much_slower_engine_is_a_straggler(self):
-        self.speeds.note(ENGINES[3], 10, 0.5, now=0.0)
+        self.speeds.record(ENGINES[3], 10, 0.5, now=0.0)
         self.assertEqual(self.speeds.stragglers(ENGINES, 0.0), {ENGINES[3]})
 
     def test_slightly_slower_engine_is_none(self):
-        self.speeds.note(ENGINES[3], 10, 0.2, now=0.0)
+        self.speeds.record(ENGINES[3], 10, 0.2, now=0.0)
         self.assertEqual(self.speeds.stragglers(ENGINES, 0.0), set())
 
     def test_straggler_gets_another_chance_when_its_speed_is_old(self):
-        self.speeds.note(ENGINES[3], 10, 0.5, now=0.0)
+        self.speeds.record(ENGINES[3], 10, 0.5, now=0.0)
         self.assertEqual(self.speeds.stragglers(ENGINES, LIFETIME + 1), set())
 
     def test_two_engines_are_too_few_to_call_one_slow(self):
