--- a/src/larkpost/platform/stand_in/daemon_settings.py
+++ b/src/larkpost/platform/stand_in/daemon_settings.py
@@ -63,5 +63,5 @@
 
 
 def ready_path() -> str:
-    """Returns the path that tells whether a daemon takes clients."""
+    """Returns the path that responds whether a daemon takes clients."""
     return names.READY_CALL
--- a/src/larkpost/rehearsal/demo.py
+++ b/src/larkpost/rehearsal/demo.py
@@ -25,15 +25,15 @@
 from larkpost.platform.stand_in.rows import configuration_change, version_change
 from larkpost.platform.store import HttpStore
 from larkpost.rehearsal.platform_site import (
-    CASABLANCA,
-    SANTIAGO,
+    CASABLANCA_SHAPE,
+    SANTIAGO_SHAPE,
     PlatformSite,
     start_site,
     wait_until_ready,
 )
 from larkpost.rehearsal.processes import ProcessGroup, RehearsalError
 
-SITES = (CASABLANCA, SANTIAGO)
+SHAPES = (CASABLANCA_SHAPE, SANTIAGO_SHAPE)
 ROW_BYTES = 65536
 WRITE_SECONDS = 1.0
 RETRY_SECONDS = 0.1
@@ -67,7 +67,7 @@
 def _run(folder: Path, seconds: float, faults: bool, console: Console) -> CallerRecord:
     with ProcessGroup(folder) as group:
         console.print("Starting two sites of three zones each ...")
-        sites = [start_site(group, shape, folder) for shape in SITES]
+        sites = [start_site(group, shape, folder) for shape in SHAPES]
         record = CallerRecord()
         asyncio.run(_load(sites, record, seconds, faults, console))
         return record
--- a/src/larkpost/rehearsal/experiment/run.py
+++ b/src/larkpost/rehearsal/experiment/run.py
@@ -12,7 +12,7 @@
 from larkpost.rehearsal.experiment.scenario import Fault, FaultKind, Scenario
 from larkpost.rehearsal.simulation.callers import SimulatedClients, SimulatedTrainer
 from larkpost.rehearsal.simulation.oracle import Oracle
-from larkpost.rehearsal.simulation.records import ClientCall, Told
+from larkpost.rehearsal.simulation.records import CallOutcome, ClientCall
 from larkpost.rehearsal.simulation.world import World, WorldShape
 from larkpost.rehearsal.sites import Site
 from larkpost.rehearsal.tokens import answer_length, answer_seed
@@ -144,7 +144,7 @@
         self._unanswered += 1
 
     def _note(self, call: ClientCall, started: float) -> bool:
-        if call.told != Told.ANSWER:
+        if call.outcome != CallOutcome.ANSWER:
             return False
         elapsed = self._world.now - started
         self._latency.record_value(max(1, round(elapsed * MICROSECONDS)))
--- a/src/larkpost/rehearsal/platform_model.py
+++ b/src/larkpost/rehearsal/platform_model.py
@@ -113,7 +113,7 @@
         return version <= self.newest_versions.get(policy, 0)
 
     def publish_weights(self, policy: PolicyId, version: int) -> None:
-        """Takes new weights from a trainer."""
+        """Stores new weights of a trainer."""
         self.newest_versions[policy] = max(self.newest_versions.get(policy, 0), version)
 
     async def machines(self, zone: ZoneId | None = None) -> list[MachineEntry]:
--- a/src/larkpost/rehearsal/platform_site.py
+++ b/src/larkpost/rehearsal/platform_site.py
@@ -13,6 +13,7 @@
 from larkpost.platform.stand_in.programs import server_arguments
 from larkpost.platform.stand_in.rows import StandInServer
 from larkpost.rehearsal.processes import Process, ProcessGroup, answers, free_address, wait_for
+from larkpost.rehearsal.sites import CASABLANCA_ZONES, SANTIAGO_ZONES
 
 DAEMON_MODULE = "larkpost.platform.process"
 STAND_IN_MODULE = "larkpost.platform.stand_in.programs"
@@ -39,9 +40,9 @@
         return tuple(trainer.model for trainer in self.trainers)
 
 
-CASABLANCA = SiteShape(
+CASABLANCA_SHAPE = SiteShape(
     name="casablanca",
-    zones=(ZoneId("casa-sidi"), ZoneId("casa-ainsebaa"), ZoneId("casa-bouskoura")),
+    zones=CASABLANCA_ZONES,
     daemons=10,
     engines=5,
     engine_slots=16,
@@ -52,9 +53,9 @@
     ),
     client_requests_per_second=2.4,
 )
-SANTIAGO = SiteShape(
+SANTIAGO_SHAPE = SiteShape(
     name="santiago",
-    zones=(ZoneId("scl-quilicura"), ZoneId("scl-huechuraba"), ZoneId("scl-campus")),
+    zones=SANTIAGO_ZONES,
     daemons=9,
     engines=6,
     engine_slots=12,
--- a/src/larkpost/rehearsal/simulation/callers.py
+++ b/src/larkpost/rehearsal/simulation/callers.py
@@ -9,7 +9,7 @@
 from larkpost.common.errors import LarkpostError, Ran
 from larkpost.common.ids import Address, BatchId, DaemonId, RequestId, ZoneId
 from larkpost.rehearsal.simulation.network import HostUnreachableError
-from larkpost.rehearsal.simulation.records import ClientCall, Delivery, Told
+from larkpost.rehearsal.simulation.records import CallOutcome, ClientCall, Delivery
 from larkpost.rehearsal.simulation.world import World
 from larkpost.rehearsal.workload import TrainerShape
 from larkpost.standalone.batches.ledger import BatchSpec, Page
@@ -172,7 +172,7 @@
         key: str | None = None,
         deadline: float | None = None,
     ) -> ClientCall:
-        """Makes one try at a daemon and records what it is told."""
+        """Makes one try at a daemon and records how it ended."""
         self._count += 1
         request = f"{self._service}-{self._count}"
         prompt = f"question {self._count}"
@@ -182,7 +182,7 @@
         self._world.records.calls.append(call)
         await self._try(call, daemon, zone, deadline)
         call.ended_at = self._world.now
-        if call.told == Told.ANSWER:
+        if call.outcome == CallOutcome.ANSWER:
             self.latencies.append(call.ended_at - call.asked_at)
         return call
 
@@ -191,7 +191,7 @@
     ) -> None:
         node = self._world.daemons.get(daemon)
         if node is None:
-            call.told, call.code = Told.NOTHING, "refused"
+            call.outcome, call.code = CallOutcome.NOTHING, "refused"
             return
         inference = _inference_call(call, deadline)
         stream = self._world.network.stream(
@@ -206,12 +206,12 @@
                 async for run in stream:
                     answer.append(run)
         except LarkpostError as error:
-            call.told = Told.NOT_RUN if error.ran == Ran.NO else Told.UNKNOWN
+            call.outcome = CallOutcome.NOT_RUN if error.ran == Ran.NO else CallOutcome.UNKNOWN
             call.code = error.code
         except HostUnreachableError as error:
-            call.told, call.code = Told.NOTHING, str(error)
+            call.outcome, call.code = CallOutcome.NOTHING, str(error)
         else:
-            call.told = Told.ANSWER
+            call.outcome = CallOutcome.ANSWER
             call.tokens, call.spans = tuple(answer.tokens), tuple(answer.spans)
 
 
--- a/src/larkpost/rehearsal/simulation/faults.py
+++ b/src/larkpost/rehearsal/simulation/faults.py
@@ -13,11 +13,11 @@
         self._active: set[str] = set()
 
     def begin(self, name: str) -> None:
-        """Notes a fault that lasts until `end_all`."""
+        """Records a fault that lasts until `end_all`."""
         self.set(name, True)
 
     def set(self, name: str, active: bool) -> None:
-        """Notes that a fault begins or ends."""
+        """Records that a fault begins or ends."""
         if active:
             self._active.add(name)
         else:
@@ -26,6 +26,6 @@
         self._records.last_fault_at = float("inf") if self._active else now
 
     def end_all(self) -> None:
-        """Notes that every fault has ended."""
+        """Records that every fault has ended."""
         self._active.clear()
         self._records.last_fault_at = asyncio.get_running_loop().time()
--- a/src/larkpost/rehearsal/simulation/operators.py
+++ b/src/larkpost/rehearsal/simulation/operators.py
@@ -1,4 +1,4 @@
-"""Simulated operators: they plan, confirm and drain, and note what they were told."""
+"""Simulated operators: they plan, confirm and drain, and record the responses."""
 
 import asyncio
 import itertools
@@ -29,7 +29,7 @@
         daemons: the daemons that run, as they come and go.
         callers: the host per zone from which an operator calls.
         network: carries the calls.
-        records: takes what the operators were told.
+        records: takes what the daemons responded.
     """
 
     def __init__(
--- a/src/larkpost/rehearsal/simulation/oracle.py
+++ b/src/larkpost/rehearsal/simulation/oracle.py
@@ -6,7 +6,7 @@
 
 from collections import defaultdict
 
-from larkpost.rehearsal.simulation.records import EngineWork, LeavingSource, Records, Told
+from larkpost.rehearsal.simulation.records import CallOutcome, EngineWork, LeavingSource, Records
 from larkpost.rehearsal.simulation.world import World
 from larkpost.rehearsal.tokens import expected_answer
 from larkpost.standalone.blackboard.facts import CONFIGURATION_KEY
@@ -98,7 +98,7 @@
         """Point 4: every answer taken as whole is that of its own request."""
         wrong = []
         for call in self._records.calls:
-            if call.told != Told.ANSWER:
+            if call.outcome != CallOutcome.ANSWER:
                 continue
             expected = expected_answer(
                 call.request, call.prompt, call.max_tokens, _plain(call.spans)
@@ -108,7 +108,7 @@
         return wrong
 
     def check_not_run(self) -> list[str]:
-        """Point 5: a request told "not run" is in no engine's record.
+        """Point 5: a request reported as not run is in no engine's record.
 
         The same request asked earlier under its key counts too; asked again later, it may run.
         """
@@ -118,7 +118,7 @@
         return [
             f"{call.request} (key {call.key}) was told {call.code}, not run, but it ran"
             for call in self._records.calls
-            if call.told == Told.NOT_RUN
+            if call.outcome == CallOutcome.NOT_RUN
             and (by_request[call.request] or keys.get(call.key, call.ended_at) < call.ended_at)
         ]
 
--- a/src/larkpost/rehearsal/simulation/records.py
+++ b/src/larkpost/rehearsal/simulation/records.py
@@ -9,8 +9,8 @@
 from larkpost.standalone.routing.work import VersionSpan
 
 
-class Told(StrEnum):
-    """What a client was told about one try."""
+class CallOutcome(StrEnum):
+    """How one try of a client ended, as it saw it."""
 
     NOTHING = "nothing"
     ANSWER = "answer"
@@ -29,7 +29,7 @@
     run_once: bool
     key: str | None
     asked_at: float
-    told: Told = Told.NOTHING
+    outcome: CallOutcome = CallOutcome.NOTHING
     code: str = ""
     ended_at: float = 0.0
     tokens: tuple[int, ...] = ()
@@ -94,7 +94,7 @@
     leaving: list[LeavingMark] = field(default_factory=list)
     confirmed: list[ConfirmedPlan] = field(default_factory=list)
     refused_plans: set[PlanId] = field(default_factory=set)
-    """Plans that an operator was told are outdated, so never in force."""
+    """Plans that a daemon refused as outdated, so never in force."""
     cut_by_stop: list[str] = field(default_factory=list)
     batches_opened: list[BatchSpec] = field(default_factory=list)
     batches_whole: list[str] = field(default_factory=list)
--- a/src/larkpost/rehearsal/sites.py
+++ b/src/larkpost/rehearsal/sites.py
@@ -1,4 +1,4 @@
-"""The two sites of today, as intents and machines."""
+"""The two sites of today before `larkpost serve`, as intents and machines."""
 
 from dataclasses import dataclass
 
@@ -29,22 +29,22 @@
     services: tuple[str, ...]
 
 
-def _machines(pool: str, count: int, zones: tuple[str, ...]) -> tuple[Machine, ...]:
+def _machines(pool: str, count: int, zones: tuple[ZoneId, ...]) -> tuple[Machine, ...]:
     return tuple(
-        Machine(EngineId(f"{pool}-{i + 1}"), ZoneId(zones[i % len(zones)]), PoolId(pool))
+        Machine(EngineId(f"{pool}-{i + 1}"), zones[i % len(zones)], PoolId(pool))
         for i in range(count)
     )
 
 
-_CASABLANCA_ZONES = ("casa-sidi", "casa-ainsebaa", "casa-bouskoura")
-_SANTIAGO_ZONES = ("scl-quilicura", "scl-huechuraba", "scl-campus")
+CASABLANCA_ZONES = (ZoneId("casa-sidi"), ZoneId("casa-ainsebaa"), ZoneId("casa-bouskoura"))
+SANTIAGO_ZONES = (ZoneId("scl-quilicura"), ZoneId("scl-huechuraba"), ZoneId("scl-campus"))
 
 CASABLANCA = Site(
     name="casablanca",
-    zones=tuple(map(ZoneId, _CASABLANCA_ZONES)),
+    zones=CASABLANCA_ZONES,
     machines=(
-        *_machines("lm-pool", 5, _CASABLANCA_ZONES),
-        *_machines("quote-feed", 3, _CASABLANCA_ZONES),
+        *_machines("lm-pool", 5, CASABLANCA_ZONES),
+        *_machines("quote-feed", 3, CASABLANCA_ZONES),
     ),
     intent=Intent(
         pools=(
@@ -72,10 +72,10 @@
 
 SANTIAGO = Site(
     name="santiago",
-    zones=tuple(map(ZoneId, _SANTIAGO_ZONES)),
+    zones=SANTIAGO_ZONES,
     machines=(
-        *_machines("redactor", 6, _SANTIAGO_ZONES),
-        *_machines("estante", 3, _SANTIAGO_ZONES),
+        *_machines("redactor", 6, SANTIAGO_ZONES),
+        *_machines("estante", 3, SANTIAGO_ZONES),
     ),
     intent=Intent(
         pools=(
--- a/src/larkpost/rehearsal/trainer.py
+++ b/src/larkpost/rehearsal/trainer.py
@@ -53,7 +53,7 @@
 
 
 class Trainer:
-    """Runs steps until it is told to stop."""
+    """Runs steps until `stop` is called."""
 
     def __init__(
         self,
--- a/src/larkpost/rehearsal/workload.py
+++ b/src/larkpost/rehearsal/workload.py
@@ -29,7 +29,6 @@
     staleness_bound: int = 2
     train_seconds: float = 1.0
     ahead: int = 1
-    hint_lengths: bool = True
 
     def make_spec(self, batch: BatchId, version: int, rng: random.Random) -> BatchSpec:
         """Returns a batch with fresh prompts, opened at the trainer's version."""
@@ -52,8 +51,6 @@
         self, batch: BatchId, prompts: tuple[str, ...], rng: random.Random
     ) -> tuple[int, ...]:
         """Returns the longest length per prompt, as badly as a trainer may know it."""
-        if not self.hint_lengths:
-            return ()
         hints = []
         for index, prompt in enumerate(prompts):
             first = index * self.samples_per_prompt
--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -312,7 +312,7 @@
         """Starts a fleet.
 
         Args:
-            zones: where daemons and engines stand, in turn; empty if zones are not spoken of.
+            zones: where daemons and engines stand, in turn; empty if they have no zones.
             configuration: names the configuration that it begins with.
             relays: whether daemons make calls to the store for those that it turns away.
             scaling_mode: whether the daemons order servers anew for those that are lost.
@@ -348,7 +348,7 @@
             self.add_scorer(InstanceId(f"scorer-{number}"))
         for number in range(gateways):
             self.add_gateway(f"daemon-{number}")
-        self._heartbeats = asyncio.create_task(self._beat())
+        self._heartbeats = asyncio.create_task(self._send_heartbeats())
 
     def put(self, table: str, key: str, value: bytes) -> None:
         """Writes a row as the operator or an engine does."""
@@ -386,7 +386,7 @@
         return self._addresses.setdefault(instance, Address(f"10.0.0.{number}:1"))
 
     def _record_crash(self, instance: InstanceId) -> None:
-        """Takes that a request has crashed an instance; another one follows at its address."""
+        """Records the crash of an instance by a request; another one follows at its address."""
         self.crashed_at[instance] = self.clock.now()
         task = asyncio.create_task(self._restart(instance))
         self._restarts.add(task)
@@ -397,8 +397,8 @@
         await self.clock.sleep(MISSED_HEARTBEATS * HEARTBEAT_SECONDS)
         self.store.apply(Transaction(removals=(RowKey("instances", "", instance),)))
         await self.clock.sleep(RESTART_SECONDS - MISSED_HEARTBEATS * HEARTBEAT_SECONDS)
-        lives = int(instance.partition("+")[2] or "1") + 1
-        follower = InstanceId(f"{instance.partition('+')[0]}+{lives}")
+        incarnation = int(instance.partition("+")[2] or "1") + 1
+        follower = InstanceId(f"{instance.partition('+')[0]}+{incarnation}")
         self._addresses[follower] = self.address_of(instance)
         self.engine_zones[follower] = self.zone_of(instance)
         versions = dict(self.engines.engines[instance].versions)
@@ -469,7 +469,7 @@
         return self.zones[number % len(self.zones)] if self.zones else ZoneId("z")
 
     def region_of_gateway(self, number: int) -> RegionId | None:
-        """Returns a daemon's region; None if zones are not spoken of."""
+        """Returns a daemon's region; None if the fleet has no zones."""
         return REGIONS.get(self.gateway_zones[number])
 
     def scorers(self) -> list[ScriptedEngine]:
@@ -484,7 +484,7 @@
         """Returns the engines."""
         return [state for state in self.engines.engines.values() if state.versions]
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         """Writes the engines' entries anew when their versions have changed."""
         written = {name: 1 for name in self.engines.engines}
         while True:
--- a/tests/platform_oracle.py
+++ b/tests/platform_oracle.py
@@ -117,7 +117,7 @@
             checks.check_crashes(target.decode(), sorted(crashed), counted)
 
     def _is_in_touch(self, arrival: Arrival) -> bool:
-        """Tells whether a daemon had been without trouble for long enough to know of crashes."""
+        """Returns whether a daemon had been without trouble for long enough to know of crashes."""
         since = arrival.at - checks.CONTACT_SECONDS
         if self.fleet.started_at[arrival.daemon] > since:
             return False
@@ -235,7 +235,7 @@
                     checks.check_given_up(result.item, failures)
 
     def _crashes_servers(self, spec: BatchSpec, name: str) -> bool:
-        """Tells whether an item or its call crashes servers: it is dead when its time is over."""
+        """Returns whether an item or its call crashes servers: it is dead when its time is over."""
         item = next(item for item in spec.items if item.id == name)
         targets = {item.path.encode(), item.reward_call.path.encode()}
         return bool(targets & self.fleet.engines.crashing)
--- a/tests/process_load.py
+++ b/tests/process_load.py
@@ -4,7 +4,6 @@
 from dataclasses import dataclass
 
 import orjson
-from hdrh.histogram import HdrHistogram
 
 from larkpost.rehearsal.processes import Process, RehearsalError
 from tests.process_fleet import Fleet
@@ -20,7 +19,14 @@
 )
 CLIENT_RATE = 12.0
 END_TIMEOUT = 40.0
-MICROSECONDS = 1_000_000
+TRAINER_COUNTS = (
+    "samples_expected",
+    "samples_delivered",
+    "samples_doubled",
+    "samples_lost",
+    "samples_stale",
+    "version_mismatches",
+)
 
 
 @dataclass(slots=True)
@@ -84,37 +90,22 @@
     for load in loads:
         for node in load.fleet.engines.values():
             attempts.update(_started_requests(node.process))
-    staleness = [age for record in trainers for age in record["staleness"]]
-    idle = sum(record["idle_seconds"] for record in trainers)
-    trained = sum(record["train_seconds"] for record in trainers)
-    latency = HdrHistogram(1, 60 * MICROSECONDS, 3)
-    for record in clients:
-        for value in record["seconds"]:
-            latency.record_value(max(1, round(value * MICROSECONDS)))
-    counted = {
-        name: sum(record[name] for record in trainers)
-        for name in (
-            "samples_expected",
-            "samples_delivered",
-            "samples_doubled",
-            "samples_lost",
-            "samples_stale",
-            "version_mismatches",
-        )
+    return _summarise_trainers(trainers) | _summarise_clients(clients, attempts)
+
+
+def _summarise_trainers(trainers: list[dict]) -> dict[str, int]:
+    return {name: sum(record[name] for record in trainers) for name in TRAINER_COUNTS} | {
+        "trainer_steps": sum(record["steps"] for record in trainers)
     }
-    return counted | {
+
+
+def _summarise_clients(clients: list[dict], attempts: Counter[str]) -> dict[str, int]:
+    """Returns the clients' counts, held against how often each request began to run."""
+    return {
         "client_requests": sum(record["requests"] for record in clients),
         "client_wrong_answers": sum(record["wrong_answers"] for record in clients),
-        "client_errors": sum(record["errors"] for record in clients),
         "false_not_run": sum(attempts[n] > 0 for r in clients for n in r["told_not_run"]),
         "run_once_repeated": sum(attempts[n] > 1 for r in clients for n in r["run_once"]),
-        "trainer_steps": sum(record["steps"] for record in trainers),
-        "trainer_idle_fraction": round(idle / max(idle + trained, 1e-9), 4),
-        "staleness_mean": round(sum(staleness) / max(len(staleness), 1), 4),
-        "staleness_max": max(staleness, default=0),
-        "client_p50_ms": round(latency.get_value_at_percentile(50) / 1000, 2),
-        "client_p99_ms": round(latency.get_value_at_percentile(99) / 1000, 2),
-        "client_tries": sum(record["tries"] for record in clients),
     }
 
 
--- a/tests/process_soak/__main__.py
+++ b/tests/process_soak/__main__.py
@@ -56,29 +56,26 @@
     broken: str = ""
 
 
-class Soak:
-    """One run."""
-
-    def __init__(
-        self,
-        seed: int,
-        seconds: float,
-        gap: float,
-        folder: Path,
-        mutant: str | None,
-        daemons: int,
-    ) -> None:
-        self._daemons = daemons
-        self.report = Report(seed, seconds, mutant)
-        self._mutant = mutant
-        self._plan = draw_plan(seed, seconds, gap)
+class ProcessSoak:
+    """One run.
+
+    Args:
+        report: names the seed, the length and the mutant; the run fills in the rest.
+        plan: the faults, by time.
+        daemons: how many there are.
+    """
+
+    def __init__(self, report: Report, plan: list[Fault], folder: Path, daemons: int) -> None:
+        self.report = report
+        self._plan = plan
         self._folder = folder
+        self._daemons = daemons
         self._judge = Judge()
-        self._chance = random.Random(seed)
+        self._chance = random.Random(report.seed)
 
     async def play(self, group: ProcessGroup) -> Report:
         """Plays a run and returns what it saw."""
-        site = Site(group, self._folder, self._mutant, self._daemons)
+        site = Site(group, self._folder, self.report.mutant, self._daemons)
         await site.start()
         self._judge.evacuations = site.evacuations
         await _until_ready(site)
@@ -191,7 +188,9 @@
     with tempfile.TemporaryDirectory(prefix="larkpost-soak-") as name:
         folder = Path(name)
         with ProcessGroup(folder) as group:
-            report = asyncio.run(Soak(seed, seconds, gap, folder, mutant, daemons).play(group))
+            report = Report(seed, seconds, mutant)
+            soak = ProcessSoak(report, draw_plan(seed, seconds, gap), folder, daemons)
+            asyncio.run(soak.play(group))
         if report.broken and mutant is None:
             shutil.copytree(folder, LOGS / str(seed), dirs_exist_ok=True)
     return report
--- a/tests/process_soak/callers.py
+++ b/tests/process_soak/callers.py
@@ -1,4 +1,4 @@
-"""Trainers and clients that speak HTTP to the daemons and tell the judge what they saw."""
+"""Trainers and clients that speak HTTP to the daemons and record what they saw for the judge."""
 
 import asyncio
 import base64
--- a/tests/process_soak/daemon_program.py
+++ b/tests/process_soak/daemon_program.py
@@ -35,7 +35,7 @@
         return self._read_at - self._lost
 
     def record_suspension(self, *_) -> None:
-        """Takes that the machine was suspended until now."""
+        """Handles a suspension of the machine that has just ended."""
         self._lost += self._true() - self._read_at
 
     def gettime(self, clock: int) -> float:
--- a/tests/process_soak/judge.py
+++ b/tests/process_soak/judge.py
@@ -53,8 +53,8 @@
     """Remembers what was promised and read, and checks it.
 
     Attributes:
-        asked: ids of all client requests; the value tells whether it may run only once.
-        told_not_run: run-once requests that were told that they did not run and will not.
+        asked: ids of all client requests; the value is whether it may run only once.
+        told_not_run: run-once requests of which a response said that they did and will not run.
         tenants: whose key each client request carried.
         dropped: requests with a key that was taken away, each with the time of that.
         fault_times: when faults struck or ended.
@@ -148,7 +148,7 @@
                 assert name not in self.told_not_run, f"{name} was told not run, but ran"
 
     def _check_tenants(self, records: Records) -> None:
-        """Servers are told whose request it is; what carried a dropped key does not run."""
+        """Servers get the tenant of each request; what carried a dropped key does not run."""
         owners = {name: None for batch in self.batches.values() for name in batch.calls.values()}
         owners |= {name: TRAINING for batch in self.batches.values() for name in batch.calls}
         owners |= self.tenants
@@ -178,7 +178,7 @@
             checks.check_crashes(path, sorted(run.began for run in runs), counted)
 
     def _is_told(self, at: float) -> bool:
-        """Tells whether nothing has lost or delayed news of crashes for a while."""
+        """Returns whether nothing has lost or delayed news of crashes for a while."""
         since = at - TOLD_SECONDS
         return not any(start <= at and end >= since for start, end in self.untold)
 
--- a/tests/process_soak/records.py
+++ b/tests/process_soak/records.py
@@ -1,4 +1,4 @@
-"""What the servers of a soak have told of themselves."""
+"""What the stand-ins of a soak have recorded of their work."""
 
 import time
 from collections import defaultdict
@@ -36,14 +36,14 @@
     CRASH = "crash"
 
 
-def tell(kind: RecordKind, **fields) -> None:
+def write_record(kind: RecordKind, **fields) -> None:
     """Writes a record; all processes of a machine share the steady clock."""
     print(orjson.dumps({"kind": kind, "at": time.monotonic()} | fields).decode(), flush=True)
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One run of a request; `began` is steady time, `tenant` what the server was told.
+    """One run of a request; `began` is steady time, `tenant` what the request named.
 
     Attributes:
         zone: of the server that ran it.
--- a/tests/process_soak/server_program.py
+++ b/tests/process_soak/server_program.py
@@ -1,4 +1,4 @@
-"""A stand-in server that tells on standard output what it ran, so that a judge can read it.
+"""A stand-in server that records on standard output what it ran, so that a judge can read it.
 
 Run as ``python -m tests.process_soak.server_program`` with the address where it listens, the
 store's, and what `server_arguments` returns; the address in its entry is a proxy's.
@@ -28,7 +28,7 @@
     FAILING_CALL,
     LATE_ORDERS_CALL,
     RecordKind,
-    tell,
+    write_record,
 )
 
 LATE_SECONDS = 2.0
@@ -74,7 +74,7 @@
         response.headers[names.SERVER_STAMP.decode()] = signature
         if self._failing and not self._state.versions:
             response.status_code = 500
-        tell(
+        write_record(
             RecordKind.RUN,
             request=name,
             path=request.url.path,
@@ -92,18 +92,18 @@
         if refusal is not None:
             return
         name = request.headers[names.REQUEST_ID.decode()]
-        tell(RecordKind.CRASH, request=name, path=request.url.path)
+        write_record(RecordKind.CRASH, request=name, path=request.url.path)
         await asyncio.sleep(CRASH_SECONDS)
         os._exit(1)
 
     async def _events(self, request_id: str, after: int, model: ModelName) -> AsyncIterator[bytes]:
         async for event in super()._events(request_id, after, model):
             yield event
-        tell(RecordKind.WHOLE, request=request_id)
+        write_record(RecordKind.WHOLE, request=request_id)
 
     async def _order(self, request: Request) -> Response:
         document = orjson.loads(await request.body())
-        tell(
+        write_record(
             RecordKind.ORDER,
             instance=self._instance,
             holder=document["holder"],
--- a/tests/process_soak/site.py
+++ b/tests/process_soak/site.py
@@ -54,7 +54,7 @@
     own: Address
     proxy: FaultProxy
     process: Process
-    lives: int = 1
+    incarnation: int = 1
 
 
 @dataclass(slots=True)
@@ -185,11 +185,11 @@
         )
 
     def _start_server(
-        self, service: ServiceName, number: int, own: Address, proxy: FaultProxy, life: int
+        self, service: ServiceName, number: int, own: Address, proxy: FaultProxy, incarnation: int
     ) -> Process:
         is_engine = service == ENGINES
         server = StandInServer(
-            InstanceId(f"{service}-{number}-{life}"),
+            InstanceId(f"{service}-{number}-{incarnation}"),
             service,
             proxy.address,
             ZONES[number % len(ZONES)],
@@ -197,7 +197,7 @@
             {MODEL: 1} if is_engine else {},
         )
         return self._group.start_module(
-            f"server-{number}-{life}",
+            f"server-{number}-{incarnation}",
             SERVER_MODULE,
             own,
             self.store_address,
@@ -222,9 +222,9 @@
     def follow(self, server: Server, process: Process) -> None:
         """Starts the instance that follows one that has ended, unless another fault has."""
         if server.process is process:
-            server.lives += 1
+            server.incarnation += 1
             server.process = self._start_server(
-                server.service, server.number, server.own, server.proxy, server.lives
+                server.service, server.number, server.own, server.proxy, server.incarnation
             )
 
     async def write(self, change: Transaction) -> None:
--- a/tests/process_soak/store_program.py
+++ b/tests/process_soak/store_program.py
@@ -21,7 +21,7 @@
 from larkpost.platform.stand_in.memory_store import MemoryStore, StoreFaults
 from larkpost.platform.stand_in.programs import HEARTBEAT_SECONDS, drop_silent_servers
 from larkpost.platform.stand_in.store_app import StoreApp
-from tests.process_soak.records import FORGET_CALL, STORE_FAULTS_CALL, RecordKind, tell
+from tests.process_soak.records import FORGET_CALL, STORE_FAULTS_CALL, RecordKind, write_record
 
 
 class FaultFreeStore:
@@ -42,7 +42,7 @@
         response = await super()._take_usage(request)
         if response.status_code == 200:
             document = orjson.loads(await request.body())
-            tell(
+            write_record(
                 RecordKind.USAGE,
                 window=document["window-id"],
                 counts=document["counts"],
--- a/tests/run.py
+++ b/tests/run.py
@@ -81,7 +81,7 @@
     counts = Counts()
 
     def setTestOutcome(self, event) -> None:  # noqa: N802 (nose2's name)
-        """Takes a test's outcome."""
+        """Counts a test's outcome."""
         name = event.test.id().split("\n")[0]
         failed = event.outcome in (result.FAIL, result.ERROR)
         if failed and name in self.known_red:
--- a/tests/scripted_engines.py
+++ b/tests/scripted_engines.py
@@ -190,7 +190,7 @@
             self.when_crashed(engine)
 
     def is_connected(self, instance: InstanceInfo) -> bool:
-        """Tells whether a connection is kept; see the port. None is made here at all."""
+        """Returns whether the instance is one of `connected`; see the port."""
         return instance.id in self.connected
 
     async def probe(self, instance: InstanceInfo, timeout: float) -> PortState:
--- a/tests/scripted_scaling.py
+++ b/tests/scripted_scaling.py
@@ -1,4 +1,4 @@
-"""A taker of orders of servers in memory, with the platform's contract and its faults."""
+"""A receiver of orders of servers in memory, with the platform's contract and its faults."""
 
 from dataclasses import dataclass, field
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedOrder:
-    """An order that arrived; `at`: seconds on the taker's clock."""
+    """An order that arrived; `at`: seconds on the receiver's clock."""
 
     order: ScalingOrder
     holder: str
@@ -36,7 +36,7 @@
     async def order_servers(
         self, order: ScalingOrder, holder: str, lease: Lease, timeout: float
     ) -> ScalingOutcome:
-        """Takes an order; see the port."""
+        """Records an order; see the port."""
         await self.clock.sleep(0.002)
         if self.down:
             await self.clock.sleep(timeout)
--- a/tests/scripted_usage.py
+++ b/tests/scripted_usage.py
@@ -1,4 +1,4 @@
-"""A taker of usage reports in memory, with the platform's contract and its faults."""
+"""A receiver of usage reports in memory, with the platform's contract and its faults."""
 
 from dataclasses import dataclass, field
 
@@ -43,7 +43,7 @@
     async def report_usage(
         self, report: UsageReport, holder: str, lease: Lease, timeout: float
     ) -> ReportOutcome:
-        """Takes a report; see the port."""
+        """Records a report; see the port."""
         await self.clock.sleep(0.002)
         if self.down:
             await self.clock.sleep(timeout)
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -50,7 +50,7 @@
 
     Attributes:
         steps: batches that were read whole.
-        abandoned: batches that a trainer gave up after its patience: id, when it was first
+        abandoned: batches that a trainer gave up after its time-out: id, when it was first
             submitted, whether it was accepted, and how many of its results were read.
         unavailable: calls that were answered with a promise of nothing.
         step_seconds: from the first submission until a batch was read whole.
@@ -78,7 +78,7 @@
         return document
 
 
-class Soak:
+class VirtualSoak:
     """One fleet, its trainers and its troubles."""
 
     def __init__(self, seed: int, daemons: int, engines: int, gap: float) -> None:
@@ -182,7 +182,7 @@
         return self.chance.choice(alive) if len(alive) > 1 else None
 
     def _restart(self, number: int) -> None:
-        """Starts a new life of a machine."""
+        """Starts a new incarnation of a machine."""
         self.fleet.add_gateway(self.fleet.gateways[number].settings.machine)
 
     async def _kill(self) -> None:
@@ -263,7 +263,7 @@
     """
 
     async def play() -> Report:
-        return await Soak(seed, daemons, engines, gap).play(seconds, trainers)
+        return await VirtualSoak(seed, daemons, engines, gap).play(seconds, trainers)
 
     names = random.Random(seed)
     with mock.patch("secrets.token_hex", lambda size: names.randbytes(size).hex()):
--- a/tests/switched_off.py
+++ b/tests/switched_off.py
@@ -39,7 +39,7 @@
 
 
 def ranks_of_items():
-    """Engines are not told how urgent an item is."""
+    """Engines get no priority of an item."""
     return mock.patch.object(EngineRuns, "_priority", lambda *_: None)
 
 
--- a/tests/test_regressions.py
+++ b/tests/test_regressions.py
@@ -5,7 +5,7 @@
 
 from larkpost.common.errors import LarkpostError
 from larkpost.common.ids import DaemonId, EngineId
-from larkpost.rehearsal.simulation.records import LeavingSource, Told
+from larkpost.rehearsal.simulation.records import CallOutcome, LeavingSource
 from larkpost.standalone.blackboard.engines import EngineLoad
 from larkpost.standalone.blackboard.facts import CONFIGURATION_KEY
 from larkpost.standalone.engines.port import EngineReport
@@ -135,10 +135,10 @@
         daemon = self.names[0]
         clients = self.fleet.clients["assistant"]
         first = self.fleet.run(clients.ask(daemon, ZONES[0], run_once=True, key="once"))
-        self.assertEqual(first.told, Told.ANSWER)
+        self.assertEqual(first.outcome, CallOutcome.ANSWER)
         self.daemon(0).board.phase = "stopping"
         again = self.fleet.run(clients.ask(daemon, ZONES[0], run_once=True, key="once"))
-        self.assertEqual(again.told, Told.UNKNOWN)
+        self.assertEqual(again.outcome, CallOutcome.UNKNOWN)
 
     def test_ticket_runs_once_at_any_daemon_without_the_platform(self):
         self.fleet.act(self.world.set_platform_down, True)
@@ -148,13 +148,16 @@
             self.fleet.run(clients.ask(self.names[n], ZONES[0], run_once=True, key=key))
             for n in (3, 0, 4)
         ]
-        self.assertEqual([c.told for c in calls], [Told.ANSWER, Told.UNKNOWN, Told.UNKNOWN])
+        self.assertEqual(
+            [c.outcome for c in calls],
+            [CallOutcome.ANSWER, CallOutcome.UNKNOWN, CallOutcome.UNKNOWN],
+        )
 
     def test_key_whose_claim_was_lost_on_the_way_is_read_back(self):
         self.world.platform.faults.lost_answers = 1
         clients = self.fleet.clients["assistant"]
         call = self.fleet.run(clients.ask(self.names[0], ZONES[0], run_once=True, key="lost"))
-        self.assertEqual(call.told, Told.ANSWER)
+        self.assertEqual(call.outcome, CallOutcome.ANSWER)
 
     def test_broken_stream_of_run_once_work_is_unknown_and_not_sent_again(self):
         for node in self.world.engines.values():
@@ -163,7 +166,7 @@
         calls = [
             self.fleet.run(clients.ask(self.names[0], ZONES[0], run_once=True)) for _ in range(12)
         ]
-        self.assertIn(Told.UNKNOWN, {call.told for call in calls})
+        self.assertIn(CallOutcome.UNKNOWN, {call.outcome for call in calls})
         self.assertEqual(self.fleet.act(self.fleet.oracle.check_run_once), [])
 
 
@@ -174,7 +177,7 @@
         self.fleet.advance(0.12)
         self.fleet.act(self.world.kill_engine, MACHINES[5].engine)
         self.fleet.advance(20.0)
-        self.assertEqual({task.result().told for task in asking}, {Told.ANSWER})
+        self.assertEqual({task.result().outcome for task in asking}, {CallOutcome.ANSWER})
         self.assertEqual(self.fleet.act(self.fleet.oracle.check_answers), [])
 
     def test_full_pool_refuses_at_once_and_says_when_to_come_back(self):
@@ -187,7 +190,7 @@
             )
         started = self.fleet.loop.time()
         call = self.fleet.run(self.fleet.clients["quotes"].ask(self.names[0], ZONES[0]))
-        self.assertEqual((call.told, call.code), (Told.NOT_RUN, "overloaded"))
+        self.assertEqual((call.outcome, call.code), (CallOutcome.NOT_RUN, "overloaded"))
         self.assertLess(self.fleet.loop.time() - started, 0.1)
 
     def test_passed_deadline_is_answered_at_once(self):
@@ -196,7 +199,7 @@
         started = self.fleet.loop.time()
         asking = self.fleet.clients["quotes"].ask(self.names[0], ZONES[0], deadline=1.0)
         call = self.fleet.run(asking)
-        self.assertEqual((call.told, call.code), (Told.UNKNOWN, "deadline"))
+        self.assertEqual((call.outcome, call.code), (CallOutcome.UNKNOWN, "deadline"))
         self.assertLess(self.fleet.loop.time() - started, 1.5)
 
     def test_frozen_daemon_sends_nothing_to_an_engine_that_left_meanwhile(self):
