--- a/src/larkpost/gateway/blackboard/board.py
+++ b/src/larkpost/gateway/blackboard/board.py
@@ -1,7 +1,7 @@
-"""What a daemon believes of the world: the blackboard that its controllers write.
+"""What a daemon knows of the world: the blackboard that its controllers write.
 
-Feeds and answers write it (`row_intake`, `directory`); forwarding, runs and orders read it. Each
-part says by itself how old its news are or which version it holds.
+Feeds and the responses of servers write it (`row_intake`, `directory`); forwarding, runs and orders
+read it. Each part says by itself how old its news are or which version it holds.
 """
 
 from dataclasses import dataclass, field
@@ -12,7 +12,7 @@
 from larkpost.gateway.blackboard.evacuations import Evacuations
 from larkpost.gateway.blackboard.known_crashes import KnownCrashes
 from larkpost.gateway.blackboard.regions import RegionMap
-from larkpost.gateway.controllers.weights import WeightTargets
+from larkpost.gateway.blackboard.weight_targets import WeightTargets
 
 
 @dataclass(slots=True)
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -6,10 +6,11 @@
 from contextlib import contextmanager
 
 from larkpost.common.clock import Clock
+from larkpost.common.distance import Distance
 from larkpost.common.ids import DaemonId, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ServiceName
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
-from larkpost.gateway.blackboard.regions import Distance, RegionMap
+from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.controllers.heartbeat import UseSummary
 from larkpost.gateway.placement.cold import ColdRule
 from larkpost.gateway.placement.rules import Placement
--- a/src/larkpost/gateway/proxy/closeness.py
+++ b/src/larkpost/gateway/proxy/closeness.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 
 from larkpost.common.clock import Clock
+from larkpost.common.distance import Distance
 from larkpost.gateway.blackboard.configuration import ServiceName
-from larkpost.gateway.blackboard.regions import Distance
 
 DEFAULT_FACTORS = {
     Distance.SAME_ZONE: 1.0,
--- a/src/larkpost/standalone/routing/inference.py
+++ b/src/larkpost/standalone/routing/inference.py
@@ -4,7 +4,6 @@
 from contextlib import aclosing
 from dataclasses import dataclass
 
-from larkpost.common.clock import Clock
 from larkpost.common.errors import (
     InvalidRequestError,
     LarkpostError,
@@ -12,18 +11,18 @@
     Ran,
 )
 from larkpost.common.ids import RequestId
-from larkpost.common.telemetry import Telemetry
-from larkpost.standalone.activity import Activity
-from larkpost.standalone.blackboard.board import Blackboard
+from larkpost.standalone.config.intent import ServiceIntent
 from larkpost.standalone.controllers.readiness import Readiness
-from larkpost.standalone.routing.dispatcher import Dispatcher, chunk_size
+from larkpost.standalone.routing.dispatcher import Dispatcher
 from larkpost.standalone.routing.run_once import RunOnceRegistry
 from larkpost.standalone.routing.selection import Selector
-from larkpost.standalone.routing.work import TokenRun, Work, WorkClass
-from larkpost.standalone.settings import RoutingSettings
+from larkpost.standalone.routing.work import TokenRun, Work, WorkClass, chunk_size
+from larkpost.standalone.runtime import Runtime
 
 RETRY_AFTER_OVERLOAD = 0.5
+"""Seconds after which a refused caller may come back. Not measured."""
 MAX_TOKENS_LIMIT = 131_072
+"""Most tokens that one request may ask for. Not measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,24 +50,20 @@
 
     def __init__(
         self,
-        board: Blackboard,
+        runtime: Runtime,
         dispatcher: Dispatcher,
         selector: Selector,
         registry: RunOnceRegistry,
-        clock: Clock,
-        telemetry: Telemetry,
-        settings: RoutingSettings,
-        activity: Activity,
         readiness: Readiness,
     ) -> None:
-        self._board = board
+        self._board = runtime.board
         self._dispatcher = dispatcher
         self._selector = selector
         self._registry = registry
-        self._clock = clock
-        self._telemetry = telemetry
-        self._settings = settings
-        self._activity = activity
+        self._clock = runtime.clock
+        self._telemetry = runtime.telemetry
+        self._settings = runtime.settings.routing
+        self._activity = runtime.activity
         self._readiness = readiness
 
     async def complete(self, call: InferenceCall) -> AsyncIterator[TokenRun]:
@@ -113,10 +108,20 @@
                 remedy="Name a service of the intent in the field `model`, or admit it there.",
             )
         _check_call(call)
+        work = self._make_work(call, service)
+        crowded = self._activity.requests > self._settings.max_client_requests
+        if crowded or self._selector.is_full(work):
+            raise OverloadedError(
+                f"pool {service.pool!r} is full", retry_after=RETRY_AFTER_OVERLOAD
+            )
+        self._telemetry.count("client_requests")
+        return work
+
+    def _make_work(self, call: InferenceCall, service: ServiceIntent) -> Work:
         seconds = call.deadline_seconds
         if seconds is None:
             seconds = self._settings.default_deadline
-        work = Work(
+        return Work(
             request=call.request,
             caller=call.service,
             work_class=WorkClass.CLIENT,
@@ -128,13 +133,6 @@
             run_once=call.run_once,
             chunk_tokens=chunk_size(WorkClass.CLIENT),
         )
-        crowded = self._activity.requests > self._settings.max_client_requests
-        if crowded or self._selector.is_full(work):
-            raise OverloadedError(
-                f"pool {service.pool!r} is full", retry_after=RETRY_AFTER_OVERLOAD
-            )
-        self._telemetry.count("client_requests")
-        return work
 
 
 def _check_call(call: InferenceCall) -> None:
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -11,7 +11,7 @@
 
 def append_without_condition():
     """Appends results whatever the tail's version is."""
-    from larkpost.gateway.rollouts.repository import HEAD_TABLE, TAIL_TABLE
+    from larkpost.gateway.store.batch_tables import HEAD_TABLE, TAIL_TABLE
     from larkpost.platform.stand_in.memory_store import StoreClient
 
     original = StoreClient.write
@@ -42,7 +42,8 @@
 
 def refuse_after_unknown():
     """Says "not accepted" though a write was without an answer."""
-    from larkpost.gateway.rollouts.repository import AcceptOutcome, BatchRepository
+    from larkpost.gateway.rollouts.acceptance import AcceptOutcome
+    from larkpost.gateway.rollouts.repository import BatchRepository
 
     original = BatchRepository.accept
 
@@ -55,30 +56,18 @@
 
 def list_again():
     """Appends what another owner has listed."""
-    from larkpost.gateway.rollouts.owned import OwnedBatch
-
-    def finished(self, result):
-        self._pending.append(result)
-        self._wake.set()
-
-    return mock.patch.multiple(
-        OwnedBatch, _finished=finished, _synchronise=_synchronise_without_drop()
-    )
-
+    from larkpost.gateway.rollouts.result_list import ResultList
 
-def _synchronise_without_drop():
-    from larkpost.gateway.rollouts.owned import OwnedBatch
+    original = ResultList.__init__
 
-    original = OwnedBatch._synchronise
+    def begin(self, head, view, repository, services, drop):
+        original(self, head, view, repository, services, lambda _: None)
 
-    async def synchronise(self):
-        run, self._run = self._run, None
-        try:
-            await original(self)
-        finally:
-            self._run = run
+    def add(self, result):
+        self.pending.append(result)
+        self._wake.set()
 
-    return synchronise
+    return mock.patch.multiple(ResultList, __init__=begin, add=add)
 
 
 def order_without_lease():
@@ -129,14 +118,16 @@
             self.rows[row.key] = row
         self._listener(row)
 
-    return mock.patch.object(TableFollower, "_take", take)
+    return mock.patch.object(TableFollower, "_apply", take)
 
 
 def own_without_awaited_heartbeats():
     """Owns batches, but beats like an idle daemon."""
-    from larkpost.gateway.controllers.members import Membership
+    from larkpost.gateway.controllers.heartbeat_writer import HeartbeatWriter
 
-    return mock.patch.object(Membership, "_is_awaited", lambda self: self.is_coordinator())
+    return mock.patch.object(
+        HeartbeatWriter, "is_awaited", lambda self: self._view.is_coordinator()
+    )
 
 
 def keep_rows_of_earlier_lives():
@@ -161,9 +152,9 @@
 
 def let_everyone_coordinate():
     """Makes every daemon a coordinator."""
-    from larkpost.gateway.controllers import members
+    from larkpost.gateway.controllers import coordinators
 
-    return mock.patch.object(members, "COORDINATORS", 1_000_000)
+    return mock.patch.object(coordinators, "COORDINATORS", 1_000_000)
 
 
 def list_without_score():
@@ -186,8 +177,8 @@
         progress = self.progress[item.id]
         score = None
         if item.reward_call is not None:
-            score = await self._score(item, item.reward_call, progress)
-        await self._make_whole(item, progress)
+            score = (await self._scorer.score(progress, item.reward_call)).score
+        await self._outputs.make_whole(progress)
         self.progress.pop(item.id, None)
         self._finished(progress.result(score))
 
@@ -196,11 +187,13 @@
 
 def score_unsigned_answers():
     """Takes any success for a score."""
-    from larkpost.gateway.rollouts import reward
+    from larkpost.gateway.rollouts import reward_attempt
 
-    original = reward._judge
+    original = reward_attempt.judge_call_response
     return mock.patch.object(
-        reward, "_judge", lambda status, signature: original(status, signature or "unsigned")
+        reward_attempt,
+        "judge_call_response",
+        lambda status, signature: original(status, signature or "unsigned"),
     )
 
 
@@ -210,9 +203,9 @@
 
     original = RewardScorer.score
 
-    async def score(self, progress, call, item_attempts, is_given_up):
+    async def score(self, progress, call):
         progress.failed_calls = 100
-        return await original(self, progress, call, item_attempts, is_given_up)
+        return await original(self, progress, call)
 
     return mock.patch.object(RewardScorer, "score", score)
 
@@ -226,9 +219,9 @@
 
 def keep_one_row_of_an_output():
     """Keeps of an output only what fits in one row."""
-    from larkpost.gateway.rollouts import repository
+    from larkpost.gateway.rollouts import partial_outputs
 
-    return mock.patch.object(repository, "MAX_KEPT_BYTES", 48_000)
+    return mock.patch.object(partial_outputs, "MAX_KEPT_BYTES", 48_000)
 
 
 def believe_that_outputs_are_kept():
@@ -246,9 +239,9 @@
 
 def ask_silent_peers_again():
     """Asks a peer that did not answer again at once."""
-    from larkpost.gateway.store import relay
+    from larkpost.gateway.store import peers
 
-    return mock.patch.object(relay, "PEER_REST_SECONDS", 0.0)
+    return mock.patch.object(peers, "PEER_REST_SECONDS", 0.0)
 
 
 def keep_connections_of_nameless_refusals():
@@ -281,9 +274,9 @@
 
 def pass_keys_on():
     """Passes a caller's key, and what it says of its tenant, on to the server."""
-    from larkpost.platform import ingress
+    from larkpost.platform import client_call
 
-    return mock.patch.object(ingress, "OWN_REQUEST_HEADERS", frozenset({b"host", b"expect"}))
+    return mock.patch.object(client_call, "OWN_REQUEST_HEADERS", frozenset({b"host", b"expect"}))
 
 
 def show_batches_to_other_tenants():
@@ -361,9 +354,9 @@
 
 def claim_outside_homes():
     """Has a batch claimed by any coordinator, wherever it may be served."""
-    from larkpost.gateway.rollouts.keeper import BatchKeeper
+    from larkpost.gateway.rollouts.claims import BatchClaims
 
-    return mock.patch.object(BatchKeeper, "_homes", lambda *_: None)
+    return mock.patch.object(BatchClaims, "_homes", lambda *_: None)
 
 
 def serve_anywhere():
@@ -395,32 +388,32 @@
     """Passes rows over that are gone, as those of configurations are."""
     from larkpost.gateway.controllers.row_intake import RowIntake
 
-    original = RowIntake.take_operator_row
+    original = RowIntake.record_operator_row
 
-    def take_operator_row(self, row):
+    def record_operator_row(self, row):
         if not row.removed:
             original(self, row)
 
-    return mock.patch.object(RowIntake, "take_operator_row", take_operator_row)
+    return mock.patch.object(RowIntake, "record_operator_row", record_operator_row)
 
 
 def trust_silent_connections():
     """Goes on using the other connections to an address of which one has gone silent."""
-    from larkpost.platform.silence import Silences
+    from larkpost.platform.silence import SilenceWatch
 
-    return mock.patch.object(Silences, "is_suspect", lambda *_: False)
+    return mock.patch.object(SilenceWatch, "is_suspect", lambda *_: False)
 
 
 def wait_on_silent_connections():
     """Leaves a call on a silent connection until its time is over."""
-    from larkpost.platform.connections import WatchedConnection
+    from larkpost.platform.watched_connection import WatchedConnection
 
-    return mock.patch.object(WatchedConnection, "_look_again", lambda *_: None)
+    return mock.patch.object(WatchedConnection, "_check_later", lambda *_: None)
 
 
 def give_up_writes_without_proof():
     """Ends a write on a connection that looks silent, though the store may only be slow."""
-    from larkpost.platform.connections import WatchedConnection
+    from larkpost.platform.watched_connection import WatchedConnection
 
     return mock.patch.object(WatchedConnection, "_waits_for_proof", lambda _: False)
 
--- a/tests/platform_oracle.py
+++ b/tests/platform_oracle.py
@@ -2,8 +2,8 @@
 
 from larkpost.common.errors import LarkpostError
 from larkpost.common.ids import BatchId, RegionId
+from larkpost.gateway.rollouts.errors import BatchRefusedError
 from larkpost.gateway.rollouts.model import BatchSpec, Result, ResultState, RewardCallId
-from larkpost.gateway.rollouts.service import BatchRefusedError
 from larkpost.platform.stand_in.memory_store import StoreFaults
 from tests import platform_checks as checks
 from tests.platform_fleet import (
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -12,14 +12,9 @@
 from larkpost.common.ids import InstanceId, RegionId, ZoneId
 from larkpost.gateway.blackboard.configuration import RouteKind, Service
 from larkpost.gateway.blackboard.regions import RegionMap
-from larkpost.gateway.controllers.weights import (
-    BUSY_FIRST_SECONDS,
-    ModelDemand,
-    WeightTarget,
-    WeightTargets,
-    assign_models,
-    due_loads,
-)
+from larkpost.gateway.blackboard.weight_targets import ModelDemand, WeightTarget, WeightTargets
+from larkpost.gateway.controllers.due_loads import BUSY_FIRST_SECONDS, LoadInputs, due_loads
+from larkpost.gateway.controllers.model_assignment import assign_models
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.proxy.balancer import PROBE_SECONDS, Balancer
@@ -28,13 +23,13 @@
     ClientRequest,
 )
 from larkpost.gateway.proxy.shares import ShareChooser
-from larkpost.gateway.rollouts.attempt import Progress
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
 from larkpost.gateway.rollouts.model import BatchHead
-from larkpost.gateway.rollouts.repository import PARTIAL_TABLE
-from larkpost.gateway.rollouts.reward import RewardScorer
+from larkpost.gateway.rollouts.progress import Progress
+from larkpost.gateway.rollouts.reward_attempt import RewardAttempts
 from larkpost.gateway.scaling.port import ScalingMode
 from larkpost.gateway.servers.port import NotRunReason
+from larkpost.gateway.store.batch_tables import PARTIAL_TABLE
 from larkpost.gateway.store.port import RowKey, Transaction
 from larkpost.platform.stand_in.memory_store import StoreFaults
 from tests import switched_off
@@ -262,7 +257,7 @@
         targets.update(WeightTarget(FIRST, 2), now=10.0)
         demands = {FIRST: ModelDemand(100, True)}
         for elapsed, count in ((0.1, 0), (BUSY_FIRST_SECONDS + 0.1, 2)):
-            loads = due_loads(service, directory, targets, demands, 10.0 + elapsed)
+            loads = due_loads(service, LoadInputs(directory, targets, demands), 10.0 + elapsed)
             self.assertEqual(count, len(loads))
 
     def test_replace_servers(self):
@@ -323,7 +318,7 @@
             members = [gateway.membership for gateway in fleet.gateways]
             return Counter(
                 coordinators=sum(member.is_coordinator() for member in members),
-                awaited=len(members[0]._awaited.seen),
+                awaited=len(members[0].awaited.seen),
             )
 
         return run(play())
@@ -377,12 +372,12 @@
         async def has_place() -> bool:
             fleet = PlatformFleet(1, 1, scorers=1)
             services = fleet.gateways[0].keeper._services
-            scorer = RewardScorer(make_head(fleet), services)
+            attempts = RewardAttempts(make_head(fleet), services)
             info = make_instance("scorer-0", SCORERS, slots=6)
             for _ in range(4):
                 services.balancer.occupy(info.id)
             await asyncio.sleep(0)
-            return scorer._has_place(info)
+            return attempts._has_place(info)
 
         self.assertFalse(run(has_place()))
         with switched_off.slots_left_to_clients():
--- a/tests/test_pinned_calls.py
+++ b/tests/test_pinned_calls.py
@@ -33,8 +33,9 @@
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.proxy.request import QuarantinedError, RefusedError
 from larkpost.gateway.proxy.request import WholeResponse as WholeAnswer
+from larkpost.gateway.rollouts.errors import NoSuchBatchError
 from larkpost.gateway.rollouts.model import ItemId, Result, ResultState
-from larkpost.gateway.rollouts.service import NoSuchBatchError, ResultPage
+from larkpost.gateway.rollouts.reader import ResultPage
 from larkpost.gateway.scaling.port import ScalingOrder, ServerKind
 from larkpost.gateway.servers.port import (
     BrokenResponseError as BrokenAnswerError,
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -5,6 +5,7 @@
 
 import orjson
 
+from larkpost.common.distance import Distance
 from larkpost.common.ids import ZoneId
 from larkpost.gateway.blackboard.configuration import (
     Configuration,
@@ -13,17 +14,17 @@
     RouteKind,
     ServiceShare,
 )
-from larkpost.gateway.blackboard.regions import Distance, RegionMap
+from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.blackboard.tenants import Tenant, TenantName
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
-from larkpost.gateway.controllers.members import DEAD_AFTER_SECONDS
+from larkpost.gateway.controllers.heartbeat_intervals import DEAD_AFTER_SECONDS
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
+from larkpost.gateway.rollouts.errors import BatchRefusedError
 from larkpost.gateway.rollouts.model import BatchHead
-from larkpost.gateway.rollouts.repository import ITEM_TABLE
-from larkpost.gateway.rollouts.service import BatchRefusedError
+from larkpost.gateway.store.batch_tables import ITEM_TABLE
 from larkpost.gateway.store.port import Row, RowKey
 from larkpost.platform import names, operator
 from larkpost.platform.operator import UnreadableRowError
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -31,8 +31,8 @@
 from larkpost.gateway.proxy.request import (
     WholeResponse,
 )
+from larkpost.gateway.rollouts.errors import BatchIdTakenError, NoSuchBatchError
 from larkpost.gateway.rollouts.model import ItemId
-from larkpost.gateway.rollouts.service import BatchIdTakenError, NoSuchBatchError
 from larkpost.gateway.store.port import Row, RowKey
 from larkpost.platform.batches import read_batch
 from larkpost.platform.http_protocol import Listener
