--- a/tests/test_import_layers.py
+++ b/tests/test_import_layers.py
@@ -28,32 +28,25 @@
     "store",
     "blackboard",
     "servers",
+    "controllers",
     "usage",
     "placement",
     "quarantine",
     "proxy",
-    "controllers",
     "rollouts",
     "scaling",
     "assembly",
     "planned_stop",
     "daemon",
 )
-"""The parts of the gateway, lowest first: a part may import itself and lower ones only."""
+"""The parts of the gateway, lowest first: a part may import itself and lower ones only.
+
+The package's documentation names the same order.
+"""
 
 KNOWN = {
-    ("larkpost.gateway.blackboard.board", "larkpost.gateway.controllers.weights"),
     ("larkpost.gateway.blackboard.known_crashes", "larkpost.gateway.quarantine.content"),
-    ("larkpost.gateway.controllers.feeds", "larkpost.gateway.assembly.environment"),
-    ("larkpost.gateway.controllers.feeds", "larkpost.gateway.rollouts.repository"),
-    ("larkpost.gateway.proxy.balancer", "larkpost.gateway.controllers.heartbeat"),
-    ("larkpost.gateway.quarantine.repository", "larkpost.gateway.rollouts.repository"),
-    ("larkpost.gateway.store.relay", "larkpost.gateway.blackboard.regions"),
-    ("larkpost.gateway.usage.counter", "larkpost.gateway.controllers.true_time"),
-    ("larkpost.gateway.usage.port", "larkpost.gateway.controllers.leases"),
-    ("larkpost.gateway.usage.reporter", "larkpost.gateway.controllers.leases"),
-    ("larkpost.gateway.usage.reporter", "larkpost.gateway.controllers.members"),
-    ("larkpost.gateway.usage.reporter", "larkpost.gateway.controllers.true_time"),
+    ("larkpost.gateway.controllers.feeds", "larkpost.gateway.quarantine.repository"),
 }
 """Imports that break a rule and still stand, as (importing module, imported module)."""
 
