--- a/src/larkpost/gateway/controllers/heartbeat.py
+++ b/src/larkpost/gateway/controllers/heartbeat.py
@@ -5,14 +5,12 @@
 
 import orjson
 
-from larkpost.common.ids import Address, DaemonId, InstanceId, ZoneId
+from larkpost.common.ids import Address, DaemonId, ZoneId
+from larkpost.gateway.blackboard.use_summary import UseSummary
 
 INCARNATION_SEPARATOR = "/"
 """Between a machine's name and what tells its incarnations apart; part of stored rows' keys."""
 
-UseSummary = dict[InstanceId, tuple[int, float]]
-"""For each instance in use: requests there, and seconds a unit of work takes (0: unknown)."""
-
 
 def new_incarnation(machine: str) -> DaemonId:
     """Returns the id of a new incarnation of a machine's daemon."""
