--- a/tests/server_parts.py
+++ b/tests/server_parts.py
@@ -1,5 +1,8 @@
-"""Servers, directories and a route, for tests that put single parts of the gateway together."""
+"""Servers, directories, a route and a forwarder's parts, for tests of single parts."""
 
+import random
+
+from larkpost.common.clock import Clock
 from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import (
     ModelName,
@@ -10,6 +13,12 @@
     ServiceShare,
 )
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.observability.eventlog import EventLog
+from larkpost.gateway.observability.metrics import Metrics
+from larkpost.gateway.proxy.balancer import Balancer
+from larkpost.gateway.proxy.parts import ForwarderParts
+from larkpost.gateway.proxy.shares import ShareChooser
+from larkpost.gateway.servers.port import ServerPort
 from tests.platform_fleet import ENGINES, MODEL, PAGES
 
 FIRST = ModelName("first")
@@ -49,3 +58,13 @@
     """Returns a route to the pages."""
     shares = (ServiceShare(PAGES, 1.0),)
     return Route("r", "h", b"/", kind, shares, time_limit, OBJECTIVE, max_attempts=max_attempts)
+
+
+def make_parts(
+    directory: Directory, balancer: Balancer, servers: ServerPort, clock: Clock
+) -> ForwarderParts:
+    """Returns what a forwarder works with, with a log, metrics and shares of its own."""
+    shares = ShareChooser(random.Random(0))
+    return ForwarderParts(
+        directory, balancer, servers, clock, EventLog("daemon"), Metrics(), shares
+    )
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -3,6 +3,7 @@
 import asyncio
 import random
 import unittest
+from dataclasses import replace
 
 from larkpost.common.clock import LoopClock
 from larkpost.common.ids import InstanceId, ZoneId
@@ -20,8 +21,7 @@
     LoadInputs,
     due_loads,
 )
-from larkpost.gateway.observability.eventlog import Event, EventLog
-from larkpost.gateway.observability.metrics import Metrics
+from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.placement.evacuation_rule import EvacuationRule
 from larkpost.gateway.placement.rules import Placement
 from larkpost.gateway.placement.verdict import Verdict
@@ -29,7 +29,6 @@
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.forecast import MOST_RETRY_SECONDS, NO_PLACE_RETRY_SECONDS
 from larkpost.gateway.proxy.forwarder import Forwarder
-from larkpost.gateway.proxy.parts import ForwarderParts
 from larkpost.gateway.proxy.request import ClientRequest, RefusedError
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.servers.port import NotRunReason
@@ -52,7 +51,7 @@
 from tests.platform_oracle import PlatformOracle
 from tests.recording_log import RecordingLog
 from tests.scripted_engines import ScriptedEngine, ScriptedEngines
-from tests.server_parts import make_instance
+from tests.server_parts import make_instance, make_parts
 from tests.virtual import run
 
 NORTH, SOUTH = ZONES
@@ -120,17 +119,8 @@
         chance = random.Random(1)
         placement = Placement(directory, (EvacuationRule(evacuations),))
         balancer = Balancer(directory, self.clock, chance, BalancerSources(placement=placement))
-        self.forwarder = Forwarder(
-            ForwarderParts(
-                directory,
-                balancer,
-                self.engines,
-                self.clock,
-                EventLog("daemon"),
-                Metrics(),
-                ShareChooser(chance),
-            )
-        )
+        parts = make_parts(directory, balancer, self.engines, self.clock)
+        self.forwarder = Forwarder(replace(parts, shares=ShareChooser(chance)))
 
     def forward(self, kind: RouteKind):
         """Forwards a request that is received now."""
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -17,7 +17,6 @@
     ServiceShare,
 )
 from larkpost.gateway.blackboard.directory import Directory, InstanceState
-from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.placement.work import CLIENT_WORK
 from larkpost.gateway.proxy.balancer import Balancer
@@ -29,7 +28,6 @@
     make_forecast,
 )
 from larkpost.gateway.proxy.forwarder import Forwarder
-from larkpost.gateway.proxy.parts import ForwarderParts
 from larkpost.gateway.proxy.places import Places, survey
 from larkpost.gateway.proxy.request import (
     ClientRequest,
@@ -43,10 +41,9 @@
     Waiter,
     poll_interval,
 )
-from larkpost.gateway.proxy.shares import ShareChooser
 from tests.platform_fleet import PAGES
 from tests.scripted_engines import ScriptedEngine, ScriptedEngines
-from tests.server_parts import make_instance
+from tests.server_parts import make_instance, make_parts
 from tests.virtual import run
 
 SLOTS = 2
@@ -125,17 +122,8 @@
             self.list(name, InstanceState.READY)
             self.balancer.record_pace(name, pace)
         self.metrics = Metrics()
-        self.forwarder = Forwarder(
-            ForwarderParts(
-                self.directory,
-                self.balancer,
-                self.engines,
-                self.clock,
-                EventLog("daemon"),
-                self.metrics,
-                ShareChooser(random.Random(0)),
-            )
-        )
+        parts = make_parts(self.directory, self.balancer, self.engines, self.clock)
+        self.forwarder = Forwarder(replace(parts, metrics=self.metrics))
         self.sent = 0
 
     def list(self, name: InstanceId, state: InstanceState) -> None:
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -12,22 +12,18 @@
     RouteKind,
 )
 from larkpost.gateway.blackboard.directory import Directory, InstanceState
-from larkpost.gateway.observability.eventlog import EventLog
-from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.forwarder import Forwarder
-from larkpost.gateway.proxy.parts import ForwarderParts
 from larkpost.gateway.proxy.request import (
     ClientRequest,
     RefusedError,
     RequestFailedError,
     RequestTimeoutError,
 )
-from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.servers.port import BrokenResponseError
 from tests.platform_fleet import MODEL
 from tests.scripted_engines import ScriptedEngine, ScriptedEngines, ScriptedResponse
-from tests.server_parts import OBJECTIVE, SLOTS, make_instance, make_route
+from tests.server_parts import OBJECTIVE, SLOTS, make_instance, make_parts, make_route
 from tests.virtual import run
 
 SILENT_SECONDS = 1000.0
@@ -77,15 +73,7 @@
             self.list(name)
         self.balancer = Balancer(self.directory, self.clock, random.Random(1))
         self.forwarder = Forwarder(
-            ForwarderParts(
-                self.directory,
-                self.balancer,
-                self.engines,
-                self.clock,
-                EventLog("daemon"),
-                Metrics(),
-                ShareChooser(random.Random(0)),
-            )
+            make_parts(self.directory, self.balancer, self.engines, self.clock)
         )
         self.sent = 0
 
--- a/tests/test_leaving_clients.py
+++ b/tests/test_leaving_clients.py
@@ -6,6 +6,7 @@
 import asyncio
 import random
 import unittest
+from dataclasses import replace
 
 from larkpost.common.clock import LoopClock
 from larkpost.common.ids import Address
@@ -24,14 +25,12 @@
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.forwarder import Forwarder
-from larkpost.gateway.proxy.parts import ForwarderParts
-from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.platform.http_protocol import Listener
 from larkpost.platform.ingress import Ingress
 from larkpost.platform.servers import HttpServers
 from larkpost.rehearsal.processes import free_address
 from tests.platform_fleet import PAGES
-from tests.server_parts import make_instance
+from tests.server_parts import make_instance, make_parts
 
 KINDS = {b"/p/": RouteKind.IDEMPOTENT, b"/o/": RouteKind.RUN_ONCE, b"/s/": RouteKind.STREAM}
 STOP_SECONDS = 0.5
@@ -89,11 +88,8 @@
         self.addAsyncCleanup(servers.close)
         clock, log, metrics = LoopClock(), EventLog("daemon"), Metrics()
         balancer = Balancer(directory, clock, random.Random(1))
-        self.forwarder = Forwarder(
-            ForwarderParts(
-                directory, balancer, servers, clock, log, metrics, ShareChooser(random.Random(0))
-            )
-        )
+        parts = make_parts(directory, balancer, servers, clock)
+        self.forwarder = Forwarder(replace(parts, log=log, metrics=metrics))
         configuration = ConfigurationState()
         shares = (ServiceShare(PAGES, 1.0),)
         routes = [Route("r", "h", path, kind, shares, 5.0, 0.5) for path, kind in KINDS.items()]
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -15,16 +15,12 @@
 from larkpost.gateway.blackboard.weight_targets import ModelDemand, WeightTarget, WeightTargets
 from larkpost.gateway.controllers.due_loads import BUSY_FIRST_SECONDS, LoadInputs, due_loads
 from larkpost.gateway.controllers.model_assignment import assign_models
-from larkpost.gateway.observability.eventlog import EventLog
-from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.instance_use import PROBE_SECONDS
-from larkpost.gateway.proxy.parts import ForwarderParts
 from larkpost.gateway.proxy.request import (
     ClientRequest,
 )
-from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.rollouts.progress import Progress
@@ -43,6 +39,7 @@
     TWO_MODELS,
     make_directory,
     make_instance,
+    make_parts,
     make_route,
 )
 from tests.virtual import run
@@ -71,11 +68,7 @@
             balancer = Balancer(directory, clock, random.Random(1))
             balancer.record_pace(InstanceId("e0"), 0.01)  # so that the slow one is tried first
             balancer.record_pace(InstanceId("e1"), 0.05)
-            shares = ShareChooser(random.Random(0))
-            log = EventLog("daemon")
-            forwarder = Forwarder(
-                ForwarderParts(directory, balancer, servers, clock, log, Metrics(), shares)
-            )
+            forwarder = Forwarder(make_parts(directory, balancer, servers, clock))
             sent = self.client_request(clock)
             await forwarder.forward(sent, make_route(RouteKind.IDEMPOTENT))
             return clock.now() - sent.received_at
--- a/tests/test_nearness.py
+++ b/tests/test_nearness.py
@@ -15,14 +15,11 @@
 from larkpost.gateway.blackboard.directory import Directory
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.observability.eventlog import EventLog
-from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.placement.region_rule import RegionRule
 from larkpost.gateway.placement.rules import Placement
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.forwarder import Forwarder
-from larkpost.gateway.proxy.parts import ForwarderParts
 from larkpost.gateway.proxy.request import ClientRequest, RefusedError
-from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.store.batch_tables import ITEM_TABLE
 from larkpost.gateway.store.peers import PEERS_ASKED
 from larkpost.gateway.store.port import RowKey, StoreUnavailableError, Transaction, WriteOutcome
@@ -35,7 +32,7 @@
 )
 from tests.platform_places import EAST, EAST_ZONES, REGIONS, WEST, WEST_ZONE
 from tests.scripted_engines import ScriptedEngine, ScriptedEngines
-from tests.server_parts import make_instance
+from tests.server_parts import make_instance, make_parts
 from tests.virtual import run
 
 ROUTE = Route(
@@ -64,17 +61,8 @@
             chance,
             BalancerSources(placement=placement, regions=regions),
         )
-        shares = ShareChooser(random.Random(0))
         self.forwarder = Forwarder(
-            ForwarderParts(
-                self.directory,
-                self.balancer,
-                self.servers,
-                self.clock,
-                EventLog("d"),
-                Metrics(),
-                shares,
-            )
+            make_parts(self.directory, self.balancer, self.servers, self.clock)
         )
 
     def request(self, *regions: RegionId) -> ClientRequest:
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -20,11 +20,10 @@
     ServiceShare,
 )
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
-from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.metrics import Count, Metrics
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.forwarder import Forwarder
-from larkpost.gateway.proxy.parts import ForwarderParts
 from larkpost.gateway.proxy.request import ClientRequest
 from larkpost.gateway.proxy.server_choice import MIN_HEDGE_SECONDS
 from larkpost.gateway.proxy.shares import ShareChooser
@@ -56,6 +55,7 @@
 from larkpost.rehearsal.processes import free_address
 from tests.connections import ConnectionServer
 from tests.process_soak.proxy import FaultProxy, LinkFault
+from tests.server_parts import make_parts
 
 KEY = RowKey("table", "part", "key")
 CHANGE = Transaction(puts=((KEY, b"value"),))
@@ -466,17 +466,8 @@
             directory.update(pages.instance)
         clock = LoopClock()
         chance = random.Random(1)
-        self.forwarder = Forwarder(
-            ForwarderParts(
-                directory,
-                Balancer(directory, clock, chance),
-                self.servers,
-                clock,
-                EventLog("daemon"),
-                Metrics(),
-                ShareChooser(chance),
-            )
-        )
+        parts = make_parts(directory, Balancer(directory, clock, chance), self.servers, clock)
+        self.forwarder = Forwarder(replace(parts, shares=ShareChooser(chance)))
         await asyncio.gather(*(self.ask() for _ in range(8 * len(names))))
         for pages in self.all_pages:
             self.assertGreater(pages.link.connections, 1)
