--- a/tests/test_import_layers.py
+++ b/tests/test_import_layers.py
@@ -39,7 +39,10 @@
     "planned_stop",
     "daemon",
 )
-"""The parts of the gateway, lowest first: a part may import itself and lower ones only."""
+"""The parts of the gateway, lowest first: a part may import itself and lower ones only.
+
+The package's documentation names the same order.
+"""
 
 KNOWN: set[tuple[str, str]] = set()
 """Imports that break a rule and still stand, as (importing module, imported module)."""
