--- a/src/larkpost/gateway/assembly/gauges.py
+++ b/src/larkpost/gateway/assembly/gauges.py
@@ -47,7 +47,7 @@
         metrics.set(Level.CONFIGURATION_VERSION, current.version if current is not None else 0)
         for name, age in self.feeds.ages().items():
             metrics.set(Level.FEED_AGE, age, name)
-        metrics.set(Level.QUARANTINED, blackboard.crashes.held())
+        metrics.set(Level.QUARANTINED, blackboard.crashes.count_quarantined())
         metrics.set(Level.CRASHES_KNOWN, len(blackboard.crashes))
 
     def _set_instances(self) -> None:
--- a/src/larkpost/gateway/blackboard/known_crashes.py
+++ b/src/larkpost/gateway/blackboard/known_crashes.py
@@ -97,20 +97,20 @@
         """Whether there is any such content."""
         return bool(self._suspects)
 
-    def holds(self, request: Request, limit: int) -> bool:
+    def is_quarantined(self, request: Request, limit: int) -> bool:
         """Returns whether a request is quarantined: it must not be sent to any server.
 
         Args:
             limit: servers that may crash under it.
         """
         content = self.suspect(request)
-        return content is not None and self.holds_content(content, limit)
+        return content is not None and self.is_content_quarantined(content, limit)
 
-    def holds_content(self, content: ContentDigest, limit: int) -> bool:
+    def is_content_quarantined(self, content: ContentDigest, limit: int) -> bool:
         """Returns the same of a content."""
         return self.is_suspect(content) and self.count(content) >= limit
 
-    def held(self) -> int:
+    def count_quarantined(self) -> int:
         """Returns how many contents are quarantined as clients' requests."""
         return sum(self.count(content) >= CLIENT_CRASH_LIMIT for content in self._suspects)
 
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -212,7 +212,9 @@
             FeedSource(ports.store, ports.readers, self._contact_time),
             self.blackboard,
             self._instruments,
-            BatchListener(self.keeper.take_head, self._crash_recorder.take_row, self._is_active),
+            BatchListener(
+                self.keeper.record_head, self._crash_recorder.record_row, self._is_active
+            ),
         )
         self._cold_senders.follow(self.keeper.open_owners, self.membership, self._feeds.heads)
 
--- a/src/larkpost/gateway/proxy/turn_gate.py
+++ b/src/larkpost/gateway/proxy/turn_gate.py
@@ -106,7 +106,7 @@
         """Returns whether a request must go to no server now, as others crashed under its like."""
         if attempts.is_trial:
             return False
-        is_quarantined = self._parts.crashes.holds(attempts.request, CLIENT_CRASH_LIMIT)
+        is_quarantined = self._parts.crashes.is_quarantined(attempts.request, CLIENT_CRASH_LIMIT)
         attempts.quarantine = QuarantineState.NONE
         if is_quarantined:
             attempts.quarantine = QuarantineState.QUARANTINED
--- a/src/larkpost/gateway/quarantine/guard.py
+++ b/src/larkpost/gateway/quarantine/guard.py
@@ -53,7 +53,7 @@
         self, instance: InstanceInfo, request: OutgoingRequest
     ) -> AsyncIterator[ServerResponse]:
         """Sends a request; see the port."""
-        if self._crashes.holds(request, request.crash_limit):
+        if self._crashes.is_quarantined(request, request.crash_limit):
             raise NotRunError(NotRunReason.QUARANTINED)
         is_suspect = self._crashes.suspect(request) is not None
         try:
--- a/src/larkpost/gateway/quarantine/recorder.py
+++ b/src/larkpost/gateway/quarantine/recorder.py
@@ -53,7 +53,7 @@
         tasks.spawn(self._saver.run(), "crashes")
         tasks.every(FORGET_INTERVAL_SECONDS, self.forget_old, "old_crashes")
 
-    def take_row(self, row: Row) -> None:
+    def record_row(self, row: Row) -> None:
         """Records what the store has of a crash."""
         try:
             crash = crash_of_row(row)
--- a/src/larkpost/gateway/rollouts/item_runs.py
+++ b/src/larkpost/gateway/rollouts/item_runs.py
@@ -117,7 +117,7 @@
         crashes = self._services.crashes
         if not crashes.has_suspects:
             return False
-        return crashes.holds_content(item.content(self._head), BATCH_CRASH_LIMIT)
+        return crashes.is_content_quarantined(item.content(self._head), BATCH_CRASH_LIMIT)
 
     async def _run_at(self, run: ItemRun) -> RunEnd:
         """Runs an item at its place at an engine, and releases the place."""
--- a/src/larkpost/gateway/rollouts/keeper.py
+++ b/src/larkpost/gateway/rollouts/keeper.py
@@ -58,7 +58,7 @@
         self._clock: Clock = services.clock
         self._log: EventLog = services.log
         self._heads = KnownHeads(services.clock)
-        self._claims = BatchClaims(repository, membership, services, self.take_head)
+        self._claims = BatchClaims(repository, membership, services, self.record_head)
         self._owned: dict[BatchId, OwnedBatch] = {}
         self._complete: set[BatchId] = set()
         self._claiming: set[asyncio.Task] = set()
@@ -74,7 +74,7 @@
         active = bool(self._owned) or self._membership.is_coordinator()
         return INTERVAL_SECONDS if active else IDLE_INTERVAL_SECONDS
 
-    def take_head(self, row: Row) -> None:
+    def record_head(self, row: Row) -> None:
         """Records news of a batch's head."""
         if row.removed:
             batch = BatchId(row.key.key)
--- a/src/larkpost/gateway/rollouts/reward.py
+++ b/src/larkpost/gateway/rollouts/reward.py
@@ -61,7 +61,9 @@
     def _is_quarantined(self, call: RewardCall) -> bool:
         """Returns whether a call must not be sent, as too many servers crashed under its like."""
         crashes = self._services.crashes
-        return crashes.has_suspects and crashes.holds_content(call.content, BATCH_CRASH_LIMIT)
+        return crashes.has_suspects and crashes.is_content_quarantined(
+            call.content, BATCH_CRASH_LIMIT
+        )
 
     def _route(self, call: RewardCall) -> Route | None:
         configuration = self._services.configuration.current
--- a/src/larkpost/platform/settings_watch.py
+++ b/src/larkpost/platform/settings_watch.py
@@ -44,7 +44,7 @@
         changed = gateway_settings(settings)
         for name in CHANGEABLE_TIMES:
             setattr(self.gateway, name, getattr(changed, name))
-        self.gateway.regions.take(changed.regions)
+        self.gateway.regions.replace_with(changed.regions)
 
 
 class SettingsWatcher:
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -422,7 +422,7 @@
     """Sends a request on, however many servers have crashed under it."""
     from larkpost.gateway.blackboard.known_crashes import KnownCrashes
 
-    return mock.patch.object(KnownCrashes, "holds_content", lambda *_: False)
+    return mock.patch.object(KnownCrashes, "is_content_quarantined", lambda *_: False)
 
 
 def keep_crashes_to_oneself():
--- a/tests/test_known_crashes.py
+++ b/tests/test_known_crashes.py
@@ -35,8 +35,8 @@
             known.add(Crash(OTHER, InstanceId("i0"), 0.0))
             with self.subTest(crashes=crashes, limit=limit):
                 self.assertEqual(is_suspect, known.is_suspect(CONTENT))
-                self.assertEqual(is_quarantined, known.holds_content(CONTENT, limit))
-                self.assertFalse(known.holds_content(OTHER, limit))
+                self.assertEqual(is_quarantined, known.is_content_quarantined(CONTENT, limit))
+                self.assertFalse(known.is_content_quarantined(OTHER, limit))
 
     def test_same_crash_counts_once_and_a_removed_one_no_more(self):
         known = KnownCrashes()
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -220,9 +220,9 @@
         for crash in self.others.older_than(float("inf")):
             key = RowKey(CRASH_TABLE, CRASH_PART, f"{crash.content}/{crash.instance}")
             if key not in stored:
-                self.other.take_row(Row(key, b"", 99, removed=True))
+                self.other.record_row(Row(key, b"", 99, removed=True))
         for row in stored.values():
-            self.other.take_row(row)
+            self.other.record_row(row)
 
     def test_others_hold_the_request_after_the_third_crash(self):
         async def play():
@@ -230,12 +230,12 @@
             self.crash(2)
             await self.clock.sleep(0.1)
             self.tell_other()
-            self.assertFalse(self.others.holds(REQUEST, CLIENT_CRASH_LIMIT))
+            self.assertFalse(self.others.is_quarantined(REQUEST, CLIENT_CRASH_LIMIT))
             self.crash(1, first=2)
             await self.clock.sleep(0.1)
             self.tell_other()
-            self.assertTrue(self.others.holds(REQUEST, CLIENT_CRASH_LIMIT))
-            self.assertEqual((1, 3), (self.others.held(), len(self.others)))
+            self.assertTrue(self.others.is_quarantined(REQUEST, CLIENT_CRASH_LIMIT))
+            self.assertEqual((1, 3), (self.others.count_quarantined(), len(self.others)))
 
         run(play())
 
@@ -263,7 +263,7 @@
             self.assertEqual({}, self.store.rows)
             self.tell_other()
             for crashes in (self.crashes, self.others):
-                self.assertFalse(crashes.holds(REQUEST, CLIENT_CRASH_LIMIT))
+                self.assertFalse(crashes.is_quarantined(REQUEST, CLIENT_CRASH_LIMIT))
                 self.assertEqual(0, len(crashes))
             states = [f["state"] for e, f in self.log.events if e is Event.QUARANTINE]
             self.assertEqual(["begun", "begun", "ended", "ended"], states)
@@ -299,7 +299,7 @@
         async def play():
             self.begin()
             for key, value in (("aa/i", b"no json"), ("aa/i", b"{}"), ("aa", b'{"at": 1}')):
-                self.recorder.take_row(Row(RowKey(CRASH_TABLE, CRASH_PART, key), value, 1))
+                self.recorder.record_row(Row(RowKey(CRASH_TABLE, CRASH_PART, key), value, 1))
             self.assertEqual(0, len(self.crashes))
             self.assertEqual({Event.UNREADABLE}, {event for event, _ in self.log.events})
 
