--- a/src/larkpost/platform/events.py
+++ b/src/larkpost/platform/events.py
@@ -25,7 +25,8 @@
         Raises:
             ValueError: an event has no readable id.
         """
-        self._pending += content.replace(b"\r\n", b"\n")
+        # What is left over is looked at again: a line end may be cut between two chunks.
+        self._pending = (self._pending + content).replace(b"\r\n", b"\n")
         while EVENT_END in self._pending:
             block, self._pending = self._pending.split(EVENT_END, 1)
             if block.strip():
