--- a/src/larkpost/gateway/assembly/leased_controllers.py
+++ b/src/larkpost/gateway/assembly/leased_controllers.py
@@ -23,7 +23,7 @@
 from larkpost.gateway.usage.counter import UsageCounter
 from larkpost.gateway.usage.reporter import ReportTiming, UsageReporter
 from larkpost.gateway.usage.repository import UsageRepository
-from larkpost.gateway.usage.saver import UsageSaver
+from larkpost.gateway.usage.count_writer import UsageCountWriter
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,15 +66,15 @@
             self._instruments,
         )
         self._usage_repository = UsageRepository(ports.store)
-        self._usage_saver = self._make_usage_saver()
+        self._usage_writer = self._make_usage_writer()
         self._usage_reporter = self._make_usage_reporter()
         self._scaling = self._make_scaling()
 
     def start(self, tasks: TaskSet) -> None:
         """Starts all controllers."""
         self._loader.start(tasks)
-        if self._usage_saver is not None:
-            self._usage_saver.start(tasks)
+        if self._usage_writer is not None:
+            self._usage_writer.start(tasks)
         if self._usage_reporter is not None:
             self._usage_reporter.start(tasks)
         if self._scaling is not None:
@@ -82,14 +82,14 @@
 
     async def save_last(self) -> None:
         """Saves at a planned stop what would die with this process."""
-        if self._usage_saver is not None:
-            await self._usage_saver.save_last()
+        if self._usage_writer is not None:
+            await self._usage_writer.save_last()
 
-    def _make_usage_saver(self) -> UsageSaver | None:
+    def _make_usage_writer(self) -> UsageCountWriter | None:
         counter = self._inputs.counter
         if counter is None:
             return None
-        return UsageSaver(self._usage_repository, counter, self._coordination)
+        return UsageCountWriter(self._usage_repository, counter, self._coordination)
 
     def _make_usage_reporter(self) -> UsageReporter | None:
         port, terms = self._ports.usage, self._settings.usage
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -43,7 +43,7 @@
 from larkpost.gateway.quarantine.isolation import IsolationRule
 from larkpost.gateway.quarantine.recorder import CrashRecorder
 from larkpost.gateway.quarantine.repository import CrashRepository
-from larkpost.gateway.quarantine.saver import CrashSaver
+from larkpost.gateway.quarantine.crash_writer import CrashWriter
 from larkpost.gateway.quarantine.trials import Trials
 from larkpost.gateway.quarantine.watch import CrashWatch
 from larkpost.gateway.rollouts.context import RunServices
@@ -142,7 +142,7 @@
         ports = self._ports
         self._crash_recorder = CrashRecorder(
             self.blackboard.crashes,
-            CrashSaver(CrashRepository(ports.store), ports.clock),
+            CrashWriter(CrashRepository(ports.store), ports.clock),
             ports.log,
             ports.metrics,
             self._may_forget_crashes,
--- a/src/larkpost/gateway/observability/metrics.py
+++ b/src/larkpost/gateway/observability/metrics.py
@@ -7,7 +7,9 @@
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 SHORT_SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0)
+"""Buckets of what takes a part of a second: requests, calls to the store."""
 LONG_SECONDS = (0.25, 0.5, 1.0, 2.0, 3.0, 4.5, 6.0, 7.5, 10.0, 20.0, 40.0)
+"""Buckets of what takes seconds: runs of items."""
 
 
 class Count(StrEnum):
--- a/src/larkpost/gateway/quarantine/saver.py
+++ b/src/larkpost/gateway/quarantine/crash_writer.py
@@ -18,7 +18,7 @@
 measured."""
 
 
-class CrashSaver:
+class CrashWriter:
     """Saves changes in the order in which they came, until the store has them."""
 
     def __init__(self, repository: CrashRepository, clock: Clock) -> None:
--- a/src/larkpost/gateway/quarantine/recorder.py
+++ b/src/larkpost/gateway/quarantine/recorder.py
@@ -1,6 +1,6 @@
 """Keeps what daemons know of crashes the same everywhere, and has it forgotten in time.
 
-Relies on the blackboard for what is known, and on the saver to bring changes into the store.
+Relies on the blackboard for what is known, and on the writer to bring changes into the store.
 """
 
 from collections.abc import Callable, Iterable
@@ -17,7 +17,7 @@
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.metrics import Count, Metrics
 from larkpost.gateway.quarantine.repository import crash_of_row
-from larkpost.gateway.quarantine.saver import CrashSaver
+from larkpost.gateway.quarantine.crash_writer import CrashWriter
 from larkpost.gateway.servers.port import OutgoingRequest
 from larkpost.gateway.store.port import Row
 
@@ -37,20 +37,20 @@
     def __init__(
         self,
         crashes: KnownCrashes,
-        saver: CrashSaver,
+        writer: CrashWriter,
         log: EventLog,
         metrics: Metrics,
         may_forget: Callable[[], bool],
     ) -> None:
         self._crashes = crashes
-        self._saver = saver
+        self._writer = writer
         self._log = log
         self._metrics = metrics
         self._may_forget = may_forget
 
     def start(self, tasks: TaskSet) -> None:
         """Starts saving and forgetting."""
-        tasks.spawn(self._saver.run(), "crashes")
+        tasks.spawn(self._writer.run(), "crashes")
         tasks.every(FORGET_INTERVAL_SECONDS, self.forget_old, "old_crashes")
 
     def record_row(self, row: Row) -> None:
@@ -73,7 +73,7 @@
         Args:
             evidence: how that is known.
         """
-        at = self._saver.time() or 0.0
+        at = self._writer.time() or 0.0
         added = [Crash(content, instance, at) for content in contents]
         added = [crash for crash in added if self._add(crash)]
         if not added:
@@ -87,7 +87,7 @@
             crashes=max(self._crashes.count(crash.content) for crash in added),
         )
         for crash in added:
-            self._saver.save_later(crash.content, crash.instance, crash)
+            self._writer.save_later(crash.content, crash.instance, crash)
 
     def record_served(self, request: OutgoingRequest) -> None:
         """Records that a server has run a request whole: it was not what crashed the others."""
@@ -96,16 +96,16 @@
             return
         for crash in self._crashes.of(content):
             self._remove(content, crash.instance)
-            self._saver.save_later(content, crash.instance, None)
+            self._writer.save_later(content, crash.instance, None)
 
     async def forget_old(self) -> None:
         """Removes the crashes that are remembered no longer."""
-        now = self._saver.time()
+        now = self._writer.time()
         if now is None or not self._may_forget():
             return
         for crash in self._crashes.older_than(now - REMEMBERED_SECONDS):
             self._remove(crash.content, crash.instance)
-            self._saver.save_later(crash.content, crash.instance, None)
+            self._writer.save_later(crash.content, crash.instance, None)
 
     def _add(self, crash: Crash) -> bool:
         is_new = self._crashes.add(crash)
--- a/src/larkpost/gateway/usage/saver.py
+++ b/src/larkpost/gateway/usage/count_writer.py
@@ -24,7 +24,7 @@
 Part of `planned_stop.KILL_MARGIN_SECONDS`."""
 
 
-class UsageSaver:
+class UsageCountWriter:
     """Saves the counts of one daemon."""
 
     def __init__(
--- a/src/larkpost/gateway/usage/reporter.py
+++ b/src/larkpost/gateway/usage/reporter.py
@@ -1,7 +1,7 @@
 """Reports usage: one daemon at a time decides each window's counts and sends them.
 
 A window is decided once its counts have come in; the decision stays in the store, so whoever
-reports later repeats exactly what was sent before. `usage.saver` brings the counts in.
+reports later repeats exactly what was sent before. `usage.count_writer` brings the counts in.
 """
 
 from collections.abc import Callable
@@ -23,7 +23,7 @@
     WindowNumber,
 )
 from larkpost.gateway.usage.repository import DecidedReport, UsageRepository
-from larkpost.gateway.usage.saver import save_interval
+from larkpost.gateway.usage.count_writer import save_interval
 
 UPDATE_SECONDS = 0.5
 """Seconds between two checks for windows to report. Not measured."""
--- a/src/larkpost/standalone/batches/replication.py
+++ b/src/larkpost/standalone/batches/replication.py
@@ -25,8 +25,11 @@
 from larkpost.standalone.wire.peer import PeerError, PeerMethod, PeerTransport
 
 STANDBY_CANDIDATES = 3
+"""Daemons among which a standby is sought, of other zones first. Not measured."""
 REPLICATE_TIMEOUT = 1.0
+"""Seconds to wait for the answer of a standby. Not measured."""
 MAX_REPLICAS = 1024
+"""Batches of other daemons that a daemon keeps copies of, the newest. Not measured."""
 
 
 @dataclass(slots=True)
--- a/src/larkpost/standalone/batches/runner.py
+++ b/src/larkpost/standalone/batches/runner.py
@@ -28,6 +28,7 @@
 from larkpost.standalone.settings import PlacementKind
 
 ROLLOUT_PRIORITY = 0
+"""The lowest: client requests come before rollouts."""
 SILENT_ENGINE_SECONDS = 3.0
 """Age of an engine's last report after which its running samples are continued elsewhere."""
 
--- a/src/larkpost/standalone/controllers/configuration.py
+++ b/src/larkpost/standalone/controllers/configuration.py
@@ -29,6 +29,7 @@
 IN_FORCE_WAIT = 5.0
 """Seconds a confirmation waits for the zones before it reports those that are still pending."""
 IN_FORCE_POLL = 0.2
+"""Seconds between two checks of the zones while a confirmation waits. Not measured."""
 
 
 class ConfigurationRow(BaseModel):
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -24,7 +24,7 @@
 from larkpost.gateway.quarantine.isolation import IsolationRule
 from larkpost.gateway.quarantine.recorder import CrashRecorder
 from larkpost.gateway.quarantine.repository import CRASH_PART, CRASH_TABLE, CrashRepository
-from larkpost.gateway.quarantine.saver import CrashSaver
+from larkpost.gateway.quarantine.crash_writer import CrashWriter
 from larkpost.gateway.quarantine.watch import SUSPICION_SECONDS, CrashWatch, Evidence
 from larkpost.gateway.servers.port import (
     BrokenResponseError,
@@ -203,8 +203,8 @@
         """Returns a recorder that has started, and what it knows."""
         crashes = KnownCrashes()
         repository = CrashRepository(StoreClient(self.store))
-        saver = CrashSaver(repository, self.clock)
-        recorder = CrashRecorder(crashes, saver, self.log, Metrics(), lambda: True)
+        writer = CrashWriter(repository, self.clock)
+        recorder = CrashRecorder(crashes, writer, self.log, Metrics(), lambda: True)
         recorder.start(self.tasks)
         return crashes, recorder
 
