--- a/src/larkpost/gateway/assembly/leased_controllers.py
+++ b/src/larkpost/gateway/assembly/leased_controllers.py
@@ -20,10 +20,10 @@
 from larkpost.gateway.rollouts.keeper import BatchKeeper
 from larkpost.gateway.scaling.controller import ScalingController, ScalingInputs
 from larkpost.gateway.scaling.demand import DemandForecast
+from larkpost.gateway.usage.count_writer import UsageCountWriter
 from larkpost.gateway.usage.counter import UsageCounter
 from larkpost.gateway.usage.reporter import ReportTiming, UsageReporter
 from larkpost.gateway.usage.repository import UsageRepository
-from larkpost.gateway.usage.count_writer import UsageCountWriter
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -39,11 +39,11 @@
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.parts import ForwarderParts
 from larkpost.gateway.proxy.shares import ShareChooser
+from larkpost.gateway.quarantine.crash_writer import CrashWriter
 from larkpost.gateway.quarantine.guard import GuardedServers
 from larkpost.gateway.quarantine.isolation import IsolationRule
 from larkpost.gateway.quarantine.recorder import CrashRecorder
 from larkpost.gateway.quarantine.repository import CrashRepository
-from larkpost.gateway.quarantine.crash_writer import CrashWriter
 from larkpost.gateway.quarantine.trials import Trials
 from larkpost.gateway.quarantine.watch import CrashWatch
 from larkpost.gateway.rollouts.context import RunServices
--- a/src/larkpost/gateway/quarantine/recorder.py
+++ b/src/larkpost/gateway/quarantine/recorder.py
@@ -16,8 +16,8 @@
 from larkpost.gateway.blackboard.request_content import ContentDigest
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.metrics import Count, Metrics
-from larkpost.gateway.quarantine.repository import crash_of_row
 from larkpost.gateway.quarantine.crash_writer import CrashWriter
+from larkpost.gateway.quarantine.repository import crash_of_row
 from larkpost.gateway.servers.port import OutgoingRequest
 from larkpost.gateway.store.port import Row
 
--- a/src/larkpost/gateway/usage/reporter.py
+++ b/src/larkpost/gateway/usage/reporter.py
@@ -15,6 +15,7 @@
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.observability.metrics import Count
 from larkpost.gateway.store.port import StoreUnavailableError, WriteOutcome
+from larkpost.gateway.usage.count_writer import save_interval
 from larkpost.gateway.usage.port import (
     ReportOutcome,
     UsagePort,
@@ -23,7 +24,6 @@
     WindowNumber,
 )
 from larkpost.gateway.usage.repository import DecidedReport, UsageRepository
-from larkpost.gateway.usage.count_writer import save_interval
 
 UPDATE_SECONDS = 0.5
 """Seconds between two checks for windows to report. Not measured."""
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -20,11 +20,11 @@
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.placement.verdict import Verdict
 from larkpost.gateway.placement.work import CLIENT_WORK, Work, WorkKind
+from larkpost.gateway.quarantine.crash_writer import CrashWriter
 from larkpost.gateway.quarantine.guard import GuardedServers
 from larkpost.gateway.quarantine.isolation import IsolationRule
 from larkpost.gateway.quarantine.recorder import CrashRecorder
 from larkpost.gateway.quarantine.repository import CRASH_PART, CRASH_TABLE, CrashRepository
-from larkpost.gateway.quarantine.crash_writer import CrashWriter
 from larkpost.gateway.quarantine.watch import SUSPICION_SECONDS, CrashWatch, Evidence
 from larkpost.gateway.servers.port import (
     BrokenResponseError,
