--- a/src/larkpost/gateway/placement/cold_rule.py
+++ b/src/larkpost/gateway/placement/cold_rule.py
@@ -18,7 +18,7 @@
 from larkpost.gateway.placement.cold_senders import ColdSenders
 from larkpost.gateway.placement.cold_share import SenderView, SendKind, allowed_sends
 from larkpost.gateway.placement.sliding_count import SlidingCount
-from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.verdict import PlacementDecision
 from larkpost.gateway.placement.work import Work, WorkKind
 
 SEND_WITHIN_SECONDS = 0.25
@@ -63,25 +63,25 @@
         self._limits: dict[SendKind, int] = {}
         """Sends allowed by the current view, as they are asked for again and again."""
 
-    def judge(self, instance: InstanceInfo, work: Work) -> Verdict:
+    def judge(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns whether a send is left, besides those of places that are reserved already."""
         left = self.sends_left(instance, work)
-        return Verdict.ALLOWED if left is None or left > 0 else Verdict.COLD
+        return PlacementDecision.ALLOWED if left is None or left > 0 else PlacementDecision.COLD
 
-    def admit(self, instance: InstanceInfo, work: Work) -> Verdict:
+    def admit(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Counts a send, if one is left."""
         service = self._limited(instance)
         if service is None or work.kind is WorkKind.ORDER:
-            return Verdict.ALLOWED
+            return PlacementDecision.ALLOWED
         now = self._clock.now()
         limit = self._limit(instance, service, work)
         sent = self._count_of(instance.id, work)
         if work.kind is WorkKind.ITEM and instance.id in self._reserved:
             self._reserved[instance.id].take_back()
         if limit is not None and sent.count(now) >= limit:
-            return Verdict.COLD
+            return PlacementDecision.COLD
         sent.add(now)
-        return Verdict.ALLOWED
+        return PlacementDecision.ALLOWED
 
     def sends_left(self, instance: InstanceInfo, work: Work) -> int | None:
         """Returns how many sends are left now; None for any number."""
--- a/src/larkpost/gateway/placement/evacuation_rule.py
+++ b/src/larkpost/gateway/placement/evacuation_rule.py
@@ -3,7 +3,7 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.blackboard.evacuations import Evacuations
 from larkpost.gateway.placement.rules import PlainRule
-from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.verdict import PlacementDecision
 from larkpost.gateway.placement.work import Work, WorkKind
 
 
@@ -16,8 +16,8 @@
     def __init__(self, evacuations: Evacuations) -> None:
         self._evacuations = evacuations
 
-    def judge(self, instance: InstanceInfo, work: Work) -> Verdict:
+    def judge(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns whether the instance's zone takes requests, or the work is none."""
         if work.kind is WorkKind.ORDER or not self._evacuations.is_evacuated(instance.zone):
-            return Verdict.ALLOWED
-        return Verdict.EVACUATED
+            return PlacementDecision.ALLOWED
+        return PlacementDecision.EVACUATED
--- a/src/larkpost/gateway/placement/region_rule.py
+++ b/src/larkpost/gateway/placement/region_rule.py
@@ -3,7 +3,7 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.placement.rules import PlainRule
-from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.verdict import PlacementDecision
 from larkpost.gateway.placement.work import Work
 
 
@@ -13,8 +13,8 @@
     def __init__(self, regions: RegionMap) -> None:
         self._regions = regions
 
-    def judge(self, instance: InstanceInfo, work: Work) -> Verdict:
+    def judge(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns whether the instance's region may serve the work."""
         if work.regions is None or self._regions.region_of(instance.zone) in work.regions:
-            return Verdict.ALLOWED
-        return Verdict.OUTSIDE_REGIONS
+            return PlacementDecision.ALLOWED
+        return PlacementDecision.OUTSIDE_REGIONS
--- a/src/larkpost/gateway/placement/rules.py
+++ b/src/larkpost/gateway/placement/rules.py
@@ -11,19 +11,19 @@
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
 from larkpost.gateway.observability.metrics import Count, Metrics
-from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.verdict import PlacementDecision
 from larkpost.gateway.placement.work import Work
 from larkpost.gateway.servers.port import NotRunError, NotRunReason
 
 NOT_RUN_REASONS = {
-    Verdict.UNKNOWN: NotRunReason.LEAVING,
-    Verdict.LEAVING: NotRunReason.LEAVING,
-    Verdict.EVACUATED: NotRunReason.EVACUATED,
-    Verdict.COLD: NotRunReason.COLD,
-    Verdict.OUTSIDE_REGIONS: NotRunReason.OUTSIDE_REGIONS,
-    Verdict.OLD_VERSION: NotRunReason.MISDIRECTED,
-    Verdict.ISOLATED: NotRunReason.ISOLATED,
-    Verdict.AVOIDED: NotRunReason.FULL,
+    PlacementDecision.UNKNOWN: NotRunReason.LEAVING,
+    PlacementDecision.LEAVING: NotRunReason.LEAVING,
+    PlacementDecision.EVACUATED: NotRunReason.EVACUATED,
+    PlacementDecision.COLD: NotRunReason.COLD,
+    PlacementDecision.OUTSIDE_REGIONS: NotRunReason.OUTSIDE_REGIONS,
+    PlacementDecision.OLD_VERSION: NotRunReason.MISDIRECTED,
+    PlacementDecision.ISOLATED: NotRunReason.ISOLATED,
+    PlacementDecision.AVOIDED: NotRunReason.FULL,
 }
 """The reason that is given for a send that is not made."""
 
@@ -31,21 +31,21 @@
 class PlacementRule(Protocol):
     """One reason why work may not go to an instance."""
 
-    def judge(self, instance: InstanceInfo, work: Work) -> Verdict:
+    def judge(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns whether work may go to an instance now; counts nothing."""
 
-    def admit(self, instance: InstanceInfo, work: Work) -> Verdict:
+    def admit(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns the same right before the send, and counts the send if it is allowed."""
 
 
 class PlainRule:
     """A rule that counts nothing; subclasses define `judge`."""
 
-    def judge(self, instance: InstanceInfo, work: Work) -> Verdict:
+    def judge(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns whether work may go to an instance now."""
         raise NotImplementedError
 
-    def admit(self, instance: InstanceInfo, work: Work) -> Verdict:
+    def admit(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns the same right before the send."""
         return self.judge(instance, work)
 
@@ -53,10 +53,10 @@
 class LeavingRule(PlainRule):
     """Nothing new goes to an instance that leaves."""
 
-    def judge(self, instance: InstanceInfo, work: Work) -> Verdict:
+    def judge(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns whether the instance stays."""
         leaves = instance.state is InstanceState.LEAVING
-        return Verdict.LEAVING if leaves else Verdict.ALLOWED
+        return PlacementDecision.LEAVING if leaves else PlacementDecision.ALLOWED
 
 
 class VersionRule(PlainRule):
@@ -65,12 +65,16 @@
     def __init__(self, directory: Directory) -> None:
         self._directory = directory
 
-    def judge(self, instance: InstanceInfo, work: Work) -> Verdict:
+    def judge(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns whether the instance's weights will do."""
         if work.model is None:
-            return Verdict.ALLOWED
+            return PlacementDecision.ALLOWED
         version = self._directory.version_of(instance.id, work.model)
-        return Verdict.ALLOWED if version >= work.minimum_version else Verdict.OLD_VERSION
+        return (
+            PlacementDecision.ALLOWED
+            if version >= work.minimum_version
+            else PlacementDecision.OLD_VERSION
+        )
 
 
 def _at_any_time(_: InstanceInfo) -> None:
@@ -98,13 +102,13 @@
         self._metrics = metrics
         self._send_within = send_within
 
-    def judge(self, instance: InstanceInfo, work: Work) -> Verdict:
+    def judge(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns whether work may go to an instance now, or why not."""
         for rule in self._rules:
             verdict = rule.judge(instance, work)
             if not verdict.is_allowed:
                 return verdict
-        return Verdict.ALLOWED
+        return PlacementDecision.ALLOWED
 
     def allows(self, instance: InstanceInfo, work: Work) -> bool:
         """Returns whether work may go to an instance now."""
@@ -127,12 +131,12 @@
             self._metrics.count(Count.NOT_PLACED, work.kind, verdict)
         raise NotRunError(NOT_RUN_REASONS[verdict])
 
-    def _admit(self, instance: InstanceId, work: Work) -> Verdict:
+    def _admit(self, instance: InstanceId, work: Work) -> PlacementDecision:
         info = self._directory.get(instance)
         if info is None:
-            return Verdict.UNKNOWN
+            return PlacementDecision.UNKNOWN
         for rule in self._rules:
             verdict = rule.admit(info, work)
             if not verdict.is_allowed:
                 return verdict
-        return Verdict.ALLOWED
+        return PlacementDecision.ALLOWED
--- a/src/larkpost/gateway/placement/verdict.py
+++ b/src/larkpost/gateway/placement/verdict.py
@@ -3,7 +3,7 @@
 from enum import StrEnum
 
 
-class Verdict(StrEnum):
+class PlacementDecision(StrEnum):
     """Whether an instance may be given a piece of work now, or why not."""
 
     ALLOWED = "allowed"
@@ -19,4 +19,4 @@
     @property
     def is_allowed(self) -> bool:
         """Whether the work may go there."""
-        return self is Verdict.ALLOWED
+        return self is PlacementDecision.ALLOWED
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -22,7 +22,7 @@
 from larkpost.gateway.blackboard.use_summary import UseSummary
 from larkpost.gateway.placement.cold_rule import ColdRule
 from larkpost.gateway.placement.rules import Placement
-from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.verdict import PlacementDecision
 from larkpost.gateway.placement.work import CLIENT_WORK, Work
 from larkpost.gateway.proxy.candidate_order import CandidateOrder
 from larkpost.gateway.proxy.instance_use import (
@@ -210,7 +210,9 @@
         """Returns the seconds a short request takes at an instance now; 0 if not known lately."""
         return self.paces.at_this_moment(instance)
 
-    def verdicts(self, service: ServiceName, work: Work = CLIENT_WORK) -> dict[Verdict, int]:
+    def verdicts(
+        self, service: ServiceName, work: Work = CLIENT_WORK
+    ) -> dict[PlacementDecision, int]:
         """Returns how many instances of those looked at get each verdict; for the log."""
         return dict(
             Counter(self._verdict(info, work) for info in self.look(service, work).instances)
@@ -332,14 +334,18 @@
     def _is_open(self, info: InstanceInfo, work: Work) -> bool:
         """Returns whether placement allows work at an instance, now or once it is warm."""
         verdict = self._placement.judge(info, work)
-        return verdict.is_allowed or verdict is Verdict.COLD
+        return verdict.is_allowed or verdict is PlacementDecision.COLD
 
     def _may_take_now(self, info: InstanceInfo) -> bool:
         return not self.is_avoided(info.id) and self.has_place(info)
 
-    def _verdict(self, info: InstanceInfo, work: Work) -> Verdict:
+    def _verdict(self, info: InstanceInfo, work: Work) -> PlacementDecision:
         verdict = self._placement.judge(info, work)
-        return Verdict.AVOIDED if verdict.is_allowed and self.is_avoided(info.id) else verdict
+        return (
+            PlacementDecision.AVOIDED
+            if verdict.is_allowed and self.is_avoided(info.id)
+            else verdict
+        )
 
     def _forget_unused(self) -> None:
         """Drops now and then the records of instances and daemons that are gone."""
--- a/src/larkpost/gateway/proxy/places.py
+++ b/src/larkpost/gateway/proxy/places.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from larkpost.gateway.blackboard.configuration import ServiceName
-from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.verdict import PlacementDecision
 from larkpost.gateway.placement.work import Work
 from larkpost.gateway.proxy.balancer import Balancer
 
@@ -59,7 +59,7 @@
     look = balancer.look(service, work)
     for info in look.instances:
         verdict = balancer.placement.judge(info, work)
-        if not verdict.is_allowed and verdict is not Verdict.COLD:
+        if not verdict.is_allowed and verdict is not PlacementDecision.COLD:
             continue
         slots = max(1, info.slots)
         occupied = balancer.occupied(info)
--- a/src/larkpost/gateway/quarantine/isolation.py
+++ b/src/larkpost/gateway/quarantine/isolation.py
@@ -14,7 +14,7 @@
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.placement.rules import PlainRule
-from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.verdict import PlacementDecision
 from larkpost.gateway.placement.work import Work
 
 
@@ -24,11 +24,11 @@
     def __init__(self) -> None:
         self._running: Counter[InstanceId] = Counter()
 
-    def judge(self, instance: InstanceInfo, work: Work) -> Verdict:
+    def judge(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns whether the work is no suspect, or none runs at the instance."""
         if work.is_suspect and self._running[instance.id]:
-            return Verdict.ISOLATED
-        return Verdict.ALLOWED
+            return PlacementDecision.ISOLATED
+        return PlacementDecision.ALLOWED
 
     @contextmanager
     def running(self, instance: InstanceId) -> Iterator[None]:
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -376,9 +376,9 @@
 def serve_anywhere():
     """Sends work to instances in any region."""
     from larkpost.gateway.placement.region_rule import RegionRule
-    from larkpost.gateway.placement.verdict import Verdict
+    from larkpost.gateway.placement.verdict import PlacementDecision
 
-    return mock.patch.object(RegionRule, "judge", lambda *_: Verdict.ALLOWED)
+    return mock.patch.object(RegionRule, "judge", lambda *_: PlacementDecision.ALLOWED)
 
 
 def forget_evacuations():
@@ -461,10 +461,10 @@
 
 def run_suspects_together():
     """Runs requests under which servers crashed side by side."""
-    from larkpost.gateway.placement.verdict import Verdict
+    from larkpost.gateway.placement.verdict import PlacementDecision
     from larkpost.gateway.quarantine.isolation import IsolationRule
 
-    return mock.patch.object(IsolationRule, "judge", lambda *_: Verdict.ALLOWED)
+    return mock.patch.object(IsolationRule, "judge", lambda *_: PlacementDecision.ALLOWED)
 
 
 def never_clear_requests():
--- a/tests/test_bounded_choice.py
+++ b/tests/test_bounded_choice.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.placement.region_rule import RegionRule
 from larkpost.gateway.placement.rules import Placement, PlainRule
-from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.verdict import PlacementDecision
 from larkpost.gateway.placement.work import CLIENT_WORK, REWARD_WORK, Work, WorkKind
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.places import survey
@@ -47,10 +47,14 @@
         self.judged: Counter[InstanceId] = Counter()
         self.forbidden: set[InstanceId] = set()
 
-    def judge(self, instance: InstanceInfo, work: Work) -> Verdict:
+    def judge(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Counts an instance."""
         self.judged[instance.id] += 1
-        return Verdict.EVACUATED if instance.id in self.forbidden else Verdict.ALLOWED
+        return (
+            PlacementDecision.EVACUATED
+            if instance.id in self.forbidden
+            else PlacementDecision.ALLOWED
+        )
 
     def take(self) -> int:
         """Returns how many instances were looked at since it was last asked."""
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -24,7 +24,7 @@
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.placement.evacuation_rule import EvacuationRule
 from larkpost.gateway.placement.rules import Placement
-from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.verdict import PlacementDecision
 from larkpost.gateway.placement.work import CLIENT_WORK, ORDER_WORK, REWARD_WORK, Work, WorkKind
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.forecast import MOST_RETRY_SECONDS, NO_PLACE_RETRY_SECONDS
@@ -95,10 +95,10 @@
         rule = EvacuationRule(evacuations)
         inside, outside = make_instance("a", zone=NORTH), make_instance("b", zone=SOUTH)
         for work in (CLIENT_WORK, REWARD_WORK, Work(WorkKind.ITEM)):
-            self.assertIs(Verdict.EVACUATED, rule.judge(inside, work))
-            self.assertIs(Verdict.EVACUATED, rule.admit(inside, work))
-            self.assertIs(Verdict.ALLOWED, rule.judge(outside, work))
-        self.assertIs(Verdict.ALLOWED, rule.judge(inside, ORDER_WORK))
+            self.assertIs(PlacementDecision.EVACUATED, rule.judge(inside, work))
+            self.assertIs(PlacementDecision.EVACUATED, rule.admit(inside, work))
+            self.assertIs(PlacementDecision.ALLOWED, rule.judge(outside, work))
+        self.assertIs(PlacementDecision.ALLOWED, rule.judge(inside, ORDER_WORK))
 
 
 class ForwarderTest(unittest.TestCase):
--- a/tests/test_eventlog.py
+++ b/tests/test_eventlog.py
@@ -6,7 +6,7 @@
 import orjson
 
 from larkpost.gateway.observability.eventlog import Event, EventLog, LineWriter
-from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.verdict import PlacementDecision
 
 
 class LineTest(unittest.TestCase):
@@ -15,7 +15,7 @@
     def test_tables_by_members_of_an_enumeration(self) -> None:
         reader, writer = os.pipe()
         log = EventLog("daemon-1", LineWriter(writer))
-        log.record(Event.REQUEST_FAILED, request="r1", verdicts={Verdict.COLD: 2})
+        log.record(Event.REQUEST_FAILED, request="r1", verdicts={PlacementDecision.COLD: 2})
         log.close()
         os.close(writer)
         with os.fdopen(reader, "rb") as lines:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -8,7 +8,7 @@
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.placement.rules import NOT_RUN_REASONS, Placement
-from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.verdict import PlacementDecision
 from larkpost.gateway.placement.work import CLIENT_WORK, Work, WorkKind
 from larkpost.gateway.servers.port import NotRunError, NotRunReason
 
@@ -30,11 +30,11 @@
     def __init__(self) -> None:
         self.left = 1
 
-    def judge(self, instance: InstanceInfo, work: Work) -> Verdict:
+    def judge(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Tells whether a send is left."""
-        return Verdict.ALLOWED if self.left else Verdict.COLD
+        return PlacementDecision.ALLOWED if self.left else PlacementDecision.COLD
 
-    def admit(self, instance: InstanceInfo, work: Work) -> Verdict:
+    def admit(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Takes a send."""
         verdict = self.judge(instance, work)
         self.left = 0
@@ -72,8 +72,8 @@
     def test_older_weights_than_the_work_allows(self) -> None:
         fitting = Work(WorkKind.ITEM, model=MODEL, minimum_version=3)
         newer = replace(fitting, minimum_version=4)
-        self.assertIs(self.placement.judge(ENGINE, fitting), Verdict.ALLOWED)
-        self.assertIs(self.placement.judge(ENGINE, newer), Verdict.OLD_VERSION)
+        self.assertIs(self.placement.judge(ENGINE, fitting), PlacementDecision.ALLOWED)
+        self.assertIs(self.placement.judge(ENGINE, newer), PlacementDecision.OLD_VERSION)
         self.assertIs(self.refusal(newer), NotRunReason.MISDIRECTED)
 
     def test_forbidden_send_takes_nothing_of_a_rule_that_counts(self) -> None:
@@ -88,7 +88,7 @@
         self.assertIsNone(self.refusal())
 
     def test_each_objection_has_a_reason_to_answer_with(self) -> None:
-        objections = set(Verdict) - {Verdict.ALLOWED}
+        objections = set(PlacementDecision) - {PlacementDecision.ALLOWED}
         self.assertEqual(objections, set(NOT_RUN_REASONS))
 
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -18,7 +18,7 @@
 from larkpost.gateway.blackboard.request_content import ContentDigest, digest_request
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.metrics import Metrics
-from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.verdict import PlacementDecision
 from larkpost.gateway.placement.work import CLIENT_WORK, Work, WorkKind
 from larkpost.gateway.quarantine.crash_writer import CrashWriter
 from larkpost.gateway.quarantine.guard import GuardedServers
@@ -382,11 +382,15 @@
             for number in range(SUSPECT_CRASHES):
                 self.crashes.add(Crash(digest_request(REQUEST), InstanceId(f"i{number}"), 0.0))
             async with self.guard.send(self.instance, REQUEST):
-                self.assertIs(Verdict.ISOLATED, self.isolation.judge(self.instance, suspect))
-                self.assertIs(Verdict.ALLOWED, self.isolation.judge(self.instance, CLIENT_WORK))
+                self.assertIs(
+                    PlacementDecision.ISOLATED, self.isolation.judge(self.instance, suspect)
+                )
+                self.assertIs(
+                    PlacementDecision.ALLOWED, self.isolation.judge(self.instance, CLIENT_WORK)
+                )
                 other = make_instance("b", address=Address("10.0.0.2:1"))
-                self.assertIs(Verdict.ALLOWED, self.isolation.judge(other, suspect))
-            self.assertIs(Verdict.ALLOWED, self.isolation.judge(self.instance, suspect))
+                self.assertIs(PlacementDecision.ALLOWED, self.isolation.judge(other, suspect))
+            self.assertIs(PlacementDecision.ALLOWED, self.isolation.judge(self.instance, suspect))
 
         run(play())
 
