--- a/src/larkpost/gateway/placement/cold_rule.py
+++ b/src/larkpost/gateway/placement/cold_rule.py
@@ -63,7 +63,7 @@
         self._limits: dict[SendKind, int] = {}
         """Sends allowed by the current view, as they are asked for again and again."""
 
-    def judge(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
+    def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns whether a send is left, besides those of places that are reserved already."""
         left = self.sends_left(instance, work)
         return PlacementDecision.ALLOWED if left is None or left > 0 else PlacementDecision.COLD
--- a/src/larkpost/gateway/placement/evacuation_rule.py
+++ b/src/larkpost/gateway/placement/evacuation_rule.py
@@ -16,7 +16,7 @@
     def __init__(self, evacuations: Evacuations) -> None:
         self._evacuations = evacuations
 
-    def judge(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
+    def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns whether the instance's zone takes requests, or the work is none."""
         if work.kind is WorkKind.ORDER or not self._evacuations.is_evacuated(instance.zone):
             return PlacementDecision.ALLOWED
--- a/src/larkpost/gateway/placement/region_rule.py
+++ b/src/larkpost/gateway/placement/region_rule.py
@@ -13,7 +13,7 @@
     def __init__(self, regions: RegionMap) -> None:
         self._regions = regions
 
-    def judge(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
+    def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns whether the instance's region may serve the work."""
         if work.regions is None or self._regions.region_of(instance.zone) in work.regions:
             return PlacementDecision.ALLOWED
--- a/src/larkpost/gateway/placement/rules.py
+++ b/src/larkpost/gateway/placement/rules.py
@@ -31,7 +31,7 @@
 class PlacementRule(Protocol):
     """One reason why work may not go to an instance."""
 
-    def judge(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
+    def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns whether work may go to an instance now; counts nothing."""
 
     def admit(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
@@ -41,19 +41,19 @@
 class PlainRule:
     """A rule that counts nothing; subclasses define `judge`."""
 
-    def judge(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
+    def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns whether work may go to an instance now."""
         raise NotImplementedError
 
     def admit(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns the same right before the send."""
-        return self.judge(instance, work)
+        return self.evaluate(instance, work)
 
 
 class LeavingRule(PlainRule):
     """Nothing new goes to an instance that leaves."""
 
-    def judge(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
+    def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns whether the instance stays."""
         leaves = instance.state is InstanceState.LEAVING
         return PlacementDecision.LEAVING if leaves else PlacementDecision.ALLOWED
@@ -65,7 +65,7 @@
     def __init__(self, directory: Directory) -> None:
         self._directory = directory
 
-    def judge(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
+    def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns whether the instance's weights will do."""
         if work.model is None:
             return PlacementDecision.ALLOWED
@@ -102,17 +102,17 @@
         self._metrics = metrics
         self._send_within = send_within
 
-    def judge(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
+    def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns whether work may go to an instance now, or why not."""
         for rule in self._rules:
-            verdict = rule.judge(instance, work)
+            verdict = rule.evaluate(instance, work)
             if not verdict.is_allowed:
                 return verdict
         return PlacementDecision.ALLOWED
 
     def allows(self, instance: InstanceInfo, work: Work) -> bool:
         """Returns whether work may go to an instance now."""
-        return self.judge(instance, work).is_allowed
+        return self.evaluate(instance, work).is_allowed
 
     def admit(self, instance: InstanceId, work: Work) -> float | None:
         """Asks once more right before a send, by what is known of the instance now.
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -333,14 +333,14 @@
 
     def _is_open(self, info: InstanceInfo, work: Work) -> bool:
         """Returns whether placement allows work at an instance, now or once it is warm."""
-        verdict = self._placement.judge(info, work)
+        verdict = self._placement.evaluate(info, work)
         return verdict.is_allowed or verdict is PlacementDecision.COLD
 
     def _may_take_now(self, info: InstanceInfo) -> bool:
         return not self.is_avoided(info.id) and self.has_place(info)
 
     def _verdict(self, info: InstanceInfo, work: Work) -> PlacementDecision:
-        verdict = self._placement.judge(info, work)
+        verdict = self._placement.evaluate(info, work)
         return (
             PlacementDecision.AVOIDED
             if verdict.is_allowed and self.is_avoided(info.id)
--- a/src/larkpost/gateway/proxy/places.py
+++ b/src/larkpost/gateway/proxy/places.py
@@ -58,7 +58,7 @@
     paced_slots, rate = 0, 0.0
     look = balancer.look(service, work)
     for info in look.instances:
-        verdict = balancer.placement.judge(info, work)
+        verdict = balancer.placement.evaluate(info, work)
         if not verdict.is_allowed and verdict is not PlacementDecision.COLD:
             continue
         slots = max(1, info.slots)
--- a/src/larkpost/gateway/quarantine/isolation.py
+++ b/src/larkpost/gateway/quarantine/isolation.py
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         self._running: Counter[InstanceId] = Counter()
 
-    def judge(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
+    def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns whether the work is no suspect, or none runs at the instance."""
         if work.is_suspect and self._running[instance.id]:
             return PlacementDecision.ISOLATED
--- a/tests/test_bounded_choice.py
+++ b/tests/test_bounded_choice.py
@@ -47,7 +47,7 @@
         self.judged: Counter[InstanceId] = Counter()
         self.forbidden: set[InstanceId] = set()
 
-    def judge(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
+    def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Counts an instance."""
         self.judged[instance.id] += 1
         return (
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -91,9 +91,9 @@
     def test_choice_takes_nothing_and_sees_what_is_left(self) -> None:
         async def work() -> None:
             for _ in range(100):
-                self.assertIs(PlacementDecision.ALLOWED, self.rule.judge(INFO, ITEM_WORK))
+                self.assertIs(PlacementDecision.ALLOWED, self.rule.evaluate(INFO, ITEM_WORK))
             self.admitted(tries=self.share)
-            self.assertIs(PlacementDecision.COLD, self.rule.judge(INFO, ITEM_WORK))
+            self.assertIs(PlacementDecision.COLD, self.rule.evaluate(INFO, ITEM_WORK))
 
         self.play(work)
 
@@ -132,9 +132,9 @@
     def test_places_given_count_until_they_are_sent(self) -> None:
         async def work() -> None:
             for _ in range(self.share):
-                self.assertIs(PlacementDecision.ALLOWED, self.rule.judge(INFO, ITEM_WORK))
+                self.assertIs(PlacementDecision.ALLOWED, self.rule.evaluate(INFO, ITEM_WORK))
                 self.rule.reserve(INFO)
-            self.assertIs(PlacementDecision.COLD, self.rule.judge(INFO, ITEM_WORK))
+            self.assertIs(PlacementDecision.COLD, self.rule.evaluate(INFO, ITEM_WORK))
             self.assertEqual(self.share, self.admitted())
 
         self.play(work)
@@ -144,7 +144,7 @@
             other = replace(INFO, id=NEW_ENGINE)
             self.blackboard.cold.record(NEW_ENGINE, LONG_SECONDS, self.clock.now())
             self.admitted()
-            self.assertIs(PlacementDecision.ALLOWED, self.rule.judge(other, ITEM_WORK))
+            self.assertIs(PlacementDecision.ALLOWED, self.rule.evaluate(other, ITEM_WORK))
 
         self.play(work)
 
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -95,10 +95,10 @@
         rule = EvacuationRule(evacuations)
         inside, outside = make_instance("a", zone=NORTH), make_instance("b", zone=SOUTH)
         for work in (CLIENT_WORK, REWARD_WORK, Work(WorkKind.ITEM)):
-            self.assertIs(PlacementDecision.EVACUATED, rule.judge(inside, work))
+            self.assertIs(PlacementDecision.EVACUATED, rule.evaluate(inside, work))
             self.assertIs(PlacementDecision.EVACUATED, rule.admit(inside, work))
-            self.assertIs(PlacementDecision.ALLOWED, rule.judge(outside, work))
-        self.assertIs(PlacementDecision.ALLOWED, rule.judge(inside, ORDER_WORK))
+            self.assertIs(PlacementDecision.ALLOWED, rule.evaluate(outside, work))
+        self.assertIs(PlacementDecision.ALLOWED, rule.evaluate(inside, ORDER_WORK))
 
 
 class ForwarderTest(unittest.TestCase):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -30,13 +30,13 @@
     def __init__(self) -> None:
         self.left = 1
 
-    def judge(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
+    def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Tells whether a send is left."""
         return PlacementDecision.ALLOWED if self.left else PlacementDecision.COLD
 
     def admit(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Takes a send."""
-        verdict = self.judge(instance, work)
+        verdict = self.evaluate(instance, work)
         self.left = 0
         return verdict
 
@@ -72,8 +72,8 @@
     def test_older_weights_than_the_work_allows(self) -> None:
         fitting = Work(WorkKind.ITEM, model=MODEL, minimum_version=3)
         newer = replace(fitting, minimum_version=4)
-        self.assertIs(self.placement.judge(ENGINE, fitting), PlacementDecision.ALLOWED)
-        self.assertIs(self.placement.judge(ENGINE, newer), PlacementDecision.OLD_VERSION)
+        self.assertIs(self.placement.evaluate(ENGINE, fitting), PlacementDecision.ALLOWED)
+        self.assertIs(self.placement.evaluate(ENGINE, newer), PlacementDecision.OLD_VERSION)
         self.assertIs(self.refusal(newer), NotRunReason.MISDIRECTED)
 
     def test_forbidden_send_takes_nothing_of_a_rule_that_counts(self) -> None:
