--- a/src/larkpost/gateway/placement/evacuation_rule.py
+++ b/src/larkpost/gateway/placement/evacuation_rule.py
@@ -2,12 +2,12 @@
 
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.blackboard.evacuations import Evacuations
-from larkpost.gateway.placement.rules import PlainRule
+from larkpost.gateway.placement.rules import StatelessRule
 from larkpost.gateway.placement.verdict import PlacementDecision
 from larkpost.gateway.placement.work import Work, WorkKind
 
 
-class EvacuationRule(PlainRule):
+class EvacuationRule(StatelessRule):
     """No request goes to an evacuated zone.
 
     Orders do: an engine that kept old weights through an evacuation could not serve after it.
--- a/src/larkpost/gateway/placement/region_rule.py
+++ b/src/larkpost/gateway/placement/region_rule.py
@@ -2,12 +2,12 @@
 
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.blackboard.regions import RegionMap
-from larkpost.gateway.placement.rules import PlainRule
+from larkpost.gateway.placement.rules import StatelessRule
 from larkpost.gateway.placement.verdict import PlacementDecision
 from larkpost.gateway.placement.work import Work
 
 
-class RegionRule(PlainRule):
+class RegionRule(StatelessRule):
     """An instance whose region is not known serves no work that names regions."""
 
     def __init__(self, regions: RegionMap) -> None:
--- a/src/larkpost/gateway/placement/rules.py
+++ b/src/larkpost/gateway/placement/rules.py
@@ -38,7 +38,7 @@
         """Returns the same right before the send, and counts the send if it is allowed."""
 
 
-class PlainRule:
+class StatelessRule:
     """A rule that counts nothing; subclasses define `judge`."""
 
     def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
@@ -50,7 +50,7 @@
         return self.evaluate(instance, work)
 
 
-class LeavingRule(PlainRule):
+class LeavingRule(StatelessRule):
     """Nothing new goes to an instance that leaves."""
 
     def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
@@ -59,7 +59,7 @@
         return PlacementDecision.LEAVING if leaves else PlacementDecision.ALLOWED
 
 
-class VersionRule(PlainRule):
+class VersionRule(StatelessRule):
     """Work that names a model goes only to instances whose version of it is new enough."""
 
     def __init__(self, directory: Directory) -> None:
--- a/src/larkpost/gateway/quarantine/isolation.py
+++ b/src/larkpost/gateway/quarantine/isolation.py
@@ -13,12 +13,12 @@
 
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.directory import InstanceInfo
-from larkpost.gateway.placement.rules import PlainRule
+from larkpost.gateway.placement.rules import StatelessRule
 from larkpost.gateway.placement.verdict import PlacementDecision
 from larkpost.gateway.placement.work import Work
 
 
-class IsolationRule(PlainRule):
+class IsolationRule(StatelessRule):
     """A suspect request goes to no server at which this daemon has another one."""
 
     def __init__(self) -> None:
--- a/tests/test_bounded_choice.py
+++ b/tests/test_bounded_choice.py
@@ -14,7 +14,7 @@
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.placement.region_rule import RegionRule
-from larkpost.gateway.placement.rules import Placement, PlainRule
+from larkpost.gateway.placement.rules import Placement, StatelessRule
 from larkpost.gateway.placement.verdict import PlacementDecision
 from larkpost.gateway.placement.work import CLIENT_WORK, REWARD_WORK, Work, WorkKind
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
@@ -40,7 +40,7 @@
 HOME_ZONE, FAR_ZONE = ZoneId("home-a"), ZoneId("far-a")
 
 
-class CountedRule(PlainRule):
+class CountedRule(StatelessRule):
     """Allows all and counts how many instances were judged."""
 
     def __init__(self) -> None:
