--- a/src/larkpost/gateway/placement/rules.py
+++ b/src/larkpost/gateway/placement/rules.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.placement.work import Work
 from larkpost.gateway.servers.port import NotRunError, NotRunReason
 
-NOT_RUN_REASONS = {
+REJECTION_REASONS = {
     PlacementDecision.UNKNOWN: NotRunReason.LEAVING,
     PlacementDecision.LEAVING: NotRunReason.LEAVING,
     PlacementDecision.EVACUATED: NotRunReason.EVACUATED,
@@ -129,7 +129,7 @@
             return self._send_within(info) if info is not None else None
         if self._metrics is not None:
             self._metrics.count(Count.NOT_PLACED, work.kind, verdict)
-        raise NotRunError(NOT_RUN_REASONS[verdict])
+        raise NotRunError(REJECTION_REASONS[verdict])
 
     def _admit(self, instance: InstanceId, work: Work) -> PlacementDecision:
         info = self._directory.get(instance)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -7,7 +7,7 @@
 from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
 from larkpost.gateway.observability.metrics import Metrics
-from larkpost.gateway.placement.rules import NOT_RUN_REASONS, Placement
+from larkpost.gateway.placement.rules import REJECTION_REASONS, Placement
 from larkpost.gateway.placement.verdict import PlacementDecision
 from larkpost.gateway.placement.work import CLIENT_WORK, Work, WorkKind
 from larkpost.gateway.servers.port import NotRunError, NotRunReason
@@ -89,7 +89,7 @@
 
     def test_each_objection_has_a_reason_to_answer_with(self) -> None:
         objections = set(PlacementDecision) - {PlacementDecision.ALLOWED}
-        self.assertEqual(objections, set(NOT_RUN_REASONS))
+        self.assertEqual(objections, set(REJECTION_REASONS))
 
 
 if __name__ == "__main__":
