--- a/src/larkpost/gateway/assembly/balancing.py
+++ b/src/larkpost/gateway/assembly/balancing.py
@@ -6,7 +6,7 @@
 from larkpost.common.ids import DaemonId
 from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
 from larkpost.gateway.blackboard.board import Blackboard
-from larkpost.gateway.placement.cold_rule import ColdRule
+from larkpost.gateway.placement.cold_rule import ColdRateLimit
 from larkpost.gateway.placement.cold_senders import ColdSenders
 from larkpost.gateway.placement.evacuation_rule import EvacuationRule
 from larkpost.gateway.placement.region_rule import RegionRule
@@ -21,7 +21,7 @@
     """Where work may go, and which instance is best; see the classes."""
 
     cold_senders: ColdSenders
-    cold: ColdRule
+    cold: ColdRateLimit
     isolation: IsolationRule
     balancer: Balancer
 
@@ -39,7 +39,7 @@
         alive: returns the daemons considered alive; called only once all parts stand.
     """
     cold_senders = ColdSenders(own, ports.clock)
-    cold = ColdRule(settings.cold, blackboard, ports.clock, ports.log, cold_senders)
+    cold = ColdRateLimit(settings.cold, blackboard, ports.clock, ports.log, cold_senders)
     isolation = IsolationRule()
     # Rules that count sends come last, so that they count none that another forbids.
     rules = (
--- a/src/larkpost/gateway/placement/cold_rule.py
+++ b/src/larkpost/gateway/placement/cold_rule.py
@@ -35,7 +35,7 @@
 """What owners of batches send; all else are clients' requests."""
 
 
-class ColdRule:
+class ColdRateLimit:
     """Lets this daemon's share of the requests to each cold instance through.
 
     Args:
--- a/src/larkpost/gateway/rollouts/context.py
+++ b/src/larkpost/gateway/rollouts/context.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.controllers.division import EngineDivision
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
-from larkpost.gateway.placement.cold_rule import ColdRule
+from larkpost.gateway.placement.cold_rule import ColdRateLimit
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.servers.port import ServerPort
@@ -40,5 +40,5 @@
     store_time: Callable[[], float | None]
     reward_places: asyncio.Semaphore
     division: EngineDivision
-    cold: ColdRule | None = None
+    cold: ColdRateLimit | None = None
     crashes: KnownCrashes = field(default_factory=KnownCrashes)
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -361,9 +361,9 @@
 
 def ignore_permits():
     """Sends to cold engines as to others."""
-    from larkpost.gateway.placement.cold_rule import ColdRule
+    from larkpost.gateway.placement.cold_rule import ColdRateLimit
 
-    return mock.patch.object(ColdRule, "_limit", lambda *_: None)
+    return mock.patch.object(ColdRateLimit, "_limit", lambda *_: None)
 
 
 def claim_outside_homes():
--- a/tests/test_cold_bound.py
+++ b/tests/test_cold_bound.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.placement.cold_rule import (
     POLL_SECONDS,
-    ColdRule,
+    ColdRateLimit,
 )
 from larkpost.gateway.placement.cold_senders import (
     ColdSenders,
@@ -47,7 +47,7 @@
         blackboard.cold.record(ENGINE, 10 * LONG_SECONDS, clock.now())
         senders = ColdSenders(own, clock)
         senders.follow(self.owners, self, self)
-        self.rule = ColdRule(COLD_TERMS, blackboard, clock, EventLog(own), senders)
+        self.rule = ColdRateLimit(COLD_TERMS, blackboard, clock, EventLog(own), senders)
 
     def silence(self) -> float:
         """Returns for how long it has heard nothing."""
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -17,7 +17,7 @@
 from larkpost.gateway.placement.cold_rule import (
     SEND_WITHIN_SECONDS,
     WINDOW_SECONDS,
-    ColdRule,
+    ColdRateLimit,
 )
 from larkpost.gateway.placement.cold_share import (
     owner_sends,
@@ -65,7 +65,7 @@
             self.blackboard.directory.update(INFO)
             self.senders = mock.Mock()
             self.senders.view.return_value = settled(names(1)[0], names(1))
-            self.rule = ColdRule(
+            self.rule = ColdRateLimit(
                 terms, self.blackboard, self.clock, EventLog("daemon"), self.senders
             )
             self.share = owner_sends(BOUND, self.senders.view(), ENGINE, is_engine=True)
