--- a/src/larkpost/gateway/assembly/balancing.py
+++ b/src/larkpost/gateway/assembly/balancing.py
@@ -7,7 +7,7 @@
 from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.placement.cold_rule import ColdRateLimit
-from larkpost.gateway.placement.cold_senders import ColdSenders
+from larkpost.gateway.placement.cold_senders import SenderTracker
 from larkpost.gateway.placement.evacuation_rule import EvacuationRule
 from larkpost.gateway.placement.region_rule import RegionRule
 from larkpost.gateway.placement.rules import Placement
@@ -20,7 +20,7 @@
 class Balancing:
     """Where work may go, and which instance is best; see the classes."""
 
-    cold_senders: ColdSenders
+    cold_senders: SenderTracker
     cold: ColdRateLimit
     isolation: IsolationRule
     balancer: Balancer
@@ -38,7 +38,7 @@
     Args:
         alive: returns the daemons considered alive; called only once all parts stand.
     """
-    cold_senders = ColdSenders(own, ports.clock)
+    cold_senders = SenderTracker(own, ports.clock)
     cold = ColdRateLimit(settings.cold, blackboard, ports.clock, ports.log, cold_senders)
     isolation = IsolationRule()
     # Rules that count sends come last, so that they count none that another forbids.
--- a/src/larkpost/gateway/placement/cold_rule.py
+++ b/src/larkpost/gateway/placement/cold_rule.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.blackboard.configuration import Service
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.observability.eventlog import Event, EventLog
-from larkpost.gateway.placement.cold_senders import ColdSenders
+from larkpost.gateway.placement.cold_senders import SenderTracker
 from larkpost.gateway.placement.cold_share import SenderView, SendKind, allowed_sends
 from larkpost.gateway.placement.sliding_count import SlidingCount
 from larkpost.gateway.placement.verdict import PlacementDecision
@@ -49,7 +49,7 @@
         blackboard: Blackboard,
         clock: Clock,
         log: EventLog,
-        senders: ColdSenders,
+        senders: SenderTracker,
     ) -> None:
         self._terms = terms
         self._blackboard = blackboard
--- a/src/larkpost/gateway/placement/cold_senders.py
+++ b/src/larkpost/gateway/placement/cold_senders.py
@@ -47,7 +47,7 @@
         """Returns the seconds since the heads were last known to be current."""
 
 
-class ColdSenders:
+class SenderTracker:
     """The view of one daemon, which knows nobody until `follow` is called."""
 
     def __init__(self, own: DaemonId, clock: Clock) -> None:
--- a/tests/test_cold_bound.py
+++ b/tests/test_cold_bound.py
@@ -14,7 +14,7 @@
     ColdRateLimit,
 )
 from larkpost.gateway.placement.cold_senders import (
-    ColdSenders,
+    SenderTracker,
 )
 from tests.cold_views import BOUND, ENGINE, INFO, ITEM_WORK, LONG_SECONDS, RATE, names
 from tests.platform_checks import check_cold
@@ -45,7 +45,7 @@
         blackboard.configuration.update(CONFIGURATION)
         blackboard.directory.update(INFO)
         blackboard.cold.record(ENGINE, 10 * LONG_SECONDS, clock.now())
-        senders = ColdSenders(own, clock)
+        senders = SenderTracker(own, clock)
         senders.follow(self.owners, self, self)
         self.rule = ColdRateLimit(COLD_TERMS, blackboard, clock, EventLog(own), senders)
 
--- a/tests/test_cold_senders.py
+++ b/tests/test_cold_senders.py
@@ -9,7 +9,7 @@
     OWNER_MEMORY_SECONDS,
     UPDATE_SECONDS,
     YOUNG_SECONDS,
-    ColdSenders,
+    SenderTracker,
 )
 from larkpost.gateway.placement.cold_share import (
     SenderView,
@@ -59,7 +59,7 @@
             self.owners = {self.own, *self.others}
             self.members = FakeMembers()
             self.heads = FakeHeads()
-            self.senders = ColdSenders(self.own, self.clock)
+            self.senders = SenderTracker(self.own, self.clock)
             self.senders.follow(lambda: self.owners, self.members, self.heads)
             await work()
 
@@ -125,7 +125,7 @@
 
     def test_daemon_that_was_not_told_whom_to_ask_knows_nobody(self) -> None:
         async def work() -> None:
-            view = ColdSenders(self.own, self.clock).view()
+            view = SenderTracker(self.own, self.clock).view()
             self.assertEqual(
                 (False, False, True), (view.is_settled, view.is_informed, view.is_blind)
             )
