--- a/src/larkpost/gateway/placement/cold_rule.py
+++ b/src/larkpost/gateway/placement/cold_rule.py
@@ -16,7 +16,7 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.placement.cold_senders import SenderTracker
-from larkpost.gateway.placement.cold_share import SenderView, SendKind, allowed_sends
+from larkpost.gateway.placement.cold_share import SenderView, SendKind, send_quota
 from larkpost.gateway.placement.sliding_count import SlidingCount
 from larkpost.gateway.placement.verdict import PlacementDecision
 from larkpost.gateway.placement.work import Work, WorkKind
@@ -167,7 +167,7 @@
         bound = self._terms.bound(service.cold_rate)
         kind = SendKind(instance.id, is_owner_work, is_cold, bound)
         if kind not in self._limits:
-            self._limits[kind] = allowed_sends(view, kind, is_engine=bool(service.models))
+            self._limits[kind] = send_quota(view, kind, is_engine=bool(service.models))
         return self._limits[kind]
 
     def _count_of(self, instance: InstanceId, work: Work) -> SlidingCount:
--- a/src/larkpost/gateway/placement/cold_share.py
+++ b/src/larkpost/gateway/placement/cold_share.py
@@ -71,7 +71,7 @@
     bound: float
 
 
-def allowed_sends(view: SenderView, kind: SendKind, *, is_engine: bool) -> int:
+def send_quota(view: SenderView, kind: SendKind, *, is_engine: bool) -> int:
     """Returns how many sends of a kind this daemon may make in a window.
 
     Args:
--- a/tests/test_cold_share.py
+++ b/tests/test_cold_share.py
@@ -11,9 +11,9 @@
     LEAST_SENDS,
     SenderView,
     SendKind,
-    allowed_sends,
     client_sends,
     owner_sends,
+    send_quota,
 )
 from tests.cold_views import BOUND, ENGINE, names, settled
 
@@ -95,7 +95,7 @@
         ):
             kind = SendKind(ENGINE, is_owner_work, is_cold, BOUND)
             with self.subTest(view=view, kind=kind, is_engine=is_engine):
-                self.assertEqual(expected, allowed_sends(view, kind, is_engine=is_engine))
+                self.assertEqual(expected, send_quota(view, kind, is_engine=is_engine))
 
 
 class ManyDaemonsTest(unittest.TestCase):
