--- a/src/larkpost/gateway/placement/cold_share.py
+++ b/src/larkpost/gateway/placement/cold_share.py
@@ -81,10 +81,10 @@
         return client_sends(kind.bound, view, kind.instance, is_engine=is_engine)
     if not kind.is_cold:
         return unheard_sends(kind.bound, view, is_engine=is_engine)
-    return owner_sends(kind.bound, view, kind.instance, is_engine=is_engine)
+    return owner_quota(kind.bound, view, kind.instance, is_engine=is_engine)
 
 
-def owner_sends(bound: float, view: SenderView, instance: InstanceId, *, is_engine: bool) -> int:
+def owner_quota(bound: float, view: SenderView, instance: InstanceId, *, is_engine: bool) -> int:
     """Returns how many runs of items and reward calls this daemon may send."""
     part = bound * (MAIN_PART if is_engine else 1 - MAIN_PART)
     share = _even_share(part, view)
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -20,7 +20,7 @@
     ColdRateLimit,
 )
 from larkpost.gateway.placement.cold_share import (
-    owner_sends,
+    owner_quota,
 )
 from larkpost.gateway.placement.rules import Placement
 from larkpost.gateway.placement.verdict import PlacementDecision
@@ -68,7 +68,7 @@
             self.rule = ColdRateLimit(
                 terms, self.blackboard, self.clock, EventLog("daemon"), self.senders
             )
-            self.share = owner_sends(BOUND, self.senders.view(), ENGINE, is_engine=True)
+            self.share = owner_quota(BOUND, self.senders.view(), ENGINE, is_engine=True)
             self.blackboard.cold.record(ENGINE, LONG_SECONDS, self.clock.now())
             await work()
 
--- a/tests/test_cold_share.py
+++ b/tests/test_cold_share.py
@@ -12,7 +12,7 @@
     SenderView,
     SendKind,
     client_sends,
-    owner_sends,
+    owner_quota,
     send_quota,
 )
 from tests.cold_views import BOUND, ENGINE, names, settled
@@ -30,7 +30,7 @@
                 owners = names(count)
                 for is_engine in (True, False):
                     sent = sum(
-                        owner_sends(bound, settled(own, owners), ENGINE, is_engine=is_engine)
+                        owner_quota(bound, settled(own, owners), ENGINE, is_engine=is_engine)
                         + client_sends(bound, settled(own, owners), ENGINE, is_engine=is_engine)
                         for own in owners
                     )
@@ -42,28 +42,28 @@
             owners = names(count)
             new = DaemonId("new/0")
             known = sum(
-                owner_sends(BOUND, settled(own, owners), ENGINE, is_engine=True) for own in owners
+                owner_quota(BOUND, settled(own, owners), ENGINE, is_engine=True) for own in owners
             )
             alone = replace(settled(new, [new]), is_settled=False)
             for view in (alone, settled(new, [*owners, new])):
-                sent = known + owner_sends(BOUND, view, ENGINE, is_engine=True)
+                sent = known + owner_quota(BOUND, view, ENGINE, is_engine=True)
                 self.assertLessEqual(sent, BOUND, count)
 
     def test_three_owners_that_have_just_joined_break_nothing_beside_three_others(self) -> None:
         owners, everyone = names(3), names(6)
         views = [settled(own, owners) for own in owners]
         views += [replace(settled(own, everyone), is_settled=False) for own in everyone[3:]]
-        sent = [owner_sends(BOUND, view, ENGINE, is_engine=True) for view in views]
+        sent = [owner_quota(BOUND, view, ENGINE, is_engine=True) for view in views]
         self.assertEqual([3, 3, 3, 1, 1, 1], sent)
         self.assertLessEqual(sum(sent) + LEAST_SENDS, BOUND)  # and a client's request
 
     def test_owner_that_hears_nothing_takes_the_least_share(self) -> None:
         view = replace(settled(names(1)[0], names(2)), is_settled=False, is_blind=True)
-        self.assertEqual(LEAST_SENDS, owner_sends(BOUND, view, ENGINE, is_engine=True))
+        self.assertEqual(LEAST_SENDS, owner_quota(BOUND, view, ENGINE, is_engine=True))
 
     def test_daemon_that_knows_nobody_takes_the_least_share(self) -> None:
         view = SenderView(DaemonId("new/0"), frozenset(), frozenset())
-        self.assertEqual(LEAST_SENDS, owner_sends(BOUND, view, ENGINE, is_engine=True))
+        self.assertEqual(LEAST_SENDS, owner_quota(BOUND, view, ENGINE, is_engine=True))
         self.assertEqual(0, client_sends(BOUND, view, ENGINE, is_engine=False))
 
     def test_few_daemons_send_requests_of_clients(self) -> None:
