--- a/src/larkpost/gateway/placement/cold_share.py
+++ b/src/larkpost/gateway/placement/cold_share.py
@@ -78,7 +78,7 @@
         is_engine: whether the instance's service holds models.
     """
     if not kind.is_owner_work:
-        return client_sends(kind.bound, view, kind.instance, is_engine=is_engine)
+        return client_quota(kind.bound, view, kind.instance, is_engine=is_engine)
     if not kind.is_cold:
         return unheard_sends(kind.bound, view, is_engine=is_engine)
     return owner_quota(kind.bound, view, kind.instance, is_engine=is_engine)
@@ -102,7 +102,7 @@
     return max(LEAST_SENDS, _even_share(part, view))
 
 
-def client_sends(bound: float, view: SenderView, instance: InstanceId, *, is_engine: bool) -> int:
+def client_quota(bound: float, view: SenderView, instance: InstanceId, *, is_engine: bool) -> int:
     """Returns how many clients' requests this daemon may send."""
     part = bound * (1 - MAIN_PART if is_engine else MAIN_PART)
     named = _is_named(view.members, view.own, instance, _count_named(part))
--- a/tests/test_cold_share.py
+++ b/tests/test_cold_share.py
@@ -11,7 +11,7 @@
     LEAST_SENDS,
     SenderView,
     SendKind,
-    client_sends,
+    client_quota,
     owner_quota,
     send_quota,
 )
@@ -31,7 +31,7 @@
                 for is_engine in (True, False):
                     sent = sum(
                         owner_quota(bound, settled(own, owners), ENGINE, is_engine=is_engine)
-                        + client_sends(bound, settled(own, owners), ENGINE, is_engine=is_engine)
+                        + client_quota(bound, settled(own, owners), ENGINE, is_engine=is_engine)
                         for own in owners
                     )
                     self.assertLessEqual(sent, bound, (bound, count, is_engine))
@@ -64,12 +64,12 @@
     def test_daemon_that_knows_nobody_takes_the_least_share(self) -> None:
         view = SenderView(DaemonId("new/0"), frozenset(), frozenset())
         self.assertEqual(LEAST_SENDS, owner_quota(BOUND, view, ENGINE, is_engine=True))
-        self.assertEqual(0, client_sends(BOUND, view, ENGINE, is_engine=False))
+        self.assertEqual(0, client_quota(BOUND, view, ENGINE, is_engine=False))
 
     def test_few_daemons_send_requests_of_clients(self) -> None:
         members = names(300)
         sent = [
-            client_sends(BOUND, settled(own, members), ENGINE, is_engine=False) for own in members
+            client_quota(BOUND, settled(own, members), ENGINE, is_engine=False) for own in members
         ]
         self.assertEqual(7, sum(sent))
 
@@ -106,7 +106,7 @@
         view, instances = settled(members[0], members), 200
         with mock.patch.object(cold_share, "_weight", wraps=cold_share._weight) as weigh:
             named = sum(
-                client_sends(BOUND, view, InstanceId(f"engine-{number}"), is_engine=False)
+                client_quota(BOUND, view, InstanceId(f"engine-{number}"), is_engine=False)
                 for number in range(instances)
             )
         self.assertGreater(named, 0)
