--- a/src/larkpost/gateway/placement/cold_share.py
+++ b/src/larkpost/gateway/placement/cold_share.py
@@ -80,7 +80,7 @@
     if not kind.is_owner_work:
         return client_quota(kind.bound, view, kind.instance, is_engine=is_engine)
     if not kind.is_cold:
-        return unheard_sends(kind.bound, view, is_engine=is_engine)
+        return stale_view_quota(kind.bound, view, is_engine=is_engine)
     return owner_quota(kind.bound, view, kind.instance, is_engine=is_engine)
 
 
@@ -96,7 +96,7 @@
     return LEAST_SENDS if named else 0
 
 
-def unheard_sends(bound: float, view: SenderView, *, is_engine: bool) -> int:
+def stale_view_quota(bound: float, view: SenderView, *, is_engine: bool) -> int:
     """Returns what a blind owner may send to an instance that was not cold when it last heard."""
     part = bound * (MAIN_PART if is_engine else 1 - MAIN_PART)
     return max(LEAST_SENDS, _even_share(part, view))
