--- a/src/larkpost/gateway/placement/cold_rule.py
+++ b/src/larkpost/gateway/placement/cold_rule.py
@@ -16,7 +16,7 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.placement.cold_senders import SenderTracker
-from larkpost.gateway.placement.cold_share import SenderView, SendKind, send_quota
+from larkpost.gateway.placement.cold_share import SendCategory, SenderView, send_quota
 from larkpost.gateway.placement.sliding_count import SlidingCount
 from larkpost.gateway.placement.verdict import PlacementDecision
 from larkpost.gateway.placement.work import Work, WorkKind
@@ -60,7 +60,7 @@
         self._reserved: dict[InstanceId, SlidingCount] = {}
         self._logged: frozenset[InstanceId] = frozenset()
         self._view: SenderView | None = None
-        self._limits: dict[SendKind, int] = {}
+        self._limits: dict[SendCategory, int] = {}
         """Sends allowed by the current view, as they are asked for again and again."""
 
     def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
@@ -165,7 +165,7 @@
         if not is_cold and not (is_owner_work and view.is_blind):
             return None
         bound = self._terms.bound(service.cold_rate)
-        kind = SendKind(instance.id, is_owner_work, is_cold, bound)
+        kind = SendCategory(instance.id, is_owner_work, is_cold, bound)
         if kind not in self._limits:
             self._limits[kind] = send_quota(view, kind, is_engine=bool(service.models))
         return self._limits[kind]
--- a/src/larkpost/gateway/placement/cold_share.py
+++ b/src/larkpost/gateway/placement/cold_share.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendKind:
+class SendCategory:
     """Sends to one instance that are limited alike.
 
     Attributes:
@@ -71,7 +71,7 @@
     bound: float
 
 
-def send_quota(view: SenderView, kind: SendKind, *, is_engine: bool) -> int:
+def send_quota(view: SenderView, kind: SendCategory, *, is_engine: bool) -> int:
     """Returns how many sends of a kind this daemon may make in a window.
 
     Args:
--- a/tests/test_cold_share.py
+++ b/tests/test_cold_share.py
@@ -9,8 +9,8 @@
 from larkpost.gateway.placement import cold_share
 from larkpost.gateway.placement.cold_share import (
     LEAST_SENDS,
+    SendCategory,
     SenderView,
-    SendKind,
     client_quota,
     owner_quota,
     send_quota,
@@ -93,7 +93,7 @@
             (alone, False, True, False, LEAST_SENDS),
             (blind, False, True, True, 0),  # it may not be the one that is named
         ):
-            kind = SendKind(ENGINE, is_owner_work, is_cold, BOUND)
+            kind = SendCategory(ENGINE, is_owner_work, is_cold, BOUND)
             with self.subTest(view=view, kind=kind, is_engine=is_engine):
                 self.assertEqual(expected, send_quota(view, kind, is_engine=is_engine))
 
