--- a/src/larkpost/gateway/placement/cold_share.py
+++ b/src/larkpost/gateway/placement/cold_share.py
@@ -16,7 +16,7 @@
 from larkpost.common.hashing import hash64
 from larkpost.common.ids import DaemonId, InstanceId
 
-MAIN_PART = 0.8
+PRIMARY_FRACTION = 0.8
 """Part of the bound that is the owners' at engines, and the clients' at other instances; without
 unit."""
 MIN_OWNERS_COUNTED = 2
@@ -86,7 +86,7 @@
 
 def owner_quota(bound: float, view: SenderView, instance: InstanceId, *, is_engine: bool) -> int:
     """Returns how many runs of items and reward calls this daemon may send."""
-    part = bound * (MAIN_PART if is_engine else 1 - MAIN_PART)
+    part = bound * (PRIMARY_FRACTION if is_engine else 1 - PRIMARY_FRACTION)
     share = _even_share(part, view)
     if share and view.is_settled:
         return share
@@ -98,13 +98,13 @@
 
 def stale_view_quota(bound: float, view: SenderView, *, is_engine: bool) -> int:
     """Returns what a blind owner may send to an instance that was not cold when it last heard."""
-    part = bound * (MAIN_PART if is_engine else 1 - MAIN_PART)
+    part = bound * (PRIMARY_FRACTION if is_engine else 1 - PRIMARY_FRACTION)
     return max(LEAST_SENDS, _even_share(part, view))
 
 
 def client_quota(bound: float, view: SenderView, instance: InstanceId, *, is_engine: bool) -> int:
     """Returns how many clients' requests this daemon may send."""
-    part = bound * (1 - MAIN_PART if is_engine else MAIN_PART)
+    part = bound * (1 - PRIMARY_FRACTION if is_engine else PRIMARY_FRACTION)
     named = _is_named(view.members, view.own, instance, _count_named(part))
     return LEAST_SENDS if named and view.is_informed else 0
 
