--- a/src/larkpost/gateway/placement/cold_share.py
+++ b/src/larkpost/gateway/placement/cold_share.py
@@ -19,7 +19,7 @@
 PRIMARY_FRACTION = 0.8
 """Part of the bound that is the owners' at engines, and the clients' at other instances; without
 unit."""
-MIN_OWNERS_COUNTED = 2
+MIN_OWNER_COUNT = 2
 """Batches come from several trainers at once: one owner alone leaves as much as two do."""
 UNHEARD_OWNERS = 1
 """Shares left for owners of whom this daemon has not heard yet."""
@@ -110,7 +110,7 @@
 
 
 def _even_share(part: float, view: SenderView) -> int:
-    counted = max(len(view.owners | {view.own}), MIN_OWNERS_COUNTED) + UNHEARD_OWNERS
+    counted = max(len(view.owners | {view.own}), MIN_OWNER_COUNT) + UNHEARD_OWNERS
     return int(part / counted)
 
 
