--- a/src/larkpost/gateway/placement/cold_share.py
+++ b/src/larkpost/gateway/placement/cold_share.py
@@ -21,7 +21,7 @@
 unit."""
 MIN_OWNER_COUNT = 2
 """Batches come from several trainers at once: one owner alone leaves as much as two do."""
-UNHEARD_OWNERS = 1
+UNSEEN_OWNER_ALLOWANCE = 1
 """Shares left for owners of whom this daemon has not heard yet."""
 NEWCOMERS_DIVISOR = 12
 """A new owner takes this part of the owners' part. Three trainers hand their batches in at the same
@@ -110,7 +110,7 @@
 
 
 def _even_share(part: float, view: SenderView) -> int:
-    counted = max(len(view.owners | {view.own}), MIN_OWNER_COUNT) + UNHEARD_OWNERS
+    counted = max(len(view.owners | {view.own}), MIN_OWNER_COUNT) + UNSEEN_OWNER_ALLOWANCE
     return int(part / counted)
 
 
