--- a/src/larkpost/gateway/placement/cold_share.py
+++ b/src/larkpost/gateway/placement/cold_share.py
@@ -23,7 +23,7 @@
 """Batches come from several trainers at once: one owner alone leaves as much as two do."""
 UNSEEN_OWNER_ALLOWANCE = 1
 """Shares left for owners of whom this daemon has not heard yet."""
-NEWCOMERS_DIVISOR = 12
+NEW_OWNER_DIVISOR = 12
 """A new owner takes this part of the owners' part. Three trainers hand their batches in at the same
 moment; three owners of the step before have sent their shares within the same second, and others
 that are cut off and do not know of their successors go on. With a sixth, four of those were too
@@ -91,7 +91,7 @@
     if share and view.is_settled:
         return share
     if share and not view.is_blind:
-        return min(share, max(LEAST_SENDS, int(part / NEWCOMERS_DIVISOR)))
+        return min(share, max(LEAST_SENDS, int(part / NEW_OWNER_DIVISOR)))
     named = _is_named(view.owners | {view.own}, view.own, instance, _count_named(part))
     return LEAST_SENDS if named else 0
 
