--- a/src/larkpost/gateway/placement/cold_share.py
+++ b/src/larkpost/gateway/placement/cold_share.py
@@ -28,7 +28,7 @@
 moment; three owners of the step before have sent their shares within the same second, and others
 that are cut off and do not know of their successors go on. With a sixth, four of those were too
 many."""
-LEAST_SENDS = 1
+MIN_SENDS = 1
 """What a daemon may send that cannot know how many others do."""
 DISAGREEMENT_FACTOR = 2
 """By how much fewer daemons are named than might send: views may differ in all of them."""
@@ -91,22 +91,22 @@
     if share and view.is_settled:
         return share
     if share and not view.is_blind:
-        return min(share, max(LEAST_SENDS, int(part / NEW_OWNER_DIVISOR)))
+        return min(share, max(MIN_SENDS, int(part / NEW_OWNER_DIVISOR)))
     named = _is_named(view.owners | {view.own}, view.own, instance, _count_named(part))
-    return LEAST_SENDS if named else 0
+    return MIN_SENDS if named else 0
 
 
 def stale_view_quota(bound: float, view: SenderView, *, is_engine: bool) -> int:
     """Returns what a blind owner may send to an instance that was not cold when it last heard."""
     part = bound * (PRIMARY_FRACTION if is_engine else 1 - PRIMARY_FRACTION)
-    return max(LEAST_SENDS, _even_share(part, view))
+    return max(MIN_SENDS, _even_share(part, view))
 
 
 def client_quota(bound: float, view: SenderView, instance: InstanceId, *, is_engine: bool) -> int:
     """Returns how many clients' requests this daemon may send."""
     part = bound * (1 - PRIMARY_FRACTION if is_engine else PRIMARY_FRACTION)
     named = _is_named(view.members, view.own, instance, _count_named(part))
-    return LEAST_SENDS if named and view.is_informed else 0
+    return MIN_SENDS if named and view.is_informed else 0
 
 
 def _even_share(part: float, view: SenderView) -> int:
@@ -116,7 +116,7 @@
 
 def _count_named(part: float) -> int:
     """Returns how many daemons may take the least share; one wherever a request is allowed."""
-    return max(int(part / (DISAGREEMENT_FACTOR * LEAST_SENDS)), int(part >= 1))
+    return max(int(part / (DISAGREEMENT_FACTOR * MIN_SENDS)), int(part >= 1))
 
 
 def _is_named(
--- a/tests/test_cold_share.py
+++ b/tests/test_cold_share.py
@@ -8,7 +8,7 @@
 from larkpost.gateway.blackboard.cold_instances import ColdTerms
 from larkpost.gateway.placement import cold_share
 from larkpost.gateway.placement.cold_share import (
-    LEAST_SENDS,
+    MIN_SENDS,
     SendCategory,
     SenderView,
     client_quota,
@@ -55,15 +55,15 @@
         views += [replace(settled(own, everyone), is_settled=False) for own in everyone[3:]]
         sent = [owner_quota(BOUND, view, ENGINE, is_engine=True) for view in views]
         self.assertEqual([3, 3, 3, 1, 1, 1], sent)
-        self.assertLessEqual(sum(sent) + LEAST_SENDS, BOUND)  # and a client's request
+        self.assertLessEqual(sum(sent) + MIN_SENDS, BOUND)  # and a client's request
 
     def test_owner_that_hears_nothing_takes_the_least_share(self) -> None:
         view = replace(settled(names(1)[0], names(2)), is_settled=False, is_blind=True)
-        self.assertEqual(LEAST_SENDS, owner_quota(BOUND, view, ENGINE, is_engine=True))
+        self.assertEqual(MIN_SENDS, owner_quota(BOUND, view, ENGINE, is_engine=True))
 
     def test_daemon_that_knows_nobody_takes_the_least_share(self) -> None:
         view = SenderView(DaemonId("new/0"), frozenset(), frozenset())
-        self.assertEqual(LEAST_SENDS, owner_quota(BOUND, view, ENGINE, is_engine=True))
+        self.assertEqual(MIN_SENDS, owner_quota(BOUND, view, ENGINE, is_engine=True))
         self.assertEqual(0, client_quota(BOUND, view, ENGINE, is_engine=False))
 
     def test_few_daemons_send_requests_of_clients(self) -> None:
@@ -86,11 +86,11 @@
             (alone, True, True, True, 5),  # 0.8 of the bound among two owners and one unheard of
             (alone, True, True, False, 1),
             (newcomer, True, True, True, 1),  # a twelfth of the owners' part
-            (blind, True, True, True, LEAST_SENDS),
+            (blind, True, True, True, MIN_SENDS),
             (blind, True, False, True, 5),  # it may have turned cold unheard
-            (blind, True, False, False, LEAST_SENDS),
-            (alone, False, True, True, LEAST_SENDS),
-            (alone, False, True, False, LEAST_SENDS),
+            (blind, True, False, False, MIN_SENDS),
+            (alone, False, True, True, MIN_SENDS),
+            (alone, False, True, False, MIN_SENDS),
             (blind, False, True, True, 0),  # it may not be the one that is named
         ):
             kind = SendCategory(ENGINE, is_owner_work, is_cold, BOUND)
