--- a/src/larkpost/gateway/placement/cold_share.py
+++ b/src/larkpost/gateway/placement/cold_share.py
@@ -30,7 +30,7 @@
 many."""
 MIN_SENDS = 1
 """What a daemon may send that cannot know how many others do."""
-DISAGREEMENT_FACTOR = 2
+VIEW_MISMATCH_FACTOR = 2
 """By how much fewer daemons are named than might send: views may differ in all of them."""
 
 
@@ -116,7 +116,7 @@
 
 def _count_named(part: float) -> int:
     """Returns how many daemons may take the least share; one wherever a request is allowed."""
-    return max(int(part / (DISAGREEMENT_FACTOR * MIN_SENDS)), int(part >= 1))
+    return max(int(part / (VIEW_MISMATCH_FACTOR * MIN_SENDS)), int(part >= 1))
 
 
 def _is_named(
