--- a/src/larkpost/gateway/placement/cold_senders.py
+++ b/src/larkpost/gateway/placement/cold_senders.py
@@ -11,7 +11,7 @@
 from larkpost.common.ids import DaemonId
 from larkpost.gateway.placement.cold_share import SenderView
 
-OWNER_MEMORY_SECONDS = 2.0
+OWNER_RETENTION_SECONDS = 2.0
 """For so long an owner counts after it is named no longer: it may not know yet."""
 NEWCOMER_SECONDS = 1.0
 """For so long a new owner takes the least share, as the others may not have heard of it."""
@@ -110,7 +110,7 @@
     def _remember_owners(self, now: float) -> None:
         """Forgets the owners that were named a while ago, and adds those named now."""
         self._named_at = {
-            name: at for name, at in self._named_at.items() if now - at < OWNER_MEMORY_SECONDS
+            name: at for name, at in self._named_at.items() if now - at < OWNER_RETENTION_SECONDS
         }
         if self._own not in self._named_at:
             self._owner_since = None
--- a/tests/test_cold_senders.py
+++ b/tests/test_cold_senders.py
@@ -6,7 +6,7 @@
 from larkpost.common.ids import DaemonId
 from larkpost.gateway.placement.cold_senders import (
     NEWCOMER_SECONDS,
-    OWNER_MEMORY_SECONDS,
+    OWNER_RETENTION_SECONDS,
     UPDATE_SECONDS,
     YOUNG_SECONDS,
     SenderTracker,
@@ -109,7 +109,7 @@
             self.owners = {self.own, *self.others}
             self.assertEqual(3, len((await self.wait(0.1)).owners))
             self.owners = {self.own}
-            self.assertEqual(3, len((await self.wait(OWNER_MEMORY_SECONDS - 0.3)).owners))
+            self.assertEqual(3, len((await self.wait(OWNER_RETENTION_SECONDS - 0.3)).owners))
             self.assertEqual(1, len((await self.wait(0.5)).owners))
 
         self.play(work)
