--- a/src/larkpost/gateway/placement/cold_senders.py
+++ b/src/larkpost/gateway/placement/cold_senders.py
@@ -13,7 +13,7 @@
 
 OWNER_RETENTION_SECONDS = 2.0
 """For so long an owner counts after it is named no longer: it may not know yet."""
-NEWCOMER_SECONDS = 1.0
+NEW_OWNER_SECONDS = 1.0
 """For so long a new owner takes the least share, as the others may not have heard of it."""
 BLIND_SECONDS = 1.6
 """Age of the feed of heads from which this daemon does not know the other owners: a response
@@ -89,7 +89,7 @@
 
     def _current_view(self, now: float, members: Members, heads: Heads) -> SenderView:
         since = self._owner_since
-        is_known = since is not None and now - since >= NEWCOMER_SECONDS
+        is_known = since is not None and now - since >= NEW_OWNER_SECONDS
         is_old = now - self._started_at >= YOUNG_SECONDS and members.listed
         is_blind = self._is_blind(now, members, heads)
         return SenderView(
--- a/tests/test_cold_senders.py
+++ b/tests/test_cold_senders.py
@@ -5,7 +5,7 @@
 from larkpost.common.clock import LoopClock
 from larkpost.common.ids import DaemonId
 from larkpost.gateway.placement.cold_senders import (
-    NEWCOMER_SECONDS,
+    NEW_OWNER_SECONDS,
     OWNER_RETENTION_SECONDS,
     UPDATE_SECONDS,
     YOUNG_SECONDS,
@@ -76,7 +76,7 @@
     def test_new_owner_is_settled_after_a_while(self) -> None:
         async def work() -> None:
             self.assertFalse(self.senders.view().is_settled)
-            self.assertFalse((await self.wait(NEWCOMER_SECONDS - 0.2)).is_settled)
+            self.assertFalse((await self.wait(NEW_OWNER_SECONDS - 0.2)).is_settled)
             self.assertTrue((await self.wait(0.4)).is_settled)
 
         self.play(work)
