--- a/src/larkpost/gateway/placement/cold_senders.py
+++ b/src/larkpost/gateway/placement/cold_senders.py
@@ -15,7 +15,7 @@
 """For so long an owner counts after it is named no longer: it may not know yet."""
 NEW_OWNER_SECONDS = 1.0
 """For so long a new owner takes the least share, as the others may not have heard of it."""
-BLIND_SECONDS = 1.6
+STALE_FEED_SECONDS = 1.6
 """Age of the feed of heads from which this daemon does not know the other owners: a response
 of the feed may wait for a second."""
 YOUNG_SECONDS = 3.0
@@ -103,7 +103,7 @@
 
     def _is_blind(self, now: float, members: Members, heads: Heads) -> bool:
         """Returns whether the others may know of owners of which this daemon has not heard."""
-        if not members.listed or not heads.listed or heads.age(now) > BLIND_SECONDS:
+        if not members.listed or not heads.listed or heads.age(now) > STALE_FEED_SECONDS:
             return True
         return self._own in self._named_at and not members.is_hearing()
 
