--- a/src/larkpost/gateway/controllers/heartbeat_intervals.py
+++ b/src/larkpost/gateway/controllers/heartbeat_intervals.py
@@ -21,7 +21,7 @@
 """Most known heartbeats that a fleet writes together: one part takes 200 writes a second."""
 IDLE_ROWS_PER_SECOND = 38.0
 """Most known heartbeats that a daemon lists a second: of 180 B each, under the 7 KB/s budget."""
-YOUNG_SECONDS = 3.0
+STARTUP_SECONDS = 3.0
 """Seconds for which a new daemon lists the known ones often: after an outage all are new."""
 YOUNG_ROWS_PER_SECOND = 400.0
 """Most known heartbeats that it lists a second then: two listings a second at 200 daemons."""
@@ -66,6 +66,6 @@
         known: daemons that have known heartbeats.
         age: seconds since this daemon started.
     """
-    if age < YOUNG_SECONDS:
+    if age < STARTUP_SECONDS:
         return max(HEARTBEAT_SECONDS, known / YOUNG_ROWS_PER_SECOND)
     return max(IDLE_HEARTBEAT_SECONDS, known / IDLE_ROWS_PER_SECOND)
--- a/src/larkpost/gateway/placement/cold_senders.py
+++ b/src/larkpost/gateway/placement/cold_senders.py
@@ -18,7 +18,7 @@
 STALE_FEED_SECONDS = 1.6
 """Age of the feed of heads from which this daemon does not know the other owners: a response
 of the feed may wait for a second."""
-YOUNG_SECONDS = 3.0
+STARTUP_SECONDS = 3.0
 """For so long after its start a daemon may not know all members."""
 UNHEARD_SECONDS = 4.0
 """Age of the feed from which others may soon consider this daemon dead, and name another."""
@@ -90,7 +90,7 @@
     def _current_view(self, now: float, members: Members, heads: Heads) -> SenderView:
         since = self._owner_since
         is_known = since is not None and now - since >= NEW_OWNER_SECONDS
-        is_old = now - self._started_at >= YOUNG_SECONDS and members.listed
+        is_old = now - self._started_at >= STARTUP_SECONDS and members.listed
         is_blind = self._is_blind(now, members, heads)
         return SenderView(
             self._own,
--- a/tests/test_cold_senders.py
+++ b/tests/test_cold_senders.py
@@ -7,8 +7,8 @@
 from larkpost.gateway.placement.cold_senders import (
     NEW_OWNER_SECONDS,
     OWNER_RETENTION_SECONDS,
+    STARTUP_SECONDS,
     UPDATE_SECONDS,
-    YOUNG_SECONDS,
     SenderTracker,
 )
 from larkpost.gateway.placement.cold_share import (
@@ -116,7 +116,7 @@
 
     def test_young_daemon_sends_no_requests_of_clients(self) -> None:
         async def work() -> None:
-            self.assertFalse((await self.wait(YOUNG_SECONDS - 0.3)).is_informed)
+            self.assertFalse((await self.wait(STARTUP_SECONDS - 0.3)).is_informed)
             self.assertTrue((await self.wait(0.5)).is_informed)
             self.members.listed = False
             self.assertFalse((await self.wait(0.2)).is_informed)
