--- a/src/larkpost/gateway/placement/cold_senders.py
+++ b/src/larkpost/gateway/placement/cold_senders.py
@@ -20,7 +20,7 @@
 of the feed may wait for a second."""
 STARTUP_SECONDS = 3.0
 """For so long after its start a daemon may not know all members."""
-UNHEARD_SECONDS = 4.0
+PRESUMED_DEAD_SECONDS = 4.0
 """Age of the feed from which others may soon consider this daemon dead, and name another."""
 UPDATE_SECONDS = 0.1
 """How old a view may be."""
@@ -97,7 +97,7 @@
             frozenset(self._named_at),
             frozenset(members.alive()),
             is_settled=is_known and not is_blind,
-            is_informed=is_old and heads.age(now) < UNHEARD_SECONDS,
+            is_informed=is_old and heads.age(now) < PRESUMED_DEAD_SECONDS,
             is_blind=is_blind,
         )
 
