--- a/src/larkpost/gateway/placement/cold_senders.py
+++ b/src/larkpost/gateway/placement/cold_senders.py
@@ -22,7 +22,7 @@
 """For so long after its start a daemon may not know all members."""
 PRESUMED_DEAD_SECONDS = 4.0
 """Age of the feed from which others may soon consider this daemon dead, and name another."""
-UPDATE_SECONDS = 0.1
+VIEW_LIFETIME_SECONDS = 0.1
 """How old a view may be."""
 
 
@@ -77,7 +77,7 @@
     def view(self) -> SenderView:
         """Returns who may send, as of a moment ago; the same object as long as it holds."""
         now = self._clock.now()
-        if now - self._updated_at < UPDATE_SECONDS:
+        if now - self._updated_at < VIEW_LIFETIME_SECONDS:
             return self._view
         self._updated_at = now
         if self._members is not None and self._heads is not None:
--- a/tests/test_cold_senders.py
+++ b/tests/test_cold_senders.py
@@ -8,7 +8,7 @@
     NEW_OWNER_SECONDS,
     OWNER_RETENTION_SECONDS,
     STARTUP_SECONDS,
-    UPDATE_SECONDS,
+    VIEW_LIFETIME_SECONDS,
     SenderTracker,
 )
 from larkpost.gateway.placement.cold_share import (
@@ -69,7 +69,7 @@
         """Lets time pass while the rule asks again and again, and returns the view then."""
         end = self.clock.now() + seconds
         while self.clock.now() < end:
-            await self.clock.sleep(UPDATE_SECONDS)
+            await self.clock.sleep(VIEW_LIFETIME_SECONDS)
             view = self.senders.view()
         return view
 
