--- a/src/larkpost/gateway/placement/cold_senders.py
+++ b/src/larkpost/gateway/placement/cold_senders.py
@@ -38,7 +38,7 @@
         """Returns the daemons that are considered alive."""
 
 
-class Heads(Protocol):
+class BatchFeed(Protocol):
     """What is asked of the feed of heads."""
 
     listed: bool
@@ -55,7 +55,7 @@
         self._clock = clock
         self._owners: Callable[[], Iterable[DaemonId]] = tuple
         self._members: Members | None = None
-        self._heads: Heads | None = None
+        self._heads: BatchFeed | None = None
         self._started_at = clock.now()
         self._updated_at = float("-inf")
         self._named_at: dict[DaemonId, float] = {}
@@ -63,7 +63,7 @@
         self._view = SenderView(own, frozenset(), frozenset())
 
     def follow(
-        self, owners: Callable[[], Iterable[DaemonId]], members: Members, heads: Heads
+        self, owners: Callable[[], Iterable[DaemonId]], members: Members, heads: BatchFeed
     ) -> None:
         """Sets where the view comes from.
 
@@ -87,7 +87,7 @@
                 self._view = view
         return self._view
 
-    def _current_view(self, now: float, members: Members, heads: Heads) -> SenderView:
+    def _current_view(self, now: float, members: Members, heads: BatchFeed) -> SenderView:
         since = self._owner_since
         is_known = since is not None and now - since >= NEW_OWNER_SECONDS
         is_old = now - self._started_at >= STARTUP_SECONDS and members.listed
@@ -101,7 +101,7 @@
             is_blind=is_blind,
         )
 
-    def _is_blind(self, now: float, members: Members, heads: Heads) -> bool:
+    def _is_blind(self, now: float, members: Members, heads: BatchFeed) -> bool:
         """Returns whether the others may know of owners of which this daemon has not heard."""
         if not members.listed or not heads.listed or heads.age(now) > STALE_FEED_SECONDS:
             return True
