--- a/src/larkpost/gateway/placement/cold_senders.py
+++ b/src/larkpost/gateway/placement/cold_senders.py
@@ -26,7 +26,7 @@
 """How old a view may be."""
 
 
-class Members(Protocol):
+class MemberView(Protocol):
     """What is asked of the heartbeats."""
 
     listed: bool
@@ -54,7 +54,7 @@
         self._own = own
         self._clock = clock
         self._owners: Callable[[], Iterable[DaemonId]] = tuple
-        self._members: Members | None = None
+        self._members: MemberView | None = None
         self._heads: BatchFeed | None = None
         self._started_at = clock.now()
         self._updated_at = float("-inf")
@@ -63,7 +63,7 @@
         self._view = SenderView(own, frozenset(), frozenset())
 
     def follow(
-        self, owners: Callable[[], Iterable[DaemonId]], members: Members, heads: BatchFeed
+        self, owners: Callable[[], Iterable[DaemonId]], members: MemberView, heads: BatchFeed
     ) -> None:
         """Sets where the view comes from.
 
@@ -87,7 +87,7 @@
                 self._view = view
         return self._view
 
-    def _current_view(self, now: float, members: Members, heads: BatchFeed) -> SenderView:
+    def _current_view(self, now: float, members: MemberView, heads: BatchFeed) -> SenderView:
         since = self._owner_since
         is_known = since is not None and now - since >= NEW_OWNER_SECONDS
         is_old = now - self._started_at >= STARTUP_SECONDS and members.listed
@@ -101,7 +101,7 @@
             is_blind=is_blind,
         )
 
-    def _is_blind(self, now: float, members: Members, heads: BatchFeed) -> bool:
+    def _is_blind(self, now: float, members: MemberView, heads: BatchFeed) -> bool:
         """Returns whether the others may know of owners of which this daemon has not heard."""
         if not members.listed or not heads.listed or heads.age(now) > STALE_FEED_SECONDS:
             return True
