--- a/src/larkpost/gateway/placement/cold_senders.py
+++ b/src/larkpost/gateway/placement/cold_senders.py
@@ -96,7 +96,7 @@
             self._own,
             frozenset(self._named_at),
             frozenset(members.alive()),
-            is_settled=is_known and not is_blind,
+            is_established=is_known and not is_blind,
             is_informed=is_old and heads.age(now) < PRESUMED_DEAD_SECONDS,
             is_blind=is_blind,
         )
--- a/src/larkpost/gateway/placement/cold_share.py
+++ b/src/larkpost/gateway/placement/cold_share.py
@@ -50,7 +50,7 @@
     own: DaemonId
     owners: frozenset[DaemonId]
     members: frozenset[DaemonId]
-    is_settled: bool = False
+    is_established: bool = False
     is_informed: bool = False
     is_blind: bool = True
 
@@ -88,7 +88,7 @@
     """Returns how many runs of items and reward calls this daemon may send."""
     part = bound * (PRIMARY_FRACTION if is_engine else 1 - PRIMARY_FRACTION)
     share = _even_share(part, view)
-    if share and view.is_settled:
+    if share and view.is_established:
         return share
     if share and not view.is_blind:
         return min(share, max(MIN_SENDS, int(part / NEW_OWNER_DIVISOR)))
--- a/src/larkpost/gateway/usage/reporter.py
+++ b/src/larkpost/gateway/usage/reporter.py
@@ -62,7 +62,7 @@
         """Returns the window that a time of day lies in."""
         return WindowNumber(int(time // self.terms.window_length))
 
-    def is_settled(self, window: WindowNumber, now: float, alive: int) -> bool:
+    def is_established(self, window: WindowNumber, now: float, alive: int) -> bool:
         """Returns whether all daemons that can be heard have saved their counts of a window.
 
         Args:
@@ -131,7 +131,7 @@
         due = [
             WindowNumber(window)
             for window in range(first, last)
-            if self._timing.is_settled(WindowNumber(window), now, alive)
+            if self._timing.is_established(WindowNumber(window), now, alive)
         ]
         if not due:
             return
--- a/tests/test_cold_senders.py
+++ b/tests/test_cold_senders.py
@@ -75,30 +75,30 @@
 
     def test_new_owner_is_settled_after_a_while(self) -> None:
         async def work() -> None:
-            self.assertFalse(self.senders.view().is_settled)
-            self.assertFalse((await self.wait(NEW_OWNER_SECONDS - 0.2)).is_settled)
-            self.assertTrue((await self.wait(0.4)).is_settled)
+            self.assertFalse(self.senders.view().is_established)
+            self.assertFalse((await self.wait(NEW_OWNER_SECONDS - 0.2)).is_established)
+            self.assertTrue((await self.wait(0.4)).is_established)
 
         self.play(work)
 
     def test_owner_that_hears_nothing_of_the_store_is_not_settled(self) -> None:
         async def work() -> None:
-            self.assertTrue((await self.wait(2.0)).is_settled)
+            self.assertTrue((await self.wait(2.0)).is_established)
             self.members.hears = False
             view = await self.wait(0.2)
-            self.assertEqual((False, True), (view.is_settled, view.is_blind))
+            self.assertEqual((False, True), (view.is_established, view.is_blind))
             self.members.hears = True
-            self.assertTrue((await self.wait(0.2)).is_settled)
+            self.assertTrue((await self.wait(0.2)).is_established)
             self.heads.age_seconds = 5.0
-            self.assertFalse((await self.wait(0.2)).is_settled)
+            self.assertFalse((await self.wait(0.2)).is_established)
 
         self.play(work)
 
     def test_owner_of_long_ago_is_new_again(self) -> None:
         async def work() -> None:
-            self.assertTrue((await self.wait(2.0)).is_settled)
+            self.assertTrue((await self.wait(2.0)).is_established)
             await self.clock.sleep(LONG_SECONDS)  # nobody asks meanwhile
-            self.assertFalse(self.senders.view().is_settled)
+            self.assertFalse(self.senders.view().is_established)
 
         self.play(work)
 
@@ -127,7 +127,7 @@
         async def work() -> None:
             view = SenderTracker(self.own, self.clock).view()
             self.assertEqual(
-                (False, False, True), (view.is_settled, view.is_informed, view.is_blind)
+                (False, False, True), (view.is_established, view.is_informed, view.is_blind)
             )
 
         self.play(work)
--- a/tests/test_cold_share.py
+++ b/tests/test_cold_share.py
@@ -44,7 +44,7 @@
             known = sum(
                 owner_quota(BOUND, settled(own, owners), ENGINE, is_engine=True) for own in owners
             )
-            alone = replace(settled(new, [new]), is_settled=False)
+            alone = replace(settled(new, [new]), is_established=False)
             for view in (alone, settled(new, [*owners, new])):
                 sent = known + owner_quota(BOUND, view, ENGINE, is_engine=True)
                 self.assertLessEqual(sent, BOUND, count)
@@ -52,13 +52,13 @@
     def test_three_owners_that_have_just_joined_break_nothing_beside_three_others(self) -> None:
         owners, everyone = names(3), names(6)
         views = [settled(own, owners) for own in owners]
-        views += [replace(settled(own, everyone), is_settled=False) for own in everyone[3:]]
+        views += [replace(settled(own, everyone), is_established=False) for own in everyone[3:]]
         sent = [owner_quota(BOUND, view, ENGINE, is_engine=True) for view in views]
         self.assertEqual([3, 3, 3, 1, 1, 1], sent)
         self.assertLessEqual(sum(sent) + MIN_SENDS, BOUND)  # and a client's request
 
     def test_owner_that_hears_nothing_takes_the_least_share(self) -> None:
-        view = replace(settled(names(1)[0], names(2)), is_settled=False, is_blind=True)
+        view = replace(settled(names(1)[0], names(2)), is_established=False, is_blind=True)
         self.assertEqual(MIN_SENDS, owner_quota(BOUND, view, ENGINE, is_engine=True))
 
     def test_daemon_that_knows_nobody_takes_the_least_share(self) -> None:
@@ -80,7 +80,7 @@
     def test_each_kind_of_send(self) -> None:
         own = names(1)[0]
         alone = settled(own, [own])
-        newcomer = replace(alone, is_settled=False)
+        newcomer = replace(alone, is_established=False)
         blind = replace(newcomer, is_blind=True, is_informed=False)
         for view, is_owner_work, is_cold, is_engine, expected in (
             (alone, True, True, True, 5),  # 0.8 of the bound among two owners and one unheard of
