--- a/src/larkpost/gateway/placement/cold_senders.py
+++ b/src/larkpost/gateway/placement/cold_senders.py
@@ -97,7 +97,7 @@
             frozenset(self._named_at),
             frozenset(members.alive()),
             is_established=is_known and not is_blind,
-            is_informed=is_old and heads.age(now) < PRESUMED_DEAD_SECONDS,
+            knows_members=is_old and heads.age(now) < PRESUMED_DEAD_SECONDS,
             is_blind=is_blind,
         )
 
--- a/src/larkpost/gateway/placement/cold_share.py
+++ b/src/larkpost/gateway/placement/cold_share.py
@@ -51,7 +51,7 @@
     owners: frozenset[DaemonId]
     members: frozenset[DaemonId]
     is_established: bool = False
-    is_informed: bool = False
+    knows_members: bool = False
     is_blind: bool = True
 
 
@@ -106,7 +106,7 @@
     """Returns how many clients' requests this daemon may send."""
     part = bound * (1 - PRIMARY_FRACTION if is_engine else PRIMARY_FRACTION)
     named = _is_named(view.members, view.own, instance, _count_named(part))
-    return MIN_SENDS if named and view.is_informed else 0
+    return MIN_SENDS if named and view.knows_members else 0
 
 
 def _even_share(part: float, view: SenderView) -> int:
--- a/tests/test_cold_senders.py
+++ b/tests/test_cold_senders.py
@@ -116,10 +116,10 @@
 
     def test_young_daemon_sends_no_requests_of_clients(self) -> None:
         async def work() -> None:
-            self.assertFalse((await self.wait(STARTUP_SECONDS - 0.3)).is_informed)
-            self.assertTrue((await self.wait(0.5)).is_informed)
+            self.assertFalse((await self.wait(STARTUP_SECONDS - 0.3)).knows_members)
+            self.assertTrue((await self.wait(0.5)).knows_members)
             self.members.listed = False
-            self.assertFalse((await self.wait(0.2)).is_informed)
+            self.assertFalse((await self.wait(0.2)).knows_members)
 
         self.play(work)
 
@@ -127,7 +127,7 @@
         async def work() -> None:
             view = SenderTracker(self.own, self.clock).view()
             self.assertEqual(
-                (False, False, True), (view.is_established, view.is_informed, view.is_blind)
+                (False, False, True), (view.is_established, view.knows_members, view.is_blind)
             )
 
         self.play(work)
--- a/tests/test_cold_share.py
+++ b/tests/test_cold_share.py
@@ -81,7 +81,7 @@
         own = names(1)[0]
         alone = settled(own, [own])
         newcomer = replace(alone, is_established=False)
-        blind = replace(newcomer, is_blind=True, is_informed=False)
+        blind = replace(newcomer, is_blind=True, knows_members=False)
         for view, is_owner_work, is_cold, is_engine, expected in (
             (alone, True, True, True, 5),  # 0.8 of the bound among two owners and one unheard of
             (alone, True, True, False, 1),
