--- a/src/larkpost/gateway/placement/cold_rule.py
+++ b/src/larkpost/gateway/placement/cold_rule.py
@@ -162,7 +162,7 @@
             self._limits.clear()
         is_cold = self._blackboard.cold.is_cold(instance.id, self._clock.now())
         is_owner_work = work.kind in OWNER_WORK
-        if not is_cold and not (is_owner_work and view.is_blind):
+        if not is_cold and not (is_owner_work and view.is_stale):
             return None
         bound = self._terms.bound(service.cold_rate)
         kind = SendCategory(instance.id, is_owner_work, is_cold, bound)
--- a/src/larkpost/gateway/placement/cold_senders.py
+++ b/src/larkpost/gateway/placement/cold_senders.py
@@ -91,14 +91,14 @@
         since = self._owner_since
         is_known = since is not None and now - since >= NEW_OWNER_SECONDS
         is_old = now - self._started_at >= STARTUP_SECONDS and members.listed
-        is_blind = self._is_blind(now, members, heads)
+        is_stale = self._is_blind(now, members, heads)
         return SenderView(
             self._own,
             frozenset(self._named_at),
             frozenset(members.alive()),
-            is_established=is_known and not is_blind,
+            is_established=is_known and not is_stale,
             knows_members=is_old and heads.age(now) < PRESUMED_DEAD_SECONDS,
-            is_blind=is_blind,
+            is_stale=is_stale,
         )
 
     def _is_blind(self, now: float, members: MemberView, heads: BatchFeed) -> bool:
--- a/src/larkpost/gateway/placement/cold_share.py
+++ b/src/larkpost/gateway/placement/cold_share.py
@@ -52,7 +52,7 @@
     members: frozenset[DaemonId]
     is_established: bool = False
     knows_members: bool = False
-    is_blind: bool = True
+    is_stale: bool = True
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,7 +90,7 @@
     share = _even_share(part, view)
     if share and view.is_established:
         return share
-    if share and not view.is_blind:
+    if share and not view.is_stale:
         return min(share, max(MIN_SENDS, int(part / NEW_OWNER_DIVISOR)))
     named = _is_named(view.owners | {view.own}, view.own, instance, _count_named(part))
     return MIN_SENDS if named else 0
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -123,7 +123,7 @@
     def test_daemon_that_hears_nothing_is_limited_at_engines_that_may_have_turned_cold(self):
         async def work() -> None:
             self.blackboard.cold = self.rule._blackboard.cold = ColdInstances()
-            self.senders.view.return_value = replace(self.senders.view(), is_blind=True)
+            self.senders.view.return_value = replace(self.senders.view(), is_stale=True)
             self.assertEqual(self.share, self.admitted())
             self.assertEqual(100, self.admitted(CLIENT_WORK))
 
--- a/tests/test_cold_senders.py
+++ b/tests/test_cold_senders.py
@@ -86,7 +86,7 @@
             self.assertTrue((await self.wait(2.0)).is_established)
             self.members.hears = False
             view = await self.wait(0.2)
-            self.assertEqual((False, True), (view.is_established, view.is_blind))
+            self.assertEqual((False, True), (view.is_established, view.is_stale))
             self.members.hears = True
             self.assertTrue((await self.wait(0.2)).is_established)
             self.heads.age_seconds = 5.0
@@ -127,7 +127,7 @@
         async def work() -> None:
             view = SenderTracker(self.own, self.clock).view()
             self.assertEqual(
-                (False, False, True), (view.is_established, view.knows_members, view.is_blind)
+                (False, False, True), (view.is_established, view.knows_members, view.is_stale)
             )
 
         self.play(work)
--- a/tests/test_cold_share.py
+++ b/tests/test_cold_share.py
@@ -58,7 +58,7 @@
         self.assertLessEqual(sum(sent) + MIN_SENDS, BOUND)  # and a client's request
 
     def test_owner_that_hears_nothing_takes_the_least_share(self) -> None:
-        view = replace(settled(names(1)[0], names(2)), is_established=False, is_blind=True)
+        view = replace(settled(names(1)[0], names(2)), is_established=False, is_stale=True)
         self.assertEqual(MIN_SENDS, owner_quota(BOUND, view, ENGINE, is_engine=True))
 
     def test_daemon_that_knows_nobody_takes_the_least_share(self) -> None:
@@ -81,7 +81,7 @@
         own = names(1)[0]
         alone = settled(own, [own])
         newcomer = replace(alone, is_established=False)
-        blind = replace(newcomer, is_blind=True, knows_members=False)
+        blind = replace(newcomer, is_stale=True, knows_members=False)
         for view, is_owner_work, is_cold, is_engine, expected in (
             (alone, True, True, True, 5),  # 0.8 of the bound among two owners and one unheard of
             (alone, True, True, False, 1),
