--- a/src/larkpost/gateway/controllers/fleet_view.py
+++ b/src/larkpost/gateway/controllers/fleet_view.py
@@ -57,7 +57,7 @@
         """Returns the seconds since this daemon started."""
         return self._clock.now() - self._started_at
 
-    def is_hearing(self) -> bool:
+    def has_recent_listing(self) -> bool:
         """Returns whether this daemon, if it is awaited, has listed the others a moment ago.
 
         One that has not may be considered dead soon, and another be at its work.
--- a/src/larkpost/gateway/placement/cold_senders.py
+++ b/src/larkpost/gateway/placement/cold_senders.py
@@ -31,7 +31,7 @@
 
     listed: bool
 
-    def is_hearing(self) -> bool:
+    def has_recent_listing(self) -> bool:
         """Returns whether this daemon, if it is awaited, has listed the others a moment ago."""
 
     def alive(self) -> Iterable[DaemonId]:
@@ -105,7 +105,7 @@
         """Returns whether the others may know of owners of which this daemon has not heard."""
         if not members.listed or not heads.listed or heads.age(now) > STALE_FEED_SECONDS:
             return True
-        return self._own in self._named_at and not members.is_hearing()
+        return self._own in self._named_at and not members.has_recent_listing()
 
     def _remember_owners(self, now: float) -> None:
         """Forgets the owners that were named a while ago, and adds those named now."""
--- a/tests/test_cold_bound.py
+++ b/tests/test_cold_bound.py
@@ -53,7 +53,7 @@
         """Returns for how long it has heard nothing."""
         return self.clock.now() - self.cut_at if self.cut_at is not None else 0.0
 
-    def is_hearing(self) -> bool:
+    def has_recent_listing(self) -> bool:
         """Tells whether it hears the others; see `Membership`."""
         return self.silence() < HEARING_INTERVALS * HEARTBEAT_SECONDS
 
--- a/tests/test_cold_senders.py
+++ b/tests/test_cold_senders.py
@@ -26,7 +26,7 @@
         self.hears = True
         self.everyone = names(3)
 
-    def is_hearing(self) -> bool:
+    def has_recent_listing(self) -> bool:
         """Tells whether this daemon hears the others."""
         return self.hears
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -165,16 +165,16 @@
         async def play():
             self.begin()
             first, second = self.start("a"), self.start("b")
-            self.assertFalse(first.is_hearing())
+            self.assertFalse(first.has_recent_listing())
             await self.clock.sleep(2.0)
-            self.assertTrue(first.is_hearing())
+            self.assertTrue(first.has_recent_listing())
             first._store.cut_off = True
             while second.is_owner_alive(first.own, 0.0):
                 await self.clock.sleep(0.01)
-            self.assertFalse(first.is_hearing())
+            self.assertFalse(first.has_recent_listing())
             first._store.cut_off = False
             await self.clock.sleep(3.0)  # a call that was cut off hangs for a while
-            self.assertTrue(first.is_hearing())
+            self.assertTrue(first.has_recent_listing())
 
         run(play())
 
