--- a/src/larkpost/gateway/placement/cold_rule.py
+++ b/src/larkpost/gateway/placement/cold_rule.py
@@ -65,7 +65,7 @@
 
     def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns whether a send is left, besides those of places that are reserved already."""
-        left = self.sends_left(instance, work)
+        left = self.remaining_sends(instance, work)
         return PlacementDecision.ALLOWED if left is None or left > 0 else PlacementDecision.COLD
 
     def admit(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
@@ -83,7 +83,7 @@
         sent.add(now)
         return PlacementDecision.ALLOWED
 
-    def sends_left(self, instance: InstanceInfo, work: Work) -> int | None:
+    def remaining_sends(self, instance: InstanceInfo, work: Work) -> int | None:
         """Returns how many sends are left now; None for any number."""
         service = self._limited(instance)
         if service is None or work.kind is WorkKind.ORDER:
--- a/src/larkpost/gateway/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_choice.py
@@ -132,7 +132,7 @@
         """Returns an engine's free places; at a cold one, those that may be used now."""
         free = info.slots - self._services.balancer.occupied(info)
         cold = self._services.cold
-        left = cold.sends_left(info, work) if cold is not None else None
+        left = cold.remaining_sends(info, work) if cold is not None else None
         return free if left is None else min(free, left)
 
     def silence_allowed(self, watch: RunWatch) -> float:
