--- a/src/larkpost/gateway/placement/cold_rule.py
+++ b/src/larkpost/gateway/placement/cold_rule.py
@@ -31,7 +31,7 @@
 milliseconds, or not at all."""
 POLL_SECONDS = 0.25
 """How often it is logged which instances have turned cold or warm."""
-OWNER_WORK = (WorkKind.ITEM, WorkKind.REWARD)
+OWNER_WORK_KINDS = (WorkKind.ITEM, WorkKind.REWARD)
 """What owners of batches send; all else are clients' requests."""
 
 
@@ -161,7 +161,7 @@
             self._view = view
             self._limits.clear()
         is_cold = self._blackboard.cold.is_cold(instance.id, self._clock.now())
-        is_owner_work = work.kind in OWNER_WORK
+        is_owner_work = work.kind in OWNER_WORK_KINDS
         if not is_cold and not (is_owner_work and view.is_stale):
             return None
         bound = self._terms.bound(service.cold_rate)
@@ -172,5 +172,5 @@
 
     def _count_of(self, instance: InstanceId, work: Work) -> SlidingCount:
         """Returns the count of one kind of sends; each kind has its part of the bound."""
-        key = (instance, work.kind in OWNER_WORK)
+        key = (instance, work.kind in OWNER_WORK_KINDS)
         return self._sent.setdefault(key, SlidingCount(WINDOW_SECONDS))
