--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.placement.cold_rule import (
-    SEND_WITHIN_SECONDS,
+    SEND_DEADLINE_SECONDS,
     WINDOW_SECONDS,
     ColdRateLimit,
 )
@@ -162,7 +162,7 @@
             placement = Placement(
                 self.blackboard.directory, (self.rule,), send_within=self.rule.send_within
             )
-            self.assertEqual(SEND_WITHIN_SECONDS, placement.admit(ENGINE, ITEM_WORK))
+            self.assertEqual(SEND_DEADLINE_SECONDS, placement.admit(ENGINE, ITEM_WORK))
             await self.clock.sleep(LONG_SECONDS)
             self.assertIsNone(placement.admit(ENGINE, ITEM_WORK))
 
