--- a/src/larkpost/gateway/placement/cold_rule.py
+++ b/src/larkpost/gateway/placement/cold_rule.py
@@ -77,7 +77,7 @@
         limit = self._limit(instance, service, work)
         sent = self._count_of(instance.id, work)
         if work.kind is WorkKind.ITEM and instance.id in self._reserved:
-            self._reserved[instance.id].take_back()
+            self._reserved[instance.id].remove_oldest()
         if limit is not None and sent.count(now) >= limit:
             return PlacementDecision.COLD
         sent.add(now)
--- a/src/larkpost/gateway/placement/sliding_count.py
+++ b/src/larkpost/gateway/placement/sliding_count.py
@@ -18,7 +18,7 @@
         """Counts one more."""
         self._times.append(now)
 
-    def take_back(self) -> None:
+    def remove_oldest(self) -> None:
         """Counts one less, the oldest."""
         if self._times:
             self._times.popleft()
