--- a/src/larkpost/gateway/placement/cold_rule.py
+++ b/src/larkpost/gateway/placement/cold_rule.py
@@ -116,7 +116,7 @@
         """Returns the seconds within which an admitted send must be made; None for any."""
         return SEND_DEADLINE_SECONDS if self.is_cold(instance) else None
 
-    def count_cold(self) -> int:
+    def count_cold_instances(self) -> int:
         """Returns how many instances are cold."""
         return len(self._cold_now())
 
