--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -180,7 +180,7 @@
                 self.keeper.record_head, self._crash_recorder.record_row, self._is_active
             ),
         )
-        self._cold_senders.follow(self.keeper.open_owners, self.membership, self._feeds.heads)
+        self._cold_senders.set_sources(self.keeper.open_owners, self.membership, self._feeds.heads)
 
     def _make_admission(self) -> None:
         ports = self._ports
--- a/src/larkpost/gateway/placement/cold_senders.py
+++ b/src/larkpost/gateway/placement/cold_senders.py
@@ -62,7 +62,7 @@
         self._owner_since: float | None = None
         self._view = SenderView(own, frozenset(), frozenset())
 
-    def follow(
+    def set_sources(
         self, owners: Callable[[], Iterable[DaemonId]], members: MemberView, heads: BatchFeed
     ) -> None:
         """Sets where the view comes from.
--- a/tests/test_cold_bound.py
+++ b/tests/test_cold_bound.py
@@ -46,7 +46,7 @@
         blackboard.directory.update(INFO)
         blackboard.cold.record(ENGINE, 10 * LONG_SECONDS, clock.now())
         senders = SenderTracker(own, clock)
-        senders.follow(self.owners, self, self)
+        senders.set_sources(self.owners, self, self)
         self.rule = ColdRateLimit(COLD_TERMS, blackboard, clock, EventLog(own), senders)
 
     def silence(self) -> float:
--- a/tests/test_cold_senders.py
+++ b/tests/test_cold_senders.py
@@ -60,7 +60,7 @@
             self.members = FakeMembers()
             self.heads = FakeHeads()
             self.senders = SenderTracker(self.own, self.clock)
-            self.senders.follow(lambda: self.owners, self.members, self.heads)
+            self.senders.set_sources(lambda: self.owners, self.members, self.heads)
             await work()
 
         run(begin())
