--- a/src/larkpost/gateway/placement/cold_rule.py
+++ b/src/larkpost/gateway/placement/cold_rule.py
@@ -17,8 +17,8 @@
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.placement.cold_senders import SenderTracker
 from larkpost.gateway.placement.cold_share import SendCategory, SenderView, send_quota
+from larkpost.gateway.placement.decision import PlacementDecision
 from larkpost.gateway.placement.sliding_count import SlidingCount
-from larkpost.gateway.placement.verdict import PlacementDecision
 from larkpost.gateway.placement.work import Work, WorkKind
 
 SEND_DEADLINE_SECONDS = 0.25
--- a/src/larkpost/gateway/placement/evacuation_rule.py
+++ b/src/larkpost/gateway/placement/evacuation_rule.py
@@ -2,8 +2,8 @@
 
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.blackboard.evacuations import Evacuations
+from larkpost.gateway.placement.decision import PlacementDecision
 from larkpost.gateway.placement.rules import StatelessRule
-from larkpost.gateway.placement.verdict import PlacementDecision
 from larkpost.gateway.placement.work import Work, WorkKind
 
 
--- a/src/larkpost/gateway/placement/rules.py
+++ b/src/larkpost/gateway/placement/rules.py
@@ -11,7 +11,7 @@
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
 from larkpost.gateway.observability.metrics import Count, Metrics
-from larkpost.gateway.placement.verdict import PlacementDecision
+from larkpost.gateway.placement.decision import PlacementDecision
 from larkpost.gateway.placement.work import Work
 from larkpost.gateway.servers.port import NotRunError, NotRunReason
 
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -21,8 +21,8 @@
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.blackboard.use_summary import UseSummary
 from larkpost.gateway.placement.cold_rule import ColdRateLimit
+from larkpost.gateway.placement.decision import PlacementDecision
 from larkpost.gateway.placement.rules import Placement
-from larkpost.gateway.placement.verdict import PlacementDecision
 from larkpost.gateway.placement.work import CLIENT_WORK, Work
 from larkpost.gateway.proxy.candidate_order import CandidateOrder
 from larkpost.gateway.proxy.instance_use import (
--- a/src/larkpost/gateway/proxy/places.py
+++ b/src/larkpost/gateway/proxy/places.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from larkpost.gateway.blackboard.configuration import ServiceName
-from larkpost.gateway.placement.verdict import PlacementDecision
+from larkpost.gateway.placement.decision import PlacementDecision
 from larkpost.gateway.placement.work import Work
 from larkpost.gateway.proxy.balancer import Balancer
 
--- a/src/larkpost/gateway/quarantine/isolation.py
+++ b/src/larkpost/gateway/quarantine/isolation.py
@@ -13,8 +13,8 @@
 
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.directory import InstanceInfo
+from larkpost.gateway.placement.decision import PlacementDecision
 from larkpost.gateway.placement.rules import StatelessRule
-from larkpost.gateway.placement.verdict import PlacementDecision
 from larkpost.gateway.placement.work import Work
 
 
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -375,8 +375,8 @@
 
 def serve_anywhere():
     """Sends work to instances in any region."""
+    from larkpost.gateway.placement.decision import PlacementDecision
     from larkpost.gateway.placement.region_rule import RegionRule
-    from larkpost.gateway.placement.verdict import PlacementDecision
 
     return mock.patch.object(RegionRule, "judge", lambda *_: PlacementDecision.ALLOWED)
 
@@ -461,7 +461,7 @@
 
 def run_suspects_together():
     """Runs requests under which servers crashed side by side."""
-    from larkpost.gateway.placement.verdict import PlacementDecision
+    from larkpost.gateway.placement.decision import PlacementDecision
     from larkpost.gateway.quarantine.isolation import IsolationRule
 
     return mock.patch.object(IsolationRule, "judge", lambda *_: PlacementDecision.ALLOWED)
--- a/tests/test_bounded_choice.py
+++ b/tests/test_bounded_choice.py
@@ -13,9 +13,9 @@
 from larkpost.common.ids import DaemonId, InstanceId, RegionId, ZoneId
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
 from larkpost.gateway.blackboard.regions import RegionMap
+from larkpost.gateway.placement.decision import PlacementDecision
 from larkpost.gateway.placement.region_rule import RegionRule
 from larkpost.gateway.placement.rules import Placement, StatelessRule
-from larkpost.gateway.placement.verdict import PlacementDecision
 from larkpost.gateway.placement.work import CLIENT_WORK, REWARD_WORK, Work, WorkKind
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.places import survey
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -22,8 +22,8 @@
 from larkpost.gateway.placement.cold_share import (
     owner_quota,
 )
+from larkpost.gateway.placement.decision import PlacementDecision
 from larkpost.gateway.placement.rules import Placement
-from larkpost.gateway.placement.verdict import PlacementDecision
 from larkpost.gateway.placement.work import CLIENT_WORK, ORDER_WORK, REWARD_WORK, Work
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.servers.port import NotRunError, NotRunReason
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -22,9 +22,9 @@
     due_loads,
 )
 from larkpost.gateway.observability.eventlog import Event
+from larkpost.gateway.placement.decision import PlacementDecision
 from larkpost.gateway.placement.evacuation_rule import EvacuationRule
 from larkpost.gateway.placement.rules import Placement
-from larkpost.gateway.placement.verdict import PlacementDecision
 from larkpost.gateway.placement.work import CLIENT_WORK, ORDER_WORK, REWARD_WORK, Work, WorkKind
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.forecast import MOST_RETRY_SECONDS, NO_PLACE_RETRY_SECONDS
--- a/tests/test_eventlog.py
+++ b/tests/test_eventlog.py
@@ -6,7 +6,7 @@
 import orjson
 
 from larkpost.gateway.observability.eventlog import Event, EventLog, LineWriter
-from larkpost.gateway.placement.verdict import PlacementDecision
+from larkpost.gateway.placement.decision import PlacementDecision
 
 
 class LineTest(unittest.TestCase):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -7,8 +7,8 @@
 from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
 from larkpost.gateway.observability.metrics import Metrics
+from larkpost.gateway.placement.decision import PlacementDecision
 from larkpost.gateway.placement.rules import REJECTION_REASONS, Placement
-from larkpost.gateway.placement.verdict import PlacementDecision
 from larkpost.gateway.placement.work import CLIENT_WORK, Work, WorkKind
 from larkpost.gateway.servers.port import NotRunError, NotRunReason
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -18,7 +18,7 @@
 from larkpost.gateway.blackboard.request_content import ContentDigest, digest_request
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.metrics import Metrics
-from larkpost.gateway.placement.verdict import PlacementDecision
+from larkpost.gateway.placement.decision import PlacementDecision
 from larkpost.gateway.placement.work import CLIENT_WORK, Work, WorkKind
 from larkpost.gateway.quarantine.crash_writer import CrashWriter
 from larkpost.gateway.quarantine.guard import GuardedServers
