--- a/src/larkpost/gateway/assembly/balancing.py
+++ b/src/larkpost/gateway/assembly/balancing.py
@@ -6,7 +6,7 @@
 from larkpost.common.ids import DaemonId
 from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
 from larkpost.gateway.blackboard.board import Blackboard
-from larkpost.gateway.placement.cold_rule import ColdRateLimit
+from larkpost.gateway.placement.cold_rate_limit import ColdRateLimit
 from larkpost.gateway.placement.cold_senders import SenderTracker
 from larkpost.gateway.placement.evacuation_rule import EvacuationRule
 from larkpost.gateway.placement.region_rule import RegionRule
--- a/src/larkpost/gateway/assembly/gauges.py
+++ b/src/larkpost/gateway/assembly/gauges.py
@@ -9,7 +9,7 @@
 from larkpost.gateway.controllers.members import Membership
 from larkpost.gateway.memory.daemon_memory import DaemonMemory
 from larkpost.gateway.observability.metrics import Level, Metrics
-from larkpost.gateway.placement.cold_rule import ColdRateLimit
+from larkpost.gateway.placement.cold_rate_limit import ColdRateLimit
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.rollouts.keeper import BatchKeeper
 from larkpost.gateway.store.relay import RelayedStore
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -33,7 +33,7 @@
 from larkpost.gateway.memory.daemon_memory import DaemonMemory
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
-from larkpost.gateway.placement.cold_rule import POLL_SECONDS
+from larkpost.gateway.placement.cold_rate_limit import POLL_SECONDS
 from larkpost.gateway.planned_stop import PlannedStop, StopSteps
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.proxy.shares import ShareChooser
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -20,7 +20,7 @@
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.blackboard.use_summary import UseSummary
-from larkpost.gateway.placement.cold_rule import ColdRateLimit
+from larkpost.gateway.placement.cold_rate_limit import ColdRateLimit
 from larkpost.gateway.placement.decision import PlacementDecision
 from larkpost.gateway.placement.rules import Placement
 from larkpost.gateway.placement.work import CLIENT_WORK, Work
--- a/src/larkpost/gateway/rollouts/context.py
+++ b/src/larkpost/gateway/rollouts/context.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.controllers.division import EngineDivision
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
-from larkpost.gateway.placement.cold_rule import ColdRateLimit
+from larkpost.gateway.placement.cold_rate_limit import ColdRateLimit
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.servers.port import ServerPort
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -361,7 +361,7 @@
 
 def ignore_permits():
     """Sends to cold engines as to others."""
-    from larkpost.gateway.placement.cold_rule import ColdRateLimit
+    from larkpost.gateway.placement.cold_rate_limit import ColdRateLimit
 
     return mock.patch.object(ColdRateLimit, "_limit", lambda *_: None)
 
--- a/tests/test_cold_bound.py
+++ b/tests/test_cold_bound.py
@@ -9,7 +9,7 @@
 from larkpost.gateway.controllers.fleet_view import HEARING_INTERVALS
 from larkpost.gateway.controllers.heartbeat_intervals import HEARTBEAT_SECONDS
 from larkpost.gateway.observability.eventlog import EventLog
-from larkpost.gateway.placement.cold_rule import (
+from larkpost.gateway.placement.cold_rate_limit import (
     POLL_SECONDS,
     ColdRateLimit,
 )
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -14,7 +14,7 @@
 from larkpost.gateway.controllers.row_intake import InstanceTrust, RowIntake
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
-from larkpost.gateway.placement.cold_rule import (
+from larkpost.gateway.placement.cold_rate_limit import (
     SEND_DEADLINE_SECONDS,
     WINDOW_SECONDS,
     ColdRateLimit,
--- a/tests/test_sliding_count.py
+++ b/tests/test_sliding_count.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from larkpost.gateway.placement.cold_rule import (
+from larkpost.gateway.placement.cold_rate_limit import (
     WINDOW_SECONDS,
 )
 from larkpost.gateway.placement.sliding_count import SlidingCount
