--- a/src/larkpost/gateway/placement/cold_senders.py
+++ b/src/larkpost/gateway/placement/cold_senders.py
@@ -9,7 +9,7 @@
 
 from larkpost.common.clock import Clock
 from larkpost.common.ids import DaemonId
-from larkpost.gateway.placement.cold_share import SenderView
+from larkpost.gateway.placement.cold_rate_quota import SenderView
 
 OWNER_RETENTION_SECONDS = 2.0
 """For so long an owner counts after it is named no longer: it may not know yet."""
--- a/tests/cold_views.py
+++ b/tests/cold_views.py
@@ -2,7 +2,7 @@
 
 from larkpost.common.ids import Address, DaemonId, InstanceId, ZoneId
 from larkpost.gateway.blackboard.directory import InstanceInfo, InstanceState
-from larkpost.gateway.placement.cold_share import (
+from larkpost.gateway.placement.cold_rate_quota import (
     SenderView,
 )
 from larkpost.gateway.placement.work import Work, WorkKind
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -19,7 +19,7 @@
     WINDOW_SECONDS,
     ColdRateLimit,
 )
-from larkpost.gateway.placement.cold_share import (
+from larkpost.gateway.placement.cold_rate_quota import (
     owner_quota,
 )
 from larkpost.gateway.placement.decision import PlacementDecision
--- a/tests/test_cold_senders.py
+++ b/tests/test_cold_senders.py
@@ -4,6 +4,9 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.common.ids import DaemonId
+from larkpost.gateway.placement.cold_rate_quota import (
+    SenderView,
+)
 from larkpost.gateway.placement.cold_senders import (
     NEW_OWNER_SECONDS,
     OWNER_RETENTION_SECONDS,
@@ -11,9 +14,6 @@
     VIEW_LIFETIME_SECONDS,
     SenderTracker,
 )
-from larkpost.gateway.placement.cold_share import (
-    SenderView,
-)
 from tests.cold_views import LONG_SECONDS, names
 from tests.virtual import run
 
--- a/tests/test_cold_share.py
+++ b/tests/test_cold_share.py
@@ -6,8 +6,8 @@
 
 from larkpost.common.ids import DaemonId, InstanceId
 from larkpost.gateway.blackboard.cold_instances import ColdTerms
-from larkpost.gateway.placement import cold_share
-from larkpost.gateway.placement.cold_share import (
+from larkpost.gateway.placement import cold_rate_quota
+from larkpost.gateway.placement.cold_rate_quota import (
     MIN_SENDS,
     SendCategory,
     SenderView,
