--- a/src/larkpost/gateway/assembly/balancing.py
+++ b/src/larkpost/gateway/assembly/balancing.py
@@ -7,10 +7,10 @@
 from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.placement.cold_rate_limit import ColdRateLimit
-from larkpost.gateway.placement.cold_senders import SenderTracker
 from larkpost.gateway.placement.evacuation_rule import EvacuationRule
 from larkpost.gateway.placement.region_rule import RegionRule
 from larkpost.gateway.placement.rules import Placement
+from larkpost.gateway.placement.sender_tracker import SenderTracker
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.subset import DaemonSubsets
 from larkpost.gateway.quarantine.isolation import IsolationRule
--- a/src/larkpost/gateway/placement/cold_rate_limit.py
+++ b/src/larkpost/gateway/placement/cold_rate_limit.py
@@ -16,8 +16,8 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.placement.cold_rate_quota import SendCategory, SenderView, send_quota
-from larkpost.gateway.placement.cold_senders import SenderTracker
 from larkpost.gateway.placement.decision import PlacementDecision
+from larkpost.gateway.placement.sender_tracker import SenderTracker
 from larkpost.gateway.placement.sliding_count import SlidingCount
 from larkpost.gateway.placement.work import Work, WorkKind
 
--- a/tests/test_cold_bound.py
+++ b/tests/test_cold_bound.py
@@ -13,7 +13,7 @@
     POLL_SECONDS,
     ColdRateLimit,
 )
-from larkpost.gateway.placement.cold_senders import (
+from larkpost.gateway.placement.sender_tracker import (
     SenderTracker,
 )
 from tests.cold_views import BOUND, ENGINE, INFO, ITEM_WORK, LONG_SECONDS, RATE, names
--- a/tests/test_cold_senders.py
+++ b/tests/test_cold_senders.py
@@ -7,7 +7,7 @@
 from larkpost.gateway.placement.cold_rate_quota import (
     SenderView,
 )
-from larkpost.gateway.placement.cold_senders import (
+from larkpost.gateway.placement.sender_tracker import (
     NEW_OWNER_SECONDS,
     OWNER_RETENTION_SECONDS,
     STARTUP_SECONDS,
