--- a/src/larkpost/gateway/assembly/client_requests.py
+++ b/src/larkpost/gateway/assembly/client_requests.py
@@ -8,7 +8,7 @@
 from larkpost.gateway.proxy.parts import ForwarderParts
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.quarantine.repository import CrashRepository
-from larkpost.gateway.quarantine.trials import Trials
+from larkpost.gateway.quarantine.trials import TrialClaims
 from larkpost.gateway.servers.port import ServerPort
 from larkpost.gateway.usage.counter import UsageCounter
 
@@ -29,7 +29,7 @@
         counter: counts this daemon's requests by tenant; None if no usage is reported.
     """
     crashes = blackboard.crashes
-    trials = Trials(crashes, CrashRepository(ports.store), ports.clock, ports.log)
+    trials = TrialClaims(crashes, CrashRepository(ports.store), ports.clock, ports.log)
     return Forwarder(
         ForwarderParts(
             blackboard.directory,
--- a/src/larkpost/gateway/proxy/parts.py
+++ b/src/larkpost/gateway/proxy/parts.py
@@ -14,7 +14,7 @@
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.shares import ShareChooser
-from larkpost.gateway.quarantine.trials import Trials
+from larkpost.gateway.quarantine.trials import TrialClaims
 from larkpost.gateway.servers.port import ServerPort
 from larkpost.gateway.usage.counter import UsageCounter
 
@@ -50,6 +50,6 @@
     usage: UsageCounter | None = None
     priority_of: PriorityOf = route_priority
     crashes: KnownCrashes = field(default_factory=KnownCrashes)
-    trials: Trials | None = None
+    trials: TrialClaims | None = None
     ledger: FlowLedger | None = None
     chance: random.Random = field(default_factory=lambda: random.Random(0))
--- a/src/larkpost/gateway/quarantine/trials.py
+++ b/src/larkpost/gateway/quarantine/trials.py
@@ -23,7 +23,7 @@
 """Begins the name that stands for the instance in the row of a trial."""
 
 
-class Trials:
+class TrialClaims:
     """Claims trials; a claim stands among a content's crashes, as one that is taken in advance."""
 
     def __init__(
