--- a/src/larkpost/gateway/quarantine/trials.py
+++ b/src/larkpost/gateway/quarantine/trials.py
@@ -14,7 +14,7 @@
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.quarantine.repository import CrashRepository
 
-TRIAL_PAUSES_SECONDS = (5.0, 60.0)
+TRIAL_DELAYS_SECONDS = (5.0, 60.0)
 """From the last crash to the first trial, and from then to the second: crashed servers are back
 after some seconds. Two trials are one less than users bear retries after the third crash."""
 CLAIM_PAUSE_SECONDS = 1.0
@@ -43,9 +43,9 @@
             return False
         known = self._crashes.of(content)
         used = sum(crash.instance.startswith(TRIAL_PREFIX) for crash in known)
-        if used >= len(TRIAL_PAUSES_SECONDS):
+        if used >= len(TRIAL_DELAYS_SECONDS):
             return False
-        is_early = now - max(crash.at for crash in known) < TRIAL_PAUSES_SECONDS[used]
+        is_early = now - max(crash.at for crash in known) < TRIAL_DELAYS_SECONDS[used]
         if is_early or not self._may_claim(content):
             return False
         trial = Crash(content, InstanceId(f"{TRIAL_PREFIX}{used + 1}"), now)
--- a/tests/test_quarantine_fleet.py
+++ b/tests/test_quarantine_fleet.py
@@ -4,7 +4,7 @@
 import unittest
 
 from larkpost.gateway.blackboard.request_content import digest_content
-from larkpost.gateway.quarantine.trials import TRIAL_PAUSES_SECONDS
+from larkpost.gateway.quarantine.trials import TRIAL_DELAYS_SECONDS
 from larkpost.gateway.rollouts.model import ResultState
 from larkpost.platform.stand_in.memory_store import StoreFaults
 from tests.platform_callers import Caller
@@ -92,7 +92,7 @@
                     scorer.event_seconds = 0.2  # so that it is at the servers when they crash
                 beside = [caller.ask_twice(repeat + n, b"/s/beside") for n in range(2)]
                 await asyncio.gather(caller.ask_twice(repeat, crashing), *beside)
-                await fleet.wait(TRIAL_PAUSES_SECONDS[0] + SAVED_SECONDS)
+                await fleet.wait(TRIAL_DELAYS_SECONDS[0] + SAVED_SECONDS)
                 self.assertEqual(200, await caller.ask(repeat, b"/s/beside"))
             PlatformOracle(fleet).check_crashes()
 
@@ -102,7 +102,7 @@
         async def play():
             fleet, caller = await begin()
             await caller.ask_twice(0, CRASHING)
-            for pause in TRIAL_PAUSES_SECONDS:
+            for pause in TRIAL_DELAYS_SECONDS:
                 before = len(fleet.arrivals)
                 await fleet.wait(pause - 1.0)
                 self.assertEqual({503}, await self.ask_all(caller))
@@ -125,7 +125,7 @@
             fleet, caller = await begin()
             await caller.ask_twice(0, CRASHING)
             fleet.store.faults = StoreFaults(down=True)
-            await fleet.wait(TRIAL_PAUSES_SECONDS[0] + SAVED_SECONDS)
+            await fleet.wait(TRIAL_DELAYS_SECONDS[0] + SAVED_SECONDS)
             before = len(fleet.arrivals)
             self.assertEqual({503}, await self.ask_all(caller))
             self.assertEqual(before, len(fleet.arrivals))
