--- a/src/larkpost/gateway/quarantine/trials.py
+++ b/src/larkpost/gateway/quarantine/trials.py
@@ -17,7 +17,7 @@
 TRIAL_DELAYS_SECONDS = (5.0, 60.0)
 """From the last crash to the first trial, and from then to the second: crashed servers are back
 after some seconds. Two trials are one less than users bear retries after the third crash."""
-CLAIM_PAUSE_SECONDS = 1.0
+CLAIM_INTERVAL_SECONDS = 1.0
 """Between two claims of this daemon for one content, if the store did not grant the first."""
 TRIAL_PREFIX = "trial-"
 """Begins the name that stands for the instance in the row of a trial."""
@@ -61,7 +61,7 @@
         """Returns whether this daemon has claimed none a moment ago, and remembers that it does."""
         now = self._clock.now()
         self._claimed_at = {
-            name: at for name, at in self._claimed_at.items() if now - at < CLAIM_PAUSE_SECONDS
+            name: at for name, at in self._claimed_at.items() if now - at < CLAIM_INTERVAL_SECONDS
         }
         if content in self._claimed_at:
             return False
--- a/src/larkpost/gateway/rollouts/claims.py
+++ b/src/larkpost/gateway/rollouts/claims.py
@@ -20,7 +20,7 @@
 from larkpost.gateway.rollouts.repository import BatchRepository
 from larkpost.gateway.store.port import Row, StoreUnavailableError
 
-CLAIM_PAUSE_SECONDS = 0.5
+CLAIM_INTERVAL_SECONDS = 0.5
 """Pause between two claims of one batch: the feed has to bring what became of the first."""
 
 
@@ -59,7 +59,7 @@
 
     def _has_just_claimed(self, batch: BatchId) -> bool:
         last = self._claimed_at.get(batch, float("-inf"))
-        return self._clock.now() - last < CLAIM_PAUSE_SECONDS
+        return self._clock.now() - last < CLAIM_INTERVAL_SECONDS
 
     def record_claim(self, batch: BatchId) -> None:
         """Records that a claim of a batch begins."""
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -7,7 +7,7 @@
 from larkpost.common.clock import LoopClock
 from larkpost.common.ids import BatchId, DaemonId
 from larkpost.gateway.blackboard.configuration import ModelName
-from larkpost.gateway.rollouts.claims import CLAIM_PAUSE_SECONDS, BatchClaims
+from larkpost.gateway.rollouts.claims import CLAIM_INTERVAL_SECONDS, BatchClaims
 from larkpost.gateway.rollouts.known_heads import KnownHead
 from larkpost.gateway.rollouts.model import BatchHead
 from tests.virtual import run
@@ -69,7 +69,7 @@
             clock = LoopClock()
             claims = make_claims(clock, **MUST_CLAIM)
             claims.record_claim(HEAD.id)
-            await clock.sleep(CLAIM_PAUSE_SECONDS - 0.01)
+            await clock.sleep(CLAIM_INTERVAL_SECONDS - 0.01)
             self.assertFalse(claims.should_claim(KNOWN))
             other = replace(KNOWN, head=replace(HEAD, id=BatchId("other")))
             self.assertTrue(claims.should_claim(other))
