--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -41,7 +41,7 @@
 from larkpost.gateway.quarantine.guard import GuardedServers
 from larkpost.gateway.quarantine.recorder import CrashRecorder
 from larkpost.gateway.quarantine.repository import CrashRepository
-from larkpost.gateway.quarantine.watch import CrashWatch
+from larkpost.gateway.quarantine.watch import CrashDetector
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.keeper import BatchKeeper
 from larkpost.gateway.rollouts.repository import BatchRepository
@@ -125,7 +125,7 @@
             self._may_forget_crashes,
         )
         record_crash = self._crash_recorder.record_crash
-        watch = CrashWatch(self.directory, ports.servers, ports.clock, self._tasks, record_crash)
+        watch = CrashDetector(self.directory, ports.servers, ports.clock, self._tasks, record_crash)
         self._servers = GuardedServers(
             ports.servers, self.blackboard.crashes, watch, self._crash_recorder, self._isolation
         )
--- a/src/larkpost/gateway/quarantine/guard.py
+++ b/src/larkpost/gateway/quarantine/guard.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.blackboard.request_content import digest_request
 from larkpost.gateway.quarantine.isolation import IsolationRule
 from larkpost.gateway.quarantine.recorder import CrashRecorder
-from larkpost.gateway.quarantine.watch import CrashWatch
+from larkpost.gateway.quarantine.watch import CrashDetector
 from larkpost.gateway.servers.port import (
     BrokenResponseError,
     EngineReport,
@@ -38,7 +38,7 @@
         self,
         servers: ServerPort,
         crashes: KnownCrashes,
-        watch: CrashWatch,
+        watch: CrashDetector,
         recorder: CrashRecorder,
         isolation: IsolationRule,
     ) -> None:
--- a/src/larkpost/gateway/quarantine/watch.py
+++ b/src/larkpost/gateway/quarantine/watch.py
@@ -60,7 +60,7 @@
     is_fresh: asyncio.Event = field(default_factory=asyncio.Event)
 
 
-class CrashWatch:
+class CrashDetector:
     """The servers that left requests of this daemon without a response a moment ago.
 
     Args:
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -451,12 +451,12 @@
 
 def take_lost_connections_for_crashes():
     """Takes a server for crashed whenever it leaves a request without an answer."""
-    from larkpost.gateway.quarantine.watch import CrashWatch, Evidence
+    from larkpost.gateway.quarantine.watch import CrashDetector, Evidence
 
     async def seek_evidence(self, suspicion, *, is_fresh):
         return Evidence.DEAD_PORT
 
-    return mock.patch.object(CrashWatch, "_seek_evidence", seek_evidence)
+    return mock.patch.object(CrashDetector, "_seek_evidence", seek_evidence)
 
 
 def run_suspects_together():
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -24,7 +24,7 @@
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.quarantine.repository import crash_of_row
-from larkpost.gateway.quarantine.watch import CrashWatch, Evidence
+from larkpost.gateway.quarantine.watch import CrashDetector, Evidence
 from larkpost.gateway.servers.port import EngineReport, NotRunReason, PortState, ServerLoad
 from larkpost.gateway.store.port import Row, RowKey
 from larkpost.platform.assembly import READERS
@@ -324,7 +324,7 @@
             found: list[str] = []
             servers = mock.Mock(probe=mock.AsyncMock(return_value=PortState.LISTENS))
             tasks = mock.Mock(spawn=lambda work, _: asyncio.ensure_future(work))
-            watch = CrashWatch(
+            watch = CrashDetector(
                 directory, servers, LoopClock(), tasks, lambda *news: found.append(news[2])
             )
             watch.record_lost(ContentDigest("c"), FIRST)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -25,7 +25,7 @@
 from larkpost.gateway.quarantine.isolation import IsolationRule
 from larkpost.gateway.quarantine.recorder import CrashRecorder
 from larkpost.gateway.quarantine.repository import CRASH_PART, CRASH_TABLE, CrashRepository
-from larkpost.gateway.quarantine.watch import SUSPICION_SECONDS, CrashWatch, Evidence
+from larkpost.gateway.quarantine.watch import SUSPICION_SECONDS, CrashDetector, Evidence
 from larkpost.gateway.servers.port import (
     BrokenResponseError,
     NotRunError,
@@ -68,7 +68,7 @@
         self.found: list[tuple[InstanceId, set[ContentDigest], str]] = []
         self.instance = make_instance("a")
         self.directory.update(self.instance)
-        self.watch = CrashWatch(
+        self.watch = CrashDetector(
             self.directory,
             self.probes,
             self.clock,
