--- a/src/larkpost/gateway/quarantine/watch.py
+++ b/src/larkpost/gateway/quarantine/watch.py
@@ -32,7 +32,7 @@
 CrashListener = Callable[[InstanceId, Iterable[ContentDigest], str], None]
 
 
-class Evidence(StrEnum):
+class CrashEvidence(StrEnum):
     """How it is known that a server has crashed."""
 
     DEAD_PORT = "dead_port"  # its port refuses connections
@@ -56,7 +56,7 @@
     since: float
     neighbours: frozenset[InstanceId]
     contents: set[ContentDigest] = field(default_factory=set)
-    crashed: Evidence | None = None
+    crashed: CrashEvidence | None = None
     is_fresh: asyncio.Event = field(default_factory=asyncio.Event)
 
 
@@ -115,7 +115,9 @@
         finally:
             del self._suspicions[suspicion.info.id]
 
-    async def _seek_evidence(self, suspicion: _Suspicion, *, is_fresh: bool) -> Evidence | None:
+    async def _seek_evidence(
+        self, suspicion: _Suspicion, *, is_fresh: bool
+    ) -> CrashEvidence | None:
         """Returns how it is known by now that a server has crashed; None if it is not.
 
         Args:
@@ -126,14 +128,14 @@
         if listed is not None and listed.state is InstanceState.LEAVING:
             return None
         if self._at(info.address) - suspicion.neighbours:
-            return Evidence.REPLACED
+            return CrashEvidence.REPLACED
         if listed is not None and not is_fresh:
             return None
         state = await self._servers.probe(info, PROBE_SECONDS)
         if state is PortState.DEAD:
-            return Evidence.DEAD_PORT
+            return CrashEvidence.DEAD_PORT
         is_gone = self._directory.get(info.id) is None
-        return Evidence.GONE if state is PortState.SILENT and is_gone else None
+        return CrashEvidence.GONE if state is PortState.SILENT and is_gone else None
 
     def _at(self, address: Address) -> frozenset[InstanceId]:
         """Returns the instances that are listed at an address."""
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -451,10 +451,10 @@
 
 def take_lost_connections_for_crashes():
     """Takes a server for crashed whenever it leaves a request without an answer."""
-    from larkpost.gateway.quarantine.watch import CrashDetector, Evidence
+    from larkpost.gateway.quarantine.watch import CrashDetector, CrashEvidence
 
     async def seek_evidence(self, suspicion, *, is_fresh):
-        return Evidence.DEAD_PORT
+        return CrashEvidence.DEAD_PORT
 
     return mock.patch.object(CrashDetector, "_seek_evidence", seek_evidence)
 
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -24,7 +24,7 @@
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.quarantine.repository import crash_of_row
-from larkpost.gateway.quarantine.watch import CrashDetector, Evidence
+from larkpost.gateway.quarantine.watch import CrashDetector, CrashEvidence
 from larkpost.gateway.servers.port import EngineReport, NotRunReason, PortState, ServerLoad
 from larkpost.gateway.store.port import Row, RowKey
 from larkpost.platform.assembly import READERS
@@ -332,7 +332,7 @@
             self.assertEqual([], found)
             directory.update(SECOND)
             await asyncio.sleep(1.0)
-            self.assertEqual([Evidence.REPLACED], found)
+            self.assertEqual([CrashEvidence.REPLACED], found)
 
         run(play())
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -25,7 +25,7 @@
 from larkpost.gateway.quarantine.isolation import IsolationRule
 from larkpost.gateway.quarantine.recorder import CrashRecorder
 from larkpost.gateway.quarantine.repository import CRASH_PART, CRASH_TABLE, CrashRepository
-from larkpost.gateway.quarantine.watch import SUSPICION_SECONDS, CrashDetector, Evidence
+from larkpost.gateway.quarantine.watch import SUSPICION_SECONDS, CrashDetector, CrashEvidence
 from larkpost.gateway.servers.port import (
     BrokenResponseError,
     NotRunError,
@@ -76,7 +76,7 @@
             lambda instance, contents, how: self.found.append((instance, set(contents), how)),
         )
 
-    def check_found(self, *evidence: Evidence) -> None:
+    def check_found(self, *evidence: CrashEvidence) -> None:
         """Checks how the server was found to have crashed, if at all."""
         expected = [("a", {CONTENT}, how) for how in evidence]
         self.assertEqual(expected, self.found)
@@ -86,7 +86,7 @@
             self.begin(PortState.DEAD)
             self.watch.record_lost(CONTENT, self.instance)
             await self.clock.sleep(0.05)
-            self.check_found(Evidence.DEAD_PORT)
+            self.check_found(CrashEvidence.DEAD_PORT)
 
         run(play())
 
@@ -123,7 +123,7 @@
             self.probes.state = PortState.DEAD
             self.watch.record_lost(CONTENT, self.instance)
             await self.clock.sleep(0.05)
-            self.check_found(Evidence.DEAD_PORT)
+            self.check_found(CrashEvidence.DEAD_PORT)
 
         run(play())
 
@@ -150,7 +150,7 @@
             self.check_found()
             self.directory.update(make_instance("b"))
             await self.clock.sleep(0.5)
-            self.check_found(Evidence.REPLACED)
+            self.check_found(CrashEvidence.REPLACED)
 
         run(play())
 
@@ -162,7 +162,7 @@
             self.check_found()
             self.directory.forget(self.instance.id)
             await self.clock.sleep(0.5)
-            self.check_found(Evidence.GONE)
+            self.check_found(CrashEvidence.GONE)
 
         run(play())
 
@@ -212,7 +212,7 @@
         """Has some servers crash under the request."""
         for number in range(first, first + count):
             contents = (digest_request(REQUEST),)
-            self.recorder.record_crash(InstanceId(f"i{number}"), contents, Evidence.DEAD_PORT)
+            self.recorder.record_crash(InstanceId(f"i{number}"), contents, CrashEvidence.DEAD_PORT)
 
     def tell_other(self) -> None:
         """Has the second recorder hear of all rows, those that are gone too."""
@@ -244,7 +244,7 @@
             self.begin()
             for recorder in (self.recorder, self.other):
                 contents = (digest_request(REQUEST),)
-                recorder.record_crash(InstanceId("i0"), contents, Evidence.DEAD_PORT)
+                recorder.record_crash(InstanceId("i0"), contents, CrashEvidence.DEAD_PORT)
             await self.clock.sleep(0.1)
             self.tell_other()
             self.assertEqual(1, self.others.count(digest_request(REQUEST)))
