--- a/src/larkpost/gateway/quarantine/guard.py
+++ b/src/larkpost/gateway/quarantine/guard.py
@@ -62,7 +62,7 @@
                     yield response
         except BrokenResponseError as error:
             if error.connection_lost:
-                self._watch.record_lost(digest_request(request), instance)
+                self._watch.record_lost_connection(digest_request(request), instance)
             raise
         if response.status < LEAST_FAILURE_STATUS and response.signature is not None:
             self._recorder.record_served(request)
--- a/src/larkpost/gateway/quarantine/watch.py
+++ b/src/larkpost/gateway/quarantine/watch.py
@@ -83,7 +83,7 @@
         self._listener = listener
         self._suspicions: dict[InstanceId, _Suspicion] = {}
 
-    def record_lost(self, content: ContentDigest, instance: InstanceInfo) -> None:
+    def record_lost_connection(self, content: ContentDigest, instance: InstanceInfo) -> None:
         """Records that a server closed the connection of a request without a whole response."""
         suspicion = self._suspicions.get(instance.id)
         if suspicion is None:
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -327,7 +327,7 @@
             watch = CrashDetector(
                 directory, servers, LoopClock(), tasks, lambda *news: found.append(news[2])
             )
-            watch.record_lost(ContentDigest("c"), FIRST)
+            watch.record_lost_connection(ContentDigest("c"), FIRST)
             await asyncio.sleep(0.1)
             self.assertEqual([], found)
             directory.update(SECOND)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -84,7 +84,7 @@
     def test_dead_port_shows_a_crash_at_once(self):
         async def play():
             self.begin(PortState.DEAD)
-            self.watch.record_lost(CONTENT, self.instance)
+            self.watch.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(0.05)
             self.check_found(CrashEvidence.DEAD_PORT)
 
@@ -93,9 +93,9 @@
     def test_all_that_a_crashed_server_leaves_a_little_later_counts(self):
         async def play():
             self.begin(PortState.DEAD)
-            self.watch.record_lost(CONTENT, self.instance)
+            self.watch.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(0.05)
-            self.watch.record_lost(ContentDigest("bb"), self.instance)
+            self.watch.record_lost_connection(ContentDigest("bb"), self.instance)
             self.assertEqual(["a", "a"], [found[0] for found in self.found])
             self.assertEqual({"bb"}, self.found[1][1])
             self.assertEqual(1, self.probes.asked)
@@ -105,7 +105,7 @@
     def test_server_that_listens_and_stays_listed_has_not_crashed(self):
         async def play():
             self.begin(PortState.LISTENS)
-            self.watch.record_lost(CONTENT, self.instance)
+            self.watch.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(2 * SUSPICION_SECONDS)
             self.check_found()
             self.assertEqual(1, self.probes.asked)
@@ -118,10 +118,10 @@
     def test_server_that_crashes_after_it_has_left_a_request_is_found_as_well(self):
         async def play():
             self.begin(PortState.LISTENS)
-            self.watch.record_lost(CONTENT, self.instance)
+            self.watch.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(SUSPICION_SECONDS - 0.1)
             self.probes.state = PortState.DEAD
-            self.watch.record_lost(CONTENT, self.instance)
+            self.watch.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(0.05)
             self.check_found(CrashEvidence.DEAD_PORT)
 
@@ -130,11 +130,11 @@
     def test_server_that_begins_to_leave_is_not_asked_again(self):
         async def play():
             self.begin(PortState.LISTENS)
-            self.watch.record_lost(CONTENT, self.instance)
+            self.watch.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(0.1)
             self.directory.update(replace(self.instance, state=InstanceState.LEAVING))
             self.probes.state = PortState.DEAD
-            self.watch.record_lost(CONTENT, self.instance)
+            self.watch.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(2 * SUSPICION_SECONDS)
             self.check_found()
             self.assertEqual(1, self.probes.asked)
@@ -145,7 +145,7 @@
         async def play():
             self.begin(PortState.LISTENS)
             self.directory.update(make_instance("neighbour"))
-            self.watch.record_lost(CONTENT, self.instance)
+            self.watch.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(3.0)
             self.check_found()
             self.directory.update(make_instance("b"))
@@ -157,7 +157,7 @@
     def test_silent_server_has_crashed_once_its_entry_is_gone(self):
         async def play():
             self.begin(PortState.SILENT)
-            self.watch.record_lost(CONTENT, self.instance)
+            self.watch.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(3.0)
             self.check_found()
             self.directory.forget(self.instance.id)
@@ -169,7 +169,7 @@
     def test_server_without_an_entry_that_listens_has_not_crashed(self):
         async def play():
             self.begin(PortState.LISTENS)
-            self.watch.record_lost(CONTENT, self.instance)
+            self.watch.record_lost_connection(CONTENT, self.instance)
             self.directory.forget(self.instance.id)
             await self.clock.sleep(2 * SUSPICION_SECONDS)
             self.check_found()
@@ -180,7 +180,7 @@
         async def play():
             self.begin(PortState.DEAD)
             self.directory.update(replace(self.instance, state=InstanceState.LEAVING))
-            self.watch.record_lost(CONTENT, self.instance)
+            self.watch.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(1.0)
             self.check_found()
 
@@ -322,7 +322,7 @@
         self.guard = GuardedServers(self.engines, self.crashes, self, self, self.isolation)
         self.served_requests: list[OutgoingRequest] = []
 
-    def record_lost(self, content: ContentDigest, instance: InstanceInfo) -> None:
+    def record_lost_connection(self, content: ContentDigest, instance: InstanceInfo) -> None:
         """Takes what a watch is told."""
         self.lost.append(content)
 
