--- a/src/larkpost/gateway/quarantine/watch.py
+++ b/src/larkpost/gateway/quarantine/watch.py
@@ -25,7 +25,7 @@
 network."""
 POLL_SECONDS = 0.25
 """Between two checks of the directory while a server is suspect."""
-SUSPICION_SECONDS = 6.0
+INVESTIGATION_SECONDS = 6.0
 """After this long a server that is still listed has not crashed: an entry goes after three missed
 heartbeats of 1.2 s, and news of that take up to two seconds when the store has just come back."""
 
@@ -101,7 +101,7 @@
     async def _investigate(self, suspicion: _Suspicion) -> None:
         """Seeks evidence for some seconds; what the server left meanwhile counts as well."""
         try:
-            while self._clock.now() - suspicion.since < SUSPICION_SECONDS:
+            while self._clock.now() - suspicion.since < INVESTIGATION_SECONDS:
                 is_fresh = suspicion.is_fresh.is_set()
                 suspicion.is_fresh.clear()
                 if suspicion.crashed is None:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -25,7 +25,7 @@
 from larkpost.gateway.quarantine.isolation import IsolationRule
 from larkpost.gateway.quarantine.recorder import CrashRecorder
 from larkpost.gateway.quarantine.repository import CRASH_PART, CRASH_TABLE, CrashRepository
-from larkpost.gateway.quarantine.watch import SUSPICION_SECONDS, CrashDetector, CrashEvidence
+from larkpost.gateway.quarantine.watch import INVESTIGATION_SECONDS, CrashDetector, CrashEvidence
 from larkpost.gateway.servers.port import (
     BrokenResponseError,
     NotRunError,
@@ -106,7 +106,7 @@
         async def play():
             self.begin(PortState.LISTENS)
             self.watch.record_lost_connection(CONTENT, self.instance)
-            await self.clock.sleep(2 * SUSPICION_SECONDS)
+            await self.clock.sleep(2 * INVESTIGATION_SECONDS)
             self.check_found()
             self.assertEqual(1, self.probes.asked)
             self.directory.update(make_instance("b"))
@@ -119,7 +119,7 @@
         async def play():
             self.begin(PortState.LISTENS)
             self.watch.record_lost_connection(CONTENT, self.instance)
-            await self.clock.sleep(SUSPICION_SECONDS - 0.1)
+            await self.clock.sleep(INVESTIGATION_SECONDS - 0.1)
             self.probes.state = PortState.DEAD
             self.watch.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(0.05)
@@ -135,7 +135,7 @@
             self.directory.update(replace(self.instance, state=InstanceState.LEAVING))
             self.probes.state = PortState.DEAD
             self.watch.record_lost_connection(CONTENT, self.instance)
-            await self.clock.sleep(2 * SUSPICION_SECONDS)
+            await self.clock.sleep(2 * INVESTIGATION_SECONDS)
             self.check_found()
             self.assertEqual(1, self.probes.asked)
 
@@ -171,7 +171,7 @@
             self.begin(PortState.LISTENS)
             self.watch.record_lost_connection(CONTENT, self.instance)
             self.directory.forget(self.instance.id)
-            await self.clock.sleep(2 * SUSPICION_SECONDS)
+            await self.clock.sleep(2 * INVESTIGATION_SECONDS)
             self.check_found()
 
         run(play())
