--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -38,7 +38,7 @@
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.quarantine.crash_writer import CrashWriter
-from larkpost.gateway.quarantine.guard import GuardedServers
+from larkpost.gateway.quarantine.guard import QuarantineServerPort
 from larkpost.gateway.quarantine.recorder import CrashRecorder
 from larkpost.gateway.quarantine.repository import CrashRepository
 from larkpost.gateway.quarantine.watch import CrashDetector
@@ -126,7 +126,7 @@
         )
         record_crash = self._crash_recorder.record_crash
         watch = CrashDetector(self.directory, ports.servers, ports.clock, self._tasks, record_crash)
-        self._servers = GuardedServers(
+        self._servers = QuarantineServerPort(
             ports.servers, self.blackboard.crashes, watch, self._crash_recorder, self._isolation
         )
 
--- a/src/larkpost/gateway/quarantine/guard.py
+++ b/src/larkpost/gateway/quarantine/guard.py
@@ -31,7 +31,7 @@
 """Below this status a signed response shows that the server ran the request whole."""
 
 
-class GuardedServers:
+class QuarantineServerPort:
     """Servers that are sent no quarantined request; implements `ServerPort`."""
 
     def __init__(
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -21,7 +21,7 @@
 from larkpost.gateway.placement.decision import PlacementDecision
 from larkpost.gateway.placement.work import CLIENT_WORK, Work, WorkKind
 from larkpost.gateway.quarantine.crash_writer import CrashWriter
-from larkpost.gateway.quarantine.guard import GuardedServers
+from larkpost.gateway.quarantine.guard import QuarantineServerPort
 from larkpost.gateway.quarantine.isolation import IsolationRule
 from larkpost.gateway.quarantine.recorder import CrashRecorder
 from larkpost.gateway.quarantine.repository import CRASH_PART, CRASH_TABLE, CrashRepository
@@ -319,7 +319,7 @@
         self.crashes = KnownCrashes()
         self.isolation = IsolationRule()
         self.lost: list[ContentDigest] = []
-        self.guard = GuardedServers(self.engines, self.crashes, self, self, self.isolation)
+        self.guard = QuarantineServerPort(self.engines, self.crashes, self, self, self.isolation)
         self.served_requests: list[OutgoingRequest] = []
 
     def record_lost_connection(self, content: ContentDigest, instance: InstanceInfo) -> None:
