--- a/src/larkpost/gateway/quarantine/guard.py
+++ b/src/larkpost/gateway/quarantine/guard.py
@@ -65,7 +65,7 @@
                 self._watch.record_lost_connection(digest_request(request), instance)
             raise
         if response.status < LEAST_FAILURE_STATUS and response.signature is not None:
-            self._recorder.record_served(request)
+            self._recorder.record_success(request)
 
     def is_connected(self, instance: InstanceInfo) -> bool:
         """Returns whether a connection to a server is kept; see the port."""
--- a/src/larkpost/gateway/quarantine/recorder.py
+++ b/src/larkpost/gateway/quarantine/recorder.py
@@ -89,7 +89,7 @@
         for crash in added:
             self._writer.save_later(crash.content, crash.instance, crash)
 
-    def record_served(self, request: OutgoingRequest) -> None:
+    def record_success(self, request: OutgoingRequest) -> None:
         """Records that a server has run a request whole: it was not what crashed the others."""
         content = self._crashes.suspect(request)
         if content is None:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -258,7 +258,7 @@
             self.crash(3)
             await self.clock.sleep(0.1)
             self.tell_other()
-            self.recorder.record_served(replace(REQUEST, request_id=b"2"))
+            self.recorder.record_success(replace(REQUEST, request_id=b"2"))
             await self.clock.sleep(0.1)
             self.assertEqual({}, self.store.rows)
             self.tell_other()
@@ -326,7 +326,7 @@
         """Takes what a watch is told."""
         self.lost.append(content)
 
-    def record_served(self, request: OutgoingRequest) -> None:
+    def record_success(self, request: OutgoingRequest) -> None:
         """Takes what a recorder is told."""
         self.served_requests.append(request)
 
