--- a/src/larkpost/gateway/quarantine/recorder.py
+++ b/src/larkpost/gateway/quarantine/recorder.py
@@ -40,13 +40,13 @@
         writer: CrashWriter,
         log: EventLog,
         metrics: Metrics,
-        may_forget: Callable[[], bool],
+        may_remove_expired: Callable[[], bool],
     ) -> None:
         self._crashes = crashes
         self._writer = writer
         self._log = log
         self._metrics = metrics
-        self._may_forget = may_forget
+        self._may_forget = may_remove_expired
 
     def start(self, tasks: TaskSet) -> None:
         """Starts saving and forgetting."""
