--- a/src/larkpost/gateway/quarantine/crash_writer.py
+++ b/src/larkpost/gateway/quarantine/crash_writer.py
@@ -31,7 +31,9 @@
         """Returns the store's time in seconds; None if it is not known."""
         return self._repository.time()
 
-    def save_later(self, content: ContentDigest, instance: InstanceId, crash: Crash | None) -> None:
+    def schedule_save(
+        self, content: ContentDigest, instance: InstanceId, crash: Crash | None
+    ) -> None:
         """Has a change saved soon; the newest one for a row replaces those before it.
 
         Args:
--- a/src/larkpost/gateway/quarantine/recorder.py
+++ b/src/larkpost/gateway/quarantine/recorder.py
@@ -87,7 +87,7 @@
             crashes=max(self._crashes.count(crash.content) for crash in added),
         )
         for crash in added:
-            self._writer.save_later(crash.content, crash.instance, crash)
+            self._writer.schedule_save(crash.content, crash.instance, crash)
 
     def record_success(self, request: OutgoingRequest) -> None:
         """Records that a server has run a request whole: it was not what crashed the others."""
@@ -96,7 +96,7 @@
             return
         for crash in self._crashes.of(content):
             self._remove(content, crash.instance)
-            self._writer.save_later(content, crash.instance, None)
+            self._writer.schedule_save(content, crash.instance, None)
 
     async def forget_old(self) -> None:
         """Removes the crashes that are remembered no longer."""
@@ -105,7 +105,7 @@
             return
         for crash in self._crashes.older_than(now - REMEMBERED_SECONDS):
             self._remove(crash.content, crash.instance)
-            self._writer.save_later(crash.content, crash.instance, None)
+            self._writer.schedule_save(crash.content, crash.instance, None)
 
     def _add(self, crash: Crash) -> bool:
         is_new = self._crashes.add(crash)
