--- a/src/larkpost/gateway/quarantine/recorder.py
+++ b/src/larkpost/gateway/quarantine/recorder.py
@@ -21,7 +21,7 @@
 from larkpost.gateway.servers.port import OutgoingRequest
 from larkpost.gateway.store.port import Row
 
-FORGET_INTERVAL_SECONDS = 60.0
+CLEANUP_INTERVAL_SECONDS = 60.0
 """Between two removals of old crashes. Short beside the time they are remembered."""
 MAX_LOGGED = 20
 """Contents named in a line of the log."""
@@ -51,7 +51,7 @@
     def start(self, tasks: TaskSet) -> None:
         """Starts saving and forgetting."""
         tasks.spawn(self._writer.run(), "crashes")
-        tasks.every(FORGET_INTERVAL_SECONDS, self.forget_old, "old_crashes")
+        tasks.every(CLEANUP_INTERVAL_SECONDS, self.forget_old, "old_crashes")
 
     def record_row(self, row: Row) -> None:
         """Records what the store has of a crash."""
