--- a/src/larkpost/gateway/quarantine/guard.py
+++ b/src/larkpost/gateway/quarantine/guard.py
@@ -27,7 +27,7 @@
     VersionOrder,
 )
 
-LEAST_FAILURE_STATUS = 400
+MIN_FAILURE_STATUS = 400
 """Below this status a signed response shows that the server ran the request whole."""
 
 
@@ -64,7 +64,7 @@
             if error.connection_lost:
                 self._watch.record_lost_connection(digest_request(request), instance)
             raise
-        if response.status < LEAST_FAILURE_STATUS and response.signature is not None:
+        if response.status < MIN_FAILURE_STATUS and response.signature is not None:
             self._recorder.record_success(request)
 
     def is_connected(self, instance: InstanceInfo) -> bool:
