--- a/src/larkpost/gateway/quarantine/guard.py
+++ b/src/larkpost/gateway/quarantine/guard.py
@@ -57,7 +57,7 @@
             raise NotRunError(NotRunReason.QUARANTINED)
         is_suspect = self._crashes.suspect(request) is not None
         try:
-            with self._isolation.running(instance.id) if is_suspect else nullcontext():
+            with self._isolation.track_suspect(instance.id) if is_suspect else nullcontext():
                 async with self._servers.send(instance, request) as response:
                     yield response
         except BrokenResponseError as error:
--- a/src/larkpost/gateway/quarantine/isolation.py
+++ b/src/larkpost/gateway/quarantine/isolation.py
@@ -31,7 +31,7 @@
         return PlacementDecision.ALLOWED
 
     @contextmanager
-    def running(self, instance: InstanceId) -> Iterator[None]:
+    def track_suspect(self, instance: InstanceId) -> Iterator[None]:
         """Counts a suspect at an instance until the context is left."""
         self._running[instance] += 1
         try:
