--- a/src/larkpost/gateway/assembly/balancing.py
+++ b/src/larkpost/gateway/assembly/balancing.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.placement.sender_tracker import SenderTracker
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.subset import DaemonSubsets
-from larkpost.gateway.quarantine.isolation import IsolationRule
+from larkpost.gateway.quarantine.isolation_rule import IsolationRule
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/larkpost/gateway/quarantine/guard.py
+++ b/src/larkpost/gateway/quarantine/guard.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.blackboard.known_crashes import KnownCrashes
 from larkpost.gateway.blackboard.request_content import digest_request
-from larkpost.gateway.quarantine.isolation import IsolationRule
+from larkpost.gateway.quarantine.isolation_rule import IsolationRule
 from larkpost.gateway.quarantine.recorder import CrashRecorder
 from larkpost.gateway.quarantine.watch import CrashDetector
 from larkpost.gateway.servers.port import (
--- a/tests/choice_cost.py
+++ b/tests/choice_cost.py
@@ -20,7 +20,7 @@
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.places import survey
 from larkpost.gateway.proxy.subset import DaemonSubset, DaemonSubsets
-from larkpost.gateway.quarantine.isolation import IsolationRule
+from larkpost.gateway.quarantine.isolation_rule import IsolationRule
 from tests.platform_fleet import MODEL, PAGES
 from tests.server_parts import make_instance
 
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -462,7 +462,7 @@
 def run_suspects_together():
     """Runs requests under which servers crashed side by side."""
     from larkpost.gateway.placement.decision import PlacementDecision
-    from larkpost.gateway.quarantine.isolation import IsolationRule
+    from larkpost.gateway.quarantine.isolation_rule import IsolationRule
 
     return mock.patch.object(IsolationRule, "judge", lambda *_: PlacementDecision.ALLOWED)
 
