--- a/src/larkpost/gateway/assembly/client_requests.py
+++ b/src/larkpost/gateway/assembly/client_requests.py
@@ -8,7 +8,7 @@
 from larkpost.gateway.proxy.parts import ForwarderParts
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.quarantine.repository import CrashRepository
-from larkpost.gateway.quarantine.trials import TrialClaims
+from larkpost.gateway.quarantine.trial_claims import TrialClaims
 from larkpost.gateway.servers.port import ServerPort
 from larkpost.gateway.usage.counter import UsageCounter
 
--- a/src/larkpost/gateway/proxy/parts.py
+++ b/src/larkpost/gateway/proxy/parts.py
@@ -14,7 +14,7 @@
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.shares import ShareChooser
-from larkpost.gateway.quarantine.trials import TrialClaims
+from larkpost.gateway.quarantine.trial_claims import TrialClaims
 from larkpost.gateway.servers.port import ServerPort
 from larkpost.gateway.usage.counter import UsageCounter
 
--- a/tests/test_quarantine_fleet.py
+++ b/tests/test_quarantine_fleet.py
@@ -4,7 +4,7 @@
 import unittest
 
 from larkpost.gateway.blackboard.request_content import digest_content
-from larkpost.gateway.quarantine.trials import TRIAL_DELAYS_SECONDS
+from larkpost.gateway.quarantine.trial_claims import TRIAL_DELAYS_SECONDS
 from larkpost.gateway.rollouts.model import ResultState
 from larkpost.platform.stand_in.memory_store import StoreFaults
 from tests.platform_callers import Caller
