--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -37,11 +37,11 @@
 from larkpost.gateway.planned_stop import PlannedStop, StopSteps
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.proxy.shares import ShareChooser
+from larkpost.gateway.quarantine.crash_detector import CrashDetector
 from larkpost.gateway.quarantine.crash_writer import CrashWriter
 from larkpost.gateway.quarantine.guard import QuarantineServerPort
 from larkpost.gateway.quarantine.recorder import CrashRecorder
 from larkpost.gateway.quarantine.repository import CrashRepository
-from larkpost.gateway.quarantine.watch import CrashDetector
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.keeper import BatchKeeper
 from larkpost.gateway.rollouts.repository import BatchRepository
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -451,7 +451,7 @@
 
 def take_lost_connections_for_crashes():
     """Takes a server for crashed whenever it leaves a request without an answer."""
-    from larkpost.gateway.quarantine.watch import CrashDetector, CrashEvidence
+    from larkpost.gateway.quarantine.crash_detector import CrashDetector, CrashEvidence
 
     async def seek_evidence(self, suspicion, *, is_fresh):
         return CrashEvidence.DEAD_PORT
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -23,8 +23,8 @@
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.proxy.balancer import Balancer
+from larkpost.gateway.quarantine.crash_detector import CrashDetector, CrashEvidence
 from larkpost.gateway.quarantine.repository import crash_of_row
-from larkpost.gateway.quarantine.watch import CrashDetector, CrashEvidence
 from larkpost.gateway.servers.port import EngineReport, NotRunReason, PortState, ServerLoad
 from larkpost.gateway.store.port import Row, RowKey
 from larkpost.platform.assembly import READERS
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -20,12 +20,16 @@
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.placement.decision import PlacementDecision
 from larkpost.gateway.placement.work import CLIENT_WORK, Work, WorkKind
+from larkpost.gateway.quarantine.crash_detector import (
+    INVESTIGATION_SECONDS,
+    CrashDetector,
+    CrashEvidence,
+)
 from larkpost.gateway.quarantine.crash_writer import CrashWriter
 from larkpost.gateway.quarantine.guard import QuarantineServerPort
 from larkpost.gateway.quarantine.isolation_rule import IsolationRule
 from larkpost.gateway.quarantine.recorder import CrashRecorder
 from larkpost.gateway.quarantine.repository import CRASH_PART, CRASH_TABLE, CrashRepository
-from larkpost.gateway.quarantine.watch import INVESTIGATION_SECONDS, CrashDetector, CrashEvidence
 from larkpost.gateway.servers.port import (
     BrokenResponseError,
     NotRunError,
