--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -38,8 +38,8 @@
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.quarantine.crash_detector import CrashDetector
+from larkpost.gateway.quarantine.crash_recorder import CrashRecorder
 from larkpost.gateway.quarantine.crash_writer import CrashWriter
-from larkpost.gateway.quarantine.recorder import CrashRecorder
 from larkpost.gateway.quarantine.repository import CrashRepository
 from larkpost.gateway.quarantine.server_port import QuarantineServerPort
 from larkpost.gateway.rollouts.context import RunServices
--- a/src/larkpost/gateway/quarantine/server_port.py
+++ b/src/larkpost/gateway/quarantine/server_port.py
@@ -12,8 +12,8 @@
 from larkpost.gateway.blackboard.known_crashes import KnownCrashes
 from larkpost.gateway.blackboard.request_content import digest_request
 from larkpost.gateway.quarantine.crash_detector import CrashDetector
+from larkpost.gateway.quarantine.crash_recorder import CrashRecorder
 from larkpost.gateway.quarantine.isolation_rule import IsolationRule
-from larkpost.gateway.quarantine.recorder import CrashRecorder
 from larkpost.gateway.servers.port import (
     BrokenResponseError,
     EngineReport,
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -469,7 +469,7 @@
 
 def never_clear_requests():
     """Holds a request on though a server has run it whole."""
-    from larkpost.gateway.quarantine.recorder import CrashRecorder
+    from larkpost.gateway.quarantine.crash_recorder import CrashRecorder
 
     return mock.patch.object(CrashRecorder, "record_served", lambda *_: None)
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -25,9 +25,9 @@
     CrashDetector,
     CrashEvidence,
 )
+from larkpost.gateway.quarantine.crash_recorder import CrashRecorder
 from larkpost.gateway.quarantine.crash_writer import CrashWriter
 from larkpost.gateway.quarantine.isolation_rule import IsolationRule
-from larkpost.gateway.quarantine.recorder import CrashRecorder
 from larkpost.gateway.quarantine.repository import CRASH_PART, CRASH_TABLE, CrashRepository
 from larkpost.gateway.quarantine.server_port import QuarantineServerPort
 from larkpost.gateway.servers.port import (
