--- a/src/larkpost/gateway/assembly/leased_controllers.py
+++ b/src/larkpost/gateway/assembly/leased_controllers.py
@@ -9,7 +9,7 @@
 from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.controllers.coordination import Coordination
-from larkpost.gateway.controllers.division import EngineDivision
+from larkpost.gateway.controllers.division import EngineAllocator
 from larkpost.gateway.controllers.feeds import Feeds
 from larkpost.gateway.controllers.leases import LeaseTable
 from larkpost.gateway.controllers.loader import WeightLoader
@@ -35,7 +35,7 @@
     """
 
     blackboard: Blackboard
-    division: EngineDivision
+    division: EngineAllocator
     membership: Membership
     balancer: Balancer
     keeper: BatchKeeper
--- a/src/larkpost/gateway/controllers/division.py
+++ b/src/larkpost/gateway/controllers/division.py
@@ -53,7 +53,7 @@
     shares: Shares | None = None
 
 
-class EngineDivision:
+class EngineAllocator:
     """The division of each service's engines among its models, and the loads that are due.
 
     Args:
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -24,7 +24,7 @@
 from larkpost.gateway.assembly.membership import MembershipInputs, make_membership
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
-from larkpost.gateway.controllers.division import EngineDivision
+from larkpost.gateway.controllers.division import EngineAllocator
 from larkpost.gateway.controllers.feeds import BatchListener, Feeds, FeedSource
 from larkpost.gateway.controllers.heartbeat import new_incarnation
 from larkpost.gateway.controllers.lending_record import LendingRecord
@@ -141,7 +141,7 @@
 
     def _make_rollouts(self) -> None:
         ports = self._ports
-        self._division = EngineDivision(
+        self._division = EngineAllocator(
             self.blackboard,
             ports.clock,
             lambda: self.keeper.demands(),
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -8,7 +8,7 @@
 from larkpost.common.errors import LarkpostError
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
-from larkpost.gateway.controllers.division import EngineDivision
+from larkpost.gateway.controllers.division import EngineAllocator
 from larkpost.gateway.controllers.heartbeat_intervals import DEAD_AFTER_SECONDS
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.instance_use import PROBE_SECONDS
@@ -212,7 +212,7 @@
     def test_moved_run_takes_no_engine_that_loads(self):
         async def play():
             self.begin(0.04, 0.02)
-            with mock.patch.object(EngineDivision, "loading", lambda *_: frozenset({"e1"})):
+            with mock.patch.object(EngineAllocator, "loading", lambda *_: frozenset({"e1"})):
                 self.assertEqual("e0", self.choice.choose(ENGINES, 0.04).id)
 
         run(play())
@@ -224,7 +224,7 @@
     def test_one_item_at_a_time_tries_it(self):
         async def play():
             self.begin(0.04)
-            with mock.patch.object(EngineDivision, "loading", lambda *_: frozenset({"e0"})):
+            with mock.patch.object(EngineAllocator, "loading", lambda *_: frozenset({"e0"})):
                 self.take_place()
                 self.assertIsNone(self.choice.choose(ENGINES))
                 await self.clock.sleep(PROBE_SECONDS + 0.01)
--- a/tests/test_division_cost.py
+++ b/tests/test_division_cost.py
@@ -8,7 +8,7 @@
 from larkpost.gateway.controllers.division import (
     LIFETIME_SECONDS,
     LIFETIME_SECONDS_PER_ENGINE,
-    EngineDivision,
+    EngineAllocator,
     lifetime_of,
 )
 from tests.platform_fleet import PlatformFleet
@@ -42,7 +42,7 @@
                 asked.append(1)
                 return {}
 
-            division = EngineDivision(board, fleet.clock, demands, pace=pace)
+            division = EngineAllocator(board, fleet.clock, demands, pace=pace)
             for _ in range(QUESTIONS):
                 division.engines_of(TWO_MODELS.name, FIRST)
                 division.loading(TWO_MODELS.name, SECOND)
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.blackboard.evacuations import Evacuations, ZoneEvacuation
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.blackboard.weight_targets import WeightTarget, WeightTargets
-from larkpost.gateway.controllers.division import EngineDivision
+from larkpost.gateway.controllers.division import EngineAllocator
 from larkpost.gateway.controllers.due_loads import (
     FIRST_SECONDS,
     GROUP_SECONDS,
@@ -235,7 +235,7 @@
             configuration.update(CONFIGURATION)
             blackboard = Blackboard(RegionMap(), configuration, self.directory, self.targets)
             evacuations = blackboard.evacuations
-            division = EngineDivision(blackboard, LoopClock(), dict)
+            division = EngineAllocator(blackboard, LoopClock(), dict)
             self.assertEqual(self.north | self.south, division.engines_of(ENGINES, MODEL))
             evacuations.begin(NORTH, 0.0)
             await asyncio.sleep(1.0)
--- a/tests/test_yielding.py
+++ b/tests/test_yielding.py
@@ -5,7 +5,7 @@
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import Configuration, ModelName, Service
 from larkpost.gateway.blackboard.weight_targets import ModelDemand, Outlook
-from larkpost.gateway.controllers.division import LIFETIME_SECONDS, EngineDivision
+from larkpost.gateway.controllers.division import LIFETIME_SECONDS, EngineAllocator
 from larkpost.gateway.rollouts.engine_choice import OWN_ENGINES_SECONDS
 from tests.platform_fleet import ENGINES, MODEL, PlatformFleet, make_batch
 from tests.virtual import run
@@ -50,7 +50,7 @@
             service = Service(ENGINES, 100, slots=8, models=(MODEL, OTHER))
             blackboard.configuration.current = Configuration(9, (), {ENGINES: service})
             demands = {MODEL: AT_LEISURE, OTHER: SHORT_OF_TIME}
-            division = EngineDivision(blackboard, fleet.clock, lambda: demands)
+            division = EngineAllocator(blackboard, fleet.clock, lambda: demands)
             self.assertTrue(division.should_yield(ENGINES, MODEL))
             self.assertFalse(division.should_yield(ENGINES, OTHER))
             self.assertEqual(3, len(division.engines_of(ENGINES, MODEL)))
