--- a/src/larkpost/gateway/controllers/division.py
+++ b/src/larkpost/gateway/controllers/division.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Division:
+class EngineAllocation:
     """The engines of one service.
 
     Attributes:
@@ -76,7 +76,7 @@
         self._demands = demands
         self._record = record
         self._pace = pace
-        self._known: dict[ServiceName, Division] = {}
+        self._known: dict[ServiceName, EngineAllocation] = {}
 
     def due(self, service: Service, now: float) -> list[tuple[InstanceId, WeightTarget]]:
         """Returns the engines of a service that should be loading now, and what."""
@@ -105,7 +105,7 @@
         """Returns when a model's newest version was named; None if that was not seen here."""
         return self._blackboard.targets.last_naming(model, self._clock.now())
 
-    def _division(self, service: ServiceName) -> Division:
+    def _division(self, service: ServiceName) -> EngineAllocation:
         now = self._clock.now()
         known = self._known.get(service)
         if known is None or now - known.made_at >= known.lifetime:
@@ -113,18 +113,18 @@
             self._known[service] = known
         return known
 
-    def _divide(self, name: ServiceName, now: float) -> Division:
+    def _divide(self, name: ServiceName, now: float) -> EngineAllocation:
         configuration = self._blackboard.configuration.current
         service = configuration.services.get(name) if configuration is not None else None
         if service is None or not service.models:
-            return Division(now, LIFETIME_SECONDS)
+            return EngineAllocation(now, LIFETIME_SECONDS)
         demands = self._demands()
         inputs = self._inputs(demands)
         shares = share_out(service, inputs)
         if self._record is not None:
             self._record.record(service, shares.lending, demands)
         first = shares.lending.first_engines(shares.division)
-        return Division(
+        return EngineAllocation(
             now,
             lifetime_of(shares.division),
             {model: frozenset(engines) for model, engines in first.items()},
