--- a/src/larkpost/gateway/controllers/division.py
+++ b/src/larkpost/gateway/controllers/division.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.configuration import ModelName, Service, ServiceName
 from larkpost.gateway.blackboard.weight_targets import Demands, Naming, WeightTarget
-from larkpost.gateway.controllers.due_loads import LoadInputs, Shares, due_loads, share_out
+from larkpost.gateway.controllers.due_loads import EngineShares, LoadInputs, due_loads, share_out
 from larkpost.gateway.controllers.lending import models_that_yield
 from larkpost.gateway.controllers.lending_record import LendingRecord
 from larkpost.gateway.controllers.model_assignment import (
@@ -50,7 +50,7 @@
     loading: dict[ModelName, frozenset[InstanceId]] = field(default_factory=dict)
     yielding: frozenset[ModelName] = frozenset()
     demands: Demands = field(default_factory=dict)
-    shares: Shares | None = None
+    shares: EngineShares | None = None
 
 
 class EngineAllocator:
--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shares:
+class EngineShares:
     """How the engines of a service are divided.
 
     Attributes:
@@ -103,12 +103,12 @@
     return waits and demand.asked_at == version and not demand.open_before
 
 
-def share_out(service: Service, inputs: LoadInputs) -> Shares:
+def share_out(service: Service, inputs: LoadInputs) -> EngineShares:
     """Divides the engines of a service among its models."""
     engines = inputs.directory.ready_of(service.name)
     serving, resting = split_evacuated(engines, inputs.evacuated)
     division = assign_models(service, serving, inputs.directory, inputs.demands, inputs.pace)
-    return Shares(
+    return EngineShares(
         division,
         lend(division, inputs.demands, inputs.directory.version_of),
         assign_models(service, resting, inputs.directory, inputs.demands),
@@ -116,7 +116,7 @@
 
 
 def due_loads(
-    service: Service, inputs: LoadInputs, now: float, shares: Shares | None = None
+    service: Service, inputs: LoadInputs, now: float, shares: EngineShares | None = None
 ) -> list[tuple[InstanceId, WeightTarget]]:
     """Returns the loads that should be under way now.
 
