--- a/src/larkpost/gateway/controllers/division.py
+++ b/src/larkpost/gateway/controllers/division.py
@@ -13,7 +13,12 @@
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.configuration import ModelName, Service, ServiceName
 from larkpost.gateway.blackboard.weight_targets import Demands, Naming, WeightTarget
-from larkpost.gateway.controllers.due_loads import EngineShares, LoadInputs, due_loads, share_out
+from larkpost.gateway.controllers.due_loads import (
+    EngineShares,
+    LoadInputs,
+    allocate_engines,
+    due_loads,
+)
 from larkpost.gateway.controllers.lending import models_that_yield
 from larkpost.gateway.controllers.lending_record import LendingRecord
 from larkpost.gateway.controllers.model_assignment import (
@@ -120,7 +125,7 @@
             return EngineAllocation(now, LIFETIME_SECONDS)
         demands = self._demands()
         inputs = self._inputs(demands)
-        shares = share_out(service, inputs)
+        shares = allocate_engines(service, inputs)
         if self._record is not None:
             self._record.record(service, shares.lending, demands)
         first = shares.lending.first_engines(shares.division)
--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -103,7 +103,7 @@
     return waits and demand.asked_at == version and not demand.open_before
 
 
-def share_out(service: Service, inputs: LoadInputs) -> EngineShares:
+def allocate_engines(service: Service, inputs: LoadInputs) -> EngineShares:
     """Divides the engines of a service among its models."""
     engines = inputs.directory.ready_of(service.name)
     serving, resting = split_evacuated(engines, inputs.evacuated)
@@ -126,7 +126,7 @@
     """
     if not _is_any_behind(service, inputs):
         return []
-    shares = shares or share_out(service, inputs)
+    shares = shares or allocate_engines(service, inputs)
     assigned = shares.lending.holders(shares.division)
     due: list[tuple[InstanceId, WeightTarget]] = []
     for model in sorted(assigned, key=lambda model: model not in shares.lending.lent):
--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -12,7 +12,7 @@
 
 from larkpost.gateway.blackboard.daemon_report import Flow, FlowGroup
 from larkpost.gateway.fairness.ledger import FlowLedger
-from larkpost.gateway.fairness.share_rule import GroupShares, Standing, share_out
+from larkpost.gateway.fairness.share_rule import GroupShares, Standing, allocate_engines
 from larkpost.gateway.proxy.forecast import is_late_anyway
 from larkpost.gateway.proxy.places import Places
 from larkpost.gateway.proxy.waiter import Waiter
@@ -72,7 +72,7 @@
         """Returns the shares of a group's flows while so many places are free."""
         known = (group, free)
         if known not in self._shares:
-            self._shares[known] = share_out(self._ledger.uses(group), free)
+            self._shares[known] = allocate_engines(self._ledger.uses(group), free)
         return self._shares[known]
 
 
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -26,7 +26,7 @@
     FlowLedger,
 )
 from larkpost.gateway.fairness.return_times import MOST_LINES, ReturnTimes
-from larkpost.gateway.fairness.share_rule import share_out, wait_for_share
+from larkpost.gateway.fairness.share_rule import allocate_engines, wait_for_share
 from larkpost.gateway.fairness.water_filling import fair_level
 from larkpost.gateway.proxy.lasting_shortage import LastingShortage
 from tests.virtual import run
@@ -82,7 +82,7 @@
         return small | {HEAVY: TenantUse(5, 10)}
 
     def test_it_lets_the_others_go_first(self):
-        shares = share_out(self.uses(), free=0)
+        shares = allocate_engines(self.uses(), free=0)
         heavy = shares.standing(HEAVY)
         self.assertTrue(heavy.is_over)
         self.assertLess(heavy.share, 1.0)
@@ -91,7 +91,7 @@
 
     def test_it_gets_what_the_others_leave(self):
         uses = {flow(f"t{number}"): TenantUse(1, 0) for number in range(3)}
-        shares = share_out(uses | {HEAVY: TenantUse(7, 5)}, free=0)
+        shares = allocate_engines(uses | {HEAVY: TenantUse(7, 5)}, free=0)
         heavy = shares.standing(HEAVY)
         self.assertEqual(7.0, heavy.share)
         self.assertFalse(heavy.is_over)
@@ -106,26 +106,28 @@
                 name: TenantUse(chance.randrange(6), chance.choice((0, 0, 1, 5))) for name in names
             }
             free = chance.randrange(8)
-            shares = share_out(uses, free)
+            shares = allocate_engines(uses, free)
             for standing in map(shares.standing, names):
                 seen += standing.is_over
                 self.assertTrue(not standing.is_over or standing.ahead >= free)
         self.assertGreater(seen, 100)
 
     def test_its_forecast_grows_with_its_own_requests_alone(self):
-        heavy = share_out(self.uses(), free=0).standing(HEAVY)
+        heavy = allocate_engines(self.uses(), free=0).standing(HEAVY)
         waits = [wait_for_share(heavy, ahead, PACE) for ahead in (0, 5, 10)]
         self.assertEqual(sorted(waits), waits)
         self.assertGreater(waits[1] - waits[0], 4 * PACE)
-        light = share_out(self.uses(), free=0).standing(flow("t9"))
+        light = allocate_engines(self.uses(), free=0).standing(flow("t9"))
         self.assertEqual(0.0, wait_for_share(light, 0, PACE))
 
     def test_tenant_alone_is_never_beyond_its_share(self):
-        self.assertFalse(share_out({HEAVY: TenantUse(9, 90)}, free=0).standing(HEAVY).is_over)
+        self.assertFalse(
+            allocate_engines({HEAVY: TenantUse(9, 90)}, free=0).standing(HEAVY).is_over
+        )
 
     def test_nobody_is_beyond_its_share_while_no_request_waits(self):
         uses = {HEAVY: TenantUse(9, 0), LIGHT: TenantUse(1, 0)}
-        self.assertFalse(share_out(uses, free=2).standing(HEAVY).is_over)
+        self.assertFalse(allocate_engines(uses, free=2).standing(HEAVY).is_over)
 
 
 class BurstTest(unittest.TestCase):
@@ -133,14 +135,14 @@
 
     def test_tenants_that_ask_as_usual_are_not_beyond_their_shares_in_a_burst_of_another(self):
         usual = {flow(f"t{number}"): TenantUse(1, 1) for number in range(4)}
-        shares = share_out(usual | {HEAVY: TenantUse(12, 80)}, free=0)
+        shares = allocate_engines(usual | {HEAVY: TenantUse(12, 80)}, free=0)
         self.assertTrue(shares.standing(HEAVY).is_over)
         for name in usual:
             self.assertFalse(shares.standing(name).is_over)
 
     def test_in_a_burst_of_all_the_shares_are_equal(self):
         uses = {flow(f"t{number}"): TenantUse(2, 20) for number in range(5)}
-        shares = share_out(uses, free=0)
+        shares = allocate_engines(uses, free=0)
         self.assertEqual(2.0, shares.level)
         self.assertFalse(any(shares.standing(name).is_over for name in uses))
 
@@ -222,13 +224,13 @@
                 held.enter_context(far.waiting(HEAVY))
                 held.enter_context(near.running(HEAVY))
                 held.enter_context(near.waiting(LIGHT))
-                alone = share_out(near.uses(GROUP), free=0)
+                alone = allocate_engines(near.uses(GROUP), free=0)
                 self.assertEqual(1, alone.standing(HEAVY).use)
-                self.assertFalse(share_out(far.uses(GROUP), free=0).standing(HEAVY).is_over)
+                self.assertFalse(allocate_engines(far.uses(GROUP), free=0).standing(HEAVY).is_over)
                 near.record_report("far", far.report())
                 far.record_report("near", near.report())
                 for ledger in (near, far):
-                    standing = share_out(ledger.uses(GROUP), free=0).standing(HEAVY)
+                    standing = allocate_engines(ledger.uses(GROUP), free=0).standing(HEAVY)
                     self.assertEqual(4, standing.use)
                     self.assertEqual(1, standing.ahead)
                     self.assertTrue(standing.is_over)
