--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -68,7 +68,7 @@
         resting: each model's share of the engines in evacuated zones.
     """
 
-    division: Assignment
+    assignment: Assignment
     lending: Lending
     resting: Assignment
 
@@ -107,10 +107,10 @@
     """Divides the engines of a service among its models."""
     engines = inputs.directory.ready_of(service.name)
     serving, resting = split_evacuated(engines, inputs.evacuated)
-    division = assign_models(service, serving, inputs.directory, inputs.demands, inputs.pace)
+    assignment = assign_models(service, serving, inputs.directory, inputs.demands, inputs.pace)
     return EngineShares(
-        division,
-        lend(division, inputs.demands, inputs.directory.version_of),
+        assignment,
+        lend(assignment, inputs.demands, inputs.directory.version_of),
         assign_models(service, resting, inputs.directory, inputs.demands),
     )
 
@@ -127,7 +127,7 @@
     if not _is_any_behind(service, inputs):
         return []
     shares = shares or allocate_engines(service, inputs)
-    assigned = shares.lending.holders(shares.division)
+    assigned = shares.lending.holders(shares.assignment)
     due: list[tuple[InstanceId, WeightTarget]] = []
     for model in sorted(assigned, key=lambda model: model not in shares.lending.lent):
         engine_ids = assigned[model]  # a borrower's first: an engine takes one order at a time
--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -38,21 +38,21 @@
 
     lent: dict[ModelName, list[InstanceId]] = field(default_factory=dict)
 
-    def first_engines(self, division: Assignment) -> Assignment:
+    def first_engines(self, assignment: Assignment) -> Assignment:
         """Returns the engines whose first places are each model's: no engine is two models'."""
         gone = {engine for engines in self.lent.values() for engine in engines}
         return {
             model: [engine for engine in engines if engine not in gone] + self._borrowed(model)
-            for model, engines in division.items()
+            for model, engines in assignment.items()
         }
 
-    def holders(self, division: Assignment) -> Assignment:
+    def holders(self, assignment: Assignment) -> Assignment:
         """Returns the engines that load each model's versions, in the order of loading."""
         return {
             model: sorted(engines + self._borrowed(model), key=hash64)
             if model in self.lent
             else engines
-            for model, engines in division.items()
+            for model, engines in assignment.items()
         }
 
     def _borrowed(self, model: ModelName) -> list[InstanceId]:
@@ -75,7 +75,7 @@
 
 
 def lend(
-    division: Assignment,
+    assignment: Assignment,
     demands: Demands,
     version_of: Callable[[InstanceId, ModelName], int],
 ) -> Lending:
@@ -88,8 +88,8 @@
         division: the engines of each model, each of one model only.
         version_of: returns the version of a model that an engine holds.
     """
-    known = {model: demands.get(model, ModelDemand()) for model in division}
-    offers = _offers(division, known)
+    known = {model: demands.get(model, ModelDemand()) for model in assignment}
+    offers = _offers(assignment, known)
     wishes: dict[ModelName, Iterator[InstanceId]] = {
         model: iter(_in_order_of_choice(model, offers, demand, version_of))
         for model, demand in known.items()
@@ -98,7 +98,7 @@
     lent: dict[ModelName, list[InstanceId]] = {model: [] for model in wishes}
     taken: set[InstanceId] = set()
     while wishes:
-        borrower = min(wishes, key=lambda model: _need(model, division, demands, lent))
+        borrower = min(wishes, key=lambda model: _need(model, assignment, demands, lent))
         engine = next((name for name in wishes[borrower] if name not in taken), None)
         if engine is None:
             del wishes[borrower]
@@ -134,15 +134,15 @@
 
 
 def _offers(
-    division: Assignment, demands: Mapping[ModelName, ModelDemand]
+    assignment: Assignment, demands: Mapping[ModelName, ModelDemand]
 ) -> dict[InstanceId, int]:
     """Returns the engines that may be lent, with the priorities of the models that lend them.
 
     An engine of two models is nobody's to lend.
     """
-    holdings = Counter(engine for engines in division.values() for engine in engines)
+    holdings = Counter(engine for engines in assignment.values() for engine in engines)
     offers: dict[InstanceId, int] = {}
-    for model, engines in division.items():
+    for model, engines in assignment.items():
         if standing_of(demands[model]) is Standing.LENDS:
             count = min(int(len(engines) * LENT_SHARE), len(engines) - MIN_ENGINES_PER_MODEL)
             free = [engine for engine in engines if holdings[engine] == 1]
@@ -163,10 +163,10 @@
 
 def _need(
     model: ModelName,
-    division: Assignment,
+    assignment: Assignment,
     demands: Demands,
     lent: Mapping[ModelName, list[InstanceId]],
 ) -> tuple[float, ModelName]:
     """Returns by what a borrower comes before others; the least of these chooses next."""
     work = demands.get(model, ModelDemand()).work
-    return -work / (len(division[model]) + len(lent[model]) + 1), model
+    return -work / (len(assignment[model]) + len(lent[model]) + 1), model
--- a/src/larkpost/gateway/controllers/model_assignment.py
+++ b/src/larkpost/gateway/controllers/model_assignment.py
@@ -71,13 +71,13 @@
         for model in service.models
     }
     capacities = {engine: speed(count) for engine, count in steps.items()}
-    division = _Division(_work_of_models(service, demands), preferences, capacities)
+    assignment = _Division(_work_of_models(service, demands), preferences, capacities)
     enough = min(MIN_ENGINES_PER_MODEL, len(engines))
-    while engines and division.chosen and division.choose_next(enough):
+    while engines and assignment.chosen and assignment.choose_next(enough):
         pass
-    for engine_ids in division.chosen.values():
+    for engine_ids in assignment.chosen.values():
         engine_ids.sort(key=hash64)
-    return division.chosen
+    return assignment.chosen
 
 
 def split_evacuated(
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -139,13 +139,13 @@
     def divide(self, demands: Demands) -> tuple[Assignment, Lending]:
         """Returns the division by work, and what is lent."""
         engines = self.directory.of_service(THREE.name)
-        division = assign_models(THREE, engines, self.directory, demands)
-        return division, lend(division, demands, self.directory.version_of)
+        assignment = assign_models(THREE, engines, self.directory, demands)
+        return assignment, lend(assignment, demands, self.directory.version_of)
 
     def first_engines(self, demands: Demands) -> dict[ModelName, set[InstanceId]]:
         """Returns the engines whose first places are each model's."""
-        division, lending = self.divide(demands)
-        return {model: set(names) for model, names in lending.first_engines(division).items()}
+        assignment, lending = self.divide(demands)
+        return {model: set(names) for model, names in lending.first_engines(assignment).items()}
 
     def load_all(self, demands: Demands, version: int) -> int:
         """Loads a version of each model wherever it is due; returns how many engines load."""
@@ -161,28 +161,28 @@
         return count
 
     def test_all_have_time_to_spare(self):
-        division, lending = self.divide(all_at_leisure())
+        assignment, lending = self.divide(all_at_leisure())
         self.assertEqual(Lending(), lending)
-        self.assertEqual(division, lending.first_engines(division))
-        self.assertEqual(division, lending.holders(division))
+        self.assertEqual(assignment, lending.first_engines(assignment))
+        self.assertEqual(assignment, lending.holders(assignment))
 
     def test_one_with_time_to_spare_lends_to_two_that_lack_it(self):
-        division, _ = self.divide(two_behind())
+        assignment, _ = self.divide(two_behind())
         first = self.first_engines(two_behind())
-        lent = set(division[SHORT]) - first[SHORT]
-        self.assertEqual(int(len(division[SHORT]) * LENT_SHARE), len(lent))
+        lent = set(assignment[SHORT]) - first[SHORT]
+        self.assertEqual(int(len(assignment[SHORT]) * LENT_SHARE), len(lent))
         self.assertGreater(len(lent), 0)
         self.assertGreaterEqual(len(first[SHORT]), MIN_ENGINES_PER_MODEL)
         for model in (LONG, LONGEST):
-            self.assertLessEqual(set(division[model]), first[model])
+            self.assertLessEqual(set(assignment[model]), first[model])
             lent -= first[model]
         self.assertEqual(set(), lent)
         self.assertEqual(ENGINES, sum(len(engines) for engines in first.values()))
 
     def test_lent_engines_load_both_models(self):
-        division, lending = self.divide(two_behind())
-        holders = lending.holders(division)
-        self.assertEqual(division[SHORT], holders[SHORT])
+        assignment, lending = self.divide(two_behind())
+        holders = lending.holders(assignment)
+        self.assertEqual(assignment[SHORT], holders[SHORT])
         for model, engines in lending.lent.items():
             self.assertLessEqual(set(engines), set(holders[model]))
             self.assertEqual(sorted(holders[model], key=hash64), holders[model])
@@ -193,9 +193,9 @@
             LONG: demand(LONG, 0.02, outlook=Outlook.HOPELESS),
             LONGEST: demand(LONGEST, 0.02, outlook=Outlook.TIGHT),
         }
-        division, lending = self.divide(demands)
+        assignment, lending = self.divide(demands)
         self.assertEqual({LONGEST}, set(lending.lent))
-        self.assertLess(set(lending.lent[LONGEST]), set(division[LONG]))
+        self.assertLess(set(lending.lent[LONGEST]), set(assignment[LONG]))
 
     def test_nobody_lends_to_a_lower_priority(self):
         demands = two_behind() | {LONGEST: demand(LONGEST, 0.02, priority=1)}
@@ -220,8 +220,8 @@
             return 1
 
         names = [InstanceId(f"e{number}") for number in range(3000)]
-        division = {SHORT: names[:1000], LONG: names[1000:2000], LONGEST: names[2000:]}
-        lending = lend(division, two_behind(), version_of)
+        assignment = {SHORT: names[:1000], LONG: names[1000:2000], LONGEST: names[2000:]}
+        lending = lend(assignment, two_behind(), version_of)
         count = sum(len(engines) for engines in lending.lent.values())
         self.assertEqual(int(1000 * LENT_SHARE), count)
         self.assertEqual(len(lending.lent) * count, len(asked))
@@ -253,34 +253,34 @@
         one = Service(THREE.name, 100, slots=8, models=(LONG,))
         engines = self.directory.of_service(THREE.name)
         demands = {LONG: demand(LONG, 0.02)}
-        division = assign_models(one, engines, self.directory, demands)
-        self.assertEqual(Lending(), lend(division, demands, self.directory.version_of))
+        assignment = assign_models(one, engines, self.directory, demands)
+        self.assertEqual(Lending(), lend(assignment, demands, self.directory.version_of))
 
     def test_few_engines_of_several_models_are_not_lent(self):
         self.directory = make_directory(3, THREE.name, slots=8)
-        division, lending = self.divide(two_behind())
+        assignment, lending = self.divide(two_behind())
         self.assertEqual(Lending(), lending)
-        self.assertGreater(sum(len(engines) for engines in division.values()), 3)
+        self.assertGreater(sum(len(engines) for engines in assignment.values()), 3)
 
     def test_lends_and_gets_back_without_loads_for_it(self):
-        division, _ = self.divide(all_at_leisure())
+        assignment, _ = self.divide(all_at_leisure())
         for version in (2, 3, 4):
             self.load_all(two_behind(), version)
-        self.assertEqual(division[SHORT], self.divide(all_at_leisure())[0][SHORT])
+        self.assertEqual(assignment[SHORT], self.divide(all_at_leisure())[0][SHORT])
         back = self.first_engines(all_at_leisure())
-        self.assertEqual({model: set(names) for model, names in division.items()}, back)
+        self.assertEqual({model: set(names) for model, names in assignment.items()}, back)
         for engine in back[SHORT]:
             self.assertEqual(4, self.directory.version_of(engine, SHORT))
 
     def test_no_flapping_while_a_trainer_is_now_behind_and_now_not(self):
-        division, _ = self.divide(all_at_leisure())
+        assignment, _ = self.divide(all_at_leisure())
         lent = {engine for names in self.divide(two_behind())[1].lent.values() for engine in names}
         loads = 0
         for version in range(2, 12):
             demands = two_behind() if version % 2 else all_at_leisure()
             loads += self.load_all(demands, version)
             with self.subTest(version):
-                self.assertEqual(division, self.divide(demands)[0])
+                self.assertEqual(assignment, self.divide(demands)[0])
                 again = self.divide(two_behind())[1].lent.values()
                 self.assertEqual(lent, {engine for names in again for engine in names})
         steady = 10 * ENGINES
--- a/tests/test_steady_division.py
+++ b/tests/test_steady_division.py
@@ -54,11 +54,11 @@
         for model, work in works.items():
             self.record_batch(model, step, work * self.chance.gauss(1.0, SPREAD))
         engines = self.directory.of_service(POOL.name)
-        division = assign_models(POOL, engines, self.directory, self.heads.demands())
-        for model, names in division.items():
+        assignment = assign_models(POOL, engines, self.directory, self.heads.demands())
+        for model, names in assignment.items():
             for name in names:
                 self.directory.observe_version(name, model, step + 2)
-        return division
+        return assignment
 
     def test_engines_stay_with_their_models(self):
         async def play() -> float:
--- a/tests/test_uneven_division.py
+++ b/tests/test_uneven_division.py
@@ -64,10 +64,10 @@
         return assign_models(FOUR, engines, self.directory, DEMANDS, self.paces.__getitem__)
 
     def test_every_model_gets_fast_engines_by_its_work(self):
-        division = self.divide()
+        assignment = self.divide()
         fast = {
             model: sum(self.paces[name] == FAST for name in names)
-            for model, names in division.items()
+            for model, names in assignment.items()
         }
         self.assertEqual(ENGINES // 2, sum(fast.values()))
         for model, count in fast.items():
