--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ModelState:
+class ModelLoadState:
     """How far the engines of one model are; engines are in the order in which they load.
 
     Attributes:
@@ -132,7 +132,7 @@
     for model in sorted(assigned, key=lambda model: model not in shares.lending.lent):
         engine_ids = assigned[model]  # a borrower's first: an engine takes one order at a time
         target = WeightTarget(model, inputs.targets.version(model))
-        state = ModelState(
+        state = ModelLoadState(
             target.version,
             _seconds_into_turns(model, inputs, now),
             _versions(engine_ids, model, inputs.directory),
@@ -143,7 +143,7 @@
     return due
 
 
-def engines_to_load(state: ModelState) -> list[InstanceId]:
+def engines_to_load(state: ModelLoadState) -> list[InstanceId]:
     """Returns the engines of one model that should be loading its version now.
 
     Those of evacuated zones are added once the others are done or have all had their turn.
@@ -154,7 +154,7 @@
     return names
 
 
-def _serving_to_load(state: ModelState) -> list[InstanceId]:
+def _serving_to_load(state: ModelLoadState) -> list[InstanceId]:
     """Returns the engines that get work and load now.
 
     One that is two versions behind loads at once: it is of no use to the next step. The others load
@@ -179,7 +179,7 @@
     return [name for group in groups[:-1] for name in group if name in behind]
 
 
-def _resting_to_load(state: ModelState) -> list[InstanceId]:
+def _resting_to_load(state: ModelLoadState) -> list[InstanceId]:
     """Returns the engines of evacuated zones that load now, in groups all the same.
 
     Many loads at once slow each other down, also those of engines that serve.
--- a/tests/test_load_timing.py
+++ b/tests/test_load_timing.py
@@ -21,7 +21,7 @@
     GROUP_SECONDS,
     URGENT_FIRST_SECONDS,
     LoadInputs,
-    ModelState,
+    ModelLoadState,
     due_loads,
     engines_to_load,
     is_urgent,
@@ -72,7 +72,7 @@
             self.assertEqual(6, self.due(demands, due_at + 0.1))
 
     def test_one_group_serves_on_until_the_others_have_loaded(self):
-        state = ModelState(5, 0.0, dict.fromkeys("abcdefg", 4), {}, is_urgent=True)
+        state = ModelLoadState(5, 0.0, dict.fromkeys("abcdefg", 4), {}, is_urgent=True)
         first = engines_to_load(state)
         self.assertEqual(list("abcdef"), first)
         loaded = state.serving | dict.fromkeys(first, 5)
@@ -82,7 +82,7 @@
 
     def test_engine_that_cannot_load_holds_the_last_group_up_for_one_turn_only(self):
         loaded = dict.fromkeys("bcdef", 5) | dict.fromkeys("ag", 4)
-        state = ModelState(5, 0.0, loaded, {}, is_urgent=True)
+        state = ModelLoadState(5, 0.0, loaded, {}, is_urgent=True)
         self.assertEqual(["a"], engines_to_load(replace(state, elapsed=GROUP_SECONDS - 0.1)))
         self.assertEqual(["a", "g"], engines_to_load(replace(state, elapsed=GROUP_SECONDS)))
 
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -9,7 +9,7 @@
     FIRST_SECONDS,
     GROUP_SECONDS,
     LoadInputs,
-    ModelState,
+    ModelLoadState,
     due_loads,
     engines_to_load,
 )
@@ -119,7 +119,7 @@
         for name, elapsed, versions, resting, expected in cases:
             with self.subTest(name):
                 serving = dict(zip("abc", versions, strict=True))
-                state = ModelState(5, elapsed, serving, {"d": resting})
+                state = ModelLoadState(5, elapsed, serving, {"d": resting})
                 self.assertEqual(list(expected), engines_to_load(state))
 
     def test_seconds_until_the_next_check(self):
