--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -70,7 +70,7 @@
 
     assignment: Assignment
     lending: Lending
-    resting: Assignment
+    evacuated_engines: Assignment
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,7 +88,7 @@
     target: int
     elapsed: float
     serving: dict[InstanceId, int]
-    resting: dict[InstanceId, int]
+    evacuated_engines: dict[InstanceId, int]
     is_urgent: bool = False
 
 
@@ -106,12 +106,12 @@
 def allocate_engines(service: Service, inputs: LoadInputs) -> EngineShares:
     """Divides the engines of a service among its models."""
     engines = inputs.directory.ready_of(service.name)
-    serving, resting = split_evacuated(engines, inputs.evacuated)
+    serving, evacuated_engines = split_evacuated(engines, inputs.evacuated)
     assignment = assign_models(service, serving, inputs.directory, inputs.demands, inputs.pace)
     return EngineShares(
         assignment,
         lend(assignment, inputs.demands, inputs.directory.version_of),
-        assign_models(service, resting, inputs.directory, inputs.demands),
+        assign_models(service, evacuated_engines, inputs.directory, inputs.demands),
     )
 
 
@@ -136,7 +136,7 @@
             target.version,
             _seconds_into_turns(model, inputs, now),
             _versions(engine_ids, model, inputs.directory),
-            _versions(shares.resting[model], model, inputs.directory),
+            _versions(shares.evacuated_engines[model], model, inputs.directory),
             is_urgent(inputs.demands.get(model, ModelDemand()), target.version),
         )
         due.extend((name, target) for name in engines_to_load(state))
@@ -186,8 +186,8 @@
     """
     if state.elapsed < 0:
         return []
-    behind = {name for name, version in state.resting.items() if version < state.target}
-    return _group_on_turn(list(state.resting), behind, state.elapsed)
+    behind = {name for name, version in state.evacuated_engines.items() if version < state.target}
+    return _group_on_turn(list(state.evacuated_engines), behind, state.elapsed)
 
 
 def _group_on_turn(
--- a/src/larkpost/gateway/controllers/model_assignment.py
+++ b/src/larkpost/gateway/controllers/model_assignment.py
@@ -85,8 +85,8 @@
 ) -> tuple[list[InstanceInfo], list[InstanceInfo]]:
     """Returns the engines that get work, and those in evacuated zones, which get none."""
     serving = [info for info in engines if info.zone not in evacuated]
-    resting = [info for info in engines if info.zone in evacuated]
-    return serving, resting
+    evacuated_engines = [info for info in engines if info.zone in evacuated]
+    return serving, evacuated_engines
 
 
 def _work_of_models(service: Service, demands: Demands) -> dict[ModelName, int]:
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -116,10 +116,10 @@
             ("a resting one is far behind", 0.5, (4, 4, 4), 1, "a"),
             ("ahead of the version", 0.5, (6, 6, 6), 6, ""),
         )
-        for name, elapsed, versions, resting, expected in cases:
+        for name, elapsed, versions, evacuated_engines, expected in cases:
             with self.subTest(name):
                 serving = dict(zip("abc", versions, strict=True))
-                state = ModelLoadState(5, elapsed, serving, {"d": resting})
+                state = ModelLoadState(5, elapsed, serving, {"d": evacuated_engines})
                 self.assertEqual(list(expected), engines_to_load(state))
 
     def test_seconds_until_the_next_check(self):
