--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -28,7 +28,7 @@
     unknown_pace,
 )
 
-LOAD_GROUPS = 3
+LOAD_GROUP_COUNT = 3
 """Groups of a model's engines that load a version one after the other; two thirds serve on."""
 GROUP_SECONDS = 1.0
 """Seconds for one group, after which it is the next one's turn. Above the time that one load
@@ -149,7 +149,7 @@
     Those of evacuated zones are added once the others are done or have all had their turn.
     """
     names = _serving_to_load(state)
-    if not names or state.elapsed >= LOAD_GROUPS * GROUP_SECONDS:
+    if not names or state.elapsed >= LOAD_GROUP_COUNT * GROUP_SECONDS:
         names += _resting_to_load(state)
     return names
 
@@ -175,7 +175,7 @@
 
 def _all_but_last_group(engine_ids: list[InstanceId], behind: set[InstanceId]) -> list[InstanceId]:
     """Returns the engines that lack the version, but for those of the last group."""
-    groups = _cut(engine_ids, LOAD_GROUPS)
+    groups = _cut(engine_ids, LOAD_GROUP_COUNT)
     return [name for group in groups[:-1] for name in group if name in behind]
 
 
@@ -202,7 +202,7 @@
         behind: the engines that lack the version.
         elapsed: seconds since the first group's turn began.
     """
-    groups = _cut(engine_ids, LOAD_GROUPS)
+    groups = _cut(engine_ids, LOAD_GROUP_COUNT)
     turn = int(elapsed / GROUP_SECONDS)
     for step in range(len(groups)):
         group = [name for name in groups[(turn + step) % len(groups)] if name in behind]
