--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -30,7 +30,7 @@
 
 LOAD_GROUP_COUNT = 3
 """Groups of a model's engines that load a version one after the other; two thirds serve on."""
-GROUP_SECONDS = 1.0
+GROUP_TURN_SECONDS = 1.0
 """Seconds for one group, after which it is the next one's turn. Above the time that one load
 takes."""
 FIRST_SECONDS = 0.3
@@ -149,7 +149,7 @@
     Those of evacuated zones are added once the others are done or have all had their turn.
     """
     names = _serving_to_load(state)
-    if not names or state.elapsed >= LOAD_GROUP_COUNT * GROUP_SECONDS:
+    if not names or state.elapsed >= LOAD_GROUP_COUNT * GROUP_TURN_SECONDS:
         names += _resting_to_load(state)
     return names
 
@@ -168,7 +168,7 @@
     behind = {name for name, version in state.serving.items() if version == state.target - 1}
     if state.is_urgent:
         first = _all_but_last_group(list(state.serving), behind)
-        are_first_on_turn = state.elapsed < GROUP_SECONDS
+        are_first_on_turn = state.elapsed < GROUP_TURN_SECONDS
         return late + (first if first and are_first_on_turn else sorted(behind))
     return late + _group_on_turn(list(state.serving), behind, state.elapsed)
 
@@ -203,7 +203,7 @@
         elapsed: seconds since the first group's turn began.
     """
     groups = _cut(engine_ids, LOAD_GROUP_COUNT)
-    turn = int(elapsed / GROUP_SECONDS)
+    turn = int(elapsed / GROUP_TURN_SECONDS)
     for step in range(len(groups)):
         group = [name for name in groups[(turn + step) % len(groups)] if name in behind]
         if group:
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -16,7 +16,7 @@
 from larkpost.gateway.controllers.division import EngineAllocator
 from larkpost.gateway.controllers.due_loads import (
     FIRST_SECONDS,
-    GROUP_SECONDS,
+    GROUP_TURN_SECONDS,
     LOAD_GROUP_COUNT,
     LoadInputs,
     due_loads,
@@ -226,7 +226,7 @@
             self.assertEqual(2, self.directory.version_of(engine, MODEL))
 
     def test_engine_that_cannot_load_holds_up_the_evacuated_ones_for_its_turns_only(self):
-        late = LOAD_GROUP_COUNT * GROUP_SECONDS + 0.1
+        late = LOAD_GROUP_COUNT * GROUP_TURN_SECONDS + 0.1
         self.assertTrue(self.due(late) & self.north)
 
     def test_no_evacuated_engine_is_a_models_own(self):
--- a/tests/test_load_timing.py
+++ b/tests/test_load_timing.py
@@ -18,7 +18,7 @@
 )
 from larkpost.gateway.controllers.due_loads import (
     BUSY_FIRST_SECONDS,
-    GROUP_SECONDS,
+    GROUP_TURN_SECONDS,
     URGENT_FIRST_SECONDS,
     LoadInputs,
     ModelLoadState,
@@ -83,8 +83,8 @@
     def test_engine_that_cannot_load_holds_the_last_group_up_for_one_turn_only(self):
         loaded = dict.fromkeys("bcdef", 5) | dict.fromkeys("ag", 4)
         state = ModelLoadState(5, 0.0, loaded, {}, is_urgent=True)
-        self.assertEqual(["a"], engines_to_load(replace(state, elapsed=GROUP_SECONDS - 0.1)))
-        self.assertEqual(["a", "g"], engines_to_load(replace(state, elapsed=GROUP_SECONDS)))
+        self.assertEqual(["a"], engines_to_load(replace(state, elapsed=GROUP_TURN_SECONDS - 0.1)))
+        self.assertEqual(["a", "g"], engines_to_load(replace(state, elapsed=GROUP_TURN_SECONDS)))
 
     def test_engines_wait_for_items_that_wait(self):
         waiting = {FIRST: replace(WAITS, waiting=3)}
@@ -99,7 +99,7 @@
         at_leisure = {FIRST: ModelDemand(100, open=True, asked_after=2.7)}
         self.assertEqual(0, self.due(at_leisure, BUSY_FIRST_SECONDS - 0.1))
         self.assertEqual(3, self.due(at_leisure, BUSY_FIRST_SECONDS + 0.1))
-        self.assertEqual(3, self.due(at_leisure, BUSY_FIRST_SECONDS + GROUP_SECONDS + 0.1))
+        self.assertEqual(3, self.due(at_leisure, BUSY_FIRST_SECONDS + GROUP_TURN_SECONDS + 0.1))
 
 
 class AskedAfterTest(unittest.TestCase):
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -7,7 +7,7 @@
 from larkpost.gateway.controllers.due_loads import (
     BUSY_FIRST_SECONDS,
     FIRST_SECONDS,
-    GROUP_SECONDS,
+    GROUP_TURN_SECONDS,
     LoadInputs,
     ModelLoadState,
     due_loads,
@@ -63,8 +63,8 @@
         start = 10.0 + FIRST_SECONDS
         self.assertEqual([], self.due(directory, targets, start - 0.1))
         self.assertEqual([first], self.due(directory, targets, start + 0.1))
-        self.assertEqual([second], self.due(directory, targets, start + GROUP_SECONDS + 0.1))
-        again = start + 2 * GROUP_SECONDS + 0.1
+        self.assertEqual([second], self.due(directory, targets, start + GROUP_TURN_SECONDS + 0.1))
+        again = start + 2 * GROUP_TURN_SECONDS + 0.1
         self.assertEqual([first], self.due(directory, targets, again))
         directory.observe_version(first, FIRST, 2)
         self.assertEqual([second], self.due(directory, targets, start + 0.1))
