--- a/tests/test_load_timing.py
+++ b/tests/test_load_timing.py
@@ -19,7 +19,7 @@
 from larkpost.gateway.controllers.due_loads import (
     BUSY_FIRST_SECONDS,
     GROUP_TURN_SECONDS,
-    URGENT_FIRST_SECONDS,
+    URGENT_LOAD_DELAY_SECONDS,
     LoadInputs,
     ModelLoadState,
     due_loads,
@@ -67,7 +67,7 @@
     def test_engines_load_together_once_the_items_have_found_their_places(self):
         for asked_after in (0.02, 0.4):
             demands = {FIRST: replace(WAITS, asked_after=asked_after)}
-            due_at = asked_after + URGENT_FIRST_SECONDS
+            due_at = asked_after + URGENT_LOAD_DELAY_SECONDS
             self.assertEqual(0, self.due(demands, due_at - 0.1))
             self.assertEqual(6, self.due(demands, due_at + 0.1))
 
