--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -35,7 +35,7 @@
 takes."""
 FIRST_SECONDS = 0.3
 """Seconds before the first group loads while no batch of the model runs: one may come at once."""
-BUSY_FIRST_SECONDS = 0.9
+BUSY_LOAD_DELAY_SECONDS = 0.9
 """The same while one runs, so that its items have found their places before."""
 URGENT_LOAD_DELAY_SECONDS = 0.3
 """Seconds from a batch to the loads while the next one is near: most items have found places."""
@@ -224,7 +224,7 @@
         return elapsed - FIRST_SECONDS
     if is_urgent(demand, inputs.targets.version(model)) and not demand.waiting:
         return elapsed - (demand.asked_after or 0.0) - URGENT_LOAD_DELAY_SECONDS
-    return elapsed - BUSY_FIRST_SECONDS
+    return elapsed - BUSY_LOAD_DELAY_SECONDS
 
 
 def _versions(
--- a/tests/test_load_timing.py
+++ b/tests/test_load_timing.py
@@ -17,7 +17,7 @@
     WeightTargets,
 )
 from larkpost.gateway.controllers.due_loads import (
-    BUSY_FIRST_SECONDS,
+    BUSY_LOAD_DELAY_SECONDS,
     GROUP_TURN_SECONDS,
     URGENT_LOAD_DELAY_SECONDS,
     LoadInputs,
@@ -88,18 +88,20 @@
 
     def test_engines_wait_for_items_that_wait(self):
         waiting = {FIRST: replace(WAITS, waiting=3)}
-        self.assertEqual(0, self.due(waiting, BUSY_FIRST_SECONDS - 0.1))
-        self.assertEqual(6, self.due(waiting, BUSY_FIRST_SECONDS + 0.1))
+        self.assertEqual(0, self.due(waiting, BUSY_LOAD_DELAY_SECONDS - 0.1))
+        self.assertEqual(6, self.due(waiting, BUSY_LOAD_DELAY_SECONDS + 0.1))
 
     def test_engines_serve_the_batch_that_comes_with_the_version(self):
         before = {FIRST: replace(WAITS, asked_at=1)}
-        self.assertEqual(0, self.due(before, BUSY_FIRST_SECONDS - 0.1))
+        self.assertEqual(0, self.due(before, BUSY_LOAD_DELAY_SECONDS - 0.1))
 
     def test_engines_load_in_turns_while_there_is_time(self):
         at_leisure = {FIRST: ModelDemand(100, open=True, asked_after=2.7)}
-        self.assertEqual(0, self.due(at_leisure, BUSY_FIRST_SECONDS - 0.1))
-        self.assertEqual(3, self.due(at_leisure, BUSY_FIRST_SECONDS + 0.1))
-        self.assertEqual(3, self.due(at_leisure, BUSY_FIRST_SECONDS + GROUP_TURN_SECONDS + 0.1))
+        self.assertEqual(0, self.due(at_leisure, BUSY_LOAD_DELAY_SECONDS - 0.1))
+        self.assertEqual(3, self.due(at_leisure, BUSY_LOAD_DELAY_SECONDS + 0.1))
+        self.assertEqual(
+            3, self.due(at_leisure, BUSY_LOAD_DELAY_SECONDS + GROUP_TURN_SECONDS + 0.1)
+        )
 
 
 class AskedAfterTest(unittest.TestCase):
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.blackboard.configuration import RouteKind, Service
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.blackboard.weight_targets import ModelDemand, WeightTarget, WeightTargets
-from larkpost.gateway.controllers.due_loads import BUSY_FIRST_SECONDS, LoadInputs, due_loads
+from larkpost.gateway.controllers.due_loads import BUSY_LOAD_DELAY_SECONDS, LoadInputs, due_loads
 from larkpost.gateway.controllers.model_assignment import assign_models
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.forwarder import Forwarder
@@ -269,7 +269,7 @@
         targets = WeightTargets()
         targets.update(WeightTarget(FIRST, 2), now=10.0)
         demands = {FIRST: ModelDemand(100, True)}
-        for elapsed, count in ((0.1, 0), (BUSY_FIRST_SECONDS + 0.1, 2)):
+        for elapsed, count in ((0.1, 0), (BUSY_LOAD_DELAY_SECONDS + 0.1, 2)):
             loads = due_loads(service, LoadInputs(directory, targets, demands), 10.0 + elapsed)
             self.assertEqual(count, len(loads))
 
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -5,7 +5,7 @@
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.weight_targets import ModelDemand, WeightTarget, WeightTargets
 from larkpost.gateway.controllers.due_loads import (
-    BUSY_FIRST_SECONDS,
+    BUSY_LOAD_DELAY_SECONDS,
     FIRST_SECONDS,
     GROUP_TURN_SECONDS,
     LoadInputs,
@@ -73,7 +73,7 @@
         directory = make_directory(4, TWO_MODELS.name, slots=8)
         targets = WeightTargets()
         targets.update(WeightTarget(FIRST, 2), now=10.0)
-        before = 10.0 + BUSY_FIRST_SECONDS - 0.1
+        before = 10.0 + BUSY_LOAD_DELAY_SECONDS - 0.1
         self.assertEqual([], self.due(directory, targets, before, open_batch=True))
         self.assertEqual(1, len(self.due(directory, targets, before + 0.2, open_batch=True)))
 
