--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -33,7 +33,7 @@
 GROUP_TURN_SECONDS = 1.0
 """Seconds for one group, after which it is the next one's turn. Above the time that one load
 takes."""
-FIRST_SECONDS = 0.3
+IDLE_LOAD_DELAY_SECONDS = 0.3
 """Seconds before the first group loads while no batch of the model runs: one may come at once."""
 BUSY_LOAD_DELAY_SECONDS = 0.9
 """The same while one runs, so that its items have found their places before."""
@@ -221,7 +221,7 @@
     demand = inputs.demands.get(model, ModelDemand())
     elapsed = inputs.targets.named_for(model, now)
     if not demand.open:
-        return elapsed - FIRST_SECONDS
+        return elapsed - IDLE_LOAD_DELAY_SECONDS
     if is_urgent(demand, inputs.targets.version(model)) and not demand.waiting:
         return elapsed - (demand.asked_after or 0.0) - URGENT_LOAD_DELAY_SECONDS
     return elapsed - BUSY_LOAD_DELAY_SECONDS
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -15,8 +15,8 @@
 from larkpost.gateway.blackboard.weight_targets import WeightTarget, WeightTargets
 from larkpost.gateway.controllers.division import EngineAllocator
 from larkpost.gateway.controllers.due_loads import (
-    FIRST_SECONDS,
     GROUP_TURN_SECONDS,
+    IDLE_LOAD_DELAY_SECONDS,
     LOAD_GROUP_COUNT,
     LoadInputs,
     due_loads,
@@ -200,7 +200,7 @@
 
     def due(self, seconds: float, zone: ZoneId = NORTH) -> set[InstanceId]:
         """Returns the engines that load so long after the version was named."""
-        now = 10.0 + FIRST_SECONDS + seconds
+        now = 10.0 + IDLE_LOAD_DELAY_SECONDS + seconds
         inputs = LoadInputs(self.directory, self.targets, {}, frozenset({zone}))
         loads = due_loads(self.service, inputs, now)
         return {engine for engine, _ in loads}
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -6,8 +6,8 @@
 from larkpost.gateway.blackboard.weight_targets import ModelDemand, WeightTarget, WeightTargets
 from larkpost.gateway.controllers.due_loads import (
     BUSY_LOAD_DELAY_SECONDS,
-    FIRST_SECONDS,
     GROUP_TURN_SECONDS,
+    IDLE_LOAD_DELAY_SECONDS,
     LoadInputs,
     ModelLoadState,
     due_loads,
@@ -60,7 +60,7 @@
         engines = directory.of_service(TWO_MODELS.name)
         demands = {FIRST: ModelDemand(100, False)}
         first, second = assign_models(TWO_MODELS, engines, directory, demands)[FIRST]
-        start = 10.0 + FIRST_SECONDS
+        start = 10.0 + IDLE_LOAD_DELAY_SECONDS
         self.assertEqual([], self.due(directory, targets, start - 0.1))
         self.assertEqual([first], self.due(directory, targets, start + 0.1))
         self.assertEqual([second], self.due(directory, targets, start + GROUP_TURN_SECONDS + 0.1))
