--- a/src/larkpost/gateway/controllers/division.py
+++ b/src/larkpost/gateway/controllers/division.py
@@ -30,7 +30,7 @@
 LIFETIME_SECONDS = 0.1
 """Seconds for which a division serves: items ask for it again and again. As long as the loader's
 interval."""
-LIFETIME_SECONDS_PER_ENGINE = 0.0003
+ALLOCATION_LIFETIME_SECONDS_PER_ENGINE = 0.0003
 """The same by the number of engines, where it is more, so that dividing takes no whole core."""
 
 
@@ -152,7 +152,7 @@
 def lifetime_of(division: Assignment) -> float:
     """Returns the seconds for which a division serves: one of many engines takes long to make."""
     count = sum(len(engines) for engines in division.values())
-    return max(LIFETIME_SECONDS, count * LIFETIME_SECONDS_PER_ENGINE)
+    return max(LIFETIME_SECONDS, count * ALLOCATION_LIFETIME_SECONDS_PER_ENGINE)
 
 
 def _by_model(
--- a/tests/test_division_cost.py
+++ b/tests/test_division_cost.py
@@ -6,8 +6,8 @@
 from larkpost.gateway.blackboard.configuration import Configuration
 from larkpost.gateway.blackboard.weight_targets import WeightTarget
 from larkpost.gateway.controllers.division import (
+    ALLOCATION_LIFETIME_SECONDS_PER_ENGINE,
     LIFETIME_SECONDS,
-    LIFETIME_SECONDS_PER_ENGINE,
     EngineAllocator,
     lifetime_of,
 )
@@ -56,7 +56,7 @@
         few = {FIRST: [InstanceId("a")], SECOND: [InstanceId("b")]}
         many = {FIRST: [InstanceId(str(number)) for number in range(3200)]}
         self.assertEqual(LIFETIME_SECONDS, lifetime_of(few))
-        self.assertAlmostEqual(3200 * LIFETIME_SECONDS_PER_ENGINE, lifetime_of(many))
+        self.assertAlmostEqual(3200 * ALLOCATION_LIFETIME_SECONDS_PER_ENGINE, lifetime_of(many))
 
 
 if __name__ == "__main__":
