--- a/src/larkpost/gateway/controllers/division.py
+++ b/src/larkpost/gateway/controllers/division.py
@@ -27,7 +27,7 @@
     unknown_pace,
 )
 
-LIFETIME_SECONDS = 0.1
+ALLOCATION_LIFETIME_SECONDS = 0.1
 """Seconds for which a division serves: items ask for it again and again. As long as the loader's
 interval."""
 ALLOCATION_LIFETIME_SECONDS_PER_ENGINE = 0.0003
@@ -122,7 +122,7 @@
         configuration = self._blackboard.configuration.current
         service = configuration.services.get(name) if configuration is not None else None
         if service is None or not service.models:
-            return EngineAllocation(now, LIFETIME_SECONDS)
+            return EngineAllocation(now, ALLOCATION_LIFETIME_SECONDS)
         demands = self._demands()
         inputs = self._inputs(demands)
         shares = allocate_engines(service, inputs)
@@ -152,7 +152,7 @@
 def lifetime_of(division: Assignment) -> float:
     """Returns the seconds for which a division serves: one of many engines takes long to make."""
     count = sum(len(engines) for engines in division.values())
-    return max(LIFETIME_SECONDS, count * ALLOCATION_LIFETIME_SECONDS_PER_ENGINE)
+    return max(ALLOCATION_LIFETIME_SECONDS, count * ALLOCATION_LIFETIME_SECONDS_PER_ENGINE)
 
 
 def _by_model(
--- a/tests/test_division_cost.py
+++ b/tests/test_division_cost.py
@@ -6,8 +6,8 @@
 from larkpost.gateway.blackboard.configuration import Configuration
 from larkpost.gateway.blackboard.weight_targets import WeightTarget
 from larkpost.gateway.controllers.division import (
+    ALLOCATION_LIFETIME_SECONDS,
     ALLOCATION_LIFETIME_SECONDS_PER_ENGINE,
-    LIFETIME_SECONDS,
     EngineAllocator,
     lifetime_of,
 )
@@ -55,7 +55,7 @@
     def test_division_of_many_engines_serves_longer(self):
         few = {FIRST: [InstanceId("a")], SECOND: [InstanceId("b")]}
         many = {FIRST: [InstanceId(str(number)) for number in range(3200)]}
-        self.assertEqual(LIFETIME_SECONDS, lifetime_of(few))
+        self.assertEqual(ALLOCATION_LIFETIME_SECONDS, lifetime_of(few))
         self.assertAlmostEqual(3200 * ALLOCATION_LIFETIME_SECONDS_PER_ENGINE, lifetime_of(many))
 
 
--- a/tests/test_yielding.py
+++ b/tests/test_yielding.py
@@ -5,7 +5,7 @@
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import Configuration, ModelName, Service
 from larkpost.gateway.blackboard.weight_targets import ModelDemand, Outlook
-from larkpost.gateway.controllers.division import LIFETIME_SECONDS, EngineAllocator
+from larkpost.gateway.controllers.division import ALLOCATION_LIFETIME_SECONDS, EngineAllocator
 from larkpost.gateway.rollouts.engine_choice import OWN_ENGINES_SECONDS
 from tests.platform_fleet import ENGINES, MODEL, PlatformFleet, make_batch
 from tests.virtual import run
@@ -56,7 +56,7 @@
             self.assertEqual(3, len(division.engines_of(ENGINES, MODEL)))
             self.assertEqual(5, len(division.engines_of(ENGINES, OTHER)))
             demands[OTHER] = ModelDemand(100, open=True, outlook=Outlook.TO_SPARE)
-            await fleet.wait(2 * LIFETIME_SECONDS)
+            await fleet.wait(2 * ALLOCATION_LIFETIME_SECONDS)
             self.assertFalse(division.should_yield(ENGINES, MODEL))
             self.assertEqual(4, len(division.engines_of(ENGINES, MODEL)))
 
