--- a/src/larkpost/gateway/controllers/division.py
+++ b/src/larkpost/gateway/controllers/division.py
@@ -131,7 +131,7 @@
         first = shares.lending.first_engines(shares.division)
         return EngineAllocation(
             now,
-            lifetime_of(shares.division),
+            allocation_lifetime(shares.division),
             {model: frozenset(engines) for model, engines in first.items()},
             _by_model(due_loads(service, inputs, now, shares)),
             models_that_yield(service.models, demands),
@@ -149,7 +149,7 @@
         )
 
 
-def lifetime_of(division: Assignment) -> float:
+def allocation_lifetime(division: Assignment) -> float:
     """Returns the seconds for which a division serves: one of many engines takes long to make."""
     count = sum(len(engines) for engines in division.values())
     return max(ALLOCATION_LIFETIME_SECONDS, count * ALLOCATION_LIFETIME_SECONDS_PER_ENGINE)
--- a/tests/test_division_cost.py
+++ b/tests/test_division_cost.py
@@ -9,7 +9,7 @@
     ALLOCATION_LIFETIME_SECONDS,
     ALLOCATION_LIFETIME_SECONDS_PER_ENGINE,
     EngineAllocator,
-    lifetime_of,
+    allocation_lifetime,
 )
 from tests.platform_fleet import PlatformFleet
 from tests.server_parts import FIRST, SECOND, TWO_MODELS, make_instance
@@ -55,8 +55,10 @@
     def test_division_of_many_engines_serves_longer(self):
         few = {FIRST: [InstanceId("a")], SECOND: [InstanceId("b")]}
         many = {FIRST: [InstanceId(str(number)) for number in range(3200)]}
-        self.assertEqual(ALLOCATION_LIFETIME_SECONDS, lifetime_of(few))
-        self.assertAlmostEqual(3200 * ALLOCATION_LIFETIME_SECONDS_PER_ENGINE, lifetime_of(many))
+        self.assertEqual(ALLOCATION_LIFETIME_SECONDS, allocation_lifetime(few))
+        self.assertAlmostEqual(
+            3200 * ALLOCATION_LIFETIME_SECONDS_PER_ENGINE, allocation_lifetime(many)
+        )
 
 
 if __name__ == "__main__":
