--- a/src/larkpost/gateway/controllers/model_assignment.py
+++ b/src/larkpost/gateway/controllers/model_assignment.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.blackboard.weight_targets import Demands, ModelDemand
 from larkpost.gateway.controllers.engine_speeds import speed, steps_slower
 
-KEPT_BEHIND = 1
+MAX_VERSIONS_BEHIND = 1
 """Versions by which an engine that a model keeps may be behind the model's newest engine."""
 MIN_ENGINES_PER_MODEL = 2
 """Engines that each model gets at least, so that it is served while one of them is lost or loads.
@@ -111,7 +111,7 @@
         engine.id: frozenset(
             model
             for model in service.models
-            if directory.version_of(engine.id, model) >= newest[model] - KEPT_BEHIND
+            if directory.version_of(engine.id, model) >= newest[model] - MAX_VERSIONS_BEHIND
         )
         for engine in engines
     }
