--- a/src/larkpost/gateway/controllers/division.py
+++ b/src/larkpost/gateway/controllers/division.py
@@ -23,7 +23,7 @@
 from larkpost.gateway.controllers.lending_record import LendingRecord
 from larkpost.gateway.controllers.model_assignment import (
     Assignment,
-    PaceOf,
+    PaceLookup,
     unknown_pace,
 )
 
@@ -74,7 +74,7 @@
         clock: Clock,
         demands: Callable[[], Demands],
         record: LendingRecord | None = None,
-        pace: PaceOf = unknown_pace,
+        pace: PaceLookup = unknown_pace,
     ) -> None:
         self._blackboard = blackboard
         self._clock = clock
--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -22,7 +22,7 @@
 from larkpost.gateway.controllers.lending import WAITED_SECONDS, Lending, lend
 from larkpost.gateway.controllers.model_assignment import (
     Assignment,
-    PaceOf,
+    PaceLookup,
     assign_models,
     split_evacuated,
     unknown_pace,
@@ -55,7 +55,7 @@
     targets: WeightTargets
     demands: Demands
     evacuated: frozenset[ZoneId] = frozenset()
-    pace: PaceOf = unknown_pace
+    pace: PaceLookup = unknown_pace
 
 
 @dataclass(frozen=True, slots=True)
