--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -24,7 +24,7 @@
 """Share of its engines that a model lends at most: its own batches must stay in time."""
 
 
-class Standing(StrEnum):
+class LendingRole(StrEnum):
     """What a model does when engines are lent."""
 
     LENDS = "lends"
@@ -59,19 +59,19 @@
         return self.lent.get(model, [])
 
 
-def standing_of(demand: ModelDemand) -> Standing:
+def standing_of(demand: ModelDemand) -> LendingRole:
     """Returns what a model does, by how its trainer asks, and by whether its batches are hopeless.
 
     Both hold for whole steps. Whether a batch is tight does not: it gets places, and is so no more.
     """
     if demand.outlook is Outlook.HOPELESS:
-        return Standing.LENDS  # what can't be in time comes after what can
+        return LendingRole.LENDS  # what can't be in time comes after what can
     if demand.asked_after is not None and demand.asked_after < WAITED_SECONDS:
-        return Standing.BORROWS
+        return LendingRole.BORROWS
     has_leisure = (
         demand.least_asked_after is not None and demand.least_asked_after >= LEISURE_SECONDS
     )
-    return Standing.LENDS if has_leisure else Standing.NEITHER
+    return LendingRole.LENDS if has_leisure else LendingRole.NEITHER
 
 
 def lend(
@@ -93,7 +93,7 @@
     wishes: dict[ModelName, Iterator[InstanceId]] = {
         model: iter(_in_order_of_choice(model, offers, demand, version_of))
         for model, demand in known.items()
-        if standing_of(demand) is Standing.BORROWS
+        if standing_of(demand) is LendingRole.BORROWS
     }
     lent: dict[ModelName, list[InstanceId]] = {model: [] for model in wishes}
     taken: set[InstanceId] = set()
@@ -122,7 +122,7 @@
     return frozenset(
         model
         for model, demand in known.items()
-        if standing_of(demand) is Standing.LENDS
+        if standing_of(demand) is LendingRole.LENDS
         and not _is_short_of_time(demand)
         and needy
         and min(needy) <= demand.priority
@@ -130,7 +130,7 @@
 
 
 def _is_short_of_time(demand: ModelDemand) -> bool:
-    return demand.outlook is Outlook.TIGHT or standing_of(demand) is Standing.BORROWS
+    return demand.outlook is Outlook.TIGHT or standing_of(demand) is LendingRole.BORROWS
 
 
 def _offers(
@@ -143,7 +143,7 @@
     holdings = Counter(engine for engines in assignment.values() for engine in engines)
     offers: dict[InstanceId, int] = {}
     for model, engines in assignment.items():
-        if standing_of(demands[model]) is Standing.LENDS:
+        if standing_of(demands[model]) is LendingRole.LENDS:
             count = min(int(len(engines) * LENT_SHARE), len(engines) - MIN_ENGINES_PER_MODEL)
             free = [engine for engine in engines if holdings[engine] == 1]
             offers |= dict.fromkeys(free[: max(0, count)], demands[model].priority)
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -23,7 +23,7 @@
     LENT_SHARE,
     WAITED_SECONDS,
     Lending,
-    Standing,
+    LendingRole,
     lend,
     models_that_yield,
     standing_of,
@@ -69,30 +69,30 @@
     def test_standings(self):
         spare, waits = LEISURE_SECONDS + 0.1, WAITED_SECONDS - 0.1
         cases = (
-            ("nothing is known", ModelDemand(), Standing.NEITHER),
-            ("its trainer waits", demand(LONG, waits), Standing.BORROWS),
-            ("its trainer has time", demand(LONG, spare), Standing.LENDS),
-            ("neither waits nor has time", demand(LONG, 1.0), Standing.NEITHER),
+            ("nothing is known", ModelDemand(), LendingRole.NEITHER),
+            ("its trainer waits", demand(LONG, waits), LendingRole.BORROWS),
+            ("its trainer has time", demand(LONG, spare), LendingRole.LENDS),
+            ("neither waits nor has time", demand(LONG, 1.0), LendingRole.NEITHER),
             (
                 "had none a step ago",
                 ModelDemand(9, open=True, asked_after=spare, least_asked_after=0.1),
-                Standing.NEITHER,
+                LendingRole.NEITHER,
             ),
             (
                 "tight for a moment: it gets places, no engines",
                 demand(LONG, spare, outlook=Outlook.TIGHT, waiting=1),
-                Standing.LENDS,
+                LendingRole.LENDS,
             ),
-            ("in time", demand(LONG, spare, outlook=Outlook.TO_SPARE), Standing.LENDS),
+            ("in time", demand(LONG, spare, outlook=Outlook.TO_SPARE), LendingRole.LENDS),
             (
                 "in time, but its trainer waits",
                 demand(LONG, waits, outlook=Outlook.TO_SPARE),
-                Standing.BORROWS,
+                LendingRole.BORROWS,
             ),
             (
                 "can't be in time any more",
                 demand(LONG, waits, outlook=Outlook.HOPELESS),
-                Standing.LENDS,
+                LendingRole.LENDS,
             ),
         )
         for name, asked, expected in cases:
--- a/tests/test_lending_record.py
+++ b/tests/test_lending_record.py
@@ -5,7 +5,7 @@
 from larkpost.common.clock import LoopClock
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.weight_targets import ModelDemand, Outlook
-from larkpost.gateway.controllers.lending import Lending, Standing
+from larkpost.gateway.controllers.lending import Lending, LendingRole
 from larkpost.gateway.controllers.lending_record import LOG_INTERVAL_SECONDS, LendingRecord
 from larkpost.gateway.observability.eventlog import Event
 from tests.recording_log import RecordingLog
@@ -38,7 +38,9 @@
     def test_line_says_to_whom_and_why(self):
         (line,) = self.lines((0.0, LENT), (5.0, LENT))
         self.assertEqual({FIRST: ["e1"]}, line["lent"])
-        self.assertEqual({FIRST: Standing.BORROWS, SECOND: Standing.NEITHER}, line["standings"])
+        self.assertEqual(
+            {FIRST: LendingRole.BORROWS, SECOND: LendingRole.NEITHER}, line["standings"]
+        )
         self.assertEqual({FIRST: "tight", SECOND: "unknown"}, line["outlooks"])
         self.assertEqual({FIRST: 0.1, SECOND: None}, line["asked_after"])
 
