--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -27,7 +27,7 @@
 class LendingRole(StrEnum):
     """What a model does when engines are lent."""
 
-    LENDS = "lends"
+    LENDER = "lends"
     BORROWS = "borrows"
     NEITHER = "neither"
 
@@ -65,13 +65,13 @@
     Both hold for whole steps. Whether a batch is tight does not: it gets places, and is so no more.
     """
     if demand.outlook is Outlook.HOPELESS:
-        return LendingRole.LENDS  # what can't be in time comes after what can
+        return LendingRole.LENDER  # what can't be in time comes after what can
     if demand.asked_after is not None and demand.asked_after < WAITED_SECONDS:
         return LendingRole.BORROWS
     has_leisure = (
         demand.least_asked_after is not None and demand.least_asked_after >= LEISURE_SECONDS
     )
-    return LendingRole.LENDS if has_leisure else LendingRole.NEITHER
+    return LendingRole.LENDER if has_leisure else LendingRole.NEITHER
 
 
 def lend(
@@ -122,7 +122,7 @@
     return frozenset(
         model
         for model, demand in known.items()
-        if standing_of(demand) is LendingRole.LENDS
+        if standing_of(demand) is LendingRole.LENDER
         and not _is_short_of_time(demand)
         and needy
         and min(needy) <= demand.priority
@@ -143,7 +143,7 @@
     holdings = Counter(engine for engines in assignment.values() for engine in engines)
     offers: dict[InstanceId, int] = {}
     for model, engines in assignment.items():
-        if standing_of(demands[model]) is LendingRole.LENDS:
+        if standing_of(demands[model]) is LendingRole.LENDER:
             count = min(int(len(engines) * LENT_SHARE), len(engines) - MIN_ENGINES_PER_MODEL)
             free = [engine for engine in engines if holdings[engine] == 1]
             offers |= dict.fromkeys(free[: max(0, count)], demands[model].priority)
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -71,7 +71,7 @@
         cases = (
             ("nothing is known", ModelDemand(), LendingRole.NEITHER),
             ("its trainer waits", demand(LONG, waits), LendingRole.BORROWS),
-            ("its trainer has time", demand(LONG, spare), LendingRole.LENDS),
+            ("its trainer has time", demand(LONG, spare), LendingRole.LENDER),
             ("neither waits nor has time", demand(LONG, 1.0), LendingRole.NEITHER),
             (
                 "had none a step ago",
@@ -81,9 +81,9 @@
             (
                 "tight for a moment: it gets places, no engines",
                 demand(LONG, spare, outlook=Outlook.TIGHT, waiting=1),
-                LendingRole.LENDS,
+                LendingRole.LENDER,
             ),
-            ("in time", demand(LONG, spare, outlook=Outlook.TO_SPARE), LendingRole.LENDS),
+            ("in time", demand(LONG, spare, outlook=Outlook.TO_SPARE), LendingRole.LENDER),
             (
                 "in time, but its trainer waits",
                 demand(LONG, waits, outlook=Outlook.TO_SPARE),
@@ -92,7 +92,7 @@
             (
                 "can't be in time any more",
                 demand(LONG, waits, outlook=Outlook.HOPELESS),
-                LendingRole.LENDS,
+                LendingRole.LENDER,
             ),
         )
         for name, asked, expected in cases:
