--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -28,7 +28,7 @@
     """What a model does when engines are lent."""
 
     LENDER = "lends"
-    BORROWS = "borrows"
+    BORROWER = "borrows"
     NEITHER = "neither"
 
 
@@ -67,7 +67,7 @@
     if demand.outlook is Outlook.HOPELESS:
         return LendingRole.LENDER  # what can't be in time comes after what can
     if demand.asked_after is not None and demand.asked_after < WAITED_SECONDS:
-        return LendingRole.BORROWS
+        return LendingRole.BORROWER
     has_leisure = (
         demand.least_asked_after is not None and demand.least_asked_after >= LEISURE_SECONDS
     )
@@ -93,7 +93,7 @@
     wishes: dict[ModelName, Iterator[InstanceId]] = {
         model: iter(_in_order_of_choice(model, offers, demand, version_of))
         for model, demand in known.items()
-        if standing_of(demand) is LendingRole.BORROWS
+        if standing_of(demand) is LendingRole.BORROWER
     }
     lent: dict[ModelName, list[InstanceId]] = {model: [] for model in wishes}
     taken: set[InstanceId] = set()
@@ -130,7 +130,7 @@
 
 
 def _is_short_of_time(demand: ModelDemand) -> bool:
-    return demand.outlook is Outlook.TIGHT or standing_of(demand) is LendingRole.BORROWS
+    return demand.outlook is Outlook.TIGHT or standing_of(demand) is LendingRole.BORROWER
 
 
 def _offers(
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -70,7 +70,7 @@
         spare, waits = LEISURE_SECONDS + 0.1, WAITED_SECONDS - 0.1
         cases = (
             ("nothing is known", ModelDemand(), LendingRole.NEITHER),
-            ("its trainer waits", demand(LONG, waits), LendingRole.BORROWS),
+            ("its trainer waits", demand(LONG, waits), LendingRole.BORROWER),
             ("its trainer has time", demand(LONG, spare), LendingRole.LENDER),
             ("neither waits nor has time", demand(LONG, 1.0), LendingRole.NEITHER),
             (
@@ -87,7 +87,7 @@
             (
                 "in time, but its trainer waits",
                 demand(LONG, waits, outlook=Outlook.TO_SPARE),
-                LendingRole.BORROWS,
+                LendingRole.BORROWER,
             ),
             (
                 "can't be in time any more",
--- a/tests/test_lending_record.py
+++ b/tests/test_lending_record.py
@@ -39,7 +39,7 @@
         (line,) = self.lines((0.0, LENT), (5.0, LENT))
         self.assertEqual({FIRST: ["e1"]}, line["lent"])
         self.assertEqual(
-            {FIRST: LendingRole.BORROWS, SECOND: LendingRole.NEITHER}, line["standings"]
+            {FIRST: LendingRole.BORROWER, SECOND: LendingRole.NEITHER}, line["standings"]
         )
         self.assertEqual({FIRST: "tight", SECOND: "unknown"}, line["outlooks"])
         self.assertEqual({FIRST: 0.1, SECOND: None}, line["asked_after"])
