--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -29,7 +29,7 @@
 
     LENDER = "lends"
     BORROWER = "borrows"
-    NEITHER = "neither"
+    NONE = "neither"
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
     has_leisure = (
         demand.least_asked_after is not None and demand.least_asked_after >= LEISURE_SECONDS
     )
-    return LendingRole.LENDER if has_leisure else LendingRole.NEITHER
+    return LendingRole.LENDER if has_leisure else LendingRole.NONE
 
 
 def lend(
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -542,7 +542,7 @@
     """Lends no engines, whoever is short of time."""
     from larkpost.gateway.controllers import lending
 
-    return mock.patch.object(lending, "standing_of", lambda _: lending.LendingRole.NEITHER)
+    return mock.patch.object(lending, "standing_of", lambda _: lending.LendingRole.NONE)
 
 
 def load_before_the_batch():
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -69,14 +69,14 @@
     def test_standings(self):
         spare, waits = LEISURE_SECONDS + 0.1, WAITED_SECONDS - 0.1
         cases = (
-            ("nothing is known", ModelDemand(), LendingRole.NEITHER),
+            ("nothing is known", ModelDemand(), LendingRole.NONE),
             ("its trainer waits", demand(LONG, waits), LendingRole.BORROWER),
             ("its trainer has time", demand(LONG, spare), LendingRole.LENDER),
-            ("neither waits nor has time", demand(LONG, 1.0), LendingRole.NEITHER),
+            ("neither waits nor has time", demand(LONG, 1.0), LendingRole.NONE),
             (
                 "had none a step ago",
                 ModelDemand(9, open=True, asked_after=spare, least_asked_after=0.1),
-                LendingRole.NEITHER,
+                LendingRole.NONE,
             ),
             (
                 "tight for a moment: it gets places, no engines",
--- a/tests/test_lending_record.py
+++ b/tests/test_lending_record.py
@@ -38,9 +38,7 @@
     def test_line_says_to_whom_and_why(self):
         (line,) = self.lines((0.0, LENT), (5.0, LENT))
         self.assertEqual({FIRST: ["e1"]}, line["lent"])
-        self.assertEqual(
-            {FIRST: LendingRole.BORROWER, SECOND: LendingRole.NEITHER}, line["standings"]
-        )
+        self.assertEqual({FIRST: LendingRole.BORROWER, SECOND: LendingRole.NONE}, line["standings"])
         self.assertEqual({FIRST: "tight", SECOND: "unknown"}, line["outlooks"])
         self.assertEqual({FIRST: 0.1, SECOND: None}, line["asked_after"])
 
