--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -59,7 +59,7 @@
         return self.lent.get(model, [])
 
 
-def standing_of(demand: ModelDemand) -> LendingRole:
+def lending_role(demand: ModelDemand) -> LendingRole:
     """Returns what a model does, by how its trainer asks, and by whether its batches are hopeless.
 
     Both hold for whole steps. Whether a batch is tight does not: it gets places, and is so no more.
@@ -93,7 +93,7 @@
     wishes: dict[ModelName, Iterator[InstanceId]] = {
         model: iter(_in_order_of_choice(model, offers, demand, version_of))
         for model, demand in known.items()
-        if standing_of(demand) is LendingRole.BORROWER
+        if lending_role(demand) is LendingRole.BORROWER
     }
     lent: dict[ModelName, list[InstanceId]] = {model: [] for model in wishes}
     taken: set[InstanceId] = set()
@@ -122,7 +122,7 @@
     return frozenset(
         model
         for model, demand in known.items()
-        if standing_of(demand) is LendingRole.LENDER
+        if lending_role(demand) is LendingRole.LENDER
         and not _is_short_of_time(demand)
         and needy
         and min(needy) <= demand.priority
@@ -130,7 +130,7 @@
 
 
 def _is_short_of_time(demand: ModelDemand) -> bool:
-    return demand.outlook is Outlook.TIGHT or standing_of(demand) is LendingRole.BORROWER
+    return demand.outlook is Outlook.TIGHT or lending_role(demand) is LendingRole.BORROWER
 
 
 def _offers(
@@ -143,7 +143,7 @@
     holdings = Counter(engine for engines in assignment.values() for engine in engines)
     offers: dict[InstanceId, int] = {}
     for model, engines in assignment.items():
-        if standing_of(demands[model]) is LendingRole.LENDER:
+        if lending_role(demands[model]) is LendingRole.LENDER:
             count = min(int(len(engines) * LENT_SHARE), len(engines) - MIN_ENGINES_PER_MODEL)
             free = [engine for engine in engines if holdings[engine] == 1]
             offers |= dict.fromkeys(free[: max(0, count)], demands[model].priority)
--- a/src/larkpost/gateway/controllers/lending_record.py
+++ b/src/larkpost/gateway/controllers/lending_record.py
@@ -3,7 +3,7 @@
 from larkpost.common.clock import Clock
 from larkpost.gateway.blackboard.configuration import Service, ServiceName
 from larkpost.gateway.blackboard.weight_targets import Demands, ModelDemand
-from larkpost.gateway.controllers.lending import Lending, standing_of
+from larkpost.gateway.controllers.lending import Lending, lending_role
 from larkpost.gateway.observability.eventlog import Event, EventLog
 
 LOG_INTERVAL_SECONDS = 1.0
@@ -35,7 +35,7 @@
             service=service.name,
             counts={model: len(engines) for model, engines in lending.lent.items()},
             lent={model: engines[:MAX_NAMED] for model, engines in lending.lent.items()},
-            standings={model: standing_of(demand) for model, demand in known.items()},
+            standings={model: lending_role(demand) for model, demand in known.items()},
             outlooks={model: demand.outlook for model, demand in known.items()},
             asked_after={model: demand.asked_after for model, demand in known.items()},
         )
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -25,8 +25,8 @@
     Lending,
     LendingRole,
     lend,
+    lending_role,
     models_that_yield,
-    standing_of,
 )
 from larkpost.gateway.controllers.model_assignment import (
     MIN_ENGINES_PER_MODEL,
@@ -97,7 +97,7 @@
         )
         for name, asked, expected in cases:
             with self.subTest(name):
-                self.assertIs(expected, standing_of(asked))
+                self.assertIs(expected, lending_role(asked))
 
     def test_who_leaves_free_places_to_others(self):
         waiting = two_behind() | {LONG: demand(LONG, 0.02, waiting=5)}
