--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -18,7 +18,7 @@
 
 WAITED_SECONDS = 0.5
 """A batch that comes within so many seconds of its model's version had to wait for it."""
-LEISURE_SECONDS = 1.5
+TRAINER_SLACK_SECONDS = 1.5
 """A trainer whose batches come so long after their versions has time to spare."""
 LENT_SHARE = 0.4
 """Share of its engines that a model lends at most: its own batches must stay in time."""
@@ -69,7 +69,7 @@
     if demand.asked_after is not None and demand.asked_after < WAITED_SECONDS:
         return LendingRole.BORROWER
     has_leisure = (
-        demand.least_asked_after is not None and demand.least_asked_after >= LEISURE_SECONDS
+        demand.least_asked_after is not None and demand.least_asked_after >= TRAINER_SLACK_SECONDS
     )
     return LendingRole.LENDER if has_leisure else LendingRole.NONE
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -19,8 +19,8 @@
 )
 from larkpost.gateway.controllers.due_loads import LoadInputs, due_loads
 from larkpost.gateway.controllers.lending import (
-    LEISURE_SECONDS,
     LENT_SHARE,
+    TRAINER_SLACK_SECONDS,
     WAITED_SECONDS,
     Lending,
     LendingRole,
@@ -55,7 +55,7 @@
 
 def all_at_leisure() -> dict[ModelName, ModelDemand]:
     """Returns what the models ask for while all trainers have time to spare."""
-    return {model: demand(model, LEISURE_SECONDS + 1) for model in THREE.models}
+    return {model: demand(model, TRAINER_SLACK_SECONDS + 1) for model in THREE.models}
 
 
 def two_behind() -> dict[ModelName, ModelDemand]:
@@ -67,7 +67,7 @@
     """Who lends and who borrows."""
 
     def test_standings(self):
-        spare, waits = LEISURE_SECONDS + 0.1, WAITED_SECONDS - 0.1
+        spare, waits = TRAINER_SLACK_SECONDS + 0.1, WAITED_SECONDS - 0.1
         cases = (
             ("nothing is known", ModelDemand(), LendingRole.NONE),
             ("its trainer waits", demand(LONG, waits), LendingRole.BORROWER),
