--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -19,7 +19,7 @@
     WeightTarget,
     WeightTargets,
 )
-from larkpost.gateway.controllers.lending import WAITED_SECONDS, Lending, lend
+from larkpost.gateway.controllers.lending import TRAINER_BLOCKED_SECONDS, Lending, lend
 from larkpost.gateway.controllers.model_assignment import (
     Assignment,
     PaceLookup,
@@ -99,7 +99,7 @@
     asked with this version is here, and no batch before it is open whose end the next version
     waits for.
     """
-    waits = demand.asked_after is not None and demand.asked_after < WAITED_SECONDS
+    waits = demand.asked_after is not None and demand.asked_after < TRAINER_BLOCKED_SECONDS
     return waits and demand.asked_at == version and not demand.open_before
 
 
--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -16,7 +16,7 @@
 from larkpost.gateway.blackboard.weight_targets import Demands, ModelDemand, Outlook
 from larkpost.gateway.controllers.model_assignment import MIN_ENGINES_PER_MODEL, Assignment
 
-WAITED_SECONDS = 0.5
+TRAINER_BLOCKED_SECONDS = 0.5
 """A batch that comes within so many seconds of its model's version had to wait for it."""
 TRAINER_SLACK_SECONDS = 1.5
 """A trainer whose batches come so long after their versions has time to spare."""
@@ -66,7 +66,7 @@
     """
     if demand.outlook is Outlook.HOPELESS:
         return LendingRole.LENDER  # what can't be in time comes after what can
-    if demand.asked_after is not None and demand.asked_after < WAITED_SECONDS:
+    if demand.asked_after is not None and demand.asked_after < TRAINER_BLOCKED_SECONDS:
         return LendingRole.BORROWER
     has_leisure = (
         demand.least_asked_after is not None and demand.least_asked_after >= TRAINER_SLACK_SECONDS
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -20,8 +20,8 @@
 from larkpost.gateway.controllers.due_loads import LoadInputs, due_loads
 from larkpost.gateway.controllers.lending import (
     LENT_SHARE,
+    TRAINER_BLOCKED_SECONDS,
     TRAINER_SLACK_SECONDS,
-    WAITED_SECONDS,
     Lending,
     LendingRole,
     lend,
@@ -67,7 +67,7 @@
     """Who lends and who borrows."""
 
     def test_standings(self):
-        spare, waits = TRAINER_SLACK_SECONDS + 0.1, WAITED_SECONDS - 0.1
+        spare, waits = TRAINER_SLACK_SECONDS + 0.1, TRAINER_BLOCKED_SECONDS - 0.1
         cases = (
             ("nothing is known", ModelDemand(), LendingRole.NONE),
             ("its trainer waits", demand(LONG, waits), LendingRole.BORROWER),
--- a/tests/test_load_timing.py
+++ b/tests/test_load_timing.py
@@ -26,7 +26,7 @@
     engines_to_load,
     is_urgent,
 )
-from larkpost.gateway.controllers.lending import WAITED_SECONDS
+from larkpost.gateway.controllers.lending import TRAINER_BLOCKED_SECONDS
 from larkpost.gateway.rollouts import codec
 from larkpost.gateway.rollouts.known_heads import FRESH_SECONDS, WORK_BATCHES, KnownHeads
 from larkpost.gateway.rollouts.model import BatchHead
@@ -42,7 +42,7 @@
     ("nothing is known", ModelDemand(), False),
     ("came with its version, no earlier batch is open", WAITS, True),
     ("an earlier batch is open", replace(WAITS, open_before=True), False),
-    ("came long after its version", replace(WAITS, asked_after=WAITED_SECONDS), False),
+    ("came long after its version", replace(WAITS, asked_after=TRAINER_BLOCKED_SECONDS), False),
     ("when it came is not known", ModelDemand(100, open=True), False),
     ("the version is newer: its batch is still to come", replace(WAITS, asked_at=1), False),
 )
