--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -20,7 +20,7 @@
 """A batch that comes within so many seconds of its model's version had to wait for it."""
 TRAINER_SLACK_SECONDS = 1.5
 """A trainer whose batches come so long after their versions has time to spare."""
-LENT_SHARE = 0.4
+MAX_LENT_FRACTION = 0.4
 """Share of its engines that a model lends at most: its own batches must stay in time."""
 
 
@@ -144,7 +144,7 @@
     offers: dict[InstanceId, int] = {}
     for model, engines in assignment.items():
         if lending_role(demands[model]) is LendingRole.LENDER:
-            count = min(int(len(engines) * LENT_SHARE), len(engines) - MIN_ENGINES_PER_MODEL)
+            count = min(int(len(engines) * MAX_LENT_FRACTION), len(engines) - MIN_ENGINES_PER_MODEL)
             free = [engine for engine in engines if holdings[engine] == 1]
             offers |= dict.fromkeys(free[: max(0, count)], demands[model].priority)
     return offers
--- a/src/larkpost/gateway/rollouts/batch_outlooks.py
+++ b/src/larkpost/gateway/rollouts/batch_outlooks.py
@@ -22,7 +22,7 @@
 from larkpost.gateway.blackboard.directory import Directory
 from larkpost.gateway.blackboard.weight_targets import ModelDemand, Outlook
 from larkpost.gateway.controllers.batch_forecast import Capacity, judge_batch, most_in_need
-from larkpost.gateway.controllers.lending import LENT_SHARE
+from larkpost.gateway.controllers.lending import MAX_LENT_FRACTION
 from larkpost.gateway.rollouts.model import BatchHead
 
 LOWEST_PRIORITY = 9
@@ -173,7 +173,7 @@
             return Capacity(0, 0, 0.0, 0.0)
         places = sum(max(1, info.slots) for info in engines)
         return Capacity(
-            max(1, int(places * (1 - LENT_SHARE) / len(service.models))),
+            max(1, int(places * (1 - MAX_LENT_FRACTION) / len(service.models))),
             places,
             paces[len(paces) // 2] / service.tokens_per_event,
             paces[0] / service.tokens_per_event,
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -19,7 +19,7 @@
 )
 from larkpost.gateway.controllers.due_loads import LoadInputs, due_loads
 from larkpost.gateway.controllers.lending import (
-    LENT_SHARE,
+    MAX_LENT_FRACTION,
     TRAINER_BLOCKED_SECONDS,
     TRAINER_SLACK_SECONDS,
     Lending,
@@ -170,7 +170,7 @@
         assignment, _ = self.divide(two_behind())
         first = self.first_engines(two_behind())
         lent = set(assignment[SHORT]) - first[SHORT]
-        self.assertEqual(int(len(assignment[SHORT]) * LENT_SHARE), len(lent))
+        self.assertEqual(int(len(assignment[SHORT]) * MAX_LENT_FRACTION), len(lent))
         self.assertGreater(len(lent), 0)
         self.assertGreaterEqual(len(first[SHORT]), MIN_ENGINES_PER_MODEL)
         for model in (LONG, LONGEST):
@@ -223,7 +223,7 @@
         assignment = {SHORT: names[:1000], LONG: names[1000:2000], LONGEST: names[2000:]}
         lending = lend(assignment, two_behind(), version_of)
         count = sum(len(engines) for engines in lending.lent.values())
-        self.assertEqual(int(1000 * LENT_SHARE), count)
+        self.assertEqual(int(1000 * MAX_LENT_FRACTION), count)
         self.assertEqual(len(lending.lent) * count, len(asked))
 
     def test_engine_that_is_due_two_versions_loads_the_borrowers_first(self):
