--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -19,7 +19,7 @@
     WeightTarget,
     WeightTargets,
 )
-from larkpost.gateway.controllers.lending import TRAINER_BLOCKED_SECONDS, Lending, lend
+from larkpost.gateway.controllers.lending import TRAINER_BLOCKED_SECONDS, Lending, plan_lending
 from larkpost.gateway.controllers.model_assignment import (
     Assignment,
     PaceLookup,
@@ -110,7 +110,7 @@
     assignment = assign_models(service, serving, inputs.directory, inputs.demands, inputs.pace)
     return EngineShares(
         assignment,
-        lend(assignment, inputs.demands, inputs.directory.version_of),
+        plan_lending(assignment, inputs.demands, inputs.directory.version_of),
         assign_models(service, evacuated_engines, inputs.directory, inputs.demands),
     )
 
--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -74,7 +74,7 @@
     return LendingRole.LENDER if has_leisure else LendingRole.NONE
 
 
-def lend(
+def plan_lending(
     assignment: Assignment,
     demands: Demands,
     version_of: Callable[[InstanceId, ModelName], int],
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -24,9 +24,9 @@
     TRAINER_SLACK_SECONDS,
     Lending,
     LendingRole,
-    lend,
     lending_role,
     models_that_yield,
+    plan_lending,
 )
 from larkpost.gateway.controllers.model_assignment import (
     MIN_ENGINES_PER_MODEL,
@@ -140,7 +140,7 @@
         """Returns the division by work, and what is lent."""
         engines = self.directory.of_service(THREE.name)
         assignment = assign_models(THREE, engines, self.directory, demands)
-        return assignment, lend(assignment, demands, self.directory.version_of)
+        return assignment, plan_lending(assignment, demands, self.directory.version_of)
 
     def first_engines(self, demands: Demands) -> dict[ModelName, set[InstanceId]]:
         """Returns the engines whose first places are each model's."""
@@ -221,7 +221,7 @@
 
         names = [InstanceId(f"e{number}") for number in range(3000)]
         assignment = {SHORT: names[:1000], LONG: names[1000:2000], LONGEST: names[2000:]}
-        lending = lend(assignment, two_behind(), version_of)
+        lending = plan_lending(assignment, two_behind(), version_of)
         count = sum(len(engines) for engines in lending.lent.values())
         self.assertEqual(int(1000 * MAX_LENT_FRACTION), count)
         self.assertEqual(len(lending.lent) * count, len(asked))
@@ -254,7 +254,7 @@
         engines = self.directory.of_service(THREE.name)
         demands = {LONG: demand(LONG, 0.02)}
         assignment = assign_models(one, engines, self.directory, demands)
-        self.assertEqual(Lending(), lend(assignment, demands, self.directory.version_of))
+        self.assertEqual(Lending(), plan_lending(assignment, demands, self.directory.version_of))
 
     def test_few_engines_of_several_models_are_not_lent(self):
         self.directory = make_directory(3, THREE.name, slots=8)
