--- a/src/larkpost/gateway/controllers/division.py
+++ b/src/larkpost/gateway/controllers/division.py
@@ -19,7 +19,7 @@
     allocate_engines,
     due_loads,
 )
-from larkpost.gateway.controllers.lending import models_that_yield
+from larkpost.gateway.controllers.lending import yielding_models
 from larkpost.gateway.controllers.lending_record import LendingRecord
 from larkpost.gateway.controllers.model_assignment import (
     Assignment,
@@ -134,7 +134,7 @@
             allocation_lifetime(shares.division),
             {model: frozenset(engines) for model, engines in first.items()},
             _by_model(due_loads(service, inputs, now, shares)),
-            models_that_yield(service.models, demands),
+            yielding_models(service.models, demands),
             demands,
             shares,
         )
--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -108,7 +108,7 @@
     return Lending({model: engines for model, engines in lent.items() if engines})
 
 
-def models_that_yield(models: Iterable[ModelName], demands: Demands) -> frozenset[ModelName]:
+def yielding_models(models: Iterable[ModelName], demands: Demands) -> frozenset[ModelName]:
     """Returns the models whose batches leave places that fall free to those of others.
 
     They do while they have time to spare, or can't be in time, and items of a batch of another
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -25,8 +25,8 @@
     Lending,
     LendingRole,
     lending_role,
-    models_that_yield,
     plan_lending,
+    yielding_models,
 )
 from larkpost.gateway.controllers.model_assignment import (
     MIN_ENGINES_PER_MODEL,
@@ -124,7 +124,7 @@
         )
         for name, demands, expected in cases:
             with self.subTest(name):
-                self.assertEqual(expected, models_that_yield(THREE.models, demands))
+                self.assertEqual(expected, yielding_models(THREE.models, demands))
 
 
 class LendingTest(unittest.TestCase):
