--- a/src/larkpost/gateway/controllers/division.py
+++ b/src/larkpost/gateway/controllers/division.py
@@ -128,7 +128,7 @@
         shares = allocate_engines(service, inputs)
         if self._record is not None:
             self._record.record(service, shares.lending, demands)
-        first = shares.lending.first_engines(shares.division)
+        first = shares.lending.preferred_engines(shares.division)
         return EngineAllocation(
             now,
             allocation_lifetime(shares.division),
--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -38,7 +38,7 @@
 
     lent: dict[ModelName, list[InstanceId]] = field(default_factory=dict)
 
-    def first_engines(self, assignment: Assignment) -> Assignment:
+    def preferred_engines(self, assignment: Assignment) -> Assignment:
         """Returns the engines whose first places are each model's: no engine is two models'."""
         gone = {engine for engines in self.lent.values() for engine in engines}
         return {
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -142,10 +142,10 @@
         assignment = assign_models(THREE, engines, self.directory, demands)
         return assignment, plan_lending(assignment, demands, self.directory.version_of)
 
-    def first_engines(self, demands: Demands) -> dict[ModelName, set[InstanceId]]:
+    def preferred_engines(self, demands: Demands) -> dict[ModelName, set[InstanceId]]:
         """Returns the engines whose first places are each model's."""
         assignment, lending = self.divide(demands)
-        return {model: set(names) for model, names in lending.first_engines(assignment).items()}
+        return {model: set(names) for model, names in lending.preferred_engines(assignment).items()}
 
     def load_all(self, demands: Demands, version: int) -> int:
         """Loads a version of each model wherever it is due; returns how many engines load."""
@@ -163,12 +163,12 @@
     def test_all_have_time_to_spare(self):
         assignment, lending = self.divide(all_at_leisure())
         self.assertEqual(Lending(), lending)
-        self.assertEqual(assignment, lending.first_engines(assignment))
+        self.assertEqual(assignment, lending.preferred_engines(assignment))
         self.assertEqual(assignment, lending.holders(assignment))
 
     def test_one_with_time_to_spare_lends_to_two_that_lack_it(self):
         assignment, _ = self.divide(two_behind())
-        first = self.first_engines(two_behind())
+        first = self.preferred_engines(two_behind())
         lent = set(assignment[SHORT]) - first[SHORT]
         self.assertEqual(int(len(assignment[SHORT]) * MAX_LENT_FRACTION), len(lent))
         self.assertGreater(len(lent), 0)
@@ -267,7 +267,7 @@
         for version in (2, 3, 4):
             self.load_all(two_behind(), version)
         self.assertEqual(assignment[SHORT], self.divide(all_at_leisure())[0][SHORT])
-        back = self.first_engines(all_at_leisure())
+        back = self.preferred_engines(all_at_leisure())
         self.assertEqual({model: set(names) for model, names in assignment.items()}, back)
         for engine in back[SHORT]:
             self.assertEqual(4, self.directory.version_of(engine, SHORT))
@@ -290,7 +290,7 @@
         lent = [name for names in self.divide(two_behind())[1].lent.values() for name in names]
         for engine in lent:
             self.directory.remove(engine, sound=True)
-        first = self.first_engines(two_behind())
+        first = self.preferred_engines(two_behind())
         self.assertEqual(ENGINES - len(lent), sum(len(engines) for engines in first.values()))
         for engines in first.values():
             self.assertGreaterEqual(len(engines), MIN_ENGINES_PER_MODEL)
@@ -299,14 +299,17 @@
         other = Directory()
         for info in reversed(self.directory.of_service(THREE.name)):
             other.update(info)
-        here = self.first_engines(two_behind())
+        here = self.preferred_engines(two_behind())
         self.directory = other
-        self.assertEqual(here, self.first_engines(dict(reversed(two_behind().items()))))
+        self.assertEqual(here, self.preferred_engines(dict(reversed(two_behind().items()))))
 
     def test_one_that_knows_an_older_state_uses_engines_with_the_version_all_the_same(self):
         for version in (2, 3):
             self.load_all(two_behind(), version)
-        older, newer = self.first_engines(all_at_leisure()), self.first_engines(two_behind())
+        older, newer = (
+            self.preferred_engines(all_at_leisure()),
+            self.preferred_engines(two_behind()),
+        )
         for model in THREE.models:
             for engine in older[model] | newer[model]:
                 self.assertGreaterEqual(self.directory.version_of(engine, model), 3)
