--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -127,7 +127,7 @@
     if not _is_any_behind(service, inputs):
         return []
     shares = shares or allocate_engines(service, inputs)
-    assigned = shares.lending.holders(shares.assignment)
+    assigned = shares.lending.loading_engines(shares.assignment)
     due: list[tuple[InstanceId, WeightTarget]] = []
     for model in sorted(assigned, key=lambda model: model not in shares.lending.lent):
         engine_ids = assigned[model]  # a borrower's first: an engine takes one order at a time
--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -46,7 +46,7 @@
             for model, engines in assignment.items()
         }
 
-    def holders(self, assignment: Assignment) -> Assignment:
+    def loading_engines(self, assignment: Assignment) -> Assignment:
         """Returns the engines that load each model's versions, in the order of loading."""
         return {
             model: sorted(engines + self._borrowed(model), key=hash64)
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -164,7 +164,7 @@
         assignment, lending = self.divide(all_at_leisure())
         self.assertEqual(Lending(), lending)
         self.assertEqual(assignment, lending.preferred_engines(assignment))
-        self.assertEqual(assignment, lending.holders(assignment))
+        self.assertEqual(assignment, lending.loading_engines(assignment))
 
     def test_one_with_time_to_spare_lends_to_two_that_lack_it(self):
         assignment, _ = self.divide(two_behind())
@@ -181,11 +181,11 @@
 
     def test_lent_engines_load_both_models(self):
         assignment, lending = self.divide(two_behind())
-        holders = lending.holders(assignment)
-        self.assertEqual(assignment[SHORT], holders[SHORT])
+        loading_engines = lending.loading_engines(assignment)
+        self.assertEqual(assignment[SHORT], loading_engines[SHORT])
         for model, engines in lending.lent.items():
-            self.assertLessEqual(set(engines), set(holders[model]))
-            self.assertEqual(sorted(holders[model], key=hash64), holders[model])
+            self.assertLessEqual(set(engines), set(loading_engines[model]))
+            self.assertEqual(sorted(loading_engines[model], key=hash64), loading_engines[model])
 
     def test_hopeless_lends_to_one_that_can_be_saved(self):
         demands = {
