--- a/src/larkpost/gateway/controllers/division.py
+++ b/src/larkpost/gateway/controllers/division.py
@@ -20,7 +20,7 @@
     due_loads,
 )
 from larkpost.gateway.controllers.lending import yielding_models
-from larkpost.gateway.controllers.lending_record import LendingRecord
+from larkpost.gateway.controllers.lending_record import LendingLog
 from larkpost.gateway.controllers.model_assignment import (
     Assignment,
     PaceLookup,
@@ -73,7 +73,7 @@
         blackboard: Blackboard,
         clock: Clock,
         demands: Callable[[], Demands],
-        record: LendingRecord | None = None,
+        record: LendingLog | None = None,
         pace: PaceLookup = unknown_pace,
     ) -> None:
         self._blackboard = blackboard
--- a/src/larkpost/gateway/controllers/lending_record.py
+++ b/src/larkpost/gateway/controllers/lending_record.py
@@ -13,7 +13,7 @@
 """Most engines that a line names for each model."""
 
 
-class LendingRecord:
+class LendingLog:
     """What was logged last of the lending of each service."""
 
     def __init__(self, log: EventLog, clock: Clock) -> None:
