--- a/src/larkpost/gateway/controllers/division.py
+++ b/src/larkpost/gateway/controllers/division.py
@@ -20,7 +20,7 @@
     due_loads,
 )
 from larkpost.gateway.controllers.lending import yielding_models
-from larkpost.gateway.controllers.lending_record import LendingLog
+from larkpost.gateway.controllers.lending_log import LendingLog
 from larkpost.gateway.controllers.model_assignment import (
     Assignment,
     PaceLookup,
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -27,7 +27,7 @@
 from larkpost.gateway.controllers.division import EngineAllocator
 from larkpost.gateway.controllers.feeds import BatchListener, Feeds, FeedSource
 from larkpost.gateway.controllers.heartbeat import new_incarnation
-from larkpost.gateway.controllers.lending_record import LendingLog
+from larkpost.gateway.controllers.lending_log import LendingLog
 from larkpost.gateway.controllers.true_time import TrueTime
 from larkpost.gateway.fairness.ledger import FlowLedger
 from larkpost.gateway.memory.daemon_memory import DaemonMemory
--- a/tests/test_lending_record.py
+++ b/tests/test_lending_record.py
@@ -6,7 +6,7 @@
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.weight_targets import ModelDemand, Outlook
 from larkpost.gateway.controllers.lending import Lending, LendingRole
-from larkpost.gateway.controllers.lending_record import LOG_INTERVAL_SECONDS, LendingLog
+from larkpost.gateway.controllers.lending_log import LOG_INTERVAL_SECONDS, LendingLog
 from larkpost.gateway.observability.eventlog import Event
 from tests.recording_log import RecordingLog
 from tests.server_parts import FIRST, SECOND, TWO_MODELS
