--- a/src/larkpost/gateway/assembly/leased_controllers.py
+++ b/src/larkpost/gateway/assembly/leased_controllers.py
@@ -9,7 +9,7 @@
 from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.controllers.coordination import Coordination
-from larkpost.gateway.controllers.division import EngineAllocator
+from larkpost.gateway.controllers.engine_allocator import EngineAllocator
 from larkpost.gateway.controllers.feeds import Feeds
 from larkpost.gateway.controllers.leases import LeaseTable
 from larkpost.gateway.controllers.loader import WeightLoader
--- a/src/larkpost/gateway/controllers/loader.py
+++ b/src/larkpost/gateway/controllers/loader.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.blackboard.weight_targets import WeightTarget
 from larkpost.gateway.controllers.coordination import Coordination
-from larkpost.gateway.controllers.division import EngineAllocator
+from larkpost.gateway.controllers.engine_allocator import EngineAllocator
 from larkpost.gateway.controllers.leases import Duty, Lease, LeaseSubject
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -24,7 +24,7 @@
 from larkpost.gateway.assembly.membership import MembershipInputs, make_membership
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
-from larkpost.gateway.controllers.division import EngineAllocator
+from larkpost.gateway.controllers.engine_allocator import EngineAllocator
 from larkpost.gateway.controllers.feeds import BatchListener, Feeds, FeedSource
 from larkpost.gateway.controllers.heartbeat import new_incarnation
 from larkpost.gateway.controllers.lending_log import LendingLog
--- a/src/larkpost/gateway/rollouts/context.py
+++ b/src/larkpost/gateway/rollouts/context.py
@@ -8,7 +8,7 @@
 from larkpost.gateway.blackboard.configuration import ConfigurationState
 from larkpost.gateway.blackboard.directory import Directory
 from larkpost.gateway.blackboard.known_crashes import KnownCrashes
-from larkpost.gateway.controllers.division import EngineAllocator
+from larkpost.gateway.controllers.engine_allocator import EngineAllocator
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.placement.cold_rate_limit import ColdRateLimit
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -8,7 +8,7 @@
 from larkpost.common.errors import LarkpostError
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
-from larkpost.gateway.controllers.division import EngineAllocator
+from larkpost.gateway.controllers.engine_allocator import EngineAllocator
 from larkpost.gateway.controllers.heartbeat_intervals import DEAD_AFTER_SECONDS
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.instance_use import PROBE_SECONDS
--- a/tests/test_division_cost.py
+++ b/tests/test_division_cost.py
@@ -5,7 +5,7 @@
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import Configuration
 from larkpost.gateway.blackboard.weight_targets import WeightTarget
-from larkpost.gateway.controllers.division import (
+from larkpost.gateway.controllers.engine_allocator import (
     ALLOCATION_LIFETIME_SECONDS,
     ALLOCATION_LIFETIME_SECONDS_PER_ENGINE,
     EngineAllocator,
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -13,7 +13,6 @@
 from larkpost.gateway.blackboard.evacuations import Evacuations, ZoneEvacuation
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.blackboard.weight_targets import WeightTarget, WeightTargets
-from larkpost.gateway.controllers.division import EngineAllocator
 from larkpost.gateway.controllers.due_loads import (
     GROUP_TURN_SECONDS,
     IDLE_LOAD_DELAY_SECONDS,
@@ -21,6 +20,7 @@
     LoadInputs,
     due_loads,
 )
+from larkpost.gateway.controllers.engine_allocator import EngineAllocator
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.placement.decision import PlacementDecision
 from larkpost.gateway.placement.evacuation_rule import EvacuationRule
--- a/tests/test_yielding.py
+++ b/tests/test_yielding.py
@@ -5,7 +5,10 @@
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import Configuration, ModelName, Service
 from larkpost.gateway.blackboard.weight_targets import ModelDemand, Outlook
-from larkpost.gateway.controllers.division import ALLOCATION_LIFETIME_SECONDS, EngineAllocator
+from larkpost.gateway.controllers.engine_allocator import (
+    ALLOCATION_LIFETIME_SECONDS,
+    EngineAllocator,
+)
 from larkpost.gateway.rollouts.engine_choice import OWN_ENGINES_SECONDS
 from tests.platform_fleet import ENGINES, MODEL, PlatformFleet, make_batch
 from tests.virtual import run
