--- a/src/larkpost/gateway/controllers/batch_forecast.py
+++ b/src/larkpost/gateway/controllers/batch_forecast.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Capacity:
+class BatchCapacity:
     """What engines can do for a batch.
 
     Attributes:
@@ -35,7 +35,7 @@
     best_token_time: float
 
 
-def judge_batch(progress: BatchProgress, due_in: float, capacity: Capacity) -> Outlook:
+def judge_batch(progress: BatchProgress, due_in: float, capacity: BatchCapacity) -> Outlook:
     """Returns the outlook of a batch.
 
     Args:
--- a/src/larkpost/gateway/rollouts/batch_outlooks.py
+++ b/src/larkpost/gateway/rollouts/batch_outlooks.py
@@ -21,7 +21,7 @@
 from larkpost.gateway.blackboard.daemon_report import BatchProgress
 from larkpost.gateway.blackboard.directory import Directory
 from larkpost.gateway.blackboard.weight_targets import ModelDemand, Outlook
-from larkpost.gateway.controllers.batch_forecast import Capacity, judge_batch, most_in_need
+from larkpost.gateway.controllers.batch_forecast import BatchCapacity, judge_batch, most_in_need
 from larkpost.gateway.controllers.lending import MAX_LENT_FRACTION
 from larkpost.gateway.rollouts.model import BatchHead
 
@@ -87,7 +87,7 @@
             own: progress of the batches that this daemon owns.
         """
         known = self._reported() | own
-        capacities: dict[ServiceName, Capacity] = {}
+        capacities: dict[ServiceName, BatchCapacity] = {}
         outlooks: dict[ModelName, list[Outlook]] = defaultdict(list)
         waiting: dict[ModelName, int] = defaultdict(int)
         for head in heads.open:
@@ -131,7 +131,7 @@
         self,
         head: BatchHead,
         progress: BatchProgress,
-        capacities: dict[ServiceName, Capacity],
+        capacities: dict[ServiceName, BatchCapacity],
     ) -> Outlook:
         """Returns the outlook of a batch.
 
@@ -161,7 +161,7 @@
             return LOWEST_PRIORITY
         return configuration.priority_of(head.tenant, route)
 
-    def _capacity(self, service: Service) -> Capacity:
+    def _capacity(self, service: Service) -> BatchCapacity:
         """Returns what a service's engines can do for a batch.
 
         It counts on an equal share of them, less what its model may lend.
@@ -170,9 +170,9 @@
         known = (self._sources.pace(info.id) for info in engines)
         paces = sorted(pace for pace in known if pace)
         if not paces:
-            return Capacity(0, 0, 0.0, 0.0)
+            return BatchCapacity(0, 0, 0.0, 0.0)
         places = sum(max(1, info.slots) for info in engines)
-        return Capacity(
+        return BatchCapacity(
             max(1, int(places * (1 - MAX_LENT_FRACTION) / len(service.models))),
             places,
             paces[len(paces) // 2] / service.tokens_per_event,
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -9,7 +9,7 @@
 from larkpost.gateway.controllers.batch_forecast import (
     HOPELESS_SECONDS,
     SPARE_SECONDS,
-    Capacity,
+    BatchCapacity,
     judge_batch,
     most_in_need,
     seconds_left,
@@ -29,9 +29,9 @@
 from tests.platform_fleet import MODEL, PlatformFleet, make_batch
 from tests.virtual import run
 
-POOL = Capacity(share=58, whole=176, token_time=0.000625, best_token_time=0.0006)
+POOL = BatchCapacity(share=58, whole=176, token_time=0.000625, best_token_time=0.0006)
 """A third of 22 engines of 8 places, where an event of 80 tokens takes 0.05 s."""
-UNEVEN = Capacity(share=48, whole=192, token_time=0.001, best_token_time=0.0007)
+UNEVEN = BatchCapacity(share=48, whole=192, token_time=0.001, best_token_time=0.0007)
 """A quarter of 24 engines, of which the slow ones take 1.7 times the usual time, the others 0.7."""
 LONG = BatchProgress(0, work=1848 * 80, long_item=149 * 80)
 SHORT = BatchProgress(0, work=864 * 80, long_item=84 * 80)
@@ -57,7 +57,7 @@
             ("short items at uneven engines", SHORT, 11.0, UNEVEN, Outlook.TO_SPARE),
             ("long ones: in time at the fast", LONG, 7.5, UNEVEN, Outlook.TIGHT),
             ("more work than the fast engines do", LONG, -0.5, UNEVEN, Outlook.HOPELESS),
-            ("no pace is known", SHORT, 7.5, Capacity(0, 0, 0.0, 0.0), Outlook.UNKNOWN),
+            ("no pace is known", SHORT, 7.5, BatchCapacity(0, 0, 0.0, 0.0), Outlook.UNKNOWN),
         )
         for name, progress, due_in, capacity, expected in cases:
             with self.subTest(name):
