--- a/src/larkpost/gateway/controllers/batch_forecast.py
+++ b/src/larkpost/gateway/controllers/batch_forecast.py
@@ -35,7 +35,7 @@
     best_token_time: float
 
 
-def judge_batch(progress: BatchProgress, due_in: float, capacity: BatchCapacity) -> Outlook:
+def forecast_outlook(progress: BatchProgress, due_in: float, capacity: BatchCapacity) -> Outlook:
     """Returns the outlook of a batch.
 
     Args:
--- a/src/larkpost/gateway/rollouts/batch_outlooks.py
+++ b/src/larkpost/gateway/rollouts/batch_outlooks.py
@@ -21,7 +21,11 @@
 from larkpost.gateway.blackboard.daemon_report import BatchProgress
 from larkpost.gateway.blackboard.directory import Directory
 from larkpost.gateway.blackboard.weight_targets import ModelDemand, Outlook
-from larkpost.gateway.controllers.batch_forecast import BatchCapacity, judge_batch, most_in_need
+from larkpost.gateway.controllers.batch_forecast import (
+    BatchCapacity,
+    forecast_outlook,
+    most_in_need,
+)
 from larkpost.gateway.controllers.lending import MAX_LENT_FRACTION
 from larkpost.gateway.rollouts.model import BatchHead
 
@@ -149,7 +153,7 @@
         due_in = head.created_at + route.due - now
         if service.name not in capacities:
             capacities[service.name] = self._capacity(service)
-        return judge_batch(progress, due_in, capacities[service.name])
+        return forecast_outlook(progress, due_in, capacities[service.name])
 
     def _priority(self, head: BatchHead) -> int:
         """Returns the priority of a batch's tenant or route, 0 highest."""
