--- a/src/larkpost/gateway/rollouts/batch_outlooks.py
+++ b/src/larkpost/gateway/rollouts/batch_outlooks.py
@@ -24,7 +24,7 @@
 from larkpost.gateway.controllers.batch_forecast import (
     BatchCapacity,
     forecast_outlook,
-    most_in_need,
+    most_urgent_outlook,
 )
 from larkpost.gateway.controllers.lending import MAX_LENT_FRACTION
 from larkpost.gateway.rollouts.model import BatchHead
@@ -105,7 +105,7 @@
         return {
             model: replace(
                 demand,
-                outlook=most_in_need(outlooks[model]),
+                outlook=most_urgent_outlook(outlooks[model]),
                 waiting=waiting[model],
                 priority=priorities.get(model, LOWEST_PRIORITY),
             )
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -11,7 +11,7 @@
     SPARE_SECONDS,
     BatchCapacity,
     forecast_outlook,
-    most_in_need,
+    most_urgent_outlook,
     seconds_left,
 )
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
@@ -93,7 +93,7 @@
         )
         for outlooks, expected in cases:
             with self.subTest(outlooks):
-                self.assertIs(expected, most_in_need(outlooks))
+                self.assertIs(expected, most_urgent_outlook(outlooks))
 
 
 class WorkLeftTest(unittest.TestCase):
