--- a/src/larkpost/gateway/controllers/batch_forecast.py
+++ b/src/larkpost/gateway/controllers/batch_forecast.py
@@ -13,7 +13,7 @@
 SPARE_SECONDS = 2.5
 """A batch that is forecast to end so long before it is due has time to spare: its trainer needs a
 second to train within that time, and forecasts are off by as much."""
-HOPELESS_SECONDS = 1.0
+HOPELESS_DELAY_SECONDS = 1.0
 """A batch that is later than this, or whose work takes all engines so much longer, is hopeless,
 unless what is left takes no longer than this either: then its trainer soon goes on."""
 
@@ -45,7 +45,7 @@
         return Outlook.UNKNOWN
     least = progress.work / capacity.whole * capacity.best_token_time
     expected = seconds_left(progress, capacity.share, capacity.token_time)
-    if due_in + HOPELESS_SECONDS < least and expected > HOPELESS_SECONDS:
+    if due_in + HOPELESS_DELAY_SECONDS < least and expected > HOPELESS_DELAY_SECONDS:
         return Outlook.HOPELESS
     return Outlook.TO_SPARE if due_in - expected >= SPARE_SECONDS else Outlook.TIGHT
 
