--- a/src/larkpost/gateway/controllers/batch_forecast.py
+++ b/src/larkpost/gateway/controllers/batch_forecast.py
@@ -10,7 +10,7 @@
 from larkpost.gateway.blackboard.daemon_report import BatchProgress
 from larkpost.gateway.blackboard.weight_targets import Outlook
 
-SPARE_SECONDS = 2.5
+MIN_SPARE_SECONDS = 2.5
 """A batch that is forecast to end so long before it is due has time to spare: its trainer needs a
 second to train within that time, and forecasts are off by as much."""
 HOPELESS_DELAY_SECONDS = 1.0
@@ -47,7 +47,7 @@
     expected = seconds_left(progress, capacity.share, capacity.token_time)
     if due_in + HOPELESS_DELAY_SECONDS < least and expected > HOPELESS_DELAY_SECONDS:
         return Outlook.HOPELESS
-    return Outlook.TO_SPARE if due_in - expected >= SPARE_SECONDS else Outlook.TIGHT
+    return Outlook.TO_SPARE if due_in - expected >= MIN_SPARE_SECONDS else Outlook.TIGHT
 
 
 def seconds_left(progress: BatchProgress, places: int, token_time: float) -> float:
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -8,7 +8,7 @@
 from larkpost.gateway.blackboard.weight_targets import ModelDemand, Outlook
 from larkpost.gateway.controllers.batch_forecast import (
     HOPELESS_DELAY_SECONDS,
-    SPARE_SECONDS,
+    MIN_SPARE_SECONDS,
     BatchCapacity,
     forecast_outlook,
     most_urgent_outlook,
@@ -66,8 +66,8 @@
     def test_limits(self):
         needed = seconds_left(SHORT, POOL.share, POOL.token_time)
         cases = (
-            (needed + SPARE_SECONDS + 0.01, Outlook.TO_SPARE),
-            (needed + SPARE_SECONDS - 0.01, Outlook.TIGHT),
+            (needed + MIN_SPARE_SECONDS + 0.01, Outlook.TO_SPARE),
+            (needed + MIN_SPARE_SECONDS - 0.01, Outlook.TIGHT),
             (864 * 80 * 0.0006 / 176 - HOPELESS_DELAY_SECONDS + 0.01, Outlook.TIGHT),
             (864 * 80 * 0.0006 / 176 - HOPELESS_DELAY_SECONDS - 0.01, Outlook.HOPELESS),
         )
