--- a/src/larkpost/gateway/controllers/coordinators.py
+++ b/src/larkpost/gateway/controllers/coordinators.py
@@ -32,7 +32,7 @@
 """What each daemon can bear beside clients, without unit; None if it does not say it."""
 
 
-def is_to_coordinate(
+def should_coordinate(
     own: DaemonId,
     region_of: Mapping[DaemonId, RegionId | None],
     age: float,
--- a/src/larkpost/gateway/controllers/fleet_view.py
+++ b/src/larkpost/gateway/controllers/fleet_view.py
@@ -10,7 +10,7 @@
 from larkpost.common.distance import Distance
 from larkpost.common.ids import Address, DaemonId, RegionId, ZoneId
 from larkpost.gateway.blackboard.regions import RegionMap
-from larkpost.gateway.controllers.coordinators import first_choice, is_to_coordinate
+from larkpost.gateway.controllers.coordinators import first_choice, should_coordinate
 from larkpost.gateway.controllers.heartbeat import machine_of
 from larkpost.gateway.controllers.heartbeat_intervals import awaited_interval
 from larkpost.gateway.controllers.heartbeat_list import HeartbeatList
@@ -143,7 +143,7 @@
         if not self.is_leaving:
             alive.add(self.own)
             regions, capacities = self._regions_of(alive), self._capacities(alive)
-            if is_to_coordinate(self.own, regions, self.age(), capacities):
+            if should_coordinate(self.own, regions, self.age(), capacities):
                 acting.append(self.own)
         self._alive = frozenset(alive)
         self._coordinators = tuple(sorted(acting))
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -5,7 +5,7 @@
 from larkpost.common.clock import LoopClock
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.blackboard.regions import RegionMap
-from larkpost.gateway.controllers.coordinators import first_choice, is_to_coordinate
+from larkpost.gateway.controllers.coordinators import first_choice, should_coordinate
 from larkpost.gateway.controllers.heartbeat import machine_of, new_incarnation
 from larkpost.gateway.controllers.heartbeat_intervals import (
     DEAD_AFTER_SECONDS,
@@ -230,9 +230,9 @@
         for count, regions, expected in ((5, 1, 5), (40, 1, 12), (40, 2, 12), (40, 5, 15)):
             with self.subTest(count=count, regions=regions):
                 fleet = {f"m{number}/a": f"region-{number % regions}" for number in range(count)}
-                chosen = [name for name in fleet if is_to_coordinate(name, fleet, age=1.0)]
+                chosen = [name for name in fleet if should_coordinate(name, fleet, age=1.0)]
                 self.assertEqual(expected, len(chosen))
-                self.assertFalse(any(is_to_coordinate(name, fleet, age=0.4) for name in fleet))
+                self.assertFalse(any(should_coordinate(name, fleet, age=0.4) for name in fleet))
 
     def test_first_choice_is_the_same_in_any_order(self):
         names = [f"m{number}/a" for number in range(12)]
--- a/tests/test_uneven_machines.py
+++ b/tests/test_uneven_machines.py
@@ -28,7 +28,7 @@
     HASHES,
     LEAST_CAPACITY,
     first_choice,
-    is_to_coordinate,
+    should_coordinate,
 )
 from larkpost.gateway.controllers.heartbeat import new_incarnation
 from larkpost.gateway.controllers.heartbeat_writer import OwnDaemon
@@ -73,7 +73,7 @@
             ):
                 self.assertIn(first_choice("key", CAPACITIES, CAPACITIES), CAPACITIES)
                 regions = dict.fromkeys(CAPACITIES)
-                self.assertTrue(is_to_coordinate(SMALL, regions, 1.0, CAPACITIES))
+                self.assertTrue(should_coordinate(SMALL, regions, 1.0, CAPACITIES))
 
     def test_capacity_that_shrinks_moves_keys_away_from_that_daemon_only(self):
         before = self.choices(CAPACITIES)
@@ -109,7 +109,7 @@
 
     def chosen(self, capacities=None) -> set[DaemonId]:
         """Returns the daemons that are to coordinate."""
-        return {name for name in self.fleet if is_to_coordinate(name, self.fleet, 1.0, capacities)}
+        return {name for name in self.fleet if should_coordinate(name, self.fleet, 1.0, capacities)}
 
     def test_as_many_coordinate_whatever_their_capacities(self):
         for capacities in (None, self.capacities, dict.fromkeys(self.fleet, 1.0)):
