--- a/src/larkpost/gateway/controllers/coordination.py
+++ b/src/larkpost/gateway/controllers/coordination.py
@@ -32,7 +32,7 @@
 
     def is_chosen(self, key: str) -> bool:
         """Returns whether this daemon is the one to act on what a key names."""
-        return self._membership.first_choice(key) == self._membership.own
+        return self._membership.choose_coordinator(key) == self._membership.own
 
     async def take_lease(self, subject: LeaseSubject) -> Lease | None:
         """Takes the lease for one act, or returns None if another holds it or the store fails."""
--- a/src/larkpost/gateway/controllers/coordinators.py
+++ b/src/larkpost/gateway/controllers/coordinators.py
@@ -53,7 +53,7 @@
     return sum(_rank(name, weight_of) < rank for name in neighbours) < share
 
 
-def first_choice(
+def choose_coordinator(
     key: str, coordinators: Iterable[DaemonId], capacity_of: Capacities | None = None
 ) -> DaemonId | None:
     """Returns the coordinator that rendezvous hashing names for a key; None if there is none."""
--- a/src/larkpost/gateway/controllers/fleet_view.py
+++ b/src/larkpost/gateway/controllers/fleet_view.py
@@ -10,7 +10,7 @@
 from larkpost.common.distance import Distance
 from larkpost.common.ids import Address, DaemonId, RegionId, ZoneId
 from larkpost.gateway.blackboard.regions import RegionMap
-from larkpost.gateway.controllers.coordinators import first_choice, should_coordinate
+from larkpost.gateway.controllers.coordinators import choose_coordinator, should_coordinate
 from larkpost.gateway.controllers.heartbeat import machine_of
 from larkpost.gateway.controllers.heartbeat_intervals import awaited_interval
 from larkpost.gateway.controllers.heartbeat_list import HeartbeatList
@@ -101,7 +101,9 @@
         """Returns whether this daemon gives orders and claims batches."""
         return self.own in self._coordinators
 
-    def first_choice(self, key: str, regions: frozenset[RegionId] | None = None) -> DaemonId | None:
+    def choose_coordinator(
+        self, key: str, regions: frozenset[RegionId] | None = None
+    ) -> DaemonId | None:
         """Returns the coordinator that rendezvous hashing names for a key; None if there is none.
 
         Args:
@@ -112,7 +114,7 @@
             for name in self._coordinators
             if regions is None or self.region_of(name) in regions
         ]
-        return first_choice(key, fitting, self._capacities(fitting))
+        return choose_coordinator(key, fitting, self._capacities(fitting))
 
     def region_of(self, daemon: DaemonId) -> RegionId | None:
         """Returns the region of a daemon; None if it is not known."""
--- a/src/larkpost/gateway/controllers/members.py
+++ b/src/larkpost/gateway/controllers/members.py
@@ -143,7 +143,7 @@
         The latter are removed by one daemon, so that calls are few.
         """
         old = self._rows_of_earlier_incarnations(rows)
-        if self.first_choice("forget") == self.own:
+        if self.choose_coordinator("forget") == self.own:
             old |= dict(rows.silent_for(FORGET_AFTER_SECONDS)[:MAX_REMOVALS])
         if old:
             removal = Transaction(conditions=tuple(old.items()), removals=tuple(old))
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -274,7 +274,7 @@
 
     def _may_forget_crashes(self) -> bool:
         """Returns whether this daemon is the one that removes old crashes."""
-        return self.membership.first_choice("crashes") == self.id
+        return self.membership.choose_coordinator("crashes") == self.id
 
     # Settings change while the daemon runs, so these are read at each use; durations in seconds.
 
--- a/src/larkpost/gateway/rollouts/claims.py
+++ b/src/larkpost/gateway/rollouts/claims.py
@@ -70,7 +70,7 @@
 
         Who runs or removes a batch reads its items, so it must be where they may be served.
         """
-        return self._membership.first_choice(head.id, self._homes(head))
+        return self._membership.choose_coordinator(head.id, self._homes(head))
 
     def _homes(self, head: BatchHead) -> frozenset[RegionId] | None:
         """Returns the only regions in which a batch may be served; None for all."""
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -46,7 +46,7 @@
     membership.listed = listed
     membership.is_coordinator.return_value = coordinates
     membership.is_owner_alive.return_value = owner_alive
-    membership.first_choice.return_value = successor
+    membership.choose_coordinator.return_value = successor
     services = mock.Mock()
     services.clock = clock
     return BatchClaims(mock.Mock(), membership, services, lambda _: None)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -5,7 +5,7 @@
 from larkpost.common.clock import LoopClock
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.blackboard.regions import RegionMap
-from larkpost.gateway.controllers.coordinators import first_choice, should_coordinate
+from larkpost.gateway.controllers.coordinators import choose_coordinator, should_coordinate
 from larkpost.gateway.controllers.heartbeat import machine_of, new_incarnation
 from larkpost.gateway.controllers.heartbeat_intervals import (
     DEAD_AFTER_SECONDS,
@@ -139,7 +139,7 @@
             await second.leave()
             await self.clock.sleep(0.7)
             self.assertFalse(first.is_alive(second.own))
-            self.assertEqual(first.own, second.first_choice("anything"))
+            self.assertEqual(first.own, second.choose_coordinator("anything"))
 
         run(play())
 
@@ -236,6 +236,6 @@
 
     def test_first_choice_is_the_same_in_any_order(self):
         names = [f"m{number}/a" for number in range(12)]
-        choices = {first_choice("key", order) for order in (names, names[::-1])}
+        choices = {choose_coordinator("key", order) for order in (names, names[::-1])}
         self.assertEqual(1, len(choices))
-        self.assertIsNone(first_choice("key", []))
+        self.assertIsNone(choose_coordinator("key", []))
--- a/tests/test_scale_mechanisms.py
+++ b/tests/test_scale_mechanisms.py
@@ -130,7 +130,7 @@
         async def play():
             fleet = self.begin()
             await self.clock.sleep(6.0)
-            choices = {membership.first_choice("key") for membership in fleet}
+            choices = {membership.choose_coordinator("key") for membership in fleet}
             self.assertEqual(1, len(choices))
             coordinators = [membership for membership in fleet if membership.is_coordinator()]
             self.assertEqual(COORDINATORS, len(coordinators))
@@ -239,7 +239,7 @@
             judges = [member for member in fleet if member.is_coordinator()]
             self.assertGreaterEqual(len(judges), COORDINATORS)
             for key in ("one", "two", "three"):
-                choices = {judge.first_choice(key) for judge in judges}
+                choices = {judge.choose_coordinator(key) for judge in judges}
                 self.assertEqual(1, len(choices))
                 self.assertLessEqual(choices, alive)
 
--- a/tests/test_uneven_machines.py
+++ b/tests/test_uneven_machines.py
@@ -27,7 +27,7 @@
     COORDINATORS,
     HASHES,
     LEAST_CAPACITY,
-    first_choice,
+    choose_coordinator,
     should_coordinate,
 )
 from larkpost.gateway.controllers.heartbeat import new_incarnation
@@ -56,7 +56,7 @@
 
     def choices(self, capacities) -> dict[str, DaemonId]:
         """Returns the choice for each key."""
-        return {key: first_choice(key, CAPACITIES, capacities) for key in KEYS}
+        return {key: choose_coordinator(key, CAPACITIES, capacities) for key in KEYS}
 
     def test_keys_go_by_capacity(self):
         counts = Counter(self.choices(CAPACITIES).values())
@@ -71,7 +71,7 @@
                 self.subTest(value=value),
                 mock.patch.object(coordinators, "hash64", lambda _, value=value: value),
             ):
-                self.assertIn(first_choice("key", CAPACITIES, CAPACITIES), CAPACITIES)
+                self.assertIn(choose_coordinator("key", CAPACITIES, CAPACITIES), CAPACITIES)
                 regions = dict.fromkeys(CAPACITIES)
                 self.assertTrue(should_coordinate(SMALL, regions, 1.0, CAPACITIES))
 
@@ -213,7 +213,7 @@
             large = {member.own for member in fleet[:10]}
             named = []
             for key in KEYS[:200]:
-                choices = {member.first_choice(key) for member in fleet}
+                choices = {member.choose_coordinator(key) for member in fleet}
                 self.assertEqual(1, len(choices))
                 named += choices
             self.assertGreater(sum(name in large for name in named), 150)
@@ -229,7 +229,7 @@
             self.assertEqual(COORDINATORS, sum(member.is_coordinator() for member in fleet))
             for key in KEYS[:200]:
                 expected = unweighted_choice(key, names)
-                self.assertEqual({expected}, {member.first_choice(key) for member in fleet})
+                self.assertEqual({expected}, {member.choose_coordinator(key) for member in fleet})
 
         virtual.run(play())
 
