--- a/src/larkpost/gateway/controllers/coordinators.py
+++ b/src/larkpost/gateway/controllers/coordinators.py
@@ -16,7 +16,7 @@
 from larkpost.common.hashing import hash64
 from larkpost.common.ids import DaemonId, RegionId
 
-COORDINATORS = 12
+COORDINATOR_COUNT = 12
 """Coordinators of the whole fleet: enough that not all of them fail at once, few enough that their
 heartbeats fit into one part of the store."""
 LEAST_CAPACITY = 0.05
@@ -47,7 +47,7 @@
     if age < JOIN_SECONDS:
         return False
     neighbours = [name for name, region in region_of.items() if region == region_of[own]]
-    share = math.ceil(COORDINATORS / len(set(region_of.values())))
+    share = math.ceil(COORDINATOR_COUNT / len(set(region_of.values())))
     weight_of = _weights(neighbours, capacity_of)
     rank = _rank(own, weight_of)
     return sum(_rank(name, weight_of) < rank for name in neighbours) < share
--- a/tests/test_scale_mechanisms.py
+++ b/tests/test_scale_mechanisms.py
@@ -10,7 +10,7 @@
 from larkpost.common.ids import Address
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.blackboard.regions import RegionMap
-from larkpost.gateway.controllers.coordinators import COORDINATORS
+from larkpost.gateway.controllers.coordinators import COORDINATOR_COUNT
 from larkpost.gateway.controllers.heartbeat import machine_of, new_incarnation
 from larkpost.gateway.controllers.heartbeat_intervals import (
     DEAD_AFTER_SECONDS,
@@ -86,8 +86,8 @@
             await self.clock.sleep(6.0)
             self.beats = 0
             await self.clock.sleep(10.0)
-            often = COORDINATORS * 10.0 / HEARTBEAT_SECONDS
-            seldom = (DAEMONS - COORDINATORS) * 10.0 / IDLE_HEARTBEAT_SECONDS
+            often = COORDINATOR_COUNT * 10.0 / HEARTBEAT_SECONDS
+            seldom = (DAEMONS - COORDINATOR_COUNT) * 10.0 / IDLE_HEARTBEAT_SECONDS
             self.assertLessEqual(self.beats, (often + seldom) * 1.1)
             self.assertLess(self.beats / 10.0, PART_WRITES_PER_SECOND / 2)
             for membership in fleet:
@@ -133,7 +133,7 @@
             choices = {membership.choose_coordinator("key") for membership in fleet}
             self.assertEqual(1, len(choices))
             coordinators = [membership for membership in fleet if membership.is_coordinator()]
-            self.assertEqual(COORDINATORS, len(coordinators))
+            self.assertEqual(COORDINATOR_COUNT, len(coordinators))
 
         run(play())
 
@@ -146,7 +146,7 @@
             await self.clock.sleep(DEAD_AFTER_SECONDS + 2.5)
             self.assertFalse(coordinators[1].is_alive(coordinators[0].own))
             now = [member for member in fleet[:] if member.is_coordinator()]
-            self.assertEqual(COORDINATORS, len([m for m in now if m is not coordinators[0]]))
+            self.assertEqual(COORDINATOR_COUNT, len([m for m in now if m is not coordinators[0]]))
 
         run(play())
 
@@ -193,7 +193,7 @@
             self.beats = 0
             self.part_beats.clear()
             await self.clock.sleep(9.0)
-            often = COORDINATORS * 9.0 / HEARTBEAT_SECONDS
+            often = COORDINATOR_COUNT * 9.0 / HEARTBEAT_SECONDS
             self.assertLessEqual(self.part_beats[AWAITED_PART], 1.1 * often)
             seldom = 9.0 * IDLE_HEARTBEATS_PER_SECOND
             self.assertLessEqual(self.part_beats[KNOWN_PART], 1.1 * seldom)
@@ -237,7 +237,7 @@
             await self.clock.sleep(2.5)
             alive = {member.own for member in fleet}
             judges = [member for member in fleet if member.is_coordinator()]
-            self.assertGreaterEqual(len(judges), COORDINATORS)
+            self.assertGreaterEqual(len(judges), COORDINATOR_COUNT)
             for key in ("one", "two", "three"):
                 choices = {judge.choose_coordinator(key) for judge in judges}
                 self.assertEqual(1, len(choices))
--- a/tests/test_uneven_machines.py
+++ b/tests/test_uneven_machines.py
@@ -24,7 +24,7 @@
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.controllers import coordinators
 from larkpost.gateway.controllers.coordinators import (
-    COORDINATORS,
+    COORDINATOR_COUNT,
     HASHES,
     LEAST_CAPACITY,
     choose_coordinator,
@@ -113,7 +113,7 @@
 
     def test_as_many_coordinate_whatever_their_capacities(self):
         for capacities in (None, self.capacities, dict.fromkeys(self.fleet, 1.0)):
-            self.assertEqual(COORDINATORS, len(self.chosen(capacities)))
+            self.assertEqual(COORDINATOR_COUNT, len(self.chosen(capacities)))
 
     def test_large_machines_coordinate_rather_than_small_ones(self):
         def count_large(chosen: set[DaemonId]) -> int:
@@ -209,7 +209,7 @@
 
         async def play():
             fleet = await self.start(capacities)
-            self.assertEqual(COORDINATORS, sum(member.is_coordinator() for member in fleet))
+            self.assertEqual(COORDINATOR_COUNT, sum(member.is_coordinator() for member in fleet))
             large = {member.own for member in fleet[:10]}
             named = []
             for key in KEYS[:200]:
@@ -224,9 +224,9 @@
         """As many daemons as coordinate, so that it is one of them."""
 
         async def play():
-            fleet = await self.start([2.0] * 5 + [0.4] * (COORDINATORS - 6) + [None])
+            fleet = await self.start([2.0] * 5 + [0.4] * (COORDINATOR_COUNT - 6) + [None])
             names = [member.own for member in fleet]
-            self.assertEqual(COORDINATORS, sum(member.is_coordinator() for member in fleet))
+            self.assertEqual(COORDINATOR_COUNT, sum(member.is_coordinator() for member in fleet))
             for key in KEYS[:200]:
                 expected = unweighted_choice(key, names)
                 self.assertEqual({expected}, {member.choose_coordinator(key) for member in fleet})
