--- a/src/larkpost/gateway/controllers/coordinators.py
+++ b/src/larkpost/gateway/controllers/coordinators.py
@@ -19,7 +19,7 @@
 COORDINATOR_COUNT = 12
 """Coordinators of the whole fleet: enough that not all of them fail at once, few enough that their
 heartbeats fit into one part of the store."""
-LEAST_CAPACITY = 0.05
+MIN_CAPACITY = 0.05
 """A daemon that reports less counts as this: each can be chosen."""
 HASHES = 2**64
 """How many values a hash may have."""
@@ -71,7 +71,7 @@
         capacity = capacity_of.get(name) if capacity_of is not None else None
         if capacity is None:
             return None
-        weights[name] = max(LEAST_CAPACITY, capacity)
+        weights[name] = max(MIN_CAPACITY, capacity)
     return weights
 
 
--- a/tests/test_uneven_machines.py
+++ b/tests/test_uneven_machines.py
@@ -26,7 +26,7 @@
 from larkpost.gateway.controllers.coordinators import (
     COORDINATOR_COUNT,
     HASHES,
-    LEAST_CAPACITY,
+    MIN_CAPACITY,
     choose_coordinator,
     should_coordinate,
 )
@@ -83,7 +83,7 @@
 
     def test_daemon_that_reports_nothing_can_be_chosen_still(self):
         counts = Counter(self.choices(CAPACITIES | {SMALL: 0.0}).values())
-        expected = LEAST_CAPACITY / (LEAST_CAPACITY + 2.8)
+        expected = MIN_CAPACITY / (MIN_CAPACITY + 2.8)
         self.assertAlmostEqual(expected, counts[SMALL] / len(KEYS), delta=0.01)
 
     def test_one_daemon_of_an_earlier_build_makes_all_choose_as_it_does(self):
