--- a/src/larkpost/gateway/controllers/coordinators.py
+++ b/src/larkpost/gateway/controllers/coordinators.py
@@ -21,7 +21,7 @@
 heartbeats fit into one part of the store."""
 MIN_CAPACITY = 0.05
 """A daemon that reports less counts as this: each can be chosen."""
-HASHES = 2**64
+HASH_SPACE_SIZE = 2**64
 """How many values a hash may have."""
 JOIN_SECONDS = 0.5
 """Seconds after its start from which a daemon may coordinate: when all start at once, the first
@@ -78,10 +78,16 @@
 def _distance(name: DaemonId, key: str, weight_of: Mapping[DaemonId, float] | None) -> float:
     """Returns how far a daemon is from being chosen for a key; the nearest one is."""
     value = hash64(f"{name}\x00{key}")
-    return -value if weight_of is None else -math.log((value + 1) / HASHES) / weight_of[name]
+    return (
+        -value if weight_of is None else -math.log((value + 1) / HASH_SPACE_SIZE) / weight_of[name]
+    )
 
 
 def _rank(daemon: DaemonId, weight_of: Mapping[DaemonId, float] | None) -> float:
     """Returns the rank of a daemon among those that could coordinate; the lowest do."""
     value = hash64(f"coordinator\x00{daemon}")
-    return value if weight_of is None else -math.log((HASHES - value) / HASHES) / weight_of[daemon]
+    return (
+        value
+        if weight_of is None
+        else -math.log((HASH_SPACE_SIZE - value) / HASH_SPACE_SIZE) / weight_of[daemon]
+    )
--- a/tests/test_uneven_machines.py
+++ b/tests/test_uneven_machines.py
@@ -25,7 +25,7 @@
 from larkpost.gateway.controllers import coordinators
 from larkpost.gateway.controllers.coordinators import (
     COORDINATOR_COUNT,
-    HASHES,
+    HASH_SPACE_SIZE,
     MIN_CAPACITY,
     choose_coordinator,
     should_coordinate,
@@ -66,7 +66,7 @@
 
     def test_every_hash_gives_a_choice(self):
         """The lowest and the highest one among them."""
-        for value in (0, HASHES - 1):
+        for value in (0, HASH_SPACE_SIZE - 1):
             with (
                 self.subTest(value=value),
                 mock.patch.object(coordinators, "hash64", lambda _, value=value: value),
