--- a/src/larkpost/gateway/controllers/coordinators.py
+++ b/src/larkpost/gateway/controllers/coordinators.py
@@ -23,7 +23,7 @@
 """A daemon that reports less counts as this: each can be chosen."""
 HASH_SPACE_SIZE = 2**64
 """How many values a hash may have."""
-JOIN_SECONDS = 0.5
+MIN_COORDINATOR_AGE_SECONDS = 0.5
 """Seconds after its start from which a daemon may coordinate: when all start at once, the first
 listings show few."""
 
@@ -44,7 +44,7 @@
         region_of: the region of each daemon considered alive, `own` among them.
         age: seconds since `own` started.
     """
-    if age < JOIN_SECONDS:
+    if age < MIN_COORDINATOR_AGE_SECONDS:
         return False
     neighbours = [name for name, region in region_of.items() if region == region_of[own]]
     share = math.ceil(COORDINATOR_COUNT / len(set(region_of.values())))
