--- a/src/larkpost/gateway/controllers/leases.py
+++ b/src/larkpost/gateway/controllers/leases.py
@@ -25,7 +25,7 @@
 
 LEASE_TABLE = "leases"
 """Table of the store; its parts are the duties, its keys the subjects."""
-USE_SECONDS = 0.5
+LEASE_USE_SECONDS = 0.5
 """Seconds after the call was sent for which a lease may be used."""
 SLACK_SECONDS = 0.5
 """Seconds added for the time an act travels and for the error of the estimated store clock."""
@@ -108,14 +108,14 @@
         store_time = self._store.time()
         if store_time is None or not self._may_take(known, store_time):
             return None
-        free_at = store_time + USE_SECONDS + self._exclusive_time + SLACK_SECONDS
+        free_at = store_time + LEASE_USE_SECONDS + self._exclusive_time + SLACK_SECONDS
         value = orjson.dumps({"holder": self._own, "free_at": free_at})
         expected = known.version if known is not None else ABSENT
         change = Transaction(conditions=((key, expected),), puts=((key, value),))
         result = await self._store.write(change, WRITE_TIMEOUT_SECONDS)
         if result.outcome is not WriteOutcome.DONE:
             return None
-        return Lease(subject, result.version, started + USE_SECONDS)
+        return Lease(subject, result.version, started + LEASE_USE_SECONDS)
 
     def _may_take(self, known: _LeaseRow | None, store_time: float) -> bool:
         return known is None or known.holder == self._own or store_time >= known.free_at
