--- a/src/larkpost/gateway/controllers/leases.py
+++ b/src/larkpost/gateway/controllers/leases.py
@@ -27,7 +27,7 @@
 """Table of the store; its parts are the duties, its keys the subjects."""
 LEASE_USE_SECONDS = 0.5
 """Seconds after the call was sent for which a lease may be used."""
-SLACK_SECONDS = 0.5
+LEASE_MARGIN_SECONDS = 0.5
 """Seconds added for the time an act travels and for the error of the estimated store clock."""
 WRITE_TIMEOUT_SECONDS = 1.0
 """Seconds for the call that takes a lease."""
@@ -108,7 +108,7 @@
         store_time = self._store.time()
         if store_time is None or not self._may_take(known, store_time):
             return None
-        free_at = store_time + LEASE_USE_SECONDS + self._exclusive_time + SLACK_SECONDS
+        free_at = store_time + LEASE_USE_SECONDS + self._exclusive_time + LEASE_MARGIN_SECONDS
         value = orjson.dumps({"holder": self._own, "free_at": free_at})
         expected = known.version if known is not None else ABSENT
         change = Transaction(conditions=((key, expected),), puts=((key, value),))
