--- a/src/larkpost/gateway/controllers/leases.py
+++ b/src/larkpost/gateway/controllers/leases.py
@@ -71,7 +71,7 @@
     token: int
     usable_until: float
 
-    def has_lapsed(self, now: float) -> bool:
+    def has_expired(self, now: float) -> bool:
         """Returns whether it must not be used any more, at a steady time of this process."""
         return now >= self.usable_until
 
--- a/src/larkpost/gateway/controllers/loader.py
+++ b/src/larkpost/gateway/controllers/loader.py
@@ -141,7 +141,7 @@
         if lease is None:
             self._record_no_order(engine, target, "no_lease")
             return None
-        if lease.has_lapsed(self._clock.now()):
+        if lease.has_expired(self._clock.now()):
             self._log.record(Event.LEASE_LAPSED, subject=lease.subject.key, token=lease.token)
             return None
         if not self._directory.takes_work(engine.id):
--- a/src/larkpost/gateway/scaling/controller.py
+++ b/src/larkpost/gateway/scaling/controller.py
@@ -134,7 +134,7 @@
     async def _order(self, order: ScalingOrder, boot_time: float) -> float:
         """Orders, and returns the seconds until the zone is checked again."""
         lease = await self._coordination.take_lease(_subject(order))
-        if lease is None or lease.has_lapsed(self._clock.now()):
+        if lease is None or lease.has_expired(self._clock.now()):
             self._record(order, "no_lease", None)
             return RETRY_SECONDS
         outcome = await self._port.order_servers(
--- a/src/larkpost/gateway/usage/reporter.py
+++ b/src/larkpost/gateway/usage/reporter.py
@@ -152,7 +152,7 @@
         if lease is None:
             self._record(decided.report, "no_lease", None)
             return False
-        if lease.has_lapsed(self._clock.now()):
+        if lease.has_expired(self._clock.now()):
             self._log.record(Event.LEASE_LAPSED, subject=SUBJECT.key, token=lease.token)
             return False
         outcome = await self._port.report_usage(
