--- a/src/larkpost/gateway/controllers/loader.py
+++ b/src/larkpost/gateway/controllers/loader.py
@@ -118,7 +118,7 @@
         if report is None:
             self._record_no_order(engine, target, "no_report")
             return RETRY_SECONDS
-        if is_of_another_start(report, engine):
+        if is_of_other_incarnation(report, engine):
             self._record_no_order(engine, target, "restarted")
             return RETRY_SECONDS
         if report.busy:
@@ -192,7 +192,7 @@
         )
 
 
-def is_of_another_start(report: EngineReport, engine: InstanceInfo) -> bool:
+def is_of_other_incarnation(report: EngineReport, engine: InstanceInfo) -> bool:
     """Returns whether a report is not of the incarnation that is known.
 
     Its count of orders is then not the one that an order must name.
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -352,7 +352,7 @@
             (FIRST_START, incarnation(None), False),
         ):
             with self.subTest(said=said, known=known.id):
-                self.assertIs(expected, loader.is_of_another_start(report(said), known))
+                self.assertIs(expected, loader.is_of_other_incarnation(report(said), known))
 
     def test_engine_is_checked_at_once_after_its_restart(self) -> None:
         blackboard = Blackboard()
