--- a/src/larkpost/gateway/controllers/loader.py
+++ b/src/larkpost/gateway/controllers/loader.py
@@ -33,7 +33,7 @@
 """Seconds for an engine's report."""
 ORDER_TIMEOUT_SECONDS = 0.4
 """Seconds for an engine's response to an order; under `leases.USE_SECONDS`."""
-TAKEN_SECONDS = 2.5
+ACCEPTED_RECHECK_SECONDS = 2.5
 """Seconds after an order was taken before the engine is checked again: it loads."""
 UNANSWERED_SECONDS = 0.6
 """The same after an order without a response: it may have been lost, or come late."""
@@ -204,7 +204,7 @@
 def seconds_until_next_check(outcome: OrderOutcome) -> float:
     """Returns the seconds from an order's outcome until the engine is checked again."""
     if outcome is OrderOutcome.TAKEN:
-        return TAKEN_SECONDS
+        return ACCEPTED_RECHECK_SECONDS
     if outcome is OrderOutcome.UNKNOWN:
         return UNANSWERED_SECONDS
     return RETRY_SECONDS  # whatever it holds, its next report says it
