--- a/src/larkpost/gateway/controllers/loader.py
+++ b/src/larkpost/gateway/controllers/loader.py
@@ -35,7 +35,7 @@
 """Seconds for an engine's response to an order; under `leases.USE_SECONDS`."""
 ACCEPTED_RECHECK_SECONDS = 2.5
 """Seconds after an order was taken before the engine is checked again: it loads."""
-UNANSWERED_SECONDS = 0.6
+UNANSWERED_RECHECK_SECONDS = 0.6
 """The same after an order without a response: it may have been lost, or come late."""
 RETRY_SECONDS = 0.4
 """The same after an order that was refused or could not be given."""
@@ -206,7 +206,7 @@
     if outcome is OrderOutcome.TAKEN:
         return ACCEPTED_RECHECK_SECONDS
     if outcome is OrderOutcome.UNKNOWN:
-        return UNANSWERED_SECONDS
+        return UNANSWERED_RECHECK_SECONDS
     return RETRY_SECONDS  # whatever it holds, its next report says it
 
 
--- a/tests/process_soak/server_program.py
+++ b/tests/process_soak/server_program.py
@@ -33,7 +33,7 @@
 
 LATE_SECONDS = 2.0
 CRASH_SECONDS = 0.08
-UNANSWERED_SECONDS = 30.0
+UNANSWERED_RECHECK_SECONDS = 30.0
 
 
 class RecordingServerApp(ServerApp):
@@ -113,7 +113,7 @@
             task = asyncio.create_task(self._order_later(request))
             self._late.add(task)
             task.add_done_callback(self._late.discard)
-            await asyncio.sleep(UNANSWERED_SECONDS)  # its sender has long given up
+            await asyncio.sleep(UNANSWERED_RECHECK_SECONDS)  # its sender has long given up
             return Response(status_code=503)
         return await super()._order(request)
 
