--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -17,7 +17,7 @@
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
 from larkpost.gateway.blackboard.known_crashes import CLIENT_CRASH_LIMIT, Crash, KnownCrashes
 from larkpost.gateway.blackboard.request_content import ContentDigest
-from larkpost.gateway.controllers import loader
+from larkpost.gateway.controllers import weight_loader
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
 from larkpost.gateway.controllers.row_intake import InstanceTrust, RowIntake
 from larkpost.gateway.observability.eventlog import Event, EventLog
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -13,8 +13,8 @@
     due_loads,
     engines_to_load,
 )
-from larkpost.gateway.controllers.loader import seconds_until_next_check
 from larkpost.gateway.controllers.model_assignment import assign_models
+from larkpost.gateway.controllers.weight_loader import seconds_until_next_check
 from larkpost.gateway.servers.port import OrderOutcome
 from tests.platform_fleet import MODEL, PlatformFleet, check_results, make_batch
 from tests.server_parts import FIRST, SECOND, TWO_MODELS, make_directory
