--- a/src/larkpost/gateway/controllers/fleet_view.py
+++ b/src/larkpost/gateway/controllers/fleet_view.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.controllers.heartbeat_intervals import awaited_interval
 from larkpost.gateway.controllers.heartbeat_list import HeartbeatList
 
-HEARING_INTERVALS = 3.0
+MAX_LISTING_AGE_INTERVALS = 3.0
 """Intervals without a listing after which an awaited daemon takes it that it hears nothing; fewer
 than those after which others consider it dead (`heartbeat_list.MISSED_HEARTBEATS`)."""
 
@@ -66,7 +66,7 @@
         if listed_at is None:
             return False
         interval = awaited_interval(len(self.awaited.seen))
-        return self._clock.now() - listed_at < HEARING_INTERVALS * interval
+        return self._clock.now() - listed_at < MAX_LISTING_AGE_INTERVALS * interval
 
     def alive(self) -> frozenset[DaemonId]:
         """Returns the daemons considered alive; this one too, unless it is leaving."""
