--- a/src/larkpost/gateway/controllers/heartbeat_list.py
+++ b/src/larkpost/gateway/controllers/heartbeat_list.py
@@ -88,7 +88,7 @@
         return MISSED_HEARTBEATS * interval + STORE_CALLS_ALLOWED * self._usual_call
 
     @property
-    def usual_call(self) -> float:
+    def typical_call_seconds(self) -> float:
         """The seconds that a listing has taken lately."""
         return self._usual_call
 
--- a/src/larkpost/gateway/controllers/heartbeat_writer.py
+++ b/src/larkpost/gateway/controllers/heartbeat_writer.py
@@ -124,7 +124,7 @@
 
     async def _write_awaited(self) -> None:
         self._awaited_written_at = self._clock.now()
-        call = min(self._view.awaited.usual_call, MOST_REPORTED_CALL_SECONDS)
+        call = min(self._view.awaited.typical_call_seconds, MOST_REPORTED_CALL_SECONDS)
         interval = round(self._awaited_interval() + call, 3)
         is_acting = self._view.is_coordinator()
         report = replace(self._own.report(), paces=self._own.paces())
