--- a/src/larkpost/gateway/controllers/fleet_view.py
+++ b/src/larkpost/gateway/controllers/fleet_view.py
@@ -159,9 +159,9 @@
     def _is_heard(self, daemon: DaemonId, newest: dict[str, int]) -> bool:
         """Returns whether a daemon's heartbeats come; awaited ones count before known ones."""
         if daemon in self.awaited.seen:
-            return self.awaited.is_heard(daemon)
+            return self.awaited.is_responsive(daemon)
         is_newest = self.known.seen[daemon].version == newest[machine_of(daemon)]
-        return is_newest and self.known.is_heard(daemon)
+        return is_newest and self.known.is_responsive(daemon)
 
     def _newest_incarnations(self) -> dict[str, int]:
         """Returns for each machine the newest version of its incarnations' known heartbeats."""
--- a/src/larkpost/gateway/controllers/heartbeat_list.py
+++ b/src/larkpost/gateway/controllers/heartbeat_list.py
@@ -98,7 +98,7 @@
             return 0.0
         return self.listed_at - self.seen[daemon].changed_at
 
-    def is_heard(self, daemon: DaemonId) -> bool:
+    def is_responsive(self, daemon: DaemonId) -> bool:
         """Returns whether a daemon has a row here, has not fallen silent and is not leaving."""
         seen = self.seen.get(daemon)
         if seen is None or seen.heartbeat.leaving:
