--- a/src/larkpost/gateway/controllers/heartbeat_list.py
+++ b/src/larkpost/gateway/controllers/heartbeat_list.py
@@ -105,7 +105,7 @@
             return False
         return self.silence(daemon) < self.silence_allowed(seen.heartbeat.interval)
 
-    def silent_for(self, seconds: float) -> list[tuple[RowKey, int]]:
+    def rows_silent_for(self, seconds: float) -> list[tuple[RowKey, int]]:
         """Returns the rows, with their versions, that have not changed for as long as this."""
         return [
             (self.row_of(name), seen.version)
--- a/src/larkpost/gateway/controllers/members.py
+++ b/src/larkpost/gateway/controllers/members.py
@@ -144,7 +144,7 @@
         """
         old = self._rows_of_earlier_incarnations(rows)
         if self.choose_coordinator("forget") == self.own:
-            old |= dict(rows.silent_for(FORGET_AFTER_SECONDS)[:MAX_REMOVALS])
+            old |= dict(rows.rows_silent_for(FORGET_AFTER_SECONDS)[:MAX_REMOVALS])
         if old:
             removal = Transaction(conditions=tuple(old.items()), removals=tuple(old))
             await self._store.write(removal, WRITE_TIMEOUT_SECONDS)
