--- a/src/larkpost/gateway/controllers/fleet_view.py
+++ b/src/larkpost/gateway/controllers/fleet_view.py
@@ -95,7 +95,7 @@
         heard_at = max(seen.changed_at, since) if seen is not None else since
         reported = seen.heartbeat.interval if seen is not None else 0.0
         interval = max(reported, awaited_interval(len(self.awaited.seen)))
-        return listed_at - heard_at < self.awaited.silence_allowed(interval)
+        return listed_at - heard_at < self.awaited.silence_limit(interval)
 
     def is_coordinator(self) -> bool:
         """Returns whether this daemon gives orders and claims batches."""
--- a/src/larkpost/gateway/controllers/heartbeat_list.py
+++ b/src/larkpost/gateway/controllers/heartbeat_list.py
@@ -77,7 +77,7 @@
         """Returns the key of a daemon's row."""
         return RowKey(MEMBER_TABLE, self.part, daemon)
 
-    def silence_allowed(self, interval: float) -> float:
+    def silence_limit(self, interval: float) -> float:
         """Returns the seconds without a heartbeat after which a daemon has fallen silent.
 
         A slow store delays the heartbeat, its listing and what lies between, and blames nobody.
@@ -103,7 +103,7 @@
         seen = self.seen.get(daemon)
         if seen is None or seen.heartbeat.leaving:
             return False
-        return self.silence(daemon) < self.silence_allowed(seen.heartbeat.interval)
+        return self.silence(daemon) < self.silence_limit(seen.heartbeat.interval)
 
     def rows_silent_for(self, seconds: float) -> list[tuple[RowKey, int]]:
         """Returns the rows, with their versions, that have not changed for as long as this."""
