--- a/src/larkpost/gateway/controllers/heartbeat_list.py
+++ b/src/larkpost/gateway/controllers/heartbeat_list.py
@@ -24,7 +24,7 @@
 """Calls to the store, as they take now, that are added to the time until a daemon is silent."""
 STORE_CALL_WEIGHT = 0.3
 """Weight of the newest call in the usual time of one."""
-BLIND_INTERVALS = 2.2
+MAX_LISTING_GAP_INTERVALS = 2.2
 """Intervals between two successful listings after which all observations start afresh."""
 UNREADABLE_INTERVAL_SECONDS = 0.25
 """Interval that counts for a row that cannot be read: the shortest that a daemon reports."""
@@ -129,7 +129,7 @@
         gap = now - self.listed_at if self.listed_at is not None else float("inf")
         self.listed_at = now
         usual_gap = interval + STORE_CALLS_ALLOWED * self._usual_call
-        self._store_rows(page.rows, now, blind=gap > BLIND_INTERVALS * usual_gap)
+        self._store_rows(page.rows, now, blind=gap > MAX_LISTING_GAP_INTERVALS * usual_gap)
         return True
 
     def _store_rows(self, rows: tuple[Row, ...], now: float, *, blind: bool) -> None:
