--- a/src/larkpost/gateway/controllers/heartbeat_writer.py
+++ b/src/larkpost/gateway/controllers/heartbeat_writer.py
@@ -24,7 +24,7 @@
 
 AWAITED_LINGER_SECONDS = 5.0
 """Seconds for which a daemon stays awaited after its last reason: the next step's batch is near."""
-MOST_REPORTED_CALL_SECONDS = 0.4
+MAX_REPORTED_CALL_SECONDS = 0.4
 """Most seconds of a call by which a daemon reports its interval longer: a full link between regions
 takes 0.3 s. Others wait 3.2 times as long for it, so more would hold up its batches once it is
 dead."""
@@ -124,7 +124,7 @@
 
     async def _write_awaited(self) -> None:
         self._awaited_written_at = self._clock.now()
-        call = min(self._view.awaited.typical_call_seconds, MOST_REPORTED_CALL_SECONDS)
+        call = min(self._view.awaited.typical_call_seconds, MAX_REPORTED_CALL_SECONDS)
         interval = round(self._awaited_interval() + call, 3)
         is_acting = self._view.is_coordinator()
         report = replace(self._own.report(), paces=self._own.paces())
