--- a/src/larkpost/gateway/controllers/heartbeat_intervals.py
+++ b/src/larkpost/gateway/controllers/heartbeat_intervals.py
@@ -23,7 +23,7 @@
 """Most known heartbeats that a daemon lists a second: of 180 B each, under the 7 KB/s budget."""
 STARTUP_SECONDS = 3.0
 """Seconds for which a new daemon lists the known ones often: after an outage all are new."""
-YOUNG_ROWS_PER_SECOND = 400.0
+STARTUP_ROWS_PER_SECOND = 400.0
 """Most known heartbeats that it lists a second then: two listings a second at 200 daemons."""
 SHORTAGE_INTERVAL_FACTOR = 0.5
 """Part of their intervals at which known heartbeats are written and listed while a service lacks
@@ -67,5 +67,5 @@
         age: seconds since this daemon started.
     """
     if age < STARTUP_SECONDS:
-        return max(HEARTBEAT_SECONDS, known / YOUNG_ROWS_PER_SECOND)
+        return max(HEARTBEAT_SECONDS, known / STARTUP_ROWS_PER_SECOND)
     return max(IDLE_HEARTBEAT_SECONDS, known / IDLE_ROWS_PER_SECOND)
