--- a/src/larkpost/gateway/assembly/membership.py
+++ b/src/larkpost/gateway/assembly/membership.py
@@ -9,7 +9,7 @@
 from larkpost.gateway.assembly.loop_watch import LoopWatch
 from larkpost.gateway.assembly.own_capacity import OwnCapacity, capacity_of
 from larkpost.gateway.blackboard.regions import RegionMap
-from larkpost.gateway.controllers.heartbeat_writer import OwnDaemon
+from larkpost.gateway.controllers.heartbeat_writer import LocalDaemon
 from larkpost.gateway.controllers.members import Membership
 from larkpost.gateway.controllers.true_time import ClockOffset
 from larkpost.gateway.fairness.ledger import FlowLedger
@@ -45,7 +45,7 @@
     most = capacity_of(settings.cores, settings.byte_budget)
     capacity = OwnCapacity(most, inputs.loop_watch, inputs.ports.clock)
     reports = DaemonReports(balancer.paces, inputs.ledger, inputs.keeper, capacity.now)
-    own = OwnDaemon(
+    own = LocalDaemon(
         inputs.daemon,
         balancer.summary,
         lambda: inputs.keeper().is_owner(),
--- a/src/larkpost/gateway/controllers/heartbeat_writer.py
+++ b/src/larkpost/gateway/controllers/heartbeat_writer.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OwnDaemon:
+class LocalDaemon:
     """This daemon, as it shows itself to the others.
 
     Attributes:
@@ -66,7 +66,7 @@
     """Keeps this daemon's rows current."""
 
     def __init__(
-        self, own: OwnDaemon, view: FleetView, regions: RegionMap, store: Store, clock: Clock
+        self, own: LocalDaemon, view: FleetView, regions: RegionMap, store: Store, clock: Clock
     ) -> None:
         self._own = own
         self._view = view
--- a/src/larkpost/gateway/controllers/members.py
+++ b/src/larkpost/gateway/controllers/members.py
@@ -27,7 +27,7 @@
 from larkpost.gateway.controllers.heartbeat_writer import (
     WRITE_TIMEOUT_SECONDS,
     HeartbeatWriter,
-    OwnDaemon,
+    LocalDaemon,
     is_due,
 )
 from larkpost.gateway.observability.eventlog import Event
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        own: OwnDaemon,
+        own: LocalDaemon,
         store: Store,
         instruments: Instruments,
         regions: RegionMap,
--- a/tests/pinned_parts.py
+++ b/tests/pinned_parts.py
@@ -6,7 +6,7 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.gateway.blackboard.regions import RegionMap
-from larkpost.gateway.controllers.heartbeat_writer import OwnDaemon
+from larkpost.gateway.controllers.heartbeat_writer import LocalDaemon
 from larkpost.gateway.controllers.members import Membership
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
@@ -20,12 +20,12 @@
     """Returns a member that needs no heartbeats of others and puts their summaries into `told`."""
     client = StoreClient(store, answer_seconds=0.0)
     instruments = Instruments(clock, EventLog(name))
-    return Membership(OwnDaemon(name), client, instruments, RegionMap(), told.__setitem__)
+    return Membership(LocalDaemon(name), client, instruments, RegionMap(), told.__setitem__)
 
 
 def make_active_member(name: str, store: MemoryStore, clock: LoopClock) -> Membership:
     """Returns a member that owns batches, uses two places of engine-3/1 and relays calls."""
-    own = OwnDaemon(
+    own = LocalDaemon(
         name,
         use=lambda: {"engine-3/1": (2, 0.5)},
         is_owner=lambda: True,
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -14,7 +14,7 @@
     known_interval,
     known_listing_interval,
 )
-from larkpost.gateway.controllers.heartbeat_writer import OwnDaemon, is_due
+from larkpost.gateway.controllers.heartbeat_writer import LocalDaemon, is_due
 from larkpost.gateway.controllers.members import AWAITED_PART, Membership
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
@@ -35,7 +35,7 @@
         """Starts a daemon's heartbeat; the store answers it after a time."""
         client = StoreClient(self.store, answer_seconds)
         membership = Membership(
-            OwnDaemon(new_incarnation(machine)),
+            LocalDaemon(new_incarnation(machine)),
             client,
             Instruments(self.clock, EventLog(machine)),
             RegionMap(),
--- a/tests/test_scale_mechanisms.py
+++ b/tests/test_scale_mechanisms.py
@@ -21,7 +21,7 @@
     shortage_factor,
 )
 from larkpost.gateway.controllers.heartbeat_list import MEMBER_TABLE
-from larkpost.gateway.controllers.heartbeat_writer import OwnDaemon
+from larkpost.gateway.controllers.heartbeat_writer import LocalDaemon
 from larkpost.gateway.controllers.members import AWAITED_PART, KNOWN_PART, Membership
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
@@ -67,7 +67,7 @@
     def start(self, machine: str) -> Membership:
         """Starts a daemon's heartbeat."""
         membership = Membership(
-            OwnDaemon(
+            LocalDaemon(
                 new_incarnation(machine),
                 is_owner=lambda: membership in self.owners,
                 has_shortage=lambda: self.is_short,
--- a/tests/test_uneven_machines.py
+++ b/tests/test_uneven_machines.py
@@ -31,7 +31,7 @@
     should_coordinate,
 )
 from larkpost.gateway.controllers.heartbeat import new_incarnation
-from larkpost.gateway.controllers.heartbeat_writer import OwnDaemon
+from larkpost.gateway.controllers.heartbeat_writer import LocalDaemon
 from larkpost.gateway.controllers.members import Membership
 from larkpost.gateway.memory.sizing import budget_of
 from larkpost.gateway.observability.eventlog import EventLog
@@ -193,7 +193,7 @@
         store = MemoryStore(clock)
         fleet = []
         for number, capacity in enumerate(capacities):
-            own = OwnDaemon(
+            own = LocalDaemon(
                 new_incarnation(f"m{number}"),
                 report=lambda capacity=capacity: DaemonReport(capacity=capacity),
             )
