--- a/src/larkpost/gateway/controllers/members.py
+++ b/src/larkpost/gateway/controllers/members.py
@@ -38,7 +38,7 @@
 """Part of the store that has the known heartbeats; see `heartbeat_intervals`."""
 AWAITED_PART = "awaited"
 """Part of the store that has the awaited heartbeats."""
-FORGET_AFTER_SECONDS = 60.0
+ROW_RETENTION_SECONDS = 60.0
 """Seconds of silence after which a daemon's rows are removed. Far above any outage that its machine
 survives."""
 MAX_REMOVALS = 40
@@ -144,7 +144,7 @@
         """
         old = self._rows_of_earlier_incarnations(rows)
         if self.choose_coordinator("forget") == self.own:
-            old |= dict(rows.rows_silent_for(FORGET_AFTER_SECONDS)[:MAX_REMOVALS])
+            old |= dict(rows.rows_silent_for(ROW_RETENTION_SECONDS)[:MAX_REMOVALS])
         if old:
             removal = Transaction(conditions=tuple(old.items()), removals=tuple(old))
             await self._store.write(removal, WRITE_TIMEOUT_SECONDS)
