--- a/src/larkpost/gateway/assembly/gauges.py
+++ b/src/larkpost/gateway/assembly/gauges.py
@@ -6,7 +6,7 @@
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
 from larkpost.gateway.controllers.feeds import Feeds
-from larkpost.gateway.controllers.members import Membership
+from larkpost.gateway.controllers.membership import Membership
 from larkpost.gateway.memory.daemon_memory import DaemonMemory
 from larkpost.gateway.observability.metrics import Level, Metrics
 from larkpost.gateway.placement.cold_rate_limit import ColdRateLimit
--- a/src/larkpost/gateway/controllers/coordination.py
+++ b/src/larkpost/gateway/controllers/coordination.py
@@ -7,7 +7,7 @@
 
 from larkpost.common.ids import DaemonId
 from larkpost.gateway.controllers.leases import Lease, LeaseSubject, LeaseTable
-from larkpost.gateway.controllers.members import Membership
+from larkpost.gateway.controllers.membership import Membership
 
 
 class Coordination:
--- a/src/larkpost/gateway/rollouts/claims.py
+++ b/src/larkpost/gateway/rollouts/claims.py
@@ -11,7 +11,7 @@
 
 from larkpost.common.clock import Clock
 from larkpost.common.ids import BatchId, DaemonId, RegionId
-from larkpost.gateway.controllers.members import Membership
+from larkpost.gateway.controllers.membership import Membership
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.metrics import Count
 from larkpost.gateway.rollouts.context import RunServices
--- a/src/larkpost/gateway/rollouts/keeper.py
+++ b/src/larkpost/gateway/rollouts/keeper.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.blackboard.configuration import ModelName
 from larkpost.gateway.blackboard.daemon_report import BatchProgress
 from larkpost.gateway.blackboard.weight_targets import ModelDemand
-from larkpost.gateway.controllers.members import Membership
+from larkpost.gateway.controllers.membership import Membership
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.rollouts.batch_outlooks import BatchOutlooks, ModelHeads, OutlookSources
 from larkpost.gateway.rollouts.claims import BatchClaims
--- a/tests/pinned_parts.py
+++ b/tests/pinned_parts.py
@@ -7,7 +7,7 @@
 from larkpost.common.clock import LoopClock
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.controllers.heartbeat_writer import LocalDaemon
-from larkpost.gateway.controllers.members import Membership
+from larkpost.gateway.controllers.membership import Membership
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.proxy.request import ClientRequest
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -132,7 +132,7 @@
 
 def keep_rows_of_earlier_lives():
     """Leaves the rows of the machine's earlier lives, so that others wait for them."""
-    from larkpost.gateway.controllers.members import Membership
+    from larkpost.gateway.controllers.membership import Membership
 
     async def remove_old(self, rows):
         return None
@@ -142,7 +142,7 @@
 
 def judge_owner_like_an_idle_daemon():
     """Waits for the long interval of an idle daemon though it owns a batch."""
-    from larkpost.gateway.controllers.members import Membership
+    from larkpost.gateway.controllers.membership import Membership
 
     def is_owner_alive(self, owner, since):
         return self.is_alive(owner)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -15,7 +15,7 @@
     known_listing_interval,
 )
 from larkpost.gateway.controllers.heartbeat_writer import LocalDaemon, is_due
-from larkpost.gateway.controllers.members import AWAITED_PART, Membership
+from larkpost.gateway.controllers.membership import AWAITED_PART, Membership
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient, StoreFaults
--- a/tests/test_scale_mechanisms.py
+++ b/tests/test_scale_mechanisms.py
@@ -22,7 +22,7 @@
 )
 from larkpost.gateway.controllers.heartbeat_list import MEMBER_TABLE
 from larkpost.gateway.controllers.heartbeat_writer import LocalDaemon
-from larkpost.gateway.controllers.members import AWAITED_PART, KNOWN_PART, Membership
+from larkpost.gateway.controllers.membership import AWAITED_PART, KNOWN_PART, Membership
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
--- a/tests/test_uneven_machines.py
+++ b/tests/test_uneven_machines.py
@@ -32,7 +32,7 @@
 )
 from larkpost.gateway.controllers.heartbeat import new_incarnation
 from larkpost.gateway.controllers.heartbeat_writer import LocalDaemon
-from larkpost.gateway.controllers.members import Membership
+from larkpost.gateway.controllers.membership import Membership
 from larkpost.gateway.memory.sizing import budget_of
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
