--- a/src/larkpost/gateway/assembly/leased_controllers.py
+++ b/src/larkpost/gateway/assembly/leased_controllers.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.controllers.feeds import Feeds
 from larkpost.gateway.controllers.leases import LeaseTable
 from larkpost.gateway.controllers.membership import Membership
-from larkpost.gateway.controllers.true_time import TrueTime
+from larkpost.gateway.controllers.true_time import FleetClock
 from larkpost.gateway.controllers.weight_loader import WeightLoader
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.proxy.balancer import Balancer
@@ -40,7 +40,7 @@
     balancer: Balancer
     keeper: BatchKeeper
     feeds: Feeds
-    true_time: TrueTime
+    true_time: FleetClock
     counter: UsageCounter | None
 
 
--- a/src/larkpost/gateway/controllers/true_time.py
+++ b/src/larkpost/gateway/controllers/true_time.py
@@ -27,7 +27,7 @@
         return self._clock.wall_ms() / 1000 - store_time if store_time is not None else None
 
 
-class TrueTime:
+class FleetClock:
     """The time of day, in seconds since the Unix epoch.
 
     Args:
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -28,7 +28,7 @@
 from larkpost.gateway.controllers.feeds import BatchListener, Feeds, FeedSource
 from larkpost.gateway.controllers.heartbeat import new_incarnation
 from larkpost.gateway.controllers.lending_log import LendingLog
-from larkpost.gateway.controllers.true_time import TrueTime
+from larkpost.gateway.controllers.true_time import FleetClock
 from larkpost.gateway.fairness.ledger import FlowLedger
 from larkpost.gateway.memory.daemon_memory import DaemonMemory
 from larkpost.gateway.observability.eventlog import Event
@@ -113,7 +113,7 @@
                 self._loop_watch,
             )
         )
-        self.true_time = TrueTime(self._clock, ports.store.time, self.membership.clock_offsets)
+        self.true_time = FleetClock(self._clock, ports.store.time, self.membership.clock_offsets)
 
     def _make_quarantine(self) -> None:
         ports = self._ports
--- a/src/larkpost/gateway/usage/counter.py
+++ b/src/larkpost/gateway/usage/counter.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from larkpost.gateway.blackboard.tenants import TenantName
-from larkpost.gateway.controllers.true_time import TrueTime
+from larkpost.gateway.controllers.true_time import FleetClock
 from larkpost.gateway.usage.port import TenantCounts, WindowNumber
 
 KEPT_WINDOWS = 24
@@ -26,7 +26,7 @@
         window_length: seconds.
     """
 
-    def __init__(self, true_time: TrueTime, window_length: float) -> None:
+    def __init__(self, true_time: FleetClock, window_length: float) -> None:
         self._true_time = true_time
         self._window_length = window_length
         self._begun: list[_Begun] = []
--- a/src/larkpost/gateway/usage/reporter.py
+++ b/src/larkpost/gateway/usage/reporter.py
@@ -10,7 +10,7 @@
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.controllers.coordination import Coordination
 from larkpost.gateway.controllers.leases import Duty, LeaseSubject
-from larkpost.gateway.controllers.true_time import TrueTime
+from larkpost.gateway.controllers.true_time import FleetClock
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.observability.metrics import Count
@@ -55,7 +55,7 @@
     """
 
     terms: UsageTerms
-    true_time: TrueTime
+    true_time: FleetClock
     store_sound_for: Callable[[], float]
 
     def window_at(self, time: float) -> WindowNumber:
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -326,9 +326,9 @@
 
 def believe_own_clock():
     """Takes this machine's time of day for the true one."""
-    from larkpost.gateway.controllers.true_time import TrueTime
+    from larkpost.gateway.controllers.true_time import FleetClock
 
-    return mock.patch.object(TrueTime, "now", lambda self: self._clock.wall_ms() / 1000)
+    return mock.patch.object(FleetClock, "now", lambda self: self._clock.wall_ms() / 1000)
 
 
 def end_stalled_runs_without_places():
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -8,7 +8,7 @@
 from larkpost.gateway.blackboard.configuration import Route, RouteKind, ServiceShare
 from larkpost.gateway.blackboard.tenants import TenantName
 from larkpost.gateway.controllers.leases import Duty, LeaseSubject, LeaseTable
-from larkpost.gateway.controllers.true_time import TrueTime
+from larkpost.gateway.controllers.true_time import FleetClock
 from larkpost.gateway.proxy.request import (
     ClientRequest,
 )
@@ -219,7 +219,7 @@
         async def play():
             clock = LoopClock()
             offsets: list[float] = []
-            counter = UsageCounter(TrueTime(clock, clock.now, lambda: offsets), WINDOW)
+            counter = UsageCounter(FleetClock(clock, clock.now, lambda: offsets), WINDOW)
             counter.record_begun(FIRST, clock.now())
             self.assertEqual({}, counter.unsaved())
             await clock.sleep(7.0)
