--- a/src/larkpost/gateway/assembly/leased_controllers.py
+++ b/src/larkpost/gateway/assembly/leased_controllers.py
@@ -11,9 +11,9 @@
 from larkpost.gateway.controllers.coordination import Coordination
 from larkpost.gateway.controllers.engine_allocator import EngineAllocator
 from larkpost.gateway.controllers.feeds import Feeds
+from larkpost.gateway.controllers.fleet_clock import FleetClock
 from larkpost.gateway.controllers.leases import LeaseTable
 from larkpost.gateway.controllers.membership import Membership
-from larkpost.gateway.controllers.true_time import FleetClock
 from larkpost.gateway.controllers.weight_loader import WeightLoader
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.proxy.balancer import Balancer
--- a/src/larkpost/gateway/assembly/membership.py
+++ b/src/larkpost/gateway/assembly/membership.py
@@ -9,9 +9,9 @@
 from larkpost.gateway.assembly.loop_watch import LoopWatch
 from larkpost.gateway.assembly.own_capacity import OwnCapacity, capacity_of
 from larkpost.gateway.blackboard.regions import RegionMap
+from larkpost.gateway.controllers.fleet_clock import ClockOffset
 from larkpost.gateway.controllers.heartbeat_writer import LocalDaemon
 from larkpost.gateway.controllers.membership import Membership
-from larkpost.gateway.controllers.true_time import ClockOffset
 from larkpost.gateway.fairness.ledger import FlowLedger
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.proxy.balancer import Balancer
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -26,9 +26,9 @@
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
 from larkpost.gateway.controllers.engine_allocator import EngineAllocator
 from larkpost.gateway.controllers.feeds import BatchListener, Feeds, FeedSource
+from larkpost.gateway.controllers.fleet_clock import FleetClock
 from larkpost.gateway.controllers.heartbeat import new_incarnation
 from larkpost.gateway.controllers.lending_log import LendingLog
-from larkpost.gateway.controllers.true_time import FleetClock
 from larkpost.gateway.fairness.ledger import FlowLedger
 from larkpost.gateway.memory.daemon_memory import DaemonMemory
 from larkpost.gateway.observability.eventlog import Event
--- a/src/larkpost/gateway/usage/counter.py
+++ b/src/larkpost/gateway/usage/counter.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from larkpost.gateway.blackboard.tenants import TenantName
-from larkpost.gateway.controllers.true_time import FleetClock
+from larkpost.gateway.controllers.fleet_clock import FleetClock
 from larkpost.gateway.usage.port import TenantCounts, WindowNumber
 
 KEPT_WINDOWS = 24
--- a/src/larkpost/gateway/usage/reporter.py
+++ b/src/larkpost/gateway/usage/reporter.py
@@ -9,8 +9,8 @@
 
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.controllers.coordination import Coordination
+from larkpost.gateway.controllers.fleet_clock import FleetClock
 from larkpost.gateway.controllers.leases import Duty, LeaseSubject
-from larkpost.gateway.controllers.true_time import FleetClock
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.observability.metrics import Count
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -326,7 +326,7 @@
 
 def believe_own_clock():
     """Takes this machine's time of day for the true one."""
-    from larkpost.gateway.controllers.true_time import FleetClock
+    from larkpost.gateway.controllers.fleet_clock import FleetClock
 
     return mock.patch.object(FleetClock, "now", lambda self: self._clock.wall_ms() / 1000)
 
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -7,8 +7,8 @@
 from larkpost.common.ids import DaemonId, InstanceId
 from larkpost.gateway.blackboard.configuration import Route, RouteKind, ServiceShare
 from larkpost.gateway.blackboard.tenants import TenantName
+from larkpost.gateway.controllers.fleet_clock import FleetClock
 from larkpost.gateway.controllers.leases import Duty, LeaseSubject, LeaseTable
-from larkpost.gateway.controllers.true_time import FleetClock
 from larkpost.gateway.proxy.request import (
     ClientRequest,
 )
