--- a/src/larkpost/gateway/controllers/row_intake.py
+++ b/src/larkpost/gateway/controllers/row_intake.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InstanceTrust:
+class RemovalTrust:
     """How far what is read of instances is believed; durations in seconds.
 
     Attributes:
@@ -88,7 +88,7 @@
         readers: RowReaders,
         blackboard: Blackboard,
         instruments: Instruments,
-        trust: InstanceTrust,
+        trust: RemovalTrust,
     ) -> None:
         self._readers = readers
         self._configuration = blackboard.configuration
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -11,7 +11,7 @@
 from larkpost.common.ids import ZoneId
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.cold_instances import ColdInstances, ColdTerms
-from larkpost.gateway.controllers.row_intake import InstanceTrust, RowIntake
+from larkpost.gateway.controllers.row_intake import RemovalTrust, RowIntake
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.placement.cold_rate_limit import (
@@ -262,7 +262,7 @@
                 readers,
                 self.blackboard,
                 Instruments(self.clock, EventLog("daemon")),
-                InstanceTrust(lambda: self.sound, lambda: 3.0, lambda: had_whole_list),
+                RemovalTrust(lambda: self.sound, lambda: 3.0, lambda: had_whole_list),
             )
             await work()
 
