--- a/src/larkpost/gateway/controllers/row_intake.py
+++ b/src/larkpost/gateway/controllers/row_intake.py
@@ -57,7 +57,7 @@
 
     sound_for: Callable[[], float]
     trust_after: Callable[[], float]
-    had_whole_list: Callable[[], bool]
+    has_full_listing: Callable[[], bool]
 
     def is_removal_believed(self) -> bool:
         """Returns whether an instance has ended if its entry is gone."""
@@ -164,7 +164,7 @@
         except ValueError as error:
             self._record_spoiled(name, str(error))
             return
-        entry = _Entry(info, is_new=self._trust.had_whole_list())
+        entry = _Entry(info, is_new=self._trust.has_full_listing())
         if self._is_service_named(info):
             self._take(entry)
         else:
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -249,7 +249,7 @@
 class NewsTest(unittest.TestCase):
     """What makes an instance count as cold."""
 
-    def play(self, work, *, had_whole_list: bool = True) -> None:
+    def play(self, work, *, has_full_listing: bool = True) -> None:
         """Runs a test on virtual time with an intake of rows."""
 
         async def begin() -> None:
@@ -262,7 +262,7 @@
                 readers,
                 self.blackboard,
                 Instruments(self.clock, EventLog("daemon")),
-                RemovalTrust(lambda: self.sound, lambda: 3.0, lambda: had_whole_list),
+                RemovalTrust(lambda: self.sound, lambda: 3.0, lambda: has_full_listing),
             )
             await work()
 
@@ -293,7 +293,7 @@
             self.assertEqual(0.0, self.take(None))
             self.assertEqual(1.5, self.take(1.5))
 
-        self.play(work, had_whole_list=False)
+        self.play(work, has_full_listing=False)
 
     def test_back_after_its_entry_went_while_the_store_was_away(self) -> None:
         async def work() -> None:
