--- a/src/larkpost/gateway/controllers/engine_speeds.py
+++ b/src/larkpost/gateway/controllers/engine_speeds.py
@@ -14,7 +14,7 @@
 """Ratio of paces that makes one step; half a step, the square root of it, is rounded up."""
 
 
-def steps_slower(paces: Mapping[InstanceId, float]) -> dict[InstanceId, int]:
+def slowdown_steps(paces: Mapping[InstanceId, float]) -> dict[InstanceId, int]:
     """Returns by how many steps each engine is slower than the middling one; negative if faster.
 
     Args:
--- a/src/larkpost/gateway/controllers/model_assignment.py
+++ b/src/larkpost/gateway/controllers/model_assignment.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.blackboard.configuration import ModelName, Service
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
 from larkpost.gateway.blackboard.weight_targets import Demands, ModelDemand
-from larkpost.gateway.controllers.engine_speeds import speed, steps_slower
+from larkpost.gateway.controllers.engine_speeds import slowdown_steps, speed
 
 MAX_VERSIONS_BEHIND = 1
 """Versions by which an engine that a model keeps may be behind the model's newest engine."""
@@ -44,7 +44,7 @@
 
     negative_version: int  # the newest version first, so that a division once made stays
     other_models: int  # of those the one that no other model keeps, as one lent to this model
-    steps_slower: int  # of those the fastest
+    slowdown_steps: int  # of those the fastest
     rank: int  # the same for all daemons
 
 
@@ -64,7 +64,7 @@
     Args:
         pace: returns the lasting pace of an engine; while paces are not known all count alike.
     """
-    steps = steps_slower({engine.id: pace(engine.id) for engine in engines})
+    steps = slowdown_steps({engine.id: pace(engine.id) for engine in engines})
     kept_by = _models_kept(service, engines, directory)
     preferences = {
         model: _Preferences(_in_order_of_choice(model, directory, steps, kept_by))
@@ -134,7 +134,7 @@
         return _EngineOrder(
             negative_version=-directory.version_of(engine, model),
             other_models=len(kept_by[engine] - {model}),
-            steps_slower=steps[engine],
+            slowdown_steps=steps[engine],
             rank=hash64(engine),
         )
 
--- a/tests/test_uneven_division.py
+++ b/tests/test_uneven_division.py
@@ -9,7 +9,7 @@
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import ModelName, Service, ServiceName
 from larkpost.gateway.blackboard.weight_targets import ModelDemand
-from larkpost.gateway.controllers.engine_speeds import speed, steps_slower
+from larkpost.gateway.controllers.engine_speeds import slowdown_steps, speed
 from larkpost.gateway.controllers.model_assignment import assign_models
 from tests.server_parts import make_directory
 
@@ -38,7 +38,7 @@
         )
         for name, paces, expected in cases:
             with self.subTest(name):
-                steps = steps_slower({InstanceId(str(i)): pace for i, pace in enumerate(paces)})
+                steps = slowdown_steps({InstanceId(str(i)): pace for i, pace in enumerate(paces)})
                 self.assertEqual(expected, tuple(steps.values()))
 
     def test_slower_engines_do_less(self):
