--- a/src/larkpost/gateway/controllers/engine_speeds.py
+++ b/src/larkpost/gateway/controllers/engine_speeds.py
@@ -31,6 +31,6 @@
     }
 
 
-def speed(steps: int) -> float:
+def relative_speed(steps: int) -> float:
     """Returns what an engine makes beside a middling one, by its steps slower than that."""
     return STEP_RATIO**-steps
--- a/src/larkpost/gateway/controllers/model_assignment.py
+++ b/src/larkpost/gateway/controllers/model_assignment.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.blackboard.configuration import ModelName, Service
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
 from larkpost.gateway.blackboard.weight_targets import Demands, ModelDemand
-from larkpost.gateway.controllers.engine_speeds import slowdown_steps, speed
+from larkpost.gateway.controllers.engine_speeds import relative_speed, slowdown_steps
 
 MAX_VERSIONS_BEHIND = 1
 """Versions by which an engine that a model keeps may be behind the model's newest engine."""
@@ -70,7 +70,7 @@
         model: _Preferences(_in_order_of_choice(model, directory, steps, kept_by))
         for model in service.models
     }
-    capacities = {engine: speed(count) for engine, count in steps.items()}
+    capacities = {engine: relative_speed(count) for engine, count in steps.items()}
     assignment = _Division(_work_of_models(service, demands), preferences, capacities)
     enough = min(MIN_ENGINES_PER_MODEL, len(engines))
     while engines and assignment.chosen and assignment.choose_next(enough):
--- a/tests/test_uneven_division.py
+++ b/tests/test_uneven_division.py
@@ -9,7 +9,7 @@
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import ModelName, Service, ServiceName
 from larkpost.gateway.blackboard.weight_targets import ModelDemand
-from larkpost.gateway.controllers.engine_speeds import slowdown_steps, speed
+from larkpost.gateway.controllers.engine_speeds import relative_speed, slowdown_steps
 from larkpost.gateway.controllers.model_assignment import assign_models
 from tests.server_parts import make_directory
 
@@ -42,9 +42,9 @@
                 self.assertEqual(expected, tuple(steps.values()))
 
     def test_slower_engines_do_less(self):
-        self.assertEqual(1.0, speed(0))
-        self.assertLess(speed(1), 1.0)
-        self.assertGreater(speed(-1), 1.0)
+        self.assertEqual(1.0, relative_speed(0))
+        self.assertLess(relative_speed(1), 1.0)
+        self.assertGreater(relative_speed(-1), 1.0)
 
 
 class UnevenDivisionTest(unittest.TestCase):
