--- a/src/larkpost/gateway/scaling/census.py
+++ b/src/larkpost/gateway/scaling/census.py
@@ -25,7 +25,7 @@
     full_at: float = float("-inf")
 
 
-class ServerCensus:
+class ServerCounter:
     """The counts of one daemon."""
 
     def __init__(self, directory: Directory, evacuations: Evacuations) -> None:
--- a/src/larkpost/gateway/scaling/controller.py
+++ b/src/larkpost/gateway/scaling/controller.py
@@ -18,7 +18,7 @@
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.observability.metrics import Count, Level
-from larkpost.gateway.scaling.census import ServerCensus
+from larkpost.gateway.scaling.census import ServerCounter
 from larkpost.gateway.scaling.demand import DemandForecast
 from larkpost.gateway.scaling.planner import Plan, PlanInputs, plan_servers
 from larkpost.gateway.scaling.port import (
@@ -78,7 +78,7 @@
         self._log = instruments.log
         self._metrics = instruments.metrics
         self._mode = mode
-        self._census = ServerCensus(inputs.blackboard.directory, inputs.blackboard.evacuations)
+        self._census = ServerCounter(inputs.blackboard.directory, inputs.blackboard.evacuations)
         self._announced: dict[ServiceName, Plan] = {}
         self._next_order: dict[tuple[ServiceName, ZoneId], float] = {}
         self._no_preemptible_until: dict[ZoneId, float] = {}
