--- a/src/larkpost/gateway/assembly/leased_controllers.py
+++ b/src/larkpost/gateway/assembly/leased_controllers.py
@@ -19,7 +19,7 @@
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.rollouts.keeper import BatchKeeper
 from larkpost.gateway.scaling.controller import ScalingController, ScalingInputs
-from larkpost.gateway.scaling.demand import DemandForecast
+from larkpost.gateway.scaling.demand import DemandEstimator
 from larkpost.gateway.usage.count_writer import UsageCountWriter
 from larkpost.gateway.usage.counter import UsageCounter
 from larkpost.gateway.usage.reporter import ReportTiming, UsageReporter
@@ -107,7 +107,7 @@
         if self._ports.scaling is None:
             return None
         inputs = self._inputs
-        demand = DemandForecast(
+        demand = DemandEstimator(
             inputs.blackboard.directory, inputs.keeper.demands, inputs.balancer.pace
         )
         return ScalingController(
--- a/src/larkpost/gateway/scaling/controller.py
+++ b/src/larkpost/gateway/scaling/controller.py
@@ -19,7 +19,7 @@
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.observability.metrics import Count, Level
 from larkpost.gateway.scaling.census import ServerCounter
-from larkpost.gateway.scaling.demand import DemandForecast
+from larkpost.gateway.scaling.demand import DemandEstimator
 from larkpost.gateway.scaling.planner import Plan, PlanInputs, plan_servers
 from larkpost.gateway.scaling.port import (
     ScalingMode,
@@ -54,7 +54,7 @@
     """
 
     blackboard: Blackboard
-    demand: DemandForecast
+    demand: DemandEstimator
     store_sound_for: Callable[[], float]
 
 
--- a/src/larkpost/gateway/scaling/demand.py
+++ b/src/larkpost/gateway/scaling/demand.py
@@ -9,7 +9,7 @@
 from larkpost.gateway.scaling.planner import Demand
 
 
-class DemandForecast:
+class DemandEstimator:
     """Works out the demand of services.
 
     Args:
