--- a/src/larkpost/gateway/scaling/demand.py
+++ b/src/larkpost/gateway/scaling/demand.py
@@ -6,7 +6,7 @@
 from larkpost.gateway.blackboard.configuration import Configuration, Service
 from larkpost.gateway.blackboard.directory import Directory
 from larkpost.gateway.blackboard.weight_targets import Demands
-from larkpost.gateway.scaling.planner import Demand
+from larkpost.gateway.scaling.planner import ServiceDemand
 
 
 class DemandEstimator:
@@ -27,15 +27,15 @@
         self._demands = demands
         self._pace = pace
 
-    def of(self, service: Service, configuration: Configuration) -> Demand:
+    def of(self, service: Service, configuration: Configuration) -> ServiceDemand:
         """Returns the demand of a service: the tokens of each open batch within its due time."""
         routes = configuration.batch_routes_to(service.name)
         due = min((route.due for route in routes if route.due), default=0.0)
         if not due:
-            return Demand()
+            return ServiceDemand()
         demands = self._demands()
         work = sum(demands[model].work for model in service.models if model in demands)
-        return Demand(work / due, self._server_rate(service))
+        return ServiceDemand(work / due, self._server_rate(service))
 
     def _server_rate(self, service: Service) -> float:
         """Returns the tokens that an engine of middling pace makes a second; 0 if not known."""
--- a/src/larkpost/gateway/scaling/planner.py
+++ b/src/larkpost/gateway/scaling/planner.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Demand:
+class ServiceDemand:
     """What is asked of a service.
 
     Attributes:
@@ -92,7 +92,7 @@
     service: ServiceName
     terms: ScalingTerms
     zones: Mapping[ZoneId, ZoneServers]
-    demand: Demand
+    demand: ServiceDemand
     lost_after: float
     refused: frozenset[ZoneId] = frozenset()
 
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -7,7 +7,7 @@
 from larkpost.common.ids import ZoneId
 from larkpost.gateway.blackboard.configuration import ServiceName
 from larkpost.gateway.blackboard.scaling_terms import ScalingTerms
-from larkpost.gateway.scaling.planner import Demand, PlanInputs, ZoneServers, plan_servers
+from larkpost.gateway.scaling.planner import PlanInputs, ServiceDemand, ZoneServers, plan_servers
 from larkpost.gateway.scaling.port import ScalingMode, ScalingOrder, ScalingOutcome, ServerKind
 from larkpost.gateway.store.port import Row, RowKey, Transaction
 from larkpost.platform.operator import UnreadableRowError, read_configuration
@@ -25,7 +25,7 @@
 
 def plan(zones: dict[ZoneId, ZoneServers], terms: ScalingTerms = TERMS, **options):
     """Returns the planned orders."""
-    demand = options.pop("demand", Demand())
+    demand = options.pop("demand", ServiceDemand())
     return plan_servers(PlanInputs(SERVICE, terms, zones, demand, LOST_AFTER, **options)).orders
 
 
@@ -55,7 +55,9 @@
 
     def test_nothing_is_ordered_that_is_not_needed(self) -> None:
         zones = {NORTH: LOST, SOUTH: WHOLE}
-        enough = Demand(work=1000.0, server_rate=100.0)  # 12.5 servers with the headroom, 13 there
+        enough = ServiceDemand(
+            work=1000.0, server_rate=100.0
+        )  # 12.5 servers with the headroom, 13 there
         self.assertEqual((), plan(zones, demand=enough))
         self.assertEqual(1, len(plan(zones, demand=replace(enough, work=1100.0))))
 
