--- a/src/larkpost/gateway/scaling/planner.py
+++ b/src/larkpost/gateway/scaling/planner.py
@@ -15,7 +15,7 @@
 
 PREEMPTIBLE_SHARE = 0.5
 """Most of a zone's servers that are preemptible: the zone serves on when all of them go."""
-PREEMPTIBLE_WORTH = 0.6
+MAX_PREEMPTIBLE_PRICE = 0.6
 """Highest price of a preemptible server, as a share of one on demand, at which one is taken: what
 is lost with it, its runs and its weights, must cost less than it saves."""
 HEADROOM = 1.25
@@ -138,4 +138,4 @@
 def is_preemptible_worth(terms: ScalingTerms) -> bool:
     """Returns whether preemptible servers are cheap enough for the chance that they go."""
     price = terms.preemptible_price
-    return price is not None and price <= PREEMPTIBLE_WORTH
+    return price is not None and price <= MAX_PREEMPTIBLE_PRICE
