--- a/src/larkpost/gateway/scaling/planner.py
+++ b/src/larkpost/gateway/scaling/planner.py
@@ -128,14 +128,14 @@
     wanted = max(terms.minimum, min(known.usual, terms.maximum))
     if wanted <= known.count:
         return None
-    if zone not in inputs.refused and is_preemptible_worth(terms):
+    if zone not in inputs.refused and is_preemptible_worthwhile(terms):
         cheap = min(wanted - known.on_demand, int(wanted * PREEMPTIBLE_SHARE))
         if cheap > known.preemptible:
             return ScalingOrder(service, zone, ServerKind.PREEMPTIBLE, cheap)
     return ScalingOrder(service, zone, ServerKind.ON_DEMAND, wanted - known.preemptible)
 
 
-def is_preemptible_worth(terms: ScalingTerms) -> bool:
+def is_preemptible_worthwhile(terms: ScalingTerms) -> bool:
     """Returns whether preemptible servers are cheap enough for the chance that they go."""
     price = terms.preemptible_price
     return price is not None and price <= MAX_PREEMPTIBLE_PRICE
