--- a/src/larkpost/gateway/scaling/census.py
+++ b/src/larkpost/gateway/scaling/census.py
@@ -59,6 +59,6 @@
             on_demand=len(ready) - preemptible,
             preemptible=preemptible,
             usual=usual,
-            lost_for=now - seen.full_at,
+            missing_for=now - seen.full_at,
             is_evacuated=self._evacuations.is_evacuated(zone),
         )
--- a/src/larkpost/gateway/scaling/planner.py
+++ b/src/larkpost/gateway/scaling/planner.py
@@ -37,7 +37,7 @@
     on_demand: int
     preemptible: int
     usual: int
-    lost_for: float
+    missing_for: float
     is_evacuated: bool = False
 
     @property
@@ -115,7 +115,7 @@
 
 def _missing(known: ZoneServers, lost_after: float) -> int:
     """Returns how many servers a zone has lost for good and may have back."""
-    if known.is_evacuated or known.lost_for < lost_after:
+    if known.is_evacuated or known.missing_for < lost_after:
         return 0
     return max(0, known.usual - known.count)
 
