--- a/src/larkpost/gateway/scaling/controller.py
+++ b/src/larkpost/gateway/scaling/controller.py
@@ -31,7 +31,7 @@
 
 INTERVAL_SECONDS = 1.0
 """Seconds between two plans."""
-LOST_SECONDS = 8.0
+LOST_AFTER_SECONDS = 8.0
 """Seconds after which a missing server is considered lost for good: one that crashed is back
 before, listed anew, and its entry lapses three heartbeats (3.6 s) after its end."""
 SOUND_SECONDS = 4.0
@@ -103,7 +103,9 @@
             zone for zone, until in self._no_preemptible_until.items() if now < until
         )
         demand = self._demand.of(service, configuration)
-        inputs = PlanInputs(service.name, service.scaling, zones, demand, LOST_SECONDS, refused)
+        inputs = PlanInputs(
+            service.name, service.scaling, zones, demand, LOST_AFTER_SECONDS, refused
+        )
         plan = plan_servers(inputs)
         self._announce(service.name, plan, inputs.present)
         if self._mode is ScalingMode.ANNOUNCE:
@@ -142,7 +144,7 @@
         )
         self._record(order, outcome, lease.token)
         if outcome is ScalingOutcome.TAKEN:
-            return boot_time + LOST_SECONDS
+            return boot_time + LOST_AFTER_SECONDS
         if outcome is ScalingOutcome.REFUSED and order.kind is ServerKind.PREEMPTIBLE:
             self._no_preemptible_until[order.zone] = self._clock.now() + REFUSED_SECONDS
         return RETRY_SECONDS
