--- a/src/larkpost/gateway/scaling/controller.py
+++ b/src/larkpost/gateway/scaling/controller.py
@@ -34,7 +34,7 @@
 LOST_AFTER_SECONDS = 8.0
 """Seconds after which a missing server is considered lost for good: one that crashed is back
 before, listed anew, and its entry lapses three heartbeats (3.6 s) after its end."""
-SOUND_SECONDS = 4.0
+MIN_STORE_HEALTHY_SECONDS = 4.0
 """Seconds for which the store must have responded for counts to be believed."""
 ORDER_TIMEOUT_SECONDS = 1.0
 """Seconds for one call that orders."""
@@ -90,7 +90,7 @@
     async def update(self) -> None:
         """Plans each service, and orders what is due and this daemon is chosen for."""
         configuration = self._blackboard.configuration.current
-        if configuration is None or self._store_sound_for() < SOUND_SECONDS:
+        if configuration is None or self._store_sound_for() < MIN_STORE_HEALTHY_SECONDS:
             return
         for service in configuration.services.values():
             if service.scaling is not None:
