--- a/src/larkpost/gateway/scaling/controller.py
+++ b/src/larkpost/gateway/scaling/controller.py
@@ -40,7 +40,7 @@
 """Seconds for one call that orders."""
 RETRY_SECONDS = 2.0
 """Seconds after an order that was not taken, or not for certain, before the next."""
-REFUSED_SECONDS = 20.0
+REFUSAL_SECONDS = 20.0
 """Seconds for which a zone that has no preemptible servers is not asked for them."""
 
 
@@ -146,7 +146,7 @@
         if outcome is ScalingOutcome.TAKEN:
             return boot_time + LOST_AFTER_SECONDS
         if outcome is ScalingOutcome.REFUSED and order.kind is ServerKind.PREEMPTIBLE:
-            self._no_preemptible_until[order.zone] = self._clock.now() + REFUSED_SECONDS
+            self._no_preemptible_until[order.zone] = self._clock.now() + REFUSAL_SECONDS
         return RETRY_SECONDS
 
     def _record(self, order: ScalingOrder, outcome: str, token: int | None) -> None:
