--- a/src/larkpost/gateway/scaling/controller.py
+++ b/src/larkpost/gateway/scaling/controller.py
@@ -18,7 +18,6 @@
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.observability.metrics import Count, Level
-from larkpost.gateway.scaling.census import ServerCounter
 from larkpost.gateway.scaling.demand import DemandEstimator
 from larkpost.gateway.scaling.planner import Plan, PlanInputs, plan_servers
 from larkpost.gateway.scaling.port import (
@@ -28,6 +27,7 @@
     ScalingPort,
     ServerKind,
 )
+from larkpost.gateway.scaling.server_counter import ServerCounter
 
 INTERVAL_SECONDS = 1.0
 """Seconds between two plans."""
