--- a/src/larkpost/gateway/assembly/leased_controllers.py
+++ b/src/larkpost/gateway/assembly/leased_controllers.py
@@ -19,7 +19,7 @@
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.rollouts.keeper import BatchKeeper
 from larkpost.gateway.scaling.controller import ScalingController, ScalingInputs
-from larkpost.gateway.scaling.demand import DemandEstimator
+from larkpost.gateway.scaling.demand_estimator import DemandEstimator
 from larkpost.gateway.usage.count_writer import UsageCountWriter
 from larkpost.gateway.usage.counter import UsageCounter
 from larkpost.gateway.usage.reporter import ReportTiming, UsageReporter
--- a/src/larkpost/gateway/scaling/controller.py
+++ b/src/larkpost/gateway/scaling/controller.py
@@ -18,7 +18,7 @@
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.observability.metrics import Count, Level
-from larkpost.gateway.scaling.demand import DemandEstimator
+from larkpost.gateway.scaling.demand_estimator import DemandEstimator
 from larkpost.gateway.scaling.planner import Plan, PlanInputs, plan_servers
 from larkpost.gateway.scaling.port import (
     ScalingMode,
