--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -387,14 +387,16 @@
                 self.crashes.add(Crash(digest_request(REQUEST), InstanceId(f"i{number}"), 0.0))
             async with self.guard.send(self.instance, REQUEST):
                 self.assertIs(
-                    PlacementDecision.ISOLATED, self.isolation.judge(self.instance, suspect)
+                    PlacementDecision.ISOLATED, self.isolation.evaluate(self.instance, suspect)
                 )
                 self.assertIs(
-                    PlacementDecision.ALLOWED, self.isolation.judge(self.instance, CLIENT_WORK)
+                    PlacementDecision.ALLOWED, self.isolation.evaluate(self.instance, CLIENT_WORK)
                 )
                 other = make_instance("b", address=Address("10.0.0.2:1"))
-                self.assertIs(PlacementDecision.ALLOWED, self.isolation.judge(other, suspect))
-            self.assertIs(PlacementDecision.ALLOWED, self.isolation.judge(self.instance, suspect))
+                self.assertIs(PlacementDecision.ALLOWED, self.isolation.evaluate(other, suspect))
+            self.assertIs(
+                PlacementDecision.ALLOWED, self.isolation.evaluate(self.instance, suspect)
+            )
 
         run(play())
 
