--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -154,7 +154,7 @@
     """Makes every daemon a coordinator."""
     from larkpost.gateway.controllers import coordinators
 
-    return mock.patch.object(coordinators, "COORDINATORS", 1_000_000)
+    return mock.patch.object(coordinators, "COORDINATOR_COUNT", 1_000_000)
 
 
 def list_without_score():
@@ -378,7 +378,7 @@
     from larkpost.gateway.placement.decision import PlacementDecision
     from larkpost.gateway.placement.region_rule import RegionRule
 
-    return mock.patch.object(RegionRule, "judge", lambda *_: PlacementDecision.ALLOWED)
+    return mock.patch.object(RegionRule, "evaluate", lambda *_: PlacementDecision.ALLOWED)
 
 
 def forget_evacuations():
@@ -464,14 +464,14 @@
     from larkpost.gateway.placement.decision import PlacementDecision
     from larkpost.gateway.quarantine.isolation_rule import IsolationRule
 
-    return mock.patch.object(IsolationRule, "judge", lambda *_: PlacementDecision.ALLOWED)
+    return mock.patch.object(IsolationRule, "evaluate", lambda *_: PlacementDecision.ALLOWED)
 
 
 def never_clear_requests():
     """Holds a request on though a server has run it whole."""
     from larkpost.gateway.quarantine.crash_recorder import CrashRecorder
 
-    return mock.patch.object(CrashRecorder, "record_served", lambda *_: None)
+    return mock.patch.object(CrashRecorder, "record_success", lambda *_: None)
 
 
 def stand_still_while_suspended():
@@ -542,7 +542,7 @@
     """Lends no engines, whoever is short of time."""
     from larkpost.gateway.controllers import lending
 
-    return mock.patch.object(lending, "standing_of", lambda _: lending.LendingRole.NONE)
+    return mock.patch.object(lending, "lending_role", lambda _: lending.LendingRole.NONE)
 
 
 def load_before_the_batch():
--- a/tests/switched_off.py
+++ b/tests/switched_off.py
@@ -76,7 +76,7 @@
 
 def most_coordinators():
     """Two daemons coordinate in place of a dozen."""
-    return mock.patch.object(coordinators, "COORDINATORS", 2)
+    return mock.patch.object(coordinators, "COORDINATOR_COUNT", 2)
 
 
 @contextlib.contextmanager
