--- a/tests/test_cold_share.py
+++ b/tests/test_cold_share.py
@@ -104,7 +104,7 @@
     def test_few_daemons_are_weighed_for_each_instance(self) -> None:
         members = names(370)
         view, instances = settled(members[0], members), 200
-        with mock.patch.object(cold_share, "_weight", wraps=cold_share._weight) as weigh:
+        with mock.patch.object(cold_rate_quota, "_weight", wraps=cold_rate_quota._weight) as weigh:
             named = sum(
                 client_quota(BOUND, view, InstanceId(f"engine-{number}"), is_engine=False)
                 for number in range(instances)
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -352,12 +352,12 @@
             (FIRST_START, incarnation(None), False),
         ):
             with self.subTest(said=said, known=known.id):
-                self.assertIs(expected, loader.is_of_other_incarnation(report(said), known))
+                self.assertIs(expected, weight_loader.is_of_other_incarnation(report(said), known))
 
     def test_engine_is_checked_at_once_after_its_restart(self) -> None:
         blackboard = Blackboard()
         parts = mock.Mock()
-        weights = loader.WeightLoader(blackboard, parts, parts, parts, parts)
+        weights = weight_loader.WeightLoader(blackboard, parts, parts, parts, parts)
         blackboard.directory.update(FIRST)
         weights._next_try[FIRST.id] = 1e9
         blackboard.directory.update(SECOND)
