--- a/src/larkpost/gateway/controllers/engine_allocator.py
+++ b/src/larkpost/gateway/controllers/engine_allocator.py
@@ -85,8 +85,8 @@
 
     def due(self, service: Service, now: float) -> list[tuple[InstanceId, WeightTarget]]:
         """Returns the engines of a service that should be loading now, and what."""
-        division = self._division(service.name)
-        return due_loads(service, self._inputs(division.demands), now, division.shares)
+        assignment = self._division(service.name)
+        return due_loads(service, self._inputs(assignment.demands), now, assignment.shares)
 
     def engines_of(self, service: ServiceName, model: ModelName) -> frozenset[InstanceId]:
         """Returns a model's own engines; none if the service does not hold the model.
@@ -128,10 +128,10 @@
         shares = allocate_engines(service, inputs)
         if self._record is not None:
             self._record.record(service, shares.lending, demands)
-        first = shares.lending.preferred_engines(shares.division)
+        first = shares.lending.preferred_engines(shares.assignment)
         return EngineAllocation(
             now,
-            allocation_lifetime(shares.division),
+            allocation_lifetime(shares.assignment),
             {model: frozenset(engines) for model, engines in first.items()},
             _by_model(due_loads(service, inputs, now, shares)),
             yielding_models(service.models, demands),
@@ -149,9 +149,9 @@
         )
 
 
-def allocation_lifetime(division: Assignment) -> float:
+def allocation_lifetime(assignment: Assignment) -> float:
     """Returns the seconds for which a division serves: one of many engines takes long to make."""
-    count = sum(len(engines) for engines in division.values())
+    count = sum(len(engines) for engines in assignment.values())
     return max(ALLOCATION_LIFETIME_SECONDS, count * ALLOCATION_LIFETIME_SECONDS_PER_ENGINE)
 
 
