--- a/src/larkpost/gateway/controllers/engine_allocator.py
+++ b/src/larkpost/gateway/controllers/engine_allocator.py
@@ -85,7 +85,7 @@
 
     def due(self, service: Service, now: float) -> list[tuple[InstanceId, WeightTarget]]:
         """Returns the engines of a service that should be loading now, and what."""
-        assignment = self._division(service.name)
+        assignment = self._allocation(service.name)
         return due_loads(service, self._inputs(assignment.demands), now, assignment.shares)
 
     def engines_of(self, service: ServiceName, model: ModelName) -> frozenset[InstanceId]:
@@ -93,24 +93,24 @@
 
         None of them is in an evacuated zone: a batch would wait for engines that get nothing.
         """
-        return self._division(service).own.get(model, frozenset())
+        return self._allocation(service).own.get(model, frozenset())
 
     def loading(self, service: ServiceName, model: ModelName) -> frozenset[InstanceId]:
         """Returns the engines that refuse a model's items now, or will in a moment.
 
         They load a version of it; items of other models run there as before.
         """
-        return self._division(service).loading.get(model, frozenset())
+        return self._allocation(service).loading.get(model, frozenset())
 
     def should_yield(self, service: ServiceName, model: ModelName) -> bool:
         """Returns whether a model's batches use their own engines only, for the sake of others."""
-        return model in self._division(service).yielding
+        return model in self._allocation(service).yielding
 
     def last_naming(self, model: ModelName) -> Naming | None:
         """Returns when a model's newest version was named; None if that was not seen here."""
         return self._blackboard.targets.last_naming(model, self._clock.now())
 
-    def _division(self, service: ServiceName) -> EngineAllocation:
+    def _allocation(self, service: ServiceName) -> EngineAllocation:
         now = self._clock.now()
         known = self._known.get(service)
         if known is None or now - known.made_at >= known.lifetime:
