--- a/src/larkpost/gateway/controllers/engine_allocator.py
+++ b/src/larkpost/gateway/controllers/engine_allocator.py
@@ -114,11 +114,11 @@
         now = self._clock.now()
         known = self._known.get(service)
         if known is None or now - known.made_at >= known.lifetime:
-            known = self._divide(service, now)
+            known = self._allocate(service, now)
             self._known[service] = known
         return known
 
-    def _divide(self, name: ServiceName, now: float) -> EngineAllocation:
+    def _allocate(self, name: ServiceName, now: float) -> EngineAllocation:
         configuration = self._blackboard.configuration.current
         service = configuration.services.get(name) if configuration is not None else None
         if service is None or not service.models:
