--- a/src/larkpost/gateway/controllers/weight_loader.py
+++ b/src/larkpost/gateway/controllers/weight_loader.py
@@ -47,14 +47,14 @@
     def __init__(
         self,
         blackboard: Blackboard,
-        division: EngineAllocator,
+        allocator: EngineAllocator,
         coordination: Coordination,
         servers: ServerPort,
         instruments: Instruments,
     ) -> None:
         self._configuration = blackboard.configuration
         self._directory = blackboard.directory
-        self._division = division
+        self._division = allocator
         self._coordination = coordination
         self._servers = servers
         self._clock = instruments.clock
