--- a/src/larkpost/gateway/controllers/weight_loader.py
+++ b/src/larkpost/gateway/controllers/weight_loader.py
@@ -54,7 +54,7 @@
     ) -> None:
         self._configuration = blackboard.configuration
         self._directory = blackboard.directory
-        self._division = allocator
+        self._allocator = allocator
         self._coordination = coordination
         self._servers = servers
         self._clock = instruments.clock
@@ -87,7 +87,7 @@
         for service in configuration.services.values():
             if not service.models:
                 continue
-            for engine, target in self._division.due(service, self._clock.now()):
+            for engine, target in self._allocator.due(service, self._clock.now()):
                 if self._should_order(engine):
                     self._under_way.add(engine)
                     self._tasks.spawn(self._order(service, engine, target), "order")
