--- a/src/larkpost/gateway/controllers/membership.py
+++ b/src/larkpost/gateway/controllers/membership.py
@@ -36,7 +36,7 @@
 
 KNOWN_PART = "known"
 """Part of the store that has the known heartbeats; see `heartbeat_intervals`."""
-AWAITED_PART = "awaited"
+FAST_HEARTBEAT_PART = "awaited"
 """Part of the store that has the awaited heartbeats."""
 ROW_RETENTION_SECONDS = 60.0
 """Seconds of silence after which a daemon's rows are removed. Far above any outage that its machine
@@ -74,7 +74,7 @@
             store, clock, log, KNOWN_PART, report_listener=self._record_known_report
         )
         awaited = HeartbeatList(
-            store, clock, log, AWAITED_PART, self._record_use, self._record_awaited_report
+            store, clock, log, FAST_HEARTBEAT_PART, self._record_use, self._record_awaited_report
         )
         super().__init__(own.id, known, awaited, regions, clock)
         self._store = store
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -15,7 +15,7 @@
     known_listing_interval,
 )
 from larkpost.gateway.controllers.heartbeat_writer import LocalDaemon, is_due
-from larkpost.gateway.controllers.membership import AWAITED_PART, Membership
+from larkpost.gateway.controllers.membership import FAST_HEARTBEAT_PART, Membership
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient, StoreFaults
@@ -183,7 +183,7 @@
             self.begin()
             first, second = self.start("a"), self.start("b")
             await self.clock.sleep(2.0)
-            self.store.faults = StoreFaults(parts_down=frozenset({AWAITED_PART}))
+            self.store.faults = StoreFaults(parts_down=frozenset({FAST_HEARTBEAT_PART}))
             await self.clock.sleep(8.0)
             self.assertTrue(first.is_owner_alive(second.own, 0.0))
             self.store.faults = StoreFaults()
