--- a/src/larkpost/gateway/controllers/membership.py
+++ b/src/larkpost/gateway/controllers/membership.py
@@ -34,7 +34,7 @@
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.store.port import RowKey, Store, Transaction
 
-KNOWN_PART = "known"
+SLOW_HEARTBEAT_PART = "known"
 """Part of the store that has the known heartbeats; see `heartbeat_intervals`."""
 FAST_HEARTBEAT_PART = "awaited"
 """Part of the store that has the awaited heartbeats."""
@@ -71,7 +71,7 @@
     ) -> None:
         clock, log = instruments.clock, instruments.log
         known = HeartbeatList(
-            store, clock, log, KNOWN_PART, report_listener=self._record_known_report
+            store, clock, log, SLOW_HEARTBEAT_PART, report_listener=self._record_known_report
         )
         awaited = HeartbeatList(
             store, clock, log, FAST_HEARTBEAT_PART, self._record_use, self._record_awaited_report
--- a/tests/test_scale_mechanisms.py
+++ b/tests/test_scale_mechanisms.py
@@ -22,7 +22,11 @@
 )
 from larkpost.gateway.controllers.heartbeat_list import MEMBER_TABLE
 from larkpost.gateway.controllers.heartbeat_writer import LocalDaemon
-from larkpost.gateway.controllers.membership import FAST_HEARTBEAT_PART, KNOWN_PART, Membership
+from larkpost.gateway.controllers.membership import (
+    FAST_HEARTBEAT_PART,
+    SLOW_HEARTBEAT_PART,
+    Membership,
+)
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
@@ -196,7 +200,7 @@
             often = COORDINATOR_COUNT * 9.0 / HEARTBEAT_SECONDS
             self.assertLessEqual(self.part_beats[FAST_HEARTBEAT_PART], 1.1 * often)
             seldom = 9.0 * IDLE_HEARTBEATS_PER_SECOND
-            self.assertLessEqual(self.part_beats[KNOWN_PART], 1.1 * seldom)
+            self.assertLessEqual(self.part_beats[SLOW_HEARTBEAT_PART], 1.1 * seldom)
             self.assertEqual(self.beats, self.part_beats.total())
             for membership in fleet:
                 self.assertEqual(300, len(membership.alive()))
