--- a/src/larkpost/gateway/controllers/fleet_view.py
+++ b/src/larkpost/gateway/controllers/fleet_view.py
@@ -34,13 +34,13 @@
         self,
         own: DaemonId,
         known: HeartbeatList,
-        awaited: HeartbeatList,
+        fast_heartbeats: HeartbeatList,
         regions: RegionMap,
         clock: Clock,
     ) -> None:
         self.own = own
         self.known = known
-        self.awaited = awaited
+        self.fast_heartbeats = fast_heartbeats
         self.is_leaving = False
         self._regions = regions
         self._clock = clock
@@ -51,7 +51,7 @@
     @property
     def listed(self) -> bool:
         """Whether the daemons were listed at least once."""
-        return self.known.listed_at is not None and self.awaited.listed_at is not None
+        return self.known.listed_at is not None and self.fast_heartbeats.listed_at is not None
 
     def age(self) -> float:
         """Returns the seconds since this daemon started."""
@@ -62,10 +62,10 @@
 
         One that has not may be considered dead soon, and another be at its work.
         """
-        listed_at = self.awaited.listed_at
+        listed_at = self.fast_heartbeats.listed_at
         if listed_at is None:
             return False
-        interval = awaited_interval(len(self.awaited.seen))
+        interval = awaited_interval(len(self.fast_heartbeats.seen))
         return self._clock.now() - listed_at < MAX_LISTING_AGE_INTERVALS * interval
 
     def alive(self) -> frozenset[DaemonId]:
@@ -86,16 +86,16 @@
         """
         if owner == self.own:
             return not self.is_leaving
-        listed_at = self.awaited.listed_at
+        listed_at = self.fast_heartbeats.listed_at
         if listed_at is None:
             return False
-        seen = self.awaited.seen.get(owner)
+        seen = self.fast_heartbeats.seen.get(owner)
         if seen is not None and seen.heartbeat.leaving:
             return False
         heard_at = max(seen.changed_at, since) if seen is not None else since
         reported = seen.heartbeat.interval if seen is not None else 0.0
-        interval = max(reported, awaited_interval(len(self.awaited.seen)))
-        return listed_at - heard_at < self.awaited.silence_limit(interval)
+        interval = max(reported, awaited_interval(len(self.fast_heartbeats.seen)))
+        return listed_at - heard_at < self.fast_heartbeats.silence_limit(interval)
 
     def is_coordinator(self) -> bool:
         """Returns whether this daemon gives orders and claims batches."""
@@ -153,13 +153,13 @@
     def _heard(self) -> set[DaemonId]:
         """Returns the daemons whose heartbeats come."""
         newest = self._newest_incarnations()
-        names = self.known.seen.keys() | self.awaited.seen.keys()
+        names = self.known.seen.keys() | self.fast_heartbeats.seen.keys()
         return {name for name in names if self._is_heard(name, newest)}
 
     def _is_heard(self, daemon: DaemonId, newest: dict[str, int]) -> bool:
         """Returns whether a daemon's heartbeats come; awaited ones count before known ones."""
-        if daemon in self.awaited.seen:
-            return self.awaited.is_responsive(daemon)
+        if daemon in self.fast_heartbeats.seen:
+            return self.fast_heartbeats.is_responsive(daemon)
         is_newest = self.known.seen[daemon].version == newest[machine_of(daemon)]
         return is_newest and self.known.is_responsive(daemon)
 
@@ -172,7 +172,7 @@
         return newest
 
     def _says_that_it_coordinates(self, daemon: DaemonId) -> bool:
-        seen = self.awaited.seen.get(daemon)
+        seen = self.fast_heartbeats.seen.get(daemon)
         return seen is not None and seen.heartbeat.coordinates
 
     def _capacities(self, daemons: Iterable[DaemonId]) -> dict[DaemonId, float | None]:
@@ -180,7 +180,7 @@
         return {name: self._capacity(name) for name in daemons}
 
     def _capacity(self, daemon: DaemonId) -> float | None:
-        seen = self.awaited.seen.get(daemon) or self.known.seen.get(daemon)
+        seen = self.fast_heartbeats.seen.get(daemon) or self.known.seen.get(daemon)
         return seen.heartbeat.report.capacity if seen is not None else None
 
     def _regions_of(self, daemons: Iterable[DaemonId]) -> dict[DaemonId, RegionId | None]:
--- a/src/larkpost/gateway/controllers/heartbeat_writer.py
+++ b/src/larkpost/gateway/controllers/heartbeat_writer.py
@@ -103,10 +103,10 @@
         """Removes the known heartbeat, and says in the awaited one that this daemon is leaving."""
         await self._write(Transaction(removals=(self._view.known.row_of(self._own.id),)))
         if self._awaited_written_at is not None:
-            await self._put(self._view.awaited, Heartbeat(HEARTBEAT_SECONDS, leaving=True))
+            await self._put(self._view.fast_heartbeats, Heartbeat(HEARTBEAT_SECONDS, leaving=True))
 
     def _awaited_interval(self) -> float:
-        return awaited_interval(len(self._view.awaited.seen))
+        return awaited_interval(len(self._view.fast_heartbeats.seen))
 
     def _known_interval(self) -> float:
         return known_interval(len(self._view.alive()))
@@ -124,18 +124,18 @@
 
     async def _write_awaited(self) -> None:
         self._awaited_written_at = self._clock.now()
-        call = min(self._view.awaited.typical_call_seconds, MAX_REPORTED_CALL_SECONDS)
+        call = min(self._view.fast_heartbeats.typical_call_seconds, MAX_REPORTED_CALL_SECONDS)
         interval = round(self._awaited_interval() + call, 3)
         is_acting = self._view.is_coordinator()
         report = replace(self._own.report(), paces=self._own.paces())
         await self._put(
-            self._view.awaited,
+            self._view.fast_heartbeats,
             Heartbeat(interval, self._own.use(), coordinates=is_acting, report=report),
         )
 
     async def _remove_awaited(self) -> None:
         """Removes the awaited heartbeat; until that is done it goes on, as others count on it."""
-        removal = Transaction(removals=(self._view.awaited.row_of(self._own.id),))
+        removal = Transaction(removals=(self._view.fast_heartbeats.row_of(self._own.id),))
         if await self._write(removal) is WriteOutcome.DONE:
             self._awaited_written_at = None
         else:
--- a/src/larkpost/gateway/controllers/membership.py
+++ b/src/larkpost/gateway/controllers/membership.py
@@ -73,10 +73,10 @@
         known = HeartbeatList(
             store, clock, log, SLOW_HEARTBEAT_PART, report_listener=self._record_known_report
         )
-        awaited = HeartbeatList(
+        fast_heartbeats = HeartbeatList(
             store, clock, log, FAST_HEARTBEAT_PART, self._record_use, self._record_awaited_report
         )
-        super().__init__(own.id, known, awaited, regions, clock)
+        super().__init__(own.id, known, fast_heartbeats, regions, clock)
         self._store = store
         self._log = log
         self._listener = listener
@@ -93,7 +93,7 @@
 
     async def refresh(self) -> None:
         """Learns at once what the awaited daemons use, before this one joins them."""
-        if await self.awaited.update(self._awaited_listing_interval()):
+        if await self.fast_heartbeats.update(self._awaited_listing_interval()):
             self.update()
 
     async def leave(self) -> None:
@@ -108,7 +108,7 @@
 
     def _record_known_report(self, daemon: DaemonId, report: DaemonReport) -> None:
         """Passes on what a known heartbeat reports, unless the awaited one comes more often."""
-        if daemon != self.own and daemon not in self.awaited.seen:
+        if daemon != self.own and daemon not in self.fast_heartbeats.seen:
             self._report_listener(daemon, report)
 
     def _record_awaited_report(self, daemon: DaemonId, report: DaemonReport) -> None:
@@ -121,13 +121,13 @@
 
     def _awaited_listing_interval(self) -> float:
         if self._writer.is_awaited():
-            return awaited_interval(len(self.awaited.seen))
+            return awaited_interval(len(self.fast_heartbeats.seen))
         return self._known_listing_interval()
 
     async def _list(self) -> None:
         is_changed = False
         for rows, interval in (
-            (self.awaited, self._awaited_listing_interval()),
+            (self.fast_heartbeats, self._awaited_listing_interval()),
             (self.known, self._known_listing_interval()),
         ):
             if is_due(rows.listed_at, interval, self._clock.now()) and await rows.update(interval):
@@ -161,7 +161,7 @@
     def _log_changes(self) -> None:
         """Logs who is newly considered alive or dead, and whether this daemon coordinates now."""
         for name in sorted(self.alive() ^ self._logged_alive):
-            rows = self.awaited if name in self.awaited.seen else self.known
+            rows = self.fast_heartbeats if name in self.fast_heartbeats.seen else self.known
             age = round(rows.silence(name), 3) if name in rows.seen else None
             state = "alive" if name in self.alive() else "dead"
             self._log.record(Event.MEMBER, member=name, state=state, heartbeat_age=age)
@@ -172,5 +172,5 @@
                 Event.COORDINATOR,
                 acting=self._logged_coordinator,
                 alive=len(self.alive()),
-                interval=awaited_interval(len(self.awaited.seen)),
+                interval=awaited_interval(len(self.fast_heartbeats.seen)),
             )
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -332,15 +332,15 @@
             members = [gateway.membership for gateway in fleet.gateways]
             return Counter(
                 coordinators=sum(member.is_coordinator() for member in members),
-                awaited=len(members[0].awaited.seen),
+                fast_heartbeats=len(members[0].fast_heartbeats.seen),
             )
 
         return run(play())
 
     def test_coordinators(self):
-        self.assertEqual(Counter(coordinators=12, awaited=12), self.active())
+        self.assertEqual(Counter(coordinators=12, fast_heartbeats=12), self.active())
         with switched_off.most_coordinators():
-            self.assertEqual(Counter(coordinators=2, awaited=2), self.active())
+            self.assertEqual(Counter(coordinators=2, fast_heartbeats=2), self.active())
 
     def test_peer_calls(self):
         async def is_relayed(relays: bool) -> bool:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -52,7 +52,7 @@
             await self.clock.sleep(2.0)
             self.assertTrue(first.is_alive(second.own))
             second.tasks.cancel_all()
-            last_heartbeat = self.store.written_at[second.awaited.row_of(second.own)]
+            last_heartbeat = self.store.written_at[second.fast_heartbeats.row_of(second.own)]
             latest = DEAD_AFTER_SECONDS + 2 * HEARTBEAT_SECONDS
             while (silence := self.clock.now() - last_heartbeat) < 2 * DEAD_AFTER_SECONDS:
                 if silence < DEAD_AFTER_SECONDS:
@@ -154,7 +154,7 @@
             old.tasks.cancel_all()
             self.start("a")
             await self.clock.sleep(2 * HEARTBEAT_SECONDS)
-            self.assertFalse(observer.awaited.seen.get(old.own))
+            self.assertFalse(observer.fast_heartbeats.seen.get(old.own))
             self.assertFalse([key for key in self.store.rows if key.key == old.own])
             await self.clock.sleep(DEAD_AFTER_SECONDS - HEARTBEAT_SECONDS)
             self.assertFalse(observer.is_owner_alive(old.own, since))
