--- a/src/larkpost/gateway/controllers/fleet_view.py
+++ b/src/larkpost/gateway/controllers/fleet_view.py
@@ -33,13 +33,13 @@
     def __init__(
         self,
         own: DaemonId,
-        known: HeartbeatList,
+        slow_heartbeats: HeartbeatList,
         fast_heartbeats: HeartbeatList,
         regions: RegionMap,
         clock: Clock,
     ) -> None:
         self.own = own
-        self.known = known
+        self.slow_heartbeats = slow_heartbeats
         self.fast_heartbeats = fast_heartbeats
         self.is_leaving = False
         self._regions = regions
@@ -51,7 +51,10 @@
     @property
     def listed(self) -> bool:
         """Whether the daemons were listed at least once."""
-        return self.known.listed_at is not None and self.fast_heartbeats.listed_at is not None
+        return (
+            self.slow_heartbeats.listed_at is not None
+            and self.fast_heartbeats.listed_at is not None
+        )
 
     def age(self) -> float:
         """Returns the seconds since this daemon started."""
@@ -120,7 +123,7 @@
         """Returns the region of a daemon; None if it is not known."""
         if daemon == self.own:
             return self._regions.own_region
-        seen = self.known.seen.get(daemon)
+        seen = self.slow_heartbeats.seen.get(daemon)
         zone = seen.heartbeat.zone if seen is not None else None
         return self._regions.region_of(zone) if zone is not None else None
 
@@ -128,13 +131,13 @@
         """Returns where the other daemons considered alive make calls, and how far that is."""
         return {
             seen.heartbeat.address: self._regions.distance(seen.heartbeat.zone or ZoneId(""))
-            for name, seen in self.known.seen.items()
+            for name, seen in self.slow_heartbeats.seen.items()
             if seen.heartbeat.address is not None and name in self._alive and name != self.own
         }
 
     def clock_offsets(self) -> list[float]:
         """Returns by how many seconds the clock of each daemon is ahead of the store's."""
-        reported = (seen.heartbeat.clock_offset for seen in self.known.seen.values())
+        reported = (seen.heartbeat.clock_offset for seen in self.slow_heartbeats.seen.values())
         return [offset for offset in reported if offset is not None]
 
     def update(self) -> None:
@@ -153,20 +156,20 @@
     def _heard(self) -> set[DaemonId]:
         """Returns the daemons whose heartbeats come."""
         newest = self._newest_incarnations()
-        names = self.known.seen.keys() | self.fast_heartbeats.seen.keys()
+        names = self.slow_heartbeats.seen.keys() | self.fast_heartbeats.seen.keys()
         return {name for name in names if self._is_heard(name, newest)}
 
     def _is_heard(self, daemon: DaemonId, newest: dict[str, int]) -> bool:
         """Returns whether a daemon's heartbeats come; awaited ones count before known ones."""
         if daemon in self.fast_heartbeats.seen:
             return self.fast_heartbeats.is_responsive(daemon)
-        is_newest = self.known.seen[daemon].version == newest[machine_of(daemon)]
-        return is_newest and self.known.is_responsive(daemon)
+        is_newest = self.slow_heartbeats.seen[daemon].version == newest[machine_of(daemon)]
+        return is_newest and self.slow_heartbeats.is_responsive(daemon)
 
     def _newest_incarnations(self) -> dict[str, int]:
         """Returns for each machine the newest version of its incarnations' known heartbeats."""
         newest: dict[str, int] = {}
-        for name, seen in self.known.seen.items():
+        for name, seen in self.slow_heartbeats.seen.items():
             machine = machine_of(name)
             newest[machine] = max(seen.version, newest.get(machine, 0))
         return newest
@@ -180,7 +183,7 @@
         return {name: self._capacity(name) for name in daemons}
 
     def _capacity(self, daemon: DaemonId) -> float | None:
-        seen = self.fast_heartbeats.seen.get(daemon) or self.known.seen.get(daemon)
+        seen = self.fast_heartbeats.seen.get(daemon) or self.slow_heartbeats.seen.get(daemon)
         return seen.heartbeat.report.capacity if seen is not None else None
 
     def _regions_of(self, daemons: Iterable[DaemonId]) -> dict[DaemonId, RegionId | None]:
--- a/src/larkpost/gateway/controllers/heartbeat_writer.py
+++ b/src/larkpost/gateway/controllers/heartbeat_writer.py
@@ -101,7 +101,7 @@
 
     async def write_last(self) -> None:
         """Removes the known heartbeat, and says in the awaited one that this daemon is leaving."""
-        await self._write(Transaction(removals=(self._view.known.row_of(self._own.id),)))
+        await self._write(Transaction(removals=(self._view.slow_heartbeats.row_of(self._own.id),)))
         if self._awaited_written_at is not None:
             await self._put(self._view.fast_heartbeats, Heartbeat(HEARTBEAT_SECONDS, leaving=True))
 
@@ -120,7 +120,7 @@
             zone=self._regions.own_zone,
             report=self._own.report(),
         )
-        await self._put(self._view.known, heartbeat)
+        await self._put(self._view.slow_heartbeats, heartbeat)
 
     async def _write_awaited(self) -> None:
         self._awaited_written_at = self._clock.now()
--- a/src/larkpost/gateway/controllers/membership.py
+++ b/src/larkpost/gateway/controllers/membership.py
@@ -70,13 +70,13 @@
         report_listener: Callable[[DaemonId, DaemonReport], None] = _ignore,
     ) -> None:
         clock, log = instruments.clock, instruments.log
-        known = HeartbeatList(
+        slow_heartbeats = HeartbeatList(
             store, clock, log, SLOW_HEARTBEAT_PART, report_listener=self._record_known_report
         )
         fast_heartbeats = HeartbeatList(
             store, clock, log, FAST_HEARTBEAT_PART, self._record_use, self._record_awaited_report
         )
-        super().__init__(own.id, known, fast_heartbeats, regions, clock)
+        super().__init__(own.id, slow_heartbeats, fast_heartbeats, regions, clock)
         self._store = store
         self._log = log
         self._listener = listener
@@ -116,7 +116,7 @@
             self._report_listener(daemon, report)
 
     def _known_listing_interval(self) -> float:
-        usual = known_listing_interval(len(self.known.seen), self.age())
+        usual = known_listing_interval(len(self.slow_heartbeats.seen), self.age())
         return usual * shortage_factor(has_shortage=self._has_shortage())
 
     def _awaited_listing_interval(self) -> float:
@@ -128,7 +128,7 @@
         is_changed = False
         for rows, interval in (
             (self.fast_heartbeats, self._awaited_listing_interval()),
-            (self.known, self._known_listing_interval()),
+            (self.slow_heartbeats, self._known_listing_interval()),
         ):
             if is_due(rows.listed_at, interval, self._clock.now()) and await rows.update(interval):
                 is_changed = True
@@ -161,7 +161,9 @@
     def _log_changes(self) -> None:
         """Logs who is newly considered alive or dead, and whether this daemon coordinates now."""
         for name in sorted(self.alive() ^ self._logged_alive):
-            rows = self.fast_heartbeats if name in self.fast_heartbeats.seen else self.known
+            rows = (
+                self.fast_heartbeats if name in self.fast_heartbeats.seen else self.slow_heartbeats
+            )
             age = round(rows.silence(name), 3) if name in rows.seen else None
             state = "alive" if name in self.alive() else "dead"
             self._log.record(Event.MEMBER, member=name, state=state, heartbeat_age=age)
