--- a/src/larkpost/gateway/controllers/fleet_view.py
+++ b/src/larkpost/gateway/controllers/fleet_view.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.controllers.coordinators import choose_coordinator, should_coordinate
 from larkpost.gateway.controllers.heartbeat import machine_of
-from larkpost.gateway.controllers.heartbeat_intervals import awaited_interval
+from larkpost.gateway.controllers.heartbeat_intervals import fast_heartbeat_interval
 from larkpost.gateway.controllers.heartbeat_list import HeartbeatList
 
 MAX_LISTING_AGE_INTERVALS = 3.0
@@ -68,7 +68,7 @@
         listed_at = self.fast_heartbeats.listed_at
         if listed_at is None:
             return False
-        interval = awaited_interval(len(self.fast_heartbeats.seen))
+        interval = fast_heartbeat_interval(len(self.fast_heartbeats.seen))
         return self._clock.now() - listed_at < MAX_LISTING_AGE_INTERVALS * interval
 
     def alive(self) -> frozenset[DaemonId]:
@@ -97,7 +97,7 @@
             return False
         heard_at = max(seen.changed_at, since) if seen is not None else since
         reported = seen.heartbeat.interval if seen is not None else 0.0
-        interval = max(reported, awaited_interval(len(self.fast_heartbeats.seen)))
+        interval = max(reported, fast_heartbeat_interval(len(self.fast_heartbeats.seen)))
         return listed_at - heard_at < self.fast_heartbeats.silence_limit(interval)
 
     def is_coordinator(self) -> bool:
--- a/src/larkpost/gateway/controllers/heartbeat_intervals.py
+++ b/src/larkpost/gateway/controllers/heartbeat_intervals.py
@@ -41,7 +41,7 @@
     return SHORTAGE_INTERVAL_FACTOR if has_shortage else 1.0
 
 
-def awaited_interval(awaited: int) -> float:
+def fast_heartbeat_interval(awaited: int) -> float:
     """Returns the seconds between two heartbeats of an awaited daemon, and between its listings.
 
     Args:
--- a/src/larkpost/gateway/controllers/heartbeat_writer.py
+++ b/src/larkpost/gateway/controllers/heartbeat_writer.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.controllers.heartbeat import Heartbeat, encode_heartbeat
 from larkpost.gateway.controllers.heartbeat_intervals import (
     HEARTBEAT_SECONDS,
-    awaited_interval,
+    fast_heartbeat_interval,
     known_interval,
     shortage_factor,
 )
@@ -106,7 +106,7 @@
             await self._put(self._view.fast_heartbeats, Heartbeat(HEARTBEAT_SECONDS, leaving=True))
 
     def _awaited_interval(self) -> float:
-        return awaited_interval(len(self._view.fast_heartbeats.seen))
+        return fast_heartbeat_interval(len(self._view.fast_heartbeats.seen))
 
     def _known_interval(self) -> float:
         return known_interval(len(self._view.alive()))
--- a/src/larkpost/gateway/controllers/membership.py
+++ b/src/larkpost/gateway/controllers/membership.py
@@ -19,7 +19,7 @@
 from larkpost.gateway.controllers.heartbeat import machine_of
 from larkpost.gateway.controllers.heartbeat_intervals import (
     HEARTBEAT_SECONDS,
-    awaited_interval,
+    fast_heartbeat_interval,
     known_listing_interval,
     shortage_factor,
 )
@@ -121,7 +121,7 @@
 
     def _awaited_listing_interval(self) -> float:
         if self._writer.is_awaited():
-            return awaited_interval(len(self.fast_heartbeats.seen))
+            return fast_heartbeat_interval(len(self.fast_heartbeats.seen))
         return self._known_listing_interval()
 
     async def _list(self) -> None:
@@ -174,5 +174,5 @@
                 Event.COORDINATOR,
                 acting=self._logged_coordinator,
                 alive=len(self.alive()),
-                interval=awaited_interval(len(self.fast_heartbeats.seen)),
+                interval=fast_heartbeat_interval(len(self.fast_heartbeats.seen)),
             )
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -10,7 +10,7 @@
 from larkpost.gateway.controllers.heartbeat_intervals import (
     DEAD_AFTER_SECONDS,
     HEARTBEAT_SECONDS,
-    awaited_interval,
+    fast_heartbeat_interval,
     known_interval,
     known_listing_interval,
 )
@@ -202,8 +202,8 @@
 
     def test_intervals(self):
         cases = (
-            ("few awaited", awaited_interval(12), 0.25),
-            ("many awaited", awaited_interval(100), 0.5),
+            ("few awaited", fast_heartbeat_interval(12), 0.25),
+            ("many awaited", fast_heartbeat_interval(100), 0.5),
             ("few alive", known_interval(160), 2.0),
             ("many alive", known_interval(400), 5.0),
             ("listing by a young daemon", known_listing_interval(100, age=2.9), 0.25),
