--- a/src/larkpost/gateway/controllers/heartbeat_intervals.py
+++ b/src/larkpost/gateway/controllers/heartbeat_intervals.py
@@ -50,7 +50,7 @@
     return max(HEARTBEAT_SECONDS, awaited / LISTED_ROWS_PER_SECOND)
 
 
-def known_interval(alive: int) -> float:
+def slow_heartbeat_interval(alive: int) -> float:
     """Returns the seconds between two known heartbeats of a daemon.
 
     Args:
--- a/src/larkpost/gateway/controllers/heartbeat_writer.py
+++ b/src/larkpost/gateway/controllers/heartbeat_writer.py
@@ -16,8 +16,8 @@
 from larkpost.gateway.controllers.heartbeat_intervals import (
     HEARTBEAT_SECONDS,
     fast_heartbeat_interval,
-    known_interval,
     shortage_factor,
+    slow_heartbeat_interval,
 )
 from larkpost.gateway.controllers.heartbeat_list import HeartbeatList
 from larkpost.gateway.store.port import Store, Transaction, WriteOutcome
@@ -93,10 +93,10 @@
                 await self._write_awaited()
         elif self._awaited_written_at is not None:
             await self._remove_awaited()
-        known_interval = self._known_interval() * shortage_factor(
+        slow_heartbeat_interval = self._known_interval() * shortage_factor(
             has_shortage=self._own.has_shortage()
         )
-        if is_due(self._known_written_at, known_interval, self._clock.now()):
+        if is_due(self._known_written_at, slow_heartbeat_interval, self._clock.now()):
             await self._write_known()
 
     async def write_last(self) -> None:
@@ -109,7 +109,7 @@
         return fast_heartbeat_interval(len(self._view.fast_heartbeats.seen))
 
     def _known_interval(self) -> float:
-        return known_interval(len(self._view.alive()))
+        return slow_heartbeat_interval(len(self._view.alive()))
 
     async def _write_known(self) -> None:
         self._known_written_at = self._clock.now()
--- a/tests/test_scale_mechanisms.py
+++ b/tests/test_scale_mechanisms.py
@@ -17,8 +17,8 @@
     HEARTBEAT_SECONDS,
     IDLE_HEARTBEAT_SECONDS,
     IDLE_HEARTBEATS_PER_SECOND,
-    known_interval,
     shortage_factor,
+    slow_heartbeat_interval,
 )
 from larkpost.gateway.controllers.heartbeat_list import MEMBER_TABLE
 from larkpost.gateway.controllers.heartbeat_writer import LocalDaemon
@@ -127,7 +127,7 @@
 
     def test_heartbeats_of_a_fleet_with_a_shortage_stay_below_what_one_part_takes(self):
         for daemons in (20, 80, 160, 370, 3000):
-            interval = known_interval(daemons) * shortage_factor(has_shortage=True)
+            interval = slow_heartbeat_interval(daemons) * shortage_factor(has_shortage=True)
             self.assertLess(daemons / interval, PART_WRITES_PER_SECOND)
 
     def test_all_daemons_agree_on_the_coordinators(self):
