--- a/src/larkpost/gateway/controllers/heartbeat_intervals.py
+++ b/src/larkpost/gateway/controllers/heartbeat_intervals.py
@@ -59,7 +59,7 @@
     return max(IDLE_HEARTBEAT_SECONDS, alive / IDLE_HEARTBEATS_PER_SECOND)
 
 
-def known_listing_interval(known: int, age: float) -> float:
+def slow_listing_interval(known: int, age: float) -> float:
     """Returns the seconds between two listings of the known heartbeats.
 
     Args:
--- a/src/larkpost/gateway/controllers/membership.py
+++ b/src/larkpost/gateway/controllers/membership.py
@@ -20,8 +20,8 @@
 from larkpost.gateway.controllers.heartbeat_intervals import (
     HEARTBEAT_SECONDS,
     fast_heartbeat_interval,
-    known_listing_interval,
     shortage_factor,
+    slow_listing_interval,
 )
 from larkpost.gateway.controllers.heartbeat_list import HeartbeatList
 from larkpost.gateway.controllers.heartbeat_writer import (
@@ -116,7 +116,7 @@
             self._report_listener(daemon, report)
 
     def _known_listing_interval(self) -> float:
-        usual = known_listing_interval(len(self.slow_heartbeats.seen), self.age())
+        usual = slow_listing_interval(len(self.slow_heartbeats.seen), self.age())
         return usual * shortage_factor(has_shortage=self._has_shortage())
 
     def _awaited_listing_interval(self) -> float:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -11,8 +11,8 @@
     DEAD_AFTER_SECONDS,
     HEARTBEAT_SECONDS,
     fast_heartbeat_interval,
-    known_listing_interval,
     slow_heartbeat_interval,
+    slow_listing_interval,
 )
 from larkpost.gateway.controllers.heartbeat_writer import LocalDaemon, is_due
 from larkpost.gateway.controllers.membership import FAST_HEARTBEAT_PART, Membership
@@ -206,10 +206,10 @@
             ("many awaited", fast_heartbeat_interval(100), 0.5),
             ("few alive", slow_heartbeat_interval(160), 2.0),
             ("many alive", slow_heartbeat_interval(400), 5.0),
-            ("listing by a young daemon", known_listing_interval(100, age=2.9), 0.25),
-            ("listing of many by a young daemon", known_listing_interval(400, age=0.0), 1.0),
-            ("listing of few", known_listing_interval(76, age=3.0), 2.0),
-            ("listing of many", known_listing_interval(380, age=3.0), 10.0),
+            ("listing by a young daemon", slow_listing_interval(100, age=2.9), 0.25),
+            ("listing of many by a young daemon", slow_listing_interval(400, age=0.0), 1.0),
+            ("listing of few", slow_listing_interval(76, age=3.0), 2.0),
+            ("listing of many", slow_listing_interval(380, age=3.0), 10.0),
         )
         for name, interval, seconds in cases:
             with self.subTest(name):
