--- a/src/larkpost/gateway/controllers/heartbeat_intervals.py
+++ b/src/larkpost/gateway/controllers/heartbeat_intervals.py
@@ -41,13 +41,13 @@
     return SHORTAGE_INTERVAL_FACTOR if has_shortage else 1.0
 
 
-def fast_heartbeat_interval(awaited: int) -> float:
+def fast_heartbeat_interval(daemons: int) -> float:
     """Returns the seconds between two heartbeats of an awaited daemon, and between its listings.
 
     Args:
         awaited: daemons that have awaited heartbeats.
     """
-    return max(HEARTBEAT_SECONDS, awaited / LISTED_ROWS_PER_SECOND)
+    return max(HEARTBEAT_SECONDS, daemons / LISTED_ROWS_PER_SECOND)
 
 
 def slow_heartbeat_interval(alive: int) -> float:
