--- a/src/larkpost/gateway/controllers/heartbeat_intervals.py
+++ b/src/larkpost/gateway/controllers/heartbeat_intervals.py
@@ -15,7 +15,7 @@
 """Interval of awaited heartbeats and their listings: a step has less than a second to spare."""
 LISTED_ROWS_PER_SECOND = 200.0
 """Most rows that a coordinator or owner lists a second; with more of them it lists slower."""
-IDLE_HEARTBEAT_SECONDS = 2.0
+SLOW_HEARTBEAT_SECONDS = 2.0
 """Interval of known heartbeats, in a fleet small enough for it."""
 IDLE_HEARTBEATS_PER_SECOND = 80.0
 """Most known heartbeats that a fleet writes together: one part takes 200 writes a second."""
@@ -56,7 +56,7 @@
     Args:
         alive: daemons that are considered alive.
     """
-    return max(IDLE_HEARTBEAT_SECONDS, alive / IDLE_HEARTBEATS_PER_SECOND)
+    return max(SLOW_HEARTBEAT_SECONDS, alive / IDLE_HEARTBEATS_PER_SECOND)
 
 
 def slow_listing_interval(known: int, age: float) -> float:
@@ -68,4 +68,4 @@
     """
     if age < STARTUP_SECONDS:
         return max(HEARTBEAT_SECONDS, known / STARTUP_ROWS_PER_SECOND)
-    return max(IDLE_HEARTBEAT_SECONDS, known / IDLE_ROWS_PER_SECOND)
+    return max(SLOW_HEARTBEAT_SECONDS, known / IDLE_ROWS_PER_SECOND)
--- a/tests/test_scale_mechanisms.py
+++ b/tests/test_scale_mechanisms.py
@@ -15,8 +15,8 @@
 from larkpost.gateway.controllers.heartbeat_intervals import (
     DEAD_AFTER_SECONDS,
     HEARTBEAT_SECONDS,
-    IDLE_HEARTBEAT_SECONDS,
     IDLE_HEARTBEATS_PER_SECOND,
+    SLOW_HEARTBEAT_SECONDS,
     shortage_factor,
     slow_heartbeat_interval,
 )
@@ -91,7 +91,7 @@
             self.beats = 0
             await self.clock.sleep(10.0)
             often = COORDINATOR_COUNT * 10.0 / HEARTBEAT_SECONDS
-            seldom = (DAEMONS - COORDINATOR_COUNT) * 10.0 / IDLE_HEARTBEAT_SECONDS
+            seldom = (DAEMONS - COORDINATOR_COUNT) * 10.0 / SLOW_HEARTBEAT_SECONDS
             self.assertLessEqual(self.beats, (often + seldom) * 1.1)
             self.assertLess(self.beats / 10.0, PART_WRITES_PER_SECOND / 2)
             for membership in fleet:
@@ -116,8 +116,8 @@
             self.assertGreater(len(heard) - usual, 0)
             counts = Counter(heard[usual:])
             seldom = [counts[member.own] for member in others if member is not judge]
-            self.assertGreater(min(seldom), 1.5 * 10.0 / IDLE_HEARTBEAT_SECONDS)
-            self.assertLess(max(seldom), 2.5 * 10.0 / IDLE_HEARTBEAT_SECONDS)
+            self.assertGreater(min(seldom), 1.5 * 10.0 / SLOW_HEARTBEAT_SECONDS)
+            self.assertLess(max(seldom), 2.5 * 10.0 / SLOW_HEARTBEAT_SECONDS)
             self.is_short = False
             for _ in range(80):
                 await self.clock.sleep(0.1)
