--- a/src/larkpost/gateway/controllers/heartbeat_intervals.py
+++ b/src/larkpost/gateway/controllers/heartbeat_intervals.py
@@ -11,7 +11,7 @@
 
 from larkpost.gateway.controllers.heartbeat_list import MISSED_HEARTBEATS
 
-HEARTBEAT_SECONDS = 0.25
+FAST_HEARTBEAT_SECONDS = 0.25
 """Interval of awaited heartbeats and their listings: a step has less than a second to spare."""
 LISTED_ROWS_PER_SECOND = 200.0
 """Most rows that a coordinator or owner lists a second; with more of them it lists slower."""
@@ -28,7 +28,7 @@
 SHORTAGE_INTERVAL_FACTOR = 0.5
 """Part of their intervals at which known heartbeats are written and listed while a service lacks
 places: the fleet's writes together stay below what one part takes."""
-DEAD_AFTER_SECONDS = MISSED_HEARTBEATS * HEARTBEAT_SECONDS
+DEAD_AFTER_SECONDS = MISSED_HEARTBEATS * FAST_HEARTBEAT_SECONDS
 """Seconds until an awaited daemon is considered dead over a quick store."""
 
 
@@ -47,7 +47,7 @@
     Args:
         awaited: daemons that have awaited heartbeats.
     """
-    return max(HEARTBEAT_SECONDS, daemons / LISTED_ROWS_PER_SECOND)
+    return max(FAST_HEARTBEAT_SECONDS, daemons / LISTED_ROWS_PER_SECOND)
 
 
 def slow_heartbeat_interval(alive: int) -> float:
@@ -67,5 +67,5 @@
         age: seconds since this daemon started.
     """
     if age < STARTUP_SECONDS:
-        return max(HEARTBEAT_SECONDS, known / STARTUP_ROWS_PER_SECOND)
+        return max(FAST_HEARTBEAT_SECONDS, known / STARTUP_ROWS_PER_SECOND)
     return max(SLOW_HEARTBEAT_SECONDS, known / IDLE_ROWS_PER_SECOND)
--- a/src/larkpost/gateway/controllers/heartbeat_writer.py
+++ b/src/larkpost/gateway/controllers/heartbeat_writer.py
@@ -14,7 +14,7 @@
 from larkpost.gateway.controllers.fleet_view import FleetView
 from larkpost.gateway.controllers.heartbeat import Heartbeat, encode_heartbeat
 from larkpost.gateway.controllers.heartbeat_intervals import (
-    HEARTBEAT_SECONDS,
+    FAST_HEARTBEAT_SECONDS,
     fast_heartbeat_interval,
     shortage_factor,
     slow_heartbeat_interval,
@@ -103,7 +103,9 @@
         """Removes the known heartbeat, and says in the awaited one that this daemon is leaving."""
         await self._write(Transaction(removals=(self._view.slow_heartbeats.row_of(self._own.id),)))
         if self._awaited_written_at is not None:
-            await self._put(self._view.fast_heartbeats, Heartbeat(HEARTBEAT_SECONDS, leaving=True))
+            await self._put(
+                self._view.fast_heartbeats, Heartbeat(FAST_HEARTBEAT_SECONDS, leaving=True)
+            )
 
     def _awaited_interval(self) -> float:
         return fast_heartbeat_interval(len(self._view.fast_heartbeats.seen))
--- a/src/larkpost/gateway/controllers/membership.py
+++ b/src/larkpost/gateway/controllers/membership.py
@@ -18,7 +18,7 @@
 from larkpost.gateway.controllers.fleet_view import FleetView
 from larkpost.gateway.controllers.heartbeat import machine_of
 from larkpost.gateway.controllers.heartbeat_intervals import (
-    HEARTBEAT_SECONDS,
+    FAST_HEARTBEAT_SECONDS,
     fast_heartbeat_interval,
     shortage_factor,
     slow_listing_interval,
@@ -88,8 +88,8 @@
 
     def start(self, tasks: TaskSet) -> None:
         """Starts the heartbeats and the listings."""
-        tasks.every(HEARTBEAT_SECONDS, self._writer.write_due, "heartbeat")
-        tasks.every(HEARTBEAT_SECONDS, self._list, "members")
+        tasks.every(FAST_HEARTBEAT_SECONDS, self._writer.write_due, "heartbeat")
+        tasks.every(FAST_HEARTBEAT_SECONDS, self._list, "members")
 
     async def refresh(self) -> None:
         """Learns at once what the awaited daemons use, before this one joins them."""
--- a/tests/test_cold_bound.py
+++ b/tests/test_cold_bound.py
@@ -7,7 +7,7 @@
 from larkpost.common.ids import DaemonId
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.controllers.fleet_view import MAX_LISTING_AGE_INTERVALS
-from larkpost.gateway.controllers.heartbeat_intervals import HEARTBEAT_SECONDS
+from larkpost.gateway.controllers.heartbeat_intervals import FAST_HEARTBEAT_SECONDS
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.placement.cold_rate_limit import (
     POLL_SECONDS,
@@ -55,7 +55,7 @@
 
     def has_recent_listing(self) -> bool:
         """Tells whether it hears the others; see `Membership`."""
-        return self.silence() < MAX_LISTING_AGE_INTERVALS * HEARTBEAT_SECONDS
+        return self.silence() < MAX_LISTING_AGE_INTERVALS * FAST_HEARTBEAT_SECONDS
 
     def alive(self) -> tuple[DaemonId, ...]:
         """Returns the members."""
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -9,7 +9,7 @@
 from larkpost.gateway.controllers.heartbeat import machine_of, new_incarnation
 from larkpost.gateway.controllers.heartbeat_intervals import (
     DEAD_AFTER_SECONDS,
-    HEARTBEAT_SECONDS,
+    FAST_HEARTBEAT_SECONDS,
     fast_heartbeat_interval,
     slow_heartbeat_interval,
     slow_listing_interval,
@@ -53,7 +53,7 @@
             self.assertTrue(first.is_alive(second.own))
             second.tasks.cancel_all()
             last_heartbeat = self.store.written_at[second.fast_heartbeats.row_of(second.own)]
-            latest = DEAD_AFTER_SECONDS + 2 * HEARTBEAT_SECONDS
+            latest = DEAD_AFTER_SECONDS + 2 * FAST_HEARTBEAT_SECONDS
             while (silence := self.clock.now() - last_heartbeat) < 2 * DEAD_AFTER_SECONDS:
                 if silence < DEAD_AFTER_SECONDS:
                     self.assertTrue(first.is_alive(second.own), silence)
@@ -153,10 +153,10 @@
             since = self.clock.now()
             old.tasks.cancel_all()
             self.start("a")
-            await self.clock.sleep(2 * HEARTBEAT_SECONDS)
+            await self.clock.sleep(2 * FAST_HEARTBEAT_SECONDS)
             self.assertFalse(observer.fast_heartbeats.seen.get(old.own))
             self.assertFalse([key for key in self.store.rows if key.key == old.own])
-            await self.clock.sleep(DEAD_AFTER_SECONDS - HEARTBEAT_SECONDS)
+            await self.clock.sleep(DEAD_AFTER_SECONDS - FAST_HEARTBEAT_SECONDS)
             self.assertFalse(observer.is_owner_alive(old.own, since))
 
         run(play())
--- a/tests/test_scale_mechanisms.py
+++ b/tests/test_scale_mechanisms.py
@@ -14,7 +14,7 @@
 from larkpost.gateway.controllers.heartbeat import machine_of, new_incarnation
 from larkpost.gateway.controllers.heartbeat_intervals import (
     DEAD_AFTER_SECONDS,
-    HEARTBEAT_SECONDS,
+    FAST_HEARTBEAT_SECONDS,
     IDLE_HEARTBEATS_PER_SECOND,
     SLOW_HEARTBEAT_SECONDS,
     shortage_factor,
@@ -90,7 +90,7 @@
             await self.clock.sleep(6.0)
             self.beats = 0
             await self.clock.sleep(10.0)
-            often = COORDINATOR_COUNT * 10.0 / HEARTBEAT_SECONDS
+            often = COORDINATOR_COUNT * 10.0 / FAST_HEARTBEAT_SECONDS
             seldom = (DAEMONS - COORDINATOR_COUNT) * 10.0 / SLOW_HEARTBEAT_SECONDS
             self.assertLessEqual(self.beats, (often + seldom) * 1.1)
             self.assertLess(self.beats / 10.0, PART_WRITES_PER_SECOND / 2)
@@ -197,7 +197,7 @@
             self.beats = 0
             self.part_beats.clear()
             await self.clock.sleep(9.0)
-            often = COORDINATOR_COUNT * 9.0 / HEARTBEAT_SECONDS
+            often = COORDINATOR_COUNT * 9.0 / FAST_HEARTBEAT_SECONDS
             self.assertLessEqual(self.part_beats[FAST_HEARTBEAT_PART], 1.1 * often)
             seldom = 9.0 * IDLE_HEARTBEATS_PER_SECOND
             self.assertLessEqual(self.part_beats[SLOW_HEARTBEAT_PART], 1.1 * seldom)
@@ -221,7 +221,7 @@
             await self.clock.sleep(2.0)
             self.assertTrue(judge.is_owner_alive(owner.own, since))
             owner.tasks.cancel_all()
-            await self.clock.sleep(DEAD_AFTER_SECONDS + 2 * HEARTBEAT_SECONDS)
+            await self.clock.sleep(DEAD_AFTER_SECONDS + 2 * FAST_HEARTBEAT_SECONDS)
             self.assertFalse(judge.is_owner_alive(owner.own, since))
 
         run(play())
