--- a/src/larkpost/gateway/controllers/heartbeat_intervals.py
+++ b/src/larkpost/gateway/controllers/heartbeat_intervals.py
@@ -17,7 +17,7 @@
 """Most rows that a coordinator or owner lists a second; with more of them it lists slower."""
 SLOW_HEARTBEAT_SECONDS = 2.0
 """Interval of known heartbeats, in a fleet small enough for it."""
-IDLE_HEARTBEATS_PER_SECOND = 80.0
+MAX_SLOW_HEARTBEATS_PER_SECOND = 80.0
 """Most known heartbeats that a fleet writes together: one part takes 200 writes a second."""
 IDLE_ROWS_PER_SECOND = 38.0
 """Most known heartbeats that a daemon lists a second: of 180 B each, under the 7 KB/s budget."""
@@ -56,7 +56,7 @@
     Args:
         alive: daemons that are considered alive.
     """
-    return max(SLOW_HEARTBEAT_SECONDS, alive / IDLE_HEARTBEATS_PER_SECOND)
+    return max(SLOW_HEARTBEAT_SECONDS, alive / MAX_SLOW_HEARTBEATS_PER_SECOND)
 
 
 def slow_listing_interval(known: int, age: float) -> float:
--- a/tests/test_scale_mechanisms.py
+++ b/tests/test_scale_mechanisms.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.controllers.heartbeat_intervals import (
     DEAD_AFTER_SECONDS,
     FAST_HEARTBEAT_SECONDS,
-    IDLE_HEARTBEATS_PER_SECOND,
+    MAX_SLOW_HEARTBEATS_PER_SECOND,
     SLOW_HEARTBEAT_SECONDS,
     shortage_factor,
     slow_heartbeat_interval,
@@ -199,7 +199,7 @@
             await self.clock.sleep(9.0)
             often = COORDINATOR_COUNT * 9.0 / FAST_HEARTBEAT_SECONDS
             self.assertLessEqual(self.part_beats[FAST_HEARTBEAT_PART], 1.1 * often)
-            seldom = 9.0 * IDLE_HEARTBEATS_PER_SECOND
+            seldom = 9.0 * MAX_SLOW_HEARTBEATS_PER_SECOND
             self.assertLessEqual(self.part_beats[SLOW_HEARTBEAT_PART], 1.1 * seldom)
             self.assertEqual(self.beats, self.part_beats.total())
             for membership in fleet:
