--- a/src/larkpost/gateway/controllers/heartbeat_intervals.py
+++ b/src/larkpost/gateway/controllers/heartbeat_intervals.py
@@ -19,7 +19,7 @@
 """Interval of known heartbeats, in a fleet small enough for it."""
 MAX_SLOW_HEARTBEATS_PER_SECOND = 80.0
 """Most known heartbeats that a fleet writes together: one part takes 200 writes a second."""
-IDLE_ROWS_PER_SECOND = 38.0
+MAX_SLOW_ROWS_PER_SECOND = 38.0
 """Most known heartbeats that a daemon lists a second: of 180 B each, under the 7 KB/s budget."""
 STARTUP_SECONDS = 3.0
 """Seconds for which a new daemon lists the known ones often: after an outage all are new."""
@@ -68,4 +68,4 @@
     """
     if age < STARTUP_SECONDS:
         return max(FAST_HEARTBEAT_SECONDS, known / STARTUP_ROWS_PER_SECOND)
-    return max(SLOW_HEARTBEAT_SECONDS, known / IDLE_ROWS_PER_SECOND)
+    return max(SLOW_HEARTBEAT_SECONDS, known / MAX_SLOW_ROWS_PER_SECOND)
