--- a/src/larkpost/gateway/controllers/heartbeat_intervals.py
+++ b/src/larkpost/gateway/controllers/heartbeat_intervals.py
@@ -13,7 +13,7 @@
 
 FAST_HEARTBEAT_SECONDS = 0.25
 """Interval of awaited heartbeats and their listings: a step has less than a second to spare."""
-LISTED_ROWS_PER_SECOND = 200.0
+MAX_FAST_ROWS_PER_SECOND = 200.0
 """Most rows that a coordinator or owner lists a second; with more of them it lists slower."""
 SLOW_HEARTBEAT_SECONDS = 2.0
 """Interval of known heartbeats, in a fleet small enough for it."""
@@ -47,7 +47,7 @@
     Args:
         awaited: daemons that have awaited heartbeats.
     """
-    return max(FAST_HEARTBEAT_SECONDS, daemons / LISTED_ROWS_PER_SECOND)
+    return max(FAST_HEARTBEAT_SECONDS, daemons / MAX_FAST_ROWS_PER_SECOND)
 
 
 def slow_heartbeat_interval(alive: int) -> float:
