--- a/src/larkpost/gateway/controllers/heartbeat_writer.py
+++ b/src/larkpost/gateway/controllers/heartbeat_writer.py
@@ -77,7 +77,7 @@
         self._awaited_written_at: float | None = None
         self._awaited_until = float("-inf")
 
-    def is_awaited(self) -> bool:
+    def needs_fast_heartbeats(self) -> bool:
         """Returns whether others wait for this daemon, or did a moment ago."""
         now = self._clock.now()
         if self._view.is_coordinator() or self._own.is_owner():
@@ -88,7 +88,7 @@
         """Writes the heartbeats that are due, and removes the awaited one if nobody awaits it."""
         if self._view.is_leaving:
             return
-        if self.is_awaited():
+        if self.needs_fast_heartbeats():
             if is_due(self._awaited_written_at, self._awaited_interval(), self._clock.now()):
                 await self._write_awaited()
         elif self._awaited_written_at is not None:
--- a/src/larkpost/gateway/controllers/membership.py
+++ b/src/larkpost/gateway/controllers/membership.py
@@ -120,7 +120,7 @@
         return usual * shortage_factor(has_shortage=self._has_shortage())
 
     def _awaited_listing_interval(self) -> float:
-        if self._writer.is_awaited():
+        if self._writer.needs_fast_heartbeats():
             return fast_heartbeat_interval(len(self.fast_heartbeats.seen))
         return self._known_listing_interval()
 
