--- a/src/larkpost/gateway/controllers/heartbeat_writer.py
+++ b/src/larkpost/gateway/controllers/heartbeat_writer.py
@@ -22,7 +22,7 @@
 from larkpost.gateway.controllers.heartbeat_list import HeartbeatList
 from larkpost.gateway.store.port import Store, Transaction, WriteOutcome
 
-AWAITED_LINGER_SECONDS = 5.0
+FAST_HEARTBEAT_LINGER_SECONDS = 5.0
 """Seconds for which a daemon stays awaited after its last reason: the next step's batch is near."""
 MAX_REPORTED_CALL_SECONDS = 0.4
 """Most seconds of a call by which a daemon reports its interval longer: a full link between regions
@@ -81,7 +81,7 @@
         """Returns whether others wait for this daemon, or did a moment ago."""
         now = self._clock.now()
         if self._view.is_coordinator() or self._own.is_owner():
-            self._awaited_until = now + AWAITED_LINGER_SECONDS
+            self._awaited_until = now + FAST_HEARTBEAT_LINGER_SECONDS
         return now < self._awaited_until
 
     async def write_due(self) -> None:
