--- a/src/larkpost/gateway/controllers/heartbeat_writer.py
+++ b/src/larkpost/gateway/controllers/heartbeat_writer.py
@@ -89,7 +89,7 @@
         if self._view.is_leaving:
             return
         if self.needs_fast_heartbeats():
-            if is_due(self._awaited_written_at, self._awaited_interval(), self._clock.now()):
+            if is_due(self._awaited_written_at, self._fast_interval(), self._clock.now()):
                 await self._write_awaited()
         elif self._awaited_written_at is not None:
             await self._remove_awaited()
@@ -107,7 +107,7 @@
                 self._view.fast_heartbeats, Heartbeat(FAST_HEARTBEAT_SECONDS, leaving=True)
             )
 
-    def _awaited_interval(self) -> float:
+    def _fast_interval(self) -> float:
         return fast_heartbeat_interval(len(self._view.fast_heartbeats.seen))
 
     def _known_interval(self) -> float:
@@ -127,7 +127,7 @@
     async def _write_awaited(self) -> None:
         self._awaited_written_at = self._clock.now()
         call = min(self._view.fast_heartbeats.typical_call_seconds, MAX_REPORTED_CALL_SECONDS)
-        interval = round(self._awaited_interval() + call, 3)
+        interval = round(self._fast_interval() + call, 3)
         is_acting = self._view.is_coordinator()
         report = replace(self._own.report(), paces=self._own.paces())
         await self._put(
