--- a/src/larkpost/gateway/controllers/heartbeat_writer.py
+++ b/src/larkpost/gateway/controllers/heartbeat_writer.py
@@ -93,7 +93,7 @@
                 await self._write_awaited()
         elif self._awaited_written_at is not None:
             await self._remove_awaited()
-        slow_heartbeat_interval = self._known_interval() * shortage_factor(
+        slow_heartbeat_interval = self._slow_interval() * shortage_factor(
             has_shortage=self._own.has_shortage()
         )
         if is_due(self._known_written_at, slow_heartbeat_interval, self._clock.now()):
@@ -110,13 +110,13 @@
     def _fast_interval(self) -> float:
         return fast_heartbeat_interval(len(self._view.fast_heartbeats.seen))
 
-    def _known_interval(self) -> float:
+    def _slow_interval(self) -> float:
         return slow_heartbeat_interval(len(self._view.alive()))
 
     async def _write_known(self) -> None:
         self._known_written_at = self._clock.now()
         heartbeat = Heartbeat(
-            self._known_interval(),
+            self._slow_interval(),
             address=self._own.address,
             clock_offset=self._own.clock_offset(),
             zone=self._regions.own_zone,
