--- a/src/larkpost/gateway/controllers/heartbeat_writer.py
+++ b/src/larkpost/gateway/controllers/heartbeat_writer.py
@@ -74,7 +74,7 @@
         self._store = store
         self._clock = clock
         self._known_written_at: float | None = None
-        self._awaited_written_at: float | None = None
+        self._fast_written_at: float | None = None
         self._awaited_until = float("-inf")
 
     def needs_fast_heartbeats(self) -> bool:
@@ -89,9 +89,9 @@
         if self._view.is_leaving:
             return
         if self.needs_fast_heartbeats():
-            if is_due(self._awaited_written_at, self._fast_interval(), self._clock.now()):
+            if is_due(self._fast_written_at, self._fast_interval(), self._clock.now()):
                 await self._write_awaited()
-        elif self._awaited_written_at is not None:
+        elif self._fast_written_at is not None:
             await self._remove_awaited()
         slow_heartbeat_interval = self._slow_interval() * shortage_factor(
             has_shortage=self._own.has_shortage()
@@ -102,7 +102,7 @@
     async def write_last(self) -> None:
         """Removes the known heartbeat, and says in the awaited one that this daemon is leaving."""
         await self._write(Transaction(removals=(self._view.slow_heartbeats.row_of(self._own.id),)))
-        if self._awaited_written_at is not None:
+        if self._fast_written_at is not None:
             await self._put(
                 self._view.fast_heartbeats, Heartbeat(FAST_HEARTBEAT_SECONDS, leaving=True)
             )
@@ -125,7 +125,7 @@
         await self._put(self._view.slow_heartbeats, heartbeat)
 
     async def _write_awaited(self) -> None:
-        self._awaited_written_at = self._clock.now()
+        self._fast_written_at = self._clock.now()
         call = min(self._view.fast_heartbeats.typical_call_seconds, MAX_REPORTED_CALL_SECONDS)
         interval = round(self._fast_interval() + call, 3)
         is_acting = self._view.is_coordinator()
@@ -139,7 +139,7 @@
         """Removes the awaited heartbeat; until that is done it goes on, as others count on it."""
         removal = Transaction(removals=(self._view.fast_heartbeats.row_of(self._own.id),))
         if await self._write(removal) is WriteOutcome.DONE:
-            self._awaited_written_at = None
+            self._fast_written_at = None
         else:
             await self._write_awaited()
 
