--- a/src/larkpost/gateway/controllers/heartbeat_writer.py
+++ b/src/larkpost/gateway/controllers/heartbeat_writer.py
@@ -73,7 +73,7 @@
         self._regions = regions
         self._store = store
         self._clock = clock
-        self._known_written_at: float | None = None
+        self._slow_written_at: float | None = None
         self._fast_written_at: float | None = None
         self._awaited_until = float("-inf")
 
@@ -96,7 +96,7 @@
         slow_heartbeat_interval = self._slow_interval() * shortage_factor(
             has_shortage=self._own.has_shortage()
         )
-        if is_due(self._known_written_at, slow_heartbeat_interval, self._clock.now()):
+        if is_due(self._slow_written_at, slow_heartbeat_interval, self._clock.now()):
             await self._write_known()
 
     async def write_last(self) -> None:
@@ -114,7 +114,7 @@
         return slow_heartbeat_interval(len(self._view.alive()))
 
     async def _write_known(self) -> None:
-        self._known_written_at = self._clock.now()
+        self._slow_written_at = self._clock.now()
         heartbeat = Heartbeat(
             self._slow_interval(),
             address=self._own.address,
