--- a/src/larkpost/gateway/controllers/heartbeat_writer.py
+++ b/src/larkpost/gateway/controllers/heartbeat_writer.py
@@ -75,14 +75,14 @@
         self._clock = clock
         self._slow_written_at: float | None = None
         self._fast_written_at: float | None = None
-        self._awaited_until = float("-inf")
+        self._fast_until = float("-inf")
 
     def needs_fast_heartbeats(self) -> bool:
         """Returns whether others wait for this daemon, or did a moment ago."""
         now = self._clock.now()
         if self._view.is_coordinator() or self._own.is_owner():
-            self._awaited_until = now + FAST_HEARTBEAT_LINGER_SECONDS
-        return now < self._awaited_until
+            self._fast_until = now + FAST_HEARTBEAT_LINGER_SECONDS
+        return now < self._fast_until
 
     async def write_due(self) -> None:
         """Writes the heartbeats that are due, and removes the awaited one if nobody awaits it."""
