--- a/src/larkpost/gateway/controllers/heartbeat_writer.py
+++ b/src/larkpost/gateway/controllers/heartbeat_writer.py
@@ -97,7 +97,7 @@
             has_shortage=self._own.has_shortage()
         )
         if is_due(self._slow_written_at, slow_heartbeat_interval, self._clock.now()):
-            await self._write_known()
+            await self._write_slow()
 
     async def write_last(self) -> None:
         """Removes the known heartbeat, and says in the awaited one that this daemon is leaving."""
@@ -113,7 +113,7 @@
     def _slow_interval(self) -> float:
         return slow_heartbeat_interval(len(self._view.alive()))
 
-    async def _write_known(self) -> None:
+    async def _write_slow(self) -> None:
         self._slow_written_at = self._clock.now()
         heartbeat = Heartbeat(
             self._slow_interval(),
