--- a/src/larkpost/gateway/controllers/heartbeat_writer.py
+++ b/src/larkpost/gateway/controllers/heartbeat_writer.py
@@ -90,7 +90,7 @@
             return
         if self.needs_fast_heartbeats():
             if is_due(self._fast_written_at, self._fast_interval(), self._clock.now()):
-                await self._write_awaited()
+                await self._write_fast()
         elif self._fast_written_at is not None:
             await self._remove_awaited()
         slow_heartbeat_interval = self._slow_interval() * shortage_factor(
@@ -124,7 +124,7 @@
         )
         await self._put(self._view.slow_heartbeats, heartbeat)
 
-    async def _write_awaited(self) -> None:
+    async def _write_fast(self) -> None:
         self._fast_written_at = self._clock.now()
         call = min(self._view.fast_heartbeats.typical_call_seconds, MAX_REPORTED_CALL_SECONDS)
         interval = round(self._fast_interval() + call, 3)
@@ -141,7 +141,7 @@
         if await self._write(removal) is WriteOutcome.DONE:
             self._fast_written_at = None
         else:
-            await self._write_awaited()
+            await self._write_fast()
 
     async def _put(self, rows: HeartbeatList, heartbeat: Heartbeat) -> None:
         put = (rows.row_of(self._own.id), encode_heartbeat(heartbeat))
