--- a/src/larkpost/gateway/controllers/heartbeat_writer.py
+++ b/src/larkpost/gateway/controllers/heartbeat_writer.py
@@ -92,7 +92,7 @@
             if is_due(self._fast_written_at, self._fast_interval(), self._clock.now()):
                 await self._write_fast()
         elif self._fast_written_at is not None:
-            await self._remove_awaited()
+            await self._remove_fast()
         slow_heartbeat_interval = self._slow_interval() * shortage_factor(
             has_shortage=self._own.has_shortage()
         )
@@ -135,7 +135,7 @@
             Heartbeat(interval, self._own.use(), coordinates=is_acting, report=report),
         )
 
-    async def _remove_awaited(self) -> None:
+    async def _remove_fast(self) -> None:
         """Removes the awaited heartbeat; until that is done it goes on, as others count on it."""
         removal = Transaction(removals=(self._view.fast_heartbeats.row_of(self._own.id),))
         if await self._write(removal) is WriteOutcome.DONE:
