--- a/src/larkpost/gateway/controllers/membership.py
+++ b/src/larkpost/gateway/controllers/membership.py
@@ -115,20 +115,20 @@
         if daemon != self.own:
             self._report_listener(daemon, report)
 
-    def _known_listing_interval(self) -> float:
+    def _slow_listing_interval(self) -> float:
         usual = slow_listing_interval(len(self.slow_heartbeats.seen), self.age())
         return usual * shortage_factor(has_shortage=self._has_shortage())
 
     def _awaited_listing_interval(self) -> float:
         if self._writer.needs_fast_heartbeats():
             return fast_heartbeat_interval(len(self.fast_heartbeats.seen))
-        return self._known_listing_interval()
+        return self._slow_listing_interval()
 
     async def _list(self) -> None:
         is_changed = False
         for rows, interval in (
             (self.fast_heartbeats, self._awaited_listing_interval()),
-            (self.slow_heartbeats, self._known_listing_interval()),
+            (self.slow_heartbeats, self._slow_listing_interval()),
         ):
             if is_due(rows.listed_at, interval, self._clock.now()) and await rows.update(interval):
                 is_changed = True
