--- a/src/larkpost/gateway/controllers/membership.py
+++ b/src/larkpost/gateway/controllers/membership.py
@@ -93,7 +93,7 @@
 
     async def refresh(self) -> None:
         """Learns at once what the awaited daemons use, before this one joins them."""
-        if await self.fast_heartbeats.update(self._awaited_listing_interval()):
+        if await self.fast_heartbeats.update(self._fast_listing_interval()):
             self.update()
 
     async def leave(self) -> None:
@@ -119,7 +119,7 @@
         usual = slow_listing_interval(len(self.slow_heartbeats.seen), self.age())
         return usual * shortage_factor(has_shortage=self._has_shortage())
 
-    def _awaited_listing_interval(self) -> float:
+    def _fast_listing_interval(self) -> float:
         if self._writer.needs_fast_heartbeats():
             return fast_heartbeat_interval(len(self.fast_heartbeats.seen))
         return self._slow_listing_interval()
@@ -127,7 +127,7 @@
     async def _list(self) -> None:
         is_changed = False
         for rows, interval in (
-            (self.fast_heartbeats, self._awaited_listing_interval()),
+            (self.fast_heartbeats, self._fast_listing_interval()),
             (self.slow_heartbeats, self._slow_listing_interval()),
         ):
             if is_due(rows.listed_at, interval, self._clock.now()) and await rows.update(interval):
