--- a/src/larkpost/gateway/controllers/membership.py
+++ b/src/larkpost/gateway/controllers/membership.py
@@ -71,7 +71,7 @@
     ) -> None:
         clock, log = instruments.clock, instruments.log
         slow_heartbeats = HeartbeatList(
-            store, clock, log, SLOW_HEARTBEAT_PART, report_listener=self._record_known_report
+            store, clock, log, SLOW_HEARTBEAT_PART, report_listener=self._record_slow_report
         )
         fast_heartbeats = HeartbeatList(
             store, clock, log, FAST_HEARTBEAT_PART, self._record_use, self._record_awaited_report
@@ -106,7 +106,7 @@
         if daemon != self.own:
             self._listener(daemon, use)
 
-    def _record_known_report(self, daemon: DaemonId, report: DaemonReport) -> None:
+    def _record_slow_report(self, daemon: DaemonId, report: DaemonReport) -> None:
         """Passes on what a known heartbeat reports, unless the awaited one comes more often."""
         if daemon != self.own and daemon not in self.fast_heartbeats.seen:
             self._report_listener(daemon, report)
