--- a/src/larkpost/gateway/controllers/membership.py
+++ b/src/larkpost/gateway/controllers/membership.py
@@ -74,7 +74,7 @@
             store, clock, log, SLOW_HEARTBEAT_PART, report_listener=self._record_slow_report
         )
         fast_heartbeats = HeartbeatList(
-            store, clock, log, FAST_HEARTBEAT_PART, self._record_use, self._record_awaited_report
+            store, clock, log, FAST_HEARTBEAT_PART, self._record_use, self._record_fast_report
         )
         super().__init__(own.id, slow_heartbeats, fast_heartbeats, regions, clock)
         self._store = store
@@ -111,7 +111,7 @@
         if daemon != self.own and daemon not in self.fast_heartbeats.seen:
             self._report_listener(daemon, report)
 
-    def _record_awaited_report(self, daemon: DaemonId, report: DaemonReport) -> None:
+    def _record_fast_report(self, daemon: DaemonId, report: DaemonReport) -> None:
         if daemon != self.own:
             self._report_listener(daemon, report)
 
