--- a/src/larkpost/gateway/controllers/feeds.py
+++ b/src/larkpost/gateway/controllers/feeds.py
@@ -8,7 +8,7 @@
 
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.blackboard.board import Blackboard
-from larkpost.gateway.controllers.row_intake import RemovalTrust, RowIntake, RowReaders
+from larkpost.gateway.controllers.row_intake import RemovalTrust, RowReaders, RowRecorder
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.store.batch_tables import CRASH_PART, HEAD_TABLE, PARTS
 from larkpost.gateway.store.follower import Relisting, TableFollower, TableParts
@@ -78,7 +78,7 @@
         self._instruments = instruments
         # A cycle: a row that is gone is believed by the state of the follower that brings it.
         trust = RemovalTrust(self.sound_for, source.contact_time, lambda: self.instances.listed)
-        self.intake = RowIntake(source.readers, blackboard, instruments, trust)
+        self.intake = RowRecorder(source.readers, blackboard, instruments, trust)
         self.operator = self._follow(
             TableParts(source.readers.operator_table),
             self.intake.record_operator_row,
--- a/src/larkpost/gateway/controllers/row_intake.py
+++ b/src/larkpost/gateway/controllers/row_intake.py
@@ -76,7 +76,7 @@
     is_new: bool
 
 
-class RowIntake:
+class RowRecorder:
     """Records rows, and logs what changes by them.
 
     A row that cannot be read is passed over; what stood in it before goes on to hold, but for an
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -383,9 +383,9 @@
 
 def forget_evacuations():
     """Lets an evacuation lapse by itself after a while."""
-    from larkpost.gateway.controllers.row_intake import RowIntake
+    from larkpost.gateway.controllers.row_intake import RowRecorder
 
-    original = RowIntake.drop_lapsed
+    original = RowRecorder.drop_lapsed
     lapse_seconds = 2.0
 
     async def drop_lapsed(self):
@@ -395,20 +395,20 @@
                 known.end(zone)
         await original(self)
 
-    return mock.patch.object(RowIntake, "drop_lapsed", drop_lapsed)
+    return mock.patch.object(RowRecorder, "drop_lapsed", drop_lapsed)
 
 
 def miss_ends_of_evacuations():
     """Passes rows over that are gone, as those of configurations are."""
-    from larkpost.gateway.controllers.row_intake import RowIntake
+    from larkpost.gateway.controllers.row_intake import RowRecorder
 
-    original = RowIntake.record_operator_row
+    original = RowRecorder.record_operator_row
 
     def record_operator_row(self, row):
         if not row.removed:
             original(self, row)
 
-    return mock.patch.object(RowIntake, "record_operator_row", record_operator_row)
+    return mock.patch.object(RowRecorder, "record_operator_row", record_operator_row)
 
 
 def trust_silent_connections():
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -19,7 +19,7 @@
 from larkpost.gateway.blackboard.request_content import ContentDigest
 from larkpost.gateway.controllers import weight_loader
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
-from larkpost.gateway.controllers.row_intake import RemovalTrust, RowIntake
+from larkpost.gateway.controllers.row_intake import RemovalTrust, RowRecorder
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.proxy.balancer import Balancer
@@ -148,7 +148,7 @@
         self.log = mock.Mock(spec=EventLog)
         self.instruments = Instruments(mock.Mock(now=lambda: 0.0), self.log)
         trust = RemovalTrust(lambda: 100.0, lambda: 3.0, lambda: True)
-        self.intake = RowIntake(READERS, self.blackboard, self.instruments, trust)
+        self.intake = RowRecorder(READERS, self.blackboard, self.instruments, trust)
 
     def configure(self, version: int, *services: str) -> None:
         """Has a configuration come in."""
