--- a/src/larkpost/gateway/controllers/feeds.py
+++ b/src/larkpost/gateway/controllers/feeds.py
@@ -78,15 +78,15 @@
         self._instruments = instruments
         # A cycle: a row that is gone is believed by the state of the follower that brings it.
         trust = RemovalTrust(self.sound_for, source.contact_time, lambda: self.instances.listed)
-        self.intake = RowRecorder(source.readers, blackboard, instruments, trust)
+        self.row_recorder = RowRecorder(source.readers, blackboard, instruments, trust)
         self.operator = self._follow(
             TableParts(source.readers.operator_table),
-            self.intake.record_operator_row,
+            self.row_recorder.record_operator_row,
             Relisting(SLOW_RELIST_SECONDS),
         )
         self.instances = self._follow(
             TableParts(source.readers.instance_table),
-            self.intake.record_instance_row,
+            self.row_recorder.record_instance_row,
             Relisting(FAST_RELIST_SECONDS),
         )
         self.heads = self._follow(
@@ -99,7 +99,7 @@
         """Starts following."""
         for follower in (self.operator, self.instances, self.heads):
             follower.start(tasks)
-        tasks.every(LAPSED_INTERVAL_SECONDS, self.intake.drop_lapsed, "lapsed")
+        tasks.every(LAPSED_INTERVAL_SECONDS, self.row_recorder.drop_lapsed, "lapsed")
 
     def sound_for(self) -> float:
         """Returns for how many seconds each call to the store has succeeded."""
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -258,7 +258,7 @@
             self.blackboard.configuration.update(CONFIGURATION)
             self.sound = 100.0
             readers = replace(READERS, instance=lambda row: self.info)
-            self.intake = RowRecorder(
+            self.row_recorder = RowRecorder(
                 readers,
                 self.blackboard,
                 Instruments(self.clock, EventLog("daemon")),
@@ -271,7 +271,7 @@
     def take(self, cold_left: float | None) -> float:
         """Takes an entry of the engine, and returns for how long it counts as cold."""
         self.info = replace(INFO, cold_left=cold_left)
-        self.intake.record_instance_row(Row(RowKey("instances", "", ENGINE), b"", 1))
+        self.row_recorder.record_instance_row(Row(RowKey("instances", "", ENGINE), b"", 1))
         return self.blackboard.cold.left(ENGINE, self.clock.now())
 
     def test_new_during_traffic_whether_its_entry_says_so_or_nothing(self) -> None:
@@ -299,7 +299,7 @@
         async def work() -> None:
             self.take(0.0)
             self.sound = 0.0
-            self.intake.record_instance_row(
+            self.row_recorder.record_instance_row(
                 Row(RowKey("instances", "", ENGINE), b"", 2, removed=True)
             )
             self.assertEqual(0.0, self.take(None))
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -295,7 +295,7 @@
         async def play():
             await self.begin(gateways=1)
             log = RecordingLog()
-            self.fleet.gateways[0]._feeds.intake._log = log
+            self.fleet.gateways[0]._feeds.row_recorder._log = log
             await self.change(NORTH)
             self.fleet.put("operator", f"evacuate-{NORTH}", b"{}")  # said again: no news
             await self.change(NORTH, on=False)
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -148,14 +148,14 @@
         self.log = mock.Mock(spec=EventLog)
         self.instruments = Instruments(mock.Mock(now=lambda: 0.0), self.log)
         trust = RemovalTrust(lambda: 100.0, lambda: 3.0, lambda: True)
-        self.intake = RowRecorder(READERS, self.blackboard, self.instruments, trust)
+        self.row_recorder = RowRecorder(READERS, self.blackboard, self.instruments, trust)
 
     def configure(self, version: int, *services: str) -> None:
         """Has a configuration come in."""
         named = [{"name": name} for name in services]
         document = {"version": version, "routes": [], "services": named}
         row = Row(RowKey("op", "", "config"), orjson.dumps(document), version)
-        self.intake.record_operator_row(row)
+        self.row_recorder.record_operator_row(row)
 
     def spoiled(self) -> float:
         """Returns how many entries were counted as no server's."""
@@ -168,42 +168,42 @@
 
     def test_restart_is_logged_as_a_new_instance(self) -> None:
         self.configure(1, SERVICE)
-        self.intake.record_instance_row(entry_row(1, FIRST_START))
-        self.intake.record_instance_row(entry_row(2, SECOND_START))
+        self.row_recorder.record_instance_row(entry_row(1, FIRST_START))
+        self.row_recorder.record_instance_row(entry_row(2, SECOND_START))
         self.assertEqual(2, self.events().count(Event.INSTANCE))
         self.assertEqual(SECOND_START, self.blackboard.directory.named(NAME).born)
 
     def test_spoiled_entry_names_no_server_and_the_next_whole_one_does(self) -> None:
         self.configure(1, SERVICE)
-        self.intake.record_instance_row(entry_row(1, FIRST_START))
+        self.row_recorder.record_instance_row(entry_row(1, FIRST_START))
         other = Row(RowKey("servers", "", "engine-4"), entry_row(1, 7).value, 1)
-        self.intake.record_instance_row(other)
-        self.intake.record_instance_row(entry_row(2, FIRST_START, state="zombie"))
+        self.row_recorder.record_instance_row(other)
+        self.row_recorder.record_instance_row(entry_row(2, FIRST_START, state="zombie"))
         self.assertIsNone(self.blackboard.directory.named(NAME))
         self.assertEqual(1, len(self.blackboard.directory))
         self.assertEqual(1, self.spoiled())
         self.assertEqual(1, self.events().count(Event.UNREADABLE))
-        self.intake.record_instance_row(entry_row(3, FIRST_START))
+        self.row_recorder.record_instance_row(entry_row(3, FIRST_START))
         self.assertIsNotNone(self.blackboard.directory.named(NAME))
 
     def test_spoiled_entry_of_a_server_that_leaves_does_not_bring_it_back(self) -> None:
         self.configure(1, SERVICE)
-        self.intake.record_instance_row(entry_row(1, FIRST_START, state="draining"))
-        self.intake.record_instance_row(entry_row(2, FIRST_START, slots=-3))
-        self.intake.record_instance_row(entry_row(3, FIRST_START))
+        self.row_recorder.record_instance_row(entry_row(1, FIRST_START, state="draining"))
+        self.row_recorder.record_instance_row(entry_row(2, FIRST_START, slots=-3))
+        self.row_recorder.record_instance_row(entry_row(3, FIRST_START))
         state = self.blackboard.directory.named(NAME).state
         self.assertEqual(InstanceState.LEAVING, state)
 
     def test_service_that_no_configuration_names(self) -> None:
         self.configure(1, "pages")
-        self.intake.record_instance_row(entry_row(1, FIRST_START))
+        self.row_recorder.record_instance_row(entry_row(1, FIRST_START))
         self.assertEqual(0, len(self.blackboard.directory))
         self.assertEqual(1, self.spoiled())
         self.configure(2, "pages", SERVICE)
         self.assertEqual(1, len(self.blackboard.directory))
 
     def test_entries_that_come_before_the_first_configuration(self) -> None:
-        self.intake.record_instance_row(entry_row(1, FIRST_START))
+        self.row_recorder.record_instance_row(entry_row(1, FIRST_START))
         self.assertEqual(0, self.spoiled())
         self.configure(1, SERVICE)
         self.assertEqual(1, len(self.blackboard.directory))
@@ -211,17 +211,19 @@
 
     def test_server_goes_on_when_its_service_is_named_no_more(self) -> None:
         self.configure(1, SERVICE)
-        self.intake.record_instance_row(entry_row(1, FIRST_START))
+        self.row_recorder.record_instance_row(entry_row(1, FIRST_START))
         self.configure(2, "pages")
-        self.intake.record_instance_row(entry_row(2, FIRST_START))
+        self.row_recorder.record_instance_row(entry_row(2, FIRST_START))
         self.assertEqual(1, len(self.blackboard.directory))
-        self.intake.record_instance_row(entry_row(3, FIRST_START, service="other"))
+        self.row_recorder.record_instance_row(entry_row(3, FIRST_START, service="other"))
         self.assertEqual(0, len(self.blackboard.directory))
 
     def test_entry_that_is_gone_is_forgotten_while_its_service_is_not_named(self) -> None:
         self.configure(1, "pages")
-        self.intake.record_instance_row(entry_row(1, FIRST_START))
-        self.intake.record_instance_row(Row(RowKey("servers", "", NAME), b"", 2, removed=True))
+        self.row_recorder.record_instance_row(entry_row(1, FIRST_START))
+        self.row_recorder.record_instance_row(
+            Row(RowKey("servers", "", NAME), b"", 2, removed=True)
+        )
         self.configure(2, SERVICE)
         self.assertEqual(0, len(self.blackboard.directory))
 
