--- a/src/larkpost/gateway/assembly/environment.py
+++ b/src/larkpost/gateway/assembly/environment.py
@@ -7,7 +7,7 @@
 from larkpost.common.ids import Address
 from larkpost.gateway.blackboard.cold_instances import ColdTerms
 from larkpost.gateway.blackboard.regions import RegionMap
-from larkpost.gateway.controllers.row_intake import RowReaders
+from larkpost.gateway.controllers.row_recorder import RowReaders
 from larkpost.gateway.memory.sizing import budget_of
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
--- a/src/larkpost/gateway/controllers/feeds.py
+++ b/src/larkpost/gateway/controllers/feeds.py
@@ -8,7 +8,7 @@
 
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.blackboard.board import Blackboard
-from larkpost.gateway.controllers.row_intake import RemovalTrust, RowReaders, RowRecorder
+from larkpost.gateway.controllers.row_recorder import RemovalTrust, RowReaders, RowRecorder
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.store.batch_tables import CRASH_PART, HEAD_TABLE, PARTS
 from larkpost.gateway.store.follower import Relisting, TableFollower, TableParts
--- a/src/larkpost/platform/assembly.py
+++ b/src/larkpost/platform/assembly.py
@@ -11,7 +11,7 @@
 from larkpost.common.ids import Address
 from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
-from larkpost.gateway.controllers.row_intake import RowReaders
+from larkpost.gateway.controllers.row_recorder import RowReaders
 from larkpost.gateway.daemon import Gateway
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -26,7 +26,7 @@
 from larkpost.gateway.blackboard.scaling_terms import ScalingTerms
 from larkpost.gateway.blackboard.tenants import TenantName
 from larkpost.gateway.blackboard.weight_targets import WeightTarget
-from larkpost.gateway.controllers.row_intake import RowReaders
+from larkpost.gateway.controllers.row_recorder import RowReaders
 from larkpost.gateway.daemon import Gateway
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.rollouts.model import (
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -383,7 +383,7 @@
 
 def forget_evacuations():
     """Lets an evacuation lapse by itself after a while."""
-    from larkpost.gateway.controllers.row_intake import RowRecorder
+    from larkpost.gateway.controllers.row_recorder import RowRecorder
 
     original = RowRecorder.drop_lapsed
     lapse_seconds = 2.0
@@ -400,7 +400,7 @@
 
 def miss_ends_of_evacuations():
     """Passes rows over that are gone, as those of configurations are."""
-    from larkpost.gateway.controllers.row_intake import RowRecorder
+    from larkpost.gateway.controllers.row_recorder import RowRecorder
 
     original = RowRecorder.record_operator_row
 
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -11,7 +11,7 @@
 from larkpost.common.ids import ZoneId
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.cold_instances import ColdInstances, ColdTerms
-from larkpost.gateway.controllers.row_intake import RemovalTrust, RowRecorder
+from larkpost.gateway.controllers.row_recorder import RemovalTrust, RowRecorder
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.placement.cold_rate_limit import (
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -19,7 +19,7 @@
 from larkpost.gateway.blackboard.request_content import ContentDigest
 from larkpost.gateway.controllers import weight_loader
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
-from larkpost.gateway.controllers.row_intake import RemovalTrust, RowRecorder
+from larkpost.gateway.controllers.row_recorder import RemovalTrust, RowRecorder
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.proxy.balancer import Balancer
