--- a/src/larkpost/gateway/controllers/feeds.py
+++ b/src/larkpost/gateway/controllers/feeds.py
@@ -99,7 +99,7 @@
         """Starts following."""
         for follower in (self.operator, self.instances, self.heads):
             follower.start(tasks)
-        tasks.every(LAPSED_INTERVAL_SECONDS, self.row_recorder.drop_lapsed, "lapsed")
+        tasks.every(LAPSED_INTERVAL_SECONDS, self.row_recorder.drop_expired_entries, "lapsed")
 
     def sound_for(self) -> float:
         """Returns for how many seconds each call to the store has succeeded."""
--- a/src/larkpost/gateway/controllers/row_recorder.py
+++ b/src/larkpost/gateway/controllers/row_recorder.py
@@ -103,7 +103,7 @@
         self._trust = trust
         self._cold = blackboard.cold
 
-    async def drop_lapsed(self) -> None:
+    async def drop_expired_entries(self) -> None:
         """Gives up instances whose entries lapsed while the store was away and are not back."""
         if self._trust.sound_for() < LAPSED_SECONDS:
             return
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -385,17 +385,17 @@
     """Lets an evacuation lapse by itself after a while."""
     from larkpost.gateway.controllers.row_recorder import RowRecorder
 
-    original = RowRecorder.drop_lapsed
+    original = RowRecorder.drop_expired_entries
     lapse_seconds = 2.0
 
-    async def drop_lapsed(self):
+    async def drop_expired_entries(self):
         known = self._evacuations
         for zone, since in list(known._since.items()):
             if self._clock.now() - since > lapse_seconds:
                 known.end(zone)
         await original(self)
 
-    return mock.patch.object(RowRecorder, "drop_lapsed", drop_lapsed)
+    return mock.patch.object(RowRecorder, "drop_lapsed", drop_expired_entries)
 
 
 def miss_ends_of_evacuations():
