--- a/src/larkpost/gateway/controllers/row_recorder.py
+++ b/src/larkpost/gateway/controllers/row_recorder.py
@@ -18,7 +18,7 @@
 from larkpost.gateway.observability.metrics import Count
 from larkpost.gateway.store.port import Row
 
-LAPSED_SECONDS = 2.2
+EXPIRY_CONFIRMATION_SECONDS = 2.2
 """Seconds for which the store must have been sound for a missing entry to be gone for good."""
 
 
@@ -105,7 +105,7 @@
 
     async def drop_expired_entries(self) -> None:
         """Gives up instances whose entries lapsed while the store was away and are not back."""
-        if self._trust.sound_for() < LAPSED_SECONDS:
+        if self._trust.sound_for() < EXPIRY_CONFIRMATION_SECONDS:
             return
         for instance in self._directory.drop_unlisted():
             self._log.record(Event.INSTANCE, instance=instance, state="gone", sound=True)
