--- a/src/larkpost/gateway/controllers/feeds.py
+++ b/src/larkpost/gateway/controllers/feeds.py
@@ -20,7 +20,7 @@
 """Seconds between two listings of the operator's rows and of the heads."""
 IDLE_RELIST_FACTOR = 4
 """How much less often a daemon lists the batches that neither coordinates nor owns any."""
-LAPSED_INTERVAL_SECONDS = 0.25
+EXPIRY_CHECK_SECONDS = 0.25
 """Seconds between two checks for instances whose entries lapsed."""
 
 
@@ -99,7 +99,7 @@
         """Starts following."""
         for follower in (self.operator, self.instances, self.heads):
             follower.start(tasks)
-        tasks.every(LAPSED_INTERVAL_SECONDS, self.row_recorder.drop_expired_entries, "lapsed")
+        tasks.every(EXPIRY_CHECK_SECONDS, self.row_recorder.drop_expired_entries, "lapsed")
 
     def sound_for(self) -> float:
         """Returns for how many seconds each call to the store has succeeded."""
