--- a/src/larkpost/gateway/quarantine/crash_recorder.py
+++ b/src/larkpost/gateway/quarantine/crash_recorder.py
@@ -51,7 +51,7 @@
     def start(self, tasks: TaskSet) -> None:
         """Starts saving and forgetting."""
         tasks.spawn(self._writer.run(), "crashes")
-        tasks.every(CLEANUP_INTERVAL_SECONDS, self.forget_old, "old_crashes")
+        tasks.every(CLEANUP_INTERVAL_SECONDS, self.remove_expired, "old_crashes")
 
     def record_row(self, row: Row) -> None:
         """Records what the store has of a crash."""
@@ -98,7 +98,7 @@
             self._remove(content, crash.instance)
             self._writer.schedule_save(content, crash.instance, None)
 
-    async def forget_old(self) -> None:
+    async def remove_expired(self) -> None:
         """Removes the crashes that are remembered no longer."""
         now = self._writer.time()
         if now is None or not self._may_forget():
