--- a/src/larkpost/gateway/controllers/batch_forecast.py
+++ b/src/larkpost/gateway/controllers/batch_forecast.py
@@ -44,13 +44,13 @@
     if not capacity.share or not capacity.token_time:
         return Outlook.UNKNOWN
     least = progress.work / capacity.whole * capacity.best_token_time
-    expected = seconds_left(progress, capacity.share, capacity.token_time)
+    expected = remaining_seconds(progress, capacity.share, capacity.token_time)
     if due_in + HOPELESS_DELAY_SECONDS < least and expected > HOPELESS_DELAY_SECONDS:
         return Outlook.HOPELESS
     return Outlook.TO_SPARE if due_in - expected >= MIN_SPARE_SECONDS else Outlook.TIGHT
 
 
-def seconds_left(progress: BatchProgress, places: int, token_time: float) -> float:
+def remaining_seconds(progress: BatchProgress, places: int, token_time: float) -> float:
     """Returns the seconds that a batch needs yet, with so many places.
 
     No item is made by two engines, and a long one may be the last to find a place.
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -12,7 +12,7 @@
     BatchCapacity,
     forecast_outlook,
     most_urgent_outlook,
-    seconds_left,
+    remaining_seconds,
 )
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
 from larkpost.gateway.controllers.heartbeat_intervals import DEAD_AFTER_SECONDS
@@ -64,7 +64,7 @@
                 self.assertIs(expected, forecast_outlook(progress, due_in, capacity))
 
     def test_limits(self):
-        needed = seconds_left(SHORT, POOL.share, POOL.token_time)
+        needed = remaining_seconds(SHORT, POOL.share, POOL.token_time)
         cases = (
             (needed + MIN_SPARE_SECONDS + 0.01, Outlook.TO_SPARE),
             (needed + MIN_SPARE_SECONDS - 0.01, Outlook.TIGHT),
@@ -77,7 +77,7 @@
 
     def test_many_short_items_need_time_too(self):
         many = BatchProgress(400, work=58 * 16000, long_item=800)
-        self.assertAlmostEqual(10.5, seconds_left(many, POOL.share, POOL.token_time))
+        self.assertAlmostEqual(10.5, remaining_seconds(many, POOL.share, POOL.token_time))
         self.assertIs(Outlook.TIGHT, forecast_outlook(many, 7.5, POOL))
 
     def test_which_batch_of_a_model_counts(self):
