--- a/src/larkpost/gateway/controllers/batch_forecast.py
+++ b/src/larkpost/gateway/controllers/batch_forecast.py
@@ -29,7 +29,7 @@
         best_token_time: the same at the fastest one.
     """
 
-    share: int
+    available_slots: int
     whole: int
     token_time: float
     best_token_time: float
@@ -41,10 +41,10 @@
     Args:
         due_in: seconds until it is due; negative once it is late.
     """
-    if not capacity.share or not capacity.token_time:
+    if not capacity.available_slots or not capacity.token_time:
         return Outlook.UNKNOWN
     least = progress.work / capacity.whole * capacity.best_token_time
-    expected = remaining_seconds(progress, capacity.share, capacity.token_time)
+    expected = remaining_seconds(progress, capacity.available_slots, capacity.token_time)
     if due_in + HOPELESS_DELAY_SECONDS < least and expected > HOPELESS_DELAY_SECONDS:
         return Outlook.HOPELESS
     return Outlook.TO_SPARE if due_in - expected >= MIN_SPARE_SECONDS else Outlook.TIGHT
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -29,9 +29,9 @@
 from tests.platform_fleet import MODEL, PlatformFleet, make_batch
 from tests.virtual import run
 
-POOL = BatchCapacity(share=58, whole=176, token_time=0.000625, best_token_time=0.0006)
+POOL = BatchCapacity(available_slots=58, whole=176, token_time=0.000625, best_token_time=0.0006)
 """A third of 22 engines of 8 places, where an event of 80 tokens takes 0.05 s."""
-UNEVEN = BatchCapacity(share=48, whole=192, token_time=0.001, best_token_time=0.0007)
+UNEVEN = BatchCapacity(available_slots=48, whole=192, token_time=0.001, best_token_time=0.0007)
 """A quarter of 24 engines, of which the slow ones take 1.7 times the usual time, the others 0.7."""
 LONG = BatchProgress(0, work=1848 * 80, long_item=149 * 80)
 SHORT = BatchProgress(0, work=864 * 80, long_item=84 * 80)
@@ -64,7 +64,7 @@
                 self.assertIs(expected, forecast_outlook(progress, due_in, capacity))
 
     def test_limits(self):
-        needed = remaining_seconds(SHORT, POOL.share, POOL.token_time)
+        needed = remaining_seconds(SHORT, POOL.available_slots, POOL.token_time)
         cases = (
             (needed + MIN_SPARE_SECONDS + 0.01, Outlook.TO_SPARE),
             (needed + MIN_SPARE_SECONDS - 0.01, Outlook.TIGHT),
@@ -77,7 +77,7 @@
 
     def test_many_short_items_need_time_too(self):
         many = BatchProgress(400, work=58 * 16000, long_item=800)
-        self.assertAlmostEqual(10.5, remaining_seconds(many, POOL.share, POOL.token_time))
+        self.assertAlmostEqual(10.5, remaining_seconds(many, POOL.available_slots, POOL.token_time))
         self.assertIs(Outlook.TIGHT, forecast_outlook(many, 7.5, POOL))
 
     def test_which_batch_of_a_model_counts(self):
