--- a/src/larkpost/gateway/controllers/batch_forecast.py
+++ b/src/larkpost/gateway/controllers/batch_forecast.py
@@ -32,7 +32,7 @@
     available_slots: int
     total_slots: int
     token_time: float
-    best_token_time: float
+    fastest_token_time: float
 
 
 def forecast_outlook(progress: BatchProgress, due_in: float, capacity: BatchCapacity) -> Outlook:
@@ -43,7 +43,7 @@
     """
     if not capacity.available_slots or not capacity.token_time:
         return Outlook.UNKNOWN
-    least = progress.work / capacity.total_slots * capacity.best_token_time
+    least = progress.work / capacity.total_slots * capacity.fastest_token_time
     expected = remaining_seconds(progress, capacity.available_slots, capacity.token_time)
     if due_in + HOPELESS_DELAY_SECONDS < least and expected > HOPELESS_DELAY_SECONDS:
         return Outlook.HOPELESS
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -29,9 +29,13 @@
 from tests.platform_fleet import MODEL, PlatformFleet, make_batch
 from tests.virtual import run
 
-POOL = BatchCapacity(available_slots=58, total_slots=176, token_time=0.000625, best_token_time=0.0006)
+POOL = BatchCapacity(
+    available_slots=58, total_slots=176, token_time=0.000625, fastest_token_time=0.0006
+)
 """A third of 22 engines of 8 places, where an event of 80 tokens takes 0.05 s."""
-UNEVEN = BatchCapacity(available_slots=48, total_slots=192, token_time=0.001, best_token_time=0.0007)
+UNEVEN = BatchCapacity(
+    available_slots=48, total_slots=192, token_time=0.001, fastest_token_time=0.0007
+)
 """A quarter of 24 engines, of which the slow ones take 1.7 times the usual time, the others 0.7."""
 LONG = BatchProgress(0, work=1848 * 80, long_item=149 * 80)
 SHORT = BatchProgress(0, work=864 * 80, long_item=84 * 80)
