--- a/src/larkpost/gateway/scaling/planner.py
+++ b/src/larkpost/gateway/scaling/planner.py
@@ -36,7 +36,7 @@
 
     on_demand: int
     preemptible: int
-    usual: int
+    usual_count: int
     missing_for: float
     is_evacuated: bool = False
 
@@ -117,7 +117,7 @@
     """Returns how many servers a zone has lost for good and may have back."""
     if known.is_evacuated or known.missing_for < lost_after:
         return 0
-    return max(0, known.usual - known.count)
+    return max(0, known.usual_count - known.count)
 
 
 def _order(inputs: PlanInputs, zone: ZoneId) -> ScalingOrder | None:
@@ -125,7 +125,7 @@
     service, terms, known = inputs.service, inputs.terms, inputs.zones[zone]
     if not _missing(known, inputs.lost_after):
         return None
-    wanted = max(terms.minimum, min(known.usual, terms.maximum))
+    wanted = max(terms.minimum, min(known.usual_count, terms.maximum))
     if wanted <= known.count:
         return None
     if zone not in inputs.refused and is_preemptible_worthwhile(terms):
--- a/src/larkpost/gateway/scaling/server_counter.py
+++ b/src/larkpost/gateway/scaling/server_counter.py
@@ -51,14 +51,14 @@
         seen.counts.append((now, len(ready)))
         while seen.counts[0][0] < now - USUAL_SECONDS:
             seen.counts.popleft()
-        usual = max(count for _, count in seen.counts)
-        if len(ready) >= usual:
+        usual_count = max(count for _, count in seen.counts)
+        if len(ready) >= usual_count:
             seen.full_at = now
         preemptible = sum(info.is_preemptible for info in ready)
         return ZoneServers(
             on_demand=len(ready) - preemptible,
             preemptible=preemptible,
-            usual=usual,
+            usual_count=usual_count,
             missing_for=now - seen.full_at,
             is_evacuated=self._evacuations.is_evacuated(zone),
         )
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -18,8 +18,8 @@
 SERVICE = ServiceName("engines")
 NORTH, SOUTH = ZoneId("north"), ZoneId("south")
 TERMS = ScalingTerms(1, 8, 4.0, 0.2, {NORTH: 1.0, SOUTH: 0.8})
-WHOLE = ZoneServers(on_demand=8, preemptible=0, usual=8, missing_for=0.0)
-LOST = ZoneServers(on_demand=5, preemptible=0, usual=8, missing_for=9.0)
+WHOLE = ZoneServers(on_demand=8, preemptible=0, usual_count=8, missing_for=0.0)
+LOST = ZoneServers(on_demand=5, preemptible=0, usual_count=8, missing_for=9.0)
 LOST_AFTER = 8.0
 
 
@@ -43,7 +43,7 @@
         self.assertEqual((expected,), plan({NORTH: LOST, SOUTH: WHOLE}))
 
     def test_a_zone_never_hangs_on_preemptible_servers(self) -> None:
-        known = ZoneServers(on_demand=2, preemptible=4, usual=8, missing_for=9.0)
+        known = ZoneServers(on_demand=2, preemptible=4, usual_count=8, missing_for=9.0)
         expected = ScalingOrder(SERVICE, NORTH, ServerKind.ON_DEMAND, 4)
         self.assertEqual((expected,), plan({NORTH: known}))
 
