--- a/src/larkpost/gateway/scaling/controller.py
+++ b/src/larkpost/gateway/scaling/controller.py
@@ -98,7 +98,7 @@
 
     async def _update_service(self, service: Service, configuration: Configuration) -> None:
         now = self._clock.now()
-        zones = self._census.take(service.name, now)
+        zones = self._census.count_by_zone(service.name, now)
         refused = frozenset(
             zone for zone, until in self._no_preemptible_until.items() if now < until
         )
--- a/src/larkpost/gateway/scaling/server_counter.py
+++ b/src/larkpost/gateway/scaling/server_counter.py
@@ -33,7 +33,7 @@
         self._evacuations = evacuations
         self._seen: dict[tuple[ServiceName, ZoneId], _Seen] = {}
 
-    def take(self, service: ServiceName, now: float) -> dict[ZoneId, ZoneServers]:
+    def count_by_zone(self, service: ServiceName, now: float) -> dict[ZoneId, ZoneServers]:
         """Counts a service's servers by zone, those zones included that have none any more."""
         ready = self._directory.ready_of(service)
         zones = {info.zone for info in ready} | {
