--- a/src/larkpost/gateway/scaling/controller.py
+++ b/src/larkpost/gateway/scaling/controller.py
@@ -78,7 +78,7 @@
         self._log = instruments.log
         self._metrics = instruments.metrics
         self._mode = mode
-        self._census = ServerCounter(inputs.blackboard.directory, inputs.blackboard.evacuations)
+        self._counter = ServerCounter(inputs.blackboard.directory, inputs.blackboard.evacuations)
         self._announced: dict[ServiceName, Plan] = {}
         self._next_order: dict[tuple[ServiceName, ZoneId], float] = {}
         self._no_preemptible_until: dict[ZoneId, float] = {}
@@ -98,7 +98,7 @@
 
     async def _update_service(self, service: Service, configuration: Configuration) -> None:
         now = self._clock.now()
-        zones = self._census.count_by_zone(service.name, now)
+        zones = self._counter.count_by_zone(service.name, now)
         refused = frozenset(
             zone for zone, until in self._no_preemptible_until.items() if now < until
         )
