--- a/src/larkpost/gateway/controllers/engine_allocator.py
+++ b/src/larkpost/gateway/controllers/engine_allocator.py
@@ -51,7 +51,7 @@
 
     made_at: float
     lifetime: float
-    own: dict[ModelName, frozenset[InstanceId]] = field(default_factory=dict)
+    preferred: dict[ModelName, frozenset[InstanceId]] = field(default_factory=dict)
     loading: dict[ModelName, frozenset[InstanceId]] = field(default_factory=dict)
     yielding: frozenset[ModelName] = frozenset()
     demands: Demands = field(default_factory=dict)
@@ -93,7 +93,7 @@
 
         None of them is in an evacuated zone: a batch would wait for engines that get nothing.
         """
-        return self._allocation(service).own.get(model, frozenset())
+        return self._allocation(service).preferred.get(model, frozenset())
 
     def loading(self, service: ServiceName, model: ModelName) -> frozenset[InstanceId]:
         """Returns the engines that refuse a model's items now, or will in a moment.
