--- a/src/larkpost/gateway/controllers/coordination.py
+++ b/src/larkpost/gateway/controllers/coordination.py
@@ -30,7 +30,7 @@
         """Returns how many daemons are considered alive, this one included."""
         return len(list(self._membership.alive()))
 
-    def is_chosen(self, key: str) -> bool:
+    def is_responsible_for(self, key: str) -> bool:
         """Returns whether this daemon is the one to act on what a key names."""
         return self._membership.choose_coordinator(key) == self._membership.own
 
--- a/src/larkpost/gateway/controllers/weight_loader.py
+++ b/src/larkpost/gateway/controllers/weight_loader.py
@@ -97,7 +97,7 @@
             return False
         if self._clock.now() < self._next_try.get(engine, 0.0):
             return False
-        return self._coordination.is_chosen(f"engine\x00{engine}")
+        return self._coordination.is_responsible_for(f"engine\x00{engine}")
 
     async def _order(self, service: Service, engine: InstanceId, target: WeightTarget) -> None:
         pause = RETRY_SECONDS
--- a/src/larkpost/gateway/scaling/controller.py
+++ b/src/larkpost/gateway/scaling/controller.py
@@ -131,7 +131,7 @@
         )
 
     def _is_mine(self, order: ScalingOrder) -> bool:
-        return self._coordination.is_chosen(_subject(order).key)
+        return self._coordination.is_responsible_for(_subject(order).key)
 
     async def _order(self, order: ScalingOrder, boot_time: float) -> float:
         """Orders, and returns the seconds until the zone is checked again."""
--- a/src/larkpost/gateway/usage/reporter.py
+++ b/src/larkpost/gateway/usage/reporter.py
@@ -104,7 +104,7 @@
 
     async def update(self) -> None:
         """Decides and reports the windows that are due, if this daemon is the one chosen to."""
-        if not self._coordination.is_chosen(SUBJECT.key):
+        if not self._coordination.is_responsible_for(SUBJECT.key):
             self._next = None
             return
         now = self._timing.true_time.now()
