--- a/src/larkpost/gateway/controllers/heartbeat_list.py
+++ b/src/larkpost/gateway/controllers/heartbeat_list.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class Observation:
+class ObservedHeartbeat:
     """A daemon's row as last listed.
 
     Attributes:
@@ -65,7 +65,7 @@
     ) -> None:
         self.part = part
         self.listed_at: float | None = None
-        self.seen: dict[DaemonId, Observation] = {}
+        self.seen: dict[DaemonId, ObservedHeartbeat] = {}
         self._store = store
         self._clock = clock
         self._log = log
@@ -139,7 +139,7 @@
             seen = self.seen.get(name)
             if seen is None or seen.version != row.version:
                 heartbeat = self._read(name, row)
-                self.seen[name] = Observation(row.version, now, heartbeat)
+                self.seen[name] = ObservedHeartbeat(row.version, now, heartbeat)
                 self._listener(name, heartbeat.uses)
                 self._report_listener(name, heartbeat.report)
             elif blind:
