--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -126,7 +126,7 @@
     from larkpost.gateway.controllers.heartbeat_writer import HeartbeatWriter
 
     return mock.patch.object(
-        HeartbeatWriter, "is_awaited", lambda self: self._view.is_coordinator()
+        HeartbeatWriter, "needs_fast_heartbeats", lambda self: self._view.is_coordinator()
     )
 
 
@@ -395,7 +395,7 @@
                 known.end(zone)
         await original(self)
 
-    return mock.patch.object(RowRecorder, "drop_lapsed", drop_expired_entries)
+    return mock.patch.object(RowRecorder, "drop_expired_entries", drop_expired_entries)
 
 
 def miss_ends_of_evacuations():
