--- a/tests/cold_views.py
+++ b/tests/cold_views.py
@@ -28,7 +28,7 @@
     return [DaemonId(f"daemon-{number}/0") for number in range(count)]
 
 
-def settled(own: DaemonId, owners: list[DaemonId]) -> SenderView:
+def established_view(own: DaemonId, owners: list[DaemonId]) -> SenderView:
     """Returns the view of a daemon that knows all owners, and is known to them."""
     everyone = frozenset(owners)
     return SenderView(own, everyone, everyone, True, True, False)
--- a/tests/test_cold_share.py
+++ b/tests/test_cold_share.py
@@ -15,7 +15,7 @@
     owner_quota,
     send_quota,
 )
-from tests.cold_views import BOUND, ENGINE, names, settled
+from tests.cold_views import BOUND, ENGINE, established_view, names
 
 
 class ShareTest(unittest.TestCase):
@@ -30,8 +30,12 @@
                 owners = names(count)
                 for is_engine in (True, False):
                     sent = sum(
-                        owner_quota(bound, settled(own, owners), ENGINE, is_engine=is_engine)
-                        + client_quota(bound, settled(own, owners), ENGINE, is_engine=is_engine)
+                        owner_quota(
+                            bound, established_view(own, owners), ENGINE, is_engine=is_engine
+                        )
+                        + client_quota(
+                            bound, established_view(own, owners), ENGINE, is_engine=is_engine
+                        )
                         for own in owners
                     )
                     self.assertLessEqual(sent, bound, (bound, count, is_engine))
@@ -42,23 +46,26 @@
             owners = names(count)
             new = DaemonId("new/0")
             known = sum(
-                owner_quota(BOUND, settled(own, owners), ENGINE, is_engine=True) for own in owners
+                owner_quota(BOUND, established_view(own, owners), ENGINE, is_engine=True)
+                for own in owners
             )
-            alone = replace(settled(new, [new]), is_established=False)
-            for view in (alone, settled(new, [*owners, new])):
+            alone = replace(established_view(new, [new]), is_established=False)
+            for view in (alone, established_view(new, [*owners, new])):
                 sent = known + owner_quota(BOUND, view, ENGINE, is_engine=True)
                 self.assertLessEqual(sent, BOUND, count)
 
     def test_three_owners_that_have_just_joined_break_nothing_beside_three_others(self) -> None:
         owners, everyone = names(3), names(6)
-        views = [settled(own, owners) for own in owners]
-        views += [replace(settled(own, everyone), is_established=False) for own in everyone[3:]]
+        views = [established_view(own, owners) for own in owners]
+        views += [
+            replace(established_view(own, everyone), is_established=False) for own in everyone[3:]
+        ]
         sent = [owner_quota(BOUND, view, ENGINE, is_engine=True) for view in views]
         self.assertEqual([3, 3, 3, 1, 1, 1], sent)
         self.assertLessEqual(sum(sent) + MIN_SENDS, BOUND)  # and a client's request
 
     def test_owner_that_hears_nothing_takes_the_least_share(self) -> None:
-        view = replace(settled(names(1)[0], names(2)), is_established=False, is_stale=True)
+        view = replace(established_view(names(1)[0], names(2)), is_established=False, is_stale=True)
         self.assertEqual(MIN_SENDS, owner_quota(BOUND, view, ENGINE, is_engine=True))
 
     def test_daemon_that_knows_nobody_takes_the_least_share(self) -> None:
@@ -69,7 +76,8 @@
     def test_few_daemons_send_requests_of_clients(self) -> None:
         members = names(300)
         sent = [
-            client_quota(BOUND, settled(own, members), ENGINE, is_engine=False) for own in members
+            client_quota(BOUND, established_view(own, members), ENGINE, is_engine=False)
+            for own in members
         ]
         self.assertEqual(7, sum(sent))
 
@@ -79,7 +87,7 @@
 
     def test_each_kind_of_send(self) -> None:
         own = names(1)[0]
-        alone = settled(own, [own])
+        alone = established_view(own, [own])
         newcomer = replace(alone, is_established=False)
         blind = replace(newcomer, is_stale=True, knows_members=False)
         for view, is_owner_work, is_cold, is_engine, expected in (
@@ -103,7 +111,7 @@
 
     def test_few_daemons_are_weighed_for_each_instance(self) -> None:
         members = names(370)
-        view, instances = settled(members[0], members), 200
+        view, instances = established_view(members[0], members), 200
         with mock.patch.object(cold_rate_quota, "_weight", wraps=cold_rate_quota._weight) as weigh:
             named = sum(
                 client_quota(BOUND, view, InstanceId(f"engine-{number}"), is_engine=False)
