--- a/tests/cold_views.py
+++ b/tests/cold_views.py
@@ -23,7 +23,7 @@
 """Longer than any of these tests lasts."""
 
 
-def names(count: int) -> list[DaemonId]:
+def daemon_ids(count: int) -> list[DaemonId]:
     """Returns the names of some daemons."""
     return [DaemonId(f"daemon-{number}/0") for number in range(count)]
 
--- a/tests/test_cold_bound.py
+++ b/tests/test_cold_bound.py
@@ -16,7 +16,7 @@
 from larkpost.gateway.placement.sender_tracker import (
     SenderTracker,
 )
-from tests.cold_views import BOUND, ENGINE, INFO, ITEM_WORK, LONG_SECONDS, RATE, names
+from tests.cold_views import BOUND, ENGINE, INFO, ITEM_WORK, LONG_SECONDS, RATE, daemon_ids
 from tests.platform_checks import check_cold
 from tests.platform_fleet import (
     COLD_TERMS,
@@ -95,7 +95,7 @@
 
         async def work() -> list[float]:
             chance, clock, history = random.Random(seed), LoopClock(), [(0.0, set())]
-            daemons = [GreedyDaemon(own, clock, history) for own in names(self.DAEMONS)]
+            daemons = [GreedyDaemon(own, clock, history) for own in daemon_ids(self.DAEMONS)]
             times: list[float] = []
             steps = int(60 / self.TICK_SECONDS)
             for step in range(steps):
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -38,8 +38,8 @@
     LONG_SECONDS,
     NEW_ENGINE,
     OTHER_ENGINE,
+    daemon_ids,
     established_view,
-    names,
 )
 from tests.platform_checks import SECOND
 from tests.platform_fleet import (
@@ -64,7 +64,7 @@
             self.blackboard.configuration.update(CONFIGURATION)
             self.blackboard.directory.update(INFO)
             self.senders = mock.Mock()
-            self.senders.view.return_value = established_view(names(1)[0], names(1))
+            self.senders.view.return_value = established_view(daemon_ids(1)[0], daemon_ids(1))
             self.rule = ColdRateLimit(
                 terms, self.blackboard, self.clock, EventLog("daemon"), self.senders
             )
--- a/tests/test_cold_senders.py
+++ b/tests/test_cold_senders.py
@@ -14,7 +14,7 @@
     VIEW_LIFETIME_SECONDS,
     SenderTracker,
 )
-from tests.cold_views import LONG_SECONDS, names
+from tests.cold_views import LONG_SECONDS, daemon_ids
 from tests.virtual import run
 
 
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         self.listed = True
         self.hears = True
-        self.everyone = names(3)
+        self.everyone = daemon_ids(3)
 
     def has_recent_listing(self) -> bool:
         """Tells whether this daemon hears the others."""
@@ -55,7 +55,7 @@
 
         async def begin() -> None:
             self.clock = LoopClock()
-            self.own, *self.others = names(3)
+            self.own, *self.others = daemon_ids(3)
             self.owners = {self.own, *self.others}
             self.members = FakeMembers()
             self.heads = FakeHeads()
--- a/tests/test_cold_share.py
+++ b/tests/test_cold_share.py
@@ -15,7 +15,7 @@
     owner_quota,
     send_quota,
 )
-from tests.cold_views import BOUND, ENGINE, established_view, names
+from tests.cold_views import BOUND, ENGINE, daemon_ids, established_view
 
 
 class ShareTest(unittest.TestCase):
@@ -27,7 +27,7 @@
     def test_all_shares_together_are_within_the_bound(self) -> None:
         for bound in (5.0, 8.0, BOUND, 60.0):
             for count in range(1, 60):
-                owners = names(count)
+                owners = daemon_ids(count)
                 for is_engine in (True, False):
                     sent = sum(
                         owner_quota(
@@ -43,7 +43,7 @@
 
     def test_owner_that_has_just_joined_breaks_nothing_before_the_others_have_heard(self) -> None:
         for count in range(1, 30):
-            owners = names(count)
+            owners = daemon_ids(count)
             new = DaemonId("new/0")
             known = sum(
                 owner_quota(BOUND, established_view(own, owners), ENGINE, is_engine=True)
@@ -55,7 +55,7 @@
                 self.assertLessEqual(sent, BOUND, count)
 
     def test_three_owners_that_have_just_joined_break_nothing_beside_three_others(self) -> None:
-        owners, everyone = names(3), names(6)
+        owners, everyone = daemon_ids(3), daemon_ids(6)
         views = [established_view(own, owners) for own in owners]
         views += [
             replace(established_view(own, everyone), is_established=False) for own in everyone[3:]
@@ -65,7 +65,9 @@
         self.assertLessEqual(sum(sent) + MIN_SENDS, BOUND)  # and a client's request
 
     def test_owner_that_hears_nothing_takes_the_least_share(self) -> None:
-        view = replace(established_view(names(1)[0], names(2)), is_established=False, is_stale=True)
+        view = replace(
+            established_view(daemon_ids(1)[0], daemon_ids(2)), is_established=False, is_stale=True
+        )
         self.assertEqual(MIN_SENDS, owner_quota(BOUND, view, ENGINE, is_engine=True))
 
     def test_daemon_that_knows_nobody_takes_the_least_share(self) -> None:
@@ -74,7 +76,7 @@
         self.assertEqual(0, client_quota(BOUND, view, ENGINE, is_engine=False))
 
     def test_few_daemons_send_requests_of_clients(self) -> None:
-        members = names(300)
+        members = daemon_ids(300)
         sent = [
             client_quota(BOUND, established_view(own, members), ENGINE, is_engine=False)
             for own in members
@@ -86,7 +88,7 @@
     """Which share a send counts against, as a table of cases; the bound is 18.95."""
 
     def test_each_kind_of_send(self) -> None:
-        own = names(1)[0]
+        own = daemon_ids(1)[0]
         alone = established_view(own, [own])
         newcomer = replace(alone, is_established=False)
         blind = replace(newcomer, is_stale=True, knows_members=False)
@@ -110,7 +112,7 @@
     """A zone's instances turn cold at once in a large fleet."""
 
     def test_few_daemons_are_weighed_for_each_instance(self) -> None:
-        members = names(370)
+        members = daemon_ids(370)
         view, instances = established_view(members[0], members), 200
         with mock.patch.object(cold_rate_quota, "_weight", wraps=cold_rate_quota._weight) as weigh:
             named = sum(
