--- a/src/larkpost/gateway/placement/cold_rate_limit.py
+++ b/src/larkpost/gateway/placement/cold_rate_limit.py
@@ -70,7 +70,7 @@
 
     def admit(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Counts a send, if one is left."""
-        service = self._limited(instance)
+        service = self._limited_service(instance)
         if service is None or work.kind is WorkKind.ORDER:
             return PlacementDecision.ALLOWED
         now = self._clock.now()
@@ -85,7 +85,7 @@
 
     def remaining_sends(self, instance: InstanceInfo, work: Work) -> int | None:
         """Returns how many sends are left now; None for any number."""
-        service = self._limited(instance)
+        service = self._limited_service(instance)
         if service is None or work.kind is WorkKind.ORDER:
             return None
         limit = self._limit(instance, service, work)
@@ -99,7 +99,7 @@
 
     def reserve(self, instance: InstanceInfo) -> None:
         """Reserves a send at an instance for an item, which will be made in a moment."""
-        if self._limited(instance) is not None:
+        if self._limited_service(instance) is not None:
             reserved = self._reserved.setdefault(instance.id, SlidingCount(RESERVATION_SECONDS))
             reserved.add(self._clock.now())
 
@@ -110,7 +110,7 @@
     def is_cold(self, instance: InstanceInfo) -> bool:
         """Returns whether an instance is cold and its service has a limit."""
         is_cold = self._blackboard.cold.is_cold(instance.id, self._clock.now())
-        return is_cold and self._limited(instance) is not None
+        return is_cold and self._limited_service(instance) is not None
 
     def send_within(self, instance: InstanceInfo) -> float | None:
         """Returns the seconds within which an admitted send must be made; None for any."""
@@ -140,10 +140,12 @@
         current = self._blackboard.cold.current(self._clock.now())
         infos = (self._blackboard.directory.get(name) for name in current)
         return frozenset(
-            info.id for info in infos if info is not None and self._limited(info) is not None
+            info.id
+            for info in infos
+            if info is not None and self._limited_service(info) is not None
         )
 
-    def _limited(self, instance: InstanceInfo) -> Service | None:
+    def _limited_service(self, instance: InstanceInfo) -> Service | None:
         """Returns an instance's service if it has a limit."""
         if self._terms is None:
             return None
