--- a/src/larkpost/gateway/placement/cold_rate_limit.py
+++ b/src/larkpost/gateway/placement/cold_rate_limit.py
@@ -75,7 +75,7 @@
             return PlacementDecision.ALLOWED
         now = self._clock.now()
         limit = self._limit(instance, service, work)
-        sent = self._count_of(instance.id, work)
+        sent = self._send_count(instance.id, work)
         if work.kind is WorkKind.ITEM and instance.id in self._reserved:
             self._reserved[instance.id].remove_oldest()
         if limit is not None and sent.count(now) >= limit:
@@ -92,7 +92,7 @@
         if limit is None:
             return None
         now = self._clock.now()
-        taken = self._count_of(instance.id, work).count(now)
+        taken = self._send_count(instance.id, work).count(now)
         if work.kind is WorkKind.ITEM and instance.id in self._reserved:
             taken += self._reserved[instance.id].count(now)
         return max(0, limit - taken)
@@ -172,7 +172,7 @@
             self._limits[kind] = send_quota(view, kind, is_engine=bool(service.models))
         return self._limits[kind]
 
-    def _count_of(self, instance: InstanceId, work: Work) -> SlidingCount:
+    def _send_count(self, instance: InstanceId, work: Work) -> SlidingCount:
         """Returns the count of one kind of sends; each kind has its part of the bound."""
         key = (instance, work.kind in OWNER_WORK_KINDS)
         return self._sent.setdefault(key, SlidingCount(WINDOW_SECONDS))
