--- a/src/larkpost/gateway/placement/cold_rate_limit.py
+++ b/src/larkpost/gateway/placement/cold_rate_limit.py
@@ -118,7 +118,7 @@
 
     def count_cold_instances(self) -> int:
         """Returns how many instances are cold."""
-        return len(self._cold_now())
+        return len(self._cold_instances())
 
     async def poll(self) -> None:
         """Logs which instances have turned cold or warm, and who the owners are now.
@@ -126,7 +126,7 @@
         A daemon that owns nothing asks for no view, but must know who owned a moment ago.
         """
         self._senders.view()
-        cold = self._cold_now()
+        cold = self._cold_instances()
         for name in sorted(cold ^ self._logged):
             left = self._blackboard.cold.left(name, self._clock.now())
             state = "cold" if name in cold else "warm"
@@ -136,7 +136,7 @@
         self._sent = {key: sent for key, sent in self._sent.items() if sent.count(now)}
         self._reserved = {name: count for name, count in self._reserved.items() if count.count(now)}
 
-    def _cold_now(self) -> frozenset[InstanceId]:
+    def _cold_instances(self) -> frozenset[InstanceId]:
         current = self._blackboard.cold.current(self._clock.now())
         infos = (self._blackboard.directory.get(name) for name in current)
         return frozenset(
