--- a/src/larkpost/gateway/placement/cold_rate_limit.py
+++ b/src/larkpost/gateway/placement/cold_rate_limit.py
@@ -58,7 +58,7 @@
         self._senders = senders
         self._sent: dict[tuple[InstanceId, bool], SlidingCount] = {}
         self._reserved: dict[InstanceId, SlidingCount] = {}
-        self._logged: frozenset[InstanceId] = frozenset()
+        self._logged_cold: frozenset[InstanceId] = frozenset()
         self._view: SenderView | None = None
         self._limits: dict[SendCategory, int] = {}
         """Sends allowed by the current view, as they are asked for again and again."""
@@ -127,11 +127,11 @@
         """
         self._senders.view()
         cold = self._cold_instances()
-        for name in sorted(cold ^ self._logged):
+        for name in sorted(cold ^ self._logged_cold):
             left = self._blackboard.cold.left(name, self._clock.now())
             state = "cold" if name in cold else "warm"
             self._log.record(Event.INSTANCE_COLD, instance=name, state=state, left=round(left, 3))
-        self._logged = cold
+        self._logged_cold = cold
         now = self._clock.now()
         self._sent = {key: sent for key, sent in self._sent.items() if sent.count(now)}
         self._reserved = {name: count for name, count in self._reserved.items() if count.count(now)}
