--- a/src/larkpost/gateway/placement/cold_rate_quota.py
+++ b/src/larkpost/gateway/placement/cold_rate_quota.py
@@ -92,8 +92,8 @@
         return share
     if share and not view.is_stale:
         return min(share, max(MIN_SENDS, int(part / NEW_OWNER_DIVISOR)))
-    named = _is_selected(view.owners | {view.own}, view.own, instance, _selected_count(part))
-    return MIN_SENDS if named else 0
+    selected = _is_selected(view.owners | {view.own}, view.own, instance, _selected_count(part))
+    return MIN_SENDS if selected else 0
 
 
 def stale_view_quota(bound: float, view: SenderView, *, is_engine: bool) -> int:
@@ -105,8 +105,8 @@
 def client_quota(bound: float, view: SenderView, instance: InstanceId, *, is_engine: bool) -> int:
     """Returns how many clients' requests this daemon may send."""
     part = bound * (1 - PRIMARY_FRACTION if is_engine else PRIMARY_FRACTION)
-    named = _is_selected(view.members, view.own, instance, _selected_count(part))
-    return MIN_SENDS if named and view.knows_members else 0
+    selected = _is_selected(view.members, view.own, instance, _selected_count(part))
+    return MIN_SENDS if selected and view.knows_members else 0
 
 
 def _even_share(part: float, view: SenderView) -> int:
