--- a/src/larkpost/gateway/placement/sender_tracker.py
+++ b/src/larkpost/gateway/placement/sender_tracker.py
@@ -55,7 +55,7 @@
         self._clock = clock
         self._owners: Callable[[], Iterable[DaemonId]] = tuple
         self._members: MemberView | None = None
-        self._heads: BatchFeed | None = None
+        self._batch_feed: BatchFeed | None = None
         self._started_at = clock.now()
         self._updated_at = float("-inf")
         self._named_at: dict[DaemonId, float] = {}
@@ -72,7 +72,7 @@
         """
         self._owners = owners
         self._members = members
-        self._heads = heads
+        self._batch_feed = heads
 
     def view(self) -> SenderView:
         """Returns who may send, as of a moment ago; the same object as long as it holds."""
@@ -80,9 +80,9 @@
         if now - self._updated_at < VIEW_LIFETIME_SECONDS:
             return self._view
         self._updated_at = now
-        if self._members is not None and self._heads is not None:
+        if self._members is not None and self._batch_feed is not None:
             self._remember_owners(now)
-            view = self._current_view(now, self._members, self._heads)
+            view = self._current_view(now, self._members, self._batch_feed)
             if view != self._view:
                 self._view = view
         return self._view
