--- a/src/larkpost/gateway/placement/sender_tracker.py
+++ b/src/larkpost/gateway/placement/sender_tracker.py
@@ -63,7 +63,7 @@
         self._view = SenderView(own, frozenset(), frozenset())
 
     def set_sources(
-        self, owners: Callable[[], Iterable[DaemonId]], members: MemberView, heads: BatchFeed
+        self, owners: Callable[[], Iterable[DaemonId]], members: MemberView, batch_feed: BatchFeed
     ) -> None:
         """Sets where the view comes from.
 
@@ -72,7 +72,7 @@
         """
         self._owners = owners
         self._members = members
-        self._batch_feed = heads
+        self._batch_feed = batch_feed
 
     def view(self) -> SenderView:
         """Returns who may send, as of a moment ago; the same object as long as it holds."""
@@ -87,23 +87,23 @@
                 self._view = view
         return self._view
 
-    def _current_view(self, now: float, members: MemberView, heads: BatchFeed) -> SenderView:
+    def _current_view(self, now: float, members: MemberView, batch_feed: BatchFeed) -> SenderView:
         since = self._owner_since
         is_known = since is not None and now - since >= NEW_OWNER_SECONDS
         is_old = now - self._started_at >= STARTUP_SECONDS and members.listed
-        is_stale = self._is_blind(now, members, heads)
+        is_stale = self._is_blind(now, members, batch_feed)
         return SenderView(
             self._own,
             frozenset(self._named_at),
             frozenset(members.alive()),
             is_established=is_known and not is_stale,
-            knows_members=is_old and heads.age(now) < PRESUMED_DEAD_SECONDS,
+            knows_members=is_old and batch_feed.age(now) < PRESUMED_DEAD_SECONDS,
             is_stale=is_stale,
         )
 
-    def _is_blind(self, now: float, members: MemberView, heads: BatchFeed) -> bool:
+    def _is_blind(self, now: float, members: MemberView, batch_feed: BatchFeed) -> bool:
         """Returns whether the others may know of owners of which this daemon has not heard."""
-        if not members.listed or not heads.listed or heads.age(now) > STALE_FEED_SECONDS:
+        if not members.listed or not batch_feed.listed or batch_feed.age(now) > STALE_FEED_SECONDS:
             return True
         return self._own in self._named_at and not members.has_recent_listing()
 
