--- a/src/larkpost/gateway/placement/sender_tracker.py
+++ b/src/larkpost/gateway/placement/sender_tracker.py
@@ -91,7 +91,7 @@
         since = self._owner_since
         is_known = since is not None and now - since >= NEW_OWNER_SECONDS
         is_old = now - self._started_at >= STARTUP_SECONDS and members.listed
-        is_stale = self._is_blind(now, members, batch_feed)
+        is_stale = self._is_stale(now, members, batch_feed)
         return SenderView(
             self._own,
             frozenset(self._named_at),
@@ -101,7 +101,7 @@
             is_stale=is_stale,
         )
 
-    def _is_blind(self, now: float, members: MemberView, batch_feed: BatchFeed) -> bool:
+    def _is_stale(self, now: float, members: MemberView, batch_feed: BatchFeed) -> bool:
         """Returns whether the others may know of owners of which this daemon has not heard."""
         if not members.listed or not batch_feed.listed or batch_feed.age(now) > STALE_FEED_SECONDS:
             return True
