--- a/src/larkpost/gateway/placement/sender_tracker.py
+++ b/src/larkpost/gateway/placement/sender_tracker.py
@@ -58,7 +58,7 @@
         self._batch_feed: BatchFeed | None = None
         self._started_at = clock.now()
         self._updated_at = float("-inf")
-        self._named_at: dict[DaemonId, float] = {}
+        self._listed_at: dict[DaemonId, float] = {}
         self._owner_since: float | None = None
         self._view = SenderView(own, frozenset(), frozenset())
 
@@ -94,7 +94,7 @@
         is_stale = self._is_stale(now, members, batch_feed)
         return SenderView(
             self._own,
-            frozenset(self._named_at),
+            frozenset(self._listed_at),
             frozenset(members.alive()),
             is_established=is_known and not is_stale,
             knows_members=is_old and batch_feed.age(now) < PRESUMED_DEAD_SECONDS,
@@ -105,15 +105,15 @@
         """Returns whether the others may know of owners of which this daemon has not heard."""
         if not members.listed or not batch_feed.listed or batch_feed.age(now) > STALE_FEED_SECONDS:
             return True
-        return self._own in self._named_at and not members.has_recent_listing()
+        return self._own in self._listed_at and not members.has_recent_listing()
 
     def _remember_owners(self, now: float) -> None:
         """Forgets the owners that were named a while ago, and adds those named now."""
-        self._named_at = {
-            name: at for name, at in self._named_at.items() if now - at < OWNER_RETENTION_SECONDS
+        self._listed_at = {
+            name: at for name, at in self._listed_at.items() if now - at < OWNER_RETENTION_SECONDS
         }
-        if self._own not in self._named_at:
+        if self._own not in self._listed_at:
             self._owner_since = None
-        self._named_at |= dict.fromkeys(self._owners(), now)
-        if self._own in self._named_at and self._owner_since is None:
+        self._listed_at |= dict.fromkeys(self._owners(), now)
+        if self._own in self._listed_at and self._owner_since is None:
             self._owner_since = now
