--- a/src/larkpost/gateway/quarantine/crash_detector.py
+++ b/src/larkpost/gateway/quarantine/crash_detector.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True)
-class _Suspicion:
+class _SuspectServer:
     """A server that left requests without a response, and may have crashed.
 
     Attributes:
@@ -81,7 +81,7 @@
         self._clock = clock
         self._tasks = tasks
         self._listener = listener
-        self._suspicions: dict[InstanceId, _Suspicion] = {}
+        self._suspicions: dict[InstanceId, _SuspectServer] = {}
 
     def record_lost_connection(self, content: ContentDigest, instance: InstanceInfo) -> None:
         """Records that a server closed the connection of a request without a whole response."""
@@ -89,7 +89,7 @@
         if suspicion is None:
             if not self._directory.takes_work(instance.id):
                 return  # it has said that it leaves, or was known to be gone
-            suspicion = _Suspicion(instance, self._clock.now(), self._at(instance.address))
+            suspicion = _SuspectServer(instance, self._clock.now(), self._at(instance.address))
             self._suspicions[instance.id] = suspicion
             self._tasks.spawn(self._investigate(suspicion), "crash_watch")
         suspicion.contents.add(content)
@@ -98,7 +98,7 @@
         if suspicion.crashed is not None:
             self._listener(instance.id, (content,), suspicion.crashed)
 
-    async def _investigate(self, suspicion: _Suspicion) -> None:
+    async def _investigate(self, suspicion: _SuspectServer) -> None:
         """Seeks evidence for some seconds; what the server left meanwhile counts as well."""
         try:
             while self._clock.now() - suspicion.since < INVESTIGATION_SECONDS:
@@ -116,7 +116,7 @@
             del self._suspicions[suspicion.info.id]
 
     async def _seek_evidence(
-        self, suspicion: _Suspicion, *, is_fresh: bool
+        self, suspicion: _SuspectServer, *, is_fresh: bool
     ) -> CrashEvidence | None:
         """Returns how it is known by now that a server has crashed; None if it is not.
 
