--- a/src/larkpost/gateway/quarantine/crash_detector.py
+++ b/src/larkpost/gateway/quarantine/crash_detector.py
@@ -81,16 +81,16 @@
         self._clock = clock
         self._tasks = tasks
         self._listener = listener
-        self._suspicions: dict[InstanceId, _SuspectServer] = {}
+        self._suspects: dict[InstanceId, _SuspectServer] = {}
 
     def record_lost_connection(self, content: ContentDigest, instance: InstanceInfo) -> None:
         """Records that a server closed the connection of a request without a whole response."""
-        suspicion = self._suspicions.get(instance.id)
+        suspicion = self._suspects.get(instance.id)
         if suspicion is None:
             if not self._directory.takes_work(instance.id):
                 return  # it has said that it leaves, or was known to be gone
             suspicion = _SuspectServer(instance, self._clock.now(), self._at(instance.address))
-            self._suspicions[instance.id] = suspicion
+            self._suspects[instance.id] = suspicion
             self._tasks.spawn(self._investigate(suspicion), "crash_watch")
         suspicion.contents.add(content)
         suspicion.since = self._clock.now()
@@ -113,7 +113,7 @@
                     async with asyncio.timeout(POLL_SECONDS):
                         await suspicion.is_fresh.wait()
         finally:
-            del self._suspicions[suspicion.info.id]
+            del self._suspects[suspicion.info.id]
 
     async def _seek_evidence(
         self, suspicion: _SuspectServer, *, is_fresh: bool
