--- a/src/larkpost/gateway/quarantine/crash_detector.py
+++ b/src/larkpost/gateway/quarantine/crash_detector.py
@@ -85,49 +85,49 @@
 
     def record_lost_connection(self, content: ContentDigest, instance: InstanceInfo) -> None:
         """Records that a server closed the connection of a request without a whole response."""
-        suspicion = self._suspects.get(instance.id)
-        if suspicion is None:
+        suspect = self._suspects.get(instance.id)
+        if suspect is None:
             if not self._directory.takes_work(instance.id):
                 return  # it has said that it leaves, or was known to be gone
-            suspicion = _SuspectServer(instance, self._clock.now(), self._at(instance.address))
-            self._suspects[instance.id] = suspicion
-            self._tasks.spawn(self._investigate(suspicion), "crash_watch")
-        suspicion.contents.add(content)
-        suspicion.since = self._clock.now()
-        suspicion.is_fresh.set()
-        if suspicion.crashed is not None:
-            self._listener(instance.id, (content,), suspicion.crashed)
-
-    async def _investigate(self, suspicion: _SuspectServer) -> None:
+            suspect = _SuspectServer(instance, self._clock.now(), self._at(instance.address))
+            self._suspects[instance.id] = suspect
+            self._tasks.spawn(self._investigate(suspect), "crash_watch")
+        suspect.contents.add(content)
+        suspect.since = self._clock.now()
+        suspect.is_fresh.set()
+        if suspect.crashed is not None:
+            self._listener(instance.id, (content,), suspect.crashed)
+
+    async def _investigate(self, suspect: _SuspectServer) -> None:
         """Seeks evidence for some seconds; what the server left meanwhile counts as well."""
         try:
-            while self._clock.now() - suspicion.since < INVESTIGATION_SECONDS:
-                is_fresh = suspicion.is_fresh.is_set()
-                suspicion.is_fresh.clear()
-                if suspicion.crashed is None:
-                    evidence = await self._seek_evidence(suspicion, is_fresh=is_fresh)
+            while self._clock.now() - suspect.since < INVESTIGATION_SECONDS:
+                is_fresh = suspect.is_fresh.is_set()
+                suspect.is_fresh.clear()
+                if suspect.crashed is None:
+                    evidence = await self._seek_evidence(suspect, is_fresh=is_fresh)
                     if evidence is not None:
-                        suspicion.crashed = evidence
-                        self._listener(suspicion.info.id, suspicion.contents, evidence)
+                        suspect.crashed = evidence
+                        self._listener(suspect.info.id, suspect.contents, evidence)
                 with contextlib.suppress(TimeoutError):  # the directory is checked again
                     async with asyncio.timeout(POLL_SECONDS):
-                        await suspicion.is_fresh.wait()
+                        await suspect.is_fresh.wait()
         finally:
-            del self._suspects[suspicion.info.id]
+            del self._suspects[suspect.info.id]
 
     async def _seek_evidence(
-        self, suspicion: _SuspectServer, *, is_fresh: bool
+        self, suspect: _SuspectServer, *, is_fresh: bool
     ) -> CrashEvidence | None:
         """Returns how it is known by now that a server has crashed; None if it is not.
 
         Args:
             is_fresh: whether its port was not tried since it last left a request.
         """
-        info = suspicion.info
+        info = suspect.info
         listed = self._directory.get(info.id)
         if listed is not None and listed.state is InstanceState.LEAVING:
             return None
-        if self._at(info.address) - suspicion.neighbours:
+        if self._at(info.address) - suspect.neighbours:
             return CrashEvidence.REPLACED
         if listed is not None and not is_fresh:
             return None
