--- a/src/larkpost/gateway/quarantine/crash_detector.py
+++ b/src/larkpost/gateway/quarantine/crash_detector.py
@@ -54,7 +54,7 @@
 
     info: InstanceInfo
     since: float
-    neighbours: frozenset[InstanceId]
+    initial_instances: frozenset[InstanceId]
     contents: set[ContentDigest] = field(default_factory=set)
     crashed: CrashEvidence | None = None
     is_fresh: asyncio.Event = field(default_factory=asyncio.Event)
@@ -127,7 +127,7 @@
         listed = self._directory.get(info.id)
         if listed is not None and listed.state is InstanceState.LEAVING:
             return None
-        if self._at(info.address) - suspect.neighbours:
+        if self._at(info.address) - suspect.initial_instances:
             return CrashEvidence.REPLACED
         if listed is not None and not is_fresh:
             return None
