--- a/src/larkpost/gateway/quarantine/crash_detector.py
+++ b/src/larkpost/gateway/quarantine/crash_detector.py
@@ -89,7 +89,9 @@
         if suspect is None:
             if not self._directory.takes_work(instance.id):
                 return  # it has said that it leaves, or was known to be gone
-            suspect = _SuspectServer(instance, self._clock.now(), self._at(instance.address))
+            suspect = _SuspectServer(
+                instance, self._clock.now(), self._instances_at(instance.address)
+            )
             self._suspects[instance.id] = suspect
             self._tasks.spawn(self._investigate(suspect), "crash_watch")
         suspect.contents.add(content)
@@ -127,7 +129,7 @@
         listed = self._directory.get(info.id)
         if listed is not None and listed.state is InstanceState.LEAVING:
             return None
-        if self._at(info.address) - suspect.initial_instances:
+        if self._instances_at(info.address) - suspect.initial_instances:
             return CrashEvidence.REPLACED
         if listed is not None and not is_fresh:
             return None
@@ -137,6 +139,6 @@
         is_gone = self._directory.get(info.id) is None
         return CrashEvidence.GONE if state is PortState.SILENT and is_gone else None
 
-    def _at(self, address: Address) -> frozenset[InstanceId]:
+    def _instances_at(self, address: Address) -> frozenset[InstanceId]:
         """Returns the instances that are listed at an address."""
         return frozenset(info.id for info in self._directory.all() if info.address == address)
