--- a/src/larkpost/gateway/quarantine/crash_detector.py
+++ b/src/larkpost/gateway/quarantine/crash_detector.py
@@ -57,7 +57,7 @@
     initial_instances: frozenset[InstanceId]
     contents: set[ContentDigest] = field(default_factory=set)
     crashed: CrashEvidence | None = None
-    is_fresh: asyncio.Event = field(default_factory=asyncio.Event)
+    has_new_loss: asyncio.Event = field(default_factory=asyncio.Event)
 
 
 class CrashDetector:
@@ -96,7 +96,7 @@
             self._tasks.spawn(self._investigate(suspect), "crash_watch")
         suspect.contents.add(content)
         suspect.since = self._clock.now()
-        suspect.is_fresh.set()
+        suspect.has_new_loss.set()
         if suspect.crashed is not None:
             self._listener(instance.id, (content,), suspect.crashed)
 
@@ -104,21 +104,21 @@
         """Seeks evidence for some seconds; what the server left meanwhile counts as well."""
         try:
             while self._clock.now() - suspect.since < INVESTIGATION_SECONDS:
-                is_fresh = suspect.is_fresh.is_set()
-                suspect.is_fresh.clear()
+                has_new_loss = suspect.has_new_loss.is_set()
+                suspect.has_new_loss.clear()
                 if suspect.crashed is None:
-                    evidence = await self._seek_evidence(suspect, is_fresh=is_fresh)
+                    evidence = await self._seek_evidence(suspect, has_new_loss=has_new_loss)
                     if evidence is not None:
                         suspect.crashed = evidence
                         self._listener(suspect.info.id, suspect.contents, evidence)
                 with contextlib.suppress(TimeoutError):  # the directory is checked again
                     async with asyncio.timeout(POLL_SECONDS):
-                        await suspect.is_fresh.wait()
+                        await suspect.has_new_loss.wait()
         finally:
             del self._suspects[suspect.info.id]
 
     async def _seek_evidence(
-        self, suspect: _SuspectServer, *, is_fresh: bool
+        self, suspect: _SuspectServer, *, has_new_loss: bool
     ) -> CrashEvidence | None:
         """Returns how it is known by now that a server has crashed; None if it is not.
 
@@ -131,7 +131,7 @@
             return None
         if self._instances_at(info.address) - suspect.initial_instances:
             return CrashEvidence.REPLACED
-        if listed is not None and not is_fresh:
+        if listed is not None and not has_new_loss:
             return None
         state = await self._servers.probe(info, PROBE_SECONDS)
         if state is PortState.DEAD:
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -453,7 +453,7 @@
     """Takes a server for crashed whenever it leaves a request without an answer."""
     from larkpost.gateway.quarantine.crash_detector import CrashDetector, CrashEvidence
 
-    async def seek_evidence(self, suspect, *, is_fresh):
+    async def seek_evidence(self, suspect, *, has_new_loss):
         return CrashEvidence.DEAD_PORT
 
     return mock.patch.object(CrashDetector, "_seek_evidence", seek_evidence)
