--- a/src/larkpost/gateway/quarantine/server_port.py
+++ b/src/larkpost/gateway/quarantine/server_port.py
@@ -44,7 +44,7 @@
     ) -> None:
         self._servers = servers
         self._crashes = crashes
-        self._watch = watch
+        self._crash_detector = watch
         self._recorder = recorder
         self._isolation = isolation
 
@@ -62,7 +62,7 @@
                     yield response
         except BrokenResponseError as error:
             if error.connection_lost:
-                self._watch.record_lost_connection(digest_request(request), instance)
+                self._crash_detector.record_lost_connection(digest_request(request), instance)
             raise
         if response.status < MIN_FAILURE_STATUS and response.signature is not None:
             self._recorder.record_success(request)
