--- a/src/larkpost/gateway/quarantine/server_port.py
+++ b/src/larkpost/gateway/quarantine/server_port.py
@@ -38,13 +38,13 @@
         self,
         servers: ServerPort,
         crashes: KnownCrashes,
-        watch: CrashDetector,
+        detector: CrashDetector,
         recorder: CrashRecorder,
         isolation: IsolationRule,
     ) -> None:
         self._servers = servers
         self._crashes = crashes
-        self._crash_detector = watch
+        self._crash_detector = detector
         self._recorder = recorder
         self._isolation = isolation
 
