--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -148,13 +148,13 @@
 
     Those of evacuated zones are added once the others are done or have all had their turn.
     """
-    names = _serving_to_load(state)
+    names = _serving_engines_to_load(state)
     if not names or state.elapsed >= LOAD_GROUP_COUNT * GROUP_TURN_SECONDS:
         names += _resting_to_load(state)
     return names
 
 
-def _serving_to_load(state: ModelLoadState) -> list[InstanceId]:
+def _serving_engines_to_load(state: ModelLoadState) -> list[InstanceId]:
     """Returns the engines that get work and load now.
 
     One that is two versions behind loads at once: it is of no use to the next step. The others load
