--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -150,7 +150,7 @@
     """
     names = _serving_engines_to_load(state)
     if not names or state.elapsed >= LOAD_GROUP_COUNT * GROUP_TURN_SECONDS:
-        names += _resting_to_load(state)
+        names += _evacuated_engines_to_load(state)
     return names
 
 
@@ -179,7 +179,7 @@
     return [name for group in groups[:-1] for name in group if name in behind]
 
 
-def _resting_to_load(state: ModelLoadState) -> list[InstanceId]:
+def _evacuated_engines_to_load(state: ModelLoadState) -> list[InstanceId]:
     """Returns the engines of evacuated zones that load now, in groups all the same.
 
     Many loads at once slow each other down, also those of engines that serve.
