--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -175,7 +175,7 @@
 
 def _all_but_last_group(engine_ids: list[InstanceId], behind: set[InstanceId]) -> list[InstanceId]:
     """Returns the engines that lack the version, but for those of the last group."""
-    groups = _cut(engine_ids, LOAD_GROUP_COUNT)
+    groups = _split(engine_ids, LOAD_GROUP_COUNT)
     return [name for group in groups[:-1] for name in group if name in behind]
 
 
@@ -202,7 +202,7 @@
         behind: the engines that lack the version.
         elapsed: seconds since the first group's turn began.
     """
-    groups = _cut(engine_ids, LOAD_GROUP_COUNT)
+    groups = _split(engine_ids, LOAD_GROUP_COUNT)
     turn = int(elapsed / GROUP_TURN_SECONDS)
     for step in range(len(groups)):
         group = [name for name in groups[(turn + step) % len(groups)] if name in behind]
@@ -211,7 +211,7 @@
     return []
 
 
-def _cut(engine_ids: list[InstanceId], count: int) -> list[list[InstanceId]]:
+def _split(engine_ids: list[InstanceId], count: int) -> list[list[InstanceId]]:
     """Cuts engines into at most ``count`` groups of about the same size."""
     size = math.ceil(len(engine_ids) / count) or 1
     return [engine_ids[start : start + size] for start in range(0, len(engine_ids), size)]
