--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -170,7 +170,7 @@
         first = _all_but_last_group(list(state.serving), behind)
         are_first_on_turn = state.elapsed < GROUP_TURN_SECONDS
         return late + (first if first and are_first_on_turn else sorted(behind))
-    return late + _group_on_turn(list(state.serving), behind, state.elapsed)
+    return late + _current_group(list(state.serving), behind, state.elapsed)
 
 
 def _all_but_last_group(engine_ids: list[InstanceId], behind: set[InstanceId]) -> list[InstanceId]:
@@ -187,10 +187,10 @@
     if state.elapsed < 0:
         return []
     behind = {name for name, version in state.evacuated_engines.items() if version < state.target}
-    return _group_on_turn(list(state.evacuated_engines), behind, state.elapsed)
+    return _current_group(list(state.evacuated_engines), behind, state.elapsed)
 
 
-def _group_on_turn(
+def _current_group(
     engine_ids: list[InstanceId], behind: set[InstanceId], elapsed: float
 ) -> list[InstanceId]:
     """Returns the engines of the group that loads now.
