--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -134,7 +134,7 @@
         target = WeightTarget(model, inputs.targets.version(model))
         state = ModelLoadState(
             target.version,
-            _seconds_into_turns(model, inputs, now),
+            _seconds_into_schedule(model, inputs, now),
             _versions(engine_ids, model, inputs.directory),
             _versions(shares.evacuated_engines[model], model, inputs.directory),
             is_urgent(inputs.demands.get(model, ModelDemand()), target.version),
@@ -217,7 +217,7 @@
     return [engine_ids[start : start + size] for start in range(0, len(engine_ids), size)]
 
 
-def _seconds_into_turns(model: ModelName, inputs: LoadInputs, now: float) -> float:
+def _seconds_into_schedule(model: ModelName, inputs: LoadInputs, now: float) -> float:
     demand = inputs.demands.get(model, ModelDemand())
     elapsed = inputs.targets.named_for(model, now)
     if not demand.open:
