--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -124,7 +124,7 @@
         now: steady time in seconds.
         shares: the engines as they were divided a moment ago; None to divide them now.
     """
-    if not _is_any_behind(service, inputs):
+    if not _is_any_engine_behind(service, inputs):
         return []
     shares = shares or allocate_engines(service, inputs)
     assigned = shares.lending.loading_engines(shares.assignment)
@@ -233,7 +233,7 @@
     return {name: directory.version_of(name, model) for name in engine_ids}
 
 
-def _is_any_behind(service: Service, inputs: LoadInputs) -> bool:
+def _is_any_engine_behind(service: Service, inputs: LoadInputs) -> bool:
     """Returns whether any engine lacks any named version: a check that costs little."""
     engines = inputs.directory.ready_of(service.name)
     return any(
