--- a/src/larkpost/gateway/controllers/engine_allocator.py
+++ b/src/larkpost/gateway/controllers/engine_allocator.py
@@ -81,7 +81,7 @@
         self._demands = demands
         self._record = record
         self._pace = pace
-        self._known: dict[ServiceName, EngineAllocation] = {}
+        self._cache: dict[ServiceName, EngineAllocation] = {}
 
     def due(self, service: Service, now: float) -> list[tuple[InstanceId, WeightTarget]]:
         """Returns the engines of a service that should be loading now, and what."""
@@ -112,10 +112,10 @@
 
     def _allocation(self, service: ServiceName) -> EngineAllocation:
         now = self._clock.now()
-        known = self._known.get(service)
+        known = self._cache.get(service)
         if known is None or now - known.made_at >= known.lifetime:
             known = self._allocate(service, now)
-            self._known[service] = known
+            self._cache[service] = known
         return known
 
     def _allocate(self, name: ServiceName, now: float) -> EngineAllocation:
