--- a/src/larkpost/gateway/controllers/model_assignment.py
+++ b/src/larkpost/gateway/controllers/model_assignment.py
@@ -71,7 +71,7 @@
         for model in service.models
     }
     capacities = {engine: relative_speed(count) for engine, count in steps.items()}
-    assignment = _Division(_work_of_models(service, demands), preferences, capacities)
+    assignment = _AssignmentBuilder(_work_of_models(service, demands), preferences, capacities)
     enough = min(MIN_ENGINES_PER_MODEL, len(engines))
     while engines and assignment.chosen and assignment.choose_next(enough):
         pass
@@ -175,7 +175,7 @@
         return None
 
 
-class _Division:
+class _AssignmentBuilder:
     """A division under way.
 
     Args:
