--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -91,7 +91,7 @@
     known = {model: demands.get(model, ModelDemand()) for model in assignment}
     offers = _offers(assignment, known)
     wishes: dict[ModelName, Iterator[InstanceId]] = {
-        model: iter(_in_order_of_choice(model, offers, demand, version_of))
+        model: iter(_by_preference(model, offers, demand, version_of))
         for model, demand in known.items()
         if lending_role(demand) is LendingRole.BORROWER
     }
@@ -150,7 +150,7 @@
     return offers
 
 
-def _in_order_of_choice(
+def _by_preference(
     model: ModelName,
     offers: Mapping[InstanceId, int],
     demand: ModelDemand,
--- a/src/larkpost/gateway/controllers/model_assignment.py
+++ b/src/larkpost/gateway/controllers/model_assignment.py
@@ -67,7 +67,7 @@
     steps = slowdown_steps({engine.id: pace(engine.id) for engine in engines})
     kept_by = _models_kept(service, engines, directory)
     preferences = {
-        model: _Preferences(_in_order_of_choice(model, directory, steps, kept_by))
+        model: _Preferences(_by_preference(model, directory, steps, kept_by))
         for model in service.models
     }
     capacities = {engine: relative_speed(count) for engine, count in steps.items()}
@@ -117,7 +117,7 @@
     }
 
 
-def _in_order_of_choice(
+def _by_preference(
     model: ModelName,
     directory: Directory,
     steps: Mapping[InstanceId, int],
