--- a/src/larkpost/gateway/controllers/model_assignment.py
+++ b/src/larkpost/gateway/controllers/model_assignment.py
@@ -65,9 +65,9 @@
         pace: returns the lasting pace of an engine; while paces are not known all count alike.
     """
     steps = slowdown_steps({engine.id: pace(engine.id) for engine in engines})
-    kept_by = _models_kept(service, engines, directory)
+    current_models = _models_kept(service, engines, directory)
     preferences = {
-        model: _Preferences(_by_preference(model, directory, steps, kept_by))
+        model: _Preferences(_by_preference(model, directory, steps, current_models))
         for model in service.models
     }
     capacities = {engine: relative_speed(count) for engine, count in steps.items()}
@@ -121,7 +121,7 @@
     model: ModelName,
     directory: Directory,
     steps: Mapping[InstanceId, int],
-    kept_by: Mapping[InstanceId, frozenset[ModelName]],
+    current_models: Mapping[InstanceId, frozenset[ModelName]],
 ) -> list[InstanceId]:
     """Returns the engines as a model prefers them among those with equally many models.
 
@@ -133,7 +133,7 @@
     def order(engine: InstanceId) -> _EngineOrder:
         return _EngineOrder(
             negative_version=-directory.version_of(engine, model),
-            other_models=len(kept_by[engine] - {model}),
+            other_models=len(current_models[engine] - {model}),
             slowdown_steps=steps[engine],
             rank=hash64(engine),
         )
