--- a/src/larkpost/gateway/controllers/model_assignment.py
+++ b/src/larkpost/gateway/controllers/model_assignment.py
@@ -65,7 +65,7 @@
         pace: returns the lasting pace of an engine; while paces are not known all count alike.
     """
     steps = slowdown_steps({engine.id: pace(engine.id) for engine in engines})
-    current_models = _models_kept(service, engines, directory)
+    current_models = _current_models(service, engines, directory)
     preferences = {
         model: _Preferences(_by_preference(model, directory, steps, current_models))
         for model in service.models
@@ -99,7 +99,7 @@
     return {model: work or most for model, work in known.items()}
 
 
-def _models_kept(
+def _current_models(
     service: Service, engines: list[InstanceInfo], directory: Directory
 ) -> dict[InstanceId, frozenset[ModelName]]:
     """Returns for each engine the models of which it holds the newest version, or nearly so."""
