--- a/src/larkpost/gateway/controllers/model_assignment.py
+++ b/src/larkpost/gateway/controllers/model_assignment.py
@@ -199,7 +199,7 @@
         self._capacities = capacities
         self._capacity_of_model = dict.fromkeys(work, 0.0)
         self._models_held = dict.fromkeys(capacities, 0)
-        self._unheld = len(capacities)
+        self._unassigned_count = len(capacities)
 
     def choose_next(self, enough: int) -> bool:
         """Gives one engine to one model; returns whether there was anything left to do.
@@ -208,14 +208,14 @@
             enough: engines that each model gets at least.
         """
         lacking = [model for model in self.chosen if len(self.chosen[model]) < enough]
-        if not lacking and not self._unheld:
+        if not lacking and not self._unassigned_count:
             return False
         model = min(lacking or self.chosen, key=self._model_order)
         engine = self._preferences[model].take(self._models_held)
         if engine is None:
             return False
         self.chosen[model].append(engine)
-        self._unheld -= not self._models_held[engine]
+        self._unassigned_count -= not self._models_held[engine]
         self._models_held[engine] += 1
         self._capacity_of_model[model] += self._capacities[engine]
         return True
