--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -89,7 +89,7 @@
         version_of: returns the version of a model that an engine holds.
     """
     known = {model: demands.get(model, ModelDemand()) for model in assignment}
-    offers = _offers(assignment, known)
+    offers = _lendable_engines(assignment, known)
     wishes: dict[ModelName, Iterator[InstanceId]] = {
         model: iter(_by_preference(model, offers, demand, version_of))
         for model, demand in known.items()
@@ -133,7 +133,7 @@
     return demand.outlook is Outlook.TIGHT or lending_role(demand) is LendingRole.BORROWER
 
 
-def _offers(
+def _lendable_engines(
     assignment: Assignment, demands: Mapping[ModelName, ModelDemand]
 ) -> dict[InstanceId, int]:
     """Returns the engines that may be lent, with the priorities of the models that lend them.
