--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -90,18 +90,18 @@
     """
     known = {model: demands.get(model, ModelDemand()) for model in assignment}
     offers = _lendable_engines(assignment, known)
-    wishes: dict[ModelName, Iterator[InstanceId]] = {
+    candidates: dict[ModelName, Iterator[InstanceId]] = {
         model: iter(_by_preference(model, offers, demand, version_of))
         for model, demand in known.items()
         if lending_role(demand) is LendingRole.BORROWER
     }
-    lent: dict[ModelName, list[InstanceId]] = {model: [] for model in wishes}
+    lent: dict[ModelName, list[InstanceId]] = {model: [] for model in candidates}
     taken: set[InstanceId] = set()
-    while wishes:
-        borrower = min(wishes, key=lambda model: _need(model, assignment, demands, lent))
-        engine = next((name for name in wishes[borrower] if name not in taken), None)
+    while candidates:
+        borrower = min(candidates, key=lambda model: _need(model, assignment, demands, lent))
+        engine = next((name for name in candidates[borrower] if name not in taken), None)
         if engine is None:
-            del wishes[borrower]
+            del candidates[borrower]
         else:
             taken.add(engine)
             lent[borrower].append(engine)
