--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -116,7 +116,7 @@
     theirs still.
     """
     known = {model: demands.get(model, ModelDemand()) for model in models}
-    needy = [
+    waiting_priorities = [
         demand.priority for demand in known.values() if demand.waiting and _is_short_of_time(demand)
     ]
     return frozenset(
@@ -124,8 +124,8 @@
         for model, demand in known.items()
         if lending_role(demand) is LendingRole.LENDER
         and not _is_short_of_time(demand)
-        and needy
-        and min(needy) <= demand.priority
+        and waiting_priorities
+        and min(waiting_priorities) <= demand.priority
     )
 
 
