--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -40,9 +40,9 @@
 
     def preferred_engines(self, assignment: Assignment) -> Assignment:
         """Returns the engines whose first places are each model's: no engine is two models'."""
-        gone = {engine for engines in self.lent.values() for engine in engines}
+        lent_away = {engine for engines in self.lent.values() for engine in engines}
         return {
-            model: [engine for engine in engines if engine not in gone] + self._borrowed(model)
+            model: [engine for engine in engines if engine not in lent_away] + self._borrowed(model)
             for model, engines in assignment.items()
         }
 
