--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -68,10 +68,10 @@
         return LendingRole.LENDER  # what can't be in time comes after what can
     if demand.asked_after is not None and demand.asked_after < TRAINER_BLOCKED_SECONDS:
         return LendingRole.BORROWER
-    has_leisure = (
+    has_slack = (
         demand.least_asked_after is not None and demand.least_asked_after >= TRAINER_SLACK_SECONDS
     )
-    return LendingRole.LENDER if has_leisure else LendingRole.NONE
+    return LendingRole.LENDER if has_slack else LendingRole.NONE
 
 
 def plan_lending(
