--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -98,7 +98,9 @@
     lent: dict[ModelName, list[InstanceId]] = {model: [] for model in candidates}
     taken: set[InstanceId] = set()
     while candidates:
-        borrower = min(candidates, key=lambda model: _need(model, assignment, demands, lent))
+        borrower = min(
+            candidates, key=lambda model: _borrowing_order(model, assignment, demands, lent)
+        )
         engine = next((name for name in candidates[borrower] if name not in taken), None)
         if engine is None:
             del candidates[borrower]
@@ -161,7 +163,7 @@
     return sorted(allowed, key=lambda engine: (-version_of(engine, model), hash64(engine)))
 
 
-def _need(
+def _borrowing_order(
     model: ModelName,
     assignment: Assignment,
     demands: Demands,
