--- a/src/larkpost/gateway/controllers/weight_loader.py
+++ b/src/larkpost/gateway/controllers/weight_loader.py
@@ -62,7 +62,7 @@
         self._metrics = instruments.metrics
         self._tasks: TaskSet | None = None
         self._next_try: dict[InstanceId, float] = {}
-        self._under_way: set[InstanceId] = set()
+        self._in_progress: set[InstanceId] = set()
         blackboard.directory.add_end_listener(self._forget)
 
     def start(self, tasks: TaskSet) -> None:
@@ -89,11 +89,11 @@
                 continue
             for engine, target in self._allocator.due(service, self._clock.now()):
                 if self._should_order(engine):
-                    self._under_way.add(engine)
+                    self._in_progress.add(engine)
                     self._tasks.spawn(self._order(service, engine, target), "order")
 
     def _should_order(self, engine: InstanceId) -> bool:
-        if engine in self._under_way:
+        if engine in self._in_progress:
             return False
         if self._clock.now() < self._next_try.get(engine, 0.0):
             return False
@@ -108,7 +108,7 @@
         finally:
             if self._directory.get(engine) is not None:
                 self._next_try[engine] = self._clock.now() + pause
-            self._under_way.discard(engine)
+            self._in_progress.discard(engine)
 
     async def _order_once(
         self, service: Service, engine: InstanceInfo, target: WeightTarget
