--- a/src/larkpost/gateway/controllers/weight_loader.py
+++ b/src/larkpost/gateway/controllers/weight_loader.py
@@ -61,7 +61,7 @@
         self._log = instruments.log
         self._metrics = instruments.metrics
         self._tasks: TaskSet | None = None
-        self._next_try: dict[InstanceId, float] = {}
+        self._next_attempt: dict[InstanceId, float] = {}
         self._in_progress: set[InstanceId] = set()
         blackboard.directory.add_end_listener(self._forget)
 
@@ -72,7 +72,7 @@
 
     def _forget(self, engine: InstanceId) -> None:
         """Forgets an engine that has ended; its next incarnation is checked at once."""
-        self._next_try.pop(engine, None)
+        self._next_attempt.pop(engine, None)
 
     def _interval(self) -> float:
         return INTERVAL_SECONDS if self._coordination.is_coordinator() else IDLE_INTERVAL_SECONDS
@@ -95,7 +95,7 @@
     def _should_order(self, engine: InstanceId) -> bool:
         if engine in self._in_progress:
             return False
-        if self._clock.now() < self._next_try.get(engine, 0.0):
+        if self._clock.now() < self._next_attempt.get(engine, 0.0):
             return False
         return self._coordination.is_responsible_for(f"engine\x00{engine}")
 
@@ -107,7 +107,7 @@
                 pause = await self._order_once(service, info, target)
         finally:
             if self._directory.get(engine) is not None:
-                self._next_try[engine] = self._clock.now() + pause
+                self._next_attempt[engine] = self._clock.now() + pause
             self._in_progress.discard(engine)
 
     async def _order_once(
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -361,6 +361,6 @@
         parts = mock.Mock()
         weights = weight_loader.WeightLoader(blackboard, parts, parts, parts, parts)
         blackboard.directory.update(FIRST)
-        weights._next_try[FIRST.id] = 1e9
+        weights._next_attempt[FIRST.id] = 1e9
         blackboard.directory.update(SECOND)
-        self.assertEqual({}, weights._next_try)
+        self.assertEqual({}, weights._next_attempt)
