--- a/src/larkpost/gateway/controllers/fleet_view.py
+++ b/src/larkpost/gateway/controllers/fleet_view.py
@@ -157,9 +157,9 @@
         """Returns the daemons whose heartbeats come."""
         newest = self._newest_incarnations()
         names = self.slow_heartbeats.seen.keys() | self.fast_heartbeats.seen.keys()
-        return {name for name in names if self._is_heard(name, newest)}
+        return {name for name in names if self._is_responsive(name, newest)}
 
-    def _is_heard(self, daemon: DaemonId, newest: dict[str, int]) -> bool:
+    def _is_responsive(self, daemon: DaemonId, newest: dict[str, int]) -> bool:
         """Returns whether a daemon's heartbeats come; awaited ones count before known ones."""
         if daemon in self.fast_heartbeats.seen:
             return self.fast_heartbeats.is_responsive(daemon)
