--- a/src/larkpost/gateway/controllers/fleet_view.py
+++ b/src/larkpost/gateway/controllers/fleet_view.py
@@ -142,7 +142,7 @@
 
     def update(self) -> None:
         """Works out from the lists who is alive, and who of them are the coordinators."""
-        alive = self._heard()
+        alive = self._responsive_daemons()
         alive.discard(self.own)
         acting = [name for name in alive if self._says_that_it_coordinates(name)]
         if not self.is_leaving:
@@ -153,7 +153,7 @@
         self._alive = frozenset(alive)
         self._coordinators = tuple(sorted(acting))
 
-    def _heard(self) -> set[DaemonId]:
+    def _responsive_daemons(self) -> set[DaemonId]:
         """Returns the daemons whose heartbeats come."""
         newest = self._newest_incarnations()
         names = self.slow_heartbeats.seen.keys() | self.fast_heartbeats.seen.keys()
