--- a/src/larkpost/gateway/controllers/fleet_view.py
+++ b/src/larkpost/gateway/controllers/fleet_view.py
@@ -144,7 +144,7 @@
         """Works out from the lists who is alive, and who of them are the coordinators."""
         alive = self._responsive_daemons()
         alive.discard(self.own)
-        acting = [name for name in alive if self._says_that_it_coordinates(name)]
+        acting = [name for name in alive if self._reports_coordinating(name)]
         if not self.is_leaving:
             alive.add(self.own)
             regions, capacities = self._regions_of(alive), self._capacities(alive)
@@ -174,7 +174,7 @@
             newest[machine] = max(seen.version, newest.get(machine, 0))
         return newest
 
-    def _says_that_it_coordinates(self, daemon: DaemonId) -> bool:
+    def _reports_coordinating(self, daemon: DaemonId) -> bool:
         seen = self.fast_heartbeats.seen.get(daemon)
         return seen is not None and seen.heartbeat.coordinates
 
