--- a/src/larkpost/gateway/controllers/membership.py
+++ b/src/larkpost/gateway/controllers/membership.py
@@ -89,7 +89,7 @@
     def start(self, tasks: TaskSet) -> None:
         """Starts the heartbeats and the listings."""
         tasks.every(FAST_HEARTBEAT_SECONDS, self._writer.write_due, "heartbeat")
-        tasks.every(FAST_HEARTBEAT_SECONDS, self._list, "members")
+        tasks.every(FAST_HEARTBEAT_SECONDS, self._refresh_lists, "members")
 
     async def refresh(self) -> None:
         """Learns at once what the awaited daemons use, before this one joins them."""
@@ -124,7 +124,7 @@
             return fast_heartbeat_interval(len(self.fast_heartbeats.seen))
         return self._slow_listing_interval()
 
-    async def _list(self) -> None:
+    async def _refresh_lists(self) -> None:
         is_changed = False
         for rows, interval in (
             (self.fast_heartbeats, self._fast_listing_interval()),
