--- a/src/larkpost/gateway/controllers/heartbeat_list.py
+++ b/src/larkpost/gateway/controllers/heartbeat_list.py
@@ -71,7 +71,7 @@
         self._log = log
         self._listener = listener
         self._report_listener = report_listener
-        self._usual_call = 0.0
+        self._typical_call = 0.0
 
     def row_of(self, daemon: DaemonId) -> RowKey:
         """Returns the key of a daemon's row."""
@@ -85,12 +85,12 @@
         Args:
             interval: seconds between the daemon's heartbeats.
         """
-        return MISSED_HEARTBEATS * interval + STORE_CALLS_ALLOWED * self._usual_call
+        return MISSED_HEARTBEATS * interval + STORE_CALLS_ALLOWED * self._typical_call
 
     @property
     def typical_call_seconds(self) -> float:
         """The seconds that a listing has taken lately."""
-        return self._usual_call
+        return self._typical_call
 
     def silence(self, daemon: DaemonId) -> float:
         """Returns for how many seconds a listed daemon's row has not changed, as of now known."""
@@ -125,10 +125,10 @@
         except StoreUnavailableError:
             return False  # the store's adapter has counted it; nobody is blamed meanwhile
         now = self._clock.now()
-        self._usual_call += STORE_CALL_WEIGHT * (now - asked_at - self._usual_call)
+        self._typical_call += STORE_CALL_WEIGHT * (now - asked_at - self._typical_call)
         gap = now - self.listed_at if self.listed_at is not None else float("inf")
         self.listed_at = now
-        usual_gap = interval + STORE_CALLS_ALLOWED * self._usual_call
+        usual_gap = interval + STORE_CALLS_ALLOWED * self._typical_call
         self._store_rows(page.rows, now, blind=gap > MAX_LISTING_GAP_INTERVALS * usual_gap)
         return True
 
