--- a/src/larkpost/gateway/controllers/heartbeat_list.py
+++ b/src/larkpost/gateway/controllers/heartbeat_list.py
@@ -129,10 +129,10 @@
         gap = now - self.listed_at if self.listed_at is not None else float("inf")
         self.listed_at = now
         usual_gap = interval + STORE_CALLS_ALLOWED * self._typical_call
-        self._store_rows(page.rows, now, blind=gap > MAX_LISTING_GAP_INTERVALS * usual_gap)
+        self._store_rows(page.rows, now, had_gap=gap > MAX_LISTING_GAP_INTERVALS * usual_gap)
         return True
 
-    def _store_rows(self, rows: tuple[Row, ...], now: float, *, blind: bool) -> None:
+    def _store_rows(self, rows: tuple[Row, ...], now: float, *, had_gap: bool) -> None:
         """Stores the rows of all daemons; if ``blind``, none is blamed for the time before."""
         for row in rows:
             name = DaemonId(row.key.key)
@@ -142,7 +142,7 @@
                 self.seen[name] = ObservedHeartbeat(row.version, now, heartbeat)
                 self._listener(name, heartbeat.uses)
                 self._report_listener(name, heartbeat.report)
-            elif blind:
+            elif had_gap:
                 seen.changed_at = now
         for name in self.seen.keys() - {row.key.key for row in rows}:
             del self.seen[name]
