--- a/src/larkpost/gateway/controllers/row_recorder.py
+++ b/src/larkpost/gateway/controllers/row_recorder.py
@@ -137,7 +137,7 @@
         self._take_named()
         if is_first:
             for entry in self._unnamed.values():
-                self._record_unnamed(entry.info)
+                self._record_unknown_service(entry.info)
 
     def _record_evacuation(self, evacuation: ZoneEvacuation) -> None:
         now = self._clock.now()
@@ -170,7 +170,7 @@
         else:
             self._unnamed[name] = entry
             if self._configuration.current is not None:
-                self._record_unnamed(info)
+                self._record_unknown_service(info)
 
     def _record_spoiled(self, name: InstanceName, error: str) -> None:
         """Records that an entry names no server to use; it was perhaps another writer's."""
@@ -178,7 +178,7 @@
         self._metrics.count(Count.SPOILED_ENTRIES)
         self._log.record(Event.UNREADABLE, row=name, error=error)
 
-    def _record_unnamed(self, info: InstanceInfo) -> None:
+    def _record_unknown_service(self, info: InstanceInfo) -> None:
         self._record_spoiled(info.name, f"no configuration names service {info.service}")
 
     def _is_service_named(self, info: InstanceInfo) -> bool:
