--- a/src/larkpost/gateway/controllers/row_recorder.py
+++ b/src/larkpost/gateway/controllers/row_recorder.py
@@ -98,7 +98,7 @@
         self._clock = instruments.clock
         self._log = instruments.log
         self._metrics = instruments.metrics
-        self._unnamed: dict[InstanceName, _Entry] = {}
+        self._pending_entries: dict[InstanceName, _Entry] = {}
         """Entries whose service no configuration has named; they are no servers to use."""
         self._trust = trust
         self._cold = blackboard.cold
@@ -136,7 +136,7 @@
         self._log.record(Event.CONFIGURATION, version=configuration.version)
         self._take_named()
         if is_first:
-            for entry in self._unnamed.values():
+            for entry in self._pending_entries.values():
                 self._record_unknown_service(entry.info)
 
     def _record_evacuation(self, evacuation: ZoneEvacuation) -> None:
@@ -153,7 +153,7 @@
     def record_instance_row(self, row: Row) -> None:
         """Records an instance's entry, or that it is gone."""
         name = InstanceName(row.key.key)
-        self._unnamed.pop(name, None)
+        self._pending_entries.pop(name, None)
         if row.removed:
             sound = self._trust.is_removal_believed()
             self._directory.remove(name, sound=sound)
@@ -168,7 +168,7 @@
         if self._is_service_named(info):
             self._take(entry)
         else:
-            self._unnamed[name] = entry
+            self._pending_entries[name] = entry
             if self._configuration.current is not None:
                 self._record_unknown_service(info)
 
@@ -190,9 +190,9 @@
 
     def _take_named(self) -> None:
         """Takes the entries whose services the configuration names now."""
-        for name, entry in list(self._unnamed.items()):
+        for name, entry in list(self._pending_entries.items()):
             if self._is_service_named(entry.info):
-                del self._unnamed[name]
+                del self._pending_entries[name]
                 self._take(entry)
 
     def _take(self, entry: _Entry) -> None:
