--- a/src/larkpost/gateway/controllers/row_recorder.py
+++ b/src/larkpost/gateway/controllers/row_recorder.py
@@ -162,7 +162,7 @@
         try:
             info = self._readers.instance(row)
         except ValueError as error:
-            self._record_spoiled(name, str(error))
+            self._record_unreadable(name, str(error))
             return
         entry = _Entry(info, is_new=self._trust.has_full_listing())
         if self._is_service_named(info):
@@ -172,14 +172,14 @@
             if self._configuration.current is not None:
                 self._record_unknown_service(info)
 
-    def _record_spoiled(self, name: InstanceName, error: str) -> None:
+    def _record_unreadable(self, name: InstanceName, error: str) -> None:
         """Records that an entry names no server to use; it was perhaps another writer's."""
         self._directory.drop_unreadable(name)
         self._metrics.count(Count.SPOILED_ENTRIES)
         self._log.record(Event.UNREADABLE, row=name, error=error)
 
     def _record_unknown_service(self, info: InstanceInfo) -> None:
-        self._record_spoiled(info.name, f"no configuration names service {info.service}")
+        self._record_unreadable(info.name, f"no configuration names service {info.service}")
 
     def _is_service_named(self, info: InstanceInfo) -> bool:
         """Returns whether a configuration names an instance's service, or has named it before."""
