--- a/src/larkpost/gateway/controllers/row_recorder.py
+++ b/src/larkpost/gateway/controllers/row_recorder.py
@@ -134,7 +134,7 @@
         if not self._configuration.update(configuration):
             return
         self._log.record(Event.CONFIGURATION, version=configuration.version)
-        self._take_named()
+        self._apply_pending()
         if is_first:
             for entry in self._pending_entries.values():
                 self._record_unknown_service(entry.info)
@@ -188,7 +188,7 @@
         current = self._configuration.current
         return was_named or (current is not None and info.service in current.services)
 
-    def _take_named(self) -> None:
+    def _apply_pending(self) -> None:
         """Takes the entries whose services the configuration names now."""
         for name, entry in list(self._pending_entries.items()):
             if self._is_service_named(entry.info):
