--- a/src/larkpost/gateway/controllers/row_recorder.py
+++ b/src/larkpost/gateway/controllers/row_recorder.py
@@ -166,7 +166,7 @@
             return
         entry = _Entry(info, is_new=self._trust.has_full_listing())
         if self._is_service_named(info):
-            self._take(entry)
+            self._apply(entry)
         else:
             self._pending_entries[name] = entry
             if self._configuration.current is not None:
@@ -193,9 +193,9 @@
         for name, entry in list(self._pending_entries.items()):
             if self._is_service_named(entry.info):
                 del self._pending_entries[name]
-                self._take(entry)
+                self._apply(entry)
 
-    def _take(self, entry: _Entry) -> None:
+    def _apply(self, entry: _Entry) -> None:
         """Stores an entry that names a server to use."""
         info = entry.info
         known = self._directory.named(info.name)
