--- a/src/larkpost/gateway/controllers/row_recorder.py
+++ b/src/larkpost/gateway/controllers/row_recorder.py
@@ -165,7 +165,7 @@
             self._record_unreadable(name, str(error))
             return
         entry = _Entry(info, is_new=self._trust.has_full_listing())
-        if self._is_service_named(info):
+        if self._is_service_known(info):
             self._apply(entry)
         else:
             self._pending_entries[name] = entry
@@ -181,7 +181,7 @@
     def _record_unknown_service(self, info: InstanceInfo) -> None:
         self._record_unreadable(info.name, f"no configuration names service {info.service}")
 
-    def _is_service_named(self, info: InstanceInfo) -> bool:
+    def _is_service_known(self, info: InstanceInfo) -> bool:
         """Returns whether a configuration names an instance's service, or has named it before."""
         known = self._directory.named(info.name)
         was_named = known is not None and known.service == info.service
@@ -191,7 +191,7 @@
     def _apply_pending(self) -> None:
         """Takes the entries whose services the configuration names now."""
         for name, entry in list(self._pending_entries.items()):
-            if self._is_service_named(entry.info):
+            if self._is_service_known(entry.info):
                 del self._pending_entries[name]
                 self._apply(entry)
 
