--- a/src/larkpost/gateway/scaling/controller.py
+++ b/src/larkpost/gateway/scaling/controller.py
@@ -107,7 +107,7 @@
             service.name, service.scaling, zones, demand, LOST_AFTER_SECONDS, refused
         )
         plan = plan_servers(inputs)
-        self._announce(service.name, plan, inputs.present)
+        self._log_plan(service.name, plan, inputs.present)
         if self._mode is ScalingMode.ANNOUNCE:
             return
         for order in plan.orders:
@@ -115,7 +115,7 @@
                 pause = await self._order(order, service.scaling.boot_time)
                 self._next_order[order.service, order.zone] = self._clock.now() + pause
 
-    def _announce(self, service: ServiceName, plan: Plan, present: int) -> None:
+    def _log_plan(self, service: ServiceName, plan: Plan, present: int) -> None:
         """Logs what should be ordered, once for each change."""
         self._metrics.set(Level.SERVERS_NEEDED, plan.needed, service)
         if self._announced.get(service) == plan or not self._coordination.is_coordinator():
