--- a/src/larkpost/gateway/scaling/controller.py
+++ b/src/larkpost/gateway/scaling/controller.py
@@ -79,7 +79,7 @@
         self._metrics = instruments.metrics
         self._mode = mode
         self._counter = ServerCounter(inputs.blackboard.directory, inputs.blackboard.evacuations)
-        self._announced: dict[ServiceName, Plan] = {}
+        self._logged_plans: dict[ServiceName, Plan] = {}
         self._next_order: dict[tuple[ServiceName, ZoneId], float] = {}
         self._no_preemptible_until: dict[ZoneId, float] = {}
 
@@ -118,9 +118,9 @@
     def _log_plan(self, service: ServiceName, plan: Plan, present: int) -> None:
         """Logs what should be ordered, once for each change."""
         self._metrics.set(Level.SERVERS_NEEDED, plan.needed, service)
-        if self._announced.get(service) == plan or not self._coordination.is_coordinator():
+        if self._logged_plans.get(service) == plan or not self._coordination.is_coordinator():
             return
-        self._announced[service] = plan
+        self._logged_plans[service] = plan
         self._log.record(
             Event.SCALING_PLAN,
             service=service,
