--- a/src/larkpost/gateway/scaling/controller.py
+++ b/src/larkpost/gateway/scaling/controller.py
@@ -111,7 +111,9 @@
         if self._mode is ScalingMode.ANNOUNCE:
             return
         for order in plan.orders:
-            if self._is_mine(order) and now >= self._next_order.get((order.service, order.zone), 0):
+            if self._is_responsible_for(order) and now >= self._next_order.get(
+                (order.service, order.zone), 0
+            ):
                 pause = await self._order(order, service.scaling.boot_time)
                 self._next_order[order.service, order.zone] = self._clock.now() + pause
 
@@ -130,7 +132,7 @@
             orders=[f"{order.zone} {order.kind} {order.desired}" for order in plan.orders],
         )
 
-    def _is_mine(self, order: ScalingOrder) -> bool:
+    def _is_responsible_for(self, order: ScalingOrder) -> bool:
         return self._coordination.is_responsible_for(_subject(order).key)
 
     async def _order(self, order: ScalingOrder, boot_time: float) -> float:
