--- a/src/larkpost/gateway/scaling/planner.py
+++ b/src/larkpost/gateway/scaling/planner.py
@@ -113,7 +113,7 @@
     return Plan(needed, tuple(order for order in orders if order is not None))
 
 
-def _missing(known: ZoneServers, lost_after: float) -> int:
+def _missing_count(known: ZoneServers, lost_after: float) -> int:
     """Returns how many servers a zone has lost for good and may have back."""
     if known.is_evacuated or known.missing_for < lost_after:
         return 0
@@ -123,7 +123,7 @@
 def _order(inputs: PlanInputs, zone: ZoneId) -> ScalingOrder | None:
     """Returns the order for one zone; None if nothing is missing or its limits leave no room."""
     service, terms, known = inputs.service, inputs.terms, inputs.zones[zone]
-    if not _missing(known, inputs.lost_after):
+    if not _missing_count(known, inputs.lost_after):
         return None
     wanted = max(terms.minimum, min(known.usual_count, terms.maximum))
     if wanted <= known.count:
