--- a/src/larkpost/gateway/scaling/planner.py
+++ b/src/larkpost/gateway/scaling/planner.py
@@ -129,9 +129,9 @@
     if wanted <= known.count:
         return None
     if zone not in inputs.refused and is_preemptible_worthwhile(terms):
-        cheap = min(wanted - known.on_demand, int(wanted * PREEMPTIBLE_SHARE))
-        if cheap > known.preemptible:
-            return ScalingOrder(service, zone, ServerKind.PREEMPTIBLE, cheap)
+        preemptible_count = min(wanted - known.on_demand, int(wanted * PREEMPTIBLE_SHARE))
+        if preemptible_count > known.preemptible:
+            return ScalingOrder(service, zone, ServerKind.PREEMPTIBLE, preemptible_count)
     return ScalingOrder(service, zone, ServerKind.ON_DEMAND, wanted - known.preemptible)
 
 
