--- a/src/larkpost/gateway/scaling/server_counter.py
+++ b/src/larkpost/gateway/scaling/server_counter.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class _Seen:
+class _ZoneHistory:
     """Counts of one zone, as (steady time, servers); `full_at`: last time there were as usual."""
 
     counts: deque[tuple[float, int]] = field(default_factory=deque)
@@ -31,7 +31,7 @@
     def __init__(self, directory: Directory, evacuations: Evacuations) -> None:
         self._directory = directory
         self._evacuations = evacuations
-        self._seen: dict[tuple[ServiceName, ZoneId], _Seen] = {}
+        self._seen: dict[tuple[ServiceName, ZoneId], _ZoneHistory] = {}
 
     def count_by_zone(self, service: ServiceName, now: float) -> dict[ZoneId, ZoneServers]:
         """Counts a service's servers by zone, those zones included that have none any more."""
@@ -47,7 +47,7 @@
     def _count(
         self, service: ServiceName, zone: ZoneId, ready: list[InstanceInfo], now: float
     ) -> ZoneServers:
-        seen = self._seen.setdefault((service, zone), _Seen())
+        seen = self._seen.setdefault((service, zone), _ZoneHistory())
         seen.counts.append((now, len(ready)))
         while seen.counts[0][0] < now - USUAL_SECONDS:
             seen.counts.popleft()
