--- a/src/larkpost/gateway/scaling/server_counter.py
+++ b/src/larkpost/gateway/scaling/server_counter.py
@@ -31,13 +31,13 @@
     def __init__(self, directory: Directory, evacuations: Evacuations) -> None:
         self._directory = directory
         self._evacuations = evacuations
-        self._seen: dict[tuple[ServiceName, ZoneId], _ZoneHistory] = {}
+        self._histories: dict[tuple[ServiceName, ZoneId], _ZoneHistory] = {}
 
     def count_by_zone(self, service: ServiceName, now: float) -> dict[ZoneId, ZoneServers]:
         """Counts a service's servers by zone, those zones included that have none any more."""
         ready = self._directory.ready_of(service)
         zones = {info.zone for info in ready} | {
-            zone for known, zone in self._seen if known == service
+            zone for known, zone in self._histories if known == service
         }
         return {
             zone: self._count(service, zone, [info for info in ready if info.zone == zone], now)
@@ -47,7 +47,7 @@
     def _count(
         self, service: ServiceName, zone: ZoneId, ready: list[InstanceInfo], now: float
     ) -> ZoneServers:
-        seen = self._seen.setdefault((service, zone), _ZoneHistory())
+        seen = self._histories.setdefault((service, zone), _ZoneHistory())
         seen.counts.append((now, len(ready)))
         while seen.counts[0][0] < now - USUAL_SECONDS:
             seen.counts.popleft()
