--- a/src/larkpost/gateway/scaling/server_counter.py
+++ b/src/larkpost/gateway/scaling/server_counter.py
@@ -47,18 +47,18 @@
     def _count(
         self, service: ServiceName, zone: ZoneId, ready: list[InstanceInfo], now: float
     ) -> ZoneServers:
-        seen = self._histories.setdefault((service, zone), _ZoneHistory())
-        seen.counts.append((now, len(ready)))
-        while seen.counts[0][0] < now - USUAL_SECONDS:
-            seen.counts.popleft()
-        usual_count = max(count for _, count in seen.counts)
+        history = self._histories.setdefault((service, zone), _ZoneHistory())
+        history.counts.append((now, len(ready)))
+        while history.counts[0][0] < now - USUAL_SECONDS:
+            history.counts.popleft()
+        usual_count = max(count for _, count in history.counts)
         if len(ready) >= usual_count:
-            seen.full_at = now
+            history.full_at = now
         preemptible = sum(info.is_preemptible for info in ready)
         return ZoneServers(
             on_demand=len(ready) - preemptible,
             preemptible=preemptible,
             usual_count=usual_count,
-            missing_for=now - seen.full_at,
+            missing_for=now - history.full_at,
             is_evacuated=self._evacuations.is_evacuated(zone),
         )
