--- a/src/larkpost/gateway/placement/rules.py
+++ b/src/larkpost/gateway/placement/rules.py
@@ -105,9 +105,9 @@
     def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns whether work may go to an instance now, or why not."""
         for rule in self._rules:
-            verdict = rule.evaluate(instance, work)
-            if not verdict.is_allowed:
-                return verdict
+            decision = rule.evaluate(instance, work)
+            if not decision.is_allowed:
+                return decision
         return PlacementDecision.ALLOWED
 
     def allows(self, instance: InstanceInfo, work: Work) -> bool:
@@ -123,20 +123,20 @@
         Raises:
             NotRunError: the send must not be made; nothing was sent.
         """
-        verdict = self._admit(instance, work)
-        if verdict.is_allowed:
+        decision = self._admit(instance, work)
+        if decision.is_allowed:
             info = self._directory.get(instance)
             return self._send_within(info) if info is not None else None
         if self._metrics is not None:
-            self._metrics.count(Count.NOT_PLACED, work.kind, verdict)
-        raise NotRunError(REJECTION_REASONS[verdict])
+            self._metrics.count(Count.NOT_PLACED, work.kind, decision)
+        raise NotRunError(REJECTION_REASONS[decision])
 
     def _admit(self, instance: InstanceId, work: Work) -> PlacementDecision:
         info = self._directory.get(instance)
         if info is None:
             return PlacementDecision.UNKNOWN
         for rule in self._rules:
-            verdict = rule.admit(info, work)
-            if not verdict.is_allowed:
-                return verdict
+            decision = rule.admit(info, work)
+            if not decision.is_allowed:
+                return decision
         return PlacementDecision.ALLOWED
