--- a/src/larkpost/gateway/controllers/engine_allocator.py
+++ b/src/larkpost/gateway/controllers/engine_allocator.py
@@ -85,8 +85,8 @@
 
     def due(self, service: Service, now: float) -> list[tuple[InstanceId, WeightTarget]]:
         """Returns the engines of a service that should be loading now, and what."""
-        assignment = self._allocation(service.name)
-        return due_loads(service, self._inputs(assignment.demands), now, assignment.shares)
+        allocation = self._allocation(service.name)
+        return due_loads(service, self._inputs(allocation.demands), now, allocation.shares)
 
     def engines_of(self, service: ServiceName, model: ModelName) -> frozenset[InstanceId]:
         """Returns a model's own engines; none if the service does not hold the model.
--- a/src/larkpost/gateway/controllers/model_assignment.py
+++ b/src/larkpost/gateway/controllers/model_assignment.py
@@ -71,13 +71,13 @@
         for model in service.models
     }
     capacities = {engine: relative_speed(count) for engine, count in steps.items()}
-    assignment = _AssignmentBuilder(_work_of_models(service, demands), preferences, capacities)
+    builder = _AssignmentBuilder(_work_of_models(service, demands), preferences, capacities)
     enough = min(MIN_ENGINES_PER_MODEL, len(engines))
-    while engines and assignment.chosen and assignment.choose_next(enough):
+    while engines and builder.chosen and builder.choose_next(enough):
         pass
-    for engine_ids in assignment.chosen.values():
+    for engine_ids in builder.chosen.values():
         engine_ids.sort(key=hash64)
-    return assignment.chosen
+    return builder.chosen
 
 
 def split_evacuated(
