--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -22,7 +22,7 @@
 from larkpost.gateway.controllers.lending import TRAINER_BLOCKED_SECONDS, Lending, plan_lending
 from larkpost.gateway.controllers.model_assignment import (
     Assignment,
-    PaceLookup,
+    ServiceTimeLookup,
     assign_models,
     split_evacuated,
     unknown_pace,
@@ -55,7 +55,7 @@
     targets: WeightTargets
     demands: Demands
     evacuated: frozenset[ZoneId] = frozenset()
-    pace: PaceLookup = unknown_pace
+    pace: ServiceTimeLookup = unknown_pace
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/larkpost/gateway/controllers/engine_allocator.py
+++ b/src/larkpost/gateway/controllers/engine_allocator.py
@@ -23,7 +23,7 @@
 from larkpost.gateway.controllers.lending_log import LendingLog
 from larkpost.gateway.controllers.model_assignment import (
     Assignment,
-    PaceLookup,
+    ServiceTimeLookup,
     unknown_pace,
 )
 
@@ -74,7 +74,7 @@
         clock: Clock,
         demands: Callable[[], Demands],
         record: LendingLog | None = None,
-        pace: PaceLookup = unknown_pace,
+        pace: ServiceTimeLookup = unknown_pace,
     ) -> None:
         self._blackboard = blackboard
         self._clock = clock
--- a/src/larkpost/gateway/controllers/model_assignment.py
+++ b/src/larkpost/gateway/controllers/model_assignment.py
@@ -21,7 +21,7 @@
 """Engines that each model gets at least, so that it is served while one of them is lost or loads.
 The least number for which that holds."""
 
-PaceLookup = Callable[[InstanceId], float]
+ServiceTimeLookup = Callable[[InstanceId], float]
 """Returns the seconds that an event lastingly takes at an engine; 0 if that is not known."""
 Assignment = dict[ModelName, list[InstanceId]]
 """For each model its engines, in the order in which they load new versions."""
@@ -53,7 +53,7 @@
     engines: list[InstanceInfo],
     directory: Directory,
     demands: Demands,
-    pace: PaceLookup = unknown_pace,
+    pace: ServiceTimeLookup = unknown_pace,
 ) -> Assignment:
     """Divides the engines of a service among its models by the work their batches bring.
 
