--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -25,7 +25,7 @@
     ServiceTimeLookup,
     assign_models,
     split_evacuated,
-    unknown_pace,
+    unknown_service_time,
 )
 
 LOAD_GROUP_COUNT = 3
@@ -55,7 +55,7 @@
     targets: WeightTargets
     demands: Demands
     evacuated: frozenset[ZoneId] = frozenset()
-    pace: ServiceTimeLookup = unknown_pace
+    pace: ServiceTimeLookup = unknown_service_time
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/larkpost/gateway/controllers/engine_allocator.py
+++ b/src/larkpost/gateway/controllers/engine_allocator.py
@@ -24,7 +24,7 @@
 from larkpost.gateway.controllers.model_assignment import (
     Assignment,
     ServiceTimeLookup,
-    unknown_pace,
+    unknown_service_time,
 )
 
 ALLOCATION_LIFETIME_SECONDS = 0.1
@@ -74,7 +74,7 @@
         clock: Clock,
         demands: Callable[[], Demands],
         record: LendingLog | None = None,
-        pace: ServiceTimeLookup = unknown_pace,
+        pace: ServiceTimeLookup = unknown_service_time,
     ) -> None:
         self._blackboard = blackboard
         self._clock = clock
--- a/src/larkpost/gateway/controllers/model_assignment.py
+++ b/src/larkpost/gateway/controllers/model_assignment.py
@@ -27,7 +27,7 @@
 """For each model its engines, in the order in which they load new versions."""
 
 
-def unknown_pace(_engine: InstanceId) -> float:
+def unknown_service_time(_engine: InstanceId) -> float:
     """Returns that a pace is not known."""
     return 0.0
 
@@ -53,7 +53,7 @@
     engines: list[InstanceInfo],
     directory: Directory,
     demands: Demands,
-    pace: ServiceTimeLookup = unknown_pace,
+    pace: ServiceTimeLookup = unknown_service_time,
 ) -> Assignment:
     """Divides the engines of a service among its models by the work their batches bring.
 
