--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -55,7 +55,7 @@
     targets: WeightTargets
     demands: Demands
     evacuated: frozenset[ZoneId] = frozenset()
-    pace: ServiceTimeLookup = unknown_service_time
+    service_time: ServiceTimeLookup = unknown_service_time
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,7 +107,9 @@
     """Divides the engines of a service among its models."""
     engines = inputs.directory.ready_of(service.name)
     serving, evacuated_engines = split_evacuated(engines, inputs.evacuated)
-    assignment = assign_models(service, serving, inputs.directory, inputs.demands, inputs.pace)
+    assignment = assign_models(
+        service, serving, inputs.directory, inputs.demands, inputs.service_time
+    )
     return EngineShares(
         assignment,
         plan_lending(assignment, inputs.demands, inputs.directory.version_of),
--- a/src/larkpost/gateway/controllers/engine_allocator.py
+++ b/src/larkpost/gateway/controllers/engine_allocator.py
@@ -74,13 +74,13 @@
         clock: Clock,
         demands: Callable[[], Demands],
         record: LendingLog | None = None,
-        pace: ServiceTimeLookup = unknown_service_time,
+        service_time: ServiceTimeLookup = unknown_service_time,
     ) -> None:
         self._blackboard = blackboard
         self._clock = clock
         self._demands = demands
         self._record = record
-        self._pace = pace
+        self._pace = service_time
         self._cache: dict[ServiceName, EngineAllocation] = {}
 
     def due(self, service: Service, now: float) -> list[tuple[InstanceId, WeightTarget]]:
--- a/src/larkpost/gateway/controllers/engine_speeds.py
+++ b/src/larkpost/gateway/controllers/engine_speeds.py
@@ -21,13 +21,13 @@
         paces: seconds that an event lastingly takes at each engine; 0 if not known, which counts
             as middling.
     """
-    known = [pace for pace in paces.values() if pace > 0]
+    known = [service_time for service_time in paces.values() if service_time > 0]
     if not known:
         return dict.fromkeys(paces, 0)
     usual = median_low(known)
     return {
-        name: round(math.log(pace / usual, STEP_RATIO)) if pace > 0 else 0
-        for name, pace in paces.items()
+        name: round(math.log(service_time / usual, STEP_RATIO)) if service_time > 0 else 0
+        for name, service_time in paces.items()
     }
 
 
--- a/src/larkpost/gateway/controllers/model_assignment.py
+++ b/src/larkpost/gateway/controllers/model_assignment.py
@@ -53,7 +53,7 @@
     engines: list[InstanceInfo],
     directory: Directory,
     demands: Demands,
-    pace: ServiceTimeLookup = unknown_service_time,
+    service_time: ServiceTimeLookup = unknown_service_time,
 ) -> Assignment:
     """Divides the engines of a service among its models by the work their batches bring.
 
@@ -64,7 +64,7 @@
     Args:
         pace: returns the lasting pace of an engine; while paces are not known all count alike.
     """
-    steps = slowdown_steps({engine.id: pace(engine.id) for engine in engines})
+    steps = slowdown_steps({engine.id: service_time(engine.id) for engine in engines})
     current_models = _current_models(service, engines, directory)
     preferences = {
         model: _Preferences(_by_preference(model, directory, steps, current_models))
--- a/src/larkpost/gateway/controllers/report_codec.py
+++ b/src/larkpost/gateway/controllers/report_codec.py
@@ -47,7 +47,7 @@
     paces = _read_table(document.get(PACES_FIELD), _read_number)
     batches = _read_table(document.get(BATCHES_FIELD), _read_batch_progress)
     return DaemonReport(
-        {InstanceId(name): pace for name, pace in paces.items()},
+        {InstanceId(name): service_time for name, service_time in paces.items()},
         _read_tenants(document.get(TENANTS_FIELD)),
         _read_number(document.get(CAPACITY_FIELD)),
         {BatchId(name): progress for name, progress in batches.items()},
--- a/src/larkpost/gateway/scaling/demand_estimator.py
+++ b/src/larkpost/gateway/scaling/demand_estimator.py
@@ -21,11 +21,11 @@
         self,
         directory: Directory,
         demands: Callable[[], Demands],
-        pace: Callable[[InstanceId], float],
+        service_time: Callable[[InstanceId], float],
     ) -> None:
         self._directory = directory
         self._demands = demands
-        self._pace = pace
+        self._pace = service_time
 
     def of(self, service: Service, configuration: Configuration) -> ServiceDemand:
         """Returns the demand of a service: the tokens of each open batch within its due time."""
@@ -40,9 +40,9 @@
     def _server_rate(self, service: Service) -> float:
         """Returns the tokens that an engine of middling pace makes a second; 0 if not known."""
         paces = sorted(
-            pace
+            service_time
             for info in self._directory.of_service(service.name)
-            if (pace := self._pace(info.id))
+            if (service_time := self._pace(info.id))
         )
         if not paces:
             return 0.0
--- a/tests/test_division_cost.py
+++ b/tests/test_division_cost.py
@@ -34,7 +34,7 @@
             looks: list[InstanceId] = []
             asked: list[int] = []
 
-            def pace(engine: InstanceId) -> float:
+            def service_time(engine: InstanceId) -> float:
                 looks.append(engine)
                 return 0.05
 
@@ -42,7 +42,7 @@
                 asked.append(1)
                 return {}
 
-            division = EngineAllocator(board, fleet.clock, demands, pace=pace)
+            division = EngineAllocator(board, fleet.clock, demands, service_time=service_time)
             for _ in range(QUESTIONS):
                 division.engines_of(TWO_MODELS.name, FIRST)
                 division.loading(TWO_MODELS.name, SECOND)
