--- a/src/larkpost/gateway/controllers/engine_allocator.py
+++ b/src/larkpost/gateway/controllers/engine_allocator.py
@@ -80,7 +80,7 @@
         self._clock = clock
         self._demands = demands
         self._record = record
-        self._pace = service_time
+        self._service_time = service_time
         self._cache: dict[ServiceName, EngineAllocation] = {}
 
     def due(self, service: Service, now: float) -> list[tuple[InstanceId, WeightTarget]]:
@@ -145,7 +145,7 @@
             self._blackboard.targets,
             demands,
             self._blackboard.evacuations.zones(),
-            self._pace,
+            self._service_time,
         )
 
 
--- a/src/larkpost/gateway/scaling/demand_estimator.py
+++ b/src/larkpost/gateway/scaling/demand_estimator.py
@@ -25,7 +25,7 @@
     ) -> None:
         self._directory = directory
         self._demands = demands
-        self._pace = service_time
+        self._service_time = service_time
 
     def of(self, service: Service, configuration: Configuration) -> ServiceDemand:
         """Returns the demand of a service: the tokens of each open batch within its due time."""
@@ -42,7 +42,7 @@
         paces = sorted(
             service_time
             for info in self._directory.of_service(service.name)
-            if (service_time := self._pace(info.id))
+            if (service_time := self._service_time(info.id))
         )
         if not paces:
             return 0.0
