--- a/src/larkpost/gateway/controllers/engine_speeds.py
+++ b/src/larkpost/gateway/controllers/engine_speeds.py
@@ -14,20 +14,20 @@
 """Ratio of paces that makes one step; half a step, the square root of it, is rounded up."""
 
 
-def slowdown_steps(paces: Mapping[InstanceId, float]) -> dict[InstanceId, int]:
+def slowdown_steps(service_times: Mapping[InstanceId, float]) -> dict[InstanceId, int]:
     """Returns by how many steps each engine is slower than the middling one; negative if faster.
 
     Args:
         paces: seconds that an event lastingly takes at each engine; 0 if not known, which counts
             as middling.
     """
-    known = [service_time for service_time in paces.values() if service_time > 0]
+    known = [service_time for service_time in service_times.values() if service_time > 0]
     if not known:
-        return dict.fromkeys(paces, 0)
+        return dict.fromkeys(service_times, 0)
     usual = median_low(known)
     return {
         name: round(math.log(service_time / usual, STEP_RATIO)) if service_time > 0 else 0
-        for name, service_time in paces.items()
+        for name, service_time in service_times.items()
     }
 
 
--- a/src/larkpost/gateway/scaling/demand_estimator.py
+++ b/src/larkpost/gateway/scaling/demand_estimator.py
@@ -39,11 +39,11 @@
 
     def _server_rate(self, service: Service) -> float:
         """Returns the tokens that an engine of middling pace makes a second; 0 if not known."""
-        paces = sorted(
+        service_times = sorted(
             service_time
             for info in self._directory.of_service(service.name)
             if (service_time := self._service_time(info.id))
         )
-        if not paces:
+        if not service_times:
             return 0.0
-        return service.slots * service.tokens_per_event / paces[len(paces) // 2]
+        return service.slots * service.tokens_per_event / service_times[len(service_times) // 2]
