--- a/src/larkpost/gateway/controllers/engine_speeds.py
+++ b/src/larkpost/gateway/controllers/engine_speeds.py
@@ -24,9 +24,9 @@
     known = [service_time for service_time in service_times.values() if service_time > 0]
     if not known:
         return dict.fromkeys(service_times, 0)
-    usual = median_low(known)
+    median = median_low(known)
     return {
-        name: round(math.log(service_time / usual, STEP_RATIO)) if service_time > 0 else 0
+        name: round(math.log(service_time / median, STEP_RATIO)) if service_time > 0 else 0
         for name, service_time in service_times.items()
     }
 
