--- a/src/larkpost/gateway/controllers/batch_forecast.py
+++ b/src/larkpost/gateway/controllers/batch_forecast.py
@@ -35,7 +35,7 @@
     fastest_token_time: float
 
 
-def forecast_outlook(progress: BatchProgress, due_in: float, capacity: BatchCapacity) -> Outlook:
+def forecast_deadline(progress: BatchProgress, due_in: float, capacity: BatchCapacity) -> Outlook:
     """Returns the outlook of a batch.
 
     Args:
--- a/src/larkpost/gateway/rollouts/batch_outlooks.py
+++ b/src/larkpost/gateway/rollouts/batch_outlooks.py
@@ -23,7 +23,7 @@
 from larkpost.gateway.blackboard.weight_targets import ModelDemand, Outlook
 from larkpost.gateway.controllers.batch_forecast import (
     BatchCapacity,
-    forecast_outlook,
+    forecast_deadline,
     most_urgent_outlook,
 )
 from larkpost.gateway.controllers.lending import MAX_LENT_FRACTION
@@ -153,7 +153,7 @@
         due_in = head.created_at + route.due - now
         if service.name not in capacities:
             capacities[service.name] = self._capacity(service)
-        return forecast_outlook(progress, due_in, capacities[service.name])
+        return forecast_deadline(progress, due_in, capacities[service.name])
 
     def _priority(self, head: BatchHead) -> int:
         """Returns the priority of a batch's tenant or route, 0 highest."""
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -10,7 +10,7 @@
     HOPELESS_DELAY_SECONDS,
     MIN_SPARE_SECONDS,
     BatchCapacity,
-    forecast_outlook,
+    forecast_deadline,
     most_urgent_outlook,
     remaining_seconds,
 )
@@ -65,7 +65,7 @@
         )
         for name, progress, due_in, capacity, expected in cases:
             with self.subTest(name):
-                self.assertIs(expected, forecast_outlook(progress, due_in, capacity))
+                self.assertIs(expected, forecast_deadline(progress, due_in, capacity))
 
     def test_limits(self):
         needed = remaining_seconds(SHORT, POOL.available_slots, POOL.token_time)
@@ -77,12 +77,12 @@
         )
         for due_in, expected in cases:
             with self.subTest(due_in=due_in):
-                self.assertIs(expected, forecast_outlook(SHORT, due_in, POOL))
+                self.assertIs(expected, forecast_deadline(SHORT, due_in, POOL))
 
     def test_many_short_items_need_time_too(self):
         many = BatchProgress(400, work=58 * 16000, long_item=800)
         self.assertAlmostEqual(10.5, remaining_seconds(many, POOL.available_slots, POOL.token_time))
-        self.assertIs(Outlook.TIGHT, forecast_outlook(many, 7.5, POOL))
+        self.assertIs(Outlook.TIGHT, forecast_deadline(many, 7.5, POOL))
 
     def test_which_batch_of_a_model_counts(self):
         tight, unknown = Outlook.TIGHT, Outlook.UNKNOWN
