--- a/src/larkpost/gateway/controllers/batch_forecast.py
+++ b/src/larkpost/gateway/controllers/batch_forecast.py
@@ -58,7 +58,7 @@
     return (progress.work / places + progress.long_item) * token_time
 
 
-def most_urgent_outlook(outlooks: Iterable[Outlook]) -> Outlook:
+def most_urgent_forecast(outlooks: Iterable[Outlook]) -> Outlook:
     """Returns the outlook that counts for a model of whose batches these are the outlooks.
 
     One that can be saved counts before all others, and one that is not known before one that can't
--- a/src/larkpost/gateway/rollouts/batch_outlooks.py
+++ b/src/larkpost/gateway/rollouts/batch_outlooks.py
@@ -24,7 +24,7 @@
 from larkpost.gateway.controllers.batch_forecast import (
     BatchCapacity,
     forecast_deadline,
-    most_urgent_outlook,
+    most_urgent_forecast,
 )
 from larkpost.gateway.controllers.lending import MAX_LENT_FRACTION
 from larkpost.gateway.rollouts.model import BatchHead
@@ -105,7 +105,7 @@
         return {
             model: replace(
                 demand,
-                outlook=most_urgent_outlook(outlooks[model]),
+                outlook=most_urgent_forecast(outlooks[model]),
                 waiting=waiting[model],
                 priority=priorities.get(model, LOWEST_PRIORITY),
             )
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -11,7 +11,7 @@
     MIN_SPARE_SECONDS,
     BatchCapacity,
     forecast_deadline,
-    most_urgent_outlook,
+    most_urgent_forecast,
     remaining_seconds,
 )
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
@@ -97,7 +97,7 @@
         )
         for outlooks, expected in cases:
             with self.subTest(outlooks):
-                self.assertIs(expected, most_urgent_outlook(outlooks))
+                self.assertIs(expected, most_urgent_forecast(outlooks))
 
 
 class WorkLeftTest(unittest.TestCase):
