--- a/src/larkpost/gateway/controllers/batch_forecast.py
+++ b/src/larkpost/gateway/controllers/batch_forecast.py
@@ -13,7 +13,7 @@
 MIN_SPARE_SECONDS = 2.5
 """A batch that is forecast to end so long before it is due has time to spare: its trainer needs a
 second to train within that time, and forecasts are off by as much."""
-HOPELESS_DELAY_SECONDS = 1.0
+INFEASIBLE_DELAY_SECONDS = 1.0
 """A batch that is later than this, or whose work takes all engines so much longer, is hopeless,
 unless what is left takes no longer than this either: then its trainer soon goes on."""
 
@@ -45,7 +45,7 @@
         return Outlook.UNKNOWN
     least = progress.work / capacity.total_slots * capacity.fastest_token_time
     expected = remaining_seconds(progress, capacity.available_slots, capacity.token_time)
-    if due_in + HOPELESS_DELAY_SECONDS < least and expected > HOPELESS_DELAY_SECONDS:
+    if due_in + INFEASIBLE_DELAY_SECONDS < least and expected > INFEASIBLE_DELAY_SECONDS:
         return Outlook.HOPELESS
     return Outlook.TO_SPARE if due_in - expected >= MIN_SPARE_SECONDS else Outlook.TIGHT
 
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -7,7 +7,7 @@
 from larkpost.gateway.blackboard.daemon_report import BatchProgress, DaemonReport
 from larkpost.gateway.blackboard.weight_targets import ModelDemand, Outlook
 from larkpost.gateway.controllers.batch_forecast import (
-    HOPELESS_DELAY_SECONDS,
+    INFEASIBLE_DELAY_SECONDS,
     MIN_SPARE_SECONDS,
     BatchCapacity,
     forecast_deadline,
@@ -72,8 +72,8 @@
         cases = (
             (needed + MIN_SPARE_SECONDS + 0.01, Outlook.TO_SPARE),
             (needed + MIN_SPARE_SECONDS - 0.01, Outlook.TIGHT),
-            (864 * 80 * 0.0006 / 176 - HOPELESS_DELAY_SECONDS + 0.01, Outlook.TIGHT),
-            (864 * 80 * 0.0006 / 176 - HOPELESS_DELAY_SECONDS - 0.01, Outlook.HOPELESS),
+            (864 * 80 * 0.0006 / 176 - INFEASIBLE_DELAY_SECONDS + 0.01, Outlook.TIGHT),
+            (864 * 80 * 0.0006 / 176 - INFEASIBLE_DELAY_SECONDS - 0.01, Outlook.HOPELESS),
         )
         for due_in, expected in cases:
             with self.subTest(due_in=due_in):
@@ -229,7 +229,9 @@
             self.assertGreater(self.due, 0)
             self.outlooks.record_report(DaemonId("o"), {self.head.id: BatchProgress(0, 1, 1)})
             self.assertIs(Outlook.TO_SPARE, self.demand().outlook)
-            self.head = replace(self.head, created_at=100.0 - self.due - 2 * HOPELESS_DELAY_SECONDS)
+            self.head = replace(
+                self.head, created_at=100.0 - self.due - 2 * INFEASIBLE_DELAY_SECONDS
+            )
             self.assertIs(Outlook.TIGHT, self.demand().outlook, "little is left of it")
             much = {self.head.id: BatchProgress(0, 10**6, 10**5)}
             self.outlooks.record_report(DaemonId("o"), much)
