--- a/src/larkpost/gateway/assembly/balancing.py
+++ b/src/larkpost/gateway/assembly/balancing.py
@@ -50,7 +50,7 @@
     )
     sources = BalancerSources(
         ports.servers.is_connected,
-        Placement(blackboard.directory, rules, ports.metrics, cold.send_within),
+        Placement(blackboard.directory, rules, ports.metrics, cold.send_timeout),
         cold,
         blackboard.regions,
         DaemonSubsets(own, alive),
--- a/src/larkpost/gateway/placement/cold_rate_limit.py
+++ b/src/larkpost/gateway/placement/cold_rate_limit.py
@@ -112,7 +112,7 @@
         is_cold = self._blackboard.cold.is_cold(instance.id, self._clock.now())
         return is_cold and self._limited_service(instance) is not None
 
-    def send_within(self, instance: InstanceInfo) -> float | None:
+    def send_timeout(self, instance: InstanceInfo) -> float | None:
         """Returns the seconds within which an admitted send must be made; None for any."""
         return SEND_DEADLINE_SECONDS if self.is_cold(instance) else None
 
--- a/src/larkpost/gateway/placement/rules.py
+++ b/src/larkpost/gateway/placement/rules.py
@@ -95,12 +95,12 @@
         directory: Directory,
         rules: Iterable[PlacementRule] = (),
         metrics: Metrics | None = None,
-        send_within: Callable[[InstanceInfo], float | None] = _no_deadline,
+        send_timeout: Callable[[InstanceInfo], float | None] = _no_deadline,
     ) -> None:
         self._directory = directory
         self._rules = (LeavingRule(), VersionRule(directory), *rules)
         self._metrics = metrics
-        self._send_within = send_within
+        self._send_within = send_timeout
 
     def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns whether work may go to an instance now, or why not."""
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -160,7 +160,7 @@
     def test_only_a_send_to_a_cold_engine_must_be_made_at_once(self) -> None:
         async def work() -> None:
             placement = Placement(
-                self.blackboard.directory, (self.rule,), send_within=self.rule.send_within
+                self.blackboard.directory, (self.rule,), send_timeout=self.rule.send_timeout
             )
             self.assertEqual(SEND_DEADLINE_SECONDS, placement.admit(ENGINE, ITEM_WORK))
             await self.clock.sleep(LONG_SECONDS)
@@ -171,7 +171,7 @@
     def test_no_limit_without_terms_or_without_a_rate(self) -> None:
         async def work() -> None:
             self.assertFalse(self.rule.is_cold(INFO))
-            self.assertIsNone(self.rule.send_within(INFO))
+            self.assertIsNone(self.rule.send_timeout(INFO))
             self.assertEqual(100, self.admitted())
 
         async def without_rate() -> None:
