--- a/src/larkpost/gateway/placement/rules.py
+++ b/src/larkpost/gateway/placement/rules.py
@@ -100,7 +100,7 @@
         self._directory = directory
         self._rules = (LeavingRule(), VersionRule(directory), *rules)
         self._metrics = metrics
-        self._send_within = send_timeout
+        self._send_timeout = send_timeout
 
     def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns whether work may go to an instance now, or why not."""
@@ -126,7 +126,7 @@
         decision = self._admit(instance, work)
         if decision.is_allowed:
             info = self._directory.get(instance)
-            return self._send_within(info) if info is not None else None
+            return self._send_timeout(info) if info is not None else None
         if self._metrics is not None:
             self._metrics.count(Count.NOT_PLACED, work.kind, decision)
         raise NotRunError(REJECTION_REASONS[decision])
