--- a/src/larkpost/gateway/placement/cold_rate_limit.py
+++ b/src/larkpost/gateway/placement/cold_rate_limit.py
@@ -21,10 +21,10 @@
 from larkpost.gateway.placement.sliding_count import SlidingCount
 from larkpost.gateway.placement.work import Work, WorkKind
 
-SEND_DEADLINE_SECONDS = 0.25
+SEND_TIMEOUT_SECONDS = 0.25
 """A send that is admitted is on a connection within this time, or it is not made: a daemon that was
 frozen between the two must not send with an old permission."""
-WINDOW_SECONDS = 1.0 + SEND_DEADLINE_SECONDS
+WINDOW_SECONDS = 1.0 + SEND_TIMEOUT_SECONDS
 """Sends that may fall into the same second are admitted within this time."""
 RESERVATION_SECONDS = 0.2
 """How long a place reserved for an item counts before its send does; it is sent within
@@ -114,7 +114,7 @@
 
     def send_timeout(self, instance: InstanceInfo) -> float | None:
         """Returns the seconds within which an admitted send must be made; None for any."""
-        return SEND_DEADLINE_SECONDS if self.is_cold(instance) else None
+        return SEND_TIMEOUT_SECONDS if self.is_cold(instance) else None
 
     def count_cold_instances(self) -> int:
         """Returns how many instances are cold."""
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.placement.cold_rate_limit import (
-    SEND_DEADLINE_SECONDS,
+    SEND_TIMEOUT_SECONDS,
     WINDOW_SECONDS,
     ColdRateLimit,
 )
@@ -162,7 +162,7 @@
             placement = Placement(
                 self.blackboard.directory, (self.rule,), send_timeout=self.rule.send_timeout
             )
-            self.assertEqual(SEND_DEADLINE_SECONDS, placement.admit(ENGINE, ITEM_WORK))
+            self.assertEqual(SEND_TIMEOUT_SECONDS, placement.admit(ENGINE, ITEM_WORK))
             await self.clock.sleep(LONG_SECONDS)
             self.assertIsNone(placement.admit(ENGINE, ITEM_WORK))
 
