--- a/src/larkpost/gateway/placement/rules.py
+++ b/src/larkpost/gateway/placement/rules.py
@@ -77,7 +77,7 @@
         )
 
 
-def _no_deadline(_: InstanceInfo) -> None:
+def _no_timeout(_: InstanceInfo) -> None:
     """Returns None: an admitted send may be made at any time."""
 
 
@@ -95,7 +95,7 @@
         directory: Directory,
         rules: Iterable[PlacementRule] = (),
         metrics: Metrics | None = None,
-        send_timeout: Callable[[InstanceInfo], float | None] = _no_deadline,
+        send_timeout: Callable[[InstanceInfo], float | None] = _no_timeout,
     ) -> None:
         self._directory = directory
         self._rules = (LeavingRule(), VersionRule(directory), *rules)
