--- a/src/larkpost/gateway/assembly/balancing.py
+++ b/src/larkpost/gateway/assembly/balancing.py
@@ -6,22 +6,22 @@
 from larkpost.common.ids import DaemonId
 from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
 from larkpost.gateway.blackboard.board import Blackboard
-from larkpost.gateway.placement.cold_rule import ColdRule
-from larkpost.gateway.placement.cold_senders import ColdSenders
+from larkpost.gateway.placement.cold_rate_limit import ColdRateLimit
 from larkpost.gateway.placement.evacuation_rule import EvacuationRule
 from larkpost.gateway.placement.region_rule import RegionRule
 from larkpost.gateway.placement.rules import Placement
+from larkpost.gateway.placement.sender_tracker import SenderTracker
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.subset import DaemonSubsets
-from larkpost.gateway.quarantine.isolation import IsolationRule
+from larkpost.gateway.quarantine.isolation_rule import IsolationRule
 
 
 @dataclass(frozen=True, slots=True)
 class Balancing:
     """Where work may go, and which instance is best; see the classes."""
 
-    cold_senders: ColdSenders
-    cold: ColdRule
+    cold_senders: SenderTracker
+    cold: ColdRateLimit
     isolation: IsolationRule
     balancer: Balancer
 
@@ -38,8 +38,8 @@
     Args:
         alive: returns the daemons considered alive; called only once all parts stand.
     """
-    cold_senders = ColdSenders(own, ports.clock)
-    cold = ColdRule(settings.cold, blackboard, ports.clock, ports.log, cold_senders)
+    cold_senders = SenderTracker(own, ports.clock)
+    cold = ColdRateLimit(settings.cold, blackboard, ports.clock, ports.log, cold_senders)
     isolation = IsolationRule()
     # Rules that count sends come last, so that they count none that another forbids.
     rules = (
@@ -50,7 +50,7 @@
     )
     sources = BalancerSources(
         ports.servers.is_connected,
-        Placement(blackboard.directory, rules, ports.metrics, cold.send_within),
+        Placement(blackboard.directory, rules, ports.metrics, cold.send_timeout),
         cold,
         blackboard.regions,
         DaemonSubsets(own, alive),
--- a/src/larkpost/gateway/assembly/gauges.py
+++ b/src/larkpost/gateway/assembly/gauges.py
@@ -6,10 +6,10 @@
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
 from larkpost.gateway.controllers.feeds import Feeds
-from larkpost.gateway.controllers.members import Membership
+from larkpost.gateway.controllers.membership import Membership
 from larkpost.gateway.memory.daemon_memory import DaemonMemory
 from larkpost.gateway.observability.metrics import Level, Metrics
-from larkpost.gateway.placement.cold_rule import ColdRule
+from larkpost.gateway.placement.cold_rate_limit import ColdRateLimit
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.rollouts.keeper import BatchKeeper
 from larkpost.gateway.store.relay import RelayedStore
@@ -29,7 +29,7 @@
     feeds: Feeds
     membership: Membership
     balancer: Balancer
-    cold: ColdRule
+    cold: ColdRateLimit
     keeper: BatchKeeper
     loop_watch: LoopWatch
     relay: RelayedStore | None
@@ -58,7 +58,7 @@
         metrics = self.metrics
         for state, count in self.blackboard.directory.counts().items():
             metrics.set(Level.INSTANCES, count, state)
-        metrics.set(Level.INSTANCES_COLD, self.cold.count_cold())
+        metrics.set(Level.INSTANCES_COLD, self.cold.count_cold_instances())
         metrics.replace(Level.INSTANCES_OF_SUBSET, self.balancer.subset_sizes())
         zones = self.blackboard.evacuations.zones()
         metrics.replace(Level.EVACUATED, dict.fromkeys(zones, 1))
--- a/src/larkpost/gateway/assembly/leased_controllers.py
+++ b/src/larkpost/gateway/assembly/leased_controllers.py
@@ -9,17 +9,17 @@
 from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.controllers.coordination import Coordination
-from larkpost.gateway.controllers.division import EngineDivision
+from larkpost.gateway.controllers.engine_allocator import EngineAllocator
 from larkpost.gateway.controllers.feeds import Feeds
+from larkpost.gateway.controllers.fleet_clock import FleetClock
 from larkpost.gateway.controllers.leases import LeaseTable
-from larkpost.gateway.controllers.loader import WeightLoader
-from larkpost.gateway.controllers.members import Membership
-from larkpost.gateway.controllers.true_time import TrueTime
+from larkpost.gateway.controllers.membership import Membership
+from larkpost.gateway.controllers.weight_loader import WeightLoader
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.rollouts.keeper import BatchKeeper
 from larkpost.gateway.scaling.controller import ScalingController, ScalingInputs
-from larkpost.gateway.scaling.demand import DemandForecast
+from larkpost.gateway.scaling.demand_estimator import DemandEstimator
 from larkpost.gateway.usage.count_writer import UsageCountWriter
 from larkpost.gateway.usage.counter import UsageCounter
 from larkpost.gateway.usage.reporter import ReportTiming, UsageReporter
@@ -35,12 +35,12 @@
     """
 
     blackboard: Blackboard
-    division: EngineDivision
+    division: EngineAllocator
     membership: Membership
     balancer: Balancer
     keeper: BatchKeeper
     feeds: Feeds
-    true_time: TrueTime
+    true_time: FleetClock
     counter: UsageCounter | None
 
 
@@ -107,7 +107,7 @@
         if self._ports.scaling is None:
             return None
         inputs = self._inputs
-        demand = DemandForecast(
+        demand = DemandEstimator(
             inputs.blackboard.directory, inputs.keeper.demands, inputs.balancer.pace
         )
         return ScalingController(
--- a/src/larkpost/gateway/controllers/batch_forecast.py
+++ b/src/larkpost/gateway/controllers/batch_forecast.py
@@ -10,16 +10,16 @@
 from larkpost.gateway.blackboard.daemon_report import BatchProgress
 from larkpost.gateway.blackboard.weight_targets import Outlook
 
-SPARE_SECONDS = 2.5
+MIN_SPARE_SECONDS = 2.5
 """A batch that is forecast to end so long before it is due has time to spare: its trainer needs a
 second to train within that time, and forecasts are off by as much."""
-HOPELESS_SECONDS = 1.0
+INFEASIBLE_DELAY_SECONDS = 1.0
 """A batch that is later than this, or whose work takes all engines so much longer, is hopeless,
 unless what is left takes no longer than this either: then its trainer soon goes on."""
 
 
 @dataclass(frozen=True, slots=True)
-class Capacity:
+class BatchCapacity:
     """What engines can do for a batch.
 
     Attributes:
@@ -29,28 +29,28 @@
         best_token_time: the same at the fastest one.
     """
 
-    share: int
-    whole: int
+    available_slots: int
+    total_slots: int
     token_time: float
-    best_token_time: float
+    fastest_token_time: float
 
 
-def judge_batch(progress: BatchProgress, due_in: float, capacity: Capacity) -> Outlook:
+def forecast_deadline(progress: BatchProgress, due_in: float, capacity: BatchCapacity) -> Outlook:
     """Returns the outlook of a batch.
 
     Args:
         due_in: seconds until it is due; negative once it is late.
     """
-    if not capacity.share or not capacity.token_time:
+    if not capacity.available_slots or not capacity.token_time:
         return Outlook.UNKNOWN
-    least = progress.work / capacity.whole * capacity.best_token_time
-    expected = seconds_left(progress, capacity.share, capacity.token_time)
-    if due_in + HOPELESS_SECONDS < least and expected > HOPELESS_SECONDS:
+    least = progress.work / capacity.total_slots * capacity.fastest_token_time
+    expected = remaining_seconds(progress, capacity.available_slots, capacity.token_time)
+    if due_in + INFEASIBLE_DELAY_SECONDS < least and expected > INFEASIBLE_DELAY_SECONDS:
         return Outlook.HOPELESS
-    return Outlook.TO_SPARE if due_in - expected >= SPARE_SECONDS else Outlook.TIGHT
+    return Outlook.TO_SPARE if due_in - expected >= MIN_SPARE_SECONDS else Outlook.TIGHT
 
 
-def seconds_left(progress: BatchProgress, places: int, token_time: float) -> float:
+def remaining_seconds(progress: BatchProgress, places: int, token_time: float) -> float:
     """Returns the seconds that a batch needs yet, with so many places.
 
     No item is made by two engines, and a long one may be the last to find a place.
@@ -58,7 +58,7 @@
     return (progress.work / places + progress.long_item) * token_time
 
 
-def most_in_need(outlooks: Iterable[Outlook]) -> Outlook:
+def most_urgent_forecast(outlooks: Iterable[Outlook]) -> Outlook:
     """Returns the outlook that counts for a model of whose batches these are the outlooks.
 
     One that can be saved counts before all others, and one that is not known before one that can't
--- a/src/larkpost/gateway/controllers/coordination.py
+++ b/src/larkpost/gateway/controllers/coordination.py
@@ -7,7 +7,7 @@
 
 from larkpost.common.ids import DaemonId
 from larkpost.gateway.controllers.leases import Lease, LeaseSubject, LeaseTable
-from larkpost.gateway.controllers.members import Membership
+from larkpost.gateway.controllers.membership import Membership
 
 
 class Coordination:
@@ -30,9 +30,9 @@
         """Returns how many daemons are considered alive, this one included."""
         return len(list(self._membership.alive()))
 
-    def is_chosen(self, key: str) -> bool:
+    def is_responsible_for(self, key: str) -> bool:
         """Returns whether this daemon is the one to act on what a key names."""
-        return self._membership.first_choice(key) == self._membership.own
+        return self._membership.choose_coordinator(key) == self._membership.own
 
     async def take_lease(self, subject: LeaseSubject) -> Lease | None:
         """Takes the lease for one act, or returns None if another holds it or the store fails."""
--- a/src/larkpost/gateway/controllers/coordinators.py
+++ b/src/larkpost/gateway/controllers/coordinators.py
@@ -16,14 +16,14 @@
 from larkpost.common.hashing import hash64
 from larkpost.common.ids import DaemonId, RegionId
 
-COORDINATORS = 12
+COORDINATOR_COUNT = 12
 """Coordinators of the whole fleet: enough that not all of them fail at once, few enough that their
 heartbeats fit into one part of the store."""
-LEAST_CAPACITY = 0.05
+MIN_CAPACITY = 0.05
 """A daemon that reports less counts as this: each can be chosen."""
-HASHES = 2**64
+HASH_SPACE_SIZE = 2**64
 """How many values a hash may have."""
-JOIN_SECONDS = 0.5
+MIN_COORDINATOR_AGE_SECONDS = 0.5
 """Seconds after its start from which a daemon may coordinate: when all start at once, the first
 listings show few."""
 
@@ -32,7 +32,7 @@
 """What each daemon can bear beside clients, without unit; None if it does not say it."""
 
 
-def is_to_coordinate(
+def should_coordinate(
     own: DaemonId,
     region_of: Mapping[DaemonId, RegionId | None],
     age: float,
@@ -44,16 +44,16 @@
         region_of: the region of each daemon considered alive, `own` among them.
         age: seconds since `own` started.
     """
-    if age < JOIN_SECONDS:
+    if age < MIN_COORDINATOR_AGE_SECONDS:
         return False
     neighbours = [name for name, region in region_of.items() if region == region_of[own]]
-    share = math.ceil(COORDINATORS / len(set(region_of.values())))
+    share = math.ceil(COORDINATOR_COUNT / len(set(region_of.values())))
     weight_of = _weights(neighbours, capacity_of)
     rank = _rank(own, weight_of)
     return sum(_rank(name, weight_of) < rank for name in neighbours) < share
 
 
-def first_choice(
+def choose_coordinator(
     key: str, coordinators: Iterable[DaemonId], capacity_of: Capacities | None = None
 ) -> DaemonId | None:
     """Returns the coordinator that rendezvous hashing names for a key; None if there is none."""
@@ -71,17 +71,23 @@
         capacity = capacity_of.get(name) if capacity_of is not None else None
         if capacity is None:
             return None
-        weights[name] = max(LEAST_CAPACITY, capacity)
+        weights[name] = max(MIN_CAPACITY, capacity)
     return weights
 
 
 def _distance(name: DaemonId, key: str, weight_of: Mapping[DaemonId, float] | None) -> float:
     """Returns how far a daemon is from being chosen for a key; the nearest one is."""
     value = hash64(f"{name}\x00{key}")
-    return -value if weight_of is None else -math.log((value + 1) / HASHES) / weight_of[name]
+    return (
+        -value if weight_of is None else -math.log((value + 1) / HASH_SPACE_SIZE) / weight_of[name]
+    )
 
 
 def _rank(daemon: DaemonId, weight_of: Mapping[DaemonId, float] | None) -> float:
     """Returns the rank of a daemon among those that could coordinate; the lowest do."""
     value = hash64(f"coordinator\x00{daemon}")
-    return value if weight_of is None else -math.log((HASHES - value) / HASHES) / weight_of[daemon]
+    return (
+        value
+        if weight_of is None
+        else -math.log((HASH_SPACE_SIZE - value) / HASH_SPACE_SIZE) / weight_of[daemon]
+    )
--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -19,25 +19,25 @@
     WeightTarget,
     WeightTargets,
 )
-from larkpost.gateway.controllers.lending import WAITED_SECONDS, Lending, lend
+from larkpost.gateway.controllers.lending import TRAINER_BLOCKED_SECONDS, Lending, plan_lending
 from larkpost.gateway.controllers.model_assignment import (
     Assignment,
-    PaceOf,
+    ServiceTimeLookup,
     assign_models,
     split_evacuated,
-    unknown_pace,
+    unknown_service_time,
 )
 
-LOAD_GROUPS = 3
+LOAD_GROUP_COUNT = 3
 """Groups of a model's engines that load a version one after the other; two thirds serve on."""
-GROUP_SECONDS = 1.0
+GROUP_TURN_SECONDS = 1.0
 """Seconds for one group, after which it is the next one's turn. Above the time that one load
 takes."""
-FIRST_SECONDS = 0.3
+IDLE_LOAD_DELAY_SECONDS = 0.3
 """Seconds before the first group loads while no batch of the model runs: one may come at once."""
-BUSY_FIRST_SECONDS = 0.9
+BUSY_LOAD_DELAY_SECONDS = 0.9
 """The same while one runs, so that its items have found their places before."""
-URGENT_FIRST_SECONDS = 0.3
+URGENT_LOAD_DELAY_SECONDS = 0.3
 """Seconds from a batch to the loads while the next one is near: most items have found places."""
 
 
@@ -55,11 +55,11 @@
     targets: WeightTargets
     demands: Demands
     evacuated: frozenset[ZoneId] = frozenset()
-    pace: PaceOf = unknown_pace
+    service_time: ServiceTimeLookup = unknown_service_time
 
 
 @dataclass(frozen=True, slots=True)
-class Shares:
+class EngineShares:
     """How the engines of a service are divided.
 
     Attributes:
@@ -68,13 +68,13 @@
         resting: each model's share of the engines in evacuated zones.
     """
 
-    division: Assignment
+    assignment: Assignment
     lending: Lending
-    resting: Assignment
+    evacuated_engines: Assignment
 
 
 @dataclass(frozen=True, slots=True)
-class ModelState:
+class ModelLoadState:
     """How far the engines of one model are; engines are in the order in which they load.
 
     Attributes:
@@ -88,7 +88,7 @@
     target: int
     elapsed: float
     serving: dict[InstanceId, int]
-    resting: dict[InstanceId, int]
+    evacuated_engines: dict[InstanceId, int]
     is_urgent: bool = False
 
 
@@ -99,24 +99,26 @@
     asked with this version is here, and no batch before it is open whose end the next version
     waits for.
     """
-    waits = demand.asked_after is not None and demand.asked_after < WAITED_SECONDS
+    waits = demand.asked_after is not None and demand.asked_after < TRAINER_BLOCKED_SECONDS
     return waits and demand.asked_at == version and not demand.open_before
 
 
-def share_out(service: Service, inputs: LoadInputs) -> Shares:
+def allocate_engines(service: Service, inputs: LoadInputs) -> EngineShares:
     """Divides the engines of a service among its models."""
     engines = inputs.directory.ready_of(service.name)
-    serving, resting = split_evacuated(engines, inputs.evacuated)
-    division = assign_models(service, serving, inputs.directory, inputs.demands, inputs.pace)
-    return Shares(
-        division,
-        lend(division, inputs.demands, inputs.directory.version_of),
-        assign_models(service, resting, inputs.directory, inputs.demands),
+    serving, evacuated_engines = split_evacuated(engines, inputs.evacuated)
+    assignment = assign_models(
+        service, serving, inputs.directory, inputs.demands, inputs.service_time
+    )
+    return EngineShares(
+        assignment,
+        plan_lending(assignment, inputs.demands, inputs.directory.version_of),
+        assign_models(service, evacuated_engines, inputs.directory, inputs.demands),
     )
 
 
 def due_loads(
-    service: Service, inputs: LoadInputs, now: float, shares: Shares | None = None
+    service: Service, inputs: LoadInputs, now: float, shares: EngineShares | None = None
 ) -> list[tuple[InstanceId, WeightTarget]]:
     """Returns the loads that should be under way now.
 
@@ -124,37 +126,37 @@
         now: steady time in seconds.
         shares: the engines as they were divided a moment ago; None to divide them now.
     """
-    if not _is_any_behind(service, inputs):
+    if not _is_any_engine_behind(service, inputs):
         return []
-    shares = shares or share_out(service, inputs)
-    assigned = shares.lending.holders(shares.division)
+    shares = shares or allocate_engines(service, inputs)
+    assigned = shares.lending.loading_engines(shares.assignment)
     due: list[tuple[InstanceId, WeightTarget]] = []
     for model in sorted(assigned, key=lambda model: model not in shares.lending.lent):
         engine_ids = assigned[model]  # a borrower's first: an engine takes one order at a time
         target = WeightTarget(model, inputs.targets.version(model))
-        state = ModelState(
+        state = ModelLoadState(
             target.version,
-            _seconds_into_turns(model, inputs, now),
+            _seconds_into_schedule(model, inputs, now),
             _versions(engine_ids, model, inputs.directory),
-            _versions(shares.resting[model], model, inputs.directory),
+            _versions(shares.evacuated_engines[model], model, inputs.directory),
             is_urgent(inputs.demands.get(model, ModelDemand()), target.version),
         )
         due.extend((name, target) for name in engines_to_load(state))
     return due
 
 
-def engines_to_load(state: ModelState) -> list[InstanceId]:
+def engines_to_load(state: ModelLoadState) -> list[InstanceId]:
     """Returns the engines of one model that should be loading its version now.
 
     Those of evacuated zones are added once the others are done or have all had their turn.
     """
-    names = _serving_to_load(state)
-    if not names or state.elapsed >= LOAD_GROUPS * GROUP_SECONDS:
-        names += _resting_to_load(state)
+    names = _serving_engines_to_load(state)
+    if not names or state.elapsed >= LOAD_GROUP_COUNT * GROUP_TURN_SECONDS:
+        names += _evacuated_engines_to_load(state)
     return names
 
 
-def _serving_to_load(state: ModelState) -> list[InstanceId]:
+def _serving_engines_to_load(state: ModelLoadState) -> list[InstanceId]:
     """Returns the engines that get work and load now.
 
     One that is two versions behind loads at once: it is of no use to the next step. The others load
@@ -168,29 +170,29 @@
     behind = {name for name, version in state.serving.items() if version == state.target - 1}
     if state.is_urgent:
         first = _all_but_last_group(list(state.serving), behind)
-        are_first_on_turn = state.elapsed < GROUP_SECONDS
+        are_first_on_turn = state.elapsed < GROUP_TURN_SECONDS
         return late + (first if first and are_first_on_turn else sorted(behind))
-    return late + _group_on_turn(list(state.serving), behind, state.elapsed)
+    return late + _current_group(list(state.serving), behind, state.elapsed)
 
 
 def _all_but_last_group(engine_ids: list[InstanceId], behind: set[InstanceId]) -> list[InstanceId]:
     """Returns the engines that lack the version, but for those of the last group."""
-    groups = _cut(engine_ids, LOAD_GROUPS)
+    groups = _split(engine_ids, LOAD_GROUP_COUNT)
     return [name for group in groups[:-1] for name in group if name in behind]
 
 
-def _resting_to_load(state: ModelState) -> list[InstanceId]:
+def _evacuated_engines_to_load(state: ModelLoadState) -> list[InstanceId]:
     """Returns the engines of evacuated zones that load now, in groups all the same.
 
     Many loads at once slow each other down, also those of engines that serve.
     """
     if state.elapsed < 0:
         return []
-    behind = {name for name, version in state.resting.items() if version < state.target}
-    return _group_on_turn(list(state.resting), behind, state.elapsed)
+    behind = {name for name, version in state.evacuated_engines.items() if version < state.target}
+    return _current_group(list(state.evacuated_engines), behind, state.elapsed)
 
 
-def _group_on_turn(
+def _current_group(
     engine_ids: list[InstanceId], behind: set[InstanceId], elapsed: float
 ) -> list[InstanceId]:
     """Returns the engines of the group that loads now.
@@ -202,8 +204,8 @@
         behind: the engines that lack the version.
         elapsed: seconds since the first group's turn began.
     """
-    groups = _cut(engine_ids, LOAD_GROUPS)
-    turn = int(elapsed / GROUP_SECONDS)
+    groups = _split(engine_ids, LOAD_GROUP_COUNT)
+    turn = int(elapsed / GROUP_TURN_SECONDS)
     for step in range(len(groups)):
         group = [name for name in groups[(turn + step) % len(groups)] if name in behind]
         if group:
@@ -211,20 +213,20 @@
     return []
 
 
-def _cut(engine_ids: list[InstanceId], count: int) -> list[list[InstanceId]]:
+def _split(engine_ids: list[InstanceId], count: int) -> list[list[InstanceId]]:
     """Cuts engines into at most ``count`` groups of about the same size."""
     size = math.ceil(len(engine_ids) / count) or 1
     return [engine_ids[start : start + size] for start in range(0, len(engine_ids), size)]
 
 
-def _seconds_into_turns(model: ModelName, inputs: LoadInputs, now: float) -> float:
+def _seconds_into_schedule(model: ModelName, inputs: LoadInputs, now: float) -> float:
     demand = inputs.demands.get(model, ModelDemand())
     elapsed = inputs.targets.named_for(model, now)
     if not demand.open:
-        return elapsed - FIRST_SECONDS
+        return elapsed - IDLE_LOAD_DELAY_SECONDS
     if is_urgent(demand, inputs.targets.version(model)) and not demand.waiting:
-        return elapsed - (demand.asked_after or 0.0) - URGENT_FIRST_SECONDS
-    return elapsed - BUSY_FIRST_SECONDS
+        return elapsed - (demand.asked_after or 0.0) - URGENT_LOAD_DELAY_SECONDS
+    return elapsed - BUSY_LOAD_DELAY_SECONDS
 
 
 def _versions(
@@ -233,7 +235,7 @@
     return {name: directory.version_of(name, model) for name in engine_ids}
 
 
-def _is_any_behind(service: Service, inputs: LoadInputs) -> bool:
+def _is_any_engine_behind(service: Service, inputs: LoadInputs) -> bool:
     """Returns whether any engine lacks any named version: a check that costs little."""
     engines = inputs.directory.ready_of(service.name)
     return any(
--- a/src/larkpost/gateway/controllers/division.py
+++ b/src/larkpost/gateway/controllers/engine_allocator.py
@@ -13,24 +13,29 @@
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.configuration import ModelName, Service, ServiceName
 from larkpost.gateway.blackboard.weight_targets import Demands, Naming, WeightTarget
-from larkpost.gateway.controllers.due_loads import LoadInputs, Shares, due_loads, share_out
-from larkpost.gateway.controllers.lending import models_that_yield
-from larkpost.gateway.controllers.lending_record import LendingRecord
+from larkpost.gateway.controllers.due_loads import (
+    EngineShares,
+    LoadInputs,
+    allocate_engines,
+    due_loads,
+)
+from larkpost.gateway.controllers.lending import yielding_models
+from larkpost.gateway.controllers.lending_log import LendingLog
 from larkpost.gateway.controllers.model_assignment import (
     Assignment,
-    PaceOf,
-    unknown_pace,
+    ServiceTimeLookup,
+    unknown_service_time,
 )
 
-LIFETIME_SECONDS = 0.1
+ALLOCATION_LIFETIME_SECONDS = 0.1
 """Seconds for which a division serves: items ask for it again and again. As long as the loader's
 interval."""
-LIFETIME_SECONDS_PER_ENGINE = 0.0003
+ALLOCATION_LIFETIME_SECONDS_PER_ENGINE = 0.0003
 """The same by the number of engines, where it is more, so that dividing takes no whole core."""
 
 
 @dataclass(frozen=True, slots=True)
-class Division:
+class EngineAllocation:
     """The engines of one service.
 
     Attributes:
@@ -46,14 +51,14 @@
 
     made_at: float
     lifetime: float
-    own: dict[ModelName, frozenset[InstanceId]] = field(default_factory=dict)
+    preferred: dict[ModelName, frozenset[InstanceId]] = field(default_factory=dict)
     loading: dict[ModelName, frozenset[InstanceId]] = field(default_factory=dict)
     yielding: frozenset[ModelName] = frozenset()
     demands: Demands = field(default_factory=dict)
-    shares: Shares | None = None
+    shares: EngineShares | None = None
 
 
-class EngineDivision:
+class EngineAllocator:
     """The division of each service's engines among its models, and the loads that are due.
 
     Args:
@@ -68,68 +73,68 @@
         blackboard: Blackboard,
         clock: Clock,
         demands: Callable[[], Demands],
-        record: LendingRecord | None = None,
-        pace: PaceOf = unknown_pace,
+        record: LendingLog | None = None,
+        service_time: ServiceTimeLookup = unknown_service_time,
     ) -> None:
         self._blackboard = blackboard
         self._clock = clock
         self._demands = demands
         self._record = record
-        self._pace = pace
-        self._known: dict[ServiceName, Division] = {}
+        self._service_time = service_time
+        self._cache: dict[ServiceName, EngineAllocation] = {}
 
     def due(self, service: Service, now: float) -> list[tuple[InstanceId, WeightTarget]]:
         """Returns the engines of a service that should be loading now, and what."""
-        division = self._division(service.name)
-        return due_loads(service, self._inputs(division.demands), now, division.shares)
+        allocation = self._allocation(service.name)
+        return due_loads(service, self._inputs(allocation.demands), now, allocation.shares)
 
     def engines_of(self, service: ServiceName, model: ModelName) -> frozenset[InstanceId]:
         """Returns a model's own engines; none if the service does not hold the model.
 
         None of them is in an evacuated zone: a batch would wait for engines that get nothing.
         """
-        return self._division(service).own.get(model, frozenset())
+        return self._allocation(service).preferred.get(model, frozenset())
 
     def loading(self, service: ServiceName, model: ModelName) -> frozenset[InstanceId]:
         """Returns the engines that refuse a model's items now, or will in a moment.
 
         They load a version of it; items of other models run there as before.
         """
-        return self._division(service).loading.get(model, frozenset())
+        return self._allocation(service).loading.get(model, frozenset())
 
     def should_yield(self, service: ServiceName, model: ModelName) -> bool:
         """Returns whether a model's batches use their own engines only, for the sake of others."""
-        return model in self._division(service).yielding
+        return model in self._allocation(service).yielding
 
     def last_naming(self, model: ModelName) -> Naming | None:
         """Returns when a model's newest version was named; None if that was not seen here."""
         return self._blackboard.targets.last_naming(model, self._clock.now())
 
-    def _division(self, service: ServiceName) -> Division:
+    def _allocation(self, service: ServiceName) -> EngineAllocation:
         now = self._clock.now()
-        known = self._known.get(service)
+        known = self._cache.get(service)
         if known is None or now - known.made_at >= known.lifetime:
-            known = self._divide(service, now)
-            self._known[service] = known
+            known = self._allocate(service, now)
+            self._cache[service] = known
         return known
 
-    def _divide(self, name: ServiceName, now: float) -> Division:
+    def _allocate(self, name: ServiceName, now: float) -> EngineAllocation:
         configuration = self._blackboard.configuration.current
         service = configuration.services.get(name) if configuration is not None else None
         if service is None or not service.models:
-            return Division(now, LIFETIME_SECONDS)
+            return EngineAllocation(now, ALLOCATION_LIFETIME_SECONDS)
         demands = self._demands()
         inputs = self._inputs(demands)
-        shares = share_out(service, inputs)
+        shares = allocate_engines(service, inputs)
         if self._record is not None:
             self._record.record(service, shares.lending, demands)
-        first = shares.lending.first_engines(shares.division)
-        return Division(
+        first = shares.lending.preferred_engines(shares.assignment)
+        return EngineAllocation(
             now,
-            lifetime_of(shares.division),
+            allocation_lifetime(shares.assignment),
             {model: frozenset(engines) for model, engines in first.items()},
             _by_model(due_loads(service, inputs, now, shares)),
-            models_that_yield(service.models, demands),
+            yielding_models(service.models, demands),
             demands,
             shares,
         )
@@ -140,14 +145,14 @@
             self._blackboard.targets,
             demands,
             self._blackboard.evacuations.zones(),
-            self._pace,
+            self._service_time,
         )
 
 
-def lifetime_of(division: Assignment) -> float:
+def allocation_lifetime(assignment: Assignment) -> float:
     """Returns the seconds for which a division serves: one of many engines takes long to make."""
-    count = sum(len(engines) for engines in division.values())
-    return max(LIFETIME_SECONDS, count * LIFETIME_SECONDS_PER_ENGINE)
+    count = sum(len(engines) for engines in assignment.values())
+    return max(ALLOCATION_LIFETIME_SECONDS, count * ALLOCATION_LIFETIME_SECONDS_PER_ENGINE)
 
 
 def _by_model(
--- a/src/larkpost/gateway/controllers/feeds.py
+++ b/src/larkpost/gateway/controllers/feeds.py
@@ -8,7 +8,7 @@
 
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.blackboard.board import Blackboard
-from larkpost.gateway.controllers.row_intake import InstanceTrust, RowIntake, RowReaders
+from larkpost.gateway.controllers.row_recorder import RemovalTrust, RowReaders, RowRecorder
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.store.batch_tables import CRASH_PART, HEAD_TABLE, PARTS
 from larkpost.gateway.store.follower import Relisting, TableFollower, TableParts
@@ -20,7 +20,7 @@
 """Seconds between two listings of the operator's rows and of the heads."""
 IDLE_RELIST_FACTOR = 4
 """How much less often a daemon lists the batches that neither coordinates nor owns any."""
-LAPSED_INTERVAL_SECONDS = 0.25
+EXPIRY_CHECK_SECONDS = 0.25
 """Seconds between two checks for instances whose entries lapsed."""
 
 
@@ -77,16 +77,16 @@
         self._source = source
         self._instruments = instruments
         # A cycle: a row that is gone is believed by the state of the follower that brings it.
-        trust = InstanceTrust(self.sound_for, source.contact_time, lambda: self.instances.listed)
-        self.intake = RowIntake(source.readers, blackboard, instruments, trust)
+        trust = RemovalTrust(self.sound_for, source.contact_time, lambda: self.instances.listed)
+        self.row_recorder = RowRecorder(source.readers, blackboard, instruments, trust)
         self.operator = self._follow(
             TableParts(source.readers.operator_table),
-            self.intake.record_operator_row,
+            self.row_recorder.record_operator_row,
             Relisting(SLOW_RELIST_SECONDS),
         )
         self.instances = self._follow(
             TableParts(source.readers.instance_table),
-            self.intake.record_instance_row,
+            self.row_recorder.record_instance_row,
             Relisting(FAST_RELIST_SECONDS),
         )
         self.heads = self._follow(
@@ -99,7 +99,7 @@
         """Starts following."""
         for follower in (self.operator, self.instances, self.heads):
             follower.start(tasks)
-        tasks.every(LAPSED_INTERVAL_SECONDS, self.intake.drop_lapsed, "lapsed")
+        tasks.every(EXPIRY_CHECK_SECONDS, self.row_recorder.drop_expired_entries, "lapsed")
 
     def sound_for(self) -> float:
         """Returns for how many seconds each call to the store has succeeded."""
--- a/src/larkpost/gateway/controllers/fleet_view.py
+++ b/src/larkpost/gateway/controllers/fleet_view.py
@@ -10,12 +10,12 @@
 from larkpost.common.distance import Distance
 from larkpost.common.ids import Address, DaemonId, RegionId, ZoneId
 from larkpost.gateway.blackboard.regions import RegionMap
-from larkpost.gateway.controllers.coordinators import first_choice, is_to_coordinate
+from larkpost.gateway.controllers.coordinators import choose_coordinator, should_coordinate
 from larkpost.gateway.controllers.heartbeat import machine_of
-from larkpost.gateway.controllers.heartbeat_intervals import awaited_interval
+from larkpost.gateway.controllers.heartbeat_intervals import fast_heartbeat_interval
 from larkpost.gateway.controllers.heartbeat_list import HeartbeatList
 
-HEARING_INTERVALS = 3.0
+MAX_LISTING_AGE_INTERVALS = 3.0
 """Intervals without a listing after which an awaited daemon takes it that it hears nothing; fewer
 than those after which others consider it dead (`heartbeat_list.MISSED_HEARTBEATS`)."""
 
@@ -33,14 +33,14 @@
     def __init__(
         self,
         own: DaemonId,
-        known: HeartbeatList,
-        awaited: HeartbeatList,
+        slow_heartbeats: HeartbeatList,
+        fast_heartbeats: HeartbeatList,
         regions: RegionMap,
         clock: Clock,
     ) -> None:
         self.own = own
-        self.known = known
-        self.awaited = awaited
+        self.slow_heartbeats = slow_heartbeats
+        self.fast_heartbeats = fast_heartbeats
         self.is_leaving = False
         self._regions = regions
         self._clock = clock
@@ -51,22 +51,25 @@
     @property
     def listed(self) -> bool:
         """Whether the daemons were listed at least once."""
-        return self.known.listed_at is not None and self.awaited.listed_at is not None
+        return (
+            self.slow_heartbeats.listed_at is not None
+            and self.fast_heartbeats.listed_at is not None
+        )
 
     def age(self) -> float:
         """Returns the seconds since this daemon started."""
         return self._clock.now() - self._started_at
 
-    def is_hearing(self) -> bool:
+    def has_recent_listing(self) -> bool:
         """Returns whether this daemon, if it is awaited, has listed the others a moment ago.
 
         One that has not may be considered dead soon, and another be at its work.
         """
-        listed_at = self.awaited.listed_at
+        listed_at = self.fast_heartbeats.listed_at
         if listed_at is None:
             return False
-        interval = awaited_interval(len(self.awaited.seen))
-        return self._clock.now() - listed_at < HEARING_INTERVALS * interval
+        interval = fast_heartbeat_interval(len(self.fast_heartbeats.seen))
+        return self._clock.now() - listed_at < MAX_LISTING_AGE_INTERVALS * interval
 
     def alive(self) -> frozenset[DaemonId]:
         """Returns the daemons considered alive; this one too, unless it is leaving."""
@@ -86,22 +89,24 @@
         """
         if owner == self.own:
             return not self.is_leaving
-        listed_at = self.awaited.listed_at
+        listed_at = self.fast_heartbeats.listed_at
         if listed_at is None:
             return False
-        seen = self.awaited.seen.get(owner)
+        seen = self.fast_heartbeats.seen.get(owner)
         if seen is not None and seen.heartbeat.leaving:
             return False
         heard_at = max(seen.changed_at, since) if seen is not None else since
         reported = seen.heartbeat.interval if seen is not None else 0.0
-        interval = max(reported, awaited_interval(len(self.awaited.seen)))
-        return listed_at - heard_at < self.awaited.silence_allowed(interval)
+        interval = max(reported, fast_heartbeat_interval(len(self.fast_heartbeats.seen)))
+        return listed_at - heard_at < self.fast_heartbeats.silence_limit(interval)
 
     def is_coordinator(self) -> bool:
         """Returns whether this daemon gives orders and claims batches."""
         return self.own in self._coordinators
 
-    def first_choice(self, key: str, regions: frozenset[RegionId] | None = None) -> DaemonId | None:
+    def choose_coordinator(
+        self, key: str, regions: frozenset[RegionId] | None = None
+    ) -> DaemonId | None:
         """Returns the coordinator that rendezvous hashing names for a key; None if there is none.
 
         Args:
@@ -112,13 +117,13 @@
             for name in self._coordinators
             if regions is None or self.region_of(name) in regions
         ]
-        return first_choice(key, fitting, self._capacities(fitting))
+        return choose_coordinator(key, fitting, self._capacities(fitting))
 
     def region_of(self, daemon: DaemonId) -> RegionId | None:
         """Returns the region of a daemon; None if it is not known."""
         if daemon == self.own:
             return self._regions.own_region
-        seen = self.known.seen.get(daemon)
+        seen = self.slow_heartbeats.seen.get(daemon)
         zone = seen.heartbeat.zone if seen is not None else None
         return self._regions.region_of(zone) if zone is not None else None
 
@@ -126,51 +131,51 @@
         """Returns where the other daemons considered alive make calls, and how far that is."""
         return {
             seen.heartbeat.address: self._regions.distance(seen.heartbeat.zone or ZoneId(""))
-            for name, seen in self.known.seen.items()
+            for name, seen in self.slow_heartbeats.seen.items()
             if seen.heartbeat.address is not None and name in self._alive and name != self.own
         }
 
     def clock_offsets(self) -> list[float]:
         """Returns by how many seconds the clock of each daemon is ahead of the store's."""
-        reported = (seen.heartbeat.clock_offset for seen in self.known.seen.values())
+        reported = (seen.heartbeat.clock_offset for seen in self.slow_heartbeats.seen.values())
         return [offset for offset in reported if offset is not None]
 
     def update(self) -> None:
         """Works out from the lists who is alive, and who of them are the coordinators."""
-        alive = self._heard()
+        alive = self._responsive_daemons()
         alive.discard(self.own)
-        acting = [name for name in alive if self._says_that_it_coordinates(name)]
+        acting = [name for name in alive if self._reports_coordinating(name)]
         if not self.is_leaving:
             alive.add(self.own)
             regions, capacities = self._regions_of(alive), self._capacities(alive)
-            if is_to_coordinate(self.own, regions, self.age(), capacities):
+            if should_coordinate(self.own, regions, self.age(), capacities):
                 acting.append(self.own)
         self._alive = frozenset(alive)
         self._coordinators = tuple(sorted(acting))
 
-    def _heard(self) -> set[DaemonId]:
+    def _responsive_daemons(self) -> set[DaemonId]:
         """Returns the daemons whose heartbeats come."""
         newest = self._newest_incarnations()
-        names = self.known.seen.keys() | self.awaited.seen.keys()
-        return {name for name in names if self._is_heard(name, newest)}
+        names = self.slow_heartbeats.seen.keys() | self.fast_heartbeats.seen.keys()
+        return {name for name in names if self._is_responsive(name, newest)}
 
-    def _is_heard(self, daemon: DaemonId, newest: dict[str, int]) -> bool:
+    def _is_responsive(self, daemon: DaemonId, newest: dict[str, int]) -> bool:
         """Returns whether a daemon's heartbeats come; awaited ones count before known ones."""
-        if daemon in self.awaited.seen:
-            return self.awaited.is_heard(daemon)
-        is_newest = self.known.seen[daemon].version == newest[machine_of(daemon)]
-        return is_newest and self.known.is_heard(daemon)
+        if daemon in self.fast_heartbeats.seen:
+            return self.fast_heartbeats.is_responsive(daemon)
+        is_newest = self.slow_heartbeats.seen[daemon].version == newest[machine_of(daemon)]
+        return is_newest and self.slow_heartbeats.is_responsive(daemon)
 
     def _newest_incarnations(self) -> dict[str, int]:
         """Returns for each machine the newest version of its incarnations' known heartbeats."""
         newest: dict[str, int] = {}
-        for name, seen in self.known.seen.items():
+        for name, seen in self.slow_heartbeats.seen.items():
             machine = machine_of(name)
             newest[machine] = max(seen.version, newest.get(machine, 0))
         return newest
 
-    def _says_that_it_coordinates(self, daemon: DaemonId) -> bool:
-        seen = self.awaited.seen.get(daemon)
+    def _reports_coordinating(self, daemon: DaemonId) -> bool:
+        seen = self.fast_heartbeats.seen.get(daemon)
         return seen is not None and seen.heartbeat.coordinates
 
     def _capacities(self, daemons: Iterable[DaemonId]) -> dict[DaemonId, float | None]:
@@ -178,7 +183,7 @@
         return {name: self._capacity(name) for name in daemons}
 
     def _capacity(self, daemon: DaemonId) -> float | None:
-        seen = self.awaited.seen.get(daemon) or self.known.seen.get(daemon)
+        seen = self.fast_heartbeats.seen.get(daemon) or self.slow_heartbeats.seen.get(daemon)
         return seen.heartbeat.report.capacity if seen is not None else None
 
     def _regions_of(self, daemons: Iterable[DaemonId]) -> dict[DaemonId, RegionId | None]:
--- a/src/larkpost/gateway/controllers/heartbeat_list.py
+++ b/src/larkpost/gateway/controllers/heartbeat_list.py
@@ -24,14 +24,14 @@
 """Calls to the store, as they take now, that are added to the time until a daemon is silent."""
 STORE_CALL_WEIGHT = 0.3
 """Weight of the newest call in the usual time of one."""
-BLIND_INTERVALS = 2.2
+MAX_LISTING_GAP_INTERVALS = 2.2
 """Intervals between two successful listings after which all observations start afresh."""
 UNREADABLE_INTERVAL_SECONDS = 0.25
 """Interval that counts for a row that cannot be read: the shortest that a daemon reports."""
 
 
 @dataclass(slots=True)
-class Observation:
+class ObservedHeartbeat:
     """A daemon's row as last listed.
 
     Attributes:
@@ -65,19 +65,19 @@
     ) -> None:
         self.part = part
         self.listed_at: float | None = None
-        self.seen: dict[DaemonId, Observation] = {}
+        self.seen: dict[DaemonId, ObservedHeartbeat] = {}
         self._store = store
         self._clock = clock
         self._log = log
         self._listener = listener
         self._report_listener = report_listener
-        self._usual_call = 0.0
+        self._typical_call = 0.0
 
     def row_of(self, daemon: DaemonId) -> RowKey:
         """Returns the key of a daemon's row."""
         return RowKey(MEMBER_TABLE, self.part, daemon)
 
-    def silence_allowed(self, interval: float) -> float:
+    def silence_limit(self, interval: float) -> float:
         """Returns the seconds without a heartbeat after which a daemon has fallen silent.
 
         A slow store delays the heartbeat, its listing and what lies between, and blames nobody.
@@ -85,12 +85,12 @@
         Args:
             interval: seconds between the daemon's heartbeats.
         """
-        return MISSED_HEARTBEATS * interval + STORE_CALLS_ALLOWED * self._usual_call
+        return MISSED_HEARTBEATS * interval + STORE_CALLS_ALLOWED * self._typical_call
 
     @property
-    def usual_call(self) -> float:
+    def typical_call_seconds(self) -> float:
         """The seconds that a listing has taken lately."""
-        return self._usual_call
+        return self._typical_call
 
     def silence(self, daemon: DaemonId) -> float:
         """Returns for how many seconds a listed daemon's row has not changed, as of now known."""
@@ -98,14 +98,14 @@
             return 0.0
         return self.listed_at - self.seen[daemon].changed_at
 
-    def is_heard(self, daemon: DaemonId) -> bool:
+    def is_responsive(self, daemon: DaemonId) -> bool:
         """Returns whether a daemon has a row here, has not fallen silent and is not leaving."""
         seen = self.seen.get(daemon)
         if seen is None or seen.heartbeat.leaving:
             return False
-        return self.silence(daemon) < self.silence_allowed(seen.heartbeat.interval)
+        return self.silence(daemon) < self.silence_limit(seen.heartbeat.interval)
 
-    def silent_for(self, seconds: float) -> list[tuple[RowKey, int]]:
+    def rows_silent_for(self, seconds: float) -> list[tuple[RowKey, int]]:
         """Returns the rows, with their versions, that have not changed for as long as this."""
         return [
             (self.row_of(name), seen.version)
@@ -125,24 +125,24 @@
         except StoreUnavailableError:
             return False  # the store's adapter has counted it; nobody is blamed meanwhile
         now = self._clock.now()
-        self._usual_call += STORE_CALL_WEIGHT * (now - asked_at - self._usual_call)
+        self._typical_call += STORE_CALL_WEIGHT * (now - asked_at - self._typical_call)
         gap = now - self.listed_at if self.listed_at is not None else float("inf")
         self.listed_at = now
-        usual_gap = interval + STORE_CALLS_ALLOWED * self._usual_call
-        self._store_rows(page.rows, now, blind=gap > BLIND_INTERVALS * usual_gap)
+        usual_gap = interval + STORE_CALLS_ALLOWED * self._typical_call
+        self._store_rows(page.rows, now, had_gap=gap > MAX_LISTING_GAP_INTERVALS * usual_gap)
         return True
 
-    def _store_rows(self, rows: tuple[Row, ...], now: float, *, blind: bool) -> None:
+    def _store_rows(self, rows: tuple[Row, ...], now: float, *, had_gap: bool) -> None:
         """Stores the rows of all daemons; if ``blind``, none is blamed for the time before."""
         for row in rows:
             name = DaemonId(row.key.key)
             seen = self.seen.get(name)
             if seen is None or seen.version != row.version:
                 heartbeat = self._read(name, row)
-                self.seen[name] = Observation(row.version, now, heartbeat)
+                self.seen[name] = ObservedHeartbeat(row.version, now, heartbeat)
                 self._listener(name, heartbeat.uses)
                 self._report_listener(name, heartbeat.report)
-            elif blind:
+            elif had_gap:
                 seen.changed_at = now
         for name in self.seen.keys() - {row.key.key for row in rows}:
             del self.seen[name]
--- a/src/larkpost/gateway/controllers/heartbeat_writer.py
+++ b/src/larkpost/gateway/controllers/heartbeat_writer.py
@@ -14,17 +14,17 @@
 from larkpost.gateway.controllers.fleet_view import FleetView
 from larkpost.gateway.controllers.heartbeat import Heartbeat, encode_heartbeat
 from larkpost.gateway.controllers.heartbeat_intervals import (
-    HEARTBEAT_SECONDS,
-    awaited_interval,
-    known_interval,
+    FAST_HEARTBEAT_SECONDS,
+    fast_heartbeat_interval,
     shortage_factor,
+    slow_heartbeat_interval,
 )
 from larkpost.gateway.controllers.heartbeat_list import HeartbeatList
 from larkpost.gateway.store.port import Store, Transaction, WriteOutcome
 
-STAY_SECONDS = 5.0
+FAST_HEARTBEAT_LINGER_SECONDS = 5.0
 """Seconds for which a daemon stays awaited after its last reason: the next step's batch is near."""
-MOST_REPORTED_CALL_SECONDS = 0.4
+MAX_REPORTED_CALL_SECONDS = 0.4
 """Most seconds of a call by which a daemon reports its interval longer: a full link between regions
 takes 0.3 s. Others wait 3.2 times as long for it, so more would hold up its batches once it is
 dead."""
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OwnDaemon:
+class LocalDaemon:
     """This daemon, as it shows itself to the others.
 
     Attributes:
@@ -66,80 +66,82 @@
     """Keeps this daemon's rows current."""
 
     def __init__(
-        self, own: OwnDaemon, view: FleetView, regions: RegionMap, store: Store, clock: Clock
+        self, own: LocalDaemon, view: FleetView, regions: RegionMap, store: Store, clock: Clock
     ) -> None:
         self._own = own
         self._view = view
         self._regions = regions
         self._store = store
         self._clock = clock
-        self._known_written_at: float | None = None
-        self._awaited_written_at: float | None = None
-        self._awaited_until = float("-inf")
+        self._slow_written_at: float | None = None
+        self._fast_written_at: float | None = None
+        self._fast_until = float("-inf")
 
-    def is_awaited(self) -> bool:
+    def needs_fast_heartbeats(self) -> bool:
         """Returns whether others wait for this daemon, or did a moment ago."""
         now = self._clock.now()
         if self._view.is_coordinator() or self._own.is_owner():
-            self._awaited_until = now + STAY_SECONDS
-        return now < self._awaited_until
+            self._fast_until = now + FAST_HEARTBEAT_LINGER_SECONDS
+        return now < self._fast_until
 
     async def write_due(self) -> None:
         """Writes the heartbeats that are due, and removes the awaited one if nobody awaits it."""
         if self._view.is_leaving:
             return
-        if self.is_awaited():
-            if is_due(self._awaited_written_at, self._awaited_interval(), self._clock.now()):
-                await self._write_awaited()
-        elif self._awaited_written_at is not None:
-            await self._remove_awaited()
-        known_interval = self._known_interval() * shortage_factor(
+        if self.needs_fast_heartbeats():
+            if is_due(self._fast_written_at, self._fast_interval(), self._clock.now()):
+                await self._write_fast()
+        elif self._fast_written_at is not None:
+            await self._remove_fast()
+        slow_heartbeat_interval = self._slow_interval() * shortage_factor(
             has_shortage=self._own.has_shortage()
         )
-        if is_due(self._known_written_at, known_interval, self._clock.now()):
-            await self._write_known()
+        if is_due(self._slow_written_at, slow_heartbeat_interval, self._clock.now()):
+            await self._write_slow()
 
     async def write_last(self) -> None:
         """Removes the known heartbeat, and says in the awaited one that this daemon is leaving."""
-        await self._write(Transaction(removals=(self._view.known.row_of(self._own.id),)))
-        if self._awaited_written_at is not None:
-            await self._put(self._view.awaited, Heartbeat(HEARTBEAT_SECONDS, leaving=True))
+        await self._write(Transaction(removals=(self._view.slow_heartbeats.row_of(self._own.id),)))
+        if self._fast_written_at is not None:
+            await self._put(
+                self._view.fast_heartbeats, Heartbeat(FAST_HEARTBEAT_SECONDS, leaving=True)
+            )
 
-    def _awaited_interval(self) -> float:
-        return awaited_interval(len(self._view.awaited.seen))
+    def _fast_interval(self) -> float:
+        return fast_heartbeat_interval(len(self._view.fast_heartbeats.seen))
 
-    def _known_interval(self) -> float:
-        return known_interval(len(self._view.alive()))
+    def _slow_interval(self) -> float:
+        return slow_heartbeat_interval(len(self._view.alive()))
 
-    async def _write_known(self) -> None:
-        self._known_written_at = self._clock.now()
+    async def _write_slow(self) -> None:
+        self._slow_written_at = self._clock.now()
         heartbeat = Heartbeat(
-            self._known_interval(),
+            self._slow_interval(),
             address=self._own.address,
             clock_offset=self._own.clock_offset(),
             zone=self._regions.own_zone,
             report=self._own.report(),
         )
-        await self._put(self._view.known, heartbeat)
+        await self._put(self._view.slow_heartbeats, heartbeat)
 
-    async def _write_awaited(self) -> None:
-        self._awaited_written_at = self._clock.now()
-        call = min(self._view.awaited.usual_call, MOST_REPORTED_CALL_SECONDS)
-        interval = round(self._awaited_interval() + call, 3)
+    async def _write_fast(self) -> None:
+        self._fast_written_at = self._clock.now()
+        call = min(self._view.fast_heartbeats.typical_call_seconds, MAX_REPORTED_CALL_SECONDS)
+        interval = round(self._fast_interval() + call, 3)
         is_acting = self._view.is_coordinator()
         report = replace(self._own.report(), paces=self._own.paces())
         await self._put(
-            self._view.awaited,
+            self._view.fast_heartbeats,
             Heartbeat(interval, self._own.use(), coordinates=is_acting, report=report),
         )
 
-    async def _remove_awaited(self) -> None:
+    async def _remove_fast(self) -> None:
         """Removes the awaited heartbeat; until that is done it goes on, as others count on it."""
-        removal = Transaction(removals=(self._view.awaited.row_of(self._own.id),))
+        removal = Transaction(removals=(self._view.fast_heartbeats.row_of(self._own.id),))
         if await self._write(removal) is WriteOutcome.DONE:
-            self._awaited_written_at = None
+            self._fast_written_at = None
         else:
-            await self._write_awaited()
+            await self._write_fast()
 
     async def _put(self, rows: HeartbeatList, heartbeat: Heartbeat) -> None:
         put = (rows.row_of(self._own.id), encode_heartbeat(heartbeat))
--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -16,20 +16,20 @@
 from larkpost.gateway.blackboard.weight_targets import Demands, ModelDemand, Outlook
 from larkpost.gateway.controllers.model_assignment import MIN_ENGINES_PER_MODEL, Assignment
 
-WAITED_SECONDS = 0.5
+TRAINER_BLOCKED_SECONDS = 0.5
 """A batch that comes within so many seconds of its model's version had to wait for it."""
-LEISURE_SECONDS = 1.5
+TRAINER_SLACK_SECONDS = 1.5
 """A trainer whose batches come so long after their versions has time to spare."""
-LENT_SHARE = 0.4
+MAX_LENT_FRACTION = 0.4
 """Share of its engines that a model lends at most: its own batches must stay in time."""
 
 
-class Standing(StrEnum):
+class LendingRole(StrEnum):
     """What a model does when engines are lent."""
 
-    LENDS = "lends"
-    BORROWS = "borrows"
-    NEITHER = "neither"
+    LENDER = "lends"
+    BORROWER = "borrows"
+    NONE = "neither"
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,44 +38,44 @@
 
     lent: dict[ModelName, list[InstanceId]] = field(default_factory=dict)
 
-    def first_engines(self, division: Assignment) -> Assignment:
+    def preferred_engines(self, assignment: Assignment) -> Assignment:
         """Returns the engines whose first places are each model's: no engine is two models'."""
-        gone = {engine for engines in self.lent.values() for engine in engines}
+        lent_away = {engine for engines in self.lent.values() for engine in engines}
         return {
-            model: [engine for engine in engines if engine not in gone] + self._borrowed(model)
-            for model, engines in division.items()
+            model: [engine for engine in engines if engine not in lent_away] + self._borrowed(model)
+            for model, engines in assignment.items()
         }
 
-    def holders(self, division: Assignment) -> Assignment:
+    def loading_engines(self, assignment: Assignment) -> Assignment:
         """Returns the engines that load each model's versions, in the order of loading."""
         return {
             model: sorted(engines + self._borrowed(model), key=hash64)
             if model in self.lent
             else engines
-            for model, engines in division.items()
+            for model, engines in assignment.items()
         }
 
     def _borrowed(self, model: ModelName) -> list[InstanceId]:
         return self.lent.get(model, [])
 
 
-def standing_of(demand: ModelDemand) -> Standing:
+def lending_role(demand: ModelDemand) -> LendingRole:
     """Returns what a model does, by how its trainer asks, and by whether its batches are hopeless.
 
     Both hold for whole steps. Whether a batch is tight does not: it gets places, and is so no more.
     """
     if demand.outlook is Outlook.HOPELESS:
-        return Standing.LENDS  # what can't be in time comes after what can
-    if demand.asked_after is not None and demand.asked_after < WAITED_SECONDS:
-        return Standing.BORROWS
-    has_leisure = (
-        demand.least_asked_after is not None and demand.least_asked_after >= LEISURE_SECONDS
+        return LendingRole.LENDER  # what can't be in time comes after what can
+    if demand.asked_after is not None and demand.asked_after < TRAINER_BLOCKED_SECONDS:
+        return LendingRole.BORROWER
+    has_slack = (
+        demand.least_asked_after is not None and demand.least_asked_after >= TRAINER_SLACK_SECONDS
     )
-    return Standing.LENDS if has_leisure else Standing.NEITHER
+    return LendingRole.LENDER if has_slack else LendingRole.NONE
 
 
-def lend(
-    division: Assignment,
+def plan_lending(
+    assignment: Assignment,
     demands: Demands,
     version_of: Callable[[InstanceId, ModelName], int],
 ) -> Lending:
@@ -88,27 +88,29 @@
         division: the engines of each model, each of one model only.
         version_of: returns the version of a model that an engine holds.
     """
-    known = {model: demands.get(model, ModelDemand()) for model in division}
-    offers = _offers(division, known)
-    wishes: dict[ModelName, Iterator[InstanceId]] = {
-        model: iter(_in_order_of_choice(model, offers, demand, version_of))
+    known = {model: demands.get(model, ModelDemand()) for model in assignment}
+    offers = _lendable_engines(assignment, known)
+    candidates: dict[ModelName, Iterator[InstanceId]] = {
+        model: iter(_by_preference(model, offers, demand, version_of))
         for model, demand in known.items()
-        if standing_of(demand) is Standing.BORROWS
+        if lending_role(demand) is LendingRole.BORROWER
     }
-    lent: dict[ModelName, list[InstanceId]] = {model: [] for model in wishes}
+    lent: dict[ModelName, list[InstanceId]] = {model: [] for model in candidates}
     taken: set[InstanceId] = set()
-    while wishes:
-        borrower = min(wishes, key=lambda model: _need(model, division, demands, lent))
-        engine = next((name for name in wishes[borrower] if name not in taken), None)
+    while candidates:
+        borrower = min(
+            candidates, key=lambda model: _borrowing_order(model, assignment, demands, lent)
+        )
+        engine = next((name for name in candidates[borrower] if name not in taken), None)
         if engine is None:
-            del wishes[borrower]
+            del candidates[borrower]
         else:
             taken.add(engine)
             lent[borrower].append(engine)
     return Lending({model: engines for model, engines in lent.items() if engines})
 
 
-def models_that_yield(models: Iterable[ModelName], demands: Demands) -> frozenset[ModelName]:
+def yielding_models(models: Iterable[ModelName], demands: Demands) -> frozenset[ModelName]:
     """Returns the models whose batches leave places that fall free to those of others.
 
     They do while they have time to spare, or can't be in time, and items of a batch of another
@@ -116,41 +118,41 @@
     theirs still.
     """
     known = {model: demands.get(model, ModelDemand()) for model in models}
-    needy = [
+    waiting_priorities = [
         demand.priority for demand in known.values() if demand.waiting and _is_short_of_time(demand)
     ]
     return frozenset(
         model
         for model, demand in known.items()
-        if standing_of(demand) is Standing.LENDS
+        if lending_role(demand) is LendingRole.LENDER
         and not _is_short_of_time(demand)
-        and needy
-        and min(needy) <= demand.priority
+        and waiting_priorities
+        and min(waiting_priorities) <= demand.priority
     )
 
 
 def _is_short_of_time(demand: ModelDemand) -> bool:
-    return demand.outlook is Outlook.TIGHT or standing_of(demand) is Standing.BORROWS
+    return demand.outlook is Outlook.TIGHT or lending_role(demand) is LendingRole.BORROWER
 
 
-def _offers(
-    division: Assignment, demands: Mapping[ModelName, ModelDemand]
+def _lendable_engines(
+    assignment: Assignment, demands: Mapping[ModelName, ModelDemand]
 ) -> dict[InstanceId, int]:
     """Returns the engines that may be lent, with the priorities of the models that lend them.
 
     An engine of two models is nobody's to lend.
     """
-    holdings = Counter(engine for engines in division.values() for engine in engines)
+    holdings = Counter(engine for engines in assignment.values() for engine in engines)
     offers: dict[InstanceId, int] = {}
-    for model, engines in division.items():
-        if standing_of(demands[model]) is Standing.LENDS:
-            count = min(int(len(engines) * LENT_SHARE), len(engines) - MIN_ENGINES_PER_MODEL)
+    for model, engines in assignment.items():
+        if lending_role(demands[model]) is LendingRole.LENDER:
+            count = min(int(len(engines) * MAX_LENT_FRACTION), len(engines) - MIN_ENGINES_PER_MODEL)
             free = [engine for engine in engines if holdings[engine] == 1]
             offers |= dict.fromkeys(free[: max(0, count)], demands[model].priority)
     return offers
 
 
-def _in_order_of_choice(
+def _by_preference(
     model: ModelName,
     offers: Mapping[InstanceId, int],
     demand: ModelDemand,
@@ -161,12 +163,12 @@
     return sorted(allowed, key=lambda engine: (-version_of(engine, model), hash64(engine)))
 
 
-def _need(
+def _borrowing_order(
     model: ModelName,
-    division: Assignment,
+    assignment: Assignment,
     demands: Demands,
     lent: Mapping[ModelName, list[InstanceId]],
 ) -> tuple[float, ModelName]:
     """Returns by what a borrower comes before others; the least of these chooses next."""
     work = demands.get(model, ModelDemand()).work
-    return -work / (len(division[model]) + len(lent[model]) + 1), model
+    return -work / (len(assignment[model]) + len(lent[model]) + 1), model
--- a/src/larkpost/gateway/controllers/members.py
+++ b/src/larkpost/gateway/controllers/membership.py
@@ -18,27 +18,27 @@
 from larkpost.gateway.controllers.fleet_view import FleetView
 from larkpost.gateway.controllers.heartbeat import machine_of
 from larkpost.gateway.controllers.heartbeat_intervals import (
-    HEARTBEAT_SECONDS,
-    awaited_interval,
-    known_listing_interval,
+    FAST_HEARTBEAT_SECONDS,
+    fast_heartbeat_interval,
     shortage_factor,
+    slow_listing_interval,
 )
 from larkpost.gateway.controllers.heartbeat_list import HeartbeatList
 from larkpost.gateway.controllers.heartbeat_writer import (
     WRITE_TIMEOUT_SECONDS,
     HeartbeatWriter,
-    OwnDaemon,
+    LocalDaemon,
     is_due,
 )
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.store.port import RowKey, Store, Transaction
 
-KNOWN_PART = "known"
+SLOW_HEARTBEAT_PART = "known"
 """Part of the store that has the known heartbeats; see `heartbeat_intervals`."""
-AWAITED_PART = "awaited"
+FAST_HEARTBEAT_PART = "awaited"
 """Part of the store that has the awaited heartbeats."""
-FORGET_AFTER_SECONDS = 60.0
+ROW_RETENTION_SECONDS = 60.0
 """Seconds of silence after which a daemon's rows are removed. Far above any outage that its machine
 survives."""
 MAX_REMOVALS = 40
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        own: OwnDaemon,
+        own: LocalDaemon,
         store: Store,
         instruments: Instruments,
         regions: RegionMap,
@@ -70,13 +70,13 @@
         report_listener: Callable[[DaemonId, DaemonReport], None] = _ignore,
     ) -> None:
         clock, log = instruments.clock, instruments.log
-        known = HeartbeatList(
-            store, clock, log, KNOWN_PART, report_listener=self._record_known_report
+        slow_heartbeats = HeartbeatList(
+            store, clock, log, SLOW_HEARTBEAT_PART, report_listener=self._record_slow_report
         )
-        awaited = HeartbeatList(
-            store, clock, log, AWAITED_PART, self._record_use, self._record_awaited_report
+        fast_heartbeats = HeartbeatList(
+            store, clock, log, FAST_HEARTBEAT_PART, self._record_use, self._record_fast_report
         )
-        super().__init__(own.id, known, awaited, regions, clock)
+        super().__init__(own.id, slow_heartbeats, fast_heartbeats, regions, clock)
         self._store = store
         self._log = log
         self._listener = listener
@@ -88,12 +88,12 @@
 
     def start(self, tasks: TaskSet) -> None:
         """Starts the heartbeats and the listings."""
-        tasks.every(HEARTBEAT_SECONDS, self._writer.write_due, "heartbeat")
-        tasks.every(HEARTBEAT_SECONDS, self._list, "members")
+        tasks.every(FAST_HEARTBEAT_SECONDS, self._writer.write_due, "heartbeat")
+        tasks.every(FAST_HEARTBEAT_SECONDS, self._refresh_lists, "members")
 
     async def refresh(self) -> None:
         """Learns at once what the awaited daemons use, before this one joins them."""
-        if await self.awaited.update(self._awaited_listing_interval()):
+        if await self.fast_heartbeats.update(self._fast_listing_interval()):
             self.update()
 
     async def leave(self) -> None:
@@ -106,29 +106,29 @@
         if daemon != self.own:
             self._listener(daemon, use)
 
-    def _record_known_report(self, daemon: DaemonId, report: DaemonReport) -> None:
+    def _record_slow_report(self, daemon: DaemonId, report: DaemonReport) -> None:
         """Passes on what a known heartbeat reports, unless the awaited one comes more often."""
-        if daemon != self.own and daemon not in self.awaited.seen:
+        if daemon != self.own and daemon not in self.fast_heartbeats.seen:
             self._report_listener(daemon, report)
 
-    def _record_awaited_report(self, daemon: DaemonId, report: DaemonReport) -> None:
+    def _record_fast_report(self, daemon: DaemonId, report: DaemonReport) -> None:
         if daemon != self.own:
             self._report_listener(daemon, report)
 
-    def _known_listing_interval(self) -> float:
-        usual = known_listing_interval(len(self.known.seen), self.age())
+    def _slow_listing_interval(self) -> float:
+        usual = slow_listing_interval(len(self.slow_heartbeats.seen), self.age())
         return usual * shortage_factor(has_shortage=self._has_shortage())
 
-    def _awaited_listing_interval(self) -> float:
-        if self._writer.is_awaited():
-            return awaited_interval(len(self.awaited.seen))
-        return self._known_listing_interval()
+    def _fast_listing_interval(self) -> float:
+        if self._writer.needs_fast_heartbeats():
+            return fast_heartbeat_interval(len(self.fast_heartbeats.seen))
+        return self._slow_listing_interval()
 
-    async def _list(self) -> None:
+    async def _refresh_lists(self) -> None:
         is_changed = False
         for rows, interval in (
-            (self.awaited, self._awaited_listing_interval()),
-            (self.known, self._known_listing_interval()),
+            (self.fast_heartbeats, self._fast_listing_interval()),
+            (self.slow_heartbeats, self._slow_listing_interval()),
         ):
             if is_due(rows.listed_at, interval, self._clock.now()) and await rows.update(interval):
                 is_changed = True
@@ -143,8 +143,8 @@
         The latter are removed by one daemon, so that calls are few.
         """
         old = self._rows_of_earlier_incarnations(rows)
-        if self.first_choice("forget") == self.own:
-            old |= dict(rows.silent_for(FORGET_AFTER_SECONDS)[:MAX_REMOVALS])
+        if self.choose_coordinator("forget") == self.own:
+            old |= dict(rows.rows_silent_for(ROW_RETENTION_SECONDS)[:MAX_REMOVALS])
         if old:
             removal = Transaction(conditions=tuple(old.items()), removals=tuple(old))
             await self._store.write(removal, WRITE_TIMEOUT_SECONDS)
@@ -161,7 +161,9 @@
     def _log_changes(self) -> None:
         """Logs who is newly considered alive or dead, and whether this daemon coordinates now."""
         for name in sorted(self.alive() ^ self._logged_alive):
-            rows = self.awaited if name in self.awaited.seen else self.known
+            rows = (
+                self.fast_heartbeats if name in self.fast_heartbeats.seen else self.slow_heartbeats
+            )
             age = round(rows.silence(name), 3) if name in rows.seen else None
             state = "alive" if name in self.alive() else "dead"
             self._log.record(Event.MEMBER, member=name, state=state, heartbeat_age=age)
@@ -172,5 +174,5 @@
                 Event.COORDINATOR,
                 acting=self._logged_coordinator,
                 alive=len(self.alive()),
-                interval=awaited_interval(len(self.awaited.seen)),
+                interval=fast_heartbeat_interval(len(self.fast_heartbeats.seen)),
             )
--- a/src/larkpost/gateway/controllers/model_assignment.py
+++ b/src/larkpost/gateway/controllers/model_assignment.py
@@ -13,21 +13,21 @@
 from larkpost.gateway.blackboard.configuration import ModelName, Service
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
 from larkpost.gateway.blackboard.weight_targets import Demands, ModelDemand
-from larkpost.gateway.controllers.engine_speeds import speed, steps_slower
+from larkpost.gateway.controllers.engine_speeds import relative_speed, slowdown_steps
 
-KEPT_BEHIND = 1
+MAX_VERSIONS_BEHIND = 1
 """Versions by which an engine that a model keeps may be behind the model's newest engine."""
 MIN_ENGINES_PER_MODEL = 2
 """Engines that each model gets at least, so that it is served while one of them is lost or loads.
 The least number for which that holds."""
 
-PaceOf = Callable[[InstanceId], float]
+ServiceTimeLookup = Callable[[InstanceId], float]
 """Returns the seconds that an event lastingly takes at an engine; 0 if that is not known."""
 Assignment = dict[ModelName, list[InstanceId]]
 """For each model its engines, in the order in which they load new versions."""
 
 
-def unknown_pace(_engine: InstanceId) -> float:
+def unknown_service_time(_engine: InstanceId) -> float:
     """Returns that a pace is not known."""
     return 0.0
 
@@ -44,7 +44,7 @@
 
     negative_version: int  # the newest version first, so that a division once made stays
     other_models: int  # of those the one that no other model keeps, as one lent to this model
-    steps_slower: int  # of those the fastest
+    slowdown_steps: int  # of those the fastest
     rank: int  # the same for all daemons
 
 
@@ -53,7 +53,7 @@
     engines: list[InstanceInfo],
     directory: Directory,
     demands: Demands,
-    pace: PaceOf = unknown_pace,
+    service_time: ServiceTimeLookup = unknown_service_time,
 ) -> Assignment:
     """Divides the engines of a service among its models by the work their batches bring.
 
@@ -64,20 +64,20 @@
     Args:
         pace: returns the lasting pace of an engine; while paces are not known all count alike.
     """
-    steps = steps_slower({engine.id: pace(engine.id) for engine in engines})
-    kept_by = _models_kept(service, engines, directory)
+    steps = slowdown_steps({engine.id: service_time(engine.id) for engine in engines})
+    current_models = _current_models(service, engines, directory)
     preferences = {
-        model: _Preferences(_in_order_of_choice(model, directory, steps, kept_by))
+        model: _Preferences(_by_preference(model, directory, steps, current_models))
         for model in service.models
     }
-    capacities = {engine: speed(count) for engine, count in steps.items()}
-    division = _Division(_work_of_models(service, demands), preferences, capacities)
+    capacities = {engine: relative_speed(count) for engine, count in steps.items()}
+    builder = _AssignmentBuilder(_work_of_models(service, demands), preferences, capacities)
     enough = min(MIN_ENGINES_PER_MODEL, len(engines))
-    while engines and division.chosen and division.choose_next(enough):
+    while engines and builder.chosen and builder.choose_next(enough):
         pass
-    for engine_ids in division.chosen.values():
+    for engine_ids in builder.chosen.values():
         engine_ids.sort(key=hash64)
-    return division.chosen
+    return builder.chosen
 
 
 def split_evacuated(
@@ -85,8 +85,8 @@
 ) -> tuple[list[InstanceInfo], list[InstanceInfo]]:
     """Returns the engines that get work, and those in evacuated zones, which get none."""
     serving = [info for info in engines if info.zone not in evacuated]
-    resting = [info for info in engines if info.zone in evacuated]
-    return serving, resting
+    evacuated_engines = [info for info in engines if info.zone in evacuated]
+    return serving, evacuated_engines
 
 
 def _work_of_models(service: Service, demands: Demands) -> dict[ModelName, int]:
@@ -99,7 +99,7 @@
     return {model: work or most for model, work in known.items()}
 
 
-def _models_kept(
+def _current_models(
     service: Service, engines: list[InstanceInfo], directory: Directory
 ) -> dict[InstanceId, frozenset[ModelName]]:
     """Returns for each engine the models of which it holds the newest version, or nearly so."""
@@ -111,17 +111,17 @@
         engine.id: frozenset(
             model
             for model in service.models
-            if directory.version_of(engine.id, model) >= newest[model] - KEPT_BEHIND
+            if directory.version_of(engine.id, model) >= newest[model] - MAX_VERSIONS_BEHIND
         )
         for engine in engines
     }
 
 
-def _in_order_of_choice(
+def _by_preference(
     model: ModelName,
     directory: Directory,
     steps: Mapping[InstanceId, int],
-    kept_by: Mapping[InstanceId, frozenset[ModelName]],
+    current_models: Mapping[InstanceId, frozenset[ModelName]],
 ) -> list[InstanceId]:
     """Returns the engines as a model prefers them among those with equally many models.
 
@@ -133,8 +133,8 @@
     def order(engine: InstanceId) -> _EngineOrder:
         return _EngineOrder(
             negative_version=-directory.version_of(engine, model),
-            other_models=len(kept_by[engine] - {model}),
-            steps_slower=steps[engine],
+            other_models=len(current_models[engine] - {model}),
+            slowdown_steps=steps[engine],
             rank=hash64(engine),
         )
 
@@ -175,7 +175,7 @@
         return None
 
 
-class _Division:
+class _AssignmentBuilder:
     """A division under way.
 
     Args:
@@ -199,7 +199,7 @@
         self._capacities = capacities
         self._capacity_of_model = dict.fromkeys(work, 0.0)
         self._models_held = dict.fromkeys(capacities, 0)
-        self._unheld = len(capacities)
+        self._unassigned_count = len(capacities)
 
     def choose_next(self, enough: int) -> bool:
         """Gives one engine to one model; returns whether there was anything left to do.
@@ -208,14 +208,14 @@
             enough: engines that each model gets at least.
         """
         lacking = [model for model in self.chosen if len(self.chosen[model]) < enough]
-        if not lacking and not self._unheld:
+        if not lacking and not self._unassigned_count:
             return False
         model = min(lacking or self.chosen, key=self._model_order)
         engine = self._preferences[model].take(self._models_held)
         if engine is None:
             return False
         self.chosen[model].append(engine)
-        self._unheld -= not self._models_held[engine]
+        self._unassigned_count -= not self._models_held[engine]
         self._models_held[engine] += 1
         self._capacity_of_model[model] += self._capacities[engine]
         return True
--- a/src/larkpost/gateway/controllers/row_intake.py
+++ b/src/larkpost/gateway/controllers/row_recorder.py
@@ -18,7 +18,7 @@
 from larkpost.gateway.observability.metrics import Count
 from larkpost.gateway.store.port import Row
 
-LAPSED_SECONDS = 2.2
+EXPIRY_CONFIRMATION_SECONDS = 2.2
 """Seconds for which the store must have been sound for a missing entry to be gone for good."""
 
 
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InstanceTrust:
+class RemovalTrust:
     """How far what is read of instances is believed; durations in seconds.
 
     Attributes:
@@ -57,7 +57,7 @@
 
     sound_for: Callable[[], float]
     trust_after: Callable[[], float]
-    had_whole_list: Callable[[], bool]
+    has_full_listing: Callable[[], bool]
 
     def is_removal_believed(self) -> bool:
         """Returns whether an instance has ended if its entry is gone."""
@@ -76,7 +76,7 @@
     is_new: bool
 
 
-class RowIntake:
+class RowRecorder:
     """Records rows, and logs what changes by them.
 
     A row that cannot be read is passed over; what stood in it before goes on to hold, but for an
@@ -88,7 +88,7 @@
         readers: RowReaders,
         blackboard: Blackboard,
         instruments: Instruments,
-        trust: InstanceTrust,
+        trust: RemovalTrust,
     ) -> None:
         self._readers = readers
         self._configuration = blackboard.configuration
@@ -98,14 +98,14 @@
         self._clock = instruments.clock
         self._log = instruments.log
         self._metrics = instruments.metrics
-        self._unnamed: dict[InstanceName, _Entry] = {}
+        self._pending_entries: dict[InstanceName, _Entry] = {}
         """Entries whose service no configuration has named; they are no servers to use."""
         self._trust = trust
         self._cold = blackboard.cold
 
-    async def drop_lapsed(self) -> None:
+    async def drop_expired_entries(self) -> None:
         """Gives up instances whose entries lapsed while the store was away and are not back."""
-        if self._trust.sound_for() < LAPSED_SECONDS:
+        if self._trust.sound_for() < EXPIRY_CONFIRMATION_SECONDS:
             return
         for instance in self._directory.drop_unlisted():
             self._log.record(Event.INSTANCE, instance=instance, state="gone", sound=True)
@@ -134,10 +134,10 @@
         if not self._configuration.update(configuration):
             return
         self._log.record(Event.CONFIGURATION, version=configuration.version)
-        self._take_named()
+        self._apply_pending()
         if is_first:
-            for entry in self._unnamed.values():
-                self._record_unnamed(entry.info)
+            for entry in self._pending_entries.values():
+                self._record_unknown_service(entry.info)
 
     def _record_evacuation(self, evacuation: ZoneEvacuation) -> None:
         now = self._clock.now()
@@ -153,7 +153,7 @@
     def record_instance_row(self, row: Row) -> None:
         """Records an instance's entry, or that it is gone."""
         name = InstanceName(row.key.key)
-        self._unnamed.pop(name, None)
+        self._pending_entries.pop(name, None)
         if row.removed:
             sound = self._trust.is_removal_believed()
             self._directory.remove(name, sound=sound)
@@ -162,40 +162,40 @@
         try:
             info = self._readers.instance(row)
         except ValueError as error:
-            self._record_spoiled(name, str(error))
+            self._record_unreadable(name, str(error))
             return
-        entry = _Entry(info, is_new=self._trust.had_whole_list())
-        if self._is_service_named(info):
-            self._take(entry)
+        entry = _Entry(info, is_new=self._trust.has_full_listing())
+        if self._is_service_known(info):
+            self._apply(entry)
         else:
-            self._unnamed[name] = entry
+            self._pending_entries[name] = entry
             if self._configuration.current is not None:
-                self._record_unnamed(info)
+                self._record_unknown_service(info)
 
-    def _record_spoiled(self, name: InstanceName, error: str) -> None:
+    def _record_unreadable(self, name: InstanceName, error: str) -> None:
         """Records that an entry names no server to use; it was perhaps another writer's."""
         self._directory.drop_unreadable(name)
         self._metrics.count(Count.SPOILED_ENTRIES)
         self._log.record(Event.UNREADABLE, row=name, error=error)
 
-    def _record_unnamed(self, info: InstanceInfo) -> None:
-        self._record_spoiled(info.name, f"no configuration names service {info.service}")
+    def _record_unknown_service(self, info: InstanceInfo) -> None:
+        self._record_unreadable(info.name, f"no configuration names service {info.service}")
 
-    def _is_service_named(self, info: InstanceInfo) -> bool:
+    def _is_service_known(self, info: InstanceInfo) -> bool:
         """Returns whether a configuration names an instance's service, or has named it before."""
         known = self._directory.named(info.name)
         was_named = known is not None and known.service == info.service
         current = self._configuration.current
         return was_named or (current is not None and info.service in current.services)
 
-    def _take_named(self) -> None:
+    def _apply_pending(self) -> None:
         """Takes the entries whose services the configuration names now."""
-        for name, entry in list(self._unnamed.items()):
-            if self._is_service_named(entry.info):
-                del self._unnamed[name]
-                self._take(entry)
+        for name, entry in list(self._pending_entries.items()):
+            if self._is_service_known(entry.info):
+                del self._pending_entries[name]
+                self._apply(entry)
 
-    def _take(self, entry: _Entry) -> None:
+    def _apply(self, entry: _Entry) -> None:
         """Stores an entry that names a server to use."""
         info = entry.info
         known = self._directory.named(info.name)
--- a/src/larkpost/gateway/controllers/loader.py
+++ b/src/larkpost/gateway/controllers/weight_loader.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.blackboard.weight_targets import WeightTarget
 from larkpost.gateway.controllers.coordination import Coordination
-from larkpost.gateway.controllers.division import EngineDivision
+from larkpost.gateway.controllers.engine_allocator import EngineAllocator
 from larkpost.gateway.controllers.leases import Duty, Lease, LeaseSubject
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
@@ -33,9 +33,9 @@
 """Seconds for an engine's report."""
 ORDER_TIMEOUT_SECONDS = 0.4
 """Seconds for an engine's response to an order; under `leases.USE_SECONDS`."""
-TAKEN_SECONDS = 2.5
+ACCEPTED_RECHECK_SECONDS = 2.5
 """Seconds after an order was taken before the engine is checked again: it loads."""
-UNANSWERED_SECONDS = 0.6
+UNANSWERED_RECHECK_SECONDS = 0.6
 """The same after an order without a response: it may have been lost, or come late."""
 RETRY_SECONDS = 0.4
 """The same after an order that was refused or could not be given."""
@@ -47,22 +47,22 @@
     def __init__(
         self,
         blackboard: Blackboard,
-        division: EngineDivision,
+        allocator: EngineAllocator,
         coordination: Coordination,
         servers: ServerPort,
         instruments: Instruments,
     ) -> None:
         self._configuration = blackboard.configuration
         self._directory = blackboard.directory
-        self._division = division
+        self._allocator = allocator
         self._coordination = coordination
         self._servers = servers
         self._clock = instruments.clock
         self._log = instruments.log
         self._metrics = instruments.metrics
         self._tasks: TaskSet | None = None
-        self._next_try: dict[InstanceId, float] = {}
-        self._under_way: set[InstanceId] = set()
+        self._next_attempt: dict[InstanceId, float] = {}
+        self._in_progress: set[InstanceId] = set()
         blackboard.directory.add_end_listener(self._forget)
 
     def start(self, tasks: TaskSet) -> None:
@@ -72,7 +72,7 @@
 
     def _forget(self, engine: InstanceId) -> None:
         """Forgets an engine that has ended; its next incarnation is checked at once."""
-        self._next_try.pop(engine, None)
+        self._next_attempt.pop(engine, None)
 
     def _interval(self) -> float:
         return INTERVAL_SECONDS if self._coordination.is_coordinator() else IDLE_INTERVAL_SECONDS
@@ -87,17 +87,17 @@
         for service in configuration.services.values():
             if not service.models:
                 continue
-            for engine, target in self._division.due(service, self._clock.now()):
+            for engine, target in self._allocator.due(service, self._clock.now()):
                 if self._should_order(engine):
-                    self._under_way.add(engine)
+                    self._in_progress.add(engine)
                     self._tasks.spawn(self._order(service, engine, target), "order")
 
     def _should_order(self, engine: InstanceId) -> bool:
-        if engine in self._under_way:
+        if engine in self._in_progress:
             return False
-        if self._clock.now() < self._next_try.get(engine, 0.0):
+        if self._clock.now() < self._next_attempt.get(engine, 0.0):
             return False
-        return self._coordination.is_chosen(f"engine\x00{engine}")
+        return self._coordination.is_responsible_for(f"engine\x00{engine}")
 
     async def _order(self, service: Service, engine: InstanceId, target: WeightTarget) -> None:
         pause = RETRY_SECONDS
@@ -107,8 +107,8 @@
                 pause = await self._order_once(service, info, target)
         finally:
             if self._directory.get(engine) is not None:
-                self._next_try[engine] = self._clock.now() + pause
-            self._under_way.discard(engine)
+                self._next_attempt[engine] = self._clock.now() + pause
+            self._in_progress.discard(engine)
 
     async def _order_once(
         self, service: Service, engine: InstanceInfo, target: WeightTarget
@@ -118,7 +118,7 @@
         if report is None:
             self._record_no_order(engine, target, "no_report")
             return RETRY_SECONDS
-        if is_of_another_start(report, engine):
+        if is_of_other_incarnation(report, engine):
             self._record_no_order(engine, target, "restarted")
             return RETRY_SECONDS
         if report.busy:
@@ -141,7 +141,7 @@
         if lease is None:
             self._record_no_order(engine, target, "no_lease")
             return None
-        if lease.has_lapsed(self._clock.now()):
+        if lease.has_expired(self._clock.now()):
             self._log.record(Event.LEASE_LAPSED, subject=lease.subject.key, token=lease.token)
             return None
         if not self._directory.takes_work(engine.id):
@@ -192,7 +192,7 @@
         )
 
 
-def is_of_another_start(report: EngineReport, engine: InstanceInfo) -> bool:
+def is_of_other_incarnation(report: EngineReport, engine: InstanceInfo) -> bool:
     """Returns whether a report is not of the incarnation that is known.
 
     Its count of orders is then not the one that an order must name.
@@ -204,9 +204,9 @@
 def seconds_until_next_check(outcome: OrderOutcome) -> float:
     """Returns the seconds from an order's outcome until the engine is checked again."""
     if outcome is OrderOutcome.TAKEN:
-        return TAKEN_SECONDS
+        return ACCEPTED_RECHECK_SECONDS
     if outcome is OrderOutcome.UNKNOWN:
-        return UNANSWERED_SECONDS
+        return UNANSWERED_RECHECK_SECONDS
     return RETRY_SECONDS  # whatever it holds, its next report says it
 
 
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -24,24 +24,24 @@
 from larkpost.gateway.assembly.membership import MembershipInputs, make_membership
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
-from larkpost.gateway.controllers.division import EngineDivision
+from larkpost.gateway.controllers.engine_allocator import EngineAllocator
 from larkpost.gateway.controllers.feeds import BatchListener, Feeds, FeedSource
+from larkpost.gateway.controllers.fleet_clock import FleetClock
 from larkpost.gateway.controllers.heartbeat import new_incarnation
-from larkpost.gateway.controllers.lending_record import LendingRecord
-from larkpost.gateway.controllers.true_time import TrueTime
+from larkpost.gateway.controllers.lending_log import LendingLog
 from larkpost.gateway.fairness.ledger import FlowLedger
 from larkpost.gateway.memory.daemon_memory import DaemonMemory
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
-from larkpost.gateway.placement.cold_rule import POLL_SECONDS
+from larkpost.gateway.placement.cold_rate_limit import POLL_SECONDS
 from larkpost.gateway.planned_stop import PlannedStop, StopSteps
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.proxy.shares import ShareChooser
+from larkpost.gateway.quarantine.crash_detector import CrashDetector
+from larkpost.gateway.quarantine.crash_recorder import CrashRecorder
 from larkpost.gateway.quarantine.crash_writer import CrashWriter
-from larkpost.gateway.quarantine.guard import GuardedServers
-from larkpost.gateway.quarantine.recorder import CrashRecorder
 from larkpost.gateway.quarantine.repository import CrashRepository
-from larkpost.gateway.quarantine.watch import CrashWatch
+from larkpost.gateway.quarantine.server_port import QuarantineServerPort
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.keeper import BatchKeeper
 from larkpost.gateway.rollouts.repository import BatchRepository
@@ -113,7 +113,7 @@
                 self._loop_watch,
             )
         )
-        self.true_time = TrueTime(self._clock, ports.store.time, self.membership.clock_offsets)
+        self.true_time = FleetClock(self._clock, ports.store.time, self.membership.clock_offsets)
 
     def _make_quarantine(self) -> None:
         ports = self._ports
@@ -125,8 +125,8 @@
             self._may_forget_crashes,
         )
         record_crash = self._crash_recorder.record_crash
-        watch = CrashWatch(self.directory, ports.servers, ports.clock, self._tasks, record_crash)
-        self._servers = GuardedServers(
+        watch = CrashDetector(self.directory, ports.servers, ports.clock, self._tasks, record_crash)
+        self._servers = QuarantineServerPort(
             ports.servers, self.blackboard.crashes, watch, self._crash_recorder, self._isolation
         )
 
@@ -141,11 +141,11 @@
 
     def _make_rollouts(self) -> None:
         ports = self._ports
-        self._division = EngineDivision(
+        self._division = EngineAllocator(
             self.blackboard,
             ports.clock,
             lambda: self.keeper.demands(),
-            LendingRecord(ports.log, ports.clock),
+            LendingLog(ports.log, ports.clock),
             self.balancer.paces.lasting,
         )
         services = RunServices(
@@ -180,7 +180,7 @@
                 self.keeper.record_head, self._crash_recorder.record_row, self._is_active
             ),
         )
-        self._cold_senders.follow(self.keeper.open_owners, self.membership, self._feeds.heads)
+        self._cold_senders.set_sources(self.keeper.open_owners, self.membership, self._feeds.heads)
 
     def _make_admission(self) -> None:
         ports = self._ports
@@ -274,7 +274,7 @@
 
     def _may_forget_crashes(self) -> bool:
         """Returns whether this daemon is the one that removes old crashes."""
-        return self.membership.first_choice("crashes") == self.id
+        return self.membership.choose_coordinator("crashes") == self.id
 
     # Settings change while the daemon runs, so these are read at each use; durations in seconds.
 
--- a/src/larkpost/gateway/placement/cold_rule.py
+++ b/src/larkpost/gateway/placement/cold_rate_limit.py
@@ -15,27 +15,27 @@
 from larkpost.gateway.blackboard.configuration import Service
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.observability.eventlog import Event, EventLog
-from larkpost.gateway.placement.cold_senders import ColdSenders
-from larkpost.gateway.placement.cold_share import SenderView, SendKind, allowed_sends
+from larkpost.gateway.placement.cold_rate_quota import SendCategory, SenderView, send_quota
+from larkpost.gateway.placement.decision import PlacementDecision
+from larkpost.gateway.placement.sender_tracker import SenderTracker
 from larkpost.gateway.placement.sliding_count import SlidingCount
-from larkpost.gateway.placement.verdict import Verdict
 from larkpost.gateway.placement.work import Work, WorkKind
 
-SEND_WITHIN_SECONDS = 0.25
+SEND_TIMEOUT_SECONDS = 0.25
 """A send that is admitted is on a connection within this time, or it is not made: a daemon that was
 frozen between the two must not send with an old permission."""
-WINDOW_SECONDS = 1.0 + SEND_WITHIN_SECONDS
+WINDOW_SECONDS = 1.0 + SEND_TIMEOUT_SECONDS
 """Sends that may fall into the same second are admitted within this time."""
 RESERVATION_SECONDS = 0.2
 """How long a place reserved for an item counts before its send does; it is sent within
 milliseconds, or not at all."""
 POLL_SECONDS = 0.25
 """How often it is logged which instances have turned cold or warm."""
-OWNER_WORK = (WorkKind.ITEM, WorkKind.REWARD)
+OWNER_WORK_KINDS = (WorkKind.ITEM, WorkKind.REWARD)
 """What owners of batches send; all else are clients' requests."""
 
 
-class ColdRule:
+class ColdRateLimit:
     """Lets this daemon's share of the requests to each cold instance through.
 
     Args:
@@ -49,7 +49,7 @@
         blackboard: Blackboard,
         clock: Clock,
         log: EventLog,
-        senders: ColdSenders,
+        senders: SenderTracker,
     ) -> None:
         self._terms = terms
         self._blackboard = blackboard
@@ -58,48 +58,48 @@
         self._senders = senders
         self._sent: dict[tuple[InstanceId, bool], SlidingCount] = {}
         self._reserved: dict[InstanceId, SlidingCount] = {}
-        self._logged: frozenset[InstanceId] = frozenset()
+        self._logged_cold: frozenset[InstanceId] = frozenset()
         self._view: SenderView | None = None
-        self._limits: dict[SendKind, int] = {}
+        self._limits: dict[SendCategory, int] = {}
         """Sends allowed by the current view, as they are asked for again and again."""
 
-    def judge(self, instance: InstanceInfo, work: Work) -> Verdict:
+    def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns whether a send is left, besides those of places that are reserved already."""
-        left = self.sends_left(instance, work)
-        return Verdict.ALLOWED if left is None or left > 0 else Verdict.COLD
+        left = self.remaining_sends(instance, work)
+        return PlacementDecision.ALLOWED if left is None or left > 0 else PlacementDecision.COLD
 
-    def admit(self, instance: InstanceInfo, work: Work) -> Verdict:
+    def admit(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Counts a send, if one is left."""
-        service = self._limited(instance)
+        service = self._limited_service(instance)
         if service is None or work.kind is WorkKind.ORDER:
-            return Verdict.ALLOWED
+            return PlacementDecision.ALLOWED
         now = self._clock.now()
         limit = self._limit(instance, service, work)
-        sent = self._count_of(instance.id, work)
+        sent = self._send_count(instance.id, work)
         if work.kind is WorkKind.ITEM and instance.id in self._reserved:
-            self._reserved[instance.id].take_back()
+            self._reserved[instance.id].remove_oldest()
         if limit is not None and sent.count(now) >= limit:
-            return Verdict.COLD
+            return PlacementDecision.COLD
         sent.add(now)
-        return Verdict.ALLOWED
+        return PlacementDecision.ALLOWED
 
-    def sends_left(self, instance: InstanceInfo, work: Work) -> int | None:
+    def remaining_sends(self, instance: InstanceInfo, work: Work) -> int | None:
         """Returns how many sends are left now; None for any number."""
-        service = self._limited(instance)
+        service = self._limited_service(instance)
         if service is None or work.kind is WorkKind.ORDER:
             return None
         limit = self._limit(instance, service, work)
         if limit is None:
             return None
         now = self._clock.now()
-        taken = self._count_of(instance.id, work).count(now)
+        taken = self._send_count(instance.id, work).count(now)
         if work.kind is WorkKind.ITEM and instance.id in self._reserved:
             taken += self._reserved[instance.id].count(now)
         return max(0, limit - taken)
 
     def reserve(self, instance: InstanceInfo) -> None:
         """Reserves a send at an instance for an item, which will be made in a moment."""
-        if self._limited(instance) is not None:
+        if self._limited_service(instance) is not None:
             reserved = self._reserved.setdefault(instance.id, SlidingCount(RESERVATION_SECONDS))
             reserved.add(self._clock.now())
 
@@ -110,15 +110,15 @@
     def is_cold(self, instance: InstanceInfo) -> bool:
         """Returns whether an instance is cold and its service has a limit."""
         is_cold = self._blackboard.cold.is_cold(instance.id, self._clock.now())
-        return is_cold and self._limited(instance) is not None
+        return is_cold and self._limited_service(instance) is not None
 
-    def send_within(self, instance: InstanceInfo) -> float | None:
+    def send_timeout(self, instance: InstanceInfo) -> float | None:
         """Returns the seconds within which an admitted send must be made; None for any."""
-        return SEND_WITHIN_SECONDS if self.is_cold(instance) else None
+        return SEND_TIMEOUT_SECONDS if self.is_cold(instance) else None
 
-    def count_cold(self) -> int:
+    def count_cold_instances(self) -> int:
         """Returns how many instances are cold."""
-        return len(self._cold_now())
+        return len(self._cold_instances())
 
     async def poll(self) -> None:
         """Logs which instances have turned cold or warm, and who the owners are now.
@@ -126,24 +126,26 @@
         A daemon that owns nothing asks for no view, but must know who owned a moment ago.
         """
         self._senders.view()
-        cold = self._cold_now()
-        for name in sorted(cold ^ self._logged):
+        cold = self._cold_instances()
+        for name in sorted(cold ^ self._logged_cold):
             left = self._blackboard.cold.left(name, self._clock.now())
             state = "cold" if name in cold else "warm"
             self._log.record(Event.INSTANCE_COLD, instance=name, state=state, left=round(left, 3))
-        self._logged = cold
+        self._logged_cold = cold
         now = self._clock.now()
         self._sent = {key: sent for key, sent in self._sent.items() if sent.count(now)}
         self._reserved = {name: count for name, count in self._reserved.items() if count.count(now)}
 
-    def _cold_now(self) -> frozenset[InstanceId]:
+    def _cold_instances(self) -> frozenset[InstanceId]:
         current = self._blackboard.cold.current(self._clock.now())
         infos = (self._blackboard.directory.get(name) for name in current)
         return frozenset(
-            info.id for info in infos if info is not None and self._limited(info) is not None
+            info.id
+            for info in infos
+            if info is not None and self._limited_service(info) is not None
         )
 
-    def _limited(self, instance: InstanceInfo) -> Service | None:
+    def _limited_service(self, instance: InstanceInfo) -> Service | None:
         """Returns an instance's service if it has a limit."""
         if self._terms is None:
             return None
@@ -161,16 +163,16 @@
             self._view = view
             self._limits.clear()
         is_cold = self._blackboard.cold.is_cold(instance.id, self._clock.now())
-        is_owner_work = work.kind in OWNER_WORK
-        if not is_cold and not (is_owner_work and view.is_blind):
+        is_owner_work = work.kind in OWNER_WORK_KINDS
+        if not is_cold and not (is_owner_work and view.is_stale):
             return None
         bound = self._terms.bound(service.cold_rate)
-        kind = SendKind(instance.id, is_owner_work, is_cold, bound)
+        kind = SendCategory(instance.id, is_owner_work, is_cold, bound)
         if kind not in self._limits:
-            self._limits[kind] = allowed_sends(view, kind, is_engine=bool(service.models))
+            self._limits[kind] = send_quota(view, kind, is_engine=bool(service.models))
         return self._limits[kind]
 
-    def _count_of(self, instance: InstanceId, work: Work) -> SlidingCount:
+    def _send_count(self, instance: InstanceId, work: Work) -> SlidingCount:
         """Returns the count of one kind of sends; each kind has its part of the bound."""
-        key = (instance, work.kind in OWNER_WORK)
+        key = (instance, work.kind in OWNER_WORK_KINDS)
         return self._sent.setdefault(key, SlidingCount(WINDOW_SECONDS))
--- a/src/larkpost/gateway/placement/cold_share.py
+++ b/src/larkpost/gateway/placement/cold_rate_quota.py
@@ -16,21 +16,21 @@
 from larkpost.common.hashing import hash64
 from larkpost.common.ids import DaemonId, InstanceId
 
-MAIN_PART = 0.8
+PRIMARY_FRACTION = 0.8
 """Part of the bound that is the owners' at engines, and the clients' at other instances; without
 unit."""
-MIN_OWNERS_COUNTED = 2
+MIN_OWNER_COUNT = 2
 """Batches come from several trainers at once: one owner alone leaves as much as two do."""
-UNHEARD_OWNERS = 1
+UNSEEN_OWNER_ALLOWANCE = 1
 """Shares left for owners of whom this daemon has not heard yet."""
-NEWCOMERS_DIVISOR = 12
+NEW_OWNER_DIVISOR = 12
 """A new owner takes this part of the owners' part. Three trainers hand their batches in at the same
 moment; three owners of the step before have sent their shares within the same second, and others
 that are cut off and do not know of their successors go on. With a sixth, four of those were too
 many."""
-LEAST_SENDS = 1
+MIN_SENDS = 1
 """What a daemon may send that cannot know how many others do."""
-DISAGREEMENT_FACTOR = 2
+VIEW_MISMATCH_FACTOR = 2
 """By how much fewer daemons are named than might send: views may differ in all of them."""
 
 
@@ -50,13 +50,13 @@
     own: DaemonId
     owners: frozenset[DaemonId]
     members: frozenset[DaemonId]
-    is_settled: bool = False
-    is_informed: bool = False
-    is_blind: bool = True
+    is_established: bool = False
+    knows_members: bool = False
+    is_stale: bool = True
 
 
 @dataclass(frozen=True, slots=True)
-class SendKind:
+class SendCategory:
     """Sends to one instance that are limited alike.
 
     Attributes:
@@ -71,55 +71,55 @@
     bound: float
 
 
-def allowed_sends(view: SenderView, kind: SendKind, *, is_engine: bool) -> int:
+def send_quota(view: SenderView, kind: SendCategory, *, is_engine: bool) -> int:
     """Returns how many sends of a kind this daemon may make in a window.
 
     Args:
         is_engine: whether the instance's service holds models.
     """
     if not kind.is_owner_work:
-        return client_sends(kind.bound, view, kind.instance, is_engine=is_engine)
+        return client_quota(kind.bound, view, kind.instance, is_engine=is_engine)
     if not kind.is_cold:
-        return unheard_sends(kind.bound, view, is_engine=is_engine)
-    return owner_sends(kind.bound, view, kind.instance, is_engine=is_engine)
+        return stale_view_quota(kind.bound, view, is_engine=is_engine)
+    return owner_quota(kind.bound, view, kind.instance, is_engine=is_engine)
 
 
-def owner_sends(bound: float, view: SenderView, instance: InstanceId, *, is_engine: bool) -> int:
+def owner_quota(bound: float, view: SenderView, instance: InstanceId, *, is_engine: bool) -> int:
     """Returns how many runs of items and reward calls this daemon may send."""
-    part = bound * (MAIN_PART if is_engine else 1 - MAIN_PART)
+    part = bound * (PRIMARY_FRACTION if is_engine else 1 - PRIMARY_FRACTION)
     share = _even_share(part, view)
-    if share and view.is_settled:
+    if share and view.is_established:
         return share
-    if share and not view.is_blind:
-        return min(share, max(LEAST_SENDS, int(part / NEWCOMERS_DIVISOR)))
-    named = _is_named(view.owners | {view.own}, view.own, instance, _count_named(part))
-    return LEAST_SENDS if named else 0
+    if share and not view.is_stale:
+        return min(share, max(MIN_SENDS, int(part / NEW_OWNER_DIVISOR)))
+    selected = _is_selected(view.owners | {view.own}, view.own, instance, _selected_count(part))
+    return MIN_SENDS if selected else 0
 
 
-def unheard_sends(bound: float, view: SenderView, *, is_engine: bool) -> int:
+def stale_view_quota(bound: float, view: SenderView, *, is_engine: bool) -> int:
     """Returns what a blind owner may send to an instance that was not cold when it last heard."""
-    part = bound * (MAIN_PART if is_engine else 1 - MAIN_PART)
-    return max(LEAST_SENDS, _even_share(part, view))
+    part = bound * (PRIMARY_FRACTION if is_engine else 1 - PRIMARY_FRACTION)
+    return max(MIN_SENDS, _even_share(part, view))
 
 
-def client_sends(bound: float, view: SenderView, instance: InstanceId, *, is_engine: bool) -> int:
+def client_quota(bound: float, view: SenderView, instance: InstanceId, *, is_engine: bool) -> int:
     """Returns how many clients' requests this daemon may send."""
-    part = bound * (1 - MAIN_PART if is_engine else MAIN_PART)
-    named = _is_named(view.members, view.own, instance, _count_named(part))
-    return LEAST_SENDS if named and view.is_informed else 0
+    part = bound * (1 - PRIMARY_FRACTION if is_engine else PRIMARY_FRACTION)
+    selected = _is_selected(view.members, view.own, instance, _selected_count(part))
+    return MIN_SENDS if selected and view.knows_members else 0
 
 
 def _even_share(part: float, view: SenderView) -> int:
-    counted = max(len(view.owners | {view.own}), MIN_OWNERS_COUNTED) + UNHEARD_OWNERS
+    counted = max(len(view.owners | {view.own}), MIN_OWNER_COUNT) + UNSEEN_OWNER_ALLOWANCE
     return int(part / counted)
 
 
-def _count_named(part: float) -> int:
+def _selected_count(part: float) -> int:
     """Returns how many daemons may take the least share; one wherever a request is allowed."""
-    return max(int(part / (DISAGREEMENT_FACTOR * LEAST_SENDS)), int(part >= 1))
+    return max(int(part / (VIEW_MISMATCH_FACTOR * MIN_SENDS)), int(part >= 1))
 
 
-def _is_named(
+def _is_selected(
     daemons: Collection[DaemonId], own: DaemonId, instance: InstanceId, count: int
 ) -> bool:
     """Returns whether rendezvous hashing names this daemon among the first for an instance.
--- a/src/larkpost/gateway/placement/region_rule.py
+++ b/src/larkpost/gateway/placement/region_rule.py
@@ -2,19 +2,19 @@
 
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.blackboard.regions import RegionMap
-from larkpost.gateway.placement.rules import PlainRule
-from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.decision import PlacementDecision
+from larkpost.gateway.placement.rules import StatelessRule
 from larkpost.gateway.placement.work import Work
 
 
-class RegionRule(PlainRule):
+class RegionRule(StatelessRule):
     """An instance whose region is not known serves no work that names regions."""
 
     def __init__(self, regions: RegionMap) -> None:
         self._regions = regions
 
-    def judge(self, instance: InstanceInfo, work: Work) -> Verdict:
+    def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns whether the instance's region may serve the work."""
         if work.regions is None or self._regions.region_of(instance.zone) in work.regions:
-            return Verdict.ALLOWED
-        return Verdict.OUTSIDE_REGIONS
+            return PlacementDecision.ALLOWED
+        return PlacementDecision.OUTSIDE_REGIONS
--- a/src/larkpost/gateway/placement/cold_senders.py
+++ b/src/larkpost/gateway/placement/sender_tracker.py
@@ -9,36 +9,36 @@
 
 from larkpost.common.clock import Clock
 from larkpost.common.ids import DaemonId
-from larkpost.gateway.placement.cold_share import SenderView
+from larkpost.gateway.placement.cold_rate_quota import SenderView
 
-OWNER_MEMORY_SECONDS = 2.0
+OWNER_RETENTION_SECONDS = 2.0
 """For so long an owner counts after it is named no longer: it may not know yet."""
-NEWCOMER_SECONDS = 1.0
+NEW_OWNER_SECONDS = 1.0
 """For so long a new owner takes the least share, as the others may not have heard of it."""
-BLIND_SECONDS = 1.6
+STALE_FEED_SECONDS = 1.6
 """Age of the feed of heads from which this daemon does not know the other owners: a response
 of the feed may wait for a second."""
-YOUNG_SECONDS = 3.0
+STARTUP_SECONDS = 3.0
 """For so long after its start a daemon may not know all members."""
-UNHEARD_SECONDS = 4.0
+PRESUMED_DEAD_SECONDS = 4.0
 """Age of the feed from which others may soon consider this daemon dead, and name another."""
-UPDATE_SECONDS = 0.1
+VIEW_LIFETIME_SECONDS = 0.1
 """How old a view may be."""
 
 
-class Members(Protocol):
+class MemberView(Protocol):
     """What is asked of the heartbeats."""
 
     listed: bool
 
-    def is_hearing(self) -> bool:
+    def has_recent_listing(self) -> bool:
         """Returns whether this daemon, if it is awaited, has listed the others a moment ago."""
 
     def alive(self) -> Iterable[DaemonId]:
         """Returns the daemons that are considered alive."""
 
 
-class Heads(Protocol):
+class BatchFeed(Protocol):
     """What is asked of the feed of heads."""
 
     listed: bool
@@ -47,23 +47,23 @@
         """Returns the seconds since the heads were last known to be current."""
 
 
-class ColdSenders:
+class SenderTracker:
     """The view of one daemon, which knows nobody until `follow` is called."""
 
     def __init__(self, own: DaemonId, clock: Clock) -> None:
         self._own = own
         self._clock = clock
         self._owners: Callable[[], Iterable[DaemonId]] = tuple
-        self._members: Members | None = None
-        self._heads: Heads | None = None
+        self._members: MemberView | None = None
+        self._batch_feed: BatchFeed | None = None
         self._started_at = clock.now()
         self._updated_at = float("-inf")
-        self._named_at: dict[DaemonId, float] = {}
+        self._listed_at: dict[DaemonId, float] = {}
         self._owner_since: float | None = None
         self._view = SenderView(own, frozenset(), frozenset())
 
-    def follow(
-        self, owners: Callable[[], Iterable[DaemonId]], members: Members, heads: Heads
+    def set_sources(
+        self, owners: Callable[[], Iterable[DaemonId]], members: MemberView, batch_feed: BatchFeed
     ) -> None:
         """Sets where the view comes from.
 
@@ -72,48 +72,48 @@
         """
         self._owners = owners
         self._members = members
-        self._heads = heads
+        self._batch_feed = batch_feed
 
     def view(self) -> SenderView:
         """Returns who may send, as of a moment ago; the same object as long as it holds."""
         now = self._clock.now()
-        if now - self._updated_at < UPDATE_SECONDS:
+        if now - self._updated_at < VIEW_LIFETIME_SECONDS:
             return self._view
         self._updated_at = now
-        if self._members is not None and self._heads is not None:
+        if self._members is not None and self._batch_feed is not None:
             self._remember_owners(now)
-            view = self._current_view(now, self._members, self._heads)
+            view = self._current_view(now, self._members, self._batch_feed)
             if view != self._view:
                 self._view = view
         return self._view
 
-    def _current_view(self, now: float, members: Members, heads: Heads) -> SenderView:
+    def _current_view(self, now: float, members: MemberView, batch_feed: BatchFeed) -> SenderView:
         since = self._owner_since
-        is_known = since is not None and now - since >= NEWCOMER_SECONDS
-        is_old = now - self._started_at >= YOUNG_SECONDS and members.listed
-        is_blind = self._is_blind(now, members, heads)
+        is_known = since is not None and now - since >= NEW_OWNER_SECONDS
+        is_started = now - self._started_at >= STARTUP_SECONDS and members.listed
+        is_stale = self._is_stale(now, members, batch_feed)
         return SenderView(
             self._own,
-            frozenset(self._named_at),
+            frozenset(self._listed_at),
             frozenset(members.alive()),
-            is_settled=is_known and not is_blind,
-            is_informed=is_old and heads.age(now) < UNHEARD_SECONDS,
-            is_blind=is_blind,
+            is_established=is_known and not is_stale,
+            knows_members=is_started and batch_feed.age(now) < PRESUMED_DEAD_SECONDS,
+            is_stale=is_stale,
         )
 
-    def _is_blind(self, now: float, members: Members, heads: Heads) -> bool:
+    def _is_stale(self, now: float, members: MemberView, batch_feed: BatchFeed) -> bool:
         """Returns whether the others may know of owners of which this daemon has not heard."""
-        if not members.listed or not heads.listed or heads.age(now) > BLIND_SECONDS:
+        if not members.listed or not batch_feed.listed or batch_feed.age(now) > STALE_FEED_SECONDS:
             return True
-        return self._own in self._named_at and not members.is_hearing()
+        return self._own in self._listed_at and not members.has_recent_listing()
 
     def _remember_owners(self, now: float) -> None:
         """Forgets the owners that were named a while ago, and adds those named now."""
-        self._named_at = {
-            name: at for name, at in self._named_at.items() if now - at < OWNER_MEMORY_SECONDS
+        self._listed_at = {
+            name: at for name, at in self._listed_at.items() if now - at < OWNER_RETENTION_SECONDS
         }
-        if self._own not in self._named_at:
+        if self._own not in self._listed_at:
             self._owner_since = None
-        self._named_at |= dict.fromkeys(self._owners(), now)
-        if self._own in self._named_at and self._owner_since is None:
+        self._listed_at |= dict.fromkeys(self._owners(), now)
+        if self._own in self._listed_at and self._owner_since is None:
             self._owner_since = now
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -20,9 +20,9 @@
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.blackboard.use_summary import UseSummary
-from larkpost.gateway.placement.cold_rule import ColdRule
+from larkpost.gateway.placement.cold_rate_limit import ColdRateLimit
+from larkpost.gateway.placement.decision import PlacementDecision
 from larkpost.gateway.placement.rules import Placement
-from larkpost.gateway.placement.verdict import Verdict
 from larkpost.gateway.placement.work import CLIENT_WORK, Work
 from larkpost.gateway.proxy.candidate_order import CandidateOrder
 from larkpost.gateway.proxy.instance_use import (
@@ -68,7 +68,7 @@
 
     is_connected: Callable[[InstanceInfo], bool] = _never_connected
     placement: Placement | None = None
-    cold: ColdRule | None = None
+    cold: ColdRateLimit | None = None
     regions: RegionMap | None = None
     subsets: DaemonSubsets | None = None
 
@@ -210,7 +210,9 @@
         """Returns the seconds a short request takes at an instance now; 0 if not known lately."""
         return self.paces.at_this_moment(instance)
 
-    def verdicts(self, service: ServiceName, work: Work = CLIENT_WORK) -> dict[Verdict, int]:
+    def verdicts(
+        self, service: ServiceName, work: Work = CLIENT_WORK
+    ) -> dict[PlacementDecision, int]:
         """Returns how many instances of those looked at get each verdict; for the log."""
         return dict(
             Counter(self._verdict(info, work) for info in self.look(service, work).instances)
@@ -331,15 +333,19 @@
 
     def _is_open(self, info: InstanceInfo, work: Work) -> bool:
         """Returns whether placement allows work at an instance, now or once it is warm."""
-        verdict = self._placement.judge(info, work)
-        return verdict.is_allowed or verdict is Verdict.COLD
+        verdict = self._placement.evaluate(info, work)
+        return verdict.is_allowed or verdict is PlacementDecision.COLD
 
     def _may_take_now(self, info: InstanceInfo) -> bool:
         return not self.is_avoided(info.id) and self.has_place(info)
 
-    def _verdict(self, info: InstanceInfo, work: Work) -> Verdict:
-        verdict = self._placement.judge(info, work)
-        return Verdict.AVOIDED if verdict.is_allowed and self.is_avoided(info.id) else verdict
+    def _verdict(self, info: InstanceInfo, work: Work) -> PlacementDecision:
+        verdict = self._placement.evaluate(info, work)
+        return (
+            PlacementDecision.AVOIDED
+            if verdict.is_allowed and self.is_avoided(info.id)
+            else verdict
+        )
 
     def _forget_unused(self) -> None:
         """Drops now and then the records of instances and daemons that are gone."""
--- a/src/larkpost/gateway/proxy/places.py
+++ b/src/larkpost/gateway/proxy/places.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from larkpost.gateway.blackboard.configuration import ServiceName
-from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.decision import PlacementDecision
 from larkpost.gateway.placement.work import Work
 from larkpost.gateway.proxy.balancer import Balancer
 
@@ -58,8 +58,8 @@
     paced_slots, rate = 0, 0.0
     look = balancer.look(service, work)
     for info in look.instances:
-        verdict = balancer.placement.judge(info, work)
-        if not verdict.is_allowed and verdict is not Verdict.COLD:
+        verdict = balancer.placement.evaluate(info, work)
+        if not verdict.is_allowed and verdict is not PlacementDecision.COLD:
             continue
         slots = max(1, info.slots)
         occupied = balancer.occupied(info)
--- a/src/larkpost/gateway/quarantine/watch.py
+++ b/src/larkpost/gateway/quarantine/crash_detector.py
@@ -25,14 +25,14 @@
 network."""
 POLL_SECONDS = 0.25
 """Between two checks of the directory while a server is suspect."""
-SUSPICION_SECONDS = 6.0
+INVESTIGATION_SECONDS = 6.0
 """After this long a server that is still listed has not crashed: an entry goes after three missed
 heartbeats of 1.2 s, and news of that take up to two seconds when the store has just come back."""
 
 CrashListener = Callable[[InstanceId, Iterable[ContentDigest], str], None]
 
 
-class Evidence(StrEnum):
+class CrashEvidence(StrEnum):
     """How it is known that a server has crashed."""
 
     DEAD_PORT = "dead_port"  # its port refuses connections
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True)
-class _Suspicion:
+class _SuspectServer:
     """A server that left requests without a response, and may have crashed.
 
     Attributes:
@@ -54,13 +54,13 @@
 
     info: InstanceInfo
     since: float
-    neighbours: frozenset[InstanceId]
+    initial_instances: frozenset[InstanceId]
     contents: set[ContentDigest] = field(default_factory=set)
-    crashed: Evidence | None = None
-    is_fresh: asyncio.Event = field(default_factory=asyncio.Event)
+    crashed: CrashEvidence | None = None
+    has_new_loss: asyncio.Event = field(default_factory=asyncio.Event)
 
 
-class CrashWatch:
+class CrashDetector:
     """The servers that left requests of this daemon without a response a moment ago.
 
     Args:
@@ -81,60 +81,64 @@
         self._clock = clock
         self._tasks = tasks
         self._listener = listener
-        self._suspicions: dict[InstanceId, _Suspicion] = {}
+        self._suspects: dict[InstanceId, _SuspectServer] = {}
 
-    def record_lost(self, content: ContentDigest, instance: InstanceInfo) -> None:
+    def record_lost_connection(self, content: ContentDigest, instance: InstanceInfo) -> None:
         """Records that a server closed the connection of a request without a whole response."""
-        suspicion = self._suspicions.get(instance.id)
-        if suspicion is None:
+        suspect = self._suspects.get(instance.id)
+        if suspect is None:
             if not self._directory.takes_work(instance.id):
                 return  # it has said that it leaves, or was known to be gone
-            suspicion = _Suspicion(instance, self._clock.now(), self._at(instance.address))
-            self._suspicions[instance.id] = suspicion
-            self._tasks.spawn(self._investigate(suspicion), "crash_watch")
-        suspicion.contents.add(content)
-        suspicion.since = self._clock.now()
-        suspicion.is_fresh.set()
-        if suspicion.crashed is not None:
-            self._listener(instance.id, (content,), suspicion.crashed)
-
-    async def _investigate(self, suspicion: _Suspicion) -> None:
+            suspect = _SuspectServer(
+                instance, self._clock.now(), self._instances_at(instance.address)
+            )
+            self._suspects[instance.id] = suspect
+            self._tasks.spawn(self._investigate(suspect), "crash_watch")
+        suspect.contents.add(content)
+        suspect.since = self._clock.now()
+        suspect.has_new_loss.set()
+        if suspect.crashed is not None:
+            self._listener(instance.id, (content,), suspect.crashed)
+
+    async def _investigate(self, suspect: _SuspectServer) -> None:
         """Seeks evidence for some seconds; what the server left meanwhile counts as well."""
         try:
-            while self._clock.now() - suspicion.since < SUSPICION_SECONDS:
-                is_fresh = suspicion.is_fresh.is_set()
-                suspicion.is_fresh.clear()
-                if suspicion.crashed is None:
-                    evidence = await self._seek_evidence(suspicion, is_fresh=is_fresh)
+            while self._clock.now() - suspect.since < INVESTIGATION_SECONDS:
+                has_new_loss = suspect.has_new_loss.is_set()
+                suspect.has_new_loss.clear()
+                if suspect.crashed is None:
+                    evidence = await self._seek_evidence(suspect, has_new_loss=has_new_loss)
                     if evidence is not None:
-                        suspicion.crashed = evidence
-                        self._listener(suspicion.info.id, suspicion.contents, evidence)
+                        suspect.crashed = evidence
+                        self._listener(suspect.info.id, suspect.contents, evidence)
                 with contextlib.suppress(TimeoutError):  # the directory is checked again
                     async with asyncio.timeout(POLL_SECONDS):
-                        await suspicion.is_fresh.wait()
+                        await suspect.has_new_loss.wait()
         finally:
-            del self._suspicions[suspicion.info.id]
+            del self._suspects[suspect.info.id]
 
-    async def _seek_evidence(self, suspicion: _Suspicion, *, is_fresh: bool) -> Evidence | None:
+    async def _seek_evidence(
+        self, suspect: _SuspectServer, *, has_new_loss: bool
+    ) -> CrashEvidence | None:
         """Returns how it is known by now that a server has crashed; None if it is not.
 
         Args:
             is_fresh: whether its port was not tried since it last left a request.
         """
-        info = suspicion.info
+        info = suspect.info
         listed = self._directory.get(info.id)
         if listed is not None and listed.state is InstanceState.LEAVING:
             return None
-        if self._at(info.address) - suspicion.neighbours:
-            return Evidence.REPLACED
-        if listed is not None and not is_fresh:
+        if self._instances_at(info.address) - suspect.initial_instances:
+            return CrashEvidence.REPLACED
+        if listed is not None and not has_new_loss:
             return None
         state = await self._servers.probe(info, PROBE_SECONDS)
         if state is PortState.DEAD:
-            return Evidence.DEAD_PORT
+            return CrashEvidence.DEAD_PORT
         is_gone = self._directory.get(info.id) is None
-        return Evidence.GONE if state is PortState.SILENT and is_gone else None
+        return CrashEvidence.GONE if state is PortState.SILENT and is_gone else None
 
-    def _at(self, address: Address) -> frozenset[InstanceId]:
+    def _instances_at(self, address: Address) -> frozenset[InstanceId]:
         """Returns the instances that are listed at an address."""
         return frozenset(info.id for info in self._directory.all() if info.address == address)
--- a/src/larkpost/gateway/quarantine/recorder.py
+++ b/src/larkpost/gateway/quarantine/crash_recorder.py
@@ -21,7 +21,7 @@
 from larkpost.gateway.servers.port import OutgoingRequest
 from larkpost.gateway.store.port import Row
 
-FORGET_INTERVAL_SECONDS = 60.0
+CLEANUP_INTERVAL_SECONDS = 60.0
 """Between two removals of old crashes. Short beside the time they are remembered."""
 MAX_LOGGED = 20
 """Contents named in a line of the log."""
@@ -40,18 +40,18 @@
         writer: CrashWriter,
         log: EventLog,
         metrics: Metrics,
-        may_forget: Callable[[], bool],
+        may_remove_expired: Callable[[], bool],
     ) -> None:
         self._crashes = crashes
         self._writer = writer
         self._log = log
         self._metrics = metrics
-        self._may_forget = may_forget
+        self._may_forget = may_remove_expired
 
     def start(self, tasks: TaskSet) -> None:
         """Starts saving and forgetting."""
         tasks.spawn(self._writer.run(), "crashes")
-        tasks.every(FORGET_INTERVAL_SECONDS, self.forget_old, "old_crashes")
+        tasks.every(CLEANUP_INTERVAL_SECONDS, self.remove_expired, "old_crashes")
 
     def record_row(self, row: Row) -> None:
         """Records what the store has of a crash."""
@@ -87,25 +87,25 @@
             crashes=max(self._crashes.count(crash.content) for crash in added),
         )
         for crash in added:
-            self._writer.save_later(crash.content, crash.instance, crash)
+            self._writer.schedule_save(crash.content, crash.instance, crash)
 
-    def record_served(self, request: OutgoingRequest) -> None:
+    def record_success(self, request: OutgoingRequest) -> None:
         """Records that a server has run a request whole: it was not what crashed the others."""
         content = self._crashes.suspect(request)
         if content is None:
             return
         for crash in self._crashes.of(content):
             self._remove(content, crash.instance)
-            self._writer.save_later(content, crash.instance, None)
+            self._writer.schedule_save(content, crash.instance, None)
 
-    async def forget_old(self) -> None:
+    async def remove_expired(self) -> None:
         """Removes the crashes that are remembered no longer."""
         now = self._writer.time()
         if now is None or not self._may_forget():
             return
         for crash in self._crashes.older_than(now - REMEMBERED_SECONDS):
             self._remove(crash.content, crash.instance)
-            self._writer.save_later(crash.content, crash.instance, None)
+            self._writer.schedule_save(crash.content, crash.instance, None)
 
     def _add(self, crash: Crash) -> bool:
         is_new = self._crashes.add(crash)
--- a/src/larkpost/gateway/quarantine/isolation.py
+++ b/src/larkpost/gateway/quarantine/isolation_rule.py
@@ -13,25 +13,25 @@
 
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.directory import InstanceInfo
-from larkpost.gateway.placement.rules import PlainRule
-from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.decision import PlacementDecision
+from larkpost.gateway.placement.rules import StatelessRule
 from larkpost.gateway.placement.work import Work
 
 
-class IsolationRule(PlainRule):
+class IsolationRule(StatelessRule):
     """A suspect request goes to no server at which this daemon has another one."""
 
     def __init__(self) -> None:
         self._running: Counter[InstanceId] = Counter()
 
-    def judge(self, instance: InstanceInfo, work: Work) -> Verdict:
+    def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns whether the work is no suspect, or none runs at the instance."""
         if work.is_suspect and self._running[instance.id]:
-            return Verdict.ISOLATED
-        return Verdict.ALLOWED
+            return PlacementDecision.ISOLATED
+        return PlacementDecision.ALLOWED
 
     @contextmanager
-    def running(self, instance: InstanceId) -> Iterator[None]:
+    def track_suspect(self, instance: InstanceId) -> Iterator[None]:
         """Counts a suspect at an instance until the context is left."""
         self._running[instance] += 1
         try:
--- a/src/larkpost/gateway/quarantine/guard.py
+++ b/src/larkpost/gateway/quarantine/server_port.py
@@ -11,9 +11,9 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.blackboard.known_crashes import KnownCrashes
 from larkpost.gateway.blackboard.request_content import digest_request
-from larkpost.gateway.quarantine.isolation import IsolationRule
-from larkpost.gateway.quarantine.recorder import CrashRecorder
-from larkpost.gateway.quarantine.watch import CrashWatch
+from larkpost.gateway.quarantine.crash_detector import CrashDetector
+from larkpost.gateway.quarantine.crash_recorder import CrashRecorder
+from larkpost.gateway.quarantine.isolation_rule import IsolationRule
 from larkpost.gateway.servers.port import (
     BrokenResponseError,
     EngineReport,
@@ -27,24 +27,24 @@
     VersionOrder,
 )
 
-LEAST_FAILURE_STATUS = 400
+MIN_FAILURE_STATUS = 400
 """Below this status a signed response shows that the server ran the request whole."""
 
 
-class GuardedServers:
+class QuarantineServerPort:
     """Servers that are sent no quarantined request; implements `ServerPort`."""
 
     def __init__(
         self,
         servers: ServerPort,
         crashes: KnownCrashes,
-        watch: CrashWatch,
+        detector: CrashDetector,
         recorder: CrashRecorder,
         isolation: IsolationRule,
     ) -> None:
         self._servers = servers
         self._crashes = crashes
-        self._watch = watch
+        self._crash_detector = detector
         self._recorder = recorder
         self._isolation = isolation
 
@@ -57,15 +57,15 @@
             raise NotRunError(NotRunReason.QUARANTINED)
         is_suspect = self._crashes.suspect(request) is not None
         try:
-            with self._isolation.running(instance.id) if is_suspect else nullcontext():
+            with self._isolation.track_suspect(instance.id) if is_suspect else nullcontext():
                 async with self._servers.send(instance, request) as response:
                     yield response
         except BrokenResponseError as error:
             if error.connection_lost:
-                self._watch.record_lost(digest_request(request), instance)
+                self._crash_detector.record_lost_connection(digest_request(request), instance)
             raise
-        if response.status < LEAST_FAILURE_STATUS and response.signature is not None:
-            self._recorder.record_served(request)
+        if response.status < MIN_FAILURE_STATUS and response.signature is not None:
+            self._recorder.record_success(request)
 
     def is_connected(self, instance: InstanceInfo) -> bool:
         """Returns whether a connection to a server is kept; see the port."""
--- a/src/larkpost/gateway/quarantine/trials.py
+++ b/src/larkpost/gateway/quarantine/trial_claims.py
@@ -14,16 +14,16 @@
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.quarantine.repository import CrashRepository
 
-TRIAL_PAUSES_SECONDS = (5.0, 60.0)
+TRIAL_DELAYS_SECONDS = (5.0, 60.0)
 """From the last crash to the first trial, and from then to the second: crashed servers are back
 after some seconds. Two trials are one less than users bear retries after the third crash."""
-CLAIM_PAUSE_SECONDS = 1.0
+CLAIM_INTERVAL_SECONDS = 1.0
 """Between two claims of this daemon for one content, if the store did not grant the first."""
 TRIAL_PREFIX = "trial-"
 """Begins the name that stands for the instance in the row of a trial."""
 
 
-class Trials:
+class TrialClaims:
     """Claims trials; a claim stands among a content's crashes, as one that is taken in advance."""
 
     def __init__(
@@ -43,9 +43,9 @@
             return False
         known = self._crashes.of(content)
         used = sum(crash.instance.startswith(TRIAL_PREFIX) for crash in known)
-        if used >= len(TRIAL_PAUSES_SECONDS):
+        if used >= len(TRIAL_DELAYS_SECONDS):
             return False
-        is_early = now - max(crash.at for crash in known) < TRIAL_PAUSES_SECONDS[used]
+        is_early = now - max(crash.at for crash in known) < TRIAL_DELAYS_SECONDS[used]
         if is_early or not self._may_claim(content):
             return False
         trial = Crash(content, InstanceId(f"{TRIAL_PREFIX}{used + 1}"), now)
@@ -61,7 +61,7 @@
         """Returns whether this daemon has claimed none a moment ago, and remembers that it does."""
         now = self._clock.now()
         self._claimed_at = {
-            name: at for name, at in self._claimed_at.items() if now - at < CLAIM_PAUSE_SECONDS
+            name: at for name, at in self._claimed_at.items() if now - at < CLAIM_INTERVAL_SECONDS
         }
         if content in self._claimed_at:
             return False
--- a/src/larkpost/gateway/rollouts/batch_outlooks.py
+++ b/src/larkpost/gateway/rollouts/batch_outlooks.py
@@ -21,8 +21,12 @@
 from larkpost.gateway.blackboard.daemon_report import BatchProgress
 from larkpost.gateway.blackboard.directory import Directory
 from larkpost.gateway.blackboard.weight_targets import ModelDemand, Outlook
-from larkpost.gateway.controllers.batch_forecast import Capacity, judge_batch, most_in_need
-from larkpost.gateway.controllers.lending import LENT_SHARE
+from larkpost.gateway.controllers.batch_forecast import (
+    BatchCapacity,
+    forecast_deadline,
+    most_urgent_forecast,
+)
+from larkpost.gateway.controllers.lending import MAX_LENT_FRACTION
 from larkpost.gateway.rollouts.model import BatchHead
 
 LOWEST_PRIORITY = 9
@@ -87,7 +91,7 @@
             own: progress of the batches that this daemon owns.
         """
         known = self._reported() | own
-        capacities: dict[ServiceName, Capacity] = {}
+        capacities: dict[ServiceName, BatchCapacity] = {}
         outlooks: dict[ModelName, list[Outlook]] = defaultdict(list)
         waiting: dict[ModelName, int] = defaultdict(int)
         for head in heads.open:
@@ -101,7 +105,7 @@
         return {
             model: replace(
                 demand,
-                outlook=most_in_need(outlooks[model]),
+                outlook=most_urgent_forecast(outlooks[model]),
                 waiting=waiting[model],
                 priority=priorities.get(model, LOWEST_PRIORITY),
             )
@@ -131,7 +135,7 @@
         self,
         head: BatchHead,
         progress: BatchProgress,
-        capacities: dict[ServiceName, Capacity],
+        capacities: dict[ServiceName, BatchCapacity],
     ) -> Outlook:
         """Returns the outlook of a batch.
 
@@ -149,7 +153,7 @@
         due_in = head.created_at + route.due - now
         if service.name not in capacities:
             capacities[service.name] = self._capacity(service)
-        return judge_batch(progress, due_in, capacities[service.name])
+        return forecast_deadline(progress, due_in, capacities[service.name])
 
     def _priority(self, head: BatchHead) -> int:
         """Returns the priority of a batch's tenant or route, 0 highest."""
@@ -161,7 +165,7 @@
             return LOWEST_PRIORITY
         return configuration.priority_of(head.tenant, route)
 
-    def _capacity(self, service: Service) -> Capacity:
+    def _capacity(self, service: Service) -> BatchCapacity:
         """Returns what a service's engines can do for a batch.
 
         It counts on an equal share of them, less what its model may lend.
@@ -170,10 +174,10 @@
         known = (self._sources.pace(info.id) for info in engines)
         paces = sorted(pace for pace in known if pace)
         if not paces:
-            return Capacity(0, 0, 0.0, 0.0)
+            return BatchCapacity(0, 0, 0.0, 0.0)
         places = sum(max(1, info.slots) for info in engines)
-        return Capacity(
-            max(1, int(places * (1 - LENT_SHARE) / len(service.models))),
+        return BatchCapacity(
+            max(1, int(places * (1 - MAX_LENT_FRACTION) / len(service.models))),
             places,
             paces[len(paces) // 2] / service.tokens_per_event,
             paces[0] / service.tokens_per_event,
--- a/src/larkpost/gateway/rollouts/claims.py
+++ b/src/larkpost/gateway/rollouts/claims.py
@@ -11,7 +11,7 @@
 
 from larkpost.common.clock import Clock
 from larkpost.common.ids import BatchId, DaemonId, RegionId
-from larkpost.gateway.controllers.members import Membership
+from larkpost.gateway.controllers.membership import Membership
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.metrics import Count
 from larkpost.gateway.rollouts.context import RunServices
@@ -20,7 +20,7 @@
 from larkpost.gateway.rollouts.repository import BatchRepository
 from larkpost.gateway.store.port import Row, StoreUnavailableError
 
-CLAIM_PAUSE_SECONDS = 0.5
+CLAIM_INTERVAL_SECONDS = 0.5
 """Pause between two claims of one batch: the feed has to bring what became of the first."""
 
 
@@ -59,7 +59,7 @@
 
     def _has_just_claimed(self, batch: BatchId) -> bool:
         last = self._claimed_at.get(batch, float("-inf"))
-        return self._clock.now() - last < CLAIM_PAUSE_SECONDS
+        return self._clock.now() - last < CLAIM_INTERVAL_SECONDS
 
     def record_claim(self, batch: BatchId) -> None:
         """Records that a claim of a batch begins."""
@@ -70,7 +70,7 @@
 
         Who runs or removes a batch reads its items, so it must be where they may be served.
         """
-        return self._membership.first_choice(head.id, self._homes(head))
+        return self._membership.choose_coordinator(head.id, self._homes(head))
 
     def _homes(self, head: BatchHead) -> frozenset[RegionId] | None:
         """Returns the only regions in which a batch may be served; None for all."""
--- a/src/larkpost/gateway/scaling/controller.py
+++ b/src/larkpost/gateway/scaling/controller.py
@@ -18,8 +18,7 @@
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.observability.metrics import Count, Level
-from larkpost.gateway.scaling.census import ServerCensus
-from larkpost.gateway.scaling.demand import DemandForecast
+from larkpost.gateway.scaling.demand_estimator import DemandEstimator
 from larkpost.gateway.scaling.planner import Plan, PlanInputs, plan_servers
 from larkpost.gateway.scaling.port import (
     ScalingMode,
@@ -28,19 +27,20 @@
     ScalingPort,
     ServerKind,
 )
+from larkpost.gateway.scaling.server_counter import ServerCounter
 
 INTERVAL_SECONDS = 1.0
 """Seconds between two plans."""
-LOST_SECONDS = 8.0
+LOST_AFTER_SECONDS = 8.0
 """Seconds after which a missing server is considered lost for good: one that crashed is back
 before, listed anew, and its entry lapses three heartbeats (3.6 s) after its end."""
-SOUND_SECONDS = 4.0
+MIN_STORE_HEALTHY_SECONDS = 4.0
 """Seconds for which the store must have responded for counts to be believed."""
 ORDER_TIMEOUT_SECONDS = 1.0
 """Seconds for one call that orders."""
 RETRY_SECONDS = 2.0
 """Seconds after an order that was not taken, or not for certain, before the next."""
-REFUSED_SECONDS = 20.0
+REFUSAL_SECONDS = 20.0
 """Seconds for which a zone that has no preemptible servers is not asked for them."""
 
 
@@ -54,7 +54,7 @@
     """
 
     blackboard: Blackboard
-    demand: DemandForecast
+    demand: DemandEstimator
     store_sound_for: Callable[[], float]
 
 
@@ -78,8 +78,8 @@
         self._log = instruments.log
         self._metrics = instruments.metrics
         self._mode = mode
-        self._census = ServerCensus(inputs.blackboard.directory, inputs.blackboard.evacuations)
-        self._announced: dict[ServiceName, Plan] = {}
+        self._counter = ServerCounter(inputs.blackboard.directory, inputs.blackboard.evacuations)
+        self._logged_plans: dict[ServiceName, Plan] = {}
         self._next_order: dict[tuple[ServiceName, ZoneId], float] = {}
         self._no_preemptible_until: dict[ZoneId, float] = {}
 
@@ -90,7 +90,7 @@
     async def update(self) -> None:
         """Plans each service, and orders what is due and this daemon is chosen for."""
         configuration = self._blackboard.configuration.current
-        if configuration is None or self._store_sound_for() < SOUND_SECONDS:
+        if configuration is None or self._store_sound_for() < MIN_STORE_HEALTHY_SECONDS:
             return
         for service in configuration.services.values():
             if service.scaling is not None:
@@ -98,27 +98,31 @@
 
     async def _update_service(self, service: Service, configuration: Configuration) -> None:
         now = self._clock.now()
-        zones = self._census.take(service.name, now)
+        zones = self._counter.count_by_zone(service.name, now)
         refused = frozenset(
             zone for zone, until in self._no_preemptible_until.items() if now < until
         )
         demand = self._demand.of(service, configuration)
-        inputs = PlanInputs(service.name, service.scaling, zones, demand, LOST_SECONDS, refused)
+        inputs = PlanInputs(
+            service.name, service.scaling, zones, demand, LOST_AFTER_SECONDS, refused
+        )
         plan = plan_servers(inputs)
-        self._announce(service.name, plan, inputs.present)
+        self._log_plan(service.name, plan, inputs.present)
         if self._mode is ScalingMode.ANNOUNCE:
             return
         for order in plan.orders:
-            if self._is_mine(order) and now >= self._next_order.get((order.service, order.zone), 0):
+            if self._is_responsible_for(order) and now >= self._next_order.get(
+                (order.service, order.zone), 0
+            ):
                 pause = await self._order(order, service.scaling.boot_time)
                 self._next_order[order.service, order.zone] = self._clock.now() + pause
 
-    def _announce(self, service: ServiceName, plan: Plan, present: int) -> None:
+    def _log_plan(self, service: ServiceName, plan: Plan, present: int) -> None:
         """Logs what should be ordered, once for each change."""
         self._metrics.set(Level.SERVERS_NEEDED, plan.needed, service)
-        if self._announced.get(service) == plan or not self._coordination.is_coordinator():
+        if self._logged_plans.get(service) == plan or not self._coordination.is_coordinator():
             return
-        self._announced[service] = plan
+        self._logged_plans[service] = plan
         self._log.record(
             Event.SCALING_PLAN,
             service=service,
@@ -128,13 +132,13 @@
             orders=[f"{order.zone} {order.kind} {order.desired}" for order in plan.orders],
         )
 
-    def _is_mine(self, order: ScalingOrder) -> bool:
-        return self._coordination.is_chosen(_subject(order).key)
+    def _is_responsible_for(self, order: ScalingOrder) -> bool:
+        return self._coordination.is_responsible_for(_subject(order).key)
 
     async def _order(self, order: ScalingOrder, boot_time: float) -> float:
         """Orders, and returns the seconds until the zone is checked again."""
         lease = await self._coordination.take_lease(_subject(order))
-        if lease is None or lease.has_lapsed(self._clock.now()):
+        if lease is None or lease.has_expired(self._clock.now()):
             self._record(order, "no_lease", None)
             return RETRY_SECONDS
         outcome = await self._port.order_servers(
@@ -142,9 +146,9 @@
         )
         self._record(order, outcome, lease.token)
         if outcome is ScalingOutcome.TAKEN:
-            return boot_time + LOST_SECONDS
+            return boot_time + LOST_AFTER_SECONDS
         if outcome is ScalingOutcome.REFUSED and order.kind is ServerKind.PREEMPTIBLE:
-            self._no_preemptible_until[order.zone] = self._clock.now() + REFUSED_SECONDS
+            self._no_preemptible_until[order.zone] = self._clock.now() + REFUSAL_SECONDS
         return RETRY_SECONDS
 
     def _record(self, order: ScalingOrder, outcome: str, token: int | None) -> None:
--- a/src/larkpost/gateway/scaling/demand.py
+++ b/src/larkpost/gateway/scaling/demand_estimator.py
@@ -6,10 +6,10 @@
 from larkpost.gateway.blackboard.configuration import Configuration, Service
 from larkpost.gateway.blackboard.directory import Directory
 from larkpost.gateway.blackboard.weight_targets import Demands
-from larkpost.gateway.scaling.planner import Demand
+from larkpost.gateway.scaling.planner import ServiceDemand
 
 
-class DemandForecast:
+class DemandEstimator:
     """Works out the demand of services.
 
     Args:
@@ -21,29 +21,29 @@
         self,
         directory: Directory,
         demands: Callable[[], Demands],
-        pace: Callable[[InstanceId], float],
+        service_time: Callable[[InstanceId], float],
     ) -> None:
         self._directory = directory
         self._demands = demands
-        self._pace = pace
+        self._service_time = service_time
 
-    def of(self, service: Service, configuration: Configuration) -> Demand:
+    def of(self, service: Service, configuration: Configuration) -> ServiceDemand:
         """Returns the demand of a service: the tokens of each open batch within its due time."""
         routes = configuration.batch_routes_to(service.name)
         due = min((route.due for route in routes if route.due), default=0.0)
         if not due:
-            return Demand()
+            return ServiceDemand()
         demands = self._demands()
         work = sum(demands[model].work for model in service.models if model in demands)
-        return Demand(work / due, self._server_rate(service))
+        return ServiceDemand(work / due, self._server_rate(service))
 
     def _server_rate(self, service: Service) -> float:
         """Returns the tokens that an engine of middling pace makes a second; 0 if not known."""
-        paces = sorted(
-            pace
+        service_times = sorted(
+            service_time
             for info in self._directory.of_service(service.name)
-            if (pace := self._pace(info.id))
+            if (service_time := self._service_time(info.id))
         )
-        if not paces:
+        if not service_times:
             return 0.0
-        return service.slots * service.tokens_per_event / paces[len(paces) // 2]
+        return service.slots * service.tokens_per_event / service_times[len(service_times) // 2]
--- a/src/larkpost/gateway/scaling/planner.py
+++ b/src/larkpost/gateway/scaling/planner.py
@@ -15,7 +15,7 @@
 
 PREEMPTIBLE_SHARE = 0.5
 """Most of a zone's servers that are preemptible: the zone serves on when all of them go."""
-PREEMPTIBLE_WORTH = 0.6
+MAX_PREEMPTIBLE_PRICE = 0.6
 """Highest price of a preemptible server, as a share of one on demand, at which one is taken: what
 is lost with it, its runs and its weights, must cost less than it saves."""
 HEADROOM = 1.25
@@ -36,8 +36,8 @@
 
     on_demand: int
     preemptible: int
-    usual: int
-    lost_for: float
+    usual_count: int
+    missing_for: float
     is_evacuated: bool = False
 
     @property
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Demand:
+class ServiceDemand:
     """What is asked of a service.
 
     Attributes:
@@ -92,7 +92,7 @@
     service: ServiceName
     terms: ScalingTerms
     zones: Mapping[ZoneId, ZoneServers]
-    demand: Demand
+    demand: ServiceDemand
     lost_after: float
     refused: frozenset[ZoneId] = frozenset()
 
@@ -113,29 +113,29 @@
     return Plan(needed, tuple(order for order in orders if order is not None))
 
 
-def _missing(known: ZoneServers, lost_after: float) -> int:
+def _missing_count(known: ZoneServers, lost_after: float) -> int:
     """Returns how many servers a zone has lost for good and may have back."""
-    if known.is_evacuated or known.lost_for < lost_after:
+    if known.is_evacuated or known.missing_for < lost_after:
         return 0
-    return max(0, known.usual - known.count)
+    return max(0, known.usual_count - known.count)
 
 
 def _order(inputs: PlanInputs, zone: ZoneId) -> ScalingOrder | None:
     """Returns the order for one zone; None if nothing is missing or its limits leave no room."""
     service, terms, known = inputs.service, inputs.terms, inputs.zones[zone]
-    if not _missing(known, inputs.lost_after):
+    if not _missing_count(known, inputs.lost_after):
         return None
-    wanted = max(terms.minimum, min(known.usual, terms.maximum))
+    wanted = max(terms.minimum, min(known.usual_count, terms.maximum))
     if wanted <= known.count:
         return None
-    if zone not in inputs.refused and is_preemptible_worth(terms):
-        cheap = min(wanted - known.on_demand, int(wanted * PREEMPTIBLE_SHARE))
-        if cheap > known.preemptible:
-            return ScalingOrder(service, zone, ServerKind.PREEMPTIBLE, cheap)
+    if zone not in inputs.refused and is_preemptible_worthwhile(terms):
+        preemptible_count = min(wanted - known.on_demand, int(wanted * PREEMPTIBLE_SHARE))
+        if preemptible_count > known.preemptible:
+            return ScalingOrder(service, zone, ServerKind.PREEMPTIBLE, preemptible_count)
     return ScalingOrder(service, zone, ServerKind.ON_DEMAND, wanted - known.preemptible)
 
 
-def is_preemptible_worth(terms: ScalingTerms) -> bool:
+def is_preemptible_worthwhile(terms: ScalingTerms) -> bool:
     """Returns whether preemptible servers are cheap enough for the chance that they go."""
     price = terms.preemptible_price
-    return price is not None and price <= PREEMPTIBLE_WORTH
+    return price is not None and price <= MAX_PREEMPTIBLE_PRICE
--- a/src/larkpost/gateway/scaling/census.py
+++ b/src/larkpost/gateway/scaling/server_counter.py
@@ -18,26 +18,26 @@
 
 
 @dataclass(slots=True)
-class _Seen:
+class _ZoneHistory:
     """Counts of one zone, as (steady time, servers); `full_at`: last time there were as usual."""
 
     counts: deque[tuple[float, int]] = field(default_factory=deque)
     full_at: float = float("-inf")
 
 
-class ServerCensus:
+class ServerCounter:
     """The counts of one daemon."""
 
     def __init__(self, directory: Directory, evacuations: Evacuations) -> None:
         self._directory = directory
         self._evacuations = evacuations
-        self._seen: dict[tuple[ServiceName, ZoneId], _Seen] = {}
+        self._histories: dict[tuple[ServiceName, ZoneId], _ZoneHistory] = {}
 
-    def take(self, service: ServiceName, now: float) -> dict[ZoneId, ZoneServers]:
+    def count_by_zone(self, service: ServiceName, now: float) -> dict[ZoneId, ZoneServers]:
         """Counts a service's servers by zone, those zones included that have none any more."""
         ready = self._directory.ready_of(service)
         zones = {info.zone for info in ready} | {
-            zone for known, zone in self._seen if known == service
+            zone for known, zone in self._histories if known == service
         }
         return {
             zone: self._count(service, zone, [info for info in ready if info.zone == zone], now)
@@ -47,18 +47,18 @@
     def _count(
         self, service: ServiceName, zone: ZoneId, ready: list[InstanceInfo], now: float
     ) -> ZoneServers:
-        seen = self._seen.setdefault((service, zone), _Seen())
-        seen.counts.append((now, len(ready)))
-        while seen.counts[0][0] < now - USUAL_SECONDS:
-            seen.counts.popleft()
-        usual = max(count for _, count in seen.counts)
-        if len(ready) >= usual:
-            seen.full_at = now
+        history = self._histories.setdefault((service, zone), _ZoneHistory())
+        history.counts.append((now, len(ready)))
+        while history.counts[0][0] < now - USUAL_SECONDS:
+            history.counts.popleft()
+        usual_count = max(count for _, count in history.counts)
+        if len(ready) >= usual_count:
+            history.full_at = now
         preemptible = sum(info.is_preemptible for info in ready)
         return ZoneServers(
             on_demand=len(ready) - preemptible,
             preemptible=preemptible,
-            usual=usual,
-            lost_for=now - seen.full_at,
+            usual_count=usual_count,
+            missing_for=now - history.full_at,
             is_evacuated=self._evacuations.is_evacuated(zone),
         )
--- a/src/larkpost/gateway/usage/reporter.py
+++ b/src/larkpost/gateway/usage/reporter.py
@@ -9,8 +9,8 @@
 
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.controllers.coordination import Coordination
+from larkpost.gateway.controllers.fleet_clock import FleetClock
 from larkpost.gateway.controllers.leases import Duty, LeaseSubject
-from larkpost.gateway.controllers.true_time import TrueTime
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.observability.metrics import Count
@@ -55,14 +55,14 @@
     """
 
     terms: UsageTerms
-    true_time: TrueTime
+    true_time: FleetClock
     store_sound_for: Callable[[], float]
 
     def window_at(self, time: float) -> WindowNumber:
         """Returns the window that a time of day lies in."""
         return WindowNumber(int(time // self.terms.window_length))
 
-    def is_settled(self, window: WindowNumber, now: float, alive: int) -> bool:
+    def is_established(self, window: WindowNumber, now: float, alive: int) -> bool:
         """Returns whether all daemons that can be heard have saved their counts of a window.
 
         Args:
@@ -104,7 +104,7 @@
 
     async def update(self) -> None:
         """Decides and reports the windows that are due, if this daemon is the one chosen to."""
-        if not self._coordination.is_chosen(SUBJECT.key):
+        if not self._coordination.is_responsible_for(SUBJECT.key):
             self._next = None
             return
         now = self._timing.true_time.now()
@@ -131,7 +131,7 @@
         due = [
             WindowNumber(window)
             for window in range(first, last)
-            if self._timing.is_settled(WindowNumber(window), now, alive)
+            if self._timing.is_established(WindowNumber(window), now, alive)
         ]
         if not due:
             return
@@ -152,7 +152,7 @@
         if lease is None:
             self._record(decided.report, "no_lease", None)
             return False
-        if lease.has_lapsed(self._clock.now()):
+        if lease.has_expired(self._clock.now()):
             self._log.record(Event.LEASE_LAPSED, subject=SUBJECT.key, token=lease.token)
             return False
         outcome = await self._port.report_usage(
--- a/tests/cold_views.py
+++ b/tests/cold_views.py
@@ -2,7 +2,7 @@
 
 from larkpost.common.ids import Address, DaemonId, InstanceId, ZoneId
 from larkpost.gateway.blackboard.directory import InstanceInfo, InstanceState
-from larkpost.gateway.placement.cold_share import (
+from larkpost.gateway.placement.cold_rate_quota import (
     SenderView,
 )
 from larkpost.gateway.placement.work import Work, WorkKind
@@ -23,12 +23,12 @@
 """Longer than any of these tests lasts."""
 
 
-def names(count: int) -> list[DaemonId]:
+def daemon_ids(count: int) -> list[DaemonId]:
     """Returns the names of some daemons."""
     return [DaemonId(f"daemon-{number}/0") for number in range(count)]
 
 
-def settled(own: DaemonId, owners: list[DaemonId]) -> SenderView:
+def established_view(own: DaemonId, owners: list[DaemonId]) -> SenderView:
     """Returns the view of a daemon that knows all owners, and is known to them."""
     everyone = frozenset(owners)
     return SenderView(own, everyone, everyone, True, True, False)
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -126,13 +126,13 @@
     from larkpost.gateway.controllers.heartbeat_writer import HeartbeatWriter
 
     return mock.patch.object(
-        HeartbeatWriter, "is_awaited", lambda self: self._view.is_coordinator()
+        HeartbeatWriter, "needs_fast_heartbeats", lambda self: self._view.is_coordinator()
     )
 
 
 def keep_rows_of_earlier_lives():
     """Leaves the rows of the machine's earlier lives, so that others wait for them."""
-    from larkpost.gateway.controllers.members import Membership
+    from larkpost.gateway.controllers.membership import Membership
 
     async def remove_old(self, rows):
         return None
@@ -142,7 +142,7 @@
 
 def judge_owner_like_an_idle_daemon():
     """Waits for the long interval of an idle daemon though it owns a batch."""
-    from larkpost.gateway.controllers.members import Membership
+    from larkpost.gateway.controllers.membership import Membership
 
     def is_owner_alive(self, owner, since):
         return self.is_alive(owner)
@@ -154,7 +154,7 @@
     """Makes every daemon a coordinator."""
     from larkpost.gateway.controllers import coordinators
 
-    return mock.patch.object(coordinators, "COORDINATORS", 1_000_000)
+    return mock.patch.object(coordinators, "COORDINATOR_COUNT", 1_000_000)
 
 
 def list_without_score():
@@ -326,9 +326,9 @@
 
 def believe_own_clock():
     """Takes this machine's time of day for the true one."""
-    from larkpost.gateway.controllers.true_time import TrueTime
+    from larkpost.gateway.controllers.fleet_clock import FleetClock
 
-    return mock.patch.object(TrueTime, "now", lambda self: self._clock.wall_ms() / 1000)
+    return mock.patch.object(FleetClock, "now", lambda self: self._clock.wall_ms() / 1000)
 
 
 def end_stalled_runs_without_places():
@@ -361,9 +361,9 @@
 
 def ignore_permits():
     """Sends to cold engines as to others."""
-    from larkpost.gateway.placement.cold_rule import ColdRule
+    from larkpost.gateway.placement.cold_rate_limit import ColdRateLimit
 
-    return mock.patch.object(ColdRule, "_limit", lambda *_: None)
+    return mock.patch.object(ColdRateLimit, "_limit", lambda *_: None)
 
 
 def claim_outside_homes():
@@ -375,40 +375,40 @@
 
 def serve_anywhere():
     """Sends work to instances in any region."""
+    from larkpost.gateway.placement.decision import PlacementDecision
     from larkpost.gateway.placement.region_rule import RegionRule
-    from larkpost.gateway.placement.verdict import Verdict
 
-    return mock.patch.object(RegionRule, "judge", lambda *_: Verdict.ALLOWED)
+    return mock.patch.object(RegionRule, "evaluate", lambda *_: PlacementDecision.ALLOWED)
 
 
 def forget_evacuations():
     """Lets an evacuation lapse by itself after a while."""
-    from larkpost.gateway.controllers.row_intake import RowIntake
+    from larkpost.gateway.controllers.row_recorder import RowRecorder
 
-    original = RowIntake.drop_lapsed
+    original = RowRecorder.drop_expired_entries
     lapse_seconds = 2.0
 
-    async def drop_lapsed(self):
+    async def drop_expired_entries(self):
         known = self._evacuations
         for zone, since in list(known._since.items()):
             if self._clock.now() - since > lapse_seconds:
                 known.end(zone)
         await original(self)
 
-    return mock.patch.object(RowIntake, "drop_lapsed", drop_lapsed)
+    return mock.patch.object(RowRecorder, "drop_expired_entries", drop_expired_entries)
 
 
 def miss_ends_of_evacuations():
     """Passes rows over that are gone, as those of configurations are."""
-    from larkpost.gateway.controllers.row_intake import RowIntake
+    from larkpost.gateway.controllers.row_recorder import RowRecorder
 
-    original = RowIntake.record_operator_row
+    original = RowRecorder.record_operator_row
 
     def record_operator_row(self, row):
         if not row.removed:
             original(self, row)
 
-    return mock.patch.object(RowIntake, "record_operator_row", record_operator_row)
+    return mock.patch.object(RowRecorder, "record_operator_row", record_operator_row)
 
 
 def trust_silent_connections():
@@ -451,27 +451,27 @@
 
 def take_lost_connections_for_crashes():
     """Takes a server for crashed whenever it leaves a request without an answer."""
-    from larkpost.gateway.quarantine.watch import CrashWatch, Evidence
+    from larkpost.gateway.quarantine.crash_detector import CrashDetector, CrashEvidence
 
-    async def seek_evidence(self, suspicion, *, is_fresh):
-        return Evidence.DEAD_PORT
+    async def seek_evidence(self, suspect, *, has_new_loss):
+        return CrashEvidence.DEAD_PORT
 
-    return mock.patch.object(CrashWatch, "_seek_evidence", seek_evidence)
+    return mock.patch.object(CrashDetector, "_seek_evidence", seek_evidence)
 
 
 def run_suspects_together():
     """Runs requests under which servers crashed side by side."""
-    from larkpost.gateway.placement.verdict import Verdict
-    from larkpost.gateway.quarantine.isolation import IsolationRule
+    from larkpost.gateway.placement.decision import PlacementDecision
+    from larkpost.gateway.quarantine.isolation_rule import IsolationRule
 
-    return mock.patch.object(IsolationRule, "judge", lambda *_: Verdict.ALLOWED)
+    return mock.patch.object(IsolationRule, "evaluate", lambda *_: PlacementDecision.ALLOWED)
 
 
 def never_clear_requests():
     """Holds a request on though a server has run it whole."""
-    from larkpost.gateway.quarantine.recorder import CrashRecorder
+    from larkpost.gateway.quarantine.crash_recorder import CrashRecorder
 
-    return mock.patch.object(CrashRecorder, "record_served", lambda *_: None)
+    return mock.patch.object(CrashRecorder, "record_success", lambda *_: None)
 
 
 def stand_still_while_suspended():
@@ -542,7 +542,7 @@
     """Lends no engines, whoever is short of time."""
     from larkpost.gateway.controllers import lending
 
-    return mock.patch.object(lending, "standing_of", lambda _: lending.Standing.NEITHER)
+    return mock.patch.object(lending, "lending_role", lambda _: lending.LendingRole.NONE)
 
 
 def load_before_the_batch():
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -7,12 +7,12 @@
 from larkpost.gateway.blackboard.daemon_report import BatchProgress, DaemonReport
 from larkpost.gateway.blackboard.weight_targets import ModelDemand, Outlook
 from larkpost.gateway.controllers.batch_forecast import (
-    HOPELESS_SECONDS,
-    SPARE_SECONDS,
-    Capacity,
-    judge_batch,
-    most_in_need,
-    seconds_left,
+    INFEASIBLE_DELAY_SECONDS,
+    MIN_SPARE_SECONDS,
+    BatchCapacity,
+    forecast_deadline,
+    most_urgent_forecast,
+    remaining_seconds,
 )
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
 from larkpost.gateway.controllers.heartbeat_intervals import DEAD_AFTER_SECONDS
@@ -29,9 +29,13 @@
 from tests.platform_fleet import MODEL, PlatformFleet, make_batch
 from tests.virtual import run
 
-POOL = Capacity(share=58, whole=176, token_time=0.000625, best_token_time=0.0006)
+POOL = BatchCapacity(
+    available_slots=58, total_slots=176, token_time=0.000625, fastest_token_time=0.0006
+)
 """A third of 22 engines of 8 places, where an event of 80 tokens takes 0.05 s."""
-UNEVEN = Capacity(share=48, whole=192, token_time=0.001, best_token_time=0.0007)
+UNEVEN = BatchCapacity(
+    available_slots=48, total_slots=192, token_time=0.001, fastest_token_time=0.0007
+)
 """A quarter of 24 engines, of which the slow ones take 1.7 times the usual time, the others 0.7."""
 LONG = BatchProgress(0, work=1848 * 80, long_item=149 * 80)
 SHORT = BatchProgress(0, work=864 * 80, long_item=84 * 80)
@@ -57,28 +61,28 @@
             ("short items at uneven engines", SHORT, 11.0, UNEVEN, Outlook.TO_SPARE),
             ("long ones: in time at the fast", LONG, 7.5, UNEVEN, Outlook.TIGHT),
             ("more work than the fast engines do", LONG, -0.5, UNEVEN, Outlook.HOPELESS),
-            ("no pace is known", SHORT, 7.5, Capacity(0, 0, 0.0, 0.0), Outlook.UNKNOWN),
+            ("no pace is known", SHORT, 7.5, BatchCapacity(0, 0, 0.0, 0.0), Outlook.UNKNOWN),
         )
         for name, progress, due_in, capacity, expected in cases:
             with self.subTest(name):
-                self.assertIs(expected, judge_batch(progress, due_in, capacity))
+                self.assertIs(expected, forecast_deadline(progress, due_in, capacity))
 
     def test_limits(self):
-        needed = seconds_left(SHORT, POOL.share, POOL.token_time)
+        needed = remaining_seconds(SHORT, POOL.available_slots, POOL.token_time)
         cases = (
-            (needed + SPARE_SECONDS + 0.01, Outlook.TO_SPARE),
-            (needed + SPARE_SECONDS - 0.01, Outlook.TIGHT),
-            (864 * 80 * 0.0006 / 176 - HOPELESS_SECONDS + 0.01, Outlook.TIGHT),
-            (864 * 80 * 0.0006 / 176 - HOPELESS_SECONDS - 0.01, Outlook.HOPELESS),
+            (needed + MIN_SPARE_SECONDS + 0.01, Outlook.TO_SPARE),
+            (needed + MIN_SPARE_SECONDS - 0.01, Outlook.TIGHT),
+            (864 * 80 * 0.0006 / 176 - INFEASIBLE_DELAY_SECONDS + 0.01, Outlook.TIGHT),
+            (864 * 80 * 0.0006 / 176 - INFEASIBLE_DELAY_SECONDS - 0.01, Outlook.HOPELESS),
         )
         for due_in, expected in cases:
             with self.subTest(due_in=due_in):
-                self.assertIs(expected, judge_batch(SHORT, due_in, POOL))
+                self.assertIs(expected, forecast_deadline(SHORT, due_in, POOL))
 
     def test_many_short_items_need_time_too(self):
         many = BatchProgress(400, work=58 * 16000, long_item=800)
-        self.assertAlmostEqual(10.5, seconds_left(many, POOL.share, POOL.token_time))
-        self.assertIs(Outlook.TIGHT, judge_batch(many, 7.5, POOL))
+        self.assertAlmostEqual(10.5, remaining_seconds(many, POOL.available_slots, POOL.token_time))
+        self.assertIs(Outlook.TIGHT, forecast_deadline(many, 7.5, POOL))
 
     def test_which_batch_of_a_model_counts(self):
         tight, unknown = Outlook.TIGHT, Outlook.UNKNOWN
@@ -93,7 +97,7 @@
         )
         for outlooks, expected in cases:
             with self.subTest(outlooks):
-                self.assertIs(expected, most_in_need(outlooks))
+                self.assertIs(expected, most_urgent_forecast(outlooks))
 
 
 class WorkLeftTest(unittest.TestCase):
@@ -225,7 +229,9 @@
             self.assertGreater(self.due, 0)
             self.outlooks.record_report(DaemonId("o"), {self.head.id: BatchProgress(0, 1, 1)})
             self.assertIs(Outlook.TO_SPARE, self.demand().outlook)
-            self.head = replace(self.head, created_at=100.0 - self.due - 2 * HOPELESS_SECONDS)
+            self.head = replace(
+                self.head, created_at=100.0 - self.due - 2 * INFEASIBLE_DELAY_SECONDS
+            )
             self.assertIs(Outlook.TIGHT, self.demand().outlook, "little is left of it")
             much = {self.head.id: BatchProgress(0, 10**6, 10**5)}
             self.outlooks.record_report(DaemonId("o"), much)
--- a/tests/test_cold_bound.py
+++ b/tests/test_cold_bound.py
@@ -6,17 +6,17 @@
 from larkpost.common.clock import LoopClock
 from larkpost.common.ids import DaemonId
 from larkpost.gateway.blackboard.board import Blackboard
-from larkpost.gateway.controllers.fleet_view import HEARING_INTERVALS
-from larkpost.gateway.controllers.heartbeat_intervals import HEARTBEAT_SECONDS
+from larkpost.gateway.controllers.fleet_view import MAX_LISTING_AGE_INTERVALS
+from larkpost.gateway.controllers.heartbeat_intervals import FAST_HEARTBEAT_SECONDS
 from larkpost.gateway.observability.eventlog import EventLog
-from larkpost.gateway.placement.cold_rule import (
+from larkpost.gateway.placement.cold_rate_limit import (
     POLL_SECONDS,
-    ColdRule,
+    ColdRateLimit,
 )
-from larkpost.gateway.placement.cold_senders import (
-    ColdSenders,
+from larkpost.gateway.placement.sender_tracker import (
+    SenderTracker,
 )
-from tests.cold_views import BOUND, ENGINE, INFO, ITEM_WORK, LONG_SECONDS, RATE, names
+from tests.cold_views import BOUND, ENGINE, INFO, ITEM_WORK, LONG_SECONDS, RATE, daemon_ids
 from tests.platform_checks import check_cold
 from tests.platform_fleet import (
     COLD_TERMS,
@@ -45,17 +45,17 @@
         blackboard.configuration.update(CONFIGURATION)
         blackboard.directory.update(INFO)
         blackboard.cold.record(ENGINE, 10 * LONG_SECONDS, clock.now())
-        senders = ColdSenders(own, clock)
-        senders.follow(self.owners, self, self)
-        self.rule = ColdRule(COLD_TERMS, blackboard, clock, EventLog(own), senders)
+        senders = SenderTracker(own, clock)
+        senders.set_sources(self.owners, self, self)
+        self.rule = ColdRateLimit(COLD_TERMS, blackboard, clock, EventLog(own), senders)
 
     def silence(self) -> float:
         """Returns for how long it has heard nothing."""
         return self.clock.now() - self.cut_at if self.cut_at is not None else 0.0
 
-    def is_hearing(self) -> bool:
+    def has_recent_listing(self) -> bool:
         """Tells whether it hears the others; see `Membership`."""
-        return self.silence() < HEARING_INTERVALS * HEARTBEAT_SECONDS
+        return self.silence() < MAX_LISTING_AGE_INTERVALS * FAST_HEARTBEAT_SECONDS
 
     def alive(self) -> tuple[DaemonId, ...]:
         """Returns the members."""
@@ -95,7 +95,7 @@
 
         async def work() -> list[float]:
             chance, clock, history = random.Random(seed), LoopClock(), [(0.0, set())]
-            daemons = [GreedyDaemon(own, clock, history) for own in names(self.DAEMONS)]
+            daemons = [GreedyDaemon(own, clock, history) for own in daemon_ids(self.DAEMONS)]
             times: list[float] = []
             steps = int(60 / self.TICK_SECONDS)
             for step in range(steps):
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -11,19 +11,19 @@
 from larkpost.common.ids import ZoneId
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.cold_instances import ColdInstances, ColdTerms
-from larkpost.gateway.controllers.row_intake import InstanceTrust, RowIntake
+from larkpost.gateway.controllers.row_recorder import RemovalTrust, RowRecorder
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
-from larkpost.gateway.placement.cold_rule import (
-    SEND_WITHIN_SECONDS,
+from larkpost.gateway.placement.cold_rate_limit import (
+    SEND_TIMEOUT_SECONDS,
     WINDOW_SECONDS,
-    ColdRule,
+    ColdRateLimit,
 )
-from larkpost.gateway.placement.cold_share import (
-    owner_sends,
+from larkpost.gateway.placement.cold_rate_quota import (
+    owner_quota,
 )
+from larkpost.gateway.placement.decision import PlacementDecision
 from larkpost.gateway.placement.rules import Placement
-from larkpost.gateway.placement.verdict import Verdict
 from larkpost.gateway.placement.work import CLIENT_WORK, ORDER_WORK, REWARD_WORK, Work
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.servers.port import NotRunError, NotRunReason
@@ -38,8 +38,8 @@
     LONG_SECONDS,
     NEW_ENGINE,
     OTHER_ENGINE,
-    names,
-    settled,
+    daemon_ids,
+    established_view,
 )
 from tests.platform_checks import SECOND
 from tests.platform_fleet import (
@@ -64,11 +64,11 @@
             self.blackboard.configuration.update(CONFIGURATION)
             self.blackboard.directory.update(INFO)
             self.senders = mock.Mock()
-            self.senders.view.return_value = settled(names(1)[0], names(1))
-            self.rule = ColdRule(
+            self.senders.view.return_value = established_view(daemon_ids(1)[0], daemon_ids(1))
+            self.rule = ColdRateLimit(
                 terms, self.blackboard, self.clock, EventLog("daemon"), self.senders
             )
-            self.share = owner_sends(BOUND, self.senders.view(), ENGINE, is_engine=True)
+            self.share = owner_quota(BOUND, self.senders.view(), ENGINE, is_engine=True)
             self.blackboard.cold.record(ENGINE, LONG_SECONDS, self.clock.now())
             await work()
 
@@ -91,9 +91,9 @@
     def test_choice_takes_nothing_and_sees_what_is_left(self) -> None:
         async def work() -> None:
             for _ in range(100):
-                self.assertIs(Verdict.ALLOWED, self.rule.judge(INFO, ITEM_WORK))
+                self.assertIs(PlacementDecision.ALLOWED, self.rule.evaluate(INFO, ITEM_WORK))
             self.admitted(tries=self.share)
-            self.assertIs(Verdict.COLD, self.rule.judge(INFO, ITEM_WORK))
+            self.assertIs(PlacementDecision.COLD, self.rule.evaluate(INFO, ITEM_WORK))
 
         self.play(work)
 
@@ -123,7 +123,7 @@
     def test_daemon_that_hears_nothing_is_limited_at_engines_that_may_have_turned_cold(self):
         async def work() -> None:
             self.blackboard.cold = self.rule._blackboard.cold = ColdInstances()
-            self.senders.view.return_value = replace(self.senders.view(), is_blind=True)
+            self.senders.view.return_value = replace(self.senders.view(), is_stale=True)
             self.assertEqual(self.share, self.admitted())
             self.assertEqual(100, self.admitted(CLIENT_WORK))
 
@@ -132,9 +132,9 @@
     def test_places_given_count_until_they_are_sent(self) -> None:
         async def work() -> None:
             for _ in range(self.share):
-                self.assertIs(Verdict.ALLOWED, self.rule.judge(INFO, ITEM_WORK))
+                self.assertIs(PlacementDecision.ALLOWED, self.rule.evaluate(INFO, ITEM_WORK))
                 self.rule.reserve(INFO)
-            self.assertIs(Verdict.COLD, self.rule.judge(INFO, ITEM_WORK))
+            self.assertIs(PlacementDecision.COLD, self.rule.evaluate(INFO, ITEM_WORK))
             self.assertEqual(self.share, self.admitted())
 
         self.play(work)
@@ -144,7 +144,7 @@
             other = replace(INFO, id=NEW_ENGINE)
             self.blackboard.cold.record(NEW_ENGINE, LONG_SECONDS, self.clock.now())
             self.admitted()
-            self.assertIs(Verdict.ALLOWED, self.rule.judge(other, ITEM_WORK))
+            self.assertIs(PlacementDecision.ALLOWED, self.rule.evaluate(other, ITEM_WORK))
 
         self.play(work)
 
@@ -160,9 +160,9 @@
     def test_only_a_send_to_a_cold_engine_must_be_made_at_once(self) -> None:
         async def work() -> None:
             placement = Placement(
-                self.blackboard.directory, (self.rule,), send_within=self.rule.send_within
+                self.blackboard.directory, (self.rule,), send_timeout=self.rule.send_timeout
             )
-            self.assertEqual(SEND_WITHIN_SECONDS, placement.admit(ENGINE, ITEM_WORK))
+            self.assertEqual(SEND_TIMEOUT_SECONDS, placement.admit(ENGINE, ITEM_WORK))
             await self.clock.sleep(LONG_SECONDS)
             self.assertIsNone(placement.admit(ENGINE, ITEM_WORK))
 
@@ -171,7 +171,7 @@
     def test_no_limit_without_terms_or_without_a_rate(self) -> None:
         async def work() -> None:
             self.assertFalse(self.rule.is_cold(INFO))
-            self.assertIsNone(self.rule.send_within(INFO))
+            self.assertIsNone(self.rule.send_timeout(INFO))
             self.assertEqual(100, self.admitted())
 
         async def without_rate() -> None:
@@ -249,7 +249,7 @@
 class NewsTest(unittest.TestCase):
     """What makes an instance count as cold."""
 
-    def play(self, work, *, had_whole_list: bool = True) -> None:
+    def play(self, work, *, has_full_listing: bool = True) -> None:
         """Runs a test on virtual time with an intake of rows."""
 
         async def begin() -> None:
@@ -258,11 +258,11 @@
             self.blackboard.configuration.update(CONFIGURATION)
             self.sound = 100.0
             readers = replace(READERS, instance=lambda row: self.info)
-            self.intake = RowIntake(
+            self.row_recorder = RowRecorder(
                 readers,
                 self.blackboard,
                 Instruments(self.clock, EventLog("daemon")),
-                InstanceTrust(lambda: self.sound, lambda: 3.0, lambda: had_whole_list),
+                RemovalTrust(lambda: self.sound, lambda: 3.0, lambda: has_full_listing),
             )
             await work()
 
@@ -271,7 +271,7 @@
     def take(self, cold_left: float | None) -> float:
         """Takes an entry of the engine, and returns for how long it counts as cold."""
         self.info = replace(INFO, cold_left=cold_left)
-        self.intake.record_instance_row(Row(RowKey("instances", "", ENGINE), b"", 1))
+        self.row_recorder.record_instance_row(Row(RowKey("instances", "", ENGINE), b"", 1))
         return self.blackboard.cold.left(ENGINE, self.clock.now())
 
     def test_new_during_traffic_whether_its_entry_says_so_or_nothing(self) -> None:
@@ -293,13 +293,13 @@
             self.assertEqual(0.0, self.take(None))
             self.assertEqual(1.5, self.take(1.5))
 
-        self.play(work, had_whole_list=False)
+        self.play(work, has_full_listing=False)
 
     def test_back_after_its_entry_went_while_the_store_was_away(self) -> None:
         async def work() -> None:
             self.take(0.0)
             self.sound = 0.0
-            self.intake.record_instance_row(
+            self.row_recorder.record_instance_row(
                 Row(RowKey("instances", "", ENGINE), b"", 2, removed=True)
             )
             self.assertEqual(0.0, self.take(None))
--- a/tests/test_cold_senders.py
+++ b/tests/test_cold_senders.py
@@ -4,17 +4,17 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.common.ids import DaemonId
-from larkpost.gateway.placement.cold_senders import (
-    NEWCOMER_SECONDS,
-    OWNER_MEMORY_SECONDS,
-    UPDATE_SECONDS,
-    YOUNG_SECONDS,
-    ColdSenders,
-)
-from larkpost.gateway.placement.cold_share import (
+from larkpost.gateway.placement.cold_rate_quota import (
     SenderView,
 )
-from tests.cold_views import LONG_SECONDS, names
+from larkpost.gateway.placement.sender_tracker import (
+    NEW_OWNER_SECONDS,
+    OWNER_RETENTION_SECONDS,
+    STARTUP_SECONDS,
+    VIEW_LIFETIME_SECONDS,
+    SenderTracker,
+)
+from tests.cold_views import LONG_SECONDS, daemon_ids
 from tests.virtual import run
 
 
@@ -24,9 +24,9 @@
     def __init__(self) -> None:
         self.listed = True
         self.hears = True
-        self.everyone = names(3)
+        self.everyone = daemon_ids(3)
 
-    def is_hearing(self) -> bool:
+    def has_recent_listing(self) -> bool:
         """Tells whether this daemon hears the others."""
         return self.hears
 
@@ -55,12 +55,12 @@
 
         async def begin() -> None:
             self.clock = LoopClock()
-            self.own, *self.others = names(3)
+            self.own, *self.others = daemon_ids(3)
             self.owners = {self.own, *self.others}
             self.members = FakeMembers()
             self.heads = FakeHeads()
-            self.senders = ColdSenders(self.own, self.clock)
-            self.senders.follow(lambda: self.owners, self.members, self.heads)
+            self.senders = SenderTracker(self.own, self.clock)
+            self.senders.set_sources(lambda: self.owners, self.members, self.heads)
             await work()
 
         run(begin())
@@ -69,36 +69,36 @@
         """Lets time pass while the rule asks again and again, and returns the view then."""
         end = self.clock.now() + seconds
         while self.clock.now() < end:
-            await self.clock.sleep(UPDATE_SECONDS)
+            await self.clock.sleep(VIEW_LIFETIME_SECONDS)
             view = self.senders.view()
         return view
 
     def test_new_owner_is_settled_after_a_while(self) -> None:
         async def work() -> None:
-            self.assertFalse(self.senders.view().is_settled)
-            self.assertFalse((await self.wait(NEWCOMER_SECONDS - 0.2)).is_settled)
-            self.assertTrue((await self.wait(0.4)).is_settled)
+            self.assertFalse(self.senders.view().is_established)
+            self.assertFalse((await self.wait(NEW_OWNER_SECONDS - 0.2)).is_established)
+            self.assertTrue((await self.wait(0.4)).is_established)
 
         self.play(work)
 
     def test_owner_that_hears_nothing_of_the_store_is_not_settled(self) -> None:
         async def work() -> None:
-            self.assertTrue((await self.wait(2.0)).is_settled)
+            self.assertTrue((await self.wait(2.0)).is_established)
             self.members.hears = False
             view = await self.wait(0.2)
-            self.assertEqual((False, True), (view.is_settled, view.is_blind))
+            self.assertEqual((False, True), (view.is_established, view.is_stale))
             self.members.hears = True
-            self.assertTrue((await self.wait(0.2)).is_settled)
+            self.assertTrue((await self.wait(0.2)).is_established)
             self.heads.age_seconds = 5.0
-            self.assertFalse((await self.wait(0.2)).is_settled)
+            self.assertFalse((await self.wait(0.2)).is_established)
 
         self.play(work)
 
     def test_owner_of_long_ago_is_new_again(self) -> None:
         async def work() -> None:
-            self.assertTrue((await self.wait(2.0)).is_settled)
+            self.assertTrue((await self.wait(2.0)).is_established)
             await self.clock.sleep(LONG_SECONDS)  # nobody asks meanwhile
-            self.assertFalse(self.senders.view().is_settled)
+            self.assertFalse(self.senders.view().is_established)
 
         self.play(work)
 
@@ -109,25 +109,25 @@
             self.owners = {self.own, *self.others}
             self.assertEqual(3, len((await self.wait(0.1)).owners))
             self.owners = {self.own}
-            self.assertEqual(3, len((await self.wait(OWNER_MEMORY_SECONDS - 0.3)).owners))
+            self.assertEqual(3, len((await self.wait(OWNER_RETENTION_SECONDS - 0.3)).owners))
             self.assertEqual(1, len((await self.wait(0.5)).owners))
 
         self.play(work)
 
     def test_young_daemon_sends_no_requests_of_clients(self) -> None:
         async def work() -> None:
-            self.assertFalse((await self.wait(YOUNG_SECONDS - 0.3)).is_informed)
-            self.assertTrue((await self.wait(0.5)).is_informed)
+            self.assertFalse((await self.wait(STARTUP_SECONDS - 0.3)).knows_members)
+            self.assertTrue((await self.wait(0.5)).knows_members)
             self.members.listed = False
-            self.assertFalse((await self.wait(0.2)).is_informed)
+            self.assertFalse((await self.wait(0.2)).knows_members)
 
         self.play(work)
 
     def test_daemon_that_was_not_told_whom_to_ask_knows_nobody(self) -> None:
         async def work() -> None:
-            view = ColdSenders(self.own, self.clock).view()
+            view = SenderTracker(self.own, self.clock).view()
             self.assertEqual(
-                (False, False, True), (view.is_settled, view.is_informed, view.is_blind)
+                (False, False, True), (view.is_established, view.knows_members, view.is_stale)
             )
 
         self.play(work)
--- a/tests/test_division_cost.py
+++ b/tests/test_division_cost.py
@@ -5,11 +5,11 @@
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import Configuration
 from larkpost.gateway.blackboard.weight_targets import WeightTarget
-from larkpost.gateway.controllers.division import (
-    LIFETIME_SECONDS,
-    LIFETIME_SECONDS_PER_ENGINE,
-    EngineDivision,
-    lifetime_of,
+from larkpost.gateway.controllers.engine_allocator import (
+    ALLOCATION_LIFETIME_SECONDS,
+    ALLOCATION_LIFETIME_SECONDS_PER_ENGINE,
+    EngineAllocator,
+    allocation_lifetime,
 )
 from tests.platform_fleet import PlatformFleet
 from tests.server_parts import FIRST, SECOND, TWO_MODELS, make_instance
@@ -34,7 +34,7 @@
             looks: list[InstanceId] = []
             asked: list[int] = []
 
-            def pace(engine: InstanceId) -> float:
+            def service_time(engine: InstanceId) -> float:
                 looks.append(engine)
                 return 0.05
 
@@ -42,7 +42,7 @@
                 asked.append(1)
                 return {}
 
-            division = EngineDivision(board, fleet.clock, demands, pace=pace)
+            division = EngineAllocator(board, fleet.clock, demands, service_time=service_time)
             for _ in range(QUESTIONS):
                 division.engines_of(TWO_MODELS.name, FIRST)
                 division.loading(TWO_MODELS.name, SECOND)
@@ -55,8 +55,10 @@
     def test_division_of_many_engines_serves_longer(self):
         few = {FIRST: [InstanceId("a")], SECOND: [InstanceId("b")]}
         many = {FIRST: [InstanceId(str(number)) for number in range(3200)]}
-        self.assertEqual(LIFETIME_SECONDS, lifetime_of(few))
-        self.assertAlmostEqual(3200 * LIFETIME_SECONDS_PER_ENGINE, lifetime_of(many))
+        self.assertEqual(ALLOCATION_LIFETIME_SECONDS, allocation_lifetime(few))
+        self.assertAlmostEqual(
+            3200 * ALLOCATION_LIFETIME_SECONDS_PER_ENGINE, allocation_lifetime(many)
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -13,18 +13,18 @@
 from larkpost.gateway.blackboard.evacuations import Evacuations, ZoneEvacuation
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.blackboard.weight_targets import WeightTarget, WeightTargets
-from larkpost.gateway.controllers.division import EngineDivision
 from larkpost.gateway.controllers.due_loads import (
-    FIRST_SECONDS,
-    GROUP_SECONDS,
-    LOAD_GROUPS,
+    GROUP_TURN_SECONDS,
+    IDLE_LOAD_DELAY_SECONDS,
+    LOAD_GROUP_COUNT,
     LoadInputs,
     due_loads,
 )
+from larkpost.gateway.controllers.engine_allocator import EngineAllocator
 from larkpost.gateway.observability.eventlog import Event
+from larkpost.gateway.placement.decision import PlacementDecision
 from larkpost.gateway.placement.evacuation_rule import EvacuationRule
 from larkpost.gateway.placement.rules import Placement
-from larkpost.gateway.placement.verdict import Verdict
 from larkpost.gateway.placement.work import CLIENT_WORK, ORDER_WORK, REWARD_WORK, Work, WorkKind
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.forecast import MOST_RETRY_SECONDS, NO_PLACE_RETRY_SECONDS
@@ -95,10 +95,10 @@
         rule = EvacuationRule(evacuations)
         inside, outside = make_instance("a", zone=NORTH), make_instance("b", zone=SOUTH)
         for work in (CLIENT_WORK, REWARD_WORK, Work(WorkKind.ITEM)):
-            self.assertIs(Verdict.EVACUATED, rule.judge(inside, work))
-            self.assertIs(Verdict.EVACUATED, rule.admit(inside, work))
-            self.assertIs(Verdict.ALLOWED, rule.judge(outside, work))
-        self.assertIs(Verdict.ALLOWED, rule.judge(inside, ORDER_WORK))
+            self.assertIs(PlacementDecision.EVACUATED, rule.evaluate(inside, work))
+            self.assertIs(PlacementDecision.EVACUATED, rule.admit(inside, work))
+            self.assertIs(PlacementDecision.ALLOWED, rule.evaluate(outside, work))
+        self.assertIs(PlacementDecision.ALLOWED, rule.evaluate(inside, ORDER_WORK))
 
 
 class ForwarderTest(unittest.TestCase):
@@ -200,7 +200,7 @@
 
     def due(self, seconds: float, zone: ZoneId = NORTH) -> set[InstanceId]:
         """Returns the engines that load so long after the version was named."""
-        now = 10.0 + FIRST_SECONDS + seconds
+        now = 10.0 + IDLE_LOAD_DELAY_SECONDS + seconds
         inputs = LoadInputs(self.directory, self.targets, {}, frozenset({zone}))
         loads = due_loads(self.service, inputs, now)
         return {engine for engine, _ in loads}
@@ -226,7 +226,7 @@
             self.assertEqual(2, self.directory.version_of(engine, MODEL))
 
     def test_engine_that_cannot_load_holds_up_the_evacuated_ones_for_its_turns_only(self):
-        late = LOAD_GROUPS * GROUP_SECONDS + 0.1
+        late = LOAD_GROUP_COUNT * GROUP_TURN_SECONDS + 0.1
         self.assertTrue(self.due(late) & self.north)
 
     def test_no_evacuated_engine_is_a_models_own(self):
@@ -235,7 +235,7 @@
             configuration.update(CONFIGURATION)
             blackboard = Blackboard(RegionMap(), configuration, self.directory, self.targets)
             evacuations = blackboard.evacuations
-            division = EngineDivision(blackboard, LoopClock(), dict)
+            division = EngineAllocator(blackboard, LoopClock(), dict)
             self.assertEqual(self.north | self.south, division.engines_of(ENGINES, MODEL))
             evacuations.begin(NORTH, 0.0)
             await asyncio.sleep(1.0)
@@ -295,7 +295,7 @@
         async def play():
             await self.begin(gateways=1)
             log = RecordingLog()
-            self.fleet.gateways[0]._feeds.intake._log = log
+            self.fleet.gateways[0]._feeds.row_recorder._log = log
             await self.change(NORTH)
             self.fleet.put("operator", f"evacuate-{NORTH}", b"{}")  # said again: no news
             await self.change(NORTH, on=False)
