--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -17,14 +17,14 @@
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
 from larkpost.gateway.blackboard.known_crashes import CLIENT_CRASH_LIMIT, Crash, KnownCrashes
 from larkpost.gateway.blackboard.request_content import ContentDigest
-from larkpost.gateway.controllers import loader
+from larkpost.gateway.controllers import weight_loader
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
-from larkpost.gateway.controllers.row_intake import InstanceTrust, RowIntake
+from larkpost.gateway.controllers.row_recorder import RemovalTrust, RowRecorder
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.proxy.balancer import Balancer
+from larkpost.gateway.quarantine.crash_detector import CrashDetector, CrashEvidence
 from larkpost.gateway.quarantine.repository import crash_of_row
-from larkpost.gateway.quarantine.watch import CrashWatch, Evidence
 from larkpost.gateway.servers.port import EngineReport, NotRunReason, PortState, ServerLoad
 from larkpost.gateway.store.port import Row, RowKey
 from larkpost.platform.assembly import READERS
@@ -147,15 +147,15 @@
         self.blackboard = Blackboard()
         self.log = mock.Mock(spec=EventLog)
         self.instruments = Instruments(mock.Mock(now=lambda: 0.0), self.log)
-        trust = InstanceTrust(lambda: 100.0, lambda: 3.0, lambda: True)
-        self.intake = RowIntake(READERS, self.blackboard, self.instruments, trust)
+        trust = RemovalTrust(lambda: 100.0, lambda: 3.0, lambda: True)
+        self.row_recorder = RowRecorder(READERS, self.blackboard, self.instruments, trust)
 
     def configure(self, version: int, *services: str) -> None:
         """Has a configuration come in."""
         named = [{"name": name} for name in services]
         document = {"version": version, "routes": [], "services": named}
         row = Row(RowKey("op", "", "config"), orjson.dumps(document), version)
-        self.intake.record_operator_row(row)
+        self.row_recorder.record_operator_row(row)
 
     def spoiled(self) -> float:
         """Returns how many entries were counted as no server's."""
@@ -168,42 +168,42 @@
 
     def test_restart_is_logged_as_a_new_instance(self) -> None:
         self.configure(1, SERVICE)
-        self.intake.record_instance_row(entry_row(1, FIRST_START))
-        self.intake.record_instance_row(entry_row(2, SECOND_START))
+        self.row_recorder.record_instance_row(entry_row(1, FIRST_START))
+        self.row_recorder.record_instance_row(entry_row(2, SECOND_START))
         self.assertEqual(2, self.events().count(Event.INSTANCE))
         self.assertEqual(SECOND_START, self.blackboard.directory.named(NAME).born)
 
     def test_spoiled_entry_names_no_server_and_the_next_whole_one_does(self) -> None:
         self.configure(1, SERVICE)
-        self.intake.record_instance_row(entry_row(1, FIRST_START))
+        self.row_recorder.record_instance_row(entry_row(1, FIRST_START))
         other = Row(RowKey("servers", "", "engine-4"), entry_row(1, 7).value, 1)
-        self.intake.record_instance_row(other)
-        self.intake.record_instance_row(entry_row(2, FIRST_START, state="zombie"))
+        self.row_recorder.record_instance_row(other)
+        self.row_recorder.record_instance_row(entry_row(2, FIRST_START, state="zombie"))
         self.assertIsNone(self.blackboard.directory.named(NAME))
         self.assertEqual(1, len(self.blackboard.directory))
         self.assertEqual(1, self.spoiled())
         self.assertEqual(1, self.events().count(Event.UNREADABLE))
-        self.intake.record_instance_row(entry_row(3, FIRST_START))
+        self.row_recorder.record_instance_row(entry_row(3, FIRST_START))
         self.assertIsNotNone(self.blackboard.directory.named(NAME))
 
     def test_spoiled_entry_of_a_server_that_leaves_does_not_bring_it_back(self) -> None:
         self.configure(1, SERVICE)
-        self.intake.record_instance_row(entry_row(1, FIRST_START, state="draining"))
-        self.intake.record_instance_row(entry_row(2, FIRST_START, slots=-3))
-        self.intake.record_instance_row(entry_row(3, FIRST_START))
+        self.row_recorder.record_instance_row(entry_row(1, FIRST_START, state="draining"))
+        self.row_recorder.record_instance_row(entry_row(2, FIRST_START, slots=-3))
+        self.row_recorder.record_instance_row(entry_row(3, FIRST_START))
         state = self.blackboard.directory.named(NAME).state
         self.assertEqual(InstanceState.LEAVING, state)
 
     def test_service_that_no_configuration_names(self) -> None:
         self.configure(1, "pages")
-        self.intake.record_instance_row(entry_row(1, FIRST_START))
+        self.row_recorder.record_instance_row(entry_row(1, FIRST_START))
         self.assertEqual(0, len(self.blackboard.directory))
         self.assertEqual(1, self.spoiled())
         self.configure(2, "pages", SERVICE)
         self.assertEqual(1, len(self.blackboard.directory))
 
     def test_entries_that_come_before_the_first_configuration(self) -> None:
-        self.intake.record_instance_row(entry_row(1, FIRST_START))
+        self.row_recorder.record_instance_row(entry_row(1, FIRST_START))
         self.assertEqual(0, self.spoiled())
         self.configure(1, SERVICE)
         self.assertEqual(1, len(self.blackboard.directory))
@@ -211,17 +211,19 @@
 
     def test_server_goes_on_when_its_service_is_named_no_more(self) -> None:
         self.configure(1, SERVICE)
-        self.intake.record_instance_row(entry_row(1, FIRST_START))
+        self.row_recorder.record_instance_row(entry_row(1, FIRST_START))
         self.configure(2, "pages")
-        self.intake.record_instance_row(entry_row(2, FIRST_START))
+        self.row_recorder.record_instance_row(entry_row(2, FIRST_START))
         self.assertEqual(1, len(self.blackboard.directory))
-        self.intake.record_instance_row(entry_row(3, FIRST_START, service="other"))
+        self.row_recorder.record_instance_row(entry_row(3, FIRST_START, service="other"))
         self.assertEqual(0, len(self.blackboard.directory))
 
     def test_entry_that_is_gone_is_forgotten_while_its_service_is_not_named(self) -> None:
         self.configure(1, "pages")
-        self.intake.record_instance_row(entry_row(1, FIRST_START))
-        self.intake.record_instance_row(Row(RowKey("servers", "", NAME), b"", 2, removed=True))
+        self.row_recorder.record_instance_row(entry_row(1, FIRST_START))
+        self.row_recorder.record_instance_row(
+            Row(RowKey("servers", "", NAME), b"", 2, removed=True)
+        )
         self.configure(2, SERVICE)
         self.assertEqual(0, len(self.blackboard.directory))
 
@@ -324,15 +326,15 @@
             found: list[str] = []
             servers = mock.Mock(probe=mock.AsyncMock(return_value=PortState.LISTENS))
             tasks = mock.Mock(spawn=lambda work, _: asyncio.ensure_future(work))
-            watch = CrashWatch(
+            watch = CrashDetector(
                 directory, servers, LoopClock(), tasks, lambda *news: found.append(news[2])
             )
-            watch.record_lost(ContentDigest("c"), FIRST)
+            watch.record_lost_connection(ContentDigest("c"), FIRST)
             await asyncio.sleep(0.1)
             self.assertEqual([], found)
             directory.update(SECOND)
             await asyncio.sleep(1.0)
-            self.assertEqual([Evidence.REPLACED], found)
+            self.assertEqual([CrashEvidence.REPLACED], found)
 
         run(play())
 
@@ -352,13 +354,13 @@
             (FIRST_START, incarnation(None), False),
         ):
             with self.subTest(said=said, known=known.id):
-                self.assertIs(expected, loader.is_of_another_start(report(said), known))
+                self.assertIs(expected, weight_loader.is_of_other_incarnation(report(said), known))
 
     def test_engine_is_checked_at_once_after_its_restart(self) -> None:
         blackboard = Blackboard()
         parts = mock.Mock()
-        weights = loader.WeightLoader(blackboard, parts, parts, parts, parts)
+        weights = weight_loader.WeightLoader(blackboard, parts, parts, parts, parts)
         blackboard.directory.update(FIRST)
-        weights._next_try[FIRST.id] = 1e9
+        weights._next_attempt[FIRST.id] = 1e9
         blackboard.directory.update(SECOND)
-        self.assertEqual({}, weights._next_try)
+        self.assertEqual({}, weights._next_attempt)
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -19,14 +19,14 @@
 )
 from larkpost.gateway.controllers.due_loads import LoadInputs, due_loads
 from larkpost.gateway.controllers.lending import (
-    LEISURE_SECONDS,
-    LENT_SHARE,
-    WAITED_SECONDS,
+    MAX_LENT_FRACTION,
+    TRAINER_BLOCKED_SECONDS,
+    TRAINER_SLACK_SECONDS,
     Lending,
-    Standing,
-    lend,
-    models_that_yield,
-    standing_of,
+    LendingRole,
+    lending_role,
+    plan_lending,
+    yielding_models,
 )
 from larkpost.gateway.controllers.model_assignment import (
     MIN_ENGINES_PER_MODEL,
@@ -55,7 +55,7 @@
 
 def all_at_leisure() -> dict[ModelName, ModelDemand]:
     """Returns what the models ask for while all trainers have time to spare."""
-    return {model: demand(model, LEISURE_SECONDS + 1) for model in THREE.models}
+    return {model: demand(model, TRAINER_SLACK_SECONDS + 1) for model in THREE.models}
 
 
 def two_behind() -> dict[ModelName, ModelDemand]:
@@ -67,37 +67,37 @@
     """Who lends and who borrows."""
 
     def test_standings(self):
-        spare, waits = LEISURE_SECONDS + 0.1, WAITED_SECONDS - 0.1
+        spare, waits = TRAINER_SLACK_SECONDS + 0.1, TRAINER_BLOCKED_SECONDS - 0.1
         cases = (
-            ("nothing is known", ModelDemand(), Standing.NEITHER),
-            ("its trainer waits", demand(LONG, waits), Standing.BORROWS),
-            ("its trainer has time", demand(LONG, spare), Standing.LENDS),
-            ("neither waits nor has time", demand(LONG, 1.0), Standing.NEITHER),
+            ("nothing is known", ModelDemand(), LendingRole.NONE),
+            ("its trainer waits", demand(LONG, waits), LendingRole.BORROWER),
+            ("its trainer has time", demand(LONG, spare), LendingRole.LENDER),
+            ("neither waits nor has time", demand(LONG, 1.0), LendingRole.NONE),
             (
                 "had none a step ago",
                 ModelDemand(9, open=True, asked_after=spare, least_asked_after=0.1),
-                Standing.NEITHER,
+                LendingRole.NONE,
             ),
             (
                 "tight for a moment: it gets places, no engines",
                 demand(LONG, spare, outlook=Outlook.TIGHT, waiting=1),
-                Standing.LENDS,
+                LendingRole.LENDER,
             ),
-            ("in time", demand(LONG, spare, outlook=Outlook.TO_SPARE), Standing.LENDS),
+            ("in time", demand(LONG, spare, outlook=Outlook.TO_SPARE), LendingRole.LENDER),
             (
                 "in time, but its trainer waits",
                 demand(LONG, waits, outlook=Outlook.TO_SPARE),
-                Standing.BORROWS,
+                LendingRole.BORROWER,
             ),
             (
                 "can't be in time any more",
                 demand(LONG, waits, outlook=Outlook.HOPELESS),
-                Standing.LENDS,
+                LendingRole.LENDER,
             ),
         )
         for name, asked, expected in cases:
             with self.subTest(name):
-                self.assertIs(expected, standing_of(asked))
+                self.assertIs(expected, lending_role(asked))
 
     def test_who_leaves_free_places_to_others(self):
         waiting = two_behind() | {LONG: demand(LONG, 0.02, waiting=5)}
@@ -124,7 +124,7 @@
         )
         for name, demands, expected in cases:
             with self.subTest(name):
-                self.assertEqual(expected, models_that_yield(THREE.models, demands))
+                self.assertEqual(expected, yielding_models(THREE.models, demands))
 
 
 class LendingTest(unittest.TestCase):
@@ -139,13 +139,13 @@
     def divide(self, demands: Demands) -> tuple[Assignment, Lending]:
         """Returns the division by work, and what is lent."""
         engines = self.directory.of_service(THREE.name)
-        division = assign_models(THREE, engines, self.directory, demands)
-        return division, lend(division, demands, self.directory.version_of)
+        assignment = assign_models(THREE, engines, self.directory, demands)
+        return assignment, plan_lending(assignment, demands, self.directory.version_of)
 
-    def first_engines(self, demands: Demands) -> dict[ModelName, set[InstanceId]]:
+    def preferred_engines(self, demands: Demands) -> dict[ModelName, set[InstanceId]]:
         """Returns the engines whose first places are each model's."""
-        division, lending = self.divide(demands)
-        return {model: set(names) for model, names in lending.first_engines(division).items()}
+        assignment, lending = self.divide(demands)
+        return {model: set(names) for model, names in lending.preferred_engines(assignment).items()}
 
     def load_all(self, demands: Demands, version: int) -> int:
         """Loads a version of each model wherever it is due; returns how many engines load."""
@@ -161,31 +161,31 @@
         return count
 
     def test_all_have_time_to_spare(self):
-        division, lending = self.divide(all_at_leisure())
+        assignment, lending = self.divide(all_at_leisure())
         self.assertEqual(Lending(), lending)
-        self.assertEqual(division, lending.first_engines(division))
-        self.assertEqual(division, lending.holders(division))
+        self.assertEqual(assignment, lending.preferred_engines(assignment))
+        self.assertEqual(assignment, lending.loading_engines(assignment))
 
     def test_one_with_time_to_spare_lends_to_two_that_lack_it(self):
-        division, _ = self.divide(two_behind())
-        first = self.first_engines(two_behind())
-        lent = set(division[SHORT]) - first[SHORT]
-        self.assertEqual(int(len(division[SHORT]) * LENT_SHARE), len(lent))
+        assignment, _ = self.divide(two_behind())
+        first = self.preferred_engines(two_behind())
+        lent = set(assignment[SHORT]) - first[SHORT]
+        self.assertEqual(int(len(assignment[SHORT]) * MAX_LENT_FRACTION), len(lent))
         self.assertGreater(len(lent), 0)
         self.assertGreaterEqual(len(first[SHORT]), MIN_ENGINES_PER_MODEL)
         for model in (LONG, LONGEST):
-            self.assertLessEqual(set(division[model]), first[model])
+            self.assertLessEqual(set(assignment[model]), first[model])
             lent -= first[model]
         self.assertEqual(set(), lent)
         self.assertEqual(ENGINES, sum(len(engines) for engines in first.values()))
 
     def test_lent_engines_load_both_models(self):
-        division, lending = self.divide(two_behind())
-        holders = lending.holders(division)
-        self.assertEqual(division[SHORT], holders[SHORT])
+        assignment, lending = self.divide(two_behind())
+        loading_engines = lending.loading_engines(assignment)
+        self.assertEqual(assignment[SHORT], loading_engines[SHORT])
         for model, engines in lending.lent.items():
-            self.assertLessEqual(set(engines), set(holders[model]))
-            self.assertEqual(sorted(holders[model], key=hash64), holders[model])
+            self.assertLessEqual(set(engines), set(loading_engines[model]))
+            self.assertEqual(sorted(loading_engines[model], key=hash64), loading_engines[model])
 
     def test_hopeless_lends_to_one_that_can_be_saved(self):
         demands = {
@@ -193,9 +193,9 @@
             LONG: demand(LONG, 0.02, outlook=Outlook.HOPELESS),
             LONGEST: demand(LONGEST, 0.02, outlook=Outlook.TIGHT),
         }
-        division, lending = self.divide(demands)
+        assignment, lending = self.divide(demands)
         self.assertEqual({LONGEST}, set(lending.lent))
-        self.assertLess(set(lending.lent[LONGEST]), set(division[LONG]))
+        self.assertLess(set(lending.lent[LONGEST]), set(assignment[LONG]))
 
     def test_nobody_lends_to_a_lower_priority(self):
         demands = two_behind() | {LONGEST: demand(LONGEST, 0.02, priority=1)}
@@ -220,10 +220,10 @@
             return 1
 
         names = [InstanceId(f"e{number}") for number in range(3000)]
-        division = {SHORT: names[:1000], LONG: names[1000:2000], LONGEST: names[2000:]}
-        lending = lend(division, two_behind(), version_of)
+        assignment = {SHORT: names[:1000], LONG: names[1000:2000], LONGEST: names[2000:]}
+        lending = plan_lending(assignment, two_behind(), version_of)
         count = sum(len(engines) for engines in lending.lent.values())
-        self.assertEqual(int(1000 * LENT_SHARE), count)
+        self.assertEqual(int(1000 * MAX_LENT_FRACTION), count)
         self.assertEqual(len(lending.lent) * count, len(asked))
 
     def test_engine_that_is_due_two_versions_loads_the_borrowers_first(self):
@@ -253,34 +253,34 @@
         one = Service(THREE.name, 100, slots=8, models=(LONG,))
         engines = self.directory.of_service(THREE.name)
         demands = {LONG: demand(LONG, 0.02)}
-        division = assign_models(one, engines, self.directory, demands)
-        self.assertEqual(Lending(), lend(division, demands, self.directory.version_of))
+        assignment = assign_models(one, engines, self.directory, demands)
+        self.assertEqual(Lending(), plan_lending(assignment, demands, self.directory.version_of))
 
     def test_few_engines_of_several_models_are_not_lent(self):
         self.directory = make_directory(3, THREE.name, slots=8)
-        division, lending = self.divide(two_behind())
+        assignment, lending = self.divide(two_behind())
         self.assertEqual(Lending(), lending)
-        self.assertGreater(sum(len(engines) for engines in division.values()), 3)
+        self.assertGreater(sum(len(engines) for engines in assignment.values()), 3)
 
     def test_lends_and_gets_back_without_loads_for_it(self):
-        division, _ = self.divide(all_at_leisure())
+        assignment, _ = self.divide(all_at_leisure())
         for version in (2, 3, 4):
             self.load_all(two_behind(), version)
-        self.assertEqual(division[SHORT], self.divide(all_at_leisure())[0][SHORT])
-        back = self.first_engines(all_at_leisure())
-        self.assertEqual({model: set(names) for model, names in division.items()}, back)
+        self.assertEqual(assignment[SHORT], self.divide(all_at_leisure())[0][SHORT])
+        back = self.preferred_engines(all_at_leisure())
+        self.assertEqual({model: set(names) for model, names in assignment.items()}, back)
         for engine in back[SHORT]:
             self.assertEqual(4, self.directory.version_of(engine, SHORT))
 
     def test_no_flapping_while_a_trainer_is_now_behind_and_now_not(self):
-        division, _ = self.divide(all_at_leisure())
+        assignment, _ = self.divide(all_at_leisure())
         lent = {engine for names in self.divide(two_behind())[1].lent.values() for engine in names}
         loads = 0
         for version in range(2, 12):
             demands = two_behind() if version % 2 else all_at_leisure()
             loads += self.load_all(demands, version)
             with self.subTest(version):
-                self.assertEqual(division, self.divide(demands)[0])
+                self.assertEqual(assignment, self.divide(demands)[0])
                 again = self.divide(two_behind())[1].lent.values()
                 self.assertEqual(lent, {engine for names in again for engine in names})
         steady = 10 * ENGINES
@@ -290,7 +290,7 @@
         lent = [name for names in self.divide(two_behind())[1].lent.values() for name in names]
         for engine in lent:
             self.directory.remove(engine, sound=True)
-        first = self.first_engines(two_behind())
+        first = self.preferred_engines(two_behind())
         self.assertEqual(ENGINES - len(lent), sum(len(engines) for engines in first.values()))
         for engines in first.values():
             self.assertGreaterEqual(len(engines), MIN_ENGINES_PER_MODEL)
@@ -299,14 +299,17 @@
         other = Directory()
         for info in reversed(self.directory.of_service(THREE.name)):
             other.update(info)
-        here = self.first_engines(two_behind())
+        here = self.preferred_engines(two_behind())
         self.directory = other
-        self.assertEqual(here, self.first_engines(dict(reversed(two_behind().items()))))
+        self.assertEqual(here, self.preferred_engines(dict(reversed(two_behind().items()))))
 
     def test_one_that_knows_an_older_state_uses_engines_with_the_version_all_the_same(self):
         for version in (2, 3):
             self.load_all(two_behind(), version)
-        older, newer = self.first_engines(all_at_leisure()), self.first_engines(two_behind())
+        older, newer = (
+            self.preferred_engines(all_at_leisure()),
+            self.preferred_engines(two_behind()),
+        )
         for model in THREE.models:
             for engine in older[model] | newer[model]:
                 self.assertGreaterEqual(self.directory.version_of(engine, model), 3)
--- a/tests/test_lending_record.py
+++ b/tests/test_lending_record.py
@@ -5,8 +5,8 @@
 from larkpost.common.clock import LoopClock
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.weight_targets import ModelDemand, Outlook
-from larkpost.gateway.controllers.lending import Lending, Standing
-from larkpost.gateway.controllers.lending_record import LOG_INTERVAL_SECONDS, LendingRecord
+from larkpost.gateway.controllers.lending import Lending, LendingRole
+from larkpost.gateway.controllers.lending_log import LOG_INTERVAL_SECONDS, LendingLog
 from larkpost.gateway.observability.eventlog import Event
 from tests.recording_log import RecordingLog
 from tests.server_parts import FIRST, SECOND, TWO_MODELS
@@ -24,7 +24,7 @@
 
         async def play() -> list[dict]:
             clock, log = LoopClock(), RecordingLog()
-            record = LendingRecord(log, clock)
+            record = LendingLog(log, clock)
             for seconds, lending in steps:
                 await clock.sleep(seconds)
                 record.record(TWO_MODELS, lending, DEMANDS)
@@ -38,7 +38,7 @@
     def test_line_says_to_whom_and_why(self):
         (line,) = self.lines((0.0, LENT), (5.0, LENT))
         self.assertEqual({FIRST: ["e1"]}, line["lent"])
-        self.assertEqual({FIRST: Standing.BORROWS, SECOND: Standing.NEITHER}, line["standings"])
+        self.assertEqual({FIRST: LendingRole.BORROWER, SECOND: LendingRole.NONE}, line["standings"])
         self.assertEqual({FIRST: "tight", SECOND: "unknown"}, line["outlooks"])
         self.assertEqual({FIRST: 0.1, SECOND: None}, line["asked_after"])
 
--- a/tests/test_load_timing.py
+++ b/tests/test_load_timing.py
@@ -17,16 +17,16 @@
     WeightTargets,
 )
 from larkpost.gateway.controllers.due_loads import (
-    BUSY_FIRST_SECONDS,
-    GROUP_SECONDS,
-    URGENT_FIRST_SECONDS,
+    BUSY_LOAD_DELAY_SECONDS,
+    GROUP_TURN_SECONDS,
+    URGENT_LOAD_DELAY_SECONDS,
     LoadInputs,
-    ModelState,
+    ModelLoadState,
     due_loads,
     engines_to_load,
     is_urgent,
 )
-from larkpost.gateway.controllers.lending import WAITED_SECONDS
+from larkpost.gateway.controllers.lending import TRAINER_BLOCKED_SECONDS
 from larkpost.gateway.rollouts import codec
 from larkpost.gateway.rollouts.known_heads import FRESH_SECONDS, WORK_BATCHES, KnownHeads
 from larkpost.gateway.rollouts.model import BatchHead
@@ -42,7 +42,7 @@
     ("nothing is known", ModelDemand(), False),
     ("came with its version, no earlier batch is open", WAITS, True),
     ("an earlier batch is open", replace(WAITS, open_before=True), False),
-    ("came long after its version", replace(WAITS, asked_after=WAITED_SECONDS), False),
+    ("came long after its version", replace(WAITS, asked_after=TRAINER_BLOCKED_SECONDS), False),
     ("when it came is not known", ModelDemand(100, open=True), False),
     ("the version is newer: its batch is still to come", replace(WAITS, asked_at=1), False),
 )
@@ -67,12 +67,12 @@
     def test_engines_load_together_once_the_items_have_found_their_places(self):
         for asked_after in (0.02, 0.4):
             demands = {FIRST: replace(WAITS, asked_after=asked_after)}
-            due_at = asked_after + URGENT_FIRST_SECONDS
+            due_at = asked_after + URGENT_LOAD_DELAY_SECONDS
             self.assertEqual(0, self.due(demands, due_at - 0.1))
             self.assertEqual(6, self.due(demands, due_at + 0.1))
 
     def test_one_group_serves_on_until_the_others_have_loaded(self):
-        state = ModelState(5, 0.0, dict.fromkeys("abcdefg", 4), {}, is_urgent=True)
+        state = ModelLoadState(5, 0.0, dict.fromkeys("abcdefg", 4), {}, is_urgent=True)
         first = engines_to_load(state)
         self.assertEqual(list("abcdef"), first)
         loaded = state.serving | dict.fromkeys(first, 5)
@@ -82,24 +82,26 @@
 
     def test_engine_that_cannot_load_holds_the_last_group_up_for_one_turn_only(self):
         loaded = dict.fromkeys("bcdef", 5) | dict.fromkeys("ag", 4)
-        state = ModelState(5, 0.0, loaded, {}, is_urgent=True)
-        self.assertEqual(["a"], engines_to_load(replace(state, elapsed=GROUP_SECONDS - 0.1)))
-        self.assertEqual(["a", "g"], engines_to_load(replace(state, elapsed=GROUP_SECONDS)))
+        state = ModelLoadState(5, 0.0, loaded, {}, is_urgent=True)
+        self.assertEqual(["a"], engines_to_load(replace(state, elapsed=GROUP_TURN_SECONDS - 0.1)))
+        self.assertEqual(["a", "g"], engines_to_load(replace(state, elapsed=GROUP_TURN_SECONDS)))
 
     def test_engines_wait_for_items_that_wait(self):
         waiting = {FIRST: replace(WAITS, waiting=3)}
-        self.assertEqual(0, self.due(waiting, BUSY_FIRST_SECONDS - 0.1))
-        self.assertEqual(6, self.due(waiting, BUSY_FIRST_SECONDS + 0.1))
+        self.assertEqual(0, self.due(waiting, BUSY_LOAD_DELAY_SECONDS - 0.1))
+        self.assertEqual(6, self.due(waiting, BUSY_LOAD_DELAY_SECONDS + 0.1))
 
     def test_engines_serve_the_batch_that_comes_with_the_version(self):
         before = {FIRST: replace(WAITS, asked_at=1)}
-        self.assertEqual(0, self.due(before, BUSY_FIRST_SECONDS - 0.1))
+        self.assertEqual(0, self.due(before, BUSY_LOAD_DELAY_SECONDS - 0.1))
 
     def test_engines_load_in_turns_while_there_is_time(self):
         at_leisure = {FIRST: ModelDemand(100, open=True, asked_after=2.7)}
-        self.assertEqual(0, self.due(at_leisure, BUSY_FIRST_SECONDS - 0.1))
-        self.assertEqual(3, self.due(at_leisure, BUSY_FIRST_SECONDS + 0.1))
-        self.assertEqual(3, self.due(at_leisure, BUSY_FIRST_SECONDS + GROUP_SECONDS + 0.1))
+        self.assertEqual(0, self.due(at_leisure, BUSY_LOAD_DELAY_SECONDS - 0.1))
+        self.assertEqual(3, self.due(at_leisure, BUSY_LOAD_DELAY_SECONDS + 0.1))
+        self.assertEqual(
+            3, self.due(at_leisure, BUSY_LOAD_DELAY_SECONDS + GROUP_TURN_SECONDS + 0.1)
+        )
 
 
 class AskedAfterTest(unittest.TestCase):
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.blackboard.configuration import RouteKind, Service
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.blackboard.weight_targets import ModelDemand, WeightTarget, WeightTargets
-from larkpost.gateway.controllers.due_loads import BUSY_FIRST_SECONDS, LoadInputs, due_loads
+from larkpost.gateway.controllers.due_loads import BUSY_LOAD_DELAY_SECONDS, LoadInputs, due_loads
 from larkpost.gateway.controllers.model_assignment import assign_models
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.forwarder import Forwarder
@@ -269,7 +269,7 @@
         targets = WeightTargets()
         targets.update(WeightTarget(FIRST, 2), now=10.0)
         demands = {FIRST: ModelDemand(100, True)}
-        for elapsed, count in ((0.1, 0), (BUSY_FIRST_SECONDS + 0.1, 2)):
+        for elapsed, count in ((0.1, 0), (BUSY_LOAD_DELAY_SECONDS + 0.1, 2)):
             loads = due_loads(service, LoadInputs(directory, targets, demands), 10.0 + elapsed)
             self.assertEqual(count, len(loads))
 
@@ -332,15 +332,15 @@
             members = [gateway.membership for gateway in fleet.gateways]
             return Counter(
                 coordinators=sum(member.is_coordinator() for member in members),
-                awaited=len(members[0].awaited.seen),
+                fast_heartbeats=len(members[0].fast_heartbeats.seen),
             )
 
         return run(play())
 
     def test_coordinators(self):
-        self.assertEqual(Counter(coordinators=12, awaited=12), self.active())
+        self.assertEqual(Counter(coordinators=12, fast_heartbeats=12), self.active())
         with switched_off.most_coordinators():
-            self.assertEqual(Counter(coordinators=2, awaited=2), self.active())
+            self.assertEqual(Counter(coordinators=2, fast_heartbeats=2), self.active())
 
     def test_peer_calls(self):
         async def is_relayed(relays: bool) -> bool:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -5,17 +5,17 @@
 from larkpost.common.clock import LoopClock
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.blackboard.regions import RegionMap
-from larkpost.gateway.controllers.coordinators import first_choice, is_to_coordinate
+from larkpost.gateway.controllers.coordinators import choose_coordinator, should_coordinate
 from larkpost.gateway.controllers.heartbeat import machine_of, new_incarnation
 from larkpost.gateway.controllers.heartbeat_intervals import (
     DEAD_AFTER_SECONDS,
-    HEARTBEAT_SECONDS,
-    awaited_interval,
-    known_interval,
-    known_listing_interval,
+    FAST_HEARTBEAT_SECONDS,
+    fast_heartbeat_interval,
+    slow_heartbeat_interval,
+    slow_listing_interval,
 )
-from larkpost.gateway.controllers.heartbeat_writer import OwnDaemon, is_due
-from larkpost.gateway.controllers.members import AWAITED_PART, Membership
+from larkpost.gateway.controllers.heartbeat_writer import LocalDaemon, is_due
+from larkpost.gateway.controllers.membership import FAST_HEARTBEAT_PART, Membership
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient, StoreFaults
@@ -35,7 +35,7 @@
         """Starts a daemon's heartbeat; the store answers it after a time."""
         client = StoreClient(self.store, answer_seconds)
         membership = Membership(
-            OwnDaemon(new_incarnation(machine)),
+            LocalDaemon(new_incarnation(machine)),
             client,
             Instruments(self.clock, EventLog(machine)),
             RegionMap(),
@@ -52,8 +52,8 @@
             await self.clock.sleep(2.0)
             self.assertTrue(first.is_alive(second.own))
             second.tasks.cancel_all()
-            last_heartbeat = self.store.written_at[second.awaited.row_of(second.own)]
-            latest = DEAD_AFTER_SECONDS + 2 * HEARTBEAT_SECONDS
+            last_heartbeat = self.store.written_at[second.fast_heartbeats.row_of(second.own)]
+            latest = DEAD_AFTER_SECONDS + 2 * FAST_HEARTBEAT_SECONDS
             while (silence := self.clock.now() - last_heartbeat) < 2 * DEAD_AFTER_SECONDS:
                 if silence < DEAD_AFTER_SECONDS:
                     self.assertTrue(first.is_alive(second.own), silence)
@@ -139,7 +139,7 @@
             await second.leave()
             await self.clock.sleep(0.7)
             self.assertFalse(first.is_alive(second.own))
-            self.assertEqual(first.own, second.first_choice("anything"))
+            self.assertEqual(first.own, second.choose_coordinator("anything"))
 
         run(play())
 
@@ -153,10 +153,10 @@
             since = self.clock.now()
             old.tasks.cancel_all()
             self.start("a")
-            await self.clock.sleep(2 * HEARTBEAT_SECONDS)
-            self.assertFalse(observer.awaited.seen.get(old.own))
+            await self.clock.sleep(2 * FAST_HEARTBEAT_SECONDS)
+            self.assertFalse(observer.fast_heartbeats.seen.get(old.own))
             self.assertFalse([key for key in self.store.rows if key.key == old.own])
-            await self.clock.sleep(DEAD_AFTER_SECONDS - HEARTBEAT_SECONDS)
+            await self.clock.sleep(DEAD_AFTER_SECONDS - FAST_HEARTBEAT_SECONDS)
             self.assertFalse(observer.is_owner_alive(old.own, since))
 
         run(play())
@@ -165,16 +165,16 @@
         async def play():
             self.begin()
             first, second = self.start("a"), self.start("b")
-            self.assertFalse(first.is_hearing())
+            self.assertFalse(first.has_recent_listing())
             await self.clock.sleep(2.0)
-            self.assertTrue(first.is_hearing())
+            self.assertTrue(first.has_recent_listing())
             first._store.cut_off = True
             while second.is_owner_alive(first.own, 0.0):
                 await self.clock.sleep(0.01)
-            self.assertFalse(first.is_hearing())
+            self.assertFalse(first.has_recent_listing())
             first._store.cut_off = False
             await self.clock.sleep(3.0)  # a call that was cut off hangs for a while
-            self.assertTrue(first.is_hearing())
+            self.assertTrue(first.has_recent_listing())
 
         run(play())
 
@@ -183,7 +183,7 @@
             self.begin()
             first, second = self.start("a"), self.start("b")
             await self.clock.sleep(2.0)
-            self.store.faults = StoreFaults(parts_down=frozenset({AWAITED_PART}))
+            self.store.faults = StoreFaults(parts_down=frozenset({FAST_HEARTBEAT_PART}))
             await self.clock.sleep(8.0)
             self.assertTrue(first.is_owner_alive(second.own, 0.0))
             self.store.faults = StoreFaults()
@@ -202,14 +202,14 @@
 
     def test_intervals(self):
         cases = (
-            ("few awaited", awaited_interval(12), 0.25),
-            ("many awaited", awaited_interval(100), 0.5),
-            ("few alive", known_interval(160), 2.0),
-            ("many alive", known_interval(400), 5.0),
-            ("listing by a young daemon", known_listing_interval(100, age=2.9), 0.25),
-            ("listing of many by a young daemon", known_listing_interval(400, age=0.0), 1.0),
-            ("listing of few", known_listing_interval(76, age=3.0), 2.0),
-            ("listing of many", known_listing_interval(380, age=3.0), 10.0),
+            ("few awaited", fast_heartbeat_interval(12), 0.25),
+            ("many awaited", fast_heartbeat_interval(100), 0.5),
+            ("few alive", slow_heartbeat_interval(160), 2.0),
+            ("many alive", slow_heartbeat_interval(400), 5.0),
+            ("listing by a young daemon", slow_listing_interval(100, age=2.9), 0.25),
+            ("listing of many by a young daemon", slow_listing_interval(400, age=0.0), 1.0),
+            ("listing of few", slow_listing_interval(76, age=3.0), 2.0),
+            ("listing of many", slow_listing_interval(380, age=3.0), 10.0),
         )
         for name, interval, seconds in cases:
             with self.subTest(name):
@@ -230,12 +230,12 @@
         for count, regions, expected in ((5, 1, 5), (40, 1, 12), (40, 2, 12), (40, 5, 15)):
             with self.subTest(count=count, regions=regions):
                 fleet = {f"m{number}/a": f"region-{number % regions}" for number in range(count)}
-                chosen = [name for name in fleet if is_to_coordinate(name, fleet, age=1.0)]
+                chosen = [name for name in fleet if should_coordinate(name, fleet, age=1.0)]
                 self.assertEqual(expected, len(chosen))
-                self.assertFalse(any(is_to_coordinate(name, fleet, age=0.4) for name in fleet))
+                self.assertFalse(any(should_coordinate(name, fleet, age=0.4) for name in fleet))
 
     def test_first_choice_is_the_same_in_any_order(self):
         names = [f"m{number}/a" for number in range(12)]
-        choices = {first_choice("key", order) for order in (names, names[::-1])}
+        choices = {choose_coordinator("key", order) for order in (names, names[::-1])}
         self.assertEqual(1, len(choices))
-        self.assertIsNone(first_choice("key", []))
+        self.assertIsNone(choose_coordinator("key", []))
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -18,14 +18,18 @@
 from larkpost.gateway.blackboard.request_content import ContentDigest, digest_request
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.metrics import Metrics
-from larkpost.gateway.placement.verdict import Verdict
+from larkpost.gateway.placement.decision import PlacementDecision
 from larkpost.gateway.placement.work import CLIENT_WORK, Work, WorkKind
+from larkpost.gateway.quarantine.crash_detector import (
+    INVESTIGATION_SECONDS,
+    CrashDetector,
+    CrashEvidence,
+)
+from larkpost.gateway.quarantine.crash_recorder import CrashRecorder
 from larkpost.gateway.quarantine.crash_writer import CrashWriter
-from larkpost.gateway.quarantine.guard import GuardedServers
-from larkpost.gateway.quarantine.isolation import IsolationRule
-from larkpost.gateway.quarantine.recorder import CrashRecorder
+from larkpost.gateway.quarantine.isolation_rule import IsolationRule
 from larkpost.gateway.quarantine.repository import CRASH_PART, CRASH_TABLE, CrashRepository
-from larkpost.gateway.quarantine.watch import SUSPICION_SECONDS, CrashWatch, Evidence
+from larkpost.gateway.quarantine.server_port import QuarantineServerPort
 from larkpost.gateway.servers.port import (
     BrokenResponseError,
     NotRunError,
@@ -68,7 +72,7 @@
         self.found: list[tuple[InstanceId, set[ContentDigest], str]] = []
         self.instance = make_instance("a")
         self.directory.update(self.instance)
-        self.watch = CrashWatch(
+        self.watch = CrashDetector(
             self.directory,
             self.probes,
             self.clock,
@@ -76,7 +80,7 @@
             lambda instance, contents, how: self.found.append((instance, set(contents), how)),
         )
 
-    def check_found(self, *evidence: Evidence) -> None:
+    def check_found(self, *evidence: CrashEvidence) -> None:
         """Checks how the server was found to have crashed, if at all."""
         expected = [("a", {CONTENT}, how) for how in evidence]
         self.assertEqual(expected, self.found)
@@ -84,18 +88,18 @@
     def test_dead_port_shows_a_crash_at_once(self):
         async def play():
             self.begin(PortState.DEAD)
-            self.watch.record_lost(CONTENT, self.instance)
+            self.watch.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(0.05)
-            self.check_found(Evidence.DEAD_PORT)
+            self.check_found(CrashEvidence.DEAD_PORT)
 
         run(play())
 
     def test_all_that_a_crashed_server_leaves_a_little_later_counts(self):
         async def play():
             self.begin(PortState.DEAD)
-            self.watch.record_lost(CONTENT, self.instance)
+            self.watch.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(0.05)
-            self.watch.record_lost(ContentDigest("bb"), self.instance)
+            self.watch.record_lost_connection(ContentDigest("bb"), self.instance)
             self.assertEqual(["a", "a"], [found[0] for found in self.found])
             self.assertEqual({"bb"}, self.found[1][1])
             self.assertEqual(1, self.probes.asked)
@@ -105,8 +109,8 @@
     def test_server_that_listens_and_stays_listed_has_not_crashed(self):
         async def play():
             self.begin(PortState.LISTENS)
-            self.watch.record_lost(CONTENT, self.instance)
-            await self.clock.sleep(2 * SUSPICION_SECONDS)
+            self.watch.record_lost_connection(CONTENT, self.instance)
+            await self.clock.sleep(2 * INVESTIGATION_SECONDS)
             self.check_found()
             self.assertEqual(1, self.probes.asked)
             self.directory.update(make_instance("b"))
@@ -118,24 +122,24 @@
     def test_server_that_crashes_after_it_has_left_a_request_is_found_as_well(self):
         async def play():
             self.begin(PortState.LISTENS)
-            self.watch.record_lost(CONTENT, self.instance)
-            await self.clock.sleep(SUSPICION_SECONDS - 0.1)
+            self.watch.record_lost_connection(CONTENT, self.instance)
+            await self.clock.sleep(INVESTIGATION_SECONDS - 0.1)
             self.probes.state = PortState.DEAD
-            self.watch.record_lost(CONTENT, self.instance)
+            self.watch.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(0.05)
-            self.check_found(Evidence.DEAD_PORT)
+            self.check_found(CrashEvidence.DEAD_PORT)
 
         run(play())
 
     def test_server_that_begins_to_leave_is_not_asked_again(self):
         async def play():
             self.begin(PortState.LISTENS)
-            self.watch.record_lost(CONTENT, self.instance)
+            self.watch.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(0.1)
             self.directory.update(replace(self.instance, state=InstanceState.LEAVING))
             self.probes.state = PortState.DEAD
-            self.watch.record_lost(CONTENT, self.instance)
-            await self.clock.sleep(2 * SUSPICION_SECONDS)
+            self.watch.record_lost_connection(CONTENT, self.instance)
+            await self.clock.sleep(2 * INVESTIGATION_SECONDS)
             self.check_found()
             self.assertEqual(1, self.probes.asked)
 
@@ -145,33 +149,33 @@
         async def play():
             self.begin(PortState.LISTENS)
             self.directory.update(make_instance("neighbour"))
-            self.watch.record_lost(CONTENT, self.instance)
+            self.watch.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(3.0)
             self.check_found()
             self.directory.update(make_instance("b"))
             await self.clock.sleep(0.5)
-            self.check_found(Evidence.REPLACED)
+            self.check_found(CrashEvidence.REPLACED)
 
         run(play())
 
     def test_silent_server_has_crashed_once_its_entry_is_gone(self):
         async def play():
             self.begin(PortState.SILENT)
-            self.watch.record_lost(CONTENT, self.instance)
+            self.watch.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(3.0)
             self.check_found()
             self.directory.forget(self.instance.id)
             await self.clock.sleep(0.5)
-            self.check_found(Evidence.GONE)
+            self.check_found(CrashEvidence.GONE)
 
         run(play())
 
     def test_server_without_an_entry_that_listens_has_not_crashed(self):
         async def play():
             self.begin(PortState.LISTENS)
-            self.watch.record_lost(CONTENT, self.instance)
+            self.watch.record_lost_connection(CONTENT, self.instance)
             self.directory.forget(self.instance.id)
-            await self.clock.sleep(2 * SUSPICION_SECONDS)
+            await self.clock.sleep(2 * INVESTIGATION_SECONDS)
             self.check_found()
 
         run(play())
@@ -180,7 +184,7 @@
         async def play():
             self.begin(PortState.DEAD)
             self.directory.update(replace(self.instance, state=InstanceState.LEAVING))
-            self.watch.record_lost(CONTENT, self.instance)
+            self.watch.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(1.0)
             self.check_found()
 
@@ -212,7 +216,7 @@
         """Has some servers crash under the request."""
         for number in range(first, first + count):
             contents = (digest_request(REQUEST),)
-            self.recorder.record_crash(InstanceId(f"i{number}"), contents, Evidence.DEAD_PORT)
+            self.recorder.record_crash(InstanceId(f"i{number}"), contents, CrashEvidence.DEAD_PORT)
 
     def tell_other(self) -> None:
         """Has the second recorder hear of all rows, those that are gone too."""
@@ -244,7 +248,7 @@
             self.begin()
             for recorder in (self.recorder, self.other):
                 contents = (digest_request(REQUEST),)
-                recorder.record_crash(InstanceId("i0"), contents, Evidence.DEAD_PORT)
+                recorder.record_crash(InstanceId("i0"), contents, CrashEvidence.DEAD_PORT)
             await self.clock.sleep(0.1)
             self.tell_other()
             self.assertEqual(1, self.others.count(digest_request(REQUEST)))
@@ -258,7 +262,7 @@
             self.crash(3)
             await self.clock.sleep(0.1)
             self.tell_other()
-            self.recorder.record_served(replace(REQUEST, request_id=b"2"))
+            self.recorder.record_success(replace(REQUEST, request_id=b"2"))
             await self.clock.sleep(0.1)
             self.assertEqual({}, self.store.rows)
             self.tell_other()
@@ -319,14 +323,14 @@
         self.crashes = KnownCrashes()
         self.isolation = IsolationRule()
         self.lost: list[ContentDigest] = []
-        self.guard = GuardedServers(self.engines, self.crashes, self, self, self.isolation)
+        self.guard = QuarantineServerPort(self.engines, self.crashes, self, self, self.isolation)
         self.served_requests: list[OutgoingRequest] = []
 
-    def record_lost(self, content: ContentDigest, instance: InstanceInfo) -> None:
+    def record_lost_connection(self, content: ContentDigest, instance: InstanceInfo) -> None:
         """Takes what a watch is told."""
         self.lost.append(content)
 
-    def record_served(self, request: OutgoingRequest) -> None:
+    def record_success(self, request: OutgoingRequest) -> None:
         """Takes what a recorder is told."""
         self.served_requests.append(request)
 
@@ -382,11 +386,17 @@
             for number in range(SUSPECT_CRASHES):
                 self.crashes.add(Crash(digest_request(REQUEST), InstanceId(f"i{number}"), 0.0))
             async with self.guard.send(self.instance, REQUEST):
-                self.assertIs(Verdict.ISOLATED, self.isolation.judge(self.instance, suspect))
-                self.assertIs(Verdict.ALLOWED, self.isolation.judge(self.instance, CLIENT_WORK))
+                self.assertIs(
+                    PlacementDecision.ISOLATED, self.isolation.evaluate(self.instance, suspect)
+                )
+                self.assertIs(
+                    PlacementDecision.ALLOWED, self.isolation.evaluate(self.instance, CLIENT_WORK)
+                )
                 other = make_instance("b", address=Address("10.0.0.2:1"))
-                self.assertIs(Verdict.ALLOWED, self.isolation.judge(other, suspect))
-            self.assertIs(Verdict.ALLOWED, self.isolation.judge(self.instance, suspect))
+                self.assertIs(PlacementDecision.ALLOWED, self.isolation.evaluate(other, suspect))
+            self.assertIs(
+                PlacementDecision.ALLOWED, self.isolation.evaluate(self.instance, suspect)
+            )
 
         run(play())
 
--- a/tests/test_scale_mechanisms.py
+++ b/tests/test_scale_mechanisms.py
@@ -10,19 +10,23 @@
 from larkpost.common.ids import Address
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.blackboard.regions import RegionMap
-from larkpost.gateway.controllers.coordinators import COORDINATORS
+from larkpost.gateway.controllers.coordinators import COORDINATOR_COUNT
 from larkpost.gateway.controllers.heartbeat import machine_of, new_incarnation
 from larkpost.gateway.controllers.heartbeat_intervals import (
     DEAD_AFTER_SECONDS,
-    HEARTBEAT_SECONDS,
-    IDLE_HEARTBEAT_SECONDS,
-    IDLE_HEARTBEATS_PER_SECOND,
-    known_interval,
+    FAST_HEARTBEAT_SECONDS,
+    MAX_SLOW_HEARTBEATS_PER_SECOND,
+    SLOW_HEARTBEAT_SECONDS,
     shortage_factor,
+    slow_heartbeat_interval,
 )
 from larkpost.gateway.controllers.heartbeat_list import MEMBER_TABLE
-from larkpost.gateway.controllers.heartbeat_writer import OwnDaemon
-from larkpost.gateway.controllers.members import AWAITED_PART, KNOWN_PART, Membership
+from larkpost.gateway.controllers.heartbeat_writer import LocalDaemon
+from larkpost.gateway.controllers.membership import (
+    FAST_HEARTBEAT_PART,
+    SLOW_HEARTBEAT_PART,
+    Membership,
+)
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
@@ -67,7 +71,7 @@
     def start(self, machine: str) -> Membership:
         """Starts a daemon's heartbeat."""
         membership = Membership(
-            OwnDaemon(
+            LocalDaemon(
                 new_incarnation(machine),
                 is_owner=lambda: membership in self.owners,
                 has_shortage=lambda: self.is_short,
@@ -86,8 +90,8 @@
             await self.clock.sleep(6.0)
             self.beats = 0
             await self.clock.sleep(10.0)
-            often = COORDINATORS * 10.0 / HEARTBEAT_SECONDS
-            seldom = (DAEMONS - COORDINATORS) * 10.0 / IDLE_HEARTBEAT_SECONDS
+            often = COORDINATOR_COUNT * 10.0 / FAST_HEARTBEAT_SECONDS
+            seldom = (DAEMONS - COORDINATOR_COUNT) * 10.0 / SLOW_HEARTBEAT_SECONDS
             self.assertLessEqual(self.beats, (often + seldom) * 1.1)
             self.assertLess(self.beats / 10.0, PART_WRITES_PER_SECOND / 2)
             for membership in fleet:
@@ -112,8 +116,8 @@
             self.assertGreater(len(heard) - usual, 0)
             counts = Counter(heard[usual:])
             seldom = [counts[member.own] for member in others if member is not judge]
-            self.assertGreater(min(seldom), 1.5 * 10.0 / IDLE_HEARTBEAT_SECONDS)
-            self.assertLess(max(seldom), 2.5 * 10.0 / IDLE_HEARTBEAT_SECONDS)
+            self.assertGreater(min(seldom), 1.5 * 10.0 / SLOW_HEARTBEAT_SECONDS)
+            self.assertLess(max(seldom), 2.5 * 10.0 / SLOW_HEARTBEAT_SECONDS)
             self.is_short = False
             for _ in range(80):
                 await self.clock.sleep(0.1)
@@ -123,17 +127,17 @@
 
     def test_heartbeats_of_a_fleet_with_a_shortage_stay_below_what_one_part_takes(self):
         for daemons in (20, 80, 160, 370, 3000):
-            interval = known_interval(daemons) * shortage_factor(has_shortage=True)
+            interval = slow_heartbeat_interval(daemons) * shortage_factor(has_shortage=True)
             self.assertLess(daemons / interval, PART_WRITES_PER_SECOND)
 
     def test_all_daemons_agree_on_the_coordinators(self):
         async def play():
             fleet = self.begin()
             await self.clock.sleep(6.0)
-            choices = {membership.first_choice("key") for membership in fleet}
+            choices = {membership.choose_coordinator("key") for membership in fleet}
             self.assertEqual(1, len(choices))
             coordinators = [membership for membership in fleet if membership.is_coordinator()]
-            self.assertEqual(COORDINATORS, len(coordinators))
+            self.assertEqual(COORDINATOR_COUNT, len(coordinators))
 
         run(play())
 
@@ -146,7 +150,7 @@
             await self.clock.sleep(DEAD_AFTER_SECONDS + 2.5)
             self.assertFalse(coordinators[1].is_alive(coordinators[0].own))
             now = [member for member in fleet[:] if member.is_coordinator()]
-            self.assertEqual(COORDINATORS, len([m for m in now if m is not coordinators[0]]))
+            self.assertEqual(COORDINATOR_COUNT, len([m for m in now if m is not coordinators[0]]))
 
         run(play())
 
@@ -193,10 +197,10 @@
             self.beats = 0
             self.part_beats.clear()
             await self.clock.sleep(9.0)
-            often = COORDINATORS * 9.0 / HEARTBEAT_SECONDS
-            self.assertLessEqual(self.part_beats[AWAITED_PART], 1.1 * often)
-            seldom = 9.0 * IDLE_HEARTBEATS_PER_SECOND
-            self.assertLessEqual(self.part_beats[KNOWN_PART], 1.1 * seldom)
+            often = COORDINATOR_COUNT * 9.0 / FAST_HEARTBEAT_SECONDS
+            self.assertLessEqual(self.part_beats[FAST_HEARTBEAT_PART], 1.1 * often)
+            seldom = 9.0 * MAX_SLOW_HEARTBEATS_PER_SECOND
+            self.assertLessEqual(self.part_beats[SLOW_HEARTBEAT_PART], 1.1 * seldom)
             self.assertEqual(self.beats, self.part_beats.total())
             for membership in fleet:
                 self.assertEqual(300, len(membership.alive()))
@@ -217,7 +221,7 @@
             await self.clock.sleep(2.0)
             self.assertTrue(judge.is_owner_alive(owner.own, since))
             owner.tasks.cancel_all()
-            await self.clock.sleep(DEAD_AFTER_SECONDS + 2 * HEARTBEAT_SECONDS)
+            await self.clock.sleep(DEAD_AFTER_SECONDS + 2 * FAST_HEARTBEAT_SECONDS)
             self.assertFalse(judge.is_owner_alive(owner.own, since))
 
         run(play())
@@ -237,9 +241,9 @@
             await self.clock.sleep(2.5)
             alive = {member.own for member in fleet}
             judges = [member for member in fleet if member.is_coordinator()]
-            self.assertGreaterEqual(len(judges), COORDINATORS)
+            self.assertGreaterEqual(len(judges), COORDINATOR_COUNT)
             for key in ("one", "two", "three"):
-                choices = {judge.first_choice(key) for judge in judges}
+                choices = {judge.choose_coordinator(key) for judge in judges}
                 self.assertEqual(1, len(choices))
                 self.assertLessEqual(choices, alive)
 
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -7,7 +7,7 @@
 from larkpost.common.ids import ZoneId
 from larkpost.gateway.blackboard.configuration import ServiceName
 from larkpost.gateway.blackboard.scaling_terms import ScalingTerms
-from larkpost.gateway.scaling.planner import Demand, PlanInputs, ZoneServers, plan_servers
+from larkpost.gateway.scaling.planner import PlanInputs, ServiceDemand, ZoneServers, plan_servers
 from larkpost.gateway.scaling.port import ScalingMode, ScalingOrder, ScalingOutcome, ServerKind
 from larkpost.gateway.store.port import Row, RowKey, Transaction
 from larkpost.platform.operator import UnreadableRowError, read_configuration
@@ -18,14 +18,14 @@
 SERVICE = ServiceName("engines")
 NORTH, SOUTH = ZoneId("north"), ZoneId("south")
 TERMS = ScalingTerms(1, 8, 4.0, 0.2, {NORTH: 1.0, SOUTH: 0.8})
-WHOLE = ZoneServers(on_demand=8, preemptible=0, usual=8, lost_for=0.0)
-LOST = ZoneServers(on_demand=5, preemptible=0, usual=8, lost_for=9.0)
+WHOLE = ZoneServers(on_demand=8, preemptible=0, usual_count=8, missing_for=0.0)
+LOST = ZoneServers(on_demand=5, preemptible=0, usual_count=8, missing_for=9.0)
 LOST_AFTER = 8.0
 
 
 def plan(zones: dict[ZoneId, ZoneServers], terms: ScalingTerms = TERMS, **options):
     """Returns the planned orders."""
-    demand = options.pop("demand", Demand())
+    demand = options.pop("demand", ServiceDemand())
     return plan_servers(PlanInputs(SERVICE, terms, zones, demand, LOST_AFTER, **options)).orders
 
 
@@ -36,14 +36,14 @@
         self.assertEqual((), plan({NORTH: WHOLE, SOUTH: WHOLE}))
 
     def test_a_server_that_may_come_back_is_waited_for(self) -> None:
-        self.assertEqual((), plan({NORTH: replace(LOST, lost_for=3.0)}))
+        self.assertEqual((), plan({NORTH: replace(LOST, missing_for=3.0)}))
 
     def test_lost_servers_are_replaced_in_their_zone_by_cheap_ones(self) -> None:
         expected = ScalingOrder(SERVICE, NORTH, ServerKind.PREEMPTIBLE, 3)
         self.assertEqual((expected,), plan({NORTH: LOST, SOUTH: WHOLE}))
 
     def test_a_zone_never_hangs_on_preemptible_servers(self) -> None:
-        known = ZoneServers(on_demand=2, preemptible=4, usual=8, lost_for=9.0)
+        known = ZoneServers(on_demand=2, preemptible=4, usual_count=8, missing_for=9.0)
         expected = ScalingOrder(SERVICE, NORTH, ServerKind.ON_DEMAND, 4)
         self.assertEqual((expected,), plan({NORTH: known}))
 
@@ -55,7 +55,9 @@
 
     def test_nothing_is_ordered_that_is_not_needed(self) -> None:
         zones = {NORTH: LOST, SOUTH: WHOLE}
-        enough = Demand(work=1000.0, server_rate=100.0)  # 12.5 servers with the headroom, 13 there
+        enough = ServiceDemand(
+            work=1000.0, server_rate=100.0
+        )  # 12.5 servers with the headroom, 13 there
         self.assertEqual((), plan(zones, demand=enough))
         self.assertEqual(1, len(plan(zones, demand=replace(enough, work=1100.0))))
 
--- a/tests/test_uneven_division.py
+++ b/tests/test_uneven_division.py
@@ -9,7 +9,7 @@
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import ModelName, Service, ServiceName
 from larkpost.gateway.blackboard.weight_targets import ModelDemand
-from larkpost.gateway.controllers.engine_speeds import speed, steps_slower
+from larkpost.gateway.controllers.engine_speeds import relative_speed, slowdown_steps
 from larkpost.gateway.controllers.model_assignment import assign_models
 from tests.server_parts import make_directory
 
@@ -38,13 +38,13 @@
         )
         for name, paces, expected in cases:
             with self.subTest(name):
-                steps = steps_slower({InstanceId(str(i)): pace for i, pace in enumerate(paces)})
+                steps = slowdown_steps({InstanceId(str(i)): pace for i, pace in enumerate(paces)})
                 self.assertEqual(expected, tuple(steps.values()))
 
     def test_slower_engines_do_less(self):
-        self.assertEqual(1.0, speed(0))
-        self.assertLess(speed(1), 1.0)
-        self.assertGreater(speed(-1), 1.0)
+        self.assertEqual(1.0, relative_speed(0))
+        self.assertLess(relative_speed(1), 1.0)
+        self.assertGreater(relative_speed(-1), 1.0)
 
 
 class UnevenDivisionTest(unittest.TestCase):
@@ -64,10 +64,10 @@
         return assign_models(FOUR, engines, self.directory, DEMANDS, self.paces.__getitem__)
 
     def test_every_model_gets_fast_engines_by_its_work(self):
-        division = self.divide()
+        assignment = self.divide()
         fast = {
             model: sum(self.paces[name] == FAST for name in names)
-            for model, names in division.items()
+            for model, names in assignment.items()
         }
         self.assertEqual(ENGINES // 2, sum(fast.values()))
         for model, count in fast.items():
--- a/tests/test_uneven_machines.py
+++ b/tests/test_uneven_machines.py
@@ -24,15 +24,15 @@
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.controllers import coordinators
 from larkpost.gateway.controllers.coordinators import (
-    COORDINATORS,
-    HASHES,
-    LEAST_CAPACITY,
-    first_choice,
-    is_to_coordinate,
+    COORDINATOR_COUNT,
+    HASH_SPACE_SIZE,
+    MIN_CAPACITY,
+    choose_coordinator,
+    should_coordinate,
 )
 from larkpost.gateway.controllers.heartbeat import new_incarnation
-from larkpost.gateway.controllers.heartbeat_writer import OwnDaemon
-from larkpost.gateway.controllers.members import Membership
+from larkpost.gateway.controllers.heartbeat_writer import LocalDaemon
+from larkpost.gateway.controllers.membership import Membership
 from larkpost.gateway.memory.sizing import budget_of
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
@@ -56,7 +56,7 @@
 
     def choices(self, capacities) -> dict[str, DaemonId]:
         """Returns the choice for each key."""
-        return {key: first_choice(key, CAPACITIES, capacities) for key in KEYS}
+        return {key: choose_coordinator(key, CAPACITIES, capacities) for key in KEYS}
 
     def test_keys_go_by_capacity(self):
         counts = Counter(self.choices(CAPACITIES).values())
@@ -66,14 +66,14 @@
 
     def test_every_hash_gives_a_choice(self):
         """The lowest and the highest one among them."""
-        for value in (0, HASHES - 1):
+        for value in (0, HASH_SPACE_SIZE - 1):
             with (
                 self.subTest(value=value),
                 mock.patch.object(coordinators, "hash64", lambda _, value=value: value),
             ):
-                self.assertIn(first_choice("key", CAPACITIES, CAPACITIES), CAPACITIES)
+                self.assertIn(choose_coordinator("key", CAPACITIES, CAPACITIES), CAPACITIES)
                 regions = dict.fromkeys(CAPACITIES)
-                self.assertTrue(is_to_coordinate(SMALL, regions, 1.0, CAPACITIES))
+                self.assertTrue(should_coordinate(SMALL, regions, 1.0, CAPACITIES))
 
     def test_capacity_that_shrinks_moves_keys_away_from_that_daemon_only(self):
         before = self.choices(CAPACITIES)
@@ -83,7 +83,7 @@
 
     def test_daemon_that_reports_nothing_can_be_chosen_still(self):
         counts = Counter(self.choices(CAPACITIES | {SMALL: 0.0}).values())
-        expected = LEAST_CAPACITY / (LEAST_CAPACITY + 2.8)
+        expected = MIN_CAPACITY / (MIN_CAPACITY + 2.8)
         self.assertAlmostEqual(expected, counts[SMALL] / len(KEYS), delta=0.01)
 
     def test_one_daemon_of_an_earlier_build_makes_all_choose_as_it_does(self):
@@ -109,11 +109,11 @@
 
     def chosen(self, capacities=None) -> set[DaemonId]:
         """Returns the daemons that are to coordinate."""
-        return {name for name in self.fleet if is_to_coordinate(name, self.fleet, 1.0, capacities)}
+        return {name for name in self.fleet if should_coordinate(name, self.fleet, 1.0, capacities)}
 
     def test_as_many_coordinate_whatever_their_capacities(self):
         for capacities in (None, self.capacities, dict.fromkeys(self.fleet, 1.0)):
-            self.assertEqual(COORDINATORS, len(self.chosen(capacities)))
+            self.assertEqual(COORDINATOR_COUNT, len(self.chosen(capacities)))
 
     def test_large_machines_coordinate_rather_than_small_ones(self):
         def count_large(chosen: set[DaemonId]) -> int:
@@ -193,7 +193,7 @@
         store = MemoryStore(clock)
         fleet = []
         for number, capacity in enumerate(capacities):
-            own = OwnDaemon(
+            own = LocalDaemon(
                 new_incarnation(f"m{number}"),
                 report=lambda capacity=capacity: DaemonReport(capacity=capacity),
             )
@@ -209,11 +209,11 @@
 
         async def play():
             fleet = await self.start(capacities)
-            self.assertEqual(COORDINATORS, sum(member.is_coordinator() for member in fleet))
+            self.assertEqual(COORDINATOR_COUNT, sum(member.is_coordinator() for member in fleet))
             large = {member.own for member in fleet[:10]}
             named = []
             for key in KEYS[:200]:
-                choices = {member.first_choice(key) for member in fleet}
+                choices = {member.choose_coordinator(key) for member in fleet}
                 self.assertEqual(1, len(choices))
                 named += choices
             self.assertGreater(sum(name in large for name in named), 150)
@@ -224,12 +224,12 @@
         """As many daemons as coordinate, so that it is one of them."""
 
         async def play():
-            fleet = await self.start([2.0] * 5 + [0.4] * (COORDINATORS - 6) + [None])
+            fleet = await self.start([2.0] * 5 + [0.4] * (COORDINATOR_COUNT - 6) + [None])
             names = [member.own for member in fleet]
-            self.assertEqual(COORDINATORS, sum(member.is_coordinator() for member in fleet))
+            self.assertEqual(COORDINATOR_COUNT, sum(member.is_coordinator() for member in fleet))
             for key in KEYS[:200]:
                 expected = unweighted_choice(key, names)
-                self.assertEqual({expected}, {member.first_choice(key) for member in fleet})
+                self.assertEqual({expected}, {member.choose_coordinator(key) for member in fleet})
 
         virtual.run(play())
 
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -5,16 +5,16 @@
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.weight_targets import ModelDemand, WeightTarget, WeightTargets
 from larkpost.gateway.controllers.due_loads import (
-    BUSY_FIRST_SECONDS,
-    FIRST_SECONDS,
-    GROUP_SECONDS,
+    BUSY_LOAD_DELAY_SECONDS,
+    GROUP_TURN_SECONDS,
+    IDLE_LOAD_DELAY_SECONDS,
     LoadInputs,
-    ModelState,
+    ModelLoadState,
     due_loads,
     engines_to_load,
 )
-from larkpost.gateway.controllers.loader import seconds_until_next_check
 from larkpost.gateway.controllers.model_assignment import assign_models
+from larkpost.gateway.controllers.weight_loader import seconds_until_next_check
 from larkpost.gateway.servers.port import OrderOutcome
 from tests.platform_fleet import MODEL, PlatformFleet, check_results, make_batch
 from tests.server_parts import FIRST, SECOND, TWO_MODELS, make_directory
@@ -60,11 +60,11 @@
         engines = directory.of_service(TWO_MODELS.name)
         demands = {FIRST: ModelDemand(100, False)}
         first, second = assign_models(TWO_MODELS, engines, directory, demands)[FIRST]
-        start = 10.0 + FIRST_SECONDS
+        start = 10.0 + IDLE_LOAD_DELAY_SECONDS
         self.assertEqual([], self.due(directory, targets, start - 0.1))
         self.assertEqual([first], self.due(directory, targets, start + 0.1))
-        self.assertEqual([second], self.due(directory, targets, start + GROUP_SECONDS + 0.1))
-        again = start + 2 * GROUP_SECONDS + 0.1
+        self.assertEqual([second], self.due(directory, targets, start + GROUP_TURN_SECONDS + 0.1))
+        again = start + 2 * GROUP_TURN_SECONDS + 0.1
         self.assertEqual([first], self.due(directory, targets, again))
         directory.observe_version(first, FIRST, 2)
         self.assertEqual([second], self.due(directory, targets, start + 0.1))
@@ -73,7 +73,7 @@
         directory = make_directory(4, TWO_MODELS.name, slots=8)
         targets = WeightTargets()
         targets.update(WeightTarget(FIRST, 2), now=10.0)
-        before = 10.0 + BUSY_FIRST_SECONDS - 0.1
+        before = 10.0 + BUSY_LOAD_DELAY_SECONDS - 0.1
         self.assertEqual([], self.due(directory, targets, before, open_batch=True))
         self.assertEqual(1, len(self.due(directory, targets, before + 0.2, open_batch=True)))
 
@@ -116,10 +116,10 @@
             ("a resting one is far behind", 0.5, (4, 4, 4), 1, "a"),
             ("ahead of the version", 0.5, (6, 6, 6), 6, ""),
         )
-        for name, elapsed, versions, resting, expected in cases:
+        for name, elapsed, versions, evacuated_engines, expected in cases:
             with self.subTest(name):
                 serving = dict(zip("abc", versions, strict=True))
-                state = ModelState(5, elapsed, serving, {"d": resting})
+                state = ModelLoadState(5, elapsed, serving, {"d": evacuated_engines})
                 self.assertEqual(list(expected), engines_to_load(state))
 
     def test_seconds_until_the_next_check(self):
--- a/tests/test_yielding.py
+++ b/tests/test_yielding.py
@@ -5,7 +5,10 @@
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import Configuration, ModelName, Service
 from larkpost.gateway.blackboard.weight_targets import ModelDemand, Outlook
-from larkpost.gateway.controllers.division import LIFETIME_SECONDS, EngineDivision
+from larkpost.gateway.controllers.engine_allocator import (
+    ALLOCATION_LIFETIME_SECONDS,
+    EngineAllocator,
+)
 from larkpost.gateway.rollouts.engine_choice import OWN_ENGINES_SECONDS
 from tests.platform_fleet import ENGINES, MODEL, PlatformFleet, make_batch
 from tests.virtual import run
@@ -50,13 +53,13 @@
             service = Service(ENGINES, 100, slots=8, models=(MODEL, OTHER))
             blackboard.configuration.current = Configuration(9, (), {ENGINES: service})
             demands = {MODEL: AT_LEISURE, OTHER: SHORT_OF_TIME}
-            division = EngineDivision(blackboard, fleet.clock, lambda: demands)
+            division = EngineAllocator(blackboard, fleet.clock, lambda: demands)
             self.assertTrue(division.should_yield(ENGINES, MODEL))
             self.assertFalse(division.should_yield(ENGINES, OTHER))
             self.assertEqual(3, len(division.engines_of(ENGINES, MODEL)))
             self.assertEqual(5, len(division.engines_of(ENGINES, OTHER)))
             demands[OTHER] = ModelDemand(100, open=True, outlook=Outlook.TO_SPARE)
-            await fleet.wait(2 * LIFETIME_SECONDS)
+            await fleet.wait(2 * ALLOCATION_LIFETIME_SECONDS)
             self.assertFalse(division.should_yield(ENGINES, MODEL))
             self.assertEqual(4, len(division.engines_of(ENGINES, MODEL)))
 
