--- a/src/larkpost/gateway/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_choice.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.placement.work import Work
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.engine_rules import (
-    MOVE_RATIO,
+    MIGRATION_RATIO,
     EngineState,
     choose_engine,
     is_fast_enough,
@@ -152,7 +152,7 @@
         if known is None or balancer.is_cold(known):
             return False
         pace = balancer.paces.lasting(engine.id)
-        if not pace or not is_outpaced_by(self._pace_to_leave(run.engine), pace, MOVE_RATIO):
+        if not pace or not is_outpaced_by(self._pace_to_leave(run.engine), pace, MIGRATION_RATIO):
             return False
         return balancer.placement.allows(known, self.items.work_of(run.item))
 
--- a/src/larkpost/gateway/rollouts/engine_rules.py
+++ b/src/larkpost/gateway/rollouts/engine_rules.py
@@ -15,7 +15,7 @@
 FASTER_RATIO = 1.12
 """Ratio of paces from which one engine counts as faster than another. It is to be more than the
 paces of equal engines differ by chance."""
-MOVE_RATIO = 1.25
+MIGRATION_RATIO = 1.25
 """Ratio of paces from which a run may leave its engine for a faster one."""
 MOVE_COST_SECONDS = 1.2
 """What a move must save an item. It costs the new engine the prompt and all output so far, which it
@@ -157,7 +157,7 @@
         pace: of the engine where it runs.
         other: of the faster engine; 0 if not known.
     """
-    if not other or not is_outpaced_by(pace, other, MOVE_RATIO):
+    if not other or not is_outpaced_by(pace, other, MIGRATION_RATIO):
         return False
     return events * (pace - other) >= MOVE_COST_SECONDS
 
@@ -173,4 +173,4 @@
     if not is_worth_moving(events, pace, best):
         return 0.0
     # Any engine that is fast enough for it is one that the run then moves to.
-    return min(best * FASTER_RATIO, pace / (MOVE_RATIO * PACE_TOLERANCE))
+    return min(best * FASTER_RATIO, pace / (MIGRATION_RATIO * PACE_TOLERANCE))
--- a/tests/test_engine_rules.py
+++ b/tests/test_engine_rules.py
@@ -7,7 +7,7 @@
 from larkpost.gateway.blackboard.configuration import ServiceName
 from larkpost.gateway.blackboard.directory import InstanceInfo, InstanceState
 from larkpost.gateway.rollouts.engine_rules import (
-    MOVE_RATIO,
+    MIGRATION_RATIO,
     EngineState,
     choose_engine,
     is_fast_enough,
@@ -168,7 +168,9 @@
             for step in range(100):
                 other = best * (1 + step / 200)
                 if is_fast_enough(other, is_cold=False, pace_limit=limit):
-                    self.assertTrue(is_outpaced_by(pace, other * 0.999, MOVE_RATIO), (pace, other))
+                    self.assertTrue(
+                        is_outpaced_by(pace, other * 0.999, MIGRATION_RATIO), (pace, other)
+                    )
 
 
 if __name__ == "__main__":
