--- a/src/larkpost/gateway/rollouts/engine_rules.py
+++ b/src/larkpost/gateway/rollouts/engine_rules.py
@@ -17,7 +17,7 @@
 paces of equal engines differ by chance."""
 MIGRATION_RATIO = 1.25
 """Ratio of paces from which a run may leave its engine for a faster one."""
-MOVE_COST_SECONDS = 1.2
+MIGRATION_COST_SECONDS = 1.2
 """What a move must save an item. It costs the new engine the prompt and all output so far, which it
 reads again while the others there wait, and gives up a place where the item was running."""
 PACE_TOLERANCE = 1.05
@@ -143,7 +143,7 @@
         events: that the item has made.
         pace: of the engine where it runs.
     """
-    return events * pace >= MOVE_COST_SECONDS
+    return events * pace >= MIGRATION_COST_SECONDS
 
 
 def is_worth_moving(events: int, pace: float, other: float) -> bool:
@@ -159,7 +159,7 @@
     """
     if not other or not is_outpaced_by(pace, other, MIGRATION_RATIO):
         return False
-    return events * (pace - other) >= MOVE_COST_SECONDS
+    return events * (pace - other) >= MIGRATION_COST_SECONDS
 
 
 def pace_to_move_to(events: int, pace: float, best: float) -> float:
