--- a/src/larkpost/gateway/rollouts/engine_rules.py
+++ b/src/larkpost/gateway/rollouts/engine_rules.py
@@ -27,7 +27,7 @@
 """Items by which a nearer engine may be fuller than the best one and still be taken in its place.
 One more item among an engine's slots, most often six, costs less than the way."""
 
-MAX_MOVES = 2
+MAX_MIGRATIONS = 2
 """An item is moved this often at most: what it has made is read again at each new engine."""
 
 
@@ -118,7 +118,7 @@
 
 def may_move(moves: int) -> bool:
     """Returns whether an item that was moved so often may be moved once more."""
-    return moves < MAX_MOVES
+    return moves < MAX_MIGRATIONS
 
 
 def is_outpaced_by(pace: float, other: float, ratio: float) -> bool:
