--- a/src/larkpost/gateway/rollouts/engine_rules.py
+++ b/src/larkpost/gateway/rollouts/engine_rules.py
@@ -116,7 +116,7 @@
     )
 
 
-def may_move(moves: int) -> bool:
+def may_migrate(moves: int) -> bool:
     """Returns whether an item that was moved so often may be moved once more."""
     return moves < MAX_MIGRATIONS
 
--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -10,7 +10,7 @@
 from larkpost.gateway.blackboard.known_crashes import BATCH_CRASH_LIMIT
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
-from larkpost.gateway.rollouts.engine_rules import may_move
+from larkpost.gateway.rollouts.engine_rules import may_migrate
 from larkpost.gateway.rollouts.faster_place import FasterPlace
 from larkpost.gateway.rollouts.model import ITEM_METHOD, BatchHead, Item
 from larkpost.gateway.rollouts.place_queue import PlaceQueue
@@ -114,7 +114,7 @@
             async for event in response.events():
                 events.record(event)
                 faster.raise_if_assigned()
-                if may_move(run.progress.moves) and events.count % EVENTS_BETWEEN_CHECKS == 0:
+                if may_migrate(run.progress.moves) and events.count % EVENTS_BETWEEN_CHECKS == 0:
                     faster.request_if_slow()
         finally:
             faster.cancel()
