--- a/src/larkpost/gateway/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_choice.py
@@ -142,7 +142,7 @@
         pace = self._services.balancer.paces.lasting(engine.id)
         return stall_seconds(pace, is_loading=engine.id in loading)
 
-    def may_move_to(self, engine: InstanceInfo, run: ItemRun) -> bool:
+    def may_migrate_to(self, engine: InstanceInfo, run: ItemRun) -> bool:
         """Returns whether a run may still move to the place that it was assigned at an engine.
 
         The engine must be known and warm, and still faster: paces may have changed meanwhile.
--- a/src/larkpost/gateway/rollouts/faster_place.py
+++ b/src/larkpost/gateway/rollouts/faster_place.py
@@ -51,7 +51,7 @@
         if self._place is None or not self._place.done():
             return
         engine = self._place.result()
-        if not self._engines.may_move_to(engine, self._run):
+        if not self._engines.may_migrate_to(engine, self._run):
             self.cancel()
             return
         self._place = None
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -203,9 +203,9 @@
     def test_run_stays_if_the_pace_of_its_new_engine_is_known_no_longer(self):
         async def play():
             self.begin(0.09, 0.02)
-            self.assertTrue(self.choice.may_move_to(self.engine(1), self.run_at(0)))
+            self.assertTrue(self.choice.may_migrate_to(self.engine(1), self.run_at(0)))
             self.put(2, version=1)
-            self.assertFalse(self.choice.may_move_to(self.engine(2), self.run_at(0)))
+            self.assertFalse(self.choice.may_migrate_to(self.engine(2), self.run_at(0)))
 
         run(play())
 
