--- a/src/larkpost/gateway/rollouts/engine_rules.py
+++ b/src/larkpost/gateway/rollouts/engine_rules.py
@@ -146,7 +146,7 @@
     return events * pace >= MIGRATION_COST_SECONDS
 
 
-def is_worth_moving(events: int, pace: float, other: float) -> bool:
+def is_migration_worthwhile(events: int, pace: float, other: float) -> bool:
     """Returns whether a run is to go on at a faster engine that has a place for it.
 
     An item is expected to make as many events more as it has made: the lengths of items differ
@@ -170,7 +170,7 @@
         pace: of the engine where it runs.
         best: of the fastest engine that it may use, whether or not it has a place; 0 if not known.
     """
-    if not is_worth_moving(events, pace, best):
+    if not is_migration_worthwhile(events, pace, best):
         return 0.0
     # Any engine that is fast enough for it is one that the run then moves to.
     return min(best * FASTER_RATIO, pace / (MIGRATION_RATIO * PACE_TOLERANCE))
--- a/tests/test_engine_rules.py
+++ b/tests/test_engine_rules.py
@@ -11,8 +11,8 @@
     EngineState,
     choose_engine,
     is_fast_enough,
+    is_migration_worthwhile,
     is_outpaced_by,
-    is_worth_moving,
     may_save_enough,
     pace_to_leave,
     pace_to_move_to,
@@ -146,7 +146,7 @@
     def test_moves(self):
         for case, events, pace, other, expected in MOVES:
             with self.subTest(case):
-                self.assertEqual(expected, is_worth_moving(events, pace, other))
+                self.assertEqual(expected, is_migration_worthwhile(events, pace, other))
                 self.assertTrue(may_save_enough(events, pace) or not expected)
 
     def test_paces_to_leave(self):
