--- a/src/larkpost/gateway/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_choice.py
@@ -15,9 +15,9 @@
     MIGRATION_RATIO,
     EngineState,
     choose_engine,
+    could_migration_pay_off,
     is_fast_enough,
     is_outpaced_by,
-    may_save_enough,
     pace_to_leave,
     pace_to_move_to,
 )
@@ -165,7 +165,7 @@
         """
         engine, events = run.engine, len(run.progress.events)
         pace = self._pace_to_leave(engine)
-        if not may_save_enough(events, pace):
+        if not could_migration_pay_off(events, pace):
             return 0.0
         version = self._services.directory.version_of(engine.id, self._head.model)
         best = self._best_pace(engine.service, self.items.work_of(run.item), version)
--- a/src/larkpost/gateway/rollouts/engine_rules.py
+++ b/src/larkpost/gateway/rollouts/engine_rules.py
@@ -136,7 +136,7 @@
     return min(lasting, recent) if recent else lasting
 
 
-def may_save_enough(events: int, pace: float) -> bool:
+def could_migration_pay_off(events: int, pace: float) -> bool:
     """Returns whether a move to some engine, however fast, might be worth it.
 
     Args:
--- a/tests/test_engine_rules.py
+++ b/tests/test_engine_rules.py
@@ -10,10 +10,10 @@
     MIGRATION_RATIO,
     EngineState,
     choose_engine,
+    could_migration_pay_off,
     is_fast_enough,
     is_migration_worthwhile,
     is_outpaced_by,
-    may_save_enough,
     pace_to_leave,
     pace_to_move_to,
 )
@@ -147,7 +147,7 @@
         for case, events, pace, other, expected in MOVES:
             with self.subTest(case):
                 self.assertEqual(expected, is_migration_worthwhile(events, pace, other))
-                self.assertTrue(may_save_enough(events, pace) or not expected)
+                self.assertTrue(could_migration_pay_off(events, pace) or not expected)
 
     def test_paces_to_leave(self):
         for case, lasting, recent, expected in LEAVES:
