--- a/src/larkpost/gateway/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_choice.py
@@ -18,7 +18,7 @@
     could_migration_pay_off,
     is_fast_enough,
     is_outpaced_by,
-    pace_to_leave,
+    migration_source_pace,
     pace_to_move_to,
 )
 from larkpost.gateway.rollouts.item_work import ItemWork
@@ -173,7 +173,7 @@
 
     def _pace_to_leave(self, engine: InstanceInfo) -> float:
         paces = self._services.balancer.paces
-        return pace_to_leave(paces.lasting(engine.id), paces.recent(engine.id))
+        return migration_source_pace(paces.lasting(engine.id), paces.recent(engine.id))
 
     def _best_pace(self, service: ServiceName, work: Work, version: int) -> float:
         """Returns the best pace at engines of a version or a newer one, as of a moment ago."""
--- a/tests/test_engine_rules.py
+++ b/tests/test_engine_rules.py
@@ -14,7 +14,7 @@
     is_fast_enough,
     is_migration_worthwhile,
     is_outpaced_by,
-    pace_to_leave,
+    migration_source_pace,
     pace_to_move_to,
 )
 
@@ -152,7 +152,7 @@
     def test_paces_to_leave(self):
         for case, lasting, recent, expected in LEAVES:
             with self.subTest(case):
-                self.assertEqual(expected, pace_to_leave(lasting, recent))
+                self.assertEqual(expected, migration_source_pace(lasting, recent))
 
     def test_requests_for_faster_places(self):
         for events, pace, best, expected in REQUESTS:
