--- a/src/larkpost/gateway/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_choice.py
@@ -18,8 +18,8 @@
     could_migration_pay_off,
     is_fast_enough,
     is_outpaced_by,
+    migration_pace_limit,
     migration_source_pace,
-    pace_to_move_to,
 )
 from larkpost.gateway.rollouts.item_work import ItemWork
 from larkpost.gateway.rollouts.model import BatchHead
@@ -169,7 +169,7 @@
             return 0.0
         version = self._services.directory.version_of(engine.id, self._head.model)
         best = self._best_pace(engine.service, self.items.work_of(run.item), version)
-        return pace_to_move_to(events, pace, best)
+        return migration_pace_limit(events, pace, best)
 
     def _pace_to_leave(self, engine: InstanceInfo) -> float:
         paces = self._services.balancer.paces
