--- a/src/larkpost/gateway/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_choice.py
@@ -152,7 +152,7 @@
         if known is None or balancer.is_cold(known):
             return False
         pace = balancer.paces.lasting(engine.id)
-        if not pace or not is_outpaced_by(self._pace_to_leave(run.engine), pace, MIGRATION_RATIO):
+        if not pace or not is_outpaced_by(self._source_pace(run.engine), pace, MIGRATION_RATIO):
             return False
         return balancer.placement.allows(known, self.items.work_of(run.item))
 
@@ -164,14 +164,14 @@
         service only some engines are looked at.
         """
         engine, events = run.engine, len(run.progress.events)
-        pace = self._pace_to_leave(engine)
+        pace = self._source_pace(engine)
         if not could_migration_pay_off(events, pace):
             return 0.0
         version = self._services.directory.version_of(engine.id, self._head.model)
         best = self._best_pace(engine.service, self.items.work_of(run.item), version)
         return migration_pace_limit(events, pace, best)
 
-    def _pace_to_leave(self, engine: InstanceInfo) -> float:
+    def _source_pace(self, engine: InstanceInfo) -> float:
         paces = self._services.balancer.paces
         return migration_source_pace(paces.lasting(engine.id), paces.recent(engine.id))
 
