--- a/src/larkpost/gateway/rollouts/faster_place.py
+++ b/src/larkpost/gateway/rollouts/faster_place.py
@@ -38,7 +38,7 @@
         if self._place is not None:
             return
         run = self._run
-        pace = self._engines.fast_pace(run)
+        pace = self._engines.target_pace(run)
         if pace:
             self._place = self._places.request(run.progress, run.route, pace)
 
