--- a/src/larkpost/gateway/rollouts/engine_rules.py
+++ b/src/larkpost/gateway/rollouts/engine_rules.py
@@ -23,7 +23,7 @@
 PACE_TOLERANCE = 1.05
 """Factor by which the pace of an engine may be above the limit of a moved run. Without any limit,
 a moved run may end at an engine slower than the one that it has left."""
-ALIKE_OCCUPIED = 1
+SIMILAR_LOAD_MARGIN = 1
 """Items by which a nearer engine may be fuller than the best one and still be taken in its place.
 One more item among an engine's slots, most often six, costs less than the way."""
 
@@ -110,7 +110,7 @@
 def _is_nearer_like(engine: EngineState, best: EngineState) -> bool:
     return (
         engine.distance < best.distance
-        and engine.occupied <= best.occupied + ALIKE_OCCUPIED
+        and engine.occupied <= best.occupied + SIMILAR_LOAD_MARGIN
         and engine.pace <= best.pace * FASTER_RATIO
         and bool(engine.pace) == bool(best.pace)
     )
