--- a/src/larkpost/gateway/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_choice.py
@@ -17,7 +17,7 @@
     choose_engine,
     could_migration_pay_off,
     is_fast_enough,
-    is_outpaced_by,
+    is_slower_by,
     migration_pace_limit,
     migration_source_pace,
 )
@@ -152,7 +152,7 @@
         if known is None or balancer.is_cold(known):
             return False
         pace = balancer.paces.lasting(engine.id)
-        if not pace or not is_outpaced_by(self._source_pace(run.engine), pace, MIGRATION_RATIO):
+        if not pace or not is_slower_by(self._source_pace(run.engine), pace, MIGRATION_RATIO):
             return False
         return balancer.placement.allows(known, self.items.work_of(run.item))
 
--- a/src/larkpost/gateway/rollouts/engine_rules.py
+++ b/src/larkpost/gateway/rollouts/engine_rules.py
@@ -96,7 +96,7 @@
     """
     best = candidates[0]
     for engine in candidates[1:]:
-        if engine.pace and is_outpaced_by(best.pace, engine.pace, FASTER_RATIO):
+        if engine.pace and is_slower_by(best.pace, engine.pace, FASTER_RATIO):
             best = engine
     return best
 
@@ -121,7 +121,7 @@
     return moves < MAX_MIGRATIONS
 
 
-def is_outpaced_by(pace: float, other: float, ratio: float) -> bool:
+def is_slower_by(pace: float, other: float, ratio: float) -> bool:
     """Returns whether an engine is slower than another one by more than a ratio of paces."""
     return pace > other * ratio
 
@@ -157,7 +157,7 @@
         pace: of the engine where it runs.
         other: of the faster engine; 0 if not known.
     """
-    if not other or not is_outpaced_by(pace, other, MIGRATION_RATIO):
+    if not other or not is_slower_by(pace, other, MIGRATION_RATIO):
         return False
     return events * (pace - other) >= MIGRATION_COST_SECONDS
 
--- a/tests/test_engine_rules.py
+++ b/tests/test_engine_rules.py
@@ -13,7 +13,7 @@
     could_migration_pay_off,
     is_fast_enough,
     is_migration_worthwhile,
-    is_outpaced_by,
+    is_slower_by,
     migration_pace_limit,
     migration_source_pace,
 )
@@ -169,7 +169,7 @@
                 other = best * (1 + step / 200)
                 if is_fast_enough(other, is_cold=False, pace_limit=limit):
                     self.assertTrue(
-                        is_outpaced_by(pace, other * 0.999, MIGRATION_RATIO), (pace, other)
+                        is_slower_by(pace, other * 0.999, MIGRATION_RATIO), (pace, other)
                     )
 
 
