--- a/src/larkpost/gateway/rollouts/faster_place.py
+++ b/src/larkpost/gateway/rollouts/faster_place.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.rollouts.progress import ItemRun
 
 
-class MoveAwayError(Exception):
+class MigrateRunError(Exception):
     """The run is to go on at a faster engine.
 
     Attributes:
@@ -55,7 +55,7 @@
             self.cancel()
             return
         self._place = None
-        raise MoveAwayError(engine)
+        raise MigrateRunError(engine)
 
     def cancel(self) -> None:
         """Cancels the request, if there is one."""
--- a/src/larkpost/gateway/rollouts/item_runs.py
+++ b/src/larkpost/gateway/rollouts/item_runs.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.observability.metrics import Count, Timing
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.engine_run import EngineRuns
-from larkpost.gateway.rollouts.faster_place import MoveAwayError
+from larkpost.gateway.rollouts.faster_place import MigrateRunError
 from larkpost.gateway.rollouts.item_routes import ItemRoutes
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId
 from larkpost.gateway.rollouts.place_queue import PlaceQueue
@@ -28,7 +28,7 @@
 
 EXPECTED_ERRORS = (
     NotRunError,
-    MoveAwayError,
+    MigrateRunError,
     StalledError,
     TimeoutError,
     DiscontinuityError,
@@ -140,7 +140,7 @@
             balancer.record_cold(engine, error.cold_left)
             balancer.record_not_run(engine, error.reason, REFUSED_AVOID_SECONDS)
             return error.reason
-        if isinstance(error, MoveAwayError):
+        if isinstance(error, MigrateRunError):
             self._record_move(run, error)
             return "moved"
         failure = judge_run_error(error)
@@ -149,7 +149,7 @@
         balancer.avoid(engine, failure.avoid_seconds)
         return failure.outcome
 
-    def _record_move(self, run: ItemRun, move: MoveAwayError) -> None:
+    def _record_move(self, run: ItemRun, move: MigrateRunError) -> None:
         run.progress.moves += 1
         self._taken[run.item.id] = move.engine
         run.progress.pace_left = self._services.balancer.paces.lasting(run.engine.id)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.instance_use import PROBE_SECONDS
 from larkpost.gateway.rollouts.engine_choice import BEST_PACE_SECONDS, EngineChoice
-from larkpost.gateway.rollouts.faster_place import FasterPlace, MoveAwayError
+from larkpost.gateway.rollouts.faster_place import FasterPlace, MigrateRunError
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.rollouts.place_queue import PlaceQueue
 from larkpost.gateway.rollouts.progress import LONG_RUN_EVENTS, ItemRun, Progress
@@ -272,7 +272,7 @@
     def test_run_goes_to_the_place(self):
         async def play():
             await self.begin()
-            with self.assertRaises(MoveAwayError) as caught:
+            with self.assertRaises(MigrateRunError) as caught:
                 self.request.raise_if_assigned()
             self.assertEqual(self.fast.id, caught.exception.engine.id)
 
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -22,7 +22,7 @@
     ClientRequest,
 )
 from larkpost.gateway.rollouts.engine_choice import EngineChoice
-from larkpost.gateway.rollouts.faster_place import FasterPlace, MoveAwayError
+from larkpost.gateway.rollouts.faster_place import FasterPlace, MigrateRunError
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.rollouts.place_queue import PlaceQueue
 from larkpost.gateway.rollouts.progress import LONG_RUN_EVENTS, ItemRun, Progress
@@ -102,7 +102,7 @@
             await fleet.wait(0.1)
             try:
                 request.raise_if_assigned()
-            except MoveAwayError as move:
+            except MigrateRunError as move:
                 return move.engine.id == "e1"
             return False
 
