--- a/src/larkpost/gateway/rollouts/engine_rules.py
+++ b/src/larkpost/gateway/rollouts/engine_rules.py
@@ -116,9 +116,9 @@
     )
 
 
-def may_migrate(moves: int) -> bool:
+def may_migrate(migrations: int) -> bool:
     """Returns whether an item that was moved so often may be moved once more."""
-    return moves < MAX_MIGRATIONS
+    return migrations < MAX_MIGRATIONS
 
 
 def is_slower_by(pace: float, other: float, ratio: float) -> bool:
--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -114,7 +114,10 @@
             async for event in response.events():
                 events.record(event)
                 faster.raise_if_assigned()
-                if may_migrate(run.progress.moves) and events.count % EVENTS_BETWEEN_CHECKS == 0:
+                if (
+                    may_migrate(run.progress.migrations)
+                    and events.count % EVENTS_BETWEEN_CHECKS == 0
+                ):
                     faster.request_if_slow()
         finally:
             faster.cancel()
--- a/src/larkpost/gateway/rollouts/item_runs.py
+++ b/src/larkpost/gateway/rollouts/item_runs.py
@@ -150,7 +150,7 @@
         return failure.outcome
 
     def _record_move(self, run: ItemRun, move: MigrateRunError) -> None:
-        run.progress.moves += 1
+        run.progress.migrations += 1
         self._taken[run.item.id] = move.engine
         run.progress.pace_left = self._services.balancer.paces.lasting(run.engine.id)
 
--- a/src/larkpost/gateway/rollouts/progress.py
+++ b/src/larkpost/gateway/rollouts/progress.py
@@ -41,7 +41,7 @@
     event_versions: list[int] = field(default_factory=list)
     failed_runs: int = 0
     impossible_responses: int = 0
-    moves: int = 0
+    migrations: int = 0
     pace_left: float = 0.0
     whole: bool = False
     failed_calls: int = 0
