--- a/src/larkpost/gateway/rollouts/item_runs.py
+++ b/src/larkpost/gateway/rollouts/item_runs.py
@@ -141,7 +141,7 @@
             balancer.record_not_run(engine, error.reason, REFUSED_AVOID_SECONDS)
             return error.reason
         if isinstance(error, MigrateRunError):
-            self._record_move(run, error)
+            self._record_migration(run, error)
             return "moved"
         failure = judge_run_error(error)
         if failure.loses_output:
@@ -149,7 +149,7 @@
         balancer.avoid(engine, failure.avoid_seconds)
         return failure.outcome
 
-    def _record_move(self, run: ItemRun, move: MigrateRunError) -> None:
+    def _record_migration(self, run: ItemRun, move: MigrateRunError) -> None:
         run.progress.migrations += 1
         self._taken[run.item.id] = move.engine
         run.progress.pace_left = self._services.balancer.paces.lasting(run.engine.id)
