--- a/src/larkpost/gateway/rollouts/item_runs.py
+++ b/src/larkpost/gateway/rollouts/item_runs.py
@@ -98,9 +98,9 @@
         item = progress.item.id
         engine = self._taken.pop(item, None)
         if engine is None:
-            engine = await self._places.take(progress, route, progress.pace_left)
+            engine = await self._places.take(progress, route, progress.previous_engine_pace)
         if engine is None:
-            progress.pace_left = 0.0  # no engine as fast has a place any more
+            progress.previous_engine_pace = 0.0  # no engine as fast has a place any more
             return None
         queued_at = self._queued_at.pop(item, None)
         if queued_at is not None:
@@ -152,7 +152,7 @@
     def _record_migration(self, run: ItemRun, move: MigrateRunError) -> None:
         run.progress.migrations += 1
         self._taken[run.item.id] = move.engine
-        run.progress.pace_left = self._services.balancer.paces.lasting(run.engine.id)
+        run.progress.previous_engine_pace = self._services.balancer.paces.lasting(run.engine.id)
 
     def _record_run(
         self, run: ItemRun, resumed_after: int | None, began: float, outcome: str
