--- a/src/larkpost/gateway/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_choice.py
@@ -34,7 +34,7 @@
 events, and all engines are looked at for it."""
 
 
-class EngineChoice:
+class EngineSelector:
     """Chooses engines for the items of one batch."""
 
     def __init__(self, head: BatchHead, services: RunServices) -> None:
--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -9,7 +9,7 @@
 
 from larkpost.gateway.blackboard.known_crashes import BATCH_CRASH_LIMIT
 from larkpost.gateway.rollouts.context import RunServices
-from larkpost.gateway.rollouts.engine_choice import EngineChoice
+from larkpost.gateway.rollouts.engine_choice import EngineSelector
 from larkpost.gateway.rollouts.engine_rules import may_migrate
 from larkpost.gateway.rollouts.faster_place import FasterPlace
 from larkpost.gateway.rollouts.model import ITEM_METHOD, BatchHead, Item
@@ -48,7 +48,7 @@
         self,
         head: BatchHead,
         items: tuple[Item, ...],
-        engines: EngineChoice,
+        engines: EngineSelector,
         places: PlaceQueue,
         services: RunServices,
     ) -> None:
--- a/src/larkpost/gateway/rollouts/faster_place.py
+++ b/src/larkpost/gateway/rollouts/faster_place.py
@@ -7,7 +7,7 @@
 import asyncio
 
 from larkpost.gateway.blackboard.directory import InstanceInfo
-from larkpost.gateway.rollouts.engine_choice import EngineChoice
+from larkpost.gateway.rollouts.engine_choice import EngineSelector
 from larkpost.gateway.rollouts.place_queue import PlaceQueue
 from larkpost.gateway.rollouts.progress import ItemRun
 
@@ -27,7 +27,7 @@
 class FasterPlace:
     """The request of a run at a slow engine for a place at a fast one."""
 
-    def __init__(self, places: PlaceQueue, engines: EngineChoice, run: ItemRun) -> None:
+    def __init__(self, places: PlaceQueue, engines: EngineSelector, run: ItemRun) -> None:
         self._places = places
         self._engines = engines
         self._run = run
--- a/src/larkpost/gateway/rollouts/place_queue.py
+++ b/src/larkpost/gateway/rollouts/place_queue.py
@@ -19,7 +19,7 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.placement.work import Work
 from larkpost.gateway.proxy.balancer import Balancer
-from larkpost.gateway.rollouts.engine_choice import EngineChoice
+from larkpost.gateway.rollouts.engine_choice import EngineSelector
 from larkpost.gateway.rollouts.model import Item
 from larkpost.gateway.rollouts.progress import Progress
 
@@ -77,7 +77,7 @@
 class PlaceQueue:
     """Gives waiting items places at engines."""
 
-    def __init__(self, engines: EngineChoice, balancer: Balancer, clock: Clock) -> None:
+    def __init__(self, engines: EngineSelector, balancer: Balancer, clock: Clock) -> None:
         self._engines = engines
         self._balancer = balancer
         self._clock = clock
--- a/src/larkpost/gateway/rollouts/run.py
+++ b/src/larkpost/gateway/rollouts/run.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.blackboard.daemon_report import BatchProgress
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.rollouts.context import RunServices
-from larkpost.gateway.rollouts.engine_choice import EngineChoice
+from larkpost.gateway.rollouts.engine_choice import EngineSelector
 from larkpost.gateway.rollouts.engine_run import EngineRuns
 from larkpost.gateway.rollouts.item_routes import ItemRoutes
 from larkpost.gateway.rollouts.item_runs import ItemRuns
@@ -47,7 +47,7 @@
         self.progress = {item.id: (kept or {}).get(item.id) or Progress(item) for item in items}
         self._services = services
         self._finished = finished
-        self._engines = EngineChoice(head, services)
+        self._engines = EngineSelector(head, services)
         self._places = PlaceQueue(self._engines, services.balancer, services.clock)
         runs = EngineRuns(head, items, self._engines, self._places, services)
         self._stalls = runs.stalls
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -333,9 +333,9 @@
 
 def end_stalled_runs_without_places():
     """Ends every run that makes nothing, whether another engine has a place or not."""
-    from larkpost.gateway.rollouts.engine_choice import EngineChoice
+    from larkpost.gateway.rollouts.engine_choice import EngineSelector
 
-    return mock.patch.object(EngineChoice, "count_places", lambda *_: 1000)
+    return mock.patch.object(EngineSelector, "count_places", lambda *_: 1000)
 
 
 def mix_bursts_into_paces():
--- a/tests/switched_off.py
+++ b/tests/switched_off.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.proxy import balancer, ranking
 from larkpost.gateway.proxy.server_choice import ServerChoice
 from larkpost.gateway.rollouts import reward_rules, service
-from larkpost.gateway.rollouts.engine_choice import EngineChoice
+from larkpost.gateway.rollouts.engine_choice import EngineSelector
 from larkpost.gateway.rollouts.engine_run import EngineRuns
 from larkpost.gateway.rollouts.faster_place import FasterPlace
 from larkpost.gateway.rollouts.owned import OwnedBatch
@@ -41,7 +41,7 @@
 
 def own_engines_first():
     """A new batch takes any engine at once."""
-    return mock.patch.object(EngineChoice, "_only_engines", lambda *_: None)
+    return mock.patch.object(EngineSelector, "_only_engines", lambda *_: None)
 
 
 def held_reads():
--- a/tests/test_cold_engine_choice.py
+++ b/tests/test_cold_engine_choice.py
@@ -4,7 +4,7 @@
 from unittest import mock
 
 from larkpost.common.ids import InstanceId
-from larkpost.gateway.rollouts.engine_choice import OWN_ENGINES_SECONDS, EngineChoice
+from larkpost.gateway.rollouts.engine_choice import OWN_ENGINES_SECONDS, EngineSelector
 from larkpost.gateway.rollouts.model import BatchHead
 from tests.cold_views import ENGINE, LONG_SECONDS, OTHER_ENGINE
 from tests.platform_fleet import COLD_TERMS, ENGINES, MODEL, PlatformFleet, make_batch
@@ -29,7 +29,7 @@
         head = BatchHead(
             spec.id, spec.host, spec.path, MODEL, 0, 0, 1, 1, gateway.id, 0.0, False, "u"
         )
-        self.choice = EngineChoice(head, self.services)
+        self.choice = EngineSelector(head, self.services)
 
     def cool(self, engine: InstanceId) -> None:
         """Makes an engine cold."""
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.controllers.heartbeat_intervals import DEAD_AFTER_SECONDS
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.instance_use import PROBE_SECONDS
-from larkpost.gateway.rollouts.engine_choice import BEST_PACE_SECONDS, EngineChoice
+from larkpost.gateway.rollouts.engine_choice import BEST_PACE_SECONDS, EngineSelector
 from larkpost.gateway.rollouts.faster_place import FasterPlace, MigrateRunError
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.rollouts.place_queue import PlaceQueue
@@ -151,7 +151,7 @@
         head = BatchHead(
             spec.id, spec.host, spec.path, MODEL, 0, 0, 1, 1, fleet.gateways[0].id, 0.0, False, "u"
         )
-        self.choice = EngineChoice(head, services)
+        self.choice = EngineSelector(head, services)
         self.progress = Progress(spec.items[0])
 
     def put(self, number: int, version: int) -> None:
@@ -259,7 +259,7 @@
         head = BatchHead(
             spec.id, spec.host, spec.path, MODEL, 0, 0, 1, 1, gateway.id, 0.0, False, "u"
         )
-        engines = EngineChoice(head, gateway.keeper._services)
+        engines = EngineSelector(head, gateway.keeper._services)
         places = PlaceQueue(engines, self.balancer, self.fleet.clock)
         route = self.blackboard.configuration.current.match(spec.host, spec.path.encode())
         progress = Progress(spec.items[0])
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -21,7 +21,7 @@
 from larkpost.gateway.proxy.request import (
     ClientRequest,
 )
-from larkpost.gateway.rollouts.engine_choice import EngineChoice
+from larkpost.gateway.rollouts.engine_choice import EngineSelector
 from larkpost.gateway.rollouts.faster_place import FasterPlace, MigrateRunError
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.rollouts.place_queue import PlaceQueue
@@ -92,7 +92,7 @@
             services.balancer = Balancer(services.directory, fleet.clock, random.Random(0))
             services.balancer.record_pace(InstanceId("e0"), 0.09)
             services.balancer.record_pace(InstanceId("e1"), 0.04)
-            choice = EngineChoice(make_head(fleet), services)
+            choice = EngineSelector(make_head(fleet), services)
             places = PlaceQueue(choice, services.balancer, fleet.clock)
             progress = Progress(make_batch(items=1).items[0])
             progress.events = [b"x"] * LONG_RUN_EVENTS
@@ -195,7 +195,7 @@
             services.balancer = Balancer(services.directory, fleet.clock, random.Random(0))
             services.balancer.occupy(InstanceId("e1"))
             services.division.loading = lambda *_: frozenset(loading)
-            return EngineChoice(make_head(fleet), services).choose(ENGINES).id
+            return EngineSelector(make_head(fleet), services).choose(ENGINES).id
 
         self.assertEqual("e0", run(chosen(set())))
         self.assertEqual("e1", run(chosen({"e0"})))
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -21,7 +21,7 @@
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.proxy.admission import Admission
-from larkpost.gateway.rollouts.engine_choice import EngineChoice
+from larkpost.gateway.rollouts.engine_choice import EngineSelector
 from larkpost.gateway.rollouts.errors import BatchRefusedError
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.store.batch_tables import ITEM_TABLE
@@ -288,7 +288,7 @@
             head = BatchHead(
                 "b", "h", "/r/x", MODEL, 0, 0, 1, 1, fleet.gateways[1].id, 0.0, False, "u"
             )
-            choice = EngineChoice(head, services)
+            choice = EngineSelector(head, services)
             near = {name for name, zone in fleet.engine_zones.items() if zone == WEST_ZONE}
             self.assertLessEqual({choice.choose(ENGINES).id for _ in range(20)}, near)
             for name in near:
--- a/tests/test_scale_mechanisms.py
+++ b/tests/test_scale_mechanisms.py
@@ -25,7 +25,7 @@
 from larkpost.gateway.controllers.members import AWAITED_PART, KNOWN_PART, Membership
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
-from larkpost.gateway.rollouts.engine_choice import EngineChoice
+from larkpost.gateway.rollouts.engine_choice import EngineSelector
 from larkpost.gateway.store.batch_tables import HEAD_TABLE
 from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient
 from larkpost.standalone.telemetry import Telemetry
@@ -266,14 +266,14 @@
     def test_items_that_wait_share_one_look_at_the_engines(self):
         async def play():
             looks = 0
-            choose = EngineChoice.choose
+            choose = EngineSelector.choose
 
             def counted(self, *arguments):
                 nonlocal looks
                 looks += 1
                 return choose(self, *arguments)
 
-            EngineChoice.choose = counted
+            EngineSelector.choose = counted
             try:
                 fleet = PlatformFleet(1, 1)
                 await fleet.wait(1.0)
@@ -285,7 +285,7 @@
                 results = await fleet.read_all(fleet.gateways[0], "batch")
                 passes = (fleet.clock.now() - before) / 0.03
             finally:
-                EngineChoice.choose = choose
+                EngineSelector.choose = choose
             check_results(self, spec, results)
             self.assertLess(looks, 1.2 * passes + 2 * len(spec.items))
 
