--- a/src/larkpost/gateway/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_choice.py
@@ -26,7 +26,7 @@
 from larkpost.gateway.rollouts.progress import ItemRun
 from larkpost.gateway.rollouts.stalls import RunWatch, stall_seconds
 
-OWN_ENGINES_SECONDS = 0.6
+OWN_ENGINES_ONLY_SECONDS = 0.6
 """For so long a batch takes places at its model's own engines only. Batches often come at the same
 moment, and what the others take is known a heartbeat and its listing (0.25 s each) later."""
 BEST_PACE_SECONDS = 0.25
@@ -85,7 +85,7 @@
         of a zone, the batch need not wait for them.
         """
         division = self._services.division
-        is_new = self._services.clock.now() - self._began_at < OWN_ENGINES_SECONDS
+        is_new = self._services.clock.now() - self._began_at < OWN_ENGINES_ONLY_SECONDS
         if not is_new and not division.should_yield(service, self._head.model):
             return None
         own = division.engines_of(service, self._head.model)
--- a/tests/test_cold_engine_choice.py
+++ b/tests/test_cold_engine_choice.py
@@ -4,7 +4,7 @@
 from unittest import mock
 
 from larkpost.common.ids import InstanceId
-from larkpost.gateway.rollouts.engine_choice import OWN_ENGINES_SECONDS, EngineSelector
+from larkpost.gateway.rollouts.engine_choice import OWN_ENGINES_ONLY_SECONDS, EngineSelector
 from larkpost.gateway.rollouts.model import BatchHead
 from tests.cold_views import ENGINE, LONG_SECONDS, OTHER_ENGINE
 from tests.platform_fleet import COLD_TERMS, ENGINES, MODEL, PlatformFleet, make_batch
@@ -77,7 +77,7 @@
             self.cool(OTHER_ENGINE)
             self.fill(ENGINE)
             self.assertIsNone(self.choice.choose(ENGINES))
-            await self.fleet.wait(OWN_ENGINES_SECONDS + 0.1)
+            await self.fleet.wait(OWN_ENGINES_ONLY_SECONDS + 0.1)
             self.assertEqual(OTHER_ENGINE, self.choice.choose(ENGINES).id)
 
         run(play())
--- a/tests/test_yielding.py
+++ b/tests/test_yielding.py
@@ -6,7 +6,7 @@
 from larkpost.gateway.blackboard.configuration import Configuration, ModelName, Service
 from larkpost.gateway.blackboard.weight_targets import ModelDemand, Outlook
 from larkpost.gateway.controllers.division import LIFETIME_SECONDS, EngineDivision
-from larkpost.gateway.rollouts.engine_choice import OWN_ENGINES_SECONDS
+from larkpost.gateway.rollouts.engine_choice import OWN_ENGINES_ONLY_SECONDS
 from tests.platform_fleet import ENGINES, MODEL, PlatformFleet, make_batch
 from tests.virtual import run
 
@@ -31,7 +31,7 @@
             for state in fleet.model_engines():
                 state.event_seconds = 0.2
             await fleet.gateways[0].batches.submit(make_batch("batch", 40))
-            await fleet.wait(OWN_ENGINES_SECONDS + 0.4)
+            await fleet.wait(OWN_ENGINES_ONLY_SECONDS + 0.4)
             return sum(bool(state.runs) for state in fleet.model_engines())
 
         return run(play())
