--- a/src/larkpost/gateway/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_choice.py
@@ -121,7 +121,7 @@
         if self._services.cold is not None:
             self._services.cold.reserve(engine)
 
-    def count_places(self, service: ServiceName) -> int:
+    def count_free_slots(self, service: ServiceName) -> int:
         """Returns how many places the engines that fit are believed to have free."""
         work = self.items.work_of()
         fitting = self._with_place(service, work)
--- a/src/larkpost/gateway/rollouts/run.py
+++ b/src/larkpost/gateway/rollouts/run.py
@@ -109,7 +109,7 @@
         for watch in self._stalls.stalled(self._engines.silence_allowed):
             service = watch.engine.service
             if service not in free:
-                free[service] = self._engines.count_places(service)
+                free[service] = self._engines.count_free_slots(service)
             if free[service] > len(self._places):
                 free[service] -= 1
                 self._stalls.end(watch)
