--- a/src/larkpost/gateway/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_choice.py
@@ -135,7 +135,7 @@
         left = cold.sends_left(info, work) if cold is not None else None
         return free if left is None else min(free, left)
 
-    def silence_allowed(self, watch: RunWatch) -> float:
+    def stall_timeout(self, watch: RunWatch) -> float:
         """Returns the seconds for which a run may make nothing before it is stalled."""
         engine = watch.engine
         loading = self._services.division.loading(engine.service, self._head.model)
--- a/src/larkpost/gateway/rollouts/stalls.py
+++ b/src/larkpost/gateway/rollouts/stalls.py
@@ -77,7 +77,7 @@
         finally:
             self._watches.remove(watch)
 
-    def stalled(self, silence_allowed: Callable[[RunWatch], float]) -> list[RunWatch]:
+    def stalled(self, stall_timeout: Callable[[RunWatch], float]) -> list[RunWatch]:
         """Returns the runs that have been silent for too long, the longest silence first.
 
         Args:
@@ -88,7 +88,7 @@
             watch
             for watch in self._watches
             if not (watch.is_stalled or watch.limit.expired())
-            and now - watch.progress_at >= silence_allowed(watch)
+            and now - watch.progress_at >= stall_timeout(watch)
         ]
         return sorted(silent, key=lambda watch: watch.progress_at)
 
