--- a/src/larkpost/gateway/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_choice.py
@@ -56,7 +56,7 @@
             work: what the rules of placement ask of the item; None for the batch's own.
         """
         only = self._only_engines(service)
-        candidates = self._with_place(service, work or self.items.work_of(), only)
+        candidates = self._with_free_slot(service, work or self.items.work_of(), only)
         if only is not None:
             candidates = [info for info in candidates if info.id in only]
         if pace_limit:
@@ -124,7 +124,7 @@
     def count_free_slots(self, service: ServiceName) -> int:
         """Returns how many places the engines that fit are believed to have free."""
         work = self.items.work_of()
-        fitting = self._with_place(service, work)
+        fitting = self._with_free_slot(service, work)
         scale = self._services.balancer.look(service, work).scale
         return int(sum(self._places_at(info, work) for info in fitting) * scale)
 
@@ -196,7 +196,7 @@
         self._best[service, work, version] = (now, best)
         return best
 
-    def _with_place(
+    def _with_free_slot(
         self, service: ServiceName, work: Work, within: frozenset[InstanceId] | None = None
     ) -> list[InstanceInfo]:
         """Returns the engines that fit and have a free place, the least occupied first.
