--- a/src/larkpost/gateway/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_choice.py
@@ -126,9 +126,9 @@
         work = self.items.work_of()
         fitting = self._with_free_slot(service, work)
         scale = self._services.balancer.look(service, work).scale
-        return int(sum(self._places_at(info, work) for info in fitting) * scale)
+        return int(sum(self._free_slots_at(info, work) for info in fitting) * scale)
 
-    def _places_at(self, info: InstanceInfo, work: Work) -> int:
+    def _free_slots_at(self, info: InstanceInfo, work: Work) -> int:
         """Returns an engine's free places; at a cold one, those that may be used now."""
         free = info.slots - self._services.balancer.occupied(info)
         cold = self._services.cold
