--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.rollouts.engine_rules import may_migrate
 from larkpost.gateway.rollouts.faster_place import FasterPlace
 from larkpost.gateway.rollouts.model import ITEM_METHOD, BatchHead, Item
-from larkpost.gateway.rollouts.place_queue import PlaceQueue
+from larkpost.gateway.rollouts.place_queue import SlotQueue
 from larkpost.gateway.rollouts.progress import ItemRun
 from larkpost.gateway.rollouts.retry_rules import (
     FAILED_STATUS,
@@ -49,7 +49,7 @@
         head: BatchHead,
         items: tuple[Item, ...],
         engines: EngineSelector,
-        places: PlaceQueue,
+        places: SlotQueue,
         services: RunServices,
     ) -> None:
         self.stalls = StallWatcher(services.clock)
--- a/src/larkpost/gateway/rollouts/faster_place.py
+++ b/src/larkpost/gateway/rollouts/faster_place.py
@@ -8,7 +8,7 @@
 
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.rollouts.engine_choice import EngineSelector
-from larkpost.gateway.rollouts.place_queue import PlaceQueue
+from larkpost.gateway.rollouts.place_queue import SlotQueue
 from larkpost.gateway.rollouts.progress import ItemRun
 
 
@@ -27,7 +27,7 @@
 class FasterPlace:
     """The request of a run at a slow engine for a place at a fast one."""
 
-    def __init__(self, places: PlaceQueue, engines: EngineSelector, run: ItemRun) -> None:
+    def __init__(self, places: SlotQueue, engines: EngineSelector, run: ItemRun) -> None:
         self._places = places
         self._engines = engines
         self._run = run
--- a/src/larkpost/gateway/rollouts/item_runs.py
+++ b/src/larkpost/gateway/rollouts/item_runs.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.rollouts.faster_place import MigrateRunError
 from larkpost.gateway.rollouts.item_routes import ItemRoutes
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId
-from larkpost.gateway.rollouts.place_queue import PlaceQueue
+from larkpost.gateway.rollouts.place_queue import SlotQueue
 from larkpost.gateway.rollouts.progress import DiscontinuityError, ItemRun, Progress
 from larkpost.gateway.rollouts.retry_rules import REFUSED_AVOID_SECONDS, RunEnd, judge_run_error
 from larkpost.gateway.rollouts.stalls import StalledError
@@ -45,7 +45,7 @@
         self,
         head: BatchHead,
         routes: ItemRoutes,
-        places: PlaceQueue,
+        places: SlotQueue,
         runs: EngineRuns,
         services: RunServices,
     ) -> None:
--- a/src/larkpost/gateway/rollouts/place_queue.py
+++ b/src/larkpost/gateway/rollouts/place_queue.py
@@ -74,7 +74,7 @@
             self.full.add(wanted)
 
 
-class PlaceQueue:
+class SlotQueue:
     """Gives waiting items places at engines."""
 
     def __init__(self, engines: EngineSelector, balancer: Balancer, clock: Clock) -> None:
--- a/src/larkpost/gateway/rollouts/run.py
+++ b/src/larkpost/gateway/rollouts/run.py
@@ -16,7 +16,7 @@
 from larkpost.gateway.rollouts.item_routes import ItemRoutes
 from larkpost.gateway.rollouts.item_runs import ItemRuns
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId, Result, ResultState
-from larkpost.gateway.rollouts.place_queue import PlaceQueue
+from larkpost.gateway.rollouts.place_queue import SlotQueue
 from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.reward import RewardScorer
 from larkpost.gateway.rollouts.stalls import CHECK_INTERVAL_SECONDS
@@ -48,7 +48,7 @@
         self._services = services
         self._finished = finished
         self._engines = EngineSelector(head, services)
-        self._places = PlaceQueue(self._engines, services.balancer, services.clock)
+        self._places = SlotQueue(self._engines, services.balancer, services.clock)
         runs = EngineRuns(head, items, self._engines, self._places, services)
         self._stalls = runs.stalls
         routes = ItemRoutes(head, services)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.rollouts.engine_choice import BEST_PACE_CACHE_SECONDS, EngineSelector
 from larkpost.gateway.rollouts.faster_place import FasterPlace, MigrateRunError
 from larkpost.gateway.rollouts.model import BatchHead
-from larkpost.gateway.rollouts.place_queue import PlaceQueue
+from larkpost.gateway.rollouts.place_queue import SlotQueue
 from larkpost.gateway.rollouts.progress import LONG_RUN_EVENTS, ItemRun, Progress
 from larkpost.gateway.store.port import RowKey, Transaction
 from larkpost.platform.stand_in.memory_store import StoreFaults
@@ -260,7 +260,7 @@
             spec.id, spec.host, spec.path, MODEL, 0, 0, 1, 1, gateway.id, 0.0, False, "u"
         )
         engines = EngineSelector(head, gateway.keeper._services)
-        places = PlaceQueue(engines, self.balancer, self.fleet.clock)
+        places = SlotQueue(engines, self.balancer, self.fleet.clock)
         route = self.blackboard.configuration.current.match(spec.host, spec.path.encode())
         progress = Progress(spec.items[0])
         progress.events = [b"x"] * LONG_RUN_EVENTS
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -24,7 +24,7 @@
 from larkpost.gateway.rollouts.engine_choice import EngineSelector
 from larkpost.gateway.rollouts.faster_place import FasterPlace, MigrateRunError
 from larkpost.gateway.rollouts.model import BatchHead
-from larkpost.gateway.rollouts.place_queue import PlaceQueue
+from larkpost.gateway.rollouts.place_queue import SlotQueue
 from larkpost.gateway.rollouts.progress import LONG_RUN_EVENTS, ItemRun, Progress
 from larkpost.gateway.rollouts.reward_attempt import RewardAttempts
 from larkpost.gateway.scaling.port import ScalingMode
@@ -93,7 +93,7 @@
             services.balancer.record_pace(InstanceId("e0"), 0.09)
             services.balancer.record_pace(InstanceId("e1"), 0.04)
             choice = EngineSelector(make_head(fleet), services)
-            places = PlaceQueue(choice, services.balancer, fleet.clock)
+            places = SlotQueue(choice, services.balancer, fleet.clock)
             progress = Progress(make_batch(items=1).items[0])
             progress.events = [b"x"] * LONG_RUN_EVENTS
             slow = make_instance("e0", ENGINES)
