--- a/src/larkpost/gateway/rollouts/place_queue.py
+++ b/src/larkpost/gateway/rollouts/place_queue.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _PlaceRequest:
+class _SlotRequest:
     """An item in the queue; ``place`` gets its engine as result.
 
     Attributes:
@@ -81,7 +81,7 @@
         self._engines = engines
         self._balancer = balancer
         self._clock = clock
-        self._waiting: list[_PlaceRequest] = []
+        self._waiting: list[_SlotRequest] = []
         self._server: asyncio.Task | None = None
 
     def __len__(self) -> int:
@@ -115,7 +115,7 @@
     ) -> asyncio.Future[InstanceInfo]:
         """Requests a place without waiting; see `take`. It must be used, or cancelled."""
         place: asyncio.Future[InstanceInfo] = asyncio.get_running_loop().create_future()
-        entry = _PlaceRequest(progress.item, route, pace_limit, place, queue_rank(progress))
+        entry = _SlotRequest(progress.item, route, pace_limit, place, queue_rank(progress))
         bisect.insort(self._waiting, entry, key=lambda waiting: waiting.order)
         if self._server is None or self._server.done():
             self._server = asyncio.create_task(self._serve())
@@ -142,7 +142,7 @@
     def _pass(self) -> int:
         """Assigns at most `PLACES_AT_ONCE` places, the longest items first, and counts them."""
         missing = _NoPlaces()
-        left: list[_PlaceRequest] = []
+        left: list[_SlotRequest] = []
         assigned = 0
         for entry in self._waiting:
             if assigned < PLACES_AT_ONCE and self._assign(entry, missing):
@@ -152,7 +152,7 @@
         self._waiting = left
         return assigned
 
-    def _assign(self, entry: _PlaceRequest, missing: _NoPlaces) -> bool:
+    def _assign(self, entry: _SlotRequest, missing: _NoPlaces) -> bool:
         """Gives an item a place if there is one, and returns whether there is."""
         service = self._engines.items.service_of(entry.item, entry.route)
         if service is None:
