--- a/src/larkpost/gateway/rollouts/place_queue.py
+++ b/src/larkpost/gateway/rollouts/place_queue.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(slots=True)
-class _NoPlaces:
+class _UnavailableSlots:
     """What one pass has learnt of places that there are not.
 
     Attributes:
@@ -141,7 +141,7 @@
 
     def _pass(self) -> int:
         """Assigns at most `PLACES_AT_ONCE` places, the longest items first, and counts them."""
-        missing = _NoPlaces()
+        missing = _UnavailableSlots()
         left: list[_SlotRequest] = []
         assigned = 0
         for entry in self._waiting:
@@ -152,7 +152,7 @@
         self._waiting = left
         return assigned
 
-    def _assign(self, entry: _SlotRequest, missing: _NoPlaces) -> bool:
+    def _assign(self, entry: _SlotRequest, missing: _UnavailableSlots) -> bool:
         """Gives an item a place if there is one, and returns whether there is."""
         service = self._engines.items.service_of(entry.item, entry.route)
         if service is None:
