--- a/src/larkpost/gateway/rollouts/place_queue.py
+++ b/src/larkpost/gateway/rollouts/place_queue.py
@@ -26,7 +26,7 @@
 PASS_INTERVAL_SECONDS = 0.03
 """Pause between two passes: places free up without notice when other daemons' requests end. About
 the time that one event takes."""
-PLACES_AT_ONCE = 8
+MAX_SLOTS_PER_PASS = 8
 """Places assigned before the loop turns: what is placed first, the longest items, is sent first."""
 TIMEOUT_SECONDS = 0.5
 """How long an item waits before its route and its time are checked again."""
@@ -135,7 +135,7 @@
 
     async def _serve(self) -> None:
         while self._waiting:
-            while self._pass() == PLACES_AT_ONCE:
+            while self._pass() == MAX_SLOTS_PER_PASS:
                 await self._clock.sleep(0)
             await self._clock.sleep(PASS_INTERVAL_SECONDS)
 
@@ -145,7 +145,7 @@
         left: list[_SlotRequest] = []
         assigned = 0
         for entry in self._waiting:
-            if assigned < PLACES_AT_ONCE and self._assign(entry, missing):
+            if assigned < MAX_SLOTS_PER_PASS and self._assign(entry, missing):
                 assigned += 1
             else:
                 left.append(entry)
