--- a/src/larkpost/gateway/rollouts/place_queue.py
+++ b/src/larkpost/gateway/rollouts/place_queue.py
@@ -30,7 +30,7 @@
 """Places assigned before the loop turns: what is placed first, the longest items, is sent first."""
 TIMEOUT_SECONDS = 0.5
 """How long an item waits before its route and its time are checked again."""
-LIMITED_TIMEOUT_SECONDS = 0.1
+PACE_LIMITED_TIMEOUT_SECONDS = 0.1
 """The same for an item that wants a fast engine; after that it takes any. Some three passes."""
 
 
@@ -100,7 +100,7 @@
         """
         place = self.request(progress, route, pace_limit)
         try:
-            timeout = LIMITED_TIMEOUT_SECONDS if pace_limit else TIMEOUT_SECONDS
+            timeout = PACE_LIMITED_TIMEOUT_SECONDS if pace_limit else TIMEOUT_SECONDS
             await asyncio.wait({place}, timeout=timeout)
         except asyncio.CancelledError:
             self.cancel(place)
