--- a/src/larkpost/gateway/rollouts/place_queue.py
+++ b/src/larkpost/gateway/rollouts/place_queue.py
@@ -115,7 +115,7 @@
     ) -> asyncio.Future[InstanceInfo]:
         """Requests a place without waiting; see `take`. It must be used, or cancelled."""
         place: asyncio.Future[InstanceInfo] = asyncio.get_running_loop().create_future()
-        entry = _SlotRequest(progress.item, route, pace_limit, place, queue_rank(progress))
+        entry = _SlotRequest(progress.item, route, pace_limit, place, queue_order(progress))
         bisect.insort(self._waiting, entry, key=lambda waiting: waiting.order)
         if self._server is None or self._server.done():
             self._server = asyncio.create_task(self._serve())
@@ -171,7 +171,7 @@
         return True
 
 
-def queue_rank(progress: Progress) -> tuple[bool, float]:
+def queue_order(progress: Progress) -> tuple[bool, float]:
     """Returns an item's rank in the queue, by these criteria; the lowest is served first."""
     return (
         not progress.is_long,  # a step waits for items that have shown themselves long
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -16,7 +16,7 @@
     ServiceShare,
 )
 from larkpost.gateway.blackboard.tenants import Tenant, TenantName
-from larkpost.gateway.rollouts.place_queue import queue_rank
+from larkpost.gateway.rollouts.place_queue import queue_order
 from larkpost.gateway.rollouts.progress import LONG_RUN_EVENTS, Progress
 from larkpost.gateway.rollouts.stalls import (
     LEAST_SILENCE_SECONDS,
@@ -95,7 +95,7 @@
         ranks = []
         for events, tokens, hint in cases:
             item = replace(make_batch(items=1).items[0], tokens=tokens, length_hint=hint)
-            ranks.append(queue_rank(Progress(item, [b"x"] * events)))
+            ranks.append(queue_order(Progress(item, [b"x"] * events)))
         self.assertEqual(sorted(ranks), ranks)
         self.assertEqual(len(cases), len(set(ranks)))
 
