--- a/src/larkpost/gateway/rollouts/place_queue.py
+++ b/src/larkpost/gateway/rollouts/place_queue.py
@@ -87,7 +87,7 @@
     def __len__(self) -> int:
         return len(self._waiting)
 
-    async def take(
+    async def acquire(
         self, progress: Progress, route: Route, pace_limit: float = 0.0
     ) -> InstanceInfo | None:
         """Waits for a place; None if there was none for a while.
