--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.engine_choice import EngineSelector
 from larkpost.gateway.rollouts.engine_rules import may_migrate
-from larkpost.gateway.rollouts.faster_place import FasterPlace
+from larkpost.gateway.rollouts.faster_place import FasterEngineRequest
 from larkpost.gateway.rollouts.model import ITEM_METHOD, BatchHead, Item
 from larkpost.gateway.rollouts.place_queue import SlotQueue
 from larkpost.gateway.rollouts.progress import ItemRun
@@ -108,7 +108,7 @@
             DiscontinuityError: an event does not follow the last one.
             MoveAwayError: it has a place at a faster engine.
         """
-        faster = FasterPlace(self._places, self._engines, run)
+        faster = FasterEngineRequest(self._places, self._engines, run)
         try:
             events = RunEvents(run, watch, self._head, self._services, response.version or 0)
             async for event in response.events():
--- a/src/larkpost/gateway/rollouts/faster_place.py
+++ b/src/larkpost/gateway/rollouts/faster_place.py
@@ -24,7 +24,7 @@
         self.engine = engine
 
 
-class FasterPlace:
+class FasterEngineRequest:
     """The request of a run at a slow engine for a place at a fast one."""
 
     def __init__(self, places: SlotQueue, engines: EngineSelector, run: ItemRun) -> None:
--- a/tests/switched_off.py
+++ b/tests/switched_off.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.rollouts import reward_rules, service
 from larkpost.gateway.rollouts.engine_choice import EngineSelector
 from larkpost.gateway.rollouts.engine_run import EngineRuns
-from larkpost.gateway.rollouts.faster_place import FasterPlace
+from larkpost.gateway.rollouts.faster_place import FasterEngineRequest
 from larkpost.gateway.rollouts.owned import OwnedBatch
 from larkpost.gateway.rollouts.reader import BatchReader
 from larkpost.gateway.rollouts.run import BatchRun
@@ -26,7 +26,7 @@
 
 def moves_to_faster_engines():
     """No run asks for the next free place at a faster engine, so none leaves its engine for one."""
-    return mock.patch.object(FasterPlace, "request_if_slow", lambda *_: None)
+    return mock.patch.object(FasterEngineRequest, "request_if_slow", lambda *_: None)
 
 
 def moves_of_stalled_runs():
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.instance_use import PROBE_SECONDS
 from larkpost.gateway.rollouts.engine_choice import BEST_PACE_CACHE_SECONDS, EngineSelector
-from larkpost.gateway.rollouts.faster_place import FasterPlace, MigrateRunError
+from larkpost.gateway.rollouts.faster_place import FasterEngineRequest, MigrateRunError
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.rollouts.place_queue import SlotQueue
 from larkpost.gateway.rollouts.progress import LONG_RUN_EVENTS, ItemRun, Progress
@@ -264,7 +264,7 @@
         route = self.blackboard.configuration.current.match(spec.host, spec.path.encode())
         progress = Progress(spec.items[0])
         progress.events = [b"x"] * LONG_RUN_EVENTS
-        self.request = FasterPlace(places, engines, ItemRun(self.slow, route, progress))
+        self.request = FasterEngineRequest(places, engines, ItemRun(self.slow, route, progress))
         self.request.request_if_slow()
         await self.fleet.wait(0.1)
         self.assertEqual(1, self.balancer.use(self.fast.id).outstanding)
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -22,7 +22,7 @@
     ClientRequest,
 )
 from larkpost.gateway.rollouts.engine_choice import EngineSelector
-from larkpost.gateway.rollouts.faster_place import FasterPlace, MigrateRunError
+from larkpost.gateway.rollouts.faster_place import FasterEngineRequest, MigrateRunError
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.rollouts.place_queue import SlotQueue
 from larkpost.gateway.rollouts.progress import LONG_RUN_EVENTS, ItemRun, Progress
@@ -97,7 +97,7 @@
             progress = Progress(make_batch(items=1).items[0])
             progress.events = [b"x"] * LONG_RUN_EVENTS
             slow = make_instance("e0", ENGINES)
-            request = FasterPlace(places, choice, ItemRun(slow, ROUTE, progress))
+            request = FasterEngineRequest(places, choice, ItemRun(slow, ROUTE, progress))
             request.request_if_slow()
             await fleet.wait(0.1)
             try:
