--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -49,13 +49,13 @@
         head: BatchHead,
         items: tuple[Item, ...],
         engines: EngineSelector,
-        places: SlotQueue,
+        slot_queue: SlotQueue,
         services: RunServices,
     ) -> None:
         self.stalls = StallWatcher(services.clock)
         self._head = head
         self._engines = engines
-        self._places = places
+        self._places = slot_queue
         self._services = services
         self._urgency = Urgency(items)
 
--- a/src/larkpost/gateway/rollouts/faster_place.py
+++ b/src/larkpost/gateway/rollouts/faster_place.py
@@ -27,8 +27,8 @@
 class FasterEngineRequest:
     """The request of a run at a slow engine for a place at a fast one."""
 
-    def __init__(self, places: SlotQueue, engines: EngineSelector, run: ItemRun) -> None:
-        self._places = places
+    def __init__(self, slot_queue: SlotQueue, engines: EngineSelector, run: ItemRun) -> None:
+        self._places = slot_queue
         self._engines = engines
         self._run = run
         self._place: asyncio.Future[InstanceInfo] | None = None
--- a/src/larkpost/gateway/rollouts/item_runs.py
+++ b/src/larkpost/gateway/rollouts/item_runs.py
@@ -45,13 +45,13 @@
         self,
         head: BatchHead,
         routes: ItemRoutes,
-        places: SlotQueue,
+        slot_queue: SlotQueue,
         runs: EngineRuns,
         services: RunServices,
     ) -> None:
         self._head = head
         self._routes = routes
-        self._places = places
+        self._places = slot_queue
         self._runs = runs
         self._services = services
         self._taken: dict[ItemId, InstanceInfo] = {}
