--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -55,7 +55,7 @@
         self.stalls = StallWatcher(services.clock)
         self._head = head
         self._engines = engines
-        self._places = slot_queue
+        self._slot_queue = slot_queue
         self._services = services
         self._urgency = Urgency(items)
 
@@ -108,7 +108,7 @@
             DiscontinuityError: an event does not follow the last one.
             MoveAwayError: it has a place at a faster engine.
         """
-        faster = FasterEngineRequest(self._places, self._engines, run)
+        faster = FasterEngineRequest(self._slot_queue, self._engines, run)
         try:
             events = RunEvents(run, watch, self._head, self._services, response.version or 0)
             async for event in response.events():
--- a/src/larkpost/gateway/rollouts/faster_place.py
+++ b/src/larkpost/gateway/rollouts/faster_place.py
@@ -28,7 +28,7 @@
     """The request of a run at a slow engine for a place at a fast one."""
 
     def __init__(self, slot_queue: SlotQueue, engines: EngineSelector, run: ItemRun) -> None:
-        self._places = slot_queue
+        self._slot_queue = slot_queue
         self._engines = engines
         self._run = run
         self._place: asyncio.Future[InstanceInfo] | None = None
@@ -40,7 +40,7 @@
         run = self._run
         pace = self._engines.target_pace(run)
         if pace:
-            self._place = self._places.request(run.progress, run.route, pace)
+            self._place = self._slot_queue.request(run.progress, run.route, pace)
 
     def raise_if_assigned(self) -> None:
         """Ends the run once it has a place; a place that may be used no longer is given back.
@@ -60,5 +60,5 @@
     def cancel(self) -> None:
         """Cancels the request, if there is one."""
         if self._place is not None:
-            self._places.cancel(self._place)
+            self._slot_queue.cancel(self._place)
             self._place = None
--- a/src/larkpost/gateway/rollouts/item_runs.py
+++ b/src/larkpost/gateway/rollouts/item_runs.py
@@ -51,7 +51,7 @@
     ) -> None:
         self._head = head
         self._routes = routes
-        self._places = slot_queue
+        self._slot_queue = slot_queue
         self._runs = runs
         self._services = services
         self._taken: dict[ItemId, InstanceInfo] = {}
@@ -98,7 +98,7 @@
         item = progress.item.id
         engine = self._taken.pop(item, None)
         if engine is None:
-            engine = await self._places.acquire(progress, route, progress.previous_engine_pace)
+            engine = await self._slot_queue.acquire(progress, route, progress.previous_engine_pace)
         if engine is None:
             progress.previous_engine_pace = 0.0  # no engine as fast has a place any more
             return None
--- a/src/larkpost/gateway/rollouts/run.py
+++ b/src/larkpost/gateway/rollouts/run.py
@@ -48,11 +48,11 @@
         self._services = services
         self._finished = finished
         self._engines = EngineSelector(head, services)
-        self._places = SlotQueue(self._engines, services.balancer, services.clock)
-        runs = EngineRuns(head, items, self._engines, self._places, services)
+        self._slot_queue = SlotQueue(self._engines, services.balancer, services.clock)
+        runs = EngineRuns(head, items, self._engines, self._slot_queue, services)
         self._stalls = runs.stalls
         routes = ItemRoutes(head, services)
-        self._outputs = ItemRuns(head, routes, self._places, runs, services)
+        self._outputs = ItemRuns(head, routes, self._slot_queue, runs, services)
         self._scorer = RewardScorer(head, routes, services)
         self._waiting = sorted(items, key=lambda item: item.expected_work, reverse=True)
         self._stall_task: asyncio.Task | None = None
@@ -69,7 +69,7 @@
 
     def sum_up(self) -> BatchProgress:
         """Returns how far the batch is, for the forecasts of all daemons."""
-        return sum_up(self.progress.values(), self._tokens_per_event(), len(self._places))
+        return sum_up(self.progress.values(), self._tokens_per_event(), len(self._slot_queue))
 
     def _tokens_per_event(self) -> int:
         configuration = self._services.configuration.current
@@ -80,7 +80,7 @@
 
     def cancel(self) -> None:
         """Stops all runs; their connections close at once."""
-        self._places.stop()
+        self._slot_queue.stop()
         if self._stall_task is not None:
             self._stall_task.cancel()
         for task in list(self._tasks.values()):
@@ -110,7 +110,7 @@
             service = watch.engine.service
             if service not in free:
                 free[service] = self._engines.count_free_slots(service)
-            if free[service] > len(self._places):
+            if free[service] > len(self._slot_queue):
                 free[service] -= 1
                 self._stalls.end(watch)
 
