--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -18,7 +18,7 @@
 from larkpost.gateway.rollouts.retry_rules import (
     FAILED_STATUS,
     IMPOSSIBLE_STATUS,
-    RunEnd,
+    RunOutcome,
     judge_failed_response,
 )
 from larkpost.gateway.rollouts.run_events import RunEvents
@@ -59,7 +59,7 @@
         self._services = services
         self._urgency = Urgency(items)
 
-    async def run(self, run: ItemRun) -> RunEnd:
+    async def run(self, run: ItemRun) -> RunOutcome:
         """Runs an item at an engine from where it is, and returns how that ended.
 
         Raises:
@@ -83,7 +83,7 @@
                 raise StalledError from None
             raise
 
-    async def _stream(self, run: ItemRun, watch: RunWatch) -> RunEnd:
+    async def _stream(self, run: ItemRun, watch: RunWatch) -> RunOutcome:
         """Sends the request and records the response."""
         balancer = self._services.balancer
         request = self._request(run)
@@ -98,7 +98,7 @@
         if not run.progress.events:
             raise BrokenResponseError("a stream without events")
         run.progress.complete()
-        return RunEnd.WHOLE
+        return RunOutcome.WHOLE
 
     async def _read_events(self, run: ItemRun, watch: RunWatch, response: ServerResponse) -> None:
         """Records the events of a run until the stream ends or the run is to move.
@@ -155,7 +155,7 @@
             run.progress.restart()
 
 
-def _record_failure(run: ItemRun, status: int) -> RunEnd:
+def _record_failure(run: ItemRun, status: int) -> RunOutcome:
     """Counts a response that is no stream, and returns whether the item runs again."""
     progress = run.progress
     if status == IMPOSSIBLE_STATUS:
--- a/src/larkpost/gateway/rollouts/item_runs.py
+++ b/src/larkpost/gateway/rollouts/item_runs.py
@@ -17,7 +17,7 @@
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId
 from larkpost.gateway.rollouts.place_queue import SlotQueue
 from larkpost.gateway.rollouts.progress import DiscontinuityError, ItemRun, Progress
-from larkpost.gateway.rollouts.retry_rules import REFUSED_AVOID_SECONDS, RunEnd, judge_run_error
+from larkpost.gateway.rollouts.retry_rules import REFUSED_AVOID_SECONDS, RunOutcome, judge_run_error
 from larkpost.gateway.rollouts.stalls import StalledError
 from larkpost.gateway.servers.port import BrokenResponseError, NotRunError
 
@@ -65,9 +65,9 @@
         self._queued_at[item.id] = self._services.clock.now()
         while not progress.whole:
             end = await self._advance(progress)
-            if end is RunEnd.DEAD:
+            if end is RunOutcome.DEAD:
                 return False
-            if end is RunEnd.AGAIN and item.id not in self._taken:
+            if end is RunOutcome.AGAIN and item.id not in self._taken:
                 await self._services.clock.sleep(AGAIN_PAUSE_SECONDS)
         return True
 
@@ -77,20 +77,20 @@
         if unused is not None:
             self._services.balancer.release(unused.id)
 
-    async def _advance(self, progress: Progress) -> RunEnd:
+    async def _advance(self, progress: Progress) -> RunOutcome:
         """Runs an item once if it may run and gets a place."""
         item = progress.item
         route = self._routes.route_of(item)
         if self._routes.is_given_up(route):
-            return RunEnd.DEAD
+            return RunOutcome.DEAD
         if self._is_quarantined(item):
             await self._services.clock.sleep(QUARANTINE_CHECK_SECONDS)
-            return RunEnd.AGAIN
+            return RunOutcome.AGAIN
         if route is None:
-            return RunEnd.AGAIN
+            return RunOutcome.AGAIN
         engine = await self._take_place(progress, route)
         if engine is None:
-            return RunEnd.AGAIN
+            return RunOutcome.AGAIN
         return await self._run_at(ItemRun(engine, route, progress))
 
     async def _take_place(self, progress: Progress, route: Route) -> InstanceInfo | None:
@@ -118,14 +118,14 @@
             return False
         return crashes.is_content_quarantined(item.content(self._head), BATCH_CRASH_LIMIT)
 
-    async def _run_at(self, run: ItemRun) -> RunEnd:
+    async def _run_at(self, run: ItemRun) -> RunOutcome:
         """Runs an item at its place at an engine, and releases the place."""
         began = self._services.clock.now()
         resumed_after = run.progress.last_event
-        end = RunEnd.AGAIN
+        end = RunOutcome.AGAIN
         try:
             end = await self._runs.run(run)
-            outcome = end.value if end is not RunEnd.AGAIN else "failed"
+            outcome = end.value if end is not RunOutcome.AGAIN else "failed"
         except EXPECTED_ERRORS as error:
             outcome = self._record_error(run, error)
         finally:
--- a/src/larkpost/gateway/rollouts/retry_rules.py
+++ b/src/larkpost/gateway/rollouts/retry_rules.py
@@ -24,7 +24,7 @@
 """The same after it left an item waiting though another engine had a place."""
 
 
-class RunEnd(StrEnum):
+class RunOutcome(StrEnum):
     """How one run of an item ended."""
 
     WHOLE = "whole"
@@ -47,7 +47,7 @@
     loses_output: bool = False
 
 
-def judge_failed_response(status: int, failed_runs: int, max_attempts: int) -> RunEnd:
+def judge_failed_response(status: int, failed_runs: int, max_attempts: int) -> RunOutcome:
     """Returns whether an item runs again after a response that is no stream.
 
     Refusals and other statuses don't count as attempts: the item did not run.
@@ -57,10 +57,10 @@
         max_attempts: as many of them as the item's route allows.
     """
     if status == IMPOSSIBLE_STATUS:
-        return RunEnd.DEAD
+        return RunOutcome.DEAD
     if status == FAILED_STATUS and failed_runs >= max_attempts:
-        return RunEnd.DEAD
-    return RunEnd.AGAIN
+        return RunOutcome.DEAD
+    return RunOutcome.AGAIN
 
 
 def judge_run_error(
--- a/tests/test_retry_rules.py
+++ b/tests/test_retry_rules.py
@@ -7,8 +7,8 @@
     BROKEN_AVOID_SECONDS,
     SILENT_AVOID_SECONDS,
     STALLED_AVOID_SECONDS,
-    RunEnd,
     RunFailure,
+    RunOutcome,
     is_call_dead,
     is_out_of_time,
     judge_failed_response,
@@ -19,13 +19,13 @@
 
 RESPONSES = (
     # status, failed runs, attempts that the route allows, how the run ended
-    (422, 0, 3, RunEnd.DEAD),
-    (500, 1, 3, RunEnd.AGAIN),
-    (500, 2, 3, RunEnd.AGAIN),
-    (500, 3, 3, RunEnd.DEAD),
-    (503, 3, 3, RunEnd.AGAIN),
-    (429, 9, 1, RunEnd.AGAIN),
-    (404, 0, 1, RunEnd.AGAIN),
+    (422, 0, 3, RunOutcome.DEAD),
+    (500, 1, 3, RunOutcome.AGAIN),
+    (500, 2, 3, RunOutcome.AGAIN),
+    (500, 3, 3, RunOutcome.DEAD),
+    (503, 3, 3, RunOutcome.AGAIN),
+    (429, 9, 1, RunOutcome.AGAIN),
+    (404, 0, 1, RunOutcome.AGAIN),
 )
 ERRORS = (
     (StalledError(), RunFailure("stalled", STALLED_AVOID_SECONDS)),
