--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -98,7 +98,7 @@
         if not run.progress.events:
             raise BrokenResponseError("a stream without events")
         run.progress.complete()
-        return RunOutcome.WHOLE
+        return RunOutcome.COMPLETE
 
     async def _read_events(self, run: ItemRun, watch: RunWatch, response: ServerResponse) -> None:
         """Records the events of a run until the stream ends or the run is to move.
--- a/src/larkpost/gateway/rollouts/retry_rules.py
+++ b/src/larkpost/gateway/rollouts/retry_rules.py
@@ -27,7 +27,7 @@
 class RunOutcome(StrEnum):
     """How one run of an item ended."""
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     AGAIN = "again"
     DEAD = "dead"
 
