--- a/src/larkpost/gateway/rollouts/item_runs.py
+++ b/src/larkpost/gateway/rollouts/item_runs.py
@@ -67,7 +67,7 @@
             end = await self._advance(progress)
             if end is RunOutcome.DEAD:
                 return False
-            if end is RunOutcome.AGAIN and item.id not in self._taken:
+            if end is RunOutcome.RETRY and item.id not in self._taken:
                 await self._services.clock.sleep(AGAIN_PAUSE_SECONDS)
         return True
 
@@ -85,12 +85,12 @@
             return RunOutcome.DEAD
         if self._is_quarantined(item):
             await self._services.clock.sleep(QUARANTINE_CHECK_SECONDS)
-            return RunOutcome.AGAIN
+            return RunOutcome.RETRY
         if route is None:
-            return RunOutcome.AGAIN
+            return RunOutcome.RETRY
         engine = await self._take_place(progress, route)
         if engine is None:
-            return RunOutcome.AGAIN
+            return RunOutcome.RETRY
         return await self._run_at(ItemRun(engine, route, progress))
 
     async def _take_place(self, progress: Progress, route: Route) -> InstanceInfo | None:
@@ -122,10 +122,10 @@
         """Runs an item at its place at an engine, and releases the place."""
         began = self._services.clock.now()
         resumed_after = run.progress.last_event
-        end = RunOutcome.AGAIN
+        end = RunOutcome.RETRY
         try:
             end = await self._runs.run(run)
-            outcome = end.value if end is not RunOutcome.AGAIN else "failed"
+            outcome = end.value if end is not RunOutcome.RETRY else "failed"
         except EXPECTED_ERRORS as error:
             outcome = self._record_error(run, error)
         finally:
--- a/src/larkpost/gateway/rollouts/retry_rules.py
+++ b/src/larkpost/gateway/rollouts/retry_rules.py
@@ -28,7 +28,7 @@
     """How one run of an item ended."""
 
     COMPLETE = "whole"
-    AGAIN = "again"
+    RETRY = "again"
     DEAD = "dead"
 
 
@@ -60,7 +60,7 @@
         return RunOutcome.DEAD
     if status == FAILED_STATUS and failed_runs >= max_attempts:
         return RunOutcome.DEAD
-    return RunOutcome.AGAIN
+    return RunOutcome.RETRY
 
 
 def judge_run_error(
--- a/tests/test_retry_rules.py
+++ b/tests/test_retry_rules.py
@@ -20,12 +20,12 @@
 RESPONSES = (
     # status, failed runs, attempts that the route allows, how the run ended
     (422, 0, 3, RunOutcome.DEAD),
-    (500, 1, 3, RunOutcome.AGAIN),
-    (500, 2, 3, RunOutcome.AGAIN),
+    (500, 1, 3, RunOutcome.RETRY),
+    (500, 2, 3, RunOutcome.RETRY),
     (500, 3, 3, RunOutcome.DEAD),
-    (503, 3, 3, RunOutcome.AGAIN),
-    (429, 9, 1, RunOutcome.AGAIN),
-    (404, 0, 1, RunOutcome.AGAIN),
+    (503, 3, 3, RunOutcome.RETRY),
+    (429, 9, 1, RunOutcome.RETRY),
+    (404, 0, 1, RunOutcome.RETRY),
 )
 ERRORS = (
     (StalledError(), RunFailure("stalled", STALLED_AVOID_SECONDS)),
