--- a/src/larkpost/gateway/rollouts/item_runs.py
+++ b/src/larkpost/gateway/rollouts/item_runs.py
@@ -21,7 +21,7 @@
 from larkpost.gateway.rollouts.stalls import StalledError
 from larkpost.gateway.servers.port import BrokenResponseError, NotRunError
 
-AGAIN_PAUSE_SECONDS = 0.03
+RETRY_PAUSE_SECONDS = 0.03
 """Pause before an item waits for a place again. One pass over the queue."""
 QUARANTINE_CHECK_SECONDS = 0.5
 """Between two checks whether an item that crashes engines may run again, or its time is over."""
@@ -68,7 +68,7 @@
             if end is RunOutcome.DEAD:
                 return False
             if end is RunOutcome.RETRY and item.id not in self._taken:
-                await self._services.clock.sleep(AGAIN_PAUSE_SECONDS)
+                await self._services.clock.sleep(RETRY_PAUSE_SECONDS)
         return True
 
     def release_unused(self, item: ItemId) -> None:
--- a/src/larkpost/gateway/rollouts/reward.py
+++ b/src/larkpost/gateway/rollouts/reward.py
@@ -16,7 +16,7 @@
 from larkpost.gateway.rollouts.reward_attempt import RewardAttempts
 from larkpost.gateway.rollouts.reward_rules import CallEnd, CallHistory
 
-AGAIN_PAUSE_SECONDS = 0.05
+RETRY_PAUSE_SECONDS = 0.05
 """Pause before a call is tried again."""
 QUARANTINE_CHECK_SECONDS = 0.5
 """Between two checks whether a call that crashes servers may be sent again."""
@@ -55,7 +55,7 @@
                     progress.failed_calls += 1
                     if is_call_dead(progress.failed_calls, item_attempts, route.max_attempts):
                         return None
-            await self._services.clock.sleep(AGAIN_PAUSE_SECONDS)
+            await self._services.clock.sleep(RETRY_PAUSE_SECONDS)
         return None
 
     def _is_quarantined(self, call: RewardCall) -> bool:
