--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -17,7 +17,7 @@
 from larkpost.gateway.rollouts.progress import ItemRun
 from larkpost.gateway.rollouts.retry_rules import (
     FAILED_STATUS,
-    IMPOSSIBLE_STATUS,
+    UNPROCESSABLE_STATUS,
     RunOutcome,
     judge_failed_response,
 )
@@ -158,7 +158,7 @@
 def _record_failure(run: ItemRun, status: int) -> RunOutcome:
     """Counts a response that is no stream, and returns whether the item runs again."""
     progress = run.progress
-    if status == IMPOSSIBLE_STATUS:
+    if status == UNPROCESSABLE_STATUS:
         progress.impossible_responses += 1
     if status == FAILED_STATUS:
         progress.failed_runs += 1
--- a/src/larkpost/gateway/rollouts/retry_rules.py
+++ b/src/larkpost/gateway/rollouts/retry_rules.py
@@ -10,7 +10,7 @@
 from larkpost.gateway.rollouts.stalls import StalledError
 from larkpost.gateway.servers.port import BrokenResponseError
 
-IMPOSSIBLE_STATUS = 422
+UNPROCESSABLE_STATUS = 422
 """The engine says that the item can never be done."""
 FAILED_STATUS = 500
 """The engine says that this run has failed."""
@@ -56,7 +56,7 @@
         failed_runs: the item's runs that ended with `FAILED_STATUS`, this one included.
         max_attempts: as many of them as the item's route allows.
     """
-    if status == IMPOSSIBLE_STATUS:
+    if status == UNPROCESSABLE_STATUS:
         return RunOutcome.DEAD
     if status == FAILED_STATUS and failed_runs >= max_attempts:
         return RunOutcome.DEAD
