--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -159,7 +159,7 @@
     """Counts a response that is no stream, and returns whether the item runs again."""
     progress = run.progress
     if status == UNPROCESSABLE_STATUS:
-        progress.impossible_responses += 1
+        progress.unprocessable_responses += 1
     if status == FAILED_STATUS:
         progress.failed_runs += 1
     return judge_failed_response(status, progress.failed_runs, run.route.max_attempts)
--- a/src/larkpost/gateway/rollouts/progress.py
+++ b/src/larkpost/gateway/rollouts/progress.py
@@ -40,7 +40,7 @@
     last_event: int | None = None
     event_versions: list[int] = field(default_factory=list)
     failed_runs: int = 0
-    impossible_responses: int = 0
+    unprocessable_responses: int = 0
     migrations: int = 0
     previous_engine_pace: float = 0.0
     whole: bool = False
--- a/src/larkpost/gateway/rollouts/run.py
+++ b/src/larkpost/gateway/rollouts/run.py
@@ -151,7 +151,7 @@
             batch=self.head.id,
             item=item.id,
             failed_runs=progress.failed_runs,
-            impossible=progress.impossible_responses,
+            impossible=progress.unprocessable_responses,
             failed_calls=progress.failed_calls,
         )
         self._finished(Result(item.id, ResultState.DEAD, group=item.group))
