--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -19,7 +19,7 @@
     FAILED_STATUS,
     UNPROCESSABLE_STATUS,
     RunOutcome,
-    judge_failed_response,
+    classify_failed_response,
 )
 from larkpost.gateway.rollouts.run_events import RunEvents
 from larkpost.gateway.rollouts.stalls import RunWatch, StalledError, StallWatcher
@@ -162,4 +162,4 @@
         progress.unprocessable_responses += 1
     if status == FAILED_STATUS:
         progress.failed_runs += 1
-    return judge_failed_response(status, progress.failed_runs, run.route.max_attempts)
+    return classify_failed_response(status, progress.failed_runs, run.route.max_attempts)
--- a/src/larkpost/gateway/rollouts/retry_rules.py
+++ b/src/larkpost/gateway/rollouts/retry_rules.py
@@ -47,7 +47,7 @@
     loses_output: bool = False
 
 
-def judge_failed_response(status: int, failed_runs: int, max_attempts: int) -> RunOutcome:
+def classify_failed_response(status: int, failed_runs: int, max_attempts: int) -> RunOutcome:
     """Returns whether an item runs again after a response that is no stream.
 
     Refusals and other statuses don't count as attempts: the item did not run.
--- a/tests/test_retry_rules.py
+++ b/tests/test_retry_rules.py
@@ -9,9 +9,9 @@
     STALLED_AVOID_SECONDS,
     RunFailure,
     RunOutcome,
+    classify_failed_response,
     is_call_dead,
     is_out_of_time,
-    judge_failed_response,
     judge_run_error,
 )
 from larkpost.gateway.rollouts.stalls import StalledError, stall_seconds
@@ -62,7 +62,7 @@
     def test_responses_that_are_no_stream(self):
         for status, failed_runs, attempts, expected in RESPONSES:
             with self.subTest(status=status, failed_runs=failed_runs):
-                self.assertIs(expected, judge_failed_response(status, failed_runs, attempts))
+                self.assertIs(expected, classify_failed_response(status, failed_runs, attempts))
 
     def test_errors_of_runs(self):
         for error, expected in ERRORS:
