--- a/src/larkpost/gateway/rollouts/item_runs.py
+++ b/src/larkpost/gateway/rollouts/item_runs.py
@@ -17,7 +17,11 @@
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId
 from larkpost.gateway.rollouts.place_queue import SlotQueue
 from larkpost.gateway.rollouts.progress import DiscontinuityError, ItemRun, Progress
-from larkpost.gateway.rollouts.retry_rules import REFUSED_AVOID_SECONDS, RunOutcome, judge_run_error
+from larkpost.gateway.rollouts.retry_rules import (
+    REFUSED_AVOID_SECONDS,
+    RunOutcome,
+    classify_run_error,
+)
 from larkpost.gateway.rollouts.stalls import StalledError
 from larkpost.gateway.servers.port import BrokenResponseError, NotRunError
 
@@ -143,7 +147,7 @@
         if isinstance(error, MigrateRunError):
             self._record_migration(run, error)
             return "moved"
-        failure = judge_run_error(error)
+        failure = classify_run_error(error)
         if failure.loses_output:
             run.progress.restart()
         balancer.avoid(engine, failure.avoid_seconds)
--- a/src/larkpost/gateway/rollouts/retry_rules.py
+++ b/src/larkpost/gateway/rollouts/retry_rules.py
@@ -63,7 +63,7 @@
     return RunOutcome.RETRY
 
 
-def judge_run_error(
+def classify_run_error(
     error: TimeoutError | StalledError | ValueError | BrokenResponseError,
 ) -> RunFailure:
     """Returns what follows from a run that a time limit or a useless stream ended."""
--- a/tests/test_retry_rules.py
+++ b/tests/test_retry_rules.py
@@ -10,9 +10,9 @@
     RunFailure,
     RunOutcome,
     classify_failed_response,
+    classify_run_error,
     is_call_dead,
     is_out_of_time,
-    judge_run_error,
 )
 from larkpost.gateway.rollouts.stalls import StalledError, stall_seconds
 from larkpost.gateway.servers.port import BrokenResponseError
@@ -67,12 +67,12 @@
     def test_errors_of_runs(self):
         for error, expected in ERRORS:
             with self.subTest(repr(error)):
-                self.assertEqual(expected, judge_run_error(error))
+                self.assertEqual(expected, classify_run_error(error))
 
     def test_an_output_that_is_no_text_is_lost(self):
         with self.assertRaises(UnicodeDecodeError) as caught:
             b"\xff".decode()
-        failure = judge_run_error(caught.exception)
+        failure = classify_run_error(caught.exception)
         self.assertTrue(failure.loses_output)
         self.assertEqual(BROKEN_AVOID_SECONDS, failure.avoid_seconds)
 
