--- a/src/larkpost/gateway/rollouts/item_runs.py
+++ b/src/larkpost/gateway/rollouts/item_runs.py
@@ -148,7 +148,7 @@
             self._record_migration(run, error)
             return "moved"
         failure = classify_run_error(error)
-        if failure.loses_output:
+        if failure.discards_output:
             run.progress.restart()
         balancer.avoid(engine, failure.avoid_seconds)
         return failure.outcome
--- a/src/larkpost/gateway/rollouts/retry_rules.py
+++ b/src/larkpost/gateway/rollouts/retry_rules.py
@@ -44,7 +44,7 @@
 
     outcome: str
     avoid_seconds: float
-    loses_output: bool = False
+    discards_output: bool = False
 
 
 def classify_failed_response(status: int, failed_runs: int, max_attempts: int) -> RunOutcome:
@@ -72,8 +72,8 @@
     if isinstance(error, TimeoutError):
         return RunFailure("silent", SILENT_AVOID_SECONDS)
     # After a gap, or if the whole output is no text, the beginning is no good either.
-    loses_output = isinstance(error, (DiscontinuityError, UnicodeDecodeError))
-    return RunFailure(f"broken: {error}", BROKEN_AVOID_SECONDS, loses_output)
+    discards_output = isinstance(error, (DiscontinuityError, UnicodeDecodeError))
+    return RunFailure(f"broken: {error}", BROKEN_AVOID_SECONDS, discards_output)
 
 
 def is_out_of_time(age: float, queue_lifetime: float) -> bool:
--- a/tests/test_retry_rules.py
+++ b/tests/test_retry_rules.py
@@ -73,7 +73,7 @@
         with self.assertRaises(UnicodeDecodeError) as caught:
             b"\xff".decode()
         failure = classify_run_error(caught.exception)
-        self.assertTrue(failure.loses_output)
+        self.assertTrue(failure.discards_output)
         self.assertEqual(BROKEN_AVOID_SECONDS, failure.avoid_seconds)
 
     def test_time_in_which_items_are_tried(self):
