--- a/src/larkpost/gateway/rollouts/item_routes.py
+++ b/src/larkpost/gateway/rollouts/item_routes.py
@@ -3,7 +3,7 @@
 from larkpost.gateway.blackboard.configuration import Route
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.model import BatchHead, Item
-from larkpost.gateway.rollouts.retry_rules import is_out_of_time
+from larkpost.gateway.rollouts.retry_rules import is_past_lifetime
 
 
 class ItemRoutes:
@@ -28,4 +28,4 @@
         store_time = self._services.store_time()
         if store_time is None or route is None:
             return False
-        return is_out_of_time(store_time - self._head.created_at, route.queue_lifetime)
+        return is_past_lifetime(store_time - self._head.created_at, route.queue_lifetime)
--- a/src/larkpost/gateway/rollouts/retry_rules.py
+++ b/src/larkpost/gateway/rollouts/retry_rules.py
@@ -76,7 +76,7 @@
     return RunFailure(f"broken: {error}", BROKEN_AVOID_SECONDS, discards_output)
 
 
-def is_out_of_time(age: float, queue_lifetime: float) -> bool:
+def is_past_lifetime(age: float, queue_lifetime: float) -> bool:
     """Returns whether an item has been tried for as long as its route wants, and is given up.
 
     Args:
--- a/tests/test_retry_rules.py
+++ b/tests/test_retry_rules.py
@@ -12,7 +12,7 @@
     classify_failed_response,
     classify_run_error,
     is_call_dead,
-    is_out_of_time,
+    is_past_lifetime,
 )
 from larkpost.gateway.rollouts.stalls import StalledError, stall_seconds
 from larkpost.gateway.servers.port import BrokenResponseError
@@ -79,7 +79,7 @@
     def test_time_in_which_items_are_tried(self):
         for age, lifetime, expected in AGES:
             with self.subTest(age=age, lifetime=lifetime):
-                self.assertEqual(expected, is_out_of_time(age, lifetime))
+                self.assertEqual(expected, is_past_lifetime(age, lifetime))
 
     def test_failed_reward_calls(self):
         for failed, item_attempts, call_attempts, expected in CALLS:
