--- a/src/larkpost/gateway/rollouts/retry_rules.py
+++ b/src/larkpost/gateway/rollouts/retry_rules.py
@@ -86,7 +86,7 @@
     return bool(queue_lifetime) and age > queue_lifetime
 
 
-def is_call_dead(failed_calls: int, item_attempts: int, call_attempts: int) -> bool:
+def are_call_attempts_exhausted(failed_calls: int, item_attempts: int, call_attempts: int) -> bool:
     """Returns whether a reward call is given up, and its item with it.
 
     Args:
--- a/src/larkpost/gateway/rollouts/reward.py
+++ b/src/larkpost/gateway/rollouts/reward.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.rollouts.item_routes import ItemRoutes
 from larkpost.gateway.rollouts.model import BatchHead, RewardCall
 from larkpost.gateway.rollouts.progress import Progress
-from larkpost.gateway.rollouts.retry_rules import is_call_dead
+from larkpost.gateway.rollouts.retry_rules import are_call_attempts_exhausted
 from larkpost.gateway.rollouts.reward_attempt import RewardAttempts
 from larkpost.gateway.rollouts.reward_rules import CallEnd, CallHistory
 
@@ -53,7 +53,9 @@
                     return attempt.score
                 if attempt is not None and attempt.end is CallEnd.FAILED:
                     progress.failed_calls += 1
-                    if is_call_dead(progress.failed_calls, item_attempts, route.max_attempts):
+                    if are_call_attempts_exhausted(
+                        progress.failed_calls, item_attempts, route.max_attempts
+                    ):
                         return None
             await self._services.clock.sleep(RETRY_PAUSE_SECONDS)
         return None
--- a/tests/test_retry_rules.py
+++ b/tests/test_retry_rules.py
@@ -9,9 +9,9 @@
     STALLED_AVOID_SECONDS,
     RunFailure,
     RunOutcome,
+    are_call_attempts_exhausted,
     classify_failed_response,
     classify_run_error,
-    is_call_dead,
     is_past_lifetime,
 )
 from larkpost.gateway.rollouts.stalls import StalledError, stall_seconds
@@ -84,7 +84,9 @@
     def test_failed_reward_calls(self):
         for failed, item_attempts, call_attempts, expected in CALLS:
             with self.subTest(failed=failed, item=item_attempts, call=call_attempts):
-                self.assertEqual(expected, is_call_dead(failed, item_attempts, call_attempts))
+                self.assertEqual(
+                    expected, are_call_attempts_exhausted(failed, item_attempts, call_attempts)
+                )
 
     def test_silences(self):
         for pace, expected in SILENCES:
