--- a/src/larkpost/gateway/rollouts/item_routes.py
+++ b/src/larkpost/gateway/rollouts/item_routes.py
@@ -20,7 +20,7 @@
             return None
         return configuration.match(self._head.host, item.path.partition("?")[0].encode())
 
-    def is_given_up(self, route: Route | None) -> bool:
+    def is_expired(self, route: Route | None) -> bool:
         """Returns whether the time is over in which an item of a route must be kept trying.
 
         While the store's time or the route is not known, no item is given up.
--- a/src/larkpost/gateway/rollouts/item_runs.py
+++ b/src/larkpost/gateway/rollouts/item_runs.py
@@ -85,7 +85,7 @@
         """Runs an item once if it may run and gets a place."""
         item = progress.item
         route = self._routes.route_of(item)
-        if self._routes.is_given_up(route):
+        if self._routes.is_expired(route):
             return RunOutcome.DEAD
         if self._is_quarantined(item):
             await self._services.clock.sleep(QUARANTINE_CHECK_SECONDS)
--- a/src/larkpost/gateway/rollouts/reward.py
+++ b/src/larkpost/gateway/rollouts/reward.py
@@ -40,7 +40,7 @@
         item_attempts = item_route.max_attempts if item_route is not None else 0
         began = self._services.clock.now()
         history = CallHistory(set())
-        while not self._routes.is_given_up(self._routes.route_of(progress.item)):
+        while not self._routes.is_expired(self._routes.route_of(progress.item)):
             if self._is_quarantined(call):
                 await self._services.clock.sleep(QUARANTINE_CHECK_SECONDS)
                 continue
