--- a/src/larkpost/gateway/rollouts/read_rules.py
+++ b/src/larkpost/gateway/rollouts/read_rules.py
@@ -49,7 +49,7 @@
     seconds_left: float
 
 
-def judge_read(state: ReadState) -> ReadStep:
+def decide_read(state: ReadState) -> ReadStep:
     """Returns whether a read is answered with what is known, waits for more, or fails."""
     is_over = state.seconds_left < LEAST_WAIT_SECONDS
     if state.is_complete or (state.has_new and (is_over or _need_not_hold(state))):
--- a/src/larkpost/gateway/rollouts/reader.py
+++ b/src/larkpost/gateway/rollouts/reader.py
@@ -18,7 +18,7 @@
     HOLD_SECONDS,
     ReadState,
     ReadStep,
-    judge_read,
+    decide_read,
     may_hold,
 )
 from larkpost.gateway.rollouts.repository import BatchRepository
@@ -82,7 +82,7 @@
             now = self._clock.now()
             if len(view.results) > position:
                 give_up_at = min(give_up_at, now + HOLD_SECONDS)
-            step = judge_read(_read_state(view, position, holds, failed, give_up_at - now))
+            step = decide_read(_read_state(view, position, holds, failed, give_up_at - now))
             if step is ReadStep.GIVE:
                 return self._give(view, position, from_memory=failed)
             if step is ReadStep.FAIL:
--- a/tests/test_read_rules.py
+++ b/tests/test_read_rules.py
@@ -8,7 +8,7 @@
     OVERDUE_HOLD_SECONDS,
     ReadState,
     ReadStep,
-    judge_read,
+    decide_read,
     may_hold,
 )
 
@@ -62,7 +62,7 @@
     def test_reads(self):
         for case, state, expected in CASES:
             with self.subTest(case):
-                self.assertIs(expected, judge_read(state))
+                self.assertIs(expected, decide_read(state))
 
     def test_time_in_which_results_may_be_held_back(self):
         for age, due, expected in AGES:
