--- a/src/larkpost/gateway/rollouts/read_rules.py
+++ b/src/larkpost/gateway/rollouts/read_rules.py
@@ -20,7 +20,7 @@
 """A remaining wait below this counts as over: the clock's own steps are not much smaller."""
 
 
-class ReadStep(StrEnum):
+class ReadDecision(StrEnum):
     """What becomes of a read now."""
 
     GIVE = "give"
@@ -49,14 +49,14 @@
     seconds_left: float
 
 
-def decide_read(state: ReadState) -> ReadStep:
+def decide_read(state: ReadState) -> ReadDecision:
     """Returns whether a read is answered with what is known, waits for more, or fails."""
     is_over = state.seconds_left < LEAST_WAIT_SECONDS
     if state.is_complete or (state.has_new and (is_over or _need_not_hold(state))):
-        return ReadStep.GIVE
+        return ReadDecision.GIVE
     if not is_over:
-        return ReadStep.WAIT
-    return ReadStep.FAIL if state.store_failed else ReadStep.GIVE
+        return ReadDecision.WAIT
+    return ReadDecision.FAIL if state.store_failed else ReadDecision.GIVE
 
 
 def _need_not_hold(state: ReadState) -> bool:
--- a/src/larkpost/gateway/rollouts/reader.py
+++ b/src/larkpost/gateway/rollouts/reader.py
@@ -16,8 +16,8 @@
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId, Result
 from larkpost.gateway.rollouts.read_rules import (
     HOLD_SECONDS,
+    ReadDecision,
     ReadState,
-    ReadStep,
     decide_read,
     may_hold,
 )
@@ -83,9 +83,9 @@
             if len(view.results) > position:
                 give_up_at = min(give_up_at, now + HOLD_SECONDS)
             step = decide_read(_read_state(view, position, holds, failed, give_up_at - now))
-            if step is ReadStep.GIVE:
+            if step is ReadDecision.GIVE:
                 return self._give(view, position, from_memory=failed)
-            if step is ReadStep.FAIL:
+            if step is ReadDecision.FAIL:
                 raise self._failure(batch, position)
             await view.wait_for_change(min(READ_POLL_SECONDS, give_up_at - now))
 
--- a/tests/test_read_rules.py
+++ b/tests/test_read_rules.py
@@ -6,8 +6,8 @@
 from larkpost.gateway.rollouts.read_rules import (
     LEAST_WAIT_SECONDS,
     OVERDUE_HOLD_SECONDS,
+    ReadDecision,
     ReadState,
-    ReadStep,
     decide_read,
     may_hold,
 )
@@ -22,28 +22,28 @@
 )
 SOME = replace(NOTHING, has_new=True)
 CASES = (
-    ("nothing yet", NOTHING, ReadStep.WAIT),
-    ("nothing, and the store is silent", replace(NOTHING, store_failed=True), ReadStep.WAIT),
-    ("nothing within the time", replace(NOTHING, seconds_left=0.0), ReadStep.GIVE),
+    ("nothing yet", NOTHING, ReadDecision.WAIT),
+    ("nothing, and the store is silent", replace(NOTHING, store_failed=True), ReadDecision.WAIT),
+    ("nothing within the time", replace(NOTHING, seconds_left=0.0), ReadDecision.GIVE),
     (
         "nothing within the time, and the store is silent",
         replace(NOTHING, seconds_left=0.0, store_failed=True),
-        ReadStep.FAIL,
+        ReadDecision.FAIL,
     ),
-    ("less time than counts", replace(NOTHING, seconds_left=0.0009), ReadStep.GIVE),
-    ("just enough time", replace(NOTHING, seconds_left=LEAST_WAIT_SECONDS), ReadStep.WAIT),
-    ("all results are known", replace(NOTHING, is_complete=True), ReadStep.GIVE),
+    ("less time than counts", replace(NOTHING, seconds_left=0.0009), ReadDecision.GIVE),
+    ("just enough time", replace(NOTHING, seconds_left=LEAST_WAIT_SECONDS), ReadDecision.WAIT),
+    ("all results are known", replace(NOTHING, is_complete=True), ReadDecision.GIVE),
     (
         "all results are known, though the store is silent",
         replace(NOTHING, is_complete=True, store_failed=True, seconds_left=0.0),
-        ReadStep.GIVE,
+        ReadDecision.GIVE,
     ),
-    ("some, but no whole step", SOME, ReadStep.WAIT),
-    ("a whole step", replace(SOME, has_step=True), ReadStep.GIVE),
-    ("a whole step before the position", replace(NOTHING, has_step=True), ReadStep.WAIT),
-    ("some of a batch that is due", replace(SOME, may_hold=False), ReadStep.GIVE),
-    ("some, and the store is silent", replace(SOME, store_failed=True), ReadStep.GIVE),
-    ("some within the time", replace(SOME, seconds_left=0.0), ReadStep.GIVE),
+    ("some, but no whole step", SOME, ReadDecision.WAIT),
+    ("a whole step", replace(SOME, has_step=True), ReadDecision.GIVE),
+    ("a whole step before the position", replace(NOTHING, has_step=True), ReadDecision.WAIT),
+    ("some of a batch that is due", replace(SOME, may_hold=False), ReadDecision.GIVE),
+    ("some, and the store is silent", replace(SOME, store_failed=True), ReadDecision.GIVE),
+    ("some within the time", replace(SOME, seconds_left=0.0), ReadDecision.GIVE),
 )
 AGES = (
     # seconds since the acceptance, within which a step is due, may results be held back
