--- a/src/larkpost/gateway/rollouts/read_rules.py
+++ b/src/larkpost/gateway/rollouts/read_rules.py
@@ -23,7 +23,7 @@
 class ReadDecision(StrEnum):
     """What becomes of a read now."""
 
-    GIVE = "give"
+    RESPOND = "give"
     WAIT = "wait"
     FAIL = "fail"
 
@@ -53,10 +53,10 @@
     """Returns whether a read is answered with what is known, waits for more, or fails."""
     is_over = state.seconds_left < LEAST_WAIT_SECONDS
     if state.is_complete or (state.has_new and (is_over or _need_not_hold(state))):
-        return ReadDecision.GIVE
+        return ReadDecision.RESPOND
     if not is_over:
         return ReadDecision.WAIT
-    return ReadDecision.FAIL if state.store_failed else ReadDecision.GIVE
+    return ReadDecision.FAIL if state.store_failed else ReadDecision.RESPOND
 
 
 def _need_not_hold(state: ReadState) -> bool:
--- a/src/larkpost/gateway/rollouts/reader.py
+++ b/src/larkpost/gateway/rollouts/reader.py
@@ -83,7 +83,7 @@
             if len(view.results) > position:
                 give_up_at = min(give_up_at, now + HOLD_SECONDS)
             step = decide_read(_read_state(view, position, holds, failed, give_up_at - now))
-            if step is ReadDecision.GIVE:
+            if step is ReadDecision.RESPOND:
                 return self._give(view, position, from_memory=failed)
             if step is ReadDecision.FAIL:
                 raise self._failure(batch, position)
--- a/tests/test_read_rules.py
+++ b/tests/test_read_rules.py
@@ -24,26 +24,26 @@
 CASES = (
     ("nothing yet", NOTHING, ReadDecision.WAIT),
     ("nothing, and the store is silent", replace(NOTHING, store_failed=True), ReadDecision.WAIT),
-    ("nothing within the time", replace(NOTHING, seconds_left=0.0), ReadDecision.GIVE),
+    ("nothing within the time", replace(NOTHING, seconds_left=0.0), ReadDecision.RESPOND),
     (
         "nothing within the time, and the store is silent",
         replace(NOTHING, seconds_left=0.0, store_failed=True),
         ReadDecision.FAIL,
     ),
-    ("less time than counts", replace(NOTHING, seconds_left=0.0009), ReadDecision.GIVE),
+    ("less time than counts", replace(NOTHING, seconds_left=0.0009), ReadDecision.RESPOND),
     ("just enough time", replace(NOTHING, seconds_left=LEAST_WAIT_SECONDS), ReadDecision.WAIT),
-    ("all results are known", replace(NOTHING, is_complete=True), ReadDecision.GIVE),
+    ("all results are known", replace(NOTHING, is_complete=True), ReadDecision.RESPOND),
     (
         "all results are known, though the store is silent",
         replace(NOTHING, is_complete=True, store_failed=True, seconds_left=0.0),
-        ReadDecision.GIVE,
+        ReadDecision.RESPOND,
     ),
     ("some, but no whole step", SOME, ReadDecision.WAIT),
-    ("a whole step", replace(SOME, has_step=True), ReadDecision.GIVE),
+    ("a whole step", replace(SOME, has_step=True), ReadDecision.RESPOND),
     ("a whole step before the position", replace(NOTHING, has_step=True), ReadDecision.WAIT),
-    ("some of a batch that is due", replace(SOME, may_hold=False), ReadDecision.GIVE),
-    ("some, and the store is silent", replace(SOME, store_failed=True), ReadDecision.GIVE),
-    ("some within the time", replace(SOME, seconds_left=0.0), ReadDecision.GIVE),
+    ("some of a batch that is due", replace(SOME, may_hold=False), ReadDecision.RESPOND),
+    ("some, and the store is silent", replace(SOME, store_failed=True), ReadDecision.RESPOND),
+    ("some within the time", replace(SOME, seconds_left=0.0), ReadDecision.RESPOND),
 )
 AGES = (
     # seconds since the acceptance, within which a step is due, may results be held back
