--- a/src/larkpost/gateway/rollouts/read_rules.py
+++ b/src/larkpost/gateway/rollouts/read_rules.py
@@ -43,7 +43,7 @@
 
     is_complete: bool
     has_new: bool
-    has_step: bool
+    has_enough_groups: bool
     may_hold: bool
     store_failed: bool
     seconds_left: float
@@ -61,7 +61,7 @@
 
 def _need_not_hold(state: ReadState) -> bool:
     return (
-        state.has_step  # the trainer goes on with these
+        state.has_enough_groups  # the trainer goes on with these
         or not state.may_hold
         or state.store_failed  # whether others come can't be seen
     )
--- a/src/larkpost/gateway/rollouts/reader.py
+++ b/src/larkpost/gateway/rollouts/reader.py
@@ -198,7 +198,7 @@
     return ReadState(
         is_complete=len(view.results) >= view.head.total,
         has_new=len(view.results) > position,
-        has_step=view.has_step(),
+        has_enough_groups=view.has_enough_groups(),
         may_hold=holds,
         store_failed=failed,
         seconds_left=seconds_left,
--- a/src/larkpost/gateway/rollouts/view.py
+++ b/src/larkpost/gateway/rollouts/view.py
@@ -60,7 +60,7 @@
         self.size += sum(len(item.body) for item in self.items.values())
         return self.items
 
-    def has_step(self) -> bool:
+    def has_enough_groups(self) -> bool:
         """Returns whether enough groups are whole for the trainer to go on."""
         size = self.head.group_size
         whole = sum(count >= size for group, count in self._group_counts.items() if group)
--- a/tests/test_read_rules.py
+++ b/tests/test_read_rules.py
@@ -15,7 +15,7 @@
 NOTHING = ReadState(
     is_complete=False,
     has_new=False,
-    has_step=False,
+    has_enough_groups=False,
     may_hold=True,
     store_failed=False,
     seconds_left=0.4,
@@ -39,8 +39,12 @@
         ReadDecision.RESPOND,
     ),
     ("some, but no whole step", SOME, ReadDecision.WAIT),
-    ("a whole step", replace(SOME, has_step=True), ReadDecision.RESPOND),
-    ("a whole step before the position", replace(NOTHING, has_step=True), ReadDecision.WAIT),
+    ("a whole step", replace(SOME, has_enough_groups=True), ReadDecision.RESPOND),
+    (
+        "a whole step before the position",
+        replace(NOTHING, has_enough_groups=True),
+        ReadDecision.WAIT,
+    ),
     ("some of a batch that is due", replace(SOME, may_hold=False), ReadDecision.RESPOND),
     ("some, and the store is silent", replace(SOME, store_failed=True), ReadDecision.RESPOND),
     ("some within the time", replace(SOME, seconds_left=0.0), ReadDecision.RESPOND),
