--- a/src/larkpost/gateway/rollouts/read_rules.py
+++ b/src/larkpost/gateway/rollouts/read_rules.py
@@ -16,7 +16,7 @@
 """For so long after a batch is due results are held back still. A step that is whole just after its
 due time would else cost its trainer the pause after a response; a little later results must not
 wait, as they count less by the moment."""
-LEAST_WAIT_SECONDS = 0.001
+MIN_WAIT_SECONDS = 0.001
 """A remaining wait below this counts as over: the clock's own steps are not much smaller."""
 
 
@@ -51,7 +51,7 @@
 
 def decide_read(state: ReadState) -> ReadDecision:
     """Returns whether a read is answered with what is known, waits for more, or fails."""
-    is_over = state.seconds_left < LEAST_WAIT_SECONDS
+    is_over = state.seconds_left < MIN_WAIT_SECONDS
     if state.is_complete or (state.has_new and (is_over or _need_not_hold(state))):
         return ReadDecision.RESPOND
     if not is_over:
--- a/tests/test_read_rules.py
+++ b/tests/test_read_rules.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from larkpost.gateway.rollouts.read_rules import (
-    LEAST_WAIT_SECONDS,
+    MIN_WAIT_SECONDS,
     OVERDUE_HOLD_SECONDS,
     ReadDecision,
     ReadState,
@@ -31,7 +31,7 @@
         ReadDecision.FAIL,
     ),
     ("less time than counts", replace(NOTHING, seconds_left=0.0009), ReadDecision.RESPOND),
-    ("just enough time", replace(NOTHING, seconds_left=LEAST_WAIT_SECONDS), ReadDecision.WAIT),
+    ("just enough time", replace(NOTHING, seconds_left=MIN_WAIT_SECONDS), ReadDecision.WAIT),
     ("all results are known", replace(NOTHING, is_complete=True), ReadDecision.RESPOND),
     (
         "all results are known, though the store is silent",
