--- a/src/larkpost/gateway/rollouts/reward.py
+++ b/src/larkpost/gateway/rollouts/reward.py
@@ -14,7 +14,7 @@
 from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.retry_rules import are_call_attempts_exhausted
 from larkpost.gateway.rollouts.reward_attempt import RewardAttempts
-from larkpost.gateway.rollouts.reward_rules import CallEnd, CallHistory
+from larkpost.gateway.rollouts.reward_rules import CallHistory, RewardCallOutcome
 
 RETRY_PAUSE_SECONDS = 0.05
 """Pause before a call is tried again."""
@@ -47,11 +47,11 @@
             route = self._route(call)
             if route is not None:
                 attempt = await self._attempts.make(progress, call, route, history)
-                if attempt is not None and attempt.end is CallEnd.SCORED:
+                if attempt is not None and attempt.end is RewardCallOutcome.SCORED:
                     waited = self._services.clock.now() - began
                     self._services.metrics.observe(Timing.REWARD, waited)
                     return attempt.score
-                if attempt is not None and attempt.end is CallEnd.FAILED:
+                if attempt is not None and attempt.end is RewardCallOutcome.FAILED:
                     progress.failed_calls += 1
                     if are_call_attempts_exhausted(
                         progress.failed_calls, item_attempts, route.max_attempts
--- a/src/larkpost/gateway/rollouts/reward_attempt.py
+++ b/src/larkpost/gateway/rollouts/reward_attempt.py
@@ -19,8 +19,8 @@
 from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.reward_rules import (
     CallAttempt,
-    CallEnd,
     CallHistory,
+    RewardCallOutcome,
     choose_server,
     judge_call_response,
     limit_seconds,
@@ -64,7 +64,7 @@
             began = self._services.clock.now()
             limit = limit_seconds(self._services.balancer.pace(server.id), history.silences)
             attempt = await self._send(server, call, limit)
-            if attempt.end is CallEnd.SILENT:
+            if attempt.end is RewardCallOutcome.SILENT:
                 history.silences += 1
             self._record(progress, call, server, attempt, self._services.clock.now() - began)
             return attempt
@@ -102,10 +102,10 @@
             return CallAttempt(error.reason)
         except BrokenResponseError:
             balancer.avoid(server.id, BROKEN_AVOID_SECONDS)
-            return CallAttempt(CallEnd.BROKEN)
+            return CallAttempt(RewardCallOutcome.BROKEN)
         except TimeoutError:
             balancer.avoid(server.id, SILENT_AVOID_SECONDS)
-            return CallAttempt(CallEnd.SILENT)
+            return CallAttempt(RewardCallOutcome.SILENT)
         seconds = self._services.clock.now() - began
         balancer.record_pace(server.id, seconds)
         balancer.paces.record_response(server.id, seconds)
--- a/src/larkpost/gateway/rollouts/reward_rules.py
+++ b/src/larkpost/gateway/rollouts/reward_rules.py
@@ -21,7 +21,7 @@
 """A server is given this many times what calls take there, twice as much after each silence."""
 
 
-class CallEnd(StrEnum):
+class RewardCallOutcome(StrEnum):
     """How one attempt of a reward call ended; one that did not run ends with its reason."""
 
     SCORED = "scored"
@@ -40,7 +40,7 @@
         score: the server's signature if it was scored.
     """
 
-    end: CallEnd | NotRunReason
+    end: RewardCallOutcome | NotRunReason
     score: str | None = None
 
 
@@ -92,8 +92,8 @@
     """Returns what a whole response means; a score is nothing but a success that is signed."""
     if 200 <= status < 300:
         if signature:
-            return CallAttempt(CallEnd.SCORED, signature)
-        return CallAttempt(CallEnd.BROKEN)
+            return CallAttempt(RewardCallOutcome.SCORED, signature)
+        return CallAttempt(RewardCallOutcome.BROKEN)
     if status == 500:
-        return CallAttempt(CallEnd.FAILED)
-    return CallAttempt(CallEnd.REJECTED)
+        return CallAttempt(RewardCallOutcome.FAILED)
+    return CallAttempt(RewardCallOutcome.REJECTED)
--- a/tests/test_reward_rules.py
+++ b/tests/test_reward_rules.py
@@ -4,8 +4,8 @@
 
 from larkpost.gateway.rollouts.reward_rules import (
     CallAttempt,
-    CallEnd,
     CallHistory,
+    RewardCallOutcome,
     choose_server,
     judge_call_response,
     limit_seconds,
@@ -41,14 +41,14 @@
 )
 RESPONSES = (
     # status, signature, how the attempt ended
-    (200, "s", CallAttempt(CallEnd.SCORED, "s")),
-    (299, "s", CallAttempt(CallEnd.SCORED, "s")),
-    (200, None, CallAttempt(CallEnd.BROKEN)),
-    (200, "", CallAttempt(CallEnd.BROKEN)),
-    (500, "s", CallAttempt(CallEnd.FAILED)),
-    (503, None, CallAttempt(CallEnd.REJECTED)),
-    (404, None, CallAttempt(CallEnd.REJECTED)),
-    (302, None, CallAttempt(CallEnd.REJECTED)),
+    (200, "s", CallAttempt(RewardCallOutcome.SCORED, "s")),
+    (299, "s", CallAttempt(RewardCallOutcome.SCORED, "s")),
+    (200, None, CallAttempt(RewardCallOutcome.BROKEN)),
+    (200, "", CallAttempt(RewardCallOutcome.BROKEN)),
+    (500, "s", CallAttempt(RewardCallOutcome.FAILED)),
+    (503, None, CallAttempt(RewardCallOutcome.REJECTED)),
+    (404, None, CallAttempt(RewardCallOutcome.REJECTED)),
+    (302, None, CallAttempt(RewardCallOutcome.REJECTED)),
 )
 
 
