--- a/src/larkpost/gateway/rollouts/reward_attempt.py
+++ b/src/larkpost/gateway/rollouts/reward_attempt.py
@@ -18,8 +18,8 @@
 from larkpost.gateway.rollouts.model import ITEM_METHOD, BatchHead, RewardCall
 from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.reward_rules import (
-    CallAttempt,
     CallHistory,
+    RewardAttempt,
     RewardCallOutcome,
     choose_server,
     judge_call_response,
@@ -49,7 +49,7 @@
 
     async def make(
         self, progress: Progress, call: RewardCall, route: Route, history: CallHistory
-    ) -> CallAttempt | None:
+    ) -> RewardAttempt | None:
         """Sends a call once; None if no server had a place.
 
         Args:
@@ -90,7 +90,7 @@
     def _has_place(self, info: InstanceInfo) -> bool:
         return self._services.balancer.occupied(info) < usable_slots(info.slots)
 
-    async def _send(self, server: InstanceInfo, call: RewardCall, limit: float) -> CallAttempt:
+    async def _send(self, server: InstanceInfo, call: RewardCall, limit: float) -> RewardAttempt:
         """Sends a call and records what its end says of the server."""
         balancer = self._services.balancer
         began = self._services.clock.now()
@@ -99,13 +99,13 @@
         except NotRunError as error:
             balancer.record_cold(server.id, error.cold_left)
             balancer.record_not_run(server.id, error.reason, FULL_AVOID_SECONDS)
-            return CallAttempt(error.reason)
+            return RewardAttempt(error.reason)
         except BrokenResponseError:
             balancer.avoid(server.id, BROKEN_AVOID_SECONDS)
-            return CallAttempt(RewardCallOutcome.BROKEN)
+            return RewardAttempt(RewardCallOutcome.BROKEN)
         except TimeoutError:
             balancer.avoid(server.id, SILENT_AVOID_SECONDS)
-            return CallAttempt(RewardCallOutcome.SILENT)
+            return RewardAttempt(RewardCallOutcome.SILENT)
         seconds = self._services.clock.now() - began
         balancer.record_pace(server.id, seconds)
         balancer.paces.record_response(server.id, seconds)
@@ -140,7 +140,7 @@
         progress: Progress,
         call: RewardCall,
         server: InstanceInfo,
-        attempt: CallAttempt,
+        attempt: RewardAttempt,
         seconds: float,
     ) -> None:
         self._services.metrics.count(Count.REWARD_CALLS, attempt.end)
--- a/src/larkpost/gateway/rollouts/reward_rules.py
+++ b/src/larkpost/gateway/rollouts/reward_rules.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallAttempt:
+class RewardAttempt:
     """The end of one attempt.
 
     Attributes:
@@ -88,12 +88,12 @@
     return fresh[0] if fresh else None
 
 
-def judge_call_response(status: int, signature: str | None) -> CallAttempt:
+def judge_call_response(status: int, signature: str | None) -> RewardAttempt:
     """Returns what a whole response means; a score is nothing but a success that is signed."""
     if 200 <= status < 300:
         if signature:
-            return CallAttempt(RewardCallOutcome.SCORED, signature)
-        return CallAttempt(RewardCallOutcome.BROKEN)
+            return RewardAttempt(RewardCallOutcome.SCORED, signature)
+        return RewardAttempt(RewardCallOutcome.BROKEN)
     if status == 500:
-        return CallAttempt(RewardCallOutcome.FAILED)
-    return CallAttempt(RewardCallOutcome.REJECTED)
+        return RewardAttempt(RewardCallOutcome.FAILED)
+    return RewardAttempt(RewardCallOutcome.REJECTED)
--- a/tests/test_reward_rules.py
+++ b/tests/test_reward_rules.py
@@ -3,8 +3,8 @@
 import unittest
 
 from larkpost.gateway.rollouts.reward_rules import (
-    CallAttempt,
     CallHistory,
+    RewardAttempt,
     RewardCallOutcome,
     choose_server,
     judge_call_response,
@@ -41,14 +41,14 @@
 )
 RESPONSES = (
     # status, signature, how the attempt ended
-    (200, "s", CallAttempt(RewardCallOutcome.SCORED, "s")),
-    (299, "s", CallAttempt(RewardCallOutcome.SCORED, "s")),
-    (200, None, CallAttempt(RewardCallOutcome.BROKEN)),
-    (200, "", CallAttempt(RewardCallOutcome.BROKEN)),
-    (500, "s", CallAttempt(RewardCallOutcome.FAILED)),
-    (503, None, CallAttempt(RewardCallOutcome.REJECTED)),
-    (404, None, CallAttempt(RewardCallOutcome.REJECTED)),
-    (302, None, CallAttempt(RewardCallOutcome.REJECTED)),
+    (200, "s", RewardAttempt(RewardCallOutcome.SCORED, "s")),
+    (299, "s", RewardAttempt(RewardCallOutcome.SCORED, "s")),
+    (200, None, RewardAttempt(RewardCallOutcome.BROKEN)),
+    (200, "", RewardAttempt(RewardCallOutcome.BROKEN)),
+    (500, "s", RewardAttempt(RewardCallOutcome.FAILED)),
+    (503, None, RewardAttempt(RewardCallOutcome.REJECTED)),
+    (404, None, RewardAttempt(RewardCallOutcome.REJECTED)),
+    (302, None, RewardAttempt(RewardCallOutcome.REJECTED)),
 )
 
 
