--- a/src/larkpost/gateway/rollouts/reward.py
+++ b/src/larkpost/gateway/rollouts/reward.py
@@ -14,7 +14,7 @@
 from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.retry_rules import are_call_attempts_exhausted
 from larkpost.gateway.rollouts.reward_attempt import RewardAttempts
-from larkpost.gateway.rollouts.reward_rules import CallHistory, RewardCallOutcome
+from larkpost.gateway.rollouts.reward_rules import RewardCallHistory, RewardCallOutcome
 
 RETRY_PAUSE_SECONDS = 0.05
 """Pause before a call is tried again."""
@@ -39,7 +39,7 @@
         item_route = self._routes.route_of(progress.item)
         item_attempts = item_route.max_attempts if item_route is not None else 0
         began = self._services.clock.now()
-        history = CallHistory(set())
+        history = RewardCallHistory(set())
         while not self._routes.is_expired(self._routes.route_of(progress.item)):
             if self._is_quarantined(call):
                 await self._services.clock.sleep(QUARANTINE_CHECK_SECONDS)
--- a/src/larkpost/gateway/rollouts/reward_attempt.py
+++ b/src/larkpost/gateway/rollouts/reward_attempt.py
@@ -18,8 +18,8 @@
 from larkpost.gateway.rollouts.model import ITEM_METHOD, BatchHead, RewardCall
 from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.reward_rules import (
-    CallHistory,
     RewardAttempt,
+    RewardCallHistory,
     RewardCallOutcome,
     choose_server,
     judge_call_response,
@@ -48,7 +48,7 @@
         self._services = services
 
     async def make(
-        self, progress: Progress, call: RewardCall, route: Route, history: CallHistory
+        self, progress: Progress, call: RewardCall, route: Route, history: RewardCallHistory
     ) -> RewardAttempt | None:
         """Sends a call once; None if no server had a place.
 
@@ -81,7 +81,7 @@
         return Work(WorkKind.REWARD, regions, is_suspect=is_suspect)
 
     def _choose(
-        self, service: ServiceName, call: RewardCall, history: CallHistory
+        self, service: ServiceName, call: RewardCall, history: RewardCallHistory
     ) -> InstanceInfo | None:
         balancer = self._services.balancer
         candidates = balancer.candidates(service, self._work(call), eligible=self._has_place)
--- a/src/larkpost/gateway/rollouts/reward_rules.py
+++ b/src/larkpost/gateway/rollouts/reward_rules.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True)
-class CallHistory:
+class RewardCallHistory:
     """The attempts of one call so far.
 
     Attributes:
@@ -73,7 +73,9 @@
     return min(MOST_LIMIT_SECONDS, max(LEAST_LIMIT_SECONDS, usual) * 2**silences)
 
 
-def choose_server(candidates: list[InstanceInfo], history: CallHistory) -> InstanceInfo | None:
+def choose_server(
+    candidates: list[InstanceInfo], history: RewardCallHistory
+) -> InstanceInfo | None:
     """Returns the best server with a place, one that was not tried yet if there is one.
 
     Once all that have a place were tried, the record of servers tried begins anew.
--- a/tests/test_reward_rules.py
+++ b/tests/test_reward_rules.py
@@ -3,8 +3,8 @@
 import unittest
 
 from larkpost.gateway.rollouts.reward_rules import (
-    CallHistory,
     RewardAttempt,
+    RewardCallHistory,
     RewardCallOutcome,
     choose_server,
     judge_call_response,
@@ -68,7 +68,7 @@
     def test_servers(self):
         for names, tried, expected, left in SERVERS:
             with self.subTest(names=names, tried=tried):
-                history = CallHistory(set(tried))
+                history = RewardCallHistory(set(tried))
                 chosen = choose_server([make_instance(name) for name in names], history)
                 self.assertEqual(expected, chosen.id if chosen is not None else None)
                 self.assertEqual(set(left), history.servers)
