--- a/src/larkpost/gateway/rollouts/reward_attempt.py
+++ b/src/larkpost/gateway/rollouts/reward_attempt.py
@@ -64,7 +64,7 @@
             began = self._services.clock.now()
             limit = limit_seconds(self._services.balancer.pace(server.id), history.silences)
             attempt = await self._send(server, call, limit)
-            if attempt.end is RewardCallOutcome.SILENT:
+            if attempt.end is RewardCallOutcome.TIMED_OUT:
                 history.silences += 1
             self._record(progress, call, server, attempt, self._services.clock.now() - began)
             return attempt
@@ -105,7 +105,7 @@
             return RewardAttempt(RewardCallOutcome.BROKEN)
         except TimeoutError:
             balancer.avoid(server.id, SILENT_AVOID_SECONDS)
-            return RewardAttempt(RewardCallOutcome.SILENT)
+            return RewardAttempt(RewardCallOutcome.TIMED_OUT)
         seconds = self._services.clock.now() - began
         balancer.record_pace(server.id, seconds)
         balancer.paces.record_response(server.id, seconds)
--- a/src/larkpost/gateway/rollouts/reward_rules.py
+++ b/src/larkpost/gateway/rollouts/reward_rules.py
@@ -27,7 +27,7 @@
     SCORED = "scored"
     FAILED = "failed"  # the server reported that it failed
     BROKEN = "broken"  # no whole response, or a success without a signature
-    SILENT = "silent"
+    TIMED_OUT = "silent"
     REJECTED = "rejected"  # any other response
 
 
