--- a/src/larkpost/gateway/rollouts/reward_attempt.py
+++ b/src/larkpost/gateway/rollouts/reward_attempt.py
@@ -22,7 +22,7 @@
     RewardCallHistory,
     RewardCallOutcome,
     choose_server,
-    judge_call_response,
+    classify_call_response,
     limit_seconds,
     usable_slots,
 )
@@ -109,7 +109,7 @@
         seconds = self._services.clock.now() - began
         balancer.record_pace(server.id, seconds)
         balancer.paces.record_response(server.id, seconds)
-        return judge_call_response(status, signature)
+        return classify_call_response(status, signature)
 
     async def _exchange(
         self, server: InstanceInfo, call: RewardCall, limit: float
--- a/src/larkpost/gateway/rollouts/reward_rules.py
+++ b/src/larkpost/gateway/rollouts/reward_rules.py
@@ -90,7 +90,7 @@
     return fresh[0] if fresh else None
 
 
-def judge_call_response(status: int, signature: str | None) -> RewardAttempt:
+def classify_call_response(status: int, signature: str | None) -> RewardAttempt:
     """Returns what a whole response means; a score is nothing but a success that is signed."""
     if 200 <= status < 300:
         if signature:
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -189,7 +189,7 @@
     """Takes any success for a score."""
     from larkpost.gateway.rollouts import reward_attempt
 
-    original = reward_attempt.judge_call_response
+    original = reward_attempt.classify_call_response
     return mock.patch.object(
         reward_attempt,
         "judge_call_response",
--- a/tests/test_reward_rules.py
+++ b/tests/test_reward_rules.py
@@ -7,7 +7,7 @@
     RewardCallHistory,
     RewardCallOutcome,
     choose_server,
-    judge_call_response,
+    classify_call_response,
     limit_seconds,
     usable_slots,
 )
@@ -76,7 +76,7 @@
     def test_responses(self):
         for status, signature, expected in RESPONSES:
             with self.subTest(status=status, signature=signature):
-                self.assertEqual(expected, judge_call_response(status, signature))
+                self.assertEqual(expected, classify_call_response(status, signature))
 
 
 if __name__ == "__main__":
