--- a/src/larkpost/gateway/rollouts/reward_attempt.py
+++ b/src/larkpost/gateway/rollouts/reward_attempt.py
@@ -21,9 +21,9 @@
     RewardAttempt,
     RewardCallHistory,
     RewardCallOutcome,
+    call_timeout_seconds,
     choose_server,
     classify_call_response,
-    limit_seconds,
     usable_slots,
 )
 from larkpost.gateway.servers.port import BrokenResponseError, NotRunError, OutgoingRequest
@@ -62,7 +62,7 @@
                 return None
             history.servers.add(server.id)
             began = self._services.clock.now()
-            limit = limit_seconds(self._services.balancer.pace(server.id), history.silences)
+            limit = call_timeout_seconds(self._services.balancer.pace(server.id), history.silences)
             attempt = await self._send(server, call, limit)
             if attempt.end is RewardCallOutcome.TIMED_OUT:
                 history.silences += 1
--- a/src/larkpost/gateway/rollouts/reward_rules.py
+++ b/src/larkpost/gateway/rollouts/reward_rules.py
@@ -62,7 +62,7 @@
     return max(1, int(slots * (1 - CLIENT_SLOTS_SHARE)))
 
 
-def limit_seconds(pace: float, silences: int) -> float:
+def call_timeout_seconds(pace: float, silences: int) -> float:
     """Returns the seconds that a server is given for a call.
 
     Args:
--- a/tests/test_reward_rules.py
+++ b/tests/test_reward_rules.py
@@ -6,9 +6,9 @@
     RewardAttempt,
     RewardCallHistory,
     RewardCallOutcome,
+    call_timeout_seconds,
     choose_server,
     classify_call_response,
-    limit_seconds,
     usable_slots,
 )
 from tests.server_parts import make_instance
@@ -63,7 +63,7 @@
     def test_limits(self):
         for pace, silences, expected in LIMITS:
             with self.subTest(pace=pace, silences=silences):
-                self.assertAlmostEqual(expected, limit_seconds(pace, silences))
+                self.assertAlmostEqual(expected, call_timeout_seconds(pace, silences))
 
     def test_servers(self):
         for names, tried, expected, left in SERVERS:
