--- a/src/larkpost/gateway/rollouts/reward_rules.py
+++ b/src/larkpost/gateway/rollouts/reward_rules.py
@@ -13,7 +13,7 @@
 
 CLIENT_SLOTS_SHARE = 1 / 3
 """Share of a server's slots that reward calls leave to clients."""
-LEAST_LIMIT_SECONDS = 0.8
+MIN_CALL_TIMEOUT_SECONDS = 0.8
 """Least time that a server is given for a call."""
 MOST_LIMIT_SECONDS = 10.0
 """Most time that a server is given for a call."""
@@ -70,7 +70,7 @@
         silences: attempts of this call that ended in silence, at any server.
     """
     usual = LIMIT_PACE_FACTOR * pace
-    return min(MOST_LIMIT_SECONDS, max(LEAST_LIMIT_SECONDS, usual) * 2**silences)
+    return min(MOST_LIMIT_SECONDS, max(MIN_CALL_TIMEOUT_SECONDS, usual) * 2**silences)
 
 
 def choose_server(
