--- a/src/larkpost/gateway/rollouts/reward_rules.py
+++ b/src/larkpost/gateway/rollouts/reward_rules.py
@@ -15,7 +15,7 @@
 """Share of a server's slots that reward calls leave to clients."""
 MIN_CALL_TIMEOUT_SECONDS = 0.8
 """Least time that a server is given for a call."""
-MOST_LIMIT_SECONDS = 10.0
+MAX_CALL_TIMEOUT_SECONDS = 10.0
 """Most time that a server is given for a call."""
 LIMIT_PACE_FACTOR = 8.0
 """A server is given this many times what calls take there, twice as much after each silence."""
@@ -70,7 +70,7 @@
         silences: attempts of this call that ended in silence, at any server.
     """
     usual = LIMIT_PACE_FACTOR * pace
-    return min(MOST_LIMIT_SECONDS, max(MIN_CALL_TIMEOUT_SECONDS, usual) * 2**silences)
+    return min(MAX_CALL_TIMEOUT_SECONDS, max(MIN_CALL_TIMEOUT_SECONDS, usual) * 2**silences)
 
 
 def choose_server(
