--- a/src/larkpost/gateway/rollouts/reward_rules.py
+++ b/src/larkpost/gateway/rollouts/reward_rules.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.servers.port import NotRunReason
 
-CLIENT_SLOTS_SHARE = 1 / 3
+CLIENT_RESERVED_SHARE = 1 / 3
 """Share of a server's slots that reward calls leave to clients."""
 MIN_CALL_TIMEOUT_SECONDS = 0.8
 """Least time that a server is given for a call."""
@@ -59,7 +59,7 @@
 
 def usable_slots(slots: int) -> int:
     """Returns how many of a server's slots may be occupied when a reward call is sent to it."""
-    return max(1, int(slots * (1 - CLIENT_SLOTS_SHARE)))
+    return max(1, int(slots * (1 - CLIENT_RESERVED_SHARE)))
 
 
 def call_timeout_seconds(pace: float, silences: int) -> float:
