--- a/src/larkpost/gateway/rollouts/context.py
+++ b/src/larkpost/gateway/rollouts/context.py
@@ -38,7 +38,7 @@
     metrics: Metrics
     shares: ShareChooser
     store_time: Callable[[], float | None]
-    reward_places: asyncio.Semaphore
+    reward_call_slots: asyncio.Semaphore
     division: EngineDivision
     cold: ColdRule | None = None
     crashes: KnownCrashes = field(default_factory=KnownCrashes)
--- a/src/larkpost/gateway/rollouts/reward_attempt.py
+++ b/src/larkpost/gateway/rollouts/reward_attempt.py
@@ -55,7 +55,7 @@
         Args:
             history: of the call; the attempt is added to it.
         """
-        async with self._services.reward_places:
+        async with self._services.reward_call_slots:
             server = self._choose(self._services.shares.choose(route), call, history)
             if server is None:
                 await self._services.clock.sleep(PLACE_PAUSE_SECONDS)
