--- a/src/larkpost/gateway/rollouts/reward.py
+++ b/src/larkpost/gateway/rollouts/reward.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.rollouts.model import BatchHead, RewardCall
 from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.retry_rules import are_call_attempts_exhausted
-from larkpost.gateway.rollouts.reward_attempt import RewardAttempts
+from larkpost.gateway.rollouts.reward_attempt import RewardCaller
 from larkpost.gateway.rollouts.reward_rules import RewardCallHistory, RewardCallOutcome
 
 RETRY_PAUSE_SECONDS = 0.05
@@ -28,7 +28,7 @@
     def __init__(self, head: BatchHead, routes: ItemRoutes, services: RunServices) -> None:
         self._routes = routes
         self._services = services
-        self._attempts = RewardAttempts(head, services)
+        self._attempts = RewardCaller(head, services)
 
     async def score(self, progress: Progress, call: RewardCall) -> str | None:
         """Returns an output's score; None if the call failed too often, or its time is over.
--- a/src/larkpost/gateway/rollouts/reward_attempt.py
+++ b/src/larkpost/gateway/rollouts/reward_attempt.py
@@ -40,7 +40,7 @@
 """The same after a silence beyond the call's time limit."""
 
 
-class RewardAttempts:
+class RewardCaller:
     """Sends the reward calls of one batch, each attempt to one server."""
 
     def __init__(self, head: BatchHead, services: RunServices) -> None:
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -26,7 +26,7 @@
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.rollouts.place_queue import SlotQueue
 from larkpost.gateway.rollouts.progress import LONG_RUN_EVENTS, ItemRun, Progress
-from larkpost.gateway.rollouts.reward_attempt import RewardAttempts
+from larkpost.gateway.rollouts.reward_attempt import RewardCaller
 from larkpost.gateway.scaling.port import ScalingMode
 from larkpost.gateway.servers.port import NotRunReason
 from larkpost.gateway.store.batch_tables import PARTIAL_TABLE
@@ -386,7 +386,7 @@
         async def has_place() -> bool:
             fleet = PlatformFleet(1, 1, scorers=1)
             services = fleet.gateways[0].keeper._services
-            attempts = RewardAttempts(make_head(fleet), services)
+            attempts = RewardCaller(make_head(fleet), services)
             info = make_instance("scorer-0", SCORERS, slots=6)
             for _ in range(4):
                 services.balancer.occupy(info.id)
