--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -22,7 +22,7 @@
     classify_failed_response,
 )
 from larkpost.gateway.rollouts.run_events import RunEvents
-from larkpost.gateway.rollouts.stalls import RunWatch, StalledError, StallWatcher
+from larkpost.gateway.rollouts.stalls import RunWatch, StallDetector, StalledError
 from larkpost.gateway.rollouts.urgency import Urgency
 from larkpost.gateway.servers.port import (
     BrokenResponseError,
@@ -52,7 +52,7 @@
         slot_queue: SlotQueue,
         services: RunServices,
     ) -> None:
-        self.stalls = StallWatcher(services.clock)
+        self.stalls = StallDetector(services.clock)
         self._head = head
         self._engines = engines
         self._slot_queue = slot_queue
--- a/src/larkpost/gateway/rollouts/stalls.py
+++ b/src/larkpost/gateway/rollouts/stalls.py
@@ -59,7 +59,7 @@
             self.limit.reschedule(now + longest_gap)
 
 
-class StallWatcher:
+class StallDetector:
     """Watches the runs of one batch."""
 
     def __init__(self, clock: Clock) -> None:
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -22,7 +22,7 @@
     LEAST_SILENCE_SECONDS,
     LOAD_SILENCE_SECONDS,
     RunWatch,
-    StallWatcher,
+    StallDetector,
     stall_seconds,
 )
 from larkpost.gateway.rollouts.urgency import Urgency
@@ -121,7 +121,7 @@
     def test_a_run_is_stalled_after_a_silence_of_several_events(self):
         async def play():
             clock = LoopClock()
-            watcher = StallWatcher(clock)
+            watcher = StallDetector(clock)
             async with asyncio.timeout(10.0) as limit:
                 with watcher.watch(make_instance("fast", ENGINES), limit) as watch:
                     await clock.sleep(LEAST_SILENCE_SECONDS - 0.01)
@@ -150,7 +150,7 @@
         """Its time may be over in the turn of the loop in which it is looked at."""
 
         async def play():
-            watcher = StallWatcher(LoopClock())
+            watcher = StallDetector(LoopClock())
             found = []
             loop = asyncio.get_running_loop()
             with self.assertRaises(TimeoutError):
