--- a/src/larkpost/gateway/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_choice.py
@@ -24,7 +24,7 @@
 from larkpost.gateway.rollouts.item_work import ItemWork
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.rollouts.progress import ItemRun
-from larkpost.gateway.rollouts.stalls import RunWatch, stall_seconds
+from larkpost.gateway.rollouts.stalls import RunWatch, stall_timeout_seconds
 
 OWN_ENGINES_ONLY_SECONDS = 0.6
 """For so long a batch takes places at its model's own engines only. Batches often come at the same
@@ -140,7 +140,7 @@
         engine = watch.engine
         loading = self._services.division.loading(engine.service, self._head.model)
         pace = self._services.balancer.paces.lasting(engine.id)
-        return stall_seconds(pace, is_loading=engine.id in loading)
+        return stall_timeout_seconds(pace, is_loading=engine.id in loading)
 
     def may_migrate_to(self, engine: InstanceInfo, run: ItemRun) -> bool:
         """Returns whether a run may still move to the place that it was assigned at an engine.
--- a/src/larkpost/gateway/rollouts/stalls.py
+++ b/src/larkpost/gateway/rollouts/stalls.py
@@ -98,7 +98,7 @@
         watch.limit.reschedule(self._clock.now())
 
 
-def stall_seconds(pace: float, *, is_loading: bool = False) -> float:
+def stall_timeout_seconds(pace: float, *, is_loading: bool = False) -> float:
     """Returns the silence, in seconds, after which a run at an engine of this pace is stalled.
 
     Args:
--- a/tests/test_retry_rules.py
+++ b/tests/test_retry_rules.py
@@ -14,7 +14,7 @@
     classify_run_error,
     is_past_lifetime,
 )
-from larkpost.gateway.rollouts.stalls import StalledError, stall_seconds
+from larkpost.gateway.rollouts.stalls import StalledError, stall_timeout_seconds
 from larkpost.gateway.servers.port import BrokenResponseError
 
 RESPONSES = (
@@ -91,7 +91,7 @@
     def test_silences(self):
         for pace, expected in SILENCES:
             with self.subTest(pace=pace):
-                self.assertAlmostEqual(expected, stall_seconds(pace))
+                self.assertAlmostEqual(expected, stall_timeout_seconds(pace))
 
 
 if __name__ == "__main__":
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -23,7 +23,7 @@
     LOAD_SILENCE_SECONDS,
     RunWatch,
     StallDetector,
-    stall_seconds,
+    stall_timeout_seconds,
 )
 from larkpost.gateway.rollouts.urgency import Urgency
 from tests.platform_fleet import ENGINES, PlatformFleet, check_results, make_batch
@@ -112,7 +112,7 @@
 
 def _of_pace(pace: float) -> Callable[[RunWatch], float]:
     """Returns what runs at engines of a pace may be silent for."""
-    return lambda _: stall_seconds(pace)
+    return lambda _: stall_timeout_seconds(pace)
 
 
 class StallTest(unittest.TestCase):
@@ -144,7 +144,7 @@
             (0.3, True, 1.8),
         ):
             with self.subTest(pace=pace, is_loading=is_loading):
-                self.assertAlmostEqual(expected, stall_seconds(pace, is_loading=is_loading))
+                self.assertAlmostEqual(expected, stall_timeout_seconds(pace, is_loading=is_loading))
 
     def test_a_run_whose_time_is_over_is_not_ended_again(self):
         """Its time may be over in the turn of the loop in which it is looked at."""
