--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -19,8 +19,8 @@
 from larkpost.gateway.rollouts.place_queue import queue_order
 from larkpost.gateway.rollouts.progress import LONG_RUN_EVENTS, Progress
 from larkpost.gateway.rollouts.stalls import (
-    LEAST_SILENCE_SECONDS,
     LOAD_SILENCE_SECONDS,
+    MIN_STALL_TIMEOUT_SECONDS,
     RunWatch,
     StallDetector,
     stall_timeout_seconds,
@@ -124,7 +124,7 @@
             watcher = StallDetector(clock)
             async with asyncio.timeout(10.0) as limit:
                 with watcher.watch(make_instance("fast", ENGINES), limit) as watch:
-                    await clock.sleep(LEAST_SILENCE_SECONDS - 0.01)
+                    await clock.sleep(MIN_STALL_TIMEOUT_SECONDS - 0.01)
                     self.assertEqual([], watcher.stalled(_of_pace(0.0)))
                     await clock.sleep(0.02)
                     self.assertEqual([watch], watcher.stalled(_of_pace(0.0)))
@@ -137,8 +137,8 @@
 
     def test_silence_allowed(self):
         for pace, is_loading, expected in (
-            (0.0, False, LEAST_SILENCE_SECONDS),
-            (0.034, False, LEAST_SILENCE_SECONDS),
+            (0.0, False, MIN_STALL_TIMEOUT_SECONDS),
+            (0.034, False, MIN_STALL_TIMEOUT_SECONDS),
             (0.1, False, 0.6),  # an engine that is slow for good is not silent
             (0.034, True, LOAD_SILENCE_SECONDS),  # its runs go on once it has loaded
             (0.3, True, 1.8),
