--- a/src/larkpost/gateway/rollouts/stalls.py
+++ b/src/larkpost/gateway/rollouts/stalls.py
@@ -22,7 +22,7 @@
 """A run is not stalled before: the first event takes about 0.1 s, a queue at least as long."""
 STALL_PACE_FACTOR = 6.0
 """Nor before as many events could have come at the engine's pace: slow engines are not silent."""
-LOAD_SILENCE_SECONDS = 1.1
+LOADING_STALL_TIMEOUT_SECONDS = 1.1
 """Nor, at an engine that loads weights, before the load can have ended: its runs go on then, and an
 engine that one of them moved to may load next."""
 
@@ -106,4 +106,4 @@
         is_loading: whether the engine loads weights, and its runs go on afterwards.
     """
     silence = max(MIN_STALL_TIMEOUT_SECONDS, STALL_PACE_FACTOR * pace)
-    return max(silence, LOAD_SILENCE_SECONDS) if is_loading else silence
+    return max(silence, LOADING_STALL_TIMEOUT_SECONDS) if is_loading else silence
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -19,7 +19,7 @@
 from larkpost.gateway.rollouts.place_queue import queue_order
 from larkpost.gateway.rollouts.progress import LONG_RUN_EVENTS, Progress
 from larkpost.gateway.rollouts.stalls import (
-    LOAD_SILENCE_SECONDS,
+    LOADING_STALL_TIMEOUT_SECONDS,
     MIN_STALL_TIMEOUT_SECONDS,
     RunWatch,
     StallDetector,
@@ -140,7 +140,7 @@
             (0.0, False, MIN_STALL_TIMEOUT_SECONDS),
             (0.034, False, MIN_STALL_TIMEOUT_SECONDS),
             (0.1, False, 0.6),  # an engine that is slow for good is not silent
-            (0.034, True, LOAD_SILENCE_SECONDS),  # its runs go on once it has loaded
+            (0.034, True, LOADING_STALL_TIMEOUT_SECONDS),  # its runs go on once it has loaded
             (0.3, True, 1.8),
         ):
             with self.subTest(pace=pace, is_loading=is_loading):
