--- a/src/larkpost/gateway/rollouts/run.py
+++ b/src/larkpost/gateway/rollouts/run.py
@@ -106,7 +106,7 @@
     def _end_stalled(self) -> None:
         """Ends stalled runs while there are more free places than items that wait for one."""
         free: dict[ServiceName, int] = {}
-        for watch in self._stalls.stalled(self._engines.stall_timeout):
+        for watch in self._stalls.find_stalled(self._engines.stall_timeout):
             service = watch.engine.service
             if service not in free:
                 free[service] = self._engines.count_free_slots(service)
--- a/src/larkpost/gateway/rollouts/stalls.py
+++ b/src/larkpost/gateway/rollouts/stalls.py
@@ -77,7 +77,7 @@
         finally:
             self._watches.remove(watch)
 
-    def stalled(self, stall_timeout: Callable[[RunWatch], float]) -> list[RunWatch]:
+    def find_stalled(self, stall_timeout: Callable[[RunWatch], float]) -> list[RunWatch]:
         """Returns the runs that have been silent for too long, the longest silence first.
 
         Args:
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -125,13 +125,13 @@
             async with asyncio.timeout(10.0) as limit:
                 with watcher.watch(make_instance("fast", ENGINES), limit) as watch:
                     await clock.sleep(MIN_STALL_TIMEOUT_SECONDS - 0.01)
-                    self.assertEqual([], watcher.stalled(_of_pace(0.0)))
+                    self.assertEqual([], watcher.find_stalled(_of_pace(0.0)))
                     await clock.sleep(0.02)
-                    self.assertEqual([watch], watcher.stalled(_of_pace(0.0)))
-                    self.assertEqual([], watcher.stalled(_of_pace(0.2)))  # a slow engine
+                    self.assertEqual([watch], watcher.find_stalled(_of_pace(0.0)))
+                    self.assertEqual([], watcher.find_stalled(_of_pace(0.2)))  # a slow engine
                     watch.record_event(clock.now(), 1.0)
-                    self.assertEqual([], watcher.stalled(_of_pace(0.0)))
-                self.assertEqual([], watcher.stalled(_of_pace(0.0)))
+                    self.assertEqual([], watcher.find_stalled(_of_pace(0.0)))
+                self.assertEqual([], watcher.find_stalled(_of_pace(0.0)))
 
         run(play())
 
@@ -165,7 +165,7 @@
 
     @staticmethod
     def _look(watcher, limit, found) -> None:
-        found.append((limit.expired(), watcher.stalled(_of_pace(0.0))))
+        found.append((limit.expired(), watcher.find_stalled(_of_pace(0.0))))
 
     def test_a_stalled_run_stays_while_there_is_no_place(self):
         """Only as many runs are ended as there are free places; the others wait where they are."""
