--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -146,7 +146,7 @@
             return None
         priority = configuration.priority_of(self._head.tenant, run.route)
         yields = self._services.division.should_yield(run.engine.service, self._head.model)
-        return self._urgency.rank(run.progress, priority, yields=yields)
+        return self._urgency.engine_priority(run.progress, priority, yields=yields)
 
     def _keep_single_version(self, run: ItemRun) -> None:
         """Drops the output if the engine has another version than the one that made it."""
--- a/src/larkpost/gateway/rollouts/urgency.py
+++ b/src/larkpost/gateway/rollouts/urgency.py
@@ -32,7 +32,7 @@
         self._long_from = _at_share(works, LONG_SHARE)
         self._short_to = _at_share(works, 1 - SHORT_SHARE)
 
-    def rank(self, progress: Progress, priority: int, *, yields: bool = False) -> int:
+    def engine_priority(self, progress: Progress, priority: int, *, yields: bool = False) -> int:
         """Returns the rank that an engine is sent, from 0, the most urgent, to 9.
 
         Args:
@@ -43,8 +43,8 @@
         length_class = self._length_class(progress)
         if yields:
             length_class = min(length_class + 1, LENGTH_CLASSES - 1)
-        rank = priority * LENGTH_CLASSES + length_class
-        return max(HIGHEST_PRIORITY, min(LOWEST_PRIORITY, rank))
+        engine_priority = priority * LENGTH_CLASSES + length_class
+        return max(HIGHEST_PRIORITY, min(LOWEST_PRIORITY, engine_priority))
 
     def _length_class(self, progress: Progress) -> int:
         """Returns 0 for a long item, 2 for a short one."""
