--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -23,7 +23,7 @@
 )
 from larkpost.gateway.rollouts.run_events import RunEvents
 from larkpost.gateway.rollouts.stalls import RunWatch, StallDetector, StalledError
-from larkpost.gateway.rollouts.urgency import Urgency
+from larkpost.gateway.rollouts.urgency import EnginePriorities
 from larkpost.gateway.servers.port import (
     BrokenResponseError,
     OutgoingRequest,
@@ -57,7 +57,7 @@
         self._engines = engines
         self._slot_queue = slot_queue
         self._services = services
-        self._urgency = Urgency(items)
+        self._urgency = EnginePriorities(items)
 
     async def run(self, run: ItemRun) -> RunOutcome:
         """Runs an item at an engine from where it is, and returns how that ended.
--- a/src/larkpost/gateway/rollouts/urgency.py
+++ b/src/larkpost/gateway/rollouts/urgency.py
@@ -24,7 +24,7 @@
 """Share of them that count as short."""
 
 
-class Urgency:
+class EnginePriorities:
     """Ranks the items of one batch."""
 
     def __init__(self, items: Sequence[Item]) -> None:
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -25,7 +25,7 @@
     StallDetector,
     stall_timeout_seconds,
 )
-from larkpost.gateway.rollouts.urgency import Urgency
+from larkpost.gateway.rollouts.urgency import EnginePriorities
 from tests.platform_fleet import ENGINES, PlatformFleet, check_results, make_batch
 from tests.server_parts import make_instance
 from tests.virtual import run
@@ -42,7 +42,7 @@
 
     def setUp(self):
         self.items = make_batch(items=40).items
-        self.urgency = Urgency(self.items)
+        self.urgency = EnginePriorities(self.items)
 
     def test_long_items_come_before_short_ones_within_a_priority(self):
         ranks = [self.urgency.engine_priority(Progress(item), 1) for item in self.items]
@@ -76,7 +76,7 @@
         self.assertEqual(0, self.urgency.engine_priority(progress, 0))
 
     def test_a_batch_without_items_has_no_lengths(self):
-        self.assertEqual(2, Urgency(()).engine_priority(Progress(self.items[0]), 0))
+        self.assertEqual(2, EnginePriorities(()).engine_priority(Progress(self.items[0]), 0))
 
 
 class QueueTest(unittest.TestCase):
