--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -57,7 +57,7 @@
         self._engines = engines
         self._slot_queue = slot_queue
         self._services = services
-        self._urgency = EnginePriorities(items)
+        self._priorities = EnginePriorities(items)
 
     async def run(self, run: ItemRun) -> RunOutcome:
         """Runs an item at an engine from where it is, and returns how that ended.
@@ -146,7 +146,7 @@
             return None
         priority = configuration.priority_of(self._head.tenant, run.route)
         yields = self._services.division.should_yield(run.engine.service, self._head.model)
-        return self._urgency.engine_priority(run.progress, priority, yields=yields)
+        return self._priorities.engine_priority(run.progress, priority, yields=yields)
 
     def _keep_single_version(self, run: ItemRun) -> None:
         """Drops the output if the engine has another version than the one that made it."""
