--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -6,6 +6,7 @@
 from dataclasses import replace
 
 import orjson
+from larkpost.gateway.rollouts.priorities import EnginePriorities
 
 from larkpost.common.clock import LoopClock
 from larkpost.gateway.blackboard.configuration import (
@@ -25,7 +26,6 @@
     StallDetector,
     stall_timeout_seconds,
 )
-from larkpost.gateway.rollouts.urgency import EnginePriorities
 from tests.platform_fleet import ENGINES, PlatformFleet, check_results, make_batch
 from tests.server_parts import make_instance
 from tests.virtual import run
@@ -42,38 +42,38 @@
 
     def setUp(self):
         self.items = make_batch(items=40).items
-        self.urgency = EnginePriorities(self.items)
+        self.priorities = EnginePriorities(self.items)
 
     def test_long_items_come_before_short_ones_within_a_priority(self):
-        ranks = [self.urgency.engine_priority(Progress(item), 1) for item in self.items]
+        ranks = [self.priorities.engine_priority(Progress(item), 1) for item in self.items]
         self.assertEqual(sorted(ranks, reverse=True), ranks)  # later items are longer
         self.assertEqual({3, 4, 5}, set(ranks))
         self.assertLess(ranks.count(3), 10)
 
     def test_priority_comes_before_length(self):
         long, short = self.items[-1], self.items[0]
-        urgent = self.urgency.engine_priority(Progress(short), 0)
-        self.assertLess(urgent, self.urgency.engine_priority(Progress(long), 1))
+        urgent = self.priorities.engine_priority(Progress(short), 0)
+        self.assertLess(urgent, self.priorities.engine_priority(Progress(long), 1))
 
     def test_ranks_stay_within_what_engines_know(self):
         item = self.items[0]
         for priority in (-3, 0, 3, 50):
-            self.assertIn(self.urgency.engine_priority(Progress(item), priority), range(10))
+            self.assertIn(self.priorities.engine_priority(Progress(item), priority), range(10))
 
     def test_items_of_a_batch_that_yields_come_after_like_ones_of_their_priority(self):
         for item in self.items:
             progress = Progress(item)
-            usual = self.urgency.engine_priority(progress, 1)
-            yielding = self.urgency.engine_priority(progress, 1, yields=True)
+            usual = self.priorities.engine_priority(progress, 1)
+            yielding = self.priorities.engine_priority(progress, 1, yields=True)
             self.assertEqual(min(usual + 1, 5), yielding)
-            self.assertLess(yielding, self.urgency.engine_priority(progress, 2))
+            self.assertLess(yielding, self.priorities.engine_priority(progress, 2))
 
     def test_an_item_that_shows_itself_long_is_urgent(self):
         item = self.items[0]
         progress = Progress(item)
         for number in range(1, LONG_RUN_EVENTS + 1):
             progress.take(number, b"x", 1)
-        self.assertEqual(0, self.urgency.engine_priority(progress, 0))
+        self.assertEqual(0, self.priorities.engine_priority(progress, 0))
 
     def test_a_batch_without_items_has_no_lengths(self):
         self.assertEqual(2, EnginePriorities(()).engine_priority(Progress(self.items[0]), 0))
