--- a/src/larkpost/gateway/rollouts/batch_outlooks.py
+++ b/src/larkpost/gateway/rollouts/batch_outlooks.py
@@ -60,7 +60,7 @@
     newest: Iterable[BatchHead] = ()
 
 
-class BatchOutlooks:
+class BatchForecaster:
     """What is known of the progress of open batches, and what follows from it."""
 
     def __init__(self, sources: OutlookSources) -> None:
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -557,9 +557,9 @@
 
 def keep_progress_to_oneself():
     """Tells the other daemons nothing of the batches that this one owns."""
-    from larkpost.gateway.rollouts.batch_outlooks import BatchOutlooks
+    from larkpost.gateway.rollouts.batch_outlooks import BatchForecaster
 
-    return mock.patch.object(BatchOutlooks, "record_report", lambda *_: None)
+    return mock.patch.object(BatchForecaster, "record_report", lambda *_: None)
 
 
 def forget_shares():
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -19,7 +19,7 @@
 from larkpost.gateway.rollouts.batch_outlooks import (
     LOWEST_PRIORITY,
     REPORT_LIFETIME_SECONDS,
-    BatchOutlooks,
+    BatchForecaster,
     ModelHeads,
     OutlookSources,
 )
@@ -161,7 +161,7 @@
             fleet.clock,
             lambda: 100.0,
         )
-        self.outlooks = BatchOutlooks(sources)
+        self.outlooks = BatchForecaster(sources)
         spec = make_batch(items=1)
         self.due = gateway.blackboard.configuration.current.match(spec.host, spec.path.encode()).due
         self.head = BatchHead(
