--- a/src/larkpost/gateway/rollouts/batch_outlooks.py
+++ b/src/larkpost/gateway/rollouts/batch_outlooks.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OutlookSources:
+class ForecastInputs:
     """What outlooks are worked out from, beside reports.
 
     Attributes:
@@ -63,7 +63,7 @@
 class BatchForecaster:
     """What is known of the progress of open batches, and what follows from it."""
 
-    def __init__(self, sources: OutlookSources) -> None:
+    def __init__(self, sources: ForecastInputs) -> None:
         self._sources = sources
         self._reports: dict[DaemonId, tuple[float, dict[BatchId, BatchProgress]]] = {}
         """What each owner reported last, and the steady time of that."""
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -20,8 +20,8 @@
     LOWEST_PRIORITY,
     REPORT_LIFETIME_SECONDS,
     BatchForecaster,
+    ForecastInputs,
     ModelHeads,
-    OutlookSources,
 )
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId
 from larkpost.gateway.rollouts.progress import Progress
@@ -154,7 +154,7 @@
         await fleet.wait(1.0)
         gateway = fleet.gateways[0]
         self.clock = fleet.clock
-        sources = OutlookSources(
+        sources = ForecastInputs(
             gateway.blackboard.configuration,
             gateway.directory,
             lambda _: 0.05,
