--- a/src/larkpost/gateway/rollouts/batch_outlooks.py
+++ b/src/larkpost/gateway/rollouts/batch_outlooks.py
@@ -75,7 +75,7 @@
         else:
             self._reports.pop(daemon, None)
 
-    def add_to(
+    def add_forecasts(
         self,
         demands: dict[ModelName, ModelDemand],
         heads: ModelHeads,
--- a/src/larkpost/gateway/rollouts/keeper.py
+++ b/src/larkpost/gateway/rollouts/keeper.py
@@ -122,7 +122,7 @@
         """Returns what the batches of each model ask for, with the outlook of those open."""
         demands = self._heads.demands()
         heads = ModelHeads(self._heads.open(), self._heads.newest())
-        return self._outlooks.add_to(demands, heads, self.progress())
+        return self._outlooks.add_forecasts(demands, heads, self.progress())
 
     def progress(self) -> dict[BatchId, BatchProgress]:
         """Returns how far the batches that this daemon owns are, at most `MAX_REPORTED` of them."""
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -172,7 +172,7 @@
     def demand(self, own: dict[BatchId, BatchProgress] | None = None) -> ModelDemand:
         """Returns what the model's batches ask for."""
         demands = {MODEL: ModelDemand(10, True)}
-        return self.outlooks.add_to(demands, ModelHeads([self.head]), own or {})[MODEL]
+        return self.outlooks.add_forecasts(demands, ModelHeads([self.head]), own or {})[MODEL]
 
     def test_report_is_believed_for_a_while(self):
         async def play():
@@ -203,9 +203,9 @@
             await self.begin()
             demands = {MODEL: ModelDemand(10)}
             while_open = self.demand().priority
-            ended = self.outlooks.add_to(demands, ModelHeads([], [self.head]), {})[MODEL]
+            ended = self.outlooks.add_forecasts(demands, ModelHeads([], [self.head]), {})[MODEL]
             self.assertEqual(while_open, ended.priority)
-            unknown = self.outlooks.add_to(demands, ModelHeads([]), {})[MODEL]
+            unknown = self.outlooks.add_forecasts(demands, ModelHeads([]), {})[MODEL]
             self.assertEqual(LOWEST_PRIORITY, unknown.priority)
             self.assertLess(while_open, LOWEST_PRIORITY)
 
