--- a/src/larkpost/gateway/rollouts/keeper.py
+++ b/src/larkpost/gateway/rollouts/keeper.py
@@ -18,7 +18,7 @@
 from larkpost.gateway.rollouts.batch_outlooks import BatchForecaster, ForecastInputs, ModelHeads
 from larkpost.gateway.rollouts.claims import BatchClaims
 from larkpost.gateway.rollouts.context import RunServices
-from larkpost.gateway.rollouts.known_heads import KnownHead, KnownHeads
+from larkpost.gateway.rollouts.known_heads import BatchHeadCache, KnownHead
 from larkpost.gateway.rollouts.model import BatchHead, BatchSpec, Item
 from larkpost.gateway.rollouts.owned import OwnedBatch
 from larkpost.gateway.rollouts.repository import BatchRepository
@@ -60,7 +60,7 @@
         self._lifetime = lifetime
         self._clock: Clock = services.clock
         self._log: EventLog = services.log
-        self._heads = KnownHeads(services.clock, services.division.last_naming, self._age)
+        self._heads = BatchHeadCache(services.clock, services.division.last_naming, self._age)
         self._outlooks = BatchForecaster(
             ForecastInputs(
                 services.configuration,
--- a/src/larkpost/gateway/rollouts/known_heads.py
+++ b/src/larkpost/gateway/rollouts/known_heads.py
@@ -43,7 +43,7 @@
     asked_after: Naming | None = None
 
 
-class KnownHeads:
+class BatchHeadCache:
     """The heads of all batches that are known.
 
     Args:
--- a/tests/test_load_timing.py
+++ b/tests/test_load_timing.py
@@ -28,7 +28,7 @@
 )
 from larkpost.gateway.controllers.lending import WAITED_SECONDS
 from larkpost.gateway.rollouts import codec
-from larkpost.gateway.rollouts.known_heads import FRESH_SECONDS, WORK_BATCHES, KnownHeads
+from larkpost.gateway.rollouts.known_heads import FRESH_SECONDS, WORK_BATCHES, BatchHeadCache
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.store.batch_tables import HEAD_TABLE
 from larkpost.gateway.store.port import Row, RowKey
@@ -108,7 +108,7 @@
     def setUp(self):
         self.naming: Naming | None = None
         self.age: float | None = 0.1
-        self.heads: KnownHeads | None = None
+        self.heads: BatchHeadCache | None = None
 
     def record(
         self,
@@ -132,7 +132,7 @@
 
         async def play() -> ModelDemand:
             self.naming = Naming(2, 0.05 + self.age) if self.age is not None else Naming(2, 9.0)
-            self.heads = KnownHeads(LoopClock(), lambda _: self.naming, lambda _: self.age)
+            self.heads = BatchHeadCache(LoopClock(), lambda _: self.naming, lambda _: self.age)
             for name, created_at, ended in batches:
                 self.record(name, created_at, ended=ended)
             self.naming = Naming(3, 9.0)
@@ -163,7 +163,7 @@
     def test_work_is_averaged_so_that_single_batches_move_no_engines(self):
         async def play() -> list[int]:
             self.naming = None
-            self.heads = KnownHeads(LoopClock())
+            self.heads = BatchHeadCache(LoopClock())
             works = []
             for number in range(3 * WORK_BATCHES):
                 self.record(f"b{number}", float(number), work=100 + 40 * (number % 2))
--- a/tests/test_steady_division.py
+++ b/tests/test_steady_division.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.blackboard.configuration import ModelName, Service, ServiceName
 from larkpost.gateway.controllers.model_assignment import assign_models
 from larkpost.gateway.rollouts import codec
-from larkpost.gateway.rollouts.known_heads import WORK_BATCHES, KnownHeads
+from larkpost.gateway.rollouts.known_heads import WORK_BATCHES, BatchHeadCache
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.store.batch_tables import HEAD_TABLE
 from larkpost.gateway.store.port import Row, RowKey
@@ -37,7 +37,7 @@
         for engine in self.directory.of_service(POOL.name):
             for model in POOL.models:
                 self.directory.observe_version(engine.id, model, 1)
-        self.heads = KnownHeads(LoopClock())
+        self.heads = BatchHeadCache(LoopClock())
         self.chance = random.Random(4)
 
     def record_batch(self, model: ModelName, step: int, work: float) -> None:
