--- a/src/larkpost/gateway/rollouts/claims.py
+++ b/src/larkpost/gateway/rollouts/claims.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.metrics import Count
 from larkpost.gateway.rollouts.context import RunServices
-from larkpost.gateway.rollouts.known_heads import KnownHead
+from larkpost.gateway.rollouts.known_heads import CachedBatchHead
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.rollouts.repository import BatchRepository
 from larkpost.gateway.store.port import Row, StoreUnavailableError
@@ -46,7 +46,7 @@
         self._log: EventLog = services.log
         self._claimed_at: dict[BatchId, float] = {}
 
-    def should_claim(self, known: KnownHead) -> bool:
+    def should_claim(self, known: CachedBatchHead) -> bool:
         """Returns whether this daemon is to claim a batch that another one owns."""
         membership = self._membership
         return (
@@ -79,7 +79,7 @@
             return frozenset()
         return configuration.homes_at(head.tenant, head.host, head.path.encode("latin-1"))
 
-    async def claim(self, known: KnownHead, owner: DaemonId) -> None:
+    async def claim(self, known: CachedBatchHead, owner: DaemonId) -> None:
         """Writes an owner into a head; if another change came first, learns the head as it is."""
         batch = known.head.id
         done = await self._repository.claim(known.head, known.version, owner)
--- a/src/larkpost/gateway/rollouts/keeper.py
+++ b/src/larkpost/gateway/rollouts/keeper.py
@@ -18,7 +18,7 @@
 from larkpost.gateway.rollouts.batch_outlooks import BatchForecaster, ForecastInputs, ModelHeads
 from larkpost.gateway.rollouts.claims import BatchClaims
 from larkpost.gateway.rollouts.context import RunServices
-from larkpost.gateway.rollouts.known_heads import BatchHeadCache, KnownHead
+from larkpost.gateway.rollouts.known_heads import BatchHeadCache, CachedBatchHead
 from larkpost.gateway.rollouts.model import BatchHead, BatchSpec, Item
 from larkpost.gateway.rollouts.owned import OwnedBatch
 from larkpost.gateway.rollouts.repository import BatchRepository
@@ -182,7 +182,7 @@
                 except StoreUnavailableError:
                     return  # tried again after the next interval
 
-    def _update_batch(self, known: KnownHead) -> None:
+    def _update_batch(self, known: CachedBatchHead) -> None:
         """Runs, releases or claims a batch, by its owner and whether it is over."""
         head, batch = known.head, known.head.id
         mine = head.owner == self._membership.own and not self._leaving
@@ -194,7 +194,7 @@
         elif not self._leaving and self._claims.should_claim(known):
             self._start_claim(known)
 
-    def _start_claim(self, known: KnownHead) -> None:
+    def _start_claim(self, known: CachedBatchHead) -> None:
         self._claims.record_claim(known.head.id)
         task = asyncio.create_task(self._claims.claim(known, self._membership.own))
         self._claiming.add(task)
--- a/src/larkpost/gateway/rollouts/known_heads.py
+++ b/src/larkpost/gateway/rollouts/known_heads.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KnownHead:
+class CachedBatchHead:
     """A head as last read.
 
     Attributes:
@@ -60,12 +60,12 @@
         self._clock = clock
         self._last_naming = last_naming
         self._age = age
-        self._heads: dict[BatchId, KnownHead] = {}
+        self._heads: dict[BatchId, CachedBatchHead] = {}
 
-    def __iter__(self) -> Iterator[KnownHead]:
+    def __iter__(self) -> Iterator[CachedBatchHead]:
         return iter(list(self._heads.values()))
 
-    def get(self, batch: BatchId) -> KnownHead | None:
+    def get(self, batch: BatchId) -> CachedBatchHead | None:
         """Returns what is known of a batch's head."""
         return self._heads.get(batch)
 
@@ -79,7 +79,7 @@
         same_owner = known is not None and known.head.owner == head.owner
         owner_since = known.owner_since if same_owner else self._clock.now()
         asked_after = known.asked_after if known is not None else self._asked_after(head)
-        self._heads[batch] = KnownHead(head, row.version, owner_since, asked_after)
+        self._heads[batch] = CachedBatchHead(head, row.version, owner_since, asked_after)
 
     def _asked_after(self, head: BatchHead) -> Naming | None:
         """Returns after which version a batch that is new here came, and how long after it."""
@@ -102,7 +102,7 @@
 
     def demands(self) -> dict[ModelName, ModelDemand]:
         """Returns what the newest batches of each model ask for, and which ones are open."""
-        of_model: dict[ModelName, list[KnownHead]] = defaultdict(list)
+        of_model: dict[ModelName, list[CachedBatchHead]] = defaultdict(list)
         for known in self._heads.values():
             of_model[known.head.model].append(known)
         return {model: _demand(batches) for model, batches in of_model.items()}
@@ -121,7 +121,7 @@
         return [known.head for known in self._heads.values() if not known.head.ended]
 
 
-def _demand(batches: list[KnownHead]) -> ModelDemand:
+def _demand(batches: list[CachedBatchHead]) -> ModelDemand:
     """Returns what a model's batches, at least one, ask for."""
     newest_first = heapq.nlargest(WORK_BATCHES, batches, key=lambda known: known.head.created_at)
     newest = newest_first[0]
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -8,7 +8,7 @@
 from larkpost.common.ids import BatchId, DaemonId
 from larkpost.gateway.blackboard.configuration import ModelName
 from larkpost.gateway.rollouts.claims import CLAIM_PAUSE_SECONDS, BatchClaims
-from larkpost.gateway.rollouts.known_heads import KnownHead
+from larkpost.gateway.rollouts.known_heads import CachedBatchHead
 from larkpost.gateway.rollouts.model import BatchHead
 from tests.virtual import run
 
@@ -27,7 +27,7 @@
     ended=False,
     upload="u",
 )
-KNOWN = KnownHead(HEAD, version=1, owner_since=0.0)
+KNOWN = CachedBatchHead(HEAD, version=1, owner_since=0.0)
 MUST_CLAIM = {"listed": True, "coordinates": True, "owner_alive": False, "successor": OWN}
 CASES = (
     ("the owner is dead, and this daemon is its successor", {}, True),
