--- a/src/larkpost/gateway/rollouts/known_heads.py
+++ b/src/larkpost/gateway/rollouts/known_heads.py
@@ -17,7 +17,7 @@
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.store.port import Row
 
-WORK_BATCHES = 6
+DEMAND_BATCHES = 6
 """Newest batches of a model over which its work is averaged: the guesses of single batches differ
 by so much that engines would change their models with each step."""
 CLOCK_ERROR_SECONDS = 0.2
@@ -123,7 +123,7 @@
 
 def _demand(batches: list[CachedBatchHead]) -> ModelDemand:
     """Returns what a model's batches, at least one, ask for."""
-    newest_first = heapq.nlargest(WORK_BATCHES, batches, key=lambda known: known.head.created_at)
+    newest_first = heapq.nlargest(DEMAND_BATCHES, batches, key=lambda known: known.head.created_at)
     newest = newest_first[0]
     namings = [known.asked_after for known in newest_first[:2] if known.asked_after is not None]
     naming = newest.asked_after
--- a/tests/test_load_timing.py
+++ b/tests/test_load_timing.py
@@ -28,7 +28,7 @@
 )
 from larkpost.gateway.controllers.lending import WAITED_SECONDS
 from larkpost.gateway.rollouts import codec
-from larkpost.gateway.rollouts.known_heads import FRESH_SECONDS, WORK_BATCHES, BatchHeadCache
+from larkpost.gateway.rollouts.known_heads import DEMAND_BATCHES, FRESH_SECONDS, BatchHeadCache
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.store.batch_tables import HEAD_TABLE
 from larkpost.gateway.store.port import Row, RowKey
@@ -165,14 +165,14 @@
             self.naming = None
             self.heads = BatchHeadCache(LoopClock())
             works = []
-            for number in range(3 * WORK_BATCHES):
+            for number in range(3 * DEMAND_BATCHES):
                 self.record(f"b{number}", float(number), work=100 + 40 * (number % 2))
                 works.append(self.heads.demands()[FIRST].work)
             return works
 
         works = run(play())
         self.assertEqual(100, works[0])
-        self.assertEqual({120}, set(works[WORK_BATCHES - 1 :]))
+        self.assertEqual({120}, set(works[DEMAND_BATCHES - 1 :]))
 
     def test_daemons_that_learn_of_a_batch_later_know_the_same(self):
         for self.age in (0.0, 0.1, 0.6):
--- a/tests/test_steady_division.py
+++ b/tests/test_steady_division.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.blackboard.configuration import ModelName, Service, ServiceName
 from larkpost.gateway.controllers.model_assignment import assign_models
 from larkpost.gateway.rollouts import codec
-from larkpost.gateway.rollouts.known_heads import WORK_BATCHES, BatchHeadCache
+from larkpost.gateway.rollouts.known_heads import DEMAND_BATCHES, BatchHeadCache
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.store.batch_tables import HEAD_TABLE
 from larkpost.gateway.store.port import Row, RowKey
@@ -64,13 +64,13 @@
         async def play() -> float:
             self.begin()
             moves = 0
-            for step in range(WORK_BATCHES):
+            for step in range(DEMAND_BATCHES):
                 before = self.play_step(step, WORKS)
-            for step in range(WORK_BATCHES, STEPS):
+            for step in range(DEMAND_BATCHES, STEPS):
                 after = self.play_step(step, WORKS)
                 moves += sum(len(set(after[model]) - set(before[model])) for model in WORKS)
                 before = after
-            return moves / (STEPS - WORK_BATCHES)
+            return moves / (STEPS - DEMAND_BATCHES)
 
         self.assertLess(run(play()), 1.0)
 
@@ -78,9 +78,9 @@
         async def play() -> tuple[int, int]:
             self.begin()
             model = POOL.models[0]
-            for step in range(WORK_BATCHES):
+            for step in range(DEMAND_BATCHES):
                 before = self.play_step(step, WORKS)
-            for step in range(WORK_BATCHES, 2 * WORK_BATCHES):
+            for step in range(DEMAND_BATCHES, 2 * DEMAND_BATCHES):
                 after = self.play_step(step, WORKS | {model: 4 * WORKS[model]})
             return len(before[model]), len(after[model])
 
