--- a/src/larkpost/gateway/rollouts/work_left.py
+++ b/src/larkpost/gateway/rollouts/work_left.py
@@ -13,7 +13,7 @@
 what it has made."""
 
 
-def tokens_left(progress: Progress, tokens_per_event: int) -> int:
+def remaining_tokens(progress: Progress, tokens_per_event: int) -> int:
     """Returns the tokens that an item is expected to take yet.
 
     Args:
@@ -35,6 +35,6 @@
     Args:
         waiting: items that wait for a place.
     """
-    left = sorted(tokens_left(progress, tokens_per_event) for progress in items)
+    left = sorted(remaining_tokens(progress, tokens_per_event) for progress in items)
     long_item = left[int(len(left) * LONG_ITEM_SHARE)] if left else 0
     return BatchProgress(waiting, sum(left), long_item)
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -25,7 +25,7 @@
 )
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId
 from larkpost.gateway.rollouts.progress import Progress
-from larkpost.gateway.rollouts.work_left import OUTLIVED_SHARE, sum_up, tokens_left
+from larkpost.gateway.rollouts.work_left import OUTLIVED_SHARE, remaining_tokens, sum_up
 from tests.platform_fleet import MODEL, PlatformFleet, make_batch
 from tests.virtual import run
 
@@ -113,8 +113,8 @@
         for name, case, events, expected in cases:
             with self.subTest(name):
                 progress = Progress(case, [b"x"] * events)
-                self.assertEqual(expected, tokens_left(progress, TOKENS))
-                self.assertEqual(0, tokens_left(replace(progress, whole=True), TOKENS))
+                self.assertEqual(expected, remaining_tokens(progress, TOKENS))
+                self.assertEqual(0, remaining_tokens(replace(progress, whole=True), TOKENS))
 
     def test_sum(self):
         for count, long_item in ((3, 2), (20, 18)):
