--- a/src/larkpost/gateway/rollouts/owned.py
+++ b/src/larkpost/gateway/rollouts/owned.py
@@ -68,7 +68,7 @@
 
     def progress(self) -> BatchProgress | None:
         """Returns how far the batch is; None while it is not loaded."""
-        return self._run.sum_up() if self._run is not None else None
+        return self._run.summarize_progress() if self._run is not None else None
 
     @property
     def unscored(self) -> int:
--- a/src/larkpost/gateway/rollouts/run.py
+++ b/src/larkpost/gateway/rollouts/run.py
@@ -20,7 +20,7 @@
 from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.reward import RewardScorer
 from larkpost.gateway.rollouts.stalls import CHECK_INTERVAL_SECONDS
-from larkpost.gateway.rollouts.work_left import sum_up
+from larkpost.gateway.rollouts.work_left import summarize_progress
 
 FAULT_PAUSE_SECONDS = 1.0
 """Pause before an item is run again after an unexpected error, so that a fault that comes each time
@@ -67,9 +67,11 @@
             task.add_done_callback(self._task_done)
         self._waiting = []
 
-    def sum_up(self) -> BatchProgress:
+    def summarize_progress(self) -> BatchProgress:
         """Returns how far the batch is, for the forecasts of all daemons."""
-        return sum_up(self.progress.values(), self._tokens_per_event(), len(self._slot_queue))
+        return summarize_progress(
+            self.progress.values(), self._tokens_per_event(), len(self._slot_queue)
+        )
 
     def _tokens_per_event(self) -> int:
         configuration = self._services.configuration.current
--- a/src/larkpost/gateway/rollouts/work_left.py
+++ b/src/larkpost/gateway/rollouts/work_left.py
@@ -29,7 +29,9 @@
     return min(most, int(made * OUTLIVED_SHARE))
 
 
-def sum_up(items: Iterable[Progress], tokens_per_event: int, waiting: int) -> BatchProgress:
+def summarize_progress(
+    items: Iterable[Progress], tokens_per_event: int, waiting: int
+) -> BatchProgress:
     """Returns the progress of a batch from that of its unfinished items.
 
     Args:
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -25,7 +25,7 @@
 )
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId
 from larkpost.gateway.rollouts.progress import Progress
-from larkpost.gateway.rollouts.work_left import OUTLIVED_SHARE, remaining_tokens, sum_up
+from larkpost.gateway.rollouts.work_left import OUTLIVED_SHARE, remaining_tokens, summarize_progress
 from tests.platform_fleet import MODEL, PlatformFleet, make_batch
 from tests.virtual import run
 
@@ -121,8 +121,10 @@
             items = make_batch(items=count).items
             works = sorted(item.expected_work for item in items)
             expected = BatchProgress(2, sum(works), works[long_item])
-            self.assertEqual(expected, sum_up((Progress(item) for item in items), TOKENS, 2))
-        self.assertEqual(BatchProgress(0, 0, 0), sum_up((), TOKENS, 0))
+            self.assertEqual(
+                expected, summarize_progress((Progress(item) for item in items), TOKENS, 2)
+            )
+        self.assertEqual(BatchProgress(0, 0, 0), summarize_progress((), TOKENS, 0))
 
 
 class ReportTest(unittest.TestCase):
