--- a/src/larkpost/gateway/rollouts/work_left.py
+++ b/src/larkpost/gateway/rollouts/work_left.py
@@ -8,7 +8,7 @@
 LONG_ITEM_SHARE = 0.9
 """Share of a batch's items that take no more than its long item. The greatest of many guesses is
 most often the one that is farthest off."""
-OUTLIVED_SHARE = 0.5
+OVERRUN_SHARE = 0.5
 """An item that has outlived its trainer's guess is expected to make so much more, as a share of
 what it has made."""
 
@@ -26,7 +26,7 @@
     if guessed > 0:
         return guessed
     most = max(tokens_per_event, progress.item.tokens - made)
-    return min(most, int(made * OUTLIVED_SHARE))
+    return min(most, int(made * OVERRUN_SHARE))
 
 
 def summarize_progress(
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -25,7 +25,7 @@
 )
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId
 from larkpost.gateway.rollouts.progress import Progress
-from larkpost.gateway.rollouts.work_left import OUTLIVED_SHARE, remaining_tokens, summarize_progress
+from larkpost.gateway.rollouts.work_left import OVERRUN_SHARE, remaining_tokens, summarize_progress
 from tests.platform_fleet import MODEL, PlatformFleet, make_batch
 from tests.virtual import run
 
@@ -104,8 +104,8 @@
         cases = (
             ("not begun", item, 0, 1600),
             ("half made", item, 10, 800),
-            ("as long as guessed", item, 20, int(1600 * OUTLIVED_SHARE)),
-            ("outlived its guess", item, 30, int(2400 * OUTLIVED_SHARE)),
+            ("as long as guessed", item, 20, int(1600 * OVERRUN_SHARE)),
+            ("outlived its guess", item, 30, int(2400 * OVERRUN_SHARE)),
             ("near the most that it may take", item, 45, 400),
             ("beyond it", item, 60, TOKENS),
             ("no guess", replace(item, length_hint=0), 10, 3200),
