--- a/src/larkpost/gateway/rollouts/work_left.py
+++ b/src/larkpost/gateway/rollouts/work_left.py
@@ -5,7 +5,7 @@
 from larkpost.gateway.blackboard.daemon_report import BatchProgress
 from larkpost.gateway.rollouts.progress import Progress
 
-LONG_ITEM_SHARE = 0.9
+LONG_ITEM_QUANTILE = 0.9
 """Share of a batch's items that take no more than its long item. The greatest of many guesses is
 most often the one that is farthest off."""
 OVERRUN_SHARE = 0.5
@@ -38,5 +38,5 @@
         waiting: items that wait for a place.
     """
     left = sorted(remaining_tokens(progress, tokens_per_event) for progress in items)
-    long_item = left[int(len(left) * LONG_ITEM_SHARE)] if left else 0
+    long_item = left[int(len(left) * LONG_ITEM_QUANTILE)] if left else 0
     return BatchProgress(waiting, sum(left), long_item)
