--- a/src/larkpost/gateway/assembly/daemon_reports.py
+++ b/src/larkpost/gateway/assembly/daemon_reports.py
@@ -6,7 +6,7 @@
 from larkpost.gateway.blackboard.daemon_report import DaemonReport
 from larkpost.gateway.fairness.ledger import FlowLedger
 from larkpost.gateway.proxy.paces import Paces
-from larkpost.gateway.rollouts.keeper import BatchKeeper
+from larkpost.gateway.rollouts.keeper import BatchManager
 
 
 class DaemonReports:
@@ -21,7 +21,7 @@
         self,
         paces: Paces,
         ledger: FlowLedger,
-        keeper: Callable[[], BatchKeeper],
+        keeper: Callable[[], BatchManager],
         capacity: Callable[[], float | None] = lambda: None,
     ) -> None:
         self._paces = paces
--- a/src/larkpost/gateway/assembly/gauges.py
+++ b/src/larkpost/gateway/assembly/gauges.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.observability.metrics import Level, Metrics
 from larkpost.gateway.placement.cold_rule import ColdRule
 from larkpost.gateway.proxy.balancer import Balancer
-from larkpost.gateway.rollouts.keeper import BatchKeeper
+from larkpost.gateway.rollouts.keeper import BatchManager
 from larkpost.gateway.store.relay import RelayedStore
 
 
@@ -30,7 +30,7 @@
     membership: Membership
     balancer: Balancer
     cold: ColdRule
-    keeper: BatchKeeper
+    keeper: BatchManager
     loop_watch: LoopWatch
     relay: RelayedStore | None
     memory: DaemonMemory
--- a/src/larkpost/gateway/assembly/leased_controllers.py
+++ b/src/larkpost/gateway/assembly/leased_controllers.py
@@ -17,7 +17,7 @@
 from larkpost.gateway.controllers.true_time import TrueTime
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.proxy.balancer import Balancer
-from larkpost.gateway.rollouts.keeper import BatchKeeper
+from larkpost.gateway.rollouts.keeper import BatchManager
 from larkpost.gateway.scaling.controller import ScalingController, ScalingInputs
 from larkpost.gateway.scaling.demand import DemandForecast
 from larkpost.gateway.usage.count_writer import UsageCountWriter
@@ -38,7 +38,7 @@
     division: EngineDivision
     membership: Membership
     balancer: Balancer
-    keeper: BatchKeeper
+    keeper: BatchManager
     feeds: Feeds
     true_time: TrueTime
     counter: UsageCounter | None
--- a/src/larkpost/gateway/assembly/membership.py
+++ b/src/larkpost/gateway/assembly/membership.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.fairness.ledger import FlowLedger
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.proxy.balancer import Balancer
-from larkpost.gateway.rollouts.keeper import BatchKeeper
+from larkpost.gateway.rollouts.keeper import BatchManager
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
     regions: RegionMap
     balancer: Balancer
     ledger: FlowLedger
-    keeper: Callable[[], BatchKeeper]
+    keeper: Callable[[], BatchManager]
     loop_watch: LoopWatch
 
 
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -43,7 +43,7 @@
 from larkpost.gateway.quarantine.repository import CrashRepository
 from larkpost.gateway.quarantine.watch import CrashWatch
 from larkpost.gateway.rollouts.context import RunServices
-from larkpost.gateway.rollouts.keeper import BatchKeeper
+from larkpost.gateway.rollouts.keeper import BatchManager
 from larkpost.gateway.rollouts.repository import BatchRepository
 from larkpost.gateway.rollouts.reward_attempt import MAX_CALLS_IN_FLIGHT
 from larkpost.gateway.rollouts.service import BatchService
@@ -165,7 +165,7 @@
         )
         repository = BatchRepository(ports.store, ports.clock)
         views = ViewCache(self.memory.budget)
-        self.keeper = BatchKeeper(
+        self.keeper = BatchManager(
             repository, self.membership, services, views, self._batch_lifetime
         )
         self.batches = BatchService(self.id, repository, self.keeper, views, services)
--- a/src/larkpost/gateway/rollouts/keeper.py
+++ b/src/larkpost/gateway/rollouts/keeper.py
@@ -38,7 +38,7 @@
 answered, whatever the clocks differ by."""
 
 
-class BatchKeeper:
+class BatchManager:
     """The batches that this daemon knows, and those it runs.
 
     Args:
--- a/src/larkpost/gateway/rollouts/reader.py
+++ b/src/larkpost/gateway/rollouts/reader.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.observability.metrics import Count
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.errors import BatchUnreadableError, NoSuchBatchError
-from larkpost.gateway.rollouts.keeper import BatchKeeper
+from larkpost.gateway.rollouts.keeper import BatchManager
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId, Result
 from larkpost.gateway.rollouts.read_rules import (
     HOLD_SECONDS,
@@ -51,7 +51,7 @@
     def __init__(
         self,
         repository: BatchRepository,
-        keeper: BatchKeeper,
+        keeper: BatchManager,
         views: ViewCache,
         services: RunServices,
     ) -> None:
--- a/src/larkpost/gateway/rollouts/service.py
+++ b/src/larkpost/gateway/rollouts/service.py
@@ -22,7 +22,7 @@
     BatchUnreadableError,
     NoSuchBatchError,
 )
-from larkpost.gateway.rollouts.keeper import BatchKeeper
+from larkpost.gateway.rollouts.keeper import BatchManager
 from larkpost.gateway.rollouts.model import BatchSpec, ItemId
 from larkpost.gateway.rollouts.reader import RETRY_AFTER_SECONDS, BatchReader, ResultPage
 from larkpost.gateway.rollouts.repository import BatchRepository, EndOutcome
@@ -47,7 +47,7 @@
         self,
         owner: DaemonId,
         repository: BatchRepository,
-        keeper: BatchKeeper,
+        keeper: BatchManager,
         views: ViewCache,
         services: RunServices,
     ) -> None:
--- a/tests/test_held_bytes.py
+++ b/tests/test_held_bytes.py
@@ -37,7 +37,7 @@
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.forwarder import Forwarder
-from larkpost.gateway.rollouts.keeper import BatchKeeper
+from larkpost.gateway.rollouts.keeper import BatchManager
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId, Result, ResultState
 from larkpost.gateway.rollouts.reader import ResultPage
 from larkpost.gateway.rollouts.view import ViewCache
@@ -670,7 +670,7 @@
         repository = mock.AsyncMock()
         repository.head.return_value = head
         services = mock.Mock(clock=LoopClock())
-        keeper = BatchKeeper(
+        keeper = BatchManager(
             repository, mock.AsyncMock(), services, ViewCache(budget), lambda: 60.0
         )
         item = Item(ItemId("i"), "/", (), bytes(MB), 1, "g")
