--- a/src/larkpost/gateway/rollouts/keeper.py
+++ b/src/larkpost/gateway/rollouts/keeper.py
@@ -31,7 +31,7 @@
 """The same at a daemon that may claim nothing."""
 REMOVAL_INTERVAL_SECONDS = 5.0
 """Between two checks for batches to remove. Nobody waits for a removal."""
-MAX_REPORTED = 16
+MAX_REPORTED_BATCHES = 16
 """Most batches whose progress a daemon reports, the newest: some 40 bytes a batch and heartbeat."""
 RETENTION_SLACK_SECONDS = 60.0
 """For so long after its lifetime a batch is stored still, so that a read which began within it is
@@ -126,7 +126,7 @@
 
     def progress(self) -> dict[BatchId, BatchProgress]:
         """Returns how far the batches that this daemon owns are, at most `MAX_REPORTED` of them."""
-        newest = list(self._owned.items())[-MAX_REPORTED:]
+        newest = list(self._owned.items())[-MAX_REPORTED_BATCHES:]
         known = ((batch, owned.progress()) for batch, owned in newest)
         return {batch: progress for batch, progress in known if progress is not None}
 
