--- a/src/larkpost/gateway/rollouts/keeper.py
+++ b/src/larkpost/gateway/rollouts/keeper.py
@@ -134,7 +134,7 @@
         """Records how far another daemon's batches are, as it reports it."""
         self._outlooks.record_report(daemon, batches)
 
-    async def own_accepted(self, spec: BatchSpec, upload: str) -> None:
+    async def start_accepted(self, spec: BatchSpec, upload: str) -> None:
         """Starts an accepted batch at once if it is this daemon's, without waiting for the feed."""
         try:
             head, _ = await asyncio.gather(
--- a/src/larkpost/gateway/rollouts/service.py
+++ b/src/larkpost/gateway/rollouts/service.py
@@ -78,7 +78,7 @@
         if outcome is not AcceptOutcome.ACCEPTED:
             raise self._refusal_error(spec, outcome)
         self._record_accepted(spec, self._clock.now() - began)
-        await self._keeper.own_accepted(spec, upload)
+        await self._keeper.start_accepted(spec, upload)
 
     def _homeless_error(self, spec: BatchSpec) -> BatchRefusedError:
         """Records that no engine may serve a batch, and returns the error of its submission."""
--- a/tests/test_held_bytes.py
+++ b/tests/test_held_bytes.py
@@ -674,7 +674,7 @@
             repository, mock.AsyncMock(), services, ViewCache(budget), lambda: 60.0
         )
         item = Item(ItemId("i"), "/", (), bytes(MB), 1, "g")
-        await keeper.own_accepted(mock.Mock(id=BatchId("b"), items=(item,)), "u")
+        await keeper.start_accepted(mock.Mock(id=BatchId("b"), items=(item,)), "u")
         self.assertEqual(MB, budget.held(Purpose.BATCHES))
         keeper.finish(BatchId("b"))
 
