--- a/src/larkpost/gateway/rollouts/keeper.py
+++ b/src/larkpost/gateway/rollouts/keeper.py
@@ -79,7 +79,7 @@
     def start(self, tasks: TaskSet) -> None:
         """Starts to update and remove batches, each at its interval."""
         tasks.every(self._interval, self.update, "batches")
-        tasks.every(REMOVAL_INTERVAL_SECONDS, self.remove_old, "batch_removal")
+        tasks.every(REMOVAL_INTERVAL_SECONDS, self.remove_expired, "batch_removal")
 
     def _interval(self) -> float:
         """Returns the seconds between two checks: a daemon that may claim nothing checks seldom."""
@@ -168,7 +168,7 @@
         self._leaving = True
         await asyncio.gather(*(self._hand_over(batch) for batch in list(self._owned)))
 
-    async def remove_old(self) -> None:
+    async def remove_expired(self) -> None:
         """Removes batches whose time of storage is over; one daemon does it for each."""
         now = self._services.store_time()
         if now is None:
