--- a/src/larkpost/gateway/rollouts/owned.py
+++ b/src/larkpost/gateway/rollouts/owned.py
@@ -18,7 +18,7 @@
 )
 from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.repository import BatchRepository
-from larkpost.gateway.rollouts.result_list import RETRY_SECONDS, ResultList
+from larkpost.gateway.rollouts.result_list import RETRY_SECONDS, ResultAppender
 from larkpost.gateway.rollouts.run import BatchRun
 from larkpost.gateway.rollouts.view import BatchView
 from larkpost.gateway.store.port import StoreUnavailableError
@@ -48,7 +48,7 @@
         self._log: EventLog = services.log
         self._run: BatchRun | None = None
         self._saver = OutputSaver(head.id, repository)
-        self._results = ResultList(head, view, repository, services, self._drop_listed)
+        self._results = ResultAppender(head, view, repository, services, self._drop_listed)
         self._tasks: list[asyncio.Task] = []
 
     def start(self, items: tuple[Item, ...] | None, fresh: bool) -> None:
--- a/src/larkpost/gateway/rollouts/result_list.py
+++ b/src/larkpost/gateway/rollouts/result_list.py
@@ -23,7 +23,7 @@
 """Pause after a call that the store refused or did not answer."""
 
 
-class ResultList:
+class ResultAppender:
     """The list of results of one batch.
 
     Args:
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -56,9 +56,9 @@
 
 def list_again():
     """Appends what another owner has listed."""
-    from larkpost.gateway.rollouts.result_list import ResultList
+    from larkpost.gateway.rollouts.result_list import ResultAppender
 
-    original = ResultList.__init__
+    original = ResultAppender.__init__
 
     def begin(self, head, view, repository, services, drop):
         original(self, head, view, repository, services, lambda _: None)
@@ -67,7 +67,7 @@
         self.pending.append(result)
         self._wake.set()
 
-    return mock.patch.multiple(ResultList, __init__=begin, add=add)
+    return mock.patch.multiple(ResultAppender, __init__=begin, add=add)
 
 
 def order_without_lease():
