--- a/src/larkpost/gateway/rollouts/owned.py
+++ b/src/larkpost/gateway/rollouts/owned.py
@@ -104,7 +104,7 @@
             return
         try:
             async with asyncio.timeout(FLUSH_SECONDS):
-                await self._results.synchronise()
+                await self._results.reload()
                 await self._results.append_once()
         except (TimeoutError, StoreUnavailableError):
             return  # the next owner runs them again
@@ -159,7 +159,7 @@
                     items = await self._repository.items(self.head)
                 if not fresh:
                     stored = await self._repository.partials(self.head.id, items)
-                await self._results.synchronise()
+                await self._results.reload()
                 return items, stored
             except StoreUnavailableError:
                 if fresh and items is not None:
--- a/src/larkpost/gateway/rollouts/result_list.py
+++ b/src/larkpost/gateway/rollouts/result_list.py
@@ -72,7 +72,7 @@
             return False
         return self.tail.ended or self.tail.count >= self._total
 
-    async def synchronise(self) -> None:
+    async def reload(self) -> None:
         """Reads the tail and the results listed by anyone.
 
         Raises:
@@ -157,7 +157,7 @@
     async def _resynchronise(self) -> None:
         while True:
             try:
-                await self.synchronise()
+                await self.reload()
                 return
             except StoreUnavailableError:
                 await self._clock.sleep(RETRY_SECONDS)
