--- a/src/larkpost/gateway/rollouts/item_runs.py
+++ b/src/larkpost/gateway/rollouts/item_runs.py
@@ -42,7 +42,7 @@
 """Ends of a run after which the item goes on; all other errors are faults of this program."""
 
 
-class ItemRuns:
+class ItemRunner:
     """Makes the outputs of one batch's items whole."""
 
     def __init__(
--- a/src/larkpost/gateway/rollouts/run.py
+++ b/src/larkpost/gateway/rollouts/run.py
@@ -14,7 +14,7 @@
 from larkpost.gateway.rollouts.engine_choice import EngineSelector
 from larkpost.gateway.rollouts.engine_run import EngineRuns
 from larkpost.gateway.rollouts.item_routes import ItemRoutes
-from larkpost.gateway.rollouts.item_runs import ItemRuns
+from larkpost.gateway.rollouts.item_runs import ItemRunner
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId, Result, ResultState
 from larkpost.gateway.rollouts.place_queue import SlotQueue
 from larkpost.gateway.rollouts.progress import Progress
@@ -52,7 +52,7 @@
         runs = EngineRuns(head, items, self._engines, self._slot_queue, services)
         self._stalls = runs.stalls
         routes = ItemRoutes(head, services)
-        self._outputs = ItemRuns(head, routes, self._slot_queue, runs, services)
+        self._outputs = ItemRunner(head, routes, self._slot_queue, runs, services)
         self._scorer = RewardScorer(head, routes, services)
         self._waiting = sorted(items, key=lambda item: item.expected_work, reverse=True)
         self._stall_task: asyncio.Task | None = None
