--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -36,7 +36,7 @@
 """Events of a run between two checks for a faster engine."""
 
 
-class EngineRuns:
+class EngineRunner:
     """Makes the runs of one batch's items at engines.
 
     Args:
--- a/src/larkpost/gateway/rollouts/run.py
+++ b/src/larkpost/gateway/rollouts/run.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.engine_choice import EngineSelector
-from larkpost.gateway.rollouts.engine_run import EngineRuns
+from larkpost.gateway.rollouts.engine_run import EngineRunner
 from larkpost.gateway.rollouts.item_routes import ItemRoutes
 from larkpost.gateway.rollouts.item_runs import ItemRunner
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId, Result, ResultState
@@ -49,7 +49,7 @@
         self._finished = finished
         self._engines = EngineSelector(head, services)
         self._slot_queue = SlotQueue(self._engines, services.balancer, services.clock)
-        runs = EngineRuns(head, items, self._engines, self._slot_queue, services)
+        runs = EngineRunner(head, items, self._engines, self._slot_queue, services)
         self._stalls = runs.stalls
         routes = ItemRoutes(head, services)
         self._outputs = ItemRunner(head, routes, self._slot_queue, runs, services)
--- a/tests/switched_off.py
+++ b/tests/switched_off.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.proxy.server_choice import ServerChoice
 from larkpost.gateway.rollouts import reward_rules, service
 from larkpost.gateway.rollouts.engine_choice import EngineSelector
-from larkpost.gateway.rollouts.engine_run import EngineRuns
+from larkpost.gateway.rollouts.engine_run import EngineRunner
 from larkpost.gateway.rollouts.faster_place import FasterEngineRequest
 from larkpost.gateway.rollouts.owned import OwnedBatch
 from larkpost.gateway.rollouts.reader import BatchReader
@@ -36,7 +36,7 @@
 
 def ranks_of_items():
     """Engines get no priority of an item."""
-    return mock.patch.object(EngineRuns, "_priority", lambda *_: None)
+    return mock.patch.object(EngineRunner, "_priority", lambda *_: None)
 
 
 def own_engines_first():
