--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -21,7 +21,7 @@
     RunOutcome,
     classify_failed_response,
 )
-from larkpost.gateway.rollouts.run_events import RunEvents
+from larkpost.gateway.rollouts.run_events import EventRecorder
 from larkpost.gateway.rollouts.stalls import RunWatch, StallDetector, StalledError
 from larkpost.gateway.rollouts.urgency import EnginePriorities
 from larkpost.gateway.servers.port import (
@@ -110,7 +110,7 @@
         """
         faster = FasterEngineRequest(self._slot_queue, self._engines, run)
         try:
-            events = RunEvents(run, watch, self._head, self._services, response.version or 0)
+            events = EventRecorder(run, watch, self._head, self._services, response.version or 0)
             async for event in response.events():
                 events.record(event)
                 faster.raise_if_assigned()
--- a/src/larkpost/gateway/rollouts/run_events.py
+++ b/src/larkpost/gateway/rollouts/run_events.py
@@ -22,7 +22,7 @@
 ones whose pace was a stray measurement."""
 
 
-class RunEvents:
+class EventRecorder:
     """The events of one run.
 
     Args:
