--- a/src/larkpost/gateway/rollouts/item_runs.py
+++ b/src/larkpost/gateway/rollouts/item_runs.py
@@ -63,7 +63,7 @@
         self._queued_at: dict[ItemId, float] = {}
         """Steady times since which items that have not run yet wait."""
 
-    async def make_whole(self, progress: Progress) -> bool:
+    async def run_to_completion(self, progress: Progress) -> bool:
         """Runs an item at engines until its output is whole; False if it can never be."""
         item = progress.item
         self._queued_at[item.id] = self._services.clock.now()
--- a/src/larkpost/gateway/rollouts/run.py
+++ b/src/larkpost/gateway/rollouts/run.py
@@ -139,7 +139,7 @@
         Returns:
             Whether the item is done, or else dead; its score, if it wants one.
         """
-        if not await self._outputs.make_whole(progress):
+        if not await self._outputs.run_to_completion(progress):
             return False, None
         call = progress.item.reward_call
         if call is None:
