--- a/src/larkpost/gateway/rollouts/run_events.py
+++ b/src/larkpost/gateway/rollouts/run_events.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.rollouts.stalls import RunWatch
 from larkpost.gateway.servers.port import BrokenResponseError, StreamEvent
 
-EVENT_GAP_SECONDS = 1.2
+MAX_EVENT_GAP_SECONDS = 1.2
 """Longest pause between two events before the run is continued elsewhere. A trial with 0.8 s
 together with another change was worse than this, and was reverted."""
 EVENT_PACE_WEIGHT = 0.06
@@ -57,7 +57,7 @@
             DiscontinuityError: it does not follow the last one.
         """
         now = asyncio.get_running_loop().time()
-        self._watch.record_event(now, EVENT_GAP_SECONDS)
+        self._watch.record_event(now, MAX_EVENT_GAP_SECONDS)
         if event.version is not None:
             self._version = event.version
             self._observe_version(event.version)
