--- a/src/larkpost/gateway/rollouts/service.py
+++ b/src/larkpost/gateway/rollouts/service.py
@@ -70,7 +70,7 @@
         known = self._keeper.head(spec.id)
         if known is not None and known.tenant == spec.tenant:
             return
-        if self._is_homeless(spec):
+        if self._has_no_eligible_engine(spec):
             raise self._homeless_error(spec)
         began = self._clock.now()
         upload = secrets.token_hex(8)
@@ -114,7 +114,7 @@
             seconds=round(seconds, 3),
         )
 
-    def _is_homeless(self, spec: BatchSpec) -> bool:
+    def _has_no_eligible_engine(self, spec: BatchSpec) -> bool:
         """Returns whether no engine lies where a batch may be served."""
         configuration = self._services.configuration.current
         path = spec.path.encode("latin-1")
