--- a/src/larkpost/gateway/rollouts/service.py
+++ b/src/larkpost/gateway/rollouts/service.py
@@ -71,7 +71,7 @@
         if known is not None and known.tenant == spec.tenant:
             return
         if self._has_no_eligible_engine(spec):
-            raise self._homeless_error(spec)
+            raise self._no_eligible_engine_error(spec)
         began = self._clock.now()
         upload = secrets.token_hex(8)
         outcome = await self._repository.accept(spec, self._owner, upload, ACCEPT_SECONDS)
@@ -80,7 +80,7 @@
         self._record_accepted(spec, self._clock.now() - began)
         await self._keeper.start_accepted(spec, upload)
 
-    def _homeless_error(self, spec: BatchSpec) -> BatchRefusedError:
+    def _no_eligible_engine_error(self, spec: BatchSpec) -> BatchRefusedError:
         """Records that no engine may serve a batch, and returns the error of its submission."""
         self._services.metrics.count(Count.BATCH_CALLS, "submit", "homeless")
         self._log.record(Event.BATCH_REFUSED, batch=spec.id, uncertain=False, homeless=True)
