--- a/src/larkpost/gateway/rollouts/batch_rows.py
+++ b/src/larkpost/gateway/rollouts/batch_rows.py
@@ -36,7 +36,7 @@
     return codec.decode_head(BatchId(row.key.key), row.value)
 
 
-def end_of(prefix: str) -> str:
+def prefix_end(prefix: str) -> str:
     """Returns the end of the range of the keys that begin with a prefix and a slash."""
     return f"{prefix}{FIRST_AFTER_SLASH}"
 
--- a/src/larkpost/gateway/rollouts/partial_outputs.py
+++ b/src/larkpost/gateway/rollouts/partial_outputs.py
@@ -6,7 +6,7 @@
 
 from larkpost.common.ids import BatchId
 from larkpost.gateway.rollouts import codec
-from larkpost.gateway.rollouts.batch_rows import BatchRows, RowPut, end_of, key_of
+from larkpost.gateway.rollouts.batch_rows import BatchRows, RowPut, key_of, prefix_end
 from larkpost.gateway.rollouts.model import Item, ItemId
 from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.store.batch_tables import PARTIAL_TABLE, part_of
@@ -35,7 +35,7 @@
             StoreUnavailableError: the store did not answer.
         """
         page = await read_all(
-            self._store, PARTIAL_TABLE, part_of(batch), f"{batch}/", end_of(batch)
+            self._store, PARTIAL_TABLE, part_of(batch), f"{batch}/", prefix_end(batch)
         )
         pieces: dict[str, list[bytes]] = {}
         for row in page.rows:
--- a/src/larkpost/gateway/rollouts/repository.py
+++ b/src/larkpost/gateway/rollouts/repository.py
@@ -19,9 +19,9 @@
     WRITE_TIMEOUT_SECONDS,
     BatchRows,
     RowPut,
-    end_of,
     head_of_row,
     key_of,
+    prefix_end,
 )
 from larkpost.gateway.rollouts.model import BatchHead, BatchSpec, Item, ItemId, Result, Tail
 from larkpost.gateway.rollouts.partial_outputs import PartialOutputs
@@ -111,7 +111,7 @@
             ITEM_TABLE,
             part_of(head.id),
             f"{prefix}/",
-            end_of(prefix),
+            prefix_end(prefix),
         )
         return codec.decode_items(b"".join(row.value for row in page.rows))
 
@@ -126,7 +126,7 @@
             RESULT_TABLE,
             part_of(batch),
             f"{batch}/{position:08d}/",
-            end_of(batch),
+            prefix_end(batch),
         )
         pieces: dict[str, list[bytes]] = {}
         for row in page.rows:
@@ -234,7 +234,7 @@
             StoreUnavailableError: the store did not answer.
         """
         part = part_of(head.id)
-        last = end_of(head.id)
+        last = prefix_end(head.id)
         for table in (PARTIAL_TABLE, RESULT_TABLE, ITEM_TABLE):
             page = await read_all(self._store, table, part, f"{head.id}/", last)
             keys = [row.key for row in page.rows]
