--- a/src/larkpost/gateway/rollouts/acceptance.py
+++ b/src/larkpost/gateway/rollouts/acceptance.py
@@ -14,9 +14,9 @@
     WRITE_TIMEOUT_SECONDS,
     BatchRows,
     RowPut,
+    batch_key,
     fits,
     head_of_row,
-    key_of,
 )
 from larkpost.gateway.rollouts.model import BatchHead, BatchSpec, Tail
 from larkpost.gateway.store.batch_tables import HEAD_TABLE, ITEM_TABLE, TAIL_TABLE
@@ -131,15 +131,15 @@
     def _item_rows(self, spec: BatchSpec, upload: str) -> list[RowPut]:
         pieces = self._rows.cut(codec.encode_items(spec.items))
         return [
-            (key_of(ITEM_TABLE, spec.id, f"/{upload}/{number:06d}"), piece)
+            (batch_key(ITEM_TABLE, spec.id, f"/{upload}/{number:06d}"), piece)
             for number, piece in enumerate(pieces)
         ]
 
     def _transaction(self, submission: _Submission) -> Transaction:
         """Returns what makes a batch be there: its head, an empty tail, its items if they fit."""
         batch = submission.spec.id
-        head_key = key_of(HEAD_TABLE, batch)
-        tail_key = key_of(TAIL_TABLE, batch)
+        head_key = batch_key(HEAD_TABLE, batch)
+        tail_key = batch_key(TAIL_TABLE, batch)
         puts = [
             (head_key, codec.encode_head(self._head(submission))),
             (tail_key, codec.encode_tail(Tail(0, False, 0))),
--- a/src/larkpost/gateway/rollouts/batch_rows.py
+++ b/src/larkpost/gateway/rollouts/batch_rows.py
@@ -22,7 +22,7 @@
 """A row to be written, and its value."""
 
 
-def key_of(table: str, batch: BatchId, rest: str = "") -> RowKey:
+def batch_key(table: str, batch: BatchId, rest: str = "") -> RowKey:
     """Returns the key of a batch's row.
 
     Args:
--- a/src/larkpost/gateway/rollouts/partial_outputs.py
+++ b/src/larkpost/gateway/rollouts/partial_outputs.py
@@ -6,7 +6,7 @@
 
 from larkpost.common.ids import BatchId
 from larkpost.gateway.rollouts import codec
-from larkpost.gateway.rollouts.batch_rows import BatchRows, RowPut, key_of, prefix_end
+from larkpost.gateway.rollouts.batch_rows import BatchRows, RowPut, batch_key, prefix_end
 from larkpost.gateway.rollouts.model import Item, ItemId
 from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.store.batch_tables import PARTIAL_TABLE, part_of
@@ -51,6 +51,6 @@
         content = codec.encode_progress(progress, MAX_KEPT_BYTES)
         pieces = codec.split_rewritten(content, self._rows.piece_bytes)
         return [
-            (key_of(PARTIAL_TABLE, batch, f"/{progress.item.id}/{number:02d}"), piece)
+            (batch_key(PARTIAL_TABLE, batch, f"/{progress.item.id}/{number:02d}"), piece)
             for number, piece in enumerate(pieces)
         ]
--- a/src/larkpost/gateway/rollouts/repository.py
+++ b/src/larkpost/gateway/rollouts/repository.py
@@ -19,8 +19,8 @@
     WRITE_TIMEOUT_SECONDS,
     BatchRows,
     RowPut,
+    batch_key,
     head_of_row,
-    key_of,
     prefix_end,
 )
 from larkpost.gateway.rollouts.model import BatchHead, BatchSpec, Item, ItemId, Result, Tail
@@ -142,7 +142,7 @@
             The outcome; the tail as it is if the outcome is "done"; how many results were taken.
         """
         puts, taken = self._result_rows(batch, tail.count, results)
-        key = key_of(TAIL_TABLE, batch)
+        key = batch_key(TAIL_TABLE, batch)
         new_tail = replace(tail, count=tail.count + taken)
         puts.append((key, codec.encode_tail(new_tail)))
         change = Transaction(conditions=((key, tail.version),), puts=tuple(puts))
@@ -167,7 +167,7 @@
                 break
             prefix = f"/{position + taken:08d}"
             puts.extend(
-                (key_of(RESULT_TABLE, batch, f"{prefix}/{number:04d}"), piece)
+                (batch_key(RESULT_TABLE, batch, f"{prefix}/{number:04d}"), piece)
                 for number, piece in enumerate(pieces)
             )
             size += added
@@ -188,8 +188,8 @@
                 return EndOutcome.UNKNOWN_BATCH
             if tail.ended:
                 return EndOutcome.ENDED
-            head_key = key_of(HEAD_TABLE, batch)
-            tail_key = key_of(TAIL_TABLE, batch)
+            head_key = batch_key(HEAD_TABLE, batch)
+            tail_key = batch_key(TAIL_TABLE, batch)
             change = Transaction(
                 conditions=((tail_key, tail.version),),
                 puts=(
@@ -205,7 +205,7 @@
 
     async def claim(self, head: BatchHead, version: int, owner: DaemonId) -> bool:
         """Makes a daemon the owner of a batch, on condition of the head's version."""
-        key = key_of(HEAD_TABLE, head.id)
+        key = batch_key(HEAD_TABLE, head.id)
         value = codec.encode_head(replace(head, owner=owner))
         change = Transaction(conditions=((key, version),), puts=((key, value),))
         result = await self._store.write(change, WRITE_TIMEOUT_SECONDS)
@@ -241,7 +241,7 @@
             for start in range(0, len(keys), MAX_TRANSACTION_ROWS):
                 chosen = tuple(keys[start : start + MAX_TRANSACTION_ROWS])
                 await self._store.write(Transaction(removals=chosen), WRITE_TIMEOUT_SECONDS)
-        removals = (key_of(TAIL_TABLE, head.id), key_of(HEAD_TABLE, head.id))
+        removals = (batch_key(TAIL_TABLE, head.id), batch_key(HEAD_TABLE, head.id))
         await self._store.write(Transaction(removals=removals), WRITE_TIMEOUT_SECONDS)
 
     async def _row(self, table: str, batch: BatchId) -> Row | None:
