--- a/src/larkpost/gateway/rollouts/acceptance.py
+++ b/src/larkpost/gateway/rollouts/acceptance.py
@@ -15,7 +15,7 @@
     BatchRows,
     RowPut,
     batch_key,
-    fits,
+    fits_transaction,
     head_of_row,
 )
 from larkpost.gateway.rollouts.model import BatchHead, BatchSpec, Tail
@@ -88,7 +88,7 @@
         """
         give_up_at = self._clock.now() + seconds
         rows = self._item_rows(spec, upload)
-        submission = _Submission(spec, owner, upload, rows, is_uploaded=fits(rows))
+        submission = _Submission(spec, owner, upload, rows, is_uploaded=fits_transaction(rows))
         while True:
             outcome = await self._try(submission)
             if outcome is not None:
@@ -144,7 +144,7 @@
             (head_key, codec.encode_head(self._head(submission))),
             (tail_key, codec.encode_tail(Tail(0, False, 0))),
         ]
-        if fits(submission.rows):
+        if fits_transaction(submission.rows):
             puts.extend(submission.rows)
         return Transaction(conditions=((head_key, ABSENT),), puts=tuple(puts))
 
--- a/src/larkpost/gateway/rollouts/batch_rows.py
+++ b/src/larkpost/gateway/rollouts/batch_rows.py
@@ -41,7 +41,7 @@
     return f"{prefix}{FIRST_AFTER_SLASH}"
 
 
-def fits(rows: list[RowPut]) -> bool:
+def fits_transaction(rows: list[RowPut]) -> bool:
     """Returns whether one transaction takes all rows."""
     size = sum(len(value) for _, value in rows)
     return size <= MAX_TRANSACTION_BYTES and len(rows) <= MAX_TRANSACTION_ROWS
@@ -64,7 +64,7 @@
         left = list(groups)
         while left:
             rows = left.pop(0)
-            while left and fits(rows + left[0]):
+            while left and fits_transaction(rows + left[0]):
                 rows = rows + left.pop(0)
             change = Transaction(puts=tuple(rows))
             outcome = (await self._store.write(change, WRITE_TIMEOUT_SECONDS)).outcome
