--- a/src/larkpost/gateway/rollouts/batch_rows.py
+++ b/src/larkpost/gateway/rollouts/batch_rows.py
@@ -52,12 +52,12 @@
 
     def __init__(self, store: Store) -> None:
         self._store = store
-        self.piece_bytes = store.row_bytes * 3 // 4
+        self.chunk_bytes = store.row_bytes * 3 // 4
         """Most bytes of one row's value; the rest is left to its key and the store's own fields."""
 
     def cut(self, content: bytes) -> list[bytes]:
         """Cuts a document into values of rows."""
-        return codec.split(content, self.piece_bytes)
+        return codec.split(content, self.chunk_bytes)
 
     async def write(self, groups: list[list[RowPut]]) -> WriteOutcome:
         """Writes groups of rows, as many at once as fit, the rows of a group always together."""
--- a/src/larkpost/gateway/rollouts/partial_outputs.py
+++ b/src/larkpost/gateway/rollouts/partial_outputs.py
@@ -49,7 +49,7 @@
 
     def _rows_of(self, batch: BatchId, progress: Progress) -> list[RowPut]:
         content = codec.encode_progress(progress, MAX_KEPT_BYTES)
-        pieces = codec.split_rewritten(content, self._rows.piece_bytes)
+        pieces = codec.split_rewritten(content, self._rows.chunk_bytes)
         return [
             (batch_key(PARTIAL_TABLE, batch, f"/{progress.item.id}/{number:02d}"), piece)
             for number, piece in enumerate(pieces)
