--- a/src/larkpost/gateway/rollouts/partial_outputs.py
+++ b/src/larkpost/gateway/rollouts/partial_outputs.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.store.batch_tables import PARTIAL_TABLE, part_of
 from larkpost.gateway.store.port import Store, WriteOutcome, read_all
 
-MAX_KEPT_BYTES = 300_000
+MAX_STORED_BYTES = 300_000
 """Longest output of an item that is stored, some 700 events: one transaction must take it."""
 
 
@@ -48,7 +48,7 @@
         }
 
     def _rows_of(self, batch: BatchId, progress: Progress) -> list[RowPut]:
-        content = codec.encode_progress(progress, MAX_KEPT_BYTES)
+        content = codec.encode_progress(progress, MAX_STORED_BYTES)
         pieces = codec.split_rewritten(content, self._rows.chunk_bytes)
         return [
             (batch_key(PARTIAL_TABLE, batch, f"/{progress.item.id}/{number:02d}"), piece)
