--- a/src/larkpost/gateway/rollouts/view.py
+++ b/src/larkpost/gateway/rollouts/view.py
@@ -15,7 +15,7 @@
 """Most bytes of texts and bodies that the views of batches not run here hold."""
 
 
-IDLE_SHARE = 8
+IDLE_BUDGET_DIVISOR = 8
 """They hold at most this part of the budget, where there is one."""
 
 
@@ -121,4 +121,6 @@
 
     def _max_idle_bytes(self) -> int:
         limit = self._budget.limit
-        return MAX_CACHE_BYTES if limit is None else min(MAX_CACHE_BYTES, limit // IDLE_SHARE)
+        return (
+            MAX_CACHE_BYTES if limit is None else min(MAX_CACHE_BYTES, limit // IDLE_BUDGET_DIVISOR)
+        )
