--- a/src/larkpost/gateway/rollouts/keeper.py
+++ b/src/larkpost/gateway/rollouts/keeper.py
@@ -212,7 +212,7 @@
     def _count_held(self) -> None:
         """Tells the budget what all batches hold, and drops some that are not run here."""
         outputs = sum(owned.output_bytes for owned in self._owned.values())
-        self._views.bound(set(self._owned), outputs)
+        self._views.evict_idle(set(self._owned), outputs)
 
     def _release(self, batch: BatchId) -> None:
         owned = self._owned.pop(batch, None)
--- a/src/larkpost/gateway/rollouts/view.py
+++ b/src/larkpost/gateway/rollouts/view.py
@@ -102,7 +102,7 @@
         """Drops the view of a batch."""
         self._views.pop(batch, None)
 
-    def bound(self, in_use: set[BatchId], outputs: int = 0) -> None:
+    def evict_idle(self, in_use: set[BatchId], outputs: int = 0) -> None:
         """Drops the views that were not used for longest, but none in use.
 
         Args:
