--- a/src/larkpost/gateway/rollouts/keeper.py
+++ b/src/larkpost/gateway/rollouts/keeper.py
@@ -203,7 +203,7 @@
     def _own(self, head: BatchHead, items: tuple[Item, ...] | None, *, fresh: bool) -> None:
         view: BatchView = self._views.get_or_add(head)
         if items is not None:
-            view.keep_items(items)
+            view.set_items(items)
         owned = OwnedBatch(head, view, self._repository, self._services)
         self._owned[head.id] = owned
         self._log.record(Event.BATCH_OWNED, batch=head.id, fresh=fresh)
--- a/src/larkpost/gateway/rollouts/owned.py
+++ b/src/larkpost/gateway/rollouts/owned.py
@@ -128,7 +128,7 @@
     async def _load(self, items: tuple[Item, ...] | None, fresh: bool) -> None:
         """Reads what is missing of the batch, and starts the items that have no result."""
         items, stored = await self._read(items, fresh)
-        self._view.keep_items(items)
+        self._view.set_items(items)
         ended_items = self._results.listed | {result.item for result in self._results.pending}
         open_items = tuple(item for item in items if item.id not in ended_items)
         self._log.record(
--- a/src/larkpost/gateway/rollouts/reader.py
+++ b/src/larkpost/gateway/rollouts/reader.py
@@ -133,7 +133,7 @@
         view = await self._view(batch, caller)
         items = view.items
         if items is None:
-            items = view.keep_items(await self._load_items(view.head))
+            items = view.set_items(await self._load_items(view.head))
         found = items.get(item)
         if found is None:
             raise NoSuchBatchError(f"batch {batch} has no item {item}")
--- a/src/larkpost/gateway/rollouts/view.py
+++ b/src/larkpost/gateway/rollouts/view.py
@@ -52,7 +52,7 @@
             self._changed.set()
             self._changed = asyncio.Event()
 
-    def keep_items(self, items: Iterable[Item]) -> dict[ItemId, Item]:
+    def set_items(self, items: Iterable[Item]) -> dict[ItemId, Item]:
         """Keeps the batch's items, and returns them by id."""
         if self.items is not None:
             self.size -= sum(len(item.body) for item in self.items.values())
--- a/tests/test_held_bytes.py
+++ b/tests/test_held_bytes.py
@@ -686,7 +686,7 @@
         """Adds a view with an item and a result of so many bytes each."""
         head = BatchHead(BatchId(name), "h", "/", "m", 0, 0, 0, 1, "d", 0.0, False, "u")
         view = cache.get_or_add(head)
-        view.keep_items((Item(ItemId("i"), "/", (), bytes(size), 1, "g"),))
+        view.set_items((Item(ItemId("i"), "/", (), bytes(size), 1, "g"),))
         view.add(0, [Result(ItemId("i"), ResultState.DONE, "x" * size)])
         view.used_at = float(size)
         return view
@@ -695,7 +695,7 @@
         budget = ByteBudget(100 * MB)
         cache = ViewCache(budget)
         view = self.view(cache, "a", MB)
-        view.keep_items(view.items.values())
+        view.set_items(view.items.values())
         cache.bound({BatchId("a")}, outputs=10)
         self.assertEqual(2 * MB + 10, budget.held(Purpose.BATCHES))
         cache.forget(BatchId("a"))
