--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -13,7 +13,6 @@
 from larkpost.gateway.rollouts.engine_rules import may_migrate
 from larkpost.gateway.rollouts.faster_place import FasterEngineRequest
 from larkpost.gateway.rollouts.model import ITEM_METHOD, BatchHead, Item
-from larkpost.gateway.rollouts.place_queue import SlotQueue
 from larkpost.gateway.rollouts.progress import ItemRun
 from larkpost.gateway.rollouts.retry_rules import (
     FAILED_STATUS,
@@ -22,6 +21,7 @@
     classify_failed_response,
 )
 from larkpost.gateway.rollouts.run_events import EventRecorder
+from larkpost.gateway.rollouts.slot_queue import SlotQueue
 from larkpost.gateway.rollouts.stalls import RunWatch, StallDetector, StalledError
 from larkpost.gateway.rollouts.urgency import EnginePriorities
 from larkpost.gateway.servers.port import (
--- a/src/larkpost/gateway/rollouts/faster_place.py
+++ b/src/larkpost/gateway/rollouts/faster_place.py
@@ -8,8 +8,8 @@
 
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.rollouts.engine_choice import EngineSelector
-from larkpost.gateway.rollouts.place_queue import SlotQueue
 from larkpost.gateway.rollouts.progress import ItemRun
+from larkpost.gateway.rollouts.slot_queue import SlotQueue
 
 
 class MigrateRunError(Exception):
--- a/src/larkpost/gateway/rollouts/item_runs.py
+++ b/src/larkpost/gateway/rollouts/item_runs.py
@@ -15,13 +15,13 @@
 from larkpost.gateway.rollouts.faster_place import MigrateRunError
 from larkpost.gateway.rollouts.item_routes import ItemRoutes
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId
-from larkpost.gateway.rollouts.place_queue import SlotQueue
 from larkpost.gateway.rollouts.progress import DiscontinuityError, ItemRun, Progress
 from larkpost.gateway.rollouts.retry_rules import (
     REFUSED_AVOID_SECONDS,
     RunOutcome,
     classify_run_error,
 )
+from larkpost.gateway.rollouts.slot_queue import SlotQueue
 from larkpost.gateway.rollouts.stalls import StalledError
 from larkpost.gateway.servers.port import BrokenResponseError, NotRunError
 
--- a/src/larkpost/gateway/rollouts/run.py
+++ b/src/larkpost/gateway/rollouts/run.py
@@ -16,9 +16,9 @@
 from larkpost.gateway.rollouts.item_routes import ItemRoutes
 from larkpost.gateway.rollouts.item_runs import ItemRunner
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId, Result, ResultState
-from larkpost.gateway.rollouts.place_queue import SlotQueue
 from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.reward import RewardScorer
+from larkpost.gateway.rollouts.slot_queue import SlotQueue
 from larkpost.gateway.rollouts.stalls import CHECK_INTERVAL_SECONDS
 from larkpost.gateway.rollouts.work_left import summarize_progress
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -15,8 +15,8 @@
 from larkpost.gateway.rollouts.engine_choice import BEST_PACE_CACHE_SECONDS, EngineSelector
 from larkpost.gateway.rollouts.faster_place import FasterEngineRequest, MigrateRunError
 from larkpost.gateway.rollouts.model import BatchHead
-from larkpost.gateway.rollouts.place_queue import SlotQueue
 from larkpost.gateway.rollouts.progress import LONG_RUN_EVENTS, ItemRun, Progress
+from larkpost.gateway.rollouts.slot_queue import SlotQueue
 from larkpost.gateway.store.port import RowKey, Transaction
 from larkpost.platform.stand_in.memory_store import StoreFaults
 from tests.platform_fleet import (
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -24,9 +24,9 @@
 from larkpost.gateway.rollouts.engine_choice import EngineSelector
 from larkpost.gateway.rollouts.faster_place import FasterEngineRequest, MigrateRunError
 from larkpost.gateway.rollouts.model import BatchHead
-from larkpost.gateway.rollouts.place_queue import SlotQueue
 from larkpost.gateway.rollouts.progress import LONG_RUN_EVENTS, ItemRun, Progress
 from larkpost.gateway.rollouts.reward_attempt import RewardCaller
+from larkpost.gateway.rollouts.slot_queue import SlotQueue
 from larkpost.gateway.scaling.port import ScalingMode
 from larkpost.gateway.servers.port import NotRunReason
 from larkpost.gateway.store.batch_tables import PARTIAL_TABLE
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -17,8 +17,8 @@
     ServiceShare,
 )
 from larkpost.gateway.blackboard.tenants import Tenant, TenantName
-from larkpost.gateway.rollouts.place_queue import queue_order
 from larkpost.gateway.rollouts.progress import LONG_RUN_EVENTS, Progress
+from larkpost.gateway.rollouts.slot_queue import queue_order
 from larkpost.gateway.rollouts.stalls import (
     LOADING_STALL_TIMEOUT_SECONDS,
     MIN_STALL_TIMEOUT_SECONDS,
