--- a/src/larkpost/gateway/rollouts/item_runs.py
+++ b/src/larkpost/gateway/rollouts/item_runs.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.observability.metrics import Count, Timing
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.engine_run import EngineRunner
-from larkpost.gateway.rollouts.faster_place import MigrateRunError
+from larkpost.gateway.rollouts.faster_engine import MigrateRunError
 from larkpost.gateway.rollouts.item_routes import ItemRoutes
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId
 from larkpost.gateway.rollouts.progress import DiscontinuityError, ItemRun, Progress
--- a/tests/switched_off.py
+++ b/tests/switched_off.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.rollouts import reward_rules, service
 from larkpost.gateway.rollouts.engine_choice import EngineSelector
 from larkpost.gateway.rollouts.engine_run import EngineRunner
-from larkpost.gateway.rollouts.faster_place import FasterEngineRequest
+from larkpost.gateway.rollouts.faster_engine import FasterEngineRequest
 from larkpost.gateway.rollouts.owned import OwnedBatch
 from larkpost.gateway.rollouts.reader import BatchReader
 from larkpost.gateway.rollouts.run import BatchRun
