--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -9,8 +9,8 @@
 
 from larkpost.gateway.blackboard.known_crashes import BATCH_CRASH_LIMIT
 from larkpost.gateway.rollouts.context import RunServices
-from larkpost.gateway.rollouts.engine_choice import EngineSelector
 from larkpost.gateway.rollouts.engine_rules import may_migrate
+from larkpost.gateway.rollouts.engine_selector import EngineSelector
 from larkpost.gateway.rollouts.faster_engine import FasterEngineRequest
 from larkpost.gateway.rollouts.model import ITEM_METHOD, BatchHead, Item
 from larkpost.gateway.rollouts.progress import ItemRun
--- a/src/larkpost/gateway/rollouts/faster_engine.py
+++ b/src/larkpost/gateway/rollouts/faster_engine.py
@@ -7,7 +7,7 @@
 import asyncio
 
 from larkpost.gateway.blackboard.directory import InstanceInfo
-from larkpost.gateway.rollouts.engine_choice import EngineSelector
+from larkpost.gateway.rollouts.engine_selector import EngineSelector
 from larkpost.gateway.rollouts.progress import ItemRun
 from larkpost.gateway.rollouts.slot_queue import SlotQueue
 
--- a/src/larkpost/gateway/rollouts/slot_queue.py
+++ b/src/larkpost/gateway/rollouts/slot_queue.py
@@ -19,7 +19,7 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.placement.work import Work
 from larkpost.gateway.proxy.balancer import Balancer
-from larkpost.gateway.rollouts.engine_choice import EngineSelector
+from larkpost.gateway.rollouts.engine_selector import EngineSelector
 from larkpost.gateway.rollouts.model import Item
 from larkpost.gateway.rollouts.progress import Progress
 
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -333,7 +333,7 @@
 
 def end_stalled_runs_without_places():
     """Ends every run that makes nothing, whether another engine has a place or not."""
-    from larkpost.gateway.rollouts.engine_choice import EngineSelector
+    from larkpost.gateway.rollouts.engine_selector import EngineSelector
 
     return mock.patch.object(EngineSelector, "count_places", lambda *_: 1000)
 
--- a/tests/test_cold_engine_choice.py
+++ b/tests/test_cold_engine_choice.py
@@ -4,7 +4,7 @@
 from unittest import mock
 
 from larkpost.common.ids import InstanceId
-from larkpost.gateway.rollouts.engine_choice import OWN_ENGINES_ONLY_SECONDS, EngineSelector
+from larkpost.gateway.rollouts.engine_selector import OWN_ENGINES_ONLY_SECONDS, EngineSelector
 from larkpost.gateway.rollouts.model import BatchHead
 from tests.cold_views import ENGINE, LONG_SECONDS, OTHER_ENGINE
 from tests.platform_fleet import COLD_TERMS, ENGINES, MODEL, PlatformFleet, make_batch
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.controllers.heartbeat_intervals import DEAD_AFTER_SECONDS
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.instance_use import PROBE_SECONDS
-from larkpost.gateway.rollouts.engine_choice import BEST_PACE_CACHE_SECONDS, EngineSelector
+from larkpost.gateway.rollouts.engine_selector import BEST_PACE_CACHE_SECONDS, EngineSelector
 from larkpost.gateway.rollouts.faster_engine import FasterEngineRequest, MigrateRunError
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.rollouts.progress import LONG_RUN_EVENTS, ItemRun, Progress
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -21,7 +21,7 @@
 from larkpost.gateway.proxy.request import (
     ClientRequest,
 )
-from larkpost.gateway.rollouts.engine_choice import EngineSelector
+from larkpost.gateway.rollouts.engine_selector import EngineSelector
 from larkpost.gateway.rollouts.faster_engine import FasterEngineRequest, MigrateRunError
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.rollouts.progress import LONG_RUN_EVENTS, ItemRun, Progress
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -21,7 +21,7 @@
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.proxy.admission import Admission
-from larkpost.gateway.rollouts.engine_choice import EngineSelector
+from larkpost.gateway.rollouts.engine_selector import EngineSelector
 from larkpost.gateway.rollouts.errors import BatchRefusedError
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.store.batch_tables import ITEM_TABLE
--- a/tests/test_scale_mechanisms.py
+++ b/tests/test_scale_mechanisms.py
@@ -25,7 +25,7 @@
 from larkpost.gateway.controllers.members import AWAITED_PART, KNOWN_PART, Membership
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
-from larkpost.gateway.rollouts.engine_choice import EngineSelector
+from larkpost.gateway.rollouts.engine_selector import EngineSelector
 from larkpost.gateway.store.batch_tables import HEAD_TABLE
 from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient
 from larkpost.standalone.telemetry import Telemetry
--- a/tests/test_yielding.py
+++ b/tests/test_yielding.py
@@ -6,7 +6,7 @@
 from larkpost.gateway.blackboard.configuration import Configuration, ModelName, Service
 from larkpost.gateway.blackboard.weight_targets import ModelDemand, Outlook
 from larkpost.gateway.controllers.division import LIFETIME_SECONDS, EngineDivision
-from larkpost.gateway.rollouts.engine_choice import OWN_ENGINES_ONLY_SECONDS
+from larkpost.gateway.rollouts.engine_selector import OWN_ENGINES_ONLY_SECONDS
 from tests.platform_fleet import ENGINES, MODEL, PlatformFleet, make_batch
 from tests.virtual import run
 
