--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -22,7 +22,7 @@
 )
 from larkpost.gateway.rollouts.run_events import EventRecorder
 from larkpost.gateway.rollouts.slot_queue import SlotQueue
-from larkpost.gateway.rollouts.stalls import RunWatch, StallDetector, StalledError
+from larkpost.gateway.rollouts.stall_detector import RunWatch, StallDetector, StalledError
 from larkpost.gateway.rollouts.urgency import EnginePriorities
 from larkpost.gateway.servers.port import (
     BrokenResponseError,
--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -24,7 +24,7 @@
 from larkpost.gateway.rollouts.item_work import ItemWork
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.rollouts.progress import ItemRun
-from larkpost.gateway.rollouts.stalls import RunWatch, stall_timeout_seconds
+from larkpost.gateway.rollouts.stall_detector import RunWatch, stall_timeout_seconds
 
 OWN_ENGINES_ONLY_SECONDS = 0.6
 """For so long a batch takes places at its model's own engines only. Batches often come at the same
--- a/src/larkpost/gateway/rollouts/item_runs.py
+++ b/src/larkpost/gateway/rollouts/item_runs.py
@@ -22,7 +22,7 @@
     classify_run_error,
 )
 from larkpost.gateway.rollouts.slot_queue import SlotQueue
-from larkpost.gateway.rollouts.stalls import StalledError
+from larkpost.gateway.rollouts.stall_detector import StalledError
 from larkpost.gateway.servers.port import BrokenResponseError, NotRunError
 
 RETRY_PAUSE_SECONDS = 0.03
--- a/src/larkpost/gateway/rollouts/retry_rules.py
+++ b/src/larkpost/gateway/rollouts/retry_rules.py
@@ -7,7 +7,7 @@
 from enum import StrEnum
 
 from larkpost.gateway.rollouts.progress import DiscontinuityError
-from larkpost.gateway.rollouts.stalls import StalledError
+from larkpost.gateway.rollouts.stall_detector import StalledError
 from larkpost.gateway.servers.port import BrokenResponseError
 
 UNPROCESSABLE_STATUS = 422
--- a/src/larkpost/gateway/rollouts/run.py
+++ b/src/larkpost/gateway/rollouts/run.py
@@ -19,7 +19,7 @@
 from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.reward import RewardScorer
 from larkpost.gateway.rollouts.slot_queue import SlotQueue
-from larkpost.gateway.rollouts.stalls import CHECK_INTERVAL_SECONDS
+from larkpost.gateway.rollouts.stall_detector import CHECK_INTERVAL_SECONDS
 from larkpost.gateway.rollouts.work_left import summarize_progress
 
 FAULT_PAUSE_SECONDS = 1.0
--- a/src/larkpost/gateway/rollouts/run_events.py
+++ b/src/larkpost/gateway/rollouts/run_events.py
@@ -10,7 +10,7 @@
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.rollouts.progress import ItemRun
-from larkpost.gateway.rollouts.stalls import RunWatch
+from larkpost.gateway.rollouts.stall_detector import RunWatch
 from larkpost.gateway.servers.port import BrokenResponseError, StreamEvent
 
 MAX_EVENT_GAP_SECONDS = 1.2
--- a/tests/test_retry_rules.py
+++ b/tests/test_retry_rules.py
@@ -14,7 +14,7 @@
     classify_run_error,
     is_past_lifetime,
 )
-from larkpost.gateway.rollouts.stalls import StalledError, stall_timeout_seconds
+from larkpost.gateway.rollouts.stall_detector import StalledError, stall_timeout_seconds
 from larkpost.gateway.servers.port import BrokenResponseError
 
 RESPONSES = (
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -19,7 +19,7 @@
 from larkpost.gateway.blackboard.tenants import Tenant, TenantName
 from larkpost.gateway.rollouts.progress import LONG_RUN_EVENTS, Progress
 from larkpost.gateway.rollouts.slot_queue import queue_order
-from larkpost.gateway.rollouts.stalls import (
+from larkpost.gateway.rollouts.stall_detector import (
     LOADING_STALL_TIMEOUT_SECONDS,
     MIN_STALL_TIMEOUT_SECONDS,
     RunWatch,
