--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -9,6 +9,7 @@
 
 from larkpost.gateway.blackboard.known_crashes import BATCH_CRASH_LIMIT
 from larkpost.gateway.rollouts.context import RunServices
+from larkpost.gateway.rollouts.engine_priorities import EnginePriorities
 from larkpost.gateway.rollouts.engine_rules import may_migrate
 from larkpost.gateway.rollouts.engine_selector import EngineSelector
 from larkpost.gateway.rollouts.faster_engine import FasterEngineRequest
@@ -23,7 +24,6 @@
 from larkpost.gateway.rollouts.run_events import EventRecorder
 from larkpost.gateway.rollouts.slot_queue import SlotQueue
 from larkpost.gateway.rollouts.stall_detector import RunWatch, StallDetector, StalledError
-from larkpost.gateway.rollouts.urgency import EnginePriorities
 from larkpost.gateway.servers.port import (
     BrokenResponseError,
     OutgoingRequest,
