--- a/src/larkpost/gateway/rollouts/keeper.py
+++ b/src/larkpost/gateway/rollouts/keeper.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.blackboard.weight_targets import ModelDemand
 from larkpost.gateway.controllers.members import Membership
 from larkpost.gateway.observability.eventlog import Event, EventLog
-from larkpost.gateway.rollouts.batch_outlooks import BatchForecaster, ForecastInputs, ModelHeads
+from larkpost.gateway.rollouts.batch_forecaster import BatchForecaster, ForecastInputs, ModelHeads
 from larkpost.gateway.rollouts.claims import BatchClaims
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.known_heads import BatchHeadCache, CachedBatchHead
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -557,7 +557,7 @@
 
 def keep_progress_to_oneself():
     """Tells the other daemons nothing of the batches that this one owns."""
-    from larkpost.gateway.rollouts.batch_outlooks import BatchForecaster
+    from larkpost.gateway.rollouts.batch_forecaster import BatchForecaster
 
     return mock.patch.object(BatchForecaster, "record_report", lambda *_: None)
 
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -16,7 +16,7 @@
 )
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
 from larkpost.gateway.controllers.heartbeat_intervals import DEAD_AFTER_SECONDS
-from larkpost.gateway.rollouts.batch_outlooks import (
+from larkpost.gateway.rollouts.batch_forecaster import (
     LOWEST_PRIORITY,
     REPORT_LIFETIME_SECONDS,
     BatchForecaster,
