--- a/src/larkpost/gateway/rollouts/claims.py
+++ b/src/larkpost/gateway/rollouts/claims.py
@@ -14,8 +14,8 @@
 from larkpost.gateway.controllers.members import Membership
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.metrics import Count
+from larkpost.gateway.rollouts.batch_head_cache import CachedBatchHead
 from larkpost.gateway.rollouts.context import RunServices
-from larkpost.gateway.rollouts.known_heads import CachedBatchHead
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.rollouts.repository import BatchRepository
 from larkpost.gateway.store.port import Row, StoreUnavailableError
--- a/src/larkpost/gateway/rollouts/keeper.py
+++ b/src/larkpost/gateway/rollouts/keeper.py
@@ -16,9 +16,9 @@
 from larkpost.gateway.controllers.members import Membership
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.rollouts.batch_forecaster import BatchForecaster, ForecastInputs, ModelHeads
+from larkpost.gateway.rollouts.batch_head_cache import BatchHeadCache, CachedBatchHead
 from larkpost.gateway.rollouts.claims import BatchClaims
 from larkpost.gateway.rollouts.context import RunServices
-from larkpost.gateway.rollouts.known_heads import BatchHeadCache, CachedBatchHead
 from larkpost.gateway.rollouts.model import BatchHead, BatchSpec, Item
 from larkpost.gateway.rollouts.owned import OwnedBatch
 from larkpost.gateway.rollouts.repository import BatchRepository
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -7,8 +7,8 @@
 from larkpost.common.clock import LoopClock
 from larkpost.common.ids import BatchId, DaemonId
 from larkpost.gateway.blackboard.configuration import ModelName
+from larkpost.gateway.rollouts.batch_head_cache import CachedBatchHead
 from larkpost.gateway.rollouts.claims import CLAIM_PAUSE_SECONDS, BatchClaims
-from larkpost.gateway.rollouts.known_heads import CachedBatchHead
 from larkpost.gateway.rollouts.model import BatchHead
 from tests.virtual import run
 
--- a/tests/test_load_timing.py
+++ b/tests/test_load_timing.py
@@ -28,7 +28,7 @@
 )
 from larkpost.gateway.controllers.lending import WAITED_SECONDS
 from larkpost.gateway.rollouts import codec
-from larkpost.gateway.rollouts.known_heads import DEMAND_BATCHES, FRESH_SECONDS, BatchHeadCache
+from larkpost.gateway.rollouts.batch_head_cache import DEMAND_BATCHES, FRESH_SECONDS, BatchHeadCache
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.store.batch_tables import HEAD_TABLE
 from larkpost.gateway.store.port import Row, RowKey
--- a/tests/test_steady_division.py
+++ b/tests/test_steady_division.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.blackboard.configuration import ModelName, Service, ServiceName
 from larkpost.gateway.controllers.model_assignment import assign_models
 from larkpost.gateway.rollouts import codec
-from larkpost.gateway.rollouts.known_heads import DEMAND_BATCHES, BatchHeadCache
+from larkpost.gateway.rollouts.batch_head_cache import DEMAND_BATCHES, BatchHeadCache
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.store.batch_tables import HEAD_TABLE
 from larkpost.gateway.store.port import Row, RowKey
