--- a/src/larkpost/gateway/rollouts/run.py
+++ b/src/larkpost/gateway/rollouts/run.py
@@ -17,10 +17,10 @@
 from larkpost.gateway.rollouts.item_runs import ItemRunner
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId, Result, ResultState
 from larkpost.gateway.rollouts.progress import Progress
+from larkpost.gateway.rollouts.remaining_work import summarize_progress
 from larkpost.gateway.rollouts.reward import RewardScorer
 from larkpost.gateway.rollouts.slot_queue import SlotQueue
 from larkpost.gateway.rollouts.stall_detector import CHECK_INTERVAL_SECONDS
-from larkpost.gateway.rollouts.work_left import summarize_progress
 
 FAULT_PAUSE_SECONDS = 1.0
 """Pause before an item is run again after an unexpected error, so that a fault that comes each time
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -25,7 +25,11 @@
 )
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId
 from larkpost.gateway.rollouts.progress import Progress
-from larkpost.gateway.rollouts.work_left import OVERRUN_SHARE, remaining_tokens, summarize_progress
+from larkpost.gateway.rollouts.remaining_work import (
+    OVERRUN_SHARE,
+    remaining_tokens,
+    summarize_progress,
+)
 from tests.platform_fleet import MODEL, PlatformFleet, make_batch
 from tests.virtual import run
 
