--- a/src/larkpost/gateway/assembly/daemon_reports.py
+++ b/src/larkpost/gateway/assembly/daemon_reports.py
@@ -6,7 +6,7 @@
 from larkpost.gateway.blackboard.daemon_report import DaemonReport
 from larkpost.gateway.fairness.ledger import FlowLedger
 from larkpost.gateway.proxy.paces import Paces
-from larkpost.gateway.rollouts.keeper import BatchManager
+from larkpost.gateway.rollouts.batch_manager import BatchManager
 
 
 class DaemonReports:
--- a/src/larkpost/gateway/assembly/gauges.py
+++ b/src/larkpost/gateway/assembly/gauges.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.observability.metrics import Level, Metrics
 from larkpost.gateway.placement.cold_rule import ColdRule
 from larkpost.gateway.proxy.balancer import Balancer
-from larkpost.gateway.rollouts.keeper import BatchManager
+from larkpost.gateway.rollouts.batch_manager import BatchManager
 from larkpost.gateway.store.relay import RelayedStore
 
 
--- a/src/larkpost/gateway/assembly/leased_controllers.py
+++ b/src/larkpost/gateway/assembly/leased_controllers.py
@@ -17,7 +17,7 @@
 from larkpost.gateway.controllers.true_time import TrueTime
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.proxy.balancer import Balancer
-from larkpost.gateway.rollouts.keeper import BatchManager
+from larkpost.gateway.rollouts.batch_manager import BatchManager
 from larkpost.gateway.scaling.controller import ScalingController, ScalingInputs
 from larkpost.gateway.scaling.demand import DemandForecast
 from larkpost.gateway.usage.count_writer import UsageCountWriter
--- a/src/larkpost/gateway/assembly/membership.py
+++ b/src/larkpost/gateway/assembly/membership.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.fairness.ledger import FlowLedger
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.proxy.balancer import Balancer
-from larkpost.gateway.rollouts.keeper import BatchManager
+from larkpost.gateway.rollouts.batch_manager import BatchManager
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -42,8 +42,8 @@
 from larkpost.gateway.quarantine.recorder import CrashRecorder
 from larkpost.gateway.quarantine.repository import CrashRepository
 from larkpost.gateway.quarantine.watch import CrashWatch
+from larkpost.gateway.rollouts.batch_manager import BatchManager
 from larkpost.gateway.rollouts.context import RunServices
-from larkpost.gateway.rollouts.keeper import BatchManager
 from larkpost.gateway.rollouts.repository import BatchRepository
 from larkpost.gateway.rollouts.reward_attempt import MAX_CALLS_IN_FLIGHT
 from larkpost.gateway.rollouts.service import BatchService
--- a/src/larkpost/gateway/rollouts/reader.py
+++ b/src/larkpost/gateway/rollouts/reader.py
@@ -10,9 +10,9 @@
 from larkpost.gateway.blackboard.tenants import ANYONE, Caller
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.metrics import Count
+from larkpost.gateway.rollouts.batch_manager import BatchManager
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.errors import BatchUnreadableError, NoSuchBatchError
-from larkpost.gateway.rollouts.keeper import BatchManager
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId, Result
 from larkpost.gateway.rollouts.read_rules import (
     HOLD_SECONDS,
--- a/src/larkpost/gateway/rollouts/service.py
+++ b/src/larkpost/gateway/rollouts/service.py
@@ -14,6 +14,7 @@
 from larkpost.gateway.observability.metrics import Count
 from larkpost.gateway.placement.work import Work, WorkKind
 from larkpost.gateway.rollouts.acceptance import AcceptOutcome
+from larkpost.gateway.rollouts.batch_manager import BatchManager
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.errors import (
     BatchIdTakenError,
@@ -22,7 +23,6 @@
     BatchUnreadableError,
     NoSuchBatchError,
 )
-from larkpost.gateway.rollouts.keeper import BatchManager
 from larkpost.gateway.rollouts.model import BatchSpec, ItemId
 from larkpost.gateway.rollouts.reader import RETRY_AFTER_SECONDS, BatchReader, ResultPage
 from larkpost.gateway.rollouts.repository import BatchRepository, EndOutcome
--- a/tests/test_held_bytes.py
+++ b/tests/test_held_bytes.py
@@ -37,7 +37,7 @@
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.forwarder import Forwarder
-from larkpost.gateway.rollouts.keeper import BatchManager
+from larkpost.gateway.rollouts.batch_manager import BatchManager
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId, Result, ResultState
 from larkpost.gateway.rollouts.reader import ResultPage
 from larkpost.gateway.rollouts.view import ViewCache
