--- a/src/larkpost/gateway/rollouts/batch_manager.py
+++ b/src/larkpost/gateway/rollouts/batch_manager.py
@@ -20,7 +20,7 @@
 from larkpost.gateway.rollouts.claims import BatchClaims
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.model import BatchHead, BatchSpec, Item
-from larkpost.gateway.rollouts.owned import OwnedBatch
+from larkpost.gateway.rollouts.owned_batch import OwnedBatch
 from larkpost.gateway.rollouts.repository import BatchRepository
 from larkpost.gateway.rollouts.view import BatchView, ViewCache
 from larkpost.gateway.store.port import Row, StoreUnavailableError
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -159,7 +159,7 @@
 
 def list_without_score():
     """Lists whole outputs without their scores."""
-    from larkpost.gateway.rollouts.owned import OwnedBatch
+    from larkpost.gateway.rollouts.owned_batch import OwnedBatch
 
     original = OwnedBatch._finished
 
--- a/tests/switched_off.py
+++ b/tests/switched_off.py
@@ -14,7 +14,7 @@
 from larkpost.gateway.rollouts.engine_run import EngineRunner
 from larkpost.gateway.rollouts.engine_selector import EngineSelector
 from larkpost.gateway.rollouts.faster_engine import FasterEngineRequest
-from larkpost.gateway.rollouts.owned import OwnedBatch
+from larkpost.gateway.rollouts.owned_batch import OwnedBatch
 from larkpost.gateway.rollouts.reader import BatchReader
 from larkpost.gateway.rollouts.run import BatchRun
 
