--- a/src/larkpost/gateway/rollouts/owned_batch.py
+++ b/src/larkpost/gateway/rollouts/owned_batch.py
@@ -18,7 +18,7 @@
 )
 from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.repository import BatchRepository
-from larkpost.gateway.rollouts.result_list import RETRY_SECONDS, ResultAppender
+from larkpost.gateway.rollouts.result_appender import RETRY_SECONDS, ResultAppender
 from larkpost.gateway.rollouts.run import BatchRun
 from larkpost.gateway.rollouts.view import BatchView
 from larkpost.gateway.store.port import StoreUnavailableError
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -56,7 +56,7 @@
 
 def list_again():
     """Appends what another owner has listed."""
-    from larkpost.gateway.rollouts.result_list import ResultAppender
+    from larkpost.gateway.rollouts.result_appender import ResultAppender
 
     original = ResultAppender.__init__
 
