--- a/src/larkpost/gateway/rollouts/run.py
+++ b/src/larkpost/gateway/rollouts/run.py
@@ -14,7 +14,7 @@
 from larkpost.gateway.rollouts.engine_run import EngineRunner
 from larkpost.gateway.rollouts.engine_selector import EngineSelector
 from larkpost.gateway.rollouts.item_routes import ItemRoutes
-from larkpost.gateway.rollouts.item_runs import ItemRunner
+from larkpost.gateway.rollouts.item_runner import ItemRunner
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId, Result, ResultState
 from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.remaining_work import summarize_progress
