--- a/src/larkpost/gateway/rollouts/item_runner.py
+++ b/src/larkpost/gateway/rollouts/item_runner.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.metrics import Count, Timing
 from larkpost.gateway.rollouts.context import RunServices
-from larkpost.gateway.rollouts.engine_run import EngineRunner
+from larkpost.gateway.rollouts.engine_runner import EngineRunner
 from larkpost.gateway.rollouts.faster_engine import MigrateRunError
 from larkpost.gateway.rollouts.item_routes import ItemRoutes
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId
--- a/src/larkpost/gateway/rollouts/run.py
+++ b/src/larkpost/gateway/rollouts/run.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.blackboard.daemon_report import BatchProgress
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.rollouts.context import RunServices
-from larkpost.gateway.rollouts.engine_run import EngineRunner
+from larkpost.gateway.rollouts.engine_runner import EngineRunner
 from larkpost.gateway.rollouts.engine_selector import EngineSelector
 from larkpost.gateway.rollouts.item_routes import ItemRoutes
 from larkpost.gateway.rollouts.item_runner import ItemRunner
--- a/tests/switched_off.py
+++ b/tests/switched_off.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.proxy import balancer, ranking
 from larkpost.gateway.proxy.server_choice import ServerChoice
 from larkpost.gateway.rollouts import reward_rules, service
-from larkpost.gateway.rollouts.engine_run import EngineRunner
+from larkpost.gateway.rollouts.engine_runner import EngineRunner
 from larkpost.gateway.rollouts.engine_selector import EngineSelector
 from larkpost.gateway.rollouts.faster_engine import FasterEngineRequest
 from larkpost.gateway.rollouts.owned_batch import OwnedBatch
