--- a/src/larkpost/gateway/rollouts/engine_runner.py
+++ b/src/larkpost/gateway/rollouts/engine_runner.py
@@ -12,6 +12,7 @@
 from larkpost.gateway.rollouts.engine_priorities import EnginePriorities
 from larkpost.gateway.rollouts.engine_rules import may_migrate
 from larkpost.gateway.rollouts.engine_selector import EngineSelector
+from larkpost.gateway.rollouts.event_recorder import EventRecorder
 from larkpost.gateway.rollouts.faster_engine import FasterEngineRequest
 from larkpost.gateway.rollouts.model import ITEM_METHOD, BatchHead, Item
 from larkpost.gateway.rollouts.progress import ItemRun
@@ -21,7 +22,6 @@
     RunOutcome,
     classify_failed_response,
 )
-from larkpost.gateway.rollouts.run_events import EventRecorder
 from larkpost.gateway.rollouts.slot_queue import SlotQueue
 from larkpost.gateway.rollouts.stall_detector import RunWatch, StallDetector, StalledError
 from larkpost.gateway.servers.port import (
