--- a/src/larkpost/gateway/rollouts/owned_batch.py
+++ b/src/larkpost/gateway/rollouts/owned_batch.py
@@ -9,6 +9,7 @@
 from larkpost.common.clock import Clock
 from larkpost.gateway.blackboard.daemon_report import BatchProgress
 from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.rollouts.batch_run import BatchRun
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId, Result
 from larkpost.gateway.rollouts.output_saver import (
@@ -19,7 +20,6 @@
 from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.repository import BatchRepository
 from larkpost.gateway.rollouts.result_appender import RETRY_SECONDS, ResultAppender
-from larkpost.gateway.rollouts.run import BatchRun
 from larkpost.gateway.rollouts.view import BatchView
 from larkpost.gateway.store.port import StoreUnavailableError
 
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -171,7 +171,7 @@
 
 def score_before_the_text():
     """Sends an item's reward call before the item runs."""
-    from larkpost.gateway.rollouts.run import BatchRun
+    from larkpost.gateway.rollouts.batch_run import BatchRun
 
     async def finish_item(self, item):
         progress = self.progress[item.id]
--- a/tests/switched_off.py
+++ b/tests/switched_off.py
@@ -11,12 +11,12 @@
 from larkpost.gateway.proxy import balancer, ranking
 from larkpost.gateway.proxy.server_choice import ServerChoice
 from larkpost.gateway.rollouts import reward_rules, service
+from larkpost.gateway.rollouts.batch_run import BatchRun
 from larkpost.gateway.rollouts.engine_runner import EngineRunner
 from larkpost.gateway.rollouts.engine_selector import EngineSelector
 from larkpost.gateway.rollouts.faster_engine import FasterEngineRequest
 from larkpost.gateway.rollouts.owned_batch import OwnedBatch
 from larkpost.gateway.rollouts.reader import BatchReader
-from larkpost.gateway.rollouts.run import BatchRun
 
 
 def hedged_attempts():
