--- a/src/larkpost/gateway/rollouts/batch_run.py
+++ b/src/larkpost/gateway/rollouts/batch_run.py
@@ -18,7 +18,7 @@
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId, Result, ResultState
 from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.remaining_work import summarize_progress
-from larkpost.gateway.rollouts.reward import RewardScorer
+from larkpost.gateway.rollouts.reward_scorer import RewardScorer
 from larkpost.gateway.rollouts.slot_queue import SlotQueue
 from larkpost.gateway.rollouts.stall_detector import CHECK_INTERVAL_SECONDS
 
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -199,7 +199,7 @@
 
 def give_up_after_one_failed_call():
     """Ends an item with the first failure of its reward call."""
-    from larkpost.gateway.rollouts.reward import RewardScorer
+    from larkpost.gateway.rollouts.reward_scorer import RewardScorer
 
     original = RewardScorer.score
 
