--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -45,7 +45,7 @@
 from larkpost.gateway.rollouts.batch_manager import BatchManager
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.repository import BatchRepository
-from larkpost.gateway.rollouts.reward_attempt import MAX_CALLS_IN_FLIGHT
+from larkpost.gateway.rollouts.reward_caller import MAX_CALLS_IN_FLIGHT
 from larkpost.gateway.rollouts.service import BatchService
 from larkpost.gateway.rollouts.view import ViewCache
 from larkpost.gateway.store.batch_tables import ITEM_TABLE
--- a/src/larkpost/gateway/rollouts/reward_scorer.py
+++ b/src/larkpost/gateway/rollouts/reward_scorer.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.rollouts.model import BatchHead, RewardCall
 from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.retry_rules import are_call_attempts_exhausted
-from larkpost.gateway.rollouts.reward_attempt import RewardCaller
+from larkpost.gateway.rollouts.reward_caller import RewardCaller
 from larkpost.gateway.rollouts.reward_rules import RewardCallHistory, RewardCallOutcome
 
 RETRY_PAUSE_SECONDS = 0.05
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -187,7 +187,7 @@
 
 def score_unsigned_answers():
     """Takes any success for a score."""
-    from larkpost.gateway.rollouts import reward_attempt
+    from larkpost.gateway.rollouts import reward_caller
 
     original = reward_attempt.classify_call_response
     return mock.patch.object(
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -25,7 +25,7 @@
 from larkpost.gateway.rollouts.faster_engine import FasterEngineRequest, MigrateRunError
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.rollouts.progress import LONG_RUN_EVENTS, ItemRun, Progress
-from larkpost.gateway.rollouts.reward_attempt import RewardCaller
+from larkpost.gateway.rollouts.reward_caller import RewardCaller
 from larkpost.gateway.rollouts.slot_queue import SlotQueue
 from larkpost.gateway.scaling.port import ScalingMode
 from larkpost.gateway.servers.port import NotRunReason
