--- a/src/larkpost/gateway/rollouts/reward_caller.py
+++ b/src/larkpost/gateway/rollouts/reward_caller.py
@@ -62,10 +62,10 @@
                 return None
             history.servers.add(server.id)
             began = self._services.clock.now()
-            limit = call_timeout_seconds(self._services.balancer.pace(server.id), history.silences)
+            limit = call_timeout_seconds(self._services.balancer.pace(server.id), history.timeouts)
             attempt = await self._send(server, call, limit)
             if attempt.end is RewardCallOutcome.TIMED_OUT:
-                history.silences += 1
+                history.timeouts += 1
             self._record(progress, call, server, attempt, self._services.clock.now() - began)
             return attempt
 
--- a/src/larkpost/gateway/rollouts/reward_rules.py
+++ b/src/larkpost/gateway/rollouts/reward_rules.py
@@ -54,7 +54,7 @@
     """
 
     servers: set[InstanceId]
-    silences: int = 0
+    timeouts: int = 0
 
 
 def usable_slots(slots: int) -> int:
@@ -62,7 +62,7 @@
     return max(1, int(slots * (1 - CLIENT_RESERVED_SHARE)))
 
 
-def call_timeout_seconds(pace: float, silences: int) -> float:
+def call_timeout_seconds(pace: float, timeouts: int) -> float:
     """Returns the seconds that a server is given for a call.
 
     Args:
@@ -70,7 +70,7 @@
         silences: attempts of this call that ended in silence, at any server.
     """
     usual = CALL_TIMEOUT_PACE_FACTOR * pace
-    return min(MAX_CALL_TIMEOUT_SECONDS, max(MIN_CALL_TIMEOUT_SECONDS, usual) * 2**silences)
+    return min(MAX_CALL_TIMEOUT_SECONDS, max(MIN_CALL_TIMEOUT_SECONDS, usual) * 2**timeouts)
 
 
 def choose_server(
--- a/tests/test_reward_rules.py
+++ b/tests/test_reward_rules.py
@@ -61,9 +61,9 @@
                 self.assertEqual(expected, usable_slots(slots))
 
     def test_limits(self):
-        for pace, silences, expected in LIMITS:
-            with self.subTest(pace=pace, silences=silences):
-                self.assertAlmostEqual(expected, call_timeout_seconds(pace, silences))
+        for pace, timeouts, expected in LIMITS:
+            with self.subTest(pace=pace, timeouts=timeouts):
+                self.assertAlmostEqual(expected, call_timeout_seconds(pace, timeouts))
 
     def test_servers(self):
         for names, tried, expected, left in SERVERS:
