--- a/tests/test_held_bytes.py
+++ b/tests/test_held_bytes.py
@@ -696,10 +696,10 @@
         cache = ViewCache(budget)
         view = self.view(cache, "a", MB)
         view.set_items(view.items.values())
-        cache.bound({BatchId("a")}, outputs=10)
+        cache.evict_idle({BatchId("a")}, outputs=10)
         self.assertEqual(2 * MB + 10, budget.held(Purpose.BATCHES))
         cache.forget(BatchId("a"))
-        cache.bound(set())
+        cache.evict_idle(set())
         self.assertEqual(0, budget.held(Purpose.BATCHES))
 
     def test_views_not_in_use_keep_to_a_part_of_the_budget(self):
@@ -707,7 +707,7 @@
         cache = ViewCache(budget)
         for name, size in (("old", MB), ("new", MB + 1), ("used", 3 * MB)):
             self.view(cache, name, size)
-        cache.bound({BatchId("used")})
+        cache.evict_idle({BatchId("used")})
         self.assertIsNone(cache.get(BatchId("old")))
         self.assertEqual(6 * MB, budget.held(Purpose.BATCHES))
 
