--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -189,10 +189,10 @@
     """Takes any success for a score."""
     from larkpost.gateway.rollouts import reward_caller
 
-    original = reward_attempt.classify_call_response
+    original = reward_caller.classify_call_response
     return mock.patch.object(
-        reward_attempt,
-        "judge_call_response",
+        reward_caller,
+        "classify_call_response",
         lambda status, signature: original(status, signature or "unsigned"),
     )
 
@@ -221,7 +221,7 @@
     """Keeps of an output only what fits in one row."""
     from larkpost.gateway.rollouts import partial_outputs
 
-    return mock.patch.object(partial_outputs, "MAX_KEPT_BYTES", 48_000)
+    return mock.patch.object(partial_outputs, "MAX_STORED_BYTES", 48_000)
 
 
 def believe_that_outputs_are_kept():
@@ -335,7 +335,7 @@
     """Ends every run that makes nothing, whether another engine has a place or not."""
     from larkpost.gateway.rollouts.engine_selector import EngineSelector
 
-    return mock.patch.object(EngineSelector, "count_places", lambda *_: 1000)
+    return mock.patch.object(EngineSelector, "count_free_slots", lambda *_: 1000)
 
 
 def mix_bursts_into_paces():
--- a/tests/switched_off.py
+++ b/tests/switched_off.py
@@ -66,7 +66,7 @@
 
 def slots_left_to_clients():
     """Reward calls may take all slots of a server."""
-    return mock.patch.object(reward_rules, "CLIENT_SLOTS_SHARE", 0.0)
+    return mock.patch.object(reward_rules, "CLIENT_RESERVED_SHARE", 0.0)
 
 
 def early_refusal_of_batches():
