--- a/src/larkpost/gateway/rollouts/batch_run.py
+++ b/src/larkpost/gateway/rollouts/batch_run.py
@@ -114,7 +114,7 @@
                 free[service] = self._engines.count_free_slots(service)
             if free[service] > len(self._slot_queue):
                 free[service] -= 1
-                self._stalls.end(watch)
+                self._stalls.abort(watch)
 
     async def _finish_item(self, item: Item) -> None:
         """Runs an item and has it scored until it has a result, whatever errors come between."""
--- a/src/larkpost/gateway/rollouts/stall_detector.py
+++ b/src/larkpost/gateway/rollouts/stall_detector.py
@@ -92,7 +92,7 @@
         ]
         return sorted(silent, key=lambda watch: watch.progress_at)
 
-    def end(self, watch: RunWatch) -> None:
+    def abort(self, watch: RunWatch) -> None:
         """Ends a run, so that it goes on elsewhere."""
         watch.is_stalled = True
         watch.limit.reschedule(self._clock.now())
