--- a/src/larkpost/gateway/rollouts/reward_caller.py
+++ b/src/larkpost/gateway/rollouts/reward_caller.py
@@ -64,7 +64,7 @@
             began = self._services.clock.now()
             limit = call_timeout_seconds(self._services.balancer.pace(server.id), history.timeouts)
             attempt = await self._send(server, call, limit)
-            if attempt.end is RewardCallOutcome.TIMED_OUT:
+            if attempt.outcome is RewardCallOutcome.TIMED_OUT:
                 history.timeouts += 1
             self._record(progress, call, server, attempt, self._services.clock.now() - began)
             return attempt
@@ -143,7 +143,7 @@
         attempt: RewardAttempt,
         seconds: float,
     ) -> None:
-        self._services.metrics.count(Count.REWARD_CALLS, attempt.end)
+        self._services.metrics.count(Count.REWARD_CALLS, attempt.outcome)
         self._services.metrics.observe(Timing.REWARD_CALL, seconds)
         self._services.log.record(
             Event.REWARD_CALL,
@@ -152,7 +152,7 @@
             call=call.id,
             content=call.content,
             instance=server.id,
-            outcome=attempt.end,
+            outcome=attempt.outcome,
             seconds=round(seconds, 3),
             occupied=self._services.balancer.occupied(server),
             failed_calls=progress.failed_calls,
--- a/src/larkpost/gateway/rollouts/reward_rules.py
+++ b/src/larkpost/gateway/rollouts/reward_rules.py
@@ -40,7 +40,7 @@
         score: the server's signature if it was scored.
     """
 
-    end: RewardCallOutcome | NotRunReason
+    outcome: RewardCallOutcome | NotRunReason
     score: str | None = None
 
 
--- a/src/larkpost/gateway/rollouts/reward_scorer.py
+++ b/src/larkpost/gateway/rollouts/reward_scorer.py
@@ -47,11 +47,11 @@
             route = self._route(call)
             if route is not None:
                 attempt = await self._attempts.make(progress, call, route, history)
-                if attempt is not None and attempt.end is RewardCallOutcome.SCORED:
+                if attempt is not None and attempt.outcome is RewardCallOutcome.SCORED:
                     waited = self._services.clock.now() - began
                     self._services.metrics.observe(Timing.REWARD, waited)
                     return attempt.score
-                if attempt is not None and attempt.end is RewardCallOutcome.FAILED:
+                if attempt is not None and attempt.outcome is RewardCallOutcome.FAILED:
                     progress.failed_calls += 1
                     if are_call_attempts_exhausted(
                         progress.failed_calls, item_attempts, route.max_attempts
