--- a/src/larkpost/gateway/rollouts/engine_runner.py
+++ b/src/larkpost/gateway/rollouts/engine_runner.py
@@ -23,7 +23,7 @@
     classify_failed_response,
 )
 from larkpost.gateway.rollouts.slot_queue import SlotQueue
-from larkpost.gateway.rollouts.stall_detector import RunWatch, StallDetector, StalledError
+from larkpost.gateway.rollouts.stall_detector import MonitoredRun, StallDetector, StalledError
 from larkpost.gateway.servers.port import (
     BrokenResponseError,
     OutgoingRequest,
@@ -73,7 +73,7 @@
         """
         if run.progress.last_event is not None and run.route.single_version:
             self._keep_single_version(run)
-        watch: RunWatch | None = None
+        watch: MonitoredRun | None = None
         try:
             async with asyncio.timeout(FIRST_EVENT_SECONDS) as limit:
                 with self.stalls.watch(run.engine, limit) as watch:
@@ -83,7 +83,7 @@
                 raise StalledError from None
             raise
 
-    async def _stream(self, run: ItemRun, watch: RunWatch) -> RunOutcome:
+    async def _stream(self, run: ItemRun, watch: MonitoredRun) -> RunOutcome:
         """Sends the request and records the response."""
         balancer = self._services.balancer
         request = self._request(run)
@@ -100,7 +100,9 @@
         run.progress.complete()
         return RunOutcome.COMPLETE
 
-    async def _read_events(self, run: ItemRun, watch: RunWatch, response: ServerResponse) -> None:
+    async def _read_events(
+        self, run: ItemRun, watch: MonitoredRun, response: ServerResponse
+    ) -> None:
         """Records the events of a run until the stream ends or the run is to move.
 
         Raises:
--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -24,7 +24,7 @@
 from larkpost.gateway.rollouts.item_work import ItemWork
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.rollouts.progress import ItemRun
-from larkpost.gateway.rollouts.stall_detector import RunWatch, stall_timeout_seconds
+from larkpost.gateway.rollouts.stall_detector import MonitoredRun, stall_timeout_seconds
 
 OWN_ENGINES_ONLY_SECONDS = 0.6
 """For so long a batch takes places at its model's own engines only. Batches often come at the same
@@ -135,7 +135,7 @@
         left = cold.sends_left(info, work) if cold is not None else None
         return free if left is None else min(free, left)
 
-    def stall_timeout(self, watch: RunWatch) -> float:
+    def stall_timeout(self, watch: MonitoredRun) -> float:
         """Returns the seconds for which a run may make nothing before it is stalled."""
         engine = watch.engine
         loading = self._services.division.loading(engine.service, self._head.model)
--- a/src/larkpost/gateway/rollouts/event_recorder.py
+++ b/src/larkpost/gateway/rollouts/event_recorder.py
@@ -10,7 +10,7 @@
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.rollouts.progress import ItemRun
-from larkpost.gateway.rollouts.stall_detector import RunWatch
+from larkpost.gateway.rollouts.stall_detector import MonitoredRun
 from larkpost.gateway.servers.port import BrokenResponseError, StreamEvent
 
 MAX_EVENT_GAP_SECONDS = 1.2
@@ -35,7 +35,7 @@
     def __init__(
         self,
         run: ItemRun,
-        watch: RunWatch,
+        watch: MonitoredRun,
         head: BatchHead,
         services: RunServices,
         version: int,
--- a/src/larkpost/gateway/rollouts/stall_detector.py
+++ b/src/larkpost/gateway/rollouts/stall_detector.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True)
-class RunWatch:
+class MonitoredRun:
     """One run at an engine.
 
     Attributes:
@@ -64,20 +64,20 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._watches: list[RunWatch] = []
+        self._watches: list[MonitoredRun] = []
 
     @contextmanager
-    def watch(self, engine: InstanceInfo, limit: asyncio.Timeout) -> Iterator[RunWatch]:
+    def watch(self, engine: InstanceInfo, limit: asyncio.Timeout) -> Iterator[MonitoredRun]:
         """Watches a run until the context is left."""
         now = self._clock.now()
-        watch = RunWatch(engine, limit, now, now)
+        watch = MonitoredRun(engine, limit, now, now)
         self._watches.append(watch)
         try:
             yield watch
         finally:
             self._watches.remove(watch)
 
-    def find_stalled(self, stall_timeout: Callable[[RunWatch], float]) -> list[RunWatch]:
+    def find_stalled(self, stall_timeout: Callable[[MonitoredRun], float]) -> list[MonitoredRun]:
         """Returns the runs that have been silent for too long, the longest silence first.
 
         Args:
@@ -92,7 +92,7 @@
         ]
         return sorted(silent, key=lambda watch: watch.progress_at)
 
-    def abort(self, watch: RunWatch) -> None:
+    def abort(self, watch: MonitoredRun) -> None:
         """Ends a run, so that it goes on elsewhere."""
         watch.is_stalled = True
         watch.limit.reschedule(self._clock.now())
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -22,7 +22,7 @@
 from larkpost.gateway.rollouts.stall_detector import (
     LOADING_STALL_TIMEOUT_SECONDS,
     MIN_STALL_TIMEOUT_SECONDS,
-    RunWatch,
+    MonitoredRun,
     StallDetector,
     stall_timeout_seconds,
 )
@@ -110,7 +110,7 @@
             self.assertEqual(priority, configuration.priority_of(tenant, ROUTE))
 
 
-def _of_pace(pace: float) -> Callable[[RunWatch], float]:
+def _of_pace(pace: float) -> Callable[[MonitoredRun], float]:
     """Returns what runs at engines of a pace may be silent for."""
     return lambda _: stall_timeout_seconds(pace)
 
