--- a/src/larkpost/gateway/rollouts/stall_detector.py
+++ b/src/larkpost/gateway/rollouts/stall_detector.py
@@ -45,7 +45,7 @@
     engine: InstanceInfo
     limit: asyncio.Timeout
     began_at: float
-    progress_at: float
+    last_event_at: float
     is_stalled: bool = False
 
     def record_event(self, now: float, longest_gap: float) -> None:
@@ -54,7 +54,7 @@
         Args:
             longest_gap: seconds until the next event, after which the run is over.
         """
-        self.progress_at = now
+        self.last_event_at = now
         if not self.is_stalled:
             self.limit.reschedule(now + longest_gap)
 
@@ -88,9 +88,9 @@
             watch
             for watch in self._watches
             if not (watch.is_stalled or watch.limit.expired())
-            and now - watch.progress_at >= stall_timeout(watch)
+            and now - watch.last_event_at >= stall_timeout(watch)
         ]
-        return sorted(silent, key=lambda watch: watch.progress_at)
+        return sorted(silent, key=lambda watch: watch.last_event_at)
 
     def abort(self, watch: MonitoredRun) -> None:
         """Ends a run, so that it goes on elsewhere."""
