--- a/src/larkpost/gateway/rollouts/event_recorder.py
+++ b/src/larkpost/gateway/rollouts/event_recorder.py
@@ -87,7 +87,7 @@
     def _record_pause(self, now: float) -> None:
         """Records the time from the beginning to the first event, and all later pauses as pace."""
         if self._last_at is None:
-            seconds = now - self._watch.began_at
+            seconds = now - self._watch.started_at
             self._services.metrics.observe(Timing.ITEM_FIRST_EVENT, seconds)
         else:
             seconds = now - self._last_at
--- a/src/larkpost/gateway/rollouts/stall_detector.py
+++ b/src/larkpost/gateway/rollouts/stall_detector.py
@@ -44,7 +44,7 @@
 
     engine: InstanceInfo
     limit: asyncio.Timeout
-    began_at: float
+    started_at: float
     last_event_at: float
     is_stalled: bool = False
 
