--- a/src/larkpost/gateway/rollouts/item_runner.py
+++ b/src/larkpost/gateway/rollouts/item_runner.py
@@ -124,7 +124,7 @@
 
     async def _run_at(self, run: ItemRun) -> RunOutcome:
         """Runs an item at its place at an engine, and releases the place."""
-        began = self._services.clock.now()
+        started = self._services.clock.now()
         resumed_after = run.progress.last_event
         end = RunOutcome.RETRY
         try:
@@ -134,7 +134,7 @@
             outcome = self._record_error(run, error)
         finally:
             self._services.balancer.release(run.engine.id)
-        self._record_run(run, resumed_after, began, outcome)
+        self._record_run(run, resumed_after, started, outcome)
         return end
 
     def _record_error(self, run: ItemRun, error: Exception) -> str:
@@ -159,10 +159,10 @@
         run.progress.previous_engine_pace = self._services.balancer.paces.lasting(run.engine.id)
 
     def _record_run(
-        self, run: ItemRun, resumed_after: int | None, began: float, outcome: str
+        self, run: ItemRun, resumed_after: int | None, started: float, outcome: str
     ) -> None:
         """Logs the end of one run with what decided where it ran."""
-        seconds = self._services.clock.now() - began
+        seconds = self._services.clock.now() - started
         balancer = self._services.balancer
         directory = self._services.directory
         self._services.metrics.count(Count.ITEM_RUNS, outcome.partition(":")[0])
--- a/src/larkpost/gateway/rollouts/reward_caller.py
+++ b/src/larkpost/gateway/rollouts/reward_caller.py
@@ -61,12 +61,12 @@
                 await self._services.clock.sleep(PLACE_PAUSE_SECONDS)
                 return None
             history.servers.add(server.id)
-            began = self._services.clock.now()
+            started = self._services.clock.now()
             limit = call_timeout_seconds(self._services.balancer.pace(server.id), history.timeouts)
             attempt = await self._send(server, call, limit)
             if attempt.outcome is RewardCallOutcome.TIMED_OUT:
                 history.timeouts += 1
-            self._record(progress, call, server, attempt, self._services.clock.now() - began)
+            self._record(progress, call, server, attempt, self._services.clock.now() - started)
             return attempt
 
     def _work(self, call: RewardCall) -> Work:
@@ -93,7 +93,7 @@
     async def _send(self, server: InstanceInfo, call: RewardCall, limit: float) -> RewardAttempt:
         """Sends a call and records what its end says of the server."""
         balancer = self._services.balancer
-        began = self._services.clock.now()
+        started = self._services.clock.now()
         try:
             status, signature = await self._exchange(server, call, limit)
         except NotRunError as error:
@@ -106,7 +106,7 @@
         except TimeoutError:
             balancer.avoid(server.id, SILENT_AVOID_SECONDS)
             return RewardAttempt(RewardCallOutcome.TIMED_OUT)
-        seconds = self._services.clock.now() - began
+        seconds = self._services.clock.now() - started
         balancer.record_pace(server.id, seconds)
         balancer.paces.record_response(server.id, seconds)
         return classify_call_response(status, signature)
--- a/src/larkpost/gateway/rollouts/reward_scorer.py
+++ b/src/larkpost/gateway/rollouts/reward_scorer.py
@@ -38,7 +38,7 @@
         """
         item_route = self._routes.route_of(progress.item)
         item_attempts = item_route.max_attempts if item_route is not None else 0
-        began = self._services.clock.now()
+        started = self._services.clock.now()
         history = RewardCallHistory(set())
         while not self._routes.is_expired(self._routes.route_of(progress.item)):
             if self._is_quarantined(call):
@@ -48,7 +48,7 @@
             if route is not None:
                 attempt = await self._attempts.make(progress, call, route, history)
                 if attempt is not None and attempt.outcome is RewardCallOutcome.SCORED:
-                    waited = self._services.clock.now() - began
+                    waited = self._services.clock.now() - started
                     self._services.metrics.observe(Timing.REWARD, waited)
                     return attempt.score
                 if attempt is not None and attempt.outcome is RewardCallOutcome.FAILED:
--- a/src/larkpost/gateway/rollouts/service.py
+++ b/src/larkpost/gateway/rollouts/service.py
@@ -72,12 +72,12 @@
             return
         if self._has_no_eligible_engine(spec):
             raise self._no_eligible_engine_error(spec)
-        began = self._clock.now()
+        started = self._clock.now()
         upload = secrets.token_hex(8)
         outcome = await self._repository.accept(spec, self._owner, upload, ACCEPT_SECONDS)
         if outcome is not AcceptOutcome.ACCEPTED:
             raise self._refusal_error(spec, outcome)
-        self._record_accepted(spec, self._clock.now() - began)
+        self._record_accepted(spec, self._clock.now() - started)
         await self._keeper.start_accepted(spec, upload)
 
     def _no_eligible_engine_error(self, spec: BatchSpec) -> BatchRefusedError:
