--- a/src/larkpost/gateway/rollouts/batch_head_cache.py
+++ b/src/larkpost/gateway/rollouts/batch_head_cache.py
@@ -20,7 +20,7 @@
 DEMAND_BATCHES = 6
 """Newest batches of a model over which its work is averaged: the guesses of single batches differ
 by so much that engines would change their models with each step."""
-CLOCK_ERROR_SECONDS = 0.2
+MAX_CLOCK_SKEW_SECONDS = 0.2
 """By so much a batch may seem older than the version that it came with, as clocks differ."""
 MAX_NEW_BATCH_AGE_SECONDS = 1.0
 """A batch accepted longer ago is not news: this daemon has just started, or was cut off."""
@@ -88,7 +88,7 @@
         if naming is None or age is None or age > MAX_NEW_BATCH_AGE_SECONDS:
             return None
         seconds = naming.seconds - age  # all daemons know the batch's own time alike
-        if seconds < -CLOCK_ERROR_SECONDS:
+        if seconds < -MAX_CLOCK_SKEW_SECONDS:
             return None  # a version that was named since
         return Naming(naming.version, max(0.0, seconds))
 
