--- a/src/larkpost/gateway/rollouts/progress.py
+++ b/src/larkpost/gateway/rollouts/progress.py
@@ -9,7 +9,7 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.rollouts.model import Item, Result, ResultState
 
-LONG_RUN_EVENTS = 30
+LONG_ITEM_EVENTS = 30
 """Events after which an item has shown itself long; three in four items have fewer."""
 
 
@@ -50,7 +50,7 @@
     @property
     def is_long(self) -> bool:
         """Whether the item has shown itself long; such items are what a step waits for."""
-        return len(self.events) >= LONG_RUN_EVENTS
+        return len(self.events) >= LONG_ITEM_EVENTS
 
     @property
     def versions(self) -> set[int]:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.rollouts.engine_selector import BEST_PACE_CACHE_SECONDS, EngineSelector
 from larkpost.gateway.rollouts.faster_engine import FasterEngineRequest, MigrateRunError
 from larkpost.gateway.rollouts.model import BatchHead
-from larkpost.gateway.rollouts.progress import LONG_RUN_EVENTS, ItemRun, Progress
+from larkpost.gateway.rollouts.progress import LONG_ITEM_EVENTS, ItemRun, Progress
 from larkpost.gateway.rollouts.slot_queue import SlotQueue
 from larkpost.gateway.store.port import RowKey, Transaction
 from larkpost.platform.stand_in.memory_store import StoreFaults
@@ -174,7 +174,7 @@
 
     def run_at(self, number: int) -> ItemRun:
         """Returns a run at an engine that has shown itself long."""
-        self.progress.events = [b"x"] * LONG_RUN_EVENTS
+        self.progress.events = [b"x"] * LONG_ITEM_EVENTS
         return ItemRun(self.engine(number), ROUTE, self.progress)
 
     def test_moved_run_takes_no_slower_engine(self):
@@ -263,7 +263,7 @@
         places = SlotQueue(engines, self.balancer, self.fleet.clock)
         route = self.blackboard.configuration.current.match(spec.host, spec.path.encode())
         progress = Progress(spec.items[0])
-        progress.events = [b"x"] * LONG_RUN_EVENTS
+        progress.events = [b"x"] * LONG_ITEM_EVENTS
         self.request = FasterEngineRequest(places, engines, ItemRun(self.slow, route, progress))
         self.request.request_if_slow()
         await self.fleet.wait(0.1)
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -24,7 +24,7 @@
 from larkpost.gateway.rollouts.engine_selector import EngineSelector
 from larkpost.gateway.rollouts.faster_engine import FasterEngineRequest, MigrateRunError
 from larkpost.gateway.rollouts.model import BatchHead
-from larkpost.gateway.rollouts.progress import LONG_RUN_EVENTS, ItemRun, Progress
+from larkpost.gateway.rollouts.progress import LONG_ITEM_EVENTS, ItemRun, Progress
 from larkpost.gateway.rollouts.reward_caller import RewardCaller
 from larkpost.gateway.rollouts.slot_queue import SlotQueue
 from larkpost.gateway.scaling.port import ScalingMode
@@ -95,7 +95,7 @@
             choice = EngineSelector(make_head(fleet), services)
             places = SlotQueue(choice, services.balancer, fleet.clock)
             progress = Progress(make_batch(items=1).items[0])
-            progress.events = [b"x"] * LONG_RUN_EVENTS
+            progress.events = [b"x"] * LONG_ITEM_EVENTS
             slow = make_instance("e0", ENGINES)
             request = FasterEngineRequest(places, choice, ItemRun(slow, ROUTE, progress))
             request.request_if_slow()
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -17,7 +17,7 @@
     ServiceShare,
 )
 from larkpost.gateway.blackboard.tenants import Tenant, TenantName
-from larkpost.gateway.rollouts.progress import LONG_RUN_EVENTS, Progress
+from larkpost.gateway.rollouts.progress import LONG_ITEM_EVENTS, Progress
 from larkpost.gateway.rollouts.slot_queue import queue_order
 from larkpost.gateway.rollouts.stall_detector import (
     LOADING_STALL_TIMEOUT_SECONDS,
@@ -71,7 +71,7 @@
     def test_an_item_that_shows_itself_long_is_urgent(self):
         item = self.items[0]
         progress = Progress(item)
-        for number in range(1, LONG_RUN_EVENTS + 1):
+        for number in range(1, LONG_ITEM_EVENTS + 1):
             progress.take(number, b"x", 1)
         self.assertEqual(0, self.priorities.engine_priority(progress, 0))
 
@@ -85,9 +85,9 @@
     def test_items_that_showed_themselves_long_come_first_then_those_with_most_work(self):
         cases = (
             # events so far, tokens, the trainer's guess of the tokens out
-            (LONG_RUN_EVENTS, 40, 0),
-            (LONG_RUN_EVENTS, 900, 30),
-            (LONG_RUN_EVENTS - 1, 900, 0),
+            (LONG_ITEM_EVENTS, 40, 0),
+            (LONG_ITEM_EVENTS, 900, 30),
+            (LONG_ITEM_EVENTS - 1, 900, 0),
             (0, 100, 800),
             (0, 700, 0),
             (0, 900, 20),
