--- a/src/larkpost/gateway/rollouts/reward_caller.py
+++ b/src/larkpost/gateway/rollouts/reward_caller.py
@@ -30,7 +30,7 @@
 
 MAX_CALLS_IN_FLIGHT = 24
 """Reward calls of one daemon at servers, or about to be sent; the others wait their turn."""
-PLACE_PAUSE_SECONDS = 0.03
+SLOT_POLL_SECONDS = 0.03
 """Pause between two checks for a place at a server."""
 FULL_AVOID_SECONDS = 0.05
 """How long a server that was full gets no more work."""
@@ -58,7 +58,7 @@
         async with self._services.reward_call_slots:
             server = self._choose(self._services.shares.choose(route), call, history)
             if server is None:
-                await self._services.clock.sleep(PLACE_PAUSE_SECONDS)
+                await self._services.clock.sleep(SLOT_POLL_SECONDS)
                 return None
             history.servers.add(server.id)
             started = self._services.clock.now()
