--- a/src/larkpost/gateway/rollouts/reward_caller.py
+++ b/src/larkpost/gateway/rollouts/reward_caller.py
@@ -84,10 +84,10 @@
         self, service: ServiceName, call: RewardCall, history: RewardCallHistory
     ) -> InstanceInfo | None:
         balancer = self._services.balancer
-        candidates = balancer.candidates(service, self._work(call), eligible=self._has_place)
+        candidates = balancer.candidates(service, self._work(call), eligible=self._has_free_slot)
         return choose_server(candidates, history)
 
-    def _has_place(self, info: InstanceInfo) -> bool:
+    def _has_free_slot(self, info: InstanceInfo) -> bool:
         return self._services.balancer.occupied(info) < usable_slots(info.slots)
 
     async def _send(self, server: InstanceInfo, call: RewardCall, limit: float) -> RewardAttempt:
