--- a/src/larkpost/gateway/rollouts/result_appender.py
+++ b/src/larkpost/gateway/rollouts/result_appender.py
@@ -17,7 +17,7 @@
 from larkpost.gateway.rollouts.view import BatchView
 from larkpost.gateway.store.port import StoreUnavailableError, WriteOutcome
 
-APPEND_GAP_SECONDS = 0.06
+APPEND_INTERVAL_SECONDS = 0.06
 """Pause between two appends, in which results gather."""
 RETRY_SECONDS = 0.15
 """Pause after a call that the store refused or did not answer."""
@@ -101,7 +101,7 @@
                 if self.tail is not None:
                     await self._wake.wait()
             await self.append_once()
-            await self._clock.sleep(APPEND_GAP_SECONDS)
+            await self._clock.sleep(APPEND_INTERVAL_SECONDS)
 
     async def append_once(self) -> None:
         """Appends as many results as one write takes; reads the list anew if that is not done."""
