--- a/src/larkpost/gateway/rollouts/acceptance.py
+++ b/src/larkpost/gateway/rollouts/acceptance.py
@@ -129,7 +129,7 @@
         return result
 
     def _item_rows(self, spec: BatchSpec, upload: str) -> list[RowPut]:
-        pieces = self._rows.cut(codec.encode_items(spec.items))
+        pieces = self._rows.split_content(codec.encode_items(spec.items))
         return [
             (batch_key(ITEM_TABLE, spec.id, f"/{upload}/{number:06d}"), piece)
             for number, piece in enumerate(pieces)
--- a/src/larkpost/gateway/rollouts/batch_rows.py
+++ b/src/larkpost/gateway/rollouts/batch_rows.py
@@ -55,7 +55,7 @@
         self.chunk_bytes = store.row_bytes * 3 // 4
         """Most bytes of one row's value; the rest is left to its key and the store's own fields."""
 
-    def cut(self, content: bytes) -> list[bytes]:
+    def split_content(self, content: bytes) -> list[bytes]:
         """Cuts a document into values of rows."""
         return codec.split(content, self.chunk_bytes)
 
--- a/src/larkpost/gateway/rollouts/repository.py
+++ b/src/larkpost/gateway/rollouts/repository.py
@@ -160,7 +160,7 @@
         size = 0
         taken = 0
         for result in results:
-            pieces = self._rows.cut(codec.encode_result(result))
+            pieces = self._rows.split_content(codec.encode_result(result))
             added = sum(len(piece) for piece in pieces)
             over = size + added > MAX_TRANSACTION_BYTES
             if taken and (over or len(puts) + len(pieces) > MAX_TRANSACTION_ROWS):
