--- a/src/larkpost/gateway/rollouts/item_runner.py
+++ b/src/larkpost/gateway/rollouts/item_runner.py
@@ -58,7 +58,7 @@
         self._slot_queue = slot_queue
         self._runs = runs
         self._services = services
-        self._taken: dict[ItemId, InstanceInfo] = {}
+        self._assigned_engines: dict[ItemId, InstanceInfo] = {}
         """Places that runs have taken for their items before they ended, by item."""
         self._queued_at: dict[ItemId, float] = {}
         """Steady times since which items that have not run yet wait."""
@@ -71,13 +71,13 @@
             end = await self._advance(progress)
             if end is RunOutcome.DEAD:
                 return False
-            if end is RunOutcome.RETRY and item.id not in self._taken:
+            if end is RunOutcome.RETRY and item.id not in self._assigned_engines:
                 await self._services.clock.sleep(RETRY_PAUSE_SECONDS)
         return True
 
     def release_unused(self, item: ItemId) -> None:
         """Releases the place that a run has taken for an item that runs no more."""
-        unused = self._taken.pop(item, None)
+        unused = self._assigned_engines.pop(item, None)
         if unused is not None:
             self._services.balancer.release(unused.id)
 
@@ -100,7 +100,7 @@
     async def _take_place(self, progress: Progress, route: Route) -> InstanceInfo | None:
         """Returns where the item has a place; None if there was none for a while."""
         item = progress.item.id
-        engine = self._taken.pop(item, None)
+        engine = self._assigned_engines.pop(item, None)
         if engine is None:
             engine = await self._slot_queue.acquire(progress, route, progress.previous_engine_pace)
         if engine is None:
@@ -155,7 +155,7 @@
 
     def _record_migration(self, run: ItemRun, move: MigrateRunError) -> None:
         run.progress.migrations += 1
-        self._taken[run.item.id] = move.engine
+        self._assigned_engines[run.item.id] = move.engine
         run.progress.previous_engine_pace = self._services.balancer.paces.lasting(run.engine.id)
 
     def _record_run(
