--- a/src/larkpost/gateway/rollouts/item_runner.py
+++ b/src/larkpost/gateway/rollouts/item_runner.py
@@ -92,12 +92,12 @@
             return RunOutcome.RETRY
         if route is None:
             return RunOutcome.RETRY
-        engine = await self._take_place(progress, route)
+        engine = await self._acquire_slot(progress, route)
         if engine is None:
             return RunOutcome.RETRY
         return await self._run_at(ItemRun(engine, route, progress))
 
-    async def _take_place(self, progress: Progress, route: Route) -> InstanceInfo | None:
+    async def _acquire_slot(self, progress: Progress, route: Route) -> InstanceInfo | None:
         """Returns where the item has a place; None if there was none for a while."""
         item = progress.item.id
         engine = self._assigned_engines.pop(item, None)
