--- a/src/larkpost/gateway/rollouts/item_runner.py
+++ b/src/larkpost/gateway/rollouts/item_runner.py
@@ -68,7 +68,7 @@
         item = progress.item
         self._queued_at[item.id] = self._services.clock.now()
         while not progress.whole:
-            end = await self._advance(progress)
+            end = await self._attempt_run(progress)
             if end is RunOutcome.DEAD:
                 return False
             if end is RunOutcome.RETRY and item.id not in self._assigned_engines:
@@ -81,7 +81,7 @@
         if unused is not None:
             self._services.balancer.release(unused.id)
 
-    async def _advance(self, progress: Progress) -> RunOutcome:
+    async def _attempt_run(self, progress: Progress) -> RunOutcome:
         """Runs an item once if it may run and gets a place."""
         item = progress.item
         route = self._routes.route_of(item)
