--- a/src/larkpost/gateway/rollouts/batch_run.py
+++ b/src/larkpost/gateway/rollouts/batch_run.py
@@ -52,7 +52,7 @@
         runs = EngineRunner(head, items, self._engines, self._slot_queue, services)
         self._stalls = runs.stalls
         routes = ItemRoutes(head, services)
-        self._outputs = ItemRunner(head, routes, self._slot_queue, runs, services)
+        self._item_runner = ItemRunner(head, routes, self._slot_queue, runs, services)
         self._scorer = RewardScorer(head, routes, services)
         self._waiting = sorted(items, key=lambda item: item.expected_work, reverse=True)
         self._stall_task: asyncio.Task | None = None
@@ -97,7 +97,7 @@
     def _task_done(self, task: asyncio.Task) -> None:
         item = ItemId(task.get_name())
         self._tasks.pop(item, None)
-        self._outputs.release_unused(item)
+        self._item_runner.release_unused(item)
 
     async def _move_stalled(self) -> None:
         """Ends runs that make nothing, as many as there are free places elsewhere."""
@@ -139,7 +139,7 @@
         Returns:
             Whether the item is done, or else dead; its score, if it wants one.
         """
-        if not await self._outputs.run_to_completion(progress):
+        if not await self._item_runner.run_to_completion(progress):
             return False, None
         call = progress.item.reward_call
         if call is None:
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -178,7 +178,7 @@
         score = None
         if item.reward_call is not None:
             score = await self._scorer.score(progress, item.reward_call)
-        await self._outputs.run_to_completion(progress)
+        await self._item_runner.run_to_completion(progress)
         self.progress.pop(item.id, None)
         self._finished(progress.result(score))
 
