--- a/src/larkpost/gateway/rollouts/batch_run.py
+++ b/src/larkpost/gateway/rollouts/batch_run.py
@@ -50,7 +50,7 @@
         self._engines = EngineSelector(head, services)
         self._slot_queue = SlotQueue(self._engines, services.balancer, services.clock)
         runs = EngineRunner(head, items, self._engines, self._slot_queue, services)
-        self._stalls = runs.stalls
+        self._stall_detector = runs.stalls
         routes = ItemRoutes(head, services)
         self._item_runner = ItemRunner(head, routes, self._slot_queue, runs, services)
         self._scorer = RewardScorer(head, routes, services)
@@ -108,13 +108,13 @@
     def _end_stalled(self) -> None:
         """Ends stalled runs while there are more free places than items that wait for one."""
         free: dict[ServiceName, int] = {}
-        for watch in self._stalls.find_stalled(self._engines.stall_timeout):
+        for watch in self._stall_detector.find_stalled(self._engines.stall_timeout):
             service = watch.engine.service
             if service not in free:
                 free[service] = self._engines.count_free_slots(service)
             if free[service] > len(self._slot_queue):
                 free[service] -= 1
-                self._stalls.abort(watch)
+                self._stall_detector.abort(watch)
 
     async def _finish_item(self, item: Item) -> None:
         """Runs an item and has it scored until it has a result, whatever errors come between."""
