--- a/src/larkpost/gateway/rollouts/batch_run.py
+++ b/src/larkpost/gateway/rollouts/batch_run.py
@@ -103,9 +103,9 @@
         """Ends runs that make nothing, as many as there are free places elsewhere."""
         while self._waiting or self._tasks:
             await self._services.clock.sleep(CHECK_INTERVAL_SECONDS)
-            self._end_stalled()
+            self._abort_stalled()
 
-    def _end_stalled(self) -> None:
+    def _abort_stalled(self) -> None:
         """Ends stalled runs while there are more free places than items that wait for one."""
         free: dict[ServiceName, int] = {}
         for watch in self._stall_detector.find_stalled(self._engines.stall_timeout):
