--- a/src/larkpost/gateway/rollouts/batch_run.py
+++ b/src/larkpost/gateway/rollouts/batch_run.py
@@ -46,7 +46,7 @@
         self.head = head
         self.progress = {item.id: (kept or {}).get(item.id) or Progress(item) for item in items}
         self._services = services
-        self._finished = finished
+        self._on_result = finished
         self._engines = EngineSelector(head, services)
         self._slot_queue = SlotQueue(self._engines, services.balancer, services.clock)
         runs = EngineRunner(head, items, self._engines, self._slot_queue, services)
@@ -129,7 +129,7 @@
             await self._services.clock.sleep(FAULT_PAUSE_SECONDS)
         self.progress.pop(item.id, None)
         if is_done:
-            self._finished(progress.result(score))
+            self._on_result(progress.result(score))
         else:
             self._finish_dead(item, progress)
 
@@ -156,4 +156,4 @@
             impossible=progress.unprocessable_responses,
             failed_calls=progress.failed_calls,
         )
-        self._finished(Result(item.id, ResultState.DEAD, group=item.group))
+        self._on_result(Result(item.id, ResultState.DEAD, group=item.group))
--- a/src/larkpost/gateway/rollouts/owned_batch.py
+++ b/src/larkpost/gateway/rollouts/owned_batch.py
@@ -142,7 +142,7 @@
         ended = self._results.tail is not None and self._results.tail.ended
         if ended or not open_items:
             return
-        self._run = BatchRun(self.head, open_items, self._services, self._finished, stored)
+        self._run = BatchRun(self.head, open_items, self._services, self._on_result, stored)
         self._run.start()
 
     async def _read(
@@ -166,7 +166,7 @@
                     return items, stored
                 await self._clock.sleep(RETRY_SECONDS)
 
-    def _finished(self, result: Result) -> None:
+    def _on_result(self, result: Result) -> None:
         self._results.add(result)
 
     def _drop_listed(self, listed: set[ItemId]) -> None:
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -161,7 +161,7 @@
     """Lists whole outputs without their scores."""
     from larkpost.gateway.rollouts.owned_batch import OwnedBatch
 
-    original = OwnedBatch._finished
+    original = OwnedBatch._on_result
 
     def finished(self, result):
         original(self, replace(result, score=None))
@@ -180,7 +180,7 @@
             score = await self._scorer.score(progress, item.reward_call)
         await self._item_runner.run_to_completion(progress)
         self.progress.pop(item.id, None)
-        self._finished(progress.result(score))
+        self._on_result(progress.result(score))
 
     return mock.patch.object(BatchRun, "_finish_item", finish_item)
 
