--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -166,7 +166,7 @@
     def finished(self, result):
         original(self, replace(result, score=None))
 
-    return mock.patch.object(OwnedBatch, "_finished", finished)
+    return mock.patch.object(OwnedBatch, "_on_result", finished)
 
 
 def score_before_the_text():
