--- a/src/larkpost/gateway/rollouts/batch_run.py
+++ b/src/larkpost/gateway/rollouts/batch_run.py
@@ -60,7 +60,7 @@
 
     def start(self) -> None:
         """Starts all items; each waits for its place at an engine, the longest first."""
-        self._stall_task = asyncio.create_task(self._move_stalled())
+        self._stall_task = asyncio.create_task(self._watch_for_stalls())
         for item in self._waiting:
             task = asyncio.create_task(self._finish_item(item), name=item.id)
             self._tasks[item.id] = task
@@ -99,7 +99,7 @@
         self._tasks.pop(item, None)
         self._item_runner.release_unused(item)
 
-    async def _move_stalled(self) -> None:
+    async def _watch_for_stalls(self) -> None:
         """Ends runs that make nothing, as many as there are free places elsewhere."""
         while self._waiting or self._tasks:
             await self._services.clock.sleep(CHECK_INTERVAL_SECONDS)
