--- a/tests/switched_off.py
+++ b/tests/switched_off.py
@@ -31,7 +31,7 @@
 
 def moves_of_stalled_runs():
     """No run that makes nothing leaves its engine."""
-    return mock.patch.object(BatchRun, "_move_stalled", _nothing)
+    return mock.patch.object(BatchRun, "_watch_for_stalls", _nothing)
 
 
 def ranks_of_items():
