--- a/src/larkpost/gateway/rollouts/owned_batch.py
+++ b/src/larkpost/gateway/rollouts/owned_batch.py
@@ -59,7 +59,7 @@
             fresh: whether the batch was accepted just now, so that nothing is listed yet.
         """
         self._tasks.append(asyncio.create_task(self._work(items, fresh)))
-        self._tasks.append(asyncio.create_task(self._keep_partials()))
+        self._tasks.append(asyncio.create_task(self._save_outputs_periodically()))
 
     @property
     def running(self) -> int:
@@ -179,7 +179,7 @@
             self._run.cancel()
         self._log.record(Event.BATCH_COMPLETE, batch=self.head.id, listed=len(self._view.results))
 
-    async def _keep_partials(self) -> None:
+    async def _save_outputs_periodically(self) -> None:
         while not self.complete:
             await self._clock.sleep(SAVE_INTERVAL_SECONDS)
             await self._save_outputs(MIN_NEW_EVENTS)
