--- a/tests/switched_off.py
+++ b/tests/switched_off.py
@@ -51,7 +51,7 @@
 
 def kept_partial_outputs():
     """The output of running items is not kept for another owner."""
-    return mock.patch.object(OwnedBatch, "_keep_partials", _nothing)
+    return mock.patch.object(OwnedBatch, "_save_outputs_periodically", _nothing)
 
 
 def kept_connections_first():
