--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -55,7 +55,7 @@
                 for an event; 0 for any engine.
             work: what the rules of placement ask of the item; None for the batch's own.
         """
-        only = self._only_engines(service)
+        only = self._allowed_engines(service)
         candidates = self._with_free_slot(service, work or self.items.work_of(), only)
         if only is not None:
             candidates = [info for info in candidates if info.id in only]
@@ -77,7 +77,7 @@
             and is_fast_enough(balancer.paces.lasting(info.id), balancer.is_cold(info), pace_limit)
         ]
 
-    def _only_engines(self, service: ServiceName) -> frozenset[InstanceId] | None:
+    def _allowed_engines(self, service: ServiceName) -> frozenset[InstanceId] | None:
         """Returns the only engines that the batch may use now; None for any.
 
         At first those are its model's own, and later too while it has time to spare and a batch of
