--- a/tests/switched_off.py
+++ b/tests/switched_off.py
@@ -41,7 +41,7 @@
 
 def own_engines_first():
     """A new batch takes any engine at once."""
-    return mock.patch.object(EngineSelector, "_only_engines", lambda *_: None)
+    return mock.patch.object(EngineSelector, "_allowed_engines", lambda *_: None)
 
 
 def held_reads():
