--- a/src/larkpost/gateway/rollouts/claims.py
+++ b/src/larkpost/gateway/rollouts/claims.py
@@ -70,9 +70,9 @@
 
         Who runs or removes a batch reads its items, so it must be where they may be served.
         """
-        return self._membership.first_choice(head.id, self._homes(head))
+        return self._membership.first_choice(head.id, self._allowed_regions(head))
 
-    def _homes(self, head: BatchHead) -> frozenset[RegionId] | None:
+    def _allowed_regions(self, head: BatchHead) -> frozenset[RegionId] | None:
         """Returns the only regions in which a batch may be served; None for all."""
         configuration = self._services.configuration.current
         if configuration is None:
