--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -370,7 +370,7 @@
     """Has a batch claimed by any coordinator, wherever it may be served."""
     from larkpost.gateway.rollouts.claims import BatchClaims
 
-    return mock.patch.object(BatchClaims, "_homes", lambda *_: None)
+    return mock.patch.object(BatchClaims, "_allowed_regions", lambda *_: None)
 
 
 def serve_anywhere():
