--- a/src/larkpost/gateway/rollouts/claims.py
+++ b/src/larkpost/gateway/rollouts/claims.py
@@ -36,12 +36,12 @@
         repository: BatchRepository,
         membership: Membership,
         services: RunServices,
-        learn: Callable[[Row], None],
+        record_head: Callable[[Row], None],
     ) -> None:
         self._repository = repository
         self._membership = membership
         self._services = services
-        self._learn = learn
+        self._learn = record_head
         self._clock: Clock = services.clock
         self._log: EventLog = services.log
         self._claimed_at: dict[BatchId, float] = {}
