--- a/src/larkpost/gateway/rollouts/claims.py
+++ b/src/larkpost/gateway/rollouts/claims.py
@@ -41,7 +41,7 @@
         self._repository = repository
         self._membership = membership
         self._services = services
-        self._learn = record_head
+        self._record_head = record_head
         self._clock: Clock = services.clock
         self._log: EventLog = services.log
         self._claimed_at: dict[BatchId, float] = {}
@@ -97,4 +97,4 @@
         except StoreUnavailableError:
             return  # the feed will tell what the head is
         if row is not None:
-            self._learn(row)
+            self._record_head(row)
