--- a/src/larkpost/gateway/rollouts/batch_run.py
+++ b/src/larkpost/gateway/rollouts/batch_run.py
@@ -88,7 +88,7 @@
         for task in list(self._tasks.values()):
             task.cancel()
 
-    def drop(self, items: set[ItemId]) -> None:
+    def cancel_items(self, items: set[ItemId]) -> None:
         """Stops the runs of items that another daemon has listed meanwhile."""
         for item in items & self._tasks.keys():
             self._tasks[item].cancel()
--- a/src/larkpost/gateway/rollouts/owned_batch.py
+++ b/src/larkpost/gateway/rollouts/owned_batch.py
@@ -171,7 +171,7 @@
 
     def _drop_listed(self, listed: set[ItemId]) -> None:
         if self._run is not None:
-            self._run.drop(listed)
+            self._run.cancel_items(listed)
 
     def _complete(self) -> None:
         self.complete = True
