--- a/src/larkpost/gateway/rollouts/result_appender.py
+++ b/src/larkpost/gateway/rollouts/result_appender.py
@@ -41,14 +41,14 @@
         view: BatchView,
         repository: BatchRepository,
         services: RunServices,
-        drop: Callable[[set[ItemId]], None],
+        on_listed: Callable[[set[ItemId]], None],
     ) -> None:
         self._batch = head.id
         self._total = head.total
         self._view = view
         self._repository = repository
         self._services = services
-        self._drop = drop
+        self._drop = on_listed
         self._clock: Clock = services.clock
         self._log: EventLog = services.log
         self.tail: Tail | None = None
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -60,7 +60,7 @@
 
     original = ResultAppender.__init__
 
-    def begin(self, head, view, repository, services, drop):
+    def begin(self, head, view, repository, services, on_listed):
         original(self, head, view, repository, services, lambda _: None)
 
     def add(self, result):
