--- a/src/larkpost/gateway/rollouts/result_appender.py
+++ b/src/larkpost/gateway/rollouts/result_appender.py
@@ -48,7 +48,7 @@
         self._view = view
         self._repository = repository
         self._services = services
-        self._drop = on_listed
+        self._on_listed = on_listed
         self._clock: Clock = services.clock
         self._log: EventLog = services.log
         self.tail: Tail | None = None
@@ -91,7 +91,7 @@
         self._view.confirm(started)
         self.listed = {result.item for result in self._view.results}
         self.pending = [result for result in self.pending if result.item not in self.listed]
-        self._drop(self.listed)
+        self._on_listed(self.listed)
 
     async def append_all(self) -> None:
         """Appends results as they come, until nothing can be appended any more."""
