--- a/src/larkpost/gateway/rollouts/batch_run.py
+++ b/src/larkpost/gateway/rollouts/batch_run.py
@@ -47,9 +47,9 @@
         self.progress = {item.id: (kept or {}).get(item.id) or Progress(item) for item in items}
         self._services = services
         self._on_result = finished
-        self._engines = EngineSelector(head, services)
-        self._slot_queue = SlotQueue(self._engines, services.balancer, services.clock)
-        runs = EngineRunner(head, items, self._engines, self._slot_queue, services)
+        self._engine_selector = EngineSelector(head, services)
+        self._slot_queue = SlotQueue(self._engine_selector, services.balancer, services.clock)
+        runs = EngineRunner(head, items, self._engine_selector, self._slot_queue, services)
         self._stall_detector = runs.stalls
         routes = ItemRoutes(head, services)
         self._item_runner = ItemRunner(head, routes, self._slot_queue, runs, services)
@@ -108,10 +108,10 @@
     def _abort_stalled(self) -> None:
         """Ends stalled runs while there are more free places than items that wait for one."""
         free: dict[ServiceName, int] = {}
-        for watch in self._stall_detector.find_stalled(self._engines.stall_timeout):
+        for watch in self._stall_detector.find_stalled(self._engine_selector.stall_timeout):
             service = watch.engine.service
             if service not in free:
-                free[service] = self._engines.count_free_slots(service)
+                free[service] = self._engine_selector.count_free_slots(service)
             if free[service] > len(self._slot_queue):
                 free[service] -= 1
                 self._stall_detector.abort(watch)
--- a/src/larkpost/gateway/rollouts/engine_runner.py
+++ b/src/larkpost/gateway/rollouts/engine_runner.py
@@ -54,7 +54,7 @@
     ) -> None:
         self.stalls = StallDetector(services.clock)
         self._head = head
-        self._engines = engines
+        self._engine_selector = engines
         self._slot_queue = slot_queue
         self._services = services
         self._priorities = EnginePriorities(items)
@@ -87,7 +87,9 @@
         """Sends the request and records the response."""
         balancer = self._services.balancer
         request = self._request(run)
-        within = balancer.placement.admit(run.engine.id, self._engines.items.work_of(run.item))
+        within = balancer.placement.admit(
+            run.engine.id, self._engine_selector.items.work_of(run.item)
+        )
         request = replace(request, send_within=within)
         async with self._services.servers.send(run.engine, request) as response:
             balancer.record_load(run.engine.id, response.load)
@@ -110,7 +112,7 @@
             DiscontinuityError: an event does not follow the last one.
             MoveAwayError: it has a place at a faster engine.
         """
-        faster = FasterEngineRequest(self._slot_queue, self._engines, run)
+        faster = FasterEngineRequest(self._slot_queue, self._engine_selector, run)
         try:
             events = EventRecorder(run, watch, self._head, self._services, response.version or 0)
             async for event in response.events():
--- a/src/larkpost/gateway/rollouts/faster_engine.py
+++ b/src/larkpost/gateway/rollouts/faster_engine.py
@@ -29,7 +29,7 @@
 
     def __init__(self, slot_queue: SlotQueue, engines: EngineSelector, run: ItemRun) -> None:
         self._slot_queue = slot_queue
-        self._engines = engines
+        self._engine_selector = engines
         self._run = run
         self._place: asyncio.Future[InstanceInfo] | None = None
 
@@ -38,7 +38,7 @@
         if self._place is not None:
             return
         run = self._run
-        pace = self._engines.target_pace(run)
+        pace = self._engine_selector.target_pace(run)
         if pace:
             self._place = self._slot_queue.request(run.progress, run.route, pace)
 
@@ -51,7 +51,7 @@
         if self._place is None or not self._place.done():
             return
         engine = self._place.result()
-        if not self._engines.may_migrate_to(engine, self._run):
+        if not self._engine_selector.may_migrate_to(engine, self._run):
             self.cancel()
             return
         self._place = None
--- a/src/larkpost/gateway/rollouts/slot_queue.py
+++ b/src/larkpost/gateway/rollouts/slot_queue.py
@@ -78,7 +78,7 @@
     """Gives waiting items places at engines."""
 
     def __init__(self, engines: EngineSelector, balancer: Balancer, clock: Clock) -> None:
-        self._engines = engines
+        self._engine_selector = engines
         self._balancer = balancer
         self._clock = clock
         self._waiting: list[_SlotRequest] = []
@@ -154,19 +154,19 @@
 
     def _assign(self, entry: _SlotRequest, missing: _UnavailableSlots) -> bool:
         """Gives an item a place if there is one, and returns whether there is."""
-        service = self._engines.items.service_of(entry.item, entry.route)
+        service = self._engine_selector.items.service_of(entry.item, entry.route)
         if service is None:
             return False
-        work = self._engines.items.work_of(entry.item)
+        work = self._engine_selector.items.work_of(entry.item)
         wanted = (service, work)
         if missing.rules_out(wanted, entry.pace_limit):
             return False
-        engine = self._engines.choose(service, entry.pace_limit, work)
+        engine = self._engine_selector.choose(service, entry.pace_limit, work)
         if engine is None:
             missing.record(wanted, entry.pace_limit)
             return False
         self._balancer.occupy(engine.id)
-        self._engines.record_assigned(engine)
+        self._engine_selector.record_assigned(engine)
         entry.place.set_result(engine)
         return True
 
