--- a/src/larkpost/gateway/rollouts/slot_queue.py
+++ b/src/larkpost/gateway/rollouts/slot_queue.py
@@ -46,7 +46,7 @@
     item: Item
     route: Route
     pace_limit: float
-    place: asyncio.Future[InstanceInfo]
+    slot: asyncio.Future[InstanceInfo]
     order: tuple[bool, float]
 
 
@@ -98,35 +98,35 @@
             progress: of the item that wants the place.
             pace_limit: how fast the engine must be, in seconds for an event; 0 for any.
         """
-        place = self.request(progress, route, pace_limit)
+        slot = self.request(progress, route, pace_limit)
         try:
             timeout = PACE_LIMITED_TIMEOUT_SECONDS if pace_limit else TIMEOUT_SECONDS
-            await asyncio.wait({place}, timeout=timeout)
+            await asyncio.wait({slot}, timeout=timeout)
         except asyncio.CancelledError:
-            self.cancel(place)
+            self.cancel(slot)
             raise
-        if place.done():
-            return place.result()
-        self.cancel(place)
+        if slot.done():
+            return slot.result()
+        self.cancel(slot)
         return None
 
     def request(
         self, progress: Progress, route: Route, pace_limit: float = 0.0
     ) -> asyncio.Future[InstanceInfo]:
         """Requests a place without waiting; see `take`. It must be used, or cancelled."""
-        place: asyncio.Future[InstanceInfo] = asyncio.get_running_loop().create_future()
-        entry = _SlotRequest(progress.item, route, pace_limit, place, queue_order(progress))
+        slot: asyncio.Future[InstanceInfo] = asyncio.get_running_loop().create_future()
+        entry = _SlotRequest(progress.item, route, pace_limit, slot, queue_order(progress))
         bisect.insort(self._waiting, entry, key=lambda waiting: waiting.order)
         if self._server is None or self._server.done():
             self._server = asyncio.create_task(self._serve())
-        return place
+        return slot
 
-    def cancel(self, place: asyncio.Future[InstanceInfo]) -> None:
+    def cancel(self, slot: asyncio.Future[InstanceInfo]) -> None:
         """Cancels a request; a place that was assigned meanwhile is free again."""
-        if place.done():
-            self._balancer.release(place.result().id)
+        if slot.done():
+            self._balancer.release(slot.result().id)
             return
-        self._waiting = [entry for entry in self._waiting if entry.place is not place]
+        self._waiting = [entry for entry in self._waiting if entry.slot is not slot]
 
     def stop(self) -> None:
         """Stops serving."""
@@ -167,7 +167,7 @@
             return False
         self._balancer.occupy(engine.id)
         self._engine_selector.record_assigned(engine)
-        entry.place.set_result(engine)
+        entry.slot.set_result(engine)
         return True
 
 
