--- a/src/larkpost/gateway/rollouts/faster_engine.py
+++ b/src/larkpost/gateway/rollouts/faster_engine.py
@@ -31,16 +31,16 @@
         self._slot_queue = slot_queue
         self._engine_selector = engines
         self._run = run
-        self._place: asyncio.Future[InstanceInfo] | None = None
+        self._slot: asyncio.Future[InstanceInfo] | None = None
 
     def request_if_slow(self) -> None:
         """Requests a place if the engine is so slow for good that the run is worth moving."""
-        if self._place is not None:
+        if self._slot is not None:
             return
         run = self._run
         pace = self._engine_selector.target_pace(run)
         if pace:
-            self._place = self._slot_queue.request(run.progress, run.route, pace)
+            self._slot = self._slot_queue.request(run.progress, run.route, pace)
 
     def raise_if_assigned(self) -> None:
         """Ends the run once it has a place; a place that may be used no longer is given back.
@@ -48,17 +48,17 @@
         Raises:
             MoveAwayError: there is a place, which is the caller's from now on.
         """
-        if self._place is None or not self._place.done():
+        if self._slot is None or not self._slot.done():
             return
-        engine = self._place.result()
+        engine = self._slot.result()
         if not self._engine_selector.may_migrate_to(engine, self._run):
             self.cancel()
             return
-        self._place = None
+        self._slot = None
         raise MigrateRunError(engine)
 
     def cancel(self) -> None:
         """Cancels the request, if there is one."""
-        if self._place is not None:
-            self._slot_queue.cancel(self._place)
-            self._place = None
+        if self._slot is not None:
+            self._slot_queue.cancel(self._slot)
+            self._slot = None
