--- a/src/larkpost/gateway/rollouts/item_work.py
+++ b/src/larkpost/gateway/rollouts/item_work.py
@@ -44,8 +44,8 @@
         head = self._head
         regions = None
         if configuration is not None:
-            place = path.partition("?")[0].encode()
-            regions = configuration.homes_at(head.tenant, head.host, place)
+            route_path = path.partition("?")[0].encode()
+            regions = configuration.homes_at(head.tenant, head.host, route_path)
         return Work(WorkKind.ITEM, regions, head.model, head.minimum_version)
 
     def service_of(self, item: Item, route: Route) -> ServiceName | None:
