--- a/src/larkpost/gateway/rollouts/slot_queue.py
+++ b/src/larkpost/gateway/rollouts/slot_queue.py
@@ -82,7 +82,7 @@
         self._balancer = balancer
         self._clock = clock
         self._waiting: list[_SlotRequest] = []
-        self._server: asyncio.Task | None = None
+        self._serve_task: asyncio.Task | None = None
 
     def __len__(self) -> int:
         return len(self._waiting)
@@ -117,8 +117,8 @@
         slot: asyncio.Future[InstanceInfo] = asyncio.get_running_loop().create_future()
         entry = _SlotRequest(progress.item, route, pace_limit, slot, queue_order(progress))
         bisect.insort(self._waiting, entry, key=lambda waiting: waiting.order)
-        if self._server is None or self._server.done():
-            self._server = asyncio.create_task(self._serve())
+        if self._serve_task is None or self._serve_task.done():
+            self._serve_task = asyncio.create_task(self._serve())
         return slot
 
     def cancel(self, slot: asyncio.Future[InstanceInfo]) -> None:
@@ -130,8 +130,8 @@
 
     def stop(self) -> None:
         """Stops serving."""
-        if self._server is not None:
-            self._server.cancel()
+        if self._serve_task is not None:
+            self._serve_task.cancel()
 
     async def _serve(self) -> None:
         while self._waiting:
