--- a/src/larkpost/gateway/rollouts/slot_queue.py
+++ b/src/larkpost/gateway/rollouts/slot_queue.py
@@ -141,29 +141,29 @@
 
     def _pass(self) -> int:
         """Assigns at most `PLACES_AT_ONCE` places, the longest items first, and counts them."""
-        missing = _UnavailableSlots()
+        unavailable = _UnavailableSlots()
         left: list[_SlotRequest] = []
         assigned = 0
         for entry in self._waiting:
-            if assigned < MAX_SLOTS_PER_PASS and self._assign(entry, missing):
+            if assigned < MAX_SLOTS_PER_PASS and self._assign(entry, unavailable):
                 assigned += 1
             else:
                 left.append(entry)
         self._waiting = left
         return assigned
 
-    def _assign(self, entry: _SlotRequest, missing: _UnavailableSlots) -> bool:
+    def _assign(self, entry: _SlotRequest, unavailable: _UnavailableSlots) -> bool:
         """Gives an item a place if there is one, and returns whether there is."""
         service = self._engine_selector.items.service_of(entry.item, entry.route)
         if service is None:
             return False
         work = self._engine_selector.items.work_of(entry.item)
         wanted = (service, work)
-        if missing.rules_out(wanted, entry.pace_limit):
+        if unavailable.rules_out(wanted, entry.pace_limit):
             return False
         engine = self._engine_selector.choose(service, entry.pace_limit, work)
         if engine is None:
-            missing.record(wanted, entry.pace_limit)
+            unavailable.record(wanted, entry.pace_limit)
             return False
         self._balancer.occupy(engine.id)
         self._engine_selector.record_assigned(engine)
