--- a/src/larkpost/gateway/rollouts/engine_rules.py
+++ b/src/larkpost/gateway/rollouts/engine_rules.py
@@ -76,7 +76,7 @@
     return _nearest_like(_fastest(preferred), preferred)
 
 
-def _stays_available(engine: EngineState) -> bool:
+def _accepts_work(engine: EngineState) -> bool:
     return not engine.is_loading
 
 
@@ -84,7 +84,7 @@
     return not engine.is_cold
 
 
-PREFERENCES = (_stays_available, _is_warm)
+PREFERENCES = (_accepts_work, _is_warm)
 """What an engine should be, the most important first; engines that are not are taken if no engine
 is. Loads take about a second, in which an item would be refused."""
 
