--- a/src/larkpost/gateway/rollouts/engine_rules.py
+++ b/src/larkpost/gateway/rollouts/engine_rules.py
@@ -73,7 +73,7 @@
     preferred = candidates
     for preference in PREFERENCES:
         preferred = [engine for engine in preferred if preference(engine)] or preferred
-    return _nearest_like(_fastest(preferred), preferred)
+    return _nearest_equivalent(_fastest(preferred), preferred)
 
 
 def _accepts_work(engine: EngineState) -> bool:
@@ -101,7 +101,7 @@
     return best
 
 
-def _nearest_like(best: EngineState, candidates: list[EngineState]) -> EngineState:
+def _nearest_equivalent(best: EngineState, candidates: list[EngineState]) -> EngineState:
     """Returns the nearest of the engines that are about as fast and as full as the best one."""
     alike = [engine for engine in candidates if _is_nearer_like(engine, best)]
     return min(alike, key=lambda engine: engine.distance, default=best)
