--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -205,9 +205,9 @@
             within: the only engines of a large service to look at; None for any.
         """
         balancer = self._services.balancer
-        fitting = balancer.candidates(service, work, eligible=self._has_not_failed, within=within)
+        fitting = balancer.candidates(service, work, eligible=self._is_not_avoided, within=within)
         return [info for info in fitting if balancer.has_place(info)]
 
-    def _has_not_failed(self, info: InstanceInfo) -> bool:
+    def _is_not_avoided(self, info: InstanceInfo) -> bool:
         """Returns whether an engine did not fail a moment ago."""
         return not self._services.balancer.is_avoided(info.id)
