--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -55,10 +55,10 @@
                 for an event; 0 for any engine.
             work: what the rules of placement ask of the item; None for the batch's own.
         """
-        only = self._allowed_engines(service)
-        candidates = self._with_free_slot(service, work or self.items.work_of(), only)
-        if only is not None:
-            candidates = [info for info in candidates if info.id in only]
+        allowed = self._allowed_engines(service)
+        candidates = self._with_free_slot(service, work or self.items.work_of(), allowed)
+        if allowed is not None:
+            candidates = [info for info in candidates if info.id in allowed]
         if pace_limit:
             candidates = self._fast_enough(service, candidates, pace_limit)
         chosen = choose_engine(self._states(service, candidates))
