--- a/src/larkpost/gateway/rollouts/engine_priorities.py
+++ b/src/larkpost/gateway/rollouts/engine_priorities.py
@@ -29,8 +29,8 @@
 
     def __init__(self, items: Sequence[Item]) -> None:
         works = sorted((item.expected_work for item in items), reverse=True)
-        self._long_from = _at_share(works, LONG_SHARE)
-        self._short_to = _at_share(works, 1 - SHORT_SHARE)
+        self._long_from = _quantile(works, LONG_SHARE)
+        self._short_to = _quantile(works, 1 - SHORT_SHARE)
 
     def engine_priority(self, progress: Progress, priority: int, *, yields: bool = False) -> int:
         """Returns the rank that an engine is sent, from 0, the most urgent, to 9.
@@ -54,7 +54,7 @@
         return 1 if work > self._short_to else 2
 
 
-def _at_share(works: list[int], share: float) -> float:
+def _quantile(works: list[int], share: float) -> float:
     """Returns the work that a share of the items, sorted by falling work, reaches."""
     if not works:
         return math.inf
