--- a/src/larkpost/gateway/rollouts/engine_priorities.py
+++ b/src/larkpost/gateway/rollouts/engine_priorities.py
@@ -29,7 +29,7 @@
 
     def __init__(self, items: Sequence[Item]) -> None:
         works = sorted((item.expected_work for item in items), reverse=True)
-        self._long_from = _quantile(works, LONG_SHARE)
+        self._long_threshold = _quantile(works, LONG_SHARE)
         self._short_to = _quantile(works, 1 - SHORT_SHARE)
 
     def engine_priority(self, progress: Progress, priority: int, *, yields: bool = False) -> int:
@@ -49,7 +49,7 @@
     def _length_class(self, progress: Progress) -> int:
         """Returns 0 for a long item, 2 for a short one."""
         work = progress.item.expected_work
-        if progress.is_long or work >= self._long_from:
+        if progress.is_long or work >= self._long_threshold:
             return 0
         return 1 if work > self._short_to else 2
 
