--- a/src/larkpost/gateway/rollouts/engine_priorities.py
+++ b/src/larkpost/gateway/rollouts/engine_priorities.py
@@ -30,7 +30,7 @@
     def __init__(self, items: Sequence[Item]) -> None:
         works = sorted((item.expected_work for item in items), reverse=True)
         self._long_threshold = _quantile(works, LONG_SHARE)
-        self._short_to = _quantile(works, 1 - SHORT_SHARE)
+        self._short_threshold = _quantile(works, 1 - SHORT_SHARE)
 
     def engine_priority(self, progress: Progress, priority: int, *, yields: bool = False) -> int:
         """Returns the rank that an engine is sent, from 0, the most urgent, to 9.
@@ -51,7 +51,7 @@
         work = progress.item.expected_work
         if progress.is_long or work >= self._long_threshold:
             return 0
-        return 1 if work > self._short_to else 2
+        return 1 if work > self._short_threshold else 2
 
 
 def _quantile(works: list[int], share: float) -> float:
