--- a/src/larkpost/gateway/rollouts/batch_forecaster.py
+++ b/src/larkpost/gateway/rollouts/batch_forecaster.py
@@ -95,7 +95,7 @@
             if progress is None:
                 outlooks[head.model].append(Outlook.UNKNOWN)
             else:
-                outlooks[head.model].append(self._judge(head, progress, capacities))
+                outlooks[head.model].append(self._forecast(head, progress, capacities))
                 waiting[head.model] += progress.waiting
         priorities = self._priorities(heads)
         return {
@@ -127,7 +127,7 @@
             for batch, progress in batches.items()
         }
 
-    def _judge(
+    def _forecast(
         self,
         head: BatchHead,
         progress: BatchProgress,
