--- a/src/larkpost/gateway/rollouts/batch_forecaster.py
+++ b/src/larkpost/gateway/rollouts/batch_forecaster.py
@@ -86,7 +86,7 @@
         Args:
             own: progress of the batches that this daemon owns.
         """
-        known = self._reported() | own
+        known = self._recent_reports() | own
         capacities: dict[ServiceName, Capacity] = {}
         outlooks: dict[ModelName, list[Outlook]] = defaultdict(list)
         waiting: dict[ModelName, int] = defaultdict(int)
@@ -116,7 +116,7 @@
             priorities[head.model] = min(known, self._priority(head))
         return priorities
 
-    def _reported(self) -> dict[BatchId, BatchProgress]:
+    def _recent_reports(self) -> dict[BatchId, BatchProgress]:
         """Returns what the others reported a moment ago."""
         oldest = self._sources.clock.now() - REPORT_LIFETIME_SECONDS
         for daemon in [name for name, (at, _) in self._reports.items() if at < oldest]:
