--- a/src/larkpost/gateway/rollouts/batch_manager.py
+++ b/src/larkpost/gateway/rollouts/batch_manager.py
@@ -61,7 +61,7 @@
         self._clock: Clock = services.clock
         self._log: EventLog = services.log
         self._heads = BatchHeadCache(services.clock, services.division.last_naming, self._age)
-        self._outlooks = BatchForecaster(
+        self._forecaster = BatchForecaster(
             ForecastInputs(
                 services.configuration,
                 services.directory,
@@ -122,7 +122,7 @@
         """Returns what the batches of each model ask for, with the outlook of those open."""
         demands = self._heads.demands()
         heads = ModelHeads(self._heads.open(), self._heads.newest())
-        return self._outlooks.add_forecasts(demands, heads, self.progress())
+        return self._forecaster.add_forecasts(demands, heads, self.progress())
 
     def progress(self) -> dict[BatchId, BatchProgress]:
         """Returns how far the batches that this daemon owns are, at most `MAX_REPORTED` of them."""
@@ -132,7 +132,7 @@
 
     def record_report(self, daemon: DaemonId, batches: dict[BatchId, BatchProgress]) -> None:
         """Records how far another daemon's batches are, as it reports it."""
-        self._outlooks.record_report(daemon, batches)
+        self._forecaster.record_report(daemon, batches)
 
     async def start_accepted(self, spec: BatchSpec, upload: str) -> None:
         """Starts an accepted batch at once if it is this daemon's, without waiting for the feed."""
