--- a/src/larkpost/gateway/rollouts/batch_manager.py
+++ b/src/larkpost/gateway/rollouts/batch_manager.py
@@ -73,7 +73,7 @@
         self._claims = BatchClaims(repository, membership, services, self.record_head)
         self._owned: dict[BatchId, OwnedBatch] = {}
         self._complete: set[BatchId] = set()
-        self._claiming: set[asyncio.Task] = set()
+        self._claim_tasks: set[asyncio.Task] = set()
         self._leaving = False
 
     def start(self, tasks: TaskSet) -> None:
@@ -197,8 +197,8 @@
     def _start_claim(self, known: CachedBatchHead) -> None:
         self._claims.record_claim(known.head.id)
         task = asyncio.create_task(self._claims.claim(known, self._membership.own))
-        self._claiming.add(task)
-        task.add_done_callback(self._claiming.discard)
+        self._claim_tasks.add(task)
+        task.add_done_callback(self._claim_tasks.discard)
 
     def _own(self, head: BatchHead, items: tuple[Item, ...] | None, *, fresh: bool) -> None:
         view: BatchView = self._views.get_or_add(head)
