--- a/src/larkpost/gateway/rollouts/batch_manager.py
+++ b/src/larkpost/gateway/rollouts/batch_manager.py
@@ -147,7 +147,7 @@
         if head.ended or spec.id in self._complete:
             return
         self._own(head, spec.items, fresh=True)
-        self._count_held()
+        self._record_memory_use()
 
     def finish(self, batch: BatchId) -> None:
         """Stops running a batch that is complete or ended."""
@@ -161,7 +161,7 @@
         for batch, owned in list(self._owned.items()):
             if owned.complete:
                 self.finish(batch)
-        self._count_held()
+        self._record_memory_use()
 
     async def hand_over(self) -> None:
         """Gives all owned batches to other daemons, with what their items have made so far."""
@@ -209,7 +209,7 @@
         self._log.record(Event.BATCH_OWNED, batch=head.id, fresh=fresh)
         owned.start(items, fresh)
 
-    def _count_held(self) -> None:
+    def _record_memory_use(self) -> None:
         """Tells the budget what all batches hold, and drops some that are not run here."""
         outputs = sum(owned.output_bytes for owned in self._owned.values())
         self._views.evict_idle(set(self._owned), outputs)
