--- a/src/larkpost/gateway/rollouts/batch_manager.py
+++ b/src/larkpost/gateway/rollouts/batch_manager.py
@@ -146,7 +146,7 @@
             return
         if head.ended or spec.id in self._complete:
             return
-        self._own(head, spec.items, fresh=True)
+        self._start_batch(head, spec.items, fresh=True)
         self._record_memory_use()
 
     def finish(self, batch: BatchId) -> None:
@@ -190,7 +190,7 @@
             self._release(batch)
         elif mine:
             if batch not in self._owned:
-                self._own(head, None, fresh=False)
+                self._start_batch(head, None, fresh=False)
         elif not self._leaving and self._claims.should_claim(known):
             self._start_claim(known)
 
@@ -200,7 +200,7 @@
         self._claim_tasks.add(task)
         task.add_done_callback(self._claim_tasks.discard)
 
-    def _own(self, head: BatchHead, items: tuple[Item, ...] | None, *, fresh: bool) -> None:
+    def _start_batch(self, head: BatchHead, items: tuple[Item, ...] | None, *, fresh: bool) -> None:
         view: BatchView = self._views.get_or_add(head)
         if items is not None:
             view.set_items(items)
