--- a/src/larkpost/gateway/rollouts/batch_manager.py
+++ b/src/larkpost/gateway/rollouts/batch_manager.py
@@ -74,7 +74,7 @@
         self._owned: dict[BatchId, OwnedBatch] = {}
         self._complete: set[BatchId] = set()
         self._claim_tasks: set[asyncio.Task] = set()
-        self._leaving = False
+        self._handing_over = False
 
     def start(self, tasks: TaskSet) -> None:
         """Starts to update and remove batches, each at its interval."""
@@ -142,7 +142,7 @@
             )
         except StoreUnavailableError:
             return  # the feed will tell of the head
-        if head is None or head.upload != upload or self._leaving or spec.id in self._owned:
+        if head is None or head.upload != upload or self._handing_over or spec.id in self._owned:
             return
         if head.ended or spec.id in self._complete:
             return
@@ -165,7 +165,7 @@
 
     async def hand_over(self) -> None:
         """Gives all owned batches to other daemons, with what their items have made so far."""
-        self._leaving = True
+        self._handing_over = True
         await asyncio.gather(*(self._hand_over(batch) for batch in list(self._owned)))
 
     async def remove_expired(self) -> None:
@@ -185,13 +185,13 @@
     def _update_batch(self, known: CachedBatchHead) -> None:
         """Runs, releases or claims a batch, by its owner and whether it is over."""
         head, batch = known.head, known.head.id
-        mine = head.owner == self._membership.own and not self._leaving
+        mine = head.owner == self._membership.own and not self._handing_over
         if head.ended or batch in self._complete or (batch in self._owned and not mine):
             self._release(batch)
         elif mine:
             if batch not in self._owned:
                 self._start_batch(head, None, fresh=False)
-        elif not self._leaving and self._claims.should_claim(known):
+        elif not self._handing_over and self._claims.should_claim(known):
             self._start_claim(known)
 
     def _start_claim(self, known: CachedBatchHead) -> None:
