--- a/src/larkpost/gateway/rollouts/batch_manager.py
+++ b/src/larkpost/gateway/rollouts/batch_manager.py
@@ -72,7 +72,7 @@
         )
         self._claims = BatchClaims(repository, membership, services, self.record_head)
         self._owned: dict[BatchId, OwnedBatch] = {}
-        self._complete: set[BatchId] = set()
+        self._completed: set[BatchId] = set()
         self._claim_tasks: set[asyncio.Task] = set()
         self._handing_over = False
 
@@ -92,7 +92,7 @@
             batch = BatchId(row.key.key)
             self._heads.forget(batch)
             self._views.forget(batch)
-            self._complete.discard(batch)
+            self._completed.discard(batch)
         else:
             self._heads.record(row)
 
@@ -144,7 +144,7 @@
             return  # the feed will tell of the head
         if head is None or head.upload != upload or self._handing_over or spec.id in self._owned:
             return
-        if head.ended or spec.id in self._complete:
+        if head.ended or spec.id in self._completed:
             return
         self._start_batch(head, spec.items, fresh=True)
         self._record_memory_use()
@@ -152,7 +152,7 @@
     def finish(self, batch: BatchId) -> None:
         """Stops running a batch that is complete or ended."""
         self._release(batch)
-        self._complete.add(batch)
+        self._completed.add(batch)
 
     async def update(self) -> None:
         """Starts, claims and releases batches as what is known of them demands."""
@@ -186,7 +186,7 @@
         """Runs, releases or claims a batch, by its owner and whether it is over."""
         head, batch = known.head, known.head.id
         mine = head.owner == self._membership.own and not self._handing_over
-        if head.ended or batch in self._complete or (batch in self._owned and not mine):
+        if head.ended or batch in self._completed or (batch in self._owned and not mine):
             self._release(batch)
         elif mine:
             if batch not in self._owned:
