--- a/src/larkpost/gateway/rollouts/reader.py
+++ b/src/larkpost/gateway/rollouts/reader.py
@@ -84,7 +84,7 @@
                 give_up_at = min(give_up_at, now + HOLD_SECONDS)
             step = decide_read(_read_state(view, position, holds, failed, give_up_at - now))
             if step is ReadDecision.RESPOND:
-                return self._give(view, position, from_memory=failed)
+                return self._respond(view, position, from_memory=failed)
             if step is ReadDecision.FAIL:
                 raise self._failure(batch, position)
             await view.wait_for_change(min(READ_POLL_SECONDS, give_up_at - now))
@@ -107,7 +107,7 @@
         self._log.record(Event.READ_FAILED, batch=batch, position=position)
         return BatchUnreadableError("the store does not answer", retry_after=RETRY_AFTER_SECONDS)
 
-    def _give(self, view: BatchView, position: int, *, from_memory: bool) -> ResultPage:
+    def _respond(self, view: BatchView, position: int, *, from_memory: bool) -> ResultPage:
         """Returns a page and records it, with the age of what was known."""
         page = _page(view, position)
         self._services.metrics.count(Count.BATCH_CALLS, "read", "answered")
