--- a/src/larkpost/gateway/rollouts/reader.py
+++ b/src/larkpost/gateway/rollouts/reader.py
@@ -149,7 +149,7 @@
         view = self._views.get(batch)
         if view is None:
             view = self._views.get_or_add(await self.find_head(batch, caller))
-        _check_seen(view.head, caller)
+        _check_visible(view.head, caller)
         view.used_at = self._clock.now()
         return view
 
@@ -168,7 +168,7 @@
                 raise BatchUnreadableError(error.message, retry_after=RETRY_AFTER_SECONDS) from None
         if head is None:
             raise NoSuchBatchError(f"there is no batch {batch}")
-        _check_seen(head, caller)
+        _check_visible(head, caller)
         return head
 
     async def _refresh(self, view: BatchView, position: int, may_hold: bool) -> bool:
@@ -205,7 +205,7 @@
     )
 
 
-def _check_seen(head: BatchHead, caller: Caller) -> None:
+def _check_visible(head: BatchHead, caller: Caller) -> None:
     """Raises unless a caller may see a batch; another tenant's does not exist to it.
 
     Raises:
