--- a/src/larkpost/gateway/rollouts/reader.py
+++ b/src/larkpost/gateway/rollouts/reader.py
@@ -86,7 +86,7 @@
             if step is ReadDecision.RESPOND:
                 return self._respond(view, position, from_memory=failed)
             if step is ReadDecision.FAIL:
-                raise self._failure(batch, position)
+                raise self._read_error(batch, position)
             await view.wait_for_change(min(READ_POLL_SECONDS, give_up_at - now))
 
     def _may_hold(self, view: BatchView) -> bool:
@@ -101,7 +101,7 @@
         route = configuration.match(head.host, head.path.encode("latin-1"))
         return route is not None and may_hold(now - head.created_at, route.due)
 
-    def _failure(self, batch: BatchId, position: int) -> BatchUnreadableError:
+    def _read_error(self, batch: BatchId, position: int) -> BatchUnreadableError:
         """Records a read that failed, and returns its error."""
         self._services.metrics.count(Count.BATCH_CALLS, "read", "failed")
         self._log.record(Event.READ_FAILED, batch=batch, position=position)
