--- a/src/larkpost/gateway/rollouts/event_recorder.py
+++ b/src/larkpost/gateway/rollouts/event_recorder.py
@@ -63,7 +63,7 @@
             self._observe_version(event.version)
         self._check_version()
         self._run.progress.take(event.id, event.data, self._version)
-        self._record_pause(now)
+        self._record_latency(now)
         self.count += 1
 
     def _observe_version(self, version: int) -> None:
@@ -84,7 +84,7 @@
             progress.restart()
             raise BrokenResponseError("the version changed within a result")
 
-    def _record_pause(self, now: float) -> None:
+    def _record_latency(self, now: float) -> None:
         """Records the time from the beginning to the first event, and all later pauses as pace."""
         if self._last_at is None:
             seconds = now - self._watch.started_at
