--- a/src/larkpost/gateway/rollouts/event_recorder.py
+++ b/src/larkpost/gateway/rollouts/event_recorder.py
@@ -45,7 +45,7 @@
         self._head = head
         self._services = services
         self._version = version
-        self._last_at: float | None = None
+        self._last_event_at: float | None = None
         self.count = 0
         self._observe_version(version)
 
@@ -86,12 +86,12 @@
 
     def _record_latency(self, now: float) -> None:
         """Records the time from the beginning to the first event, and all later pauses as pace."""
-        if self._last_at is None:
+        if self._last_event_at is None:
             seconds = now - self._watch.started_at
             self._services.metrics.observe(Timing.ITEM_FIRST_EVENT, seconds)
         else:
-            seconds = now - self._last_at
+            seconds = now - self._last_event_at
             balancer, engine = self._services.balancer, self._run.engine
             balancer.record_pace(engine.id, seconds, EVENT_PACE_WEIGHT)
             balancer.paces.record_event(engine.id, seconds)
-        self._last_at = now
+        self._last_event_at = now
