--- a/src/larkpost/gateway/rollouts/acceptance.py
+++ b/src/larkpost/gateway/rollouts/acceptance.py
@@ -108,7 +108,9 @@
         result = await self._write(self._transaction(submission))
         if result.outcome is WriteOutcome.UNKNOWN:
             submission.is_uncertain = True
-        if result.outcome is WriteOutcome.CONFLICT and _is_of_another(submission.spec, result.rows):
+        if result.outcome is WriteOutcome.CONFLICT and _is_other_tenants(
+            submission.spec, result.rows
+        ):
             return AcceptOutcome.TAKEN
         is_there = result.outcome in (WriteOutcome.DONE, WriteOutcome.CONFLICT)
         return AcceptOutcome.ACCEPTED if is_there else None
@@ -169,7 +171,7 @@
         )
 
 
-def _is_of_another(spec: BatchSpec, rows: tuple[Row, ...]) -> bool:
+def _is_other_tenants(spec: BatchSpec, rows: tuple[Row, ...]) -> bool:
     """Returns whether the rows hold the head of a batch of this id that is another tenant's."""
     heads = [head_of_row(row) for row in rows if row.key.table == HEAD_TABLE and row.value]
     return any(head.id == spec.id and head.tenant != spec.tenant for head in heads)
