--- a/src/larkpost/gateway/rollouts/read_rules.py
+++ b/src/larkpost/gateway/rollouts/read_rules.py
@@ -52,14 +52,14 @@
 def decide_read(state: ReadState) -> ReadDecision:
     """Returns whether a read is answered with what is known, waits for more, or fails."""
     is_over = state.seconds_left < MIN_WAIT_SECONDS
-    if state.is_complete or (state.has_new and (is_over or _need_not_hold(state))):
+    if state.is_complete or (state.has_new and (is_over or _should_not_hold(state))):
         return ReadDecision.RESPOND
     if not is_over:
         return ReadDecision.WAIT
     return ReadDecision.FAIL if state.store_failed else ReadDecision.RESPOND
 
 
-def _need_not_hold(state: ReadState) -> bool:
+def _should_not_hold(state: ReadState) -> bool:
     return (
         state.has_enough_groups  # the trainer goes on with these
         or not state.may_hold
