--- a/src/larkpost/gateway/rollouts/reader.py
+++ b/src/larkpost/gateway/rollouts/reader.py
@@ -56,7 +56,7 @@
         services: RunServices,
     ) -> None:
         self._repository = repository
-        self._keeper = keeper
+        self._batch_manager = keeper
         self._views = views
         self._services = services
         self._clock = services.clock
@@ -160,7 +160,7 @@
             NoSuchBatchError: there is no such batch.
             BatchUnreadableError: the store does not answer.
         """
-        head = self._keeper.head(batch)
+        head = self._batch_manager.head(batch)
         if head is None:
             try:
                 head = await self._repository.head(batch)
--- a/src/larkpost/gateway/rollouts/service.py
+++ b/src/larkpost/gateway/rollouts/service.py
@@ -53,7 +53,7 @@
     ) -> None:
         self._owner = owner
         self._repository = repository
-        self._keeper = keeper
+        self._batch_manager = keeper
         self._reader = BatchReader(repository, keeper, views, services)
         self._services = services
         self._clock: Clock = services.clock
@@ -67,7 +67,7 @@
             BatchUncertainError: it may have been accepted.
             BatchIdTakenError: another tenant has a batch of this id.
         """
-        known = self._keeper.head(spec.id)
+        known = self._batch_manager.head(spec.id)
         if known is not None and known.tenant == spec.tenant:
             return
         if self._has_no_eligible_engine(spec):
@@ -78,7 +78,7 @@
         if outcome is not AcceptOutcome.ACCEPTED:
             raise self._refusal_error(spec, outcome)
         self._record_accepted(spec, self._clock.now() - started)
-        await self._keeper.start_accepted(spec, upload)
+        await self._batch_manager.start_accepted(spec, upload)
 
     def _no_eligible_engine_error(self, spec: BatchSpec) -> BatchRefusedError:
         """Records that no engine may serve a batch, and returns the error of its submission."""
@@ -168,4 +168,4 @@
             raise BatchUncertainError("the store did not answer", ran=Ran.UNKNOWN)
         self._services.metrics.count(Count.BATCH_CALLS, "end", "done")
         self._log.record(Event.BATCH_ENDED, batch=batch)
-        self._keeper.finish(batch)
+        self._batch_manager.finish(batch)
