--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -95,9 +95,9 @@
             ((spare, unknown), unknown),
             ((spare, hopeless, unknown, tight), tight),
         )
-        for outlooks, expected in cases:
-            with self.subTest(outlooks):
-                self.assertIs(expected, most_in_need(outlooks))
+        for forecaster, expected in cases:
+            with self.subTest(forecaster):
+                self.assertIs(expected, most_in_need(forecaster))
 
 
 class WorkLeftTest(unittest.TestCase):
@@ -167,7 +167,7 @@
             fleet.clock,
             lambda: 100.0,
         )
-        self.outlooks = BatchForecaster(sources)
+        self.forecaster = BatchForecaster(sources)
         spec = make_batch(items=1)
         self.due = gateway.blackboard.configuration.current.match(spec.host, spec.path.encode()).due
         self.head = BatchHead(
@@ -178,14 +178,14 @@
     def demand(self, own: dict[BatchId, BatchProgress] | None = None) -> ModelDemand:
         """Returns what the model's batches ask for."""
         demands = {MODEL: ModelDemand(10, True)}
-        return self.outlooks.add_forecasts(demands, ModelHeads([self.head]), own or {})[MODEL]
+        return self.forecaster.add_forecasts(demands, ModelHeads([self.head]), own or {})[MODEL]
 
     def test_report_is_believed_for_a_while(self):
         async def play():
             await self.begin()
             self.assertIs(Outlook.UNKNOWN, self.demand().outlook)
             reported = {self.head.id: BatchProgress(4, 100, 10)}
-            self.outlooks.record_report(DaemonId("o"), reported)
+            self.forecaster.record_report(DaemonId("o"), reported)
             self.assertEqual(4, self.demand().waiting)
             self.assertNotEqual(Outlook.UNKNOWN, self.demand().outlook)
             await self.clock.sleep(REPORT_LIFETIME_SECONDS + 0.1)
@@ -196,8 +196,8 @@
     def test_owner_that_is_gone_tells_nothing(self):
         async def play():
             await self.begin()
-            self.outlooks.record_report(DaemonId("o"), {self.head.id: BatchProgress(4, 1, 1)})
-            self.outlooks.record_report(DaemonId("o"), {})
+            self.forecaster.record_report(DaemonId("o"), {self.head.id: BatchProgress(4, 1, 1)})
+            self.forecaster.record_report(DaemonId("o"), {})
             self.assertEqual(ModelDemand(10, True), self.demand())
 
         run(play())
@@ -209,9 +209,9 @@
             await self.begin()
             demands = {MODEL: ModelDemand(10)}
             while_open = self.demand().priority
-            ended = self.outlooks.add_forecasts(demands, ModelHeads([], [self.head]), {})[MODEL]
+            ended = self.forecaster.add_forecasts(demands, ModelHeads([], [self.head]), {})[MODEL]
             self.assertEqual(while_open, ended.priority)
-            unknown = self.outlooks.add_forecasts(demands, ModelHeads([]), {})[MODEL]
+            unknown = self.forecaster.add_forecasts(demands, ModelHeads([]), {})[MODEL]
             self.assertEqual(LOWEST_PRIORITY, unknown.priority)
             self.assertLess(while_open, LOWEST_PRIORITY)
 
@@ -220,7 +220,7 @@
     def test_own_knowledge_counts_before_reports(self):
         async def play():
             await self.begin()
-            self.outlooks.record_report(DaemonId("o"), {self.head.id: BatchProgress(4, 1, 1)})
+            self.forecaster.record_report(DaemonId("o"), {self.head.id: BatchProgress(4, 1, 1)})
             self.assertEqual(7, self.demand({self.head.id: BatchProgress(7, 1, 1)}).waiting)
 
         run(play())
@@ -229,12 +229,12 @@
         async def play():
             await self.begin()
             self.assertGreater(self.due, 0)
-            self.outlooks.record_report(DaemonId("o"), {self.head.id: BatchProgress(0, 1, 1)})
+            self.forecaster.record_report(DaemonId("o"), {self.head.id: BatchProgress(0, 1, 1)})
             self.assertIs(Outlook.TO_SPARE, self.demand().outlook)
             self.head = replace(self.head, created_at=100.0 - self.due - 2 * HOPELESS_SECONDS)
             self.assertIs(Outlook.TIGHT, self.demand().outlook, "little is left of it")
             much = {self.head.id: BatchProgress(0, 10**6, 10**5)}
-            self.outlooks.record_report(DaemonId("o"), much)
+            self.forecaster.record_report(DaemonId("o"), much)
             self.assertIs(Outlook.HOPELESS, self.demand().outlook)
 
         run(play())
