--- a/src/larkpost/gateway/rollouts/batch_run.py
+++ b/src/larkpost/gateway/rollouts/batch_run.py
@@ -50,7 +50,7 @@
         self._engine_selector = EngineSelector(head, services)
         self._slot_queue = SlotQueue(self._engine_selector, services.balancer, services.clock)
         runs = EngineRunner(head, items, self._engine_selector, self._slot_queue, services)
-        self._stall_detector = runs.stalls
+        self._stall_detector = runs.stall_detector
         routes = ItemRoutes(head, services)
         self._item_runner = ItemRunner(head, routes, self._slot_queue, runs, services)
         self._scorer = RewardScorer(head, routes, services)
--- a/src/larkpost/gateway/rollouts/engine_runner.py
+++ b/src/larkpost/gateway/rollouts/engine_runner.py
@@ -48,13 +48,13 @@
         self,
         head: BatchHead,
         items: tuple[Item, ...],
-        engines: EngineSelector,
+        engine_selector: EngineSelector,
         slot_queue: SlotQueue,
         services: RunServices,
     ) -> None:
-        self.stalls = StallDetector(services.clock)
+        self.stall_detector = StallDetector(services.clock)
         self._head = head
-        self._engine_selector = engines
+        self._engine_selector = engine_selector
         self._slot_queue = slot_queue
         self._services = services
         self._priorities = EnginePriorities(items)
@@ -76,7 +76,7 @@
         watch: MonitoredRun | None = None
         try:
             async with asyncio.timeout(FIRST_EVENT_SECONDS) as limit:
-                with self.stalls.watch(run.engine, limit) as watch:
+                with self.stall_detector.watch(run.engine, limit) as watch:
                     return await self._stream(run, watch)
         except TimeoutError:
             if watch is not None and watch.is_stalled:
--- a/src/larkpost/gateway/rollouts/reader.py
+++ b/src/larkpost/gateway/rollouts/reader.py
@@ -51,12 +51,12 @@
     def __init__(
         self,
         repository: BatchRepository,
-        keeper: BatchManager,
+        batch_manager: BatchManager,
         views: ViewCache,
         services: RunServices,
     ) -> None:
         self._repository = repository
-        self._batch_manager = keeper
+        self._batch_manager = batch_manager
         self._views = views
         self._services = services
         self._clock = services.clock
--- a/src/larkpost/gateway/rollouts/service.py
+++ b/src/larkpost/gateway/rollouts/service.py
@@ -47,14 +47,14 @@
         self,
         owner: DaemonId,
         repository: BatchRepository,
-        keeper: BatchManager,
+        batch_manager: BatchManager,
         views: ViewCache,
         services: RunServices,
     ) -> None:
         self._owner = owner
         self._repository = repository
-        self._batch_manager = keeper
-        self._reader = BatchReader(repository, keeper, views, services)
+        self._batch_manager = batch_manager
+        self._reader = BatchReader(repository, batch_manager, views, services)
         self._services = services
         self._clock: Clock = services.clock
         self._log: EventLog = services.log
--- a/src/larkpost/gateway/rollouts/slot_queue.py
+++ b/src/larkpost/gateway/rollouts/slot_queue.py
@@ -77,8 +77,8 @@
 class SlotQueue:
     """Gives waiting items places at engines."""
 
-    def __init__(self, engines: EngineSelector, balancer: Balancer, clock: Clock) -> None:
-        self._engine_selector = engines
+    def __init__(self, engine_selector: EngineSelector, balancer: Balancer, clock: Clock) -> None:
+        self._engine_selector = engine_selector
         self._balancer = balancer
         self._clock = clock
         self._waiting: list[_SlotRequest] = []
