--- a/src/larkpost/gateway/rollouts/faster_engine.py
+++ b/src/larkpost/gateway/rollouts/faster_engine.py
@@ -27,7 +27,9 @@
 class FasterEngineRequest:
     """The request of a run at a slow engine for a place at a fast one."""
 
-    def __init__(self, slot_queue: SlotQueue, engine_selector: EngineSelector, run: ItemRun) -> None:
+    def __init__(
+        self, slot_queue: SlotQueue, engine_selector: EngineSelector, run: ItemRun
+    ) -> None:
         self._slot_queue = slot_queue
         self._engine_selector = engine_selector
         self._run = run
