--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -391,7 +391,7 @@
             for _ in range(4):
                 services.balancer.occupy(info.id)
             await asyncio.sleep(0)
-            return attempts._has_place(info)
+            return attempts._has_free_slot(info)
 
         self.assertFalse(run(has_place()))
         with switched_off.slots_left_to_clients():
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -6,7 +6,6 @@
 from dataclasses import replace
 
 import orjson
-from larkpost.gateway.rollouts.priorities import EnginePriorities
 
 from larkpost.common.clock import LoopClock
 from larkpost.gateway.blackboard.configuration import (
@@ -17,6 +16,7 @@
     ServiceShare,
 )
 from larkpost.gateway.blackboard.tenants import Tenant, TenantName
+from larkpost.gateway.rollouts.engine_priorities import EnginePriorities
 from larkpost.gateway.rollouts.progress import LONG_ITEM_EVENTS, Progress
 from larkpost.gateway.rollouts.slot_queue import queue_order
 from larkpost.gateway.rollouts.stall_detector import (
