--- a/src/larkpost/gateway/rollouts/engine_rules.py
+++ b/src/larkpost/gateway/rollouts/engine_rules.py
@@ -126,7 +126,7 @@
     return pace > other * ratio
 
 
-def migration_source_pace(lasting: float, recent: float) -> float:
+def migration_source_service_time(lasting: float, recent: float) -> float:
     """Returns the pace by which a run leaves its engine: one that is slow for good and still is.
 
     Args:
--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -19,7 +19,7 @@
     is_fast_enough,
     is_slower_by,
     migration_pace_limit,
-    migration_source_pace,
+    migration_source_service_time,
 )
 from larkpost.gateway.rollouts.item_work import ItemWork
 from larkpost.gateway.rollouts.model import BatchHead
@@ -173,7 +173,7 @@
 
     def _source_pace(self, engine: InstanceInfo) -> float:
         paces = self._services.balancer.paces
-        return migration_source_pace(paces.lasting(engine.id), paces.recent(engine.id))
+        return migration_source_service_time(paces.lasting(engine.id), paces.recent(engine.id))
 
     def _best_pace(self, service: ServiceName, work: Work, version: int) -> float:
         """Returns the best pace at engines of a version or a newer one, as of a moment ago."""
--- a/tests/test_engine_rules.py
+++ b/tests/test_engine_rules.py
@@ -15,7 +15,7 @@
     is_migration_worthwhile,
     is_slower_by,
     migration_pace_limit,
-    migration_source_pace,
+    migration_source_service_time,
 )
 
 
@@ -152,7 +152,7 @@
     def test_paces_to_leave(self):
         for case, lasting, recent, expected in LEAVES:
             with self.subTest(case):
-                self.assertEqual(expected, migration_source_pace(lasting, recent))
+                self.assertEqual(expected, migration_source_service_time(lasting, recent))
 
     def test_requests_for_faster_places(self):
         for events, pace, best, expected in REQUESTS:
