--- a/src/larkpost/gateway/rollouts/engine_rules.py
+++ b/src/larkpost/gateway/rollouts/engine_rules.py
@@ -162,7 +162,7 @@
     return events * (pace - other) >= MIGRATION_COST_SECONDS
 
 
-def migration_pace_limit(events: int, pace: float, best: float) -> float:
+def migration_service_time_limit(events: int, pace: float, best: float) -> float:
     """Returns the slowest pace for which a run requests a place; 0 if it is to stay.
 
     Args:
--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -18,7 +18,7 @@
     could_migration_pay_off,
     is_fast_enough,
     is_slower_by,
-    migration_pace_limit,
+    migration_service_time_limit,
     migration_source_service_time,
 )
 from larkpost.gateway.rollouts.item_work import ItemWork
@@ -169,7 +169,7 @@
             return 0.0
         version = self._services.directory.version_of(engine.id, self._head.model)
         best = self._best_pace(engine.service, self.items.work_of(run.item), version)
-        return migration_pace_limit(events, pace, best)
+        return migration_service_time_limit(events, pace, best)
 
     def _source_pace(self, engine: InstanceInfo) -> float:
         paces = self._services.balancer.paces
--- a/tests/test_engine_rules.py
+++ b/tests/test_engine_rules.py
@@ -14,7 +14,7 @@
     is_fast_enough,
     is_migration_worthwhile,
     is_slower_by,
-    migration_pace_limit,
+    migration_service_time_limit,
     migration_source_service_time,
 )
 
@@ -157,13 +157,13 @@
     def test_requests_for_faster_places(self):
         for events, pace, best, expected in REQUESTS:
             with self.subTest(events=events, pace=pace, best=best):
-                self.assertAlmostEqual(expected, migration_pace_limit(events, pace, best))
+                self.assertAlmostEqual(expected, migration_service_time_limit(events, pace, best))
 
     def test_place_that_is_requested_is_one_that_the_run_moves_to(self):
         """Else it would hold the place until its next event, give it up, and request it again."""
         best = 0.03
         for pace in (0.0376, 0.04, 0.042, 0.0422, 0.09):
-            limit = migration_pace_limit(160, pace, best)
+            limit = migration_service_time_limit(160, pace, best)
             self.assertTrue(is_fast_enough(best, is_cold=False, pace_limit=limit), pace)
             for step in range(100):
                 other = best * (1 + step / 200)
