--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -156,7 +156,7 @@
             return False
         return balancer.placement.allows(known, self.items.work_of(run.item))
 
-    def target_pace(self, run: ItemRun) -> float:
+    def target_service_time(self, run: ItemRun) -> float:
         """Returns the pace that a run should go on at elsewhere; 0 if it is to stay.
 
         Whether an engine of that pace has a free place is not asked. An engine whose weights are
--- a/src/larkpost/gateway/rollouts/faster_engine.py
+++ b/src/larkpost/gateway/rollouts/faster_engine.py
@@ -40,7 +40,7 @@
         if self._slot is not None:
             return
         run = self._run
-        pace = self._engine_selector.target_pace(run)
+        pace = self._engine_selector.target_service_time(run)
         if pace:
             self._slot = self._slot_queue.request(run.progress, run.route, pace)
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -193,10 +193,10 @@
         async def play():
             self.begin(0.09, 0.02)
             self.put(0, version=2)
-            self.assertEqual(0.0, self.choice.target_pace(self.run_at(0)))
+            self.assertEqual(0.0, self.choice.target_service_time(self.run_at(0)))
             self.put(1, version=2)
             await self.clock.sleep(BEST_PACE_CACHE_SECONDS + 0.01)
-            self.assertGreater(self.choice.target_pace(self.run_at(0)), 0.0)
+            self.assertGreater(self.choice.target_service_time(self.run_at(0)), 0.0)
 
         run(play())
 
