--- a/src/larkpost/gateway/rollouts/item_runner.py
+++ b/src/larkpost/gateway/rollouts/item_runner.py
@@ -102,9 +102,9 @@
         item = progress.item.id
         engine = self._assigned_engines.pop(item, None)
         if engine is None:
-            engine = await self._slot_queue.acquire(progress, route, progress.previous_engine_pace)
+            engine = await self._slot_queue.acquire(progress, route, progress.previous_service_time)
         if engine is None:
-            progress.previous_engine_pace = 0.0  # no engine as fast has a place any more
+            progress.previous_service_time = 0.0  # no engine as fast has a place any more
             return None
         queued_at = self._queued_at.pop(item, None)
         if queued_at is not None:
@@ -156,7 +156,7 @@
     def _record_migration(self, run: ItemRun, move: MigrateRunError) -> None:
         run.progress.migrations += 1
         self._assigned_engines[run.item.id] = move.engine
-        run.progress.previous_engine_pace = self._services.balancer.paces.lasting(run.engine.id)
+        run.progress.previous_service_time = self._services.balancer.paces.lasting(run.engine.id)
 
     def _record_run(
         self, run: ItemRun, resumed_after: int | None, started: float, outcome: str
