--- a/src/larkpost/gateway/rollouts/engine_rules.py
+++ b/src/larkpost/gateway/rollouts/engine_rules.py
@@ -50,13 +50,13 @@
     is_cold: bool = False
 
 
-def is_fast_enough(pace: float, is_cold: bool, pace_limit: float) -> bool:
+def is_fast_enough(pace: float, is_cold: bool, service_time_limit: float) -> bool:
     """Returns whether an engine is warm and known to be about as fast as a limit.
 
     Args:
         pace_limit: seconds for an event.
     """
-    return 0 < pace <= pace_limit * PACE_TOLERANCE and not is_cold
+    return 0 < pace <= service_time_limit * PACE_TOLERANCE and not is_cold
 
 
 def choose_engine(candidates: list[EngineState]) -> EngineState | None:
--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -46,7 +46,7 @@
         """When the best pace at engines of a version was last worked out, and that pace."""
 
     def choose(
-        self, service: ServiceName, pace_limit: float = 0.0, work: Work | None = None
+        self, service: ServiceName, service_time_limit: float = 0.0, work: Work | None = None
     ) -> InstanceInfo | None:
         """Returns an engine with a free place and a version that may make the batch's tokens.
 
@@ -59,13 +59,13 @@
         candidates = self._with_free_slot(service, work or self.items.work_of(), allowed)
         if allowed is not None:
             candidates = [info for info in candidates if info.id in allowed]
-        if pace_limit:
-            candidates = self._fast_enough(service, candidates, pace_limit)
+        if service_time_limit:
+            candidates = self._fast_enough(service, candidates, service_time_limit)
         chosen = choose_engine(self._states(service, candidates))
         return chosen.info if chosen is not None else None
 
     def _fast_enough(
-        self, service: ServiceName, candidates: list[InstanceInfo], pace_limit: float
+        self, service: ServiceName, candidates: list[InstanceInfo], service_time_limit: float
     ) -> list[InstanceInfo]:
         """Returns the engines that a moved run may go on at; those that load refuse it."""
         balancer = self._services.balancer
@@ -74,7 +74,9 @@
             info
             for info in candidates
             if info.id not in loading
-            and is_fast_enough(balancer.paces.lasting(info.id), balancer.is_cold(info), pace_limit)
+            and is_fast_enough(
+                balancer.paces.lasting(info.id), balancer.is_cold(info), service_time_limit
+            )
         ]
 
     def _allowed_engines(self, service: ServiceName) -> frozenset[InstanceId] | None:
--- a/src/larkpost/gateway/rollouts/slot_queue.py
+++ b/src/larkpost/gateway/rollouts/slot_queue.py
@@ -45,7 +45,7 @@
 
     item: Item
     route: Route
-    pace_limit: float
+    service_time_limit: float
     slot: asyncio.Future[InstanceInfo]
     order: tuple[bool, float]
 
@@ -62,14 +62,14 @@
     full: set[tuple[ServiceName, Work]] = field(default_factory=set)
     slow: dict[tuple[ServiceName, Work], float] = field(default_factory=dict)
 
-    def rules_out(self, wanted: tuple[ServiceName, Work], pace_limit: float) -> bool:
+    def rules_out(self, wanted: tuple[ServiceName, Work], service_time_limit: float) -> bool:
         """Returns whether a request needs no check, as one easier to serve has found no place."""
-        return wanted in self.full or 0 < pace_limit <= self.slow.get(wanted, 0.0)
+        return wanted in self.full or 0 < service_time_limit <= self.slow.get(wanted, 0.0)
 
-    def record(self, wanted: tuple[ServiceName, Work], pace_limit: float) -> None:
+    def record(self, wanted: tuple[ServiceName, Work], service_time_limit: float) -> None:
         """Records that a request has found no place."""
-        if pace_limit:
-            self.slow[wanted] = max(self.slow.get(wanted, 0.0), pace_limit)
+        if service_time_limit:
+            self.slow[wanted] = max(self.slow.get(wanted, 0.0), service_time_limit)
         else:
             self.full.add(wanted)
 
@@ -88,7 +88,7 @@
         return len(self._waiting)
 
     async def acquire(
-        self, progress: Progress, route: Route, pace_limit: float = 0.0
+        self, progress: Progress, route: Route, service_time_limit: float = 0.0
     ) -> InstanceInfo | None:
         """Waits for a place; None if there was none for a while.
 
@@ -98,9 +98,9 @@
             progress: of the item that wants the place.
             pace_limit: how fast the engine must be, in seconds for an event; 0 for any.
         """
-        slot = self.request(progress, route, pace_limit)
+        slot = self.request(progress, route, service_time_limit)
         try:
-            timeout = PACE_LIMITED_TIMEOUT_SECONDS if pace_limit else TIMEOUT_SECONDS
+            timeout = PACE_LIMITED_TIMEOUT_SECONDS if service_time_limit else TIMEOUT_SECONDS
             await asyncio.wait({slot}, timeout=timeout)
         except asyncio.CancelledError:
             self.cancel(slot)
@@ -111,11 +111,11 @@
         return None
 
     def request(
-        self, progress: Progress, route: Route, pace_limit: float = 0.0
+        self, progress: Progress, route: Route, service_time_limit: float = 0.0
     ) -> asyncio.Future[InstanceInfo]:
         """Requests a place without waiting; see `take`. It must be used, or cancelled."""
         slot: asyncio.Future[InstanceInfo] = asyncio.get_running_loop().create_future()
-        entry = _SlotRequest(progress.item, route, pace_limit, slot, queue_order(progress))
+        entry = _SlotRequest(progress.item, route, service_time_limit, slot, queue_order(progress))
         bisect.insort(self._waiting, entry, key=lambda waiting: waiting.order)
         if self._serve_task is None or self._serve_task.done():
             self._serve_task = asyncio.create_task(self._serve())
@@ -159,11 +159,11 @@
             return False
         work = self._engine_selector.items.work_of(entry.item)
         wanted = (service, work)
-        if unavailable.rules_out(wanted, entry.pace_limit):
+        if unavailable.rules_out(wanted, entry.service_time_limit):
             return False
-        engine = self._engine_selector.choose(service, entry.pace_limit, work)
+        engine = self._engine_selector.choose(service, entry.service_time_limit, work)
         if engine is None:
-            unavailable.record(wanted, entry.pace_limit)
+            unavailable.record(wanted, entry.service_time_limit)
             return False
         self._balancer.occupy(engine.id)
         self._engine_selector.record_assigned(engine)
--- a/tests/test_engine_rules.py
+++ b/tests/test_engine_rules.py
@@ -164,10 +164,10 @@
         best = 0.03
         for pace in (0.0376, 0.04, 0.042, 0.0422, 0.09):
             limit = migration_service_time_limit(160, pace, best)
-            self.assertTrue(is_fast_enough(best, is_cold=False, pace_limit=limit), pace)
+            self.assertTrue(is_fast_enough(best, is_cold=False, service_time_limit=limit), pace)
             for step in range(100):
                 other = best * (1 + step / 200)
-                if is_fast_enough(other, is_cold=False, pace_limit=limit):
+                if is_fast_enough(other, is_cold=False, service_time_limit=limit):
                     self.assertTrue(
                         is_slower_by(pace, other * 0.999, MIGRATION_RATIO), (pace, other)
                     )
