--- a/src/larkpost/gateway/rollouts/slot_queue.py
+++ b/src/larkpost/gateway/rollouts/slot_queue.py
@@ -30,7 +30,7 @@
 """Places assigned before the loop turns: what is placed first, the longest items, is sent first."""
 TIMEOUT_SECONDS = 0.5
 """How long an item waits before its route and its time are checked again."""
-PACE_LIMITED_TIMEOUT_SECONDS = 0.1
+FAST_ENGINE_TIMEOUT_SECONDS = 0.1
 """The same for an item that wants a fast engine; after that it takes any. Some three passes."""
 
 
@@ -100,7 +100,7 @@
         """
         slot = self.request(progress, route, service_time_limit)
         try:
-            timeout = PACE_LIMITED_TIMEOUT_SECONDS if service_time_limit else TIMEOUT_SECONDS
+            timeout = FAST_ENGINE_TIMEOUT_SECONDS if service_time_limit else TIMEOUT_SECONDS
             await asyncio.wait({slot}, timeout=timeout)
         except asyncio.CancelledError:
             self.cancel(slot)
