--- a/src/larkpost/gateway/rollouts/reward_rules.py
+++ b/src/larkpost/gateway/rollouts/reward_rules.py
@@ -17,7 +17,7 @@
 """Least time that a server is given for a call."""
 MAX_CALL_TIMEOUT_SECONDS = 10.0
 """Most time that a server is given for a call."""
-CALL_TIMEOUT_PACE_FACTOR = 8.0
+CALL_TIMEOUT_SERVICE_TIME_FACTOR = 8.0
 """A server is given this many times what calls take there, twice as much after each silence."""
 
 
@@ -69,7 +69,7 @@
         pace: seconds that a call takes there; 0 if not known.
         silences: attempts of this call that ended in silence, at any server.
     """
-    usual = CALL_TIMEOUT_PACE_FACTOR * pace
+    usual = CALL_TIMEOUT_SERVICE_TIME_FACTOR * pace
     return min(MAX_CALL_TIMEOUT_SECONDS, max(MIN_CALL_TIMEOUT_SECONDS, usual) * 2**timeouts)
 
 
