--- a/src/larkpost/gateway/rollouts/stall_detector.py
+++ b/src/larkpost/gateway/rollouts/stall_detector.py
@@ -20,7 +20,7 @@
 counts."""
 MIN_STALL_TIMEOUT_SECONDS = 0.3
 """A run is not stalled before: the first event takes about 0.1 s, a queue at least as long."""
-STALL_PACE_FACTOR = 6.0
+STALL_SERVICE_TIME_FACTOR = 6.0
 """Nor before as many events could have come at the engine's pace: slow engines are not silent."""
 LOADING_STALL_TIMEOUT_SECONDS = 1.1
 """Nor, at an engine that loads weights, before the load can have ended: its runs go on then, and an
@@ -105,5 +105,5 @@
         pace: seconds for an event, lastingly; 0 if not known.
         is_loading: whether the engine loads weights, and its runs go on afterwards.
     """
-    silence = max(MIN_STALL_TIMEOUT_SECONDS, STALL_PACE_FACTOR * pace)
+    silence = max(MIN_STALL_TIMEOUT_SECONDS, STALL_SERVICE_TIME_FACTOR * pace)
     return max(silence, LOADING_STALL_TIMEOUT_SECONDS) if is_loading else silence
