--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -29,7 +29,7 @@
 OWN_ENGINES_ONLY_SECONDS = 0.6
 """For so long a batch takes places at its model's own engines only. Batches often come at the same
 moment, and what the others take is known a heartbeat and its listing (0.25 s each) later."""
-BEST_PACE_CACHE_SECONDS = 0.25
+BEST_SERVICE_TIME_CACHE_SECONDS = 0.25
 """How long the best pace of a service is reused: each run of a batch asks for it at every few
 events, and all engines are looked at for it."""
 
@@ -181,7 +181,7 @@
         """Returns the best pace at engines of a version or a newer one, as of a moment ago."""
         now = self._services.clock.now()
         known = self._best_paces.get((service, work, version))
-        if known is not None and now - known[0] < BEST_PACE_CACHE_SECONDS:
+        if known is not None and now - known[0] < BEST_SERVICE_TIME_CACHE_SECONDS:
             return known[1]
         balancer = self._services.balancer
         directory = self._services.directory
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -12,7 +12,10 @@
 from larkpost.gateway.controllers.heartbeat_intervals import DEAD_AFTER_SECONDS
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.instance_use import PROBE_SECONDS
-from larkpost.gateway.rollouts.engine_selector import BEST_PACE_CACHE_SECONDS, EngineSelector
+from larkpost.gateway.rollouts.engine_selector import (
+    BEST_SERVICE_TIME_CACHE_SECONDS,
+    EngineSelector,
+)
 from larkpost.gateway.rollouts.faster_engine import FasterEngineRequest, MigrateRunError
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.rollouts.progress import LONG_ITEM_EVENTS, ItemRun, Progress
@@ -195,7 +198,7 @@
             self.put(0, version=2)
             self.assertEqual(0.0, self.choice.target_service_time(self.run_at(0)))
             self.put(1, version=2)
-            await self.clock.sleep(BEST_PACE_CACHE_SECONDS + 0.01)
+            await self.clock.sleep(BEST_SERVICE_TIME_CACHE_SECONDS + 0.01)
             self.assertGreater(self.choice.target_service_time(self.run_at(0)), 0.0)
 
         run(play())
