--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -170,14 +170,14 @@
         if not could_migration_pay_off(events, pace):
             return 0.0
         version = self._services.directory.version_of(engine.id, self._head.model)
-        best = self._best_pace(engine.service, self.items.work_of(run.item), version)
+        best = self._best_service_time(engine.service, self.items.work_of(run.item), version)
         return migration_service_time_limit(events, pace, best)
 
     def _source_pace(self, engine: InstanceInfo) -> float:
         paces = self._services.balancer.paces
         return migration_source_service_time(paces.lasting(engine.id), paces.recent(engine.id))
 
-    def _best_pace(self, service: ServiceName, work: Work, version: int) -> float:
+    def _best_service_time(self, service: ServiceName, work: Work, version: int) -> float:
         """Returns the best pace at engines of a version or a newer one, as of a moment ago."""
         now = self._services.clock.now()
         known = self._best_paces.get((service, work, version))
