--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -42,7 +42,7 @@
         self._services = services
         self._began_at = services.clock.now()
         self.items = ItemWork(head, services)
-        self._best_paces: dict[tuple[ServiceName, Work, int], tuple[float, float]] = {}
+        self._best_service_times: dict[tuple[ServiceName, Work, int], tuple[float, float]] = {}
         """When the best pace at engines of a version was last worked out, and that pace."""
 
     def choose(
@@ -180,7 +180,7 @@
     def _best_service_time(self, service: ServiceName, work: Work, version: int) -> float:
         """Returns the best pace at engines of a version or a newer one, as of a moment ago."""
         now = self._services.clock.now()
-        known = self._best_paces.get((service, work, version))
+        known = self._best_service_times.get((service, work, version))
         if known is not None and now - known[0] < BEST_SERVICE_TIME_CACHE_SECONDS:
             return known[1]
         balancer = self._services.balancer
@@ -195,7 +195,7 @@
             and balancer.placement.allows(info, work)
         ]
         best = min(paces, default=0.0)
-        self._best_paces[service, work, version] = (now, best)
+        self._best_service_times[service, work, version] = (now, best)
         return best
 
     def _with_free_slot(
