--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -154,7 +154,9 @@
         if known is None or balancer.is_cold(known):
             return False
         pace = balancer.paces.lasting(engine.id)
-        if not pace or not is_slower_by(self._source_pace(run.engine), pace, MIGRATION_RATIO):
+        if not pace or not is_slower_by(
+            self._source_service_time(run.engine), pace, MIGRATION_RATIO
+        ):
             return False
         return balancer.placement.allows(known, self.items.work_of(run.item))
 
@@ -166,14 +168,14 @@
         service only some engines are looked at.
         """
         engine, events = run.engine, len(run.progress.events)
-        pace = self._source_pace(engine)
+        pace = self._source_service_time(engine)
         if not could_migration_pay_off(events, pace):
             return 0.0
         version = self._services.directory.version_of(engine.id, self._head.model)
         best = self._best_service_time(engine.service, self.items.work_of(run.item), version)
         return migration_service_time_limit(events, pace, best)
 
-    def _source_pace(self, engine: InstanceInfo) -> float:
+    def _source_service_time(self, engine: InstanceInfo) -> float:
         paces = self._services.balancer.paces
         return migration_source_service_time(paces.lasting(engine.id), paces.recent(engine.id))
 
