--- a/src/larkpost/gateway/rollouts/engine_rules.py
+++ b/src/larkpost/gateway/rollouts/engine_rules.py
@@ -20,7 +20,7 @@
 MIGRATION_COST_SECONDS = 1.2
 """What a move must save an item. It costs the new engine the prompt and all output so far, which it
 reads again while the others there wait, and gives up a place where the item was running."""
-PACE_TOLERANCE = 1.05
+SERVICE_TIME_TOLERANCE = 1.05
 """Factor by which the pace of an engine may be above the limit of a moved run. Without any limit,
 a moved run may end at an engine slower than the one that it has left."""
 SIMILAR_LOAD_MARGIN = 1
@@ -56,7 +56,7 @@
     Args:
         pace_limit: seconds for an event.
     """
-    return 0 < pace <= service_time_limit * PACE_TOLERANCE and not is_cold
+    return 0 < pace <= service_time_limit * SERVICE_TIME_TOLERANCE and not is_cold
 
 
 def choose_engine(candidates: list[EngineState]) -> EngineState | None:
@@ -173,4 +173,4 @@
     if not is_migration_worthwhile(events, pace, best):
         return 0.0
     # Any engine that is fast enough for it is one that the run then moves to.
-    return min(best * FASTER_RATIO, pace / (MIGRATION_RATIO * PACE_TOLERANCE))
+    return min(best * FASTER_RATIO, pace / (MIGRATION_RATIO * SERVICE_TIME_TOLERANCE))
