--- a/src/larkpost/gateway/rollouts/event_recorder.py
+++ b/src/larkpost/gateway/rollouts/event_recorder.py
@@ -16,7 +16,7 @@
 MAX_EVENT_GAP_SECONDS = 1.2
 """Longest pause between two events before the run is continued elsewhere. A trial with 0.8 s
 together with another change was worse than this, and was reverted."""
-EVENT_PACE_WEIGHT = 0.06
+EVENT_SERVICE_TIME_WEIGHT = 0.06
 """Weight of one pause between two events in an engine's pace, which is so smoothed over about 16
 events: single pauses vary with the prefills of other requests, and runs left their engines for
 ones whose pace was a stray measurement."""
@@ -92,6 +92,6 @@
         else:
             seconds = now - self._last_event_at
             balancer, engine = self._services.balancer, self._run.engine
-            balancer.record_pace(engine.id, seconds, EVENT_PACE_WEIGHT)
+            balancer.record_pace(engine.id, seconds, EVENT_SERVICE_TIME_WEIGHT)
             balancer.paces.record_event(engine.id, seconds)
         self._last_event_at = now
