--- a/src/larkpost/gateway/assembly/leased_controllers.py
+++ b/src/larkpost/gateway/assembly/leased_controllers.py
@@ -17,7 +17,7 @@
 from larkpost.gateway.controllers.weight_loader import WeightLoader
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.proxy.balancer import Balancer
-from larkpost.gateway.rollouts.keeper import BatchKeeper
+from larkpost.gateway.rollouts.batch_manager import BatchManager
 from larkpost.gateway.scaling.controller import ScalingController, ScalingInputs
 from larkpost.gateway.scaling.demand_estimator import DemandEstimator
 from larkpost.gateway.usage.count_writer import UsageCountWriter
@@ -38,7 +38,7 @@
     division: EngineAllocator
     membership: Membership
     balancer: Balancer
-    keeper: BatchKeeper
+    keeper: BatchManager
     feeds: Feeds
     true_time: FleetClock
     counter: UsageCounter | None
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -42,10 +42,10 @@
 from larkpost.gateway.quarantine.crash_writer import CrashWriter
 from larkpost.gateway.quarantine.repository import CrashRepository
 from larkpost.gateway.quarantine.server_port import QuarantineServerPort
+from larkpost.gateway.rollouts.batch_manager import BatchManager
 from larkpost.gateway.rollouts.context import RunServices
-from larkpost.gateway.rollouts.keeper import BatchKeeper
 from larkpost.gateway.rollouts.repository import BatchRepository
-from larkpost.gateway.rollouts.reward_attempt import MAX_CALLS_IN_FLIGHT
+from larkpost.gateway.rollouts.reward_caller import MAX_CALLS_IN_FLIGHT
 from larkpost.gateway.rollouts.service import BatchService
 from larkpost.gateway.rollouts.view import ViewCache
 from larkpost.gateway.store.batch_tables import ITEM_TABLE
@@ -165,7 +165,7 @@
         )
         repository = BatchRepository(ports.store, ports.clock)
         views = ViewCache(self.memory.budget)
-        self.keeper = BatchKeeper(
+        self.keeper = BatchManager(
             repository, self.membership, services, views, self._batch_lifetime
         )
         self.batches = BatchService(self.id, repository, self.keeper, views, services)
--- a/src/larkpost/gateway/rollouts/acceptance.py
+++ b/src/larkpost/gateway/rollouts/acceptance.py
@@ -14,9 +14,9 @@
     WRITE_TIMEOUT_SECONDS,
     BatchRows,
     RowPut,
-    fits,
+    batch_key,
+    fits_transaction,
     head_of_row,
-    key_of,
 )
 from larkpost.gateway.rollouts.model import BatchHead, BatchSpec, Tail
 from larkpost.gateway.store.batch_tables import HEAD_TABLE, ITEM_TABLE, TAIL_TABLE
@@ -88,7 +88,7 @@
         """
         give_up_at = self._clock.now() + seconds
         rows = self._item_rows(spec, upload)
-        submission = _Submission(spec, owner, upload, rows, is_uploaded=fits(rows))
+        submission = _Submission(spec, owner, upload, rows, is_uploaded=fits_transaction(rows))
         while True:
             outcome = await self._try(submission)
             if outcome is not None:
@@ -108,7 +108,9 @@
         result = await self._write(self._transaction(submission))
         if result.outcome is WriteOutcome.UNKNOWN:
             submission.is_uncertain = True
-        if result.outcome is WriteOutcome.CONFLICT and _is_of_another(submission.spec, result.rows):
+        if result.outcome is WriteOutcome.CONFLICT and _is_other_tenants(
+            submission.spec, result.rows
+        ):
             return AcceptOutcome.TAKEN
         is_there = result.outcome in (WriteOutcome.DONE, WriteOutcome.CONFLICT)
         return AcceptOutcome.ACCEPTED if is_there else None
@@ -129,22 +131,22 @@
         return result
 
     def _item_rows(self, spec: BatchSpec, upload: str) -> list[RowPut]:
-        pieces = self._rows.cut(codec.encode_items(spec.items))
+        pieces = self._rows.split_content(codec.encode_items(spec.items))
         return [
-            (key_of(ITEM_TABLE, spec.id, f"/{upload}/{number:06d}"), piece)
+            (batch_key(ITEM_TABLE, spec.id, f"/{upload}/{number:06d}"), piece)
             for number, piece in enumerate(pieces)
         ]
 
     def _transaction(self, submission: _Submission) -> Transaction:
         """Returns what makes a batch be there: its head, an empty tail, its items if they fit."""
         batch = submission.spec.id
-        head_key = key_of(HEAD_TABLE, batch)
-        tail_key = key_of(TAIL_TABLE, batch)
+        head_key = batch_key(HEAD_TABLE, batch)
+        tail_key = batch_key(TAIL_TABLE, batch)
         puts = [
             (head_key, codec.encode_head(self._head(submission))),
             (tail_key, codec.encode_tail(Tail(0, False, 0))),
         ]
-        if fits(submission.rows):
+        if fits_transaction(submission.rows):
             puts.extend(submission.rows)
         return Transaction(conditions=((head_key, ABSENT),), puts=tuple(puts))
 
@@ -169,7 +171,7 @@
         )
 
 
-def _is_of_another(spec: BatchSpec, rows: tuple[Row, ...]) -> bool:
+def _is_other_tenants(spec: BatchSpec, rows: tuple[Row, ...]) -> bool:
     """Returns whether the rows hold the head of a batch of this id that is another tenant's."""
     heads = [head_of_row(row) for row in rows if row.key.table == HEAD_TABLE and row.value]
     return any(head.id == spec.id and head.tenant != spec.tenant for head in heads)
--- a/src/larkpost/gateway/rollouts/batch_outlooks.py
+++ b/src/larkpost/gateway/rollouts/batch_forecaster.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OutlookSources:
+class ForecastInputs:
     """What outlooks are worked out from, beside reports.
 
     Attributes:
@@ -64,10 +64,10 @@
     newest: Iterable[BatchHead] = ()
 
 
-class BatchOutlooks:
+class BatchForecaster:
     """What is known of the progress of open batches, and what follows from it."""
 
-    def __init__(self, sources: OutlookSources) -> None:
+    def __init__(self, sources: ForecastInputs) -> None:
         self._sources = sources
         self._reports: dict[DaemonId, tuple[float, dict[BatchId, BatchProgress]]] = {}
         """What each owner reported last, and the steady time of that."""
@@ -79,7 +79,7 @@
         else:
             self._reports.pop(daemon, None)
 
-    def add_to(
+    def add_forecasts(
         self,
         demands: dict[ModelName, ModelDemand],
         heads: ModelHeads,
@@ -90,7 +90,7 @@
         Args:
             own: progress of the batches that this daemon owns.
         """
-        known = self._reported() | own
+        known = self._recent_reports() | own
         capacities: dict[ServiceName, BatchCapacity] = {}
         outlooks: dict[ModelName, list[Outlook]] = defaultdict(list)
         waiting: dict[ModelName, int] = defaultdict(int)
@@ -99,7 +99,7 @@
             if progress is None:
                 outlooks[head.model].append(Outlook.UNKNOWN)
             else:
-                outlooks[head.model].append(self._judge(head, progress, capacities))
+                outlooks[head.model].append(self._forecast(head, progress, capacities))
                 waiting[head.model] += progress.waiting
         priorities = self._priorities(heads)
         return {
@@ -120,7 +120,7 @@
             priorities[head.model] = min(known, self._priority(head))
         return priorities
 
-    def _reported(self) -> dict[BatchId, BatchProgress]:
+    def _recent_reports(self) -> dict[BatchId, BatchProgress]:
         """Returns what the others reported a moment ago."""
         oldest = self._sources.clock.now() - REPORT_LIFETIME_SECONDS
         for daemon in [name for name, (at, _) in self._reports.items() if at < oldest]:
@@ -131,7 +131,7 @@
             for batch, progress in batches.items()
         }
 
-    def _judge(
+    def _forecast(
         self,
         head: BatchHead,
         progress: BatchProgress,
--- a/src/larkpost/gateway/rollouts/known_heads.py
+++ b/src/larkpost/gateway/rollouts/batch_head_cache.py
@@ -17,17 +17,17 @@
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.store.port import Row
 
-WORK_BATCHES = 6
+DEMAND_BATCHES = 6
 """Newest batches of a model over which its work is averaged: the guesses of single batches differ
 by so much that engines would change their models with each step."""
-CLOCK_ERROR_SECONDS = 0.2
+MAX_CLOCK_SKEW_SECONDS = 0.2
 """By so much a batch may seem older than the version that it came with, as clocks differ."""
-FRESH_SECONDS = 1.0
+MAX_NEW_BATCH_AGE_SECONDS = 1.0
 """A batch accepted longer ago is not news: this daemon has just started, or was cut off."""
 
 
 @dataclass(frozen=True, slots=True)
-class KnownHead:
+class CachedBatchHead:
     """A head as last read.
 
     Attributes:
@@ -43,7 +43,7 @@
     asked_after: Naming | None = None
 
 
-class KnownHeads:
+class BatchHeadCache:
     """The heads of all batches that are known.
 
     Args:
@@ -60,12 +60,12 @@
         self._clock = clock
         self._last_naming = last_naming
         self._age = age
-        self._heads: dict[BatchId, KnownHead] = {}
+        self._heads: dict[BatchId, CachedBatchHead] = {}
 
-    def __iter__(self) -> Iterator[KnownHead]:
+    def __iter__(self) -> Iterator[CachedBatchHead]:
         return iter(list(self._heads.values()))
 
-    def get(self, batch: BatchId) -> KnownHead | None:
+    def get(self, batch: BatchId) -> CachedBatchHead | None:
         """Returns what is known of a batch's head."""
         return self._heads.get(batch)
 
@@ -79,16 +79,16 @@
         same_owner = known is not None and known.head.owner == head.owner
         owner_since = known.owner_since if same_owner else self._clock.now()
         asked_after = known.asked_after if known is not None else self._asked_after(head)
-        self._heads[batch] = KnownHead(head, row.version, owner_since, asked_after)
+        self._heads[batch] = CachedBatchHead(head, row.version, owner_since, asked_after)
 
     def _asked_after(self, head: BatchHead) -> Naming | None:
         """Returns after which version a batch that is new here came, and how long after it."""
         age = self._age(head)
         naming = self._last_naming(head.model)
-        if naming is None or age is None or age > FRESH_SECONDS:
+        if naming is None or age is None or age > MAX_NEW_BATCH_AGE_SECONDS:
             return None
         seconds = naming.seconds - age  # all daemons know the batch's own time alike
-        if seconds < -CLOCK_ERROR_SECONDS:
+        if seconds < -MAX_CLOCK_SKEW_SECONDS:
             return None  # a version that was named since
         return Naming(naming.version, max(0.0, seconds))
 
@@ -102,7 +102,7 @@
 
     def demands(self) -> dict[ModelName, ModelDemand]:
         """Returns what the newest batches of each model ask for, and which ones are open."""
-        of_model: dict[ModelName, list[KnownHead]] = defaultdict(list)
+        of_model: dict[ModelName, list[CachedBatchHead]] = defaultdict(list)
         for known in self._heads.values():
             of_model[known.head.model].append(known)
         return {model: _demand(batches) for model, batches in of_model.items()}
@@ -121,9 +121,9 @@
         return [known.head for known in self._heads.values() if not known.head.ended]
 
 
-def _demand(batches: list[KnownHead]) -> ModelDemand:
+def _demand(batches: list[CachedBatchHead]) -> ModelDemand:
     """Returns what a model's batches, at least one, ask for."""
-    newest_first = heapq.nlargest(WORK_BATCHES, batches, key=lambda known: known.head.created_at)
+    newest_first = heapq.nlargest(DEMAND_BATCHES, batches, key=lambda known: known.head.created_at)
     newest = newest_first[0]
     namings = [known.asked_after for known in newest_first[:2] if known.asked_after is not None]
     naming = newest.asked_after
--- a/src/larkpost/gateway/rollouts/keeper.py
+++ b/src/larkpost/gateway/rollouts/batch_manager.py
@@ -15,12 +15,12 @@
 from larkpost.gateway.blackboard.weight_targets import ModelDemand
 from larkpost.gateway.controllers.membership import Membership
 from larkpost.gateway.observability.eventlog import Event, EventLog
-from larkpost.gateway.rollouts.batch_outlooks import BatchOutlooks, ModelHeads, OutlookSources
+from larkpost.gateway.rollouts.batch_forecaster import BatchForecaster, ForecastInputs, ModelHeads
+from larkpost.gateway.rollouts.batch_head_cache import BatchHeadCache, CachedBatchHead
 from larkpost.gateway.rollouts.claims import BatchClaims
 from larkpost.gateway.rollouts.context import RunServices
-from larkpost.gateway.rollouts.known_heads import KnownHead, KnownHeads
 from larkpost.gateway.rollouts.model import BatchHead, BatchSpec, Item
-from larkpost.gateway.rollouts.owned import OwnedBatch
+from larkpost.gateway.rollouts.owned_batch import OwnedBatch
 from larkpost.gateway.rollouts.repository import BatchRepository
 from larkpost.gateway.rollouts.view import BatchView, ViewCache
 from larkpost.gateway.store.port import Row, StoreUnavailableError
@@ -31,14 +31,14 @@
 """The same at a daemon that may claim nothing."""
 REMOVAL_INTERVAL_SECONDS = 5.0
 """Between two checks for batches to remove. Nobody waits for a removal."""
-MAX_REPORTED = 16
+MAX_REPORTED_BATCHES = 16
 """Most batches whose progress a daemon reports, the newest: some 40 bytes a batch and heartbeat."""
 RETENTION_SLACK_SECONDS = 60.0
 """For so long after its lifetime a batch is stored still, so that a read which began within it is
 answered, whatever the clocks differ by."""
 
 
-class BatchKeeper:
+class BatchManager:
     """The batches that this daemon knows, and those it runs.
 
     Args:
@@ -60,9 +60,9 @@
         self._lifetime = lifetime
         self._clock: Clock = services.clock
         self._log: EventLog = services.log
-        self._heads = KnownHeads(services.clock, services.division.last_naming, self._age)
-        self._outlooks = BatchOutlooks(
-            OutlookSources(
+        self._heads = BatchHeadCache(services.clock, services.division.last_naming, self._age)
+        self._forecaster = BatchForecaster(
+            ForecastInputs(
                 services.configuration,
                 services.directory,
                 services.balancer.paces.lasting,
@@ -72,14 +72,14 @@
         )
         self._claims = BatchClaims(repository, membership, services, self.record_head)
         self._owned: dict[BatchId, OwnedBatch] = {}
-        self._complete: set[BatchId] = set()
-        self._claiming: set[asyncio.Task] = set()
-        self._leaving = False
+        self._completed: set[BatchId] = set()
+        self._claim_tasks: set[asyncio.Task] = set()
+        self._handing_over = False
 
     def start(self, tasks: TaskSet) -> None:
         """Starts to update and remove batches, each at its interval."""
         tasks.every(self._interval, self.update, "batches")
-        tasks.every(REMOVAL_INTERVAL_SECONDS, self.remove_old, "batch_removal")
+        tasks.every(REMOVAL_INTERVAL_SECONDS, self.remove_expired, "batch_removal")
 
     def _interval(self) -> float:
         """Returns the seconds between two checks: a daemon that may claim nothing checks seldom."""
@@ -92,7 +92,7 @@
             batch = BatchId(row.key.key)
             self._heads.forget(batch)
             self._views.forget(batch)
-            self._complete.discard(batch)
+            self._completed.discard(batch)
         else:
             self._heads.record(row)
 
@@ -122,19 +122,19 @@
         """Returns what the batches of each model ask for, with the outlook of those open."""
         demands = self._heads.demands()
         heads = ModelHeads(self._heads.open(), self._heads.newest())
-        return self._outlooks.add_to(demands, heads, self.progress())
+        return self._forecaster.add_forecasts(demands, heads, self.progress())
 
     def progress(self) -> dict[BatchId, BatchProgress]:
         """Returns how far the batches that this daemon owns are, at most `MAX_REPORTED` of them."""
-        newest = list(self._owned.items())[-MAX_REPORTED:]
+        newest = list(self._owned.items())[-MAX_REPORTED_BATCHES:]
         known = ((batch, owned.progress()) for batch, owned in newest)
         return {batch: progress for batch, progress in known if progress is not None}
 
     def record_report(self, daemon: DaemonId, batches: dict[BatchId, BatchProgress]) -> None:
         """Records how far another daemon's batches are, as it reports it."""
-        self._outlooks.record_report(daemon, batches)
+        self._forecaster.record_report(daemon, batches)
 
-    async def own_accepted(self, spec: BatchSpec, upload: str) -> None:
+    async def start_accepted(self, spec: BatchSpec, upload: str) -> None:
         """Starts an accepted batch at once if it is this daemon's, without waiting for the feed."""
         try:
             head, _ = await asyncio.gather(
@@ -142,17 +142,17 @@
             )
         except StoreUnavailableError:
             return  # the feed will tell of the head
-        if head is None or head.upload != upload or self._leaving or spec.id in self._owned:
+        if head is None or head.upload != upload or self._handing_over or spec.id in self._owned:
             return
-        if head.ended or spec.id in self._complete:
+        if head.ended or spec.id in self._completed:
             return
-        self._own(head, spec.items, fresh=True)
-        self._count_held()
+        self._start_batch(head, spec.items, fresh=True)
+        self._record_memory_use()
 
     def finish(self, batch: BatchId) -> None:
         """Stops running a batch that is complete or ended."""
         self._release(batch)
-        self._complete.add(batch)
+        self._completed.add(batch)
 
     async def update(self) -> None:
         """Starts, claims and releases batches as what is known of them demands."""
@@ -161,14 +161,14 @@
         for batch, owned in list(self._owned.items()):
             if owned.complete:
                 self.finish(batch)
-        self._count_held()
+        self._record_memory_use()
 
     async def hand_over(self) -> None:
         """Gives all owned batches to other daemons, with what their items have made so far."""
-        self._leaving = True
+        self._handing_over = True
         await asyncio.gather(*(self._hand_over(batch) for batch in list(self._owned)))
 
-    async def remove_old(self) -> None:
+    async def remove_expired(self) -> None:
         """Removes batches whose time of storage is over; one daemon does it for each."""
         now = self._services.store_time()
         if now is None:
@@ -182,37 +182,37 @@
                 except StoreUnavailableError:
                     return  # tried again after the next interval
 
-    def _update_batch(self, known: KnownHead) -> None:
+    def _update_batch(self, known: CachedBatchHead) -> None:
         """Runs, releases or claims a batch, by its owner and whether it is over."""
         head, batch = known.head, known.head.id
-        mine = head.owner == self._membership.own and not self._leaving
-        if head.ended or batch in self._complete or (batch in self._owned and not mine):
+        mine = head.owner == self._membership.own and not self._handing_over
+        if head.ended or batch in self._completed or (batch in self._owned and not mine):
             self._release(batch)
         elif mine:
             if batch not in self._owned:
-                self._own(head, None, fresh=False)
-        elif not self._leaving and self._claims.should_claim(known):
+                self._start_batch(head, None, fresh=False)
+        elif not self._handing_over and self._claims.should_claim(known):
             self._start_claim(known)
 
-    def _start_claim(self, known: KnownHead) -> None:
+    def _start_claim(self, known: CachedBatchHead) -> None:
         self._claims.record_claim(known.head.id)
         task = asyncio.create_task(self._claims.claim(known, self._membership.own))
-        self._claiming.add(task)
-        task.add_done_callback(self._claiming.discard)
+        self._claim_tasks.add(task)
+        task.add_done_callback(self._claim_tasks.discard)
 
-    def _own(self, head: BatchHead, items: tuple[Item, ...] | None, *, fresh: bool) -> None:
+    def _start_batch(self, head: BatchHead, items: tuple[Item, ...] | None, *, fresh: bool) -> None:
         view: BatchView = self._views.get_or_add(head)
         if items is not None:
-            view.keep_items(items)
+            view.set_items(items)
         owned = OwnedBatch(head, view, self._repository, self._services)
         self._owned[head.id] = owned
         self._log.record(Event.BATCH_OWNED, batch=head.id, fresh=fresh)
         owned.start(items, fresh)
 
-    def _count_held(self) -> None:
+    def _record_memory_use(self) -> None:
         """Tells the budget what all batches hold, and drops some that are not run here."""
         outputs = sum(owned.output_bytes for owned in self._owned.values())
-        self._views.bound(set(self._owned), outputs)
+        self._views.evict_idle(set(self._owned), outputs)
 
     def _release(self, batch: BatchId) -> None:
         owned = self._owned.pop(batch, None)
--- a/src/larkpost/gateway/rollouts/batch_rows.py
+++ b/src/larkpost/gateway/rollouts/batch_rows.py
@@ -22,7 +22,7 @@
 """A row to be written, and its value."""
 
 
-def key_of(table: str, batch: BatchId, rest: str = "") -> RowKey:
+def batch_key(table: str, batch: BatchId, rest: str = "") -> RowKey:
     """Returns the key of a batch's row.
 
     Args:
@@ -36,12 +36,12 @@
     return codec.decode_head(BatchId(row.key.key), row.value)
 
 
-def end_of(prefix: str) -> str:
+def prefix_end(prefix: str) -> str:
     """Returns the end of the range of the keys that begin with a prefix and a slash."""
     return f"{prefix}{FIRST_AFTER_SLASH}"
 
 
-def fits(rows: list[RowPut]) -> bool:
+def fits_transaction(rows: list[RowPut]) -> bool:
     """Returns whether one transaction takes all rows."""
     size = sum(len(value) for _, value in rows)
     return size <= MAX_TRANSACTION_BYTES and len(rows) <= MAX_TRANSACTION_ROWS
@@ -52,19 +52,19 @@
 
     def __init__(self, store: Store) -> None:
         self._store = store
-        self.piece_bytes = store.row_bytes * 3 // 4
+        self.chunk_bytes = store.row_bytes * 3 // 4
         """Most bytes of one row's value; the rest is left to its key and the store's own fields."""
 
-    def cut(self, content: bytes) -> list[bytes]:
+    def split_content(self, content: bytes) -> list[bytes]:
         """Cuts a document into values of rows."""
-        return codec.split(content, self.piece_bytes)
+        return codec.split(content, self.chunk_bytes)
 
     async def write(self, groups: list[list[RowPut]]) -> WriteOutcome:
         """Writes groups of rows, as many at once as fit, the rows of a group always together."""
         left = list(groups)
         while left:
             rows = left.pop(0)
-            while left and fits(rows + left[0]):
+            while left and fits_transaction(rows + left[0]):
                 rows = rows + left.pop(0)
             change = Transaction(puts=tuple(rows))
             outcome = (await self._store.write(change, WRITE_TIMEOUT_SECONDS)).outcome
--- a/src/larkpost/gateway/rollouts/run.py
+++ b/src/larkpost/gateway/rollouts/batch_run.py
@@ -11,16 +11,16 @@
 from larkpost.gateway.blackboard.daemon_report import BatchProgress
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.rollouts.context import RunServices
-from larkpost.gateway.rollouts.engine_choice import EngineChoice
-from larkpost.gateway.rollouts.engine_run import EngineRuns
+from larkpost.gateway.rollouts.engine_runner import EngineRunner
+from larkpost.gateway.rollouts.engine_selector import EngineSelector
 from larkpost.gateway.rollouts.item_routes import ItemRoutes
-from larkpost.gateway.rollouts.item_runs import ItemRuns
+from larkpost.gateway.rollouts.item_runner import ItemRunner
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId, Result, ResultState
-from larkpost.gateway.rollouts.place_queue import PlaceQueue
 from larkpost.gateway.rollouts.progress import Progress
-from larkpost.gateway.rollouts.reward import RewardScorer
-from larkpost.gateway.rollouts.stalls import CHECK_INTERVAL_SECONDS
-from larkpost.gateway.rollouts.work_left import sum_up
+from larkpost.gateway.rollouts.remaining_work import summarize_progress
+from larkpost.gateway.rollouts.reward_scorer import RewardScorer
+from larkpost.gateway.rollouts.slot_queue import SlotQueue
+from larkpost.gateway.rollouts.stall_detector import CHECK_INTERVAL_SECONDS
 
 FAULT_PAUSE_SECONDS = 1.0
 """Pause before an item is run again after an unexpected error, so that a fault that comes each time
@@ -46,13 +46,13 @@
         self.head = head
         self.progress = {item.id: (kept or {}).get(item.id) or Progress(item) for item in items}
         self._services = services
-        self._finished = finished
-        self._engines = EngineChoice(head, services)
-        self._places = PlaceQueue(self._engines, services.balancer, services.clock)
-        runs = EngineRuns(head, items, self._engines, self._places, services)
-        self._stalls = runs.stalls
+        self._on_result = finished
+        self._engine_selector = EngineSelector(head, services)
+        self._slot_queue = SlotQueue(self._engine_selector, services.balancer, services.clock)
+        runs = EngineRunner(head, items, self._engine_selector, self._slot_queue, services)
+        self._stall_detector = runs.stall_detector
         routes = ItemRoutes(head, services)
-        self._outputs = ItemRuns(head, routes, self._places, runs, services)
+        self._item_runner = ItemRunner(head, routes, self._slot_queue, runs, services)
         self._scorer = RewardScorer(head, routes, services)
         self._waiting = sorted(items, key=lambda item: item.expected_work, reverse=True)
         self._stall_task: asyncio.Task | None = None
@@ -60,16 +60,18 @@
 
     def start(self) -> None:
         """Starts all items; each waits for its place at an engine, the longest first."""
-        self._stall_task = asyncio.create_task(self._move_stalled())
+        self._stall_task = asyncio.create_task(self._watch_for_stalls())
         for item in self._waiting:
             task = asyncio.create_task(self._finish_item(item), name=item.id)
             self._tasks[item.id] = task
             task.add_done_callback(self._task_done)
         self._waiting = []
 
-    def sum_up(self) -> BatchProgress:
+    def summarize_progress(self) -> BatchProgress:
         """Returns how far the batch is, for the forecasts of all daemons."""
-        return sum_up(self.progress.values(), self._tokens_per_event(), len(self._places))
+        return summarize_progress(
+            self.progress.values(), self._tokens_per_event(), len(self._slot_queue)
+        )
 
     def _tokens_per_event(self) -> int:
         configuration = self._services.configuration.current
@@ -80,13 +82,13 @@
 
     def cancel(self) -> None:
         """Stops all runs; their connections close at once."""
-        self._places.stop()
+        self._slot_queue.stop()
         if self._stall_task is not None:
             self._stall_task.cancel()
         for task in list(self._tasks.values()):
             task.cancel()
 
-    def drop(self, items: set[ItemId]) -> None:
+    def cancel_items(self, items: set[ItemId]) -> None:
         """Stops the runs of items that another daemon has listed meanwhile."""
         for item in items & self._tasks.keys():
             self._tasks[item].cancel()
@@ -95,24 +97,24 @@
     def _task_done(self, task: asyncio.Task) -> None:
         item = ItemId(task.get_name())
         self._tasks.pop(item, None)
-        self._outputs.release_unused(item)
+        self._item_runner.release_unused(item)
 
-    async def _move_stalled(self) -> None:
+    async def _watch_for_stalls(self) -> None:
         """Ends runs that make nothing, as many as there are free places elsewhere."""
         while self._waiting or self._tasks:
             await self._services.clock.sleep(CHECK_INTERVAL_SECONDS)
-            self._end_stalled()
+            self._abort_stalled()
 
-    def _end_stalled(self) -> None:
+    def _abort_stalled(self) -> None:
         """Ends stalled runs while there are more free places than items that wait for one."""
         free: dict[ServiceName, int] = {}
-        for watch in self._stalls.stalled(self._engines.silence_allowed):
+        for watch in self._stall_detector.find_stalled(self._engine_selector.stall_timeout):
             service = watch.engine.service
             if service not in free:
-                free[service] = self._engines.count_places(service)
-            if free[service] > len(self._places):
+                free[service] = self._engine_selector.count_free_slots(service)
+            if free[service] > len(self._slot_queue):
                 free[service] -= 1
-                self._stalls.end(watch)
+                self._stall_detector.abort(watch)
 
     async def _finish_item(self, item: Item) -> None:
         """Runs an item and has it scored until it has a result, whatever errors come between."""
@@ -127,7 +129,7 @@
             await self._services.clock.sleep(FAULT_PAUSE_SECONDS)
         self.progress.pop(item.id, None)
         if is_done:
-            self._finished(progress.result(score))
+            self._on_result(progress.result(score))
         else:
             self._finish_dead(item, progress)
 
@@ -137,7 +139,7 @@
         Returns:
             Whether the item is done, or else dead; its score, if it wants one.
         """
-        if not await self._outputs.make_whole(progress):
+        if not await self._item_runner.run_to_completion(progress):
             return False, None
         call = progress.item.reward_call
         if call is None:
@@ -151,7 +153,7 @@
             batch=self.head.id,
             item=item.id,
             failed_runs=progress.failed_runs,
-            impossible=progress.impossible_responses,
+            impossible=progress.unprocessable_responses,
             failed_calls=progress.failed_calls,
         )
-        self._finished(Result(item.id, ResultState.DEAD, group=item.group))
+        self._on_result(Result(item.id, ResultState.DEAD, group=item.group))
--- a/src/larkpost/gateway/rollouts/claims.py
+++ b/src/larkpost/gateway/rollouts/claims.py
@@ -14,8 +14,8 @@
 from larkpost.gateway.controllers.membership import Membership
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.metrics import Count
+from larkpost.gateway.rollouts.batch_head_cache import CachedBatchHead
 from larkpost.gateway.rollouts.context import RunServices
-from larkpost.gateway.rollouts.known_heads import KnownHead
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.rollouts.repository import BatchRepository
 from larkpost.gateway.store.port import Row, StoreUnavailableError
@@ -36,17 +36,17 @@
         repository: BatchRepository,
         membership: Membership,
         services: RunServices,
-        learn: Callable[[Row], None],
+        record_head: Callable[[Row], None],
     ) -> None:
         self._repository = repository
         self._membership = membership
         self._services = services
-        self._learn = learn
+        self._record_head = record_head
         self._clock: Clock = services.clock
         self._log: EventLog = services.log
         self._claimed_at: dict[BatchId, float] = {}
 
-    def should_claim(self, known: KnownHead) -> bool:
+    def should_claim(self, known: CachedBatchHead) -> bool:
         """Returns whether this daemon is to claim a batch that another one owns."""
         membership = self._membership
         return (
@@ -70,16 +70,16 @@
 
         Who runs or removes a batch reads its items, so it must be where they may be served.
         """
-        return self._membership.choose_coordinator(head.id, self._homes(head))
+        return self._membership.choose_coordinator(head.id, self._allowed_regions(head))
 
-    def _homes(self, head: BatchHead) -> frozenset[RegionId] | None:
+    def _allowed_regions(self, head: BatchHead) -> frozenset[RegionId] | None:
         """Returns the only regions in which a batch may be served; None for all."""
         configuration = self._services.configuration.current
         if configuration is None:
             return frozenset()
         return configuration.homes_at(head.tenant, head.host, head.path.encode("latin-1"))
 
-    async def claim(self, known: KnownHead, owner: DaemonId) -> None:
+    async def claim(self, known: CachedBatchHead, owner: DaemonId) -> None:
         """Writes an owner into a head; if another change came first, learns the head as it is."""
         batch = known.head.id
         done = await self._repository.claim(known.head, known.version, owner)
@@ -97,4 +97,4 @@
         except StoreUnavailableError:
             return  # the feed will tell what the head is
         if row is not None:
-            self._learn(row)
+            self._record_head(row)
--- a/src/larkpost/gateway/rollouts/urgency.py
+++ b/src/larkpost/gateway/rollouts/engine_priorities.py
@@ -24,15 +24,15 @@
 """Share of them that count as short."""
 
 
-class Urgency:
+class EnginePriorities:
     """Ranks the items of one batch."""
 
     def __init__(self, items: Sequence[Item]) -> None:
         works = sorted((item.expected_work for item in items), reverse=True)
-        self._long_from = _at_share(works, LONG_SHARE)
-        self._short_to = _at_share(works, 1 - SHORT_SHARE)
+        self._long_threshold = _quantile(works, LONG_SHARE)
+        self._short_threshold = _quantile(works, 1 - SHORT_SHARE)
 
-    def rank(self, progress: Progress, priority: int, *, yields: bool = False) -> int:
+    def engine_priority(self, progress: Progress, priority: int, *, yields: bool = False) -> int:
         """Returns the rank that an engine is sent, from 0, the most urgent, to 9.
 
         Args:
@@ -43,18 +43,18 @@
         length_class = self._length_class(progress)
         if yields:
             length_class = min(length_class + 1, LENGTH_CLASSES - 1)
-        rank = priority * LENGTH_CLASSES + length_class
-        return max(HIGHEST_PRIORITY, min(LOWEST_PRIORITY, rank))
+        engine_priority = priority * LENGTH_CLASSES + length_class
+        return max(HIGHEST_PRIORITY, min(LOWEST_PRIORITY, engine_priority))
 
     def _length_class(self, progress: Progress) -> int:
         """Returns 0 for a long item, 2 for a short one."""
         work = progress.item.expected_work
-        if progress.is_long or work >= self._long_from:
+        if progress.is_long or work >= self._long_threshold:
             return 0
-        return 1 if work > self._short_to else 2
+        return 1 if work > self._short_threshold else 2
 
 
-def _at_share(works: list[int], share: float) -> float:
+def _quantile(works: list[int], share: float) -> float:
     """Returns the work that a share of the items, sorted by falling work, reaches."""
     if not works:
         return math.inf
--- a/src/larkpost/gateway/rollouts/engine_rules.py
+++ b/src/larkpost/gateway/rollouts/engine_rules.py
@@ -15,19 +15,19 @@
 FASTER_RATIO = 1.12
 """Ratio of paces from which one engine counts as faster than another. It is to be more than the
 paces of equal engines differ by chance."""
-MOVE_RATIO = 1.25
+MIGRATION_RATIO = 1.25
 """Ratio of paces from which a run may leave its engine for a faster one."""
-MOVE_COST_SECONDS = 1.2
+MIGRATION_COST_SECONDS = 1.2
 """What a move must save an item. It costs the new engine the prompt and all output so far, which it
 reads again while the others there wait, and gives up a place where the item was running."""
-PACE_TOLERANCE = 1.05
+SERVICE_TIME_TOLERANCE = 1.05
 """Factor by which the pace of an engine may be above the limit of a moved run. Without any limit,
 a moved run may end at an engine slower than the one that it has left."""
-ALIKE_OCCUPIED = 1
+SIMILAR_LOAD_MARGIN = 1
 """Items by which a nearer engine may be fuller than the best one and still be taken in its place.
 One more item among an engine's slots, most often six, costs less than the way."""
 
-MAX_MOVES = 2
+MAX_MIGRATIONS = 2
 """An item is moved this often at most: what it has made is read again at each new engine."""
 
 
@@ -50,13 +50,13 @@
     is_cold: bool = False
 
 
-def is_fast_enough(pace: float, is_cold: bool, pace_limit: float) -> bool:
+def is_fast_enough(pace: float, is_cold: bool, service_time_limit: float) -> bool:
     """Returns whether an engine is warm and known to be about as fast as a limit.
 
     Args:
         pace_limit: seconds for an event.
     """
-    return 0 < pace <= pace_limit * PACE_TOLERANCE and not is_cold
+    return 0 < pace <= service_time_limit * SERVICE_TIME_TOLERANCE and not is_cold
 
 
 def choose_engine(candidates: list[EngineState]) -> EngineState | None:
@@ -73,10 +73,10 @@
     preferred = candidates
     for preference in PREFERENCES:
         preferred = [engine for engine in preferred if preference(engine)] or preferred
-    return _nearest_like(_fastest(preferred), preferred)
+    return _nearest_equivalent(_fastest(preferred), preferred)
 
 
-def _stays_available(engine: EngineState) -> bool:
+def _accepts_work(engine: EngineState) -> bool:
     return not engine.is_loading
 
 
@@ -84,7 +84,7 @@
     return not engine.is_cold
 
 
-PREFERENCES = (_stays_available, _is_warm)
+PREFERENCES = (_accepts_work, _is_warm)
 """What an engine should be, the most important first; engines that are not are taken if no engine
 is. Loads take about a second, in which an item would be refused."""
 
@@ -96,37 +96,37 @@
     """
     best = candidates[0]
     for engine in candidates[1:]:
-        if engine.pace and is_outpaced_by(best.pace, engine.pace, FASTER_RATIO):
+        if engine.pace and is_slower_by(best.pace, engine.pace, FASTER_RATIO):
             best = engine
     return best
 
 
-def _nearest_like(best: EngineState, candidates: list[EngineState]) -> EngineState:
+def _nearest_equivalent(best: EngineState, candidates: list[EngineState]) -> EngineState:
     """Returns the nearest of the engines that are about as fast and as full as the best one."""
-    alike = [engine for engine in candidates if _is_nearer_like(engine, best)]
+    alike = [engine for engine in candidates if _is_nearer_equivalent(engine, best)]
     return min(alike, key=lambda engine: engine.distance, default=best)
 
 
-def _is_nearer_like(engine: EngineState, best: EngineState) -> bool:
+def _is_nearer_equivalent(engine: EngineState, best: EngineState) -> bool:
     return (
         engine.distance < best.distance
-        and engine.occupied <= best.occupied + ALIKE_OCCUPIED
+        and engine.occupied <= best.occupied + SIMILAR_LOAD_MARGIN
         and engine.pace <= best.pace * FASTER_RATIO
         and bool(engine.pace) == bool(best.pace)
     )
 
 
-def may_move(moves: int) -> bool:
+def may_migrate(migrations: int) -> bool:
     """Returns whether an item that was moved so often may be moved once more."""
-    return moves < MAX_MOVES
+    return migrations < MAX_MIGRATIONS
 
 
-def is_outpaced_by(pace: float, other: float, ratio: float) -> bool:
+def is_slower_by(pace: float, other: float, ratio: float) -> bool:
     """Returns whether an engine is slower than another one by more than a ratio of paces."""
     return pace > other * ratio
 
 
-def pace_to_leave(lasting: float, recent: float) -> float:
+def migration_source_service_time(lasting: float, recent: float) -> float:
     """Returns the pace by which a run leaves its engine: one that is slow for good and still is.
 
     Args:
@@ -136,17 +136,17 @@
     return min(lasting, recent) if recent else lasting
 
 
-def may_save_enough(events: int, pace: float) -> bool:
+def could_migration_pay_off(events: int, pace: float) -> bool:
     """Returns whether a move to some engine, however fast, might be worth it.
 
     Args:
         events: that the item has made.
         pace: of the engine where it runs.
     """
-    return events * pace >= MOVE_COST_SECONDS
+    return events * pace >= MIGRATION_COST_SECONDS
 
 
-def is_worth_moving(events: int, pace: float, other: float) -> bool:
+def is_migration_worthwhile(events: int, pace: float, other: float) -> bool:
     """Returns whether a run is to go on at a faster engine that has a place for it.
 
     An item is expected to make as many events more as it has made: the lengths of items differ
@@ -157,12 +157,12 @@
         pace: of the engine where it runs.
         other: of the faster engine; 0 if not known.
     """
-    if not other or not is_outpaced_by(pace, other, MOVE_RATIO):
+    if not other or not is_slower_by(pace, other, MIGRATION_RATIO):
         return False
-    return events * (pace - other) >= MOVE_COST_SECONDS
+    return events * (pace - other) >= MIGRATION_COST_SECONDS
 
 
-def pace_to_move_to(events: int, pace: float, best: float) -> float:
+def migration_service_time_limit(events: int, pace: float, best: float) -> float:
     """Returns the slowest pace for which a run requests a place; 0 if it is to stay.
 
     Args:
@@ -170,7 +170,7 @@
         pace: of the engine where it runs.
         best: of the fastest engine that it may use, whether or not it has a place; 0 if not known.
     """
-    if not is_worth_moving(events, pace, best):
+    if not is_migration_worthwhile(events, pace, best):
         return 0.0
     # Any engine that is fast enough for it is one that the run then moves to.
-    return min(best * FASTER_RATIO, pace / (MOVE_RATIO * PACE_TOLERANCE))
+    return min(best * FASTER_RATIO, pace / (MIGRATION_RATIO * SERVICE_TIME_TOLERANCE))
--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_runner.py
@@ -9,21 +9,21 @@
 
 from larkpost.gateway.blackboard.known_crashes import BATCH_CRASH_LIMIT
 from larkpost.gateway.rollouts.context import RunServices
-from larkpost.gateway.rollouts.engine_choice import EngineChoice
-from larkpost.gateway.rollouts.engine_rules import may_move
-from larkpost.gateway.rollouts.faster_place import FasterPlace
+from larkpost.gateway.rollouts.engine_priorities import EnginePriorities
+from larkpost.gateway.rollouts.engine_rules import may_migrate
+from larkpost.gateway.rollouts.engine_selector import EngineSelector
+from larkpost.gateway.rollouts.event_recorder import EventRecorder
+from larkpost.gateway.rollouts.faster_engine import FasterEngineRequest
 from larkpost.gateway.rollouts.model import ITEM_METHOD, BatchHead, Item
-from larkpost.gateway.rollouts.place_queue import PlaceQueue
 from larkpost.gateway.rollouts.progress import ItemRun
 from larkpost.gateway.rollouts.retry_rules import (
     FAILED_STATUS,
-    IMPOSSIBLE_STATUS,
-    RunEnd,
-    judge_failed_response,
+    UNPROCESSABLE_STATUS,
+    RunOutcome,
+    classify_failed_response,
 )
-from larkpost.gateway.rollouts.run_events import RunEvents
-from larkpost.gateway.rollouts.stalls import RunWatch, StalledError, StallWatcher
-from larkpost.gateway.rollouts.urgency import Urgency
+from larkpost.gateway.rollouts.slot_queue import SlotQueue
+from larkpost.gateway.rollouts.stall_detector import MonitoredRun, StallDetector, StalledError
 from larkpost.gateway.servers.port import (
     BrokenResponseError,
     OutgoingRequest,
@@ -36,7 +36,7 @@
 """Events of a run between two checks for a faster engine."""
 
 
-class EngineRuns:
+class EngineRunner:
     """Makes the runs of one batch's items at engines.
 
     Args:
@@ -48,18 +48,18 @@
         self,
         head: BatchHead,
         items: tuple[Item, ...],
-        engines: EngineChoice,
-        places: PlaceQueue,
+        engine_selector: EngineSelector,
+        slot_queue: SlotQueue,
         services: RunServices,
     ) -> None:
-        self.stalls = StallWatcher(services.clock)
+        self.stall_detector = StallDetector(services.clock)
         self._head = head
-        self._engines = engines
-        self._places = places
+        self._engine_selector = engine_selector
+        self._slot_queue = slot_queue
         self._services = services
-        self._urgency = Urgency(items)
+        self._priorities = EnginePriorities(items)
 
-    async def run(self, run: ItemRun) -> RunEnd:
+    async def run(self, run: ItemRun) -> RunOutcome:
         """Runs an item at an engine from where it is, and returns how that ended.
 
         Raises:
@@ -73,21 +73,23 @@
         """
         if run.progress.last_event is not None and run.route.single_version:
             self._keep_single_version(run)
-        watch: RunWatch | None = None
+        watch: MonitoredRun | None = None
         try:
             async with asyncio.timeout(FIRST_EVENT_SECONDS) as limit:
-                with self.stalls.watch(run.engine, limit) as watch:
+                with self.stall_detector.watch(run.engine, limit) as watch:
                     return await self._stream(run, watch)
         except TimeoutError:
             if watch is not None and watch.is_stalled:
                 raise StalledError from None
             raise
 
-    async def _stream(self, run: ItemRun, watch: RunWatch) -> RunEnd:
+    async def _stream(self, run: ItemRun, watch: MonitoredRun) -> RunOutcome:
         """Sends the request and records the response."""
         balancer = self._services.balancer
         request = self._request(run)
-        within = balancer.placement.admit(run.engine.id, self._engines.items.work_of(run.item))
+        within = balancer.placement.admit(
+            run.engine.id, self._engine_selector.items.work_of(run.item)
+        )
         request = replace(request, send_within=within)
         async with self._services.servers.send(run.engine, request) as response:
             balancer.record_load(run.engine.id, response.load)
@@ -98,9 +100,11 @@
         if not run.progress.events:
             raise BrokenResponseError("a stream without events")
         run.progress.complete()
-        return RunEnd.WHOLE
+        return RunOutcome.COMPLETE
 
-    async def _read_events(self, run: ItemRun, watch: RunWatch, response: ServerResponse) -> None:
+    async def _read_events(
+        self, run: ItemRun, watch: MonitoredRun, response: ServerResponse
+    ) -> None:
         """Records the events of a run until the stream ends or the run is to move.
 
         Raises:
@@ -108,13 +112,16 @@
             DiscontinuityError: an event does not follow the last one.
             MoveAwayError: it has a place at a faster engine.
         """
-        faster = FasterPlace(self._places, self._engines, run)
+        faster = FasterEngineRequest(self._slot_queue, self._engine_selector, run)
         try:
-            events = RunEvents(run, watch, self._head, self._services, response.version or 0)
+            events = EventRecorder(run, watch, self._head, self._services, response.version or 0)
             async for event in response.events():
                 events.record(event)
                 faster.raise_if_assigned()
-                if may_move(run.progress.moves) and events.count % EVENTS_BETWEEN_CHECKS == 0:
+                if (
+                    may_migrate(run.progress.migrations)
+                    and events.count % EVENTS_BETWEEN_CHECKS == 0
+                ):
                     faster.request_if_slow()
         finally:
             faster.cancel()
@@ -143,7 +150,7 @@
             return None
         priority = configuration.priority_of(self._head.tenant, run.route)
         yields = self._services.division.should_yield(run.engine.service, self._head.model)
-        return self._urgency.rank(run.progress, priority, yields=yields)
+        return self._priorities.engine_priority(run.progress, priority, yields=yields)
 
     def _keep_single_version(self, run: ItemRun) -> None:
         """Drops the output if the engine has another version than the one that made it."""
@@ -152,11 +159,11 @@
             run.progress.restart()
 
 
-def _record_failure(run: ItemRun, status: int) -> RunEnd:
+def _record_failure(run: ItemRun, status: int) -> RunOutcome:
     """Counts a response that is no stream, and returns whether the item runs again."""
     progress = run.progress
-    if status == IMPOSSIBLE_STATUS:
-        progress.impossible_responses += 1
+    if status == UNPROCESSABLE_STATUS:
+        progress.unprocessable_responses += 1
     if status == FAILED_STATUS:
         progress.failed_runs += 1
-    return judge_failed_response(status, progress.failed_runs, run.route.max_attempts)
+    return classify_failed_response(status, progress.failed_runs, run.route.max_attempts)
--- a/src/larkpost/gateway/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -12,29 +12,29 @@
 from larkpost.gateway.placement.work import Work
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.engine_rules import (
-    MOVE_RATIO,
+    MIGRATION_RATIO,
     EngineState,
     choose_engine,
+    could_migration_pay_off,
     is_fast_enough,
-    is_outpaced_by,
-    may_save_enough,
-    pace_to_leave,
-    pace_to_move_to,
+    is_slower_by,
+    migration_service_time_limit,
+    migration_source_service_time,
 )
 from larkpost.gateway.rollouts.item_work import ItemWork
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.rollouts.progress import ItemRun
-from larkpost.gateway.rollouts.stalls import RunWatch, stall_seconds
+from larkpost.gateway.rollouts.stall_detector import MonitoredRun, stall_timeout_seconds
 
-OWN_ENGINES_SECONDS = 0.6
+OWN_ENGINES_ONLY_SECONDS = 0.6
 """For so long a batch takes places at its model's own engines only. Batches often come at the same
 moment, and what the others take is known a heartbeat and its listing (0.25 s each) later."""
-BEST_PACE_SECONDS = 0.25
+BEST_SERVICE_TIME_CACHE_SECONDS = 0.25
 """How long the best pace of a service is reused: each run of a batch asks for it at every few
 events, and all engines are looked at for it."""
 
 
-class EngineChoice:
+class EngineSelector:
     """Chooses engines for the items of one batch."""
 
     def __init__(self, head: BatchHead, services: RunServices) -> None:
@@ -42,11 +42,11 @@
         self._services = services
         self._began_at = services.clock.now()
         self.items = ItemWork(head, services)
-        self._best: dict[tuple[ServiceName, Work, int], tuple[float, float]] = {}
+        self._best_service_times: dict[tuple[ServiceName, Work, int], tuple[float, float]] = {}
         """When the best pace at engines of a version was last worked out, and that pace."""
 
     def choose(
-        self, service: ServiceName, pace_limit: float = 0.0, work: Work | None = None
+        self, service: ServiceName, service_time_limit: float = 0.0, work: Work | None = None
     ) -> InstanceInfo | None:
         """Returns an engine with a free place and a version that may make the batch's tokens.
 
@@ -55,17 +55,17 @@
                 for an event; 0 for any engine.
             work: what the rules of placement ask of the item; None for the batch's own.
         """
-        only = self._only_engines(service)
-        candidates = self._with_place(service, work or self.items.work_of(), only)
-        if only is not None:
-            candidates = [info for info in candidates if info.id in only]
-        if pace_limit:
-            candidates = self._fast_enough(service, candidates, pace_limit)
+        allowed = self._allowed_engines(service)
+        candidates = self._with_free_slot(service, work or self.items.work_of(), allowed)
+        if allowed is not None:
+            candidates = [info for info in candidates if info.id in allowed]
+        if service_time_limit:
+            candidates = self._fast_enough(service, candidates, service_time_limit)
         chosen = choose_engine(self._states(service, candidates))
         return chosen.info if chosen is not None else None
 
     def _fast_enough(
-        self, service: ServiceName, candidates: list[InstanceInfo], pace_limit: float
+        self, service: ServiceName, candidates: list[InstanceInfo], service_time_limit: float
     ) -> list[InstanceInfo]:
         """Returns the engines that a moved run may go on at; those that load refuse it."""
         balancer = self._services.balancer
@@ -74,10 +74,12 @@
             info
             for info in candidates
             if info.id not in loading
-            and is_fast_enough(balancer.paces.lasting(info.id), balancer.is_cold(info), pace_limit)
+            and is_fast_enough(
+                balancer.paces.lasting(info.id), balancer.is_cold(info), service_time_limit
+            )
         ]
 
-    def _only_engines(self, service: ServiceName) -> frozenset[InstanceId] | None:
+    def _allowed_engines(self, service: ServiceName) -> frozenset[InstanceId] | None:
         """Returns the only engines that the batch may use now; None for any.
 
         At first those are its model's own, and later too while it has time to spare and a batch of
@@ -85,7 +87,7 @@
         of a zone, the batch need not wait for them.
         """
         division = self._services.division
-        is_new = self._services.clock.now() - self._began_at < OWN_ENGINES_SECONDS
+        is_new = self._services.clock.now() - self._began_at < OWN_ENGINES_ONLY_SECONDS
         if not is_new and not division.should_yield(service, self._head.model):
             return None
         own = division.engines_of(service, self._head.model)
@@ -121,28 +123,28 @@
         if self._services.cold is not None:
             self._services.cold.reserve(engine)
 
-    def count_places(self, service: ServiceName) -> int:
+    def count_free_slots(self, service: ServiceName) -> int:
         """Returns how many places the engines that fit are believed to have free."""
         work = self.items.work_of()
-        fitting = self._with_place(service, work)
+        fitting = self._with_free_slot(service, work)
         scale = self._services.balancer.look(service, work).scale
-        return int(sum(self._places_at(info, work) for info in fitting) * scale)
+        return int(sum(self._free_slots_at(info, work) for info in fitting) * scale)
 
-    def _places_at(self, info: InstanceInfo, work: Work) -> int:
+    def _free_slots_at(self, info: InstanceInfo, work: Work) -> int:
         """Returns an engine's free places; at a cold one, those that may be used now."""
         free = info.slots - self._services.balancer.occupied(info)
         cold = self._services.cold
         left = cold.remaining_sends(info, work) if cold is not None else None
         return free if left is None else min(free, left)
 
-    def silence_allowed(self, watch: RunWatch) -> float:
+    def stall_timeout(self, watch: MonitoredRun) -> float:
         """Returns the seconds for which a run may make nothing before it is stalled."""
         engine = watch.engine
         loading = self._services.division.loading(engine.service, self._head.model)
         pace = self._services.balancer.paces.lasting(engine.id)
-        return stall_seconds(pace, is_loading=engine.id in loading)
+        return stall_timeout_seconds(pace, is_loading=engine.id in loading)
 
-    def may_move_to(self, engine: InstanceInfo, run: ItemRun) -> bool:
+    def may_migrate_to(self, engine: InstanceInfo, run: ItemRun) -> bool:
         """Returns whether a run may still move to the place that it was assigned at an engine.
 
         The engine must be known and warm, and still faster: paces may have changed meanwhile.
@@ -152,11 +154,13 @@
         if known is None or balancer.is_cold(known):
             return False
         pace = balancer.paces.lasting(engine.id)
-        if not pace or not is_outpaced_by(self._pace_to_leave(run.engine), pace, MOVE_RATIO):
+        if not pace or not is_slower_by(
+            self._source_service_time(run.engine), pace, MIGRATION_RATIO
+        ):
             return False
         return balancer.placement.allows(known, self.items.work_of(run.item))
 
-    def fast_pace(self, run: ItemRun) -> float:
+    def target_service_time(self, run: ItemRun) -> float:
         """Returns the pace that a run should go on at elsewhere; 0 if it is to stay.
 
         Whether an engine of that pace has a free place is not asked. An engine whose weights are
@@ -164,22 +168,22 @@
         service only some engines are looked at.
         """
         engine, events = run.engine, len(run.progress.events)
-        pace = self._pace_to_leave(engine)
-        if not may_save_enough(events, pace):
+        pace = self._source_service_time(engine)
+        if not could_migration_pay_off(events, pace):
             return 0.0
         version = self._services.directory.version_of(engine.id, self._head.model)
-        best = self._best_pace(engine.service, self.items.work_of(run.item), version)
-        return pace_to_move_to(events, pace, best)
+        best = self._best_service_time(engine.service, self.items.work_of(run.item), version)
+        return migration_service_time_limit(events, pace, best)
 
-    def _pace_to_leave(self, engine: InstanceInfo) -> float:
+    def _source_service_time(self, engine: InstanceInfo) -> float:
         paces = self._services.balancer.paces
-        return pace_to_leave(paces.lasting(engine.id), paces.recent(engine.id))
+        return migration_source_service_time(paces.lasting(engine.id), paces.recent(engine.id))
 
-    def _best_pace(self, service: ServiceName, work: Work, version: int) -> float:
+    def _best_service_time(self, service: ServiceName, work: Work, version: int) -> float:
         """Returns the best pace at engines of a version or a newer one, as of a moment ago."""
         now = self._services.clock.now()
-        known = self._best.get((service, work, version))
-        if known is not None and now - known[0] < BEST_PACE_SECONDS:
+        known = self._best_service_times.get((service, work, version))
+        if known is not None and now - known[0] < BEST_SERVICE_TIME_CACHE_SECONDS:
             return known[1]
         balancer = self._services.balancer
         directory = self._services.directory
@@ -193,10 +197,10 @@
             and balancer.placement.allows(info, work)
         ]
         best = min(paces, default=0.0)
-        self._best[service, work, version] = (now, best)
+        self._best_service_times[service, work, version] = (now, best)
         return best
 
-    def _with_place(
+    def _with_free_slot(
         self, service: ServiceName, work: Work, within: frozenset[InstanceId] | None = None
     ) -> list[InstanceInfo]:
         """Returns the engines that fit and have a free place, the least occupied first.
@@ -205,9 +209,9 @@
             within: the only engines of a large service to look at; None for any.
         """
         balancer = self._services.balancer
-        fitting = balancer.candidates(service, work, eligible=self._has_not_failed, within=within)
+        fitting = balancer.candidates(service, work, eligible=self._is_not_avoided, within=within)
         return [info for info in fitting if balancer.has_place(info)]
 
-    def _has_not_failed(self, info: InstanceInfo) -> bool:
+    def _is_not_avoided(self, info: InstanceInfo) -> bool:
         """Returns whether an engine did not fail a moment ago."""
         return not self._services.balancer.is_avoided(info.id)
--- a/src/larkpost/gateway/rollouts/run_events.py
+++ b/src/larkpost/gateway/rollouts/event_recorder.py
@@ -10,19 +10,19 @@
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.rollouts.progress import ItemRun
-from larkpost.gateway.rollouts.stalls import RunWatch
+from larkpost.gateway.rollouts.stall_detector import MonitoredRun
 from larkpost.gateway.servers.port import BrokenResponseError, StreamEvent
 
-EVENT_GAP_SECONDS = 1.2
+MAX_EVENT_GAP_SECONDS = 1.2
 """Longest pause between two events before the run is continued elsewhere. A trial with 0.8 s
 together with another change was worse than this, and was reverted."""
-EVENT_PACE_WEIGHT = 0.06
+EVENT_SERVICE_TIME_WEIGHT = 0.06
 """Weight of one pause between two events in an engine's pace, which is so smoothed over about 16
 events: single pauses vary with the prefills of other requests, and runs left their engines for
 ones whose pace was a stray measurement."""
 
 
-class RunEvents:
+class EventRecorder:
     """The events of one run.
 
     Args:
@@ -35,7 +35,7 @@
     def __init__(
         self,
         run: ItemRun,
-        watch: RunWatch,
+        watch: MonitoredRun,
         head: BatchHead,
         services: RunServices,
         version: int,
@@ -45,7 +45,7 @@
         self._head = head
         self._services = services
         self._version = version
-        self._last_at: float | None = None
+        self._last_event_at: float | None = None
         self.count = 0
         self._observe_version(version)
 
@@ -57,13 +57,13 @@
             DiscontinuityError: it does not follow the last one.
         """
         now = asyncio.get_running_loop().time()
-        self._watch.record_event(now, EVENT_GAP_SECONDS)
+        self._watch.record_event(now, MAX_EVENT_GAP_SECONDS)
         if event.version is not None:
             self._version = event.version
             self._observe_version(event.version)
         self._check_version()
         self._run.progress.take(event.id, event.data, self._version)
-        self._record_pause(now)
+        self._record_latency(now)
         self.count += 1
 
     def _observe_version(self, version: int) -> None:
@@ -84,14 +84,14 @@
             progress.restart()
             raise BrokenResponseError("the version changed within a result")
 
-    def _record_pause(self, now: float) -> None:
+    def _record_latency(self, now: float) -> None:
         """Records the time from the beginning to the first event, and all later pauses as pace."""
-        if self._last_at is None:
-            seconds = now - self._watch.began_at
+        if self._last_event_at is None:
+            seconds = now - self._watch.started_at
             self._services.metrics.observe(Timing.ITEM_FIRST_EVENT, seconds)
         else:
-            seconds = now - self._last_at
+            seconds = now - self._last_event_at
             balancer, engine = self._services.balancer, self._run.engine
-            balancer.record_pace(engine.id, seconds, EVENT_PACE_WEIGHT)
+            balancer.record_pace(engine.id, seconds, EVENT_SERVICE_TIME_WEIGHT)
             balancer.paces.record_event(engine.id, seconds)
-        self._last_at = now
+        self._last_event_at = now
--- a/src/larkpost/gateway/rollouts/faster_place.py
+++ b/src/larkpost/gateway/rollouts/faster_engine.py
@@ -7,12 +7,12 @@
 import asyncio
 
 from larkpost.gateway.blackboard.directory import InstanceInfo
-from larkpost.gateway.rollouts.engine_choice import EngineChoice
-from larkpost.gateway.rollouts.place_queue import PlaceQueue
+from larkpost.gateway.rollouts.engine_selector import EngineSelector
 from larkpost.gateway.rollouts.progress import ItemRun
+from larkpost.gateway.rollouts.slot_queue import SlotQueue
 
 
-class MoveAwayError(Exception):
+class MigrateRunError(Exception):
     """The run is to go on at a faster engine.
 
     Attributes:
@@ -24,23 +24,25 @@
         self.engine = engine
 
 
-class FasterPlace:
+class FasterEngineRequest:
     """The request of a run at a slow engine for a place at a fast one."""
 
-    def __init__(self, places: PlaceQueue, engines: EngineChoice, run: ItemRun) -> None:
-        self._places = places
-        self._engines = engines
+    def __init__(
+        self, slot_queue: SlotQueue, engine_selector: EngineSelector, run: ItemRun
+    ) -> None:
+        self._slot_queue = slot_queue
+        self._engine_selector = engine_selector
         self._run = run
-        self._place: asyncio.Future[InstanceInfo] | None = None
+        self._slot: asyncio.Future[InstanceInfo] | None = None
 
     def request_if_slow(self) -> None:
         """Requests a place if the engine is so slow for good that the run is worth moving."""
-        if self._place is not None:
+        if self._slot is not None:
             return
         run = self._run
-        pace = self._engines.fast_pace(run)
+        pace = self._engine_selector.target_service_time(run)
         if pace:
-            self._place = self._places.request(run.progress, run.route, pace)
+            self._slot = self._slot_queue.request(run.progress, run.route, pace)
 
     def raise_if_assigned(self) -> None:
         """Ends the run once it has a place; a place that may be used no longer is given back.
@@ -48,17 +50,17 @@
         Raises:
             MoveAwayError: there is a place, which is the caller's from now on.
         """
-        if self._place is None or not self._place.done():
+        if self._slot is None or not self._slot.done():
             return
-        engine = self._place.result()
-        if not self._engines.may_move_to(engine, self._run):
+        engine = self._slot.result()
+        if not self._engine_selector.may_migrate_to(engine, self._run):
             self.cancel()
             return
-        self._place = None
-        raise MoveAwayError(engine)
+        self._slot = None
+        raise MigrateRunError(engine)
 
     def cancel(self) -> None:
         """Cancels the request, if there is one."""
-        if self._place is not None:
-            self._places.cancel(self._place)
-            self._place = None
+        if self._slot is not None:
+            self._slot_queue.cancel(self._slot)
+            self._slot = None
--- a/src/larkpost/gateway/rollouts/item_routes.py
+++ b/src/larkpost/gateway/rollouts/item_routes.py
@@ -3,7 +3,7 @@
 from larkpost.gateway.blackboard.configuration import Route
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.model import BatchHead, Item
-from larkpost.gateway.rollouts.retry_rules import is_out_of_time
+from larkpost.gateway.rollouts.retry_rules import is_past_lifetime
 
 
 class ItemRoutes:
@@ -20,7 +20,7 @@
             return None
         return configuration.match(self._head.host, item.path.partition("?")[0].encode())
 
-    def is_given_up(self, route: Route | None) -> bool:
+    def is_expired(self, route: Route | None) -> bool:
         """Returns whether the time is over in which an item of a route must be kept trying.
 
         While the store's time or the route is not known, no item is given up.
@@ -28,4 +28,4 @@
         store_time = self._services.store_time()
         if store_time is None or route is None:
             return False
-        return is_out_of_time(store_time - self._head.created_at, route.queue_lifetime)
+        return is_past_lifetime(store_time - self._head.created_at, route.queue_lifetime)
--- a/src/larkpost/gateway/rollouts/item_runs.py
+++ b/src/larkpost/gateway/rollouts/item_runner.py
@@ -11,24 +11,28 @@
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.metrics import Count, Timing
 from larkpost.gateway.rollouts.context import RunServices
-from larkpost.gateway.rollouts.engine_run import EngineRuns
-from larkpost.gateway.rollouts.faster_place import MoveAwayError
+from larkpost.gateway.rollouts.engine_runner import EngineRunner
+from larkpost.gateway.rollouts.faster_engine import MigrateRunError
 from larkpost.gateway.rollouts.item_routes import ItemRoutes
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId
-from larkpost.gateway.rollouts.place_queue import PlaceQueue
 from larkpost.gateway.rollouts.progress import DiscontinuityError, ItemRun, Progress
-from larkpost.gateway.rollouts.retry_rules import REFUSED_AVOID_SECONDS, RunEnd, judge_run_error
-from larkpost.gateway.rollouts.stalls import StalledError
+from larkpost.gateway.rollouts.retry_rules import (
+    REFUSED_AVOID_SECONDS,
+    RunOutcome,
+    classify_run_error,
+)
+from larkpost.gateway.rollouts.slot_queue import SlotQueue
+from larkpost.gateway.rollouts.stall_detector import StalledError
 from larkpost.gateway.servers.port import BrokenResponseError, NotRunError
 
-AGAIN_PAUSE_SECONDS = 0.03
+RETRY_PAUSE_SECONDS = 0.03
 """Pause before an item waits for a place again. One pass over the queue."""
 QUARANTINE_CHECK_SECONDS = 0.5
 """Between two checks whether an item that crashes engines may run again, or its time is over."""
 
 EXPECTED_ERRORS = (
     NotRunError,
-    MoveAwayError,
+    MigrateRunError,
     StalledError,
     TimeoutError,
     DiscontinuityError,
@@ -38,69 +42,69 @@
 """Ends of a run after which the item goes on; all other errors are faults of this program."""
 
 
-class ItemRuns:
+class ItemRunner:
     """Makes the outputs of one batch's items whole."""
 
     def __init__(
         self,
         head: BatchHead,
         routes: ItemRoutes,
-        places: PlaceQueue,
-        runs: EngineRuns,
+        slot_queue: SlotQueue,
+        runs: EngineRunner,
         services: RunServices,
     ) -> None:
         self._head = head
         self._routes = routes
-        self._places = places
+        self._slot_queue = slot_queue
         self._runs = runs
         self._services = services
-        self._taken: dict[ItemId, InstanceInfo] = {}
+        self._assigned_engines: dict[ItemId, InstanceInfo] = {}
         """Places that runs have taken for their items before they ended, by item."""
         self._queued_at: dict[ItemId, float] = {}
         """Steady times since which items that have not run yet wait."""
 
-    async def make_whole(self, progress: Progress) -> bool:
+    async def run_to_completion(self, progress: Progress) -> bool:
         """Runs an item at engines until its output is whole; False if it can never be."""
         item = progress.item
         self._queued_at[item.id] = self._services.clock.now()
         while not progress.whole:
-            end = await self._advance(progress)
-            if end is RunEnd.DEAD:
+            end = await self._attempt_run(progress)
+            if end is RunOutcome.DEAD:
                 return False
-            if end is RunEnd.AGAIN and item.id not in self._taken:
-                await self._services.clock.sleep(AGAIN_PAUSE_SECONDS)
+            if end is RunOutcome.RETRY and item.id not in self._assigned_engines:
+                await self._services.clock.sleep(RETRY_PAUSE_SECONDS)
         return True
 
     def release_unused(self, item: ItemId) -> None:
         """Releases the place that a run has taken for an item that runs no more."""
-        unused = self._taken.pop(item, None)
+        unused = self._assigned_engines.pop(item, None)
         if unused is not None:
             self._services.balancer.release(unused.id)
 
-    async def _advance(self, progress: Progress) -> RunEnd:
+    async def _attempt_run(self, progress: Progress) -> RunOutcome:
         """Runs an item once if it may run and gets a place."""
         item = progress.item
         route = self._routes.route_of(item)
-        if self._routes.is_given_up(route):
-            return RunEnd.DEAD
+        if self._routes.is_expired(route):
+            return RunOutcome.DEAD
         if self._is_quarantined(item):
             await self._services.clock.sleep(QUARANTINE_CHECK_SECONDS)
-            return RunEnd.AGAIN
+            return RunOutcome.RETRY
         if route is None:
-            return RunEnd.AGAIN
-        engine = await self._take_place(progress, route)
+            return RunOutcome.RETRY
+        engine = await self._acquire_slot(progress, route)
         if engine is None:
-            return RunEnd.AGAIN
+            return RunOutcome.RETRY
         return await self._run_at(ItemRun(engine, route, progress))
 
-    async def _take_place(self, progress: Progress, route: Route) -> InstanceInfo | None:
+    async def _acquire_slot(self, progress: Progress, route: Route) -> InstanceInfo | None:
         """Returns where the item has a place; None if there was none for a while."""
         item = progress.item.id
-        engine = self._taken.pop(item, None)
+        engine = self._assigned_engines.pop(item, None)
         if engine is None:
-            engine = await self._places.take(progress, route, progress.pace_left)
+            engine = await self._slot_queue.acquire(progress, route, progress.previous_service_time)
         if engine is None:
-            progress.pace_left = 0.0  # no engine as fast has a place any more
+            progress.previous_service_time = 0.0  # no engine as fast has a place any more
             return None
         queued_at = self._queued_at.pop(item, None)
         if queued_at is not None:
@@ -118,19 +122,19 @@
             return False
         return crashes.is_content_quarantined(item.content(self._head), BATCH_CRASH_LIMIT)
 
-    async def _run_at(self, run: ItemRun) -> RunEnd:
+    async def _run_at(self, run: ItemRun) -> RunOutcome:
         """Runs an item at its place at an engine, and releases the place."""
-        began = self._services.clock.now()
+        started = self._services.clock.now()
         resumed_after = run.progress.last_event
-        end = RunEnd.AGAIN
+        end = RunOutcome.RETRY
         try:
             end = await self._runs.run(run)
-            outcome = end.value if end is not RunEnd.AGAIN else "failed"
+            outcome = end.value if end is not RunOutcome.RETRY else "failed"
         except EXPECTED_ERRORS as error:
             outcome = self._record_error(run, error)
         finally:
             self._services.balancer.release(run.engine.id)
-        self._record_run(run, resumed_after, began, outcome)
+        self._record_run(run, resumed_after, started, outcome)
         return end
 
     def _record_error(self, run: ItemRun, error: Exception) -> str:
@@ -140,25 +144,25 @@
             balancer.record_cold(engine, error.cold_left)
             balancer.record_not_run(engine, error.reason, REFUSED_AVOID_SECONDS)
             return error.reason
-        if isinstance(error, MoveAwayError):
-            self._record_move(run, error)
+        if isinstance(error, MigrateRunError):
+            self._record_migration(run, error)
             return "moved"
-        failure = judge_run_error(error)
-        if failure.loses_output:
+        failure = classify_run_error(error)
+        if failure.discards_output:
             run.progress.restart()
         balancer.avoid(engine, failure.avoid_seconds)
         return failure.outcome
 
-    def _record_move(self, run: ItemRun, move: MoveAwayError) -> None:
-        run.progress.moves += 1
-        self._taken[run.item.id] = move.engine
-        run.progress.pace_left = self._services.balancer.paces.lasting(run.engine.id)
+    def _record_migration(self, run: ItemRun, move: MigrateRunError) -> None:
+        run.progress.migrations += 1
+        self._assigned_engines[run.item.id] = move.engine
+        run.progress.previous_service_time = self._services.balancer.paces.lasting(run.engine.id)
 
     def _record_run(
-        self, run: ItemRun, resumed_after: int | None, began: float, outcome: str
+        self, run: ItemRun, resumed_after: int | None, started: float, outcome: str
     ) -> None:
         """Logs the end of one run with what decided where it ran."""
-        seconds = self._services.clock.now() - began
+        seconds = self._services.clock.now() - started
         balancer = self._services.balancer
         directory = self._services.directory
         self._services.metrics.count(Count.ITEM_RUNS, outcome.partition(":")[0])
--- a/src/larkpost/gateway/rollouts/owned.py
+++ b/src/larkpost/gateway/rollouts/owned_batch.py
@@ -9,6 +9,7 @@
 from larkpost.common.clock import Clock
 from larkpost.gateway.blackboard.daemon_report import BatchProgress
 from larkpost.gateway.observability.eventlog import Event, EventLog
+from larkpost.gateway.rollouts.batch_run import BatchRun
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId, Result
 from larkpost.gateway.rollouts.output_saver import (
@@ -18,8 +19,7 @@
 )
 from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.repository import BatchRepository
-from larkpost.gateway.rollouts.result_list import RETRY_SECONDS, ResultList
-from larkpost.gateway.rollouts.run import BatchRun
+from larkpost.gateway.rollouts.result_appender import RETRY_SECONDS, ResultAppender
 from larkpost.gateway.rollouts.view import BatchView
 from larkpost.gateway.store.port import StoreUnavailableError
 
@@ -48,7 +48,7 @@
         self._log: EventLog = services.log
         self._run: BatchRun | None = None
         self._saver = OutputSaver(head.id, repository)
-        self._results = ResultList(head, view, repository, services, self._drop_listed)
+        self._results = ResultAppender(head, view, repository, services, self._drop_listed)
         self._tasks: list[asyncio.Task] = []
 
     def start(self, items: tuple[Item, ...] | None, fresh: bool) -> None:
@@ -59,7 +59,7 @@
             fresh: whether the batch was accepted just now, so that nothing is listed yet.
         """
         self._tasks.append(asyncio.create_task(self._work(items, fresh)))
-        self._tasks.append(asyncio.create_task(self._keep_partials()))
+        self._tasks.append(asyncio.create_task(self._save_outputs_periodically()))
 
     @property
     def running(self) -> int:
@@ -68,7 +68,7 @@
 
     def progress(self) -> BatchProgress | None:
         """Returns how far the batch is; None while it is not loaded."""
-        return self._run.sum_up() if self._run is not None else None
+        return self._run.summarize_progress() if self._run is not None else None
 
     @property
     def unscored(self) -> int:
@@ -104,7 +104,7 @@
             return
         try:
             async with asyncio.timeout(FLUSH_SECONDS):
-                await self._results.synchronise()
+                await self._results.reload()
                 await self._results.append_once()
         except (TimeoutError, StoreUnavailableError):
             return  # the next owner runs them again
@@ -128,7 +128,7 @@
     async def _load(self, items: tuple[Item, ...] | None, fresh: bool) -> None:
         """Reads what is missing of the batch, and starts the items that have no result."""
         items, stored = await self._read(items, fresh)
-        self._view.keep_items(items)
+        self._view.set_items(items)
         ended_items = self._results.listed | {result.item for result in self._results.pending}
         open_items = tuple(item for item in items if item.id not in ended_items)
         self._log.record(
@@ -142,7 +142,7 @@
         ended = self._results.tail is not None and self._results.tail.ended
         if ended or not open_items:
             return
-        self._run = BatchRun(self.head, open_items, self._services, self._finished, stored)
+        self._run = BatchRun(self.head, open_items, self._services, self._on_result, stored)
         self._run.start()
 
     async def _read(
@@ -159,19 +159,19 @@
                     items = await self._repository.items(self.head)
                 if not fresh:
                     stored = await self._repository.partials(self.head.id, items)
-                await self._results.synchronise()
+                await self._results.reload()
                 return items, stored
             except StoreUnavailableError:
                 if fresh and items is not None:
                     return items, stored
                 await self._clock.sleep(RETRY_SECONDS)
 
-    def _finished(self, result: Result) -> None:
+    def _on_result(self, result: Result) -> None:
         self._results.add(result)
 
     def _drop_listed(self, listed: set[ItemId]) -> None:
         if self._run is not None:
-            self._run.drop(listed)
+            self._run.cancel_items(listed)
 
     def _complete(self) -> None:
         self.complete = True
@@ -179,7 +179,7 @@
             self._run.cancel()
         self._log.record(Event.BATCH_COMPLETE, batch=self.head.id, listed=len(self._view.results))
 
-    async def _keep_partials(self) -> None:
+    async def _save_outputs_periodically(self) -> None:
         while not self.complete:
             await self._clock.sleep(SAVE_INTERVAL_SECONDS)
             await self._save_outputs(MIN_NEW_EVENTS)
--- a/src/larkpost/gateway/rollouts/partial_outputs.py
+++ b/src/larkpost/gateway/rollouts/partial_outputs.py
@@ -6,13 +6,13 @@
 
 from larkpost.common.ids import BatchId
 from larkpost.gateway.rollouts import codec
-from larkpost.gateway.rollouts.batch_rows import BatchRows, RowPut, end_of, key_of
+from larkpost.gateway.rollouts.batch_rows import BatchRows, RowPut, batch_key, prefix_end
 from larkpost.gateway.rollouts.model import Item, ItemId
 from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.store.batch_tables import PARTIAL_TABLE, part_of
 from larkpost.gateway.store.port import Store, WriteOutcome, read_all
 
-MAX_KEPT_BYTES = 300_000
+MAX_STORED_BYTES = 300_000
 """Longest output of an item that is stored, some 700 events: one transaction must take it."""
 
 
@@ -35,7 +35,7 @@
             StoreUnavailableError: the store did not answer.
         """
         page = await read_all(
-            self._store, PARTIAL_TABLE, part_of(batch), f"{batch}/", end_of(batch)
+            self._store, PARTIAL_TABLE, part_of(batch), f"{batch}/", prefix_end(batch)
         )
         pieces: dict[str, list[bytes]] = {}
         for row in page.rows:
@@ -48,9 +48,9 @@
         }
 
     def _rows_of(self, batch: BatchId, progress: Progress) -> list[RowPut]:
-        content = codec.encode_progress(progress, MAX_KEPT_BYTES)
-        pieces = codec.split_rewritten(content, self._rows.piece_bytes)
+        content = codec.encode_progress(progress, MAX_STORED_BYTES)
+        pieces = codec.split_rewritten(content, self._rows.chunk_bytes)
         return [
-            (key_of(PARTIAL_TABLE, batch, f"/{progress.item.id}/{number:02d}"), piece)
+            (batch_key(PARTIAL_TABLE, batch, f"/{progress.item.id}/{number:02d}"), piece)
             for number, piece in enumerate(pieces)
         ]
--- a/src/larkpost/gateway/rollouts/progress.py
+++ b/src/larkpost/gateway/rollouts/progress.py
@@ -9,7 +9,7 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.rollouts.model import Item, Result, ResultState
 
-LONG_RUN_EVENTS = 30
+LONG_ITEM_EVENTS = 30
 """Events after which an item has shown itself long; three in four items have fewer."""
 
 
@@ -40,9 +40,9 @@
     last_event: int | None = None
     event_versions: list[int] = field(default_factory=list)
     failed_runs: int = 0
-    impossible_responses: int = 0
-    moves: int = 0
-    pace_left: float = 0.0
+    unprocessable_responses: int = 0
+    migrations: int = 0
+    previous_service_time: float = 0.0
     whole: bool = False
     failed_calls: int = 0
     output_bytes: int = 0
@@ -50,7 +50,7 @@
     @property
     def is_long(self) -> bool:
         """Whether the item has shown itself long; such items are what a step waits for."""
-        return len(self.events) >= LONG_RUN_EVENTS
+        return len(self.events) >= LONG_ITEM_EVENTS
 
     @property
     def versions(self) -> set[int]:
--- a/src/larkpost/gateway/rollouts/read_rules.py
+++ b/src/larkpost/gateway/rollouts/read_rules.py
@@ -16,14 +16,14 @@
 """For so long after a batch is due results are held back still. A step that is whole just after its
 due time would else cost its trainer the pause after a response; a little later results must not
 wait, as they count less by the moment."""
-LEAST_WAIT_SECONDS = 0.001
+MIN_WAIT_SECONDS = 0.001
 """A remaining wait below this counts as over: the clock's own steps are not much smaller."""
 
 
-class ReadStep(StrEnum):
+class ReadDecision(StrEnum):
     """What becomes of a read now."""
 
-    GIVE = "give"
+    RESPOND = "give"
     WAIT = "wait"
     FAIL = "fail"
 
@@ -43,25 +43,25 @@
 
     is_complete: bool
     has_new: bool
-    has_step: bool
+    has_enough_groups: bool
     may_hold: bool
     store_failed: bool
     seconds_left: float
 
 
-def judge_read(state: ReadState) -> ReadStep:
+def decide_read(state: ReadState) -> ReadDecision:
     """Returns whether a read is answered with what is known, waits for more, or fails."""
-    is_over = state.seconds_left < LEAST_WAIT_SECONDS
-    if state.is_complete or (state.has_new and (is_over or _need_not_hold(state))):
-        return ReadStep.GIVE
+    is_over = state.seconds_left < MIN_WAIT_SECONDS
+    if state.is_complete or (state.has_new and (is_over or _should_not_hold(state))):
+        return ReadDecision.RESPOND
     if not is_over:
-        return ReadStep.WAIT
-    return ReadStep.FAIL if state.store_failed else ReadStep.GIVE
+        return ReadDecision.WAIT
+    return ReadDecision.FAIL if state.store_failed else ReadDecision.RESPOND
 
 
-def _need_not_hold(state: ReadState) -> bool:
+def _should_not_hold(state: ReadState) -> bool:
     return (
-        state.has_step  # the trainer goes on with these
+        state.has_enough_groups  # the trainer goes on with these
         or not state.may_hold
         or state.store_failed  # whether others come can't be seen
     )
--- a/src/larkpost/gateway/rollouts/reader.py
+++ b/src/larkpost/gateway/rollouts/reader.py
@@ -10,15 +10,15 @@
 from larkpost.gateway.blackboard.tenants import ANYONE, Caller
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.metrics import Count
+from larkpost.gateway.rollouts.batch_manager import BatchManager
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.errors import BatchUnreadableError, NoSuchBatchError
-from larkpost.gateway.rollouts.keeper import BatchKeeper
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId, Result
 from larkpost.gateway.rollouts.read_rules import (
     HOLD_SECONDS,
+    ReadDecision,
     ReadState,
-    ReadStep,
-    judge_read,
+    decide_read,
     may_hold,
 )
 from larkpost.gateway.rollouts.repository import BatchRepository
@@ -27,7 +27,7 @@
 
 READ_POLL_SECONDS = 0.05
 """How often a held read checks for what another daemon appends: a step waits for the last one."""
-FRESH_SECONDS = 0.04
+MAX_CONFIRMATION_AGE_SECONDS = 0.04
 """A list confirmed this recently is given without asking the store again. Less than the interval of
 checks."""
 RETRY_AFTER_SECONDS = 0.2
@@ -51,12 +51,12 @@
     def __init__(
         self,
         repository: BatchRepository,
-        keeper: BatchKeeper,
+        batch_manager: BatchManager,
         views: ViewCache,
         services: RunServices,
     ) -> None:
         self._repository = repository
-        self._keeper = keeper
+        self._batch_manager = batch_manager
         self._views = views
         self._services = services
         self._clock = services.clock
@@ -82,11 +82,11 @@
             now = self._clock.now()
             if len(view.results) > position:
                 give_up_at = min(give_up_at, now + HOLD_SECONDS)
-            step = judge_read(_read_state(view, position, holds, failed, give_up_at - now))
-            if step is ReadStep.GIVE:
-                return self._give(view, position, from_memory=failed)
-            if step is ReadStep.FAIL:
-                raise self._failure(batch, position)
+            step = decide_read(_read_state(view, position, holds, failed, give_up_at - now))
+            if step is ReadDecision.RESPOND:
+                return self._respond(view, position, from_memory=failed)
+            if step is ReadDecision.FAIL:
+                raise self._read_error(batch, position)
             await view.wait_for_change(min(READ_POLL_SECONDS, give_up_at - now))
 
     def _may_hold(self, view: BatchView) -> bool:
@@ -101,13 +101,13 @@
         route = configuration.match(head.host, head.path.encode("latin-1"))
         return route is not None and may_hold(now - head.created_at, route.due)
 
-    def _failure(self, batch: BatchId, position: int) -> BatchUnreadableError:
+    def _read_error(self, batch: BatchId, position: int) -> BatchUnreadableError:
         """Records a read that failed, and returns its error."""
         self._services.metrics.count(Count.BATCH_CALLS, "read", "failed")
         self._log.record(Event.READ_FAILED, batch=batch, position=position)
         return BatchUnreadableError("the store does not answer", retry_after=RETRY_AFTER_SECONDS)
 
-    def _give(self, view: BatchView, position: int, *, from_memory: bool) -> ResultPage:
+    def _respond(self, view: BatchView, position: int, *, from_memory: bool) -> ResultPage:
         """Returns a page and records it, with the age of what was known."""
         page = _page(view, position)
         self._services.metrics.count(Count.BATCH_CALLS, "read", "answered")
@@ -133,7 +133,7 @@
         view = await self._view(batch, caller)
         items = view.items
         if items is None:
-            items = view.keep_items(await self._load_items(view.head))
+            items = view.set_items(await self._load_items(view.head))
         found = items.get(item)
         if found is None:
             raise NoSuchBatchError(f"batch {batch} has no item {item}")
@@ -149,7 +149,7 @@
         view = self._views.get(batch)
         if view is None:
             view = self._views.get_or_add(await self.find_head(batch, caller))
-        _check_seen(view.head, caller)
+        _check_visible(view.head, caller)
         view.used_at = self._clock.now()
         return view
 
@@ -160,7 +160,7 @@
             NoSuchBatchError: there is no such batch.
             BatchUnreadableError: the store does not answer.
         """
-        head = self._keeper.head(batch)
+        head = self._batch_manager.head(batch)
         if head is None:
             try:
                 head = await self._repository.head(batch)
@@ -168,7 +168,7 @@
                 raise BatchUnreadableError(error.message, retry_after=RETRY_AFTER_SECONDS) from None
         if head is None:
             raise NoSuchBatchError(f"there is no batch {batch}")
-        _check_seen(head, caller)
+        _check_visible(head, caller)
         return head
 
     async def _refresh(self, view: BatchView, position: int, may_hold: bool) -> bool:
@@ -179,7 +179,7 @@
         """
         started = self._clock.now()
         known = len(view.results)
-        if known >= view.head.total or started - view.confirmed_at < FRESH_SECONDS:
+        if known >= view.head.total or started - view.confirmed_at < MAX_CONFIRMATION_AGE_SECONDS:
             return True
         if known > position and not may_hold:
             return True
@@ -198,14 +198,14 @@
     return ReadState(
         is_complete=len(view.results) >= view.head.total,
         has_new=len(view.results) > position,
-        has_step=view.has_step(),
+        has_enough_groups=view.has_enough_groups(),
         may_hold=holds,
         store_failed=failed,
         seconds_left=seconds_left,
     )
 
 
-def _check_seen(head: BatchHead, caller: Caller) -> None:
+def _check_visible(head: BatchHead, caller: Caller) -> None:
     """Raises unless a caller may see a batch; another tenant's does not exist to it.
 
     Raises:
--- a/src/larkpost/gateway/rollouts/result_list.py
+++ b/src/larkpost/gateway/rollouts/result_appender.py
@@ -17,13 +17,13 @@
 from larkpost.gateway.rollouts.view import BatchView
 from larkpost.gateway.store.port import StoreUnavailableError, WriteOutcome
 
-APPEND_GAP_SECONDS = 0.06
+APPEND_INTERVAL_SECONDS = 0.06
 """Pause between two appends, in which results gather."""
 RETRY_SECONDS = 0.15
 """Pause after a call that the store refused or did not answer."""
 
 
-class ResultList:
+class ResultAppender:
     """The list of results of one batch.
 
     Args:
@@ -41,14 +41,14 @@
         view: BatchView,
         repository: BatchRepository,
         services: RunServices,
-        drop: Callable[[set[ItemId]], None],
+        on_listed: Callable[[set[ItemId]], None],
     ) -> None:
         self._batch = head.id
         self._total = head.total
         self._view = view
         self._repository = repository
         self._services = services
-        self._drop = drop
+        self._on_listed = on_listed
         self._clock: Clock = services.clock
         self._log: EventLog = services.log
         self.tail: Tail | None = None
@@ -72,7 +72,7 @@
             return False
         return self.tail.ended or self.tail.count >= self._total
 
-    async def synchronise(self) -> None:
+    async def reload(self) -> None:
         """Reads the tail and the results listed by anyone.
 
         Raises:
@@ -91,7 +91,7 @@
         self._view.confirm(started)
         self.listed = {result.item for result in self._view.results}
         self.pending = [result for result in self.pending if result.item not in self.listed]
-        self._drop(self.listed)
+        self._on_listed(self.listed)
 
     async def append_all(self) -> None:
         """Appends results as they come, until nothing can be appended any more."""
@@ -101,7 +101,7 @@
                 if self.tail is not None:
                     await self._wake.wait()
             await self.append_once()
-            await self._clock.sleep(APPEND_GAP_SECONDS)
+            await self._clock.sleep(APPEND_INTERVAL_SECONDS)
 
     async def append_once(self) -> None:
         """Appends as many results as one write takes; reads the list anew if that is not done."""
@@ -157,7 +157,7 @@
     async def _resynchronise(self) -> None:
         while True:
             try:
-                await self.synchronise()
+                await self.reload()
                 return
             except StoreUnavailableError:
                 await self._clock.sleep(RETRY_SECONDS)
--- a/src/larkpost/gateway/rollouts/retry_rules.py
+++ b/src/larkpost/gateway/rollouts/retry_rules.py
@@ -7,10 +7,10 @@
 from enum import StrEnum
 
 from larkpost.gateway.rollouts.progress import DiscontinuityError
-from larkpost.gateway.rollouts.stalls import StalledError
+from larkpost.gateway.rollouts.stall_detector import StalledError
 from larkpost.gateway.servers.port import BrokenResponseError
 
-IMPOSSIBLE_STATUS = 422
+UNPROCESSABLE_STATUS = 422
 """The engine says that the item can never be done."""
 FAILED_STATUS = 500
 """The engine says that this run has failed."""
@@ -24,11 +24,11 @@
 """The same after it left an item waiting though another engine had a place."""
 
 
-class RunEnd(StrEnum):
+class RunOutcome(StrEnum):
     """How one run of an item ended."""
 
-    WHOLE = "whole"
-    AGAIN = "again"
+    COMPLETE = "whole"
+    RETRY = "again"
     DEAD = "dead"
 
 
@@ -44,10 +44,10 @@
 
     outcome: str
     avoid_seconds: float
-    loses_output: bool = False
+    discards_output: bool = False
 
 
-def judge_failed_response(status: int, failed_runs: int, max_attempts: int) -> RunEnd:
+def classify_failed_response(status: int, failed_runs: int, max_attempts: int) -> RunOutcome:
     """Returns whether an item runs again after a response that is no stream.
 
     Refusals and other statuses don't count as attempts: the item did not run.
@@ -56,14 +56,14 @@
         failed_runs: the item's runs that ended with `FAILED_STATUS`, this one included.
         max_attempts: as many of them as the item's route allows.
     """
-    if status == IMPOSSIBLE_STATUS:
-        return RunEnd.DEAD
+    if status == UNPROCESSABLE_STATUS:
+        return RunOutcome.DEAD
     if status == FAILED_STATUS and failed_runs >= max_attempts:
-        return RunEnd.DEAD
-    return RunEnd.AGAIN
+        return RunOutcome.DEAD
+    return RunOutcome.RETRY
 
 
-def judge_run_error(
+def classify_run_error(
     error: TimeoutError | StalledError | ValueError | BrokenResponseError,
 ) -> RunFailure:
     """Returns what follows from a run that a time limit or a useless stream ended."""
@@ -72,11 +72,11 @@
     if isinstance(error, TimeoutError):
         return RunFailure("silent", SILENT_AVOID_SECONDS)
     # After a gap, or if the whole output is no text, the beginning is no good either.
-    loses_output = isinstance(error, (DiscontinuityError, UnicodeDecodeError))
-    return RunFailure(f"broken: {error}", BROKEN_AVOID_SECONDS, loses_output)
+    discards_output = isinstance(error, (DiscontinuityError, UnicodeDecodeError))
+    return RunFailure(f"broken: {error}", BROKEN_AVOID_SECONDS, discards_output)
 
 
-def is_out_of_time(age: float, queue_lifetime: float) -> bool:
+def is_past_lifetime(age: float, queue_lifetime: float) -> bool:
     """Returns whether an item has been tried for as long as its route wants, and is given up.
 
     Args:
@@ -86,7 +86,7 @@
     return bool(queue_lifetime) and age > queue_lifetime
 
 
-def is_call_dead(failed_calls: int, item_attempts: int, call_attempts: int) -> bool:
+def are_call_attempts_exhausted(failed_calls: int, item_attempts: int, call_attempts: int) -> bool:
     """Returns whether a reward call is given up, and its item with it.
 
     Args:
--- a/src/larkpost/gateway/rollouts/reward_attempt.py
+++ b/src/larkpost/gateway/rollouts/reward_caller.py
@@ -18,19 +18,19 @@
 from larkpost.gateway.rollouts.model import ITEM_METHOD, BatchHead, RewardCall
 from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.reward_rules import (
-    CallAttempt,
-    CallEnd,
-    CallHistory,
+    RewardAttempt,
+    RewardCallHistory,
+    RewardCallOutcome,
+    call_timeout_seconds,
     choose_server,
-    judge_call_response,
-    limit_seconds,
+    classify_call_response,
     usable_slots,
 )
 from larkpost.gateway.servers.port import BrokenResponseError, NotRunError, OutgoingRequest
 
 MAX_CALLS_IN_FLIGHT = 24
 """Reward calls of one daemon at servers, or about to be sent; the others wait their turn."""
-PLACE_PAUSE_SECONDS = 0.03
+SLOT_POLL_SECONDS = 0.03
 """Pause between two checks for a place at a server."""
 FULL_AVOID_SECONDS = 0.05
 """How long a server that was full gets no more work."""
@@ -40,7 +40,7 @@
 """The same after a silence beyond the call's time limit."""
 
 
-class RewardAttempts:
+class RewardCaller:
     """Sends the reward calls of one batch, each attempt to one server."""
 
     def __init__(self, head: BatchHead, services: RunServices) -> None:
@@ -48,25 +48,25 @@
         self._services = services
 
     async def make(
-        self, progress: Progress, call: RewardCall, route: Route, history: CallHistory
-    ) -> CallAttempt | None:
+        self, progress: Progress, call: RewardCall, route: Route, history: RewardCallHistory
+    ) -> RewardAttempt | None:
         """Sends a call once; None if no server had a place.
 
         Args:
             history: of the call; the attempt is added to it.
         """
-        async with self._services.reward_places:
+        async with self._services.reward_call_slots:
             server = self._choose(self._services.shares.choose(route), call, history)
             if server is None:
-                await self._services.clock.sleep(PLACE_PAUSE_SECONDS)
+                await self._services.clock.sleep(SLOT_POLL_SECONDS)
                 return None
             history.servers.add(server.id)
-            began = self._services.clock.now()
-            limit = limit_seconds(self._services.balancer.pace(server.id), history.silences)
+            started = self._services.clock.now()
+            limit = call_timeout_seconds(self._services.balancer.pace(server.id), history.timeouts)
             attempt = await self._send(server, call, limit)
-            if attempt.end is CallEnd.SILENT:
-                history.silences += 1
-            self._record(progress, call, server, attempt, self._services.clock.now() - began)
+            if attempt.outcome is RewardCallOutcome.TIMED_OUT:
+                history.timeouts += 1
+            self._record(progress, call, server, attempt, self._services.clock.now() - started)
             return attempt
 
     def _work(self, call: RewardCall) -> Work:
@@ -81,35 +81,35 @@
         return Work(WorkKind.REWARD, regions, is_suspect=is_suspect)
 
     def _choose(
-        self, service: ServiceName, call: RewardCall, history: CallHistory
+        self, service: ServiceName, call: RewardCall, history: RewardCallHistory
     ) -> InstanceInfo | None:
         balancer = self._services.balancer
-        candidates = balancer.candidates(service, self._work(call), eligible=self._has_place)
+        candidates = balancer.candidates(service, self._work(call), eligible=self._has_free_slot)
         return choose_server(candidates, history)
 
-    def _has_place(self, info: InstanceInfo) -> bool:
+    def _has_free_slot(self, info: InstanceInfo) -> bool:
         return self._services.balancer.occupied(info) < usable_slots(info.slots)
 
-    async def _send(self, server: InstanceInfo, call: RewardCall, limit: float) -> CallAttempt:
+    async def _send(self, server: InstanceInfo, call: RewardCall, limit: float) -> RewardAttempt:
         """Sends a call and records what its end says of the server."""
         balancer = self._services.balancer
-        began = self._services.clock.now()
+        started = self._services.clock.now()
         try:
             status, signature = await self._exchange(server, call, limit)
         except NotRunError as error:
             balancer.record_cold(server.id, error.cold_left)
             balancer.record_not_run(server.id, error.reason, FULL_AVOID_SECONDS)
-            return CallAttempt(error.reason)
+            return RewardAttempt(error.reason)
         except BrokenResponseError:
             balancer.avoid(server.id, BROKEN_AVOID_SECONDS)
-            return CallAttempt(CallEnd.BROKEN)
+            return RewardAttempt(RewardCallOutcome.BROKEN)
         except TimeoutError:
             balancer.avoid(server.id, SILENT_AVOID_SECONDS)
-            return CallAttempt(CallEnd.SILENT)
-        seconds = self._services.clock.now() - began
+            return RewardAttempt(RewardCallOutcome.TIMED_OUT)
+        seconds = self._services.clock.now() - started
         balancer.record_pace(server.id, seconds)
         balancer.paces.record_response(server.id, seconds)
-        return judge_call_response(status, signature)
+        return classify_call_response(status, signature)
 
     async def _exchange(
         self, server: InstanceInfo, call: RewardCall, limit: float
@@ -140,10 +140,10 @@
         progress: Progress,
         call: RewardCall,
         server: InstanceInfo,
-        attempt: CallAttempt,
+        attempt: RewardAttempt,
         seconds: float,
     ) -> None:
-        self._services.metrics.count(Count.REWARD_CALLS, attempt.end)
+        self._services.metrics.count(Count.REWARD_CALLS, attempt.outcome)
         self._services.metrics.observe(Timing.REWARD_CALL, seconds)
         self._services.log.record(
             Event.REWARD_CALL,
@@ -152,7 +152,7 @@
             call=call.id,
             content=call.content,
             instance=server.id,
-            outcome=attempt.end,
+            outcome=attempt.outcome,
             seconds=round(seconds, 3),
             occupied=self._services.balancer.occupied(server),
             failed_calls=progress.failed_calls,
--- a/src/larkpost/gateway/rollouts/reward_rules.py
+++ b/src/larkpost/gateway/rollouts/reward_rules.py
@@ -11,28 +11,28 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.servers.port import NotRunReason
 
-CLIENT_SLOTS_SHARE = 1 / 3
+CLIENT_RESERVED_SHARE = 1 / 3
 """Share of a server's slots that reward calls leave to clients."""
-LEAST_LIMIT_SECONDS = 0.8
+MIN_CALL_TIMEOUT_SECONDS = 0.8
 """Least time that a server is given for a call."""
-MOST_LIMIT_SECONDS = 10.0
+MAX_CALL_TIMEOUT_SECONDS = 10.0
 """Most time that a server is given for a call."""
-LIMIT_PACE_FACTOR = 8.0
+CALL_TIMEOUT_SERVICE_TIME_FACTOR = 8.0
 """A server is given this many times what calls take there, twice as much after each silence."""
 
 
-class CallEnd(StrEnum):
+class RewardCallOutcome(StrEnum):
     """How one attempt of a reward call ended; one that did not run ends with its reason."""
 
     SCORED = "scored"
     FAILED = "failed"  # the server reported that it failed
     BROKEN = "broken"  # no whole response, or a success without a signature
-    SILENT = "silent"
+    TIMED_OUT = "silent"
     REJECTED = "rejected"  # any other response
 
 
 @dataclass(frozen=True, slots=True)
-class CallAttempt:
+class RewardAttempt:
     """The end of one attempt.
 
     Attributes:
@@ -40,12 +40,12 @@
         score: the server's signature if it was scored.
     """
 
-    end: CallEnd | NotRunReason
+    outcome: RewardCallOutcome | NotRunReason
     score: str | None = None
 
 
 @dataclass(slots=True)
-class CallHistory:
+class RewardCallHistory:
     """The attempts of one call so far.
 
     Attributes:
@@ -54,26 +54,28 @@
     """
 
     servers: set[InstanceId]
-    silences: int = 0
+    timeouts: int = 0
 
 
 def usable_slots(slots: int) -> int:
     """Returns how many of a server's slots may be occupied when a reward call is sent to it."""
-    return max(1, int(slots * (1 - CLIENT_SLOTS_SHARE)))
+    return max(1, int(slots * (1 - CLIENT_RESERVED_SHARE)))
 
 
-def limit_seconds(pace: float, silences: int) -> float:
+def call_timeout_seconds(pace: float, timeouts: int) -> float:
     """Returns the seconds that a server is given for a call.
 
     Args:
         pace: seconds that a call takes there; 0 if not known.
         silences: attempts of this call that ended in silence, at any server.
     """
-    usual = LIMIT_PACE_FACTOR * pace
-    return min(MOST_LIMIT_SECONDS, max(LEAST_LIMIT_SECONDS, usual) * 2**silences)
+    usual = CALL_TIMEOUT_SERVICE_TIME_FACTOR * pace
+    return min(MAX_CALL_TIMEOUT_SECONDS, max(MIN_CALL_TIMEOUT_SECONDS, usual) * 2**timeouts)
 
 
-def choose_server(candidates: list[InstanceInfo], history: CallHistory) -> InstanceInfo | None:
+def choose_server(
+    candidates: list[InstanceInfo], history: RewardCallHistory
+) -> InstanceInfo | None:
     """Returns the best server with a place, one that was not tried yet if there is one.
 
     Once all that have a place were tried, the record of servers tried begins anew.
@@ -88,12 +90,12 @@
     return fresh[0] if fresh else None
 
 
-def judge_call_response(status: int, signature: str | None) -> CallAttempt:
+def classify_call_response(status: int, signature: str | None) -> RewardAttempt:
     """Returns what a whole response means; a score is nothing but a success that is signed."""
     if 200 <= status < 300:
         if signature:
-            return CallAttempt(CallEnd.SCORED, signature)
-        return CallAttempt(CallEnd.BROKEN)
+            return RewardAttempt(RewardCallOutcome.SCORED, signature)
+        return RewardAttempt(RewardCallOutcome.BROKEN)
     if status == 500:
-        return CallAttempt(CallEnd.FAILED)
-    return CallAttempt(CallEnd.REJECTED)
+        return RewardAttempt(RewardCallOutcome.FAILED)
+    return RewardAttempt(RewardCallOutcome.REJECTED)
--- a/src/larkpost/gateway/rollouts/reward.py
+++ b/src/larkpost/gateway/rollouts/reward_scorer.py
@@ -12,11 +12,11 @@
 from larkpost.gateway.rollouts.item_routes import ItemRoutes
 from larkpost.gateway.rollouts.model import BatchHead, RewardCall
 from larkpost.gateway.rollouts.progress import Progress
-from larkpost.gateway.rollouts.retry_rules import is_call_dead
-from larkpost.gateway.rollouts.reward_attempt import RewardAttempts
-from larkpost.gateway.rollouts.reward_rules import CallEnd, CallHistory
+from larkpost.gateway.rollouts.retry_rules import are_call_attempts_exhausted
+from larkpost.gateway.rollouts.reward_caller import RewardCaller
+from larkpost.gateway.rollouts.reward_rules import RewardCallHistory, RewardCallOutcome
 
-AGAIN_PAUSE_SECONDS = 0.05
+RETRY_PAUSE_SECONDS = 0.05
 """Pause before a call is tried again."""
 QUARANTINE_CHECK_SECONDS = 0.5
 """Between two checks whether a call that crashes servers may be sent again."""
@@ -28,7 +28,7 @@
     def __init__(self, head: BatchHead, routes: ItemRoutes, services: RunServices) -> None:
         self._routes = routes
         self._services = services
-        self._attempts = RewardAttempts(head, services)
+        self._attempts = RewardCaller(head, services)
 
     async def score(self, progress: Progress, call: RewardCall) -> str | None:
         """Returns an output's score; None if the call failed too often, or its time is over.
@@ -38,24 +38,26 @@
         """
         item_route = self._routes.route_of(progress.item)
         item_attempts = item_route.max_attempts if item_route is not None else 0
-        began = self._services.clock.now()
-        history = CallHistory(set())
-        while not self._routes.is_given_up(self._routes.route_of(progress.item)):
+        started = self._services.clock.now()
+        history = RewardCallHistory(set())
+        while not self._routes.is_expired(self._routes.route_of(progress.item)):
             if self._is_quarantined(call):
                 await self._services.clock.sleep(QUARANTINE_CHECK_SECONDS)
                 continue
             route = self._route(call)
             if route is not None:
                 attempt = await self._attempts.make(progress, call, route, history)
-                if attempt is not None and attempt.end is CallEnd.SCORED:
-                    waited = self._services.clock.now() - began
+                if attempt is not None and attempt.outcome is RewardCallOutcome.SCORED:
+                    waited = self._services.clock.now() - started
                     self._services.metrics.observe(Timing.REWARD, waited)
                     return attempt.score
-                if attempt is not None and attempt.end is CallEnd.FAILED:
+                if attempt is not None and attempt.outcome is RewardCallOutcome.FAILED:
                     progress.failed_calls += 1
-                    if is_call_dead(progress.failed_calls, item_attempts, route.max_attempts):
+                    if are_call_attempts_exhausted(
+                        progress.failed_calls, item_attempts, route.max_attempts
+                    ):
                         return None
-            await self._services.clock.sleep(AGAIN_PAUSE_SECONDS)
+            await self._services.clock.sleep(RETRY_PAUSE_SECONDS)
         return None
 
     def _is_quarantined(self, call: RewardCall) -> bool:
--- a/src/larkpost/gateway/rollouts/service.py
+++ b/src/larkpost/gateway/rollouts/service.py
@@ -14,6 +14,7 @@
 from larkpost.gateway.observability.metrics import Count
 from larkpost.gateway.placement.work import Work, WorkKind
 from larkpost.gateway.rollouts.acceptance import AcceptOutcome
+from larkpost.gateway.rollouts.batch_manager import BatchManager
 from larkpost.gateway.rollouts.context import RunServices
 from larkpost.gateway.rollouts.errors import (
     BatchIdTakenError,
@@ -22,7 +23,6 @@
     BatchUnreadableError,
     NoSuchBatchError,
 )
-from larkpost.gateway.rollouts.keeper import BatchKeeper
 from larkpost.gateway.rollouts.model import BatchSpec, ItemId
 from larkpost.gateway.rollouts.reader import RETRY_AFTER_SECONDS, BatchReader, ResultPage
 from larkpost.gateway.rollouts.repository import BatchRepository, EndOutcome
@@ -47,14 +47,14 @@
         self,
         owner: DaemonId,
         repository: BatchRepository,
-        keeper: BatchKeeper,
+        batch_manager: BatchManager,
         views: ViewCache,
         services: RunServices,
     ) -> None:
         self._owner = owner
         self._repository = repository
-        self._keeper = keeper
-        self._reader = BatchReader(repository, keeper, views, services)
+        self._batch_manager = batch_manager
+        self._reader = BatchReader(repository, batch_manager, views, services)
         self._services = services
         self._clock: Clock = services.clock
         self._log: EventLog = services.log
@@ -67,20 +67,20 @@
             BatchUncertainError: it may have been accepted.
             BatchIdTakenError: another tenant has a batch of this id.
         """
-        known = self._keeper.head(spec.id)
+        known = self._batch_manager.head(spec.id)
         if known is not None and known.tenant == spec.tenant:
             return
-        if self._is_homeless(spec):
-            raise self._homeless_error(spec)
-        began = self._clock.now()
+        if self._has_no_eligible_engine(spec):
+            raise self._no_eligible_engine_error(spec)
+        started = self._clock.now()
         upload = secrets.token_hex(8)
         outcome = await self._repository.accept(spec, self._owner, upload, ACCEPT_SECONDS)
         if outcome is not AcceptOutcome.ACCEPTED:
             raise self._refusal_error(spec, outcome)
-        self._record_accepted(spec, self._clock.now() - began)
-        await self._keeper.own_accepted(spec, upload)
+        self._record_accepted(spec, self._clock.now() - started)
+        await self._batch_manager.start_accepted(spec, upload)
 
-    def _homeless_error(self, spec: BatchSpec) -> BatchRefusedError:
+    def _no_eligible_engine_error(self, spec: BatchSpec) -> BatchRefusedError:
         """Records that no engine may serve a batch, and returns the error of its submission."""
         self._services.metrics.count(Count.BATCH_CALLS, "submit", "homeless")
         self._log.record(Event.BATCH_REFUSED, batch=spec.id, uncertain=False, homeless=True)
@@ -114,7 +114,7 @@
             seconds=round(seconds, 3),
         )
 
-    def _is_homeless(self, spec: BatchSpec) -> bool:
+    def _has_no_eligible_engine(self, spec: BatchSpec) -> bool:
         """Returns whether no engine lies where a batch may be served."""
         configuration = self._services.configuration.current
         path = spec.path.encode("latin-1")
@@ -168,4 +168,4 @@
             raise BatchUncertainError("the store did not answer", ran=Ran.UNKNOWN)
         self._services.metrics.count(Count.BATCH_CALLS, "end", "done")
         self._log.record(Event.BATCH_ENDED, batch=batch)
-        self._keeper.finish(batch)
+        self._batch_manager.finish(batch)
--- a/src/larkpost/gateway/rollouts/place_queue.py
+++ b/src/larkpost/gateway/rollouts/slot_queue.py
@@ -19,23 +19,23 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.placement.work import Work
 from larkpost.gateway.proxy.balancer import Balancer
-from larkpost.gateway.rollouts.engine_choice import EngineChoice
+from larkpost.gateway.rollouts.engine_selector import EngineSelector
 from larkpost.gateway.rollouts.model import Item
 from larkpost.gateway.rollouts.progress import Progress
 
 PASS_INTERVAL_SECONDS = 0.03
 """Pause between two passes: places free up without notice when other daemons' requests end. About
 the time that one event takes."""
-PLACES_AT_ONCE = 8
+MAX_SLOTS_PER_PASS = 8
 """Places assigned before the loop turns: what is placed first, the longest items, is sent first."""
 TIMEOUT_SECONDS = 0.5
 """How long an item waits before its route and its time are checked again."""
-LIMITED_TIMEOUT_SECONDS = 0.1
+FAST_ENGINE_TIMEOUT_SECONDS = 0.1
 """The same for an item that wants a fast engine; after that it takes any. Some three passes."""
 
 
 @dataclass(frozen=True, slots=True)
-class _PlaceRequest:
+class _SlotRequest:
     """An item in the queue; ``place`` gets its engine as result.
 
     Attributes:
@@ -45,13 +45,13 @@
 
     item: Item
     route: Route
-    pace_limit: float
-    place: asyncio.Future[InstanceInfo]
+    service_time_limit: float
+    slot: asyncio.Future[InstanceInfo]
     order: tuple[bool, float]
 
 
 @dataclass(slots=True)
-class _NoPlaces:
+class _UnavailableSlots:
     """What one pass has learnt of places that there are not.
 
     Attributes:
@@ -62,33 +62,33 @@
     full: set[tuple[ServiceName, Work]] = field(default_factory=set)
     slow: dict[tuple[ServiceName, Work], float] = field(default_factory=dict)
 
-    def rules_out(self, wanted: tuple[ServiceName, Work], pace_limit: float) -> bool:
+    def rules_out(self, wanted: tuple[ServiceName, Work], service_time_limit: float) -> bool:
         """Returns whether a request needs no check, as one easier to serve has found no place."""
-        return wanted in self.full or 0 < pace_limit <= self.slow.get(wanted, 0.0)
+        return wanted in self.full or 0 < service_time_limit <= self.slow.get(wanted, 0.0)
 
-    def record(self, wanted: tuple[ServiceName, Work], pace_limit: float) -> None:
+    def record(self, wanted: tuple[ServiceName, Work], service_time_limit: float) -> None:
         """Records that a request has found no place."""
-        if pace_limit:
-            self.slow[wanted] = max(self.slow.get(wanted, 0.0), pace_limit)
+        if service_time_limit:
+            self.slow[wanted] = max(self.slow.get(wanted, 0.0), service_time_limit)
         else:
             self.full.add(wanted)
 
 
-class PlaceQueue:
+class SlotQueue:
     """Gives waiting items places at engines."""
 
-    def __init__(self, engines: EngineChoice, balancer: Balancer, clock: Clock) -> None:
-        self._engines = engines
+    def __init__(self, engine_selector: EngineSelector, balancer: Balancer, clock: Clock) -> None:
+        self._engine_selector = engine_selector
         self._balancer = balancer
         self._clock = clock
-        self._waiting: list[_PlaceRequest] = []
-        self._server: asyncio.Task | None = None
+        self._waiting: list[_SlotRequest] = []
+        self._serve_task: asyncio.Task | None = None
 
     def __len__(self) -> int:
         return len(self._waiting)
 
-    async def take(
-        self, progress: Progress, route: Route, pace_limit: float = 0.0
+    async def acquire(
+        self, progress: Progress, route: Route, service_time_limit: float = 0.0
     ) -> InstanceInfo | None:
         """Waits for a place; None if there was none for a while.
 
@@ -98,80 +98,80 @@
             progress: of the item that wants the place.
             pace_limit: how fast the engine must be, in seconds for an event; 0 for any.
         """
-        place = self.request(progress, route, pace_limit)
+        slot = self.request(progress, route, service_time_limit)
         try:
-            timeout = LIMITED_TIMEOUT_SECONDS if pace_limit else TIMEOUT_SECONDS
-            await asyncio.wait({place}, timeout=timeout)
+            timeout = FAST_ENGINE_TIMEOUT_SECONDS if service_time_limit else TIMEOUT_SECONDS
+            await asyncio.wait({slot}, timeout=timeout)
         except asyncio.CancelledError:
-            self.cancel(place)
+            self.cancel(slot)
             raise
-        if place.done():
-            return place.result()
-        self.cancel(place)
+        if slot.done():
+            return slot.result()
+        self.cancel(slot)
         return None
 
     def request(
-        self, progress: Progress, route: Route, pace_limit: float = 0.0
+        self, progress: Progress, route: Route, service_time_limit: float = 0.0
     ) -> asyncio.Future[InstanceInfo]:
         """Requests a place without waiting; see `take`. It must be used, or cancelled."""
-        place: asyncio.Future[InstanceInfo] = asyncio.get_running_loop().create_future()
-        entry = _PlaceRequest(progress.item, route, pace_limit, place, queue_rank(progress))
+        slot: asyncio.Future[InstanceInfo] = asyncio.get_running_loop().create_future()
+        entry = _SlotRequest(progress.item, route, service_time_limit, slot, queue_order(progress))
         bisect.insort(self._waiting, entry, key=lambda waiting: waiting.order)
-        if self._server is None or self._server.done():
-            self._server = asyncio.create_task(self._serve())
-        return place
+        if self._serve_task is None or self._serve_task.done():
+            self._serve_task = asyncio.create_task(self._serve())
+        return slot
 
-    def cancel(self, place: asyncio.Future[InstanceInfo]) -> None:
+    def cancel(self, slot: asyncio.Future[InstanceInfo]) -> None:
         """Cancels a request; a place that was assigned meanwhile is free again."""
-        if place.done():
-            self._balancer.release(place.result().id)
+        if slot.done():
+            self._balancer.release(slot.result().id)
             return
-        self._waiting = [entry for entry in self._waiting if entry.place is not place]
+        self._waiting = [entry for entry in self._waiting if entry.slot is not slot]
 
     def stop(self) -> None:
         """Stops serving."""
-        if self._server is not None:
-            self._server.cancel()
+        if self._serve_task is not None:
+            self._serve_task.cancel()
 
     async def _serve(self) -> None:
         while self._waiting:
-            while self._pass() == PLACES_AT_ONCE:
+            while self._pass() == MAX_SLOTS_PER_PASS:
                 await self._clock.sleep(0)
             await self._clock.sleep(PASS_INTERVAL_SECONDS)
 
     def _pass(self) -> int:
         """Assigns at most `PLACES_AT_ONCE` places, the longest items first, and counts them."""
-        missing = _NoPlaces()
-        left: list[_PlaceRequest] = []
+        unavailable = _UnavailableSlots()
+        left: list[_SlotRequest] = []
         assigned = 0
         for entry in self._waiting:
-            if assigned < PLACES_AT_ONCE and self._assign(entry, missing):
+            if assigned < MAX_SLOTS_PER_PASS and self._assign(entry, unavailable):
                 assigned += 1
             else:
                 left.append(entry)
         self._waiting = left
         return assigned
 
-    def _assign(self, entry: _PlaceRequest, missing: _NoPlaces) -> bool:
+    def _assign(self, entry: _SlotRequest, unavailable: _UnavailableSlots) -> bool:
         """Gives an item a place if there is one, and returns whether there is."""
-        service = self._engines.items.service_of(entry.item, entry.route)
+        service = self._engine_selector.items.service_of(entry.item, entry.route)
         if service is None:
             return False
-        work = self._engines.items.work_of(entry.item)
+        work = self._engine_selector.items.work_of(entry.item)
         wanted = (service, work)
-        if missing.rules_out(wanted, entry.pace_limit):
+        if unavailable.rules_out(wanted, entry.service_time_limit):
             return False
-        engine = self._engines.choose(service, entry.pace_limit, work)
+        engine = self._engine_selector.choose(service, entry.service_time_limit, work)
         if engine is None:
-            missing.record(wanted, entry.pace_limit)
+            unavailable.record(wanted, entry.service_time_limit)
             return False
         self._balancer.occupy(engine.id)
-        self._engines.record_assigned(engine)
-        entry.place.set_result(engine)
+        self._engine_selector.record_assigned(engine)
+        entry.slot.set_result(engine)
         return True
 
 
-def queue_rank(progress: Progress) -> tuple[bool, float]:
+def queue_order(progress: Progress) -> tuple[bool, float]:
     """Returns an item's rank in the queue, by these criteria; the lowest is served first."""
     return (
         not progress.is_long,  # a step waits for items that have shown themselves long
--- a/src/larkpost/gateway/rollouts/stalls.py
+++ b/src/larkpost/gateway/rollouts/stall_detector.py
@@ -18,11 +18,11 @@
 CHECK_INTERVAL_SECONDS = 0.1
 """Interval at which the runs of a batch are checked. A third of the shortest silence that
 counts."""
-LEAST_SILENCE_SECONDS = 0.3
+MIN_STALL_TIMEOUT_SECONDS = 0.3
 """A run is not stalled before: the first event takes about 0.1 s, a queue at least as long."""
-SILENCE_PACES = 6.0
+STALL_SERVICE_TIME_FACTOR = 6.0
 """Nor before as many events could have come at the engine's pace: slow engines are not silent."""
-LOAD_SILENCE_SECONDS = 1.1
+LOADING_STALL_TIMEOUT_SECONDS = 1.1
 """Nor, at an engine that loads weights, before the load can have ended: its runs go on then, and an
 engine that one of them moved to may load next."""
 
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True)
-class RunWatch:
+class MonitoredRun:
     """One run at an engine.
 
     Attributes:
@@ -44,8 +44,8 @@
 
     engine: InstanceInfo
     limit: asyncio.Timeout
-    began_at: float
-    progress_at: float
+    started_at: float
+    last_event_at: float
     is_stalled: bool = False
 
     def record_event(self, now: float, longest_gap: float) -> None:
@@ -54,30 +54,30 @@
         Args:
             longest_gap: seconds until the next event, after which the run is over.
         """
-        self.progress_at = now
+        self.last_event_at = now
         if not self.is_stalled:
             self.limit.reschedule(now + longest_gap)
 
 
-class StallWatcher:
+class StallDetector:
     """Watches the runs of one batch."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._watches: list[RunWatch] = []
+        self._watches: list[MonitoredRun] = []
 
     @contextmanager
-    def watch(self, engine: InstanceInfo, limit: asyncio.Timeout) -> Iterator[RunWatch]:
+    def watch(self, engine: InstanceInfo, limit: asyncio.Timeout) -> Iterator[MonitoredRun]:
         """Watches a run until the context is left."""
         now = self._clock.now()
-        watch = RunWatch(engine, limit, now, now)
+        watch = MonitoredRun(engine, limit, now, now)
         self._watches.append(watch)
         try:
             yield watch
         finally:
             self._watches.remove(watch)
 
-    def stalled(self, silence_allowed: Callable[[RunWatch], float]) -> list[RunWatch]:
+    def find_stalled(self, stall_timeout: Callable[[MonitoredRun], float]) -> list[MonitoredRun]:
         """Returns the runs that have been silent for too long, the longest silence first.
 
         Args:
@@ -88,22 +88,22 @@
             watch
             for watch in self._watches
             if not (watch.is_stalled or watch.limit.expired())
-            and now - watch.progress_at >= silence_allowed(watch)
+            and now - watch.last_event_at >= stall_timeout(watch)
         ]
-        return sorted(silent, key=lambda watch: watch.progress_at)
+        return sorted(silent, key=lambda watch: watch.last_event_at)
 
-    def end(self, watch: RunWatch) -> None:
+    def abort(self, watch: MonitoredRun) -> None:
         """Ends a run, so that it goes on elsewhere."""
         watch.is_stalled = True
         watch.limit.reschedule(self._clock.now())
 
 
-def stall_seconds(pace: float, *, is_loading: bool = False) -> float:
+def stall_timeout_seconds(pace: float, *, is_loading: bool = False) -> float:
     """Returns the silence, in seconds, after which a run at an engine of this pace is stalled.
 
     Args:
         pace: seconds for an event, lastingly; 0 if not known.
         is_loading: whether the engine loads weights, and its runs go on afterwards.
     """
-    silence = max(LEAST_SILENCE_SECONDS, SILENCE_PACES * pace)
-    return max(silence, LOAD_SILENCE_SECONDS) if is_loading else silence
+    silence = max(MIN_STALL_TIMEOUT_SECONDS, STALL_SERVICE_TIME_FACTOR * pace)
+    return max(silence, LOADING_STALL_TIMEOUT_SECONDS) if is_loading else silence
--- a/src/larkpost/gateway/rollouts/view.py
+++ b/src/larkpost/gateway/rollouts/view.py
@@ -15,7 +15,7 @@
 """Most bytes of texts and bodies that the views of batches not run here hold."""
 
 
-IDLE_SHARE = 8
+IDLE_BUDGET_DIVISOR = 8
 """They hold at most this part of the budget, where there is one."""
 
 
@@ -52,7 +52,7 @@
             self._changed.set()
             self._changed = asyncio.Event()
 
-    def keep_items(self, items: Iterable[Item]) -> dict[ItemId, Item]:
+    def set_items(self, items: Iterable[Item]) -> dict[ItemId, Item]:
         """Keeps the batch's items, and returns them by id."""
         if self.items is not None:
             self.size -= sum(len(item.body) for item in self.items.values())
@@ -60,7 +60,7 @@
         self.size += sum(len(item.body) for item in self.items.values())
         return self.items
 
-    def has_step(self) -> bool:
+    def has_enough_groups(self) -> bool:
         """Returns whether enough groups are whole for the trainer to go on."""
         size = self.head.group_size
         whole = sum(count >= size for group, count in self._group_counts.items() if group)
@@ -102,7 +102,7 @@
         """Drops the view of a batch."""
         self._views.pop(batch, None)
 
-    def bound(self, in_use: set[BatchId], outputs: int = 0) -> None:
+    def evict_idle(self, in_use: set[BatchId], outputs: int = 0) -> None:
         """Drops the views that were not used for longest, but none in use.
 
         Args:
@@ -121,4 +121,6 @@
 
     def _max_idle_bytes(self) -> int:
         limit = self._budget.limit
-        return MAX_CACHE_BYTES if limit is None else min(MAX_CACHE_BYTES, limit // IDLE_SHARE)
+        return (
+            MAX_CACHE_BYTES if limit is None else min(MAX_CACHE_BYTES, limit // IDLE_BUDGET_DIVISOR)
+        )
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -56,18 +56,18 @@
 
 def list_again():
     """Appends what another owner has listed."""
-    from larkpost.gateway.rollouts.result_list import ResultList
+    from larkpost.gateway.rollouts.result_appender import ResultAppender
 
-    original = ResultList.__init__
+    original = ResultAppender.__init__
 
-    def begin(self, head, view, repository, services, drop):
+    def begin(self, head, view, repository, services, on_listed):
         original(self, head, view, repository, services, lambda _: None)
 
     def add(self, result):
         self.pending.append(result)
         self._wake.set()
 
-    return mock.patch.multiple(ResultList, __init__=begin, add=add)
+    return mock.patch.multiple(ResultAppender, __init__=begin, add=add)
 
 
 def order_without_lease():
@@ -159,47 +159,47 @@
 
 def list_without_score():
     """Lists whole outputs without their scores."""
-    from larkpost.gateway.rollouts.owned import OwnedBatch
+    from larkpost.gateway.rollouts.owned_batch import OwnedBatch
 
-    original = OwnedBatch._finished
+    original = OwnedBatch._on_result
 
     def finished(self, result):
         original(self, replace(result, score=None))
 
-    return mock.patch.object(OwnedBatch, "_finished", finished)
+    return mock.patch.object(OwnedBatch, "_on_result", finished)
 
 
 def score_before_the_text():
     """Sends an item's reward call before the item runs."""
-    from larkpost.gateway.rollouts.run import BatchRun
+    from larkpost.gateway.rollouts.batch_run import BatchRun
 
     async def finish_item(self, item):
         progress = self.progress[item.id]
         score = None
         if item.reward_call is not None:
             score = await self._scorer.score(progress, item.reward_call)
-        await self._outputs.make_whole(progress)
+        await self._item_runner.run_to_completion(progress)
         self.progress.pop(item.id, None)
-        self._finished(progress.result(score))
+        self._on_result(progress.result(score))
 
     return mock.patch.object(BatchRun, "_finish_item", finish_item)
 
 
 def score_unsigned_answers():
     """Takes any success for a score."""
-    from larkpost.gateway.rollouts import reward_attempt
+    from larkpost.gateway.rollouts import reward_caller
 
-    original = reward_attempt.judge_call_response
+    original = reward_caller.classify_call_response
     return mock.patch.object(
-        reward_attempt,
-        "judge_call_response",
+        reward_caller,
+        "classify_call_response",
         lambda status, signature: original(status, signature or "unsigned"),
     )
 
 
 def give_up_after_one_failed_call():
     """Ends an item with the first failure of its reward call."""
-    from larkpost.gateway.rollouts.reward import RewardScorer
+    from larkpost.gateway.rollouts.reward_scorer import RewardScorer
 
     original = RewardScorer.score
 
@@ -221,7 +221,7 @@
     """Keeps of an output only what fits in one row."""
     from larkpost.gateway.rollouts import partial_outputs
 
-    return mock.patch.object(partial_outputs, "MAX_KEPT_BYTES", 48_000)
+    return mock.patch.object(partial_outputs, "MAX_STORED_BYTES", 48_000)
 
 
 def believe_that_outputs_are_kept():
@@ -333,9 +333,9 @@
 
 def end_stalled_runs_without_places():
     """Ends every run that makes nothing, whether another engine has a place or not."""
-    from larkpost.gateway.rollouts.engine_choice import EngineChoice
+    from larkpost.gateway.rollouts.engine_selector import EngineSelector
 
-    return mock.patch.object(EngineChoice, "count_places", lambda *_: 1000)
+    return mock.patch.object(EngineSelector, "count_free_slots", lambda *_: 1000)
 
 
 def mix_bursts_into_paces():
@@ -370,7 +370,7 @@
     """Has a batch claimed by any coordinator, wherever it may be served."""
     from larkpost.gateway.rollouts.claims import BatchClaims
 
-    return mock.patch.object(BatchClaims, "_homes", lambda *_: None)
+    return mock.patch.object(BatchClaims, "_allowed_regions", lambda *_: None)
 
 
 def serve_anywhere():
@@ -557,9 +557,9 @@
 
 def keep_progress_to_oneself():
     """Tells the other daemons nothing of the batches that this one owns."""
-    from larkpost.gateway.rollouts.batch_outlooks import BatchOutlooks
+    from larkpost.gateway.rollouts.batch_forecaster import BatchForecaster
 
-    return mock.patch.object(BatchOutlooks, "record_report", lambda *_: None)
+    return mock.patch.object(BatchForecaster, "record_report", lambda *_: None)
 
 
 def forget_shares():
--- a/tests/switched_off.py
+++ b/tests/switched_off.py
@@ -11,12 +11,12 @@
 from larkpost.gateway.proxy import balancer, ranking
 from larkpost.gateway.proxy.server_choice import ServerChoice
 from larkpost.gateway.rollouts import reward_rules, service
-from larkpost.gateway.rollouts.engine_choice import EngineChoice
-from larkpost.gateway.rollouts.engine_run import EngineRuns
-from larkpost.gateway.rollouts.faster_place import FasterPlace
-from larkpost.gateway.rollouts.owned import OwnedBatch
+from larkpost.gateway.rollouts.batch_run import BatchRun
+from larkpost.gateway.rollouts.engine_runner import EngineRunner
+from larkpost.gateway.rollouts.engine_selector import EngineSelector
+from larkpost.gateway.rollouts.faster_engine import FasterEngineRequest
+from larkpost.gateway.rollouts.owned_batch import OwnedBatch
 from larkpost.gateway.rollouts.reader import BatchReader
-from larkpost.gateway.rollouts.run import BatchRun
 
 
 def hedged_attempts():
@@ -26,22 +26,22 @@
 
 def moves_to_faster_engines():
     """No run asks for the next free place at a faster engine, so none leaves its engine for one."""
-    return mock.patch.object(FasterPlace, "request_if_slow", lambda *_: None)
+    return mock.patch.object(FasterEngineRequest, "request_if_slow", lambda *_: None)
 
 
 def moves_of_stalled_runs():
     """No run that makes nothing leaves its engine."""
-    return mock.patch.object(BatchRun, "_move_stalled", _nothing)
+    return mock.patch.object(BatchRun, "_watch_for_stalls", _nothing)
 
 
 def ranks_of_items():
     """Engines get no priority of an item."""
-    return mock.patch.object(EngineRuns, "_priority", lambda *_: None)
+    return mock.patch.object(EngineRunner, "_priority", lambda *_: None)
 
 
 def own_engines_first():
     """A new batch takes any engine at once."""
-    return mock.patch.object(EngineChoice, "_only_engines", lambda *_: None)
+    return mock.patch.object(EngineSelector, "_allowed_engines", lambda *_: None)
 
 
 def held_reads():
@@ -51,7 +51,7 @@
 
 def kept_partial_outputs():
     """The output of running items is not kept for another owner."""
-    return mock.patch.object(OwnedBatch, "_keep_partials", _nothing)
+    return mock.patch.object(OwnedBatch, "_save_outputs_periodically", _nothing)
 
 
 def kept_connections_first():
@@ -66,7 +66,7 @@
 
 def slots_left_to_clients():
     """Reward calls may take all slots of a server."""
-    return mock.patch.object(reward_rules, "CLIENT_SLOTS_SHARE", 0.0)
+    return mock.patch.object(reward_rules, "CLIENT_RESERVED_SHARE", 0.0)
 
 
 def early_refusal_of_batches():
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -16,16 +16,20 @@
 )
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
 from larkpost.gateway.controllers.heartbeat_intervals import DEAD_AFTER_SECONDS
-from larkpost.gateway.rollouts.batch_outlooks import (
+from larkpost.gateway.rollouts.batch_forecaster import (
     LOWEST_PRIORITY,
     REPORT_LIFETIME_SECONDS,
-    BatchOutlooks,
+    BatchForecaster,
+    ForecastInputs,
     ModelHeads,
-    OutlookSources,
 )
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId
 from larkpost.gateway.rollouts.progress import Progress
-from larkpost.gateway.rollouts.work_left import OUTLIVED_SHARE, sum_up, tokens_left
+from larkpost.gateway.rollouts.remaining_work import (
+    OVERRUN_SHARE,
+    remaining_tokens,
+    summarize_progress,
+)
 from tests.platform_fleet import MODEL, PlatformFleet, make_batch
 from tests.virtual import run
 
@@ -95,9 +99,9 @@
             ((spare, unknown), unknown),
             ((spare, hopeless, unknown, tight), tight),
         )
-        for outlooks, expected in cases:
-            with self.subTest(outlooks):
-                self.assertIs(expected, most_urgent_forecast(outlooks))
+        for forecaster, expected in cases:
+            with self.subTest(forecaster):
+                self.assertIs(expected, most_urgent_forecast(forecaster))
 
 
 class WorkLeftTest(unittest.TestCase):
@@ -108,8 +112,8 @@
         cases = (
             ("not begun", item, 0, 1600),
             ("half made", item, 10, 800),
-            ("as long as guessed", item, 20, int(1600 * OUTLIVED_SHARE)),
-            ("outlived its guess", item, 30, int(2400 * OUTLIVED_SHARE)),
+            ("as long as guessed", item, 20, int(1600 * OVERRUN_SHARE)),
+            ("outlived its guess", item, 30, int(2400 * OVERRUN_SHARE)),
             ("near the most that it may take", item, 45, 400),
             ("beyond it", item, 60, TOKENS),
             ("no guess", replace(item, length_hint=0), 10, 3200),
@@ -117,16 +121,18 @@
         for name, case, events, expected in cases:
             with self.subTest(name):
                 progress = Progress(case, [b"x"] * events)
-                self.assertEqual(expected, tokens_left(progress, TOKENS))
-                self.assertEqual(0, tokens_left(replace(progress, whole=True), TOKENS))
+                self.assertEqual(expected, remaining_tokens(progress, TOKENS))
+                self.assertEqual(0, remaining_tokens(replace(progress, whole=True), TOKENS))
 
     def test_sum(self):
         for count, long_item in ((3, 2), (20, 18)):
             items = make_batch(items=count).items
             works = sorted(item.expected_work for item in items)
             expected = BatchProgress(2, sum(works), works[long_item])
-            self.assertEqual(expected, sum_up((Progress(item) for item in items), TOKENS, 2))
-        self.assertEqual(BatchProgress(0, 0, 0), sum_up((), TOKENS, 0))
+            self.assertEqual(
+                expected, summarize_progress((Progress(item) for item in items), TOKENS, 2)
+            )
+        self.assertEqual(BatchProgress(0, 0, 0), summarize_progress((), TOKENS, 0))
 
 
 class ReportTest(unittest.TestCase):
@@ -158,14 +164,14 @@
         await fleet.wait(1.0)
         gateway = fleet.gateways[0]
         self.clock = fleet.clock
-        sources = OutlookSources(
+        sources = ForecastInputs(
             gateway.blackboard.configuration,
             gateway.directory,
             lambda _: 0.05,
             fleet.clock,
             lambda: 100.0,
         )
-        self.outlooks = BatchOutlooks(sources)
+        self.forecaster = BatchForecaster(sources)
         spec = make_batch(items=1)
         self.due = gateway.blackboard.configuration.current.match(spec.host, spec.path.encode()).due
         self.head = BatchHead(
@@ -176,14 +182,14 @@
     def demand(self, own: dict[BatchId, BatchProgress] | None = None) -> ModelDemand:
         """Returns what the model's batches ask for."""
         demands = {MODEL: ModelDemand(10, True)}
-        return self.outlooks.add_to(demands, ModelHeads([self.head]), own or {})[MODEL]
+        return self.forecaster.add_forecasts(demands, ModelHeads([self.head]), own or {})[MODEL]
 
     def test_report_is_believed_for_a_while(self):
         async def play():
             await self.begin()
             self.assertIs(Outlook.UNKNOWN, self.demand().outlook)
             reported = {self.head.id: BatchProgress(4, 100, 10)}
-            self.outlooks.record_report(DaemonId("o"), reported)
+            self.forecaster.record_report(DaemonId("o"), reported)
             self.assertEqual(4, self.demand().waiting)
             self.assertNotEqual(Outlook.UNKNOWN, self.demand().outlook)
             await self.clock.sleep(REPORT_LIFETIME_SECONDS + 0.1)
@@ -194,8 +200,8 @@
     def test_owner_that_is_gone_tells_nothing(self):
         async def play():
             await self.begin()
-            self.outlooks.record_report(DaemonId("o"), {self.head.id: BatchProgress(4, 1, 1)})
-            self.outlooks.record_report(DaemonId("o"), {})
+            self.forecaster.record_report(DaemonId("o"), {self.head.id: BatchProgress(4, 1, 1)})
+            self.forecaster.record_report(DaemonId("o"), {})
             self.assertEqual(ModelDemand(10, True), self.demand())
 
         run(play())
@@ -207,9 +213,9 @@
             await self.begin()
             demands = {MODEL: ModelDemand(10)}
             while_open = self.demand().priority
-            ended = self.outlooks.add_to(demands, ModelHeads([], [self.head]), {})[MODEL]
+            ended = self.forecaster.add_forecasts(demands, ModelHeads([], [self.head]), {})[MODEL]
             self.assertEqual(while_open, ended.priority)
-            unknown = self.outlooks.add_to(demands, ModelHeads([]), {})[MODEL]
+            unknown = self.forecaster.add_forecasts(demands, ModelHeads([]), {})[MODEL]
             self.assertEqual(LOWEST_PRIORITY, unknown.priority)
             self.assertLess(while_open, LOWEST_PRIORITY)
 
@@ -218,7 +224,7 @@
     def test_own_knowledge_counts_before_reports(self):
         async def play():
             await self.begin()
-            self.outlooks.record_report(DaemonId("o"), {self.head.id: BatchProgress(4, 1, 1)})
+            self.forecaster.record_report(DaemonId("o"), {self.head.id: BatchProgress(4, 1, 1)})
             self.assertEqual(7, self.demand({self.head.id: BatchProgress(7, 1, 1)}).waiting)
 
         run(play())
@@ -227,14 +233,14 @@
         async def play():
             await self.begin()
             self.assertGreater(self.due, 0)
-            self.outlooks.record_report(DaemonId("o"), {self.head.id: BatchProgress(0, 1, 1)})
+            self.forecaster.record_report(DaemonId("o"), {self.head.id: BatchProgress(0, 1, 1)})
             self.assertIs(Outlook.TO_SPARE, self.demand().outlook)
             self.head = replace(
                 self.head, created_at=100.0 - self.due - 2 * INFEASIBLE_DELAY_SECONDS
             )
             self.assertIs(Outlook.TIGHT, self.demand().outlook, "little is left of it")
             much = {self.head.id: BatchProgress(0, 10**6, 10**5)}
-            self.outlooks.record_report(DaemonId("o"), much)
+            self.forecaster.record_report(DaemonId("o"), much)
             self.assertIs(Outlook.HOPELESS, self.demand().outlook)
 
         run(play())
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -12,11 +12,14 @@
 from larkpost.gateway.controllers.heartbeat_intervals import DEAD_AFTER_SECONDS
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.instance_use import PROBE_SECONDS
-from larkpost.gateway.rollouts.engine_choice import BEST_PACE_SECONDS, EngineChoice
-from larkpost.gateway.rollouts.faster_place import FasterPlace, MoveAwayError
+from larkpost.gateway.rollouts.engine_selector import (
+    BEST_SERVICE_TIME_CACHE_SECONDS,
+    EngineSelector,
+)
+from larkpost.gateway.rollouts.faster_engine import FasterEngineRequest, MigrateRunError
 from larkpost.gateway.rollouts.model import BatchHead
-from larkpost.gateway.rollouts.place_queue import PlaceQueue
-from larkpost.gateway.rollouts.progress import LONG_RUN_EVENTS, ItemRun, Progress
+from larkpost.gateway.rollouts.progress import LONG_ITEM_EVENTS, ItemRun, Progress
+from larkpost.gateway.rollouts.slot_queue import SlotQueue
 from larkpost.gateway.store.port import RowKey, Transaction
 from larkpost.platform.stand_in.memory_store import StoreFaults
 from tests.platform_fleet import (
@@ -151,7 +154,7 @@
         head = BatchHead(
             spec.id, spec.host, spec.path, MODEL, 0, 0, 1, 1, fleet.gateways[0].id, 0.0, False, "u"
         )
-        self.choice = EngineChoice(head, services)
+        self.choice = EngineSelector(head, services)
         self.progress = Progress(spec.items[0])
 
     def put(self, number: int, version: int) -> None:
@@ -174,7 +177,7 @@
 
     def run_at(self, number: int) -> ItemRun:
         """Returns a run at an engine that has shown itself long."""
-        self.progress.events = [b"x"] * LONG_RUN_EVENTS
+        self.progress.events = [b"x"] * LONG_ITEM_EVENTS
         return ItemRun(self.engine(number), ROUTE, self.progress)
 
     def test_moved_run_takes_no_slower_engine(self):
@@ -193,19 +196,19 @@
         async def play():
             self.begin(0.09, 0.02)
             self.put(0, version=2)
-            self.assertEqual(0.0, self.choice.fast_pace(self.run_at(0)))
+            self.assertEqual(0.0, self.choice.target_service_time(self.run_at(0)))
             self.put(1, version=2)
-            await self.clock.sleep(BEST_PACE_SECONDS + 0.01)
-            self.assertGreater(self.choice.fast_pace(self.run_at(0)), 0.0)
+            await self.clock.sleep(BEST_SERVICE_TIME_CACHE_SECONDS + 0.01)
+            self.assertGreater(self.choice.target_service_time(self.run_at(0)), 0.0)
 
         run(play())
 
     def test_run_stays_if_the_pace_of_its_new_engine_is_known_no_longer(self):
         async def play():
             self.begin(0.09, 0.02)
-            self.assertTrue(self.choice.may_move_to(self.engine(1), self.run_at(0)))
+            self.assertTrue(self.choice.may_migrate_to(self.engine(1), self.run_at(0)))
             self.put(2, version=1)
-            self.assertFalse(self.choice.may_move_to(self.engine(2), self.run_at(0)))
+            self.assertFalse(self.choice.may_migrate_to(self.engine(2), self.run_at(0)))
 
         run(play())
 
@@ -259,12 +262,12 @@
         head = BatchHead(
             spec.id, spec.host, spec.path, MODEL, 0, 0, 1, 1, gateway.id, 0.0, False, "u"
         )
-        engines = EngineChoice(head, gateway.keeper._services)
-        places = PlaceQueue(engines, self.balancer, self.fleet.clock)
+        engines = EngineSelector(head, gateway.keeper._services)
+        places = SlotQueue(engines, self.balancer, self.fleet.clock)
         route = self.blackboard.configuration.current.match(spec.host, spec.path.encode())
         progress = Progress(spec.items[0])
-        progress.events = [b"x"] * LONG_RUN_EVENTS
-        self.request = FasterPlace(places, engines, ItemRun(self.slow, route, progress))
+        progress.events = [b"x"] * LONG_ITEM_EVENTS
+        self.request = FasterEngineRequest(places, engines, ItemRun(self.slow, route, progress))
         self.request.request_if_slow()
         await self.fleet.wait(0.1)
         self.assertEqual(1, self.balancer.use(self.fast.id).outstanding)
@@ -272,7 +275,7 @@
     def test_run_goes_to_the_place(self):
         async def play():
             await self.begin()
-            with self.assertRaises(MoveAwayError) as caught:
+            with self.assertRaises(MigrateRunError) as caught:
                 self.request.raise_if_assigned()
             self.assertEqual(self.fast.id, caught.exception.engine.id)
 
--- a/tests/test_engine_rules.py
+++ b/tests/test_engine_rules.py
@@ -7,15 +7,15 @@
 from larkpost.gateway.blackboard.configuration import ServiceName
 from larkpost.gateway.blackboard.directory import InstanceInfo, InstanceState
 from larkpost.gateway.rollouts.engine_rules import (
-    MOVE_RATIO,
+    MIGRATION_RATIO,
     EngineState,
     choose_engine,
+    could_migration_pay_off,
     is_fast_enough,
-    is_outpaced_by,
-    is_worth_moving,
-    may_save_enough,
-    pace_to_leave,
-    pace_to_move_to,
+    is_migration_worthwhile,
+    is_slower_by,
+    migration_service_time_limit,
+    migration_source_service_time,
 )
 
 
@@ -146,29 +146,31 @@
     def test_moves(self):
         for case, events, pace, other, expected in MOVES:
             with self.subTest(case):
-                self.assertEqual(expected, is_worth_moving(events, pace, other))
-                self.assertTrue(may_save_enough(events, pace) or not expected)
+                self.assertEqual(expected, is_migration_worthwhile(events, pace, other))
+                self.assertTrue(could_migration_pay_off(events, pace) or not expected)
 
     def test_paces_to_leave(self):
         for case, lasting, recent, expected in LEAVES:
             with self.subTest(case):
-                self.assertEqual(expected, pace_to_leave(lasting, recent))
+                self.assertEqual(expected, migration_source_service_time(lasting, recent))
 
     def test_requests_for_faster_places(self):
         for events, pace, best, expected in REQUESTS:
             with self.subTest(events=events, pace=pace, best=best):
-                self.assertAlmostEqual(expected, pace_to_move_to(events, pace, best))
+                self.assertAlmostEqual(expected, migration_service_time_limit(events, pace, best))
 
     def test_place_that_is_requested_is_one_that_the_run_moves_to(self):
         """Else it would hold the place until its next event, give it up, and request it again."""
         best = 0.03
         for pace in (0.0376, 0.04, 0.042, 0.0422, 0.09):
-            limit = pace_to_move_to(160, pace, best)
-            self.assertTrue(is_fast_enough(best, is_cold=False, pace_limit=limit), pace)
+            limit = migration_service_time_limit(160, pace, best)
+            self.assertTrue(is_fast_enough(best, is_cold=False, service_time_limit=limit), pace)
             for step in range(100):
                 other = best * (1 + step / 200)
-                if is_fast_enough(other, is_cold=False, pace_limit=limit):
-                    self.assertTrue(is_outpaced_by(pace, other * 0.999, MOVE_RATIO), (pace, other))
+                if is_fast_enough(other, is_cold=False, service_time_limit=limit):
+                    self.assertTrue(
+                        is_slower_by(pace, other * 0.999, MIGRATION_RATIO), (pace, other)
+                    )
 
 
 if __name__ == "__main__":
--- a/tests/test_held_bytes.py
+++ b/tests/test_held_bytes.py
@@ -37,7 +37,7 @@
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.forwarder import Forwarder
-from larkpost.gateway.rollouts.keeper import BatchKeeper
+from larkpost.gateway.rollouts.batch_manager import BatchManager
 from larkpost.gateway.rollouts.model import BatchHead, Item, ItemId, Result, ResultState
 from larkpost.gateway.rollouts.reader import ResultPage
 from larkpost.gateway.rollouts.view import ViewCache
@@ -670,11 +670,11 @@
         repository = mock.AsyncMock()
         repository.head.return_value = head
         services = mock.Mock(clock=LoopClock())
-        keeper = BatchKeeper(
+        keeper = BatchManager(
             repository, mock.AsyncMock(), services, ViewCache(budget), lambda: 60.0
         )
         item = Item(ItemId("i"), "/", (), bytes(MB), 1, "g")
-        await keeper.own_accepted(mock.Mock(id=BatchId("b"), items=(item,)), "u")
+        await keeper.start_accepted(mock.Mock(id=BatchId("b"), items=(item,)), "u")
         self.assertEqual(MB, budget.held(Purpose.BATCHES))
         keeper.finish(BatchId("b"))
 
@@ -686,7 +686,7 @@
         """Adds a view with an item and a result of so many bytes each."""
         head = BatchHead(BatchId(name), "h", "/", "m", 0, 0, 0, 1, "d", 0.0, False, "u")
         view = cache.get_or_add(head)
-        view.keep_items((Item(ItemId("i"), "/", (), bytes(size), 1, "g"),))
+        view.set_items((Item(ItemId("i"), "/", (), bytes(size), 1, "g"),))
         view.add(0, [Result(ItemId("i"), ResultState.DONE, "x" * size)])
         view.used_at = float(size)
         return view
@@ -695,11 +695,11 @@
         budget = ByteBudget(100 * MB)
         cache = ViewCache(budget)
         view = self.view(cache, "a", MB)
-        view.keep_items(view.items.values())
-        cache.bound({BatchId("a")}, outputs=10)
+        view.set_items(view.items.values())
+        cache.evict_idle({BatchId("a")}, outputs=10)
         self.assertEqual(2 * MB + 10, budget.held(Purpose.BATCHES))
         cache.forget(BatchId("a"))
-        cache.bound(set())
+        cache.evict_idle(set())
         self.assertEqual(0, budget.held(Purpose.BATCHES))
 
     def test_views_not_in_use_keep_to_a_part_of_the_budget(self):
@@ -707,7 +707,7 @@
         cache = ViewCache(budget)
         for name, size in (("old", MB), ("new", MB + 1), ("used", 3 * MB)):
             self.view(cache, name, size)
-        cache.bound({BatchId("used")})
+        cache.evict_idle({BatchId("used")})
         self.assertIsNone(cache.get(BatchId("old")))
         self.assertEqual(6 * MB, budget.held(Purpose.BATCHES))
 
--- a/tests/test_load_timing.py
+++ b/tests/test_load_timing.py
@@ -28,7 +28,11 @@
 )
 from larkpost.gateway.controllers.lending import TRAINER_BLOCKED_SECONDS
 from larkpost.gateway.rollouts import codec
-from larkpost.gateway.rollouts.known_heads import FRESH_SECONDS, WORK_BATCHES, KnownHeads
+from larkpost.gateway.rollouts.batch_head_cache import (
+    DEMAND_BATCHES,
+    MAX_NEW_BATCH_AGE_SECONDS,
+    BatchHeadCache,
+)
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.store.batch_tables import HEAD_TABLE
 from larkpost.gateway.store.port import Row, RowKey
@@ -110,7 +114,7 @@
     def setUp(self):
         self.naming: Naming | None = None
         self.age: float | None = 0.1
-        self.heads: KnownHeads | None = None
+        self.heads: BatchHeadCache | None = None
 
     def record(
         self,
@@ -134,7 +138,7 @@
 
         async def play() -> ModelDemand:
             self.naming = Naming(2, 0.05 + self.age) if self.age is not None else Naming(2, 9.0)
-            self.heads = KnownHeads(LoopClock(), lambda _: self.naming, lambda _: self.age)
+            self.heads = BatchHeadCache(LoopClock(), lambda _: self.naming, lambda _: self.age)
             for name, created_at, ended in batches:
                 self.record(name, created_at, ended=ended)
             self.naming = Naming(3, 9.0)
@@ -165,16 +169,16 @@
     def test_work_is_averaged_so_that_single_batches_move_no_engines(self):
         async def play() -> list[int]:
             self.naming = None
-            self.heads = KnownHeads(LoopClock())
+            self.heads = BatchHeadCache(LoopClock())
             works = []
-            for number in range(3 * WORK_BATCHES):
+            for number in range(3 * DEMAND_BATCHES):
                 self.record(f"b{number}", float(number), work=100 + 40 * (number % 2))
                 works.append(self.heads.demands()[FIRST].work)
             return works
 
         works = run(play())
         self.assertEqual(100, works[0])
-        self.assertEqual({120}, set(works[WORK_BATCHES - 1 :]))
+        self.assertEqual({120}, set(works[DEMAND_BATCHES - 1 :]))
 
     def test_daemons_that_learn_of_a_batch_later_know_the_same(self):
         for self.age in (0.0, 0.1, 0.6):
@@ -196,7 +200,7 @@
                 self.assertEqual(expected, naming.version if naming is not None else None)
 
     def test_a_batch_that_is_no_news_tells_nothing(self):
-        for self.age in (None, FRESH_SECONDS + 0.1):
+        for self.age in (None, MAX_NEW_BATCH_AGE_SECONDS + 0.1):
             self.assertIsNone(self.demand(("a", 1.0, False)).asked_after)
 
 
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -21,12 +21,12 @@
 from larkpost.gateway.proxy.request import (
     ClientRequest,
 )
-from larkpost.gateway.rollouts.engine_choice import EngineChoice
-from larkpost.gateway.rollouts.faster_place import FasterPlace, MoveAwayError
+from larkpost.gateway.rollouts.engine_selector import EngineSelector
+from larkpost.gateway.rollouts.faster_engine import FasterEngineRequest, MigrateRunError
 from larkpost.gateway.rollouts.model import BatchHead
-from larkpost.gateway.rollouts.place_queue import PlaceQueue
-from larkpost.gateway.rollouts.progress import LONG_RUN_EVENTS, ItemRun, Progress
-from larkpost.gateway.rollouts.reward_attempt import RewardAttempts
+from larkpost.gateway.rollouts.progress import LONG_ITEM_EVENTS, ItemRun, Progress
+from larkpost.gateway.rollouts.reward_caller import RewardCaller
+from larkpost.gateway.rollouts.slot_queue import SlotQueue
 from larkpost.gateway.scaling.port import ScalingMode
 from larkpost.gateway.servers.port import NotRunReason
 from larkpost.gateway.store.batch_tables import PARTIAL_TABLE
@@ -92,17 +92,17 @@
             services.balancer = Balancer(services.directory, fleet.clock, random.Random(0))
             services.balancer.record_pace(InstanceId("e0"), 0.09)
             services.balancer.record_pace(InstanceId("e1"), 0.04)
-            choice = EngineChoice(make_head(fleet), services)
-            places = PlaceQueue(choice, services.balancer, fleet.clock)
+            choice = EngineSelector(make_head(fleet), services)
+            places = SlotQueue(choice, services.balancer, fleet.clock)
             progress = Progress(make_batch(items=1).items[0])
-            progress.events = [b"x"] * LONG_RUN_EVENTS
+            progress.events = [b"x"] * LONG_ITEM_EVENTS
             slow = make_instance("e0", ENGINES)
-            request = FasterPlace(places, choice, ItemRun(slow, ROUTE, progress))
+            request = FasterEngineRequest(places, choice, ItemRun(slow, ROUTE, progress))
             request.request_if_slow()
             await fleet.wait(0.1)
             try:
                 request.raise_if_assigned()
-            except MoveAwayError as move:
+            except MigrateRunError as move:
                 return move.engine.id == "e1"
             return False
 
@@ -195,7 +195,7 @@
             services.balancer = Balancer(services.directory, fleet.clock, random.Random(0))
             services.balancer.occupy(InstanceId("e1"))
             services.division.loading = lambda *_: frozenset(loading)
-            return EngineChoice(make_head(fleet), services).choose(ENGINES).id
+            return EngineSelector(make_head(fleet), services).choose(ENGINES).id
 
         self.assertEqual("e0", run(chosen(set())))
         self.assertEqual("e1", run(chosen({"e0"})))
@@ -386,12 +386,12 @@
         async def has_place() -> bool:
             fleet = PlatformFleet(1, 1, scorers=1)
             services = fleet.gateways[0].keeper._services
-            attempts = RewardAttempts(make_head(fleet), services)
+            attempts = RewardCaller(make_head(fleet), services)
             info = make_instance("scorer-0", SCORERS, slots=6)
             for _ in range(4):
                 services.balancer.occupy(info.id)
             await asyncio.sleep(0)
-            return attempts._has_place(info)
+            return attempts._has_free_slot(info)
 
         self.assertFalse(run(has_place()))
         with switched_off.slots_left_to_clients():
--- a/tests/test_read_rules.py
+++ b/tests/test_read_rules.py
@@ -4,46 +4,50 @@
 from dataclasses import replace
 
 from larkpost.gateway.rollouts.read_rules import (
-    LEAST_WAIT_SECONDS,
+    MIN_WAIT_SECONDS,
     OVERDUE_HOLD_SECONDS,
+    ReadDecision,
     ReadState,
-    ReadStep,
-    judge_read,
+    decide_read,
     may_hold,
 )
 
 NOTHING = ReadState(
     is_complete=False,
     has_new=False,
-    has_step=False,
+    has_enough_groups=False,
     may_hold=True,
     store_failed=False,
     seconds_left=0.4,
 )
 SOME = replace(NOTHING, has_new=True)
 CASES = (
-    ("nothing yet", NOTHING, ReadStep.WAIT),
-    ("nothing, and the store is silent", replace(NOTHING, store_failed=True), ReadStep.WAIT),
-    ("nothing within the time", replace(NOTHING, seconds_left=0.0), ReadStep.GIVE),
+    ("nothing yet", NOTHING, ReadDecision.WAIT),
+    ("nothing, and the store is silent", replace(NOTHING, store_failed=True), ReadDecision.WAIT),
+    ("nothing within the time", replace(NOTHING, seconds_left=0.0), ReadDecision.RESPOND),
     (
         "nothing within the time, and the store is silent",
         replace(NOTHING, seconds_left=0.0, store_failed=True),
-        ReadStep.FAIL,
+        ReadDecision.FAIL,
     ),
-    ("less time than counts", replace(NOTHING, seconds_left=0.0009), ReadStep.GIVE),
-    ("just enough time", replace(NOTHING, seconds_left=LEAST_WAIT_SECONDS), ReadStep.WAIT),
-    ("all results are known", replace(NOTHING, is_complete=True), ReadStep.GIVE),
+    ("less time than counts", replace(NOTHING, seconds_left=0.0009), ReadDecision.RESPOND),
+    ("just enough time", replace(NOTHING, seconds_left=MIN_WAIT_SECONDS), ReadDecision.WAIT),
+    ("all results are known", replace(NOTHING, is_complete=True), ReadDecision.RESPOND),
     (
         "all results are known, though the store is silent",
         replace(NOTHING, is_complete=True, store_failed=True, seconds_left=0.0),
-        ReadStep.GIVE,
+        ReadDecision.RESPOND,
     ),
-    ("some, but no whole step", SOME, ReadStep.WAIT),
-    ("a whole step", replace(SOME, has_step=True), ReadStep.GIVE),
-    ("a whole step before the position", replace(NOTHING, has_step=True), ReadStep.WAIT),
-    ("some of a batch that is due", replace(SOME, may_hold=False), ReadStep.GIVE),
-    ("some, and the store is silent", replace(SOME, store_failed=True), ReadStep.GIVE),
-    ("some within the time", replace(SOME, seconds_left=0.0), ReadStep.GIVE),
+    ("some, but no whole step", SOME, ReadDecision.WAIT),
+    ("a whole step", replace(SOME, has_enough_groups=True), ReadDecision.RESPOND),
+    (
+        "a whole step before the position",
+        replace(NOTHING, has_enough_groups=True),
+        ReadDecision.WAIT,
+    ),
+    ("some of a batch that is due", replace(SOME, may_hold=False), ReadDecision.RESPOND),
+    ("some, and the store is silent", replace(SOME, store_failed=True), ReadDecision.RESPOND),
+    ("some within the time", replace(SOME, seconds_left=0.0), ReadDecision.RESPOND),
 )
 AGES = (
     # seconds since the acceptance, within which a step is due, may results be held back
@@ -62,7 +66,7 @@
     def test_reads(self):
         for case, state, expected in CASES:
             with self.subTest(case):
-                self.assertIs(expected, judge_read(state))
+                self.assertIs(expected, decide_read(state))
 
     def test_time_in_which_results_may_be_held_back(self):
         for age, due, expected in AGES:
--- a/tests/test_retry_rules.py
+++ b/tests/test_retry_rules.py
@@ -7,25 +7,25 @@
     BROKEN_AVOID_SECONDS,
     SILENT_AVOID_SECONDS,
     STALLED_AVOID_SECONDS,
-    RunEnd,
     RunFailure,
-    is_call_dead,
-    is_out_of_time,
-    judge_failed_response,
-    judge_run_error,
+    RunOutcome,
+    are_call_attempts_exhausted,
+    classify_failed_response,
+    classify_run_error,
+    is_past_lifetime,
 )
-from larkpost.gateway.rollouts.stalls import StalledError, stall_seconds
+from larkpost.gateway.rollouts.stall_detector import StalledError, stall_timeout_seconds
 from larkpost.gateway.servers.port import BrokenResponseError
 
 RESPONSES = (
     # status, failed runs, attempts that the route allows, how the run ended
-    (422, 0, 3, RunEnd.DEAD),
-    (500, 1, 3, RunEnd.AGAIN),
-    (500, 2, 3, RunEnd.AGAIN),
-    (500, 3, 3, RunEnd.DEAD),
-    (503, 3, 3, RunEnd.AGAIN),
-    (429, 9, 1, RunEnd.AGAIN),
-    (404, 0, 1, RunEnd.AGAIN),
+    (422, 0, 3, RunOutcome.DEAD),
+    (500, 1, 3, RunOutcome.RETRY),
+    (500, 2, 3, RunOutcome.RETRY),
+    (500, 3, 3, RunOutcome.DEAD),
+    (503, 3, 3, RunOutcome.RETRY),
+    (429, 9, 1, RunOutcome.RETRY),
+    (404, 0, 1, RunOutcome.RETRY),
 )
 ERRORS = (
     (StalledError(), RunFailure("stalled", STALLED_AVOID_SECONDS)),
@@ -62,34 +62,36 @@
     def test_responses_that_are_no_stream(self):
         for status, failed_runs, attempts, expected in RESPONSES:
             with self.subTest(status=status, failed_runs=failed_runs):
-                self.assertIs(expected, judge_failed_response(status, failed_runs, attempts))
+                self.assertIs(expected, classify_failed_response(status, failed_runs, attempts))
 
     def test_errors_of_runs(self):
         for error, expected in ERRORS:
             with self.subTest(repr(error)):
-                self.assertEqual(expected, judge_run_error(error))
+                self.assertEqual(expected, classify_run_error(error))
 
     def test_an_output_that_is_no_text_is_lost(self):
         with self.assertRaises(UnicodeDecodeError) as caught:
             b"\xff".decode()
-        failure = judge_run_error(caught.exception)
-        self.assertTrue(failure.loses_output)
+        failure = classify_run_error(caught.exception)
+        self.assertTrue(failure.discards_output)
         self.assertEqual(BROKEN_AVOID_SECONDS, failure.avoid_seconds)
 
     def test_time_in_which_items_are_tried(self):
         for age, lifetime, expected in AGES:
             with self.subTest(age=age, lifetime=lifetime):
-                self.assertEqual(expected, is_out_of_time(age, lifetime))
+                self.assertEqual(expected, is_past_lifetime(age, lifetime))
 
     def test_failed_reward_calls(self):
         for failed, item_attempts, call_attempts, expected in CALLS:
             with self.subTest(failed=failed, item=item_attempts, call=call_attempts):
-                self.assertEqual(expected, is_call_dead(failed, item_attempts, call_attempts))
+                self.assertEqual(
+                    expected, are_call_attempts_exhausted(failed, item_attempts, call_attempts)
+                )
 
     def test_silences(self):
         for pace, expected in SILENCES:
             with self.subTest(pace=pace):
-                self.assertAlmostEqual(expected, stall_seconds(pace))
+                self.assertAlmostEqual(expected, stall_timeout_seconds(pace))
 
 
 if __name__ == "__main__":
--- a/tests/test_reward_rules.py
+++ b/tests/test_reward_rules.py
@@ -3,12 +3,12 @@
 import unittest
 
 from larkpost.gateway.rollouts.reward_rules import (
-    CallAttempt,
-    CallEnd,
-    CallHistory,
+    RewardAttempt,
+    RewardCallHistory,
+    RewardCallOutcome,
+    call_timeout_seconds,
     choose_server,
-    judge_call_response,
-    limit_seconds,
+    classify_call_response,
     usable_slots,
 )
 from tests.server_parts import make_instance
@@ -41,14 +41,14 @@
 )
 RESPONSES = (
     # status, signature, how the attempt ended
-    (200, "s", CallAttempt(CallEnd.SCORED, "s")),
-    (299, "s", CallAttempt(CallEnd.SCORED, "s")),
-    (200, None, CallAttempt(CallEnd.BROKEN)),
-    (200, "", CallAttempt(CallEnd.BROKEN)),
-    (500, "s", CallAttempt(CallEnd.FAILED)),
-    (503, None, CallAttempt(CallEnd.REJECTED)),
-    (404, None, CallAttempt(CallEnd.REJECTED)),
-    (302, None, CallAttempt(CallEnd.REJECTED)),
+    (200, "s", RewardAttempt(RewardCallOutcome.SCORED, "s")),
+    (299, "s", RewardAttempt(RewardCallOutcome.SCORED, "s")),
+    (200, None, RewardAttempt(RewardCallOutcome.BROKEN)),
+    (200, "", RewardAttempt(RewardCallOutcome.BROKEN)),
+    (500, "s", RewardAttempt(RewardCallOutcome.FAILED)),
+    (503, None, RewardAttempt(RewardCallOutcome.REJECTED)),
+    (404, None, RewardAttempt(RewardCallOutcome.REJECTED)),
+    (302, None, RewardAttempt(RewardCallOutcome.REJECTED)),
 )
 
 
@@ -61,14 +61,14 @@
                 self.assertEqual(expected, usable_slots(slots))
 
     def test_limits(self):
-        for pace, silences, expected in LIMITS:
-            with self.subTest(pace=pace, silences=silences):
-                self.assertAlmostEqual(expected, limit_seconds(pace, silences))
+        for pace, timeouts, expected in LIMITS:
+            with self.subTest(pace=pace, timeouts=timeouts):
+                self.assertAlmostEqual(expected, call_timeout_seconds(pace, timeouts))
 
     def test_servers(self):
         for names, tried, expected, left in SERVERS:
             with self.subTest(names=names, tried=tried):
-                history = CallHistory(set(tried))
+                history = RewardCallHistory(set(tried))
                 chosen = choose_server([make_instance(name) for name in names], history)
                 self.assertEqual(expected, chosen.id if chosen is not None else None)
                 self.assertEqual(set(left), history.servers)
@@ -76,7 +76,7 @@
     def test_responses(self):
         for status, signature, expected in RESPONSES:
             with self.subTest(status=status, signature=signature):
-                self.assertEqual(expected, judge_call_response(status, signature))
+                self.assertEqual(expected, classify_call_response(status, signature))
 
 
 if __name__ == "__main__":
--- a/tests/test_scale_mechanisms.py
+++ b/tests/test_scale_mechanisms.py
@@ -29,7 +29,7 @@
 )
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
-from larkpost.gateway.rollouts.engine_choice import EngineChoice
+from larkpost.gateway.rollouts.engine_selector import EngineSelector
 from larkpost.gateway.store.batch_tables import HEAD_TABLE
 from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient
 from larkpost.standalone.telemetry import Telemetry
@@ -270,14 +270,14 @@
     def test_items_that_wait_share_one_look_at_the_engines(self):
         async def play():
             looks = 0
-            choose = EngineChoice.choose
+            choose = EngineSelector.choose
 
             def counted(self, *arguments):
                 nonlocal looks
                 looks += 1
                 return choose(self, *arguments)
 
-            EngineChoice.choose = counted
+            EngineSelector.choose = counted
             try:
                 fleet = PlatformFleet(1, 1)
                 await fleet.wait(1.0)
@@ -289,7 +289,7 @@
                 results = await fleet.read_all(fleet.gateways[0], "batch")
                 passes = (fleet.clock.now() - before) / 0.03
             finally:
-                EngineChoice.choose = choose
+                EngineSelector.choose = choose
             check_results(self, spec, results)
             self.assertLess(looks, 1.2 * passes + 2 * len(spec.items))
 
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -16,16 +16,16 @@
     ServiceShare,
 )
 from larkpost.gateway.blackboard.tenants import Tenant, TenantName
-from larkpost.gateway.rollouts.place_queue import queue_rank
-from larkpost.gateway.rollouts.progress import LONG_RUN_EVENTS, Progress
-from larkpost.gateway.rollouts.stalls import (
-    LEAST_SILENCE_SECONDS,
-    LOAD_SILENCE_SECONDS,
-    RunWatch,
-    StallWatcher,
-    stall_seconds,
+from larkpost.gateway.rollouts.engine_priorities import EnginePriorities
+from larkpost.gateway.rollouts.progress import LONG_ITEM_EVENTS, Progress
+from larkpost.gateway.rollouts.slot_queue import queue_order
+from larkpost.gateway.rollouts.stall_detector import (
+    LOADING_STALL_TIMEOUT_SECONDS,
+    MIN_STALL_TIMEOUT_SECONDS,
+    MonitoredRun,
+    StallDetector,
+    stall_timeout_seconds,
 )
-from larkpost.gateway.rollouts.urgency import Urgency
 from tests.platform_fleet import ENGINES, PlatformFleet, check_results, make_batch
 from tests.server_parts import make_instance
 from tests.virtual import run
@@ -42,41 +42,41 @@
 
     def setUp(self):
         self.items = make_batch(items=40).items
-        self.urgency = Urgency(self.items)
+        self.priorities = EnginePriorities(self.items)
 
     def test_long_items_come_before_short_ones_within_a_priority(self):
-        ranks = [self.urgency.rank(Progress(item), 1) for item in self.items]
+        ranks = [self.priorities.engine_priority(Progress(item), 1) for item in self.items]
         self.assertEqual(sorted(ranks, reverse=True), ranks)  # later items are longer
         self.assertEqual({3, 4, 5}, set(ranks))
         self.assertLess(ranks.count(3), 10)
 
     def test_priority_comes_before_length(self):
         long, short = self.items[-1], self.items[0]
-        urgent = self.urgency.rank(Progress(short), 0)
-        self.assertLess(urgent, self.urgency.rank(Progress(long), 1))
+        urgent = self.priorities.engine_priority(Progress(short), 0)
+        self.assertLess(urgent, self.priorities.engine_priority(Progress(long), 1))
 
     def test_ranks_stay_within_what_engines_know(self):
         item = self.items[0]
         for priority in (-3, 0, 3, 50):
-            self.assertIn(self.urgency.rank(Progress(item), priority), range(10))
+            self.assertIn(self.priorities.engine_priority(Progress(item), priority), range(10))
 
     def test_items_of_a_batch_that_yields_come_after_like_ones_of_their_priority(self):
         for item in self.items:
             progress = Progress(item)
-            usual = self.urgency.rank(progress, 1)
-            yielding = self.urgency.rank(progress, 1, yields=True)
+            usual = self.priorities.engine_priority(progress, 1)
+            yielding = self.priorities.engine_priority(progress, 1, yields=True)
             self.assertEqual(min(usual + 1, 5), yielding)
-            self.assertLess(yielding, self.urgency.rank(progress, 2))
+            self.assertLess(yielding, self.priorities.engine_priority(progress, 2))
 
     def test_an_item_that_shows_itself_long_is_urgent(self):
         item = self.items[0]
         progress = Progress(item)
-        for number in range(1, LONG_RUN_EVENTS + 1):
+        for number in range(1, LONG_ITEM_EVENTS + 1):
             progress.take(number, b"x", 1)
-        self.assertEqual(0, self.urgency.rank(progress, 0))
+        self.assertEqual(0, self.priorities.engine_priority(progress, 0))
 
     def test_a_batch_without_items_has_no_lengths(self):
-        self.assertEqual(2, Urgency(()).rank(Progress(self.items[0]), 0))
+        self.assertEqual(2, EnginePriorities(()).engine_priority(Progress(self.items[0]), 0))
 
 
 class QueueTest(unittest.TestCase):
@@ -85,9 +85,9 @@
     def test_items_that_showed_themselves_long_come_first_then_those_with_most_work(self):
         cases = (
             # events so far, tokens, the trainer's guess of the tokens out
-            (LONG_RUN_EVENTS, 40, 0),
-            (LONG_RUN_EVENTS, 900, 30),
-            (LONG_RUN_EVENTS - 1, 900, 0),
+            (LONG_ITEM_EVENTS, 40, 0),
+            (LONG_ITEM_EVENTS, 900, 30),
+            (LONG_ITEM_EVENTS - 1, 900, 0),
             (0, 100, 800),
             (0, 700, 0),
             (0, 900, 20),
@@ -95,7 +95,7 @@
         ranks = []
         for events, tokens, hint in cases:
             item = replace(make_batch(items=1).items[0], tokens=tokens, length_hint=hint)
-            ranks.append(queue_rank(Progress(item, [b"x"] * events)))
+            ranks.append(queue_order(Progress(item, [b"x"] * events)))
         self.assertEqual(sorted(ranks), ranks)
         self.assertEqual(len(cases), len(set(ranks)))
 
@@ -110,9 +110,9 @@
             self.assertEqual(priority, configuration.priority_of(tenant, ROUTE))
 
 
-def _of_pace(pace: float) -> Callable[[RunWatch], float]:
+def _of_pace(pace: float) -> Callable[[MonitoredRun], float]:
     """Returns what runs at engines of a pace may be silent for."""
-    return lambda _: stall_seconds(pace)
+    return lambda _: stall_timeout_seconds(pace)
 
 
 class StallTest(unittest.TestCase):
@@ -121,36 +121,36 @@
     def test_a_run_is_stalled_after_a_silence_of_several_events(self):
         async def play():
             clock = LoopClock()
-            watcher = StallWatcher(clock)
+            watcher = StallDetector(clock)
             async with asyncio.timeout(10.0) as limit:
                 with watcher.watch(make_instance("fast", ENGINES), limit) as watch:
-                    await clock.sleep(LEAST_SILENCE_SECONDS - 0.01)
-                    self.assertEqual([], watcher.stalled(_of_pace(0.0)))
+                    await clock.sleep(MIN_STALL_TIMEOUT_SECONDS - 0.01)
+                    self.assertEqual([], watcher.find_stalled(_of_pace(0.0)))
                     await clock.sleep(0.02)
-                    self.assertEqual([watch], watcher.stalled(_of_pace(0.0)))
-                    self.assertEqual([], watcher.stalled(_of_pace(0.2)))  # a slow engine
+                    self.assertEqual([watch], watcher.find_stalled(_of_pace(0.0)))
+                    self.assertEqual([], watcher.find_stalled(_of_pace(0.2)))  # a slow engine
                     watch.record_event(clock.now(), 1.0)
-                    self.assertEqual([], watcher.stalled(_of_pace(0.0)))
-                self.assertEqual([], watcher.stalled(_of_pace(0.0)))
+                    self.assertEqual([], watcher.find_stalled(_of_pace(0.0)))
+                self.assertEqual([], watcher.find_stalled(_of_pace(0.0)))
 
         run(play())
 
     def test_silence_allowed(self):
         for pace, is_loading, expected in (
-            (0.0, False, LEAST_SILENCE_SECONDS),
-            (0.034, False, LEAST_SILENCE_SECONDS),
+            (0.0, False, MIN_STALL_TIMEOUT_SECONDS),
+            (0.034, False, MIN_STALL_TIMEOUT_SECONDS),
             (0.1, False, 0.6),  # an engine that is slow for good is not silent
-            (0.034, True, LOAD_SILENCE_SECONDS),  # its runs go on once it has loaded
+            (0.034, True, LOADING_STALL_TIMEOUT_SECONDS),  # its runs go on once it has loaded
             (0.3, True, 1.8),
         ):
             with self.subTest(pace=pace, is_loading=is_loading):
-                self.assertAlmostEqual(expected, stall_seconds(pace, is_loading=is_loading))
+                self.assertAlmostEqual(expected, stall_timeout_seconds(pace, is_loading=is_loading))
 
     def test_a_run_whose_time_is_over_is_not_ended_again(self):
         """Its time may be over in the turn of the loop in which it is looked at."""
 
         async def play():
-            watcher = StallWatcher(LoopClock())
+            watcher = StallDetector(LoopClock())
             found = []
             loop = asyncio.get_running_loop()
             with self.assertRaises(TimeoutError):
@@ -165,7 +165,7 @@
 
     @staticmethod
     def _look(watcher, limit, found) -> None:
-        found.append((limit.expired(), watcher.stalled(_of_pace(0.0))))
+        found.append((limit.expired(), watcher.find_stalled(_of_pace(0.0))))
 
     def test_a_stalled_run_stays_while_there_is_no_place(self):
         """Only as many runs are ended as there are free places; the others wait where they are."""
