--- a/src/larkpost/platform/assembly.py
+++ b/src/larkpost/platform/assembly.py
@@ -17,6 +17,7 @@
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.store.relay import RelayedStore
 from larkpost.platform import instance_rows, names, operator
+from larkpost.platform.dead_connections import Peer
 from larkpost.platform.descriptors import DescriptorGuard
 from larkpost.platform.duties import HttpDuties
 from larkpost.platform.http_protocol import Listener
@@ -24,7 +25,6 @@
 from larkpost.platform.peer_store import PeerStoreApp
 from larkpost.platform.servers import HttpServers
 from larkpost.platform.settings import PlatformSettings
-from larkpost.platform.silence import Peer
 from larkpost.platform.status_apps import MetricsApp, ReadinessApp
 from larkpost.platform.store import HttpStore
 
--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -11,7 +11,7 @@
 
 from larkpost.common.ids import Address
 from larkpost.common.steady_time import steady_seconds
-from larkpost.platform.silence import SilenceWatch
+from larkpost.platform.dead_connections import SilenceWatch
 from larkpost.platform.sockets import open_socket
 from larkpost.platform.watched_connection import CallLimits, WatchedConnection
 
--- a/src/larkpost/platform/duties.py
+++ b/src/larkpost/platform/duties.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.usage.port import ReportOutcome, UsageReport
 from larkpost.platform import names
 from larkpost.platform.connections import make_session
-from larkpost.platform.silence import Peer, SilenceWatch
+from larkpost.platform.dead_connections import Peer, SilenceWatch
 
 CALL_FAILURES = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
 """Everything a call may end with besides a response."""
--- a/src/larkpost/platform/server_control.py
+++ b/src/larkpost/platform/server_control.py
@@ -18,12 +18,12 @@
     VersionOrder,
 )
 from larkpost.platform import names
+from larkpost.platform.dead_connections import CallKind
 from larkpost.platform.operator import UNREADABLE
 from larkpost.platform.server_messages import order_document, read_report
 from larkpost.platform.server_refusals import ResponseOwner, response_owner
 from larkpost.platform.server_requests import server_url
 from larkpost.platform.server_responses import RESPONSE_FAILURES, record_idle_time
-from larkpost.platform.silence import CallKind
 from larkpost.platform.watched_connection import CallLimits
 
 OK = 200
--- a/src/larkpost/platform/servers.py
+++ b/src/larkpost/platform/servers.py
@@ -27,6 +27,7 @@
     VersionOrder,
 )
 from larkpost.platform.connections import make_session
+from larkpost.platform.dead_connections import Peer, SilenceWatch
 from larkpost.platform.server_control import ControlCalls
 from larkpost.platform.server_refusals import check_ran, read_refusal
 from larkpost.platform.server_requests import send_once
@@ -36,7 +37,6 @@
     broken_response,
     record_idle_time,
 )
-from larkpost.platform.silence import Peer, SilenceWatch
 from larkpost.platform.watched_connection import CallLimits, SilentConnectionError
 
 CONNECT_FAILURES = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -28,7 +28,7 @@
 )
 from larkpost.platform import names
 from larkpost.platform.connections import make_session
-from larkpost.platform.silence import Peer, SilenceWatch
+from larkpost.platform.dead_connections import Peer, SilenceWatch
 from larkpost.platform.store_clock import StoreClock
 from larkpost.platform.store_documents import (
     HISTORY_LOST,
--- a/src/larkpost/platform/watched_connection.py
+++ b/src/larkpost/platform/watched_connection.py
@@ -1,6 +1,6 @@
 """One connection to a server or to the store, and the end of its call once it is silent.
 
-Relies on `larkpost.platform.silence` for whether a connection is silent for good.
+Relies on `larkpost.platform.dead_connections` for whether a connection is silent for good.
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 from aiohttp.client_proto import ResponseHandler
 
 from larkpost.common.ids import Address
-from larkpost.platform.silence import CallKind, ConnectionRecord, SilenceWatch
+from larkpost.platform.dead_connections import CallKind, ConnectionRecord, SilenceWatch
 
 CONNECT_TIMEOUT_SECONDS = 1.0
 """Longest wait for a new connection."""
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -413,7 +413,7 @@
 
 def trust_silent_connections():
     """Goes on using the other connections to an address of which one has gone silent."""
-    from larkpost.platform.silence import SilenceWatch
+    from larkpost.platform.dead_connections import SilenceWatch
 
     return mock.patch.object(SilenceWatch, "is_suspect", lambda *_: False)
 
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -30,16 +30,16 @@
 from larkpost.gateway.servers.port import OrderOutcome, OutgoingRequest, VersionOrder
 from larkpost.gateway.store.port import RowKey, Transaction, WriteOutcome
 from larkpost.platform.connections import MIN_ADDRESSES_KEPT, make_session
-from larkpost.platform.http_protocol import Listener
-from larkpost.platform.peer_store import PeerStoreApp
-from larkpost.platform.servers import HttpServers
-from larkpost.platform.silence import (
+from larkpost.platform.dead_connections import (
     FORGET_SECONDS,
     SUSPICION_PAUSE_SECONDS,
     CallKind,
     Peer,
     SilenceWatch,
 )
+from larkpost.platform.http_protocol import Listener
+from larkpost.platform.peer_store import PeerStoreApp
+from larkpost.platform.servers import HttpServers
 from larkpost.platform.silence_rule import (
     ABANDONED,
     ENDING,
