--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -1,7 +1,7 @@
 """Watches connections for those that have gone silent for good, as against slow servers.
 
 Owns what each open connection has shown, how long calls to each address usually take, and which
-addresses are suspect. The rule itself stands in `larkpost.platform.silence_rule`. Once a connection
+addresses are suspect. The rule itself stands in `larkpost.platform.dead_connection_rule`. Once a connection
 is silent for good, its address is suspect: none of the connections that were open at that moment is
 trusted again. So a slow server costs no more than one set of connections.
 """
@@ -14,7 +14,7 @@
 from larkpost.common.steady_time import steady_seconds
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.metrics import Count, Metrics
-from larkpost.platform.silence_rule import (
+from larkpost.platform.dead_connection_rule import (
     ABANDONED,
     ENDING,
     MAX_PAUSE_SECONDS,
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -30,6 +30,15 @@
 from larkpost.gateway.servers.port import OrderOutcome, OutgoingRequest, VersionOrder
 from larkpost.gateway.store.port import RowKey, Transaction, WriteOutcome
 from larkpost.platform.connections import MIN_ADDRESSES_KEPT, make_session
+from larkpost.platform.dead_connection_rule import (
+    ABANDONED,
+    ENDING,
+    MAX_PAUSE_SECONDS,
+    MIN_SILENCE_SECONDS,
+    CallWait,
+    is_slowness,
+    is_too_long,
+)
 from larkpost.platform.dead_connections import (
     FORGET_SECONDS,
     SUSPICION_PAUSE_SECONDS,
@@ -40,15 +49,6 @@
 from larkpost.platform.http_protocol import Listener
 from larkpost.platform.peer_store import PeerStoreApp
 from larkpost.platform.servers import HttpServers
-from larkpost.platform.silence_rule import (
-    ABANDONED,
-    ENDING,
-    MAX_PAUSE_SECONDS,
-    MIN_SILENCE_SECONDS,
-    CallWait,
-    is_slowness,
-    is_too_long,
-)
 from larkpost.platform.stand_in.memory_store import MemoryStore
 from larkpost.platform.stand_in.store_app import StoreApp
 from larkpost.platform.store import READ_TIMEOUT_SECONDS, HttpStore
