--- a/src/larkpost/platform/batch_calls.py
+++ b/src/larkpost/platform/batch_calls.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.rollouts.model import ItemId
 from larkpost.gateway.rollouts.service import BatchService
 from larkpost.platform import names
-from larkpost.platform.batches import read_batch, read_position, write_page
+from larkpost.platform.batch_documents import read_batch, read_position, write_page
 from larkpost.platform.client_call import ClientCall
 from larkpost.platform.client_response import ClientResponse
 
--- a/tests/test_reward_calls.py
+++ b/tests/test_reward_calls.py
@@ -10,7 +10,7 @@
 from larkpost.gateway.rollouts.model import BatchSpec, Result, ResultState
 from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.reader import ResultPage
-from larkpost.platform.batches import read_batch, write_page
+from larkpost.platform.batch_documents import read_batch, write_page
 from larkpost.platform.stand_in.memory_store import StoreFaults
 from tests.platform_fleet import (
     OTHER_SCORERS,
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -34,7 +34,7 @@
 from larkpost.gateway.rollouts.errors import BatchIdTakenError, NoSuchBatchError
 from larkpost.gateway.rollouts.model import ItemId
 from larkpost.gateway.store.port import Row, RowKey
-from larkpost.platform.batches import read_batch
+from larkpost.platform.batch_documents import read_batch
 from larkpost.platform.http_protocol import Listener
 from larkpost.platform.ingress import Ingress
 from larkpost.platform.operator import UnreadableRowError, read_configuration
