--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -26,7 +26,7 @@
 from larkpost.gateway.rollouts.service import BatchService
 from larkpost.platform import names
 from larkpost.platform.asgi import ClientLeftError, Receive, Send
-from larkpost.platform.batch_calls import BatchCalls
+from larkpost.platform.batch_endpoints import BatchCalls
 from larkpost.platform.client_call import BodyStalledError, ClientCall
 from larkpost.platform.client_response import ClientResponse
 
