--- a/src/larkpost/platform/server_responses.py
+++ b/src/larkpost/platform/server_responses.py
@@ -9,7 +9,7 @@
 from larkpost.gateway.servers.port import BrokenResponseError, Headers, StreamEvent
 from larkpost.platform import names
 from larkpost.platform.connections import CheckedConnector
-from larkpost.platform.events import EventDecoder
+from larkpost.platform.event_stream import EventDecoder
 from larkpost.platform.server_messages import read_cold, read_idle_time, read_load, read_whole
 
 LOST_CONNECTIONS = (
--- a/tests/test_stream_events.py
+++ b/tests/test_stream_events.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from larkpost.platform.events import EventDecoder
+from larkpost.platform.event_stream import EventDecoder
 
 STREAM = b"id: 1\r\ndata: a\r\n\r\nid: 2\r\ndata: b\r\n\r\n"
 
