--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -11,7 +11,7 @@
 
 from larkpost.common.ids import Address
 from larkpost.common.steady_time import steady_seconds
-from larkpost.platform.dead_connections import SilenceWatch
+from larkpost.platform.dead_connections import DeadConnectionDetector
 from larkpost.platform.sockets import open_socket
 from larkpost.platform.watched_connection import CallLimits, WatchedConnection
 
@@ -46,7 +46,7 @@
         silences: knows which connections may be silent.
     """
 
-    def __init__(self, silences: SilenceWatch, **options) -> None:
+    def __init__(self, silences: DeadConnectionDetector, **options) -> None:
         super().__init__(**options)
         self._silences = silences
         self._factory = functools.partial(WatchedConnection, silences, self._loop)
@@ -159,7 +159,7 @@
             transport.abort()
 
 
-def make_session(silences: SilenceWatch, *, keep: bool = True) -> aiohttp.ClientSession:
+def make_session(silences: DeadConnectionDetector, *, keep: bool = True) -> aiohttp.ClientSession:
     """Returns a client session that sends and returns bytes as they are.
 
     Args:
--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -73,7 +73,7 @@
         return max(self.called_at, self.received_at or 0.0)
 
 
-class SilenceWatch:
+class DeadConnectionDetector:
     """Watches the connections to all addresses of one kind.
 
     Args:
--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -28,7 +28,7 @@
 )
 from larkpost.platform import names
 from larkpost.platform.connections import make_session
-from larkpost.platform.dead_connections import Peer, SilenceWatch
+from larkpost.platform.dead_connections import DeadConnectionDetector, Peer
 from larkpost.platform.store_clock import StoreClock
 from larkpost.platform.store_documents import (
     HISTORY_LOST,
@@ -110,7 +110,7 @@
         self.row_bytes = row_bytes
         self._base = f"http://{address}"
         self._metrics = metrics or Metrics()
-        self._session = make_session(SilenceWatch(peer, self._metrics, log))
+        self._session = make_session(DeadConnectionDetector(peer, self._metrics, log))
         self._proof: asyncio.Task | None = None
         self._clock = StoreClock()
         self.is_failing = False
--- a/src/larkpost/platform/watched_connection.py
+++ b/src/larkpost/platform/watched_connection.py
@@ -11,7 +11,7 @@
 from aiohttp.client_proto import ResponseHandler
 
 from larkpost.common.ids import Address
-from larkpost.platform.dead_connections import CallKind, ConnectionRecord, SilenceWatch
+from larkpost.platform.dead_connections import CallKind, ConnectionRecord, DeadConnectionDetector
 
 CONNECT_TIMEOUT_SECONDS = 1.0
 """Longest wait for a new connection."""
@@ -60,7 +60,7 @@
         record: what the connection has shown; None until its first call.
     """
 
-    def __init__(self, silences: SilenceWatch, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(self, silences: DeadConnectionDetector, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
         self._silences = silences
         self._watch: asyncio.TimerHandle | None = None
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -413,9 +413,9 @@
 
 def trust_silent_connections():
     """Goes on using the other connections to an address of which one has gone silent."""
-    from larkpost.platform.dead_connections import SilenceWatch
+    from larkpost.platform.dead_connections import DeadConnectionDetector
 
-    return mock.patch.object(SilenceWatch, "is_suspect", lambda *_: False)
+    return mock.patch.object(DeadConnectionDetector, "is_suspect", lambda *_: False)
 
 
 def wait_on_silent_connections():
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -43,8 +43,8 @@
     FORGET_SECONDS,
     SUSPICION_PAUSE_SECONDS,
     CallKind,
+    DeadConnectionDetector,
     Peer,
-    SilenceWatch,
 )
 from larkpost.platform.http_protocol import Listener
 from larkpost.platform.peer_store import PeerStoreApp
@@ -207,7 +207,7 @@
 
     def test_addresses_without_connections_are_forgotten_after_a_while(self):
         now = 0.0
-        silences = SilenceWatch(Peer.SERVER, now=lambda: now)
+        silences = DeadConnectionDetector(Peer.SERVER, now=lambda: now)
         for number in range(500):
             now += 1.0
             line = silences.open(Address(f"10.0.0.1:{number}"))
@@ -220,7 +220,7 @@
 
     def test_address_with_a_connection_is_remembered(self):
         now = 0.0
-        silences = SilenceWatch(Peer.SERVER, now=lambda: now)
+        silences = DeadConnectionDetector(Peer.SERVER, now=lambda: now)
         line = silences.open(ADDRESS)
         silences.close(silences.open(ADDRESS))
         silences.begin_call(line, CallKind.REQUEST, 0.0)
@@ -232,7 +232,7 @@
         self.assertGreater(silences.limit_of(line), MIN_SILENCE_SECONDS)
 
     async def test_connector_forgets_servers_to_which_no_connection_rests(self):
-        async with make_session(SilenceWatch(Peer.SERVER)) as session:
+        async with make_session(DeadConnectionDetector(Peer.SERVER)) as session:
             for number in range(3 * MIN_ADDRESSES_KEPT):
                 server = Address(f"10.0.0.1:{number}")
                 key = ConnectionKey("10.0.0.1", number, False, True, None, None, None)
@@ -539,7 +539,7 @@
 
     def setUp(self):
         self.time = 100.0
-        self.silences = SilenceWatch(Peer.SERVER, now=lambda: self.time)
+        self.silences = DeadConnectionDetector(Peer.SERVER, now=lambda: self.time)
 
     def open(self):
         """Returns a connection that has answered a call."""
