--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -46,10 +46,10 @@
         silences: knows which connections may be silent.
     """
 
-    def __init__(self, silences: DeadConnectionDetector, **options) -> None:
+    def __init__(self, detector: DeadConnectionDetector, **options) -> None:
         super().__init__(**options)
-        self._silences = silences
-        self._factory = functools.partial(WatchedConnection, silences, self._loop)
+        self._silences = detector
+        self._factory = functools.partial(WatchedConnection, detector, self._loop)
         self._idle_times: dict[Address, float] = {}
         self._keys: dict[Address, ConnectionKey] = {}
         """The library's name for each server, under which it keeps the idle connections."""
@@ -159,7 +159,7 @@
             transport.abort()
 
 
-def make_session(silences: DeadConnectionDetector, *, keep: bool = True) -> aiohttp.ClientSession:
+def make_session(detector: DeadConnectionDetector, *, keep: bool = True) -> aiohttp.ClientSession:
     """Returns a client session that sends and returns bytes as they are.
 
     Args:
@@ -167,7 +167,7 @@
         keep: whether connections are kept for later requests.
     """
     lifetime = {"keepalive_timeout": MAX_IDLE_SECONDS} if keep else {"force_close": True}
-    connector = CheckedConnector(silences, limit=0, socket_factory=open_socket, **lifetime)
+    connector = CheckedConnector(detector, limit=0, socket_factory=open_socket, **lifetime)
     return aiohttp.ClientSession(
         connector=connector,
         auto_decompress=False,
--- a/src/larkpost/platform/servers.py
+++ b/src/larkpost/platform/servers.py
@@ -52,9 +52,9 @@
     """
 
     def __init__(self, metrics: Metrics | None = None, log: EventLog | None = None) -> None:
-        silences = DeadConnectionDetector(Peer.SERVER, metrics, log)
-        self._kept = make_session(silences)
-        self._fresh = make_session(silences, keep=False)
+        detector = DeadConnectionDetector(Peer.SERVER, metrics, log)
+        self._kept = make_session(detector)
+        self._fresh = make_session(detector, keep=False)
         self._control = ControlCalls(self._kept)
 
     async def close(self) -> None:
--- a/src/larkpost/platform/watched_connection.py
+++ b/src/larkpost/platform/watched_connection.py
@@ -60,9 +60,9 @@
         record: what the connection has shown; None until its first call.
     """
 
-    def __init__(self, silences: DeadConnectionDetector, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(self, detector: DeadConnectionDetector, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
-        self._silences = silences
+        self._silences = detector
         self._watch: asyncio.TimerHandle | None = None
         self._prove: Callable[[], None] | None = None
         self._proof_until: float | None = None
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -207,29 +207,29 @@
 
     def test_addresses_without_connections_are_forgotten_after_a_while(self):
         now = 0.0
-        silences = DeadConnectionDetector(Peer.SERVER, now=lambda: now)
+        detector = DeadConnectionDetector(Peer.SERVER, now=lambda: now)
         for number in range(500):
             now += 1.0
-            line = silences.open(Address(f"10.0.0.1:{number}"))
-            silences.begin_call(line, CallKind.REQUEST, 0.0)
-            silences.record_bytes(line)
-            silences.suspect(line)
-            silences.close(line)
-        for kept in (silences._usual_times, silences._suspected_at, silences._left_at):
+            line = detector.open(Address(f"10.0.0.1:{number}"))
+            detector.begin_call(line, CallKind.REQUEST, 0.0)
+            detector.record_bytes(line)
+            detector.suspect(line)
+            detector.close(line)
+        for kept in (detector._usual_times, detector._suspected_at, detector._left_at):
             self.assertLessEqual(len(kept), FORGET_SECONDS + 1)
 
     def test_address_with_a_connection_is_remembered(self):
         now = 0.0
-        silences = DeadConnectionDetector(Peer.SERVER, now=lambda: now)
-        line = silences.open(ADDRESS)
-        silences.close(silences.open(ADDRESS))
-        silences.begin_call(line, CallKind.REQUEST, 0.0)
+        detector = DeadConnectionDetector(Peer.SERVER, now=lambda: now)
+        line = detector.open(ADDRESS)
+        detector.close(detector.open(ADDRESS))
+        detector.begin_call(line, CallKind.REQUEST, 0.0)
         now = 0.3
-        silences.record_bytes(line)
+        detector.record_bytes(line)
         now += 10 * FORGET_SECONDS
-        silences.open(Address("10.0.0.2:1"))
-        silences.begin_call(line, CallKind.REQUEST, 0.0)
-        self.assertGreater(silences.limit_of(line), MIN_SILENCE_SECONDS)
+        detector.open(Address("10.0.0.2:1"))
+        detector.begin_call(line, CallKind.REQUEST, 0.0)
+        self.assertGreater(detector.limit_of(line), MIN_SILENCE_SECONDS)
 
     async def test_connector_forgets_servers_to_which_no_connection_rests(self):
         async with make_session(DeadConnectionDetector(Peer.SERVER)) as session:
@@ -381,9 +381,9 @@
         long = asyncio.create_task(self.ask(8))
         await asyncio.sleep(0.05)
         self.pages.events = 0
-        silences = self.servers._kept.connector._silences
-        lines = silences._records[self.instance.address]
-        silences.suspect(next(iter(lines)))
+        detector = self.servers._kept.connector._silences
+        lines = detector._records[self.instance.address]
+        detector.suspect(next(iter(lines)))
         await long
         self.assertFalse(self.servers.is_connected(self.instance))
 
@@ -539,50 +539,50 @@
 
     def setUp(self):
         self.time = 100.0
-        self.silences = DeadConnectionDetector(Peer.SERVER, now=lambda: self.time)
+        self.detector = DeadConnectionDetector(Peer.SERVER, now=lambda: self.time)
 
     def open(self):
         """Returns a connection that has answered a call."""
-        line = self.silences.open(ADDRESS)
+        line = self.detector.open(ADDRESS)
         self.call(line, 0.01)
         return line
 
     def call(self, line, seconds: float | None, held: float = 0.0) -> None:
         """Makes a call that is answered after some time, or never."""
-        self.silences.begin_call(line, CallKind.REQUEST, held)
+        self.detector.begin_call(line, CallKind.REQUEST, held)
         if seconds is not None:
             self.time += seconds
-            self.silences.record_bytes(line)
+            self.detector.record_bytes(line)
 
     def test_silence_is_long_by_the_usual_time(self):
         line = self.open()
         self.call(line, 0.3)
         self.call(line, None)
         self.time += 1.1
-        self.assertFalse(self.silences.is_silent(line))
+        self.assertFalse(self.detector.is_silent(line))
         self.time += 0.2
-        self.assertTrue(self.silences.is_silent(line))
+        self.assertTrue(self.detector.is_silent(line))
 
     def test_held_call_is_silent_only_after_its_time(self):
         line = self.open()
         self.call(line, None, held=1.0)
         self.time += 1.2
-        self.assertFalse(self.silences.is_silent(line))
+        self.assertFalse(self.detector.is_silent(line))
         self.time += 0.1
-        self.assertTrue(self.silences.is_silent(line))
+        self.assertTrue(self.detector.is_silent(line))
 
     def test_held_call_teaches_no_usual_time(self):
         line = self.open()
         self.call(line, 1.0, held=1.0)
         self.call(line, None)
         self.time += MIN_SILENCE_SECONDS + 0.01
-        self.assertTrue(self.silences.is_silent(line))
+        self.assertTrue(self.detector.is_silent(line))
 
     def test_new_connection_that_never_answered_shows_nothing(self):
-        line = self.silences.open(ADDRESS)
+        line = self.detector.open(ADDRESS)
         self.call(line, None)
         self.time += 100.0
-        self.assertFalse(self.silences.is_silent(line))
+        self.assertFalse(self.detector.is_silent(line))
 
     def test_bytes_on_new_connections_prove_nothing_for_old_ones(self):
         line = self.open()
@@ -590,18 +590,18 @@
         self.time += 0.2
         self.open()
         self.time += 0.1
-        self.assertTrue(self.silences.is_silent(line))
+        self.assertTrue(self.detector.is_silent(line))
 
     def test_connections_opened_since_are_trusted_for_a_while(self):
         old = self.open()
-        self.silences.suspect(old)
+        self.detector.suspect(old)
         self.time += 0.1
         young = self.open()
-        self.silences.suspect(young)
-        self.assertEqual((True, False), tuple(map(self.silences.is_suspect, (old, young))))
+        self.detector.suspect(young)
+        self.assertEqual((True, False), tuple(map(self.detector.is_suspect, (old, young))))
         self.time += SUSPICION_PAUSE_SECONDS
-        self.silences.suspect(young)
-        self.assertTrue(self.silences.is_suspect(young))
+        self.detector.suspect(young)
+        self.assertTrue(self.detector.is_suspect(young))
 
     def test_rule_by_cases(self):
         """Each case changes one input of a wait that is too long and shows a silent connection."""
@@ -636,8 +636,8 @@
             self.assertEqual(seconds, limit.seconds(usual), (limit, usual))
 
     def test_closed_connections_are_forgotten(self):
-        self.silences.close(self.open())
-        self.assertEqual({}, self.silences._records)
+        self.detector.close(self.open())
+        self.assertEqual({}, self.detector._records)
 
 
 class AcceptedTest(unittest.IsolatedAsyncioTestCase):
