--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -48,7 +48,7 @@
 
     def __init__(self, detector: DeadConnectionDetector, **options) -> None:
         super().__init__(**options)
-        self._silences = detector
+        self._detector = detector
         self._factory = functools.partial(WatchedConnection, detector, self._loop)
         self._idle_times: dict[Address, float] = {}
         self._keys: dict[Address, ConnectionKey] = {}
@@ -80,7 +80,7 @@
     def close_suspect(self, server: Address) -> None:
         """Closes the idle connections to a server that may be silent."""
         idle = self._conns.get(self._keys.get(server), ())
-        for entry in [entry for entry in idle if self._silences.is_suspect(entry[0].record)]:
+        for entry in [entry for entry in idle if self._detector.is_suspect(entry[0].record)]:
             idle.remove(entry)
             entry[0].abort()
         if not idle:
@@ -93,7 +93,7 @@
     def _is_usable(self, protocol: WatchedConnection, idle_since: float, oldest: float) -> bool:
         if protocol.should_close or idle_since < oldest:
             return False
-        return protocol.record is None or not self._silences.is_suspect(protocol.record)
+        return protocol.record is None or not self._detector.is_suspect(protocol.record)
 
     async def connect(self, req, traces, timeout):
         """Returns a connection for a call, kept or new, never later than the call's limit says.
@@ -150,7 +150,7 @@
         """
         protocol.end_call()
         record = protocol.record
-        if record is not None and self._silences.is_suspect(record):
+        if record is not None and self._detector.is_suspect(record):
             should_close = True
             self.close_suspect(record.address)
         transport = protocol.transport
--- a/src/larkpost/platform/watched_connection.py
+++ b/src/larkpost/platform/watched_connection.py
@@ -62,7 +62,7 @@
 
     def __init__(self, detector: DeadConnectionDetector, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
-        self._silences = detector
+        self._detector = detector
         self._watch: asyncio.TimerHandle | None = None
         self._prove: Callable[[], None] | None = None
         self._proof_until: float | None = None
@@ -71,30 +71,30 @@
     def begin_call(self, address: Address, limits: CallLimits) -> None:
         """Records that a call begins, and ends it if the connection is silent."""
         if self.record is None:
-            self.record = self._silences.open(address)
-        self._silences.begin_call(self.record, limits.kind, limits.hold_time)
+            self.record = self._detector.open(address)
+        self._detector.begin_call(self.record, limits.kind, limits.hold_time)
         self._prove, self._proof_until = limits.prove, None
         if limits.ends_if_silent and self.record.received_at is not None:
-            self._check_later(limits.hold_time + self._silences.limit_of(self.record))
+            self._check_later(limits.hold_time + self._detector.limit_of(self.record))
 
     def end_call(self) -> None:
         """Records that a call has ended, or was given up."""
         self._stop_watch()
         if self.record is not None and self.is_connected() and not self._is_paused_here():
-            self._silences.end_call(self.record)
+            self._detector.end_call(self.record)
 
     def data_received(self, data: bytes) -> None:
         """Records that bytes of a response came, and passes them on."""
         if data and self.record is not None:
             self._stop_watch()
-            self._silences.record_bytes(self.record)
+            self._detector.record_bytes(self.record)
         super().data_received(data)
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """Forgets the connection."""
         self._stop_watch()
         if self.record is not None:
-            self._silences.close(self.record)
+            self._detector.close(self.record)
         super().connection_lost(exc)
 
     def _is_paused_here(self) -> bool:
@@ -106,10 +106,10 @@
 
     def _check(self) -> None:
         """Breaks the call off if its connection is silent for good."""
-        if not self._silences.is_silent(self.record):
-            self._check_later(self._silences.limit_of(self.record))
+        if not self._detector.is_silent(self.record):
+            self._check_later(self._detector.limit_of(self.record))
             return
-        self._silences.suspect(self.record)
+        self._detector.suspect(self.record)
         if self._waits_for_proof():
             self._check_later(PROOF_POLL_SECONDS)
             return
@@ -123,7 +123,7 @@
         if self._proof_until is None:
             self._proof_until = self._loop.time() + PROOF_SECONDS
             self._prove()
-        return self._loop.time() < self._proof_until and not self._silences.is_proven(self.record)
+        return self._loop.time() < self._proof_until and not self._detector.is_proven(self.record)
 
     def _stop_watch(self) -> None:
         if self._watch is not None:
