--- a/src/larkpost/platform/servers.py
+++ b/src/larkpost/platform/servers.py
@@ -37,7 +37,7 @@
     broken_response,
     record_idle_time,
 )
-from larkpost.platform.watched_connection import CallLimits, SilentConnectionError
+from larkpost.platform.watched_connection import CallLimits, DeadConnectionError
 
 CONNECT_FAILURES = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 """How it shows that there was no connection, so that nothing was sent."""
@@ -140,7 +140,7 @@
         limits = CallLimits(ends_if_silent=True, is_sent_once=True)
         try:
             return await send_once(session, instance, request, limits)
-        except SilentConnectionError:
+        except DeadConnectionError:
             again = _after(steady_seconds() - began, request)
         return await send_once(self._kept, instance, again, CallLimits(is_sent_once=True))
 
--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -40,7 +40,7 @@
     transaction_document,
     write_result,
 )
-from larkpost.platform.watched_connection import CallLimits, SilentConnectionError
+from larkpost.platform.watched_connection import CallLimits, DeadConnectionError
 
 READ_TIMEOUT_SECONDS = 1.5
 """Longest time for a reading call, beside the time for which it may be held."""
@@ -218,7 +218,7 @@
         async with asyncio.timeout(timeout):
             try:
                 return await self._exchange_once(call)
-            except SilentConnectionError:
+            except DeadConnectionError:
                 if call.body is not None:
                     raise
             return await self._exchange_once(call)
--- a/src/larkpost/platform/watched_connection.py
+++ b/src/larkpost/platform/watched_connection.py
@@ -22,7 +22,7 @@
 """Between two checks whether a new connection has proven an old one silent."""
 
 
-class SilentConnectionError(aiohttp.ClientError):
+class DeadConnectionError(aiohttp.ClientError):
     """The connection of a call has gone silent for good; the call may have been made."""
 
 
@@ -113,7 +113,7 @@
         if self._waits_for_proof():
             self._check_later(PROOF_POLL_SECONDS)
             return
-        self.set_exception(SilentConnectionError(f"{self.record.address} is silent"))
+        self.set_exception(DeadConnectionError(f"{self.record.address} is silent"))
         self.transport.abort()
 
     def _waits_for_proof(self) -> bool:
