--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -134,7 +134,7 @@
 
     def end_call(self, record: ConnectionRecord) -> None:
         """Records that a call ends, whole or not; after a long silence its address is suspect."""
-        if self.is_silent(record, ABANDONED):
+        if self.is_dead(record, ABANDONED):
             self.suspect(record)
         elif record.is_awaited and not record.hold_time:
             elapsed = self._now() - record.called_at
@@ -151,7 +151,7 @@
             return MAX_PAUSE_SECONDS
         return limit.seconds(self._usual_time(record))
 
-    def is_silent(self, record: ConnectionRecord, limit: SilenceLimit = ENDING) -> bool:
+    def is_dead(self, record: ConnectionRecord, limit: SilenceLimit = ENDING) -> bool:
         """Returns whether a connection with a call on it has gone silent for good."""
         wait = CallWait(
             now=self._now(),
--- a/src/larkpost/platform/watched_connection.py
+++ b/src/larkpost/platform/watched_connection.py
@@ -106,7 +106,7 @@
 
     def _check(self) -> None:
         """Breaks the call off if its connection is silent for good."""
-        if not self._detector.is_silent(self.record):
+        if not self._detector.is_dead(self.record):
             self._check_later(self._detector.limit_of(self.record))
             return
         self._detector.suspect(self.record)
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -559,30 +559,30 @@
         self.call(line, 0.3)
         self.call(line, None)
         self.time += 1.1
-        self.assertFalse(self.detector.is_silent(line))
+        self.assertFalse(self.detector.is_dead(line))
         self.time += 0.2
-        self.assertTrue(self.detector.is_silent(line))
+        self.assertTrue(self.detector.is_dead(line))
 
     def test_held_call_is_silent_only_after_its_time(self):
         line = self.open()
         self.call(line, None, held=1.0)
         self.time += 1.2
-        self.assertFalse(self.detector.is_silent(line))
+        self.assertFalse(self.detector.is_dead(line))
         self.time += 0.1
-        self.assertTrue(self.detector.is_silent(line))
+        self.assertTrue(self.detector.is_dead(line))
 
     def test_held_call_teaches_no_usual_time(self):
         line = self.open()
         self.call(line, 1.0, held=1.0)
         self.call(line, None)
         self.time += MIN_SILENCE_SECONDS + 0.01
-        self.assertTrue(self.detector.is_silent(line))
+        self.assertTrue(self.detector.is_dead(line))
 
     def test_new_connection_that_never_answered_shows_nothing(self):
         line = self.detector.open(ADDRESS)
         self.call(line, None)
         self.time += 100.0
-        self.assertFalse(self.detector.is_silent(line))
+        self.assertFalse(self.detector.is_dead(line))
 
     def test_bytes_on_new_connections_prove_nothing_for_old_ones(self):
         line = self.open()
@@ -590,7 +590,7 @@
         self.time += 0.2
         self.open()
         self.time += 0.1
-        self.assertTrue(self.detector.is_silent(line))
+        self.assertTrue(self.detector.is_dead(line))
 
     def test_connections_opened_since_are_trusted_for_a_while(self):
         old = self.open()
