--- a/src/larkpost/platform/dead_connection_rule.py
+++ b/src/larkpost/platform/dead_connection_rule.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SilenceLimit:
+class AdaptiveTimeout:
     """How long a call may go without a byte before its connection may be silent for good.
 
     Attributes:
@@ -38,9 +38,9 @@
         return min(MAX_SILENCE_SECONDS, max(self.least, self.factor * usual))
 
 
-ENDING = SilenceLimit(MIN_SILENCE_SECONDS, 4.0)
+ENDING = AdaptiveTimeout(MIN_SILENCE_SECONDS, 4.0)
 """Before a call is ended for it."""
-ABANDONED = SilenceLimit(MIN_ABANDONED_SILENCE_SECONDS, 2.0)
+ABANDONED = AdaptiveTimeout(MIN_ABANDONED_SILENCE_SECONDS, 2.0)
 """For a call that is given up anyway, as another server's response came first, or its time is over:
 by a mistake only idle connections are lost."""
 
--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -18,8 +18,8 @@
     ABANDONED,
     ENDING,
     MAX_PAUSE_SECONDS,
+    AdaptiveTimeout,
     CallWait,
-    SilenceLimit,
     is_slowness,
     is_too_long,
 )
@@ -142,7 +142,7 @@
                 self._learn(record, elapsed)
         record.is_awaited = False
 
-    def limit_of(self, record: ConnectionRecord, limit: SilenceLimit = ENDING) -> float:
+    def limit_of(self, record: ConnectionRecord, limit: AdaptiveTimeout = ENDING) -> float:
         """Returns the seconds without a byte after which a connection may be silent for good.
 
         They count from when its call could have been answered at the earliest.
@@ -151,7 +151,7 @@
             return MAX_PAUSE_SECONDS
         return limit.seconds(self._usual_time(record))
 
-    def is_dead(self, record: ConnectionRecord, limit: SilenceLimit = ENDING) -> bool:
+    def is_dead(self, record: ConnectionRecord, limit: AdaptiveTimeout = ENDING) -> bool:
         """Returns whether a connection with a call on it has gone silent for good."""
         wait = CallWait(
             now=self._now(),
