--- a/src/larkpost/platform/dead_connection_rule.py
+++ b/src/larkpost/platform/dead_connection_rule.py
@@ -30,12 +30,12 @@
         factor: by how much it must outlast the usual time of such calls.
     """
 
-    least: float
+    minimum: float
     factor: float
 
     def seconds(self, usual: float) -> float:
         """Returns the limit of a call whose like usually takes ``usual`` seconds."""
-        return min(MAX_SILENCE_SECONDS, max(self.least, self.factor * usual))
+        return min(MAX_SILENCE_SECONDS, max(self.minimum, self.factor * usual))
 
 
 ENDING = AdaptiveTimeout(MIN_SILENCE_SECONDS, 4.0)
