--- a/src/larkpost/platform/dead_connection_rule.py
+++ b/src/larkpost/platform/dead_connection_rule.py
@@ -31,11 +31,11 @@
     """
 
     minimum: float
-    factor: float
+    latency_factor: float
 
     def seconds(self, usual: float) -> float:
         """Returns the limit of a call whose like usually takes ``usual`` seconds."""
-        return min(MAX_SILENCE_SECONDS, max(self.minimum, self.factor * usual))
+        return min(MAX_SILENCE_SECONDS, max(self.minimum, self.latency_factor * usual))
 
 
 ENDING = AdaptiveTimeout(MIN_SILENCE_SECONDS, 4.0)
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -494,7 +494,7 @@
         `LATE_SECONDS`, unless calls alone take so long here that a connection is waited for longer:
         beside 14 busy processes they took 0.14 s, and the test failed in 2 of 30 runs.
         """
-        return max(LATE_SECONDS, ENDING.factor * self.slowest + SLACK_SECONDS)
+        return max(LATE_SECONDS, ENDING.latency_factor * self.slowest + SLACK_SECONDS)
 
     async def ask(self) -> None:
         """Makes a request that may be repeated."""
