--- a/src/larkpost/platform/dead_connection_rule.py
+++ b/src/larkpost/platform/dead_connection_rule.py
@@ -38,7 +38,7 @@
         return min(MAX_SILENCE_SECONDS, max(self.minimum, self.latency_factor * usual))
 
 
-ENDING = AdaptiveTimeout(MIN_SILENCE_SECONDS, 4.0)
+ABORT_TIMEOUT = AdaptiveTimeout(MIN_SILENCE_SECONDS, 4.0)
 """Before a call is ended for it."""
 ABANDONED = AdaptiveTimeout(MIN_ABANDONED_SILENCE_SECONDS, 2.0)
 """For a call that is given up anyway, as another server's response came first, or its time is over:
--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -16,7 +16,7 @@
 from larkpost.gateway.observability.metrics import Count, Metrics
 from larkpost.platform.dead_connection_rule import (
     ABANDONED,
-    ENDING,
+    ABORT_TIMEOUT,
     MAX_PAUSE_SECONDS,
     AdaptiveTimeout,
     CallWait,
@@ -142,7 +142,7 @@
                 self._learn(record, elapsed)
         record.is_awaited = False
 
-    def limit_of(self, record: ConnectionRecord, limit: AdaptiveTimeout = ENDING) -> float:
+    def limit_of(self, record: ConnectionRecord, limit: AdaptiveTimeout = ABORT_TIMEOUT) -> float:
         """Returns the seconds without a byte after which a connection may be silent for good.
 
         They count from when its call could have been answered at the earliest.
@@ -151,7 +151,7 @@
             return MAX_PAUSE_SECONDS
         return limit.seconds(self._usual_time(record))
 
-    def is_dead(self, record: ConnectionRecord, limit: AdaptiveTimeout = ENDING) -> bool:
+    def is_dead(self, record: ConnectionRecord, limit: AdaptiveTimeout = ABORT_TIMEOUT) -> bool:
         """Returns whether a connection with a call on it has gone silent for good."""
         wait = CallWait(
             now=self._now(),
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -32,7 +32,7 @@
 from larkpost.platform.connections import MIN_ADDRESSES_KEPT, make_session
 from larkpost.platform.dead_connection_rule import (
     ABANDONED,
-    ENDING,
+    ABORT_TIMEOUT,
     MAX_PAUSE_SECONDS,
     MIN_SILENCE_SECONDS,
     CallWait,
@@ -494,7 +494,7 @@
         `LATE_SECONDS`, unless calls alone take so long here that a connection is waited for longer:
         beside 14 busy processes they took 0.14 s, and the test failed in 2 of 30 runs.
         """
-        return max(LATE_SECONDS, ENDING.latency_factor * self.slowest + SLACK_SECONDS)
+        return max(LATE_SECONDS, ABORT_TIMEOUT.latency_factor * self.slowest + SLACK_SECONDS)
 
     async def ask(self) -> None:
         """Makes a request that may be repeated."""
@@ -625,10 +625,10 @@
 
     def test_limits_by_usual_time(self):
         for limit, usual, seconds in (
-            (ENDING, 0.0, 0.25),
-            (ENDING, 0.0625, 0.25),
-            (ENDING, 0.125, 0.5),
-            (ENDING, 1.0, 1.5),
+            (ABORT_TIMEOUT, 0.0, 0.25),
+            (ABORT_TIMEOUT, 0.0625, 0.25),
+            (ABORT_TIMEOUT, 0.125, 0.5),
+            (ABORT_TIMEOUT, 1.0, 1.5),
             (ABANDONED, 0.0, 0.08),
             (ABANDONED, 0.125, 0.25),
             (ABANDONED, 1.0, 1.5),
