--- a/src/larkpost/platform/dead_connection_rule.py
+++ b/src/larkpost/platform/dead_connection_rule.py
@@ -40,7 +40,7 @@
 
 ABORT_TIMEOUT = AdaptiveTimeout(MIN_SILENCE_SECONDS, 4.0)
 """Before a call is ended for it."""
-ABANDONED = AdaptiveTimeout(MIN_ABANDONED_SILENCE_SECONDS, 2.0)
+ABANDONED_CALL_TIMEOUT = AdaptiveTimeout(MIN_ABANDONED_SILENCE_SECONDS, 2.0)
 """For a call that is given up anyway, as another server's response came first, or its time is over:
 by a mistake only idle connections are lost."""
 
--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.metrics import Count, Metrics
 from larkpost.platform.dead_connection_rule import (
-    ABANDONED,
+    ABANDONED_CALL_TIMEOUT,
     ABORT_TIMEOUT,
     MAX_PAUSE_SECONDS,
     AdaptiveTimeout,
@@ -134,7 +134,7 @@
 
     def end_call(self, record: ConnectionRecord) -> None:
         """Records that a call ends, whole or not; after a long silence its address is suspect."""
-        if self.is_dead(record, ABANDONED):
+        if self.is_dead(record, ABANDONED_CALL_TIMEOUT):
             self.suspect(record)
         elif record.is_awaited and not record.hold_time:
             elapsed = self._now() - record.called_at
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -31,7 +31,7 @@
 from larkpost.gateway.store.port import RowKey, Transaction, WriteOutcome
 from larkpost.platform.connections import MIN_ADDRESSES_KEPT, make_session
 from larkpost.platform.dead_connection_rule import (
-    ABANDONED,
+    ABANDONED_CALL_TIMEOUT,
     ABORT_TIMEOUT,
     MAX_PAUSE_SECONDS,
     MIN_SILENCE_SECONDS,
@@ -629,9 +629,9 @@
             (ABORT_TIMEOUT, 0.0625, 0.25),
             (ABORT_TIMEOUT, 0.125, 0.5),
             (ABORT_TIMEOUT, 1.0, 1.5),
-            (ABANDONED, 0.0, 0.08),
-            (ABANDONED, 0.125, 0.25),
-            (ABANDONED, 1.0, 1.5),
+            (ABANDONED_CALL_TIMEOUT, 0.0, 0.08),
+            (ABANDONED_CALL_TIMEOUT, 0.125, 0.25),
+            (ABANDONED_CALL_TIMEOUT, 1.0, 1.5),
         ):
             self.assertEqual(seconds, limit.seconds(usual), (limit, usual))
 
