--- a/src/larkpost/platform/dead_connection_rule.py
+++ b/src/larkpost/platform/dead_connection_rule.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-MIN_SILENCE_SECONDS = 0.25
+MIN_ABORT_TIMEOUT_SECONDS = 0.25
 """No shorter silence ends a call: links lose packets, and what is lost is sent again within it."""
 MIN_ABANDONED_SILENCE_SECONDS = 0.08
 """The same for a call that is given up anyway: less than the 0.1 s after which a second server is
@@ -38,7 +38,7 @@
         return min(MAX_SILENCE_SECONDS, max(self.minimum, self.latency_factor * usual))
 
 
-ABORT_TIMEOUT = AdaptiveTimeout(MIN_SILENCE_SECONDS, 4.0)
+ABORT_TIMEOUT = AdaptiveTimeout(MIN_ABORT_TIMEOUT_SECONDS, 4.0)
 """Before a call is ended for it."""
 ABANDONED_CALL_TIMEOUT = AdaptiveTimeout(MIN_ABANDONED_SILENCE_SECONDS, 2.0)
 """For a call that is given up anyway, as another server's response came first, or its time is over:
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -34,7 +34,7 @@
     ABANDONED_CALL_TIMEOUT,
     ABORT_TIMEOUT,
     MAX_PAUSE_SECONDS,
-    MIN_SILENCE_SECONDS,
+    MIN_ABORT_TIMEOUT_SECONDS,
     CallWait,
     is_slowness,
     is_too_long,
@@ -65,7 +65,7 @@
 """A request that is not answered by then has failed."""
 SLACK_SECONDS = 0.4
 """What a busy machine adds to a time."""
-LATE_SECONDS = MIN_SILENCE_SECONDS + SLACK_SECONDS
+LATE_SECONDS = MIN_ABORT_TIMEOUT_SECONDS + SLACK_SECONDS
 """An answer to a call that met a silent connection is here by then."""
 SETTLING_CALLS = 40
 """Calls one after another, after which the time that many at once take is no longer the usual."""
@@ -172,7 +172,7 @@
 
     async def test_held_feed_that_nothing_changes_is_not_taken_for_silent(self):
         await self.open_connections(self.store)
-        await self.store.changes("table", 0, 3 * MIN_SILENCE_SECONDS)
+        await self.store.changes("table", 0, 3 * MIN_ABORT_TIMEOUT_SECONDS)
         self.assertEqual(3, self.link.connections)
         self.assertEqual(0.0, count_silences(self.metrics, Peer.STORE))
 
@@ -229,7 +229,7 @@
         now += 10 * FORGET_SECONDS
         detector.open(Address("10.0.0.2:1"))
         detector.begin_call(line, CallKind.REQUEST, 0.0)
-        self.assertGreater(detector.limit_of(line), MIN_SILENCE_SECONDS)
+        self.assertGreater(detector.limit_of(line), MIN_ABORT_TIMEOUT_SECONDS)
 
     async def test_connector_forgets_servers_to_which_no_connection_rests(self):
         async with make_session(DeadConnectionDetector(Peer.SERVER)) as session:
@@ -377,7 +377,7 @@
 
     async def test_connections_in_use_are_not_kept_once_they_are_free(self):
         await self.open_connections(2)
-        self.pages.events, self.pages.gap = 3, MIN_SILENCE_SECONDS
+        self.pages.events, self.pages.gap = 3, MIN_ABORT_TIMEOUT_SECONDS
         long = asyncio.create_task(self.ask(8))
         await asyncio.sleep(0.05)
         self.pages.events = 0
@@ -390,7 +390,7 @@
     async def test_slow_server_keeps_its_connections(self):
         """New ones are as slow, and a connection that has never answered shows nothing."""
         await self.open_connections()
-        self.pages.delay = 3 * MIN_SILENCE_SECONDS
+        self.pages.delay = 3 * MIN_ABORT_TIMEOUT_SECONDS
         for number in range(10, 15):
             await self.ask(number)
         self.assertLessEqual(self.pages.link.connections, 4)
@@ -398,7 +398,7 @@
 
     async def test_single_slow_request_beside_others_shows_nothing(self):
         await self.open_connections()
-        self.pages.delay = 3 * MIN_SILENCE_SECONDS
+        self.pages.delay = 3 * MIN_ABORT_TIMEOUT_SECONDS
         slow = asyncio.create_task(self.ask(9))
         await asyncio.sleep(0.05)
         self.pages.delay = 0.0
@@ -575,7 +575,7 @@
         line = self.open()
         self.call(line, 1.0, held=1.0)
         self.call(line, None)
-        self.time += MIN_SILENCE_SECONDS + 0.01
+        self.time += MIN_ABORT_TIMEOUT_SECONDS + 0.01
         self.assertTrue(self.detector.is_dead(line))
 
     def test_new_connection_that_never_answered_shows_nothing(self):
