--- a/src/larkpost/platform/dead_connection_rule.py
+++ b/src/larkpost/platform/dead_connection_rule.py
@@ -10,7 +10,7 @@
 
 MIN_ABORT_TIMEOUT_SECONDS = 0.25
 """No shorter silence ends a call: links lose packets, and what is lost is sent again within it."""
-MIN_ABANDONED_SILENCE_SECONDS = 0.08
+MIN_ABANDONED_TIMEOUT_SECONDS = 0.08
 """The same for a call that is given up anyway: less than the 0.1 s after which a second server is
 tried at the earliest, so that an overtaken call can show a silent connection."""
 MAX_SILENCE_SECONDS = 1.5
@@ -40,7 +40,7 @@
 
 ABORT_TIMEOUT = AdaptiveTimeout(MIN_ABORT_TIMEOUT_SECONDS, 4.0)
 """Before a call is ended for it."""
-ABANDONED_CALL_TIMEOUT = AdaptiveTimeout(MIN_ABANDONED_SILENCE_SECONDS, 2.0)
+ABANDONED_CALL_TIMEOUT = AdaptiveTimeout(MIN_ABANDONED_TIMEOUT_SECONDS, 2.0)
 """For a call that is given up anyway, as another server's response came first, or its time is over:
 by a mistake only idle connections are lost."""
 
