--- a/src/larkpost/platform/dead_connection_rule.py
+++ b/src/larkpost/platform/dead_connection_rule.py
@@ -13,7 +13,7 @@
 MIN_ABANDONED_TIMEOUT_SECONDS = 0.08
 """The same for a call that is given up anyway: less than the 0.1 s after which a second server is
 tried at the earliest, so that an overtaken call can show a silent connection."""
-MAX_SILENCE_SECONDS = 1.5
+MAX_RESPONSE_TIMEOUT_SECONDS = 1.5
 """However slow the calls to an address are, a longer silence counts. As long as the store's reading
 calls may take."""
 MAX_PAUSE_SECONDS = 1.0
@@ -35,7 +35,7 @@
 
     def seconds(self, usual: float) -> float:
         """Returns the limit of a call whose like usually takes ``usual`` seconds."""
-        return min(MAX_SILENCE_SECONDS, max(self.minimum, self.latency_factor * usual))
+        return min(MAX_RESPONSE_TIMEOUT_SECONDS, max(self.minimum, self.latency_factor * usual))
 
 
 ABORT_TIMEOUT = AdaptiveTimeout(MIN_ABORT_TIMEOUT_SECONDS, 4.0)
