--- a/src/larkpost/platform/dead_connection_rule.py
+++ b/src/larkpost/platform/dead_connection_rule.py
@@ -16,7 +16,7 @@
 MAX_RESPONSE_TIMEOUT_SECONDS = 1.5
 """However slow the calls to an address are, a longer silence counts. As long as the store's reading
 calls may take."""
-MAX_PAUSE_SECONDS = 1.0
+MAX_BODY_PAUSE_SECONDS = 1.0
 """A longer pause within a response counts as silence: engines that put a stream off make shorter
 pauses."""
 
--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -17,7 +17,7 @@
 from larkpost.platform.dead_connection_rule import (
     ABANDONED_CALL_TIMEOUT,
     ABORT_TIMEOUT,
-    MAX_PAUSE_SECONDS,
+    MAX_BODY_PAUSE_SECONDS,
     AdaptiveTimeout,
     CallWait,
     is_slowness,
@@ -148,7 +148,7 @@
         They count from when its call could have been answered at the earliest.
         """
         if not record.is_awaited:
-            return MAX_PAUSE_SECONDS
+            return MAX_BODY_PAUSE_SECONDS
         return limit.seconds(self._usual_time(record))
 
     def is_dead(self, record: ConnectionRecord, limit: AdaptiveTimeout = ABORT_TIMEOUT) -> bool:
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -33,7 +33,7 @@
 from larkpost.platform.dead_connection_rule import (
     ABANDONED_CALL_TIMEOUT,
     ABORT_TIMEOUT,
-    MAX_PAUSE_SECONDS,
+    MAX_BODY_PAUSE_SECONDS,
     MIN_ABORT_TIMEOUT_SECONDS,
     CallWait,
     is_slowness,
@@ -413,7 +413,7 @@
         self.pages.events, self.pages.gap = 20, 0.1
         seen = []
         with self.assertRaises(TimeoutError):
-            async with asyncio.timeout(MAX_PAUSE_SECONDS + 0.5) as limit:
+            async with asyncio.timeout(MAX_BODY_PAUSE_SECONDS + 0.5) as limit:
                 request = page_request(9, repeat=False)
                 async with self.servers.send(self.instance, request) as answer:
                     async for event in answer.events():
@@ -421,7 +421,7 @@
                         if event.id == 3:
                             self.pages.link.harm(LinkFault.OLD_SILENT)
                             now = asyncio.get_running_loop().time()
-                            limit.reschedule(now + MAX_PAUSE_SECONDS + 0.2)
+                            limit.reschedule(now + MAX_BODY_PAUSE_SECONDS + 0.2)
         self.assertEqual([1, 2, 3], seen)
         self.pages.events = 1
         async with asyncio.timeout(2 * SLACK_SECONDS):
