--- a/src/larkpost/platform/dead_connection_rule.py
+++ b/src/larkpost/platform/dead_connection_rule.py
@@ -65,7 +65,7 @@
     received_at: float | None
 
 
-def is_too_long(wait: CallWait) -> bool:
+def has_timed_out(wait: CallWait) -> bool:
     """Returns whether a connection that has brought bytes before has brought none for too long."""
     if wait.received_at is None:
         return False
