--- a/src/larkpost/platform/dead_connection_rule.py
+++ b/src/larkpost/platform/dead_connection_rule.py
@@ -72,7 +72,7 @@
     return wait.now - wait.since >= wait.limit + wait.hold_time
 
 
-def is_slowness(wait: CallWait, others_received_at: float | None) -> bool:
+def is_server_slow(wait: CallWait, others_received_at: float | None) -> bool:
     """Returns whether a wait that is too long shows a slow server rather than a silent connection.
 
     Args:
--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -21,7 +21,7 @@
     AdaptiveTimeout,
     CallWait,
     has_timed_out,
-    is_slowness,
+    is_server_slow,
 )
 
 USUAL_TIME_DECAY = 0.1
@@ -160,7 +160,7 @@
             hold_time=record.hold_time if record.is_awaited else 0.0,
             received_at=record.received_at,
         )
-        return has_timed_out(wait) and not is_slowness(wait, self._others_received_at(record))
+        return has_timed_out(wait) and not is_server_slow(wait, self._others_received_at(record))
 
     def is_proven(self, record: ConnectionRecord) -> bool:
         """Returns whether a connection opened since its call began has brought bytes."""
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -37,7 +37,7 @@
     MIN_ABORT_TIMEOUT_SECONDS,
     CallWait,
     has_timed_out,
-    is_slowness,
+    is_server_slow,
 )
 from larkpost.platform.dead_connections import (
     FORGET_SECONDS,
@@ -620,7 +620,7 @@
             ({"limit": 0.25}, 9.625, True, False),
         ):
             wait = replace(silent, **change)
-            found = (has_timed_out(wait), is_slowness(wait, others_received_at))
+            found = (has_timed_out(wait), is_server_slow(wait, others_received_at))
             self.assertEqual((too_long, slow), found, (change, others_received_at))
 
     def test_limits_by_usual_time(self):
