--- a/src/larkpost/platform/dead_connection_rule.py
+++ b/src/larkpost/platform/dead_connection_rule.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallWait:
+class PendingCall:
     """A call that waits for bytes on a connection.
 
     Attributes:
@@ -65,14 +65,14 @@
     received_at: float | None
 
 
-def has_timed_out(wait: CallWait) -> bool:
+def has_timed_out(wait: PendingCall) -> bool:
     """Returns whether a connection that has brought bytes before has brought none for too long."""
     if wait.received_at is None:
         return False
     return wait.now - wait.since >= wait.limit + wait.hold_time
 
 
-def is_server_slow(wait: CallWait, others_received_at: float | None) -> bool:
+def is_server_slow(wait: PendingCall, others_received_at: float | None) -> bool:
     """Returns whether a wait that is too long shows a slow server rather than a silent connection.
 
     Args:
--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -19,7 +19,7 @@
     ABORT_TIMEOUT,
     MAX_BODY_PAUSE_SECONDS,
     AdaptiveTimeout,
-    CallWait,
+    PendingCall,
     has_timed_out,
     is_server_slow,
 )
@@ -153,7 +153,7 @@
 
     def is_dead(self, record: ConnectionRecord, limit: AdaptiveTimeout = ABORT_TIMEOUT) -> bool:
         """Returns whether a connection with a call on it has gone silent for good."""
-        wait = CallWait(
+        wait = PendingCall(
             now=self._now(),
             since=record.waiting_since(),
             limit=self.limit_of(record, limit),
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -35,7 +35,7 @@
     ABORT_TIMEOUT,
     MAX_BODY_PAUSE_SECONDS,
     MIN_ABORT_TIMEOUT_SECONDS,
-    CallWait,
+    PendingCall,
     has_timed_out,
     is_server_slow,
 )
@@ -605,7 +605,7 @@
 
     def test_rule_by_cases(self):
         """Each case changes one input of a wait that is too long and shows a silent connection."""
-        silent = CallWait(now=10.0, since=9.0, limit=0.5, hold_time=0.25, received_at=8.0)
+        silent = PendingCall(now=10.0, since=9.0, limit=0.5, hold_time=0.25, received_at=8.0)
         for change, others_received_at, too_long, slow in (
             ({}, None, True, False),
             ({"received_at": None}, None, False, False),
