--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -142,7 +142,7 @@
                 self._learn(record, elapsed)
         record.is_awaited = False
 
-    def limit_of(self, record: ConnectionRecord, limit: AdaptiveTimeout = ABORT_TIMEOUT) -> float:
+    def timeout_of(self, record: ConnectionRecord, limit: AdaptiveTimeout = ABORT_TIMEOUT) -> float:
         """Returns the seconds without a byte after which a connection may be silent for good.
 
         They count from when its call could have been answered at the earliest.
@@ -156,7 +156,7 @@
         wait = PendingCall(
             now=self._now(),
             since=record.waiting_since(),
-            limit=self.limit_of(record, limit),
+            limit=self.timeout_of(record, limit),
             hold_time=record.hold_time if record.is_awaited else 0.0,
             received_at=record.received_at,
         )
@@ -184,7 +184,7 @@
                 to=self._peer,
                 address=record.address,
                 silent=round(now - record.waiting_since(), 3),
-                patience=round(self.limit_of(record), 3),
+                patience=round(self.timeout_of(record), 3),
                 open=len(self._records.get(record.address, ())),
             )
 
--- a/src/larkpost/platform/watched_connection.py
+++ b/src/larkpost/platform/watched_connection.py
@@ -75,7 +75,7 @@
         self._detector.begin_call(self.record, limits.kind, limits.hold_time)
         self._prove, self._proof_until = limits.prove, None
         if limits.ends_if_silent and self.record.received_at is not None:
-            self._check_later(limits.hold_time + self._detector.limit_of(self.record))
+            self._check_later(limits.hold_time + self._detector.timeout_of(self.record))
 
     def end_call(self) -> None:
         """Records that a call has ended, or was given up."""
@@ -107,7 +107,7 @@
     def _check(self) -> None:
         """Breaks the call off if its connection is silent for good."""
         if not self._detector.is_dead(self.record):
-            self._check_later(self._detector.limit_of(self.record))
+            self._check_later(self._detector.timeout_of(self.record))
             return
         self._detector.suspect(self.record)
         if self._waits_for_proof():
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -229,7 +229,7 @@
         now += 10 * FORGET_SECONDS
         detector.open(Address("10.0.0.2:1"))
         detector.begin_call(line, CallKind.REQUEST, 0.0)
-        self.assertGreater(detector.limit_of(line), MIN_ABORT_TIMEOUT_SECONDS)
+        self.assertGreater(detector.timeout_of(line), MIN_ABORT_TIMEOUT_SECONDS)
 
     async def test_connector_forgets_servers_to_which_no_connection_rests(self):
         async with make_session(DeadConnectionDetector(Peer.SERVER)) as session:
