--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -95,7 +95,7 @@
         self._log = log
         self._now = now
         self._records: dict[Address, set[ConnectionRecord]] = {}
-        self._usual_times: dict[tuple[Address, CallKind], float] = {}
+        self._typical_latencies: dict[tuple[Address, CallKind], float] = {}
         self._suspected_at: dict[Address, float] = {}
         self._left_at: dict[Address, float] = {}
         """When the last connection to each address without one was closed, in that order."""
@@ -210,14 +210,14 @@
             del self._left_at[address]
             self._suspected_at.pop(address, None)
             for kind in CallKind:
-                self._usual_times.pop((address, kind), None)
+                self._typical_latencies.pop((address, kind), None)
 
     def _usual_time(self, record: ConnectionRecord) -> float:
         """Returns what calls like a connection's last usually take; 0 if nothing is known."""
-        return self._usual_times.get((record.address, record.kind), 0.0)
+        return self._typical_latencies.get((record.address, record.kind), 0.0)
 
     def _learn(self, record: ConnectionRecord, seconds: float) -> None:
         usual = self._usual_time(record)
         if seconds < usual:
             seconds = usual + USUAL_TIME_DECAY * (seconds - usual)
-        self._usual_times[(record.address, record.kind)] = seconds
+        self._typical_latencies[(record.address, record.kind)] = seconds
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -215,7 +215,7 @@
             detector.record_bytes(line)
             detector.suspect(line)
             detector.close(line)
-        for kept in (detector._usual_times, detector._suspected_at, detector._left_at):
+        for kept in (detector._typical_latencies, detector._suspected_at, detector._left_at):
             self.assertLessEqual(len(kept), FORGET_SECONDS + 1)
 
     def test_address_with_a_connection_is_remembered(self):
