--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -138,7 +138,7 @@
             self.suspect(record)
         elif record.is_awaited and not record.hold_time:
             elapsed = self._now() - record.called_at
-            if elapsed > self._usual_time(record):
+            if elapsed > self._typical_latency(record):
                 self._learn(record, elapsed)
         record.is_awaited = False
 
@@ -149,7 +149,7 @@
         """
         if not record.is_awaited:
             return MAX_BODY_PAUSE_SECONDS
-        return limit.seconds(self._usual_time(record))
+        return limit.seconds(self._typical_latency(record))
 
     def is_dead(self, record: ConnectionRecord, limit: AdaptiveTimeout = ABORT_TIMEOUT) -> bool:
         """Returns whether a connection with a call on it has gone silent for good."""
@@ -212,12 +212,12 @@
             for kind in CallKind:
                 self._typical_latencies.pop((address, kind), None)
 
-    def _usual_time(self, record: ConnectionRecord) -> float:
+    def _typical_latency(self, record: ConnectionRecord) -> float:
         """Returns what calls like a connection's last usually take; 0 if nothing is known."""
         return self._typical_latencies.get((record.address, record.kind), 0.0)
 
     def _learn(self, record: ConnectionRecord, seconds: float) -> None:
-        usual = self._usual_time(record)
+        usual = self._typical_latency(record)
         if seconds < usual:
             seconds = usual + USUAL_TIME_DECAY * (seconds - usual)
         self._typical_latencies[(record.address, record.kind)] = seconds
