--- a/src/larkpost/platform/dead_connection_rule.py
+++ b/src/larkpost/platform/dead_connection_rule.py
@@ -33,9 +33,11 @@
     minimum: float
     latency_factor: float
 
-    def seconds(self, usual: float) -> float:
+    def seconds(self, typical_latency: float) -> float:
         """Returns the limit of a call whose like usually takes ``usual`` seconds."""
-        return min(MAX_RESPONSE_TIMEOUT_SECONDS, max(self.minimum, self.latency_factor * usual))
+        return min(
+            MAX_RESPONSE_TIMEOUT_SECONDS, max(self.minimum, self.latency_factor * typical_latency)
+        )
 
 
 ABORT_TIMEOUT = AdaptiveTimeout(MIN_ABORT_TIMEOUT_SECONDS, 4.0)
