--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -130,7 +130,7 @@
         if record.is_awaited:
             record.is_awaited = False
             if not record.hold_time:
-                self._learn(record, record.received_at - record.called_at)
+                self._record_latency(record, record.received_at - record.called_at)
 
     def end_call(self, record: ConnectionRecord) -> None:
         """Records that a call ends, whole or not; after a long silence its address is suspect."""
@@ -139,7 +139,7 @@
         elif record.is_awaited and not record.hold_time:
             elapsed = self._now() - record.called_at
             if elapsed > self._typical_latency(record):
-                self._learn(record, elapsed)
+                self._record_latency(record, elapsed)
         record.is_awaited = False
 
     def timeout_of(self, record: ConnectionRecord, limit: AdaptiveTimeout = ABORT_TIMEOUT) -> float:
@@ -216,7 +216,7 @@
         """Returns what calls like a connection's last usually take; 0 if nothing is known."""
         return self._typical_latencies.get((record.address, record.kind), 0.0)
 
-    def _learn(self, record: ConnectionRecord, seconds: float) -> None:
+    def _record_latency(self, record: ConnectionRecord, seconds: float) -> None:
         usual = self._typical_latency(record)
         if seconds < usual:
             seconds = usual + USUAL_TIME_DECAY * (seconds - usual)
