--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -24,7 +24,7 @@
     is_server_slow,
 )
 
-USUAL_TIME_DECAY = 0.1
+LATENCY_DECAY = 0.1
 """Share by which the usual time of an address nears that of a quicker call; it rises at once."""
 SUSPICION_PAUSE_SECONDS = 2.0
 """After a suspicion, before connections opened since may be suspected as well: a server that is
@@ -219,5 +219,5 @@
     def _record_latency(self, record: ConnectionRecord, seconds: float) -> None:
         usual = self._typical_latency(record)
         if seconds < usual:
-            seconds = usual + USUAL_TIME_DECAY * (seconds - usual)
+            seconds = usual + LATENCY_DECAY * (seconds - usual)
         self._typical_latencies[(record.address, record.kind)] = seconds
