--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -26,7 +26,7 @@
 
 LATENCY_DECAY = 0.1
 """Share by which the usual time of an address nears that of a quicker call; it rises at once."""
-SUSPICION_PAUSE_SECONDS = 2.0
+SUSPECT_COOLDOWN_SECONDS = 2.0
 """After a suspicion, before connections opened since may be suspected as well: a server that is
 slow now and then does not have its connections closed again and again."""
 FORGET_SECONDS = 60.0
@@ -173,7 +173,7 @@
         """Trusts no connection to an address any more that is open now."""
         now = self._now()
         suspected_at = self._suspected_at.get(record.address, float("-inf"))
-        if now - suspected_at < SUSPICION_PAUSE_SECONDS or record.opened_at < suspected_at:
+        if now - suspected_at < SUSPECT_COOLDOWN_SECONDS or record.opened_at < suspected_at:
             return
         self._suspected_at[record.address] = now
         if self._metrics is not None:
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -41,7 +41,7 @@
 )
 from larkpost.platform.dead_connections import (
     FORGET_SECONDS,
-    SUSPICION_PAUSE_SECONDS,
+    SUSPECT_COOLDOWN_SECONDS,
     CallKind,
     DeadConnectionDetector,
     Peer,
@@ -599,7 +599,7 @@
         young = self.open()
         self.detector.suspect(young)
         self.assertEqual((True, False), tuple(map(self.detector.is_suspect, (old, young))))
-        self.time += SUSPICION_PAUSE_SECONDS
+        self.time += SUSPECT_COOLDOWN_SECONDS
         self.detector.suspect(young)
         self.assertTrue(self.detector.is_suspect(young))
 
