--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -29,7 +29,7 @@
 SUSPECT_COOLDOWN_SECONDS = 2.0
 """After a suspicion, before connections opened since may be suspected as well: a server that is
 slow now and then does not have its connections closed again and again."""
-FORGET_SECONDS = 60.0
+ADDRESS_RETENTION_SECONDS = 60.0
 """How long an address without connections is remembered: servers come back at new ones."""
 
 
@@ -202,7 +202,7 @@
         return max(times, default=None)
 
     def _forget_old(self) -> None:
-        oldest = self._now() - FORGET_SECONDS
+        oldest = self._now() - ADDRESS_RETENTION_SECONDS
         while self._left_at:
             address, left_at = next(iter(self._left_at.items()))
             if left_at > oldest:
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -40,7 +40,7 @@
     is_server_slow,
 )
 from larkpost.platform.dead_connections import (
-    FORGET_SECONDS,
+    ADDRESS_RETENTION_SECONDS,
     SUSPECT_COOLDOWN_SECONDS,
     CallKind,
     DeadConnectionDetector,
@@ -216,7 +216,7 @@
             detector.suspect(line)
             detector.close(line)
         for kept in (detector._typical_latencies, detector._suspected_at, detector._left_at):
-            self.assertLessEqual(len(kept), FORGET_SECONDS + 1)
+            self.assertLessEqual(len(kept), ADDRESS_RETENTION_SECONDS + 1)
 
     def test_address_with_a_connection_is_remembered(self):
         now = 0.0
@@ -226,7 +226,7 @@
         detector.begin_call(line, CallKind.REQUEST, 0.0)
         now = 0.3
         detector.record_bytes(line)
-        now += 10 * FORGET_SECONDS
+        now += 10 * ADDRESS_RETENTION_SECONDS
         detector.open(Address("10.0.0.2:1"))
         detector.begin_call(line, CallKind.REQUEST, 0.0)
         self.assertGreater(detector.timeout_of(line), MIN_ABORT_TIMEOUT_SECONDS)
