--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -135,7 +135,7 @@
     def end_call(self, record: ConnectionRecord) -> None:
         """Records that a call ends, whole or not; after a long silence its address is suspect."""
         if self.is_dead(record, ABANDONED_CALL_TIMEOUT):
-            self.suspect(record)
+            self.mark_suspect(record)
         elif record.is_awaited and not record.hold_time:
             elapsed = self._now() - record.called_at
             if elapsed > self._typical_latency(record):
@@ -169,7 +169,7 @@
             for other in self._records.get(record.address, ())
         )
 
-    def suspect(self, record: ConnectionRecord) -> None:
+    def mark_suspect(self, record: ConnectionRecord) -> None:
         """Trusts no connection to an address any more that is open now."""
         now = self._now()
         suspected_at = self._suspected_at.get(record.address, float("-inf"))
--- a/src/larkpost/platform/watched_connection.py
+++ b/src/larkpost/platform/watched_connection.py
@@ -109,7 +109,7 @@
         if not self._detector.is_dead(self.record):
             self._check_later(self._detector.timeout_of(self.record))
             return
-        self._detector.suspect(self.record)
+        self._detector.mark_suspect(self.record)
         if self._waits_for_proof():
             self._check_later(PROOF_POLL_SECONDS)
             return
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -213,7 +213,7 @@
             line = detector.open(Address(f"10.0.0.1:{number}"))
             detector.begin_call(line, CallKind.REQUEST, 0.0)
             detector.record_bytes(line)
-            detector.suspect(line)
+            detector.mark_suspect(line)
             detector.close(line)
         for kept in (detector._typical_latencies, detector._suspected_at, detector._left_at):
             self.assertLessEqual(len(kept), ADDRESS_RETENTION_SECONDS + 1)
@@ -383,7 +383,7 @@
         self.pages.events = 0
         detector = self.servers._kept.connector._silences
         lines = detector._records[self.instance.address]
-        detector.suspect(next(iter(lines)))
+        detector.mark_suspect(next(iter(lines)))
         await long
         self.assertFalse(self.servers.is_connected(self.instance))
 
@@ -594,13 +594,13 @@
 
     def test_connections_opened_since_are_trusted_for_a_while(self):
         old = self.open()
-        self.detector.suspect(old)
+        self.detector.mark_suspect(old)
         self.time += 0.1
         young = self.open()
-        self.detector.suspect(young)
+        self.detector.mark_suspect(young)
         self.assertEqual((True, False), tuple(map(self.detector.is_suspect, (old, young))))
         self.time += SUSPECT_COOLDOWN_SECONDS
-        self.detector.suspect(young)
+        self.detector.mark_suspect(young)
         self.assertTrue(self.detector.is_suspect(young))
 
     def test_rule_by_cases(self):
