--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -66,7 +66,7 @@
     called_at: float = 0.0
     kind: CallKind = CallKind.REQUEST
     hold_time: float = 0.0
-    is_awaited: bool = False
+    awaits_response: bool = False
 
     def waiting_since(self) -> float:
         """Returns since when a call has waited for bytes."""
@@ -122,13 +122,13 @@
         record.called_at = self._now()
         record.kind = kind
         record.hold_time = hold_time
-        record.is_awaited = True
+        record.awaits_response = True
 
     def record_bytes(self, record: ConnectionRecord) -> None:
         """Records that a connection has brought bytes."""
         record.received_at = self._now()
-        if record.is_awaited:
-            record.is_awaited = False
+        if record.awaits_response:
+            record.awaits_response = False
             if not record.hold_time:
                 self._record_latency(record, record.received_at - record.called_at)
 
@@ -136,18 +136,18 @@
         """Records that a call ends, whole or not; after a long silence its address is suspect."""
         if self.is_dead(record, ABANDONED_CALL_TIMEOUT):
             self.mark_suspect(record)
-        elif record.is_awaited and not record.hold_time:
+        elif record.awaits_response and not record.hold_time:
             elapsed = self._now() - record.called_at
             if elapsed > self._typical_latency(record):
                 self._record_latency(record, elapsed)
-        record.is_awaited = False
+        record.awaits_response = False
 
     def timeout_of(self, record: ConnectionRecord, limit: AdaptiveTimeout = ABORT_TIMEOUT) -> float:
         """Returns the seconds without a byte after which a connection may be silent for good.
 
         They count from when its call could have been answered at the earliest.
         """
-        if not record.is_awaited:
+        if not record.awaits_response:
             return MAX_BODY_PAUSE_SECONDS
         return limit.seconds(self._typical_latency(record))
 
@@ -157,7 +157,7 @@
             now=self._now(),
             since=record.waiting_since(),
             limit=self.timeout_of(record, limit),
-            hold_time=record.hold_time if record.is_awaited else 0.0,
+            hold_time=record.hold_time if record.awaits_response else 0.0,
             received_at=record.received_at,
         )
         return has_timed_out(wait) and not is_server_slow(wait, self._others_received_at(record))
