--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -63,14 +63,14 @@
     address: Address
     opened_at: float
     received_at: float | None = None
-    called_at: float = 0.0
+    call_started_at: float = 0.0
     kind: CallKind = CallKind.REQUEST
     hold_time: float = 0.0
     awaits_response: bool = False
 
     def waiting_since(self) -> float:
         """Returns since when a call has waited for bytes."""
-        return max(self.called_at, self.received_at or 0.0)
+        return max(self.call_started_at, self.received_at or 0.0)
 
 
 class DeadConnectionDetector:
@@ -119,7 +119,7 @@
 
     def begin_call(self, record: ConnectionRecord, kind: CallKind, hold_time: float) -> None:
         """Records that a call begins on a connection."""
-        record.called_at = self._now()
+        record.call_started_at = self._now()
         record.kind = kind
         record.hold_time = hold_time
         record.awaits_response = True
@@ -130,14 +130,14 @@
         if record.awaits_response:
             record.awaits_response = False
             if not record.hold_time:
-                self._record_latency(record, record.received_at - record.called_at)
+                self._record_latency(record, record.received_at - record.call_started_at)
 
     def end_call(self, record: ConnectionRecord) -> None:
         """Records that a call ends, whole or not; after a long silence its address is suspect."""
         if self.is_dead(record, ABANDONED_CALL_TIMEOUT):
             self.mark_suspect(record)
         elif record.awaits_response and not record.hold_time:
-            elapsed = self._now() - record.called_at
+            elapsed = self._now() - record.call_started_at
             if elapsed > self._typical_latency(record):
                 self._record_latency(record, elapsed)
         record.awaits_response = False
@@ -165,7 +165,7 @@
     def is_proven(self, record: ConnectionRecord) -> bool:
         """Returns whether a connection opened since its call began has brought bytes."""
         return any(
-            other.received_at is not None and other.opened_at > record.called_at
+            other.received_at is not None and other.opened_at > record.call_started_at
             for other in self._records.get(record.address, ())
         )
 
@@ -197,7 +197,7 @@
         times = (
             other.received_at
             for other in self._records.get(record.address, ())
-            if other.opened_at < record.called_at and other.received_at is not None
+            if other.opened_at < record.call_started_at and other.received_at is not None
         )
         return max(times, default=None)
 
