--- a/src/larkpost/platform/assembly.py
+++ b/src/larkpost/platform/assembly.py
@@ -17,7 +17,7 @@
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.store.relay import RelayedStore
 from larkpost.platform import instance_rows, names, operator
-from larkpost.platform.dead_connections import Peer
+from larkpost.platform.dead_connections import UpstreamKind
 from larkpost.platform.descriptors import DescriptorGuard
 from larkpost.platform.duties import HttpDuties
 from larkpost.platform.http_protocol import Listener
@@ -68,7 +68,7 @@
     store = HttpStore(settings.store, settings.row_bytes, metrics, log)
 
     def open_peer(address: Address) -> HttpStore:
-        return HttpStore(address, settings.row_bytes, metrics, log, Peer.PEER)
+        return HttpStore(address, settings.row_bytes, metrics, log, UpstreamKind.PEER)
 
     return Clients(
         store=store,
--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -33,7 +33,7 @@
 """How long an address without connections is remembered: servers come back at new ones."""
 
 
-class Peer(StrEnum):
+class UpstreamKind(StrEnum):
     """What connections lead to; the label of their counter."""
 
     STORE = "store"
@@ -85,7 +85,7 @@
 
     def __init__(
         self,
-        peer: Peer,
+        peer: UpstreamKind,
         metrics: Metrics | None = None,
         log: EventLog | None = None,
         now: Callable[[], float] = steady_seconds,
--- a/src/larkpost/platform/duties.py
+++ b/src/larkpost/platform/duties.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.usage.port import ReportOutcome, UsageReport
 from larkpost.platform import names
 from larkpost.platform.connections import make_session
-from larkpost.platform.dead_connections import DeadConnectionDetector, Peer
+from larkpost.platform.dead_connections import DeadConnectionDetector, UpstreamKind
 
 CALL_FAILURES = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
 """Everything a call may end with besides a response."""
@@ -45,7 +45,7 @@
 
     def __init__(self, address: Address) -> None:
         self._base = f"http://{address}"
-        self._session = make_session(DeadConnectionDetector(Peer.STORE))
+        self._session = make_session(DeadConnectionDetector(UpstreamKind.STORE))
 
     def use_address(self, address: Address) -> None:
         """Uses another address for all later calls."""
--- a/src/larkpost/platform/servers.py
+++ b/src/larkpost/platform/servers.py
@@ -27,7 +27,7 @@
     VersionOrder,
 )
 from larkpost.platform.connections import make_session
-from larkpost.platform.dead_connections import DeadConnectionDetector, Peer
+from larkpost.platform.dead_connections import DeadConnectionDetector, UpstreamKind
 from larkpost.platform.server_control import ControlCalls
 from larkpost.platform.server_refusals import check_ran, read_refusal
 from larkpost.platform.server_requests import send_once
@@ -52,7 +52,7 @@
     """
 
     def __init__(self, metrics: Metrics | None = None, log: EventLog | None = None) -> None:
-        detector = DeadConnectionDetector(Peer.SERVER, metrics, log)
+        detector = DeadConnectionDetector(UpstreamKind.SERVER, metrics, log)
         self._kept = make_session(detector)
         self._fresh = make_session(detector, keep=False)
         self._control = ControlCalls(self._kept)
--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -28,7 +28,7 @@
 )
 from larkpost.platform import names
 from larkpost.platform.connections import make_session
-from larkpost.platform.dead_connections import DeadConnectionDetector, Peer
+from larkpost.platform.dead_connections import DeadConnectionDetector, UpstreamKind
 from larkpost.platform.store_clock import StoreClock
 from larkpost.platform.store_documents import (
     HISTORY_LOST,
@@ -105,7 +105,7 @@
         row_bytes: int,
         metrics: Metrics | None = None,
         log: EventLog | None = None,
-        peer: Peer = Peer.STORE,
+        peer: UpstreamKind = UpstreamKind.STORE,
     ) -> None:
         self.row_bytes = row_bytes
         self._base = f"http://{address}"
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -44,7 +44,7 @@
     SUSPECT_COOLDOWN_SECONDS,
     CallKind,
     DeadConnectionDetector,
-    Peer,
+    UpstreamKind,
 )
 from larkpost.platform.http_protocol import Listener
 from larkpost.platform.peer_store import PeerStoreApp
@@ -83,7 +83,7 @@
         self.lines.append((event, fields))
 
 
-def count_silences(metrics: Metrics, peer: Peer) -> float:
+def count_silences(metrics: Metrics, peer: UpstreamKind) -> float:
     """Returns how often connections of a kind were taken for silent."""
     name = Count.SILENT_CONNECTIONS.value
     return metrics.registry.get_sample_value(name, {"to": peer}) or 0.0
@@ -100,7 +100,9 @@
         self.metrics = Metrics()
         self.store = HttpStore(self.link.address, ROW_BYTES, self.metrics)
         helper = HttpStore(store_address, ROW_BYTES)
-        self.by_peer = HttpStore(self.peer_link.address, ROW_BYTES, self.metrics, None, Peer.PEER)
+        self.by_peer = HttpStore(
+            self.peer_link.address, ROW_BYTES, self.metrics, None, UpstreamKind.PEER
+        )
         for part in (
             HttpServer(StoreApp(self.memory, clock).app(), store_address),
             HttpServer(PeerStoreApp(helper), peer_address),
@@ -124,7 +126,7 @@
             result = await self.store.write(CHANGE, 1.5)
         self.assertIs(WriteOutcome.UNKNOWN, result.outcome)
         self.assertEqual({}, self.memory.rows)
-        self.assertEqual(1.0, count_silences(self.metrics, Peer.STORE))
+        self.assertEqual(1.0, count_silences(self.metrics, UpstreamKind.STORE))
 
     async def test_write_to_a_store_that_turns_slow_is_answered(self):
         """All its answers come late, also those on new connections."""
@@ -168,13 +170,13 @@
         self.link.harm(LinkFault.OLD_SILENT)
         async with asyncio.timeout(2 * wait + LATE_SECONDS):
             await feed
-        self.assertEqual(1.0, count_silences(self.metrics, Peer.STORE))
+        self.assertEqual(1.0, count_silences(self.metrics, UpstreamKind.STORE))
 
     async def test_held_feed_that_nothing_changes_is_not_taken_for_silent(self):
         await self.open_connections(self.store)
         await self.store.changes("table", 0, 3 * MIN_ABORT_TIMEOUT_SECONDS)
         self.assertEqual(3, self.link.connections)
-        self.assertEqual(0.0, count_silences(self.metrics, Peer.STORE))
+        self.assertEqual(0.0, count_silences(self.metrics, UpstreamKind.STORE))
 
     async def test_peer_is_reached_on_a_new_connection(self):
         await self.open_connections(self.by_peer)
@@ -182,14 +184,14 @@
         async with asyncio.timeout(LATE_SECONDS):
             await self.by_peer.read("table", "part")
         self.assertEqual(4, self.peer_link.connections)
-        self.assertEqual(1.0, count_silences(self.metrics, Peer.PEER))
+        self.assertEqual(1.0, count_silences(self.metrics, UpstreamKind.PEER))
 
     async def test_many_calls_at_once_open_no_more_connections_than_they_need(self):
         await self.open_connections(self.store)
         self.link.harm(LinkFault.OLD_SILENT)
         await self.open_connections(self.store)
         self.assertEqual(6, self.link.connections)
-        self.assertEqual(1.0, count_silences(self.metrics, Peer.STORE))
+        self.assertEqual(1.0, count_silences(self.metrics, UpstreamKind.STORE))
 
     async def test_store_that_is_gone_is_not_tried_for_longer_than_before(self):
         await self.open_connections(self.store)
@@ -199,7 +201,7 @@
         async with asyncio.timeout(READ_TIMEOUT_SECONDS + SLACK_SECONDS):
             result = await self.store.write(CHANGE, 0.5)
         self.assertIs(WriteOutcome.UNKNOWN, result.outcome)
-        self.assertEqual(1.0, count_silences(self.metrics, Peer.STORE))
+        self.assertEqual(1.0, count_silences(self.metrics, UpstreamKind.STORE))
 
 
 class MemoryTest(unittest.IsolatedAsyncioTestCase):
@@ -207,7 +209,7 @@
 
     def test_addresses_without_connections_are_forgotten_after_a_while(self):
         now = 0.0
-        detector = DeadConnectionDetector(Peer.SERVER, now=lambda: now)
+        detector = DeadConnectionDetector(UpstreamKind.SERVER, now=lambda: now)
         for number in range(500):
             now += 1.0
             line = detector.open(Address(f"10.0.0.1:{number}"))
@@ -220,7 +222,7 @@
 
     def test_address_with_a_connection_is_remembered(self):
         now = 0.0
-        detector = DeadConnectionDetector(Peer.SERVER, now=lambda: now)
+        detector = DeadConnectionDetector(UpstreamKind.SERVER, now=lambda: now)
         line = detector.open(ADDRESS)
         detector.close(detector.open(ADDRESS))
         detector.begin_call(line, CallKind.REQUEST, 0.0)
@@ -232,7 +234,7 @@
         self.assertGreater(detector.timeout_of(line), MIN_ABORT_TIMEOUT_SECONDS)
 
     async def test_connector_forgets_servers_to_which_no_connection_rests(self):
-        async with make_session(DeadConnectionDetector(Peer.SERVER)) as session:
+        async with make_session(DeadConnectionDetector(UpstreamKind.SERVER)) as session:
             for number in range(3 * MIN_ADDRESSES_KEPT):
                 server = Address(f"10.0.0.1:{number}")
                 key = ConnectionKey("10.0.0.1", number, False, True, None, None, None)
@@ -373,7 +375,7 @@
             async with asyncio.timeout(0.03):
                 await self.ask(9)
         self.assertTrue(self.servers.is_connected(self.instance))
-        self.assertEqual(0.0, count_silences(self.metrics, Peer.SERVER))
+        self.assertEqual(0.0, count_silences(self.metrics, UpstreamKind.SERVER))
 
     async def test_connections_in_use_are_not_kept_once_they_are_free(self):
         await self.open_connections(2)
@@ -394,7 +396,7 @@
         for number in range(10, 15):
             await self.ask(number)
         self.assertLessEqual(self.pages.link.connections, 4)
-        self.assertLessEqual(count_silences(self.metrics, Peer.SERVER), 1.0)
+        self.assertLessEqual(count_silences(self.metrics, UpstreamKind.SERVER), 1.0)
 
     async def test_single_slow_request_beside_others_shows_nothing(self):
         await self.open_connections()
@@ -406,7 +408,7 @@
             await self.ask(10)
             await asyncio.sleep(0.02)
         self.assertEqual(3, self.pages.link.connections)
-        self.assertEqual(0.0, count_silences(self.metrics, Peer.SERVER))
+        self.assertEqual(0.0, count_silences(self.metrics, UpstreamKind.SERVER))
 
     async def test_stream_that_falls_silent_midway_goes_on_over_a_new_connection(self):
         await self.open_connections()
@@ -447,7 +449,7 @@
         self.pages.delay = 0.0
         self.pages.link.harm(LinkFault.OLD_SILENT)
         self.assertIsNone(await self.servers.report(self.instance, 0.4))
-        self.assertEqual(1.0, count_silences(self.metrics, Peer.SERVER))
+        self.assertEqual(1.0, count_silences(self.metrics, UpstreamKind.SERVER))
 
 
 class ForwardedTest(unittest.IsolatedAsyncioTestCase):
@@ -539,7 +541,7 @@
 
     def setUp(self):
         self.time = 100.0
-        self.detector = DeadConnectionDetector(Peer.SERVER, now=lambda: self.time)
+        self.detector = DeadConnectionDetector(UpstreamKind.SERVER, now=lambda: self.time)
 
     def open(self):
         """Returns a connection that has answered a call."""
