--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -162,7 +162,7 @@
         )
         return has_timed_out(wait) and not is_server_slow(wait, self._others_received_at(record))
 
-    def is_proven(self, record: ConnectionRecord) -> bool:
+    def is_newer_connection_alive(self, record: ConnectionRecord) -> bool:
         """Returns whether a connection opened since its call began has brought bytes."""
         return any(
             other.received_at is not None and other.opened_at > record.call_started_at
--- a/src/larkpost/platform/watched_connection.py
+++ b/src/larkpost/platform/watched_connection.py
@@ -123,7 +123,10 @@
         if self._proof_until is None:
             self._proof_until = self._loop.time() + PROOF_SECONDS
             self._prove()
-        return self._loop.time() < self._proof_until and not self._detector.is_proven(self.record)
+        return (
+            self._loop.time() < self._proof_until
+            and not self._detector.is_newer_connection_alive(self.record)
+        )
 
     def _stop_watch(self) -> None:
         if self._watch is not None:
