--- a/src/larkpost/platform/watched_connection.py
+++ b/src/larkpost/platform/watched_connection.py
@@ -48,7 +48,7 @@
     kind: CallKind = CallKind.REQUEST
     hold_time: float = 0.0
     ends_if_silent: bool = False
-    prove: Callable[[], None] | None = None
+    start_probe: Callable[[], None] | None = None
     is_sent_once: bool = False
     connections: list[int] = attrs.field(factory=lambda: [0], eq=False)
 
@@ -73,7 +73,7 @@
         if self.record is None:
             self.record = self._detector.open(address)
         self._detector.begin_call(self.record, limits.kind, limits.hold_time)
-        self._prove, self._proof_until = limits.prove, None
+        self._prove, self._proof_until = limits.start_probe, None
         if limits.ends_if_silent and self.record.received_at is not None:
             self._check_later(limits.hold_time + self._detector.timeout_of(self.record))
 
