--- a/src/larkpost/platform/watched_connection.py
+++ b/src/larkpost/platform/watched_connection.py
@@ -65,7 +65,7 @@
         self._detector = detector
         self._watch: asyncio.TimerHandle | None = None
         self._start_probe: Callable[[], None] | None = None
-        self._proof_until: float | None = None
+        self._probe_until: float | None = None
         self.record: ConnectionRecord | None = None
 
     def begin_call(self, address: Address, limits: CallLimits) -> None:
@@ -73,7 +73,7 @@
         if self.record is None:
             self.record = self._detector.open(address)
         self._detector.begin_call(self.record, limits.kind, limits.hold_time)
-        self._start_probe, self._proof_until = limits.start_probe, None
+        self._start_probe, self._probe_until = limits.start_probe, None
         if limits.ends_if_silent and self.record.received_at is not None:
             self._check_later(limits.hold_time + self._detector.timeout_of(self.record))
 
@@ -120,11 +120,11 @@
         """Returns whether a new connection may yet prove this one silent; asks for that once."""
         if self._start_probe is None:
             return False
-        if self._proof_until is None:
-            self._proof_until = self._loop.time() + PROOF_SECONDS
+        if self._probe_until is None:
+            self._probe_until = self._loop.time() + PROOF_SECONDS
             self._start_probe()
         return (
-            self._loop.time() < self._proof_until
+            self._loop.time() < self._probe_until
             and not self._detector.is_newer_connection_alive(self.record)
         )
 
