--- a/src/larkpost/platform/watched_connection.py
+++ b/src/larkpost/platform/watched_connection.py
@@ -110,13 +110,13 @@
             self._check_later(self._detector.timeout_of(self.record))
             return
         self._detector.mark_suspect(self.record)
-        if self._waits_for_proof():
+        if self._awaits_probe():
             self._check_later(PROOF_POLL_SECONDS)
             return
         self.set_exception(DeadConnectionError(f"{self.record.address} is silent"))
         self.transport.abort()
 
-    def _waits_for_proof(self) -> bool:
+    def _awaits_probe(self) -> bool:
         """Returns whether a new connection may yet prove this one silent; asks for that once."""
         if self._start_probe is None:
             return False
