--- a/src/larkpost/platform/watched_connection.py
+++ b/src/larkpost/platform/watched_connection.py
@@ -15,7 +15,7 @@
 
 CONNECT_TIMEOUT_SECONDS = 1.0
 """Longest wait for a new connection."""
-PROOF_SECONDS = 0.2
+PROBE_WAIT_SECONDS = 0.2
 """How much longer a call that must not be given up lightly waits for proof from a new connection: a
 server that turned slow all at once answers both late, and is not to blame."""
 PROOF_POLL_SECONDS = 0.01
@@ -121,7 +121,7 @@
         if self._start_probe is None:
             return False
         if self._probe_until is None:
-            self._probe_until = self._loop.time() + PROOF_SECONDS
+            self._probe_until = self._loop.time() + PROBE_WAIT_SECONDS
             self._start_probe()
         return (
             self._loop.time() < self._probe_until
