--- a/src/larkpost/platform/watched_connection.py
+++ b/src/larkpost/platform/watched_connection.py
@@ -18,7 +18,7 @@
 PROBE_WAIT_SECONDS = 0.2
 """How much longer a call that must not be given up lightly waits for proof from a new connection: a
 server that turned slow all at once answers both late, and is not to blame."""
-PROOF_POLL_SECONDS = 0.01
+PROBE_POLL_SECONDS = 0.01
 """Between two checks whether a new connection has proven an old one silent."""
 
 
@@ -111,7 +111,7 @@
             return
         self._detector.mark_suspect(self.record)
         if self._awaits_probe():
-            self._check_later(PROOF_POLL_SECONDS)
+            self._check_later(PROBE_POLL_SECONDS)
             return
         self.set_exception(DeadConnectionError(f"{self.record.address} is silent"))
         self.transport.abort()
