--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -52,7 +52,7 @@
 """The status that a peer gets for a call that was certainly not made."""
 NO_RESPONSE = 504
 """The status that a peer gets for a call without a response; it may have been made."""
-PROOF_TARGET = f"{names.READ_CALL}?table=members&part=proof&limit=1"
+PROBE_TARGET = f"{names.READ_CALL}?table=members&part=proof&limit=1"
 """A read of no rows, made to check whether the store responds on a new connection."""
 CALL_LABELS = {names.READ_CALL: "read", names.FEED_CALL: "feed"}
 """The names of the reading calls in the metrics."""
@@ -238,7 +238,7 @@
             self._proof = asyncio.create_task(self._ask_for_proof())
 
     async def _ask_for_proof(self) -> None:
-        url = URL(f"{self._base}{PROOF_TARGET}", encoded=True)
+        url = URL(f"{self._base}{PROBE_TARGET}", encoded=True)
         with contextlib.suppress(*CALL_FAILURES):  # no response is no proof
             async with (
                 asyncio.timeout(READ_TIMEOUT_SECONDS),
