--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -225,14 +225,14 @@
 
     async def _exchange_once(self, call: StoreCall) -> tuple[int, bytes]:
         url = URL(self._base + call.target, encoded=True)
-        start_probe = self._begin_proof if call.body is not None else None
+        start_probe = self._start_probe if call.body is not None else None
         limits = CallLimits(hold_time=call.hold_time, ends_if_silent=True, start_probe=start_probe)
         async with self._session.request(
             call.method, url, data=call.body, headers=call.headers, timeout=limits
         ) as response:
             return response.status, await response.read()
 
-    def _begin_proof(self) -> None:
+    def _start_probe(self) -> None:
         """Asks on a new connection, unless that is under way: a response proves old ones silent."""
         if self._proof is None or self._proof.done():
             self._proof = asyncio.create_task(self._ask_for_proof())
