--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -235,9 +235,9 @@
     def _start_probe(self) -> None:
         """Asks on a new connection, unless that is under way: a response proves old ones silent."""
         if self._proof is None or self._proof.done():
-            self._proof = asyncio.create_task(self._ask_for_proof())
+            self._proof = asyncio.create_task(self._probe_store())
 
-    async def _ask_for_proof(self) -> None:
+    async def _probe_store(self) -> None:
         url = URL(f"{self._base}{PROBE_TARGET}", encoded=True)
         with contextlib.suppress(*CALL_FAILURES):  # no response is no proof
             async with (
