--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -111,7 +111,7 @@
         self._base = f"http://{address}"
         self._metrics = metrics or Metrics()
         self._session = make_session(DeadConnectionDetector(peer, self._metrics, log))
-        self._proof: asyncio.Task | None = None
+        self._probe_task: asyncio.Task | None = None
         self._clock = StoreClock()
         self.is_failing = False
 
@@ -121,8 +121,8 @@
 
     async def close(self) -> None:
         """Closes all connections."""
-        if self._proof is not None:
-            self._proof.cancel()
+        if self._probe_task is not None:
+            self._probe_task.cancel()
         await self._session.close()
 
     def time(self) -> float | None:
@@ -234,8 +234,8 @@
 
     def _start_probe(self) -> None:
         """Asks on a new connection, unless that is under way: a response proves old ones silent."""
-        if self._proof is None or self._proof.done():
-            self._proof = asyncio.create_task(self._probe_store())
+        if self._probe_task is None or self._probe_task.done():
+            self._probe_task = asyncio.create_task(self._probe_store())
 
     async def _probe_store(self) -> None:
         url = URL(f"{self._base}{PROBE_TARGET}", encoded=True)
