--- a/src/larkpost/platform/servers.py
+++ b/src/larkpost/platform/servers.py
@@ -137,7 +137,7 @@
             limits = CallLimits(connect=request.send_within, is_sent_once=True)
             return await send_once(session, instance, request, limits)
         began = steady_seconds()
-        limits = CallLimits(ends_if_silent=True, is_sent_once=True)
+        limits = CallLimits(aborts_if_dead=True, is_sent_once=True)
         try:
             return await send_once(session, instance, request, limits)
         except DeadConnectionError:
--- a/src/larkpost/platform/watched_connection.py
+++ b/src/larkpost/platform/watched_connection.py
@@ -47,7 +47,7 @@
     sock_connect: float | None = CONNECT_TIMEOUT_SECONDS
     kind: CallKind = CallKind.REQUEST
     hold_time: float = 0.0
-    ends_if_silent: bool = False
+    aborts_if_dead: bool = False
     start_probe: Callable[[], None] | None = None
     is_sent_once: bool = False
     connections: list[int] = attrs.field(factory=lambda: [0], eq=False)
@@ -74,7 +74,7 @@
             self.record = self._detector.open(address)
         self._detector.begin_call(self.record, limits.kind, limits.hold_time)
         self._start_probe, self._probe_until = limits.start_probe, None
-        if limits.ends_if_silent and self.record.received_at is not None:
+        if limits.aborts_if_dead and self.record.received_at is not None:
             self._check_later(limits.hold_time + self._detector.timeout_of(self.record))
 
     def end_call(self) -> None:
