--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -101,7 +101,7 @@
         A process that was frozen meanwhile finds its connection open and its timer not yet run.
         """
         limits = timeout if isinstance(timeout, CallLimits) else CallLimits()
-        if limits.is_sent_once and limits.connections[0]:
+        if limits.disables_retry and limits.connections[0]:
             raise aiohttp.ServerDisconnectedError("the connection was lost")
         limits.connections[0] += 1
         began = steady_seconds()
--- a/src/larkpost/platform/servers.py
+++ b/src/larkpost/platform/servers.py
@@ -134,15 +134,15 @@
         """Sends a request; one that may be repeated again, once, if its connection goes silent."""
         if not request.repeat_if_silent or request.send_within is not None:
             # A send that is limited was counted once, so it is made once.
-            limits = CallLimits(connect=request.send_within, is_sent_once=True)
+            limits = CallLimits(connect=request.send_within, disables_retry=True)
             return await send_once(session, instance, request, limits)
         began = steady_seconds()
-        limits = CallLimits(aborts_if_dead=True, is_sent_once=True)
+        limits = CallLimits(aborts_if_dead=True, disables_retry=True)
         try:
             return await send_once(session, instance, request, limits)
         except DeadConnectionError:
             again = _after(steady_seconds() - began, request)
-        return await send_once(self._kept, instance, again, CallLimits(is_sent_once=True))
+        return await send_once(self._kept, instance, again, CallLimits(disables_retry=True))
 
 
 def _after(elapsed: float, request: OutgoingRequest) -> OutgoingRequest:
--- a/src/larkpost/platform/watched_connection.py
+++ b/src/larkpost/platform/watched_connection.py
@@ -49,7 +49,7 @@
     hold_time: float = 0.0
     aborts_if_dead: bool = False
     start_probe: Callable[[], None] | None = None
-    is_sent_once: bool = False
+    disables_retry: bool = False
     connections: list[int] = attrs.field(factory=lambda: [0], eq=False)
 
 
