--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -13,7 +13,7 @@
 from larkpost.common.steady_time import steady_seconds
 from larkpost.platform.dead_connections import DeadConnectionDetector
 from larkpost.platform.sockets import open_socket
-from larkpost.platform.watched_connection import CallLimits, WatchedConnection
+from larkpost.platform.watched_connection import CallOptions, WatchedConnection
 
 IDLE_SECONDS = 3.0
 """How long an idle connection is used again if its server does not say how long it keeps it."""
@@ -100,7 +100,7 @@
 
         A process that was frozen meanwhile finds its connection open and its timer not yet run.
         """
-        limits = timeout if isinstance(timeout, CallLimits) else CallLimits()
+        limits = timeout if isinstance(timeout, CallOptions) else CallOptions()
         if limits.disables_retry and limits.connections[0]:
             raise aiohttp.ServerDisconnectedError("the connection was lost")
         limits.connections[0] += 1
@@ -172,7 +172,7 @@
         connector=connector,
         auto_decompress=False,
         cookie_jar=aiohttp.DummyCookieJar(),
-        timeout=CallLimits(),
+        timeout=CallOptions(),
         skip_auto_headers=("Accept", "Accept-Encoding", "User-Agent", "Content-Type"),
         requote_redirect_url=False,
         max_field_size=MAX_HEAD_BYTES,
--- a/src/larkpost/platform/server_control.py
+++ b/src/larkpost/platform/server_control.py
@@ -24,7 +24,7 @@
 from larkpost.platform.server_refusals import ResponseOwner, response_owner
 from larkpost.platform.server_requests import server_url
 from larkpost.platform.server_responses import RESPONSE_FAILURES, record_idle_time
-from larkpost.platform.watched_connection import CallLimits
+from larkpost.platform.watched_connection import CallOptions
 
 OK = 200
 ORDER_OUTCOMES = {
@@ -35,7 +35,7 @@
     412: OrderOutcome.FENCED,
     421: OrderOutcome.WRONG_INSTANCE,
 }
-CONTROL_LIMITS = CallLimits(kind=CallKind.CONTROL)
+CONTROL_LIMITS = CallOptions(kind=CallKind.CONTROL)
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/larkpost/platform/server_requests.py
+++ b/src/larkpost/platform/server_requests.py
@@ -9,7 +9,7 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.servers.port import OutgoingRequest
 from larkpost.platform import names
-from larkpost.platform.watched_connection import CallLimits
+from larkpost.platform.watched_connection import CallOptions
 
 MAX_PIECE_BYTES = 65536
 """Larger bodies are sent in pieces, each once the connection has taken the last: a connection
@@ -22,7 +22,7 @@
     session: aiohttp.ClientSession,
     instance: InstanceInfo,
     request: OutgoingRequest,
-    limits: CallLimits,
+    limits: CallOptions,
 ) -> aiohttp.ClientResponse:
     """Sends a request and returns the response once its head has come.
 
--- a/src/larkpost/platform/servers.py
+++ b/src/larkpost/platform/servers.py
@@ -37,7 +37,7 @@
     broken_response,
     record_idle_time,
 )
-from larkpost.platform.watched_connection import CallLimits, DeadConnectionError
+from larkpost.platform.watched_connection import CallOptions, DeadConnectionError
 
 CONNECT_FAILURES = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 """How it shows that there was no connection, so that nothing was sent."""
@@ -134,15 +134,15 @@
         """Sends a request; one that may be repeated again, once, if its connection goes silent."""
         if not request.repeat_if_silent or request.send_within is not None:
             # A send that is limited was counted once, so it is made once.
-            limits = CallLimits(connect=request.send_within, disables_retry=True)
+            limits = CallOptions(connect=request.send_within, disables_retry=True)
             return await send_once(session, instance, request, limits)
         began = steady_seconds()
-        limits = CallLimits(aborts_if_dead=True, disables_retry=True)
+        limits = CallOptions(aborts_if_dead=True, disables_retry=True)
         try:
             return await send_once(session, instance, request, limits)
         except DeadConnectionError:
             again = _after(steady_seconds() - began, request)
-        return await send_once(self._kept, instance, again, CallLimits(disables_retry=True))
+        return await send_once(self._kept, instance, again, CallOptions(disables_retry=True))
 
 
 def _after(elapsed: float, request: OutgoingRequest) -> OutgoingRequest:
--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -40,7 +40,7 @@
     transaction_document,
     write_result,
 )
-from larkpost.platform.watched_connection import CallLimits, DeadConnectionError
+from larkpost.platform.watched_connection import CallOptions, DeadConnectionError
 
 READ_TIMEOUT_SECONDS = 1.5
 """Longest time for a reading call, beside the time for which it may be held."""
@@ -226,7 +226,7 @@
     async def _exchange_once(self, call: StoreCall) -> tuple[int, bytes]:
         url = URL(self._base + call.target, encoded=True)
         start_probe = self._start_probe if call.body is not None else None
-        limits = CallLimits(hold_time=call.hold_time, aborts_if_dead=True, start_probe=start_probe)
+        limits = CallOptions(hold_time=call.hold_time, aborts_if_dead=True, start_probe=start_probe)
         async with self._session.request(
             call.method, url, data=call.body, headers=call.headers, timeout=limits
         ) as response:
--- a/src/larkpost/platform/watched_connection.py
+++ b/src/larkpost/platform/watched_connection.py
@@ -27,7 +27,7 @@
 
 
 @attrs.frozen
-class CallLimits(aiohttp.ClientTimeout):
+class CallOptions(aiohttp.ClientTimeout):
     """The limits of one call.
 
     Attributes:
@@ -68,7 +68,7 @@
         self._probe_until: float | None = None
         self.record: ConnectionRecord | None = None
 
-    def begin_call(self, address: Address, limits: CallLimits) -> None:
+    def begin_call(self, address: Address, limits: CallOptions) -> None:
         """Records that a call begins, and ends it if the connection is silent."""
         if self.record is None:
             self.record = self._detector.open(address)
