--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -60,7 +60,7 @@
         """The connections that are open, in use or idle."""
         return len(self._acquired) + sum(len(idle) for idle in self._conns.values())
 
-    def record_idle_time(self, server: Address, seconds: float) -> None:
+    def record_keep_alive(self, server: Address, seconds: float) -> None:
         """Records for how many seconds a server said that it keeps idle connections."""
         usable = max(0.0, seconds - IDLE_MARGIN_SECONDS)
         self._idle_times[server] = min(MAX_IDLE_SECONDS, usable)
--- a/src/larkpost/platform/server_control.py
+++ b/src/larkpost/platform/server_control.py
@@ -23,7 +23,7 @@
 from larkpost.platform.server_messages import order_document, read_report
 from larkpost.platform.server_refusals import ResponseOwner, response_owner
 from larkpost.platform.server_requests import server_url
-from larkpost.platform.server_responses import RESPONSE_FAILURES, record_idle_time
+from larkpost.platform.server_responses import RESPONSE_FAILURES, record_keep_alive
 from larkpost.platform.watched_connection import CallOptions
 
 OK = 200
@@ -112,5 +112,5 @@
             if response_owner(response.headers, None) is ResponseOwner.OTHER_REQUEST:
                 response.close()
                 raise BrokenResponseError("the answer belongs to an earlier request")
-            record_idle_time(self._session.connector, instance.address, response)
+            record_keep_alive(self._session.connector, instance.address, response)
             return response.status, await response.read()
--- a/src/larkpost/platform/server_responses.py
+++ b/src/larkpost/platform/server_responses.py
@@ -87,10 +87,10 @@
     )
 
 
-def record_idle_time(
+def record_keep_alive(
     connector: CheckedConnector, server: Address, response: aiohttp.ClientResponse
 ) -> None:
     """Records how long the server says that it leaves an idle connection open, if it says so."""
     seconds = read_idle_time(response.headers)
     if seconds is not None:
-        connector.record_idle_time(server, seconds)
+        connector.record_keep_alive(server, seconds)
--- a/src/larkpost/platform/servers.py
+++ b/src/larkpost/platform/servers.py
@@ -35,7 +35,7 @@
     RESPONSE_FAILURES,
     HttpResponse,
     broken_response,
-    record_idle_time,
+    record_keep_alive,
 )
 from larkpost.platform.watched_connection import CallOptions, DeadConnectionError
 
@@ -70,7 +70,7 @@
         session = self._fresh if request.fresh_connection else self._kept
         response = await self._receive_head(session, instance, request)
         try:
-            record_idle_time(session.connector, instance.address, response)
+            record_keep_alive(session.connector, instance.address, response)
             try:
                 check_ran(response, instance, request)
             except NotRunError:
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -238,7 +238,7 @@
             for number in range(3 * MIN_ADDRESSES_KEPT):
                 server = Address(f"10.0.0.1:{number}")
                 key = ConnectionKey("10.0.0.1", number, False, True, None, None, None)
-                session.connector.record_idle_time(server, 5.0)
+                session.connector.record_keep_alive(server, 5.0)
                 self.assertIsNone(await session.connector._get(key, ()))
             self.assertLessEqual(len(session.connector._keys), MIN_ADDRESSES_KEPT + 1)
             self.assertLessEqual(len(session.connector._idle_times), MIN_ADDRESSES_KEPT + 1)
