--- a/src/larkpost/platform/server_messages.py
+++ b/src/larkpost/platform/server_messages.py
@@ -31,7 +31,7 @@
     return int(text) if text is not None and text.isdigit() else None
 
 
-def read_idle_time(headers: Mapping[str, str]) -> float | None:
+def read_keep_alive(headers: Mapping[str, str]) -> float | None:
     """Returns the seconds for which a server leaves an idle connection open; None if not said."""
     found = IDLE_TIME.search(headers.get("Keep-Alive", ""))
     return float(found[1]) if found is not None else None
--- a/src/larkpost/platform/server_responses.py
+++ b/src/larkpost/platform/server_responses.py
@@ -10,7 +10,7 @@
 from larkpost.platform import names
 from larkpost.platform.connections import CheckedConnector
 from larkpost.platform.event_stream import EventDecoder
-from larkpost.platform.server_messages import read_cold, read_idle_time, read_load, read_whole
+from larkpost.platform.server_messages import read_cold, read_keep_alive, read_load, read_whole
 
 LOST_CONNECTIONS = (
     aiohttp.ServerDisconnectedError,
@@ -91,6 +91,6 @@
     connector: CheckedConnector, server: Address, response: aiohttp.ClientResponse
 ) -> None:
     """Records how long the server says that it leaves an idle connection open, if it says so."""
-    seconds = read_idle_time(response.headers)
+    seconds = read_keep_alive(response.headers)
     if seconds is not None:
         connector.record_keep_alive(server, seconds)
