--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -50,7 +50,7 @@
         super().__init__(**options)
         self._detector = detector
         self._factory = functools.partial(WatchedConnection, detector, self._loop)
-        self._idle_times: dict[Address, float] = {}
+        self._keep_alive_seconds: dict[Address, float] = {}
         self._keys: dict[Address, ConnectionKey] = {}
         """The library's name for each server, under which it keeps the idle connections."""
         self._max_keys = MIN_ADDRESSES_KEPT
@@ -63,7 +63,7 @@
     def record_keep_alive(self, server: Address, seconds: float) -> None:
         """Records for how many seconds a server said that it keeps idle connections."""
         usable = max(0.0, seconds - IDLE_MARGIN_SECONDS)
-        self._idle_times[server] = min(MAX_IDLE_SECONDS, usable)
+        self._keep_alive_seconds[server] = min(MAX_IDLE_SECONDS, usable)
 
     def has_idle(self, server: Address) -> bool:
         """Returns whether an idle connection to a server is likely to serve again."""
@@ -88,7 +88,7 @@
 
     def _oldest_usable(self, server: Address) -> float:
         """Returns the steady time since which a connection may be idle and still be used."""
-        return steady_seconds() - self._idle_times.get(server, IDLE_SECONDS)
+        return steady_seconds() - self._keep_alive_seconds.get(server, IDLE_SECONDS)
 
     def _is_usable(self, protocol: WatchedConnection, idle_since: float, oldest: float) -> bool:
         if protocol.should_close or idle_since < oldest:
@@ -137,8 +137,10 @@
             for name, known in self._keys.items()
             if known in self._conns or known == key
         }
-        self._idle_times = {
-            name: seconds for name, seconds in self._idle_times.items() if name in self._keys
+        self._keep_alive_seconds = {
+            name: seconds
+            for name, seconds in self._keep_alive_seconds.items()
+            if name in self._keys
         }
         self._max_keys = max(MIN_ADDRESSES_KEPT, 2 * len(self._keys))
 
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -241,7 +241,7 @@
                 session.connector.record_keep_alive(server, 5.0)
                 self.assertIsNone(await session.connector._get(key, ()))
             self.assertLessEqual(len(session.connector._keys), MIN_ADDRESSES_KEPT + 1)
-            self.assertLessEqual(len(session.connector._idle_times), MIN_ADDRESSES_KEPT + 1)
+            self.assertLessEqual(len(session.connector._keep_alive_seconds), MIN_ADDRESSES_KEPT + 1)
 
 
 class Pages:
