--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -15,7 +15,7 @@
 from larkpost.platform.sockets import open_socket
 from larkpost.platform.watched_connection import CallOptions, WatchedConnection
 
-IDLE_SECONDS = 3.0
+DEFAULT_KEEP_ALIVE_SECONDS = 3.0
 """How long an idle connection is used again if its server does not say how long it keeps it."""
 MAX_IDLE_SECONDS = 30.0
 """The same, however long its server says that it keeps it."""
@@ -88,7 +88,7 @@
 
     def _oldest_usable(self, server: Address) -> float:
         """Returns the steady time since which a connection may be idle and still be used."""
-        return steady_seconds() - self._keep_alive_seconds.get(server, IDLE_SECONDS)
+        return steady_seconds() - self._keep_alive_seconds.get(server, DEFAULT_KEEP_ALIVE_SECONDS)
 
     def _is_usable(self, protocol: WatchedConnection, idle_since: float, oldest: float) -> bool:
         if protocol.should_close or idle_since < oldest:
