--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -17,7 +17,7 @@
 
 DEFAULT_KEEP_ALIVE_SECONDS = 3.0
 """How long an idle connection is used again if its server does not say how long it keeps it."""
-MAX_IDLE_SECONDS = 30.0
+MAX_KEEP_ALIVE_SECONDS = 30.0
 """The same, however long its server says that it keeps it."""
 IDLE_MARGIN_SECONDS = 1.5
 """A connection is left alone this long before its server would close it: servers say it in whole
@@ -63,7 +63,7 @@
     def record_keep_alive(self, server: Address, seconds: float) -> None:
         """Records for how many seconds a server said that it keeps idle connections."""
         usable = max(0.0, seconds - IDLE_MARGIN_SECONDS)
-        self._keep_alive_seconds[server] = min(MAX_IDLE_SECONDS, usable)
+        self._keep_alive_seconds[server] = min(MAX_KEEP_ALIVE_SECONDS, usable)
 
     def has_idle(self, server: Address) -> bool:
         """Returns whether an idle connection to a server is likely to serve again."""
@@ -168,7 +168,7 @@
         silences: tells which connections may be silent; sessions to the same addresses share it.
         keep: whether connections are kept for later requests.
     """
-    lifetime = {"keepalive_timeout": MAX_IDLE_SECONDS} if keep else {"force_close": True}
+    lifetime = {"keepalive_timeout": MAX_KEEP_ALIVE_SECONDS} if keep else {"force_close": True}
     connector = CheckedConnector(detector, limit=0, socket_factory=open_socket, **lifetime)
     return aiohttp.ClientSession(
         connector=connector,
