--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -19,7 +19,7 @@
 """How long an idle connection is used again if its server does not say how long it keeps it."""
 MAX_KEEP_ALIVE_SECONDS = 30.0
 """The same, however long its server says that it keeps it."""
-IDLE_MARGIN_SECONDS = 1.5
+KEEP_ALIVE_MARGIN_SECONDS = 1.5
 """A connection is left alone this long before its server would close it: servers say it in whole
 seconds."""
 MIN_ADDRESSES_KEPT = 1000
@@ -62,7 +62,7 @@
 
     def record_keep_alive(self, server: Address, seconds: float) -> None:
         """Records for how many seconds a server said that it keeps idle connections."""
-        usable = max(0.0, seconds - IDLE_MARGIN_SECONDS)
+        usable = max(0.0, seconds - KEEP_ALIVE_MARGIN_SECONDS)
         self._keep_alive_seconds[server] = min(MAX_KEEP_ALIVE_SECONDS, usable)
 
     def has_idle(self, server: Address) -> bool:
