--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -22,7 +22,7 @@
 KEEP_ALIVE_MARGIN_SECONDS = 1.5
 """A connection is left alone this long before its server would close it: servers say it in whole
 seconds."""
-MIN_ADDRESSES_KEPT = 1000
+MIN_TRACKED_ADDRESSES = 1000
 """So many servers are remembered before those without an idle connection are forgotten. A few
 hundred bytes each."""
 MAX_HEAD_BYTES = 65536
@@ -53,7 +53,7 @@
         self._keep_alive_seconds: dict[Address, float] = {}
         self._keys: dict[Address, ConnectionKey] = {}
         """The library's name for each server, under which it keeps the idle connections."""
-        self._max_keys = MIN_ADDRESSES_KEPT
+        self._max_keys = MIN_TRACKED_ADDRESSES
 
     @property
     def open_connections(self) -> int:
@@ -142,7 +142,7 @@
             for name, seconds in self._keep_alive_seconds.items()
             if name in self._keys
         }
-        self._max_keys = max(MIN_ADDRESSES_KEPT, 2 * len(self._keys))
+        self._max_keys = max(MIN_TRACKED_ADDRESSES, 2 * len(self._keys))
 
     def _release(self, key, protocol, *, should_close: bool = False) -> None:
         """Returns a connection to the pool; one that may be silent is not kept.
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -29,7 +29,7 @@
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.servers.port import OrderOutcome, OutgoingRequest, VersionOrder
 from larkpost.gateway.store.port import RowKey, Transaction, WriteOutcome
-from larkpost.platform.connections import MIN_ADDRESSES_KEPT, make_session
+from larkpost.platform.connections import MIN_TRACKED_ADDRESSES, make_session
 from larkpost.platform.dead_connection_rule import (
     ABANDONED_CALL_TIMEOUT,
     ABORT_TIMEOUT,
@@ -235,13 +235,15 @@
 
     async def test_connector_forgets_servers_to_which_no_connection_rests(self):
         async with make_session(DeadConnectionDetector(UpstreamKind.SERVER)) as session:
-            for number in range(3 * MIN_ADDRESSES_KEPT):
+            for number in range(3 * MIN_TRACKED_ADDRESSES):
                 server = Address(f"10.0.0.1:{number}")
                 key = ConnectionKey("10.0.0.1", number, False, True, None, None, None)
                 session.connector.record_keep_alive(server, 5.0)
                 self.assertIsNone(await session.connector._get(key, ()))
-            self.assertLessEqual(len(session.connector._keys), MIN_ADDRESSES_KEPT + 1)
-            self.assertLessEqual(len(session.connector._keep_alive_seconds), MIN_ADDRESSES_KEPT + 1)
+            self.assertLessEqual(len(session.connector._keys), MIN_TRACKED_ADDRESSES + 1)
+            self.assertLessEqual(
+                len(session.connector._keep_alive_seconds), MIN_TRACKED_ADDRESSES + 1
+            )
 
 
 class Pages:
