--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -25,7 +25,7 @@
 MIN_TRACKED_ADDRESSES = 1000
 """So many servers are remembered before those without an idle connection are forgotten. A few
 hundred bytes each."""
-MAX_HEAD_BYTES = 65536
+MAX_HEADER_LINE_BYTES = 65536
 """Longest status line and longest header that is read of a response. Eight times the library's own
 limit."""
 
@@ -177,6 +177,6 @@
         timeout=CallOptions(),
         skip_auto_headers=("Accept", "Accept-Encoding", "User-Agent", "Content-Type"),
         requote_redirect_url=False,
-        max_field_size=MAX_HEAD_BYTES,
-        max_line_size=MAX_HEAD_BYTES,
+        max_field_size=MAX_HEADER_LINE_BYTES,
+        max_line_size=MAX_HEADER_LINE_BYTES,
     )
