--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -161,14 +161,18 @@
             transport.abort()
 
 
-def make_session(detector: DeadConnectionDetector, *, keep: bool = True) -> aiohttp.ClientSession:
+def make_session(
+    detector: DeadConnectionDetector, *, keep_alive: bool = True
+) -> aiohttp.ClientSession:
     """Returns a client session that sends and returns bytes as they are.
 
     Args:
         silences: tells which connections may be silent; sessions to the same addresses share it.
         keep: whether connections are kept for later requests.
     """
-    lifetime = {"keepalive_timeout": MAX_KEEP_ALIVE_SECONDS} if keep else {"force_close": True}
+    lifetime = (
+        {"keepalive_timeout": MAX_KEEP_ALIVE_SECONDS} if keep_alive else {"force_close": True}
+    )
     connector = CheckedConnector(detector, limit=0, socket_factory=open_socket, **lifetime)
     return aiohttp.ClientSession(
         connector=connector,
--- a/src/larkpost/platform/servers.py
+++ b/src/larkpost/platform/servers.py
@@ -54,7 +54,7 @@
     def __init__(self, metrics: Metrics | None = None, log: EventLog | None = None) -> None:
         detector = DeadConnectionDetector(UpstreamKind.SERVER, metrics, log)
         self._kept = make_session(detector)
-        self._fresh = make_session(detector, keep=False)
+        self._fresh = make_session(detector, keep_alive=False)
         self._control = ControlCalls(self._kept)
 
     async def close(self) -> None:
