--- a/src/larkpost/platform/server_refusals.py
+++ b/src/larkpost/platform/server_refusals.py
@@ -30,7 +30,7 @@
 """Longest wait for it: it comes with its head, and the request wants another server at once."""
 
 
-class ResponseOwner(Enum):
+class ResponseMatch(Enum):
     """The request to which a response says that it belongs."""
 
     THIS_REQUEST = auto()
@@ -38,7 +38,7 @@
     UNNAMED = auto()
 
 
-def response_owner(headers: Mapping[str, str], request_id: bytes | None) -> ResponseOwner:
+def response_owner(headers: Mapping[str, str], request_id: bytes | None) -> ResponseMatch:
     """Returns to which request a response says that it belongs.
 
     Args:
@@ -46,10 +46,10 @@
     """
     named = headers.get(names.REQUEST_ID.decode())
     if named is None:
-        return ResponseOwner.UNNAMED
+        return ResponseMatch.UNNAMED
     if request_id is not None and named == request_id.decode("latin-1"):
-        return ResponseOwner.THIS_REQUEST
-    return ResponseOwner.OTHER_REQUEST
+        return ResponseMatch.THIS_REQUEST
+    return ResponseMatch.OTHER_REQUEST
 
 
 def check_ran(
@@ -62,7 +62,7 @@
         BrokenResponseError: the response belongs to another request, or names none.
     """
     owner = response_owner(response.headers, request.request_id)
-    if owner is ResponseOwner.OTHER_REQUEST:
+    if owner is ResponseMatch.OTHER_REQUEST:
         raise BrokenResponseError("the answer belongs to another request")
     if response.status == MISDIRECTED:
         found = response.headers.get(names.INSTANCE_ID.decode(), instance.name)
@@ -70,7 +70,7 @@
         raise NotRunError(NotRunReason.REPLACED if is_replaced else NotRunReason.MISDIRECTED)
     if names.NOT_EXECUTED.decode() in response.headers:
         raise NotRunError(NotRunReason.FULL, read_cold(response.headers))
-    if owner is ResponseOwner.UNNAMED:
+    if owner is ResponseMatch.UNNAMED:
         raise BrokenResponseError("the answer names no request")
 
 
@@ -88,7 +88,7 @@
     Args:
         connector: keeps the connections to the server.
     """
-    if response_owner(response.headers, request.request_id) is not ResponseOwner.THIS_REQUEST:
+    if response_owner(response.headers, request.request_id) is not ResponseMatch.THIS_REQUEST:
         response.close()
         connector.close_idle(instance.address)
         return
