--- a/src/larkpost/platform/server_control.py
+++ b/src/larkpost/platform/server_control.py
@@ -21,7 +21,7 @@
 from larkpost.platform.dead_connections import CallKind
 from larkpost.platform.operator import UNREADABLE
 from larkpost.platform.server_messages import order_document, read_report
-from larkpost.platform.server_refusals import ResponseMatch, response_owner
+from larkpost.platform.server_refusals import ResponseMatch, match_response
 from larkpost.platform.server_requests import server_url
 from larkpost.platform.server_responses import RESPONSE_FAILURES, record_keep_alive
 from larkpost.platform.watched_connection import CallOptions
@@ -109,7 +109,7 @@
                 timeout=CONTROL_LIMITS,
             ) as response,
         ):
-            if response_owner(response.headers, None) is ResponseMatch.OTHER_REQUEST:
+            if match_response(response.headers, None) is ResponseMatch.OTHER_REQUEST:
                 response.close()
                 raise BrokenResponseError("the answer belongs to an earlier request")
             record_keep_alive(self._session.connector, instance.address, response)
--- a/src/larkpost/platform/server_refusals.py
+++ b/src/larkpost/platform/server_refusals.py
@@ -38,7 +38,7 @@
     UNNAMED = auto()
 
 
-def response_owner(headers: Mapping[str, str], request_id: bytes | None) -> ResponseMatch:
+def match_response(headers: Mapping[str, str], request_id: bytes | None) -> ResponseMatch:
     """Returns to which request a response says that it belongs.
 
     Args:
@@ -61,7 +61,7 @@
         NotRunError: the server says that it did not run it.
         BrokenResponseError: the response belongs to another request, or names none.
     """
-    owner = response_owner(response.headers, request.request_id)
+    owner = match_response(response.headers, request.request_id)
     if owner is ResponseMatch.OTHER_REQUEST:
         raise BrokenResponseError("the answer belongs to another request")
     if response.status == MISDIRECTED:
@@ -88,7 +88,7 @@
     Args:
         connector: keeps the connections to the server.
     """
-    if response_owner(response.headers, request.request_id) is not ResponseMatch.THIS_REQUEST:
+    if match_response(response.headers, request.request_id) is not ResponseMatch.THIS_REQUEST:
         response.close()
         connector.close_idle(instance.address)
         return
