--- a/src/larkpost/platform/server_refusals.py
+++ b/src/larkpost/platform/server_refusals.py
@@ -52,7 +52,7 @@
     return ResponseMatch.OTHER_REQUEST
 
 
-def check_ran(
+def check_executed(
     response: aiohttp.ClientResponse, instance: InstanceInfo, request: OutgoingRequest
 ) -> None:
     """Checks that the response belongs to the request and that the request ran.
