--- a/src/larkpost/platform/server_refusals.py
+++ b/src/larkpost/platform/server_refusals.py
@@ -74,7 +74,7 @@
         raise BrokenResponseError("the answer names no request")
 
 
-async def read_refusal(
+async def drain_refusal(
     response: aiohttp.ClientResponse,
     instance: InstanceInfo,
     request: OutgoingRequest,
--- a/src/larkpost/platform/servers.py
+++ b/src/larkpost/platform/servers.py
@@ -29,7 +29,7 @@
 from larkpost.platform.connections import make_session
 from larkpost.platform.dead_connections import DeadConnectionDetector, UpstreamKind
 from larkpost.platform.server_control import ControlCalls
-from larkpost.platform.server_refusals import check_executed, read_refusal
+from larkpost.platform.server_refusals import check_executed, drain_refusal
 from larkpost.platform.server_requests import send_once
 from larkpost.platform.server_responses import (
     RESPONSE_FAILURES,
@@ -74,7 +74,7 @@
             try:
                 check_executed(response, instance, request)
             except NotRunError:
-                await read_refusal(response, instance, request, self._kept.connector)
+                await drain_refusal(response, instance, request, self._kept.connector)
                 raise
             yield HttpResponse(response)
         finally:
