--- a/src/larkpost/platform/server_control.py
+++ b/src/larkpost/platform/server_control.py
@@ -59,7 +59,7 @@
         return headers
 
 
-class ControlCalls:
+class ControlClient:
     """Makes control calls on the kept connections of a session."""
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
--- a/src/larkpost/platform/servers.py
+++ b/src/larkpost/platform/servers.py
@@ -28,7 +28,7 @@
 )
 from larkpost.platform.connections import make_session
 from larkpost.platform.dead_connections import DeadConnectionDetector, UpstreamKind
-from larkpost.platform.server_control import ControlCalls
+from larkpost.platform.server_control import ControlClient
 from larkpost.platform.server_refusals import check_executed, drain_refusal
 from larkpost.platform.server_requests import send_once
 from larkpost.platform.server_responses import (
@@ -55,7 +55,7 @@
         detector = DeadConnectionDetector(UpstreamKind.SERVER, metrics, log)
         self._kept = make_session(detector)
         self._fresh = make_session(detector, keep_alive=False)
-        self._control = ControlCalls(self._kept)
+        self._control = ControlClient(self._kept)
 
     async def close(self) -> None:
         """Closes all connections."""
