--- a/src/larkpost/platform/server_messages.py
+++ b/src/larkpost/platform/server_messages.py
@@ -25,7 +25,7 @@
 IDLE_TIME = re.compile(r"timeout=(\d+)")
 
 
-def read_whole(headers: Mapping[str, str], name: bytes) -> int | None:
+def read_int_header(headers: Mapping[str, str], name: bytes) -> int | None:
     """Returns a header that is a whole number; None if it is none."""
     text = headers.get(name.decode())
     return int(text) if text is not None and text.isdigit() else None
@@ -39,7 +39,7 @@
 
 def read_cold(headers: Mapping[str, str]) -> float | None:
     """Returns the seconds for which a server says that it stays cold; None if it says nothing."""
-    left = read_whole(headers, names.COLD_MS)
+    left = read_int_header(headers, names.COLD_MS)
     return left / 1000 if left is not None else None
 
 
--- a/src/larkpost/platform/server_responses.py
+++ b/src/larkpost/platform/server_responses.py
@@ -10,7 +10,7 @@
 from larkpost.platform import names
 from larkpost.platform.connections import CheckedConnector
 from larkpost.platform.event_stream import EventDecoder
-from larkpost.platform.server_messages import read_cold, read_keep_alive, read_load, read_whole
+from larkpost.platform.server_messages import read_cold, read_int_header, read_keep_alive, read_load
 
 LOST_CONNECTIONS = (
     aiohttp.ServerDisconnectedError,
@@ -38,7 +38,7 @@
         self.headers: Headers = tuple(response.raw_headers)
         self.load = read_load(response.headers)
         # One number, though the header's name is in the plural: the version of the one model.
-        self.version = read_whole(response.headers, names.WEIGHT_VERSIONS)
+        self.version = read_int_header(response.headers, names.WEIGHT_VERSIONS)
         self.cold_left = read_cold(response.headers)
         self.signature = response.headers.get(names.SERVER_STAMP.decode())
 
