--- a/src/larkpost/platform/batch_endpoints.py
+++ b/src/larkpost/platform/batch_endpoints.py
@@ -135,7 +135,7 @@
         except ValueError as error:
             await response.send_whole(BAD_REQUEST, str(error).encode())
             return
-        wait_ms = call.whole_header(names.WAIT_MS) or 0
+        wait_ms = call.int_header(names.WAIT_MS) or 0
         wait = min(wait_ms / 1000, MAX_WAIT_SECONDS)
         page = await self._batches.read(batch, position, wait, caller)
         content = orjson.dumps(write_page(page))
--- a/src/larkpost/platform/client_call.py
+++ b/src/larkpost/platform/client_call.py
@@ -121,14 +121,14 @@
         """Returns a header's first value; empty if it is not there."""
         return next((value for key, value in self.headers if key == name), b"")
 
-    def whole_header(self, name: bytes) -> int | None:
+    def int_header(self, name: bytes) -> int | None:
         """Returns a header's value as a whole number, or None."""
         text = self.header(name)
         return int(text) if text.isdigit() else None
 
     def to_forward(self, body: bytes | bytearray, admitted: Admitted) -> ClientRequest:
         """Returns the request as it is to be forwarded."""
-        deadline_ms = self.whole_header(names.DEADLINE_MS)  # not a time: what is left of it
+        deadline_ms = self.int_header(names.DEADLINE_MS)  # not a time: what is left of it
         return ClientRequest(
             request_id=self.request_id,
             method=self.method,
@@ -153,7 +153,7 @@
             NoRoomError: the body cannot be held now.
             BodyStalledError: it brought nothing for too long, or came too slowly.
         """
-        declared = self.whole_header(b"content-length")
+        declared = self.int_header(b"content-length")
         if declared is not None and declared > limit:
             return None
         is_large = declared > SMALL_BODY_BYTES if declared is not None else self._is_chunked
--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -117,7 +117,7 @@
             self._admission.caller(call.request_name, call.host_name, call.key)
         else:
             admitted = self._admission.admit(call.request_name, call.host_name, call.path, call.key)
-            declared = call.whole_header(b"content-length") or 0
+            declared = call.int_header(b"content-length") or 0
             if admitted.route.kind is RouteKind.BATCH and declared <= self.limits().body_bytes:
                 self._batch_calls.check_size(call, declared)
 
