--- a/src/larkpost/platform/instance_rows.py
+++ b/src/larkpost/platform/instance_rows.py
@@ -44,13 +44,13 @@
 def _read_entry(row: Row) -> InstanceInfo:
     document = read_document(row.value)
     _text(document, "version")  # the release of its software, which nothing depends on
-    whole_number(document, "seq")  # counts its writes, and is checked only as all of the entry is
+    read_int(document, "seq")  # counts its writes, and is checked only as all of the entry is
     return InstanceInfo(
         id=instance_id(InstanceName(row.key.key), read_born(document)),
         service=ServiceName(_text(document, "service")),
         address=_address(document),
         zone=ZoneId(_text(document, "zone")),
-        slots=whole_number(document, "slots", least=1, most=MAX_SLOTS),
+        slots=read_int(document, "slots", least=1, most=MAX_SLOTS),
         state=_state(document),
         versions=read_versions(document),
         listed_version=row.version,
@@ -80,7 +80,7 @@
     models = document.get("models", [])
     if not isinstance(models, list) or not all(isinstance(model, dict) for model in models):
         raise ValueError("models is no list of tables")
-    return {ModelName(_text(model, "name")): whole_number(model, "version") for model in models}
+    return {ModelName(_text(model, "name")): read_int(model, "version") for model in models}
 
 
 def read_born(document: Mapping[str, Any]) -> int | None:
@@ -89,10 +89,10 @@
     Raises:
         ValueError: it is no whole number.
     """
-    return whole_number(document, "born") if "born" in document else None
+    return read_int(document, "born") if "born" in document else None
 
 
-def whole_number(
+def read_int(
     document: Mapping[str, Any], name: str, *, least: int = 0, most: int = MAX_WHOLE_NUMBER
 ) -> int:
     """Returns a field that is a whole number within bounds.
--- a/src/larkpost/platform/server_messages.py
+++ b/src/larkpost/platform/server_messages.py
@@ -8,8 +8,8 @@
 from larkpost.platform.instance_rows import (
     read_born,
     read_document,
+    read_int,
     read_versions,
-    whole_number,
 )
 
 ORDER_MODES = {
@@ -64,10 +64,10 @@
     if not isinstance(busy, bool):
         raise ValueError(f"busy is {busy!r}, not true or false")
     return EngineReport(
-        orders=whole_number(document, "seq"),  # the count of orders, not of reports
+        orders=read_int(document, "seq"),  # the count of orders, not of reports
         busy=busy,
-        running=whole_number(document, "running") if "running" in document else 0,
-        waiting=whole_number(document, "waiting") if "waiting" in document else 0,
+        running=read_int(document, "running") if "running" in document else 0,
+        waiting=read_int(document, "waiting") if "waiting" in document else 0,
         versions=read_versions(document),
         born=read_born(document),
     )
