--- a/src/larkpost/platform/server_messages.py
+++ b/src/larkpost/platform/server_messages.py
@@ -37,7 +37,7 @@
     return float(found[1]) if found is not None else None
 
 
-def read_cold(headers: Mapping[str, str]) -> float | None:
+def read_cold_seconds(headers: Mapping[str, str]) -> float | None:
     """Returns the seconds for which a server says that it stays cold; None if it says nothing."""
     left = read_int_header(headers, names.COLD_MS)
     return left / 1000 if left is not None else None
--- a/src/larkpost/platform/server_refusals.py
+++ b/src/larkpost/platform/server_refusals.py
@@ -19,7 +19,7 @@
 )
 from larkpost.platform import names
 from larkpost.platform.connections import CheckedConnector
-from larkpost.platform.server_messages import read_cold
+from larkpost.platform.server_messages import read_cold_seconds
 from larkpost.platform.server_responses import RESPONSE_FAILURES
 
 MISDIRECTED = 421
@@ -69,7 +69,7 @@
         is_replaced = found != instance.name
         raise NotRunError(NotRunReason.REPLACED if is_replaced else NotRunReason.MISDIRECTED)
     if names.NOT_EXECUTED.decode() in response.headers:
-        raise NotRunError(NotRunReason.FULL, read_cold(response.headers))
+        raise NotRunError(NotRunReason.FULL, read_cold_seconds(response.headers))
     if owner is ResponseMatch.UNNAMED:
         raise BrokenResponseError("the answer names no request")
 
--- a/src/larkpost/platform/server_responses.py
+++ b/src/larkpost/platform/server_responses.py
@@ -10,7 +10,12 @@
 from larkpost.platform import names
 from larkpost.platform.connections import CheckedConnector
 from larkpost.platform.event_stream import EventDecoder
-from larkpost.platform.server_messages import read_cold, read_int_header, read_keep_alive, read_load
+from larkpost.platform.server_messages import (
+    read_cold_seconds,
+    read_int_header,
+    read_keep_alive,
+    read_load,
+)
 
 LOST_CONNECTIONS = (
     aiohttp.ServerDisconnectedError,
@@ -39,7 +44,7 @@
         self.load = read_load(response.headers)
         # One number, though the header's name is in the plural: the version of the one model.
         self.version = read_int_header(response.headers, names.WEIGHT_VERSIONS)
-        self.cold_left = read_cold(response.headers)
+        self.cold_left = read_cold_seconds(response.headers)
         self.signature = response.headers.get(names.SERVER_STAMP.decode())
 
     async def chunks(self) -> AsyncIterator[bytes]:
