--- a/src/larkpost/platform/instance_rows.py
+++ b/src/larkpost/platform/instance_rows.py
@@ -42,7 +42,7 @@
 
 
 def _read_entry(row: Row) -> InstanceInfo:
-    document = read_document(row.value)
+    document = read_json_object(row.value)
     _text(document, "version")  # the release of its software, which nothing depends on
     read_int(document, "seq")  # counts its writes, and is checked only as all of the entry is
     return InstanceInfo(
@@ -59,7 +59,7 @@
     )
 
 
-def read_document(content: bytes) -> dict[str, Any]:
+def read_json_object(content: bytes) -> dict[str, Any]:
     """Returns the table that a text of JSON holds.
 
     Raises:
--- a/src/larkpost/platform/server_messages.py
+++ b/src/larkpost/platform/server_messages.py
@@ -7,8 +7,8 @@
 from larkpost.platform import names
 from larkpost.platform.instance_rows import (
     read_born,
-    read_document,
     read_int,
+    read_json_object,
     read_versions,
 )
 
@@ -59,7 +59,7 @@
     Raises:
         ValueError: it is none.
     """
-    document = read_document(content)
+    document = read_json_object(content)
     busy = document.get("busy")
     if not isinstance(busy, bool):
         raise ValueError(f"busy is {busy!r}, not true or false")
