--- a/src/larkpost/platform/instance_rows.py
+++ b/src/larkpost/platform/instance_rows.py
@@ -46,7 +46,7 @@
     _text(document, "version")  # the release of its software, which nothing depends on
     read_int(document, "seq")  # counts its writes, and is checked only as all of the entry is
     return InstanceInfo(
-        id=instance_id(InstanceName(row.key.key), read_born(document)),
+        id=instance_id(InstanceName(row.key.key), read_start_ms(document)),
         service=ServiceName(_text(document, "service")),
         address=_address(document),
         zone=ZoneId(_text(document, "zone")),
@@ -83,7 +83,7 @@
     return {ModelName(_text(model, "name")): read_int(model, "version") for model in models}
 
 
-def read_born(document: Mapping[str, Any]) -> int | None:
+def read_start_ms(document: Mapping[str, Any]) -> int | None:
     """Returns the Unix millisecond of a server's start; None if it does not say it.
 
     Raises:
--- a/src/larkpost/platform/server_messages.py
+++ b/src/larkpost/platform/server_messages.py
@@ -6,9 +6,9 @@
 from larkpost.gateway.servers.port import EngineReport, RunningWork, ServerLoad, VersionOrder
 from larkpost.platform import names
 from larkpost.platform.instance_rows import (
-    read_born,
     read_int,
     read_json_object,
+    read_start_ms,
     read_versions,
 )
 
@@ -69,7 +69,7 @@
         running=read_int(document, "running") if "running" in document else 0,
         waiting=read_int(document, "waiting") if "waiting" in document else 0,
         versions=read_versions(document),
-        born=read_born(document),
+        born=read_start_ms(document),
     )
 
 
