--- a/src/larkpost/platform/instance_rows.py
+++ b/src/larkpost/platform/instance_rows.py
@@ -50,7 +50,7 @@
         service=ServiceName(_text(document, "service")),
         address=_address(document),
         zone=ZoneId(_text(document, "zone")),
-        slots=read_int(document, "slots", minimum=1, most=MAX_SLOTS),
+        slots=read_int(document, "slots", minimum=1, maximum=MAX_SLOTS),
         state=_state(document),
         versions=read_versions(document),
         listed_version=row.version,
@@ -93,7 +93,7 @@
 
 
 def read_int(
-    document: Mapping[str, Any], name: str, *, minimum: int = 0, most: int = MAX_WHOLE_NUMBER
+    document: Mapping[str, Any], name: str, *, minimum: int = 0, maximum: int = MAX_WHOLE_NUMBER
 ) -> int:
     """Returns a field that is a whole number within bounds.
 
@@ -101,8 +101,8 @@
         ValueError: it is missing, or something else.
     """
     value = document.get(name)
-    if isinstance(value, bool) or not isinstance(value, int) or not minimum <= value <= most:
-        raise ValueError(f"{name} is {value!r}, not a whole number from {minimum} to {most}")
+    if isinstance(value, bool) or not isinstance(value, int) or not minimum <= value <= maximum:
+        raise ValueError(f"{name} is {value!r}, not a whole number from {minimum} to {maximum}")
     return value
 
 
