--- a/src/larkpost/platform/assembly.py
+++ b/src/larkpost/platform/assembly.py
@@ -18,7 +18,7 @@
 from larkpost.gateway.store.relay import RelayedStore
 from larkpost.platform import instance_rows, names, operator
 from larkpost.platform.dead_connections import UpstreamKind
-from larkpost.platform.descriptors import DescriptorGuard
+from larkpost.platform.descriptors import DescriptorMonitor
 from larkpost.platform.duties import HttpDuties
 from larkpost.platform.http_protocol import Listener
 from larkpost.platform.ingress import Ingress
@@ -161,7 +161,7 @@
 
 def make_guard(
     limit: int, servers: HttpServers, listeners: Listeners, lifecycle: Lifecycle, log: EventLog
-) -> DescriptorGuard:
+) -> DescriptorMonitor:
     """Returns the guard of the descriptors; it closes idle connections of clients.
 
     Args:
@@ -171,4 +171,4 @@
     def count_sockets() -> int:
         return servers.open_connections + listeners.count_connections()
 
-    return DescriptorGuard(limit, count_sockets, listeners.front.shed, lifecycle, log)
+    return DescriptorMonitor(limit, count_sockets, listeners.front.shed, lifecycle, log)
--- a/src/larkpost/platform/descriptors.py
+++ b/src/larkpost/platform/descriptors.py
@@ -51,7 +51,7 @@
         return self.used - closed < self.limit * FULL_SHARE
 
 
-class DescriptorGuard:
+class DescriptorMonitor:
     """Watches how many descriptors one daemon uses.
 
     Args:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -9,7 +9,7 @@
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.platform.descriptors import (
     RESERVED_DESCRIPTORS,
-    DescriptorGuard,
+    DescriptorMonitor,
     DescriptorUse,
 )
 from larkpost.platform.http_protocol import Listener
@@ -48,7 +48,7 @@
         self.addAsyncCleanup(self.listener.close)
         self.host, port = address.split(":")
         self.port = int(port)
-        self.guard = DescriptorGuard(
+        self.guard = DescriptorMonitor(
             RESERVED_DESCRIPTORS + SOCKETS,
             lambda: len(self.listener.connections),
             self.listener.shed,
