--- a/src/larkpost/platform/assembly.py
+++ b/src/larkpost/platform/assembly.py
@@ -159,7 +159,7 @@
     return Listener(ingress, settings.front, ingress.limits)
 
 
-def make_guard(
+def make_descriptor_monitor(
     limit: int, servers: HttpServers, listeners: Listeners, lifecycle: Lifecycle, log: EventLog
 ) -> DescriptorMonitor:
     """Returns the guard of the descriptors; it closes idle connections of clients.
--- a/src/larkpost/platform/process.py
+++ b/src/larkpost/platform/process.py
@@ -14,8 +14,8 @@
 from larkpost.gateway.observability.eventlog import EventLog, LineWriter
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.platform.assembly import (
+    make_descriptor_monitor,
     make_gateway,
-    make_guard,
     make_listeners,
     open_clients,
 )
@@ -53,7 +53,7 @@
         self._clients = open_clients(settings, metrics, self._log)
         self._gateway = make_gateway(settings, self._clients, metrics, self._log)
         self._listeners = make_listeners(settings, self._gateway, self._clients.store)
-        self._guard = make_guard(
+        self._guard = make_descriptor_monitor(
             settings.max_descriptors,
             self._clients.servers,
             self._listeners,
