--- a/src/larkpost/platform/process.py
+++ b/src/larkpost/platform/process.py
@@ -53,7 +53,7 @@
         self._clients = open_clients(settings, metrics, self._log)
         self._gateway = make_gateway(settings, self._clients, metrics, self._log)
         self._listeners = make_listeners(settings, self._gateway, self._clients.store)
-        self._guard = make_descriptor_monitor(
+        self._descriptor_monitor = make_descriptor_monitor(
             settings.max_descriptors,
             self._clients.servers,
             self._listeners,
@@ -78,7 +78,7 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stop.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload.set)
-        loop.set_exception_handler(self._guard.record_failure)
+        loop.set_exception_handler(self._descriptor_monitor.record_failure)
 
     async def start(self) -> None:
         """Starts the daemon, then its listeners."""
@@ -90,7 +90,7 @@
     async def run_until_stopped(self, watch_settings: Callable[[], Awaitable[None]]) -> None:
         """Runs until a signal asks for the end and the daemon has drained."""
         watching = asyncio.create_task(watch_settings())
-        guarding = asyncio.create_task(self._guard.watch())
+        guarding = asyncio.create_task(self._descriptor_monitor.watch())
         await self._stop.wait()
         await self._gateway.drain()
         watching.cancel()
