--- a/src/larkpost/platform/assembly.py
+++ b/src/larkpost/platform/assembly.py
@@ -171,4 +171,4 @@
     def count_sockets() -> int:
         return servers.open_connections + listeners.count_connections()
 
-    return DescriptorMonitor(limit, count_sockets, listeners.front.shed, lifecycle, log)
+    return DescriptorMonitor(limit, count_sockets, listeners.front.close_idle, lifecycle, log)
--- a/src/larkpost/platform/descriptors.py
+++ b/src/larkpost/platform/descriptors.py
@@ -64,13 +64,13 @@
         self,
         limit: int,
         count_sockets: Callable[[], int],
-        shed: Callable[[int], int],
+        close_idle: Callable[[int], int],
         lifecycle: Lifecycle,
         log: EventLog,
     ) -> None:
         self._limit = max(1, limit - RESERVED_DESCRIPTORS)
         self._count_sockets = count_sockets
-        self._shed = shed
+        self._shed = close_idle
         self._lifecycle = lifecycle
         self._log = log
 
--- a/src/larkpost/platform/http_protocol.py
+++ b/src/larkpost/platform/http_protocol.py
@@ -320,7 +320,7 @@
         protocol = type("Protocol", (LimitedProtocol,), {"limits": staticmethod(limits)})
         super().__init__(app, address, protocol, idle_seconds=MAX_FIRST_IDLE_SECONDS)
 
-    def shed(self, most: int) -> int:
+    def close_idle(self, most: int) -> int:
         """Closes up to ``most`` idle connections, those idle longest first; returns how many."""
         idle = [one for one in self.connections if one.idle_since is not None]
         idle.sort(key=attrgetter("idle_since"))
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -51,7 +51,7 @@
         self.guard = DescriptorMonitor(
             RESERVED_DESCRIPTORS + SOCKETS,
             lambda: len(self.listener.connections),
-            self.listener.shed,
+            self.listener.close_idle,
             self.lifecycle,
             EventLog("daemon"),
         )
