--- a/src/larkpost/platform/descriptors.py
+++ b/src/larkpost/platform/descriptors.py
@@ -70,7 +70,7 @@
     ) -> None:
         self._limit = max(1, limit - RESERVED_DESCRIPTORS)
         self._count_sockets = count_sockets
-        self._shed = close_idle
+        self._close_idle = close_idle
         self._lifecycle = lifecycle
         self._log = log
 
@@ -83,7 +83,7 @@
     def check(self) -> None:
         """Closes idle connections if too many are open, and sets whether more can be accepted."""
         use = self._measure()
-        closed = self._shed(use.count_above_calm()) if use.must_shed() else 0
+        closed = self._close_idle(use.count_above_calm()) if use.must_shed() else 0
         self._set_accepting(use.used, closed, accepting=use.has_room(closed))
 
     def record_failure(self, loop: asyncio.AbstractEventLoop, context: dict) -> None:
@@ -91,7 +91,7 @@
         if not _is_accept_failure(context):
             loop.default_exception_handler(context)
             return
-        closed = self._shed(max(1, self._measure().count_above_calm()))
+        closed = self._close_idle(max(1, self._measure().count_above_calm()))
         self._set_accepting(self._count_sockets(), closed, accepting=closed > 0)
 
     def _measure(self) -> DescriptorUse:
