--- a/src/larkpost/platform/descriptors.py
+++ b/src/larkpost/platform/descriptors.py
@@ -42,7 +42,7 @@
         """Returns how many connections must be closed until no more than `CALM_SHARE` is used."""
         return self.used - int(self.limit * CALM_SHARE)
 
-    def must_shed(self) -> bool:
+    def must_close_idle(self) -> bool:
         """Returns whether idle connections must be closed."""
         return self.used >= self.limit * SHED_SHARE
 
@@ -83,7 +83,7 @@
     def check(self) -> None:
         """Closes idle connections if too many are open, and sets whether more can be accepted."""
         use = self._measure()
-        closed = self._close_idle(use.count_above_calm()) if use.must_shed() else 0
+        closed = self._close_idle(use.count_above_calm()) if use.must_close_idle() else 0
         self._set_accepting(use.used, closed, accepting=use.has_room(closed))
 
     def record_failure(self, loop: asyncio.AbstractEventLoop, context: dict) -> None:
