--- a/src/larkpost/platform/descriptors.py
+++ b/src/larkpost/platform/descriptors.py
@@ -18,7 +18,7 @@
 """Between two checks. A check counts sets, and connections come in more slowly."""
 RESERVED_DESCRIPTORS = 200
 """Left to files, listeners and the event loop itself, and to what is not counted."""
-SHED_SHARE = 0.85
+CLOSE_IDLE_THRESHOLD = 0.85
 """Share of the descriptors from which on idle connections are closed."""
 CALM_SHARE = 0.75
 """They are closed until no more than this share is used, so that it is not done at each check."""
@@ -44,7 +44,7 @@
 
     def must_close_idle(self) -> bool:
         """Returns whether idle connections must be closed."""
-        return self.used >= self.limit * SHED_SHARE
+        return self.used >= self.limit * CLOSE_IDLE_THRESHOLD
 
     def has_room(self, closed: int) -> bool:
         """Returns whether connections can be accepted once ``closed`` ones have been closed."""
