--- a/src/larkpost/platform/descriptors.py
+++ b/src/larkpost/platform/descriptors.py
@@ -20,7 +20,7 @@
 """Left to files, listeners and the event loop itself, and to what is not counted."""
 CLOSE_IDLE_THRESHOLD = 0.85
 """Share of the descriptors from which on idle connections are closed."""
-CALM_SHARE = 0.75
+CLOSE_IDLE_TARGET = 0.75
 """They are closed until no more than this share is used, so that it is not done at each check."""
 FULL_SHARE = 0.95
 """Share from which on the daemon is not ready: the rest is for connections to servers."""
@@ -40,7 +40,7 @@
 
     def count_above_calm(self) -> int:
         """Returns how many connections must be closed until no more than `CALM_SHARE` is used."""
-        return self.used - int(self.limit * CALM_SHARE)
+        return self.used - int(self.limit * CLOSE_IDLE_TARGET)
 
     def must_close_idle(self) -> bool:
         """Returns whether idle connections must be closed."""
