--- a/src/larkpost/platform/descriptors.py
+++ b/src/larkpost/platform/descriptors.py
@@ -22,7 +22,7 @@
 """Share of the descriptors from which on idle connections are closed."""
 CLOSE_IDLE_TARGET = 0.75
 """They are closed until no more than this share is used, so that it is not done at each check."""
-FULL_SHARE = 0.95
+NOT_READY_THRESHOLD = 0.95
 """Share from which on the daemon is not ready: the rest is for connections to servers."""
 
 
@@ -48,7 +48,7 @@
 
     def has_room(self, closed: int) -> bool:
         """Returns whether connections can be accepted once ``closed`` ones have been closed."""
-        return self.used - closed < self.limit * FULL_SHARE
+        return self.used - closed < self.limit * NOT_READY_THRESHOLD
 
 
 class DescriptorMonitor:
