--- a/src/larkpost/platform/descriptors.py
+++ b/src/larkpost/platform/descriptors.py
@@ -38,7 +38,7 @@
     used: int
     limit: int
 
-    def count_above_calm(self) -> int:
+    def count_excess(self) -> int:
         """Returns how many connections must be closed until no more than `CALM_SHARE` is used."""
         return self.used - int(self.limit * CLOSE_IDLE_TARGET)
 
@@ -83,7 +83,7 @@
     def check(self) -> None:
         """Closes idle connections if too many are open, and sets whether more can be accepted."""
         use = self._measure()
-        closed = self._close_idle(use.count_above_calm()) if use.must_close_idle() else 0
+        closed = self._close_idle(use.count_excess()) if use.must_close_idle() else 0
         self._set_accepting(use.used, closed, accepting=use.has_room(closed))
 
     def record_failure(self, loop: asyncio.AbstractEventLoop, context: dict) -> None:
@@ -91,7 +91,7 @@
         if not _is_accept_failure(context):
             loop.default_exception_handler(context)
             return
-        closed = self._close_idle(max(1, self._measure().count_above_calm()))
+        closed = self._close_idle(max(1, self._measure().count_excess()))
         self._set_accepting(self._count_sockets(), closed, accepting=closed > 0)
 
     def _measure(self) -> DescriptorUse:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -138,7 +138,7 @@
             (200, 106, True, 125, True),
         ):
             use = DescriptorUse(used, limit=100)
-            found = (use.must_close_idle(), use.count_above_calm(), use.has_room(closed))
+            found = (use.must_close_idle(), use.count_excess(), use.has_room(closed))
             self.assertEqual((must_close_idle, above_calm, has_room), found, (used, closed))
 
 
