--- a/src/larkpost/platform/descriptors.py
+++ b/src/larkpost/platform/descriptors.py
@@ -46,7 +46,7 @@
         """Returns whether idle connections must be closed."""
         return self.used >= self.limit * CLOSE_IDLE_THRESHOLD
 
-    def has_room(self, closed: int) -> bool:
+    def can_accept(self, closed: int) -> bool:
         """Returns whether connections can be accepted once ``closed`` ones have been closed."""
         return self.used - closed < self.limit * NOT_READY_THRESHOLD
 
@@ -84,7 +84,7 @@
         """Closes idle connections if too many are open, and sets whether more can be accepted."""
         use = self._measure()
         closed = self._close_idle(use.count_excess()) if use.must_close_idle() else 0
-        self._set_accepting(use.used, closed, accepting=use.has_room(closed))
+        self._set_accepting(use.used, closed, accepting=use.can_accept(closed))
 
     def record_failure(self, loop: asyncio.AbstractEventLoop, context: dict) -> None:
         """Handles an error of the event loop: of accepting, or another one, which is passed on."""
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -127,7 +127,7 @@
     """The rule alone."""
 
     def test_rule_by_cases(self):
-        for used, closed, must_close_idle, above_calm, has_room in (
+        for used, closed, must_close_idle, above_calm, can_accept in (
             (0, 0, False, -75, True),
             (84, 0, False, 9, True),
             (85, 0, True, 10, True),
@@ -138,8 +138,8 @@
             (200, 106, True, 125, True),
         ):
             use = DescriptorUse(used, limit=100)
-            found = (use.must_close_idle(), use.count_excess(), use.has_room(closed))
-            self.assertEqual((must_close_idle, above_calm, has_room), found, (used, closed))
+            found = (use.must_close_idle(), use.count_excess(), use.can_accept(closed))
+            self.assertEqual((must_close_idle, above_calm, can_accept), found, (used, closed))
 
 
 if __name__ == "__main__":
