--- a/src/larkpost/platform/descriptors.py
+++ b/src/larkpost/platform/descriptors.py
@@ -86,7 +86,7 @@
         closed = self._close_idle(use.count_excess()) if use.must_close_idle() else 0
         self._set_accepting(use.used, closed, accepting=use.can_accept(closed))
 
-    def record_failure(self, loop: asyncio.AbstractEventLoop, context: dict) -> None:
+    def handle_loop_error(self, loop: asyncio.AbstractEventLoop, context: dict) -> None:
         """Handles an error of the event loop: of accepting, or another one, which is passed on."""
         if not _is_accept_failure(context):
             loop.default_exception_handler(context)
--- a/src/larkpost/platform/process.py
+++ b/src/larkpost/platform/process.py
@@ -78,7 +78,7 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stop.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload.set)
-        loop.set_exception_handler(self._descriptor_monitor.record_failure)
+        loop.set_exception_handler(self._descriptor_monitor.handle_loop_error)
 
     async def start(self) -> None:
         """Starts the daemon, then its listeners."""
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -108,7 +108,7 @@
 
     async def test_failure_to_accept_closes_resting_connections_at_once(self):
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(self.guard.record_failure)
+        loop.set_exception_handler(self.guard.handle_loop_error)
         self.addCleanup(loop.set_exception_handler, None)
         context = {
             "message": "socket.accept() out of system resource",
