--- a/src/larkpost/platform/peer_store.py
+++ b/src/larkpost/platform/peer_store.py
@@ -58,7 +58,7 @@
             return UNAVAILABLE, b""
         query = scope["query_string"].decode("latin-1")
         target = f"{scope['path']}?{query}" if query else scope["path"]
-        return await self._store.pass_on(scope["method"], target, body or None)
+        return await self._store.relay_call(scope["method"], target, body or None)
 
 
 async def _read_body(receive: Receive) -> bytes | None:
--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -143,7 +143,7 @@
         self._record_outcome("write", result.outcome, started)
         return result
 
-    async def pass_on(self, method: str, target: str, body: bytes | None) -> tuple[int, bytes]:
+    async def relay_call(self, method: str, target: str, body: bytes | None) -> tuple[int, bytes]:
         """Makes a peer's call and returns the store's status and document as they came.
 
         Returns:
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -107,13 +107,13 @@
                 self.memory.request() as request,
                 self.memory.delivery(self.outlet, request) as delivery,
             ):
-                await self.pass_on(
+                await self.relay_call(
                     PassedAnswer(self.server.answer(), request.reserve(Purpose.STREAMS)), delivery
                 )
         finally:
             taking.cancel()
 
-    async def pass_on(self, answer: PassedAnswer, delivery: Delivery) -> None:
+    async def relay_call(self, answer: PassedAnswer, delivery: Delivery) -> None:
         """Gives the client each part once it has room."""
         async with aclosing(read_ahead(answer, delivery, self.memory)) as parts:
             async for part in parts:
