--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -48,7 +48,7 @@
 """Longest time for which the feed is held for a peer. It is what peers ask for."""
 RELAYED_TIMEOUT_SECONDS = 3.0
 """Longest time for a call that is made for a peer; its feed is held for a second of it."""
-NOT_MADE = 503
+NOT_SENT_STATUS = 503
 """The status that a peer gets for a call that was certainly not made."""
 NO_RESPONSE = 504
 """The status that a peer gets for a call without a response; it may have been made."""
@@ -154,7 +154,7 @@
             call = StoreCall(method, target, body, hold_time)
             return await self._exchange(call, RELAYED_TIMEOUT_SECONDS)
         except NOT_SENT:
-            return NOT_MADE, b""  # the peer is told that the call was not made
+            return NOT_SENT_STATUS, b""  # the peer is told that the call was not made
         except CALL_FAILURES:
             return NO_RESPONSE, b""  # the peer is told that nobody answered
 
