--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -60,7 +60,7 @@
 """Everything a call may end with besides a response; malformed responses included."""
 NOT_SENT = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 """How it shows that there was no connection, so that the call was certainly not made."""
-SOUND_OUTCOMES = ("answered", "410", WriteOutcome.DONE, WriteOutcome.CONFLICT)
+SUCCESSFUL_OUTCOMES = ("answered", "410", WriteOutcome.DONE, WriteOutcome.CONFLICT)
 """Outcomes of calls that the store carried out, or refused for a reason in the call itself."""
 
 
@@ -192,7 +192,7 @@
         return status, document
 
     def _record_outcome(self, label: str, outcome: str, started: float) -> None:
-        self.is_failing = outcome not in SOUND_OUTCOMES
+        self.is_failing = outcome not in SUCCESSFUL_OUTCOMES
         self._metrics.count(Count.STORE_CALLS, label, outcome)
         self._metrics.observe(Timing.STORE_CALL, steady_seconds() - started, label)
 
