--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -58,7 +58,7 @@
 """The names of the reading calls in the metrics."""
 CALL_FAILURES = (aiohttp.ClientError, asyncio.TimeoutError, OSError, ValueError, KeyError)
 """Everything a call may end with besides a response; malformed responses included."""
-NOT_SENT = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
+CONNECT_FAILURES = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 """How it shows that there was no connection, so that the call was certainly not made."""
 SUCCESSFUL_OUTCOMES = ("answered", "410", WriteOutcome.DONE, WriteOutcome.CONFLICT)
 """Outcomes of calls that the store carried out, or refused for a reason in the call itself."""
@@ -136,7 +136,7 @@
         try:
             call = StoreCall("POST", names.TRANSACTION_CALL, body)
             result = write_result(*await self._read_document(call, timeout))
-        except NOT_SENT:
+        except CONNECT_FAILURES:
             result = WriteResult(WriteOutcome.NOT_DONE)
         except CALL_FAILURES:
             result = WriteResult(WriteOutcome.UNKNOWN)
@@ -153,7 +153,7 @@
         try:
             call = StoreCall(method, target, body, hold_time)
             return await self._exchange(call, RELAYED_TIMEOUT_SECONDS)
-        except NOT_SENT:
+        except CONNECT_FAILURES:
             return NOT_SENT_STATUS, b""  # the peer is told that the call was not made
         except CALL_FAILURES:
             return NO_RESPONSE, b""  # the peer is told that nobody answered
