--- a/src/larkpost/platform/duties.py
+++ b/src/larkpost/platform/duties.py
@@ -47,7 +47,7 @@
         self._base = f"http://{address}"
         self._session = make_session(DeadConnectionDetector(UpstreamKind.STORE))
 
-    def use_address(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Uses another address for all later calls."""
         self._base = f"http://{address}"
 
--- a/src/larkpost/platform/settings_watch.py
+++ b/src/larkpost/platform/settings_watch.py
@@ -38,9 +38,9 @@
 
     def apply(self, settings: PlatformSettings) -> None:
         """Puts changed settings into force."""
-        self.store.use_address(settings.store)
+        self.store.set_address(settings.store)
         if self.duties is not None and settings.duties is not None:
-            self.duties.use_address(settings.duties)
+            self.duties.set_address(settings.duties)
         changed = gateway_settings(settings)
         for name in CHANGEABLE_TIMES:
             setattr(self.gateway, name, getattr(changed, name))
--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -115,7 +115,7 @@
         self._clock = StoreClock()
         self.is_failing = False
 
-    def use_address(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Uses another address for all later calls."""
         self._base = f"http://{address}"
 
