--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -44,7 +44,7 @@
 
 READ_TIMEOUT_SECONDS = 1.5
 """Longest time for a reading call, beside the time for which it may be held."""
-RELAYED_HOLD_SECONDS = 1.0
+RELAYED_LONG_POLL_SECONDS = 1.0
 """Longest time for which the feed is held for a peer. It is what peers ask for."""
 RELAYED_TIMEOUT_SECONDS = 3.0
 """Longest time for a call that is made for a peer; its feed is held for a second of it."""
@@ -149,7 +149,7 @@
         Returns:
             `NOT_MADE` or `NO_RESPONSE`, and nothing, if there are none.
         """
-        hold_time = RELAYED_HOLD_SECONDS if target.startswith(names.FEED_CALL) else 0.0
+        hold_time = RELAYED_LONG_POLL_SECONDS if target.startswith(names.FEED_CALL) else 0.0
         try:
             call = StoreCall(method, target, body, hold_time)
             return await self._exchange(call, RELAYED_TIMEOUT_SECONDS)
