--- a/src/larkpost/platform/batch_endpoints.py
+++ b/src/larkpost/platform/batch_endpoints.py
@@ -43,7 +43,7 @@
     remedy = "Split the batch, or ask a daemon on a machine with more memory."
 
 
-class BatchCalls:
+class BatchEndpoints:
     """Serves the calls about batches."""
 
     def __init__(self, admission: Admission, batches: BatchService) -> None:
--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -26,7 +26,7 @@
 from larkpost.gateway.rollouts.service import BatchService
 from larkpost.platform import names
 from larkpost.platform.asgi import ClientLeftError, Receive, Send
-from larkpost.platform.batch_endpoints import BatchCalls
+from larkpost.platform.batch_endpoints import BatchEndpoints
 from larkpost.platform.client_call import BodyStalledError, ClientCall
 from larkpost.platform.client_response import ClientResponse
 
@@ -53,7 +53,7 @@
         self._lifecycle = lifecycle
         self._admission = admission
         self._forwarder = forwarder
-        self._batch_calls = BatchCalls(admission, batches)
+        self._batch_calls = BatchEndpoints(admission, batches)
         self._memory = memory if memory is not None else unlimited_memory()
 
     def limits(self) -> RequestLimits:
