--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -53,7 +53,7 @@
         self._lifecycle = lifecycle
         self._admission = admission
         self._forwarder = forwarder
-        self._batch_calls = BatchEndpoints(admission, batches)
+        self._batch_endpoints = BatchEndpoints(admission, batches)
         self._memory = memory if memory is not None else unlimited_memory()
 
     def limits(self) -> RequestLimits:
@@ -119,7 +119,7 @@
             admitted = self._admission.admit(call.request_name, call.host_name, call.path, call.key)
             declared = call.int_header(b"content-length") or 0
             if admitted.route.kind is RouteKind.BATCH and declared <= self.limits().body_bytes:
-                self._batch_calls.check_size(call, declared)
+                self._batch_endpoints.check_size(call, declared)
 
     async def _serve_until(
         self,
@@ -148,12 +148,12 @@
         self, call: ClientCall, response: ClientResponse, body: bytes | bytearray
     ) -> None:
         if call.path.startswith(names.OWN_CALLS):
-            await self._batch_calls.serve(call, response)
+            await self._batch_endpoints.serve(call, response)
             return
         admitted = self._admission.admit(call.request_name, call.host_name, call.path, call.key)
         route = admitted.route
         if route.kind is RouteKind.BATCH:
-            await self._batch_calls.submit(call, response, body, admitted.tenant)
+            await self._batch_endpoints.submit(call, response, body, admitted.tenant)
         elif route.kind is RouteKind.STREAM:
             await self._stream(call.to_forward(body, admitted), route, response)
         else:
