--- a/src/larkpost/platform/batch_documents.py
+++ b/src/larkpost/platform/batch_documents.py
@@ -114,7 +114,7 @@
     return int(text)
 
 
-def write_page(page: ResultPage) -> dict[str, Any]:
+def page_document(page: ResultPage) -> dict[str, Any]:
     """Returns the document of a page of results."""
     results = []
     for result in page.results:
--- a/src/larkpost/platform/batch_endpoints.py
+++ b/src/larkpost/platform/batch_endpoints.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.rollouts.model import ItemId
 from larkpost.gateway.rollouts.service import BatchService
 from larkpost.platform import names
-from larkpost.platform.batch_documents import read_batch, read_position, write_page
+from larkpost.platform.batch_documents import page_document, read_batch, read_position
 from larkpost.platform.client_call import ClientCall
 from larkpost.platform.client_response import ClientResponse
 
@@ -138,7 +138,7 @@
         wait_ms = call.int_header(names.WAIT_MS) or 0
         wait = min(wait_ms / 1000, MAX_WAIT_SECONDS)
         page = await self._batches.read(batch, position, wait, caller)
-        content = orjson.dumps(write_page(page))
+        content = orjson.dumps(page_document(page))
         call.memory.reserve(Purpose.PAGES, len(content))
         await response.send_json(content)
 
--- a/tests/test_reward_calls.py
+++ b/tests/test_reward_calls.py
@@ -10,7 +10,7 @@
 from larkpost.gateway.rollouts.model import BatchSpec, Result, ResultState
 from larkpost.gateway.rollouts.progress import Progress
 from larkpost.gateway.rollouts.reader import ResultPage
-from larkpost.platform.batch_documents import read_batch, write_page
+from larkpost.platform.batch_documents import page_document, read_batch
 from larkpost.platform.stand_in.memory_store import StoreFaults
 from tests.platform_fleet import (
     OTHER_SCORERS,
@@ -338,7 +338,7 @@
 
     def test_page_tells_the_score(self):
         result = Result("i1", ResultState.DONE, "text", (1,), "stamp")
-        document = write_page(ResultPage(1, 0, (result,)))
+        document = page_document(ResultPage(1, 0, (result,)))
         self.assertEqual("stamp", document["results"][0]["score"])
 
     def test_rows_keep_calls_scores_and_whole_texts(self):
