--- a/src/larkpost/platform/client_call.py
+++ b/src/larkpost/platform/client_call.py
@@ -39,7 +39,7 @@
 """Headers of a request that larkpost reads itself, and sets anew or leaves out towards a server."""
 
 
-LEAST_BODY_RATE = 50_000.0
+MIN_BODY_BYTES_PER_SECOND = 50_000.0
 """Bytes a second, averaged since the head, at which a large body must come: its room is held
 meanwhile. Held against it once a body may have stalled, not before."""
 
@@ -175,7 +175,9 @@
             BodyStalledError: it did not come in time.
         """
         now = asyncio.get_running_loop().time()
-        slow_at = self.received_at + max(STALLED_SECONDS, self._body_bytes / LEAST_BODY_RATE)
+        slow_at = self.received_at + max(
+            STALLED_SECONDS, self._body_bytes / MIN_BODY_BYTES_PER_SECOND
+        )
         try:
             async with asyncio.timeout_at(min(now + STALLED_SECONDS, slow_at)):
                 message = await self._receive()
