--- a/src/larkpost/platform/client_call.py
+++ b/src/larkpost/platform/client_call.py
@@ -87,7 +87,7 @@
         return self._scope.get("state", {}).get(OUTLET)
 
     @property
-    def awaits_leave(self) -> bool:
+    def expects_continue(self) -> bool:
         """Whether the client sends its body only once it is asked for, and it was not."""
         return not self._is_body_asked_for and self.header(b"expect").lower() == b"100-continue"
 
