--- a/src/larkpost/platform/http_protocol.py
+++ b/src/larkpost/platform/http_protocol.py
@@ -190,7 +190,7 @@
         Closing with unread bytes resets a connection, and its client may lose the response.
         """
         is_before_body = self._in_body and self.cycle is cycle and cycle.response_complete
-        if is_before_body and not self._awaits_leave:
+        if is_before_body and not self._expects_continue:
             self._closes_after_body = True
         else:
             self.transport.close()
@@ -242,7 +242,7 @@
         return not self._in_body and self._is_answered
 
     @property
-    def _awaits_leave(self) -> bool:
+    def _expects_continue(self) -> bool:
         """Whether the client holds its body back until it is asked for."""
         return self.expect_100_continue and not self._has_body_begun
 
