--- a/src/larkpost/platform/client_call.py
+++ b/src/larkpost/platform/client_call.py
@@ -126,7 +126,7 @@
         text = self.header(name)
         return int(text) if text.isdigit() else None
 
-    def to_forward(self, body: bytes | bytearray, admitted: Admitted) -> ClientRequest:
+    def to_client_request(self, body: bytes | bytearray, admitted: Admitted) -> ClientRequest:
         """Returns the request as it is to be forwarded."""
         deadline_ms = self.int_header(names.DEADLINE_MS)  # not a time: what is left of it
         return ClientRequest(
--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -155,9 +155,9 @@
         if route.kind is RouteKind.BATCH:
             await self._batch_endpoints.submit(call, response, body, admitted.tenant)
         elif route.kind is RouteKind.STREAM:
-            await self._stream(call.to_forward(body, admitted), route, response)
+            await self._stream(call.to_client_request(body, admitted), route, response)
         else:
-            await self._forward(call.to_forward(body, admitted), route, response)
+            await self._forward(call.to_client_request(body, admitted), route, response)
 
     async def _forward(
         self, request: ClientRequest, route: Route, response: ClientResponse
