--- a/src/larkpost/platform/client_call.py
+++ b/src/larkpost/platform/client_call.py
@@ -77,7 +77,7 @@
         self._body_bytes = 0
 
     @property
-    def is_oversized(self) -> bool:
+    def is_head_too_large(self) -> bool:
         """Whether the head is larger than allowed."""
         return bool(self._scope.get("state", {}).get(OVERSIZED))
 
--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -88,7 +88,7 @@
                 await response.fail(error)
 
     async def _respond(self, call: ClientCall, response: ClientResponse) -> None:
-        if call.is_oversized:
+        if call.is_head_too_large:
             await response.send_whole(HEAD_TOO_LARGE)
             return
         if call.memory.is_limited:
