--- a/src/larkpost/platform/client_call.py
+++ b/src/larkpost/platform/client_call.py
@@ -189,7 +189,7 @@
         self._body_bytes += len(message.get("body", b""))
         return message
 
-    async def wait_for_close(self) -> None:
+    async def wait_for_disconnect(self) -> None:
         """Returns once the client has closed its connection, or the response is complete."""
         while (await self._receive())["type"] != "http.disconnect":
             pass
--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -98,7 +98,7 @@
             response.closes = call.expects_continue
             await response.send_whole(TOO_LARGE)
             return
-        closed = asyncio.create_task(call.wait_for_close())
+        closed = asyncio.create_task(call.wait_for_disconnect())
         try:
             if not call.path.startswith(names.OWN_CALLS):
                 await _see_close(closed)
