--- a/src/larkpost/platform/asgi.py
+++ b/src/larkpost/platform/asgi.py
@@ -12,7 +12,7 @@
 Send = Callable[[dict], Awaitable[None]]
 
 
-class ClientLeftError(Exception):
+class ClientDisconnectedError(Exception):
     """The client closed its connection before the response was whole."""
 
 
@@ -34,7 +34,7 @@
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
-            raise ClientLeftError
+            raise ClientDisconnectedError
         part = message.get("body", b"")
         size = len(body) + len(part)
         if size > limit:
--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -25,7 +25,7 @@
 from larkpost.gateway.proxy.request import ClientRequest, OpenResponse
 from larkpost.gateway.rollouts.service import BatchService
 from larkpost.platform import names
-from larkpost.platform.asgi import ClientLeftError, Receive, Send
+from larkpost.platform.asgi import ClientDisconnectedError, Receive, Send
 from larkpost.platform.batch_endpoints import BatchEndpoints
 from larkpost.platform.client_call import BodyStalledError, ClientCall
 from larkpost.platform.client_response import ClientResponse
@@ -81,7 +81,7 @@
         with self._lifecycle.request():
             try:
                 await self._respond(call, response)
-            except ClientLeftError:
+            except ClientDisconnectedError:
                 return  # nobody is left to be answered
             except LarkpostError as error:
                 response.closes = call.expects_continue or isinstance(error, BodyStalledError)
@@ -137,7 +137,7 @@
         try:
             await asyncio.wait({work, closed}, return_when=asyncio.FIRST_COMPLETED)
             if not work.done():
-                raise ClientLeftError
+                raise ClientDisconnectedError
             await work
         finally:
             work.cancel()
@@ -204,4 +204,4 @@
     for _ in range(TURNS_TO_SEE_A_CLOSE):
         await asyncio.sleep(0)
     if closed.done():
-        raise ClientLeftError
+        raise ClientDisconnectedError
--- a/src/larkpost/platform/peer_store.py
+++ b/src/larkpost/platform/peer_store.py
@@ -6,7 +6,7 @@
 
 from larkpost.gateway.memory.budget import ByteBudget, NoRoomError, Purpose
 from larkpost.platform import asgi, names
-from larkpost.platform.asgi import ClientLeftError, Receive, Send
+from larkpost.platform.asgi import ClientDisconnectedError, Receive, Send
 from larkpost.platform.store import HttpStore
 
 RELAYED_CALLS = {
@@ -65,5 +65,5 @@
     """Returns a request's whole body, or None if it is too large or broke off."""
     try:
         return await asgi.read_body(receive, MAX_BODY_BYTES)
-    except ClientLeftError:
+    except ClientDisconnectedError:
         return None  # nobody reads the status that is sent instead
