--- a/src/larkpost/platform/client_response.py
+++ b/src/larkpost/platform/client_response.py
@@ -41,7 +41,7 @@
         self._request_id = request_id
         self._lifecycle = lifecycle
         self.delivery = delivery
-        self.closes = False
+        self.closes_connection = False
         self._started = False
 
     async def send_whole(
@@ -111,7 +111,7 @@
             for name, value in headers
             if name.lower() not in CONNECTION_HEADERS
         ]
-        if self._lifecycle.stopping or self.closes:
+        if self._lifecycle.stopping or self.closes_connection:
             own.append((b"connection", b"close"))
         self._started = True
         await asgi.send_head(self._send, status, passed + own)
--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -84,7 +84,9 @@
             except ClientDisconnectedError:
                 return  # nobody is left to be answered
             except LarkpostError as error:
-                response.closes = call.expects_continue or isinstance(error, BodyStalledError)
+                response.closes_connection = call.expects_continue or isinstance(
+                    error, BodyStalledError
+                )
                 await response.fail(error)
 
     async def _respond(self, call: ClientCall, response: ClientResponse) -> None:
@@ -95,7 +97,7 @@
             self._check_admitted(call)
         body = await call.read_body(self.limits().body_bytes)
         if body is None:
-            response.closes = call.expects_continue
+            response.closes_connection = call.expects_continue
             await response.send_whole(TOO_LARGE)
             return
         closed = asyncio.create_task(call.wait_for_disconnect())
