--- a/src/larkpost/platform/client_response.py
+++ b/src/larkpost/platform/client_response.py
@@ -70,7 +70,7 @@
         headers = ((b"content-type", b"application/json"), (names.REQUEST_ID, self._request_id))
         await self.send_whole(200, content, headers)
 
-    async def fail(self, error: LarkpostError) -> None:
+    async def send_error(self, error: LarkpostError) -> None:
         """Responds with an error, or cuts a response that is under way.
 
         Raises:
--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -87,7 +87,7 @@
                 response.closes_connection = call.expects_continue or isinstance(
                     error, BodyStalledError
                 )
-                await response.fail(error)
+                await response.send_error(error)
 
     async def _respond(self, call: ClientCall, response: ClientResponse) -> None:
         if call.is_head_too_large:
