--- a/src/larkpost/platform/client_response.py
+++ b/src/larkpost/platform/client_response.py
@@ -13,7 +13,7 @@
 has taken the last."""
 
 
-class StreamCutError(Exception):
+class ResponseAbortedError(Exception):
     """A response under way cannot be completed; the connection is closed within it."""
 
 
@@ -77,7 +77,7 @@
             StreamCutError: the response was under way.
         """
         if self._started:
-            raise StreamCutError(error.message)
+            raise ResponseAbortedError(error.message)
         text = f"{error.code}: {error.message}. {error.remedy}".encode()
         await self.send_whole(error.status, text, retry_after=error.retry_after)
 
