--- a/src/larkpost/platform/client_response.py
+++ b/src/larkpost/platform/client_response.py
@@ -85,7 +85,7 @@
         """Starts a response that is sent in parts and whose length is not said."""
         await self._start(status, headers, [])
 
-    async def begin_large(self, status: int, headers: Headers) -> None:
+    async def begin_with_length(self, status: int, headers: Headers) -> None:
         """Starts a response with a body that is sent in parts; it says the length that it gives."""
         lengths = [value for name, value in headers if name.lower() == b"content-length"]
         await self._start(status, headers, [(b"content-length", value) for value in lengths[:1]])
--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -169,7 +169,7 @@
             await response.send_whole(answer.status, answer.body, answer.headers)
             return
         async with answer:
-            await response.begin_large(answer.status, answer.headers)
+            await response.begin_with_length(answer.status, answer.headers)
             passed = PassedAnswer(answer.rest, answer.reservation, answer.begun)
             await self._pass_on(passed, response)
 
