--- a/src/larkpost/platform/client_response.py
+++ b/src/larkpost/platform/client_response.py
@@ -8,7 +8,7 @@
 from larkpost.platform.asgi import Send
 from larkpost.platform.client_call import CONNECTION_HEADERS
 
-PIECE_BYTES = 65536
+SEND_CHUNK_BYTES = 65536
 """A response to a client that is followed is sent in pieces of this size, each once the connection
 has taken the last."""
 
@@ -121,8 +121,8 @@
         last = 0
         if self.delivery is not None:
             content = memoryview(body)
-            while len(body) - last > PIECE_BYTES:
-                await self.send_part(content[last : last + PIECE_BYTES])
-                last += PIECE_BYTES
+            while len(body) - last > SEND_CHUNK_BYTES:
+                await self.send_part(content[last : last + SEND_CHUNK_BYTES])
+                last += SEND_CHUNK_BYTES
         rest = memoryview(body)[last:] if last else body
         await self._send({"type": "http.response.body", "body": rest})
