--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -32,7 +32,7 @@
 
 TOO_LARGE = 413
 HEAD_TOO_LARGE = 431
-TURNS_TO_SEE_A_CLOSE = 4
+LOOP_TURNS_TO_DETECT_CLOSE = 4
 """Turns of the event loop from reading the last byte of a request to knowing of a close right
 behind it: reading the end, telling the protocol, waking who waits for it, and its result."""
 
@@ -203,7 +203,7 @@
     Raises:
         ClientLeftError: the client has closed its connection.
     """
-    for _ in range(TURNS_TO_SEE_A_CLOSE):
+    for _ in range(LOOP_TURNS_TO_DETECT_CLOSE):
         await asyncio.sleep(0)
     if closed.done():
         raise ClientDisconnectedError
