--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -103,7 +103,7 @@
         closed = asyncio.create_task(call.wait_for_disconnect())
         try:
             if not call.path.startswith(names.OWN_CALLS):
-                await _see_close(closed)
+                await _detect_close(closed)
             await self._serve_until(closed, call, response, body)
         finally:
             closed.cancel()
@@ -195,7 +195,7 @@
         await delivery.wait_until_taken()
 
 
-async def _see_close(closed: asyncio.Task) -> None:
+async def _detect_close(closed: asyncio.Task) -> None:
     """Lets the loop see a close that lies in the socket behind the request.
 
     A daemon that was busy or frozen reads requests whose clients have given up meanwhile.
