--- a/src/larkpost/platform/http_protocol.py
+++ b/src/larkpost/platform/http_protocol.py
@@ -16,7 +16,7 @@
 from larkpost.common.http_server import HttpServer
 from larkpost.common.ids import Address
 from larkpost.gateway.blackboard.configuration import RequestLimits
-from larkpost.platform.sockets import TCP_USER_TIMEOUT, probe_for_silence
+from larkpost.platform.sockets import TCP_USER_TIMEOUT, enable_keepalive
 
 MAX_FIRST_IDLE_SECONDS = 3600
 """How long a connection may wait with its first request; then the limit in force holds."""
@@ -97,7 +97,7 @@
         """Begins a connection, and has the system watch it."""
         super().connection_made(transport)
         accepted = transport.get_extra_info("socket")
-        probe_for_silence(accepted, PROBE_AFTER_SECONDS, PROBE_INTERVAL_SECONDS, PROBES)
+        enable_keepalive(accepted, PROBE_AFTER_SECONDS, PROBE_INTERVAL_SECONDS, PROBES)
         accepted.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
 
     def data_received(self, data: bytes) -> None:
--- a/src/larkpost/platform/sockets.py
+++ b/src/larkpost/platform/sockets.py
@@ -21,12 +21,12 @@
     opened = socket.socket(family, kind, protocol)
     opened.setblocking(False)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    probe_for_silence(opened, PROBE_AFTER_SECONDS, PROBE_INTERVAL_SECONDS, PROBES)
+    enable_keepalive(opened, PROBE_AFTER_SECONDS, PROBE_INTERVAL_SECONDS, PROBES)
     opened.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, PEER_SILENCE_MS)
     return opened
 
 
-def probe_for_silence(opened: socket.socket, after: int, interval: int, probes: int) -> None:
+def enable_keepalive(opened: socket.socket, after: int, interval: int, probes: int) -> None:
     """Makes the system probe an idle connection, and end it if nothing answers.
 
     Args:
