--- a/src/larkpost/platform/sockets.py
+++ b/src/larkpost/platform/sockets.py
@@ -2,7 +2,7 @@
 
 import socket
 
-PEER_SILENCE_MS = 3000
+USER_TIMEOUT_MS = 3000
 """After this long without an acknowledgement of sent bytes, a connection is given up."""
 PROBE_AFTER_SECONDS = 2
 PROBE_INTERVAL_SECONDS = 1
@@ -22,7 +22,7 @@
     opened.setblocking(False)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     enable_keepalive(opened, PROBE_AFTER_SECONDS, PROBE_INTERVAL_SECONDS, PROBES)
-    opened.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, PEER_SILENCE_MS)
+    opened.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
     return opened
 
 
