--- a/src/larkpost/platform/http_protocol.py
+++ b/src/larkpost/platform/http_protocol.py
@@ -25,7 +25,7 @@
 PROBES = 3
 """The system probes a client that sends nothing: one whose connection has gone silent for good, or
 whose machine has, holds its request and its place for six seconds."""
-UNACKNOWLEDGED_MS = 6000
+CLIENT_USER_TIMEOUT_MS = 6000
 """So long may a response wait for its client's machine to acknowledge it: as long as the probes
 take."""
 MAX_DISCARD_SECONDS = 15.0
@@ -98,7 +98,7 @@
         super().connection_made(transport)
         accepted = transport.get_extra_info("socket")
         enable_keepalive(accepted, PROBE_AFTER_SECONDS, PROBE_INTERVAL_SECONDS, PROBES)
-        accepted.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+        accepted.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, CLIENT_USER_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
         """Reads bytes from the client; the head's are counted.
