--- a/src/larkpost/platform/http_protocol.py
+++ b/src/larkpost/platform/http_protocol.py
@@ -21,7 +21,7 @@
 MAX_FIRST_IDLE_SECONDS = 3600
 """How long a connection may wait with its first request; then the limit in force holds."""
 KEEPALIVE_IDLE_SECONDS = 3
-PROBE_INTERVAL_SECONDS = 1
+KEEPALIVE_INTERVAL_SECONDS = 1
 PROBES = 3
 """The system probes a client that sends nothing: one whose connection has gone silent for good, or
 whose machine has, holds its request and its place for six seconds."""
@@ -97,7 +97,7 @@
         """Begins a connection, and has the system watch it."""
         super().connection_made(transport)
         accepted = transport.get_extra_info("socket")
-        enable_keepalive(accepted, KEEPALIVE_IDLE_SECONDS, PROBE_INTERVAL_SECONDS, PROBES)
+        enable_keepalive(accepted, KEEPALIVE_IDLE_SECONDS, KEEPALIVE_INTERVAL_SECONDS, PROBES)
         accepted.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, CLIENT_USER_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
