--- a/src/larkpost/platform/http_protocol.py
+++ b/src/larkpost/platform/http_protocol.py
@@ -22,7 +22,7 @@
 """How long a connection may wait with its first request; then the limit in force holds."""
 KEEPALIVE_IDLE_SECONDS = 3
 KEEPALIVE_INTERVAL_SECONDS = 1
-PROBES = 3
+KEEPALIVE_PROBES = 3
 """The system probes a client that sends nothing: one whose connection has gone silent for good, or
 whose machine has, holds its request and its place for six seconds."""
 CLIENT_USER_TIMEOUT_MS = 6000
@@ -97,7 +97,9 @@
         """Begins a connection, and has the system watch it."""
         super().connection_made(transport)
         accepted = transport.get_extra_info("socket")
-        enable_keepalive(accepted, KEEPALIVE_IDLE_SECONDS, KEEPALIVE_INTERVAL_SECONDS, PROBES)
+        enable_keepalive(
+            accepted, KEEPALIVE_IDLE_SECONDS, KEEPALIVE_INTERVAL_SECONDS, KEEPALIVE_PROBES
+        )
         accepted.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, CLIENT_USER_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
--- a/src/larkpost/platform/sockets.py
+++ b/src/larkpost/platform/sockets.py
@@ -6,7 +6,7 @@
 """After this long without an acknowledgement of sent bytes, a connection is given up."""
 KEEPALIVE_IDLE_SECONDS = 2
 KEEPALIVE_INTERVAL_SECONDS = 1
-PROBES = 2
+KEEPALIVE_PROBES = 2
 """The system probes a connection that is idle this long, so often, so many times: a stream that
 waits for its next event on a silent connection ends after four seconds. The system counts whole
 seconds, and one lost probe must not end a connection."""
@@ -21,7 +21,7 @@
     opened = socket.socket(family, kind, protocol)
     opened.setblocking(False)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    enable_keepalive(opened, KEEPALIVE_IDLE_SECONDS, KEEPALIVE_INTERVAL_SECONDS, PROBES)
+    enable_keepalive(opened, KEEPALIVE_IDLE_SECONDS, KEEPALIVE_INTERVAL_SECONDS, KEEPALIVE_PROBES)
     opened.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
     return opened
 
