--- a/src/larkpost/platform/settings.py
+++ b/src/larkpost/platform/settings.py
@@ -32,7 +32,7 @@
 BYTES_PER_MB = 1_000_000
 
 
-class MetricsPlace(NamedTuple):
+class MetricsEndpoint(NamedTuple):
     """Where the metrics are read: a port, and a path that begins with a slash."""
 
     port: int
@@ -75,7 +75,7 @@
     apply_time: float
     grace_time: float
     batch_lifetime: float
-    metrics: MetricsPlace | None
+    metrics: MetricsEndpoint | None
     duties: Address | None
     max_descriptors: int
     memory_bytes: int | None
@@ -244,14 +244,14 @@
     return Address(f"{ip}:{ports[0]}")
 
 
-def _metrics(document: dict[str, Any]) -> MetricsPlace | None:
+def _metrics(document: dict[str, Any]) -> MetricsEndpoint | None:
     value = _find(document, ("metrics",))
     if not value:
         return None
     port, separator, path = str(value).partition("/")
     if not port.isdigit() or not 0 < int(port) <= MAX_PORT or not separator:
         raise _wrong(("metrics",), value, "PORT/PATH")
-    return MetricsPlace(int(port), f"/{path}")
+    return MetricsEndpoint(int(port), f"/{path}")
 
 
 def _wrong(path: tuple[str, ...], value: Any, wanted: str) -> SettingsError:
