--- a/src/larkpost/platform/settings_watch.py
+++ b/src/larkpost/platform/settings_watch.py
@@ -20,7 +20,7 @@
 """Between two checks of the file when no signal comes. A changed file is in force within about a
 second, and a check is one read of a small file."""
 
-CHANGEABLE_TIMES = ("contact_time", "lease_time", "apply_time", "grace_time", "batch_lifetime")
+RELOADABLE_TIMES = ("contact_time", "lease_time", "apply_time", "grace_time", "batch_lifetime")
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
         if self.duties is not None and settings.duties is not None:
             self.duties.set_address(settings.duties)
         changed = gateway_settings(settings)
-        for name in CHANGEABLE_TIMES:
+        for name in RELOADABLE_TIMES:
             setattr(self.gateway, name, getattr(changed, name))
         self.gateway.regions.replace_with(changed.regions)
 
