--- a/src/larkpost/platform/assembly.py
+++ b/src/larkpost/platform/assembly.py
@@ -126,13 +126,13 @@
     front: Listener
     others: tuple[Listener, ...]
 
-    def every(self) -> tuple[Listener, ...]:
+    def in_start_order(self) -> tuple[Listener, ...]:
         """Returns all listeners, in the order in which they start."""
         return (self.front, *self.others)
 
     def count_connections(self) -> int:
         """Returns how many connections are open at all listeners together."""
-        return sum(len(listener.connections) for listener in self.every())
+        return sum(len(listener.connections) for listener in self.in_start_order())
 
 
 def make_listeners(settings: PlatformSettings, gateway: Gateway, store: HttpStore) -> Listeners:
--- a/src/larkpost/platform/process.py
+++ b/src/larkpost/platform/process.py
@@ -83,7 +83,7 @@
     async def start(self) -> None:
         """Starts the daemon, then its listeners."""
         self._gateway.start()
-        for listener in self._listeners.every():
+        for listener in self._listeners.in_start_order():
             await listener.start()
         gc.freeze()
 
@@ -99,7 +99,7 @@
     async def close(self) -> None:
         """Ends the daemon, then its listeners, then its clients."""
         self._gateway.stop()
-        await asyncio.gather(*(listener.close() for listener in self._listeners.every()))
+        await asyncio.gather(*(listener.close() for listener in self._listeners.in_start_order()))
         await self._clients.close()
 
 
