--- a/src/larkpost/platform/operator.py
+++ b/src/larkpost/platform/operator.py
@@ -19,7 +19,7 @@
     read_tenants,
 )
 
-UNREADABLE = (KeyError, TypeError, ValueError, AttributeError)
+PARSE_ERRORS = (KeyError, TypeError, ValueError, AttributeError)
 """What reading a document ends with that is not in the agreed form."""
 
 
@@ -45,7 +45,7 @@
             limits=read_limits(document.get("limits") or {}),
             tenants=read_tenants(document.get("tenants")),
         )
-    except UNREADABLE as error:
+    except PARSE_ERRORS as error:
         raise UnreadableRowError(f"configuration: {error!r}") from None
 
 
@@ -60,7 +60,7 @@
     try:
         document = orjson.loads(row.value)
         return WeightTarget(ModelName(document["model"]), int(document["version"]))
-    except UNREADABLE as error:
+    except PARSE_ERRORS as error:
         raise UnreadableRowError(f"weight version: {error!r}") from None
 
 
--- a/src/larkpost/platform/server_control.py
+++ b/src/larkpost/platform/server_control.py
@@ -19,7 +19,7 @@
 )
 from larkpost.platform import names
 from larkpost.platform.dead_connections import CallKind
-from larkpost.platform.operator import UNREADABLE
+from larkpost.platform.operator import PARSE_ERRORS
 from larkpost.platform.server_messages import order_document, read_report
 from larkpost.platform.server_refusals import ResponseMatch, match_response
 from larkpost.platform.server_requests import server_url
@@ -74,7 +74,7 @@
         try:
             status, content = await self._make(call, instance, timeout)
             return read_report(content) if status == OK else None
-        except (BrokenResponseError, *RESPONSE_FAILURES, *UNREADABLE):
+        except (BrokenResponseError, *RESPONSE_FAILURES, *PARSE_ERRORS):
             return None  # the loader logs it and asks again
 
     async def order(
