--- a/src/larkpost/platform/event_stream.py
+++ b/src/larkpost/platform/event_stream.py
@@ -33,7 +33,7 @@
                 yield _read_event(block)
 
     @property
-    def partial(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether bytes of an unfinished event are held."""
         return bool(self._pending.strip())
 
--- a/src/larkpost/platform/server_responses.py
+++ b/src/larkpost/platform/server_responses.py
@@ -70,7 +70,7 @@
                     yield event
             except ValueError as error:
                 raise BrokenResponseError(f"no event stream: {error}") from None
-        if decoder.partial:
+        if decoder.has_partial_event:
             raise BrokenResponseError("the stream ended within an event", connection_lost=True)
 
     def _was_reset(self) -> bool:
