--- a/src/larkpost/platform/server_responses.py
+++ b/src/larkpost/platform/server_responses.py
@@ -45,7 +45,7 @@
         # One number, though the header's name is in the plural: the version of the one model.
         self.version = read_int_header(response.headers, names.WEIGHT_VERSIONS)
         self.cold_left = read_cold_seconds(response.headers)
-        self.signature = response.headers.get(names.SERVER_STAMP.decode())
+        self.signature = response.headers.get(names.SERVER_SIGNATURE.decode())
 
     async def chunks(self) -> AsyncIterator[bytes]:
         """Yields the body; see the port."""
--- a/src/larkpost/platform/stand_in/server_app.py
+++ b/src/larkpost/platform/stand_in/server_app.py
@@ -51,7 +51,7 @@
         self._state.runs.append(request_id)
         headers = {
             names.REQUEST_ID.decode(): request_id,
-            names.SERVER_STAMP.decode(): f"{self._instance}.{request_id}",
+            names.SERVER_SIGNATURE.decode(): f"{self._instance}.{request_id}",
             names.INSTANCE_LOAD.decode(): f"{self._state.running},0,{self._state.slots}",
         }
         if not self._state.versions:
--- a/tests/process_soak/server_program.py
+++ b/tests/process_soak/server_program.py
@@ -71,7 +71,7 @@
             return response  # refused
         name = request.headers[names.REQUEST_ID.decode()]
         signature = f"{self._instance}.{len(self._state.runs)}.{name}"
-        response.headers[names.SERVER_STAMP.decode()] = signature
+        response.headers[names.SERVER_SIGNATURE.decode()] = signature
         if self._failing and not self._state.versions:
             response.status_code = 500
         write_record(
