--- a/src/larkpost/platform/names.py
+++ b/src/larkpost/platform/names.py
@@ -39,7 +39,7 @@
 FENCING_TOKEN = b"larkpost-fencing-token"
 
 # Calls to the store.
-TRANSACTION_CALL = "/-/rows-tx"
+TRANSACTION_PATH = "/-/rows-tx"
 READ_CALL = "/-/rows-get"
 FEED_CALL = "/-/rows-feed"
 
--- a/src/larkpost/platform/peer_store.py
+++ b/src/larkpost/platform/peer_store.py
@@ -10,7 +10,7 @@
 from larkpost.platform.store import HttpStore
 
 RELAYED_CALLS = {
-    ("POST", names.TRANSACTION_CALL),
+    ("POST", names.TRANSACTION_PATH),
     ("GET", names.READ_CALL),
     ("GET", names.FEED_CALL),
 }
--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -134,7 +134,7 @@
         body = orjson.dumps(transaction_document(transaction))
         started = steady_seconds()
         try:
-            call = StoreCall("POST", names.TRANSACTION_CALL, body)
+            call = StoreCall("POST", names.TRANSACTION_PATH, body)
             result = write_result(*await self._read_document(call, timeout))
         except CONNECT_FAILURES:
             result = WriteResult(WriteOutcome.NOT_DONE)
--- a/tests/test_store_relay.py
+++ b/tests/test_store_relay.py
@@ -301,7 +301,7 @@
                 async with session.get(self.url + path) as answer:
                     self.assertEqual(404, answer.status)
             large = b"x" * 2_000_000
-            async with session.post(self.url + names.TRANSACTION_CALL, data=large) as answer:
+            async with session.post(self.url + names.TRANSACTION_PATH, data=large) as answer:
                 self.assertEqual(413, answer.status)
 
 
