--- a/src/larkpost/platform/names.py
+++ b/src/larkpost/platform/names.py
@@ -40,7 +40,7 @@
 
 # Calls to the store.
 TRANSACTION_PATH = "/-/rows-tx"
-READ_CALL = "/-/rows-get"
+READ_PATH = "/-/rows-get"
 FEED_CALL = "/-/rows-feed"
 
 # Calls to the platform that one daemon at a time makes.
--- a/src/larkpost/platform/peer_store.py
+++ b/src/larkpost/platform/peer_store.py
@@ -11,7 +11,7 @@
 
 RELAYED_CALLS = {
     ("POST", names.TRANSACTION_PATH),
-    ("GET", names.READ_CALL),
+    ("GET", names.READ_PATH),
     ("GET", names.FEED_CALL),
 }
 MAX_BODY_BYTES = 1_500_000
--- a/src/larkpost/platform/stand_in/store_app.py
+++ b/src/larkpost/platform/stand_in/store_app.py
@@ -44,7 +44,7 @@
             routes=[
                 Route(names.USAGE_CALL, self._take_usage, methods=["POST"]),
                 Route(names.TRANSACTION_PATH, self._write, methods=["POST"]),
-                Route(names.READ_CALL, self._read),
+                Route(names.READ_PATH, self._read),
                 Route(names.FEED_CALL, self._changes),
             ]
         )
--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -52,9 +52,9 @@
 """The status that a peer gets for a call that was certainly not made."""
 NO_RESPONSE = 504
 """The status that a peer gets for a call without a response; it may have been made."""
-PROBE_TARGET = f"{names.READ_CALL}?table=members&part=proof&limit=1"
+PROBE_TARGET = f"{names.READ_PATH}?table=members&part=proof&limit=1"
 """A read of no rows, made to check whether the store responds on a new connection."""
-CALL_LABELS = {names.READ_CALL: "read", names.FEED_CALL: "feed"}
+CALL_LABELS = {names.READ_PATH: "read", names.FEED_CALL: "feed"}
 """The names of the reading calls in the metrics."""
 CALL_FAILURES = (aiohttp.ClientError, asyncio.TimeoutError, OSError, ValueError, KeyError)
 """Everything a call may end with besides a response; malformed responses included."""
@@ -163,8 +163,8 @@
     ) -> RowPage:
         """Reads rows of a part; see the port."""
         query = urlencode(rows_query(table, part, first, end, limit))
-        call = StoreCall("GET", f"{names.READ_CALL}?{query}")
-        return read_page(*await self._get(names.READ_CALL, call, READ_TIMEOUT_SECONDS))
+        call = StoreCall("GET", f"{names.READ_PATH}?{query}")
+        return read_page(*await self._get(names.READ_PATH, call, READ_TIMEOUT_SECONDS))
 
     async def changes(self, table: str, after: int, wait: float) -> RowPage:
         """Returns the changes of a table; see the port."""
