--- a/src/larkpost/platform/names.py
+++ b/src/larkpost/platform/names.py
@@ -41,7 +41,7 @@
 # Calls to the store.
 TRANSACTION_PATH = "/-/rows-tx"
 READ_PATH = "/-/rows-get"
-FEED_CALL = "/-/rows-feed"
+FEED_PATH = "/-/rows-feed"
 
 # Calls to the platform that one daemon at a time makes.
 USAGE_CALL = "/usage"
--- a/src/larkpost/platform/peer_store.py
+++ b/src/larkpost/platform/peer_store.py
@@ -12,7 +12,7 @@
 RELAYED_CALLS = {
     ("POST", names.TRANSACTION_PATH),
     ("GET", names.READ_PATH),
-    ("GET", names.FEED_CALL),
+    ("GET", names.FEED_PATH),
 }
 MAX_BODY_BYTES = 1_500_000
 """Largest body of a call: half as much again as the largest transaction that the store takes, so
--- a/src/larkpost/platform/stand_in/store_app.py
+++ b/src/larkpost/platform/stand_in/store_app.py
@@ -45,7 +45,7 @@
                 Route(names.USAGE_CALL, self._take_usage, methods=["POST"]),
                 Route(names.TRANSACTION_PATH, self._write, methods=["POST"]),
                 Route(names.READ_PATH, self._read),
-                Route(names.FEED_CALL, self._changes),
+                Route(names.FEED_PATH, self._changes),
             ]
         )
 
--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -54,7 +54,7 @@
 """The status that a peer gets for a call without a response; it may have been made."""
 PROBE_TARGET = f"{names.READ_PATH}?table=members&part=proof&limit=1"
 """A read of no rows, made to check whether the store responds on a new connection."""
-CALL_LABELS = {names.READ_PATH: "read", names.FEED_CALL: "feed"}
+CALL_LABELS = {names.READ_PATH: "read", names.FEED_PATH: "feed"}
 """The names of the reading calls in the metrics."""
 CALL_FAILURES = (aiohttp.ClientError, asyncio.TimeoutError, OSError, ValueError, KeyError)
 """Everything a call may end with besides a response; malformed responses included."""
@@ -149,7 +149,7 @@
         Returns:
             `NOT_MADE` or `NO_RESPONSE`, and nothing, if there are none.
         """
-        hold_time = RELAYED_LONG_POLL_SECONDS if target.startswith(names.FEED_CALL) else 0.0
+        hold_time = RELAYED_LONG_POLL_SECONDS if target.startswith(names.FEED_PATH) else 0.0
         try:
             call = StoreCall(method, target, body, hold_time)
             return await self._exchange(call, RELAYED_TIMEOUT_SECONDS)
@@ -169,8 +169,8 @@
     async def changes(self, table: str, after: int, wait: float) -> RowPage:
         """Returns the changes of a table; see the port."""
         query = urlencode(changes_query(table, after, wait))
-        call = StoreCall("GET", f"{names.FEED_CALL}?{query}", hold_time=wait)
-        status, document = await self._get(names.FEED_CALL, call, wait + READ_TIMEOUT_SECONDS)
+        call = StoreCall("GET", f"{names.FEED_PATH}?{query}", hold_time=wait)
+        status, document = await self._get(names.FEED_PATH, call, wait + READ_TIMEOUT_SECONDS)
         if status == HISTORY_LOST:
             raise HistoryLostError(f"the feed of {table} has no changes after {after}")
         return read_page(status, document)
