--- a/src/larkpost/platform/duties.py
+++ b/src/larkpost/platform/duties.py
@@ -60,7 +60,7 @@
     ) -> ReportOutcome:
         """Sends a report; see the port."""
         document = {"window-id": report.window, "counts": report.counts}
-        status = await self._call(names.USAGE_CALL, document, holder, lease, timeout)
+        status = await self._call(names.USAGE_PATH, document, holder, lease, timeout)
         return REPORT_OUTCOMES.get(status, ReportOutcome.NOT_TAKEN)
 
     async def order_servers(
--- a/src/larkpost/platform/names.py
+++ b/src/larkpost/platform/names.py
@@ -44,7 +44,7 @@
 FEED_PATH = "/-/rows-feed"
 
 # Calls to the platform that one daemon at a time makes.
-USAGE_CALL = "/usage"
+USAGE_PATH = "/usage"
 USAGE_DUTY = "usage"
 SCALING_CALL = "/scale"
 SCALING_DUTY = "autoscale"
--- a/src/larkpost/platform/stand_in/store_app.py
+++ b/src/larkpost/platform/stand_in/store_app.py
@@ -42,7 +42,7 @@
         """Returns the application; it takes usage reports as well."""
         return Starlette(
             routes=[
-                Route(names.USAGE_CALL, self._take_usage, methods=["POST"]),
+                Route(names.USAGE_PATH, self._take_usage, methods=["POST"]),
                 Route(names.TRANSACTION_PATH, self._write, methods=["POST"]),
                 Route(names.READ_PATH, self._read),
                 Route(names.FEED_PATH, self._changes),
