--- a/src/larkpost/platform/duties.py
+++ b/src/larkpost/platform/duties.py
@@ -74,7 +74,7 @@
         }
         if order.kind is ServerKind.PREEMPTIBLE:
             document["preemptible"] = True
-        status = await self._call(names.SCALING_CALL, document, holder, lease, timeout)
+        status = await self._call(names.SCALING_PATH, document, holder, lease, timeout)
         return SCALING_OUTCOMES.get(status, ScalingOutcome.NOT_TAKEN)
 
     async def _call(
--- a/src/larkpost/platform/names.py
+++ b/src/larkpost/platform/names.py
@@ -46,7 +46,7 @@
 # Calls to the platform that one daemon at a time makes.
 USAGE_PATH = "/usage"
 USAGE_DUTY = "usage"
-SCALING_CALL = "/scale"
+SCALING_PATH = "/scale"
 SCALING_DUTY = "autoscale"
 
 # Calls to servers.
