--- a/src/larkpost/platform/names.py
+++ b/src/larkpost/platform/names.py
@@ -50,7 +50,7 @@
 SCALING_DUTY = "autoscale"
 
 # Calls to servers.
-REPORT_CALL = "/-/report"
+REPORT_PATH = "/-/report"
 ORDER_CALL = "/-/order"
 
 # Calls that come to larkpost.
--- a/src/larkpost/platform/server_control.py
+++ b/src/larkpost/platform/server_control.py
@@ -70,7 +70,7 @@
 
         A late response to an earlier request on the connection names that request, or is no report.
         """
-        call = ControlCall("GET", names.REPORT_CALL)
+        call = ControlCall("GET", names.REPORT_PATH)
         try:
             status, content = await self._make(call, instance, timeout)
             return read_report(content) if status == OK else None
--- a/src/larkpost/platform/stand_in/server_app.py
+++ b/src/larkpost/platform/stand_in/server_app.py
@@ -35,7 +35,7 @@
         """Returns the application."""
         return Starlette(
             routes=[
-                Route(names.REPORT_CALL, self._report),
+                Route(names.REPORT_PATH, self._report),
                 Route(names.ORDER_CALL, self._order, methods=["POST"]),
                 Route("/{rest:path}", self._serve, methods=["GET", "POST"]),
             ]
--- a/tests/test_store_relay.py
+++ b/tests/test_store_relay.py
@@ -297,7 +297,7 @@
 
     async def test_other_calls_are_refused(self):
         async with aiohttp.ClientSession() as session:
-            for path in ("/", names.REPORT_CALL):
+            for path in ("/", names.REPORT_PATH):
                 async with session.get(self.url + path) as answer:
                     self.assertEqual(404, answer.status)
             large = b"x" * 2_000_000
