--- a/src/larkpost/platform/names.py
+++ b/src/larkpost/platform/names.py
@@ -51,7 +51,7 @@
 
 # Calls to servers.
 REPORT_PATH = "/-/report"
-ORDER_CALL = "/-/order"
+ORDER_PATH = "/-/order"
 
 # Calls that come to larkpost.
 READY_CALL = "/-/ready"
--- a/src/larkpost/platform/server_control.py
+++ b/src/larkpost/platform/server_control.py
@@ -81,7 +81,7 @@
         self, instance: InstanceInfo, order: VersionOrder, timeout: float
     ) -> OrderOutcome:
         """Gives an engine an order; see the port."""
-        call = ControlCall("POST", names.ORDER_CALL, orjson.dumps(order_document(order)))
+        call = ControlCall("POST", names.ORDER_PATH, orjson.dumps(order_document(order)))
         try:
             status, _ = await self._make(call, instance, timeout)
         except (BrokenResponseError, *RESPONSE_FAILURES):
--- a/src/larkpost/platform/stand_in/server_app.py
+++ b/src/larkpost/platform/stand_in/server_app.py
@@ -36,7 +36,7 @@
         return Starlette(
             routes=[
                 Route(names.REPORT_PATH, self._report),
-                Route(names.ORDER_CALL, self._order, methods=["POST"]),
+                Route(names.ORDER_PATH, self._order, methods=["POST"]),
                 Route("/{rest:path}", self._serve, methods=["GET", "POST"]),
             ]
         )
