--- a/src/larkpost/platform/names.py
+++ b/src/larkpost/platform/names.py
@@ -54,7 +54,7 @@
 ORDER_PATH = "/-/order"
 
 # Calls that come to larkpost.
-READY_CALL = "/-/ready"
+READY_PATH = "/-/ready"
 OWN_CALLS = b"/-/"
 BATCH_CALL = b"/-/lots/"
 ITEM_CALL = b"/-/items/"
--- a/src/larkpost/platform/stand_in/daemon_settings.py
+++ b/src/larkpost/platform/stand_in/daemon_settings.py
@@ -71,4 +71,4 @@
 
 def ready_path() -> str:
     """Returns the path that responds whether a daemon takes clients."""
-    return names.READY_CALL
+    return names.READY_PATH
--- a/src/larkpost/platform/status_apps.py
+++ b/src/larkpost/platform/status_apps.py
@@ -21,7 +21,7 @@
     async def __call__(self, scope: dict, receive: Receive, send: Send) -> None:
         """Responds with 200 if ready, else with 503."""
         status = NOT_FOUND
-        if scope["path"] == names.READY_CALL:
+        if scope["path"] == names.READY_PATH:
             status = OK if self._lifecycle.ready else NOT_READY
         await send_whole(send, status, [(b"content-length", b"0")], b"")
 
