--- a/src/larkpost/platform/batch_endpoints.py
+++ b/src/larkpost/platform/batch_endpoints.py
@@ -104,7 +104,7 @@
             LarkpostError: the call cannot be served.
         """
         caller = self._admission.caller(call.request_name, call.host_name, call.key)
-        if call.path.startswith(names.BATCH_CALL):
+        if call.path.startswith(names.BATCH_PATH_PREFIX):
             await self._serve_batch(call, response, caller)
         elif call.path.startswith(names.ITEM_CALL) and call.method == "GET":
             batch = _batch_after(names.ITEM_CALL, call)
@@ -118,7 +118,7 @@
     async def _serve_batch(
         self, call: ClientCall, response: ClientResponse, caller: Caller
     ) -> None:
-        batch = _batch_after(names.BATCH_CALL, call)
+        batch = _batch_after(names.BATCH_PATH_PREFIX, call)
         if call.method == "GET":
             await self._read_results(call, response, batch, caller)
         elif call.method == "DELETE":
--- a/src/larkpost/platform/names.py
+++ b/src/larkpost/platform/names.py
@@ -56,7 +56,7 @@
 # Calls that come to larkpost.
 READY_PATH = "/-/ready"
 OWN_CALLS = b"/-/"
-BATCH_CALL = b"/-/lots/"
+BATCH_PATH_PREFIX = b"/-/lots/"
 ITEM_CALL = b"/-/items/"
 
 # Rows of the platform's own.
--- a/src/larkpost/platform/stand_in/callers.py
+++ b/src/larkpost/platform/stand_in/callers.py
@@ -146,13 +146,13 @@
         found = await self._read(batch, len(items))
         self._check(items, found, step)
         self._record.whole_seconds.append(asyncio.get_running_loop().time() - began)
-        target = f"{names.BATCH_CALL.decode()}{batch}"
+        target = f"{names.BATCH_PATH_PREFIX.decode()}{batch}"
         await self._caller.call_until("DELETE", target, batch, None, 200)
 
     async def _read(self, batch: str, total: int) -> list[dict]:
         found: list[dict] = []
         while len(found) < total:
-            target = f"{names.BATCH_CALL.decode()}{batch}?after-rev={len(found)}"
+            target = f"{names.BATCH_PATH_PREFIX.decode()}{batch}?after-rev={len(found)}"
             content = await self._caller.call_until("GET", target, batch, None, 200)
             found.extend(orjson.loads(content)["results"])
         return found
--- a/tests/process_soak/callers.py
+++ b/tests/process_soak/callers.py
@@ -115,7 +115,7 @@
             position = len(batch.read)
             if position and self._chance.random() < 0.2:
                 position = self._chance.randrange(position)  # now and then from an earlier one
-            target = f"{names.BATCH_CALL.decode()}{batch.batch}?after-rev={position}"
+            target = f"{names.BATCH_PATH_PREFIX.decode()}{batch.batch}?after-rev={position}"
             answer = await self._call("GET", target, batch.batch)
             if answer is None or answer[0] != 200:
                 assert answer is None or answer[0] != 404, f"{batch.batch} is lost"
@@ -133,7 +133,7 @@
             self.abandoned += 1
             return  # it is to become whole once all has healed
         self.step_seconds.append(time.monotonic() - began)
-        target = f"{names.BATCH_CALL.decode()}{batch.batch}"
+        target = f"{names.BATCH_PATH_PREFIX.decode()}{batch.batch}"
         answer = await self._call("DELETE", target, batch.batch)
         if answer is not None and answer[0] == 200:
             batch.ended_at = time.monotonic()
