--- a/src/larkpost/platform/batch_endpoints.py
+++ b/src/larkpost/platform/batch_endpoints.py
@@ -106,8 +106,8 @@
         caller = self._admission.caller(call.request_name, call.host_name, call.key)
         if call.path.startswith(names.BATCH_PATH_PREFIX):
             await self._serve_batch(call, response, caller)
-        elif call.path.startswith(names.ITEM_CALL) and call.method == "GET":
-            batch = _batch_after(names.ITEM_CALL, call)
+        elif call.path.startswith(names.ITEM_PATH_PREFIX) and call.method == "GET":
+            batch = _batch_after(names.ITEM_PATH_PREFIX, call)
             item = call.query.get("id", [""])[0]
             body = await self._batches.body(batch, ItemId(item), caller)
             call.memory.reserve(Purpose.PAGES, len(body))
--- a/src/larkpost/platform/names.py
+++ b/src/larkpost/platform/names.py
@@ -57,7 +57,7 @@
 READY_PATH = "/-/ready"
 OWN_CALLS = b"/-/"
 BATCH_PATH_PREFIX = b"/-/lots/"
-ITEM_CALL = b"/-/items/"
+ITEM_PATH_PREFIX = b"/-/items/"
 
 # Rows of the platform's own.
 OPERATOR_TABLE = "op"
