--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -102,7 +102,7 @@
             return
         closed = asyncio.create_task(call.wait_for_disconnect())
         try:
-            if not call.path.startswith(names.OWN_CALLS):
+            if not call.path.startswith(names.RESERVED_PATH_PREFIX):
                 await _detect_close(closed)
             await self._serve_until(closed, call, response, body)
         finally:
@@ -115,7 +115,7 @@
             LarkpostError: it may not by the configuration in force, or is a batch that can never be
                 held here.
         """
-        if call.path.startswith(names.OWN_CALLS):
+        if call.path.startswith(names.RESERVED_PATH_PREFIX):
             self._admission.caller(call.request_name, call.host_name, call.key)
         else:
             admitted = self._admission.admit(call.request_name, call.host_name, call.path, call.key)
@@ -149,7 +149,7 @@
     async def _serve(
         self, call: ClientCall, response: ClientResponse, body: bytes | bytearray
     ) -> None:
-        if call.path.startswith(names.OWN_CALLS):
+        if call.path.startswith(names.RESERVED_PATH_PREFIX):
             await self._batch_endpoints.serve(call, response)
             return
         admitted = self._admission.admit(call.request_name, call.host_name, call.path, call.key)
--- a/src/larkpost/platform/names.py
+++ b/src/larkpost/platform/names.py
@@ -55,7 +55,7 @@
 
 # Calls that come to larkpost.
 READY_PATH = "/-/ready"
-OWN_CALLS = b"/-/"
+RESERVED_PATH_PREFIX = b"/-/"
 BATCH_PATH_PREFIX = b"/-/lots/"
 ITEM_PATH_PREFIX = b"/-/items/"
 
