--- a/src/larkpost/platform/stand_in/daemon_settings.py
+++ b/src/larkpost/platform/stand_in/daemon_settings.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DaemonPlace:
+class DaemonSettings:
     """Where a daemon stands and listens.
 
     Attributes:
@@ -52,7 +52,7 @@
     memory_mb: int | None = None
 
 
-def write_settings(place: DaemonPlace, folder: Path) -> dict[str, str]:
+def write_settings(place: DaemonSettings, folder: Path) -> dict[str, str]:
     """Writes a daemon's settings and returns the environment that names them."""
     path = folder / f"{place.machine}.toml"
     text = TEMPLATE.format(
--- a/src/larkpost/rehearsal/platform_site.py
+++ b/src/larkpost/rehearsal/platform_site.py
@@ -9,7 +9,7 @@
 from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
 from larkpost.platform.stand_in.callers import BatchShape
-from larkpost.platform.stand_in.daemon_settings import DaemonPlace, ready_path, write_settings
+from larkpost.platform.stand_in.daemon_settings import DaemonSettings, ready_path, write_settings
 from larkpost.platform.stand_in.programs import server_arguments
 from larkpost.platform.stand_in.rows import StandInServer
 from larkpost.rehearsal.processes import Process, ProcessGroup, answers, free_address, wait_for
@@ -127,7 +127,7 @@
 def _start_daemon(group: ProcessGroup, site: PlatformSite, number: int, folder: Path) -> None:
     zone = site.shape.zones[number % len(site.shape.zones)]
     name = f"front-{zone}-{number}"
-    place = DaemonPlace(name, zone, free_address(), free_address(), free_address(), site.store)
+    place = DaemonSettings(name, zone, free_address(), free_address(), free_address(), site.store)
     environment = write_settings(place, folder)
     site.daemons[name] = group.start_module(name, DAEMON_MODULE, environment=environment)
     site.fronts[name] = place.front
--- a/tests/process_soak/site.py
+++ b/tests/process_soak/site.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
 from larkpost.gateway.store.port import RowKey, Transaction, WriteOutcome
 from larkpost.platform import names
-from larkpost.platform.stand_in.daemon_settings import DaemonPlace, write_settings
+from larkpost.platform.stand_in.daemon_settings import DaemonSettings, write_settings
 from larkpost.platform.stand_in.programs import server_arguments
 from larkpost.platform.stand_in.rows import (
     StandInServer,
@@ -63,7 +63,7 @@
 class Daemon:
     """A daemon's place: its settings, its links, and its process."""
 
-    place: DaemonPlace
+    place: DaemonSettings
     environment: dict[str, str]
     front: FaultProxy
     store: FaultProxy
@@ -165,7 +165,7 @@
     async def new_daemon(self) -> Daemon:
         """Starts a daemon under a new name, behind links of its own."""
         front, store = FaultProxy(free_address()), FaultProxy(self._daemons_store)
-        place = DaemonPlace(
+        place = DaemonSettings(
             f"daemon-{self._started}",
             ZoneId("z"),
             front.upstream,
@@ -180,7 +180,7 @@
         environment = write_settings(place, self._folder)
         return Daemon(place, environment, front, store, self.start_daemon(place, environment))
 
-    def start_daemon(self, place: DaemonPlace, environment: dict[str, str]) -> Process:
+    def start_daemon(self, place: DaemonSettings, environment: dict[str, str]) -> Process:
         """Starts the process of a daemon."""
         mutants = [self._mutant] if self._mutant is not None else []
         return self._group.start_module(
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -20,7 +20,7 @@
 from larkpost.gateway.blackboard.configuration import ServiceName
 from larkpost.gateway.store.port import RowKey, Transaction
 from larkpost.platform import names
-from larkpost.platform.stand_in.daemon_settings import DaemonPlace, ready_path, write_settings
+from larkpost.platform.stand_in.daemon_settings import DaemonSettings, ready_path, write_settings
 from larkpost.platform.stand_in.rows import (
     HOST,
     LIMITS,
@@ -93,7 +93,7 @@
         await listening.start(*split_address(own))
         self.addAsyncCleanup(listening.close)
         front, ready, peer = free_address(), free_address(), free_address()
-        place = DaemonPlace("daemon", ZoneId("z"), front, ready, peer, store, MACHINE_MB)
+        place = DaemonSettings("daemon", ZoneId("z"), front, ready, peer, store, MACHINE_MB)
         environment = write_settings(place, folder)
         self.daemon = group.start_module(
             "daemon", "larkpost.platform.process", environment=environment
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.usage.port import UsageTerms
 from larkpost.platform.settings import load_platform_settings
 from larkpost.platform.settings_watch import LiveSettings, SettingsWatcher
-from larkpost.platform.stand_in.daemon_settings import DaemonPlace, write_settings
+from larkpost.platform.stand_in.daemon_settings import DaemonSettings, write_settings
 from larkpost.platform.store import HttpStore
 from larkpost.rehearsal.processes import ProcessGroup, free_address, wait_for
 
@@ -145,7 +145,7 @@
     def test_changes_are_taken_with_and_without_a_signal(self):
         with tempfile.TemporaryDirectory() as name, ProcessGroup(Path(name)) as group:
             folder = Path(name)
-            place = DaemonPlace(
+            place = DaemonSettings(
                 "front-1",
                 ZoneId("z"),
                 free_address(),
