--- a/src/larkpost/platform/stand_in/callers.py
+++ b/src/larkpost/platform/stand_in/callers.py
@@ -21,7 +21,7 @@
     PAGE_PREFIX,
     READING,
     TRAINING,
-    key_of,
+    tenant_api_key,
 )
 
 READ_WAIT_MS = "500"
@@ -71,7 +71,7 @@
         tenant = READING if target.startswith(PAGE_PREFIX) else TRAINING
         headers = {
             "Host": HOST,
-            names.API_KEY.decode(): key_of(tenant, CONFIGURATION_VERSION),
+            names.API_KEY.decode(): tenant_api_key(tenant, CONFIGURATION_VERSION),
             names.REQUEST_ID.decode(): request_id,
             names.WAIT_MS.decode(): READ_WAIT_MS,
         }
--- a/src/larkpost/platform/stand_in/rows.py
+++ b/src/larkpost/platform/stand_in/rows.py
@@ -44,7 +44,7 @@
     leaving: bool = False
 
 
-def key_of(tenant: TenantName, version: int) -> str:
+def tenant_api_key(tenant: TenantName, version: int) -> str:
     """Returns the key that a tenant gets with a version of the configuration.
 
     It is taken away again with the second version after that one.
@@ -73,7 +73,10 @@
             {"name": pages, "health-path": "/health", "max-conns": 100},
         ],
         "tenants": [
-            {"name": tenant, "api-keys": [key_of(tenant, version), key_of(tenant, version - 1)]}
+            {
+                "name": tenant,
+                "api-keys": [tenant_api_key(tenant, version), tenant_api_key(tenant, version - 1)],
+            }
             for tenant in TENANTS
         ],
         "limits": LIMITS,
