--- a/src/larkpost/platform/stand_in/callers.py
+++ b/src/larkpost/platform/stand_in/callers.py
@@ -14,7 +14,7 @@
 from larkpost.common.ids import Address
 from larkpost.gateway.blackboard.configuration import ModelName
 from larkpost.platform import names
-from larkpost.platform.stand_in.engine_state import output_of
+from larkpost.platform.stand_in.engine_state import expected_output
 from larkpost.platform.stand_in.rows import (
     BATCH_PREFIX,
     HOST,
@@ -186,7 +186,7 @@
         self._record.results_doubled += len(ids) - len(set(ids))
         self._record.results_lost += len(set(items) - set(ids))
         for result in found:
-            whole = b"\n".join(output_of(result["id"])).decode()
+            whole = b"\n".join(expected_output(result["id"])).decode()
             fresh = min(result.get("versions", [0])) >= max(1, step)
             scored = result.get("score", "").endswith(f".{_reward_call_id(result['id'])}")
             if result["state"] != "done" or result["message"] != whole or not (fresh and scored):
--- a/src/larkpost/platform/stand_in/engine_state.py
+++ b/src/larkpost/platform/stand_in/engine_state.py
@@ -16,7 +16,7 @@
 """A load of weights, in seconds. Short, so that a demonstration has several."""
 
 
-def output_of(request_id: str, events: int | None = None) -> list[bytes]:
+def expected_output(request_id: str, events: int | None = None) -> list[bytes]:
     """Returns the events' data that every engine makes for a request.
 
     Args:
--- a/src/larkpost/platform/stand_in/server_app.py
+++ b/src/larkpost/platform/stand_in/server_app.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.blackboard.configuration import ModelName
 from larkpost.gateway.servers.port import OrderOutcome, VersionOrder
 from larkpost.platform import names
-from larkpost.platform.stand_in.engine_state import EngineState, output_of, take_order
+from larkpost.platform.stand_in.engine_state import EngineState, expected_output, take_order
 
 PAGE_SECONDS = 0.02
 STATUSES = {
@@ -64,7 +64,7 @@
         return StreamingResponse(events, headers=headers, media_type="text/event-stream")
 
     async def _events(self, request_id: str, after: int, model: ModelName) -> AsyncIterator[bytes]:
-        output = output_of(request_id)
+        output = expected_output(request_id)
         version = self._state.versions[model]
         self._state.running += 1
         try:
--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -45,7 +45,7 @@
 from larkpost.gateway.store.port import Row, RowKey, Transaction
 from larkpost.gateway.store.relay import RelayedStore
 from larkpost.gateway.usage.port import UsageTerms
-from larkpost.platform.stand_in.engine_state import output_of
+from larkpost.platform.stand_in.engine_state import expected_output
 from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient
 from tests.platform_checks import CALL_ATTEMPTS
 from tests.platform_places import EAST, REGIONS, WatchedClient
@@ -631,7 +631,7 @@
 
 def expected_text(item: str) -> str:
     """Returns the whole output of an item."""
-    return b"\n".join(output_of(item)).decode()
+    return b"\n".join(expected_output(item)).decode()
 
 
 def check_results(test, spec: BatchSpec, results: list[Result]) -> None:
--- a/tests/process_soak/judge.py
+++ b/tests/process_soak/judge.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from larkpost.gateway.rollouts.model import ResultState
-from larkpost.platform.stand_in.engine_state import output_of
+from larkpost.platform.stand_in.engine_state import expected_output
 from larkpost.platform.stand_in.rows import TRAINING
 from tests import platform_checks as checks
 from tests.process_soak.records import Evacuation, Records
@@ -111,7 +111,7 @@
             call = batch.calls[result["id"]]
             runs = records.runs.get(call, [])
             if result["state"] == ResultState.DONE:
-                text = b"\n".join(output_of(result["id"])).decode()
+                text = b"\n".join(expected_output(result["id"])).decode()
                 checks.check_text(
                     result["id"],
                     result["message"],
--- a/tests/scripted_engines.py
+++ b/tests/scripted_engines.py
@@ -23,7 +23,7 @@
     StreamEvent,
     VersionOrder,
 )
-from larkpost.platform.stand_in.engine_state import EngineState, output_of, take_order
+from larkpost.platform.stand_in.engine_state import EngineState, expected_output, take_order
 
 STALL_SECONDS = 1000.0
 CRASH_SECONDS = 0.08
@@ -105,7 +105,7 @@
     async def events(self) -> AsyncIterator[StreamEvent]:
         """Yields the body's events; see the port."""
         await self._crash_if_so()
-        output = output_of(self._request.request_id.decode(), self._output_events)
+        output = expected_output(self._request.request_id.decode(), self._output_events)
         first = (self._request.resume_after or 0) + 1
         version = self.version
         for made, number in enumerate(range(first, len(output) + 1)):
--- a/tests/test_process_soak.py
+++ b/tests/test_process_soak.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from larkpost.common.addresses import split_address
-from larkpost.platform.stand_in.engine_state import output_of
+from larkpost.platform.stand_in.engine_state import expected_output
 from larkpost.platform.stand_in.rows import READING, TRAINING
 from larkpost.rehearsal.processes import free_address
 from tests.connections import ConnectionServer
@@ -164,7 +164,7 @@
 
     def result(self, item: str, **changes) -> dict:
         """Returns a sound result, with changes."""
-        text = b"\n".join(output_of(item)).decode()
+        text = b"\n".join(expected_output(item)).decode()
         score = f"p.{self.batch.calls[item]}"
         sound = {"id": item, "state": "done", "message": text, "versions": [2], "score": score}
         return sound | changes
