--- a/src/larkpost/platform/stand_in/programs.py
+++ b/src/larkpost/platform/stand_in/programs.py
@@ -22,7 +22,7 @@
 from larkpost.platform.store import HttpStore
 
 HEARTBEAT_SECONDS = 0.4
-LAPSE_SECONDS = 1.5
+ENTRY_TTL_SECONDS = 1.5
 WRITE_SECONDS = 1.0
 ROW_BYTES = 65536
 
@@ -42,7 +42,8 @@
     removals = tuple(
         key
         for key in store.rows
-        if key.table == names.SERVER_TABLE and clock.now() - store.written_at[key] > LAPSE_SECONDS
+        if key.table == names.SERVER_TABLE
+        and clock.now() - store.written_at[key] > ENTRY_TTL_SECONDS
     )
     if removals:
         store.apply(Transaction(removals=removals))
