--- a/src/larkpost/platform/stand_in/rows.py
+++ b/src/larkpost/platform/stand_in/rows.py
@@ -52,7 +52,7 @@
     return f"key-of-{tenant}-{version}"
 
 
-def configuration_change(
+def configuration_transaction(
     version: int,
     engines: ServiceName,
     pages: ServiceName,
--- a/src/larkpost/rehearsal/demo.py
+++ b/src/larkpost/rehearsal/demo.py
@@ -22,7 +22,7 @@
     StandInClient,
     StandInTrainer,
 )
-from larkpost.platform.stand_in.rows import configuration_change, version_change
+from larkpost.platform.stand_in.rows import configuration_transaction, version_change
 from larkpost.platform.store import HttpStore
 from larkpost.rehearsal.platform_site import (
     CASABLANCA_SHAPE,
@@ -116,7 +116,7 @@
 
 async def _configure(site: PlatformSite, store: HttpStore) -> None:
     shape = site.shape
-    change = configuration_change(
+    change = configuration_transaction(
         1, site.engine_service, site.page_service, shape.engine_slots, shape.models
     )
     await _write(store, change)
--- a/tests/process_soak/site.py
+++ b/tests/process_soak/site.py
@@ -16,7 +16,7 @@
 from larkpost.platform.stand_in.programs import server_arguments
 from larkpost.platform.stand_in.rows import (
     StandInServer,
-    configuration_change,
+    configuration_transaction,
     version_change,
 )
 from larkpost.platform.store import HttpStore
@@ -142,7 +142,7 @@
         """Writes a newer configuration, with a route that the one before had not."""
         self._configuration += 1
         slots = ENGINE_SLOTS
-        change = configuration_change(self._configuration, ENGINES, PAGES, slots, (MODEL,))
+        change = configuration_transaction(self._configuration, ENGINES, PAGES, slots, (MODEL,))
         document = orjson.loads(change.puts[0][1])
         pages = next(route for route in document["routes"] if route["service"] == PAGES)
         pages["max-attempts"] = CALL_ATTEMPTS
