--- a/src/larkpost/platform/stand_in/rows.py
+++ b/src/larkpost/platform/stand_in/rows.py
@@ -118,7 +118,7 @@
     }
 
 
-def version_change(model: ModelName, version: int) -> Transaction:
+def version_transaction(model: ModelName, version: int) -> Transaction:
     """Returns a trainer's naming of a weight version."""
     key = RowKey(names.OPERATOR_TABLE, "", f"{names.VERSION_KEY_PREFIX}{model}")
     value = orjson.dumps({"model": model, "version": version})
--- a/src/larkpost/rehearsal/demo.py
+++ b/src/larkpost/rehearsal/demo.py
@@ -22,7 +22,7 @@
     StandInClient,
     StandInTrainer,
 )
-from larkpost.platform.stand_in.rows import configuration_transaction, version_change
+from larkpost.platform.stand_in.rows import configuration_transaction, version_transaction
 from larkpost.platform.store import HttpStore
 from larkpost.rehearsal.platform_site import (
     CASABLANCA_SHAPE,
@@ -105,7 +105,7 @@
     until: float,
 ) -> None:
     async def name_version(model: ModelName, version: int) -> None:
-        await _write(store, version_change(model, version))
+        await _write(store, version_transaction(model, version))
 
     for shape in site.shape.trainers:
         trainer = StandInTrainer(caller, shape, name_version)
--- a/tests/process_soak/site.py
+++ b/tests/process_soak/site.py
@@ -17,7 +17,7 @@
 from larkpost.platform.stand_in.rows import (
     StandInServer,
     configuration_transaction,
-    version_change,
+    version_transaction,
 )
 from larkpost.platform.store import HttpStore
 from larkpost.rehearsal.processes import Process, ProcessGroup, free_address
@@ -155,7 +155,7 @@
 
     async def name_version(self, model: ModelName, version: int) -> None:
         """Names a weight version."""
-        await self.write(version_change(model, version))
+        await self.write(version_transaction(model, version))
 
     def _proxies(self) -> list[FaultProxy]:
         fronts = [daemon.front for daemon in self.daemons]
