--- a/src/larkpost/platform/stand_in/rows.py
+++ b/src/larkpost/platform/stand_in/rows.py
@@ -125,7 +125,7 @@
     return Transaction(puts=((key, value),))
 
 
-def evacuation_change(zone: ZoneId, *, is_on: bool) -> Transaction:
+def evacuation_transaction(zone: ZoneId, *, is_on: bool) -> Transaction:
     """Returns the operator's begin, or end, of a zone's evacuation."""
     key = RowKey(names.OPERATOR_TABLE, "", f"{names.EVACUATION_KEY_PREFIX}{zone}")
     return Transaction(puts=((key, b"{}"),)) if is_on else Transaction(removals=(key,))
--- a/tests/process_soak/strikes.py
+++ b/tests/process_soak/strikes.py
@@ -11,7 +11,7 @@
 
 from larkpost.common.ids import Address
 from larkpost.platform import names
-from larkpost.platform.stand_in.rows import evacuation_change
+from larkpost.platform.stand_in.rows import evacuation_transaction
 from larkpost.rehearsal.processes import Process
 from tests.process_soak.daemon_program import SUSPENDED_SIGNAL
 from tests.process_soak.plan import Fault, Kind
@@ -210,11 +210,11 @@
             return
         span = Evacuation(zone, float("inf"))
         spans.append(span)
-        await self._site.write(evacuation_change(zone, is_on=True))
+        await self._site.write(evacuation_transaction(zone, is_on=True))
         span.began_at = time.monotonic()
         await asyncio.sleep(fault.seconds)
         span.ended_at = time.monotonic()
-        await self._site.write(evacuation_change(zone, is_on=False))
+        await self._site.write(evacuation_transaction(zone, is_on=False))
 
     def _daemon(self, fault: Fault) -> Daemon:
         return self._site.daemons[fault.target % len(self._site.daemons)]
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -35,7 +35,7 @@
 from larkpost.gateway.store.port import Row, RowKey
 from larkpost.platform import names, operator
 from larkpost.platform.stand_in.memory_store import StoreFaults
-from larkpost.platform.stand_in.rows import evacuation_change
+from larkpost.platform.stand_in.rows import evacuation_transaction
 from tests import switched_off
 from tests.platform_checks import EVACUATE_SECONDS, known_by
 from tests.platform_fleet import (
@@ -69,10 +69,10 @@
         return operator.read_evacuation(row)
 
     def test_row_begins_and_its_removal_ends(self):
-        ((key, value),) = evacuation_change(NORTH, is_on=True).puts
+        ((key, value),) = evacuation_transaction(NORTH, is_on=True).puts
         row = Row(key, value, 1)
         self.assertEqual(ZoneEvacuation(NORTH, is_on=True), operator.read_evacuation(row))
-        (removal,) = evacuation_change(NORTH, is_on=False).removals
+        (removal,) = evacuation_transaction(NORTH, is_on=False).removals
         gone = Row(removal, b"", 2, removed=True)
         self.assertEqual(ZoneEvacuation(NORTH, is_on=False), operator.read_evacuation(gone))
 
