--- a/src/larkpost/platform/stand_in/programs.py
+++ b/src/larkpost/platform/stand_in/programs.py
@@ -16,7 +16,7 @@
 from larkpost.platform import names
 from larkpost.platform.stand_in.engine_state import EngineState
 from larkpost.platform.stand_in.memory_store import MemoryStore
-from larkpost.platform.stand_in.rows import StandInServer, server_change
+from larkpost.platform.stand_in.rows import StandInServer, server_transaction
 from larkpost.platform.stand_in.server_app import ServerApp
 from larkpost.platform.stand_in.store_app import StoreApp
 from larkpost.platform.store import HttpStore
@@ -61,7 +61,7 @@
     client = HttpStore(store, ROW_BYTES)
     while True:
         entry = replace(server, versions=dict(state.versions))
-        await client.write(server_change(entry), WRITE_SECONDS)
+        await client.write(server_transaction(entry), WRITE_SECONDS)
         await asyncio.sleep(HEARTBEAT_SECONDS)
 
 
--- a/src/larkpost/platform/stand_in/rows.py
+++ b/src/larkpost/platform/stand_in/rows.py
@@ -131,7 +131,7 @@
     return Transaction(puts=((key, b"{}"),)) if is_on else Transaction(removals=(key,))
 
 
-def server_change(server: StandInServer) -> Transaction:
+def server_transaction(server: StandInServer) -> Transaction:
     """Returns a server's writing of its own entry."""
     document = {
         "service": server.service,
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -26,7 +26,7 @@
     LIMITS,
     PAGE_PREFIX,
     StandInServer,
-    server_change,
+    server_transaction,
 )
 from larkpost.platform.store import HttpStore
 from larkpost.rehearsal.processes import ProcessGroup, answers, free_address
@@ -112,7 +112,7 @@
         server = StandInServer(InstanceId("e0"), PAGES, own, ZoneId("z"), 64, {})
         while True:
             await self.client.write(self.configuration(), 1.0)
-            await self.client.write(server_change(server), 1.0)
+            await self.client.write(server_transaction(server), 1.0)
             await asyncio.sleep(HEARTBEAT_SECONDS)
 
     def configuration(self) -> Transaction:
