--- a/src/larkpost/platform/stand_in/engine_state.py
+++ b/src/larkpost/platform/stand_in/engine_state.py
@@ -47,7 +47,7 @@
     running: int = 0
     versions: dict[ModelName, int] = field(default_factory=dict)
     highest_token: int = 0
-    orders_taken: int = 0
+    orders_accepted: int = 0
     loading_until: float = 0.0
     runs: list[str] = field(default_factory=list)
     orders: list[tuple[str, int, ModelName, int, float]] = field(default_factory=list)
@@ -59,11 +59,11 @@
     if order.fencing_token < state.highest_token:
         return OrderOutcome.FENCED
     state.highest_token = order.fencing_token
-    if order.expected_orders != state.orders_taken or now < state.loading_until:
+    if order.expected_orders != state.orders_accepted or now < state.loading_until:
         return OrderOutcome.BUSY
     if state.versions.get(order.model, 0) >= order.version:
         return OrderOutcome.HOLDS
-    state.orders_taken += 1
+    state.orders_accepted += 1
     state.loading_until = now + LOAD_SECONDS
     state.versions[order.model] = order.version
     return OrderOutcome.TAKEN
--- a/src/larkpost/platform/stand_in/server_app.py
+++ b/src/larkpost/platform/stand_in/server_app.py
@@ -95,7 +95,7 @@
                 {"name": model, "version": version} for model, version in state.versions.items()
             ],
             "busy": asyncio.get_running_loop().time() < state.loading_until,
-            "seq": state.orders_taken,
+            "seq": state.orders_accepted,
             "running": state.running,
             "waiting": 0,
         }
--- a/tests/scripted_engines.py
+++ b/tests/scripted_engines.py
@@ -206,7 +206,7 @@
         if state is None or state.down:
             return None
         busy = self._clock.now() < state.loading_until
-        return EngineReport(state.orders_taken, busy, state.running, 0, dict(state.versions))
+        return EngineReport(state.orders_accepted, busy, state.running, 0, dict(state.versions))
 
     async def order(
         self, instance: InstanceInfo, order: VersionOrder, timeout: float
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -149,7 +149,7 @@
             await fleet.wait(6.0)
             for state in fleet.engines.engines.values():
                 self.assertEqual(2, state.versions[MODEL])
-                self.assertEqual(1, state.orders_taken)
+                self.assertEqual(1, state.orders_accepted)
             self.check_orders(fleet)
 
         run(play())
