--- a/src/larkpost/platform/stand_in/engine_state.py
+++ b/src/larkpost/platform/stand_in/engine_state.py
@@ -10,7 +10,7 @@
 from larkpost.gateway.servers.port import OrderOutcome, VersionOrder
 
 MIN_EVENTS = 4
-SPREAD_EVENTS = 12
+MAX_EXTRA_EVENTS = 12
 """A request's output has `MIN_EVENTS` events and up to `SPREAD_EVENTS` - 1 more."""
 LOAD_SECONDS = 0.9
 """A load of weights, in seconds. Short, so that a demonstration has several."""
@@ -22,7 +22,7 @@
     Args:
         events: how many; None for a number that hangs on the request.
     """
-    count = MIN_EVENTS + hash64(request_id) % SPREAD_EVENTS if events is None else events
+    count = MIN_EVENTS + hash64(request_id) % MAX_EXTRA_EVENTS if events is None else events
     return [f"{request_id}-{number}".encode() for number in range(1, count + 1)]
 
 
