--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -93,7 +93,7 @@
     """Takes the answer to another request for its own."""
     from larkpost.platform import servers
 
-    return mock.patch.object(servers, "check_ran", lambda *_: None)
+    return mock.patch.object(servers, "check_executed", lambda *_: None)
 
 
 def take_lower_version():
@@ -356,7 +356,7 @@
     """Forwards requests whose callers had left before they were read."""
     from larkpost.platform import ingress
 
-    return mock.patch.object(ingress, "TURNS_TO_SEE_A_CLOSE", 0)
+    return mock.patch.object(ingress, "LOOP_TURNS_TO_DETECT_CLOSE", 0)
 
 
 def ignore_permits():
@@ -429,7 +429,7 @@
     """Ends a write on a connection that looks silent, though the store may only be slow."""
     from larkpost.platform.watched_connection import WatchedConnection
 
-    return mock.patch.object(WatchedConnection, "_waits_for_proof", lambda _: False)
+    return mock.patch.object(WatchedConnection, "_awaits_probe", lambda _: False)
 
 
 def send_crashing_requests_on():
@@ -535,7 +535,7 @@
     """Takes a server that has started again for the one before."""
     from larkpost.platform import instance_rows
 
-    return mock.patch.object(instance_rows, "read_born", lambda _: None)
+    return mock.patch.object(instance_rows, "read_start_ms", lambda _: None)
 
 
 def divide_by_work_alone():
--- a/tests/test_held_bytes.py
+++ b/tests/test_held_bytes.py
@@ -337,7 +337,7 @@
             writer.write(self.head(b"/o/x", framing))
             with (
                 mock.patch.object(client_call, "STALLED_SECONDS", 0.4),
-                mock.patch.object(client_call, "LEAST_BODY_RATE", 1000.0),
+                mock.patch.object(client_call, "MIN_BODY_BYTES_PER_SECOND", 1000.0),
             ):
                 answer = asyncio.create_task(self.response(reader))
                 while not answer.done():
@@ -353,7 +353,7 @@
         reader, writer = await self.connect()
         with (
             mock.patch.object(client_call, "STALLED_SECONDS", 0.4),
-            mock.patch.object(client_call, "LEAST_BODY_RATE", 50_000.0),
+            mock.patch.object(client_call, "MIN_BODY_BYTES_PER_SECOND", 50_000.0),
         ):
             writer.write(self.head(b"/o/x", b"Content-Length: 100000"))
             for _ in range(10):
