--- a/tests/process_soak/callers.py
+++ b/tests/process_soak/callers.py
@@ -19,7 +19,7 @@
     PAGE_PREFIX,
     READING,
     TRAINING,
-    key_of,
+    tenant_api_key,
 )
 from tests.process_soak.judge import Judge, SubmittedBatch
 from tests.process_soak.records import CRASHING_PAGE
@@ -205,7 +205,7 @@
         tenant = TRAINING if request.startswith("b") else READING
         headers = {
             "Host": HOST,
-            names.API_KEY.decode(): key_of(tenant, version or self._newest_version()),
+            names.API_KEY.decode(): tenant_api_key(tenant, version or self._newest_version()),
             names.REQUEST_ID.decode(): request,
             names.WAIT_MS.decode(): READ_WAIT_MS,
         }
