--- a/tests/test_stream_events.py
+++ b/tests/test_stream_events.py
@@ -16,7 +16,7 @@
             events = [*decoder.feed(STREAM[:cut]), *decoder.feed(STREAM[cut:])]
             found = [(event.id, event.data) for event in events]
             self.assertEqual([(1, b"a"), (2, b"b")], found, cut)
-            self.assertFalse(decoder.partial, cut)
+            self.assertFalse(decoder.has_partial_event, cut)
 
 
 if __name__ == "__main__":
