--- a/src/larkpost/platform/watched_connection.py
+++ b/src/larkpost/platform/watched_connection.py
@@ -75,7 +75,7 @@
         self._detector.begin_call(self.record, limits.kind, limits.hold_time)
         self._start_probe, self._probe_until = limits.start_probe, None
         if limits.aborts_if_dead and self.record.received_at is not None:
-            self._check_later(limits.hold_time + self._detector.timeout_of(self.record))
+            self._schedule_check(limits.hold_time + self._detector.timeout_of(self.record))
 
     def end_call(self) -> None:
         """Records that a call has ended, or was given up."""
@@ -101,17 +101,17 @@
         """Returns whether no bytes come as nobody here reads them."""
         return self._reading_paused or self._buffer_paused
 
-    def _check_later(self, delay: float) -> None:
+    def _schedule_check(self, delay: float) -> None:
         self._watch = self._loop.call_later(delay, self._check)
 
     def _check(self) -> None:
         """Breaks the call off if its connection is silent for good."""
         if not self._detector.is_dead(self.record):
-            self._check_later(self._detector.timeout_of(self.record))
+            self._schedule_check(self._detector.timeout_of(self.record))
             return
         self._detector.mark_suspect(self.record)
         if self._awaits_probe():
-            self._check_later(PROBE_POLL_SECONDS)
+            self._schedule_check(PROBE_POLL_SECONDS)
             return
         self.set_exception(DeadConnectionError(f"{self.record.address} is silent"))
         self.transport.abort()
