--- a/src/larkpost/platform/watched_connection.py
+++ b/src/larkpost/platform/watched_connection.py
@@ -63,7 +63,7 @@
     def __init__(self, detector: DeadConnectionDetector, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
         self._detector = detector
-        self._watch: asyncio.TimerHandle | None = None
+        self._timer: asyncio.TimerHandle | None = None
         self._start_probe: Callable[[], None] | None = None
         self._probe_until: float | None = None
         self.record: ConnectionRecord | None = None
@@ -102,7 +102,7 @@
         return self._reading_paused or self._buffer_paused
 
     def _schedule_check(self, delay: float) -> None:
-        self._watch = self._loop.call_later(delay, self._check)
+        self._timer = self._loop.call_later(delay, self._check)
 
     def _check(self) -> None:
         """Breaks the call off if its connection is silent for good."""
@@ -129,6 +129,6 @@
         )
 
     def _stop_watch(self) -> None:
-        if self._watch is not None:
-            self._watch.cancel()
-            self._watch = None
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
