--- a/src/larkpost/platform/watched_connection.py
+++ b/src/larkpost/platform/watched_connection.py
@@ -79,20 +79,20 @@
 
     def end_call(self) -> None:
         """Records that a call has ended, or was given up."""
-        self._stop_watch()
+        self._cancel_timer()
         if self.record is not None and self.is_connected() and not self._is_paused_here():
             self._detector.end_call(self.record)
 
     def data_received(self, data: bytes) -> None:
         """Records that bytes of a response came, and passes them on."""
         if data and self.record is not None:
-            self._stop_watch()
+            self._cancel_timer()
             self._detector.record_bytes(self.record)
         super().data_received(data)
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """Forgets the connection."""
-        self._stop_watch()
+        self._cancel_timer()
         if self.record is not None:
             self._detector.close(self.record)
         super().connection_lost(exc)
@@ -128,7 +128,7 @@
             and not self._detector.is_newer_connection_alive(self.record)
         )
 
-    def _stop_watch(self) -> None:
+    def _cancel_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
