--- a/src/larkpost/platform/watched_connection.py
+++ b/src/larkpost/platform/watched_connection.py
@@ -80,7 +80,7 @@
     def end_call(self) -> None:
         """Records that a call has ended, or was given up."""
         self._cancel_timer()
-        if self.record is not None and self.is_connected() and not self._is_paused_here():
+        if self.record is not None and self.is_connected() and not self._is_reading_paused():
             self._detector.end_call(self.record)
 
     def data_received(self, data: bytes) -> None:
@@ -97,7 +97,7 @@
             self._detector.close(self.record)
         super().connection_lost(exc)
 
-    def _is_paused_here(self) -> bool:
+    def _is_reading_paused(self) -> bool:
         """Returns whether no bytes come as nobody here reads them."""
         return self._reading_paused or self._buffer_paused
 
