--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -101,9 +101,9 @@
         A process that was frozen meanwhile finds its connection open and its timer not yet run.
         """
         limits = timeout if isinstance(timeout, CallOptions) else CallOptions()
-        if limits.disables_retry and limits.connections[0]:
+        if limits.disables_retry and limits.connection_count[0]:
             raise aiohttp.ServerDisconnectedError("the connection was lost")
-        limits.connections[0] += 1
+        limits.connection_count[0] += 1
         began = steady_seconds()
         connection = await super().connect(req, traces, timeout)
         if timeout.connect is not None and steady_seconds() - began > timeout.connect:
--- a/src/larkpost/platform/watched_connection.py
+++ b/src/larkpost/platform/watched_connection.py
@@ -50,7 +50,7 @@
     aborts_if_dead: bool = False
     start_probe: Callable[[], None] | None = None
     disables_retry: bool = False
-    connections: list[int] = attrs.field(factory=lambda: [0], eq=False)
+    connection_count: list[int] = attrs.field(factory=lambda: [0], eq=False)
 
 
 class WatchedConnection(ResponseHandler):
