--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -115,7 +115,7 @@
 
     async def _get(self, key, traces):  # overrides a private method: the version is pinned
         server = Address(f"{key.host}:{key.port}")
-        self._keep_key(server, key)
+        self._track_server(server, key)
         idle = self._conns.get(key)
         if idle is not None:
             oldest = self._oldest_usable(server)
@@ -127,7 +127,7 @@
                 del self._conns[key]
         return await super()._get(key, traces)
 
-    def _keep_key(self, server: Address, key: ConnectionKey) -> None:
+    def _track_server(self, server: Address, key: ConnectionKey) -> None:
         """Remembers a server; now and then those without an idle connection are forgotten."""
         self._keys[server] = key
         if len(self._keys) <= self._max_keys:
