--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -51,7 +51,7 @@
         self._detector = detector
         self._factory = functools.partial(WatchedConnection, detector, self._loop)
         self._keep_alive_seconds: dict[Address, float] = {}
-        self._keys: dict[Address, ConnectionKey] = {}
+        self._connection_keys: dict[Address, ConnectionKey] = {}
         """The library's name for each server, under which it keeps the idle connections."""
         self._max_keys = MIN_TRACKED_ADDRESSES
 
@@ -67,24 +67,24 @@
 
     def has_idle(self, server: Address) -> bool:
         """Returns whether an idle connection to a server is likely to serve again."""
-        idle = self._conns.get(self._keys.get(server))
+        idle = self._conns.get(self._connection_keys.get(server))
         if not idle:
             return False
         return self._is_usable(*idle[-1], self._oldest_usable(server))
 
     def close_idle(self, server: Address) -> None:
         """Closes all idle connections to a server."""
-        for protocol, _ in self._conns.pop(self._keys.get(server), ()):
+        for protocol, _ in self._conns.pop(self._connection_keys.get(server), ()):
             protocol.close()
 
     def close_suspect(self, server: Address) -> None:
         """Closes the idle connections to a server that may be silent."""
-        idle = self._conns.get(self._keys.get(server), ())
+        idle = self._conns.get(self._connection_keys.get(server), ())
         for entry in [entry for entry in idle if self._detector.is_suspect(entry[0].record)]:
             idle.remove(entry)
             entry[0].abort()
         if not idle:
-            self._conns.pop(self._keys.get(server), None)
+            self._conns.pop(self._connection_keys.get(server), None)
 
     def _oldest_usable(self, server: Address) -> float:
         """Returns the steady time since which a connection may be idle and still be used."""
@@ -129,20 +129,20 @@
 
     def _track_server(self, server: Address, key: ConnectionKey) -> None:
         """Remembers a server; now and then those without an idle connection are forgotten."""
-        self._keys[server] = key
-        if len(self._keys) <= self._max_keys:
+        self._connection_keys[server] = key
+        if len(self._connection_keys) <= self._max_keys:
             return
-        self._keys = {
+        self._connection_keys = {
             name: known
-            for name, known in self._keys.items()
+            for name, known in self._connection_keys.items()
             if known in self._conns or known == key
         }
         self._keep_alive_seconds = {
             name: seconds
             for name, seconds in self._keep_alive_seconds.items()
-            if name in self._keys
+            if name in self._connection_keys
         }
-        self._max_keys = max(MIN_TRACKED_ADDRESSES, 2 * len(self._keys))
+        self._max_keys = max(MIN_TRACKED_ADDRESSES, 2 * len(self._connection_keys))
 
     def _release(self, key, protocol, *, should_close: bool = False) -> None:
         """Returns a connection to the pool; one that may be silent is not kept.
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -240,7 +240,7 @@
                 key = ConnectionKey("10.0.0.1", number, False, True, None, None, None)
                 session.connector.record_keep_alive(server, 5.0)
                 self.assertIsNone(await session.connector._get(key, ()))
-            self.assertLessEqual(len(session.connector._keys), MIN_TRACKED_ADDRESSES + 1)
+            self.assertLessEqual(len(session.connector._connection_keys), MIN_TRACKED_ADDRESSES + 1)
             self.assertLessEqual(
                 len(session.connector._keep_alive_seconds), MIN_TRACKED_ADDRESSES + 1
             )
