--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -53,7 +53,7 @@
         self._keep_alive_seconds: dict[Address, float] = {}
         self._connection_keys: dict[Address, ConnectionKey] = {}
         """The library's name for each server, under which it keeps the idle connections."""
-        self._max_keys = MIN_TRACKED_ADDRESSES
+        self._max_tracked = MIN_TRACKED_ADDRESSES
 
     @property
     def open_connections(self) -> int:
@@ -130,7 +130,7 @@
     def _track_server(self, server: Address, key: ConnectionKey) -> None:
         """Remembers a server; now and then those without an idle connection are forgotten."""
         self._connection_keys[server] = key
-        if len(self._connection_keys) <= self._max_keys:
+        if len(self._connection_keys) <= self._max_tracked:
             return
         self._connection_keys = {
             name: known
@@ -142,7 +142,7 @@
             for name, seconds in self._keep_alive_seconds.items()
             if name in self._connection_keys
         }
-        self._max_keys = max(MIN_TRACKED_ADDRESSES, 2 * len(self._connection_keys))
+        self._max_tracked = max(MIN_TRACKED_ADDRESSES, 2 * len(self._connection_keys))
 
     def _release(self, key, protocol, *, should_close: bool = False) -> None:
         """Returns a connection to the pool; one that may be silent is not kept.
