--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -119,8 +119,8 @@
         idle = self._conns.get(key)
         if idle is not None:
             oldest = self._oldest_usable(server)
-            spoiled = [entry for entry in idle if not self._is_usable(*entry, oldest)]
-            for entry in spoiled:
+            unusable = [entry for entry in idle if not self._is_usable(*entry, oldest)]
+            for entry in unusable:
                 idle.remove(entry)
                 entry[0].close()
             if not idle:
