--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -97,13 +97,13 @@
         self._records: dict[Address, set[ConnectionRecord]] = {}
         self._typical_latencies: dict[tuple[Address, CallKind], float] = {}
         self._suspected_at: dict[Address, float] = {}
-        self._left_at: dict[Address, float] = {}
+        self._unused_since: dict[Address, float] = {}
         """When the last connection to each address without one was closed, in that order."""
 
     def open(self, address: Address) -> ConnectionRecord:
         """Returns the record of a connection that has just been opened."""
         record = ConnectionRecord(address, self._now())
-        self._left_at.pop(address, None)
+        self._unused_since.pop(address, None)
         self._forget_old()
         self._records.setdefault(address, set()).add(record)
         return record
@@ -115,7 +115,7 @@
             records.discard(record)
             if not records:
                 del self._records[record.address]
-                self._left_at[record.address] = self._now()
+                self._unused_since[record.address] = self._now()
 
     def begin_call(self, record: ConnectionRecord, kind: CallKind, hold_time: float) -> None:
         """Records that a call begins on a connection."""
@@ -203,11 +203,11 @@
 
     def _forget_old(self) -> None:
         oldest = self._now() - ADDRESS_RETENTION_SECONDS
-        while self._left_at:
-            address, left_at = next(iter(self._left_at.items()))
+        while self._unused_since:
+            address, left_at = next(iter(self._unused_since.items()))
             if left_at > oldest:
                 return
-            del self._left_at[address]
+            del self._unused_since[address]
             self._suspected_at.pop(address, None)
             for kind in CallKind:
                 self._typical_latencies.pop((address, kind), None)
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -217,7 +217,7 @@
             detector.record_bytes(line)
             detector.mark_suspect(line)
             detector.close(line)
-        for kept in (detector._typical_latencies, detector._suspected_at, detector._left_at):
+        for kept in (detector._typical_latencies, detector._suspected_at, detector._unused_since):
             self.assertLessEqual(len(kept), ADDRESS_RETENTION_SECONDS + 1)
 
     def test_address_with_a_connection_is_remembered(self):
