--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -104,7 +104,7 @@
         """Returns the record of a connection that has just been opened."""
         record = ConnectionRecord(address, self._now())
         self._unused_since.pop(address, None)
-        self._forget_old()
+        self._evict_unused()
         self._records.setdefault(address, set()).add(record)
         return record
 
@@ -201,7 +201,7 @@
         )
         return max(times, default=None)
 
-    def _forget_old(self) -> None:
+    def _evict_unused(self) -> None:
         oldest = self._now() - ADDRESS_RETENTION_SECONDS
         while self._unused_since:
             address, left_at = next(iter(self._unused_since.items()))
