--- a/src/larkpost/platform/http_protocol.py
+++ b/src/larkpost/platform/http_protocol.py
@@ -91,7 +91,7 @@
         self._refusal: bytes | None = None
         self._discard_timer: asyncio.TimerHandle | None = None
         self.idle_since: float | None = self.loop.time()
-        self._served: RequestResponseCycle | None = None
+        self._current_cycle: RequestResponseCycle | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Begins a connection, and has the system watch it."""
@@ -126,8 +126,8 @@
         self._stop_discard_timer()
         self.pipeline.clear()
         if self.is_serving:
-            self._served.disconnected = True
-            self._served.message_event.set()
+            self._current_cycle.disconnected = True
+            self._current_cycle.message_event.set()
         super().connection_lost(exc)
 
     def on_message_begin(self) -> None:
@@ -143,13 +143,13 @@
 
         One whose request was answered before its body was read is idle once that has come.
         """
-        is_before_body = self._in_body and self._served is self.cycle
+        is_before_body = self._in_body and self._current_cycle is self.cycle
         if not is_before_body and not self.pipeline:
             self.idle_since = self.loop.time()
         super().on_response_complete()
         if self.transport.is_closing():
             return
-        if self._refusal is not None and self._served.response_complete:
+        if self._refusal is not None and self._current_cycle.response_complete:
             self._send_refusal()
         elif is_before_body:
             self._discard_body()
@@ -222,7 +222,7 @@
     @property
     def is_serving(self) -> bool:
         """Whether a request is served and its response not complete."""
-        return self._served is not None and not self._served.response_complete
+        return self._current_cycle is not None and not self._current_cycle.response_complete
 
     async def wait_for_room(self, seconds: float) -> None:
         """Waits until it is not full, at most so long."""
@@ -237,7 +237,7 @@
     def _start_asgi_task(self, cycle: RequestResponseCycle, app) -> None:
         if self.transport.is_closing():
             return  # nobody would get the response
-        self._served = cycle  # overrides a private method: the version is pinned
+        self._current_cycle = cycle  # overrides a private method: the version is pinned
         super()._start_asgi_task(cycle, app)
 
     def _is_between_requests(self) -> bool:
