--- a/src/larkpost/platform/http_protocol.py
+++ b/src/larkpost/platform/http_protocol.py
@@ -241,7 +241,7 @@
         super()._start_asgi_task(cycle, app)
 
     def _is_between_requests(self) -> bool:
-        return not self._in_body and self._is_answered
+        return not self._in_body and self._has_answered_all
 
     @property
     def _expects_continue(self) -> bool:
@@ -302,11 +302,11 @@
             self.transport.close()  # the request was answered; its rest is malformed
         elif self._in_body and self.pipeline:
             self.pipeline.popleft()  # the newest, whose body is malformed
-        elif self._is_answered or (self._in_body and not self.cycle.response_started):
+        elif self._has_answered_all or (self._in_body and not self.cycle.response_started):
             self._send_refusal()
 
     @property
-    def _is_answered(self) -> bool:
+    def _has_answered_all(self) -> bool:
         """Whether all requests that were read have had their responses."""
         return self.cycle is None or self.cycle.response_complete
 
