--- a/src/larkpost/platform/http_protocol.py
+++ b/src/larkpost/platform/http_protocol.py
@@ -18,7 +18,7 @@
 from larkpost.gateway.blackboard.configuration import RequestLimits
 from larkpost.platform.sockets import TCP_USER_TIMEOUT, enable_keepalive
 
-MAX_FIRST_IDLE_SECONDS = 3600
+MAX_INITIAL_IDLE_SECONDS = 3600
 """How long a connection may wait with its first request; then the limit in force holds."""
 KEEPALIVE_IDLE_SECONDS = 3
 KEEPALIVE_INTERVAL_SECONDS = 1
@@ -320,7 +320,7 @@
 
     def __init__(self, app, address: Address, limits: LimitSource = RequestLimits) -> None:
         protocol = type("Protocol", (LimitedProtocol,), {"limits": staticmethod(limits)})
-        super().__init__(app, address, protocol, idle_seconds=MAX_FIRST_IDLE_SECONDS)
+        super().__init__(app, address, protocol, idle_seconds=MAX_INITIAL_IDLE_SECONDS)
 
     def close_idle(self, most: int) -> int:
         """Closes up to ``most`` idle connections, those idle longest first; returns how many."""
