--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -171,15 +171,15 @@
         async with answer:
             await response.begin_with_length(answer.status, answer.headers)
             passed = PassedAnswer(answer.rest, answer.reservation, answer.begun)
-            await self._pass_on(passed, response)
+            await self._send_body(passed, response)
 
     async def _stream(self, request: ClientRequest, route: Route, response: ClientResponse) -> None:
         async with self._forwarder.stream(request, route) as streamed:
             await response.begin(streamed.status, streamed.headers)
             ahead = request.memory.reserve(Purpose.STREAMS)
-            await self._pass_on(PassedAnswer(streamed.chunks(), ahead), response)
+            await self._send_body(PassedAnswer(streamed.chunks(), ahead), response)
 
-    async def _pass_on(self, answer: PassedAnswer, response: ClientResponse) -> None:
+    async def _send_body(self, answer: PassedAnswer, response: ClientResponse) -> None:
         async with aclosing(read_ahead(answer, response.delivery, self._memory)) as parts:
             async for part in parts:
                 await response.send_part(part)
