--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -65,13 +65,13 @@
         """Responds to one request."""
         with self._memory.request() as memory:
             call = ClientCall(scope, receive, memory)
-            with self._follow(call) as delivery:
+            with self._track_delivery(call) as delivery:
                 response = ClientResponse(send, call.request_id, self._lifecycle, delivery)
                 await self._answer(call, response)
                 if delivery is not None:
                     await _wait_until_taken(delivery, memory)
 
-    def _follow(self, call: ClientCall) -> AbstractContextManager[Delivery | None]:
+    def _track_delivery(self, call: ClientCall) -> AbstractContextManager[Delivery | None]:
         """Follows how a client takes its response, if the daemon's memory is limited."""
         if call.outlet is None or not self._memory.is_limited:
             return nullcontext()
