--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -67,7 +67,7 @@
             call = ClientCall(scope, receive, memory)
             with self._track_delivery(call) as delivery:
                 response = ClientResponse(send, call.request_id, self._lifecycle, delivery)
-                await self._answer(call, response)
+                await self._handle(call, response)
                 if delivery is not None:
                     await _wait_until_taken(delivery, memory)
 
@@ -77,7 +77,7 @@
             return nullcontext()
         return self._memory.delivery(call.outlet, call.memory)
 
-    async def _answer(self, call: ClientCall, response: ClientResponse) -> None:
+    async def _handle(self, call: ClientCall, response: ClientResponse) -> None:
         with self._lifecycle.request():
             try:
                 await self._respond(call, response)
