--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -69,7 +69,7 @@
                 response = ClientResponse(send, call.request_id, self._lifecycle, delivery)
                 await self._handle(call, response)
                 if delivery is not None:
-                    await _wait_until_taken(delivery, memory)
+                    await _wait_until_delivered(delivery, memory)
 
     def _track_delivery(self, call: ClientCall) -> AbstractContextManager[Delivery | None]:
         """Follows how a client takes its response, if the daemon's memory is limited."""
@@ -186,7 +186,7 @@
         await response.finish()
 
 
-async def _wait_until_taken(delivery: Delivery, memory: RequestMemory) -> None:
+async def _wait_until_delivered(delivery: Delivery, memory: RequestMemory) -> None:
     """Holds what the connection has not sent yet, until the client has taken it."""
     if delivery.unsent == 0:
         return
