--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -104,7 +104,7 @@
         try:
             if not call.path.startswith(names.RESERVED_PATH_PREFIX):
                 await _detect_close(closed)
-            await self._serve_until(closed, call, response, body)
+            await self._serve_while_connected(closed, call, response, body)
         finally:
             closed.cancel()
 
@@ -123,7 +123,7 @@
             if admitted.route.kind is RouteKind.BATCH and declared <= self.limits().body_bytes:
                 self._batch_endpoints.check_size(call, declared)
 
-    async def _serve_until(
+    async def _serve_while_connected(
         self,
         closed: asyncio.Task,
         call: ClientCall,
