--- a/src/larkpost/platform/client_call.py
+++ b/src/larkpost/platform/client_call.py
@@ -134,7 +134,7 @@
             method=self.method,
             host=self.host,
             target=self._target(),
-            headers=self._passed_headers(),
+            headers=self._forwarded_headers(),
             body=body,
             received_at=self.received_at,
             time_left=deadline_ms / 1000 if deadline_ms is not None else None,
@@ -198,7 +198,7 @@
         query = self._scope["query_string"]
         return self.path + (b"?" + query if query else b"")
 
-    def _passed_headers(self) -> Headers:
+    def _forwarded_headers(self) -> Headers:
         return tuple(
             (name, value)
             for name, value in self.headers
