--- a/src/larkpost/platform/client_call.py
+++ b/src/larkpost/platform/client_call.py
@@ -73,7 +73,7 @@
         self.request_id = self.header(names.REQUEST_ID)
         self.memory = memory
         memory.owner = self.request_name
-        self._is_body_asked_for = False
+        self._is_body_requested = False
         self._body_bytes = 0
 
     @property
@@ -89,7 +89,7 @@
     @property
     def expects_continue(self) -> bool:
         """Whether the client sends its body only once it is asked for, and it was not."""
-        return not self._is_body_asked_for and self.header(b"expect").lower() == b"100-continue"
+        return not self._is_body_requested and self.header(b"expect").lower() == b"100-continue"
 
     @property
     def host(self) -> bytes:
@@ -159,7 +159,7 @@
         is_large = declared > SMALL_BODY_BYTES if declared is not None else self._is_chunked
         purpose = Purpose.REQUEST_BODIES if is_large else Purpose.SMALL_BODIES
         reserved = self.memory.reserve(purpose, declared or 0)
-        self._is_body_asked_for = True
+        self._is_body_requested = True
         if not self.memory.is_limited or not is_large:
             return await asgi.read_body(self._receive, limit, reserved)
         return await asgi.read_body(self._receive_in_time, limit, reserved)
