--- a/src/larkpost/platform/client_call.py
+++ b/src/larkpost/platform/client_call.py
@@ -162,13 +162,13 @@
         self._is_body_requested = True
         if not self.memory.is_limited or not is_large:
             return await asgi.read_body(self._receive, limit, reserved)
-        return await asgi.read_body(self._receive_in_time, limit, reserved)
+        return await asgi.read_body(self._receive_before_deadline, limit, reserved)
 
     @property
     def _is_chunked(self) -> bool:
         return bool(self.header(b"transfer-encoding"))
 
-    async def _receive_in_time(self) -> dict:
+    async def _receive_before_deadline(self) -> dict:
         """Returns the next part of the body.
 
         Raises:
