--- a/src/larkpost/platform/client_response.py
+++ b/src/larkpost/platform/client_response.py
@@ -90,7 +90,7 @@
         lengths = [value for name, value in headers if name.lower() == b"content-length"]
         await self._start(status, headers, [(b"content-length", value) for value in lengths[:1]])
 
-    async def send_part(self, content: bytes | memoryview) -> None:
+    async def send_chunk(self, content: bytes | memoryview) -> None:
         """Sends a part of a started response, once the client has room for it.
 
         Raises:
@@ -122,7 +122,7 @@
         if self.delivery is not None:
             content = memoryview(body)
             while len(body) - last > SEND_CHUNK_BYTES:
-                await self.send_part(content[last : last + SEND_CHUNK_BYTES])
+                await self.send_chunk(content[last : last + SEND_CHUNK_BYTES])
                 last += SEND_CHUNK_BYTES
         rest = memoryview(body)[last:] if last else body
         await self._send({"type": "http.response.body", "body": rest})
--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -182,7 +182,7 @@
     async def _send_body(self, answer: PassedAnswer, response: ClientResponse) -> None:
         async with aclosing(read_ahead(answer, response.delivery, self._memory)) as parts:
             async for part in parts:
-                await response.send_part(part)
+                await response.send_chunk(part)
         await response.finish()
 
 
