--- a/src/larkpost/platform/client_response.py
+++ b/src/larkpost/platform/client_response.py
@@ -57,12 +57,12 @@
             headers: a server's; if there are any, they name the request themselves.
             retry_after: seconds after which the caller may come back; None if that is not said.
         """
-        own: list[tuple[bytes, bytes]] = [(b"content-length", str(len(body)).encode())]
+        extra_headers: list[tuple[bytes, bytes]] = [(b"content-length", str(len(body)).encode())]
         if retry_after is not None:
-            own.append((b"retry-after", f"{retry_after:g}".encode()))
+            extra_headers.append((b"retry-after", f"{retry_after:g}".encode()))
         if not headers and self._request_id:
-            own.append((names.REQUEST_ID, self._request_id))
-        await self._start(status, headers, own)
+            extra_headers.append((names.REQUEST_ID, self._request_id))
+        await self._start(status, headers, extra_headers)
         await self._send_body(body)
 
     async def send_json(self, content: bytes) -> None:
@@ -105,16 +105,18 @@
         """Ends a started response."""
         await self._send({"type": "http.response.body", "body": b""})
 
-    async def _start(self, status: int, headers: Headers, own: list[tuple[bytes, bytes]]) -> None:
+    async def _start(
+        self, status: int, headers: Headers, extra_headers: list[tuple[bytes, bytes]]
+    ) -> None:
         passed = [
             (name.lower(), value)
             for name, value in headers
             if name.lower() not in CONNECTION_HEADERS
         ]
         if self._lifecycle.stopping or self.closes_connection:
-            own.append((b"connection", b"close"))
+            extra_headers.append((b"connection", b"close"))
         self._started = True
-        await asgi.send_head(self._send, status, passed + own)
+        await asgi.send_head(self._send, status, passed + extra_headers)
 
     async def _send_body(self, body: bytes | bytearray) -> None:
         """Sends the whole body; a large one in pieces if the client is followed."""
