--- a/src/larkpost/platform/client_response.py
+++ b/src/larkpost/platform/client_response.py
@@ -108,7 +108,7 @@
     async def _start(
         self, status: int, headers: Headers, extra_headers: list[tuple[bytes, bytes]]
     ) -> None:
-        passed = [
+        forwarded = [
             (name.lower(), value)
             for name, value in headers
             if name.lower() not in CONNECTION_HEADERS
@@ -116,7 +116,7 @@
         if self._lifecycle.stopping or self.closes_connection:
             extra_headers.append((b"connection", b"close"))
         self._started = True
-        await asgi.send_head(self._send, status, passed + extra_headers)
+        await asgi.send_head(self._send, status, forwarded + extra_headers)
 
     async def _send_body(self, body: bytes | bytearray) -> None:
         """Sends the whole body; a large one in pieces if the client is followed."""
