--- a/src/larkpost/platform/servers.py
+++ b/src/larkpost/platform/servers.py
@@ -54,20 +54,20 @@
     def __init__(self, metrics: Metrics | None = None, log: EventLog | None = None) -> None:
         detector = DeadConnectionDetector(UpstreamKind.SERVER, metrics, log)
         self._kept = make_session(detector)
-        self._fresh = make_session(detector, keep_alive=False)
+        self._unpooled = make_session(detector, keep_alive=False)
         self._control = ControlClient(self._kept)
 
     async def close(self) -> None:
         """Closes all connections."""
         await self._kept.close()
-        await self._fresh.close()
+        await self._unpooled.close()
 
     @asynccontextmanager
     async def send(
         self, instance: InstanceInfo, request: OutgoingRequest
     ) -> AsyncIterator[HttpResponse]:
         """Sends a request; see the port."""
-        session = self._fresh if request.fresh_connection else self._kept
+        session = self._unpooled if request.fresh_connection else self._kept
         response = await self._receive_head(session, instance, request)
         try:
             record_keep_alive(session.connector, instance.address, response)
@@ -106,7 +106,7 @@
     @property
     def open_connections(self) -> int:
         """The connections to servers that are open, in use or idle."""
-        return self._kept.connector.open_connections + self._fresh.connector.open_connections
+        return self._kept.connector.open_connections + self._unpooled.connector.open_connections
 
     def is_connected(self, instance: InstanceInfo) -> bool:
         """Returns whether an idle connection to a server is kept; see the port."""
