--- a/src/larkpost/platform/servers.py
+++ b/src/larkpost/platform/servers.py
@@ -53,13 +53,13 @@
 
     def __init__(self, metrics: Metrics | None = None, log: EventLog | None = None) -> None:
         detector = DeadConnectionDetector(UpstreamKind.SERVER, metrics, log)
-        self._kept = make_session(detector)
+        self._pooled = make_session(detector)
         self._unpooled = make_session(detector, keep_alive=False)
-        self._control = ControlClient(self._kept)
+        self._control = ControlClient(self._pooled)
 
     async def close(self) -> None:
         """Closes all connections."""
-        await self._kept.close()
+        await self._pooled.close()
         await self._unpooled.close()
 
     @asynccontextmanager
@@ -67,14 +67,14 @@
         self, instance: InstanceInfo, request: OutgoingRequest
     ) -> AsyncIterator[HttpResponse]:
         """Sends a request; see the port."""
-        session = self._unpooled if request.fresh_connection else self._kept
+        session = self._unpooled if request.fresh_connection else self._pooled
         response = await self._receive_head(session, instance, request)
         try:
             record_keep_alive(session.connector, instance.address, response)
             try:
                 check_executed(response, instance, request)
             except NotRunError:
-                await drain_refusal(response, instance, request, self._kept.connector)
+                await drain_refusal(response, instance, request, self._pooled.connector)
                 raise
             yield HttpResponse(response)
         finally:
@@ -106,11 +106,11 @@
     @property
     def open_connections(self) -> int:
         """The connections to servers that are open, in use or idle."""
-        return self._kept.connector.open_connections + self._unpooled.connector.open_connections
+        return self._pooled.connector.open_connections + self._unpooled.connector.open_connections
 
     def is_connected(self, instance: InstanceInfo) -> bool:
         """Returns whether an idle connection to a server is kept; see the port."""
-        return self._kept.connector.has_idle(instance.address)
+        return self._pooled.connector.has_idle(instance.address)
 
     async def _receive_head(
         self, session: aiohttp.ClientSession, instance: InstanceInfo, request: OutgoingRequest
@@ -142,7 +142,7 @@
             return await send_once(session, instance, request, limits)
         except DeadConnectionError:
             again = _after(steady_seconds() - began, request)
-        return await send_once(self._kept, instance, again, CallOptions(disables_retry=True))
+        return await send_once(self._pooled, instance, again, CallOptions(disables_retry=True))
 
 
 def _after(elapsed: float, request: OutgoingRequest) -> OutgoingRequest:
