--- a/src/larkpost/platform/servers.py
+++ b/src/larkpost/platform/servers.py
@@ -141,11 +141,11 @@
         try:
             return await send_once(session, instance, request, limits)
         except DeadConnectionError:
-            again = _after(steady_seconds() - began, request)
+            again = _with_remaining_time(steady_seconds() - began, request)
         return await send_once(self._pooled, instance, again, CallOptions(disables_retry=True))
 
 
-def _after(elapsed: float, request: OutgoingRequest) -> OutgoingRequest:
+def _with_remaining_time(elapsed: float, request: OutgoingRequest) -> OutgoingRequest:
     """Returns a request with the time that is left to it after ``elapsed`` seconds."""
     if request.time_left is None:
         return request
