--- a/src/larkpost/platform/duties.py
+++ b/src/larkpost/platform/duties.py
@@ -44,12 +44,12 @@
     """
 
     def __init__(self, address: Address) -> None:
-        self._base = f"http://{address}"
+        self._base_url = f"http://{address}"
         self._session = make_session(DeadConnectionDetector(UpstreamKind.STORE))
 
     def set_address(self, address: Address) -> None:
         """Uses another address for all later calls."""
-        self._base = f"http://{address}"
+        self._base_url = f"http://{address}"
 
     async def close(self) -> None:
         """Closes all connections."""
@@ -86,7 +86,7 @@
             names.FENCING_TOKEN.decode(): str(lease.token),
             "Content-Type": "application/json",
         }
-        url = URL(self._base + call, encoded=True)
+        url = URL(self._base_url + call, encoded=True)
         try:
             async with (
                 asyncio.timeout(timeout),
--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -108,7 +108,7 @@
         peer: UpstreamKind = UpstreamKind.STORE,
     ) -> None:
         self.row_bytes = row_bytes
-        self._base = f"http://{address}"
+        self._base_url = f"http://{address}"
         self._metrics = metrics or Metrics()
         self._session = make_session(DeadConnectionDetector(peer, self._metrics, log))
         self._probe_task: asyncio.Task | None = None
@@ -117,7 +117,7 @@
 
     def set_address(self, address: Address) -> None:
         """Uses another address for all later calls."""
-        self._base = f"http://{address}"
+        self._base_url = f"http://{address}"
 
     async def close(self) -> None:
         """Closes all connections."""
@@ -224,7 +224,7 @@
             return await self._exchange_once(call)
 
     async def _exchange_once(self, call: StoreCall) -> tuple[int, bytes]:
-        url = URL(self._base + call.target, encoded=True)
+        url = URL(self._base_url + call.target, encoded=True)
         start_probe = self._start_probe if call.body is not None else None
         limits = CallOptions(hold_time=call.hold_time, aborts_if_dead=True, start_probe=start_probe)
         async with self._session.request(
@@ -238,7 +238,7 @@
             self._probe_task = asyncio.create_task(self._probe_store())
 
     async def _probe_store(self) -> None:
-        url = URL(f"{self._base}{PROBE_TARGET}", encoded=True)
+        url = URL(f"{self._base_url}{PROBE_TARGET}", encoded=True)
         with contextlib.suppress(*CALL_FAILURES):  # no response is no proof
             async with (
                 asyncio.timeout(READ_TIMEOUT_SECONDS),
