--- a/src/larkpost/platform/settings.py
+++ b/src/larkpost/platform/settings.py
@@ -165,11 +165,11 @@
     if named is None:
         named = {}
     if not isinstance(named, dict):
-        raise _wrong(("zones",), named, "a table of zones with their regions")
+        raise _invalid(("zones",), named, "a table of zones with their regions")
     regions = {ZoneId(name): RegionId(_text(named, name, of=("zones",))) for name in named}
     own = RegionId(_text(document, "region")) if "region" in document else None
     if own is not None and regions.get(zone, own) != own:
-        raise _wrong(("region",), own, f"the region of zone {zone}, {regions[zone]!r}")
+        raise _invalid(("region",), own, f"the region of zone {zone}, {regions[zone]!r}")
     return RegionMap(zone, regions, own)
 
 
@@ -184,7 +184,7 @@
     """Returns a text; ``of`` names the table that the document is."""
     value = _find(document, path)
     if not isinstance(value, str) or not value:
-        raise _wrong((*of, *path), value, "a text")
+        raise _invalid((*of, *path), value, "a text")
     return value
 
 
@@ -193,7 +193,7 @@
     try:
         split_address(value)
     except ValueError:
-        raise _wrong(path, value, "an address, IP:PORT") from None
+        raise _invalid(path, value, "an address, IP:PORT") from None
     return Address(value)
 
 
@@ -231,7 +231,7 @@
     if value is None:
         return default
     if isinstance(value, bool) or not isinstance(value, int | float) or value <= 0:
-        raise _wrong(path, value, "a number above 0")
+        raise _invalid(path, value, "a number above 0")
     return float(value)
 
 
@@ -240,7 +240,7 @@
     if not ports:
         return None
     if not isinstance(ports, list) or not isinstance(ports[0], int) or not 0 < ports[0] <= MAX_PORT:
-        raise _wrong(("port-range",), ports, "two ports")
+        raise _invalid(("port-range",), ports, "two ports")
     return Address(f"{ip}:{ports[0]}")
 
 
@@ -250,11 +250,11 @@
         return None
     port, separator, path = str(value).partition("/")
     if not port.isdigit() or not 0 < int(port) <= MAX_PORT or not separator:
-        raise _wrong(("metrics",), value, "PORT/PATH")
+        raise _invalid(("metrics",), value, "PORT/PATH")
     return MetricsEndpoint(int(port), f"/{path}")
 
 
-def _wrong(path: tuple[str, ...], value: Any, wanted: str) -> SettingsError:
+def _invalid(path: tuple[str, ...], value: Any, wanted: str) -> SettingsError:
     name = ".".join(path)
     return SettingsError(
         f"{name} is {value!r}, but must be {wanted}", remedy=f"Correct {name} in the settings."
