--- a/src/larkpost/platform/server_control.py
+++ b/src/larkpost/platform/server_control.py
@@ -72,7 +72,7 @@
         """
         call = ControlCall("GET", names.REPORT_PATH)
         try:
-            status, content = await self._make(call, instance, timeout)
+            status, content = await self._call(call, instance, timeout)
             return read_report(content) if status == OK else None
         except (BrokenResponseError, *RESPONSE_FAILURES, *PARSE_ERRORS):
             return None  # the loader logs it and asks again
@@ -83,12 +83,12 @@
         """Gives an engine an order; see the port."""
         call = ControlCall("POST", names.ORDER_PATH, orjson.dumps(order_document(order)))
         try:
-            status, _ = await self._make(call, instance, timeout)
+            status, _ = await self._call(call, instance, timeout)
         except (BrokenResponseError, *RESPONSE_FAILURES):
             return OrderOutcome.UNKNOWN  # the next report shows whether it was carried out
         return ORDER_OUTCOMES.get(status, OrderOutcome.UNKNOWN)
 
-    async def _make(
+    async def _call(
         self, call: ControlCall, instance: InstanceInfo, timeout: float
     ) -> tuple[int, bytes]:
         """Makes a call and returns the response's status and body.
