--- a/src/larkpost/platform/server_requests.py
+++ b/src/larkpost/platform/server_requests.py
@@ -14,7 +14,7 @@
 MAX_PIECE_BYTES = 65536
 """Larger bodies are sent in pieces, each once the connection has taken the last: a connection
 copies what it cannot send at once."""
-LEAST_DEADLINE_MS = 1
+MIN_DEADLINE_MS = 1
 """What a server is told where less is left: none at all would be no limit to it."""
 
 
@@ -80,7 +80,7 @@
     headers[names.REQUEST_ID.decode()] = request.request_id.decode("latin-1")
     headers[names.EXPECT_INSTANCE.decode()] = instance.name
     if request.time_left is not None:
-        left_ms = max(LEAST_DEADLINE_MS, int(request.time_left * 1000))
+        left_ms = max(MIN_DEADLINE_MS, int(request.time_left * 1000))
         headers[names.DEADLINE_MS.decode()] = str(left_ms)
     if request.resume_after is not None:
         headers[names.LAST_EVENT_ID.decode()] = str(request.resume_after)
