--- a/src/larkpost/platform/server_refusals.py
+++ b/src/larkpost/platform/server_refusals.py
@@ -23,7 +23,7 @@
 from larkpost.platform.server_responses import RESPONSE_FAILURES
 
 MISDIRECTED = 421
-REFUSAL_BYTES = 4096
+MAX_REFUSAL_BYTES = 4096
 """Longest body of a refusal that is read so that its connection serves again. A refusal's body is a
 line of text."""
 REFUSAL_BODY_SECONDS = 0.05
@@ -93,7 +93,7 @@
         connector.close_idle(instance.address)
         return
     length = response.content_length
-    if length is None or length > REFUSAL_BYTES:
+    if length is None or length > MAX_REFUSAL_BYTES:
         return
     try:
         async with asyncio.timeout(REFUSAL_BODY_SECONDS):
