--- a/src/larkpost/platform/server_refusals.py
+++ b/src/larkpost/platform/server_refusals.py
@@ -35,7 +35,7 @@
 
     THIS_REQUEST = auto()
     OTHER_REQUEST = auto()
-    UNNAMED = auto()
+    UNIDENTIFIED = auto()
 
 
 def match_response(headers: Mapping[str, str], request_id: bytes | None) -> ResponseMatch:
@@ -46,7 +46,7 @@
     """
     named = headers.get(names.REQUEST_ID.decode())
     if named is None:
-        return ResponseMatch.UNNAMED
+        return ResponseMatch.UNIDENTIFIED
     if request_id is not None and named == request_id.decode("latin-1"):
         return ResponseMatch.THIS_REQUEST
     return ResponseMatch.OTHER_REQUEST
@@ -70,7 +70,7 @@
         raise NotRunError(NotRunReason.REPLACED if is_replaced else NotRunReason.MISDIRECTED)
     if names.NOT_EXECUTED.decode() in response.headers:
         raise NotRunError(NotRunReason.FULL, read_cold_seconds(response.headers))
-    if owner is ResponseMatch.UNNAMED:
+    if owner is ResponseMatch.UNIDENTIFIED:
         raise BrokenResponseError("the answer names no request")
 
 
