--- a/src/larkpost/platform/batch_endpoints.py
+++ b/src/larkpost/platform/batch_endpoints.py
@@ -107,7 +107,7 @@
         if call.path.startswith(names.BATCH_PATH_PREFIX):
             await self._serve_batch(call, response, caller)
         elif call.path.startswith(names.ITEM_PATH_PREFIX) and call.method == "GET":
-            batch = _batch_after(names.ITEM_PATH_PREFIX, call)
+            batch = _batch_id_from_path(names.ITEM_PATH_PREFIX, call)
             item = call.query.get("id", [""])[0]
             body = await self._batches.body(batch, ItemId(item), caller)
             call.memory.reserve(Purpose.PAGES, len(body))
@@ -118,7 +118,7 @@
     async def _serve_batch(
         self, call: ClientCall, response: ClientResponse, caller: Caller
     ) -> None:
-        batch = _batch_after(names.BATCH_PATH_PREFIX, call)
+        batch = _batch_id_from_path(names.BATCH_PATH_PREFIX, call)
         if call.method == "GET":
             await self._read_results(call, response, batch, caller)
         elif call.method == "DELETE":
@@ -143,6 +143,6 @@
         await response.send_json(content)
 
 
-def _batch_after(prefix: bytes, call: ClientCall) -> BatchId:
+def _batch_id_from_path(prefix: bytes, call: ClientCall) -> BatchId:
     """Returns the batch's id in the path of a call, behind its prefix."""
     return BatchId(unquote(call.path[len(prefix) :].decode("latin-1")))
