--- a/src/larkpost/platform/batch_endpoints.py
+++ b/src/larkpost/platform/batch_endpoints.py
@@ -27,7 +27,7 @@
 SUBMISSION_COPIES = 3
 """How many times its body a batch takes, besides the body, while it is decoded and written to the
 store: its items, their rows and the calls that carry these."""
-MAX_WAIT_SECONDS = 10.0
+MAX_LONG_POLL_SECONDS = 10.0
 """Longest time for which a call for results is held. Ten times what callers ask."""
 
 
@@ -136,7 +136,7 @@
             await response.send_whole(BAD_REQUEST, str(error).encode())
             return
         wait_ms = call.int_header(names.WAIT_MS) or 0
-        wait = min(wait_ms / 1000, MAX_WAIT_SECONDS)
+        wait = min(wait_ms / 1000, MAX_LONG_POLL_SECONDS)
         page = await self._batches.read(batch, position, wait, caller)
         content = orjson.dumps(page_document(page))
         call.memory.reserve(Purpose.PAGES, len(content))
