--- a/src/larkpost/platform/batch_endpoints.py
+++ b/src/larkpost/platform/batch_endpoints.py
@@ -24,7 +24,7 @@
 BAD_REQUEST = 400
 NOT_FOUND = 404
 NOT_ALLOWED = 405
-SUBMISSION_COPIES = 3
+SUBMISSION_MEMORY_FACTOR = 3
 """How many times its body a batch takes, besides the body, while it is decoded and written to the
 store: its items, their rows and the calls that carry these."""
 MAX_LONG_POLL_SECONDS = 10.0
@@ -66,7 +66,7 @@
             await response.send_whole(NOT_ALLOWED)
             return
         self.check_size(call, len(body))
-        with call.memory.reserve(Purpose.SUBMISSIONS, len(body) * SUBMISSION_COPIES):
+        with call.memory.reserve(Purpose.SUBMISSIONS, len(body) * SUBMISSION_MEMORY_FACTOR):
             await self._submit(call, response, body, tenant)
 
     def check_size(self, call: ClientCall, size: int) -> None:
@@ -75,7 +75,7 @@
         Raises:
             BatchTooLargeError: it could not.
         """
-        needed = size * (1 + SUBMISSION_COPIES)
+        needed = size * (1 + SUBMISSION_MEMORY_FACTOR)
         if not call.memory.could_hold(needed):
             raise BatchTooLargeError(
                 f"the batch takes {needed} bytes while it is read and stored",
