--- a/src/larkpost/platform/peer_store.py
+++ b/src/larkpost/platform/peer_store.py
@@ -17,7 +17,7 @@
 MAX_BODY_BYTES = 1_500_000
 """Largest body of a call: half as much again as the largest transaction that the store takes, so
 that each call that the store would take passes."""
-CALL_BYTES = 300_000
+RESERVED_BYTES_PER_CALL = 300_000
 """Reserved for one call and its response; most are far smaller, and few are made at once."""
 NOT_FOUND = 404
 TOO_LARGE = 413
@@ -34,7 +34,7 @@
     async def __call__(self, scope: dict, receive: Receive, send: Send) -> None:
         """Makes the call, unless the store turns this daemon away as well."""
         try:
-            with self._budget.reserve(Purpose.RELAYED_CALLS, CALL_BYTES, "peer"):
+            with self._budget.reserve(Purpose.RELAYED_CALLS, RESERVED_BYTES_PER_CALL, "peer"):
                 await self._serve(scope, receive, send)
         except NoRoomError:
             await asgi.send_whole(send, UNAVAILABLE, [(b"content-length", b"0")], b"")
