--- a/src/larkpost/platform/instance_rows.py
+++ b/src/larkpost/platform/instance_rows.py
@@ -54,7 +54,7 @@
         state=_state(document),
         versions=read_versions(document),
         listed_version=row.version,
-        is_preemptible=_flag(document, "preemptible"),
+        is_preemptible=_boolean(document, "preemptible"),
         cold_left=_cold_milliseconds(document) / 1000,
     )
 
@@ -121,7 +121,7 @@
     return value
 
 
-def _flag(document: Mapping[str, Any], name: str) -> bool:
+def _boolean(document: Mapping[str, Any], name: str) -> bool:
     value = document.get(name, False)
     if not isinstance(value, bool):
         raise ValueError(f"{name} is {value!r}, not true or false")
