--- a/src/larkpost/platform/instance_rows.py
+++ b/src/larkpost/platform/instance_rows.py
@@ -25,7 +25,7 @@
 caller."""
 MAX_COLD_MS = 86_400_000
 """One day."""
-MAX_WHOLE_NUMBER = 2**53
+MAX_SAFE_INTEGER = 2**53
 """The largest whole number that all JSON writers keep exactly."""
 
 
@@ -93,7 +93,7 @@
 
 
 def read_int(
-    document: Mapping[str, Any], name: str, *, minimum: int = 0, maximum: int = MAX_WHOLE_NUMBER
+    document: Mapping[str, Any], name: str, *, minimum: int = 0, maximum: int = MAX_SAFE_INTEGER
 ) -> int:
     """Returns a field that is a whole number within bounds.
 
