--- a/src/larkpost/platform/store_clock.py
+++ b/src/larkpost/platform/store_clock.py
@@ -20,7 +20,7 @@
         self._offset: float | None = None
         self._error = 0.0
         """By how much the offset may have been wrong when it was found, in seconds."""
-        self._found_at = 0.0
+        self._measured_at = 0.0
 
     def now(self) -> float | None:
         """Returns the store's time in seconds; None if no response has named it."""
@@ -42,11 +42,11 @@
         error = (received - sent) / 2
         offset = now_ms / 1000 - (sent + received) / 2
         if self._is_better(offset, error, received):
-            self._offset, self._error, self._found_at = offset, error, received
+            self._offset, self._error, self._measured_at = offset, error, received
 
     def _is_better(self, offset: float, error: float, received: float) -> bool:
         """Returns whether an offset is surer than the known one, or contradicts it."""
-        known_error = self._error + CLOCK_DRIFT * (received - self._found_at)
+        known_error = self._error + CLOCK_DRIFT * (received - self._measured_at)
         if self._offset is None or error <= known_error:
             return True
         return abs(offset - self._offset) > error + known_error
