--- a/tests/process_soak/__main__.py
+++ b/tests/process_soak/__main__.py
@@ -20,7 +20,7 @@
 from larkpost.platform.stand_in.daemon_settings import ready_path
 from larkpost.rehearsal.processes import ProcessGroup, answers
 from tests.process_soak.callers import Callers
-from tests.process_soak.judge import TOLD_SECONDS, Judge
+from tests.process_soak.judge import TOLD_SECONDS, InvariantChecker
 from tests.process_soak.plan import HINDERING, UNTOLD, Fault, Kind, draw_plan
 from tests.process_soak.records import read_records
 from tests.process_soak.site import DAEMONS, MODEL, Site
@@ -70,7 +70,7 @@
         self._plan = plan
         self._folder = folder
         self._daemons = daemons
-        self._judge = Judge()
+        self._judge = InvariantChecker()
         self._chance = random.Random(report.seed)
 
     async def play(self, group: ProcessGroup) -> Report:
--- a/tests/process_soak/callers.py
+++ b/tests/process_soak/callers.py
@@ -21,7 +21,7 @@
     TRAINING,
     tenant_api_key,
 )
-from tests.process_soak.judge import Judge, SubmittedBatch
+from tests.process_soak.judge import InvariantChecker, SubmittedBatch
 from tests.process_soak.records import CRASHING_PAGE
 
 CALL_SECONDS = 3.0
@@ -55,7 +55,7 @@
     def __init__(
         self,
         fronts: Callable[[], list[Address]],
-        judge: Judge,
+        judge: InvariantChecker,
         chance: random.Random,
         name_version: Callable[[ModelName, int], Awaitable[None]],
         configured_at: Callable[[], dict[int, float]],
--- a/tests/process_soak/judge.py
+++ b/tests/process_soak/judge.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class Judge:
+class InvariantChecker:
     """Remembers what was promised and read, and checks it.
 
     Attributes:
--- a/tests/test_process_soak.py
+++ b/tests/test_process_soak.py
@@ -12,7 +12,7 @@
 from larkpost.rehearsal.processes import free_address
 from tests.connections import ConnectionServer
 from tests.process_soak.__main__ import play
-from tests.process_soak.judge import Judge, SubmittedBatch
+from tests.process_soak.judge import InvariantChecker, SubmittedBatch
 from tests.process_soak.plan import Kind, draw_plan
 from tests.process_soak.proxy import FaultProxy, LinkFault
 from tests.process_soak.records import CrashingRun, Evacuation, Order, Records, Run, Usage
@@ -153,7 +153,7 @@
     """Each promise, broken by hand."""
 
     def setUp(self):
-        self.judge = Judge()
+        self.judge = InvariantChecker()
         self.batch = SubmittedBatch("b", {"i1": "s1", "i2": "s2"}, 2, accepted=True)
         self.judge.batches["b"] = self.batch
         self.records = Records()
