--- a/tests/process_soak/callers.py
+++ b/tests/process_soak/callers.py
@@ -21,7 +21,7 @@
     TRAINING,
     tenant_api_key,
 )
-from tests.process_soak.judge import InvariantChecker, SubmittedBatch
+from tests.process_soak.checker import InvariantChecker, SubmittedBatch
 from tests.process_soak.records import CRASHING_PAGE
 
 CALL_SECONDS = 3.0
@@ -55,14 +55,14 @@
     def __init__(
         self,
         fronts: Callable[[], list[Address]],
-        judge: InvariantChecker,
+        checker: InvariantChecker,
         chance: random.Random,
         name_version: Callable[[ModelName, int], Awaitable[None]],
         configured_at: Callable[[], dict[int, float]],
     ) -> None:
         self._configured_at = configured_at
         self._fronts = fronts
-        self._judge = judge
+        self._judge = checker
         self._chance = chance
         self._name_version = name_version
         self.step_seconds: list[float] = []
--- a/tests/test_process_soak.py
+++ b/tests/test_process_soak.py
@@ -12,7 +12,7 @@
 from larkpost.rehearsal.processes import free_address
 from tests.connections import ConnectionServer
 from tests.process_soak.__main__ import play
-from tests.process_soak.judge import InvariantChecker, SubmittedBatch
+from tests.process_soak.checker import InvariantChecker, SubmittedBatch
 from tests.process_soak.plan import Kind, draw_plan
 from tests.process_soak.proxy import FaultProxy, LinkFault
 from tests.process_soak.records import CrashingRun, Evacuation, Order, Records, Run, Usage
@@ -153,9 +153,9 @@
     """Each promise, broken by hand."""
 
     def setUp(self):
-        self.judge = InvariantChecker()
+        self.checker = InvariantChecker()
         self.batch = SubmittedBatch("b", {"i1": "s1", "i2": "s2"}, 2, accepted=True)
-        self.judge.batches["b"] = self.batch
+        self.checker.batches["b"] = self.batch
         self.records = Records()
         for item, call in self.batch.calls.items():
             self.records.runs[item].append(Run("/r", 1.0, f"e.{item}", 200, TRAINING))
@@ -172,28 +172,28 @@
     def assert_broken(self, words: str) -> None:
         """Checks that the judge finds what it must."""
         with self.assertRaisesRegex(AssertionError, words):
-            self.judge.check(self.records)
+            self.checker.check(self.records)
 
     def test_sound_results_hold(self):
-        self.judge.take_page(self.batch, 0, [self.result("i1"), self.result("i2")])
-        self.judge.check(self.records)
-        self.assertEqual([], self.judge.missing())
+        self.checker.take_page(self.batch, 0, [self.result("i1"), self.result("i2")])
+        self.checker.check(self.records)
+        self.assertEqual([], self.checker.missing())
 
     def test_missing_results_are_named(self):
-        self.judge.take_page(self.batch, 0, [self.result("i1")])
-        self.assertEqual(["b"], self.judge.missing())
+        self.checker.take_page(self.batch, 0, [self.result("i1")])
+        self.assertEqual(["b"], self.checker.missing())
 
     def test_position_that_changes(self):
-        self.judge.take_page(self.batch, 0, [self.result("i1")])
+        self.checker.take_page(self.batch, 0, [self.result("i1")])
         with self.assertRaisesRegex(AssertionError, "has changed"):
-            self.judge.take_page(self.batch, 0, [self.result("i2")])
+            self.checker.take_page(self.batch, 0, [self.result("i2")])
 
     def test_position_left_out(self):
         with self.assertRaisesRegex(AssertionError, "left out"):
-            self.judge.take_page(self.batch, 1, [self.result("i1")])
+            self.checker.take_page(self.batch, 1, [self.result("i1")])
 
     def test_item_twice(self):
-        self.judge.take_page(self.batch, 0, [self.result("i1"), self.result("i1")])
+        self.checker.take_page(self.batch, 0, [self.result("i1"), self.result("i1")])
         self.assert_broken("doubled")
 
     def test_text_version_and_score(self):
@@ -210,7 +210,7 @@
 
     def test_score_of_a_call_before_the_text(self):
         self.records.whole_at["i1"] = 5.0
-        self.judge.take_page(self.batch, 0, [self.result("i1")])
+        self.checker.take_page(self.batch, 0, [self.result("i1")])
         self.assert_broken("scored before")
 
     def test_refused_batch_that_runs(self):
@@ -221,27 +221,27 @@
         self.batch.ended_at = 10.0
         self.records.runs["i1"].append(Run("/r", 20.0, "e.i1", 200, TRAINING))
         self.assert_broken("after its batch's end")
-        self.judge.fault_times.append(15.0)
-        self.judge.check(self.records)
+        self.checker.fault_times.append(15.0)
+        self.checker.check(self.records)
 
     def test_request_that_nobody_sent(self):
         self.records.runs["r9"].append(Run("/p", 1.0, "p.r9", 200))
         self.assert_broken("nobody sent")
 
     def test_run_once_requests(self):
-        self.judge.asked["r1"] = True
+        self.checker.asked["r1"] = True
         self.records.runs["r1"].append(Run("/p", 1.0, "p.r1", 200))
-        self.judge.check(self.records)
-        self.judge.told_not_run.add("r1")
+        self.checker.check(self.records)
+        self.checker.told_not_run.add("r1")
         self.assert_broken("told not run")
         self.records.runs["r1"].append(Run("/p", 2.0, "p.r1", 200))
         self.assert_broken("ran 2 times")
 
     def test_request_that_runs_as_another_tenant(self):
-        self.judge.asked["r1"] = False
-        self.judge.tenants["r1"] = READING
+        self.checker.asked["r1"] = False
+        self.checker.tenants["r1"] = READING
         self.records.runs["r1"].append(Run("/p", 1.0, "p.r1", 200, READING))
-        self.judge.check(self.records)
+        self.checker.check(self.records)
         self.records.runs["r1"].append(Run("/p", 2.0, "p.r1", 200, TRAINING))
         self.assert_broken("ran as training")
 
@@ -250,42 +250,42 @@
         self.assert_broken("ran as None")
 
     def test_dropped_key_that_runs_in_calm_times(self):
-        self.judge.asked["r1"] = False
-        self.judge.tenants["r1"] = READING
-        self.judge.dropped["r1"] = 10.0
+        self.checker.asked["r1"] = False
+        self.checker.tenants["r1"] = READING
+        self.checker.dropped["r1"] = 10.0
         self.records.runs["r1"].append(Run("/p", 11.0, "p.r1", 200, READING))
-        self.judge.check(self.records)
+        self.checker.check(self.records)
         self.records.runs["r1"].append(Run("/p", 13.0, "p.r1", 200, READING))
         self.assert_broken("dropped key")
-        self.judge.fault_times.append(12.0)
-        self.judge.check(self.records)
+        self.checker.fault_times.append(12.0)
+        self.checker.check(self.records)
 
     def test_request_that_crashes_servers_and_is_sent_on(self):
-        self.judge.asked["r1"] = False
+        self.checker.asked["r1"] = False
         began = [30.0, 10.0, 20.0, 24.0, 24.5, 28.0, 29.0]  # as two servers tell them
         self.records.crashes["/p"] += [CrashingRun("r1", at) for at in began]
-        self.judge.check(self.records)
+        self.checker.check(self.records)
         self.records.crashes["/p"].append(CrashingRun("r1", 31.0))
         self.assert_broken("had crashed 3 servers by 24.0")
-        self.judge.untold.append((27.0, 28.0))
-        self.judge.check(self.records)
+        self.checker.untold.append((27.0, 28.0))
+        self.checker.check(self.records)
         self.records.crashes["/p"].append(CrashingRun("r2", 31.0))
         self.assert_broken("nobody sent")
 
     def test_request_in_an_evacuated_zone(self):
-        self.judge.asked["r1"] = False
-        self.judge.evacuations = [Evacuation(ZONES[0], 10.0, 30.0)]
+        self.checker.asked["r1"] = False
+        self.checker.evacuations = [Evacuation(ZONES[0], 10.0, 30.0)]
         for began, zone in ((14.0, ZONES[0]), (20.0, ZONES[1]), (31.0, ZONES[0])):
             self.records.runs["r1"].append(Run("/p", began, "p.r1", 200, zone=zone))
-        self.judge.check(self.records)
+        self.checker.check(self.records)
         self.records.runs["r1"].append(Run("/p", 16.0, "p.r1", 200, zone=ZONES[0]))
         self.assert_broken("evacuated")
-        self.judge.hindrances.append((12.0, 13.0))
-        self.judge.check(self.records)
+        self.checker.hindrances.append((12.0, 13.0))
+        self.checker.check(self.records)
 
     def test_window_with_two_counts(self):
         self.records.usage += [Usage(7, {"a": 1}, "h", 1, 0.0), Usage(7, {"a": 1}, "h", 2, 1.0)]
-        self.judge.check(self.records)
+        self.checker.check(self.records)
         self.records.usage.append(Usage(7, {"a": 2}, "h", 3, 2.0))
         self.assert_broken("window 7 was reported")
 
