--- a/tests/process_soak/__main__.py
+++ b/tests/process_soak/__main__.py
@@ -70,17 +70,17 @@
         self._plan = plan
         self._folder = folder
         self._daemons = daemons
-        self._judge = InvariantChecker()
+        self._checker = InvariantChecker()
         self._chance = random.Random(report.seed)
 
     async def play(self, group: ProcessGroup) -> Report:
         """Plays a run and returns what it saw."""
         site = Site(group, self._folder, self.report.mutant, self._daemons)
         await site.start()
-        self._judge.evacuations = site.evacuations
+        self._checker.evacuations = site.evacuations
         await _until_ready(site)
         callers = Callers(
-            site.fronts, self._judge, self._chance, site.name_version, lambda: site.configured_at
+            site.fronts, self._checker, self._chance, site.name_version, lambda: site.configured_at
         )
         until = time.monotonic() + self.report.seconds
         work = asyncio.gather(
@@ -91,7 +91,7 @@
         try:
             while not work.done():
                 await asyncio.wait({work}, timeout=CHECK_SECONDS)
-                self._judge.check(read_records(site.outputs()))
+                self._checker.check(read_records(site.outputs()))
                 print(
                     f"{callers.served} of {callers.requests} served, "
                     f"{len(callers.step_seconds)} steps",
@@ -99,7 +99,7 @@
                 )
             await work
             await self._heal(callers)
-            self._judge.check(read_records(site.outputs()))
+            self._checker.check(read_records(site.outputs()))
         except AssertionError:
             self.report.broken = traceback.format_exc()[-BROKEN_CHARACTERS:]
         finally:
@@ -122,12 +122,12 @@
 
     async def _strike_once(self, strikes: Strikes, callers: Callers, fault: Fault) -> None:
         began_at = time.monotonic()
-        hindrances = self._judge.hindrances
+        hindrances = self._checker.hindrances
         if fault.kind in HINDERING:
             hindrances.append((began_at, float("inf")))
         if fault.kind is not Kind.EVACUATION:  # which excuses nothing
-            self._judge.fault_times.append(began_at)
-        untold = self._judge.untold
+            self._checker.fault_times.append(began_at)
+        untold = self._checker.untold
         if fault.kind in UNTOLD:
             untold.append((began_at, float("inf")))
         if fault.kind is Kind.CRASHING_REQUEST:
@@ -138,7 +138,7 @@
             untold.remove((began_at, float("inf")))
             untold.append((began_at, time.monotonic()))
         if fault.kind is not Kind.EVACUATION:
-            self._judge.fault_times.append(time.monotonic())
+            self._checker.fault_times.append(time.monotonic())
         if fault.kind in HINDERING:
             hindrances.remove((began_at, float("inf")))
             hindrances.append((began_at, time.monotonic()))
@@ -149,9 +149,9 @@
         Then what has crashed servers comes once more, in calm times, at every daemon.
         """
         until = time.monotonic() + HEAL_SECONDS
-        for name in self._judge.missing():
-            await callers.read_on(self._judge.batches[name], until)
-        missing = self._judge.missing()
+        for name in self._checker.missing():
+            await callers.read_on(self._checker.batches[name], until)
+        missing = self._checker.missing()
         assert not missing, f"accepted batches are not whole: {missing}"
         await asyncio.sleep(TOLD_SECONDS + 1.0)
         for page in sorted(callers.crashing_pages):
--- a/tests/process_soak/callers.py
+++ b/tests/process_soak/callers.py
@@ -62,7 +62,7 @@
     ) -> None:
         self._configured_at = configured_at
         self._fronts = fronts
-        self._judge = checker
+        self._checker = checker
         self._chance = chance
         self._name_version = name_version
         self.step_seconds: list[float] = []
@@ -105,7 +105,7 @@
         while time.monotonic() < until:
             for _ in range(CRASHING_TRIES):
                 name = f"r{self._chance.getrandbits(60):x}"
-                self._judge.asked[name] = False
+                self._checker.asked[name] = False
                 await self._call("GET", f"{PAGE_PREFIX}{CRASHING_PAGE}{page}", name)
             await asyncio.sleep(CRASHING_PAUSE_SECONDS)
 
@@ -121,7 +121,7 @@
                 assert answer is None or answer[0] != 404, f"{batch.batch} is lost"
                 await asyncio.sleep(PAUSE_SECONDS)
                 continue
-            self._judge.take_page(batch, position, orjson.loads(answer[1])["results"])
+            self._checker.take_page(batch, position, orjson.loads(answer[1])["results"])
 
     async def _step(self, model: ModelName, step: int, items: int) -> None:
         began = time.monotonic()
@@ -142,7 +142,7 @@
         name = f"b{self._chance.getrandbits(60):x}"
         calls = {f"{name}i{number}": f"{name}s{number}" for number in range(items)}
         batch = SubmittedBatch(name, calls, minimum_version=max(1, step))
-        self._judge.batches[name] = batch
+        self._checker.batches[name] = batch
         return batch
 
     async def _submit(
@@ -162,11 +162,11 @@
 
     async def _request(self, *, once: bool) -> None:
         name = f"r{self._chance.getrandbits(60):x}"
-        self._judge.asked[name] = once
-        self._judge.tenants[name] = READING
+        self._checker.asked[name] = once
+        self._checker.tenants[name] = READING
         version = self._newest_version()
         if self.requests % DROPPED_KEY_EVERY == 0 and version > KEPT_VERSIONS:
-            self._judge.dropped[name] = self._configured_at()[version]
+            self._checker.dropped[name] = self._configured_at()[version]
             version -= KEPT_VERSIONS
         target = f"{ONCE_PREFIX if once else PAGE_PREFIX}{name}"
         kept = self._chance.random() < KEPT_SHARE
@@ -180,7 +180,7 @@
             self.served += 1
             self.served_times.append(time.monotonic())
         elif once and status in PROMISES_NOT_RUN:
-            self._judge.told_not_run.add(name)
+            self._checker.told_not_run.add(name)
 
     def _newest_version(self) -> int:
         """Returns the newest version of the configuration that was acknowledged."""
