--- a/tests/process_soak/__main__.py
+++ b/tests/process_soak/__main__.py
@@ -20,7 +20,7 @@
 from larkpost.platform.stand_in.daemon_settings import ready_path
 from larkpost.rehearsal.processes import ProcessGroup, answers
 from tests.process_soak.callers import Callers
-from tests.process_soak.judge import TOLD_SECONDS, InvariantChecker
+from tests.process_soak.judge import CRASH_REPORT_SECONDS, InvariantChecker
 from tests.process_soak.plan import HINDERING, UNTOLD, Fault, Kind, draw_plan
 from tests.process_soak.records import read_records
 from tests.process_soak.site import DAEMONS, MODEL, Site
@@ -153,7 +153,7 @@
             await callers.read_on(self._checker.batches[name], until)
         missing = self._checker.missing()
         assert not missing, f"accepted batches are not whole: {missing}"
-        await asyncio.sleep(TOLD_SECONDS + 1.0)
+        await asyncio.sleep(CRASH_REPORT_SECONDS + 1.0)
         for page in sorted(callers.crashing_pages):
             await callers.ask_again_and_again(page, CALM_SECONDS)
 
--- a/tests/process_soak/judge.py
+++ b/tests/process_soak/judge.py
@@ -16,7 +16,7 @@
 """Time after the acknowledgement of a configuration until it is in force everywhere."""
 CANCEL_SECONDS = 3.0
 """Time after the acknowledgement of a batch's end within which its items may still arrive."""
-TOLD_SECONDS = 4.0
+CRASH_REPORT_SECONDS = 4.0
 """Time after a fault until each daemon has heard of all crashes: 3 s, and a start takes one."""
 FAULT_SLACK_SECONDS = 12.0
 """Time around a fault in which the rules with time bounds excuse a daemon."""
@@ -179,7 +179,7 @@
 
     def _is_told(self, at: float) -> bool:
         """Returns whether nothing has lost or delayed news of crashes for a while."""
-        since = at - TOLD_SECONDS
+        since = at - CRASH_REPORT_SECONDS
         return not any(start <= at and end >= since for start, end in self.untold)
 
     def missing(self) -> list[str]:
