--- a/tests/process_soak/callers.py
+++ b/tests/process_soak/callers.py
@@ -180,7 +180,7 @@
             self.served += 1
             self.served_times.append(time.monotonic())
         elif once and status in PROMISES_NOT_RUN:
-            self._checker.told_not_run.add(name)
+            self._checker.reported_not_run.add(name)
 
     def _newest_version(self) -> int:
         """Returns the newest version of the configuration that was acknowledged."""
--- a/tests/process_soak/judge.py
+++ b/tests/process_soak/judge.py
@@ -66,7 +66,7 @@
 
     batches: dict[str, SubmittedBatch] = field(default_factory=dict)
     asked: dict[str, bool] = field(default_factory=dict)
-    told_not_run: set[str] = field(default_factory=set)
+    reported_not_run: set[str] = field(default_factory=set)
     tenants: dict[str, str] = field(default_factory=dict)
     dropped: dict[str, float] = field(default_factory=dict)
     fault_times: list[float] = field(default_factory=list)
@@ -145,7 +145,7 @@
             assert name in submitted or name in self.asked, f"{name} runs, but nobody sent it"
             if self.asked.get(name):
                 assert len(runs) == 1, f"{name} ran {len(runs)} times"
-                assert name not in self.told_not_run, f"{name} was told not run, but ran"
+                assert name not in self.reported_not_run, f"{name} was told not run, but ran"
 
     def _check_tenants(self, records: Records) -> None:
         """Servers get the tenant of each request; what carried a dropped key does not run."""
--- a/tests/test_process_soak.py
+++ b/tests/test_process_soak.py
@@ -232,7 +232,7 @@
         self.checker.asked["r1"] = True
         self.records.runs["r1"].append(Run("/p", 1.0, "p.r1", 200))
         self.checker.check(self.records)
-        self.checker.told_not_run.add("r1")
+        self.checker.reported_not_run.add("r1")
         self.assert_broken("told not run")
         self.records.runs["r1"].append(Run("/p", 2.0, "p.r1", 200))
         self.assert_broken("ran 2 times")
