--- a/tests/process_soak/__main__.py
+++ b/tests/process_soak/__main__.py
@@ -122,9 +122,9 @@
 
     async def _strike_once(self, strikes: Strikes, callers: Callers, fault: Fault) -> None:
         began_at = time.monotonic()
-        hindrances = self._checker.hindrances
+        disruptions = self._checker.disruptions
         if fault.kind in HINDERING:
-            hindrances.append((began_at, float("inf")))
+            disruptions.append((began_at, float("inf")))
         if fault.kind is not Kind.EVACUATION:  # which excuses nothing
             self._checker.fault_times.append(began_at)
         untold = self._checker.untold
@@ -140,8 +140,8 @@
         if fault.kind is not Kind.EVACUATION:
             self._checker.fault_times.append(time.monotonic())
         if fault.kind in HINDERING:
-            hindrances.remove((began_at, float("inf")))
-            hindrances.append((began_at, time.monotonic()))
+            disruptions.remove((began_at, float("inf")))
+            disruptions.append((began_at, time.monotonic()))
 
     async def _heal(self, callers: Callers) -> None:
         """Waits until every accepted batch that nobody ended is whole.
--- a/tests/process_soak/judge.py
+++ b/tests/process_soak/judge.py
@@ -70,7 +70,7 @@
     tenants: dict[str, str] = field(default_factory=dict)
     dropped: dict[str, float] = field(default_factory=dict)
     fault_times: list[float] = field(default_factory=list)
-    hindrances: list[tuple[float, float]] = field(default_factory=list)
+    disruptions: list[tuple[float, float]] = field(default_factory=list)
     evacuations: Sequence[Evacuation] = ()
     untold: list[tuple[float, float]] = field(default_factory=list)
 
@@ -163,7 +163,7 @@
     def _check_evacuated(self, records: Records) -> None:
         """Nothing reaches an evacuated zone once every daemon had to know."""
         for span in self.evacuations:
-            known_at = checks.known_by(span.began_at, sorted(self.hindrances))
+            known_at = checks.known_by(span.began_at, sorted(self.disruptions))
             for name, runs in records.runs.items():
                 for run in runs:
                     if run.zone == span.zone:
--- a/tests/test_process_soak.py
+++ b/tests/test_process_soak.py
@@ -280,7 +280,7 @@
         self.checker.check(self.records)
         self.records.runs["r1"].append(Run("/p", 16.0, "p.r1", 200, zone=ZONES[0]))
         self.assert_broken("evacuated")
-        self.checker.hindrances.append((12.0, 13.0))
+        self.checker.disruptions.append((12.0, 13.0))
         self.checker.check(self.records)
 
     def test_window_with_two_counts(self):
