--- a/tests/process_soak/__main__.py
+++ b/tests/process_soak/__main__.py
@@ -127,16 +127,16 @@
             disruptions.append((began_at, float("inf")))
         if fault.kind is not Kind.EVACUATION:  # which excuses nothing
             self._checker.fault_times.append(began_at)
-        untold = self._checker.untold
+        crash_report_gaps = self._checker.crash_report_gaps
         if fault.kind in UNTOLD:
-            untold.append((began_at, float("inf")))
+            crash_report_gaps.append((began_at, float("inf")))
         if fault.kind is Kind.CRASHING_REQUEST:
             await callers.ask_again_and_again(fault.target % CRASHING_PAGES, fault.seconds)
         else:
             await strikes.strike(fault)
         if fault.kind in UNTOLD:
-            untold.remove((began_at, float("inf")))
-            untold.append((began_at, time.monotonic()))
+            crash_report_gaps.remove((began_at, float("inf")))
+            crash_report_gaps.append((began_at, time.monotonic()))
         if fault.kind is not Kind.EVACUATION:
             self._checker.fault_times.append(time.monotonic())
         if fault.kind in HINDERING:
--- a/tests/process_soak/judge.py
+++ b/tests/process_soak/judge.py
@@ -72,7 +72,7 @@
     fault_times: list[float] = field(default_factory=list)
     disruptions: list[tuple[float, float]] = field(default_factory=list)
     evacuations: Sequence[Evacuation] = ()
-    untold: list[tuple[float, float]] = field(default_factory=list)
+    crash_report_gaps: list[tuple[float, float]] = field(default_factory=list)
 
     def take_page(self, batch: SubmittedBatch, position: int, results: list[dict]) -> None:
         """Takes results that a daemon has given; what was read before must come again."""
@@ -180,7 +180,7 @@
     def _is_told(self, at: float) -> bool:
         """Returns whether nothing has lost or delayed news of crashes for a while."""
         since = at - CRASH_REPORT_SECONDS
-        return not any(start <= at and end >= since for start, end in self.untold)
+        return not any(start <= at and end >= since for start, end in self.crash_report_gaps)
 
     def missing(self) -> list[str]:
         """Returns the accepted batches that are neither whole nor ended."""
--- a/tests/test_process_soak.py
+++ b/tests/test_process_soak.py
@@ -267,7 +267,7 @@
         self.checker.check(self.records)
         self.records.crashes["/p"].append(CrashingRun("r1", 31.0))
         self.assert_broken("had crashed 3 servers by 24.0")
-        self.checker.untold.append((27.0, 28.0))
+        self.checker.crash_report_gaps.append((27.0, 28.0))
         self.checker.check(self.records)
         self.records.crashes["/p"].append(CrashingRun("r2", 31.0))
         self.assert_broken("nobody sent")
