--- a/tests/process_soak/callers.py
+++ b/tests/process_soak/callers.py
@@ -166,7 +166,7 @@
         self._checker.tenants[name] = READING
         version = self._newest_version()
         if self.requests % DROPPED_KEY_EVERY == 0 and version > KEPT_VERSIONS:
-            self._checker.dropped[name] = self._configured_at()[version]
+            self._checker.revoked[name] = self._configured_at()[version]
             version -= KEPT_VERSIONS
         target = f"{ONCE_PREFIX if once else PAGE_PREFIX}{name}"
         kept = self._chance.random() < KEPT_SHARE
--- a/tests/process_soak/judge.py
+++ b/tests/process_soak/judge.py
@@ -68,7 +68,7 @@
     asked: dict[str, bool] = field(default_factory=dict)
     reported_not_run: set[str] = field(default_factory=set)
     tenants: dict[str, str] = field(default_factory=dict)
-    dropped: dict[str, float] = field(default_factory=dict)
+    revoked: dict[str, float] = field(default_factory=dict)
     fault_times: list[float] = field(default_factory=list)
     disruptions: list[tuple[float, float]] = field(default_factory=list)
     evacuations: Sequence[Evacuation] = ()
@@ -155,7 +155,7 @@
         for name, runs in records.runs.items():
             for run in runs:
                 assert run.tenant == owners.get(name), f"{name} ran as {run.tenant}"
-        for name, dropped_at in self.dropped.items():
+        for name, dropped_at in self.revoked.items():
             for run in records.runs.get(name, ()):
                 late = run.began > dropped_at + APPLY_SECONDS
                 assert not (late and self._is_calm(run.began)), f"{name} ran with a dropped key"
--- a/tests/test_process_soak.py
+++ b/tests/test_process_soak.py
@@ -252,7 +252,7 @@
     def test_dropped_key_that_runs_in_calm_times(self):
         self.checker.asked["r1"] = False
         self.checker.tenants["r1"] = READING
-        self.checker.dropped["r1"] = 10.0
+        self.checker.revoked["r1"] = 10.0
         self.records.runs["r1"].append(Run("/p", 11.0, "p.r1", 200, READING))
         self.checker.check(self.records)
         self.records.runs["r1"].append(Run("/p", 13.0, "p.r1", 200, READING))
