--- a/tests/process_soak/judge.py
+++ b/tests/process_soak/judge.py
@@ -174,10 +174,10 @@
         for path, runs in records.crashes.items():
             for run in runs:
                 assert run.request in self.asked, f"{run.request} runs, but nobody sent it"
-            counted = [run.began for run in runs if self._is_told(run.began)]
+            counted = [run.began for run in runs if self._is_crash_reported(run.began)]
             checks.check_crashes(path, sorted(run.began for run in runs), counted)
 
-    def _is_told(self, at: float) -> bool:
+    def _is_crash_reported(self, at: float) -> bool:
         """Returns whether nothing has lost or delayed news of crashes for a while."""
         since = at - CRASH_REPORT_SECONDS
         return not any(start <= at and end >= since for start, end in self.crash_report_gaps)
