--- a/tests/process_soak/callers.py
+++ b/tests/process_soak/callers.py
@@ -33,7 +33,7 @@
 ONCE_PREFIX = "/orders/"
 KEPT_VERSIONS = 2
 """A key is in force in the version that brings it and in the next one."""
-DROPPED_KEY_EVERY = 7
+REVOKED_KEY_INTERVAL = 7
 """One request in this many carries a key that was taken away."""
 KEPT_SHARE = 0.5
 """Share of the clients' requests on connections that are kept until the daemon closes them."""
@@ -165,7 +165,7 @@
         self._checker.asked[name] = once
         self._checker.tenants[name] = READING
         version = self._newest_version()
-        if self.requests % DROPPED_KEY_EVERY == 0 and version > KEPT_VERSIONS:
+        if self.requests % REVOKED_KEY_INTERVAL == 0 and version > KEPT_VERSIONS:
             self._checker.revoked[name] = self._configured_at()[version]
             version -= KEPT_VERSIONS
         target = f"{ONCE_PREFIX if once else PAGE_PREFIX}{name}"
