--- a/tests/process_soak/callers.py
+++ b/tests/process_soak/callers.py
@@ -31,7 +31,7 @@
 READ_WAIT_MS = "500"
 GROUP_SIZE = 4
 ONCE_PREFIX = "/orders/"
-KEPT_VERSIONS = 2
+KEY_LIFETIME_VERSIONS = 2
 """A key is in force in the version that brings it and in the next one."""
 REVOKED_KEY_INTERVAL = 7
 """One request in this many carries a key that was taken away."""
@@ -165,9 +165,9 @@
         self._checker.asked[name] = once
         self._checker.tenants[name] = READING
         version = self._newest_version()
-        if self.requests % REVOKED_KEY_INTERVAL == 0 and version > KEPT_VERSIONS:
+        if self.requests % REVOKED_KEY_INTERVAL == 0 and version > KEY_LIFETIME_VERSIONS:
             self._checker.revoked[name] = self._configured_at()[version]
-            version -= KEPT_VERSIONS
+            version -= KEY_LIFETIME_VERSIONS
         target = f"{ONCE_PREFIX if once else PAGE_PREFIX}{name}"
         kept = self._chance.random() < KEPT_SHARE
         method = "POST" if once else "GET"
