--- a/tests/process_soak/callers.py
+++ b/tests/process_soak/callers.py
@@ -35,7 +35,7 @@
 """A key is in force in the version that brings it and in the next one."""
 REVOKED_KEY_INTERVAL = 7
 """One request in this many carries a key that was taken away."""
-KEPT_SHARE = 0.5
+KEEP_ALIVE_SHARE = 0.5
 """Share of the clients' requests on connections that are kept until the daemon closes them."""
 CRASHING_TRIES = 2
 CRASHING_PAUSE_SECONDS = 0.7
@@ -169,7 +169,7 @@
             self._checker.revoked[name] = self._configured_at()[version]
             version -= KEY_LIFETIME_VERSIONS
         target = f"{ONCE_PREFIX if once else PAGE_PREFIX}{name}"
-        kept = self._chance.random() < KEPT_SHARE
+        kept = self._chance.random() < KEEP_ALIVE_SHARE
         method = "POST" if once else "GET"
         answer = await self._call(method, target, name, version=version, kept=kept)
         if answer is None:
