--- a/tests/process_soak/callers.py
+++ b/tests/process_soak/callers.py
@@ -169,9 +169,9 @@
             self._checker.revoked[name] = self._configured_at()[version]
             version -= KEY_LIFETIME_VERSIONS
         target = f"{ONCE_PREFIX if once else PAGE_PREFIX}{name}"
-        kept = self._chance.random() < KEEP_ALIVE_SHARE
+        keep_alive = self._chance.random() < KEEP_ALIVE_SHARE
         method = "POST" if once else "GET"
-        answer = await self._call(method, target, name, version=version, kept=kept)
+        answer = await self._call(method, target, name, version=version, keep_alive=keep_alive)
         if answer is None:
             return
         status, body = answer
@@ -193,7 +193,7 @@
         request: str,
         body: bytes | None = None,
         version: int | None = None,
-        kept: bool = False,
+        keep_alive: bool = False,
     ) -> tuple[int, bytes] | None:
         """Makes one call at any daemon; None if there was no whole answer.
 
@@ -213,7 +213,7 @@
         try:
             async with (
                 asyncio.timeout(CALL_SECONDS),
-                self._session(daemon, kept=kept) as session,
+                self._session(daemon, keep_alive=keep_alive) as session,
                 session.request(method, url, data=body, headers=headers) as answer,
             ):
                 return answer.status, await answer.read()
@@ -222,10 +222,10 @@
 
     @contextlib.asynccontextmanager
     async def _session(
-        self, daemon: Address, *, kept: bool
+        self, daemon: Address, *, keep_alive: bool
     ) -> AsyncIterator[aiohttp.ClientSession]:
         """Gives a session with kept connections to a daemon, or one of its own for a call."""
-        if kept:
+        if keep_alive:
             if daemon not in self._sessions:
                 self._sessions[daemon] = aiohttp.ClientSession()
             yield self._sessions[daemon]
