--- a/tests/process_soak/callers.py
+++ b/tests/process_soak/callers.py
@@ -39,7 +39,7 @@
 """Share of the clients' requests on connections that are kept until the daemon closes them."""
 CRASHING_TRIES = 2
 CRASHING_PAUSE_SECONDS = 0.7
-PROMISES_NOT_RUN = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 CALL_FAILURES = (aiohttp.ClientError, TimeoutError, OSError)
 
 
@@ -155,7 +155,7 @@
             if answer is not None and answer[0] == 202:
                 batch.accepted = True
                 return True
-            refused = refused and answer is not None and answer[0] in PROMISES_NOT_RUN
+            refused = refused and answer is not None and answer[0] in NOT_RUN_STATUSES
             await asyncio.sleep(PAUSE_SECONDS)
         batch.refused = refused
         return False
@@ -179,7 +179,7 @@
             assert body == f"page for {name}".encode(), f"{name} got another request's answer"
             self.served += 1
             self.served_times.append(time.monotonic())
-        elif once and status in PROMISES_NOT_RUN:
+        elif once and status in NOT_RUN_STATUSES:
             self._checker.reported_not_run.add(name)
 
     def _newest_version(self) -> int:
