--- a/tests/process_soak/site.py
+++ b/tests/process_soak/site.py
@@ -43,7 +43,7 @@
 STORE_SECONDS = 2.0
 CRASH_STATUS = 1
 """Exit status of a server that a request has crashed."""
-CRASH_LOOK_SECONDS = 0.1
+CRASH_POLL_SECONDS = 0.1
 CRASH_RESTART_SECONDS = 2.5
 
 
@@ -214,7 +214,7 @@
                 process = server.process
                 if process.popen.poll() == CRASH_STATUS and server.number not in self._crashed:
                     self._crashed[server.number] = asyncio.create_task(self._start_next(server))
-            await asyncio.sleep(CRASH_LOOK_SECONDS)
+            await asyncio.sleep(CRASH_POLL_SECONDS)
 
     async def _start_next(self, server: Server) -> None:
         process = server.process
