--- a/tests/process_soak/daemon_program.py
+++ b/tests/process_soak/daemon_program.py
@@ -18,7 +18,7 @@
 SUSPENDED_SIGNAL = signal.SIGUSR2
 
 
-class PlainClock:
+class SuspendableClock:
     """The plain steady clock of a machine that may be suspended.
 
     How long it was, is known from when its time was last read, so a little may be lost.
@@ -48,7 +48,7 @@
 
 def main(names: list[str]) -> None:
     """Runs the daemon, under mutants of `tests.platform_mutants` if any are named."""
-    clock = PlainClock(time.clock_gettime)
+    clock = SuspendableClock(time.clock_gettime)
     time.monotonic, time.clock_gettime = clock.seconds, clock.gettime
     signal.signal(SUSPENDED_SIGNAL, clock.record_suspension)
     with contextlib.ExitStack() as stack:
