--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -246,7 +246,7 @@
             )
 
 
-class Pages:
+class PageServer:
     """A server that answers after a while, or in events."""
 
     def __init__(self, name: str) -> None:
@@ -318,9 +318,9 @@
         self.pages = await self.serve("i-1")
         self.instance = self.pages.instance
 
-    async def serve(self, name: str) -> Pages:
+    async def serve(self, name: str) -> PageServer:
         """Starts a server."""
-        pages = Pages(name)
+        pages = PageServer(name)
         await pages.start()
         self.addAsyncCleanup(pages.close)
         return pages
@@ -462,7 +462,7 @@
         self.servers = HttpServers()
         self.addAsyncCleanup(self.servers.close)
         directory = Directory()
-        self.all_pages = [Pages(name) for name in names]
+        self.all_pages = [PageServer(name) for name in names]
         self.slowest = 0.0
         for pages in self.all_pages:
             await pages.start()
@@ -478,7 +478,7 @@
         for pages in self.all_pages:
             await self.settle(pages)
 
-    async def settle(self, pages: Pages) -> None:
+    async def settle(self, pages: PageServer) -> None:
         """Makes calls to one server until its usual time is that of a call alone.
 
         Requests through the forwarder would all go to the quicker server, and the other one would
