--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -83,7 +83,7 @@
         self.lines.append((event, fields))
 
 
-def count_silences(metrics: Metrics, peer: UpstreamKind) -> float:
+def count_dead_connections(metrics: Metrics, peer: UpstreamKind) -> float:
     """Returns how often connections of a kind were taken for silent."""
     name = Count.SILENT_CONNECTIONS.value
     return metrics.registry.get_sample_value(name, {"to": peer}) or 0.0
@@ -126,7 +126,7 @@
             result = await self.store.write(CHANGE, 1.5)
         self.assertIs(WriteOutcome.UNKNOWN, result.outcome)
         self.assertEqual({}, self.memory.rows)
-        self.assertEqual(1.0, count_silences(self.metrics, UpstreamKind.STORE))
+        self.assertEqual(1.0, count_dead_connections(self.metrics, UpstreamKind.STORE))
 
     async def test_write_to_a_store_that_turns_slow_is_answered(self):
         """All its answers come late, also those on new connections."""
@@ -170,13 +170,13 @@
         self.link.harm(LinkFault.OLD_SILENT)
         async with asyncio.timeout(2 * wait + LATE_SECONDS):
             await feed
-        self.assertEqual(1.0, count_silences(self.metrics, UpstreamKind.STORE))
+        self.assertEqual(1.0, count_dead_connections(self.metrics, UpstreamKind.STORE))
 
     async def test_held_feed_that_nothing_changes_is_not_taken_for_silent(self):
         await self.open_connections(self.store)
         await self.store.changes("table", 0, 3 * MIN_ABORT_TIMEOUT_SECONDS)
         self.assertEqual(3, self.link.connections)
-        self.assertEqual(0.0, count_silences(self.metrics, UpstreamKind.STORE))
+        self.assertEqual(0.0, count_dead_connections(self.metrics, UpstreamKind.STORE))
 
     async def test_peer_is_reached_on_a_new_connection(self):
         await self.open_connections(self.by_peer)
@@ -184,14 +184,14 @@
         async with asyncio.timeout(LATE_SECONDS):
             await self.by_peer.read("table", "part")
         self.assertEqual(4, self.peer_link.connections)
-        self.assertEqual(1.0, count_silences(self.metrics, UpstreamKind.PEER))
+        self.assertEqual(1.0, count_dead_connections(self.metrics, UpstreamKind.PEER))
 
     async def test_many_calls_at_once_open_no_more_connections_than_they_need(self):
         await self.open_connections(self.store)
         self.link.harm(LinkFault.OLD_SILENT)
         await self.open_connections(self.store)
         self.assertEqual(6, self.link.connections)
-        self.assertEqual(1.0, count_silences(self.metrics, UpstreamKind.STORE))
+        self.assertEqual(1.0, count_dead_connections(self.metrics, UpstreamKind.STORE))
 
     async def test_store_that_is_gone_is_not_tried_for_longer_than_before(self):
         await self.open_connections(self.store)
@@ -201,7 +201,7 @@
         async with asyncio.timeout(READ_TIMEOUT_SECONDS + SLACK_SECONDS):
             result = await self.store.write(CHANGE, 0.5)
         self.assertIs(WriteOutcome.UNKNOWN, result.outcome)
-        self.assertEqual(1.0, count_silences(self.metrics, UpstreamKind.STORE))
+        self.assertEqual(1.0, count_dead_connections(self.metrics, UpstreamKind.STORE))
 
 
 class MemoryTest(unittest.IsolatedAsyncioTestCase):
@@ -377,7 +377,7 @@
             async with asyncio.timeout(0.03):
                 await self.ask(9)
         self.assertTrue(self.servers.is_connected(self.instance))
-        self.assertEqual(0.0, count_silences(self.metrics, UpstreamKind.SERVER))
+        self.assertEqual(0.0, count_dead_connections(self.metrics, UpstreamKind.SERVER))
 
     async def test_connections_in_use_are_not_kept_once_they_are_free(self):
         await self.open_connections(2)
@@ -398,7 +398,7 @@
         for number in range(10, 15):
             await self.ask(number)
         self.assertLessEqual(self.pages.link.connections, 4)
-        self.assertLessEqual(count_silences(self.metrics, UpstreamKind.SERVER), 1.0)
+        self.assertLessEqual(count_dead_connections(self.metrics, UpstreamKind.SERVER), 1.0)
 
     async def test_single_slow_request_beside_others_shows_nothing(self):
         await self.open_connections()
@@ -410,7 +410,7 @@
             await self.ask(10)
             await asyncio.sleep(0.02)
         self.assertEqual(3, self.pages.link.connections)
-        self.assertEqual(0.0, count_silences(self.metrics, UpstreamKind.SERVER))
+        self.assertEqual(0.0, count_dead_connections(self.metrics, UpstreamKind.SERVER))
 
     async def test_stream_that_falls_silent_midway_goes_on_over_a_new_connection(self):
         await self.open_connections()
@@ -451,7 +451,7 @@
         self.pages.delay = 0.0
         self.pages.link.harm(LinkFault.OLD_SILENT)
         self.assertIsNone(await self.servers.report(self.instance, 0.4))
-        self.assertEqual(1.0, count_silences(self.metrics, UpstreamKind.SERVER))
+        self.assertEqual(1.0, count_dead_connections(self.metrics, UpstreamKind.SERVER))
 
 
 class ForwardedTest(unittest.IsolatedAsyncioTestCase):
