--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -538,7 +538,7 @@
         self.assertLessEqual(late, 2)
 
 
-class SilencesTest(unittest.TestCase):
+class DetectorTest(unittest.TestCase):
     """The judgement alone, with a clock of its own."""
 
     def setUp(self):
