--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -63,7 +63,7 @@
         writer.write(request)
         return reader, writer
 
-    async def rest(self, count: int) -> list:
+    async def open_idle(self, count: int) -> list:
         """Opens connections that rest after an answer, and returns their readers."""
         readers = []
         for _ in range(count):
@@ -80,14 +80,14 @@
         return readers
 
     async def test_few_resting_connections_are_left_alone(self):
-        readers = await self.rest(SOCKETS // 2)
+        readers = await self.open_idle(SOCKETS // 2)
         self.guard.check()
         await asyncio.sleep(0.05)
         self.assertFalse(any(reader.at_eof() for reader in readers))
 
     async def test_longest_resting_connections_are_closed_before_descriptors_run_out(self):
         working = await self.work(4)
-        resting = await self.rest(14)
+        resting = await self.open_idle(14)
         self.guard.check()
         await asyncio.sleep(0.05)
         self.assertEqual([True] * 3 + [False] * 11, [reader.at_eof() for reader in resting])
@@ -116,7 +116,7 @@
         }
         loop.call_exception_handler(context)
         self.assertFalse(self.lifecycle.ready)
-        (reader,) = await self.rest(1)
+        (reader,) = await self.open_idle(1)
         loop.call_exception_handler(context)
         await asyncio.sleep(0.05)
         self.assertTrue(reader.at_eof())
