--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -72,7 +72,7 @@
             readers.append(reader)
         return readers
 
-    async def work(self, count: int) -> list:
+    async def open_busy(self, count: int) -> list:
         """Opens connections whose requests are being answered, and returns their readers."""
         slow = REQUEST.replace(b"/ ", b"/slow ", 1)
         readers = [(await self.connect(slow))[0] for _ in range(count)]
@@ -86,7 +86,7 @@
         self.assertFalse(any(reader.at_eof() for reader in readers))
 
     async def test_longest_resting_connections_are_closed_before_descriptors_run_out(self):
-        working = await self.work(4)
+        working = await self.open_busy(4)
         resting = await self.open_idle(14)
         self.guard.check()
         await asyncio.sleep(0.05)
@@ -97,7 +97,7 @@
             await asyncio.wait_for(reader.readuntil(b"ok"), 1)
 
     async def test_daemon_whose_connections_are_all_in_use_is_not_ready_until_some_end(self):
-        working = await self.work(SOCKETS)
+        working = await self.open_busy(SOCKETS)
         self.guard.check()
         self.assertFalse(self.lifecycle.ready)
         self.app.release.set()
