--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -87,10 +87,10 @@
 
     async def test_longest_resting_connections_are_closed_before_descriptors_run_out(self):
         working = await self.open_busy(4)
-        resting = await self.open_idle(14)
+        idle = await self.open_idle(14)
         self.guard.check()
         await asyncio.sleep(0.05)
-        self.assertEqual([True] * 3 + [False] * 11, [reader.at_eof() for reader in resting])
+        self.assertEqual([True] * 3 + [False] * 11, [reader.at_eof() for reader in idle])
         self.assertTrue(self.lifecycle.ready)
         self.app.release.set()
         for reader in working:
