--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -48,7 +48,7 @@
         self.addAsyncCleanup(self.listener.close)
         self.host, port = address.split(":")
         self.port = int(port)
-        self.guard = DescriptorMonitor(
+        self.monitor = DescriptorMonitor(
             RESERVED_DESCRIPTORS + SOCKETS,
             lambda: len(self.listener.connections),
             self.listener.close_idle,
@@ -81,14 +81,14 @@
 
     async def test_few_resting_connections_are_left_alone(self):
         readers = await self.open_idle(SOCKETS // 2)
-        self.guard.check()
+        self.monitor.check()
         await asyncio.sleep(0.05)
         self.assertFalse(any(reader.at_eof() for reader in readers))
 
     async def test_longest_resting_connections_are_closed_before_descriptors_run_out(self):
         working = await self.open_busy(4)
         idle = await self.open_idle(14)
-        self.guard.check()
+        self.monitor.check()
         await asyncio.sleep(0.05)
         self.assertEqual([True] * 3 + [False] * 11, [reader.at_eof() for reader in idle])
         self.assertTrue(self.lifecycle.ready)
@@ -98,17 +98,17 @@
 
     async def test_daemon_whose_connections_are_all_in_use_is_not_ready_until_some_end(self):
         working = await self.open_busy(SOCKETS)
-        self.guard.check()
+        self.monitor.check()
         self.assertFalse(self.lifecycle.ready)
         self.app.release.set()
         for reader in working:
             await asyncio.wait_for(reader.readuntil(b"ok"), 1)
-        self.guard.check()
+        self.monitor.check()
         self.assertTrue(self.lifecycle.ready)
 
     async def test_failure_to_accept_closes_resting_connections_at_once(self):
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(self.guard.handle_loop_error)
+        loop.set_exception_handler(self.monitor.handle_loop_error)
         self.addCleanup(loop.set_exception_handler, None)
         context = {
             "message": "socket.accept() out of system resource",
