--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -422,7 +422,7 @@
     """Leaves a call on a silent connection until its time is over."""
     from larkpost.platform.watched_connection import WatchedConnection
 
-    return mock.patch.object(WatchedConnection, "_check_later", lambda *_: None)
+    return mock.patch.object(WatchedConnection, "_schedule_check", lambda *_: None)
 
 
 def give_up_writes_without_proof():
