--- a/tests/process_soak/__main__.py
+++ b/tests/process_soak/__main__.py
@@ -20,7 +20,7 @@
 from larkpost.platform.stand_in.daemon_settings import ready_path
 from larkpost.rehearsal.processes import ProcessGroup, answers
 from tests.process_soak.callers import Callers
-from tests.process_soak.judge import CRASH_REPORT_SECONDS, InvariantChecker
+from tests.process_soak.checker import CRASH_REPORT_SECONDS, InvariantChecker
 from tests.process_soak.plan import HINDERING, UNTOLD, Fault, Kind, draw_plan
 from tests.process_soak.records import read_records
 from tests.process_soak.site import DAEMONS, MODEL, Site
