--- a/src/larkpost/platform/stand_in/callers.py
+++ b/src/larkpost/platform/stand_in/callers.py
@@ -50,7 +50,7 @@
     whole_seconds: list[float] = field(default_factory=list)
 
     @property
-    def broken_promises(self) -> int:
+    def violations(self) -> int:
         """Counts what must never happen."""
         return self.results_doubled + self.results_lost + self.results_wrong + self.answers_wrong
 
--- a/src/larkpost/rehearsal/demo.py
+++ b/src/larkpost/rehearsal/demo.py
@@ -61,7 +61,7 @@
     _print_table(console, summary)
     print(orjson.dumps(summary).decode())
     worked = record.batches_whole > 0 and record.client_answers > 0
-    return 0 if worked and record.broken_promises == 0 else 1
+    return 0 if worked and record.violations == 0 else 1
 
 
 def _run(folder: Path, seconds: float, faults: bool, console: Console) -> CallerRecord:
