--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -72,7 +72,7 @@
 REPORT = b'{"seq":0,"busy":false,"models":[]}'
 
 
-class EventRecorder:
+class LogRecorder:
     """A log that keeps what it is told."""
 
     def __init__(self) -> None:
@@ -312,7 +312,7 @@
 
     async def asyncSetUp(self):
         self.metrics = Metrics()
-        self.log = EventRecorder()
+        self.log = LogRecorder()
         self.servers = HttpServers(self.metrics, self.log)
         self.addAsyncCleanup(self.servers.close)
         self.pages = await self.serve("i-1")
