--- a/tests/test_platform_servers.py
+++ b/tests/test_platform_servers.py
@@ -220,7 +220,7 @@
             self.assertEqual(OrderOutcome.UNKNOWN, outcome)
 
     async def test_idle_connection_is_kept_as_long_as_its_server_says(self):
-        with mock.patch.object(connections, "IDLE_SECONDS", 0.05):
+        with mock.patch.object(connections, "DEFAULT_KEEP_ALIVE_SECONDS", 0.05):
             self.assertEqual(1, await self.use_twice("10", 0.15))
 
     async def test_idle_connection_is_not_used_when_its_server_is_about_to_close_it(self):
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -385,7 +385,7 @@
         long = asyncio.create_task(self.ask(8))
         await asyncio.sleep(0.05)
         self.pages.events = 0
-        detector = self.servers._kept.connector._silences
+        detector = self.servers._pooled.connector._detector
         lines = detector._records[self.instance.address]
         detector.mark_suspect(next(iter(lines)))
         await long
