--- a/src/larkpost/platform/client_call.py
+++ b/src/larkpost/platform/client_call.py
@@ -82,7 +82,7 @@
         return bool(self._scope.get("state", {}).get(OVERSIZED))
 
     @property
-    def outlet(self) -> Outlet | None:
+    def client_connection(self) -> Outlet | None:
         """The connection that the response goes to, if it can be followed."""
         return self._scope.get("state", {}).get(OUTLET)
 
--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -73,9 +73,9 @@
 
     def _track_delivery(self, call: ClientCall) -> AbstractContextManager[Delivery | None]:
         """Follows how a client takes its response, if the daemon's memory is limited."""
-        if call.outlet is None or not self._memory.is_limited:
+        if call.client_connection is None or not self._memory.is_limited:
             return nullcontext()
-        return self._memory.delivery(call.outlet, call.memory)
+        return self._memory.delivery(call.client_connection, call.memory)
 
     async def _handle(self, call: ClientCall, response: ClientResponse) -> None:
         with self._lifecycle.request():
