--- a/src/larkpost/platform/client_call.py
+++ b/src/larkpost/platform/client_call.py
@@ -14,7 +14,7 @@
 from larkpost.gateway.servers.port import Headers
 from larkpost.platform import asgi, names
 from larkpost.platform.asgi import Receive
-from larkpost.platform.http_protocol import OUTLET, OVERSIZED
+from larkpost.platform.http_protocol import CLIENT_CONNECTION, OVERSIZED
 
 CONNECTION_HEADERS = frozenset(
     {
@@ -84,7 +84,7 @@
     @property
     def client_connection(self) -> Outlet | None:
         """The connection that the response goes to, if it can be followed."""
-        return self._scope.get("state", {}).get(OUTLET)
+        return self._scope.get("state", {}).get(CLIENT_CONNECTION)
 
     @property
     def expects_continue(self) -> bool:
--- a/src/larkpost/platform/http_protocol.py
+++ b/src/larkpost/platform/http_protocol.py
@@ -31,7 +31,7 @@
 MAX_DISCARD_SECONDS = 15.0
 """So long the rest of a body is read and dropped whose request was answered before, so that the
 answer reaches its client: closing with unread bytes would reset the connection."""
-OUTLET = "outlet"
+CLIENT_CONNECTION = "outlet"
 """Names, in a request's state, the connection that its response goes to."""
 OVERSIZED = "oversized"
 """Marks, in a request's state, that its head is larger than allowed."""
@@ -134,7 +134,7 @@
         """Starts a request; the connection is idle no longer."""
         super().on_message_begin()
         self._unset_keepalive_if_required()
-        self.scope["state"][OUTLET] = self
+        self.scope["state"][CLIENT_CONNECTION] = self
         self._in_head = True
         self.idle_since = None
 
