--- a/src/larkpost/platform/assembly.py
+++ b/src/larkpost/platform/assembly.py
@@ -17,14 +17,14 @@
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.store.relay import RelayedStore
 from larkpost.platform import instance_rows, names, operator
-from larkpost.platform.descriptors import DescriptorGuard
+from larkpost.platform.dead_connections import UpstreamKind
+from larkpost.platform.descriptors import DescriptorMonitor
 from larkpost.platform.duties import HttpDuties
 from larkpost.platform.http_protocol import Listener
 from larkpost.platform.ingress import Ingress
 from larkpost.platform.peer_store import PeerStoreApp
 from larkpost.platform.servers import HttpServers
 from larkpost.platform.settings import PlatformSettings
-from larkpost.platform.silence import Peer
 from larkpost.platform.status_apps import MetricsApp, ReadinessApp
 from larkpost.platform.store import HttpStore
 
@@ -68,7 +68,7 @@
     store = HttpStore(settings.store, settings.row_bytes, metrics, log)
 
     def open_peer(address: Address) -> HttpStore:
-        return HttpStore(address, settings.row_bytes, metrics, log, Peer.PEER)
+        return HttpStore(address, settings.row_bytes, metrics, log, UpstreamKind.PEER)
 
     return Clients(
         store=store,
@@ -126,13 +126,13 @@
     front: Listener
     others: tuple[Listener, ...]
 
-    def every(self) -> tuple[Listener, ...]:
+    def in_start_order(self) -> tuple[Listener, ...]:
         """Returns all listeners, in the order in which they start."""
         return (self.front, *self.others)
 
     def count_connections(self) -> int:
         """Returns how many connections are open at all listeners together."""
-        return sum(len(listener.connections) for listener in self.every())
+        return sum(len(listener.connections) for listener in self.in_start_order())
 
 
 def make_listeners(settings: PlatformSettings, gateway: Gateway, store: HttpStore) -> Listeners:
@@ -159,9 +159,9 @@
     return Listener(ingress, settings.front, ingress.limits)
 
 
-def make_guard(
+def make_descriptor_monitor(
     limit: int, servers: HttpServers, listeners: Listeners, lifecycle: Lifecycle, log: EventLog
-) -> DescriptorGuard:
+) -> DescriptorMonitor:
     """Returns the guard of the descriptors; it closes idle connections of clients.
 
     Args:
@@ -171,4 +171,4 @@
     def count_sockets() -> int:
         return servers.open_connections + listeners.count_connections()
 
-    return DescriptorGuard(limit, count_sockets, listeners.front.shed, lifecycle, log)
+    return DescriptorMonitor(limit, count_sockets, listeners.front.close_idle, lifecycle, log)
--- a/src/larkpost/platform/batch_calls.py
+++ b/src/larkpost/platform/batch_endpoints.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.rollouts.model import ItemId
 from larkpost.gateway.rollouts.service import BatchService
 from larkpost.platform import names
-from larkpost.platform.batches import read_batch, read_position, write_page
+from larkpost.platform.batch_documents import page_document, read_batch, read_position
 from larkpost.platform.client_call import ClientCall
 from larkpost.platform.client_response import ClientResponse
 
@@ -24,10 +24,10 @@
 BAD_REQUEST = 400
 NOT_FOUND = 404
 NOT_ALLOWED = 405
-SUBMISSION_COPIES = 3
+SUBMISSION_MEMORY_FACTOR = 3
 """How many times its body a batch takes, besides the body, while it is decoded and written to the
 store: its items, their rows and the calls that carry these."""
-MAX_WAIT_SECONDS = 10.0
+MAX_LONG_POLL_SECONDS = 10.0
 """Longest time for which a call for results is held. Ten times what callers ask."""
 
 
@@ -43,7 +43,7 @@
     remedy = "Split the batch, or ask a daemon on a machine with more memory."
 
 
-class BatchCalls:
+class BatchEndpoints:
     """Serves the calls about batches."""
 
     def __init__(self, admission: Admission, batches: BatchService) -> None:
@@ -66,7 +66,7 @@
             await response.send_whole(NOT_ALLOWED)
             return
         self.check_size(call, len(body))
-        with call.memory.reserve(Purpose.SUBMISSIONS, len(body) * SUBMISSION_COPIES):
+        with call.memory.reserve(Purpose.SUBMISSIONS, len(body) * SUBMISSION_MEMORY_FACTOR):
             await self._submit(call, response, body, tenant)
 
     def check_size(self, call: ClientCall, size: int) -> None:
@@ -75,7 +75,7 @@
         Raises:
             BatchTooLargeError: it could not.
         """
-        needed = size * (1 + SUBMISSION_COPIES)
+        needed = size * (1 + SUBMISSION_MEMORY_FACTOR)
         if not call.memory.could_hold(needed):
             raise BatchTooLargeError(
                 f"the batch takes {needed} bytes while it is read and stored",
@@ -104,10 +104,10 @@
             LarkpostError: the call cannot be served.
         """
         caller = self._admission.caller(call.request_name, call.host_name, call.key)
-        if call.path.startswith(names.BATCH_CALL):
+        if call.path.startswith(names.BATCH_PATH_PREFIX):
             await self._serve_batch(call, response, caller)
-        elif call.path.startswith(names.ITEM_CALL) and call.method == "GET":
-            batch = _batch_after(names.ITEM_CALL, call)
+        elif call.path.startswith(names.ITEM_PATH_PREFIX) and call.method == "GET":
+            batch = _batch_id_from_path(names.ITEM_PATH_PREFIX, call)
             item = call.query.get("id", [""])[0]
             body = await self._batches.body(batch, ItemId(item), caller)
             call.memory.reserve(Purpose.PAGES, len(body))
@@ -118,7 +118,7 @@
     async def _serve_batch(
         self, call: ClientCall, response: ClientResponse, caller: Caller
     ) -> None:
-        batch = _batch_after(names.BATCH_CALL, call)
+        batch = _batch_id_from_path(names.BATCH_PATH_PREFIX, call)
         if call.method == "GET":
             await self._read_results(call, response, batch, caller)
         elif call.method == "DELETE":
@@ -135,14 +135,14 @@
         except ValueError as error:
             await response.send_whole(BAD_REQUEST, str(error).encode())
             return
-        wait_ms = call.whole_header(names.WAIT_MS) or 0
-        wait = min(wait_ms / 1000, MAX_WAIT_SECONDS)
+        wait_ms = call.int_header(names.WAIT_MS) or 0
+        wait = min(wait_ms / 1000, MAX_LONG_POLL_SECONDS)
         page = await self._batches.read(batch, position, wait, caller)
-        content = orjson.dumps(write_page(page))
+        content = orjson.dumps(page_document(page))
         call.memory.reserve(Purpose.PAGES, len(content))
         await response.send_json(content)
 
 
-def _batch_after(prefix: bytes, call: ClientCall) -> BatchId:
+def _batch_id_from_path(prefix: bytes, call: ClientCall) -> BatchId:
     """Returns the batch's id in the path of a call, behind its prefix."""
     return BatchId(unquote(call.path[len(prefix) :].decode("latin-1")))
--- a/src/larkpost/platform/client_call.py
+++ b/src/larkpost/platform/client_call.py
@@ -14,7 +14,7 @@
 from larkpost.gateway.servers.port import Headers
 from larkpost.platform import asgi, names
 from larkpost.platform.asgi import Receive
-from larkpost.platform.http_protocol import OUTLET, OVERSIZED
+from larkpost.platform.http_protocol import CLIENT_CONNECTION, OVERSIZED
 
 CONNECTION_HEADERS = frozenset(
     {
@@ -39,7 +39,7 @@
 """Headers of a request that larkpost reads itself, and sets anew or leaves out towards a server."""
 
 
-LEAST_BODY_RATE = 50_000.0
+MIN_BODY_BYTES_PER_SECOND = 50_000.0
 """Bytes a second, averaged since the head, at which a large body must come: its room is held
 meanwhile. Held against it once a body may have stalled, not before."""
 
@@ -73,23 +73,23 @@
         self.request_id = self.header(names.REQUEST_ID)
         self.memory = memory
         memory.owner = self.request_name
-        self._is_body_asked_for = False
+        self._is_body_requested = False
         self._body_bytes = 0
 
     @property
-    def is_oversized(self) -> bool:
+    def is_head_too_large(self) -> bool:
         """Whether the head is larger than allowed."""
         return bool(self._scope.get("state", {}).get(OVERSIZED))
 
     @property
-    def outlet(self) -> Outlet | None:
+    def client_connection(self) -> Outlet | None:
         """The connection that the response goes to, if it can be followed."""
-        return self._scope.get("state", {}).get(OUTLET)
+        return self._scope.get("state", {}).get(CLIENT_CONNECTION)
 
     @property
-    def awaits_leave(self) -> bool:
+    def expects_continue(self) -> bool:
         """Whether the client sends its body only once it is asked for, and it was not."""
-        return not self._is_body_asked_for and self.header(b"expect").lower() == b"100-continue"
+        return not self._is_body_requested and self.header(b"expect").lower() == b"100-continue"
 
     @property
     def host(self) -> bytes:
@@ -121,20 +121,20 @@
         """Returns a header's first value; empty if it is not there."""
         return next((value for key, value in self.headers if key == name), b"")
 
-    def whole_header(self, name: bytes) -> int | None:
+    def int_header(self, name: bytes) -> int | None:
         """Returns a header's value as a whole number, or None."""
         text = self.header(name)
         return int(text) if text.isdigit() else None
 
-    def to_forward(self, body: bytes | bytearray, admitted: Admitted) -> ClientRequest:
+    def to_client_request(self, body: bytes | bytearray, admitted: Admitted) -> ClientRequest:
         """Returns the request as it is to be forwarded."""
-        deadline_ms = self.whole_header(names.DEADLINE_MS)  # not a time: what is left of it
+        deadline_ms = self.int_header(names.DEADLINE_MS)  # not a time: what is left of it
         return ClientRequest(
             request_id=self.request_id,
             method=self.method,
             host=self.host,
             target=self._target(),
-            headers=self._passed_headers(),
+            headers=self._forwarded_headers(),
             body=body,
             received_at=self.received_at,
             time_left=deadline_ms / 1000 if deadline_ms is not None else None,
@@ -153,29 +153,31 @@
             NoRoomError: the body cannot be held now.
             BodyStalledError: it brought nothing for too long, or came too slowly.
         """
-        declared = self.whole_header(b"content-length")
+        declared = self.int_header(b"content-length")
         if declared is not None and declared > limit:
             return None
         is_large = declared > SMALL_BODY_BYTES if declared is not None else self._is_chunked
         purpose = Purpose.REQUEST_BODIES if is_large else Purpose.SMALL_BODIES
         reserved = self.memory.reserve(purpose, declared or 0)
-        self._is_body_asked_for = True
+        self._is_body_requested = True
         if not self.memory.is_limited or not is_large:
             return await asgi.read_body(self._receive, limit, reserved)
-        return await asgi.read_body(self._receive_in_time, limit, reserved)
+        return await asgi.read_body(self._receive_before_deadline, limit, reserved)
 
     @property
     def _is_chunked(self) -> bool:
         return bool(self.header(b"transfer-encoding"))
 
-    async def _receive_in_time(self) -> dict:
+    async def _receive_before_deadline(self) -> dict:
         """Returns the next part of the body.
 
         Raises:
             BodyStalledError: it did not come in time.
         """
         now = asyncio.get_running_loop().time()
-        slow_at = self.received_at + max(STALLED_SECONDS, self._body_bytes / LEAST_BODY_RATE)
+        slow_at = self.received_at + max(
+            STALLED_SECONDS, self._body_bytes / MIN_BODY_BYTES_PER_SECOND
+        )
         try:
             async with asyncio.timeout_at(min(now + STALLED_SECONDS, slow_at)):
                 message = await self._receive()
@@ -187,7 +189,7 @@
         self._body_bytes += len(message.get("body", b""))
         return message
 
-    async def wait_for_close(self) -> None:
+    async def wait_for_disconnect(self) -> None:
         """Returns once the client has closed its connection, or the response is complete."""
         while (await self._receive())["type"] != "http.disconnect":
             pass
@@ -196,7 +198,7 @@
         query = self._scope["query_string"]
         return self.path + (b"?" + query if query else b"")
 
-    def _passed_headers(self) -> Headers:
+    def _forwarded_headers(self) -> Headers:
         return tuple(
             (name, value)
             for name, value in self.headers
--- a/src/larkpost/platform/client_response.py
+++ b/src/larkpost/platform/client_response.py
@@ -8,12 +8,12 @@
 from larkpost.platform.asgi import Send
 from larkpost.platform.client_call import CONNECTION_HEADERS
 
-PIECE_BYTES = 65536
+SEND_CHUNK_BYTES = 65536
 """A response to a client that is followed is sent in pieces of this size, each once the connection
 has taken the last."""
 
 
-class StreamCutError(Exception):
+class ResponseAbortedError(Exception):
     """A response under way cannot be completed; the connection is closed within it."""
 
 
@@ -41,7 +41,7 @@
         self._request_id = request_id
         self._lifecycle = lifecycle
         self.delivery = delivery
-        self.closes = False
+        self.closes_connection = False
         self._started = False
 
     async def send_whole(
@@ -57,12 +57,12 @@
             headers: a server's; if there are any, they name the request themselves.
             retry_after: seconds after which the caller may come back; None if that is not said.
         """
-        own: list[tuple[bytes, bytes]] = [(b"content-length", str(len(body)).encode())]
+        extra_headers: list[tuple[bytes, bytes]] = [(b"content-length", str(len(body)).encode())]
         if retry_after is not None:
-            own.append((b"retry-after", f"{retry_after:g}".encode()))
+            extra_headers.append((b"retry-after", f"{retry_after:g}".encode()))
         if not headers and self._request_id:
-            own.append((names.REQUEST_ID, self._request_id))
-        await self._start(status, headers, own)
+            extra_headers.append((names.REQUEST_ID, self._request_id))
+        await self._start(status, headers, extra_headers)
         await self._send_body(body)
 
     async def send_json(self, content: bytes) -> None:
@@ -70,14 +70,14 @@
         headers = ((b"content-type", b"application/json"), (names.REQUEST_ID, self._request_id))
         await self.send_whole(200, content, headers)
 
-    async def fail(self, error: LarkpostError) -> None:
+    async def send_error(self, error: LarkpostError) -> None:
         """Responds with an error, or cuts a response that is under way.
 
         Raises:
             StreamCutError: the response was under way.
         """
         if self._started:
-            raise StreamCutError(error.message)
+            raise ResponseAbortedError(error.message)
         text = f"{error.code}: {error.message}. {error.remedy}".encode()
         await self.send_whole(error.status, text, retry_after=error.retry_after)
 
@@ -85,12 +85,12 @@
         """Starts a response that is sent in parts and whose length is not said."""
         await self._start(status, headers, [])
 
-    async def begin_large(self, status: int, headers: Headers) -> None:
+    async def begin_with_length(self, status: int, headers: Headers) -> None:
         """Starts a response with a body that is sent in parts; it says the length that it gives."""
         lengths = [value for name, value in headers if name.lower() == b"content-length"]
         await self._start(status, headers, [(b"content-length", value) for value in lengths[:1]])
 
-    async def send_part(self, content: bytes | memoryview) -> None:
+    async def send_chunk(self, content: bytes | memoryview) -> None:
         """Sends a part of a started response, once the client has room for it.
 
         Raises:
@@ -105,24 +105,26 @@
         """Ends a started response."""
         await self._send({"type": "http.response.body", "body": b""})
 
-    async def _start(self, status: int, headers: Headers, own: list[tuple[bytes, bytes]]) -> None:
-        passed = [
+    async def _start(
+        self, status: int, headers: Headers, extra_headers: list[tuple[bytes, bytes]]
+    ) -> None:
+        forwarded = [
             (name.lower(), value)
             for name, value in headers
             if name.lower() not in CONNECTION_HEADERS
         ]
-        if self._lifecycle.stopping or self.closes:
-            own.append((b"connection", b"close"))
+        if self._lifecycle.stopping or self.closes_connection:
+            extra_headers.append((b"connection", b"close"))
         self._started = True
-        await asgi.send_head(self._send, status, passed + own)
+        await asgi.send_head(self._send, status, forwarded + extra_headers)
 
     async def _send_body(self, body: bytes | bytearray) -> None:
         """Sends the whole body; a large one in pieces if the client is followed."""
         last = 0
         if self.delivery is not None:
             content = memoryview(body)
-            while len(body) - last > PIECE_BYTES:
-                await self.send_part(content[last : last + PIECE_BYTES])
-                last += PIECE_BYTES
+            while len(body) - last > SEND_CHUNK_BYTES:
+                await self.send_chunk(content[last : last + SEND_CHUNK_BYTES])
+                last += SEND_CHUNK_BYTES
         rest = memoryview(body)[last:] if last else body
         await self._send({"type": "http.response.body", "body": rest})
--- a/src/larkpost/platform/silence_rule.py
+++ b/src/larkpost/platform/dead_connection_rule.py
@@ -8,21 +8,21 @@
 
 from dataclasses import dataclass
 
-MIN_SILENCE_SECONDS = 0.25
+MIN_ABORT_TIMEOUT_SECONDS = 0.25
 """No shorter silence ends a call: links lose packets, and what is lost is sent again within it."""
-MIN_ABANDONED_SILENCE_SECONDS = 0.08
+MIN_ABANDONED_TIMEOUT_SECONDS = 0.08
 """The same for a call that is given up anyway: less than the 0.1 s after which a second server is
 tried at the earliest, so that an overtaken call can show a silent connection."""
-MAX_SILENCE_SECONDS = 1.5
+MAX_RESPONSE_TIMEOUT_SECONDS = 1.5
 """However slow the calls to an address are, a longer silence counts. As long as the store's reading
 calls may take."""
-MAX_PAUSE_SECONDS = 1.0
+MAX_BODY_PAUSE_SECONDS = 1.0
 """A longer pause within a response counts as silence: engines that put a stream off make shorter
 pauses."""
 
 
 @dataclass(frozen=True, slots=True)
-class SilenceLimit:
+class AdaptiveTimeout:
     """How long a call may go without a byte before its connection may be silent for good.
 
     Attributes:
@@ -30,23 +30,25 @@
         factor: by how much it must outlast the usual time of such calls.
     """
 
-    least: float
-    factor: float
+    minimum: float
+    latency_factor: float
 
-    def seconds(self, usual: float) -> float:
+    def seconds(self, typical_latency: float) -> float:
         """Returns the limit of a call whose like usually takes ``usual`` seconds."""
-        return min(MAX_SILENCE_SECONDS, max(self.least, self.factor * usual))
+        return min(
+            MAX_RESPONSE_TIMEOUT_SECONDS, max(self.minimum, self.latency_factor * typical_latency)
+        )
 
 
-ENDING = SilenceLimit(MIN_SILENCE_SECONDS, 4.0)
+ABORT_TIMEOUT = AdaptiveTimeout(MIN_ABORT_TIMEOUT_SECONDS, 4.0)
 """Before a call is ended for it."""
-ABANDONED = SilenceLimit(MIN_ABANDONED_SILENCE_SECONDS, 2.0)
+ABANDONED_CALL_TIMEOUT = AdaptiveTimeout(MIN_ABANDONED_TIMEOUT_SECONDS, 2.0)
 """For a call that is given up anyway, as another server's response came first, or its time is over:
 by a mistake only idle connections are lost."""
 
 
 @dataclass(frozen=True, slots=True)
-class CallWait:
+class PendingCall:
     """A call that waits for bytes on a connection.
 
     Attributes:
@@ -65,14 +67,14 @@
     received_at: float | None
 
 
-def is_too_long(wait: CallWait) -> bool:
+def has_timed_out(wait: PendingCall) -> bool:
     """Returns whether a connection that has brought bytes before has brought none for too long."""
     if wait.received_at is None:
         return False
     return wait.now - wait.since >= wait.limit + wait.hold_time
 
 
-def is_slowness(wait: CallWait, others_received_at: float | None) -> bool:
+def is_server_slow(wait: PendingCall, others_received_at: float | None) -> bool:
     """Returns whether a wait that is too long shows a slow server rather than a silent connection.
 
     Args:
--- a/src/larkpost/platform/silence.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -1,7 +1,7 @@
 """Watches connections for those that have gone silent for good, as against slow servers.
 
 Owns what each open connection has shown, how long calls to each address usually take, and which
-addresses are suspect. The rule itself stands in `larkpost.platform.silence_rule`. Once a connection
+addresses are suspect. The rule itself stands in `larkpost.platform.dead_connection_rule`. Once a connection
 is silent for good, its address is suspect: none of the connections that were open at that moment is
 trusted again. So a slow server costs no more than one set of connections.
 """
@@ -14,26 +14,26 @@
 from larkpost.common.steady_time import steady_seconds
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.metrics import Count, Metrics
-from larkpost.platform.silence_rule import (
-    ABANDONED,
-    ENDING,
-    MAX_PAUSE_SECONDS,
-    CallWait,
-    SilenceLimit,
-    is_slowness,
-    is_too_long,
+from larkpost.platform.dead_connection_rule import (
+    ABANDONED_CALL_TIMEOUT,
+    ABORT_TIMEOUT,
+    MAX_BODY_PAUSE_SECONDS,
+    AdaptiveTimeout,
+    PendingCall,
+    has_timed_out,
+    is_server_slow,
 )
 
-USUAL_TIME_DECAY = 0.1
+LATENCY_DECAY = 0.1
 """Share by which the usual time of an address nears that of a quicker call; it rises at once."""
-SUSPICION_PAUSE_SECONDS = 2.0
+SUSPECT_COOLDOWN_SECONDS = 2.0
 """After a suspicion, before connections opened since may be suspected as well: a server that is
 slow now and then does not have its connections closed again and again."""
-FORGET_SECONDS = 60.0
+ADDRESS_RETENTION_SECONDS = 60.0
 """How long an address without connections is remembered: servers come back at new ones."""
 
 
-class Peer(StrEnum):
+class UpstreamKind(StrEnum):
     """What connections lead to; the label of their counter."""
 
     STORE = "store"
@@ -63,17 +63,17 @@
     address: Address
     opened_at: float
     received_at: float | None = None
-    called_at: float = 0.0
+    call_started_at: float = 0.0
     kind: CallKind = CallKind.REQUEST
     hold_time: float = 0.0
-    is_awaited: bool = False
+    awaits_response: bool = False
 
     def waiting_since(self) -> float:
         """Returns since when a call has waited for bytes."""
-        return max(self.called_at, self.received_at or 0.0)
+        return max(self.call_started_at, self.received_at or 0.0)
 
 
-class SilenceWatch:
+class DeadConnectionDetector:
     """Watches the connections to all addresses of one kind.
 
     Args:
@@ -85,7 +85,7 @@
 
     def __init__(
         self,
-        peer: Peer,
+        peer: UpstreamKind,
         metrics: Metrics | None = None,
         log: EventLog | None = None,
         now: Callable[[], float] = steady_seconds,
@@ -95,16 +95,16 @@
         self._log = log
         self._now = now
         self._records: dict[Address, set[ConnectionRecord]] = {}
-        self._usual_times: dict[tuple[Address, CallKind], float] = {}
+        self._typical_latencies: dict[tuple[Address, CallKind], float] = {}
         self._suspected_at: dict[Address, float] = {}
-        self._left_at: dict[Address, float] = {}
+        self._unused_since: dict[Address, float] = {}
         """When the last connection to each address without one was closed, in that order."""
 
     def open(self, address: Address) -> ConnectionRecord:
         """Returns the record of a connection that has just been opened."""
         record = ConnectionRecord(address, self._now())
-        self._left_at.pop(address, None)
-        self._forget_old()
+        self._unused_since.pop(address, None)
+        self._evict_unused()
         self._records.setdefault(address, set()).add(record)
         return record
 
@@ -115,65 +115,65 @@
             records.discard(record)
             if not records:
                 del self._records[record.address]
-                self._left_at[record.address] = self._now()
+                self._unused_since[record.address] = self._now()
 
     def begin_call(self, record: ConnectionRecord, kind: CallKind, hold_time: float) -> None:
         """Records that a call begins on a connection."""
-        record.called_at = self._now()
+        record.call_started_at = self._now()
         record.kind = kind
         record.hold_time = hold_time
-        record.is_awaited = True
+        record.awaits_response = True
 
     def record_bytes(self, record: ConnectionRecord) -> None:
         """Records that a connection has brought bytes."""
         record.received_at = self._now()
-        if record.is_awaited:
-            record.is_awaited = False
+        if record.awaits_response:
+            record.awaits_response = False
             if not record.hold_time:
-                self._learn(record, record.received_at - record.called_at)
+                self._record_latency(record, record.received_at - record.call_started_at)
 
     def end_call(self, record: ConnectionRecord) -> None:
         """Records that a call ends, whole or not; after a long silence its address is suspect."""
-        if self.is_silent(record, ABANDONED):
-            self.suspect(record)
-        elif record.is_awaited and not record.hold_time:
-            elapsed = self._now() - record.called_at
-            if elapsed > self._usual_time(record):
-                self._learn(record, elapsed)
-        record.is_awaited = False
-
-    def limit_of(self, record: ConnectionRecord, limit: SilenceLimit = ENDING) -> float:
+        if self.is_dead(record, ABANDONED_CALL_TIMEOUT):
+            self.mark_suspect(record)
+        elif record.awaits_response and not record.hold_time:
+            elapsed = self._now() - record.call_started_at
+            if elapsed > self._typical_latency(record):
+                self._record_latency(record, elapsed)
+        record.awaits_response = False
+
+    def timeout_of(self, record: ConnectionRecord, limit: AdaptiveTimeout = ABORT_TIMEOUT) -> float:
         """Returns the seconds without a byte after which a connection may be silent for good.
 
         They count from when its call could have been answered at the earliest.
         """
-        if not record.is_awaited:
-            return MAX_PAUSE_SECONDS
-        return limit.seconds(self._usual_time(record))
+        if not record.awaits_response:
+            return MAX_BODY_PAUSE_SECONDS
+        return limit.seconds(self._typical_latency(record))
 
-    def is_silent(self, record: ConnectionRecord, limit: SilenceLimit = ENDING) -> bool:
+    def is_dead(self, record: ConnectionRecord, limit: AdaptiveTimeout = ABORT_TIMEOUT) -> bool:
         """Returns whether a connection with a call on it has gone silent for good."""
-        wait = CallWait(
+        wait = PendingCall(
             now=self._now(),
             since=record.waiting_since(),
-            limit=self.limit_of(record, limit),
-            hold_time=record.hold_time if record.is_awaited else 0.0,
+            limit=self.timeout_of(record, limit),
+            hold_time=record.hold_time if record.awaits_response else 0.0,
             received_at=record.received_at,
         )
-        return is_too_long(wait) and not is_slowness(wait, self._others_received_at(record))
+        return has_timed_out(wait) and not is_server_slow(wait, self._others_received_at(record))
 
-    def is_proven(self, record: ConnectionRecord) -> bool:
+    def is_newer_connection_alive(self, record: ConnectionRecord) -> bool:
         """Returns whether a connection opened since its call began has brought bytes."""
         return any(
-            other.received_at is not None and other.opened_at > record.called_at
+            other.received_at is not None and other.opened_at > record.call_started_at
             for other in self._records.get(record.address, ())
         )
 
-    def suspect(self, record: ConnectionRecord) -> None:
+    def mark_suspect(self, record: ConnectionRecord) -> None:
         """Trusts no connection to an address any more that is open now."""
         now = self._now()
         suspected_at = self._suspected_at.get(record.address, float("-inf"))
-        if now - suspected_at < SUSPICION_PAUSE_SECONDS or record.opened_at < suspected_at:
+        if now - suspected_at < SUSPECT_COOLDOWN_SECONDS or record.opened_at < suspected_at:
             return
         self._suspected_at[record.address] = now
         if self._metrics is not None:
@@ -184,7 +184,7 @@
                 to=self._peer,
                 address=record.address,
                 silent=round(now - record.waiting_since(), 3),
-                patience=round(self.limit_of(record), 3),
+                patience=round(self.timeout_of(record), 3),
                 open=len(self._records.get(record.address, ())),
             )
 
@@ -197,27 +197,27 @@
         times = (
             other.received_at
             for other in self._records.get(record.address, ())
-            if other.opened_at < record.called_at and other.received_at is not None
+            if other.opened_at < record.call_started_at and other.received_at is not None
         )
         return max(times, default=None)
 
-    def _forget_old(self) -> None:
-        oldest = self._now() - FORGET_SECONDS
-        while self._left_at:
-            address, left_at = next(iter(self._left_at.items()))
+    def _evict_unused(self) -> None:
+        oldest = self._now() - ADDRESS_RETENTION_SECONDS
+        while self._unused_since:
+            address, left_at = next(iter(self._unused_since.items()))
             if left_at > oldest:
                 return
-            del self._left_at[address]
+            del self._unused_since[address]
             self._suspected_at.pop(address, None)
             for kind in CallKind:
-                self._usual_times.pop((address, kind), None)
+                self._typical_latencies.pop((address, kind), None)
 
-    def _usual_time(self, record: ConnectionRecord) -> float:
+    def _typical_latency(self, record: ConnectionRecord) -> float:
         """Returns what calls like a connection's last usually take; 0 if nothing is known."""
-        return self._usual_times.get((record.address, record.kind), 0.0)
+        return self._typical_latencies.get((record.address, record.kind), 0.0)
 
-    def _learn(self, record: ConnectionRecord, seconds: float) -> None:
-        usual = self._usual_time(record)
+    def _record_latency(self, record: ConnectionRecord, seconds: float) -> None:
+        usual = self._typical_latency(record)
         if seconds < usual:
-            seconds = usual + USUAL_TIME_DECAY * (seconds - usual)
-        self._usual_times[(record.address, record.kind)] = seconds
+            seconds = usual + LATENCY_DECAY * (seconds - usual)
+        self._typical_latencies[(record.address, record.kind)] = seconds
--- a/src/larkpost/platform/descriptors.py
+++ b/src/larkpost/platform/descriptors.py
@@ -18,11 +18,11 @@
 """Between two checks. A check counts sets, and connections come in more slowly."""
 RESERVED_DESCRIPTORS = 200
 """Left to files, listeners and the event loop itself, and to what is not counted."""
-SHED_SHARE = 0.85
+CLOSE_IDLE_THRESHOLD = 0.85
 """Share of the descriptors from which on idle connections are closed."""
-CALM_SHARE = 0.75
+CLOSE_IDLE_TARGET = 0.75
 """They are closed until no more than this share is used, so that it is not done at each check."""
-FULL_SHARE = 0.95
+NOT_READY_THRESHOLD = 0.95
 """Share from which on the daemon is not ready: the rest is for connections to servers."""
 
 
@@ -38,20 +38,20 @@
     used: int
     limit: int
 
-    def count_above_calm(self) -> int:
+    def count_excess(self) -> int:
         """Returns how many connections must be closed until no more than `CALM_SHARE` is used."""
-        return self.used - int(self.limit * CALM_SHARE)
+        return self.used - int(self.limit * CLOSE_IDLE_TARGET)
 
-    def must_shed(self) -> bool:
+    def must_close_idle(self) -> bool:
         """Returns whether idle connections must be closed."""
-        return self.used >= self.limit * SHED_SHARE
+        return self.used >= self.limit * CLOSE_IDLE_THRESHOLD
 
-    def has_room(self, closed: int) -> bool:
+    def can_accept(self, closed: int) -> bool:
         """Returns whether connections can be accepted once ``closed`` ones have been closed."""
-        return self.used - closed < self.limit * FULL_SHARE
+        return self.used - closed < self.limit * NOT_READY_THRESHOLD
 
 
-class DescriptorGuard:
+class DescriptorMonitor:
     """Watches how many descriptors one daemon uses.
 
     Args:
@@ -64,13 +64,13 @@
         self,
         limit: int,
         count_sockets: Callable[[], int],
-        shed: Callable[[int], int],
+        close_idle: Callable[[int], int],
         lifecycle: Lifecycle,
         log: EventLog,
     ) -> None:
         self._limit = max(1, limit - RESERVED_DESCRIPTORS)
         self._count_sockets = count_sockets
-        self._shed = shed
+        self._close_idle = close_idle
         self._lifecycle = lifecycle
         self._log = log
 
@@ -83,15 +83,15 @@
     def check(self) -> None:
         """Closes idle connections if too many are open, and sets whether more can be accepted."""
         use = self._measure()
-        closed = self._shed(use.count_above_calm()) if use.must_shed() else 0
-        self._set_accepting(use.used, closed, accepting=use.has_room(closed))
+        closed = self._close_idle(use.count_excess()) if use.must_close_idle() else 0
+        self._set_accepting(use.used, closed, accepting=use.can_accept(closed))
 
-    def record_failure(self, loop: asyncio.AbstractEventLoop, context: dict) -> None:
+    def handle_loop_error(self, loop: asyncio.AbstractEventLoop, context: dict) -> None:
         """Handles an error of the event loop: of accepting, or another one, which is passed on."""
         if not _is_accept_failure(context):
             loop.default_exception_handler(context)
             return
-        closed = self._shed(max(1, self._measure().count_above_calm()))
+        closed = self._close_idle(max(1, self._measure().count_excess()))
         self._set_accepting(self._count_sockets(), closed, accepting=closed > 0)
 
     def _measure(self) -> DescriptorUse:
--- a/src/larkpost/platform/duties.py
+++ b/src/larkpost/platform/duties.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.usage.port import ReportOutcome, UsageReport
 from larkpost.platform import names
 from larkpost.platform.connections import make_session
-from larkpost.platform.silence import Peer, SilenceWatch
+from larkpost.platform.dead_connections import DeadConnectionDetector, UpstreamKind
 
 CALL_FAILURES = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
 """Everything a call may end with besides a response."""
@@ -44,12 +44,12 @@
     """
 
     def __init__(self, address: Address) -> None:
-        self._base = f"http://{address}"
-        self._session = make_session(SilenceWatch(Peer.STORE))
+        self._base_url = f"http://{address}"
+        self._session = make_session(DeadConnectionDetector(UpstreamKind.STORE))
 
-    def use_address(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Uses another address for all later calls."""
-        self._base = f"http://{address}"
+        self._base_url = f"http://{address}"
 
     async def close(self) -> None:
         """Closes all connections."""
@@ -60,7 +60,7 @@
     ) -> ReportOutcome:
         """Sends a report; see the port."""
         document = {"window-id": report.window, "counts": report.counts}
-        status = await self._call(names.USAGE_CALL, document, holder, lease, timeout)
+        status = await self._call(names.USAGE_PATH, document, holder, lease, timeout)
         return REPORT_OUTCOMES.get(status, ReportOutcome.NOT_TAKEN)
 
     async def order_servers(
@@ -74,7 +74,7 @@
         }
         if order.kind is ServerKind.PREEMPTIBLE:
             document["preemptible"] = True
-        status = await self._call(names.SCALING_CALL, document, holder, lease, timeout)
+        status = await self._call(names.SCALING_PATH, document, holder, lease, timeout)
         return SCALING_OUTCOMES.get(status, ScalingOutcome.NOT_TAKEN)
 
     async def _call(
@@ -86,7 +86,7 @@
             names.FENCING_TOKEN.decode(): str(lease.token),
             "Content-Type": "application/json",
         }
-        url = URL(self._base + call, encoded=True)
+        url = URL(self._base_url + call, encoded=True)
         try:
             async with (
                 asyncio.timeout(timeout),
--- a/src/larkpost/platform/http_protocol.py
+++ b/src/larkpost/platform/http_protocol.py
@@ -16,22 +16,22 @@
 from larkpost.common.http_server import HttpServer
 from larkpost.common.ids import Address
 from larkpost.gateway.blackboard.configuration import RequestLimits
-from larkpost.platform.sockets import TCP_USER_TIMEOUT, probe_for_silence
+from larkpost.platform.sockets import TCP_USER_TIMEOUT, enable_keepalive
 
-MAX_FIRST_IDLE_SECONDS = 3600
+MAX_INITIAL_IDLE_SECONDS = 3600
 """How long a connection may wait with its first request; then the limit in force holds."""
-PROBE_AFTER_SECONDS = 3
-PROBE_INTERVAL_SECONDS = 1
-PROBES = 3
+KEEPALIVE_IDLE_SECONDS = 3
+KEEPALIVE_INTERVAL_SECONDS = 1
+KEEPALIVE_PROBES = 3
 """The system probes a client that sends nothing: one whose connection has gone silent for good, or
 whose machine has, holds its request and its place for six seconds."""
-UNACKNOWLEDGED_MS = 6000
+CLIENT_USER_TIMEOUT_MS = 6000
 """So long may a response wait for its client's machine to acknowledge it: as long as the probes
 take."""
 MAX_DISCARD_SECONDS = 15.0
 """So long the rest of a body is read and dropped whose request was answered before, so that the
 answer reaches its client: closing with unread bytes would reset the connection."""
-OUTLET = "outlet"
+CLIENT_CONNECTION = "outlet"
 """Names, in a request's state, the connection that its response goes to."""
 OVERSIZED = "oversized"
 """Marks, in a request's state, that its head is larger than allowed."""
@@ -91,14 +91,16 @@
         self._refusal: bytes | None = None
         self._discard_timer: asyncio.TimerHandle | None = None
         self.idle_since: float | None = self.loop.time()
-        self._served: RequestResponseCycle | None = None
+        self._current_cycle: RequestResponseCycle | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Begins a connection, and has the system watch it."""
         super().connection_made(transport)
         accepted = transport.get_extra_info("socket")
-        probe_for_silence(accepted, PROBE_AFTER_SECONDS, PROBE_INTERVAL_SECONDS, PROBES)
-        accepted.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+        enable_keepalive(
+            accepted, KEEPALIVE_IDLE_SECONDS, KEEPALIVE_INTERVAL_SECONDS, KEEPALIVE_PROBES
+        )
+        accepted.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, CLIENT_USER_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
         """Reads bytes from the client; the head's are counted.
@@ -124,15 +126,15 @@
         self._stop_discard_timer()
         self.pipeline.clear()
         if self.is_serving:
-            self._served.disconnected = True
-            self._served.message_event.set()
+            self._current_cycle.disconnected = True
+            self._current_cycle.message_event.set()
         super().connection_lost(exc)
 
     def on_message_begin(self) -> None:
         """Starts a request; the connection is idle no longer."""
         super().on_message_begin()
         self._unset_keepalive_if_required()
-        self.scope["state"][OUTLET] = self
+        self.scope["state"][CLIENT_CONNECTION] = self
         self._in_head = True
         self.idle_since = None
 
@@ -141,13 +143,13 @@
 
         One whose request was answered before its body was read is idle once that has come.
         """
-        is_before_body = self._in_body and self._served is self.cycle
+        is_before_body = self._in_body and self._current_cycle is self.cycle
         if not is_before_body and not self.pipeline:
             self.idle_since = self.loop.time()
         super().on_response_complete()
         if self.transport.is_closing():
             return
-        if self._refusal is not None and self._served.response_complete:
+        if self._refusal is not None and self._current_cycle.response_complete:
             self._send_refusal()
         elif is_before_body:
             self._discard_body()
@@ -190,7 +192,7 @@
         Closing with unread bytes resets a connection, and its client may lose the response.
         """
         is_before_body = self._in_body and self.cycle is cycle and cycle.response_complete
-        if is_before_body and not self._awaits_leave:
+        if is_before_body and not self._expects_continue:
             self._closes_after_body = True
         else:
             self.transport.close()
@@ -220,7 +222,7 @@
     @property
     def is_serving(self) -> bool:
         """Whether a request is served and its response not complete."""
-        return self._served is not None and not self._served.response_complete
+        return self._current_cycle is not None and not self._current_cycle.response_complete
 
     async def wait_for_room(self, seconds: float) -> None:
         """Waits until it is not full, at most so long."""
@@ -235,14 +237,14 @@
     def _start_asgi_task(self, cycle: RequestResponseCycle, app) -> None:
         if self.transport.is_closing():
             return  # nobody would get the response
-        self._served = cycle  # overrides a private method: the version is pinned
+        self._current_cycle = cycle  # overrides a private method: the version is pinned
         super()._start_asgi_task(cycle, app)
 
     def _is_between_requests(self) -> bool:
-        return not self._in_body and self._is_answered
+        return not self._in_body and self._has_answered_all
 
     @property
-    def _awaits_leave(self) -> bool:
+    def _expects_continue(self) -> bool:
         """Whether the client holds its body back until it is asked for."""
         return self.expect_100_continue and not self._has_body_begun
 
@@ -300,11 +302,11 @@
             self.transport.close()  # the request was answered; its rest is malformed
         elif self._in_body and self.pipeline:
             self.pipeline.popleft()  # the newest, whose body is malformed
-        elif self._is_answered or (self._in_body and not self.cycle.response_started):
+        elif self._has_answered_all or (self._in_body and not self.cycle.response_started):
             self._send_refusal()
 
     @property
-    def _is_answered(self) -> bool:
+    def _has_answered_all(self) -> bool:
         """Whether all requests that were read have had their responses."""
         return self.cycle is None or self.cycle.response_complete
 
@@ -318,9 +320,9 @@
 
     def __init__(self, app, address: Address, limits: LimitSource = RequestLimits) -> None:
         protocol = type("Protocol", (LimitedProtocol,), {"limits": staticmethod(limits)})
-        super().__init__(app, address, protocol, idle_seconds=MAX_FIRST_IDLE_SECONDS)
+        super().__init__(app, address, protocol, idle_seconds=MAX_INITIAL_IDLE_SECONDS)
 
-    def shed(self, most: int) -> int:
+    def close_idle(self, most: int) -> int:
         """Closes up to ``most`` idle connections, those idle longest first; returns how many."""
         idle = [one for one in self.connections if one.idle_since is not None]
         idle.sort(key=attrgetter("idle_since"))
--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -25,14 +25,14 @@
 from larkpost.gateway.proxy.request import ClientRequest, OpenResponse
 from larkpost.gateway.rollouts.service import BatchService
 from larkpost.platform import names
-from larkpost.platform.asgi import ClientLeftError, Receive, Send
-from larkpost.platform.batch_calls import BatchCalls
+from larkpost.platform.asgi import ClientDisconnectedError, Receive, Send
+from larkpost.platform.batch_endpoints import BatchEndpoints
 from larkpost.platform.client_call import BodyStalledError, ClientCall
 from larkpost.platform.client_response import ClientResponse
 
 TOO_LARGE = 413
 HEAD_TOO_LARGE = 431
-TURNS_TO_SEE_A_CLOSE = 4
+LOOP_TURNS_TO_DETECT_CLOSE = 4
 """Turns of the event loop from reading the last byte of a request to knowing of a close right
 behind it: reading the end, telling the protocol, waking who waits for it, and its result."""
 
@@ -53,7 +53,7 @@
         self._lifecycle = lifecycle
         self._admission = admission
         self._forwarder = forwarder
-        self._batch_calls = BatchCalls(admission, batches)
+        self._batch_endpoints = BatchEndpoints(admission, batches)
         self._memory = memory if memory is not None else unlimited_memory()
 
     def limits(self) -> RequestLimits:
@@ -65,44 +65,46 @@
         """Responds to one request."""
         with self._memory.request() as memory:
             call = ClientCall(scope, receive, memory)
-            with self._follow(call) as delivery:
+            with self._track_delivery(call) as delivery:
                 response = ClientResponse(send, call.request_id, self._lifecycle, delivery)
-                await self._answer(call, response)
+                await self._handle(call, response)
                 if delivery is not None:
-                    await _wait_until_taken(delivery, memory)
+                    await _wait_until_delivered(delivery, memory)
 
-    def _follow(self, call: ClientCall) -> AbstractContextManager[Delivery | None]:
+    def _track_delivery(self, call: ClientCall) -> AbstractContextManager[Delivery | None]:
         """Follows how a client takes its response, if the daemon's memory is limited."""
-        if call.outlet is None or not self._memory.is_limited:
+        if call.client_connection is None or not self._memory.is_limited:
             return nullcontext()
-        return self._memory.delivery(call.outlet, call.memory)
+        return self._memory.delivery(call.client_connection, call.memory)
 
-    async def _answer(self, call: ClientCall, response: ClientResponse) -> None:
+    async def _handle(self, call: ClientCall, response: ClientResponse) -> None:
         with self._lifecycle.request():
             try:
                 await self._respond(call, response)
-            except ClientLeftError:
+            except ClientDisconnectedError:
                 return  # nobody is left to be answered
             except LarkpostError as error:
-                response.closes = call.awaits_leave or isinstance(error, BodyStalledError)
-                await response.fail(error)
+                response.closes_connection = call.expects_continue or isinstance(
+                    error, BodyStalledError
+                )
+                await response.send_error(error)
 
     async def _respond(self, call: ClientCall, response: ClientResponse) -> None:
-        if call.is_oversized:
+        if call.is_head_too_large:
             await response.send_whole(HEAD_TOO_LARGE)
             return
         if call.memory.is_limited:
             self._check_admitted(call)
         body = await call.read_body(self.limits().body_bytes)
         if body is None:
-            response.closes = call.awaits_leave
+            response.closes_connection = call.expects_continue
             await response.send_whole(TOO_LARGE)
             return
-        closed = asyncio.create_task(call.wait_for_close())
+        closed = asyncio.create_task(call.wait_for_disconnect())
         try:
-            if not call.path.startswith(names.OWN_CALLS):
-                await _see_close(closed)
-            await self._serve_until(closed, call, response, body)
+            if not call.path.startswith(names.RESERVED_PATH_PREFIX):
+                await _detect_close(closed)
+            await self._serve_while_connected(closed, call, response, body)
         finally:
             closed.cancel()
 
@@ -113,15 +115,15 @@
             LarkpostError: it may not by the configuration in force, or is a batch that can never be
                 held here.
         """
-        if call.path.startswith(names.OWN_CALLS):
+        if call.path.startswith(names.RESERVED_PATH_PREFIX):
             self._admission.caller(call.request_name, call.host_name, call.key)
         else:
             admitted = self._admission.admit(call.request_name, call.host_name, call.path, call.key)
-            declared = call.whole_header(b"content-length") or 0
+            declared = call.int_header(b"content-length") or 0
             if admitted.route.kind is RouteKind.BATCH and declared <= self.limits().body_bytes:
-                self._batch_calls.check_size(call, declared)
+                self._batch_endpoints.check_size(call, declared)
 
-    async def _serve_until(
+    async def _serve_while_connected(
         self,
         closed: asyncio.Task,
         call: ClientCall,
@@ -137,7 +139,7 @@
         try:
             await asyncio.wait({work, closed}, return_when=asyncio.FIRST_COMPLETED)
             if not work.done():
-                raise ClientLeftError
+                raise ClientDisconnectedError
             await work
         finally:
             work.cancel()
@@ -147,17 +149,17 @@
     async def _serve(
         self, call: ClientCall, response: ClientResponse, body: bytes | bytearray
     ) -> None:
-        if call.path.startswith(names.OWN_CALLS):
-            await self._batch_calls.serve(call, response)
+        if call.path.startswith(names.RESERVED_PATH_PREFIX):
+            await self._batch_endpoints.serve(call, response)
             return
         admitted = self._admission.admit(call.request_name, call.host_name, call.path, call.key)
         route = admitted.route
         if route.kind is RouteKind.BATCH:
-            await self._batch_calls.submit(call, response, body, admitted.tenant)
+            await self._batch_endpoints.submit(call, response, body, admitted.tenant)
         elif route.kind is RouteKind.STREAM:
-            await self._stream(call.to_forward(body, admitted), route, response)
+            await self._stream(call.to_client_request(body, admitted), route, response)
         else:
-            await self._forward(call.to_forward(body, admitted), route, response)
+            await self._forward(call.to_client_request(body, admitted), route, response)
 
     async def _forward(
         self, request: ClientRequest, route: Route, response: ClientResponse
@@ -167,24 +169,24 @@
             await response.send_whole(answer.status, answer.body, answer.headers)
             return
         async with answer:
-            await response.begin_large(answer.status, answer.headers)
+            await response.begin_with_length(answer.status, answer.headers)
             passed = PassedAnswer(answer.rest, answer.reservation, answer.begun)
-            await self._pass_on(passed, response)
+            await self._send_body(passed, response)
 
     async def _stream(self, request: ClientRequest, route: Route, response: ClientResponse) -> None:
         async with self._forwarder.stream(request, route) as streamed:
             await response.begin(streamed.status, streamed.headers)
             ahead = request.memory.reserve(Purpose.STREAMS)
-            await self._pass_on(PassedAnswer(streamed.chunks(), ahead), response)
+            await self._send_body(PassedAnswer(streamed.chunks(), ahead), response)
 
-    async def _pass_on(self, answer: PassedAnswer, response: ClientResponse) -> None:
+    async def _send_body(self, answer: PassedAnswer, response: ClientResponse) -> None:
         async with aclosing(read_ahead(answer, response.delivery, self._memory)) as parts:
             async for part in parts:
-                await response.send_part(part)
+                await response.send_chunk(part)
         await response.finish()
 
 
-async def _wait_until_taken(delivery: Delivery, memory: RequestMemory) -> None:
+async def _wait_until_delivered(delivery: Delivery, memory: RequestMemory) -> None:
     """Holds what the connection has not sent yet, until the client has taken it."""
     if delivery.unsent == 0:
         return
@@ -193,7 +195,7 @@
         await delivery.wait_until_taken()
 
 
-async def _see_close(closed: asyncio.Task) -> None:
+async def _detect_close(closed: asyncio.Task) -> None:
     """Lets the loop see a close that lies in the socket behind the request.
 
     A daemon that was busy or frozen reads requests whose clients have given up meanwhile.
@@ -201,7 +203,7 @@
     Raises:
         ClientLeftError: the client has closed its connection.
     """
-    for _ in range(TURNS_TO_SEE_A_CLOSE):
+    for _ in range(LOOP_TURNS_TO_DETECT_CLOSE):
         await asyncio.sleep(0)
     if closed.done():
-        raise ClientLeftError
+        raise ClientDisconnectedError
--- a/src/larkpost/platform/instance_rows.py
+++ b/src/larkpost/platform/instance_rows.py
@@ -25,7 +25,7 @@
 caller."""
 MAX_COLD_MS = 86_400_000
 """One day."""
-MAX_WHOLE_NUMBER = 2**53
+MAX_SAFE_INTEGER = 2**53
 """The largest whole number that all JSON writers keep exactly."""
 
 
@@ -42,24 +42,24 @@
 
 
 def _read_entry(row: Row) -> InstanceInfo:
-    document = read_document(row.value)
+    document = read_json_object(row.value)
     _text(document, "version")  # the release of its software, which nothing depends on
-    whole_number(document, "seq")  # counts its writes, and is checked only as all of the entry is
+    read_int(document, "seq")  # counts its writes, and is checked only as all of the entry is
     return InstanceInfo(
-        id=instance_id(InstanceName(row.key.key), read_born(document)),
+        id=instance_id(InstanceName(row.key.key), read_start_ms(document)),
         service=ServiceName(_text(document, "service")),
         address=_address(document),
         zone=ZoneId(_text(document, "zone")),
-        slots=whole_number(document, "slots", least=1, most=MAX_SLOTS),
+        slots=read_int(document, "slots", minimum=1, maximum=MAX_SLOTS),
         state=_state(document),
         versions=read_versions(document),
         listed_version=row.version,
-        is_preemptible=_flag(document, "preemptible"),
+        is_preemptible=_boolean(document, "preemptible"),
         cold_left=_cold_milliseconds(document) / 1000,
     )
 
 
-def read_document(content: bytes) -> dict[str, Any]:
+def read_json_object(content: bytes) -> dict[str, Any]:
     """Returns the table that a text of JSON holds.
 
     Raises:
@@ -80,20 +80,20 @@
     models = document.get("models", [])
     if not isinstance(models, list) or not all(isinstance(model, dict) for model in models):
         raise ValueError("models is no list of tables")
-    return {ModelName(_text(model, "name")): whole_number(model, "version") for model in models}
+    return {ModelName(_text(model, "name")): read_int(model, "version") for model in models}
 
 
-def read_born(document: Mapping[str, Any]) -> int | None:
+def read_start_ms(document: Mapping[str, Any]) -> int | None:
     """Returns the Unix millisecond of a server's start; None if it does not say it.
 
     Raises:
         ValueError: it is no whole number.
     """
-    return whole_number(document, "born") if "born" in document else None
+    return read_int(document, "born") if "born" in document else None
 
 
-def whole_number(
-    document: Mapping[str, Any], name: str, *, least: int = 0, most: int = MAX_WHOLE_NUMBER
+def read_int(
+    document: Mapping[str, Any], name: str, *, minimum: int = 0, maximum: int = MAX_SAFE_INTEGER
 ) -> int:
     """Returns a field that is a whole number within bounds.
 
@@ -101,8 +101,8 @@
         ValueError: it is missing, or something else.
     """
     value = document.get(name)
-    if isinstance(value, bool) or not isinstance(value, int) or not least <= value <= most:
-        raise ValueError(f"{name} is {value!r}, not a whole number from {least} to {most}")
+    if isinstance(value, bool) or not isinstance(value, int) or not minimum <= value <= maximum:
+        raise ValueError(f"{name} is {value!r}, not a whole number from {minimum} to {maximum}")
     return value
 
 
@@ -121,7 +121,7 @@
     return value
 
 
-def _flag(document: Mapping[str, Any], name: str) -> bool:
+def _boolean(document: Mapping[str, Any], name: str) -> bool:
     value = document.get(name, False)
     if not isinstance(value, bool):
         raise ValueError(f"{name} is {value!r}, not true or false")
--- a/src/larkpost/platform/names.py
+++ b/src/larkpost/platform/names.py
@@ -12,7 +12,7 @@
 """The caller's id of one attempt; a caller that asks again sends another."""
 DEADLINE_MS = b"larkpost-deadline-ms"
 """Not a time of day: the milliseconds that the caller still waits."""
-SERVER_STAMP = b"larkpost-server-stamp"
+SERVER_SIGNATURE = b"larkpost-server-stamp"
 """The signature by which a server marks a response as its own."""
 EXPECT_INSTANCE = b"larkpost-expect-instance"
 EXPECT_VERSION = b"larkpost-expect-version"
@@ -39,25 +39,25 @@
 FENCING_TOKEN = b"larkpost-fencing-token"
 
 # Calls to the store.
-TRANSACTION_CALL = "/-/rows-tx"
-READ_CALL = "/-/rows-get"
-FEED_CALL = "/-/rows-feed"
+TRANSACTION_PATH = "/-/rows-tx"
+READ_PATH = "/-/rows-get"
+FEED_PATH = "/-/rows-feed"
 
 # Calls to the platform that one daemon at a time makes.
-USAGE_CALL = "/usage"
+USAGE_PATH = "/usage"
 USAGE_DUTY = "usage"
-SCALING_CALL = "/scale"
+SCALING_PATH = "/scale"
 SCALING_DUTY = "autoscale"
 
 # Calls to servers.
-REPORT_CALL = "/-/report"
-ORDER_CALL = "/-/order"
+REPORT_PATH = "/-/report"
+ORDER_PATH = "/-/order"
 
 # Calls that come to larkpost.
-READY_CALL = "/-/ready"
-OWN_CALLS = b"/-/"
-BATCH_CALL = b"/-/lots/"
-ITEM_CALL = b"/-/items/"
+READY_PATH = "/-/ready"
+RESERVED_PATH_PREFIX = b"/-/"
+BATCH_PATH_PREFIX = b"/-/lots/"
+ITEM_PATH_PREFIX = b"/-/items/"
 
 # Rows of the platform's own.
 OPERATOR_TABLE = "op"
--- a/src/larkpost/platform/peer_store.py
+++ b/src/larkpost/platform/peer_store.py
@@ -6,18 +6,18 @@
 
 from larkpost.gateway.memory.budget import ByteBudget, NoRoomError, Purpose
 from larkpost.platform import asgi, names
-from larkpost.platform.asgi import ClientLeftError, Receive, Send
+from larkpost.platform.asgi import ClientDisconnectedError, Receive, Send
 from larkpost.platform.store import HttpStore
 
 RELAYED_CALLS = {
-    ("POST", names.TRANSACTION_CALL),
-    ("GET", names.READ_CALL),
-    ("GET", names.FEED_CALL),
+    ("POST", names.TRANSACTION_PATH),
+    ("GET", names.READ_PATH),
+    ("GET", names.FEED_PATH),
 }
 MAX_BODY_BYTES = 1_500_000
 """Largest body of a call: half as much again as the largest transaction that the store takes, so
 that each call that the store would take passes."""
-CALL_BYTES = 300_000
+RESERVED_BYTES_PER_CALL = 300_000
 """Reserved for one call and its response; most are far smaller, and few are made at once."""
 NOT_FOUND = 404
 TOO_LARGE = 413
@@ -34,7 +34,7 @@
     async def __call__(self, scope: dict, receive: Receive, send: Send) -> None:
         """Makes the call, unless the store turns this daemon away as well."""
         try:
-            with self._budget.reserve(Purpose.RELAYED_CALLS, CALL_BYTES, "peer"):
+            with self._budget.reserve(Purpose.RELAYED_CALLS, RESERVED_BYTES_PER_CALL, "peer"):
                 await self._serve(scope, receive, send)
         except NoRoomError:
             await asgi.send_whole(send, UNAVAILABLE, [(b"content-length", b"0")], b"")
@@ -58,12 +58,12 @@
             return UNAVAILABLE, b""
         query = scope["query_string"].decode("latin-1")
         target = f"{scope['path']}?{query}" if query else scope["path"]
-        return await self._store.pass_on(scope["method"], target, body or None)
+        return await self._store.relay_call(scope["method"], target, body or None)
 
 
 async def _read_body(receive: Receive) -> bytes | None:
     """Returns a request's whole body, or None if it is too large or broke off."""
     try:
         return await asgi.read_body(receive, MAX_BODY_BYTES)
-    except ClientLeftError:
+    except ClientDisconnectedError:
         return None  # nobody reads the status that is sent instead
--- a/src/larkpost/platform/server_control.py
+++ b/src/larkpost/platform/server_control.py
@@ -18,13 +18,13 @@
     VersionOrder,
 )
 from larkpost.platform import names
-from larkpost.platform.operator import UNREADABLE
+from larkpost.platform.dead_connections import CallKind
+from larkpost.platform.operator import PARSE_ERRORS
 from larkpost.platform.server_messages import order_document, read_report
-from larkpost.platform.server_refusals import ResponseOwner, response_owner
+from larkpost.platform.server_refusals import ResponseMatch, match_response
 from larkpost.platform.server_requests import server_url
-from larkpost.platform.server_responses import RESPONSE_FAILURES, record_idle_time
-from larkpost.platform.silence import CallKind
-from larkpost.platform.watched_connection import CallLimits
+from larkpost.platform.server_responses import RESPONSE_FAILURES, record_keep_alive
+from larkpost.platform.watched_connection import CallOptions
 
 OK = 200
 ORDER_OUTCOMES = {
@@ -35,7 +35,7 @@
     412: OrderOutcome.FENCED,
     421: OrderOutcome.WRONG_INSTANCE,
 }
-CONTROL_LIMITS = CallLimits(kind=CallKind.CONTROL)
+CONTROL_LIMITS = CallOptions(kind=CallKind.CONTROL)
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,7 +59,7 @@
         return headers
 
 
-class ControlCalls:
+class ControlClient:
     """Makes control calls on the kept connections of a session."""
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
@@ -70,25 +70,25 @@
 
         A late response to an earlier request on the connection names that request, or is no report.
         """
-        call = ControlCall("GET", names.REPORT_CALL)
+        call = ControlCall("GET", names.REPORT_PATH)
         try:
-            status, content = await self._make(call, instance, timeout)
+            status, content = await self._call(call, instance, timeout)
             return read_report(content) if status == OK else None
-        except (BrokenResponseError, *RESPONSE_FAILURES, *UNREADABLE):
+        except (BrokenResponseError, *RESPONSE_FAILURES, *PARSE_ERRORS):
             return None  # the loader logs it and asks again
 
     async def order(
         self, instance: InstanceInfo, order: VersionOrder, timeout: float
     ) -> OrderOutcome:
         """Gives an engine an order; see the port."""
-        call = ControlCall("POST", names.ORDER_CALL, orjson.dumps(order_document(order)))
+        call = ControlCall("POST", names.ORDER_PATH, orjson.dumps(order_document(order)))
         try:
-            status, _ = await self._make(call, instance, timeout)
+            status, _ = await self._call(call, instance, timeout)
         except (BrokenResponseError, *RESPONSE_FAILURES):
             return OrderOutcome.UNKNOWN  # the next report shows whether it was carried out
         return ORDER_OUTCOMES.get(status, OrderOutcome.UNKNOWN)
 
-    async def _make(
+    async def _call(
         self, call: ControlCall, instance: InstanceInfo, timeout: float
     ) -> tuple[int, bytes]:
         """Makes a call and returns the response's status and body.
@@ -109,8 +109,8 @@
                 timeout=CONTROL_LIMITS,
             ) as response,
         ):
-            if response_owner(response.headers, None) is ResponseOwner.OTHER_REQUEST:
+            if match_response(response.headers, None) is ResponseMatch.OTHER_REQUEST:
                 response.close()
                 raise BrokenResponseError("the answer belongs to an earlier request")
-            record_idle_time(self._session.connector, instance.address, response)
+            record_keep_alive(self._session.connector, instance.address, response)
             return response.status, await response.read()
--- a/src/larkpost/platform/server_messages.py
+++ b/src/larkpost/platform/server_messages.py
@@ -6,10 +6,10 @@
 from larkpost.gateway.servers.port import EngineReport, RunningWork, ServerLoad, VersionOrder
 from larkpost.platform import names
 from larkpost.platform.instance_rows import (
-    read_born,
-    read_document,
+    read_int,
+    read_json_object,
+    read_start_ms,
     read_versions,
-    whole_number,
 )
 
 ORDER_MODES = {
@@ -25,21 +25,21 @@
 IDLE_TIME = re.compile(r"timeout=(\d+)")
 
 
-def read_whole(headers: Mapping[str, str], name: bytes) -> int | None:
+def read_int_header(headers: Mapping[str, str], name: bytes) -> int | None:
     """Returns a header that is a whole number; None if it is none."""
     text = headers.get(name.decode())
     return int(text) if text is not None and text.isdigit() else None
 
 
-def read_idle_time(headers: Mapping[str, str]) -> float | None:
+def read_keep_alive(headers: Mapping[str, str]) -> float | None:
     """Returns the seconds for which a server leaves an idle connection open; None if not said."""
     found = IDLE_TIME.search(headers.get("Keep-Alive", ""))
     return float(found[1]) if found is not None else None
 
 
-def read_cold(headers: Mapping[str, str]) -> float | None:
+def read_cold_seconds(headers: Mapping[str, str]) -> float | None:
     """Returns the seconds for which a server says that it stays cold; None if it says nothing."""
-    left = read_whole(headers, names.COLD_MS)
+    left = read_int_header(headers, names.COLD_MS)
     return left / 1000 if left is not None else None
 
 
@@ -59,17 +59,17 @@
     Raises:
         ValueError: it is none.
     """
-    document = read_document(content)
+    document = read_json_object(content)
     busy = document.get("busy")
     if not isinstance(busy, bool):
         raise ValueError(f"busy is {busy!r}, not true or false")
     return EngineReport(
-        orders=whole_number(document, "seq"),  # the count of orders, not of reports
+        orders=read_int(document, "seq"),  # the count of orders, not of reports
         busy=busy,
-        running=whole_number(document, "running") if "running" in document else 0,
-        waiting=whole_number(document, "waiting") if "waiting" in document else 0,
+        running=read_int(document, "running") if "running" in document else 0,
+        waiting=read_int(document, "waiting") if "waiting" in document else 0,
         versions=read_versions(document),
-        born=read_born(document),
+        born=read_start_ms(document),
     )
 
 
--- a/src/larkpost/platform/server_refusals.py
+++ b/src/larkpost/platform/server_refusals.py
@@ -19,26 +19,26 @@
 )
 from larkpost.platform import names
 from larkpost.platform.connections import CheckedConnector
-from larkpost.platform.server_messages import read_cold
+from larkpost.platform.server_messages import read_cold_seconds
 from larkpost.platform.server_responses import RESPONSE_FAILURES
 
 MISDIRECTED = 421
-REFUSAL_BYTES = 4096
+MAX_REFUSAL_BYTES = 4096
 """Longest body of a refusal that is read so that its connection serves again. A refusal's body is a
 line of text."""
 REFUSAL_BODY_SECONDS = 0.05
 """Longest wait for it: it comes with its head, and the request wants another server at once."""
 
 
-class ResponseOwner(Enum):
+class ResponseMatch(Enum):
     """The request to which a response says that it belongs."""
 
     THIS_REQUEST = auto()
     OTHER_REQUEST = auto()
-    UNNAMED = auto()
+    UNIDENTIFIED = auto()
 
 
-def response_owner(headers: Mapping[str, str], request_id: bytes | None) -> ResponseOwner:
+def match_response(headers: Mapping[str, str], request_id: bytes | None) -> ResponseMatch:
     """Returns to which request a response says that it belongs.
 
     Args:
@@ -46,13 +46,13 @@
     """
     named = headers.get(names.REQUEST_ID.decode())
     if named is None:
-        return ResponseOwner.UNNAMED
+        return ResponseMatch.UNIDENTIFIED
     if request_id is not None and named == request_id.decode("latin-1"):
-        return ResponseOwner.THIS_REQUEST
-    return ResponseOwner.OTHER_REQUEST
+        return ResponseMatch.THIS_REQUEST
+    return ResponseMatch.OTHER_REQUEST
 
 
-def check_ran(
+def check_executed(
     response: aiohttp.ClientResponse, instance: InstanceInfo, request: OutgoingRequest
 ) -> None:
     """Checks that the response belongs to the request and that the request ran.
@@ -61,20 +61,20 @@
         NotRunError: the server says that it did not run it.
         BrokenResponseError: the response belongs to another request, or names none.
     """
-    owner = response_owner(response.headers, request.request_id)
-    if owner is ResponseOwner.OTHER_REQUEST:
+    owner = match_response(response.headers, request.request_id)
+    if owner is ResponseMatch.OTHER_REQUEST:
         raise BrokenResponseError("the answer belongs to another request")
     if response.status == MISDIRECTED:
         found = response.headers.get(names.INSTANCE_ID.decode(), instance.name)
         is_replaced = found != instance.name
         raise NotRunError(NotRunReason.REPLACED if is_replaced else NotRunReason.MISDIRECTED)
     if names.NOT_EXECUTED.decode() in response.headers:
-        raise NotRunError(NotRunReason.FULL, read_cold(response.headers))
-    if owner is ResponseOwner.UNNAMED:
+        raise NotRunError(NotRunReason.FULL, read_cold_seconds(response.headers))
+    if owner is ResponseMatch.UNIDENTIFIED:
         raise BrokenResponseError("the answer names no request")
 
 
-async def read_refusal(
+async def drain_refusal(
     response: aiohttp.ClientResponse,
     instance: InstanceInfo,
     request: OutgoingRequest,
@@ -88,12 +88,12 @@
     Args:
         connector: keeps the connections to the server.
     """
-    if response_owner(response.headers, request.request_id) is not ResponseOwner.THIS_REQUEST:
+    if match_response(response.headers, request.request_id) is not ResponseMatch.THIS_REQUEST:
         response.close()
         connector.close_idle(instance.address)
         return
     length = response.content_length
-    if length is None or length > REFUSAL_BYTES:
+    if length is None or length > MAX_REFUSAL_BYTES:
         return
     try:
         async with asyncio.timeout(REFUSAL_BODY_SECONDS):
--- a/src/larkpost/platform/server_responses.py
+++ b/src/larkpost/platform/server_responses.py
@@ -9,8 +9,13 @@
 from larkpost.gateway.servers.port import BrokenResponseError, Headers, StreamEvent
 from larkpost.platform import names
 from larkpost.platform.connections import CheckedConnector
-from larkpost.platform.events import EventDecoder
-from larkpost.platform.server_messages import read_cold, read_idle_time, read_load, read_whole
+from larkpost.platform.event_stream import EventDecoder
+from larkpost.platform.server_messages import (
+    read_cold_seconds,
+    read_int_header,
+    read_keep_alive,
+    read_load,
+)
 
 LOST_CONNECTIONS = (
     aiohttp.ServerDisconnectedError,
@@ -38,9 +43,9 @@
         self.headers: Headers = tuple(response.raw_headers)
         self.load = read_load(response.headers)
         # One number, though the header's name is in the plural: the version of the one model.
-        self.version = read_whole(response.headers, names.WEIGHT_VERSIONS)
-        self.cold_left = read_cold(response.headers)
-        self.signature = response.headers.get(names.SERVER_STAMP.decode())
+        self.version = read_int_header(response.headers, names.WEIGHT_VERSIONS)
+        self.cold_left = read_cold_seconds(response.headers)
+        self.signature = response.headers.get(names.SERVER_SIGNATURE.decode())
 
     async def chunks(self) -> AsyncIterator[bytes]:
         """Yields the body; see the port."""
@@ -65,7 +70,7 @@
                     yield event
             except ValueError as error:
                 raise BrokenResponseError(f"no event stream: {error}") from None
-        if decoder.partial:
+        if decoder.has_partial_event:
             raise BrokenResponseError("the stream ended within an event", connection_lost=True)
 
     def _was_reset(self) -> bool:
@@ -87,10 +92,10 @@
     )
 
 
-def record_idle_time(
+def record_keep_alive(
     connector: CheckedConnector, server: Address, response: aiohttp.ClientResponse
 ) -> None:
     """Records how long the server says that it leaves an idle connection open, if it says so."""
-    seconds = read_idle_time(response.headers)
+    seconds = read_keep_alive(response.headers)
     if seconds is not None:
-        connector.record_idle_time(server, seconds)
+        connector.record_keep_alive(server, seconds)
--- a/src/larkpost/platform/servers.py
+++ b/src/larkpost/platform/servers.py
@@ -27,17 +27,17 @@
     VersionOrder,
 )
 from larkpost.platform.connections import make_session
-from larkpost.platform.server_control import ControlCalls
-from larkpost.platform.server_refusals import check_ran, read_refusal
+from larkpost.platform.dead_connections import DeadConnectionDetector, UpstreamKind
+from larkpost.platform.server_control import ControlClient
+from larkpost.platform.server_refusals import check_executed, drain_refusal
 from larkpost.platform.server_requests import send_once
 from larkpost.platform.server_responses import (
     RESPONSE_FAILURES,
     HttpResponse,
     broken_response,
-    record_idle_time,
+    record_keep_alive,
 )
-from larkpost.platform.silence import Peer, SilenceWatch
-from larkpost.platform.watched_connection import CallLimits, SilentConnectionError
+from larkpost.platform.watched_connection import CallOptions, DeadConnectionError
 
 CONNECT_FAILURES = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 """How it shows that there was no connection, so that nothing was sent."""
@@ -52,29 +52,29 @@
     """
 
     def __init__(self, metrics: Metrics | None = None, log: EventLog | None = None) -> None:
-        silences = SilenceWatch(Peer.SERVER, metrics, log)
-        self._kept = make_session(silences)
-        self._fresh = make_session(silences, keep=False)
-        self._control = ControlCalls(self._kept)
+        detector = DeadConnectionDetector(UpstreamKind.SERVER, metrics, log)
+        self._pooled = make_session(detector)
+        self._unpooled = make_session(detector, keep_alive=False)
+        self._control = ControlClient(self._pooled)
 
     async def close(self) -> None:
         """Closes all connections."""
-        await self._kept.close()
-        await self._fresh.close()
+        await self._pooled.close()
+        await self._unpooled.close()
 
     @asynccontextmanager
     async def send(
         self, instance: InstanceInfo, request: OutgoingRequest
     ) -> AsyncIterator[HttpResponse]:
         """Sends a request; see the port."""
-        session = self._fresh if request.fresh_connection else self._kept
+        session = self._unpooled if request.fresh_connection else self._pooled
         response = await self._receive_head(session, instance, request)
         try:
-            record_idle_time(session.connector, instance.address, response)
+            record_keep_alive(session.connector, instance.address, response)
             try:
-                check_ran(response, instance, request)
+                check_executed(response, instance, request)
             except NotRunError:
-                await read_refusal(response, instance, request, self._kept.connector)
+                await drain_refusal(response, instance, request, self._pooled.connector)
                 raise
             yield HttpResponse(response)
         finally:
@@ -106,11 +106,11 @@
     @property
     def open_connections(self) -> int:
         """The connections to servers that are open, in use or idle."""
-        return self._kept.connector.open_connections + self._fresh.connector.open_connections
+        return self._pooled.connector.open_connections + self._unpooled.connector.open_connections
 
     def is_connected(self, instance: InstanceInfo) -> bool:
         """Returns whether an idle connection to a server is kept; see the port."""
-        return self._kept.connector.has_idle(instance.address)
+        return self._pooled.connector.has_idle(instance.address)
 
     async def _receive_head(
         self, session: aiohttp.ClientSession, instance: InstanceInfo, request: OutgoingRequest
@@ -134,18 +134,18 @@
         """Sends a request; one that may be repeated again, once, if its connection goes silent."""
         if not request.repeat_if_silent or request.send_within is not None:
             # A send that is limited was counted once, so it is made once.
-            limits = CallLimits(connect=request.send_within, is_sent_once=True)
+            limits = CallOptions(connect=request.send_within, disables_retry=True)
             return await send_once(session, instance, request, limits)
         began = steady_seconds()
-        limits = CallLimits(ends_if_silent=True, is_sent_once=True)
+        limits = CallOptions(aborts_if_dead=True, disables_retry=True)
         try:
             return await send_once(session, instance, request, limits)
-        except SilentConnectionError:
-            again = _after(steady_seconds() - began, request)
-        return await send_once(self._kept, instance, again, CallLimits(is_sent_once=True))
+        except DeadConnectionError:
+            again = _with_remaining_time(steady_seconds() - began, request)
+        return await send_once(self._pooled, instance, again, CallOptions(disables_retry=True))
 
 
-def _after(elapsed: float, request: OutgoingRequest) -> OutgoingRequest:
+def _with_remaining_time(elapsed: float, request: OutgoingRequest) -> OutgoingRequest:
     """Returns a request with the time that is left to it after ``elapsed`` seconds."""
     if request.time_left is None:
         return request
--- a/src/larkpost/platform/sockets.py
+++ b/src/larkpost/platform/sockets.py
@@ -2,11 +2,11 @@
 
 import socket
 
-PEER_SILENCE_MS = 3000
+USER_TIMEOUT_MS = 3000
 """After this long without an acknowledgement of sent bytes, a connection is given up."""
-PROBE_AFTER_SECONDS = 2
-PROBE_INTERVAL_SECONDS = 1
-PROBES = 2
+KEEPALIVE_IDLE_SECONDS = 2
+KEEPALIVE_INTERVAL_SECONDS = 1
+KEEPALIVE_PROBES = 2
 """The system probes a connection that is idle this long, so often, so many times: a stream that
 waits for its next event on a silent connection ends after four seconds. The system counts whole
 seconds, and one lost probe must not end a connection."""
@@ -21,12 +21,12 @@
     opened = socket.socket(family, kind, protocol)
     opened.setblocking(False)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    probe_for_silence(opened, PROBE_AFTER_SECONDS, PROBE_INTERVAL_SECONDS, PROBES)
-    opened.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, PEER_SILENCE_MS)
+    enable_keepalive(opened, KEEPALIVE_IDLE_SECONDS, KEEPALIVE_INTERVAL_SECONDS, KEEPALIVE_PROBES)
+    opened.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
     return opened
 
 
-def probe_for_silence(opened: socket.socket, after: int, interval: int, probes: int) -> None:
+def enable_keepalive(opened: socket.socket, after: int, interval: int, probes: int) -> None:
     """Makes the system probe an idle connection, and end it if nothing answers.
 
     Args:
--- a/src/larkpost/platform/stand_in/callers.py
+++ b/src/larkpost/platform/stand_in/callers.py
@@ -14,14 +14,14 @@
 from larkpost.common.ids import Address
 from larkpost.gateway.blackboard.configuration import ModelName
 from larkpost.platform import names
-from larkpost.platform.stand_in.engine_state import output_of
+from larkpost.platform.stand_in.engine_state import expected_output
 from larkpost.platform.stand_in.rows import (
     BATCH_PREFIX,
     HOST,
     PAGE_PREFIX,
     READING,
     TRAINING,
-    key_of,
+    tenant_api_key,
 )
 
 READ_WAIT_MS = "500"
@@ -50,7 +50,7 @@
     whole_seconds: list[float] = field(default_factory=list)
 
     @property
-    def broken_promises(self) -> int:
+    def violations(self) -> int:
         """Counts what must never happen."""
         return self.results_doubled + self.results_lost + self.results_wrong + self.answers_wrong
 
@@ -71,7 +71,7 @@
         tenant = READING if target.startswith(PAGE_PREFIX) else TRAINING
         headers = {
             "Host": HOST,
-            names.API_KEY.decode(): key_of(tenant, CONFIGURATION_VERSION),
+            names.API_KEY.decode(): tenant_api_key(tenant, CONFIGURATION_VERSION),
             names.REQUEST_ID.decode(): request_id,
             names.WAIT_MS.decode(): READ_WAIT_MS,
         }
@@ -146,13 +146,13 @@
         found = await self._read(batch, len(items))
         self._check(items, found, step)
         self._record.whole_seconds.append(asyncio.get_running_loop().time() - began)
-        target = f"{names.BATCH_CALL.decode()}{batch}"
+        target = f"{names.BATCH_PATH_PREFIX.decode()}{batch}"
         await self._caller.call_until("DELETE", target, batch, None, 200)
 
     async def _read(self, batch: str, total: int) -> list[dict]:
         found: list[dict] = []
         while len(found) < total:
-            target = f"{names.BATCH_CALL.decode()}{batch}?after-rev={len(found)}"
+            target = f"{names.BATCH_PATH_PREFIX.decode()}{batch}?after-rev={len(found)}"
             content = await self._caller.call_until("GET", target, batch, None, 200)
             found.extend(orjson.loads(content)["results"])
         return found
@@ -186,7 +186,7 @@
         self._record.results_doubled += len(ids) - len(set(ids))
         self._record.results_lost += len(set(items) - set(ids))
         for result in found:
-            whole = b"\n".join(output_of(result["id"])).decode()
+            whole = b"\n".join(expected_output(result["id"])).decode()
             fresh = min(result.get("versions", [0])) >= max(1, step)
             scored = result.get("score", "").endswith(f".{_reward_call_id(result['id'])}")
             if result["state"] != "done" or result["message"] != whole or not (fresh and scored):
--- a/src/larkpost/platform/stand_in/programs.py
+++ b/src/larkpost/platform/stand_in/programs.py
@@ -16,13 +16,13 @@
 from larkpost.platform import names
 from larkpost.platform.stand_in.engine_state import EngineState
 from larkpost.platform.stand_in.memory_store import MemoryStore
-from larkpost.platform.stand_in.rows import StandInServer, server_change
+from larkpost.platform.stand_in.rows import StandInServer, server_transaction
 from larkpost.platform.stand_in.server_app import ServerApp
 from larkpost.platform.stand_in.store_app import StoreApp
 from larkpost.platform.store import HttpStore
 
 HEARTBEAT_SECONDS = 0.4
-LAPSE_SECONDS = 1.5
+ENTRY_TTL_SECONDS = 1.5
 WRITE_SECONDS = 1.0
 ROW_BYTES = 65536
 
@@ -42,7 +42,8 @@
     removals = tuple(
         key
         for key in store.rows
-        if key.table == names.SERVER_TABLE and clock.now() - store.written_at[key] > LAPSE_SECONDS
+        if key.table == names.SERVER_TABLE
+        and clock.now() - store.written_at[key] > ENTRY_TTL_SECONDS
     )
     if removals:
         store.apply(Transaction(removals=removals))
@@ -60,7 +61,7 @@
     client = HttpStore(store, ROW_BYTES)
     while True:
         entry = replace(server, versions=dict(state.versions))
-        await client.write(server_change(entry), WRITE_SECONDS)
+        await client.write(server_transaction(entry), WRITE_SECONDS)
         await asyncio.sleep(HEARTBEAT_SECONDS)
 
 
--- a/src/larkpost/platform/stand_in/rows.py
+++ b/src/larkpost/platform/stand_in/rows.py
@@ -44,7 +44,7 @@
     leaving: bool = False
 
 
-def key_of(tenant: TenantName, version: int) -> str:
+def tenant_api_key(tenant: TenantName, version: int) -> str:
     """Returns the key that a tenant gets with a version of the configuration.
 
     It is taken away again with the second version after that one.
@@ -52,7 +52,7 @@
     return f"key-of-{tenant}-{version}"
 
 
-def configuration_change(
+def configuration_transaction(
     version: int,
     engines: ServiceName,
     pages: ServiceName,
@@ -73,7 +73,10 @@
             {"name": pages, "health-path": "/health", "max-conns": 100},
         ],
         "tenants": [
-            {"name": tenant, "api-keys": [key_of(tenant, version), key_of(tenant, version - 1)]}
+            {
+                "name": tenant,
+                "api-keys": [tenant_api_key(tenant, version), tenant_api_key(tenant, version - 1)],
+            }
             for tenant in TENANTS
         ],
         "limits": LIMITS,
@@ -115,20 +118,20 @@
     }
 
 
-def version_change(model: ModelName, version: int) -> Transaction:
+def version_transaction(model: ModelName, version: int) -> Transaction:
     """Returns a trainer's naming of a weight version."""
     key = RowKey(names.OPERATOR_TABLE, "", f"{names.VERSION_KEY_PREFIX}{model}")
     value = orjson.dumps({"model": model, "version": version})
     return Transaction(puts=((key, value),))
 
 
-def evacuation_change(zone: ZoneId, *, is_on: bool) -> Transaction:
+def evacuation_transaction(zone: ZoneId, *, is_on: bool) -> Transaction:
     """Returns the operator's begin, or end, of a zone's evacuation."""
     key = RowKey(names.OPERATOR_TABLE, "", f"{names.EVACUATION_KEY_PREFIX}{zone}")
     return Transaction(puts=((key, b"{}"),)) if is_on else Transaction(removals=(key,))
 
 
-def server_change(server: StandInServer) -> Transaction:
+def server_transaction(server: StandInServer) -> Transaction:
     """Returns a server's writing of its own entry."""
     document = {
         "service": server.service,
--- a/src/larkpost/platform/stand_in/server_app.py
+++ b/src/larkpost/platform/stand_in/server_app.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.blackboard.configuration import ModelName
 from larkpost.gateway.servers.port import OrderOutcome, VersionOrder
 from larkpost.platform import names
-from larkpost.platform.stand_in.engine_state import EngineState, output_of, take_order
+from larkpost.platform.stand_in.engine_state import EngineState, expected_output, take_order
 
 PAGE_SECONDS = 0.02
 STATUSES = {
@@ -35,8 +35,8 @@
         """Returns the application."""
         return Starlette(
             routes=[
-                Route(names.REPORT_CALL, self._report),
-                Route(names.ORDER_CALL, self._order, methods=["POST"]),
+                Route(names.REPORT_PATH, self._report),
+                Route(names.ORDER_PATH, self._order, methods=["POST"]),
                 Route("/{rest:path}", self._serve, methods=["GET", "POST"]),
             ]
         )
@@ -51,7 +51,7 @@
         self._state.runs.append(request_id)
         headers = {
             names.REQUEST_ID.decode(): request_id,
-            names.SERVER_STAMP.decode(): f"{self._instance}.{request_id}",
+            names.SERVER_SIGNATURE.decode(): f"{self._instance}.{request_id}",
             names.INSTANCE_LOAD.decode(): f"{self._state.running},0,{self._state.slots}",
         }
         if not self._state.versions:
@@ -64,7 +64,7 @@
         return StreamingResponse(events, headers=headers, media_type="text/event-stream")
 
     async def _events(self, request_id: str, after: int, model: ModelName) -> AsyncIterator[bytes]:
-        output = output_of(request_id)
+        output = expected_output(request_id)
         version = self._state.versions[model]
         self._state.running += 1
         try:
@@ -95,7 +95,7 @@
                 {"name": model, "version": version} for model, version in state.versions.items()
             ],
             "busy": asyncio.get_running_loop().time() < state.loading_until,
-            "seq": state.orders_taken,
+            "seq": state.orders_accepted,
             "running": state.running,
             "waiting": 0,
         }
--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -28,7 +28,7 @@
 )
 from larkpost.platform import names
 from larkpost.platform.connections import make_session
-from larkpost.platform.silence import Peer, SilenceWatch
+from larkpost.platform.dead_connections import DeadConnectionDetector, UpstreamKind
 from larkpost.platform.store_clock import StoreClock
 from larkpost.platform.store_documents import (
     HISTORY_LOST,
@@ -40,27 +40,27 @@
     transaction_document,
     write_result,
 )
-from larkpost.platform.watched_connection import CallLimits, SilentConnectionError
+from larkpost.platform.watched_connection import CallOptions, DeadConnectionError
 
 READ_TIMEOUT_SECONDS = 1.5
 """Longest time for a reading call, beside the time for which it may be held."""
-RELAYED_HOLD_SECONDS = 1.0
+RELAYED_LONG_POLL_SECONDS = 1.0
 """Longest time for which the feed is held for a peer. It is what peers ask for."""
 RELAYED_TIMEOUT_SECONDS = 3.0
 """Longest time for a call that is made for a peer; its feed is held for a second of it."""
-NOT_MADE = 503
+NOT_SENT_STATUS = 503
 """The status that a peer gets for a call that was certainly not made."""
 NO_RESPONSE = 504
 """The status that a peer gets for a call without a response; it may have been made."""
-PROOF_TARGET = f"{names.READ_CALL}?table=members&part=proof&limit=1"
+PROBE_TARGET = f"{names.READ_PATH}?table=members&part=proof&limit=1"
 """A read of no rows, made to check whether the store responds on a new connection."""
-CALL_LABELS = {names.READ_CALL: "read", names.FEED_CALL: "feed"}
+CALL_LABELS = {names.READ_PATH: "read", names.FEED_PATH: "feed"}
 """The names of the reading calls in the metrics."""
 CALL_FAILURES = (aiohttp.ClientError, asyncio.TimeoutError, OSError, ValueError, KeyError)
 """Everything a call may end with besides a response; malformed responses included."""
-NOT_SENT = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
+CONNECT_FAILURES = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 """How it shows that there was no connection, so that the call was certainly not made."""
-SOUND_OUTCOMES = ("answered", "410", WriteOutcome.DONE, WriteOutcome.CONFLICT)
+SUCCESSFUL_OUTCOMES = ("answered", "410", WriteOutcome.DONE, WriteOutcome.CONFLICT)
 """Outcomes of calls that the store carried out, or refused for a reason in the call itself."""
 
 
@@ -105,24 +105,24 @@
         row_bytes: int,
         metrics: Metrics | None = None,
         log: EventLog | None = None,
-        peer: Peer = Peer.STORE,
+        peer: UpstreamKind = UpstreamKind.STORE,
     ) -> None:
         self.row_bytes = row_bytes
-        self._base = f"http://{address}"
+        self._base_url = f"http://{address}"
         self._metrics = metrics or Metrics()
-        self._session = make_session(SilenceWatch(peer, self._metrics, log))
-        self._proof: asyncio.Task | None = None
+        self._session = make_session(DeadConnectionDetector(peer, self._metrics, log))
+        self._probe_task: asyncio.Task | None = None
         self._clock = StoreClock()
         self.is_failing = False
 
-    def use_address(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Uses another address for all later calls."""
-        self._base = f"http://{address}"
+        self._base_url = f"http://{address}"
 
     async def close(self) -> None:
         """Closes all connections."""
-        if self._proof is not None:
-            self._proof.cancel()
+        if self._probe_task is not None:
+            self._probe_task.cancel()
         await self._session.close()
 
     def time(self) -> float | None:
@@ -134,27 +134,27 @@
         body = orjson.dumps(transaction_document(transaction))
         started = steady_seconds()
         try:
-            call = StoreCall("POST", names.TRANSACTION_CALL, body)
+            call = StoreCall("POST", names.TRANSACTION_PATH, body)
             result = write_result(*await self._read_document(call, timeout))
-        except NOT_SENT:
+        except CONNECT_FAILURES:
             result = WriteResult(WriteOutcome.NOT_DONE)
         except CALL_FAILURES:
             result = WriteResult(WriteOutcome.UNKNOWN)
         self._record_outcome("write", result.outcome, started)
         return result
 
-    async def pass_on(self, method: str, target: str, body: bytes | None) -> tuple[int, bytes]:
+    async def relay_call(self, method: str, target: str, body: bytes | None) -> tuple[int, bytes]:
         """Makes a peer's call and returns the store's status and document as they came.
 
         Returns:
             `NOT_MADE` or `NO_RESPONSE`, and nothing, if there are none.
         """
-        hold_time = RELAYED_HOLD_SECONDS if target.startswith(names.FEED_CALL) else 0.0
+        hold_time = RELAYED_LONG_POLL_SECONDS if target.startswith(names.FEED_PATH) else 0.0
         try:
             call = StoreCall(method, target, body, hold_time)
             return await self._exchange(call, RELAYED_TIMEOUT_SECONDS)
-        except NOT_SENT:
-            return NOT_MADE, b""  # the peer is told that the call was not made
+        except CONNECT_FAILURES:
+            return NOT_SENT_STATUS, b""  # the peer is told that the call was not made
         except CALL_FAILURES:
             return NO_RESPONSE, b""  # the peer is told that nobody answered
 
@@ -163,14 +163,14 @@
     ) -> RowPage:
         """Reads rows of a part; see the port."""
         query = urlencode(rows_query(table, part, first, end, limit))
-        call = StoreCall("GET", f"{names.READ_CALL}?{query}")
-        return read_page(*await self._get(names.READ_CALL, call, READ_TIMEOUT_SECONDS))
+        call = StoreCall("GET", f"{names.READ_PATH}?{query}")
+        return read_page(*await self._get(names.READ_PATH, call, READ_TIMEOUT_SECONDS))
 
     async def changes(self, table: str, after: int, wait: float) -> RowPage:
         """Returns the changes of a table; see the port."""
         query = urlencode(changes_query(table, after, wait))
-        call = StoreCall("GET", f"{names.FEED_CALL}?{query}", hold_time=wait)
-        status, document = await self._get(names.FEED_CALL, call, wait + READ_TIMEOUT_SECONDS)
+        call = StoreCall("GET", f"{names.FEED_PATH}?{query}", hold_time=wait)
+        status, document = await self._get(names.FEED_PATH, call, wait + READ_TIMEOUT_SECONDS)
         if status == HISTORY_LOST:
             raise HistoryLostError(f"the feed of {table} has no changes after {after}")
         return read_page(status, document)
@@ -192,7 +192,7 @@
         return status, document
 
     def _record_outcome(self, label: str, outcome: str, started: float) -> None:
-        self.is_failing = outcome not in SOUND_OUTCOMES
+        self.is_failing = outcome not in SUCCESSFUL_OUTCOMES
         self._metrics.count(Count.STORE_CALLS, label, outcome)
         self._metrics.observe(Timing.STORE_CALL, steady_seconds() - started, label)
 
@@ -218,27 +218,27 @@
         async with asyncio.timeout(timeout):
             try:
                 return await self._exchange_once(call)
-            except SilentConnectionError:
+            except DeadConnectionError:
                 if call.body is not None:
                     raise
             return await self._exchange_once(call)
 
     async def _exchange_once(self, call: StoreCall) -> tuple[int, bytes]:
-        url = URL(self._base + call.target, encoded=True)
-        prove = self._begin_proof if call.body is not None else None
-        limits = CallLimits(hold_time=call.hold_time, ends_if_silent=True, prove=prove)
+        url = URL(self._base_url + call.target, encoded=True)
+        start_probe = self._start_probe if call.body is not None else None
+        limits = CallOptions(hold_time=call.hold_time, aborts_if_dead=True, start_probe=start_probe)
         async with self._session.request(
             call.method, url, data=call.body, headers=call.headers, timeout=limits
         ) as response:
             return response.status, await response.read()
 
-    def _begin_proof(self) -> None:
+    def _start_probe(self) -> None:
         """Asks on a new connection, unless that is under way: a response proves old ones silent."""
-        if self._proof is None or self._proof.done():
-            self._proof = asyncio.create_task(self._ask_for_proof())
+        if self._probe_task is None or self._probe_task.done():
+            self._probe_task = asyncio.create_task(self._probe_store())
 
-    async def _ask_for_proof(self) -> None:
-        url = URL(f"{self._base}{PROOF_TARGET}", encoded=True)
+    async def _probe_store(self) -> None:
+        url = URL(f"{self._base_url}{PROBE_TARGET}", encoded=True)
         with contextlib.suppress(*CALL_FAILURES):  # no response is no proof
             async with (
                 asyncio.timeout(READ_TIMEOUT_SECONDS),
--- a/src/larkpost/rehearsal/demo.py
+++ b/src/larkpost/rehearsal/demo.py
@@ -22,7 +22,7 @@
     StandInClient,
     StandInTrainer,
 )
-from larkpost.platform.stand_in.rows import configuration_change, version_change
+from larkpost.platform.stand_in.rows import configuration_transaction, version_transaction
 from larkpost.platform.store import HttpStore
 from larkpost.rehearsal.platform_site import (
     CASABLANCA_SHAPE,
@@ -61,7 +61,7 @@
     _print_table(console, summary)
     print(orjson.dumps(summary).decode())
     worked = record.batches_whole > 0 and record.client_answers > 0
-    return 0 if worked and record.broken_promises == 0 else 1
+    return 0 if worked and record.violations == 0 else 1
 
 
 def _run(folder: Path, seconds: float, faults: bool, console: Console) -> CallerRecord:
@@ -105,7 +105,7 @@
     until: float,
 ) -> None:
     async def name_version(model: ModelName, version: int) -> None:
-        await _write(store, version_change(model, version))
+        await _write(store, version_transaction(model, version))
 
     for shape in site.shape.trainers:
         trainer = StandInTrainer(caller, shape, name_version)
@@ -116,7 +116,7 @@
 
 async def _configure(site: PlatformSite, store: HttpStore) -> None:
     shape = site.shape
-    change = configuration_change(
+    change = configuration_transaction(
         1, site.engine_service, site.page_service, shape.engine_slots, shape.models
     )
     await _write(store, change)
--- a/tests/process_soak/callers.py
+++ b/tests/process_soak/callers.py
@@ -19,9 +19,9 @@
     PAGE_PREFIX,
     READING,
     TRAINING,
-    key_of,
+    tenant_api_key,
 )
-from tests.process_soak.judge import Judge, SubmittedBatch
+from tests.process_soak.checker import InvariantChecker, SubmittedBatch
 from tests.process_soak.records import CRASHING_PAGE
 
 CALL_SECONDS = 3.0
@@ -31,15 +31,15 @@
 READ_WAIT_MS = "500"
 GROUP_SIZE = 4
 ONCE_PREFIX = "/orders/"
-KEPT_VERSIONS = 2
+KEY_LIFETIME_VERSIONS = 2
 """A key is in force in the version that brings it and in the next one."""
-DROPPED_KEY_EVERY = 7
+REVOKED_KEY_INTERVAL = 7
 """One request in this many carries a key that was taken away."""
-KEPT_SHARE = 0.5
+KEEP_ALIVE_SHARE = 0.5
 """Share of the clients' requests on connections that are kept until the daemon closes them."""
 CRASHING_TRIES = 2
 CRASHING_PAUSE_SECONDS = 0.7
-PROMISES_NOT_RUN = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 CALL_FAILURES = (aiohttp.ClientError, TimeoutError, OSError)
 
 
@@ -55,14 +55,14 @@
     def __init__(
         self,
         fronts: Callable[[], list[Address]],
-        judge: Judge,
+        checker: InvariantChecker,
         chance: random.Random,
         name_version: Callable[[ModelName, int], Awaitable[None]],
         configured_at: Callable[[], dict[int, float]],
     ) -> None:
         self._configured_at = configured_at
         self._fronts = fronts
-        self._judge = judge
+        self._checker = checker
         self._chance = chance
         self._name_version = name_version
         self.step_seconds: list[float] = []
@@ -105,7 +105,7 @@
         while time.monotonic() < until:
             for _ in range(CRASHING_TRIES):
                 name = f"r{self._chance.getrandbits(60):x}"
-                self._judge.asked[name] = False
+                self._checker.asked[name] = False
                 await self._call("GET", f"{PAGE_PREFIX}{CRASHING_PAGE}{page}", name)
             await asyncio.sleep(CRASHING_PAUSE_SECONDS)
 
@@ -115,13 +115,13 @@
             position = len(batch.read)
             if position and self._chance.random() < 0.2:
                 position = self._chance.randrange(position)  # now and then from an earlier one
-            target = f"{names.BATCH_CALL.decode()}{batch.batch}?after-rev={position}"
+            target = f"{names.BATCH_PATH_PREFIX.decode()}{batch.batch}?after-rev={position}"
             answer = await self._call("GET", target, batch.batch)
             if answer is None or answer[0] != 200:
                 assert answer is None or answer[0] != 404, f"{batch.batch} is lost"
                 await asyncio.sleep(PAUSE_SECONDS)
                 continue
-            self._judge.take_page(batch, position, orjson.loads(answer[1])["results"])
+            self._checker.take_page(batch, position, orjson.loads(answer[1])["results"])
 
     async def _step(self, model: ModelName, step: int, items: int) -> None:
         began = time.monotonic()
@@ -133,7 +133,7 @@
             self.abandoned += 1
             return  # it is to become whole once all has healed
         self.step_seconds.append(time.monotonic() - began)
-        target = f"{names.BATCH_CALL.decode()}{batch.batch}"
+        target = f"{names.BATCH_PATH_PREFIX.decode()}{batch.batch}"
         answer = await self._call("DELETE", target, batch.batch)
         if answer is not None and answer[0] == 200:
             batch.ended_at = time.monotonic()
@@ -142,7 +142,7 @@
         name = f"b{self._chance.getrandbits(60):x}"
         calls = {f"{name}i{number}": f"{name}s{number}" for number in range(items)}
         batch = SubmittedBatch(name, calls, minimum_version=max(1, step))
-        self._judge.batches[name] = batch
+        self._checker.batches[name] = batch
         return batch
 
     async def _submit(
@@ -155,23 +155,23 @@
             if answer is not None and answer[0] == 202:
                 batch.accepted = True
                 return True
-            refused = refused and answer is not None and answer[0] in PROMISES_NOT_RUN
+            refused = refused and answer is not None and answer[0] in NOT_RUN_STATUSES
             await asyncio.sleep(PAUSE_SECONDS)
         batch.refused = refused
         return False
 
     async def _request(self, *, once: bool) -> None:
         name = f"r{self._chance.getrandbits(60):x}"
-        self._judge.asked[name] = once
-        self._judge.tenants[name] = READING
+        self._checker.asked[name] = once
+        self._checker.tenants[name] = READING
         version = self._newest_version()
-        if self.requests % DROPPED_KEY_EVERY == 0 and version > KEPT_VERSIONS:
-            self._judge.dropped[name] = self._configured_at()[version]
-            version -= KEPT_VERSIONS
+        if self.requests % REVOKED_KEY_INTERVAL == 0 and version > KEY_LIFETIME_VERSIONS:
+            self._checker.revoked[name] = self._configured_at()[version]
+            version -= KEY_LIFETIME_VERSIONS
         target = f"{ONCE_PREFIX if once else PAGE_PREFIX}{name}"
-        kept = self._chance.random() < KEPT_SHARE
+        keep_alive = self._chance.random() < KEEP_ALIVE_SHARE
         method = "POST" if once else "GET"
-        answer = await self._call(method, target, name, version=version, kept=kept)
+        answer = await self._call(method, target, name, version=version, keep_alive=keep_alive)
         if answer is None:
             return
         status, body = answer
@@ -179,8 +179,8 @@
             assert body == f"page for {name}".encode(), f"{name} got another request's answer"
             self.served += 1
             self.served_times.append(time.monotonic())
-        elif once and status in PROMISES_NOT_RUN:
-            self._judge.told_not_run.add(name)
+        elif once and status in NOT_RUN_STATUSES:
+            self._checker.reported_not_run.add(name)
 
     def _newest_version(self) -> int:
         """Returns the newest version of the configuration that was acknowledged."""
@@ -193,7 +193,7 @@
         request: str,
         body: bytes | None = None,
         version: int | None = None,
-        kept: bool = False,
+        keep_alive: bool = False,
     ) -> tuple[int, bytes] | None:
         """Makes one call at any daemon; None if there was no whole answer.
 
@@ -205,7 +205,7 @@
         tenant = TRAINING if request.startswith("b") else READING
         headers = {
             "Host": HOST,
-            names.API_KEY.decode(): key_of(tenant, version or self._newest_version()),
+            names.API_KEY.decode(): tenant_api_key(tenant, version or self._newest_version()),
             names.REQUEST_ID.decode(): request,
             names.WAIT_MS.decode(): READ_WAIT_MS,
         }
@@ -213,7 +213,7 @@
         try:
             async with (
                 asyncio.timeout(CALL_SECONDS),
-                self._session(daemon, kept=kept) as session,
+                self._session(daemon, keep_alive=keep_alive) as session,
                 session.request(method, url, data=body, headers=headers) as answer,
             ):
                 return answer.status, await answer.read()
@@ -222,10 +222,10 @@
 
     @contextlib.asynccontextmanager
     async def _session(
-        self, daemon: Address, *, kept: bool
+        self, daemon: Address, *, keep_alive: bool
     ) -> AsyncIterator[aiohttp.ClientSession]:
         """Gives a session with kept connections to a daemon, or one of its own for a call."""
-        if kept:
+        if keep_alive:
             if daemon not in self._sessions:
                 self._sessions[daemon] = aiohttp.ClientSession()
             yield self._sessions[daemon]
--- a/tests/process_soak/judge.py
+++ b/tests/process_soak/checker.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from larkpost.gateway.rollouts.model import ResultState
-from larkpost.platform.stand_in.engine_state import output_of
+from larkpost.platform.stand_in.engine_state import expected_output
 from larkpost.platform.stand_in.rows import TRAINING
 from tests import platform_checks as checks
 from tests.process_soak.records import Evacuation, Records
@@ -16,7 +16,7 @@
 """Time after the acknowledgement of a configuration until it is in force everywhere."""
 CANCEL_SECONDS = 3.0
 """Time after the acknowledgement of a batch's end within which its items may still arrive."""
-TOLD_SECONDS = 4.0
+CRASH_REPORT_SECONDS = 4.0
 """Time after a fault until each daemon has heard of all crashes: 3 s, and a start takes one."""
 FAULT_SLACK_SECONDS = 12.0
 """Time around a fault in which the rules with time bounds excuse a daemon."""
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class Judge:
+class InvariantChecker:
     """Remembers what was promised and read, and checks it.
 
     Attributes:
@@ -66,13 +66,13 @@
 
     batches: dict[str, SubmittedBatch] = field(default_factory=dict)
     asked: dict[str, bool] = field(default_factory=dict)
-    told_not_run: set[str] = field(default_factory=set)
+    reported_not_run: set[str] = field(default_factory=set)
     tenants: dict[str, str] = field(default_factory=dict)
-    dropped: dict[str, float] = field(default_factory=dict)
+    revoked: dict[str, float] = field(default_factory=dict)
     fault_times: list[float] = field(default_factory=list)
-    hindrances: list[tuple[float, float]] = field(default_factory=list)
+    disruptions: list[tuple[float, float]] = field(default_factory=list)
     evacuations: Sequence[Evacuation] = ()
-    untold: list[tuple[float, float]] = field(default_factory=list)
+    crash_report_gaps: list[tuple[float, float]] = field(default_factory=list)
 
     def take_page(self, batch: SubmittedBatch, position: int, results: list[dict]) -> None:
         """Takes results that a daemon has given; what was read before must come again."""
@@ -111,7 +111,7 @@
             call = batch.calls[result["id"]]
             runs = records.runs.get(call, [])
             if result["state"] == ResultState.DONE:
-                text = b"\n".join(output_of(result["id"])).decode()
+                text = b"\n".join(expected_output(result["id"])).decode()
                 checks.check_text(
                     result["id"],
                     result["message"],
@@ -145,7 +145,7 @@
             assert name in submitted or name in self.asked, f"{name} runs, but nobody sent it"
             if self.asked.get(name):
                 assert len(runs) == 1, f"{name} ran {len(runs)} times"
-                assert name not in self.told_not_run, f"{name} was told not run, but ran"
+                assert name not in self.reported_not_run, f"{name} was told not run, but ran"
 
     def _check_tenants(self, records: Records) -> None:
         """Servers get the tenant of each request; what carried a dropped key does not run."""
@@ -155,7 +155,7 @@
         for name, runs in records.runs.items():
             for run in runs:
                 assert run.tenant == owners.get(name), f"{name} ran as {run.tenant}"
-        for name, dropped_at in self.dropped.items():
+        for name, dropped_at in self.revoked.items():
             for run in records.runs.get(name, ()):
                 late = run.began > dropped_at + APPLY_SECONDS
                 assert not (late and self._is_calm(run.began)), f"{name} ran with a dropped key"
@@ -163,7 +163,7 @@
     def _check_evacuated(self, records: Records) -> None:
         """Nothing reaches an evacuated zone once every daemon had to know."""
         for span in self.evacuations:
-            known_at = checks.known_by(span.began_at, sorted(self.hindrances))
+            known_at = checks.known_by(span.began_at, sorted(self.disruptions))
             for name, runs in records.runs.items():
                 for run in runs:
                     if run.zone == span.zone:
@@ -174,13 +174,13 @@
         for path, runs in records.crashes.items():
             for run in runs:
                 assert run.request in self.asked, f"{run.request} runs, but nobody sent it"
-            counted = [run.began for run in runs if self._is_told(run.began)]
+            counted = [run.began for run in runs if self._is_crash_reported(run.began)]
             checks.check_crashes(path, sorted(run.began for run in runs), counted)
 
-    def _is_told(self, at: float) -> bool:
+    def _is_crash_reported(self, at: float) -> bool:
         """Returns whether nothing has lost or delayed news of crashes for a while."""
-        since = at - TOLD_SECONDS
-        return not any(start <= at and end >= since for start, end in self.untold)
+        since = at - CRASH_REPORT_SECONDS
+        return not any(start <= at and end >= since for start, end in self.crash_report_gaps)
 
     def missing(self) -> list[str]:
         """Returns the accepted batches that are neither whole nor ended."""
--- a/tests/process_soak/site.py
+++ b/tests/process_soak/site.py
@@ -12,12 +12,12 @@
 from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
 from larkpost.gateway.store.port import RowKey, Transaction, WriteOutcome
 from larkpost.platform import names
-from larkpost.platform.stand_in.daemon_settings import DaemonPlace, write_settings
+from larkpost.platform.stand_in.daemon_settings import DaemonSettings, write_settings
 from larkpost.platform.stand_in.programs import server_arguments
 from larkpost.platform.stand_in.rows import (
     StandInServer,
-    configuration_change,
-    version_change,
+    configuration_transaction,
+    version_transaction,
 )
 from larkpost.platform.store import HttpStore
 from larkpost.rehearsal.processes import Process, ProcessGroup, free_address
@@ -43,7 +43,7 @@
 STORE_SECONDS = 2.0
 CRASH_STATUS = 1
 """Exit status of a server that a request has crashed."""
-CRASH_LOOK_SECONDS = 0.1
+CRASH_POLL_SECONDS = 0.1
 CRASH_RESTART_SECONDS = 2.5
 
 
@@ -63,7 +63,7 @@
 class Daemon:
     """A daemon's place: its settings, its links, and its process."""
 
-    place: DaemonPlace
+    place: DaemonSettings
     environment: dict[str, str]
     front: FaultProxy
     store: FaultProxy
@@ -142,7 +142,7 @@
         """Writes a newer configuration, with a route that the one before had not."""
         self._configuration += 1
         slots = ENGINE_SLOTS
-        change = configuration_change(self._configuration, ENGINES, PAGES, slots, (MODEL,))
+        change = configuration_transaction(self._configuration, ENGINES, PAGES, slots, (MODEL,))
         document = orjson.loads(change.puts[0][1])
         pages = next(route for route in document["routes"] if route["service"] == PAGES)
         pages["max-attempts"] = CALL_ATTEMPTS
@@ -155,7 +155,7 @@
 
     async def name_version(self, model: ModelName, version: int) -> None:
         """Names a weight version."""
-        await self.write(version_change(model, version))
+        await self.write(version_transaction(model, version))
 
     def _proxies(self) -> list[FaultProxy]:
         fronts = [daemon.front for daemon in self.daemons]
@@ -165,7 +165,7 @@
     async def new_daemon(self) -> Daemon:
         """Starts a daemon under a new name, behind links of its own."""
         front, store = FaultProxy(free_address()), FaultProxy(self._daemons_store)
-        place = DaemonPlace(
+        place = DaemonSettings(
             f"daemon-{self._started}",
             ZoneId("z"),
             front.upstream,
@@ -180,7 +180,7 @@
         environment = write_settings(place, self._folder)
         return Daemon(place, environment, front, store, self.start_daemon(place, environment))
 
-    def start_daemon(self, place: DaemonPlace, environment: dict[str, str]) -> Process:
+    def start_daemon(self, place: DaemonSettings, environment: dict[str, str]) -> Process:
         """Starts the process of a daemon."""
         mutants = [self._mutant] if self._mutant is not None else []
         return self._group.start_module(
@@ -214,7 +214,7 @@
                 process = server.process
                 if process.popen.poll() == CRASH_STATUS and server.number not in self._crashed:
                     self._crashed[server.number] = asyncio.create_task(self._start_next(server))
-            await asyncio.sleep(CRASH_LOOK_SECONDS)
+            await asyncio.sleep(CRASH_POLL_SECONDS)
 
     async def _start_next(self, server: Server) -> None:
         process = server.process
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -9,7 +9,7 @@
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.platform.descriptors import (
     RESERVED_DESCRIPTORS,
-    DescriptorGuard,
+    DescriptorMonitor,
     DescriptorUse,
 )
 from larkpost.platform.http_protocol import Listener
@@ -48,10 +48,10 @@
         self.addAsyncCleanup(self.listener.close)
         self.host, port = address.split(":")
         self.port = int(port)
-        self.guard = DescriptorGuard(
+        self.monitor = DescriptorMonitor(
             RESERVED_DESCRIPTORS + SOCKETS,
             lambda: len(self.listener.connections),
-            self.listener.shed,
+            self.listener.close_idle,
             self.lifecycle,
             EventLog("daemon"),
         )
@@ -63,7 +63,7 @@
         writer.write(request)
         return reader, writer
 
-    async def rest(self, count: int) -> list:
+    async def open_idle(self, count: int) -> list:
         """Opens connections that rest after an answer, and returns their readers."""
         readers = []
         for _ in range(count):
@@ -72,7 +72,7 @@
             readers.append(reader)
         return readers
 
-    async def work(self, count: int) -> list:
+    async def open_busy(self, count: int) -> list:
         """Opens connections whose requests are being answered, and returns their readers."""
         slow = REQUEST.replace(b"/ ", b"/slow ", 1)
         readers = [(await self.connect(slow))[0] for _ in range(count)]
@@ -80,35 +80,35 @@
         return readers
 
     async def test_few_resting_connections_are_left_alone(self):
-        readers = await self.rest(SOCKETS // 2)
-        self.guard.check()
+        readers = await self.open_idle(SOCKETS // 2)
+        self.monitor.check()
         await asyncio.sleep(0.05)
         self.assertFalse(any(reader.at_eof() for reader in readers))
 
     async def test_longest_resting_connections_are_closed_before_descriptors_run_out(self):
-        working = await self.work(4)
-        resting = await self.rest(14)
-        self.guard.check()
+        working = await self.open_busy(4)
+        idle = await self.open_idle(14)
+        self.monitor.check()
         await asyncio.sleep(0.05)
-        self.assertEqual([True] * 3 + [False] * 11, [reader.at_eof() for reader in resting])
+        self.assertEqual([True] * 3 + [False] * 11, [reader.at_eof() for reader in idle])
         self.assertTrue(self.lifecycle.ready)
         self.app.release.set()
         for reader in working:
             await asyncio.wait_for(reader.readuntil(b"ok"), 1)
 
     async def test_daemon_whose_connections_are_all_in_use_is_not_ready_until_some_end(self):
-        working = await self.work(SOCKETS)
-        self.guard.check()
+        working = await self.open_busy(SOCKETS)
+        self.monitor.check()
         self.assertFalse(self.lifecycle.ready)
         self.app.release.set()
         for reader in working:
             await asyncio.wait_for(reader.readuntil(b"ok"), 1)
-        self.guard.check()
+        self.monitor.check()
         self.assertTrue(self.lifecycle.ready)
 
     async def test_failure_to_accept_closes_resting_connections_at_once(self):
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(self.guard.record_failure)
+        loop.set_exception_handler(self.monitor.handle_loop_error)
         self.addCleanup(loop.set_exception_handler, None)
         context = {
             "message": "socket.accept() out of system resource",
@@ -116,7 +116,7 @@
         }
         loop.call_exception_handler(context)
         self.assertFalse(self.lifecycle.ready)
-        (reader,) = await self.rest(1)
+        (reader,) = await self.open_idle(1)
         loop.call_exception_handler(context)
         await asyncio.sleep(0.05)
         self.assertTrue(reader.at_eof())
@@ -127,7 +127,7 @@
     """The rule alone."""
 
     def test_rule_by_cases(self):
-        for used, closed, must_shed, above_calm, has_room in (
+        for used, closed, must_close_idle, above_calm, can_accept in (
             (0, 0, False, -75, True),
             (84, 0, False, 9, True),
             (85, 0, True, 10, True),
@@ -138,8 +138,8 @@
             (200, 106, True, 125, True),
         ):
             use = DescriptorUse(used, limit=100)
-            found = (use.must_shed(), use.count_above_calm(), use.has_room(closed))
-            self.assertEqual((must_shed, above_calm, has_room), found, (used, closed))
+            found = (use.must_close_idle(), use.count_excess(), use.can_accept(closed))
+            self.assertEqual((must_close_idle, above_calm, can_accept), found, (used, closed))
 
 
 if __name__ == "__main__":
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -20,13 +20,13 @@
 from larkpost.gateway.blackboard.configuration import ServiceName
 from larkpost.gateway.store.port import RowKey, Transaction
 from larkpost.platform import names
-from larkpost.platform.stand_in.daemon_settings import DaemonPlace, ready_path, write_settings
+from larkpost.platform.stand_in.daemon_settings import DaemonSettings, ready_path, write_settings
 from larkpost.platform.stand_in.rows import (
     HOST,
     LIMITS,
     PAGE_PREFIX,
     StandInServer,
-    server_change,
+    server_transaction,
 )
 from larkpost.platform.store import HttpStore
 from larkpost.rehearsal.processes import ProcessGroup, answers, free_address
@@ -93,7 +93,7 @@
         await listening.start(*split_address(own))
         self.addAsyncCleanup(listening.close)
         front, ready, peer = free_address(), free_address(), free_address()
-        place = DaemonPlace("daemon", ZoneId("z"), front, ready, peer, store, MACHINE_MB)
+        place = DaemonSettings("daemon", ZoneId("z"), front, ready, peer, store, MACHINE_MB)
         environment = write_settings(place, folder)
         self.daemon = group.start_module(
             "daemon", "larkpost.platform.process", environment=environment
@@ -112,7 +112,7 @@
         server = StandInServer(InstanceId("e0"), PAGES, own, ZoneId("z"), 64, {})
         while True:
             await self.client.write(self.configuration(), 1.0)
-            await self.client.write(server_change(server), 1.0)
+            await self.client.write(server_transaction(server), 1.0)
             await asyncio.sleep(HEARTBEAT_SECONDS)
 
     def configuration(self) -> Transaction:
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -29,26 +29,26 @@
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.servers.port import OrderOutcome, OutgoingRequest, VersionOrder
 from larkpost.gateway.store.port import RowKey, Transaction, WriteOutcome
-from larkpost.platform.connections import MIN_ADDRESSES_KEPT, make_session
+from larkpost.platform.connections import MIN_TRACKED_ADDRESSES, make_session
+from larkpost.platform.dead_connection_rule import (
+    ABANDONED_CALL_TIMEOUT,
+    ABORT_TIMEOUT,
+    MAX_BODY_PAUSE_SECONDS,
+    MIN_ABORT_TIMEOUT_SECONDS,
+    PendingCall,
+    has_timed_out,
+    is_server_slow,
+)
+from larkpost.platform.dead_connections import (
+    ADDRESS_RETENTION_SECONDS,
+    SUSPECT_COOLDOWN_SECONDS,
+    CallKind,
+    DeadConnectionDetector,
+    UpstreamKind,
+)
 from larkpost.platform.http_protocol import Listener
 from larkpost.platform.peer_store import PeerStoreApp
 from larkpost.platform.servers import HttpServers
-from larkpost.platform.silence import (
-    FORGET_SECONDS,
-    SUSPICION_PAUSE_SECONDS,
-    CallKind,
-    Peer,
-    SilenceWatch,
-)
-from larkpost.platform.silence_rule import (
-    ABANDONED,
-    ENDING,
-    MAX_PAUSE_SECONDS,
-    MIN_SILENCE_SECONDS,
-    CallWait,
-    is_slowness,
-    is_too_long,
-)
 from larkpost.platform.stand_in.memory_store import MemoryStore
 from larkpost.platform.stand_in.store_app import StoreApp
 from larkpost.platform.store import READ_TIMEOUT_SECONDS, HttpStore
@@ -65,14 +65,14 @@
 """A request that is not answered by then has failed."""
 SLACK_SECONDS = 0.4
 """What a busy machine adds to a time."""
-LATE_SECONDS = MIN_SILENCE_SECONDS + SLACK_SECONDS
+LATE_SECONDS = MIN_ABORT_TIMEOUT_SECONDS + SLACK_SECONDS
 """An answer to a call that met a silent connection is here by then."""
 SETTLING_CALLS = 40
 """Calls one after another, after which the time that many at once take is no longer the usual."""
 REPORT = b'{"seq":0,"busy":false,"models":[]}'
 
 
-class Notes:
+class LogRecorder:
     """A log that keeps what it is told."""
 
     def __init__(self) -> None:
@@ -83,7 +83,7 @@
         self.lines.append((event, fields))
 
 
-def count_silences(metrics: Metrics, peer: Peer) -> float:
+def count_dead_connections(metrics: Metrics, peer: UpstreamKind) -> float:
     """Returns how often connections of a kind were taken for silent."""
     name = Count.SILENT_CONNECTIONS.value
     return metrics.registry.get_sample_value(name, {"to": peer}) or 0.0
@@ -100,7 +100,9 @@
         self.metrics = Metrics()
         self.store = HttpStore(self.link.address, ROW_BYTES, self.metrics)
         helper = HttpStore(store_address, ROW_BYTES)
-        self.by_peer = HttpStore(self.peer_link.address, ROW_BYTES, self.metrics, None, Peer.PEER)
+        self.by_peer = HttpStore(
+            self.peer_link.address, ROW_BYTES, self.metrics, None, UpstreamKind.PEER
+        )
         for part in (
             HttpServer(StoreApp(self.memory, clock).app(), store_address),
             HttpServer(PeerStoreApp(helper), peer_address),
@@ -124,7 +126,7 @@
             result = await self.store.write(CHANGE, 1.5)
         self.assertIs(WriteOutcome.UNKNOWN, result.outcome)
         self.assertEqual({}, self.memory.rows)
-        self.assertEqual(1.0, count_silences(self.metrics, Peer.STORE))
+        self.assertEqual(1.0, count_dead_connections(self.metrics, UpstreamKind.STORE))
 
     async def test_write_to_a_store_that_turns_slow_is_answered(self):
         """All its answers come late, also those on new connections."""
@@ -168,13 +170,13 @@
         self.link.harm(LinkFault.OLD_SILENT)
         async with asyncio.timeout(2 * wait + LATE_SECONDS):
             await feed
-        self.assertEqual(1.0, count_silences(self.metrics, Peer.STORE))
+        self.assertEqual(1.0, count_dead_connections(self.metrics, UpstreamKind.STORE))
 
     async def test_held_feed_that_nothing_changes_is_not_taken_for_silent(self):
         await self.open_connections(self.store)
-        await self.store.changes("table", 0, 3 * MIN_SILENCE_SECONDS)
+        await self.store.changes("table", 0, 3 * MIN_ABORT_TIMEOUT_SECONDS)
         self.assertEqual(3, self.link.connections)
-        self.assertEqual(0.0, count_silences(self.metrics, Peer.STORE))
+        self.assertEqual(0.0, count_dead_connections(self.metrics, UpstreamKind.STORE))
 
     async def test_peer_is_reached_on_a_new_connection(self):
         await self.open_connections(self.by_peer)
@@ -182,14 +184,14 @@
         async with asyncio.timeout(LATE_SECONDS):
             await self.by_peer.read("table", "part")
         self.assertEqual(4, self.peer_link.connections)
-        self.assertEqual(1.0, count_silences(self.metrics, Peer.PEER))
+        self.assertEqual(1.0, count_dead_connections(self.metrics, UpstreamKind.PEER))
 
     async def test_many_calls_at_once_open_no_more_connections_than_they_need(self):
         await self.open_connections(self.store)
         self.link.harm(LinkFault.OLD_SILENT)
         await self.open_connections(self.store)
         self.assertEqual(6, self.link.connections)
-        self.assertEqual(1.0, count_silences(self.metrics, Peer.STORE))
+        self.assertEqual(1.0, count_dead_connections(self.metrics, UpstreamKind.STORE))
 
     async def test_store_that_is_gone_is_not_tried_for_longer_than_before(self):
         await self.open_connections(self.store)
@@ -199,7 +201,7 @@
         async with asyncio.timeout(READ_TIMEOUT_SECONDS + SLACK_SECONDS):
             result = await self.store.write(CHANGE, 0.5)
         self.assertIs(WriteOutcome.UNKNOWN, result.outcome)
-        self.assertEqual(1.0, count_silences(self.metrics, Peer.STORE))
+        self.assertEqual(1.0, count_dead_connections(self.metrics, UpstreamKind.STORE))
 
 
 class MemoryTest(unittest.IsolatedAsyncioTestCase):
@@ -207,42 +209,44 @@
 
     def test_addresses_without_connections_are_forgotten_after_a_while(self):
         now = 0.0
-        silences = SilenceWatch(Peer.SERVER, now=lambda: now)
+        detector = DeadConnectionDetector(UpstreamKind.SERVER, now=lambda: now)
         for number in range(500):
             now += 1.0
-            line = silences.open(Address(f"10.0.0.1:{number}"))
-            silences.begin_call(line, CallKind.REQUEST, 0.0)
-            silences.record_bytes(line)
-            silences.suspect(line)
-            silences.close(line)
-        for kept in (silences._usual_times, silences._suspected_at, silences._left_at):
-            self.assertLessEqual(len(kept), FORGET_SECONDS + 1)
+            line = detector.open(Address(f"10.0.0.1:{number}"))
+            detector.begin_call(line, CallKind.REQUEST, 0.0)
+            detector.record_bytes(line)
+            detector.mark_suspect(line)
+            detector.close(line)
+        for kept in (detector._typical_latencies, detector._suspected_at, detector._unused_since):
+            self.assertLessEqual(len(kept), ADDRESS_RETENTION_SECONDS + 1)
 
     def test_address_with_a_connection_is_remembered(self):
         now = 0.0
-        silences = SilenceWatch(Peer.SERVER, now=lambda: now)
-        line = silences.open(ADDRESS)
-        silences.close(silences.open(ADDRESS))
-        silences.begin_call(line, CallKind.REQUEST, 0.0)
+        detector = DeadConnectionDetector(UpstreamKind.SERVER, now=lambda: now)
+        line = detector.open(ADDRESS)
+        detector.close(detector.open(ADDRESS))
+        detector.begin_call(line, CallKind.REQUEST, 0.0)
         now = 0.3
-        silences.record_bytes(line)
-        now += 10 * FORGET_SECONDS
-        silences.open(Address("10.0.0.2:1"))
-        silences.begin_call(line, CallKind.REQUEST, 0.0)
-        self.assertGreater(silences.limit_of(line), MIN_SILENCE_SECONDS)
+        detector.record_bytes(line)
+        now += 10 * ADDRESS_RETENTION_SECONDS
+        detector.open(Address("10.0.0.2:1"))
+        detector.begin_call(line, CallKind.REQUEST, 0.0)
+        self.assertGreater(detector.timeout_of(line), MIN_ABORT_TIMEOUT_SECONDS)
 
     async def test_connector_forgets_servers_to_which_no_connection_rests(self):
-        async with make_session(SilenceWatch(Peer.SERVER)) as session:
-            for number in range(3 * MIN_ADDRESSES_KEPT):
+        async with make_session(DeadConnectionDetector(UpstreamKind.SERVER)) as session:
+            for number in range(3 * MIN_TRACKED_ADDRESSES):
                 server = Address(f"10.0.0.1:{number}")
                 key = ConnectionKey("10.0.0.1", number, False, True, None, None, None)
-                session.connector.record_idle_time(server, 5.0)
+                session.connector.record_keep_alive(server, 5.0)
                 self.assertIsNone(await session.connector._get(key, ()))
-            self.assertLessEqual(len(session.connector._keys), MIN_ADDRESSES_KEPT + 1)
-            self.assertLessEqual(len(session.connector._idle_times), MIN_ADDRESSES_KEPT + 1)
+            self.assertLessEqual(len(session.connector._connection_keys), MIN_TRACKED_ADDRESSES + 1)
+            self.assertLessEqual(
+                len(session.connector._keep_alive_seconds), MIN_TRACKED_ADDRESSES + 1
+            )
 
 
-class Pages:
+class PageServer:
     """A server that answers after a while, or in events."""
 
     def __init__(self, name: str) -> None:
@@ -308,15 +312,15 @@
 
     async def asyncSetUp(self):
         self.metrics = Metrics()
-        self.log = Notes()
+        self.log = LogRecorder()
         self.servers = HttpServers(self.metrics, self.log)
         self.addAsyncCleanup(self.servers.close)
         self.pages = await self.serve("i-1")
         self.instance = self.pages.instance
 
-    async def serve(self, name: str) -> Pages:
+    async def serve(self, name: str) -> PageServer:
         """Starts a server."""
-        pages = Pages(name)
+        pages = PageServer(name)
         await pages.start()
         self.addAsyncCleanup(pages.close)
         return pages
@@ -373,32 +377,32 @@
             async with asyncio.timeout(0.03):
                 await self.ask(9)
         self.assertTrue(self.servers.is_connected(self.instance))
-        self.assertEqual(0.0, count_silences(self.metrics, Peer.SERVER))
+        self.assertEqual(0.0, count_dead_connections(self.metrics, UpstreamKind.SERVER))
 
     async def test_connections_in_use_are_not_kept_once_they_are_free(self):
         await self.open_connections(2)
-        self.pages.events, self.pages.gap = 3, MIN_SILENCE_SECONDS
+        self.pages.events, self.pages.gap = 3, MIN_ABORT_TIMEOUT_SECONDS
         long = asyncio.create_task(self.ask(8))
         await asyncio.sleep(0.05)
         self.pages.events = 0
-        silences = self.servers._kept.connector._silences
-        lines = silences._records[self.instance.address]
-        silences.suspect(next(iter(lines)))
+        detector = self.servers._pooled.connector._detector
+        lines = detector._records[self.instance.address]
+        detector.mark_suspect(next(iter(lines)))
         await long
         self.assertFalse(self.servers.is_connected(self.instance))
 
     async def test_slow_server_keeps_its_connections(self):
         """New ones are as slow, and a connection that has never answered shows nothing."""
         await self.open_connections()
-        self.pages.delay = 3 * MIN_SILENCE_SECONDS
+        self.pages.delay = 3 * MIN_ABORT_TIMEOUT_SECONDS
         for number in range(10, 15):
             await self.ask(number)
         self.assertLessEqual(self.pages.link.connections, 4)
-        self.assertLessEqual(count_silences(self.metrics, Peer.SERVER), 1.0)
+        self.assertLessEqual(count_dead_connections(self.metrics, UpstreamKind.SERVER), 1.0)
 
     async def test_single_slow_request_beside_others_shows_nothing(self):
         await self.open_connections()
-        self.pages.delay = 3 * MIN_SILENCE_SECONDS
+        self.pages.delay = 3 * MIN_ABORT_TIMEOUT_SECONDS
         slow = asyncio.create_task(self.ask(9))
         await asyncio.sleep(0.05)
         self.pages.delay = 0.0
@@ -406,14 +410,14 @@
             await self.ask(10)
             await asyncio.sleep(0.02)
         self.assertEqual(3, self.pages.link.connections)
-        self.assertEqual(0.0, count_silences(self.metrics, Peer.SERVER))
+        self.assertEqual(0.0, count_dead_connections(self.metrics, UpstreamKind.SERVER))
 
     async def test_stream_that_falls_silent_midway_goes_on_over_a_new_connection(self):
         await self.open_connections()
         self.pages.events, self.pages.gap = 20, 0.1
         seen = []
         with self.assertRaises(TimeoutError):
-            async with asyncio.timeout(MAX_PAUSE_SECONDS + 0.5) as limit:
+            async with asyncio.timeout(MAX_BODY_PAUSE_SECONDS + 0.5) as limit:
                 request = page_request(9, repeat=False)
                 async with self.servers.send(self.instance, request) as answer:
                     async for event in answer.events():
@@ -421,7 +425,7 @@
                         if event.id == 3:
                             self.pages.link.harm(LinkFault.OLD_SILENT)
                             now = asyncio.get_running_loop().time()
-                            limit.reschedule(now + MAX_PAUSE_SECONDS + 0.2)
+                            limit.reschedule(now + MAX_BODY_PAUSE_SECONDS + 0.2)
         self.assertEqual([1, 2, 3], seen)
         self.pages.events = 1
         async with asyncio.timeout(2 * SLACK_SECONDS):
@@ -447,7 +451,7 @@
         self.pages.delay = 0.0
         self.pages.link.harm(LinkFault.OLD_SILENT)
         self.assertIsNone(await self.servers.report(self.instance, 0.4))
-        self.assertEqual(1.0, count_silences(self.metrics, Peer.SERVER))
+        self.assertEqual(1.0, count_dead_connections(self.metrics, UpstreamKind.SERVER))
 
 
 class ForwardedTest(unittest.IsolatedAsyncioTestCase):
@@ -458,7 +462,7 @@
         self.servers = HttpServers()
         self.addAsyncCleanup(self.servers.close)
         directory = Directory()
-        self.all_pages = [Pages(name) for name in names]
+        self.all_pages = [PageServer(name) for name in names]
         self.slowest = 0.0
         for pages in self.all_pages:
             await pages.start()
@@ -474,7 +478,7 @@
         for pages in self.all_pages:
             await self.settle(pages)
 
-    async def settle(self, pages: Pages) -> None:
+    async def settle(self, pages: PageServer) -> None:
         """Makes calls to one server until its usual time is that of a call alone.
 
         Requests through the forwarder would all go to the quicker server, and the other one would
@@ -494,7 +498,7 @@
         `LATE_SECONDS`, unless calls alone take so long here that a connection is waited for longer:
         beside 14 busy processes they took 0.14 s, and the test failed in 2 of 30 runs.
         """
-        return max(LATE_SECONDS, ENDING.factor * self.slowest + SLACK_SECONDS)
+        return max(LATE_SECONDS, ABORT_TIMEOUT.latency_factor * self.slowest + SLACK_SECONDS)
 
     async def ask(self) -> None:
         """Makes a request that may be repeated."""
@@ -534,55 +538,55 @@
         self.assertLessEqual(late, 2)
 
 
-class SilencesTest(unittest.TestCase):
+class DetectorTest(unittest.TestCase):
     """The judgement alone, with a clock of its own."""
 
     def setUp(self):
         self.time = 100.0
-        self.silences = SilenceWatch(Peer.SERVER, now=lambda: self.time)
+        self.detector = DeadConnectionDetector(UpstreamKind.SERVER, now=lambda: self.time)
 
     def open(self):
         """Returns a connection that has answered a call."""
-        line = self.silences.open(ADDRESS)
+        line = self.detector.open(ADDRESS)
         self.call(line, 0.01)
         return line
 
     def call(self, line, seconds: float | None, held: float = 0.0) -> None:
         """Makes a call that is answered after some time, or never."""
-        self.silences.begin_call(line, CallKind.REQUEST, held)
+        self.detector.begin_call(line, CallKind.REQUEST, held)
         if seconds is not None:
             self.time += seconds
-            self.silences.record_bytes(line)
+            self.detector.record_bytes(line)
 
     def test_silence_is_long_by_the_usual_time(self):
         line = self.open()
         self.call(line, 0.3)
         self.call(line, None)
         self.time += 1.1
-        self.assertFalse(self.silences.is_silent(line))
+        self.assertFalse(self.detector.is_dead(line))
         self.time += 0.2
-        self.assertTrue(self.silences.is_silent(line))
+        self.assertTrue(self.detector.is_dead(line))
 
     def test_held_call_is_silent_only_after_its_time(self):
         line = self.open()
         self.call(line, None, held=1.0)
         self.time += 1.2
-        self.assertFalse(self.silences.is_silent(line))
+        self.assertFalse(self.detector.is_dead(line))
         self.time += 0.1
-        self.assertTrue(self.silences.is_silent(line))
+        self.assertTrue(self.detector.is_dead(line))
 
     def test_held_call_teaches_no_usual_time(self):
         line = self.open()
         self.call(line, 1.0, held=1.0)
         self.call(line, None)
-        self.time += MIN_SILENCE_SECONDS + 0.01
-        self.assertTrue(self.silences.is_silent(line))
+        self.time += MIN_ABORT_TIMEOUT_SECONDS + 0.01
+        self.assertTrue(self.detector.is_dead(line))
 
     def test_new_connection_that_never_answered_shows_nothing(self):
-        line = self.silences.open(ADDRESS)
+        line = self.detector.open(ADDRESS)
         self.call(line, None)
         self.time += 100.0
-        self.assertFalse(self.silences.is_silent(line))
+        self.assertFalse(self.detector.is_dead(line))
 
     def test_bytes_on_new_connections_prove_nothing_for_old_ones(self):
         line = self.open()
@@ -590,22 +594,22 @@
         self.time += 0.2
         self.open()
         self.time += 0.1
-        self.assertTrue(self.silences.is_silent(line))
+        self.assertTrue(self.detector.is_dead(line))
 
     def test_connections_opened_since_are_trusted_for_a_while(self):
         old = self.open()
-        self.silences.suspect(old)
+        self.detector.mark_suspect(old)
         self.time += 0.1
         young = self.open()
-        self.silences.suspect(young)
-        self.assertEqual((True, False), tuple(map(self.silences.is_suspect, (old, young))))
-        self.time += SUSPICION_PAUSE_SECONDS
-        self.silences.suspect(young)
-        self.assertTrue(self.silences.is_suspect(young))
+        self.detector.mark_suspect(young)
+        self.assertEqual((True, False), tuple(map(self.detector.is_suspect, (old, young))))
+        self.time += SUSPECT_COOLDOWN_SECONDS
+        self.detector.mark_suspect(young)
+        self.assertTrue(self.detector.is_suspect(young))
 
     def test_rule_by_cases(self):
         """Each case changes one input of a wait that is too long and shows a silent connection."""
-        silent = CallWait(now=10.0, since=9.0, limit=0.5, hold_time=0.25, received_at=8.0)
+        silent = PendingCall(now=10.0, since=9.0, limit=0.5, hold_time=0.25, received_at=8.0)
         for change, others_received_at, too_long, slow in (
             ({}, None, True, False),
             ({"received_at": None}, None, False, False),
@@ -620,24 +624,24 @@
             ({"limit": 0.25}, 9.625, True, False),
         ):
             wait = replace(silent, **change)
-            found = (is_too_long(wait), is_slowness(wait, others_received_at))
+            found = (has_timed_out(wait), is_server_slow(wait, others_received_at))
             self.assertEqual((too_long, slow), found, (change, others_received_at))
 
     def test_limits_by_usual_time(self):
         for limit, usual, seconds in (
-            (ENDING, 0.0, 0.25),
-            (ENDING, 0.0625, 0.25),
-            (ENDING, 0.125, 0.5),
-            (ENDING, 1.0, 1.5),
-            (ABANDONED, 0.0, 0.08),
-            (ABANDONED, 0.125, 0.25),
-            (ABANDONED, 1.0, 1.5),
+            (ABORT_TIMEOUT, 0.0, 0.25),
+            (ABORT_TIMEOUT, 0.0625, 0.25),
+            (ABORT_TIMEOUT, 0.125, 0.5),
+            (ABORT_TIMEOUT, 1.0, 1.5),
+            (ABANDONED_CALL_TIMEOUT, 0.0, 0.08),
+            (ABANDONED_CALL_TIMEOUT, 0.125, 0.25),
+            (ABANDONED_CALL_TIMEOUT, 1.0, 1.5),
         ):
             self.assertEqual(seconds, limit.seconds(usual), (limit, usual))
 
     def test_closed_connections_are_forgotten(self):
-        self.silences.close(self.open())
-        self.assertEqual({}, self.silences._records)
+        self.detector.close(self.open())
+        self.assertEqual({}, self.detector._records)
 
 
 class AcceptedTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_stream_events.py
+++ b/tests/test_stream_events.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from larkpost.platform.events import EventDecoder
+from larkpost.platform.event_stream import EventDecoder
 
 STREAM = b"id: 1\r\ndata: a\r\n\r\nid: 2\r\ndata: b\r\n\r\n"
 
@@ -16,7 +16,7 @@
             events = [*decoder.feed(STREAM[:cut]), *decoder.feed(STREAM[cut:])]
             found = [(event.id, event.data) for event in events]
             self.assertEqual([(1, b"a"), (2, b"b")], found, cut)
-            self.assertFalse(decoder.partial, cut)
+            self.assertFalse(decoder.has_partial_event, cut)
 
 
 if __name__ == "__main__":
