--- a/src/larkpost/gateway/assembly/balancing.py
+++ b/src/larkpost/gateway/assembly/balancing.py
@@ -55,5 +55,5 @@
         blackboard.regions,
         DaemonSubsets(own, alive),
     )
-    balancer = Balancer(blackboard.directory, ports.clock, ports.chance, sources)
+    balancer = Balancer(blackboard.directory, ports.clock, ports.rng, sources)
     return Balancing(cold_senders, cold, isolation, balancer)
--- a/src/larkpost/gateway/assembly/client_requests.py
+++ b/src/larkpost/gateway/assembly/client_requests.py
@@ -38,12 +38,12 @@
             ports.clock,
             ports.log,
             ports.metrics,
-            ShareChooser(ports.chance),
+            ShareChooser(ports.rng),
             counter,
             blackboard.configuration.priority_of,
             crashes,
             trials,
             ledger,
-            ports.chance,
+            ports.rng,
         )
     )
--- a/src/larkpost/gateway/assembly/environment.py
+++ b/src/larkpost/gateway/assembly/environment.py
@@ -77,4 +77,4 @@
     relay: RelayedStore | None = None
     usage: UsagePort | None = None
     scaling: ScalingPort | None = None
-    chance: random.Random = field(default_factory=random.Random)
+    rng: random.Random = field(default_factory=random.Random)
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -79,7 +79,7 @@
         self.blackboard = Blackboard(settings.regions)
         self.configuration = self.blackboard.configuration
         self.directory = self.blackboard.directory
-        self.memory = DaemonMemory(settings.byte_budget, self._instruments, ports.chance)
+        self.memory = DaemonMemory(settings.byte_budget, self._instruments, ports.rng)
         self._make_placement()
         self._make_membership()
         self._make_quarantine()
@@ -156,7 +156,7 @@
             ports.clock,
             ports.log,
             ports.metrics,
-            ShareChooser(ports.chance),
+            ShareChooser(ports.rng),
             ports.store.time,
             asyncio.Semaphore(MAX_CALLS_IN_FLIGHT),
             self._division,
--- a/src/larkpost/gateway/fairness/least_service.py
+++ b/src/larkpost/gateway/fairness/least_service.py
@@ -62,9 +62,9 @@
             tenant with a request at each of many daemons would never be served.
     """
 
-    def __init__(self, clock: Clock, chance: random.Random) -> None:
+    def __init__(self, clock: Clock, rng: random.Random) -> None:
         self._clock = clock
-        self._chance = chance
+        self._chance = rng
         self._services: dict[ServiceName, _ServiceCounts] = {}
         self._credits: dict[Flow, _Credit] = {}
         """The flow whose last request is the oldest comes first."""
--- a/src/larkpost/gateway/fairness/return_times.py
+++ b/src/larkpost/gateway/fairness/return_times.py
@@ -24,9 +24,9 @@
         chance: spreads the callers of different daemons, which know nothing of each other's lines.
     """
 
-    def __init__(self, clock: Clock, chance: random.Random) -> None:
+    def __init__(self, clock: Clock, rng: random.Random) -> None:
         self._clock = clock
-        self._chance = chance
+        self._chance = rng
         self._told: dict[Hashable, float] = {}
         """The line that was told a time longest ago comes first."""
 
--- a/src/larkpost/gateway/memory/budget.py
+++ b/src/larkpost/gateway/memory/budget.py
@@ -59,10 +59,10 @@
         on_refusal: told which reservation could not grow, and by how many bytes.
     """
 
-    def __init__(self, limit: int | None = None, chance: random.Random | None = None) -> None:
+    def __init__(self, limit: int | None = None, rng: random.Random | None = None) -> None:
         self.limit = limit
         self.on_refusal: Callable[[Reservation, int], None] = lambda *_: None
-        self._chance = chance or random.Random()
+        self._chance = rng or random.Random()
         self._held = dict.fromkeys(Purpose, 0)
 
     @property
--- a/src/larkpost/gateway/memory/daemon_memory.py
+++ b/src/larkpost/gateway/memory/daemon_memory.py
@@ -79,9 +79,9 @@
     """
 
     def __init__(
-        self, limit: int | None, instruments: Instruments, chance: random.Random | None = None
+        self, limit: int | None, instruments: Instruments, rng: random.Random | None = None
     ) -> None:
-        self.budget = ByteBudget(limit, chance)
+        self.budget = ByteBudget(limit, rng)
         self.budget.on_refusal = self._record_refusal
         self._instruments = instruments
         self._behind: dict[Delivery, str] = {}
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -85,7 +85,7 @@
         self,
         directory: Directory,
         clock: Clock,
-        chance: random.Random,
+        rng: random.Random,
         sources: BalancerSources | None = None,
     ) -> None:
         sources = sources or BalancerSources()
@@ -97,10 +97,8 @@
         self._own = OwnUse(directory, clock)
         self._peers = PeerUses(clock)
         self.paces = Paces(directory, clock, self._own, self._peers)
-        self._pool = ServerPool(directory, clock, chance, sources.subsets)
-        self._order = CandidateOrder(
-            self, clock, chance, sources.is_connected, self.paces.has_latency
-        )
+        self._pool = ServerPool(directory, clock, rng, sources.subsets)
+        self._order = CandidateOrder(self, clock, rng, sources.is_connected, self.paces.has_latency)
         self._forget_at = float("-inf")
         self._release_listeners: list[Callable[[InstanceId], None]] = []
 
--- a/src/larkpost/gateway/proxy/candidate_order.py
+++ b/src/larkpost/gateway/proxy/candidate_order.py
@@ -47,12 +47,12 @@
         self,
         beliefs: Beliefs,
         clock: Clock,
-        chance: random.Random,
+        rng: random.Random,
         is_connected: Callable[[InstanceInfo], bool],
         has_latency: Callable[[InstanceId], bool],
     ) -> None:
         self._beliefs = beliefs
-        self._chance = chance
+        self._chance = rng
         self._is_connected = is_connected
         self._has_latency = has_latency
         self._latency = LatencyFactors(clock)
--- a/src/larkpost/gateway/proxy/parts.py
+++ b/src/larkpost/gateway/proxy/parts.py
@@ -52,4 +52,4 @@
     crashes: KnownCrashes = field(default_factory=KnownCrashes)
     trials: Trials | None = None
     ledger: FlowLedger | None = None
-    chance: random.Random = field(default_factory=lambda: random.Random(0))
+    rng: random.Random = field(default_factory=lambda: random.Random(0))
--- a/src/larkpost/gateway/proxy/server_pool.py
+++ b/src/larkpost/gateway/proxy/server_pool.py
@@ -94,12 +94,12 @@
         self,
         directory: Directory,
         clock: Clock,
-        chance: random.Random,
+        rng: random.Random,
         subsets: DaemonSubsets | None = None,
     ) -> None:
         self._directory = directory
         self._clock = clock
-        self._chance = chance
+        self._chance = rng
         self._subsets = subsets
         self._searches: dict[_SearchKey, _Search] = {}
 
--- a/src/larkpost/gateway/proxy/shares.py
+++ b/src/larkpost/gateway/proxy/shares.py
@@ -19,8 +19,8 @@
             same one, the first requests of all daemons would go to one service.
     """
 
-    def __init__(self, chance: random.Random) -> None:
-        self._chance = chance
+    def __init__(self, rng: random.Random) -> None:
+        self._chance = rng
         self._credits: dict[str, dict[ServiceName, float]] = {}
 
     def choose(self, route: Route) -> ServiceName:
--- a/src/larkpost/gateway/proxy/spread_returns.py
+++ b/src/larkpost/gateway/proxy/spread_returns.py
@@ -25,10 +25,10 @@
 class SpreadReturns:
     """The times at which refused callers come back."""
 
-    def __init__(self, clock: Clock, chance: random.Random, ledger: FlowLedger) -> None:
+    def __init__(self, clock: Clock, rng: random.Random, ledger: FlowLedger) -> None:
         self._clock = clock
         self._ledger = ledger
-        self._times = ReturnTimes(clock, chance)
+        self._times = ReturnTimes(clock, rng)
 
     def spread(self, waiter: Waiter, forecast: Forecast) -> Forecast:
         """Returns the forecast of a refused request with a time of its own to come back."""
--- a/src/larkpost/gateway/proxy/turn_gate.py
+++ b/src/larkpost/gateway/proxy/turn_gate.py
@@ -77,9 +77,9 @@
         self._clock = parts.clock
         self._elapsed_times = ElapsedTimes(parts.clock)
         self._ledger = parts.ledger or FlowLedger(parts.clock)
-        self._least_service = LeastService(parts.clock, parts.chance)
+        self._least_service = LeastService(parts.clock, parts.rng)
         self._queues = RequestQueues(parts.clock, self._survey, self._ledger)
-        self._returns = SpreadReturns(parts.clock, parts.chance, self._ledger)
+        self._returns = SpreadReturns(parts.clock, parts.rng, self._ledger)
         self._share_record = ShareRecord(parts.clock, parts.log, parts.metrics, self._ledger)
 
     @property
--- a/src/larkpost/gateway/store/peers.py
+++ b/src/larkpost/gateway/store/peers.py
@@ -45,13 +45,13 @@
         connect: Callable[[Address], PeerStore],
         clock: Clock,
         log: EventLog,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self.current: PeerStore | None = None
         self._connect = connect
         self._clock = clock
         self._log = log
-        self._chance = chance
+        self._chance = rng
         self._distances: Callable[[], PeerDistances] = dict
         self._connected: dict[Address, PeerStore] = {}
         self._current_distance = Distance.SAME_ZONE
--- a/src/larkpost/gateway/store/relay.py
+++ b/src/larkpost/gateway/store/relay.py
@@ -59,12 +59,12 @@
         connect: Callable[[Address], PeerStore],
         clock: Clock,
         log: EventLog,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self.row_bytes = direct.row_bytes
         self._direct = direct
         self._log = log
-        self._peers = Peers(connect, clock, log, chance)
+        self._peers = Peers(connect, clock, log, rng)
         self._is_confined: Callable[[str], bool] = lambda _: False
 
     def start(
--- a/src/larkpost/platform/stand_in/memory_store.py
+++ b/src/larkpost/platform/stand_in/memory_store.py
@@ -47,9 +47,9 @@
 class MemoryStore:
     """Rows, conditions, a feed, and faults. Many `StoreClient`s share one."""
 
-    def __init__(self, clock: Clock, chance: random.Random | None = None) -> None:
+    def __init__(self, clock: Clock, rng: random.Random | None = None) -> None:
         self.clock = clock
-        self.chance = chance or random.Random(0)
+        self.rng = rng or random.Random(0)
         self.faults = StoreFaults()
         self.rows: dict[RowKey, Row] = {}
         self.written_at: dict[RowKey, float] = {}
@@ -132,7 +132,7 @@
             return WriteResult(WriteOutcome.UNKNOWN)
         if self._is_refused({key.part for key, _ in transaction.puts}):
             return WriteResult(WriteOutcome.NOT_DONE)
-        fate = store.chance.random()
+        fate = store.rng.random()
         if fate < faults.late_writes:
             store.late.append((store.clock.now() + faults.late_seconds, transaction))
             await store.clock.sleep(timeout)
--- a/tests/choice_cost.py
+++ b/tests/choice_cost.py
@@ -36,7 +36,7 @@
 
 def make_balancer(servers: int, daemons: int) -> Balancer:
     """Returns a balancer that knows the paces of most servers and the reports of some daemons."""
-    chance = random.Random(1)
+    rng = random.Random(1)
     board = Blackboard(RegionMap(ZoneId("z0"), ZONES))
     names = [InstanceId(f"s{number}") for number in range(servers)]
     for number, name in enumerate(names):
@@ -49,11 +49,11 @@
         regions=board.regions,
         subsets=DaemonSubsets(OWN, lambda: alive),
     )
-    balancer = Balancer(board.directory, LoopClock(), chance, sources)
-    for name in chance.sample(names, servers * 2 // 3):
-        balancer.record_pace(name, chance.uniform(0.03, 0.05))
+    balancer = Balancer(board.directory, LoopClock(), rng, sources)
+    for name in rng.sample(names, servers * 2 // 3):
+        balancer.record_pace(name, rng.uniform(0.03, 0.05))
     for number in range(REPORTS):
-        used = chance.sample(names, min(REPORTED, servers) // 2)
+        used = rng.sample(names, min(REPORTED, servers) // 2)
         balancer.record_peer_summary(DaemonId(f"d{number + 1}"), dict.fromkeys(used, (1, 0.03)))
     return balancer
 
--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -506,8 +506,8 @@
         log = EventLog(name)
         relay = None
         if self.relays:
-            chance = random.Random(name)
-            relay = RelayedStore(client, self._client_of, self.clock, log, chance)
+            rng = random.Random(name)
+            relay = RelayedStore(client, self._client_of, self.clock, log, rng)
         ports = GatewayPorts(
             relay or client,
             NotingServers(self.engines, len(self.gateways), self),
@@ -517,7 +517,7 @@
             relay=relay,
             usage=self.usage,
             scaling=self.scaling,
-            chance=random.Random(name),
+            rng=random.Random(name),
         )
         settings = GatewaySettings(
             name,
--- a/tests/process_soak/callers.py
+++ b/tests/process_soak/callers.py
@@ -56,14 +56,14 @@
         self,
         fronts: Callable[[], list[Address]],
         judge: Judge,
-        chance: random.Random,
+        rng: random.Random,
         name_version: Callable[[ModelName, int], Awaitable[None]],
         configured_at: Callable[[], dict[int, float]],
     ) -> None:
         self._configured_at = configured_at
         self._fronts = fronts
         self._judge = judge
-        self._chance = chance
+        self._chance = rng
         self._name_version = name_version
         self.step_seconds: list[float] = []
         self.abandoned = 0
--- a/tests/process_soak/plan.py
+++ b/tests/process_soak/plan.py
@@ -94,20 +94,20 @@
 
 def draw_plan(seed: int, seconds: float, gap: float) -> list[Fault]:
     """Returns the faults of a run of so many seconds, one about each ``gap`` seconds."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     faults = []
-    at = chance.uniform(0.5, 1.5) * gap
+    at = rng.uniform(0.5, 1.5) * gap
     while at < seconds:
-        kind = chance.choice(list(Kind))
+        kind = rng.choice(list(Kind))
         longest = LONGEST_SECONDS.get(kind, USUAL_LONGEST_SECONDS)
         faults.append(
             Fault(
                 round(at, 2),
                 kind,
-                round(chance.uniform(SHORTEST_SECONDS, longest), 2),
-                chance.randrange(1000),
-                chance.choice(GARBLES if kind is Kind.SERVER_GARBLES else LINK_FAULTS),
+                round(rng.uniform(SHORTEST_SECONDS, longest), 2),
+                rng.randrange(1000),
+                rng.choice(GARBLES if kind is Kind.SERVER_GARBLES else LINK_FAULTS),
             )
         )
-        at += chance.expovariate(1 / gap)
+        at += rng.expovariate(1 / gap)
     return faults
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -82,7 +82,7 @@
     """One fleet, its trainers and its troubles."""
 
     def __init__(self, seed: int, daemons: int, engines: int, gap: float) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.fleet = PlatformFleet(daemons, engines, seed)
         self.oracle = PlatformOracle(self.fleet)
         self.report = Report(seed, daemons)
@@ -115,14 +115,14 @@
     def _living(self):
         """Returns any gateway that has not been ended, or None."""
         alive = [n for n in range(len(self.fleet.gateways)) if n not in self.gone]
-        return self.fleet.gateways[self.chance.choice(alive)] if alive else None
+        return self.fleet.gateways[self.rng.choice(alive)] if alive else None
 
     async def _train(self, trainer: int) -> None:
         step = 0
         while not self.over:
             step += 1
             minimum = max(1, self.version - 1)
-            spec = make_batch(f"t{trainer}-s{step}", self.chance.randint(8, 40), minimum)
+            spec = make_batch(f"t{trainer}-s{step}", self.rng.randint(8, 40), minimum)
             await self._step(spec)
             self.version += 1
             self.fleet.put("operator", MODEL, str(self.version).encode())
@@ -163,8 +163,8 @@
         running: set[asyncio.Task] = set()
         try:
             while True:
-                await self.fleet.wait(self.chance.expovariate(1 / self.gap))
-                kind = self.chance.choice(kinds)
+                await self.fleet.wait(self.rng.expovariate(1 / self.gap))
+                kind = self.rng.choice(kinds)
                 name = kind.__name__.strip("_")
                 self.report.faults[name] = self.report.faults.get(name, 0) + 1
                 task = asyncio.create_task(kind())
@@ -175,11 +175,11 @@
                 task.cancel()
 
     async def _pause(self, bounds: tuple[float, float] = FAULT_SECONDS) -> None:
-        await self.fleet.wait(self.chance.uniform(*bounds))
+        await self.fleet.wait(self.rng.uniform(*bounds))
 
     def _pick(self) -> int | None:
         alive = [n for n in range(len(self.fleet.gateways)) if n not in self.gone]
-        return self.chance.choice(alive) if len(alive) > 1 else None
+        return self.rng.choice(alive) if len(alive) > 1 else None
 
     def _restart(self, number: int) -> None:
         """Starts a new incarnation of a machine."""
@@ -203,13 +203,13 @@
             self._restart(number)
 
     async def _cut(self) -> None:
-        client = self.chance.choice(self.fleet.clients)
+        client = self.rng.choice(self.fleet.clients)
         client.cut_off = True
         await self._pause()
         client.cut_off = False
 
     async def _trouble_store(self) -> None:
-        self.fleet.store.faults = self.chance.choice(STORE_TROUBLES)
+        self.fleet.store.faults = self.rng.choice(STORE_TROUBLES)
         await self._pause()
         self.fleet.store.faults = StoreFaults()
 
@@ -218,12 +218,12 @@
 
     def _engine(self):
         names = sorted(self.fleet.engines.engines)
-        return self.fleet.engines.engines[InstanceId(self.chance.choice(names))]
+        return self.fleet.engines.engines[InstanceId(self.rng.choice(names))]
 
     async def _trouble_engine(self) -> None:
         engine = self._engine()
-        engine.down = self.chance.random() < 0.5
-        engine.break_after = None if engine.down else self.chance.randint(0, 4)
+        engine.down = self.rng.random() < 0.5
+        engine.break_after = None if engine.down else self.rng.randint(0, 4)
         await self._pause()
         engine.down = False
         engine.break_after = None
@@ -231,7 +231,7 @@
     async def _slow_engine(self) -> None:
         engine = self._engine()
         usual = 0.03
-        engine.event_seconds = usual * self.chance.choice((3, 10, 1000))
+        engine.event_seconds = usual * self.rng.choice((3, 10, 1000))
         await self._pause()
         engine.event_seconds = usual
 
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -26,9 +26,9 @@
             address = Address("10.0.0.1:1")
             name = InstanceId(f"e{number}")
             directory.update(InstanceInfo(name, ENGINES, address, ZoneId("z"), 6, state))
-        chance = random.Random(0)
+        rng = random.Random(0)
         sources = BalancerSources(is_connected=lambda info: info.id == "e0")
-        return Balancer(directory, LoopClock(), chance, sources)
+        return Balancer(directory, LoopClock(), rng, sources)
 
     def first_choices(self, balancer: Balancer) -> set[InstanceId]:
         """Returns the instances that come first in some choices."""
--- a/tests/test_choice_quality.py
+++ b/tests/test_choice_quality.py
@@ -96,14 +96,14 @@
 """Returns the server for a request of a daemon."""
 
 
-def choose_of_all(fleet: Fleet, daemon: int, chance: random.Random) -> int:
+def choose_of_all(fleet: Fleet, daemon: int, rng: random.Random) -> int:
     """Returns the first of all servers in the order of `rank`, which is the least wait."""
     waits = [(fleet.occupied(daemon, server) + 1) * pace for server, pace in enumerate(fleet.paces)]
     least = min(waits)
-    return chance.choice([server for server, wait in enumerate(waits) if wait == least])
+    return rng.choice([server for server, wait in enumerate(waits) if wait == least])
 
 
-def choose_of(fleet: Fleet, daemon: int, looked_at: Sequence[int], chance: random.Random) -> int:
+def choose_of(fleet: Fleet, daemon: int, looked_at: Sequence[int], rng: random.Random) -> int:
     """Returns the first of some servers in the order of `rank`."""
     candidates = [
         Candidate(
@@ -114,17 +114,17 @@
             pace=fleet.paces[server],
             latency_factor=1.0,
             connection_factor=1.0,
-            tie_break=chance.random(),
+            tie_break=rng.random(),
         )
         for server in looked_at
     ]
     return int(rank(candidates, min(fleet.paces))[0].id)
 
 
-def draw_of_all(fleet: Fleet, daemon: int, chance: random.Random) -> int:
+def draw_of_all(fleet: Fleet, daemon: int, rng: random.Random) -> int:
     """Returns the first of some servers drawn anew, as for an item of a batch."""
-    drawn = chance.sample(range(len(fleet.servers)), LOOKED_AT)
-    return choose_of(fleet, daemon, drawn, chance)
+    drawn = rng.sample(range(len(fleet.servers)), LOOKED_AT)
+    return choose_of(fleet, daemon, drawn, rng)
 
 
 class SubsetChoice:
@@ -139,41 +139,41 @@
             for daemon in ranked[:wanted]:
                 self._parts[daemon].append(server)
 
-    def __call__(self, fleet: Fleet, daemon: int, chance: random.Random) -> int:
+    def __call__(self, fleet: Fleet, daemon: int, rng: random.Random) -> int:
         """Returns the server for a request of a daemon."""
         part = self._parts[daemon]
         if len(fleet.servers) <= ALL_LOOKED_AT:
             part = range(len(fleet.servers))
         elif len(part) > LOOKED_AT:
-            part = chance.sample(part, LOOKED_AT)
-        first = choose_of(fleet, daemon, part, chance)
+            part = rng.sample(part, LOOKED_AT)
+        first = choose_of(fleet, daemon, part, rng)
         if fleet.occupied(daemon, first) < SLOTS:
             return first
-        further = chance.sample(range(len(fleet.servers)), LOOKED_FURTHER)
-        return choose_of(fleet, daemon, [first, *further], chance)
+        further = rng.sample(range(len(fleet.servers)), LOOKED_FURTHER)
+        return choose_of(fleet, daemon, [first, *further], rng)
 
 
 def mean_time(
     servers: int, daemons: int, choose: Choice, seed: int, *, knows_all: bool = True
 ) -> float:
     """Returns how long a request takes on average, waiting included."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     fleet = Fleet(
         [make_instance(str(number), slots=SLOTS) for number in range(servers)],
-        [chance.choice(PACES) for _ in range(servers)],
+        [rng.choice(PACES) for _ in range(servers)],
         knows_all,
     )
     rate = LOAD * sum(SLOTS / pace for pace in fleet.paces)
-    shares = [chance.lognormvariate(0, SKEW) for _ in range(daemons)]
+    shares = [rng.lognormvariate(0, SKEW) for _ in range(daemons)]
     count = servers * SLOTS * REQUESTS_A_PLACE
-    callers = chance.choices(range(daemons), shares, k=count)
+    callers = rng.choices(range(daemons), shares, k=count)
     choice_chance = random.Random(seed)  # apart, so that all choices see the same requests
     now, times = 0.0, []
     for caller in callers:
-        now += chance.expovariate(rate)
+        now += rng.expovariate(rate)
         fleet.advance(now)
         server = choose(fleet, caller, choice_chance)
-        times.append(fleet.send(caller, server, chance.expovariate(1.0)))
+        times.append(fleet.send(caller, server, rng.expovariate(1.0)))
     later = times[count // 2 :]
     return sum(later) / len(later)
 
--- a/tests/test_cold_bound.py
+++ b/tests/test_cold_bound.py
@@ -94,20 +94,20 @@
         """Plays a minute, checks all its seconds, and returns how many requests were sent."""
 
         async def work() -> list[float]:
-            chance, clock, history = random.Random(seed), LoopClock(), [(0.0, set())]
+            rng, clock, history = random.Random(seed), LoopClock(), [(0.0, set())]
             daemons = [GreedyDaemon(own, clock, history) for own in names(self.DAEMONS)]
             times: list[float] = []
             steps = int(60 / self.TICK_SECONDS)
             for step in range(steps):
                 if step % int(self.STEP_SECONDS / self.TICK_SECONDS) == 0:
                     whole = [daemon for daemon in daemons if daemon.cut_at is None]
-                    owners = {daemon.own for daemon in chance.sample(whole, self.TRAINERS)}
+                    owners = {daemon.own for daemon in rng.sample(whole, self.TRAINERS)}
                     history.append((clock.now(), owners))
                 if step % int(POLL_SECONDS / self.TICK_SECONDS) == 0:
                     for daemon in daemons:
                         await daemon.rule.poll()
-                self.disturb(chance, daemons, cuts)
-                for daemon in chance.sample(daemons, len(daemons)):
+                self.disturb(rng, daemons, cuts)
+                for daemon in rng.sample(daemons, len(daemons)):
                     times += [clock.now()] * daemon.send()
                 await clock.sleep(self.TICK_SECONDS)
             return times
@@ -116,12 +116,12 @@
         check_cold("engine", times, BOUND)
         return len(times)
 
-    def disturb(self, chance: random.Random, daemons: list[GreedyDaemon], cuts: int) -> None:
+    def disturb(self, rng: random.Random, daemons: list[GreedyDaemon], cuts: int) -> None:
         """Makes news slow or quick, and cuts a daemon off or heals it, now and then."""
-        daemon = chance.choice(daemons)
+        daemon = rng.choice(daemons)
         if daemon.cut_at is None:
-            daemon.delay = chance.choice((0.02, 0.1, 0.5))
-        if chance.random() < 0.04:
+            daemon.delay = rng.choice((0.02, 0.1, 0.5))
+        if rng.random() < 0.04:
             is_cut = daemon.cut_at is not None
             if is_cut or sum(other.cut_at is not None for other in daemons) < cuts:
                 daemon.cut_at = None if is_cut else daemon.clock.now()
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -116,11 +116,11 @@
             pace = 1.0 if zone == slow else 0.03
             self.engines.engines[InstanceId(zone)] = ScriptedEngine(slots=4, event_seconds=pace)
             directory.update(make_instance(zone, zone=zone))
-        chance = random.Random(1)
+        rng = random.Random(1)
         placement = Placement(directory, (EvacuationRule(evacuations),))
-        balancer = Balancer(directory, self.clock, chance, BalancerSources(placement=placement))
+        balancer = Balancer(directory, self.clock, rng, BalancerSources(placement=placement))
         parts = make_parts(directory, balancer, self.engines, self.clock)
-        self.forwarder = Forwarder(replace(parts, shares=ShareChooser(chance)))
+        self.forwarder = Forwarder(replace(parts, shares=ShareChooser(rng)))
 
     def forward(self, kind: RouteKind):
         """Forwards a request that is received now."""
--- a/tests/test_fair_load.py
+++ b/tests/test_fair_load.py
@@ -91,7 +91,7 @@
     def begin(self, seed: int = 1) -> None:
         """Makes the servers and the daemons."""
         self.clock = LoopClock()
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.engines = ScriptedEngines(self.clock, ModelName("model"))
         self.directory: Directory = make_directory(SERVERS, PAGES, slots=SLOTS)
         for number in range(SERVERS):
@@ -107,7 +107,7 @@
             balancer.record_pace(InstanceId(f"e{number}"), PACE)
         ledger = FlowLedger(self.clock)
         parts = make_parts(self.directory, balancer, self.engines, self.clock)
-        parts = replace(parts, ledger=ledger, chance=random.Random(f"{name} chance"))
+        parts = replace(parts, ledger=ledger, rng=random.Random(f"{name} chance"))
         return Daemon(DaemonId(name), balancer, ledger, Forwarder(parts), parts.metrics)
 
     async def report(self) -> None:
@@ -154,10 +154,10 @@
         end = self.clock.now() + seconds
         tenants, weights = list(rates), list(rates.values())
         while self.clock.now() < end:
-            await self.clock.sleep(self.chance.expovariate(sum(weights)))
-            tenant = self.chance.choices(tenants, weights)[0]
+            await self.clock.sleep(self.rng.expovariate(sum(weights)))
+            tenant = self.rng.choices(tenants, weights)[0]
             at_first = heavy_at_first if tenant == HEAVY else 0.5
-            daemon = self.daemons[self.chance.random() >= at_first]
+            daemon = self.daemons[self.rng.random() >= at_first]
             calls.append(asyncio.create_task(self.call(tenant, daemon)))
         await asyncio.gather(*calls)
         return self.sums
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -64,10 +64,10 @@
                 self.assertEqual(expected, fair_level(demands, capacity))
 
     def test_everything_is_given_out_and_nobody_gets_more_than_it_wants(self):
-        chance = random.Random(3)
+        rng = random.Random(3)
         for _ in range(300):
-            demands = [chance.randrange(12) for _ in range(chance.randrange(1, 9))]
-            capacity = chance.randrange(40)
+            demands = [rng.randrange(12) for _ in range(rng.randrange(1, 9))]
+            capacity = rng.randrange(40)
             level = fair_level(demands, capacity)
             given = [min(demand, level) for demand in demands]
             self.assertAlmostEqual(min(capacity, sum(demands)), sum(given))
@@ -98,14 +98,12 @@
 
     def test_whoever_is_beyond_its_share_has_others_before_it_for_all_free_places(self):
         """So a free place is never refused to it for nobody."""
-        chance = random.Random(7)
+        rng = random.Random(7)
         seen = 0
         for _ in range(500):
-            names = [flow(f"t{number}") for number in range(chance.randrange(2, 9))]
-            uses = {
-                name: TenantUse(chance.randrange(6), chance.choice((0, 0, 1, 5))) for name in names
-            }
-            free = chance.randrange(8)
+            names = [flow(f"t{number}") for number in range(rng.randrange(2, 9))]
+            uses = {name: TenantUse(rng.randrange(6), rng.choice((0, 0, 1, 5))) for name in names}
+            free = rng.randrange(8)
             shares = share_out(uses, free)
             for standing in map(shares.standing, names):
                 seen += standing.is_over
--- a/tests/test_lasting_pace.py
+++ b/tests/test_lasting_pace.py
@@ -109,12 +109,12 @@
         self.assertEqual(0.0, self.history.pace(0.1))
 
     def test_bursts_are_passed_over_at_servers_of_two_speeds(self):
-        chance = random.Random(3)
+        rng = random.Random(3)
         for base in (FAST, SLOW):
             self.setUp()
             self.measure(base, 1.0)
             for _ in range(100):
-                is_burst = chance.random() < BURST_SHARE
+                is_burst = rng.random() < BURST_SHARE
                 self.measure(base * BURST if is_burst else base, BURST_SECONDS)
                 self.assertLess(self.history.pace(self.now), 1.05 * base)
 
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -251,11 +251,11 @@
 
     def test_kept_connections_first(self):
         async def first() -> int:
-            chance = random.Random(0)
+            rng = random.Random(0)
             clock = LoopClock()
             directory = make_directory(4)
             sources = BalancerSources(is_connected=lambda info: info.id == "e0")
-            balancer = Balancer(directory, clock, chance, sources)
+            balancer = Balancer(directory, clock, rng, sources)
             choices = [balancer.candidates(ENGINES, for_client=True)[0] for _ in range(30)]
             return len({info.id for info in choices})
 
--- a/tests/test_nearness.py
+++ b/tests/test_nearness.py
@@ -54,11 +54,11 @@
             self.servers.engines[name] = ScriptedEngine(slots=4)
             self.directory.update(make_instance(name, zone=zone))
         placement = Placement(self.directory, (RegionRule(regions),))
-        chance = random.Random(1)
+        rng = random.Random(1)
         self.balancer = Balancer(
             self.directory,
             self.clock,
-            chance,
+            rng,
             BalancerSources(placement=placement, regions=regions),
         )
         self.forwarder = Forwarder(
--- a/tests/test_service_index.py
+++ b/tests/test_service_index.py
@@ -16,22 +16,22 @@
 STEPS = 600
 
 
-def change(directory: Directory, chance: random.Random) -> None:
+def change(directory: Directory, rng: random.Random) -> None:
     """Makes one change of a directory that its feeds or requests may make."""
-    name = chance.choice(NAMES)
-    match chance.randrange(8):
+    name = rng.choice(NAMES)
+    match rng.randrange(8):
         case 0:
-            directory.remove(name, sound=chance.random() < 0.5)
+            directory.remove(name, sound=rng.random() < 0.5)
         case 1:
             directory.retire(name)
         case 2:
-            directory.observe_version(name, chance.choice(MODELS), chance.randrange(3))
+            directory.observe_version(name, rng.choice(MODELS), rng.randrange(3))
         case 3:
             directory.drop_unlisted()
         case _:
-            state = chance.choice((InstanceState.READY, InstanceState.READY, InstanceState.LEAVING))
-            info = make_instance(name, chance.choice(SERVICES), zone=chance.choice(ZONES))
-            versions = {model: chance.randrange(3) for model in MODELS if chance.random() < 0.7}
+            state = rng.choice((InstanceState.READY, InstanceState.READY, InstanceState.LEAVING))
+            info = make_instance(name, rng.choice(SERVICES), zone=rng.choice(ZONES))
+            versions = {model: rng.randrange(3) for model in MODELS if rng.random() < 0.7}
             directory.update(replace(info, state=state, versions=versions))
 
 
@@ -59,10 +59,10 @@
 
     def test_index_agrees_with_all_entries_after_each_change(self):
         for seed in range(10):
-            chance = random.Random(seed)
+            rng = random.Random(seed)
             directory = Directory()
             for _ in range(STEPS):
-                change(directory, chance)
+                change(directory, rng)
                 self.check(directory)
 
     def test_instances_keep_their_order_when_their_entries_change(self):
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -465,9 +465,9 @@
             self.addAsyncCleanup(pages.close)
             directory.update(pages.instance)
         clock = LoopClock()
-        chance = random.Random(1)
-        parts = make_parts(directory, Balancer(directory, clock, chance), self.servers, clock)
-        self.forwarder = Forwarder(replace(parts, shares=ShareChooser(chance)))
+        rng = random.Random(1)
+        parts = make_parts(directory, Balancer(directory, clock, rng), self.servers, clock)
+        self.forwarder = Forwarder(replace(parts, shares=ShareChooser(rng)))
         await asyncio.gather(*(self.ask() for _ in range(8 * len(names))))
         for pages in self.all_pages:
             self.assertGreater(pages.link.connections, 1)
--- a/tests/test_sliding_count.py
+++ b/tests/test_sliding_count.py
@@ -20,10 +20,10 @@
         self.assertEqual(0, sent.count(10.0 + WINDOW_SECONDS))
 
     def test_no_second_has_more_than_was_left_however_the_sends_come(self) -> None:
-        chance = random.Random(1)
+        rng = random.Random(1)
         limit, sent, times, now = 4, SlidingCount(WINDOW_SECONDS), [], 0.0
         for _ in range(2000):
-            now += chance.choice((0.0, 0.01, 0.3, 0.999))
+            now += rng.choice((0.0, 0.01, 0.3, 0.999))
             if sent.count(now) < limit:
                 sent.add(now)
                 times.append(now)
--- a/tests/test_steady_division.py
+++ b/tests/test_steady_division.py
@@ -38,7 +38,7 @@
             for model in POOL.models:
                 self.directory.observe_version(engine.id, model, 1)
         self.heads = KnownHeads(LoopClock())
-        self.chance = random.Random(4)
+        self.rng = random.Random(4)
 
     def record_batch(self, model: ModelName, step: int, work: float) -> None:
         """Records the head of a step's batch."""
@@ -52,7 +52,7 @@
     def play_step(self, step: int, works: dict[ModelName, int]) -> dict[ModelName, list]:
         """Has each model's batch come, and its version loaded; returns the division then."""
         for model, work in works.items():
-            self.record_batch(model, step, work * self.chance.gauss(1.0, SPREAD))
+            self.record_batch(model, step, work * self.rng.gauss(1.0, SPREAD))
         engines = self.directory.of_service(POOL.name)
         division = assign_models(POOL, engines, self.directory, self.heads.demands())
         for model, names in division.items():
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -98,17 +98,17 @@
         self.assertEqual(set(new_subset(DaemonId("d0"), DAEMONS, SERVERS).ids), set(subset.ids))
 
     def test_coverage_lasts_while_daemons_and_servers_come_and_go(self):
-        chance = random.Random(3)
+        rng = random.Random(3)
         daemons, servers = set(DAEMONS), set(SERVERS)
         subsets = new_subsets(DAEMONS, SERVERS)
         for step in range(12):
-            for gone in chance.sample(sorted(daemons), 3):
+            for gone in rng.sample(sorted(daemons), 3):
                 daemons.remove(gone)
                 del subsets[gone]
-            come = {DaemonId(f"new-{step}-{number}") for number in range(chance.randrange(6))}
+            come = {DaemonId(f"new-{step}-{number}") for number in range(rng.randrange(6))}
             daemons |= come
             subsets |= {name: DaemonSubset(name) for name in come}
-            servers -= set(chance.sample(sorted(servers), 20))
+            servers -= set(rng.sample(sorted(servers), 20))
             servers |= {InstanceId(f"later-{step}-{number}") for number in range(15)}
             for subset in subsets.values():
                 subset.update(frozenset(daemons), frozenset(servers))
--- a/tests/test_uneven_division.py
+++ b/tests/test_uneven_division.py
@@ -52,9 +52,9 @@
 
     def setUp(self):
         self.directory = make_directory(ENGINES, FOUR.name, slots=8)
-        chance = random.Random(5)
+        rng = random.Random(5)
         names = [info.id for info in self.directory.of_service(FOUR.name)]
-        chance.shuffle(names)
+        rng.shuffle(names)
         half = ENGINES // 2
         self.paces = dict.fromkeys(names[:half], FAST) | dict.fromkeys(names[half:], SLOW)
 
@@ -79,10 +79,10 @@
         for model, names in before.items():
             for name in names:
                 self.directory.observe_version(name, model, 5)
-        chance = random.Random(6)
+        rng = random.Random(6)
         for _ in range(20):
             self.paces = {
-                name: (FAST if name in self._fast() else SLOW) * chance.uniform(0.9, 1.1)
+                name: (FAST if name in self._fast() else SLOW) * rng.uniform(0.9, 1.1)
                 for name in self.paces
             }
             self.assertEqual(before, self.divide())
--- a/tests/test_uneven_engines.py
+++ b/tests/test_uneven_engines.py
@@ -29,10 +29,10 @@
 
 async def slow_now_and_then(fleet: PlatformFleet, engine: ScriptedEngine, seed: int) -> None:
     """Slows an engine in a share of the time."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     usual = engine.event_seconds
     while True:
-        is_slowed = chance.random() < BURST_SHARE
+        is_slowed = rng.random() < BURST_SHARE
         engine.event_seconds = usual * BURST if is_slowed else usual
         await fleet.clock.sleep(BURST_SECONDS)
 
