--- a/src/larkpost/gateway/controllers/feeds.py
+++ b/src/larkpost/gateway/controllers/feeds.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.controllers.row_intake import InstanceTrust, RowIntake, RowReaders
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.store.batch_tables import CRASH_PART, HEAD_TABLE, PARTS
-from larkpost.gateway.store.follower import Relisting, TableFollower, TableParts
+from larkpost.gateway.store.follower import RelistPolicy, TableFollower, TableParts
 from larkpost.gateway.store.port import Row, Store
 
 FAST_RELIST_SECONDS = 1.5
@@ -82,17 +82,17 @@
         self.operator = self._follow(
             TableParts(source.readers.operator_table),
             self.intake.record_operator_row,
-            Relisting(SLOW_RELIST_SECONDS),
+            RelistPolicy(SLOW_RELIST_SECONDS),
         )
         self.instances = self._follow(
             TableParts(source.readers.instance_table),
             self.intake.record_instance_row,
-            Relisting(FAST_RELIST_SECONDS),
+            RelistPolicy(FAST_RELIST_SECONDS),
         )
         self.heads = self._follow(
             TableParts(HEAD_TABLE, (*PARTS, CRASH_PART)),
             batches.record,
-            Relisting(SLOW_RELIST_SECONDS, batches.relist_factor),
+            RelistPolicy(SLOW_RELIST_SECONDS, batches.relist_factor),
         )
 
     def start(self, tasks: TaskSet) -> None:
@@ -119,6 +119,6 @@
         }
 
     def _follow(
-        self, parts: TableParts, listener: Callable[[Row], None], relisting: Relisting
+        self, parts: TableParts, listener: Callable[[Row], None], relisting: RelistPolicy
     ) -> TableFollower:
         return TableFollower(self._source.store, parts, listener, self._instruments, relisting)
--- a/src/larkpost/gateway/store/follower.py
+++ b/src/larkpost/gateway/store/follower.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Relisting:
+class RelistPolicy:
     """How often a table is listed again.
 
     Attributes:
@@ -68,7 +68,7 @@
         parts: TableParts,
         listener: Callable[[Row], None],
         instruments: Instruments,
-        relisting: Relisting,
+        relisting: RelistPolicy,
     ) -> None:
         self._store = store
         self._table = parts.table
--- a/tests/test_store_follower.py
+++ b/tests/test_store_follower.py
@@ -7,7 +7,7 @@
 from larkpost.gateway.blackboard.configuration import Configuration, ConfigurationState
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
-from larkpost.gateway.store.follower import Relisting, TableFollower, TableParts
+from larkpost.gateway.store.follower import RelistPolicy, TableFollower, TableParts
 from larkpost.gateway.store.port import Row, RowKey, RowPage, Transaction
 from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient, StoreFaults
 from larkpost.standalone.telemetry import Telemetry
@@ -47,7 +47,7 @@
             TableParts(TABLE),
             self.news.append,
             Instruments(clock, EventLog("d")),
-            Relisting(1.0),
+            RelistPolicy(1.0),
         )
         self.follower.start(TaskSet(clock, Telemetry("d", log=False)))
         return clock
