--- a/src/larkpost/gateway/store/peers.py
+++ b/src/larkpost/gateway/store/peers.py
@@ -14,7 +14,7 @@
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.store.port import Store
 
-PEERS_ASKED = 3
+MAX_PEER_ATTEMPTS = 3
 """Peers that are asked for one call, the last of them a far one."""
 PEER_REST_SECONDS = 3.0
 """Seconds for which a peer that did not respond is not asked again: it may be frozen, or cut off as
@@ -132,5 +132,5 @@
         usable: the peers that may be asked; at least one.
         tried: peers that were asked in vain for the same call.
     """
-    is_last = tried == PEERS_ASKED - 1
+    is_last = tried == MAX_PEER_ATTEMPTS - 1
     return max(usable.values()) if is_last else min(usable.values())
--- a/src/larkpost/gateway/store/relay.py
+++ b/src/larkpost/gateway/store/relay.py
@@ -20,7 +20,7 @@
 from larkpost.common.ids import Address
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.observability.eventlog import Event, EventLog
-from larkpost.gateway.store.peers import PEERS_ASKED, PeerDistances, Peers, PeerStore
+from larkpost.gateway.store.peers import MAX_PEER_ATTEMPTS, PeerDistances, Peers, PeerStore
 from larkpost.gateway.store.port import (
     RowPage,
     Store,
@@ -101,7 +101,7 @@
         if result.outcome not in REFUSED:
             return result
         confined = any(self._is_confined(key.table) for key, _ in transaction.puts)
-        for tried in range(PEERS_ASKED):
+        for tried in range(MAX_PEER_ATTEMPTS):
             peer = self._peers.find(tried, confined=confined)
             if peer is None:
                 return result
@@ -169,7 +169,7 @@
         Args:
             failure: what to raise if no peer helps.
         """
-        for tried in range(PEERS_ASKED):
+        for tried in range(MAX_PEER_ATTEMPTS):
             peer = self._peers.find(tried, confined=confined)
             if peer is None:
                 raise failure
--- a/tests/test_nearness.py
+++ b/tests/test_nearness.py
@@ -21,7 +21,7 @@
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.request import ClientRequest, RefusedError
 from larkpost.gateway.store.batch_tables import ITEM_TABLE
-from larkpost.gateway.store.peers import PEERS_ASKED
+from larkpost.gateway.store.peers import MAX_PEER_ATTEMPTS
 from larkpost.gateway.store.port import RowKey, StoreUnavailableError, Transaction, WriteOutcome
 from larkpost.gateway.store.relay import RelayedStore
 from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient
@@ -230,7 +230,7 @@
 
     def test_last_peer_asked_is_a_far_one(self):
         async def play():
-            near = {f"near{number}": Distance.SAME_ZONE for number in range(PEERS_ASKED)}
+            near = {f"near{number}": Distance.SAME_ZONE for number in range(MAX_PEER_ATTEMPTS)}
             self.begin(**near, far=Distance.OTHER_REGION)
             for name in near:
                 self.peers[name].refused = True
--- a/tests/test_store_relay.py
+++ b/tests/test_store_relay.py
@@ -12,8 +12,8 @@
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.store.peers import (
+    MAX_PEER_ATTEMPTS,
     NO_PEER_PAUSE_SECONDS,
-    PEERS_ASKED,
     distance_to_ask,
     may_ask,
 )
@@ -167,7 +167,7 @@
             finally:
                 StoreClient.read = read
             rounds = 2.1 / NO_PEER_PAUSE_SECONDS + 1
-            self.assertLessEqual(calls, rounds * PEERS_ASKED)
+            self.assertLessEqual(calls, rounds * MAX_PEER_ATTEMPTS)
 
         run(play())
 
