--- a/src/larkpost/gateway/store/peers.py
+++ b/src/larkpost/gateway/store/peers.py
@@ -16,7 +16,7 @@
 
 MAX_PEER_ATTEMPTS = 3
 """Peers that are asked for one call, the last of them a far one."""
-PEER_REST_SECONDS = 3.0
+PEER_COOLDOWN_SECONDS = 3.0
 """Seconds for which a peer that did not respond is not asked again: it may be frozen, or cut off as
 well."""
 NO_PEER_PAUSE_SECONDS = 0.7
@@ -109,7 +109,7 @@
         return {
             address: distance
             for address, distance in self._distances().items()
-            if now - self._silent_at.get(address, float("-inf")) >= PEER_REST_SECONDS
+            if now - self._silent_at.get(address, float("-inf")) >= PEER_COOLDOWN_SECONDS
             and may_ask(distance, confined=confined)
         }
 
