--- a/src/larkpost/gateway/store/peers.py
+++ b/src/larkpost/gateway/store/peers.py
@@ -19,7 +19,7 @@
 PEER_COOLDOWN_SECONDS = 3.0
 """Seconds for which a peer that did not respond is not asked again: it may be frozen, or cut off as
 well."""
-NO_PEER_PAUSE_SECONDS = 0.7
+NO_PEER_COOLDOWN_SECONDS = 0.7
 """Seconds for which no peer is asked after none of those asked could help."""
 
 PeerDistances = Mapping[Address, Distance]
@@ -94,7 +94,7 @@
 
     def pause(self) -> None:
         """Asks no peer for a while: none of those asked reaches the store."""
-        self._none_until = self._clock.now() + NO_PEER_PAUSE_SECONDS
+        self._none_until = self._clock.now() + NO_PEER_COOLDOWN_SECONDS
         self._log.record(Event.STORE_RELAY, state="no_peer")
 
     async def close(self) -> None:
--- a/tests/test_store_relay.py
+++ b/tests/test_store_relay.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.store.peers import (
     MAX_PEER_ATTEMPTS,
-    NO_PEER_PAUSE_SECONDS,
+    NO_PEER_COOLDOWN_SECONDS,
     distance_to_ask,
     may_ask,
 )
@@ -166,7 +166,7 @@
                     await self.clock.sleep(0.1)
             finally:
                 StoreClient.read = read
-            rounds = 2.1 / NO_PEER_PAUSE_SECONDS + 1
+            rounds = 2.1 / NO_PEER_COOLDOWN_SECONDS + 1
             self.assertLessEqual(calls, rounds * MAX_PEER_ATTEMPTS)
 
         run(play())
@@ -186,7 +186,7 @@
             with self.assertRaises(StoreUnavailableError):
                 await self.store.read("table", "part")
             self.peers[PEERS[1]].refused = False
-            await self.clock.sleep(NO_PEER_PAUSE_SECONDS)
+            await self.clock.sleep(NO_PEER_COOLDOWN_SECONDS)
             began = self.clock.now()
             await self.store.read("table", "part")
             self.assertLess(self.clock.now() - began, 0.1)
