--- a/src/larkpost/gateway/store/relay.py
+++ b/src/larkpost/gateway/store/relay.py
@@ -32,7 +32,7 @@
 
 PROBE_INTERVAL_SECONDS = 0.5
 """Seconds between two checks of a relayed daemon whether the store takes its own calls again."""
-MOST_PEER_SECONDS = 0.8
+MAX_PEER_CALL_SECONDS = 0.8
 """Most seconds for a call by way of a peer, besides the time that a feed may wait."""
 PROBE_TABLE = "members"
 PROBE_PART = "known"
@@ -105,7 +105,7 @@
             peer = self._peers.find(tried, confined=confined)
             if peer is None:
                 return result
-            result = await peer.write(transaction, min(timeout, MOST_PEER_SECONDS))
+            result = await peer.write(transaction, min(timeout, MAX_PEER_CALL_SECONDS))
             if result.outcome is WriteOutcome.UNKNOWN:
                 self._peers.drop(peer, silent=True)  # the next call goes elsewhere, this one not
             if result.outcome not in REFUSED:
@@ -174,7 +174,7 @@
             if peer is None:
                 raise failure
             try:
-                async with asyncio.timeout(wait + MOST_PEER_SECONDS):
+                async with asyncio.timeout(wait + MAX_PEER_CALL_SECONDS):
                     return await call(peer)
             except StoreUnavailableError:
                 self._peers.drop(peer)
--- a/tests/test_store_relay.py
+++ b/tests/test_store_relay.py
@@ -24,7 +24,7 @@
     Transaction,
     WriteOutcome,
 )
-from larkpost.gateway.store.relay import MOST_PEER_SECONDS, RelayedStore
+from larkpost.gateway.store.relay import MAX_PEER_CALL_SECONDS, RelayedStore
 from larkpost.platform import names
 from larkpost.platform.peer_store import PeerStoreApp
 from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient, StoreFaults
@@ -181,7 +181,7 @@
             self.direct_peer_first(PEERS[0])
             began = self.clock.now()
             await self.store.read("table", "part")
-            self.assertLess(self.clock.now() - began, MOST_PEER_SECONDS + 0.1)
+            self.assertLess(self.clock.now() - began, MAX_PEER_CALL_SECONDS + 0.1)
             self.peers[PEERS[1]].refused = True
             with self.assertRaises(StoreUnavailableError):
                 await self.store.read("table", "part")
