--- a/src/larkpost/gateway/store/peers.py
+++ b/src/larkpost/gateway/store/peers.py
@@ -33,7 +33,7 @@
         """Closes all connections to the peer."""
 
 
-class Peers:
+class PeerSelector:
     """The peers of one daemon, at most one of which makes its calls.
 
     Args:
--- a/src/larkpost/gateway/store/relay.py
+++ b/src/larkpost/gateway/store/relay.py
@@ -20,7 +20,7 @@
 from larkpost.common.ids import Address
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.observability.eventlog import Event, EventLog
-from larkpost.gateway.store.peers import MAX_PEER_ATTEMPTS, PeerDistances, Peers, PeerStore
+from larkpost.gateway.store.peers import MAX_PEER_ATTEMPTS, PeerDistances, PeerSelector, PeerStore
 from larkpost.gateway.store.port import (
     RowPage,
     Store,
@@ -64,7 +64,7 @@
         self.row_bytes = direct.row_bytes
         self._direct = direct
         self._log = log
-        self._peers = Peers(connect, clock, log, rng)
+        self._peers = PeerSelector(connect, clock, log, rng)
         self._is_confined: Callable[[str], bool] = lambda _: False
 
     def start(
