--- a/src/larkpost/gateway/store/peers.py
+++ b/src/larkpost/gateway/store/peers.py
@@ -62,16 +62,16 @@
         """Sets who is asked where the other daemons are that are considered alive."""
         self._distances = distances
 
-    def find(self, tried: int, *, confined: bool) -> PeerStore | None:
+    def find(self, tried: int, *, region_bound: bool) -> PeerStore | None:
         """Returns the peer that makes this daemon's calls, a new one if there is none.
 
         Args:
             tried: peers that were asked in vain for this call.
             confined: whether the peer must be in this daemon's region.
         """
-        if self.current is not None and may_ask(self._current_distance, confined=confined):
+        if self.current is not None and may_ask(self._current_distance, region_bound=region_bound):
             return self.current
-        usable = self._usable(confined=confined)
+        usable = self._usable(region_bound=region_bound)
         if not usable or self._clock.now() < self._none_until:
             return None
         self._current_distance = distance_to_ask(usable, tried)
@@ -103,24 +103,24 @@
             await peer.close()
         self._connected.clear()
 
-    def _usable(self, *, confined: bool) -> dict[Address, Distance]:
+    def _usable(self, *, region_bound: bool) -> dict[Address, Distance]:
         """Returns the peers that may be asked now."""
         now = self._clock.now()
         return {
             address: distance
             for address, distance in self._distances().items()
             if now - self._silent_at.get(address, float("-inf")) >= PEER_COOLDOWN_SECONDS
-            and may_ask(distance, confined=confined)
+            and may_ask(distance, region_bound=region_bound)
         }
 
 
-def may_ask(distance: Distance, *, confined: bool) -> bool:
+def may_ask(distance: Distance, *, region_bound: bool) -> bool:
     """Returns whether a peer so far away may make a call.
 
     Args:
         confined: whether the call's content must not leave this daemon's region.
     """
-    return not (confined and distance is Distance.OTHER_REGION)
+    return not (region_bound and distance is Distance.OTHER_REGION)
 
 
 def distance_to_ask(usable: PeerDistances, tried: int) -> Distance:
--- a/src/larkpost/gateway/store/relay.py
+++ b/src/larkpost/gateway/store/relay.py
@@ -100,9 +100,9 @@
             result = await self._direct.write(transaction, timeout)
         if result.outcome not in REFUSED:
             return result
-        confined = any(self._is_confined(key.table) for key, _ in transaction.puts)
+        region_bound = any(self._is_confined(key.table) for key, _ in transaction.puts)
         for tried in range(MAX_PEER_ATTEMPTS):
-            peer = self._peers.find(tried, confined=confined)
+            peer = self._peers.find(tried, region_bound=region_bound)
             if peer is None:
                 return result
             result = await peer.write(transaction, min(timeout, MAX_PEER_CALL_SECONDS))
@@ -120,7 +120,7 @@
         """Reads rows of a part; see the port."""
         return await self._call(
             lambda store: store.read(table, part, first, end, limit),
-            confined=self._is_confined(table),
+            region_bound=self._is_confined(table),
         )
 
     async def changes(self, table: str, after: int, wait: float) -> RowPage:
@@ -136,7 +136,7 @@
         call: Callable[[Store], Awaitable[Response]],
         wait: float = 0.0,
         *,
-        confined: bool = False,
+        region_bound: bool = False,
     ) -> Response:
         """Makes a reading call directly or by way of a peer.
 
@@ -154,7 +154,7 @@
                 return await call(self._direct)
             except StoreUnavailableError as error:
                 failure = error
-        return await self._call_by_peer(call, wait, failure, confined=confined)
+        return await self._call_by_peer(call, wait, failure, region_bound=region_bound)
 
     async def _call_by_peer(
         self,
@@ -162,7 +162,7 @@
         wait: float,
         failure: StoreUnavailableError,
         *,
-        confined: bool,
+        region_bound: bool,
     ) -> Response:
         """Makes a reading call by way of a peer; see `_call`.
 
@@ -170,7 +170,7 @@
             failure: what to raise if no peer helps.
         """
         for tried in range(MAX_PEER_ATTEMPTS):
-            peer = self._peers.find(tried, confined=confined)
+            peer = self._peers.find(tried, region_bound=region_bound)
             if peer is None:
                 raise failure
             try:
--- a/tests/test_store_relay.py
+++ b/tests/test_store_relay.py
@@ -60,9 +60,9 @@
     def test_only_confined_calls_stay_in_the_region(self):
         for distance in Distance:
             with self.subTest(distance):
-                self.assertTrue(may_ask(distance, confined=False))
+                self.assertTrue(may_ask(distance, region_bound=False))
                 is_near = distance is not Distance.OTHER_REGION
-                self.assertEqual(is_near, may_ask(distance, confined=True))
+                self.assertEqual(is_near, may_ask(distance, region_bound=True))
 
 
 class RelayTest(unittest.TestCase):
