--- a/src/larkpost/gateway/store/relay.py
+++ b/src/larkpost/gateway/store/relay.py
@@ -71,7 +71,7 @@
         self,
         peers: Callable[[], PeerDistances],
         tasks: TaskSet,
-        is_confined: Callable[[str], bool] = lambda _: False,
+        is_region_bound: Callable[[str], bool] = lambda _: False,
     ) -> None:
         """Starts to check for the store's return whenever calls are relayed.
 
@@ -79,7 +79,7 @@
             peers: returns where the other daemons that are considered alive make calls for others.
             is_confined: returns whether rows of a table must not pass through another region.
         """
-        self._is_confined = is_confined
+        self._is_confined = is_region_bound
         self._peers.follow(peers)
         tasks.every(PROBE_INTERVAL_SECONDS, self._probe, "store_relay")
 
