--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -225,7 +225,7 @@
         self._feeds.start(self._tasks)
         self._crash_recorder.start(self._tasks)
         if self._ports.relay is not None:
-            self._ports.relay.start(self.membership.peers, self._tasks, self._is_confined)
+            self._ports.relay.start(self.membership.peers, self._tasks, self._is_region_bound)
         self.membership.start(self._tasks)
         self.keeper.start(self._tasks)
         self.leased_controllers.start(self._tasks)
@@ -259,7 +259,7 @@
         self.lifecycle.informed = True
         self._log.record(Event.READY, instances=len(self.directory))
 
-    def _is_confined(self, table: str) -> bool:
+    def _is_region_bound(self, table: str) -> bool:
         """Returns whether rows of a table hold bodies that may be bound to this daemon's region."""
         current = self.configuration.current
         return table == ITEM_TABLE and current is not None and current.has_homes
--- a/src/larkpost/gateway/store/relay.py
+++ b/src/larkpost/gateway/store/relay.py
@@ -65,7 +65,7 @@
         self._direct = direct
         self._log = log
         self._peers = PeerSelector(connect, clock, log, rng)
-        self._is_confined: Callable[[str], bool] = lambda _: False
+        self._is_region_bound: Callable[[str], bool] = lambda _: False
 
     def start(
         self,
@@ -79,7 +79,7 @@
             peers: returns where the other daemons that are considered alive make calls for others.
             is_confined: returns whether rows of a table must not pass through another region.
         """
-        self._is_confined = is_region_bound
+        self._is_region_bound = is_region_bound
         self._peers.follow(peers)
         tasks.every(PROBE_INTERVAL_SECONDS, self._probe, "store_relay")
 
@@ -100,7 +100,7 @@
             result = await self._direct.write(transaction, timeout)
         if result.outcome not in REFUSED:
             return result
-        region_bound = any(self._is_confined(key.table) for key, _ in transaction.puts)
+        region_bound = any(self._is_region_bound(key.table) for key, _ in transaction.puts)
         for tried in range(MAX_PEER_ATTEMPTS):
             peer = self._peers.find(tried, region_bound=region_bound)
             if peer is None:
@@ -120,7 +120,7 @@
         """Reads rows of a part; see the port."""
         return await self._call(
             lambda store: store.read(table, part, first, end, limit),
-            region_bound=self._is_confined(table),
+            region_bound=self._is_region_bound(table),
         )
 
     async def changes(self, table: str, after: int, wait: float) -> RowPage:
