--- a/src/larkpost/gateway/store/peers.py
+++ b/src/larkpost/gateway/store/peers.py
@@ -69,7 +69,9 @@
             tried: peers that were asked in vain for this call.
             confined: whether the peer must be in this daemon's region.
         """
-        if self.current is not None and may_ask(self._current_distance, region_bound=region_bound):
+        if self.current is not None and is_allowed(
+            self._current_distance, region_bound=region_bound
+        ):
             return self.current
         usable = self._usable(region_bound=region_bound)
         if not usable or self._clock.now() < self._none_until:
@@ -110,11 +112,11 @@
             address: distance
             for address, distance in self._distances().items()
             if now - self._silent_at.get(address, float("-inf")) >= PEER_COOLDOWN_SECONDS
-            and may_ask(distance, region_bound=region_bound)
+            and is_allowed(distance, region_bound=region_bound)
         }
 
 
-def may_ask(distance: Distance, *, region_bound: bool) -> bool:
+def is_allowed(distance: Distance, *, region_bound: bool) -> bool:
     """Returns whether a peer so far away may make a call.
 
     Args:
--- a/tests/test_store_relay.py
+++ b/tests/test_store_relay.py
@@ -15,7 +15,7 @@
     MAX_PEER_ATTEMPTS,
     NO_PEER_COOLDOWN_SECONDS,
     distance_to_ask,
-    may_ask,
+    is_allowed,
 )
 from larkpost.gateway.store.port import (
     HistoryLostError,
@@ -60,9 +60,9 @@
     def test_only_confined_calls_stay_in_the_region(self):
         for distance in Distance:
             with self.subTest(distance):
-                self.assertTrue(may_ask(distance, region_bound=False))
+                self.assertTrue(is_allowed(distance, region_bound=False))
                 is_near = distance is not Distance.OTHER_REGION
-                self.assertEqual(is_near, may_ask(distance, region_bound=True))
+                self.assertEqual(is_near, is_allowed(distance, region_bound=True))
 
 
 class RelayTest(unittest.TestCase):
