--- a/src/larkpost/gateway/store/peers.py
+++ b/src/larkpost/gateway/store/peers.py
@@ -76,7 +76,7 @@
         usable = self._usable(region_bound=region_bound)
         if not usable or self._clock.now() < self._none_until:
             return None
-        self._current_distance = distance_to_ask(usable, tried)
+        self._current_distance = next_peer_distance(usable, tried)
         address = self._chance.choice(
             [name for name, distance in usable.items() if distance is self._current_distance]
         )
@@ -125,7 +125,7 @@
     return not (region_bound and distance is Distance.OTHER_REGION)
 
 
-def distance_to_ask(usable: PeerDistances, tried: int) -> Distance:
+def next_peer_distance(usable: PeerDistances, tried: int) -> Distance:
     """Returns how far the next peer is to be: near ones first, the last one as far as there are.
 
     Whatever cuts this daemon off may cut its whole region off.
--- a/tests/test_store_relay.py
+++ b/tests/test_store_relay.py
@@ -14,8 +14,8 @@
 from larkpost.gateway.store.peers import (
     MAX_PEER_ATTEMPTS,
     NO_PEER_COOLDOWN_SECONDS,
-    distance_to_ask,
     is_allowed,
+    next_peer_distance,
 )
 from larkpost.gateway.store.port import (
     HistoryLostError,
@@ -55,7 +55,7 @@
         for name, distances, tried, expected in cases:
             with self.subTest(name):
                 usable = {Address(f"peer:{at}"): far for at, far in enumerate(distances)}
-                self.assertEqual(expected, distance_to_ask(usable, tried))
+                self.assertEqual(expected, next_peer_distance(usable, tried))
 
     def test_only_confined_calls_stay_in_the_region(self):
         for distance in Distance:
