--- a/src/larkpost/gateway/assembly/leased_controllers.py
+++ b/src/larkpost/gateway/assembly/leased_controllers.py
@@ -100,7 +100,7 @@
             self._coordination,
             port,
             self._instruments,
-            ReportTiming(terms, self._inputs.true_time, self._inputs.feeds.sound_for),
+            ReportTiming(terms, self._inputs.true_time, self._inputs.feeds.healthy_for),
         )
 
     def _make_scaling(self) -> ScalingController | None:
@@ -111,7 +111,7 @@
             inputs.blackboard.directory, inputs.keeper.demands, inputs.balancer.pace
         )
         return ScalingController(
-            ScalingInputs(inputs.blackboard, demand, inputs.feeds.sound_for),
+            ScalingInputs(inputs.blackboard, demand, inputs.feeds.healthy_for),
             self._coordination,
             self._ports.scaling,
             self._instruments,
--- a/src/larkpost/gateway/controllers/feeds.py
+++ b/src/larkpost/gateway/controllers/feeds.py
@@ -77,7 +77,7 @@
         self._source = source
         self._instruments = instruments
         # A cycle: a row that is gone is believed by the state of the follower that brings it.
-        trust = InstanceTrust(self.sound_for, source.contact_time, lambda: self.instances.listed)
+        trust = InstanceTrust(self.healthy_for, source.contact_time, lambda: self.instances.listed)
         self.intake = RowIntake(source.readers, blackboard, instruments, trust)
         self.operator = self._follow(
             TableParts(source.readers.operator_table),
@@ -101,9 +101,9 @@
             follower.start(tasks)
         tasks.every(LAPSED_INTERVAL_SECONDS, self.intake.drop_lapsed, "lapsed")
 
-    def sound_for(self) -> float:
+    def healthy_for(self) -> float:
         """Returns for how many seconds each call to the store has succeeded."""
-        return self.instances.sound_for(self._instruments.clock.now())
+        return self.instances.healthy_for(self._instruments.clock.now())
 
     def operator_age(self) -> float:
         """Returns the seconds since the operator's rows were last known to be current."""
--- a/src/larkpost/gateway/controllers/row_intake.py
+++ b/src/larkpost/gateway/controllers/row_intake.py
@@ -55,13 +55,13 @@
         had_whole_list: returns whether all instances were listed: one that is new then has started.
     """
 
-    sound_for: Callable[[], float]
+    healthy_for: Callable[[], float]
     trust_after: Callable[[], float]
     had_whole_list: Callable[[], bool]
 
     def is_removal_believed(self) -> bool:
         """Returns whether an instance has ended if its entry is gone."""
-        return self.sound_for() >= self.trust_after()
+        return self.healthy_for() >= self.trust_after()
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,7 +105,7 @@
 
     async def drop_lapsed(self) -> None:
         """Gives up instances whose entries lapsed while the store was away and are not back."""
-        if self._trust.sound_for() < LAPSED_SECONDS:
+        if self._trust.healthy_for() < LAPSED_SECONDS:
             return
         for instance in self._directory.drop_unlisted():
             self._log.record(Event.INSTANCE, instance=instance, state="gone", sound=True)
--- a/src/larkpost/gateway/store/follower.py
+++ b/src/larkpost/gateway/store/follower.py
@@ -92,7 +92,7 @@
         """Whether the table was read whole at least once."""
         return self._listed_whole
 
-    def sound_for(self, now: float) -> float:
+    def healthy_for(self, now: float) -> float:
         """Returns for how many seconds every call has succeeded; 0 if none has."""
         if self.confirmed_at is None:
             return 0.0
--- a/tests/test_store_follower.py
+++ b/tests/test_store_follower.py
@@ -122,10 +122,10 @@
             await clock.sleep(4.0)
             self.store.faults = StoreFaults(refuses=True)
             await clock.sleep(1.0)
-            self.assertLess(self.follower.sound_for(clock.now()), 0.5)
+            self.assertLess(self.follower.healthy_for(clock.now()), 0.5)
             self.store.faults = StoreFaults()
             await clock.sleep(4.0)
-            self.assertGreater(self.follower.sound_for(clock.now()), 3.0)
+            self.assertGreater(self.follower.healthy_for(clock.now()), 3.0)
 
         run(play())
 
