--- a/src/larkpost/gateway/scaling/controller.py
+++ b/src/larkpost/gateway/scaling/controller.py
@@ -55,7 +55,7 @@
 
     blackboard: Blackboard
     demand: DemandForecast
-    store_sound_for: Callable[[], float]
+    store_healthy_for: Callable[[], float]
 
 
 class ScalingController:
@@ -71,7 +71,7 @@
     ) -> None:
         self._blackboard = inputs.blackboard
         self._demand = inputs.demand
-        self._store_sound_for = inputs.store_sound_for
+        self._store_sound_for = inputs.store_healthy_for
         self._coordination = coordination
         self._port = port
         self._clock = instruments.clock
--- a/src/larkpost/gateway/usage/reporter.py
+++ b/src/larkpost/gateway/usage/reporter.py
@@ -56,7 +56,7 @@
 
     terms: UsageTerms
     true_time: TrueTime
-    store_sound_for: Callable[[], float]
+    store_healthy_for: Callable[[], float]
 
     def window_at(self, time: float) -> WindowNumber:
         """Returns the window that a time of day lies in."""
@@ -72,7 +72,7 @@
         elapsed = now - (window + 1) * self.terms.window_length
         if elapsed >= self.terms.due_after - LAST_CHANCE_SECONDS:
             return True
-        if self.store_sound_for() < SOUND_SECONDS:
+        if self.store_healthy_for() < SOUND_SECONDS:
             return False
         return elapsed >= SETTLE_SECONDS + save_interval(alive)
 
