--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -8,7 +8,7 @@
 
 from larkpost.common.clock import Clock
 from larkpost.common.errors import LarkpostError, Ran
-from larkpost.gateway.memory.slow_readers import STALLED_SECONDS, ReaderPace
+from larkpost.gateway.memory.slow_readers import STALLED_SECONDS, ReadRate
 
 POLL_SECONDS = 0.25
 """Between two looks at whether a client that does not keep up has taken anything."""
@@ -97,7 +97,7 @@
         self._given += size
         self._unsent_before += size
 
-    def pace(self) -> ReaderPace:
+    def pace(self) -> ReadRate:
         """Returns how the client takes what it is given.
 
         One that has taken everything is not behind, however long its server sends nothing more.
@@ -106,7 +106,7 @@
             self._behind_since = None
         since = self._behind_since
         seconds = self._clock.now() - since if since is not None else 0.0
-        return ReaderPace(self._count_held(), self._taken() - self._taken_before, seconds)
+        return ReadRate(self._count_held(), self._taken() - self._taken_before, seconds)
 
     async def wait_for_room(self) -> None:
         """Waits until the connection may be given more.
--- a/src/larkpost/gateway/memory/slow_readers.py
+++ b/src/larkpost/gateway/memory/slow_readers.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReaderPace:
+class ReadRate:
     """How a client that does not keep up takes its answer.
 
     Attributes:
@@ -30,7 +30,7 @@
     seconds: float
 
 
-def slowest_reader(paces: Mapping[Key, ReaderPace]) -> Key | None:
+def slowest_reader(paces: Mapping[Key, ReadRate]) -> Key | None:
     """Returns the client to cut; None if none is slow whose end would free anything.
 
     It is the one that takes the fewest bytes a second, and of several the one that holds most.
--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -20,7 +20,7 @@
 )
 from larkpost.gateway.memory.daemon_memory import DaemonMemory, unlimited_memory
 from larkpost.gateway.memory.sizing import LEAST_BUDGET_BYTES, PROGRAM_BYTES, budget_of
-from larkpost.gateway.memory.slow_readers import MIN_SLOW_SECONDS, ReaderPace, slowest_reader
+from larkpost.gateway.memory.slow_readers import MIN_SLOW_SECONDS, ReadRate, slowest_reader
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.proxy.attempts import Attempts
@@ -164,19 +164,19 @@
         late = MIN_SLOW_SECONDS
         cases = {
             "none": ({}, None),
-            "one": ({"a": ReaderPace(MB, 0, late)}, "a"),
-            "behind for a moment only": ({"a": ReaderPace(MB, 0, late - 0.1)}, None),
-            "nothing would be freed": ({"a": ReaderPace(0, 0, late)}, None),
+            "one": ({"a": ReadRate(MB, 0, late)}, "a"),
+            "behind for a moment only": ({"a": ReadRate(MB, 0, late - 0.1)}, None),
+            "nothing would be freed": ({"a": ReadRate(0, 0, late)}, None),
             "the fewest bytes a second": (
-                {"a": ReaderPace(MB, 4 * MB, 4.0), "b": ReaderPace(MB, 2 * MB, 4.0)},
+                {"a": ReadRate(MB, 4 * MB, 4.0), "b": ReadRate(MB, 2 * MB, 4.0)},
                 "b",
             ),
             "not the fewest bytes": (
-                {"a": ReaderPace(MB, 4 * MB, 40.0), "b": ReaderPace(MB, 2 * MB, 4.0)},
+                {"a": ReadRate(MB, 4 * MB, 40.0), "b": ReadRate(MB, 2 * MB, 4.0)},
                 "a",
             ),
             "of several that stand still, the one that holds most": (
-                {"a": ReaderPace(MB, 0, 3.0), "b": ReaderPace(2 * MB, 0, 3.0)},
+                {"a": ReadRate(MB, 0, 3.0), "b": ReadRate(2 * MB, 0, 3.0)},
                 "b",
             ),
         }
