--- a/src/larkpost/gateway/memory/daemon_memory.py
+++ b/src/larkpost/gateway/memory/daemon_memory.py
@@ -11,7 +11,7 @@
 from larkpost.common.clock import LoopClock
 from larkpost.gateway.memory.budget import ByteBudget, Purpose, Reservation
 from larkpost.gateway.memory.delivery import Delivery, Outlet
-from larkpost.gateway.memory.slow_readers import slowest_reader
+from larkpost.gateway.memory.slow_readers import slowest_client
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.observability.metrics import Count, Level
@@ -121,7 +121,7 @@
         Args:
             missing: bytes for which there is no room; nobody is cut who holds less.
         """
-        slowest = slowest_reader(
+        slowest = slowest_client(
             {behind: behind.pace() for behind in self._behind if not behind.is_cut}
         )
         if slowest is not None and slowest.pace().held >= missing:
--- a/src/larkpost/gateway/memory/slow_readers.py
+++ b/src/larkpost/gateway/memory/slow_readers.py
@@ -30,7 +30,7 @@
     seconds: float
 
 
-def slowest_reader(paces: Mapping[Key, ReadRate]) -> Key | None:
+def slowest_client(paces: Mapping[Key, ReadRate]) -> Key | None:
     """Returns the client to cut; None if none is slow whose end would free anything.
 
     It is the one that takes the fewest bytes a second, and of several the one that holds most.
--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -20,7 +20,7 @@
 )
 from larkpost.gateway.memory.daemon_memory import DaemonMemory, unlimited_memory
 from larkpost.gateway.memory.sizing import LEAST_BUDGET_BYTES, PROGRAM_BYTES, budget_of
-from larkpost.gateway.memory.slow_readers import MIN_SLOW_SECONDS, ReadRate, slowest_reader
+from larkpost.gateway.memory.slow_readers import MIN_SLOW_SECONDS, ReadRate, slowest_client
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.proxy.attempts import Attempts
@@ -182,7 +182,7 @@
         }
         for name, (paces, expected) in cases.items():
             with self.subTest(name):
-                self.assertEqual(expected, slowest_reader(paces))
+                self.assertEqual(expected, slowest_client(paces))
 
 
 class OpenResponseTest(unittest.IsolatedAsyncioTestCase):
