--- a/src/larkpost/gateway/memory/daemon_memory.py
+++ b/src/larkpost/gateway/memory/daemon_memory.py
@@ -10,7 +10,7 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.gateway.memory.budget import ByteBudget, Purpose, Reservation
-from larkpost.gateway.memory.delivery import Delivery, Outlet
+from larkpost.gateway.memory.delivery import ClientConnection, Delivery
 from larkpost.gateway.memory.slow_readers import slowest_client
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.instruments import Instruments
@@ -101,7 +101,7 @@
             memory.release()
 
     @contextmanager
-    def delivery(self, outlet: Outlet, memory: RequestMemory) -> Iterator[Delivery]:
+    def delivery(self, outlet: ClientConnection, memory: RequestMemory) -> Iterator[Delivery]:
         """Follows the answer to a request on its way to the client."""
         delivery = Delivery(
             outlet,
--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -22,7 +22,7 @@
     remedy = "Read answers as they come."
 
 
-class Outlet(Protocol):
+class ClientConnection(Protocol):
     """A connection to a client."""
 
     @property
@@ -55,7 +55,7 @@
 
     def __init__(
         self,
-        outlet: Outlet,
+        outlet: ClientConnection,
         clock: Clock,
         count_held: Callable[[], int],
         on_behind: Callable[["Delivery"], None],
--- a/src/larkpost/platform/client_call.py
+++ b/src/larkpost/platform/client_call.py
@@ -7,7 +7,7 @@
 from larkpost.gateway.blackboard.tenants import KeyDigest, digest_key
 from larkpost.gateway.memory.budget import SMALL_BODY_BYTES, Purpose
 from larkpost.gateway.memory.daemon_memory import RequestMemory
-from larkpost.gateway.memory.delivery import Outlet
+from larkpost.gateway.memory.delivery import ClientConnection
 from larkpost.gateway.memory.slow_readers import STALLED_SECONDS
 from larkpost.gateway.proxy.admission import Admitted
 from larkpost.gateway.proxy.request import ClientRequest
@@ -82,7 +82,7 @@
         return bool(self._scope.get("state", {}).get(OVERSIZED))
 
     @property
-    def outlet(self) -> Outlet | None:
+    def outlet(self) -> ClientConnection | None:
         """The connection that the response goes to, if it can be followed."""
         return self._scope.get("state", {}).get(OUTLET)
 
