--- a/src/larkpost/gateway/memory/daemon_memory.py
+++ b/src/larkpost/gateway/memory/daemon_memory.py
@@ -115,7 +115,7 @@
         finally:
             self._behind.pop(delivery, None)
 
-    def relieve(self, missing: float = 0) -> None:
+    def disconnect_slowest(self, missing: float = 0) -> None:
         """Cuts the client that takes its answer slowest, if one is slow.
 
         Args:
@@ -146,7 +146,7 @@
             held=self.budget.total,
             limit=self.budget.limit,
         )
-        self.relieve(self.budget.missing(reservation.purpose, size))
+        self.disconnect_slowest(self.budget.missing(reservation.purpose, size))
 
     def _record_cut(self, delivery: Delivery, reason: CutReason) -> None:
         pace = delivery.pace()
--- a/src/larkpost/gateway/memory/read_ahead.py
+++ b/src/larkpost/gateway/memory/read_ahead.py
@@ -114,6 +114,6 @@
             if loop.time() >= relieve_at:
                 if not self._memory.budget.is_short:
                     return
-                self._memory.relieve()
+                self._memory.disconnect_slowest()
                 relieve_at = loop.time() + UNREAD_SECONDS
             await asyncio.sleep(ROOM_POLL_SECONDS)
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -305,7 +305,7 @@
                 outlet.rate = 10**9
                 await asyncio.gather(outlet_taken(outlet), waiting)
                 await asyncio.sleep(2 * MIN_SLOW_SECONDS)
-                self.memory.relieve()
+                self.memory.disconnect_slowest()
                 self.assertFalse(outlet.is_cut)
                 self.assertEqual(0.0, delivery.pace().seconds)
 
@@ -333,7 +333,7 @@
                 waiting = asyncio.create_task(delivery.wait_until_taken())
                 await asyncio.sleep(STALLED_SECONDS - 1)
                 outlet.is_serving = True
-                self.memory.relieve()
+                self.memory.disconnect_slowest()
                 await waiting
                 await asyncio.sleep(STALLED_SECONDS)
                 self.assertFalse(outlet.is_cut)
