--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -14,7 +14,7 @@
 """Between two looks at whether a client that does not keep up has taken anything."""
 
 
-class ReaderCutError(LarkpostError):
+class SlowClientError(LarkpostError):
     """The client's connection was cut, as it took its answer too slowly."""
 
     code = "reader_cut"
@@ -156,8 +156,8 @@
             self._progress_at = now
         self._unsent_before = unsent
         if self.is_cut:
-            raise ReaderCutError("its connection was cut", ran=Ran.UNKNOWN)
+            raise SlowClientError("its connection was cut", ran=Ran.UNKNOWN)
         if unsent and now - self._progress_at >= STALLED_SECONDS:
             self._on_stalled(self)
             self.cut()
-            raise ReaderCutError("it took nothing for too long", ran=Ran.UNKNOWN)
+            raise SlowClientError("it took nothing for too long", ran=Ran.UNKNOWN)
--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -18,7 +18,7 @@
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
 from larkpost.gateway.memory.budget import Purpose
 from larkpost.gateway.memory.daemon_memory import DaemonMemory, RequestMemory, unlimited_memory
-from larkpost.gateway.memory.delivery import Delivery, ReaderCutError
+from larkpost.gateway.memory.delivery import Delivery, SlowClientError
 from larkpost.gateway.memory.read_ahead import PassedAnswer, read_ahead
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.proxy.forwarder import Forwarder
@@ -189,7 +189,7 @@
     if delivery.unsent == 0:
         return
     memory.keep_only(Purpose.ANSWERS, delivery.unsent)
-    with contextlib.suppress(ReaderCutError):  # logged where it was cut
+    with contextlib.suppress(SlowClientError):  # logged where it was cut
         await delivery.wait_until_taken()
 
 
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -12,7 +12,7 @@
 from larkpost.common.clock import LoopClock
 from larkpost.gateway.memory.budget import LEAST_SHARE_BYTES, SHARES, NoRoomError, Purpose
 from larkpost.gateway.memory.daemon_memory import CutReason, DaemonMemory
-from larkpost.gateway.memory.delivery import Delivery, ReaderCutError
+from larkpost.gateway.memory.delivery import Delivery, SlowClientError
 from larkpost.gateway.memory.read_ahead import UNREAD_SECONDS, PassedAnswer, read_ahead
 from larkpost.gateway.memory.slow_readers import MIN_SLOW_SECONDS, STALLED_SECONDS
 from larkpost.gateway.observability.eventlog import Event
@@ -178,7 +178,7 @@
 
         async def play():
             began = asyncio.get_running_loop().time()
-            with self.assertRaises(ReaderCutError):
+            with self.assertRaises(SlowClientError):
                 await relay.run()
             return asyncio.get_running_loop().time() - began
 
@@ -238,7 +238,7 @@
 
         seconds, outcomes = virtual.run(play())
         self.assertLess(seconds, 2 * (UNREAD_SECONDS + MIN_SLOW_SECONDS))
-        self.assertIsInstance(outcomes[0], ReaderCutError)
+        self.assertIsInstance(outcomes[0], SlowClientError)
         self.assertEqual((None, 100 * len(CHUNK)), (outcomes[1], fast.taken))
         (line,) = self.lines(Event.READER_CUT)
         self.assertEqual(CutReason.SLOWEST, line["reason"])
