--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -11,7 +11,7 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.gateway.memory.budget import LEAST_SHARE_BYTES, SHARES, NoRoomError, Purpose
-from larkpost.gateway.memory.daemon_memory import CutReason, DaemonMemory
+from larkpost.gateway.memory.daemon_memory import DaemonMemory, DisconnectReason
 from larkpost.gateway.memory.delivery import Delivery, SlowClientError
 from larkpost.gateway.memory.read_ahead import UNREAD_SECONDS, PassedAnswer, read_ahead
 from larkpost.gateway.memory.slow_readers import MIN_SLOW_SECONDS, STALLED_SECONDS
@@ -187,7 +187,7 @@
         self.assertLess(seconds, STALLED_SECONDS + 1)
         self.assertEqual(0, self.memory.budget.total)
         self.assertEqual(
-            [CutReason.STALLED], [line["reason"] for line in self.lines(Event.READER_CUT)]
+            [DisconnectReason.STALLED], [line["reason"] for line in self.lines(Event.READER_CUT)]
         )
 
     def test_server_stays_read_beyond_a_share_while_there_is_room(self):
@@ -241,7 +241,7 @@
         self.assertIsInstance(outcomes[0], SlowClientError)
         self.assertEqual((None, 100 * len(CHUNK)), (outcomes[1], fast.taken))
         (line,) = self.lines(Event.READER_CUT)
-        self.assertEqual(CutReason.SLOWEST, line["reason"])
+        self.assertEqual(DisconnectReason.SLOWEST, line["reason"])
 
     def test_forty_slow_clients_stay_within_the_budget_and_get_their_answers(self):
         """40 answers of 3 MB, 15 times the budget, to clients of 500 kB a second."""
