--- a/src/larkpost/gateway/memory/daemon_memory.py
+++ b/src/larkpost/gateway/memory/daemon_memory.py
@@ -108,7 +108,7 @@
             self._instruments.clock,
             lambda: memory.size,
             lambda behind: self._behind.setdefault(behind, memory.owner),
-            lambda stalled: self._record_cut(stalled, DisconnectReason.STALLED),
+            lambda stalled: self._record_disconnect(stalled, DisconnectReason.STALLED),
         )
         try:
             yield delivery
@@ -125,7 +125,7 @@
             {behind: behind.pace() for behind in self._behind if not behind.is_cut}
         )
         if slowest is not None and slowest.pace().held >= missing:
-            self._record_cut(slowest, DisconnectReason.SLOWEST)
+            self._record_disconnect(slowest, DisconnectReason.SLOWEST)
             slowest.cut()
 
     def set_gauges(self) -> None:
@@ -148,7 +148,7 @@
         )
         self.disconnect_slowest(self.budget.missing(reservation.purpose, size))
 
-    def _record_cut(self, delivery: Delivery, reason: DisconnectReason) -> None:
+    def _record_disconnect(self, delivery: Delivery, reason: DisconnectReason) -> None:
         pace = delivery.pace()
         self._instruments.metrics.count(Count.READERS_CUT, reason)
         self._instruments.log.record(
