--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -58,13 +58,13 @@
         outlet: ClientConnection,
         clock: Clock,
         count_held: Callable[[], int],
-        on_behind: Callable[["Delivery"], None],
+        on_slow: Callable[["Delivery"], None],
         on_stalled: Callable[["Delivery"], None],
     ) -> None:
         self._outlet = outlet
         self._clock = clock
         self._count_held = count_held
-        self._on_behind = on_behind
+        self._on_behind = on_slow
         self._on_stalled = on_stalled
         self._given = outlet.unsent  # of the response before, which is taken first
         self._behind_since: float | None = None
