--- a/src/larkpost/gateway/memory/daemon_memory.py
+++ b/src/larkpost/gateway/memory/daemon_memory.py
@@ -84,7 +84,7 @@
         self.budget = ByteBudget(limit, rng)
         self.budget.on_refusal = self._record_refusal
         self._instruments = instruments
-        self._behind: dict[Delivery, str] = {}
+        self._slow_deliveries: dict[Delivery, str] = {}
 
     @property
     def is_limited(self) -> bool:
@@ -107,13 +107,13 @@
             outlet,
             self._instruments.clock,
             lambda: memory.size,
-            lambda behind: self._behind.setdefault(behind, memory.owner),
+            lambda behind: self._slow_deliveries.setdefault(behind, memory.owner),
             lambda stalled: self._record_disconnect(stalled, DisconnectReason.STALLED),
         )
         try:
             yield delivery
         finally:
-            self._behind.pop(delivery, None)
+            self._slow_deliveries.pop(delivery, None)
 
     def disconnect_slowest(self, missing: float = 0) -> None:
         """Cuts the client that takes its answer slowest, if one is slow.
@@ -122,7 +122,7 @@
             missing: bytes for which there is no room; nobody is cut who holds less.
         """
         slowest = slowest_client(
-            {behind: behind.pace() for behind in self._behind if not behind.is_cut}
+            {behind: behind.pace() for behind in self._slow_deliveries if not behind.is_cut}
         )
         if slowest is not None and slowest.pace().held >= missing:
             self._record_disconnect(slowest, DisconnectReason.SLOWEST)
@@ -153,7 +153,7 @@
         self._instruments.metrics.count(Count.READERS_CUT, reason)
         self._instruments.log.record(
             Event.READER_CUT,
-            request=self._behind.get(delivery, ""),
+            request=self._slow_deliveries.get(delivery, ""),
             reason=reason,
             held=pace.held,
             taken=pace.taken,
