--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -64,7 +64,7 @@
         self._outlet = outlet
         self._clock = clock
         self._count_held = count_held
-        self._on_behind = on_slow
+        self._on_slow = on_slow
         self._on_stalled = on_stalled
         self._given = outlet.unsent  # of the response before, which is taken first
         self._behind_since: float | None = None
@@ -148,7 +148,7 @@
         self._behind_since = self._progress_at = self._clock.now()
         self._taken_before = self._taken()
         self._unsent_before = self._outlet.unsent
-        self._on_behind(self)
+        self._on_slow(self)
 
     def _check_progress(self) -> None:
         unsent, now = self._outlet.unsent, self._clock.now()
