--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -67,7 +67,7 @@
         self._on_slow = on_slow
         self._on_stalled = on_stalled
         self._given = outlet.unsent  # of the response before, which is taken first
-        self._behind_since: float | None = None
+        self._slow_since: float | None = None
         self._taken_before = 0
         self._unsent_before = 0
         self._progress_at = 0.0
@@ -103,8 +103,8 @@
         One that has taken everything is not behind, however long its server sends nothing more.
         """
         if self._outlet.unsent == 0 or self.is_replaced:
-            self._behind_since = None
-        since = self._behind_since
+            self._slow_since = None
+        since = self._slow_since
         seconds = self._clock.now() - since if since is not None else 0.0
         return ReadRate(self._count_held(), self._taken() - self._taken_before, seconds)
 
@@ -115,7 +115,7 @@
             ReaderCutError: the client took nothing for too long.
         """
         if self._outlet.unsent == 0:
-            self._behind_since = None
+            self._slow_since = None
         while self._outlet.is_full:
             self._note_behind()
             await self._outlet.wait_for_room(POLL_SECONDS)
@@ -143,9 +143,9 @@
         return max(0, self._given - self._outlet.unsent)
 
     def _note_behind(self) -> None:
-        if self._behind_since is not None:
+        if self._slow_since is not None:
             return
-        self._behind_since = self._progress_at = self._clock.now()
+        self._slow_since = self._progress_at = self._clock.now()
         self._taken_before = self._taken()
         self._unsent_before = self._outlet.unsent
         self._on_slow(self)
