--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -117,7 +117,7 @@
         if self._outlet.unsent == 0:
             self._slow_since = None
         while self._outlet.is_full:
-            self._note_behind()
+            self._mark_slow()
             await self._outlet.wait_for_room(POLL_SECONDS)
             self._check_progress()
 
@@ -129,7 +129,7 @@
         """
         self._is_complete = True
         while self._outlet.unsent and not self.is_replaced:
-            self._note_behind()
+            self._mark_slow()
             await self._clock.sleep(POLL_SECONDS)
             if not self.is_replaced:
                 self._check_progress()
@@ -142,7 +142,7 @@
     def _taken(self) -> int:
         return max(0, self._given - self._outlet.unsent)
 
-    def _note_behind(self) -> None:
+    def _mark_slow(self) -> None:
         if self._slow_since is not None:
             return
         self._slow_since = self._progress_at = self._clock.now()
