--- a/src/larkpost/gateway/memory/budget.py
+++ b/src/larkpost/gateway/memory/budget.py
@@ -154,7 +154,7 @@
         """Returns whether there is room for so many bytes more."""
         return self._budget.missing(self.purpose, size) == 0
 
-    def fits_share(self, size: int) -> bool:
+    def fits_answer_limit(self, size: int) -> bool:
         """Returns whether so many bytes more leave room to others; see `ByteBudget.share`."""
         return self.size + size <= self._budget.share
 
--- a/src/larkpost/gateway/memory/read_ahead.py
+++ b/src/larkpost/gateway/memory/read_ahead.py
@@ -110,7 +110,7 @@
         loop = asyncio.get_running_loop()
         reservation = self._answer.reservation
         relieve_at = loop.time() + UNREAD_SECONDS
-        while reservation.size and not reservation.fits_share(size):
+        while reservation.size and not reservation.fits_answer_limit(size):
             if loop.time() >= relieve_at:
                 if not self._memory.budget.is_short:
                     return
--- a/src/larkpost/gateway/proxy/answer_body.py
+++ b/src/larkpost/gateway/proxy/answer_body.py
@@ -20,7 +20,7 @@
     begun: deque[bytes] = deque()
     try:
         async for chunk in chunks:
-            is_share = reservation.fits_share(len(chunk))
+            is_share = reservation.fits_answer_limit(len(chunk))
             reservation.grow_anyway(len(chunk))
             begun.append(chunk)
             if not is_share:
--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -123,15 +123,15 @@
         """Forty slow clients of answers larger than the budget."""
         for _ in range(40):
             answer = self.budget.reserve(Purpose.STREAMS)
-            while answer.fits_share(LEAST_SHARE_BYTES):
+            while answer.fits_answer_limit(LEAST_SHARE_BYTES):
                 answer.grow_anyway(LEAST_SHARE_BYTES)
         self.assertLess(self.budget.total, 10 * MB + 40 * LEAST_SHARE_BYTES)
         self.assertGreater(self.budget.total, 9 * MB)
 
     def test_one_answer_may_hold_a_part_of_what_is_free(self):
         answer = self.budget.reserve(Purpose.ANSWERS)
-        self.assertTrue(answer.fits_share(10 * MB // SHARES))
-        self.assertFalse(answer.fits_share(10 * MB // SHARES + 1))
+        self.assertTrue(answer.fits_answer_limit(10 * MB // SHARES))
+        self.assertFalse(answer.fits_answer_limit(10 * MB // SHARES + 1))
 
     def test_room_is_short_once_half_is_held(self):
         body = self.budget.reserve(Purpose.REQUEST_BODIES, 5 * MB)
@@ -142,7 +142,7 @@
     def test_without_a_limit_everything_fits(self):
         budget = ByteBudget()
         answer = budget.reserve(Purpose.ANSWERS, 10**12)
-        self.assertTrue(answer.fits_share(10**12))
+        self.assertTrue(answer.fits_answer_limit(10**12))
         self.assertEqual((math.inf, False), (budget.free, budget.is_short))
 
 
