--- a/src/larkpost/gateway/memory/budget.py
+++ b/src/larkpost/gateway/memory/budget.py
@@ -14,7 +14,7 @@
 SHARES = 8
 """One answer may hold as much as this part of what is free, so that the next one always finds some
 room."""
-LEAST_SHARE_BYTES = 65536
+MIN_ANSWER_LIMIT_BYTES = 65536
 """One answer may hold as much as this, however little is free, so that each can go on."""
 SHORT_SHARE = 0.5
 """Room is short once less than this share of the budget is free."""
@@ -83,7 +83,7 @@
     @property
     def share(self) -> float:
         """The most bytes that one answer may hold now; infinite without a limit."""
-        return max(LEAST_SHARE_BYTES, self.free / SHARES)
+        return max(MIN_ANSWER_LIMIT_BYTES, self.free / SHARES)
 
     def missing(self, purpose: Purpose, size: int) -> float:
         """Returns how many bytes must be released before so many more may be held.
--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -10,7 +10,7 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.gateway.memory.budget import (
-    LEAST_SHARE_BYTES,
+    MIN_ANSWER_LIMIT_BYTES,
     RETRY_AFTER_SECONDS,
     SHARES,
     SMALL_BODIES_SHARE,
@@ -123,9 +123,9 @@
         """Forty slow clients of answers larger than the budget."""
         for _ in range(40):
             answer = self.budget.reserve(Purpose.STREAMS)
-            while answer.fits_answer_limit(LEAST_SHARE_BYTES):
-                answer.grow_anyway(LEAST_SHARE_BYTES)
-        self.assertLess(self.budget.total, 10 * MB + 40 * LEAST_SHARE_BYTES)
+            while answer.fits_answer_limit(MIN_ANSWER_LIMIT_BYTES):
+                answer.grow_anyway(MIN_ANSWER_LIMIT_BYTES)
+        self.assertLess(self.budget.total, 10 * MB + 40 * MIN_ANSWER_LIMIT_BYTES)
         self.assertGreater(self.budget.total, 9 * MB)
 
     def test_one_answer_may_hold_a_part_of_what_is_free(self):
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -10,7 +10,7 @@
 from contextlib import aclosing
 
 from larkpost.common.clock import LoopClock
-from larkpost.gateway.memory.budget import LEAST_SHARE_BYTES, SHARES, NoRoomError, Purpose
+from larkpost.gateway.memory.budget import MIN_ANSWER_LIMIT_BYTES, SHARES, NoRoomError, Purpose
 from larkpost.gateway.memory.daemon_memory import DaemonMemory, DisconnectReason
 from larkpost.gateway.memory.delivery import Delivery, SlowClientError
 from larkpost.gateway.memory.read_ahead import UNREAD_SECONDS, PassedAnswer, read_ahead
@@ -253,7 +253,7 @@
         virtual.run(play())
         self.assertEqual({60 * len(CHUNK)}, {relay.taken for relay in relays})
         largest = max(relay.largest for relay in relays)
-        self.assertLessEqual(largest, 8 * MB + 40 * LEAST_SHARE_BYTES)
+        self.assertLessEqual(largest, 8 * MB + 40 * MIN_ANSWER_LIMIT_BYTES)
 
     def test_refused_body_has_a_slow_client_cut(self):
         relay = Relay(self.memory, Server(1000), FakeOutlet(rate=2_000))
