--- a/src/larkpost/gateway/memory/budget.py
+++ b/src/larkpost/gateway/memory/budget.py
@@ -16,7 +16,7 @@
 room."""
 MIN_ANSWER_LIMIT_BYTES = 65536
 """One answer may hold as much as this, however little is free, so that each can go on."""
-SHORT_SHARE = 0.5
+LOW_MEMORY_FRACTION = 0.5
 """Room is short once less than this share of the budget is free."""
 SMALL_BODY_BYTES = 65536
 """A body of at most this size is a small one."""
@@ -78,7 +78,7 @@
     @property
     def is_short(self) -> bool:
         """Whether so little is free that slow clients must give way."""
-        return self.limit is not None and self.free < self.limit * SHORT_SHARE
+        return self.limit is not None and self.free < self.limit * LOW_MEMORY_FRACTION
 
     @property
     def share(self) -> float:
--- a/src/larkpost/gateway/rollouts/urgency.py
+++ b/src/larkpost/gateway/rollouts/urgency.py
@@ -20,7 +20,7 @@
 """Ranks within one priority: long, middling and short items."""
 LONG_SHARE = 0.15
 """Share of a batch's items that count as long: about one in ten is several times the others."""
-SHORT_SHARE = 0.5
+LOW_MEMORY_FRACTION = 0.5
 """Share of them that count as short."""
 
 
@@ -30,7 +30,7 @@
     def __init__(self, items: Sequence[Item]) -> None:
         works = sorted((item.expected_work for item in items), reverse=True)
         self._long_from = _at_share(works, LONG_SHARE)
-        self._short_to = _at_share(works, 1 - SHORT_SHARE)
+        self._short_to = _at_share(works, 1 - LOW_MEMORY_FRACTION)
 
     def rank(self, progress: Progress, priority: int, *, yields: bool = False) -> int:
         """Returns the rank that an engine is sent, from 0, the most urgent, to 9.
