--- a/src/larkpost/gateway/memory/budget.py
+++ b/src/larkpost/gateway/memory/budget.py
@@ -20,7 +20,7 @@
 """Room is short once less than this share of the budget is free."""
 SMALL_BODY_BYTES = 65536
 """A body of at most this size is a small one."""
-SMALL_BODIES_SHARE = 1 / 16
+SMALL_BODIES_FRACTION = 1 / 16
 """Small bodies may hold this part of the budget beyond it, so that ordinary requests are served
 while large bodies or batches fill it."""
 BATCHES_SHARE = 0.5
@@ -130,7 +130,7 @@
         self._held[purpose] += size
 
     def _fits_small_bodies(self, size: int) -> bool:
-        return self._held[Purpose.SMALL_BODIES] + size <= self.limit * SMALL_BODIES_SHARE
+        return self._held[Purpose.SMALL_BODIES] + size <= self.limit * SMALL_BODIES_FRACTION
 
     @property
     def _is_full_of_batches(self) -> bool:
--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -13,7 +13,7 @@
     MIN_ANSWER_LIMIT_BYTES,
     RETRY_AFTER_SECONDS,
     SHARES,
-    SMALL_BODIES_SHARE,
+    SMALL_BODIES_FRACTION,
     ByteBudget,
     NoRoomError,
     Purpose,
@@ -90,7 +90,7 @@
 
     def test_small_bodies_find_room_beside_batches_that_fill_the_budget(self):
         self.budget.record_kept(Purpose.BATCHES, 12 * MB)
-        most = int(10 * MB * SMALL_BODIES_SHARE)
+        most = int(10 * MB * SMALL_BODIES_FRACTION)
         for _ in range(most // 800):
             self.budget.reserve(Purpose.SMALL_BODIES, 800)
         for purpose in (Purpose.SMALL_BODIES, Purpose.REQUEST_BODIES):
