--- a/src/larkpost/gateway/memory/budget.py
+++ b/src/larkpost/gateway/memory/budget.py
@@ -23,7 +23,7 @@
 SMALL_BODIES_FRACTION = 1 / 16
 """Small bodies may hold this part of the budget beyond it, so that ordinary requests are served
 while large bodies or batches fill it."""
-BATCHES_SHARE = 0.5
+MAX_BATCHES_FRACTION = 0.5
 """New batches are taken only while those that are held take no more than this part of the budget:
 they stay for long, and more may be claimed from daemons that end."""
 RETRY_AFTER_SECONDS = 0.3
@@ -134,7 +134,7 @@
 
     @property
     def _is_full_of_batches(self) -> bool:
-        return self._held[Purpose.BATCHES] > self.limit * BATCHES_SHARE
+        return self._held[Purpose.BATCHES] > self.limit * MAX_BATCHES_FRACTION
 
 
 class Reservation:
