--- a/src/larkpost/gateway/memory/budget.py
+++ b/src/larkpost/gateway/memory/budget.py
@@ -43,7 +43,7 @@
     RELAYED_CALLS = "relayed_calls"  # calls to the store for other daemons
 
 
-class NoRoomError(LarkpostError):
+class MemoryBudgetError(LarkpostError):
     """The daemon may hold no more bytes now; the request did not run and will not."""
 
     code = "no_room"
@@ -120,10 +120,10 @@
         """Records all that is held for a purpose of which nothing is reserved."""
         self._held[purpose] = size
 
-    def no_room(self, size: int) -> NoRoomError:
+    def no_room(self, size: int) -> MemoryBudgetError:
         """Returns the error of a reservation that finds no room."""
         wait = RETRY_AFTER_SECONDS * (1 + self._chance.random())
-        return NoRoomError(f"no room for {size} bytes", retry_after=round(wait, 3))
+        return MemoryBudgetError(f"no room for {size} bytes", retry_after=round(wait, 3))
 
     def add(self, purpose: Purpose, size: int) -> None:
         """Counts bytes of a reservation, fewer if negative."""
--- a/src/larkpost/platform/peer_store.py
+++ b/src/larkpost/platform/peer_store.py
@@ -4,7 +4,7 @@
 peer as it speaks to the store.
 """
 
-from larkpost.gateway.memory.budget import ByteBudget, NoRoomError, Purpose
+from larkpost.gateway.memory.budget import ByteBudget, MemoryBudgetError, Purpose
 from larkpost.platform import asgi, names
 from larkpost.platform.asgi import ClientLeftError, Receive, Send
 from larkpost.platform.store import HttpStore
@@ -36,7 +36,7 @@
         try:
             with self._budget.reserve(Purpose.RELAYED_CALLS, CALL_BYTES, "peer"):
                 await self._serve(scope, receive, send)
-        except NoRoomError:
+        except MemoryBudgetError:
             await asgi.send_whole(send, UNAVAILABLE, [(b"content-length", b"0")], b"")
 
     async def _serve(self, scope: dict, receive: Receive, send: Send) -> None:
--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -15,7 +15,7 @@
     SHARES,
     SMALL_BODIES_FRACTION,
     ByteBudget,
-    NoRoomError,
+    MemoryBudgetError,
     Purpose,
 )
 from larkpost.gateway.memory.daemon_memory import DaemonMemory, unlimited_memory
@@ -52,7 +52,7 @@
 
     def test_nothing_is_reserved_without_room_and_what_was_stays(self):
         self.budget.reserve(Purpose.REQUEST_BODIES, 10 * MB)
-        with self.assertRaises(NoRoomError):
+        with self.assertRaises(MemoryBudgetError):
             self.budget.reserve(Purpose.REQUEST_BODIES, 1)
         self.assertEqual(10 * MB, self.budget.total)
 
@@ -62,7 +62,7 @@
 
     def test_growing_beyond_the_room_keeps_what_was_reserved(self):
         body = self.budget.reserve(Purpose.REQUEST_BODIES, 9 * MB)
-        with self.assertRaises(NoRoomError):
+        with self.assertRaises(MemoryBudgetError):
             body.grow(2 * MB)
         self.assertEqual((9 * MB, 9 * MB), (body.size, self.budget.total))
 
@@ -78,7 +78,7 @@
         self.budget.on_refusal = lambda reservation, size: refused.append(
             (reservation.owner, reservation.purpose, size)
         )
-        with self.assertRaises(NoRoomError):
+        with self.assertRaises(MemoryBudgetError):
             self.budget.reserve(Purpose.REQUEST_BODIES, 11 * MB, "r1")
         self.assertEqual([("r1", Purpose.REQUEST_BODIES, 11 * MB)], refused)
 
@@ -94,14 +94,14 @@
         for _ in range(most // 800):
             self.budget.reserve(Purpose.SMALL_BODIES, 800)
         for purpose in (Purpose.SMALL_BODIES, Purpose.REQUEST_BODIES):
-            with self.assertRaises(NoRoomError):
+            with self.assertRaises(MemoryBudgetError):
                 self.budget.reserve(purpose, 801)
 
     def test_new_batches_are_taken_while_those_held_leave_half_of_the_budget(self):
         self.budget.record_kept(Purpose.BATCHES, 5 * MB)
         self.budget.reserve(Purpose.SUBMISSIONS, MB).release()
         self.budget.record_kept(Purpose.BATCHES, 5 * MB + 1)
-        with self.assertRaises(NoRoomError):
+        with self.assertRaises(MemoryBudgetError):
             self.budget.reserve(Purpose.SUBMISSIONS, 1)
         self.budget.reserve(Purpose.REQUEST_BODIES, 4 * MB)
 
@@ -248,7 +248,7 @@
     def test_refusal_is_logged_with_its_request(self):
         log = RecordingLog()
         memory = DaemonMemory(MB, Instruments(LoopClock(), log))
-        with memory.request() as request, self.assertRaises(NoRoomError):
+        with memory.request() as request, self.assertRaises(MemoryBudgetError):
             request.owner = "r1"
             request.reserve(Purpose.REQUEST_BODIES, 2 * MB)
         (line,) = [fields for event, fields in log.events if event is Event.NO_ROOM]
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -10,7 +10,12 @@
 from contextlib import aclosing
 
 from larkpost.common.clock import LoopClock
-from larkpost.gateway.memory.budget import MIN_ANSWER_LIMIT_BYTES, SHARES, NoRoomError, Purpose
+from larkpost.gateway.memory.budget import (
+    MIN_ANSWER_LIMIT_BYTES,
+    SHARES,
+    MemoryBudgetError,
+    Purpose,
+)
 from larkpost.gateway.memory.daemon_memory import DaemonMemory, DisconnectReason
 from larkpost.gateway.memory.delivery import Delivery, SlowClientError
 from larkpost.gateway.memory.read_ahead import UNREAD_SECONDS, PassedAnswer, read_ahead
@@ -262,7 +267,7 @@
             running = asyncio.create_task(relay.run())
             await asyncio.sleep(MIN_SLOW_SECONDS + 1)
             self.memory.budget.reserve(Purpose.REQUEST_BODIES, 6 * MB)
-            with self.assertRaises(NoRoomError):
+            with self.assertRaises(MemoryBudgetError):
                 self.memory.budget.reserve(Purpose.REQUEST_BODIES, 2 * MB)
             self.assertTrue(relay.outlet.is_cut)
             await asyncio.gather(running, return_exceptions=True)
@@ -277,10 +282,10 @@
         async def play():
             running = asyncio.create_task(relay.run())
             await asyncio.sleep(MIN_SLOW_SECONDS + 1)
-            with self.assertRaises(NoRoomError):
+            with self.assertRaises(MemoryBudgetError):
                 self.memory.budget.reserve(Purpose.REQUEST_BODIES, 8 * MB + 1)
             self.memory.budget.reserve(Purpose.REQUEST_BODIES, 6 * MB)
-            with self.assertRaises(NoRoomError):
+            with self.assertRaises(MemoryBudgetError):
                 self.memory.budget.reserve(Purpose.REQUEST_BODIES, 3 * MB)
             self.assertFalse(relay.outlet.is_cut)
             running.cancel()
