--- a/src/larkpost/gateway/memory/budget.py
+++ b/src/larkpost/gateway/memory/budget.py
@@ -167,9 +167,9 @@
         if size > 0 and not self.fits(size):
             self._budget.on_refusal(self, size)
             raise self._budget.no_room(size)
-        self.grow_anyway(size)
+        self.force_grow(size)
 
-    def grow_anyway(self, size: int) -> None:
+    def force_grow(self, size: int) -> None:
         """Counts bytes that are held already, whether there is room or not."""
         self._budget.add(self.purpose, size)
         self.size += size
--- a/src/larkpost/gateway/memory/daemon_memory.py
+++ b/src/larkpost/gateway/memory/daemon_memory.py
@@ -63,7 +63,7 @@
     def keep_only(self, purpose: Purpose, size: int) -> None:
         """Releases all but so many bytes, which are held already."""
         self.release()
-        self.reserve(purpose).grow_anyway(size)
+        self.reserve(purpose).force_grow(size)
 
     def release(self) -> None:
         """Releases all that is held for the request."""
--- a/src/larkpost/gateway/memory/read_ahead.py
+++ b/src/larkpost/gateway/memory/read_ahead.py
@@ -101,7 +101,7 @@
     async def _read(self) -> None:
         async for chunk in self._answer.source:
             await self._wait_for_room(len(chunk))
-            self._answer.reservation.grow_anyway(len(chunk))
+            self._answer.reservation.force_grow(len(chunk))
             self._answer.begun.append(chunk)
             self._changed.set()
 
--- a/src/larkpost/gateway/proxy/answer_body.py
+++ b/src/larkpost/gateway/proxy/answer_body.py
@@ -21,7 +21,7 @@
     try:
         async for chunk in chunks:
             is_share = reservation.fits_answer_limit(len(chunk))
-            reservation.grow_anyway(len(chunk))
+            reservation.force_grow(len(chunk))
             begun.append(chunk)
             if not is_share:
                 return begun, False
--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -108,7 +108,7 @@
     def test_bytes_missing(self):
         """What must be released before a reservation fits; batches are not released for one."""
         self.budget.record_kept(Purpose.BATCHES, 6 * MB)
-        self.budget.reserve(Purpose.ANSWERS).grow_anyway(5 * MB)
+        self.budget.reserve(Purpose.ANSWERS).force_grow(5 * MB)
         cases = {
             (Purpose.REQUEST_BODIES, MB): 2 * MB,
             (Purpose.REQUEST_BODIES, 10 * MB + 1): math.inf,
@@ -124,7 +124,7 @@
         for _ in range(40):
             answer = self.budget.reserve(Purpose.STREAMS)
             while answer.fits_answer_limit(MIN_ANSWER_LIMIT_BYTES):
-                answer.grow_anyway(MIN_ANSWER_LIMIT_BYTES)
+                answer.force_grow(MIN_ANSWER_LIMIT_BYTES)
         self.assertLess(self.budget.total, 10 * MB + 40 * MIN_ANSWER_LIMIT_BYTES)
         self.assertGreater(self.budget.total, 9 * MB)
 
@@ -239,7 +239,7 @@
         memory = unlimited_memory()
         with memory.request() as request:
             request.reserve(Purpose.REQUEST_BODIES, MB)
-            request.reserve(Purpose.ANSWERS).grow_anyway(MB)
+            request.reserve(Purpose.ANSWERS).force_grow(MB)
             self.assertEqual((2 * MB, 2 * MB), (request.size, memory.budget.total))
             request.keep_only(Purpose.ANSWERS, 100)
             self.assertEqual((100, 100), (request.size, memory.budget.total))
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -228,7 +228,7 @@
     def test_server_that_stays_unread_has_the_slowest_client_cut(self):
         """The budget is full but for a share; one client takes 200 kB a second, one 2 kB."""
         held = self.memory.budget.reserve(Purpose.REQUEST_BODIES)
-        held.grow_anyway(8 * MB)
+        held.force_grow(8 * MB)
         slow = Relay(self.memory, Server(1000), FakeOutlet(rate=2_000))
         fast = Relay(self.memory, Server(100), FakeOutlet(rate=200_000))
 
