--- a/src/larkpost/gateway/memory/budget.py
+++ b/src/larkpost/gateway/memory/budget.py
@@ -116,7 +116,7 @@
         reservation.grow(size)
         return reservation
 
-    def record_kept(self, purpose: Purpose, size: int) -> None:
+    def set_held(self, purpose: Purpose, size: int) -> None:
         """Records all that is held for a purpose of which nothing is reserved."""
         self._held[purpose] = size
 
--- a/src/larkpost/gateway/rollouts/view.py
+++ b/src/larkpost/gateway/rollouts/view.py
@@ -117,7 +117,7 @@
             size -= self._views[batch].size
             del self._views[batch]
         kept = sum(view.size for view in self._views.values())
-        self._budget.record_kept(Purpose.BATCHES, kept + outputs)
+        self._budget.set_held(Purpose.BATCHES, kept + outputs)
 
     def _max_idle_bytes(self) -> int:
         limit = self._budget.limit
--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -83,13 +83,13 @@
         self.assertEqual([("r1", Purpose.REQUEST_BODIES, 11 * MB)], refused)
 
     def test_what_is_kept_anyway_leaves_less_room(self):
-        self.budget.record_kept(Purpose.BATCHES, 12 * MB)
+        self.budget.set_held(Purpose.BATCHES, 12 * MB)
         self.assertEqual(0, self.budget.free)
-        self.budget.record_kept(Purpose.BATCHES, 4 * MB)
+        self.budget.set_held(Purpose.BATCHES, 4 * MB)
         self.assertEqual(6 * MB, self.budget.free)
 
     def test_small_bodies_find_room_beside_batches_that_fill_the_budget(self):
-        self.budget.record_kept(Purpose.BATCHES, 12 * MB)
+        self.budget.set_held(Purpose.BATCHES, 12 * MB)
         most = int(10 * MB * SMALL_BODIES_FRACTION)
         for _ in range(most // 800):
             self.budget.reserve(Purpose.SMALL_BODIES, 800)
@@ -98,16 +98,16 @@
                 self.budget.reserve(purpose, 801)
 
     def test_new_batches_are_taken_while_those_held_leave_half_of_the_budget(self):
-        self.budget.record_kept(Purpose.BATCHES, 5 * MB)
+        self.budget.set_held(Purpose.BATCHES, 5 * MB)
         self.budget.reserve(Purpose.SUBMISSIONS, MB).release()
-        self.budget.record_kept(Purpose.BATCHES, 5 * MB + 1)
+        self.budget.set_held(Purpose.BATCHES, 5 * MB + 1)
         with self.assertRaises(MemoryBudgetError):
             self.budget.reserve(Purpose.SUBMISSIONS, 1)
         self.budget.reserve(Purpose.REQUEST_BODIES, 4 * MB)
 
     def test_bytes_missing(self):
         """What must be released before a reservation fits; batches are not released for one."""
-        self.budget.record_kept(Purpose.BATCHES, 6 * MB)
+        self.budget.set_held(Purpose.BATCHES, 6 * MB)
         self.budget.reserve(Purpose.ANSWERS).force_grow(5 * MB)
         cases = {
             (Purpose.REQUEST_BODIES, MB): 2 * MB,
--- a/tests/test_held_bytes.py
+++ b/tests/test_held_bytes.py
@@ -570,7 +570,7 @@
         await self.wait_until(lambda: self.memory.budget.total == 0)
 
     async def test_small_bodies_are_served_while_batches_fill_the_budget(self):
-        self.memory.budget.record_kept(Purpose.BATCHES, 9 * MB)
+        self.memory.budget.set_held(Purpose.BATCHES, 9 * MB)
         reader, writer = await self.connect()
         for path, status in ((b"/p/x", 200), (b"/o/x", 200), (b"/s/x", 200), (b"/b/x", 503)):
             writer.write(self.request(b"x" * 800, path))
@@ -581,7 +581,7 @@
     async def test_batch_is_refused_while_those_held_take_half_of_the_budget(self):
         reader, writer = await self.connect()
         for held, status in ((4 * MB + 1, 503), (4 * MB, 202)):
-            self.memory.budget.record_kept(Purpose.BATCHES, held)
+            self.memory.budget.set_held(Purpose.BATCHES, held)
             writer.write(self.request(self.submission(1000), b"/b/x"))
             self.assertEqual(status, (await self.response(reader))[0])
         self.assertEqual(1, len(self.batches.submitted))
