--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -37,7 +37,7 @@
     def is_serving(self) -> bool:
         """Whether a request that came on it is served and its response not complete."""
 
-    async def wait_for_room(self, seconds: float) -> None:
+    async def wait_until_writable(self, seconds: float) -> None:
         """Waits until it is not full, at most so long."""
 
     def cut(self) -> None:
@@ -108,7 +108,7 @@
         seconds = self._clock.now() - since if since is not None else 0.0
         return ReadRate(self._count_held(), self._taken() - self._taken_before, seconds)
 
-    async def wait_for_room(self) -> None:
+    async def wait_until_writable(self) -> None:
         """Waits until the connection may be given more.
 
         Raises:
@@ -118,7 +118,7 @@
             self._slow_since = None
         while self._outlet.is_full:
             self._mark_slow()
-            await self._outlet.wait_for_room(POLL_SECONDS)
+            await self._outlet.wait_until_writable(POLL_SECONDS)
             self._check_progress()
 
     async def wait_until_taken(self) -> None:
--- a/src/larkpost/platform/client_response.py
+++ b/src/larkpost/platform/client_response.py
@@ -97,7 +97,7 @@
             ReaderCutError: the client took nothing for too long.
         """
         if self.delivery is not None:
-            await self.delivery.wait_for_room()
+            await self.delivery.wait_until_writable()
             self.delivery.record_given(len(content))
         await self._send({"type": "http.response.body", "body": content, "more_body": True})
 
--- a/src/larkpost/platform/http_protocol.py
+++ b/src/larkpost/platform/http_protocol.py
@@ -222,7 +222,7 @@
         """Whether a request is served and its response not complete."""
         return self._served is not None and not self._served.response_complete
 
-    async def wait_for_room(self, seconds: float) -> None:
+    async def wait_until_writable(self, seconds: float) -> None:
         """Waits until it is not full, at most so long."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -48,7 +48,7 @@
         self.unsent += size
         self._settle()
 
-    async def wait_for_room(self, seconds: float) -> None:
+    async def wait_until_writable(self, seconds: float) -> None:
         """Waits until it is not full, at most so long."""
         left = seconds
         while self.is_full and left > 0:
@@ -122,7 +122,7 @@
         """Gives the client each part once it has room."""
         async with aclosing(read_ahead(answer, delivery, self.memory)) as parts:
             async for part in parts:
-                await delivery.wait_for_room()
+                await delivery.wait_until_writable()
                 self.largest = max(self.largest, self.memory.budget.total)
                 delivery.record_given(len(part))
                 self.outlet.give(len(part))
@@ -305,7 +305,7 @@
                 request.reserve(Purpose.STREAMS, MB)
                 delivery.record_given(2 * HIGH_BYTES)
                 outlet.give(2 * HIGH_BYTES)
-                waiting = asyncio.create_task(delivery.wait_for_room())
+                waiting = asyncio.create_task(delivery.wait_until_writable())
                 await asyncio.sleep(MIN_SLOW_SECONDS / 2)
                 outlet.rate = 10**9
                 await asyncio.gather(outlet_taken(outlet), waiting)
@@ -354,7 +354,7 @@
                 self.memory.request() as request,
                 self.memory.delivery(outlet, request) as delivery,
             ):
-                waiting = asyncio.create_task(delivery.wait_for_room())
+                waiting = asyncio.create_task(delivery.wait_until_writable())
                 await asyncio.sleep(1)
                 outlet.unsent -= HIGH_BYTES
                 self.assertEqual(HIGH_BYTES, delivery.pace().taken)
