--- a/src/larkpost/gateway/memory/read_ahead.py
+++ b/src/larkpost/gateway/memory/read_ahead.py
@@ -100,12 +100,12 @@
 
     async def _read(self) -> None:
         async for chunk in self._answer.source:
-            await self._wait_for_room(len(chunk))
+            await self._wait_for_budget(len(chunk))
             self._answer.reservation.force_grow(len(chunk))
             self._answer.begun.append(chunk)
             self._changed.set()
 
-    async def _wait_for_room(self, size: int) -> None:
+    async def _wait_for_budget(self, size: int) -> None:
         """Waits until a chunk may be held; one chunk may be, however little room there is."""
         loop = asyncio.get_running_loop()
         reservation = self._answer.reservation
