--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -83,7 +83,7 @@
         return self._is_complete and self._outlet.is_serving
 
     @property
-    def keeps_up(self) -> bool:
+    def is_writable(self) -> bool:
         """Whether the connection may be given more at once."""
         return not self._outlet.is_full
 
--- a/src/larkpost/gateway/memory/read_ahead.py
+++ b/src/larkpost/gateway/memory/read_ahead.py
@@ -55,12 +55,12 @@
         async for chunk in answer.source:
             yield chunk
         return
-    while answer.begun and delivery.keeps_up:
+    while answer.begun and delivery.is_writable:
         yield answer.take()
-    if delivery.keeps_up:
+    if delivery.is_writable:
         async for chunk in answer.source:
             yield chunk
-            if not delivery.keeps_up:
+            if not delivery.is_writable:
                 break
         else:
             return
