--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -92,7 +92,7 @@
         """The bytes that the connection was given and that its client has not made room for."""
         return self._outlet.unsent
 
-    def record_given(self, size: int) -> None:
+    def record_written(self, size: int) -> None:
         """Records that the connection was given bytes."""
         self._given += size
         self._unsent_before += size
--- a/src/larkpost/platform/client_response.py
+++ b/src/larkpost/platform/client_response.py
@@ -98,7 +98,7 @@
         """
         if self.delivery is not None:
             await self.delivery.wait_until_writable()
-            self.delivery.record_given(len(content))
+            self.delivery.record_written(len(content))
         await self._send({"type": "http.response.body", "body": content, "more_body": True})
 
     async def finish(self) -> None:
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -124,7 +124,7 @@
             async for part in parts:
                 await delivery.wait_until_writable()
                 self.largest = max(self.largest, self.memory.budget.total)
-                delivery.record_given(len(part))
+                delivery.record_written(len(part))
                 self.outlet.give(len(part))
                 self.taken += len(part)
 
@@ -303,7 +303,7 @@
                 self.memory.delivery(outlet, request) as delivery,
             ):
                 request.reserve(Purpose.STREAMS, MB)
-                delivery.record_given(2 * HIGH_BYTES)
+                delivery.record_written(2 * HIGH_BYTES)
                 outlet.give(2 * HIGH_BYTES)
                 waiting = asyncio.create_task(delivery.wait_until_writable())
                 await asyncio.sleep(MIN_SLOW_SECONDS / 2)
@@ -332,7 +332,7 @@
                 self.memory.delivery(outlet, request) as delivery,
             ):
                 request.reserve(Purpose.ANSWERS, MB)
-                delivery.record_given(2 * HIGH_BYTES)
+                delivery.record_written(2 * HIGH_BYTES)
                 outlet.give(2 * HIGH_BYTES)
                 outlet.is_serving = False
                 waiting = asyncio.create_task(delivery.wait_until_taken())
