--- a/src/larkpost/gateway/memory/daemon_memory.py
+++ b/src/larkpost/gateway/memory/daemon_memory.py
@@ -60,7 +60,7 @@
         self._reservations.append(reservation)
         return reservation
 
-    def keep_only(self, purpose: Purpose, size: int) -> None:
+    def shrink_to(self, purpose: Purpose, size: int) -> None:
         """Releases all but so many bytes, which are held already."""
         self.release()
         self.reserve(purpose).force_grow(size)
--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -188,7 +188,7 @@
     """Holds what the connection has not sent yet, until the client has taken it."""
     if delivery.unsent == 0:
         return
-    memory.keep_only(Purpose.ANSWERS, delivery.unsent)
+    memory.shrink_to(Purpose.ANSWERS, delivery.unsent)
     with contextlib.suppress(SlowClientError):  # logged where it was cut
         await delivery.wait_until_taken()
 
--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -241,7 +241,7 @@
             request.reserve(Purpose.REQUEST_BODIES, MB)
             request.reserve(Purpose.ANSWERS).force_grow(MB)
             self.assertEqual((2 * MB, 2 * MB), (request.size, memory.budget.total))
-            request.keep_only(Purpose.ANSWERS, 100)
+            request.shrink_to(Purpose.ANSWERS, 100)
             self.assertEqual((100, 100), (request.size, memory.budget.total))
         self.assertEqual(0, memory.budget.total)
 
