--- a/src/larkpost/gateway/memory/daemon_memory.py
+++ b/src/larkpost/gateway/memory/daemon_memory.py
@@ -41,7 +41,7 @@
         """Whether there is a limit on what may be held."""
         return self._budget.limit is not None
 
-    def could_hold(self, size: int) -> bool:
+    def fits_limit(self, size: int) -> bool:
         """Returns whether so many bytes could be held if nothing else were."""
         return self._budget.limit is None or size <= self._budget.limit
 
--- a/src/larkpost/platform/batch_calls.py
+++ b/src/larkpost/platform/batch_calls.py
@@ -76,7 +76,7 @@
             BatchTooLargeError: it could not.
         """
         needed = size * (1 + SUBMISSION_COPIES)
-        if not call.memory.could_hold(needed):
+        if not call.memory.fits_limit(needed):
             raise BatchTooLargeError(
                 f"the batch takes {needed} bytes while it is read and stored",
                 retry_after=TOO_LARGE_RETRY_SECONDS,
