--- a/src/larkpost/gateway/assembly/environment.py
+++ b/src/larkpost/gateway/assembly/environment.py
@@ -8,7 +8,7 @@
 from larkpost.gateway.blackboard.cold_instances import ColdTerms
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.controllers.row_intake import RowReaders
-from larkpost.gateway.memory.sizing import budget_of
+from larkpost.gateway.memory.sizing import byte_budget_for
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.scaling.port import ScalingMode, ScalingPort
@@ -55,7 +55,7 @@
     @property
     def byte_budget(self) -> int | None:
         """The most bytes that the daemon may hold for others; None if there is no limit."""
-        return budget_of(self.memory_bytes)
+        return byte_budget_for(self.memory_bytes)
 
 
 @dataclass(slots=True)
--- a/src/larkpost/gateway/memory/sizing.py
+++ b/src/larkpost/gateway/memory/sizing.py
@@ -9,7 +9,7 @@
 """A machine that is smaller than the program still serves requests of ordinary size."""
 
 
-def budget_of(memory_bytes: int | None) -> int | None:
+def byte_budget_for(memory_bytes: int | None) -> int | None:
     """Returns the most bytes to hold for others; None, without limit, if no size is known."""
     if memory_bytes is None:
         return None
--- a/tests/test_uneven_machines.py
+++ b/tests/test_uneven_machines.py
@@ -33,7 +33,7 @@
 from larkpost.gateway.controllers.heartbeat import new_incarnation
 from larkpost.gateway.controllers.heartbeat_writer import OwnDaemon
 from larkpost.gateway.controllers.members import Membership
-from larkpost.gateway.memory.sizing import budget_of
+from larkpost.gateway.memory.sizing import byte_budget_for
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient
@@ -158,7 +158,7 @@
             (2.15, 552 * MB, 2.15),
         ):
             with self.subTest(cores=cores, memory=memory):
-                self.assertEqual(expected, capacity_of(cores, budget_of(memory)))
+                self.assertEqual(expected, capacity_of(cores, byte_budget_for(memory)))
 
     def test_daemon_whose_loop_is_late_reports_less_for_a_while(self):
         clock = LateClock()
