--- a/src/larkpost/gateway/memory/sizing.py
+++ b/src/larkpost/gateway/memory/sizing.py
@@ -2,7 +2,7 @@
 
 PROGRAM_BYTES = 70_000_000
 """Left to the program itself and to what it knows of a fleet of hundreds."""
-HELD_SHARE = 0.5
+BUDGET_FRACTION = 0.5
 """Share of the rest that may be held for others; what is left is for the buffers of connections,
 for copies while something is passed on, and for gaps between what is allocated."""
 LEAST_BUDGET_BYTES = 8_000_000
@@ -13,4 +13,4 @@
     """Returns the most bytes to hold for others; None, without limit, if no size is known."""
     if memory_bytes is None:
         return None
-    return max(LEAST_BUDGET_BYTES, int((memory_bytes - PROGRAM_BYTES) * HELD_SHARE))
+    return max(LEAST_BUDGET_BYTES, int((memory_bytes - PROGRAM_BYTES) * BUDGET_FRACTION))
