--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -19,7 +19,7 @@
     Purpose,
 )
 from larkpost.gateway.memory.daemon_memory import DaemonMemory, unlimited_memory
-from larkpost.gateway.memory.sizing import LEAST_BUDGET_BYTES, RESERVED_BYTES, byte_budget_for
+from larkpost.gateway.memory.sizing import MIN_BUDGET_BYTES, RESERVED_BYTES, byte_budget_for
 from larkpost.gateway.memory.slow_readers import MIN_SLOW_SECONDS, ReadRate, slowest_client
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
@@ -152,8 +152,8 @@
     def test_budget_by_machine(self):
         self.assertIsNone(byte_budget_for(None))
         self.assertEqual(45 * MB, byte_budget_for(160 * MB))
-        self.assertEqual(LEAST_BUDGET_BYTES, byte_budget_for(RESERVED_BYTES))
-        self.assertEqual(LEAST_BUDGET_BYTES, byte_budget_for(MB))
+        self.assertEqual(MIN_BUDGET_BYTES, byte_budget_for(RESERVED_BYTES))
+        self.assertEqual(MIN_BUDGET_BYTES, byte_budget_for(MB))
         self.assertGreater(byte_budget_for(552 * MB), 5 * byte_budget_for(160 * MB))
 
 
