--- a/src/larkpost/gateway/memory/read_ahead.py
+++ b/src/larkpost/gateway/memory/read_ahead.py
@@ -16,7 +16,7 @@
 UNREAD_SECONDS = 2.0
 """After so long without room to read an answer on, a little more is read beyond its share; where
 room is short, the slowest client is cut instead: the servers' patience is some seconds."""
-ROOM_POLL_SECONDS = 0.1
+BUDGET_POLL_SECONDS = 0.1
 """Between two looks at whether others have left room."""
 
 
@@ -116,4 +116,4 @@
                     return
                 self._memory.disconnect_slowest()
                 relieve_at = loop.time() + UNREAD_SECONDS
-            await asyncio.sleep(ROOM_POLL_SECONDS)
+            await asyncio.sleep(BUDGET_POLL_SECONDS)
