--- a/src/larkpost/gateway/memory/read_ahead.py
+++ b/src/larkpost/gateway/memory/read_ahead.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.memory.daemon_memory import DaemonMemory
 from larkpost.gateway.memory.delivery import Delivery
 
-UNREAD_SECONDS = 2.0
+MAX_PAUSED_READ_SECONDS = 2.0
 """After so long without room to read an answer on, a little more is read beyond its share; where
 room is short, the slowest client is cut instead: the servers' patience is some seconds."""
 BUDGET_POLL_SECONDS = 0.1
@@ -109,11 +109,11 @@
         """Waits until a chunk may be held; one chunk may be, however little room there is."""
         loop = asyncio.get_running_loop()
         reservation = self._answer.reservation
-        relieve_at = loop.time() + UNREAD_SECONDS
+        relieve_at = loop.time() + MAX_PAUSED_READ_SECONDS
         while reservation.size and not reservation.fits_answer_limit(size):
             if loop.time() >= relieve_at:
                 if not self._memory.budget.is_short:
                     return
                 self._memory.disconnect_slowest()
-                relieve_at = loop.time() + UNREAD_SECONDS
+                relieve_at = loop.time() + MAX_PAUSED_READ_SECONDS
             await asyncio.sleep(BUDGET_POLL_SECONDS)
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -18,7 +18,7 @@
 )
 from larkpost.gateway.memory.daemon_memory import DaemonMemory, DisconnectReason
 from larkpost.gateway.memory.delivery import Delivery, SlowClientError
-from larkpost.gateway.memory.read_ahead import UNREAD_SECONDS, PassedAnswer, read_ahead
+from larkpost.gateway.memory.read_ahead import MAX_PAUSED_READ_SECONDS, PassedAnswer, read_ahead
 from larkpost.gateway.memory.slow_readers import MIN_SLOW_SECONDS, STALLED_SECONDS
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
@@ -209,7 +209,7 @@
             await asyncio.gather(running, return_exceptions=True)
             return longest
 
-        self.assertLess(virtual.run(play()), UNREAD_SECONDS + 0.5)
+        self.assertLess(virtual.run(play()), MAX_PAUSED_READ_SECONDS + 0.5)
 
     def test_client_that_takes_little_is_not_let_go(self):
         """1 kB a second, for longer than a client may take nothing."""
@@ -242,7 +242,7 @@
             return seconds, outcomes
 
         seconds, outcomes = virtual.run(play())
-        self.assertLess(seconds, 2 * (UNREAD_SECONDS + MIN_SLOW_SECONDS))
+        self.assertLess(seconds, 2 * (MAX_PAUSED_READ_SECONDS + MIN_SLOW_SECONDS))
         self.assertIsInstance(outcomes[0], SlowClientError)
         self.assertEqual((None, 100 * len(CHUNK)), (outcomes[1], fast.taken))
         (line,) = self.lines(Event.READER_CUT)
