--- a/src/larkpost/gateway/memory/read_ahead.py
+++ b/src/larkpost/gateway/memory/read_ahead.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class PassedAnswer:
+class BufferedBody:
     """The body of an answer that is passed on as it comes.
 
     Attributes:
@@ -42,7 +42,7 @@
 
 
 async def read_ahead(
-    answer: PassedAnswer, delivery: Delivery | None, memory: DaemonMemory
+    answer: BufferedBody, delivery: Delivery | None, memory: DaemonMemory
 ) -> AsyncGenerator[bytes, None]:
     """Yields an answer's body; whoever takes a part waits until the client has room for it.
 
@@ -75,7 +75,7 @@
 class _ReadAhead:
     """Reads one answer in the background, while its client takes what was read before."""
 
-    def __init__(self, answer: PassedAnswer, memory: DaemonMemory) -> None:
+    def __init__(self, answer: BufferedBody, memory: DaemonMemory) -> None:
         self._answer = answer
         self._memory = memory
         self._changed = asyncio.Event()
--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -19,7 +19,7 @@
 from larkpost.gateway.memory.budget import Purpose
 from larkpost.gateway.memory.daemon_memory import DaemonMemory, RequestMemory, unlimited_memory
 from larkpost.gateway.memory.delivery import Delivery, SlowClientError
-from larkpost.gateway.memory.read_ahead import PassedAnswer, read_ahead
+from larkpost.gateway.memory.read_ahead import BufferedBody, read_ahead
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.request import ClientRequest, OpenResponse
@@ -168,16 +168,16 @@
             return
         async with answer:
             await response.begin_large(answer.status, answer.headers)
-            passed = PassedAnswer(answer.rest, answer.reservation, answer.begun)
+            passed = BufferedBody(answer.rest, answer.reservation, answer.begun)
             await self._pass_on(passed, response)
 
     async def _stream(self, request: ClientRequest, route: Route, response: ClientResponse) -> None:
         async with self._forwarder.stream(request, route) as streamed:
             await response.begin(streamed.status, streamed.headers)
             ahead = request.memory.reserve(Purpose.STREAMS)
-            await self._pass_on(PassedAnswer(streamed.chunks(), ahead), response)
+            await self._pass_on(BufferedBody(streamed.chunks(), ahead), response)
 
-    async def _pass_on(self, answer: PassedAnswer, response: ClientResponse) -> None:
+    async def _pass_on(self, answer: BufferedBody, response: ClientResponse) -> None:
         async with aclosing(read_ahead(answer, response.delivery, self._memory)) as parts:
             async for part in parts:
                 await response.send_part(part)
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -18,7 +18,7 @@
 )
 from larkpost.gateway.memory.daemon_memory import DaemonMemory, DisconnectReason
 from larkpost.gateway.memory.delivery import Delivery, SlowClientError
-from larkpost.gateway.memory.read_ahead import MAX_PAUSED_READ_SECONDS, PassedAnswer, read_ahead
+from larkpost.gateway.memory.read_ahead import MAX_PAUSED_READ_SECONDS, BufferedBody, read_ahead
 from larkpost.gateway.memory.slow_readers import MIN_SLOW_SECONDS, STALLED_SECONDS
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
@@ -113,12 +113,12 @@
                 self.memory.delivery(self.outlet, request) as delivery,
             ):
                 await self.pass_on(
-                    PassedAnswer(self.server.answer(), request.reserve(Purpose.STREAMS)), delivery
+                    BufferedBody(self.server.answer(), request.reserve(Purpose.STREAMS)), delivery
                 )
         finally:
             taking.cancel()
 
-    async def pass_on(self, answer: PassedAnswer, delivery: Delivery) -> None:
+    async def pass_on(self, answer: BufferedBody, delivery: Delivery) -> None:
         """Gives the client each part once it has room."""
         async with aclosing(read_ahead(answer, delivery, self.memory)) as parts:
             async for part in parts:
@@ -369,7 +369,7 @@
             outlet = FakeOutlet(rate=10**9)
             with memory.request() as request, memory.delivery(outlet, request) as delivery:
                 held = request.reserve(Purpose.ANSWERS, 2)
-                answer = PassedAnswer(Server(1).answer(), held, deque([b"a", b"b"]))
+                answer = BufferedBody(Server(1).answer(), held, deque([b"a", b"b"]))
                 async with aclosing(read_ahead(answer, delivery, memory)) as parts:
                     return [part async for part in parts]
 
