--- a/src/larkpost/gateway/blackboard/board.py
+++ b/src/larkpost/gateway/blackboard/board.py
@@ -8,7 +8,7 @@
 
 from larkpost.gateway.blackboard.cold_instances import ColdInstances
 from larkpost.gateway.blackboard.configuration import ConfigurationState
-from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.blackboard.directory import InstanceDirectory
 from larkpost.gateway.blackboard.evacuations import Evacuations
 from larkpost.gateway.blackboard.known_crashes import KnownCrashes
 from larkpost.gateway.blackboard.regions import RegionMap
@@ -31,7 +31,7 @@
 
     regions: RegionMap = field(default_factory=RegionMap)
     configuration: ConfigurationState = field(default_factory=ConfigurationState)
-    directory: Directory = field(default_factory=Directory)
+    directory: InstanceDirectory = field(default_factory=InstanceDirectory)
     targets: WeightTargets = field(default_factory=WeightTargets)
     evacuations: Evacuations = field(default_factory=Evacuations)
     cold: ColdInstances = field(default_factory=ColdInstances)
--- a/src/larkpost/gateway/blackboard/cold_instances.py
+++ b/src/larkpost/gateway/blackboard/cold_instances.py
@@ -4,7 +4,7 @@
 
 from larkpost.common.ids import InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ConfigurationState
-from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.blackboard.directory import InstanceDirectory
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,11 @@
             self._until[instance] = max(now + left, self._until.get(instance, now))
 
     def record_zone_returned(
-        self, zone: ZoneId, directory: Directory, configuration: ConfigurationState, now: float
+        self,
+        zone: ZoneId,
+        directory: InstanceDirectory,
+        configuration: ConfigurationState,
+        now: float,
     ) -> None:
         """Records that a zone's evacuation has ended: its instances may have become cold before."""
         for info in directory.all():
--- a/src/larkpost/gateway/blackboard/directory.py
+++ b/src/larkpost/gateway/blackboard/directory.py
@@ -57,7 +57,7 @@
         return split_instance_id(self.id)[1]
 
 
-class Directory:
+class InstanceDirectory:
     """All instances known, by id; of each server one incarnation at the most.
 
     An entry that goes while the store is sound ends the instance at once. While the store is not
--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -12,7 +12,7 @@
 
 from larkpost.common.ids import InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ModelName, Service
-from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.blackboard.directory import InstanceDirectory
 from larkpost.gateway.blackboard.weight_targets import (
     Demands,
     ModelDemand,
@@ -51,7 +51,7 @@
         pace: returns the lasting pace of an engine.
     """
 
-    directory: Directory
+    directory: InstanceDirectory
     targets: WeightTargets
     demands: Demands
     evacuated: frozenset[ZoneId] = frozenset()
@@ -228,7 +228,7 @@
 
 
 def _versions(
-    engine_ids: Iterable[InstanceId], model: ModelName, directory: Directory
+    engine_ids: Iterable[InstanceId], model: ModelName, directory: InstanceDirectory
 ) -> dict[InstanceId, int]:
     return {name: directory.version_of(name, model) for name in engine_ids}
 
--- a/src/larkpost/gateway/controllers/model_assignment.py
+++ b/src/larkpost/gateway/controllers/model_assignment.py
@@ -11,7 +11,7 @@
 from larkpost.common.hashing import hash64
 from larkpost.common.ids import InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ModelName, Service
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
+from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceInfo
 from larkpost.gateway.blackboard.weight_targets import Demands, ModelDemand
 from larkpost.gateway.controllers.engine_speeds import speed, steps_slower
 
@@ -51,7 +51,7 @@
 def assign_models(
     service: Service,
     engines: list[InstanceInfo],
-    directory: Directory,
+    directory: InstanceDirectory,
     demands: Demands,
     pace: PaceOf = unknown_pace,
 ) -> Assignment:
@@ -100,7 +100,7 @@
 
 
 def _models_kept(
-    service: Service, engines: list[InstanceInfo], directory: Directory
+    service: Service, engines: list[InstanceInfo], directory: InstanceDirectory
 ) -> dict[InstanceId, frozenset[ModelName]]:
     """Returns for each engine the models of which it holds the newest version, or nearly so."""
     newest = {
@@ -119,7 +119,7 @@
 
 def _in_order_of_choice(
     model: ModelName,
-    directory: Directory,
+    directory: InstanceDirectory,
     steps: Mapping[InstanceId, int],
     kept_by: Mapping[InstanceId, frozenset[ModelName]],
 ) -> list[InstanceId]:
--- a/src/larkpost/gateway/placement/rules.py
+++ b/src/larkpost/gateway/placement/rules.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from larkpost.common.ids import InstanceId
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceInfo, InstanceState
 from larkpost.gateway.observability.metrics import Count, Metrics
 from larkpost.gateway.placement.verdict import Verdict
 from larkpost.gateway.placement.work import Work
@@ -62,7 +62,7 @@
 class VersionRule(PlainRule):
     """Work that names a model goes only to instances whose version of it is new enough."""
 
-    def __init__(self, directory: Directory) -> None:
+    def __init__(self, directory: InstanceDirectory) -> None:
         self._directory = directory
 
     def judge(self, instance: InstanceInfo, work: Work) -> Verdict:
@@ -88,7 +88,7 @@
 
     def __init__(
         self,
-        directory: Directory,
+        directory: InstanceDirectory,
         rules: Iterable[PlacementRule] = (),
         metrics: Metrics | None = None,
         send_within: Callable[[InstanceInfo], float | None] = _at_any_time,
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -17,7 +17,7 @@
 from larkpost.common.distance import Distance
 from larkpost.common.ids import DaemonId, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ServiceName
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
+from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceInfo
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.blackboard.use_summary import UseSummary
 from larkpost.gateway.placement.cold_rule import ColdRule
@@ -83,7 +83,7 @@
 
     def __init__(
         self,
-        directory: Directory,
+        directory: InstanceDirectory,
         clock: Clock,
         rng: random.Random,
         sources: BalancerSources | None = None,
--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -8,7 +8,7 @@
 
 from larkpost.common.clock import Clock
 from larkpost.common.ids import InstanceId, ZoneId
-from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.blackboard.directory import InstanceDirectory
 from larkpost.gateway.blackboard.use_summary import UseSummary
 from larkpost.gateway.proxy.lasting_pace import PaceHistory
 from larkpost.gateway.proxy.slowness import SaidSlowness
@@ -85,7 +85,7 @@
 class OwnUse:
     """The records of all instances that this daemon has used."""
 
-    def __init__(self, directory: Directory, clock: Clock) -> None:
+    def __init__(self, directory: InstanceDirectory, clock: Clock) -> None:
         self._directory = directory
         self._clock = clock
         self._uses: dict[InstanceId, InstanceUse] = {}
--- a/src/larkpost/gateway/proxy/paces.py
+++ b/src/larkpost/gateway/proxy/paces.py
@@ -8,7 +8,7 @@
 
 from larkpost.common.clock import Clock
 from larkpost.common.ids import DaemonId, InstanceId
-from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.blackboard.directory import InstanceDirectory
 from larkpost.gateway.proxy.instance_use import OwnUse, SpeedFigures
 from larkpost.gateway.proxy.lasting_pace import PaceHistory
 from larkpost.gateway.proxy.peer_use import PeerUses
@@ -27,7 +27,9 @@
 class Paces:
     """The paces of all instances, as far as they are known here."""
 
-    def __init__(self, directory: Directory, clock: Clock, own: OwnUse, peers: PeerUses) -> None:
+    def __init__(
+        self, directory: InstanceDirectory, clock: Clock, own: OwnUse, peers: PeerUses
+    ) -> None:
         self._directory = directory
         self._clock = clock
         self._own = own
--- a/src/larkpost/gateway/proxy/parts.py
+++ b/src/larkpost/gateway/proxy/parts.py
@@ -6,7 +6,7 @@
 
 from larkpost.common.clock import Clock
 from larkpost.gateway.blackboard.configuration import Route
-from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.blackboard.directory import InstanceDirectory
 from larkpost.gateway.blackboard.known_crashes import KnownCrashes
 from larkpost.gateway.blackboard.tenants import TenantName
 from larkpost.gateway.fairness.ledger import FlowLedger
@@ -40,7 +40,7 @@
         chance: spreads what all daemons would else do alike.
     """
 
-    directory: Directory
+    directory: InstanceDirectory
     balancer: Balancer
     servers: ServerPort
     clock: Clock
--- a/src/larkpost/gateway/proxy/server_pool.py
+++ b/src/larkpost/gateway/proxy/server_pool.py
@@ -16,7 +16,7 @@
 from larkpost.common.clock import Clock
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import ServiceName
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
+from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceInfo
 from larkpost.gateway.placement.work import Work, WorkKind
 from larkpost.gateway.proxy.subset import DaemonSubsets
 
@@ -92,7 +92,7 @@
 
     def __init__(
         self,
-        directory: Directory,
+        directory: InstanceDirectory,
         clock: Clock,
         rng: random.Random,
         subsets: DaemonSubsets | None = None,
--- a/src/larkpost/gateway/proxy/shared_paces.py
+++ b/src/larkpost/gateway/proxy/shared_paces.py
@@ -8,7 +8,7 @@
 
 from larkpost.common.clock import Clock
 from larkpost.common.ids import DaemonId, InstanceId
-from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.blackboard.directory import InstanceDirectory
 
 SHARED_PACE_SECONDS = 180.0
 """How long a reported pace is used."""
@@ -34,7 +34,7 @@
 class SharedPaces:
     """The newest reports on each instance."""
 
-    def __init__(self, directory: Directory, clock: Clock) -> None:
+    def __init__(self, directory: InstanceDirectory, clock: Clock) -> None:
         self._directory = directory
         self._clock = clock
         self._reported: dict[InstanceId, dict[DaemonId, _Reported]] = {}
--- a/src/larkpost/gateway/quarantine/watch.py
+++ b/src/larkpost/gateway/quarantine/watch.py
@@ -16,7 +16,7 @@
 from larkpost.common.clock import Clock
 from larkpost.common.ids import Address, InstanceId
 from larkpost.common.tasks import TaskSet
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceInfo, InstanceState
 from larkpost.gateway.blackboard.request_content import ContentDigest
 from larkpost.gateway.servers.port import PortState, ServerPort
 
@@ -70,7 +70,7 @@
 
     def __init__(
         self,
-        directory: Directory,
+        directory: InstanceDirectory,
         servers: ServerPort,
         clock: Clock,
         tasks: TaskSet,
--- a/src/larkpost/gateway/rollouts/batch_outlooks.py
+++ b/src/larkpost/gateway/rollouts/batch_outlooks.py
@@ -19,7 +19,7 @@
     ServiceName,
 )
 from larkpost.gateway.blackboard.daemon_report import BatchProgress
-from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.blackboard.directory import InstanceDirectory
 from larkpost.gateway.blackboard.weight_targets import ModelDemand, Outlook
 from larkpost.gateway.controllers.batch_forecast import Capacity, judge_batch, most_in_need
 from larkpost.gateway.controllers.lending import LENT_SHARE
@@ -41,7 +41,7 @@
     """
 
     configuration: ConfigurationState
-    directory: Directory
+    directory: InstanceDirectory
     pace: Callable[[InstanceId], float]
     clock: Clock
     store_time: Callable[[], float | None]
--- a/src/larkpost/gateway/rollouts/context.py
+++ b/src/larkpost/gateway/rollouts/context.py
@@ -6,7 +6,7 @@
 
 from larkpost.common.clock import Clock
 from larkpost.gateway.blackboard.configuration import ConfigurationState
-from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.blackboard.directory import InstanceDirectory
 from larkpost.gateway.blackboard.known_crashes import KnownCrashes
 from larkpost.gateway.controllers.division import EngineDivision
 from larkpost.gateway.observability.eventlog import EventLog
@@ -30,7 +30,7 @@
     """
 
     configuration: ConfigurationState
-    directory: Directory
+    directory: InstanceDirectory
     balancer: Balancer
     servers: ServerPort
     clock: Clock
--- a/src/larkpost/gateway/scaling/census.py
+++ b/src/larkpost/gateway/scaling/census.py
@@ -8,7 +8,7 @@
 
 from larkpost.common.ids import ZoneId
 from larkpost.gateway.blackboard.configuration import ServiceName
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
+from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceInfo
 from larkpost.gateway.blackboard.evacuations import Evacuations
 from larkpost.gateway.scaling.planner import ZoneServers
 
@@ -28,7 +28,7 @@
 class ServerCensus:
     """The counts of one daemon."""
 
-    def __init__(self, directory: Directory, evacuations: Evacuations) -> None:
+    def __init__(self, directory: InstanceDirectory, evacuations: Evacuations) -> None:
         self._directory = directory
         self._evacuations = evacuations
         self._seen: dict[tuple[ServiceName, ZoneId], _Seen] = {}
--- a/src/larkpost/gateway/scaling/demand.py
+++ b/src/larkpost/gateway/scaling/demand.py
@@ -4,7 +4,7 @@
 
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import Configuration, Service
-from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.blackboard.directory import InstanceDirectory
 from larkpost.gateway.blackboard.weight_targets import Demands
 from larkpost.gateway.scaling.planner import Demand
 
@@ -19,7 +19,7 @@
 
     def __init__(
         self,
-        directory: Directory,
+        directory: InstanceDirectory,
         demands: Callable[[], Demands],
         pace: Callable[[InstanceId], float],
     ) -> None:
--- a/tests/server_parts.py
+++ b/tests/server_parts.py
@@ -12,7 +12,7 @@
     ServiceName,
     ServiceShare,
 )
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceInfo, InstanceState
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.proxy.balancer import Balancer
@@ -46,9 +46,11 @@
     )
 
 
-def make_directory(count: int, service: ServiceName = ENGINES, *, slots: int = SLOTS) -> Directory:
+def make_directory(
+    count: int, service: ServiceName = ENGINES, *, slots: int = SLOTS
+) -> InstanceDirectory:
     """Returns a directory of some instances: e0, e1 and so on."""
-    directory = Directory()
+    directory = InstanceDirectory()
     for number in range(count):
         directory.update(make_instance(f"e{number}", service, slots=slots))
     return directory
@@ -61,7 +63,7 @@
 
 
 def make_parts(
-    directory: Directory, balancer: Balancer, servers: ServerPort, clock: Clock
+    directory: InstanceDirectory, balancer: Balancer, servers: ServerPort, clock: Clock
 ) -> ForwarderParts:
     """Returns what a forwarder works with, with a log, metrics and shares of its own."""
     shares = ShareChooser(random.Random(0))
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -6,7 +6,7 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.common.ids import Address, InstanceId, ZoneId
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceInfo, InstanceState
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from tests import switched_off
 from tests.platform_fleet import (
@@ -20,7 +20,7 @@
 
     def begin(self) -> Balancer:
         """Returns a balancer of four instances, connected to the first only."""
-        directory = Directory()
+        directory = InstanceDirectory()
         for number in range(4):
             state = InstanceState.READY
             address = Address("10.0.0.1:1")
@@ -70,7 +70,7 @@
 
     def test_pace_that_a_daemon_does_not_know_hides_none_that_another_told(self):
         async def play():
-            balancer = Balancer(Directory(), LoopClock(), random.Random(0))
+            balancer = Balancer(InstanceDirectory(), LoopClock(), random.Random(0))
             engine = InstanceId("e0")
             balancer.record_peer_summary("first", {engine: (1, 0.04)})
             await asyncio.sleep(0.1)
@@ -86,7 +86,7 @@
     def test_requests_of_a_peer_end_with_its_next_summary(self):
         async def play():
             clock = LoopClock()
-            balancer = Balancer(Directory(), clock, None)
+            balancer = Balancer(InstanceDirectory(), clock, None)
             info = type("Info", (), {"id": "engine"})()
             balancer.record_peer_summary("a", {"engine": (3, 0.05)})
             balancer.record_peer_summary("b", {"engine": (2, 0.0)})
@@ -102,7 +102,7 @@
         """Both come back under new names for months."""
 
         async def play():
-            balancer = Balancer(Directory(), LoopClock(), None)
+            balancer = Balancer(InstanceDirectory(), LoopClock(), None)
             for number in range(100):
                 instance = f"engine-{number}"
                 balancer.record_peer_summary(f"daemon-{number}", {instance: (1, 0.05)})
@@ -117,7 +117,7 @@
 
     def test_instance_with_a_request_is_remembered_when_its_entry_is_gone(self):
         async def play():
-            balancer = Balancer(Directory(), LoopClock(), None)
+            balancer = Balancer(InstanceDirectory(), LoopClock(), None)
             with balancer.placed("engine"):
                 for _ in range(5):
                     await asyncio.sleep(60.0)
--- a/tests/test_bounded_choice.py
+++ b/tests/test_bounded_choice.py
@@ -11,7 +11,7 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.common.ids import DaemonId, InstanceId, RegionId, ZoneId
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
+from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceInfo
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.placement.region_rule import RegionRule
 from larkpost.gateway.placement.rules import Placement, PlainRule
@@ -63,7 +63,7 @@
     """A balancer of one daemon of a fleet before one service."""
 
     def __init__(self, servers: int = 3200, daemons: int = 370) -> None:
-        self.directory = Directory()
+        self.directory = InstanceDirectory()
         regions = RegionMap(HOME_ZONE, {HOME_ZONE: HOME, FAR_ZONE: FAR})
         alive = frozenset(DaemonId(f"d{number}") for number in range(daemons))
         self.subsets = DaemonSubsets(OWN, lambda: alive)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -7,7 +7,7 @@
 
 from larkpost.common.errors import LarkpostError
 from larkpost.common.ids import InstanceId
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
+from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceInfo
 from larkpost.gateway.controllers.division import EngineDivision
 from larkpost.gateway.controllers.heartbeat_intervals import DEAD_AFTER_SECONDS
 from larkpost.gateway.proxy.balancer import Balancer
@@ -141,7 +141,7 @@
         fleet = PlatformFleet(gateways=1, engines=0)
         self.clock = fleet.clock
         services = fleet.gateways[0].keeper._services
-        services.directory = self.directory = Directory()
+        services.directory = self.directory = InstanceDirectory()
         services.balancer = self.balancer = Balancer(self.directory, self.clock, random.Random(0))
         for number, pace in enumerate(paces):
             self.put(number, version=1)
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -9,7 +9,7 @@
 from larkpost.common.ids import InstanceId, ZoneId
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.configuration import Route, RouteKind, ServiceShare
-from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.blackboard.directory import InstanceDirectory
 from larkpost.gateway.blackboard.evacuations import Evacuations, ZoneEvacuation
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.blackboard.weight_targets import WeightTarget, WeightTargets
@@ -108,7 +108,7 @@
         """Lists a server in either zone, one of them silent."""
         self.clock = LoopClock()
         self.engines = ScriptedEngines(self.clock, MODEL)
-        directory = Directory()
+        directory = InstanceDirectory()
         evacuations = Evacuations()
         for zone in evacuated:
             evacuations.begin(zone, 0.0)
@@ -175,7 +175,7 @@
 
     def test_server_is_there_for_other_work_and_once_the_evacuation_has_ended(self):
         async def play():
-            balancer = Balancer(Directory(), LoopClock(), random.Random(1))
+            balancer = Balancer(InstanceDirectory(), LoopClock(), random.Random(1))
             for reason in (NotRunReason.EVACUATED, NotRunReason.OUTSIDE_REGIONS):
                 balancer.record_not_run(InstanceId("a"), reason, 1.0)
                 self.assertFalse(balancer.is_avoided(InstanceId("a")), reason)
@@ -190,7 +190,7 @@
 
     def setUp(self) -> None:
         self.service = CONFIGURATION.services[ENGINES]
-        self.directory = Directory()
+        self.directory = InstanceDirectory()
         for number in range(6):
             self.directory.update(make_instance(f"e{number}", ENGINES, zone=ZONES[number % 2]))
         self.targets = WeightTargets()
--- a/tests/test_fair_load.py
+++ b/tests/test_fair_load.py
@@ -16,7 +16,7 @@
 from larkpost.common.ids import DaemonId, InstanceId
 from larkpost.gateway.blackboard.configuration import ModelName, Route, RouteKind, ServiceShare
 from larkpost.gateway.blackboard.daemon_report import FlowGroup, TenantUse
-from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.blackboard.directory import InstanceDirectory
 from larkpost.gateway.blackboard.tenants import TenantName
 from larkpost.gateway.fairness.ledger import REPORT_LIFETIME_SECONDS, FlowLedger
 from larkpost.gateway.observability.metrics import Metrics
@@ -93,7 +93,7 @@
         self.clock = LoopClock()
         self.rng = random.Random(seed)
         self.engines = ScriptedEngines(self.clock, ModelName("model"))
-        self.directory: Directory = make_directory(SERVERS, PAGES, slots=SLOTS)
+        self.directory: InstanceDirectory = make_directory(SERVERS, PAGES, slots=SLOTS)
         for number in range(SERVERS):
             engine = ScriptedEngine(slots=SLOTS, event_seconds=PACE)
             self.engines.engines[InstanceId(f"e{number}")] = engine
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -16,7 +16,7 @@
     RouteKind,
     ServiceShare,
 )
-from larkpost.gateway.blackboard.directory import Directory, InstanceState
+from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceState
 from larkpost.gateway.fairness.ledger import FlowLedger
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.placement.work import CLIENT_WORK
@@ -115,7 +115,7 @@
         """Lists some servers of which all places are free."""
         self.clock = LoopClock()
         self.engines = ScriptedEngines(self.clock, ModelName("model"))
-        self.directory = Directory()
+        self.directory = InstanceDirectory()
         self.balancer = Balancer(self.directory, self.clock, random.Random(1))
         for number in range(count):
             name = InstanceId(f"e{number}")
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.blackboard.configuration import (
     RouteKind,
 )
-from larkpost.gateway.blackboard.directory import Directory, InstanceState
+from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceState
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.request import (
@@ -66,7 +66,7 @@
         """Lists servers by name, each in its state."""
         self.clock = LoopClock()
         self.engines = RecordingEngines(self.clock)
-        self.directory = Directory()
+        self.directory = InstanceDirectory()
         for name, state in states.items():
             state.slots = SLOTS
             self.engines.engines[InstanceId(name)] = state
--- a/tests/test_held_bytes.py
+++ b/tests/test_held_bytes.py
@@ -26,7 +26,7 @@
     Service,
     ServiceShare,
 )
-from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.blackboard.directory import InstanceDirectory
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
 from larkpost.gateway.memory import delivery
 from larkpost.gateway.memory.budget import ByteBudget, Purpose
@@ -153,7 +153,7 @@
         own = Address(free_address())
         await listening.start(own.split(":")[0], int(own.split(":")[1]))
         self.addAsyncCleanup(listening.close)
-        directory = Directory()
+        directory = InstanceDirectory()
         directory.update(make_instance("e0", address=own))
         with mock.patch.object(connections, "open_socket", open_small_socket):
             servers = HttpServers()
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -14,7 +14,7 @@
 from larkpost.common.incarnations import instance_id, split_instance_id
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.configuration import ServiceName
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceInfo, InstanceState
 from larkpost.gateway.blackboard.known_crashes import CLIENT_CRASH_LIMIT, Crash, KnownCrashes
 from larkpost.gateway.blackboard.request_content import ContentDigest
 from larkpost.gateway.controllers import loader
@@ -88,7 +88,7 @@
     """One incarnation of each server is known, the latest."""
 
     def setUp(self) -> None:
-        self.directory = Directory()
+        self.directory = InstanceDirectory()
         self.ended: list[InstanceId] = []
         self.directory.add_end_listener(self.ended.append)
 
@@ -230,7 +230,7 @@
     """What is known of a server's use."""
 
     def setUp(self) -> None:
-        self.directory = Directory()
+        self.directory = InstanceDirectory()
         self.clock = mock.Mock(now=lambda: 50.0)
         self.balancer = Balancer(self.directory, self.clock, random.Random(7))
         self.directory.update(FIRST)
@@ -319,7 +319,7 @@
 
     def test_start_under_the_same_name_is_evidence(self) -> None:
         async def play() -> None:
-            directory = Directory()
+            directory = InstanceDirectory()
             directory.update(FIRST)
             found: list[str] = []
             servers = mock.Mock(probe=mock.AsyncMock(return_value=PortState.LISTENS))
--- a/tests/test_leaving_clients.py
+++ b/tests/test_leaving_clients.py
@@ -18,7 +18,7 @@
     Service,
     ServiceShare,
 )
-from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.blackboard.directory import InstanceDirectory
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
@@ -82,7 +82,7 @@
         listening = await asyncio.start_server(self.server.serve, "127.0.0.1", 0)
         self.addCleanup(listening.close)
         own = Address(f"127.0.0.1:{listening.sockets[0].getsockname()[1]}")
-        directory = Directory()
+        directory = InstanceDirectory()
         directory.update(make_instance("e0", address=own))
         servers = HttpServers()
         self.addAsyncCleanup(servers.close)
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -9,7 +9,7 @@
 from larkpost.common.hashing import hash64
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import ModelName, Service, ServiceName
-from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.blackboard.directory import InstanceDirectory
 from larkpost.gateway.blackboard.weight_targets import (
     Demands,
     ModelDemand,
@@ -296,7 +296,7 @@
             self.assertGreaterEqual(len(engines), MIN_ENGINES_PER_MODEL)
 
     def test_daemons_that_know_the_same_divide_alike(self):
-        other = Directory()
+        other = InstanceDirectory()
         for info in reversed(self.directory.of_service(THREE.name)):
             other.update(info)
         here = self.first_engines(two_behind())
--- a/tests/test_nearness.py
+++ b/tests/test_nearness.py
@@ -12,7 +12,7 @@
     RouteKind,
     ServiceShare,
 )
-from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.blackboard.directory import InstanceDirectory
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.placement.region_rule import RegionRule
@@ -48,7 +48,7 @@
         """Lists a server in each zone, named s0, s1 and so on."""
         self.clock = LoopClock()
         self.servers = ScriptedEngines(self.clock, MODEL)
-        self.directory = Directory()
+        self.directory = InstanceDirectory()
         for number, zone in enumerate(zones):
             name = InstanceId(f"s{number}")
             self.servers.engines[name] = ScriptedEngine(slots=4)
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -11,7 +11,7 @@
 from larkpost.common.incarnations import instance_id
 from larkpost.gateway.assembly.daemon_reports import DaemonReports
 from larkpost.gateway.blackboard.daemon_report import DaemonReport, Flow, FlowGroup, TenantUse
-from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.blackboard.directory import InstanceDirectory
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
 from larkpost.gateway.fairness.ledger import FlowLedger
 from larkpost.gateway.proxy.balancer import Balancer
@@ -40,7 +40,7 @@
 
     def __init__(self) -> None:
         self.clock = LoopClock()
-        self.directory = Directory()
+        self.directory = InstanceDirectory()
         for instance in (SERVER, OTHER):
             self.start(instance)
         self.balancer = Balancer(self.directory, self.clock, random.Random(0))
@@ -302,7 +302,7 @@
         """Of servers alike in all but the smoothed pace, the quicker one comes first."""
 
         async def play():
-            directory = Directory()
+            directory = InstanceDirectory()
             for name in (SERVER, OTHER):
                 directory.update(make_instance(name, PAGES))
             balancer = Balancer(directory, LoopClock(), random.Random(0))
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -5,7 +5,7 @@
 
 from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceInfo, InstanceState
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.placement.rules import NOT_RUN_REASONS, Placement
 from larkpost.gateway.placement.verdict import Verdict
@@ -45,7 +45,7 @@
     """Each rule forbids both the choice and the send."""
 
     def setUp(self) -> None:
-        self.directory = Directory()
+        self.directory = InstanceDirectory()
         self.directory.update(ENGINE)
         self.metrics = Metrics()
         self.rule = OnceRule()
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -7,7 +7,7 @@
 from larkpost.common.ids import Address, InstanceId
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.blackboard.configuration import ModelName
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceInfo, InstanceState
 from larkpost.gateway.blackboard.known_crashes import (
     CLIENT_CRASH_LIMIT,
     REMEMBERED_SECONDS,
@@ -63,7 +63,7 @@
     def begin(self, state: PortState) -> None:
         """Lists a server that left a request."""
         self.clock = LoopClock()
-        self.directory = Directory()
+        self.directory = InstanceDirectory()
         self.probes = Probes(state)
         self.found: list[tuple[InstanceId, set[ContentDigest], str]] = []
         self.instance = make_instance("a")
--- a/tests/test_service_index.py
+++ b/tests/test_service_index.py
@@ -6,7 +6,7 @@
 
 from larkpost.common.ids import InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
-from larkpost.gateway.blackboard.directory import Directory, InstanceState
+from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceState
 from tests.server_parts import make_instance
 
 SERVICES = (ServiceName("pages"), ServiceName("engines"))
@@ -16,7 +16,7 @@
 STEPS = 600
 
 
-def change(directory: Directory, rng: random.Random) -> None:
+def change(directory: InstanceDirectory, rng: random.Random) -> None:
     """Makes one change of a directory that its feeds or requests may make."""
     name = rng.choice(NAMES)
     match rng.randrange(8):
@@ -38,7 +38,7 @@
 class ServiceIndexTest(unittest.TestCase):
     """The index of a directory against all its entries."""
 
-    def check(self, directory: Directory) -> None:
+    def check(self, directory: InstanceDirectory) -> None:
         """Compares everything that the index says of the services."""
         index = directory.index
         for service in SERVICES:
@@ -60,13 +60,13 @@
     def test_index_agrees_with_all_entries_after_each_change(self):
         for seed in range(10):
             rng = random.Random(seed)
-            directory = Directory()
+            directory = InstanceDirectory()
             for _ in range(STEPS):
                 change(directory, rng)
                 self.check(directory)
 
     def test_instances_keep_their_order_when_their_entries_change(self):
-        directory = Directory()
+        directory = InstanceDirectory()
         for name in NAMES:
             directory.update(make_instance(name))
         directory.update(make_instance(NAMES[3], slots=9))
@@ -75,7 +75,7 @@
         self.assertEqual(list(NAMES), [info.id for info in directory.of_service(SERVICES[0])])
 
     def test_generation_changes_only_when_instances_come_or_go(self):
-        directory = Directory()
+        directory = InstanceDirectory()
         seen = [directory.index.generation(SERVICES[0])]
         for change_entry, is_new in (
             (lambda: directory.update(make_instance("s0")), True),
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -19,7 +19,7 @@
     ServiceName,
     ServiceShare,
 )
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceInfo, InstanceState
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.metrics import Count, Metrics
 from larkpost.gateway.proxy.balancer import Balancer
@@ -457,7 +457,7 @@
         """Starts servers, and makes requests until connections to all of them are kept."""
         self.servers = HttpServers()
         self.addAsyncCleanup(self.servers.close)
-        directory = Directory()
+        directory = InstanceDirectory()
         self.all_pages = [Pages(name) for name in names]
         self.slowest = 0.0
         for pages in self.all_pages:
