--- a/src/larkpost/gateway/blackboard/directory.py
+++ b/src/larkpost/gateway/blackboard/directory.py
@@ -156,7 +156,7 @@
         listed = info.versions.get(model, 0) if info is not None else 0
         return max(listed, self._observed.get(instance, {}).get(model, 0))
 
-    def retire(self, instance: InstanceId) -> None:
+    def mark_replaced(self, instance: InstanceId) -> None:
         """Drops an instance for good: another one has responded at its address.
 
         Its entry may stand for a while. A server that starts again is another instance.
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -314,7 +314,7 @@
         if reason in NOT_ASKED_REASONS:
             return  # it was not asked at all, and may have room for other work
         if reason is NotRunReason.REPLACED:
-            self._directory.retire(instance)
+            self._directory.mark_replaced(instance)
         is_full = reason is NotRunReason.FULL
         self._own.of(instance).is_refusing = is_full
         self.avoid(instance, full_seconds if is_full else UNREACHABLE_AVOID_SECONDS)
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -116,7 +116,7 @@
 
     def test_server_that_was_replaced_at_its_address_serves_once_it_has_started_again(self) -> None:
         self.directory.update(FIRST)
-        self.directory.retire(FIRST.id)
+        self.directory.mark_replaced(FIRST.id)
         self.directory.update(FIRST)
         self.assertEqual([], list(self.directory.all()))
         self.directory.update(SECOND)
--- a/tests/test_service_index.py
+++ b/tests/test_service_index.py
@@ -23,7 +23,7 @@
         case 0:
             directory.remove(name, sound=rng.random() < 0.5)
         case 1:
-            directory.retire(name)
+            directory.mark_replaced(name)
         case 2:
             directory.observe_version(name, rng.choice(MODELS), rng.randrange(3))
         case 3:
