--- a/src/larkpost/gateway/blackboard/directory.py
+++ b/src/larkpost/gateway/blackboard/directory.py
@@ -73,7 +73,7 @@
         self.index: ServiceIndex[InstanceInfo] = ServiceIndex()
         self._instances: dict[InstanceId, InstanceInfo] = {}
         self._observed: dict[InstanceId, dict[ModelName, int]] = {}
-        self._retired: set[InstanceId] = set()
+        self._replaced: set[InstanceId] = set()
         self._current: dict[InstanceName, InstanceId] = {}
         self._end_listeners: list[Callable[[InstanceId], None]] = []
 
@@ -110,7 +110,7 @@
                 info = replace(info, id=known.id)
             elif info.born < known.born:
                 return
-        if info.id in self._retired:
+        if info.id in self._replaced:
             return
         if known is not None and known.id != info.id:
             self.forget(known.id)
@@ -126,7 +126,7 @@
         Args:
             sound: whether the store has been without fault for long enough to be believed.
         """
-        self._retired = {known for known in self._retired if split_instance_id(known)[0] != name}
+        self._replaced = {known for known in self._replaced if split_instance_id(known)[0] != name}
         known = self.named(name)
         if known is None:
             return
@@ -162,7 +162,7 @@
         Its entry may stand for a while. A server that starts again is another instance.
         """
         self.forget(instance)
-        self._retired.add(instance)
+        self._replaced.add(instance)
 
     def forget(self, instance: InstanceId) -> None:
         """Drops an instance."""
