--- a/src/larkpost/common/incarnations.py
+++ b/src/larkpost/common/incarnations.py
@@ -10,21 +10,21 @@
 BORN_SEPARATOR = "@"
 
 
-def instance_id(name: InstanceName, born: int | None) -> InstanceId:
+def instance_id(name: InstanceName, started_at_ms: int | None) -> InstanceId:
     """Returns the id of an incarnation.
 
     Args:
         born: Unix millisecond of its start; None if it does not say it.
     """
-    if born is not None:
-        return InstanceId(f"{name}{BORN_SEPARATOR}{born}")
+    if started_at_ms is not None:
+        return InstanceId(f"{name}{BORN_SEPARATOR}{started_at_ms}")
     is_ambiguous = BORN_SEPARATOR in name
     return InstanceId(f"{name}{BORN_SEPARATOR}" if is_ambiguous else name)
 
 
 def split_instance_id(instance: InstanceId) -> tuple[InstanceName, int | None]:
     """Returns a server's name and the Unix millisecond of its start; None if it does not say it."""
-    name, separator, born = instance.rpartition(BORN_SEPARATOR)
+    name, separator, started_at_ms = instance.rpartition(BORN_SEPARATOR)
     if not separator:
         return InstanceName(instance), None
-    return InstanceName(name), int(born) if born else None
+    return InstanceName(name), int(started_at_ms) if started_at_ms else None
--- a/src/larkpost/gateway/blackboard/directory.py
+++ b/src/larkpost/gateway/blackboard/directory.py
@@ -52,7 +52,7 @@
         return split_instance_id(self.id)[0]
 
     @property
-    def born(self) -> int | None:
+    def started_at_ms(self) -> int | None:
         """The Unix millisecond of its start; None if it does not say it."""
         return split_instance_id(self.id)[1]
 
@@ -91,8 +91,8 @@
 
     def resolve(self, instance: InstanceId) -> InstanceId:
         """Returns the incarnation that is known of a server of which only the name was said."""
-        name, born = split_instance_id(instance)
-        return self._current.get(name, instance) if born is None else instance
+        name, started_at_ms = split_instance_id(instance)
+        return self._current.get(name, instance) if started_at_ms is None else instance
 
     def add_end_listener(self, listener: Callable[[InstanceId], None]) -> None:
         """Calls a listener whenever an instance is dropped for good."""
@@ -105,10 +105,10 @@
         entry that does not say when its server started is of the incarnation that is known.
         """
         known = self.named(info.name)
-        if known is not None and known.born is not None:
-            if info.born is None:
+        if known is not None and known.started_at_ms is not None:
+            if info.started_at_ms is None:
                 info = replace(info, id=known.id)
-            elif info.born < known.born:
+            elif info.started_at_ms < known.started_at_ms:
                 return
         if info.id in self._replaced:
             return
--- a/src/larkpost/gateway/controllers/heartbeat.py
+++ b/src/larkpost/gateway/controllers/heartbeat.py
@@ -98,7 +98,7 @@
     """Returns the fields of a summary: by name, as earlier versions read it, and the starts."""
     named = {split_instance_id(instance): use for instance, use in uses.items()}
     fields: dict[str, object] = {"uses": {name: use for (name, _), use in named.items()}}
-    starts = {name: born for name, born in named if born is not None}
+    starts = {name: started_at_ms for name, started_at_ms in named if started_at_ms is not None}
     if starts:
         fields["born"] = starts
     return fields
--- a/src/larkpost/gateway/controllers/loader.py
+++ b/src/larkpost/gateway/controllers/loader.py
@@ -197,8 +197,8 @@
 
     Its count of orders is then not the one that an order must name.
     """
-    is_known = report.born is not None and engine.born is not None
-    return is_known and report.born != engine.born
+    is_known = report.started_at_ms is not None and engine.started_at_ms is not None
+    return is_known and report.started_at_ms != engine.started_at_ms
 
 
 def seconds_until_next_check(outcome: OrderOutcome) -> float:
--- a/src/larkpost/gateway/servers/port.py
+++ b/src/larkpost/gateway/servers/port.py
@@ -232,7 +232,7 @@
     running: int
     waiting: int
     versions: dict[ModelName, int] = field(default_factory=dict)
-    born: int | None = None
+    started_at_ms: int | None = None
 
 
 class ServerPort(Protocol):
--- a/src/larkpost/platform/server_messages.py
+++ b/src/larkpost/platform/server_messages.py
@@ -69,7 +69,7 @@
         running=whole_number(document, "running") if "running" in document else 0,
         waiting=whole_number(document, "waiting") if "waiting" in document else 0,
         versions=read_versions(document),
-        born=read_born(document),
+        started_at_ms=read_born(document),
     )
 
 
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -37,10 +37,12 @@
 MODEL = "small"
 
 
-def incarnation(born: int | None, state: InstanceState = InstanceState.READY) -> InstanceInfo:
+def incarnation(
+    started_at_ms: int | None, state: InstanceState = InstanceState.READY
+) -> InstanceInfo:
     """Returns an incarnation of the server."""
     return InstanceInfo(
-        instance_id(NAME, born),
+        instance_id(NAME, started_at_ms),
         SERVICE,
         Address("10.0.0.3:8000"),
         ZoneId("north"),
@@ -54,7 +56,7 @@
 SECOND = incarnation(SECOND_START)
 
 
-def entry_row(version: int, born: int | None, **changed: object) -> Row:
+def entry_row(version: int, started_at_ms: int | None, **changed: object) -> Row:
     """Returns the server's entry in the store."""
     document = {
         "service": SERVICE,
@@ -67,8 +69,8 @@
         "seq": version,
         "models": [{"name": MODEL, "version": 1}],
     }
-    if born is not None:
-        document["born"] = born
+    if started_at_ms is not None:
+        document["born"] = started_at_ms
     return Row(RowKey("servers", "", NAME), orjson.dumps({**document, **changed}), version)
 
 
@@ -76,9 +78,11 @@
     """Ids of incarnations."""
 
     @given(st.text(min_size=1), st.none() | st.integers(min_value=0))
-    def test_each_id_names_one_server_and_one_start(self, name: str, born: int | None) -> None:
-        made = instance_id(InstanceName(name), born)
-        self.assertEqual((name, born), split_instance_id(made))
+    def test_each_id_names_one_server_and_one_start(
+        self, name: str, started_at_ms: int | None
+    ) -> None:
+        made = instance_id(InstanceName(name), started_at_ms)
+        self.assertEqual((name, started_at_ms), split_instance_id(made))
 
     def test_server_that_does_not_say_its_start_is_known_by_its_name(self) -> None:
         self.assertEqual("engine-3", instance_id(NAME, None))
@@ -171,7 +175,7 @@
         self.intake.record_instance_row(entry_row(1, FIRST_START))
         self.intake.record_instance_row(entry_row(2, SECOND_START))
         self.assertEqual(2, self.events().count(Event.INSTANCE))
-        self.assertEqual(SECOND_START, self.blackboard.directory.named(NAME).born)
+        self.assertEqual(SECOND_START, self.blackboard.directory.named(NAME).started_at_ms)
 
     def test_spoiled_entry_names_no_server_and_the_next_whole_one_does(self) -> None:
         self.configure(1, SERVICE)
@@ -341,8 +345,8 @@
     """Orders to engines that have started again."""
 
     def test_report_of_another_start(self) -> None:
-        def report(born: int | None) -> EngineReport:
-            return EngineReport(0, False, 0, 0, {}, born)
+        def report(started_at_ms: int | None) -> EngineReport:
+            return EngineReport(0, False, 0, 0, {}, started_at_ms)
 
         for said, known, expected in (
             (SECOND_START, FIRST, True),
--- a/tests/test_server_entries.py
+++ b/tests/test_server_entries.py
@@ -64,7 +64,7 @@
         )
         info = read(ENTRY)
         self.assertEqual(expected, info)
-        self.assertEqual(("engine-3", 1_700_000_000_123), (info.name, info.born))
+        self.assertEqual(("engine-3", 1_700_000_000_123), (info.name, info.started_at_ms))
 
     def test_each_missing_field_makes_it_no_server(self) -> None:
         for name in REQUIRED:
@@ -109,11 +109,11 @@
         self.assertTrue(all(isinstance(text, str) and text for text in texts))
         self.assertTrue(1 <= info.slots <= 65_535)
         self.assertTrue(0 <= info.cold_left <= 86_400)
-        self.assertIn(type(info.born), (int, type(None)))
+        self.assertIn(type(info.started_at_ms), (int, type(None)))
 
     def test_entry_of_a_server_that_does_not_say_when_it_started(self) -> None:
         document = {name: value for name, value in ENTRY.items() if name != "born"}
-        self.assertIsNone(read(document).born)
+        self.assertIsNone(read(document).started_at_ms)
 
 
 class ReportTest(unittest.TestCase):
