--- a/src/larkpost/gateway/blackboard/directory.py
+++ b/src/larkpost/gateway/blackboard/directory.py
@@ -193,7 +193,7 @@
             self.forget(name)
         return lapsed
 
-    def takes_work(self, instance: InstanceId) -> bool:
+    def accepts_work(self, instance: InstanceId) -> bool:
         """Returns whether an instance may be given new work at this moment."""
         info = self._instances.get(instance)
         return info is not None and info.state is not InstanceState.LEAVING
--- a/src/larkpost/gateway/controllers/loader.py
+++ b/src/larkpost/gateway/controllers/loader.py
@@ -144,7 +144,7 @@
         if lease.has_lapsed(self._clock.now()):
             self._log.record(Event.LEASE_LAPSED, subject=lease.subject.key, token=lease.token)
             return None
-        if not self._directory.takes_work(engine.id):
+        if not self._directory.accepts_work(engine.id):
             self._record_no_order(engine, target, "leaving")
             return None
         return lease
--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -183,7 +183,7 @@
         return {
             name: (use.outstanding, round(use.pace, SUMMARY_PACE_DIGITS))
             for name, use in self._uses.items()
-            if self._directory.takes_work(name)
+            if self._directory.accepts_work(name)
             and (use.outstanding or now - use.pace_at < PACE_LIFETIME_SECONDS)
         }
 
--- a/src/larkpost/gateway/proxy/paces.py
+++ b/src/larkpost/gateway/proxy/paces.py
@@ -134,7 +134,7 @@
         Where items and short requests go to the same server, it is that of the items.
         """
         figures = self._own.figures(instance)
-        if figures is None or not self._directory.takes_work(instance):
+        if figures is None or not self._directory.accepts_work(instance):
             return None
         now = self._clock.now()
         for history in (figures.events, figures.responses):
--- a/src/larkpost/gateway/quarantine/watch.py
+++ b/src/larkpost/gateway/quarantine/watch.py
@@ -87,7 +87,7 @@
         """Records that a server closed the connection of a request without a whole response."""
         suspicion = self._suspicions.get(instance.id)
         if suspicion is None:
-            if not self._directory.takes_work(instance.id):
+            if not self._directory.accepts_work(instance.id):
                 return  # it has said that it leaves, or was known to be gone
             suspicion = _Suspicion(instance, self._clock.now(), self._at(instance.address))
             self._suspicions[instance.id] = suspicion
