--- a/src/larkpost/gateway/blackboard/directory.py
+++ b/src/larkpost/gateway/blackboard/directory.py
@@ -94,7 +94,7 @@
         name, started_at_ms = split_instance_id(instance)
         return self._current.get(name, instance) if started_at_ms is None else instance
 
-    def add_end_listener(self, listener: Callable[[InstanceId], None]) -> None:
+    def add_removal_listener(self, listener: Callable[[InstanceId], None]) -> None:
         """Calls a listener whenever an instance is dropped for good."""
         self._end_listeners.append(listener)
 
--- a/src/larkpost/gateway/controllers/loader.py
+++ b/src/larkpost/gateway/controllers/loader.py
@@ -63,7 +63,7 @@
         self._tasks: TaskSet | None = None
         self._next_try: dict[InstanceId, float] = {}
         self._under_way: set[InstanceId] = set()
-        blackboard.directory.add_end_listener(self._forget)
+        blackboard.directory.add_removal_listener(self._forget)
 
     def start(self, tasks: TaskSet) -> None:
         """Starts reconciling."""
--- a/src/larkpost/gateway/proxy/shared_paces.py
+++ b/src/larkpost/gateway/proxy/shared_paces.py
@@ -38,7 +38,7 @@
         self._directory = directory
         self._clock = clock
         self._reported: dict[InstanceId, dict[DaemonId, _Reported]] = {}
-        directory.add_end_listener(self._end)
+        directory.add_removal_listener(self._end)
 
     def __len__(self) -> int:
         return len(self._reported)
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -94,7 +94,7 @@
     def setUp(self) -> None:
         self.directory = InstanceDirectory()
         self.ended: list[InstanceId] = []
-        self.directory.add_end_listener(self.ended.append)
+        self.directory.add_removal_listener(self.ended.append)
 
     def test_later_incarnation_ends_the_one_before(self) -> None:
         self.directory.update(FIRST)
