--- a/src/larkpost/gateway/blackboard/directory.py
+++ b/src/larkpost/gateway/blackboard/directory.py
@@ -75,7 +75,7 @@
         self._observed: dict[InstanceId, dict[ModelName, int]] = {}
         self._replaced: set[InstanceId] = set()
         self._current: dict[InstanceName, InstanceId] = {}
-        self._end_listeners: list[Callable[[InstanceId], None]] = []
+        self._removal_listeners: list[Callable[[InstanceId], None]] = []
 
     def __len__(self) -> int:
         return len(self._instances)
@@ -96,7 +96,7 @@
 
     def add_removal_listener(self, listener: Callable[[InstanceId], None]) -> None:
         """Calls a listener whenever an instance is dropped for good."""
-        self._end_listeners.append(listener)
+        self._removal_listeners.append(listener)
 
     def update(self, info: InstanceInfo) -> None:
         """Stores an entry that is new or has changed.
@@ -173,7 +173,7 @@
         if self._current.get(info.name) == instance:
             del self._current[info.name]
         self._observed.pop(instance, None)
-        for listener in self._end_listeners:
+        for listener in self._removal_listeners:
             listener(instance)
 
     def of_service(self, service: ServiceName) -> list[InstanceInfo]:
