--- a/src/larkpost/gateway/blackboard/service_index.py
+++ b/src/larkpost/gateway/blackboard/service_index.py
@@ -24,7 +24,7 @@
 EntryT = TypeVar("EntryT", bound=Entry)
 
 
-class NumberedIds:
+class IndexedIdSet:
     """A set of ids that can be drawn from by number, without going through it."""
 
     def __init__(self) -> None:
@@ -66,8 +66,8 @@
     """
 
     entries: dict[InstanceId, EntryT] = field(default_factory=dict)
-    numbered: NumberedIds = field(default_factory=NumberedIds)
-    holders: dict[ModelName, NumberedIds] = field(default_factory=dict)
+    numbered: IndexedIdSet = field(default_factory=IndexedIdSet)
+    holders: dict[ModelName, IndexedIdSet] = field(default_factory=dict)
     zones: Counter[ZoneId] = field(default_factory=Counter)
     generation: int = 0
 
@@ -162,7 +162,7 @@
         before = self._models.get(instance, frozenset())
         self._models[instance] = models
         for model in models - before:
-            service.holders.setdefault(model, NumberedIds()).add(instance)
+            service.holders.setdefault(model, IndexedIdSet()).add(instance)
         for model in before - models:
             service.holders[model].discard(instance)
 
--- a/src/larkpost/gateway/proxy/subset.py
+++ b/src/larkpost/gateway/proxy/subset.py
@@ -13,7 +13,7 @@
 from larkpost.common.hashing import hash64
 from larkpost.common.ids import DaemonId, InstanceId
 from larkpost.gateway.blackboard.configuration import ServiceName
-from larkpost.gateway.blackboard.service_index import NumberedIds, ServiceIndex
+from larkpost.gateway.blackboard.service_index import IndexedIdSet, ServiceIndex
 
 LEAST_SUBSET = 24
 """Servers that a subset has on average at least: few enough that connections to them stay in use,
@@ -75,7 +75,7 @@
         self._others: dict[DaemonId, int] = {}
         self._servers: set[InstanceId] = set()
         self._limit = 1
-        self._inside = NumberedIds()
+        self._inside = IndexedIdSet()
         self._outside: dict[InstanceId, list[DaemonId]] = {}
         self._keeps_out: dict[DaemonId, set[InstanceId]] = {}
 
