--- a/src/larkpost/gateway/blackboard/service_index.py
+++ b/src/larkpost/gateway/blackboard/service_index.py
@@ -99,7 +99,7 @@
         if known is None or known.zone != entry.zone:
             service.zones[entry.zone] += 1
             if known is not None:
-                _count_less(service.zones, known.zone)
+                _decrement(service.zones, known.zone)
         self._put_models(service, entry.id, frozenset(models))
 
     def drop(self, instance: InstanceId) -> None:
@@ -111,7 +111,7 @@
         entry = service.entries.pop(instance)
         service.numbered.discard(instance)
         self._begin_generation(service)
-        _count_less(service.zones, entry.zone)
+        _decrement(service.zones, entry.zone)
         self._put_models(service, instance, frozenset())
         del self._models[instance]
         if not service.entries:
@@ -167,7 +167,7 @@
             service.holders[model].discard(instance)
 
 
-def _count_less(zones: Counter[ZoneId], zone: ZoneId) -> None:
+def _decrement(zones: Counter[ZoneId], zone: ZoneId) -> None:
     zones[zone] -= 1
     if not zones[zone]:
         del zones[zone]
