--- a/src/larkpost/gateway/blackboard/configuration.py
+++ b/src/larkpost/gateway/blackboard/configuration.py
@@ -146,7 +146,7 @@
             return route.priority
         return known.priority
 
-    def homes_of(
+    def allowed_regions(
         self, tenant: TenantName | None, route: Route | None
     ) -> frozenset[RegionId] | None:
         """Returns the only regions in which a request may be served; None for all.
@@ -168,7 +168,7 @@
         self, tenant: TenantName | None, host: str, path: bytes
     ) -> frozenset[RegionId] | None:
         """Returns the only regions in which a request to a path may be served; None for all."""
-        return self.homes_of(tenant, self.match(host, path))
+        return self.allowed_regions(tenant, self.match(host, path))
 
     @cached_property
     def has_homes(self) -> bool:
--- a/src/larkpost/gateway/proxy/admission.py
+++ b/src/larkpost/gateway/proxy/admission.py
@@ -96,7 +96,7 @@
             raise self._refusal(NoRouteError(f"no route for {host}"), request_id, configuration)
         tenant = configuration.tenant_of(key)
         if tenant is not None:
-            return Admitted(route, tenant.name, configuration.homes_of(tenant.name, route))
+            return Admitted(route, tenant.name, configuration.allowed_regions(tenant.name, route))
         if configuration.tenants is None or route.is_public:
             return Admitted(route, None, route.regions)
         error = UnknownKeyError(f"route {route.name} needs a key that is in force")
--- a/src/larkpost/gateway/rollouts/service.py
+++ b/src/larkpost/gateway/rollouts/service.py
@@ -121,7 +121,7 @@
         route = configuration.match(spec.host, path) if configuration is not None else None
         if configuration is None or route is None:
             return False
-        work = Work(WorkKind.ITEM, configuration.homes_of(spec.tenant, route))
+        work = Work(WorkKind.ITEM, configuration.allowed_regions(spec.tenant, route))
         balancer = self._services.balancer
         return all(balancer.is_outside_regions(share.service, work) for share in route.shares)
 
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -85,8 +85,8 @@
         tenant = Tenant(TenantName("t"), frozenset(), regions=frozenset({WEST}))
         configuration = replace(CONFIGURATION, tenants=(tenant,))
         route = replace(ROUTE, regions=frozenset({EAST}))
-        self.assertEqual(frozenset(), configuration.homes_of(tenant.name, route))
-        self.assertEqual(frozenset({WEST}), configuration.homes_of(tenant.name, None))
+        self.assertEqual(frozenset(), configuration.allowed_regions(tenant.name, route))
+        self.assertEqual(frozenset({WEST}), configuration.allowed_regions(tenant.name, None))
 
 
 def _state_of(configuration: Configuration) -> ConfigurationState:
