--- a/src/larkpost/gateway/blackboard/configuration.py
+++ b/src/larkpost/gateway/blackboard/configuration.py
@@ -164,7 +164,7 @@
             return of_tenant if of_route is None else of_route
         return of_tenant & of_route
 
-    def homes_at(
+    def allowed_regions_at(
         self, tenant: TenantName | None, host: str, path: bytes
     ) -> frozenset[RegionId] | None:
         """Returns the only regions in which a request to a path may be served; None for all."""
--- a/src/larkpost/gateway/rollouts/claims.py
+++ b/src/larkpost/gateway/rollouts/claims.py
@@ -77,7 +77,7 @@
         configuration = self._services.configuration.current
         if configuration is None:
             return frozenset()
-        return configuration.homes_at(head.tenant, head.host, head.path.encode("latin-1"))
+        return configuration.allowed_regions_at(head.tenant, head.host, head.path.encode("latin-1"))
 
     async def claim(self, known: KnownHead, owner: DaemonId) -> None:
         """Writes an owner into a head; if another change came first, learns the head as it is."""
--- a/src/larkpost/gateway/rollouts/item_work.py
+++ b/src/larkpost/gateway/rollouts/item_work.py
@@ -45,7 +45,7 @@
         regions = None
         if configuration is not None:
             place = path.partition("?")[0].encode()
-            regions = configuration.homes_at(head.tenant, head.host, place)
+            regions = configuration.allowed_regions_at(head.tenant, head.host, place)
         return Work(WorkKind.ITEM, regions, head.model, head.minimum_version)
 
     def service_of(self, item: Item, route: Route) -> ServiceName | None:
--- a/src/larkpost/gateway/rollouts/reward_attempt.py
+++ b/src/larkpost/gateway/rollouts/reward_attempt.py
@@ -75,7 +75,7 @@
         if configuration is None:
             return REWARD_WORK
         path = call.path.partition("?")[0].encode("latin-1")
-        regions = configuration.homes_at(self._head.tenant, call.host, path)
+        regions = configuration.allowed_regions_at(self._head.tenant, call.host, path)
         crashes = self._services.crashes
         is_suspect = crashes.has_suspects and crashes.is_suspect(call.content)
         return Work(WorkKind.REWARD, regions, is_suspect=is_suspect)
