--- a/src/larkpost/gateway/blackboard/configuration.py
+++ b/src/larkpost/gateway/blackboard/configuration.py
@@ -171,7 +171,7 @@
         return self.allowed_regions(tenant, self.match(host, path))
 
     @cached_property
-    def has_homes(self) -> bool:
+    def has_region_limits(self) -> bool:
         """Whether a route or a tenant has regions of its own."""
         holders = (*self.routes, *(self.tenants or ()))
         return any(holder.regions is not None for holder in holders)
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -262,7 +262,7 @@
     def _is_region_bound(self, table: str) -> bool:
         """Returns whether rows of a table hold bodies that may be bound to this daemon's region."""
         current = self.configuration.current
-        return table == ITEM_TABLE and current is not None and current.has_homes
+        return table == ITEM_TABLE and current is not None and current.has_region_limits
 
     def _is_active(self) -> bool:
         """Returns whether this daemon has to act on news of batches at once."""
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -64,7 +64,7 @@
         for entry in ({}, {"allowed-regions": []}, {"allowed-regions": None}):
             configuration = read_configuration(entry)
             self.assertIsNone(configuration.routes[0].regions)
-            self.assertFalse(configuration.has_homes)
+            self.assertFalse(configuration.has_region_limits)
 
     def test_wrong_regions_make_the_document_unreadable(self):
         for wrong in ("east", [1], {"east": 1}):
@@ -74,7 +74,7 @@
     def test_route_and_tenant_both_bind(self):
         tenant = {"name": "t", "api-keys": ["k"], "allowed-regions": ["east", "south"]}
         configuration = read_configuration({"allowed-regions": ["east", "west"]}, [tenant])
-        self.assertTrue(configuration.has_homes)
+        self.assertTrue(configuration.has_region_limits)
         admission = Admission(
             _state_of(configuration), lambda: 0.0, lambda: 1.0, EventLog("d"), Metrics()
         )
