--- a/src/larkpost/gateway/blackboard/configuration.py
+++ b/src/larkpost/gateway/blackboard/configuration.py
@@ -195,7 +195,7 @@
         routes = self._routes_by_host.get(host, ())
         return next((route for route in routes if path.startswith(route.path_prefix)), None)
 
-    def host_route(self, host: str) -> Route | None:
+    def first_batch_route(self, host: str) -> Route | None:
         """Returns the first batch route of a host."""
         routes = self._routes_by_host.get(host, ())
         return next((route for route in routes if route.kind is RouteKind.BATCH), None)
--- a/src/larkpost/gateway/proxy/admission.py
+++ b/src/larkpost/gateway/proxy/admission.py
@@ -115,7 +115,7 @@
         tenant = configuration.tenant_of(key)
         if tenant is not None:
             return Caller(tenant.name, is_restricted=True)
-        route = configuration.host_route(host)
+        route = configuration.first_batch_route(host)
         if route is not None and route.is_public:
             return Caller(None, is_restricted=True)
         error = UnknownKeyError("calls about batches need a key that is in force")
