--- a/src/larkpost/gateway/blackboard/regions.py
+++ b/src/larkpost/gateway/blackboard/regions.py
@@ -35,7 +35,7 @@
             return self._own_region
         return self._regions.get(self.own_zone)
 
-    def replace_with(self, other: "RegionMap") -> None:
+    def update_from(self, other: "RegionMap") -> None:
         """Stores what changed settings say of zones."""
         self.own_zone = other.own_zone
         self._regions = other._regions
--- a/src/larkpost/platform/settings_watch.py
+++ b/src/larkpost/platform/settings_watch.py
@@ -44,7 +44,7 @@
         changed = gateway_settings(settings)
         for name in CHANGEABLE_TIMES:
             setattr(self.gateway, name, getattr(changed, name))
-        self.gateway.regions.replace_with(changed.regions)
+        self.gateway.regions.update_from(changed.regions)
 
 
 class SettingsWatcher:
