--- a/src/larkpost/gateway/blackboard/weight_targets.py
+++ b/src/larkpost/gateway/blackboard/weight_targets.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Naming:
+class VersionAnnouncement:
     """A version as it was named.
 
     Attributes:
@@ -58,11 +58,11 @@
         """Returns the seconds since this daemon learnt of a model's newest version."""
         return now - self._named_at.get(model, now)
 
-    def last_naming(self, model: ModelName, now: float) -> Naming | None:
+    def last_naming(self, model: ModelName, now: float) -> VersionAnnouncement | None:
         """Returns when a model's newest version was named; None if that was not seen here."""
         if not self._is_seen.get(model, False):
             return None
-        return Naming(self._versions[model], now - self._named_at[model])
+        return VersionAnnouncement(self._versions[model], now - self._named_at[model])
 
     def version(self, model: ModelName) -> int:
         """Returns the newest version named for a model; 0 if none was."""
--- a/src/larkpost/gateway/controllers/division.py
+++ b/src/larkpost/gateway/controllers/division.py
@@ -12,7 +12,7 @@
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.configuration import ModelName, Service, ServiceName
-from larkpost.gateway.blackboard.weight_targets import Demands, Naming, WeightTarget
+from larkpost.gateway.blackboard.weight_targets import Demands, VersionAnnouncement, WeightTarget
 from larkpost.gateway.controllers.due_loads import LoadInputs, Shares, due_loads, share_out
 from larkpost.gateway.controllers.lending import models_that_yield
 from larkpost.gateway.controllers.lending_record import LendingRecord
@@ -101,7 +101,7 @@
         """Returns whether a model's batches use their own engines only, for the sake of others."""
         return model in self._division(service).yielding
 
-    def last_naming(self, model: ModelName) -> Naming | None:
+    def last_naming(self, model: ModelName) -> VersionAnnouncement | None:
         """Returns when a model's newest version was named; None if that was not seen here."""
         return self._blackboard.targets.last_naming(model, self._clock.now())
 
--- a/src/larkpost/gateway/rollouts/known_heads.py
+++ b/src/larkpost/gateway/rollouts/known_heads.py
@@ -12,7 +12,7 @@
 from larkpost.common.clock import Clock
 from larkpost.common.ids import BatchId, DaemonId
 from larkpost.gateway.blackboard.configuration import ModelName
-from larkpost.gateway.blackboard.weight_targets import ModelDemand, Naming
+from larkpost.gateway.blackboard.weight_targets import ModelDemand, VersionAnnouncement
 from larkpost.gateway.rollouts.batch_rows import head_of_row
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.store.port import Row
@@ -40,7 +40,7 @@
     head: BatchHead
     version: int
     owner_since: float
-    asked_after: Naming | None = None
+    asked_after: VersionAnnouncement | None = None
 
 
 class KnownHeads:
@@ -54,7 +54,7 @@
     def __init__(
         self,
         clock: Clock,
-        last_naming: Callable[[ModelName], Naming | None] = lambda _: None,
+        last_naming: Callable[[ModelName], VersionAnnouncement | None] = lambda _: None,
         age: Callable[[BatchHead], float | None] = lambda _: None,
     ) -> None:
         self._clock = clock
@@ -81,7 +81,7 @@
         asked_after = known.asked_after if known is not None else self._asked_after(head)
         self._heads[batch] = KnownHead(head, row.version, owner_since, asked_after)
 
-    def _asked_after(self, head: BatchHead) -> Naming | None:
+    def _asked_after(self, head: BatchHead) -> VersionAnnouncement | None:
         """Returns after which version a batch that is new here came, and how long after it."""
         age = self._age(head)
         naming = self._last_naming(head.model)
@@ -90,7 +90,7 @@
         seconds = naming.seconds - age  # all daemons know the batch's own time alike
         if seconds < -CLOCK_ERROR_SECONDS:
             return None  # a version that was named since
-        return Naming(naming.version, max(0.0, seconds))
+        return VersionAnnouncement(naming.version, max(0.0, seconds))
 
     def forget(self, batch: BatchId) -> None:
         """Drops the head of a batch that is stored no more."""
--- a/tests/test_load_timing.py
+++ b/tests/test_load_timing.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.blackboard.weight_targets import (
     Demands,
     ModelDemand,
-    Naming,
+    VersionAnnouncement,
     WeightTarget,
     WeightTargets,
 )
@@ -106,7 +106,7 @@
     """How long after its version a batch came, as the heads of batches tell it."""
 
     def setUp(self):
-        self.naming: Naming | None = None
+        self.naming: VersionAnnouncement | None = None
         self.age: float | None = 0.1
         self.heads: KnownHeads | None = None
 
@@ -131,11 +131,15 @@
         """Returns what batches of these names, times and ends ask for."""
 
         async def play() -> ModelDemand:
-            self.naming = Naming(2, 0.05 + self.age) if self.age is not None else Naming(2, 9.0)
+            self.naming = (
+                VersionAnnouncement(2, 0.05 + self.age)
+                if self.age is not None
+                else VersionAnnouncement(2, 9.0)
+            )
             self.heads = KnownHeads(LoopClock(), lambda _: self.naming, lambda _: self.age)
             for name, created_at, ended in batches:
                 self.record(name, created_at, ended=ended)
-            self.naming = Naming(3, 9.0)
+            self.naming = VersionAnnouncement(3, 9.0)
             name, created_at, ended = batches[-1]
             self.record(name, created_at, ended=ended, version=2)
             self.assertNotIn(SECOND, self.heads.demands())
