--- a/src/larkpost/gateway/blackboard/weight_targets.py
+++ b/src/larkpost/gateway/blackboard/weight_targets.py
@@ -58,7 +58,7 @@
         """Returns the seconds since this daemon learnt of a model's newest version."""
         return now - self._named_at.get(model, now)
 
-    def last_naming(self, model: ModelName, now: float) -> VersionAnnouncement | None:
+    def last_announcement(self, model: ModelName, now: float) -> VersionAnnouncement | None:
         """Returns when a model's newest version was named; None if that was not seen here."""
         if not self._is_seen.get(model, False):
             return None
--- a/src/larkpost/gateway/controllers/division.py
+++ b/src/larkpost/gateway/controllers/division.py
@@ -101,9 +101,9 @@
         """Returns whether a model's batches use their own engines only, for the sake of others."""
         return model in self._division(service).yielding
 
-    def last_naming(self, model: ModelName) -> VersionAnnouncement | None:
+    def last_announcement(self, model: ModelName) -> VersionAnnouncement | None:
         """Returns when a model's newest version was named; None if that was not seen here."""
-        return self._blackboard.targets.last_naming(model, self._clock.now())
+        return self._blackboard.targets.last_announcement(model, self._clock.now())
 
     def _division(self, service: ServiceName) -> Division:
         now = self._clock.now()
--- a/src/larkpost/gateway/rollouts/keeper.py
+++ b/src/larkpost/gateway/rollouts/keeper.py
@@ -60,7 +60,7 @@
         self._lifetime = lifetime
         self._clock: Clock = services.clock
         self._log: EventLog = services.log
-        self._heads = KnownHeads(services.clock, services.division.last_naming, self._age)
+        self._heads = KnownHeads(services.clock, services.division.last_announcement, self._age)
         self._outlooks = BatchOutlooks(
             OutlookSources(
                 services.configuration,
--- a/src/larkpost/gateway/rollouts/known_heads.py
+++ b/src/larkpost/gateway/rollouts/known_heads.py
@@ -54,11 +54,11 @@
     def __init__(
         self,
         clock: Clock,
-        last_naming: Callable[[ModelName], VersionAnnouncement | None] = lambda _: None,
+        last_announcement: Callable[[ModelName], VersionAnnouncement | None] = lambda _: None,
         age: Callable[[BatchHead], float | None] = lambda _: None,
     ) -> None:
         self._clock = clock
-        self._last_naming = last_naming
+        self._last_naming = last_announcement
         self._age = age
         self._heads: dict[BatchId, KnownHead] = {}
 
--- a/tests/test_load_timing.py
+++ b/tests/test_load_timing.py
@@ -194,7 +194,7 @@
                 targets = WeightTargets()
                 for version in versions:
                     targets.update(WeightTarget(FIRST, version), float(version))
-                naming = targets.last_naming(FIRST, 20.0)
+                naming = targets.last_announcement(FIRST, 20.0)
                 self.assertEqual(expected, naming.version if naming is not None else None)
 
     def test_a_batch_that_is_no_news_tells_nothing(self):
