--- a/src/larkpost/gateway/blackboard/weight_targets.py
+++ b/src/larkpost/gateway/blackboard/weight_targets.py
@@ -54,7 +54,7 @@
         self._is_seen[target.model] = follows
         return True
 
-    def named_for(self, model: ModelName, now: float) -> float:
+    def seconds_since_announced(self, model: ModelName, now: float) -> float:
         """Returns the seconds since this daemon learnt of a model's newest version."""
         return now - self._named_at.get(model, now)
 
--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -219,7 +219,7 @@
 
 def _seconds_into_turns(model: ModelName, inputs: LoadInputs, now: float) -> float:
     demand = inputs.demands.get(model, ModelDemand())
-    elapsed = inputs.targets.named_for(model, now)
+    elapsed = inputs.targets.seconds_since_announced(model, now)
     if not demand.open:
         return elapsed - FIRST_SECONDS
     if is_urgent(demand, inputs.targets.version(model)) and not demand.waiting:
