--- a/src/larkpost/gateway/blackboard/weight_targets.py
+++ b/src/larkpost/gateway/blackboard/weight_targets.py
@@ -69,7 +69,7 @@
         return self._versions.get(model, 0)
 
 
-class Outlook(StrEnum):
+class DeadlineForecast(StrEnum):
     """Whether a batch will be in time, by a forecast."""
 
     UNKNOWN = "unknown"
@@ -101,7 +101,7 @@
     asked_after: float | None = None
     asked_at: int = 0
     least_asked_after: float | None = None
-    outlook: Outlook = Outlook.UNKNOWN
+    outlook: DeadlineForecast = DeadlineForecast.UNKNOWN
     waiting: int = 0
     priority: int = 0
 
--- a/src/larkpost/gateway/controllers/batch_forecast.py
+++ b/src/larkpost/gateway/controllers/batch_forecast.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from larkpost.gateway.blackboard.daemon_report import BatchProgress
-from larkpost.gateway.blackboard.weight_targets import Outlook
+from larkpost.gateway.blackboard.weight_targets import DeadlineForecast
 
 SPARE_SECONDS = 2.5
 """A batch that is forecast to end so long before it is due has time to spare: its trainer needs a
@@ -35,19 +35,21 @@
     best_token_time: float
 
 
-def judge_batch(progress: BatchProgress, due_in: float, capacity: Capacity) -> Outlook:
+def judge_batch(progress: BatchProgress, due_in: float, capacity: Capacity) -> DeadlineForecast:
     """Returns the outlook of a batch.
 
     Args:
         due_in: seconds until it is due; negative once it is late.
     """
     if not capacity.share or not capacity.token_time:
-        return Outlook.UNKNOWN
+        return DeadlineForecast.UNKNOWN
     least = progress.work / capacity.whole * capacity.best_token_time
     expected = seconds_left(progress, capacity.share, capacity.token_time)
     if due_in + HOPELESS_SECONDS < least and expected > HOPELESS_SECONDS:
-        return Outlook.HOPELESS
-    return Outlook.TO_SPARE if due_in - expected >= SPARE_SECONDS else Outlook.TIGHT
+        return DeadlineForecast.HOPELESS
+    return (
+        DeadlineForecast.TO_SPARE if due_in - expected >= SPARE_SECONDS else DeadlineForecast.TIGHT
+    )
 
 
 def seconds_left(progress: BatchProgress, places: int, token_time: float) -> float:
@@ -58,14 +60,19 @@
     return (progress.work / places + progress.long_item) * token_time
 
 
-def most_in_need(outlooks: Iterable[Outlook]) -> Outlook:
+def most_in_need(outlooks: Iterable[DeadlineForecast]) -> DeadlineForecast:
     """Returns the outlook that counts for a model of whose batches these are the outlooks.
 
     One that can be saved counts before all others, and one that is not known before one that can't
     be saved: it may be the next step's, which has all its time.
     """
     known = set(outlooks)
-    for outlook in (Outlook.TIGHT, Outlook.UNKNOWN, Outlook.HOPELESS, Outlook.TO_SPARE):
+    for outlook in (
+        DeadlineForecast.TIGHT,
+        DeadlineForecast.UNKNOWN,
+        DeadlineForecast.HOPELESS,
+        DeadlineForecast.TO_SPARE,
+    ):
         if outlook in known:
             return outlook
-    return Outlook.UNKNOWN
+    return DeadlineForecast.UNKNOWN
--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -13,7 +13,7 @@
 from larkpost.common.hashing import hash64
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import ModelName
-from larkpost.gateway.blackboard.weight_targets import Demands, ModelDemand, Outlook
+from larkpost.gateway.blackboard.weight_targets import DeadlineForecast, Demands, ModelDemand
 from larkpost.gateway.controllers.model_assignment import MIN_ENGINES_PER_MODEL, Assignment
 
 WAITED_SECONDS = 0.5
@@ -64,7 +64,7 @@
 
     Both hold for whole steps. Whether a batch is tight does not: it gets places, and is so no more.
     """
-    if demand.outlook is Outlook.HOPELESS:
+    if demand.outlook is DeadlineForecast.HOPELESS:
         return Standing.LENDS  # what can't be in time comes after what can
     if demand.asked_after is not None and demand.asked_after < WAITED_SECONDS:
         return Standing.BORROWS
@@ -130,7 +130,7 @@
 
 
 def _is_short_of_time(demand: ModelDemand) -> bool:
-    return demand.outlook is Outlook.TIGHT or standing_of(demand) is Standing.BORROWS
+    return demand.outlook is DeadlineForecast.TIGHT or standing_of(demand) is Standing.BORROWS
 
 
 def _offers(
--- a/src/larkpost/gateway/rollouts/batch_outlooks.py
+++ b/src/larkpost/gateway/rollouts/batch_outlooks.py
@@ -20,7 +20,7 @@
 )
 from larkpost.gateway.blackboard.daemon_report import BatchProgress
 from larkpost.gateway.blackboard.directory import InstanceDirectory
-from larkpost.gateway.blackboard.weight_targets import ModelDemand, Outlook
+from larkpost.gateway.blackboard.weight_targets import DeadlineForecast, ModelDemand
 from larkpost.gateway.controllers.batch_forecast import Capacity, judge_batch, most_in_need
 from larkpost.gateway.controllers.lending import LENT_SHARE
 from larkpost.gateway.rollouts.model import BatchHead
@@ -88,12 +88,12 @@
         """
         known = self._reported() | own
         capacities: dict[ServiceName, Capacity] = {}
-        outlooks: dict[ModelName, list[Outlook]] = defaultdict(list)
+        outlooks: dict[ModelName, list[DeadlineForecast]] = defaultdict(list)
         waiting: dict[ModelName, int] = defaultdict(int)
         for head in heads.open:
             progress = known.get(head.id)
             if progress is None:
-                outlooks[head.model].append(Outlook.UNKNOWN)
+                outlooks[head.model].append(DeadlineForecast.UNKNOWN)
             else:
                 outlooks[head.model].append(self._judge(head, progress, capacities))
                 waiting[head.model] += progress.waiting
@@ -132,7 +132,7 @@
         head: BatchHead,
         progress: BatchProgress,
         capacities: dict[ServiceName, Capacity],
-    ) -> Outlook:
+    ) -> DeadlineForecast:
         """Returns the outlook of a batch.
 
         Args:
@@ -141,11 +141,11 @@
         now = self._sources.store_time()
         configuration = self._sources.configuration.current
         if now is None or configuration is None:
-            return Outlook.UNKNOWN
+            return DeadlineForecast.UNKNOWN
         route = configuration.match(head.host, head.path.encode("latin-1"))
         service = _service_of(route, configuration)
         if route is None or not route.due or service is None:
-            return Outlook.UNKNOWN
+            return DeadlineForecast.UNKNOWN
         due_in = head.created_at + route.due - now
         if service.name not in capacities:
             capacities[service.name] = self._capacity(service)
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -5,7 +5,7 @@
 
 from larkpost.common.ids import BatchId, DaemonId
 from larkpost.gateway.blackboard.daemon_report import BatchProgress, DaemonReport
-from larkpost.gateway.blackboard.weight_targets import ModelDemand, Outlook
+from larkpost.gateway.blackboard.weight_targets import DeadlineForecast, ModelDemand
 from larkpost.gateway.controllers.batch_forecast import (
     HOPELESS_SECONDS,
     SPARE_SECONDS,
@@ -44,20 +44,44 @@
     def test_outlooks(self):
         ended = BatchProgress(0, 0, 0)
         cases = (
-            ("short items, all the time", SHORT, 7.5, POOL, Outlook.TO_SPARE),
-            ("long items, all the time", LONG, 7.5, POOL, Outlook.TIGHT),
-            ("long items, nearly done", left_of(LONG, 4000, 2000), 4.0, POOL, Outlook.TO_SPARE),
-            ("late, but not by much", LONG, 6.5, POOL, Outlook.TIGHT),
-            ("a long item may be shorter than guessed", LONG, 2.0, POOL, Outlook.TIGHT),
-            ("hopeless: more work than all engines do", LONG, -0.5, POOL, Outlook.HOPELESS),
-            ("long since due", SHORT, -1.0, POOL, Outlook.HOPELESS),
-            ("long since due, all but done", BatchProgress(0, 80, 80), -3, POOL, Outlook.TIGHT),
-            ("due a moment ago, all but done", BatchProgress(0, 80, 80), -0.2, POOL, Outlook.TIGHT),
-            ("all is done", ended, 3.0, POOL, Outlook.TO_SPARE),
-            ("short items at uneven engines", SHORT, 11.0, UNEVEN, Outlook.TO_SPARE),
-            ("long ones: in time at the fast", LONG, 7.5, UNEVEN, Outlook.TIGHT),
-            ("more work than the fast engines do", LONG, -0.5, UNEVEN, Outlook.HOPELESS),
-            ("no pace is known", SHORT, 7.5, Capacity(0, 0, 0.0, 0.0), Outlook.UNKNOWN),
+            ("short items, all the time", SHORT, 7.5, POOL, DeadlineForecast.TO_SPARE),
+            ("long items, all the time", LONG, 7.5, POOL, DeadlineForecast.TIGHT),
+            (
+                "long items, nearly done",
+                left_of(LONG, 4000, 2000),
+                4.0,
+                POOL,
+                DeadlineForecast.TO_SPARE,
+            ),
+            ("late, but not by much", LONG, 6.5, POOL, DeadlineForecast.TIGHT),
+            ("a long item may be shorter than guessed", LONG, 2.0, POOL, DeadlineForecast.TIGHT),
+            (
+                "hopeless: more work than all engines do",
+                LONG,
+                -0.5,
+                POOL,
+                DeadlineForecast.HOPELESS,
+            ),
+            ("long since due", SHORT, -1.0, POOL, DeadlineForecast.HOPELESS),
+            (
+                "long since due, all but done",
+                BatchProgress(0, 80, 80),
+                -3,
+                POOL,
+                DeadlineForecast.TIGHT,
+            ),
+            (
+                "due a moment ago, all but done",
+                BatchProgress(0, 80, 80),
+                -0.2,
+                POOL,
+                DeadlineForecast.TIGHT,
+            ),
+            ("all is done", ended, 3.0, POOL, DeadlineForecast.TO_SPARE),
+            ("short items at uneven engines", SHORT, 11.0, UNEVEN, DeadlineForecast.TO_SPARE),
+            ("long ones: in time at the fast", LONG, 7.5, UNEVEN, DeadlineForecast.TIGHT),
+            ("more work than the fast engines do", LONG, -0.5, UNEVEN, DeadlineForecast.HOPELESS),
+            ("no pace is known", SHORT, 7.5, Capacity(0, 0, 0.0, 0.0), DeadlineForecast.UNKNOWN),
         )
         for name, progress, due_in, capacity, expected in cases:
             with self.subTest(name):
@@ -66,10 +90,10 @@
     def test_limits(self):
         needed = seconds_left(SHORT, POOL.share, POOL.token_time)
         cases = (
-            (needed + SPARE_SECONDS + 0.01, Outlook.TO_SPARE),
-            (needed + SPARE_SECONDS - 0.01, Outlook.TIGHT),
-            (864 * 80 * 0.0006 / 176 - HOPELESS_SECONDS + 0.01, Outlook.TIGHT),
-            (864 * 80 * 0.0006 / 176 - HOPELESS_SECONDS - 0.01, Outlook.HOPELESS),
+            (needed + SPARE_SECONDS + 0.01, DeadlineForecast.TO_SPARE),
+            (needed + SPARE_SECONDS - 0.01, DeadlineForecast.TIGHT),
+            (864 * 80 * 0.0006 / 176 - HOPELESS_SECONDS + 0.01, DeadlineForecast.TIGHT),
+            (864 * 80 * 0.0006 / 176 - HOPELESS_SECONDS - 0.01, DeadlineForecast.HOPELESS),
         )
         for due_in, expected in cases:
             with self.subTest(due_in=due_in):
@@ -78,11 +102,11 @@
     def test_many_short_items_need_time_too(self):
         many = BatchProgress(400, work=58 * 16000, long_item=800)
         self.assertAlmostEqual(10.5, seconds_left(many, POOL.share, POOL.token_time))
-        self.assertIs(Outlook.TIGHT, judge_batch(many, 7.5, POOL))
+        self.assertIs(DeadlineForecast.TIGHT, judge_batch(many, 7.5, POOL))
 
     def test_which_batch_of_a_model_counts(self):
-        tight, unknown = Outlook.TIGHT, Outlook.UNKNOWN
-        hopeless, spare = Outlook.HOPELESS, Outlook.TO_SPARE
+        tight, unknown = DeadlineForecast.TIGHT, DeadlineForecast.UNKNOWN
+        hopeless, spare = DeadlineForecast.HOPELESS, DeadlineForecast.TO_SPARE
         cases = (
             ((), unknown),
             ((spare,), spare),
@@ -177,11 +201,11 @@
     def test_report_is_believed_for_a_while(self):
         async def play():
             await self.begin()
-            self.assertIs(Outlook.UNKNOWN, self.demand().outlook)
+            self.assertIs(DeadlineForecast.UNKNOWN, self.demand().outlook)
             reported = {self.head.id: BatchProgress(4, 100, 10)}
             self.outlooks.record_report(DaemonId("o"), reported)
             self.assertEqual(4, self.demand().waiting)
-            self.assertNotEqual(Outlook.UNKNOWN, self.demand().outlook)
+            self.assertNotEqual(DeadlineForecast.UNKNOWN, self.demand().outlook)
             await self.clock.sleep(REPORT_LIFETIME_SECONDS + 0.1)
             self.assertEqual(ModelDemand(10, True), self.demand())
 
@@ -224,12 +248,12 @@
             await self.begin()
             self.assertGreater(self.due, 0)
             self.outlooks.record_report(DaemonId("o"), {self.head.id: BatchProgress(0, 1, 1)})
-            self.assertIs(Outlook.TO_SPARE, self.demand().outlook)
+            self.assertIs(DeadlineForecast.TO_SPARE, self.demand().outlook)
             self.head = replace(self.head, created_at=100.0 - self.due - 2 * HOPELESS_SECONDS)
-            self.assertIs(Outlook.TIGHT, self.demand().outlook, "little is left of it")
+            self.assertIs(DeadlineForecast.TIGHT, self.demand().outlook, "little is left of it")
             much = {self.head.id: BatchProgress(0, 10**6, 10**5)}
             self.outlooks.record_report(DaemonId("o"), much)
-            self.assertIs(Outlook.HOPELESS, self.demand().outlook)
+            self.assertIs(DeadlineForecast.HOPELESS, self.demand().outlook)
 
         run(play())
 
@@ -249,13 +273,13 @@
             self.assertEqual(2, len(others))
             for gateway in others:
                 self.assertGreater(gateway.keeper.demands()[MODEL].waiting, 0)
-                self.assertIsNot(Outlook.UNKNOWN, gateway.keeper.demands()[MODEL].outlook)
+                self.assertIsNot(DeadlineForecast.UNKNOWN, gateway.keeper.demands()[MODEL].outlook)
             fleet.kill(owner)
             await fleet.wait(DEAD_AFTER_SECONDS + 1.5)
             owners = [gateway for gateway in others if gateway.keeper.owned()]
             self.assertEqual(1, len(owners))
             for gateway in others:  # now by the new owner's word
-                self.assertIsNot(Outlook.UNKNOWN, gateway.keeper.demands()[MODEL].outlook)
+                self.assertIsNot(DeadlineForecast.UNKNOWN, gateway.keeper.demands()[MODEL].outlook)
 
         run(play())
 
--- a/tests/test_lending_record.py
+++ b/tests/test_lending_record.py
@@ -4,7 +4,7 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.common.ids import InstanceId
-from larkpost.gateway.blackboard.weight_targets import ModelDemand, Outlook
+from larkpost.gateway.blackboard.weight_targets import DeadlineForecast, ModelDemand
 from larkpost.gateway.controllers.lending import Lending, Standing
 from larkpost.gateway.controllers.lending_record import LOG_INTERVAL_SECONDS, LendingRecord
 from larkpost.gateway.observability.eventlog import Event
@@ -13,7 +13,7 @@
 from tests.virtual import run
 
 LENT = Lending({FIRST: [InstanceId("e1")]})
-DEMANDS = {FIRST: ModelDemand(9, open=True, asked_after=0.1, outlook=Outlook.TIGHT)}
+DEMANDS = {FIRST: ModelDemand(9, open=True, asked_after=0.1, outlook=DeadlineForecast.TIGHT)}
 
 
 class LendingRecordTest(unittest.TestCase):
--- a/tests/test_yielding.py
+++ b/tests/test_yielding.py
@@ -4,7 +4,7 @@
 
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import Configuration, ModelName, Service
-from larkpost.gateway.blackboard.weight_targets import ModelDemand, Outlook
+from larkpost.gateway.blackboard.weight_targets import DeadlineForecast, ModelDemand
 from larkpost.gateway.controllers.division import LIFETIME_SECONDS, EngineDivision
 from larkpost.gateway.rollouts.engine_choice import OWN_ENGINES_SECONDS
 from tests.platform_fleet import ENGINES, MODEL, PlatformFleet, make_batch
@@ -55,7 +55,7 @@
             self.assertFalse(division.should_yield(ENGINES, OTHER))
             self.assertEqual(3, len(division.engines_of(ENGINES, MODEL)))
             self.assertEqual(5, len(division.engines_of(ENGINES, OTHER)))
-            demands[OTHER] = ModelDemand(100, open=True, outlook=Outlook.TO_SPARE)
+            demands[OTHER] = ModelDemand(100, open=True, outlook=DeadlineForecast.TO_SPARE)
             await fleet.wait(2 * LIFETIME_SECONDS)
             self.assertFalse(division.should_yield(ENGINES, MODEL))
             self.assertEqual(4, len(division.engines_of(ENGINES, MODEL)))
