--- a/src/larkpost/gateway/blackboard/weight_targets.py
+++ b/src/larkpost/gateway/blackboard/weight_targets.py
@@ -101,7 +101,7 @@
     asked_after: float | None = None
     asked_at: int = 0
     least_asked_after: float | None = None
-    outlook: DeadlineForecast = DeadlineForecast.UNKNOWN
+    deadline_forecast: DeadlineForecast = DeadlineForecast.UNKNOWN
     waiting: int = 0
     priority: int = 0
 
--- a/src/larkpost/gateway/controllers/batch_forecast.py
+++ b/src/larkpost/gateway/controllers/batch_forecast.py
@@ -67,12 +67,12 @@
     be saved: it may be the next step's, which has all its time.
     """
     known = set(outlooks)
-    for outlook in (
+    for deadline_forecast in (
         DeadlineForecast.TIGHT,
         DeadlineForecast.UNKNOWN,
         DeadlineForecast.HOPELESS,
         DeadlineForecast.TO_SPARE,
     ):
-        if outlook in known:
-            return outlook
+        if deadline_forecast in known:
+            return deadline_forecast
     return DeadlineForecast.UNKNOWN
--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -64,7 +64,7 @@
 
     Both hold for whole steps. Whether a batch is tight does not: it gets places, and is so no more.
     """
-    if demand.outlook is DeadlineForecast.HOPELESS:
+    if demand.deadline_forecast is DeadlineForecast.HOPELESS:
         return Standing.LENDS  # what can't be in time comes after what can
     if demand.asked_after is not None and demand.asked_after < WAITED_SECONDS:
         return Standing.BORROWS
@@ -130,7 +130,10 @@
 
 
 def _is_short_of_time(demand: ModelDemand) -> bool:
-    return demand.outlook is DeadlineForecast.TIGHT or standing_of(demand) is Standing.BORROWS
+    return (
+        demand.deadline_forecast is DeadlineForecast.TIGHT
+        or standing_of(demand) is Standing.BORROWS
+    )
 
 
 def _offers(
--- a/src/larkpost/gateway/controllers/lending_record.py
+++ b/src/larkpost/gateway/controllers/lending_record.py
@@ -36,6 +36,6 @@
             counts={model: len(engines) for model, engines in lending.lent.items()},
             lent={model: engines[:MAX_NAMED] for model, engines in lending.lent.items()},
             standings={model: standing_of(demand) for model, demand in known.items()},
-            outlooks={model: demand.outlook for model, demand in known.items()},
+            outlooks={model: demand.deadline_forecast for model, demand in known.items()},
             asked_after={model: demand.asked_after for model, demand in known.items()},
         )
--- a/src/larkpost/gateway/rollouts/batch_outlooks.py
+++ b/src/larkpost/gateway/rollouts/batch_outlooks.py
@@ -101,7 +101,7 @@
         return {
             model: replace(
                 demand,
-                outlook=most_in_need(outlooks[model]),
+                deadline_forecast=most_in_need(outlooks[model]),
                 waiting=waiting[model],
                 priority=priorities.get(model, LOWEST_PRIORITY),
             )
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -201,11 +201,11 @@
     def test_report_is_believed_for_a_while(self):
         async def play():
             await self.begin()
-            self.assertIs(DeadlineForecast.UNKNOWN, self.demand().outlook)
+            self.assertIs(DeadlineForecast.UNKNOWN, self.demand().deadline_forecast)
             reported = {self.head.id: BatchProgress(4, 100, 10)}
             self.outlooks.record_report(DaemonId("o"), reported)
             self.assertEqual(4, self.demand().waiting)
-            self.assertNotEqual(DeadlineForecast.UNKNOWN, self.demand().outlook)
+            self.assertNotEqual(DeadlineForecast.UNKNOWN, self.demand().deadline_forecast)
             await self.clock.sleep(REPORT_LIFETIME_SECONDS + 0.1)
             self.assertEqual(ModelDemand(10, True), self.demand())
 
@@ -248,12 +248,14 @@
             await self.begin()
             self.assertGreater(self.due, 0)
             self.outlooks.record_report(DaemonId("o"), {self.head.id: BatchProgress(0, 1, 1)})
-            self.assertIs(DeadlineForecast.TO_SPARE, self.demand().outlook)
+            self.assertIs(DeadlineForecast.TO_SPARE, self.demand().deadline_forecast)
             self.head = replace(self.head, created_at=100.0 - self.due - 2 * HOPELESS_SECONDS)
-            self.assertIs(DeadlineForecast.TIGHT, self.demand().outlook, "little is left of it")
+            self.assertIs(
+                DeadlineForecast.TIGHT, self.demand().deadline_forecast, "little is left of it"
+            )
             much = {self.head.id: BatchProgress(0, 10**6, 10**5)}
             self.outlooks.record_report(DaemonId("o"), much)
-            self.assertIs(DeadlineForecast.HOPELESS, self.demand().outlook)
+            self.assertIs(DeadlineForecast.HOPELESS, self.demand().deadline_forecast)
 
         run(play())
 
@@ -273,13 +275,17 @@
             self.assertEqual(2, len(others))
             for gateway in others:
                 self.assertGreater(gateway.keeper.demands()[MODEL].waiting, 0)
-                self.assertIsNot(DeadlineForecast.UNKNOWN, gateway.keeper.demands()[MODEL].outlook)
+                self.assertIsNot(
+                    DeadlineForecast.UNKNOWN, gateway.keeper.demands()[MODEL].deadline_forecast
+                )
             fleet.kill(owner)
             await fleet.wait(DEAD_AFTER_SECONDS + 1.5)
             owners = [gateway for gateway in others if gateway.keeper.owned()]
             self.assertEqual(1, len(owners))
             for gateway in others:  # now by the new owner's word
-                self.assertIsNot(DeadlineForecast.UNKNOWN, gateway.keeper.demands()[MODEL].outlook)
+                self.assertIsNot(
+                    DeadlineForecast.UNKNOWN, gateway.keeper.demands()[MODEL].deadline_forecast
+                )
 
         run(play())
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -80,18 +80,22 @@
             ),
             (
                 "tight for a moment: it gets places, no engines",
-                demand(LONG, spare, outlook=DeadlineForecast.TIGHT, waiting=1),
+                demand(LONG, spare, deadline_forecast=DeadlineForecast.TIGHT, waiting=1),
+                Standing.LENDS,
+            ),
+            (
+                "in time",
+                demand(LONG, spare, deadline_forecast=DeadlineForecast.TO_SPARE),
                 Standing.LENDS,
             ),
-            ("in time", demand(LONG, spare, outlook=DeadlineForecast.TO_SPARE), Standing.LENDS),
             (
                 "in time, but its trainer waits",
-                demand(LONG, waits, outlook=DeadlineForecast.TO_SPARE),
+                demand(LONG, waits, deadline_forecast=DeadlineForecast.TO_SPARE),
                 Standing.BORROWS,
             ),
             (
                 "can't be in time any more",
-                demand(LONG, waits, outlook=DeadlineForecast.HOPELESS),
+                demand(LONG, waits, deadline_forecast=DeadlineForecast.HOPELESS),
                 Standing.LENDS,
             ),
         )
@@ -102,13 +106,15 @@
     def test_who_leaves_free_places_to_others(self):
         waiting = two_behind() | {LONG: demand(LONG, 0.02, waiting=5)}
         easy = all_at_leisure() | {SHORT: demand(SHORT, 9.0, waiting=5)}
-        hopeless = waiting | {LONGEST: demand(LONGEST, 0.02, outlook=DeadlineForecast.HOPELESS)}
-        tight = demand(LONG, 9.0, outlook=DeadlineForecast.TIGHT, waiting=5)
+        hopeless = waiting | {
+            LONGEST: demand(LONGEST, 0.02, deadline_forecast=DeadlineForecast.HOPELESS)
+        }
+        tight = demand(LONG, 9.0, deadline_forecast=DeadlineForecast.TIGHT, waiting=5)
         cases = (
             ("a tight batch waits", all_at_leisure() | {LONG: tight}, {SHORT, LONGEST}),
             (
                 "one with time to spare is tight itself",
-                waiting | {SHORT: demand(SHORT, 9.0, outlook=DeadlineForecast.TIGHT)},
+                waiting | {SHORT: demand(SHORT, 9.0, deadline_forecast=DeadlineForecast.TIGHT)},
                 set(),
             ),
             (
@@ -190,8 +196,8 @@
     def test_hopeless_lends_to_one_that_can_be_saved(self):
         demands = {
             SHORT: demand(SHORT, 1.0),
-            LONG: demand(LONG, 0.02, outlook=DeadlineForecast.HOPELESS),
-            LONGEST: demand(LONGEST, 0.02, outlook=DeadlineForecast.TIGHT),
+            LONG: demand(LONG, 0.02, deadline_forecast=DeadlineForecast.HOPELESS),
+            LONGEST: demand(LONGEST, 0.02, deadline_forecast=DeadlineForecast.TIGHT),
         }
         division, lending = self.divide(demands)
         self.assertEqual({LONGEST}, set(lending.lent))
@@ -205,10 +211,10 @@
     def test_loan_stays_while_the_borrower_gets_its_places(self):
         lent = self.divide(two_behind())[1]
         for waiting in (40, 7, 0, 3, 0):
-            outlook = DeadlineForecast.TIGHT if waiting else DeadlineForecast.TO_SPARE
+            deadline_forecast = DeadlineForecast.TIGHT if waiting else DeadlineForecast.TO_SPARE
             demands = two_behind() | {
-                LONG: demand(LONG, 0.02, waiting=waiting, outlook=outlook),
-                SHORT: demand(SHORT, 9.0, waiting=waiting, outlook=outlook),
+                LONG: demand(LONG, 0.02, waiting=waiting, deadline_forecast=deadline_forecast),
+                SHORT: demand(SHORT, 9.0, waiting=waiting, deadline_forecast=deadline_forecast),
             }
             self.assertEqual(lent, self.divide(demands)[1])
 
--- a/tests/test_lending_record.py
+++ b/tests/test_lending_record.py
@@ -13,7 +13,9 @@
 from tests.virtual import run
 
 LENT = Lending({FIRST: [InstanceId("e1")]})
-DEMANDS = {FIRST: ModelDemand(9, open=True, asked_after=0.1, outlook=DeadlineForecast.TIGHT)}
+DEMANDS = {
+    FIRST: ModelDemand(9, open=True, asked_after=0.1, deadline_forecast=DeadlineForecast.TIGHT)
+}
 
 
 class LendingRecordTest(unittest.TestCase):
--- a/tests/test_yielding.py
+++ b/tests/test_yielding.py
@@ -55,7 +55,9 @@
             self.assertFalse(division.should_yield(ENGINES, OTHER))
             self.assertEqual(3, len(division.engines_of(ENGINES, MODEL)))
             self.assertEqual(5, len(division.engines_of(ENGINES, OTHER)))
-            demands[OTHER] = ModelDemand(100, open=True, outlook=DeadlineForecast.TO_SPARE)
+            demands[OTHER] = ModelDemand(
+                100, open=True, deadline_forecast=DeadlineForecast.TO_SPARE
+            )
             await fleet.wait(2 * LIFETIME_SECONDS)
             self.assertFalse(division.should_yield(ENGINES, MODEL))
             self.assertEqual(4, len(division.engines_of(ENGINES, MODEL)))
