--- a/src/larkpost/gateway/blackboard/weight_targets.py
+++ b/src/larkpost/gateway/blackboard/weight_targets.py
@@ -97,7 +97,7 @@
 
     work: int = 0
     open: bool = False
-    open_before: bool = False
+    has_earlier_open: bool = False
     asked_after: float | None = None
     asked_at: int = 0
     least_asked_after: float | None = None
--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -100,7 +100,7 @@
     waits for.
     """
     waits = demand.asked_after is not None and demand.asked_after < WAITED_SECONDS
-    return waits and demand.asked_at == version and not demand.open_before
+    return waits and demand.asked_at == version and not demand.has_earlier_open
 
 
 def share_out(service: Service, inputs: LoadInputs) -> Shares:
--- a/src/larkpost/gateway/rollouts/known_heads.py
+++ b/src/larkpost/gateway/rollouts/known_heads.py
@@ -131,7 +131,7 @@
     return ModelDemand(
         round(fmean(known.head.work for known in newest_first)),
         open=bool(running),
-        open_before=any(known is not newest for known in running),
+        has_earlier_open=any(known is not newest for known in running),
         asked_after=naming.seconds if naming is not None else None,
         asked_at=naming.version if naming is not None else 0,
         least_asked_after=min((known.seconds for known in namings), default=None),
--- a/tests/test_load_timing.py
+++ b/tests/test_load_timing.py
@@ -41,7 +41,7 @@
 CASES = (
     ("nothing is known", ModelDemand(), False),
     ("came with its version, no earlier batch is open", WAITS, True),
-    ("an earlier batch is open", replace(WAITS, open_before=True), False),
+    ("an earlier batch is open", replace(WAITS, has_earlier_open=True), False),
     ("came long after its version", replace(WAITS, asked_after=WAITED_SECONDS), False),
     ("when it came is not known", ModelDemand(100, open=True), False),
     ("the version is newer: its batch is still to come", replace(WAITS, asked_at=1), False),
@@ -158,7 +158,7 @@
         for name, batches, expected in cases:
             with self.subTest(name):
                 demand = self.demand(*batches)
-                self.assertEqual(expected, (demand.open, demand.open_before))
+                self.assertEqual(expected, (demand.open, demand.has_earlier_open))
                 work, asked_after, asked_at, least = _figures(demand)
                 self.assertEqual((100, 2), (work, asked_at))
                 self.assertAlmostEqual(0.05, asked_after)
