--- a/src/larkpost/gateway/blackboard/weight_targets.py
+++ b/src/larkpost/gateway/blackboard/weight_targets.py
@@ -100,7 +100,7 @@
     has_earlier_open: bool = False
     asked_after: float | None = None
     asked_at: int = 0
-    least_asked_after: float | None = None
+    min_submit_delay: float | None = None
     deadline_forecast: DeadlineForecast = DeadlineForecast.UNKNOWN
     waiting: int = 0
     priority: int = 0
--- a/src/larkpost/gateway/rollouts/known_heads.py
+++ b/src/larkpost/gateway/rollouts/known_heads.py
@@ -134,5 +134,5 @@
         has_earlier_open=any(known is not newest for known in running),
         asked_after=naming.seconds if naming is not None else None,
         asked_at=naming.version if naming is not None else 0,
-        least_asked_after=min((known.seconds for known in namings), default=None),
+        min_submit_delay=min((known.seconds for known in namings), default=None),
     )
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -48,7 +48,7 @@
         WORKS[model],
         open=True,
         asked_after=asked_after,
-        least_asked_after=asked_after,
+        min_submit_delay=asked_after,
         **others,
     )
 
@@ -75,7 +75,7 @@
             ("neither waits nor has time", demand(LONG, 1.0), Standing.NEITHER),
             (
                 "had none a step ago",
-                ModelDemand(9, open=True, asked_after=spare, least_asked_after=0.1),
+                ModelDemand(9, open=True, asked_after=spare, min_submit_delay=0.1),
                 Standing.NEITHER,
             ),
             (
--- a/tests/test_load_timing.py
+++ b/tests/test_load_timing.py
@@ -203,7 +203,7 @@
 
 
 def _figures(demand: ModelDemand) -> tuple[int, float | None, int, float | None]:
-    return demand.work, demand.asked_after, demand.asked_at, demand.least_asked_after
+    return demand.work, demand.asked_after, demand.asked_at, demand.min_submit_delay
 
 
 if __name__ == "__main__":
--- a/tests/test_yielding.py
+++ b/tests/test_yielding.py
@@ -12,7 +12,7 @@
 
 OTHER = ModelName("other")
 SHORT_OF_TIME = ModelDemand(100, open=True, asked_after=0.02, waiting=5)
-AT_LEISURE = ModelDemand(100, open=True, asked_after=3.0, least_asked_after=3.0)
+AT_LEISURE = ModelDemand(100, open=True, asked_after=3.0, min_submit_delay=3.0)
 
 
 class YieldingTest(unittest.TestCase):
