--- a/src/larkpost/gateway/blackboard/daemon_report.py
+++ b/src/larkpost/gateway/blackboard/daemon_report.py
@@ -34,7 +34,7 @@
     return f"route/{route}"
 
 
-class TenantUse(NamedTuple):
+class FlowUsage(NamedTuple):
     """What one daemon holds for one tenant, or another flow, at a moment.
 
     Attributes:
@@ -75,6 +75,6 @@
     """
 
     paces: dict[InstanceId, float] = field(default_factory=dict)
-    tenants: dict[Flow, TenantUse] = field(default_factory=dict)
+    tenants: dict[Flow, FlowUsage] = field(default_factory=dict)
     capacity: float | None = None
     batches: dict[BatchId, BatchProgress] = field(default_factory=dict)
--- a/src/larkpost/gateway/controllers/report_codec.py
+++ b/src/larkpost/gateway/controllers/report_codec.py
@@ -14,7 +14,7 @@
     DaemonReport,
     Flow,
     FlowGroup,
-    TenantUse,
+    FlowUsage,
 )
 
 PACES_FIELD = "paces"
@@ -62,13 +62,13 @@
     return {name: entry for name, entry in entries if entry is not None}
 
 
-def _read_tenants(value: Any) -> dict[Flow, TenantUse]:
+def _read_tenants(value: Any) -> dict[Flow, FlowUsage]:
     """Returns the use by flow that can be read."""
     if not isinstance(value, list):
         return {}
     rows = (row for row in value if isinstance(row, list) and len(row) == TENANT_ROW_LENGTH)
     return {
-        Flow(FlowGroup(ServiceName(service), priority), name): TenantUse(running, waiting)
+        Flow(FlowGroup(ServiceName(service), priority), name): FlowUsage(running, waiting)
         for service, priority, name, running, waiting in rows
         if isinstance(service, str) and isinstance(name, str)
         if all(map(_is_whole, (priority, running, waiting)))
--- a/src/larkpost/gateway/fairness/ledger.py
+++ b/src/larkpost/gateway/fairness/ledger.py
@@ -12,7 +12,7 @@
 from larkpost.common.clock import Clock
 from larkpost.common.ids import DaemonId
 from larkpost.gateway.blackboard.configuration import ServiceName
-from larkpost.gateway.blackboard.daemon_report import Flow, FlowGroup, TenantUse
+from larkpost.gateway.blackboard.daemon_report import Flow, FlowGroup, FlowUsage
 from larkpost.gateway.fairness.share_rule import NO_USE
 from larkpost.gateway.fairness.use_table import UseTable
 
@@ -31,7 +31,7 @@
     """What another daemon reported, at a steady time."""
 
     at: float
-    tenants: Mapping[Flow, TenantUse]
+    tenants: Mapping[Flow, FlowUsage]
 
 
 class FlowLedger:
@@ -69,7 +69,7 @@
         """Records that a service lacks places."""
         self._short_at[service] = self._clock.now()
 
-    def record_report(self, daemon: DaemonId, tenants: Mapping[Flow, TenantUse]) -> None:
+    def record_report(self, daemon: DaemonId, tenants: Mapping[Flow, FlowUsage]) -> None:
         """Records what another daemon reports, in place of what it reported before."""
         self._forget(daemon)
         if not tenants:
@@ -78,16 +78,16 @@
         for flow, use in tenants.items():
             self._peers.add(flow, use.running, use.waiting)
 
-    def uses(self, group: FlowGroup) -> Mapping[Flow, TenantUse]:
+    def uses(self, group: FlowGroup) -> Mapping[Flow, FlowUsage]:
         """Returns the use of a group's flows, by this daemon and the others."""
         self._forget_old()
         uses = dict(self._peers.of(group))
         for flow, own in self._own.of(group).items():
             others = uses.get(flow, NO_USE)
-            uses[flow] = TenantUse(others.running + own.running, others.waiting + own.waiting)
+            uses[flow] = FlowUsage(others.running + own.running, others.waiting + own.waiting)
         return uses
 
-    def own_use(self, flow: Flow) -> TenantUse:
+    def own_use(self, flow: Flow) -> FlowUsage:
         """Returns this daemon's own use by a flow."""
         return self._own.of(flow.group).get(flow, NO_USE)
 
@@ -105,7 +105,7 @@
         """Returns whether a service lacks places, here or at a daemon that reported it."""
         return bool(self._short_services())
 
-    def report(self) -> dict[Flow, TenantUse]:
+    def report(self) -> dict[Flow, FlowUsage]:
         """Returns what this daemon reports: its greatest use at services that lack places."""
         short = self._short_services()
         uses = [
--- a/src/larkpost/gateway/fairness/share_rule.py
+++ b/src/larkpost/gateway/fairness/share_rule.py
@@ -10,10 +10,10 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from larkpost.gateway.blackboard.daemon_report import Flow, TenantUse
+from larkpost.gateway.blackboard.daemon_report import Flow, FlowUsage
 from larkpost.gateway.fairness.water_filling import fair_level
 
-NO_USE = TenantUse(0, 0)
+NO_USE = FlowUsage(0, 0)
 """Use by a flow of which nothing is known."""
 LEAST_SHARE_PLACES = 1.0
 """Share by which waits are forecast at least: a fraction of a place is a whole one in its turn."""
@@ -54,7 +54,7 @@
         places: what the group shares.
     """
 
-    uses: Mapping[Flow, TenantUse]
+    uses: Mapping[Flow, FlowUsage]
     level: float
     below: int
     places: int
@@ -67,7 +67,7 @@
         return Standing(min(demand, self.level), use.running, use.waiting, ahead, self.places)
 
 
-def share_out(uses: Mapping[Flow, TenantUse], free: int) -> GroupShares:
+def share_out(uses: Mapping[Flow, FlowUsage], free: int) -> GroupShares:
     """Returns the shares of a group.
 
     Args:
@@ -93,7 +93,7 @@
     return max(0.0, missing) * pace / max(LEAST_SHARE_PLACES, standing.share)
 
 
-def _waiting_below(use: TenantUse, level: float) -> int:
+def _waiting_below(use: FlowUsage, level: float) -> int:
     """Returns how many of a flow's waiting requests fit into its share."""
     room = min(use.running + use.waiting, level) - use.running
     return min(use.waiting, max(0, math.ceil(room)))
--- a/src/larkpost/gateway/fairness/use_table.py
+++ b/src/larkpost/gateway/fairness/use_table.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator, Mapping
 
 from larkpost.gateway.blackboard.configuration import ServiceName
-from larkpost.gateway.blackboard.daemon_report import Flow, FlowGroup, TenantUse
+from larkpost.gateway.blackboard.daemon_report import Flow, FlowGroup, FlowUsage
 from larkpost.gateway.fairness.share_rule import NO_USE
 
 
@@ -11,23 +11,23 @@
     """Use by flow; flows without any are not kept."""
 
     def __init__(self) -> None:
-        self._groups: dict[FlowGroup, dict[Flow, TenantUse]] = {}
+        self._groups: dict[FlowGroup, dict[Flow, FlowUsage]] = {}
 
     def add(self, flow: Flow, running: int, waiting: int) -> None:
         """Adds to a flow's use, or takes from it if the numbers are negative."""
         group = self._groups.setdefault(flow.group, {})
         before = group.pop(flow, NO_USE)
-        after = TenantUse(before.running + running, before.waiting + waiting)
+        after = FlowUsage(before.running + running, before.waiting + waiting)
         if after != NO_USE:
             group[flow] = after
         if not group:
             del self._groups[flow.group]
 
-    def of(self, group: FlowGroup) -> Mapping[Flow, TenantUse]:
+    def of(self, group: FlowGroup) -> Mapping[Flow, FlowUsage]:
         """Returns the use of a group's flows."""
         return self._groups.get(group, {})
 
-    def all(self) -> Iterator[tuple[Flow, TenantUse]]:
+    def all(self) -> Iterator[tuple[Flow, FlowUsage]]:
         """Yields the use of all flows."""
         for group in self._groups.values():
             yield from group.items()
--- a/tests/test_fair_load.py
+++ b/tests/test_fair_load.py
@@ -15,7 +15,7 @@
 from larkpost.common.errors import LarkpostError
 from larkpost.common.ids import DaemonId, InstanceId
 from larkpost.gateway.blackboard.configuration import ModelName, Route, RouteKind, ServiceShare
-from larkpost.gateway.blackboard.daemon_report import FlowGroup, TenantUse
+from larkpost.gateway.blackboard.daemon_report import FlowGroup, FlowUsage
 from larkpost.gateway.blackboard.directory import InstanceDirectory
 from larkpost.gateway.blackboard.tenants import TenantName
 from larkpost.gateway.fairness.ledger import REPORT_LIFETIME_SECONDS, FlowLedger
@@ -357,7 +357,7 @@
         return run(play())
 
     def test_it_lets_them_go_first_but_not_for_long(self):
-        seconds = self.wait({HEAVY_FLOW: TenantUse(6, 2), LIGHT_FLOW: TenantUse(0, 3)})
+        seconds = self.wait({HEAVY_FLOW: FlowUsage(6, 2), LIGHT_FLOW: FlowUsage(0, 3)})
         self.assertGreaterEqual(seconds, MOST_HOLD_SECONDS)
         self.assertLess(seconds, MOST_HOLD_SECONDS + 2 * POLL_INTERVAL_SECONDS)
 
@@ -367,7 +367,7 @@
         async def play() -> float:
             clock = LoopClock()
             ledger = FlowLedger(clock)
-            reported = {HEAVY_FLOW: TenantUse(6, 2), LIGHT_FLOW: TenantUse(0, 3)}
+            reported = {HEAVY_FLOW: FlowUsage(6, 2), LIGHT_FLOW: FlowUsage(0, 3)}
             ledger.record_report(DaemonId("far"), reported)
             queues = RequestQueues(clock, lambda *_: Places(8, 7, PACE), ledger)
 
@@ -389,7 +389,7 @@
         async def play() -> list[int]:
             clock = LoopClock()
             ledger = FlowLedger(clock)
-            reported = {HEAVY_FLOW: TenantUse(6, 2), LIGHT_FLOW: TenantUse(0, 3)}
+            reported = {HEAVY_FLOW: FlowUsage(6, 2), LIGHT_FLOW: FlowUsage(0, 3)}
             ledger.record_report(DaemonId("far"), reported)
             queues = RequestQueues(clock, lambda *_: Places(8, 8, PACE), ledger)
             called = []
@@ -405,14 +405,14 @@
         self.assertEqual([1, 2], run(play()))
 
     def test_it_goes_at_once_if_nobody_waits(self):
-        seconds = self.wait({HEAVY_FLOW: TenantUse(6, 2), LIGHT_FLOW: TenantUse(1, 0)})
+        seconds = self.wait({HEAVY_FLOW: FlowUsage(6, 2), LIGHT_FLOW: FlowUsage(1, 0)})
         self.assertLess(seconds, 2 * POLL_INTERVAL_SECONDS)
 
     def test_it_is_refused_at_once_if_its_share_has_no_room_in_its_time(self):
         async def play() -> Prospect:
             clock = LoopClock()
             ledger = FlowLedger(clock)
-            reported = {HEAVY_FLOW: TenantUse(6, 30), LIGHT_FLOW: TenantUse(1, 30)}
+            reported = {HEAVY_FLOW: FlowUsage(6, 30), LIGHT_FLOW: FlowUsage(1, 30)}
             ledger.record_report(DaemonId("far"), reported)
             queues = RequestQueues(clock, lambda *_: Places(8, 8, PACE), ledger)
             limits = Limits(0.2, 0.8, PACE)
@@ -427,7 +427,7 @@
             clock = LoopClock()
             ledger = FlowLedger(clock)
             urgent = flow("heavy", FlowGroup(PAGES, 0))
-            ledger.record_report(DaemonId("far"), {urgent: TenantUse(9, 0)})
+            ledger.record_report(DaemonId("far"), {urgent: FlowUsage(9, 0)})
             queues = RequestQueues(clock, lambda *_: Places(8, 8, PACE), ledger)
             called = []
 
@@ -504,7 +504,7 @@
             self.begin()
             daemon = self.daemons[0]
             daemon.ledger.record_report(
-                DaemonId("far"), {HEAVY_FLOW: TenantUse(8, 0), LIGHT_FLOW: TenantUse(0, 3)}
+                DaemonId("far"), {HEAVY_FLOW: FlowUsage(8, 0), LIGHT_FLOW: FlowUsage(0, 3)}
             )
             for number in range(SERVERS):
                 for _ in range(SLOTS):
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -11,7 +11,7 @@
     DaemonReport,
     Flow,
     FlowGroup,
-    TenantUse,
+    FlowUsage,
     route_flow_name,
 )
 from larkpost.gateway.blackboard.tenants import TenantName
@@ -76,10 +76,10 @@
 class OneTenantSendsHalfTest(unittest.TestCase):
     """One of eleven tenants sends half of all requests, and there are places for half of them."""
 
-    def uses(self) -> dict[Flow, TenantUse]:
+    def uses(self) -> dict[Flow, FlowUsage]:
         """Returns what is held: ten places, of which the heavy tenant has more than its part."""
-        small = {flow(f"t{number}"): TenantUse(int(number < 5), 1) for number in range(10)}
-        return small | {HEAVY: TenantUse(5, 10)}
+        small = {flow(f"t{number}"): FlowUsage(int(number < 5), 1) for number in range(10)}
+        return small | {HEAVY: FlowUsage(5, 10)}
 
     def test_it_lets_the_others_go_first(self):
         shares = share_out(self.uses(), free=0)
@@ -90,8 +90,8 @@
         self.assertFalse(shares.standing(flow("t9")).is_over)
 
     def test_it_gets_what_the_others_leave(self):
-        uses = {flow(f"t{number}"): TenantUse(1, 0) for number in range(3)}
-        shares = share_out(uses | {HEAVY: TenantUse(7, 5)}, free=0)
+        uses = {flow(f"t{number}"): FlowUsage(1, 0) for number in range(3)}
+        shares = share_out(uses | {HEAVY: FlowUsage(7, 5)}, free=0)
         heavy = shares.standing(HEAVY)
         self.assertEqual(7.0, heavy.share)
         self.assertFalse(heavy.is_over)
@@ -102,7 +102,7 @@
         seen = 0
         for _ in range(500):
             names = [flow(f"t{number}") for number in range(rng.randrange(2, 9))]
-            uses = {name: TenantUse(rng.randrange(6), rng.choice((0, 0, 1, 5))) for name in names}
+            uses = {name: FlowUsage(rng.randrange(6), rng.choice((0, 0, 1, 5))) for name in names}
             free = rng.randrange(8)
             shares = share_out(uses, free)
             for standing in map(shares.standing, names):
@@ -119,10 +119,10 @@
         self.assertEqual(0.0, wait_for_share(light, 0, PACE))
 
     def test_tenant_alone_is_never_beyond_its_share(self):
-        self.assertFalse(share_out({HEAVY: TenantUse(9, 90)}, free=0).standing(HEAVY).is_over)
+        self.assertFalse(share_out({HEAVY: FlowUsage(9, 90)}, free=0).standing(HEAVY).is_over)
 
     def test_nobody_is_beyond_its_share_while_no_request_waits(self):
-        uses = {HEAVY: TenantUse(9, 0), LIGHT: TenantUse(1, 0)}
+        uses = {HEAVY: FlowUsage(9, 0), LIGHT: FlowUsage(1, 0)}
         self.assertFalse(share_out(uses, free=2).standing(HEAVY).is_over)
 
 
@@ -130,14 +130,14 @@
     """Ten times as many requests as usual, of one tenant or of all."""
 
     def test_tenants_that_ask_as_usual_are_not_beyond_their_shares_in_a_burst_of_another(self):
-        usual = {flow(f"t{number}"): TenantUse(1, 1) for number in range(4)}
-        shares = share_out(usual | {HEAVY: TenantUse(12, 80)}, free=0)
+        usual = {flow(f"t{number}"): FlowUsage(1, 1) for number in range(4)}
+        shares = share_out(usual | {HEAVY: FlowUsage(12, 80)}, free=0)
         self.assertTrue(shares.standing(HEAVY).is_over)
         for name in usual:
             self.assertFalse(shares.standing(name).is_over)
 
     def test_in_a_burst_of_all_the_shares_are_equal(self):
-        uses = {flow(f"t{number}"): TenantUse(2, 20) for number in range(5)}
+        uses = {flow(f"t{number}"): FlowUsage(2, 20) for number in range(5)}
         shares = share_out(uses, free=0)
         self.assertEqual(2.0, shares.level)
         self.assertFalse(any(shares.standing(name).is_over for name in uses))
@@ -254,7 +254,7 @@
                         held.enter_context(ledger.waiting(flow(f"tenant-{number}")))
                 report = ledger.report()
             self.assertEqual(MOST_REPORTED_FLOWS, len(report))
-            self.assertEqual(TenantUse(0, 30), report[flow("tenant-29")])
+            self.assertEqual(FlowUsage(0, 30), report[flow("tenant-29")])
             row = encode_heartbeat(Heartbeat(1.0, report=DaemonReport(tenants=report)))
             self.assertLess(len(row), 400)
 
@@ -269,22 +269,22 @@
                 self.assertFalse(ledger.has_shortage())
                 with ledger.waiting(LIGHT):
                     self.assertTrue(ledger.has_shortage())
-                self.assertEqual({HEAVY: TenantUse(1, 0)}, ledger.report())
+                self.assertEqual({HEAVY: FlowUsage(1, 0)}, ledger.report())
                 await clock.sleep(SHORTAGE_MEMORY_SECONDS + 0.1)
                 self.assertEqual({}, ledger.report())
-                ledger.record_report("far", {LIGHT: TenantUse(0, 1)})
-                self.assertEqual({HEAVY: TenantUse(1, 0)}, ledger.report())
+                ledger.record_report("far", {LIGHT: FlowUsage(0, 1)})
+                self.assertEqual({HEAVY: FlowUsage(1, 0)}, ledger.report())
 
         run(play())
 
     def test_row_of_a_heartbeat_with_use_by_tenant_is_as_it_was(self):
         """Daemons of other builds read it."""
-        report = DaemonReport(tenants={HEAVY: TenantUse(3, 1), LIGHT: TenantUse(0, 2)})
+        report = DaemonReport(tenants={HEAVY: FlowUsage(3, 1), LIGHT: FlowUsage(0, 2)})
         row = b'{"interval":1.0,"tenants":[["pages",1,"heavy",3,1],["pages",1,"light",0,2]]}'
         self.assertEqual(row, encode_heartbeat(Heartbeat(1.0, report=report)))
 
     def test_report_survives_the_way_through_a_heartbeat(self):
-        tenants = {HEAVY: TenantUse(3, 1), flow(route_flow_name("r")): TenantUse(0, 2)}
+        tenants = {HEAVY: FlowUsage(3, 1), flow(route_flow_name("r")): FlowUsage(0, 2)}
         row = encode_heartbeat(Heartbeat(1.0, report=DaemonReport(tenants=tenants)))
         self.assertEqual(tenants, decode_heartbeat(row).report.tenants)
 
@@ -310,13 +310,13 @@
         async def play():
             clock = LoopClock()
             ledger = FlowLedger(clock)
-            ledger.record_report("far", {HEAVY: TenantUse(9, 0), LIGHT: TenantUse(0, 1)})
+            ledger.record_report("far", {HEAVY: FlowUsage(9, 0), LIGHT: FlowUsage(0, 1)})
             await clock.sleep(REPORT_LIFETIME_SECONDS / 2)
-            ledger.record_report("near", {HEAVY: TenantUse(1, 0)})
+            ledger.record_report("near", {HEAVY: FlowUsage(1, 0)})
             self.assertEqual(10, ledger.uses(GROUP)[HEAVY].running)
             self.assertAlmostEqual(0.0, ledger.report_age())
             await clock.sleep(REPORT_LIFETIME_SECONDS * 0.6)
-            self.assertEqual({HEAVY: TenantUse(1, 0)}, ledger.uses(GROUP))
+            self.assertEqual({HEAVY: FlowUsage(1, 0)}, ledger.uses(GROUP))
             await clock.sleep(REPORT_LIFETIME_SECONDS)
             self.assertEqual({}, ledger.uses(GROUP))
             self.assertIsNone(ledger.report_age())
@@ -327,7 +327,7 @@
     def test_daemon_that_is_gone_holds_nothing(self):
         async def play():
             ledger = FlowLedger(LoopClock())
-            ledger.record_report("far", {HEAVY: TenantUse(9, 0)})
+            ledger.record_report("far", {HEAVY: FlowUsage(9, 0)})
             ledger.record_report("far", {})
             self.assertEqual({}, ledger.uses(GROUP))
 
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -10,7 +10,7 @@
 from larkpost.common.ids import DaemonId, InstanceId, InstanceName
 from larkpost.common.incarnations import instance_id
 from larkpost.gateway.assembly.daemon_reports import DaemonReports
-from larkpost.gateway.blackboard.daemon_report import DaemonReport, Flow, FlowGroup, TenantUse
+from larkpost.gateway.blackboard.daemon_report import DaemonReport, Flow, FlowGroup, FlowUsage
 from larkpost.gateway.blackboard.directory import InstanceDirectory
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
 from larkpost.gateway.fairness.ledger import FlowLedger
@@ -232,7 +232,7 @@
     def test_heartbeat_carries_a_report_and_is_as_before_without(self):
         flow = Flow(FlowGroup(PAGES, 1), "t")
         report = DaemonReport({SERVER: SLOW, InstanceId("e1"): FAST})
-        report = replace(report, tenants={flow: TenantUse(3, 1)}, capacity=1.5)
+        report = replace(report, tenants={flow: FlowUsage(3, 1)}, capacity=1.5)
         beat = Heartbeat(0.25, report=report)
         self.assertEqual(report, decode_heartbeat(encode_heartbeat(beat)).report)
         self.assertEqual(b'{"interval":0.25}', encode_heartbeat(Heartbeat(0.25)))
