--- a/src/larkpost/gateway/blackboard/known_crashes.py
+++ b/src/larkpost/gateway/blackboard/known_crashes.py
@@ -23,7 +23,7 @@
 """A content under which so many have crashed is suspect: it is isolated from other suspects, and
 its next whole response clears it. One crash is forgotten with time, which saves a write for each
 request that a crash broke off."""
-REMEMBERED_SECONDS = 3600.0
+CRASH_RETENTION_SECONDS = 3600.0
 """How long a crash counts; software that survives the request may be rolled out by then."""
 
 
--- a/src/larkpost/gateway/proxy/retry.py
+++ b/src/larkpost/gateway/proxy/retry.py
@@ -8,7 +8,7 @@
 
 from larkpost.common.errors import LarkpostError, Ran
 from larkpost.gateway.blackboard.configuration import RouteKind
-from larkpost.gateway.blackboard.known_crashes import REMEMBERED_SECONDS
+from larkpost.gateway.blackboard.known_crashes import CRASH_RETENTION_SECONDS
 from larkpost.gateway.proxy.request import (
     QuarantinedError,
     RefusedError,
@@ -81,7 +81,7 @@
     """Returns the error in which a request ends that gets no response."""
     if not unserved.may_have_run and unserved.is_quarantined:
         return QuarantinedError(
-            "servers have crashed under this request", retry_after=REMEMBERED_SECONDS
+            "servers have crashed under this request", retry_after=CRASH_RETENTION_SECONDS
         )
     if not unserved.may_have_run:
         return RefusedError("no server could take it", retry_after=unserved.retry_after)
--- a/src/larkpost/gateway/quarantine/recorder.py
+++ b/src/larkpost/gateway/quarantine/recorder.py
@@ -9,7 +9,7 @@
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.blackboard.known_crashes import (
     CLIENT_CRASH_LIMIT,
-    REMEMBERED_SECONDS,
+    CRASH_RETENTION_SECONDS,
     Crash,
     KnownCrashes,
 )
@@ -103,7 +103,7 @@
         now = self._writer.time()
         if now is None or not self._may_forget():
             return
-        for crash in self._crashes.older_than(now - REMEMBERED_SECONDS):
+        for crash in self._crashes.older_than(now - CRASH_RETENTION_SECONDS):
             self._remove(crash.content, crash.instance)
             self._writer.save_later(crash.content, crash.instance, None)
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -10,7 +10,7 @@
 from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceInfo, InstanceState
 from larkpost.gateway.blackboard.known_crashes import (
     CLIENT_CRASH_LIMIT,
-    REMEMBERED_SECONDS,
+    CRASH_RETENTION_SECONDS,
     SUSPECT_CRASHES,
     Crash,
     KnownCrashes,
@@ -287,7 +287,7 @@
         async def play():
             self.begin()
             self.crash(3)
-            await self.clock.sleep(REMEMBERED_SECONDS - 60.0)
+            await self.clock.sleep(CRASH_RETENTION_SECONDS - 60.0)
             self.assertEqual(3, len(self.store.rows))
             await self.clock.sleep(180.0)
             self.assertEqual({}, self.store.rows)
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -4,7 +4,7 @@
 
 from larkpost.common.errors import Ran
 from larkpost.gateway.blackboard.configuration import RouteKind
-from larkpost.gateway.blackboard.known_crashes import REMEMBERED_SECONDS
+from larkpost.gateway.blackboard.known_crashes import CRASH_RETENTION_SECONDS
 from larkpost.gateway.proxy.request import (
     QuarantinedError,
     RefusedError,
@@ -66,8 +66,8 @@
         for may_have_run, is_quarantined, is_timed_out, error, ran, retry_after in (
             (False, False, False, RefusedError, Ran.NO, RETRY_SECONDS),
             (False, False, True, RefusedError, Ran.NO, RETRY_SECONDS),
-            (False, True, False, QuarantinedError, Ran.NO, REMEMBERED_SECONDS),
-            (False, True, True, QuarantinedError, Ran.NO, REMEMBERED_SECONDS),
+            (False, True, False, QuarantinedError, Ran.NO, CRASH_RETENTION_SECONDS),
+            (False, True, True, QuarantinedError, Ran.NO, CRASH_RETENTION_SECONDS),
             (True, False, False, RequestFailedError, Ran.UNKNOWN, None),
             (True, True, False, RequestFailedError, Ran.UNKNOWN, None),
             (True, False, True, RequestTimeoutError, Ran.UNKNOWN, None),
