--- a/src/larkpost/gateway/blackboard/use_summary.py
+++ b/src/larkpost/gateway/blackboard/use_summary.py
@@ -2,5 +2,5 @@
 
 from larkpost.common.ids import InstanceId
 
-UseSummary = dict[InstanceId, tuple[int, float]]
+InstanceUsage = dict[InstanceId, tuple[int, float]]
 """For each instance in use: requests there, and seconds a unit of work takes (0: unknown)."""
--- a/src/larkpost/gateway/controllers/heartbeat.py
+++ b/src/larkpost/gateway/controllers/heartbeat.py
@@ -9,7 +9,7 @@
 from larkpost.common.ids import Address, DaemonId, InstanceName, ZoneId
 from larkpost.common.incarnations import instance_id, split_instance_id
 from larkpost.gateway.blackboard.daemon_report import DaemonReport
-from larkpost.gateway.blackboard.use_summary import UseSummary
+from larkpost.gateway.blackboard.use_summary import InstanceUsage
 from larkpost.gateway.controllers.report_codec import read_report, report_fields
 
 INCARNATION_SEPARATOR = "/"
@@ -42,7 +42,7 @@
     """
 
     interval: float
-    uses: UseSummary = field(default_factory=dict)
+    uses: InstanceUsage = field(default_factory=dict)
     address: Address | None = None
     coordinates: bool = False
     leaving: bool = False
@@ -94,7 +94,7 @@
         raise ValueError(f"no heartbeat: {error!r}") from None
 
 
-def _use_fields(uses: UseSummary) -> dict[str, object]:
+def _use_fields(uses: InstanceUsage) -> dict[str, object]:
     """Returns the fields of a summary: by name, as earlier versions read it, and the starts."""
     named = {split_instance_id(instance): use for instance, use in uses.items()}
     fields: dict[str, object] = {"uses": {name: use for (name, _), use in named.items()}}
@@ -104,7 +104,7 @@
     return fields
 
 
-def _read_uses(document: dict[str, Any]) -> UseSummary:
+def _read_uses(document: dict[str, Any]) -> InstanceUsage:
     """Returns a summary; where no start is said, the id is the name alone."""
     starts = document.get("born") or {}
     return {
--- a/src/larkpost/gateway/controllers/heartbeat_list.py
+++ b/src/larkpost/gateway/controllers/heartbeat_list.py
@@ -10,7 +10,7 @@
 from larkpost.common.clock import Clock
 from larkpost.common.ids import DaemonId
 from larkpost.gateway.blackboard.daemon_report import DaemonReport
-from larkpost.gateway.blackboard.use_summary import UseSummary
+from larkpost.gateway.blackboard.use_summary import InstanceUsage
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.store.port import Row, RowKey, Store, StoreUnavailableError, read_all
@@ -60,7 +60,7 @@
         clock: Clock,
         log: EventLog,
         part: str,
-        listener: Callable[[DaemonId, UseSummary], None] = lambda *_: None,
+        listener: Callable[[DaemonId, InstanceUsage], None] = lambda *_: None,
         report_listener: Callable[[DaemonId, DaemonReport], None] = lambda *_: None,
     ) -> None:
         self.part = part
--- a/src/larkpost/gateway/controllers/heartbeat_writer.py
+++ b/src/larkpost/gateway/controllers/heartbeat_writer.py
@@ -10,7 +10,7 @@
 from larkpost.common.ids import Address, DaemonId, InstanceId
 from larkpost.gateway.blackboard.daemon_report import DaemonReport
 from larkpost.gateway.blackboard.regions import RegionMap
-from larkpost.gateway.blackboard.use_summary import UseSummary
+from larkpost.gateway.blackboard.use_summary import InstanceUsage
 from larkpost.gateway.controllers.fleet_view import FleetView
 from larkpost.gateway.controllers.heartbeat import Heartbeat, encode_heartbeat
 from larkpost.gateway.controllers.heartbeat_intervals import (
@@ -53,7 +53,7 @@
     """
 
     id: DaemonId
-    use: Callable[[], UseSummary] = dict
+    use: Callable[[], InstanceUsage] = dict
     is_owner: Callable[[], bool] = lambda: False
     clock_offset: Callable[[], float | None] = lambda: None
     address: Address | None = None
--- a/src/larkpost/gateway/controllers/members.py
+++ b/src/larkpost/gateway/controllers/members.py
@@ -14,7 +14,7 @@
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.blackboard.daemon_report import DaemonReport
 from larkpost.gateway.blackboard.regions import RegionMap
-from larkpost.gateway.blackboard.use_summary import UseSummary
+from larkpost.gateway.blackboard.use_summary import InstanceUsage
 from larkpost.gateway.controllers.fleet_view import FleetView
 from larkpost.gateway.controllers.heartbeat import machine_of
 from larkpost.gateway.controllers.heartbeat_intervals import (
@@ -45,7 +45,7 @@
 """Rows of dead daemons removed at once: a transaction takes a hundred entries."""
 
 
-def _ignore(_daemon: DaemonId, _use: UseSummary) -> None:
+def _ignore(_daemon: DaemonId, _use: InstanceUsage) -> None:
     """Drops what another daemon reports."""
 
 
@@ -66,7 +66,7 @@
         store: Store,
         instruments: Instruments,
         regions: RegionMap,
-        listener: Callable[[DaemonId, UseSummary], None] = _ignore,
+        listener: Callable[[DaemonId, InstanceUsage], None] = _ignore,
         report_listener: Callable[[DaemonId, DaemonReport], None] = _ignore,
     ) -> None:
         clock, log = instruments.clock, instruments.log
@@ -102,7 +102,7 @@
         self.update()
         await self._writer.write_last()
 
-    def _record_use(self, daemon: DaemonId, use: UseSummary) -> None:
+    def _record_use(self, daemon: DaemonId, use: InstanceUsage) -> None:
         if daemon != self.own:
             self._listener(daemon, use)
 
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -19,7 +19,7 @@
 from larkpost.gateway.blackboard.configuration import ServiceName
 from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceInfo
 from larkpost.gateway.blackboard.regions import RegionMap
-from larkpost.gateway.blackboard.use_summary import UseSummary
+from larkpost.gateway.blackboard.use_summary import InstanceUsage
 from larkpost.gateway.placement.cold_rule import ColdRule
 from larkpost.gateway.placement.rules import Placement
 from larkpost.gateway.placement.verdict import Verdict
@@ -224,11 +224,11 @@
 
     # What daemons report to each other.
 
-    def summary(self) -> UseSummary:
+    def summary(self) -> InstanceUsage:
         """Returns what this daemon reports to the others of its use."""
         return self._own.summary()
 
-    def record_peer_summary(self, daemon: DaemonId, summary: UseSummary) -> None:
+    def record_peer_summary(self, daemon: DaemonId, summary: InstanceUsage) -> None:
         """Records what another daemon reports of its use, in place of its last report."""
         self._forget_unused()
         resolved = {self._directory.resolve(name): use for name, use in summary.items()}
--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -9,7 +9,7 @@
 from larkpost.common.clock import Clock
 from larkpost.common.ids import InstanceId, ZoneId
 from larkpost.gateway.blackboard.directory import InstanceDirectory
-from larkpost.gateway.blackboard.use_summary import UseSummary
+from larkpost.gateway.blackboard.use_summary import InstanceUsage
 from larkpost.gateway.proxy.lasting_pace import PaceHistory
 from larkpost.gateway.proxy.slowness import SaidSlowness
 from larkpost.gateway.servers.port import ServerLoad
@@ -177,7 +177,7 @@
         use = self.of(instance)
         return use.is_refusing and self._clock.now() - use.asked_at < PROBE_SECONDS
 
-    def summary(self) -> UseSummary:
+    def summary(self) -> InstanceUsage:
         """Returns what this daemon reports to the others of its use."""
         now = self._clock.now()
         return {
--- a/src/larkpost/gateway/proxy/peer_use.py
+++ b/src/larkpost/gateway/proxy/peer_use.py
@@ -4,7 +4,7 @@
 
 from larkpost.common.clock import Clock
 from larkpost.common.ids import DaemonId, InstanceId
-from larkpost.gateway.blackboard.use_summary import UseSummary
+from larkpost.gateway.blackboard.use_summary import InstanceUsage
 from larkpost.gateway.proxy.instance_use import FORGET_SECONDS
 
 PEER_LIFETIME_SECONDS = 1.2
@@ -40,7 +40,7 @@
     def __len__(self) -> int:
         return len(self._peers)
 
-    def record(self, daemon: DaemonId, summary: UseSummary) -> None:
+    def record(self, daemon: DaemonId, summary: InstanceUsage) -> None:
         """Records a daemon's report in place of the one before.
 
         Of instances that it uses no longer, the paces are kept for a while.
