--- a/src/larkpost/gateway/blackboard/tenants.py
+++ b/src/larkpost/gateway/blackboard/tenants.py
@@ -64,5 +64,5 @@
         return not self.is_restricted or owner is None or owner == self.tenant
 
 
-ANYONE = Caller()
+UNRESTRICTED_CALLER = Caller()
 """A caller where no tenants are known."""
--- a/src/larkpost/gateway/proxy/admission.py
+++ b/src/larkpost/gateway/proxy/admission.py
@@ -12,7 +12,7 @@
 from larkpost.common.errors import LarkpostError
 from larkpost.common.ids import RegionId
 from larkpost.gateway.blackboard.configuration import Configuration, ConfigurationState, Route
-from larkpost.gateway.blackboard.tenants import ANYONE, Caller, KeyDigest, TenantName
+from larkpost.gateway.blackboard.tenants import UNRESTRICTED_CALLER, Caller, KeyDigest, TenantName
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.metrics import Count, Metrics
 
@@ -111,7 +111,7 @@
         """
         configuration = self._known(request_id)
         if configuration.tenants is None:
-            return ANYONE
+            return UNRESTRICTED_CALLER
         tenant = configuration.tenant_of(key)
         if tenant is not None:
             return Caller(tenant.name, is_restricted=True)
--- a/src/larkpost/gateway/rollouts/reader.py
+++ b/src/larkpost/gateway/rollouts/reader.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from larkpost.common.ids import BatchId
-from larkpost.gateway.blackboard.tenants import ANYONE, Caller
+from larkpost.gateway.blackboard.tenants import UNRESTRICTED_CALLER, Caller
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.metrics import Count
 from larkpost.gateway.rollouts.context import RunServices
@@ -63,7 +63,7 @@
         self._log = services.log
 
     async def read(
-        self, batch: BatchId, position: int, wait: float, caller: Caller = ANYONE
+        self, batch: BatchId, position: int, wait: float, caller: Caller = UNRESTRICTED_CALLER
     ) -> ResultPage:
         """Returns the results from a position on, waiting for one if there is none yet.
 
@@ -123,7 +123,9 @@
         )
         return page
 
-    async def body(self, batch: BatchId, item: ItemId, caller: Caller = ANYONE) -> bytes:
+    async def body(
+        self, batch: BatchId, item: ItemId, caller: Caller = UNRESTRICTED_CALLER
+    ) -> bytes:
         """Returns the body of an item.
 
         Raises:
--- a/src/larkpost/gateway/rollouts/service.py
+++ b/src/larkpost/gateway/rollouts/service.py
@@ -9,7 +9,7 @@
 from larkpost.common.clock import Clock
 from larkpost.common.errors import LarkpostError, Ran
 from larkpost.common.ids import BatchId, DaemonId
-from larkpost.gateway.blackboard.tenants import ANYONE, Caller
+from larkpost.gateway.blackboard.tenants import UNRESTRICTED_CALLER, Caller
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.metrics import Count
 from larkpost.gateway.placement.work import Work, WorkKind
@@ -126,7 +126,7 @@
         return all(balancer.is_outside_regions(share.service, work) for share in route.shares)
 
     async def read(
-        self, batch: BatchId, position: int, wait: float, caller: Caller = ANYONE
+        self, batch: BatchId, position: int, wait: float, caller: Caller = UNRESTRICTED_CALLER
     ) -> ResultPage:
         """Returns the results from a position on; see `BatchReader.read`.
 
@@ -139,7 +139,9 @@
         """
         return await self._reader.read(batch, position, wait, caller)
 
-    async def body(self, batch: BatchId, item: ItemId, caller: Caller = ANYONE) -> bytes:
+    async def body(
+        self, batch: BatchId, item: ItemId, caller: Caller = UNRESTRICTED_CALLER
+    ) -> bytes:
         """Returns the body of an item.
 
         Raises:
@@ -148,7 +150,7 @@
         """
         return await self._reader.body(batch, item, caller)
 
-    async def end(self, batch: BatchId, caller: Caller = ANYONE) -> None:
+    async def end(self, batch: BatchId, caller: Caller = UNRESTRICTED_CALLER) -> None:
         """Ends a batch: nothing of it is run or listed any more.
 
         Raises:
