--- a/src/larkpost/gateway/blackboard/tenants.py
+++ b/src/larkpost/gateway/blackboard/tenants.py
@@ -59,7 +59,7 @@
     tenant: TenantName | None = None
     is_restricted: bool = False
 
-    def may_see(self, owner: TenantName | None) -> bool:
+    def can_read(self, owner: TenantName | None) -> bool:
         """Returns whether the caller may see what belongs to a tenant, or to none (None)."""
         return not self.is_restricted or owner is None or owner == self.tenant
 
--- a/src/larkpost/gateway/rollouts/reader.py
+++ b/src/larkpost/gateway/rollouts/reader.py
@@ -213,7 +213,7 @@
     Raises:
         NoSuchBatchError: it is another tenant's.
     """
-    if not caller.may_see(head.tenant):
+    if not caller.can_read(head.tenant):
         raise NoSuchBatchError(f"there is no batch {head.id}")
 
 
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -145,7 +145,7 @@
     def test_keys_are_not_asked_for_where_there_are_no_tenants(self):
         self.state.update(Configuration(2, (make_route(b"/p/"),), {PAGES: Service(PAGES, 10)}))
         self.assertIsNone(self.admit(None).tenant)
-        self.assertTrue(self.admission.caller("c", HOST, None).may_see(FIRST))
+        self.assertTrue(self.admission.caller("c", HOST, None).can_read(FIRST))
 
     def test_dropped_moved_and_doubled_keys(self):
         self.state.update(make_configuration(2, make_tenant(FIRST, NEW_KEY)))
