--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -99,7 +99,7 @@
                     self._attempt.open(instance, attempts) as response,
                 ):
                     limit.reschedule(None)  # from here on the client decides
-                    self._outcomes.record_begun(request, self._clock.now())
+                    self._outcomes.record_started(request, self._clock.now())
                     attempts.record_may_have_run(instance.id)
                     if is_false_promise(response.status, route.kind):
                         raise BrokenResponseError(f"status {response.status} of a run")
--- a/src/larkpost/gateway/proxy/outcomes.py
+++ b/src/larkpost/gateway/proxy/outcomes.py
@@ -34,10 +34,10 @@
         self._metrics = parts.metrics
         self._usage = parts.usage
 
-    def record_begun(self, request: ClientRequest, at: float) -> None:
+    def record_started(self, request: ClientRequest, at: float) -> None:
         """Counts a run at a server for its tenant; one that may have begun counts as well."""
         if self._usage is not None and request.tenant is not None:
-            self._usage.record_begun(request.tenant, at)
+            self._usage.record_started(request.tenant, at)
 
     def record_not_run(
         self, instance: InstanceInfo, attempts: Attempts, error: NotRunError
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -48,15 +48,15 @@
             self._outcomes.record_not_run(instance, attempts, error)
             return None
         except BrokenResponseError as error:
-            self._outcomes.record_begun(attempts.request, started)
+            self._outcomes.record_started(attempts.request, started)
             self._outcomes.record_broken(instance, attempts, error.message)
             return None
         except asyncio.CancelledError:
             # Its time is over or another response came first; the server may have run it.
-            self._outcomes.record_begun(attempts.request, started)
+            self._outcomes.record_started(attempts.request, started)
             self._outcomes.record_overtaken(instance, attempts, started)
             raise
-        self._outcomes.record_begun(attempts.request, started)
+        self._outcomes.record_started(attempts.request, started)
         attempts.record_may_have_run(instance.id)
         self._balancer.record_response(instance, self._clock.now() - started)
         judged = self._judge(instance, attempts, response, is_signed=is_signed)
--- a/src/larkpost/gateway/usage/counter.py
+++ b/src/larkpost/gateway/usage/counter.py
@@ -33,7 +33,7 @@
         self._counts: dict[WindowNumber, Counter[TenantName]] = {}
         self._unsaved: set[WindowNumber] = set()
 
-    def record_begun(self, tenant: TenantName, at: float) -> None:
+    def record_started(self, tenant: TenantName, at: float) -> None:
         """Records that a request of a tenant began to run at a steady time."""
         self._begun.append(_Begun(tenant, at))
 
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -220,13 +220,13 @@
             clock = LoopClock()
             offsets: list[float] = []
             counter = UsageCounter(TrueTime(clock, clock.now, lambda: offsets), WINDOW)
-            counter.record_begun(FIRST, clock.now())
+            counter.record_started(FIRST, clock.now())
             self.assertEqual({}, counter.unsaved())
             await clock.sleep(7.0)
             offsets.append(1000.0)
             counts = counter.unsaved()
             self.assertEqual({200: {FIRST: 1}}, counts)
-            counter.record_begun(FIRST, 0.5)
+            counter.record_started(FIRST, 0.5)
             counter.record_saved(counts)
             self.assertEqual({200: {FIRST: 2}}, counter.unsaved())
 
