--- a/src/larkpost/gateway/usage/counter.py
+++ b/src/larkpost/gateway/usage/counter.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Begun:
+class _StartedRequest:
     """A request that began to run, at a steady time of this process."""
 
     tenant: TenantName
@@ -29,13 +29,13 @@
     def __init__(self, true_time: TrueTime, window_length: float) -> None:
         self._true_time = true_time
         self._window_length = window_length
-        self._begun: list[_Begun] = []
+        self._begun: list[_StartedRequest] = []
         self._counts: dict[WindowNumber, Counter[TenantName]] = {}
         self._unsaved: set[WindowNumber] = set()
 
     def record_started(self, tenant: TenantName, at: float) -> None:
         """Records that a request of a tenant began to run at a steady time."""
-        self._begun.append(_Begun(tenant, at))
+        self._begun.append(_StartedRequest(tenant, at))
 
     def unsaved(self) -> dict[WindowNumber, TenantCounts]:
         """Returns the counts of all windows that have changed since they were saved.
