--- a/src/larkpost/gateway/assembly/leased_controllers.py
+++ b/src/larkpost/gateway/assembly/leased_controllers.py
@@ -80,10 +80,10 @@
         if self._scaling is not None:
             self._scaling.start(tasks)
 
-    async def save_last(self) -> None:
+    async def save_final(self) -> None:
         """Saves at a planned stop what would die with this process."""
         if self._usage_writer is not None:
-            await self._usage_writer.save_last()
+            await self._usage_writer.save_final()
 
     def _make_usage_writer(self) -> UsageCountWriter | None:
         counter = self._inputs.counter
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -238,7 +238,7 @@
         """Stops as planned: hands its work over and waits for the responses under way."""
         steps = StopSteps(
             at_once=(("leave", self.membership.leave), ("hand_over", self.keeper.hand_over)),
-            at_end=self.leased_controllers.save_last,
+            at_end=self.leased_controllers.save_final,
         )
         stop = PlannedStop(self.lifecycle, self._instruments, steps, self.settings.grace_time)
         await stop.run()
--- a/src/larkpost/gateway/usage/count_writer.py
+++ b/src/larkpost/gateway/usage/count_writer.py
@@ -49,7 +49,7 @@
                 self._counter.record_saved(counts)
                 return
 
-    async def save_last(self) -> None:
+    async def save_final(self) -> None:
         """Saves at a planned stop, which must not take long."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(LAST_SAVE_SECONDS):
