--- a/src/larkpost/gateway/usage/count_writer.py
+++ b/src/larkpost/gateway/usage/count_writer.py
@@ -18,7 +18,7 @@
 SAVE_TIMEOUTS = (0.5, 1.0, 1.5)
 """Time limits of the tries to save, in seconds: a response may be lost, or the store may be
 slow."""
-LAST_SAVE_SECONDS = 0.8
+FINAL_SAVE_SECONDS = 0.8
 """Most seconds that a planned stop waits for its counts to be saved: its kill is near.
 Part of `planned_stop.KILL_MARGIN_SECONDS`."""
 
@@ -52,7 +52,7 @@
     async def save_final(self) -> None:
         """Saves at a planned stop, which must not take long."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(LAST_SAVE_SECONDS):
+            async with asyncio.timeout(FINAL_SAVE_SECONDS):
                 await self.save()
 
 
