--- a/src/larkpost/gateway/usage/reporter.py
+++ b/src/larkpost/gateway/usage/reporter.py
@@ -33,7 +33,7 @@
 SOUND_SECONDS = 2.0
 """Seconds for which the store must have responded, so that daemons have saved what they held
 back."""
-LAST_CHANCE_SECONDS = 2.0
+DECISION_MARGIN_SECONDS = 2.0
 """So many seconds before a report is due it is decided from the counts that there are."""
 REPORT_TIMEOUT_SECONDS = 0.8
 """Seconds for one call that reports."""
@@ -70,7 +70,7 @@
             alive: daemons that are considered alive.
         """
         elapsed = now - (window + 1) * self.terms.window_length
-        if elapsed >= self.terms.due_after - LAST_CHANCE_SECONDS:
+        if elapsed >= self.terms.due_after - DECISION_MARGIN_SECONDS:
             return True
         if self.store_healthy_for() < SOUND_SECONDS:
             return False
