--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -34,7 +34,7 @@
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.placement.cold_rule import POLL_SECONDS
-from larkpost.gateway.planned_stop import PlannedStop, StopSteps
+from larkpost.gateway.planned_stop import GracefulShutdown, StopSteps
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.quarantine.crash_writer import CrashWriter
@@ -240,7 +240,7 @@
             at_once=(("leave", self.membership.leave), ("hand_over", self.keeper.hand_over)),
             at_end=self.leased_controllers.save_final,
         )
-        stop = PlannedStop(self.lifecycle, self._instruments, steps, self.settings.grace_time)
+        stop = GracefulShutdown(self.lifecycle, self._instruments, steps, self.settings.grace_time)
         await stop.run()
 
     def stop(self) -> None:
--- a/src/larkpost/gateway/planned_stop.py
+++ b/src/larkpost/gateway/planned_stop.py
@@ -40,7 +40,7 @@
     at_end: Step
 
 
-class PlannedStop:
+class GracefulShutdown:
     """The planned stop of one daemon.
 
     Args:
