--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -34,7 +34,7 @@
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.placement.cold_rule import POLL_SECONDS
-from larkpost.gateway.planned_stop import GracefulShutdown, StopSteps
+from larkpost.gateway.planned_stop import GracefulShutdown, ShutdownSteps
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.quarantine.crash_writer import CrashWriter
@@ -236,7 +236,7 @@
 
     async def drain(self) -> None:
         """Stops as planned: hands its work over and waits for the responses under way."""
-        steps = StopSteps(
+        steps = ShutdownSteps(
             at_once=(("leave", self.membership.leave), ("hand_over", self.keeper.hand_over)),
             at_end=self.leased_controllers.save_final,
         )
--- a/src/larkpost/gateway/planned_stop.py
+++ b/src/larkpost/gateway/planned_stop.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StopSteps:
+class ShutdownSteps:
     """What a planned stop does.
 
     Attributes:
@@ -51,7 +51,7 @@
         self,
         lifecycle: Lifecycle,
         instruments: Instruments,
-        steps: StopSteps,
+        steps: ShutdownSteps,
         grace_time: float,
     ) -> None:
         self._lifecycle = lifecycle
