--- a/src/larkpost/gateway/planned_stop.py
+++ b/src/larkpost/gateway/planned_stop.py
@@ -18,7 +18,7 @@
 KILL_MARGIN_SECONDS = 1.8
 """Seconds that are left of the grace time once no more responses are waited for: for the last
 counts of usage (0.8 s at most), the listeners (0.4 s at most), and a machine that is slow."""
-HAND_OVER_SHARE = 0.6
+HANDOVER_FRACTION = 0.6
 """Share of the grace time, less the margin, within which batches are handed over; those that are
 not are claimed by others once this daemon is considered dead."""
 POLL_SECONDS = 0.05
@@ -66,7 +66,7 @@
         self._lifecycle.stopping = True
         self._log.record(Event.STOPPING, open_requests=self._lifecycle.open_requests)
         latest = began + max(POLL_SECONDS, self._grace_time - KILL_MARGIN_SECONDS)
-        await self._hand_over(began + (latest - began) * HAND_OVER_SHARE)
+        await self._hand_over(began + (latest - began) * HANDOVER_FRACTION)
         await self._wait_for_responses(began + LEAVE_SECONDS, latest)
         await self._steps.at_end()
         self._log.record(
