--- a/src/larkpost/gateway/assembly/gauges.py
+++ b/src/larkpost/gateway/assembly/gauges.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from larkpost.gateway.assembly.loop_watch import LoopWatch
+from larkpost.gateway.assembly.loop_watch import EventLoopMonitor
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
 from larkpost.gateway.controllers.feeds import Feeds
@@ -31,7 +31,7 @@
     balancer: Balancer
     cold: ColdRule
     keeper: BatchKeeper
-    loop_watch: LoopWatch
+    loop_watch: EventLoopMonitor
     relay: RelayedStore | None
     memory: DaemonMemory
 
--- a/src/larkpost/gateway/assembly/loop_watch.py
+++ b/src/larkpost/gateway/assembly/loop_watch.py
@@ -10,7 +10,7 @@
 """Seconds of delay of the event loop from which it is logged."""
 
 
-class LoopWatch:
+class EventLoopMonitor:
     """The largest delay since it was last asked for.
 
     Attributes:
--- a/src/larkpost/gateway/assembly/own_capacity.py
+++ b/src/larkpost/gateway/assembly/own_capacity.py
@@ -4,7 +4,7 @@
 """
 
 from larkpost.common.clock import Clock
-from larkpost.gateway.assembly.loop_watch import LoopWatch
+from larkpost.gateway.assembly.loop_watch import EventLoopMonitor
 
 BYTES_FOR_A_CORE = 100_000_000
 """A machine whose budget of bytes is smaller than this for each core cannot use all of them."""
@@ -34,7 +34,7 @@
         most: while it keeps up; None if that is not known.
     """
 
-    def __init__(self, most: float | None, loop_watch: LoopWatch, clock: Clock) -> None:
+    def __init__(self, most: float | None, loop_watch: EventLoopMonitor, clock: Clock) -> None:
         self._most = most
         self._loop_watch = loop_watch
         self._clock = clock
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -20,7 +20,7 @@
 from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
 from larkpost.gateway.assembly.gauges import Gauges
 from larkpost.gateway.assembly.leased_controllers import ControllerInputs, LeasedControllers
-from larkpost.gateway.assembly.loop_watch import LoopWatch
+from larkpost.gateway.assembly.loop_watch import EventLoopMonitor
 from larkpost.gateway.assembly.membership import MembershipInputs, make_membership
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
@@ -74,7 +74,7 @@
         self._log = ports.log
         self._instruments = Instruments(ports.clock, ports.log, ports.metrics)
         self._tasks = TaskSet(ports.clock, UnreportedFailures())
-        self._loop_watch = LoopWatch(ports.clock, ports.log)
+        self._loop_watch = EventLoopMonitor(ports.clock, ports.log)
         self.lifecycle = Lifecycle()
         self.blackboard = Blackboard(settings.regions)
         self.configuration = self.blackboard.configuration
--- a/tests/test_uneven_machines.py
+++ b/tests/test_uneven_machines.py
@@ -13,7 +13,7 @@
 from larkpost.common.hashing import hash64
 from larkpost.common.ids import DaemonId
 from larkpost.common.tasks import TaskSet, UnreportedFailures
-from larkpost.gateway.assembly.loop_watch import LATE_LOOP_SECONDS, LoopWatch
+from larkpost.gateway.assembly.loop_watch import LATE_LOOP_SECONDS, EventLoopMonitor
 from larkpost.gateway.assembly.own_capacity import (
     LATE_SECONDS,
     LATE_SHARE,
@@ -162,7 +162,7 @@
 
     def test_daemon_whose_loop_is_late_reports_less_for_a_while(self):
         clock = LateClock()
-        watch = LoopWatch(clock, RecordingLog())
+        watch = EventLoopMonitor(clock, RecordingLog())
         capacity = OwnCapacity(2.0, watch, clock)
         self.assertEqual(2.0, capacity.now())
 
@@ -180,7 +180,7 @@
 
     def test_machine_of_unknown_size_reports_nothing(self):
         clock = LateClock()
-        capacity = OwnCapacity(None, LoopWatch(clock, EventLog("daemon")), clock)
+        capacity = OwnCapacity(None, EventLoopMonitor(clock, EventLog("daemon")), clock)
         self.assertIsNone(capacity.now())
 
 
