--- a/src/larkpost/gateway/assembly/gauges.py
+++ b/src/larkpost/gateway/assembly/gauges.py
@@ -83,4 +83,4 @@
         metrics.set(Level.ITEMS_RUNNING, sum(batch.running for batch in owned))
         metrics.set(Level.REWARDS_WAITING, sum(batch.unscored for batch in owned))
         metrics.set(Level.RESULTS_WAITING, sum(batch.waiting for batch in owned))
-        metrics.set(Level.LOOP_LAG, self.loop_watch.take_largest())
+        metrics.set(Level.LOOP_LAG, self.loop_watch.take_max_lag())
--- a/src/larkpost/gateway/assembly/loop_watch.py
+++ b/src/larkpost/gateway/assembly/loop_watch.py
@@ -27,7 +27,7 @@
         """Starts measuring."""
         tasks.spawn(self._run(), "loop")
 
-    def take_largest(self) -> float:
+    def take_max_lag(self) -> float:
         """Returns the largest delay in seconds since the last call, and begins anew."""
         largest, self._largest = self._largest, 0.0
         return largest
