--- a/src/larkpost/gateway/assembly/own_capacity.py
+++ b/src/larkpost/gateway/assembly/own_capacity.py
@@ -27,7 +27,7 @@
     return round(min(known), 3) if known else None
 
 
-class OwnCapacity:
+class DaemonCapacity:
     """This daemon's capacity as it is now.
 
     Args:
--- a/tests/test_uneven_machines.py
+++ b/tests/test_uneven_machines.py
@@ -17,7 +17,7 @@
 from larkpost.gateway.assembly.own_capacity import (
     LATE_SECONDS,
     LATE_SHARE,
-    OwnCapacity,
+    DaemonCapacity,
     capacity_of,
 )
 from larkpost.gateway.blackboard.daemon_report import DaemonReport
@@ -163,7 +163,7 @@
     def test_daemon_whose_loop_is_late_reports_less_for_a_while(self):
         clock = LateClock()
         watch = EventLoopMonitor(clock, RecordingLog())
-        capacity = OwnCapacity(2.0, watch, clock)
+        capacity = DaemonCapacity(2.0, watch, clock)
         self.assertEqual(2.0, capacity.now())
 
         async def measure():
@@ -180,7 +180,7 @@
 
     def test_machine_of_unknown_size_reports_nothing(self):
         clock = LateClock()
-        capacity = OwnCapacity(None, EventLoopMonitor(clock, EventLog("daemon")), clock)
+        capacity = DaemonCapacity(None, EventLoopMonitor(clock, EventLog("daemon")), clock)
         self.assertIsNone(capacity.now())
 
 
