--- a/src/larkpost/gateway/assembly/own_capacity.py
+++ b/src/larkpost/gateway/assembly/own_capacity.py
@@ -6,7 +6,7 @@
 from larkpost.common.clock import Clock
 from larkpost.gateway.assembly.loop_watch import EventLoopMonitor
 
-BYTES_FOR_A_CORE = 100_000_000
+BYTES_PER_CORE = 100_000_000
 """A machine whose budget of bytes is smaller than this for each core cannot use all of them."""
 LATE_SHARE = 0.25
 """What is left of the capacity of a daemon whose loop was late."""
@@ -23,7 +23,7 @@
     """
     known = [cores] if cores is not None else []
     if byte_budget is not None:
-        known.append(byte_budget / BYTES_FOR_A_CORE)
+        known.append(byte_budget / BYTES_PER_CORE)
     return round(min(known), 3) if known else None
 
 
