--- a/src/larkpost/gateway/observability/metrics.py
+++ b/src/larkpost/gateway/observability/metrics.py
@@ -104,7 +104,7 @@
     BYTES_LIMIT = "larkpost_bytes_limit"
 
 
-LEVELS: dict[GaugeName, tuple[str, tuple[str, ...]]] = {
+GAUGES: dict[GaugeName, tuple[str, tuple[str, ...]]] = {
     GaugeName.CONFIGURATION_VERSION: ("Version of the configuration in force here.", ()),
     GaugeName.FEED_AGE: ("Seconds since a table's feed was last confirmed.", ("table",)),
     GaugeName.INSTANCES: ("Instances known.", ("state",)),
@@ -175,7 +175,7 @@
         }
         self._levels = {
             level: Gauge(level.value, text, labels, registry=self.registry)
-            for level, (text, labels) in LEVELS.items()
+            for level, (text, labels) in GAUGES.items()
         }
         self._timings = {
             timing: Histogram(timing.value, text, labels, registry=self.registry, buckets=buckets)
