--- a/src/larkpost/gateway/observability/metrics.py
+++ b/src/larkpost/gateway/observability/metrics.py
@@ -152,7 +152,7 @@
     APPEND_WAIT = "larkpost_append_wait_seconds"
 
 
-TIMINGS: dict[Timing, tuple[str, tuple[str, ...], tuple[float, ...]]] = {
+HISTOGRAMS: dict[Timing, tuple[str, tuple[str, ...], tuple[float, ...]]] = {
     Timing.REQUEST: ("Time a client request was held.", ("route",), SHORT_SECONDS),
     Timing.STORE_CALL: ("Time of a call to the store.", ("call",), SHORT_SECONDS),
     Timing.ITEM_QUEUE: ("Time until an item's first run began.", (), LONG_SECONDS),
@@ -179,7 +179,7 @@
         }
         self._timings = {
             timing: Histogram(timing.value, text, labels, registry=self.registry, buckets=buckets)
-            for timing, (text, labels, buckets) in TIMINGS.items()
+            for timing, (text, labels, buckets) in HISTOGRAMS.items()
         }
 
     def count(self, count: Count, *labels: str, amount: float = 1) -> None:
