--- a/src/larkpost/gateway/observability/metrics.py
+++ b/src/larkpost/gateway/observability/metrics.py
@@ -39,7 +39,7 @@
     LINES_LEFT_OUT = "larkpost_log_lines_left_out_total"
 
 
-COUNTS: dict[Count, tuple[str, tuple[str, ...]]] = {
+COUNTERS: dict[Count, tuple[str, tuple[str, ...]]] = {
     Count.REQUESTS: ("Client requests answered.", ("route", "outcome")),
     Count.DENIALS: ("Calls that the configuration does not allow.", ("reason",)),
     Count.ATTEMPTS: ("Attempts of client requests at servers.", ("service", "outcome")),
@@ -171,7 +171,7 @@
         self.registry = CollectorRegistry()
         self._counts = {
             count: Counter(count.value.removesuffix("_total"), text, labels, registry=self.registry)
-            for count, (text, labels) in COUNTS.items()
+            for count, (text, labels) in COUNTERS.items()
         }
         self._levels = {
             level: Gauge(level.value, text, labels, registry=self.registry)
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -15,7 +15,7 @@
     LineWriter,
 )
 from larkpost.gateway.observability.explain import explain
-from larkpost.gateway.observability.metrics import COUNTS, GAUGES, HISTOGRAMS, Count, Metrics
+from larkpost.gateway.observability.metrics import COUNTERS, GAUGES, HISTOGRAMS, Count, Metrics
 
 DOCS = Path(__file__).resolve().parent.parent / "docs"
 
@@ -73,7 +73,7 @@
 
     def test_every_metric_is_documented(self):
         text = (DOCS / "LOGS.md").read_text(encoding="utf-8")
-        names = [*COUNTS, *GAUGES, *HISTOGRAMS]
+        names = [*COUNTERS, *GAUGES, *HISTOGRAMS]
         self.assertEqual([], [name for name in names if f"`{name.value}`" not in text])
 
 
