--- a/src/larkpost/gateway/observability/eventlog.py
+++ b/src/larkpost/gateway/observability/eventlog.py
@@ -83,7 +83,7 @@
     FAULT = "fault"
 
 
-class LineWriter:
+class NonBlockingWriter:
     """Writes lines to a file descriptor without ever waiting for its reader."""
 
     def __init__(self, descriptor: int = STANDARD_OUTPUT) -> None:
@@ -122,7 +122,7 @@
     """
 
     def __init__(
-        self, daemon: str, writer: LineWriter | None = None, metrics: Metrics | None = None
+        self, daemon: str, writer: NonBlockingWriter | None = None, metrics: Metrics | None = None
     ) -> None:
         self._metrics = metrics
         self._daemon = daemon
--- a/src/larkpost/platform/process.py
+++ b/src/larkpost/platform/process.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from larkpost.common.steady_time import run_steadily
-from larkpost.gateway.observability.eventlog import EventLog, LineWriter
+from larkpost.gateway.observability.eventlog import EventLog, NonBlockingWriter
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.platform.assembly import (
     make_gateway,
@@ -49,7 +49,7 @@
 
     def __init__(self, settings: PlatformSettings) -> None:
         metrics = Metrics()
-        self._log = EventLog(settings.machine, LineWriter(), metrics)
+        self._log = EventLog(settings.machine, NonBlockingWriter(), metrics)
         self._clients = open_clients(settings, metrics, self._log)
         self._gateway = make_gateway(settings, self._clients, metrics, self._log)
         self._listeners = make_listeners(settings, self._gateway, self._clients.store)
--- a/tests/test_eventlog.py
+++ b/tests/test_eventlog.py
@@ -5,7 +5,7 @@
 
 import orjson
 
-from larkpost.gateway.observability.eventlog import Event, EventLog, LineWriter
+from larkpost.gateway.observability.eventlog import Event, EventLog, NonBlockingWriter
 from larkpost.gateway.placement.verdict import Verdict
 
 
@@ -14,7 +14,7 @@
 
     def test_tables_by_members_of_an_enumeration(self) -> None:
         reader, writer = os.pipe()
-        log = EventLog("daemon-1", LineWriter(writer))
+        log = EventLog("daemon-1", NonBlockingWriter(writer))
         log.record(Event.REQUEST_FAILED, request="r1", verdicts={Verdict.COLD: 2})
         log.close()
         os.close(writer)
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -12,7 +12,7 @@
     MAX_PENDING_BYTES,
     Event,
     EventLog,
-    LineWriter,
+    NonBlockingWriter,
 )
 from larkpost.gateway.observability.explain import explain
 from larkpost.gateway.observability.metrics import COUNTERS, GAUGES, HISTOGRAMS, Count, Metrics
@@ -84,7 +84,7 @@
         reader, writer = os.pipe()
         self.addCleanup(os.close, reader)
         self.addCleanup(os.close, writer)
-        lines = LineWriter(writer)
+        lines = NonBlockingWriter(writer)
         text = b"x" * 1000 + b"\n"
         began = time.monotonic()
         for _ in range(2 * MAX_PENDING_BYTES // len(text)):
@@ -97,7 +97,7 @@
         self.addCleanup(os.close, reader)
         self.addCleanup(os.close, writer)
         metrics = Metrics()
-        log = EventLog("d", LineWriter(writer), metrics)
+        log = EventLog("d", NonBlockingWriter(writer), metrics)
         for _ in range(5 * LINES_PER_SECOND):
             log.record(Event.ITEM_RUN, batch="b")
         name = Count.LINES_LEFT_OUT.value
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -20,7 +20,7 @@
 )
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
 from larkpost.gateway.blackboard.tenants import Caller, Tenant, TenantName, digest_key
-from larkpost.gateway.observability.eventlog import EventLog, LineWriter
+from larkpost.gateway.observability.eventlog import EventLog, NonBlockingWriter
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.proxy.admission import (
     Admission,
@@ -383,7 +383,7 @@
             self.assertNotIn(key, content)
 
 
-class RecordingWriter(LineWriter):
+class RecordingWriter(NonBlockingWriter):
     """Keeps lines."""
 
     def __init__(self) -> None:
