--- a/src/larkpost/gateway/store/relay.py
+++ b/src/larkpost/gateway/store/relay.py
@@ -37,7 +37,7 @@
 PROBE_TABLE = "members"
 PROBE_PART = "known"
 """What a probe reads: a row that is there, in a part that every daemon reads."""
-REFUSED = (WriteOutcome.NOT_DONE, WriteOutcome.THROTTLED)
+REFUSED_OUTCOMES = (WriteOutcome.NOT_DONE, WriteOutcome.THROTTLED)
 """Outcomes that prove that the store did not do a write."""
 
 Response = TypeVar("Response")
@@ -98,7 +98,7 @@
         result = WriteResult(WriteOutcome.NOT_DONE)
         if self._peers.current is None:
             result = await self._direct.write(transaction, timeout)
-        if result.outcome not in REFUSED:
+        if result.outcome not in REFUSED_OUTCOMES:
             return result
         region_bound = any(self._is_region_bound(key.table) for key, _ in transaction.puts)
         for tried in range(MAX_PEER_ATTEMPTS):
@@ -108,7 +108,7 @@
             result = await peer.write(transaction, min(timeout, MAX_PEER_CALL_SECONDS))
             if result.outcome is WriteOutcome.UNKNOWN:
                 self._peers.drop(peer, silent=True)  # the next call goes elsewhere, this one not
-            if result.outcome not in REFUSED:
+            if result.outcome not in REFUSED_OUTCOMES:
                 return result
             self._peers.drop(peer)
         self._peers.pause()
