--- a/src/larkpost/gateway/store/peers.py
+++ b/src/larkpost/gateway/store/peers.py
@@ -62,7 +62,7 @@
         """Sets who is asked where the other daemons are that are considered alive."""
         self._distances = distances
 
-    def find(self, tried: int, *, region_bound: bool) -> PeerStore | None:
+    def select(self, tried: int, *, region_bound: bool) -> PeerStore | None:
         """Returns the peer that makes this daemon's calls, a new one if there is none.
 
         Args:
--- a/src/larkpost/gateway/store/relay.py
+++ b/src/larkpost/gateway/store/relay.py
@@ -102,7 +102,7 @@
             return result
         region_bound = any(self._is_region_bound(key.table) for key, _ in transaction.puts)
         for tried in range(MAX_PEER_ATTEMPTS):
-            peer = self._peers.find(tried, region_bound=region_bound)
+            peer = self._peers.select(tried, region_bound=region_bound)
             if peer is None:
                 return result
             result = await peer.write(transaction, min(timeout, MAX_PEER_CALL_SECONDS))
@@ -170,7 +170,7 @@
             failure: what to raise if no peer helps.
         """
         for tried in range(MAX_PEER_ATTEMPTS):
-            peer = self._peers.find(tried, region_bound=region_bound)
+            peer = self._peers.select(tried, region_bound=region_bound)
             if peer is None:
                 raise failure
             try:
