--- a/src/larkpost/gateway/store/peers.py
+++ b/src/larkpost/gateway/store/peers.py
@@ -94,7 +94,7 @@
         if self.current is peer:
             self.current = None
 
-    def pause(self) -> None:
+    def start_cooldown(self) -> None:
         """Asks no peer for a while: none of those asked reaches the store."""
         self._none_until = self._clock.now() + NO_PEER_COOLDOWN_SECONDS
         self._log.record(Event.STORE_RELAY, state="no_peer")
--- a/src/larkpost/gateway/store/relay.py
+++ b/src/larkpost/gateway/store/relay.py
@@ -111,7 +111,7 @@
             if result.outcome not in REFUSED_OUTCOMES:
                 return result
             self._peers.drop(peer)
-        self._peers.pause()
+        self._peers.start_cooldown()
         return result
 
     async def read(
@@ -180,7 +180,7 @@
                 self._peers.drop(peer)
             except TimeoutError:
                 self._peers.drop(peer, silent=True)
-        self._peers.pause()
+        self._peers.start_cooldown()
         raise failure
 
     async def _probe(self) -> None:
