--- a/src/larkpost/gateway/store/peers.py
+++ b/src/larkpost/gateway/store/peers.py
@@ -56,7 +56,7 @@
         self._connected: dict[Address, PeerStore] = {}
         self._current_distance = Distance.SAME_ZONE
         self._silent_at: dict[Address, float] = {}
-        self._none_until = float("-inf")
+        self._cooldown_until = float("-inf")
 
     def follow(self, distances: Callable[[], PeerDistances]) -> None:
         """Sets who is asked where the other daemons are that are considered alive."""
@@ -74,7 +74,7 @@
         ):
             return self.current
         usable = self._usable(region_bound=region_bound)
-        if not usable or self._clock.now() < self._none_until:
+        if not usable or self._clock.now() < self._cooldown_until:
             return None
         self._current_distance = next_peer_distance(usable, tried)
         address = self._chance.choice(
@@ -96,7 +96,7 @@
 
     def start_cooldown(self) -> None:
         """Asks no peer for a while: none of those asked reaches the store."""
-        self._none_until = self._clock.now() + NO_PEER_COOLDOWN_SECONDS
+        self._cooldown_until = self._clock.now() + NO_PEER_COOLDOWN_SECONDS
         self._log.record(Event.STORE_RELAY, state="no_peer")
 
     async def close(self) -> None:
