--- a/src/larkpost/gateway/memory/daemon_memory.py
+++ b/src/larkpost/gateway/memory/daemon_memory.py
@@ -122,7 +122,11 @@
             missing: bytes for which there is no room; nobody is cut who holds less.
         """
         slowest = slowest_client(
-            {behind: behind.pace() for behind in self._slow_deliveries if not behind.is_cut}
+            {
+                behind: behind.pace()
+                for behind in self._slow_deliveries
+                if not behind.is_disconnected
+            }
         )
         if slowest is not None and slowest.pace().held >= missing:
             self._record_disconnect(slowest, DisconnectReason.SLOWEST)
--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -72,7 +72,7 @@
         self._unsent_before = 0
         self._progress_at = 0.0
         self._is_complete = False
-        self.is_cut = False
+        self.is_disconnected = False
 
     @property
     def is_replaced(self) -> bool:
@@ -136,7 +136,7 @@
 
     def cut(self) -> None:
         """Breaks the connection off."""
-        self.is_cut = True
+        self.is_disconnected = True
         self._outlet.cut()
 
     def _taken(self) -> int:
@@ -155,7 +155,7 @@
         if unsent < self._unsent_before:
             self._progress_at = now
         self._unsent_before = unsent
-        if self.is_cut:
+        if self.is_disconnected:
             raise SlowClientError("its connection was cut", ran=Ran.UNKNOWN)
         if unsent and now - self._progress_at >= STALLED_SECONDS:
             self._on_stalled(self)
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -40,7 +40,7 @@
         self.rate = rate
         self.unsent = 0
         self.is_full = False
-        self.is_cut = False
+        self.is_disconnected = False
         self.is_serving = True
 
     def give(self, size: int) -> None:
@@ -64,7 +64,7 @@
 
     def cut(self) -> None:
         """Breaks the connection off."""
-        self.is_cut = True
+        self.is_disconnected = True
         self.unsent = 0
         self._settle()
 
@@ -188,7 +188,7 @@
             return asyncio.get_running_loop().time() - began
 
         seconds = virtual.run(play())
-        self.assertTrue(relay.outlet.is_cut)
+        self.assertTrue(relay.outlet.is_disconnected)
         self.assertLess(seconds, STALLED_SECONDS + 1)
         self.assertEqual(0, self.memory.budget.total)
         self.assertEqual(
@@ -218,7 +218,7 @@
         async def play():
             running = asyncio.create_task(relay.run())
             await asyncio.sleep(3 * STALLED_SECONDS)
-            self.assertFalse(relay.outlet.is_cut)
+            self.assertFalse(relay.outlet.is_disconnected)
             running.cancel()
             await asyncio.gather(running, return_exceptions=True)
 
@@ -235,7 +235,7 @@
         async def play():
             tasks = [asyncio.create_task(relay.run()) for relay in (slow, fast)]
             async with asyncio.timeout(STALLED_SECONDS):
-                while not slow.outlet.is_cut:
+                while not slow.outlet.is_disconnected:
                     await asyncio.sleep(STEP_SECONDS)
             seconds = asyncio.get_running_loop().time()
             outcomes = await asyncio.gather(*tasks, return_exceptions=True)
@@ -269,7 +269,7 @@
             self.memory.budget.reserve(Purpose.REQUEST_BODIES, 6 * MB)
             with self.assertRaises(MemoryBudgetError):
                 self.memory.budget.reserve(Purpose.REQUEST_BODIES, 2 * MB)
-            self.assertTrue(relay.outlet.is_cut)
+            self.assertTrue(relay.outlet.is_disconnected)
             await asyncio.gather(running, return_exceptions=True)
             self.memory.budget.reserve(Purpose.REQUEST_BODIES, 2 * MB)
 
@@ -287,7 +287,7 @@
             self.memory.budget.reserve(Purpose.REQUEST_BODIES, 6 * MB)
             with self.assertRaises(MemoryBudgetError):
                 self.memory.budget.reserve(Purpose.REQUEST_BODIES, 3 * MB)
-            self.assertFalse(relay.outlet.is_cut)
+            self.assertFalse(relay.outlet.is_disconnected)
             running.cancel()
             await asyncio.gather(running, return_exceptions=True)
 
@@ -311,7 +311,7 @@
                 await asyncio.gather(outlet_taken(outlet), waiting)
                 await asyncio.sleep(2 * MIN_SLOW_SECONDS)
                 self.memory.disconnect_slowest()
-                self.assertFalse(outlet.is_cut)
+                self.assertFalse(outlet.is_disconnected)
                 self.assertEqual(0.0, delivery.pace().seconds)
 
         async def outlet_taken(outlet):
@@ -341,7 +341,7 @@
                 self.memory.disconnect_slowest()
                 await waiting
                 await asyncio.sleep(STALLED_SECONDS)
-                self.assertFalse(outlet.is_cut)
+                self.assertFalse(outlet.is_disconnected)
 
         virtual.run(play())
         self.assertEqual([], self.lines(Event.READER_CUT))
