--- a/src/larkpost/gateway/memory/daemon_memory.py
+++ b/src/larkpost/gateway/memory/daemon_memory.py
@@ -130,7 +130,7 @@
         )
         if slowest is not None and slowest.pace().held >= missing:
             self._record_disconnect(slowest, DisconnectReason.SLOWEST)
-            slowest.cut()
+            slowest.disconnect()
 
     def set_gauges(self) -> None:
         """Sets the gauges of what is held."""
--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -40,7 +40,7 @@
     async def wait_until_writable(self, seconds: float) -> None:
         """Waits until it is not full, at most so long."""
 
-    def cut(self) -> None:
+    def disconnect(self) -> None:
         """Breaks the connection off; what is unsent is dropped."""
 
 
@@ -134,10 +134,10 @@
             if not self.is_replaced:
                 self._check_progress()
 
-    def cut(self) -> None:
+    def disconnect(self) -> None:
         """Breaks the connection off."""
         self.is_disconnected = True
-        self._outlet.cut()
+        self._outlet.disconnect()
 
     def _taken(self) -> int:
         return max(0, self._given - self._outlet.unsent)
@@ -159,5 +159,5 @@
             raise SlowClientError("its connection was cut", ran=Ran.UNKNOWN)
         if unsent and now - self._progress_at >= STALLED_SECONDS:
             self._on_stalled(self)
-            self.cut()
+            self.disconnect()
             raise SlowClientError("it took nothing for too long", ran=Ran.UNKNOWN)
--- a/src/larkpost/platform/http_protocol.py
+++ b/src/larkpost/platform/http_protocol.py
@@ -228,7 +228,7 @@
             async with asyncio.timeout(seconds):
                 await self.flow.drain()
 
-    def cut(self) -> None:
+    def disconnect(self) -> None:
         """Breaks the connection off; what is unsent is dropped."""
         self.transport.abort()
 
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -62,7 +62,7 @@
             self.unsent = max(0, self.unsent - int(self.rate * STEP_SECONDS))
             self._settle()
 
-    def cut(self) -> None:
+    def disconnect(self) -> None:
         """Breaks the connection off."""
         self.is_disconnected = True
         self.unsent = 0
