--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -61,7 +61,7 @@
         on_slow: Callable[["Delivery"], None],
         on_stalled: Callable[["Delivery"], None],
     ) -> None:
-        self._outlet = outlet
+        self._connection = outlet
         self._clock = clock
         self._count_held = count_held
         self._on_slow = on_slow
@@ -80,17 +80,17 @@
 
         Its own delivery tells then how the client takes what it is given.
         """
-        return self._is_complete and self._outlet.is_serving
+        return self._is_complete and self._connection.is_serving
 
     @property
     def is_writable(self) -> bool:
         """Whether the connection may be given more at once."""
-        return not self._outlet.is_full
+        return not self._connection.is_full
 
     @property
     def unsent(self) -> int:
         """The bytes that the connection was given and that its client has not made room for."""
-        return self._outlet.unsent
+        return self._connection.unsent
 
     def record_written(self, size: int) -> None:
         """Records that the connection was given bytes."""
@@ -102,7 +102,7 @@
 
         One that has taken everything is not behind, however long its server sends nothing more.
         """
-        if self._outlet.unsent == 0 or self.is_replaced:
+        if self._connection.unsent == 0 or self.is_replaced:
             self._slow_since = None
         since = self._slow_since
         seconds = self._clock.now() - since if since is not None else 0.0
@@ -114,11 +114,11 @@
         Raises:
             ReaderCutError: the client took nothing for too long.
         """
-        if self._outlet.unsent == 0:
+        if self._connection.unsent == 0:
             self._slow_since = None
-        while self._outlet.is_full:
+        while self._connection.is_full:
             self._mark_slow()
-            await self._outlet.wait_until_writable(POLL_SECONDS)
+            await self._connection.wait_until_writable(POLL_SECONDS)
             self._check_progress()
 
     async def wait_until_taken(self) -> None:
@@ -128,7 +128,7 @@
             ReaderCutError: the client took nothing for too long.
         """
         self._is_complete = True
-        while self._outlet.unsent and not self.is_replaced:
+        while self._connection.unsent and not self.is_replaced:
             self._mark_slow()
             await self._clock.sleep(POLL_SECONDS)
             if not self.is_replaced:
@@ -137,21 +137,21 @@
     def disconnect(self) -> None:
         """Breaks the connection off."""
         self.is_disconnected = True
-        self._outlet.disconnect()
+        self._connection.disconnect()
 
     def _taken(self) -> int:
-        return max(0, self._given - self._outlet.unsent)
+        return max(0, self._given - self._connection.unsent)
 
     def _mark_slow(self) -> None:
         if self._slow_since is not None:
             return
         self._slow_since = self._progress_at = self._clock.now()
         self._taken_before = self._taken()
-        self._unsent_before = self._outlet.unsent
+        self._unsent_before = self._connection.unsent
         self._on_slow(self)
 
     def _check_progress(self) -> None:
-        unsent, now = self._outlet.unsent, self._clock.now()
+        unsent, now = self._connection.unsent, self._clock.now()
         if unsent < self._unsent_before:
             self._progress_at = now
         self._unsent_before = unsent
