--- a/src/larkpost/gateway/memory/daemon_memory.py
+++ b/src/larkpost/gateway/memory/daemon_memory.py
@@ -101,10 +101,10 @@
             memory.release()
 
     @contextmanager
-    def delivery(self, outlet: ClientConnection, memory: RequestMemory) -> Iterator[Delivery]:
+    def delivery(self, connection: ClientConnection, memory: RequestMemory) -> Iterator[Delivery]:
         """Follows the answer to a request on its way to the client."""
         delivery = Delivery(
-            outlet,
+            connection,
             self._instruments.clock,
             lambda: memory.size,
             lambda behind: self._slow_deliveries.setdefault(behind, memory.owner),
--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -55,18 +55,18 @@
 
     def __init__(
         self,
-        outlet: ClientConnection,
+        connection: ClientConnection,
         clock: Clock,
         count_held: Callable[[], int],
         on_slow: Callable[["Delivery"], None],
         on_stalled: Callable[["Delivery"], None],
     ) -> None:
-        self._connection = outlet
+        self._connection = connection
         self._clock = clock
         self._count_held = count_held
         self._on_slow = on_slow
         self._on_stalled = on_stalled
-        self._given = outlet.unsent  # of the response before, which is taken first
+        self._given = connection.unsent  # of the response before, which is taken first
         self._slow_since: float | None = None
         self._taken_before = 0
         self._unsent_before = 0
