--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -66,7 +66,7 @@
         self._count_held = count_held
         self._on_slow = on_slow
         self._on_stalled = on_stalled
-        self._given = connection.unsent  # of the response before, which is taken first
+        self._written = connection.unsent  # of the response before, which is taken first
         self._slow_since: float | None = None
         self._taken_before = 0
         self._unsent_before = 0
@@ -94,7 +94,7 @@
 
     def record_written(self, size: int) -> None:
         """Records that the connection was given bytes."""
-        self._given += size
+        self._written += size
         self._unsent_before += size
 
     def pace(self) -> ReadRate:
@@ -140,7 +140,7 @@
         self._connection.disconnect()
 
     def _taken(self) -> int:
-        return max(0, self._given - self._connection.unsent)
+        return max(0, self._written - self._connection.unsent)
 
     def _mark_slow(self) -> None:
         if self._slow_since is not None:
