--- a/src/larkpost/gateway/memory/daemon_memory.py
+++ b/src/larkpost/gateway/memory/daemon_memory.py
@@ -123,12 +123,12 @@
         """
         slowest = slowest_client(
             {
-                behind: behind.pace()
+                behind: behind.read_rate()
                 for behind in self._slow_deliveries
                 if not behind.is_disconnected
             }
         )
-        if slowest is not None and slowest.pace().held >= missing:
+        if slowest is not None and slowest.read_rate().held >= missing:
             self._record_disconnect(slowest, DisconnectReason.SLOWEST)
             slowest.disconnect()
 
@@ -153,15 +153,15 @@
         self.disconnect_slowest(self.budget.missing(reservation.purpose, size))
 
     def _record_disconnect(self, delivery: Delivery, reason: DisconnectReason) -> None:
-        pace = delivery.pace()
+        read_rate = delivery.read_rate()
         self._instruments.metrics.count(Count.READERS_CUT, reason)
         self._instruments.log.record(
             Event.READER_CUT,
             request=self._slow_deliveries.get(delivery, ""),
             reason=reason,
-            held=pace.held,
-            taken=pace.taken,
-            seconds=round(pace.seconds, 3),
+            held=read_rate.held,
+            taken=read_rate.taken,
+            seconds=round(read_rate.seconds, 3),
         )
 
 
--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -97,7 +97,7 @@
         self._written += size
         self._unsent_before += size
 
-    def pace(self) -> ReadRate:
+    def read_rate(self) -> ReadRate:
         """Returns how the client takes what it is given.
 
         One that has taken everything is not behind, however long its server sends nothing more.
