--- a/src/larkpost/gateway/memory/slow_readers.py
+++ b/src/larkpost/gateway/memory/slow_readers.py
@@ -30,14 +30,14 @@
     seconds: float
 
 
-def slowest_client(paces: Mapping[Key, ReadRate]) -> Key | None:
+def slowest_client(rates: Mapping[Key, ReadRate]) -> Key | None:
     """Returns the client to cut; None if none is slow whose end would free anything.
 
     It is the one that takes the fewest bytes a second, and of several the one that holds most.
     """
     slow = {
         key: (pace.taken / pace.seconds, -pace.held)
-        for key, pace in paces.items()
+        for key, pace in rates.items()
         if pace.held > 0 and pace.seconds >= MIN_SLOW_SECONDS
     }
     return min(slow, key=slow.__getitem__, default=None)
