--- a/src/larkpost/gateway/memory/budget.py
+++ b/src/larkpost/gateway/memory/budget.py
@@ -81,7 +81,7 @@
         return self.limit is not None and self.free < self.limit * LOW_MEMORY_FRACTION
 
     @property
-    def share(self) -> float:
+    def answer_limit(self) -> float:
         """The most bytes that one answer may hold now; infinite without a limit."""
         return max(MIN_ANSWER_LIMIT_BYTES, self.free / SHARES)
 
@@ -156,7 +156,7 @@
 
     def fits_answer_limit(self, size: int) -> bool:
         """Returns whether so many bytes more leave room to others; see `ByteBudget.share`."""
-        return self.size + size <= self._budget.share
+        return self.size + size <= self._budget.answer_limit
 
     def grow(self, size: int) -> None:
         """Reserves more bytes.
