--- a/src/larkpost/gateway/memory/budget.py
+++ b/src/larkpost/gateway/memory/budget.py
@@ -11,7 +11,7 @@
 
 from larkpost.common.errors import LarkpostError
 
-SHARES = 8
+ANSWER_LIMIT_DIVISOR = 8
 """One answer may hold as much as this part of what is free, so that the next one always finds some
 room."""
 MIN_ANSWER_LIMIT_BYTES = 65536
@@ -83,7 +83,7 @@
     @property
     def answer_limit(self) -> float:
         """The most bytes that one answer may hold now; infinite without a limit."""
-        return max(MIN_ANSWER_LIMIT_BYTES, self.free / SHARES)
+        return max(MIN_ANSWER_LIMIT_BYTES, self.free / ANSWER_LIMIT_DIVISOR)
 
     def missing(self, purpose: Purpose, size: int) -> float:
         """Returns how many bytes must be released before so many more may be held.
--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -10,9 +10,9 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.gateway.memory.budget import (
+    ANSWER_LIMIT_DIVISOR,
     MIN_ANSWER_LIMIT_BYTES,
     RETRY_AFTER_SECONDS,
-    SHARES,
     SMALL_BODIES_FRACTION,
     ByteBudget,
     MemoryBudgetError,
@@ -130,8 +130,8 @@
 
     def test_one_answer_may_hold_a_part_of_what_is_free(self):
         answer = self.budget.reserve(Purpose.ANSWERS)
-        self.assertTrue(answer.fits_answer_limit(10 * MB // SHARES))
-        self.assertFalse(answer.fits_answer_limit(10 * MB // SHARES + 1))
+        self.assertTrue(answer.fits_answer_limit(10 * MB // ANSWER_LIMIT_DIVISOR))
+        self.assertFalse(answer.fits_answer_limit(10 * MB // ANSWER_LIMIT_DIVISOR + 1))
 
     def test_room_is_short_once_half_is_held(self):
         body = self.budget.reserve(Purpose.REQUEST_BODIES, 5 * MB)
