--- a/src/larkpost/gateway/memory/budget.py
+++ b/src/larkpost/gateway/memory/budget.py
@@ -76,7 +76,7 @@
         return max(0, self.limit - self.total) if self.limit is not None else math.inf
 
     @property
-    def is_short(self) -> bool:
+    def is_low(self) -> bool:
         """Whether so little is free that slow clients must give way."""
         return self.limit is not None and self.free < self.limit * LOW_MEMORY_FRACTION
 
--- a/src/larkpost/gateway/memory/read_ahead.py
+++ b/src/larkpost/gateway/memory/read_ahead.py
@@ -112,7 +112,7 @@
         relieve_at = loop.time() + MAX_PAUSED_READ_SECONDS
         while reservation.size and not reservation.fits_answer_limit(size):
             if loop.time() >= relieve_at:
-                if not self._memory.budget.is_short:
+                if not self._memory.budget.is_low:
                     return
                 self._memory.disconnect_slowest()
                 relieve_at = loop.time() + MAX_PAUSED_READ_SECONDS
--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -135,15 +135,15 @@
 
     def test_room_is_short_once_half_is_held(self):
         body = self.budget.reserve(Purpose.REQUEST_BODIES, 5 * MB)
-        self.assertFalse(self.budget.is_short)
+        self.assertFalse(self.budget.is_low)
         body.grow(1)
-        self.assertTrue(self.budget.is_short)
+        self.assertTrue(self.budget.is_low)
 
     def test_without_a_limit_everything_fits(self):
         budget = ByteBudget()
         answer = budget.reserve(Purpose.ANSWERS, 10**12)
         self.assertTrue(answer.fits_answer_limit(10**12))
-        self.assertEqual((math.inf, False), (budget.free, budget.is_short))
+        self.assertEqual((math.inf, False), (budget.free, budget.is_low))
 
 
 class SizingTest(unittest.TestCase):
