--- a/src/larkpost/gateway/memory/budget.py
+++ b/src/larkpost/gateway/memory/budget.py
@@ -120,7 +120,7 @@
         """Records all that is held for a purpose of which nothing is reserved."""
         self._held[purpose] = size
 
-    def no_room(self, size: int) -> MemoryBudgetError:
+    def budget_error(self, size: int) -> MemoryBudgetError:
         """Returns the error of a reservation that finds no room."""
         wait = RETRY_AFTER_SECONDS * (1 + self._chance.random())
         return MemoryBudgetError(f"no room for {size} bytes", retry_after=round(wait, 3))
@@ -166,7 +166,7 @@
         """
         if size > 0 and not self.fits(size):
             self._budget.on_refusal(self, size)
-            raise self._budget.no_room(size)
+            raise self._budget.budget_error(size)
         self.force_grow(size)
 
     def force_grow(self, size: int) -> None:
--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -68,7 +68,7 @@
 
     def test_refused_callers_come_back_one_by_one(self):
         self.budget.reserve(Purpose.REQUEST_BODIES, 10 * MB)
-        waits = {self.budget.no_room(1).retry_after for _ in range(20)}
+        waits = {self.budget.budget_error(1).retry_after for _ in range(20)}
         self.assertGreater(len(waits), 15)
         self.assertGreaterEqual(min(waits), RETRY_AFTER_SECONDS)
         self.assertLessEqual(max(waits), 2 * RETRY_AFTER_SECONDS)
