--- a/src/larkpost/gateway/memory/budget.py
+++ b/src/larkpost/gateway/memory/budget.py
@@ -85,7 +85,7 @@
         """The most bytes that one answer may hold now; infinite without a limit."""
         return max(MIN_ANSWER_LIMIT_BYTES, self.free / ANSWER_LIMIT_DIVISOR)
 
-    def missing(self, purpose: Purpose, size: int) -> float:
+    def shortfall(self, purpose: Purpose, size: int) -> float:
         """Returns how many bytes must be released before so many more may be held.
 
         Returns:
@@ -152,7 +152,7 @@
 
     def fits(self, size: int) -> bool:
         """Returns whether there is room for so many bytes more."""
-        return self._budget.missing(self.purpose, size) == 0
+        return self._budget.shortfall(self.purpose, size) == 0
 
     def fits_answer_limit(self, size: int) -> bool:
         """Returns whether so many bytes more leave room to others; see `ByteBudget.share`."""
--- a/src/larkpost/gateway/memory/daemon_memory.py
+++ b/src/larkpost/gateway/memory/daemon_memory.py
@@ -115,7 +115,7 @@
         finally:
             self._slow_deliveries.pop(delivery, None)
 
-    def disconnect_slowest(self, missing: float = 0) -> None:
+    def disconnect_slowest(self, shortfall: float = 0) -> None:
         """Cuts the client that takes its answer slowest, if one is slow.
 
         Args:
@@ -128,7 +128,7 @@
                 if not behind.is_disconnected
             }
         )
-        if slowest is not None and slowest.read_rate().held >= missing:
+        if slowest is not None and slowest.read_rate().held >= shortfall:
             self._record_disconnect(slowest, DisconnectReason.SLOWEST)
             slowest.disconnect()
 
@@ -150,7 +150,7 @@
             held=self.budget.total,
             limit=self.budget.limit,
         )
-        self.disconnect_slowest(self.budget.missing(reservation.purpose, size))
+        self.disconnect_slowest(self.budget.shortfall(reservation.purpose, size))
 
     def _record_disconnect(self, delivery: Delivery, reason: DisconnectReason) -> None:
         read_rate = delivery.read_rate()
--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -115,9 +115,9 @@
             (Purpose.SMALL_BODIES, 800): 0,
             (Purpose.SUBMISSIONS, MB): math.inf,
         }
-        for (purpose, size), missing in cases.items():
+        for (purpose, size), shortfall in cases.items():
             with self.subTest(purpose=purpose, size=size):
-                self.assertEqual(missing, self.budget.missing(purpose, size))
+                self.assertEqual(shortfall, self.budget.shortfall(purpose, size))
 
     def test_forty_answers_that_take_their_shares_fit_but_for_the_least_that_each_may_hold(self):
         """Forty slow clients of answers larger than the budget."""
