--- a/src/larkpost/gateway/memory/read_ahead.py
+++ b/src/larkpost/gateway/memory/read_ahead.py
@@ -32,11 +32,11 @@
 
     source: AsyncIterator[bytes]
     reservation: Reservation
-    begun: deque[bytes] = field(default_factory=deque)
+    buffered: deque[bytes] = field(default_factory=deque)
 
     def take(self) -> bytes:
         """Returns the next of what was read; it is held no longer."""
-        chunk = self.begun.popleft()
+        chunk = self.buffered.popleft()
         self.reservation.shrink(len(chunk))
         return chunk
 
@@ -55,7 +55,7 @@
         async for chunk in answer.source:
             yield chunk
         return
-    while answer.begun and delivery.is_writable:
+    while answer.buffered and delivery.is_writable:
         yield answer.take()
     if delivery.is_writable:
         async for chunk in answer.source:
@@ -85,9 +85,9 @@
     async def chunks(self) -> AsyncIterator[bytes]:
         """Yields what was read, in order, then raises what ended the reading, if anything did."""
         while True:
-            while self._answer.begun:
+            while self._answer.buffered:
                 yield self._answer.take()
-            if self._reading.done() and not self._answer.begun:
+            if self._reading.done() and not self._answer.buffered:
                 self._reading.result()
                 return
             self._changed.clear()
@@ -102,7 +102,7 @@
         async for chunk in self._answer.source:
             await self._wait_for_budget(len(chunk))
             self._answer.reservation.force_grow(len(chunk))
-            self._answer.begun.append(chunk)
+            self._answer.buffered.append(chunk)
             self._changed.set()
 
     async def _wait_for_budget(self, size: int) -> None:
