--- a/src/larkpost/gateway/memory/read_ahead.py
+++ b/src/larkpost/gateway/memory/read_ahead.py
@@ -34,7 +34,7 @@
     reservation: Reservation
     buffered: deque[bytes] = field(default_factory=deque)
 
-    def take(self) -> bytes:
+    def pop_chunk(self) -> bytes:
         """Returns the next of what was read; it is held no longer."""
         chunk = self.buffered.popleft()
         self.reservation.shrink(len(chunk))
@@ -56,7 +56,7 @@
             yield chunk
         return
     while answer.buffered and delivery.is_writable:
-        yield answer.take()
+        yield answer.pop_chunk()
     if delivery.is_writable:
         async for chunk in answer.source:
             yield chunk
@@ -86,7 +86,7 @@
         """Yields what was read, in order, then raises what ended the reading, if anything did."""
         while True:
             while self._answer.buffered:
-                yield self._answer.take()
+                yield self._answer.pop_chunk()
             if self._reading.done() and not self._answer.buffered:
                 self._reading.result()
                 return
