--- a/src/larkpost/gateway/blackboard/directory.py
+++ b/src/larkpost/gateway/blackboard/directory.py
@@ -84,7 +84,7 @@
         """Returns an instance, or None if it is unknown."""
         return self._instances.get(instance)
 
-    def named(self, name: InstanceName) -> InstanceInfo | None:
+    def find_by_name(self, name: InstanceName) -> InstanceInfo | None:
         """Returns the incarnation of a server that is known, or None if none is."""
         current = self._current.get(name)
         return self._instances.get(current) if current is not None else None
@@ -104,7 +104,7 @@
         A later incarnation ends the one before; a late word of an earlier one changes nothing. An
         entry that does not say when its server started is of the incarnation that is known.
         """
-        known = self.named(info.name)
+        known = self.find_by_name(info.name)
         if known is not None and known.started_at_ms is not None:
             if info.started_at_ms is None:
                 info = replace(info, id=known.id)
@@ -127,7 +127,7 @@
             sound: whether the store has been without fault for long enough to be believed.
         """
         self._replaced = {known for known in self._replaced if split_instance_id(known)[0] != name}
-        known = self.named(name)
+        known = self.find_by_name(name)
         if known is None:
             return
         if sound or known.state is InstanceState.LEAVING:
@@ -137,7 +137,7 @@
 
     def drop_unreadable(self, name: InstanceName) -> None:
         """Records that a server's entry names no server any more; one that leaves goes on to."""
-        known = self.named(name)
+        known = self.find_by_name(name)
         if known is not None and known.state is not InstanceState.LEAVING:
             self.forget(known.id)
 
--- a/src/larkpost/gateway/controllers/row_intake.py
+++ b/src/larkpost/gateway/controllers/row_intake.py
@@ -183,7 +183,7 @@
 
     def _is_service_named(self, info: InstanceInfo) -> bool:
         """Returns whether a configuration names an instance's service, or has named it before."""
-        known = self._directory.named(info.name)
+        known = self._directory.find_by_name(info.name)
         was_named = known is not None and known.service == info.service
         current = self._configuration.current
         return was_named or (current is not None and info.service in current.services)
@@ -198,9 +198,9 @@
     def _take(self, entry: _Entry) -> None:
         """Stores an entry that names a server to use."""
         info = entry.info
-        known = self._directory.named(info.name)
+        known = self._directory.find_by_name(info.name)
         self._directory.update(info)
-        current = self._directory.named(info.name)
+        current = self._directory.find_by_name(info.name)
         if current is None:
             return  # it was replaced at its address, and this is a late word of it
         has_started = known is None or known.id != current.id
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -156,8 +156,8 @@
 
     def configure(self, version: int, *services: str) -> None:
         """Has a configuration come in."""
-        named = [{"name": name} for name in services]
-        document = {"version": version, "routes": [], "services": named}
+        find_by_name = [{"name": name} for name in services]
+        document = {"version": version, "routes": [], "services": find_by_name}
         row = Row(RowKey("op", "", "config"), orjson.dumps(document), version)
         self.intake.record_operator_row(row)
 
@@ -175,7 +175,7 @@
         self.intake.record_instance_row(entry_row(1, FIRST_START))
         self.intake.record_instance_row(entry_row(2, SECOND_START))
         self.assertEqual(2, self.events().count(Event.INSTANCE))
-        self.assertEqual(SECOND_START, self.blackboard.directory.named(NAME).started_at_ms)
+        self.assertEqual(SECOND_START, self.blackboard.directory.find_by_name(NAME).started_at_ms)
 
     def test_spoiled_entry_names_no_server_and_the_next_whole_one_does(self) -> None:
         self.configure(1, SERVICE)
@@ -183,19 +183,19 @@
         other = Row(RowKey("servers", "", "engine-4"), entry_row(1, 7).value, 1)
         self.intake.record_instance_row(other)
         self.intake.record_instance_row(entry_row(2, FIRST_START, state="zombie"))
-        self.assertIsNone(self.blackboard.directory.named(NAME))
+        self.assertIsNone(self.blackboard.directory.find_by_name(NAME))
         self.assertEqual(1, len(self.blackboard.directory))
         self.assertEqual(1, self.spoiled())
         self.assertEqual(1, self.events().count(Event.UNREADABLE))
         self.intake.record_instance_row(entry_row(3, FIRST_START))
-        self.assertIsNotNone(self.blackboard.directory.named(NAME))
+        self.assertIsNotNone(self.blackboard.directory.find_by_name(NAME))
 
     def test_spoiled_entry_of_a_server_that_leaves_does_not_bring_it_back(self) -> None:
         self.configure(1, SERVICE)
         self.intake.record_instance_row(entry_row(1, FIRST_START, state="draining"))
         self.intake.record_instance_row(entry_row(2, FIRST_START, slots=-3))
         self.intake.record_instance_row(entry_row(3, FIRST_START))
-        state = self.blackboard.directory.named(NAME).state
+        state = self.blackboard.directory.find_by_name(NAME).state
         self.assertEqual(InstanceState.LEAVING, state)
 
     def test_service_that_no_configuration_names(self) -> None:
