--- a/src/larkpost/gateway/blackboard/service_index.py
+++ b/src/larkpost/gateway/blackboard/service_index.py
@@ -66,7 +66,7 @@
     """
 
     entries: dict[InstanceId, EntryT] = field(default_factory=dict)
-    numbered: IndexedIdSet = field(default_factory=IndexedIdSet)
+    id_set: IndexedIdSet = field(default_factory=IndexedIdSet)
     holders: dict[ModelName, IndexedIdSet] = field(default_factory=dict)
     zones: Counter[ZoneId] = field(default_factory=Counter)
     generation: int = 0
@@ -94,7 +94,7 @@
         service.entries[entry.id] = entry
         if known is None:
             self._service_of[entry.id] = entry.service
-            service.numbered.add(entry.id)
+            service.id_set.add(entry.id)
             self._begin_generation(service)
         if known is None or known.zone != entry.zone:
             service.zones[entry.zone] += 1
@@ -109,7 +109,7 @@
             return
         service = self._services[name]
         entry = service.entries.pop(instance)
-        service.numbered.discard(instance)
+        service.id_set.discard(instance)
         self._begin_generation(service)
         _decrement(service.zones, entry.zone)
         self._put_models(service, instance, frozenset())
@@ -134,7 +134,7 @@
     def ids(self, service: ServiceName) -> Sequence[InstanceId]:
         """Returns the ids of a service's instances, in no order."""
         known = self._services.get(service)
-        return known.numbered.ids if known is not None else ()
+        return known.id_set.ids if known is not None else ()
 
     def holders(self, service: ServiceName, model: ModelName) -> Sequence[InstanceId]:
         """Returns the ids of those instances of which a version of a model is known."""
