--- a/src/larkpost/gateway/blackboard/directory.py
+++ b/src/larkpost/gateway/blackboard/directory.py
@@ -120,7 +120,7 @@
         self._store(info)
         self._current[info.name] = info.id
 
-    def remove(self, name: InstanceName, *, sound: bool) -> None:
+    def remove(self, name: InstanceName, *, store_healthy: bool) -> None:
         """Records that a server's entry is gone.
 
         Args:
@@ -130,7 +130,7 @@
         known = self.find_by_name(name)
         if known is None:
             return
-        if sound or known.state is InstanceState.LEAVING:
+        if store_healthy or known.state is InstanceState.LEAVING:
             self.forget(known.id)
         else:
             self._store(replace(known, state=InstanceState.UNLISTED))
--- a/tests/test_bounded_choice.py
+++ b/tests/test_bounded_choice.py
@@ -204,7 +204,7 @@
         async def play():
             scene = Scene(300, 30)
             for name in scene.subset:
-                scene.directory.remove(name, sound=True)
+                scene.directory.remove(name, store_healthy=True)
             self.assertTrue(scene.client_choice())
             for name in scene.subset:
                 self.assertIsNotNone(scene.directory.get(name))
@@ -306,7 +306,7 @@
             scene.directory.update(make_instance(far, zone=FAR_ZONE))
             work = replace(CLIENT_WORK, regions=frozenset({FAR}))
             self.assertEqual([far], [info.id for info in scene.balancer.candidates(PAGES, work)])
-            scene.directory.remove(far, sound=True)
+            scene.directory.remove(far, store_healthy=True)
             self.assertEqual([], scene.balancer.candidates(PAGES, work))
 
         run(play())
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -133,12 +133,12 @@
 
     def test_entry_that_is_gone_ends_the_incarnation_that_is_known(self) -> None:
         self.directory.update(SECOND)
-        self.directory.remove(NAME, sound=True)
+        self.directory.remove(NAME, store_healthy=True)
         self.assertEqual([SECOND.id], self.ended)
 
     def test_server_back_while_the_store_is_away(self) -> None:
         self.directory.update(FIRST)
-        self.directory.remove(NAME, sound=False)
+        self.directory.remove(NAME, store_healthy=False)
         self.assertEqual(InstanceState.UNLISTED, self.directory.get(FIRST.id).state)
         self.directory.update(SECOND)
         self.assertEqual([SECOND], list(self.directory.all()))
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -295,7 +295,7 @@
     def test_engines_vanish(self):
         lent = [name for names in self.divide(two_behind())[1].lent.values() for name in names]
         for engine in lent:
-            self.directory.remove(engine, sound=True)
+            self.directory.remove(engine, store_healthy=True)
         first = self.first_engines(two_behind())
         self.assertEqual(ENGINES - len(lent), sum(len(engines) for engines in first.values()))
         for engines in first.values():
--- a/tests/test_service_index.py
+++ b/tests/test_service_index.py
@@ -21,7 +21,7 @@
     name = rng.choice(NAMES)
     match rng.randrange(8):
         case 0:
-            directory.remove(name, sound=rng.random() < 0.5)
+            directory.remove(name, store_healthy=rng.random() < 0.5)
         case 1:
             directory.mark_replaced(name)
         case 2:
@@ -70,7 +70,7 @@
         for name in NAMES:
             directory.update(make_instance(name))
         directory.update(make_instance(NAMES[3], slots=9))
-        directory.remove(NAMES[5], sound=False)
+        directory.remove(NAMES[5], store_healthy=False)
         directory.update(make_instance(NAMES[5]))
         self.assertEqual(list(NAMES), [info.id for info in directory.of_service(SERVICES[0])])
 
@@ -82,7 +82,7 @@
             (lambda: directory.update(make_instance("s0", slots=9)), False),
             (lambda: directory.observe_version(InstanceId("s0"), MODELS[0], 4), False),
             (lambda: directory.update(make_instance("s1")), True),
-            (lambda: directory.remove("s0", sound=True), True),
+            (lambda: directory.remove("s0", store_healthy=True), True),
             (lambda: directory.update(make_instance("s2")), True),
         ):
             change_entry()
