--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -152,6 +152,6 @@
             fresh_connection=not is_repeatable,
             repeat_if_silent=is_repeatable,
             tenant=request.tenant,
-            send_within=self._balancer.placement.admit(instance.id, attempts.waiter.work),
+            send_timeout=self._balancer.placement.admit(instance.id, attempts.waiter.work),
             crash_limit=sys.maxsize if attempts.is_trial else CLIENT_CRASH_LIMIT,
         )
--- a/src/larkpost/gateway/rollouts/engine_run.py
+++ b/src/larkpost/gateway/rollouts/engine_run.py
@@ -88,7 +88,7 @@
         balancer = self._services.balancer
         request = self._request(run)
         within = balancer.placement.admit(run.engine.id, self._engines.items.work_of(run.item))
-        request = replace(request, send_within=within)
+        request = replace(request, send_timeout=within)
         async with self._services.servers.send(run.engine, request) as response:
             balancer.record_load(run.engine.id, response.load)
             balancer.record_cold(run.engine.id, response.cold_left)
--- a/src/larkpost/gateway/rollouts/reward_attempt.py
+++ b/src/larkpost/gateway/rollouts/reward_attempt.py
@@ -123,7 +123,7 @@
         """
         balancer = self._services.balancer
         within = balancer.placement.admit(server.id, self._work(call))
-        request = replace(_request(call, limit), send_within=within)
+        request = replace(_request(call, limit), send_timeout=within)
         with balancer.placed(server.id):
             async with (
                 asyncio.timeout(limit),
--- a/src/larkpost/gateway/servers/port.py
+++ b/src/larkpost/gateway/servers/port.py
@@ -52,7 +52,7 @@
     fresh_connection: bool = False
     repeat_if_silent: bool = False
     tenant: TenantName | None = None
-    send_within: float | None = None
+    send_timeout: float | None = None
     crash_limit: int = CLIENT_CRASH_LIMIT
 
 
--- a/src/larkpost/platform/servers.py
+++ b/src/larkpost/platform/servers.py
@@ -132,9 +132,9 @@
         self, session: aiohttp.ClientSession, instance: InstanceInfo, request: OutgoingRequest
     ) -> aiohttp.ClientResponse:
         """Sends a request; one that may be repeated again, once, if its connection goes silent."""
-        if not request.repeat_if_silent or request.send_within is not None:
+        if not request.repeat_if_silent or request.send_timeout is not None:
             # A send that is limited was counted once, so it is made once.
-            limits = CallLimits(connect=request.send_within, is_sent_once=True)
+            limits = CallLimits(connect=request.send_timeout, is_sent_once=True)
             return await send_once(session, instance, request, limits)
         began = steady_seconds()
         limits = CallLimits(ends_if_silent=True, is_sent_once=True)
--- a/tests/test_platform_servers.py
+++ b/tests/test_platform_servers.py
@@ -426,7 +426,7 @@
         async with ScriptedServer(whole(b"a", ECHO), whole(b"a", ECHO)) as server:
             with mock.patch.object(CheckedConnector, "_create_connection", freeze):
                 with self.assertRaises(NotRunError) as caught:
-                    await self.fetch(server, request(1, send_within=0.1))
+                    await self.fetch(server, request(1, send_timeout=0.1))
                 self.assertIs(NotRunReason.UNREACHABLE, caught.exception.reason)
                 await asyncio.sleep(0.05)
                 self.assertEqual([], server.heads)
