--- a/src/larkpost/gateway/usage/reporter.py
+++ b/src/larkpost/gateway/usage/reporter.py
@@ -30,7 +30,7 @@
 SETTLE_SECONDS = 3.5
 """Seconds from a window's end until its requests have ended and their daemons have been heard,
 besides the interval at which those save their counts."""
-SOUND_SECONDS = 2.0
+STORE_HEALTHY_SECONDS = 2.0
 """Seconds for which the store must have responded, so that daemons have saved what they held
 back."""
 DECISION_MARGIN_SECONDS = 2.0
@@ -72,7 +72,7 @@
         elapsed = now - (window + 1) * self.terms.window_length
         if elapsed >= self.terms.due_after - DECISION_MARGIN_SECONDS:
             return True
-        if self.store_healthy_for() < SOUND_SECONDS:
+        if self.store_healthy_for() < STORE_HEALTHY_SECONDS:
             return False
         return elapsed >= SETTLE_SECONDS + save_interval(alive)
 
