--- a/src/larkpost/gateway/usage/counter.py
+++ b/src/larkpost/gateway/usage/counter.py
@@ -29,13 +29,13 @@
     def __init__(self, true_time: TrueTime, window_length: float) -> None:
         self._true_time = true_time
         self._window_length = window_length
-        self._begun: list[_StartedRequest] = []
+        self._started: list[_StartedRequest] = []
         self._counts: dict[WindowNumber, Counter[TenantName]] = {}
         self._unsaved: set[WindowNumber] = set()
 
     def record_started(self, tenant: TenantName, at: float) -> None:
         """Records that a request of a tenant began to run at a steady time."""
-        self._begun.append(_StartedRequest(tenant, at))
+        self._started.append(_StartedRequest(tenant, at))
 
     def unsaved(self) -> dict[WindowNumber, TenantCounts]:
         """Returns the counts of all windows that have changed since they were saved.
@@ -53,13 +53,13 @@
 
     def _assign(self) -> None:
         """Counts each request in its window."""
-        if not self._begun or self._true_time.now() is None:
+        if not self._started or self._true_time.now() is None:
             return
-        for begun in self._begun:
+        for begun in self._started:
             window = WindowNumber(int(self._true_time.at(begun.at) // self._window_length))
             self._counts.setdefault(window, Counter())[begun.tenant] += 1
             self._unsaved.add(window)
-        self._begun.clear()
+        self._started.clear()
         for window in sorted(self._counts)[:-KEPT_WINDOWS]:
             del self._counts[window]
             self._unsaved.discard(window)
