--- a/src/larkpost/gateway/planned_stop.py
+++ b/src/larkpost/gateway/planned_stop.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
 
-LEAVE_SECONDS = 2.6
+DEREGISTRATION_SECONDS = 2.6
 """Seconds from the request to stop until no new connections are expected: readiness is asked for
 each second, and two responses must be missed."""
 KILL_MARGIN_SECONDS = 1.8
@@ -67,7 +67,7 @@
         self._log.record(Event.STOPPING, open_requests=self._lifecycle.open_requests)
         latest = began + max(POLL_SECONDS, self._grace_time - KILL_MARGIN_SECONDS)
         await self._hand_over(began + (latest - began) * HANDOVER_FRACTION)
-        await self._wait_for_responses(began + LEAVE_SECONDS, latest)
+        await self._wait_for_responses(began + DEREGISTRATION_SECONDS, latest)
         await self._steps.at_end()
         self._log.record(
             Event.STOP,
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -6,7 +6,7 @@
 from larkpost.common.addresses import split_address
 from larkpost.common.http_server import HttpServer
 from larkpost.common.ids import Address
-from larkpost.gateway.planned_stop import KILL_MARGIN_SECONDS, LEAVE_SECONDS
+from larkpost.gateway.planned_stop import DEREGISTRATION_SECONDS, KILL_MARGIN_SECONDS
 from tests.platform_fleet import PlatformFleet, make_batch
 from tests.virtual import run as run_virtual
 
@@ -38,7 +38,7 @@
             return fleet.clock.now() - began
 
         seconds = run_virtual(play())
-        self.assertGreater(seconds, LEAVE_SECONDS)
+        self.assertGreater(seconds, DEREGISTRATION_SECONDS)
         self.assertLess(seconds, GRACE_SECONDS - KILL_MARGIN_SECONDS + 1.0)
 
 
