--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -237,7 +237,10 @@
     async def drain(self) -> None:
         """Stops as planned: hands its work over and waits for the responses under way."""
         steps = ShutdownSteps(
-            at_once=(("leave", self.membership.leave), ("hand_over", self.keeper.hand_over)),
+            immediate_steps=(
+                ("leave", self.membership.leave),
+                ("hand_over", self.keeper.hand_over),
+            ),
             at_end=self.leased_controllers.save_final,
         )
         stop = GracefulShutdown(self.lifecycle, self._instruments, steps, self.settings.grace_time)
--- a/src/larkpost/gateway/planned_stop.py
+++ b/src/larkpost/gateway/planned_stop.py
@@ -36,7 +36,7 @@
         at_end: what is done once all responses are given.
     """
 
-    at_once: tuple[tuple[str, Step], ...]
+    immediate_steps: tuple[tuple[str, Step], ...]
     at_end: Step
 
 
@@ -77,7 +77,7 @@
 
     async def _hand_over(self, latest: float) -> None:
         """Carries out the first steps; what is not done in time is left."""
-        for name, step in self._steps.at_once:
+        for name, step in self._steps.immediate_steps:
             try:
                 async with asyncio.timeout(max(0.0, latest - self._clock.now())):
                     await step()
