--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -241,7 +241,7 @@
                 ("leave", self.membership.leave),
                 ("hand_over", self.keeper.hand_over),
             ),
-            at_end=self.leased_controllers.save_final,
+            final_step=self.leased_controllers.save_final,
         )
         stop = GracefulShutdown(self.lifecycle, self._instruments, steps, self.settings.grace_time)
         await stop.run()
--- a/src/larkpost/gateway/planned_stop.py
+++ b/src/larkpost/gateway/planned_stop.py
@@ -37,7 +37,7 @@
     """
 
     immediate_steps: tuple[tuple[str, Step], ...]
-    at_end: Step
+    final_step: Step
 
 
 class GracefulShutdown:
@@ -68,7 +68,7 @@
         latest = began + max(POLL_SECONDS, self._grace_time - KILL_MARGIN_SECONDS)
         await self._hand_over(began + (latest - began) * HANDOVER_FRACTION)
         await self._wait_for_responses(began + DEREGISTRATION_SECONDS, latest)
-        await self._steps.at_end()
+        await self._steps.final_step()
         self._log.record(
             Event.STOP,
             open_requests=self._lifecycle.open_requests,
