--- a/src/larkpost/gateway/assembly/membership.py
+++ b/src/larkpost/gateway/assembly/membership.py
@@ -7,7 +7,7 @@
 from larkpost.gateway.assembly.daemon_reports import DaemonReports
 from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
 from larkpost.gateway.assembly.loop_watch import EventLoopMonitor
-from larkpost.gateway.assembly.own_capacity import DaemonCapacity, capacity_of
+from larkpost.gateway.assembly.own_capacity import DaemonCapacity, machine_capacity
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.controllers.heartbeat_writer import OwnDaemon
 from larkpost.gateway.controllers.members import Membership
@@ -42,7 +42,7 @@
 def make_membership(inputs: MembershipInputs) -> Membership:
     """Returns the membership, whose heartbeats carry the daemon's use and report."""
     store, balancer, settings = inputs.ports.store, inputs.balancer, inputs.settings
-    most = capacity_of(settings.cores, settings.byte_budget)
+    most = machine_capacity(settings.cores, settings.byte_budget)
     capacity = DaemonCapacity(most, inputs.loop_watch, inputs.ports.clock)
     reports = DaemonReports(balancer.paces, inputs.ledger, inputs.keeper, capacity.now)
     own = OwnDaemon(
--- a/src/larkpost/gateway/assembly/own_capacity.py
+++ b/src/larkpost/gateway/assembly/own_capacity.py
@@ -14,7 +14,7 @@
 """For so long it stays so: shorter, and duties would come and go with each late turn."""
 
 
-def capacity_of(cores: float | None, byte_budget: int | None) -> float | None:
+def machine_capacity(cores: float | None, byte_budget: int | None) -> float | None:
     """Returns a machine's capacity in cores, as far as its memory lets them be used.
 
     Args:
--- a/tests/test_uneven_machines.py
+++ b/tests/test_uneven_machines.py
@@ -18,7 +18,7 @@
     LATE_SECONDS,
     LATE_SHARE,
     DaemonCapacity,
-    capacity_of,
+    machine_capacity,
 )
 from larkpost.gateway.blackboard.daemon_report import DaemonReport
 from larkpost.gateway.blackboard.regions import RegionMap
@@ -158,7 +158,7 @@
             (2.15, 552 * MB, 2.15),
         ):
             with self.subTest(cores=cores, memory=memory):
-                self.assertEqual(expected, capacity_of(cores, byte_budget_for(memory)))
+                self.assertEqual(expected, machine_capacity(cores, byte_budget_for(memory)))
 
     def test_daemon_whose_loop_is_late_reports_less_for_a_while(self):
         clock = LateClock()
