--- a/src/larkpost/gateway/assembly/own_capacity.py
+++ b/src/larkpost/gateway/assembly/own_capacity.py
@@ -8,7 +8,7 @@
 
 BYTES_PER_CORE = 100_000_000
 """A machine whose budget of bytes is smaller than this for each core cannot use all of them."""
-LATE_SHARE = 0.25
+LATE_CAPACITY_FRACTION = 0.25
 """What is left of the capacity of a daemon whose loop was late."""
 LATE_SECONDS = 10.0
 """For so long it stays so: shorter, and duties would come and go with each late turn."""
@@ -44,4 +44,4 @@
         if self._most is None:
             return None
         is_late = self._clock.now() - self._loop_watch.late_at < LATE_SECONDS
-        return round(self._most * LATE_SHARE, 3) if is_late else self._most
+        return round(self._most * LATE_CAPACITY_FRACTION, 3) if is_late else self._most
--- a/tests/test_uneven_machines.py
+++ b/tests/test_uneven_machines.py
@@ -15,8 +15,8 @@
 from larkpost.common.tasks import TaskSet, UnreportedFailures
 from larkpost.gateway.assembly.loop_watch import LATE_LOOP_SECONDS, EventLoopMonitor
 from larkpost.gateway.assembly.own_capacity import (
+    LATE_CAPACITY_FRACTION,
     LATE_SECONDS,
-    LATE_SHARE,
     DaemonCapacity,
     machine_capacity,
 )
@@ -174,7 +174,7 @@
             tasks.cancel_all()
 
         virtual.run(measure())
-        self.assertEqual(2.0 * LATE_SHARE, capacity.now())
+        self.assertEqual(2.0 * LATE_CAPACITY_FRACTION, capacity.now())
         clock.time += LATE_SECONDS
         self.assertEqual(2.0, capacity.now())
 
