--- a/src/larkpost/gateway/observability/explain.py
+++ b/src/larkpost/gateway/observability/explain.py
@@ -31,7 +31,7 @@
     event: str
     fields: dict[str, Any]
 
-    def names(self, wanted: str) -> bool:
+    def mentions(self, wanted: str) -> bool:
         """Returns whether the line names an id, alone or in a list.
 
         A server's name stands for all its incarnations.
@@ -67,7 +67,7 @@
 def explain(lines: Iterable[str], wanted: str) -> list[str]:
     """Returns the story of an id, a line for each event, and what is missing from it."""
     parsed = list(read_lines(lines))
-    story = [line for line in parsed if line.names(wanted)]
+    story = [line for line in parsed if line.mentions(wanted)]
     batches = {line.fields["batch"] for line in story if "batch" in line.fields} - {wanted}
     story.extend(
         line
