--- a/src/larkpost/gateway/memory/daemon_memory.py
+++ b/src/larkpost/gateway/memory/daemon_memory.py
@@ -11,7 +11,7 @@
 from larkpost.common.clock import LoopClock
 from larkpost.gateway.memory.budget import ByteBudget, Purpose, Reservation
 from larkpost.gateway.memory.delivery import ClientConnection, Delivery
-from larkpost.gateway.memory.slow_readers import slowest_client
+from larkpost.gateway.memory.slow_clients import slowest_client
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.observability.metrics import Count, GaugeName
--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -8,7 +8,7 @@
 
 from larkpost.common.clock import Clock
 from larkpost.common.errors import LarkpostError, Ran
-from larkpost.gateway.memory.slow_readers import STALLED_SECONDS, ReadRate
+from larkpost.gateway.memory.slow_clients import STALLED_SECONDS, ReadRate
 
 POLL_SECONDS = 0.25
 """Between two looks at whether a client that does not keep up has taken anything."""
--- a/src/larkpost/platform/client_call.py
+++ b/src/larkpost/platform/client_call.py
@@ -8,7 +8,7 @@
 from larkpost.gateway.memory.budget import SMALL_BODY_BYTES, Purpose
 from larkpost.gateway.memory.daemon_memory import RequestMemory
 from larkpost.gateway.memory.delivery import ClientConnection
-from larkpost.gateway.memory.slow_readers import STALLED_SECONDS
+from larkpost.gateway.memory.slow_clients import STALLED_SECONDS
 from larkpost.gateway.proxy.admission import Admitted
 from larkpost.gateway.proxy.request import ClientRequest
 from larkpost.gateway.servers.port import Headers
--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -20,7 +20,7 @@
 )
 from larkpost.gateway.memory.daemon_memory import DaemonMemory, unlimited_memory
 from larkpost.gateway.memory.sizing import MIN_BUDGET_BYTES, RESERVED_BYTES, byte_budget_for
-from larkpost.gateway.memory.slow_readers import MIN_SLOW_SECONDS, ReadRate, slowest_client
+from larkpost.gateway.memory.slow_clients import MIN_SLOW_SECONDS, ReadRate, slowest_client
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.proxy.attempts import Attempts
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -19,7 +19,7 @@
 from larkpost.gateway.memory.daemon_memory import DaemonMemory, DisconnectReason
 from larkpost.gateway.memory.delivery import Delivery, SlowClientError
 from larkpost.gateway.memory.read_ahead import MAX_PAUSED_READ_SECONDS, BufferedBody, read_ahead
-from larkpost.gateway.memory.slow_readers import MIN_SLOW_SECONDS, STALLED_SECONDS
+from larkpost.gateway.memory.slow_clients import MIN_SLOW_SECONDS, STALLED_SECONDS
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.servers.port import BrokenResponseError
