--- a/src/larkpost/gateway/controllers/heartbeat.py
+++ b/src/larkpost/gateway/controllers/heartbeat.py
@@ -9,7 +9,7 @@
 from larkpost.common.ids import Address, DaemonId, InstanceName, ZoneId
 from larkpost.common.incarnations import instance_id, split_instance_id
 from larkpost.gateway.blackboard.daemon_report import DaemonReport
-from larkpost.gateway.blackboard.use_summary import InstanceUsage
+from larkpost.gateway.blackboard.instance_usage import InstanceUsage
 from larkpost.gateway.controllers.report_codec import read_report, report_fields
 
 INCARNATION_SEPARATOR = "/"
--- a/src/larkpost/gateway/controllers/heartbeat_list.py
+++ b/src/larkpost/gateway/controllers/heartbeat_list.py
@@ -10,7 +10,7 @@
 from larkpost.common.clock import Clock
 from larkpost.common.ids import DaemonId
 from larkpost.gateway.blackboard.daemon_report import DaemonReport
-from larkpost.gateway.blackboard.use_summary import InstanceUsage
+from larkpost.gateway.blackboard.instance_usage import InstanceUsage
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.store.port import Row, RowKey, Store, StoreUnavailableError, read_all
--- a/src/larkpost/gateway/controllers/heartbeat_writer.py
+++ b/src/larkpost/gateway/controllers/heartbeat_writer.py
@@ -9,8 +9,8 @@
 from larkpost.common.clock import Clock
 from larkpost.common.ids import Address, DaemonId, InstanceId
 from larkpost.gateway.blackboard.daemon_report import DaemonReport
+from larkpost.gateway.blackboard.instance_usage import InstanceUsage
 from larkpost.gateway.blackboard.regions import RegionMap
-from larkpost.gateway.blackboard.use_summary import InstanceUsage
 from larkpost.gateway.controllers.fleet_view import FleetView
 from larkpost.gateway.controllers.heartbeat import Heartbeat, encode_heartbeat
 from larkpost.gateway.controllers.heartbeat_intervals import (
--- a/src/larkpost/gateway/controllers/members.py
+++ b/src/larkpost/gateway/controllers/members.py
@@ -13,8 +13,8 @@
 from larkpost.common.ids import DaemonId
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.blackboard.daemon_report import DaemonReport
+from larkpost.gateway.blackboard.instance_usage import InstanceUsage
 from larkpost.gateway.blackboard.regions import RegionMap
-from larkpost.gateway.blackboard.use_summary import InstanceUsage
 from larkpost.gateway.controllers.fleet_view import FleetView
 from larkpost.gateway.controllers.heartbeat import machine_of
 from larkpost.gateway.controllers.heartbeat_intervals import (
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -18,8 +18,8 @@
 from larkpost.common.ids import DaemonId, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ServiceName
 from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceInfo
+from larkpost.gateway.blackboard.instance_usage import InstanceUsage
 from larkpost.gateway.blackboard.regions import RegionMap
-from larkpost.gateway.blackboard.use_summary import InstanceUsage
 from larkpost.gateway.placement.cold_rule import ColdRule
 from larkpost.gateway.placement.rules import Placement
 from larkpost.gateway.placement.verdict import Verdict
--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -9,7 +9,7 @@
 from larkpost.common.clock import Clock
 from larkpost.common.ids import InstanceId, ZoneId
 from larkpost.gateway.blackboard.directory import InstanceDirectory
-from larkpost.gateway.blackboard.use_summary import InstanceUsage
+from larkpost.gateway.blackboard.instance_usage import InstanceUsage
 from larkpost.gateway.proxy.lasting_pace import PaceHistory
 from larkpost.gateway.proxy.slowness import SaidSlowness
 from larkpost.gateway.servers.port import ServerLoad
--- a/src/larkpost/gateway/proxy/peer_use.py
+++ b/src/larkpost/gateway/proxy/peer_use.py
@@ -4,7 +4,7 @@
 
 from larkpost.common.clock import Clock
 from larkpost.common.ids import DaemonId, InstanceId
-from larkpost.gateway.blackboard.use_summary import InstanceUsage
+from larkpost.gateway.blackboard.instance_usage import InstanceUsage
 from larkpost.gateway.proxy.instance_use import FORGET_SECONDS
 
 PEER_LIFETIME_SECONDS = 1.2
