--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -30,11 +30,11 @@
 from larkpost.gateway.controllers.lending_record import LendingRecord
 from larkpost.gateway.controllers.true_time import TrueTime
 from larkpost.gateway.fairness.ledger import FlowLedger
+from larkpost.gateway.graceful_shutdown import GracefulShutdown, ShutdownSteps
 from larkpost.gateway.memory.daemon_memory import DaemonMemory
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.placement.cold_rule import POLL_SECONDS
-from larkpost.gateway.planned_stop import GracefulShutdown, ShutdownSteps
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.quarantine.crash_writer import CrashWriter
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -6,7 +6,7 @@
 from larkpost.common.addresses import split_address
 from larkpost.common.http_server import HttpServer
 from larkpost.common.ids import Address
-from larkpost.gateway.planned_stop import DEREGISTRATION_SECONDS, KILL_MARGIN_SECONDS
+from larkpost.gateway.graceful_shutdown import DEREGISTRATION_SECONDS, KILL_MARGIN_SECONDS
 from tests.platform_fleet import PlatformFleet, make_batch
 from tests.virtual import run as run_virtual
 
