--- a/src/larkpost/gateway/assembly/gauges.py
+++ b/src/larkpost/gateway/assembly/gauges.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from larkpost.gateway.assembly.loop_watch import EventLoopMonitor
+from larkpost.gateway.assembly.loop_monitor import EventLoopMonitor
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
 from larkpost.gateway.controllers.feeds import Feeds
--- a/src/larkpost/gateway/assembly/own_capacity.py
+++ b/src/larkpost/gateway/assembly/own_capacity.py
@@ -4,7 +4,7 @@
 """
 
 from larkpost.common.clock import Clock
-from larkpost.gateway.assembly.loop_watch import EventLoopMonitor
+from larkpost.gateway.assembly.loop_monitor import EventLoopMonitor
 
 BYTES_PER_CORE = 100_000_000
 """A machine whose budget of bytes is smaller than this for each core cannot use all of them."""
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -20,7 +20,7 @@
 from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
 from larkpost.gateway.assembly.gauges import Gauges
 from larkpost.gateway.assembly.leased_controllers import ControllerInputs, LeasedControllers
-from larkpost.gateway.assembly.loop_watch import EventLoopMonitor
+from larkpost.gateway.assembly.loop_monitor import EventLoopMonitor
 from larkpost.gateway.assembly.membership import MembershipInputs, make_membership
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
--- a/tests/test_uneven_machines.py
+++ b/tests/test_uneven_machines.py
@@ -13,7 +13,7 @@
 from larkpost.common.hashing import hash64
 from larkpost.common.ids import DaemonId
 from larkpost.common.tasks import TaskSet, UnreportedFailures
-from larkpost.gateway.assembly.loop_watch import LATE_LOOP_SECONDS, EventLoopMonitor
+from larkpost.gateway.assembly.loop_monitor import LATE_LOOP_SECONDS, EventLoopMonitor
 from larkpost.gateway.assembly.own_capacity import (
     LATE_CAPACITY_FRACTION,
     LATE_SECONDS,
