--- a/src/larkpost/gateway/assembly/membership.py
+++ b/src/larkpost/gateway/assembly/membership.py
@@ -4,10 +4,10 @@
 from dataclasses import dataclass
 
 from larkpost.common.ids import DaemonId
+from larkpost.gateway.assembly.daemon_capacity import DaemonCapacity, machine_capacity
 from larkpost.gateway.assembly.daemon_reports import DaemonReports
 from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
 from larkpost.gateway.assembly.loop_monitor import EventLoopMonitor
-from larkpost.gateway.assembly.own_capacity import DaemonCapacity, machine_capacity
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.controllers.heartbeat_writer import OwnDaemon
 from larkpost.gateway.controllers.members import Membership
--- a/tests/test_uneven_machines.py
+++ b/tests/test_uneven_machines.py
@@ -13,13 +13,13 @@
 from larkpost.common.hashing import hash64
 from larkpost.common.ids import DaemonId
 from larkpost.common.tasks import TaskSet, UnreportedFailures
-from larkpost.gateway.assembly.loop_monitor import LATE_LOOP_SECONDS, EventLoopMonitor
-from larkpost.gateway.assembly.own_capacity import (
+from larkpost.gateway.assembly.daemon_capacity import (
     LATE_CAPACITY_FRACTION,
     LATE_SECONDS,
     DaemonCapacity,
     machine_capacity,
 )
+from larkpost.gateway.assembly.loop_monitor import LATE_LOOP_SECONDS, EventLoopMonitor
 from larkpost.gateway.blackboard.daemon_report import DaemonReport
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.controllers import coordinators
