--- a/src/larkpost/gateway/assembly/daemon_capacity.py
+++ b/src/larkpost/gateway/assembly/daemon_capacity.py
@@ -34,9 +34,11 @@
         most: while it keeps up; None if that is not known.
     """
 
-    def __init__(self, most: float | None, loop_watch: EventLoopMonitor, clock: Clock) -> None:
+    def __init__(
+        self, most: float | None, event_loop_monitor: EventLoopMonitor, clock: Clock
+    ) -> None:
         self._most = most
-        self._loop_monitor = loop_watch
+        self._loop_monitor = event_loop_monitor
         self._clock = clock
 
     def now(self) -> float | None:
--- a/src/larkpost/gateway/assembly/gauges.py
+++ b/src/larkpost/gateway/assembly/gauges.py
@@ -31,7 +31,7 @@
     balancer: Balancer
     cold: ColdRule
     keeper: BatchKeeper
-    loop_watch: EventLoopMonitor
+    event_loop_monitor: EventLoopMonitor
     relay: RelayedStore | None
     memory: DaemonMemory
 
@@ -83,4 +83,4 @@
         metrics.set(GaugeName.ITEMS_RUNNING, sum(batch.running for batch in owned))
         metrics.set(GaugeName.REWARDS_WAITING, sum(batch.unscored for batch in owned))
         metrics.set(GaugeName.RESULTS_WAITING, sum(batch.waiting for batch in owned))
-        metrics.set(GaugeName.LOOP_LAG, self.loop_watch.take_max_lag())
+        metrics.set(GaugeName.LOOP_LAG, self.event_loop_monitor.take_max_lag())
--- a/src/larkpost/gateway/assembly/membership.py
+++ b/src/larkpost/gateway/assembly/membership.py
@@ -36,14 +36,14 @@
     balancer: Balancer
     ledger: FlowLedger
     keeper: Callable[[], BatchKeeper]
-    loop_watch: EventLoopMonitor
+    event_loop_monitor: EventLoopMonitor
 
 
 def make_membership(inputs: MembershipInputs) -> Membership:
     """Returns the membership, whose heartbeats carry the daemon's use and report."""
     store, balancer, settings = inputs.ports.store, inputs.balancer, inputs.settings
     most = machine_capacity(settings.cores, settings.byte_budget)
-    capacity = DaemonCapacity(most, inputs.loop_watch, inputs.ports.clock)
+    capacity = DaemonCapacity(most, inputs.event_loop_monitor, inputs.ports.clock)
     reports = DaemonReports(balancer.paces, inputs.ledger, inputs.keeper, capacity.now)
     own = OwnDaemon(
         inputs.daemon,
