--- a/src/larkpost/gateway/assembly/daemon_capacity.py
+++ b/src/larkpost/gateway/assembly/daemon_capacity.py
@@ -38,12 +38,12 @@
         self, most: float | None, event_loop_monitor: EventLoopMonitor, clock: Clock
     ) -> None:
         self._most = most
-        self._loop_monitor = event_loop_monitor
+        self._event_loop_monitor = event_loop_monitor
         self._clock = clock
 
     def now(self) -> float | None:
         """Returns the capacity; None if it is not known."""
         if self._most is None:
             return None
-        is_late = self._clock.now() - self._loop_monitor.late_at < LATE_SECONDS
+        is_late = self._clock.now() - self._event_loop_monitor.late_at < LATE_SECONDS
         return round(self._most * LATE_CAPACITY_FRACTION, 3) if is_late else self._most
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -74,7 +74,7 @@
         self._log = ports.log
         self._instruments = Instruments(ports.clock, ports.log, ports.metrics)
         self._tasks = TaskSet(ports.clock, UnreportedFailures())
-        self._loop_monitor = EventLoopMonitor(ports.clock, ports.log)
+        self._event_loop_monitor = EventLoopMonitor(ports.clock, ports.log)
         self.lifecycle = Lifecycle()
         self.blackboard = Blackboard(settings.regions)
         self.configuration = self.blackboard.configuration
@@ -110,7 +110,7 @@
                 self.balancer,
                 self._ledger,
                 lambda: self.keeper,
-                self._loop_monitor,
+                self._event_loop_monitor,
             )
         )
         self.true_time = TrueTime(self._clock, ports.store.time, self.membership.clock_offsets)
@@ -214,7 +214,7 @@
             self.balancer,
             self.cold,
             self.keeper,
-            self._loop_monitor,
+            self._event_loop_monitor,
             self._ports.relay,
             self.memory,
         )
@@ -232,7 +232,7 @@
         if self.settings.cold is not None:
             self._tasks.every(POLL_SECONDS, self.cold.poll, "cold")
         self._tasks.spawn(self._become_ready(), "readiness")
-        self._loop_monitor.start(self._tasks)
+        self._event_loop_monitor.start(self._tasks)
 
     async def drain(self) -> None:
         """Stops as planned: hands its work over and waits for the responses under way."""
