--- a/src/larkpost/gateway/controllers/row_intake.py
+++ b/src/larkpost/gateway/controllers/row_intake.py
@@ -156,7 +156,7 @@
         self._unnamed.pop(name, None)
         if row.removed:
             sound = self._trust.is_removal_believed()
-            self._directory.remove(name, sound=sound)
+            self._directory.remove(name, store_healthy=sound)
             self._log.record(Event.INSTANCE, instance=name, state="gone", sound=sound)
             return
         try:
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -214,7 +214,9 @@
     """Sends a write without an answer again by way of a peer."""
     from larkpost.gateway.store import relay
 
-    return mock.patch.object(relay, "REFUSED", (*relay.REFUSED, WriteOutcome.UNKNOWN))
+    return mock.patch.object(
+        relay, "REFUSED_OUTCOMES", (*relay.REFUSED_OUTCOMES, WriteOutcome.UNKNOWN)
+    )
 
 
 def keep_one_row_of_an_output():
@@ -241,7 +243,7 @@
     """Asks a peer that did not answer again at once."""
     from larkpost.gateway.store import peers
 
-    return mock.patch.object(peers, "PEER_REST_SECONDS", 0.0)
+    return mock.patch.object(peers, "PEER_COOLDOWN_SECONDS", 0.0)
 
 
 def keep_connections_of_nameless_refusals():
@@ -283,7 +285,7 @@
     """Lets every tenant see every batch."""
     from larkpost.gateway.blackboard.tenants import Caller
 
-    return mock.patch.object(Caller, "may_see", lambda *_: True)
+    return mock.patch.object(Caller, "can_read", lambda *_: True)
 
 
 def refuse_for_good_by_old_configurations():
@@ -528,7 +530,7 @@
     """Cuts no client, however slowly it takes its answer."""
     from larkpost.gateway.memory import daemon_memory
 
-    return mock.patch.object(daemon_memory, "slowest_reader", lambda _: None)
+    return mock.patch.object(daemon_memory, "slowest_client", lambda _: None)
 
 
 def ignore_the_start():
