--- a/src/larkpost/gateway/blackboard/weight_targets.py
+++ b/src/larkpost/gateway/blackboard/weight_targets.py
@@ -98,7 +98,7 @@
     work: int = 0
     open: bool = False
     has_earlier_open: bool = False
-    asked_after: float | None = None
+    submit_delay: float | None = None
     asked_at: int = 0
     min_submit_delay: float | None = None
     deadline_forecast: DeadlineForecast = DeadlineForecast.UNKNOWN
--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -99,7 +99,7 @@
     asked with this version is here, and no batch before it is open whose end the next version
     waits for.
     """
-    waits = demand.asked_after is not None and demand.asked_after < WAITED_SECONDS
+    waits = demand.submit_delay is not None and demand.submit_delay < WAITED_SECONDS
     return waits and demand.asked_at == version and not demand.has_earlier_open
 
 
@@ -223,7 +223,7 @@
     if not demand.open:
         return elapsed - FIRST_SECONDS
     if is_urgent(demand, inputs.targets.version(model)) and not demand.waiting:
-        return elapsed - (demand.asked_after or 0.0) - URGENT_FIRST_SECONDS
+        return elapsed - (demand.submit_delay or 0.0) - URGENT_FIRST_SECONDS
     return elapsed - BUSY_FIRST_SECONDS
 
 
--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -66,7 +66,7 @@
     """
     if demand.deadline_forecast is DeadlineForecast.HOPELESS:
         return Standing.LENDS  # what can't be in time comes after what can
-    if demand.asked_after is not None and demand.asked_after < WAITED_SECONDS:
+    if demand.submit_delay is not None and demand.submit_delay < WAITED_SECONDS:
         return Standing.BORROWS
     has_leisure = demand.min_submit_delay is not None and demand.min_submit_delay >= LEISURE_SECONDS
     return Standing.LENDS if has_leisure else Standing.NEITHER
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -42,13 +42,13 @@
 """Events that a step of each model takes: items of 12 events on average, and of 21."""
 
 
-def demand(model: ModelName, asked_after: float | None, **others) -> ModelDemand:
+def demand(model: ModelName, submit_delay: float | None, **others) -> ModelDemand:
     """Returns what a model's batches ask for, so long after their versions."""
     return ModelDemand(
         WORKS[model],
         open=True,
-        asked_after=asked_after,
-        min_submit_delay=asked_after,
+        submit_delay=submit_delay,
+        min_submit_delay=submit_delay,
         **others,
     )
 
@@ -75,7 +75,7 @@
             ("neither waits nor has time", demand(LONG, 1.0), Standing.NEITHER),
             (
                 "had none a step ago",
-                ModelDemand(9, open=True, asked_after=spare, min_submit_delay=0.1),
+                ModelDemand(9, open=True, submit_delay=spare, min_submit_delay=0.1),
                 Standing.NEITHER,
             ),
             (
--- a/tests/test_load_timing.py
+++ b/tests/test_load_timing.py
@@ -36,13 +36,13 @@
 from tests.virtual import run
 
 NAMED_AT = 10.0
-WAITS = ModelDemand(100, open=True, asked_after=0.02, asked_at=2)
+WAITS = ModelDemand(100, open=True, submit_delay=0.02, asked_at=2)
 """The newest batch came with its version, and no earlier one is open."""
 CASES = (
     ("nothing is known", ModelDemand(), False),
     ("came with its version, no earlier batch is open", WAITS, True),
     ("an earlier batch is open", replace(WAITS, has_earlier_open=True), False),
-    ("came long after its version", replace(WAITS, asked_after=WAITED_SECONDS), False),
+    ("came long after its version", replace(WAITS, submit_delay=WAITED_SECONDS), False),
     ("when it came is not known", ModelDemand(100, open=True), False),
     ("the version is newer: its batch is still to come", replace(WAITS, asked_at=1), False),
 )
@@ -65,9 +65,9 @@
                 self.assertIs(expected, is_urgent(demand, 2))
 
     def test_engines_load_together_once_the_items_have_found_their_places(self):
-        for asked_after in (0.02, 0.4):
-            demands = {FIRST: replace(WAITS, asked_after=asked_after)}
-            due_at = asked_after + URGENT_FIRST_SECONDS
+        for submit_delay in (0.02, 0.4):
+            demands = {FIRST: replace(WAITS, submit_delay=submit_delay)}
+            due_at = submit_delay + URGENT_FIRST_SECONDS
             self.assertEqual(0, self.due(demands, due_at - 0.1))
             self.assertEqual(6, self.due(demands, due_at + 0.1))
 
@@ -96,7 +96,7 @@
         self.assertEqual(0, self.due(before, BUSY_FIRST_SECONDS - 0.1))
 
     def test_engines_load_in_turns_while_there_is_time(self):
-        at_leisure = {FIRST: ModelDemand(100, open=True, asked_after=2.7)}
+        at_leisure = {FIRST: ModelDemand(100, open=True, submit_delay=2.7)}
         self.assertEqual(0, self.due(at_leisure, BUSY_FIRST_SECONDS - 0.1))
         self.assertEqual(3, self.due(at_leisure, BUSY_FIRST_SECONDS + 0.1))
         self.assertEqual(3, self.due(at_leisure, BUSY_FIRST_SECONDS + GROUP_SECONDS + 0.1))
@@ -159,9 +159,9 @@
             with self.subTest(name):
                 demand = self.demand(*batches)
                 self.assertEqual(expected, (demand.open, demand.has_earlier_open))
-                work, asked_after, asked_at, least = _figures(demand)
+                work, submit_delay, asked_at, least = _figures(demand)
                 self.assertEqual((100, 2), (work, asked_at))
-                self.assertAlmostEqual(0.05, asked_after)
+                self.assertAlmostEqual(0.05, submit_delay)
                 self.assertAlmostEqual(0.05, least)
 
     def test_work_is_averaged_so_that_single_batches_move_no_engines(self):
@@ -180,7 +180,7 @@
 
     def test_daemons_that_learn_of_a_batch_later_know_the_same(self):
         for self.age in (0.0, 0.1, 0.6):
-            self.assertAlmostEqual(0.05, self.demand(("a", 1.0, False)).asked_after)
+            self.assertAlmostEqual(0.05, self.demand(("a", 1.0, False)).submit_delay)
 
     def test_naming_that_was_not_seen_is_unknown(self):
         cases = (
@@ -199,11 +199,11 @@
 
     def test_a_batch_that_is_no_news_tells_nothing(self):
         for self.age in (None, FRESH_SECONDS + 0.1):
-            self.assertIsNone(self.demand(("a", 1.0, False)).asked_after)
+            self.assertIsNone(self.demand(("a", 1.0, False)).submit_delay)
 
 
 def _figures(demand: ModelDemand) -> tuple[int, float | None, int, float | None]:
-    return demand.work, demand.asked_after, demand.asked_at, demand.min_submit_delay
+    return demand.work, demand.submit_delay, demand.asked_at, demand.min_submit_delay
 
 
 if __name__ == "__main__":
--- a/tests/test_yielding.py
+++ b/tests/test_yielding.py
@@ -11,8 +11,8 @@
 from tests.virtual import run
 
 OTHER = ModelName("other")
-SHORT_OF_TIME = ModelDemand(100, open=True, asked_after=0.02, waiting=5)
-AT_LEISURE = ModelDemand(100, open=True, asked_after=3.0, min_submit_delay=3.0)
+SHORT_OF_TIME = ModelDemand(100, open=True, submit_delay=0.02, waiting=5)
+AT_LEISURE = ModelDemand(100, open=True, submit_delay=3.0, min_submit_delay=3.0)
 
 
 class YieldingTest(unittest.TestCase):
