--- a/src/larkpost/gateway/blackboard/weight_targets.py
+++ b/src/larkpost/gateway/blackboard/weight_targets.py
@@ -99,7 +99,7 @@
     open: bool = False
     has_earlier_open: bool = False
     submit_delay: float | None = None
-    asked_at: int = 0
+    submit_version: int = 0
     min_submit_delay: float | None = None
     deadline_forecast: DeadlineForecast = DeadlineForecast.UNKNOWN
     waiting: int = 0
--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -100,7 +100,7 @@
     waits for.
     """
     waits = demand.submit_delay is not None and demand.submit_delay < WAITED_SECONDS
-    return waits and demand.asked_at == version and not demand.has_earlier_open
+    return waits and demand.submit_version == version and not demand.has_earlier_open
 
 
 def share_out(service: Service, inputs: LoadInputs) -> Shares:
--- a/tests/test_load_timing.py
+++ b/tests/test_load_timing.py
@@ -36,7 +36,7 @@
 from tests.virtual import run
 
 NAMED_AT = 10.0
-WAITS = ModelDemand(100, open=True, submit_delay=0.02, asked_at=2)
+WAITS = ModelDemand(100, open=True, submit_delay=0.02, submit_version=2)
 """The newest batch came with its version, and no earlier one is open."""
 CASES = (
     ("nothing is known", ModelDemand(), False),
@@ -44,7 +44,7 @@
     ("an earlier batch is open", replace(WAITS, has_earlier_open=True), False),
     ("came long after its version", replace(WAITS, submit_delay=WAITED_SECONDS), False),
     ("when it came is not known", ModelDemand(100, open=True), False),
-    ("the version is newer: its batch is still to come", replace(WAITS, asked_at=1), False),
+    ("the version is newer: its batch is still to come", replace(WAITS, submit_version=1), False),
 )
 
 
@@ -92,7 +92,7 @@
         self.assertEqual(6, self.due(waiting, BUSY_FIRST_SECONDS + 0.1))
 
     def test_engines_serve_the_batch_that_comes_with_the_version(self):
-        before = {FIRST: replace(WAITS, asked_at=1)}
+        before = {FIRST: replace(WAITS, submit_version=1)}
         self.assertEqual(0, self.due(before, BUSY_FIRST_SECONDS - 0.1))
 
     def test_engines_load_in_turns_while_there_is_time(self):
@@ -159,8 +159,8 @@
             with self.subTest(name):
                 demand = self.demand(*batches)
                 self.assertEqual(expected, (demand.open, demand.has_earlier_open))
-                work, submit_delay, asked_at, least = _figures(demand)
-                self.assertEqual((100, 2), (work, asked_at))
+                work, submit_delay, submit_version, least = _figures(demand)
+                self.assertEqual((100, 2), (work, submit_version))
                 self.assertAlmostEqual(0.05, submit_delay)
                 self.assertAlmostEqual(0.05, least)
 
@@ -203,7 +203,7 @@
 
 
 def _figures(demand: ModelDemand) -> tuple[int, float | None, int, float | None]:
-    return demand.work, demand.submit_delay, demand.asked_at, demand.min_submit_delay
+    return demand.work, demand.submit_delay, demand.submit_version, demand.min_submit_delay
 
 
 if __name__ == "__main__":
