--- a/src/larkpost/gateway/controllers/lending_record.py
+++ b/src/larkpost/gateway/controllers/lending_record.py
@@ -37,5 +37,5 @@
             lent={model: engines[:MAX_NAMED] for model, engines in lending.lent.items()},
             standings={model: standing_of(demand) for model, demand in known.items()},
             outlooks={model: demand.deadline_forecast for model, demand in known.items()},
-            asked_after={model: demand.asked_after for model, demand in known.items()},
+            asked_after={model: demand.submit_delay for model, demand in known.items()},
         )
--- a/src/larkpost/gateway/rollouts/known_heads.py
+++ b/src/larkpost/gateway/rollouts/known_heads.py
@@ -132,7 +132,7 @@
         round(fmean(known.head.work for known in newest_first)),
         open=bool(running),
         has_earlier_open=any(known is not newest for known in running),
-        asked_after=naming.seconds if naming is not None else None,
-        asked_at=naming.version if naming is not None else 0,
+        submit_delay=naming.seconds if naming is not None else None,
+        submit_version=naming.version if naming is not None else 0,
         min_submit_delay=min((known.seconds for known in namings), default=None),
     )
--- a/tests/test_lending_record.py
+++ b/tests/test_lending_record.py
@@ -14,7 +14,7 @@
 
 LENT = Lending({FIRST: [InstanceId("e1")]})
 DEMANDS = {
-    FIRST: ModelDemand(9, open=True, asked_after=0.1, deadline_forecast=DeadlineForecast.TIGHT)
+    FIRST: ModelDemand(9, open=True, submit_delay=0.1, deadline_forecast=DeadlineForecast.TIGHT)
 }
 
 
