--- a/src/larkpost/gateway/assembly/gauges.py
+++ b/src/larkpost/gateway/assembly/gauges.py
@@ -8,7 +8,7 @@
 from larkpost.gateway.controllers.feeds import Feeds
 from larkpost.gateway.controllers.members import Membership
 from larkpost.gateway.memory.daemon_memory import DaemonMemory
-from larkpost.gateway.observability.metrics import GaugeName, Metrics
+from larkpost.gateway.observability.metrics import Level, Metrics
 from larkpost.gateway.placement.cold_rule import ColdRule
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.rollouts.keeper import BatchKeeper
@@ -47,40 +47,40 @@
         """Sets the gauges of the configuration, the feeds and the crashes."""
         metrics, blackboard = self.metrics, self.blackboard
         current = blackboard.configuration.current
-        metrics.set(GaugeName.CONFIGURATION_VERSION, current.version if current is not None else 0)
+        metrics.set(Level.CONFIGURATION_VERSION, current.version if current is not None else 0)
         for name, age in self.feeds.ages().items():
-            metrics.set(GaugeName.FEED_AGE, age, name)
-        metrics.set(GaugeName.QUARANTINED, blackboard.crashes.count_quarantined())
-        metrics.set(GaugeName.CRASHES_KNOWN, len(blackboard.crashes))
+            metrics.set(Level.FEED_AGE, age, name)
+        metrics.set(Level.QUARANTINED, blackboard.crashes.count_quarantined())
+        metrics.set(Level.CRASHES_KNOWN, len(blackboard.crashes))
 
     def _set_instances(self) -> None:
         """Sets the gauges of instances and evacuated zones."""
         metrics = self.metrics
         for state, count in self.blackboard.directory.counts().items():
-            metrics.set(GaugeName.INSTANCES, count, state)
-        metrics.set(GaugeName.INSTANCES_COLD, self.cold.count_cold())
-        metrics.replace(GaugeName.INSTANCES_OF_SUBSET, self.balancer.subset_sizes())
+            metrics.set(Level.INSTANCES, count, state)
+        metrics.set(Level.INSTANCES_COLD, self.cold.count_cold())
+        metrics.replace(Level.INSTANCES_OF_SUBSET, self.balancer.subset_sizes())
         zones = self.blackboard.evacuations.zones()
-        metrics.replace(GaugeName.EVACUATED, dict.fromkeys(zones, 1))
+        metrics.replace(Level.EVACUATED, dict.fromkeys(zones, 1))
         in_zones = {zone: self.balancer.outstanding_in(zone) for zone in zones}
-        metrics.replace(GaugeName.EVACUATED_REQUESTS, in_zones)
+        metrics.replace(Level.EVACUATED_REQUESTS, in_zones)
 
     def _set_fleet(self) -> None:
         """Sets the gauges of the daemons, and of this one's way to the store."""
         metrics = self.metrics
-        metrics.set(GaugeName.MEMBERS, len(self.membership.alive()))
-        metrics.set(GaugeName.COORDINATOR, int(self.membership.is_coordinator()))
+        metrics.set(Level.MEMBERS, len(self.membership.alive()))
+        metrics.set(Level.COORDINATOR, int(self.membership.is_coordinator()))
         is_relayed = self.relay is not None and self.relay.is_relayed
-        metrics.set(GaugeName.STORE_RELAYED, int(is_relayed))
+        metrics.set(Level.STORE_RELAYED, int(is_relayed))
 
     def _set_work(self) -> None:
         """Sets the gauges of what this daemon does."""
         metrics = self.metrics
-        metrics.set(GaugeName.OPEN_REQUESTS, self.lifecycle.open_requests)
-        metrics.set(GaugeName.READY, int(self.lifecycle.ready))
+        metrics.set(Level.OPEN_REQUESTS, self.lifecycle.open_requests)
+        metrics.set(Level.READY, int(self.lifecycle.ready))
         owned = self.keeper.owned()
-        metrics.set(GaugeName.BATCHES_OWNED, len(owned))
-        metrics.set(GaugeName.ITEMS_RUNNING, sum(batch.running for batch in owned))
-        metrics.set(GaugeName.REWARDS_WAITING, sum(batch.unscored for batch in owned))
-        metrics.set(GaugeName.RESULTS_WAITING, sum(batch.waiting for batch in owned))
-        metrics.set(GaugeName.LOOP_LAG, self.event_loop_monitor.take_max_lag())
+        metrics.set(Level.BATCHES_OWNED, len(owned))
+        metrics.set(Level.ITEMS_RUNNING, sum(batch.running for batch in owned))
+        metrics.set(Level.REWARDS_WAITING, sum(batch.unscored for batch in owned))
+        metrics.set(Level.RESULTS_WAITING, sum(batch.waiting for batch in owned))
+        metrics.set(Level.LOOP_LAG, self.event_loop_monitor.take_max_lag())
--- a/src/larkpost/gateway/memory/daemon_memory.py
+++ b/src/larkpost/gateway/memory/daemon_memory.py
@@ -14,7 +14,7 @@
 from larkpost.gateway.memory.slow_clients import slowest_client
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.instruments import Instruments
-from larkpost.gateway.observability.metrics import Count, GaugeName
+from larkpost.gateway.observability.metrics import Count, Level
 
 
 class DisconnectReason(StrEnum):
@@ -136,8 +136,8 @@
         """Sets the gauges of what is held."""
         metrics = self._instruments.metrics
         for purpose in Purpose:
-            metrics.set(GaugeName.BYTES_HELD, self.budget.held(purpose), purpose)
-        metrics.set(GaugeName.BYTES_LIMIT, self.budget.limit or 0)
+            metrics.set(Level.BYTES_HELD, self.budget.held(purpose), purpose)
+        metrics.set(Level.BYTES_LIMIT, self.budget.limit or 0)
 
     def _record_refusal(self, reservation: Reservation, size: int) -> None:
         """Records that there was no room, and makes some if a client is slow."""
--- a/src/larkpost/gateway/observability/metrics.py
+++ b/src/larkpost/gateway/observability/metrics.py
@@ -77,7 +77,7 @@
 }
 
 
-class GaugeName(StrEnum):
+class Level(StrEnum):
     """All gauges; the value is the name, `LEVELS` has their meanings."""
 
     CONFIGURATION_VERSION = "larkpost_configuration_version"
@@ -104,38 +104,38 @@
     BYTES_LIMIT = "larkpost_bytes_limit"
 
 
-GAUGES: dict[GaugeName, tuple[str, tuple[str, ...]]] = {
-    GaugeName.CONFIGURATION_VERSION: ("Version of the configuration in force here.", ()),
-    GaugeName.FEED_AGE: ("Seconds since a table's feed was last confirmed.", ("table",)),
-    GaugeName.INSTANCES: ("Instances known.", ("state",)),
-    GaugeName.INSTANCES_COLD: ("Instances that are cold and bear few requests.", ()),
-    GaugeName.INSTANCES_OF_SUBSET: (
+GAUGES: dict[Level, tuple[str, tuple[str, ...]]] = {
+    Level.CONFIGURATION_VERSION: ("Version of the configuration in force here.", ()),
+    Level.FEED_AGE: ("Seconds since a table's feed was last confirmed.", ("table",)),
+    Level.INSTANCES: ("Instances known.", ("state",)),
+    Level.INSTANCES_COLD: ("Instances that are cold and bear few requests.", ()),
+    Level.INSTANCES_OF_SUBSET: (
         "Instances of a large service to which this daemon sends its requests.",
         ("service",),
     ),
-    GaugeName.MEMBERS: ("Daemons held alive.", ()),
-    GaugeName.OPEN_REQUESTS: ("Requests being answered.", ()),
-    GaugeName.BATCHES_OWNED: ("Batches that this daemon runs.", ()),
-    GaugeName.ITEMS_RUNNING: ("Items of owned batches without a result.", ()),
-    GaugeName.REWARDS_WAITING: ("Whole outputs of owned batches without a score.", ()),
-    GaugeName.RESULTS_WAITING: ("Results that wait for their append.", ()),
-    GaugeName.LOOP_LAG: ("Largest delay of the event loop since the last reading.", ()),
-    GaugeName.COORDINATOR: (
+    Level.MEMBERS: ("Daemons held alive.", ()),
+    Level.OPEN_REQUESTS: ("Requests being answered.", ()),
+    Level.BATCHES_OWNED: ("Batches that this daemon runs.", ()),
+    Level.ITEMS_RUNNING: ("Items of owned batches without a result.", ()),
+    Level.REWARDS_WAITING: ("Whole outputs of owned batches without a score.", ()),
+    Level.RESULTS_WAITING: ("Results that wait for their append.", ()),
+    Level.LOOP_LAG: ("Largest delay of the event loop since the last reading.", ()),
+    Level.COORDINATOR: (
         "Whether this daemon gives orders and claims batches (1) or not (0).",
         (),
     ),
-    GaugeName.STORE_RELAYED: ("Whether a peer makes this daemon's calls to the store (1).", ()),
-    GaugeName.SERVERS_NEEDED: ("Servers that the demand takes; 0 if not known.", ("service",)),
-    GaugeName.QUARANTINED: ("Contents that no client's request is sent on with.", ()),
-    GaugeName.CRASHES_KNOWN: ("Crashes of servers that are remembered, of all daemons.", ()),
-    GaugeName.EVACUATED: ("Zones whose evacuation this daemon knows of (1).", ("zone",)),
-    GaugeName.EVACUATED_REQUESTS: (
+    Level.STORE_RELAYED: ("Whether a peer makes this daemon's calls to the store (1).", ()),
+    Level.SERVERS_NEEDED: ("Servers that the demand takes; 0 if not known.", ("service",)),
+    Level.QUARANTINED: ("Contents that no client's request is sent on with.", ()),
+    Level.CRASHES_KNOWN: ("Crashes of servers that are remembered, of all daemons.", ()),
+    Level.EVACUATED: ("Zones whose evacuation this daemon knows of (1).", ("zone",)),
+    Level.EVACUATED_REQUESTS: (
         "Requests and runs of this daemon at instances of evacuated zones.",
         ("zone",),
     ),
-    GaugeName.BYTES_HELD: ("Bytes that this daemon holds for others.", ("purpose",)),
-    GaugeName.BYTES_LIMIT: ("Most bytes that it may hold for others; 0 without a limit.", ()),
-    GaugeName.READY: ("Whether new clients may come (1) or not (0).", ()),
+    Level.BYTES_HELD: ("Bytes that this daemon holds for others.", ("purpose",)),
+    Level.BYTES_LIMIT: ("Most bytes that it may hold for others; 0 without a limit.", ()),
+    Level.READY: ("Whether new clients may come (1) or not (0).", ()),
 }
 
 
@@ -187,12 +187,12 @@
         metric = self._counts[count]
         (metric.labels(*labels) if labels else metric).inc(amount)
 
-    def set(self, level: GaugeName, value: float, *labels: str) -> None:
+    def set(self, level: Level, value: float, *labels: str) -> None:
         """Sets a gauge."""
         metric = self._levels[level]
         (metric.labels(*labels) if labels else metric).set(value)
 
-    def replace(self, level: GaugeName, values: Mapping[str, float]) -> None:
+    def replace(self, level: Level, values: Mapping[str, float]) -> None:
         """Sets a gauge of one label, and drops the values of labels that are not given."""
         metric = self._levels[level]
         metric.clear()
--- a/src/larkpost/gateway/scaling/controller.py
+++ b/src/larkpost/gateway/scaling/controller.py
@@ -17,7 +17,7 @@
 from larkpost.gateway.controllers.leases import Duty, LeaseSubject
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
-from larkpost.gateway.observability.metrics import Count, GaugeName
+from larkpost.gateway.observability.metrics import Count, Level
 from larkpost.gateway.scaling.census import ServerCensus
 from larkpost.gateway.scaling.demand import DemandForecast
 from larkpost.gateway.scaling.planner import Plan, PlanInputs, plan_servers
@@ -115,7 +115,7 @@
 
     def _announce(self, service: ServiceName, plan: Plan, present: int) -> None:
         """Logs what should be ordered, once for each change."""
-        self._metrics.set(GaugeName.SERVERS_NEEDED, plan.needed, service)
+        self._metrics.set(Level.SERVERS_NEEDED, plan.needed, service)
         if self._announced.get(service) == plan or not self._coordination.is_coordinator():
             return
         self._announced[service] = plan
