--- a/src/larkpost/gateway/store/peers.py
+++ b/src/larkpost/gateway/store/peers.py
@@ -62,7 +62,7 @@
         """Sets who is asked where the other daemons are that are considered alive."""
         self._distances = distances
 
-    def select(self, tried: int, *, region_bound: bool) -> PeerStore | None:
+    def select(self, failed_attempts: int, *, region_bound: bool) -> PeerStore | None:
         """Returns the peer that makes this daemon's calls, a new one if there is none.
 
         Args:
@@ -76,7 +76,7 @@
         usable = self._usable(region_bound=region_bound)
         if not usable or self._clock.now() < self._cooldown_until:
             return None
-        self._current_distance = next_peer_distance(usable, tried)
+        self._current_distance = next_peer_distance(usable, failed_attempts)
         address = self._chance.choice(
             [name for name, distance in usable.items() if distance is self._current_distance]
         )
@@ -125,7 +125,7 @@
     return not (region_bound and distance is Distance.OTHER_REGION)
 
 
-def next_peer_distance(usable: PeerDistances, tried: int) -> Distance:
+def next_peer_distance(usable: PeerDistances, failed_attempts: int) -> Distance:
     """Returns how far the next peer is to be: near ones first, the last one as far as there are.
 
     Whatever cuts this daemon off may cut its whole region off.
@@ -134,5 +134,5 @@
         usable: the peers that may be asked; at least one.
         tried: peers that were asked in vain for the same call.
     """
-    is_last = tried == MAX_PEER_ATTEMPTS - 1
+    is_last = failed_attempts == MAX_PEER_ATTEMPTS - 1
     return max(usable.values()) if is_last else min(usable.values())
--- a/src/larkpost/gateway/store/relay.py
+++ b/src/larkpost/gateway/store/relay.py
@@ -101,8 +101,8 @@
         if result.outcome not in REFUSED_OUTCOMES:
             return result
         region_bound = any(self._is_region_bound(key.table) for key, _ in transaction.puts)
-        for tried in range(MAX_PEER_ATTEMPTS):
-            peer = self._peers.select(tried, region_bound=region_bound)
+        for failed_attempts in range(MAX_PEER_ATTEMPTS):
+            peer = self._peers.select(failed_attempts, region_bound=region_bound)
             if peer is None:
                 return result
             result = await peer.write(transaction, min(timeout, MAX_PEER_CALL_SECONDS))
@@ -169,8 +169,8 @@
         Args:
             failure: what to raise if no peer helps.
         """
-        for tried in range(MAX_PEER_ATTEMPTS):
-            peer = self._peers.select(tried, region_bound=region_bound)
+        for failed_attempts in range(MAX_PEER_ATTEMPTS):
+            peer = self._peers.select(failed_attempts, region_bound=region_bound)
             if peer is None:
                 raise failure
             try:
