--- a/src/larkpost/gateway/store/follower.py
+++ b/src/larkpost/gateway/store/follower.py
@@ -80,7 +80,7 @@
         self._following = True
         self._position = 0
         self._newest_seen = 0
-        self._list_began = float("-inf")
+        self._list_started_at = float("-inf")
         self._list_again_after = 0.0
         self._listed_whole = False
         self.rows: dict[RowKey, Row] = {}
@@ -114,7 +114,7 @@
                 await self._step()
                 self._log_change(following=True)
             except HistoryLostError:
-                self._list_began = float("-inf")
+                self._list_started_at = float("-inf")
                 self._position = 0
                 self._log.record(Event.STORE, table=self._table, state="history_lost")
             except StoreUnavailableError as error:
@@ -133,10 +133,10 @@
 
     async def _step(self) -> None:
         started = self._clock.now()
-        if started - self._list_began >= self._list_again_after * self._relisting.factor():
+        if started - self._list_started_at >= self._list_again_after * self._relisting.factor():
             whole = await self._list()
             self._listed_whole = self._listed_whole or whole
-            self._list_began = started
+            self._list_started_at = started
             self._list_again_after = self._relisting.interval if whole else RELIST_SECONDS
         page = await self._store.changes(self._table, self._position, FEED_WAIT_SECONDS)
         for row in page.rows:
