--- a/src/larkpost/gateway/store/follower.py
+++ b/src/larkpost/gateway/store/follower.py
@@ -81,7 +81,7 @@
         self._position = 0
         self._newest_seen = 0
         self._list_started_at = float("-inf")
-        self._list_again_after = 0.0
+        self._relist_interval = 0.0
         self._listed_whole = False
         self.rows: dict[RowKey, Row] = {}
         self.failed_at: float | None = None
@@ -133,11 +133,11 @@
 
     async def _step(self) -> None:
         started = self._clock.now()
-        if started - self._list_started_at >= self._list_again_after * self._relisting.factor():
+        if started - self._list_started_at >= self._relist_interval * self._relisting.factor():
             whole = await self._list()
             self._listed_whole = self._listed_whole or whole
             self._list_started_at = started
-            self._list_again_after = self._relisting.interval if whole else RELIST_SECONDS
+            self._relist_interval = self._relisting.interval if whole else RELIST_SECONDS
         page = await self._store.changes(self._table, self._position, FEED_WAIT_SECONDS)
         for row in page.rows:
             self._apply(row)
