--- a/src/larkpost/gateway/store/follower.py
+++ b/src/larkpost/gateway/store/follower.py
@@ -82,7 +82,7 @@
         self._newest_seen = 0
         self._list_started_at = float("-inf")
         self._relist_interval = 0.0
-        self._listed_whole = False
+        self._is_listed = False
         self.rows: dict[RowKey, Row] = {}
         self.failed_at: float | None = None
         self.confirmed_at: float | None = None
@@ -90,7 +90,7 @@
     @property
     def listed(self) -> bool:
         """Whether the table was read whole at least once."""
-        return self._listed_whole
+        return self._is_listed
 
     def healthy_for(self, now: float) -> float:
         """Returns for how many seconds every call has succeeded; 0 if none has."""
@@ -135,7 +135,7 @@
         started = self._clock.now()
         if started - self._list_started_at >= self._relist_interval * self._relisting.factor():
             whole = await self._list()
-            self._listed_whole = self._listed_whole or whole
+            self._is_listed = self._is_listed or whole
             self._list_started_at = started
             self._relist_interval = self._relisting.interval if whole else RELIST_SECONDS
         page = await self._store.changes(self._table, self._position, FEED_WAIT_SECONDS)
