--- a/src/larkpost/gateway/store/follower.py
+++ b/src/larkpost/gateway/store/follower.py
@@ -26,7 +26,7 @@
 """Seconds between two calls of the feed, so that changes are grouped."""
 RETRY_SECONDS = 0.15
 """Seconds after a call that failed before the next one."""
-RELIST_SECONDS = 0.5
+PARTIAL_RELIST_SECONDS = 0.5
 """Seconds after a listing in which some parts could not be read before the next."""
 
 
@@ -137,7 +137,7 @@
             whole = await self._list()
             self._is_listed = self._is_listed or whole
             self._list_started_at = started
-            self._relist_interval = self._relisting.interval if whole else RELIST_SECONDS
+            self._relist_interval = self._relisting.interval if whole else PARTIAL_RELIST_SECONDS
         page = await self._store.changes(self._table, self._position, FEED_WAIT_SECONDS)
         for row in page.rows:
             self._apply(row)
