--- a/src/larkpost/gateway/store/follower.py
+++ b/src/larkpost/gateway/store/follower.py
@@ -79,7 +79,7 @@
         self._relisting = relisting
         self._following = True
         self._position = 0
-        self._newest_seen = 0
+        self._newest_version = 0
         self._list_started_at = float("-inf")
         self._relist_interval = 0.0
         self._is_listed = False
@@ -142,7 +142,7 @@
         for row in page.rows:
             self._apply(row)
         self._position = max(self._position, page.version)
-        self._newest_seen = max(self._newest_seen, page.version)
+        self._newest_version = max(self._newest_version, page.version)
         self.confirmed_at = started
         await self._clock.sleep(FEED_GAP_SECONDS)
 
@@ -166,7 +166,7 @@
             raise failure
         if self._position == 0:
             self._position = min(versions)
-        self._newest_seen = max(self._newest_seen, *versions)
+        self._newest_version = max(self._newest_version, *versions)
         return failure is None
 
     async def _list_part(self, part: str) -> int:
@@ -176,7 +176,7 @@
             StoreUnavailableError: no response, or one older than what is known already.
         """
         page = await read_all(self._store, self._table, part)
-        if page.version < self._newest_seen:
+        if page.version < self._newest_version:
             raise StoreUnavailableError(f"the listing of {self._table} is out of date")
         found = {row.key for row in page.rows}
         for row in page.rows:
