--- a/src/larkpost/gateway/store/peers.py
+++ b/src/larkpost/gateway/store/peers.py
@@ -55,7 +55,7 @@
         self._distances: Callable[[], PeerDistances] = dict
         self._connected: dict[Address, PeerStore] = {}
         self._current_distance = Distance.SAME_ZONE
-        self._silent_at: dict[Address, float] = {}
+        self._unresponsive_at: dict[Address, float] = {}
         self._cooldown_until = float("-inf")
 
     def follow(self, distances: Callable[[], PeerDistances]) -> None:
@@ -90,7 +90,7 @@
         """Drops a peer that did not help; a silent one is not asked again for a while."""
         if silent:
             address = next(name for name, known in self._connected.items() if known is peer)
-            self._silent_at[address] = self._clock.now()
+            self._unresponsive_at[address] = self._clock.now()
         if self.current is peer:
             self.current = None
 
@@ -111,7 +111,7 @@
         return {
             address: distance
             for address, distance in self._distances().items()
-            if now - self._silent_at.get(address, float("-inf")) >= PEER_COOLDOWN_SECONDS
+            if now - self._unresponsive_at.get(address, float("-inf")) >= PEER_COOLDOWN_SECONDS
             and is_allowed(distance, region_bound=region_bound)
         }
 
