--- a/src/larkpost/gateway/store/peers.py
+++ b/src/larkpost/gateway/store/peers.py
@@ -86,9 +86,9 @@
         self._log.record(Event.STORE_RELAY, peer=address, state="relayed")
         return self.current
 
-    def drop(self, peer: PeerStore, *, silent: bool = False) -> None:
+    def drop(self, peer: PeerStore, *, unresponsive: bool = False) -> None:
         """Drops a peer that did not help; a silent one is not asked again for a while."""
-        if silent:
+        if unresponsive:
             address = next(name for name, known in self._connected.items() if known is peer)
             self._unresponsive_at[address] = self._clock.now()
         if self.current is peer:
--- a/src/larkpost/gateway/store/relay.py
+++ b/src/larkpost/gateway/store/relay.py
@@ -107,7 +107,9 @@
                 return result
             result = await peer.write(transaction, min(timeout, MAX_PEER_CALL_SECONDS))
             if result.outcome is WriteOutcome.UNKNOWN:
-                self._peers.drop(peer, silent=True)  # the next call goes elsewhere, this one not
+                self._peers.drop(
+                    peer, unresponsive=True
+                )  # the next call goes elsewhere, this one not
             if result.outcome not in REFUSED_OUTCOMES:
                 return result
             self._peers.drop(peer)
@@ -179,7 +181,7 @@
             except StoreUnavailableError:
                 self._peers.drop(peer)
             except TimeoutError:
-                self._peers.drop(peer, silent=True)
+                self._peers.drop(peer, unresponsive=True)
         self._peers.start_cooldown()
         raise failure
 
