--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -121,7 +121,7 @@
             await self._connection.wait_until_writable(POLL_SECONDS)
             self._check_progress()
 
-    async def wait_until_taken(self) -> None:
+    async def wait_until_drained(self) -> None:
         """Waits until a complete answer is taken, or the next request on its connection is served.
 
         Raises:
--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -190,7 +190,7 @@
         return
     memory.shrink_to(Purpose.ANSWERS, delivery.unsent)
     with contextlib.suppress(SlowClientError):  # logged where it was cut
-        await delivery.wait_until_taken()
+        await delivery.wait_until_drained()
 
 
 async def _see_close(closed: asyncio.Task) -> None:
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -335,7 +335,7 @@
                 delivery.record_written(2 * HIGH_BYTES)
                 outlet.give(2 * HIGH_BYTES)
                 outlet.is_serving = False
-                waiting = asyncio.create_task(delivery.wait_until_taken())
+                waiting = asyncio.create_task(delivery.wait_until_drained())
                 await asyncio.sleep(STALLED_SECONDS - 1)
                 outlet.is_serving = True
                 self.memory.disconnect_slowest()
