--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -75,7 +75,7 @@
         self.is_disconnected = False
 
     @property
-    def is_replaced(self) -> bool:
+    def is_superseded(self) -> bool:
         """Whether the next request on the connection is served, after this answer.
 
         Its own delivery tells then how the client takes what it is given.
@@ -102,7 +102,7 @@
 
         One that has taken everything is not behind, however long its server sends nothing more.
         """
-        if self._connection.unsent == 0 or self.is_replaced:
+        if self._connection.unsent == 0 or self.is_superseded:
             self._slow_since = None
         since = self._slow_since
         seconds = self._clock.now() - since if since is not None else 0.0
@@ -128,10 +128,10 @@
             ReaderCutError: the client took nothing for too long.
         """
         self._is_complete = True
-        while self._connection.unsent and not self.is_replaced:
+        while self._connection.unsent and not self.is_superseded:
             self._mark_slow()
             await self._clock.sleep(POLL_SECONDS)
-            if not self.is_replaced:
+            if not self.is_superseded:
                 self._check_progress()
 
     def disconnect(self) -> None:
