--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -70,7 +70,7 @@
         self._slow_since: float | None = None
         self._taken_before = 0
         self._unsent_before = 0
-        self._progress_at = 0.0
+        self._last_progress_at = 0.0
         self._is_complete = False
         self.is_disconnected = False
 
@@ -145,7 +145,7 @@
     def _mark_slow(self) -> None:
         if self._slow_since is not None:
             return
-        self._slow_since = self._progress_at = self._clock.now()
+        self._slow_since = self._last_progress_at = self._clock.now()
         self._taken_before = self._taken()
         self._unsent_before = self._connection.unsent
         self._on_slow(self)
@@ -153,11 +153,11 @@
     def _check_progress(self) -> None:
         unsent, now = self._connection.unsent, self._clock.now()
         if unsent < self._unsent_before:
-            self._progress_at = now
+            self._last_progress_at = now
         self._unsent_before = unsent
         if self.is_disconnected:
             raise SlowClientError("its connection was cut", ran=Ran.UNKNOWN)
-        if unsent and now - self._progress_at >= STALLED_SECONDS:
+        if unsent and now - self._last_progress_at >= STALLED_SECONDS:
             self._on_stalled(self)
             self.disconnect()
             raise SlowClientError("it took nothing for too long", ran=Ran.UNKNOWN)
