--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -68,7 +68,7 @@
         self._on_stalled = on_stalled
         self._written = connection.unsent  # of the response before, which is taken first
         self._slow_since: float | None = None
-        self._taken_before = 0
+        self._taken_at_start = 0
         self._unsent_before = 0
         self._last_progress_at = 0.0
         self._is_complete = False
@@ -106,7 +106,7 @@
             self._slow_since = None
         since = self._slow_since
         seconds = self._clock.now() - since if since is not None else 0.0
-        return ReadRate(self._count_held(), self._taken() - self._taken_before, seconds)
+        return ReadRate(self._count_held(), self._taken() - self._taken_at_start, seconds)
 
     async def wait_until_writable(self) -> None:
         """Waits until the connection may be given more.
@@ -146,7 +146,7 @@
         if self._slow_since is not None:
             return
         self._slow_since = self._last_progress_at = self._clock.now()
-        self._taken_before = self._taken()
+        self._taken_at_start = self._taken()
         self._unsent_before = self._connection.unsent
         self._on_slow(self)
 
