--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -69,7 +69,7 @@
         self._written = connection.unsent  # of the response before, which is taken first
         self._slow_since: float | None = None
         self._taken_at_start = 0
-        self._unsent_before = 0
+        self._last_unsent = 0
         self._last_progress_at = 0.0
         self._is_complete = False
         self.is_disconnected = False
@@ -95,7 +95,7 @@
     def record_written(self, size: int) -> None:
         """Records that the connection was given bytes."""
         self._written += size
-        self._unsent_before += size
+        self._last_unsent += size
 
     def read_rate(self) -> ReadRate:
         """Returns how the client takes what it is given.
@@ -147,14 +147,14 @@
             return
         self._slow_since = self._last_progress_at = self._clock.now()
         self._taken_at_start = self._taken()
-        self._unsent_before = self._connection.unsent
+        self._last_unsent = self._connection.unsent
         self._on_slow(self)
 
     def _check_progress(self) -> None:
         unsent, now = self._connection.unsent, self._clock.now()
-        if unsent < self._unsent_before:
+        if unsent < self._last_unsent:
             self._last_progress_at = now
-        self._unsent_before = unsent
+        self._last_unsent = unsent
         if self.is_disconnected:
             raise SlowClientError("its connection was cut", ran=Ran.UNKNOWN)
         if unsent and now - self._last_progress_at >= STALLED_SECONDS:
