--- a/src/larkpost/gateway/blackboard/cold_instances.py
+++ b/src/larkpost/gateway/blackboard/cold_instances.py
@@ -39,7 +39,7 @@
         if left:
             self._until[instance] = max(now + left, self._until.get(instance, now))
 
-    def record_zone_returned(
+    def record_zone_restored(
         self,
         zone: ZoneId,
         directory: InstanceDirectory,
--- a/src/larkpost/gateway/controllers/row_intake.py
+++ b/src/larkpost/gateway/controllers/row_intake.py
@@ -145,7 +145,7 @@
             return
         if not evacuation.is_on:
             zone = evacuation.zone
-            self._cold.record_zone_returned(zone, self._directory, self._configuration, now)
+            self._cold.record_zone_restored(zone, self._directory, self._configuration, now)
         instances = sum(info.zone == evacuation.zone for info in self._directory.all())
         state = "begun" if evacuation.is_on else "ended"
         self._log.record(Event.EVACUATION, zone=evacuation.zone, state=state, instances=instances)
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -320,9 +320,9 @@
             self.take(0.0)
             cold, now = self.blackboard.cold, self.clock.now()
             directory, configuration = self.blackboard.directory, self.blackboard.configuration
-            cold.record_zone_returned(ZoneId("other"), directory, configuration, now)
+            cold.record_zone_restored(ZoneId("other"), directory, configuration, now)
             self.assertEqual(0.0, cold.left(ENGINE, now))
-            cold.record_zone_returned(INFO.zone, directory, configuration, now)
+            cold.record_zone_restored(INFO.zone, directory, configuration, now)
             self.assertEqual(COLD_SECONDS, cold.left(ENGINE, now))
 
         self.play(work)
