--- a/src/larkpost/gateway/usage/count_writer.py
+++ b/src/larkpost/gateway/usage/count_writer.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.usage.counter import UsageCounter
 from larkpost.gateway.usage.repository import UsageRepository
 
-SAVE_SECONDS = 0.5
+MIN_SAVE_INTERVAL_SECONDS = 0.5
 """Least seconds between two savings of a daemon's counts: what it counts meanwhile dies with it."""
 SAVES_PER_SECOND = 120.0
 """Most savings that a fleet makes together: one part of the store takes 200 writes a second."""
@@ -62,4 +62,4 @@
     Args:
         alive: daemons that are considered alive.
     """
-    return max(SAVE_SECONDS, alive / SAVES_PER_SECOND)
+    return max(MIN_SAVE_INTERVAL_SECONDS, alive / SAVES_PER_SECOND)
