--- a/src/larkpost/gateway/usage/count_writer.py
+++ b/src/larkpost/gateway/usage/count_writer.py
@@ -13,7 +13,7 @@
 
 MIN_SAVE_INTERVAL_SECONDS = 0.5
 """Least seconds between two savings of a daemon's counts: what it counts meanwhile dies with it."""
-SAVES_PER_SECOND = 120.0
+MAX_SAVES_PER_SECOND = 120.0
 """Most savings that a fleet makes together: one part of the store takes 200 writes a second."""
 SAVE_TIMEOUTS = (0.5, 1.0, 1.5)
 """Time limits of the tries to save, in seconds: a response may be lost, or the store may be
@@ -62,4 +62,4 @@
     Args:
         alive: daemons that are considered alive.
     """
-    return max(MIN_SAVE_INTERVAL_SECONDS, alive / SAVES_PER_SECOND)
+    return max(MIN_SAVE_INTERVAL_SECONDS, alive / MAX_SAVES_PER_SECOND)
