--- a/src/larkpost/gateway/observability/eventlog.py
+++ b/src/larkpost/gateway/observability/eventlog.py
@@ -18,7 +18,7 @@
 
 STANDARD_OUTPUT = 1
 """File descriptor of standard output."""
-LINES_PER_SECOND = 40
+MAX_LINES_PER_SECOND = 40
 """Lines of one event that are written a second; the others are counted."""
 MAX_PENDING_BYTES = 262144
 """Bytes that may wait for a slow reader; lines beyond are dropped and counted."""
@@ -141,7 +141,7 @@
         if second != self._second:
             self._begin_second(second)
         lines = self._lines.get(event, 0)
-        if lines >= LINES_PER_SECOND:
+        if lines >= MAX_LINES_PER_SECOND:
             self._left_out[event] = self._left_out.get(event, 0) + 1
             if self._metrics is not None:
                 self._metrics.count(Count.LINES_LEFT_OUT, event.value)
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -8,7 +8,7 @@
 import orjson
 
 from larkpost.gateway.observability.eventlog import (
-    LINES_PER_SECOND,
+    MAX_LINES_PER_SECOND,
     MAX_PENDING_BYTES,
     Event,
     EventLog,
@@ -98,9 +98,9 @@
         self.addCleanup(os.close, writer)
         metrics = Metrics()
         log = EventLog("d", NonBlockingWriter(writer), metrics)
-        for _ in range(5 * LINES_PER_SECOND):
+        for _ in range(5 * MAX_LINES_PER_SECOND):
             log.record(Event.ITEM_RUN, batch="b")
         name = Count.LINES_LEFT_OUT.value
         left_out = metrics.registry.get_sample_value(name, {"event": Event.ITEM_RUN.value})
-        self.assertGreaterEqual(left_out, 3 * LINES_PER_SECOND)
+        self.assertGreaterEqual(left_out, 3 * MAX_LINES_PER_SECOND)
         log.close()
