--- a/src/larkpost/gateway/memory/budget.py
+++ b/src/larkpost/gateway/memory/budget.py
@@ -51,7 +51,7 @@
     remedy = "Ask again after the time in Retry-After, or another daemon."
 
 
-class ByteBudget:
+class MemoryBudget:
     """Counts the bytes that are held, and reserves more while there is room.
 
     Attributes:
@@ -144,7 +144,7 @@
         size: bytes reserved now.
     """
 
-    def __init__(self, budget: ByteBudget, purpose: Purpose, owner: str = "") -> None:
+    def __init__(self, budget: MemoryBudget, purpose: Purpose, owner: str = "") -> None:
         self._budget = budget
         self.purpose = purpose
         self.owner = owner
--- a/src/larkpost/gateway/memory/daemon_memory.py
+++ b/src/larkpost/gateway/memory/daemon_memory.py
@@ -9,7 +9,7 @@
 from enum import StrEnum
 
 from larkpost.common.clock import LoopClock
-from larkpost.gateway.memory.budget import ByteBudget, Purpose, Reservation
+from larkpost.gateway.memory.budget import MemoryBudget, Purpose, Reservation
 from larkpost.gateway.memory.delivery import ClientConnection, Delivery
 from larkpost.gateway.memory.slow_clients import slowest_client
 from larkpost.gateway.observability.eventlog import Event, EventLog
@@ -31,8 +31,8 @@
         owner: the request's id, for logs.
     """
 
-    def __init__(self, budget: ByteBudget | None = None) -> None:
-        self._budget = budget if budget is not None else ByteBudget()
+    def __init__(self, budget: MemoryBudget | None = None) -> None:
+        self._budget = budget if budget is not None else MemoryBudget()
         self._reservations: list[Reservation] = []
         self.owner = ""
 
@@ -81,7 +81,7 @@
     def __init__(
         self, limit: int | None, instruments: Instruments, rng: random.Random | None = None
     ) -> None:
-        self.budget = ByteBudget(limit, rng)
+        self.budget = MemoryBudget(limit, rng)
         self.budget.on_refusal = self._record_refusal
         self._instruments = instruments
         self._slow_deliveries: dict[Delivery, str] = {}
--- a/src/larkpost/gateway/rollouts/view.py
+++ b/src/larkpost/gateway/rollouts/view.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 
 from larkpost.common.ids import BatchId
-from larkpost.gateway.memory.budget import ByteBudget, Purpose
+from larkpost.gateway.memory.budget import MemoryBudget, Purpose
 from larkpost.gateway.rollouts.model import BatchHead, GroupId, Item, ItemId, Result
 
 MAX_CACHE_BYTES = 24_000_000
@@ -86,8 +86,8 @@
         budget: is told what the views hold.
     """
 
-    def __init__(self, budget: ByteBudget | None = None) -> None:
-        self._budget = budget if budget is not None else ByteBudget()
+    def __init__(self, budget: MemoryBudget | None = None) -> None:
+        self._budget = budget if budget is not None else MemoryBudget()
         self._views: dict[BatchId, BatchView] = {}
 
     def get(self, batch: BatchId) -> BatchView | None:
--- a/src/larkpost/platform/peer_store.py
+++ b/src/larkpost/platform/peer_store.py
@@ -4,7 +4,7 @@
 peer as it speaks to the store.
 """
 
-from larkpost.gateway.memory.budget import ByteBudget, MemoryBudgetError, Purpose
+from larkpost.gateway.memory.budget import MemoryBudget, MemoryBudgetError, Purpose
 from larkpost.platform import asgi, names
 from larkpost.platform.asgi import ClientLeftError, Receive, Send
 from larkpost.platform.store import HttpStore
@@ -27,9 +27,9 @@
 class PeerStoreApp:
     """The application behind the address at which peers ask for calls to the store."""
 
-    def __init__(self, store: HttpStore, budget: ByteBudget | None = None) -> None:
+    def __init__(self, store: HttpStore, budget: MemoryBudget | None = None) -> None:
         self._store = store
-        self._budget = budget if budget is not None else ByteBudget()
+        self._budget = budget if budget is not None else MemoryBudget()
 
     async def __call__(self, scope: dict, receive: Receive, send: Send) -> None:
         """Makes the call, unless the store turns this daemon away as well."""
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -501,9 +501,9 @@
 
 def reserve_no_bytes():
     """Holds whatever comes, and counts none of it."""
-    from larkpost.gateway.memory.budget import ByteBudget
+    from larkpost.gateway.memory.budget import MemoryBudget
 
-    return mock.patch.object(ByteBudget, "add", lambda *_: None)
+    return mock.patch.object(MemoryBudget, "add", lambda *_: None)
 
 
 def weigh_daemons_of_earlier_builds():
--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -14,7 +14,7 @@
     MIN_ANSWER_LIMIT_BYTES,
     RETRY_AFTER_SECONDS,
     SMALL_BODIES_FRACTION,
-    ByteBudget,
+    MemoryBudget,
     MemoryBudgetError,
     Purpose,
 )
@@ -34,7 +34,7 @@
     """A budget of 10 MB."""
 
     def setUp(self):
-        self.budget = ByteBudget(10 * MB, random.Random(1))
+        self.budget = MemoryBudget(10 * MB, random.Random(1))
 
     def test_bytes_are_counted_by_purpose_and_released_at_the_end(self):
         with self.budget.reserve(Purpose.REQUEST_BODIES, 3 * MB) as body:
@@ -140,7 +140,7 @@
         self.assertTrue(self.budget.is_low)
 
     def test_without_a_limit_everything_fits(self):
-        budget = ByteBudget()
+        budget = MemoryBudget()
         answer = budget.reserve(Purpose.ANSWERS, 10**12)
         self.assertTrue(answer.fits_answer_limit(10**12))
         self.assertEqual((math.inf, False), (budget.free, budget.is_low))
@@ -194,7 +194,7 @@
         def opened(name: str) -> OpenResponse:
             call = AsyncExitStack()
             call.push(lambda kind, *_: ended.append((name, kind)))
-            body = ByteBudget().reserve(Purpose.ANSWERS)
+            body = MemoryBudget().reserve(Purpose.ANSWERS)
             return OpenResponse(200, (), deque(), mock.Mock(), body, call)
 
         used, unused = opened("used"), opened("unused")
@@ -218,7 +218,7 @@
 
             call = AsyncExitStack()
             call.push_async_exit(end)
-            body = ByteBudget().reserve(Purpose.ANSWERS)
+            body = MemoryBudget().reserve(Purpose.ANSWERS)
             return OpenResponse(200, (), deque(), mock.Mock(), body, call)
 
         attempts = Attempts(*[mock.Mock()] * 5, opened=[opened("first"), opened("second")])
--- a/tests/test_held_bytes.py
+++ b/tests/test_held_bytes.py
@@ -29,7 +29,7 @@
 from larkpost.gateway.blackboard.directory import InstanceDirectory
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
 from larkpost.gateway.memory import delivery
-from larkpost.gateway.memory.budget import ByteBudget, Purpose
+from larkpost.gateway.memory.budget import MemoryBudget, Purpose
 from larkpost.gateway.memory.daemon_memory import DaemonMemory
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
@@ -665,7 +665,7 @@
     """A batch that its daemon has just accepted."""
 
     async def test_it_counts_at_once(self):
-        budget = ByteBudget(100 * MB)
+        budget = MemoryBudget(100 * MB)
         head = BatchHead(BatchId("b"), "h", "/", "m", 0, 0, 0, 1, "d", 0.0, False, "u")
         repository = mock.AsyncMock()
         repository.head.return_value = head
@@ -692,7 +692,7 @@
         return view
 
     def test_items_results_and_outputs_are_counted(self):
-        budget = ByteBudget(100 * MB)
+        budget = MemoryBudget(100 * MB)
         cache = ViewCache(budget)
         view = self.view(cache, "a", MB)
         view.keep_items(view.items.values())
@@ -703,7 +703,7 @@
         self.assertEqual(0, budget.held(Purpose.BATCHES))
 
     def test_views_not_in_use_keep_to_a_part_of_the_budget(self):
-        budget = ByteBudget(16 * MB)
+        budget = MemoryBudget(16 * MB)
         cache = ViewCache(budget)
         for name, size in (("old", MB), ("new", MB + 1), ("used", 3 * MB)):
             self.view(cache, name, size)
