--- a/src/larkpost/gateway/memory/budget.py
+++ b/src/larkpost/gateway/memory/budget.py
@@ -61,7 +61,7 @@
 
     def __init__(self, limit: int | None = None, rng: random.Random | None = None) -> None:
         self.limit = limit
-        self.on_refusal: Callable[[Reservation, int], None] = lambda *_: None
+        self.on_rejection: Callable[[Reservation, int], None] = lambda *_: None
         self._chance = rng or random.Random()
         self._held = dict.fromkeys(Purpose, 0)
 
@@ -165,7 +165,7 @@
             NoRoomError: there is no room for them; what was reserved stays so.
         """
         if size > 0 and not self.fits(size):
-            self._budget.on_refusal(self, size)
+            self._budget.on_rejection(self, size)
             raise self._budget.budget_error(size)
         self.force_grow(size)
 
--- a/src/larkpost/gateway/memory/daemon_memory.py
+++ b/src/larkpost/gateway/memory/daemon_memory.py
@@ -82,7 +82,7 @@
         self, limit: int | None, instruments: Instruments, rng: random.Random | None = None
     ) -> None:
         self.budget = MemoryBudget(limit, rng)
-        self.budget.on_refusal = self._record_refusal
+        self.budget.on_rejection = self._record_refusal
         self._instruments = instruments
         self._slow_deliveries: dict[Delivery, str] = {}
 
--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -75,7 +75,7 @@
 
     def test_refusal_names_its_holder_and_size(self):
         refused = []
-        self.budget.on_refusal = lambda reservation, size: refused.append(
+        self.budget.on_rejection = lambda reservation, size: refused.append(
             (reservation.owner, reservation.purpose, size)
         )
         with self.assertRaises(MemoryBudgetError):
