--- a/src/larkpost/gateway/blackboard/daemon_report.py
+++ b/src/larkpost/gateway/blackboard/daemon_report.py
@@ -58,7 +58,7 @@
 
     waiting: int
     work: int
-    long_item: int
+    p90_item_work: int
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/larkpost/gateway/controllers/batch_forecast.py
+++ b/src/larkpost/gateway/controllers/batch_forecast.py
@@ -57,7 +57,7 @@
 
     No item is made by two engines, and a long one may be the last to find a place.
     """
-    return (progress.work / places + progress.long_item) * token_time
+    return (progress.work / places + progress.p90_item_work) * token_time
 
 
 def most_in_need(outlooks: Iterable[DeadlineForecast]) -> DeadlineForecast:
--- a/src/larkpost/gateway/rollouts/work_left.py
+++ b/src/larkpost/gateway/rollouts/work_left.py
@@ -36,5 +36,5 @@
         waiting: items that wait for a place.
     """
     left = sorted(tokens_left(progress, tokens_per_event) for progress in items)
-    long_item = left[int(len(left) * LONG_ITEM_SHARE)] if left else 0
-    return BatchProgress(waiting, sum(left), long_item)
+    p90_item_work = left[int(len(left) * LONG_ITEM_SHARE)] if left else 0
+    return BatchProgress(waiting, sum(left), p90_item_work)
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -33,8 +33,8 @@
 """A third of 22 engines of 8 places, where an event of 80 tokens takes 0.05 s."""
 UNEVEN = Capacity(share=48, whole=192, token_time=0.001, best_token_time=0.0007)
 """A quarter of 24 engines, of which the slow ones take 1.7 times the usual time, the others 0.7."""
-LONG = BatchProgress(0, work=1848 * 80, long_item=149 * 80)
-SHORT = BatchProgress(0, work=864 * 80, long_item=84 * 80)
+LONG = BatchProgress(0, work=1848 * 80, p90_item_work=149 * 80)
+SHORT = BatchProgress(0, work=864 * 80, p90_item_work=84 * 80)
 TOKENS = 80
 
 
@@ -100,7 +100,7 @@
                 self.assertIs(expected, judge_batch(SHORT, due_in, POOL))
 
     def test_many_short_items_need_time_too(self):
-        many = BatchProgress(400, work=58 * 16000, long_item=800)
+        many = BatchProgress(400, work=58 * 16000, p90_item_work=800)
         self.assertAlmostEqual(10.5, seconds_left(many, POOL.share, POOL.token_time))
         self.assertIs(DeadlineForecast.TIGHT, judge_batch(many, 7.5, POOL))
 
@@ -141,10 +141,10 @@
                 self.assertEqual(0, tokens_left(replace(progress, whole=True), TOKENS))
 
     def test_sum(self):
-        for count, long_item in ((3, 2), (20, 18)):
+        for count, p90_item_work in ((3, 2), (20, 18)):
             items = make_batch(items=count).items
             works = sorted(item.expected_work for item in items)
-            expected = BatchProgress(2, sum(works), works[long_item])
+            expected = BatchProgress(2, sum(works), works[p90_item_work])
             self.assertEqual(expected, sum_up((Progress(item) for item in items), TOKENS, 2))
         self.assertEqual(BatchProgress(0, 0, 0), sum_up((), TOKENS, 0))
 
@@ -290,9 +290,9 @@
         run(play())
 
 
-def left_of(progress: BatchProgress, work: int, long_item: int) -> BatchProgress:
+def left_of(progress: BatchProgress, work: int, p90_item_work: int) -> BatchProgress:
     """Returns the progress of a batch with so much left."""
-    return progress._replace(work=work, long_item=long_item)
+    return progress._replace(work=work, p90_item_work=p90_item_work)
 
 
 if __name__ == "__main__":
