--- a/src/larkpost/gateway/blackboard/weight_targets.py
+++ b/src/larkpost/gateway/blackboard/weight_targets.py
@@ -37,7 +37,7 @@
     def __init__(self) -> None:
         self._versions: dict[ModelName, int] = {}
         self._named_at: dict[ModelName, float] = {}
-        self._is_seen: dict[ModelName, bool] = {}
+        self._is_observed: dict[ModelName, bool] = {}
         """Whether this daemon knew the version before: else it has read an old row."""
 
     def update(self, target: WeightTarget, now: float) -> bool:
@@ -51,7 +51,7 @@
         follows = target.version - 1 == self._versions.get(target.model)
         self._versions[target.model] = target.version
         self._named_at[target.model] = now
-        self._is_seen[target.model] = follows
+        self._is_observed[target.model] = follows
         return True
 
     def seconds_since_announced(self, model: ModelName, now: float) -> float:
@@ -60,7 +60,7 @@
 
     def last_announcement(self, model: ModelName, now: float) -> VersionAnnouncement | None:
         """Returns when a model's newest version was named; None if that was not seen here."""
-        if not self._is_seen.get(model, False):
+        if not self._is_observed.get(model, False):
             return None
         return VersionAnnouncement(self._versions[model], now - self._named_at[model])
 
