--- a/src/larkpost/gateway/blackboard/weight_targets.py
+++ b/src/larkpost/gateway/blackboard/weight_targets.py
@@ -36,7 +36,7 @@
 
     def __init__(self) -> None:
         self._versions: dict[ModelName, int] = {}
-        self._named_at: dict[ModelName, float] = {}
+        self._announced_at: dict[ModelName, float] = {}
         self._is_observed: dict[ModelName, bool] = {}
         """Whether this daemon knew the version before: else it has read an old row."""
 
@@ -50,19 +50,19 @@
             return False
         follows = target.version - 1 == self._versions.get(target.model)
         self._versions[target.model] = target.version
-        self._named_at[target.model] = now
+        self._announced_at[target.model] = now
         self._is_observed[target.model] = follows
         return True
 
     def seconds_since_announced(self, model: ModelName, now: float) -> float:
         """Returns the seconds since this daemon learnt of a model's newest version."""
-        return now - self._named_at.get(model, now)
+        return now - self._announced_at.get(model, now)
 
     def last_announcement(self, model: ModelName, now: float) -> VersionAnnouncement | None:
         """Returns when a model's newest version was named; None if that was not seen here."""
         if not self._is_observed.get(model, False):
             return None
-        return VersionAnnouncement(self._versions[model], now - self._named_at[model])
+        return VersionAnnouncement(self._versions[model], now - self._announced_at[model])
 
     def version(self, model: ModelName) -> int:
         """Returns the newest version named for a model; 0 if none was."""
