--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -553,7 +553,7 @@
 
     original = due_loads.is_urgent
     return mock.patch.object(
-        due_loads, "is_urgent", lambda demand, _: original(demand, demand.asked_at)
+        due_loads, "is_urgent", lambda demand, _: original(demand, demand.submit_version)
     )
 
 
