--- a/tests/test_import_layers.py
+++ b/tests/test_import_layers.py
@@ -38,7 +38,7 @@
     "rollouts",
     "scaling",
     "assembly",
-    "planned_stop",
+    "graceful_shutdown",
     "daemon",
 )
 """The parts of the gateway, lowest first: a part may import itself and lower ones only.
