--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -312,7 +312,7 @@
                 await asyncio.sleep(2 * MIN_SLOW_SECONDS)
                 self.memory.disconnect_slowest()
                 self.assertFalse(outlet.is_disconnected)
-                self.assertEqual(0.0, delivery.pace().seconds)
+                self.assertEqual(0.0, delivery.read_rate().seconds)
 
         async def outlet_taken(outlet):
             with contextlib.suppress(TimeoutError):
@@ -357,7 +357,7 @@
                 waiting = asyncio.create_task(delivery.wait_until_writable())
                 await asyncio.sleep(1)
                 outlet.unsent -= HIGH_BYTES
-                self.assertEqual(HIGH_BYTES, delivery.pace().taken)
+                self.assertEqual(HIGH_BYTES, delivery.read_rate().taken)
                 waiting.cancel()
 
         virtual.run(play())
