--- a/src/larkpost/gateway/memory/budget.py
+++ b/src/larkpost/gateway/memory/budget.py
@@ -30,7 +30,7 @@
 """What a caller is asked to wait at least; up to twice as long, so that they return one by one."""
 
 
-class Purpose(StrEnum):
+class MemoryPurpose(StrEnum):
     """What bytes are held for."""
 
     REQUEST_BODIES = "request_bodies"  # read, until the request is answered
@@ -63,7 +63,7 @@
         self.limit = limit
         self.on_rejection: Callable[[Reservation, int], None] = lambda *_: None
         self._chance = rng or random.Random()
-        self._held = dict.fromkeys(Purpose, 0)
+        self._held = dict.fromkeys(MemoryPurpose, 0)
 
     @property
     def total(self) -> int:
@@ -85,7 +85,7 @@
         """The most bytes that one answer may hold now; infinite without a limit."""
         return max(MIN_ANSWER_LIMIT_BYTES, self.free / ANSWER_LIMIT_DIVISOR)
 
-    def shortfall(self, purpose: Purpose, size: int) -> float:
+    def shortfall(self, purpose: MemoryPurpose, size: int) -> float:
         """Returns how many bytes must be released before so many more may be held.
 
         Returns:
@@ -93,17 +93,17 @@
         """
         if self.limit is None:
             return 0
-        if purpose is Purpose.SMALL_BODIES and self._fits_small_bodies(size):
+        if purpose is MemoryPurpose.SMALL_BODIES and self._fits_small_bodies(size):
             return 0
-        if size > self.limit or (purpose is Purpose.SUBMISSIONS and self._is_full_of_batches):
+        if size > self.limit or (purpose is MemoryPurpose.SUBMISSIONS and self._is_full_of_batches):
             return math.inf
         return max(0, self.total + size - self.limit)
 
-    def held(self, purpose: Purpose) -> int:
+    def held(self, purpose: MemoryPurpose) -> int:
         """Returns the bytes held for a purpose."""
         return self._held[purpose]
 
-    def reserve(self, purpose: Purpose, size: int = 0, owner: str = "") -> "Reservation":
+    def reserve(self, purpose: MemoryPurpose, size: int = 0, owner: str = "") -> "Reservation":
         """Reserves bytes.
 
         Args:
@@ -116,7 +116,7 @@
         reservation.grow(size)
         return reservation
 
-    def set_held(self, purpose: Purpose, size: int) -> None:
+    def set_held(self, purpose: MemoryPurpose, size: int) -> None:
         """Records all that is held for a purpose of which nothing is reserved."""
         self._held[purpose] = size
 
@@ -125,16 +125,16 @@
         wait = RETRY_AFTER_SECONDS * (1 + self._chance.random())
         return MemoryBudgetError(f"no room for {size} bytes", retry_after=round(wait, 3))
 
-    def add(self, purpose: Purpose, size: int) -> None:
+    def add(self, purpose: MemoryPurpose, size: int) -> None:
         """Counts bytes of a reservation, fewer if negative."""
         self._held[purpose] += size
 
     def _fits_small_bodies(self, size: int) -> bool:
-        return self._held[Purpose.SMALL_BODIES] + size <= self.limit * SMALL_BODIES_FRACTION
+        return self._held[MemoryPurpose.SMALL_BODIES] + size <= self.limit * SMALL_BODIES_FRACTION
 
     @property
     def _is_full_of_batches(self) -> bool:
-        return self._held[Purpose.BATCHES] > self.limit * MAX_BATCHES_FRACTION
+        return self._held[MemoryPurpose.BATCHES] > self.limit * MAX_BATCHES_FRACTION
 
 
 class Reservation:
@@ -144,7 +144,7 @@
         size: bytes reserved now.
     """
 
-    def __init__(self, budget: MemoryBudget, purpose: Purpose, owner: str = "") -> None:
+    def __init__(self, budget: MemoryBudget, purpose: MemoryPurpose, owner: str = "") -> None:
         self._budget = budget
         self.purpose = purpose
         self.owner = owner
--- a/src/larkpost/gateway/memory/daemon_memory.py
+++ b/src/larkpost/gateway/memory/daemon_memory.py
@@ -9,7 +9,7 @@
 from enum import StrEnum
 
 from larkpost.common.clock import LoopClock
-from larkpost.gateway.memory.budget import MemoryBudget, Purpose, Reservation
+from larkpost.gateway.memory.budget import MemoryBudget, MemoryPurpose, Reservation
 from larkpost.gateway.memory.delivery import ClientConnection, Delivery
 from larkpost.gateway.memory.slow_clients import slowest_client
 from larkpost.gateway.observability.eventlog import Event, EventLog
@@ -50,7 +50,7 @@
         """The bytes held for the request."""
         return sum(reservation.size for reservation in self._reservations)
 
-    def reserve(self, purpose: Purpose, size: int = 0) -> Reservation:
+    def reserve(self, purpose: MemoryPurpose, size: int = 0) -> Reservation:
         """Reserves bytes, at most until the request's end.
 
         Raises:
@@ -60,7 +60,7 @@
         self._reservations.append(reservation)
         return reservation
 
-    def shrink_to(self, purpose: Purpose, size: int) -> None:
+    def shrink_to(self, purpose: MemoryPurpose, size: int) -> None:
         """Releases all but so many bytes, which are held already."""
         self.release()
         self.reserve(purpose).force_grow(size)
@@ -135,7 +135,7 @@
     def set_gauges(self) -> None:
         """Sets the gauges of what is held."""
         metrics = self._instruments.metrics
-        for purpose in Purpose:
+        for purpose in MemoryPurpose:
             metrics.set(Level.BYTES_HELD, self.budget.held(purpose), purpose)
         metrics.set(Level.BYTES_LIMIT, self.budget.limit or 0)
 
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -8,7 +8,7 @@
 from larkpost.gateway.blackboard.configuration import RouteKind
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.blackboard.known_crashes import CLIENT_CRASH_LIMIT
-from larkpost.gateway.memory.budget import Purpose
+from larkpost.gateway.memory.budget import MemoryPurpose
 from larkpost.gateway.proxy.answer_body import collect, joined
 from larkpost.gateway.proxy.attempts import Attempts
 from larkpost.gateway.proxy.outcomes import Outcomes
@@ -89,7 +89,7 @@
             response = await call.enter_async_context(self.open(instance, attempts))
             self._balancer.record_load(instance.id, response.load)
             is_signed = response.signature is not None
-            reservation = attempts.request.memory.reserve(Purpose.ANSWERS)
+            reservation = attempts.request.memory.reserve(MemoryPurpose.ANSWERS)
             chunks = response.chunks()
             begun, is_whole = await collect(chunks, reservation)
             if is_whole:
--- a/src/larkpost/gateway/rollouts/view.py
+++ b/src/larkpost/gateway/rollouts/view.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 
 from larkpost.common.ids import BatchId
-from larkpost.gateway.memory.budget import MemoryBudget, Purpose
+from larkpost.gateway.memory.budget import MemoryBudget, MemoryPurpose
 from larkpost.gateway.rollouts.model import BatchHead, GroupId, Item, ItemId, Result
 
 MAX_CACHE_BYTES = 24_000_000
@@ -117,7 +117,7 @@
             size -= self._views[batch].size
             del self._views[batch]
         kept = sum(view.size for view in self._views.values())
-        self._budget.set_held(Purpose.BATCHES, kept + outputs)
+        self._budget.set_held(MemoryPurpose.BATCHES, kept + outputs)
 
     def _max_idle_bytes(self) -> int:
         limit = self._budget.limit
--- a/src/larkpost/platform/batch_calls.py
+++ b/src/larkpost/platform/batch_calls.py
@@ -10,7 +10,7 @@
 from larkpost.common.errors import LarkpostError
 from larkpost.common.ids import BatchId
 from larkpost.gateway.blackboard.tenants import Caller, TenantName
-from larkpost.gateway.memory.budget import Purpose
+from larkpost.gateway.memory.budget import MemoryPurpose
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.rollouts.model import ItemId
 from larkpost.gateway.rollouts.service import BatchService
@@ -66,7 +66,7 @@
             await response.send_whole(NOT_ALLOWED)
             return
         self.check_size(call, len(body))
-        with call.memory.reserve(Purpose.SUBMISSIONS, len(body) * SUBMISSION_COPIES):
+        with call.memory.reserve(MemoryPurpose.SUBMISSIONS, len(body) * SUBMISSION_COPIES):
             await self._submit(call, response, body, tenant)
 
     def check_size(self, call: ClientCall, size: int) -> None:
@@ -110,7 +110,7 @@
             batch = _batch_after(names.ITEM_CALL, call)
             item = call.query.get("id", [""])[0]
             body = await self._batches.body(batch, ItemId(item), caller)
-            call.memory.reserve(Purpose.PAGES, len(body))
+            call.memory.reserve(MemoryPurpose.PAGES, len(body))
             await response.send_whole(OK, body)
         else:
             await response.send_whole(NOT_FOUND)
@@ -139,7 +139,7 @@
         wait = min(wait_ms / 1000, MAX_WAIT_SECONDS)
         page = await self._batches.read(batch, position, wait, caller)
         content = orjson.dumps(write_page(page))
-        call.memory.reserve(Purpose.PAGES, len(content))
+        call.memory.reserve(MemoryPurpose.PAGES, len(content))
         await response.send_json(content)
 
 
--- a/src/larkpost/platform/client_call.py
+++ b/src/larkpost/platform/client_call.py
@@ -5,7 +5,7 @@
 
 from larkpost.common.errors import LarkpostError
 from larkpost.gateway.blackboard.tenants import KeyDigest, digest_key
-from larkpost.gateway.memory.budget import SMALL_BODY_BYTES, Purpose
+from larkpost.gateway.memory.budget import SMALL_BODY_BYTES, MemoryPurpose
 from larkpost.gateway.memory.daemon_memory import RequestMemory
 from larkpost.gateway.memory.delivery import ClientConnection
 from larkpost.gateway.memory.slow_clients import STALLED_SECONDS
@@ -157,7 +157,7 @@
         if declared is not None and declared > limit:
             return None
         is_large = declared > SMALL_BODY_BYTES if declared is not None else self._is_chunked
-        purpose = Purpose.REQUEST_BODIES if is_large else Purpose.SMALL_BODIES
+        purpose = MemoryPurpose.REQUEST_BODIES if is_large else MemoryPurpose.SMALL_BODIES
         reserved = self.memory.reserve(purpose, declared or 0)
         self._is_body_asked_for = True
         if not self.memory.is_limited or not is_large:
--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -16,7 +16,7 @@
     RouteKind,
 )
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
-from larkpost.gateway.memory.budget import Purpose
+from larkpost.gateway.memory.budget import MemoryPurpose
 from larkpost.gateway.memory.daemon_memory import DaemonMemory, RequestMemory, unlimited_memory
 from larkpost.gateway.memory.delivery import Delivery, SlowClientError
 from larkpost.gateway.memory.read_ahead import BufferedBody, read_ahead
@@ -174,7 +174,7 @@
     async def _stream(self, request: ClientRequest, route: Route, response: ClientResponse) -> None:
         async with self._forwarder.stream(request, route) as streamed:
             await response.begin(streamed.status, streamed.headers)
-            ahead = request.memory.reserve(Purpose.STREAMS)
+            ahead = request.memory.reserve(MemoryPurpose.STREAMS)
             await self._pass_on(BufferedBody(streamed.chunks(), ahead), response)
 
     async def _pass_on(self, answer: BufferedBody, response: ClientResponse) -> None:
@@ -188,7 +188,7 @@
     """Holds what the connection has not sent yet, until the client has taken it."""
     if delivery.unsent == 0:
         return
-    memory.shrink_to(Purpose.ANSWERS, delivery.unsent)
+    memory.shrink_to(MemoryPurpose.ANSWERS, delivery.unsent)
     with contextlib.suppress(SlowClientError):  # logged where it was cut
         await delivery.wait_until_drained()
 
--- a/src/larkpost/platform/peer_store.py
+++ b/src/larkpost/platform/peer_store.py
@@ -4,7 +4,7 @@
 peer as it speaks to the store.
 """
 
-from larkpost.gateway.memory.budget import MemoryBudget, MemoryBudgetError, Purpose
+from larkpost.gateway.memory.budget import MemoryBudget, MemoryBudgetError, MemoryPurpose
 from larkpost.platform import asgi, names
 from larkpost.platform.asgi import ClientLeftError, Receive, Send
 from larkpost.platform.store import HttpStore
@@ -34,7 +34,7 @@
     async def __call__(self, scope: dict, receive: Receive, send: Send) -> None:
         """Makes the call, unless the store turns this daemon away as well."""
         try:
-            with self._budget.reserve(Purpose.RELAYED_CALLS, CALL_BYTES, "peer"):
+            with self._budget.reserve(MemoryPurpose.RELAYED_CALLS, CALL_BYTES, "peer"):
                 await self._serve(scope, receive, send)
         except MemoryBudgetError:
             await asgi.send_whole(send, UNAVAILABLE, [(b"content-length", b"0")], b"")
--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -16,7 +16,7 @@
     SMALL_BODIES_FRACTION,
     MemoryBudget,
     MemoryBudgetError,
-    Purpose,
+    MemoryPurpose,
 )
 from larkpost.gateway.memory.daemon_memory import DaemonMemory, unlimited_memory
 from larkpost.gateway.memory.sizing import MIN_BUDGET_BYTES, RESERVED_BYTES, byte_budget_for
@@ -37,37 +37,37 @@
         self.budget = MemoryBudget(10 * MB, random.Random(1))
 
     def test_bytes_are_counted_by_purpose_and_released_at_the_end(self):
-        with self.budget.reserve(Purpose.REQUEST_BODIES, 3 * MB) as body:
-            self.budget.reserve(Purpose.ANSWERS, MB)
+        with self.budget.reserve(MemoryPurpose.REQUEST_BODIES, 3 * MB) as body:
+            self.budget.reserve(MemoryPurpose.ANSWERS, MB)
             body.grow(MB)
-            self.assertEqual(4 * MB, self.budget.held(Purpose.REQUEST_BODIES))
+            self.assertEqual(4 * MB, self.budget.held(MemoryPurpose.REQUEST_BODIES))
             self.assertEqual((5 * MB, 5 * MB), (self.budget.total, self.budget.free))
-        self.assertEqual(0, self.budget.held(Purpose.REQUEST_BODIES))
+        self.assertEqual(0, self.budget.held(MemoryPurpose.REQUEST_BODIES))
         self.assertEqual(MB, self.budget.total)
 
     def test_bytes_are_released_when_their_holder_fails(self):
-        with self.assertRaises(ValueError), self.budget.reserve(Purpose.ANSWERS, MB):
+        with self.assertRaises(ValueError), self.budget.reserve(MemoryPurpose.ANSWERS, MB):
             raise ValueError
         self.assertEqual(0, self.budget.total)
 
     def test_nothing_is_reserved_without_room_and_what_was_stays(self):
-        self.budget.reserve(Purpose.REQUEST_BODIES, 10 * MB)
+        self.budget.reserve(MemoryPurpose.REQUEST_BODIES, 10 * MB)
         with self.assertRaises(MemoryBudgetError):
-            self.budget.reserve(Purpose.REQUEST_BODIES, 1)
+            self.budget.reserve(MemoryPurpose.REQUEST_BODIES, 1)
         self.assertEqual(10 * MB, self.budget.total)
 
     def test_reservation_of_nothing_is_never_refused(self):
-        self.budget.reserve(Purpose.REQUEST_BODIES, 10 * MB)
-        self.budget.reserve(Purpose.REQUEST_BODIES, 0)
+        self.budget.reserve(MemoryPurpose.REQUEST_BODIES, 10 * MB)
+        self.budget.reserve(MemoryPurpose.REQUEST_BODIES, 0)
 
     def test_growing_beyond_the_room_keeps_what_was_reserved(self):
-        body = self.budget.reserve(Purpose.REQUEST_BODIES, 9 * MB)
+        body = self.budget.reserve(MemoryPurpose.REQUEST_BODIES, 9 * MB)
         with self.assertRaises(MemoryBudgetError):
             body.grow(2 * MB)
         self.assertEqual((9 * MB, 9 * MB), (body.size, self.budget.total))
 
     def test_refused_callers_come_back_one_by_one(self):
-        self.budget.reserve(Purpose.REQUEST_BODIES, 10 * MB)
+        self.budget.reserve(MemoryPurpose.REQUEST_BODIES, 10 * MB)
         waits = {self.budget.budget_error(1).retry_after for _ in range(20)}
         self.assertGreater(len(waits), 15)
         self.assertGreaterEqual(min(waits), RETRY_AFTER_SECONDS)
@@ -79,41 +79,41 @@
             (reservation.owner, reservation.purpose, size)
         )
         with self.assertRaises(MemoryBudgetError):
-            self.budget.reserve(Purpose.REQUEST_BODIES, 11 * MB, "r1")
-        self.assertEqual([("r1", Purpose.REQUEST_BODIES, 11 * MB)], refused)
+            self.budget.reserve(MemoryPurpose.REQUEST_BODIES, 11 * MB, "r1")
+        self.assertEqual([("r1", MemoryPurpose.REQUEST_BODIES, 11 * MB)], refused)
 
     def test_what_is_kept_anyway_leaves_less_room(self):
-        self.budget.set_held(Purpose.BATCHES, 12 * MB)
+        self.budget.set_held(MemoryPurpose.BATCHES, 12 * MB)
         self.assertEqual(0, self.budget.free)
-        self.budget.set_held(Purpose.BATCHES, 4 * MB)
+        self.budget.set_held(MemoryPurpose.BATCHES, 4 * MB)
         self.assertEqual(6 * MB, self.budget.free)
 
     def test_small_bodies_find_room_beside_batches_that_fill_the_budget(self):
-        self.budget.set_held(Purpose.BATCHES, 12 * MB)
+        self.budget.set_held(MemoryPurpose.BATCHES, 12 * MB)
         most = int(10 * MB * SMALL_BODIES_FRACTION)
         for _ in range(most // 800):
-            self.budget.reserve(Purpose.SMALL_BODIES, 800)
-        for purpose in (Purpose.SMALL_BODIES, Purpose.REQUEST_BODIES):
+            self.budget.reserve(MemoryPurpose.SMALL_BODIES, 800)
+        for purpose in (MemoryPurpose.SMALL_BODIES, MemoryPurpose.REQUEST_BODIES):
             with self.assertRaises(MemoryBudgetError):
                 self.budget.reserve(purpose, 801)
 
     def test_new_batches_are_taken_while_those_held_leave_half_of_the_budget(self):
-        self.budget.set_held(Purpose.BATCHES, 5 * MB)
-        self.budget.reserve(Purpose.SUBMISSIONS, MB).release()
-        self.budget.set_held(Purpose.BATCHES, 5 * MB + 1)
+        self.budget.set_held(MemoryPurpose.BATCHES, 5 * MB)
+        self.budget.reserve(MemoryPurpose.SUBMISSIONS, MB).release()
+        self.budget.set_held(MemoryPurpose.BATCHES, 5 * MB + 1)
         with self.assertRaises(MemoryBudgetError):
-            self.budget.reserve(Purpose.SUBMISSIONS, 1)
-        self.budget.reserve(Purpose.REQUEST_BODIES, 4 * MB)
+            self.budget.reserve(MemoryPurpose.SUBMISSIONS, 1)
+        self.budget.reserve(MemoryPurpose.REQUEST_BODIES, 4 * MB)
 
     def test_bytes_missing(self):
         """What must be released before a reservation fits; batches are not released for one."""
-        self.budget.set_held(Purpose.BATCHES, 6 * MB)
-        self.budget.reserve(Purpose.ANSWERS).force_grow(5 * MB)
+        self.budget.set_held(MemoryPurpose.BATCHES, 6 * MB)
+        self.budget.reserve(MemoryPurpose.ANSWERS).force_grow(5 * MB)
         cases = {
-            (Purpose.REQUEST_BODIES, MB): 2 * MB,
-            (Purpose.REQUEST_BODIES, 10 * MB + 1): math.inf,
-            (Purpose.SMALL_BODIES, 800): 0,
-            (Purpose.SUBMISSIONS, MB): math.inf,
+            (MemoryPurpose.REQUEST_BODIES, MB): 2 * MB,
+            (MemoryPurpose.REQUEST_BODIES, 10 * MB + 1): math.inf,
+            (MemoryPurpose.SMALL_BODIES, 800): 0,
+            (MemoryPurpose.SUBMISSIONS, MB): math.inf,
         }
         for (purpose, size), shortfall in cases.items():
             with self.subTest(purpose=purpose, size=size):
@@ -122,26 +122,26 @@
     def test_forty_answers_that_take_their_shares_fit_but_for_the_least_that_each_may_hold(self):
         """Forty slow clients of answers larger than the budget."""
         for _ in range(40):
-            answer = self.budget.reserve(Purpose.STREAMS)
+            answer = self.budget.reserve(MemoryPurpose.STREAMS)
             while answer.fits_answer_limit(MIN_ANSWER_LIMIT_BYTES):
                 answer.force_grow(MIN_ANSWER_LIMIT_BYTES)
         self.assertLess(self.budget.total, 10 * MB + 40 * MIN_ANSWER_LIMIT_BYTES)
         self.assertGreater(self.budget.total, 9 * MB)
 
     def test_one_answer_may_hold_a_part_of_what_is_free(self):
-        answer = self.budget.reserve(Purpose.ANSWERS)
+        answer = self.budget.reserve(MemoryPurpose.ANSWERS)
         self.assertTrue(answer.fits_answer_limit(10 * MB // ANSWER_LIMIT_DIVISOR))
         self.assertFalse(answer.fits_answer_limit(10 * MB // ANSWER_LIMIT_DIVISOR + 1))
 
     def test_room_is_short_once_half_is_held(self):
-        body = self.budget.reserve(Purpose.REQUEST_BODIES, 5 * MB)
+        body = self.budget.reserve(MemoryPurpose.REQUEST_BODIES, 5 * MB)
         self.assertFalse(self.budget.is_low)
         body.grow(1)
         self.assertTrue(self.budget.is_low)
 
     def test_without_a_limit_everything_fits(self):
         budget = MemoryBudget()
-        answer = budget.reserve(Purpose.ANSWERS, 10**12)
+        answer = budget.reserve(MemoryPurpose.ANSWERS, 10**12)
         self.assertTrue(answer.fits_answer_limit(10**12))
         self.assertEqual((math.inf, False), (budget.free, budget.is_low))
 
@@ -194,7 +194,7 @@
         def opened(name: str) -> OpenResponse:
             call = AsyncExitStack()
             call.push(lambda kind, *_: ended.append((name, kind)))
-            body = MemoryBudget().reserve(Purpose.ANSWERS)
+            body = MemoryBudget().reserve(MemoryPurpose.ANSWERS)
             return OpenResponse(200, (), deque(), mock.Mock(), body, call)
 
         used, unused = opened("used"), opened("unused")
@@ -218,7 +218,7 @@
 
             call = AsyncExitStack()
             call.push_async_exit(end)
-            body = MemoryBudget().reserve(Purpose.ANSWERS)
+            body = MemoryBudget().reserve(MemoryPurpose.ANSWERS)
             return OpenResponse(200, (), deque(), mock.Mock(), body, call)
 
         attempts = Attempts(*[mock.Mock()] * 5, opened=[opened("first"), opened("second")])
@@ -238,10 +238,10 @@
     def test_everything_is_released_at_the_end_of_the_request(self):
         memory = unlimited_memory()
         with memory.request() as request:
-            request.reserve(Purpose.REQUEST_BODIES, MB)
-            request.reserve(Purpose.ANSWERS).force_grow(MB)
+            request.reserve(MemoryPurpose.REQUEST_BODIES, MB)
+            request.reserve(MemoryPurpose.ANSWERS).force_grow(MB)
             self.assertEqual((2 * MB, 2 * MB), (request.size, memory.budget.total))
-            request.shrink_to(Purpose.ANSWERS, 100)
+            request.shrink_to(MemoryPurpose.ANSWERS, 100)
             self.assertEqual((100, 100), (request.size, memory.budget.total))
         self.assertEqual(0, memory.budget.total)
 
@@ -250,7 +250,7 @@
         memory = DaemonMemory(MB, Instruments(LoopClock(), log))
         with memory.request() as request, self.assertRaises(MemoryBudgetError):
             request.owner = "r1"
-            request.reserve(Purpose.REQUEST_BODIES, 2 * MB)
+            request.reserve(MemoryPurpose.REQUEST_BODIES, 2 * MB)
         (line,) = [fields for event, fields in log.events if event is Event.NO_ROOM]
         self.assertEqual("r1", line["request"])
         self.assertEqual("request_bodies", line["purpose"])
--- a/tests/test_held_bytes.py
+++ b/tests/test_held_bytes.py
@@ -29,7 +29,7 @@
 from larkpost.gateway.blackboard.directory import InstanceDirectory
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
 from larkpost.gateway.memory import delivery
-from larkpost.gateway.memory.budget import MemoryBudget, Purpose
+from larkpost.gateway.memory.budget import MemoryBudget, MemoryPurpose
 from larkpost.gateway.memory.daemon_memory import DaemonMemory
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
@@ -303,7 +303,9 @@
         first, second = await self.connect(), await self.connect()
         body = body_of(5 * MB)
         first[1].write(self.head(b"/p/x", b"Content-Length: %d" % len(body)))
-        await self.wait_until(lambda: self.memory.budget.held(Purpose.REQUEST_BODIES) == 5 * MB)
+        await self.wait_until(
+            lambda: self.memory.budget.held(MemoryPurpose.REQUEST_BODIES) == 5 * MB
+        )
         second[1].write(self.request(body))
         self.assertEqual(503, (await self.response(second[0]))[0])
         first[1].write(body)
@@ -555,7 +557,7 @@
 
     async def test_batch_at_the_limit_is_refused_whole_and_taken_once_there_is_room(self):
         """Its body fits, but not what reading and storing it takes."""
-        held = self.memory.budget.reserve(Purpose.REQUEST_BODIES, 5 * MB)
+        held = self.memory.budget.reserve(MemoryPurpose.REQUEST_BODIES, 5 * MB)
         reader, writer = await self.connect()
         batch = self.submission(MB)
         writer.write(self.request(batch, b"/b/x"))
@@ -570,7 +572,7 @@
         await self.wait_until(lambda: self.memory.budget.total == 0)
 
     async def test_small_bodies_are_served_while_batches_fill_the_budget(self):
-        self.memory.budget.set_held(Purpose.BATCHES, 9 * MB)
+        self.memory.budget.set_held(MemoryPurpose.BATCHES, 9 * MB)
         reader, writer = await self.connect()
         for path, status in ((b"/p/x", 200), (b"/o/x", 200), (b"/s/x", 200), (b"/b/x", 503)):
             writer.write(self.request(b"x" * 800, path))
@@ -581,7 +583,7 @@
     async def test_batch_is_refused_while_those_held_take_half_of_the_budget(self):
         reader, writer = await self.connect()
         for held, status in ((4 * MB + 1, 503), (4 * MB, 202)):
-            self.memory.budget.set_held(Purpose.BATCHES, held)
+            self.memory.budget.set_held(MemoryPurpose.BATCHES, held)
             writer.write(self.request(self.submission(1000), b"/b/x"))
             self.assertEqual(status, (await self.response(reader))[0])
         self.assertEqual(1, len(self.batches.submitted))
@@ -604,7 +606,7 @@
 
     async def test_page_of_results_without_room_is_refused(self):
         self.batches.text = "x" * MB
-        held = self.memory.budget.reserve(Purpose.REQUEST_BODIES, 7 * MB + 1)
+        held = self.memory.budget.reserve(MemoryPurpose.REQUEST_BODIES, 7 * MB + 1)
         reader, writer = await self.connect()
         ask = self.head(b"/-/lots/b1?after-rev=0").replace(b"POST", b"GET")
         writer.write(ask)
@@ -675,7 +677,7 @@
         )
         item = Item(ItemId("i"), "/", (), bytes(MB), 1, "g")
         await keeper.own_accepted(mock.Mock(id=BatchId("b"), items=(item,)), "u")
-        self.assertEqual(MB, budget.held(Purpose.BATCHES))
+        self.assertEqual(MB, budget.held(MemoryPurpose.BATCHES))
         keeper.finish(BatchId("b"))
 
 
@@ -697,10 +699,10 @@
         view = self.view(cache, "a", MB)
         view.keep_items(view.items.values())
         cache.bound({BatchId("a")}, outputs=10)
-        self.assertEqual(2 * MB + 10, budget.held(Purpose.BATCHES))
+        self.assertEqual(2 * MB + 10, budget.held(MemoryPurpose.BATCHES))
         cache.forget(BatchId("a"))
         cache.bound(set())
-        self.assertEqual(0, budget.held(Purpose.BATCHES))
+        self.assertEqual(0, budget.held(MemoryPurpose.BATCHES))
 
     def test_views_not_in_use_keep_to_a_part_of_the_budget(self):
         budget = MemoryBudget(16 * MB)
@@ -709,7 +711,7 @@
             self.view(cache, name, size)
         cache.bound({BatchId("used")})
         self.assertIsNone(cache.get(BatchId("old")))
-        self.assertEqual(6 * MB, budget.held(Purpose.BATCHES))
+        self.assertEqual(6 * MB, budget.held(MemoryPurpose.BATCHES))
 
 
 if __name__ == "__main__":
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -14,7 +14,7 @@
     ANSWER_LIMIT_DIVISOR,
     MIN_ANSWER_LIMIT_BYTES,
     MemoryBudgetError,
-    Purpose,
+    MemoryPurpose,
 )
 from larkpost.gateway.memory.daemon_memory import DaemonMemory, DisconnectReason
 from larkpost.gateway.memory.delivery import Delivery, SlowClientError
@@ -113,7 +113,8 @@
                 self.memory.delivery(self.outlet, request) as delivery,
             ):
                 await self.pass_on(
-                    BufferedBody(self.server.answer(), request.reserve(Purpose.STREAMS)), delivery
+                    BufferedBody(self.server.answer(), request.reserve(MemoryPurpose.STREAMS)),
+                    delivery,
                 )
         finally:
             taking.cancel()
@@ -227,7 +228,7 @@
 
     def test_server_that_stays_unread_has_the_slowest_client_cut(self):
         """The budget is full but for a share; one client takes 200 kB a second, one 2 kB."""
-        held = self.memory.budget.reserve(Purpose.REQUEST_BODIES)
+        held = self.memory.budget.reserve(MemoryPurpose.REQUEST_BODIES)
         held.force_grow(8 * MB)
         slow = Relay(self.memory, Server(1000), FakeOutlet(rate=2_000))
         fast = Relay(self.memory, Server(100), FakeOutlet(rate=200_000))
@@ -266,12 +267,12 @@
         async def play():
             running = asyncio.create_task(relay.run())
             await asyncio.sleep(MIN_SLOW_SECONDS + 1)
-            self.memory.budget.reserve(Purpose.REQUEST_BODIES, 6 * MB)
+            self.memory.budget.reserve(MemoryPurpose.REQUEST_BODIES, 6 * MB)
             with self.assertRaises(MemoryBudgetError):
-                self.memory.budget.reserve(Purpose.REQUEST_BODIES, 2 * MB)
+                self.memory.budget.reserve(MemoryPurpose.REQUEST_BODIES, 2 * MB)
             self.assertTrue(relay.outlet.is_disconnected)
             await asyncio.gather(running, return_exceptions=True)
-            self.memory.budget.reserve(Purpose.REQUEST_BODIES, 2 * MB)
+            self.memory.budget.reserve(MemoryPurpose.REQUEST_BODIES, 2 * MB)
 
         virtual.run(play())
 
@@ -283,10 +284,10 @@
             running = asyncio.create_task(relay.run())
             await asyncio.sleep(MIN_SLOW_SECONDS + 1)
             with self.assertRaises(MemoryBudgetError):
-                self.memory.budget.reserve(Purpose.REQUEST_BODIES, 8 * MB + 1)
-            self.memory.budget.reserve(Purpose.REQUEST_BODIES, 6 * MB)
+                self.memory.budget.reserve(MemoryPurpose.REQUEST_BODIES, 8 * MB + 1)
+            self.memory.budget.reserve(MemoryPurpose.REQUEST_BODIES, 6 * MB)
             with self.assertRaises(MemoryBudgetError):
-                self.memory.budget.reserve(Purpose.REQUEST_BODIES, 3 * MB)
+                self.memory.budget.reserve(MemoryPurpose.REQUEST_BODIES, 3 * MB)
             self.assertFalse(relay.outlet.is_disconnected)
             running.cancel()
             await asyncio.gather(running, return_exceptions=True)
@@ -302,7 +303,7 @@
                 self.memory.request() as request,
                 self.memory.delivery(outlet, request) as delivery,
             ):
-                request.reserve(Purpose.STREAMS, MB)
+                request.reserve(MemoryPurpose.STREAMS, MB)
                 delivery.record_written(2 * HIGH_BYTES)
                 outlet.give(2 * HIGH_BYTES)
                 waiting = asyncio.create_task(delivery.wait_until_writable())
@@ -331,7 +332,7 @@
                 self.memory.request() as request,
                 self.memory.delivery(outlet, request) as delivery,
             ):
-                request.reserve(Purpose.ANSWERS, MB)
+                request.reserve(MemoryPurpose.ANSWERS, MB)
                 delivery.record_written(2 * HIGH_BYTES)
                 outlet.give(2 * HIGH_BYTES)
                 outlet.is_serving = False
@@ -368,7 +369,7 @@
         async def play():
             outlet = FakeOutlet(rate=10**9)
             with memory.request() as request, memory.delivery(outlet, request) as delivery:
-                held = request.reserve(Purpose.ANSWERS, 2)
+                held = request.reserve(MemoryPurpose.ANSWERS, 2)
                 answer = BufferedBody(Server(1).answer(), held, deque([b"a", b"b"]))
                 async with aclosing(read_ahead(answer, delivery, memory)) as parts:
                     return [part async for part in parts]
