--- a/src/larkpost/gateway/assembly/daemon_reports.py
+++ b/src/larkpost/gateway/assembly/daemon_reports.py
@@ -37,7 +37,7 @@
             capacity=self._capacity(),
         )
 
-    def own_paces(self) -> dict[InstanceId, float]:
+    def own_service_times(self) -> dict[InstanceId, float]:
         """Returns the paces whose turn it is; each call takes the next ones."""
         return self._paces.report()
 
--- a/src/larkpost/gateway/assembly/membership.py
+++ b/src/larkpost/gateway/assembly/membership.py
@@ -52,7 +52,7 @@
         ClockOffset(inputs.ports.clock, store.time).now,
         settings.peer_address,
         reports.own,
-        reports.own_paces,
+        reports.own_service_times,
         inputs.ledger.has_shortage,
     )
     return Membership(
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -208,9 +208,9 @@
             await asyncio.gather(*(known.stream(name, FAST) for name in names))
             keeper = mock.Mock(progress=dict)
             reports = DaemonReports(known.paces, FlowLedger(LoopClock()), lambda: keeper)
-            first = reports.own_paces()
+            first = reports.own_service_times()
             self.assertEqual({}, reports.own().paces)
-            self.assertEqual(set(names), first.keys() | reports.own_paces().keys())
+            self.assertEqual(set(names), first.keys() | reports.own_service_times().keys())
 
         run(play())
 
