--- a/src/larkpost/gateway/usage/reporter.py
+++ b/src/larkpost/gateway/usage/reporter.py
@@ -112,12 +112,12 @@
             return
         try:
             if self._next is None:
-                self._next = await self._find_first(now)
+                self._next = await self._find_first_unreported(now)
             await self._report_due(self._next, now)
         except StoreUnavailableError:
             return  # the store's adapter has counted it; the next update tries again
 
-    async def _find_first(self, now: float) -> WindowNumber:
+    async def _find_first_unreported(self, now: float) -> WindowNumber:
         """Returns the first window that nobody is known to have reported."""
         current = self._timing.window_at(now)
         decided = await self._repository.decided_since(WindowNumber(current - LOOK_BACK_WINDOWS))
