--- a/src/larkpost/gateway/usage/counter.py
+++ b/src/larkpost/gateway/usage/counter.py
@@ -42,7 +42,7 @@
 
         Requests wait for their window until the time of day is known.
         """
-        self._assign()
+        self._assign_windows()
         return {window: dict(self._counts[window]) for window in sorted(self._unsaved)}
 
     def record_saved(self, saved: dict[WindowNumber, TenantCounts]) -> None:
@@ -51,7 +51,7 @@
             if self._counts.get(window) == counts:
                 self._unsaved.discard(window)
 
-    def _assign(self) -> None:
+    def _assign_windows(self) -> None:
         """Counts each request in its window."""
         if not self._started or self._true_time.now() is None:
             return
