--- a/src/larkpost/gateway/observability/batch_times.py
+++ b/src/larkpost/gateway/observability/batch_times.py
@@ -114,8 +114,8 @@
             str(len(self.owners)),
         ]
         for times in (self.began, self.whole, self.scored, self.listed):
-            columns.append(_middle_and_last(list(times.values()), first))
-        columns.append(_middle_and_last(list(self.read.values()), first))
+            columns.append(_median_and_last(list(times.values()), first))
+        columns.append(_median_and_last(list(self.read.values()), first))
         for at in (self._wanted_at(), self.ended_at):
             columns.append(f"{at - first:.1f}" if at is not None else "-")
         columns.append(" ".join(f"{name}:{count}" for name, count in self.runs.most_common()))
@@ -163,7 +163,7 @@
     return [times.row(start) for times in batches]
 
 
-def _middle_and_last(times: list[float], first: float) -> str:
+def _median_and_last(times: list[float], first: float) -> str:
     if not times:
         return "-"
     times.sort()
