--- a/src/larkpost/gateway/assembly/daemon_capacity.py
+++ b/src/larkpost/gateway/assembly/daemon_capacity.py
@@ -10,7 +10,7 @@
 """A machine whose budget of bytes is smaller than this for each core cannot use all of them."""
 LATE_CAPACITY_FRACTION = 0.25
 """What is left of the capacity of a daemon whose loop was late."""
-LATE_SECONDS = 10.0
+LATE_CAPACITY_SECONDS = 10.0
 """For so long it stays so: shorter, and duties would come and go with each late turn."""
 
 
@@ -45,5 +45,5 @@
         """Returns the capacity; None if it is not known."""
         if self._most is None:
             return None
-        is_late = self._clock.now() - self._event_loop_monitor.late_at < LATE_SECONDS
+        is_late = self._clock.now() - self._event_loop_monitor.late_at < LATE_CAPACITY_SECONDS
         return round(self._most * LATE_CAPACITY_FRACTION, 3) if is_late else self._most
--- a/tests/test_uneven_machines.py
+++ b/tests/test_uneven_machines.py
@@ -15,7 +15,7 @@
 from larkpost.common.tasks import TaskSet, UnreportedFailures
 from larkpost.gateway.assembly.daemon_capacity import (
     LATE_CAPACITY_FRACTION,
-    LATE_SECONDS,
+    LATE_CAPACITY_SECONDS,
     DaemonCapacity,
     machine_capacity,
 )
@@ -175,7 +175,7 @@
 
         virtual.run(measure())
         self.assertEqual(2.0 * LATE_CAPACITY_FRACTION, capacity.now())
-        clock.time += LATE_SECONDS
+        clock.time += LATE_CAPACITY_SECONDS
         self.assertEqual(2.0, capacity.now())
 
     def test_machine_of_unknown_size_reports_nothing(self):
