--- a/src/larkpost/gateway/store/peers.py
+++ b/src/larkpost/gateway/store/peers.py
@@ -58,7 +58,7 @@
         self._unresponsive_at: dict[Address, float] = {}
         self._cooldown_until = float("-inf")
 
-    def follow(self, distances: Callable[[], PeerDistances]) -> None:
+    def set_distances(self, distances: Callable[[], PeerDistances]) -> None:
         """Sets who is asked where the other daemons are that are considered alive."""
         self._distances = distances
 
--- a/src/larkpost/gateway/store/relay.py
+++ b/src/larkpost/gateway/store/relay.py
@@ -80,7 +80,7 @@
             is_confined: returns whether rows of a table must not pass through another region.
         """
         self._is_region_bound = is_region_bound
-        self._peers.follow(peers)
+        self._peers.set_distances(peers)
         tasks.every(PROBE_INTERVAL_SECONDS, self._probe, "store_relay")
 
     @property
