--- a/src/larkpost/gateway/assembly/gauges.py
+++ b/src/larkpost/gateway/assembly/gauges.py
@@ -37,13 +37,13 @@
 
     def update(self) -> None:
         """Sets all gauges."""
-        self._set_knowledge()
+        self._set_configuration()
         self._set_instances()
         self._set_fleet()
         self._set_work()
         self.memory.set_gauges()
 
-    def _set_knowledge(self) -> None:
+    def _set_configuration(self) -> None:
         """Sets the gauges of the configuration, the feeds and the crashes."""
         metrics, blackboard = self.metrics, self.blackboard
         current = blackboard.configuration.current
