--- a/src/larkpost/gateway/blackboard/cold_instances.py
+++ b/src/larkpost/gateway/blackboard/cold_instances.py
@@ -56,7 +56,7 @@
         """Returns whether an instance is cold."""
         return now < self._until.get(instance, now)
 
-    def left(self, instance: InstanceId, now: float) -> float:
+    def seconds_left(self, instance: InstanceId, now: float) -> float:
         """Returns the seconds for which an instance stays cold, as far as is known."""
         return max(0.0, self._until.get(instance, now) - now)
 
--- a/src/larkpost/gateway/placement/cold_rule.py
+++ b/src/larkpost/gateway/placement/cold_rule.py
@@ -128,7 +128,7 @@
         self._senders.view()
         cold = self._cold_now()
         for name in sorted(cold ^ self._logged):
-            left = self._blackboard.cold.left(name, self._clock.now())
+            left = self._blackboard.cold.seconds_left(name, self._clock.now())
             state = "cold" if name in cold else "warm"
             self._log.record(Event.INSTANCE_COLD, instance=name, state=state, left=round(left, 3))
         self._logged = cold
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -272,7 +272,7 @@
         """Takes an entry of the engine, and returns for how long it counts as cold."""
         self.info = replace(INFO, cold_left=cold_left)
         self.intake.record_instance_row(Row(RowKey("instances", "", ENGINE), b"", 1))
-        return self.blackboard.cold.left(ENGINE, self.clock.now())
+        return self.blackboard.cold.seconds_left(ENGINE, self.clock.now())
 
     def test_new_during_traffic_whether_its_entry_says_so_or_nothing(self) -> None:
         for told in (None, 0.5, COLD_SECONDS):
@@ -321,9 +321,9 @@
             cold, now = self.blackboard.cold, self.clock.now()
             directory, configuration = self.blackboard.directory, self.blackboard.configuration
             cold.record_zone_restored(ZoneId("other"), directory, configuration, now)
-            self.assertEqual(0.0, cold.left(ENGINE, now))
+            self.assertEqual(0.0, cold.seconds_left(ENGINE, now))
             cold.record_zone_restored(INFO.zone, directory, configuration, now)
-            self.assertEqual(COLD_SECONDS, cold.left(ENGINE, now))
+            self.assertEqual(COLD_SECONDS, cold.seconds_left(ENGINE, now))
 
         self.play(work)
 
