--- a/src/larkpost/gateway/assembly/gauges.py
+++ b/src/larkpost/gateway/assembly/gauges.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from larkpost.gateway.assembly.loop_watch import LoopWatch
+from larkpost.gateway.assembly.loop_monitor import EventLoopMonitor
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
 from larkpost.gateway.controllers.feeds import Feeds
@@ -31,19 +31,19 @@
     balancer: Balancer
     cold: ColdRateLimit
     keeper: BatchManager
-    loop_watch: LoopWatch
+    event_loop_monitor: EventLoopMonitor
     relay: RelayedStore | None
     memory: DaemonMemory
 
     def update(self) -> None:
         """Sets all gauges."""
-        self._set_knowledge()
+        self._set_configuration()
         self._set_instances()
         self._set_fleet()
         self._set_work()
         self.memory.set_gauges()
 
-    def _set_knowledge(self) -> None:
+    def _set_configuration(self) -> None:
         """Sets the gauges of the configuration, the feeds and the crashes."""
         metrics, blackboard = self.metrics, self.blackboard
         current = blackboard.configuration.current
@@ -83,4 +83,4 @@
         metrics.set(Level.ITEMS_RUNNING, sum(batch.running for batch in owned))
         metrics.set(Level.REWARDS_WAITING, sum(batch.unscored for batch in owned))
         metrics.set(Level.RESULTS_WAITING, sum(batch.waiting for batch in owned))
-        metrics.set(Level.LOOP_LAG, self.loop_watch.take_largest())
+        metrics.set(Level.LOOP_LAG, self.event_loop_monitor.take_max_lag())
--- a/src/larkpost/gateway/assembly/leased_controllers.py
+++ b/src/larkpost/gateway/assembly/leased_controllers.py
@@ -80,10 +80,10 @@
         if self._scaling is not None:
             self._scaling.start(tasks)
 
-    async def save_last(self) -> None:
+    async def save_final(self) -> None:
         """Saves at a planned stop what would die with this process."""
         if self._usage_writer is not None:
-            await self._usage_writer.save_last()
+            await self._usage_writer.save_final()
 
     def _make_usage_writer(self) -> UsageCountWriter | None:
         counter = self._inputs.counter
@@ -100,7 +100,7 @@
             self._coordination,
             port,
             self._instruments,
-            ReportTiming(terms, self._inputs.true_time, self._inputs.feeds.sound_for),
+            ReportTiming(terms, self._inputs.true_time, self._inputs.feeds.healthy_for),
         )
 
     def _make_scaling(self) -> ScalingController | None:
@@ -111,7 +111,7 @@
             inputs.blackboard.directory, inputs.keeper.demands, inputs.balancer.pace
         )
         return ScalingController(
-            ScalingInputs(inputs.blackboard, demand, inputs.feeds.sound_for),
+            ScalingInputs(inputs.blackboard, demand, inputs.feeds.healthy_for),
             self._coordination,
             self._ports.scaling,
             self._instruments,
--- a/src/larkpost/gateway/assembly/loop_watch.py
+++ b/src/larkpost/gateway/assembly/loop_monitor.py
@@ -10,7 +10,7 @@
 """Seconds of delay of the event loop from which it is logged."""
 
 
-class LoopWatch:
+class EventLoopMonitor:
     """The largest delay since it was last asked for.
 
     Attributes:
@@ -27,7 +27,7 @@
         """Starts measuring."""
         tasks.spawn(self._run(), "loop")
 
-    def take_largest(self) -> float:
+    def take_max_lag(self) -> float:
         """Returns the largest delay in seconds since the last call, and begins anew."""
         largest, self._largest = self._largest, 0.0
         return largest
--- a/src/larkpost/gateway/assembly/membership.py
+++ b/src/larkpost/gateway/assembly/membership.py
@@ -4,10 +4,10 @@
 from dataclasses import dataclass
 
 from larkpost.common.ids import DaemonId
+from larkpost.gateway.assembly.daemon_capacity import DaemonCapacity, machine_capacity
 from larkpost.gateway.assembly.daemon_reports import DaemonReports
 from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
-from larkpost.gateway.assembly.loop_watch import LoopWatch
-from larkpost.gateway.assembly.own_capacity import OwnCapacity, capacity_of
+from larkpost.gateway.assembly.loop_monitor import EventLoopMonitor
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.controllers.fleet_clock import ClockOffset
 from larkpost.gateway.controllers.heartbeat_writer import LocalDaemon
@@ -36,14 +36,14 @@
     balancer: Balancer
     ledger: FlowLedger
     keeper: Callable[[], BatchManager]
-    loop_watch: LoopWatch
+    event_loop_monitor: EventLoopMonitor
 
 
 def make_membership(inputs: MembershipInputs) -> Membership:
     """Returns the membership, whose heartbeats carry the daemon's use and report."""
     store, balancer, settings = inputs.ports.store, inputs.balancer, inputs.settings
-    most = capacity_of(settings.cores, settings.byte_budget)
-    capacity = OwnCapacity(most, inputs.loop_watch, inputs.ports.clock)
+    most = machine_capacity(settings.cores, settings.byte_budget)
+    capacity = DaemonCapacity(most, inputs.event_loop_monitor, inputs.ports.clock)
     reports = DaemonReports(balancer.paces, inputs.ledger, inputs.keeper, capacity.now)
     own = LocalDaemon(
         inputs.daemon,
@@ -52,7 +52,7 @@
         ClockOffset(inputs.ports.clock, store.time).now,
         settings.peer_address,
         reports.own,
-        reports.own_paces,
+        reports.own_service_times,
         inputs.ledger.has_shortage,
     )
     return Membership(
--- a/src/larkpost/gateway/blackboard/cold_instances.py
+++ b/src/larkpost/gateway/blackboard/cold_instances.py
@@ -4,7 +4,7 @@
 
 from larkpost.common.ids import InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ConfigurationState
-from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.blackboard.directory import InstanceDirectory
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,8 +39,12 @@
         if left:
             self._until[instance] = max(now + left, self._until.get(instance, now))
 
-    def record_zone_returned(
-        self, zone: ZoneId, directory: Directory, configuration: ConfigurationState, now: float
+    def record_zone_restored(
+        self,
+        zone: ZoneId,
+        directory: InstanceDirectory,
+        configuration: ConfigurationState,
+        now: float,
     ) -> None:
         """Records that a zone's evacuation has ended: its instances may have become cold before."""
         for info in directory.all():
@@ -52,7 +56,7 @@
         """Returns whether an instance is cold."""
         return now < self._until.get(instance, now)
 
-    def left(self, instance: InstanceId, now: float) -> float:
+    def seconds_left(self, instance: InstanceId, now: float) -> float:
         """Returns the seconds for which an instance stays cold, as far as is known."""
         return max(0.0, self._until.get(instance, now) - now)
 
--- a/src/larkpost/gateway/blackboard/configuration.py
+++ b/src/larkpost/gateway/blackboard/configuration.py
@@ -146,7 +146,7 @@
             return route.priority
         return known.priority
 
-    def homes_of(
+    def allowed_regions(
         self, tenant: TenantName | None, route: Route | None
     ) -> frozenset[RegionId] | None:
         """Returns the only regions in which a request may be served; None for all.
@@ -164,14 +164,14 @@
             return of_tenant if of_route is None else of_route
         return of_tenant & of_route
 
-    def homes_at(
+    def allowed_regions_at(
         self, tenant: TenantName | None, host: str, path: bytes
     ) -> frozenset[RegionId] | None:
         """Returns the only regions in which a request to a path may be served; None for all."""
-        return self.homes_of(tenant, self.match(host, path))
+        return self.allowed_regions(tenant, self.match(host, path))
 
     @cached_property
-    def has_homes(self) -> bool:
+    def has_region_limits(self) -> bool:
         """Whether a route or a tenant has regions of its own."""
         holders = (*self.routes, *(self.tenants or ()))
         return any(holder.regions is not None for holder in holders)
@@ -195,7 +195,7 @@
         routes = self._routes_by_host.get(host, ())
         return next((route for route in routes if path.startswith(route.path_prefix)), None)
 
-    def host_route(self, host: str) -> Route | None:
+    def first_batch_route(self, host: str) -> Route | None:
         """Returns the first batch route of a host."""
         routes = self._routes_by_host.get(host, ())
         return next((route for route in routes if route.kind is RouteKind.BATCH), None)
--- a/src/larkpost/gateway/blackboard/directory.py
+++ b/src/larkpost/gateway/blackboard/directory.py
@@ -52,12 +52,12 @@
         return split_instance_id(self.id)[0]
 
     @property
-    def born(self) -> int | None:
+    def started_at_ms(self) -> int | None:
         """The Unix millisecond of its start; None if it does not say it."""
         return split_instance_id(self.id)[1]
 
 
-class Directory:
+class InstanceDirectory:
     """All instances known, by id; of each server one incarnation at the most.
 
     An entry that goes while the store is sound ends the instance at once. While the store is not
@@ -73,9 +73,9 @@
         self.index: ServiceIndex[InstanceInfo] = ServiceIndex()
         self._instances: dict[InstanceId, InstanceInfo] = {}
         self._observed: dict[InstanceId, dict[ModelName, int]] = {}
-        self._retired: set[InstanceId] = set()
+        self._replaced: set[InstanceId] = set()
         self._current: dict[InstanceName, InstanceId] = {}
-        self._end_listeners: list[Callable[[InstanceId], None]] = []
+        self._removal_listeners: list[Callable[[InstanceId], None]] = []
 
     def __len__(self) -> int:
         return len(self._instances)
@@ -84,19 +84,19 @@
         """Returns an instance, or None if it is unknown."""
         return self._instances.get(instance)
 
-    def named(self, name: InstanceName) -> InstanceInfo | None:
+    def find_by_name(self, name: InstanceName) -> InstanceInfo | None:
         """Returns the incarnation of a server that is known, or None if none is."""
         current = self._current.get(name)
         return self._instances.get(current) if current is not None else None
 
     def resolve(self, instance: InstanceId) -> InstanceId:
         """Returns the incarnation that is known of a server of which only the name was said."""
-        name, born = split_instance_id(instance)
-        return self._current.get(name, instance) if born is None else instance
+        name, started_at_ms = split_instance_id(instance)
+        return self._current.get(name, instance) if started_at_ms is None else instance
 
-    def add_end_listener(self, listener: Callable[[InstanceId], None]) -> None:
+    def add_removal_listener(self, listener: Callable[[InstanceId], None]) -> None:
         """Calls a listener whenever an instance is dropped for good."""
-        self._end_listeners.append(listener)
+        self._removal_listeners.append(listener)
 
     def update(self, info: InstanceInfo) -> None:
         """Stores an entry that is new or has changed.
@@ -104,13 +104,13 @@
         A later incarnation ends the one before; a late word of an earlier one changes nothing. An
         entry that does not say when its server started is of the incarnation that is known.
         """
-        known = self.named(info.name)
-        if known is not None and known.born is not None:
-            if info.born is None:
+        known = self.find_by_name(info.name)
+        if known is not None and known.started_at_ms is not None:
+            if info.started_at_ms is None:
                 info = replace(info, id=known.id)
-            elif info.born < known.born:
+            elif info.started_at_ms < known.started_at_ms:
                 return
-        if info.id in self._retired:
+        if info.id in self._replaced:
             return
         if known is not None and known.id != info.id:
             self.forget(known.id)
@@ -120,24 +120,24 @@
         self._store(info)
         self._current[info.name] = info.id
 
-    def remove(self, name: InstanceName, *, sound: bool) -> None:
+    def remove(self, name: InstanceName, *, store_healthy: bool) -> None:
         """Records that a server's entry is gone.
 
         Args:
             sound: whether the store has been without fault for long enough to be believed.
         """
-        self._retired = {known for known in self._retired if split_instance_id(known)[0] != name}
-        known = self.named(name)
+        self._replaced = {known for known in self._replaced if split_instance_id(known)[0] != name}
+        known = self.find_by_name(name)
         if known is None:
             return
-        if sound or known.state is InstanceState.LEAVING:
+        if store_healthy or known.state is InstanceState.LEAVING:
             self.forget(known.id)
         else:
             self._store(replace(known, state=InstanceState.UNLISTED))
 
     def drop_unreadable(self, name: InstanceName) -> None:
         """Records that a server's entry names no server any more; one that leaves goes on to."""
-        known = self.named(name)
+        known = self.find_by_name(name)
         if known is not None and known.state is not InstanceState.LEAVING:
             self.forget(known.id)
 
@@ -156,13 +156,13 @@
         listed = info.versions.get(model, 0) if info is not None else 0
         return max(listed, self._observed.get(instance, {}).get(model, 0))
 
-    def retire(self, instance: InstanceId) -> None:
+    def mark_replaced(self, instance: InstanceId) -> None:
         """Drops an instance for good: another one has responded at its address.
 
         Its entry may stand for a while. A server that starts again is another instance.
         """
         self.forget(instance)
-        self._retired.add(instance)
+        self._replaced.add(instance)
 
     def forget(self, instance: InstanceId) -> None:
         """Drops an instance."""
@@ -173,7 +173,7 @@
         if self._current.get(info.name) == instance:
             del self._current[info.name]
         self._observed.pop(instance, None)
-        for listener in self._end_listeners:
+        for listener in self._removal_listeners:
             listener(instance)
 
     def of_service(self, service: ServiceName) -> list[InstanceInfo]:
@@ -193,7 +193,7 @@
             self.forget(name)
         return lapsed
 
-    def takes_work(self, instance: InstanceId) -> bool:
+    def accepts_work(self, instance: InstanceId) -> bool:
         """Returns whether an instance may be given new work at this moment."""
         info = self._instances.get(instance)
         return info is not None and info.state is not InstanceState.LEAVING
--- a/src/larkpost/gateway/blackboard/service_index.py
+++ b/src/larkpost/gateway/blackboard/service_index.py
@@ -24,7 +24,7 @@
 EntryT = TypeVar("EntryT", bound=Entry)
 
 
-class NumberedIds:
+class IndexedIdSet:
     """A set of ids that can be drawn from by number, without going through it."""
 
     def __init__(self) -> None:
@@ -66,8 +66,8 @@
     """
 
     entries: dict[InstanceId, EntryT] = field(default_factory=dict)
-    numbered: NumberedIds = field(default_factory=NumberedIds)
-    holders: dict[ModelName, NumberedIds] = field(default_factory=dict)
+    id_set: IndexedIdSet = field(default_factory=IndexedIdSet)
+    holders: dict[ModelName, IndexedIdSet] = field(default_factory=dict)
     zones: Counter[ZoneId] = field(default_factory=Counter)
     generation: int = 0
 
@@ -94,12 +94,12 @@
         service.entries[entry.id] = entry
         if known is None:
             self._service_of[entry.id] = entry.service
-            service.numbered.add(entry.id)
+            service.id_set.add(entry.id)
             self._begin_generation(service)
         if known is None or known.zone != entry.zone:
             service.zones[entry.zone] += 1
             if known is not None:
-                _count_less(service.zones, known.zone)
+                _decrement(service.zones, known.zone)
         self._put_models(service, entry.id, frozenset(models))
 
     def drop(self, instance: InstanceId) -> None:
@@ -109,9 +109,9 @@
             return
         service = self._services[name]
         entry = service.entries.pop(instance)
-        service.numbered.discard(instance)
+        service.id_set.discard(instance)
         self._begin_generation(service)
-        _count_less(service.zones, entry.zone)
+        _decrement(service.zones, entry.zone)
         self._put_models(service, instance, frozenset())
         del self._models[instance]
         if not service.entries:
@@ -134,7 +134,7 @@
     def ids(self, service: ServiceName) -> Sequence[InstanceId]:
         """Returns the ids of a service's instances, in no order."""
         known = self._services.get(service)
-        return known.numbered.ids if known is not None else ()
+        return known.id_set.ids if known is not None else ()
 
     def holders(self, service: ServiceName, model: ModelName) -> Sequence[InstanceId]:
         """Returns the ids of those instances of which a version of a model is known."""
@@ -162,12 +162,12 @@
         before = self._models.get(instance, frozenset())
         self._models[instance] = models
         for model in models - before:
-            service.holders.setdefault(model, NumberedIds()).add(instance)
+            service.holders.setdefault(model, IndexedIdSet()).add(instance)
         for model in before - models:
             service.holders[model].discard(instance)
 
 
-def _count_less(zones: Counter[ZoneId], zone: ZoneId) -> None:
+def _decrement(zones: Counter[ZoneId], zone: ZoneId) -> None:
     zones[zone] -= 1
     if not zones[zone]:
         del zones[zone]
--- a/src/larkpost/gateway/blackboard/weight_targets.py
+++ b/src/larkpost/gateway/blackboard/weight_targets.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Naming:
+class VersionAnnouncement:
     """A version as it was named.
 
     Attributes:
@@ -36,8 +36,8 @@
 
     def __init__(self) -> None:
         self._versions: dict[ModelName, int] = {}
-        self._named_at: dict[ModelName, float] = {}
-        self._is_seen: dict[ModelName, bool] = {}
+        self._announced_at: dict[ModelName, float] = {}
+        self._is_observed: dict[ModelName, bool] = {}
         """Whether this daemon knew the version before: else it has read an old row."""
 
     def update(self, target: WeightTarget, now: float) -> bool:
@@ -50,26 +50,26 @@
             return False
         follows = target.version - 1 == self._versions.get(target.model)
         self._versions[target.model] = target.version
-        self._named_at[target.model] = now
-        self._is_seen[target.model] = follows
+        self._announced_at[target.model] = now
+        self._is_observed[target.model] = follows
         return True
 
-    def named_for(self, model: ModelName, now: float) -> float:
+    def seconds_since_announced(self, model: ModelName, now: float) -> float:
         """Returns the seconds since this daemon learnt of a model's newest version."""
-        return now - self._named_at.get(model, now)
+        return now - self._announced_at.get(model, now)
 
-    def last_naming(self, model: ModelName, now: float) -> Naming | None:
+    def last_announcement(self, model: ModelName, now: float) -> VersionAnnouncement | None:
         """Returns when a model's newest version was named; None if that was not seen here."""
-        if not self._is_seen.get(model, False):
+        if not self._is_observed.get(model, False):
             return None
-        return Naming(self._versions[model], now - self._named_at[model])
+        return VersionAnnouncement(self._versions[model], now - self._announced_at[model])
 
     def version(self, model: ModelName) -> int:
         """Returns the newest version named for a model; 0 if none was."""
         return self._versions.get(model, 0)
 
 
-class Outlook(StrEnum):
+class DeadlineForecast(StrEnum):
     """Whether a batch will be in time, by a forecast."""
 
     UNKNOWN = "unknown"
@@ -97,11 +97,11 @@
 
     work: int = 0
     open: bool = False
-    open_before: bool = False
-    asked_after: float | None = None
-    asked_at: int = 0
-    least_asked_after: float | None = None
-    outlook: Outlook = Outlook.UNKNOWN
+    has_earlier_open: bool = False
+    submit_delay: float | None = None
+    submit_version: int = 0
+    min_submit_delay: float | None = None
+    deadline_forecast: DeadlineForecast = DeadlineForecast.UNKNOWN
     waiting: int = 0
     priority: int = 0
 
--- a/src/larkpost/gateway/controllers/batch_forecast.py
+++ b/src/larkpost/gateway/controllers/batch_forecast.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from larkpost.gateway.blackboard.daemon_report import BatchProgress
-from larkpost.gateway.blackboard.weight_targets import Outlook
+from larkpost.gateway.blackboard.weight_targets import DeadlineForecast
 
 MIN_SPARE_SECONDS = 2.5
 """A batch that is forecast to end so long before it is due has time to spare: its trainer needs a
@@ -35,19 +35,25 @@
     fastest_token_time: float
 
 
-def forecast_deadline(progress: BatchProgress, due_in: float, capacity: BatchCapacity) -> Outlook:
+def forecast_deadline(
+    progress: BatchProgress, due_in: float, capacity: BatchCapacity
+) -> DeadlineForecast:
     """Returns the outlook of a batch.
 
     Args:
         due_in: seconds until it is due; negative once it is late.
     """
     if not capacity.available_slots or not capacity.token_time:
-        return Outlook.UNKNOWN
+        return DeadlineForecast.UNKNOWN
     least = progress.work / capacity.total_slots * capacity.fastest_token_time
     expected = remaining_seconds(progress, capacity.available_slots, capacity.token_time)
     if due_in + INFEASIBLE_DELAY_SECONDS < least and expected > INFEASIBLE_DELAY_SECONDS:
-        return Outlook.HOPELESS
-    return Outlook.TO_SPARE if due_in - expected >= MIN_SPARE_SECONDS else Outlook.TIGHT
+        return DeadlineForecast.HOPELESS
+    return (
+        DeadlineForecast.TO_SPARE
+        if due_in - expected >= MIN_SPARE_SECONDS
+        else DeadlineForecast.TIGHT
+    )
 
 
 def remaining_seconds(progress: BatchProgress, places: int, token_time: float) -> float:
@@ -55,17 +61,22 @@
 
     No item is made by two engines, and a long one may be the last to find a place.
     """
-    return (progress.work / places + progress.long_item) * token_time
+    return (progress.work / places + progress.p90_item_work) * token_time
 
 
-def most_urgent_forecast(outlooks: Iterable[Outlook]) -> Outlook:
+def most_urgent_forecast(outlooks: Iterable[DeadlineForecast]) -> DeadlineForecast:
     """Returns the outlook that counts for a model of whose batches these are the outlooks.
 
     One that can be saved counts before all others, and one that is not known before one that can't
     be saved: it may be the next step's, which has all its time.
     """
     known = set(outlooks)
-    for outlook in (Outlook.TIGHT, Outlook.UNKNOWN, Outlook.HOPELESS, Outlook.TO_SPARE):
-        if outlook in known:
-            return outlook
-    return Outlook.UNKNOWN
+    for deadline_forecast in (
+        DeadlineForecast.TIGHT,
+        DeadlineForecast.UNKNOWN,
+        DeadlineForecast.HOPELESS,
+        DeadlineForecast.TO_SPARE,
+    ):
+        if deadline_forecast in known:
+            return deadline_forecast
+    return DeadlineForecast.UNKNOWN
--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -12,7 +12,7 @@
 
 from larkpost.common.ids import InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ModelName, Service
-from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.blackboard.directory import InstanceDirectory
 from larkpost.gateway.blackboard.weight_targets import (
     Demands,
     ModelDemand,
@@ -51,7 +51,7 @@
         pace: returns the lasting pace of an engine.
     """
 
-    directory: Directory
+    directory: InstanceDirectory
     targets: WeightTargets
     demands: Demands
     evacuated: frozenset[ZoneId] = frozenset()
@@ -99,8 +99,8 @@
     asked with this version is here, and no batch before it is open whose end the next version
     waits for.
     """
-    waits = demand.asked_after is not None and demand.asked_after < TRAINER_BLOCKED_SECONDS
-    return waits and demand.asked_at == version and not demand.open_before
+    waits = demand.submit_delay is not None and demand.submit_delay < TRAINER_BLOCKED_SECONDS
+    return waits and demand.submit_version == version and not demand.has_earlier_open
 
 
 def allocate_engines(service: Service, inputs: LoadInputs) -> EngineShares:
@@ -221,16 +221,16 @@
 
 def _seconds_into_schedule(model: ModelName, inputs: LoadInputs, now: float) -> float:
     demand = inputs.demands.get(model, ModelDemand())
-    elapsed = inputs.targets.named_for(model, now)
+    elapsed = inputs.targets.seconds_since_announced(model, now)
     if not demand.open:
         return elapsed - IDLE_LOAD_DELAY_SECONDS
     if is_urgent(demand, inputs.targets.version(model)) and not demand.waiting:
-        return elapsed - (demand.asked_after or 0.0) - URGENT_LOAD_DELAY_SECONDS
+        return elapsed - (demand.submit_delay or 0.0) - URGENT_LOAD_DELAY_SECONDS
     return elapsed - BUSY_LOAD_DELAY_SECONDS
 
 
 def _versions(
-    engine_ids: Iterable[InstanceId], model: ModelName, directory: Directory
+    engine_ids: Iterable[InstanceId], model: ModelName, directory: InstanceDirectory
 ) -> dict[InstanceId, int]:
     return {name: directory.version_of(name, model) for name in engine_ids}
 
--- a/src/larkpost/gateway/controllers/engine_allocator.py
+++ b/src/larkpost/gateway/controllers/engine_allocator.py
@@ -12,7 +12,7 @@
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.configuration import ModelName, Service, ServiceName
-from larkpost.gateway.blackboard.weight_targets import Demands, Naming, WeightTarget
+from larkpost.gateway.blackboard.weight_targets import Demands, VersionAnnouncement, WeightTarget
 from larkpost.gateway.controllers.due_loads import (
     EngineShares,
     LoadInputs,
@@ -106,9 +106,9 @@
         """Returns whether a model's batches use their own engines only, for the sake of others."""
         return model in self._allocation(service).yielding
 
-    def last_naming(self, model: ModelName) -> Naming | None:
+    def last_announcement(self, model: ModelName) -> VersionAnnouncement | None:
         """Returns when a model's newest version was named; None if that was not seen here."""
-        return self._blackboard.targets.last_naming(model, self._clock.now())
+        return self._blackboard.targets.last_announcement(model, self._clock.now())
 
     def _allocation(self, service: ServiceName) -> EngineAllocation:
         now = self._clock.now()
--- a/src/larkpost/gateway/controllers/feeds.py
+++ b/src/larkpost/gateway/controllers/feeds.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.controllers.row_recorder import RemovalTrust, RowReaders, RowRecorder
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.store.batch_tables import CRASH_PART, HEAD_TABLE, PARTS
-from larkpost.gateway.store.follower import Relisting, TableFollower, TableParts
+from larkpost.gateway.store.follower import RelistPolicy, TableFollower, TableParts
 from larkpost.gateway.store.port import Row, Store
 
 FAST_RELIST_SECONDS = 1.5
@@ -77,22 +77,22 @@
         self._source = source
         self._instruments = instruments
         # A cycle: a row that is gone is believed by the state of the follower that brings it.
-        trust = RemovalTrust(self.sound_for, source.contact_time, lambda: self.instances.listed)
+        trust = RemovalTrust(self.healthy_for, source.contact_time, lambda: self.instances.listed)
         self.row_recorder = RowRecorder(source.readers, blackboard, instruments, trust)
         self.operator = self._follow(
             TableParts(source.readers.operator_table),
             self.row_recorder.record_operator_row,
-            Relisting(SLOW_RELIST_SECONDS),
+            RelistPolicy(SLOW_RELIST_SECONDS),
         )
         self.instances = self._follow(
             TableParts(source.readers.instance_table),
             self.row_recorder.record_instance_row,
-            Relisting(FAST_RELIST_SECONDS),
+            RelistPolicy(FAST_RELIST_SECONDS),
         )
         self.heads = self._follow(
             TableParts(HEAD_TABLE, (*PARTS, CRASH_PART)),
             batches.record,
-            Relisting(SLOW_RELIST_SECONDS, batches.relist_factor),
+            RelistPolicy(SLOW_RELIST_SECONDS, batches.relist_factor),
         )
 
     def start(self, tasks: TaskSet) -> None:
@@ -101,9 +101,9 @@
             follower.start(tasks)
         tasks.every(EXPIRY_CHECK_SECONDS, self.row_recorder.drop_expired_entries, "lapsed")
 
-    def sound_for(self) -> float:
+    def healthy_for(self) -> float:
         """Returns for how many seconds each call to the store has succeeded."""
-        return self.instances.sound_for(self._instruments.clock.now())
+        return self.instances.healthy_for(self._instruments.clock.now())
 
     def operator_age(self) -> float:
         """Returns the seconds since the operator's rows were last known to be current."""
@@ -119,6 +119,6 @@
         }
 
     def _follow(
-        self, parts: TableParts, listener: Callable[[Row], None], relisting: Relisting
+        self, parts: TableParts, listener: Callable[[Row], None], relisting: RelistPolicy
     ) -> TableFollower:
         return TableFollower(self._source.store, parts, listener, self._instruments, relisting)
--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -13,7 +13,7 @@
 from larkpost.common.hashing import hash64
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import ModelName
-from larkpost.gateway.blackboard.weight_targets import Demands, ModelDemand, Outlook
+from larkpost.gateway.blackboard.weight_targets import DeadlineForecast, Demands, ModelDemand
 from larkpost.gateway.controllers.model_assignment import MIN_ENGINES_PER_MODEL, Assignment
 
 TRAINER_BLOCKED_SECONDS = 0.5
@@ -64,12 +64,12 @@
 
     Both hold for whole steps. Whether a batch is tight does not: it gets places, and is so no more.
     """
-    if demand.outlook is Outlook.HOPELESS:
+    if demand.deadline_forecast is DeadlineForecast.HOPELESS:
         return LendingRole.LENDER  # what can't be in time comes after what can
-    if demand.asked_after is not None and demand.asked_after < TRAINER_BLOCKED_SECONDS:
+    if demand.submit_delay is not None and demand.submit_delay < TRAINER_BLOCKED_SECONDS:
         return LendingRole.BORROWER
     has_slack = (
-        demand.least_asked_after is not None and demand.least_asked_after >= TRAINER_SLACK_SECONDS
+        demand.min_submit_delay is not None and demand.min_submit_delay >= TRAINER_SLACK_SECONDS
     )
     return LendingRole.LENDER if has_slack else LendingRole.NONE
 
@@ -132,7 +132,10 @@
 
 
 def _is_short_of_time(demand: ModelDemand) -> bool:
-    return demand.outlook is Outlook.TIGHT or lending_role(demand) is LendingRole.BORROWER
+    return (
+        demand.deadline_forecast is DeadlineForecast.TIGHT
+        or lending_role(demand) is LendingRole.BORROWER
+    )
 
 
 def _lendable_engines(
--- a/src/larkpost/gateway/controllers/lending_log.py
+++ b/src/larkpost/gateway/controllers/lending_log.py
@@ -36,6 +36,6 @@
             counts={model: len(engines) for model, engines in lending.lent.items()},
             lent={model: engines[:MAX_NAMED] for model, engines in lending.lent.items()},
             standings={model: lending_role(demand) for model, demand in known.items()},
-            outlooks={model: demand.outlook for model, demand in known.items()},
-            asked_after={model: demand.asked_after for model, demand in known.items()},
+            outlooks={model: demand.deadline_forecast for model, demand in known.items()},
+            asked_after={model: demand.submit_delay for model, demand in known.items()},
         )
--- a/src/larkpost/gateway/controllers/row_recorder.py
+++ b/src/larkpost/gateway/controllers/row_recorder.py
@@ -55,13 +55,13 @@
         had_whole_list: returns whether all instances were listed: one that is new then has started.
     """
 
-    sound_for: Callable[[], float]
+    healthy_for: Callable[[], float]
     trust_after: Callable[[], float]
     has_full_listing: Callable[[], bool]
 
     def is_removal_believed(self) -> bool:
         """Returns whether an instance has ended if its entry is gone."""
-        return self.sound_for() >= self.trust_after()
+        return self.healthy_for() >= self.trust_after()
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,7 +105,7 @@
 
     async def drop_expired_entries(self) -> None:
         """Gives up instances whose entries lapsed while the store was away and are not back."""
-        if self._trust.sound_for() < EXPIRY_CONFIRMATION_SECONDS:
+        if self._trust.healthy_for() < EXPIRY_CONFIRMATION_SECONDS:
             return
         for instance in self._directory.drop_unlisted():
             self._log.record(Event.INSTANCE, instance=instance, state="gone", sound=True)
@@ -145,7 +145,7 @@
             return
         if not evacuation.is_on:
             zone = evacuation.zone
-            self._cold.record_zone_returned(zone, self._directory, self._configuration, now)
+            self._cold.record_zone_restored(zone, self._directory, self._configuration, now)
         instances = sum(info.zone == evacuation.zone for info in self._directory.all())
         state = "begun" if evacuation.is_on else "ended"
         self._log.record(Event.EVACUATION, zone=evacuation.zone, state=state, instances=instances)
@@ -156,7 +156,7 @@
         self._pending_entries.pop(name, None)
         if row.removed:
             sound = self._trust.is_removal_believed()
-            self._directory.remove(name, sound=sound)
+            self._directory.remove(name, store_healthy=sound)
             self._log.record(Event.INSTANCE, instance=name, state="gone", sound=sound)
             return
         try:
@@ -183,7 +183,7 @@
 
     def _is_service_known(self, info: InstanceInfo) -> bool:
         """Returns whether a configuration names an instance's service, or has named it before."""
-        known = self._directory.named(info.name)
+        known = self._directory.find_by_name(info.name)
         was_named = known is not None and known.service == info.service
         current = self._configuration.current
         return was_named or (current is not None and info.service in current.services)
@@ -198,9 +198,9 @@
     def _apply(self, entry: _Entry) -> None:
         """Stores an entry that names a server to use."""
         info = entry.info
-        known = self._directory.named(info.name)
+        known = self._directory.find_by_name(info.name)
         self._directory.update(info)
-        current = self._directory.named(info.name)
+        current = self._directory.find_by_name(info.name)
         if current is None:
             return  # it was replaced at its address, and this is a late word of it
         has_started = known is None or known.id != current.id
--- a/src/larkpost/gateway/controllers/weight_loader.py
+++ b/src/larkpost/gateway/controllers/weight_loader.py
@@ -63,7 +63,7 @@
         self._tasks: TaskSet | None = None
         self._next_attempt: dict[InstanceId, float] = {}
         self._in_progress: set[InstanceId] = set()
-        blackboard.directory.add_end_listener(self._forget)
+        blackboard.directory.add_removal_listener(self._forget)
 
     def start(self, tasks: TaskSet) -> None:
         """Starts reconciling."""
@@ -144,7 +144,7 @@
         if lease.has_expired(self._clock.now()):
             self._log.record(Event.LEASE_LAPSED, subject=lease.subject.key, token=lease.token)
             return None
-        if not self._directory.takes_work(engine.id):
+        if not self._directory.accepts_work(engine.id):
             self._record_no_order(engine, target, "leaving")
             return None
         return lease
@@ -197,8 +197,8 @@
 
     Its count of orders is then not the one that an order must name.
     """
-    is_known = report.born is not None and engine.born is not None
-    return is_known and report.born != engine.born
+    is_known = report.started_at_ms is not None and engine.started_at_ms is not None
+    return is_known and report.started_at_ms != engine.started_at_ms
 
 
 def seconds_until_next_check(outcome: OrderOutcome) -> float:
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -20,7 +20,7 @@
 from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
 from larkpost.gateway.assembly.gauges import Gauges
 from larkpost.gateway.assembly.leased_controllers import ControllerInputs, LeasedControllers
-from larkpost.gateway.assembly.loop_watch import LoopWatch
+from larkpost.gateway.assembly.loop_monitor import EventLoopMonitor
 from larkpost.gateway.assembly.membership import MembershipInputs, make_membership
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
@@ -30,11 +30,11 @@
 from larkpost.gateway.controllers.heartbeat import new_incarnation
 from larkpost.gateway.controllers.lending_log import LendingLog
 from larkpost.gateway.fairness.ledger import FlowLedger
+from larkpost.gateway.graceful_shutdown import GracefulShutdown, ShutdownSteps
 from larkpost.gateway.memory.daemon_memory import DaemonMemory
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.placement.cold_rate_limit import POLL_SECONDS
-from larkpost.gateway.planned_stop import PlannedStop, StopSteps
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.proxy.shares import ShareChooser
 from larkpost.gateway.quarantine.crash_detector import CrashDetector
@@ -74,12 +74,12 @@
         self._log = ports.log
         self._instruments = Instruments(ports.clock, ports.log, ports.metrics)
         self._tasks = TaskSet(ports.clock, UnreportedFailures())
-        self._loop_watch = LoopWatch(ports.clock, ports.log)
+        self._event_loop_monitor = EventLoopMonitor(ports.clock, ports.log)
         self.lifecycle = Lifecycle()
         self.blackboard = Blackboard(settings.regions)
         self.configuration = self.blackboard.configuration
         self.directory = self.blackboard.directory
-        self.memory = DaemonMemory(settings.byte_budget, self._instruments, ports.chance)
+        self.memory = DaemonMemory(settings.byte_budget, self._instruments, ports.rng)
         self._make_placement()
         self._make_membership()
         self._make_quarantine()
@@ -110,7 +110,7 @@
                 self.balancer,
                 self._ledger,
                 lambda: self.keeper,
-                self._loop_watch,
+                self._event_loop_monitor,
             )
         )
         self.true_time = FleetClock(self._clock, ports.store.time, self.membership.clock_offsets)
@@ -156,7 +156,7 @@
             ports.clock,
             ports.log,
             ports.metrics,
-            ShareChooser(ports.chance),
+            ShareChooser(ports.rng),
             ports.store.time,
             asyncio.Semaphore(MAX_CALLS_IN_FLIGHT),
             self._division,
@@ -214,7 +214,7 @@
             self.balancer,
             self.cold,
             self.keeper,
-            self._loop_watch,
+            self._event_loop_monitor,
             self._ports.relay,
             self.memory,
         )
@@ -225,22 +225,25 @@
         self._feeds.start(self._tasks)
         self._crash_recorder.start(self._tasks)
         if self._ports.relay is not None:
-            self._ports.relay.start(self.membership.peers, self._tasks, self._is_confined)
+            self._ports.relay.start(self.membership.peers, self._tasks, self._is_region_bound)
         self.membership.start(self._tasks)
         self.keeper.start(self._tasks)
         self.leased_controllers.start(self._tasks)
         if self.settings.cold is not None:
             self._tasks.every(POLL_SECONDS, self.cold.poll, "cold")
         self._tasks.spawn(self._become_ready(), "readiness")
-        self._loop_watch.start(self._tasks)
+        self._event_loop_monitor.start(self._tasks)
 
     async def drain(self) -> None:
         """Stops as planned: hands its work over and waits for the responses under way."""
-        steps = StopSteps(
-            at_once=(("leave", self.membership.leave), ("hand_over", self.keeper.hand_over)),
-            at_end=self.leased_controllers.save_last,
+        steps = ShutdownSteps(
+            immediate_steps=(
+                ("leave", self.membership.leave),
+                ("hand_over", self.keeper.hand_over),
+            ),
+            final_step=self.leased_controllers.save_final,
         )
-        stop = PlannedStop(self.lifecycle, self._instruments, steps, self.settings.grace_time)
+        stop = GracefulShutdown(self.lifecycle, self._instruments, steps, self.settings.grace_time)
         await stop.run()
 
     def stop(self) -> None:
@@ -259,10 +262,10 @@
         self.lifecycle.informed = True
         self._log.record(Event.READY, instances=len(self.directory))
 
-    def _is_confined(self, table: str) -> bool:
+    def _is_region_bound(self, table: str) -> bool:
         """Returns whether rows of a table hold bodies that may be bound to this daemon's region."""
         current = self.configuration.current
-        return table == ITEM_TABLE and current is not None and current.has_homes
+        return table == ITEM_TABLE and current is not None and current.has_region_limits
 
     def _is_active(self) -> bool:
         """Returns whether this daemon has to act on news of batches at once."""
--- a/src/larkpost/gateway/planned_stop.py
+++ b/src/larkpost/gateway/graceful_shutdown.py
@@ -12,13 +12,13 @@
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
 
-LEAVE_SECONDS = 2.6
+DEREGISTRATION_SECONDS = 2.6
 """Seconds from the request to stop until no new connections are expected: readiness is asked for
 each second, and two responses must be missed."""
 KILL_MARGIN_SECONDS = 1.8
 """Seconds that are left of the grace time once no more responses are waited for: for the last
 counts of usage (0.8 s at most), the listeners (0.4 s at most), and a machine that is slow."""
-HAND_OVER_SHARE = 0.6
+HANDOVER_FRACTION = 0.6
 """Share of the grace time, less the margin, within which batches are handed over; those that are
 not are claimed by others once this daemon is considered dead."""
 POLL_SECONDS = 0.05
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StopSteps:
+class ShutdownSteps:
     """What a planned stop does.
 
     Attributes:
@@ -36,11 +36,11 @@
         at_end: what is done once all responses are given.
     """
 
-    at_once: tuple[tuple[str, Step], ...]
-    at_end: Step
+    immediate_steps: tuple[tuple[str, Step], ...]
+    final_step: Step
 
 
-class PlannedStop:
+class GracefulShutdown:
     """The planned stop of one daemon.
 
     Args:
@@ -51,7 +51,7 @@
         self,
         lifecycle: Lifecycle,
         instruments: Instruments,
-        steps: StopSteps,
+        steps: ShutdownSteps,
         grace_time: float,
     ) -> None:
         self._lifecycle = lifecycle
@@ -66,9 +66,9 @@
         self._lifecycle.stopping = True
         self._log.record(Event.STOPPING, open_requests=self._lifecycle.open_requests)
         latest = began + max(POLL_SECONDS, self._grace_time - KILL_MARGIN_SECONDS)
-        await self._hand_over(began + (latest - began) * HAND_OVER_SHARE)
-        await self._wait_for_responses(began + LEAVE_SECONDS, latest)
-        await self._steps.at_end()
+        await self._hand_over(began + (latest - began) * HANDOVER_FRACTION)
+        await self._wait_for_responses(began + DEREGISTRATION_SECONDS, latest)
+        await self._steps.final_step()
         self._log.record(
             Event.STOP,
             open_requests=self._lifecycle.open_requests,
@@ -77,7 +77,7 @@
 
     async def _hand_over(self, latest: float) -> None:
         """Carries out the first steps; what is not done in time is left."""
-        for name, step in self._steps.at_once:
+        for name, step in self._steps.immediate_steps:
             try:
                 async with asyncio.timeout(max(0.0, latest - self._clock.now())):
                     await step()
--- a/src/larkpost/gateway/memory/daemon_memory.py
+++ b/src/larkpost/gateway/memory/daemon_memory.py
@@ -9,15 +9,15 @@
 from enum import StrEnum
 
 from larkpost.common.clock import LoopClock
-from larkpost.gateway.memory.budget import ByteBudget, Purpose, Reservation
-from larkpost.gateway.memory.delivery import Delivery, Outlet
-from larkpost.gateway.memory.slow_readers import slowest_reader
+from larkpost.gateway.memory.budget import MemoryBudget, MemoryPurpose, Reservation
+from larkpost.gateway.memory.delivery import ClientConnection, Delivery
+from larkpost.gateway.memory.slow_clients import slowest_client
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.observability.metrics import Count, Level
 
 
-class CutReason(StrEnum):
+class DisconnectReason(StrEnum):
     """Why a client's connection was cut."""
 
     SLOWEST = "slowest"  # memory was short, and it took its answer slowest
@@ -31,8 +31,8 @@
         owner: the request's id, for logs.
     """
 
-    def __init__(self, budget: ByteBudget | None = None) -> None:
-        self._budget = budget if budget is not None else ByteBudget()
+    def __init__(self, budget: MemoryBudget | None = None) -> None:
+        self._budget = budget if budget is not None else MemoryBudget()
         self._reservations: list[Reservation] = []
         self.owner = ""
 
@@ -41,7 +41,7 @@
         """Whether there is a limit on what may be held."""
         return self._budget.limit is not None
 
-    def could_hold(self, size: int) -> bool:
+    def fits_limit(self, size: int) -> bool:
         """Returns whether so many bytes could be held if nothing else were."""
         return self._budget.limit is None or size <= self._budget.limit
 
@@ -50,7 +50,7 @@
         """The bytes held for the request."""
         return sum(reservation.size for reservation in self._reservations)
 
-    def reserve(self, purpose: Purpose, size: int = 0) -> Reservation:
+    def reserve(self, purpose: MemoryPurpose, size: int = 0) -> Reservation:
         """Reserves bytes, at most until the request's end.
 
         Raises:
@@ -60,10 +60,10 @@
         self._reservations.append(reservation)
         return reservation
 
-    def keep_only(self, purpose: Purpose, size: int) -> None:
+    def shrink_to(self, purpose: MemoryPurpose, size: int) -> None:
         """Releases all but so many bytes, which are held already."""
         self.release()
-        self.reserve(purpose).grow_anyway(size)
+        self.reserve(purpose).force_grow(size)
 
     def release(self) -> None:
         """Releases all that is held for the request."""
@@ -79,12 +79,12 @@
     """
 
     def __init__(
-        self, limit: int | None, instruments: Instruments, chance: random.Random | None = None
+        self, limit: int | None, instruments: Instruments, rng: random.Random | None = None
     ) -> None:
-        self.budget = ByteBudget(limit, chance)
-        self.budget.on_refusal = self._record_refusal
+        self.budget = MemoryBudget(limit, rng)
+        self.budget.on_rejection = self._record_refusal
         self._instruments = instruments
-        self._behind: dict[Delivery, str] = {}
+        self._slow_deliveries: dict[Delivery, str] = {}
 
     @property
     def is_limited(self) -> bool:
@@ -101,37 +101,41 @@
             memory.release()
 
     @contextmanager
-    def delivery(self, outlet: Outlet, memory: RequestMemory) -> Iterator[Delivery]:
+    def delivery(self, connection: ClientConnection, memory: RequestMemory) -> Iterator[Delivery]:
         """Follows the answer to a request on its way to the client."""
         delivery = Delivery(
-            outlet,
+            connection,
             self._instruments.clock,
             lambda: memory.size,
-            lambda behind: self._behind.setdefault(behind, memory.owner),
-            lambda stalled: self._record_cut(stalled, CutReason.STALLED),
+            lambda behind: self._slow_deliveries.setdefault(behind, memory.owner),
+            lambda stalled: self._record_disconnect(stalled, DisconnectReason.STALLED),
         )
         try:
             yield delivery
         finally:
-            self._behind.pop(delivery, None)
+            self._slow_deliveries.pop(delivery, None)
 
-    def relieve(self, missing: float = 0) -> None:
+    def disconnect_slowest(self, shortfall: float = 0) -> None:
         """Cuts the client that takes its answer slowest, if one is slow.
 
         Args:
             missing: bytes for which there is no room; nobody is cut who holds less.
         """
-        slowest = slowest_reader(
-            {behind: behind.pace() for behind in self._behind if not behind.is_cut}
+        slowest = slowest_client(
+            {
+                behind: behind.read_rate()
+                for behind in self._slow_deliveries
+                if not behind.is_disconnected
+            }
         )
-        if slowest is not None and slowest.pace().held >= missing:
-            self._record_cut(slowest, CutReason.SLOWEST)
-            slowest.cut()
+        if slowest is not None and slowest.read_rate().held >= shortfall:
+            self._record_disconnect(slowest, DisconnectReason.SLOWEST)
+            slowest.disconnect()
 
     def set_gauges(self) -> None:
         """Sets the gauges of what is held."""
         metrics = self._instruments.metrics
-        for purpose in Purpose:
+        for purpose in MemoryPurpose:
             metrics.set(Level.BYTES_HELD, self.budget.held(purpose), purpose)
         metrics.set(Level.BYTES_LIMIT, self.budget.limit or 0)
 
@@ -146,18 +150,18 @@
             held=self.budget.total,
             limit=self.budget.limit,
         )
-        self.relieve(self.budget.missing(reservation.purpose, size))
+        self.disconnect_slowest(self.budget.shortfall(reservation.purpose, size))
 
-    def _record_cut(self, delivery: Delivery, reason: CutReason) -> None:
-        pace = delivery.pace()
+    def _record_disconnect(self, delivery: Delivery, reason: DisconnectReason) -> None:
+        read_rate = delivery.read_rate()
         self._instruments.metrics.count(Count.READERS_CUT, reason)
         self._instruments.log.record(
             Event.READER_CUT,
-            request=self._behind.get(delivery, ""),
+            request=self._slow_deliveries.get(delivery, ""),
             reason=reason,
-            held=pace.held,
-            taken=pace.taken,
-            seconds=round(pace.seconds, 3),
+            held=read_rate.held,
+            taken=read_rate.taken,
+            seconds=round(read_rate.seconds, 3),
         )
 
 
--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -8,13 +8,13 @@
 
 from larkpost.common.clock import Clock
 from larkpost.common.errors import LarkpostError, Ran
-from larkpost.gateway.memory.slow_readers import STALLED_SECONDS, ReaderPace
+from larkpost.gateway.memory.slow_clients import STALLED_SECONDS, ReadRate
 
 POLL_SECONDS = 0.25
 """Between two looks at whether a client that does not keep up has taken anything."""
 
 
-class ReaderCutError(LarkpostError):
+class SlowClientError(LarkpostError):
     """The client's connection was cut, as it took its answer too slowly."""
 
     code = "reader_cut"
@@ -22,7 +22,7 @@
     remedy = "Read answers as they come."
 
 
-class Outlet(Protocol):
+class ClientConnection(Protocol):
     """A connection to a client."""
 
     @property
@@ -37,10 +37,10 @@
     def is_serving(self) -> bool:
         """Whether a request that came on it is served and its response not complete."""
 
-    async def wait_for_room(self, seconds: float) -> None:
+    async def wait_until_writable(self, seconds: float) -> None:
         """Waits until it is not full, at most so long."""
 
-    def cut(self) -> None:
+    def disconnect(self) -> None:
         """Breaks the connection off; what is unsent is dropped."""
 
 
@@ -55,109 +55,109 @@
 
     def __init__(
         self,
-        outlet: Outlet,
+        connection: ClientConnection,
         clock: Clock,
         count_held: Callable[[], int],
-        on_behind: Callable[["Delivery"], None],
+        on_slow: Callable[["Delivery"], None],
         on_stalled: Callable[["Delivery"], None],
     ) -> None:
-        self._outlet = outlet
+        self._connection = connection
         self._clock = clock
         self._count_held = count_held
-        self._on_behind = on_behind
+        self._on_slow = on_slow
         self._on_stalled = on_stalled
-        self._given = outlet.unsent  # of the response before, which is taken first
-        self._behind_since: float | None = None
-        self._taken_before = 0
-        self._unsent_before = 0
-        self._progress_at = 0.0
+        self._written = connection.unsent  # of the response before, which is taken first
+        self._slow_since: float | None = None
+        self._taken_at_start = 0
+        self._last_unsent = 0
+        self._last_progress_at = 0.0
         self._is_complete = False
-        self.is_cut = False
+        self.is_disconnected = False
 
     @property
-    def is_replaced(self) -> bool:
+    def is_superseded(self) -> bool:
         """Whether the next request on the connection is served, after this answer.
 
         Its own delivery tells then how the client takes what it is given.
         """
-        return self._is_complete and self._outlet.is_serving
+        return self._is_complete and self._connection.is_serving
 
     @property
-    def keeps_up(self) -> bool:
+    def is_writable(self) -> bool:
         """Whether the connection may be given more at once."""
-        return not self._outlet.is_full
+        return not self._connection.is_full
 
     @property
     def unsent(self) -> int:
         """The bytes that the connection was given and that its client has not made room for."""
-        return self._outlet.unsent
+        return self._connection.unsent
 
-    def record_given(self, size: int) -> None:
+    def record_written(self, size: int) -> None:
         """Records that the connection was given bytes."""
-        self._given += size
-        self._unsent_before += size
+        self._written += size
+        self._last_unsent += size
 
-    def pace(self) -> ReaderPace:
+    def read_rate(self) -> ReadRate:
         """Returns how the client takes what it is given.
 
         One that has taken everything is not behind, however long its server sends nothing more.
         """
-        if self._outlet.unsent == 0 or self.is_replaced:
-            self._behind_since = None
-        since = self._behind_since
+        if self._connection.unsent == 0 or self.is_superseded:
+            self._slow_since = None
+        since = self._slow_since
         seconds = self._clock.now() - since if since is not None else 0.0
-        return ReaderPace(self._count_held(), self._taken() - self._taken_before, seconds)
+        return ReadRate(self._count_held(), self._taken() - self._taken_at_start, seconds)
 
-    async def wait_for_room(self) -> None:
+    async def wait_until_writable(self) -> None:
         """Waits until the connection may be given more.
 
         Raises:
             ReaderCutError: the client took nothing for too long.
         """
-        if self._outlet.unsent == 0:
-            self._behind_since = None
-        while self._outlet.is_full:
-            self._note_behind()
-            await self._outlet.wait_for_room(POLL_SECONDS)
+        if self._connection.unsent == 0:
+            self._slow_since = None
+        while self._connection.is_full:
+            self._mark_slow()
+            await self._connection.wait_until_writable(POLL_SECONDS)
             self._check_progress()
 
-    async def wait_until_taken(self) -> None:
+    async def wait_until_drained(self) -> None:
         """Waits until a complete answer is taken, or the next request on its connection is served.
 
         Raises:
             ReaderCutError: the client took nothing for too long.
         """
         self._is_complete = True
-        while self._outlet.unsent and not self.is_replaced:
-            self._note_behind()
+        while self._connection.unsent and not self.is_superseded:
+            self._mark_slow()
             await self._clock.sleep(POLL_SECONDS)
-            if not self.is_replaced:
+            if not self.is_superseded:
                 self._check_progress()
 
-    def cut(self) -> None:
+    def disconnect(self) -> None:
         """Breaks the connection off."""
-        self.is_cut = True
-        self._outlet.cut()
+        self.is_disconnected = True
+        self._connection.disconnect()
 
     def _taken(self) -> int:
-        return max(0, self._given - self._outlet.unsent)
+        return max(0, self._written - self._connection.unsent)
 
-    def _note_behind(self) -> None:
-        if self._behind_since is not None:
+    def _mark_slow(self) -> None:
+        if self._slow_since is not None:
             return
-        self._behind_since = self._progress_at = self._clock.now()
-        self._taken_before = self._taken()
-        self._unsent_before = self._outlet.unsent
-        self._on_behind(self)
+        self._slow_since = self._last_progress_at = self._clock.now()
+        self._taken_at_start = self._taken()
+        self._last_unsent = self._connection.unsent
+        self._on_slow(self)
 
     def _check_progress(self) -> None:
-        unsent, now = self._outlet.unsent, self._clock.now()
-        if unsent < self._unsent_before:
-            self._progress_at = now
-        self._unsent_before = unsent
-        if self.is_cut:
-            raise ReaderCutError("its connection was cut", ran=Ran.UNKNOWN)
-        if unsent and now - self._progress_at >= STALLED_SECONDS:
+        unsent, now = self._connection.unsent, self._clock.now()
+        if unsent < self._last_unsent:
+            self._last_progress_at = now
+        self._last_unsent = unsent
+        if self.is_disconnected:
+            raise SlowClientError("its connection was cut", ran=Ran.UNKNOWN)
+        if unsent and now - self._last_progress_at >= STALLED_SECONDS:
             self._on_stalled(self)
-            self.cut()
-            raise ReaderCutError("it took nothing for too long", ran=Ran.UNKNOWN)
+            self.disconnect()
+            raise SlowClientError("it took nothing for too long", ran=Ran.UNKNOWN)
--- a/src/larkpost/gateway/memory/read_ahead.py
+++ b/src/larkpost/gateway/memory/read_ahead.py
@@ -13,15 +13,15 @@
 from larkpost.gateway.memory.daemon_memory import DaemonMemory
 from larkpost.gateway.memory.delivery import Delivery
 
-UNREAD_SECONDS = 2.0
+MAX_PAUSED_READ_SECONDS = 2.0
 """After so long without room to read an answer on, a little more is read beyond its share; where
 room is short, the slowest client is cut instead: the servers' patience is some seconds."""
-ROOM_POLL_SECONDS = 0.1
+BUDGET_POLL_SECONDS = 0.1
 """Between two looks at whether others have left room."""
 
 
 @dataclass(slots=True)
-class PassedAnswer:
+class BufferedBody:
     """The body of an answer that is passed on as it comes.
 
     Attributes:
@@ -32,17 +32,17 @@
 
     source: AsyncIterator[bytes]
     reservation: Reservation
-    begun: deque[bytes] = field(default_factory=deque)
+    buffered: deque[bytes] = field(default_factory=deque)
 
-    def take(self) -> bytes:
+    def pop_chunk(self) -> bytes:
         """Returns the next of what was read; it is held no longer."""
-        chunk = self.begun.popleft()
+        chunk = self.buffered.popleft()
         self.reservation.shrink(len(chunk))
         return chunk
 
 
 async def read_ahead(
-    answer: PassedAnswer, delivery: Delivery | None, memory: DaemonMemory
+    answer: BufferedBody, delivery: Delivery | None, memory: DaemonMemory
 ) -> AsyncGenerator[bytes, None]:
     """Yields an answer's body; whoever takes a part waits until the client has room for it.
 
@@ -55,12 +55,12 @@
         async for chunk in answer.source:
             yield chunk
         return
-    while answer.begun and delivery.keeps_up:
-        yield answer.take()
-    if delivery.keeps_up:
+    while answer.buffered and delivery.is_writable:
+        yield answer.pop_chunk()
+    if delivery.is_writable:
         async for chunk in answer.source:
             yield chunk
-            if not delivery.keeps_up:
+            if not delivery.is_writable:
                 break
         else:
             return
@@ -75,7 +75,7 @@
 class _ReadAhead:
     """Reads one answer in the background, while its client takes what was read before."""
 
-    def __init__(self, answer: PassedAnswer, memory: DaemonMemory) -> None:
+    def __init__(self, answer: BufferedBody, memory: DaemonMemory) -> None:
         self._answer = answer
         self._memory = memory
         self._changed = asyncio.Event()
@@ -85,9 +85,9 @@
     async def chunks(self) -> AsyncIterator[bytes]:
         """Yields what was read, in order, then raises what ended the reading, if anything did."""
         while True:
-            while self._answer.begun:
-                yield self._answer.take()
-            if self._reading.done() and not self._answer.begun:
+            while self._answer.buffered:
+                yield self._answer.pop_chunk()
+            if self._reading.done() and not self._answer.buffered:
                 self._reading.result()
                 return
             self._changed.clear()
@@ -100,20 +100,20 @@
 
     async def _read(self) -> None:
         async for chunk in self._answer.source:
-            await self._wait_for_room(len(chunk))
-            self._answer.reservation.grow_anyway(len(chunk))
-            self._answer.begun.append(chunk)
+            await self._wait_for_budget(len(chunk))
+            self._answer.reservation.force_grow(len(chunk))
+            self._answer.buffered.append(chunk)
             self._changed.set()
 
-    async def _wait_for_room(self, size: int) -> None:
+    async def _wait_for_budget(self, size: int) -> None:
         """Waits until a chunk may be held; one chunk may be, however little room there is."""
         loop = asyncio.get_running_loop()
         reservation = self._answer.reservation
-        relieve_at = loop.time() + UNREAD_SECONDS
-        while reservation.size and not reservation.fits_share(size):
+        relieve_at = loop.time() + MAX_PAUSED_READ_SECONDS
+        while reservation.size and not reservation.fits_answer_limit(size):
             if loop.time() >= relieve_at:
-                if not self._memory.budget.is_short:
+                if not self._memory.budget.is_low:
                     return
-                self._memory.relieve()
-                relieve_at = loop.time() + UNREAD_SECONDS
-            await asyncio.sleep(ROOM_POLL_SECONDS)
+                self._memory.disconnect_slowest()
+                relieve_at = loop.time() + MAX_PAUSED_READ_SECONDS
+            await asyncio.sleep(BUDGET_POLL_SECONDS)
--- a/src/larkpost/gateway/observability/metrics.py
+++ b/src/larkpost/gateway/observability/metrics.py
@@ -39,7 +39,7 @@
     LINES_LEFT_OUT = "larkpost_log_lines_left_out_total"
 
 
-COUNTS: dict[Count, tuple[str, tuple[str, ...]]] = {
+COUNTERS: dict[Count, tuple[str, tuple[str, ...]]] = {
     Count.REQUESTS: ("Client requests answered.", ("route", "outcome")),
     Count.DENIALS: ("Calls that the configuration does not allow.", ("reason",)),
     Count.ATTEMPTS: ("Attempts of client requests at servers.", ("service", "outcome")),
@@ -104,7 +104,7 @@
     BYTES_LIMIT = "larkpost_bytes_limit"
 
 
-LEVELS: dict[Level, tuple[str, tuple[str, ...]]] = {
+GAUGES: dict[Level, tuple[str, tuple[str, ...]]] = {
     Level.CONFIGURATION_VERSION: ("Version of the configuration in force here.", ()),
     Level.FEED_AGE: ("Seconds since a table's feed was last confirmed.", ("table",)),
     Level.INSTANCES: ("Instances known.", ("state",)),
@@ -120,7 +120,10 @@
     Level.REWARDS_WAITING: ("Whole outputs of owned batches without a score.", ()),
     Level.RESULTS_WAITING: ("Results that wait for their append.", ()),
     Level.LOOP_LAG: ("Largest delay of the event loop since the last reading.", ()),
-    Level.COORDINATOR: ("Whether this daemon gives orders and claims batches (1) or not (0).", ()),
+    Level.COORDINATOR: (
+        "Whether this daemon gives orders and claims batches (1) or not (0).",
+        (),
+    ),
     Level.STORE_RELAYED: ("Whether a peer makes this daemon's calls to the store (1).", ()),
     Level.SERVERS_NEEDED: ("Servers that the demand takes; 0 if not known.", ("service",)),
     Level.QUARANTINED: ("Contents that no client's request is sent on with.", ()),
@@ -149,7 +152,7 @@
     APPEND_WAIT = "larkpost_append_wait_seconds"
 
 
-TIMINGS: dict[Timing, tuple[str, tuple[str, ...], tuple[float, ...]]] = {
+HISTOGRAMS: dict[Timing, tuple[str, tuple[str, ...], tuple[float, ...]]] = {
     Timing.REQUEST: ("Time a client request was held.", ("route",), SHORT_SECONDS),
     Timing.STORE_CALL: ("Time of a call to the store.", ("call",), SHORT_SECONDS),
     Timing.ITEM_QUEUE: ("Time until an item's first run began.", (), LONG_SECONDS),
@@ -168,15 +171,15 @@
         self.registry = CollectorRegistry()
         self._counts = {
             count: Counter(count.value.removesuffix("_total"), text, labels, registry=self.registry)
-            for count, (text, labels) in COUNTS.items()
+            for count, (text, labels) in COUNTERS.items()
         }
         self._levels = {
             level: Gauge(level.value, text, labels, registry=self.registry)
-            for level, (text, labels) in LEVELS.items()
+            for level, (text, labels) in GAUGES.items()
         }
         self._timings = {
             timing: Histogram(timing.value, text, labels, registry=self.registry, buckets=buckets)
-            for timing, (text, labels, buckets) in TIMINGS.items()
+            for timing, (text, labels, buckets) in HISTOGRAMS.items()
         }
 
     def count(self, count: Count, *labels: str, amount: float = 1) -> None:
--- a/src/larkpost/gateway/placement/rules.py
+++ b/src/larkpost/gateway/placement/rules.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from larkpost.common.ids import InstanceId
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceInfo, InstanceState
 from larkpost.gateway.observability.metrics import Count, Metrics
 from larkpost.gateway.placement.decision import PlacementDecision
 from larkpost.gateway.placement.work import Work
@@ -62,7 +62,7 @@
 class VersionRule(StatelessRule):
     """Work that names a model goes only to instances whose version of it is new enough."""
 
-    def __init__(self, directory: Directory) -> None:
+    def __init__(self, directory: InstanceDirectory) -> None:
         self._directory = directory
 
     def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
@@ -92,7 +92,7 @@
 
     def __init__(
         self,
-        directory: Directory,
+        directory: InstanceDirectory,
         rules: Iterable[PlacementRule] = (),
         metrics: Metrics | None = None,
         send_timeout: Callable[[InstanceInfo], float | None] = _no_timeout,
--- a/src/larkpost/gateway/proxy/admission.py
+++ b/src/larkpost/gateway/proxy/admission.py
@@ -12,7 +12,7 @@
 from larkpost.common.errors import LarkpostError
 from larkpost.common.ids import RegionId
 from larkpost.gateway.blackboard.configuration import Configuration, ConfigurationState, Route
-from larkpost.gateway.blackboard.tenants import ANYONE, Caller, KeyDigest, TenantName
+from larkpost.gateway.blackboard.tenants import UNRESTRICTED_CALLER, Caller, KeyDigest, TenantName
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.observability.metrics import Count, Metrics
 
@@ -96,7 +96,7 @@
             raise self._refusal(NoRouteError(f"no route for {host}"), request_id, configuration)
         tenant = configuration.tenant_of(key)
         if tenant is not None:
-            return Admitted(route, tenant.name, configuration.homes_of(tenant.name, route))
+            return Admitted(route, tenant.name, configuration.allowed_regions(tenant.name, route))
         if configuration.tenants is None or route.is_public:
             return Admitted(route, None, route.regions)
         error = UnknownKeyError(f"route {route.name} needs a key that is in force")
@@ -111,11 +111,11 @@
         """
         configuration = self._known(request_id)
         if configuration.tenants is None:
-            return ANYONE
+            return UNRESTRICTED_CALLER
         tenant = configuration.tenant_of(key)
         if tenant is not None:
             return Caller(tenant.name, is_restricted=True)
-        route = configuration.host_route(host)
+        route = configuration.first_batch_route(host)
         if route is not None and route.is_public:
             return Caller(None, is_restricted=True)
         error = UnknownKeyError("calls about batches need a key that is in force")
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -17,9 +17,9 @@
 from larkpost.common.distance import Distance
 from larkpost.common.ids import DaemonId, InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ServiceName
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
+from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceInfo
+from larkpost.gateway.blackboard.instance_usage import InstanceUsage
 from larkpost.gateway.blackboard.regions import RegionMap
-from larkpost.gateway.blackboard.use_summary import UseSummary
 from larkpost.gateway.placement.cold_rate_limit import ColdRateLimit
 from larkpost.gateway.placement.decision import PlacementDecision
 from larkpost.gateway.placement.rules import Placement
@@ -83,9 +83,9 @@
 
     def __init__(
         self,
-        directory: Directory,
+        directory: InstanceDirectory,
         clock: Clock,
-        chance: random.Random,
+        rng: random.Random,
         sources: BalancerSources | None = None,
     ) -> None:
         sources = sources or BalancerSources()
@@ -97,10 +97,8 @@
         self._own = OwnUse(directory, clock)
         self._peers = PeerUses(clock)
         self.paces = Paces(directory, clock, self._own, self._peers)
-        self._pool = ServerPool(directory, clock, chance, sources.subsets)
-        self._order = CandidateOrder(
-            self, clock, chance, sources.is_connected, self.paces.has_latency
-        )
+        self._pool = ServerPool(directory, clock, rng, sources.subsets)
+        self._order = CandidateOrder(self, clock, rng, sources.is_connected, self.paces.has_latency)
         self._forget_at = float("-inf")
         self._release_listeners: list[Callable[[InstanceId], None]] = []
 
@@ -228,11 +226,11 @@
 
     # What daemons report to each other.
 
-    def summary(self) -> UseSummary:
+    def summary(self) -> InstanceUsage:
         """Returns what this daemon reports to the others of its use."""
         return self._own.summary()
 
-    def record_peer_summary(self, daemon: DaemonId, summary: UseSummary) -> None:
+    def record_peer_summary(self, daemon: DaemonId, summary: InstanceUsage) -> None:
         """Records what another daemon reports of its use, in place of its last report."""
         self._forget_unused()
         resolved = {self._directory.resolve(name): use for name, use in summary.items()}
@@ -318,7 +316,7 @@
         if reason in NOT_ASKED_REASONS:
             return  # it was not asked at all, and may have room for other work
         if reason is NotRunReason.REPLACED:
-            self._directory.retire(instance)
+            self._directory.mark_replaced(instance)
         is_full = reason is NotRunReason.FULL
         self._own.of(instance).is_refusing = is_full
         self.avoid(instance, full_seconds if is_full else UNREACHABLE_AVOID_SECONDS)
--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -8,8 +8,8 @@
 
 from larkpost.common.clock import Clock
 from larkpost.common.ids import InstanceId, ZoneId
-from larkpost.gateway.blackboard.directory import Directory
-from larkpost.gateway.blackboard.use_summary import UseSummary
+from larkpost.gateway.blackboard.directory import InstanceDirectory
+from larkpost.gateway.blackboard.instance_usage import InstanceUsage
 from larkpost.gateway.proxy.lasting_pace import PaceHistory
 from larkpost.gateway.proxy.slowness import SaidSlowness
 from larkpost.gateway.servers.port import ServerLoad
@@ -85,7 +85,7 @@
 class OwnUse:
     """The records of all instances that this daemon has used."""
 
-    def __init__(self, directory: Directory, clock: Clock) -> None:
+    def __init__(self, directory: InstanceDirectory, clock: Clock) -> None:
         self._directory = directory
         self._clock = clock
         self._uses: dict[InstanceId, InstanceUse] = {}
@@ -177,13 +177,13 @@
         use = self.of(instance)
         return use.is_refusing and self._clock.now() - use.asked_at < PROBE_SECONDS
 
-    def summary(self) -> UseSummary:
+    def summary(self) -> InstanceUsage:
         """Returns what this daemon reports to the others of its use."""
         now = self._clock.now()
         return {
             name: (use.outstanding, round(use.pace, SUMMARY_PACE_DIGITS))
             for name, use in self._uses.items()
-            if self._directory.takes_work(name)
+            if self._directory.accepts_work(name)
             and (use.outstanding or now - use.pace_at < PACE_LIFETIME_SECONDS)
         }
 
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -8,7 +8,7 @@
 from larkpost.gateway.blackboard.configuration import RouteKind
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.blackboard.known_crashes import CLIENT_CRASH_LIMIT
-from larkpost.gateway.memory.budget import Purpose
+from larkpost.gateway.memory.budget import MemoryPurpose
 from larkpost.gateway.proxy.answer_body import collect, joined
 from larkpost.gateway.proxy.attempts import Attempts
 from larkpost.gateway.proxy.outcomes import Outcomes
@@ -48,15 +48,15 @@
             self._outcomes.record_not_run(instance, attempts, error)
             return None
         except BrokenResponseError as error:
-            self._outcomes.record_begun(attempts.request, started)
+            self._outcomes.record_started(attempts.request, started)
             self._outcomes.record_broken(instance, attempts, error.message)
             return None
         except asyncio.CancelledError:
             # Its time is over or another response came first; the server may have run it.
-            self._outcomes.record_begun(attempts.request, started)
+            self._outcomes.record_started(attempts.request, started)
             self._outcomes.record_overtaken(instance, attempts, started)
             raise
-        self._outcomes.record_begun(attempts.request, started)
+        self._outcomes.record_started(attempts.request, started)
         attempts.record_may_have_run(instance.id)
         self._balancer.record_response(instance, self._clock.now() - started)
         judged = self._judge(instance, attempts, response, is_signed=is_signed)
@@ -89,7 +89,7 @@
             response = await call.enter_async_context(self.open(instance, attempts))
             self._balancer.record_load(instance.id, response.load)
             is_signed = response.signature is not None
-            reservation = attempts.request.memory.reserve(Purpose.ANSWERS)
+            reservation = attempts.request.memory.reserve(MemoryPurpose.ANSWERS)
             chunks = response.chunks()
             begun, is_whole = await collect(chunks, reservation)
             if is_whole:
@@ -152,6 +152,6 @@
             fresh_connection=not is_repeatable,
             repeat_if_silent=is_repeatable,
             tenant=request.tenant,
-            send_within=self._balancer.placement.admit(instance.id, attempts.waiter.work),
+            send_timeout=self._balancer.placement.admit(instance.id, attempts.waiter.work),
             crash_limit=sys.maxsize if attempts.is_trial else CLIENT_CRASH_LIMIT,
         )
--- a/src/larkpost/gateway/proxy/server_pool.py
+++ b/src/larkpost/gateway/proxy/server_pool.py
@@ -16,7 +16,7 @@
 from larkpost.common.clock import Clock
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import ServiceName
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
+from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceInfo
 from larkpost.gateway.placement.work import Work, WorkKind
 from larkpost.gateway.proxy.subset import DaemonSubsets
 
@@ -92,14 +92,14 @@
 
     def __init__(
         self,
-        directory: Directory,
+        directory: InstanceDirectory,
         clock: Clock,
-        chance: random.Random,
+        rng: random.Random,
         subsets: DaemonSubsets | None = None,
     ) -> None:
         self._directory = directory
         self._clock = clock
-        self._chance = chance
+        self._chance = rng
         self._subsets = subsets
         self._searches: dict[_SearchKey, _Search] = {}
 
--- a/src/larkpost/gateway/quarantine/crash_detector.py
+++ b/src/larkpost/gateway/quarantine/crash_detector.py
@@ -16,7 +16,7 @@
 from larkpost.common.clock import Clock
 from larkpost.common.ids import Address, InstanceId
 from larkpost.common.tasks import TaskSet
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceInfo, InstanceState
 from larkpost.gateway.blackboard.request_content import ContentDigest
 from larkpost.gateway.servers.port import PortState, ServerPort
 
@@ -70,7 +70,7 @@
 
     def __init__(
         self,
-        directory: Directory,
+        directory: InstanceDirectory,
         servers: ServerPort,
         clock: Clock,
         tasks: TaskSet,
@@ -87,7 +87,7 @@
         """Records that a server closed the connection of a request without a whole response."""
         suspect = self._suspects.get(instance.id)
         if suspect is None:
-            if not self._directory.takes_work(instance.id):
+            if not self._directory.accepts_work(instance.id):
                 return  # it has said that it leaves, or was known to be gone
             suspect = _SuspectServer(
                 instance, self._clock.now(), self._instances_at(instance.address)
--- a/src/larkpost/gateway/rollouts/batch_forecaster.py
+++ b/src/larkpost/gateway/rollouts/batch_forecaster.py
@@ -19,8 +19,8 @@
     ServiceName,
 )
 from larkpost.gateway.blackboard.daemon_report import BatchProgress
-from larkpost.gateway.blackboard.directory import Directory
-from larkpost.gateway.blackboard.weight_targets import ModelDemand, Outlook
+from larkpost.gateway.blackboard.directory import InstanceDirectory
+from larkpost.gateway.blackboard.weight_targets import DeadlineForecast, ModelDemand
 from larkpost.gateway.controllers.batch_forecast import (
     BatchCapacity,
     forecast_deadline,
@@ -45,7 +45,7 @@
     """
 
     configuration: ConfigurationState
-    directory: Directory
+    directory: InstanceDirectory
     pace: Callable[[InstanceId], float]
     clock: Clock
     store_time: Callable[[], float | None]
@@ -92,12 +92,12 @@
         """
         known = self._recent_reports() | own
         capacities: dict[ServiceName, BatchCapacity] = {}
-        outlooks: dict[ModelName, list[Outlook]] = defaultdict(list)
+        outlooks: dict[ModelName, list[DeadlineForecast]] = defaultdict(list)
         waiting: dict[ModelName, int] = defaultdict(int)
         for head in heads.open:
             progress = known.get(head.id)
             if progress is None:
-                outlooks[head.model].append(Outlook.UNKNOWN)
+                outlooks[head.model].append(DeadlineForecast.UNKNOWN)
             else:
                 outlooks[head.model].append(self._forecast(head, progress, capacities))
                 waiting[head.model] += progress.waiting
@@ -105,7 +105,7 @@
         return {
             model: replace(
                 demand,
-                outlook=most_urgent_forecast(outlooks[model]),
+                deadline_forecast=most_urgent_forecast(outlooks[model]),
                 waiting=waiting[model],
                 priority=priorities.get(model, LOWEST_PRIORITY),
             )
@@ -136,7 +136,7 @@
         head: BatchHead,
         progress: BatchProgress,
         capacities: dict[ServiceName, BatchCapacity],
-    ) -> Outlook:
+    ) -> DeadlineForecast:
         """Returns the outlook of a batch.
 
         Args:
@@ -145,11 +145,11 @@
         now = self._sources.store_time()
         configuration = self._sources.configuration.current
         if now is None or configuration is None:
-            return Outlook.UNKNOWN
+            return DeadlineForecast.UNKNOWN
         route = configuration.match(head.host, head.path.encode("latin-1"))
         service = _service_of(route, configuration)
         if route is None or not route.due or service is None:
-            return Outlook.UNKNOWN
+            return DeadlineForecast.UNKNOWN
         due_in = head.created_at + route.due - now
         if service.name not in capacities:
             capacities[service.name] = self._capacity(service)
--- a/src/larkpost/gateway/rollouts/remaining_work.py
+++ b/src/larkpost/gateway/rollouts/remaining_work.py
@@ -38,5 +38,5 @@
         waiting: items that wait for a place.
     """
     left = sorted(remaining_tokens(progress, tokens_per_event) for progress in items)
-    long_item = left[int(len(left) * LONG_ITEM_QUANTILE)] if left else 0
-    return BatchProgress(waiting, sum(left), long_item)
+    p90_item_work = left[int(len(left) * LONG_ITEM_QUANTILE)] if left else 0
+    return BatchProgress(waiting, sum(left), p90_item_work)
--- a/src/larkpost/gateway/rollouts/reward_caller.py
+++ b/src/larkpost/gateway/rollouts/reward_caller.py
@@ -75,7 +75,7 @@
         if configuration is None:
             return REWARD_WORK
         path = call.path.partition("?")[0].encode("latin-1")
-        regions = configuration.homes_at(self._head.tenant, call.host, path)
+        regions = configuration.allowed_regions_at(self._head.tenant, call.host, path)
         crashes = self._services.crashes
         is_suspect = crashes.has_suspects and crashes.is_suspect(call.content)
         return Work(WorkKind.REWARD, regions, is_suspect=is_suspect)
@@ -123,7 +123,7 @@
         """
         balancer = self._services.balancer
         within = balancer.placement.admit(server.id, self._work(call))
-        request = replace(_request(call, limit), send_within=within)
+        request = replace(_request(call, limit), send_timeout=within)
         with balancer.placed(server.id):
             async with (
                 asyncio.timeout(limit),
--- a/src/larkpost/gateway/servers/port.py
+++ b/src/larkpost/gateway/servers/port.py
@@ -52,7 +52,7 @@
     fresh_connection: bool = False
     repeat_if_silent: bool = False
     tenant: TenantName | None = None
-    send_within: float | None = None
+    send_timeout: float | None = None
     crash_limit: int = CLIENT_CRASH_LIMIT
 
 
@@ -232,7 +232,7 @@
     running: int
     waiting: int
     versions: dict[ModelName, int] = field(default_factory=dict)
-    born: int | None = None
+    started_at_ms: int | None = None
 
 
 class ServerPort(Protocol):
--- a/src/larkpost/gateway/store/follower.py
+++ b/src/larkpost/gateway/store/follower.py
@@ -26,7 +26,7 @@
 """Seconds between two calls of the feed, so that changes are grouped."""
 RETRY_SECONDS = 0.15
 """Seconds after a call that failed before the next one."""
-RELIST_SECONDS = 0.5
+PARTIAL_RELIST_SECONDS = 0.5
 """Seconds after a listing in which some parts could not be read before the next."""
 
 
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Relisting:
+class RelistPolicy:
     """How often a table is listed again.
 
     Attributes:
@@ -68,7 +68,7 @@
         parts: TableParts,
         listener: Callable[[Row], None],
         instruments: Instruments,
-        relisting: Relisting,
+        relisting: RelistPolicy,
     ) -> None:
         self._store = store
         self._table = parts.table
@@ -79,10 +79,10 @@
         self._relisting = relisting
         self._following = True
         self._position = 0
-        self._newest_seen = 0
-        self._list_began = float("-inf")
-        self._list_again_after = 0.0
-        self._listed_whole = False
+        self._newest_version = 0
+        self._list_started_at = float("-inf")
+        self._relist_interval = 0.0
+        self._is_listed = False
         self.rows: dict[RowKey, Row] = {}
         self.failed_at: float | None = None
         self.confirmed_at: float | None = None
@@ -90,9 +90,9 @@
     @property
     def listed(self) -> bool:
         """Whether the table was read whole at least once."""
-        return self._listed_whole
+        return self._is_listed
 
-    def sound_for(self, now: float) -> float:
+    def healthy_for(self, now: float) -> float:
         """Returns for how many seconds every call has succeeded; 0 if none has."""
         if self.confirmed_at is None:
             return 0.0
@@ -114,7 +114,7 @@
                 await self._step()
                 self._log_change(following=True)
             except HistoryLostError:
-                self._list_began = float("-inf")
+                self._list_started_at = float("-inf")
                 self._position = 0
                 self._log.record(Event.STORE, table=self._table, state="history_lost")
             except StoreUnavailableError as error:
@@ -133,16 +133,16 @@
 
     async def _step(self) -> None:
         started = self._clock.now()
-        if started - self._list_began >= self._list_again_after * self._relisting.factor():
+        if started - self._list_started_at >= self._relist_interval * self._relisting.factor():
             whole = await self._list()
-            self._listed_whole = self._listed_whole or whole
-            self._list_began = started
-            self._list_again_after = self._relisting.interval if whole else RELIST_SECONDS
+            self._is_listed = self._is_listed or whole
+            self._list_started_at = started
+            self._relist_interval = self._relisting.interval if whole else PARTIAL_RELIST_SECONDS
         page = await self._store.changes(self._table, self._position, FEED_WAIT_SECONDS)
         for row in page.rows:
             self._apply(row)
         self._position = max(self._position, page.version)
-        self._newest_seen = max(self._newest_seen, page.version)
+        self._newest_version = max(self._newest_version, page.version)
         self.confirmed_at = started
         await self._clock.sleep(FEED_GAP_SECONDS)
 
@@ -166,7 +166,7 @@
             raise failure
         if self._position == 0:
             self._position = min(versions)
-        self._newest_seen = max(self._newest_seen, *versions)
+        self._newest_version = max(self._newest_version, *versions)
         return failure is None
 
     async def _list_part(self, part: str) -> int:
@@ -176,7 +176,7 @@
             StoreUnavailableError: no response, or one older than what is known already.
         """
         page = await read_all(self._store, self._table, part)
-        if page.version < self._newest_seen:
+        if page.version < self._newest_version:
             raise StoreUnavailableError(f"the listing of {self._table} is out of date")
         found = {row.key for row in page.rows}
         for row in page.rows:
--- a/src/larkpost/gateway/store/peers.py
+++ b/src/larkpost/gateway/store/peers.py
@@ -14,12 +14,12 @@
 from larkpost.gateway.observability.eventlog import Event, EventLog
 from larkpost.gateway.store.port import Store
 
-PEERS_ASKED = 3
+MAX_PEER_ATTEMPTS = 3
 """Peers that are asked for one call, the last of them a far one."""
-PEER_REST_SECONDS = 3.0
+PEER_COOLDOWN_SECONDS = 3.0
 """Seconds for which a peer that did not respond is not asked again: it may be frozen, or cut off as
 well."""
-NO_PEER_PAUSE_SECONDS = 0.7
+NO_PEER_COOLDOWN_SECONDS = 0.7
 """Seconds for which no peer is asked after none of those asked could help."""
 
 PeerDistances = Mapping[Address, Distance]
@@ -33,7 +33,7 @@
         """Closes all connections to the peer."""
 
 
-class Peers:
+class PeerSelector:
     """The peers of one daemon, at most one of which makes its calls.
 
     Args:
@@ -45,36 +45,38 @@
         connect: Callable[[Address], PeerStore],
         clock: Clock,
         log: EventLog,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self.current: PeerStore | None = None
         self._connect = connect
         self._clock = clock
         self._log = log
-        self._chance = chance
+        self._chance = rng
         self._distances: Callable[[], PeerDistances] = dict
         self._connected: dict[Address, PeerStore] = {}
         self._current_distance = Distance.SAME_ZONE
-        self._silent_at: dict[Address, float] = {}
-        self._none_until = float("-inf")
+        self._unresponsive_at: dict[Address, float] = {}
+        self._cooldown_until = float("-inf")
 
-    def follow(self, distances: Callable[[], PeerDistances]) -> None:
+    def set_distances(self, distances: Callable[[], PeerDistances]) -> None:
         """Sets who is asked where the other daemons are that are considered alive."""
         self._distances = distances
 
-    def find(self, tried: int, *, confined: bool) -> PeerStore | None:
+    def select(self, failed_attempts: int, *, region_bound: bool) -> PeerStore | None:
         """Returns the peer that makes this daemon's calls, a new one if there is none.
 
         Args:
             tried: peers that were asked in vain for this call.
             confined: whether the peer must be in this daemon's region.
         """
-        if self.current is not None and may_ask(self._current_distance, confined=confined):
+        if self.current is not None and is_allowed(
+            self._current_distance, region_bound=region_bound
+        ):
             return self.current
-        usable = self._usable(confined=confined)
-        if not usable or self._clock.now() < self._none_until:
+        usable = self._usable(region_bound=region_bound)
+        if not usable or self._clock.now() < self._cooldown_until:
             return None
-        self._current_distance = distance_to_ask(usable, tried)
+        self._current_distance = next_peer_distance(usable, failed_attempts)
         address = self._chance.choice(
             [name for name, distance in usable.items() if distance is self._current_distance]
         )
@@ -84,17 +86,17 @@
         self._log.record(Event.STORE_RELAY, peer=address, state="relayed")
         return self.current
 
-    def drop(self, peer: PeerStore, *, silent: bool = False) -> None:
+    def drop(self, peer: PeerStore, *, unresponsive: bool = False) -> None:
         """Drops a peer that did not help; a silent one is not asked again for a while."""
-        if silent:
+        if unresponsive:
             address = next(name for name, known in self._connected.items() if known is peer)
-            self._silent_at[address] = self._clock.now()
+            self._unresponsive_at[address] = self._clock.now()
         if self.current is peer:
             self.current = None
 
-    def pause(self) -> None:
+    def start_cooldown(self) -> None:
         """Asks no peer for a while: none of those asked reaches the store."""
-        self._none_until = self._clock.now() + NO_PEER_PAUSE_SECONDS
+        self._cooldown_until = self._clock.now() + NO_PEER_COOLDOWN_SECONDS
         self._log.record(Event.STORE_RELAY, state="no_peer")
 
     async def close(self) -> None:
@@ -103,27 +105,27 @@
             await peer.close()
         self._connected.clear()
 
-    def _usable(self, *, confined: bool) -> dict[Address, Distance]:
+    def _usable(self, *, region_bound: bool) -> dict[Address, Distance]:
         """Returns the peers that may be asked now."""
         now = self._clock.now()
         return {
             address: distance
             for address, distance in self._distances().items()
-            if now - self._silent_at.get(address, float("-inf")) >= PEER_REST_SECONDS
-            and may_ask(distance, confined=confined)
+            if now - self._unresponsive_at.get(address, float("-inf")) >= PEER_COOLDOWN_SECONDS
+            and is_allowed(distance, region_bound=region_bound)
         }
 
 
-def may_ask(distance: Distance, *, confined: bool) -> bool:
+def is_allowed(distance: Distance, *, region_bound: bool) -> bool:
     """Returns whether a peer so far away may make a call.
 
     Args:
         confined: whether the call's content must not leave this daemon's region.
     """
-    return not (confined and distance is Distance.OTHER_REGION)
+    return not (region_bound and distance is Distance.OTHER_REGION)
 
 
-def distance_to_ask(usable: PeerDistances, tried: int) -> Distance:
+def next_peer_distance(usable: PeerDistances, failed_attempts: int) -> Distance:
     """Returns how far the next peer is to be: near ones first, the last one as far as there are.
 
     Whatever cuts this daemon off may cut its whole region off.
@@ -132,5 +134,5 @@
         usable: the peers that may be asked; at least one.
         tried: peers that were asked in vain for the same call.
     """
-    is_last = tried == PEERS_ASKED - 1
+    is_last = failed_attempts == MAX_PEER_ATTEMPTS - 1
     return max(usable.values()) if is_last else min(usable.values())
--- a/src/larkpost/gateway/store/relay.py
+++ b/src/larkpost/gateway/store/relay.py
@@ -20,7 +20,7 @@
 from larkpost.common.ids import Address
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.observability.eventlog import Event, EventLog
-from larkpost.gateway.store.peers import PEERS_ASKED, PeerDistances, Peers, PeerStore
+from larkpost.gateway.store.peers import MAX_PEER_ATTEMPTS, PeerDistances, PeerSelector, PeerStore
 from larkpost.gateway.store.port import (
     RowPage,
     Store,
@@ -32,12 +32,12 @@
 
 PROBE_INTERVAL_SECONDS = 0.5
 """Seconds between two checks of a relayed daemon whether the store takes its own calls again."""
-MOST_PEER_SECONDS = 0.8
+MAX_PEER_CALL_SECONDS = 0.8
 """Most seconds for a call by way of a peer, besides the time that a feed may wait."""
 PROBE_TABLE = "members"
 PROBE_PART = "known"
 """What a probe reads: a row that is there, in a part that every daemon reads."""
-REFUSED = (WriteOutcome.NOT_DONE, WriteOutcome.THROTTLED)
+REFUSED_OUTCOMES = (WriteOutcome.NOT_DONE, WriteOutcome.THROTTLED)
 """Outcomes that prove that the store did not do a write."""
 
 Response = TypeVar("Response")
@@ -59,19 +59,19 @@
         connect: Callable[[Address], PeerStore],
         clock: Clock,
         log: EventLog,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self.row_bytes = direct.row_bytes
         self._direct = direct
         self._log = log
-        self._peers = Peers(connect, clock, log, chance)
-        self._is_confined: Callable[[str], bool] = lambda _: False
+        self._peers = PeerSelector(connect, clock, log, rng)
+        self._is_region_bound: Callable[[str], bool] = lambda _: False
 
     def start(
         self,
         peers: Callable[[], PeerDistances],
         tasks: TaskSet,
-        is_confined: Callable[[str], bool] = lambda _: False,
+        is_region_bound: Callable[[str], bool] = lambda _: False,
     ) -> None:
         """Starts to check for the store's return whenever calls are relayed.
 
@@ -79,8 +79,8 @@
             peers: returns where the other daemons that are considered alive make calls for others.
             is_confined: returns whether rows of a table must not pass through another region.
         """
-        self._is_confined = is_confined
-        self._peers.follow(peers)
+        self._is_region_bound = is_region_bound
+        self._peers.set_distances(peers)
         tasks.every(PROBE_INTERVAL_SECONDS, self._probe, "store_relay")
 
     @property
@@ -98,20 +98,22 @@
         result = WriteResult(WriteOutcome.NOT_DONE)
         if self._peers.current is None:
             result = await self._direct.write(transaction, timeout)
-        if result.outcome not in REFUSED:
+        if result.outcome not in REFUSED_OUTCOMES:
             return result
-        confined = any(self._is_confined(key.table) for key, _ in transaction.puts)
-        for tried in range(PEERS_ASKED):
-            peer = self._peers.find(tried, confined=confined)
+        region_bound = any(self._is_region_bound(key.table) for key, _ in transaction.puts)
+        for failed_attempts in range(MAX_PEER_ATTEMPTS):
+            peer = self._peers.select(failed_attempts, region_bound=region_bound)
             if peer is None:
                 return result
-            result = await peer.write(transaction, min(timeout, MOST_PEER_SECONDS))
+            result = await peer.write(transaction, min(timeout, MAX_PEER_CALL_SECONDS))
             if result.outcome is WriteOutcome.UNKNOWN:
-                self._peers.drop(peer, silent=True)  # the next call goes elsewhere, this one not
-            if result.outcome not in REFUSED:
+                self._peers.drop(
+                    peer, unresponsive=True
+                )  # the next call goes elsewhere, this one not
+            if result.outcome not in REFUSED_OUTCOMES:
                 return result
             self._peers.drop(peer)
-        self._peers.pause()
+        self._peers.start_cooldown()
         return result
 
     async def read(
@@ -120,7 +122,7 @@
         """Reads rows of a part; see the port."""
         return await self._call(
             lambda store: store.read(table, part, first, end, limit),
-            confined=self._is_confined(table),
+            region_bound=self._is_region_bound(table),
         )
 
     async def changes(self, table: str, after: int, wait: float) -> RowPage:
@@ -136,7 +138,7 @@
         call: Callable[[Store], Awaitable[Response]],
         wait: float = 0.0,
         *,
-        confined: bool = False,
+        region_bound: bool = False,
     ) -> Response:
         """Makes a reading call directly or by way of a peer.
 
@@ -154,7 +156,7 @@
                 return await call(self._direct)
             except StoreUnavailableError as error:
                 failure = error
-        return await self._call_by_peer(call, wait, failure, confined=confined)
+        return await self._call_by_peer(call, wait, failure, region_bound=region_bound)
 
     async def _call_by_peer(
         self,
@@ -162,25 +164,25 @@
         wait: float,
         failure: StoreUnavailableError,
         *,
-        confined: bool,
+        region_bound: bool,
     ) -> Response:
         """Makes a reading call by way of a peer; see `_call`.
 
         Args:
             failure: what to raise if no peer helps.
         """
-        for tried in range(PEERS_ASKED):
-            peer = self._peers.find(tried, confined=confined)
+        for failed_attempts in range(MAX_PEER_ATTEMPTS):
+            peer = self._peers.select(failed_attempts, region_bound=region_bound)
             if peer is None:
                 raise failure
             try:
-                async with asyncio.timeout(wait + MOST_PEER_SECONDS):
+                async with asyncio.timeout(wait + MAX_PEER_CALL_SECONDS):
                     return await call(peer)
             except StoreUnavailableError:
                 self._peers.drop(peer)
             except TimeoutError:
-                self._peers.drop(peer, silent=True)
-        self._peers.pause()
+                self._peers.drop(peer, unresponsive=True)
+        self._peers.start_cooldown()
         raise failure
 
     async def _probe(self) -> None:
--- a/src/larkpost/gateway/usage/count_writer.py
+++ b/src/larkpost/gateway/usage/count_writer.py
@@ -11,14 +11,14 @@
 from larkpost.gateway.usage.counter import UsageCounter
 from larkpost.gateway.usage.repository import UsageRepository
 
-SAVE_SECONDS = 0.5
+MIN_SAVE_INTERVAL_SECONDS = 0.5
 """Least seconds between two savings of a daemon's counts: what it counts meanwhile dies with it."""
-SAVES_PER_SECOND = 120.0
+MAX_SAVES_PER_SECOND = 120.0
 """Most savings that a fleet makes together: one part of the store takes 200 writes a second."""
 SAVE_TIMEOUTS = (0.5, 1.0, 1.5)
 """Time limits of the tries to save, in seconds: a response may be lost, or the store may be
 slow."""
-LAST_SAVE_SECONDS = 0.8
+FINAL_SAVE_SECONDS = 0.8
 """Most seconds that a planned stop waits for its counts to be saved: its kill is near.
 Part of `planned_stop.KILL_MARGIN_SECONDS`."""
 
@@ -49,10 +49,10 @@
                 self._counter.record_saved(counts)
                 return
 
-    async def save_last(self) -> None:
+    async def save_final(self) -> None:
         """Saves at a planned stop, which must not take long."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(LAST_SAVE_SECONDS):
+            async with asyncio.timeout(FINAL_SAVE_SECONDS):
                 await self.save()
 
 
@@ -62,4 +62,4 @@
     Args:
         alive: daemons that are considered alive.
     """
-    return max(SAVE_SECONDS, alive / SAVES_PER_SECOND)
+    return max(MIN_SAVE_INTERVAL_SECONDS, alive / MAX_SAVES_PER_SECOND)
--- a/src/larkpost/gateway/usage/counter.py
+++ b/src/larkpost/gateway/usage/counter.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Begun:
+class _StartedRequest:
     """A request that began to run, at a steady time of this process."""
 
     tenant: TenantName
@@ -29,20 +29,20 @@
     def __init__(self, true_time: FleetClock, window_length: float) -> None:
         self._true_time = true_time
         self._window_length = window_length
-        self._begun: list[_Begun] = []
+        self._started: list[_StartedRequest] = []
         self._counts: dict[WindowNumber, Counter[TenantName]] = {}
         self._unsaved: set[WindowNumber] = set()
 
-    def record_begun(self, tenant: TenantName, at: float) -> None:
+    def record_started(self, tenant: TenantName, at: float) -> None:
         """Records that a request of a tenant began to run at a steady time."""
-        self._begun.append(_Begun(tenant, at))
+        self._started.append(_StartedRequest(tenant, at))
 
     def unsaved(self) -> dict[WindowNumber, TenantCounts]:
         """Returns the counts of all windows that have changed since they were saved.
 
         Requests wait for their window until the time of day is known.
         """
-        self._assign()
+        self._assign_windows()
         return {window: dict(self._counts[window]) for window in sorted(self._unsaved)}
 
     def record_saved(self, saved: dict[WindowNumber, TenantCounts]) -> None:
@@ -51,15 +51,15 @@
             if self._counts.get(window) == counts:
                 self._unsaved.discard(window)
 
-    def _assign(self) -> None:
+    def _assign_windows(self) -> None:
         """Counts each request in its window."""
-        if not self._begun or self._true_time.now() is None:
+        if not self._started or self._true_time.now() is None:
             return
-        for begun in self._begun:
+        for begun in self._started:
             window = WindowNumber(int(self._true_time.at(begun.at) // self._window_length))
             self._counts.setdefault(window, Counter())[begun.tenant] += 1
             self._unsaved.add(window)
-        self._begun.clear()
+        self._started.clear()
         for window in sorted(self._counts)[:-KEPT_WINDOWS]:
             del self._counts[window]
             self._unsaved.discard(window)
--- a/src/larkpost/gateway/usage/reporter.py
+++ b/src/larkpost/gateway/usage/reporter.py
@@ -30,10 +30,10 @@
 SETTLE_SECONDS = 3.5
 """Seconds from a window's end until its requests have ended and their daemons have been heard,
 besides the interval at which those save their counts."""
-SOUND_SECONDS = 2.0
+STORE_HEALTHY_SECONDS = 2.0
 """Seconds for which the store must have responded, so that daemons have saved what they held
 back."""
-LAST_CHANCE_SECONDS = 2.0
+DECISION_MARGIN_SECONDS = 2.0
 """So many seconds before a report is due it is decided from the counts that there are."""
 REPORT_TIMEOUT_SECONDS = 0.8
 """Seconds for one call that reports."""
@@ -56,7 +56,7 @@
 
     terms: UsageTerms
     true_time: FleetClock
-    store_sound_for: Callable[[], float]
+    store_healthy_for: Callable[[], float]
 
     def window_at(self, time: float) -> WindowNumber:
         """Returns the window that a time of day lies in."""
@@ -70,9 +70,9 @@
             alive: daemons that are considered alive.
         """
         elapsed = now - (window + 1) * self.terms.window_length
-        if elapsed >= self.terms.due_after - LAST_CHANCE_SECONDS:
+        if elapsed >= self.terms.due_after - DECISION_MARGIN_SECONDS:
             return True
-        if self.store_sound_for() < SOUND_SECONDS:
+        if self.store_healthy_for() < STORE_HEALTHY_SECONDS:
             return False
         return elapsed >= SETTLE_SECONDS + save_interval(alive)
 
@@ -112,12 +112,12 @@
             return
         try:
             if self._next is None:
-                self._next = await self._find_first(now)
+                self._next = await self._find_first_unreported(now)
             await self._report_due(self._next, now)
         except StoreUnavailableError:
             return  # the store's adapter has counted it; the next update tries again
 
-    async def _find_first(self, now: float) -> WindowNumber:
+    async def _find_first_unreported(self, now: float) -> WindowNumber:
         """Returns the first window that nobody is known to have reported."""
         current = self._timing.window_at(now)
         decided = await self._repository.decided_since(WindowNumber(current - LOOK_BACK_WINDOWS))
--- a/src/larkpost/platform/batch_endpoints.py
+++ b/src/larkpost/platform/batch_endpoints.py
@@ -10,7 +10,7 @@
 from larkpost.common.errors import LarkpostError
 from larkpost.common.ids import BatchId
 from larkpost.gateway.blackboard.tenants import Caller, TenantName
-from larkpost.gateway.memory.budget import Purpose
+from larkpost.gateway.memory.budget import MemoryPurpose
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.rollouts.model import ItemId
 from larkpost.gateway.rollouts.service import BatchService
@@ -66,7 +66,7 @@
             await response.send_whole(NOT_ALLOWED)
             return
         self.check_size(call, len(body))
-        with call.memory.reserve(Purpose.SUBMISSIONS, len(body) * SUBMISSION_MEMORY_FACTOR):
+        with call.memory.reserve(MemoryPurpose.SUBMISSIONS, len(body) * SUBMISSION_MEMORY_FACTOR):
             await self._submit(call, response, body, tenant)
 
     def check_size(self, call: ClientCall, size: int) -> None:
@@ -76,7 +76,7 @@
             BatchTooLargeError: it could not.
         """
         needed = size * (1 + SUBMISSION_MEMORY_FACTOR)
-        if not call.memory.could_hold(needed):
+        if not call.memory.fits_limit(needed):
             raise BatchTooLargeError(
                 f"the batch takes {needed} bytes while it is read and stored",
                 retry_after=TOO_LARGE_RETRY_SECONDS,
@@ -110,7 +110,7 @@
             batch = _batch_id_from_path(names.ITEM_PATH_PREFIX, call)
             item = call.query.get("id", [""])[0]
             body = await self._batches.body(batch, ItemId(item), caller)
-            call.memory.reserve(Purpose.PAGES, len(body))
+            call.memory.reserve(MemoryPurpose.PAGES, len(body))
             await response.send_whole(OK, body)
         else:
             await response.send_whole(NOT_FOUND)
@@ -139,7 +139,7 @@
         wait = min(wait_ms / 1000, MAX_LONG_POLL_SECONDS)
         page = await self._batches.read(batch, position, wait, caller)
         content = orjson.dumps(page_document(page))
-        call.memory.reserve(Purpose.PAGES, len(content))
+        call.memory.reserve(MemoryPurpose.PAGES, len(content))
         await response.send_json(content)
 
 
--- a/src/larkpost/platform/http_protocol.py
+++ b/src/larkpost/platform/http_protocol.py
@@ -224,13 +224,13 @@
         """Whether a request is served and its response not complete."""
         return self._current_cycle is not None and not self._current_cycle.response_complete
 
-    async def wait_for_room(self, seconds: float) -> None:
+    async def wait_until_writable(self, seconds: float) -> None:
         """Waits until it is not full, at most so long."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
                 await self.flow.drain()
 
-    def cut(self) -> None:
+    def disconnect(self) -> None:
         """Breaks the connection off; what is unsent is dropped."""
         self.transport.abort()
 
--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -16,10 +16,10 @@
     RouteKind,
 )
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
-from larkpost.gateway.memory.budget import Purpose
+from larkpost.gateway.memory.budget import MemoryPurpose
 from larkpost.gateway.memory.daemon_memory import DaemonMemory, RequestMemory, unlimited_memory
-from larkpost.gateway.memory.delivery import Delivery, ReaderCutError
-from larkpost.gateway.memory.read_ahead import PassedAnswer, read_ahead
+from larkpost.gateway.memory.delivery import Delivery, SlowClientError
+from larkpost.gateway.memory.read_ahead import BufferedBody, read_ahead
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.request import ClientRequest, OpenResponse
@@ -170,16 +170,16 @@
             return
         async with answer:
             await response.begin_with_length(answer.status, answer.headers)
-            passed = PassedAnswer(answer.rest, answer.reservation, answer.begun)
+            passed = BufferedBody(answer.rest, answer.reservation, answer.begun)
             await self._send_body(passed, response)
 
     async def _stream(self, request: ClientRequest, route: Route, response: ClientResponse) -> None:
         async with self._forwarder.stream(request, route) as streamed:
             await response.begin(streamed.status, streamed.headers)
-            ahead = request.memory.reserve(Purpose.STREAMS)
-            await self._send_body(PassedAnswer(streamed.chunks(), ahead), response)
+            ahead = request.memory.reserve(MemoryPurpose.STREAMS)
+            await self._send_body(BufferedBody(streamed.chunks(), ahead), response)
 
-    async def _send_body(self, answer: PassedAnswer, response: ClientResponse) -> None:
+    async def _send_body(self, answer: BufferedBody, response: ClientResponse) -> None:
         async with aclosing(read_ahead(answer, response.delivery, self._memory)) as parts:
             async for part in parts:
                 await response.send_chunk(part)
@@ -190,9 +190,9 @@
     """Holds what the connection has not sent yet, until the client has taken it."""
     if delivery.unsent == 0:
         return
-    memory.keep_only(Purpose.ANSWERS, delivery.unsent)
-    with contextlib.suppress(ReaderCutError):  # logged where it was cut
-        await delivery.wait_until_taken()
+    memory.shrink_to(MemoryPurpose.ANSWERS, delivery.unsent)
+    with contextlib.suppress(SlowClientError):  # logged where it was cut
+        await delivery.wait_until_drained()
 
 
 async def _detect_close(closed: asyncio.Task) -> None:
--- a/src/larkpost/platform/server_messages.py
+++ b/src/larkpost/platform/server_messages.py
@@ -69,7 +69,7 @@
         running=read_int(document, "running") if "running" in document else 0,
         waiting=read_int(document, "waiting") if "waiting" in document else 0,
         versions=read_versions(document),
-        born=read_start_ms(document),
+        started_at_ms=read_start_ms(document),
     )
 
 
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -5,7 +5,7 @@
 
 from larkpost.common.ids import BatchId, DaemonId
 from larkpost.gateway.blackboard.daemon_report import BatchProgress, DaemonReport
-from larkpost.gateway.blackboard.weight_targets import ModelDemand, Outlook
+from larkpost.gateway.blackboard.weight_targets import DeadlineForecast, ModelDemand
 from larkpost.gateway.controllers.batch_forecast import (
     INFEASIBLE_DELAY_SECONDS,
     MIN_SPARE_SECONDS,
@@ -41,8 +41,8 @@
     available_slots=48, total_slots=192, token_time=0.001, fastest_token_time=0.0007
 )
 """A quarter of 24 engines, of which the slow ones take 1.7 times the usual time, the others 0.7."""
-LONG = BatchProgress(0, work=1848 * 80, long_item=149 * 80)
-SHORT = BatchProgress(0, work=864 * 80, long_item=84 * 80)
+LONG = BatchProgress(0, work=1848 * 80, p90_item_work=149 * 80)
+SHORT = BatchProgress(0, work=864 * 80, p90_item_work=84 * 80)
 TOKENS = 80
 
 
@@ -52,20 +52,50 @@
     def test_outlooks(self):
         ended = BatchProgress(0, 0, 0)
         cases = (
-            ("short items, all the time", SHORT, 7.5, POOL, Outlook.TO_SPARE),
-            ("long items, all the time", LONG, 7.5, POOL, Outlook.TIGHT),
-            ("long items, nearly done", left_of(LONG, 4000, 2000), 4.0, POOL, Outlook.TO_SPARE),
-            ("late, but not by much", LONG, 6.5, POOL, Outlook.TIGHT),
-            ("a long item may be shorter than guessed", LONG, 2.0, POOL, Outlook.TIGHT),
-            ("hopeless: more work than all engines do", LONG, -0.5, POOL, Outlook.HOPELESS),
-            ("long since due", SHORT, -1.0, POOL, Outlook.HOPELESS),
-            ("long since due, all but done", BatchProgress(0, 80, 80), -3, POOL, Outlook.TIGHT),
-            ("due a moment ago, all but done", BatchProgress(0, 80, 80), -0.2, POOL, Outlook.TIGHT),
-            ("all is done", ended, 3.0, POOL, Outlook.TO_SPARE),
-            ("short items at uneven engines", SHORT, 11.0, UNEVEN, Outlook.TO_SPARE),
-            ("long ones: in time at the fast", LONG, 7.5, UNEVEN, Outlook.TIGHT),
-            ("more work than the fast engines do", LONG, -0.5, UNEVEN, Outlook.HOPELESS),
-            ("no pace is known", SHORT, 7.5, BatchCapacity(0, 0, 0.0, 0.0), Outlook.UNKNOWN),
+            ("short items, all the time", SHORT, 7.5, POOL, DeadlineForecast.TO_SPARE),
+            ("long items, all the time", LONG, 7.5, POOL, DeadlineForecast.TIGHT),
+            (
+                "long items, nearly done",
+                left_of(LONG, 4000, 2000),
+                4.0,
+                POOL,
+                DeadlineForecast.TO_SPARE,
+            ),
+            ("late, but not by much", LONG, 6.5, POOL, DeadlineForecast.TIGHT),
+            ("a long item may be shorter than guessed", LONG, 2.0, POOL, DeadlineForecast.TIGHT),
+            (
+                "hopeless: more work than all engines do",
+                LONG,
+                -0.5,
+                POOL,
+                DeadlineForecast.HOPELESS,
+            ),
+            ("long since due", SHORT, -1.0, POOL, DeadlineForecast.HOPELESS),
+            (
+                "long since due, all but done",
+                BatchProgress(0, 80, 80),
+                -3,
+                POOL,
+                DeadlineForecast.TIGHT,
+            ),
+            (
+                "due a moment ago, all but done",
+                BatchProgress(0, 80, 80),
+                -0.2,
+                POOL,
+                DeadlineForecast.TIGHT,
+            ),
+            ("all is done", ended, 3.0, POOL, DeadlineForecast.TO_SPARE),
+            ("short items at uneven engines", SHORT, 11.0, UNEVEN, DeadlineForecast.TO_SPARE),
+            ("long ones: in time at the fast", LONG, 7.5, UNEVEN, DeadlineForecast.TIGHT),
+            ("more work than the fast engines do", LONG, -0.5, UNEVEN, DeadlineForecast.HOPELESS),
+            (
+                "no pace is known",
+                SHORT,
+                7.5,
+                BatchCapacity(0, 0, 0.0, 0.0),
+                DeadlineForecast.UNKNOWN,
+            ),
         )
         for name, progress, due_in, capacity, expected in cases:
             with self.subTest(name):
@@ -74,23 +104,23 @@
     def test_limits(self):
         needed = remaining_seconds(SHORT, POOL.available_slots, POOL.token_time)
         cases = (
-            (needed + MIN_SPARE_SECONDS + 0.01, Outlook.TO_SPARE),
-            (needed + MIN_SPARE_SECONDS - 0.01, Outlook.TIGHT),
-            (864 * 80 * 0.0006 / 176 - INFEASIBLE_DELAY_SECONDS + 0.01, Outlook.TIGHT),
-            (864 * 80 * 0.0006 / 176 - INFEASIBLE_DELAY_SECONDS - 0.01, Outlook.HOPELESS),
+            (needed + MIN_SPARE_SECONDS + 0.01, DeadlineForecast.TO_SPARE),
+            (needed + MIN_SPARE_SECONDS - 0.01, DeadlineForecast.TIGHT),
+            (864 * 80 * 0.0006 / 176 - INFEASIBLE_DELAY_SECONDS + 0.01, DeadlineForecast.TIGHT),
+            (864 * 80 * 0.0006 / 176 - INFEASIBLE_DELAY_SECONDS - 0.01, DeadlineForecast.HOPELESS),
         )
         for due_in, expected in cases:
             with self.subTest(due_in=due_in):
                 self.assertIs(expected, forecast_deadline(SHORT, due_in, POOL))
 
     def test_many_short_items_need_time_too(self):
-        many = BatchProgress(400, work=58 * 16000, long_item=800)
+        many = BatchProgress(400, work=58 * 16000, p90_item_work=800)
         self.assertAlmostEqual(10.5, remaining_seconds(many, POOL.available_slots, POOL.token_time))
-        self.assertIs(Outlook.TIGHT, forecast_deadline(many, 7.5, POOL))
+        self.assertIs(DeadlineForecast.TIGHT, forecast_deadline(many, 7.5, POOL))
 
     def test_which_batch_of_a_model_counts(self):
-        tight, unknown = Outlook.TIGHT, Outlook.UNKNOWN
-        hopeless, spare = Outlook.HOPELESS, Outlook.TO_SPARE
+        tight, unknown = DeadlineForecast.TIGHT, DeadlineForecast.UNKNOWN
+        hopeless, spare = DeadlineForecast.HOPELESS, DeadlineForecast.TO_SPARE
         cases = (
             ((), unknown),
             ((spare,), spare),
@@ -125,10 +155,10 @@
                 self.assertEqual(0, remaining_tokens(replace(progress, whole=True), TOKENS))
 
     def test_sum(self):
-        for count, long_item in ((3, 2), (20, 18)):
+        for count, p90_item_work in ((3, 2), (20, 18)):
             items = make_batch(items=count).items
             works = sorted(item.expected_work for item in items)
-            expected = BatchProgress(2, sum(works), works[long_item])
+            expected = BatchProgress(2, sum(works), works[p90_item_work])
             self.assertEqual(
                 expected, summarize_progress((Progress(item) for item in items), TOKENS, 2)
             )
@@ -187,11 +217,11 @@
     def test_report_is_believed_for_a_while(self):
         async def play():
             await self.begin()
-            self.assertIs(Outlook.UNKNOWN, self.demand().outlook)
+            self.assertIs(DeadlineForecast.UNKNOWN, self.demand().deadline_forecast)
             reported = {self.head.id: BatchProgress(4, 100, 10)}
             self.forecaster.record_report(DaemonId("o"), reported)
             self.assertEqual(4, self.demand().waiting)
-            self.assertNotEqual(Outlook.UNKNOWN, self.demand().outlook)
+            self.assertNotEqual(DeadlineForecast.UNKNOWN, self.demand().deadline_forecast)
             await self.clock.sleep(REPORT_LIFETIME_SECONDS + 0.1)
             self.assertEqual(ModelDemand(10, True), self.demand())
 
@@ -234,14 +264,16 @@
             await self.begin()
             self.assertGreater(self.due, 0)
             self.forecaster.record_report(DaemonId("o"), {self.head.id: BatchProgress(0, 1, 1)})
-            self.assertIs(Outlook.TO_SPARE, self.demand().outlook)
+            self.assertIs(DeadlineForecast.TO_SPARE, self.demand().deadline_forecast)
             self.head = replace(
                 self.head, created_at=100.0 - self.due - 2 * INFEASIBLE_DELAY_SECONDS
             )
-            self.assertIs(Outlook.TIGHT, self.demand().outlook, "little is left of it")
+            self.assertIs(
+                DeadlineForecast.TIGHT, self.demand().deadline_forecast, "little is left of it"
+            )
             much = {self.head.id: BatchProgress(0, 10**6, 10**5)}
             self.forecaster.record_report(DaemonId("o"), much)
-            self.assertIs(Outlook.HOPELESS, self.demand().outlook)
+            self.assertIs(DeadlineForecast.HOPELESS, self.demand().deadline_forecast)
 
         run(play())
 
@@ -261,20 +293,24 @@
             self.assertEqual(2, len(others))
             for gateway in others:
                 self.assertGreater(gateway.keeper.demands()[MODEL].waiting, 0)
-                self.assertIsNot(Outlook.UNKNOWN, gateway.keeper.demands()[MODEL].outlook)
+                self.assertIsNot(
+                    DeadlineForecast.UNKNOWN, gateway.keeper.demands()[MODEL].deadline_forecast
+                )
             fleet.kill(owner)
             await fleet.wait(DEAD_AFTER_SECONDS + 1.5)
             owners = [gateway for gateway in others if gateway.keeper.owned()]
             self.assertEqual(1, len(owners))
             for gateway in others:  # now by the new owner's word
-                self.assertIsNot(Outlook.UNKNOWN, gateway.keeper.demands()[MODEL].outlook)
+                self.assertIsNot(
+                    DeadlineForecast.UNKNOWN, gateway.keeper.demands()[MODEL].deadline_forecast
+                )
 
         run(play())
 
 
-def left_of(progress: BatchProgress, work: int, long_item: int) -> BatchProgress:
+def left_of(progress: BatchProgress, work: int, p90_item_work: int) -> BatchProgress:
     """Returns the progress of a batch with so much left."""
-    return progress._replace(work=work, long_item=long_item)
+    return progress._replace(work=work, p90_item_work=p90_item_work)
 
 
 if __name__ == "__main__":
--- a/tests/test_bounded_choice.py
+++ b/tests/test_bounded_choice.py
@@ -11,7 +11,7 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.common.ids import DaemonId, InstanceId, RegionId, ZoneId
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo
+from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceInfo
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.placement.decision import PlacementDecision
 from larkpost.gateway.placement.region_rule import RegionRule
@@ -67,7 +67,7 @@
     """A balancer of one daemon of a fleet before one service."""
 
     def __init__(self, servers: int = 3200, daemons: int = 370) -> None:
-        self.directory = Directory()
+        self.directory = InstanceDirectory()
         regions = RegionMap(HOME_ZONE, {HOME_ZONE: HOME, FAR_ZONE: FAR})
         alive = frozenset(DaemonId(f"d{number}") for number in range(daemons))
         self.subsets = DaemonSubsets(OWN, lambda: alive)
@@ -208,7 +208,7 @@
         async def play():
             scene = Scene(300, 30)
             for name in scene.subset:
-                scene.directory.remove(name, sound=True)
+                scene.directory.remove(name, store_healthy=True)
             self.assertTrue(scene.client_choice())
             for name in scene.subset:
                 self.assertIsNotNone(scene.directory.get(name))
@@ -310,7 +310,7 @@
             scene.directory.update(make_instance(far, zone=FAR_ZONE))
             work = replace(CLIENT_WORK, regions=frozenset({FAR}))
             self.assertEqual([far], [info.id for info in scene.balancer.candidates(PAGES, work)])
-            scene.directory.remove(far, sound=True)
+            scene.directory.remove(far, store_healthy=True)
             self.assertEqual([], scene.balancer.candidates(PAGES, work))
 
         run(play())
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -8,14 +8,14 @@
 import orjson
 
 from larkpost.gateway.observability.eventlog import (
-    LINES_PER_SECOND,
+    MAX_LINES_PER_SECOND,
     MAX_PENDING_BYTES,
     Event,
     EventLog,
-    LineWriter,
+    NonBlockingWriter,
 )
 from larkpost.gateway.observability.explain import explain
-from larkpost.gateway.observability.metrics import COUNTS, LEVELS, TIMINGS, Count, Metrics
+from larkpost.gateway.observability.metrics import COUNTERS, GAUGES, HISTOGRAMS, Count, Metrics
 
 DOCS = Path(__file__).resolve().parent.parent / "docs"
 
@@ -73,7 +73,7 @@
 
     def test_every_metric_is_documented(self):
         text = (DOCS / "LOGS.md").read_text(encoding="utf-8")
-        names = [*COUNTS, *LEVELS, *TIMINGS]
+        names = [*COUNTERS, *GAUGES, *HISTOGRAMS]
         self.assertEqual([], [name for name in names if f"`{name.value}`" not in text])
 
 
@@ -84,7 +84,7 @@
         reader, writer = os.pipe()
         self.addCleanup(os.close, reader)
         self.addCleanup(os.close, writer)
-        lines = LineWriter(writer)
+        lines = NonBlockingWriter(writer)
         text = b"x" * 1000 + b"\n"
         began = time.monotonic()
         for _ in range(2 * MAX_PENDING_BYTES // len(text)):
@@ -97,10 +97,10 @@
         self.addCleanup(os.close, reader)
         self.addCleanup(os.close, writer)
         metrics = Metrics()
-        log = EventLog("d", LineWriter(writer), metrics)
-        for _ in range(5 * LINES_PER_SECOND):
+        log = EventLog("d", NonBlockingWriter(writer), metrics)
+        for _ in range(5 * MAX_LINES_PER_SECOND):
             log.record(Event.ITEM_RUN, batch="b")
         name = Count.LINES_LEFT_OUT.value
         left_out = metrics.registry.get_sample_value(name, {"event": Event.ITEM_RUN.value})
-        self.assertGreaterEqual(left_out, 3 * LINES_PER_SECOND)
+        self.assertGreaterEqual(left_out, 3 * MAX_LINES_PER_SECOND)
         log.close()
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -14,7 +14,7 @@
 from larkpost.common.incarnations import instance_id, split_instance_id
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.blackboard.configuration import ServiceName
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceInfo, InstanceState
 from larkpost.gateway.blackboard.known_crashes import CLIENT_CRASH_LIMIT, Crash, KnownCrashes
 from larkpost.gateway.blackboard.request_content import ContentDigest
 from larkpost.gateway.controllers import weight_loader
@@ -37,10 +37,12 @@
 MODEL = "small"
 
 
-def incarnation(born: int | None, state: InstanceState = InstanceState.READY) -> InstanceInfo:
+def incarnation(
+    started_at_ms: int | None, state: InstanceState = InstanceState.READY
+) -> InstanceInfo:
     """Returns an incarnation of the server."""
     return InstanceInfo(
-        instance_id(NAME, born),
+        instance_id(NAME, started_at_ms),
         SERVICE,
         Address("10.0.0.3:8000"),
         ZoneId("north"),
@@ -54,7 +56,7 @@
 SECOND = incarnation(SECOND_START)
 
 
-def entry_row(version: int, born: int | None, **changed: object) -> Row:
+def entry_row(version: int, started_at_ms: int | None, **changed: object) -> Row:
     """Returns the server's entry in the store."""
     document = {
         "service": SERVICE,
@@ -67,8 +69,8 @@
         "seq": version,
         "models": [{"name": MODEL, "version": 1}],
     }
-    if born is not None:
-        document["born"] = born
+    if started_at_ms is not None:
+        document["born"] = started_at_ms
     return Row(RowKey("servers", "", NAME), orjson.dumps({**document, **changed}), version)
 
 
@@ -76,9 +78,11 @@
     """Ids of incarnations."""
 
     @given(st.text(min_size=1), st.none() | st.integers(min_value=0))
-    def test_each_id_names_one_server_and_one_start(self, name: str, born: int | None) -> None:
-        made = instance_id(InstanceName(name), born)
-        self.assertEqual((name, born), split_instance_id(made))
+    def test_each_id_names_one_server_and_one_start(
+        self, name: str, started_at_ms: int | None
+    ) -> None:
+        made = instance_id(InstanceName(name), started_at_ms)
+        self.assertEqual((name, started_at_ms), split_instance_id(made))
 
     def test_server_that_does_not_say_its_start_is_known_by_its_name(self) -> None:
         self.assertEqual("engine-3", instance_id(NAME, None))
@@ -88,9 +92,9 @@
     """One incarnation of each server is known, the latest."""
 
     def setUp(self) -> None:
-        self.directory = Directory()
+        self.directory = InstanceDirectory()
         self.ended: list[InstanceId] = []
-        self.directory.add_end_listener(self.ended.append)
+        self.directory.add_removal_listener(self.ended.append)
 
     def test_later_incarnation_ends_the_one_before(self) -> None:
         self.directory.update(FIRST)
@@ -116,7 +120,7 @@
 
     def test_server_that_was_replaced_at_its_address_serves_once_it_has_started_again(self) -> None:
         self.directory.update(FIRST)
-        self.directory.retire(FIRST.id)
+        self.directory.mark_replaced(FIRST.id)
         self.directory.update(FIRST)
         self.assertEqual([], list(self.directory.all()))
         self.directory.update(SECOND)
@@ -129,12 +133,12 @@
 
     def test_entry_that_is_gone_ends_the_incarnation_that_is_known(self) -> None:
         self.directory.update(SECOND)
-        self.directory.remove(NAME, sound=True)
+        self.directory.remove(NAME, store_healthy=True)
         self.assertEqual([SECOND.id], self.ended)
 
     def test_server_back_while_the_store_is_away(self) -> None:
         self.directory.update(FIRST)
-        self.directory.remove(NAME, sound=False)
+        self.directory.remove(NAME, store_healthy=False)
         self.assertEqual(InstanceState.UNLISTED, self.directory.get(FIRST.id).state)
         self.directory.update(SECOND)
         self.assertEqual([SECOND], list(self.directory.all()))
@@ -152,8 +156,8 @@
 
     def configure(self, version: int, *services: str) -> None:
         """Has a configuration come in."""
-        named = [{"name": name} for name in services]
-        document = {"version": version, "routes": [], "services": named}
+        find_by_name = [{"name": name} for name in services]
+        document = {"version": version, "routes": [], "services": find_by_name}
         row = Row(RowKey("op", "", "config"), orjson.dumps(document), version)
         self.row_recorder.record_operator_row(row)
 
@@ -171,7 +175,7 @@
         self.row_recorder.record_instance_row(entry_row(1, FIRST_START))
         self.row_recorder.record_instance_row(entry_row(2, SECOND_START))
         self.assertEqual(2, self.events().count(Event.INSTANCE))
-        self.assertEqual(SECOND_START, self.blackboard.directory.named(NAME).born)
+        self.assertEqual(SECOND_START, self.blackboard.directory.find_by_name(NAME).started_at_ms)
 
     def test_spoiled_entry_names_no_server_and_the_next_whole_one_does(self) -> None:
         self.configure(1, SERVICE)
@@ -179,19 +183,19 @@
         other = Row(RowKey("servers", "", "engine-4"), entry_row(1, 7).value, 1)
         self.row_recorder.record_instance_row(other)
         self.row_recorder.record_instance_row(entry_row(2, FIRST_START, state="zombie"))
-        self.assertIsNone(self.blackboard.directory.named(NAME))
+        self.assertIsNone(self.blackboard.directory.find_by_name(NAME))
         self.assertEqual(1, len(self.blackboard.directory))
         self.assertEqual(1, self.spoiled())
         self.assertEqual(1, self.events().count(Event.UNREADABLE))
         self.row_recorder.record_instance_row(entry_row(3, FIRST_START))
-        self.assertIsNotNone(self.blackboard.directory.named(NAME))
+        self.assertIsNotNone(self.blackboard.directory.find_by_name(NAME))
 
     def test_spoiled_entry_of_a_server_that_leaves_does_not_bring_it_back(self) -> None:
         self.configure(1, SERVICE)
         self.row_recorder.record_instance_row(entry_row(1, FIRST_START, state="draining"))
         self.row_recorder.record_instance_row(entry_row(2, FIRST_START, slots=-3))
         self.row_recorder.record_instance_row(entry_row(3, FIRST_START))
-        state = self.blackboard.directory.named(NAME).state
+        state = self.blackboard.directory.find_by_name(NAME).state
         self.assertEqual(InstanceState.LEAVING, state)
 
     def test_service_that_no_configuration_names(self) -> None:
@@ -232,7 +236,7 @@
     """What is known of a server's use."""
 
     def setUp(self) -> None:
-        self.directory = Directory()
+        self.directory = InstanceDirectory()
         self.clock = mock.Mock(now=lambda: 50.0)
         self.balancer = Balancer(self.directory, self.clock, random.Random(7))
         self.directory.update(FIRST)
@@ -321,7 +325,7 @@
 
     def test_start_under_the_same_name_is_evidence(self) -> None:
         async def play() -> None:
-            directory = Directory()
+            directory = InstanceDirectory()
             directory.update(FIRST)
             found: list[str] = []
             servers = mock.Mock(probe=mock.AsyncMock(return_value=PortState.LISTENS))
@@ -343,8 +347,8 @@
     """Orders to engines that have started again."""
 
     def test_report_of_another_start(self) -> None:
-        def report(born: int | None) -> EngineReport:
-            return EngineReport(0, False, 0, 0, {}, born)
+        def report(started_at_ms: int | None) -> EngineReport:
+            return EngineReport(0, False, 0, 0, {}, started_at_ms)
 
         for said, known, expected in (
             (SECOND_START, FIRST, True),
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -9,11 +9,11 @@
 from larkpost.common.hashing import hash64
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import ModelName, Service, ServiceName
-from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.blackboard.directory import InstanceDirectory
 from larkpost.gateway.blackboard.weight_targets import (
+    DeadlineForecast,
     Demands,
     ModelDemand,
-    Outlook,
     WeightTarget,
     WeightTargets,
 )
@@ -42,13 +42,13 @@
 """Events that a step of each model takes: items of 12 events on average, and of 21."""
 
 
-def demand(model: ModelName, asked_after: float | None, **others) -> ModelDemand:
+def demand(model: ModelName, submit_delay: float | None, **others) -> ModelDemand:
     """Returns what a model's batches ask for, so long after their versions."""
     return ModelDemand(
         WORKS[model],
         open=True,
-        asked_after=asked_after,
-        least_asked_after=asked_after,
+        submit_delay=submit_delay,
+        min_submit_delay=submit_delay,
         **others,
     )
 
@@ -75,23 +75,27 @@
             ("neither waits nor has time", demand(LONG, 1.0), LendingRole.NONE),
             (
                 "had none a step ago",
-                ModelDemand(9, open=True, asked_after=spare, least_asked_after=0.1),
+                ModelDemand(9, open=True, submit_delay=spare, min_submit_delay=0.1),
                 LendingRole.NONE,
             ),
             (
                 "tight for a moment: it gets places, no engines",
-                demand(LONG, spare, outlook=Outlook.TIGHT, waiting=1),
+                demand(LONG, spare, deadline_forecast=DeadlineForecast.TIGHT, waiting=1),
+                LendingRole.LENDER,
+            ),
+            (
+                "in time",
+                demand(LONG, spare, deadline_forecast=DeadlineForecast.TO_SPARE),
                 LendingRole.LENDER,
             ),
-            ("in time", demand(LONG, spare, outlook=Outlook.TO_SPARE), LendingRole.LENDER),
             (
                 "in time, but its trainer waits",
-                demand(LONG, waits, outlook=Outlook.TO_SPARE),
+                demand(LONG, waits, deadline_forecast=DeadlineForecast.TO_SPARE),
                 LendingRole.BORROWER,
             ),
             (
                 "can't be in time any more",
-                demand(LONG, waits, outlook=Outlook.HOPELESS),
+                demand(LONG, waits, deadline_forecast=DeadlineForecast.HOPELESS),
                 LendingRole.LENDER,
             ),
         )
@@ -102,13 +106,15 @@
     def test_who_leaves_free_places_to_others(self):
         waiting = two_behind() | {LONG: demand(LONG, 0.02, waiting=5)}
         easy = all_at_leisure() | {SHORT: demand(SHORT, 9.0, waiting=5)}
-        hopeless = waiting | {LONGEST: demand(LONGEST, 0.02, outlook=Outlook.HOPELESS)}
-        tight = demand(LONG, 9.0, outlook=Outlook.TIGHT, waiting=5)
+        hopeless = waiting | {
+            LONGEST: demand(LONGEST, 0.02, deadline_forecast=DeadlineForecast.HOPELESS)
+        }
+        tight = demand(LONG, 9.0, deadline_forecast=DeadlineForecast.TIGHT, waiting=5)
         cases = (
             ("a tight batch waits", all_at_leisure() | {LONG: tight}, {SHORT, LONGEST}),
             (
                 "one with time to spare is tight itself",
-                waiting | {SHORT: demand(SHORT, 9.0, outlook=Outlook.TIGHT)},
+                waiting | {SHORT: demand(SHORT, 9.0, deadline_forecast=DeadlineForecast.TIGHT)},
                 set(),
             ),
             (
@@ -190,8 +196,8 @@
     def test_hopeless_lends_to_one_that_can_be_saved(self):
         demands = {
             SHORT: demand(SHORT, 1.0),
-            LONG: demand(LONG, 0.02, outlook=Outlook.HOPELESS),
-            LONGEST: demand(LONGEST, 0.02, outlook=Outlook.TIGHT),
+            LONG: demand(LONG, 0.02, deadline_forecast=DeadlineForecast.HOPELESS),
+            LONGEST: demand(LONGEST, 0.02, deadline_forecast=DeadlineForecast.TIGHT),
         }
         assignment, lending = self.divide(demands)
         self.assertEqual({LONGEST}, set(lending.lent))
@@ -205,10 +211,10 @@
     def test_loan_stays_while_the_borrower_gets_its_places(self):
         lent = self.divide(two_behind())[1]
         for waiting in (40, 7, 0, 3, 0):
-            outlook = Outlook.TIGHT if waiting else Outlook.TO_SPARE
+            deadline_forecast = DeadlineForecast.TIGHT if waiting else DeadlineForecast.TO_SPARE
             demands = two_behind() | {
-                LONG: demand(LONG, 0.02, waiting=waiting, outlook=outlook),
-                SHORT: demand(SHORT, 9.0, waiting=waiting, outlook=outlook),
+                LONG: demand(LONG, 0.02, waiting=waiting, deadline_forecast=deadline_forecast),
+                SHORT: demand(SHORT, 9.0, waiting=waiting, deadline_forecast=deadline_forecast),
             }
             self.assertEqual(lent, self.divide(demands)[1])
 
@@ -289,14 +295,14 @@
     def test_engines_vanish(self):
         lent = [name for names in self.divide(two_behind())[1].lent.values() for name in names]
         for engine in lent:
-            self.directory.remove(engine, sound=True)
+            self.directory.remove(engine, store_healthy=True)
         first = self.preferred_engines(two_behind())
         self.assertEqual(ENGINES - len(lent), sum(len(engines) for engines in first.values()))
         for engines in first.values():
             self.assertGreaterEqual(len(engines), MIN_ENGINES_PER_MODEL)
 
     def test_daemons_that_know_the_same_divide_alike(self):
-        other = Directory()
+        other = InstanceDirectory()
         for info in reversed(self.directory.of_service(THREE.name)):
             other.update(info)
         here = self.preferred_engines(two_behind())
--- a/tests/test_load_timing.py
+++ b/tests/test_load_timing.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.blackboard.weight_targets import (
     Demands,
     ModelDemand,
-    Naming,
+    VersionAnnouncement,
     WeightTarget,
     WeightTargets,
 )
@@ -40,15 +40,15 @@
 from tests.virtual import run
 
 NAMED_AT = 10.0
-WAITS = ModelDemand(100, open=True, asked_after=0.02, asked_at=2)
+WAITS = ModelDemand(100, open=True, submit_delay=0.02, submit_version=2)
 """The newest batch came with its version, and no earlier one is open."""
 CASES = (
     ("nothing is known", ModelDemand(), False),
     ("came with its version, no earlier batch is open", WAITS, True),
-    ("an earlier batch is open", replace(WAITS, open_before=True), False),
-    ("came long after its version", replace(WAITS, asked_after=TRAINER_BLOCKED_SECONDS), False),
+    ("an earlier batch is open", replace(WAITS, has_earlier_open=True), False),
+    ("came long after its version", replace(WAITS, submit_delay=TRAINER_BLOCKED_SECONDS), False),
     ("when it came is not known", ModelDemand(100, open=True), False),
-    ("the version is newer: its batch is still to come", replace(WAITS, asked_at=1), False),
+    ("the version is newer: its batch is still to come", replace(WAITS, submit_version=1), False),
 )
 
 
@@ -69,9 +69,9 @@
                 self.assertIs(expected, is_urgent(demand, 2))
 
     def test_engines_load_together_once_the_items_have_found_their_places(self):
-        for asked_after in (0.02, 0.4):
-            demands = {FIRST: replace(WAITS, asked_after=asked_after)}
-            due_at = asked_after + URGENT_LOAD_DELAY_SECONDS
+        for submit_delay in (0.02, 0.4):
+            demands = {FIRST: replace(WAITS, submit_delay=submit_delay)}
+            due_at = submit_delay + URGENT_LOAD_DELAY_SECONDS
             self.assertEqual(0, self.due(demands, due_at - 0.1))
             self.assertEqual(6, self.due(demands, due_at + 0.1))
 
@@ -96,11 +96,11 @@
         self.assertEqual(6, self.due(waiting, BUSY_LOAD_DELAY_SECONDS + 0.1))
 
     def test_engines_serve_the_batch_that_comes_with_the_version(self):
-        before = {FIRST: replace(WAITS, asked_at=1)}
+        before = {FIRST: replace(WAITS, submit_version=1)}
         self.assertEqual(0, self.due(before, BUSY_LOAD_DELAY_SECONDS - 0.1))
 
     def test_engines_load_in_turns_while_there_is_time(self):
-        at_leisure = {FIRST: ModelDemand(100, open=True, asked_after=2.7)}
+        at_leisure = {FIRST: ModelDemand(100, open=True, submit_delay=2.7)}
         self.assertEqual(0, self.due(at_leisure, BUSY_LOAD_DELAY_SECONDS - 0.1))
         self.assertEqual(3, self.due(at_leisure, BUSY_LOAD_DELAY_SECONDS + 0.1))
         self.assertEqual(
@@ -112,7 +112,7 @@
     """How long after its version a batch came, as the heads of batches tell it."""
 
     def setUp(self):
-        self.naming: Naming | None = None
+        self.naming: VersionAnnouncement | None = None
         self.age: float | None = 0.1
         self.heads: BatchHeadCache | None = None
 
@@ -137,11 +137,15 @@
         """Returns what batches of these names, times and ends ask for."""
 
         async def play() -> ModelDemand:
-            self.naming = Naming(2, 0.05 + self.age) if self.age is not None else Naming(2, 9.0)
+            self.naming = (
+                VersionAnnouncement(2, 0.05 + self.age)
+                if self.age is not None
+                else VersionAnnouncement(2, 9.0)
+            )
             self.heads = BatchHeadCache(LoopClock(), lambda _: self.naming, lambda _: self.age)
             for name, created_at, ended in batches:
                 self.record(name, created_at, ended=ended)
-            self.naming = Naming(3, 9.0)
+            self.naming = VersionAnnouncement(3, 9.0)
             name, created_at, ended = batches[-1]
             self.record(name, created_at, ended=ended, version=2)
             self.assertNotIn(SECOND, self.heads.demands())
@@ -160,10 +164,10 @@
         for name, batches, expected in cases:
             with self.subTest(name):
                 demand = self.demand(*batches)
-                self.assertEqual(expected, (demand.open, demand.open_before))
-                work, asked_after, asked_at, least = _figures(demand)
-                self.assertEqual((100, 2), (work, asked_at))
-                self.assertAlmostEqual(0.05, asked_after)
+                self.assertEqual(expected, (demand.open, demand.has_earlier_open))
+                work, submit_delay, submit_version, least = _figures(demand)
+                self.assertEqual((100, 2), (work, submit_version))
+                self.assertAlmostEqual(0.05, submit_delay)
                 self.assertAlmostEqual(0.05, least)
 
     def test_work_is_averaged_so_that_single_batches_move_no_engines(self):
@@ -182,7 +186,7 @@
 
     def test_daemons_that_learn_of_a_batch_later_know_the_same(self):
         for self.age in (0.0, 0.1, 0.6):
-            self.assertAlmostEqual(0.05, self.demand(("a", 1.0, False)).asked_after)
+            self.assertAlmostEqual(0.05, self.demand(("a", 1.0, False)).submit_delay)
 
     def test_naming_that_was_not_seen_is_unknown(self):
         cases = (
@@ -196,16 +200,16 @@
                 targets = WeightTargets()
                 for version in versions:
                     targets.update(WeightTarget(FIRST, version), float(version))
-                naming = targets.last_naming(FIRST, 20.0)
+                naming = targets.last_announcement(FIRST, 20.0)
                 self.assertEqual(expected, naming.version if naming is not None else None)
 
     def test_a_batch_that_is_no_news_tells_nothing(self):
         for self.age in (None, MAX_NEW_BATCH_AGE_SECONDS + 0.1):
-            self.assertIsNone(self.demand(("a", 1.0, False)).asked_after)
+            self.assertIsNone(self.demand(("a", 1.0, False)).submit_delay)
 
 
 def _figures(demand: ModelDemand) -> tuple[int, float | None, int, float | None]:
-    return demand.work, demand.asked_after, demand.asked_at, demand.least_asked_after
+    return demand.work, demand.submit_delay, demand.submit_version, demand.min_submit_delay
 
 
 if __name__ == "__main__":
--- a/tests/test_nearness.py
+++ b/tests/test_nearness.py
@@ -12,7 +12,7 @@
     RouteKind,
     ServiceShare,
 )
-from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.blackboard.directory import InstanceDirectory
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.placement.region_rule import RegionRule
@@ -21,7 +21,7 @@
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.request import ClientRequest, RefusedError
 from larkpost.gateway.store.batch_tables import ITEM_TABLE
-from larkpost.gateway.store.peers import PEERS_ASKED
+from larkpost.gateway.store.peers import MAX_PEER_ATTEMPTS
 from larkpost.gateway.store.port import RowKey, StoreUnavailableError, Transaction, WriteOutcome
 from larkpost.gateway.store.relay import RelayedStore
 from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient
@@ -48,17 +48,17 @@
         """Lists a server in each zone, named s0, s1 and so on."""
         self.clock = LoopClock()
         self.servers = ScriptedEngines(self.clock, MODEL)
-        self.directory = Directory()
+        self.directory = InstanceDirectory()
         for number, zone in enumerate(zones):
             name = InstanceId(f"s{number}")
             self.servers.engines[name] = ScriptedEngine(slots=4)
             self.directory.update(make_instance(name, zone=zone))
         placement = Placement(self.directory, (RegionRule(regions),))
-        chance = random.Random(1)
+        rng = random.Random(1)
         self.balancer = Balancer(
             self.directory,
             self.clock,
-            chance,
+            rng,
             BalancerSources(placement=placement, regions=regions),
         )
         self.forwarder = Forwarder(
@@ -230,7 +230,7 @@
 
     def test_last_peer_asked_is_a_far_one(self):
         async def play():
-            near = {f"near{number}": Distance.SAME_ZONE for number in range(PEERS_ASKED)}
+            near = {f"near{number}": Distance.SAME_ZONE for number in range(MAX_PEER_ATTEMPTS)}
             self.begin(**near, far=Distance.OTHER_REGION)
             for name in near:
                 self.peers[name].refused = True
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -7,10 +7,10 @@
 from larkpost.common.ids import Address, InstanceId
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.blackboard.configuration import ModelName
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceInfo, InstanceState
 from larkpost.gateway.blackboard.known_crashes import (
     CLIENT_CRASH_LIMIT,
-    REMEMBERED_SECONDS,
+    CRASH_RETENTION_SECONDS,
     SUSPECT_CRASHES,
     Crash,
     KnownCrashes,
@@ -67,7 +67,7 @@
     def begin(self, state: PortState) -> None:
         """Lists a server that left a request."""
         self.clock = LoopClock()
-        self.directory = Directory()
+        self.directory = InstanceDirectory()
         self.probes = Probes(state)
         self.found: list[tuple[InstanceId, set[ContentDigest], str]] = []
         self.instance = make_instance("a")
@@ -291,7 +291,7 @@
         async def play():
             self.begin()
             self.crash(3)
-            await self.clock.sleep(REMEMBERED_SECONDS - 60.0)
+            await self.clock.sleep(CRASH_RETENTION_SECONDS - 60.0)
             self.assertEqual(3, len(self.store.rows))
             await self.clock.sleep(180.0)
             self.assertEqual({}, self.store.rows)
--- a/tests/test_service_index.py
+++ b/tests/test_service_index.py
@@ -6,7 +6,7 @@
 
 from larkpost.common.ids import InstanceId, ZoneId
 from larkpost.gateway.blackboard.configuration import ModelName, ServiceName
-from larkpost.gateway.blackboard.directory import Directory, InstanceState
+from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceState
 from tests.server_parts import make_instance
 
 SERVICES = (ServiceName("pages"), ServiceName("engines"))
@@ -16,29 +16,29 @@
 STEPS = 600
 
 
-def change(directory: Directory, chance: random.Random) -> None:
+def change(directory: InstanceDirectory, rng: random.Random) -> None:
     """Makes one change of a directory that its feeds or requests may make."""
-    name = chance.choice(NAMES)
-    match chance.randrange(8):
+    name = rng.choice(NAMES)
+    match rng.randrange(8):
         case 0:
-            directory.remove(name, sound=chance.random() < 0.5)
+            directory.remove(name, store_healthy=rng.random() < 0.5)
         case 1:
-            directory.retire(name)
+            directory.mark_replaced(name)
         case 2:
-            directory.observe_version(name, chance.choice(MODELS), chance.randrange(3))
+            directory.observe_version(name, rng.choice(MODELS), rng.randrange(3))
         case 3:
             directory.drop_unlisted()
         case _:
-            state = chance.choice((InstanceState.READY, InstanceState.READY, InstanceState.LEAVING))
-            info = make_instance(name, chance.choice(SERVICES), zone=chance.choice(ZONES))
-            versions = {model: chance.randrange(3) for model in MODELS if chance.random() < 0.7}
+            state = rng.choice((InstanceState.READY, InstanceState.READY, InstanceState.LEAVING))
+            info = make_instance(name, rng.choice(SERVICES), zone=rng.choice(ZONES))
+            versions = {model: rng.randrange(3) for model in MODELS if rng.random() < 0.7}
             directory.update(replace(info, state=state, versions=versions))
 
 
 class ServiceIndexTest(unittest.TestCase):
     """The index of a directory against all its entries."""
 
-    def check(self, directory: Directory) -> None:
+    def check(self, directory: InstanceDirectory) -> None:
         """Compares everything that the index says of the services."""
         index = directory.index
         for service in SERVICES:
@@ -59,30 +59,30 @@
 
     def test_index_agrees_with_all_entries_after_each_change(self):
         for seed in range(10):
-            chance = random.Random(seed)
-            directory = Directory()
+            rng = random.Random(seed)
+            directory = InstanceDirectory()
             for _ in range(STEPS):
-                change(directory, chance)
+                change(directory, rng)
                 self.check(directory)
 
     def test_instances_keep_their_order_when_their_entries_change(self):
-        directory = Directory()
+        directory = InstanceDirectory()
         for name in NAMES:
             directory.update(make_instance(name))
         directory.update(make_instance(NAMES[3], slots=9))
-        directory.remove(NAMES[5], sound=False)
+        directory.remove(NAMES[5], store_healthy=False)
         directory.update(make_instance(NAMES[5]))
         self.assertEqual(list(NAMES), [info.id for info in directory.of_service(SERVICES[0])])
 
     def test_generation_changes_only_when_instances_come_or_go(self):
-        directory = Directory()
+        directory = InstanceDirectory()
         seen = [directory.index.generation(SERVICES[0])]
         for change_entry, is_new in (
             (lambda: directory.update(make_instance("s0")), True),
             (lambda: directory.update(make_instance("s0", slots=9)), False),
             (lambda: directory.observe_version(InstanceId("s0"), MODELS[0], 4), False),
             (lambda: directory.update(make_instance("s1")), True),
-            (lambda: directory.remove("s0", sound=True), True),
+            (lambda: directory.remove("s0", store_healthy=True), True),
             (lambda: directory.update(make_instance("s2")), True),
         ):
             change_entry()
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -19,7 +19,7 @@
     ServiceName,
     ServiceShare,
 )
-from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
+from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceInfo, InstanceState
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.metrics import Count, Metrics
 from larkpost.gateway.proxy.balancer import Balancer
@@ -461,7 +461,7 @@
         """Starts servers, and makes requests until connections to all of them are kept."""
         self.servers = HttpServers()
         self.addAsyncCleanup(self.servers.close)
-        directory = Directory()
+        directory = InstanceDirectory()
         self.all_pages = [PageServer(name) for name in names]
         self.slowest = 0.0
         for pages in self.all_pages:
@@ -469,9 +469,9 @@
             self.addAsyncCleanup(pages.close)
             directory.update(pages.instance)
         clock = LoopClock()
-        chance = random.Random(1)
-        parts = make_parts(directory, Balancer(directory, clock, chance), self.servers, clock)
-        self.forwarder = Forwarder(replace(parts, shares=ShareChooser(chance)))
+        rng = random.Random(1)
+        parts = make_parts(directory, Balancer(directory, clock, rng), self.servers, clock)
+        self.forwarder = Forwarder(replace(parts, shares=ShareChooser(rng)))
         await asyncio.gather(*(self.ask() for _ in range(8 * len(names))))
         for pages in self.all_pages:
             self.assertGreater(pages.link.connections, 1)
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -10,11 +10,16 @@
 from contextlib import aclosing
 
 from larkpost.common.clock import LoopClock
-from larkpost.gateway.memory.budget import LEAST_SHARE_BYTES, SHARES, NoRoomError, Purpose
-from larkpost.gateway.memory.daemon_memory import CutReason, DaemonMemory
-from larkpost.gateway.memory.delivery import Delivery, ReaderCutError
-from larkpost.gateway.memory.read_ahead import UNREAD_SECONDS, PassedAnswer, read_ahead
-from larkpost.gateway.memory.slow_readers import MIN_SLOW_SECONDS, STALLED_SECONDS
+from larkpost.gateway.memory.budget import (
+    ANSWER_LIMIT_DIVISOR,
+    MIN_ANSWER_LIMIT_BYTES,
+    MemoryBudgetError,
+    MemoryPurpose,
+)
+from larkpost.gateway.memory.daemon_memory import DaemonMemory, DisconnectReason
+from larkpost.gateway.memory.delivery import Delivery, SlowClientError
+from larkpost.gateway.memory.read_ahead import MAX_PAUSED_READ_SECONDS, BufferedBody, read_ahead
+from larkpost.gateway.memory.slow_clients import MIN_SLOW_SECONDS, STALLED_SECONDS
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.servers.port import BrokenResponseError
@@ -35,7 +40,7 @@
         self.rate = rate
         self.unsent = 0
         self.is_full = False
-        self.is_cut = False
+        self.is_disconnected = False
         self.is_serving = True
 
     def give(self, size: int) -> None:
@@ -43,7 +48,7 @@
         self.unsent += size
         self._settle()
 
-    async def wait_for_room(self, seconds: float) -> None:
+    async def wait_until_writable(self, seconds: float) -> None:
         """Waits until it is not full, at most so long."""
         left = seconds
         while self.is_full and left > 0:
@@ -57,9 +62,9 @@
             self.unsent = max(0, self.unsent - int(self.rate * STEP_SECONDS))
             self._settle()
 
-    def cut(self) -> None:
+    def disconnect(self) -> None:
         """Breaks the connection off."""
-        self.is_cut = True
+        self.is_disconnected = True
         self.unsent = 0
         self._settle()
 
@@ -108,18 +113,19 @@
                 self.memory.delivery(self.outlet, request) as delivery,
             ):
                 await self.relay_call(
-                    PassedAnswer(self.server.answer(), request.reserve(Purpose.STREAMS)), delivery
+                    BufferedBody(self.server.answer(), request.reserve(MemoryPurpose.STREAMS)),
+                    delivery,
                 )
         finally:
             taking.cancel()
 
-    async def relay_call(self, answer: PassedAnswer, delivery: Delivery) -> None:
+    async def relay_call(self, answer: BufferedBody, delivery: Delivery) -> None:
         """Gives the client each part once it has room."""
         async with aclosing(read_ahead(answer, delivery, self.memory)) as parts:
             async for part in parts:
-                await delivery.wait_for_room()
+                await delivery.wait_until_writable()
                 self.largest = max(self.largest, self.memory.budget.total)
-                delivery.record_given(len(part))
+                delivery.record_written(len(part))
                 self.outlet.give(len(part))
                 self.taken += len(part)
 
@@ -157,7 +163,7 @@
         virtual.run(relay.run())
         self.assertEqual(60 * len(CHUNK), relay.taken)
         self.assertGreater(relay.largest, MB // 2)
-        self.assertLessEqual(relay.largest, 8 * MB // SHARES)
+        self.assertLessEqual(relay.largest, 8 * MB // ANSWER_LIMIT_DIVISOR)
         self.assertEqual(0, self.memory.budget.total)
 
     def test_without_a_limit_nothing_is_read_ahead(self):
@@ -178,16 +184,16 @@
 
         async def play():
             began = asyncio.get_running_loop().time()
-            with self.assertRaises(ReaderCutError):
+            with self.assertRaises(SlowClientError):
                 await relay.run()
             return asyncio.get_running_loop().time() - began
 
         seconds = virtual.run(play())
-        self.assertTrue(relay.outlet.is_cut)
+        self.assertTrue(relay.outlet.is_disconnected)
         self.assertLess(seconds, STALLED_SECONDS + 1)
         self.assertEqual(0, self.memory.budget.total)
         self.assertEqual(
-            [CutReason.STALLED], [line["reason"] for line in self.lines(Event.READER_CUT)]
+            [DisconnectReason.STALLED], [line["reason"] for line in self.lines(Event.READER_CUT)]
         )
 
     def test_server_stays_read_beyond_a_share_while_there_is_room(self):
@@ -204,7 +210,7 @@
             await asyncio.gather(running, return_exceptions=True)
             return longest
 
-        self.assertLess(virtual.run(play()), UNREAD_SECONDS + 0.5)
+        self.assertLess(virtual.run(play()), MAX_PAUSED_READ_SECONDS + 0.5)
 
     def test_client_that_takes_little_is_not_let_go(self):
         """1 kB a second, for longer than a client may take nothing."""
@@ -213,7 +219,7 @@
         async def play():
             running = asyncio.create_task(relay.run())
             await asyncio.sleep(3 * STALLED_SECONDS)
-            self.assertFalse(relay.outlet.is_cut)
+            self.assertFalse(relay.outlet.is_disconnected)
             running.cancel()
             await asyncio.gather(running, return_exceptions=True)
 
@@ -222,26 +228,26 @@
 
     def test_server_that_stays_unread_has_the_slowest_client_cut(self):
         """The budget is full but for a share; one client takes 200 kB a second, one 2 kB."""
-        held = self.memory.budget.reserve(Purpose.REQUEST_BODIES)
-        held.grow_anyway(8 * MB)
+        held = self.memory.budget.reserve(MemoryPurpose.REQUEST_BODIES)
+        held.force_grow(8 * MB)
         slow = Relay(self.memory, Server(1000), FakeOutlet(rate=2_000))
         fast = Relay(self.memory, Server(100), FakeOutlet(rate=200_000))
 
         async def play():
             tasks = [asyncio.create_task(relay.run()) for relay in (slow, fast)]
             async with asyncio.timeout(STALLED_SECONDS):
-                while not slow.outlet.is_cut:
+                while not slow.outlet.is_disconnected:
                     await asyncio.sleep(STEP_SECONDS)
             seconds = asyncio.get_running_loop().time()
             outcomes = await asyncio.gather(*tasks, return_exceptions=True)
             return seconds, outcomes
 
         seconds, outcomes = virtual.run(play())
-        self.assertLess(seconds, 2 * (UNREAD_SECONDS + MIN_SLOW_SECONDS))
-        self.assertIsInstance(outcomes[0], ReaderCutError)
+        self.assertLess(seconds, 2 * (MAX_PAUSED_READ_SECONDS + MIN_SLOW_SECONDS))
+        self.assertIsInstance(outcomes[0], SlowClientError)
         self.assertEqual((None, 100 * len(CHUNK)), (outcomes[1], fast.taken))
         (line,) = self.lines(Event.READER_CUT)
-        self.assertEqual(CutReason.SLOWEST, line["reason"])
+        self.assertEqual(DisconnectReason.SLOWEST, line["reason"])
 
     def test_forty_slow_clients_stay_within_the_budget_and_get_their_answers(self):
         """40 answers of 3 MB, 15 times the budget, to clients of 500 kB a second."""
@@ -253,7 +259,7 @@
         virtual.run(play())
         self.assertEqual({60 * len(CHUNK)}, {relay.taken for relay in relays})
         largest = max(relay.largest for relay in relays)
-        self.assertLessEqual(largest, 8 * MB + 40 * LEAST_SHARE_BYTES)
+        self.assertLessEqual(largest, 8 * MB + 40 * MIN_ANSWER_LIMIT_BYTES)
 
     def test_refused_body_has_a_slow_client_cut(self):
         relay = Relay(self.memory, Server(1000), FakeOutlet(rate=2_000))
@@ -261,12 +267,12 @@
         async def play():
             running = asyncio.create_task(relay.run())
             await asyncio.sleep(MIN_SLOW_SECONDS + 1)
-            self.memory.budget.reserve(Purpose.REQUEST_BODIES, 6 * MB)
-            with self.assertRaises(NoRoomError):
-                self.memory.budget.reserve(Purpose.REQUEST_BODIES, 2 * MB)
-            self.assertTrue(relay.outlet.is_cut)
+            self.memory.budget.reserve(MemoryPurpose.REQUEST_BODIES, 6 * MB)
+            with self.assertRaises(MemoryBudgetError):
+                self.memory.budget.reserve(MemoryPurpose.REQUEST_BODIES, 2 * MB)
+            self.assertTrue(relay.outlet.is_disconnected)
             await asyncio.gather(running, return_exceptions=True)
-            self.memory.budget.reserve(Purpose.REQUEST_BODIES, 2 * MB)
+            self.memory.budget.reserve(MemoryPurpose.REQUEST_BODIES, 2 * MB)
 
         virtual.run(play())
 
@@ -277,12 +283,12 @@
         async def play():
             running = asyncio.create_task(relay.run())
             await asyncio.sleep(MIN_SLOW_SECONDS + 1)
-            with self.assertRaises(NoRoomError):
-                self.memory.budget.reserve(Purpose.REQUEST_BODIES, 8 * MB + 1)
-            self.memory.budget.reserve(Purpose.REQUEST_BODIES, 6 * MB)
-            with self.assertRaises(NoRoomError):
-                self.memory.budget.reserve(Purpose.REQUEST_BODIES, 3 * MB)
-            self.assertFalse(relay.outlet.is_cut)
+            with self.assertRaises(MemoryBudgetError):
+                self.memory.budget.reserve(MemoryPurpose.REQUEST_BODIES, 8 * MB + 1)
+            self.memory.budget.reserve(MemoryPurpose.REQUEST_BODIES, 6 * MB)
+            with self.assertRaises(MemoryBudgetError):
+                self.memory.budget.reserve(MemoryPurpose.REQUEST_BODIES, 3 * MB)
+            self.assertFalse(relay.outlet.is_disconnected)
             running.cancel()
             await asyncio.gather(running, return_exceptions=True)
 
@@ -297,17 +303,17 @@
                 self.memory.request() as request,
                 self.memory.delivery(outlet, request) as delivery,
             ):
-                request.reserve(Purpose.STREAMS, MB)
-                delivery.record_given(2 * HIGH_BYTES)
+                request.reserve(MemoryPurpose.STREAMS, MB)
+                delivery.record_written(2 * HIGH_BYTES)
                 outlet.give(2 * HIGH_BYTES)
-                waiting = asyncio.create_task(delivery.wait_for_room())
+                waiting = asyncio.create_task(delivery.wait_until_writable())
                 await asyncio.sleep(MIN_SLOW_SECONDS / 2)
                 outlet.rate = 10**9
                 await asyncio.gather(outlet_taken(outlet), waiting)
                 await asyncio.sleep(2 * MIN_SLOW_SECONDS)
-                self.memory.relieve()
-                self.assertFalse(outlet.is_cut)
-                self.assertEqual(0.0, delivery.pace().seconds)
+                self.memory.disconnect_slowest()
+                self.assertFalse(outlet.is_disconnected)
+                self.assertEqual(0.0, delivery.read_rate().seconds)
 
         async def outlet_taken(outlet):
             with contextlib.suppress(TimeoutError):
@@ -326,17 +332,17 @@
                 self.memory.request() as request,
                 self.memory.delivery(outlet, request) as delivery,
             ):
-                request.reserve(Purpose.ANSWERS, MB)
-                delivery.record_given(2 * HIGH_BYTES)
+                request.reserve(MemoryPurpose.ANSWERS, MB)
+                delivery.record_written(2 * HIGH_BYTES)
                 outlet.give(2 * HIGH_BYTES)
                 outlet.is_serving = False
-                waiting = asyncio.create_task(delivery.wait_until_taken())
+                waiting = asyncio.create_task(delivery.wait_until_drained())
                 await asyncio.sleep(STALLED_SECONDS - 1)
                 outlet.is_serving = True
-                self.memory.relieve()
+                self.memory.disconnect_slowest()
                 await waiting
                 await asyncio.sleep(STALLED_SECONDS)
-                self.assertFalse(outlet.is_cut)
+                self.assertFalse(outlet.is_disconnected)
 
         virtual.run(play())
         self.assertEqual([], self.lines(Event.READER_CUT))
@@ -349,10 +355,10 @@
                 self.memory.request() as request,
                 self.memory.delivery(outlet, request) as delivery,
             ):
-                waiting = asyncio.create_task(delivery.wait_for_room())
+                waiting = asyncio.create_task(delivery.wait_until_writable())
                 await asyncio.sleep(1)
                 outlet.unsent -= HIGH_BYTES
-                self.assertEqual(HIGH_BYTES, delivery.pace().taken)
+                self.assertEqual(HIGH_BYTES, delivery.read_rate().taken)
                 waiting.cancel()
 
         virtual.run(play())
@@ -363,8 +369,8 @@
         async def play():
             outlet = FakeOutlet(rate=10**9)
             with memory.request() as request, memory.delivery(outlet, request) as delivery:
-                held = request.reserve(Purpose.ANSWERS, 2)
-                answer = PassedAnswer(Server(1).answer(), held, deque([b"a", b"b"]))
+                held = request.reserve(MemoryPurpose.ANSWERS, 2)
+                answer = BufferedBody(Server(1).answer(), held, deque([b"a", b"b"]))
                 async with aclosing(read_ahead(answer, delivery, memory)) as parts:
                     return [part async for part in parts]
 
--- a/tests/test_store_relay.py
+++ b/tests/test_store_relay.py
@@ -12,10 +12,10 @@
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.store.peers import (
-    NO_PEER_PAUSE_SECONDS,
-    PEERS_ASKED,
-    distance_to_ask,
-    may_ask,
+    MAX_PEER_ATTEMPTS,
+    NO_PEER_COOLDOWN_SECONDS,
+    is_allowed,
+    next_peer_distance,
 )
 from larkpost.gateway.store.port import (
     HistoryLostError,
@@ -24,7 +24,7 @@
     Transaction,
     WriteOutcome,
 )
-from larkpost.gateway.store.relay import MOST_PEER_SECONDS, RelayedStore
+from larkpost.gateway.store.relay import MAX_PEER_CALL_SECONDS, RelayedStore
 from larkpost.platform import names
 from larkpost.platform.peer_store import PeerStoreApp
 from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient, StoreFaults
@@ -55,14 +55,14 @@
         for name, distances, tried, expected in cases:
             with self.subTest(name):
                 usable = {Address(f"peer:{at}"): far for at, far in enumerate(distances)}
-                self.assertEqual(expected, distance_to_ask(usable, tried))
+                self.assertEqual(expected, next_peer_distance(usable, tried))
 
     def test_only_confined_calls_stay_in_the_region(self):
         for distance in Distance:
             with self.subTest(distance):
-                self.assertTrue(may_ask(distance, confined=False))
+                self.assertTrue(is_allowed(distance, region_bound=False))
                 is_near = distance is not Distance.OTHER_REGION
-                self.assertEqual(is_near, may_ask(distance, confined=True))
+                self.assertEqual(is_near, is_allowed(distance, region_bound=True))
 
 
 class RelayTest(unittest.TestCase):
@@ -166,8 +166,8 @@
                     await self.clock.sleep(0.1)
             finally:
                 StoreClient.read = read
-            rounds = 2.1 / NO_PEER_PAUSE_SECONDS + 1
-            self.assertLessEqual(calls, rounds * PEERS_ASKED)
+            rounds = 2.1 / NO_PEER_COOLDOWN_SECONDS + 1
+            self.assertLessEqual(calls, rounds * MAX_PEER_ATTEMPTS)
 
         run(play())
 
@@ -181,12 +181,12 @@
             self.direct_peer_first(PEERS[0])
             began = self.clock.now()
             await self.store.read("table", "part")
-            self.assertLess(self.clock.now() - began, MOST_PEER_SECONDS + 0.1)
+            self.assertLess(self.clock.now() - began, MAX_PEER_CALL_SECONDS + 0.1)
             self.peers[PEERS[1]].refused = True
             with self.assertRaises(StoreUnavailableError):
                 await self.store.read("table", "part")
             self.peers[PEERS[1]].refused = False
-            await self.clock.sleep(NO_PEER_PAUSE_SECONDS)
+            await self.clock.sleep(NO_PEER_COOLDOWN_SECONDS)
             began = self.clock.now()
             await self.store.read("table", "part")
             self.assertLess(self.clock.now() - began, 0.1)
--- a/tests/test_uneven_machines.py
+++ b/tests/test_uneven_machines.py
@@ -13,13 +13,13 @@
 from larkpost.common.hashing import hash64
 from larkpost.common.ids import DaemonId
 from larkpost.common.tasks import TaskSet, UnreportedFailures
-from larkpost.gateway.assembly.loop_watch import LATE_LOOP_SECONDS, LoopWatch
-from larkpost.gateway.assembly.own_capacity import (
-    LATE_SECONDS,
-    LATE_SHARE,
-    OwnCapacity,
-    capacity_of,
+from larkpost.gateway.assembly.daemon_capacity import (
+    LATE_CAPACITY_FRACTION,
+    LATE_CAPACITY_SECONDS,
+    DaemonCapacity,
+    machine_capacity,
 )
+from larkpost.gateway.assembly.loop_monitor import LATE_LOOP_SECONDS, EventLoopMonitor
 from larkpost.gateway.blackboard.daemon_report import DaemonReport
 from larkpost.gateway.blackboard.regions import RegionMap
 from larkpost.gateway.controllers import coordinators
@@ -33,7 +33,7 @@
 from larkpost.gateway.controllers.heartbeat import new_incarnation
 from larkpost.gateway.controllers.heartbeat_writer import LocalDaemon
 from larkpost.gateway.controllers.membership import Membership
-from larkpost.gateway.memory.sizing import budget_of
+from larkpost.gateway.memory.sizing import byte_budget_for
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.platform.stand_in.memory_store import MemoryStore, StoreClient
@@ -158,12 +158,12 @@
             (2.15, 552 * MB, 2.15),
         ):
             with self.subTest(cores=cores, memory=memory):
-                self.assertEqual(expected, capacity_of(cores, budget_of(memory)))
+                self.assertEqual(expected, machine_capacity(cores, byte_budget_for(memory)))
 
     def test_daemon_whose_loop_is_late_reports_less_for_a_while(self):
         clock = LateClock()
-        watch = LoopWatch(clock, RecordingLog())
-        capacity = OwnCapacity(2.0, watch, clock)
+        watch = EventLoopMonitor(clock, RecordingLog())
+        capacity = DaemonCapacity(2.0, watch, clock)
         self.assertEqual(2.0, capacity.now())
 
         async def measure():
@@ -174,13 +174,13 @@
             tasks.cancel_all()
 
         virtual.run(measure())
-        self.assertEqual(2.0 * LATE_SHARE, capacity.now())
-        clock.time += LATE_SECONDS
+        self.assertEqual(2.0 * LATE_CAPACITY_FRACTION, capacity.now())
+        clock.time += LATE_CAPACITY_SECONDS
         self.assertEqual(2.0, capacity.now())
 
     def test_machine_of_unknown_size_reports_nothing(self):
         clock = LateClock()
-        capacity = OwnCapacity(None, LoopWatch(clock, EventLog("daemon")), clock)
+        capacity = DaemonCapacity(None, EventLoopMonitor(clock, EventLog("daemon")), clock)
         self.assertIsNone(capacity.now())
 
 
--- a/tests/test_yielding.py
+++ b/tests/test_yielding.py
@@ -4,7 +4,7 @@
 
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import Configuration, ModelName, Service
-from larkpost.gateway.blackboard.weight_targets import ModelDemand, Outlook
+from larkpost.gateway.blackboard.weight_targets import DeadlineForecast, ModelDemand
 from larkpost.gateway.controllers.engine_allocator import (
     ALLOCATION_LIFETIME_SECONDS,
     EngineAllocator,
@@ -14,8 +14,8 @@
 from tests.virtual import run
 
 OTHER = ModelName("other")
-SHORT_OF_TIME = ModelDemand(100, open=True, asked_after=0.02, waiting=5)
-AT_LEISURE = ModelDemand(100, open=True, asked_after=3.0, least_asked_after=3.0)
+SHORT_OF_TIME = ModelDemand(100, open=True, submit_delay=0.02, waiting=5)
+AT_LEISURE = ModelDemand(100, open=True, submit_delay=3.0, min_submit_delay=3.0)
 
 
 class YieldingTest(unittest.TestCase):
@@ -58,7 +58,9 @@
             self.assertFalse(division.should_yield(ENGINES, OTHER))
             self.assertEqual(3, len(division.engines_of(ENGINES, MODEL)))
             self.assertEqual(5, len(division.engines_of(ENGINES, OTHER)))
-            demands[OTHER] = ModelDemand(100, open=True, outlook=Outlook.TO_SPARE)
+            demands[OTHER] = ModelDemand(
+                100, open=True, deadline_forecast=DeadlineForecast.TO_SPARE
+            )
             await fleet.wait(2 * ALLOCATION_LIFETIME_SECONDS)
             self.assertFalse(division.should_yield(ENGINES, MODEL))
             self.assertEqual(4, len(division.engines_of(ENGINES, MODEL)))
