--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -24,10 +24,10 @@
 from larkpost.gateway.proxy.outcomes import Outcomes
 from larkpost.gateway.proxy.parts import ForwarderParts
 from larkpost.gateway.proxy.request import ClientRequest, OpenResponse, WholeResponse
+from larkpost.gateway.proxy.request_scheduler import TurnGate
 from larkpost.gateway.proxy.retry import is_false_promise, max_servers
 from larkpost.gateway.proxy.server_attempt import ServerAttempt
 from larkpost.gateway.proxy.server_choice import ServerChoice
-from larkpost.gateway.proxy.turn_gate import TurnGate
 from larkpost.gateway.servers.port import BrokenResponseError, NotRunError, ServerResponse
 
 Response = WholeResponse | OpenResponse
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -14,8 +14,8 @@
 from larkpost.gateway.proxy.outcomes import Outcomes
 from larkpost.gateway.proxy.parts import ForwarderParts
 from larkpost.gateway.proxy.request import OpenResponse, WholeResponse
+from larkpost.gateway.proxy.request_scheduler import TurnGate
 from larkpost.gateway.proxy.retry import is_false_promise, is_last_resort, response_failure
-from larkpost.gateway.proxy.turn_gate import TurnGate
 from larkpost.gateway.servers.port import (
     BrokenResponseError,
     NotRunError,
--- a/src/larkpost/gateway/proxy/server_choice.py
+++ b/src/larkpost/gateway/proxy/server_choice.py
@@ -9,7 +9,7 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.proxy.attempts import Attempts
 from larkpost.gateway.proxy.parts import ForwarderParts
-from larkpost.gateway.proxy.turn_gate import TurnGate
+from larkpost.gateway.proxy.request_scheduler import TurnGate
 
 MIN_HEDGE_SECONDS = 0.1
 """No second server is tried sooner than this."""
--- a/tests/test_turn_gate.py
+++ b/tests/test_turn_gate.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from larkpost.gateway.proxy.turn_gate import Turn, TurnInputs, decide_turn
+from larkpost.gateway.proxy.request_scheduler import Turn, TurnInputs, decide_turn
 
 
 class DecideTurnTest(unittest.TestCase):
