--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -14,7 +14,7 @@
 from larkpost.gateway.fairness.ledger import FlowLedger
 from larkpost.gateway.fairness.share_rule import GroupShares, Standing, share_out
 from larkpost.gateway.proxy.forecast import is_late_anyway
-from larkpost.gateway.proxy.places import Places
+from larkpost.gateway.proxy.slot_counts import Places
 from larkpost.gateway.proxy.waiter import Waiter
 
 MOST_HOLD_SECONDS = 0.2
--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from larkpost.gateway.proxy.places import Places
+from larkpost.gateway.proxy.slot_counts import Places
 
 LEAST_SHARE_OF_PACE = 0.5
 """A request may need half of what requests take: the smallest of a service do, and a refusal that
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -23,10 +23,10 @@
 from larkpost.gateway.proxy.elapsed_time import ElapsedTimes
 from larkpost.gateway.proxy.forecast import LEAST_RETRY_SECONDS, Limits, forecast_unreachable
 from larkpost.gateway.proxy.parts import ForwarderParts
-from larkpost.gateway.proxy.places import Places, survey
 from larkpost.gateway.proxy.request import ClientRequest
 from larkpost.gateway.proxy.request_queue import Prospect, RequestQueues
 from larkpost.gateway.proxy.share_record import ShareOutcome, ShareRecord
+from larkpost.gateway.proxy.slot_counts import Places, survey
 from larkpost.gateway.proxy.spread_returns import SpreadReturns
 from larkpost.gateway.proxy.waiter import Waiter
 
--- a/tests/test_bounded_choice.py
+++ b/tests/test_bounded_choice.py
@@ -18,13 +18,13 @@
 from larkpost.gateway.placement.verdict import Verdict
 from larkpost.gateway.placement.work import CLIENT_WORK, REWARD_WORK, Work, WorkKind
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
-from larkpost.gateway.proxy.places import survey
 from larkpost.gateway.proxy.server_pool import (
     ALL_LOOKED_AT,
     LOOKED_AT,
     LOOKED_FURTHER,
     SEARCH_LIFETIME_SECONDS,
 )
+from larkpost.gateway.proxy.slot_counts import survey
 from larkpost.gateway.proxy.subset import LEAST_SUBSET, DaemonSubsets
 from tests.platform_fleet import ENGINES, MODEL, PAGES, PlatformFleet, check_results, make_batch
 from tests.server_parts import SLOTS, make_instance
--- a/tests/test_fair_load.py
+++ b/tests/test_fair_load.py
@@ -25,9 +25,9 @@
 from larkpost.gateway.proxy.fair_order import MOST_HOLD_SECONDS, FairOrder
 from larkpost.gateway.proxy.forecast import Limits
 from larkpost.gateway.proxy.forwarder import Forwarder
-from larkpost.gateway.proxy.places import Places
 from larkpost.gateway.proxy.request import ClientRequest, RefusedError
 from larkpost.gateway.proxy.request_queue import POLL_INTERVAL_SECONDS, Prospect, RequestQueues
+from larkpost.gateway.proxy.slot_counts import Places
 from larkpost.gateway.proxy.waiter import Waiter
 from tests.platform_fleet import ENGINES, PAGES, PlatformFleet
 from tests.scripted_engines import ScriptedEngine, ScriptedEngines
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -29,7 +29,6 @@
     make_forecast,
 )
 from larkpost.gateway.proxy.forwarder import Forwarder
-from larkpost.gateway.proxy.places import Places, survey
 from larkpost.gateway.proxy.request import (
     ClientRequest,
     RefusedError,
@@ -41,6 +40,7 @@
     RequestQueues,
     poll_interval,
 )
+from larkpost.gateway.proxy.slot_counts import Places, survey
 from larkpost.gateway.proxy.waiter import Waiter
 from tests.platform_fleet import PAGES
 from tests.scripted_engines import ScriptedEngine, ScriptedEngines
