--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -31,9 +31,9 @@
     InstanceUse,
     OwnUse,
 )
-from larkpost.gateway.proxy.paces import Paces
 from larkpost.gateway.proxy.peer_use import PeerUses
 from larkpost.gateway.proxy.server_pool import LEAST_OPEN, Look, ServerPool
+from larkpost.gateway.proxy.service_times import Paces
 from larkpost.gateway.proxy.subset import DaemonSubsets
 from larkpost.gateway.servers.port import NotRunError, NotRunReason, ServerLoad
 
