--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -10,7 +10,7 @@
 from larkpost.common.ids import InstanceId, ZoneId
 from larkpost.gateway.blackboard.directory import Directory
 from larkpost.gateway.blackboard.use_summary import UseSummary
-from larkpost.gateway.proxy.lasting_pace import PaceHistory
+from larkpost.gateway.proxy.service_time_history import PaceHistory
 from larkpost.gateway.proxy.slowness import SaidSlowness
 from larkpost.gateway.servers.port import ServerLoad
 
--- a/src/larkpost/gateway/proxy/service_times.py
+++ b/src/larkpost/gateway/proxy/service_times.py
@@ -10,8 +10,8 @@
 from larkpost.common.ids import DaemonId, InstanceId
 from larkpost.gateway.blackboard.directory import Directory
 from larkpost.gateway.proxy.instance_use import OwnUse, SpeedFigures
-from larkpost.gateway.proxy.lasting_pace import PaceHistory
 from larkpost.gateway.proxy.peer_use import PeerUses
+from larkpost.gateway.proxy.service_time_history import PaceHistory
 from larkpost.gateway.proxy.shared_paces import SharedPaces
 
 MAX_REPORTED_PACES = 8
--- a/src/larkpost/gateway/proxy/slowness.py
+++ b/src/larkpost/gateway/proxy/slowness.py
@@ -7,7 +7,7 @@
 
 from collections import deque
 
-from larkpost.gateway.proxy.lasting_pace import SLICE_SECONDS, SLICES, quick_mean
+from larkpost.gateway.proxy.service_time_history import SLICE_SECONDS, SLICES, quick_mean
 
 SLOWNESS_SECONDS = 0.15
 """How long what a server said of its slowness is used; it changes many times a second."""
--- a/tests/test_lasting_pace.py
+++ b/tests/test_lasting_pace.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from larkpost.gateway.proxy.lasting_pace import (
+from larkpost.gateway.proxy.service_time_history import (
     RISE_SHARE,
     SLICE_LIFETIME_SECONDS,
     SUSTAINED_SECONDS,
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
 from larkpost.gateway.fairness.ledger import FlowLedger
 from larkpost.gateway.proxy.balancer import Balancer
-from larkpost.gateway.proxy.lasting_pace import SUSTAINED_SECONDS, PaceHistory
+from larkpost.gateway.proxy.service_time_history import SUSTAINED_SECONDS, PaceHistory
 from larkpost.gateway.proxy.service_times import MAX_REPORTED_PACES, RECOVERY_SECONDS, is_reported
 from larkpost.gateway.proxy.shared_paces import (
     FRESH_SECONDS,
