--- a/src/larkpost/gateway/proxy/service_times.py
+++ b/src/larkpost/gateway/proxy/service_times.py
@@ -11,8 +11,8 @@
 from larkpost.gateway.blackboard.directory import Directory
 from larkpost.gateway.proxy.instance_use import OwnUse, SpeedFigures
 from larkpost.gateway.proxy.peer_use import PeerUses
+from larkpost.gateway.proxy.reported_service_times import SharedPaces
 from larkpost.gateway.proxy.service_time_history import PaceHistory
-from larkpost.gateway.proxy.shared_paces import SharedPaces
 
 MAX_REPORTED_PACES = 8
 """Paces in one heartbeat, those of different instances by turns: it is listed by hundreds."""
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -15,13 +15,13 @@
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
 from larkpost.gateway.fairness.ledger import FlowLedger
 from larkpost.gateway.proxy.balancer import Balancer
-from larkpost.gateway.proxy.service_time_history import SUSTAINED_SECONDS, PaceHistory
-from larkpost.gateway.proxy.service_times import MAX_REPORTED_PACES, RECOVERY_SECONDS, is_reported
-from larkpost.gateway.proxy.shared_paces import (
+from larkpost.gateway.proxy.reported_service_times import (
     FRESH_SECONDS,
     MAX_REPORTERS,
     SHARED_PACE_SECONDS,
 )
+from larkpost.gateway.proxy.service_time_history import SUSTAINED_SECONDS, PaceHistory
+from larkpost.gateway.proxy.service_times import MAX_REPORTED_PACES, RECOVERY_SECONDS, is_reported
 from larkpost.gateway.proxy.slowness import MAX_SLOWNESS
 from larkpost.gateway.servers.port import ServerLoad
 from tests.platform_fleet import ENGINES, PAGES, PlatformFleet
