--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -25,7 +25,7 @@
 from larkpost.gateway.placement.work import Work
 from larkpost.gateway.proxy.fair_order import FairOrder, Rank, Turns
 from larkpost.gateway.proxy.forecast import Forecast, make_forecast
-from larkpost.gateway.proxy.lasting_shortage import LastingShortage
+from larkpost.gateway.proxy.shortage_detector import LastingShortage
 from larkpost.gateway.proxy.slot_counts import Places
 from larkpost.gateway.proxy.waiter import Waiter
 
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -571,7 +571,7 @@
 
 def take_any_wait_for_a_shortage():
     """Shares out the places as soon as a request waits, also if they suffice."""
-    from larkpost.gateway.proxy.lasting_shortage import LastingShortage
+    from larkpost.gateway.proxy.shortage_detector import LastingShortage
 
     return mock.patch.object(LastingShortage, "lasts", lambda *_: True)
 
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -28,7 +28,7 @@
 from larkpost.gateway.fairness.return_times import MOST_LINES, ReturnTimes
 from larkpost.gateway.fairness.share_rule import share_out, wait_for_share
 from larkpost.gateway.fairness.water_filling import fair_level
-from larkpost.gateway.proxy.lasting_shortage import LastingShortage
+from larkpost.gateway.proxy.shortage_detector import LastingShortage
 from tests.virtual import run
 
 SERVICE = ServiceName("pages")
