--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -25,9 +25,9 @@
 from larkpost.gateway.proxy.parts import ForwarderParts
 from larkpost.gateway.proxy.request import ClientRequest
 from larkpost.gateway.proxy.request_queue import Prospect, RequestQueues
+from larkpost.gateway.proxy.retry_spreading import SpreadReturns
 from larkpost.gateway.proxy.share_record import ShareOutcome, ShareRecord
 from larkpost.gateway.proxy.slot_counts import Places, survey
-from larkpost.gateway.proxy.spread_returns import SpreadReturns
 from larkpost.gateway.proxy.waiter import Waiter
 
 UNKNOWN_PACE_SHARE = 0.25
