--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -20,7 +20,6 @@
 from larkpost.gateway.blackboard.configuration import Route, RouteKind
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.proxy.attempts import Attempts
-from larkpost.gateway.proxy.large_answer import FollowedBody
 from larkpost.gateway.proxy.outcomes import Outcomes
 from larkpost.gateway.proxy.parts import ForwarderParts
 from larkpost.gateway.proxy.request import ClientRequest, OpenResponse, WholeResponse
@@ -28,6 +27,7 @@
 from larkpost.gateway.proxy.retry import is_false_promise, max_servers
 from larkpost.gateway.proxy.server_attempt import ServerAttempt
 from larkpost.gateway.proxy.server_choice import ServerChoice
+from larkpost.gateway.proxy.streamed_body import FollowedBody
 from larkpost.gateway.servers.port import BrokenResponseError, NotRunError, ServerResponse
 
 Response = WholeResponse | OpenResponse
