--- a/src/larkpost/gateway/assembly/client_requests.py
+++ b/src/larkpost/gateway/assembly/client_requests.py
@@ -6,7 +6,7 @@
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.parts import ForwarderParts
-from larkpost.gateway.proxy.shares import ShareChooser
+from larkpost.gateway.proxy.service_selection import ShareChooser
 from larkpost.gateway.quarantine.repository import CrashRepository
 from larkpost.gateway.quarantine.trials import Trials
 from larkpost.gateway.servers.port import ServerPort
--- a/tests/server_parts.py
+++ b/tests/server_parts.py
@@ -17,7 +17,7 @@
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.parts import ForwarderParts
-from larkpost.gateway.proxy.shares import ShareChooser
+from larkpost.gateway.proxy.service_selection import ShareChooser
 from larkpost.gateway.servers.port import ServerPort
 from tests.platform_fleet import ENGINES, MODEL, PAGES
 
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -30,7 +30,7 @@
 from larkpost.gateway.proxy.forecast import MOST_RETRY_SECONDS, NO_PLACE_RETRY_SECONDS
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.request import ClientRequest, RefusedError
-from larkpost.gateway.proxy.shares import ShareChooser
+from larkpost.gateway.proxy.service_selection import ShareChooser
 from larkpost.gateway.servers.port import NotRunReason
 from larkpost.gateway.store.port import Row, RowKey
 from larkpost.platform import names, operator
--- a/tests/test_import_layers.py
+++ b/tests/test_import_layers.py
@@ -164,8 +164,8 @@
     def test_forbidden_and_upward_imports_are_found(self) -> None:
         imports = {
             "larkpost.common.ids": {"larkpost.gateway.daemon"},
-            "larkpost.gateway.store.port": {"larkpost.gateway.proxy.shares"},
-            "larkpost.gateway.proxy.shares": {"larkpost.gateway.store.port"},
+            "larkpost.gateway.store.port": {"larkpost.gateway.proxy.service_selection"},
+            "larkpost.gateway.proxy.service_selection": {"larkpost.gateway.store.port"},
             "larkpost.gateway.daemon": {"larkpost.common.ids"},
         }
         self.assertEqual(
@@ -173,7 +173,7 @@
         )
         self.assertEqual(
             upward_imports(imports),
-            {("larkpost.gateway.store.port", "larkpost.gateway.proxy.shares")},
+            {("larkpost.gateway.store.port", "larkpost.gateway.proxy.service_selection")},
         )
 
 
--- a/tests/test_route_shares.py
+++ b/tests/test_route_shares.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from larkpost.gateway.blackboard.configuration import ServiceShare
-from larkpost.gateway.proxy.shares import ShareChooser
+from larkpost.gateway.proxy.service_selection import ShareChooser
 from tests.platform_fleet import (
     ENGINES,
     PAGES,
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -26,7 +26,7 @@
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.request import ClientRequest
 from larkpost.gateway.proxy.server_choice import MIN_HEDGE_SECONDS
-from larkpost.gateway.proxy.shares import ShareChooser
+from larkpost.gateway.proxy.service_selection import ShareChooser
 from larkpost.gateway.servers.port import OrderOutcome, OutgoingRequest, VersionOrder
 from larkpost.gateway.store.port import RowKey, Transaction, WriteOutcome
 from larkpost.platform.connections import MIN_ADDRESSES_KEPT, make_session
