--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -20,8 +20,8 @@
 from larkpost.gateway.blackboard.configuration import Route, RouteKind
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.proxy.attempts import Attempts
+from larkpost.gateway.proxy.dependencies import ForwarderParts
 from larkpost.gateway.proxy.outcomes import Outcomes
-from larkpost.gateway.proxy.parts import ForwarderParts
 from larkpost.gateway.proxy.request import ClientRequest, OpenResponse, WholeResponse
 from larkpost.gateway.proxy.request_scheduler import TurnGate
 from larkpost.gateway.proxy.retry import is_false_promise, max_servers
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -20,9 +20,9 @@
 from larkpost.gateway.fairness.ledger import FlowLedger
 from larkpost.gateway.placement.work import Work, WorkKind
 from larkpost.gateway.proxy.attempts import Attempts, QuarantineState
+from larkpost.gateway.proxy.dependencies import ForwarderParts
 from larkpost.gateway.proxy.elapsed_time import ElapsedTimes
 from larkpost.gateway.proxy.forecast import LEAST_RETRY_SECONDS, Limits, forecast_unreachable
-from larkpost.gateway.proxy.parts import ForwarderParts
 from larkpost.gateway.proxy.request import ClientRequest
 from larkpost.gateway.proxy.request_queue import Prospect, RequestQueues
 from larkpost.gateway.proxy.retry_spreading import SpreadReturns
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -10,8 +10,8 @@
 from larkpost.gateway.blackboard.known_crashes import CLIENT_CRASH_LIMIT
 from larkpost.gateway.memory.budget import Purpose
 from larkpost.gateway.proxy.attempts import Attempts
+from larkpost.gateway.proxy.dependencies import ForwarderParts
 from larkpost.gateway.proxy.outcomes import Outcomes
-from larkpost.gateway.proxy.parts import ForwarderParts
 from larkpost.gateway.proxy.request import OpenResponse, WholeResponse
 from larkpost.gateway.proxy.request_scheduler import TurnGate
 from larkpost.gateway.proxy.response_body import collect, joined
--- a/src/larkpost/gateway/proxy/server_choice.py
+++ b/src/larkpost/gateway/proxy/server_choice.py
@@ -8,7 +8,7 @@
 
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.proxy.attempts import Attempts
-from larkpost.gateway.proxy.parts import ForwarderParts
+from larkpost.gateway.proxy.dependencies import ForwarderParts
 from larkpost.gateway.proxy.request_scheduler import TurnGate
 
 MIN_HEDGE_SECONDS = 0.1
