--- a/src/larkpost/gateway/proxy/retry_spreading.py
+++ b/src/larkpost/gateway/proxy/retry_spreading.py
@@ -9,7 +9,7 @@
 
 from larkpost.common.clock import Clock
 from larkpost.gateway.fairness.ledger import FlowLedger
-from larkpost.gateway.fairness.return_times import ReturnTimes
+from larkpost.gateway.fairness.retry_schedule import ReturnTimes
 from larkpost.gateway.proxy.forecast import (
     LEAST_RETRY_SECONDS,
     Forecast,
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -25,7 +25,7 @@
     SHORTAGE_MEMORY_SECONDS,
     FlowLedger,
 )
-from larkpost.gateway.fairness.return_times import MOST_LINES, ReturnTimes
+from larkpost.gateway.fairness.retry_schedule import MOST_LINES, ReturnTimes
 from larkpost.gateway.fairness.share_rule import share_out, wait_for_share
 from larkpost.gateway.fairness.water_filling import fair_level
 from larkpost.gateway.proxy.shortage_detector import LastingShortage
