--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -16,8 +16,8 @@
 from larkpost.gateway.blackboard.configuration import Route, ServiceName
 from larkpost.gateway.blackboard.daemon_report import route_flow_name
 from larkpost.gateway.blackboard.known_crashes import CLIENT_CRASH_LIMIT
-from larkpost.gateway.fairness.least_service import LeastService
 from larkpost.gateway.fairness.ledger import FlowLedger
+from larkpost.gateway.fairness.starvation_guard import LeastService
 from larkpost.gateway.placement.work import Work, WorkKind
 from larkpost.gateway.proxy.attempts import Attempts, QuarantineState
 from larkpost.gateway.proxy.dependencies import ForwarderParts
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -17,7 +17,6 @@
 from larkpost.gateway.blackboard.tenants import TenantName
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
 from larkpost.gateway.fairness.batch_shares import BatchDemand, share_among_batches
-from larkpost.gateway.fairness.least_service import LEAST_RELATIVE_SERVICE, LeastService
 from larkpost.gateway.fairness.ledger import (
     LONGEST_REPORTED_NAME,
     MOST_REPORTED_FLOWS,
@@ -27,6 +26,7 @@
 )
 from larkpost.gateway.fairness.retry_schedule import MOST_LINES, ReturnTimes
 from larkpost.gateway.fairness.share_rule import share_out, wait_for_share
+from larkpost.gateway.fairness.starvation_guard import LEAST_RELATIVE_SERVICE, LeastService
 from larkpost.gateway.fairness.water_filling import fair_level
 from larkpost.gateway.proxy.shortage_detector import LastingShortage
 from tests.virtual import run
