--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -23,7 +23,7 @@
 from larkpost.gateway.proxy.dependencies import ForwarderParts
 from larkpost.gateway.proxy.outcomes import Outcomes
 from larkpost.gateway.proxy.request import ClientRequest, OpenResponse, WholeResponse
-from larkpost.gateway.proxy.request_scheduler import TurnGate
+from larkpost.gateway.proxy.request_scheduler import RequestScheduler
 from larkpost.gateway.proxy.retry import is_false_promise, max_servers
 from larkpost.gateway.proxy.server_attempt import ServerAttempt
 from larkpost.gateway.proxy.server_choice import ServerChoice
@@ -38,7 +38,7 @@
 
     def __init__(self, parts: ForwarderParts) -> None:
         self._clock = parts.clock
-        self._gate = TurnGate(parts)
+        self._gate = RequestScheduler(parts)
         self._choice = ServerChoice(parts, self._gate)
         self._outcomes = Outcomes(parts)
         self._attempt = ServerAttempt(parts, self._gate, self._outcomes)
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -69,7 +69,7 @@
     return Turn.WAIT if inputs.must_wait else Turn.TRY
 
 
-class TurnGate:
+class RequestScheduler:
     """Lets requests through to the servers, one after the other."""
 
     def __init__(self, parts: ForwarderParts) -> None:
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.proxy.dependencies import ForwarderParts
 from larkpost.gateway.proxy.outcomes import Outcomes
 from larkpost.gateway.proxy.request import OpenResponse, WholeResponse
-from larkpost.gateway.proxy.request_scheduler import TurnGate
+from larkpost.gateway.proxy.request_scheduler import RequestScheduler
 from larkpost.gateway.proxy.response_body import collect, joined
 from larkpost.gateway.proxy.retry import is_false_promise, is_last_resort, response_failure
 from larkpost.gateway.servers.port import (
@@ -30,7 +30,7 @@
 class ServerAttempt:
     """Makes attempts at single servers."""
 
-    def __init__(self, parts: ForwarderParts, gate: TurnGate, outcomes: Outcomes) -> None:
+    def __init__(self, parts: ForwarderParts, gate: RequestScheduler, outcomes: Outcomes) -> None:
         self._balancer = parts.balancer
         self._servers = parts.servers
         self._clock = parts.clock
--- a/src/larkpost/gateway/proxy/server_choice.py
+++ b/src/larkpost/gateway/proxy/server_choice.py
@@ -9,7 +9,7 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.proxy.attempts import Attempts
 from larkpost.gateway.proxy.dependencies import ForwarderParts
-from larkpost.gateway.proxy.request_scheduler import TurnGate
+from larkpost.gateway.proxy.request_scheduler import RequestScheduler
 
 MIN_HEDGE_SECONDS = 0.1
 """No second server is tried sooner than this."""
@@ -33,7 +33,7 @@
 class ServerChoice:
     """Chooses the servers of client requests."""
 
-    def __init__(self, parts: ForwarderParts, gate: TurnGate) -> None:
+    def __init__(self, parts: ForwarderParts, gate: RequestScheduler) -> None:
         self._balancer = parts.balancer
         self._crashes = parts.crashes
         self._gate = gate
