--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TurnInputs:
+class SchedulingInputs:
     """What a request's turn depends on.
 
     Attributes:
@@ -58,7 +58,7 @@
     must_wait: bool
 
 
-def decide_turn(inputs: TurnInputs) -> Turn:
+def decide_turn(inputs: SchedulingInputs) -> Turn:
     """Returns whether a request that is not quarantined is tried now, waits, or is refused.
 
     One that reached no server is refused although it has time left: no place comes free by waiting
@@ -102,7 +102,7 @@
         if attempts.are_all_unreachable:
             attempts.forecast = forecast_unreachable(attempts.waiter.limits, self._clock.now())
         turn = decide_turn(
-            TurnInputs(attempts.are_all_unreachable, attempts.forecast.is_hopeless, must_wait)
+            SchedulingInputs(attempts.are_all_unreachable, attempts.forecast.is_hopeless, must_wait)
         )
         if turn is Turn.TRY:
             return True
--- a/tests/test_turn_gate.py
+++ b/tests/test_turn_gate.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from larkpost.gateway.proxy.request_scheduler import Turn, TurnInputs, decide_turn
+from larkpost.gateway.proxy.request_scheduler import SchedulingInputs, Turn, decide_turn
 
 
 class DecideTurnTest(unittest.TestCase):
@@ -19,6 +19,6 @@
             (True, True, False, Turn.REFUSE),
             (True, True, True, Turn.REFUSE),
         ):
-            inputs = TurnInputs(are_all_unreachable, is_hopeless, must_wait)
+            inputs = SchedulingInputs(are_all_unreachable, is_hopeless, must_wait)
             with self.subTest(inputs=inputs):
                 self.assertIs(expected, decide_turn(inputs))
