--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -35,7 +35,7 @@
 room for a few requests one after the other."""
 
 
-class Turn(StrEnum):
+class SchedulingDecision(StrEnum):
     """What happens to a request next."""
 
     TRY = "try"  # it is tried at a server now
@@ -58,15 +58,15 @@
     must_wait: bool
 
 
-def decide_turn(inputs: SchedulingInputs) -> Turn:
+def decide_turn(inputs: SchedulingInputs) -> SchedulingDecision:
     """Returns whether a request that is not quarantined is tried now, waits, or is refused.
 
     One that reached no server is refused although it has time left: no place comes free by waiting
     here, but another daemon may reach the servers.
     """
     if inputs.are_all_unreachable or inputs.is_hopeless:
-        return Turn.REFUSE
-    return Turn.WAIT if inputs.must_wait else Turn.TRY
+        return SchedulingDecision.REFUSE
+    return SchedulingDecision.WAIT if inputs.must_wait else SchedulingDecision.TRY
 
 
 class RequestScheduler:
@@ -104,9 +104,9 @@
         turn = decide_turn(
             SchedulingInputs(attempts.are_all_unreachable, attempts.forecast.is_hopeless, must_wait)
         )
-        if turn is Turn.TRY:
+        if turn is SchedulingDecision.TRY:
             return True
-        if turn is Turn.WAIT:
+        if turn is SchedulingDecision.WAIT:
             await self._wait(attempts)
         if not attempts.forecast.is_hopeless:
             self._share_record.record(attempts.request, attempts.waiter, ShareOutcome.HELD)
--- a/tests/test_turn_gate.py
+++ b/tests/test_turn_gate.py
@@ -2,7 +2,11 @@
 
 import unittest
 
-from larkpost.gateway.proxy.request_scheduler import SchedulingInputs, Turn, decide_turn
+from larkpost.gateway.proxy.request_scheduler import (
+    SchedulingDecision,
+    SchedulingInputs,
+    decide_turn,
+)
 
 
 class DecideTurnTest(unittest.TestCase):
@@ -10,14 +14,14 @@
 
     def test_each_case(self):
         for are_all_unreachable, is_hopeless, must_wait, expected in (
-            (False, False, False, Turn.TRY),
-            (False, False, True, Turn.WAIT),
-            (False, True, False, Turn.REFUSE),
-            (False, True, True, Turn.REFUSE),
-            (True, False, False, Turn.REFUSE),
-            (True, False, True, Turn.REFUSE),
-            (True, True, False, Turn.REFUSE),
-            (True, True, True, Turn.REFUSE),
+            (False, False, False, SchedulingDecision.TRY),
+            (False, False, True, SchedulingDecision.WAIT),
+            (False, True, False, SchedulingDecision.REFUSE),
+            (False, True, True, SchedulingDecision.REFUSE),
+            (True, False, False, SchedulingDecision.REFUSE),
+            (True, False, True, SchedulingDecision.REFUSE),
+            (True, True, False, SchedulingDecision.REFUSE),
+            (True, True, True, SchedulingDecision.REFUSE),
         ):
             inputs = SchedulingInputs(are_all_unreachable, is_hopeless, must_wait)
             with self.subTest(inputs=inputs):
