--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -58,7 +58,7 @@
     must_wait: bool
 
 
-def decide_turn(inputs: SchedulingInputs) -> SchedulingDecision:
+def decide_scheduling(inputs: SchedulingInputs) -> SchedulingDecision:
     """Returns whether a request that is not quarantined is tried now, waits, or is refused.
 
     One that reached no server is refused although it has time left: no place comes free by waiting
@@ -101,7 +101,7 @@
             return False
         if attempts.are_all_unreachable:
             attempts.forecast = forecast_unreachable(attempts.waiter.limits, self._clock.now())
-        turn = decide_turn(
+        turn = decide_scheduling(
             SchedulingInputs(attempts.are_all_unreachable, attempts.forecast.is_hopeless, must_wait)
         )
         if turn is SchedulingDecision.TRY:
--- a/tests/test_turn_gate.py
+++ b/tests/test_turn_gate.py
@@ -5,7 +5,7 @@
 from larkpost.gateway.proxy.request_scheduler import (
     SchedulingDecision,
     SchedulingInputs,
-    decide_turn,
+    decide_scheduling,
 )
 
 
@@ -25,4 +25,4 @@
         ):
             inputs = SchedulingInputs(are_all_unreachable, is_hopeless, must_wait)
             with self.subTest(inputs=inputs):
-                self.assertIs(expected, decide_turn(inputs))
+                self.assertIs(expected, decide_scheduling(inputs))
