--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -14,7 +14,7 @@
 from larkpost.gateway.fairness.ledger import FlowLedger
 from larkpost.gateway.fairness.share_rule import GroupShares, Standing, share_out
 from larkpost.gateway.proxy.forecast import is_late_anyway
-from larkpost.gateway.proxy.slot_counts import Places
+from larkpost.gateway.proxy.slot_counts import SlotCounts
 from larkpost.gateway.proxy.waiter import Waiter
 
 MOST_HOLD_SECONDS = 0.2
@@ -44,7 +44,7 @@
         self._shares: dict[tuple[FlowGroup, int], GroupShares] = {}
         self._standings: dict[tuple[Flow, int], Standing] = {}
 
-    def rank(self, waiter: Waiter, places: Places) -> Rank:
+    def rank(self, waiter: Waiter, places: SlotCounts) -> Rank:
         """Returns where a request stands."""
         standing = self._standing(waiter, places)
         key = (
@@ -57,7 +57,7 @@
         )
         return Rank(key, standing)
 
-    def _standing(self, waiter: Waiter, places: Places) -> Standing | None:
+    def _standing(self, waiter: Waiter, places: SlotCounts) -> Standing | None:
         """Returns where a request's flow stands; None if shares do not matter for the request."""
         if waiter.is_passed or places.are_mostly_free:
             return None
--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from larkpost.gateway.proxy.slot_counts import Places
+from larkpost.gateway.proxy.slot_counts import SlotCounts
 
 LEAST_SHARE_OF_PACE = 0.5
 """A request may need half of what requests take: the smallest of a service do, and a refusal that
@@ -71,7 +71,7 @@
 
 
 def make_forecast(
-    places: Places,
+    places: SlotCounts,
     limits: Limits,
     now: float,
     ahead: int = 0,
@@ -106,12 +106,12 @@
     return Forecast(Expectation.NOT_AT_ALL, wait, told, pace=0.0)
 
 
-def is_late_anyway(places: Places, limits: Limits, now: float) -> bool:
+def is_late_anyway(places: SlotCounts, limits: Limits, now: float) -> bool:
     """Returns whether a request would be late even if it got a place now."""
     return now + (places.pace or limits.usual_pace) > limits.objective_at
 
 
-def _wait(places: Places, pace: float, ahead: int, blocked_for: float) -> float:
+def _wait(places: SlotCounts, pace: float, ahead: int, blocked_for: float) -> float:
     """Returns the seconds until a place comes free, at the rate at which requests end."""
     if not places.total:
         return NO_PLACE_RETRY_SECONDS
@@ -122,7 +122,7 @@
 
 
 def _is_hopeless(
-    places: Places, limits: Limits, now: float, least: float, is_untried: bool
+    places: SlotCounts, limits: Limits, now: float, least: float, is_untried: bool
 ) -> bool:
     """Returns whether a request that takes ``least`` seconds or more will not be served.
 
--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -26,7 +26,7 @@
 from larkpost.gateway.proxy.fair_order import FairOrder, Rank, Turns
 from larkpost.gateway.proxy.forecast import Forecast, make_forecast
 from larkpost.gateway.proxy.shortage_detector import LastingShortage
-from larkpost.gateway.proxy.slot_counts import Places
+from larkpost.gateway.proxy.slot_counts import SlotCounts
 from larkpost.gateway.proxy.waiter import Waiter
 
 POLL_INTERVAL_SECONDS = 0.02
@@ -37,7 +37,7 @@
 BLOCKED_MEMORY_SECONDS = 1.0
 """How long it is believed, without a further attempt, that no place comes free."""
 
-Survey = Callable[[ServiceName, Work], Places]
+Survey = Callable[[ServiceName, Work], SlotCounts]
 
 
 def poll_interval(places: int) -> float:
@@ -58,7 +58,7 @@
     forecast: Forecast
     must_wait: bool
     is_over: bool
-    places: Places
+    places: SlotCounts
 
 
 @dataclass(slots=True)
@@ -96,7 +96,7 @@
         self.length += 1
         self._of_flow[waiter.flow] += 1
 
-    def forecast(self, waiter: Waiter, rank: Rank, places: Places, elsewhere: int) -> Forecast:
+    def forecast(self, waiter: Waiter, rank: Rank, places: SlotCounts, elsewhere: int) -> Forecast:
         """Returns the forecast of a request at the end; it remembers where its flow stands.
 
         Args:
@@ -130,7 +130,7 @@
     def __len__(self) -> int:
         return sum(len(queue.waiters) for queue in self._queues.values())
 
-    def forecast(self, waiter: Waiter, places: Places | None = None) -> Prospect:
+    def forecast(self, waiter: Waiter, places: SlotCounts | None = None) -> Prospect:
         """Returns what a request may expect that is not in its queue.
 
         Args:
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -27,7 +27,7 @@
 from larkpost.gateway.proxy.request_queue import Prospect, RequestQueues
 from larkpost.gateway.proxy.retry_spreading import SpreadReturns
 from larkpost.gateway.proxy.share_record import ShareOutcome, ShareRecord
-from larkpost.gateway.proxy.slot_counts import Places, survey
+from larkpost.gateway.proxy.slot_counts import SlotCounts, survey
 from larkpost.gateway.proxy.waiter import Waiter
 
 UNKNOWN_PACE_SHARE = 0.25
@@ -191,7 +191,7 @@
             is_back=elapsed >= LEAST_RETRY_SECONDS,
         )
 
-    def _survey(self, service: ServiceName, work: Work) -> Places:
+    def _survey(self, service: ServiceName, work: Work) -> SlotCounts:
         return survey(self._parts.balancer, service, work)
 
 
--- a/src/larkpost/gateway/proxy/slot_counts.py
+++ b/src/larkpost/gateway/proxy/slot_counts.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Places:
+class SlotCounts:
     """The places of a service that a piece of work may take.
 
     Attributes:
@@ -48,7 +48,7 @@
         return self.taken - self.closed < self.total * FREE_SHARE
 
 
-def survey(balancer: Balancer, service: ServiceName, work: Work) -> Places:
+def survey(balancer: Balancer, service: ServiceName, work: Work) -> SlotCounts:
     """Counts the places of a service for a piece of work.
 
     An instance that failed or refused a moment ago, or that is cold, has no free place. Of a large
@@ -72,4 +72,4 @@
             paced_slots += slots
             rate += slots / pace
     total, taken, closed = (round(count * look.scale) for count in (total, taken, closed))
-    return Places(total, taken, paced_slots / rate if rate else 0.0, closed)
+    return SlotCounts(total, taken, paced_slots / rate if rate else 0.0, closed)
--- a/tests/test_fair_load.py
+++ b/tests/test_fair_load.py
@@ -27,7 +27,7 @@
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.request import ClientRequest, RefusedError
 from larkpost.gateway.proxy.request_queue import POLL_INTERVAL_SECONDS, Prospect, RequestQueues
-from larkpost.gateway.proxy.slot_counts import Places
+from larkpost.gateway.proxy.slot_counts import SlotCounts
 from larkpost.gateway.proxy.waiter import Waiter
 from tests.platform_fleet import ENGINES, PAGES, PlatformFleet
 from tests.scripted_engines import ScriptedEngine, ScriptedEngines
@@ -320,7 +320,7 @@
 
         async def play() -> list[str]:
             clock = LoopClock()
-            places = Places(1, 1, PACE)
+            places = SlotCounts(1, 1, PACE)
             queues = RequestQueues(clock, lambda *_: places, FlowLedger(clock))
             called = []
 
@@ -348,7 +348,7 @@
             clock = LoopClock()
             ledger = FlowLedger(clock)
             ledger.record_report(DaemonId("far"), reported)
-            queues = RequestQueues(clock, lambda *_: Places(8, 7, PACE), ledger)
+            queues = RequestQueues(clock, lambda *_: SlotCounts(8, 7, PACE), ledger)
             limits = Limits(1.0, 5.0, PACE)
             waiter = Waiter(PAGES, CLIENT_WORK, 1, limits, clock.now(), "heavy")
             await queues.wait_for_turn(waiter)
@@ -369,7 +369,7 @@
             ledger = FlowLedger(clock)
             reported = {HEAVY_FLOW: TenantUse(6, 2), LIGHT_FLOW: TenantUse(0, 3)}
             ledger.record_report(DaemonId("far"), reported)
-            queues = RequestQueues(clock, lambda *_: Places(8, 7, PACE), ledger)
+            queues = RequestQueues(clock, lambda *_: SlotCounts(8, 7, PACE), ledger)
 
             async def wait(*, is_back: bool) -> float:
                 limits = Limits(1.0, 5.0, PACE)
@@ -391,7 +391,7 @@
             ledger = FlowLedger(clock)
             reported = {HEAVY_FLOW: TenantUse(6, 2), LIGHT_FLOW: TenantUse(0, 3)}
             ledger.record_report(DaemonId("far"), reported)
-            queues = RequestQueues(clock, lambda *_: Places(8, 8, PACE), ledger)
+            queues = RequestQueues(clock, lambda *_: SlotCounts(8, 8, PACE), ledger)
             called = []
 
             async def wait(priority: int, name: str) -> None:
@@ -414,7 +414,7 @@
             ledger = FlowLedger(clock)
             reported = {HEAVY_FLOW: TenantUse(6, 30), LIGHT_FLOW: TenantUse(1, 30)}
             ledger.record_report(DaemonId("far"), reported)
-            queues = RequestQueues(clock, lambda *_: Places(8, 8, PACE), ledger)
+            queues = RequestQueues(clock, lambda *_: SlotCounts(8, 8, PACE), ledger)
             limits = Limits(0.2, 0.8, PACE)
             return queues.forecast(Waiter(PAGES, CLIENT_WORK, 1, limits, 0.0, "heavy"))
 
@@ -428,7 +428,7 @@
             ledger = FlowLedger(clock)
             urgent = flow("heavy", FlowGroup(PAGES, 0))
             ledger.record_report(DaemonId("far"), {urgent: TenantUse(9, 0)})
-            queues = RequestQueues(clock, lambda *_: Places(8, 8, PACE), ledger)
+            queues = RequestQueues(clock, lambda *_: SlotCounts(8, 8, PACE), ledger)
             called = []
 
             async def wait(priority: int, name: str) -> None:
@@ -448,7 +448,7 @@
     def setUp(self) -> None:
         self.clock = LoopClock()
         self.ledger = FlowLedger(self.clock)
-        self.queues = RequestQueues(self.clock, lambda *_: Places(8, 8, PACE), self.ledger)
+        self.queues = RequestQueues(self.clock, lambda *_: SlotCounts(8, 8, PACE), self.ledger)
 
     def waiter(self, objective: float, time_left: float) -> Waiter:
         """Returns a request that has just come."""
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -40,7 +40,7 @@
     RequestQueues,
     poll_interval,
 )
-from larkpost.gateway.proxy.slot_counts import Places, survey
+from larkpost.gateway.proxy.slot_counts import SlotCounts, survey
 from larkpost.gateway.proxy.waiter import Waiter
 from tests.platform_fleet import PAGES
 from tests.scripted_engines import ScriptedEngine, ScriptedEngines
@@ -66,45 +66,47 @@
 class ForecastTest(unittest.TestCase):
     """The forecast alone; the time is 0."""
 
-    def expectation(self, places: Places, ahead: int = 0, blocked_for: float = 0.0) -> Expectation:
+    def expectation(
+        self, places: SlotCounts, ahead: int = 0, blocked_for: float = 0.0
+    ) -> Expectation:
         """Returns what is expected."""
         return make_forecast(places, LIMITS, 0.0, ahead, blocked_for).expectation
 
     def test_more_requests_in_front_turn_it_from_in_time_to_late_to_hopeless(self):
         expectations = [
-            self.expectation(Places(4, 4, 0.1), ahead) for ahead in (0, 3, 4, 29, 30, 60)
+            self.expectation(SlotCounts(4, 4, 0.1), ahead) for ahead in (0, 3, 4, 29, 30, 60)
         ]
         expected = [Expectation.IN_TIME, Expectation.IN_TIME, Expectation.LATE, Expectation.LATE]
         self.assertEqual([*expected, Expectation.NOT_AT_ALL, Expectation.NOT_AT_ALL], expectations)
 
     def test_slow_servers_are_no_hope_for_short_times(self):
-        self.assertIs(Expectation.NOT_AT_ALL, self.expectation(Places(4, 3, 1.7)))
+        self.assertIs(Expectation.NOT_AT_ALL, self.expectation(SlotCounts(4, 3, 1.7)))
 
     def test_nothing_is_refused_while_most_places_are_free(self):
-        self.assertIs(Expectation.LATE, self.expectation(Places(4, 1, 1.7), blocked_for=9.0))
+        self.assertIs(Expectation.LATE, self.expectation(SlotCounts(4, 1, 1.7), blocked_for=9.0))
 
     def test_service_without_places_is_hopeless(self):
-        self.assertIs(Expectation.NOT_AT_ALL, self.expectation(Places(0, 0, 0.0)))
+        self.assertIs(Expectation.NOT_AT_ALL, self.expectation(SlotCounts(0, 0, 0.0)))
 
     def test_request_whose_time_is_over_is_hopeless_whatever_is_free(self):
-        forecast = make_forecast(Places(4, 0, 0.1), LIMITS, LIMITS.end_at)
+        forecast = make_forecast(SlotCounts(4, 0, 0.1), LIMITS, LIMITS.end_at)
         self.assertIs(Expectation.NOT_AT_ALL, forecast.expectation)
 
     def test_places_that_stay_taken_are_expected_to_stay_so_for_as_long(self):
-        places = Places(4, 4, 0.1)
+        places = SlotCounts(4, 4, 0.1)
         self.assertIs(Expectation.IN_TIME, self.expectation(places, blocked_for=0.05))
         self.assertIs(Expectation.LATE, self.expectation(places, blocked_for=0.3))
         self.assertIs(Expectation.NOT_AT_ALL, self.expectation(places, blocked_for=0.77))
 
     def test_caller_is_told_the_wait_but_never_more_than_it_can_use(self):
         for ahead in (0, 1, 5, 40, 4000):
-            forecast = make_forecast(Places(4, 4, 0.1), LIMITS, 0.3, ahead)
+            forecast = make_forecast(SlotCounts(4, 4, 0.1), LIMITS, 0.3, ahead)
             self.assertGreater(forecast.retry_after, 0)
             self.assertLessEqual(forecast.retry_after, 0.5 * HEEDED_SHARE)
         patient = Limits(objective_at=0.2, end_at=100.0, usual_pace=0.05)
-        told = make_forecast(Places(4, 4, 0.4), patient, 0.0, ahead=1).retry_after
+        told = make_forecast(SlotCounts(4, 4, 0.4), patient, 0.0, ahead=1).retry_after
         self.assertAlmostEqual(0.2, told)
-        told = make_forecast(Places(4, 4, 0.4), patient, 0.0, ahead=900).retry_after
+        told = make_forecast(SlotCounts(4, 4, 0.4), patient, 0.0, ahead=900).retry_after
         self.assertEqual(MOST_RETRY_SECONDS, told)
 
 
@@ -430,13 +432,13 @@
 
     def test_queue_of_a_large_service_is_not_polled_for_each_end(self):
         for places, polls in ((24 * 8, 20), (3200 * 8, 0)):
-            self.assertEqual(polls, run(self.polls_for_ends(Places(places, places, PACE))))
+            self.assertEqual(polls, run(self.polls_for_ends(SlotCounts(places, places, PACE))))
 
-    async def polls_for_ends(self, places: Places) -> int:
+    async def polls_for_ends(self, places: SlotCounts) -> int:
         """Returns how many polls of a queue twenty requests cost that end at once."""
         surveys = []
 
-        def count(service, work) -> Places:
+        def count(service, work) -> SlotCounts:
             surveys.append(service)
             return places
 
@@ -478,7 +480,7 @@
             self.balancer.avoid(InstanceId("e0"), 1.0)
             self.assertEqual(SLOTS, survey(*self.surveyed()).free)
             self.list(InstanceId("e1"), InstanceState.LEAVING)
-            self.assertEqual(Places(SLOTS, SLOTS, PACE), survey(*self.surveyed()))
+            self.assertEqual(SlotCounts(SLOTS, SLOTS, PACE), survey(*self.surveyed()))
 
         run(play())
 
