--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -120,9 +120,9 @@
         ledger: use by flow, which shares are worked out from.
     """
 
-    def __init__(self, clock: Clock, survey: Survey, ledger: FlowLedger) -> None:
+    def __init__(self, clock: Clock, count_slots: Survey, ledger: FlowLedger) -> None:
         self._clock = clock
-        self._survey = survey
+        self._survey = count_slots
         self._ledger = ledger
         self._shortage = LastingShortage(clock)
         self._queues: dict[ServiceName, _Queue] = {}
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -27,7 +27,7 @@
 from larkpost.gateway.proxy.request_queue import Prospect, RequestQueues
 from larkpost.gateway.proxy.retry_spreading import SpreadReturns
 from larkpost.gateway.proxy.share_record import ShareOutcome, ShareRecord
-from larkpost.gateway.proxy.slot_counts import SlotCounts, survey
+from larkpost.gateway.proxy.slot_counts import SlotCounts, count_slots
 from larkpost.gateway.proxy.waiter import Waiter
 
 UNKNOWN_PACE_SHARE = 0.25
@@ -192,7 +192,7 @@
         )
 
     def _survey(self, service: ServiceName, work: Work) -> SlotCounts:
-        return survey(self._parts.balancer, service, work)
+        return count_slots(self._parts.balancer, service, work)
 
 
 def _limits(request: ClientRequest, route: Route, elapsed: float) -> Limits:
--- a/src/larkpost/gateway/proxy/slot_counts.py
+++ b/src/larkpost/gateway/proxy/slot_counts.py
@@ -48,7 +48,7 @@
         return self.taken - self.closed < self.total * FREE_SHARE
 
 
-def survey(balancer: Balancer, service: ServiceName, work: Work) -> SlotCounts:
+def count_slots(balancer: Balancer, service: ServiceName, work: Work) -> SlotCounts:
     """Counts the places of a service for a piece of work.
 
     An instance that failed or refused a moment ago, or that is cold, has no free place. Of a large
--- a/tests/choice_cost.py
+++ b/tests/choice_cost.py
@@ -18,7 +18,7 @@
 from larkpost.gateway.placement.rules import Placement
 from larkpost.gateway.placement.work import CLIENT_WORK, Work, WorkKind
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
-from larkpost.gateway.proxy.slot_counts import survey
+from larkpost.gateway.proxy.slot_counts import count_slots
 from larkpost.gateway.proxy.subset import DaemonSubset, DaemonSubsets
 from larkpost.gateway.quarantine.isolation import IsolationRule
 from tests.platform_fleet import MODEL, PAGES
@@ -73,7 +73,7 @@
     return (
         lambda: balancer.candidates(PAGES, CLIENT_WORK, for_client=True),
         lambda: balancer.candidates(PAGES, ITEM_WORK),
-        lambda: survey(balancer, PAGES, CLIENT_WORK),
+        lambda: count_slots(balancer, PAGES, CLIENT_WORK),
         lambda: DaemonSubset(OWN).update(alive, names),
     )
 
--- a/tests/test_bounded_choice.py
+++ b/tests/test_bounded_choice.py
@@ -24,7 +24,7 @@
     LOOKED_FURTHER,
     SEARCH_LIFETIME_SECONDS,
 )
-from larkpost.gateway.proxy.slot_counts import survey
+from larkpost.gateway.proxy.slot_counts import count_slots
 from larkpost.gateway.proxy.subset import LEAST_SUBSET, DaemonSubsets
 from tests.platform_fleet import ENGINES, MODEL, PAGES, PlatformFleet, check_results, make_batch
 from tests.server_parts import SLOTS, make_instance
@@ -113,7 +113,7 @@
                 "client": scene.client_choice,
                 "reward call": lambda: scene.balancer.candidates(PAGES, REWARD_WORK),
                 "item": lambda: scene.balancer.candidates(PAGES, ITEM_WORK),
-                "survey": lambda: survey(scene.balancer, PAGES, CLIENT_WORK),
+                "survey": lambda: count_slots(scene.balancer, PAGES, CLIENT_WORK),
                 "verdicts": lambda: scene.balancer.verdicts(PAGES),
             }
             counts = {}
@@ -140,7 +140,7 @@
             self.assertEqual(ALL_LOOKED_AT, len(scene.client_choice()))
             self.assertEqual(ALL_LOOKED_AT, len(scene.balancer.candidates(PAGES, ITEM_WORK)))
             self.assertEqual(
-                SLOTS * ALL_LOOKED_AT, survey(scene.balancer, PAGES, CLIENT_WORK).total
+                SLOTS * ALL_LOOKED_AT, count_slots(scene.balancer, PAGES, CLIENT_WORK).total
             )
 
         run(play())
@@ -230,7 +230,7 @@
             work = replace(CLIENT_WORK, regions=frozenset({FAR}))
             chosen = scene.balancer.candidates(PAGES, work, for_client=True)
             self.assertEqual(far, {info.id for info in chosen})
-            self.assertEqual(SLOTS * len(far), survey(scene.balancer, PAGES, work).total)
+            self.assertEqual(SLOTS * len(far), count_slots(scene.balancer, PAGES, work).total)
             self.assertFalse(scene.balancer.is_outside_regions(PAGES, work))
 
         run(play())
@@ -250,7 +250,7 @@
             scene.fill({near})
             first = scene.balancer.candidates(PAGES, work, for_client=True)[0]
             self.assertIn(first.id, others)
-            self.assertEqual(SLOTS * len(others), survey(scene.balancer, PAGES, work).free)
+            self.assertEqual(SLOTS * len(others), count_slots(scene.balancer, PAGES, work).free)
 
         run(play())
 
@@ -280,7 +280,7 @@
             for name in far:
                 scene.directory.update(make_instance(name, zone=FAR_ZONE))
             work = replace(CLIENT_WORK, regions=frozenset({FAR}))
-            total = survey(scene.balancer, PAGES, work).total
+            total = count_slots(scene.balancer, PAGES, work).total
             self.assertGreater(total, SLOTS * len(far) / 2)
             self.assertLess(total, SLOTS * len(far) * 2)
 
@@ -319,7 +319,7 @@
             self.assertEqual(3200, scene.rule.take())
             for _ in range(20):
                 self.assertEqual([], scene.client_choice())
-                self.assertEqual(0, survey(scene.balancer, PAGES, CLIENT_WORK).total)
+                self.assertEqual(0, count_slots(scene.balancer, PAGES, CLIENT_WORK).total)
                 self.assertLessEqual(scene.rule.take(), LOOKED_AT + LOOKED_FURTHER)
             await LoopClock().sleep(SEARCH_LIFETIME_SECONDS)
             scene.rule.forbidden.clear()
@@ -399,10 +399,10 @@
     def test_places_of_some_stand_for_all(self):
         async def play():
             scene = Scene(1000, 100)
-            places = survey(scene.balancer, PAGES, CLIENT_WORK)
+            places = count_slots(scene.balancer, PAGES, CLIENT_WORK)
             self.assertEqual((1000 * SLOTS, 0), (places.total, places.taken))
             scene.fill(scene.subset)
-            full = survey(scene.balancer, PAGES, CLIENT_WORK)
+            full = count_slots(scene.balancer, PAGES, CLIENT_WORK)
             self.assertEqual((1000 * SLOTS, 0), (full.total, full.free))
 
         run(play())
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -40,7 +40,7 @@
     RequestQueues,
     poll_interval,
 )
-from larkpost.gateway.proxy.slot_counts import SlotCounts, survey
+from larkpost.gateway.proxy.slot_counts import SlotCounts, count_slots
 from larkpost.gateway.proxy.waiter import Waiter
 from tests.platform_fleet import PAGES
 from tests.scripted_engines import ScriptedEngine, ScriptedEngines
@@ -476,11 +476,11 @@
     def test_survey_counts_no_free_place_where_a_server_refused(self):
         async def play():
             self.begin(count=2)
-            self.assertEqual(2 * SLOTS, survey(*self.surveyed()).free)
+            self.assertEqual(2 * SLOTS, count_slots(*self.surveyed()).free)
             self.balancer.avoid(InstanceId("e0"), 1.0)
-            self.assertEqual(SLOTS, survey(*self.surveyed()).free)
+            self.assertEqual(SLOTS, count_slots(*self.surveyed()).free)
             self.list(InstanceId("e1"), InstanceState.LEAVING)
-            self.assertEqual(SlotCounts(SLOTS, SLOTS, PACE), survey(*self.surveyed()))
+            self.assertEqual(SlotCounts(SLOTS, SLOTS, PACE), count_slots(*self.surveyed()))
 
         run(play())
 
