--- a/src/larkpost/gateway/assembly/daemon_reports.py
+++ b/src/larkpost/gateway/assembly/daemon_reports.py
@@ -5,7 +5,7 @@
 from larkpost.common.ids import DaemonId, InstanceId
 from larkpost.gateway.blackboard.daemon_report import DaemonReport
 from larkpost.gateway.fairness.ledger import FlowLedger
-from larkpost.gateway.proxy.service_times import Paces
+from larkpost.gateway.proxy.service_times import ServiceTimes
 from larkpost.gateway.rollouts.keeper import BatchKeeper
 
 
@@ -19,7 +19,7 @@
 
     def __init__(
         self,
-        paces: Paces,
+        paces: ServiceTimes,
         ledger: FlowLedger,
         keeper: Callable[[], BatchKeeper],
         capacity: Callable[[], float | None] = lambda: None,
