--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -10,7 +10,7 @@
 from larkpost.common.ids import InstanceId, ZoneId
 from larkpost.gateway.blackboard.directory import Directory
 from larkpost.gateway.blackboard.use_summary import UseSummary
-from larkpost.gateway.proxy.service_time_history import PaceHistory
+from larkpost.gateway.proxy.service_time_history import ServiceTimeHistory
 from larkpost.gateway.proxy.slowness import SaidSlowness
 from larkpost.gateway.servers.port import ServerLoad
 
@@ -41,8 +41,8 @@
     """
 
     slowness: SaidSlowness = field(default_factory=SaidSlowness)
-    responses: PaceHistory = field(default_factory=PaceHistory)
-    events: PaceHistory = field(default_factory=PaceHistory)
+    responses: ServiceTimeHistory = field(default_factory=ServiceTimeHistory)
+    events: ServiceTimeHistory = field(default_factory=ServiceTimeHistory)
 
 
 @dataclass(slots=True)
--- a/src/larkpost/gateway/proxy/service_time_history.py
+++ b/src/larkpost/gateway/proxy/service_time_history.py
@@ -67,7 +67,7 @@
         return self.corrected / self.count
 
 
-class PaceHistory:
+class ServiceTimeHistory:
     """What this daemon's own requests have shown of the pace of one incarnation.
 
     Attributes:
--- a/src/larkpost/gateway/proxy/service_times.py
+++ b/src/larkpost/gateway/proxy/service_times.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.proxy.instance_use import OwnUse, SpeedFigures
 from larkpost.gateway.proxy.peer_use import PeerUses
 from larkpost.gateway.proxy.reported_service_times import SharedPaces
-from larkpost.gateway.proxy.service_time_history import PaceHistory
+from larkpost.gateway.proxy.service_time_history import ServiceTimeHistory
 
 MAX_REPORTED_PACES = 8
 """Paces in one heartbeat, those of different instances by turns: it is listed by hundreds."""
@@ -107,13 +107,13 @@
         """Drops reports that are used no longer."""
         self._shared.forget_old(now)
 
-    def _known_lasting(self, instance: InstanceId, history: PaceHistory | None) -> float:
+    def _known_lasting(self, instance: InstanceId, history: ServiceTimeHistory | None) -> float:
         """Returns a lasting pace: what is measured now, here or elsewhere, and then what was."""
         if history is not None and self._is_own_best(instance, history):
             return history.pace(self._clock.now())
         return self._shared.fresh(instance) or self._shared.pace(instance)
 
-    def _is_own_best(self, instance: InstanceId, history: PaceHistory) -> bool:
+    def _is_own_best(self, instance: InstanceId, history: ServiceTimeHistory) -> bool:
         """Returns whether what was measured here counts before what others report."""
         now = self._clock.now()
         if history.is_measured(now):
@@ -140,12 +140,12 @@
                 return round(history.pace(now), REPORTED_DIGITS)
         return None
 
-    def _record(self, figures: SpeedFigures, history: PaceHistory, seconds: float) -> None:
+    def _record(self, figures: SpeedFigures, history: ServiceTimeHistory, seconds: float) -> None:
         now = self._clock.now()
         history.record(now, seconds, figures.slowness.factor(now))
 
 
-def is_reported(history: PaceHistory, now: float) -> bool:
+def is_reported(history: ServiceTimeHistory, now: float) -> bool:
     """Returns whether a pace is reported: what is measured, and that an illness may be over."""
     is_recovery = history.was_ill and now - history.measured_at < RECOVERY_SECONDS
     return history.is_measured(now) or is_recovery
--- a/tests/test_lasting_pace.py
+++ b/tests/test_lasting_pace.py
@@ -8,7 +8,7 @@
     SLICE_LIFETIME_SECONDS,
     SUSTAINED_SECONDS,
     USUAL_SECONDS,
-    PaceHistory,
+    ServiceTimeHistory,
     quick_mean,
     usual_pace,
     without_slowness,
@@ -92,7 +92,7 @@
     """What a server's streams show over time."""
 
     def setUp(self):
-        self.history = PaceHistory()
+        self.history = ServiceTimeHistory()
         self.now = 0.0
 
     def measure(self, pace: float, seconds: float, streams: int = STREAMS) -> None:
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -20,7 +20,7 @@
     MAX_REPORTERS,
     SHARED_PACE_SECONDS,
 )
-from larkpost.gateway.proxy.service_time_history import SUSTAINED_SECONDS, PaceHistory
+from larkpost.gateway.proxy.service_time_history import SUSTAINED_SECONDS, ServiceTimeHistory
 from larkpost.gateway.proxy.service_times import MAX_REPORTED_PACES, RECOVERY_SECONDS, is_reported
 from larkpost.gateway.proxy.slowness import MAX_SLOWNESS
 from larkpost.gateway.servers.port import ServerLoad
@@ -140,7 +140,7 @@
             ("long ago", 3 * FAST, RECOVERY_SECONDS, False),
         ):
             with self.subTest(case):
-                history = PaceHistory()
+                history = ServiceTimeHistory()
                 for number in range(40):
                     history.record(number * 0.25, FAST if number < 20 else pace)
                 self.assertEqual(expected, is_reported(history, 39 * 0.25 + silence + 0.01))
