--- a/src/larkpost/gateway/proxy/reported_service_times.py
+++ b/src/larkpost/gateway/proxy/reported_service_times.py
@@ -31,7 +31,7 @@
     seconds: float
 
 
-class SharedPaces:
+class ReportedServiceTimes:
     """The newest reports on each instance."""
 
     def __init__(self, directory: Directory, clock: Clock) -> None:
--- a/src/larkpost/gateway/proxy/service_times.py
+++ b/src/larkpost/gateway/proxy/service_times.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.blackboard.directory import Directory
 from larkpost.gateway.proxy.instance_use import OwnUse, SpeedFigures
 from larkpost.gateway.proxy.peer_use import PeerUses
-from larkpost.gateway.proxy.reported_service_times import SharedPaces
+from larkpost.gateway.proxy.reported_service_times import ReportedServiceTimes
 from larkpost.gateway.proxy.service_time_history import ServiceTimeHistory
 
 MAX_REPORTED_PACES = 8
@@ -32,7 +32,7 @@
         self._clock = clock
         self._own = own
         self._peers = peers
-        self._shared = SharedPaces(directory, clock)
+        self._shared = ReportedServiceTimes(directory, clock)
         self._reported: list[InstanceId] = []
         """The instances that were reported, the one whose turn comes first in front."""
 
