--- a/src/larkpost/gateway/assembly/leased_controllers.py
+++ b/src/larkpost/gateway/assembly/leased_controllers.py
@@ -108,7 +108,7 @@
             return None
         inputs = self._inputs
         demand = DemandForecast(
-            inputs.blackboard.directory, inputs.keeper.demands, inputs.balancer.pace
+            inputs.blackboard.directory, inputs.keeper.demands, inputs.balancer.service_time
         )
         return ScalingController(
             ScalingInputs(inputs.blackboard, demand, inputs.feeds.sound_for),
--- a/src/larkpost/gateway/fairness/share_rule.py
+++ b/src/larkpost/gateway/fairness/share_rule.py
@@ -80,7 +80,7 @@
     return GroupShares(uses, level, below, places)
 
 
-def wait_for_share(standing: Standing, flow_ahead: int, pace: float) -> float:
+def wait_for_share(standing: Standing, flow_ahead: int, service_time: float) -> float:
     """Returns the seconds until a flow's share has room for one more request.
 
     Args:
@@ -90,7 +90,7 @@
     if not standing.is_over:
         return 0.0
     missing = standing.use + flow_ahead + 1 - standing.share
-    return max(0.0, missing) * pace / max(LEAST_SHARE_PLACES, standing.share)
+    return max(0.0, missing) * service_time / max(LEAST_SHARE_PLACES, standing.share)
 
 
 def _waiting_below(use: TenantUse, level: float) -> int:
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -206,7 +206,7 @@
             return use.outstanding + use.others
         return use.outstanding + self._peers.requests(info.id)
 
-    def pace(self, instance: InstanceId) -> float:
+    def service_time(self, instance: InstanceId) -> float:
         """Returns the seconds a short request takes at an instance now; 0 if not known lately."""
         return self.paces.at_this_moment(instance)
 
--- a/src/larkpost/gateway/proxy/candidate_order.py
+++ b/src/larkpost/gateway/proxy/candidate_order.py
@@ -31,7 +31,7 @@
     def occupied(self, info: InstanceInfo) -> int:
         """Returns the requests believed to be at an instance."""
 
-    def pace(self, instance: InstanceId) -> float:
+    def service_time(self, instance: InstanceId) -> float:
         """Returns the seconds a short request takes at an instance now; 0 if not known lately."""
 
 
@@ -74,14 +74,16 @@
                 is_avoided=beliefs.is_avoided(info.id),
                 is_cold=beliefs.is_cold(info),
                 occupied=beliefs.occupied(info),
-                pace=paces[info.id],
+                service_time=paces[info.id],
                 latency_factor=factors.get(info.id, 1.0),
                 connection_factor=self._connection_factor(info) if for_client else 1.0,
                 tie_break=self._chance.random(),
             )
             for info in fitting
         ]
-        best_pace = min((pace for pace in paces.values() if pace), default=0.0)
+        best_pace = min(
+            (service_time for service_time in paces.values() if service_time), default=0.0
+        )
         return rank(candidates, best_pace)
 
     def _latency_factors(
@@ -112,7 +114,7 @@
     def _local_pace(self, instance: InstanceId, latency_factor: float) -> float:
         """Returns an instance's pace, without the latency if this daemon measured it in."""
         has_latency = self._has_latency(instance)
-        return self._beliefs.pace(instance) / (latency_factor if has_latency else 1.0)
+        return self._beliefs.service_time(instance) / (latency_factor if has_latency else 1.0)
 
     def _connection_factor(self, info: InstanceInfo) -> float:
         return connection_factor(is_connected=self._is_connected(info))
--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -62,7 +62,7 @@
     expectation: Expectation
     wait: float
     retry_after: float
-    pace: float
+    service_time: float
 
     @property
     def is_hopeless(self) -> bool:
@@ -86,39 +86,39 @@
             as long again, whatever the paces say.
         share_wait: seconds until its tenant's share has room for it.
     """
-    pace = places.pace or limits.usual_pace
-    wait = max(share_wait, _wait(places, pace, ahead, blocked_for))
+    service_time = places.service_time or limits.usual_pace
+    wait = max(share_wait, _wait(places, service_time, ahead, blocked_for))
     is_untried = places.run_few_requests and not ahead and not blocked_for
-    if _is_hopeless(places, limits, now, wait + pace * LEAST_SHARE_OF_PACE, is_untried):
+    if _is_hopeless(places, limits, now, wait + service_time * LEAST_SHARE_OF_PACE, is_untried):
         expectation = Expectation.NOT_AT_ALL
-    elif now + wait + pace <= limits.objective_at:
+    elif now + wait + service_time <= limits.objective_at:
         expectation = Expectation.IN_TIME
     else:
         expectation = Expectation.LATE
     told = retry_after(wait, limits.end_at - now)
-    return Forecast(expectation, wait, told, pace if places.total else 0.0)
+    return Forecast(expectation, wait, told, service_time if places.total else 0.0)
 
 
 def forecast_unreachable(limits: Limits, now: float) -> Forecast:
     """Returns the forecast of a request that reached no server, though it was sent to all."""
     wait = NO_PLACE_RETRY_SECONDS
     told = retry_after(wait, limits.end_at - now)
-    return Forecast(Expectation.NOT_AT_ALL, wait, told, pace=0.0)
+    return Forecast(Expectation.NOT_AT_ALL, wait, told, service_time=0.0)
 
 
 def is_late_anyway(places: SlotCounts, limits: Limits, now: float) -> bool:
     """Returns whether a request would be late even if it got a place now."""
-    return now + (places.pace or limits.usual_pace) > limits.objective_at
+    return now + (places.service_time or limits.usual_pace) > limits.objective_at
 
 
-def _wait(places: SlotCounts, pace: float, ahead: int, blocked_for: float) -> float:
+def _wait(places: SlotCounts, service_time: float, ahead: int, blocked_for: float) -> float:
     """Returns the seconds until a place comes free, at the rate at which requests end."""
     if not places.total:
         return NO_PLACE_RETRY_SECONDS
     missing = places.taken + ahead + 1 - places.total
     if missing <= 0 or places.are_mostly_free:
         return 0.0
-    return max(blocked_for, missing * pace / places.total)
+    return max(blocked_for, missing * service_time / places.total)
 
 
 def _is_hopeless(
--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -70,7 +70,7 @@
     is_refusing: bool = False
     asked_at: float = float("-inf")
     avoid_until: float = float("-inf")
-    pace: float = 0.0
+    service_time: float = 0.0
     pace_at: float = float("-inf")
     response_at: float = float("-inf")
     zone: ZoneId | None = None
@@ -146,9 +146,9 @@
         use = self.of(instance)
         now = self._clock.now()
         if now - use.pace_at > PACE_LIFETIME_SECONDS:
-            use.pace = seconds
+            use.service_time = seconds
         else:
-            use.pace += weight * (seconds - use.pace)
+            use.service_time += weight * (seconds - use.service_time)
         use.pace_at = now
 
     def has_recent_load(self, instance: InstanceId) -> bool:
@@ -181,7 +181,7 @@
         """Returns what this daemon reports to the others of its use."""
         now = self._clock.now()
         return {
-            name: (use.outstanding, round(use.pace, SUMMARY_PACE_DIGITS))
+            name: (use.outstanding, round(use.service_time, SUMMARY_PACE_DIGITS))
             for name, use in self._uses.items()
             if self._directory.takes_work(name)
             and (use.outstanding or now - use.pace_at < PACE_LIFETIME_SECONDS)
--- a/src/larkpost/gateway/proxy/peer_use.py
+++ b/src/larkpost/gateway/proxy/peer_use.py
@@ -25,7 +25,7 @@
     """
 
     requests: int
-    pace: float
+    service_time: float
     at: float
 
 
@@ -46,8 +46,8 @@
         Of instances that it uses no longer, the paces are kept for a while.
         """
         now = self._clock.now()
-        for instance, (requests, pace) in summary.items():
-            self._peers.setdefault(instance, {})[daemon] = PeerUse(requests, pace, now)
+        for instance, (requests, service_time) in summary.items():
+            self._peers.setdefault(instance, {})[daemon] = PeerUse(requests, service_time, now)
         for instance, peers in list(self._peers.items()):
             known = peers.get(daemon)
             if known is None or instance in summary:
@@ -55,7 +55,7 @@
             if now - known.at > PEER_PACE_LIFETIME_SECONDS:
                 del peers[daemon]
             elif known.requests:
-                peers[daemon] = PeerUse(0, known.pace, known.at)
+                peers[daemon] = PeerUse(0, known.service_time, known.at)
             if not peers:
                 del self._peers[instance]
 
@@ -68,13 +68,13 @@
             if now - peer.at < PEER_LIFETIME_SECONDS
         )
 
-    def pace(self, instance: InstanceId) -> float:
+    def service_time(self, instance: InstanceId) -> float:
         """Returns the newest reported pace in seconds; 0 if none was reported lately."""
         now = self._clock.now()
         reported = [
-            (peer.at, peer.pace)
+            (peer.at, peer.service_time)
             for peer in self._peers.get(instance, {}).values()
-            if peer.pace and now - peer.at < PEER_PACE_LIFETIME_SECONDS
+            if peer.service_time and now - peer.at < PEER_PACE_LIFETIME_SECONDS
         ]
         return max(reported, default=(0.0, 0.0))[1]
 
--- a/src/larkpost/gateway/proxy/ranking.py
+++ b/src/larkpost/gateway/proxy/ranking.py
@@ -38,7 +38,7 @@
     is_avoided: bool
     is_cold: bool
     occupied: int
-    pace: float
+    service_time: float
     latency_factor: float
     connection_factor: float
     tie_break: float
@@ -60,8 +60,8 @@
     Where a pace is unknown the instance counts as fast as the fastest.
     """
     ratio = 1.0
-    if candidate.pace and best_pace:
-        ratio = min(candidate.pace / best_pace, MAX_PACE_RATIO)
+    if candidate.service_time and best_pace:
+        ratio = min(candidate.service_time / best_pace, MAX_PACE_RATIO)
     return (candidate.occupied + 1) / max(1, candidate.instance.slots) * ratio
 
 
--- a/src/larkpost/gateway/proxy/reported_service_times.py
+++ b/src/larkpost/gateway/proxy/reported_service_times.py
@@ -53,7 +53,7 @@
         """Returns the median of what was reported in the last seconds; 0 if nothing was."""
         return self._median(instance, FRESH_SECONDS)
 
-    def pace(self, instance: InstanceId) -> float:
+    def service_time(self, instance: InstanceId) -> float:
         """Returns the median of what was reported of an instance, in seconds; 0 if nothing was."""
         return self._median(instance, SHARED_PACE_SECONDS)
 
--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -105,9 +105,9 @@
         share_wait = 0.0
         if rank.is_over:
             waiter.standing = rank.standing
-            pace = places.pace or waiter.limits.usual_pace
+            service_time = places.service_time or waiter.limits.usual_pace
             of_flow = self._of_flow[waiter.flow] + elsewhere
-            share_wait = wait_for_share(rank.standing, of_flow, pace)
+            share_wait = wait_for_share(rank.standing, of_flow, service_time)
         return make_forecast(
             places, waiter.limits, self._now, self.length, self._blocked_for, share_wait
         )
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -169,7 +169,7 @@
         """Sets when a refused caller should come back, if it is for places that come free."""
         waiter = attempts.waiter
         self._return_credit(waiter)
-        if attempts.forecast.pace:
+        if attempts.forecast.service_time:
             attempts.forecast = self._returns.spread(waiter, attempts.forecast)
         self._share_record.record(attempts.request, waiter, ShareOutcome.REFUSED)
 
--- a/src/larkpost/gateway/proxy/retry_spreading.py
+++ b/src/larkpost/gateway/proxy/retry_spreading.py
@@ -35,6 +35,8 @@
         most = most_retry(waiter.limits.end_at - self._clock.now())
         line = waiter.flow if waiter.has_yielded else waiter.flow.group
         wanted = max(LEAST_RETRY_SECONDS, forecast.wait)
-        spacing = forecast.pace / max(LEAST_RUNNING, self._ledger.own_running(waiter.service))
+        spacing = forecast.service_time / max(
+            LEAST_RUNNING, self._ledger.own_running(waiter.service)
+        )
         told = self._times.book(line, wanted, spacing, max(0.0, most))
         return replace(forecast, retry_after=whole_milliseconds(told))
--- a/src/larkpost/gateway/proxy/server_choice.py
+++ b/src/larkpost/gateway/proxy/server_choice.py
@@ -55,5 +55,9 @@
     def hedge_delay(self, attempts: Attempts) -> float:
         """Returns the seconds after which a second server is tried beside the first."""
         looked_at = self._balancer.look(attempts.waiter.service, attempts.waiter.work)
-        paces = [pace for info in looked_at.instances if (pace := self._balancer.pace(info.id))]
+        paces = [
+            service_time
+            for info in looked_at.instances
+            if (service_time := self._balancer.service_time(info.id))
+        ]
         return hedge_delay(paces, attempts.route.objective)
--- a/src/larkpost/gateway/proxy/service_time_history.py
+++ b/src/larkpost/gateway/proxy/service_time_history.py
@@ -98,7 +98,7 @@
         self._open.add(seconds, self._without_slowness(seconds, slowness))
         self.measured_at = now
 
-    def pace(self, now: float) -> float:
+    def service_time(self, now: float) -> float:
         """Returns the lasting pace as it is believed now; 0 if it is not known.
 
         It is the sustained pace while the server is measured, and its usual one afterwards.
--- a/src/larkpost/gateway/proxy/service_times.py
+++ b/src/larkpost/gateway/proxy/service_times.py
@@ -93,9 +93,9 @@
         for name in turn:
             if len(report) == MAX_REPORTED_PACES:
                 break
-            pace = self._own_pace(name)
-            if pace is not None:
-                report[name] = pace
+            service_time = self._own_pace(name)
+            if service_time is not None:
+                report[name] = service_time
         self._reported = [name for name in earlier if name not in report] + list(report)
         return report
 
@@ -110,21 +110,21 @@
     def _known_lasting(self, instance: InstanceId, history: ServiceTimeHistory | None) -> float:
         """Returns a lasting pace: what is measured now, here or elsewhere, and then what was."""
         if history is not None and self._is_own_best(instance, history):
-            return history.pace(self._clock.now())
-        return self._shared.fresh(instance) or self._shared.pace(instance)
+            return history.service_time(self._clock.now())
+        return self._shared.fresh(instance) or self._shared.service_time(instance)
 
     def _is_own_best(self, instance: InstanceId, history: ServiceTimeHistory) -> bool:
         """Returns whether what was measured here counts before what others report."""
         now = self._clock.now()
         if history.is_measured(now):
             return True
-        return bool(history.pace(now)) and not self._shared.fresh(instance)
+        return bool(history.service_time(now)) and not self._shared.fresh(instance)
 
     def _smoothed(self, instance: InstanceId) -> float:
         """Returns one's own smoothed pace, which counts before what the others report."""
         if self._own.has_recent_pace(instance):
-            return self._own.of(instance).pace
-        return self._peers.pace(instance)
+            return self._own.of(instance).service_time
+        return self._peers.service_time(instance)
 
     def _own_pace(self, instance: InstanceId) -> float | None:
         """Returns an instance's pace as it is reported; None if it is not to be.
@@ -137,7 +137,7 @@
         now = self._clock.now()
         for history in (figures.events, figures.responses):
             if is_reported(history, now):
-                return round(history.pace(now), REPORTED_DIGITS)
+                return round(history.service_time(now), REPORTED_DIGITS)
         return None
 
     def _record(self, figures: SpeedFigures, history: ServiceTimeHistory, seconds: float) -> None:
--- a/src/larkpost/gateway/proxy/slot_counts.py
+++ b/src/larkpost/gateway/proxy/slot_counts.py
@@ -29,7 +29,7 @@
 
     total: int
     taken: int
-    pace: float
+    service_time: float
     closed: int = field(default=0, compare=False)
 
     @property
@@ -67,9 +67,9 @@
         total += slots
         taken += max(occupied, slots) if is_closed else occupied
         closed += max(0, slots - occupied) if is_closed else 0
-        pace = balancer.pace(info.id)
-        if pace:
+        service_time = balancer.service_time(info.id)
+        if service_time:
             paced_slots += slots
-            rate += slots / pace
+            rate += slots / service_time
     total, taken, closed = (round(count * look.scale) for count in (total, taken, closed))
     return SlotCounts(total, taken, paced_slots / rate if rate else 0.0, closed)
--- a/src/larkpost/gateway/rollouts/reward_attempt.py
+++ b/src/larkpost/gateway/rollouts/reward_attempt.py
@@ -62,7 +62,7 @@
                 return None
             history.servers.add(server.id)
             began = self._services.clock.now()
-            limit = limit_seconds(self._services.balancer.pace(server.id), history.silences)
+            limit = limit_seconds(self._services.balancer.service_time(server.id), history.silences)
             attempt = await self._send(server, call, limit)
             if attempt.end is CallEnd.SILENT:
                 history.silences += 1
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -75,7 +75,7 @@
             balancer.record_peer_summary("first", {engine: (1, 0.04)})
             await asyncio.sleep(0.1)
             balancer.record_peer_summary("second", {engine: (2, 0.0)})
-            self.assertEqual(0.04, balancer.pace(engine))
+            self.assertEqual(0.04, balancer.service_time(engine))
 
         run(play())
 
--- a/tests/test_choice_quality.py
+++ b/tests/test_choice_quality.py
@@ -98,7 +98,10 @@
 
 def choose_of_all(fleet: Fleet, daemon: int, chance: random.Random) -> int:
     """Returns the first of all servers in the order of `rank`, which is the least wait."""
-    waits = [(fleet.occupied(daemon, server) + 1) * pace for server, pace in enumerate(fleet.paces)]
+    waits = [
+        (fleet.occupied(daemon, server) + 1) * service_time
+        for server, service_time in enumerate(fleet.paces)
+    ]
     least = min(waits)
     return chance.choice([server for server, wait in enumerate(waits) if wait == least])
 
@@ -111,7 +114,7 @@
             is_avoided=False,
             is_cold=False,
             occupied=fleet.occupied(daemon, server),
-            pace=fleet.paces[server],
+            service_time=fleet.paces[server],
             latency_factor=1.0,
             connection_factor=1.0,
             tie_break=chance.random(),
@@ -163,7 +166,7 @@
         [chance.choice(PACES) for _ in range(servers)],
         knows_all,
     )
-    rate = LOAD * sum(SLOTS / pace for pace in fleet.paces)
+    rate = LOAD * sum(SLOTS / service_time for service_time in fleet.paces)
     shares = [chance.lognormvariate(0, SKEW) for _ in range(daemons)]
     count = servers * SLOTS * REQUESTS_A_PLACE
     callers = chance.choices(range(daemons), shares, k=count)
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -113,7 +113,7 @@
 class WaitingTest(unittest.TestCase):
     """Requests through the forwarder, on virtual time."""
 
-    def begin(self, count: int = 1, pace: float = PACE) -> None:
+    def begin(self, count: int = 1, service_time: float = PACE) -> None:
         """Lists some servers of which all places are free."""
         self.clock = LoopClock()
         self.engines = ScriptedEngines(self.clock, ModelName("model"))
@@ -121,9 +121,9 @@
         self.balancer = Balancer(self.directory, self.clock, random.Random(1))
         for number in range(count):
             name = InstanceId(f"e{number}")
-            self.engines.engines[name] = ScriptedEngine(slots=SLOTS, event_seconds=pace)
+            self.engines.engines[name] = ScriptedEngine(slots=SLOTS, event_seconds=service_time)
             self.list(name, InstanceState.READY)
-            self.balancer.record_pace(name, pace)
+            self.balancer.record_pace(name, service_time)
         self.metrics = Metrics()
         parts = make_parts(self.directory, self.balancer, self.engines, self.clock)
         self.forwarder = Forwarder(replace(parts, metrics=self.metrics))
@@ -176,7 +176,7 @@
     def test_hopeless_request_is_refused_at_once_with_the_forecast_s_time(self):
         async def play():
             for send in (self.send, self.stream):
-                self.begin(pace=1.0)
+                self.begin(service_time=1.0)
                 others = [self.send(make_route(), 1.9) for _ in range(SLOTS)]
                 await self.clock.sleep(SETTLE_SECONDS)
                 seconds, error = await self.refusal(send(make_route(), 0.6))
@@ -216,7 +216,7 @@
     def test_late_request_waits_and_is_served(self):
         async def play():
             for send in (self.send, self.stream):
-                self.begin(pace=0.3)
+                self.begin(service_time=0.3)
                 others = [self.send(make_route()) for _ in range(SLOTS)]
                 await self.clock.sleep(SETTLE_SECONDS)
                 began = self.clock.now()
@@ -417,7 +417,7 @@
 
     def test_request_is_refused_soon_where_free_servers_have_just_refused_others(self):
         async def play():
-            self.begin(pace=0.5)
+            self.begin(service_time=0.5)
             self.state().running = SLOTS
             seconds, _ = await self.refusal(self.send(make_route(), 0.4))
             self.assertLess(seconds, 0.2)
@@ -460,7 +460,7 @@
 
     def test_forecasts_are_counted_with_what_became_of_them(self):
         async def play():
-            self.begin(pace=0.3)
+            self.begin(service_time=0.3)
             others = [self.send(make_route()) for _ in range(SLOTS)]
             await self.clock.sleep(SETTLE_SECONDS)
             await self.send(make_route())
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -240,7 +240,7 @@
         self.balancer.record_pace(FIRST.id, 0.5)
         self.balancer.record_not_run(FIRST.id, NotRunReason.FULL, 5.0)
         self.directory.update(SECOND)
-        self.assertEqual(0.0, self.balancer.pace(SECOND.id))
+        self.assertEqual(0.0, self.balancer.service_time(SECOND.id))
         self.assertEqual(0, self.balancer.occupied(SECOND))
         self.assertFalse(self.balancer.is_avoided(SECOND.id))
         self.assertTrue(self.balancer.has_place(SECOND))
@@ -258,7 +258,7 @@
         self.balancer.record_load(FIRST.id, ServerLoad(8, 3, 8))
         self.balancer.record_response(FIRST, 0.5)
         self.balancer.avoid(FIRST.id, 5.0)
-        self.assertEqual(0.0, self.balancer.pace(SECOND.id))
+        self.assertEqual(0.0, self.balancer.service_time(SECOND.id))
         self.assertEqual(0, self.balancer.occupied(SECOND))
         self.assertFalse(self.balancer.is_avoided(SECOND.id))
 
@@ -267,7 +267,7 @@
         peer = DaemonId("daemon-1")
         self.balancer.record_peer_summary(peer, {FIRST.id: (5, 0.5)})
         self.assertEqual(0, self.balancer.occupied(SECOND))
-        self.assertEqual(0.0, self.balancer.pace(SECOND.id))
+        self.assertEqual(0.0, self.balancer.service_time(SECOND.id))
 
     def test_peer_of_an_earlier_version_that_names_servers_only(self) -> None:
         self.directory.update(SECOND)
--- a/tests/test_lasting_pace.py
+++ b/tests/test_lasting_pace.py
@@ -95,18 +95,18 @@
         self.history = ServiceTimeHistory()
         self.now = 0.0
 
-    def measure(self, pace: float, seconds: float, streams: int = STREAMS) -> None:
+    def measure(self, service_time: float, seconds: float, streams: int = STREAMS) -> None:
         """Records the events of some streams at a pace for a while."""
         until = self.now + seconds
         while self.now < until:
-            self.now += pace
+            self.now += service_time
             for _ in range(streams):
-                self.history.record(self.now, pace)
+                self.history.record(self.now, service_time)
 
     def test_nothing_is_known_at_first(self):
-        self.assertEqual(0.0, self.history.pace(0.0))
+        self.assertEqual(0.0, self.history.service_time(0.0))
         self.history.record(0.0, FAST)
-        self.assertEqual(0.0, self.history.pace(0.1))
+        self.assertEqual(0.0, self.history.service_time(0.1))
 
     def test_bursts_are_passed_over_at_servers_of_two_speeds(self):
         chance = random.Random(3)
@@ -116,44 +116,44 @@
             for _ in range(100):
                 is_burst = chance.random() < BURST_SHARE
                 self.measure(base * BURST if is_burst else base, BURST_SECONDS)
-                self.assertLess(self.history.pace(self.now), 1.05 * base)
+                self.assertLess(self.history.service_time(self.now), 1.05 * base)
 
     def test_lasting_slowness_is_believed_within_three_seconds(self):
         self.measure(FAST, 3.0)
         self.measure(3 * FAST, 3.0)
-        self.assertAlmostEqual(3 * FAST, self.history.pace(self.now), 3)
+        self.assertAlmostEqual(3 * FAST, self.history.service_time(self.now), 3)
         self.measure(FAST, 1.5)
-        self.assertAlmostEqual(FAST, self.history.pace(self.now), 3)
+        self.assertAlmostEqual(FAST, self.history.service_time(self.now), 3)
 
     def test_server_that_was_ill_is_taken_for_what_it_usually_is_after_a_silence(self):
         self.measure(FAST, 10.0)
         self.measure(3 * FAST, 5.0)
         self.now += SUSTAINED_SECONDS + 0.1
-        self.assertLess(self.history.pace(self.now), 1.2 * FAST)
+        self.assertLess(self.history.service_time(self.now), 1.2 * FAST)
 
     def test_usual_pace_outlasts_silence_and_ends(self):
         self.measure(SLOW, 3.0)
-        self.assertAlmostEqual(SLOW, self.history.pace(self.now + USUAL_SECONDS - 1))
-        self.assertEqual(0.0, self.history.pace(self.now + USUAL_SECONDS))
+        self.assertAlmostEqual(SLOW, self.history.service_time(self.now + USUAL_SECONDS - 1))
+        self.assertEqual(0.0, self.history.service_time(self.now + USUAL_SECONDS))
 
     def test_server_that_stays_slow_becomes_usually_slow(self):
         self.measure(FAST, 5.0)
         self.measure(SLOW, 300.0, streams=1)
         self.now += SUSTAINED_SECONDS + 0.1
-        self.assertGreater(self.history.pace(self.now), 0.9 * SLOW)
+        self.assertGreater(self.history.service_time(self.now), 0.9 * SLOW)
 
     def test_events_that_come_together_make_no_server_quick(self):
         """Two events in one packet: a pause of nothing after one of two paces."""
         for number in range(200):
             self.now += FAST
             self.history.record(self.now, 0.0 if number % 2 else 2 * FAST)
-        self.assertAlmostEqual(FAST, self.history.pace(self.now), 2)
+        self.assertAlmostEqual(FAST, self.history.service_time(self.now), 2)
 
     def test_few_measurements_count_for_a_minute(self):
         for _ in range(5):
             self.now += SLICE_LIFETIME_SECONDS / 6
             self.history.record(self.now, SLOW)
-        self.assertAlmostEqual(SLOW, self.history.pace(self.now))
+        self.assertAlmostEqual(SLOW, self.history.service_time(self.now))
 
     def test_measurement_after_a_long_silence_makes_no_old_pace_new(self):
         self.measure(3 * FAST, 5.0)
@@ -161,9 +161,9 @@
         self.history.record(self.now, FAST)
         self.assertFalse(self.history.is_measured(self.now))
         self.assertFalse(self.history.was_ill)
-        self.assertEqual(0.0, self.history.pace(self.now))
+        self.assertEqual(0.0, self.history.service_time(self.now))
         self.measure(FAST, 1.0)
-        self.assertAlmostEqual(FAST, self.history.pace(self.now))
+        self.assertAlmostEqual(FAST, self.history.service_time(self.now))
 
     def test_server_that_is_asked_too_seldom_keeps_no_pace_for_good(self):
         """Once in more than a minute: its slices never suffice for a pace."""
@@ -172,7 +172,7 @@
             self.now += SLICE_LIFETIME_SECONDS + 1
             self.history.record(self.now, FAST)
             self.assertFalse(self.history.is_measured(self.now))
-        self.assertEqual(0.0, self.history.pace(self.now))
+        self.assertEqual(0.0, self.history.service_time(self.now))
 
 
 class SaidSlownessTest(unittest.TestCase):
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -242,7 +242,7 @@
             balancer = Balancer(make_directory(2), LoopClock(), random.Random(0))
             balancer.record_pace(InstanceId("e0"), 0.04)
             balancer.record_peer_summary("other", {InstanceId("e1"): (1, 0.05)})
-            return balancer.pace(InstanceId("e0")), balancer.pace(InstanceId("e1"))
+            return balancer.service_time(InstanceId("e0")), balancer.service_time(InstanceId("e1"))
 
         return run(play())
 
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -50,12 +50,12 @@
         """Lists an incarnation of a server, in place of the one before."""
         self.directory.update(make_instance(instance, ENGINES))
 
-    async def stream(self, instance: InstanceId, pace: float, seconds: float = 1.0) -> None:
+    async def stream(self, instance: InstanceId, service_time: float, seconds: float = 1.0) -> None:
         """Records the events of a stream."""
         until = self.clock.now() + seconds
         while self.clock.now() < until:
-            await asyncio.sleep(pace)
-            self.paces.record_event(instance, pace)
+            await asyncio.sleep(service_time)
+            self.paces.record_event(instance, service_time)
 
     async def answer(self, seconds: float, slowness: float | None, name: InstanceId = SERVER):
         """Records an answer that says the server's slowness in its head."""
@@ -132,7 +132,7 @@
         run(play())
 
     def test_illness_is_reported_while_it_is_measured_and_its_end_for_a_while(self):
-        for case, pace, silence, expected in (
+        for case, service_time, silence, expected in (
             ("measured", FAST, 1.0, True),
             ("not measured any more", FAST, SUSTAINED_SECONDS, False),
             ("ill", 3 * FAST, 1.0, True),
@@ -142,14 +142,14 @@
             with self.subTest(case):
                 history = ServiceTimeHistory()
                 for number in range(40):
-                    history.record(number * 0.25, FAST if number < 20 else pace)
+                    history.record(number * 0.25, FAST if number < 20 else service_time)
                 self.assertEqual(expected, is_reported(history, 39 * 0.25 + silence + 0.01))
 
     def test_one_daemon_that_measures_wrong_moves_nothing(self):
         async def play():
             known = KnownServers()
-            for daemon, pace in (("a", FAST), ("late", 1.0), ("b", FAST)):
-                known.paces.record_report(DaemonId(daemon), {SERVER: pace})
+            for daemon, service_time in (("a", FAST), ("late", 1.0), ("b", FAST)):
+                known.paces.record_report(DaemonId(daemon), {SERVER: service_time})
             self.assertEqual(FAST, known.paces.lasting(SERVER))
 
         run(play())
@@ -247,10 +247,10 @@
             for _ in range(5):
                 await known.answer(FAST, 1.0)
             await known.answer(FAST * 2.5, 2.5)
-            pace = known.balancer.pace(SERVER)
-            self.assertAlmostEqual(FAST * 2.5, pace)
+            service_time = known.balancer.service_time(SERVER)
+            self.assertAlmostEqual(FAST * 2.5, service_time)
             await asyncio.sleep(0.2)
-            self.assertAlmostEqual(FAST, known.balancer.pace(SERVER))
+            self.assertAlmostEqual(FAST, known.balancer.service_time(SERVER))
 
         run(play())
 
@@ -263,11 +263,11 @@
                 for number in range(24):
                     await known.answer(FAST, lies[number % len(lies)])
                     if number > 4:
-                        pace = known.balancer.pace(SERVER)
-                        self.assertLessEqual(pace, 1.01 * FAST * MAX_SLOWNESS)
-                        self.assertGreaterEqual(pace, 0.99 * FAST / MAX_SLOWNESS)
+                        service_time = known.balancer.service_time(SERVER)
+                        self.assertLessEqual(service_time, 1.01 * FAST * MAX_SLOWNESS)
+                        self.assertGreaterEqual(service_time, 0.99 * FAST / MAX_SLOWNESS)
                 await asyncio.sleep(0.5)
-                self.assertAlmostEqual(FAST, known.balancer.pace(SERVER))
+                self.assertAlmostEqual(FAST, known.balancer.service_time(SERVER))
 
         run(play())
 
@@ -280,10 +280,10 @@
             known.balancer.record_load(SERVER, ServerLoad(1, 0, SLOTS, 1.0))
             self.assertFalse(known.paces.has_latency(SERVER))
             known.balancer.record_response(info, SLOW)
-            self.assertEqual(SLOW, known.balancer.pace(SERVER))
+            self.assertEqual(SLOW, known.balancer.service_time(SERVER))
             self.assertTrue(known.paces.has_latency(SERVER))
             known.paces.record_report(DaemonId("d"), {SERVER: FAST})
-            self.assertEqual(FAST, known.balancer.pace(SERVER))
+            self.assertEqual(FAST, known.balancer.service_time(SERVER))
             self.assertFalse(known.paces.has_latency(SERVER))
 
         run(play())
@@ -294,7 +294,7 @@
             for seconds in (0.04, 0.08):
                 await known.answer(seconds, None)
                 known.balancer.record_pace(SERVER, seconds)
-            self.assertAlmostEqual(0.05, known.balancer.pace(SERVER))
+            self.assertAlmostEqual(0.05, known.balancer.service_time(SERVER))
 
         run(play())
 
