--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -284,7 +284,7 @@
         if self._cold is not None:
             self._cold.record(instance, left)
 
-    def record_pace(
+    def record_service_time(
         self, instance: InstanceId, seconds: float, weight: float = PACE_WEIGHT
     ) -> None:
         """Records the time that a unit of work took at an instance.
@@ -292,11 +292,11 @@
         Args:
             weight: share of this measurement in the smoothed pace.
         """
-        self._own.record_pace(instance, seconds, weight)
+        self._own.record_service_time(instance, seconds, weight)
 
     def record_response(self, info: InstanceInfo, seconds: float) -> None:
         """Records the time from a client's request to its whole response."""
-        self.record_pace(info.id, seconds)
+        self.record_service_time(info.id, seconds)
         self.paces.record_response(info.id, seconds)
         self._own.of(info.id).response_at = self._clock.now()
         self._order.record_response(info, seconds)
--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -137,7 +137,7 @@
         """Returns the instances of whose speed something is known."""
         return [name for name, use in self._uses.items() if use.figures is not None]
 
-    def record_pace(self, instance: InstanceId, seconds: float, weight: float) -> None:
+    def record_service_time(self, instance: InstanceId, seconds: float, weight: float) -> None:
         """Records the time that a unit of work took.
 
         Args:
--- a/src/larkpost/gateway/proxy/outcomes.py
+++ b/src/larkpost/gateway/proxy/outcomes.py
@@ -65,7 +65,7 @@
         """Records an attempt that was cancelled: its server is slower than it then had time for."""
         attempts.record_may_have_run(instance.id)
         elapsed = self._clock.now() - started
-        self._balancer.record_pace(instance.id, elapsed)
+        self._balancer.record_service_time(instance.id, elapsed)
         if elapsed > attempts.route.objective:
             self._balancer.avoid(instance.id, SILENT_AVOID_SECONDS)
 
--- a/src/larkpost/gateway/rollouts/reward_attempt.py
+++ b/src/larkpost/gateway/rollouts/reward_attempt.py
@@ -107,7 +107,7 @@
             balancer.avoid(server.id, SILENT_AVOID_SECONDS)
             return CallAttempt(CallEnd.SILENT)
         seconds = self._services.clock.now() - began
-        balancer.record_pace(server.id, seconds)
+        balancer.record_service_time(server.id, seconds)
         balancer.paces.record_response(server.id, seconds)
         return judge_call_response(status, signature)
 
--- a/tests/choice_cost.py
+++ b/tests/choice_cost.py
@@ -51,7 +51,7 @@
     )
     balancer = Balancer(board.directory, LoopClock(), chance, sources)
     for name in chance.sample(names, servers * 2 // 3):
-        balancer.record_pace(name, chance.uniform(0.03, 0.05))
+        balancer.record_service_time(name, chance.uniform(0.03, 0.05))
     for number in range(REPORTS):
         used = chance.sample(names, min(REPORTED, servers) // 2)
         balancer.record_peer_summary(DaemonId(f"d{number + 1}"), dict.fromkeys(used, (1, 0.03)))
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -57,9 +57,9 @@
             balancer.occupy(InstanceId("e0"))
             self.assertNotIn("e0", self.first_choices(balancer))
             balancer.release(InstanceId("e0"))
-            balancer.record_pace(InstanceId("e0"), 0.05)
+            balancer.record_service_time(InstanceId("e0"), 0.05)
             for number in (1, 2, 3):
-                balancer.record_pace(InstanceId(f"e{number}"), 0.04)
+                balancer.record_service_time(InstanceId(f"e{number}"), 0.04)
             self.assertNotIn("e0", self.first_choices(balancer))
 
         run(play())
@@ -108,7 +108,7 @@
                 balancer.record_peer_summary(f"daemon-{number}", {instance: (1, 0.05)})
                 balancer.record_peer_summary(f"daemon-{number}", {})
                 with balancer.placed(instance):
-                    balancer.record_pace(instance, 0.05)
+                    balancer.record_service_time(instance, 0.05)
                 await asyncio.sleep(10.0)
             self.assertLess(len(balancer._own), 25)
             self.assertLess(len(balancer._peers), 25)
--- a/tests/test_cold_engine_choice.py
+++ b/tests/test_cold_engine_choice.py
@@ -24,7 +24,7 @@
         self.blackboard, self.balancer = gateway.blackboard, gateway.balancer
         self.services = gateway.keeper._services
         for name in (ENGINE, OTHER_ENGINE):
-            self.balancer.record_pace(name, PACE)
+            self.balancer.record_service_time(name, PACE)
         spec = make_batch(items=1)
         head = BatchHead(
             spec.id, spec.host, spec.path, MODEL, 0, 0, 1, 1, gateway.id, 0.0, False, "u"
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -151,7 +151,7 @@
             await self.fleet.wait(0.5)
             for gateway in self.fleet.gateways:  # the cold one was fast before it turned cold
                 for name, pace in ((NEW_ENGINE, 0.01), (ENGINE, 0.03), (OTHER_ENGINE, 0.03)):
-                    gateway.balancer.record_pace(name, pace)
+                    gateway.balancer.record_service_time(name, pace)
             self.specs = [make_batch("batch", 8)]
             await self.oracle.submit(self.fleet.gateways[0], self.specs[0])
             await self.finish()
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -146,7 +146,7 @@
         for number, pace in enumerate(paces):
             self.put(number, version=1)
             if pace:
-                self.balancer.record_pace(InstanceId(f"e{number}"), pace)
+                self.balancer.record_service_time(InstanceId(f"e{number}"), pace)
         spec = make_batch(items=1)
         head = BatchHead(
             spec.id, spec.host, spec.path, MODEL, 0, 0, 1, 1, fleet.gateways[0].id, 0.0, False, "u"
@@ -253,8 +253,8 @@
         gateway = self.fleet.gateways[0]
         self.blackboard, self.balancer = gateway.blackboard, gateway.balancer
         self.slow, self.fast = self.blackboard.directory.of_service(ENGINES)
-        self.balancer.record_pace(self.slow.id, 0.09)
-        self.balancer.record_pace(self.fast.id, 0.03)
+        self.balancer.record_service_time(self.slow.id, 0.09)
+        self.balancer.record_service_time(self.fast.id, 0.03)
         spec = make_batch(items=1)
         head = BatchHead(
             spec.id, spec.host, spec.path, MODEL, 0, 0, 1, 1, gateway.id, 0.0, False, "u"
--- a/tests/test_fair_load.py
+++ b/tests/test_fair_load.py
@@ -104,7 +104,7 @@
         """Returns a daemon that knows the servers' paces."""
         balancer = Balancer(self.directory, self.clock, random.Random(name))
         for number in range(SERVERS):
-            balancer.record_pace(InstanceId(f"e{number}"), PACE)
+            balancer.record_service_time(InstanceId(f"e{number}"), PACE)
         ledger = FlowLedger(self.clock)
         parts = make_parts(self.directory, balancer, self.engines, self.clock)
         parts = replace(parts, ledger=ledger, chance=random.Random(f"{name} chance"))
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -123,7 +123,7 @@
             name = InstanceId(f"e{number}")
             self.engines.engines[name] = ScriptedEngine(slots=SLOTS, event_seconds=service_time)
             self.list(name, InstanceState.READY)
-            self.balancer.record_pace(name, service_time)
+            self.balancer.record_service_time(name, service_time)
         self.metrics = Metrics()
         parts = make_parts(self.directory, self.balancer, self.engines, self.clock)
         self.forwarder = Forwarder(replace(parts, metrics=self.metrics))
@@ -353,7 +353,9 @@
             for kind in (RouteKind.IDEMPOTENT, RouteKind.RUN_ONCE):
                 self.begin(count=2)
                 self.take_places(10.0)
-                self.balancer.record_pace(InstanceId("e1"), 2 * PACE, weight=1.0)  # tried second
+                self.balancer.record_service_time(
+                    InstanceId("e1"), 2 * PACE, weight=1.0
+                )  # tried second
                 leaving = self.send(make_route(kind))
                 await self.clock.sleep(0.0005)  # before the first has answered "full"
                 leaving.cancel()
@@ -385,7 +387,9 @@
             for kind in (RouteKind.IDEMPOTENT, RouteKind.RUN_ONCE):
                 self.begin(count=2)
                 self.state().break_after = 0
-                self.balancer.record_pace(InstanceId("e1"), 2 * PACE, weight=1.0)  # tried second
+                self.balancer.record_service_time(
+                    InstanceId("e1"), 2 * PACE, weight=1.0
+                )  # tried second
                 self.engines.engines[InstanceId("e1")].running = SLOTS
                 with self.assertRaises(RequestFailedError):
                     await self.send(make_route(kind))
@@ -406,7 +410,7 @@
 
         async def play():
             self.begin()
-            self.balancer.record_pace(
+            self.balancer.record_service_time(
                 InstanceId("e0"), 0.5, weight=1.0
             )  # others' requests took long
             self.balancer.avoid(InstanceId("e0"), 0.3)
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -237,7 +237,7 @@
 
     def test_load_pace_and_avoidance_end_with_the_incarnation(self) -> None:
         self.balancer.record_load(FIRST.id, ServerLoad(8, 3, 8))
-        self.balancer.record_pace(FIRST.id, 0.5)
+        self.balancer.record_service_time(FIRST.id, 0.5)
         self.balancer.record_not_run(FIRST.id, NotRunReason.FULL, 5.0)
         self.directory.update(SECOND)
         self.assertEqual(0.0, self.balancer.service_time(SECOND.id))
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -68,8 +68,10 @@
                 servers.engines[InstanceId(name)] = state
             directory = make_directory(2, PAGES)
             balancer = Balancer(directory, clock, random.Random(1))
-            balancer.record_pace(InstanceId("e0"), 0.01)  # so that the slow one is tried first
-            balancer.record_pace(InstanceId("e1"), 0.05)
+            balancer.record_service_time(
+                InstanceId("e0"), 0.01
+            )  # so that the slow one is tried first
+            balancer.record_service_time(InstanceId("e1"), 0.05)
             forwarder = Forwarder(make_parts(directory, balancer, servers, clock))
             sent = self.client_request(clock)
             await forwarder.forward(sent, make_route(RouteKind.IDEMPOTENT))
@@ -90,8 +92,8 @@
             services = fleet.gateways[0].keeper._services
             services.directory = make_directory(2)
             services.balancer = Balancer(services.directory, fleet.clock, random.Random(0))
-            services.balancer.record_pace(InstanceId("e0"), 0.09)
-            services.balancer.record_pace(InstanceId("e1"), 0.04)
+            services.balancer.record_service_time(InstanceId("e0"), 0.09)
+            services.balancer.record_service_time(InstanceId("e1"), 0.04)
             choice = EngineChoice(make_head(fleet), services)
             places = PlaceQueue(choice, services.balancer, fleet.clock)
             progress = Progress(make_batch(items=1).items[0])
@@ -240,7 +242,7 @@
 
         async def play() -> tuple[float, float]:
             balancer = Balancer(make_directory(2), LoopClock(), random.Random(0))
-            balancer.record_pace(InstanceId("e0"), 0.04)
+            balancer.record_service_time(InstanceId("e0"), 0.04)
             balancer.record_peer_summary("other", {InstanceId("e1"): (1, 0.05)})
             return balancer.service_time(InstanceId("e0")), balancer.service_time(InstanceId("e1"))
 
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -293,7 +293,7 @@
             known = KnownServers()
             for seconds in (0.04, 0.08):
                 await known.answer(seconds, None)
-                known.balancer.record_pace(SERVER, seconds)
+                known.balancer.record_service_time(SERVER, seconds)
             self.assertAlmostEqual(0.05, known.balancer.service_time(SERVER))
 
         run(play())
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -299,7 +299,7 @@
                 services.balancer.release(name)
                 services.balancer.release(name)
             for name in fleet.engine_zones:
-                services.balancer.record_pace(name, 0.04 if name in near else 0.03)
+                services.balancer.record_service_time(name, 0.04 if name in near else 0.03)
             self.assertFalse({choice.choose(ENGINES).id for _ in range(20)} & near)
 
         run(play())
