--- a/src/larkpost/gateway/proxy/candidate_order.py
+++ b/src/larkpost/gateway/proxy/candidate_order.py
@@ -81,10 +81,10 @@
             )
             for info in fitting
         ]
-        best_pace = min(
+        best_service_time = min(
             (service_time for service_time in paces.values() if service_time), default=0.0
         )
-        return rank(candidates, best_pace)
+        return rank(candidates, best_service_time)
 
     def _latency_factors(
         self, service: ServiceName, fitting: list[InstanceInfo]
--- a/src/larkpost/gateway/proxy/ranking.py
+++ b/src/larkpost/gateway/proxy/ranking.py
@@ -44,24 +44,24 @@
     tie_break: float
 
 
-def rank(candidates: Iterable[Candidate], best_pace: float) -> list[InstanceInfo]:
+def rank(candidates: Iterable[Candidate], best_service_time: float) -> list[InstanceInfo]:
     """Returns the instances, the best first.
 
     Args:
         best_pace: seconds a unit of work takes at the fastest; 0 if no pace is known.
     """
-    ordered = sorted(candidates, key=lambda candidate: _order(candidate, best_pace))
+    ordered = sorted(candidates, key=lambda candidate: _order(candidate, best_service_time))
     return [candidate.instance for candidate in ordered]
 
 
-def expected_wait(candidate: Candidate, best_pace: float) -> float:
+def expected_wait(candidate: Candidate, best_service_time: float) -> float:
     """Returns how long a request takes at a candidate, in units of the fastest one's pace.
 
     Where a pace is unknown the instance counts as fast as the fastest.
     """
     ratio = 1.0
-    if candidate.service_time and best_pace:
-        ratio = min(candidate.service_time / best_pace, MAX_PACE_RATIO)
+    if candidate.service_time and best_service_time:
+        ratio = min(candidate.service_time / best_service_time, MAX_PACE_RATIO)
     return (candidate.occupied + 1) / max(1, candidate.instance.slots) * ratio
 
 
@@ -70,8 +70,8 @@
     return 1.0 if is_connected else NEW_CONNECTION_FACTOR
 
 
-def _order(candidate: Candidate, best_pace: float) -> tuple[bool, bool, float, float]:
-    wait = expected_wait(candidate, best_pace)
+def _order(candidate: Candidate, best_service_time: float) -> tuple[bool, bool, float, float]:
+    wait = expected_wait(candidate, best_service_time)
     return (
         candidate.is_avoided,
         candidate.is_cold,
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -89,7 +89,7 @@
                     self.assertEqual(["first", "second"], [info.id for info in rank(order, PACE)])
 
     def test_expected_wait_counts_the_request_itself_its_slots_and_the_pace(self):
-        for expected, best_pace, changes in (
+        for expected, best_service_time, changes in (
             (3 / 8, PACE, {}),
             (3 / 8, 0.0, {}),  # no pace is known
             (3 / 8, PACE, {"pace": 0.0}),
@@ -97,9 +97,9 @@
             (MAX_PACE_RATIO * 3 / 8, PACE, {"pace": 100 * PACE}),
             (3.0, PACE, {"slots": 0}),
         ):
-            with self.subTest(changes=changes, best_pace=best_pace):
+            with self.subTest(changes=changes, best_service_time=best_service_time):
                 self.assertAlmostEqual(
-                    expected, expected_wait(candidate("one", **changes), best_pace)
+                    expected, expected_wait(candidate("one", **changes), best_service_time)
                 )
 
     def test_connection_factor(self):
