--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -155,7 +155,7 @@
         """Returns whether the load that the server last reported is still used."""
         return self._clock.now() - self.of(instance).load_at < LOAD_LIFETIME_SECONDS
 
-    def has_recent_pace(self, instance: InstanceId) -> bool:
+    def has_recent_service_time(self, instance: InstanceId) -> bool:
         """Returns whether the pace that this daemon last measured is still used."""
         return self._clock.now() - self.of(instance).pace_at < PACE_LIFETIME_SECONDS
 
--- a/src/larkpost/gateway/proxy/service_times.py
+++ b/src/larkpost/gateway/proxy/service_times.py
@@ -122,7 +122,7 @@
 
     def _smoothed(self, instance: InstanceId) -> float:
         """Returns one's own smoothed pace, which counts before what the others report."""
-        if self._own.has_recent_pace(instance):
+        if self._own.has_recent_service_time(instance):
             return self._own.of(instance).service_time
         return self._peers.service_time(instance)
 
