--- a/src/larkpost/gateway/proxy/service_times.py
+++ b/src/larkpost/gateway/proxy/service_times.py
@@ -93,7 +93,7 @@
         for name in turn:
             if len(report) == MAX_REPORTED_PACES:
                 break
-            service_time = self._own_pace(name)
+            service_time = self._reportable_service_time(name)
             if service_time is not None:
                 report[name] = service_time
         self._reported = [name for name in earlier if name not in report] + list(report)
@@ -126,7 +126,7 @@
             return self._own.of(instance).service_time
         return self._peers.service_time(instance)
 
-    def _own_pace(self, instance: InstanceId) -> float | None:
+    def _reportable_service_time(self, instance: InstanceId) -> float | None:
         """Returns an instance's pace as it is reported; None if it is not to be.
 
         Where items and short requests go to the same server, it is that of the items.
