--- a/src/larkpost/gateway/proxy/candidate_order.py
+++ b/src/larkpost/gateway/proxy/candidate_order.py
@@ -67,7 +67,10 @@
         """Returns the instances that work may go to, the best first."""
         beliefs = self._beliefs
         factors = self._latency_factors(service, fitting) if for_client else {}
-        paces = {info.id: self._local_pace(info.id, factors.get(info.id, 1.0)) for info in fitting}
+        paces = {
+            info.id: self._local_service_time(info.id, factors.get(info.id, 1.0))
+            for info in fitting
+        }
         candidates = [
             Candidate(
                 info,
@@ -111,7 +114,7 @@
             if distance > nearest
         }
 
-    def _local_pace(self, instance: InstanceId, latency_factor: float) -> float:
+    def _local_service_time(self, instance: InstanceId, latency_factor: float) -> float:
         """Returns an instance's pace, without the latency if this daemon measured it in."""
         has_latency = self._has_latency(instance)
         return self._beliefs.service_time(instance) / (latency_factor if has_latency else 1.0)
