--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -27,7 +27,7 @@
 from larkpost.gateway.proxy.candidate_order import CandidateOrder
 from larkpost.gateway.proxy.instance_use import (
     FORGET_SECONDS,
-    PACE_WEIGHT,
+    SERVICE_TIME_WEIGHT,
     InstanceUse,
     OwnUse,
 )
@@ -285,7 +285,7 @@
             self._cold.record(instance, left)
 
     def record_service_time(
-        self, instance: InstanceId, seconds: float, weight: float = PACE_WEIGHT
+        self, instance: InstanceId, seconds: float, weight: float = SERVICE_TIME_WEIGHT
     ) -> None:
         """Records the time that a unit of work took at an instance.
 
--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -16,7 +16,7 @@
 
 LOAD_LIFETIME_SECONDS = 1.0
 """How long a load that a server reported of itself is used."""
-PACE_WEIGHT = 0.25
+SERVICE_TIME_WEIGHT = 0.25
 """Share of the newest measurement in an instance's pace, without unit."""
 PACE_LIFETIME_SECONDS = 4.0
 """How long a pace that this daemon measured is used."""
