--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -18,7 +18,7 @@
 """How long a load that a server reported of itself is used."""
 SERVICE_TIME_WEIGHT = 0.25
 """Share of the newest measurement in an instance's pace, without unit."""
-PACE_LIFETIME_SECONDS = 4.0
+SERVICE_TIME_LIFETIME_SECONDS = 4.0
 """How long a pace that this daemon measured is used."""
 FORGET_SECONDS = 60.0
 """After this long without use the records of instances and daemons that are gone are dropped. It
@@ -145,7 +145,7 @@
         """
         use = self.of(instance)
         now = self._clock.now()
-        if now - use.pace_at > PACE_LIFETIME_SECONDS:
+        if now - use.pace_at > SERVICE_TIME_LIFETIME_SECONDS:
             use.service_time = seconds
         else:
             use.service_time += weight * (seconds - use.service_time)
@@ -157,11 +157,11 @@
 
     def has_recent_service_time(self, instance: InstanceId) -> bool:
         """Returns whether the pace that this daemon last measured is still used."""
-        return self._clock.now() - self.of(instance).pace_at < PACE_LIFETIME_SECONDS
+        return self._clock.now() - self.of(instance).pace_at < SERVICE_TIME_LIFETIME_SECONDS
 
     def has_recent_response(self, instance: InstanceId) -> bool:
         """Returns whether the pace is one of whole responses, with the network's latency in it."""
-        return self._clock.now() - self.of(instance).response_at < PACE_LIFETIME_SECONDS
+        return self._clock.now() - self.of(instance).response_at < SERVICE_TIME_LIFETIME_SECONDS
 
     def avoid(self, instance: InstanceId, seconds: float) -> None:
         """Makes an instance a last resort for a while."""
@@ -184,7 +184,7 @@
             name: (use.outstanding, round(use.service_time, SUMMARY_PACE_DIGITS))
             for name, use in self._uses.items()
             if self._directory.takes_work(name)
-            and (use.outstanding or now - use.pace_at < PACE_LIFETIME_SECONDS)
+            and (use.outstanding or now - use.pace_at < SERVICE_TIME_LIFETIME_SECONDS)
         }
 
     def forget_unused(self, now: float) -> None:
