--- a/src/larkpost/gateway/proxy/peer_use.py
+++ b/src/larkpost/gateway/proxy/peer_use.py
@@ -9,7 +9,7 @@
 
 PEER_LIFETIME_SECONDS = 1.2
 """How long the requests that another daemon reported are counted."""
-PEER_PACE_LIFETIME_SECONDS = 12.0
+PEER_SERVICE_TIME_LIFETIME_SECONDS = 12.0
 """How long a pace that another daemon reported is used. Longer than one's own, as it is used only
 where there is none of one's own."""
 
@@ -52,7 +52,7 @@
             known = peers.get(daemon)
             if known is None or instance in summary:
                 continue
-            if now - known.at > PEER_PACE_LIFETIME_SECONDS:
+            if now - known.at > PEER_SERVICE_TIME_LIFETIME_SECONDS:
                 del peers[daemon]
             elif known.requests:
                 peers[daemon] = PeerUse(0, known.service_time, known.at)
@@ -74,7 +74,7 @@
         reported = [
             (peer.at, peer.service_time)
             for peer in self._peers.get(instance, {}).values()
-            if peer.service_time and now - peer.at < PEER_PACE_LIFETIME_SECONDS
+            if peer.service_time and now - peer.at < PEER_SERVICE_TIME_LIFETIME_SECONDS
         ]
         return max(reported, default=(0.0, 0.0))[1]
 
