--- a/src/larkpost/gateway/proxy/reported_service_times.py
+++ b/src/larkpost/gateway/proxy/reported_service_times.py
@@ -10,7 +10,7 @@
 from larkpost.common.ids import DaemonId, InstanceId
 from larkpost.gateway.blackboard.directory import Directory
 
-SHARED_PACE_SECONDS = 180.0
+REPORT_LIFETIME_SECONDS = 180.0
 """How long a reported pace is used."""
 FRESH_SECONDS = 4.0
 """How long a reported pace counts before what one has measured oneself earlier."""
@@ -55,7 +55,7 @@
 
     def service_time(self, instance: InstanceId) -> float:
         """Returns the median of what was reported of an instance, in seconds; 0 if nothing was."""
-        return self._median(instance, SHARED_PACE_SECONDS)
+        return self._median(instance, REPORT_LIFETIME_SECONDS)
 
     def _median(self, instance: InstanceId, lifetime: float) -> float:
         now = self._clock.now()
@@ -69,7 +69,7 @@
     def forget_old(self, now: float) -> None:
         """Drops what is used no longer."""
         for instance, reports in list(self._reported.items()):
-            if now - max(reports.values()).at >= SHARED_PACE_SECONDS:
+            if now - max(reports.values()).at >= REPORT_LIFETIME_SECONDS:
                 del self._reported[instance]
 
     def _keep(self, instance: InstanceId, daemon: DaemonId, seconds: float) -> None:
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -18,7 +18,7 @@
 from larkpost.gateway.proxy.reported_service_times import (
     FRESH_SECONDS,
     MAX_REPORTERS,
-    SHARED_PACE_SECONDS,
+    REPORT_LIFETIME_SECONDS,
 )
 from larkpost.gateway.proxy.service_time_history import SUSTAINED_SECONDS, ServiceTimeHistory
 from larkpost.gateway.proxy.service_times import MAX_REPORTED_PACES, RECOVERY_SECONDS, is_reported
@@ -159,7 +159,7 @@
             known = KnownServers()
             known.paces.record_report(DaemonId("d"), {SERVER: SLOW})
             known.paces.record_report(DaemonId("d"), {})  # the daemon is gone
-            await asyncio.sleep(SHARED_PACE_SECONDS - 1.0)
+            await asyncio.sleep(REPORT_LIFETIME_SECONDS - 1.0)
             self.assertEqual(SLOW, known.paces.lasting(SERVER))
             await asyncio.sleep(2.0)
             self.assertEqual(0.0, known.paces.lasting(SERVER))
