--- a/src/larkpost/gateway/proxy/ranking.py
+++ b/src/larkpost/gateway/proxy/ranking.py
@@ -9,7 +9,7 @@
 
 from larkpost.gateway.blackboard.directory import InstanceInfo
 
-MAX_PACE_RATIO = 8.0
+MAX_SERVICE_TIME_RATIO = 8.0
 """By how much slower than the fastest an instance is taken to be at most, without unit. It bounds
 what a single outlier does."""
 NEW_CONNECTION_FACTOR = 1.2
@@ -61,7 +61,7 @@
     """
     ratio = 1.0
     if candidate.service_time and best_service_time:
-        ratio = min(candidate.service_time / best_service_time, MAX_PACE_RATIO)
+        ratio = min(candidate.service_time / best_service_time, MAX_SERVICE_TIME_RATIO)
     return (candidate.occupied + 1) / max(1, candidate.instance.slots) * ratio
 
 
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -7,7 +7,7 @@
 from larkpost.gateway.blackboard.configuration import ServiceName
 from larkpost.gateway.blackboard.directory import InstanceInfo, InstanceState
 from larkpost.gateway.proxy.ranking import (
-    MAX_PACE_RATIO,
+    MAX_SERVICE_TIME_RATIO,
     NEW_CONNECTION_FACTOR,
     Candidate,
     connection_factor,
@@ -94,7 +94,7 @@
             (3 / 8, 0.0, {}),  # no pace is known
             (3 / 8, PACE, {"pace": 0.0}),
             (2 * 3 / 8, PACE, {"pace": 2 * PACE}),
-            (MAX_PACE_RATIO * 3 / 8, PACE, {"pace": 100 * PACE}),
+            (MAX_SERVICE_TIME_RATIO * 3 / 8, PACE, {"pace": 100 * PACE}),
             (3.0, PACE, {"slots": 0}),
         ):
             with self.subTest(changes=changes, best_service_time=best_service_time):
