--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -30,7 +30,7 @@
 from larkpost.gateway.proxy.slot_counts import SlotCounts, count_slots
 from larkpost.gateway.proxy.waiter import Waiter
 
-UNKNOWN_PACE_SHARE = 0.25
+DEFAULT_SERVICE_TIME_SHARE = 0.25
 """Share of the objective that a request is taken to need where no pace is known: objectives leave
 room for a few requests one after the other."""
 
@@ -207,5 +207,5 @@
     return Limits(
         objective_at=request.received_at - elapsed + route.objective,
         end_at=request.received_at + time_left,
-        usual_pace=route.objective * UNKNOWN_PACE_SHARE,
+        usual_pace=route.objective * DEFAULT_SERVICE_TIME_SHARE,
     )
