--- a/src/larkpost/gateway/proxy/server_choice.py
+++ b/src/larkpost/gateway/proxy/server_choice.py
@@ -15,7 +15,7 @@
 """No second server is tried sooner than this."""
 HEDGE_PACE_FACTOR = 3.0
 """A second server is tried after so many times the pace of the fastest, without unit."""
-UNKNOWN_PACE_DIVISOR = 2
+DEFAULT_SERVICE_TIME_DIVISOR = 2
 """Where no pace is known, this part of the objective stands in for it."""
 
 
@@ -26,7 +26,7 @@
         paces: seconds a request takes at each server whose pace is known.
         objective: seconds within which a response is worth most.
     """
-    usual = min(paces, default=objective / UNKNOWN_PACE_DIVISOR)
+    usual = min(paces, default=objective / DEFAULT_SERVICE_TIME_DIVISOR)
     return max(MIN_HEDGE_SECONDS, HEDGE_PACE_FACTOR * usual)
 
 
