--- a/src/larkpost/gateway/proxy/server_choice.py
+++ b/src/larkpost/gateway/proxy/server_choice.py
@@ -13,7 +13,7 @@
 
 MIN_HEDGE_SECONDS = 0.1
 """No second server is tried sooner than this."""
-HEDGE_PACE_FACTOR = 3.0
+HEDGE_SERVICE_TIME_FACTOR = 3.0
 """A second server is tried after so many times the pace of the fastest, without unit."""
 DEFAULT_SERVICE_TIME_DIVISOR = 2
 """Where no pace is known, this part of the objective stands in for it."""
@@ -27,7 +27,7 @@
         objective: seconds within which a response is worth most.
     """
     usual = min(paces, default=objective / DEFAULT_SERVICE_TIME_DIVISOR)
-    return max(MIN_HEDGE_SECONDS, HEDGE_PACE_FACTOR * usual)
+    return max(MIN_HEDGE_SECONDS, HEDGE_SERVICE_TIME_FACTOR * usual)
 
 
 class ServerChoice:
