--- a/src/larkpost/gateway/proxy/service_times.py
+++ b/src/larkpost/gateway/proxy/service_times.py
@@ -14,7 +14,7 @@
 from larkpost.gateway.proxy.reported_service_times import ReportedServiceTimes
 from larkpost.gateway.proxy.service_time_history import ServiceTimeHistory
 
-MAX_REPORTED_PACES = 8
+MAX_REPORTED_SERVICE_TIMES = 8
 """Paces in one heartbeat, those of different instances by turns: it is listed by hundreds."""
 RECOVERY_SECONDS = 12.0
 """For so long after its last measurement the usual pace of a server that was ill is reported, so
@@ -91,7 +91,7 @@
         turn = [name for name in measured if name not in earlier] + list(earlier)
         report: dict[InstanceId, float] = {}
         for name in turn:
-            if len(report) == MAX_REPORTED_PACES:
+            if len(report) == MAX_REPORTED_SERVICE_TIMES:
                 break
             service_time = self._reportable_service_time(name)
             if service_time is not None:
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -21,7 +21,11 @@
     REPORT_LIFETIME_SECONDS,
 )
 from larkpost.gateway.proxy.service_time_history import SUSTAINED_SECONDS, ServiceTimeHistory
-from larkpost.gateway.proxy.service_times import MAX_REPORTED_PACES, RECOVERY_SECONDS, is_reported
+from larkpost.gateway.proxy.service_times import (
+    MAX_REPORTED_SERVICE_TIMES,
+    RECOVERY_SECONDS,
+    is_reported,
+)
 from larkpost.gateway.proxy.slowness import MAX_SLOWNESS
 from larkpost.gateway.servers.port import ServerLoad
 from tests.platform_fleet import ENGINES, PAGES, PlatformFleet
@@ -184,14 +188,15 @@
         async def play():
             known = KnownServers()
             names = [
-                instance_id(InstanceName(f"e{n}"), BORN) for n in range(2 * MAX_REPORTED_PACES + 1)
+                instance_id(InstanceName(f"e{n}"), BORN)
+                for n in range(2 * MAX_REPORTED_SERVICE_TIMES + 1)
             ]
             for name in names:
                 known.start(name)
             await asyncio.gather(*(known.stream(name, FAST) for name in names))
             reports = [known.paces.report() for _ in range(3)]
             self.assertEqual(set(names), set().union(*reports))
-            self.assertTrue(all(len(report) == MAX_REPORTED_PACES for report in reports))
+            self.assertTrue(all(len(report) == MAX_REPORTED_SERVICE_TIMES for report in reports))
             await asyncio.sleep(SUSTAINED_SECONDS + 0.1)
             self.assertEqual({}, known.paces.report())
 
@@ -201,7 +206,8 @@
         async def play():
             known = KnownServers()
             names = [
-                instance_id(InstanceName(f"e{n}"), BORN) for n in range(2 * MAX_REPORTED_PACES)
+                instance_id(InstanceName(f"e{n}"), BORN)
+                for n in range(2 * MAX_REPORTED_SERVICE_TIMES)
             ]
             for name in names:
                 known.start(name)
