--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -11,7 +11,7 @@
 
 from larkpost.gateway.proxy.slot_counts import SlotCounts
 
-LEAST_SHARE_OF_PACE = 0.5
+MIN_SERVICE_TIME_SHARE = 0.5
 """A request may need half of what requests take: the smallest of a service do, and a refusal that
 was not necessary costs more than an attempt in vain."""
 LEAST_RETRY_SECONDS = 0.05
@@ -89,7 +89,7 @@
     service_time = places.service_time or limits.usual_pace
     wait = max(share_wait, _wait(places, service_time, ahead, blocked_for))
     is_untried = places.run_few_requests and not ahead and not blocked_for
-    if _is_hopeless(places, limits, now, wait + service_time * LEAST_SHARE_OF_PACE, is_untried):
+    if _is_hopeless(places, limits, now, wait + service_time * MIN_SERVICE_TIME_SHARE, is_untried):
         expectation = Expectation.NOT_AT_ALL
     elif now + wait + service_time <= limits.objective_at:
         expectation = Expectation.IN_TIME
