--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -26,7 +26,7 @@
 PROBE_SECONDS = 0.15
 """Pause between two requests to an instance that refuses. Short beside a load of weights, which
 takes about a second."""
-SUMMARY_PACE_DIGITS = 4
+SUMMARY_DIGITS = 4
 """Decimal places of a pace in seconds as it is reported: a tenth of a millisecond."""
 
 
@@ -181,7 +181,7 @@
         """Returns what this daemon reports to the others of its use."""
         now = self._clock.now()
         return {
-            name: (use.outstanding, round(use.service_time, SUMMARY_PACE_DIGITS))
+            name: (use.outstanding, round(use.service_time, SUMMARY_DIGITS))
             for name, use in self._uses.items()
             if self._directory.takes_work(name)
             and (use.outstanding or now - use.pace_at < SERVICE_TIME_LIFETIME_SECONDS)
