--- a/src/larkpost/gateway/proxy/service_time_history.py
+++ b/src/larkpost/gateway/proxy/service_time_history.py
@@ -127,7 +127,7 @@
         if len(self._closed) < LEAST_SLICES:
             return
         self._sustained = quick_mean(slice_.corrected_mean for slice_ in self._closed)
-        self._usual = usual_pace(self._usual, self._sustained)
+        self._usual = smooth_baseline(self._usual, self._sustained)
         self._usual_at = closed.began_at
 
     def _forget_old(self, now: float) -> None:
@@ -155,7 +155,7 @@
     return ordered[int(QUICK_SHARE * (len(ordered) - 1))] if ordered else 0.0
 
 
-def usual_pace(usual: float, sustained: float) -> float:
+def smooth_baseline(usual: float, sustained: float) -> float:
     """Returns the usual pace after one more slice; it falls quickly and rises slowly.
 
     Args:
--- a/tests/test_lasting_pace.py
+++ b/tests/test_lasting_pace.py
@@ -10,7 +10,7 @@
     USUAL_SECONDS,
     ServiceTimeHistory,
     quick_mean,
-    usual_pace,
+    smooth_baseline,
     without_slowness,
 )
 from larkpost.gateway.proxy.slowness import (
@@ -74,7 +74,7 @@
     def test_usual_pace(self):
         for usual, sustained, expected in USUAL:
             with self.subTest(usual=usual, sustained=sustained):
-                self.assertAlmostEqual(expected, usual_pace(usual, sustained))
+                self.assertAlmostEqual(expected, smooth_baseline(usual, sustained))
 
     def test_slowness_taken_out(self):
         for case, seconds, slowness, quickest, slowest, expected in CORRECTIONS:
