--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -46,7 +46,7 @@
 
     objective_at: float
     end_at: float
-    usual_pace: float
+    default_service_time: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,7 +86,7 @@
             as long again, whatever the paces say.
         share_wait: seconds until its tenant's share has room for it.
     """
-    service_time = places.service_time or limits.usual_pace
+    service_time = places.service_time or limits.default_service_time
     wait = max(share_wait, _wait(places, service_time, ahead, blocked_for))
     is_untried = places.run_few_requests and not ahead and not blocked_for
     if _is_hopeless(places, limits, now, wait + service_time * MIN_SERVICE_TIME_SHARE, is_untried):
@@ -108,7 +108,7 @@
 
 def is_late_anyway(places: SlotCounts, limits: Limits, now: float) -> bool:
     """Returns whether a request would be late even if it got a place now."""
-    return now + (places.service_time or limits.usual_pace) > limits.objective_at
+    return now + (places.service_time or limits.default_service_time) > limits.objective_at
 
 
 def _wait(places: SlotCounts, service_time: float, ahead: int, blocked_for: float) -> float:
--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -105,7 +105,7 @@
         share_wait = 0.0
         if rank.is_over:
             waiter.standing = rank.standing
-            service_time = places.service_time or waiter.limits.usual_pace
+            service_time = places.service_time or waiter.limits.default_service_time
             of_flow = self._of_flow[waiter.flow] + elsewhere
             share_wait = wait_for_share(rank.standing, of_flow, service_time)
         return make_forecast(
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -207,5 +207,5 @@
     return Limits(
         objective_at=request.received_at - elapsed + route.objective,
         end_at=request.received_at + time_left,
-        usual_pace=route.objective * DEFAULT_SERVICE_TIME_SHARE,
+        default_service_time=route.objective * DEFAULT_SERVICE_TIME_SHARE,
     )
