--- a/src/larkpost/gateway/proxy/service_time_history.py
+++ b/src/larkpost/gateway/proxy/service_time_history.py
@@ -112,7 +112,7 @@
         return now - self.measured_at < SUSTAINED_SECONDS and bool(self._sustained)
 
     @property
-    def was_ill(self) -> bool:
+    def was_degraded(self) -> bool:
         """Whether the server was much slower than usual when it was last measured."""
         return self._sustained > ILL_RATIO * self._usual
 
--- a/src/larkpost/gateway/proxy/service_times.py
+++ b/src/larkpost/gateway/proxy/service_times.py
@@ -147,5 +147,5 @@
 
 def is_reported(history: ServiceTimeHistory, now: float) -> bool:
     """Returns whether a pace is reported: what is measured, and that an illness may be over."""
-    is_recovery = history.was_ill and now - history.measured_at < RECOVERY_SECONDS
+    is_recovery = history.was_degraded and now - history.measured_at < RECOVERY_SECONDS
     return history.is_measured(now) or is_recovery
--- a/tests/test_lasting_pace.py
+++ b/tests/test_lasting_pace.py
@@ -160,7 +160,7 @@
         self.now += 2 * USUAL_SECONDS
         self.history.record(self.now, FAST)
         self.assertFalse(self.history.is_measured(self.now))
-        self.assertFalse(self.history.was_ill)
+        self.assertFalse(self.history.was_degraded)
         self.assertEqual(0.0, self.history.service_time(self.now))
         self.measure(FAST, 1.0)
         self.assertAlmostEqual(FAST, self.history.service_time(self.now))
