--- a/src/larkpost/gateway/proxy/service_time_history.py
+++ b/src/larkpost/gateway/proxy/service_time_history.py
@@ -26,7 +26,7 @@
 SUSTAINED_SECONDS = 4.0
 """How long a sustained pace is believed after the last measurement; then the usual one counts, so
 that a server that was ill for a while is tried again."""
-ILL_RATIO = 1.25
+DEGRADED_RATIO = 1.25
 """Ratio of the sustained to the usual pace from which a server counts as ill."""
 USUAL_SECONDS = 180.0
 """How long the usual pace is believed after the last measurement."""
@@ -114,7 +114,7 @@
     @property
     def was_degraded(self) -> bool:
         """Whether the server was much slower than usual when it was last measured."""
-        return self._sustained > ILL_RATIO * self._usual
+        return self._sustained > DEGRADED_RATIO * self._usual
 
     def recent(self, now: float) -> float:
         """Returns what a unit of work took in the last whole slice; 0 if that is long ago."""
