--- a/tests/test_lasting_pace.py
+++ b/tests/test_lasting_pace.py
@@ -9,8 +9,8 @@
     SUSTAINED_SECONDS,
     USUAL_SECONDS,
     ServiceTimeHistory,
-    quick_mean,
     smooth_baseline,
+    sustained_mean,
     without_slowness,
 )
 from larkpost.gateway.proxy.slowness import (
@@ -69,7 +69,7 @@
     def test_sustained_pace(self):
         for case, means, expected in QUICK_MEANS:
             with self.subTest(case):
-                self.assertEqual(expected, quick_mean(means))
+                self.assertEqual(expected, sustained_mean(means))
 
     def test_usual_pace(self):
         for usual, sustained, expected in USUAL:
