--- a/src/larkpost/gateway/proxy/service_time_history.py
+++ b/src/larkpost/gateway/proxy/service_time_history.py
@@ -28,7 +28,7 @@
 that a server that was ill for a while is tried again."""
 DEGRADED_RATIO = 1.25
 """Ratio of the sustained to the usual pace from which a server counts as ill."""
-USUAL_SECONDS = 180.0
+BASELINE_LIFETIME_SECONDS = 180.0
 """How long the usual pace is believed after the last measurement."""
 FALL_SHARE = 0.3
 """Share of a slice in the usual pace if it was quicker."""
@@ -105,7 +105,7 @@
         """
         if self.is_measured(now):
             return self._sustained
-        return self._usual if now - self.measured_at < USUAL_SECONDS else 0.0
+        return self._usual if now - self.measured_at < BASELINE_LIFETIME_SECONDS else 0.0
 
     def is_measured(self, now: float) -> bool:
         """Returns whether the pace is the sustained one, of the last seconds."""
@@ -135,7 +135,7 @@
         self._drop_slices(now)
         if len(self._closed) < LEAST_SLICES:
             self._sustained = 0.0
-        if now - self._usual_at >= USUAL_SECONDS:
+        if now - self._usual_at >= BASELINE_LIFETIME_SECONDS:
             self._usual = 0.0
 
     def _drop_slices(self, now: float) -> None:
--- a/src/larkpost/gateway/scaling/census.py
+++ b/src/larkpost/gateway/scaling/census.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.blackboard.evacuations import Evacuations
 from larkpost.gateway.scaling.planner import ZoneServers
 
-USUAL_SECONDS = 60.0
+BASELINE_LIFETIME_SECONDS = 60.0
 """Seconds for which the most servers seen at once count as usual: longer than a release takes,
 shorter than an operator needs to change the size by hand and wonder."""
 
@@ -49,7 +49,7 @@
     ) -> ZoneServers:
         seen = self._seen.setdefault((service, zone), _Seen())
         seen.counts.append((now, len(ready)))
-        while seen.counts[0][0] < now - USUAL_SECONDS:
+        while seen.counts[0][0] < now - BASELINE_LIFETIME_SECONDS:
             seen.counts.popleft()
         usual = max(count for _, count in seen.counts)
         if len(ready) >= usual:
--- a/tests/test_lasting_pace.py
+++ b/tests/test_lasting_pace.py
@@ -4,10 +4,10 @@
 import unittest
 
 from larkpost.gateway.proxy.service_time_history import (
+    BASELINE_LIFETIME_SECONDS,
     RISE_SHARE,
     SLICE_LIFETIME_SECONDS,
     SUSTAINED_SECONDS,
-    USUAL_SECONDS,
     ServiceTimeHistory,
     smooth_baseline,
     sustained_mean,
@@ -133,8 +133,10 @@
 
     def test_usual_pace_outlasts_silence_and_ends(self):
         self.measure(SLOW, 3.0)
-        self.assertAlmostEqual(SLOW, self.history.service_time(self.now + USUAL_SECONDS - 1))
-        self.assertEqual(0.0, self.history.service_time(self.now + USUAL_SECONDS))
+        self.assertAlmostEqual(
+            SLOW, self.history.service_time(self.now + BASELINE_LIFETIME_SECONDS - 1)
+        )
+        self.assertEqual(0.0, self.history.service_time(self.now + BASELINE_LIFETIME_SECONDS))
 
     def test_server_that_stays_slow_becomes_usually_slow(self):
         self.measure(FAST, 5.0)
@@ -157,7 +159,7 @@
 
     def test_measurement_after_a_long_silence_makes_no_old_pace_new(self):
         self.measure(3 * FAST, 5.0)
-        self.now += 2 * USUAL_SECONDS
+        self.now += 2 * BASELINE_LIFETIME_SECONDS
         self.history.record(self.now, FAST)
         self.assertFalse(self.history.is_measured(self.now))
         self.assertFalse(self.history.was_degraded)
