--- a/src/larkpost/gateway/proxy/service_time_history.py
+++ b/src/larkpost/gateway/proxy/service_time_history.py
@@ -14,7 +14,7 @@
 
 SLICE_SECONDS = 0.25
 """Measurements of so long a time count as one: a burst must not count by how many runs it meets."""
-SLICES = 12
+MAX_SLICES = 12
 """Slices that are kept, at most: three seconds of a server in constant use."""
 LEAST_SLICES = 2
 """Slices before a pace is known: one may lie in a burst as a whole."""
@@ -77,7 +77,7 @@
     def __init__(self) -> None:
         self.measured_at = float("-inf")
         self._open: _Slice | None = None
-        self._closed: deque[_Slice] = deque(maxlen=SLICES)
+        self._closed: deque[_Slice] = deque(maxlen=MAX_SLICES)
         self._sustained = 0.0
         self._usual = 0.0
         self._usual_at = float("-inf")
--- a/src/larkpost/gateway/proxy/slowness.py
+++ b/src/larkpost/gateway/proxy/slowness.py
@@ -7,7 +7,7 @@
 
 from collections import deque
 
-from larkpost.gateway.proxy.service_time_history import SLICE_SECONDS, SLICES, sustained_mean
+from larkpost.gateway.proxy.service_time_history import MAX_SLICES, SLICE_SECONDS, sustained_mean
 
 SLOWNESS_SECONDS = 0.15
 """How long what a server said of its slowness is used; it changes many times a second."""
@@ -26,7 +26,7 @@
         self.said_at = float("-inf")
         self._said = 0.0
         self._kept_at = float("-inf")
-        self._kept: deque[float] = deque(maxlen=SLICES)
+        self._kept: deque[float] = deque(maxlen=MAX_SLICES)
         self._usual = 0.0
 
     @property
