--- a/src/larkpost/gateway/proxy/service_time_history.py
+++ b/src/larkpost/gateway/proxy/service_time_history.py
@@ -16,7 +16,7 @@
 """Measurements of so long a time count as one: a burst must not count by how many runs it meets."""
 MAX_SLICES = 12
 """Slices that are kept, at most: three seconds of a server in constant use."""
-LEAST_SLICES = 2
+MIN_SLICES = 2
 """Slices before a pace is known: one may lie in a burst as a whole."""
 SUSTAINED_RANK = 0.3
 """The slice of this rank, from the quickest, is the sustained pace. So bursts in up to two thirds
@@ -124,7 +124,7 @@
     def _close(self, closed: _Slice) -> None:
         self._drop_slices(closed.began_at)
         self._closed.append(closed)
-        if len(self._closed) < LEAST_SLICES:
+        if len(self._closed) < MIN_SLICES:
             return
         self._sustained = sustained_mean(slice_.corrected_mean for slice_ in self._closed)
         self._usual = smooth_baseline(self._usual, self._sustained)
@@ -133,7 +133,7 @@
     def _forget_old(self, now: float) -> None:
         """Forgets paces of long ago, which one new measurement must not make new."""
         self._drop_slices(now)
-        if len(self._closed) < LEAST_SLICES:
+        if len(self._closed) < MIN_SLICES:
             self._sustained = 0.0
         if now - self._usual_at >= BASELINE_LIFETIME_SECONDS:
             self._usual = 0.0
