--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.blackboard.directory import Directory
 from larkpost.gateway.blackboard.use_summary import UseSummary
 from larkpost.gateway.proxy.service_time_history import ServiceTimeHistory
-from larkpost.gateway.proxy.slowness import SaidSlowness
+from larkpost.gateway.proxy.slowness import ReportedSlowness
 from larkpost.gateway.servers.port import ServerLoad
 
 LOAD_LIFETIME_SECONDS = 1.0
@@ -40,7 +40,7 @@
         events: what events of the streams of items took there.
     """
 
-    slowness: SaidSlowness = field(default_factory=SaidSlowness)
+    slowness: ReportedSlowness = field(default_factory=ReportedSlowness)
     responses: ServiceTimeHistory = field(default_factory=ServiceTimeHistory)
     events: ServiceTimeHistory = field(default_factory=ServiceTimeHistory)
 
--- a/src/larkpost/gateway/proxy/slowness.py
+++ b/src/larkpost/gateway/proxy/slowness.py
@@ -15,7 +15,7 @@
 """By how much slower, or quicker, than usual a server is taken to be at most, without unit."""
 
 
-class SaidSlowness:
+class ReportedSlowness:
     """What one incarnation of a server has said of its slowness.
 
     Attributes:
--- a/tests/test_lasting_pace.py
+++ b/tests/test_lasting_pace.py
@@ -16,7 +16,7 @@
 from larkpost.gateway.proxy.slowness import (
     MAX_SLOWNESS,
     SLOWNESS_SECONDS,
-    SaidSlowness,
+    ReportedSlowness,
     believed_slowness,
 )
 
@@ -181,7 +181,7 @@
     """What a server says of itself, and for how long it is used."""
 
     def setUp(self):
-        self.slowness = SaidSlowness()
+        self.slowness = ReportedSlowness()
 
     def say(self, *said: float) -> None:
         """Has the server say its slowness once a second."""
