--- a/src/larkpost/gateway/proxy/service_times.py
+++ b/src/larkpost/gateway/proxy/service_times.py
@@ -41,7 +41,7 @@
     def at_this_moment(self, instance: InstanceId) -> float:
         """Returns the seconds that a short request takes now; 0 if that is not known."""
         figures = self._own.figures(instance)
-        if figures is None or not figures.slowness.is_said:
+        if figures is None or not figures.slowness.has_reports:
             return self._smoothed(instance)
         now = self._clock.now()
         lasting = self._known_lasting(instance, figures.responses)
@@ -53,7 +53,7 @@
         Such a pace has the network's latency in it.
         """
         figures = self._own.figures(instance)
-        if figures is None or not figures.slowness.is_said:
+        if figures is None or not figures.slowness.has_reports:
             return self._own.has_recent_response(instance)
         if not self._known_lasting(instance, figures.responses):
             return self._own.has_recent_response(instance)
--- a/src/larkpost/gateway/proxy/slowness.py
+++ b/src/larkpost/gateway/proxy/slowness.py
@@ -30,7 +30,7 @@
         self._usual = 0.0
 
     @property
-    def is_said(self) -> bool:
+    def has_reports(self) -> bool:
         """Whether the server ever said how slow it is."""
         return bool(self._kept)
 
--- a/tests/test_lasting_pace.py
+++ b/tests/test_lasting_pace.py
@@ -189,7 +189,7 @@
             self.slowness.record(float(second), figure)
 
     def test_server_that_says_nothing_is_as_usual(self):
-        self.assertFalse(self.slowness.is_said)
+        self.assertFalse(self.slowness.has_reports)
         self.assertEqual(1.0, self.slowness.factor(0.0))
 
     def test_slowness_is_used_for_a_moment_only(self):
