--- a/src/larkpost/gateway/proxy/slowness.py
+++ b/src/larkpost/gateway/proxy/slowness.py
@@ -23,7 +23,7 @@
     """
 
     def __init__(self) -> None:
-        self.said_at = float("-inf")
+        self.reported_at = float("-inf")
         self._said = 0.0
         self._kept_at = float("-inf")
         self._kept: deque[float] = deque(maxlen=MAX_SLICES)
@@ -41,7 +41,7 @@
             slowness: how many times as long as usual work takes there; above 0.
         """
         self._said = slowness
-        self.said_at = now
+        self.reported_at = now
         if now - self._kept_at >= SLICE_SECONDS:
             self._kept_at = now
             self._kept.append(slowness)
@@ -49,7 +49,7 @@
 
     def factor(self, now: float) -> float:
         """Returns how many times as long as usual work takes there now; 1 if that is not known."""
-        if now - self.said_at >= SLOWNESS_SECONDS:
+        if now - self.reported_at >= SLOWNESS_SECONDS:
             return 1.0
         return believed_slowness(self._said, self._usual)
 
