--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class SpeedFigures:
+class SpeedStats:
     """What this daemon has learnt of the speed of an instance.
 
     Attributes:
@@ -74,7 +74,7 @@
     pace_at: float = float("-inf")
     response_at: float = float("-inf")
     zone: ZoneId | None = None
-    figures: SpeedFigures | None = None
+    figures: SpeedStats | None = None
 
     def expect_refusal(self, now: float) -> None:
         """Has the instance asked with one request at a time until it takes one."""
@@ -121,16 +121,16 @@
         if load.slowness:
             self.figures_to_record(instance).slowness.record(use.load_at, load.slowness)
 
-    def figures(self, instance: InstanceId) -> SpeedFigures | None:
+    def figures(self, instance: InstanceId) -> SpeedStats | None:
         """Returns what is known of the speed of an instance; None if nothing is."""
         use = self._uses.get(instance)
         return use.figures if use is not None else None
 
-    def figures_to_record(self, instance: InstanceId) -> SpeedFigures:
+    def figures_to_record(self, instance: InstanceId) -> SpeedStats:
         """Returns the figures of an instance, to record in them."""
         use = self.of(instance)
         if use.figures is None:
-            use.figures = SpeedFigures()
+            use.figures = SpeedStats()
         return use.figures
 
     def measured(self) -> list[InstanceId]:
--- a/src/larkpost/gateway/proxy/service_times.py
+++ b/src/larkpost/gateway/proxy/service_times.py
@@ -9,7 +9,7 @@
 from larkpost.common.clock import Clock
 from larkpost.common.ids import DaemonId, InstanceId
 from larkpost.gateway.blackboard.directory import Directory
-from larkpost.gateway.proxy.instance_use import OwnUse, SpeedFigures
+from larkpost.gateway.proxy.instance_use import OwnUse, SpeedStats
 from larkpost.gateway.proxy.peer_use import PeerUses
 from larkpost.gateway.proxy.reported_service_times import ReportedServiceTimes
 from larkpost.gateway.proxy.service_time_history import ServiceTimeHistory
@@ -140,7 +140,7 @@
                 return round(history.service_time(now), REPORTED_DIGITS)
         return None
 
-    def _record(self, figures: SpeedFigures, history: ServiceTimeHistory, seconds: float) -> None:
+    def _record(self, figures: SpeedStats, history: ServiceTimeHistory, seconds: float) -> None:
         now = self._clock.now()
         history.record(now, seconds, figures.slowness.factor(now))
 
