--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -74,7 +74,7 @@
     pace_at: float = float("-inf")
     response_at: float = float("-inf")
     zone: ZoneId | None = None
-    figures: SpeedStats | None = None
+    speed_stats: SpeedStats | None = None
 
     def expect_refusal(self, now: float) -> None:
         """Has the instance asked with one request at a time until it takes one."""
@@ -121,21 +121,21 @@
         if load.slowness:
             self.figures_to_record(instance).slowness.record(use.load_at, load.slowness)
 
-    def figures(self, instance: InstanceId) -> SpeedStats | None:
+    def speed_stats(self, instance: InstanceId) -> SpeedStats | None:
         """Returns what is known of the speed of an instance; None if nothing is."""
         use = self._uses.get(instance)
-        return use.figures if use is not None else None
+        return use.speed_stats if use is not None else None
 
     def figures_to_record(self, instance: InstanceId) -> SpeedStats:
         """Returns the figures of an instance, to record in them."""
         use = self.of(instance)
-        if use.figures is None:
-            use.figures = SpeedStats()
-        return use.figures
+        if use.speed_stats is None:
+            use.speed_stats = SpeedStats()
+        return use.speed_stats
 
     def measured(self) -> list[InstanceId]:
         """Returns the instances of whose speed something is known."""
-        return [name for name, use in self._uses.items() if use.figures is not None]
+        return [name for name, use in self._uses.items() if use.speed_stats is not None]
 
     def record_service_time(self, instance: InstanceId, seconds: float, weight: float) -> None:
         """Records the time that a unit of work took.
--- a/src/larkpost/gateway/proxy/service_times.py
+++ b/src/larkpost/gateway/proxy/service_times.py
@@ -40,47 +40,47 @@
 
     def at_this_moment(self, instance: InstanceId) -> float:
         """Returns the seconds that a short request takes now; 0 if that is not known."""
-        figures = self._own.figures(instance)
-        if figures is None or not figures.slowness.has_reports:
+        speed_stats = self._own.speed_stats(instance)
+        if speed_stats is None or not speed_stats.slowness.has_reports:
             return self._smoothed(instance)
         now = self._clock.now()
-        lasting = self._known_lasting(instance, figures.responses)
-        return lasting * figures.slowness.factor(now) or self._smoothed(instance)
+        lasting = self._known_lasting(instance, speed_stats.responses)
+        return lasting * speed_stats.slowness.factor(now) or self._smoothed(instance)
 
     def has_latency(self, instance: InstanceId) -> bool:
         """Returns whether the pace of this moment is of this daemon's own responses.
 
         Such a pace has the network's latency in it.
         """
-        figures = self._own.figures(instance)
-        if figures is None or not figures.slowness.has_reports:
+        speed_stats = self._own.speed_stats(instance)
+        if speed_stats is None or not speed_stats.slowness.has_reports:
             return self._own.has_recent_response(instance)
-        if not self._known_lasting(instance, figures.responses):
+        if not self._known_lasting(instance, speed_stats.responses):
             return self._own.has_recent_response(instance)
-        return self._is_own_best(instance, figures.responses)
+        return self._is_own_best(instance, speed_stats.responses)
 
     def lasting(self, instance: InstanceId) -> float:
         """Returns the seconds that an event of an item takes, bursts taken out; 0 if not known."""
-        figures = self._own.figures(instance)
-        history = figures.events if figures is not None else None
+        speed_stats = self._own.speed_stats(instance)
+        history = speed_stats.events if speed_stats is not None else None
         return self._known_lasting(instance, history) or self._smoothed(instance)
 
     def recent(self, engine: InstanceId) -> float:
         """Returns what an event took here in the last quarter of a second; 0 if not measured."""
-        figures = self._own.figures(engine)
-        return figures.events.recent(self._clock.now()) if figures is not None else 0.0
+        speed_stats = self._own.speed_stats(engine)
+        return speed_stats.events.recent(self._clock.now()) if speed_stats is not None else 0.0
 
     # What requests show.
 
     def record_response(self, instance: InstanceId, seconds: float) -> None:
         """Records what the whole response to a short request took."""
-        figures = self._own.figures_to_record(instance)
-        self._record(figures, figures.responses, seconds)
+        speed_stats = self._own.figures_to_record(instance)
+        self._record(speed_stats, speed_stats.responses, seconds)
 
     def record_event(self, engine: InstanceId, seconds: float) -> None:
         """Records what an event of an item took."""
-        figures = self._own.figures_to_record(engine)
-        self._record(figures, figures.events, seconds)
+        speed_stats = self._own.figures_to_record(engine)
+        self._record(speed_stats, speed_stats.events, seconds)
 
     # What daemons report to each other.
 
@@ -131,18 +131,18 @@
 
         Where items and short requests go to the same server, it is that of the items.
         """
-        figures = self._own.figures(instance)
-        if figures is None or not self._directory.takes_work(instance):
+        speed_stats = self._own.speed_stats(instance)
+        if speed_stats is None or not self._directory.takes_work(instance):
             return None
         now = self._clock.now()
-        for history in (figures.events, figures.responses):
+        for history in (speed_stats.events, speed_stats.responses):
             if is_reported(history, now):
                 return round(history.service_time(now), REPORTED_DIGITS)
         return None
 
-    def _record(self, figures: SpeedStats, history: ServiceTimeHistory, seconds: float) -> None:
+    def _record(self, speed_stats: SpeedStats, history: ServiceTimeHistory, seconds: float) -> None:
         now = self._clock.now()
-        history.record(now, seconds, figures.slowness.factor(now))
+        history.record(now, seconds, speed_stats.slowness.factor(now))
 
 
 def is_reported(history: ServiceTimeHistory, now: float) -> bool:
