--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -119,14 +119,14 @@
         use.others = max(0, load.running + load.waiting - use.outstanding)
         use.load_at = self._clock.now()
         if load.slowness:
-            self.figures_to_record(instance).slowness.record(use.load_at, load.slowness)
+            self.ensure_speed_stats(instance).slowness.record(use.load_at, load.slowness)
 
     def speed_stats(self, instance: InstanceId) -> SpeedStats | None:
         """Returns what is known of the speed of an instance; None if nothing is."""
         use = self._uses.get(instance)
         return use.speed_stats if use is not None else None
 
-    def figures_to_record(self, instance: InstanceId) -> SpeedStats:
+    def ensure_speed_stats(self, instance: InstanceId) -> SpeedStats:
         """Returns the figures of an instance, to record in them."""
         use = self.of(instance)
         if use.speed_stats is None:
--- a/src/larkpost/gateway/proxy/service_times.py
+++ b/src/larkpost/gateway/proxy/service_times.py
@@ -74,12 +74,12 @@
 
     def record_response(self, instance: InstanceId, seconds: float) -> None:
         """Records what the whole response to a short request took."""
-        speed_stats = self._own.figures_to_record(instance)
+        speed_stats = self._own.ensure_speed_stats(instance)
         self._record(speed_stats, speed_stats.responses, seconds)
 
     def record_event(self, engine: InstanceId, seconds: float) -> None:
         """Records what an event of an item took."""
-        speed_stats = self._own.figures_to_record(engine)
+        speed_stats = self._own.ensure_speed_stats(engine)
         self._record(speed_stats, speed_stats.events, seconds)
 
     # What daemons report to each other.
