--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Prospect:
+class QueueForecast:
     """What a request that has just come may expect.
 
     Attributes:
@@ -130,7 +130,7 @@
     def __len__(self) -> int:
         return sum(len(queue.waiters) for queue in self._queues.values())
 
-    def forecast(self, waiter: Waiter, places: SlotCounts | None = None) -> Prospect:
+    def forecast(self, waiter: Waiter, places: SlotCounts | None = None) -> QueueForecast:
         """Returns what a request may expect that is not in its queue.
 
         Args:
@@ -150,7 +150,7 @@
         if forecast.is_hopeless and places.total and now < waiter.limits.end_at:
             self._record_missed(waiter)
         must_wait = not places.are_mostly_free and (line.length > 0 or rank.is_over)
-        return Prospect(forecast, must_wait, rank.is_over, places)
+        return QueueForecast(forecast, must_wait, rank.is_over, places)
 
     async def wait_for_turn(self, waiter: Waiter) -> Forecast:
         """Waits until a request may try the servers, or is hopeless."""
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -24,7 +24,7 @@
 from larkpost.gateway.proxy.elapsed_time import ElapsedTimes
 from larkpost.gateway.proxy.forecast import LEAST_RETRY_SECONDS, Limits, forecast_unreachable
 from larkpost.gateway.proxy.request import ClientRequest
-from larkpost.gateway.proxy.request_queue import Prospect, RequestQueues
+from larkpost.gateway.proxy.request_queue import QueueForecast, RequestQueues
 from larkpost.gateway.proxy.retry_spreading import SpreadReturns
 from larkpost.gateway.proxy.share_record import ShareOutcome, ShareRecord
 from larkpost.gateway.proxy.slot_counts import SlotCounts, count_slots
@@ -156,7 +156,7 @@
             attempts.quarantine = QuarantineState.TRIAL
         return attempts.is_trial
 
-    def _prospect(self, request: ClientRequest, waiter: Waiter) -> Prospect:
+    def _prospect(self, request: ClientRequest, waiter: Waiter) -> QueueForecast:
         """Returns what a request may expect, after a look at how few of its flow are served."""
         prospect = self._queues.forecast(waiter)
         waiter.is_passed = self._least_service.admit(waiter.flow, is_over=prospect.is_over)
--- a/tests/test_fair_load.py
+++ b/tests/test_fair_load.py
@@ -26,7 +26,7 @@
 from larkpost.gateway.proxy.forecast import Limits
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.request import ClientRequest, RefusedError
-from larkpost.gateway.proxy.request_queue import POLL_INTERVAL_SECONDS, Prospect, RequestQueues
+from larkpost.gateway.proxy.request_queue import POLL_INTERVAL_SECONDS, QueueForecast, RequestQueues
 from larkpost.gateway.proxy.slot_counts import SlotCounts
 from larkpost.gateway.proxy.waiter import Waiter
 from tests.platform_fleet import ENGINES, PAGES, PlatformFleet
@@ -409,7 +409,7 @@
         self.assertLess(seconds, 2 * POLL_INTERVAL_SECONDS)
 
     def test_it_is_refused_at_once_if_its_share_has_no_room_in_its_time(self):
-        async def play() -> Prospect:
+        async def play() -> QueueForecast:
             clock = LoopClock()
             ledger = FlowLedger(clock)
             reported = {HEAVY_FLOW: TenantUse(6, 30), LIGHT_FLOW: TenantUse(1, 30)}
