--- a/src/larkpost/gateway/fairness/share_rule.py
+++ b/src/larkpost/gateway/fairness/share_rule.py
@@ -38,7 +38,7 @@
     places: int
 
     @property
-    def is_over(self) -> bool:
+    def is_over_share(self) -> bool:
         """Whether its next request has to let others go first."""
         return self.ahead > 0 and self.use >= self.share
 
@@ -87,7 +87,7 @@
         flow_ahead: requests of the same flow that wait and come first.
         pace: seconds that a request takes at a server.
     """
-    if not standing.is_over:
+    if not standing.is_over_share:
         return 0.0
     missing = standing.use + flow_ahead + 1 - standing.share
     return max(0.0, missing) * service_time / max(LEAST_SHARE_PLACES, standing.share)
--- a/src/larkpost/gateway/fairness/starvation_guard.py
+++ b/src/larkpost/gateway/fairness/starvation_guard.py
@@ -69,13 +69,13 @@
         self._credits: dict[Flow, _Credit] = {}
         """The flow whose last request is the oldest comes first."""
 
-    def admit(self, flow: Flow, *, is_over: bool) -> bool:
+    def admit(self, flow: Flow, *, is_over_share: bool) -> bool:
         """Counts a request, and returns whether it passes though its flow is beyond its share."""
         counts = self._counts(flow.group.service)
         counts.asked += 1
         credit = self._take_credit(flow)
         credit.add(LEAST_RELATIVE_SERVICE * counts.placed_part())
-        is_passed = is_over and credit.amount >= 1.0
+        is_passed = is_over_share and credit.amount >= 1.0
         if is_passed:
             credit.add(-1.0)
         return is_passed
--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -30,9 +30,9 @@
     standing: Standing | None
 
     @property
-    def is_over(self) -> bool:
+    def is_over_share(self) -> bool:
         """Whether the request is beyond its flow's share."""
-        return self.standing is not None and self.standing.is_over
+        return self.standing is not None and self.standing.is_over_share
 
 
 class FairOrder:
@@ -49,7 +49,7 @@
         standing = self._standing(waiter, places)
         key = (
             waiter.priority,
-            standing is not None and standing.is_over,
+            standing is not None and standing.is_over_share,
             not waiter.is_back,
             is_late_anyway(places, waiter.limits, self._now),
             waiter.limits.end_at,
@@ -97,10 +97,10 @@
         Behind one that lets others go first no less urgent one may try: it would take their place.
         Those that are beyond their shares too, and have been held for long, may.
         """
-        if rank.is_over and self._is_held(waiter):
+        if rank.is_over_share and self._is_held(waiter):
             self._is_yielding = True
             return False
-        if self._left <= 0 or (self._is_yielding and not rank.is_over):
+        if self._left <= 0 or (self._is_yielding and not rank.is_over_share):
             return False
         self._left -= 1
         waiter.held_since = None
--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -57,7 +57,7 @@
 
     forecast: Forecast
     must_wait: bool
-    is_over: bool
+    is_over_share: bool
     places: SlotCounts
 
 
@@ -103,7 +103,7 @@
             elsewhere: requests of its flow that come before it at other daemons.
         """
         share_wait = 0.0
-        if rank.is_over:
+        if rank.is_over_share:
             waiter.standing = rank.standing
             service_time = places.service_time or waiter.limits.default_service_time
             of_flow = self._of_flow[waiter.flow] + elsewhere
@@ -149,8 +149,8 @@
         forecast = line.forecast(waiter, rank, places, elsewhere)
         if forecast.is_hopeless and places.total and now < waiter.limits.end_at:
             self._record_missed(waiter)
-        must_wait = not places.are_mostly_free and (line.length > 0 or rank.is_over)
-        return QueueForecast(forecast, must_wait, rank.is_over, places)
+        must_wait = not places.are_mostly_free and (line.length > 0 or rank.is_over_share)
+        return QueueForecast(forecast, must_wait, rank.is_over_share, places)
 
     async def wait_for_turn(self, waiter: Waiter) -> Forecast:
         """Waits until a request may try the servers, or is hopeless."""
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -159,7 +159,9 @@
     def _prospect(self, request: ClientRequest, waiter: Waiter) -> QueueForecast:
         """Returns what a request may expect, after a look at how few of its flow are served."""
         prospect = self._queues.forecast(waiter)
-        waiter.is_passed = self._least_service.admit(waiter.flow, is_over=prospect.is_over)
+        waiter.is_passed = self._least_service.admit(
+            waiter.flow, is_over_share=prospect.is_over_share
+        )
         if not waiter.is_passed:
             return prospect
         self._share_record.record(request, waiter, ShareOutcome.PASSED)
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -84,17 +84,17 @@
     def test_it_lets_the_others_go_first(self):
         shares = share_out(self.uses(), free=0)
         heavy = shares.standing(HEAVY)
-        self.assertTrue(heavy.is_over)
+        self.assertTrue(heavy.is_over_share)
         self.assertLess(heavy.share, 1.0)
         self.assertEqual(5, heavy.ahead)  # those without a place; the others have their share
-        self.assertFalse(shares.standing(flow("t9")).is_over)
+        self.assertFalse(shares.standing(flow("t9")).is_over_share)
 
     def test_it_gets_what_the_others_leave(self):
         uses = {flow(f"t{number}"): TenantUse(1, 0) for number in range(3)}
         shares = share_out(uses | {HEAVY: TenantUse(7, 5)}, free=0)
         heavy = shares.standing(HEAVY)
         self.assertEqual(7.0, heavy.share)
-        self.assertFalse(heavy.is_over)
+        self.assertFalse(heavy.is_over_share)
 
     def test_whoever_is_beyond_its_share_has_others_before_it_for_all_free_places(self):
         """So a free place is never refused to it for nobody."""
@@ -108,8 +108,8 @@
             free = chance.randrange(8)
             shares = share_out(uses, free)
             for standing in map(shares.standing, names):
-                seen += standing.is_over
-                self.assertTrue(not standing.is_over or standing.ahead >= free)
+                seen += standing.is_over_share
+                self.assertTrue(not standing.is_over_share or standing.ahead >= free)
         self.assertGreater(seen, 100)
 
     def test_its_forecast_grows_with_its_own_requests_alone(self):
@@ -121,11 +121,11 @@
         self.assertEqual(0.0, wait_for_share(light, 0, PACE))
 
     def test_tenant_alone_is_never_beyond_its_share(self):
-        self.assertFalse(share_out({HEAVY: TenantUse(9, 90)}, free=0).standing(HEAVY).is_over)
+        self.assertFalse(share_out({HEAVY: TenantUse(9, 90)}, free=0).standing(HEAVY).is_over_share)
 
     def test_nobody_is_beyond_its_share_while_no_request_waits(self):
         uses = {HEAVY: TenantUse(9, 0), LIGHT: TenantUse(1, 0)}
-        self.assertFalse(share_out(uses, free=2).standing(HEAVY).is_over)
+        self.assertFalse(share_out(uses, free=2).standing(HEAVY).is_over_share)
 
 
 class BurstTest(unittest.TestCase):
@@ -134,15 +134,15 @@
     def test_tenants_that_ask_as_usual_are_not_beyond_their_shares_in_a_burst_of_another(self):
         usual = {flow(f"t{number}"): TenantUse(1, 1) for number in range(4)}
         shares = share_out(usual | {HEAVY: TenantUse(12, 80)}, free=0)
-        self.assertTrue(shares.standing(HEAVY).is_over)
+        self.assertTrue(shares.standing(HEAVY).is_over_share)
         for name in usual:
-            self.assertFalse(shares.standing(name).is_over)
+            self.assertFalse(shares.standing(name).is_over_share)
 
     def test_in_a_burst_of_all_the_shares_are_equal(self):
         uses = {flow(f"t{number}"): TenantUse(2, 20) for number in range(5)}
         shares = share_out(uses, free=0)
         self.assertEqual(2.0, shares.level)
-        self.assertFalse(any(shares.standing(name).is_over for name in uses))
+        self.assertFalse(any(shares.standing(name).is_over_share for name in uses))
 
     def test_credit_serves_the_greatest_tenant_a_third_as_often_as_all(self):
         """A tenth of the requests find a place, and its share alone would give it none."""
@@ -154,7 +154,7 @@
             asked = 2000
             for number in range(asked):
                 await clock.sleep(0.01)
-                passed += least.admit(HEAVY, is_over=True)
+                passed += least.admit(HEAVY, is_over_share=True)
                 if number % 10 == 0:
                     least.record_placed(LIGHT, is_passed=False)
             part = passed / asked
@@ -167,21 +167,21 @@
         async def play():
             least = LeastService(LoopClock(), random.Random(5))
             for _ in range(100):
-                least.admit(HEAVY, is_over=False)
+                least.admit(HEAVY, is_over_share=False)
                 least.record_placed(HEAVY, is_passed=False)
-            self.assertLessEqual(sum(least.admit(HEAVY, is_over=True) for _ in range(3)), 1)
+            self.assertLessEqual(sum(least.admit(HEAVY, is_over_share=True) for _ in range(3)), 1)
 
         run(play())
 
     def test_credit_of_a_request_that_was_refused_is_for_the_next(self):
         async def play():
             least = LeastService(LoopClock(), random.Random(5))
-            while not least.admit(HEAVY, is_over=True):
+            while not least.admit(HEAVY, is_over_share=True):
                 pass
             least.record_unplaced(HEAVY)
-            self.assertTrue(least.admit(HEAVY, is_over=True))
+            self.assertTrue(least.admit(HEAVY, is_over_share=True))
             least.record_placed(HEAVY, is_passed=True)
-            self.assertFalse(least.admit(HEAVY, is_over=True))
+            self.assertFalse(least.admit(HEAVY, is_over_share=True))
 
         run(play())
 
@@ -189,9 +189,9 @@
         async def play():
             clock = LoopClock()
             least = LeastService(clock, random.Random(5))
-            least.admit(HEAVY, is_over=False)
+            least.admit(HEAVY, is_over_share=False)
             await clock.sleep(4 * 3600.0)
-            self.assertFalse(least.admit(LIGHT, is_over=False))
+            self.assertFalse(least.admit(LIGHT, is_over_share=False))
 
         run(play())
 
@@ -203,7 +203,7 @@
             for seed in range(daemons):
                 least = LeastService(clock, random.Random(seed))
                 least.record_placed(LIGHT, is_passed=False)
-                passed += least.admit(HEAVY, is_over=True)
+                passed += least.admit(HEAVY, is_over_share=True)
             self.assertGreater(passed / daemons, STARVED_PART)
 
         run(play())
@@ -224,14 +224,14 @@
                 held.enter_context(near.waiting(LIGHT))
                 alone = share_out(near.uses(GROUP), free=0)
                 self.assertEqual(1, alone.standing(HEAVY).use)
-                self.assertFalse(share_out(far.uses(GROUP), free=0).standing(HEAVY).is_over)
+                self.assertFalse(share_out(far.uses(GROUP), free=0).standing(HEAVY).is_over_share)
                 near.record_report("far", far.report())
                 far.record_report("near", near.report())
                 for ledger in (near, far):
                     standing = share_out(ledger.uses(GROUP), free=0).standing(HEAVY)
                     self.assertEqual(4, standing.use)
                     self.assertEqual(1, standing.ahead)
-                    self.assertTrue(standing.is_over)
+                    self.assertTrue(standing.is_over_share)
 
         run(play())
 
