--- a/src/larkpost/gateway/fairness/starvation_guard.py
+++ b/src/larkpost/gateway/fairness/starvation_guard.py
@@ -75,15 +75,15 @@
         counts.asked += 1
         credit = self._take_credit(flow)
         credit.add(LEAST_RELATIVE_SERVICE * counts.placed_part())
-        is_passed = is_over_share and credit.amount >= 1.0
-        if is_passed:
+        is_share_exempt = is_over_share and credit.amount >= 1.0
+        if is_share_exempt:
             credit.add(-1.0)
-        return is_passed
+        return is_share_exempt
 
-    def record_placed(self, flow: Flow, *, is_passed: bool) -> None:
+    def record_placed(self, flow: Flow, *, is_share_exempt: bool) -> None:
         """Counts a request that found a place; one that was not let through takes up credit now."""
         self._counts(flow.group.service).placed += 1
-        if not is_passed and flow in self._credits:
+        if not is_share_exempt and flow in self._credits:
             self._credits[flow].add(-1.0)
 
     def record_unplaced(self, flow: Flow) -> None:
--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -59,7 +59,7 @@
 
     def _standing(self, waiter: Waiter, places: SlotCounts) -> Standing | None:
         """Returns where a request's flow stands; None if shares do not matter for the request."""
-        if waiter.is_passed or places.are_mostly_free:
+        if waiter.is_share_exempt or places.are_mostly_free:
             return None
         known = (waiter.flow, places.free)
         standing = self._standings.get(known)
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -131,7 +131,7 @@
     def record_taken(self, waiter: Waiter) -> None:
         """Records that a server had a place for a request."""
         self._queues.record_taken(waiter.service)
-        self._least_service.record_placed(waiter.flow, is_passed=waiter.is_passed)
+        self._least_service.record_placed(waiter.flow, is_share_exempt=waiter.is_share_exempt)
 
     def record_released(self, instance: InstanceId) -> None:
         """Records that a request of this daemon has ended at an instance."""
@@ -159,10 +159,10 @@
     def _prospect(self, request: ClientRequest, waiter: Waiter) -> QueueForecast:
         """Returns what a request may expect, after a look at how few of its flow are served."""
         prospect = self._queues.forecast(waiter)
-        waiter.is_passed = self._least_service.admit(
+        waiter.is_share_exempt = self._least_service.admit(
             waiter.flow, is_over_share=prospect.is_over_share
         )
-        if not waiter.is_passed:
+        if not waiter.is_share_exempt:
             return prospect
         self._share_record.record(request, waiter, ShareOutcome.PASSED)
         return self._queues.forecast(waiter, prospect.places)
@@ -177,7 +177,7 @@
 
     def _return_credit(self, waiter: Waiter) -> None:
         """Gives the credit back of a request that was let through and finds no place."""
-        if waiter.is_passed:
+        if waiter.is_share_exempt:
             self._least_service.record_unplaced(waiter.flow)
 
     def _waiter(self, request: ClientRequest, route: Route) -> Waiter:
--- a/src/larkpost/gateway/proxy/share_record.py
+++ b/src/larkpost/gateway/proxy/share_record.py
@@ -30,9 +30,9 @@
     def record(self, request: ClientRequest, waiter: Waiter, outcome: ShareOutcome) -> None:
         """Records what became of a request, if it was beyond its share; a hold only once."""
         is_again = outcome is ShareOutcome.HELD and waiter.is_recorded
-        is_passed = outcome is ShareOutcome.PASSED
+        is_share_exempt = outcome is ShareOutcome.PASSED
         standing = waiter.standing
-        if standing is None or is_again or waiter.is_passed != is_passed:
+        if standing is None or is_again or waiter.is_share_exempt != is_share_exempt:
             return
         waiter.is_recorded = True
         self._metrics.count(Count.SHARES, waiter.service, outcome)
--- a/src/larkpost/gateway/proxy/waiter.py
+++ b/src/larkpost/gateway/proxy/waiter.py
@@ -38,7 +38,7 @@
     since: float
     flow_name: str = ""
     is_back: bool = False
-    is_passed: bool = False
+    is_share_exempt: bool = False
     standing: Standing | None = None
     held_since: float | None = None
     is_recorded: bool = False
@@ -53,4 +53,4 @@
     @property
     def has_yielded(self) -> bool:
         """Whether it had to let others go first because of its flow's share."""
-        return self.standing is not None and not self.is_passed
+        return self.standing is not None and not self.is_share_exempt
--- a/tests/test_fair_load.py
+++ b/tests/test_fair_load.py
@@ -516,7 +516,7 @@
                 attempts, must_wait = gate.begin(
                     replace(request, received_at=self.clock.now()), ROUTE
                 )
-                if attempts.waiter.is_passed:
+                if attempts.waiter.is_share_exempt:
                     passed.append(number)
                 turn = asyncio.create_task(gate.may_try(attempts, must_wait=True))
                 await self.clock.sleep(0)
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -156,7 +156,7 @@
                 await clock.sleep(0.01)
                 passed += least.admit(HEAVY, is_over_share=True)
                 if number % 10 == 0:
-                    least.record_placed(LIGHT, is_passed=False)
+                    least.record_placed(LIGHT, is_share_exempt=False)
             part = passed / asked
             self.assertGreater(part, STARVED_PART * 0.1)
             self.assertLess(part, 1.2 * LEAST_RELATIVE_SERVICE * 0.1)
@@ -168,7 +168,7 @@
             least = LeastService(LoopClock(), random.Random(5))
             for _ in range(100):
                 least.admit(HEAVY, is_over_share=False)
-                least.record_placed(HEAVY, is_passed=False)
+                least.record_placed(HEAVY, is_share_exempt=False)
             self.assertLessEqual(sum(least.admit(HEAVY, is_over_share=True) for _ in range(3)), 1)
 
         run(play())
@@ -180,7 +180,7 @@
                 pass
             least.record_unplaced(HEAVY)
             self.assertTrue(least.admit(HEAVY, is_over_share=True))
-            least.record_placed(HEAVY, is_passed=True)
+            least.record_placed(HEAVY, is_share_exempt=True)
             self.assertFalse(least.admit(HEAVY, is_over_share=True))
 
         run(play())
@@ -202,7 +202,7 @@
             passed = 0
             for seed in range(daemons):
                 least = LeastService(clock, random.Random(seed))
-                least.record_placed(LIGHT, is_passed=False)
+                least.record_placed(LIGHT, is_share_exempt=False)
                 passed += least.admit(HEAVY, is_over_share=True)
             self.assertGreater(passed / daemons, STARVED_PART)
 
