--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -50,7 +50,7 @@
         key = (
             waiter.priority,
             standing is not None and standing.is_over_share,
-            not waiter.is_back,
+            not waiter.is_retry,
             is_late_anyway(places, waiter.limits, self._now),
             waiter.limits.end_at,
             waiter.since,
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -190,7 +190,7 @@
             _limits(request, route, elapsed),
             request.received_at - elapsed,
             request.tenant or route_flow_name(route.name),
-            is_back=elapsed >= LEAST_RETRY_SECONDS,
+            is_retry=elapsed >= LEAST_RETRY_SECONDS,
         )
 
     def _survey(self, service: ServiceName, work: Work) -> SlotCounts:
--- a/src/larkpost/gateway/proxy/waiter.py
+++ b/src/larkpost/gateway/proxy/waiter.py
@@ -37,7 +37,7 @@
     limits: Limits
     since: float
     flow_name: str = ""
-    is_back: bool = False
+    is_retry: bool = False
     is_share_exempt: bool = False
     standing: Standing | None = None
     held_since: float | None = None
--- a/tests/test_fair_load.py
+++ b/tests/test_fair_load.py
@@ -326,8 +326,8 @@
 
             async def wait(name: str, first_tried: float) -> None:
                 limits = Limits(first_tried + 0.05, first_tried + 20.0, PACE)
-                is_back = first_tried < 0
-                waiter = Waiter(PAGES, CLIENT_WORK, 0, limits, first_tried, name, is_back=is_back)
+                is_retry = first_tried < 0
+                waiter = Waiter(PAGES, CLIENT_WORK, 0, limits, first_tried, name, is_retry=is_retry)
                 await queues.wait_for_turn(waiter)
                 called.append(name)
 
@@ -371,16 +371,16 @@
             ledger.record_report(DaemonId("far"), reported)
             queues = RequestQueues(clock, lambda *_: SlotCounts(8, 7, PACE), ledger)
 
-            async def wait(*, is_back: bool) -> float:
+            async def wait(*, is_retry: bool) -> float:
                 limits = Limits(1.0, 5.0, PACE)
-                waiter = Waiter(PAGES, CLIENT_WORK, 1, limits, 0.0, "heavy", is_back=is_back)
+                waiter = Waiter(PAGES, CLIENT_WORK, 1, limits, 0.0, "heavy", is_retry=is_retry)
                 await queues.wait_for_turn(waiter)
                 return clock.now()
 
-            first = asyncio.create_task(wait(is_back=False))
+            first = asyncio.create_task(wait(is_retry=False))
             while not first.done():
                 await clock.sleep(MOST_HOLD_SECONDS / 5)
-                asyncio.create_task(wait(is_back=True))
+                asyncio.create_task(wait(is_retry=True))
             return first.result()
 
         self.assertLess(run(play()), 2 * MOST_HOLD_SECONDS)
