--- a/src/larkpost/gateway/proxy/waiter.py
+++ b/src/larkpost/gateway/proxy/waiter.py
@@ -51,6 +51,6 @@
         self.flow = Flow(FlowGroup(self.service, self.priority), self.flow_name)
 
     @property
-    def has_yielded(self) -> bool:
+    def was_over_share(self) -> bool:
         """Whether it had to let others go first because of its flow's share."""
         return self.standing is not None and not self.is_share_exempt
