--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -243,9 +243,9 @@
 
     def _record_missed(self, waiter: Waiter) -> None:
         """Records, once, that a request finds no place in its time."""
-        if waiter.has_missed:
+        if waiter.missed_objective:
             return
-        waiter.has_missed = True
+        waiter.missed_objective = True
         self._shortage.record_missed(waiter.service)
         if self._shortage.lasts(waiter.service):
             self._ledger.record_shortage(waiter.service)
--- a/src/larkpost/gateway/proxy/waiter.py
+++ b/src/larkpost/gateway/proxy/waiter.py
@@ -43,7 +43,7 @@
     held_since: float | None = None
     is_recorded: bool = False
     call: asyncio.Future[Forecast] | None = None
-    has_missed: bool = False
+    missed_objective: bool = False
     share_count: ExitStack | None = None
     flow: Flow = field(init=False)
 
