--- a/src/larkpost/gateway/fairness/share_rule.py
+++ b/src/larkpost/gateway/fairness/share_rule.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class FlowShare:
     """Where a flow stands in its group.
 
     Attributes:
@@ -59,12 +59,12 @@
     below: int
     places: int
 
-    def standing(self, flow: Flow) -> Standing:
+    def standing(self, flow: Flow) -> FlowShare:
         """Returns where a flow stands that has, or is about to have, a request that waits."""
         use = self.uses.get(flow, NO_USE)
         demand = use.running + max(1, use.waiting)
         ahead = self.below - _waiting_below(use, self.level)
-        return Standing(min(demand, self.level), use.running, use.waiting, ahead, self.places)
+        return FlowShare(min(demand, self.level), use.running, use.waiting, ahead, self.places)
 
 
 def share_out(uses: Mapping[Flow, TenantUse], free: int) -> GroupShares:
@@ -80,7 +80,7 @@
     return GroupShares(uses, level, below, places)
 
 
-def wait_for_share(standing: Standing, flow_ahead: int, service_time: float) -> float:
+def wait_for_share(standing: FlowShare, flow_ahead: int, service_time: float) -> float:
     """Returns the seconds until a flow's share has room for one more request.
 
     Args:
--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -12,7 +12,7 @@
 
 from larkpost.gateway.blackboard.daemon_report import Flow, FlowGroup
 from larkpost.gateway.fairness.ledger import FlowLedger
-from larkpost.gateway.fairness.share_rule import GroupShares, Standing, share_out
+from larkpost.gateway.fairness.share_rule import FlowShare, GroupShares, share_out
 from larkpost.gateway.proxy.forecast import is_late_anyway
 from larkpost.gateway.proxy.slot_counts import SlotCounts
 from larkpost.gateway.proxy.waiter import Waiter
@@ -27,7 +27,7 @@
     """Where a request stands among those for its service; the least comes first."""
 
     key: tuple[int, bool, bool, bool, float, float]
-    standing: Standing | None
+    standing: FlowShare | None
 
     @property
     def is_over_share(self) -> bool:
@@ -42,7 +42,7 @@
         self._ledger = ledger
         self._now = now
         self._shares: dict[tuple[FlowGroup, int], GroupShares] = {}
-        self._standings: dict[tuple[Flow, int], Standing] = {}
+        self._standings: dict[tuple[Flow, int], FlowShare] = {}
 
     def rank(self, waiter: Waiter, places: SlotCounts) -> Rank:
         """Returns where a request stands."""
@@ -57,7 +57,7 @@
         )
         return Rank(key, standing)
 
-    def _standing(self, waiter: Waiter, places: SlotCounts) -> Standing | None:
+    def _standing(self, waiter: Waiter, places: SlotCounts) -> FlowShare | None:
         """Returns where a request's flow stands; None if shares do not matter for the request."""
         if waiter.is_share_exempt or places.are_mostly_free:
             return None
--- a/src/larkpost/gateway/proxy/waiter.py
+++ b/src/larkpost/gateway/proxy/waiter.py
@@ -6,7 +6,7 @@
 
 from larkpost.gateway.blackboard.configuration import ServiceName
 from larkpost.gateway.blackboard.daemon_report import Flow, FlowGroup
-from larkpost.gateway.fairness.share_rule import Standing
+from larkpost.gateway.fairness.share_rule import FlowShare
 from larkpost.gateway.placement.work import Work
 from larkpost.gateway.proxy.forecast import Forecast, Limits
 
@@ -39,7 +39,7 @@
     flow_name: str = ""
     is_retry: bool = False
     is_share_exempt: bool = False
-    standing: Standing | None = None
+    standing: FlowShare | None = None
     held_since: float | None = None
     is_recorded: bool = False
     call: asyncio.Future[Forecast] | None = None
