--- a/src/larkpost/gateway/fairness/share_rule.py
+++ b/src/larkpost/gateway/fairness/share_rule.py
@@ -59,7 +59,7 @@
     below: int
     places: int
 
-    def standing(self, flow: Flow) -> FlowShare:
+    def flow_share(self, flow: Flow) -> FlowShare:
         """Returns where a flow stands that has, or is about to have, a request that waits."""
         use = self.uses.get(flow, NO_USE)
         demand = use.running + max(1, use.waiting)
@@ -80,17 +80,17 @@
     return GroupShares(uses, level, below, places)
 
 
-def wait_for_share(standing: FlowShare, flow_ahead: int, service_time: float) -> float:
+def wait_for_share(flow_share: FlowShare, flow_ahead: int, service_time: float) -> float:
     """Returns the seconds until a flow's share has room for one more request.
 
     Args:
         flow_ahead: requests of the same flow that wait and come first.
         pace: seconds that a request takes at a server.
     """
-    if not standing.is_over_share:
+    if not flow_share.is_over_share:
         return 0.0
-    missing = standing.use + flow_ahead + 1 - standing.share
-    return max(0.0, missing) * service_time / max(LEAST_SHARE_PLACES, standing.share)
+    missing = flow_share.use + flow_ahead + 1 - flow_share.share
+    return max(0.0, missing) * service_time / max(LEAST_SHARE_PLACES, flow_share.share)
 
 
 def _waiting_below(use: TenantUse, level: float) -> int:
--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -27,12 +27,12 @@
     """Where a request stands among those for its service; the least comes first."""
 
     key: tuple[int, bool, bool, bool, float, float]
-    standing: FlowShare | None
+    flow_share: FlowShare | None
 
     @property
     def is_over_share(self) -> bool:
         """Whether the request is beyond its flow's share."""
-        return self.standing is not None and self.standing.is_over_share
+        return self.flow_share is not None and self.flow_share.is_over_share
 
 
 class FairOrder:
@@ -46,27 +46,27 @@
 
     def rank(self, waiter: Waiter, places: SlotCounts) -> Rank:
         """Returns where a request stands."""
-        standing = self._standing(waiter, places)
+        flow_share = self._standing(waiter, places)
         key = (
             waiter.priority,
-            standing is not None and standing.is_over_share,
+            flow_share is not None and flow_share.is_over_share,
             not waiter.is_retry,
             is_late_anyway(places, waiter.limits, self._now),
             waiter.limits.end_at,
             waiter.since,
         )
-        return Rank(key, standing)
+        return Rank(key, flow_share)
 
     def _standing(self, waiter: Waiter, places: SlotCounts) -> FlowShare | None:
         """Returns where a request's flow stands; None if shares do not matter for the request."""
         if waiter.is_share_exempt or places.are_mostly_free:
             return None
         known = (waiter.flow, places.free)
-        standing = self._standings.get(known)
-        if standing is None:
-            standing = self._shares_of(waiter.flow.group, places.free).standing(waiter.flow)
-            self._standings[known] = standing
-        return standing
+        flow_share = self._standings.get(known)
+        if flow_share is None:
+            flow_share = self._shares_of(waiter.flow.group, places.free).flow_share(waiter.flow)
+            self._standings[known] = flow_share
+        return flow_share
 
     def _shares_of(self, group: FlowGroup, free: int) -> GroupShares:
         """Returns the shares of a group's flows while so many places are free."""
--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -104,10 +104,10 @@
         """
         share_wait = 0.0
         if rank.is_over_share:
-            waiter.standing = rank.standing
+            waiter.flow_share = rank.flow_share
             service_time = places.service_time or waiter.limits.default_service_time
             of_flow = self._of_flow[waiter.flow] + elsewhere
-            share_wait = wait_for_share(rank.standing, of_flow, service_time)
+            share_wait = wait_for_share(rank.flow_share, of_flow, service_time)
         return make_forecast(
             places, waiter.limits, self._now, self.length, self._blocked_for, share_wait
         )
@@ -252,9 +252,9 @@
 
     def _waiting_elsewhere(self, waiter: Waiter, rank: Rank) -> int:
         """Returns the requests of the same flow that are known to wait at other daemons."""
-        if rank.standing is None:
+        if rank.flow_share is None:
             return 0
-        return rank.standing.waiting - self._ledger.own_use(waiter.flow).waiting
+        return rank.flow_share.waiting - self._ledger.own_use(waiter.flow).waiting
 
     def _blocked_for(self, queue: _Queue, now: float) -> float:
         if now - queue.seen_at > BLOCKED_MEMORY_SECONDS:
--- a/src/larkpost/gateway/proxy/share_record.py
+++ b/src/larkpost/gateway/proxy/share_record.py
@@ -31,8 +31,8 @@
         """Records what became of a request, if it was beyond its share; a hold only once."""
         is_again = outcome is ShareOutcome.HELD and waiter.is_recorded
         is_share_exempt = outcome is ShareOutcome.PASSED
-        standing = waiter.standing
-        if standing is None or is_again or waiter.is_share_exempt != is_share_exempt:
+        flow_share = waiter.flow_share
+        if flow_share is None or is_again or waiter.is_share_exempt != is_share_exempt:
             return
         waiter.is_recorded = True
         self._metrics.count(Count.SHARES, waiter.service, outcome)
@@ -46,10 +46,10 @@
             outcome=outcome,
             is_retry=waiter.is_retry,
             held=round(self._clock.now() - request.received_at, 3),
-            share=round(standing.share, 2),
-            use=standing.use,
-            waiting=standing.waiting,
-            ahead=standing.ahead,
-            places=standing.places,
+            share=round(flow_share.share, 2),
+            use=flow_share.use,
+            waiting=flow_share.waiting,
+            ahead=flow_share.ahead,
+            places=flow_share.places,
             report_age=round(age, 3) if age is not None else None,
         )
--- a/src/larkpost/gateway/proxy/waiter.py
+++ b/src/larkpost/gateway/proxy/waiter.py
@@ -39,7 +39,7 @@
     flow_name: str = ""
     is_retry: bool = False
     is_share_exempt: bool = False
-    standing: FlowShare | None = None
+    flow_share: FlowShare | None = None
     held_since: float | None = None
     is_recorded: bool = False
     call: asyncio.Future[Forecast] | None = None
@@ -53,4 +53,4 @@
     @property
     def was_over_share(self) -> bool:
         """Whether it had to let others go first because of its flow's share."""
-        return self.standing is not None and not self.is_share_exempt
+        return self.flow_share is not None and not self.is_share_exempt
