--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -46,7 +46,7 @@
 
     def rank(self, waiter: Waiter, places: SlotCounts) -> Rank:
         """Returns where a request stands."""
-        flow_share = self._standing(waiter, places)
+        flow_share = self._flow_share(waiter, places)
         key = (
             waiter.priority,
             flow_share is not None and flow_share.is_over_share,
@@ -57,7 +57,7 @@
         )
         return Rank(key, flow_share)
 
-    def _standing(self, waiter: Waiter, places: SlotCounts) -> FlowShare | None:
+    def _flow_share(self, waiter: Waiter, places: SlotCounts) -> FlowShare | None:
         """Returns where a request's flow stands; None if shares do not matter for the request."""
         if waiter.is_share_exempt or places.are_mostly_free:
             return None
