--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -42,7 +42,7 @@
         self._ledger = ledger
         self._now = now
         self._shares: dict[tuple[FlowGroup, int], GroupShares] = {}
-        self._standings: dict[tuple[Flow, int], FlowShare] = {}
+        self._flow_shares: dict[tuple[Flow, int], FlowShare] = {}
 
     def rank(self, waiter: Waiter, places: SlotCounts) -> Rank:
         """Returns where a request stands."""
@@ -62,10 +62,10 @@
         if waiter.is_share_exempt or places.are_mostly_free:
             return None
         known = (waiter.flow, places.free)
-        flow_share = self._standings.get(known)
+        flow_share = self._flow_shares.get(known)
         if flow_share is None:
             flow_share = self._shares_of(waiter.flow.group, places.free).flow_share(waiter.flow)
-            self._standings[known] = flow_share
+            self._flow_shares[known] = flow_share
         return flow_share
 
     def _shares_of(self, group: FlowGroup, free: int) -> GroupShares:
