--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class Deadlines:
     """The times of one request, on the steady clock.
 
     Attributes:
@@ -72,7 +72,7 @@
 
 def make_forecast(
     places: SlotCounts,
-    limits: Limits,
+    limits: Deadlines,
     now: float,
     ahead: int = 0,
     blocked_for: float = 0.0,
@@ -99,14 +99,14 @@
     return Forecast(expectation, wait, told, service_time if places.total else 0.0)
 
 
-def forecast_unreachable(limits: Limits, now: float) -> Forecast:
+def forecast_unreachable(limits: Deadlines, now: float) -> Forecast:
     """Returns the forecast of a request that reached no server, though it was sent to all."""
     wait = NO_PLACE_RETRY_SECONDS
     told = retry_after(wait, limits.end_at - now)
     return Forecast(Expectation.NOT_AT_ALL, wait, told, service_time=0.0)
 
 
-def is_late_anyway(places: SlotCounts, limits: Limits, now: float) -> bool:
+def is_late_anyway(places: SlotCounts, limits: Deadlines, now: float) -> bool:
     """Returns whether a request would be late even if it got a place now."""
     return now + (places.service_time or limits.default_service_time) > limits.objective_at
 
@@ -122,7 +122,7 @@
 
 
 def _is_hopeless(
-    places: SlotCounts, limits: Limits, now: float, least: float, is_untried: bool
+    places: SlotCounts, limits: Deadlines, now: float, least: float, is_untried: bool
 ) -> bool:
     """Returns whether a request that takes ``least`` seconds or more will not be served.
 
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -22,7 +22,7 @@
 from larkpost.gateway.proxy.attempts import Attempts, QuarantineState
 from larkpost.gateway.proxy.dependencies import ForwarderParts
 from larkpost.gateway.proxy.elapsed_time import ElapsedTimes
-from larkpost.gateway.proxy.forecast import LEAST_RETRY_SECONDS, Limits, forecast_unreachable
+from larkpost.gateway.proxy.forecast import LEAST_RETRY_SECONDS, Deadlines, forecast_unreachable
 from larkpost.gateway.proxy.request import ClientRequest
 from larkpost.gateway.proxy.request_queue import QueueForecast, RequestQueues
 from larkpost.gateway.proxy.retry_spreading import SpreadReturns
@@ -197,7 +197,7 @@
         return count_slots(self._parts.balancer, service, work)
 
 
-def _limits(request: ClientRequest, route: Route, elapsed: float) -> Limits:
+def _limits(request: ClientRequest, route: Route, elapsed: float) -> Deadlines:
     """Returns a request's times; the objective counts from its caller's first attempt.
 
     Args:
@@ -206,7 +206,7 @@
     time_left = route.time_limit
     if request.time_left is not None:
         time_left = min(time_left, request.time_left)
-    return Limits(
+    return Deadlines(
         objective_at=request.received_at - elapsed + route.objective,
         end_at=request.received_at + time_left,
         default_service_time=route.objective * DEFAULT_SERVICE_TIME_SHARE,
--- a/src/larkpost/gateway/proxy/waiter.py
+++ b/src/larkpost/gateway/proxy/waiter.py
@@ -8,7 +8,7 @@
 from larkpost.gateway.blackboard.daemon_report import Flow, FlowGroup
 from larkpost.gateway.fairness.share_rule import FlowShare
 from larkpost.gateway.placement.work import Work
-from larkpost.gateway.proxy.forecast import Forecast, Limits
+from larkpost.gateway.proxy.forecast import Deadlines, Forecast
 
 
 @dataclass(eq=False, slots=True)
@@ -34,7 +34,7 @@
     service: ServiceName
     work: Work
     priority: int
-    limits: Limits
+    limits: Deadlines
     since: float
     flow_name: str = ""
     is_retry: bool = False
--- a/tests/test_fair_load.py
+++ b/tests/test_fair_load.py
@@ -23,7 +23,7 @@
 from larkpost.gateway.placement.work import CLIENT_WORK
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.fair_order import MOST_HOLD_SECONDS, FairOrder
-from larkpost.gateway.proxy.forecast import Limits
+from larkpost.gateway.proxy.forecast import Deadlines
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.request import ClientRequest, RefusedError
 from larkpost.gateway.proxy.request_queue import POLL_INTERVAL_SECONDS, QueueForecast, RequestQueues
@@ -325,7 +325,7 @@
             called = []
 
             async def wait(name: str, first_tried: float) -> None:
-                limits = Limits(first_tried + 0.05, first_tried + 20.0, PACE)
+                limits = Deadlines(first_tried + 0.05, first_tried + 20.0, PACE)
                 is_retry = first_tried < 0
                 waiter = Waiter(PAGES, CLIENT_WORK, 0, limits, first_tried, name, is_retry=is_retry)
                 await queues.wait_for_turn(waiter)
@@ -349,7 +349,7 @@
             ledger = FlowLedger(clock)
             ledger.record_report(DaemonId("far"), reported)
             queues = RequestQueues(clock, lambda *_: SlotCounts(8, 7, PACE), ledger)
-            limits = Limits(1.0, 5.0, PACE)
+            limits = Deadlines(1.0, 5.0, PACE)
             waiter = Waiter(PAGES, CLIENT_WORK, 1, limits, clock.now(), "heavy")
             await queues.wait_for_turn(waiter)
             return clock.now()
@@ -372,7 +372,7 @@
             queues = RequestQueues(clock, lambda *_: SlotCounts(8, 7, PACE), ledger)
 
             async def wait(*, is_retry: bool) -> float:
-                limits = Limits(1.0, 5.0, PACE)
+                limits = Deadlines(1.0, 5.0, PACE)
                 waiter = Waiter(PAGES, CLIENT_WORK, 1, limits, 0.0, "heavy", is_retry=is_retry)
                 await queues.wait_for_turn(waiter)
                 return clock.now()
@@ -395,7 +395,7 @@
             called = []
 
             async def wait(priority: int, name: str) -> None:
-                limits = Limits(1.0, 5.0, PACE)
+                limits = Deadlines(1.0, 5.0, PACE)
                 await queues.wait_for_turn(Waiter(PAGES, CLIENT_WORK, priority, limits, 0.0, name))
                 called.append(priority)
 
@@ -415,7 +415,7 @@
             reported = {HEAVY_FLOW: TenantUse(6, 30), LIGHT_FLOW: TenantUse(1, 30)}
             ledger.record_report(DaemonId("far"), reported)
             queues = RequestQueues(clock, lambda *_: SlotCounts(8, 8, PACE), ledger)
-            limits = Limits(0.2, 0.8, PACE)
+            limits = Deadlines(0.2, 0.8, PACE)
             return queues.forecast(Waiter(PAGES, CLIENT_WORK, 1, limits, 0.0, "heavy"))
 
         prospect = run(play())
@@ -432,7 +432,7 @@
             called = []
 
             async def wait(priority: int, name: str) -> None:
-                limits = Limits(1.0, 5.0, PACE)
+                limits = Deadlines(1.0, 5.0, PACE)
                 await queues.wait_for_turn(Waiter(PAGES, CLIENT_WORK, priority, limits, 0.0, name))
                 called.append(priority)
 
@@ -453,7 +453,7 @@
     def waiter(self, objective: float, time_left: float) -> Waiter:
         """Returns a request that has just come."""
         now = self.clock.now()
-        limits = Limits(now + objective, now + time_left, PACE)
+        limits = Deadlines(now + objective, now + time_left, PACE)
         return Waiter(PAGES, CLIENT_WORK, 1, limits, now, "light")
 
     def test_request_that_waits_for_a_moment_is_not_counted(self):
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -24,8 +24,8 @@
 from larkpost.gateway.proxy.forecast import (
     HEEDED_SHARE,
     MOST_RETRY_SECONDS,
+    Deadlines,
     Expectation,
-    Limits,
     make_forecast,
 )
 from larkpost.gateway.proxy.forwarder import Forwarder
@@ -51,7 +51,7 @@
 OBJECTIVE = 0.2
 TIME_LIMIT = 2.0
 PACE = 0.1
-LIMITS = Limits(objective_at=OBJECTIVE, end_at=0.8, default_service_time=0.05)
+LIMITS = Deadlines(objective_at=OBJECTIVE, end_at=0.8, default_service_time=0.05)
 SETTLE_SECONDS = 0.01
 """Longer than an answer "full" takes, shorter than the pace."""
 
@@ -103,7 +103,7 @@
             forecast = make_forecast(SlotCounts(4, 4, 0.1), LIMITS, 0.3, ahead)
             self.assertGreater(forecast.retry_after, 0)
             self.assertLessEqual(forecast.retry_after, 0.5 * HEEDED_SHARE)
-        patient = Limits(objective_at=0.2, end_at=100.0, default_service_time=0.05)
+        patient = Deadlines(objective_at=0.2, end_at=100.0, default_service_time=0.05)
         told = make_forecast(SlotCounts(4, 4, 0.4), patient, 0.0, ahead=1).retry_after
         self.assertAlmostEqual(0.2, told)
         told = make_forecast(SlotCounts(4, 4, 0.4), patient, 0.0, ahead=900).retry_after
@@ -448,7 +448,7 @@
 
         clock = LoopClock()
         queues = RequestQueues(clock, count, FlowLedger(clock))
-        limits = Limits(1.0, 60.0, PACE)
+        limits = Deadlines(1.0, 60.0, PACE)
         turns = [
             asyncio.create_task(queues.wait_for_turn(Waiter(PAGES, CLIENT_WORK, 0, limits, 0.0)))
             for _ in range(40)
