--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -52,7 +52,7 @@
             flow_share is not None and flow_share.is_over_share,
             not waiter.is_retry,
             is_late_anyway(places, waiter.limits, self._now),
-            waiter.limits.end_at,
+            waiter.limits.expires_at,
             waiter.since,
         )
         return Rank(key, flow_share)
--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -45,7 +45,7 @@
     """
 
     objective_at: float
-    end_at: float
+    expires_at: float
     default_service_time: float
 
 
@@ -95,14 +95,14 @@
         expectation = Expectation.IN_TIME
     else:
         expectation = Expectation.LATE
-    told = retry_after(wait, limits.end_at - now)
+    told = retry_after(wait, limits.expires_at - now)
     return Forecast(expectation, wait, told, service_time if places.total else 0.0)
 
 
 def forecast_unreachable(limits: Deadlines, now: float) -> Forecast:
     """Returns the forecast of a request that reached no server, though it was sent to all."""
     wait = NO_PLACE_RETRY_SECONDS
-    told = retry_after(wait, limits.end_at - now)
+    told = retry_after(wait, limits.expires_at - now)
     return Forecast(Expectation.NOT_AT_ALL, wait, told, service_time=0.0)
 
 
@@ -130,11 +130,11 @@
         is_untried: whether few places have a request and none was found closed lately: one attempt
             in vain costs less than a refusal for nothing.
     """
-    if now >= limits.end_at or not places.total:
+    if now >= limits.expires_at or not places.total:
         return True
     if places.are_mostly_free or is_untried:
         return False
-    return now + least > limits.end_at
+    return now + least > limits.expires_at
 
 
 def retry_after(wait: float, time_left: float) -> float:
--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -147,7 +147,7 @@
                 line.add(other)
         elsewhere = self._waiting_elsewhere(waiter, rank)
         forecast = line.forecast(waiter, rank, places, elsewhere)
-        if forecast.is_hopeless and places.total and now < waiter.limits.end_at:
+        if forecast.is_hopeless and places.total and now < waiter.limits.expires_at:
             self._record_missed(waiter)
         must_wait = not places.are_mostly_free and (line.length > 0 or rank.is_over_share)
         return QueueForecast(forecast, must_wait, rank.is_over_share, places)
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -208,6 +208,6 @@
         time_left = min(time_left, request.time_left)
     return Deadlines(
         objective_at=request.received_at - elapsed + route.objective,
-        end_at=request.received_at + time_left,
+        expires_at=request.received_at + time_left,
         default_service_time=route.objective * DEFAULT_SERVICE_TIME_SHARE,
     )
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -51,7 +51,7 @@
 OBJECTIVE = 0.2
 TIME_LIMIT = 2.0
 PACE = 0.1
-LIMITS = Deadlines(objective_at=OBJECTIVE, end_at=0.8, default_service_time=0.05)
+LIMITS = Deadlines(objective_at=OBJECTIVE, expires_at=0.8, default_service_time=0.05)
 SETTLE_SECONDS = 0.01
 """Longer than an answer "full" takes, shorter than the pace."""
 
@@ -89,7 +89,7 @@
         self.assertIs(Expectation.NOT_AT_ALL, self.expectation(SlotCounts(0, 0, 0.0)))
 
     def test_request_whose_time_is_over_is_hopeless_whatever_is_free(self):
-        forecast = make_forecast(SlotCounts(4, 0, 0.1), LIMITS, LIMITS.end_at)
+        forecast = make_forecast(SlotCounts(4, 0, 0.1), LIMITS, LIMITS.expires_at)
         self.assertIs(Expectation.NOT_AT_ALL, forecast.expectation)
 
     def test_places_that_stay_taken_are_expected_to_stay_so_for_as_long(self):
@@ -103,7 +103,7 @@
             forecast = make_forecast(SlotCounts(4, 4, 0.1), LIMITS, 0.3, ahead)
             self.assertGreater(forecast.retry_after, 0)
             self.assertLessEqual(forecast.retry_after, 0.5 * HEEDED_SHARE)
-        patient = Deadlines(objective_at=0.2, end_at=100.0, default_service_time=0.05)
+        patient = Deadlines(objective_at=0.2, expires_at=100.0, default_service_time=0.05)
         told = make_forecast(SlotCounts(4, 4, 0.4), patient, 0.0, ahead=1).retry_after
         self.assertAlmostEqual(0.2, told)
         told = make_forecast(SlotCounts(4, 4, 0.4), patient, 0.0, ahead=900).retry_after
