--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -51,7 +51,7 @@
 OBJECTIVE = 0.2
 TIME_LIMIT = 2.0
 PACE = 0.1
-LIMITS = Deadlines(objective_at=OBJECTIVE, expires_at=0.8, default_service_time=0.05)
+DEADLINES = Deadlines(objective_at=OBJECTIVE, expires_at=0.8, default_service_time=0.05)
 SETTLE_SECONDS = 0.01
 """Longer than an answer "full" takes, shorter than the pace."""
 
@@ -70,7 +70,7 @@
         self, places: SlotCounts, ahead: int = 0, blocked_for: float = 0.0
     ) -> Expectation:
         """Returns what is expected."""
-        return make_forecast(places, LIMITS, 0.0, ahead, blocked_for).expectation
+        return make_forecast(places, DEADLINES, 0.0, ahead, blocked_for).expectation
 
     def test_more_requests_in_front_turn_it_from_in_time_to_late_to_hopeless(self):
         expectations = [
@@ -89,7 +89,7 @@
         self.assertIs(Expectation.NOT_AT_ALL, self.expectation(SlotCounts(0, 0, 0.0)))
 
     def test_request_whose_time_is_over_is_hopeless_whatever_is_free(self):
-        forecast = make_forecast(SlotCounts(4, 0, 0.1), LIMITS, LIMITS.expires_at)
+        forecast = make_forecast(SlotCounts(4, 0, 0.1), DEADLINES, DEADLINES.expires_at)
         self.assertIs(Expectation.NOT_AT_ALL, forecast.expectation)
 
     def test_places_that_stay_taken_are_expected_to_stay_so_for_as_long(self):
@@ -100,7 +100,7 @@
 
     def test_caller_is_told_the_wait_but_never_more_than_it_can_use(self):
         for ahead in (0, 1, 5, 40, 4000):
-            forecast = make_forecast(SlotCounts(4, 4, 0.1), LIMITS, 0.3, ahead)
+            forecast = make_forecast(SlotCounts(4, 4, 0.1), DEADLINES, 0.3, ahead)
             self.assertGreater(forecast.retry_after, 0)
             self.assertLessEqual(forecast.retry_after, 0.5 * HEEDED_SHARE)
         patient = Deadlines(objective_at=0.2, expires_at=100.0, default_service_time=0.05)
