--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -51,8 +51,8 @@
             waiter.priority,
             flow_share is not None and flow_share.is_over_share,
             not waiter.is_retry,
-            is_late_anyway(places, waiter.limits, self._now),
-            waiter.limits.expires_at,
+            is_late_anyway(places, waiter.deadlines, self._now),
+            waiter.deadlines.expires_at,
             waiter.since,
         )
         return Rank(key, flow_share)
--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -72,7 +72,7 @@
 
 def make_forecast(
     places: SlotCounts,
-    limits: Deadlines,
+    deadlines: Deadlines,
     now: float,
     ahead: int = 0,
     blocked_for: float = 0.0,
@@ -86,29 +86,31 @@
             as long again, whatever the paces say.
         share_wait: seconds until its tenant's share has room for it.
     """
-    service_time = places.service_time or limits.default_service_time
+    service_time = places.service_time or deadlines.default_service_time
     wait = max(share_wait, _wait(places, service_time, ahead, blocked_for))
     is_untried = places.run_few_requests and not ahead and not blocked_for
-    if _is_hopeless(places, limits, now, wait + service_time * MIN_SERVICE_TIME_SHARE, is_untried):
+    if _is_hopeless(
+        places, deadlines, now, wait + service_time * MIN_SERVICE_TIME_SHARE, is_untried
+    ):
         expectation = Expectation.NOT_AT_ALL
-    elif now + wait + service_time <= limits.objective_at:
+    elif now + wait + service_time <= deadlines.objective_at:
         expectation = Expectation.IN_TIME
     else:
         expectation = Expectation.LATE
-    told = retry_after(wait, limits.expires_at - now)
+    told = retry_after(wait, deadlines.expires_at - now)
     return Forecast(expectation, wait, told, service_time if places.total else 0.0)
 
 
-def forecast_unreachable(limits: Deadlines, now: float) -> Forecast:
+def forecast_unreachable(deadlines: Deadlines, now: float) -> Forecast:
     """Returns the forecast of a request that reached no server, though it was sent to all."""
     wait = NO_PLACE_RETRY_SECONDS
-    told = retry_after(wait, limits.expires_at - now)
+    told = retry_after(wait, deadlines.expires_at - now)
     return Forecast(Expectation.NOT_AT_ALL, wait, told, service_time=0.0)
 
 
-def is_late_anyway(places: SlotCounts, limits: Deadlines, now: float) -> bool:
+def is_late_anyway(places: SlotCounts, deadlines: Deadlines, now: float) -> bool:
     """Returns whether a request would be late even if it got a place now."""
-    return now + (places.service_time or limits.default_service_time) > limits.objective_at
+    return now + (places.service_time or deadlines.default_service_time) > deadlines.objective_at
 
 
 def _wait(places: SlotCounts, service_time: float, ahead: int, blocked_for: float) -> float:
@@ -122,7 +124,7 @@
 
 
 def _is_hopeless(
-    places: SlotCounts, limits: Deadlines, now: float, least: float, is_untried: bool
+    places: SlotCounts, deadlines: Deadlines, now: float, least: float, is_untried: bool
 ) -> bool:
     """Returns whether a request that takes ``least`` seconds or more will not be served.
 
@@ -130,11 +132,11 @@
         is_untried: whether few places have a request and none was found closed lately: one attempt
             in vain costs less than a refusal for nothing.
     """
-    if now >= limits.expires_at or not places.total:
+    if now >= deadlines.expires_at or not places.total:
         return True
     if places.are_mostly_free or is_untried:
         return False
-    return now + least > limits.expires_at
+    return now + least > deadlines.expires_at
 
 
 def retry_after(wait: float, time_left: float) -> float:
--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -61,7 +61,7 @@
         attempts, must_wait = self._gate.begin(request, route)
         response = None
         try:
-            async with asyncio.timeout_at(attempts.waiter.limits.expires_at):
+            async with asyncio.timeout_at(attempts.waiter.deadlines.expires_at):
                 if await self._gate.may_try(attempts, must_wait=must_wait):
                     response = await self._forward_by_kind(attempts)
         except TimeoutError:
@@ -95,7 +95,7 @@
                 raise self._outcomes.failure(attempts, timed_out=False)
             try:
                 async with (
-                    asyncio.timeout_at(attempts.waiter.limits.expires_at) as limit,
+                    asyncio.timeout_at(attempts.waiter.deadlines.expires_at) as limit,
                     self._attempt.open(instance, attempts) as response,
                 ):
                     limit.reschedule(None)  # from here on the client decides
--- a/src/larkpost/gateway/proxy/outcomes.py
+++ b/src/larkpost/gateway/proxy/outcomes.py
@@ -94,7 +94,7 @@
 
     def record_forecast_served(self, attempts: Attempts, status: int) -> None:
         """Counts what became of a forecast whose request a server has responded to."""
-        in_time = self._clock.now() <= attempts.waiter.limits.objective_at
+        in_time = self._clock.now() <= attempts.waiter.deadlines.objective_at
         outcome = "in_time" if in_time else "late"
         self._count_forecast(attempts, NOT_SERVED if status >= LEAST_ERROR_STATUS else outcome)
 
--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -105,11 +105,11 @@
         share_wait = 0.0
         if rank.is_over_share:
             waiter.flow_share = rank.flow_share
-            service_time = places.service_time or waiter.limits.default_service_time
+            service_time = places.service_time or waiter.deadlines.default_service_time
             of_flow = self._of_flow[waiter.flow] + elsewhere
             share_wait = wait_for_share(rank.flow_share, of_flow, service_time)
         return make_forecast(
-            places, waiter.limits, self._now, self.length, self._blocked_for, share_wait
+            places, waiter.deadlines, self._now, self.length, self._blocked_for, share_wait
         )
 
 
@@ -147,7 +147,7 @@
                 line.add(other)
         elsewhere = self._waiting_elsewhere(waiter, rank)
         forecast = line.forecast(waiter, rank, places, elsewhere)
-        if forecast.is_hopeless and places.total and now < waiter.limits.expires_at:
+        if forecast.is_hopeless and places.total and now < waiter.deadlines.expires_at:
             self._record_missed(waiter)
         must_wait = not places.are_mostly_free and (line.length > 0 or rank.is_over_share)
         return QueueForecast(forecast, must_wait, rank.is_over_share, places)
@@ -237,7 +237,7 @@
     def _update_shortage(self, queue: _Queue, now: float) -> None:
         """Records those whose objective is over, and counts those that wait in a shortage."""
         for waiter in queue.waiters:
-            if now > waiter.limits.objective_at:
+            if now > waiter.deadlines.objective_at:
                 self._record_missed(waiter)
             self._count_if_short(waiter)
 
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -100,7 +100,7 @@
             self._return_credit(attempts.waiter)
             return False
         if attempts.are_all_unreachable:
-            attempts.forecast = forecast_unreachable(attempts.waiter.limits, self._clock.now())
+            attempts.forecast = forecast_unreachable(attempts.waiter.deadlines, self._clock.now())
         turn = decide_scheduling(
             SchedulingInputs(attempts.are_all_unreachable, attempts.forecast.is_hopeless, must_wait)
         )
--- a/src/larkpost/gateway/proxy/retry_spreading.py
+++ b/src/larkpost/gateway/proxy/retry_spreading.py
@@ -32,7 +32,7 @@
 
     def spread(self, waiter: Waiter, forecast: Forecast) -> Forecast:
         """Returns the forecast of a refused request with a time of its own to come back."""
-        most = most_retry(waiter.limits.expires_at - self._clock.now())
+        most = most_retry(waiter.deadlines.expires_at - self._clock.now())
         line = waiter.flow if waiter.was_over_share else waiter.flow.group
         wanted = max(LEAST_RETRY_SECONDS, forecast.wait)
         spacing = forecast.service_time / max(
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -140,7 +140,7 @@
         """
         request = attempts.request
         is_repeatable = attempts.route.kind is RouteKind.IDEMPOTENT
-        time_left = attempts.waiter.limits.expires_at - self._clock.now()
+        time_left = attempts.waiter.deadlines.expires_at - self._clock.now()
         return OutgoingRequest(
             request_id=request.request_id,
             method=request.method,
--- a/src/larkpost/gateway/proxy/streamed_body.py
+++ b/src/larkpost/gateway/proxy/streamed_body.py
@@ -24,7 +24,7 @@
         self._attempts = attempts
         self._outcomes = outcomes
         self._clock = clock
-        self._time_left = attempts.waiter.limits.expires_at - clock.now()
+        self._time_left = attempts.waiter.deadlines.expires_at - clock.now()
 
     def __aiter__(self) -> AsyncIterator[bytes]:
         return self
--- a/src/larkpost/gateway/proxy/waiter.py
+++ b/src/larkpost/gateway/proxy/waiter.py
@@ -34,7 +34,7 @@
     service: ServiceName
     work: Work
     priority: int
-    limits: Deadlines
+    deadlines: Deadlines
     since: float
     flow_name: str = ""
     is_retry: bool = False
--- a/tests/test_fair_load.py
+++ b/tests/test_fair_load.py
@@ -325,9 +325,11 @@
             called = []
 
             async def wait(name: str, first_tried: float) -> None:
-                limits = Deadlines(first_tried + 0.05, first_tried + 20.0, PACE)
+                deadlines = Deadlines(first_tried + 0.05, first_tried + 20.0, PACE)
                 is_retry = first_tried < 0
-                waiter = Waiter(PAGES, CLIENT_WORK, 0, limits, first_tried, name, is_retry=is_retry)
+                waiter = Waiter(
+                    PAGES, CLIENT_WORK, 0, deadlines, first_tried, name, is_retry=is_retry
+                )
                 await queues.wait_for_turn(waiter)
                 called.append(name)
 
@@ -349,8 +351,8 @@
             ledger = FlowLedger(clock)
             ledger.record_report(DaemonId("far"), reported)
             queues = RequestQueues(clock, lambda *_: SlotCounts(8, 7, PACE), ledger)
-            limits = Deadlines(1.0, 5.0, PACE)
-            waiter = Waiter(PAGES, CLIENT_WORK, 1, limits, clock.now(), "heavy")
+            deadlines = Deadlines(1.0, 5.0, PACE)
+            waiter = Waiter(PAGES, CLIENT_WORK, 1, deadlines, clock.now(), "heavy")
             await queues.wait_for_turn(waiter)
             return clock.now()
 
@@ -372,8 +374,8 @@
             queues = RequestQueues(clock, lambda *_: SlotCounts(8, 7, PACE), ledger)
 
             async def wait(*, is_retry: bool) -> float:
-                limits = Deadlines(1.0, 5.0, PACE)
-                waiter = Waiter(PAGES, CLIENT_WORK, 1, limits, 0.0, "heavy", is_retry=is_retry)
+                deadlines = Deadlines(1.0, 5.0, PACE)
+                waiter = Waiter(PAGES, CLIENT_WORK, 1, deadlines, 0.0, "heavy", is_retry=is_retry)
                 await queues.wait_for_turn(waiter)
                 return clock.now()
 
@@ -395,8 +397,10 @@
             called = []
 
             async def wait(priority: int, name: str) -> None:
-                limits = Deadlines(1.0, 5.0, PACE)
-                await queues.wait_for_turn(Waiter(PAGES, CLIENT_WORK, priority, limits, 0.0, name))
+                deadlines = Deadlines(1.0, 5.0, PACE)
+                await queues.wait_for_turn(
+                    Waiter(PAGES, CLIENT_WORK, priority, deadlines, 0.0, name)
+                )
                 called.append(priority)
 
             await asyncio.gather(wait(2, "other"), wait(1, "heavy"))
@@ -415,8 +419,8 @@
             reported = {HEAVY_FLOW: TenantUse(6, 30), LIGHT_FLOW: TenantUse(1, 30)}
             ledger.record_report(DaemonId("far"), reported)
             queues = RequestQueues(clock, lambda *_: SlotCounts(8, 8, PACE), ledger)
-            limits = Deadlines(0.2, 0.8, PACE)
-            return queues.forecast(Waiter(PAGES, CLIENT_WORK, 1, limits, 0.0, "heavy"))
+            deadlines = Deadlines(0.2, 0.8, PACE)
+            return queues.forecast(Waiter(PAGES, CLIENT_WORK, 1, deadlines, 0.0, "heavy"))
 
         prospect = run(play())
         self.assertTrue(prospect.forecast.is_hopeless)
@@ -432,8 +436,10 @@
             called = []
 
             async def wait(priority: int, name: str) -> None:
-                limits = Deadlines(1.0, 5.0, PACE)
-                await queues.wait_for_turn(Waiter(PAGES, CLIENT_WORK, priority, limits, 0.0, name))
+                deadlines = Deadlines(1.0, 5.0, PACE)
+                await queues.wait_for_turn(
+                    Waiter(PAGES, CLIENT_WORK, priority, deadlines, 0.0, name)
+                )
                 called.append(priority)
 
             await asyncio.gather(wait(2, "light"), wait(0, "heavy"))
@@ -453,8 +459,8 @@
     def waiter(self, objective: float, time_left: float) -> Waiter:
         """Returns a request that has just come."""
         now = self.clock.now()
-        limits = Deadlines(now + objective, now + time_left, PACE)
-        return Waiter(PAGES, CLIENT_WORK, 1, limits, now, "light")
+        deadlines = Deadlines(now + objective, now + time_left, PACE)
+        return Waiter(PAGES, CLIENT_WORK, 1, deadlines, now, "light")
 
     def test_request_that_waits_for_a_moment_is_not_counted(self):
         async def play() -> None:
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -448,9 +448,9 @@
 
         clock = LoopClock()
         queues = RequestQueues(clock, count, FlowLedger(clock))
-        limits = Deadlines(1.0, 60.0, PACE)
+        deadlines = Deadlines(1.0, 60.0, PACE)
         turns = [
-            asyncio.create_task(queues.wait_for_turn(Waiter(PAGES, CLIENT_WORK, 0, limits, 0.0)))
+            asyncio.create_task(queues.wait_for_turn(Waiter(PAGES, CLIENT_WORK, 0, deadlines, 0.0)))
             for _ in range(40)
         ]
         await asyncio.sleep(poll_interval(places.total) + SETTLE_SECONDS)
