--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -65,7 +65,7 @@
     service_time: float
 
     @property
-    def is_hopeless(self) -> bool:
+    def is_infeasible(self) -> bool:
         """Whether it will not be served."""
         return self.expectation is Expectation.NOT_AT_ALL
 
--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -147,7 +147,7 @@
                 line.add(other)
         elsewhere = self._waiting_elsewhere(waiter, rank)
         forecast = line.forecast(waiter, rank, places, elsewhere)
-        if forecast.is_hopeless and places.total and now < waiter.deadlines.expires_at:
+        if forecast.is_infeasible and places.total and now < waiter.deadlines.expires_at:
             self._record_missed(waiter)
         must_wait = not places.are_mostly_free and (line.length > 0 or rank.is_over_share)
         return QueueForecast(forecast, must_wait, rank.is_over_share, places)
@@ -160,7 +160,7 @@
             queue.blocked_since = now
         queue.seen_at = now
         forecast = self.forecast(waiter).forecast
-        if forecast.is_hopeless:
+        if forecast.is_infeasible:
             return forecast
         waiter.call = asyncio.get_running_loop().create_future()
         queue.waiters.append(waiter)
@@ -213,11 +213,11 @@
             # Of those that wait at other daemons, half came before this one on the average.
             elsewhere = self._waiting_elsewhere(waiter, rank) // 2
             forecast = line.forecast(waiter, rank, places, elsewhere)
-            if forecast.is_hopeless:
+            if forecast.is_infeasible:
                 self._record_missed(waiter)
             else:
                 line.add(waiter)
-            if forecast.is_hopeless or turns[waiter.work].claim(waiter, rank):
+            if forecast.is_infeasible or turns[waiter.work].claim(waiter, rank):
                 queue.waiters.remove(waiter)
                 if not waiter.call.done():
                     waiter.call.set_result(forecast)
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -54,7 +54,7 @@
     """
 
     are_all_unreachable: bool
-    is_hopeless: bool
+    is_infeasible: bool
     must_wait: bool
 
 
@@ -64,7 +64,7 @@
     One that reached no server is refused although it has time left: no place comes free by waiting
     here, but another daemon may reach the servers.
     """
-    if inputs.are_all_unreachable or inputs.is_hopeless:
+    if inputs.are_all_unreachable or inputs.is_infeasible:
         return SchedulingDecision.REFUSE
     return SchedulingDecision.WAIT if inputs.must_wait else SchedulingDecision.TRY
 
@@ -102,13 +102,15 @@
         if attempts.are_all_unreachable:
             attempts.forecast = forecast_unreachable(attempts.waiter.deadlines, self._clock.now())
         turn = decide_scheduling(
-            SchedulingInputs(attempts.are_all_unreachable, attempts.forecast.is_hopeless, must_wait)
+            SchedulingInputs(
+                attempts.are_all_unreachable, attempts.forecast.is_infeasible, must_wait
+            )
         )
         if turn is SchedulingDecision.TRY:
             return True
         if turn is SchedulingDecision.WAIT:
             await self._wait(attempts)
-        if not attempts.forecast.is_hopeless:
+        if not attempts.forecast.is_infeasible:
             self._share_record.record(attempts.request, attempts.waiter, ShareOutcome.HELD)
             return True
         self._refuse(attempts)
--- a/tests/test_fair_load.py
+++ b/tests/test_fair_load.py
@@ -423,7 +423,7 @@
             return queues.forecast(Waiter(PAGES, CLIENT_WORK, 1, deadlines, 0.0, "heavy"))
 
         prospect = run(play())
-        self.assertTrue(prospect.forecast.is_hopeless)
+        self.assertTrue(prospect.forecast.is_infeasible)
         self.assertGreater(prospect.forecast.wait, 0.8)
 
     def test_more_urgent_requests_come_first_whatever_their_share(self):
@@ -490,11 +490,11 @@
     def test_requests_whose_time_was_over_when_they_came_show_no_shortage(self):
         async def play() -> None:
             for _ in range(20):
-                self.assertTrue(self.queues.forecast(self.waiter(-0.8, 0.0)).forecast.is_hopeless)
+                self.assertTrue(self.queues.forecast(self.waiter(-0.8, 0.0)).forecast.is_infeasible)
             self.assertFalse(self.ledger.has_shortage())
             for _ in range(20):
                 prospect = self.queues.forecast(self.waiter(0.01, 0.01))
-                self.assertTrue(prospect.forecast.is_hopeless)
+                self.assertTrue(prospect.forecast.is_infeasible)
             self.assertTrue(self.ledger.has_shortage())
 
         run(play())
--- a/tests/test_turn_gate.py
+++ b/tests/test_turn_gate.py
@@ -13,7 +13,7 @@
     """Requests that are not quarantined."""
 
     def test_each_case(self):
-        for are_all_unreachable, is_hopeless, must_wait, expected in (
+        for are_all_unreachable, is_infeasible, must_wait, expected in (
             (False, False, False, SchedulingDecision.TRY),
             (False, False, True, SchedulingDecision.WAIT),
             (False, True, False, SchedulingDecision.REFUSE),
@@ -23,6 +23,6 @@
             (True, True, False, SchedulingDecision.REFUSE),
             (True, True, True, SchedulingDecision.REFUSE),
         ):
-            inputs = SchedulingInputs(are_all_unreachable, is_hopeless, must_wait)
+            inputs = SchedulingInputs(are_all_unreachable, is_infeasible, must_wait)
             with self.subTest(inputs=inputs):
                 self.assertIs(expected, decide_scheduling(inputs))
