--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -89,7 +89,7 @@
     service_time = places.service_time or deadlines.default_service_time
     wait = max(share_wait, _wait(places, service_time, ahead, blocked_for))
     is_untried = places.run_few_requests and not ahead and not blocked_for
-    if _is_hopeless(
+    if _is_infeasible(
         places, deadlines, now, wait + service_time * MIN_SERVICE_TIME_SHARE, is_untried
     ):
         expectation = Expectation.NOT_AT_ALL
@@ -123,7 +123,7 @@
     return max(blocked_for, missing * service_time / places.total)
 
 
-def _is_hopeless(
+def _is_infeasible(
     places: SlotCounts, deadlines: Deadlines, now: float, least: float, is_untried: bool
 ) -> bool:
     """Returns whether a request that takes ``least`` seconds or more will not be served.
