--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -141,10 +141,10 @@
 
 def retry_after(wait: float, time_left: float) -> float:
     """Returns the seconds after which to come back, so that enough of the caller's time is left."""
-    return whole_milliseconds(min(max(LEAST_RETRY_SECONDS, wait), most_retry(time_left)))
+    return whole_milliseconds(min(max(LEAST_RETRY_SECONDS, wait), max_retry_delay(time_left)))
 
 
-def most_retry(time_left: float) -> float:
+def max_retry_delay(time_left: float) -> float:
     """Returns the most seconds after which a caller with so much time left should come back."""
     return min(MOST_RETRY_SECONDS, time_left * HEEDED_SHARE)
 
--- a/src/larkpost/gateway/proxy/retry_spreading.py
+++ b/src/larkpost/gateway/proxy/retry_spreading.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.proxy.forecast import (
     LEAST_RETRY_SECONDS,
     Forecast,
-    most_retry,
+    max_retry_delay,
     whole_milliseconds,
 )
 from larkpost.gateway.proxy.waiter import Waiter
@@ -32,7 +32,7 @@
 
     def spread(self, waiter: Waiter, forecast: Forecast) -> Forecast:
         """Returns the forecast of a refused request with a time of its own to come back."""
-        most = most_retry(waiter.deadlines.expires_at - self._clock.now())
+        most = max_retry_delay(waiter.deadlines.expires_at - self._clock.now())
         line = waiter.flow if waiter.was_over_share else waiter.flow.group
         wanted = max(LEAST_RETRY_SECONDS, forecast.wait)
         spacing = forecast.service_time / max(
