--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -141,7 +141,7 @@
 
 def retry_after(wait: float, time_left: float) -> float:
     """Returns the seconds after which to come back, so that enough of the caller's time is left."""
-    return whole_milliseconds(min(max(LEAST_RETRY_SECONDS, wait), max_retry_delay(time_left)))
+    return floor_to_milliseconds(min(max(LEAST_RETRY_SECONDS, wait), max_retry_delay(time_left)))
 
 
 def max_retry_delay(time_left: float) -> float:
@@ -149,6 +149,6 @@
     return min(MOST_RETRY_SECONDS, time_left * HEEDED_SHARE)
 
 
-def whole_milliseconds(seconds: float) -> float:
+def floor_to_milliseconds(seconds: float) -> float:
     """Returns a time as callers are told it: rounded down to milliseconds, and at least one."""
     return max(1, math.floor(seconds * MILLISECONDS)) / MILLISECONDS
--- a/src/larkpost/gateway/proxy/retry_spreading.py
+++ b/src/larkpost/gateway/proxy/retry_spreading.py
@@ -13,8 +13,8 @@
 from larkpost.gateway.proxy.forecast import (
     LEAST_RETRY_SECONDS,
     Forecast,
+    floor_to_milliseconds,
     max_retry_delay,
-    whole_milliseconds,
 )
 from larkpost.gateway.proxy.waiter import Waiter
 
@@ -39,4 +39,4 @@
             LEAST_RUNNING, self._ledger.own_running(waiter.service)
         )
         told = self._times.book(line, wanted, spacing, max(0.0, most))
-        return replace(forecast, retry_after=whole_milliseconds(told))
+        return replace(forecast, retry_after=floor_to_milliseconds(told))
