--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.blackboard.daemon_report import Flow, FlowGroup
 from larkpost.gateway.fairness.ledger import FlowLedger
 from larkpost.gateway.fairness.share_rule import FlowShare, GroupShares, share_out
-from larkpost.gateway.proxy.forecast import is_late_anyway
+from larkpost.gateway.proxy.forecast import would_miss_objective
 from larkpost.gateway.proxy.slot_counts import SlotCounts
 from larkpost.gateway.proxy.waiter import Waiter
 
@@ -51,7 +51,7 @@
             waiter.priority,
             flow_share is not None and flow_share.is_over_share,
             not waiter.is_retry,
-            is_late_anyway(places, waiter.deadlines, self._now),
+            would_miss_objective(places, waiter.deadlines, self._now),
             waiter.deadlines.expires_at,
             waiter.since,
         )
--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -108,7 +108,7 @@
     return Forecast(Expectation.NOT_AT_ALL, wait, told, service_time=0.0)
 
 
-def is_late_anyway(places: SlotCounts, deadlines: Deadlines, now: float) -> bool:
+def would_miss_objective(places: SlotCounts, deadlines: Deadlines, now: float) -> bool:
     """Returns whether a request would be late even if it got a place now."""
     return now + (places.service_time or deadlines.default_service_time) > deadlines.objective_at
 
