--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -59,7 +59,7 @@
 
     def _flow_share(self, waiter: Waiter, places: SlotCounts) -> FlowShare | None:
         """Returns where a request's flow stands; None if shares do not matter for the request."""
-        if waiter.is_share_exempt or places.are_mostly_free:
+        if waiter.is_share_exempt or places.is_mostly_free:
             return None
         known = (waiter.flow, places.free)
         flow_share = self._flow_shares.get(known)
--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -118,7 +118,7 @@
     if not places.total:
         return NO_PLACE_RETRY_SECONDS
     missing = places.taken + ahead + 1 - places.total
-    if missing <= 0 or places.are_mostly_free:
+    if missing <= 0 or places.is_mostly_free:
         return 0.0
     return max(blocked_for, missing * service_time / places.total)
 
@@ -134,7 +134,7 @@
     """
     if now >= deadlines.expires_at or not places.total:
         return True
-    if places.are_mostly_free or is_untried:
+    if places.is_mostly_free or is_untried:
         return False
     return now + least > deadlines.expires_at
 
--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -149,7 +149,7 @@
         forecast = line.forecast(waiter, rank, places, elsewhere)
         if forecast.is_infeasible and places.total and now < waiter.deadlines.expires_at:
             self._record_missed(waiter)
-        must_wait = not places.are_mostly_free and (line.length > 0 or rank.is_over_share)
+        must_wait = not places.is_mostly_free and (line.length > 0 or rank.is_over_share)
         return QueueForecast(forecast, must_wait, rank.is_over_share, places)
 
     async def wait_for_turn(self, waiter: Waiter) -> Forecast:
--- a/src/larkpost/gateway/proxy/slot_counts.py
+++ b/src/larkpost/gateway/proxy/slot_counts.py
@@ -38,7 +38,7 @@
         return max(0, self.total - self.taken)
 
     @property
-    def are_mostly_free(self) -> bool:
+    def is_mostly_free(self) -> bool:
         """Whether so few are taken that nothing need wait."""
         return self.taken < self.total * FREE_SHARE
 
