--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -88,7 +88,7 @@
     """
     service_time = places.service_time or deadlines.default_service_time
     wait = max(share_wait, _wait(places, service_time, ahead, blocked_for))
-    is_untried = places.run_few_requests and not ahead and not blocked_for
+    is_untried = places.has_few_running and not ahead and not blocked_for
     if _is_infeasible(
         places, deadlines, now, wait + service_time * MIN_SERVICE_TIME_SHARE, is_untried
     ):
--- a/src/larkpost/gateway/proxy/slot_counts.py
+++ b/src/larkpost/gateway/proxy/slot_counts.py
@@ -43,7 +43,7 @@
         return self.taken < self.total * FREE_SHARE
 
     @property
-    def run_few_requests(self) -> bool:
+    def has_few_running(self) -> bool:
         """Whether so few have a request that instances which failed may well take another."""
         return self.taken - self.closed < self.total * FREE_SHARE
 
