--- a/src/larkpost/gateway/proxy/slot_counts.py
+++ b/src/larkpost/gateway/proxy/slot_counts.py
@@ -30,7 +30,7 @@
     total: int
     taken: int
     service_time: float
-    closed: int = field(default=0, compare=False)
+    unavailable: int = field(default=0, compare=False)
 
     @property
     def free(self) -> int:
@@ -45,7 +45,7 @@
     @property
     def has_few_running(self) -> bool:
         """Whether so few have a request that instances which failed may well take another."""
-        return self.taken - self.closed < self.total * FREE_SHARE
+        return self.taken - self.unavailable < self.total * FREE_SHARE
 
 
 def count_slots(balancer: Balancer, service: ServiceName, work: Work) -> SlotCounts:
@@ -54,7 +54,7 @@
     An instance that failed or refused a moment ago, or that is cold, has no free place. Of a large
     service the places of some are counted, and scaled up to all.
     """
-    total = taken = closed = 0
+    total = taken = unavailable = 0
     paced_slots, rate = 0, 0.0
     look = balancer.look(service, work)
     for info in look.instances:
@@ -66,10 +66,10 @@
         is_closed = not verdict.is_allowed or balancer.is_avoided(info.id)
         total += slots
         taken += max(occupied, slots) if is_closed else occupied
-        closed += max(0, slots - occupied) if is_closed else 0
+        unavailable += max(0, slots - occupied) if is_closed else 0
         service_time = balancer.service_time(info.id)
         if service_time:
             paced_slots += slots
             rate += slots / service_time
-    total, taken, closed = (round(count * look.scale) for count in (total, taken, closed))
-    return SlotCounts(total, taken, paced_slots / rate if rate else 0.0, closed)
+    total, taken, unavailable = (round(count * look.scale) for count in (total, taken, unavailable))
+    return SlotCounts(total, taken, paced_slots / rate if rate else 0.0, unavailable)
