--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -20,7 +20,7 @@
 """Nothing is forecast further ahead: reported loads and paces are used for about a second."""
 NO_PLACE_RETRY_SECONDS = 0.5
 """When to come back to a service without any place: entries of instances take about that long."""
-HEEDED_SHARE = 1 / 3
+MAX_RETRY_SHARE = 1 / 3
 """Callers wait at most this share of the time that they have left before they come back."""
 MILLISECONDS = 1000
 """Retry times are whole milliseconds, and at least one."""
@@ -146,7 +146,7 @@
 
 def max_retry_delay(time_left: float) -> float:
     """Returns the most seconds after which a caller with so much time left should come back."""
-    return min(MOST_RETRY_SECONDS, time_left * HEEDED_SHARE)
+    return min(MOST_RETRY_SECONDS, time_left * MAX_RETRY_SHARE)
 
 
 def floor_to_milliseconds(seconds: float) -> float:
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -22,7 +22,7 @@
 from larkpost.gateway.placement.work import CLIENT_WORK
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.forecast import (
-    HEEDED_SHARE,
+    MAX_RETRY_SHARE,
     MOST_RETRY_SECONDS,
     Deadlines,
     Expectation,
@@ -102,7 +102,7 @@
         for ahead in (0, 1, 5, 40, 4000):
             forecast = make_forecast(SlotCounts(4, 4, 0.1), DEADLINES, 0.3, ahead)
             self.assertGreater(forecast.retry_after, 0)
-            self.assertLessEqual(forecast.retry_after, 0.5 * HEEDED_SHARE)
+            self.assertLessEqual(forecast.retry_after, 0.5 * MAX_RETRY_SHARE)
         patient = Deadlines(objective_at=0.2, expires_at=100.0, default_service_time=0.05)
         told = make_forecast(SlotCounts(4, 4, 0.4), patient, 0.0, ahead=1).retry_after
         self.assertAlmostEqual(0.2, told)
@@ -181,7 +181,7 @@
                 await self.clock.sleep(SETTLE_SECONDS)
                 seconds, error = await self.refusal(send(make_route(), 0.6))
                 self.assertLess(seconds, POLL_INTERVAL_SECONDS)
-                self.assertLessEqual(error.retry_after, 0.6 * HEEDED_SHARE)
+                self.assertLessEqual(error.retry_after, 0.6 * MAX_RETRY_SHARE)
                 self.assertEqual(SLOTS, len(self.state().runs))
                 await asyncio.gather(*others)
 
