--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -32,7 +32,7 @@
     OwnUse,
 )
 from larkpost.gateway.proxy.peer_use import PeerUses
-from larkpost.gateway.proxy.server_pool import LEAST_OPEN, Look, ServerPool
+from larkpost.gateway.proxy.server_pool import LEAST_OPEN, CandidatePool, ServerPool
 from larkpost.gateway.proxy.service_times import ServiceTimes
 from larkpost.gateway.proxy.subset import DaemonSubsets
 from larkpost.gateway.servers.port import NotRunError, NotRunReason, ServerLoad
@@ -157,7 +157,7 @@
 
     def look(
         self, service: ServiceName, work: Work, within: frozenset[InstanceId] | None = None
-    ) -> Look:
+    ) -> CandidatePool:
         """Returns the instances of a service that a choice for a piece of work looks at.
 
         `LEAST_OPEN` of them at least are open to the work, if there are as many that are.
@@ -322,8 +322,12 @@
         self.avoid(instance, full_seconds if is_full else UNREACHABLE_AVOID_SECONDS)
 
     def _search(
-        self, service: ServiceName, work: Work, within: frozenset[InstanceId] | None, look: Look
-    ) -> Look:
+        self,
+        service: ServiceName,
+        work: Work,
+        within: frozenset[InstanceId] | None,
+        look: CandidatePool,
+    ) -> CandidatePool:
         """Returns instances open to the work, of all that might have been looked at."""
         return self._pool.search(
             service, work, within, look, lambda info: self._is_open(info, work)
--- a/src/larkpost/gateway/proxy/server_pool.py
+++ b/src/larkpost/gateway/proxy/server_pool.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class CandidatePool:
     """The instances that a choice looks at.
 
     Attributes:
@@ -105,7 +105,7 @@
 
     def look(
         self, service: ServiceName, work: Work, within: frozenset[InstanceId] | None = None
-    ) -> Look:
+    ) -> CandidatePool:
         """Returns the instances that a choice for a piece of work looks at.
 
         Args:
@@ -114,15 +114,15 @@
         index = self._directory.index
         listed = index.ids(service)
         if len(listed) <= ALL_LOOKED_AT:
-            return Look(list(index.entries(service)), len(listed))
+            return CandidatePool(list(index.entries(service)), len(listed))
         if work.kind is WorkKind.ITEM:
             drawn_from = self._for_items(service, work, within)
             drawn = self._draw(service, drawn_from, LOOKED_AT)
-            return Look(drawn, len(drawn_from), drawn_from)
+            return CandidatePool(drawn, len(drawn_from), drawn_from)
         own = self._subsets.ids(service, index) if self._subsets is not None else listed
-        return Look(self._draw(service, own, LOOKED_AT), len(listed), listed)
+        return CandidatePool(self._draw(service, own, LOOKED_AT), len(listed), listed)
 
-    def look_further(self, service: ServiceName, look: Look) -> list[InstanceInfo]:
+    def look_further(self, service: ServiceName, look: CandidatePool) -> list[InstanceInfo]:
         """Returns some of the others."""
         seen = {info.id for info in look.instances}
         drawn = self._draw(service, look.possible, LOOKED_FURTHER)
@@ -133,9 +133,9 @@
         service: ServiceName,
         work: Work,
         within: frozenset[InstanceId] | None,
-        look: Look,
+        look: CandidatePool,
         is_wanted: Callable[[InstanceInfo], bool],
-    ) -> Look:
+    ) -> CandidatePool:
         """Returns instances that are wanted, found by looking at all if need be; seldom anew.
 
         Args:
@@ -150,7 +150,7 @@
             self._searches[key] = known
         index = self._directory.index
         found = [info for name in known.ids if (info := index.get(service, name)) is not None]
-        return Look(found, round(len(found) * known.scale))
+        return CandidatePool(found, round(len(found) * known.scale))
 
     def _find(
         self,
