--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -145,17 +145,17 @@
                 and self._placement.allows(info, work)
             )
 
-        look = self.look(service, work, within)
-        fitting = [info for info in look.instances if is_fitting(info)]
-        if look.is_partial and not any(self._may_take_now(info) for info in fitting):
-            further = self._pool.look_further(service, look)
+        candidate_pool = self.candidate_pool(service, work, within)
+        fitting = [info for info in candidate_pool.instances if is_fitting(info)]
+        if candidate_pool.is_partial and not any(self._may_take_now(info) for info in fitting):
+            further = self._pool.look_further(service, candidate_pool)
             fitting += [info for info in further if is_fitting(info)]
-        if look.is_partial and not fitting:
-            found = self._search(service, work, within, look).instances
+        if candidate_pool.is_partial and not fitting:
+            found = self._search(service, work, within, candidate_pool).instances
             fitting = [info for info in found if is_fitting(info)]
         return self._order.ranked(service, fitting, for_client=for_client)
 
-    def look(
+    def candidate_pool(
         self, service: ServiceName, work: Work, within: frozenset[InstanceId] | None = None
     ) -> CandidatePool:
         """Returns the instances of a service that a choice for a piece of work looks at.
@@ -165,13 +165,13 @@
         Args:
             within: the only instances of a large service to look at; None for any.
         """
-        look = self._pool.look(service, work, within)
-        if not look.is_partial:
-            return look
-        are_open = (info for info in look.instances if self._is_open(info, work))
+        candidate_pool = self._pool.candidate_pool(service, work, within)
+        if not candidate_pool.is_partial:
+            return candidate_pool
+        are_open = (info for info in candidate_pool.instances if self._is_open(info, work))
         if len(list(islice(are_open, LEAST_OPEN))) == LEAST_OPEN:
-            return look
-        return self._search(service, work, within, look)
+            return candidate_pool
+        return self._search(service, work, within, candidate_pool)
 
     def subset_sizes(self) -> dict[ServiceName, int]:
         """Returns how many instances of each large service this daemon's requests go to."""
@@ -213,7 +213,9 @@
     def verdicts(self, service: ServiceName, work: Work = CLIENT_WORK) -> dict[Verdict, int]:
         """Returns how many instances of those looked at get each verdict; for the log."""
         return dict(
-            Counter(self._verdict(info, work) for info in self.look(service, work).instances)
+            Counter(
+                self._verdict(info, work) for info in self.candidate_pool(service, work).instances
+            )
         )
 
     def is_outside_regions(self, service: ServiceName, work: Work) -> bool:
@@ -326,11 +328,11 @@
         service: ServiceName,
         work: Work,
         within: frozenset[InstanceId] | None,
-        look: CandidatePool,
+        candidate_pool: CandidatePool,
     ) -> CandidatePool:
         """Returns instances open to the work, of all that might have been looked at."""
         return self._pool.search(
-            service, work, within, look, lambda info: self._is_open(info, work)
+            service, work, within, candidate_pool, lambda info: self._is_open(info, work)
         )
 
     def _is_open(self, info: InstanceInfo, work: Work) -> bool:
--- a/src/larkpost/gateway/proxy/server_choice.py
+++ b/src/larkpost/gateway/proxy/server_choice.py
@@ -54,7 +54,7 @@
 
     def hedge_delay(self, attempts: Attempts) -> float:
         """Returns the seconds after which a second server is tried beside the first."""
-        looked_at = self._balancer.look(attempts.waiter.service, attempts.waiter.work)
+        looked_at = self._balancer.candidate_pool(attempts.waiter.service, attempts.waiter.work)
         paces = [
             service_time
             for info in looked_at.instances
--- a/src/larkpost/gateway/proxy/server_pool.py
+++ b/src/larkpost/gateway/proxy/server_pool.py
@@ -103,7 +103,7 @@
         self._subsets = subsets
         self._searches: dict[_SearchKey, _Search] = {}
 
-    def look(
+    def candidate_pool(
         self, service: ServiceName, work: Work, within: frozenset[InstanceId] | None = None
     ) -> CandidatePool:
         """Returns the instances that a choice for a piece of work looks at.
@@ -122,10 +122,12 @@
         own = self._subsets.ids(service, index) if self._subsets is not None else listed
         return CandidatePool(self._draw(service, own, LOOKED_AT), len(listed), listed)
 
-    def look_further(self, service: ServiceName, look: CandidatePool) -> list[InstanceInfo]:
+    def look_further(
+        self, service: ServiceName, candidate_pool: CandidatePool
+    ) -> list[InstanceInfo]:
         """Returns some of the others."""
-        seen = {info.id for info in look.instances}
-        drawn = self._draw(service, look.possible, LOOKED_FURTHER)
+        seen = {info.id for info in candidate_pool.instances}
+        drawn = self._draw(service, candidate_pool.possible, LOOKED_FURTHER)
         return [info for info in drawn if info.id not in seen]
 
     def search(
@@ -133,7 +135,7 @@
         service: ServiceName,
         work: Work,
         within: frozenset[InstanceId] | None,
-        look: CandidatePool,
+        candidate_pool: CandidatePool,
         is_wanted: Callable[[InstanceInfo], bool],
     ) -> CandidatePool:
         """Returns instances that are wanted, found by looking at all if need be; seldom anew.
@@ -145,7 +147,7 @@
         key = (service, work, within)
         known = self._searches.get(key)
         if known is None or now - known.at >= SEARCH_LIFETIME_SECONDS:
-            known = self._find(service, look.possible, is_wanted)
+            known = self._find(service, candidate_pool.possible, is_wanted)
             self._forget_searches(now)
             self._searches[key] = known
         index = self._directory.index
--- a/src/larkpost/gateway/proxy/slot_counts.py
+++ b/src/larkpost/gateway/proxy/slot_counts.py
@@ -56,8 +56,8 @@
     """
     total = taken = unavailable = 0
     paced_slots, rate = 0, 0.0
-    look = balancer.look(service, work)
-    for info in look.instances:
+    candidate_pool = balancer.candidate_pool(service, work)
+    for info in candidate_pool.instances:
         verdict = balancer.placement.judge(info, work)
         if not verdict.is_allowed and verdict is not Verdict.COLD:
             continue
@@ -71,5 +71,7 @@
         if service_time:
             paced_slots += slots
             rate += slots / service_time
-    total, taken, unavailable = (round(count * look.scale) for count in (total, taken, unavailable))
+    total, taken, unavailable = (
+        round(count * candidate_pool.scale) for count in (total, taken, unavailable)
+    )
     return SlotCounts(total, taken, paced_slots / rate if rate else 0.0, unavailable)
--- a/src/larkpost/gateway/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_choice.py
@@ -125,7 +125,7 @@
         """Returns how many places the engines that fit are believed to have free."""
         work = self.items.work_of()
         fitting = self._with_place(service, work)
-        scale = self._services.balancer.look(service, work).scale
+        scale = self._services.balancer.candidate_pool(service, work).scale
         return int(sum(self._places_at(info, work) for info in fitting) * scale)
 
     def _places_at(self, info: InstanceInfo, work: Work) -> int:
@@ -185,7 +185,7 @@
         directory = self._services.directory
         paces = [
             pace
-            for info in balancer.look(service, work).instances
+            for info in balancer.candidate_pool(service, work).instances
             if (pace := balancer.paces.lasting(info.id))
             and not balancer.is_cold(info)
             and directory.version_of(info.id, self._head.model) >= version
