--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -148,7 +148,7 @@
         candidate_pool = self.candidate_pool(service, work, within)
         fitting = [info for info in candidate_pool.instances if is_fitting(info)]
         if candidate_pool.is_partial and not any(self._may_take_now(info) for info in fitting):
-            further = self._pool.look_further(service, candidate_pool)
+            further = self._pool.extend_pool(service, candidate_pool)
             fitting += [info for info in further if is_fitting(info)]
         if candidate_pool.is_partial and not fitting:
             found = self._search(service, work, within, candidate_pool).instances
--- a/src/larkpost/gateway/proxy/server_pool.py
+++ b/src/larkpost/gateway/proxy/server_pool.py
@@ -122,7 +122,7 @@
         own = self._subsets.ids(service, index) if self._subsets is not None else listed
         return CandidatePool(self._draw(service, own, LOOKED_AT), len(listed), listed)
 
-    def look_further(
+    def extend_pool(
         self, service: ServiceName, candidate_pool: CandidatePool
     ) -> list[InstanceInfo]:
         """Returns some of the others."""
