--- a/src/larkpost/gateway/proxy/server_pool.py
+++ b/src/larkpost/gateway/proxy/server_pool.py
@@ -20,7 +20,7 @@
 from larkpost.gateway.placement.work import Work, WorkKind
 from larkpost.gateway.proxy.subset import DaemonSubsets
 
-ALL_LOOKED_AT = 64
+MAX_UNSAMPLED_INSTANCES = 64
 """A service of so many instances or fewer is looked at as a whole."""
 LOOKED_AT = 40
 """Instances of a larger one that a choice looks at."""
@@ -113,7 +113,7 @@
         """
         index = self._directory.index
         listed = index.ids(service)
-        if len(listed) <= ALL_LOOKED_AT:
+        if len(listed) <= MAX_UNSAMPLED_INSTANCES:
             return CandidatePool(list(index.entries(service)), len(listed))
         if work.kind is WorkKind.ITEM:
             drawn_from = self._for_items(service, work, within)
@@ -187,7 +187,7 @@
         return {
             service: len(self._subsets.ids(service, index))
             for service in index.services()
-            if len(index.ids(service)) > ALL_LOOKED_AT
+            if len(index.ids(service)) > MAX_UNSAMPLED_INSTANCES
         }
 
     def _for_items(
--- a/tests/test_bounded_choice.py
+++ b/tests/test_bounded_choice.py
@@ -19,9 +19,9 @@
 from larkpost.gateway.placement.work import CLIENT_WORK, REWARD_WORK, Work, WorkKind
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.server_pool import (
-    ALL_LOOKED_AT,
     LOOKED_AT,
     LOOKED_FURTHER,
+    MAX_UNSAMPLED_INSTANCES,
     SEARCH_LIFETIME_SECONDS,
 )
 from larkpost.gateway.proxy.slot_counts import count_slots
@@ -136,11 +136,14 @@
 
     def test_all_servers_of_a_small_service_are_put_in_order(self):
         async def play():
-            scene = Scene(ALL_LOOKED_AT, 370)
-            self.assertEqual(ALL_LOOKED_AT, len(scene.client_choice()))
-            self.assertEqual(ALL_LOOKED_AT, len(scene.balancer.candidates(PAGES, ITEM_WORK)))
+            scene = Scene(MAX_UNSAMPLED_INSTANCES, 370)
+            self.assertEqual(MAX_UNSAMPLED_INSTANCES, len(scene.client_choice()))
             self.assertEqual(
-                SLOTS * ALL_LOOKED_AT, count_slots(scene.balancer, PAGES, CLIENT_WORK).total
+                MAX_UNSAMPLED_INSTANCES, len(scene.balancer.candidates(PAGES, ITEM_WORK))
+            )
+            self.assertEqual(
+                SLOTS * MAX_UNSAMPLED_INSTANCES,
+                count_slots(scene.balancer, PAGES, CLIENT_WORK).total,
             )
 
         run(play())
@@ -377,18 +380,20 @@
 
     def test_batch_is_whole_though_a_third_of_the_engines_does_not_respond(self):
         async def play():
-            fleet = PlatformFleet(gateways=3, engines=2 * ALL_LOOKED_AT)
+            fleet = PlatformFleet(gateways=3, engines=2 * MAX_UNSAMPLED_INSTANCES)
             await fleet.wait(1.0)
             spec = make_batch(items=300)
             await fleet.submit(spec)
             await fleet.wait(0.3)
-            for number in range(0, 2 * ALL_LOOKED_AT, 3):
+            for number in range(0, 2 * MAX_UNSAMPLED_INSTANCES, 3):
                 fleet.engines.engines[InstanceId(f"engine-{number}")].down = True
             await fleet.wait(10.0)
             check_results(self, spec, await fleet.read_all(fleet.gateways[0], spec.id))
             for gateway in fleet.gateways:
                 sizes = gateway.balancer.subset_sizes()
-                self.assertEqual({ENGINES: 2 * ALL_LOOKED_AT}, sizes)  # three daemons serve all
+                self.assertEqual(
+                    {ENGINES: 2 * MAX_UNSAMPLED_INSTANCES}, sizes
+                )  # three daemons serve all
 
         run(play())
 
--- a/tests/test_choice_quality.py
+++ b/tests/test_choice_quality.py
@@ -16,7 +16,7 @@
 from larkpost.common.ids import DaemonId, InstanceId
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.proxy.ranking import Candidate, rank
-from larkpost.gateway.proxy.server_pool import ALL_LOOKED_AT, LOOKED_AT, LOOKED_FURTHER
+from larkpost.gateway.proxy.server_pool import LOOKED_AT, LOOKED_FURTHER, MAX_UNSAMPLED_INSTANCES
 from larkpost.gateway.proxy.subset import daemons_a_server, seed_of, weight
 from tests.server_parts import make_instance
 
@@ -145,7 +145,7 @@
     def __call__(self, fleet: Fleet, daemon: int, chance: random.Random) -> int:
         """Returns the server for a request of a daemon."""
         part = self._parts[daemon]
-        if len(fleet.servers) <= ALL_LOOKED_AT:
+        if len(fleet.servers) <= MAX_UNSAMPLED_INSTANCES:
             part = range(len(fleet.servers))
         elif len(part) > LOOKED_AT:
             part = chance.sample(part, LOOKED_AT)
