--- a/src/larkpost/gateway/proxy/server_pool.py
+++ b/src/larkpost/gateway/proxy/server_pool.py
@@ -22,7 +22,7 @@
 
 MAX_UNSAMPLED_INSTANCES = 64
 """A service of so many instances or fewer is looked at as a whole."""
-LOOKED_AT = 40
+POOL_SIZE = 40
 """Instances of a larger one that a choice looks at."""
 LOOKED_FURTHER = 12
 """Others that it looks at if none of those has a place. Of a dozen drawn at random one has, unless
@@ -117,10 +117,10 @@
             return CandidatePool(list(index.entries(service)), len(listed))
         if work.kind is WorkKind.ITEM:
             drawn_from = self._for_items(service, work, within)
-            drawn = self._draw(service, drawn_from, LOOKED_AT)
+            drawn = self._draw(service, drawn_from, POOL_SIZE)
             return CandidatePool(drawn, len(drawn_from), drawn_from)
         own = self._subsets.ids(service, index) if self._subsets is not None else listed
-        return CandidatePool(self._draw(service, own, LOOKED_AT), len(listed), listed)
+        return CandidatePool(self._draw(service, own, POOL_SIZE), len(listed), listed)
 
     def extend_pool(
         self, service: ServiceName, candidate_pool: CandidatePool
@@ -168,7 +168,7 @@
             judged += 1
             if is_wanted(info):
                 found.append(info.id)
-            if len(found) == LOOKED_AT:
+            if len(found) == POOL_SIZE:
                 break
         return _Search(self._clock.now(), found, len(in_no_order) / max(1, judged))
 
--- a/tests/test_bounded_choice.py
+++ b/tests/test_bounded_choice.py
@@ -19,9 +19,9 @@
 from larkpost.gateway.placement.work import CLIENT_WORK, REWARD_WORK, Work, WorkKind
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.server_pool import (
-    LOOKED_AT,
     LOOKED_FURTHER,
     MAX_UNSAMPLED_INSTANCES,
+    POOL_SIZE,
     SEARCH_LIFETIME_SECONDS,
 )
 from larkpost.gateway.proxy.slot_counts import count_slots
@@ -323,7 +323,7 @@
             for _ in range(20):
                 self.assertEqual([], scene.client_choice())
                 self.assertEqual(0, count_slots(scene.balancer, PAGES, CLIENT_WORK).total)
-                self.assertLessEqual(scene.rule.take(), LOOKED_AT + LOOKED_FURTHER)
+                self.assertLessEqual(scene.rule.take(), POOL_SIZE + LOOKED_FURTHER)
             await LoopClock().sleep(SEARCH_LIFETIME_SECONDS)
             scene.rule.forbidden.clear()
             self.assertTrue(scene.client_choice())
@@ -342,7 +342,7 @@
                 versions = {MODEL: 1 if info.id in holders else 0}
                 scene.directory.update(replace(info, versions=versions))
             chosen = scene.balancer.candidates(PAGES, ITEM_WORK)
-            self.assertEqual(LOOKED_AT, len(chosen))
+            self.assertEqual(POOL_SIZE, len(chosen))
             self.assertLessEqual({info.id for info in chosen}, holders)
             scene.directory.observe_version(InstanceId("s1"), MODEL, 1)
             self.assertIn("s1", scene.directory.index.holders(PAGES, MODEL))
@@ -354,7 +354,7 @@
             scene = Scene()
             own = frozenset(f"s{number}" for number in range(100, 250))
             chosen = scene.balancer.candidates(PAGES, ITEM_WORK, within=own)
-            self.assertEqual(LOOKED_AT, len(chosen))
+            self.assertEqual(POOL_SIZE, len(chosen))
             self.assertLessEqual({info.id for info in chosen}, own)
 
         run(play())
--- a/tests/test_choice_quality.py
+++ b/tests/test_choice_quality.py
@@ -16,7 +16,7 @@
 from larkpost.common.ids import DaemonId, InstanceId
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.proxy.ranking import Candidate, rank
-from larkpost.gateway.proxy.server_pool import LOOKED_AT, LOOKED_FURTHER, MAX_UNSAMPLED_INSTANCES
+from larkpost.gateway.proxy.server_pool import LOOKED_FURTHER, MAX_UNSAMPLED_INSTANCES, POOL_SIZE
 from larkpost.gateway.proxy.subset import daemons_a_server, seed_of, weight
 from tests.server_parts import make_instance
 
@@ -126,7 +126,7 @@
 
 def draw_of_all(fleet: Fleet, daemon: int, chance: random.Random) -> int:
     """Returns the first of some servers drawn anew, as for an item of a batch."""
-    drawn = chance.sample(range(len(fleet.servers)), LOOKED_AT)
+    drawn = chance.sample(range(len(fleet.servers)), POOL_SIZE)
     return choose_of(fleet, daemon, drawn, chance)
 
 
@@ -147,8 +147,8 @@
         part = self._parts[daemon]
         if len(fleet.servers) <= MAX_UNSAMPLED_INSTANCES:
             part = range(len(fleet.servers))
-        elif len(part) > LOOKED_AT:
-            part = chance.sample(part, LOOKED_AT)
+        elif len(part) > POOL_SIZE:
+            part = chance.sample(part, POOL_SIZE)
         first = choose_of(fleet, daemon, part, chance)
         if fleet.occupied(daemon, first) < SLOTS:
             return first
