--- a/src/larkpost/gateway/proxy/server_pool.py
+++ b/src/larkpost/gateway/proxy/server_pool.py
@@ -24,7 +24,7 @@
 """A service of so many instances or fewer is looked at as a whole."""
 POOL_SIZE = 40
 """Instances of a larger one that a choice looks at."""
-LOOKED_FURTHER = 12
+POOL_EXTENSION_SIZE = 12
 """Others that it looks at if none of those has a place. Of a dozen drawn at random one has, unless
 nearly all are full."""
 LEAST_OPEN = 4
@@ -127,7 +127,7 @@
     ) -> list[InstanceInfo]:
         """Returns some of the others."""
         seen = {info.id for info in candidate_pool.instances}
-        drawn = self._draw(service, candidate_pool.possible, LOOKED_FURTHER)
+        drawn = self._draw(service, candidate_pool.possible, POOL_EXTENSION_SIZE)
         return [info for info in drawn if info.id not in seen]
 
     def search(
--- a/tests/test_bounded_choice.py
+++ b/tests/test_bounded_choice.py
@@ -19,8 +19,8 @@
 from larkpost.gateway.placement.work import CLIENT_WORK, REWARD_WORK, Work, WorkKind
 from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
 from larkpost.gateway.proxy.server_pool import (
-    LOOKED_FURTHER,
     MAX_UNSAMPLED_INSTANCES,
+    POOL_EXTENSION_SIZE,
     POOL_SIZE,
     SEARCH_LIFETIME_SECONDS,
 )
@@ -323,7 +323,7 @@
             for _ in range(20):
                 self.assertEqual([], scene.client_choice())
                 self.assertEqual(0, count_slots(scene.balancer, PAGES, CLIENT_WORK).total)
-                self.assertLessEqual(scene.rule.take(), POOL_SIZE + LOOKED_FURTHER)
+                self.assertLessEqual(scene.rule.take(), POOL_SIZE + POOL_EXTENSION_SIZE)
             await LoopClock().sleep(SEARCH_LIFETIME_SECONDS)
             scene.rule.forbidden.clear()
             self.assertTrue(scene.client_choice())
--- a/tests/test_choice_quality.py
+++ b/tests/test_choice_quality.py
@@ -16,7 +16,11 @@
 from larkpost.common.ids import DaemonId, InstanceId
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.proxy.ranking import Candidate, rank
-from larkpost.gateway.proxy.server_pool import LOOKED_FURTHER, MAX_UNSAMPLED_INSTANCES, POOL_SIZE
+from larkpost.gateway.proxy.server_pool import (
+    MAX_UNSAMPLED_INSTANCES,
+    POOL_EXTENSION_SIZE,
+    POOL_SIZE,
+)
 from larkpost.gateway.proxy.subset import daemons_a_server, seed_of, weight
 from tests.server_parts import make_instance
 
@@ -152,7 +156,7 @@
         first = choose_of(fleet, daemon, part, chance)
         if fleet.occupied(daemon, first) < SLOTS:
             return first
-        further = chance.sample(range(len(fleet.servers)), LOOKED_FURTHER)
+        further = chance.sample(range(len(fleet.servers)), POOL_EXTENSION_SIZE)
         return choose_of(fleet, daemon, [first, *further], chance)
 
 
