--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -32,7 +32,7 @@
     OwnUse,
 )
 from larkpost.gateway.proxy.peer_use import PeerUses
-from larkpost.gateway.proxy.server_pool import LEAST_OPEN, CandidatePool, ServerPool
+from larkpost.gateway.proxy.server_pool import MIN_OPEN_INSTANCES, CandidatePool, ServerPool
 from larkpost.gateway.proxy.service_times import ServiceTimes
 from larkpost.gateway.proxy.subset import DaemonSubsets
 from larkpost.gateway.servers.port import NotRunError, NotRunReason, ServerLoad
@@ -169,7 +169,7 @@
         if not candidate_pool.is_partial:
             return candidate_pool
         are_open = (info for info in candidate_pool.instances if self._is_open(info, work))
-        if len(list(islice(are_open, LEAST_OPEN))) == LEAST_OPEN:
+        if len(list(islice(are_open, MIN_OPEN_INSTANCES))) == MIN_OPEN_INSTANCES:
             return candidate_pool
         return self._search(service, work, within, candidate_pool)
 
--- a/src/larkpost/gateway/proxy/server_pool.py
+++ b/src/larkpost/gateway/proxy/server_pool.py
@@ -27,7 +27,7 @@
 POOL_EXTENSION_SIZE = 12
 """Others that it looks at if none of those has a place. Of a dozen drawn at random one has, unless
 nearly all are full."""
-LEAST_OPEN = 4
+MIN_OPEN_INSTANCES = 4
 """Instances open to the work that a choice looks at, if there are as many: with fewer, all of them
 may have been tried or be full while others could serve."""
 SEARCH_LIFETIME_SECONDS = 0.25
