--- a/src/larkpost/gateway/proxy/server_pool.py
+++ b/src/larkpost/gateway/proxy/server_pool.py
@@ -32,7 +32,7 @@
 may have been tried or be full while others could serve."""
 SEARCH_LIFETIME_SECONDS = 0.25
 """How long it is believed which instances a search of a whole service has found."""
-KEPT_SORTED_SETS = 64
+SORTED_IDS_CACHE_SIZE = 64
 """Sets of instances of which the sorted ids are kept."""
 
 
@@ -78,7 +78,7 @@
 """The service, the work, and the only instances that were searched."""
 
 
-@lru_cache(maxsize=KEPT_SORTED_SETS)
+@lru_cache(maxsize=SORTED_IDS_CACHE_SIZE)
 def _sorted_ids(instances: frozenset[InstanceId]) -> tuple[InstanceId, ...]:
     return tuple(sorted(instances))
 
