--- a/src/larkpost/gateway/proxy/server_pool.py
+++ b/src/larkpost/gateway/proxy/server_pool.py
@@ -47,12 +47,12 @@
 
     instances: list[InstanceInfo]
     total: int
-    possible: Sequence[InstanceId] = ()
+    population: Sequence[InstanceId] = ()
 
     @property
     def is_partial(self) -> bool:
         """Whether there are others that may be looked at."""
-        return len(self.possible) > len(self.instances)
+        return len(self.population) > len(self.instances)
 
     @property
     def scale(self) -> float:
@@ -127,7 +127,7 @@
     ) -> list[InstanceInfo]:
         """Returns some of the others."""
         seen = {info.id for info in candidate_pool.instances}
-        drawn = self._draw(service, candidate_pool.possible, POOL_EXTENSION_SIZE)
+        drawn = self._draw(service, candidate_pool.population, POOL_EXTENSION_SIZE)
         return [info for info in drawn if info.id not in seen]
 
     def search(
@@ -147,7 +147,7 @@
         key = (service, work, within)
         known = self._searches.get(key)
         if known is None or now - known.at >= SEARCH_LIFETIME_SECONDS:
-            known = self._find(service, candidate_pool.possible, is_wanted)
+            known = self._find(service, candidate_pool.population, is_wanted)
             self._forget_searches(now)
             self._searches[key] = known
         index = self._directory.index
