--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -39,7 +39,7 @@
 
 UNREACHABLE_AVOID_SECONDS = 1.0
 """For so long an instance is a last resort that did not run a request, unless it was full."""
-NOT_ASKED_REASONS = (
+NOT_SENT_REASONS = (
     NotRunReason.COLD,
     NotRunReason.EVACUATED,
     NotRunReason.OUTSIDE_REGIONS,
@@ -315,7 +315,7 @@
         Args:
             full_seconds: how long to avoid it if it was full.
         """
-        if reason in NOT_ASKED_REASONS:
+        if reason in NOT_SENT_REASONS:
             return  # it was not asked at all, and may have room for other work
         if reason is NotRunReason.REPLACED:
             self._directory.retire(instance)
