--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -177,7 +177,7 @@
         """Returns how many instances of each large service this daemon's requests go to."""
         return self._pool.subset_sizes()
 
-    def has_place(self, info: InstanceInfo) -> bool:
+    def has_free_slot(self, info: InstanceInfo) -> bool:
         """Returns whether an instance is believed to have a free place.
 
         One that refused is asked with a single request at a time until it takes one: while it
@@ -341,7 +341,7 @@
         return verdict.is_allowed or verdict is Verdict.COLD
 
     def _may_take_now(self, info: InstanceInfo) -> bool:
-        return not self.is_avoided(info.id) and self.has_place(info)
+        return not self.is_avoided(info.id) and self.has_free_slot(info)
 
     def _verdict(self, info: InstanceInfo, work: Work) -> Verdict:
         verdict = self._placement.judge(info, work)
--- a/src/larkpost/gateway/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_choice.py
@@ -206,7 +206,7 @@
         """
         balancer = self._services.balancer
         fitting = balancer.candidates(service, work, eligible=self._has_not_failed, within=within)
-        return [info for info in fitting if balancer.has_place(info)]
+        return [info for info in fitting if balancer.has_free_slot(info)]
 
     def _has_not_failed(self, info: InstanceInfo) -> bool:
         """Returns whether an engine did not fail a moment ago."""
--- a/tests/test_bounded_choice.py
+++ b/tests/test_bounded_choice.py
@@ -189,7 +189,7 @@
             scene.fill(scene.subset)
             first = scene.client_choice()[0]
             self.assertNotIn(first.id, scene.subset)
-            self.assertTrue(scene.balancer.has_place(first))
+            self.assertTrue(scene.balancer.has_free_slot(first))
 
         run(play())
 
@@ -369,7 +369,7 @@
             found = 0
             for _ in range(20):
                 candidates = scene.balancer.candidates(PAGES, ITEM_WORK)
-                found += any(scene.balancer.has_place(info) for info in candidates)
+                found += any(scene.balancer.has_free_slot(info) for info in candidates)
             self.assertGreaterEqual(found, 8)
 
         run(play())
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -243,7 +243,7 @@
         self.assertEqual(0.0, self.balancer.service_time(SECOND.id))
         self.assertEqual(0, self.balancer.occupied(SECOND))
         self.assertFalse(self.balancer.is_avoided(SECOND.id))
-        self.assertTrue(self.balancer.has_place(SECOND))
+        self.assertTrue(self.balancer.has_free_slot(SECOND))
 
     def test_request_under_way_at_the_earlier_one_takes_no_place_at_the_new(self) -> None:
         self.balancer.occupy(FIRST.id)
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -306,14 +306,14 @@
             engine = make_instance("e0", ENGINES)
             balancer.occupy(engine.id)  # runs there all the time
             balancer.record_not_run(engine.id, NotRunReason.FULL, 0.0)
-            found = [balancer.has_place(engine)]
+            found = [balancer.has_free_slot(engine)]
             balancer.occupy(engine.id)
-            found.append(balancer.has_place(engine))
+            found.append(balancer.has_free_slot(engine))
             await asyncio.sleep(PROBE_SECONDS + 0.01)
-            found.append(balancer.has_place(engine))
+            found.append(balancer.has_free_slot(engine))
             balancer.occupy(engine.id)
             balancer.record_load(engine.id, None)
-            return [*found, balancer.has_place(engine)]
+            return [*found, balancer.has_free_slot(engine)]
 
         self.assertEqual([True, False, True, True], run(places()))
 
@@ -385,7 +385,7 @@
             self.assertGreater(run(seconds()), 2.9)
 
     def test_client_slots_share(self):
-        async def has_place() -> bool:
+        async def has_free_slot() -> bool:
             fleet = PlatformFleet(1, 1, scorers=1)
             services = fleet.gateways[0].keeper._services
             attempts = RewardAttempts(make_head(fleet), services)
@@ -395,9 +395,9 @@
             await asyncio.sleep(0)
             return attempts._has_place(info)
 
-        self.assertFalse(run(has_place()))
+        self.assertFalse(run(has_free_slot()))
         with switched_off.slots_left_to_clients():
-            self.assertTrue(run(has_place()))
+            self.assertTrue(run(has_free_slot()))
 
 
 if __name__ == "__main__":
