--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -241,7 +241,7 @@
     # Requests in flight.
 
     @contextmanager
-    def placed(self, instance: InstanceId) -> Iterator[None]:
+    def count_request(self, instance: InstanceId) -> Iterator[None]:
         """Counts a request while it is at an instance; if it did not run, no place came free."""
         self.occupy(instance)
         try:
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -75,7 +75,7 @@
             BrokenResponseError: it may have run.
         """
         outgoing = self._outgoing(instance, attempts)
-        with self._balancer.placed(instance.id), self._gate.running(attempts.waiter):
+        with self._balancer.count_request(instance.id), self._gate.running(attempts.waiter):
             async with self._servers.send(instance, outgoing) as response:
                 self._gate.record_taken(attempts.waiter)
                 self._balancer.record_cold(instance.id, response.cold_left)
--- a/src/larkpost/gateway/rollouts/reward_attempt.py
+++ b/src/larkpost/gateway/rollouts/reward_attempt.py
@@ -124,7 +124,7 @@
         balancer = self._services.balancer
         within = balancer.placement.admit(server.id, self._work(call))
         request = replace(_request(call, limit), send_within=within)
-        with balancer.placed(server.id):
+        with balancer.count_request(server.id):
             async with (
                 asyncio.timeout(limit),
                 self._services.servers.send(server, request) as response,
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -107,7 +107,7 @@
                 instance = f"engine-{number}"
                 balancer.record_peer_summary(f"daemon-{number}", {instance: (1, 0.05)})
                 balancer.record_peer_summary(f"daemon-{number}", {})
-                with balancer.placed(instance):
+                with balancer.count_request(instance):
                     balancer.record_service_time(instance, 0.05)
                 await asyncio.sleep(10.0)
             self.assertLess(len(balancer._own), 25)
@@ -118,7 +118,7 @@
     def test_instance_with_a_request_is_remembered_when_its_entry_is_gone(self):
         async def play():
             balancer = Balancer(Directory(), LoopClock(), None)
-            with balancer.placed("engine"):
+            with balancer.count_request("engine"):
                 for _ in range(5):
                     await asyncio.sleep(60.0)
                     balancer.record_peer_summary("a", {})
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -481,7 +481,7 @@
         async def play():
             await self.begin(gateways=1)
             gateway = self.fleet.gateways[0]
-            with gateway.balancer.placed(InstanceId("engine-0")):
+            with gateway.balancer.count_request(InstanceId("engine-0")):
                 gateway.directory.forget(InstanceId("engine-0"))
                 self.assertEqual(1, gateway.balancer.outstanding_in(NORTH))
             self.assertEqual(0, gateway.balancer.outstanding_in(NORTH))
