--- a/src/larkpost/gateway/proxy/candidate_order.py
+++ b/src/larkpost/gateway/proxy/candidate_order.py
@@ -16,7 +16,7 @@
 from larkpost.gateway.proxy.ranking import Candidate, connection_factor, rank
 
 
-class Beliefs(Protocol):
+class InstanceEstimates(Protocol):
     """What is believed of instances; see the balancer."""
 
     def is_avoided(self, instance: InstanceId) -> bool:
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        beliefs: Beliefs,
+        beliefs: InstanceEstimates,
         clock: Clock,
         chance: random.Random,
         is_connected: Callable[[InstanceInfo], bool],
