--- a/src/larkpost/gateway/proxy/candidate_order.py
+++ b/src/larkpost/gateway/proxy/candidate_order.py
@@ -45,13 +45,13 @@
 
     def __init__(
         self,
-        beliefs: InstanceEstimates,
+        estimates: InstanceEstimates,
         clock: Clock,
         chance: random.Random,
         is_connected: Callable[[InstanceInfo], bool],
         has_latency: Callable[[InstanceId], bool],
     ) -> None:
-        self._beliefs = beliefs
+        self._beliefs = estimates
         self._chance = chance
         self._is_connected = is_connected
         self._has_latency = has_latency
@@ -65,7 +65,7 @@
         self, service: ServiceName, fitting: list[InstanceInfo], *, for_client: bool
     ) -> list[InstanceInfo]:
         """Returns the instances that work may go to, the best first."""
-        beliefs = self._beliefs
+        estimates = self._beliefs
         factors = self._latency_factors(service, fitting) if for_client else {}
         paces = {
             info.id: self._local_service_time(info.id, factors.get(info.id, 1.0))
@@ -74,9 +74,9 @@
         candidates = [
             Candidate(
                 info,
-                is_avoided=beliefs.is_avoided(info.id),
-                is_cold=beliefs.is_cold(info),
-                occupied=beliefs.occupied(info),
+                is_avoided=estimates.is_avoided(info.id),
+                is_cold=estimates.is_cold(info),
+                occupied=estimates.occupied(info),
                 service_time=paces[info.id],
                 latency_factor=factors.get(info.id, 1.0),
                 connection_factor=self._connection_factor(info) if for_client else 1.0,
@@ -96,15 +96,16 @@
 
         Only instances that are farther than it are named.
         """
-        beliefs = self._beliefs
-        distances = {info.id: beliefs.distance(info) for info in fitting}
+        estimates = self._beliefs
+        distances = {info.id: estimates.distance(info) for info in fitting}
         if len(set(distances.values())) < 2:
             return {}
         nearest = min(
             (
                 distances[info.id]
                 for info in fitting
-                if not beliefs.is_avoided(info.id) and beliefs.occupied(info) < max(1, info.slots)
+                if not estimates.is_avoided(info.id)
+                and estimates.occupied(info) < max(1, info.slots)
             ),
             default=Distance.OTHER_REGION,
         )
