--- a/src/larkpost/gateway/proxy/candidate_order.py
+++ b/src/larkpost/gateway/proxy/candidate_order.py
@@ -51,7 +51,7 @@
         is_connected: Callable[[InstanceInfo], bool],
         has_latency: Callable[[InstanceId], bool],
     ) -> None:
-        self._beliefs = estimates
+        self._estimates = estimates
         self._chance = chance
         self._is_connected = is_connected
         self._has_latency = has_latency
@@ -59,13 +59,13 @@
 
     def record_response(self, info: InstanceInfo, seconds: float) -> None:
         """Records the time from a client's request to its whole response."""
-        self._latency.record(info.service, self._beliefs.distance(info), seconds)
+        self._latency.record(info.service, self._estimates.distance(info), seconds)
 
     def ranked(
         self, service: ServiceName, fitting: list[InstanceInfo], *, for_client: bool
     ) -> list[InstanceInfo]:
         """Returns the instances that work may go to, the best first."""
-        estimates = self._beliefs
+        estimates = self._estimates
         factors = self._latency_factors(service, fitting) if for_client else {}
         paces = {
             info.id: self._local_service_time(info.id, factors.get(info.id, 1.0))
@@ -96,7 +96,7 @@
 
         Only instances that are farther than it are named.
         """
-        estimates = self._beliefs
+        estimates = self._estimates
         distances = {info.id: estimates.distance(info) for info in fitting}
         if len(set(distances.values())) < 2:
             return {}
@@ -118,7 +118,7 @@
     def _local_service_time(self, instance: InstanceId, latency_factor: float) -> float:
         """Returns an instance's pace, without the latency if this daemon measured it in."""
         has_latency = self._has_latency(instance)
-        return self._beliefs.service_time(instance) / (latency_factor if has_latency else 1.0)
+        return self._estimates.service_time(instance) / (latency_factor if has_latency else 1.0)
 
     def _connection_factor(self, info: InstanceInfo) -> float:
         return connection_factor(is_connected=self._is_connected(info))
