--- a/src/larkpost/gateway/assembly/client_requests.py
+++ b/src/larkpost/gateway/assembly/client_requests.py
@@ -4,7 +4,7 @@
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.fairness.ledger import FlowLedger
 from larkpost.gateway.proxy.balancer import Balancer
-from larkpost.gateway.proxy.dependencies import ForwarderParts
+from larkpost.gateway.proxy.dependencies import ForwarderDependencies
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.service_selection import ShareChooser
 from larkpost.gateway.quarantine.repository import CrashRepository
@@ -31,7 +31,7 @@
     crashes = blackboard.crashes
     trials = Trials(crashes, CrashRepository(ports.store), ports.clock, ports.log)
     return Forwarder(
-        ForwarderParts(
+        ForwarderDependencies(
             blackboard.directory,
             balancer,
             servers,
--- a/src/larkpost/gateway/proxy/dependencies.py
+++ b/src/larkpost/gateway/proxy/dependencies.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ForwarderParts:
+class ForwarderDependencies:
     """The parts of a daemon that a forwarder works with.
 
     Attributes:
--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -20,7 +20,7 @@
 from larkpost.gateway.blackboard.configuration import Route, RouteKind
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.proxy.attempts import Attempts
-from larkpost.gateway.proxy.dependencies import ForwarderParts
+from larkpost.gateway.proxy.dependencies import ForwarderDependencies
 from larkpost.gateway.proxy.outcomes import Outcomes
 from larkpost.gateway.proxy.request import ClientRequest, OpenResponse, WholeResponse
 from larkpost.gateway.proxy.request_scheduler import RequestScheduler
@@ -36,7 +36,7 @@
 class Forwarder:
     """Forwards requests to the servers of their route's service."""
 
-    def __init__(self, parts: ForwarderParts) -> None:
+    def __init__(self, parts: ForwarderDependencies) -> None:
         self._clock = parts.clock
         self._gate = RequestScheduler(parts)
         self._choice = ServerChoice(parts, self._gate)
--- a/src/larkpost/gateway/proxy/outcomes.py
+++ b/src/larkpost/gateway/proxy/outcomes.py
@@ -9,7 +9,7 @@
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.metrics import Count, Timing
 from larkpost.gateway.proxy.attempts import Attempts, QuarantineState
-from larkpost.gateway.proxy.dependencies import ForwarderParts
+from larkpost.gateway.proxy.dependencies import ForwarderDependencies
 from larkpost.gateway.proxy.request import ClientRequest
 from larkpost.gateway.proxy.retry import LEAST_ERROR_STATUS, Unserved, final_error
 from larkpost.gateway.servers.port import NotRunError
@@ -27,7 +27,7 @@
 class Outcomes:
     """Records the outcomes of client requests."""
 
-    def __init__(self, parts: ForwarderParts) -> None:
+    def __init__(self, parts: ForwarderDependencies) -> None:
         self._balancer = parts.balancer
         self._clock = parts.clock
         self._log = parts.log
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -20,7 +20,7 @@
 from larkpost.gateway.fairness.starvation_guard import LeastService
 from larkpost.gateway.placement.work import Work, WorkKind
 from larkpost.gateway.proxy.attempts import Attempts, QuarantineState
-from larkpost.gateway.proxy.dependencies import ForwarderParts
+from larkpost.gateway.proxy.dependencies import ForwarderDependencies
 from larkpost.gateway.proxy.elapsed_time import ElapsedTimes
 from larkpost.gateway.proxy.forecast import LEAST_RETRY_SECONDS, Deadlines, forecast_unreachable
 from larkpost.gateway.proxy.request import ClientRequest
@@ -72,7 +72,7 @@
 class RequestScheduler:
     """Lets requests through to the servers, one after the other."""
 
-    def __init__(self, parts: ForwarderParts) -> None:
+    def __init__(self, parts: ForwarderDependencies) -> None:
         self._parts = parts
         self._clock = parts.clock
         self._elapsed_times = ElapsedTimes(parts.clock)
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -10,7 +10,7 @@
 from larkpost.gateway.blackboard.known_crashes import CLIENT_CRASH_LIMIT
 from larkpost.gateway.memory.budget import Purpose
 from larkpost.gateway.proxy.attempts import Attempts
-from larkpost.gateway.proxy.dependencies import ForwarderParts
+from larkpost.gateway.proxy.dependencies import ForwarderDependencies
 from larkpost.gateway.proxy.outcomes import Outcomes
 from larkpost.gateway.proxy.request import OpenResponse, WholeResponse
 from larkpost.gateway.proxy.request_scheduler import RequestScheduler
@@ -30,7 +30,9 @@
 class ServerAttempt:
     """Makes attempts at single servers."""
 
-    def __init__(self, parts: ForwarderParts, gate: RequestScheduler, outcomes: Outcomes) -> None:
+    def __init__(
+        self, parts: ForwarderDependencies, gate: RequestScheduler, outcomes: Outcomes
+    ) -> None:
         self._balancer = parts.balancer
         self._servers = parts.servers
         self._clock = parts.clock
--- a/src/larkpost/gateway/proxy/server_choice.py
+++ b/src/larkpost/gateway/proxy/server_choice.py
@@ -8,7 +8,7 @@
 
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.proxy.attempts import Attempts
-from larkpost.gateway.proxy.dependencies import ForwarderParts
+from larkpost.gateway.proxy.dependencies import ForwarderDependencies
 from larkpost.gateway.proxy.request_scheduler import RequestScheduler
 
 MIN_HEDGE_SECONDS = 0.1
@@ -33,7 +33,7 @@
 class ServerChoice:
     """Chooses the servers of client requests."""
 
-    def __init__(self, parts: ForwarderParts, gate: RequestScheduler) -> None:
+    def __init__(self, parts: ForwarderDependencies, gate: RequestScheduler) -> None:
         self._balancer = parts.balancer
         self._crashes = parts.crashes
         self._gate = gate
--- a/tests/server_parts.py
+++ b/tests/server_parts.py
@@ -16,7 +16,7 @@
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.proxy.balancer import Balancer
-from larkpost.gateway.proxy.dependencies import ForwarderParts
+from larkpost.gateway.proxy.dependencies import ForwarderDependencies
 from larkpost.gateway.proxy.service_selection import ShareChooser
 from larkpost.gateway.servers.port import ServerPort
 from tests.platform_fleet import ENGINES, MODEL, PAGES
@@ -62,9 +62,9 @@
 
 def make_parts(
     directory: Directory, balancer: Balancer, servers: ServerPort, clock: Clock
-) -> ForwarderParts:
+) -> ForwarderDependencies:
     """Returns what a forwarder works with, with a log, metrics and shares of its own."""
     shares = ShareChooser(random.Random(0))
-    return ForwarderParts(
+    return ForwarderDependencies(
         directory, balancer, servers, clock, EventLog("daemon"), Metrics(), shares
     )
