--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -73,7 +73,7 @@
     """Lets requests through to the servers, one after the other."""
 
     def __init__(self, parts: ForwarderDependencies) -> None:
-        self._parts = parts
+        self._dependencies = parts
         self._clock = parts.clock
         self._elapsed_times = ElapsedTimes(parts.clock)
         self._ledger = parts.ledger or FlowLedger(parts.clock)
@@ -120,7 +120,9 @@
         """Returns whether a request must go to no server now, as others crashed under its like."""
         if attempts.is_trial:
             return False
-        is_quarantined = self._parts.crashes.is_quarantined(attempts.request, CLIENT_CRASH_LIMIT)
+        is_quarantined = self._dependencies.crashes.is_quarantined(
+            attempts.request, CLIENT_CRASH_LIMIT
+        )
         attempts.quarantine = QuarantineState.NONE
         if is_quarantined:
             attempts.quarantine = QuarantineState.QUARANTINED
@@ -137,7 +139,7 @@
 
     def record_released(self, instance: InstanceId) -> None:
         """Records that a request of this daemon has ended at an instance."""
-        info = self._parts.directory.get(instance)
+        info = self._dependencies.directory.get(instance)
         if info is not None:
             self._queues.record_end(info.service)
 
@@ -152,9 +154,9 @@
 
     async def _claim_trial(self, attempts: Attempts) -> bool:
         """Claims for a quarantined request that it may be sent to one server all the same."""
-        if self._parts.trials is None or attempts.ran_at:
+        if self._dependencies.trials is None or attempts.ran_at:
             return False
-        if await self._parts.trials.claim(attempts.request):
+        if await self._dependencies.trials.claim(attempts.request):
             attempts.quarantine = QuarantineState.TRIAL
         return attempts.is_trial
 
@@ -186,9 +188,9 @@
         """Returns what a request wants."""
         elapsed = self._elapsed_times.elapsed(route.name, request.time_left)
         return Waiter(
-            self._parts.shares.choose(route),
+            self._dependencies.shares.choose(route),
             Work(WorkKind.CLIENT, request.regions),
-            self._parts.priority_of(request.tenant, route),
+            self._dependencies.priority_of(request.tenant, route),
             _limits(request, route, elapsed),
             request.received_at - elapsed,
             request.tenant or route_flow_name(route.name),
@@ -196,7 +198,7 @@
         )
 
     def _survey(self, service: ServiceName, work: Work) -> SlotCounts:
-        return count_slots(self._parts.balancer, service, work)
+        return count_slots(self._dependencies.balancer, service, work)
 
 
 def _limits(request: ClientRequest, route: Route, elapsed: float) -> Deadlines:
