--- a/src/larkpost/gateway/assembly/balancing.py
+++ b/src/larkpost/gateway/assembly/balancing.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.placement.evacuation_rule import EvacuationRule
 from larkpost.gateway.placement.region_rule import RegionRule
 from larkpost.gateway.placement.rules import Placement
-from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
+from larkpost.gateway.proxy.balancer import Balancer, BalancerDependencies
 from larkpost.gateway.proxy.subset import DaemonSubsets
 from larkpost.gateway.quarantine.isolation import IsolationRule
 
@@ -48,7 +48,7 @@
         isolation,
         cold,
     )
-    sources = BalancerSources(
+    sources = BalancerDependencies(
         ports.servers.is_connected,
         Placement(blackboard.directory, rules, ports.metrics, cold.send_within),
         cold,
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BalancerSources:
+class BalancerDependencies:
     """What a balancer asks about instances besides their use.
 
     Attributes:
@@ -86,9 +86,9 @@
         directory: Directory,
         clock: Clock,
         chance: random.Random,
-        sources: BalancerSources | None = None,
+        sources: BalancerDependencies | None = None,
     ) -> None:
-        sources = sources or BalancerSources()
+        sources = sources or BalancerDependencies()
         self._directory = directory
         self._clock = clock
         self._placement = sources.placement or Placement(directory)
--- a/tests/choice_cost.py
+++ b/tests/choice_cost.py
@@ -17,7 +17,7 @@
 from larkpost.gateway.placement.region_rule import RegionRule
 from larkpost.gateway.placement.rules import Placement
 from larkpost.gateway.placement.work import CLIENT_WORK, Work, WorkKind
-from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
+from larkpost.gateway.proxy.balancer import Balancer, BalancerDependencies
 from larkpost.gateway.proxy.slot_counts import count_slots
 from larkpost.gateway.proxy.subset import DaemonSubset, DaemonSubsets
 from larkpost.gateway.quarantine.isolation import IsolationRule
@@ -43,7 +43,7 @@
         board.directory.update(make_instance(name, zone=ZoneId(f"z{number % 5}")))
     alive = frozenset(DaemonId(f"d{number}") for number in range(daemons))
     rules = (EvacuationRule(board.evacuations), RegionRule(board.regions), IsolationRule())
-    sources = BalancerSources(
+    sources = BalancerDependencies(
         lambda info: info.id.endswith("1"),
         Placement(board.directory, rules),
         regions=board.regions,
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -7,7 +7,7 @@
 from larkpost.common.clock import LoopClock
 from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.gateway.blackboard.directory import Directory, InstanceInfo, InstanceState
-from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
+from larkpost.gateway.proxy.balancer import Balancer, BalancerDependencies
 from tests import switched_off
 from tests.platform_fleet import (
     ENGINES,
@@ -27,7 +27,7 @@
             name = InstanceId(f"e{number}")
             directory.update(InstanceInfo(name, ENGINES, address, ZoneId("z"), 6, state))
         chance = random.Random(0)
-        sources = BalancerSources(is_connected=lambda info: info.id == "e0")
+        sources = BalancerDependencies(is_connected=lambda info: info.id == "e0")
         return Balancer(directory, LoopClock(), chance, sources)
 
     def first_choices(self, balancer: Balancer) -> set[InstanceId]:
--- a/tests/test_bounded_choice.py
+++ b/tests/test_bounded_choice.py
@@ -17,7 +17,7 @@
 from larkpost.gateway.placement.rules import Placement, PlainRule
 from larkpost.gateway.placement.verdict import Verdict
 from larkpost.gateway.placement.work import CLIENT_WORK, REWARD_WORK, Work, WorkKind
-from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
+from larkpost.gateway.proxy.balancer import Balancer, BalancerDependencies
 from larkpost.gateway.proxy.server_pool import (
     MAX_UNSAMPLED_INSTANCES,
     POOL_EXTENSION_SIZE,
@@ -75,7 +75,7 @@
             self.directory,
             LoopClock(),
             random.Random(1),
-            BalancerSources(
+            BalancerDependencies(
                 placement=Placement(self.directory, rules), regions=regions, subsets=self.subsets
             ),
         )
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -25,7 +25,7 @@
 from larkpost.gateway.placement.rules import Placement
 from larkpost.gateway.placement.verdict import Verdict
 from larkpost.gateway.placement.work import CLIENT_WORK, ORDER_WORK, REWARD_WORK, Work
-from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
+from larkpost.gateway.proxy.balancer import Balancer, BalancerDependencies
 from larkpost.gateway.servers.port import NotRunError, NotRunReason
 from larkpost.gateway.store.port import Row, RowKey
 from larkpost.platform.instance_rows import read_instance
@@ -192,7 +192,7 @@
                 self.blackboard.directory,
                 self.clock,
                 random.Random(),
-                BalancerSources(cold=self.rule),
+                BalancerDependencies(cold=self.rule),
             )
             for _ in range(20):
                 balancer.occupy(OTHER_ENGINE)
@@ -210,7 +210,7 @@
                 self.blackboard.directory,
                 self.clock,
                 random.Random(),
-                BalancerSources(placement=placement),
+                BalancerDependencies(placement=placement),
             )
             self.admitted()
             with self.assertRaises(NotRunError) as caught:
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -26,7 +26,7 @@
 from larkpost.gateway.placement.rules import Placement
 from larkpost.gateway.placement.verdict import Verdict
 from larkpost.gateway.placement.work import CLIENT_WORK, ORDER_WORK, REWARD_WORK, Work, WorkKind
-from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
+from larkpost.gateway.proxy.balancer import Balancer, BalancerDependencies
 from larkpost.gateway.proxy.forecast import MOST_RETRY_SECONDS, NO_PLACE_RETRY_SECONDS
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.request import ClientRequest, RefusedError
@@ -118,7 +118,9 @@
             directory.update(make_instance(zone, zone=zone))
         chance = random.Random(1)
         placement = Placement(directory, (EvacuationRule(evacuations),))
-        balancer = Balancer(directory, self.clock, chance, BalancerSources(placement=placement))
+        balancer = Balancer(
+            directory, self.clock, chance, BalancerDependencies(placement=placement)
+        )
         parts = make_parts(directory, balancer, self.engines, self.clock)
         self.forwarder = Forwarder(replace(parts, shares=ShareChooser(chance)))
 
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.blackboard.weight_targets import ModelDemand, WeightTarget, WeightTargets
 from larkpost.gateway.controllers.due_loads import BUSY_FIRST_SECONDS, LoadInputs, due_loads
 from larkpost.gateway.controllers.model_assignment import assign_models
-from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
+from larkpost.gateway.proxy.balancer import Balancer, BalancerDependencies
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.instance_use import PROBE_SECONDS
 from larkpost.gateway.proxy.request import (
@@ -256,7 +256,7 @@
             chance = random.Random(0)
             clock = LoopClock()
             directory = make_directory(4)
-            sources = BalancerSources(is_connected=lambda info: info.id == "e0")
+            sources = BalancerDependencies(is_connected=lambda info: info.id == "e0")
             balancer = Balancer(directory, clock, chance, sources)
             choices = [balancer.candidates(ENGINES, for_client=True)[0] for _ in range(30)]
             return len({info.id for info in choices})
@@ -291,7 +291,7 @@
         async def first(regions: RegionMap) -> set[str]:
             directory = make_directory(2)
             directory.update(replace(make_instance("e0", ENGINES), zone=ZoneId("far")))
-            sources = BalancerSources(regions=regions)
+            sources = BalancerDependencies(regions=regions)
             balancer = Balancer(directory, LoopClock(), random.Random(0), sources)
             return {balancer.candidates(ENGINES, for_client=True)[0].id for _ in range(20)}
 
--- a/tests/test_nearness.py
+++ b/tests/test_nearness.py
@@ -17,7 +17,7 @@
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.placement.region_rule import RegionRule
 from larkpost.gateway.placement.rules import Placement
-from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
+from larkpost.gateway.proxy.balancer import Balancer, BalancerDependencies
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.request import ClientRequest, RefusedError
 from larkpost.gateway.store.batch_tables import ITEM_TABLE
@@ -59,7 +59,7 @@
             self.directory,
             self.clock,
             chance,
-            BalancerSources(placement=placement, regions=regions),
+            BalancerDependencies(placement=placement, regions=regions),
         )
         self.forwarder = Forwarder(
             make_parts(self.directory, self.balancer, self.servers, self.clock)
