--- a/src/larkpost/gateway/proxy/attempts.py
+++ b/src/larkpost/gateway/proxy/attempts.py
@@ -11,7 +11,7 @@
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import Route
 from larkpost.gateway.proxy.forecast import Forecast
-from larkpost.gateway.proxy.request import ClientRequest, OpenResponse, WholeResponse
+from larkpost.gateway.proxy.request import ClientRequest, StreamedResponse, WholeResponse
 from larkpost.gateway.proxy.waiter import Waiter
 from larkpost.gateway.servers.port import NotRunReason
 
@@ -50,7 +50,7 @@
     reasons: set[NotRunReason] = field(default_factory=set)
     last: WholeResponse | None = None
     quarantine: QuarantineState = QuarantineState.NONE
-    opened: list[OpenResponse] = field(default_factory=list)
+    opened: list[StreamedResponse] = field(default_factory=list)
 
     @property
     def are_all_unreachable(self) -> bool:
@@ -72,7 +72,7 @@
         self.refused_by.clear()
         self.reasons.clear()
 
-    async def close_unused(self, used: WholeResponse | OpenResponse | None) -> None:
+    async def close_unused(self, used: WholeResponse | StreamedResponse | None) -> None:
         """Ends the calls whose responses are not used, as another one came first.
 
         All of them are ended, also if the request is cancelled meanwhile.
--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -22,7 +22,7 @@
 from larkpost.gateway.proxy.attempts import Attempts
 from larkpost.gateway.proxy.dependencies import ForwarderDependencies
 from larkpost.gateway.proxy.outcomes import Outcomes
-from larkpost.gateway.proxy.request import ClientRequest, OpenResponse, WholeResponse
+from larkpost.gateway.proxy.request import ClientRequest, StreamedResponse, WholeResponse
 from larkpost.gateway.proxy.request_scheduler import RequestScheduler
 from larkpost.gateway.proxy.retry import is_false_promise, max_servers
 from larkpost.gateway.proxy.server_attempt import ServerAttempt
@@ -30,7 +30,7 @@
 from larkpost.gateway.proxy.streamed_body import FollowedBody
 from larkpost.gateway.servers.port import BrokenResponseError, NotRunError, ServerResponse
 
-Response = WholeResponse | OpenResponse
+Response = WholeResponse | StreamedResponse
 
 
 class Forwarder:
@@ -70,7 +70,7 @@
             await attempts.close_unused(response)
         if response is None:
             raise self._outcomes.failure(attempts, timed_out=False)
-        if isinstance(response, OpenResponse):
+        if isinstance(response, StreamedResponse):
             rest = FollowedBody(response, attempts, self._outcomes, self._clock)
             return replace(response, rest=rest)
         self._outcomes.record_done(attempts, response.status)
--- a/src/larkpost/gateway/proxy/request.py
+++ b/src/larkpost/gateway/proxy/request.py
@@ -85,7 +85,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OpenResponse:
+class StreamedResponse:
     """A server's response that is too large to be held whole; leaving it ends the call.
 
     Attributes:
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.proxy.attempts import Attempts
 from larkpost.gateway.proxy.dependencies import ForwarderDependencies
 from larkpost.gateway.proxy.outcomes import Outcomes
-from larkpost.gateway.proxy.request import OpenResponse, WholeResponse
+from larkpost.gateway.proxy.request import StreamedResponse, WholeResponse
 from larkpost.gateway.proxy.request_scheduler import RequestScheduler
 from larkpost.gateway.proxy.response_body import collect, joined
 from larkpost.gateway.proxy.retry import is_false_promise, is_last_resort, response_failure
@@ -41,7 +41,7 @@
 
     async def make(
         self, instance: InstanceInfo, attempts: Attempts
-    ) -> WholeResponse | OpenResponse | None:
+    ) -> WholeResponse | StreamedResponse | None:
         """Tries one server; None if it gave no response that the client should get now."""
         started = self._clock.now()
         try:
@@ -62,7 +62,7 @@
         attempts.record_may_have_run(instance.id)
         self._balancer.record_response(instance, self._clock.now() - started)
         judged = self._judge(instance, attempts, response, is_signed=is_signed)
-        if judged is None and isinstance(response, OpenResponse):
+        if judged is None and isinstance(response, StreamedResponse):
             await response.abandon()
         return judged
 
@@ -85,7 +85,7 @@
 
     async def _exchange(
         self, instance: InstanceInfo, attempts: Attempts
-    ) -> tuple[WholeResponse | OpenResponse, bool]:
+    ) -> tuple[WholeResponse | StreamedResponse, bool]:
         """Returns a server's response, and whether the server signed it."""
         async with AsyncExitStack() as call:
             response = await call.enter_async_context(self.open(instance, attempts))
@@ -96,7 +96,7 @@
             begun, is_whole = await collect(chunks, reservation)
             if is_whole:
                 return WholeResponse(response.status, response.headers, joined(begun)), is_signed
-            opened = OpenResponse(
+            opened = StreamedResponse(
                 response.status,
                 response.headers,
                 begun,
@@ -112,10 +112,10 @@
         self,
         instance: InstanceInfo,
         attempts: Attempts,
-        response: WholeResponse | OpenResponse,
+        response: WholeResponse | StreamedResponse,
         *,
         is_signed: bool,
-    ) -> WholeResponse | OpenResponse | None:
+    ) -> WholeResponse | StreamedResponse | None:
         """Returns a response if it is to be passed on now, and records it if it is not."""
         if is_false_promise(response.status, attempts.route.kind):
             reason = f"status {response.status} of a run"
--- a/src/larkpost/gateway/proxy/streamed_body.py
+++ b/src/larkpost/gateway/proxy/streamed_body.py
@@ -10,7 +10,7 @@
 from larkpost.common.clock import Clock
 from larkpost.gateway.proxy.attempts import Attempts
 from larkpost.gateway.proxy.outcomes import Outcomes
-from larkpost.gateway.proxy.request import OpenResponse
+from larkpost.gateway.proxy.request import StreamedResponse
 from larkpost.gateway.servers.port import BrokenResponseError
 
 
@@ -18,7 +18,7 @@
     """The rest of a large answer's body, chunk by chunk; it ends only if the body is whole."""
 
     def __init__(
-        self, response: OpenResponse, attempts: Attempts, outcomes: Outcomes, clock: Clock
+        self, response: StreamedResponse, attempts: Attempts, outcomes: Outcomes, clock: Clock
     ) -> None:
         self._response = response
         self._attempts = attempts
--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -22,7 +22,7 @@
 from larkpost.gateway.memory.read_ahead import PassedAnswer, read_ahead
 from larkpost.gateway.proxy.admission import Admission
 from larkpost.gateway.proxy.forwarder import Forwarder
-from larkpost.gateway.proxy.request import ClientRequest, OpenResponse
+from larkpost.gateway.proxy.request import ClientRequest, StreamedResponse
 from larkpost.gateway.rollouts.service import BatchService
 from larkpost.platform import names
 from larkpost.platform.asgi import ClientLeftError, Receive, Send
@@ -163,7 +163,7 @@
         self, request: ClientRequest, route: Route, response: ClientResponse
     ) -> None:
         answer = await self._forwarder.forward(request, route)
-        if not isinstance(answer, OpenResponse):
+        if not isinstance(answer, StreamedResponse):
             await response.send_whole(answer.status, answer.body, answer.headers)
             return
         async with answer:
--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -24,7 +24,7 @@
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.proxy.attempts import Attempts
-from larkpost.gateway.proxy.request import OpenResponse
+from larkpost.gateway.proxy.request import StreamedResponse
 from tests.recording_log import RecordingLog
 
 MB = 1_000_000
@@ -191,11 +191,11 @@
     async def test_calls_whose_responses_are_not_used_are_ended(self):
         ended = []
 
-        def opened(name: str) -> OpenResponse:
+        def opened(name: str) -> StreamedResponse:
             call = AsyncExitStack()
             call.push(lambda kind, *_: ended.append((name, kind)))
             body = ByteBudget().reserve(Purpose.ANSWERS)
-            return OpenResponse(200, (), deque(), mock.Mock(), body, call)
+            return StreamedResponse(200, (), deque(), mock.Mock(), body, call)
 
         used, unused = opened("used"), opened("unused")
         attempts = Attempts(*[mock.Mock()] * 5, opened=[unused, used])
@@ -209,7 +209,7 @@
     async def test_all_unused_calls_are_ended_though_the_request_is_cancelled_meanwhile(self):
         ended = []
 
-        def opened(name: str) -> OpenResponse:
+        def opened(name: str) -> StreamedResponse:
             async def end(*_: object) -> None:
                 try:
                     await asyncio.Event().wait()
@@ -219,7 +219,7 @@
             call = AsyncExitStack()
             call.push_async_exit(end)
             body = ByteBudget().reserve(Purpose.ANSWERS)
-            return OpenResponse(200, (), deque(), mock.Mock(), body, call)
+            return StreamedResponse(200, (), deque(), mock.Mock(), body, call)
 
         attempts = Attempts(*[mock.Mock()] * 5, opened=[opened("first"), opened("second")])
         closing = asyncio.create_task(attempts.close_unused(None))
