--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -27,7 +27,7 @@
 from larkpost.gateway.proxy.retry import is_false_promise, max_servers
 from larkpost.gateway.proxy.server_attempt import ServerAttempt
 from larkpost.gateway.proxy.server_choice import ServerChoice
-from larkpost.gateway.proxy.streamed_body import FollowedBody
+from larkpost.gateway.proxy.streamed_body import StreamedBody
 from larkpost.gateway.servers.port import BrokenResponseError, NotRunError, ServerResponse
 
 Response = WholeResponse | StreamedResponse
@@ -71,7 +71,7 @@
         if response is None:
             raise self._outcomes.failure(attempts, timed_out=False)
         if isinstance(response, StreamedResponse):
-            rest = FollowedBody(response, attempts, self._outcomes, self._clock)
+            rest = StreamedBody(response, attempts, self._outcomes, self._clock)
             return replace(response, rest=rest)
         self._outcomes.record_done(attempts, response.status)
         return response
--- a/src/larkpost/gateway/proxy/streamed_body.py
+++ b/src/larkpost/gateway/proxy/streamed_body.py
@@ -14,7 +14,7 @@
 from larkpost.gateway.servers.port import BrokenResponseError
 
 
-class FollowedBody:
+class StreamedBody:
     """The rest of a large answer's body, chunk by chunk; it ends only if the body is whole."""
 
     def __init__(
