--- a/src/larkpost/gateway/proxy/outcomes.py
+++ b/src/larkpost/gateway/proxy/outcomes.py
@@ -61,7 +61,7 @@
             reason=reason,
         )
 
-    def record_overtaken(self, instance: InstanceInfo, attempts: Attempts, started: float) -> None:
+    def record_cancelled(self, instance: InstanceInfo, attempts: Attempts, started: float) -> None:
         """Records an attempt that was cancelled: its server is slower than it then had time for."""
         attempts.record_may_have_run(instance.id)
         elapsed = self._clock.now() - started
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -56,7 +56,7 @@
         except asyncio.CancelledError:
             # Its time is over or another response came first; the server may have run it.
             self._outcomes.record_begun(attempts.request, started)
-            self._outcomes.record_overtaken(instance, attempts, started)
+            self._outcomes.record_cancelled(instance, attempts, started)
             raise
         self._outcomes.record_begun(attempts.request, started)
         attempts.record_may_have_run(instance.id)
