--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -174,7 +174,7 @@
             if waiter in queue.waiters:
                 queue.waiters.remove(waiter)
 
-    def record_taken(self, service: ServiceName) -> None:
+    def record_slot_found(self, service: ServiceName) -> None:
         """Records that a server of a service had a place."""
         self._shortage.record_placed(service)
         queue = self._queues.get(service)
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -132,9 +132,9 @@
         """Counts a request's use of a place at a server."""
         return self._ledger.running(waiter.flow)
 
-    def record_taken(self, waiter: Waiter) -> None:
+    def record_slot_found(self, waiter: Waiter) -> None:
         """Records that a server had a place for a request."""
-        self._queues.record_taken(waiter.service)
+        self._queues.record_slot_found(waiter.service)
         self._least_service.record_placed(waiter.flow, is_share_exempt=waiter.is_share_exempt)
 
     def record_released(self, instance: InstanceId) -> None:
