--- a/src/larkpost/gateway/fairness/starvation_guard.py
+++ b/src/larkpost/gateway/fairness/starvation_guard.py
@@ -86,7 +86,7 @@
         if not is_share_exempt and flow in self._credits:
             self._credits[flow].add(-1.0)
 
-    def record_unplaced(self, flow: Flow) -> None:
+    def refund_credit(self, flow: Flow) -> None:
         """Gives the credit back of a request that was let through and found no place."""
         if flow in self._credits:
             self._credits[flow].add(1.0)
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -182,7 +182,7 @@
     def _return_credit(self, waiter: Waiter) -> None:
         """Gives the credit back of a request that was let through and finds no place."""
         if waiter.is_share_exempt:
-            self._least_service.record_unplaced(waiter.flow)
+            self._least_service.refund_credit(waiter.flow)
 
     def _waiter(self, request: ClientRequest, route: Route) -> Waiter:
         """Returns what a request wants."""
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -180,7 +180,7 @@
             least = LeastService(LoopClock(), random.Random(5))
             while not least.admit(HEAVY, is_over_share=True):
                 pass
-            least.record_unplaced(HEAVY)
+            least.refund_credit(HEAVY)
             self.assertTrue(least.admit(HEAVY, is_over_share=True))
             least.record_placed(HEAVY, is_share_exempt=True)
             self.assertFalse(least.admit(HEAVY, is_over_share=True))
