--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -62,7 +62,7 @@
         response = None
         try:
             async with asyncio.timeout_at(attempts.waiter.deadlines.expires_at):
-                if await self._gate.may_try(attempts, must_wait=must_wait):
+                if await self._gate.wait_for_admission(attempts, must_wait=must_wait):
                     response = await self._forward_by_kind(attempts)
         except TimeoutError:
             raise self._outcomes.failure(attempts, timed_out=True) from None
@@ -87,7 +87,7 @@
             RequestTimeoutError: no response began in its time; it may have run.
         """
         attempts, must_wait = self._gate.begin(request, route)
-        if not await self._gate.may_try(attempts, must_wait=must_wait):
+        if not await self._gate.wait_for_admission(attempts, must_wait=must_wait):
             raise self._outcomes.failure(attempts, timed_out=False)
         while True:
             instance = await self._next_server(attempts)
@@ -126,7 +126,7 @@
             instance = self._choice.choose(attempts)
             if instance is not None:
                 return instance
-            if not await self._gate.may_try(attempts, must_wait=True):
+            if not await self._gate.wait_for_admission(attempts, must_wait=True):
                 return None
 
     async def _forward_once(self, attempts: Attempts) -> Response | None:
@@ -152,7 +152,9 @@
                     attempts.record_may_have_run(instance.id)
                     running.add(asyncio.create_task(self._attempt.make(instance, attempts)))
                 elif not running:
-                    if attempts.ran_at or not await self._gate.may_try(attempts, must_wait=True):
+                    if attempts.ran_at or not await self._gate.wait_for_admission(
+                        attempts, must_wait=True
+                    ):
                         return attempts.last
                     continue
                 may_hedge = len(attempts.ran_at) < most
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -94,7 +94,7 @@
         attempts = Attempts(request, route, waiter, prospect.forecast, prospect.forecast)
         return attempts, prospect.must_wait
 
-    async def may_try(self, attempts: Attempts, *, must_wait: bool) -> bool:
+    async def wait_for_admission(self, attempts: Attempts, *, must_wait: bool) -> bool:
         """Waits for a request's turn if it must; returns whether it may be served at all."""
         if self.is_quarantined(attempts) and not await self._claim_trial(attempts):
             self._return_credit(attempts.waiter)
--- a/tests/test_fair_load.py
+++ b/tests/test_fair_load.py
@@ -524,7 +524,7 @@
                 )
                 if attempts.waiter.is_share_exempt:
                     passed.append(number)
-                turn = asyncio.create_task(gate.may_try(attempts, must_wait=True))
+                turn = asyncio.create_task(gate.wait_for_admission(attempts, must_wait=True))
                 await self.clock.sleep(0)
                 turn.cancel()
                 await asyncio.wait({turn})
