--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -24,7 +24,7 @@
 from larkpost.gateway.proxy.outcomes import Outcomes
 from larkpost.gateway.proxy.request import ClientRequest, StreamedResponse, WholeResponse
 from larkpost.gateway.proxy.request_scheduler import RequestScheduler
-from larkpost.gateway.proxy.retry import is_false_promise, max_servers
+from larkpost.gateway.proxy.retry import implies_not_run, max_servers
 from larkpost.gateway.proxy.server_attempt import ServerAttempt
 from larkpost.gateway.proxy.server_choice import ServerChoice
 from larkpost.gateway.proxy.streamed_body import StreamedBody
@@ -101,7 +101,7 @@
                     limit.reschedule(None)  # from here on the client decides
                     self._outcomes.record_begun(request, self._clock.now())
                     attempts.record_may_have_run(instance.id)
-                    if is_false_promise(response.status, route.kind):
+                    if implies_not_run(response.status, route.kind):
                         raise BrokenResponseError(f"status {response.status} of a run")
                     self._outcomes.record_forecast_served(attempts, response.status)
                     yield response
--- a/src/larkpost/gateway/proxy/retry.py
+++ b/src/larkpost/gateway/proxy/retry.py
@@ -51,7 +51,7 @@
     return status >= LEAST_ERROR_STATUS and is_signed
 
 
-def is_false_promise(status: int, kind: RouteKind) -> bool:
+def implies_not_run(status: int, kind: RouteKind) -> bool:
     """Returns whether a response would promise that its request did not run, though it may have.
 
     A server that did not run a request says so in a header of its own, and gives no response then.
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.proxy.request import StreamedResponse, WholeResponse
 from larkpost.gateway.proxy.request_scheduler import RequestScheduler
 from larkpost.gateway.proxy.response_body import collect, joined
-from larkpost.gateway.proxy.retry import is_false_promise, is_last_resort, response_failure
+from larkpost.gateway.proxy.retry import implies_not_run, is_last_resort, response_failure
 from larkpost.gateway.servers.port import (
     BrokenResponseError,
     NotRunError,
@@ -117,7 +117,7 @@
         is_signed: bool,
     ) -> WholeResponse | StreamedResponse | None:
         """Returns a response if it is to be passed on now, and records it if it is not."""
-        if is_false_promise(response.status, attempts.route.kind):
+        if implies_not_run(response.status, attempts.route.kind):
             reason = f"status {response.status} of a run"
             self._outcomes.record_broken(instance, attempts, reason)
             return None
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -17,7 +17,7 @@
     NOT_RUN_STATUSES,
     Unserved,
     final_error,
-    is_false_promise,
+    implies_not_run,
 )
 from larkpost.gateway.servers.port import (
     BrokenResponseError,
@@ -175,8 +175,8 @@
 
     def test_repeatable_requests_take_no_harm(self) -> None:
         for status in NOT_RUN_STATUSES:
-            self.assertFalse(is_false_promise(status, RouteKind.IDEMPOTENT))
-        self.assertFalse(is_false_promise(500, RouteKind.RUN_ONCE))
+            self.assertFalse(implies_not_run(status, RouteKind.IDEMPOTENT))
+        self.assertFalse(implies_not_run(500, RouteKind.RUN_ONCE))
 
 
 if __name__ == "__main__":
