--- a/src/larkpost/gateway/proxy/retry.py
+++ b/src/larkpost/gateway/proxy/retry.py
@@ -46,7 +46,7 @@
     return None
 
 
-def is_last_resort(status: int, *, is_signed: bool) -> bool:
+def is_fallback(status: int, *, is_signed: bool) -> bool:
     """Returns whether a failed response is passed on if no better one comes."""
     return status >= LEAST_ERROR_STATUS and is_signed
 
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.proxy.request import StreamedResponse, WholeResponse
 from larkpost.gateway.proxy.request_scheduler import RequestScheduler
 from larkpost.gateway.proxy.response_body import collect, joined
-from larkpost.gateway.proxy.retry import implies_not_run, is_last_resort, response_failure
+from larkpost.gateway.proxy.retry import implies_not_run, is_fallback, response_failure
 from larkpost.gateway.servers.port import (
     BrokenResponseError,
     NotRunError,
@@ -127,7 +127,7 @@
             return response
         self._outcomes.record_broken(instance, attempts, failure)
         is_held = isinstance(response, WholeResponse)  # a failure that is not is given up
-        if is_held and is_last_resort(response.status, is_signed=is_signed):
+        if is_held and is_fallback(response.status, is_signed=is_signed):
             attempts.last = response
         return None
 
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -14,7 +14,7 @@
 from larkpost.gateway.proxy.retry import (
     Unserved,
     final_error,
-    is_last_resort,
+    is_fallback,
     max_servers,
     response_failure,
 )
@@ -56,7 +56,7 @@
         ):
             with self.subTest(status=status, is_signed=is_signed):
                 self.assertEqual(failure, response_failure(status, is_signed=is_signed))
-                self.assertEqual(is_kept, is_last_resort(status, is_signed=is_signed))
+                self.assertEqual(is_kept, is_fallback(status, is_signed=is_signed))
 
 
 class FinalErrorTest(unittest.TestCase):
