--- a/src/larkpost/gateway/proxy/outcomes.py
+++ b/src/larkpost/gateway/proxy/outcomes.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.proxy.attempts import Attempts, QuarantineState
 from larkpost.gateway.proxy.dependencies import ForwarderDependencies
 from larkpost.gateway.proxy.request import ClientRequest
-from larkpost.gateway.proxy.retry import LEAST_ERROR_STATUS, Unserved, final_error
+from larkpost.gateway.proxy.retry import LEAST_ERROR_STATUS, UnservedRequest, final_error
 from larkpost.gateway.servers.port import NotRunError
 
 FULL_AVOID_SECONDS = 0.05
@@ -102,7 +102,7 @@
         """Returns the error that a request ends in, and records it."""
         request, route = attempts.request, attempts.route
         error = final_error(
-            Unserved(
+            UnservedRequest(
                 may_have_run=bool(attempts.ran_at),
                 is_quarantined=attempts.quarantine is QuarantineState.QUARANTINED,
                 is_timed_out=timed_out,
--- a/src/larkpost/gateway/proxy/retry.py
+++ b/src/larkpost/gateway/proxy/retry.py
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unserved:
+class UnservedRequest:
     """A request that ends without a response, and all that its error depends on.
 
     Attributes:
@@ -77,7 +77,7 @@
     retry_after: float
 
 
-def final_error(unserved: Unserved) -> LarkpostError:
+def final_error(unserved: UnservedRequest) -> LarkpostError:
     """Returns the error in which a request ends that gets no response."""
     if not unserved.may_have_run and unserved.is_quarantined:
         return QuarantinedError(
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.proxy.request import ClientRequest, RequestFailedError
 from larkpost.gateway.proxy.retry import (
     NOT_RUN_STATUSES,
-    Unserved,
+    UnservedRequest,
     final_error,
     implies_not_run,
 )
@@ -167,7 +167,7 @@
     def test_final_error_promises_only_what_is_certain(self) -> None:
         for is_timed_out in (False, True):
             for is_quarantined in (False, True):
-                unserved = Unserved(True, is_quarantined, is_timed_out, 0.1)
+                unserved = UnservedRequest(True, is_quarantined, is_timed_out, 0.1)
                 with self.subTest(unserved):
                     self.assertNotIn(final_error(unserved).status, NOT_RUN_STATUSES)
                     certain = replace(unserved, may_have_run=False)
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -12,7 +12,7 @@
     RequestTimeoutError,
 )
 from larkpost.gateway.proxy.retry import (
-    Unserved,
+    UnservedRequest,
     final_error,
     is_fallback,
     max_servers,
@@ -73,7 +73,7 @@
             (True, False, True, RequestTimeoutError, Ran.UNKNOWN, None),
             (True, True, True, RequestTimeoutError, Ran.UNKNOWN, None),
         ):
-            unserved = Unserved(may_have_run, is_quarantined, is_timed_out, RETRY_SECONDS)
+            unserved = UnservedRequest(may_have_run, is_quarantined, is_timed_out, RETRY_SECONDS)
             with self.subTest(unserved=unserved):
                 found = final_error(unserved)
                 self.assertIs(error, type(found))
