--- a/src/larkpost/gateway/fairness/share_rule.py
+++ b/src/larkpost/gateway/fairness/share_rule.py
@@ -67,7 +67,7 @@
         return FlowShare(min(demand, self.level), use.running, use.waiting, ahead, self.places)
 
 
-def share_out(uses: Mapping[Flow, TenantUse], free: int) -> GroupShares:
+def compute_shares(uses: Mapping[Flow, TenantUse], free: int) -> GroupShares:
     """Returns the shares of a group.
 
     Args:
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -25,7 +25,7 @@
     FlowLedger,
 )
 from larkpost.gateway.fairness.retry_schedule import MOST_LINES, ReturnTimes
-from larkpost.gateway.fairness.share_rule import share_out, wait_for_share
+from larkpost.gateway.fairness.share_rule import compute_shares, wait_for_share
 from larkpost.gateway.fairness.starvation_guard import LEAST_RELATIVE_SERVICE, LeastService
 from larkpost.gateway.fairness.water_filling import fair_level
 from larkpost.gateway.proxy.shortage_detector import LastingShortage
@@ -82,7 +82,7 @@
         return small | {HEAVY: TenantUse(5, 10)}
 
     def test_it_lets_the_others_go_first(self):
-        shares = share_out(self.uses(), free=0)
+        shares = compute_shares(self.uses(), free=0)
         heavy = shares.flow_share(HEAVY)
         self.assertTrue(heavy.is_over_share)
         self.assertLess(heavy.share, 1.0)
@@ -91,7 +91,7 @@
 
     def test_it_gets_what_the_others_leave(self):
         uses = {flow(f"t{number}"): TenantUse(1, 0) for number in range(3)}
-        shares = share_out(uses | {HEAVY: TenantUse(7, 5)}, free=0)
+        shares = compute_shares(uses | {HEAVY: TenantUse(7, 5)}, free=0)
         heavy = shares.flow_share(HEAVY)
         self.assertEqual(7.0, heavy.share)
         self.assertFalse(heavy.is_over_share)
@@ -106,28 +106,28 @@
                 name: TenantUse(chance.randrange(6), chance.choice((0, 0, 1, 5))) for name in names
             }
             free = chance.randrange(8)
-            shares = share_out(uses, free)
+            shares = compute_shares(uses, free)
             for flow_share in map(shares.flow_share, names):
                 seen += flow_share.is_over_share
                 self.assertTrue(not flow_share.is_over_share or flow_share.ahead >= free)
         self.assertGreater(seen, 100)
 
     def test_its_forecast_grows_with_its_own_requests_alone(self):
-        heavy = share_out(self.uses(), free=0).flow_share(HEAVY)
+        heavy = compute_shares(self.uses(), free=0).flow_share(HEAVY)
         waits = [wait_for_share(heavy, ahead, PACE) for ahead in (0, 5, 10)]
         self.assertEqual(sorted(waits), waits)
         self.assertGreater(waits[1] - waits[0], 4 * PACE)
-        light = share_out(self.uses(), free=0).flow_share(flow("t9"))
+        light = compute_shares(self.uses(), free=0).flow_share(flow("t9"))
         self.assertEqual(0.0, wait_for_share(light, 0, PACE))
 
     def test_tenant_alone_is_never_beyond_its_share(self):
         self.assertFalse(
-            share_out({HEAVY: TenantUse(9, 90)}, free=0).flow_share(HEAVY).is_over_share
+            compute_shares({HEAVY: TenantUse(9, 90)}, free=0).flow_share(HEAVY).is_over_share
         )
 
     def test_nobody_is_beyond_its_share_while_no_request_waits(self):
         uses = {HEAVY: TenantUse(9, 0), LIGHT: TenantUse(1, 0)}
-        self.assertFalse(share_out(uses, free=2).flow_share(HEAVY).is_over_share)
+        self.assertFalse(compute_shares(uses, free=2).flow_share(HEAVY).is_over_share)
 
 
 class BurstTest(unittest.TestCase):
@@ -135,14 +135,14 @@
 
     def test_tenants_that_ask_as_usual_are_not_beyond_their_shares_in_a_burst_of_another(self):
         usual = {flow(f"t{number}"): TenantUse(1, 1) for number in range(4)}
-        shares = share_out(usual | {HEAVY: TenantUse(12, 80)}, free=0)
+        shares = compute_shares(usual | {HEAVY: TenantUse(12, 80)}, free=0)
         self.assertTrue(shares.flow_share(HEAVY).is_over_share)
         for name in usual:
             self.assertFalse(shares.flow_share(name).is_over_share)
 
     def test_in_a_burst_of_all_the_shares_are_equal(self):
         uses = {flow(f"t{number}"): TenantUse(2, 20) for number in range(5)}
-        shares = share_out(uses, free=0)
+        shares = compute_shares(uses, free=0)
         self.assertEqual(2.0, shares.level)
         self.assertFalse(any(shares.flow_share(name).is_over_share for name in uses))
 
@@ -224,13 +224,15 @@
                 held.enter_context(far.waiting(HEAVY))
                 held.enter_context(near.running(HEAVY))
                 held.enter_context(near.waiting(LIGHT))
-                alone = share_out(near.uses(GROUP), free=0)
+                alone = compute_shares(near.uses(GROUP), free=0)
                 self.assertEqual(1, alone.flow_share(HEAVY).use)
-                self.assertFalse(share_out(far.uses(GROUP), free=0).flow_share(HEAVY).is_over_share)
+                self.assertFalse(
+                    compute_shares(far.uses(GROUP), free=0).flow_share(HEAVY).is_over_share
+                )
                 near.record_report("far", far.report())
                 far.record_report("near", near.report())
                 for ledger in (near, far):
-                    flow_share = share_out(ledger.uses(GROUP), free=0).flow_share(HEAVY)
+                    flow_share = compute_shares(ledger.uses(GROUP), free=0).flow_share(HEAVY)
                     self.assertEqual(4, flow_share.use)
                     self.assertEqual(1, flow_share.ahead)
                     self.assertTrue(flow_share.is_over_share)
