--- a/src/larkpost/gateway/fairness/share_rule.py
+++ b/src/larkpost/gateway/fairness/share_rule.py
@@ -80,7 +80,7 @@
     return GroupShares(uses, level, below, places)
 
 
-def wait_for_share(flow_share: FlowShare, flow_ahead: int, service_time: float) -> float:
+def estimate_share_wait(flow_share: FlowShare, flow_ahead: int, service_time: float) -> float:
     """Returns the seconds until a flow's share has room for one more request.
 
     Args:
--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -21,7 +21,7 @@
 from larkpost.gateway.blackboard.configuration import ServiceName
 from larkpost.gateway.blackboard.daemon_report import Flow
 from larkpost.gateway.fairness.ledger import FlowLedger
-from larkpost.gateway.fairness.share_rule import wait_for_share
+from larkpost.gateway.fairness.share_rule import estimate_share_wait
 from larkpost.gateway.placement.work import Work
 from larkpost.gateway.proxy.fair_order import FairOrder, Rank, Turns
 from larkpost.gateway.proxy.forecast import Forecast, make_forecast
@@ -107,7 +107,7 @@
             waiter.flow_share = rank.flow_share
             service_time = places.service_time or waiter.deadlines.default_service_time
             of_flow = self._of_flow[waiter.flow] + elsewhere
-            share_wait = wait_for_share(rank.flow_share, of_flow, service_time)
+            share_wait = estimate_share_wait(rank.flow_share, of_flow, service_time)
         return make_forecast(
             places, waiter.deadlines, self._now, self.length, self._blocked_for, share_wait
         )
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -25,7 +25,7 @@
     FlowLedger,
 )
 from larkpost.gateway.fairness.retry_schedule import MOST_LINES, ReturnTimes
-from larkpost.gateway.fairness.share_rule import compute_shares, wait_for_share
+from larkpost.gateway.fairness.share_rule import compute_shares, estimate_share_wait
 from larkpost.gateway.fairness.starvation_guard import LEAST_RELATIVE_SERVICE, LeastService
 from larkpost.gateway.fairness.water_filling import fair_level
 from larkpost.gateway.proxy.shortage_detector import LastingShortage
@@ -114,11 +114,11 @@
 
     def test_its_forecast_grows_with_its_own_requests_alone(self):
         heavy = compute_shares(self.uses(), free=0).flow_share(HEAVY)
-        waits = [wait_for_share(heavy, ahead, PACE) for ahead in (0, 5, 10)]
+        waits = [estimate_share_wait(heavy, ahead, PACE) for ahead in (0, 5, 10)]
         self.assertEqual(sorted(waits), waits)
         self.assertGreater(waits[1] - waits[0], 4 * PACE)
         light = compute_shares(self.uses(), free=0).flow_share(flow("t9"))
-        self.assertEqual(0.0, wait_for_share(light, 0, PACE))
+        self.assertEqual(0.0, estimate_share_wait(light, 0, PACE))
 
     def test_tenant_alone_is_never_beyond_its_share(self):
         self.assertFalse(
