--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -76,7 +76,7 @@
         return self._shares[known]
 
 
-class Turns:
+class AttemptPermits:
     """The turns that are given out at one moment to requests for one kind of work.
 
     One request tries even if no place is believed free, as the requests of other daemons end
--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -23,7 +23,7 @@
 from larkpost.gateway.fairness.ledger import FlowLedger
 from larkpost.gateway.fairness.share_rule import estimate_share_wait
 from larkpost.gateway.placement.work import Work
-from larkpost.gateway.proxy.fair_order import FairOrder, Rank, Turns
+from larkpost.gateway.proxy.fair_order import AttemptPermits, FairOrder, Rank
 from larkpost.gateway.proxy.forecast import Forecast, make_forecast
 from larkpost.gateway.proxy.shortage_detector import LastingShortage
 from larkpost.gateway.proxy.slot_counts import SlotCounts
@@ -205,7 +205,7 @@
         }
         queue.places = max((places.total for places in surveys.values()), default=0)
         order = FairOrder(self._ledger, now)
-        turns = {work: Turns(places.free, now) for work, places in surveys.items()}
+        turns = {work: AttemptPermits(places.free, now) for work, places in surveys.items()}
         ranks = {waiter: order.rank(waiter, surveys[waiter.work]) for waiter in queue.waiters}
         line = _Line(now, self._blocked_for(queue, now))
         for waiter in sorted(queue.waiters, key=lambda other: ranks[other].key):
