--- a/src/larkpost/gateway/proxy/subset.py
+++ b/src/larkpost/gateway/proxy/subset.py
@@ -23,7 +23,7 @@
 clients, or of one that is gone, is shared."""
 
 
-def daemons_a_server(daemons: int, servers: int) -> int:
+def daemons_per_server(daemons: int, servers: int) -> int:
     """Returns in the subsets of how many daemons each server is.
 
     It doubles, so that it seldom changes: each change of it changes all subsets.
@@ -92,7 +92,7 @@
             servers: the ids of the service's instances.
         """
         others = set(daemons) - {self._own}
-        limit = daemons_a_server(len(others) + 1, len(servers))
+        limit = daemons_per_server(len(others) + 1, len(servers))
         changed = set(servers) ^ self._servers
         if limit != self._limit:
             changed = set(servers) | self._servers
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -13,8 +13,8 @@
     LEAST_SUBSET,
     DaemonSubset,
     DaemonSubsets,
-    daemons_a_server,
     daemons_before,
+    daemons_per_server,
     seed_of,
 )
 from tests.server_parts import make_instance
@@ -42,7 +42,7 @@
     def check_coverage(self, subsets: dict[DaemonId, DaemonSubset], servers: frozenset) -> None:
         """Checks that each server is in as many subsets as it is to be in."""
         counts = Counter(name for subset in subsets.values() for name in subset.ids)
-        wanted = daemons_a_server(len(subsets), len(servers))
+        wanted = daemons_per_server(len(subsets), len(servers))
         self.assertEqual(dict.fromkeys(servers, wanted), dict(counts))
 
 
@@ -62,12 +62,12 @@
             (370, 0, 370),
         ):
             with self.subTest(daemons=daemons, servers=servers):
-                self.assertEqual(wanted, daemons_a_server(daemons, servers))
+                self.assertEqual(wanted, daemons_per_server(daemons, servers))
 
     def test_subsets_are_as_large_as_they_are_to_be_on_average(self):
         for daemons in (80, 200, 370):
             for servers in (300, 1000, 3200):
-                mean = daemons_a_server(daemons, servers) * servers / daemons
+                mean = daemons_per_server(daemons, servers) * servers / daemons
                 self.assertGreaterEqual(mean, LEAST_SUBSET)
                 few = max(2 * LEAST_SUBSET, LEAST_DAEMONS * servers / daemons)
                 self.assertLessEqual(mean, few)
