--- a/src/larkpost/gateway/proxy/subset.py
+++ b/src/larkpost/gateway/proxy/subset.py
@@ -44,7 +44,7 @@
     return hash64(server, seed)
 
 
-def daemons_before(
+def higher_ranked_daemons(
     own: int, others: Mapping[DaemonId, int], server: InstanceId, most: int
 ) -> list[DaemonId]:
     """Returns daemons that come before this one for a server, ``most`` at the most.
@@ -113,7 +113,7 @@
         return weight(seed, server) > weight(self._seed, server)
 
     def _judge(self, server: InstanceId) -> None:
-        before = daemons_before(self._seed, self._others, server, self._limit)
+        before = higher_ranked_daemons(self._seed, self._others, server, self._limit)
         if len(before) < self._limit:
             self._inside.add(server)
             return
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -13,8 +13,8 @@
     LEAST_SUBSET,
     DaemonSubset,
     DaemonSubsets,
-    daemons_before,
     daemons_per_server,
+    higher_ranked_daemons,
     seed_of,
 )
 from tests.server_parts import make_instance
@@ -76,9 +76,9 @@
         others = {name: seed_of(name) for name in DAEMONS - {"d0"}}
         own = seed_of(DaemonId("d0"))
         for server in SERVERS:
-            before = daemons_before(own, others, server, 3)
+            before = higher_ranked_daemons(own, others, server, 3)
             self.assertLessEqual(len(before), 3)
-            every = daemons_before(own, others, server, len(DAEMONS))
+            every = higher_ranked_daemons(own, others, server, len(DAEMONS))
             self.assertEqual(len(before) < 3, len(every) < 3)
 
 
