--- a/src/larkpost/gateway/proxy/subset.py
+++ b/src/larkpost/gateway/proxy/subset.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.blackboard.configuration import ServiceName
 from larkpost.gateway.blackboard.service_index import NumberedIds, ServiceIndex
 
-LEAST_SUBSET = 24
+MIN_SUBSET_SIZE = 24
 """Servers that a subset has on average at least: few enough that connections to them stay in use,
 enough that one with a free place is nearly always among them."""
 LEAST_DAEMONS = 3
@@ -29,7 +29,7 @@
     It doubles, so that it seldom changes: each change of it changes all subsets.
     """
     wanted = LEAST_DAEMONS
-    while wanted < daemons and wanted * servers < LEAST_SUBSET * daemons:
+    while wanted < daemons and wanted * servers < MIN_SUBSET_SIZE * daemons:
         wanted *= 2
     return min(wanted, daemons)
 
--- a/tests/test_bounded_choice.py
+++ b/tests/test_bounded_choice.py
@@ -25,7 +25,7 @@
     SEARCH_LIFETIME_SECONDS,
 )
 from larkpost.gateway.proxy.slot_counts import count_slots
-from larkpost.gateway.proxy.subset import LEAST_SUBSET, DaemonSubsets
+from larkpost.gateway.proxy.subset import MIN_SUBSET_SIZE, DaemonSubsets
 from tests.platform_fleet import ENGINES, MODEL, PAGES, PlatformFleet, check_results, make_batch
 from tests.server_parts import SLOTS, make_instance
 from tests.virtual import run
@@ -153,7 +153,7 @@
             scene = Scene()
             firsts = {scene.client_choice()[0].id for _ in range(500)}
             self.assertLessEqual(firsts, scene.subset)
-            self.assertLessEqual(len(firsts), 2 * LEAST_SUBSET)
+            self.assertLessEqual(len(firsts), 2 * MIN_SUBSET_SIZE)
 
         run(play())
 
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -10,7 +10,7 @@
 from larkpost.gateway.blackboard.service_index import ServiceIndex
 from larkpost.gateway.proxy.subset import (
     LEAST_DAEMONS,
-    LEAST_SUBSET,
+    MIN_SUBSET_SIZE,
     DaemonSubset,
     DaemonSubsets,
     daemons_per_server,
@@ -68,8 +68,8 @@
         for daemons in (80, 200, 370):
             for servers in (300, 1000, 3200):
                 mean = daemons_per_server(daemons, servers) * servers / daemons
-                self.assertGreaterEqual(mean, LEAST_SUBSET)
-                few = max(2 * LEAST_SUBSET, LEAST_DAEMONS * servers / daemons)
+                self.assertGreaterEqual(mean, MIN_SUBSET_SIZE)
+                few = max(2 * MIN_SUBSET_SIZE, LEAST_DAEMONS * servers / daemons)
                 self.assertLessEqual(mean, few)
 
     def test_no_more_daemons_are_asked_than_needed(self):
