--- a/src/larkpost/gateway/proxy/subset.py
+++ b/src/larkpost/gateway/proxy/subset.py
@@ -18,7 +18,7 @@
 MIN_SUBSET_SIZE = 24
 """Servers that a subset has on average at least: few enough that connections to them stay in use,
 enough that one with a free place is nearly always among them."""
-LEAST_DAEMONS = 3
+MIN_DAEMONS_PER_SERVER = 3
 """Daemons that each server is in the subsets of, if there are as many: the load of one with many
 clients, or of one that is gone, is shared."""
 
@@ -28,7 +28,7 @@
 
     It doubles, so that it seldom changes: each change of it changes all subsets.
     """
-    wanted = LEAST_DAEMONS
+    wanted = MIN_DAEMONS_PER_SERVER
     while wanted < daemons and wanted * servers < MIN_SUBSET_SIZE * daemons:
         wanted *= 2
     return min(wanted, daemons)
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -9,7 +9,7 @@
 from larkpost.gateway.blackboard.configuration import ServiceName
 from larkpost.gateway.blackboard.service_index import ServiceIndex
 from larkpost.gateway.proxy.subset import (
-    LEAST_DAEMONS,
+    MIN_DAEMONS_PER_SERVER,
     MIN_SUBSET_SIZE,
     DaemonSubset,
     DaemonSubsets,
@@ -53,7 +53,11 @@
         for daemons, servers, wanted in (
             (1, 3200, 1),
             (2, 3200, 2),
-            (30, 3200, LEAST_DAEMONS),  # few daemons: large subsets, but none without a server
+            (
+                30,
+                3200,
+                MIN_DAEMONS_PER_SERVER,
+            ),  # few daemons: large subsets, but none without a server
             (370, 3200, 3),
             (300, 3000, 3),
             (100, 1000, 3),
@@ -69,7 +73,7 @@
             for servers in (300, 1000, 3200):
                 mean = daemons_per_server(daemons, servers) * servers / daemons
                 self.assertGreaterEqual(mean, MIN_SUBSET_SIZE)
-                few = max(2 * MIN_SUBSET_SIZE, LEAST_DAEMONS * servers / daemons)
+                few = max(2 * MIN_SUBSET_SIZE, MIN_DAEMONS_PER_SERVER * servers / daemons)
                 self.assertLessEqual(mean, few)
 
     def test_no_more_daemons_are_asked_than_needed(self):
