--- a/src/larkpost/gateway/proxy/outcomes.py
+++ b/src/larkpost/gateway/proxy/outcomes.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.proxy.attempts import Attempts, QuarantineState
 from larkpost.gateway.proxy.dependencies import ForwarderDependencies
 from larkpost.gateway.proxy.request import ClientRequest
-from larkpost.gateway.proxy.retry import LEAST_ERROR_STATUS, UnservedRequest, final_error
+from larkpost.gateway.proxy.retry import MIN_ERROR_STATUS, UnservedRequest, final_error
 from larkpost.gateway.servers.port import NotRunError
 
 FULL_AVOID_SECONDS = 0.05
@@ -96,7 +96,7 @@
         """Counts what became of a forecast whose request a server has responded to."""
         in_time = self._clock.now() <= attempts.waiter.deadlines.objective_at
         outcome = "in_time" if in_time else "late"
-        self._count_forecast(attempts, NOT_SERVED if status >= LEAST_ERROR_STATUS else outcome)
+        self._count_forecast(attempts, NOT_SERVED if status >= MIN_ERROR_STATUS else outcome)
 
     def failure(self, attempts: Attempts, *, timed_out: bool) -> LarkpostError:
         """Returns the error that a request ends in, and records it."""
--- a/src/larkpost/gateway/proxy/retry.py
+++ b/src/larkpost/gateway/proxy/retry.py
@@ -16,7 +16,7 @@
     RequestTimeoutError,
 )
 
-LEAST_ERROR_STATUS = 500
+MIN_ERROR_STATUS = 500
 """From this status on a response is a server's failure, and another server may do better."""
 LEAST_STATUS_NOT_SUCCESS = 300
 """Below this status a response is a success; it counts only with the server's signature, as
@@ -41,14 +41,14 @@
     """Returns why a whole response is not passed on while others may be had; None if it is."""
     if status < LEAST_STATUS_NOT_SUCCESS and not is_signed:
         return "a success without a signature"
-    if status >= LEAST_ERROR_STATUS:
+    if status >= MIN_ERROR_STATUS:
         return f"status {status}"
     return None
 
 
 def is_fallback(status: int, *, is_signed: bool) -> bool:
     """Returns whether a failed response is passed on if no better one comes."""
-    return status >= LEAST_ERROR_STATUS and is_signed
+    return status >= MIN_ERROR_STATUS and is_signed
 
 
 def implies_not_run(status: int, kind: RouteKind) -> bool:
