--- a/src/larkpost/gateway/proxy/retry.py
+++ b/src/larkpost/gateway/proxy/retry.py
@@ -18,7 +18,7 @@
 
 MIN_ERROR_STATUS = 500
 """From this status on a response is a server's failure, and another server may do better."""
-LEAST_STATUS_NOT_SUCCESS = 300
+MIN_NON_SUCCESS_STATUS = 300
 """Below this status a response is a success; it counts only with the server's signature, as
 anything else on the way may respond with one as well."""
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
@@ -39,7 +39,7 @@
 
 def response_failure(status: int, *, is_signed: bool) -> str | None:
     """Returns why a whole response is not passed on while others may be had; None if it is."""
-    if status < LEAST_STATUS_NOT_SUCCESS and not is_signed:
+    if status < MIN_NON_SUCCESS_STATUS and not is_signed:
         return "a success without a signature"
     if status >= MIN_ERROR_STATUS:
         return f"status {status}"
