--- a/src/larkpost/gateway/proxy/shortage_detector.py
+++ b/src/larkpost/gateway/proxy/shortage_detector.py
@@ -12,7 +12,7 @@
 
 LEAST_MISSED_PART = 0.3
 """Part of the requests that find no place in their time while a shortage lasts."""
-LEAST_MISSED = 3.0
+MIN_MISSED_REQUESTS = 3.0
 """Such requests lately while a shortage lasts: fewer may be so by chance."""
 HALF_LIFE_SECONDS = 3.0
 """Time after which a request counts half."""
@@ -59,7 +59,7 @@
         """Returns whether the places of a service do not suffice."""
         counts = self._counts(service)
         least = LEAST_MISSED_PART * (counts.placed + counts.missed)
-        return counts.missed >= max(LEAST_MISSED, least)
+        return counts.missed >= max(MIN_MISSED_REQUESTS, least)
 
     def _counts(self, service: ServiceName) -> _Counts:
         now = self._clock.now()
