--- a/src/larkpost/gateway/proxy/shortage_detector.py
+++ b/src/larkpost/gateway/proxy/shortage_detector.py
@@ -10,7 +10,7 @@
 from larkpost.common.clock import Clock
 from larkpost.gateway.blackboard.configuration import ServiceName
 
-LEAST_MISSED_PART = 0.3
+MIN_MISSED_FRACTION = 0.3
 """Part of the requests that find no place in their time while a shortage lasts."""
 MIN_MISSED_REQUESTS = 3.0
 """Such requests lately while a shortage lasts: fewer may be so by chance."""
@@ -58,7 +58,7 @@
     def lasts(self, service: ServiceName) -> bool:
         """Returns whether the places of a service do not suffice."""
         counts = self._counts(service)
-        least = LEAST_MISSED_PART * (counts.placed + counts.missed)
+        least = MIN_MISSED_FRACTION * (counts.placed + counts.missed)
         return counts.missed >= max(MIN_MISSED_REQUESTS, least)
 
     def _counts(self, service: ServiceName) -> _Counts:
