--- a/src/larkpost/gateway/fairness/retry_schedule.py
+++ b/src/larkpost/gateway/fairness/retry_schedule.py
@@ -12,7 +12,7 @@
 MOST_LINES = 256
 """Lines remembered at most; dropped are those whose last time has come, then the one that was told
 a time longest ago."""
-LEAST_PART_OF_TIME = 0.5
+MIN_DELAY_FRACTION = 0.5
 """Callers that cannot wait for their turn come back spread over the rest of the time that they can
 wait, from this part of it on."""
 
@@ -42,7 +42,7 @@
         now = self._clock.now()
         at = max(now + wanted, self._told.get(line, float("-inf")) + spacing)
         if at - now > most:
-            return most * self._chance.uniform(LEAST_PART_OF_TIME, 1.0)
+            return most * self._chance.uniform(MIN_DELAY_FRACTION, 1.0)
         self._told.pop(line, None)
         self._drop_past(now)
         self._told[line] = at
