--- a/src/larkpost/gateway/fairness/starvation_guard.py
+++ b/src/larkpost/gateway/fairness/starvation_guard.py
@@ -14,7 +14,7 @@
 from larkpost.gateway.blackboard.configuration import ServiceName
 from larkpost.gateway.blackboard.daemon_report import Flow
 
-LEAST_RELATIVE_SERVICE = 1 / 3
+MIN_RELATIVE_SERVICE = 1 / 3
 """How often a flow is served at least, in relation to all. The bound that users count as starving
 is a quarter; the rest is for requests that pass and find no place in their time."""
 MOST_CREDIT = 2.0
@@ -74,7 +74,7 @@
         counts = self._counts(flow.group.service)
         counts.asked += 1
         credit = self._take_credit(flow)
-        credit.add(LEAST_RELATIVE_SERVICE * counts.placed_part())
+        credit.add(MIN_RELATIVE_SERVICE * counts.placed_part())
         is_share_exempt = is_over_share and credit.amount >= 1.0
         if is_share_exempt:
             credit.add(-1.0)
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -26,7 +26,7 @@
 )
 from larkpost.gateway.fairness.retry_schedule import MOST_LINES, ReturnTimes
 from larkpost.gateway.fairness.share_rule import compute_shares, estimate_share_wait
-from larkpost.gateway.fairness.starvation_guard import LEAST_RELATIVE_SERVICE, LeastService
+from larkpost.gateway.fairness.starvation_guard import MIN_RELATIVE_SERVICE, LeastService
 from larkpost.gateway.fairness.water_filling import fair_level
 from larkpost.gateway.proxy.shortage_detector import LastingShortage
 from tests.virtual import run
@@ -161,7 +161,7 @@
                     least.record_placed(LIGHT, is_share_exempt=False)
             part = passed / asked
             self.assertGreater(part, STARVED_PART * 0.1)
-            self.assertLess(part, 1.2 * LEAST_RELATIVE_SERVICE * 0.1)
+            self.assertLess(part, 1.2 * MIN_RELATIVE_SERVICE * 0.1)
 
         run(play())
 
