--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -14,7 +14,7 @@
 MIN_SERVICE_TIME_SHARE = 0.5
 """A request may need half of what requests take: the smallest of a service do, and a refusal that
 was not necessary costs more than an attempt in vain."""
-LEAST_RETRY_SECONDS = 0.05
+MIN_RETRY_SECONDS = 0.05
 """A caller that comes back sooner meets the same state: the loads known are as old."""
 MOST_RETRY_SECONDS = 1.0
 """Nothing is forecast further ahead: reported loads and paces are used for about a second."""
@@ -141,7 +141,7 @@
 
 def retry_after(wait: float, time_left: float) -> float:
     """Returns the seconds after which to come back, so that enough of the caller's time is left."""
-    return floor_to_milliseconds(min(max(LEAST_RETRY_SECONDS, wait), max_retry_delay(time_left)))
+    return floor_to_milliseconds(min(max(MIN_RETRY_SECONDS, wait), max_retry_delay(time_left)))
 
 
 def max_retry_delay(time_left: float) -> float:
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -22,7 +22,7 @@
 from larkpost.gateway.proxy.attempts import Attempts, QuarantineState
 from larkpost.gateway.proxy.dependencies import ForwarderDependencies
 from larkpost.gateway.proxy.elapsed_time import ElapsedTimes
-from larkpost.gateway.proxy.forecast import LEAST_RETRY_SECONDS, Deadlines, forecast_unreachable
+from larkpost.gateway.proxy.forecast import MIN_RETRY_SECONDS, Deadlines, forecast_unreachable
 from larkpost.gateway.proxy.request import ClientRequest
 from larkpost.gateway.proxy.request_queue import QueueForecast, RequestQueues
 from larkpost.gateway.proxy.retry_spreading import SpreadReturns
@@ -194,7 +194,7 @@
             _limits(request, route, elapsed),
             request.received_at - elapsed,
             request.tenant or route_flow_name(route.name),
-            is_retry=elapsed >= LEAST_RETRY_SECONDS,
+            is_retry=elapsed >= MIN_RETRY_SECONDS,
         )
 
     def _survey(self, service: ServiceName, work: Work) -> SlotCounts:
--- a/src/larkpost/gateway/proxy/retry_spreading.py
+++ b/src/larkpost/gateway/proxy/retry_spreading.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.fairness.ledger import FlowLedger
 from larkpost.gateway.fairness.retry_schedule import ReturnTimes
 from larkpost.gateway.proxy.forecast import (
-    LEAST_RETRY_SECONDS,
+    MIN_RETRY_SECONDS,
     Forecast,
     floor_to_milliseconds,
     max_retry_delay,
@@ -34,7 +34,7 @@
         """Returns the forecast of a refused request with a time of its own to come back."""
         most = max_retry_delay(waiter.deadlines.expires_at - self._clock.now())
         line = waiter.flow if waiter.was_over_share else waiter.flow.group
-        wanted = max(LEAST_RETRY_SECONDS, forecast.wait)
+        wanted = max(MIN_RETRY_SECONDS, forecast.wait)
         spacing = forecast.service_time / max(
             LEAST_RUNNING, self._ledger.own_running(waiter.service)
         )
