--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -16,7 +16,7 @@
 was not necessary costs more than an attempt in vain."""
 MIN_RETRY_SECONDS = 0.05
 """A caller that comes back sooner meets the same state: the loads known are as old."""
-MOST_RETRY_SECONDS = 1.0
+MAX_RETRY_SECONDS = 1.0
 """Nothing is forecast further ahead: reported loads and paces are used for about a second."""
 NO_PLACE_RETRY_SECONDS = 0.5
 """When to come back to a service without any place: entries of instances take about that long."""
@@ -146,7 +146,7 @@
 
 def max_retry_delay(time_left: float) -> float:
     """Returns the most seconds after which a caller with so much time left should come back."""
-    return min(MOST_RETRY_SECONDS, time_left * MAX_RETRY_SHARE)
+    return min(MAX_RETRY_SECONDS, time_left * MAX_RETRY_SHARE)
 
 
 def floor_to_milliseconds(seconds: float) -> float:
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -27,7 +27,7 @@
 from larkpost.gateway.placement.verdict import Verdict
 from larkpost.gateway.placement.work import CLIENT_WORK, ORDER_WORK, REWARD_WORK, Work, WorkKind
 from larkpost.gateway.proxy.balancer import Balancer, BalancerDependencies
-from larkpost.gateway.proxy.forecast import MOST_RETRY_SECONDS, NO_PLACE_RETRY_SECONDS
+from larkpost.gateway.proxy.forecast import MAX_RETRY_SECONDS, NO_PLACE_RETRY_SECONDS
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.request import ClientRequest, RefusedError
 from larkpost.gateway.proxy.service_selection import ShareChooser
@@ -167,7 +167,7 @@
             with self.assertRaises(RefusedError) as refusal:
                 await self.forward(RouteKind.RUN_ONCE)
             self.assertGreater(self.clock.now() - began, 0.03)
-            self.assertLess(refusal.exception.retry_after, MOST_RETRY_SECONDS)
+            self.assertLess(refusal.exception.retry_after, MAX_RETRY_SECONDS)
 
         run(play())
 
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -22,8 +22,8 @@
 from larkpost.gateway.placement.work import CLIENT_WORK
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.forecast import (
+    MAX_RETRY_SECONDS,
     MAX_RETRY_SHARE,
-    MOST_RETRY_SECONDS,
     Deadlines,
     Expectation,
     make_forecast,
@@ -107,7 +107,7 @@
         told = make_forecast(SlotCounts(4, 4, 0.4), patient, 0.0, ahead=1).retry_after
         self.assertAlmostEqual(0.2, told)
         told = make_forecast(SlotCounts(4, 4, 0.4), patient, 0.0, ahead=900).retry_after
-        self.assertEqual(MOST_RETRY_SECONDS, told)
+        self.assertEqual(MAX_RETRY_SECONDS, told)
 
 
 class WaitingTest(unittest.TestCase):
