--- a/src/larkpost/gateway/proxy/retry_spreading.py
+++ b/src/larkpost/gateway/proxy/retry_spreading.py
@@ -18,7 +18,7 @@
 )
 from larkpost.gateway.proxy.waiter import Waiter
 
-LEAST_RUNNING = 1
+MIN_RUNNING = 1
 """Requests that a daemon without any is taken to get served at a time."""
 
 
@@ -35,8 +35,6 @@
         most = max_retry_delay(waiter.deadlines.expires_at - self._clock.now())
         line = waiter.flow if waiter.was_over_share else waiter.flow.group
         wanted = max(MIN_RETRY_SECONDS, forecast.wait)
-        spacing = forecast.service_time / max(
-            LEAST_RUNNING, self._ledger.own_running(waiter.service)
-        )
+        spacing = forecast.service_time / max(MIN_RUNNING, self._ledger.own_running(waiter.service))
         told = self._times.book(line, wanted, spacing, max(0.0, most))
         return replace(forecast, retry_after=floor_to_milliseconds(told))
