--- a/src/larkpost/gateway/fairness/share_rule.py
+++ b/src/larkpost/gateway/fairness/share_rule.py
@@ -15,7 +15,7 @@
 
 NO_USE = TenantUse(0, 0)
 """Use by a flow of which nothing is known."""
-LEAST_SHARE_PLACES = 1.0
+MIN_SHARE_SLOTS = 1.0
 """Share by which waits are forecast at least: a fraction of a place is a whole one in its turn."""
 
 
@@ -90,7 +90,7 @@
     if not flow_share.is_over_share:
         return 0.0
     missing = flow_share.use + flow_ahead + 1 - flow_share.share
-    return max(0.0, missing) * service_time / max(LEAST_SHARE_PLACES, flow_share.share)
+    return max(0.0, missing) * service_time / max(MIN_SHARE_SLOTS, flow_share.share)
 
 
 def _waiting_below(use: TenantUse, level: float) -> int:
