--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -23,7 +23,7 @@
     ServerResponse,
 )
 
-LEAST_TIME_LEFT_SECONDS = 0.001
+MIN_TIME_LEFT_SECONDS = 0.001
 """What a server is told at least that is left of a request's time."""
 
 
@@ -150,7 +150,7 @@
             target=request.target,
             headers=request.headers,
             body=request.body,
-            time_left=max(LEAST_TIME_LEFT_SECONDS, time_left),
+            time_left=max(MIN_TIME_LEFT_SECONDS, time_left),
             fresh_connection=not is_repeatable,
             repeat_if_silent=is_repeatable,
             tenant=request.tenant,
