--- a/src/larkpost/gateway/fairness/starvation_guard.py
+++ b/src/larkpost/gateway/fairness/starvation_guard.py
@@ -17,7 +17,7 @@
 MIN_RELATIVE_SERVICE = 1 / 3
 """How often a flow is served at least, in relation to all. The bound that users count as starving
 is a quarter; the rest is for requests that pass and find no place in their time."""
-MOST_CREDIT = 2.0
+MAX_CREDIT = 2.0
 """Requests for which a flow has credit at most."""
 WINDOW_SECONDS = 5.0
 """Time in which what was asked and found a place is counted; it counts half in the next window."""
@@ -51,7 +51,7 @@
 
     def add(self, change: float) -> None:
         """Changes the credit within its bounds."""
-        self.amount = min(MOST_CREDIT, max(0.0, self.amount + change))
+        self.amount = min(MAX_CREDIT, max(0.0, self.amount + change))
 
 
 class LeastService:
