--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -17,7 +17,7 @@
 from larkpost.gateway.proxy.slot_counts import SlotCounts
 from larkpost.gateway.proxy.waiter import Waiter
 
-MOST_HOLD_SECONDS = 0.2
+MAX_HOLD_SECONDS = 0.2
 """How long a request lets those of other daemons go first before it tries once: ten of their polls,
 so that these come first, and not so long that a free place is missed by old news."""
 
@@ -110,4 +110,4 @@
         """Returns whether a request beyond its share lets others go first at the moment."""
         if waiter.held_since is None:
             waiter.held_since = self._now
-        return self._now - waiter.held_since < MOST_HOLD_SECONDS
+        return self._now - waiter.held_since < MAX_HOLD_SECONDS
--- a/tests/test_fair_load.py
+++ b/tests/test_fair_load.py
@@ -22,7 +22,7 @@
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.placement.work import CLIENT_WORK
 from larkpost.gateway.proxy.balancer import Balancer
-from larkpost.gateway.proxy.fair_order import MOST_HOLD_SECONDS, FairOrder
+from larkpost.gateway.proxy.fair_order import MAX_HOLD_SECONDS, FairOrder
 from larkpost.gateway.proxy.forecast import Deadlines
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.request import ClientRequest, RefusedError
@@ -360,8 +360,8 @@
 
     def test_it_lets_them_go_first_but_not_for_long(self):
         seconds = self.wait({HEAVY_FLOW: TenantUse(6, 2), LIGHT_FLOW: TenantUse(0, 3)})
-        self.assertGreaterEqual(seconds, MOST_HOLD_SECONDS)
-        self.assertLess(seconds, MOST_HOLD_SECONDS + 2 * POLL_INTERVAL_SECONDS)
+        self.assertGreaterEqual(seconds, MAX_HOLD_SECONDS)
+        self.assertLess(seconds, MAX_HOLD_SECONDS + 2 * POLL_INTERVAL_SECONDS)
 
     def test_those_that_come_after_it_do_not_hold_it_up(self):
         """Callers who come back stand before it, and are held anew each."""
@@ -381,11 +381,11 @@
 
             first = asyncio.create_task(wait(is_retry=False))
             while not first.done():
-                await clock.sleep(MOST_HOLD_SECONDS / 5)
+                await clock.sleep(MAX_HOLD_SECONDS / 5)
                 asyncio.create_task(wait(is_retry=True))
             return first.result()
 
-        self.assertLess(run(play()), 2 * MOST_HOLD_SECONDS)
+        self.assertLess(run(play()), 2 * MAX_HOLD_SECONDS)
 
     def test_less_urgent_requests_do_not_take_the_places_that_it_leaves_to_others(self):
         async def play() -> list[int]:
