--- a/src/larkpost/gateway/fairness/retry_schedule.py
+++ b/src/larkpost/gateway/fairness/retry_schedule.py
@@ -9,7 +9,7 @@
 
 from larkpost.common.clock import Clock
 
-MOST_LINES = 256
+MAX_QUEUES = 256
 """Lines remembered at most; dropped are those whose last time has come, then the one that was told
 a time longest ago."""
 MIN_DELAY_FRACTION = 0.5
@@ -49,7 +49,7 @@
         return min(most, at - now + self._chance.random() * spacing)
 
     def _drop_past(self, now: float) -> None:
-        if len(self._told) >= MOST_LINES:
+        if len(self._told) >= MAX_QUEUES:
             self._told = {line: at for line, at in self._told.items() if at > now}
-        while len(self._told) >= MOST_LINES:
+        while len(self._told) >= MAX_QUEUES:
             del self._told[next(iter(self._told))]
