--- a/src/larkpost/gateway/fairness/ledger.py
+++ b/src/larkpost/gateway/fairness/ledger.py
@@ -20,7 +20,7 @@
 """How long a report counts: some heartbeats, of which a large fleet writes one in five seconds."""
 SHORTAGE_MEMORY_SECONDS = 2.0
 """How long a service counts as short after a request waited for it or was refused meanwhile."""
-MOST_REPORTED_FLOWS = 6
+MAX_REPORTED_FLOWS = 6
 """Flows in one report: a daemon of a large fleet has few requests at a time."""
 LONGEST_REPORTED_NAME = 64
 """Characters of a name that is reported; it bounds the bytes of a heartbeat."""
@@ -114,7 +114,7 @@
             if flow.group.service in short and len(flow.name) <= LONGEST_REPORTED_NAME
         ]
         uses.sort(key=lambda entry: (-sum(entry[1]), entry[0]))
-        return dict(uses[:MOST_REPORTED_FLOWS])
+        return dict(uses[:MAX_REPORTED_FLOWS])
 
     def _short_services(self) -> set[ServiceName]:
         self._forget_old()
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -19,7 +19,7 @@
 from larkpost.gateway.fairness.batch_shares import BatchDemand, share_among_batches
 from larkpost.gateway.fairness.ledger import (
     LONGEST_REPORTED_NAME,
-    MOST_REPORTED_FLOWS,
+    MAX_REPORTED_FLOWS,
     REPORT_LIFETIME_SECONDS,
     SHORTAGE_MEMORY_SECONDS,
     FlowLedger,
@@ -259,7 +259,7 @@
                     for _ in range(number + 1):
                         held.enter_context(ledger.waiting(flow(f"tenant-{number}")))
                 report = ledger.report()
-            self.assertEqual(MOST_REPORTED_FLOWS, len(report))
+            self.assertEqual(MAX_REPORTED_FLOWS, len(report))
             self.assertEqual(TenantUse(0, 30), report[flow("tenant-29")])
             row = encode_heartbeat(Heartbeat(1.0, report=DaemonReport(tenants=report)))
             self.assertLess(len(row), 400)
