--- a/src/larkpost/gateway/fairness/ledger.py
+++ b/src/larkpost/gateway/fairness/ledger.py
@@ -22,7 +22,7 @@
 """How long a service counts as short after a request waited for it or was refused meanwhile."""
 MAX_REPORTED_FLOWS = 6
 """Flows in one report: a daemon of a large fleet has few requests at a time."""
-LONGEST_REPORTED_NAME = 64
+MAX_REPORTED_NAME_LENGTH = 64
 """Characters of a name that is reported; it bounds the bytes of a heartbeat."""
 
 
@@ -111,7 +111,7 @@
         uses = [
             (flow, use)
             for flow, use in self._own.all()
-            if flow.group.service in short and len(flow.name) <= LONGEST_REPORTED_NAME
+            if flow.group.service in short and len(flow.name) <= MAX_REPORTED_NAME_LENGTH
         ]
         uses.sort(key=lambda entry: (-sum(entry[1]), entry[0]))
         return dict(uses[:MAX_REPORTED_FLOWS])
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -18,8 +18,8 @@
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
 from larkpost.gateway.fairness.batch_shares import BatchDemand, share_among_batches
 from larkpost.gateway.fairness.ledger import (
-    LONGEST_REPORTED_NAME,
     MAX_REPORTED_FLOWS,
+    MAX_REPORTED_NAME_LENGTH,
     REPORT_LIFETIME_SECONDS,
     SHORTAGE_MEMORY_SECONDS,
     FlowLedger,
@@ -254,7 +254,7 @@
             ledger = FlowLedger(LoopClock())
             with contextlib.ExitStack() as held:
                 for _ in range(40):
-                    held.enter_context(ledger.running(flow("x" * (LONGEST_REPORTED_NAME + 1))))
+                    held.enter_context(ledger.running(flow("x" * (MAX_REPORTED_NAME_LENGTH + 1))))
                 for number in range(30):
                     for _ in range(number + 1):
                         held.enter_context(ledger.waiting(flow(f"tenant-{number}")))
