--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -25,7 +25,7 @@
 from larkpost.gateway.placement.work import Work
 from larkpost.gateway.proxy.fair_order import AttemptPermits, FairOrder, Rank
 from larkpost.gateway.proxy.forecast import Forecast, make_forecast
-from larkpost.gateway.proxy.shortage_detector import LastingShortage
+from larkpost.gateway.proxy.shortage_detector import ShortageDetector
 from larkpost.gateway.proxy.slot_counts import SlotCounts
 from larkpost.gateway.proxy.waiter import Waiter
 
@@ -124,7 +124,7 @@
         self._clock = clock
         self._survey = count_slots
         self._ledger = ledger
-        self._shortage = LastingShortage(clock)
+        self._shortage = ShortageDetector(clock)
         self._queues: dict[ServiceName, _Queue] = {}
 
     def __len__(self) -> int:
--- a/src/larkpost/gateway/proxy/shortage_detector.py
+++ b/src/larkpost/gateway/proxy/shortage_detector.py
@@ -40,7 +40,7 @@
         self.at = now
 
 
-class LastingShortage:
+class ShortageDetector:
     """What became lately of this daemon's requests for each service."""
 
     def __init__(self, clock: Clock) -> None:
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -571,9 +571,9 @@
 
 def take_any_wait_for_a_shortage():
     """Shares out the places as soon as a request waits, also if they suffice."""
-    from larkpost.gateway.proxy.shortage_detector import LastingShortage
+    from larkpost.gateway.proxy.shortage_detector import ShortageDetector
 
-    return mock.patch.object(LastingShortage, "lasts", lambda *_: True)
+    return mock.patch.object(ShortageDetector, "lasts", lambda *_: True)
 
 
 def keep_use_to_oneself():
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -28,7 +28,7 @@
 from larkpost.gateway.fairness.share_rule import compute_shares, estimate_share_wait
 from larkpost.gateway.fairness.starvation_guard import MIN_RELATIVE_SERVICE, LeastService
 from larkpost.gateway.fairness.water_filling import fair_level
-from larkpost.gateway.proxy.shortage_detector import LastingShortage
+from larkpost.gateway.proxy.shortage_detector import ShortageDetector
 from tests.virtual import run
 
 SERVICE = ServiceName("pages")
@@ -406,7 +406,7 @@
 
     def setUp(self) -> None:
         self.clock = LoopClock()
-        self.shortage = LastingShortage(self.clock)
+        self.shortage = ShortageDetector(self.clock)
 
     async def play(self, missed_of_ten: int, seconds: int) -> None:
         """Records ten requests a second."""
