--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -224,7 +224,7 @@
 
     def _count_if_short(self, waiter: Waiter) -> None:
         """Counts a waiting request for the shares once its service's places do not suffice."""
-        if waiter.share_count is None and self._shortage.lasts(waiter.service):
+        if waiter.share_count is None and self._shortage.is_persistent(waiter.service):
             waiter.share_count = ExitStack()
             waiter.share_count.enter_context(self._ledger.waiting(waiter.flow))
 
@@ -247,7 +247,7 @@
             return
         waiter.missed_objective = True
         self._shortage.record_missed(waiter.service)
-        if self._shortage.lasts(waiter.service):
+        if self._shortage.is_persistent(waiter.service):
             self._ledger.record_shortage(waiter.service)
 
     def _waiting_elsewhere(self, waiter: Waiter, rank: Rank) -> int:
--- a/src/larkpost/gateway/proxy/shortage_detector.py
+++ b/src/larkpost/gateway/proxy/shortage_detector.py
@@ -55,7 +55,7 @@
         """Records a request that found no place within its objective, or will not find any."""
         self._counts(service).missed += 1
 
-    def lasts(self, service: ServiceName) -> bool:
+    def is_persistent(self, service: ServiceName) -> bool:
         """Returns whether the places of a service do not suffice."""
         counts = self._counts(service)
         least = MIN_MISSED_FRACTION * (counts.placed + counts.missed)
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -420,7 +420,7 @@
     def test_few_that_miss_show_none(self):
         async def play() -> None:
             await self.play(1, 20)
-            self.assertFalse(self.shortage.lasts(SERVICE))
+            self.assertFalse(self.shortage.is_persistent(SERVICE))
 
         run(play())
 
@@ -428,19 +428,19 @@
         async def play() -> None:
             await self.play(1, 20)
             await self.play(5, 6)
-            self.assertTrue(self.shortage.lasts(SERVICE))
-            self.assertFalse(self.shortage.lasts(ServiceName("other")))
+            self.assertTrue(self.shortage.is_persistent(SERVICE))
+            self.assertFalse(self.shortage.is_persistent(ServiceName("other")))
             await self.play(1, 8)
-            self.assertFalse(self.shortage.lasts(SERVICE))
+            self.assertFalse(self.shortage.is_persistent(SERVICE))
 
         run(play())
 
     def test_it_ends_also_if_no_request_comes(self):
         async def play() -> None:
             await self.play(9, 6)
-            self.assertTrue(self.shortage.lasts(SERVICE))
+            self.assertTrue(self.shortage.is_persistent(SERVICE))
             await self.clock.sleep(30.0)
-            self.assertFalse(self.shortage.lasts(SERVICE))
+            self.assertFalse(self.shortage.is_persistent(SERVICE))
 
         run(play())
 
