--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -25,7 +25,7 @@
 from larkpost.gateway.proxy.forecast import MIN_RETRY_SECONDS, Deadlines, forecast_unreachable
 from larkpost.gateway.proxy.request import ClientRequest
 from larkpost.gateway.proxy.request_queue import QueueForecast, RequestQueues
-from larkpost.gateway.proxy.retry_spreading import SpreadReturns
+from larkpost.gateway.proxy.retry_spreading import RetrySpreader
 from larkpost.gateway.proxy.share_record import ShareOutcome, ShareRecord
 from larkpost.gateway.proxy.slot_counts import SlotCounts, count_slots
 from larkpost.gateway.proxy.waiter import Waiter
@@ -79,7 +79,7 @@
         self._ledger = parts.ledger or FlowLedger(parts.clock)
         self._least_service = LeastService(parts.clock, parts.chance)
         self._queues = RequestQueues(parts.clock, self._survey, self._ledger)
-        self._returns = SpreadReturns(parts.clock, parts.chance, self._ledger)
+        self._returns = RetrySpreader(parts.clock, parts.chance, self._ledger)
         self._share_record = ShareRecord(parts.clock, parts.log, parts.metrics, self._ledger)
 
     @property
--- a/src/larkpost/gateway/proxy/retry_spreading.py
+++ b/src/larkpost/gateway/proxy/retry_spreading.py
@@ -22,7 +22,7 @@
 """Requests that a daemon without any is taken to get served at a time."""
 
 
-class SpreadReturns:
+class RetrySpreader:
     """The times at which refused callers come back."""
 
     def __init__(self, clock: Clock, chance: random.Random, ledger: FlowLedger) -> None:
