--- a/src/larkpost/gateway/fairness/retry_schedule.py
+++ b/src/larkpost/gateway/fairness/retry_schedule.py
@@ -17,7 +17,7 @@
 wait, from this part of it on."""
 
 
-class ReturnTimes:
+class RetrySchedule:
     """The times told to refused callers, by line.
 
     Args:
--- a/src/larkpost/gateway/proxy/retry_spreading.py
+++ b/src/larkpost/gateway/proxy/retry_spreading.py
@@ -9,7 +9,7 @@
 
 from larkpost.common.clock import Clock
 from larkpost.gateway.fairness.ledger import FlowLedger
-from larkpost.gateway.fairness.retry_schedule import ReturnTimes
+from larkpost.gateway.fairness.retry_schedule import RetrySchedule
 from larkpost.gateway.proxy.forecast import (
     MIN_RETRY_SECONDS,
     Forecast,
@@ -28,7 +28,7 @@
     def __init__(self, clock: Clock, chance: random.Random, ledger: FlowLedger) -> None:
         self._clock = clock
         self._ledger = ledger
-        self._times = ReturnTimes(clock, chance)
+        self._times = RetrySchedule(clock, chance)
 
     def spread(self, waiter: Waiter, forecast: Forecast) -> Forecast:
         """Returns the forecast of a refused request with a time of its own to come back."""
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -24,7 +24,7 @@
     SHORTAGE_MEMORY_SECONDS,
     FlowLedger,
 )
-from larkpost.gateway.fairness.retry_schedule import MAX_QUEUES, ReturnTimes
+from larkpost.gateway.fairness.retry_schedule import MAX_QUEUES, RetrySchedule
 from larkpost.gateway.fairness.share_rule import compute_shares, estimate_share_wait
 from larkpost.gateway.fairness.starvation_guard import MIN_RELATIVE_SERVICE, LeastService
 from larkpost.gateway.fairness.water_filling import fair_level
@@ -345,7 +345,7 @@
 
     def test_they_come_back_one_after_the_other_in_their_order(self):
         async def play():
-            times = ReturnTimes(LoopClock(), random.Random(1))
+            times = RetrySchedule(LoopClock(), random.Random(1))
             told = [times.book("line", 0.2, 0.05, 1.0) for _ in range(12)]
             self.assertEqual(sorted(told), told)
             self.assertGreaterEqual(told[0], 0.2)
@@ -357,7 +357,7 @@
 
     def test_those_who_cannot_wait_for_their_turn_are_spread_over_their_time(self):
         async def play():
-            times = ReturnTimes(LoopClock(), random.Random(1))
+            times = RetrySchedule(LoopClock(), random.Random(1))
             told = [times.book("line", 5.0, 0.05, 0.4) for _ in range(100)]
             self.assertLessEqual(max(told), 0.4)
             self.assertGreater(max(told) - min(told), 0.15)
@@ -369,7 +369,7 @@
     def test_daemons_do_not_tell_the_same_times(self):
         async def play():
             told = {
-                ReturnTimes(LoopClock(), random.Random(n)).book(1, 0.2, 0.05, 1.0)
+                RetrySchedule(LoopClock(), random.Random(n)).book(1, 0.2, 0.05, 1.0)
                 for n in range(50)
             }
             self.assertEqual(50, len(told))
@@ -378,7 +378,7 @@
 
     def test_lines_are_bounded(self):
         async def play():
-            times = ReturnTimes(LoopClock(), random.Random(1))
+            times = RetrySchedule(LoopClock(), random.Random(1))
             for number in range(3 * MAX_QUEUES):
                 times.book(number, 0.2, 0.05, 1.0)
             self.assertLessEqual(len(times._told), MAX_QUEUES)
@@ -389,7 +389,7 @@
         """Else the callers of the tenant that is refused most would come back together."""
 
         async def play():
-            times = ReturnTimes(LoopClock(), random.Random(1))
+            times = RetrySchedule(LoopClock(), random.Random(1))
             told = [times.book("heavy", 0.1, 0.1, 1.0)]
             for number in range(2 * MAX_QUEUES):
                 times.book(number, 0.2, 0.05, 1.0)
