--- a/src/larkpost/gateway/fairness/retry_schedule.py
+++ b/src/larkpost/gateway/fairness/retry_schedule.py
@@ -30,7 +30,7 @@
         self._told: dict[Hashable, float] = {}
         """The line that was told a time longest ago comes first."""
 
-    def book(self, line: Hashable, wanted: float, spacing: float, most: float) -> float:
+    def reserve(self, line: Hashable, wanted: float, spacing: float, most: float) -> float:
         """Returns the seconds after which a caller should come back, at most ``most``.
 
         Args:
--- a/src/larkpost/gateway/proxy/retry_spreading.py
+++ b/src/larkpost/gateway/proxy/retry_spreading.py
@@ -36,5 +36,5 @@
         line = waiter.flow if waiter.was_over_share else waiter.flow.group
         wanted = max(MIN_RETRY_SECONDS, forecast.wait)
         spacing = forecast.service_time / max(MIN_RUNNING, self._ledger.own_running(waiter.service))
-        told = self._times.book(line, wanted, spacing, max(0.0, most))
+        told = self._times.reserve(line, wanted, spacing, max(0.0, most))
         return replace(forecast, retry_after=floor_to_milliseconds(told))
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -346,7 +346,7 @@
     def test_they_come_back_one_after_the_other_in_their_order(self):
         async def play():
             times = RetrySchedule(LoopClock(), random.Random(1))
-            told = [times.book("line", 0.2, 0.05, 1.0) for _ in range(12)]
+            told = [times.reserve("line", 0.2, 0.05, 1.0) for _ in range(12)]
             self.assertEqual(sorted(told), told)
             self.assertGreaterEqual(told[0], 0.2)
             for sooner, later in itertools.pairwise(told):
@@ -358,18 +358,18 @@
     def test_those_who_cannot_wait_for_their_turn_are_spread_over_their_time(self):
         async def play():
             times = RetrySchedule(LoopClock(), random.Random(1))
-            told = [times.book("line", 5.0, 0.05, 0.4) for _ in range(100)]
+            told = [times.reserve("line", 5.0, 0.05, 0.4) for _ in range(100)]
             self.assertLessEqual(max(told), 0.4)
             self.assertGreater(max(told) - min(told), 0.15)
             # Nobody is put behind those who did not stay.
-            self.assertLess(times.book("line", 0.1, 0.05, 1.0), 0.2)
+            self.assertLess(times.reserve("line", 0.1, 0.05, 1.0), 0.2)
 
         run(play())
 
     def test_daemons_do_not_tell_the_same_times(self):
         async def play():
             told = {
-                RetrySchedule(LoopClock(), random.Random(n)).book(1, 0.2, 0.05, 1.0)
+                RetrySchedule(LoopClock(), random.Random(n)).reserve(1, 0.2, 0.05, 1.0)
                 for n in range(50)
             }
             self.assertEqual(50, len(told))
@@ -380,7 +380,7 @@
         async def play():
             times = RetrySchedule(LoopClock(), random.Random(1))
             for number in range(3 * MAX_QUEUES):
-                times.book(number, 0.2, 0.05, 1.0)
+                times.reserve(number, 0.2, 0.05, 1.0)
             self.assertLessEqual(len(times._told), MAX_QUEUES)
 
         run(play())
@@ -390,11 +390,11 @@
 
         async def play():
             times = RetrySchedule(LoopClock(), random.Random(1))
-            told = [times.book("heavy", 0.1, 0.1, 1.0)]
+            told = [times.reserve("heavy", 0.1, 0.1, 1.0)]
             for number in range(2 * MAX_QUEUES):
-                times.book(number, 0.2, 0.05, 1.0)
+                times.reserve(number, 0.2, 0.05, 1.0)
                 if number % (MAX_QUEUES // 2) == 0:
-                    told.append(times.book("heavy", 0.1, 0.1, 1.0))
+                    told.append(times.reserve("heavy", 0.1, 0.1, 1.0))
             for sooner, later in itertools.pairwise(told):
                 self.assertGreater(later, sooner)
 
