--- a/src/larkpost/gateway/fairness/starvation_guard.py
+++ b/src/larkpost/gateway/fairness/starvation_guard.py
@@ -54,7 +54,7 @@
         self.amount = min(MAX_CREDIT, max(0.0, self.amount + change))
 
 
-class LeastService:
+class StarvationGuard:
     """The credits of all flows.
 
     Args:
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -17,7 +17,7 @@
 from larkpost.gateway.blackboard.daemon_report import route_flow_name
 from larkpost.gateway.blackboard.known_crashes import CLIENT_CRASH_LIMIT
 from larkpost.gateway.fairness.ledger import FlowLedger
-from larkpost.gateway.fairness.starvation_guard import LeastService
+from larkpost.gateway.fairness.starvation_guard import StarvationGuard
 from larkpost.gateway.placement.work import Work, WorkKind
 from larkpost.gateway.proxy.attempts import Attempts, QuarantineState
 from larkpost.gateway.proxy.dependencies import ForwarderDependencies
@@ -77,7 +77,7 @@
         self._clock = parts.clock
         self._elapsed_times = ElapsedTimes(parts.clock)
         self._ledger = parts.ledger or FlowLedger(parts.clock)
-        self._least_service = LeastService(parts.clock, parts.chance)
+        self._least_service = StarvationGuard(parts.clock, parts.chance)
         self._queues = RequestQueues(parts.clock, self._survey, self._ledger)
         self._returns = RetrySpreader(parts.clock, parts.chance, self._ledger)
         self._share_record = ShareRecord(parts.clock, parts.log, parts.metrics, self._ledger)
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -26,7 +26,7 @@
 )
 from larkpost.gateway.fairness.retry_schedule import MAX_QUEUES, RetrySchedule
 from larkpost.gateway.fairness.share_rule import compute_shares, estimate_share_wait
-from larkpost.gateway.fairness.starvation_guard import MIN_RELATIVE_SERVICE, LeastService
+from larkpost.gateway.fairness.starvation_guard import MIN_RELATIVE_SERVICE, StarvationGuard
 from larkpost.gateway.fairness.water_filling import fair_level
 from larkpost.gateway.proxy.shortage_detector import ShortageDetector
 from tests.virtual import run
@@ -151,7 +151,7 @@
 
         async def play():
             clock = LoopClock()
-            least = LeastService(clock, random.Random(5))
+            least = StarvationGuard(clock, random.Random(5))
             passed = 0
             asked = 2000
             for number in range(asked):
@@ -167,7 +167,7 @@
 
     def test_credit_is_not_saved_up_while_a_flow_is_served(self):
         async def play():
-            least = LeastService(LoopClock(), random.Random(5))
+            least = StarvationGuard(LoopClock(), random.Random(5))
             for _ in range(100):
                 least.admit(HEAVY, is_over_share=False)
                 least.record_placed(HEAVY, is_share_exempt=False)
@@ -177,7 +177,7 @@
 
     def test_credit_of_a_request_that_was_refused_is_for_the_next(self):
         async def play():
-            least = LeastService(LoopClock(), random.Random(5))
+            least = StarvationGuard(LoopClock(), random.Random(5))
             while not least.admit(HEAVY, is_over_share=True):
                 pass
             least.refund_credit(HEAVY)
@@ -190,7 +190,7 @@
     def test_request_after_a_night_without_any_is_admitted(self):
         async def play():
             clock = LoopClock()
-            least = LeastService(clock, random.Random(5))
+            least = StarvationGuard(clock, random.Random(5))
             least.admit(HEAVY, is_over_share=False)
             await clock.sleep(4 * 3600.0)
             self.assertFalse(least.admit(LIGHT, is_over_share=False))
@@ -203,7 +203,7 @@
             daemons = 300
             passed = 0
             for seed in range(daemons):
-                least = LeastService(clock, random.Random(seed))
+                least = StarvationGuard(clock, random.Random(seed))
                 least.record_placed(LIGHT, is_share_exempt=False)
                 passed += least.admit(HEAVY, is_over_share=True)
             self.assertGreater(passed / daemons, STARVED_PART)
