--- a/src/larkpost/gateway/assembly/client_requests.py
+++ b/src/larkpost/gateway/assembly/client_requests.py
@@ -6,7 +6,7 @@
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.dependencies import ForwarderDependencies
 from larkpost.gateway.proxy.forwarder import Forwarder
-from larkpost.gateway.proxy.service_selection import ShareChooser
+from larkpost.gateway.proxy.service_selection import ServiceSelector
 from larkpost.gateway.quarantine.repository import CrashRepository
 from larkpost.gateway.quarantine.trials import Trials
 from larkpost.gateway.servers.port import ServerPort
@@ -38,7 +38,7 @@
             ports.clock,
             ports.log,
             ports.metrics,
-            ShareChooser(ports.chance),
+            ServiceSelector(ports.chance),
             counter,
             blackboard.configuration.priority_of,
             crashes,
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -36,7 +36,7 @@
 from larkpost.gateway.placement.cold_rule import POLL_SECONDS
 from larkpost.gateway.planned_stop import PlannedStop, StopSteps
 from larkpost.gateway.proxy.admission import Admission
-from larkpost.gateway.proxy.service_selection import ShareChooser
+from larkpost.gateway.proxy.service_selection import ServiceSelector
 from larkpost.gateway.quarantine.crash_writer import CrashWriter
 from larkpost.gateway.quarantine.guard import GuardedServers
 from larkpost.gateway.quarantine.recorder import CrashRecorder
@@ -156,7 +156,7 @@
             ports.clock,
             ports.log,
             ports.metrics,
-            ShareChooser(ports.chance),
+            ServiceSelector(ports.chance),
             ports.store.time,
             asyncio.Semaphore(MAX_CALLS_IN_FLIGHT),
             self._division,
--- a/src/larkpost/gateway/proxy/dependencies.py
+++ b/src/larkpost/gateway/proxy/dependencies.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.proxy.balancer import Balancer
-from larkpost.gateway.proxy.service_selection import ShareChooser
+from larkpost.gateway.proxy.service_selection import ServiceSelector
 from larkpost.gateway.quarantine.trials import Trials
 from larkpost.gateway.servers.port import ServerPort
 from larkpost.gateway.usage.counter import UsageCounter
@@ -46,7 +46,7 @@
     clock: Clock
     log: EventLog
     metrics: Metrics
-    shares: ShareChooser
+    shares: ServiceSelector
     usage: UsageCounter | None = None
     priority_of: PriorityOf = route_priority
     crashes: KnownCrashes = field(default_factory=KnownCrashes)
--- a/src/larkpost/gateway/proxy/service_selection.py
+++ b/src/larkpost/gateway/proxy/service_selection.py
@@ -11,7 +11,7 @@
 """A route begins as if a random number of requests, below this, had come before."""
 
 
-class ShareChooser:
+class ServiceSelector:
     """Smooth weighted round robin, for each route on its own.
 
     Args:
--- a/src/larkpost/gateway/rollouts/context.py
+++ b/src/larkpost/gateway/rollouts/context.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.placement.cold_rule import ColdRule
 from larkpost.gateway.proxy.balancer import Balancer
-from larkpost.gateway.proxy.service_selection import ShareChooser
+from larkpost.gateway.proxy.service_selection import ServiceSelector
 from larkpost.gateway.servers.port import ServerPort
 
 
@@ -36,7 +36,7 @@
     clock: Clock
     log: EventLog
     metrics: Metrics
-    shares: ShareChooser
+    shares: ServiceSelector
     store_time: Callable[[], float | None]
     reward_places: asyncio.Semaphore
     division: EngineDivision
--- a/tests/server_parts.py
+++ b/tests/server_parts.py
@@ -17,7 +17,7 @@
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.dependencies import ForwarderDependencies
-from larkpost.gateway.proxy.service_selection import ShareChooser
+from larkpost.gateway.proxy.service_selection import ServiceSelector
 from larkpost.gateway.servers.port import ServerPort
 from tests.platform_fleet import ENGINES, MODEL, PAGES
 
@@ -64,7 +64,7 @@
     directory: Directory, balancer: Balancer, servers: ServerPort, clock: Clock
 ) -> ForwarderDependencies:
     """Returns what a forwarder works with, with a log, metrics and shares of its own."""
-    shares = ShareChooser(random.Random(0))
+    shares = ServiceSelector(random.Random(0))
     return ForwarderDependencies(
         directory, balancer, servers, clock, EventLog("daemon"), Metrics(), shares
     )
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -30,7 +30,7 @@
 from larkpost.gateway.proxy.forecast import MAX_RETRY_SECONDS, NO_PLACE_RETRY_SECONDS
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.request import ClientRequest, RefusedError
-from larkpost.gateway.proxy.service_selection import ShareChooser
+from larkpost.gateway.proxy.service_selection import ServiceSelector
 from larkpost.gateway.servers.port import NotRunReason
 from larkpost.gateway.store.port import Row, RowKey
 from larkpost.platform import names, operator
@@ -122,7 +122,7 @@
             directory, self.clock, chance, BalancerDependencies(placement=placement)
         )
         parts = make_parts(directory, balancer, self.engines, self.clock)
-        self.forwarder = Forwarder(replace(parts, shares=ShareChooser(chance)))
+        self.forwarder = Forwarder(replace(parts, shares=ServiceSelector(chance)))
 
     def forward(self, kind: RouteKind):
         """Forwards a request that is received now."""
--- a/tests/test_route_shares.py
+++ b/tests/test_route_shares.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from larkpost.gateway.blackboard.configuration import ServiceShare
-from larkpost.gateway.proxy.service_selection import ShareChooser
+from larkpost.gateway.proxy.service_selection import ServiceSelector
 from tests.platform_fleet import (
     ENGINES,
     PAGES,
@@ -21,6 +21,6 @@
         route = replace(SCORER_ROUTE, shares=shares)
         chosen = []
         for daemon in range(40):
-            chooser = ShareChooser(random.Random(daemon))
+            chooser = ServiceSelector(random.Random(daemon))
             chosen.extend(chooser.choose(route) for _ in range(2))
         self.assertAlmostEqual(0.7, chosen.count(ENGINES) / len(chosen), delta=0.1)
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -26,7 +26,7 @@
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.request import ClientRequest
 from larkpost.gateway.proxy.server_choice import MIN_HEDGE_SECONDS
-from larkpost.gateway.proxy.service_selection import ShareChooser
+from larkpost.gateway.proxy.service_selection import ServiceSelector
 from larkpost.gateway.servers.port import OrderOutcome, OutgoingRequest, VersionOrder
 from larkpost.gateway.store.port import RowKey, Transaction, WriteOutcome
 from larkpost.platform.connections import MIN_ADDRESSES_KEPT, make_session
@@ -467,7 +467,7 @@
         clock = LoopClock()
         chance = random.Random(1)
         parts = make_parts(directory, Balancer(directory, clock, chance), self.servers, clock)
-        self.forwarder = Forwarder(replace(parts, shares=ShareChooser(chance)))
+        self.forwarder = Forwarder(replace(parts, shares=ServiceSelector(chance)))
         await asyncio.gather(*(self.ask() for _ in range(8 * len(names))))
         for pages in self.all_pages:
             self.assertGreater(pages.link.connections, 1)
