--- a/src/larkpost/gateway/proxy/service_selection.py
+++ b/src/larkpost/gateway/proxy/service_selection.py
@@ -7,7 +7,7 @@
 
 from larkpost.gateway.blackboard.configuration import Route, ServiceName
 
-FIRST_ROUNDS = 97
+MAX_INITIAL_OFFSET = 97
 """A route begins as if a random number of requests, below this, had come before."""
 
 
@@ -29,7 +29,7 @@
             return route.shares[0].service
         if route.name not in self._credits:
             self._credits[route.name] = {}
-            for _ in range(self._chance.randrange(FIRST_ROUNDS)):
+            for _ in range(self._chance.randrange(MAX_INITIAL_OFFSET)):
                 self._next(route)
         return self._next(route)
 
