--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -32,7 +32,7 @@
 POLL_INTERVAL_SECONDS = 0.02
 """Between two tries at servers that were full: a tenth of the shortest objectives, and less than
 what requests take there."""
-PLACES_PER_POLL = 2000
+SLOTS_PER_POLL = 2000
 """Beyond so many places of a service its queue is polled less often: each poll counts them all."""
 BLOCKED_MEMORY_SECONDS = 1.0
 """How long it is believed, without a further attempt, that no place comes free."""
@@ -42,7 +42,7 @@
 
 def poll_interval(places: int) -> float:
     """Returns the seconds between two polls of the queue of a service with so many places."""
-    return POLL_INTERVAL_SECONDS * max(1.0, places / PLACES_PER_POLL)
+    return POLL_INTERVAL_SECONDS * max(1.0, places / SLOTS_PER_POLL)
 
 
 @dataclass(frozen=True, slots=True)
@@ -187,7 +187,7 @@
         The queue of a large service waits for its next poll: each poll counts all places.
         """
         queue = self._queues.get(service)
-        if queue is not None and queue.waiters and queue.places <= PLACES_PER_POLL:
+        if queue is not None and queue.waiters and queue.places <= SLOTS_PER_POLL:
             self._move(queue)
 
     async def _poll(self, queue: _Queue) -> None:
