--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -18,7 +18,7 @@
 """A caller that comes back sooner meets the same state: the loads known are as old."""
 MAX_RETRY_SECONDS = 1.0
 """Nothing is forecast further ahead: reported loads and paces are used for about a second."""
-NO_PLACE_RETRY_SECONDS = 0.5
+NO_SLOT_RETRY_SECONDS = 0.5
 """When to come back to a service without any place: entries of instances take about that long."""
 MAX_RETRY_SHARE = 1 / 3
 """Callers wait at most this share of the time that they have left before they come back."""
@@ -103,7 +103,7 @@
 
 def forecast_unreachable(deadlines: Deadlines, now: float) -> Forecast:
     """Returns the forecast of a request that reached no server, though it was sent to all."""
-    wait = NO_PLACE_RETRY_SECONDS
+    wait = NO_SLOT_RETRY_SECONDS
     told = retry_after(wait, deadlines.expires_at - now)
     return Forecast(Expectation.NOT_AT_ALL, wait, told, service_time=0.0)
 
@@ -116,7 +116,7 @@
 def _wait(places: SlotCounts, service_time: float, ahead: int, blocked_for: float) -> float:
     """Returns the seconds until a place comes free, at the rate at which requests end."""
     if not places.total:
-        return NO_PLACE_RETRY_SECONDS
+        return NO_SLOT_RETRY_SECONDS
     missing = places.taken + ahead + 1 - places.total
     if missing <= 0 or places.is_mostly_free:
         return 0.0
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -27,7 +27,7 @@
 from larkpost.gateway.placement.verdict import Verdict
 from larkpost.gateway.placement.work import CLIENT_WORK, ORDER_WORK, REWARD_WORK, Work, WorkKind
 from larkpost.gateway.proxy.balancer import Balancer, BalancerDependencies
-from larkpost.gateway.proxy.forecast import MAX_RETRY_SECONDS, NO_PLACE_RETRY_SECONDS
+from larkpost.gateway.proxy.forecast import MAX_RETRY_SECONDS, NO_SLOT_RETRY_SECONDS
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.request import ClientRequest, RefusedError
 from larkpost.gateway.proxy.service_selection import ServiceSelector
@@ -154,7 +154,7 @@
                 with self.assertRaises(RefusedError) as refusal:
                     await self.forward(kind)
                 self.assertLess(self.clock.now() - began, 0.01)
-                self.assertEqual(NO_PLACE_RETRY_SECONDS, refusal.exception.retry_after)
+                self.assertEqual(NO_SLOT_RETRY_SECONDS, refusal.exception.retry_after)
             self.assertEqual((0, 0), (self.runs(NORTH), self.runs(SOUTH)))
 
         run(play())
