--- a/src/larkpost/gateway/proxy/admission.py
+++ b/src/larkpost/gateway/proxy/admission.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Admitted:
+class AdmittedCall:
     """A call that may be made.
 
     Attributes:
@@ -82,7 +82,7 @@
         self._log = log
         self._metrics = metrics
 
-    def admit(self, request_id: str, host: str, path: bytes, key: KeyDigest | None) -> Admitted:
+    def admit(self, request_id: str, host: str, path: bytes, key: KeyDigest | None) -> AdmittedCall:
         """Returns the route of a request and whose it is.
 
         Raises:
@@ -96,9 +96,9 @@
             raise self._refusal(NoRouteError(f"no route for {host}"), request_id, configuration)
         tenant = configuration.tenant_of(key)
         if tenant is not None:
-            return Admitted(route, tenant.name, configuration.homes_of(tenant.name, route))
+            return AdmittedCall(route, tenant.name, configuration.homes_of(tenant.name, route))
         if configuration.tenants is None or route.is_public:
-            return Admitted(route, None, route.regions)
+            return AdmittedCall(route, None, route.regions)
         error = UnknownKeyError(f"route {route.name} needs a key that is in force")
         raise self._refusal(error, request_id, configuration)
 
--- a/src/larkpost/platform/client_call.py
+++ b/src/larkpost/platform/client_call.py
@@ -9,7 +9,7 @@
 from larkpost.gateway.memory.daemon_memory import RequestMemory
 from larkpost.gateway.memory.delivery import Outlet
 from larkpost.gateway.memory.slow_readers import STALLED_SECONDS
-from larkpost.gateway.proxy.admission import Admitted
+from larkpost.gateway.proxy.admission import AdmittedCall
 from larkpost.gateway.proxy.request import ClientRequest
 from larkpost.gateway.servers.port import Headers
 from larkpost.platform import asgi, names
@@ -126,7 +126,7 @@
         text = self.header(name)
         return int(text) if text.isdigit() else None
 
-    def to_forward(self, body: bytes | bytearray, admitted: Admitted) -> ClientRequest:
+    def to_forward(self, body: bytes | bytearray, admitted: AdmittedCall) -> ClientRequest:
         """Returns the request as it is to be forwarded."""
         deadline_ms = self.whole_header(names.DEADLINE_MS)  # not a time: what is left of it
         return ClientRequest(
