--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -33,7 +33,7 @@
 )
 from larkpost.gateway.proxy.peer_use import PeerUses
 from larkpost.gateway.proxy.server_pool import MIN_OPEN_INSTANCES, CandidatePool, ServerPool
-from larkpost.gateway.proxy.service_times import ServiceTimes
+from larkpost.gateway.proxy.service_time_tracker import ServiceTimes
 from larkpost.gateway.proxy.subset import DaemonSubsets
 from larkpost.gateway.servers.port import NotRunError, NotRunReason, ServerLoad
 
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -340,7 +340,7 @@
 
 def mix_bursts_into_paces():
     """Takes the smoothed pace of an engine, bursts and all, for its lasting one."""
-    from larkpost.gateway.proxy.service_times import ServiceTimes
+    from larkpost.gateway.proxy.service_time_tracker import ServiceTimes
 
     return mock.patch.object(ServiceTimes, "lasting", lambda self, name: self._smoothed(name))
 
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -21,7 +21,7 @@
     REPORT_LIFETIME_SECONDS,
 )
 from larkpost.gateway.proxy.service_time_history import SUSTAINED_SECONDS, ServiceTimeHistory
-from larkpost.gateway.proxy.service_times import (
+from larkpost.gateway.proxy.service_time_tracker import (
     MAX_REPORTED_SERVICE_TIMES,
     RECOVERY_SECONDS,
     is_reported,
--- a/tests/test_uneven_engines.py
+++ b/tests/test_uneven_engines.py
@@ -6,7 +6,7 @@
 from contextlib import AbstractContextManager, nullcontext
 from unittest import mock
 
-from larkpost.gateway.proxy.service_times import ServiceTimes
+from larkpost.gateway.proxy.service_time_tracker import ServiceTimes
 from tests import switched_off
 from tests.platform_fleet import PlatformFleet, make_batch
 from tests.scripted_engines import ScriptedEngine
