--- a/src/larkpost/gateway/assembly/daemon_reports.py
+++ b/src/larkpost/gateway/assembly/daemon_reports.py
@@ -5,7 +5,7 @@
 from larkpost.common.ids import DaemonId, InstanceId
 from larkpost.gateway.blackboard.daemon_report import DaemonReport
 from larkpost.gateway.fairness.ledger import FlowLedger
-from larkpost.gateway.proxy.service_time_tracker import ServiceTimes
+from larkpost.gateway.proxy.service_time_tracker import ServiceTimeTracker
 from larkpost.gateway.rollouts.keeper import BatchKeeper
 
 
@@ -19,7 +19,7 @@
 
     def __init__(
         self,
-        paces: ServiceTimes,
+        paces: ServiceTimeTracker,
         ledger: FlowLedger,
         keeper: Callable[[], BatchKeeper],
         capacity: Callable[[], float | None] = lambda: None,
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -33,7 +33,7 @@
 )
 from larkpost.gateway.proxy.peer_use import PeerUses
 from larkpost.gateway.proxy.server_pool import MIN_OPEN_INSTANCES, CandidatePool, ServerPool
-from larkpost.gateway.proxy.service_time_tracker import ServiceTimes
+from larkpost.gateway.proxy.service_time_tracker import ServiceTimeTracker
 from larkpost.gateway.proxy.subset import DaemonSubsets
 from larkpost.gateway.servers.port import NotRunError, NotRunReason, ServerLoad
 
@@ -96,7 +96,7 @@
         self._regions = sources.regions or RegionMap()
         self._own = OwnUse(directory, clock)
         self._peers = PeerUses(clock)
-        self.paces = ServiceTimes(directory, clock, self._own, self._peers)
+        self.paces = ServiceTimeTracker(directory, clock, self._own, self._peers)
         self._pool = ServerPool(directory, clock, chance, sources.subsets)
         self._order = CandidateOrder(
             self, clock, chance, sources.is_connected, self.paces.has_latency
--- a/src/larkpost/gateway/proxy/service_time_tracker.py
+++ b/src/larkpost/gateway/proxy/service_time_tracker.py
@@ -24,7 +24,7 @@
 """Decimal places of a pace in seconds as it is reported: a tenth of a millisecond."""
 
 
-class ServiceTimes:
+class ServiceTimeTracker:
     """The paces of all instances, as far as they are known here."""
 
     def __init__(self, directory: Directory, clock: Clock, own: OwnUse, peers: PeerUses) -> None:
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -340,9 +340,9 @@
 
 def mix_bursts_into_paces():
     """Takes the smoothed pace of an engine, bursts and all, for its lasting one."""
-    from larkpost.gateway.proxy.service_time_tracker import ServiceTimes
+    from larkpost.gateway.proxy.service_time_tracker import ServiceTimeTracker
 
-    return mock.patch.object(ServiceTimes, "lasting", lambda self, name: self._smoothed(name))
+    return mock.patch.object(ServiceTimeTracker, "lasting", lambda self, name: self._smoothed(name))
 
 
 def believe_any_slowness():
--- a/tests/test_uneven_engines.py
+++ b/tests/test_uneven_engines.py
@@ -6,7 +6,7 @@
 from contextlib import AbstractContextManager, nullcontext
 from unittest import mock
 
-from larkpost.gateway.proxy.service_time_tracker import ServiceTimes
+from larkpost.gateway.proxy.service_time_tracker import ServiceTimeTracker
 from tests import switched_off
 from tests.platform_fleet import PlatformFleet, make_batch
 from tests.scripted_engines import ScriptedEngine
@@ -24,7 +24,7 @@
 
 def smoothed_paces() -> AbstractContextManager:
     """Bursts are no longer told from what an engine is for good."""
-    return mock.patch.object(ServiceTimes, "lasting", lambda self, name: self._smoothed(name))
+    return mock.patch.object(ServiceTimeTracker, "lasting", lambda self, name: self._smoothed(name))
 
 
 async def slow_now_and_then(fleet: PlatformFleet, engine: ScriptedEngine, seed: int) -> None:
