--- a/src/larkpost/gateway/assembly/client_requests.py
+++ b/src/larkpost/gateway/assembly/client_requests.py
@@ -4,8 +4,8 @@
 from larkpost.gateway.blackboard.board import Blackboard
 from larkpost.gateway.fairness.ledger import FlowLedger
 from larkpost.gateway.proxy.balancer import Balancer
-from larkpost.gateway.proxy.dependencies import ForwarderDependencies
 from larkpost.gateway.proxy.forwarder import Forwarder
+from larkpost.gateway.proxy.forwarder_dependencies import ForwarderDependencies
 from larkpost.gateway.proxy.service_selection import ServiceSelector
 from larkpost.gateway.quarantine.repository import CrashRepository
 from larkpost.gateway.quarantine.trials import Trials
--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -20,7 +20,7 @@
 from larkpost.gateway.blackboard.configuration import Route, RouteKind
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.proxy.attempts import Attempts
-from larkpost.gateway.proxy.dependencies import ForwarderDependencies
+from larkpost.gateway.proxy.forwarder_dependencies import ForwarderDependencies
 from larkpost.gateway.proxy.outcomes import Outcomes
 from larkpost.gateway.proxy.request import ClientRequest, StreamedResponse, WholeResponse
 from larkpost.gateway.proxy.request_scheduler import RequestScheduler
--- a/src/larkpost/gateway/proxy/outcomes.py
+++ b/src/larkpost/gateway/proxy/outcomes.py
@@ -9,7 +9,7 @@
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.metrics import Count, Timing
 from larkpost.gateway.proxy.attempts import Attempts, QuarantineState
-from larkpost.gateway.proxy.dependencies import ForwarderDependencies
+from larkpost.gateway.proxy.forwarder_dependencies import ForwarderDependencies
 from larkpost.gateway.proxy.request import ClientRequest
 from larkpost.gateway.proxy.retry import MIN_ERROR_STATUS, UnservedRequest, final_error
 from larkpost.gateway.servers.port import NotRunError
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -20,9 +20,9 @@
 from larkpost.gateway.fairness.starvation_guard import StarvationGuard
 from larkpost.gateway.placement.work import Work, WorkKind
 from larkpost.gateway.proxy.attempts import Attempts, QuarantineState
-from larkpost.gateway.proxy.dependencies import ForwarderDependencies
 from larkpost.gateway.proxy.elapsed_time import ElapsedTimes
 from larkpost.gateway.proxy.forecast import MIN_RETRY_SECONDS, Deadlines, forecast_unreachable
+from larkpost.gateway.proxy.forwarder_dependencies import ForwarderDependencies
 from larkpost.gateway.proxy.request import ClientRequest
 from larkpost.gateway.proxy.request_queue import QueueForecast, RequestQueues
 from larkpost.gateway.proxy.retry_spreading import RetrySpreader
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -10,7 +10,7 @@
 from larkpost.gateway.blackboard.known_crashes import CLIENT_CRASH_LIMIT
 from larkpost.gateway.memory.budget import Purpose
 from larkpost.gateway.proxy.attempts import Attempts
-from larkpost.gateway.proxy.dependencies import ForwarderDependencies
+from larkpost.gateway.proxy.forwarder_dependencies import ForwarderDependencies
 from larkpost.gateway.proxy.outcomes import Outcomes
 from larkpost.gateway.proxy.request import StreamedResponse, WholeResponse
 from larkpost.gateway.proxy.request_scheduler import RequestScheduler
--- a/src/larkpost/gateway/proxy/server_choice.py
+++ b/src/larkpost/gateway/proxy/server_choice.py
@@ -8,7 +8,7 @@
 
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.proxy.attempts import Attempts
-from larkpost.gateway.proxy.dependencies import ForwarderDependencies
+from larkpost.gateway.proxy.forwarder_dependencies import ForwarderDependencies
 from larkpost.gateway.proxy.request_scheduler import RequestScheduler
 
 MIN_HEDGE_SECONDS = 0.1
--- a/tests/server_parts.py
+++ b/tests/server_parts.py
@@ -16,7 +16,7 @@
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.proxy.balancer import Balancer
-from larkpost.gateway.proxy.dependencies import ForwarderDependencies
+from larkpost.gateway.proxy.forwarder_dependencies import ForwarderDependencies
 from larkpost.gateway.proxy.service_selection import ServiceSelector
 from larkpost.gateway.servers.port import ServerPort
 from tests.platform_fleet import ENGINES, MODEL, PAGES
