--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -14,7 +14,7 @@
 from larkpost.gateway.fairness.ledger import FlowLedger
 from larkpost.gateway.fairness.share_rule import FlowShare, GroupShares, compute_shares
 from larkpost.gateway.proxy.forecast import would_miss_objective
-from larkpost.gateway.proxy.slot_counts import SlotCounts
+from larkpost.gateway.proxy.slot_counting import SlotCounts
 from larkpost.gateway.proxy.waiter import Waiter
 
 MAX_HOLD_SECONDS = 0.2
--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from larkpost.gateway.proxy.slot_counts import SlotCounts
+from larkpost.gateway.proxy.slot_counting import SlotCounts
 
 MIN_SERVICE_TIME_SHARE = 0.5
 """A request may need half of what requests take: the smallest of a service do, and a refusal that
--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -26,7 +26,7 @@
 from larkpost.gateway.proxy.fair_order import AttemptPermits, FairOrder, Rank
 from larkpost.gateway.proxy.forecast import Forecast, make_forecast
 from larkpost.gateway.proxy.shortage_detector import ShortageDetector
-from larkpost.gateway.proxy.slot_counts import SlotCounts
+from larkpost.gateway.proxy.slot_counting import SlotCounts
 from larkpost.gateway.proxy.waiter import Waiter
 
 POLL_INTERVAL_SECONDS = 0.02
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -27,7 +27,7 @@
 from larkpost.gateway.proxy.request_queue import QueueForecast, RequestQueues
 from larkpost.gateway.proxy.retry_spreading import RetrySpreader
 from larkpost.gateway.proxy.share_record import ShareOutcome, ShareRecord
-from larkpost.gateway.proxy.slot_counts import SlotCounts, count_slots
+from larkpost.gateway.proxy.slot_counting import SlotCounts, count_slots
 from larkpost.gateway.proxy.waiter import Waiter
 
 DEFAULT_SERVICE_TIME_SHARE = 0.25
--- a/tests/choice_cost.py
+++ b/tests/choice_cost.py
@@ -18,7 +18,7 @@
 from larkpost.gateway.placement.rules import Placement
 from larkpost.gateway.placement.work import CLIENT_WORK, Work, WorkKind
 from larkpost.gateway.proxy.balancer import Balancer, BalancerDependencies
-from larkpost.gateway.proxy.slot_counts import count_slots
+from larkpost.gateway.proxy.slot_counting import count_slots
 from larkpost.gateway.proxy.subset import DaemonSubset, DaemonSubsets
 from larkpost.gateway.quarantine.isolation import IsolationRule
 from tests.platform_fleet import MODEL, PAGES
--- a/tests/test_bounded_choice.py
+++ b/tests/test_bounded_choice.py
@@ -24,7 +24,7 @@
     POOL_SIZE,
     SEARCH_LIFETIME_SECONDS,
 )
-from larkpost.gateway.proxy.slot_counts import count_slots
+from larkpost.gateway.proxy.slot_counting import count_slots
 from larkpost.gateway.proxy.subset import MIN_SUBSET_SIZE, DaemonSubsets
 from tests.platform_fleet import ENGINES, MODEL, PAGES, PlatformFleet, check_results, make_batch
 from tests.server_parts import SLOTS, make_instance
--- a/tests/test_fair_load.py
+++ b/tests/test_fair_load.py
@@ -27,7 +27,7 @@
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.request import ClientRequest, RefusedError
 from larkpost.gateway.proxy.request_queue import POLL_INTERVAL_SECONDS, QueueForecast, RequestQueues
-from larkpost.gateway.proxy.slot_counts import SlotCounts
+from larkpost.gateway.proxy.slot_counting import SlotCounts
 from larkpost.gateway.proxy.waiter import Waiter
 from tests.platform_fleet import ENGINES, PAGES, PlatformFleet
 from tests.scripted_engines import ScriptedEngine, ScriptedEngines
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -40,7 +40,7 @@
     RequestQueues,
     poll_interval,
 )
-from larkpost.gateway.proxy.slot_counts import SlotCounts, count_slots
+from larkpost.gateway.proxy.slot_counting import SlotCounts, count_slots
 from larkpost.gateway.proxy.waiter import Waiter
 from tests.platform_fleet import PAGES
 from tests.scripted_engines import ScriptedEngine, ScriptedEngines
