--- a/src/larkpost/gateway/assembly/membership.py
+++ b/src/larkpost/gateway/assembly/membership.py
@@ -44,7 +44,7 @@
     store, balancer, settings = inputs.ports.store, inputs.balancer, inputs.settings
     most = capacity_of(settings.cores, settings.byte_budget)
     capacity = OwnCapacity(most, inputs.loop_watch, inputs.ports.clock)
-    reports = DaemonReports(balancer.paces, inputs.ledger, inputs.keeper, capacity.now)
+    reports = DaemonReports(balancer.service_times, inputs.ledger, inputs.keeper, capacity.now)
     own = OwnDaemon(
         inputs.daemon,
         balancer.summary,
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -146,7 +146,7 @@
             ports.clock,
             lambda: self.keeper.demands(),
             LendingRecord(ports.log, ports.clock),
-            self.balancer.paces.lasting,
+            self.balancer.service_times.lasting,
         )
         services = RunServices(
             self.configuration,
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -96,10 +96,10 @@
         self._regions = sources.regions or RegionMap()
         self._own = OwnUse(directory, clock)
         self._peers = PeerUses(clock)
-        self.paces = ServiceTimeTracker(directory, clock, self._own, self._peers)
+        self.service_times = ServiceTimeTracker(directory, clock, self._own, self._peers)
         self._pool = ServerPool(directory, clock, chance, sources.subsets)
         self._order = CandidateOrder(
-            self, clock, chance, sources.is_connected, self.paces.has_latency
+            self, clock, chance, sources.is_connected, self.service_times.has_latency
         )
         self._forget_at = float("-inf")
         self._release_listeners: list[Callable[[InstanceId], None]] = []
@@ -208,7 +208,7 @@
 
     def service_time(self, instance: InstanceId) -> float:
         """Returns the seconds a short request takes at an instance now; 0 if not known lately."""
-        return self.paces.at_this_moment(instance)
+        return self.service_times.at_this_moment(instance)
 
     def verdicts(self, service: ServiceName, work: Work = CLIENT_WORK) -> dict[Verdict, int]:
         """Returns how many instances of those looked at get each verdict; for the log."""
@@ -299,7 +299,7 @@
     def record_response(self, info: InstanceInfo, seconds: float) -> None:
         """Records the time from a client's request to its whole response."""
         self.record_service_time(info.id, seconds)
-        self.paces.record_response(info.id, seconds)
+        self.service_times.record_response(info.id, seconds)
         self._own.of(info.id).response_at = self._clock.now()
         self._order.record_response(info, seconds)
 
@@ -355,4 +355,4 @@
         self._forget_at = now + FORGET_SECONDS
         self._own.forget_unused(now)
         self._peers.forget_old(now)
-        self.paces.forget_old(now)
+        self.service_times.forget_old(now)
--- a/src/larkpost/gateway/proxy/candidate_order.py
+++ b/src/larkpost/gateway/proxy/candidate_order.py
@@ -67,7 +67,7 @@
         """Returns the instances that work may go to, the best first."""
         estimates = self._estimates
         factors = self._latency_factors(service, fitting) if for_client else {}
-        paces = {
+        service_times = {
             info.id: self._local_service_time(info.id, factors.get(info.id, 1.0))
             for info in fitting
         }
@@ -77,7 +77,7 @@
                 is_avoided=estimates.is_avoided(info.id),
                 is_cold=estimates.is_cold(info),
                 occupied=estimates.occupied(info),
-                service_time=paces[info.id],
+                service_time=service_times[info.id],
                 latency_factor=factors.get(info.id, 1.0),
                 connection_factor=self._connection_factor(info) if for_client else 1.0,
                 tie_break=self._chance.random(),
@@ -85,7 +85,7 @@
             for info in fitting
         ]
         best_service_time = min(
-            (service_time for service_time in paces.values() if service_time), default=0.0
+            (service_time for service_time in service_times.values() if service_time), default=0.0
         )
         return rank(candidates, best_service_time)
 
--- a/src/larkpost/gateway/proxy/reported_service_times.py
+++ b/src/larkpost/gateway/proxy/reported_service_times.py
@@ -43,9 +43,9 @@
     def __len__(self) -> int:
         return len(self._reported)
 
-    def record(self, daemon: DaemonId, paces: dict[InstanceId, float]) -> None:
+    def record(self, daemon: DaemonId, service_times: dict[InstanceId, float]) -> None:
         """Records what a daemon reports; of instances that are not listed here, nothing."""
-        for instance, seconds in paces.items():
+        for instance, seconds in service_times.items():
             if seconds > 0 and self._directory.get(instance) is not None:
                 self._keep(instance, daemon, seconds)
 
--- a/src/larkpost/gateway/proxy/server_choice.py
+++ b/src/larkpost/gateway/proxy/server_choice.py
@@ -19,14 +19,14 @@
 """Where no pace is known, this part of the objective stands in for it."""
 
 
-def hedge_delay(paces: Collection[float], objective: float) -> float:
+def hedge_delay(service_times: Collection[float], objective: float) -> float:
     """Returns the seconds after which a second server is tried beside a silent first one.
 
     Args:
         paces: seconds a request takes at each server whose pace is known.
         objective: seconds within which a response is worth most.
     """
-    usual = min(paces, default=objective / DEFAULT_SERVICE_TIME_DIVISOR)
+    usual = min(service_times, default=objective / DEFAULT_SERVICE_TIME_DIVISOR)
     return max(MIN_HEDGE_SECONDS, HEDGE_SERVICE_TIME_FACTOR * usual)
 
 
@@ -55,9 +55,9 @@
     def hedge_delay(self, attempts: Attempts) -> float:
         """Returns the seconds after which a second server is tried beside the first."""
         looked_at = self._balancer.candidate_pool(attempts.waiter.service, attempts.waiter.work)
-        paces = [
+        service_times = [
             service_time
             for info in looked_at.instances
             if (service_time := self._balancer.service_time(info.id))
         ]
-        return hedge_delay(paces, attempts.route.objective)
+        return hedge_delay(service_times, attempts.route.objective)
--- a/src/larkpost/gateway/proxy/service_time_tracker.py
+++ b/src/larkpost/gateway/proxy/service_time_tracker.py
@@ -99,9 +99,9 @@
         self._reported = [name for name in earlier if name not in report] + list(report)
         return report
 
-    def record_report(self, daemon: DaemonId, paces: dict[InstanceId, float]) -> None:
+    def record_report(self, daemon: DaemonId, service_times: dict[InstanceId, float]) -> None:
         """Records the paces that another daemon reports."""
-        self._shared.record(daemon, paces)
+        self._shared.record(daemon, service_times)
 
     def forget_old(self, now: float) -> None:
         """Drops reports that are used no longer."""
--- a/src/larkpost/gateway/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_choice.py
@@ -74,7 +74,9 @@
             info
             for info in candidates
             if info.id not in loading
-            and is_fast_enough(balancer.paces.lasting(info.id), balancer.is_cold(info), pace_limit)
+            and is_fast_enough(
+                balancer.service_times.lasting(info.id), balancer.is_cold(info), pace_limit
+            )
         ]
 
     def _only_engines(self, service: ServiceName) -> frozenset[InstanceId] | None:
@@ -102,7 +104,7 @@
         return [
             EngineState(
                 info,
-                pace=balancer.paces.lasting(info.id),
+                pace=balancer.service_times.lasting(info.id),
                 occupied=balancer.occupied(info),
                 distance=balancer.distance(info),
                 is_loading=info.id in loading,
@@ -139,7 +141,7 @@
         """Returns the seconds for which a run may make nothing before it is stalled."""
         engine = watch.engine
         loading = self._services.division.loading(engine.service, self._head.model)
-        pace = self._services.balancer.paces.lasting(engine.id)
+        pace = self._services.balancer.service_times.lasting(engine.id)
         return stall_seconds(pace, is_loading=engine.id in loading)
 
     def may_move_to(self, engine: InstanceInfo, run: ItemRun) -> bool:
@@ -151,7 +153,7 @@
         balancer = self._services.balancer
         if known is None or balancer.is_cold(known):
             return False
-        pace = balancer.paces.lasting(engine.id)
+        pace = balancer.service_times.lasting(engine.id)
         if not pace or not is_outpaced_by(self._pace_to_leave(run.engine), pace, MOVE_RATIO):
             return False
         return balancer.placement.allows(known, self.items.work_of(run.item))
@@ -172,8 +174,8 @@
         return pace_to_move_to(events, pace, best)
 
     def _pace_to_leave(self, engine: InstanceInfo) -> float:
-        paces = self._services.balancer.paces
-        return pace_to_leave(paces.lasting(engine.id), paces.recent(engine.id))
+        service_times = self._services.balancer.service_times
+        return pace_to_leave(service_times.lasting(engine.id), service_times.recent(engine.id))
 
     def _best_pace(self, service: ServiceName, work: Work, version: int) -> float:
         """Returns the best pace at engines of a version or a newer one, as of a moment ago."""
@@ -183,16 +185,16 @@
             return known[1]
         balancer = self._services.balancer
         directory = self._services.directory
-        paces = [
+        service_times = [
             pace
             for info in balancer.candidate_pool(service, work).instances
-            if (pace := balancer.paces.lasting(info.id))
+            if (pace := balancer.service_times.lasting(info.id))
             and not balancer.is_cold(info)
             and directory.version_of(info.id, self._head.model) >= version
             and not balancer.is_avoided(info.id)
             and balancer.placement.allows(info, work)
         ]
-        best = min(paces, default=0.0)
+        best = min(service_times, default=0.0)
         self._best[service, work, version] = (now, best)
         return best
 
--- a/src/larkpost/gateway/rollouts/item_runs.py
+++ b/src/larkpost/gateway/rollouts/item_runs.py
@@ -152,7 +152,7 @@
     def _record_move(self, run: ItemRun, move: MoveAwayError) -> None:
         run.progress.moves += 1
         self._taken[run.item.id] = move.engine
-        run.progress.pace_left = self._services.balancer.paces.lasting(run.engine.id)
+        run.progress.pace_left = self._services.balancer.service_times.lasting(run.engine.id)
 
     def _record_run(
         self, run: ItemRun, resumed_after: int | None, began: float, outcome: str
@@ -176,7 +176,7 @@
             seconds=round(seconds, 3),
             occupied=balancer.occupied(run.engine),
             service_time=round(balancer.service_time(run.engine.id), 4),
-            lasting_pace=round(balancer.paces.lasting(run.engine.id), 4),
+            lasting_pace=round(balancer.service_times.lasting(run.engine.id), 4),
             version=directory.version_of(run.engine.id, self._head.model),
             minimum_version=self._head.minimum_version,
         )
--- a/src/larkpost/gateway/rollouts/keeper.py
+++ b/src/larkpost/gateway/rollouts/keeper.py
@@ -65,7 +65,7 @@
             OutlookSources(
                 services.configuration,
                 services.directory,
-                services.balancer.paces.lasting,
+                services.balancer.service_times.lasting,
                 services.clock,
                 services.store_time,
             )
--- a/src/larkpost/gateway/rollouts/reward_attempt.py
+++ b/src/larkpost/gateway/rollouts/reward_attempt.py
@@ -108,7 +108,7 @@
             return CallAttempt(CallEnd.SILENT)
         seconds = self._services.clock.now() - began
         balancer.record_service_time(server.id, seconds)
-        balancer.paces.record_response(server.id, seconds)
+        balancer.service_times.record_response(server.id, seconds)
         return judge_call_response(status, signature)
 
     async def _exchange(
--- a/src/larkpost/gateway/rollouts/run_events.py
+++ b/src/larkpost/gateway/rollouts/run_events.py
@@ -93,5 +93,5 @@
             seconds = now - self._last_at
             balancer, engine = self._services.balancer, self._run.engine
             balancer.record_service_time(engine.id, seconds, EVENT_PACE_WEIGHT)
-            balancer.paces.record_event(engine.id, seconds)
+            balancer.service_times.record_event(engine.id, seconds)
         self._last_at = now
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -48,7 +48,7 @@
         for instance in (SERVER, OTHER):
             self.start(instance)
         self.balancer = Balancer(self.directory, self.clock, random.Random(0))
-        self.paces = self.balancer.paces
+        self.service_times = self.balancer.service_times
 
     def start(self, instance: InstanceId) -> None:
         """Lists an incarnation of a server, in place of the one before."""
@@ -59,13 +59,13 @@
         until = self.clock.now() + seconds
         while self.clock.now() < until:
             await asyncio.sleep(service_time)
-            self.paces.record_event(instance, service_time)
+            self.service_times.record_event(instance, service_time)
 
     async def answer(self, seconds: float, slowness: float | None, name: InstanceId = SERVER):
         """Records an answer that says the server's slowness in its head."""
         await asyncio.sleep(0.5)
         self.balancer.record_load(name, ServerLoad(1, 0, SLOTS, slowness))
-        self.paces.record_response(name, seconds)
+        self.service_times.record_response(name, seconds)
 
 
 class IncarnationTest(unittest.TestCase):
@@ -75,12 +75,12 @@
         async def play():
             known = KnownServers()
             await known.stream(SERVER, SLOW)
-            known.paces.record_report(DaemonId("d"), {SERVER: SLOW})
-            self.assertAlmostEqual(SLOW, known.paces.lasting(SERVER))
+            known.service_times.record_report(DaemonId("d"), {SERVER: SLOW})
+            self.assertAlmostEqual(SLOW, known.service_times.lasting(SERVER))
             known.start(RESTARTED)
-            self.assertEqual(0.0, known.paces.lasting(RESTARTED))
-            self.assertEqual({}, known.paces.report())
-            self.assertEqual(0, len(known.paces._shared))
+            self.assertEqual(0.0, known.service_times.lasting(RESTARTED))
+            self.assertEqual({}, known.service_times.report())
+            self.assertEqual(0, len(known.service_times._shared))
 
         run(play())
 
@@ -89,9 +89,9 @@
             known = KnownServers()
             known.start(RESTARTED)
             await known.stream(SERVER, SLOW)
-            self.assertEqual(0.0, known.paces.lasting(RESTARTED))
+            self.assertEqual(0.0, known.service_times.lasting(RESTARTED))
             await known.stream(RESTARTED, FAST)
-            self.assertAlmostEqual(FAST, known.paces.lasting(RESTARTED))
+            self.assertAlmostEqual(FAST, known.service_times.lasting(RESTARTED))
 
         run(play())
 
@@ -100,10 +100,10 @@
             known = KnownServers()
             known.start(RESTARTED)
             for instance in (SERVER, InstanceId("e0")):
-                known.paces.record_report(DaemonId("d"), {instance: SLOW})
-            self.assertEqual(0.0, known.paces.lasting(RESTARTED))
-            known.paces.record_report(DaemonId("d"), {RESTARTED: FAST})
-            self.assertEqual(FAST, known.paces.lasting(RESTARTED))
+                known.service_times.record_report(DaemonId("d"), {instance: SLOW})
+            self.assertEqual(0.0, known.service_times.lasting(RESTARTED))
+            known.service_times.record_report(DaemonId("d"), {RESTARTED: FAST})
+            self.assertEqual(FAST, known.service_times.lasting(RESTARTED))
 
         run(play())
 
@@ -114,10 +114,10 @@
     def test_own_measurement_counts_before_a_report(self):
         async def play():
             known = KnownServers()
-            known.paces.record_report(DaemonId("d"), {SERVER: SLOW})
-            self.assertEqual(SLOW, known.paces.lasting(SERVER))
+            known.service_times.record_report(DaemonId("d"), {SERVER: SLOW})
+            self.assertEqual(SLOW, known.service_times.lasting(SERVER))
             await known.stream(SERVER, FAST)
-            self.assertAlmostEqual(FAST, known.paces.lasting(SERVER))
+            self.assertAlmostEqual(FAST, known.service_times.lasting(SERVER))
 
         run(play())
 
@@ -128,10 +128,10 @@
             known = KnownServers()
             await known.stream(SERVER, FAST)
             await asyncio.sleep(SUSTAINED_SECONDS + 0.1)
-            known.paces.record_report(DaemonId("d"), {SERVER: 3 * FAST})
-            self.assertEqual(3 * FAST, known.paces.lasting(SERVER))
+            known.service_times.record_report(DaemonId("d"), {SERVER: 3 * FAST})
+            self.assertEqual(3 * FAST, known.service_times.lasting(SERVER))
             await asyncio.sleep(FRESH_SECONDS + 0.1)
-            self.assertAlmostEqual(FAST, known.paces.lasting(SERVER))
+            self.assertAlmostEqual(FAST, known.service_times.lasting(SERVER))
 
         run(play())
 
@@ -153,22 +153,22 @@
         async def play():
             known = KnownServers()
             for daemon, service_time in (("a", FAST), ("late", 1.0), ("b", FAST)):
-                known.paces.record_report(DaemonId(daemon), {SERVER: service_time})
-            self.assertEqual(FAST, known.paces.lasting(SERVER))
+                known.service_times.record_report(DaemonId(daemon), {SERVER: service_time})
+            self.assertEqual(FAST, known.service_times.lasting(SERVER))
 
         run(play())
 
     def test_reports_outlast_silent_heartbeats_and_end(self):
         async def play():
             known = KnownServers()
-            known.paces.record_report(DaemonId("d"), {SERVER: SLOW})
-            known.paces.record_report(DaemonId("d"), {})  # the daemon is gone
+            known.service_times.record_report(DaemonId("d"), {SERVER: SLOW})
+            known.service_times.record_report(DaemonId("d"), {})  # the daemon is gone
             await asyncio.sleep(REPORT_LIFETIME_SECONDS - 1.0)
-            self.assertEqual(SLOW, known.paces.lasting(SERVER))
+            self.assertEqual(SLOW, known.service_times.lasting(SERVER))
             await asyncio.sleep(2.0)
-            self.assertEqual(0.0, known.paces.lasting(SERVER))
-            known.paces.forget_old(known.clock.now())
-            self.assertEqual(0, len(known.paces._shared))
+            self.assertEqual(0.0, known.service_times.lasting(SERVER))
+            known.service_times.forget_old(known.clock.now())
+            self.assertEqual(0, len(known.service_times._shared))
 
         run(play())
 
@@ -177,8 +177,8 @@
             known = KnownServers()
             reported = {instance_id(InstanceName(f"e{n}"), BORN): SLOW for n in range(100)}
             for number in range(50):
-                known.paces.record_report(DaemonId(f"d{number}"), reported)
-            kept = known.paces._shared._reported
+                known.service_times.record_report(DaemonId(f"d{number}"), reported)
+            kept = known.service_times._shared._reported
             self.assertEqual({SERVER, OTHER}, set(kept))
             self.assertEqual(MAX_REPORTERS, len(kept[SERVER]))
 
@@ -194,11 +194,11 @@
             for name in names:
                 known.start(name)
             await asyncio.gather(*(known.stream(name, FAST) for name in names))
-            reports = [known.paces.report() for _ in range(3)]
+            reports = [known.service_times.report() for _ in range(3)]
             self.assertEqual(set(names), set().union(*reports))
             self.assertTrue(all(len(report) == MAX_REPORTED_SERVICE_TIMES for report in reports))
             await asyncio.sleep(SUSTAINED_SECONDS + 0.1)
-            self.assertEqual({}, known.paces.report())
+            self.assertEqual({}, known.service_times.report())
 
         run(play())
 
@@ -213,9 +213,9 @@
                 known.start(name)
             await asyncio.gather(*(known.stream(name, FAST) for name in names))
             keeper = mock.Mock(progress=dict)
-            reports = DaemonReports(known.paces, FlowLedger(LoopClock()), lambda: keeper)
+            reports = DaemonReports(known.service_times, FlowLedger(LoopClock()), lambda: keeper)
             first = reports.own_paces()
-            self.assertEqual({}, reports.own().paces)
+            self.assertEqual({}, reports.own().service_times)
             self.assertEqual(set(names), first.keys() | reports.own_paces().keys())
 
         run(play())
@@ -227,11 +227,11 @@
             first, *others = fleet.gateways
             info = first.directory.get(InstanceId("engine-0"))
             for _ in range(30):
-                first.balancer.paces.record_event(info.id, SLOW)
+                first.balancer.service_times.record_event(info.id, SLOW)
                 await fleet.wait(SLOW)
             await fleet.wait(3.0)
             for gateway in others:
-                self.assertAlmostEqual(SLOW, gateway.balancer.paces.lasting(info.id))
+                self.assertAlmostEqual(SLOW, gateway.balancer.service_times.lasting(info.id))
 
         run(play())
 
@@ -284,13 +284,13 @@
             known = KnownServers()
             info = known.directory.get(SERVER)
             known.balancer.record_load(SERVER, ServerLoad(1, 0, SLOTS, 1.0))
-            self.assertFalse(known.paces.has_latency(SERVER))
+            self.assertFalse(known.service_times.has_latency(SERVER))
             known.balancer.record_response(info, SLOW)
             self.assertEqual(SLOW, known.balancer.service_time(SERVER))
-            self.assertTrue(known.paces.has_latency(SERVER))
-            known.paces.record_report(DaemonId("d"), {SERVER: FAST})
+            self.assertTrue(known.service_times.has_latency(SERVER))
+            known.service_times.record_report(DaemonId("d"), {SERVER: FAST})
             self.assertEqual(FAST, known.balancer.service_time(SERVER))
-            self.assertFalse(known.paces.has_latency(SERVER))
+            self.assertFalse(known.service_times.has_latency(SERVER))
 
         run(play())
 
