--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -36,13 +36,13 @@
 class Forwarder:
     """Forwards requests to the servers of their route's service."""
 
-    def __init__(self, parts: ForwarderDependencies) -> None:
-        self._clock = parts.clock
-        self._gate = RequestScheduler(parts)
-        self._choice = ServerChoice(parts, self._gate)
-        self._outcomes = Outcomes(parts)
-        self._attempt = ServerAttempt(parts, self._gate, self._outcomes)
-        parts.balancer.add_release_listener(self._gate.record_released)
+    def __init__(self, dependencies: ForwarderDependencies) -> None:
+        self._clock = dependencies.clock
+        self._gate = RequestScheduler(dependencies)
+        self._choice = ServerChoice(dependencies, self._gate)
+        self._outcomes = Outcomes(dependencies)
+        self._attempt = ServerAttempt(dependencies, self._gate, self._outcomes)
+        dependencies.balancer.add_release_listener(self._gate.record_released)
 
     @property
     def waiting(self) -> int:
--- a/src/larkpost/gateway/proxy/outcomes.py
+++ b/src/larkpost/gateway/proxy/outcomes.py
@@ -27,12 +27,12 @@
 class Outcomes:
     """Records the outcomes of client requests."""
 
-    def __init__(self, parts: ForwarderDependencies) -> None:
-        self._balancer = parts.balancer
-        self._clock = parts.clock
-        self._log = parts.log
-        self._metrics = parts.metrics
-        self._usage = parts.usage
+    def __init__(self, dependencies: ForwarderDependencies) -> None:
+        self._balancer = dependencies.balancer
+        self._clock = dependencies.clock
+        self._log = dependencies.log
+        self._metrics = dependencies.metrics
+        self._usage = dependencies.usage
 
     def record_begun(self, request: ClientRequest, at: float) -> None:
         """Counts a run at a server for its tenant; one that may have begun counts as well."""
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -72,15 +72,17 @@
 class RequestScheduler:
     """Lets requests through to the servers, one after the other."""
 
-    def __init__(self, parts: ForwarderDependencies) -> None:
-        self._dependencies = parts
-        self._clock = parts.clock
-        self._elapsed_times = ElapsedTimes(parts.clock)
-        self._ledger = parts.ledger or FlowLedger(parts.clock)
-        self._least_service = StarvationGuard(parts.clock, parts.chance)
-        self._queues = RequestQueues(parts.clock, self._survey, self._ledger)
-        self._returns = RetrySpreader(parts.clock, parts.chance, self._ledger)
-        self._share_record = ShareRecord(parts.clock, parts.log, parts.metrics, self._ledger)
+    def __init__(self, dependencies: ForwarderDependencies) -> None:
+        self._dependencies = dependencies
+        self._clock = dependencies.clock
+        self._elapsed_times = ElapsedTimes(dependencies.clock)
+        self._ledger = dependencies.ledger or FlowLedger(dependencies.clock)
+        self._least_service = StarvationGuard(dependencies.clock, dependencies.chance)
+        self._queues = RequestQueues(dependencies.clock, self._survey, self._ledger)
+        self._returns = RetrySpreader(dependencies.clock, dependencies.chance, self._ledger)
+        self._share_record = ShareRecord(
+            dependencies.clock, dependencies.log, dependencies.metrics, self._ledger
+        )
 
     @property
     def waiting(self) -> int:
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -31,11 +31,11 @@
     """Makes attempts at single servers."""
 
     def __init__(
-        self, parts: ForwarderDependencies, gate: RequestScheduler, outcomes: Outcomes
+        self, dependencies: ForwarderDependencies, gate: RequestScheduler, outcomes: Outcomes
     ) -> None:
-        self._balancer = parts.balancer
-        self._servers = parts.servers
-        self._clock = parts.clock
+        self._balancer = dependencies.balancer
+        self._servers = dependencies.servers
+        self._clock = dependencies.clock
         self._gate = gate
         self._outcomes = outcomes
 
--- a/src/larkpost/gateway/proxy/server_choice.py
+++ b/src/larkpost/gateway/proxy/server_choice.py
@@ -33,9 +33,9 @@
 class ServerChoice:
     """Chooses the servers of client requests."""
 
-    def __init__(self, parts: ForwarderDependencies, gate: RequestScheduler) -> None:
-        self._balancer = parts.balancer
-        self._crashes = parts.crashes
+    def __init__(self, dependencies: ForwarderDependencies, gate: RequestScheduler) -> None:
+        self._balancer = dependencies.balancer
+        self._crashes = dependencies.crashes
         self._gate = gate
 
     def choose(self, attempts: Attempts) -> InstanceInfo | None:
