--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -44,27 +44,29 @@
         self._shares: dict[tuple[FlowGroup, int], GroupShares] = {}
         self._flow_shares: dict[tuple[Flow, int], FlowShare] = {}
 
-    def rank(self, waiter: Waiter, places: SlotCounts) -> Rank:
+    def rank(self, waiter: Waiter, slot_counts: SlotCounts) -> Rank:
         """Returns where a request stands."""
-        flow_share = self._flow_share(waiter, places)
+        flow_share = self._flow_share(waiter, slot_counts)
         key = (
             waiter.priority,
             flow_share is not None and flow_share.is_over_share,
             not waiter.is_retry,
-            would_miss_objective(places, waiter.deadlines, self._now),
+            would_miss_objective(slot_counts, waiter.deadlines, self._now),
             waiter.deadlines.expires_at,
             waiter.since,
         )
         return Rank(key, flow_share)
 
-    def _flow_share(self, waiter: Waiter, places: SlotCounts) -> FlowShare | None:
+    def _flow_share(self, waiter: Waiter, slot_counts: SlotCounts) -> FlowShare | None:
         """Returns where a request's flow stands; None if shares do not matter for the request."""
-        if waiter.is_share_exempt or places.is_mostly_free:
+        if waiter.is_share_exempt or slot_counts.is_mostly_free:
             return None
-        known = (waiter.flow, places.free)
+        known = (waiter.flow, slot_counts.free)
         flow_share = self._flow_shares.get(known)
         if flow_share is None:
-            flow_share = self._shares_of(waiter.flow.group, places.free).flow_share(waiter.flow)
+            flow_share = self._shares_of(waiter.flow.group, slot_counts.free).flow_share(
+                waiter.flow
+            )
             self._flow_shares[known] = flow_share
         return flow_share
 
--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -71,7 +71,7 @@
 
 
 def make_forecast(
-    places: SlotCounts,
+    slot_counts: SlotCounts,
     deadlines: Deadlines,
     now: float,
     ahead: int = 0,
@@ -86,11 +86,11 @@
             as long again, whatever the paces say.
         share_wait: seconds until its tenant's share has room for it.
     """
-    service_time = places.service_time or deadlines.default_service_time
-    wait = max(share_wait, _wait(places, service_time, ahead, blocked_for))
-    is_untried = places.has_few_running and not ahead and not blocked_for
+    service_time = slot_counts.service_time or deadlines.default_service_time
+    wait = max(share_wait, _wait(slot_counts, service_time, ahead, blocked_for))
+    is_untried = slot_counts.has_few_running and not ahead and not blocked_for
     if _is_infeasible(
-        places, deadlines, now, wait + service_time * MIN_SERVICE_TIME_SHARE, is_untried
+        slot_counts, deadlines, now, wait + service_time * MIN_SERVICE_TIME_SHARE, is_untried
     ):
         expectation = Expectation.NOT_AT_ALL
     elif now + wait + service_time <= deadlines.objective_at:
@@ -98,7 +98,7 @@
     else:
         expectation = Expectation.LATE
     told = retry_after(wait, deadlines.expires_at - now)
-    return Forecast(expectation, wait, told, service_time if places.total else 0.0)
+    return Forecast(expectation, wait, told, service_time if slot_counts.total else 0.0)
 
 
 def forecast_unreachable(deadlines: Deadlines, now: float) -> Forecast:
@@ -108,23 +108,25 @@
     return Forecast(Expectation.NOT_AT_ALL, wait, told, service_time=0.0)
 
 
-def would_miss_objective(places: SlotCounts, deadlines: Deadlines, now: float) -> bool:
+def would_miss_objective(slot_counts: SlotCounts, deadlines: Deadlines, now: float) -> bool:
     """Returns whether a request would be late even if it got a place now."""
-    return now + (places.service_time or deadlines.default_service_time) > deadlines.objective_at
+    return (
+        now + (slot_counts.service_time or deadlines.default_service_time) > deadlines.objective_at
+    )
 
 
-def _wait(places: SlotCounts, service_time: float, ahead: int, blocked_for: float) -> float:
+def _wait(slot_counts: SlotCounts, service_time: float, ahead: int, blocked_for: float) -> float:
     """Returns the seconds until a place comes free, at the rate at which requests end."""
-    if not places.total:
+    if not slot_counts.total:
         return NO_SLOT_RETRY_SECONDS
-    missing = places.taken + ahead + 1 - places.total
-    if missing <= 0 or places.is_mostly_free:
+    missing = slot_counts.taken + ahead + 1 - slot_counts.total
+    if missing <= 0 or slot_counts.is_mostly_free:
         return 0.0
-    return max(blocked_for, missing * service_time / places.total)
+    return max(blocked_for, missing * service_time / slot_counts.total)
 
 
 def _is_infeasible(
-    places: SlotCounts, deadlines: Deadlines, now: float, least: float, is_untried: bool
+    slot_counts: SlotCounts, deadlines: Deadlines, now: float, least: float, is_untried: bool
 ) -> bool:
     """Returns whether a request that takes ``least`` seconds or more will not be served.
 
@@ -132,9 +134,9 @@
         is_untried: whether few places have a request and none was found closed lately: one attempt
             in vain costs less than a refusal for nothing.
     """
-    if now >= deadlines.expires_at or not places.total:
+    if now >= deadlines.expires_at or not slot_counts.total:
         return True
-    if places.is_mostly_free or is_untried:
+    if slot_counts.is_mostly_free or is_untried:
         return False
     return now + least > deadlines.expires_at
 
--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -40,9 +40,9 @@
 Survey = Callable[[ServiceName, Work], SlotCounts]
 
 
-def poll_interval(places: int) -> float:
+def poll_interval(slot_counts: int) -> float:
     """Returns the seconds between two polls of the queue of a service with so many places."""
-    return POLL_INTERVAL_SECONDS * max(1.0, places / SLOTS_PER_POLL)
+    return POLL_INTERVAL_SECONDS * max(1.0, slot_counts / SLOTS_PER_POLL)
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +58,7 @@
     forecast: Forecast
     must_wait: bool
     is_over_share: bool
-    places: SlotCounts
+    slot_counts: SlotCounts
 
 
 @dataclass(slots=True)
@@ -74,7 +74,7 @@
     waiters: list[Waiter] = field(default_factory=list)
     blocked_since: float = float("-inf")
     seen_at: float = float("-inf")
-    places: int = 0
+    slot_counts: int = 0
     poller: asyncio.Task | None = None
 
 
@@ -96,7 +96,9 @@
         self.length += 1
         self._of_flow[waiter.flow] += 1
 
-    def forecast(self, waiter: Waiter, rank: Rank, places: SlotCounts, elsewhere: int) -> Forecast:
+    def forecast(
+        self, waiter: Waiter, rank: Rank, slot_counts: SlotCounts, elsewhere: int
+    ) -> Forecast:
         """Returns the forecast of a request at the end; it remembers where its flow stands.
 
         Args:
@@ -105,11 +107,11 @@
         share_wait = 0.0
         if rank.is_over_share:
             waiter.flow_share = rank.flow_share
-            service_time = places.service_time or waiter.deadlines.default_service_time
+            service_time = slot_counts.service_time or waiter.deadlines.default_service_time
             of_flow = self._of_flow[waiter.flow] + elsewhere
             share_wait = estimate_share_wait(rank.flow_share, of_flow, service_time)
         return make_forecast(
-            places, waiter.deadlines, self._now, self.length, self._blocked_for, share_wait
+            slot_counts, waiter.deadlines, self._now, self.length, self._blocked_for, share_wait
         )
 
 
@@ -130,27 +132,27 @@
     def __len__(self) -> int:
         return sum(len(queue.waiters) for queue in self._queues.values())
 
-    def forecast(self, waiter: Waiter, places: SlotCounts | None = None) -> QueueForecast:
+    def forecast(self, waiter: Waiter, slot_counts: SlotCounts | None = None) -> QueueForecast:
         """Returns what a request may expect that is not in its queue.
 
         Args:
             places: those of its service, if they were counted at this moment.
         """
         now = self._clock.now()
-        places = places or self._survey(waiter.service, waiter.work)
+        slot_counts = slot_counts or self._survey(waiter.service, waiter.work)
         queue = self._queues.get(waiter.service, _Queue())
         order = FairOrder(self._ledger, now)
-        rank = order.rank(waiter, places)
+        rank = order.rank(waiter, slot_counts)
         line = _Line(now, self._blocked_for(queue, now))
         for other in queue.waiters:
-            if order.rank(other, places).key < rank.key:
+            if order.rank(other, slot_counts).key < rank.key:
                 line.add(other)
         elsewhere = self._waiting_elsewhere(waiter, rank)
-        forecast = line.forecast(waiter, rank, places, elsewhere)
-        if forecast.is_infeasible and places.total and now < waiter.deadlines.expires_at:
+        forecast = line.forecast(waiter, rank, slot_counts, elsewhere)
+        if forecast.is_infeasible and slot_counts.total and now < waiter.deadlines.expires_at:
             self._record_missed(waiter)
-        must_wait = not places.is_mostly_free and (line.length > 0 or rank.is_over_share)
-        return QueueForecast(forecast, must_wait, rank.is_over_share, places)
+        must_wait = not slot_counts.is_mostly_free and (line.length > 0 or rank.is_over_share)
+        return QueueForecast(forecast, must_wait, rank.is_over_share, slot_counts)
 
     async def wait_for_turn(self, waiter: Waiter) -> Forecast:
         """Waits until a request may try the servers, or is hopeless."""
@@ -187,12 +189,12 @@
         The queue of a large service waits for its next poll: each poll counts all places.
         """
         queue = self._queues.get(service)
-        if queue is not None and queue.waiters and queue.places <= SLOTS_PER_POLL:
+        if queue is not None and queue.waiters and queue.slot_counts <= SLOTS_PER_POLL:
             self._move(queue)
 
     async def _poll(self, queue: _Queue) -> None:
         while queue.waiters:
-            await self._clock.sleep(poll_interval(queue.places))
+            await self._clock.sleep(poll_interval(queue.slot_counts))
             self._move(queue)
 
     def _move(self, queue: _Queue) -> None:
@@ -203,16 +205,18 @@
             work: self._survey(service, work)
             for service, work in {(waiter.service, waiter.work) for waiter in queue.waiters}
         }
-        queue.places = max((places.total for places in surveys.values()), default=0)
+        queue.slot_counts = max((slot_counts.total for slot_counts in surveys.values()), default=0)
         order = FairOrder(self._ledger, now)
-        turns = {work: AttemptPermits(places.free, now) for work, places in surveys.items()}
+        turns = {
+            work: AttemptPermits(slot_counts.free, now) for work, slot_counts in surveys.items()
+        }
         ranks = {waiter: order.rank(waiter, surveys[waiter.work]) for waiter in queue.waiters}
         line = _Line(now, self._blocked_for(queue, now))
         for waiter in sorted(queue.waiters, key=lambda other: ranks[other].key):
-            places, rank = surveys[waiter.work], ranks[waiter]
+            slot_counts, rank = surveys[waiter.work], ranks[waiter]
             # Of those that wait at other daemons, half came before this one on the average.
             elsewhere = self._waiting_elsewhere(waiter, rank) // 2
-            forecast = line.forecast(waiter, rank, places, elsewhere)
+            forecast = line.forecast(waiter, rank, slot_counts, elsewhere)
             if forecast.is_infeasible:
                 self._record_missed(waiter)
             else:
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -171,7 +171,7 @@
         if not waiter.is_share_exempt:
             return prospect
         self._share_record.record(request, waiter, ShareOutcome.PASSED)
-        return self._queues.forecast(waiter, prospect.places)
+        return self._queues.forecast(waiter, prospect.slot_counts)
 
     def _refuse(self, attempts: Attempts) -> None:
         """Sets when a refused caller should come back, if it is for places that come free."""
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -67,10 +67,10 @@
     """The forecast alone; the time is 0."""
 
     def expectation(
-        self, places: SlotCounts, ahead: int = 0, blocked_for: float = 0.0
+        self, slot_counts: SlotCounts, ahead: int = 0, blocked_for: float = 0.0
     ) -> Expectation:
         """Returns what is expected."""
-        return make_forecast(places, DEADLINES, 0.0, ahead, blocked_for).expectation
+        return make_forecast(slot_counts, DEADLINES, 0.0, ahead, blocked_for).expectation
 
     def test_more_requests_in_front_turn_it_from_in_time_to_late_to_hopeless(self):
         expectations = [
@@ -93,10 +93,10 @@
         self.assertIs(Expectation.NOT_AT_ALL, forecast.expectation)
 
     def test_places_that_stay_taken_are_expected_to_stay_so_for_as_long(self):
-        places = SlotCounts(4, 4, 0.1)
-        self.assertIs(Expectation.IN_TIME, self.expectation(places, blocked_for=0.05))
-        self.assertIs(Expectation.LATE, self.expectation(places, blocked_for=0.3))
-        self.assertIs(Expectation.NOT_AT_ALL, self.expectation(places, blocked_for=0.77))
+        slot_counts = SlotCounts(4, 4, 0.1)
+        self.assertIs(Expectation.IN_TIME, self.expectation(slot_counts, blocked_for=0.05))
+        self.assertIs(Expectation.LATE, self.expectation(slot_counts, blocked_for=0.3))
+        self.assertIs(Expectation.NOT_AT_ALL, self.expectation(slot_counts, blocked_for=0.77))
 
     def test_caller_is_told_the_wait_but_never_more_than_it_can_use(self):
         for ahead in (0, 1, 5, 40, 4000):
@@ -435,16 +435,18 @@
         self.assertGreater(poll_interval(3200 * 8), 10 * POLL_INTERVAL_SECONDS)
 
     def test_queue_of_a_large_service_is_not_polled_for_each_end(self):
-        for places, polls in ((24 * 8, 20), (3200 * 8, 0)):
-            self.assertEqual(polls, run(self.polls_for_ends(SlotCounts(places, places, PACE))))
+        for slot_counts, polls in ((24 * 8, 20), (3200 * 8, 0)):
+            self.assertEqual(
+                polls, run(self.polls_for_ends(SlotCounts(slot_counts, slot_counts, PACE)))
+            )
 
-    async def polls_for_ends(self, places: SlotCounts) -> int:
+    async def polls_for_ends(self, slot_counts: SlotCounts) -> int:
         """Returns how many polls of a queue twenty requests cost that end at once."""
         surveys = []
 
         def count(service, work) -> SlotCounts:
             surveys.append(service)
-            return places
+            return slot_counts
 
         clock = LoopClock()
         queues = RequestQueues(clock, count, FlowLedger(clock))
@@ -453,7 +455,7 @@
             asyncio.create_task(queues.wait_for_turn(Waiter(PAGES, CLIENT_WORK, 0, deadlines, 0.0)))
             for _ in range(40)
         ]
-        await asyncio.sleep(poll_interval(places.total) + SETTLE_SECONDS)
+        await asyncio.sleep(poll_interval(slot_counts.total) + SETTLE_SECONDS)
         before = len(surveys)
         for _ in range(20):
             queues.record_end(PAGES)
