--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -566,14 +566,14 @@
     """Takes all tenants' requests as equal, however much one of them has."""
     from larkpost.gateway.proxy.fair_order import FairOrder
 
-    return mock.patch.object(FairOrder, "_standing", lambda *_: None)
+    return mock.patch.object(FairOrder, "_flow_share", lambda *_: None)
 
 
 def take_any_wait_for_a_shortage():
     """Shares out the places as soon as a request waits, also if they suffice."""
     from larkpost.gateway.proxy.shortage_detector import ShortageDetector
 
-    return mock.patch.object(ShortageDetector, "lasts", lambda *_: True)
+    return mock.patch.object(ShortageDetector, "is_persistent", lambda *_: True)
 
 
 def keep_use_to_oneself():
@@ -587,7 +587,7 @@
     """Looks at all servers of a service for each choice, however many it has."""
     from larkpost.gateway.proxy import server_pool
 
-    return mock.patch.object(server_pool, "ALL_LOOKED_AT", 1_000_000)
+    return mock.patch.object(server_pool, "MAX_UNSAMPLED_INSTANCES", 1_000_000)
 
 
 def keep_servers_of_daemons_that_are_gone():
@@ -606,14 +606,14 @@
     """Looks at no others when the whole subset has failed or is full."""
     from larkpost.gateway.proxy.server_pool import ServerPool
 
-    return mock.patch.object(ServerPool, "look_further", lambda *_: [])
+    return mock.patch.object(ServerPool, "extend_pool", lambda *_: [])
 
 
 def be_content_with_one_open_server():
     """Searches no others while one of those looked at is open to the work, tried or full."""
     from larkpost.gateway.proxy import balancer
 
-    return mock.patch.object(balancer, "LEAST_OPEN", 1)
+    return mock.patch.object(balancer, "MIN_OPEN_INSTANCES", 1)
 
 
 MUTANTS = {
--- a/tests/test_fair_load.py
+++ b/tests/test_fair_load.py
@@ -214,7 +214,7 @@
     def test_no_place_stays_free_for_it(self):
         """As many requests are served as without shares."""
         served = self.run_load(self.RATES).served.total()
-        with mock.patch.object(FairOrder, "_standing", lambda *_: None):
+        with mock.patch.object(FairOrder, "_flow_share", lambda *_: None):
             self.assertGreater(served, 0.95 * self.run_load(self.RATES).served.total())
 
 
@@ -251,7 +251,7 @@
         half = load / 2 * CAPACITY
         rates = light_rates(half) | {HEAVY: half}
         with_shares = self.runs(rates)
-        with mock.patch.object(FairOrder, "_standing", lambda *_: None):
+        with mock.patch.object(FairOrder, "_flow_share", lambda *_: None):
             without_shares = self.runs(rates)
         for tenants in (tuple(rates), (HEAVY,)):
             part = mean_in_time(with_shares, tenants)
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -46,7 +46,7 @@
 
 ORDERS = {
     "a slow one before one that failed a moment ago": (
-        {"pace": 5 * PACE, "occupied": 8},
+        {"service_time": 5 * PACE, "occupied": 8},
         {"is_avoided": True, "occupied": 0},
     ),
     "a full one before a cold one": ({"occupied": 8}, {"is_cold": True, "occupied": 0}),
@@ -57,10 +57,10 @@
     ),
     "fewer requests first": ({"occupied": 1, "tie_break": 0.9}, {"occupied": 2}),
     "more slots first": ({"slots": 16, "tie_break": 0.9}, {"slots": 8}),
-    "the faster first": ({"pace": PACE, "tie_break": 0.9}, {"pace": 1.1 * PACE}),
-    "an unknown pace counts as the best": ({"pace": 0.0, "tie_break": 0.9}, {"pace": 1.1 * PACE}),
+    "the faster first": ({"service_time": PACE, "tie_break": 0.9}, {"service_time": 1.1 * PACE}),
+    "an unknown pace counts as the best": ({"service_time": 0.0, "tie_break": 0.9}, {"service_time": 1.1 * PACE}),
     "a slow one with no request before a fast one with six": (
-        {"pace": 3 * PACE, "occupied": 0},
+        {"service_time": 3 * PACE, "occupied": 0},
         {"occupied": 6},
     ),
     "the nearer first": ({"tie_break": 0.9}, {"latency_factor": 1.05}),
@@ -92,9 +92,9 @@
         for expected, best_service_time, changes in (
             (3 / 8, PACE, {}),
             (3 / 8, 0.0, {}),  # no pace is known
-            (3 / 8, PACE, {"pace": 0.0}),
-            (2 * 3 / 8, PACE, {"pace": 2 * PACE}),
-            (MAX_SERVICE_TIME_RATIO * 3 / 8, PACE, {"pace": 100 * PACE}),
+            (3 / 8, PACE, {"service_time": 0.0}),
+            (2 * 3 / 8, PACE, {"service_time": 2 * PACE}),
+            (MAX_SERVICE_TIME_RATIO * 3 / 8, PACE, {"service_time": 100 * PACE}),
             (3.0, PACE, {"slots": 0}),
         ):
             with self.subTest(changes=changes, best_service_time=best_service_time):
