--- a/src/larkpost/gateway/proxy/share_record.py
+++ b/src/larkpost/gateway/proxy/share_record.py
@@ -44,7 +44,7 @@
             service=waiter.service,
             priority=waiter.priority,
             outcome=outcome,
-            is_retry=waiter.is_retry,
+            is_back=waiter.is_retry,
             held=round(self._clock.now() - request.received_at, 3),
             share=round(flow_share.share, 2),
             use=flow_share.use,
--- a/src/larkpost/gateway/rollouts/item_runs.py
+++ b/src/larkpost/gateway/rollouts/item_runs.py
@@ -175,7 +175,7 @@
             resumed_after=resumed_after,
             seconds=round(seconds, 3),
             occupied=balancer.occupied(run.engine),
-            service_time=round(balancer.service_time(run.engine.id), 4),
+            pace=round(balancer.service_time(run.engine.id), 4),
             lasting_pace=round(balancer.service_times.lasting(run.engine.id), 4),
             version=directory.version_of(run.engine.id, self._head.model),
             minimum_version=self._head.minimum_version,
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -215,7 +215,7 @@
             keeper = mock.Mock(progress=dict)
             reports = DaemonReports(known.service_times, FlowLedger(LoopClock()), lambda: keeper)
             first = reports.own_paces()
-            self.assertEqual({}, reports.own().service_times)
+            self.assertEqual({}, reports.own().paces)
             self.assertEqual(set(names), first.keys() | reports.own_paces().keys())
 
         run(play())
