--- a/src/larkpost/gateway/proxy/request.py
+++ b/src/larkpost/gateway/proxy/request.py
@@ -104,7 +104,7 @@
     call: AsyncExitStack
     instance: InstanceInfo | None = None
 
-    async def __aenter__(self) -> "OpenResponse":
+    async def __aenter__(self) -> "StreamedResponse":
         return self
 
     async def __aexit__(self, *error: object) -> None:
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -58,7 +58,10 @@
     "fewer requests first": ({"occupied": 1, "tie_break": 0.9}, {"occupied": 2}),
     "more slots first": ({"slots": 16, "tie_break": 0.9}, {"slots": 8}),
     "the faster first": ({"service_time": PACE, "tie_break": 0.9}, {"service_time": 1.1 * PACE}),
-    "an unknown pace counts as the best": ({"service_time": 0.0, "tie_break": 0.9}, {"service_time": 1.1 * PACE}),
+    "an unknown pace counts as the best": (
+        {"service_time": 0.0, "tie_break": 0.9},
+        {"service_time": 1.1 * PACE},
+    ),
     "a slow one with no request before a fast one with six": (
         {"service_time": 3 * PACE, "occupied": 0},
         {"occupied": 6},
