--- a/src/larkpost/gateway/proxy/attempts.py
+++ b/src/larkpost/gateway/proxy/attempts.py
@@ -45,7 +45,7 @@
     waiter: Waiter
     first_forecast: Forecast
     forecast: Forecast
-    ran_at: set[InstanceId] = field(default_factory=set)
+    may_have_run_on: set[InstanceId] = field(default_factory=set)
     refused_by: set[InstanceId] = field(default_factory=set)
     reasons: set[NotRunReason] = field(default_factory=set)
     last: WholeResponse | None = None
@@ -65,7 +65,7 @@
     @property
     def tried(self) -> set[InstanceId]:
         """The servers that are not tried again: those that may have run it or refused it."""
-        return self.ran_at | self.refused_by
+        return self.may_have_run_on | self.refused_by
 
     def begin_round(self) -> None:
         """Has all servers that did not run it tried again."""
@@ -84,10 +84,10 @@
 
     def record_may_have_run(self, instance: InstanceId) -> None:
         """Records that a server may have run it, also while that is not known yet."""
-        self.ran_at.add(instance)
+        self.may_have_run_on.add(instance)
 
     def record_not_run(self, instance: InstanceId, reason: NotRunReason) -> None:
         """Records that a server certainly did not run it."""
-        self.ran_at.discard(instance)
+        self.may_have_run_on.discard(instance)
         self.refused_by.add(instance)
         self.reasons.add(reason)
--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -137,7 +137,7 @@
             if instance is None:
                 return None
             response = await self._attempt.make(instance, attempts)
-            if response is not None or len(attempts.ran_at) >= most:
+            if response is not None or len(attempts.may_have_run_on) >= most:
                 return response or attempts.last
 
     async def _forward_repeatable(self, attempts: Attempts) -> Response | None:
@@ -146,18 +146,20 @@
         running: set[asyncio.Task] = set()
         try:
             while True:
-                instance = self._choice.choose(attempts) if len(attempts.ran_at) < most else None
+                instance = (
+                    self._choice.choose(attempts) if len(attempts.may_have_run_on) < most else None
+                )
                 if instance is not None:
                     # Until it is known not to have run, the attempt counts as one that may have.
                     attempts.record_may_have_run(instance.id)
                     running.add(asyncio.create_task(self._attempt.make(instance, attempts)))
                 elif not running:
-                    if attempts.ran_at or not await self._gate.wait_for_admission(
+                    if attempts.may_have_run_on or not await self._gate.wait_for_admission(
                         attempts, must_wait=True
                     ):
                         return attempts.last
                     continue
-                may_hedge = len(attempts.ran_at) < most
+                may_hedge = len(attempts.may_have_run_on) < most
                 delay = self._choice.hedge_delay(attempts) if may_hedge else None
                 done, running = await asyncio.wait(
                     running, timeout=delay, return_when=asyncio.FIRST_COMPLETED
--- a/src/larkpost/gateway/proxy/outcomes.py
+++ b/src/larkpost/gateway/proxy/outcomes.py
@@ -88,7 +88,7 @@
             status=status,
             held=round(held, 3),
             forecast=attempts.first_forecast.expectation,
-            tried=sorted(attempts.ran_at),
+            tried=sorted(attempts.may_have_run_on),
             refused_by=sorted(attempts.refused_by),
         )
 
@@ -103,7 +103,7 @@
         request, route = attempts.request, attempts.route
         error = final_error(
             UnservedRequest(
-                may_have_run=bool(attempts.ran_at),
+                may_have_run=bool(attempts.may_have_run_on),
                 is_quarantined=attempts.quarantine is QuarantineState.QUARANTINED,
                 is_timed_out=timed_out,
                 retry_after=attempts.forecast.retry_after,
@@ -120,7 +120,7 @@
             held=round(self._clock.now() - request.received_at, 3),
             forecast=attempts.first_forecast.expectation,
             expected_wait=round(attempts.forecast.wait, 3),
-            tried=sorted(attempts.ran_at),
+            tried=sorted(attempts.may_have_run_on),
             refused_by=sorted(attempts.refused_by),
             verdicts=self._balancer.verdicts(attempts.waiter.service, attempts.waiter.work),
         )
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -156,7 +156,7 @@
 
     async def _claim_trial(self, attempts: Attempts) -> bool:
         """Claims for a quarantined request that it may be sent to one server all the same."""
-        if self._dependencies.trials is None or attempts.ran_at:
+        if self._dependencies.trials is None or attempts.may_have_run_on:
             return False
         if await self._dependencies.trials.claim(attempts.request):
             attempts.quarantine = QuarantineState.TRIAL
