--- a/src/larkpost/gateway/proxy/attempts.py
+++ b/src/larkpost/gateway/proxy/attempts.py
@@ -48,7 +48,7 @@
     may_have_run_on: set[InstanceId] = field(default_factory=set)
     refused_by: set[InstanceId] = field(default_factory=set)
     reasons: set[NotRunReason] = field(default_factory=set)
-    last: WholeResponse | None = None
+    last_failure: WholeResponse | None = None
     quarantine: QuarantineState = QuarantineState.NONE
     opened: list[StreamedResponse] = field(default_factory=list)
 
--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -138,7 +138,7 @@
                 return None
             response = await self._attempt.make(instance, attempts)
             if response is not None or len(attempts.may_have_run_on) >= most:
-                return response or attempts.last
+                return response or attempts.last_failure
 
     async def _forward_repeatable(self, attempts: Attempts) -> Response | None:
         """Sends a request to one server after another, a second one early if the first is slow."""
@@ -157,7 +157,7 @@
                     if attempts.may_have_run_on or not await self._gate.wait_for_admission(
                         attempts, must_wait=True
                     ):
-                        return attempts.last
+                        return attempts.last_failure
                     continue
                 may_hedge = len(attempts.may_have_run_on) < most
                 delay = self._choice.hedge_delay(attempts) if may_hedge else None
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -128,7 +128,7 @@
         self._outcomes.record_broken(instance, attempts, failure)
         is_held = isinstance(response, WholeResponse)  # a failure that is not is given up
         if is_held and is_fallback(response.status, is_signed=is_signed):
-            attempts.last = response
+            attempts.last_failure = response
         return None
 
     def _outgoing(self, instance: InstanceInfo, attempts: Attempts) -> OutgoingRequest:
