--- a/src/larkpost/gateway/proxy/attempts.py
+++ b/src/larkpost/gateway/proxy/attempts.py
@@ -67,7 +67,7 @@
         """The servers that are not tried again: those that may have run it or refused it."""
         return self.may_have_run_on | self.refused_by
 
-    def begin_round(self) -> None:
+    def reset_refusals(self) -> None:
         """Has all servers that did not run it tried again."""
         self.refused_by.clear()
         self.reasons.clear()
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -152,7 +152,7 @@
         except asyncio.CancelledError:
             self._return_credit(attempts.waiter)
             raise
-        attempts.begin_round()
+        attempts.reset_refusals()
 
     async def _claim_trial(self, attempts: Attempts) -> bool:
         """Claims for a quarantined request that it may be sent to one server all the same."""
