--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -183,7 +183,7 @@
         One that refused is asked with a single request at a time until it takes one: while it
         loads weights it refuses all that come, however few it has.
         """
-        if self._own.is_probed(info.id):
+        if self._own.was_probed_recently(info.id):
             return False
         return self.occupied(info) < max(1, info.slots)
 
--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -172,7 +172,7 @@
         """Returns whether an instance is only a last resort at the moment."""
         return self._clock.now() < self.of(instance).avoid_until
 
-    def is_probed(self, instance: InstanceId) -> bool:
+    def was_probed_recently(self, instance: InstanceId) -> bool:
         """Returns whether an instance that refuses was sent a request a moment ago."""
         use = self.of(instance)
         return use.is_refusing and self._clock.now() - use.asked_at < PROBE_SECONDS
