--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -68,7 +68,7 @@
     others: int = 0
     load_at: float = float("-inf")
     is_refusing: bool = False
-    asked_at: float = float("-inf")
+    probed_at: float = float("-inf")
     avoid_until: float = float("-inf")
     service_time: float = 0.0
     pace_at: float = float("-inf")
@@ -79,7 +79,7 @@
     def expect_refusal(self, now: float) -> None:
         """Has the instance asked with one request at a time until it takes one."""
         self.is_refusing = True
-        self.asked_at = now
+        self.probed_at = now
 
 
 class OwnUse:
@@ -105,7 +105,7 @@
         use = self.of(instance)
         use.outstanding += 1
         if use.is_refusing:
-            use.asked_at = self._clock.now()
+            use.probed_at = self._clock.now()
         info = self._directory.get(instance)
         use.zone = info.zone if info is not None else use.zone
 
@@ -175,7 +175,7 @@
     def was_probed_recently(self, instance: InstanceId) -> bool:
         """Returns whether an instance that refuses was sent a request a moment ago."""
         use = self.of(instance)
-        return use.is_refusing and self._clock.now() - use.asked_at < PROBE_SECONDS
+        return use.is_refusing and self._clock.now() - use.probed_at < PROBE_SECONDS
 
     def summary(self) -> UseSummary:
         """Returns what this daemon reports to the others of its use."""
