--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -76,7 +76,7 @@
     zone: ZoneId | None = None
     speed_stats: SpeedStats | None = None
 
-    def expect_refusal(self, now: float) -> None:
+    def mark_refusing(self, now: float) -> None:
         """Has the instance asked with one request at a time until it takes one."""
         self.is_refusing = True
         self.probed_at = now
--- a/src/larkpost/gateway/rollouts/engine_choice.py
+++ b/src/larkpost/gateway/rollouts/engine_choice.py
@@ -119,7 +119,7 @@
         An engine that loads weights refuses all that come, so one item at a time tries it.
         """
         if engine.id in self._services.division.loading(engine.service, self._head.model):
-            self._services.balancer.use(engine.id).expect_refusal(self._services.clock.now())
+            self._services.balancer.use(engine.id).mark_refusing(self._services.clock.now())
         if self._services.cold is not None:
             self._services.cold.reserve(engine)
 
