--- a/src/larkpost/gateway/fairness/starvation_guard.py
+++ b/src/larkpost/gateway/fairness/starvation_guard.py
@@ -80,7 +80,7 @@
             credit.add(-1.0)
         return is_share_exempt
 
-    def record_placed(self, flow: Flow, *, is_share_exempt: bool) -> None:
+    def record_slot_granted(self, flow: Flow, *, is_share_exempt: bool) -> None:
         """Counts a request that found a place; one that was not let through takes up credit now."""
         self._counts(flow.group.service).placed += 1
         if not is_share_exempt and flow in self._credits:
--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -178,7 +178,7 @@
 
     def record_slot_found(self, service: ServiceName) -> None:
         """Records that a server of a service had a place."""
-        self._shortage.record_placed(service)
+        self._shortage.record_slot_granted(service)
         queue = self._queues.get(service)
         if queue is not None:
             queue.blocked_since = queue.seen_at = float("-inf")
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -137,7 +137,7 @@
     def record_slot_found(self, waiter: Waiter) -> None:
         """Records that a server had a place for a request."""
         self._queues.record_slot_found(waiter.service)
-        self._least_service.record_placed(waiter.flow, is_share_exempt=waiter.is_share_exempt)
+        self._least_service.record_slot_granted(waiter.flow, is_share_exempt=waiter.is_share_exempt)
 
     def record_released(self, instance: InstanceId) -> None:
         """Records that a request of this daemon has ended at an instance."""
--- a/src/larkpost/gateway/proxy/shortage_detector.py
+++ b/src/larkpost/gateway/proxy/shortage_detector.py
@@ -47,7 +47,7 @@
         self._clock = clock
         self._services: dict[ServiceName, _Counts] = {}
 
-    def record_placed(self, service: ServiceName) -> None:
+    def record_slot_granted(self, service: ServiceName) -> None:
         """Records a request that found a place."""
         self._counts(service).placed += 1
 
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -158,7 +158,7 @@
                 await clock.sleep(0.01)
                 passed += least.admit(HEAVY, is_over_share=True)
                 if number % 10 == 0:
-                    least.record_placed(LIGHT, is_share_exempt=False)
+                    least.record_slot_granted(LIGHT, is_share_exempt=False)
             part = passed / asked
             self.assertGreater(part, STARVED_PART * 0.1)
             self.assertLess(part, 1.2 * MIN_RELATIVE_SERVICE * 0.1)
@@ -170,7 +170,7 @@
             least = StarvationGuard(LoopClock(), random.Random(5))
             for _ in range(100):
                 least.admit(HEAVY, is_over_share=False)
-                least.record_placed(HEAVY, is_share_exempt=False)
+                least.record_slot_granted(HEAVY, is_share_exempt=False)
             self.assertLessEqual(sum(least.admit(HEAVY, is_over_share=True) for _ in range(3)), 1)
 
         run(play())
@@ -182,7 +182,7 @@
                 pass
             least.refund_credit(HEAVY)
             self.assertTrue(least.admit(HEAVY, is_over_share=True))
-            least.record_placed(HEAVY, is_share_exempt=True)
+            least.record_slot_granted(HEAVY, is_share_exempt=True)
             self.assertFalse(least.admit(HEAVY, is_over_share=True))
 
         run(play())
@@ -204,7 +204,7 @@
             passed = 0
             for seed in range(daemons):
                 least = StarvationGuard(clock, random.Random(seed))
-                least.record_placed(LIGHT, is_share_exempt=False)
+                least.record_slot_granted(LIGHT, is_share_exempt=False)
                 passed += least.admit(HEAVY, is_over_share=True)
             self.assertGreater(passed / daemons, STARVED_PART)
 
@@ -414,7 +414,7 @@
             if number % 10 < missed_of_ten:
                 self.shortage.record_missed(SERVICE)
             else:
-                self.shortage.record_placed(SERVICE)
+                self.shortage.record_slot_granted(SERVICE)
             await self.clock.sleep(0.1)
 
     def test_few_that_miss_show_none(self):
