--- a/src/larkpost/gateway/fairness/starvation_guard.py
+++ b/src/larkpost/gateway/fairness/starvation_guard.py
@@ -35,11 +35,11 @@
 
     began: float
     asked: float = 0.0
-    placed: float = 0.0
+    granted: float = 0.0
 
     def placed_part(self) -> float:
         """Returns which part of the requests found a place; as if one more had."""
-        return min(1.0, (self.placed + 1.0) / (self.asked + 1.0))
+        return min(1.0, (self.granted + 1.0) / (self.asked + 1.0))
 
 
 @dataclass(slots=True)
@@ -82,7 +82,7 @@
 
     def record_slot_granted(self, flow: Flow, *, is_share_exempt: bool) -> None:
         """Counts a request that found a place; one that was not let through takes up credit now."""
-        self._counts(flow.group.service).placed += 1
+        self._counts(flow.group.service).granted += 1
         if not is_share_exempt and flow in self._credits:
             self._credits[flow].add(-1.0)
 
@@ -98,7 +98,7 @@
         if now - counts.began >= WINDOW_SECONDS:
             windows = int((now - counts.began) / WINDOW_SECONDS)
             counts.asked *= 0.5**windows
-            counts.placed *= 0.5**windows
+            counts.granted *= 0.5**windows
             counts.began = now
         return counts
 
--- a/src/larkpost/gateway/proxy/shortage_detector.py
+++ b/src/larkpost/gateway/proxy/shortage_detector.py
@@ -29,13 +29,13 @@
     """
 
     at: float
-    placed: float = 0.0
+    granted: float = 0.0
     missed: float = 0.0
 
     def age(self, now: float) -> None:
         """Lets what was counted before weigh less."""
         weight = 0.5 ** ((now - self.at) / HALF_LIFE_SECONDS)
-        self.placed *= weight
+        self.granted *= weight
         self.missed *= weight
         self.at = now
 
@@ -49,7 +49,7 @@
 
     def record_slot_granted(self, service: ServiceName) -> None:
         """Records a request that found a place."""
-        self._counts(service).placed += 1
+        self._counts(service).granted += 1
 
     def record_missed(self, service: ServiceName) -> None:
         """Records a request that found no place within its objective, or will not find any."""
@@ -58,7 +58,7 @@
     def is_persistent(self, service: ServiceName) -> bool:
         """Returns whether the places of a service do not suffice."""
         counts = self._counts(service)
-        least = MIN_MISSED_FRACTION * (counts.placed + counts.missed)
+        least = MIN_MISSED_FRACTION * (counts.granted + counts.missed)
         return counts.missed >= max(MIN_MISSED_REQUESTS, least)
 
     def _counts(self, service: ServiceName) -> _Counts:
