--- a/src/larkpost/gateway/fairness/starvation_guard.py
+++ b/src/larkpost/gateway/fairness/starvation_guard.py
@@ -37,7 +37,7 @@
     asked: float = 0.0
     granted: float = 0.0
 
-    def placed_part(self) -> float:
+    def granted_fraction(self) -> float:
         """Returns which part of the requests found a place; as if one more had."""
         return min(1.0, (self.granted + 1.0) / (self.asked + 1.0))
 
@@ -74,7 +74,7 @@
         counts = self._counts(flow.group.service)
         counts.asked += 1
         credit = self._take_credit(flow)
-        credit.add(MIN_RELATIVE_SERVICE * counts.placed_part())
+        credit.add(MIN_RELATIVE_SERVICE * counts.granted_fraction())
         is_share_exempt = is_over_share and credit.amount >= 1.0
         if is_share_exempt:
             credit.add(-1.0)
