--- a/src/larkpost/gateway/fairness/starvation_guard.py
+++ b/src/larkpost/gateway/fairness/starvation_guard.py
@@ -34,12 +34,12 @@
     """
 
     began: float
-    asked: float = 0.0
+    requested: float = 0.0
     granted: float = 0.0
 
     def granted_fraction(self) -> float:
         """Returns which part of the requests found a place; as if one more had."""
-        return min(1.0, (self.granted + 1.0) / (self.asked + 1.0))
+        return min(1.0, (self.granted + 1.0) / (self.requested + 1.0))
 
 
 @dataclass(slots=True)
@@ -72,7 +72,7 @@
     def admit(self, flow: Flow, *, is_over_share: bool) -> bool:
         """Counts a request, and returns whether it passes though its flow is beyond its share."""
         counts = self._counts(flow.group.service)
-        counts.asked += 1
+        counts.requested += 1
         credit = self._take_credit(flow)
         credit.add(MIN_RELATIVE_SERVICE * counts.granted_fraction())
         is_share_exempt = is_over_share and credit.amount >= 1.0
@@ -97,7 +97,7 @@
         counts = self._services.setdefault(service, _ServiceCounts(now))
         if now - counts.began >= WINDOW_SECONDS:
             windows = int((now - counts.began) / WINDOW_SECONDS)
-            counts.asked *= 0.5**windows
+            counts.requested *= 0.5**windows
             counts.granted *= 0.5**windows
             counts.began = now
         return counts
