--- a/src/larkpost/gateway/proxy/slowness.py
+++ b/src/larkpost/gateway/proxy/slowness.py
@@ -9,7 +9,7 @@
 
 from larkpost.gateway.proxy.service_time_history import MAX_SLICES, SLICE_SECONDS, sustained_mean
 
-SLOWNESS_SECONDS = 0.15
+SLOWNESS_LIFETIME_SECONDS = 0.15
 """How long what a server said of its slowness is used; it changes many times a second."""
 MAX_SLOWNESS = 3.0
 """By how much slower, or quicker, than usual a server is taken to be at most, without unit."""
@@ -49,7 +49,7 @@
 
     def factor(self, now: float) -> float:
         """Returns how many times as long as usual work takes there now; 1 if that is not known."""
-        if now - self.reported_at >= SLOWNESS_SECONDS:
+        if now - self.reported_at >= SLOWNESS_LIFETIME_SECONDS:
             return 1.0
         return believed_slowness(self._said, self._usual)
 
--- a/tests/test_lasting_pace.py
+++ b/tests/test_lasting_pace.py
@@ -15,7 +15,7 @@
 )
 from larkpost.gateway.proxy.slowness import (
     MAX_SLOWNESS,
-    SLOWNESS_SECONDS,
+    SLOWNESS_LIFETIME_SECONDS,
     ReportedSlowness,
     believed_slowness,
 )
@@ -195,7 +195,7 @@
     def test_slowness_is_used_for_a_moment_only(self):
         self.say(1.0, 1.0, 2.5)
         self.assertAlmostEqual(2.5, self.slowness.factor(2.0))
-        self.assertEqual(1.0, self.slowness.factor(2.01 + SLOWNESS_SECONDS))
+        self.assertEqual(1.0, self.slowness.factor(2.01 + SLOWNESS_LIFETIME_SECONDS))
 
     def test_server_that_always_says_the_same_is_as_usual(self):
         for figure in (0.01, 1.7, 9999.0):
