--- a/src/larkpost/gateway/proxy/service_time_history.py
+++ b/src/larkpost/gateway/proxy/service_time_history.py
@@ -30,7 +30,7 @@
 """Ratio of the sustained to the usual pace from which a server counts as ill."""
 BASELINE_LIFETIME_SECONDS = 180.0
 """How long the usual pace is believed after the last measurement."""
-FALL_SHARE = 0.3
+FALL_WEIGHT = 0.3
 """Share of a slice in the usual pace if it was quicker."""
 RISE_SHARE = 0.004
 """The same if it was slower: about a minute of slowness until it counts as usual."""
@@ -164,7 +164,7 @@
     """
     if not usual:
         return sustained
-    share = FALL_SHARE if sustained < usual else RISE_SHARE
+    share = FALL_WEIGHT if sustained < usual else RISE_SHARE
     return usual + share * (sustained - usual)
 
 
