--- a/src/larkpost/gateway/proxy/service_time_history.py
+++ b/src/larkpost/gateway/proxy/service_time_history.py
@@ -32,7 +32,7 @@
 """How long the usual pace is believed after the last measurement."""
 FALL_WEIGHT = 0.3
 """Share of a slice in the usual pace if it was quicker."""
-RISE_SHARE = 0.004
+RISE_WEIGHT = 0.004
 """The same if it was slower: about a minute of slowness until it counts as usual."""
 
 
@@ -164,7 +164,7 @@
     """
     if not usual:
         return sustained
-    share = FALL_WEIGHT if sustained < usual else RISE_SHARE
+    share = FALL_WEIGHT if sustained < usual else RISE_WEIGHT
     return usual + share * (sustained - usual)
 
 
--- a/tests/test_lasting_pace.py
+++ b/tests/test_lasting_pace.py
@@ -5,7 +5,7 @@
 
 from larkpost.gateway.proxy.service_time_history import (
     BASELINE_LIFETIME_SECONDS,
-    RISE_SHARE,
+    RISE_WEIGHT,
     SLICE_LIFETIME_SECONDS,
     SUSTAINED_SECONDS,
     ServiceTimeHistory,
@@ -39,7 +39,7 @@
     # usual pace, sustained one, the usual one after the slice
     (0.0, 0.05, 0.05),
     (0.1, 0.05, 0.085),
-    (0.05, 0.15, 0.05 + RISE_SHARE * 0.1),
+    (0.05, 0.15, 0.05 + RISE_WEIGHT * 0.1),
 )
 CORRECTIONS = (
     # case, seconds, said slowness, quickest, slowest measured lately, without slowness
