--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -183,7 +183,7 @@
         if queue is not None:
             queue.blocked_since = queue.seen_at = float("-inf")
 
-    def record_end(self, service: ServiceName) -> None:
+    def record_release(self, service: ServiceName) -> None:
         """Records that a request of this daemon has ended at a service.
 
         The queue of a large service waits for its next poll: each poll counts all places.
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -143,7 +143,7 @@
         """Records that a request of this daemon has ended at an instance."""
         info = self._dependencies.directory.get(instance)
         if info is not None:
-            self._queues.record_end(info.service)
+            self._queues.record_release(info.service)
 
     async def _wait(self, attempts: Attempts) -> None:
         """Waits for a request's turn; one whose caller leaves meanwhile gives its credit back."""
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -458,7 +458,7 @@
         await asyncio.sleep(poll_interval(slot_counts.total) + SETTLE_SECONDS)
         before = len(surveys)
         for _ in range(20):
-            queues.record_end(PAGES)
+            queues.record_release(PAGES)
         polls = len(surveys) - before
         for turn in turns:
             turn.cancel()
