--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -170,7 +170,7 @@
         )
         if not waiter.is_share_exempt:
             return prospect
-        self._share_record.record(request, waiter, ShareOutcome.PASSED)
+        self._share_record.record(request, waiter, ShareOutcome.EXEMPTED)
         return self._queues.forecast(waiter, prospect.slot_counts)
 
     def _refuse(self, attempts: Attempts) -> None:
--- a/src/larkpost/gateway/proxy/share_record.py
+++ b/src/larkpost/gateway/proxy/share_record.py
@@ -15,7 +15,7 @@
 
     HELD = "held"  # it let others go first, and then tried
     REFUSED = "refused"
-    PASSED = "passed"  # it was let through, as few of its flow are served
+    EXEMPTED = "passed"  # it was let through, as few of its flow are served
 
 
 class ShareRecord:
@@ -30,7 +30,7 @@
     def record(self, request: ClientRequest, waiter: Waiter, outcome: ShareOutcome) -> None:
         """Records what became of a request, if it was beyond its share; a hold only once."""
         is_again = outcome is ShareOutcome.HELD and waiter.is_recorded
-        is_share_exempt = outcome is ShareOutcome.PASSED
+        is_share_exempt = outcome is ShareOutcome.EXEMPTED
         flow_share = waiter.flow_share
         if flow_share is None or is_again or waiter.is_share_exempt != is_share_exempt:
             return
