--- a/src/larkpost/gateway/proxy/service_time_history.py
+++ b/src/larkpost/gateway/proxy/service_time_history.py
@@ -126,7 +126,7 @@
         self._closed.append(closed)
         if len(self._closed) < MIN_SLICES:
             return
-        self._sustained = sustained_mean(slice_.corrected_mean for slice_ in self._closed)
+        self._sustained = low_quantile(slice_.corrected_mean for slice_ in self._closed)
         self._usual = smooth_baseline(self._usual, self._sustained)
         self._usual_at = closed.began_at
 
@@ -149,7 +149,7 @@
         return without_slowness(seconds, slowness, min(means), max(means))
 
 
-def sustained_mean(means: Iterable[float]) -> float:
+def low_quantile(means: Iterable[float]) -> float:
     """Returns the value of rank `QUICK_SHARE` among some, from the least; 0 if there are none."""
     ordered = sorted(means)
     return ordered[int(SUSTAINED_RANK * (len(ordered) - 1))] if ordered else 0.0
--- a/src/larkpost/gateway/proxy/slowness.py
+++ b/src/larkpost/gateway/proxy/slowness.py
@@ -7,7 +7,7 @@
 
 from collections import deque
 
-from larkpost.gateway.proxy.service_time_history import MAX_SLICES, SLICE_SECONDS, sustained_mean
+from larkpost.gateway.proxy.service_time_history import MAX_SLICES, SLICE_SECONDS, low_quantile
 
 SLOWNESS_LIFETIME_SECONDS = 0.15
 """How long what a server said of its slowness is used; it changes many times a second."""
@@ -45,7 +45,7 @@
         if now - self._kept_at >= SLICE_SECONDS:
             self._kept_at = now
             self._kept.append(slowness)
-            self._usual = sustained_mean(self._kept)
+            self._usual = low_quantile(self._kept)
 
     def factor(self, now: float) -> float:
         """Returns how many times as long as usual work takes there now; 1 if that is not known."""
--- a/tests/test_lasting_pace.py
+++ b/tests/test_lasting_pace.py
@@ -9,8 +9,8 @@
     SLICE_LIFETIME_SECONDS,
     SUSTAINED_SECONDS,
     ServiceTimeHistory,
+    low_quantile,
     smooth_baseline,
-    sustained_mean,
     without_slowness,
 )
 from larkpost.gateway.proxy.slowness import (
@@ -69,7 +69,7 @@
     def test_sustained_pace(self):
         for case, means, expected in QUICK_MEANS:
             with self.subTest(case):
-                self.assertEqual(expected, sustained_mean(means))
+                self.assertEqual(expected, low_quantile(means))
 
     def test_usual_pace(self):
         for usual, sustained, expected in USUAL:
