--- a/src/larkpost/gateway/proxy/service_time_history.py
+++ b/src/larkpost/gateway/proxy/service_time_history.py
@@ -18,7 +18,7 @@
 """Slices that are kept, at most: three seconds of a server in constant use."""
 MIN_SLICES = 2
 """Slices before a pace is known: one may lie in a burst as a whole."""
-SUSTAINED_RANK = 0.3
+LOW_QUANTILE = 0.3
 """The slice of this rank, from the quickest, is the sustained pace. So bursts in up to two thirds
 of the slices are passed over, and so is a single one that was too quick."""
 SLICE_LIFETIME_SECONDS = 60.0
@@ -152,7 +152,7 @@
 def low_quantile(means: Iterable[float]) -> float:
     """Returns the value of rank `QUICK_SHARE` among some, from the least; 0 if there are none."""
     ordered = sorted(means)
-    return ordered[int(SUSTAINED_RANK * (len(ordered) - 1))] if ordered else 0.0
+    return ordered[int(LOW_QUANTILE * (len(ordered) - 1))] if ordered else 0.0
 
 
 def smooth_baseline(usual: float, sustained: float) -> float:
