--- a/src/larkpost/gateway/fairness/retry_schedule.py
+++ b/src/larkpost/gateway/fairness/retry_schedule.py
@@ -30,7 +30,7 @@
         self._told: dict[Hashable, float] = {}
         """The line that was told a time longest ago comes first."""
 
-    def reserve(self, line: Hashable, wanted: float, spacing: float, most: float) -> float:
+    def reserve(self, queue: Hashable, wanted: float, spacing: float, most: float) -> float:
         """Returns the seconds after which a caller should come back, at most ``most``.
 
         Args:
@@ -40,16 +40,16 @@
             most: seconds that the caller waits at most before it comes back.
         """
         now = self._clock.now()
-        at = max(now + wanted, self._told.get(line, float("-inf")) + spacing)
+        at = max(now + wanted, self._told.get(queue, float("-inf")) + spacing)
         if at - now > most:
             return most * self._chance.uniform(MIN_DELAY_FRACTION, 1.0)
-        self._told.pop(line, None)
+        self._told.pop(queue, None)
         self._drop_past(now)
-        self._told[line] = at
+        self._told[queue] = at
         return min(most, at - now + self._chance.random() * spacing)
 
     def _drop_past(self, now: float) -> None:
         if len(self._told) >= MAX_QUEUES:
-            self._told = {line: at for line, at in self._told.items() if at > now}
+            self._told = {queue: at for queue, at in self._told.items() if at > now}
         while len(self._told) >= MAX_QUEUES:
             del self._told[next(iter(self._told))]
--- a/src/larkpost/gateway/proxy/retry_spreading.py
+++ b/src/larkpost/gateway/proxy/retry_spreading.py
@@ -33,8 +33,8 @@
     def spread(self, waiter: Waiter, forecast: Forecast) -> Forecast:
         """Returns the forecast of a refused request with a time of its own to come back."""
         most = max_retry_delay(waiter.deadlines.expires_at - self._clock.now())
-        line = waiter.flow if waiter.was_over_share else waiter.flow.group
+        queue = waiter.flow if waiter.was_over_share else waiter.flow.group
         wanted = max(MIN_RETRY_SECONDS, forecast.wait)
         spacing = forecast.service_time / max(MIN_RUNNING, self._ledger.own_running(waiter.service))
-        told = self._times.reserve(line, wanted, spacing, max(0.0, most))
+        told = self._times.reserve(queue, wanted, spacing, max(0.0, most))
         return replace(forecast, retry_after=floor_to_milliseconds(told))
