--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -164,13 +164,13 @@
         forecast = self.forecast(waiter).forecast
         if forecast.is_infeasible:
             return forecast
-        waiter.call = asyncio.get_running_loop().create_future()
+        waiter.turn = asyncio.get_running_loop().create_future()
         queue.waiters.append(waiter)
         if queue.poller is None or queue.poller.done():
             queue.poller = asyncio.create_task(self._poll(queue))
         self._count_if_short(waiter)
         try:
-            return await waiter.call
+            return await waiter.turn
         finally:
             self._end_count(waiter)
             if waiter in queue.waiters:
@@ -223,8 +223,8 @@
                 line.add(waiter)
             if forecast.is_infeasible or turns[waiter.work].claim(waiter, rank):
                 queue.waiters.remove(waiter)
-                if not waiter.call.done():
-                    waiter.call.set_result(forecast)
+                if not waiter.turn.done():
+                    waiter.turn.set_result(forecast)
 
     def _count_if_short(self, waiter: Waiter) -> None:
         """Counts a waiting request for the shares once its service's places do not suffice."""
--- a/src/larkpost/gateway/proxy/waiter.py
+++ b/src/larkpost/gateway/proxy/waiter.py
@@ -42,7 +42,7 @@
     flow_share: FlowShare | None = None
     held_since: float | None = None
     is_recorded: bool = False
-    call: asyncio.Future[Forecast] | None = None
+    turn: asyncio.Future[Forecast] | None = None
     missed_objective: bool = False
     share_count: ExitStack | None = None
     flow: Flow = field(init=False)
