--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -111,7 +111,7 @@
 
     def use(self, instance: InstanceId) -> InstanceUse:
         """Returns the record of this daemon's use of an instance."""
-        return self._own.of(instance)
+        return self._own.record_for(instance)
 
     # The choice.
 
@@ -201,7 +201,7 @@
 
     def occupied(self, info: InstanceInfo) -> int:
         """Returns the requests believed to be at an instance, this daemon's and others'."""
-        use = self._own.of(info.id)
+        use = self._own.record_for(info.id)
         if self._own.has_recent_load(info.id):
             return use.outstanding + use.others
         return use.outstanding + self._peers.requests(info.id)
@@ -247,7 +247,7 @@
         try:
             yield
         except NotRunError:
-            self._own.of(instance).outstanding -= 1
+            self._own.record_for(instance).outstanding -= 1
             raise
         except BaseException:
             self.release(instance)
@@ -261,7 +261,7 @@
 
     def release(self, instance: InstanceId) -> None:
         """Ends the count of a request at an instance."""
-        self._own.of(instance).outstanding -= 1
+        self._own.record_for(instance).outstanding -= 1
         for listener in self._release_listeners:
             listener(instance)
 
@@ -277,7 +277,7 @@
 
     def record_load(self, instance: InstanceId, load: ServerLoad | None) -> None:
         """Records that an instance responds, and the load that it reported, if any."""
-        self._own.of(instance).is_refusing = False
+        self._own.record_for(instance).is_refusing = False
         if load is not None:
             self._own.record_load(instance, load)
 
@@ -300,7 +300,7 @@
         """Records the time from a client's request to its whole response."""
         self.record_service_time(info.id, seconds)
         self.service_times.record_response(info.id, seconds)
-        self._own.of(info.id).response_at = self._clock.now()
+        self._own.record_for(info.id).response_at = self._clock.now()
         self._order.record_response(info, seconds)
 
     def avoid(self, instance: InstanceId, seconds: float) -> None:
@@ -320,7 +320,7 @@
         if reason is NotRunReason.REPLACED:
             self._directory.retire(instance)
         is_full = reason is NotRunReason.FULL
-        self._own.of(instance).is_refusing = is_full
+        self._own.record_for(instance).is_refusing = is_full
         self.avoid(instance, full_seconds if is_full else UNREACHABLE_AVOID_SECONDS)
 
     def _search(
--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -93,7 +93,7 @@
     def __len__(self) -> int:
         return len(self._uses)
 
-    def of(self, instance: InstanceId) -> InstanceUse:
+    def record_for(self, instance: InstanceId) -> InstanceUse:
         """Returns the record of an instance."""
         use = self._uses.get(instance)
         if use is None:
@@ -102,7 +102,7 @@
 
     def occupy(self, instance: InstanceId) -> None:
         """Counts a request at an instance."""
-        use = self.of(instance)
+        use = self.record_for(instance)
         use.outstanding += 1
         if use.is_refusing:
             use.probed_at = self._clock.now()
@@ -115,7 +115,7 @@
 
     def record_load(self, instance: InstanceId, load: ServerLoad) -> None:
         """Records the load that a server reported of itself."""
-        use = self.of(instance)
+        use = self.record_for(instance)
         use.others = max(0, load.running + load.waiting - use.outstanding)
         use.load_at = self._clock.now()
         if load.slowness:
@@ -128,7 +128,7 @@
 
     def ensure_speed_stats(self, instance: InstanceId) -> SpeedStats:
         """Returns the figures of an instance, to record in them."""
-        use = self.of(instance)
+        use = self.record_for(instance)
         if use.speed_stats is None:
             use.speed_stats = SpeedStats()
         return use.speed_stats
@@ -143,7 +143,7 @@
         Args:
             weight: share of this measurement in the smoothed pace.
         """
-        use = self.of(instance)
+        use = self.record_for(instance)
         now = self._clock.now()
         if now - use.pace_at > SERVICE_TIME_LIFETIME_SECONDS:
             use.service_time = seconds
@@ -153,28 +153,31 @@
 
     def has_recent_load(self, instance: InstanceId) -> bool:
         """Returns whether the load that the server last reported is still used."""
-        return self._clock.now() - self.of(instance).load_at < LOAD_LIFETIME_SECONDS
+        return self._clock.now() - self.record_for(instance).load_at < LOAD_LIFETIME_SECONDS
 
     def has_recent_service_time(self, instance: InstanceId) -> bool:
         """Returns whether the pace that this daemon last measured is still used."""
-        return self._clock.now() - self.of(instance).pace_at < SERVICE_TIME_LIFETIME_SECONDS
+        return self._clock.now() - self.record_for(instance).pace_at < SERVICE_TIME_LIFETIME_SECONDS
 
     def has_recent_response(self, instance: InstanceId) -> bool:
         """Returns whether the pace is one of whole responses, with the network's latency in it."""
-        return self._clock.now() - self.of(instance).response_at < SERVICE_TIME_LIFETIME_SECONDS
+        return (
+            self._clock.now() - self.record_for(instance).response_at
+            < SERVICE_TIME_LIFETIME_SECONDS
+        )
 
     def avoid(self, instance: InstanceId, seconds: float) -> None:
         """Makes an instance a last resort for a while."""
-        use = self.of(instance)
+        use = self.record_for(instance)
         use.avoid_until = max(use.avoid_until, self._clock.now() + seconds)
 
     def is_avoided(self, instance: InstanceId) -> bool:
         """Returns whether an instance is only a last resort at the moment."""
-        return self._clock.now() < self.of(instance).avoid_until
+        return self._clock.now() < self.record_for(instance).avoid_until
 
     def was_probed_recently(self, instance: InstanceId) -> bool:
         """Returns whether an instance that refuses was sent a request a moment ago."""
-        use = self.of(instance)
+        use = self.record_for(instance)
         return use.is_refusing and self._clock.now() - use.probed_at < PROBE_SECONDS
 
     def summary(self) -> UseSummary:
--- a/src/larkpost/gateway/proxy/service_time_tracker.py
+++ b/src/larkpost/gateway/proxy/service_time_tracker.py
@@ -123,7 +123,7 @@
     def _smoothed(self, instance: InstanceId) -> float:
         """Returns one's own smoothed pace, which counts before what the others report."""
         if self._own.has_recent_service_time(instance):
-            return self._own.of(instance).service_time
+            return self._own.record_for(instance).service_time
         return self._peers.service_time(instance)
 
     def _reportable_service_time(self, instance: InstanceId) -> float | None:
