--- a/src/larkpost/gateway/fairness/ledger.py
+++ b/src/larkpost/gateway/fairness/ledger.py
@@ -81,15 +81,15 @@
     def uses(self, group: FlowGroup) -> Mapping[Flow, TenantUse]:
         """Returns the use of a group's flows, by this daemon and the others."""
         self._forget_old()
-        uses = dict(self._peers.of(group))
-        for flow, own in self._own.of(group).items():
+        uses = dict(self._peers.group_uses(group))
+        for flow, own in self._own.group_uses(group).items():
             others = uses.get(flow, NO_USE)
             uses[flow] = TenantUse(others.running + own.running, others.waiting + own.waiting)
         return uses
 
     def own_use(self, flow: Flow) -> TenantUse:
         """Returns this daemon's own use by a flow."""
-        return self._own.of(flow.group).get(flow, NO_USE)
+        return self._own.group_uses(flow.group).get(flow, NO_USE)
 
     def own_running(self, service: ServiceName) -> int:
         """Returns this daemon's requests at the servers of a service."""
--- a/src/larkpost/gateway/fairness/use_table.py
+++ b/src/larkpost/gateway/fairness/use_table.py
@@ -23,7 +23,7 @@
         if not group:
             del self._groups[flow.group]
 
-    def of(self, group: FlowGroup) -> Mapping[Flow, TenantUse]:
+    def group_uses(self, group: FlowGroup) -> Mapping[Flow, TenantUse]:
         """Returns the use of a group's flows."""
         return self._groups.get(group, {})
 
