--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -203,7 +203,7 @@
         """Returns the requests believed to be at an instance, this daemon's and others'."""
         use = self._own.record_for(info.id)
         if self._own.has_recent_load(info.id):
-            return use.outstanding + use.others
+            return use.outstanding + use.peer_requests
         return use.outstanding + self._peers.requests(info.id)
 
     def service_time(self, instance: InstanceId) -> float:
--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -65,7 +65,7 @@
     """
 
     outstanding: int = 0
-    others: int = 0
+    peer_requests: int = 0
     load_at: float = float("-inf")
     is_refusing: bool = False
     probed_at: float = float("-inf")
@@ -116,7 +116,7 @@
     def record_load(self, instance: InstanceId, load: ServerLoad) -> None:
         """Records the load that a server reported of itself."""
         use = self.record_for(instance)
-        use.others = max(0, load.running + load.waiting - use.outstanding)
+        use.peer_requests = max(0, load.running + load.waiting - use.outstanding)
         use.load_at = self._clock.now()
         if load.slowness:
             self.ensure_speed_stats(instance).slowness.record(use.load_at, load.slowness)
