--- a/src/larkpost/gateway/proxy/forwarder_dependencies.py
+++ b/src/larkpost/gateway/proxy/forwarder_dependencies.py
@@ -46,7 +46,7 @@
     clock: Clock
     log: EventLog
     metrics: Metrics
-    shares: ServiceSelector
+    service_selector: ServiceSelector
     usage: UsageCounter | None = None
     priority_of: PriorityOf = route_priority
     crashes: KnownCrashes = field(default_factory=KnownCrashes)
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -190,7 +190,7 @@
         """Returns what a request wants."""
         elapsed = self._elapsed_times.elapsed(route.name, request.time_left)
         return Waiter(
-            self._dependencies.shares.choose(route),
+            self._dependencies.service_selector.choose(route),
             Work(WorkKind.CLIENT, request.regions),
             self._dependencies.priority_of(request.tenant, route),
             _limits(request, route, elapsed),
