--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -71,7 +71,7 @@
     probed_at: float = float("-inf")
     avoid_until: float = float("-inf")
     service_time: float = 0.0
-    pace_at: float = float("-inf")
+    service_time_at: float = float("-inf")
     response_at: float = float("-inf")
     zone: ZoneId | None = None
     speed_stats: SpeedStats | None = None
@@ -145,11 +145,11 @@
         """
         use = self.record_for(instance)
         now = self._clock.now()
-        if now - use.pace_at > SERVICE_TIME_LIFETIME_SECONDS:
+        if now - use.service_time_at > SERVICE_TIME_LIFETIME_SECONDS:
             use.service_time = seconds
         else:
             use.service_time += weight * (seconds - use.service_time)
-        use.pace_at = now
+        use.service_time_at = now
 
     def has_recent_load(self, instance: InstanceId) -> bool:
         """Returns whether the load that the server last reported is still used."""
@@ -157,7 +157,10 @@
 
     def has_recent_service_time(self, instance: InstanceId) -> bool:
         """Returns whether the pace that this daemon last measured is still used."""
-        return self._clock.now() - self.record_for(instance).pace_at < SERVICE_TIME_LIFETIME_SECONDS
+        return (
+            self._clock.now() - self.record_for(instance).service_time_at
+            < SERVICE_TIME_LIFETIME_SECONDS
+        )
 
     def has_recent_response(self, instance: InstanceId) -> bool:
         """Returns whether the pace is one of whole responses, with the network's latency in it."""
@@ -187,12 +190,12 @@
             name: (use.outstanding, round(use.service_time, SUMMARY_DIGITS))
             for name, use in self._uses.items()
             if self._directory.takes_work(name)
-            and (use.outstanding or now - use.pace_at < SERVICE_TIME_LIFETIME_SECONDS)
+            and (use.outstanding or now - use.service_time_at < SERVICE_TIME_LIFETIME_SECONDS)
         }
 
     def forget_unused(self, now: float) -> None:
         """Drops the records of instances that are gone and were not used for long."""
         for instance, use in list(self._uses.items()):
-            last = max(use.pace_at + FORGET_SECONDS, use.avoid_until)
+            last = max(use.service_time_at + FORGET_SECONDS, use.avoid_until)
             if not use.outstanding and last < now and self._directory.get(instance) is None:
                 del self._uses[instance]
