--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -29,7 +29,7 @@
     FORGET_SECONDS,
     SERVICE_TIME_WEIGHT,
     InstanceUse,
-    OwnUse,
+    LocalUse,
 )
 from larkpost.gateway.proxy.peer_use import PeerUses
 from larkpost.gateway.proxy.server_pool import MIN_OPEN_INSTANCES, CandidatePool, ServerPool
@@ -94,7 +94,7 @@
         self._placement = sources.placement or Placement(directory)
         self._cold = sources.cold
         self._regions = sources.regions or RegionMap()
-        self._own = OwnUse(directory, clock)
+        self._own = LocalUse(directory, clock)
         self._peers = PeerUses(clock)
         self.service_times = ServiceTimeTracker(directory, clock, self._own, self._peers)
         self._pool = ServerPool(directory, clock, chance, sources.subsets)
--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -82,7 +82,7 @@
         self.probed_at = now
 
 
-class OwnUse:
+class LocalUse:
     """The records of all instances that this daemon has used."""
 
     def __init__(self, directory: Directory, clock: Clock) -> None:
