--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -31,7 +31,7 @@
     InstanceUse,
     LocalUse,
 )
-from larkpost.gateway.proxy.peer_use import PeerUses
+from larkpost.gateway.proxy.peer_use import PeerUsage
 from larkpost.gateway.proxy.server_pool import MIN_OPEN_INSTANCES, CandidatePool, ServerPool
 from larkpost.gateway.proxy.service_time_tracker import ServiceTimeTracker
 from larkpost.gateway.proxy.subset import DaemonSubsets
@@ -95,7 +95,7 @@
         self._cold = sources.cold
         self._regions = sources.regions or RegionMap()
         self._own = LocalUse(directory, clock)
-        self._peers = PeerUses(clock)
+        self._peers = PeerUsage(clock)
         self.service_times = ServiceTimeTracker(directory, clock, self._own, self._peers)
         self._pool = ServerPool(directory, clock, chance, sources.subsets)
         self._order = CandidateOrder(
--- a/src/larkpost/gateway/proxy/peer_use.py
+++ b/src/larkpost/gateway/proxy/peer_use.py
@@ -29,7 +29,7 @@
     at: float
 
 
-class PeerUses:
+class PeerUsage:
     """The reports of all other daemons, by instance."""
 
     def __init__(self, clock: Clock) -> None:
--- a/src/larkpost/gateway/proxy/service_time_tracker.py
+++ b/src/larkpost/gateway/proxy/service_time_tracker.py
@@ -10,7 +10,7 @@
 from larkpost.common.ids import DaemonId, InstanceId
 from larkpost.gateway.blackboard.directory import Directory
 from larkpost.gateway.proxy.instance_use import LocalUse, SpeedStats
-from larkpost.gateway.proxy.peer_use import PeerUses
+from larkpost.gateway.proxy.peer_use import PeerUsage
 from larkpost.gateway.proxy.reported_service_times import ReportedServiceTimes
 from larkpost.gateway.proxy.service_time_history import ServiceTimeHistory
 
@@ -27,7 +27,7 @@
 class ServiceTimeTracker:
     """The paces of all instances, as far as they are known here."""
 
-    def __init__(self, directory: Directory, clock: Clock, own: LocalUse, peers: PeerUses) -> None:
+    def __init__(self, directory: Directory, clock: Clock, own: LocalUse, peers: PeerUsage) -> None:
         self._directory = directory
         self._clock = clock
         self._own = own
