--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -77,7 +77,7 @@
         self._clock = dependencies.clock
         self._elapsed_times = ElapsedTimes(dependencies.clock)
         self._ledger = dependencies.ledger or FlowLedger(dependencies.clock)
-        self._least_service = StarvationGuard(dependencies.clock, dependencies.chance)
+        self._starvation_guard = StarvationGuard(dependencies.clock, dependencies.chance)
         self._queues = RequestQueues(dependencies.clock, self._survey, self._ledger)
         self._returns = RetrySpreader(dependencies.clock, dependencies.chance, self._ledger)
         self._share_record = ShareRecord(
@@ -137,7 +137,9 @@
     def record_slot_found(self, waiter: Waiter) -> None:
         """Records that a server had a place for a request."""
         self._queues.record_slot_found(waiter.service)
-        self._least_service.record_slot_granted(waiter.flow, is_share_exempt=waiter.is_share_exempt)
+        self._starvation_guard.record_slot_granted(
+            waiter.flow, is_share_exempt=waiter.is_share_exempt
+        )
 
     def record_released(self, instance: InstanceId) -> None:
         """Records that a request of this daemon has ended at an instance."""
@@ -165,7 +167,7 @@
     def _prospect(self, request: ClientRequest, waiter: Waiter) -> QueueForecast:
         """Returns what a request may expect, after a look at how few of its flow are served."""
         prospect = self._queues.forecast(waiter)
-        waiter.is_share_exempt = self._least_service.admit(
+        waiter.is_share_exempt = self._starvation_guard.admit(
             waiter.flow, is_over_share=prospect.is_over_share
         )
         if not waiter.is_share_exempt:
@@ -184,7 +186,7 @@
     def _return_credit(self, waiter: Waiter) -> None:
         """Gives the credit back of a request that was let through and finds no place."""
         if waiter.is_share_exempt:
-            self._least_service.refund_credit(waiter.flow)
+            self._starvation_guard.refund_credit(waiter.flow)
 
     def _waiter(self, request: ClientRequest, route: Route) -> Waiter:
         """Returns what a request wants."""
