--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -38,16 +38,16 @@
 
     def __init__(self, dependencies: ForwarderDependencies) -> None:
         self._clock = dependencies.clock
-        self._gate = RequestScheduler(dependencies)
-        self._choice = ServerChoice(dependencies, self._gate)
+        self._scheduler = RequestScheduler(dependencies)
+        self._choice = ServerChoice(dependencies, self._scheduler)
         self._outcomes = Outcomes(dependencies)
-        self._attempt = ServerAttempt(dependencies, self._gate, self._outcomes)
-        dependencies.balancer.add_release_listener(self._gate.record_released)
+        self._attempt = ServerAttempt(dependencies, self._scheduler, self._outcomes)
+        dependencies.balancer.add_release_listener(self._scheduler.record_released)
 
     @property
     def waiting(self) -> int:
         """The requests that wait for a place."""
-        return self._gate.waiting
+        return self._scheduler.waiting
 
     async def forward(self, request: ClientRequest, route: Route) -> Response:
         """Returns a server's response: whole, or open if it is too large to be held.
@@ -58,11 +58,11 @@
             RequestFailedError: it may have run.
             RequestTimeoutError: its time is over.
         """
-        attempts, must_wait = self._gate.begin(request, route)
+        attempts, must_wait = self._scheduler.begin(request, route)
         response = None
         try:
             async with asyncio.timeout_at(attempts.waiter.deadlines.expires_at):
-                if await self._gate.wait_for_admission(attempts, must_wait=must_wait):
+                if await self._scheduler.wait_for_admission(attempts, must_wait=must_wait):
                     response = await self._forward_by_kind(attempts)
         except TimeoutError:
             raise self._outcomes.failure(attempts, timed_out=True) from None
@@ -86,8 +86,8 @@
             RequestFailedError: it may have run.
             RequestTimeoutError: no response began in its time; it may have run.
         """
-        attempts, must_wait = self._gate.begin(request, route)
-        if not await self._gate.wait_for_admission(attempts, must_wait=must_wait):
+        attempts, must_wait = self._scheduler.begin(request, route)
+        if not await self._scheduler.wait_for_admission(attempts, must_wait=must_wait):
             raise self._outcomes.failure(attempts, timed_out=False)
         while True:
             instance = await self._next_server(attempts)
@@ -126,7 +126,7 @@
             instance = self._choice.choose(attempts)
             if instance is not None:
                 return instance
-            if not await self._gate.wait_for_admission(attempts, must_wait=True):
+            if not await self._scheduler.wait_for_admission(attempts, must_wait=True):
                 return None
 
     async def _forward_once(self, attempts: Attempts) -> Response | None:
@@ -154,7 +154,7 @@
                     attempts.record_may_have_run(instance.id)
                     running.add(asyncio.create_task(self._attempt.make(instance, attempts)))
                 elif not running:
-                    if attempts.may_have_run_on or not await self._gate.wait_for_admission(
+                    if attempts.may_have_run_on or not await self._scheduler.wait_for_admission(
                         attempts, must_wait=True
                     ):
                         return attempts.last_failure
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -36,7 +36,7 @@
         self._balancer = dependencies.balancer
         self._servers = dependencies.servers
         self._clock = dependencies.clock
-        self._gate = gate
+        self._scheduler = gate
         self._outcomes = outcomes
 
     async def make(
@@ -77,9 +77,9 @@
             BrokenResponseError: it may have run.
         """
         outgoing = self._outgoing(instance, attempts)
-        with self._balancer.count_request(instance.id), self._gate.running(attempts.waiter):
+        with self._balancer.count_request(instance.id), self._scheduler.running(attempts.waiter):
             async with self._servers.send(instance, outgoing) as response:
-                self._gate.record_slot_found(attempts.waiter)
+                self._scheduler.record_slot_found(attempts.waiter)
                 self._balancer.record_cold(instance.id, response.cold_left)
                 yield response
 
--- a/src/larkpost/gateway/proxy/server_choice.py
+++ b/src/larkpost/gateway/proxy/server_choice.py
@@ -36,11 +36,11 @@
     def __init__(self, dependencies: ForwarderDependencies, gate: RequestScheduler) -> None:
         self._balancer = dependencies.balancer
         self._crashes = dependencies.crashes
-        self._gate = gate
+        self._scheduler = gate
 
     def choose(self, attempts: Attempts) -> InstanceInfo | None:
         """Returns the best server that was not tried yet; None if there is none, or none may be."""
-        if self._gate.is_quarantined(attempts):
+        if self._scheduler.is_quarantined(attempts):
             return None
         if self._crashes.suspect(attempts.request) is not None:
             attempts.waiter.work = replace(attempts.waiter.work, is_suspect=True)
--- a/tests/test_fair_load.py
+++ b/tests/test_fair_load.py
@@ -515,7 +515,7 @@
             for number in range(SERVERS):
                 for _ in range(SLOTS):
                     daemon.balancer.occupy(InstanceId(f"e{number}"))
-            gate = daemon.forwarder._gate
+            gate = daemon.forwarder._scheduler
             passed = []
             for number in range(8):
                 request = ClientRequest(b"%d" % number, "GET", b"h", b"/", (), b"", 0.0, 9.0, HEAVY)
