--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -31,12 +31,12 @@
     """Makes attempts at single servers."""
 
     def __init__(
-        self, dependencies: ForwarderDependencies, gate: RequestScheduler, outcomes: Outcomes
+        self, dependencies: ForwarderDependencies, scheduler: RequestScheduler, outcomes: Outcomes
     ) -> None:
         self._balancer = dependencies.balancer
         self._servers = dependencies.servers
         self._clock = dependencies.clock
-        self._scheduler = gate
+        self._scheduler = scheduler
         self._outcomes = outcomes
 
     async def make(
--- a/src/larkpost/gateway/proxy/server_choice.py
+++ b/src/larkpost/gateway/proxy/server_choice.py
@@ -33,10 +33,10 @@
 class ServerChoice:
     """Chooses the servers of client requests."""
 
-    def __init__(self, dependencies: ForwarderDependencies, gate: RequestScheduler) -> None:
+    def __init__(self, dependencies: ForwarderDependencies, scheduler: RequestScheduler) -> None:
         self._balancer = dependencies.balancer
         self._crashes = dependencies.crashes
-        self._scheduler = gate
+        self._scheduler = scheduler
 
     def choose(self, attempts: Attempts) -> InstanceInfo | None:
         """Returns the best server that was not tried yet; None if there is none, or none may be."""
