--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -79,7 +79,7 @@
         self._ledger = dependencies.ledger or FlowLedger(dependencies.clock)
         self._starvation_guard = StarvationGuard(dependencies.clock, dependencies.chance)
         self._queues = RequestQueues(dependencies.clock, self._survey, self._ledger)
-        self._returns = RetrySpreader(dependencies.clock, dependencies.chance, self._ledger)
+        self._retry_spreader = RetrySpreader(dependencies.clock, dependencies.chance, self._ledger)
         self._share_record = ShareRecord(
             dependencies.clock, dependencies.log, dependencies.metrics, self._ledger
         )
@@ -180,7 +180,7 @@
         waiter = attempts.waiter
         self._return_credit(waiter)
         if attempts.forecast.service_time:
-            attempts.forecast = self._returns.spread(waiter, attempts.forecast)
+            attempts.forecast = self._retry_spreader.spread(waiter, attempts.forecast)
         self._share_record.record(attempts.request, waiter, ShareOutcome.REFUSED)
 
     def _return_credit(self, waiter: Waiter) -> None:
