--- a/src/larkpost/gateway/fairness/retry_schedule.py
+++ b/src/larkpost/gateway/fairness/retry_schedule.py
@@ -9,7 +9,7 @@
 
 from larkpost.common.clock import Clock
 
-MAX_QUEUES = 256
+MAX_SCHEDULED_QUEUES = 256
 """Lines remembered at most; dropped are those whose last time has come, then the one that was told
 a time longest ago."""
 MIN_DELAY_FRACTION = 0.5
@@ -49,7 +49,7 @@
         return min(most, at - now + self._chance.random() * spacing)
 
     def _drop_past(self, now: float) -> None:
-        if len(self._told) >= MAX_QUEUES:
+        if len(self._told) >= MAX_SCHEDULED_QUEUES:
             self._told = {queue: at for queue, at in self._told.items() if at > now}
-        while len(self._told) >= MAX_QUEUES:
+        while len(self._told) >= MAX_SCHEDULED_QUEUES:
             del self._told[next(iter(self._told))]
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -24,7 +24,7 @@
     SHORTAGE_MEMORY_SECONDS,
     FlowLedger,
 )
-from larkpost.gateway.fairness.retry_schedule import MAX_QUEUES, RetrySchedule
+from larkpost.gateway.fairness.retry_schedule import MAX_SCHEDULED_QUEUES, RetrySchedule
 from larkpost.gateway.fairness.share_rule import compute_shares, estimate_share_wait
 from larkpost.gateway.fairness.starvation_guard import MIN_RELATIVE_SERVICE, StarvationGuard
 from larkpost.gateway.fairness.water_filling import fair_level
@@ -379,9 +379,9 @@
     def test_lines_are_bounded(self):
         async def play():
             times = RetrySchedule(LoopClock(), random.Random(1))
-            for number in range(3 * MAX_QUEUES):
+            for number in range(3 * MAX_SCHEDULED_QUEUES):
                 times.reserve(number, 0.2, 0.05, 1.0)
-            self.assertLessEqual(len(times._told), MAX_QUEUES)
+            self.assertLessEqual(len(times._told), MAX_SCHEDULED_QUEUES)
 
         run(play())
 
@@ -391,9 +391,9 @@
         async def play():
             times = RetrySchedule(LoopClock(), random.Random(1))
             told = [times.reserve("heavy", 0.1, 0.1, 1.0)]
-            for number in range(2 * MAX_QUEUES):
+            for number in range(2 * MAX_SCHEDULED_QUEUES):
                 times.reserve(number, 0.2, 0.05, 1.0)
-                if number % (MAX_QUEUES // 2) == 0:
+                if number % (MAX_SCHEDULED_QUEUES // 2) == 0:
                     told.append(times.reserve("heavy", 0.1, 0.1, 1.0))
             for sooner, later in itertools.pairwise(told):
                 self.assertGreater(later, sooner)
