--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -101,7 +101,7 @@
     return Forecast(expectation, wait, told, service_time if slot_counts.total else 0.0)
 
 
-def forecast_unreachable(deadlines: Deadlines, now: float) -> Forecast:
+def forecast_for_unreachable(deadlines: Deadlines, now: float) -> Forecast:
     """Returns the forecast of a request that reached no server, though it was sent to all."""
     wait = NO_SLOT_RETRY_SECONDS
     told = retry_after(wait, deadlines.expires_at - now)
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -21,7 +21,7 @@
 from larkpost.gateway.placement.work import Work, WorkKind
 from larkpost.gateway.proxy.attempts import Attempts, QuarantineState
 from larkpost.gateway.proxy.elapsed_time import ElapsedTimes
-from larkpost.gateway.proxy.forecast import MIN_RETRY_SECONDS, Deadlines, forecast_unreachable
+from larkpost.gateway.proxy.forecast import MIN_RETRY_SECONDS, Deadlines, forecast_for_unreachable
 from larkpost.gateway.proxy.forwarder_dependencies import ForwarderDependencies
 from larkpost.gateway.proxy.request import ClientRequest
 from larkpost.gateway.proxy.request_queue import QueueForecast, RequestQueues
@@ -102,7 +102,9 @@
             self._return_credit(attempts.waiter)
             return False
         if attempts.are_all_unreachable:
-            attempts.forecast = forecast_unreachable(attempts.waiter.deadlines, self._clock.now())
+            attempts.forecast = forecast_for_unreachable(
+                attempts.waiter.deadlines, self._clock.now()
+            )
         turn = decide_scheduling(
             SchedulingInputs(
                 attempts.are_all_unreachable, attempts.forecast.is_infeasible, must_wait
