--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -75,7 +75,7 @@
     deadlines: Deadlines,
     now: float,
     ahead: int = 0,
-    blocked_for: float = 0.0,
+    blocked_seconds: float = 0.0,
     share_wait: float = 0.0,
 ) -> Forecast:
     """Returns the forecast of one request.
@@ -87,8 +87,8 @@
         share_wait: seconds until its tenant's share has room for it.
     """
     service_time = slot_counts.service_time or deadlines.default_service_time
-    wait = max(share_wait, _wait(slot_counts, service_time, ahead, blocked_for))
-    is_untried = slot_counts.has_few_running and not ahead and not blocked_for
+    wait = max(share_wait, _wait(slot_counts, service_time, ahead, blocked_seconds))
+    is_untried = slot_counts.has_few_running and not ahead and not blocked_seconds
     if _is_infeasible(
         slot_counts, deadlines, now, wait + service_time * MIN_SERVICE_TIME_SHARE, is_untried
     ):
@@ -115,14 +115,16 @@
     )
 
 
-def _wait(slot_counts: SlotCounts, service_time: float, ahead: int, blocked_for: float) -> float:
+def _wait(
+    slot_counts: SlotCounts, service_time: float, ahead: int, blocked_seconds: float
+) -> float:
     """Returns the seconds until a place comes free, at the rate at which requests end."""
     if not slot_counts.total:
         return NO_SLOT_RETRY_SECONDS
     missing = slot_counts.taken + ahead + 1 - slot_counts.total
     if missing <= 0 or slot_counts.is_mostly_free:
         return 0.0
-    return max(blocked_for, missing * service_time / slot_counts.total)
+    return max(blocked_seconds, missing * service_time / slot_counts.total)
 
 
 def _is_infeasible(
--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -85,11 +85,11 @@
         blocked_for: seconds for which no place was seen to come free.
     """
 
-    def __init__(self, now: float, blocked_for: float) -> None:
+    def __init__(self, now: float, blocked_seconds: float) -> None:
         self.length = 0
         self._of_flow: Counter[Flow] = Counter()
         self._now = now
-        self._blocked_for = blocked_for
+        self._blocked_for = blocked_seconds
 
     def add(self, waiter: Waiter) -> None:
         """Adds a request at the end."""
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -67,10 +67,10 @@
     """The forecast alone; the time is 0."""
 
     def expectation(
-        self, slot_counts: SlotCounts, ahead: int = 0, blocked_for: float = 0.0
+        self, slot_counts: SlotCounts, ahead: int = 0, blocked_seconds: float = 0.0
     ) -> Expectation:
         """Returns what is expected."""
-        return make_forecast(slot_counts, DEADLINES, 0.0, ahead, blocked_for).expectation
+        return make_forecast(slot_counts, DEADLINES, 0.0, ahead, blocked_seconds).expectation
 
     def test_more_requests_in_front_turn_it_from_in_time_to_late_to_hopeless(self):
         expectations = [
@@ -83,7 +83,9 @@
         self.assertIs(Expectation.NOT_AT_ALL, self.expectation(SlotCounts(4, 3, 1.7)))
 
     def test_nothing_is_refused_while_most_places_are_free(self):
-        self.assertIs(Expectation.LATE, self.expectation(SlotCounts(4, 1, 1.7), blocked_for=9.0))
+        self.assertIs(
+            Expectation.LATE, self.expectation(SlotCounts(4, 1, 1.7), blocked_seconds=9.0)
+        )
 
     def test_service_without_places_is_hopeless(self):
         self.assertIs(Expectation.NOT_AT_ALL, self.expectation(SlotCounts(0, 0, 0.0)))
@@ -94,9 +96,9 @@
 
     def test_places_that_stay_taken_are_expected_to_stay_so_for_as_long(self):
         slot_counts = SlotCounts(4, 4, 0.1)
-        self.assertIs(Expectation.IN_TIME, self.expectation(slot_counts, blocked_for=0.05))
-        self.assertIs(Expectation.LATE, self.expectation(slot_counts, blocked_for=0.3))
-        self.assertIs(Expectation.NOT_AT_ALL, self.expectation(slot_counts, blocked_for=0.77))
+        self.assertIs(Expectation.IN_TIME, self.expectation(slot_counts, blocked_seconds=0.05))
+        self.assertIs(Expectation.LATE, self.expectation(slot_counts, blocked_seconds=0.3))
+        self.assertIs(Expectation.NOT_AT_ALL, self.expectation(slot_counts, blocked_seconds=0.77))
 
     def test_caller_is_told_the_wait_but_never_more_than_it_can_use(self):
         for ahead in (0, 1, 5, 40, 4000):
