--- a/src/larkpost/gateway/proxy/subset.py
+++ b/src/larkpost/gateway/proxy/subset.py
@@ -34,7 +34,7 @@
     return min(wanted, daemons)
 
 
-def seed_of(daemon: DaemonId) -> int:
+def daemon_seed(daemon: DaemonId) -> int:
     """Returns what a daemon's weights are made from; worked out once for all servers."""
     return hash64(f"subset\x00{daemon}")
 
@@ -71,7 +71,7 @@
 
     def __init__(self, own: DaemonId) -> None:
         self._own = own
-        self._seed = seed_of(own)
+        self._seed = daemon_seed(own)
         self._others: dict[DaemonId, int] = {}
         self._servers: set[InstanceId] = set()
         self._limit = 1
@@ -102,7 +102,7 @@
             del self._others[gone]
             changed |= self._keeps_out.pop(gone, set())
         for come in others - self._others.keys():
-            seed = self._others[come] = seed_of(come)
+            seed = self._others[come] = daemon_seed(come)
             changed.update(name for name in self.ids if self._comes_before(seed, name))
         for server in changed:
             self._forget(server)
--- a/tests/test_choice_quality.py
+++ b/tests/test_choice_quality.py
@@ -21,7 +21,7 @@
     POOL_EXTENSION_SIZE,
     POOL_SIZE,
 )
-from larkpost.gateway.proxy.subset import daemons_per_server, seed_of, weight
+from larkpost.gateway.proxy.subset import daemon_seed, daemons_per_server, weight
 from tests.server_parts import make_instance
 
 SLOTS = 2
@@ -140,7 +140,7 @@
     def __init__(self, names: list[InstanceId], daemons: int) -> None:
         self._parts: list[list[int]] = [[] for _ in range(daemons)]
         wanted = daemons_per_server(daemons, len(names))
-        own = [seed_of(DaemonId(f"d{number}")) for number in range(daemons)]
+        own = [daemon_seed(DaemonId(f"d{number}")) for number in range(daemons)]
         for server, name in enumerate(names):
             ranked = sorted(range(daemons), key=lambda n, s=name: weight(own[n], s), reverse=True)
             for daemon in ranked[:wanted]:
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -13,9 +13,9 @@
     MIN_SUBSET_SIZE,
     DaemonSubset,
     DaemonSubsets,
+    daemon_seed,
     daemons_per_server,
     higher_ranked_daemons,
-    seed_of,
 )
 from tests.server_parts import make_instance
 
@@ -77,8 +77,8 @@
                 self.assertLessEqual(mean, few)
 
     def test_no_more_daemons_are_asked_than_needed(self):
-        others = {name: seed_of(name) for name in DAEMONS - {"d0"}}
-        own = seed_of(DaemonId("d0"))
+        others = {name: daemon_seed(name) for name in DAEMONS - {"d0"}}
+        own = daemon_seed(DaemonId("d0"))
         for server in SERVERS:
             before = higher_ranked_daemons(own, others, server, 3)
             self.assertLessEqual(len(before), 3)
