--- a/src/larkpost/gateway/proxy/retry.py
+++ b/src/larkpost/gateway/proxy/retry.py
@@ -37,7 +37,7 @@
     return max_attempts
 
 
-def response_failure(status: int, *, is_signed: bool) -> str | None:
+def failure_reason(status: int, *, is_signed: bool) -> str | None:
     """Returns why a whole response is not passed on while others may be had; None if it is."""
     if status < MIN_NON_SUCCESS_STATUS and not is_signed:
         return "a success without a signature"
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.proxy.request import StreamedResponse, WholeResponse
 from larkpost.gateway.proxy.request_scheduler import RequestScheduler
 from larkpost.gateway.proxy.response_body import collect, joined
-from larkpost.gateway.proxy.retry import implies_not_run, is_fallback, response_failure
+from larkpost.gateway.proxy.retry import failure_reason, implies_not_run, is_fallback
 from larkpost.gateway.servers.port import (
     BrokenResponseError,
     NotRunError,
@@ -121,7 +121,7 @@
             reason = f"status {response.status} of a run"
             self._outcomes.record_broken(instance, attempts, reason)
             return None
-        failure = response_failure(response.status, is_signed=is_signed)
+        failure = failure_reason(response.status, is_signed=is_signed)
         if failure is None:
             self._outcomes.record_response(instance)
             return response
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -13,10 +13,10 @@
 )
 from larkpost.gateway.proxy.retry import (
     UnservedRequest,
+    failure_reason,
     final_error,
     is_fallback,
     max_servers,
-    response_failure,
 )
 
 RETRY_SECONDS = 0.3
@@ -55,7 +55,7 @@
             (502, False, "status 502", False),
         ):
             with self.subTest(status=status, is_signed=is_signed):
-                self.assertEqual(failure, response_failure(status, is_signed=is_signed))
+                self.assertEqual(failure, failure_reason(status, is_signed=is_signed))
                 self.assertEqual(is_kept, is_fallback(status, is_signed=is_signed))
 
 
