--- a/src/larkpost/gateway/proxy/request.py
+++ b/src/larkpost/gateway/proxy/request.py
@@ -98,7 +98,7 @@
 
     status: int
     headers: Headers
-    begun: deque[bytes]
+    received: deque[bytes]
     rest: AsyncIterator[bytes]
     reservation: Reservation
     call: AsyncExitStack
--- a/src/larkpost/gateway/proxy/response_body.py
+++ b/src/larkpost/gateway/proxy/response_body.py
@@ -17,18 +17,18 @@
     Raises:
         BrokenResponseError: the body broke off.
     """
-    begun: deque[bytes] = deque()
+    received: deque[bytes] = deque()
     try:
         async for chunk in chunks:
             is_share = reservation.fits_share(len(chunk))
             reservation.grow_anyway(len(chunk))
-            begun.append(chunk)
+            received.append(chunk)
             if not is_share:
-                return begun, False
+                return received, False
     except BaseException:
         reservation.release()
         raise
-    return begun, True
+    return received, True
 
 
 def joined(chunks: deque[bytes]) -> bytes | bytearray:
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -93,13 +93,13 @@
             is_signed = response.signature is not None
             reservation = attempts.request.memory.reserve(Purpose.ANSWERS)
             chunks = response.chunks()
-            begun, is_whole = await collect(chunks, reservation)
+            received, is_whole = await collect(chunks, reservation)
             if is_whole:
-                return WholeResponse(response.status, response.headers, joined(begun)), is_signed
+                return WholeResponse(response.status, response.headers, joined(received)), is_signed
             opened = StreamedResponse(
                 response.status,
                 response.headers,
-                begun,
+                received,
                 chunks,
                 reservation,
                 call.pop_all(),
