--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -208,7 +208,7 @@
 
     def service_time(self, instance: InstanceId) -> float:
         """Returns the seconds a short request takes at an instance now; 0 if not known lately."""
-        return self.service_times.at_this_moment(instance)
+        return self.service_times.current(instance)
 
     def verdicts(self, service: ServiceName, work: Work = CLIENT_WORK) -> dict[Verdict, int]:
         """Returns how many instances of those looked at get each verdict; for the log."""
--- a/src/larkpost/gateway/proxy/service_time_tracker.py
+++ b/src/larkpost/gateway/proxy/service_time_tracker.py
@@ -38,7 +38,7 @@
 
     # What is known.
 
-    def at_this_moment(self, instance: InstanceId) -> float:
+    def current(self, instance: InstanceId) -> float:
         """Returns the seconds that a short request takes now; 0 if that is not known."""
         speed_stats = self._own.speed_stats(instance)
         if speed_stats is None or not speed_stats.slowness.has_reports:
