--- a/src/larkpost/gateway/proxy/response_body.py
+++ b/src/larkpost/gateway/proxy/response_body.py
@@ -6,7 +6,7 @@
 from larkpost.gateway.memory.budget import Reservation
 
 
-async def collect(
+async def read_until_limit(
     chunks: AsyncIterator[bytes], reservation: Reservation
 ) -> tuple[deque[bytes], bool]:
     """Reads a body; returns what was read, and whether that is all of it.
