--- a/src/larkpost/gateway/proxy/response_body.py
+++ b/src/larkpost/gateway/proxy/response_body.py
@@ -31,7 +31,7 @@
     return received, True
 
 
-def joined(chunks: deque[bytes]) -> bytes | bytearray:
+def join_chunks(chunks: deque[bytes]) -> bytes | bytearray:
     """Joins the chunks of a body and drops each as it goes, so that no body is held twice."""
     if len(chunks) <= 1:
         return chunks.popleft() if chunks else b""
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -14,7 +14,7 @@
 from larkpost.gateway.proxy.outcomes import Outcomes
 from larkpost.gateway.proxy.request import StreamedResponse, WholeResponse
 from larkpost.gateway.proxy.request_scheduler import RequestScheduler
-from larkpost.gateway.proxy.response_body import joined, read_until_limit
+from larkpost.gateway.proxy.response_body import join_chunks, read_until_limit
 from larkpost.gateway.proxy.retry import failure_reason, implies_not_run, is_fallback
 from larkpost.gateway.servers.port import (
     BrokenResponseError,
@@ -95,7 +95,9 @@
             chunks = response.chunks()
             received, is_whole = await read_until_limit(chunks, reservation)
             if is_whole:
-                return WholeResponse(response.status, response.headers, joined(received)), is_signed
+                return WholeResponse(
+                    response.status, response.headers, join_chunks(received)
+                ), is_signed
             opened = StreamedResponse(
                 response.status,
                 response.headers,
