--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -138,7 +138,7 @@
             within: the only instances of a large service to look at; None for any.
         """
 
-        def is_fitting(info: InstanceInfo) -> bool:
+        def is_candidate(info: InstanceInfo) -> bool:
             return (
                 info.id not in exclude
                 and (eligible is None or eligible(info))
@@ -146,13 +146,13 @@
             )
 
         candidate_pool = self.candidate_pool(service, work, within)
-        fitting = [info for info in candidate_pool.instances if is_fitting(info)]
+        fitting = [info for info in candidate_pool.instances if is_candidate(info)]
         if candidate_pool.is_partial and not any(self._may_take_now(info) for info in fitting):
             further = self._pool.extend_pool(service, candidate_pool)
-            fitting += [info for info in further if is_fitting(info)]
+            fitting += [info for info in further if is_candidate(info)]
         if candidate_pool.is_partial and not fitting:
             found = self._search(service, work, within, candidate_pool).instances
-            fitting = [info for info in found if is_fitting(info)]
+            fitting = [info for info in found if is_candidate(info)]
         return self._order.ranked(service, fitting, for_client=for_client)
 
     def candidate_pool(
