--- a/src/larkpost/gateway/proxy/slot_counting.py
+++ b/src/larkpost/gateway/proxy/slot_counting.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.placement.work import Work
 from larkpost.gateway.proxy.balancer import Balancer
 
-FREE_SHARE = 0.5
+MOSTLY_FREE_FRACTION = 0.5
 """While less than this share of the places is taken, nothing waits and nothing is refused: what is
 known of the others' requests is a second old, and is not believed against so many free places."""
 
@@ -40,12 +40,12 @@
     @property
     def is_mostly_free(self) -> bool:
         """Whether so few are taken that nothing need wait."""
-        return self.taken < self.total * FREE_SHARE
+        return self.taken < self.total * MOSTLY_FREE_FRACTION
 
     @property
     def has_few_running(self) -> bool:
         """Whether so few have a request that instances which failed may well take another."""
-        return self.taken - self.unavailable < self.total * FREE_SHARE
+        return self.taken - self.unavailable < self.total * MOSTLY_FREE_FRACTION
 
 
 def count_slots(balancer: Balancer, service: ServiceName, work: Work) -> SlotCounts:
