--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -34,7 +34,7 @@
 what requests take there."""
 SLOTS_PER_POLL = 2000
 """Beyond so many places of a service its queue is polled less often: each poll counts them all."""
-BLOCKED_MEMORY_SECONDS = 1.0
+BLOCKED_LIFETIME_SECONDS = 1.0
 """How long it is believed, without a further attempt, that no place comes free."""
 
 Survey = Callable[[ServiceName, Work], SlotCounts]
@@ -158,7 +158,7 @@
         """Waits until a request may try the servers, or is hopeless."""
         queue = self._queues.setdefault(waiter.service, _Queue())
         now = self._clock.now()
-        if now - queue.seen_at > BLOCKED_MEMORY_SECONDS:
+        if now - queue.seen_at > BLOCKED_LIFETIME_SECONDS:
             queue.blocked_since = now
         queue.seen_at = now
         forecast = self.forecast(waiter).forecast
@@ -261,6 +261,6 @@
         return rank.flow_share.waiting - self._ledger.own_use(waiter.flow).waiting
 
     def _blocked_for(self, queue: _Queue, now: float) -> float:
-        if now - queue.seen_at > BLOCKED_MEMORY_SECONDS:
+        if now - queue.seen_at > BLOCKED_LIFETIME_SECONDS:
             return 0.0
         return now - queue.blocked_since
