--- a/src/larkpost/gateway/fairness/ledger.py
+++ b/src/larkpost/gateway/fairness/ledger.py
@@ -18,7 +18,7 @@
 
 REPORT_LIFETIME_SECONDS = 6.0
 """How long a report counts: some heartbeats, of which a large fleet writes one in five seconds."""
-SHORTAGE_MEMORY_SECONDS = 2.0
+SHORTAGE_LIFETIME_SECONDS = 2.0
 """How long a service counts as short after a request waited for it or was refused meanwhile."""
 MAX_REPORTED_FLOWS = 6
 """Flows in one report: a daemon of a large fleet has few requests at a time."""
@@ -119,7 +119,7 @@
     def _short_services(self) -> set[ServiceName]:
         self._forget_old()
         now = self._clock.now()
-        own = {name for name, at in self._short_at.items() if now - at < SHORTAGE_MEMORY_SECONDS}
+        own = {name for name, at in self._short_at.items() if now - at < SHORTAGE_LIFETIME_SECONDS}
         return own | self._peers.services_waited_for()
 
     def _forget_old(self) -> None:
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -21,7 +21,7 @@
     MAX_REPORTED_FLOWS,
     MAX_REPORTED_NAME_LENGTH,
     REPORT_LIFETIME_SECONDS,
-    SHORTAGE_MEMORY_SECONDS,
+    SHORTAGE_LIFETIME_SECONDS,
     FlowLedger,
 )
 from larkpost.gateway.fairness.retry_schedule import MAX_SCHEDULED_QUEUES, RetrySchedule
@@ -276,7 +276,7 @@
                 with ledger.waiting(LIGHT):
                     self.assertTrue(ledger.has_shortage())
                 self.assertEqual({HEAVY: TenantUse(1, 0)}, ledger.report())
-                await clock.sleep(SHORTAGE_MEMORY_SECONDS + 0.1)
+                await clock.sleep(SHORTAGE_LIFETIME_SECONDS + 0.1)
                 self.assertEqual({}, ledger.report())
                 ledger.record_report("far", {LIGHT: TenantUse(0, 1)})
                 self.assertEqual({HEAVY: TenantUse(1, 0)}, ledger.report())
