--- a/src/larkpost/gateway/proxy/reported_service_times.py
+++ b/src/larkpost/gateway/proxy/reported_service_times.py
@@ -12,7 +12,7 @@
 
 REPORT_LIFETIME_SECONDS = 180.0
 """How long a reported pace is used."""
-FRESH_SECONDS = 4.0
+FRESH_REPORT_SECONDS = 4.0
 """How long a reported pace counts before what one has measured oneself earlier."""
 MAX_REPORTERS = 5
 """Daemons whose pace of one instance is kept, those that reported last: enough for a median that
@@ -51,7 +51,7 @@
 
     def fresh(self, instance: InstanceId) -> float:
         """Returns the median of what was reported in the last seconds; 0 if nothing was."""
-        return self._median(instance, FRESH_SECONDS)
+        return self._median(instance, FRESH_REPORT_SECONDS)
 
     def service_time(self, instance: InstanceId) -> float:
         """Returns the median of what was reported of an instance, in seconds; 0 if nothing was."""
--- a/src/larkpost/gateway/rollouts/known_heads.py
+++ b/src/larkpost/gateway/rollouts/known_heads.py
@@ -22,7 +22,7 @@
 by so much that engines would change their models with each step."""
 CLOCK_ERROR_SECONDS = 0.2
 """By so much a batch may seem older than the version that it came with, as clocks differ."""
-FRESH_SECONDS = 1.0
+FRESH_REPORT_SECONDS = 1.0
 """A batch accepted longer ago is not news: this daemon has just started, or was cut off."""
 
 
@@ -85,7 +85,7 @@
         """Returns after which version a batch that is new here came, and how long after it."""
         age = self._age(head)
         naming = self._last_naming(head.model)
-        if naming is None or age is None or age > FRESH_SECONDS:
+        if naming is None or age is None or age > FRESH_REPORT_SECONDS:
             return None
         seconds = naming.seconds - age  # all daemons know the batch's own time alike
         if seconds < -CLOCK_ERROR_SECONDS:
--- a/src/larkpost/gateway/rollouts/reader.py
+++ b/src/larkpost/gateway/rollouts/reader.py
@@ -27,7 +27,7 @@
 
 READ_POLL_SECONDS = 0.05
 """How often a held read checks for what another daemon appends: a step waits for the last one."""
-FRESH_SECONDS = 0.04
+FRESH_REPORT_SECONDS = 0.04
 """A list confirmed this recently is given without asking the store again. Less than the interval of
 checks."""
 RETRY_AFTER_SECONDS = 0.2
@@ -179,7 +179,7 @@
         """
         started = self._clock.now()
         known = len(view.results)
-        if known >= view.head.total or started - view.confirmed_at < FRESH_SECONDS:
+        if known >= view.head.total or started - view.confirmed_at < FRESH_REPORT_SECONDS:
             return True
         if known > position and not may_hold:
             return True
--- a/tests/test_load_timing.py
+++ b/tests/test_load_timing.py
@@ -28,7 +28,7 @@
 )
 from larkpost.gateway.controllers.lending import WAITED_SECONDS
 from larkpost.gateway.rollouts import codec
-from larkpost.gateway.rollouts.known_heads import FRESH_SECONDS, WORK_BATCHES, KnownHeads
+from larkpost.gateway.rollouts.known_heads import FRESH_REPORT_SECONDS, WORK_BATCHES, KnownHeads
 from larkpost.gateway.rollouts.model import BatchHead
 from larkpost.gateway.store.batch_tables import HEAD_TABLE
 from larkpost.gateway.store.port import Row, RowKey
@@ -194,7 +194,7 @@
                 self.assertEqual(expected, naming.version if naming is not None else None)
 
     def test_a_batch_that_is_no_news_tells_nothing(self):
-        for self.age in (None, FRESH_SECONDS + 0.1):
+        for self.age in (None, FRESH_REPORT_SECONDS + 0.1):
             self.assertIsNone(self.demand(("a", 1.0, False)).asked_after)
 
 
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -16,7 +16,7 @@
 from larkpost.gateway.fairness.ledger import FlowLedger
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.reported_service_times import (
-    FRESH_SECONDS,
+    FRESH_REPORT_SECONDS,
     MAX_REPORTERS,
     REPORT_LIFETIME_SECONDS,
 )
@@ -130,7 +130,7 @@
             await asyncio.sleep(SUSTAINED_SECONDS + 0.1)
             known.service_times.record_report(DaemonId("d"), {SERVER: 3 * FAST})
             self.assertEqual(3 * FAST, known.service_times.lasting(SERVER))
-            await asyncio.sleep(FRESH_SECONDS + 0.1)
+            await asyncio.sleep(FRESH_REPORT_SECONDS + 0.1)
             self.assertAlmostEqual(FAST, known.service_times.lasting(SERVER))
 
         run(play())
