--- a/src/larkpost/gateway/fairness/share_rule.py
+++ b/src/larkpost/gateway/fairness/share_rule.py
@@ -34,13 +34,13 @@
     share: float
     use: int
     waiting: int
-    ahead: int
+    waiting_ahead: int
     places: int
 
     @property
     def is_over_share(self) -> bool:
         """Whether its next request has to let others go first."""
-        return self.ahead > 0 and self.use >= self.share
+        return self.waiting_ahead > 0 and self.use >= self.share
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,8 +63,10 @@
         """Returns where a flow stands that has, or is about to have, a request that waits."""
         use = self.uses.get(flow, NO_USE)
         demand = use.running + max(1, use.waiting)
-        ahead = self.below - _waiting_below(use, self.level)
-        return FlowShare(min(demand, self.level), use.running, use.waiting, ahead, self.places)
+        waiting_ahead = self.below - _waiting_below(use, self.level)
+        return FlowShare(
+            min(demand, self.level), use.running, use.waiting, waiting_ahead, self.places
+        )
 
 
 def compute_shares(uses: Mapping[Flow, TenantUse], free: int) -> GroupShares:
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -86,7 +86,9 @@
         heavy = shares.flow_share(HEAVY)
         self.assertTrue(heavy.is_over_share)
         self.assertLess(heavy.share, 1.0)
-        self.assertEqual(5, heavy.ahead)  # those without a place; the others have their share
+        self.assertEqual(
+            5, heavy.waiting_ahead
+        )  # those without a place; the others have their share
         self.assertFalse(shares.flow_share(flow("t9")).is_over_share)
 
     def test_it_gets_what_the_others_leave(self):
@@ -109,12 +111,12 @@
             shares = compute_shares(uses, free)
             for flow_share in map(shares.flow_share, names):
                 seen += flow_share.is_over_share
-                self.assertTrue(not flow_share.is_over_share or flow_share.ahead >= free)
+                self.assertTrue(not flow_share.is_over_share or flow_share.waiting_ahead >= free)
         self.assertGreater(seen, 100)
 
     def test_its_forecast_grows_with_its_own_requests_alone(self):
         heavy = compute_shares(self.uses(), free=0).flow_share(HEAVY)
-        waits = [estimate_share_wait(heavy, ahead, PACE) for ahead in (0, 5, 10)]
+        waits = [estimate_share_wait(heavy, waiting_ahead, PACE) for waiting_ahead in (0, 5, 10)]
         self.assertEqual(sorted(waits), waits)
         self.assertGreater(waits[1] - waits[0], 4 * PACE)
         light = compute_shares(self.uses(), free=0).flow_share(flow("t9"))
@@ -234,7 +236,7 @@
                 for ledger in (near, far):
                     flow_share = compute_shares(ledger.uses(GROUP), free=0).flow_share(HEAVY)
                     self.assertEqual(4, flow_share.use)
-                    self.assertEqual(1, flow_share.ahead)
+                    self.assertEqual(1, flow_share.waiting_ahead)
                     self.assertTrue(flow_share.is_over_share)
 
         run(play())
