--- a/src/larkpost/gateway/fairness/share_rule.py
+++ b/src/larkpost/gateway/fairness/share_rule.py
@@ -56,14 +56,14 @@
 
     uses: Mapping[Flow, TenantUse]
     level: float
-    below: int
+    waiting_below_share: int
     places: int
 
     def flow_share(self, flow: Flow) -> FlowShare:
         """Returns where a flow stands that has, or is about to have, a request that waits."""
         use = self.uses.get(flow, NO_USE)
         demand = use.running + max(1, use.waiting)
-        waiting_ahead = self.below - _waiting_below(use, self.level)
+        waiting_ahead = self.waiting_below_share - _waiting_below(use, self.level)
         return FlowShare(
             min(demand, self.level), use.running, use.waiting, waiting_ahead, self.places
         )
@@ -78,8 +78,8 @@
     """
     places = free + sum(use.running for use in uses.values())
     level = fair_level([use.running + use.waiting for use in uses.values()], places)
-    below = sum(_waiting_below(use, level) for use in uses.values())
-    return GroupShares(uses, level, below, places)
+    waiting_below_share = sum(_waiting_below(use, level) for use in uses.values())
+    return GroupShares(uses, level, waiting_below_share, places)
 
 
 def estimate_share_wait(flow_share: FlowShare, flow_ahead: int, service_time: float) -> float:
