--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -97,7 +97,7 @@
         self._of_flow[waiter.flow] += 1
 
     def forecast(
-        self, waiter: Waiter, rank: Rank, slot_counts: SlotCounts, elsewhere: int
+        self, waiter: Waiter, rank: Rank, slot_counts: SlotCounts, waiting_elsewhere: int
     ) -> Forecast:
         """Returns the forecast of a request at the end; it remembers where its flow stands.
 
@@ -108,7 +108,7 @@
         if rank.is_over_share:
             waiter.flow_share = rank.flow_share
             service_time = slot_counts.service_time or waiter.deadlines.default_service_time
-            of_flow = self._of_flow[waiter.flow] + elsewhere
+            of_flow = self._of_flow[waiter.flow] + waiting_elsewhere
             share_wait = estimate_share_wait(rank.flow_share, of_flow, service_time)
         return make_forecast(
             slot_counts, waiter.deadlines, self._now, self.length, self._blocked_for, share_wait
@@ -147,8 +147,8 @@
         for other in queue.waiters:
             if order.rank(other, slot_counts).key < rank.key:
                 line.add(other)
-        elsewhere = self._waiting_elsewhere(waiter, rank)
-        forecast = line.forecast(waiter, rank, slot_counts, elsewhere)
+        waiting_elsewhere = self._waiting_elsewhere(waiter, rank)
+        forecast = line.forecast(waiter, rank, slot_counts, waiting_elsewhere)
         if forecast.is_infeasible and slot_counts.total and now < waiter.deadlines.expires_at:
             self._record_missed(waiter)
         must_wait = not slot_counts.is_mostly_free and (line.length > 0 or rank.is_over_share)
@@ -215,8 +215,8 @@
         for waiter in sorted(queue.waiters, key=lambda other: ranks[other].key):
             slot_counts, rank = surveys[waiter.work], ranks[waiter]
             # Of those that wait at other daemons, half came before this one on the average.
-            elsewhere = self._waiting_elsewhere(waiter, rank) // 2
-            forecast = line.forecast(waiter, rank, slot_counts, elsewhere)
+            waiting_elsewhere = self._waiting_elsewhere(waiter, rank) // 2
+            forecast = line.forecast(waiter, rank, slot_counts, waiting_elsewhere)
             if forecast.is_infeasible:
                 self._record_missed(waiter)
             else:
