--- a/src/larkpost/gateway/proxy/server_choice.py
+++ b/src/larkpost/gateway/proxy/server_choice.py
@@ -54,10 +54,10 @@
 
     def hedge_delay(self, attempts: Attempts) -> float:
         """Returns the seconds after which a second server is tried beside the first."""
-        looked_at = self._balancer.candidate_pool(attempts.waiter.service, attempts.waiter.work)
+        pool = self._balancer.candidate_pool(attempts.waiter.service, attempts.waiter.work)
         service_times = [
             service_time
-            for info in looked_at.instances
+            for info in pool.instances
             if (service_time := self._balancer.service_time(info.id))
         ]
         return hedge_delay(service_times, attempts.route.objective)
