--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -331,7 +331,7 @@
         candidate_pool: CandidatePool,
     ) -> CandidatePool:
         """Returns instances open to the work, of all that might have been looked at."""
-        return self._pool.search(
+        return self._pool.find_open(
             service, work, within, candidate_pool, lambda info: self._is_open(info, work)
         )
 
--- a/src/larkpost/gateway/proxy/server_pool.py
+++ b/src/larkpost/gateway/proxy/server_pool.py
@@ -130,7 +130,7 @@
         drawn = self._draw(service, candidate_pool.population, POOL_EXTENSION_SIZE)
         return [info for info in drawn if info.id not in seen]
 
-    def search(
+    def find_open(
         self,
         service: ServiceName,
         work: Work,
