--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -151,7 +151,7 @@
             further = self._pool.extend_pool(service, candidate_pool)
             fitting += [info for info in further if is_candidate(info)]
         if candidate_pool.is_partial and not fitting:
-            found = self._search(service, work, within, candidate_pool).instances
+            found = self._find_open(service, work, within, candidate_pool).instances
             fitting = [info for info in found if is_candidate(info)]
         return self._order.ranked(service, fitting, for_client=for_client)
 
@@ -171,7 +171,7 @@
         are_open = (info for info in candidate_pool.instances if self._is_open(info, work))
         if len(list(islice(are_open, MIN_OPEN_INSTANCES))) == MIN_OPEN_INSTANCES:
             return candidate_pool
-        return self._search(service, work, within, candidate_pool)
+        return self._find_open(service, work, within, candidate_pool)
 
     def subset_sizes(self) -> dict[ServiceName, int]:
         """Returns how many instances of each large service this daemon's requests go to."""
@@ -323,7 +323,7 @@
         self._own.record_for(instance).is_refusing = is_full
         self.avoid(instance, full_seconds if is_full else UNREACHABLE_AVOID_SECONDS)
 
-    def _search(
+    def _find_open(
         self,
         service: ServiceName,
         work: Work,
