--- a/src/larkpost/gateway/proxy/share_record.py
+++ b/src/larkpost/gateway/proxy/share_record.py
@@ -49,7 +49,7 @@
             share=round(flow_share.share, 2),
             use=flow_share.use,
             waiting=flow_share.waiting,
-            waiting_ahead=flow_share.waiting_ahead,
+            ahead=flow_share.waiting_ahead,
             places=flow_share.places,
             report_age=round(age, 3) if age is not None else None,
         )
