--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -122,7 +122,7 @@
             directory, self.clock, chance, BalancerDependencies(placement=placement)
         )
         parts = make_parts(directory, balancer, self.engines, self.clock)
-        self.forwarder = Forwarder(replace(parts, shares=ServiceSelector(chance)))
+        self.forwarder = Forwarder(replace(parts, service_selector=ServiceSelector(chance)))
 
     def forward(self, kind: RouteKind):
         """Forwards a request that is received now."""
