--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -467,7 +467,7 @@
         clock = LoopClock()
         chance = random.Random(1)
         parts = make_parts(directory, Balancer(directory, clock, chance), self.servers, clock)
-        self.forwarder = Forwarder(replace(parts, shares=ServiceSelector(chance)))
+        self.forwarder = Forwarder(replace(parts, service_selector=ServiceSelector(chance)))
         await asyncio.gather(*(self.ask() for _ in range(8 * len(names))))
         for pages in self.all_pages:
             self.assertGreater(pages.link.connections, 1)
