--- a/src/larkpost/gateway/proxy/request.py
+++ b/src/larkpost/gateway/proxy/request.py
@@ -98,7 +98,7 @@
 
     status: int
     headers: Headers
-    received: deque[bytes]
+    buffered: deque[bytes]
     rest: AsyncIterator[bytes]
     reservation: Reservation
     call: AsyncExitStack
--- a/src/larkpost/gateway/proxy/response_body.py
+++ b/src/larkpost/gateway/proxy/response_body.py
@@ -17,18 +17,18 @@
     Raises:
         BrokenResponseError: the body broke off.
     """
-    received: deque[bytes] = deque()
+    buffered: deque[bytes] = deque()
     try:
         async for chunk in chunks:
             is_share = reservation.fits_share(len(chunk))
             reservation.grow_anyway(len(chunk))
-            received.append(chunk)
+            buffered.append(chunk)
             if not is_share:
-                return received, False
+                return buffered, False
     except BaseException:
         reservation.release()
         raise
-    return received, True
+    return buffered, True
 
 
 def join_chunks(chunks: deque[bytes]) -> bytes | bytearray:
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -93,15 +93,15 @@
             is_signed = response.signature is not None
             reservation = attempts.request.memory.reserve(Purpose.ANSWERS)
             chunks = response.chunks()
-            received, is_whole = await read_until_limit(chunks, reservation)
+            buffered, is_whole = await read_until_limit(chunks, reservation)
             if is_whole:
                 return WholeResponse(
-                    response.status, response.headers, join_chunks(received)
+                    response.status, response.headers, join_chunks(buffered)
                 ), is_signed
             opened = StreamedResponse(
                 response.status,
                 response.headers,
-                received,
+                buffered,
                 chunks,
                 reservation,
                 call.pop_all(),
--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -168,7 +168,7 @@
             return
         async with answer:
             await response.begin_large(answer.status, answer.headers)
-            passed = PassedAnswer(answer.rest, answer.reservation, answer.received)
+            passed = PassedAnswer(answer.rest, answer.reservation, answer.buffered)
             await self._pass_on(passed, response)
 
     async def _stream(self, request: ClientRequest, route: Route, response: ClientResponse) -> None:
