--- a/src/larkpost/gateway/assembly/balancing.py
+++ b/src/larkpost/gateway/assembly/balancing.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.placement.region_rule import RegionRule
 from larkpost.gateway.placement.rules import Placement
 from larkpost.gateway.placement.sender_tracker import SenderTracker
-from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
+from larkpost.gateway.proxy.balancer import Balancer, BalancerDependencies
 from larkpost.gateway.proxy.subset import DaemonSubsets
 from larkpost.gateway.quarantine.isolation_rule import IsolationRule
 
@@ -48,7 +48,7 @@
         isolation,
         cold,
     )
-    sources = BalancerSources(
+    sources = BalancerDependencies(
         ports.servers.is_connected,
         Placement(blackboard.directory, rules, ports.metrics, cold.send_timeout),
         cold,
--- a/src/larkpost/gateway/assembly/client_requests.py
+++ b/src/larkpost/gateway/assembly/client_requests.py
@@ -5,8 +5,8 @@
 from larkpost.gateway.fairness.ledger import FlowLedger
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.forwarder import Forwarder
-from larkpost.gateway.proxy.parts import ForwarderParts
-from larkpost.gateway.proxy.shares import ShareChooser
+from larkpost.gateway.proxy.forwarder_dependencies import ForwarderDependencies
+from larkpost.gateway.proxy.service_selection import ServiceSelector
 from larkpost.gateway.quarantine.repository import CrashRepository
 from larkpost.gateway.quarantine.trial_claims import TrialClaims
 from larkpost.gateway.servers.port import ServerPort
@@ -31,14 +31,14 @@
     crashes = blackboard.crashes
     trials = TrialClaims(crashes, CrashRepository(ports.store), ports.clock, ports.log)
     return Forwarder(
-        ForwarderParts(
+        ForwarderDependencies(
             blackboard.directory,
             balancer,
             servers,
             ports.clock,
             ports.log,
             ports.metrics,
-            ShareChooser(ports.rng),
+            ServiceSelector(ports.rng),
             counter,
             blackboard.configuration.priority_of,
             crashes,
--- a/src/larkpost/gateway/assembly/membership.py
+++ b/src/larkpost/gateway/assembly/membership.py
@@ -44,7 +44,7 @@
     store, balancer, settings = inputs.ports.store, inputs.balancer, inputs.settings
     most = machine_capacity(settings.cores, settings.byte_budget)
     capacity = DaemonCapacity(most, inputs.event_loop_monitor, inputs.ports.clock)
-    reports = DaemonReports(balancer.paces, inputs.ledger, inputs.keeper, capacity.now)
+    reports = DaemonReports(balancer.service_times, inputs.ledger, inputs.keeper, capacity.now)
     own = LocalDaemon(
         inputs.daemon,
         balancer.summary,
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -36,7 +36,7 @@
 from larkpost.gateway.observability.instruments import Instruments
 from larkpost.gateway.placement.cold_rate_limit import POLL_SECONDS
 from larkpost.gateway.proxy.admission import Admission
-from larkpost.gateway.proxy.shares import ShareChooser
+from larkpost.gateway.proxy.service_selection import ServiceSelector
 from larkpost.gateway.quarantine.crash_detector import CrashDetector
 from larkpost.gateway.quarantine.crash_recorder import CrashRecorder
 from larkpost.gateway.quarantine.crash_writer import CrashWriter
@@ -146,7 +146,7 @@
             ports.clock,
             lambda: self.keeper.demands(),
             LendingLog(ports.log, ports.clock),
-            self.balancer.paces.lasting,
+            self.balancer.service_times.lasting,
         )
         services = RunServices(
             self.configuration,
@@ -156,7 +156,7 @@
             ports.clock,
             ports.log,
             ports.metrics,
-            ShareChooser(ports.rng),
+            ServiceSelector(ports.rng),
             ports.store.time,
             asyncio.Semaphore(MAX_CALLS_IN_FLIGHT),
             self._division,
--- a/src/larkpost/gateway/fairness/ledger.py
+++ b/src/larkpost/gateway/fairness/ledger.py
@@ -18,11 +18,11 @@
 
 REPORT_LIFETIME_SECONDS = 6.0
 """How long a report counts: some heartbeats, of which a large fleet writes one in five seconds."""
-SHORTAGE_MEMORY_SECONDS = 2.0
+SHORTAGE_LIFETIME_SECONDS = 2.0
 """How long a service counts as short after a request waited for it or was refused meanwhile."""
-MOST_REPORTED_FLOWS = 6
+MAX_REPORTED_FLOWS = 6
 """Flows in one report: a daemon of a large fleet has few requests at a time."""
-LONGEST_REPORTED_NAME = 64
+MAX_REPORTED_NAME_LENGTH = 64
 """Characters of a name that is reported; it bounds the bytes of a heartbeat."""
 
 
@@ -81,15 +81,15 @@
     def uses(self, group: FlowGroup) -> Mapping[Flow, FlowUsage]:
         """Returns the use of a group's flows, by this daemon and the others."""
         self._forget_old()
-        uses = dict(self._peers.of(group))
-        for flow, own in self._own.of(group).items():
+        uses = dict(self._peers.group_uses(group))
+        for flow, own in self._own.group_uses(group).items():
             others = uses.get(flow, NO_USE)
             uses[flow] = FlowUsage(others.running + own.running, others.waiting + own.waiting)
         return uses
 
     def own_use(self, flow: Flow) -> FlowUsage:
         """Returns this daemon's own use by a flow."""
-        return self._own.of(flow.group).get(flow, NO_USE)
+        return self._own.group_uses(flow.group).get(flow, NO_USE)
 
     def own_running(self, service: ServiceName) -> int:
         """Returns this daemon's requests at the servers of a service."""
@@ -111,15 +111,15 @@
         uses = [
             (flow, use)
             for flow, use in self._own.all()
-            if flow.group.service in short and len(flow.name) <= LONGEST_REPORTED_NAME
+            if flow.group.service in short and len(flow.name) <= MAX_REPORTED_NAME_LENGTH
         ]
         uses.sort(key=lambda entry: (-sum(entry[1]), entry[0]))
-        return dict(uses[:MOST_REPORTED_FLOWS])
+        return dict(uses[:MAX_REPORTED_FLOWS])
 
     def _short_services(self) -> set[ServiceName]:
         self._forget_old()
         now = self._clock.now()
-        own = {name for name, at in self._short_at.items() if now - at < SHORTAGE_MEMORY_SECONDS}
+        own = {name for name, at in self._short_at.items() if now - at < SHORTAGE_LIFETIME_SECONDS}
         return own | self._peers.services_waited_for()
 
     def _forget_old(self) -> None:
--- a/src/larkpost/gateway/fairness/return_times.py
+++ b/src/larkpost/gateway/fairness/retry_schedule.py
@@ -9,15 +9,15 @@
 
 from larkpost.common.clock import Clock
 
-MOST_LINES = 256
+MAX_SCHEDULED_QUEUES = 256
 """Lines remembered at most; dropped are those whose last time has come, then the one that was told
 a time longest ago."""
-LEAST_PART_OF_TIME = 0.5
+MIN_DELAY_FRACTION = 0.5
 """Callers that cannot wait for their turn come back spread over the rest of the time that they can
 wait, from this part of it on."""
 
 
-class ReturnTimes:
+class RetrySchedule:
     """The times told to refused callers, by line.
 
     Args:
@@ -30,7 +30,7 @@
         self._told: dict[Hashable, float] = {}
         """The line that was told a time longest ago comes first."""
 
-    def book(self, line: Hashable, wanted: float, spacing: float, most: float) -> float:
+    def reserve(self, queue: Hashable, wanted: float, spacing: float, most: float) -> float:
         """Returns the seconds after which a caller should come back, at most ``most``.
 
         Args:
@@ -40,16 +40,16 @@
             most: seconds that the caller waits at most before it comes back.
         """
         now = self._clock.now()
-        at = max(now + wanted, self._told.get(line, float("-inf")) + spacing)
+        at = max(now + wanted, self._told.get(queue, float("-inf")) + spacing)
         if at - now > most:
-            return most * self._chance.uniform(LEAST_PART_OF_TIME, 1.0)
-        self._told.pop(line, None)
+            return most * self._chance.uniform(MIN_DELAY_FRACTION, 1.0)
+        self._told.pop(queue, None)
         self._drop_past(now)
-        self._told[line] = at
+        self._told[queue] = at
         return min(most, at - now + self._chance.random() * spacing)
 
     def _drop_past(self, now: float) -> None:
-        if len(self._told) >= MOST_LINES:
-            self._told = {line: at for line, at in self._told.items() if at > now}
-        while len(self._told) >= MOST_LINES:
+        if len(self._told) >= MAX_SCHEDULED_QUEUES:
+            self._told = {queue: at for queue, at in self._told.items() if at > now}
+        while len(self._told) >= MAX_SCHEDULED_QUEUES:
             del self._told[next(iter(self._told))]
--- a/src/larkpost/gateway/fairness/share_rule.py
+++ b/src/larkpost/gateway/fairness/share_rule.py
@@ -15,12 +15,12 @@
 
 NO_USE = FlowUsage(0, 0)
 """Use by a flow of which nothing is known."""
-LEAST_SHARE_PLACES = 1.0
+MIN_SHARE_SLOTS = 1.0
 """Share by which waits are forecast at least: a fraction of a place is a whole one in its turn."""
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class FlowShare:
     """Where a flow stands in its group.
 
     Attributes:
@@ -34,13 +34,13 @@
     share: float
     use: int
     waiting: int
-    ahead: int
+    waiting_ahead: int
     places: int
 
     @property
-    def is_over(self) -> bool:
+    def is_over_share(self) -> bool:
         """Whether its next request has to let others go first."""
-        return self.ahead > 0 and self.use >= self.share
+        return self.waiting_ahead > 0 and self.use >= self.share
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,15 +56,17 @@
 
     uses: Mapping[Flow, FlowUsage]
     level: float
-    below: int
+    waiting_below_share: int
     places: int
 
-    def standing(self, flow: Flow) -> Standing:
+    def flow_share(self, flow: Flow) -> FlowShare:
         """Returns where a flow stands that has, or is about to have, a request that waits."""
         use = self.uses.get(flow, NO_USE)
         demand = use.running + max(1, use.waiting)
-        ahead = self.below - _waiting_below(use, self.level)
-        return Standing(min(demand, self.level), use.running, use.waiting, ahead, self.places)
+        waiting_ahead = self.waiting_below_share - _waiting_below(use, self.level)
+        return FlowShare(
+            min(demand, self.level), use.running, use.waiting, waiting_ahead, self.places
+        )
 
 
 def allocate_engines(uses: Mapping[Flow, FlowUsage], free: int) -> GroupShares:
@@ -76,21 +78,21 @@
     """
     places = free + sum(use.running for use in uses.values())
     level = fair_level([use.running + use.waiting for use in uses.values()], places)
-    below = sum(_waiting_below(use, level) for use in uses.values())
-    return GroupShares(uses, level, below, places)
+    waiting_below_share = sum(_waiting_below(use, level) for use in uses.values())
+    return GroupShares(uses, level, waiting_below_share, places)
 
 
-def wait_for_share(standing: Standing, flow_ahead: int, pace: float) -> float:
+def estimate_share_wait(flow_share: FlowShare, flow_ahead: int, service_time: float) -> float:
     """Returns the seconds until a flow's share has room for one more request.
 
     Args:
         flow_ahead: requests of the same flow that wait and come first.
         pace: seconds that a request takes at a server.
     """
-    if not standing.is_over:
+    if not flow_share.is_over_share:
         return 0.0
-    missing = standing.use + flow_ahead + 1 - standing.share
-    return max(0.0, missing) * pace / max(LEAST_SHARE_PLACES, standing.share)
+    missing = flow_share.use + flow_ahead + 1 - flow_share.share
+    return max(0.0, missing) * service_time / max(MIN_SHARE_SLOTS, flow_share.share)
 
 
 def _waiting_below(use: FlowUsage, level: float) -> int:
--- a/src/larkpost/gateway/fairness/least_service.py
+++ b/src/larkpost/gateway/fairness/starvation_guard.py
@@ -14,10 +14,10 @@
 from larkpost.gateway.blackboard.configuration import ServiceName
 from larkpost.gateway.blackboard.daemon_report import Flow
 
-LEAST_RELATIVE_SERVICE = 1 / 3
+MIN_RELATIVE_SERVICE = 1 / 3
 """How often a flow is served at least, in relation to all. The bound that users count as starving
 is a quarter; the rest is for requests that pass and find no place in their time."""
-MOST_CREDIT = 2.0
+MAX_CREDIT = 2.0
 """Requests for which a flow has credit at most."""
 WINDOW_SECONDS = 5.0
 """Time in which what was asked and found a place is counted; it counts half in the next window."""
@@ -34,12 +34,12 @@
     """
 
     began: float
-    asked: float = 0.0
-    placed: float = 0.0
+    requested: float = 0.0
+    granted: float = 0.0
 
-    def placed_part(self) -> float:
+    def granted_fraction(self) -> float:
         """Returns which part of the requests found a place; as if one more had."""
-        return min(1.0, (self.placed + 1.0) / (self.asked + 1.0))
+        return min(1.0, (self.granted + 1.0) / (self.requested + 1.0))
 
 
 @dataclass(slots=True)
@@ -51,10 +51,10 @@
 
     def add(self, change: float) -> None:
         """Changes the credit within its bounds."""
-        self.amount = min(MOST_CREDIT, max(0.0, self.amount + change))
+        self.amount = min(MAX_CREDIT, max(0.0, self.amount + change))
 
 
-class LeastService:
+class StarvationGuard:
     """The credits of all flows.
 
     Args:
@@ -69,24 +69,24 @@
         self._credits: dict[Flow, _Credit] = {}
         """The flow whose last request is the oldest comes first."""
 
-    def admit(self, flow: Flow, *, is_over: bool) -> bool:
+    def admit(self, flow: Flow, *, is_over_share: bool) -> bool:
         """Counts a request, and returns whether it passes though its flow is beyond its share."""
         counts = self._counts(flow.group.service)
-        counts.asked += 1
+        counts.requested += 1
         credit = self._take_credit(flow)
-        credit.add(LEAST_RELATIVE_SERVICE * counts.placed_part())
-        is_passed = is_over and credit.amount >= 1.0
-        if is_passed:
+        credit.add(MIN_RELATIVE_SERVICE * counts.granted_fraction())
+        is_share_exempt = is_over_share and credit.amount >= 1.0
+        if is_share_exempt:
             credit.add(-1.0)
-        return is_passed
+        return is_share_exempt
 
-    def record_placed(self, flow: Flow, *, is_passed: bool) -> None:
+    def record_slot_granted(self, flow: Flow, *, is_share_exempt: bool) -> None:
         """Counts a request that found a place; one that was not let through takes up credit now."""
-        self._counts(flow.group.service).placed += 1
-        if not is_passed and flow in self._credits:
+        self._counts(flow.group.service).granted += 1
+        if not is_share_exempt and flow in self._credits:
             self._credits[flow].add(-1.0)
 
-    def record_unplaced(self, flow: Flow) -> None:
+    def refund_credit(self, flow: Flow) -> None:
         """Gives the credit back of a request that was let through and found no place."""
         if flow in self._credits:
             self._credits[flow].add(1.0)
@@ -97,8 +97,8 @@
         counts = self._services.setdefault(service, _ServiceCounts(now))
         if now - counts.began >= WINDOW_SECONDS:
             windows = int((now - counts.began) / WINDOW_SECONDS)
-            counts.asked *= 0.5**windows
-            counts.placed *= 0.5**windows
+            counts.requested *= 0.5**windows
+            counts.granted *= 0.5**windows
             counts.began = now
         return counts
 
--- a/src/larkpost/gateway/proxy/attempts.py
+++ b/src/larkpost/gateway/proxy/attempts.py
@@ -11,7 +11,7 @@
 from larkpost.common.ids import InstanceId
 from larkpost.gateway.blackboard.configuration import Route
 from larkpost.gateway.proxy.forecast import Forecast
-from larkpost.gateway.proxy.request import ClientRequest, OpenResponse, WholeResponse
+from larkpost.gateway.proxy.request import ClientRequest, StreamedResponse, WholeResponse
 from larkpost.gateway.proxy.waiter import Waiter
 from larkpost.gateway.servers.port import NotRunReason
 
@@ -45,12 +45,12 @@
     waiter: Waiter
     first_forecast: Forecast
     forecast: Forecast
-    ran_at: set[InstanceId] = field(default_factory=set)
+    may_have_run_on: set[InstanceId] = field(default_factory=set)
     refused_by: set[InstanceId] = field(default_factory=set)
     reasons: set[NotRunReason] = field(default_factory=set)
-    last: WholeResponse | None = None
+    last_failure: WholeResponse | None = None
     quarantine: QuarantineState = QuarantineState.NONE
-    opened: list[OpenResponse] = field(default_factory=list)
+    opened: list[StreamedResponse] = field(default_factory=list)
 
     @property
     def are_all_unreachable(self) -> bool:
@@ -65,14 +65,14 @@
     @property
     def tried(self) -> set[InstanceId]:
         """The servers that are not tried again: those that may have run it or refused it."""
-        return self.ran_at | self.refused_by
+        return self.may_have_run_on | self.refused_by
 
-    def begin_round(self) -> None:
+    def reset_refusals(self) -> None:
         """Has all servers that did not run it tried again."""
         self.refused_by.clear()
         self.reasons.clear()
 
-    async def close_unused(self, used: WholeResponse | OpenResponse | None) -> None:
+    async def close_unused(self, used: WholeResponse | StreamedResponse | None) -> None:
         """Ends the calls whose responses are not used, as another one came first.
 
         All of them are ended, also if the request is cancelled meanwhile.
@@ -84,10 +84,10 @@
 
     def record_may_have_run(self, instance: InstanceId) -> None:
         """Records that a server may have run it, also while that is not known yet."""
-        self.ran_at.add(instance)
+        self.may_have_run_on.add(instance)
 
     def record_not_run(self, instance: InstanceId, reason: NotRunReason) -> None:
         """Records that a server certainly did not run it."""
-        self.ran_at.discard(instance)
+        self.may_have_run_on.discard(instance)
         self.refused_by.add(instance)
         self.reasons.add(reason)
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -27,19 +27,19 @@
 from larkpost.gateway.proxy.candidate_order import CandidateOrder
 from larkpost.gateway.proxy.instance_use import (
     FORGET_SECONDS,
-    PACE_WEIGHT,
+    SERVICE_TIME_WEIGHT,
     InstanceUse,
-    OwnUse,
+    LocalUse,
 )
-from larkpost.gateway.proxy.paces import Paces
-from larkpost.gateway.proxy.peer_use import PeerUses
-from larkpost.gateway.proxy.server_pool import LEAST_OPEN, Look, ServerPool
+from larkpost.gateway.proxy.peer_use import PeerUsage
+from larkpost.gateway.proxy.server_pool import MIN_OPEN_INSTANCES, CandidatePool, ServerPool
+from larkpost.gateway.proxy.service_time_tracker import ServiceTimeTracker
 from larkpost.gateway.proxy.subset import DaemonSubsets
 from larkpost.gateway.servers.port import NotRunError, NotRunReason, ServerLoad
 
 UNREACHABLE_AVOID_SECONDS = 1.0
 """For so long an instance is a last resort that did not run a request, unless it was full."""
-NOT_ASKED_REASONS = (
+NOT_SENT_REASONS = (
     NotRunReason.COLD,
     NotRunReason.EVACUATED,
     NotRunReason.OUTSIDE_REGIONS,
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BalancerSources:
+class BalancerDependencies:
     """What a balancer asks about instances besides their use.
 
     Attributes:
@@ -86,19 +86,21 @@
         directory: InstanceDirectory,
         clock: Clock,
         rng: random.Random,
-        sources: BalancerSources | None = None,
+        sources: BalancerDependencies | None = None,
     ) -> None:
-        sources = sources or BalancerSources()
+        sources = sources or BalancerDependencies()
         self._directory = directory
         self._clock = clock
         self._placement = sources.placement or Placement(directory)
         self._cold = sources.cold
         self._regions = sources.regions or RegionMap()
-        self._own = OwnUse(directory, clock)
-        self._peers = PeerUses(clock)
-        self.paces = Paces(directory, clock, self._own, self._peers)
+        self._own = LocalUse(directory, clock)
+        self._peers = PeerUsage(clock)
+        self.service_times = ServiceTimeTracker(directory, clock, self._own, self._peers)
         self._pool = ServerPool(directory, clock, rng, sources.subsets)
-        self._order = CandidateOrder(self, clock, rng, sources.is_connected, self.paces.has_latency)
+        self._order = CandidateOrder(
+            self, clock, rng, sources.is_connected, self.service_times.has_latency
+        )
         self._forget_at = float("-inf")
         self._release_listeners: list[Callable[[InstanceId], None]] = []
 
@@ -109,7 +111,7 @@
 
     def use(self, instance: InstanceId) -> InstanceUse:
         """Returns the record of this daemon's use of an instance."""
-        return self._own.of(instance)
+        return self._own.record_for(instance)
 
     # The choice.
 
@@ -136,26 +138,26 @@
             within: the only instances of a large service to look at; None for any.
         """
 
-        def is_fitting(info: InstanceInfo) -> bool:
+        def is_candidate(info: InstanceInfo) -> bool:
             return (
                 info.id not in exclude
                 and (eligible is None or eligible(info))
                 and self._placement.allows(info, work)
             )
 
-        look = self.look(service, work, within)
-        fitting = [info for info in look.instances if is_fitting(info)]
-        if look.is_partial and not any(self._may_take_now(info) for info in fitting):
-            further = self._pool.look_further(service, look)
-            fitting += [info for info in further if is_fitting(info)]
-        if look.is_partial and not fitting:
-            found = self._search(service, work, within, look).instances
-            fitting = [info for info in found if is_fitting(info)]
+        candidate_pool = self.candidate_pool(service, work, within)
+        fitting = [info for info in candidate_pool.instances if is_candidate(info)]
+        if candidate_pool.is_partial and not any(self._may_take_now(info) for info in fitting):
+            further = self._pool.extend_pool(service, candidate_pool)
+            fitting += [info for info in further if is_candidate(info)]
+        if candidate_pool.is_partial and not fitting:
+            found = self._find_open(service, work, within, candidate_pool).instances
+            fitting = [info for info in found if is_candidate(info)]
         return self._order.ranked(service, fitting, for_client=for_client)
 
-    def look(
+    def candidate_pool(
         self, service: ServiceName, work: Work, within: frozenset[InstanceId] | None = None
-    ) -> Look:
+    ) -> CandidatePool:
         """Returns the instances of a service that a choice for a piece of work looks at.
 
         `LEAST_OPEN` of them at least are open to the work, if there are as many that are.
@@ -163,25 +165,25 @@
         Args:
             within: the only instances of a large service to look at; None for any.
         """
-        look = self._pool.look(service, work, within)
-        if not look.is_partial:
-            return look
-        are_open = (info for info in look.instances if self._is_open(info, work))
-        if len(list(islice(are_open, LEAST_OPEN))) == LEAST_OPEN:
-            return look
-        return self._search(service, work, within, look)
+        candidate_pool = self._pool.candidate_pool(service, work, within)
+        if not candidate_pool.is_partial:
+            return candidate_pool
+        are_open = (info for info in candidate_pool.instances if self._is_open(info, work))
+        if len(list(islice(are_open, MIN_OPEN_INSTANCES))) == MIN_OPEN_INSTANCES:
+            return candidate_pool
+        return self._find_open(service, work, within, candidate_pool)
 
     def subset_sizes(self) -> dict[ServiceName, int]:
         """Returns how many instances of each large service this daemon's requests go to."""
         return self._pool.subset_sizes()
 
-    def has_place(self, info: InstanceInfo) -> bool:
+    def has_free_slot(self, info: InstanceInfo) -> bool:
         """Returns whether an instance is believed to have a free place.
 
         One that refused is asked with a single request at a time until it takes one: while it
         loads weights it refuses all that come, however few it has.
         """
-        if self._own.is_probed(info.id):
+        if self._own.was_probed_recently(info.id):
             return False
         return self.occupied(info) < max(1, info.slots)
 
@@ -199,21 +201,23 @@
 
     def occupied(self, info: InstanceInfo) -> int:
         """Returns the requests believed to be at an instance, this daemon's and others'."""
-        use = self._own.of(info.id)
+        use = self._own.record_for(info.id)
         if self._own.has_recent_load(info.id):
-            return use.outstanding + use.others
+            return use.outstanding + use.peer_requests
         return use.outstanding + self._peers.requests(info.id)
 
-    def pace(self, instance: InstanceId) -> float:
+    def service_time(self, instance: InstanceId) -> float:
         """Returns the seconds a short request takes at an instance now; 0 if not known lately."""
-        return self.paces.at_this_moment(instance)
+        return self.service_times.current(instance)
 
     def verdicts(
         self, service: ServiceName, work: Work = CLIENT_WORK
     ) -> dict[PlacementDecision, int]:
         """Returns how many instances of those looked at get each verdict; for the log."""
         return dict(
-            Counter(self._verdict(info, work) for info in self.look(service, work).instances)
+            Counter(
+                self._verdict(info, work) for info in self.candidate_pool(service, work).instances
+            )
         )
 
     def is_outside_regions(self, service: ServiceName, work: Work) -> bool:
@@ -239,13 +243,13 @@
     # Requests in flight.
 
     @contextmanager
-    def placed(self, instance: InstanceId) -> Iterator[None]:
+    def count_request(self, instance: InstanceId) -> Iterator[None]:
         """Counts a request while it is at an instance; if it did not run, no place came free."""
         self.occupy(instance)
         try:
             yield
         except NotRunError:
-            self._own.of(instance).outstanding -= 1
+            self._own.record_for(instance).outstanding -= 1
             raise
         except BaseException:
             self.release(instance)
@@ -259,7 +263,7 @@
 
     def release(self, instance: InstanceId) -> None:
         """Ends the count of a request at an instance."""
-        self._own.of(instance).outstanding -= 1
+        self._own.record_for(instance).outstanding -= 1
         for listener in self._release_listeners:
             listener(instance)
 
@@ -275,7 +279,7 @@
 
     def record_load(self, instance: InstanceId, load: ServerLoad | None) -> None:
         """Records that an instance responds, and the load that it reported, if any."""
-        self._own.of(instance).is_refusing = False
+        self._own.record_for(instance).is_refusing = False
         if load is not None:
             self._own.record_load(instance, load)
 
@@ -284,21 +288,21 @@
         if self._cold is not None:
             self._cold.record(instance, left)
 
-    def record_pace(
-        self, instance: InstanceId, seconds: float, weight: float = PACE_WEIGHT
+    def record_service_time(
+        self, instance: InstanceId, seconds: float, weight: float = SERVICE_TIME_WEIGHT
     ) -> None:
         """Records the time that a unit of work took at an instance.
 
         Args:
             weight: share of this measurement in the smoothed pace.
         """
-        self._own.record_pace(instance, seconds, weight)
+        self._own.record_service_time(instance, seconds, weight)
 
     def record_response(self, info: InstanceInfo, seconds: float) -> None:
         """Records the time from a client's request to its whole response."""
-        self.record_pace(info.id, seconds)
-        self.paces.record_response(info.id, seconds)
-        self._own.of(info.id).response_at = self._clock.now()
+        self.record_service_time(info.id, seconds)
+        self.service_times.record_response(info.id, seconds)
+        self._own.record_for(info.id).response_at = self._clock.now()
         self._order.record_response(info, seconds)
 
     def avoid(self, instance: InstanceId, seconds: float) -> None:
@@ -313,20 +317,24 @@
         Args:
             full_seconds: how long to avoid it if it was full.
         """
-        if reason in NOT_ASKED_REASONS:
+        if reason in NOT_SENT_REASONS:
             return  # it was not asked at all, and may have room for other work
         if reason is NotRunReason.REPLACED:
             self._directory.mark_replaced(instance)
         is_full = reason is NotRunReason.FULL
-        self._own.of(instance).is_refusing = is_full
+        self._own.record_for(instance).is_refusing = is_full
         self.avoid(instance, full_seconds if is_full else UNREACHABLE_AVOID_SECONDS)
 
-    def _search(
-        self, service: ServiceName, work: Work, within: frozenset[InstanceId] | None, look: Look
-    ) -> Look:
+    def _find_open(
+        self,
+        service: ServiceName,
+        work: Work,
+        within: frozenset[InstanceId] | None,
+        candidate_pool: CandidatePool,
+    ) -> CandidatePool:
         """Returns instances open to the work, of all that might have been looked at."""
-        return self._pool.search(
-            service, work, within, look, lambda info: self._is_open(info, work)
+        return self._pool.find_open(
+            service, work, within, candidate_pool, lambda info: self._is_open(info, work)
         )
 
     def _is_open(self, info: InstanceInfo, work: Work) -> bool:
@@ -335,7 +343,7 @@
         return verdict.is_allowed or verdict is PlacementDecision.COLD
 
     def _may_take_now(self, info: InstanceInfo) -> bool:
-        return not self.is_avoided(info.id) and self.has_place(info)
+        return not self.is_avoided(info.id) and self.has_free_slot(info)
 
     def _verdict(self, info: InstanceInfo, work: Work) -> PlacementDecision:
         verdict = self._placement.evaluate(info, work)
@@ -353,4 +361,4 @@
         self._forget_at = now + FORGET_SECONDS
         self._own.forget_unused(now)
         self._peers.forget_old(now)
-        self.paces.forget_old(now)
+        self.service_times.forget_old(now)
--- a/src/larkpost/gateway/proxy/candidate_order.py
+++ b/src/larkpost/gateway/proxy/candidate_order.py
@@ -16,7 +16,7 @@
 from larkpost.gateway.proxy.ranking import Candidate, connection_factor, rank
 
 
-class Beliefs(Protocol):
+class InstanceEstimates(Protocol):
     """What is believed of instances; see the balancer."""
 
     def is_avoided(self, instance: InstanceId) -> bool:
@@ -31,7 +31,7 @@
     def occupied(self, info: InstanceInfo) -> int:
         """Returns the requests believed to be at an instance."""
 
-    def pace(self, instance: InstanceId) -> float:
+    def service_time(self, instance: InstanceId) -> float:
         """Returns the seconds a short request takes at an instance now; 0 if not known lately."""
 
 
@@ -45,13 +45,13 @@
 
     def __init__(
         self,
-        beliefs: Beliefs,
+        estimates: InstanceEstimates,
         clock: Clock,
         rng: random.Random,
         is_connected: Callable[[InstanceInfo], bool],
         has_latency: Callable[[InstanceId], bool],
     ) -> None:
-        self._beliefs = beliefs
+        self._estimates = estimates
         self._chance = rng
         self._is_connected = is_connected
         self._has_latency = has_latency
@@ -59,30 +59,35 @@
 
     def record_response(self, info: InstanceInfo, seconds: float) -> None:
         """Records the time from a client's request to its whole response."""
-        self._latency.record(info.service, self._beliefs.distance(info), seconds)
+        self._latency.record(info.service, self._estimates.distance(info), seconds)
 
     def ranked(
         self, service: ServiceName, fitting: list[InstanceInfo], *, for_client: bool
     ) -> list[InstanceInfo]:
         """Returns the instances that work may go to, the best first."""
-        beliefs = self._beliefs
+        estimates = self._estimates
         factors = self._latency_factors(service, fitting) if for_client else {}
-        paces = {info.id: self._local_pace(info.id, factors.get(info.id, 1.0)) for info in fitting}
+        service_times = {
+            info.id: self._local_service_time(info.id, factors.get(info.id, 1.0))
+            for info in fitting
+        }
         candidates = [
             Candidate(
                 info,
-                is_avoided=beliefs.is_avoided(info.id),
-                is_cold=beliefs.is_cold(info),
-                occupied=beliefs.occupied(info),
-                pace=paces[info.id],
+                is_avoided=estimates.is_avoided(info.id),
+                is_cold=estimates.is_cold(info),
+                occupied=estimates.occupied(info),
+                service_time=service_times[info.id],
                 latency_factor=factors.get(info.id, 1.0),
                 connection_factor=self._connection_factor(info) if for_client else 1.0,
                 tie_break=self._chance.random(),
             )
             for info in fitting
         ]
-        best_pace = min((pace for pace in paces.values() if pace), default=0.0)
-        return rank(candidates, best_pace)
+        best_service_time = min(
+            (service_time for service_time in service_times.values() if service_time), default=0.0
+        )
+        return rank(candidates, best_service_time)
 
     def _latency_factors(
         self, service: ServiceName, fitting: list[InstanceInfo]
@@ -91,15 +96,16 @@
 
         Only instances that are farther than it are named.
         """
-        beliefs = self._beliefs
-        distances = {info.id: beliefs.distance(info) for info in fitting}
+        estimates = self._estimates
+        distances = {info.id: estimates.distance(info) for info in fitting}
         if len(set(distances.values())) < 2:
             return {}
         nearest = min(
             (
                 distances[info.id]
                 for info in fitting
-                if not beliefs.is_avoided(info.id) and beliefs.occupied(info) < max(1, info.slots)
+                if not estimates.is_avoided(info.id)
+                and estimates.occupied(info) < max(1, info.slots)
             ),
             default=Distance.OTHER_REGION,
         )
@@ -109,10 +115,10 @@
             if distance > nearest
         }
 
-    def _local_pace(self, instance: InstanceId, latency_factor: float) -> float:
+    def _local_service_time(self, instance: InstanceId, latency_factor: float) -> float:
         """Returns an instance's pace, without the latency if this daemon measured it in."""
         has_latency = self._has_latency(instance)
-        return self._beliefs.pace(instance) / (latency_factor if has_latency else 1.0)
+        return self._estimates.service_time(instance) / (latency_factor if has_latency else 1.0)
 
     def _connection_factor(self, info: InstanceInfo) -> float:
         return connection_factor(is_connected=self._is_connected(info))
--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -12,12 +12,12 @@
 
 from larkpost.gateway.blackboard.daemon_report import Flow, FlowGroup
 from larkpost.gateway.fairness.ledger import FlowLedger
-from larkpost.gateway.fairness.share_rule import GroupShares, Standing, allocate_engines
-from larkpost.gateway.proxy.forecast import is_late_anyway
-from larkpost.gateway.proxy.places import Places
+from larkpost.gateway.fairness.share_rule import FlowShare, GroupShares, allocate_engines
+from larkpost.gateway.proxy.forecast import would_miss_objective
+from larkpost.gateway.proxy.slot_counting import SlotCounts
 from larkpost.gateway.proxy.waiter import Waiter
 
-MOST_HOLD_SECONDS = 0.2
+MAX_HOLD_SECONDS = 0.2
 """How long a request lets those of other daemons go first before it tries once: ten of their polls,
 so that these come first, and not so long that a free place is missed by old news."""
 
@@ -27,12 +27,12 @@
     """Where a request stands among those for its service; the least comes first."""
 
     key: tuple[int, bool, bool, bool, float, float]
-    standing: Standing | None
+    flow_share: FlowShare | None
 
     @property
-    def is_over(self) -> bool:
+    def is_over_share(self) -> bool:
         """Whether the request is beyond its flow's share."""
-        return self.standing is not None and self.standing.is_over
+        return self.flow_share is not None and self.flow_share.is_over_share
 
 
 class FairOrder:
@@ -42,31 +42,33 @@
         self._ledger = ledger
         self._now = now
         self._shares: dict[tuple[FlowGroup, int], GroupShares] = {}
-        self._standings: dict[tuple[Flow, int], Standing] = {}
+        self._flow_shares: dict[tuple[Flow, int], FlowShare] = {}
 
-    def rank(self, waiter: Waiter, places: Places) -> Rank:
+    def rank(self, waiter: Waiter, slot_counts: SlotCounts) -> Rank:
         """Returns where a request stands."""
-        standing = self._standing(waiter, places)
+        flow_share = self._flow_share(waiter, slot_counts)
         key = (
             waiter.priority,
-            standing is not None and standing.is_over,
-            not waiter.is_back,
-            is_late_anyway(places, waiter.limits, self._now),
-            waiter.limits.end_at,
+            flow_share is not None and flow_share.is_over_share,
+            not waiter.is_retry,
+            would_miss_objective(slot_counts, waiter.deadlines, self._now),
+            waiter.deadlines.expires_at,
             waiter.since,
         )
-        return Rank(key, standing)
+        return Rank(key, flow_share)
 
-    def _standing(self, waiter: Waiter, places: Places) -> Standing | None:
+    def _flow_share(self, waiter: Waiter, slot_counts: SlotCounts) -> FlowShare | None:
         """Returns where a request's flow stands; None if shares do not matter for the request."""
-        if waiter.is_passed or places.are_mostly_free:
+        if waiter.is_share_exempt or slot_counts.is_mostly_free:
             return None
-        known = (waiter.flow, places.free)
-        standing = self._standings.get(known)
-        if standing is None:
-            standing = self._shares_of(waiter.flow.group, places.free).standing(waiter.flow)
-            self._standings[known] = standing
-        return standing
+        known = (waiter.flow, slot_counts.free)
+        flow_share = self._flow_shares.get(known)
+        if flow_share is None:
+            flow_share = self._shares_of(waiter.flow.group, slot_counts.free).flow_share(
+                waiter.flow
+            )
+            self._flow_shares[known] = flow_share
+        return flow_share
 
     def _shares_of(self, group: FlowGroup, free: int) -> GroupShares:
         """Returns the shares of a group's flows while so many places are free."""
@@ -76,7 +78,7 @@
         return self._shares[known]
 
 
-class Turns:
+class AttemptPermits:
     """The turns that are given out at one moment to requests for one kind of work.
 
     One request tries even if no place is believed free, as the requests of other daemons end
@@ -97,10 +99,10 @@
         Behind one that lets others go first no less urgent one may try: it would take their place.
         Those that are beyond their shares too, and have been held for long, may.
         """
-        if rank.is_over and self._is_held(waiter):
+        if rank.is_over_share and self._is_held(waiter):
             self._is_yielding = True
             return False
-        if self._left <= 0 or (self._is_yielding and not rank.is_over):
+        if self._left <= 0 or (self._is_yielding and not rank.is_over_share):
             return False
         self._left -= 1
         waiter.held_since = None
@@ -110,4 +112,4 @@
         """Returns whether a request beyond its share lets others go first at the moment."""
         if waiter.held_since is None:
             waiter.held_since = self._now
-        return self._now - waiter.held_since < MOST_HOLD_SECONDS
+        return self._now - waiter.held_since < MAX_HOLD_SECONDS
--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -9,18 +9,18 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from larkpost.gateway.proxy.places import Places
+from larkpost.gateway.proxy.slot_counting import SlotCounts
 
-LEAST_SHARE_OF_PACE = 0.5
+MIN_SERVICE_TIME_SHARE = 0.5
 """A request may need half of what requests take: the smallest of a service do, and a refusal that
 was not necessary costs more than an attempt in vain."""
-LEAST_RETRY_SECONDS = 0.05
+MIN_RETRY_SECONDS = 0.05
 """A caller that comes back sooner meets the same state: the loads known are as old."""
-MOST_RETRY_SECONDS = 1.0
+MAX_RETRY_SECONDS = 1.0
 """Nothing is forecast further ahead: reported loads and paces are used for about a second."""
-NO_PLACE_RETRY_SECONDS = 0.5
+NO_SLOT_RETRY_SECONDS = 0.5
 """When to come back to a service without any place: entries of instances take about that long."""
-HEEDED_SHARE = 1 / 3
+MAX_RETRY_SHARE = 1 / 3
 """Callers wait at most this share of the time that they have left before they come back."""
 MILLISECONDS = 1000
 """Retry times are whole milliseconds, and at least one."""
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class Deadlines:
     """The times of one request, on the steady clock.
 
     Attributes:
@@ -45,8 +45,8 @@
     """
 
     objective_at: float
-    end_at: float
-    usual_pace: float
+    expires_at: float
+    default_service_time: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,20 +62,20 @@
     expectation: Expectation
     wait: float
     retry_after: float
-    pace: float
+    service_time: float
 
     @property
-    def is_hopeless(self) -> bool:
+    def is_infeasible(self) -> bool:
         """Whether it will not be served."""
         return self.expectation is Expectation.NOT_AT_ALL
 
 
 def make_forecast(
-    places: Places,
-    limits: Limits,
+    slot_counts: SlotCounts,
+    deadlines: Deadlines,
     now: float,
     ahead: int = 0,
-    blocked_for: float = 0.0,
+    blocked_seconds: float = 0.0,
     share_wait: float = 0.0,
 ) -> Forecast:
     """Returns the forecast of one request.
@@ -86,43 +86,49 @@
             as long again, whatever the paces say.
         share_wait: seconds until its tenant's share has room for it.
     """
-    pace = places.pace or limits.usual_pace
-    wait = max(share_wait, _wait(places, pace, ahead, blocked_for))
-    is_untried = places.run_few_requests and not ahead and not blocked_for
-    if _is_hopeless(places, limits, now, wait + pace * LEAST_SHARE_OF_PACE, is_untried):
+    service_time = slot_counts.service_time or deadlines.default_service_time
+    wait = max(share_wait, _wait(slot_counts, service_time, ahead, blocked_seconds))
+    is_untried = slot_counts.has_few_running and not ahead and not blocked_seconds
+    if _is_infeasible(
+        slot_counts, deadlines, now, wait + service_time * MIN_SERVICE_TIME_SHARE, is_untried
+    ):
         expectation = Expectation.NOT_AT_ALL
-    elif now + wait + pace <= limits.objective_at:
+    elif now + wait + service_time <= deadlines.objective_at:
         expectation = Expectation.IN_TIME
     else:
         expectation = Expectation.LATE
-    told = retry_after(wait, limits.end_at - now)
-    return Forecast(expectation, wait, told, pace if places.total else 0.0)
+    told = retry_after(wait, deadlines.expires_at - now)
+    return Forecast(expectation, wait, told, service_time if slot_counts.total else 0.0)
 
 
-def forecast_unreachable(limits: Limits, now: float) -> Forecast:
+def forecast_for_unreachable(deadlines: Deadlines, now: float) -> Forecast:
     """Returns the forecast of a request that reached no server, though it was sent to all."""
-    wait = NO_PLACE_RETRY_SECONDS
-    told = retry_after(wait, limits.end_at - now)
-    return Forecast(Expectation.NOT_AT_ALL, wait, told, pace=0.0)
+    wait = NO_SLOT_RETRY_SECONDS
+    told = retry_after(wait, deadlines.expires_at - now)
+    return Forecast(Expectation.NOT_AT_ALL, wait, told, service_time=0.0)
 
 
-def is_late_anyway(places: Places, limits: Limits, now: float) -> bool:
+def would_miss_objective(slot_counts: SlotCounts, deadlines: Deadlines, now: float) -> bool:
     """Returns whether a request would be late even if it got a place now."""
-    return now + (places.pace or limits.usual_pace) > limits.objective_at
+    return (
+        now + (slot_counts.service_time or deadlines.default_service_time) > deadlines.objective_at
+    )
 
 
-def _wait(places: Places, pace: float, ahead: int, blocked_for: float) -> float:
+def _wait(
+    slot_counts: SlotCounts, service_time: float, ahead: int, blocked_seconds: float
+) -> float:
     """Returns the seconds until a place comes free, at the rate at which requests end."""
-    if not places.total:
-        return NO_PLACE_RETRY_SECONDS
-    missing = places.taken + ahead + 1 - places.total
-    if missing <= 0 or places.are_mostly_free:
+    if not slot_counts.total:
+        return NO_SLOT_RETRY_SECONDS
+    missing = slot_counts.taken + ahead + 1 - slot_counts.total
+    if missing <= 0 or slot_counts.is_mostly_free:
         return 0.0
-    return max(blocked_for, missing * pace / places.total)
+    return max(blocked_seconds, missing * service_time / slot_counts.total)
 
 
-def _is_hopeless(
-    places: Places, limits: Limits, now: float, least: float, is_untried: bool
+def _is_infeasible(
+    slot_counts: SlotCounts, deadlines: Deadlines, now: float, least: float, is_untried: bool
 ) -> bool:
     """Returns whether a request that takes ``least`` seconds or more will not be served.
 
@@ -130,23 +136,23 @@
         is_untried: whether few places have a request and none was found closed lately: one attempt
             in vain costs less than a refusal for nothing.
     """
-    if now >= limits.end_at or not places.total:
+    if now >= deadlines.expires_at or not slot_counts.total:
         return True
-    if places.are_mostly_free or is_untried:
+    if slot_counts.is_mostly_free or is_untried:
         return False
-    return now + least > limits.end_at
+    return now + least > deadlines.expires_at
 
 
 def retry_after(wait: float, time_left: float) -> float:
     """Returns the seconds after which to come back, so that enough of the caller's time is left."""
-    return whole_milliseconds(min(max(LEAST_RETRY_SECONDS, wait), most_retry(time_left)))
+    return floor_to_milliseconds(min(max(MIN_RETRY_SECONDS, wait), max_retry_delay(time_left)))
 
 
-def most_retry(time_left: float) -> float:
+def max_retry_delay(time_left: float) -> float:
     """Returns the most seconds after which a caller with so much time left should come back."""
-    return min(MOST_RETRY_SECONDS, time_left * HEEDED_SHARE)
+    return min(MAX_RETRY_SECONDS, time_left * MAX_RETRY_SHARE)
 
 
-def whole_milliseconds(seconds: float) -> float:
+def floor_to_milliseconds(seconds: float) -> float:
     """Returns a time as callers are told it: rounded down to milliseconds, and at least one."""
     return max(1, math.floor(seconds * MILLISECONDS)) / MILLISECONDS
--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -20,34 +20,34 @@
 from larkpost.gateway.blackboard.configuration import Route, RouteKind
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.proxy.attempts import Attempts
-from larkpost.gateway.proxy.large_answer import FollowedBody
+from larkpost.gateway.proxy.forwarder_dependencies import ForwarderDependencies
 from larkpost.gateway.proxy.outcomes import Outcomes
-from larkpost.gateway.proxy.parts import ForwarderParts
-from larkpost.gateway.proxy.request import ClientRequest, OpenResponse, WholeResponse
-from larkpost.gateway.proxy.retry import is_false_promise, max_servers
+from larkpost.gateway.proxy.request import ClientRequest, StreamedResponse, WholeResponse
+from larkpost.gateway.proxy.request_scheduler import RequestScheduler
+from larkpost.gateway.proxy.retry import implies_not_run, max_servers
 from larkpost.gateway.proxy.server_attempt import ServerAttempt
 from larkpost.gateway.proxy.server_choice import ServerChoice
-from larkpost.gateway.proxy.turn_gate import TurnGate
+from larkpost.gateway.proxy.streamed_body import StreamedBody
 from larkpost.gateway.servers.port import BrokenResponseError, NotRunError, ServerResponse
 
-Response = WholeResponse | OpenResponse
+Response = WholeResponse | StreamedResponse
 
 
 class Forwarder:
     """Forwards requests to the servers of their route's service."""
 
-    def __init__(self, parts: ForwarderParts) -> None:
-        self._clock = parts.clock
-        self._gate = TurnGate(parts)
-        self._choice = ServerChoice(parts, self._gate)
-        self._outcomes = Outcomes(parts)
-        self._attempt = ServerAttempt(parts, self._gate, self._outcomes)
-        parts.balancer.add_release_listener(self._gate.record_released)
+    def __init__(self, dependencies: ForwarderDependencies) -> None:
+        self._clock = dependencies.clock
+        self._scheduler = RequestScheduler(dependencies)
+        self._choice = ServerChoice(dependencies, self._scheduler)
+        self._outcomes = Outcomes(dependencies)
+        self._attempt = ServerAttempt(dependencies, self._scheduler, self._outcomes)
+        dependencies.balancer.add_release_listener(self._scheduler.record_released)
 
     @property
     def waiting(self) -> int:
         """The requests that wait for a place."""
-        return self._gate.waiting
+        return self._scheduler.waiting
 
     async def forward(self, request: ClientRequest, route: Route) -> Response:
         """Returns a server's response: whole, or open if it is too large to be held.
@@ -58,11 +58,11 @@
             RequestFailedError: it may have run.
             RequestTimeoutError: its time is over.
         """
-        attempts, must_wait = self._gate.begin(request, route)
+        attempts, must_wait = self._scheduler.begin(request, route)
         response = None
         try:
-            async with asyncio.timeout_at(attempts.waiter.limits.end_at):
-                if await self._gate.may_try(attempts, must_wait=must_wait):
+            async with asyncio.timeout_at(attempts.waiter.deadlines.expires_at):
+                if await self._scheduler.wait_for_admission(attempts, must_wait=must_wait):
                     response = await self._forward_by_kind(attempts)
         except TimeoutError:
             raise self._outcomes.failure(attempts, timed_out=True) from None
@@ -70,8 +70,8 @@
             await attempts.close_unused(response)
         if response is None:
             raise self._outcomes.failure(attempts, timed_out=False)
-        if isinstance(response, OpenResponse):
-            rest = FollowedBody(response, attempts, self._outcomes, self._clock)
+        if isinstance(response, StreamedResponse):
+            rest = StreamedBody(response, attempts, self._outcomes, self._clock)
             return replace(response, rest=rest)
         self._outcomes.record_done(attempts, response.status)
         return response
@@ -86,8 +86,8 @@
             RequestFailedError: it may have run.
             RequestTimeoutError: no response began in its time; it may have run.
         """
-        attempts, must_wait = self._gate.begin(request, route)
-        if not await self._gate.may_try(attempts, must_wait=must_wait):
+        attempts, must_wait = self._scheduler.begin(request, route)
+        if not await self._scheduler.wait_for_admission(attempts, must_wait=must_wait):
             raise self._outcomes.failure(attempts, timed_out=False)
         while True:
             instance = await self._next_server(attempts)
@@ -95,13 +95,13 @@
                 raise self._outcomes.failure(attempts, timed_out=False)
             try:
                 async with (
-                    asyncio.timeout_at(attempts.waiter.limits.end_at) as limit,
+                    asyncio.timeout_at(attempts.waiter.deadlines.expires_at) as limit,
                     self._attempt.open(instance, attempts) as response,
                 ):
                     limit.reschedule(None)  # from here on the client decides
                     self._outcomes.record_started(request, self._clock.now())
                     attempts.record_may_have_run(instance.id)
-                    if is_false_promise(response.status, route.kind):
+                    if implies_not_run(response.status, route.kind):
                         raise BrokenResponseError(f"status {response.status} of a run")
                     self._outcomes.record_forecast_served(attempts, response.status)
                     yield response
@@ -126,7 +126,7 @@
             instance = self._choice.choose(attempts)
             if instance is not None:
                 return instance
-            if not await self._gate.may_try(attempts, must_wait=True):
+            if not await self._scheduler.wait_for_admission(attempts, must_wait=True):
                 return None
 
     async def _forward_once(self, attempts: Attempts) -> Response | None:
@@ -137,8 +137,8 @@
             if instance is None:
                 return None
             response = await self._attempt.make(instance, attempts)
-            if response is not None or len(attempts.ran_at) >= most:
-                return response or attempts.last
+            if response is not None or len(attempts.may_have_run_on) >= most:
+                return response or attempts.last_failure
 
     async def _forward_repeatable(self, attempts: Attempts) -> Response | None:
         """Sends a request to one server after another, a second one early if the first is slow."""
@@ -146,16 +146,20 @@
         running: set[asyncio.Task] = set()
         try:
             while True:
-                instance = self._choice.choose(attempts) if len(attempts.ran_at) < most else None
+                instance = (
+                    self._choice.choose(attempts) if len(attempts.may_have_run_on) < most else None
+                )
                 if instance is not None:
                     # Until it is known not to have run, the attempt counts as one that may have.
                     attempts.record_may_have_run(instance.id)
                     running.add(asyncio.create_task(self._attempt.make(instance, attempts)))
                 elif not running:
-                    if attempts.ran_at or not await self._gate.may_try(attempts, must_wait=True):
-                        return attempts.last
+                    if attempts.may_have_run_on or not await self._scheduler.wait_for_admission(
+                        attempts, must_wait=True
+                    ):
+                        return attempts.last_failure
                     continue
-                may_hedge = len(attempts.ran_at) < most
+                may_hedge = len(attempts.may_have_run_on) < most
                 delay = self._choice.hedge_delay(attempts) if may_hedge else None
                 done, running = await asyncio.wait(
                     running, timeout=delay, return_when=asyncio.FIRST_COMPLETED
--- a/src/larkpost/gateway/proxy/parts.py
+++ b/src/larkpost/gateway/proxy/forwarder_dependencies.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.proxy.balancer import Balancer
-from larkpost.gateway.proxy.shares import ShareChooser
+from larkpost.gateway.proxy.service_selection import ServiceSelector
 from larkpost.gateway.quarantine.trial_claims import TrialClaims
 from larkpost.gateway.servers.port import ServerPort
 from larkpost.gateway.usage.counter import UsageCounter
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ForwarderParts:
+class ForwarderDependencies:
     """The parts of a daemon that a forwarder works with.
 
     Attributes:
@@ -46,7 +46,7 @@
     clock: Clock
     log: EventLog
     metrics: Metrics
-    shares: ShareChooser
+    service_selector: ServiceSelector
     usage: UsageCounter | None = None
     priority_of: PriorityOf = route_priority
     crashes: KnownCrashes = field(default_factory=KnownCrashes)
--- a/src/larkpost/gateway/proxy/outcomes.py
+++ b/src/larkpost/gateway/proxy/outcomes.py
@@ -9,9 +9,9 @@
 from larkpost.gateway.observability.eventlog import Event
 from larkpost.gateway.observability.metrics import Count, Timing
 from larkpost.gateway.proxy.attempts import Attempts, QuarantineState
-from larkpost.gateway.proxy.parts import ForwarderParts
+from larkpost.gateway.proxy.forwarder_dependencies import ForwarderDependencies
 from larkpost.gateway.proxy.request import ClientRequest
-from larkpost.gateway.proxy.retry import LEAST_ERROR_STATUS, Unserved, final_error
+from larkpost.gateway.proxy.retry import MIN_ERROR_STATUS, UnservedRequest, final_error
 from larkpost.gateway.servers.port import NotRunError
 
 FULL_AVOID_SECONDS = 0.05
@@ -27,12 +27,12 @@
 class Outcomes:
     """Records the outcomes of client requests."""
 
-    def __init__(self, parts: ForwarderParts) -> None:
-        self._balancer = parts.balancer
-        self._clock = parts.clock
-        self._log = parts.log
-        self._metrics = parts.metrics
-        self._usage = parts.usage
+    def __init__(self, dependencies: ForwarderDependencies) -> None:
+        self._balancer = dependencies.balancer
+        self._clock = dependencies.clock
+        self._log = dependencies.log
+        self._metrics = dependencies.metrics
+        self._usage = dependencies.usage
 
     def record_started(self, request: ClientRequest, at: float) -> None:
         """Counts a run at a server for its tenant; one that may have begun counts as well."""
@@ -61,11 +61,11 @@
             reason=reason,
         )
 
-    def record_overtaken(self, instance: InstanceInfo, attempts: Attempts, started: float) -> None:
+    def record_cancelled(self, instance: InstanceInfo, attempts: Attempts, started: float) -> None:
         """Records an attempt that was cancelled: its server is slower than it then had time for."""
         attempts.record_may_have_run(instance.id)
         elapsed = self._clock.now() - started
-        self._balancer.record_pace(instance.id, elapsed)
+        self._balancer.record_service_time(instance.id, elapsed)
         if elapsed > attempts.route.objective:
             self._balancer.avoid(instance.id, SILENT_AVOID_SECONDS)
 
@@ -88,22 +88,22 @@
             status=status,
             held=round(held, 3),
             forecast=attempts.first_forecast.expectation,
-            tried=sorted(attempts.ran_at),
+            tried=sorted(attempts.may_have_run_on),
             refused_by=sorted(attempts.refused_by),
         )
 
     def record_forecast_served(self, attempts: Attempts, status: int) -> None:
         """Counts what became of a forecast whose request a server has responded to."""
-        in_time = self._clock.now() <= attempts.waiter.limits.objective_at
+        in_time = self._clock.now() <= attempts.waiter.deadlines.objective_at
         outcome = "in_time" if in_time else "late"
-        self._count_forecast(attempts, NOT_SERVED if status >= LEAST_ERROR_STATUS else outcome)
+        self._count_forecast(attempts, NOT_SERVED if status >= MIN_ERROR_STATUS else outcome)
 
     def failure(self, attempts: Attempts, *, timed_out: bool) -> LarkpostError:
         """Returns the error that a request ends in, and records it."""
         request, route = attempts.request, attempts.route
         error = final_error(
-            Unserved(
-                may_have_run=bool(attempts.ran_at),
+            UnservedRequest(
+                may_have_run=bool(attempts.may_have_run_on),
                 is_quarantined=attempts.quarantine is QuarantineState.QUARANTINED,
                 is_timed_out=timed_out,
                 retry_after=attempts.forecast.retry_after,
@@ -120,7 +120,7 @@
             held=round(self._clock.now() - request.received_at, 3),
             forecast=attempts.first_forecast.expectation,
             expected_wait=round(attempts.forecast.wait, 3),
-            tried=sorted(attempts.ran_at),
+            tried=sorted(attempts.may_have_run_on),
             refused_by=sorted(attempts.refused_by),
             verdicts=self._balancer.verdicts(attempts.waiter.service, attempts.waiter.work),
         )
--- a/src/larkpost/gateway/proxy/peer_use.py
+++ b/src/larkpost/gateway/proxy/peer_use.py
@@ -9,7 +9,7 @@
 
 PEER_LIFETIME_SECONDS = 1.2
 """How long the requests that another daemon reported are counted."""
-PEER_PACE_LIFETIME_SECONDS = 12.0
+PEER_SERVICE_TIME_LIFETIME_SECONDS = 12.0
 """How long a pace that another daemon reported is used. Longer than one's own, as it is used only
 where there is none of one's own."""
 
@@ -25,11 +25,11 @@
     """
 
     requests: int
-    pace: float
+    service_time: float
     at: float
 
 
-class PeerUses:
+class PeerUsage:
     """The reports of all other daemons, by instance."""
 
     def __init__(self, clock: Clock) -> None:
@@ -46,16 +46,16 @@
         Of instances that it uses no longer, the paces are kept for a while.
         """
         now = self._clock.now()
-        for instance, (requests, pace) in summary.items():
-            self._peers.setdefault(instance, {})[daemon] = PeerUse(requests, pace, now)
+        for instance, (requests, service_time) in summary.items():
+            self._peers.setdefault(instance, {})[daemon] = PeerUse(requests, service_time, now)
         for instance, peers in list(self._peers.items()):
             known = peers.get(daemon)
             if known is None or instance in summary:
                 continue
-            if now - known.at > PEER_PACE_LIFETIME_SECONDS:
+            if now - known.at > PEER_SERVICE_TIME_LIFETIME_SECONDS:
                 del peers[daemon]
             elif known.requests:
-                peers[daemon] = PeerUse(0, known.pace, known.at)
+                peers[daemon] = PeerUse(0, known.service_time, known.at)
             if not peers:
                 del self._peers[instance]
 
@@ -68,13 +68,13 @@
             if now - peer.at < PEER_LIFETIME_SECONDS
         )
 
-    def pace(self, instance: InstanceId) -> float:
+    def service_time(self, instance: InstanceId) -> float:
         """Returns the newest reported pace in seconds; 0 if none was reported lately."""
         now = self._clock.now()
         reported = [
-            (peer.at, peer.pace)
+            (peer.at, peer.service_time)
             for peer in self._peers.get(instance, {}).values()
-            if peer.pace and now - peer.at < PEER_PACE_LIFETIME_SECONDS
+            if peer.service_time and now - peer.at < PEER_SERVICE_TIME_LIFETIME_SECONDS
         ]
         return max(reported, default=(0.0, 0.0))[1]
 
--- a/src/larkpost/gateway/proxy/shared_paces.py
+++ b/src/larkpost/gateway/proxy/reported_service_times.py
@@ -10,9 +10,9 @@
 from larkpost.common.ids import DaemonId, InstanceId
 from larkpost.gateway.blackboard.directory import InstanceDirectory
 
-SHARED_PACE_SECONDS = 180.0
+REPORT_LIFETIME_SECONDS = 180.0
 """How long a reported pace is used."""
-FRESH_SECONDS = 4.0
+FRESH_REPORT_SECONDS = 4.0
 """How long a reported pace counts before what one has measured oneself earlier."""
 MAX_REPORTERS = 5
 """Daemons whose pace of one instance is kept, those that reported last: enough for a median that
@@ -31,7 +31,7 @@
     seconds: float
 
 
-class SharedPaces:
+class ReportedServiceTimes:
     """The newest reports on each instance."""
 
     def __init__(self, directory: InstanceDirectory, clock: Clock) -> None:
@@ -43,19 +43,19 @@
     def __len__(self) -> int:
         return len(self._reported)
 
-    def record(self, daemon: DaemonId, paces: dict[InstanceId, float]) -> None:
+    def record(self, daemon: DaemonId, service_times: dict[InstanceId, float]) -> None:
         """Records what a daemon reports; of instances that are not listed here, nothing."""
-        for instance, seconds in paces.items():
+        for instance, seconds in service_times.items():
             if seconds > 0 and self._directory.get(instance) is not None:
                 self._keep(instance, daemon, seconds)
 
     def fresh(self, instance: InstanceId) -> float:
         """Returns the median of what was reported in the last seconds; 0 if nothing was."""
-        return self._median(instance, FRESH_SECONDS)
+        return self._median(instance, FRESH_REPORT_SECONDS)
 
-    def pace(self, instance: InstanceId) -> float:
+    def service_time(self, instance: InstanceId) -> float:
         """Returns the median of what was reported of an instance, in seconds; 0 if nothing was."""
-        return self._median(instance, SHARED_PACE_SECONDS)
+        return self._median(instance, REPORT_LIFETIME_SECONDS)
 
     def _median(self, instance: InstanceId, lifetime: float) -> float:
         now = self._clock.now()
@@ -69,7 +69,7 @@
     def forget_old(self, now: float) -> None:
         """Drops what is used no longer."""
         for instance, reports in list(self._reported.items()):
-            if now - max(reports.values()).at >= SHARED_PACE_SECONDS:
+            if now - max(reports.values()).at >= REPORT_LIFETIME_SECONDS:
                 del self._reported[instance]
 
     def _keep(self, instance: InstanceId, daemon: DaemonId, seconds: float) -> None:
--- a/src/larkpost/gateway/proxy/request.py
+++ b/src/larkpost/gateway/proxy/request.py
@@ -85,7 +85,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OpenResponse:
+class StreamedResponse:
     """A server's response that is too large to be held whole; leaving it ends the call.
 
     Attributes:
@@ -98,13 +98,13 @@
 
     status: int
     headers: Headers
-    begun: deque[bytes]
+    buffered: deque[bytes]
     rest: AsyncIterator[bytes]
     reservation: Reservation
     call: AsyncExitStack
     instance: InstanceInfo | None = None
 
-    async def __aenter__(self) -> "OpenResponse":
+    async def __aenter__(self) -> "StreamedResponse":
         return self
 
     async def __aexit__(self, *error: object) -> None:
--- a/src/larkpost/gateway/proxy/answer_body.py
+++ b/src/larkpost/gateway/proxy/response_body.py
@@ -6,7 +6,7 @@
 from larkpost.gateway.memory.budget import Reservation
 
 
-async def collect(
+async def read_until_limit(
     chunks: AsyncIterator[bytes], reservation: Reservation
 ) -> tuple[deque[bytes], bool]:
     """Reads a body; returns what was read, and whether that is all of it.
@@ -17,21 +17,21 @@
     Raises:
         BrokenResponseError: the body broke off.
     """
-    begun: deque[bytes] = deque()
+    buffered: deque[bytes] = deque()
     try:
         async for chunk in chunks:
             is_share = reservation.fits_answer_limit(len(chunk))
             reservation.force_grow(len(chunk))
-            begun.append(chunk)
+            buffered.append(chunk)
             if not is_share:
-                return begun, False
+                return buffered, False
     except BaseException:
         reservation.release()
         raise
-    return begun, True
+    return buffered, True
 
 
-def joined(chunks: deque[bytes]) -> bytes | bytearray:
+def join_chunks(chunks: deque[bytes]) -> bytes | bytearray:
     """Joins the chunks of a body and drops each as it goes, so that no body is held twice."""
     if len(chunks) <= 1:
         return chunks.popleft() if chunks else b""
--- a/src/larkpost/gateway/proxy/retry.py
+++ b/src/larkpost/gateway/proxy/retry.py
@@ -16,9 +16,9 @@
     RequestTimeoutError,
 )
 
-LEAST_ERROR_STATUS = 500
+MIN_ERROR_STATUS = 500
 """From this status on a response is a server's failure, and another server may do better."""
-LEAST_STATUS_NOT_SUCCESS = 300
+MIN_NON_SUCCESS_STATUS = 300
 """Below this status a response is a success; it counts only with the server's signature, as
 anything else on the way may respond with one as well."""
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
@@ -37,21 +37,21 @@
     return max_attempts
 
 
-def response_failure(status: int, *, is_signed: bool) -> str | None:
+def failure_reason(status: int, *, is_signed: bool) -> str | None:
     """Returns why a whole response is not passed on while others may be had; None if it is."""
-    if status < LEAST_STATUS_NOT_SUCCESS and not is_signed:
+    if status < MIN_NON_SUCCESS_STATUS and not is_signed:
         return "a success without a signature"
-    if status >= LEAST_ERROR_STATUS:
+    if status >= MIN_ERROR_STATUS:
         return f"status {status}"
     return None
 
 
-def is_last_resort(status: int, *, is_signed: bool) -> bool:
+def is_fallback(status: int, *, is_signed: bool) -> bool:
     """Returns whether a failed response is passed on if no better one comes."""
-    return status >= LEAST_ERROR_STATUS and is_signed
+    return status >= MIN_ERROR_STATUS and is_signed
 
 
-def is_false_promise(status: int, kind: RouteKind) -> bool:
+def implies_not_run(status: int, kind: RouteKind) -> bool:
     """Returns whether a response would promise that its request did not run, though it may have.
 
     A server that did not run a request says so in a header of its own, and gives no response then.
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unserved:
+class UnservedRequest:
     """A request that ends without a response, and all that its error depends on.
 
     Attributes:
@@ -77,7 +77,7 @@
     retry_after: float
 
 
-def final_error(unserved: Unserved) -> LarkpostError:
+def final_error(unserved: UnservedRequest) -> LarkpostError:
     """Returns the error in which a request ends that gets no response."""
     if not unserved.may_have_run and unserved.is_quarantined:
         return QuarantinedError(
--- a/src/larkpost/gateway/proxy/spread_returns.py
+++ b/src/larkpost/gateway/proxy/retry_spreading.py
@@ -9,32 +9,32 @@
 
 from larkpost.common.clock import Clock
 from larkpost.gateway.fairness.ledger import FlowLedger
-from larkpost.gateway.fairness.return_times import ReturnTimes
+from larkpost.gateway.fairness.retry_schedule import RetrySchedule
 from larkpost.gateway.proxy.forecast import (
-    LEAST_RETRY_SECONDS,
+    MIN_RETRY_SECONDS,
     Forecast,
-    most_retry,
-    whole_milliseconds,
+    floor_to_milliseconds,
+    max_retry_delay,
 )
 from larkpost.gateway.proxy.waiter import Waiter
 
-LEAST_RUNNING = 1
+MIN_RUNNING = 1
 """Requests that a daemon without any is taken to get served at a time."""
 
 
-class SpreadReturns:
+class RetrySpreader:
     """The times at which refused callers come back."""
 
     def __init__(self, clock: Clock, rng: random.Random, ledger: FlowLedger) -> None:
         self._clock = clock
         self._ledger = ledger
-        self._times = ReturnTimes(clock, rng)
+        self._times = RetrySchedule(clock, rng)
 
     def spread(self, waiter: Waiter, forecast: Forecast) -> Forecast:
         """Returns the forecast of a refused request with a time of its own to come back."""
-        most = most_retry(waiter.limits.end_at - self._clock.now())
-        line = waiter.flow if waiter.has_yielded else waiter.flow.group
-        wanted = max(LEAST_RETRY_SECONDS, forecast.wait)
-        spacing = forecast.pace / max(LEAST_RUNNING, self._ledger.own_running(waiter.service))
-        told = self._times.book(line, wanted, spacing, max(0.0, most))
-        return replace(forecast, retry_after=whole_milliseconds(told))
+        most = max_retry_delay(waiter.deadlines.expires_at - self._clock.now())
+        queue = waiter.flow if waiter.was_over_share else waiter.flow.group
+        wanted = max(MIN_RETRY_SECONDS, forecast.wait)
+        spacing = forecast.service_time / max(MIN_RUNNING, self._ledger.own_running(waiter.service))
+        told = self._times.reserve(queue, wanted, spacing, max(0.0, most))
+        return replace(forecast, retry_after=floor_to_milliseconds(told))
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -9,13 +9,13 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.blackboard.known_crashes import CLIENT_CRASH_LIMIT
 from larkpost.gateway.memory.budget import MemoryPurpose
-from larkpost.gateway.proxy.answer_body import collect, joined
 from larkpost.gateway.proxy.attempts import Attempts
+from larkpost.gateway.proxy.forwarder_dependencies import ForwarderDependencies
 from larkpost.gateway.proxy.outcomes import Outcomes
-from larkpost.gateway.proxy.parts import ForwarderParts
-from larkpost.gateway.proxy.request import OpenResponse, WholeResponse
-from larkpost.gateway.proxy.retry import is_false_promise, is_last_resort, response_failure
-from larkpost.gateway.proxy.turn_gate import TurnGate
+from larkpost.gateway.proxy.request import StreamedResponse, WholeResponse
+from larkpost.gateway.proxy.request_scheduler import RequestScheduler
+from larkpost.gateway.proxy.response_body import join_chunks, read_until_limit
+from larkpost.gateway.proxy.retry import failure_reason, implies_not_run, is_fallback
 from larkpost.gateway.servers.port import (
     BrokenResponseError,
     NotRunError,
@@ -23,23 +23,25 @@
     ServerResponse,
 )
 
-LEAST_TIME_LEFT_SECONDS = 0.001
+MIN_TIME_LEFT_SECONDS = 0.001
 """What a server is told at least that is left of a request's time."""
 
 
 class ServerAttempt:
     """Makes attempts at single servers."""
 
-    def __init__(self, parts: ForwarderParts, gate: TurnGate, outcomes: Outcomes) -> None:
-        self._balancer = parts.balancer
-        self._servers = parts.servers
-        self._clock = parts.clock
-        self._gate = gate
+    def __init__(
+        self, dependencies: ForwarderDependencies, scheduler: RequestScheduler, outcomes: Outcomes
+    ) -> None:
+        self._balancer = dependencies.balancer
+        self._servers = dependencies.servers
+        self._clock = dependencies.clock
+        self._scheduler = scheduler
         self._outcomes = outcomes
 
     async def make(
         self, instance: InstanceInfo, attempts: Attempts
-    ) -> WholeResponse | OpenResponse | None:
+    ) -> WholeResponse | StreamedResponse | None:
         """Tries one server; None if it gave no response that the client should get now."""
         started = self._clock.now()
         try:
@@ -54,13 +56,13 @@
         except asyncio.CancelledError:
             # Its time is over or another response came first; the server may have run it.
             self._outcomes.record_started(attempts.request, started)
-            self._outcomes.record_overtaken(instance, attempts, started)
+            self._outcomes.record_cancelled(instance, attempts, started)
             raise
         self._outcomes.record_started(attempts.request, started)
         attempts.record_may_have_run(instance.id)
         self._balancer.record_response(instance, self._clock.now() - started)
         judged = self._judge(instance, attempts, response, is_signed=is_signed)
-        if judged is None and isinstance(response, OpenResponse):
+        if judged is None and isinstance(response, StreamedResponse):
             await response.abandon()
         return judged
 
@@ -75,15 +77,15 @@
             BrokenResponseError: it may have run.
         """
         outgoing = self._outgoing(instance, attempts)
-        with self._balancer.placed(instance.id), self._gate.running(attempts.waiter):
+        with self._balancer.count_request(instance.id), self._scheduler.running(attempts.waiter):
             async with self._servers.send(instance, outgoing) as response:
-                self._gate.record_taken(attempts.waiter)
+                self._scheduler.record_slot_found(attempts.waiter)
                 self._balancer.record_cold(instance.id, response.cold_left)
                 yield response
 
     async def _exchange(
         self, instance: InstanceInfo, attempts: Attempts
-    ) -> tuple[WholeResponse | OpenResponse, bool]:
+    ) -> tuple[WholeResponse | StreamedResponse, bool]:
         """Returns a server's response, and whether the server signed it."""
         async with AsyncExitStack() as call:
             response = await call.enter_async_context(self.open(instance, attempts))
@@ -91,13 +93,15 @@
             is_signed = response.signature is not None
             reservation = attempts.request.memory.reserve(MemoryPurpose.ANSWERS)
             chunks = response.chunks()
-            begun, is_whole = await collect(chunks, reservation)
+            buffered, is_whole = await read_until_limit(chunks, reservation)
             if is_whole:
-                return WholeResponse(response.status, response.headers, joined(begun)), is_signed
-            opened = OpenResponse(
+                return WholeResponse(
+                    response.status, response.headers, join_chunks(buffered)
+                ), is_signed
+            opened = StreamedResponse(
                 response.status,
                 response.headers,
-                begun,
+                buffered,
                 chunks,
                 reservation,
                 call.pop_all(),
@@ -110,23 +114,23 @@
         self,
         instance: InstanceInfo,
         attempts: Attempts,
-        response: WholeResponse | OpenResponse,
+        response: WholeResponse | StreamedResponse,
         *,
         is_signed: bool,
-    ) -> WholeResponse | OpenResponse | None:
+    ) -> WholeResponse | StreamedResponse | None:
         """Returns a response if it is to be passed on now, and records it if it is not."""
-        if is_false_promise(response.status, attempts.route.kind):
+        if implies_not_run(response.status, attempts.route.kind):
             reason = f"status {response.status} of a run"
             self._outcomes.record_broken(instance, attempts, reason)
             return None
-        failure = response_failure(response.status, is_signed=is_signed)
+        failure = failure_reason(response.status, is_signed=is_signed)
         if failure is None:
             self._outcomes.record_response(instance)
             return response
         self._outcomes.record_broken(instance, attempts, failure)
         is_held = isinstance(response, WholeResponse)  # a failure that is not is given up
-        if is_held and is_last_resort(response.status, is_signed=is_signed):
-            attempts.last = response
+        if is_held and is_fallback(response.status, is_signed=is_signed):
+            attempts.last_failure = response
         return None
 
     def _outgoing(self, instance: InstanceInfo, attempts: Attempts) -> OutgoingRequest:
@@ -140,7 +144,7 @@
         """
         request = attempts.request
         is_repeatable = attempts.route.kind is RouteKind.IDEMPOTENT
-        time_left = attempts.waiter.limits.end_at - self._clock.now()
+        time_left = attempts.waiter.deadlines.expires_at - self._clock.now()
         return OutgoingRequest(
             request_id=request.request_id,
             method=request.method,
@@ -148,7 +152,7 @@
             target=request.target,
             headers=request.headers,
             body=request.body,
-            time_left=max(LEAST_TIME_LEFT_SECONDS, time_left),
+            time_left=max(MIN_TIME_LEFT_SECONDS, time_left),
             fresh_connection=not is_repeatable,
             repeat_if_silent=is_repeatable,
             tenant=request.tenant,
--- a/src/larkpost/gateway/proxy/server_pool.py
+++ b/src/larkpost/gateway/proxy/server_pool.py
@@ -20,24 +20,24 @@
 from larkpost.gateway.placement.work import Work, WorkKind
 from larkpost.gateway.proxy.subset import DaemonSubsets
 
-ALL_LOOKED_AT = 64
+MAX_UNSAMPLED_INSTANCES = 64
 """A service of so many instances or fewer is looked at as a whole."""
-LOOKED_AT = 40
+POOL_SIZE = 40
 """Instances of a larger one that a choice looks at."""
-LOOKED_FURTHER = 12
+POOL_EXTENSION_SIZE = 12
 """Others that it looks at if none of those has a place. Of a dozen drawn at random one has, unless
 nearly all are full."""
-LEAST_OPEN = 4
+MIN_OPEN_INSTANCES = 4
 """Instances open to the work that a choice looks at, if there are as many: with fewer, all of them
 may have been tried or be full while others could serve."""
 SEARCH_LIFETIME_SECONDS = 0.25
 """How long it is believed which instances a search of a whole service has found."""
-KEPT_SORTED_SETS = 64
+SORTED_IDS_CACHE_SIZE = 64
 """Sets of instances of which the sorted ids are kept."""
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class CandidatePool:
     """The instances that a choice looks at.
 
     Attributes:
@@ -47,12 +47,12 @@
 
     instances: list[InstanceInfo]
     total: int
-    possible: Sequence[InstanceId] = ()
+    population: Sequence[InstanceId] = ()
 
     @property
     def is_partial(self) -> bool:
         """Whether there are others that may be looked at."""
-        return len(self.possible) > len(self.instances)
+        return len(self.population) > len(self.instances)
 
     @property
     def scale(self) -> float:
@@ -78,7 +78,7 @@
 """The service, the work, and the only instances that were searched."""
 
 
-@lru_cache(maxsize=KEPT_SORTED_SETS)
+@lru_cache(maxsize=SORTED_IDS_CACHE_SIZE)
 def _sorted_ids(instances: frozenset[InstanceId]) -> tuple[InstanceId, ...]:
     return tuple(sorted(instances))
 
@@ -103,9 +103,9 @@
         self._subsets = subsets
         self._searches: dict[_SearchKey, _Search] = {}
 
-    def look(
+    def candidate_pool(
         self, service: ServiceName, work: Work, within: frozenset[InstanceId] | None = None
-    ) -> Look:
+    ) -> CandidatePool:
         """Returns the instances that a choice for a piece of work looks at.
 
         Args:
@@ -113,29 +113,31 @@
         """
         index = self._directory.index
         listed = index.ids(service)
-        if len(listed) <= ALL_LOOKED_AT:
-            return Look(list(index.entries(service)), len(listed))
+        if len(listed) <= MAX_UNSAMPLED_INSTANCES:
+            return CandidatePool(list(index.entries(service)), len(listed))
         if work.kind is WorkKind.ITEM:
             drawn_from = self._for_items(service, work, within)
-            drawn = self._draw(service, drawn_from, LOOKED_AT)
-            return Look(drawn, len(drawn_from), drawn_from)
+            drawn = self._draw(service, drawn_from, POOL_SIZE)
+            return CandidatePool(drawn, len(drawn_from), drawn_from)
         own = self._subsets.ids(service, index) if self._subsets is not None else listed
-        return Look(self._draw(service, own, LOOKED_AT), len(listed), listed)
+        return CandidatePool(self._draw(service, own, POOL_SIZE), len(listed), listed)
 
-    def look_further(self, service: ServiceName, look: Look) -> list[InstanceInfo]:
+    def extend_pool(
+        self, service: ServiceName, candidate_pool: CandidatePool
+    ) -> list[InstanceInfo]:
         """Returns some of the others."""
-        seen = {info.id for info in look.instances}
-        drawn = self._draw(service, look.possible, LOOKED_FURTHER)
+        seen = {info.id for info in candidate_pool.instances}
+        drawn = self._draw(service, candidate_pool.population, POOL_EXTENSION_SIZE)
         return [info for info in drawn if info.id not in seen]
 
-    def search(
+    def find_open(
         self,
         service: ServiceName,
         work: Work,
         within: frozenset[InstanceId] | None,
-        look: Look,
+        candidate_pool: CandidatePool,
         is_wanted: Callable[[InstanceInfo], bool],
-    ) -> Look:
+    ) -> CandidatePool:
         """Returns instances that are wanted, found by looking at all if need be; seldom anew.
 
         Args:
@@ -145,12 +147,12 @@
         key = (service, work, within)
         known = self._searches.get(key)
         if known is None or now - known.at >= SEARCH_LIFETIME_SECONDS:
-            known = self._find(service, look.possible, is_wanted)
+            known = self._find(service, candidate_pool.population, is_wanted)
             self._forget_searches(now)
             self._searches[key] = known
         index = self._directory.index
         found = [info for name in known.ids if (info := index.get(service, name)) is not None]
-        return Look(found, round(len(found) * known.scale))
+        return CandidatePool(found, round(len(found) * known.scale))
 
     def _find(
         self,
@@ -166,7 +168,7 @@
             judged += 1
             if is_wanted(info):
                 found.append(info.id)
-            if len(found) == LOOKED_AT:
+            if len(found) == POOL_SIZE:
                 break
         return _Search(self._clock.now(), found, len(in_no_order) / max(1, judged))
 
@@ -185,7 +187,7 @@
         return {
             service: len(self._subsets.ids(service, index))
             for service in index.services()
-            if len(index.ids(service)) > ALL_LOOKED_AT
+            if len(index.ids(service)) > MAX_UNSAMPLED_INSTANCES
         }
 
     def _for_items(
--- a/src/larkpost/gateway/proxy/lasting_pace.py
+++ b/src/larkpost/gateway/proxy/service_time_history.py
@@ -14,11 +14,11 @@
 
 SLICE_SECONDS = 0.25
 """Measurements of so long a time count as one: a burst must not count by how many runs it meets."""
-SLICES = 12
+MAX_SLICES = 12
 """Slices that are kept, at most: three seconds of a server in constant use."""
-LEAST_SLICES = 2
+MIN_SLICES = 2
 """Slices before a pace is known: one may lie in a burst as a whole."""
-QUICK_SHARE = 0.3
+LOW_QUANTILE = 0.3
 """The slice of this rank, from the quickest, is the sustained pace. So bursts in up to two thirds
 of the slices are passed over, and so is a single one that was too quick."""
 SLICE_LIFETIME_SECONDS = 60.0
@@ -26,13 +26,13 @@
 SUSTAINED_SECONDS = 4.0
 """How long a sustained pace is believed after the last measurement; then the usual one counts, so
 that a server that was ill for a while is tried again."""
-ILL_RATIO = 1.25
+DEGRADED_RATIO = 1.25
 """Ratio of the sustained to the usual pace from which a server counts as ill."""
-USUAL_SECONDS = 180.0
+BASELINE_LIFETIME_SECONDS = 180.0
 """How long the usual pace is believed after the last measurement."""
-FALL_SHARE = 0.3
+FALL_WEIGHT = 0.3
 """Share of a slice in the usual pace if it was quicker."""
-RISE_SHARE = 0.004
+RISE_WEIGHT = 0.004
 """The same if it was slower: about a minute of slowness until it counts as usual."""
 
 
@@ -67,7 +67,7 @@
         return self.corrected / self.count
 
 
-class PaceHistory:
+class ServiceTimeHistory:
     """What this daemon's own requests have shown of the pace of one incarnation.
 
     Attributes:
@@ -77,7 +77,7 @@
     def __init__(self) -> None:
         self.measured_at = float("-inf")
         self._open: _Slice | None = None
-        self._closed: deque[_Slice] = deque(maxlen=SLICES)
+        self._closed: deque[_Slice] = deque(maxlen=MAX_SLICES)
         self._sustained = 0.0
         self._usual = 0.0
         self._usual_at = float("-inf")
@@ -98,23 +98,23 @@
         self._open.add(seconds, self._without_slowness(seconds, slowness))
         self.measured_at = now
 
-    def pace(self, now: float) -> float:
+    def service_time(self, now: float) -> float:
         """Returns the lasting pace as it is believed now; 0 if it is not known.
 
         It is the sustained pace while the server is measured, and its usual one afterwards.
         """
         if self.is_measured(now):
             return self._sustained
-        return self._usual if now - self.measured_at < USUAL_SECONDS else 0.0
+        return self._usual if now - self.measured_at < BASELINE_LIFETIME_SECONDS else 0.0
 
     def is_measured(self, now: float) -> bool:
         """Returns whether the pace is the sustained one, of the last seconds."""
         return now - self.measured_at < SUSTAINED_SECONDS and bool(self._sustained)
 
     @property
-    def was_ill(self) -> bool:
+    def was_degraded(self) -> bool:
         """Whether the server was much slower than usual when it was last measured."""
-        return self._sustained > ILL_RATIO * self._usual
+        return self._sustained > DEGRADED_RATIO * self._usual
 
     def recent(self, now: float) -> float:
         """Returns what a unit of work took in the last whole slice; 0 if that is long ago."""
@@ -124,18 +124,18 @@
     def _close(self, closed: _Slice) -> None:
         self._drop_slices(closed.began_at)
         self._closed.append(closed)
-        if len(self._closed) < LEAST_SLICES:
+        if len(self._closed) < MIN_SLICES:
             return
-        self._sustained = quick_mean(slice_.corrected_mean for slice_ in self._closed)
-        self._usual = usual_pace(self._usual, self._sustained)
+        self._sustained = low_quantile(slice_.corrected_mean for slice_ in self._closed)
+        self._usual = smooth_baseline(self._usual, self._sustained)
         self._usual_at = closed.began_at
 
     def _forget_old(self, now: float) -> None:
         """Forgets paces of long ago, which one new measurement must not make new."""
         self._drop_slices(now)
-        if len(self._closed) < LEAST_SLICES:
+        if len(self._closed) < MIN_SLICES:
             self._sustained = 0.0
-        if now - self._usual_at >= USUAL_SECONDS:
+        if now - self._usual_at >= BASELINE_LIFETIME_SECONDS:
             self._usual = 0.0
 
     def _drop_slices(self, now: float) -> None:
@@ -149,13 +149,13 @@
         return without_slowness(seconds, slowness, min(means), max(means))
 
 
-def quick_mean(means: Iterable[float]) -> float:
+def low_quantile(means: Iterable[float]) -> float:
     """Returns the value of rank `QUICK_SHARE` among some, from the least; 0 if there are none."""
     ordered = sorted(means)
-    return ordered[int(QUICK_SHARE * (len(ordered) - 1))] if ordered else 0.0
+    return ordered[int(LOW_QUANTILE * (len(ordered) - 1))] if ordered else 0.0
 
 
-def usual_pace(usual: float, sustained: float) -> float:
+def smooth_baseline(usual: float, sustained: float) -> float:
     """Returns the usual pace after one more slice; it falls quickly and rises slowly.
 
     Args:
@@ -164,7 +164,7 @@
     """
     if not usual:
         return sustained
-    share = FALL_SHARE if sustained < usual else RISE_SHARE
+    share = FALL_WEIGHT if sustained < usual else RISE_WEIGHT
     return usual + share * (sustained - usual)
 
 
--- a/src/larkpost/gateway/proxy/paces.py
+++ b/src/larkpost/gateway/proxy/service_time_tracker.py
@@ -9,12 +9,12 @@
 from larkpost.common.clock import Clock
 from larkpost.common.ids import DaemonId, InstanceId
 from larkpost.gateway.blackboard.directory import InstanceDirectory
-from larkpost.gateway.proxy.instance_use import OwnUse, SpeedFigures
-from larkpost.gateway.proxy.lasting_pace import PaceHistory
-from larkpost.gateway.proxy.peer_use import PeerUses
-from larkpost.gateway.proxy.shared_paces import SharedPaces
+from larkpost.gateway.proxy.instance_use import LocalUse, SpeedStats
+from larkpost.gateway.proxy.peer_use import PeerUsage
+from larkpost.gateway.proxy.reported_service_times import ReportedServiceTimes
+from larkpost.gateway.proxy.service_time_history import ServiceTimeHistory
 
-MAX_REPORTED_PACES = 8
+MAX_REPORTED_SERVICE_TIMES = 8
 """Paces in one heartbeat, those of different instances by turns: it is listed by hundreds."""
 RECOVERY_SECONDS = 12.0
 """For so long after its last measurement the usual pace of a server that was ill is reported, so
@@ -24,65 +24,65 @@
 """Decimal places of a pace in seconds as it is reported: a tenth of a millisecond."""
 
 
-class Paces:
+class ServiceTimeTracker:
     """The paces of all instances, as far as they are known here."""
 
     def __init__(
-        self, directory: InstanceDirectory, clock: Clock, own: OwnUse, peers: PeerUses
+        self, directory: InstanceDirectory, clock: Clock, own: LocalUse, peers: PeerUsage
     ) -> None:
         self._directory = directory
         self._clock = clock
         self._own = own
         self._peers = peers
-        self._shared = SharedPaces(directory, clock)
+        self._shared = ReportedServiceTimes(directory, clock)
         self._reported: list[InstanceId] = []
         """The instances that were reported, the one whose turn comes first in front."""
 
     # What is known.
 
-    def at_this_moment(self, instance: InstanceId) -> float:
+    def current(self, instance: InstanceId) -> float:
         """Returns the seconds that a short request takes now; 0 if that is not known."""
-        figures = self._own.figures(instance)
-        if figures is None or not figures.slowness.is_said:
+        speed_stats = self._own.speed_stats(instance)
+        if speed_stats is None or not speed_stats.slowness.has_reports:
             return self._smoothed(instance)
         now = self._clock.now()
-        lasting = self._known_lasting(instance, figures.responses)
-        return lasting * figures.slowness.factor(now) or self._smoothed(instance)
+        lasting = self._known_lasting(instance, speed_stats.responses)
+        return lasting * speed_stats.slowness.factor(now) or self._smoothed(instance)
 
     def has_latency(self, instance: InstanceId) -> bool:
         """Returns whether the pace of this moment is of this daemon's own responses.
 
         Such a pace has the network's latency in it.
         """
-        figures = self._own.figures(instance)
-        if figures is None or not figures.slowness.is_said:
+        speed_stats = self._own.speed_stats(instance)
+        if speed_stats is None or not speed_stats.slowness.has_reports:
             return self._own.has_recent_response(instance)
-        if not self._known_lasting(instance, figures.responses):
+        if not self._known_lasting(instance, speed_stats.responses):
             return self._own.has_recent_response(instance)
-        return self._is_own_best(instance, figures.responses)
+        return self._is_own_best(instance, speed_stats.responses)
 
     def lasting(self, instance: InstanceId) -> float:
         """Returns the seconds that an event of an item takes, bursts taken out; 0 if not known."""
-        figures = self._own.figures(instance)
-        history = figures.events if figures is not None else None
+        speed_stats = self._own.speed_stats(instance)
+        history = speed_stats.events if speed_stats is not None else None
         return self._known_lasting(instance, history) or self._smoothed(instance)
 
     def recent(self, engine: InstanceId) -> float:
         """Returns what an event took here in the last quarter of a second; 0 if not measured."""
-        figures = self._own.figures(engine)
-        return figures.events.recent(self._clock.now()) if figures is not None else 0.0
+        speed_stats = self._own.speed_stats(engine)
+        return speed_stats.events.recent(self._clock.now()) if speed_stats is not None else 0.0
 
     # What requests show.
 
     def record_response(self, instance: InstanceId, seconds: float) -> None:
         """Records what the whole response to a short request took."""
-        figures = self._own.figures_to_record(instance)
-        self._record(figures, figures.responses, seconds)
+        speed_stats = self._own.ensure_speed_stats(instance)
+        self._record(speed_stats, speed_stats.responses, seconds)
 
     def record_event(self, engine: InstanceId, seconds: float) -> None:
         """Records what an event of an item took."""
-        figures = self._own.figures_to_record(engine)
-        self._record(figures, figures.events, seconds)
+        speed_stats = self._own.ensure_speed_stats(engine)
+        self._record(speed_stats, speed_stats.events, seconds)
 
     # What daemons report to each other.
 
@@ -93,61 +93,61 @@
         turn = [name for name in measured if name not in earlier] + list(earlier)
         report: dict[InstanceId, float] = {}
         for name in turn:
-            if len(report) == MAX_REPORTED_PACES:
+            if len(report) == MAX_REPORTED_SERVICE_TIMES:
                 break
-            pace = self._own_pace(name)
-            if pace is not None:
-                report[name] = pace
+            service_time = self._reportable_service_time(name)
+            if service_time is not None:
+                report[name] = service_time
         self._reported = [name for name in earlier if name not in report] + list(report)
         return report
 
-    def record_report(self, daemon: DaemonId, paces: dict[InstanceId, float]) -> None:
+    def record_report(self, daemon: DaemonId, service_times: dict[InstanceId, float]) -> None:
         """Records the paces that another daemon reports."""
-        self._shared.record(daemon, paces)
+        self._shared.record(daemon, service_times)
 
     def forget_old(self, now: float) -> None:
         """Drops reports that are used no longer."""
         self._shared.forget_old(now)
 
-    def _known_lasting(self, instance: InstanceId, history: PaceHistory | None) -> float:
+    def _known_lasting(self, instance: InstanceId, history: ServiceTimeHistory | None) -> float:
         """Returns a lasting pace: what is measured now, here or elsewhere, and then what was."""
         if history is not None and self._is_own_best(instance, history):
-            return history.pace(self._clock.now())
-        return self._shared.fresh(instance) or self._shared.pace(instance)
+            return history.service_time(self._clock.now())
+        return self._shared.fresh(instance) or self._shared.service_time(instance)
 
-    def _is_own_best(self, instance: InstanceId, history: PaceHistory) -> bool:
+    def _is_own_best(self, instance: InstanceId, history: ServiceTimeHistory) -> bool:
         """Returns whether what was measured here counts before what others report."""
         now = self._clock.now()
         if history.is_measured(now):
             return True
-        return bool(history.pace(now)) and not self._shared.fresh(instance)
+        return bool(history.service_time(now)) and not self._shared.fresh(instance)
 
     def _smoothed(self, instance: InstanceId) -> float:
         """Returns one's own smoothed pace, which counts before what the others report."""
-        if self._own.has_recent_pace(instance):
-            return self._own.of(instance).pace
-        return self._peers.pace(instance)
+        if self._own.has_recent_service_time(instance):
+            return self._own.record_for(instance).service_time
+        return self._peers.service_time(instance)
 
-    def _own_pace(self, instance: InstanceId) -> float | None:
+    def _reportable_service_time(self, instance: InstanceId) -> float | None:
         """Returns an instance's pace as it is reported; None if it is not to be.
 
         Where items and short requests go to the same server, it is that of the items.
         """
-        figures = self._own.figures(instance)
-        if figures is None or not self._directory.accepts_work(instance):
+        speed_stats = self._own.speed_stats(instance)
+        if speed_stats is None or not self._directory.accepts_work(instance):
             return None
         now = self._clock.now()
-        for history in (figures.events, figures.responses):
+        for history in (speed_stats.events, speed_stats.responses):
             if is_reported(history, now):
-                return round(history.pace(now), REPORTED_DIGITS)
+                return round(history.service_time(now), REPORTED_DIGITS)
         return None
 
-    def _record(self, figures: SpeedFigures, history: PaceHistory, seconds: float) -> None:
+    def _record(self, speed_stats: SpeedStats, history: ServiceTimeHistory, seconds: float) -> None:
         now = self._clock.now()
-        history.record(now, seconds, figures.slowness.factor(now))
+        history.record(now, seconds, speed_stats.slowness.factor(now))
 
 
-def is_reported(history: PaceHistory, now: float) -> bool:
+def is_reported(history: ServiceTimeHistory, now: float) -> bool:
     """Returns whether a pace is reported: what is measured, and that an illness may be over."""
-    is_recovery = history.was_ill and now - history.measured_at < RECOVERY_SECONDS
+    is_recovery = history.was_degraded and now - history.measured_at < RECOVERY_SECONDS
     return history.is_measured(now) or is_recovery
--- a/src/larkpost/gateway/proxy/share_record.py
+++ b/src/larkpost/gateway/proxy/share_record.py
@@ -15,7 +15,7 @@
 
     HELD = "held"  # it let others go first, and then tried
     REFUSED = "refused"
-    PASSED = "passed"  # it was let through, as few of its flow are served
+    EXEMPTED = "passed"  # it was let through, as few of its flow are served
 
 
 class ShareRecord:
@@ -30,9 +30,9 @@
     def record(self, request: ClientRequest, waiter: Waiter, outcome: ShareOutcome) -> None:
         """Records what became of a request, if it was beyond its share; a hold only once."""
         is_again = outcome is ShareOutcome.HELD and waiter.is_recorded
-        is_passed = outcome is ShareOutcome.PASSED
-        standing = waiter.standing
-        if standing is None or is_again or waiter.is_passed != is_passed:
+        is_share_exempt = outcome is ShareOutcome.EXEMPTED
+        flow_share = waiter.flow_share
+        if flow_share is None or is_again or waiter.is_share_exempt != is_share_exempt:
             return
         waiter.is_recorded = True
         self._metrics.count(Count.SHARES, waiter.service, outcome)
@@ -44,12 +44,12 @@
             service=waiter.service,
             priority=waiter.priority,
             outcome=outcome,
-            is_back=waiter.is_back,
+            is_back=waiter.is_retry,
             held=round(self._clock.now() - request.received_at, 3),
-            share=round(standing.share, 2),
-            use=standing.use,
-            waiting=standing.waiting,
-            ahead=standing.ahead,
-            places=standing.places,
+            share=round(flow_share.share, 2),
+            use=flow_share.use,
+            waiting=flow_share.waiting,
+            ahead=flow_share.waiting_ahead,
+            places=flow_share.places,
             report_age=round(age, 3) if age is not None else None,
         )
--- a/src/larkpost/gateway/proxy/lasting_shortage.py
+++ b/src/larkpost/gateway/proxy/shortage_detector.py
@@ -10,9 +10,9 @@
 from larkpost.common.clock import Clock
 from larkpost.gateway.blackboard.configuration import ServiceName
 
-LEAST_MISSED_PART = 0.3
+MIN_MISSED_FRACTION = 0.3
 """Part of the requests that find no place in their time while a shortage lasts."""
-LEAST_MISSED = 3.0
+MIN_MISSED_REQUESTS = 3.0
 """Such requests lately while a shortage lasts: fewer may be so by chance."""
 HALF_LIFE_SECONDS = 3.0
 """Time after which a request counts half."""
@@ -29,37 +29,37 @@
     """
 
     at: float
-    placed: float = 0.0
+    granted: float = 0.0
     missed: float = 0.0
 
     def age(self, now: float) -> None:
         """Lets what was counted before weigh less."""
         weight = 0.5 ** ((now - self.at) / HALF_LIFE_SECONDS)
-        self.placed *= weight
+        self.granted *= weight
         self.missed *= weight
         self.at = now
 
 
-class LastingShortage:
+class ShortageDetector:
     """What became lately of this daemon's requests for each service."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._services: dict[ServiceName, _Counts] = {}
 
-    def record_placed(self, service: ServiceName) -> None:
+    def record_slot_granted(self, service: ServiceName) -> None:
         """Records a request that found a place."""
-        self._counts(service).placed += 1
+        self._counts(service).granted += 1
 
     def record_missed(self, service: ServiceName) -> None:
         """Records a request that found no place within its objective, or will not find any."""
         self._counts(service).missed += 1
 
-    def lasts(self, service: ServiceName) -> bool:
+    def is_persistent(self, service: ServiceName) -> bool:
         """Returns whether the places of a service do not suffice."""
         counts = self._counts(service)
-        least = LEAST_MISSED_PART * (counts.placed + counts.missed)
-        return counts.missed >= max(LEAST_MISSED, least)
+        least = MIN_MISSED_FRACTION * (counts.granted + counts.missed)
+        return counts.missed >= max(MIN_MISSED_REQUESTS, least)
 
     def _counts(self, service: ServiceName) -> _Counts:
         now = self._clock.now()
--- a/src/larkpost/gateway/proxy/places.py
+++ b/src/larkpost/gateway/proxy/slot_counting.py
@@ -11,13 +11,13 @@
 from larkpost.gateway.placement.work import Work
 from larkpost.gateway.proxy.balancer import Balancer
 
-FREE_SHARE = 0.5
+MOSTLY_FREE_FRACTION = 0.5
 """While less than this share of the places is taken, nothing waits and nothing is refused: what is
 known of the others' requests is a second old, and is not believed against so many free places."""
 
 
 @dataclass(frozen=True, slots=True)
-class Places:
+class SlotCounts:
     """The places of a service that a piece of work may take.
 
     Attributes:
@@ -29,8 +29,8 @@
 
     total: int
     taken: int
-    pace: float
-    closed: int = field(default=0, compare=False)
+    service_time: float
+    unavailable: int = field(default=0, compare=False)
 
     @property
     def free(self) -> int:
@@ -38,26 +38,26 @@
         return max(0, self.total - self.taken)
 
     @property
-    def are_mostly_free(self) -> bool:
+    def is_mostly_free(self) -> bool:
         """Whether so few are taken that nothing need wait."""
-        return self.taken < self.total * FREE_SHARE
+        return self.taken < self.total * MOSTLY_FREE_FRACTION
 
     @property
-    def run_few_requests(self) -> bool:
+    def has_few_running(self) -> bool:
         """Whether so few have a request that instances which failed may well take another."""
-        return self.taken - self.closed < self.total * FREE_SHARE
+        return self.taken - self.unavailable < self.total * MOSTLY_FREE_FRACTION
 
 
-def survey(balancer: Balancer, service: ServiceName, work: Work) -> Places:
+def count_slots(balancer: Balancer, service: ServiceName, work: Work) -> SlotCounts:
     """Counts the places of a service for a piece of work.
 
     An instance that failed or refused a moment ago, or that is cold, has no free place. Of a large
     service the places of some are counted, and scaled up to all.
     """
-    total = taken = closed = 0
+    total = taken = unavailable = 0
     paced_slots, rate = 0, 0.0
-    look = balancer.look(service, work)
-    for info in look.instances:
+    candidate_pool = balancer.candidate_pool(service, work)
+    for info in candidate_pool.instances:
         verdict = balancer.placement.evaluate(info, work)
         if not verdict.is_allowed and verdict is not PlacementDecision.COLD:
             continue
@@ -66,10 +66,12 @@
         is_closed = not verdict.is_allowed or balancer.is_avoided(info.id)
         total += slots
         taken += max(occupied, slots) if is_closed else occupied
-        closed += max(0, slots - occupied) if is_closed else 0
-        pace = balancer.pace(info.id)
-        if pace:
+        unavailable += max(0, slots - occupied) if is_closed else 0
+        service_time = balancer.service_time(info.id)
+        if service_time:
             paced_slots += slots
-            rate += slots / pace
-    total, taken, closed = (round(count * look.scale) for count in (total, taken, closed))
-    return Places(total, taken, paced_slots / rate if rate else 0.0, closed)
+            rate += slots / service_time
+    total, taken, unavailable = (
+        round(count * candidate_pool.scale) for count in (total, taken, unavailable)
+    )
+    return SlotCounts(total, taken, paced_slots / rate if rate else 0.0, unavailable)
--- a/src/larkpost/gateway/proxy/slowness.py
+++ b/src/larkpost/gateway/proxy/slowness.py
@@ -7,15 +7,15 @@
 
 from collections import deque
 
-from larkpost.gateway.proxy.lasting_pace import SLICE_SECONDS, SLICES, quick_mean
+from larkpost.gateway.proxy.service_time_history import MAX_SLICES, SLICE_SECONDS, low_quantile
 
-SLOWNESS_SECONDS = 0.15
+SLOWNESS_LIFETIME_SECONDS = 0.15
 """How long what a server said of its slowness is used; it changes many times a second."""
 MAX_SLOWNESS = 3.0
 """By how much slower, or quicker, than usual a server is taken to be at most, without unit."""
 
 
-class SaidSlowness:
+class ReportedSlowness:
     """What one incarnation of a server has said of its slowness.
 
     Attributes:
@@ -23,14 +23,14 @@
     """
 
     def __init__(self) -> None:
-        self.said_at = float("-inf")
+        self.reported_at = float("-inf")
         self._said = 0.0
         self._kept_at = float("-inf")
-        self._kept: deque[float] = deque(maxlen=SLICES)
+        self._kept: deque[float] = deque(maxlen=MAX_SLICES)
         self._usual = 0.0
 
     @property
-    def is_said(self) -> bool:
+    def has_reports(self) -> bool:
         """Whether the server ever said how slow it is."""
         return bool(self._kept)
 
@@ -41,15 +41,15 @@
             slowness: how many times as long as usual work takes there; above 0.
         """
         self._said = slowness
-        self.said_at = now
+        self.reported_at = now
         if now - self._kept_at >= SLICE_SECONDS:
             self._kept_at = now
             self._kept.append(slowness)
-            self._usual = quick_mean(self._kept)
+            self._usual = low_quantile(self._kept)
 
     def factor(self, now: float) -> float:
         """Returns how many times as long as usual work takes there now; 1 if that is not known."""
-        if now - self.said_at >= SLOWNESS_SECONDS:
+        if now - self.reported_at >= SLOWNESS_LIFETIME_SECONDS:
             return 1.0
         return believed_slowness(self._said, self._usual)
 
--- a/src/larkpost/gateway/proxy/large_answer.py
+++ b/src/larkpost/gateway/proxy/streamed_body.py
@@ -10,21 +10,21 @@
 from larkpost.common.clock import Clock
 from larkpost.gateway.proxy.attempts import Attempts
 from larkpost.gateway.proxy.outcomes import Outcomes
-from larkpost.gateway.proxy.request import OpenResponse
+from larkpost.gateway.proxy.request import StreamedResponse
 from larkpost.gateway.servers.port import BrokenResponseError
 
 
-class FollowedBody:
+class StreamedBody:
     """The rest of a large answer's body, chunk by chunk; it ends only if the body is whole."""
 
     def __init__(
-        self, response: OpenResponse, attempts: Attempts, outcomes: Outcomes, clock: Clock
+        self, response: StreamedResponse, attempts: Attempts, outcomes: Outcomes, clock: Clock
     ) -> None:
         self._response = response
         self._attempts = attempts
         self._outcomes = outcomes
         self._clock = clock
-        self._time_left = attempts.waiter.limits.end_at - clock.now()
+        self._time_left = attempts.waiter.deadlines.expires_at - clock.now()
 
     def __aiter__(self) -> AsyncIterator[bytes]:
         return self
--- a/src/larkpost/gateway/proxy/subset.py
+++ b/src/larkpost/gateway/proxy/subset.py
@@ -15,26 +15,26 @@
 from larkpost.gateway.blackboard.configuration import ServiceName
 from larkpost.gateway.blackboard.service_index import IndexedIdSet, ServiceIndex
 
-LEAST_SUBSET = 24
+MIN_SUBSET_SIZE = 24
 """Servers that a subset has on average at least: few enough that connections to them stay in use,
 enough that one with a free place is nearly always among them."""
-LEAST_DAEMONS = 3
+MIN_DAEMONS_PER_SERVER = 3
 """Daemons that each server is in the subsets of, if there are as many: the load of one with many
 clients, or of one that is gone, is shared."""
 
 
-def daemons_a_server(daemons: int, servers: int) -> int:
+def daemons_per_server(daemons: int, servers: int) -> int:
     """Returns in the subsets of how many daemons each server is.
 
     It doubles, so that it seldom changes: each change of it changes all subsets.
     """
-    wanted = LEAST_DAEMONS
-    while wanted < daemons and wanted * servers < LEAST_SUBSET * daemons:
+    wanted = MIN_DAEMONS_PER_SERVER
+    while wanted < daemons and wanted * servers < MIN_SUBSET_SIZE * daemons:
         wanted *= 2
     return min(wanted, daemons)
 
 
-def seed_of(daemon: DaemonId) -> int:
+def daemon_seed(daemon: DaemonId) -> int:
     """Returns what a daemon's weights are made from; worked out once for all servers."""
     return hash64(f"subset\x00{daemon}")
 
@@ -44,7 +44,7 @@
     return hash64(server, seed)
 
 
-def daemons_before(
+def higher_ranked_daemons(
     own: int, others: Mapping[DaemonId, int], server: InstanceId, most: int
 ) -> list[DaemonId]:
     """Returns daemons that come before this one for a server, ``most`` at the most.
@@ -71,7 +71,7 @@
 
     def __init__(self, own: DaemonId) -> None:
         self._own = own
-        self._seed = seed_of(own)
+        self._seed = daemon_seed(own)
         self._others: dict[DaemonId, int] = {}
         self._servers: set[InstanceId] = set()
         self._limit = 1
@@ -92,7 +92,7 @@
             servers: the ids of the service's instances.
         """
         others = set(daemons) - {self._own}
-        limit = daemons_a_server(len(others) + 1, len(servers))
+        limit = daemons_per_server(len(others) + 1, len(servers))
         changed = set(servers) ^ self._servers
         if limit != self._limit:
             changed = set(servers) | self._servers
@@ -102,7 +102,7 @@
             del self._others[gone]
             changed |= self._keeps_out.pop(gone, set())
         for come in others - self._others.keys():
-            seed = self._others[come] = seed_of(come)
+            seed = self._others[come] = daemon_seed(come)
             changed.update(name for name in self.ids if self._comes_before(seed, name))
         for server in changed:
             self._forget(server)
@@ -113,7 +113,7 @@
         return weight(seed, server) > weight(self._seed, server)
 
     def _judge(self, server: InstanceId) -> None:
-        before = daemons_before(self._seed, self._others, server, self._limit)
+        before = higher_ranked_daemons(self._seed, self._others, server, self._limit)
         if len(before) < self._limit:
             self._inside.add(server)
             return
--- a/src/larkpost/gateway/proxy/waiter.py
+++ b/src/larkpost/gateway/proxy/waiter.py
@@ -6,9 +6,9 @@
 
 from larkpost.gateway.blackboard.configuration import ServiceName
 from larkpost.gateway.blackboard.daemon_report import Flow, FlowGroup
-from larkpost.gateway.fairness.share_rule import Standing
+from larkpost.gateway.fairness.share_rule import FlowShare
 from larkpost.gateway.placement.work import Work
-from larkpost.gateway.proxy.forecast import Forecast, Limits
+from larkpost.gateway.proxy.forecast import Deadlines, Forecast
 
 
 @dataclass(eq=False, slots=True)
@@ -34,16 +34,16 @@
     service: ServiceName
     work: Work
     priority: int
-    limits: Limits
+    deadlines: Deadlines
     since: float
     flow_name: str = ""
-    is_back: bool = False
-    is_passed: bool = False
-    standing: Standing | None = None
+    is_retry: bool = False
+    is_share_exempt: bool = False
+    flow_share: FlowShare | None = None
     held_since: float | None = None
     is_recorded: bool = False
-    call: asyncio.Future[Forecast] | None = None
-    has_missed: bool = False
+    turn: asyncio.Future[Forecast] | None = None
+    missed_objective: bool = False
     share_count: ExitStack | None = None
     flow: Flow = field(init=False)
 
@@ -51,6 +51,6 @@
         self.flow = Flow(FlowGroup(self.service, self.priority), self.flow_name)
 
     @property
-    def has_yielded(self) -> bool:
+    def was_over_share(self) -> bool:
         """Whether it had to let others go first because of its flow's share."""
-        return self.standing is not None and not self.is_passed
+        return self.flow_share is not None and not self.is_share_exempt
--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -75,7 +75,7 @@
             for info in candidates
             if info.id not in loading
             and is_fast_enough(
-                balancer.paces.lasting(info.id), balancer.is_cold(info), service_time_limit
+                balancer.service_times.lasting(info.id), balancer.is_cold(info), service_time_limit
             )
         ]
 
@@ -104,7 +104,7 @@
         return [
             EngineState(
                 info,
-                pace=balancer.paces.lasting(info.id),
+                pace=balancer.service_times.lasting(info.id),
                 occupied=balancer.occupied(info),
                 distance=balancer.distance(info),
                 is_loading=info.id in loading,
@@ -119,7 +119,7 @@
         An engine that loads weights refuses all that come, so one item at a time tries it.
         """
         if engine.id in self._services.division.loading(engine.service, self._head.model):
-            self._services.balancer.use(engine.id).expect_refusal(self._services.clock.now())
+            self._services.balancer.use(engine.id).mark_refusing(self._services.clock.now())
         if self._services.cold is not None:
             self._services.cold.reserve(engine)
 
@@ -127,7 +127,7 @@
         """Returns how many places the engines that fit are believed to have free."""
         work = self.items.work_of()
         fitting = self._with_free_slot(service, work)
-        scale = self._services.balancer.look(service, work).scale
+        scale = self._services.balancer.candidate_pool(service, work).scale
         return int(sum(self._free_slots_at(info, work) for info in fitting) * scale)
 
     def _free_slots_at(self, info: InstanceInfo, work: Work) -> int:
@@ -141,7 +141,7 @@
         """Returns the seconds for which a run may make nothing before it is stalled."""
         engine = watch.engine
         loading = self._services.division.loading(engine.service, self._head.model)
-        pace = self._services.balancer.paces.lasting(engine.id)
+        pace = self._services.balancer.service_times.lasting(engine.id)
         return stall_timeout_seconds(pace, is_loading=engine.id in loading)
 
     def may_migrate_to(self, engine: InstanceInfo, run: ItemRun) -> bool:
@@ -153,7 +153,7 @@
         balancer = self._services.balancer
         if known is None or balancer.is_cold(known):
             return False
-        pace = balancer.paces.lasting(engine.id)
+        pace = balancer.service_times.lasting(engine.id)
         if not pace or not is_slower_by(
             self._source_service_time(run.engine), pace, MIGRATION_RATIO
         ):
@@ -176,8 +176,10 @@
         return migration_service_time_limit(events, pace, best)
 
     def _source_service_time(self, engine: InstanceInfo) -> float:
-        paces = self._services.balancer.paces
-        return migration_source_service_time(paces.lasting(engine.id), paces.recent(engine.id))
+        service_times = self._services.balancer.service_times
+        return migration_source_service_time(
+            service_times.lasting(engine.id), service_times.recent(engine.id)
+        )
 
     def _best_service_time(self, service: ServiceName, work: Work, version: int) -> float:
         """Returns the best pace at engines of a version or a newer one, as of a moment ago."""
@@ -187,16 +189,16 @@
             return known[1]
         balancer = self._services.balancer
         directory = self._services.directory
-        paces = [
+        service_times = [
             pace
-            for info in balancer.look(service, work).instances
-            if (pace := balancer.paces.lasting(info.id))
+            for info in balancer.candidate_pool(service, work).instances
+            if (pace := balancer.service_times.lasting(info.id))
             and not balancer.is_cold(info)
             and directory.version_of(info.id, self._head.model) >= version
             and not balancer.is_avoided(info.id)
             and balancer.placement.allows(info, work)
         ]
-        best = min(paces, default=0.0)
+        best = min(service_times, default=0.0)
         self._best_service_times[service, work, version] = (now, best)
         return best
 
@@ -210,7 +212,7 @@
         """
         balancer = self._services.balancer
         fitting = balancer.candidates(service, work, eligible=self._is_not_avoided, within=within)
-        return [info for info in fitting if balancer.has_place(info)]
+        return [info for info in fitting if balancer.has_free_slot(info)]
 
     def _is_not_avoided(self, info: InstanceInfo) -> bool:
         """Returns whether an engine did not fail a moment ago."""
--- a/src/larkpost/gateway/rollouts/event_recorder.py
+++ b/src/larkpost/gateway/rollouts/event_recorder.py
@@ -92,6 +92,6 @@
         else:
             seconds = now - self._last_event_at
             balancer, engine = self._services.balancer, self._run.engine
-            balancer.record_pace(engine.id, seconds, EVENT_SERVICE_TIME_WEIGHT)
-            balancer.paces.record_event(engine.id, seconds)
+            balancer.record_service_time(engine.id, seconds, EVENT_SERVICE_TIME_WEIGHT)
+            balancer.service_times.record_event(engine.id, seconds)
         self._last_event_at = now
--- a/src/larkpost/gateway/rollouts/item_runner.py
+++ b/src/larkpost/gateway/rollouts/item_runner.py
@@ -156,7 +156,9 @@
     def _record_migration(self, run: ItemRun, move: MigrateRunError) -> None:
         run.progress.migrations += 1
         self._assigned_engines[run.item.id] = move.engine
-        run.progress.previous_service_time = self._services.balancer.paces.lasting(run.engine.id)
+        run.progress.previous_service_time = self._services.balancer.service_times.lasting(
+            run.engine.id
+        )
 
     def _record_run(
         self, run: ItemRun, resumed_after: int | None, started: float, outcome: str
@@ -179,8 +181,8 @@
             resumed_after=resumed_after,
             seconds=round(seconds, 3),
             occupied=balancer.occupied(run.engine),
-            pace=round(balancer.pace(run.engine.id), 4),
-            lasting_pace=round(balancer.paces.lasting(run.engine.id), 4),
+            pace=round(balancer.service_time(run.engine.id), 4),
+            lasting_pace=round(balancer.service_times.lasting(run.engine.id), 4),
             version=directory.version_of(run.engine.id, self._head.model),
             minimum_version=self._head.minimum_version,
         )
--- a/src/larkpost/gateway/rollouts/reward_caller.py
+++ b/src/larkpost/gateway/rollouts/reward_caller.py
@@ -62,7 +62,9 @@
                 return None
             history.servers.add(server.id)
             started = self._services.clock.now()
-            limit = call_timeout_seconds(self._services.balancer.pace(server.id), history.timeouts)
+            limit = call_timeout_seconds(
+                self._services.balancer.service_time(server.id), history.timeouts
+            )
             attempt = await self._send(server, call, limit)
             if attempt.outcome is RewardCallOutcome.TIMED_OUT:
                 history.timeouts += 1
@@ -107,8 +109,8 @@
             balancer.avoid(server.id, SILENT_AVOID_SECONDS)
             return RewardAttempt(RewardCallOutcome.TIMED_OUT)
         seconds = self._services.clock.now() - started
-        balancer.record_pace(server.id, seconds)
-        balancer.paces.record_response(server.id, seconds)
+        balancer.record_service_time(server.id, seconds)
+        balancer.service_times.record_response(server.id, seconds)
         return classify_call_response(status, signature)
 
     async def _exchange(
@@ -124,7 +126,7 @@
         balancer = self._services.balancer
         within = balancer.placement.admit(server.id, self._work(call))
         request = replace(_request(call, limit), send_timeout=within)
-        with balancer.placed(server.id):
+        with balancer.count_request(server.id):
             async with (
                 asyncio.timeout(limit),
                 self._services.servers.send(server, request) as response,
--- a/src/larkpost/gateway/scaling/server_counter.py
+++ b/src/larkpost/gateway/scaling/server_counter.py
@@ -12,7 +12,7 @@
 from larkpost.gateway.blackboard.evacuations import Evacuations
 from larkpost.gateway.scaling.planner import ZoneServers
 
-USUAL_SECONDS = 60.0
+BASELINE_LIFETIME_SECONDS = 60.0
 """Seconds for which the most servers seen at once count as usual: longer than a release takes,
 shorter than an operator needs to change the size by hand and wonder."""
 
@@ -49,7 +49,7 @@
     ) -> ZoneServers:
         history = self._histories.setdefault((service, zone), _ZoneHistory())
         history.counts.append((now, len(ready)))
-        while history.counts[0][0] < now - USUAL_SECONDS:
+        while history.counts[0][0] < now - BASELINE_LIFETIME_SECONDS:
             history.counts.popleft()
         usual_count = max(count for _, count in history.counts)
         if len(ready) >= usual_count:
--- a/src/larkpost/platform/client_call.py
+++ b/src/larkpost/platform/client_call.py
@@ -9,7 +9,7 @@
 from larkpost.gateway.memory.daemon_memory import RequestMemory
 from larkpost.gateway.memory.delivery import ClientConnection
 from larkpost.gateway.memory.slow_clients import STALLED_SECONDS
-from larkpost.gateway.proxy.admission import Admitted
+from larkpost.gateway.proxy.admission import AdmittedCall
 from larkpost.gateway.proxy.request import ClientRequest
 from larkpost.gateway.servers.port import Headers
 from larkpost.platform import asgi, names
@@ -126,7 +126,7 @@
         text = self.header(name)
         return int(text) if text.isdigit() else None
 
-    def to_client_request(self, body: bytes | bytearray, admitted: Admitted) -> ClientRequest:
+    def to_client_request(self, body: bytes | bytearray, admitted: AdmittedCall) -> ClientRequest:
         """Returns the request as it is to be forwarded."""
         deadline_ms = self.int_header(names.DEADLINE_MS)  # not a time: what is left of it
         return ClientRequest(
--- a/tests/choice_cost.py
+++ b/tests/choice_cost.py
@@ -17,8 +17,8 @@
 from larkpost.gateway.placement.region_rule import RegionRule
 from larkpost.gateway.placement.rules import Placement
 from larkpost.gateway.placement.work import CLIENT_WORK, Work, WorkKind
-from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
-from larkpost.gateway.proxy.places import survey
+from larkpost.gateway.proxy.balancer import Balancer, BalancerDependencies
+from larkpost.gateway.proxy.slot_counting import count_slots
 from larkpost.gateway.proxy.subset import DaemonSubset, DaemonSubsets
 from larkpost.gateway.quarantine.isolation_rule import IsolationRule
 from tests.platform_fleet import MODEL, PAGES
@@ -43,7 +43,7 @@
         board.directory.update(make_instance(name, zone=ZoneId(f"z{number % 5}")))
     alive = frozenset(DaemonId(f"d{number}") for number in range(daemons))
     rules = (EvacuationRule(board.evacuations), RegionRule(board.regions), IsolationRule())
-    sources = BalancerSources(
+    sources = BalancerDependencies(
         lambda info: info.id.endswith("1"),
         Placement(board.directory, rules),
         regions=board.regions,
@@ -51,7 +51,7 @@
     )
     balancer = Balancer(board.directory, LoopClock(), rng, sources)
     for name in rng.sample(names, servers * 2 // 3):
-        balancer.record_pace(name, rng.uniform(0.03, 0.05))
+        balancer.record_service_time(name, rng.uniform(0.03, 0.05))
     for number in range(REPORTS):
         used = rng.sample(names, min(REPORTED, servers) // 2)
         balancer.record_peer_summary(DaemonId(f"d{number + 1}"), dict.fromkeys(used, (1, 0.03)))
@@ -73,7 +73,7 @@
     return (
         lambda: balancer.candidates(PAGES, CLIENT_WORK, for_client=True),
         lambda: balancer.candidates(PAGES, ITEM_WORK),
-        lambda: survey(balancer, PAGES, CLIENT_WORK),
+        lambda: count_slots(balancer, PAGES, CLIENT_WORK),
         lambda: DaemonSubset(OWN).update(alive, names),
     )
 
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -342,9 +342,9 @@
 
 def mix_bursts_into_paces():
     """Takes the smoothed pace of an engine, bursts and all, for its lasting one."""
-    from larkpost.gateway.proxy.paces import Paces
+    from larkpost.gateway.proxy.service_time_tracker import ServiceTimeTracker
 
-    return mock.patch.object(Paces, "lasting", lambda self, name: self._smoothed(name))
+    return mock.patch.object(ServiceTimeTracker, "lasting", lambda self, name: self._smoothed(name))
 
 
 def believe_any_slowness():
@@ -568,14 +568,14 @@
     """Takes all tenants' requests as equal, however much one of them has."""
     from larkpost.gateway.proxy.fair_order import FairOrder
 
-    return mock.patch.object(FairOrder, "_standing", lambda *_: None)
+    return mock.patch.object(FairOrder, "_flow_share", lambda *_: None)
 
 
 def take_any_wait_for_a_shortage():
     """Shares out the places as soon as a request waits, also if they suffice."""
-    from larkpost.gateway.proxy.lasting_shortage import LastingShortage
+    from larkpost.gateway.proxy.shortage_detector import ShortageDetector
 
-    return mock.patch.object(LastingShortage, "lasts", lambda *_: True)
+    return mock.patch.object(ShortageDetector, "is_persistent", lambda *_: True)
 
 
 def keep_use_to_oneself():
@@ -589,7 +589,7 @@
     """Looks at all servers of a service for each choice, however many it has."""
     from larkpost.gateway.proxy import server_pool
 
-    return mock.patch.object(server_pool, "ALL_LOOKED_AT", 1_000_000)
+    return mock.patch.object(server_pool, "MAX_UNSAMPLED_INSTANCES", 1_000_000)
 
 
 def keep_servers_of_daemons_that_are_gone():
@@ -608,14 +608,14 @@
     """Looks at no others when the whole subset has failed or is full."""
     from larkpost.gateway.proxy.server_pool import ServerPool
 
-    return mock.patch.object(ServerPool, "look_further", lambda *_: [])
+    return mock.patch.object(ServerPool, "extend_pool", lambda *_: [])
 
 
 def be_content_with_one_open_server():
     """Searches no others while one of those looked at is open to the work, tried or full."""
     from larkpost.gateway.proxy import balancer
 
-    return mock.patch.object(balancer, "LEAST_OPEN", 1)
+    return mock.patch.object(balancer, "MIN_OPEN_INSTANCES", 1)
 
 
 MUTANTS = {
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -7,7 +7,7 @@
 from larkpost.common.clock import LoopClock
 from larkpost.common.ids import Address, InstanceId, ZoneId
 from larkpost.gateway.blackboard.directory import InstanceDirectory, InstanceInfo, InstanceState
-from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
+from larkpost.gateway.proxy.balancer import Balancer, BalancerDependencies
 from tests import switched_off
 from tests.platform_fleet import (
     ENGINES,
@@ -27,7 +27,7 @@
             name = InstanceId(f"e{number}")
             directory.update(InstanceInfo(name, ENGINES, address, ZoneId("z"), 6, state))
         rng = random.Random(0)
-        sources = BalancerSources(is_connected=lambda info: info.id == "e0")
+        sources = BalancerDependencies(is_connected=lambda info: info.id == "e0")
         return Balancer(directory, LoopClock(), rng, sources)
 
     def first_choices(self, balancer: Balancer) -> set[InstanceId]:
@@ -57,9 +57,9 @@
             balancer.occupy(InstanceId("e0"))
             self.assertNotIn("e0", self.first_choices(balancer))
             balancer.release(InstanceId("e0"))
-            balancer.record_pace(InstanceId("e0"), 0.05)
+            balancer.record_service_time(InstanceId("e0"), 0.05)
             for number in (1, 2, 3):
-                balancer.record_pace(InstanceId(f"e{number}"), 0.04)
+                balancer.record_service_time(InstanceId(f"e{number}"), 0.04)
             self.assertNotIn("e0", self.first_choices(balancer))
 
         run(play())
@@ -75,7 +75,7 @@
             balancer.record_peer_summary("first", {engine: (1, 0.04)})
             await asyncio.sleep(0.1)
             balancer.record_peer_summary("second", {engine: (2, 0.0)})
-            self.assertEqual(0.04, balancer.pace(engine))
+            self.assertEqual(0.04, balancer.service_time(engine))
 
         run(play())
 
@@ -107,8 +107,8 @@
                 instance = f"engine-{number}"
                 balancer.record_peer_summary(f"daemon-{number}", {instance: (1, 0.05)})
                 balancer.record_peer_summary(f"daemon-{number}", {})
-                with balancer.placed(instance):
-                    balancer.record_pace(instance, 0.05)
+                with balancer.count_request(instance):
+                    balancer.record_service_time(instance, 0.05)
                 await asyncio.sleep(10.0)
             self.assertLess(len(balancer._own), 25)
             self.assertLess(len(balancer._peers), 25)
@@ -118,7 +118,7 @@
     def test_instance_with_a_request_is_remembered_when_its_entry_is_gone(self):
         async def play():
             balancer = Balancer(InstanceDirectory(), LoopClock(), None)
-            with balancer.placed("engine"):
+            with balancer.count_request("engine"):
                 for _ in range(5):
                     await asyncio.sleep(60.0)
                     balancer.record_peer_summary("a", {})
--- a/tests/test_bounded_choice.py
+++ b/tests/test_bounded_choice.py
@@ -17,15 +17,15 @@
 from larkpost.gateway.placement.region_rule import RegionRule
 from larkpost.gateway.placement.rules import Placement, StatelessRule
 from larkpost.gateway.placement.work import CLIENT_WORK, REWARD_WORK, Work, WorkKind
-from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
-from larkpost.gateway.proxy.places import survey
+from larkpost.gateway.proxy.balancer import Balancer, BalancerDependencies
 from larkpost.gateway.proxy.server_pool import (
-    ALL_LOOKED_AT,
-    LOOKED_AT,
-    LOOKED_FURTHER,
+    MAX_UNSAMPLED_INSTANCES,
+    POOL_EXTENSION_SIZE,
+    POOL_SIZE,
     SEARCH_LIFETIME_SECONDS,
 )
-from larkpost.gateway.proxy.subset import LEAST_SUBSET, DaemonSubsets
+from larkpost.gateway.proxy.slot_counting import count_slots
+from larkpost.gateway.proxy.subset import MIN_SUBSET_SIZE, DaemonSubsets
 from tests.platform_fleet import ENGINES, MODEL, PAGES, PlatformFleet, check_results, make_batch
 from tests.server_parts import SLOTS, make_instance
 from tests.virtual import run
@@ -79,7 +79,7 @@
             self.directory,
             LoopClock(),
             random.Random(1),
-            BalancerSources(
+            BalancerDependencies(
                 placement=Placement(self.directory, rules), regions=regions, subsets=self.subsets
             ),
         )
@@ -117,7 +117,7 @@
                 "client": scene.client_choice,
                 "reward call": lambda: scene.balancer.candidates(PAGES, REWARD_WORK),
                 "item": lambda: scene.balancer.candidates(PAGES, ITEM_WORK),
-                "survey": lambda: survey(scene.balancer, PAGES, CLIENT_WORK),
+                "survey": lambda: count_slots(scene.balancer, PAGES, CLIENT_WORK),
                 "verdicts": lambda: scene.balancer.verdicts(PAGES),
             }
             counts = {}
@@ -140,11 +140,14 @@
 
     def test_all_servers_of_a_small_service_are_put_in_order(self):
         async def play():
-            scene = Scene(ALL_LOOKED_AT, 370)
-            self.assertEqual(ALL_LOOKED_AT, len(scene.client_choice()))
-            self.assertEqual(ALL_LOOKED_AT, len(scene.balancer.candidates(PAGES, ITEM_WORK)))
+            scene = Scene(MAX_UNSAMPLED_INSTANCES, 370)
+            self.assertEqual(MAX_UNSAMPLED_INSTANCES, len(scene.client_choice()))
             self.assertEqual(
-                SLOTS * ALL_LOOKED_AT, survey(scene.balancer, PAGES, CLIENT_WORK).total
+                MAX_UNSAMPLED_INSTANCES, len(scene.balancer.candidates(PAGES, ITEM_WORK))
+            )
+            self.assertEqual(
+                SLOTS * MAX_UNSAMPLED_INSTANCES,
+                count_slots(scene.balancer, PAGES, CLIENT_WORK).total,
             )
 
         run(play())
@@ -154,7 +157,7 @@
             scene = Scene()
             firsts = {scene.client_choice()[0].id for _ in range(500)}
             self.assertLessEqual(firsts, scene.subset)
-            self.assertLessEqual(len(firsts), 2 * LEAST_SUBSET)
+            self.assertLessEqual(len(firsts), 2 * MIN_SUBSET_SIZE)
 
         run(play())
 
@@ -190,7 +193,7 @@
             scene.fill(scene.subset)
             first = scene.client_choice()[0]
             self.assertNotIn(first.id, scene.subset)
-            self.assertTrue(scene.balancer.has_place(first))
+            self.assertTrue(scene.balancer.has_free_slot(first))
 
         run(play())
 
@@ -234,7 +237,7 @@
             work = replace(CLIENT_WORK, regions=frozenset({FAR}))
             chosen = scene.balancer.candidates(PAGES, work, for_client=True)
             self.assertEqual(far, {info.id for info in chosen})
-            self.assertEqual(SLOTS * len(far), survey(scene.balancer, PAGES, work).total)
+            self.assertEqual(SLOTS * len(far), count_slots(scene.balancer, PAGES, work).total)
             self.assertFalse(scene.balancer.is_outside_regions(PAGES, work))
 
         run(play())
@@ -254,7 +257,7 @@
             scene.fill({near})
             first = scene.balancer.candidates(PAGES, work, for_client=True)[0]
             self.assertIn(first.id, others)
-            self.assertEqual(SLOTS * len(others), survey(scene.balancer, PAGES, work).free)
+            self.assertEqual(SLOTS * len(others), count_slots(scene.balancer, PAGES, work).free)
 
         run(play())
 
@@ -284,7 +287,7 @@
             for name in far:
                 scene.directory.update(make_instance(name, zone=FAR_ZONE))
             work = replace(CLIENT_WORK, regions=frozenset({FAR}))
-            total = survey(scene.balancer, PAGES, work).total
+            total = count_slots(scene.balancer, PAGES, work).total
             self.assertGreater(total, SLOTS * len(far) / 2)
             self.assertLess(total, SLOTS * len(far) * 2)
 
@@ -323,8 +326,8 @@
             self.assertEqual(3200, scene.rule.take())
             for _ in range(20):
                 self.assertEqual([], scene.client_choice())
-                self.assertEqual(0, survey(scene.balancer, PAGES, CLIENT_WORK).total)
-                self.assertLessEqual(scene.rule.take(), LOOKED_AT + LOOKED_FURTHER)
+                self.assertEqual(0, count_slots(scene.balancer, PAGES, CLIENT_WORK).total)
+                self.assertLessEqual(scene.rule.take(), POOL_SIZE + POOL_EXTENSION_SIZE)
             await LoopClock().sleep(SEARCH_LIFETIME_SECONDS)
             scene.rule.forbidden.clear()
             self.assertTrue(scene.client_choice())
@@ -343,7 +346,7 @@
                 versions = {MODEL: 1 if info.id in holders else 0}
                 scene.directory.update(replace(info, versions=versions))
             chosen = scene.balancer.candidates(PAGES, ITEM_WORK)
-            self.assertEqual(LOOKED_AT, len(chosen))
+            self.assertEqual(POOL_SIZE, len(chosen))
             self.assertLessEqual({info.id for info in chosen}, holders)
             scene.directory.observe_version(InstanceId("s1"), MODEL, 1)
             self.assertIn("s1", scene.directory.index.holders(PAGES, MODEL))
@@ -355,7 +358,7 @@
             scene = Scene()
             own = frozenset(f"s{number}" for number in range(100, 250))
             chosen = scene.balancer.candidates(PAGES, ITEM_WORK, within=own)
-            self.assertEqual(LOOKED_AT, len(chosen))
+            self.assertEqual(POOL_SIZE, len(chosen))
             self.assertLessEqual({info.id for info in chosen}, own)
 
         run(play())
@@ -370,7 +373,7 @@
             found = 0
             for _ in range(20):
                 candidates = scene.balancer.candidates(PAGES, ITEM_WORK)
-                found += any(scene.balancer.has_place(info) for info in candidates)
+                found += any(scene.balancer.has_free_slot(info) for info in candidates)
             self.assertGreaterEqual(found, 8)
 
         run(play())
@@ -381,18 +384,20 @@
 
     def test_batch_is_whole_though_a_third_of_the_engines_does_not_respond(self):
         async def play():
-            fleet = PlatformFleet(gateways=3, engines=2 * ALL_LOOKED_AT)
+            fleet = PlatformFleet(gateways=3, engines=2 * MAX_UNSAMPLED_INSTANCES)
             await fleet.wait(1.0)
             spec = make_batch(items=300)
             await fleet.submit(spec)
             await fleet.wait(0.3)
-            for number in range(0, 2 * ALL_LOOKED_AT, 3):
+            for number in range(0, 2 * MAX_UNSAMPLED_INSTANCES, 3):
                 fleet.engines.engines[InstanceId(f"engine-{number}")].down = True
             await fleet.wait(10.0)
             check_results(self, spec, await fleet.read_all(fleet.gateways[0], spec.id))
             for gateway in fleet.gateways:
                 sizes = gateway.balancer.subset_sizes()
-                self.assertEqual({ENGINES: 2 * ALL_LOOKED_AT}, sizes)  # three daemons serve all
+                self.assertEqual(
+                    {ENGINES: 2 * MAX_UNSAMPLED_INSTANCES}, sizes
+                )  # three daemons serve all
 
         run(play())
 
@@ -403,10 +408,10 @@
     def test_places_of_some_stand_for_all(self):
         async def play():
             scene = Scene(1000, 100)
-            places = survey(scene.balancer, PAGES, CLIENT_WORK)
+            places = count_slots(scene.balancer, PAGES, CLIENT_WORK)
             self.assertEqual((1000 * SLOTS, 0), (places.total, places.taken))
             scene.fill(scene.subset)
-            full = survey(scene.balancer, PAGES, CLIENT_WORK)
+            full = count_slots(scene.balancer, PAGES, CLIENT_WORK)
             self.assertEqual((1000 * SLOTS, 0), (full.total, full.free))
 
         run(play())
--- a/tests/test_choice_quality.py
+++ b/tests/test_choice_quality.py
@@ -16,8 +16,12 @@
 from larkpost.common.ids import DaemonId, InstanceId
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.proxy.ranking import Candidate, rank
-from larkpost.gateway.proxy.server_pool import ALL_LOOKED_AT, LOOKED_AT, LOOKED_FURTHER
-from larkpost.gateway.proxy.subset import daemons_a_server, seed_of, weight
+from larkpost.gateway.proxy.server_pool import (
+    MAX_UNSAMPLED_INSTANCES,
+    POOL_EXTENSION_SIZE,
+    POOL_SIZE,
+)
+from larkpost.gateway.proxy.subset import daemon_seed, daemons_per_server, weight
 from tests.server_parts import make_instance
 
 SLOTS = 2
@@ -98,7 +102,10 @@
 
 def choose_of_all(fleet: Fleet, daemon: int, rng: random.Random) -> int:
     """Returns the first of all servers in the order of `rank`, which is the least wait."""
-    waits = [(fleet.occupied(daemon, server) + 1) * pace for server, pace in enumerate(fleet.paces)]
+    waits = [
+        (fleet.occupied(daemon, server) + 1) * service_time
+        for server, service_time in enumerate(fleet.paces)
+    ]
     least = min(waits)
     return rng.choice([server for server, wait in enumerate(waits) if wait == least])
 
@@ -111,7 +118,7 @@
             is_avoided=False,
             is_cold=False,
             occupied=fleet.occupied(daemon, server),
-            pace=fleet.paces[server],
+            service_time=fleet.paces[server],
             latency_factor=1.0,
             connection_factor=1.0,
             tie_break=rng.random(),
@@ -123,7 +130,7 @@
 
 def draw_of_all(fleet: Fleet, daemon: int, rng: random.Random) -> int:
     """Returns the first of some servers drawn anew, as for an item of a batch."""
-    drawn = rng.sample(range(len(fleet.servers)), LOOKED_AT)
+    drawn = rng.sample(range(len(fleet.servers)), POOL_SIZE)
     return choose_of(fleet, daemon, drawn, rng)
 
 
@@ -132,8 +139,8 @@
 
     def __init__(self, names: list[InstanceId], daemons: int) -> None:
         self._parts: list[list[int]] = [[] for _ in range(daemons)]
-        wanted = daemons_a_server(daemons, len(names))
-        own = [seed_of(DaemonId(f"d{number}")) for number in range(daemons)]
+        wanted = daemons_per_server(daemons, len(names))
+        own = [daemon_seed(DaemonId(f"d{number}")) for number in range(daemons)]
         for server, name in enumerate(names):
             ranked = sorted(range(daemons), key=lambda n, s=name: weight(own[n], s), reverse=True)
             for daemon in ranked[:wanted]:
@@ -142,14 +149,14 @@
     def __call__(self, fleet: Fleet, daemon: int, rng: random.Random) -> int:
         """Returns the server for a request of a daemon."""
         part = self._parts[daemon]
-        if len(fleet.servers) <= ALL_LOOKED_AT:
+        if len(fleet.servers) <= MAX_UNSAMPLED_INSTANCES:
             part = range(len(fleet.servers))
-        elif len(part) > LOOKED_AT:
-            part = rng.sample(part, LOOKED_AT)
+        elif len(part) > POOL_SIZE:
+            part = rng.sample(part, POOL_SIZE)
         first = choose_of(fleet, daemon, part, rng)
         if fleet.occupied(daemon, first) < SLOTS:
             return first
-        further = rng.sample(range(len(fleet.servers)), LOOKED_FURTHER)
+        further = rng.sample(range(len(fleet.servers)), POOL_EXTENSION_SIZE)
         return choose_of(fleet, daemon, [first, *further], rng)
 
 
@@ -163,7 +170,7 @@
         [rng.choice(PACES) for _ in range(servers)],
         knows_all,
     )
-    rate = LOAD * sum(SLOTS / pace for pace in fleet.paces)
+    rate = LOAD * sum(SLOTS / service_time for service_time in fleet.paces)
     shares = [rng.lognormvariate(0, SKEW) for _ in range(daemons)]
     count = servers * SLOTS * REQUESTS_A_PLACE
     callers = rng.choices(range(daemons), shares, k=count)
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -26,11 +26,11 @@
 from larkpost.gateway.placement.evacuation_rule import EvacuationRule
 from larkpost.gateway.placement.rules import Placement
 from larkpost.gateway.placement.work import CLIENT_WORK, ORDER_WORK, REWARD_WORK, Work, WorkKind
-from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
-from larkpost.gateway.proxy.forecast import MOST_RETRY_SECONDS, NO_PLACE_RETRY_SECONDS
+from larkpost.gateway.proxy.balancer import Balancer, BalancerDependencies
+from larkpost.gateway.proxy.forecast import MAX_RETRY_SECONDS, NO_SLOT_RETRY_SECONDS
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.request import ClientRequest, RefusedError
-from larkpost.gateway.proxy.shares import ShareChooser
+from larkpost.gateway.proxy.service_selection import ServiceSelector
 from larkpost.gateway.servers.port import NotRunReason
 from larkpost.gateway.store.port import Row, RowKey
 from larkpost.platform import names, operator
@@ -118,9 +118,9 @@
             directory.update(make_instance(zone, zone=zone))
         rng = random.Random(1)
         placement = Placement(directory, (EvacuationRule(evacuations),))
-        balancer = Balancer(directory, self.clock, rng, BalancerSources(placement=placement))
+        balancer = Balancer(directory, self.clock, rng, BalancerDependencies(placement=placement))
         parts = make_parts(directory, balancer, self.engines, self.clock)
-        self.forwarder = Forwarder(replace(parts, shares=ShareChooser(rng)))
+        self.forwarder = Forwarder(replace(parts, service_selector=ServiceSelector(rng)))
 
     def forward(self, kind: RouteKind):
         """Forwards a request that is received now."""
@@ -152,7 +152,7 @@
                 with self.assertRaises(RefusedError) as refusal:
                     await self.forward(kind)
                 self.assertLess(self.clock.now() - began, 0.01)
-                self.assertEqual(NO_PLACE_RETRY_SECONDS, refusal.exception.retry_after)
+                self.assertEqual(NO_SLOT_RETRY_SECONDS, refusal.exception.retry_after)
             self.assertEqual((0, 0), (self.runs(NORTH), self.runs(SOUTH)))
 
         run(play())
@@ -165,7 +165,7 @@
             with self.assertRaises(RefusedError) as refusal:
                 await self.forward(RouteKind.RUN_ONCE)
             self.assertGreater(self.clock.now() - began, 0.03)
-            self.assertLess(refusal.exception.retry_after, MOST_RETRY_SECONDS)
+            self.assertLess(refusal.exception.retry_after, MAX_RETRY_SECONDS)
 
         run(play())
 
@@ -481,7 +481,7 @@
         async def play():
             await self.begin(gateways=1)
             gateway = self.fleet.gateways[0]
-            with gateway.balancer.placed(InstanceId("engine-0")):
+            with gateway.balancer.count_request(InstanceId("engine-0")):
                 gateway.directory.forget(InstanceId("engine-0"))
                 self.assertEqual(1, gateway.balancer.outstanding_in(NORTH))
             self.assertEqual(0, gateway.balancer.outstanding_in(NORTH))
--- a/tests/test_fair_load.py
+++ b/tests/test_fair_load.py
@@ -22,12 +22,12 @@
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.gateway.placement.work import CLIENT_WORK
 from larkpost.gateway.proxy.balancer import Balancer
-from larkpost.gateway.proxy.fair_order import MOST_HOLD_SECONDS, FairOrder
-from larkpost.gateway.proxy.forecast import Limits
+from larkpost.gateway.proxy.fair_order import MAX_HOLD_SECONDS, FairOrder
+from larkpost.gateway.proxy.forecast import Deadlines
 from larkpost.gateway.proxy.forwarder import Forwarder
-from larkpost.gateway.proxy.places import Places
 from larkpost.gateway.proxy.request import ClientRequest, RefusedError
-from larkpost.gateway.proxy.request_queue import POLL_INTERVAL_SECONDS, Prospect, RequestQueues
+from larkpost.gateway.proxy.request_queue import POLL_INTERVAL_SECONDS, QueueForecast, RequestQueues
+from larkpost.gateway.proxy.slot_counting import SlotCounts
 from larkpost.gateway.proxy.waiter import Waiter
 from tests.platform_fleet import ENGINES, PAGES, PlatformFleet
 from tests.scripted_engines import ScriptedEngine, ScriptedEngines
@@ -104,7 +104,7 @@
         """Returns a daemon that knows the servers' paces."""
         balancer = Balancer(self.directory, self.clock, random.Random(name))
         for number in range(SERVERS):
-            balancer.record_pace(InstanceId(f"e{number}"), PACE)
+            balancer.record_service_time(InstanceId(f"e{number}"), PACE)
         ledger = FlowLedger(self.clock)
         parts = make_parts(self.directory, balancer, self.engines, self.clock)
         parts = replace(parts, ledger=ledger, rng=random.Random(f"{name} chance"))
@@ -214,7 +214,7 @@
     def test_no_place_stays_free_for_it(self):
         """As many requests are served as without shares."""
         served = self.run_load(self.RATES).served.total()
-        with mock.patch.object(FairOrder, "_standing", lambda *_: None):
+        with mock.patch.object(FairOrder, "_flow_share", lambda *_: None):
             self.assertGreater(served, 0.95 * self.run_load(self.RATES).served.total())
 
 
@@ -251,7 +251,7 @@
         half = load / 2 * CAPACITY
         rates = light_rates(half) | {HEAVY: half}
         with_shares = self.runs(rates)
-        with mock.patch.object(FairOrder, "_standing", lambda *_: None):
+        with mock.patch.object(FairOrder, "_flow_share", lambda *_: None):
             without_shares = self.runs(rates)
         for tenants in (tuple(rates), (HEAVY,)):
             part = mean_in_time(with_shares, tenants)
@@ -320,14 +320,16 @@
 
         async def play() -> list[str]:
             clock = LoopClock()
-            places = Places(1, 1, PACE)
+            places = SlotCounts(1, 1, PACE)
             queues = RequestQueues(clock, lambda *_: places, FlowLedger(clock))
             called = []
 
             async def wait(name: str, first_tried: float) -> None:
-                limits = Limits(first_tried + 0.05, first_tried + 20.0, PACE)
-                is_back = first_tried < 0
-                waiter = Waiter(PAGES, CLIENT_WORK, 0, limits, first_tried, name, is_back=is_back)
+                deadlines = Deadlines(first_tried + 0.05, first_tried + 20.0, PACE)
+                is_retry = first_tried < 0
+                waiter = Waiter(
+                    PAGES, CLIENT_WORK, 0, deadlines, first_tried, name, is_retry=is_retry
+                )
                 await queues.wait_for_turn(waiter)
                 called.append(name)
 
@@ -348,9 +350,9 @@
             clock = LoopClock()
             ledger = FlowLedger(clock)
             ledger.record_report(DaemonId("far"), reported)
-            queues = RequestQueues(clock, lambda *_: Places(8, 7, PACE), ledger)
-            limits = Limits(1.0, 5.0, PACE)
-            waiter = Waiter(PAGES, CLIENT_WORK, 1, limits, clock.now(), "heavy")
+            queues = RequestQueues(clock, lambda *_: SlotCounts(8, 7, PACE), ledger)
+            deadlines = Deadlines(1.0, 5.0, PACE)
+            waiter = Waiter(PAGES, CLIENT_WORK, 1, deadlines, clock.now(), "heavy")
             await queues.wait_for_turn(waiter)
             return clock.now()
 
@@ -358,8 +360,8 @@
 
     def test_it_lets_them_go_first_but_not_for_long(self):
         seconds = self.wait({HEAVY_FLOW: FlowUsage(6, 2), LIGHT_FLOW: FlowUsage(0, 3)})
-        self.assertGreaterEqual(seconds, MOST_HOLD_SECONDS)
-        self.assertLess(seconds, MOST_HOLD_SECONDS + 2 * POLL_INTERVAL_SECONDS)
+        self.assertGreaterEqual(seconds, MAX_HOLD_SECONDS)
+        self.assertLess(seconds, MAX_HOLD_SECONDS + 2 * POLL_INTERVAL_SECONDS)
 
     def test_those_that_come_after_it_do_not_hold_it_up(self):
         """Callers who come back stand before it, and are held anew each."""
@@ -369,21 +371,21 @@
             ledger = FlowLedger(clock)
             reported = {HEAVY_FLOW: FlowUsage(6, 2), LIGHT_FLOW: FlowUsage(0, 3)}
             ledger.record_report(DaemonId("far"), reported)
-            queues = RequestQueues(clock, lambda *_: Places(8, 7, PACE), ledger)
+            queues = RequestQueues(clock, lambda *_: SlotCounts(8, 7, PACE), ledger)
 
-            async def wait(*, is_back: bool) -> float:
-                limits = Limits(1.0, 5.0, PACE)
-                waiter = Waiter(PAGES, CLIENT_WORK, 1, limits, 0.0, "heavy", is_back=is_back)
+            async def wait(*, is_retry: bool) -> float:
+                deadlines = Deadlines(1.0, 5.0, PACE)
+                waiter = Waiter(PAGES, CLIENT_WORK, 1, deadlines, 0.0, "heavy", is_retry=is_retry)
                 await queues.wait_for_turn(waiter)
                 return clock.now()
 
-            first = asyncio.create_task(wait(is_back=False))
+            first = asyncio.create_task(wait(is_retry=False))
             while not first.done():
-                await clock.sleep(MOST_HOLD_SECONDS / 5)
-                asyncio.create_task(wait(is_back=True))
+                await clock.sleep(MAX_HOLD_SECONDS / 5)
+                asyncio.create_task(wait(is_retry=True))
             return first.result()
 
-        self.assertLess(run(play()), 2 * MOST_HOLD_SECONDS)
+        self.assertLess(run(play()), 2 * MAX_HOLD_SECONDS)
 
     def test_less_urgent_requests_do_not_take_the_places_that_it_leaves_to_others(self):
         async def play() -> list[int]:
@@ -391,12 +393,14 @@
             ledger = FlowLedger(clock)
             reported = {HEAVY_FLOW: FlowUsage(6, 2), LIGHT_FLOW: FlowUsage(0, 3)}
             ledger.record_report(DaemonId("far"), reported)
-            queues = RequestQueues(clock, lambda *_: Places(8, 8, PACE), ledger)
+            queues = RequestQueues(clock, lambda *_: SlotCounts(8, 8, PACE), ledger)
             called = []
 
             async def wait(priority: int, name: str) -> None:
-                limits = Limits(1.0, 5.0, PACE)
-                await queues.wait_for_turn(Waiter(PAGES, CLIENT_WORK, priority, limits, 0.0, name))
+                deadlines = Deadlines(1.0, 5.0, PACE)
+                await queues.wait_for_turn(
+                    Waiter(PAGES, CLIENT_WORK, priority, deadlines, 0.0, name)
+                )
                 called.append(priority)
 
             await asyncio.gather(wait(2, "other"), wait(1, "heavy"))
@@ -409,17 +413,17 @@
         self.assertLess(seconds, 2 * POLL_INTERVAL_SECONDS)
 
     def test_it_is_refused_at_once_if_its_share_has_no_room_in_its_time(self):
-        async def play() -> Prospect:
+        async def play() -> QueueForecast:
             clock = LoopClock()
             ledger = FlowLedger(clock)
             reported = {HEAVY_FLOW: FlowUsage(6, 30), LIGHT_FLOW: FlowUsage(1, 30)}
             ledger.record_report(DaemonId("far"), reported)
-            queues = RequestQueues(clock, lambda *_: Places(8, 8, PACE), ledger)
-            limits = Limits(0.2, 0.8, PACE)
-            return queues.forecast(Waiter(PAGES, CLIENT_WORK, 1, limits, 0.0, "heavy"))
+            queues = RequestQueues(clock, lambda *_: SlotCounts(8, 8, PACE), ledger)
+            deadlines = Deadlines(0.2, 0.8, PACE)
+            return queues.forecast(Waiter(PAGES, CLIENT_WORK, 1, deadlines, 0.0, "heavy"))
 
         prospect = run(play())
-        self.assertTrue(prospect.forecast.is_hopeless)
+        self.assertTrue(prospect.forecast.is_infeasible)
         self.assertGreater(prospect.forecast.wait, 0.8)
 
     def test_more_urgent_requests_come_first_whatever_their_share(self):
@@ -428,12 +432,14 @@
             ledger = FlowLedger(clock)
             urgent = flow("heavy", FlowGroup(PAGES, 0))
             ledger.record_report(DaemonId("far"), {urgent: FlowUsage(9, 0)})
-            queues = RequestQueues(clock, lambda *_: Places(8, 8, PACE), ledger)
+            queues = RequestQueues(clock, lambda *_: SlotCounts(8, 8, PACE), ledger)
             called = []
 
             async def wait(priority: int, name: str) -> None:
-                limits = Limits(1.0, 5.0, PACE)
-                await queues.wait_for_turn(Waiter(PAGES, CLIENT_WORK, priority, limits, 0.0, name))
+                deadlines = Deadlines(1.0, 5.0, PACE)
+                await queues.wait_for_turn(
+                    Waiter(PAGES, CLIENT_WORK, priority, deadlines, 0.0, name)
+                )
                 called.append(priority)
 
             await asyncio.gather(wait(2, "light"), wait(0, "heavy"))
@@ -448,13 +454,13 @@
     def setUp(self) -> None:
         self.clock = LoopClock()
         self.ledger = FlowLedger(self.clock)
-        self.queues = RequestQueues(self.clock, lambda *_: Places(8, 8, PACE), self.ledger)
+        self.queues = RequestQueues(self.clock, lambda *_: SlotCounts(8, 8, PACE), self.ledger)
 
     def waiter(self, objective: float, time_left: float) -> Waiter:
         """Returns a request that has just come."""
         now = self.clock.now()
-        limits = Limits(now + objective, now + time_left, PACE)
-        return Waiter(PAGES, CLIENT_WORK, 1, limits, now, "light")
+        deadlines = Deadlines(now + objective, now + time_left, PACE)
+        return Waiter(PAGES, CLIENT_WORK, 1, deadlines, now, "light")
 
     def test_request_that_waits_for_a_moment_is_not_counted(self):
         async def play() -> None:
@@ -484,11 +490,11 @@
     def test_requests_whose_time_was_over_when_they_came_show_no_shortage(self):
         async def play() -> None:
             for _ in range(20):
-                self.assertTrue(self.queues.forecast(self.waiter(-0.8, 0.0)).forecast.is_hopeless)
+                self.assertTrue(self.queues.forecast(self.waiter(-0.8, 0.0)).forecast.is_infeasible)
             self.assertFalse(self.ledger.has_shortage())
             for _ in range(20):
                 prospect = self.queues.forecast(self.waiter(0.01, 0.01))
-                self.assertTrue(prospect.forecast.is_hopeless)
+                self.assertTrue(prospect.forecast.is_infeasible)
             self.assertTrue(self.ledger.has_shortage())
 
         run(play())
@@ -509,16 +515,16 @@
             for number in range(SERVERS):
                 for _ in range(SLOTS):
                     daemon.balancer.occupy(InstanceId(f"e{number}"))
-            gate = daemon.forwarder._gate
+            gate = daemon.forwarder._scheduler
             passed = []
             for number in range(8):
                 request = ClientRequest(b"%d" % number, "GET", b"h", b"/", (), b"", 0.0, 9.0, HEAVY)
                 attempts, must_wait = gate.begin(
                     replace(request, received_at=self.clock.now()), ROUTE
                 )
-                if attempts.waiter.is_passed:
+                if attempts.waiter.is_share_exempt:
                     passed.append(number)
-                turn = asyncio.create_task(gate.may_try(attempts, must_wait=True))
+                turn = asyncio.create_task(gate.wait_for_admission(attempts, must_wait=True))
                 await self.clock.sleep(0)
                 turn.cancel()
                 await asyncio.wait({turn})
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -17,18 +17,18 @@
 from larkpost.gateway.blackboard.tenants import TenantName
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
 from larkpost.gateway.fairness.batch_shares import BatchDemand, share_among_batches
-from larkpost.gateway.fairness.least_service import LEAST_RELATIVE_SERVICE, LeastService
 from larkpost.gateway.fairness.ledger import (
-    LONGEST_REPORTED_NAME,
-    MOST_REPORTED_FLOWS,
+    MAX_REPORTED_FLOWS,
+    MAX_REPORTED_NAME_LENGTH,
     REPORT_LIFETIME_SECONDS,
-    SHORTAGE_MEMORY_SECONDS,
+    SHORTAGE_LIFETIME_SECONDS,
     FlowLedger,
 )
-from larkpost.gateway.fairness.return_times import MOST_LINES, ReturnTimes
-from larkpost.gateway.fairness.share_rule import allocate_engines, wait_for_share
+from larkpost.gateway.fairness.retry_schedule import MAX_SCHEDULED_QUEUES, RetrySchedule
+from larkpost.gateway.fairness.share_rule import allocate_engines, estimate_share_wait
+from larkpost.gateway.fairness.starvation_guard import MIN_RELATIVE_SERVICE, StarvationGuard
 from larkpost.gateway.fairness.water_filling import fair_level
-from larkpost.gateway.proxy.lasting_shortage import LastingShortage
+from larkpost.gateway.proxy.shortage_detector import ShortageDetector
 from tests.virtual import run
 
 SERVICE = ServiceName("pages")
@@ -83,18 +83,20 @@
 
     def test_it_lets_the_others_go_first(self):
         shares = allocate_engines(self.uses(), free=0)
-        heavy = shares.standing(HEAVY)
-        self.assertTrue(heavy.is_over)
+        heavy = shares.flow_share(HEAVY)
+        self.assertTrue(heavy.is_over_share)
         self.assertLess(heavy.share, 1.0)
-        self.assertEqual(5, heavy.ahead)  # those without a place; the others have their share
-        self.assertFalse(shares.standing(flow("t9")).is_over)
+        self.assertEqual(
+            5, heavy.waiting_ahead
+        )  # those without a place; the others have their share
+        self.assertFalse(shares.flow_share(flow("t9")).is_over_share)
 
     def test_it_gets_what_the_others_leave(self):
         uses = {flow(f"t{number}"): FlowUsage(1, 0) for number in range(3)}
         shares = allocate_engines(uses | {HEAVY: FlowUsage(7, 5)}, free=0)
-        heavy = shares.standing(HEAVY)
+        heavy = shares.flow_share(HEAVY)
         self.assertEqual(7.0, heavy.share)
-        self.assertFalse(heavy.is_over)
+        self.assertFalse(heavy.is_over_share)
 
     def test_whoever_is_beyond_its_share_has_others_before_it_for_all_free_places(self):
         """So a free place is never refused to it for nobody."""
@@ -105,27 +107,27 @@
             uses = {name: FlowUsage(rng.randrange(6), rng.choice((0, 0, 1, 5))) for name in names}
             free = rng.randrange(8)
             shares = allocate_engines(uses, free)
-            for standing in map(shares.standing, names):
-                seen += standing.is_over
-                self.assertTrue(not standing.is_over or standing.ahead >= free)
+            for flow_share in map(shares.flow_share, names):
+                seen += flow_share.is_over_share
+                self.assertTrue(not flow_share.is_over_share or flow_share.waiting_ahead >= free)
         self.assertGreater(seen, 100)
 
     def test_its_forecast_grows_with_its_own_requests_alone(self):
-        heavy = allocate_engines(self.uses(), free=0).standing(HEAVY)
-        waits = [wait_for_share(heavy, ahead, PACE) for ahead in (0, 5, 10)]
+        heavy = allocate_engines(self.uses(), free=0).flow_share(HEAVY)
+        waits = [estimate_share_wait(heavy, waiting_ahead, PACE) for waiting_ahead in (0, 5, 10)]
         self.assertEqual(sorted(waits), waits)
         self.assertGreater(waits[1] - waits[0], 4 * PACE)
-        light = allocate_engines(self.uses(), free=0).standing(flow("t9"))
-        self.assertEqual(0.0, wait_for_share(light, 0, PACE))
+        light = allocate_engines(self.uses(), free=0).flow_share(flow("t9"))
+        self.assertEqual(0.0, estimate_share_wait(light, 0, PACE))
 
     def test_tenant_alone_is_never_beyond_its_share(self):
         self.assertFalse(
-            allocate_engines({HEAVY: FlowUsage(9, 90)}, free=0).standing(HEAVY).is_over
+            allocate_engines({HEAVY: FlowUsage(9, 90)}, free=0).flow_share(HEAVY).is_over_share
         )
 
     def test_nobody_is_beyond_its_share_while_no_request_waits(self):
         uses = {HEAVY: FlowUsage(9, 0), LIGHT: FlowUsage(1, 0)}
-        self.assertFalse(allocate_engines(uses, free=2).standing(HEAVY).is_over)
+        self.assertFalse(allocate_engines(uses, free=2).flow_share(HEAVY).is_over_share)
 
 
 class BurstTest(unittest.TestCase):
@@ -134,64 +136,64 @@
     def test_tenants_that_ask_as_usual_are_not_beyond_their_shares_in_a_burst_of_another(self):
         usual = {flow(f"t{number}"): FlowUsage(1, 1) for number in range(4)}
         shares = allocate_engines(usual | {HEAVY: FlowUsage(12, 80)}, free=0)
-        self.assertTrue(shares.standing(HEAVY).is_over)
+        self.assertTrue(shares.flow_share(HEAVY).is_over_share)
         for name in usual:
-            self.assertFalse(shares.standing(name).is_over)
+            self.assertFalse(shares.flow_share(name).is_over_share)
 
     def test_in_a_burst_of_all_the_shares_are_equal(self):
         uses = {flow(f"t{number}"): FlowUsage(2, 20) for number in range(5)}
         shares = allocate_engines(uses, free=0)
         self.assertEqual(2.0, shares.level)
-        self.assertFalse(any(shares.standing(name).is_over for name in uses))
+        self.assertFalse(any(shares.flow_share(name).is_over_share for name in uses))
 
     def test_credit_serves_the_greatest_tenant_a_third_as_often_as_all(self):
         """A tenth of the requests find a place, and its share alone would give it none."""
 
         async def play():
             clock = LoopClock()
-            least = LeastService(clock, random.Random(5))
+            least = StarvationGuard(clock, random.Random(5))
             passed = 0
             asked = 2000
             for number in range(asked):
                 await clock.sleep(0.01)
-                passed += least.admit(HEAVY, is_over=True)
+                passed += least.admit(HEAVY, is_over_share=True)
                 if number % 10 == 0:
-                    least.record_placed(LIGHT, is_passed=False)
+                    least.record_slot_granted(LIGHT, is_share_exempt=False)
             part = passed / asked
             self.assertGreater(part, STARVED_PART * 0.1)
-            self.assertLess(part, 1.2 * LEAST_RELATIVE_SERVICE * 0.1)
+            self.assertLess(part, 1.2 * MIN_RELATIVE_SERVICE * 0.1)
 
         run(play())
 
     def test_credit_is_not_saved_up_while_a_flow_is_served(self):
         async def play():
-            least = LeastService(LoopClock(), random.Random(5))
+            least = StarvationGuard(LoopClock(), random.Random(5))
             for _ in range(100):
-                least.admit(HEAVY, is_over=False)
-                least.record_placed(HEAVY, is_passed=False)
-            self.assertLessEqual(sum(least.admit(HEAVY, is_over=True) for _ in range(3)), 1)
+                least.admit(HEAVY, is_over_share=False)
+                least.record_slot_granted(HEAVY, is_share_exempt=False)
+            self.assertLessEqual(sum(least.admit(HEAVY, is_over_share=True) for _ in range(3)), 1)
 
         run(play())
 
     def test_credit_of_a_request_that_was_refused_is_for_the_next(self):
         async def play():
-            least = LeastService(LoopClock(), random.Random(5))
-            while not least.admit(HEAVY, is_over=True):
+            least = StarvationGuard(LoopClock(), random.Random(5))
+            while not least.admit(HEAVY, is_over_share=True):
                 pass
-            least.record_unplaced(HEAVY)
-            self.assertTrue(least.admit(HEAVY, is_over=True))
-            least.record_placed(HEAVY, is_passed=True)
-            self.assertFalse(least.admit(HEAVY, is_over=True))
+            least.refund_credit(HEAVY)
+            self.assertTrue(least.admit(HEAVY, is_over_share=True))
+            least.record_slot_granted(HEAVY, is_share_exempt=True)
+            self.assertFalse(least.admit(HEAVY, is_over_share=True))
 
         run(play())
 
     def test_request_after_a_night_without_any_is_admitted(self):
         async def play():
             clock = LoopClock()
-            least = LeastService(clock, random.Random(5))
-            least.admit(HEAVY, is_over=False)
+            least = StarvationGuard(clock, random.Random(5))
+            least.admit(HEAVY, is_over_share=False)
             await clock.sleep(4 * 3600.0)
-            self.assertFalse(least.admit(LIGHT, is_over=False))
+            self.assertFalse(least.admit(LIGHT, is_over_share=False))
 
         run(play())
 
@@ -201,9 +203,9 @@
             daemons = 300
             passed = 0
             for seed in range(daemons):
-                least = LeastService(clock, random.Random(seed))
-                least.record_placed(LIGHT, is_passed=False)
-                passed += least.admit(HEAVY, is_over=True)
+                least = StarvationGuard(clock, random.Random(seed))
+                least.record_slot_granted(LIGHT, is_share_exempt=False)
+                passed += least.admit(HEAVY, is_over_share=True)
             self.assertGreater(passed / daemons, STARVED_PART)
 
         run(play())
@@ -223,15 +225,17 @@
                 held.enter_context(near.running(HEAVY))
                 held.enter_context(near.waiting(LIGHT))
                 alone = allocate_engines(near.uses(GROUP), free=0)
-                self.assertEqual(1, alone.standing(HEAVY).use)
-                self.assertFalse(allocate_engines(far.uses(GROUP), free=0).standing(HEAVY).is_over)
+                self.assertEqual(1, alone.flow_share(HEAVY).use)
+                self.assertFalse(
+                    allocate_engines(far.uses(GROUP), free=0).flow_share(HEAVY).is_over_share
+                )
                 near.record_report("far", far.report())
                 far.record_report("near", near.report())
                 for ledger in (near, far):
-                    standing = allocate_engines(ledger.uses(GROUP), free=0).standing(HEAVY)
-                    self.assertEqual(4, standing.use)
-                    self.assertEqual(1, standing.ahead)
-                    self.assertTrue(standing.is_over)
+                    flow_share = allocate_engines(ledger.uses(GROUP), free=0).flow_share(HEAVY)
+                    self.assertEqual(4, flow_share.use)
+                    self.assertEqual(1, flow_share.waiting_ahead)
+                    self.assertTrue(flow_share.is_over_share)
 
         run(play())
 
@@ -250,12 +254,12 @@
             ledger = FlowLedger(LoopClock())
             with contextlib.ExitStack() as held:
                 for _ in range(40):
-                    held.enter_context(ledger.running(flow("x" * (LONGEST_REPORTED_NAME + 1))))
+                    held.enter_context(ledger.running(flow("x" * (MAX_REPORTED_NAME_LENGTH + 1))))
                 for number in range(30):
                     for _ in range(number + 1):
                         held.enter_context(ledger.waiting(flow(f"tenant-{number}")))
                 report = ledger.report()
-            self.assertEqual(MOST_REPORTED_FLOWS, len(report))
+            self.assertEqual(MAX_REPORTED_FLOWS, len(report))
             self.assertEqual(FlowUsage(0, 30), report[flow("tenant-29")])
             row = encode_heartbeat(Heartbeat(1.0, report=DaemonReport(tenants=report)))
             self.assertLess(len(row), 400)
@@ -272,7 +276,7 @@
                 with ledger.waiting(LIGHT):
                     self.assertTrue(ledger.has_shortage())
                 self.assertEqual({HEAVY: FlowUsage(1, 0)}, ledger.report())
-                await clock.sleep(SHORTAGE_MEMORY_SECONDS + 0.1)
+                await clock.sleep(SHORTAGE_LIFETIME_SECONDS + 0.1)
                 self.assertEqual({}, ledger.report())
                 ledger.record_report("far", {LIGHT: FlowUsage(0, 1)})
                 self.assertEqual({HEAVY: FlowUsage(1, 0)}, ledger.report())
@@ -341,8 +345,8 @@
 
     def test_they_come_back_one_after_the_other_in_their_order(self):
         async def play():
-            times = ReturnTimes(LoopClock(), random.Random(1))
-            told = [times.book("line", 0.2, 0.05, 1.0) for _ in range(12)]
+            times = RetrySchedule(LoopClock(), random.Random(1))
+            told = [times.reserve("line", 0.2, 0.05, 1.0) for _ in range(12)]
             self.assertEqual(sorted(told), told)
             self.assertGreaterEqual(told[0], 0.2)
             for sooner, later in itertools.pairwise(told):
@@ -353,19 +357,19 @@
 
     def test_those_who_cannot_wait_for_their_turn_are_spread_over_their_time(self):
         async def play():
-            times = ReturnTimes(LoopClock(), random.Random(1))
-            told = [times.book("line", 5.0, 0.05, 0.4) for _ in range(100)]
+            times = RetrySchedule(LoopClock(), random.Random(1))
+            told = [times.reserve("line", 5.0, 0.05, 0.4) for _ in range(100)]
             self.assertLessEqual(max(told), 0.4)
             self.assertGreater(max(told) - min(told), 0.15)
             # Nobody is put behind those who did not stay.
-            self.assertLess(times.book("line", 0.1, 0.05, 1.0), 0.2)
+            self.assertLess(times.reserve("line", 0.1, 0.05, 1.0), 0.2)
 
         run(play())
 
     def test_daemons_do_not_tell_the_same_times(self):
         async def play():
             told = {
-                ReturnTimes(LoopClock(), random.Random(n)).book(1, 0.2, 0.05, 1.0)
+                RetrySchedule(LoopClock(), random.Random(n)).reserve(1, 0.2, 0.05, 1.0)
                 for n in range(50)
             }
             self.assertEqual(50, len(told))
@@ -374,10 +378,10 @@
 
     def test_lines_are_bounded(self):
         async def play():
-            times = ReturnTimes(LoopClock(), random.Random(1))
-            for number in range(3 * MOST_LINES):
-                times.book(number, 0.2, 0.05, 1.0)
-            self.assertLessEqual(len(times._told), MOST_LINES)
+            times = RetrySchedule(LoopClock(), random.Random(1))
+            for number in range(3 * MAX_SCHEDULED_QUEUES):
+                times.reserve(number, 0.2, 0.05, 1.0)
+            self.assertLessEqual(len(times._told), MAX_SCHEDULED_QUEUES)
 
         run(play())
 
@@ -385,12 +389,12 @@
         """Else the callers of the tenant that is refused most would come back together."""
 
         async def play():
-            times = ReturnTimes(LoopClock(), random.Random(1))
-            told = [times.book("heavy", 0.1, 0.1, 1.0)]
-            for number in range(2 * MOST_LINES):
-                times.book(number, 0.2, 0.05, 1.0)
-                if number % (MOST_LINES // 2) == 0:
-                    told.append(times.book("heavy", 0.1, 0.1, 1.0))
+            times = RetrySchedule(LoopClock(), random.Random(1))
+            told = [times.reserve("heavy", 0.1, 0.1, 1.0)]
+            for number in range(2 * MAX_SCHEDULED_QUEUES):
+                times.reserve(number, 0.2, 0.05, 1.0)
+                if number % (MAX_SCHEDULED_QUEUES // 2) == 0:
+                    told.append(times.reserve("heavy", 0.1, 0.1, 1.0))
             for sooner, later in itertools.pairwise(told):
                 self.assertGreater(later, sooner)
 
@@ -402,7 +406,7 @@
 
     def setUp(self) -> None:
         self.clock = LoopClock()
-        self.shortage = LastingShortage(self.clock)
+        self.shortage = ShortageDetector(self.clock)
 
     async def play(self, missed_of_ten: int, seconds: int) -> None:
         """Records ten requests a second."""
@@ -410,13 +414,13 @@
             if number % 10 < missed_of_ten:
                 self.shortage.record_missed(SERVICE)
             else:
-                self.shortage.record_placed(SERVICE)
+                self.shortage.record_slot_granted(SERVICE)
             await self.clock.sleep(0.1)
 
     def test_few_that_miss_show_none(self):
         async def play() -> None:
             await self.play(1, 20)
-            self.assertFalse(self.shortage.lasts(SERVICE))
+            self.assertFalse(self.shortage.is_persistent(SERVICE))
 
         run(play())
 
@@ -424,19 +428,19 @@
         async def play() -> None:
             await self.play(1, 20)
             await self.play(5, 6)
-            self.assertTrue(self.shortage.lasts(SERVICE))
-            self.assertFalse(self.shortage.lasts(ServiceName("other")))
+            self.assertTrue(self.shortage.is_persistent(SERVICE))
+            self.assertFalse(self.shortage.is_persistent(ServiceName("other")))
             await self.play(1, 8)
-            self.assertFalse(self.shortage.lasts(SERVICE))
+            self.assertFalse(self.shortage.is_persistent(SERVICE))
 
         run(play())
 
     def test_it_ends_also_if_no_request_comes(self):
         async def play() -> None:
             await self.play(9, 6)
-            self.assertTrue(self.shortage.lasts(SERVICE))
+            self.assertTrue(self.shortage.is_persistent(SERVICE))
             await self.clock.sleep(30.0)
-            self.assertFalse(self.shortage.lasts(SERVICE))
+            self.assertFalse(self.shortage.is_persistent(SERVICE))
 
         run(play())
 
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -22,14 +22,13 @@
 from larkpost.gateway.placement.work import CLIENT_WORK
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.forecast import (
-    HEEDED_SHARE,
-    MOST_RETRY_SECONDS,
+    MAX_RETRY_SECONDS,
+    MAX_RETRY_SHARE,
+    Deadlines,
     Expectation,
-    Limits,
     make_forecast,
 )
 from larkpost.gateway.proxy.forwarder import Forwarder
-from larkpost.gateway.proxy.places import Places, survey
 from larkpost.gateway.proxy.request import (
     ClientRequest,
     RefusedError,
@@ -41,6 +40,7 @@
     RequestQueues,
     poll_interval,
 )
+from larkpost.gateway.proxy.slot_counting import SlotCounts, count_slots
 from larkpost.gateway.proxy.waiter import Waiter
 from tests.platform_fleet import PAGES
 from tests.scripted_engines import ScriptedEngine, ScriptedEngines
@@ -51,7 +51,7 @@
 OBJECTIVE = 0.2
 TIME_LIMIT = 2.0
 PACE = 0.1
-LIMITS = Limits(objective_at=OBJECTIVE, end_at=0.8, usual_pace=0.05)
+DEADLINES = Deadlines(objective_at=OBJECTIVE, expires_at=0.8, default_service_time=0.05)
 SETTLE_SECONDS = 0.01
 """Longer than an answer "full" takes, shorter than the pace."""
 
@@ -66,52 +66,56 @@
 class ForecastTest(unittest.TestCase):
     """The forecast alone; the time is 0."""
 
-    def expectation(self, places: Places, ahead: int = 0, blocked_for: float = 0.0) -> Expectation:
+    def expectation(
+        self, slot_counts: SlotCounts, ahead: int = 0, blocked_seconds: float = 0.0
+    ) -> Expectation:
         """Returns what is expected."""
-        return make_forecast(places, LIMITS, 0.0, ahead, blocked_for).expectation
+        return make_forecast(slot_counts, DEADLINES, 0.0, ahead, blocked_seconds).expectation
 
     def test_more_requests_in_front_turn_it_from_in_time_to_late_to_hopeless(self):
         expectations = [
-            self.expectation(Places(4, 4, 0.1), ahead) for ahead in (0, 3, 4, 29, 30, 60)
+            self.expectation(SlotCounts(4, 4, 0.1), ahead) for ahead in (0, 3, 4, 29, 30, 60)
         ]
         expected = [Expectation.IN_TIME, Expectation.IN_TIME, Expectation.LATE, Expectation.LATE]
         self.assertEqual([*expected, Expectation.NOT_AT_ALL, Expectation.NOT_AT_ALL], expectations)
 
     def test_slow_servers_are_no_hope_for_short_times(self):
-        self.assertIs(Expectation.NOT_AT_ALL, self.expectation(Places(4, 3, 1.7)))
+        self.assertIs(Expectation.NOT_AT_ALL, self.expectation(SlotCounts(4, 3, 1.7)))
 
     def test_nothing_is_refused_while_most_places_are_free(self):
-        self.assertIs(Expectation.LATE, self.expectation(Places(4, 1, 1.7), blocked_for=9.0))
+        self.assertIs(
+            Expectation.LATE, self.expectation(SlotCounts(4, 1, 1.7), blocked_seconds=9.0)
+        )
 
     def test_service_without_places_is_hopeless(self):
-        self.assertIs(Expectation.NOT_AT_ALL, self.expectation(Places(0, 0, 0.0)))
+        self.assertIs(Expectation.NOT_AT_ALL, self.expectation(SlotCounts(0, 0, 0.0)))
 
     def test_request_whose_time_is_over_is_hopeless_whatever_is_free(self):
-        forecast = make_forecast(Places(4, 0, 0.1), LIMITS, LIMITS.end_at)
+        forecast = make_forecast(SlotCounts(4, 0, 0.1), DEADLINES, DEADLINES.expires_at)
         self.assertIs(Expectation.NOT_AT_ALL, forecast.expectation)
 
     def test_places_that_stay_taken_are_expected_to_stay_so_for_as_long(self):
-        places = Places(4, 4, 0.1)
-        self.assertIs(Expectation.IN_TIME, self.expectation(places, blocked_for=0.05))
-        self.assertIs(Expectation.LATE, self.expectation(places, blocked_for=0.3))
-        self.assertIs(Expectation.NOT_AT_ALL, self.expectation(places, blocked_for=0.77))
+        slot_counts = SlotCounts(4, 4, 0.1)
+        self.assertIs(Expectation.IN_TIME, self.expectation(slot_counts, blocked_seconds=0.05))
+        self.assertIs(Expectation.LATE, self.expectation(slot_counts, blocked_seconds=0.3))
+        self.assertIs(Expectation.NOT_AT_ALL, self.expectation(slot_counts, blocked_seconds=0.77))
 
     def test_caller_is_told_the_wait_but_never_more_than_it_can_use(self):
         for ahead in (0, 1, 5, 40, 4000):
-            forecast = make_forecast(Places(4, 4, 0.1), LIMITS, 0.3, ahead)
+            forecast = make_forecast(SlotCounts(4, 4, 0.1), DEADLINES, 0.3, ahead)
             self.assertGreater(forecast.retry_after, 0)
-            self.assertLessEqual(forecast.retry_after, 0.5 * HEEDED_SHARE)
-        patient = Limits(objective_at=0.2, end_at=100.0, usual_pace=0.05)
-        told = make_forecast(Places(4, 4, 0.4), patient, 0.0, ahead=1).retry_after
+            self.assertLessEqual(forecast.retry_after, 0.5 * MAX_RETRY_SHARE)
+        patient = Deadlines(objective_at=0.2, expires_at=100.0, default_service_time=0.05)
+        told = make_forecast(SlotCounts(4, 4, 0.4), patient, 0.0, ahead=1).retry_after
         self.assertAlmostEqual(0.2, told)
-        told = make_forecast(Places(4, 4, 0.4), patient, 0.0, ahead=900).retry_after
-        self.assertEqual(MOST_RETRY_SECONDS, told)
+        told = make_forecast(SlotCounts(4, 4, 0.4), patient, 0.0, ahead=900).retry_after
+        self.assertEqual(MAX_RETRY_SECONDS, told)
 
 
 class WaitingTest(unittest.TestCase):
     """Requests through the forwarder, on virtual time."""
 
-    def begin(self, count: int = 1, pace: float = PACE) -> None:
+    def begin(self, count: int = 1, service_time: float = PACE) -> None:
         """Lists some servers of which all places are free."""
         self.clock = LoopClock()
         self.engines = ScriptedEngines(self.clock, ModelName("model"))
@@ -119,9 +123,9 @@
         self.balancer = Balancer(self.directory, self.clock, random.Random(1))
         for number in range(count):
             name = InstanceId(f"e{number}")
-            self.engines.engines[name] = ScriptedEngine(slots=SLOTS, event_seconds=pace)
+            self.engines.engines[name] = ScriptedEngine(slots=SLOTS, event_seconds=service_time)
             self.list(name, InstanceState.READY)
-            self.balancer.record_pace(name, pace)
+            self.balancer.record_service_time(name, service_time)
         self.metrics = Metrics()
         parts = make_parts(self.directory, self.balancer, self.engines, self.clock)
         self.forwarder = Forwarder(replace(parts, metrics=self.metrics))
@@ -174,12 +178,12 @@
     def test_hopeless_request_is_refused_at_once_with_the_forecast_s_time(self):
         async def play():
             for send in (self.send, self.stream):
-                self.begin(pace=1.0)
+                self.begin(service_time=1.0)
                 others = [self.send(make_route(), 1.9) for _ in range(SLOTS)]
                 await self.clock.sleep(SETTLE_SECONDS)
                 seconds, error = await self.refusal(send(make_route(), 0.6))
                 self.assertLess(seconds, POLL_INTERVAL_SECONDS)
-                self.assertLessEqual(error.retry_after, 0.6 * HEEDED_SHARE)
+                self.assertLessEqual(error.retry_after, 0.6 * MAX_RETRY_SHARE)
                 self.assertEqual(SLOTS, len(self.state().runs))
                 await asyncio.gather(*others)
 
@@ -214,7 +218,7 @@
     def test_late_request_waits_and_is_served(self):
         async def play():
             for send in (self.send, self.stream):
-                self.begin(pace=0.3)
+                self.begin(service_time=0.3)
                 others = [self.send(make_route()) for _ in range(SLOTS)]
                 await self.clock.sleep(SETTLE_SECONDS)
                 began = self.clock.now()
@@ -351,7 +355,9 @@
             for kind in (RouteKind.IDEMPOTENT, RouteKind.RUN_ONCE):
                 self.begin(count=2)
                 self.take_places(10.0)
-                self.balancer.record_pace(InstanceId("e1"), 2 * PACE, weight=1.0)  # tried second
+                self.balancer.record_service_time(
+                    InstanceId("e1"), 2 * PACE, weight=1.0
+                )  # tried second
                 leaving = self.send(make_route(kind))
                 await self.clock.sleep(0.0005)  # before the first has answered "full"
                 leaving.cancel()
@@ -383,7 +389,9 @@
             for kind in (RouteKind.IDEMPOTENT, RouteKind.RUN_ONCE):
                 self.begin(count=2)
                 self.state().break_after = 0
-                self.balancer.record_pace(InstanceId("e1"), 2 * PACE, weight=1.0)  # tried second
+                self.balancer.record_service_time(
+                    InstanceId("e1"), 2 * PACE, weight=1.0
+                )  # tried second
                 self.engines.engines[InstanceId("e1")].running = SLOTS
                 with self.assertRaises(RequestFailedError):
                     await self.send(make_route(kind))
@@ -404,7 +412,7 @@
 
         async def play():
             self.begin()
-            self.balancer.record_pace(
+            self.balancer.record_service_time(
                 InstanceId("e0"), 0.5, weight=1.0
             )  # others' requests took long
             self.balancer.avoid(InstanceId("e0"), 0.3)
@@ -415,7 +423,7 @@
 
     def test_request_is_refused_soon_where_free_servers_have_just_refused_others(self):
         async def play():
-            self.begin(pace=0.5)
+            self.begin(service_time=0.5)
             self.state().running = SLOTS
             seconds, _ = await self.refusal(self.send(make_route(), 0.4))
             self.assertLess(seconds, 0.2)
@@ -429,28 +437,30 @@
         self.assertGreater(poll_interval(3200 * 8), 10 * POLL_INTERVAL_SECONDS)
 
     def test_queue_of_a_large_service_is_not_polled_for_each_end(self):
-        for places, polls in ((24 * 8, 20), (3200 * 8, 0)):
-            self.assertEqual(polls, run(self.polls_for_ends(Places(places, places, PACE))))
+        for slot_counts, polls in ((24 * 8, 20), (3200 * 8, 0)):
+            self.assertEqual(
+                polls, run(self.polls_for_ends(SlotCounts(slot_counts, slot_counts, PACE)))
+            )
 
-    async def polls_for_ends(self, places: Places) -> int:
+    async def polls_for_ends(self, slot_counts: SlotCounts) -> int:
         """Returns how many polls of a queue twenty requests cost that end at once."""
         surveys = []
 
-        def count(service, work) -> Places:
+        def count(service, work) -> SlotCounts:
             surveys.append(service)
-            return places
+            return slot_counts
 
         clock = LoopClock()
         queues = RequestQueues(clock, count, FlowLedger(clock))
-        limits = Limits(1.0, 60.0, PACE)
+        deadlines = Deadlines(1.0, 60.0, PACE)
         turns = [
-            asyncio.create_task(queues.wait_for_turn(Waiter(PAGES, CLIENT_WORK, 0, limits, 0.0)))
+            asyncio.create_task(queues.wait_for_turn(Waiter(PAGES, CLIENT_WORK, 0, deadlines, 0.0)))
             for _ in range(40)
         ]
-        await asyncio.sleep(poll_interval(places.total) + SETTLE_SECONDS)
+        await asyncio.sleep(poll_interval(slot_counts.total) + SETTLE_SECONDS)
         before = len(surveys)
         for _ in range(20):
-            queues.record_end(PAGES)
+            queues.record_release(PAGES)
         polls = len(surveys) - before
         for turn in turns:
             turn.cancel()
@@ -458,7 +468,7 @@
 
     def test_forecasts_are_counted_with_what_became_of_them(self):
         async def play():
-            self.begin(pace=0.3)
+            self.begin(service_time=0.3)
             others = [self.send(make_route()) for _ in range(SLOTS)]
             await self.clock.sleep(SETTLE_SECONDS)
             await self.send(make_route())
@@ -474,11 +484,11 @@
     def test_survey_counts_no_free_place_where_a_server_refused(self):
         async def play():
             self.begin(count=2)
-            self.assertEqual(2 * SLOTS, survey(*self.surveyed()).free)
+            self.assertEqual(2 * SLOTS, count_slots(*self.surveyed()).free)
             self.balancer.avoid(InstanceId("e0"), 1.0)
-            self.assertEqual(SLOTS, survey(*self.surveyed()).free)
+            self.assertEqual(SLOTS, count_slots(*self.surveyed()).free)
             self.list(InstanceId("e1"), InstanceState.LEAVING)
-            self.assertEqual(Places(SLOTS, SLOTS, PACE), survey(*self.surveyed()))
+            self.assertEqual(SlotCounts(SLOTS, SLOTS, PACE), count_slots(*self.surveyed()))
 
         run(play())
 
--- a/tests/test_lasting_pace.py
+++ b/tests/test_lasting_pace.py
@@ -3,20 +3,20 @@
 import random
 import unittest
 
-from larkpost.gateway.proxy.lasting_pace import (
-    RISE_SHARE,
+from larkpost.gateway.proxy.service_time_history import (
+    BASELINE_LIFETIME_SECONDS,
+    RISE_WEIGHT,
     SLICE_LIFETIME_SECONDS,
     SUSTAINED_SECONDS,
-    USUAL_SECONDS,
-    PaceHistory,
-    quick_mean,
-    usual_pace,
+    ServiceTimeHistory,
+    low_quantile,
+    smooth_baseline,
     without_slowness,
 )
 from larkpost.gateway.proxy.slowness import (
     MAX_SLOWNESS,
-    SLOWNESS_SECONDS,
-    SaidSlowness,
+    SLOWNESS_LIFETIME_SECONDS,
+    ReportedSlowness,
     believed_slowness,
 )
 
@@ -39,7 +39,7 @@
     # usual pace, sustained one, the usual one after the slice
     (0.0, 0.05, 0.05),
     (0.1, 0.05, 0.085),
-    (0.05, 0.15, 0.05 + RISE_SHARE * 0.1),
+    (0.05, 0.15, 0.05 + RISE_WEIGHT * 0.1),
 )
 CORRECTIONS = (
     # case, seconds, said slowness, quickest, slowest measured lately, without slowness
@@ -69,12 +69,12 @@
     def test_sustained_pace(self):
         for case, means, expected in QUICK_MEANS:
             with self.subTest(case):
-                self.assertEqual(expected, quick_mean(means))
+                self.assertEqual(expected, low_quantile(means))
 
     def test_usual_pace(self):
         for usual, sustained, expected in USUAL:
             with self.subTest(usual=usual, sustained=sustained):
-                self.assertAlmostEqual(expected, usual_pace(usual, sustained))
+                self.assertAlmostEqual(expected, smooth_baseline(usual, sustained))
 
     def test_slowness_taken_out(self):
         for case, seconds, slowness, quickest, slowest, expected in CORRECTIONS:
@@ -92,21 +92,21 @@
     """What a server's streams show over time."""
 
     def setUp(self):
-        self.history = PaceHistory()
+        self.history = ServiceTimeHistory()
         self.now = 0.0
 
-    def measure(self, pace: float, seconds: float, streams: int = STREAMS) -> None:
+    def measure(self, service_time: float, seconds: float, streams: int = STREAMS) -> None:
         """Records the events of some streams at a pace for a while."""
         until = self.now + seconds
         while self.now < until:
-            self.now += pace
+            self.now += service_time
             for _ in range(streams):
-                self.history.record(self.now, pace)
+                self.history.record(self.now, service_time)
 
     def test_nothing_is_known_at_first(self):
-        self.assertEqual(0.0, self.history.pace(0.0))
+        self.assertEqual(0.0, self.history.service_time(0.0))
         self.history.record(0.0, FAST)
-        self.assertEqual(0.0, self.history.pace(0.1))
+        self.assertEqual(0.0, self.history.service_time(0.1))
 
     def test_bursts_are_passed_over_at_servers_of_two_speeds(self):
         rng = random.Random(3)
@@ -116,54 +116,56 @@
             for _ in range(100):
                 is_burst = rng.random() < BURST_SHARE
                 self.measure(base * BURST if is_burst else base, BURST_SECONDS)
-                self.assertLess(self.history.pace(self.now), 1.05 * base)
+                self.assertLess(self.history.service_time(self.now), 1.05 * base)
 
     def test_lasting_slowness_is_believed_within_three_seconds(self):
         self.measure(FAST, 3.0)
         self.measure(3 * FAST, 3.0)
-        self.assertAlmostEqual(3 * FAST, self.history.pace(self.now), 3)
+        self.assertAlmostEqual(3 * FAST, self.history.service_time(self.now), 3)
         self.measure(FAST, 1.5)
-        self.assertAlmostEqual(FAST, self.history.pace(self.now), 3)
+        self.assertAlmostEqual(FAST, self.history.service_time(self.now), 3)
 
     def test_server_that_was_ill_is_taken_for_what_it_usually_is_after_a_silence(self):
         self.measure(FAST, 10.0)
         self.measure(3 * FAST, 5.0)
         self.now += SUSTAINED_SECONDS + 0.1
-        self.assertLess(self.history.pace(self.now), 1.2 * FAST)
+        self.assertLess(self.history.service_time(self.now), 1.2 * FAST)
 
     def test_usual_pace_outlasts_silence_and_ends(self):
         self.measure(SLOW, 3.0)
-        self.assertAlmostEqual(SLOW, self.history.pace(self.now + USUAL_SECONDS - 1))
-        self.assertEqual(0.0, self.history.pace(self.now + USUAL_SECONDS))
+        self.assertAlmostEqual(
+            SLOW, self.history.service_time(self.now + BASELINE_LIFETIME_SECONDS - 1)
+        )
+        self.assertEqual(0.0, self.history.service_time(self.now + BASELINE_LIFETIME_SECONDS))
 
     def test_server_that_stays_slow_becomes_usually_slow(self):
         self.measure(FAST, 5.0)
         self.measure(SLOW, 300.0, streams=1)
         self.now += SUSTAINED_SECONDS + 0.1
-        self.assertGreater(self.history.pace(self.now), 0.9 * SLOW)
+        self.assertGreater(self.history.service_time(self.now), 0.9 * SLOW)
 
     def test_events_that_come_together_make_no_server_quick(self):
         """Two events in one packet: a pause of nothing after one of two paces."""
         for number in range(200):
             self.now += FAST
             self.history.record(self.now, 0.0 if number % 2 else 2 * FAST)
-        self.assertAlmostEqual(FAST, self.history.pace(self.now), 2)
+        self.assertAlmostEqual(FAST, self.history.service_time(self.now), 2)
 
     def test_few_measurements_count_for_a_minute(self):
         for _ in range(5):
             self.now += SLICE_LIFETIME_SECONDS / 6
             self.history.record(self.now, SLOW)
-        self.assertAlmostEqual(SLOW, self.history.pace(self.now))
+        self.assertAlmostEqual(SLOW, self.history.service_time(self.now))
 
     def test_measurement_after_a_long_silence_makes_no_old_pace_new(self):
         self.measure(3 * FAST, 5.0)
-        self.now += 2 * USUAL_SECONDS
+        self.now += 2 * BASELINE_LIFETIME_SECONDS
         self.history.record(self.now, FAST)
         self.assertFalse(self.history.is_measured(self.now))
-        self.assertFalse(self.history.was_ill)
-        self.assertEqual(0.0, self.history.pace(self.now))
+        self.assertFalse(self.history.was_degraded)
+        self.assertEqual(0.0, self.history.service_time(self.now))
         self.measure(FAST, 1.0)
-        self.assertAlmostEqual(FAST, self.history.pace(self.now))
+        self.assertAlmostEqual(FAST, self.history.service_time(self.now))
 
     def test_server_that_is_asked_too_seldom_keeps_no_pace_for_good(self):
         """Once in more than a minute: its slices never suffice for a pace."""
@@ -172,14 +174,14 @@
             self.now += SLICE_LIFETIME_SECONDS + 1
             self.history.record(self.now, FAST)
             self.assertFalse(self.history.is_measured(self.now))
-        self.assertEqual(0.0, self.history.pace(self.now))
+        self.assertEqual(0.0, self.history.service_time(self.now))
 
 
 class SaidSlownessTest(unittest.TestCase):
     """What a server says of itself, and for how long it is used."""
 
     def setUp(self):
-        self.slowness = SaidSlowness()
+        self.slowness = ReportedSlowness()
 
     def say(self, *said: float) -> None:
         """Has the server say its slowness once a second."""
@@ -187,13 +189,13 @@
             self.slowness.record(float(second), figure)
 
     def test_server_that_says_nothing_is_as_usual(self):
-        self.assertFalse(self.slowness.is_said)
+        self.assertFalse(self.slowness.has_reports)
         self.assertEqual(1.0, self.slowness.factor(0.0))
 
     def test_slowness_is_used_for_a_moment_only(self):
         self.say(1.0, 1.0, 2.5)
         self.assertAlmostEqual(2.5, self.slowness.factor(2.0))
-        self.assertEqual(1.0, self.slowness.factor(2.01 + SLOWNESS_SECONDS))
+        self.assertEqual(1.0, self.slowness.factor(2.01 + SLOWNESS_LIFETIME_SECONDS))
 
     def test_server_that_always_says_the_same_is_as_usual(self):
         for figure in (0.01, 1.7, 9999.0):
