--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -15,7 +15,7 @@
 from larkpost.gateway.blackboard.weight_targets import ModelDemand, WeightTarget, WeightTargets
 from larkpost.gateway.controllers.due_loads import BUSY_LOAD_DELAY_SECONDS, LoadInputs, due_loads
 from larkpost.gateway.controllers.model_assignment import assign_models
-from larkpost.gateway.proxy.balancer import Balancer, BalancerSources
+from larkpost.gateway.proxy.balancer import Balancer, BalancerDependencies
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.instance_use import PROBE_SECONDS
 from larkpost.gateway.proxy.request import (
@@ -68,8 +68,10 @@
                 servers.engines[InstanceId(name)] = state
             directory = make_directory(2, PAGES)
             balancer = Balancer(directory, clock, random.Random(1))
-            balancer.record_pace(InstanceId("e0"), 0.01)  # so that the slow one is tried first
-            balancer.record_pace(InstanceId("e1"), 0.05)
+            balancer.record_service_time(
+                InstanceId("e0"), 0.01
+            )  # so that the slow one is tried first
+            balancer.record_service_time(InstanceId("e1"), 0.05)
             forwarder = Forwarder(make_parts(directory, balancer, servers, clock))
             sent = self.client_request(clock)
             await forwarder.forward(sent, make_route(RouteKind.IDEMPOTENT))
@@ -90,8 +92,8 @@
             services = fleet.gateways[0].keeper._services
             services.directory = make_directory(2)
             services.balancer = Balancer(services.directory, fleet.clock, random.Random(0))
-            services.balancer.record_pace(InstanceId("e0"), 0.09)
-            services.balancer.record_pace(InstanceId("e1"), 0.04)
+            services.balancer.record_service_time(InstanceId("e0"), 0.09)
+            services.balancer.record_service_time(InstanceId("e1"), 0.04)
             choice = EngineSelector(make_head(fleet), services)
             places = SlotQueue(choice, services.balancer, fleet.clock)
             progress = Progress(make_batch(items=1).items[0])
@@ -240,9 +242,9 @@
 
         async def play() -> tuple[float, float]:
             balancer = Balancer(make_directory(2), LoopClock(), random.Random(0))
-            balancer.record_pace(InstanceId("e0"), 0.04)
+            balancer.record_service_time(InstanceId("e0"), 0.04)
             balancer.record_peer_summary("other", {InstanceId("e1"): (1, 0.05)})
-            return balancer.pace(InstanceId("e0")), balancer.pace(InstanceId("e1"))
+            return balancer.service_time(InstanceId("e0")), balancer.service_time(InstanceId("e1"))
 
         return run(play())
 
@@ -254,7 +256,7 @@
             rng = random.Random(0)
             clock = LoopClock()
             directory = make_directory(4)
-            sources = BalancerSources(is_connected=lambda info: info.id == "e0")
+            sources = BalancerDependencies(is_connected=lambda info: info.id == "e0")
             balancer = Balancer(directory, clock, rng, sources)
             choices = [balancer.candidates(ENGINES, for_client=True)[0] for _ in range(30)]
             return len({info.id for info in choices})
@@ -289,7 +291,7 @@
         async def first(regions: RegionMap) -> set[str]:
             directory = make_directory(2)
             directory.update(replace(make_instance("e0", ENGINES), zone=ZoneId("far")))
-            sources = BalancerSources(regions=regions)
+            sources = BalancerDependencies(regions=regions)
             balancer = Balancer(directory, LoopClock(), random.Random(0), sources)
             return {balancer.candidates(ENGINES, for_client=True)[0].id for _ in range(20)}
 
@@ -304,14 +306,14 @@
             engine = make_instance("e0", ENGINES)
             balancer.occupy(engine.id)  # runs there all the time
             balancer.record_not_run(engine.id, NotRunReason.FULL, 0.0)
-            found = [balancer.has_place(engine)]
+            found = [balancer.has_free_slot(engine)]
             balancer.occupy(engine.id)
-            found.append(balancer.has_place(engine))
+            found.append(balancer.has_free_slot(engine))
             await asyncio.sleep(PROBE_SECONDS + 0.01)
-            found.append(balancer.has_place(engine))
+            found.append(balancer.has_free_slot(engine))
             balancer.occupy(engine.id)
             balancer.record_load(engine.id, None)
-            return [*found, balancer.has_place(engine)]
+            return [*found, balancer.has_free_slot(engine)]
 
         self.assertEqual([True, False, True, True], run(places()))
 
@@ -383,7 +385,7 @@
             self.assertGreater(run(seconds()), 2.9)
 
     def test_client_slots_share(self):
-        async def has_place() -> bool:
+        async def has_free_slot() -> bool:
             fleet = PlatformFleet(1, 1, scorers=1)
             services = fleet.gateways[0].keeper._services
             attempts = RewardCaller(make_head(fleet), services)
@@ -393,9 +395,9 @@
             await asyncio.sleep(0)
             return attempts._has_free_slot(info)
 
-        self.assertFalse(run(has_place()))
+        self.assertFalse(run(has_free_slot()))
         with switched_off.slots_left_to_clients():
-            self.assertTrue(run(has_place()))
+            self.assertTrue(run(has_free_slot()))
 
 
 if __name__ == "__main__":
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -10,17 +10,21 @@
 from larkpost.common.ids import DaemonId, InstanceId, InstanceName
 from larkpost.common.incarnations import instance_id
 from larkpost.gateway.assembly.daemon_reports import DaemonReports
-from larkpost.gateway.blackboard.daemon_report import DaemonReport, Flow, FlowGroup, FlowUsage
-from larkpost.gateway.blackboard.directory import InstanceDirectory
+from larkpost.gateway.blackboard.daemon_report import DaemonReport, Flow, FlowGroup, TenantUse
+from larkpost.gateway.blackboard.directory import Directory
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
 from larkpost.gateway.fairness.ledger import FlowLedger
 from larkpost.gateway.proxy.balancer import Balancer
-from larkpost.gateway.proxy.lasting_pace import SUSTAINED_SECONDS, PaceHistory
-from larkpost.gateway.proxy.paces import MAX_REPORTED_PACES, RECOVERY_SECONDS, is_reported
-from larkpost.gateway.proxy.shared_paces import (
-    FRESH_SECONDS,
+from larkpost.gateway.proxy.reported_service_times import (
+    FRESH_REPORT_SECONDS,
     MAX_REPORTERS,
-    SHARED_PACE_SECONDS,
+    REPORT_LIFETIME_SECONDS,
+)
+from larkpost.gateway.proxy.service_time_history import SUSTAINED_SECONDS, ServiceTimeHistory
+from larkpost.gateway.proxy.service_time_tracker import (
+    MAX_REPORTED_SERVICE_TIMES,
+    RECOVERY_SECONDS,
+    is_reported,
 )
 from larkpost.gateway.proxy.slowness import MAX_SLOWNESS
 from larkpost.gateway.servers.port import ServerLoad
@@ -40,28 +44,28 @@
 
     def __init__(self) -> None:
         self.clock = LoopClock()
-        self.directory = InstanceDirectory()
+        self.directory = Directory()
         for instance in (SERVER, OTHER):
             self.start(instance)
         self.balancer = Balancer(self.directory, self.clock, random.Random(0))
-        self.paces = self.balancer.paces
+        self.service_times = self.balancer.service_times
 
     def start(self, instance: InstanceId) -> None:
         """Lists an incarnation of a server, in place of the one before."""
         self.directory.update(make_instance(instance, ENGINES))
 
-    async def stream(self, instance: InstanceId, pace: float, seconds: float = 1.0) -> None:
+    async def stream(self, instance: InstanceId, service_time: float, seconds: float = 1.0) -> None:
         """Records the events of a stream."""
         until = self.clock.now() + seconds
         while self.clock.now() < until:
-            await asyncio.sleep(pace)
-            self.paces.record_event(instance, pace)
+            await asyncio.sleep(service_time)
+            self.service_times.record_event(instance, service_time)
 
     async def answer(self, seconds: float, slowness: float | None, name: InstanceId = SERVER):
         """Records an answer that says the server's slowness in its head."""
         await asyncio.sleep(0.5)
         self.balancer.record_load(name, ServerLoad(1, 0, SLOTS, slowness))
-        self.paces.record_response(name, seconds)
+        self.service_times.record_response(name, seconds)
 
 
 class IncarnationTest(unittest.TestCase):
@@ -71,12 +75,12 @@
         async def play():
             known = KnownServers()
             await known.stream(SERVER, SLOW)
-            known.paces.record_report(DaemonId("d"), {SERVER: SLOW})
-            self.assertAlmostEqual(SLOW, known.paces.lasting(SERVER))
+            known.service_times.record_report(DaemonId("d"), {SERVER: SLOW})
+            self.assertAlmostEqual(SLOW, known.service_times.lasting(SERVER))
             known.start(RESTARTED)
-            self.assertEqual(0.0, known.paces.lasting(RESTARTED))
-            self.assertEqual({}, known.paces.report())
-            self.assertEqual(0, len(known.paces._shared))
+            self.assertEqual(0.0, known.service_times.lasting(RESTARTED))
+            self.assertEqual({}, known.service_times.report())
+            self.assertEqual(0, len(known.service_times._shared))
 
         run(play())
 
@@ -85,9 +89,9 @@
             known = KnownServers()
             known.start(RESTARTED)
             await known.stream(SERVER, SLOW)
-            self.assertEqual(0.0, known.paces.lasting(RESTARTED))
+            self.assertEqual(0.0, known.service_times.lasting(RESTARTED))
             await known.stream(RESTARTED, FAST)
-            self.assertAlmostEqual(FAST, known.paces.lasting(RESTARTED))
+            self.assertAlmostEqual(FAST, known.service_times.lasting(RESTARTED))
 
         run(play())
 
@@ -96,10 +100,10 @@
             known = KnownServers()
             known.start(RESTARTED)
             for instance in (SERVER, InstanceId("e0")):
-                known.paces.record_report(DaemonId("d"), {instance: SLOW})
-            self.assertEqual(0.0, known.paces.lasting(RESTARTED))
-            known.paces.record_report(DaemonId("d"), {RESTARTED: FAST})
-            self.assertEqual(FAST, known.paces.lasting(RESTARTED))
+                known.service_times.record_report(DaemonId("d"), {instance: SLOW})
+            self.assertEqual(0.0, known.service_times.lasting(RESTARTED))
+            known.service_times.record_report(DaemonId("d"), {RESTARTED: FAST})
+            self.assertEqual(FAST, known.service_times.lasting(RESTARTED))
 
         run(play())
 
@@ -110,10 +114,10 @@
     def test_own_measurement_counts_before_a_report(self):
         async def play():
             known = KnownServers()
-            known.paces.record_report(DaemonId("d"), {SERVER: SLOW})
-            self.assertEqual(SLOW, known.paces.lasting(SERVER))
+            known.service_times.record_report(DaemonId("d"), {SERVER: SLOW})
+            self.assertEqual(SLOW, known.service_times.lasting(SERVER))
             await known.stream(SERVER, FAST)
-            self.assertAlmostEqual(FAST, known.paces.lasting(SERVER))
+            self.assertAlmostEqual(FAST, known.service_times.lasting(SERVER))
 
         run(play())
 
@@ -124,15 +128,15 @@
             known = KnownServers()
             await known.stream(SERVER, FAST)
             await asyncio.sleep(SUSTAINED_SECONDS + 0.1)
-            known.paces.record_report(DaemonId("d"), {SERVER: 3 * FAST})
-            self.assertEqual(3 * FAST, known.paces.lasting(SERVER))
-            await asyncio.sleep(FRESH_SECONDS + 0.1)
-            self.assertAlmostEqual(FAST, known.paces.lasting(SERVER))
+            known.service_times.record_report(DaemonId("d"), {SERVER: 3 * FAST})
+            self.assertEqual(3 * FAST, known.service_times.lasting(SERVER))
+            await asyncio.sleep(FRESH_REPORT_SECONDS + 0.1)
+            self.assertAlmostEqual(FAST, known.service_times.lasting(SERVER))
 
         run(play())
 
     def test_illness_is_reported_while_it_is_measured_and_its_end_for_a_while(self):
-        for case, pace, silence, expected in (
+        for case, service_time, silence, expected in (
             ("measured", FAST, 1.0, True),
             ("not measured any more", FAST, SUSTAINED_SECONDS, False),
             ("ill", 3 * FAST, 1.0, True),
@@ -140,31 +144,31 @@
             ("long ago", 3 * FAST, RECOVERY_SECONDS, False),
         ):
             with self.subTest(case):
-                history = PaceHistory()
+                history = ServiceTimeHistory()
                 for number in range(40):
-                    history.record(number * 0.25, FAST if number < 20 else pace)
+                    history.record(number * 0.25, FAST if number < 20 else service_time)
                 self.assertEqual(expected, is_reported(history, 39 * 0.25 + silence + 0.01))
 
     def test_one_daemon_that_measures_wrong_moves_nothing(self):
         async def play():
             known = KnownServers()
-            for daemon, pace in (("a", FAST), ("late", 1.0), ("b", FAST)):
-                known.paces.record_report(DaemonId(daemon), {SERVER: pace})
-            self.assertEqual(FAST, known.paces.lasting(SERVER))
+            for daemon, service_time in (("a", FAST), ("late", 1.0), ("b", FAST)):
+                known.service_times.record_report(DaemonId(daemon), {SERVER: service_time})
+            self.assertEqual(FAST, known.service_times.lasting(SERVER))
 
         run(play())
 
     def test_reports_outlast_silent_heartbeats_and_end(self):
         async def play():
             known = KnownServers()
-            known.paces.record_report(DaemonId("d"), {SERVER: SLOW})
-            known.paces.record_report(DaemonId("d"), {})  # the daemon is gone
-            await asyncio.sleep(SHARED_PACE_SECONDS - 1.0)
-            self.assertEqual(SLOW, known.paces.lasting(SERVER))
+            known.service_times.record_report(DaemonId("d"), {SERVER: SLOW})
+            known.service_times.record_report(DaemonId("d"), {})  # the daemon is gone
+            await asyncio.sleep(REPORT_LIFETIME_SECONDS - 1.0)
+            self.assertEqual(SLOW, known.service_times.lasting(SERVER))
             await asyncio.sleep(2.0)
-            self.assertEqual(0.0, known.paces.lasting(SERVER))
-            known.paces.forget_old(known.clock.now())
-            self.assertEqual(0, len(known.paces._shared))
+            self.assertEqual(0.0, known.service_times.lasting(SERVER))
+            known.service_times.forget_old(known.clock.now())
+            self.assertEqual(0, len(known.service_times._shared))
 
         run(play())
 
@@ -173,8 +177,8 @@
             known = KnownServers()
             reported = {instance_id(InstanceName(f"e{n}"), BORN): SLOW for n in range(100)}
             for number in range(50):
-                known.paces.record_report(DaemonId(f"d{number}"), reported)
-            kept = known.paces._shared._reported
+                known.service_times.record_report(DaemonId(f"d{number}"), reported)
+            kept = known.service_times._shared._reported
             self.assertEqual({SERVER, OTHER}, set(kept))
             self.assertEqual(MAX_REPORTERS, len(kept[SERVER]))
 
@@ -184,16 +188,17 @@
         async def play():
             known = KnownServers()
             names = [
-                instance_id(InstanceName(f"e{n}"), BORN) for n in range(2 * MAX_REPORTED_PACES + 1)
+                instance_id(InstanceName(f"e{n}"), BORN)
+                for n in range(2 * MAX_REPORTED_SERVICE_TIMES + 1)
             ]
             for name in names:
                 known.start(name)
             await asyncio.gather(*(known.stream(name, FAST) for name in names))
-            reports = [known.paces.report() for _ in range(3)]
+            reports = [known.service_times.report() for _ in range(3)]
             self.assertEqual(set(names), set().union(*reports))
-            self.assertTrue(all(len(report) == MAX_REPORTED_PACES for report in reports))
+            self.assertTrue(all(len(report) == MAX_REPORTED_SERVICE_TIMES for report in reports))
             await asyncio.sleep(SUSTAINED_SECONDS + 0.1)
-            self.assertEqual({}, known.paces.report())
+            self.assertEqual({}, known.service_times.report())
 
         run(play())
 
@@ -201,13 +206,14 @@
         async def play():
             known = KnownServers()
             names = [
-                instance_id(InstanceName(f"e{n}"), BORN) for n in range(2 * MAX_REPORTED_PACES)
+                instance_id(InstanceName(f"e{n}"), BORN)
+                for n in range(2 * MAX_REPORTED_SERVICE_TIMES)
             ]
             for name in names:
                 known.start(name)
             await asyncio.gather(*(known.stream(name, FAST) for name in names))
             keeper = mock.Mock(progress=dict)
-            reports = DaemonReports(known.paces, FlowLedger(LoopClock()), lambda: keeper)
+            reports = DaemonReports(known.service_times, FlowLedger(LoopClock()), lambda: keeper)
             first = reports.own_service_times()
             self.assertEqual({}, reports.own().paces)
             self.assertEqual(set(names), first.keys() | reports.own_service_times().keys())
@@ -221,18 +227,18 @@
             first, *others = fleet.gateways
             info = first.directory.get(InstanceId("engine-0"))
             for _ in range(30):
-                first.balancer.paces.record_event(info.id, SLOW)
+                first.balancer.service_times.record_event(info.id, SLOW)
                 await fleet.wait(SLOW)
             await fleet.wait(3.0)
             for gateway in others:
-                self.assertAlmostEqual(SLOW, gateway.balancer.paces.lasting(info.id))
+                self.assertAlmostEqual(SLOW, gateway.balancer.service_times.lasting(info.id))
 
         run(play())
 
     def test_heartbeat_carries_a_report_and_is_as_before_without(self):
         flow = Flow(FlowGroup(PAGES, 1), "t")
         report = DaemonReport({SERVER: SLOW, InstanceId("e1"): FAST})
-        report = replace(report, tenants={flow: FlowUsage(3, 1)}, capacity=1.5)
+        report = replace(report, tenants={flow: TenantUse(3, 1)}, capacity=1.5)
         beat = Heartbeat(0.25, report=report)
         self.assertEqual(report, decode_heartbeat(encode_heartbeat(beat)).report)
         self.assertEqual(b'{"interval":0.25}', encode_heartbeat(Heartbeat(0.25)))
@@ -247,10 +253,10 @@
             for _ in range(5):
                 await known.answer(FAST, 1.0)
             await known.answer(FAST * 2.5, 2.5)
-            pace = known.balancer.pace(SERVER)
-            self.assertAlmostEqual(FAST * 2.5, pace)
+            service_time = known.balancer.service_time(SERVER)
+            self.assertAlmostEqual(FAST * 2.5, service_time)
             await asyncio.sleep(0.2)
-            self.assertAlmostEqual(FAST, known.balancer.pace(SERVER))
+            self.assertAlmostEqual(FAST, known.balancer.service_time(SERVER))
 
         run(play())
 
@@ -263,11 +269,11 @@
                 for number in range(24):
                     await known.answer(FAST, lies[number % len(lies)])
                     if number > 4:
-                        pace = known.balancer.pace(SERVER)
-                        self.assertLessEqual(pace, 1.01 * FAST * MAX_SLOWNESS)
-                        self.assertGreaterEqual(pace, 0.99 * FAST / MAX_SLOWNESS)
+                        service_time = known.balancer.service_time(SERVER)
+                        self.assertLessEqual(service_time, 1.01 * FAST * MAX_SLOWNESS)
+                        self.assertGreaterEqual(service_time, 0.99 * FAST / MAX_SLOWNESS)
                 await asyncio.sleep(0.5)
-                self.assertAlmostEqual(FAST, known.balancer.pace(SERVER))
+                self.assertAlmostEqual(FAST, known.balancer.service_time(SERVER))
 
         run(play())
 
@@ -278,13 +284,13 @@
             known = KnownServers()
             info = known.directory.get(SERVER)
             known.balancer.record_load(SERVER, ServerLoad(1, 0, SLOTS, 1.0))
-            self.assertFalse(known.paces.has_latency(SERVER))
+            self.assertFalse(known.service_times.has_latency(SERVER))
             known.balancer.record_response(info, SLOW)
-            self.assertEqual(SLOW, known.balancer.pace(SERVER))
-            self.assertTrue(known.paces.has_latency(SERVER))
-            known.paces.record_report(DaemonId("d"), {SERVER: FAST})
-            self.assertEqual(FAST, known.balancer.pace(SERVER))
-            self.assertFalse(known.paces.has_latency(SERVER))
+            self.assertEqual(SLOW, known.balancer.service_time(SERVER))
+            self.assertTrue(known.service_times.has_latency(SERVER))
+            known.service_times.record_report(DaemonId("d"), {SERVER: FAST})
+            self.assertEqual(FAST, known.balancer.service_time(SERVER))
+            self.assertFalse(known.service_times.has_latency(SERVER))
 
         run(play())
 
@@ -293,8 +299,8 @@
             known = KnownServers()
             for seconds in (0.04, 0.08):
                 await known.answer(seconds, None)
-                known.balancer.record_pace(SERVER, seconds)
-            self.assertAlmostEqual(0.05, known.balancer.pace(SERVER))
+                known.balancer.record_service_time(SERVER, seconds)
+            self.assertAlmostEqual(0.05, known.balancer.service_time(SERVER))
 
         run(play())
 
@@ -302,7 +308,7 @@
         """Of servers alike in all but the smoothed pace, the quicker one comes first."""
 
         async def play():
-            directory = InstanceDirectory()
+            directory = Directory()
             for name in (SERVER, OTHER):
                 directory.update(make_instance(name, PAGES))
             balancer = Balancer(directory, LoopClock(), random.Random(0))
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -7,7 +7,7 @@
 from larkpost.gateway.blackboard.configuration import ServiceName
 from larkpost.gateway.blackboard.directory import InstanceInfo, InstanceState
 from larkpost.gateway.proxy.ranking import (
-    MAX_PACE_RATIO,
+    MAX_SERVICE_TIME_RATIO,
     NEW_CONNECTION_FACTOR,
     Candidate,
     connection_factor,
@@ -31,7 +31,7 @@
     is_avoided=False,
     is_cold=False,
     occupied=2,
-    pace=PACE,
+    service_time=PACE,
     latency_factor=1.0,
     connection_factor=1.0,
     tie_break=0.5,
@@ -46,7 +46,7 @@
 
 ORDERS = {
     "a slow one before one that failed a moment ago": (
-        {"pace": 5 * PACE, "occupied": 8},
+        {"service_time": 5 * PACE, "occupied": 8},
         {"is_avoided": True, "occupied": 0},
     ),
     "a full one before a cold one": ({"occupied": 8}, {"is_cold": True, "occupied": 0}),
@@ -57,10 +57,13 @@
     ),
     "fewer requests first": ({"occupied": 1, "tie_break": 0.9}, {"occupied": 2}),
     "more slots first": ({"slots": 16, "tie_break": 0.9}, {"slots": 8}),
-    "the faster first": ({"pace": PACE, "tie_break": 0.9}, {"pace": 1.1 * PACE}),
-    "an unknown pace counts as the best": ({"pace": 0.0, "tie_break": 0.9}, {"pace": 1.1 * PACE}),
+    "the faster first": ({"service_time": PACE, "tie_break": 0.9}, {"service_time": 1.1 * PACE}),
+    "an unknown pace counts as the best": (
+        {"service_time": 0.0, "tie_break": 0.9},
+        {"service_time": 1.1 * PACE},
+    ),
     "a slow one with no request before a fast one with six": (
-        {"pace": 3 * PACE, "occupied": 0},
+        {"service_time": 3 * PACE, "occupied": 0},
         {"occupied": 6},
     ),
     "the nearer first": ({"tie_break": 0.9}, {"latency_factor": 1.05}),
@@ -89,17 +92,17 @@
                     self.assertEqual(["first", "second"], [info.id for info in rank(order, PACE)])
 
     def test_expected_wait_counts_the_request_itself_its_slots_and_the_pace(self):
-        for expected, best_pace, changes in (
+        for expected, best_service_time, changes in (
             (3 / 8, PACE, {}),
             (3 / 8, 0.0, {}),  # no pace is known
-            (3 / 8, PACE, {"pace": 0.0}),
-            (2 * 3 / 8, PACE, {"pace": 2 * PACE}),
-            (MAX_PACE_RATIO * 3 / 8, PACE, {"pace": 100 * PACE}),
+            (3 / 8, PACE, {"service_time": 0.0}),
+            (2 * 3 / 8, PACE, {"service_time": 2 * PACE}),
+            (MAX_SERVICE_TIME_RATIO * 3 / 8, PACE, {"service_time": 100 * PACE}),
             (3.0, PACE, {"slots": 0}),
         ):
-            with self.subTest(changes=changes, best_pace=best_pace):
+            with self.subTest(changes=changes, best_service_time=best_service_time):
                 self.assertAlmostEqual(
-                    expected, expected_wait(candidate("one", **changes), best_pace)
+                    expected, expected_wait(candidate("one", **changes), best_service_time)
                 )
 
     def test_connection_factor(self):
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -15,9 +15,9 @@
 from larkpost.gateway.proxy.request import ClientRequest, RequestFailedError
 from larkpost.gateway.proxy.retry import (
     NOT_RUN_STATUSES,
-    Unserved,
+    UnservedRequest,
     final_error,
-    is_false_promise,
+    implies_not_run,
 )
 from larkpost.gateway.servers.port import (
     BrokenResponseError,
@@ -167,7 +167,7 @@
     def test_final_error_promises_only_what_is_certain(self) -> None:
         for is_timed_out in (False, True):
             for is_quarantined in (False, True):
-                unserved = Unserved(True, is_quarantined, is_timed_out, 0.1)
+                unserved = UnservedRequest(True, is_quarantined, is_timed_out, 0.1)
                 with self.subTest(unserved):
                     self.assertNotIn(final_error(unserved).status, NOT_RUN_STATUSES)
                     certain = replace(unserved, may_have_run=False)
@@ -175,8 +175,8 @@
 
     def test_repeatable_requests_take_no_harm(self) -> None:
         for status in NOT_RUN_STATUSES:
-            self.assertFalse(is_false_promise(status, RouteKind.IDEMPOTENT))
-        self.assertFalse(is_false_promise(500, RouteKind.RUN_ONCE))
+            self.assertFalse(implies_not_run(status, RouteKind.IDEMPOTENT))
+        self.assertFalse(implies_not_run(500, RouteKind.RUN_ONCE))
 
 
 if __name__ == "__main__":
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -12,11 +12,11 @@
     RequestTimeoutError,
 )
 from larkpost.gateway.proxy.retry import (
-    Unserved,
+    UnservedRequest,
+    failure_reason,
     final_error,
-    is_last_resort,
+    is_fallback,
     max_servers,
-    response_failure,
 )
 
 RETRY_SECONDS = 0.3
@@ -55,8 +55,8 @@
             (502, False, "status 502", False),
         ):
             with self.subTest(status=status, is_signed=is_signed):
-                self.assertEqual(failure, response_failure(status, is_signed=is_signed))
-                self.assertEqual(is_kept, is_last_resort(status, is_signed=is_signed))
+                self.assertEqual(failure, failure_reason(status, is_signed=is_signed))
+                self.assertEqual(is_kept, is_fallback(status, is_signed=is_signed))
 
 
 class FinalErrorTest(unittest.TestCase):
@@ -73,7 +73,7 @@
             (True, False, True, RequestTimeoutError, Ran.UNKNOWN, None),
             (True, True, True, RequestTimeoutError, Ran.UNKNOWN, None),
         ):
-            unserved = Unserved(may_have_run, is_quarantined, is_timed_out, RETRY_SECONDS)
+            unserved = UnservedRequest(may_have_run, is_quarantined, is_timed_out, RETRY_SECONDS)
             with self.subTest(unserved=unserved):
                 found = final_error(unserved)
                 self.assertIs(error, type(found))
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -26,7 +26,7 @@
 from larkpost.gateway.proxy.forwarder import Forwarder
 from larkpost.gateway.proxy.request import ClientRequest
 from larkpost.gateway.proxy.server_choice import MIN_HEDGE_SECONDS
-from larkpost.gateway.proxy.shares import ShareChooser
+from larkpost.gateway.proxy.service_selection import ServiceSelector
 from larkpost.gateway.servers.port import OrderOutcome, OutgoingRequest, VersionOrder
 from larkpost.gateway.store.port import RowKey, Transaction, WriteOutcome
 from larkpost.platform.connections import MIN_TRACKED_ADDRESSES, make_session
@@ -471,7 +471,7 @@
         clock = LoopClock()
         rng = random.Random(1)
         parts = make_parts(directory, Balancer(directory, clock, rng), self.servers, clock)
-        self.forwarder = Forwarder(replace(parts, shares=ShareChooser(rng)))
+        self.forwarder = Forwarder(replace(parts, service_selector=ServiceSelector(rng)))
         await asyncio.gather(*(self.ask() for _ in range(8 * len(names))))
         for pages in self.all_pages:
             self.assertGreater(pages.link.connections, 1)
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -9,13 +9,13 @@
 from larkpost.gateway.blackboard.configuration import ServiceName
 from larkpost.gateway.blackboard.service_index import ServiceIndex
 from larkpost.gateway.proxy.subset import (
-    LEAST_DAEMONS,
-    LEAST_SUBSET,
+    MIN_DAEMONS_PER_SERVER,
+    MIN_SUBSET_SIZE,
     DaemonSubset,
     DaemonSubsets,
-    daemons_a_server,
-    daemons_before,
-    seed_of,
+    daemon_seed,
+    daemons_per_server,
+    higher_ranked_daemons,
 )
 from tests.server_parts import make_instance
 
@@ -42,7 +42,7 @@
     def check_coverage(self, subsets: dict[DaemonId, DaemonSubset], servers: frozenset) -> None:
         """Checks that each server is in as many subsets as it is to be in."""
         counts = Counter(name for subset in subsets.values() for name in subset.ids)
-        wanted = daemons_a_server(len(subsets), len(servers))
+        wanted = daemons_per_server(len(subsets), len(servers))
         self.assertEqual(dict.fromkeys(servers, wanted), dict(counts))
 
 
@@ -53,7 +53,11 @@
         for daemons, servers, wanted in (
             (1, 3200, 1),
             (2, 3200, 2),
-            (30, 3200, LEAST_DAEMONS),  # few daemons: large subsets, but none without a server
+            (
+                30,
+                3200,
+                MIN_DAEMONS_PER_SERVER,
+            ),  # few daemons: large subsets, but none without a server
             (370, 3200, 3),
             (300, 3000, 3),
             (100, 1000, 3),
@@ -62,23 +66,23 @@
             (370, 0, 370),
         ):
             with self.subTest(daemons=daemons, servers=servers):
-                self.assertEqual(wanted, daemons_a_server(daemons, servers))
+                self.assertEqual(wanted, daemons_per_server(daemons, servers))
 
     def test_subsets_are_as_large_as_they_are_to_be_on_average(self):
         for daemons in (80, 200, 370):
             for servers in (300, 1000, 3200):
-                mean = daemons_a_server(daemons, servers) * servers / daemons
-                self.assertGreaterEqual(mean, LEAST_SUBSET)
-                few = max(2 * LEAST_SUBSET, LEAST_DAEMONS * servers / daemons)
+                mean = daemons_per_server(daemons, servers) * servers / daemons
+                self.assertGreaterEqual(mean, MIN_SUBSET_SIZE)
+                few = max(2 * MIN_SUBSET_SIZE, MIN_DAEMONS_PER_SERVER * servers / daemons)
                 self.assertLessEqual(mean, few)
 
     def test_no_more_daemons_are_asked_than_needed(self):
-        others = {name: seed_of(name) for name in DAEMONS - {"d0"}}
-        own = seed_of(DaemonId("d0"))
+        others = {name: daemon_seed(name) for name in DAEMONS - {"d0"}}
+        own = daemon_seed(DaemonId("d0"))
         for server in SERVERS:
-            before = daemons_before(own, others, server, 3)
+            before = higher_ranked_daemons(own, others, server, 3)
             self.assertLessEqual(len(before), 3)
-            every = daemons_before(own, others, server, len(DAEMONS))
+            every = higher_ranked_daemons(own, others, server, len(DAEMONS))
             self.assertEqual(len(before) < 3, len(every) < 3)
 
 
--- a/tests/test_turn_gate.py
+++ b/tests/test_turn_gate.py
@@ -2,23 +2,27 @@
 
 import unittest
 
-from larkpost.gateway.proxy.turn_gate import Turn, TurnInputs, decide_turn
+from larkpost.gateway.proxy.request_scheduler import (
+    SchedulingDecision,
+    SchedulingInputs,
+    decide_scheduling,
+)
 
 
 class DecideTurnTest(unittest.TestCase):
     """Requests that are not quarantined."""
 
     def test_each_case(self):
-        for are_all_unreachable, is_hopeless, must_wait, expected in (
-            (False, False, False, Turn.TRY),
-            (False, False, True, Turn.WAIT),
-            (False, True, False, Turn.REFUSE),
-            (False, True, True, Turn.REFUSE),
-            (True, False, False, Turn.REFUSE),
-            (True, False, True, Turn.REFUSE),
-            (True, True, False, Turn.REFUSE),
-            (True, True, True, Turn.REFUSE),
+        for are_all_unreachable, is_infeasible, must_wait, expected in (
+            (False, False, False, SchedulingDecision.TRY),
+            (False, False, True, SchedulingDecision.WAIT),
+            (False, True, False, SchedulingDecision.REFUSE),
+            (False, True, True, SchedulingDecision.REFUSE),
+            (True, False, False, SchedulingDecision.REFUSE),
+            (True, False, True, SchedulingDecision.REFUSE),
+            (True, True, False, SchedulingDecision.REFUSE),
+            (True, True, True, SchedulingDecision.REFUSE),
         ):
-            inputs = TurnInputs(are_all_unreachable, is_hopeless, must_wait)
+            inputs = SchedulingInputs(are_all_unreachable, is_infeasible, must_wait)
             with self.subTest(inputs=inputs):
-                self.assertIs(expected, decide_turn(inputs))
+                self.assertIs(expected, decide_scheduling(inputs))
