--- a/src/larkpost/gateway/fairness/share_rule.py
+++ b/src/larkpost/gateway/fairness/share_rule.py
@@ -69,7 +69,7 @@
         )
 
 
-def allocate_engines(uses: Mapping[Flow, FlowUsage], free: int) -> GroupShares:
+def compute_shares(uses: Mapping[Flow, FlowUsage], free: int) -> GroupShares:
     """Returns the shares of a group.
 
     Args:
--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -12,7 +12,7 @@
 
 from larkpost.gateway.blackboard.daemon_report import Flow, FlowGroup
 from larkpost.gateway.fairness.ledger import FlowLedger
-from larkpost.gateway.fairness.share_rule import FlowShare, GroupShares, allocate_engines
+from larkpost.gateway.fairness.share_rule import FlowShare, GroupShares, compute_shares
 from larkpost.gateway.proxy.forecast import would_miss_objective
 from larkpost.gateway.proxy.slot_counting import SlotCounts
 from larkpost.gateway.proxy.waiter import Waiter
@@ -74,7 +74,7 @@
         """Returns the shares of a group's flows while so many places are free."""
         known = (group, free)
         if known not in self._shares:
-            self._shares[known] = allocate_engines(self._ledger.uses(group), free)
+            self._shares[known] = compute_shares(self._ledger.uses(group), free)
         return self._shares[known]
 
 
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -25,7 +25,7 @@
     FlowLedger,
 )
 from larkpost.gateway.fairness.retry_schedule import MAX_SCHEDULED_QUEUES, RetrySchedule
-from larkpost.gateway.fairness.share_rule import allocate_engines, estimate_share_wait
+from larkpost.gateway.fairness.share_rule import compute_shares, estimate_share_wait
 from larkpost.gateway.fairness.starvation_guard import MIN_RELATIVE_SERVICE, StarvationGuard
 from larkpost.gateway.fairness.water_filling import fair_level
 from larkpost.gateway.proxy.shortage_detector import ShortageDetector
@@ -82,7 +82,7 @@
         return small | {HEAVY: FlowUsage(5, 10)}
 
     def test_it_lets_the_others_go_first(self):
-        shares = allocate_engines(self.uses(), free=0)
+        shares = compute_shares(self.uses(), free=0)
         heavy = shares.flow_share(HEAVY)
         self.assertTrue(heavy.is_over_share)
         self.assertLess(heavy.share, 1.0)
@@ -93,7 +93,7 @@
 
     def test_it_gets_what_the_others_leave(self):
         uses = {flow(f"t{number}"): FlowUsage(1, 0) for number in range(3)}
-        shares = allocate_engines(uses | {HEAVY: FlowUsage(7, 5)}, free=0)
+        shares = compute_shares(uses | {HEAVY: FlowUsage(7, 5)}, free=0)
         heavy = shares.flow_share(HEAVY)
         self.assertEqual(7.0, heavy.share)
         self.assertFalse(heavy.is_over_share)
@@ -106,28 +106,28 @@
             names = [flow(f"t{number}") for number in range(rng.randrange(2, 9))]
             uses = {name: FlowUsage(rng.randrange(6), rng.choice((0, 0, 1, 5))) for name in names}
             free = rng.randrange(8)
-            shares = allocate_engines(uses, free)
+            shares = compute_shares(uses, free)
             for flow_share in map(shares.flow_share, names):
                 seen += flow_share.is_over_share
                 self.assertTrue(not flow_share.is_over_share or flow_share.waiting_ahead >= free)
         self.assertGreater(seen, 100)
 
     def test_its_forecast_grows_with_its_own_requests_alone(self):
-        heavy = allocate_engines(self.uses(), free=0).flow_share(HEAVY)
+        heavy = compute_shares(self.uses(), free=0).flow_share(HEAVY)
         waits = [estimate_share_wait(heavy, waiting_ahead, PACE) for waiting_ahead in (0, 5, 10)]
         self.assertEqual(sorted(waits), waits)
         self.assertGreater(waits[1] - waits[0], 4 * PACE)
-        light = allocate_engines(self.uses(), free=0).flow_share(flow("t9"))
+        light = compute_shares(self.uses(), free=0).flow_share(flow("t9"))
         self.assertEqual(0.0, estimate_share_wait(light, 0, PACE))
 
     def test_tenant_alone_is_never_beyond_its_share(self):
         self.assertFalse(
-            allocate_engines({HEAVY: FlowUsage(9, 90)}, free=0).flow_share(HEAVY).is_over_share
+            compute_shares({HEAVY: FlowUsage(9, 90)}, free=0).flow_share(HEAVY).is_over_share
         )
 
     def test_nobody_is_beyond_its_share_while_no_request_waits(self):
         uses = {HEAVY: FlowUsage(9, 0), LIGHT: FlowUsage(1, 0)}
-        self.assertFalse(allocate_engines(uses, free=2).flow_share(HEAVY).is_over_share)
+        self.assertFalse(compute_shares(uses, free=2).flow_share(HEAVY).is_over_share)
 
 
 class BurstTest(unittest.TestCase):
@@ -135,14 +135,14 @@
 
     def test_tenants_that_ask_as_usual_are_not_beyond_their_shares_in_a_burst_of_another(self):
         usual = {flow(f"t{number}"): FlowUsage(1, 1) for number in range(4)}
-        shares = allocate_engines(usual | {HEAVY: FlowUsage(12, 80)}, free=0)
+        shares = compute_shares(usual | {HEAVY: FlowUsage(12, 80)}, free=0)
         self.assertTrue(shares.flow_share(HEAVY).is_over_share)
         for name in usual:
             self.assertFalse(shares.flow_share(name).is_over_share)
 
     def test_in_a_burst_of_all_the_shares_are_equal(self):
         uses = {flow(f"t{number}"): FlowUsage(2, 20) for number in range(5)}
-        shares = allocate_engines(uses, free=0)
+        shares = compute_shares(uses, free=0)
         self.assertEqual(2.0, shares.level)
         self.assertFalse(any(shares.flow_share(name).is_over_share for name in uses))
 
@@ -224,15 +224,15 @@
                 held.enter_context(far.waiting(HEAVY))
                 held.enter_context(near.running(HEAVY))
                 held.enter_context(near.waiting(LIGHT))
-                alone = allocate_engines(near.uses(GROUP), free=0)
+                alone = compute_shares(near.uses(GROUP), free=0)
                 self.assertEqual(1, alone.flow_share(HEAVY).use)
                 self.assertFalse(
-                    allocate_engines(far.uses(GROUP), free=0).flow_share(HEAVY).is_over_share
+                    compute_shares(far.uses(GROUP), free=0).flow_share(HEAVY).is_over_share
                 )
                 near.record_report("far", far.report())
                 far.record_report("near", near.report())
                 for ledger in (near, far):
-                    flow_share = allocate_engines(ledger.uses(GROUP), free=0).flow_share(HEAVY)
+                    flow_share = compute_shares(ledger.uses(GROUP), free=0).flow_share(HEAVY)
                     self.assertEqual(4, flow_share.use)
                     self.assertEqual(1, flow_share.waiting_ahead)
                     self.assertTrue(flow_share.is_over_share)
