--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -1,10 +1,9 @@
 """Watches connections for those that have gone silent for good, as against slow servers.
 
 Owns what each open connection has shown, how long calls to each address usually take, and which
-addresses are suspect. The rule itself stands in `larkpost.platform.dead_connection_rule`. Once a connection
-is silent for good, its address is suspect: none of the connections that were open at that moment is
-trusted again. So a slow server costs no more than one set of connections.
-"""
+addresses are suspect. The rule itself stands in `larkpost.platform.dead_connection_rule`. Once a
+connection is silent for good, its address is suspect: none of the connections that were open at
+that moment is trusted again. So a slow server costs no more than one set of connections."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -10,8 +10,8 @@
 from larkpost.common.ids import DaemonId, InstanceId, InstanceName
 from larkpost.common.incarnations import instance_id
 from larkpost.gateway.assembly.daemon_reports import DaemonReports
-from larkpost.gateway.blackboard.daemon_report import DaemonReport, Flow, FlowGroup, TenantUse
-from larkpost.gateway.blackboard.directory import Directory
+from larkpost.gateway.blackboard.daemon_report import DaemonReport, Flow, FlowGroup, FlowUsage
+from larkpost.gateway.blackboard.directory import InstanceDirectory
 from larkpost.gateway.controllers.heartbeat import Heartbeat, decode_heartbeat, encode_heartbeat
 from larkpost.gateway.fairness.ledger import FlowLedger
 from larkpost.gateway.proxy.balancer import Balancer
@@ -44,7 +44,7 @@
 
     def __init__(self) -> None:
         self.clock = LoopClock()
-        self.directory = Directory()
+        self.directory = InstanceDirectory()
         for instance in (SERVER, OTHER):
             self.start(instance)
         self.balancer = Balancer(self.directory, self.clock, random.Random(0))
@@ -238,7 +238,7 @@
     def test_heartbeat_carries_a_report_and_is_as_before_without(self):
         flow = Flow(FlowGroup(PAGES, 1), "t")
         report = DaemonReport({SERVER: SLOW, InstanceId("e1"): FAST})
-        report = replace(report, tenants={flow: TenantUse(3, 1)}, capacity=1.5)
+        report = replace(report, tenants={flow: FlowUsage(3, 1)}, capacity=1.5)
         beat = Heartbeat(0.25, report=report)
         self.assertEqual(report, decode_heartbeat(encode_heartbeat(beat)).report)
         self.assertEqual(b'{"interval":0.25}', encode_heartbeat(Heartbeat(0.25)))
@@ -308,7 +308,7 @@
         """Of servers alike in all but the smoothed pace, the quicker one comes first."""
 
         async def play():
-            directory = Directory()
+            directory = InstanceDirectory()
             for name in (SERVER, OTHER):
                 directory.update(make_instance(name, PAGES))
             balancer = Balancer(directory, LoopClock(), random.Random(0))
