--- a/src/larkpost/gateway/placement/__init__.py
+++ b/src/larkpost/gateway/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Whether a piece of work may be sent to a server instance, from this daemon, at this moment."""
+"""Decides whether work may be sent to an instance, from this daemon, at this moment."""
--- a/src/larkpost/gateway/placement/cold_rate_limit.py
+++ b/src/larkpost/gateway/placement/cold_rate_limit.py
@@ -1,11 +1,11 @@
-"""The rule that all daemons together send few requests to a cold instance in any second.
+"""Rate limit of the requests that all daemons together send to a cold instance.
 
-Every send to an instance of a service with such a limit is counted, whatever becomes of it, also
-while the instance is warm: it may turn cold at any moment. The window slides; a bucket that fills
-up within it would let twice the bound through around its edge.
+Every send to an instance of a service with such a limit is counted, whatever its outcome, also
+while the instance is warm, because it may turn cold at any moment. The window slides: a fixed
+window would admit up to twice the limit around its boundary.
 
-Owns the counts of sends and the places reserved for items. Relies on `cold_senders` for who else
-may send, and on `cold_share` for how much of the bound is this daemon's.
+Owns the counts of sends and the reservations for items. Relies on `sender_tracker` for the other
+senders, and on `cold_rate_quota` for this daemon's quota.
 """
 
 from larkpost.common.clock import Clock
@@ -22,25 +22,25 @@
 from larkpost.gateway.placement.work import Work, WorkKind
 
 SEND_TIMEOUT_SECONDS = 0.25
-"""A send that is admitted is on a connection within this time, or it is not made: a daemon that was
-frozen between the two must not send with an old permission."""
+"""An admitted send reaches a connection within this time or is not made, so that a daemon that was
+frozen in between does not send on an outdated admission."""
 WINDOW_SECONDS = 1.0 + SEND_TIMEOUT_SECONDS
-"""Sends that may fall into the same second are admitted within this time."""
+"""Sends that may arrive within the same second are admitted within this time."""
 RESERVATION_SECONDS = 0.2
-"""How long a place reserved for an item counts before its send does; it is sent within
-milliseconds, or not at all."""
+"""How long a reservation for an item counts until its send does; the item is sent within
+milliseconds or not at all."""
 POLL_SECONDS = 0.25
-"""How often it is logged which instances have turned cold or warm."""
+"""Interval between checks that log which instances have turned cold or warm."""
 OWNER_WORK_KINDS = (WorkKind.ITEM, WorkKind.REWARD)
-"""What owners of batches send; all else are clients' requests."""
+"""Kinds of work that batch owners send; all others are client requests."""
 
 
 class ColdRateLimit:
-    """Lets this daemon's share of the requests to each cold instance through.
+    """Admits this daemon's quota of requests to each cold instance.
 
     Args:
         terms: None if cold instances have no limits.
-        senders: knows who else may send.
+        senders: knows which daemons may send.
     """
 
     def __init__(
@@ -61,10 +61,10 @@
         self._logged_cold: frozenset[InstanceId] = frozenset()
         self._view: SenderView | None = None
         self._limits: dict[SendCategory, int] = {}
-        """Sends allowed by the current view, as they are asked for again and again."""
+        """Quotas by category for the current view, cached because they are requested often."""
 
     def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
-        """Returns whether a send is left, besides those of places that are reserved already."""
+        """Returns whether a send is left after those already reserved."""
         left = self.remaining_sends(instance, work)
         return PlacementDecision.ALLOWED if left is None or left > 0 else PlacementDecision.COLD
 
@@ -84,7 +84,7 @@
         return PlacementDecision.ALLOWED
 
     def remaining_sends(self, instance: InstanceInfo, work: Work) -> int | None:
-        """Returns how many sends are left now; None for any number."""
+        """Returns how many sends are left now; None for no limit."""
         service = self._limited_service(instance)
         if service is None or work.kind is WorkKind.ORDER:
             return None
@@ -98,13 +98,13 @@
         return max(0, limit - taken)
 
     def reserve(self, instance: InstanceInfo) -> None:
-        """Reserves a send at an instance for an item, which will be made in a moment."""
+        """Reserves a send to an instance for an item that is about to be sent."""
         if self._limited_service(instance) is not None:
             reserved = self._reserved.setdefault(instance.id, SlidingCount(RESERVATION_SECONDS))
             reserved.add(self._clock.now())
 
     def record(self, instance: InstanceId, left: float | None) -> None:
-        """Records for how many seconds an instance says that it stays cold; None says nothing."""
+        """Records how many seconds an instance says it stays cold; None if it says nothing."""
         self._blackboard.cold.record(instance, left, self._clock.now())
 
     def is_cold(self, instance: InstanceInfo) -> bool:
@@ -113,7 +113,7 @@
         return is_cold and self._limited_service(instance) is not None
 
     def send_timeout(self, instance: InstanceInfo) -> float | None:
-        """Returns the seconds within which an admitted send must be made; None for any."""
+        """Returns the seconds within which an admitted send must be made; None for no timeout."""
         return SEND_TIMEOUT_SECONDS if self.is_cold(instance) else None
 
     def count_cold_instances(self) -> int:
@@ -121,9 +121,10 @@
         return len(self._cold_instances())
 
     async def poll(self) -> None:
-        """Logs which instances have turned cold or warm, and who the owners are now.
+        """Logs which instances have turned cold or warm, and updates the known owners.
 
-        A daemon that owns nothing asks for no view, but must know who owned a moment ago.
+        A daemon that owns no batch never needs the view for its own sends, but must remember recent
+        owners.
         """
         self._senders.view()
         cold = self._cold_instances()
@@ -153,10 +154,11 @@
         return service if service is not None and service.cold_rate else None
 
     def _limit(self, instance: InstanceInfo, service: Service, work: Work) -> int | None:
-        """Returns how many sends this daemon may make in a window; None for any number.
+        """Returns how many sends this daemon may make in a window; None for no limit.
 
-        A daemon that hears nothing does not hear either that an instance turned cold, so its items
-        are limited everywhere, though not to the least share where nobody reported it as cold.
+        A daemon with a stale view may miss that an instance has turned cold, so its items are
+        limited at every instance; where no instance is known to be cold, the limit is above the
+        minimum quota.
         """
         view = self._senders.view()
         if view is not self._view:
@@ -173,6 +175,6 @@
         return self._limits[kind]
 
     def _send_count(self, instance: InstanceId, work: Work) -> SlidingCount:
-        """Returns the count of one kind of sends; each kind has its part of the bound."""
+        """Returns the count of owner or client sends; each has its part of the limit."""
         key = (instance, work.kind in OWNER_WORK_KINDS)
         return self._sent.setdefault(key, SlidingCount(WINDOW_SECONDS))
--- a/src/larkpost/gateway/placement/cold_rate_quota.py
+++ b/src/larkpost/gateway/placement/cold_rate_quota.py
@@ -1,12 +1,12 @@
-"""How many requests one daemon may send to a cold instance in a span of time.
+"""How many requests one daemon may send to a cold instance within a window.
 
-The bound holds for all daemons together, also while they disagree on who there is, so nothing is
-agreed on at the moment of a send. Only two kinds of daemon send at all: owners of open batches,
-whom everyone knows from the heads, and a few that rendezvous hashing names for clients' requests.
-Each kind has its part of the bound. The owners' part is divided by one more than there are, so
-that one of whom the others have not heard yet takes what is left over.
+The limit holds for all daemons together, even while their views of the fleet differ, so no
+agreement is needed at the time of a send. Only two kinds of daemon send: owners of open batches,
+known to all from the batch heads, and a few daemons selected by rendezvous hashing for client
+requests. Each kind has its part of the limit. The owners' part is divided by one more than the
+number of owners, which leaves a share for an owner that the others have not seen yet.
 
-Pure rules over a typed view; `cold_senders` makes the view.
+Pure functions over `SenderView`, which `sender_tracker` provides.
 """
 
 from collections.abc import Collection
@@ -17,34 +17,32 @@
 from larkpost.common.ids import DaemonId, InstanceId
 
 PRIMARY_FRACTION = 0.8
-"""Part of the bound that is the owners' at engines, and the clients' at other instances; without
-unit."""
+"""Fraction of the limit for batch owners at engines, and for clients at other instances."""
 MIN_OWNER_COUNT = 2
-"""Batches come from several trainers at once: one owner alone leaves as much as two do."""
+"""Batches arrive from several trainers at once, so a single owner counts as two."""
 UNSEEN_OWNER_ALLOWANCE = 1
-"""Shares left for owners of whom this daemon has not heard yet."""
+"""Shares left for owners that this daemon has not seen yet."""
 NEW_OWNER_DIVISOR = 12
-"""A new owner takes this part of the owners' part. Three trainers hand their batches in at the same
-moment; three owners of the step before have sent their shares within the same second, and others
-that are cut off and do not know of their successors go on. With a sixth, four of those were too
-many."""
+"""A new owner gets this fraction (1/n) of the owners' part. Up to three trainers may submit batches
+at once while the three owners of the previous step have just sent their shares and disconnected
+daemons still send theirs."""
 MIN_SENDS = 1
-"""What a daemon may send that cannot know how many others do."""
+"""Sends allowed to a daemon that cannot know how many others send."""
 VIEW_MISMATCH_FACTOR = 2
-"""By how much fewer daemons are named than might send: views may differ in all of them."""
+"""Factor by which fewer daemons are selected than could send, because views may differ."""
 
 
 @dataclass(frozen=True, slots=True)
 class SenderView:
-    """Who may send to cold instances, as one daemon sees it.
+    """The senders to cold instances, as one daemon sees them.
 
     Attributes:
         own: this daemon.
-        owners: owners of open batches, now or a moment ago.
-        members: daemons that are considered alive.
-        is_settled: whether the other owners have heard of this one, and it of them.
-        is_informed: whether this daemon knows the members well enough to know who is named.
-        is_blind: whether it may not have heard of late what the others have.
+        owners: current and recent owners of open batches.
+        members: daemons considered alive.
+        is_established: whether the other owners know of this daemon, and it knows of them.
+        knows_members: whether this daemon knows the members well enough to tell which are selected.
+        is_stale: whether this daemon may lack recent changes that others know of.
     """
 
     own: DaemonId
@@ -57,12 +55,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SendCategory:
-    """Sends to one instance that are limited alike.
+    """Sends to one instance that share a limit.
 
     Attributes:
-        is_owner_work: whether an owner of a batch sends; else it is a client's request.
+        is_owner_work: whether a batch owner sends; otherwise it is a client request.
         is_cold: whether the instance is known to be cold.
-        bound: requests that all daemons together may send there in any second.
+        bound: requests that all daemons together may send to it in any second.
     """
 
     instance: InstanceId
@@ -72,10 +70,10 @@
 
 
 def send_quota(view: SenderView, kind: SendCategory, *, is_engine: bool) -> int:
-    """Returns how many sends of a kind this daemon may make in a window.
+    """Returns how many sends of a category this daemon may make in a window.
 
     Args:
-        is_engine: whether the instance's service holds models.
+        is_engine: whether the instance's service serves models.
     """
     if not kind.is_owner_work:
         return client_quota(kind.bound, view, kind.instance, is_engine=is_engine)
@@ -97,13 +95,13 @@
 
 
 def stale_view_quota(bound: float, view: SenderView, *, is_engine: bool) -> int:
-    """Returns what a blind owner may send to an instance that was not cold when it last heard."""
+    """Returns the quota of an owner with a stale view at an instance last known to be warm."""
     part = bound * (PRIMARY_FRACTION if is_engine else 1 - PRIMARY_FRACTION)
     return max(MIN_SENDS, _even_share(part, view))
 
 
 def client_quota(bound: float, view: SenderView, instance: InstanceId, *, is_engine: bool) -> int:
-    """Returns how many clients' requests this daemon may send."""
+    """Returns how many client requests this daemon may send."""
     part = bound * (1 - PRIMARY_FRACTION if is_engine else PRIMARY_FRACTION)
     selected = _is_selected(view.members, view.own, instance, _selected_count(part))
     return MIN_SENDS if selected and view.knows_members else 0
@@ -115,17 +113,17 @@
 
 
 def _selected_count(part: float) -> int:
-    """Returns how many daemons may take the least share; one wherever a request is allowed."""
+    """Returns how many daemons get the minimum quota; at least one if any request is allowed."""
     return max(int(part / (VIEW_MISMATCH_FACTOR * MIN_SENDS)), int(part >= 1))
 
 
 def _is_selected(
     daemons: Collection[DaemonId], own: DaemonId, instance: InstanceId, count: int
 ) -> bool:
-    """Returns whether rendezvous hashing names this daemon among the first for an instance.
+    """Returns whether rendezvous hashing ranks this daemon among the first for an instance.
 
-    As soon as enough others come before it the rest is not asked: a whole zone's instances are
-    judged at once when an evacuation ends.
+    Stops as soon as enough daemons rank higher: when an evacuation ends, the instances of a whole
+    zone are evaluated at once.
     """
     if own not in daemons or not count:
         return False
--- a/src/larkpost/gateway/placement/decision.py
+++ b/src/larkpost/gateway/placement/decision.py
@@ -1,22 +1,22 @@
-"""What a rule of placement says of an instance and a piece of work."""
+"""Decisions of the placement rules."""
 
 from enum import StrEnum
 
 
 class PlacementDecision(StrEnum):
-    """Whether an instance may be given a piece of work now, or why not."""
+    """Whether a piece of work may be sent to an instance now, or why not."""
 
     ALLOWED = "allowed"
-    UNKNOWN = "unknown"  # no such instance is listed, or it was given up
+    UNKNOWN = "unknown"  # the instance is not in the directory
     LEAVING = "leaving"
-    EVACUATED = "evacuated"  # the operator wants its zone to get nothing
-    COLD = "cold"  # it is cold, and this daemon's share of its requests is used up
-    OUTSIDE_REGIONS = "outside_regions"  # the work may not be served in its region
-    OLD_VERSION = "old_version"  # its weights are older than the work allows
-    ISOLATED = "apart"  # servers crashed under the work, and a request like it runs there
-    AVOIDED = "avoided"  # it failed or refused a moment ago
+    EVACUATED = "evacuated"  # the operator has evacuated its zone
+    COLD = "cold"  # the instance is cold and this daemon's quota for it is used up
+    OUTSIDE_REGIONS = "outside_regions"  # the work must not be served in its region
+    OLD_VERSION = "old_version"  # its weight version is below the work's minimum
+    ISOLATED = "apart"  # the work is suspected of crashing servers; another suspect runs there
+    AVOIDED = "avoided"  # it recently failed or refused a request
 
     @property
     def is_allowed(self) -> bool:
-        """Whether the work may go there."""
+        """Whether the work may be sent."""
         return self is PlacementDecision.ALLOWED
--- a/src/larkpost/gateway/placement/evacuation_rule.py
+++ b/src/larkpost/gateway/placement/evacuation_rule.py
@@ -1,4 +1,4 @@
-"""The rule that nothing new goes to the instances of an evacuated zone."""
+"""Placement rule for evacuated zones."""
 
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.blackboard.evacuations import Evacuations
@@ -8,16 +8,17 @@
 
 
 class EvacuationRule(StatelessRule):
-    """No request goes to an evacuated zone.
+    """Rejects requests to instances in evacuated zones.
 
-    Orders do: an engine that kept old weights through an evacuation could not serve after it.
+    Load orders are still allowed, because an engine that kept old weights during an evacuation
+    could not serve after it.
     """
 
     def __init__(self, evacuations: Evacuations) -> None:
         self._evacuations = evacuations
 
     def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
-        """Returns whether the instance's zone takes requests, or the work is none."""
+        """Returns whether the zone accepts requests, or the work is a load order."""
         if work.kind is WorkKind.ORDER or not self._evacuations.is_evacuated(instance.zone):
             return PlacementDecision.ALLOWED
         return PlacementDecision.EVACUATED
--- a/src/larkpost/gateway/placement/region_rule.py
+++ b/src/larkpost/gateway/placement/region_rule.py
@@ -1,4 +1,4 @@
-"""The rule that work whose route or tenant names regions goes only to instances in them."""
+"""Placement rule for work that is restricted to regions."""
 
 from larkpost.gateway.blackboard.directory import InstanceInfo
 from larkpost.gateway.blackboard.regions import RegionMap
@@ -8,7 +8,7 @@
 
 
 class RegionRule(StatelessRule):
-    """An instance whose region is not known serves no work that names regions."""
+    """Rejects instances outside the work's regions, and those whose region is unknown."""
 
     def __init__(self, regions: RegionMap) -> None:
         self._regions = regions
--- a/src/larkpost/gateway/placement/rules.py
+++ b/src/larkpost/gateway/placement/rules.py
@@ -1,8 +1,8 @@
-"""The rules of placement, asked by everything that sends work to instances.
+"""Placement rules, which every sender of work to instances consults.
 
-`judge` is asked for a choice among instances and counts nothing. `admit` is asked right before
-the send, by what is known then, and counts the send where a rule limits how many there may be. The
-choice and the send may be some time apart, so both are asked.
+`evaluate` supports the choice among instances and counts nothing. `admit` runs right before the
+send, on the state known then, and counts the send where a rule limits the number of sends. Time may
+pass between choice and send, so callers use both.
 """
 
 from collections.abc import Callable, Iterable
@@ -25,48 +25,48 @@
     PlacementDecision.ISOLATED: NotRunReason.ISOLATED,
     PlacementDecision.AVOIDED: NotRunReason.FULL,
 }
-"""The reason that is given for a send that is not made."""
+"""Maps each decision against a send to the reason reported for the send that was not made."""
 
 
 class PlacementRule(Protocol):
-    """One reason why work may not go to an instance."""
+    """One reason why work may not be sent to an instance."""
 
     def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
-        """Returns whether work may go to an instance now; counts nothing."""
+        """Returns whether work may be sent to an instance now; counts nothing."""
 
     def admit(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
-        """Returns the same right before the send, and counts the send if it is allowed."""
+        """Returns the decision right before the send, and counts the send if it is allowed."""
 
 
 class StatelessRule:
-    """A rule that counts nothing; subclasses define `judge`."""
+    """Base class of rules that count nothing; subclasses implement `evaluate`."""
 
     def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
-        """Returns whether work may go to an instance now."""
+        """Returns whether work may be sent to an instance now."""
         raise NotImplementedError
 
     def admit(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
-        """Returns the same right before the send."""
+        """Returns the decision right before the send."""
         return self.evaluate(instance, work)
 
 
 class LeavingRule(StatelessRule):
-    """Nothing new goes to an instance that leaves."""
+    """Rejects instances that are shutting down."""
 
     def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
-        """Returns whether the instance stays."""
+        """Returns whether the instance accepts new work."""
         leaves = instance.state is InstanceState.LEAVING
         return PlacementDecision.LEAVING if leaves else PlacementDecision.ALLOWED
 
 
 class VersionRule(StatelessRule):
-    """Work that names a model goes only to instances whose version of it is new enough."""
+    """Requires that the instance's weight version is recent enough for the work's model."""
 
     def __init__(self, directory: InstanceDirectory) -> None:
         self._directory = directory
 
     def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
-        """Returns whether the instance's weights will do."""
+        """Returns whether the instance's weight version meets the work's minimum."""
         if work.model is None:
             return PlacementDecision.ALLOWED
         version = self._directory.version_of(instance.id, work.model)
@@ -78,16 +78,18 @@
 
 
 def _no_timeout(_: InstanceInfo) -> None:
-    """Returns None: an admitted send may be made at any time."""
+    """Returns None: an admitted send has no timeout."""
 
 
 class Placement:
-    """Asks all rules in turn; the first one that objects decides.
+    """Applies all rules in order; the first rejection decides.
 
     Args:
-        rules: those of the deployment, besides leaving instances and weight versions. A rule that
-            counts sends comes last, so that it counts none that another rule forbids.
-        send_within: returns how soon an admitted send must be made at an instance; None for any.
+        rules: deployment-specific rules, in addition to those on leaving instances and weight
+            versions. A rule that counts sends must come last, so that it never counts a send that
+            another rule rejects.
+        send_timeout: returns the seconds within which an admitted send to an instance must be made;
+            None for no timeout.
     """
 
     def __init__(
@@ -103,7 +105,7 @@
         self._send_timeout = send_timeout
 
     def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
-        """Returns whether work may go to an instance now, or why not."""
+        """Returns whether work may be sent to an instance now, or why not."""
         for rule in self._rules:
             decision = rule.evaluate(instance, work)
             if not decision.is_allowed:
@@ -111,14 +113,14 @@
         return PlacementDecision.ALLOWED
 
     def allows(self, instance: InstanceInfo, work: Work) -> bool:
-        """Returns whether work may go to an instance now."""
+        """Returns whether work may be sent to an instance now."""
         return self.evaluate(instance, work).is_allowed
 
     def admit(self, instance: InstanceId, work: Work) -> float | None:
-        """Asks once more right before a send, by what is known of the instance now.
+        """Checks the rules again right before a send, on the instance's current state.
 
         Returns:
-            The seconds within which the send must be made, else it must not be; None for any.
+            The seconds within which the send must be made; None for no timeout.
 
         Raises:
             NotRunError: the send must not be made; nothing was sent.
--- a/src/larkpost/gateway/placement/sender_tracker.py
+++ b/src/larkpost/gateway/placement/sender_tracker.py
@@ -1,7 +1,7 @@
-"""Who else sends to cold instances, as this daemon has learnt it from heads and heartbeats.
+"""Tracks which daemons send to cold instances, from batch heads and heartbeats.
 
-Owns the memory of who owned batches a moment ago; relies on the heartbeats and on the feed of heads
-for who is there and how current that is.
+Owns the memory of recent batch owners; relies on the heartbeats and the feed of batch heads for the
+current daemons and for how current that information is.
 """
 
 from collections.abc import Callable, Iterable
@@ -12,43 +12,44 @@
 from larkpost.gateway.placement.cold_rate_quota import SenderView
 
 OWNER_RETENTION_SECONDS = 2.0
-"""For so long an owner counts after it is named no longer: it may not know yet."""
+"""How long a daemon counts as an owner after it was last listed as one; it may still send."""
 NEW_OWNER_SECONDS = 1.0
-"""For so long a new owner takes the least share, as the others may not have heard of it."""
+"""How long a new owner gets the minimum quota, as the others may not know of it yet."""
 STALE_FEED_SECONDS = 1.6
-"""Age of the feed of heads from which this daemon does not know the other owners: a response
-of the feed may wait for a second."""
+"""Age of the batch feed above which this daemon does not know the other owners; a response of the
+feed may wait for up to a second."""
 STARTUP_SECONDS = 3.0
-"""For so long after its start a daemon may not know all members."""
+"""How long after its start a daemon may not know all members."""
 PRESUMED_DEAD_SECONDS = 4.0
-"""Age of the feed from which others may soon consider this daemon dead, and name another."""
+"""Age of the batch feed above which others may soon consider this daemon dead and select
+another."""
 VIEW_LIFETIME_SECONDS = 0.1
-"""How old a view may be."""
+"""Maximum age of a view."""
 
 
 class MemberView(Protocol):
-    """What is asked of the heartbeats."""
+    """The queries made of the heartbeats."""
 
     listed: bool
 
     def has_recent_listing(self) -> bool:
-        """Returns whether this daemon, if it is awaited, has listed the others a moment ago."""
+        """Returns whether this daemon has recently listed the fast heartbeats."""
 
     def alive(self) -> Iterable[DaemonId]:
-        """Returns the daemons that are considered alive."""
+        """Returns the daemons considered alive."""
 
 
 class BatchFeed(Protocol):
-    """What is asked of the feed of heads."""
+    """The queries made of the feed of batch heads."""
 
     listed: bool
 
     def age(self, now: float) -> float:
-        """Returns the seconds since the heads were last known to be current."""
+        """Returns the seconds since the batch heads were last known to be current."""
 
 
 class SenderTracker:
-    """The view of one daemon, which knows nobody until `follow` is called."""
+    """One daemon's view of the senders; empty until `set_sources` is called."""
 
     def __init__(self, own: DaemonId, clock: Clock) -> None:
         self._own = own
@@ -75,7 +76,7 @@
         self._batch_feed = batch_feed
 
     def view(self) -> SenderView:
-        """Returns who may send, as of a moment ago; the same object as long as it holds."""
+        """Returns the recent view of the senders; the same object while it is unchanged."""
         now = self._clock.now()
         if now - self._updated_at < VIEW_LIFETIME_SECONDS:
             return self._view
@@ -102,13 +103,13 @@
         )
 
     def _is_stale(self, now: float, members: MemberView, batch_feed: BatchFeed) -> bool:
-        """Returns whether the others may know of owners of which this daemon has not heard."""
+        """Returns whether others may know of owners that this daemon does not know."""
         if not members.listed or not batch_feed.listed or batch_feed.age(now) > STALE_FEED_SECONDS:
             return True
         return self._own in self._listed_at and not members.has_recent_listing()
 
     def _remember_owners(self, now: float) -> None:
-        """Forgets the owners that were named a while ago, and adds those named now."""
+        """Drops owners last listed too long ago, and adds those listed now."""
         self._listed_at = {
             name: at for name, at in self._listed_at.items() if now - at < OWNER_RETENTION_SECONDS
         }
--- a/src/larkpost/gateway/placement/sliding_count.py
+++ b/src/larkpost/gateway/placement/sliding_count.py
@@ -1,13 +1,13 @@
-"""A count of what happened within the last while."""
+"""Event count over a sliding time window."""
 
 from collections import deque
 
 
 class SlidingCount:
-    """Counts events over a sliding window; times are steady.
+    """Counts events over a sliding window; times are from a steady clock.
 
     Args:
-        seconds: how long an event counts.
+        seconds: length of the window.
     """
 
     def __init__(self, seconds: float) -> None:
@@ -15,16 +15,16 @@
         self._times: deque[float] = deque()
 
     def add(self, now: float) -> None:
-        """Counts one more."""
+        """Counts an event."""
         self._times.append(now)
 
     def remove_oldest(self) -> None:
-        """Counts one less, the oldest."""
+        """Removes the oldest event."""
         if self._times:
             self._times.popleft()
 
     def count(self, now: float) -> int:
-        """Returns how many there were; what lies back exactly the whole time is out."""
+        """Returns the number of events in the window; an event exactly at its start is outside."""
         while self._times and now - self._times[0] >= self._seconds:
             self._times.popleft()
         return len(self._times)
--- a/src/larkpost/gateway/placement/work.py
+++ b/src/larkpost/gateway/placement/work.py
@@ -1,4 +1,4 @@
-"""What is to be sent to an instance, as far as rules of placement ask."""
+"""Description of the work to be sent, as the placement rules need it."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -8,23 +8,23 @@
 
 
 class WorkKind(StrEnum):
-    """What kind of work it is."""
+    """Kind of work."""
 
-    CLIENT = "client"  # a client's request
-    ITEM = "item"  # a run of a batch's item, new or continued
+    CLIENT = "client"  # a client request
+    ITEM = "item"  # a run of a batch item, new or resumed
     REWARD = "reward"  # a call that scores an item's output
-    ORDER = "order"  # an order to load weights; no request
+    ORDER = "order"  # an order to load weights, not a request
 
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """One piece of work that wants a place.
+    """One piece of work to be placed.
 
     Attributes:
         regions: the only regions in which it may be served; None for all.
-        model: the model that makes its tokens; None if it names none.
-        minimum_version: oldest weight version that may make them.
-        is_suspect: whether servers have crashed repeatedly under such a request.
+        model: the model that generates its tokens; None if it names none.
+        minimum_version: oldest weight version that may generate its tokens.
+        is_suspect: whether servers have repeatedly crashed while running such a request.
     """
 
     kind: WorkKind
