--- a/src/larkpost/gateway/quarantine/__init__.py
+++ b/src/larkpost/gateway/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that crash the servers that run them: recognised, counted, and not sent on again."""
+"""Detects and counts requests that crash servers, and stops sending them."""
--- a/src/larkpost/gateway/quarantine/crash_detector.py
+++ b/src/larkpost/gateway/quarantine/crash_detector.py
@@ -1,10 +1,11 @@
-"""Finds out whether a server has crashed under the requests that it left without a response.
+"""Detects whether a server crashed while requests on it lost their connections.
 
-A connection that closes without a response may have been reset on the way, or by a server that
-lives. A server has crashed if its port is dead right afterwards, or if it goes from the directory
-without having said that it leaves, and another follows at its address or nothing responds there.
+A connection that closes without a response may have been reset on the way, or by a live server. A
+server counts as crashed if its port refuses connections right afterwards, or if its directory entry
+disappears without a leaving state while a new instance is listed at its address or nothing responds
+there.
 
-Owns the suspicions; relies on the directory and on probes, and calls a listener with what it finds.
+Owns the suspect servers; relies on the directory and on probes, and reports to a listener.
 """
 
 import asyncio
@@ -21,35 +22,35 @@
 from larkpost.gateway.servers.port import PortState, ServerPort
 
 PROBE_SECONDS = 0.5
-"""Longest wait for a new connection to a server: a dead port refuses within the latency of the
-network."""
+"""Timeout of a probe connection; a dead port refuses within the network latency."""
 POLL_SECONDS = 0.25
-"""Between two checks of the directory while a server is suspect."""
+"""Interval between checks of the directory while a server is suspect."""
 INVESTIGATION_SECONDS = 6.0
-"""After this long a server that is still listed has not crashed: an entry goes after three missed
-heartbeats of 1.2 s, and news of that take up to two seconds when the store has just come back."""
+"""A server that is still listed after this time has not crashed. An entry expires after three
+missed heartbeats of 1.2 s, and news of that may take two more seconds when the store has just
+recovered."""
 
 CrashListener = Callable[[InstanceId, Iterable[ContentDigest], str], None]
 
 
 class CrashEvidence(StrEnum):
-    """How it is known that a server has crashed."""
+    """How a server's crash is known."""
 
-    DEAD_PORT = "dead_port"  # its port refuses connections
-    REPLACED = "replaced"  # another instance is listed at its address
-    GONE = "gone"  # its entry went, and nothing listens
+    DEAD_PORT = "dead_port"  # the port refuses connections
+    REPLACED = "replaced"  # another instance is listed at the address
+    GONE = "gone"  # the entry is removed, and nothing responds at the address
 
 
 @dataclass(slots=True)
 class _SuspectServer:
-    """A server that left requests without a response, and may have crashed.
+    """A server that may have crashed, because requests lost their connections to it.
 
     Attributes:
-        since: steady time of the last such request.
-        neighbours: instances that were listed at its address at the first one.
-        contents: of all those requests.
-        crashed: how it is known that it has crashed; None if it is not.
-        is_fresh: set by each such request, until it is investigated.
+        since: steady time of the last lost request.
+        initial_instances: instances listed at its address when the first request was lost.
+        contents: contents of all lost requests.
+        crashed: evidence of the crash; None if there is none.
+        has_new_loss: set by each lost request, until it is investigated.
     """
 
     info: InstanceInfo
@@ -61,11 +62,11 @@
 
 
 class CrashDetector:
-    """The servers that left requests of this daemon without a response a moment ago.
+    """Investigates the servers that recently lost requests of this daemon.
 
     Args:
-        listener: called with a server that has crashed, the contents of the requests that it
-            left, and how that is known.
+        listener: called with a server that has crashed, the contents of the requests that it lost,
+            and the evidence.
     """
 
     def __init__(
@@ -84,11 +85,11 @@
         self._suspects: dict[InstanceId, _SuspectServer] = {}
 
     def record_lost_connection(self, content: ContentDigest, instance: InstanceInfo) -> None:
-        """Records that a server closed the connection of a request without a whole response."""
+        """Records that a server closed a request's connection before the response was complete."""
         suspect = self._suspects.get(instance.id)
         if suspect is None:
             if not self._directory.accepts_work(instance.id):
-                return  # it has said that it leaves, or was known to be gone
+                return  # the server is leaving or already removed
             suspect = _SuspectServer(
                 instance, self._clock.now(), self._instances_at(instance.address)
             )
@@ -101,7 +102,7 @@
             self._listener(instance.id, (content,), suspect.crashed)
 
     async def _investigate(self, suspect: _SuspectServer) -> None:
-        """Seeks evidence for some seconds; what the server left meanwhile counts as well."""
+        """Looks for evidence for some seconds; requests lost meanwhile count too."""
         try:
             while self._clock.now() - suspect.since < INVESTIGATION_SECONDS:
                 has_new_loss = suspect.has_new_loss.is_set()
@@ -111,7 +112,7 @@
                     if evidence is not None:
                         suspect.crashed = evidence
                         self._listener(suspect.info.id, suspect.contents, evidence)
-                with contextlib.suppress(TimeoutError):  # the directory is checked again
+                with contextlib.suppress(TimeoutError):  # check the directory again
                     async with asyncio.timeout(POLL_SECONDS):
                         await suspect.has_new_loss.wait()
         finally:
@@ -120,10 +121,10 @@
     async def _seek_evidence(
         self, suspect: _SuspectServer, *, has_new_loss: bool
     ) -> CrashEvidence | None:
-        """Returns how it is known by now that a server has crashed; None if it is not.
+        """Returns the evidence found that a server has crashed; None if there is none yet.
 
         Args:
-            is_fresh: whether its port was not tried since it last left a request.
+            has_new_loss: whether the server lost a request since its port was last probed.
         """
         info = suspect.info
         listed = self._directory.get(info.id)
--- a/src/larkpost/gateway/quarantine/crash_recorder.py
+++ b/src/larkpost/gateway/quarantine/crash_recorder.py
@@ -1,6 +1,6 @@
-"""Keeps what daemons know of crashes the same everywhere, and has it forgotten in time.
+"""Shares crash records among daemons and removes them when they expire.
 
-Relies on the blackboard for what is known, and on the writer to bring changes into the store.
+Relies on the blackboard for the known crashes, and on the writer to save changes in the store.
 """
 
 from collections.abc import Callable, Iterable
@@ -22,16 +22,16 @@
 from larkpost.gateway.store.port import Row
 
 CLEANUP_INTERVAL_SECONDS = 60.0
-"""Between two removals of old crashes. Short beside the time they are remembered."""
+"""Interval between removals of expired crashes; short compared with their retention."""
 MAX_LOGGED = 20
-"""Contents named in a line of the log."""
+"""Most contents named in one log line."""
 
 
 class CrashRecorder:
-    """Records crashes and whole responses, and informs the other daemons by way of the store.
+    """Records crashes and complete responses, and informs other daemons through the store.
 
     Args:
-        may_forget: returns whether this daemon is the one that removes what is old.
+        may_remove_expired: returns whether this daemon removes expired crashes.
     """
 
     def __init__(
@@ -49,12 +49,12 @@
         self._may_forget = may_remove_expired
 
     def start(self, tasks: TaskSet) -> None:
-        """Starts saving and forgetting."""
+        """Starts saving crashes and removing expired ones."""
         tasks.spawn(self._writer.run(), "crashes")
         tasks.every(CLEANUP_INTERVAL_SECONDS, self.remove_expired, "old_crashes")
 
     def record_row(self, row: Row) -> None:
-        """Records what the store has of a crash."""
+        """Records a crash row read from the store."""
         try:
             crash = crash_of_row(row)
         except (ValueError, KeyError, TypeError) as error:
@@ -68,10 +68,10 @@
     def record_crash(
         self, instance: InstanceId, contents: Iterable[ContentDigest], evidence: str
     ) -> None:
-        """Records that a server has crashed under requests of this daemon.
+        """Records that a server has crashed while running requests of this daemon.
 
         Args:
-            evidence: how that is known.
+            evidence: how the crash is known.
         """
         at = self._writer.time() or 0.0
         added = [Crash(content, instance, at) for content in contents]
@@ -90,7 +90,7 @@
             self._writer.schedule_save(crash.content, crash.instance, crash)
 
     def record_success(self, request: OutgoingRequest) -> None:
-        """Records that a server has run a request whole: it was not what crashed the others."""
+        """Records that a server completed a request, which clears its crashes."""
         content = self._crashes.suspect(request)
         if content is None:
             return
@@ -99,7 +99,7 @@
             self._writer.schedule_save(content, crash.instance, None)
 
     async def remove_expired(self) -> None:
-        """Removes the crashes that are remembered no longer."""
+        """Removes the crashes whose retention is over."""
         now = self._writer.time()
         if now is None or not self._may_forget():
             return
--- a/src/larkpost/gateway/quarantine/crash_writer.py
+++ b/src/larkpost/gateway/quarantine/crash_writer.py
@@ -1,6 +1,6 @@
-"""Brings changes of what is known of crashes into the store, however long it is away.
+"""Saves changes to crash records in the store, and retries while the store is unavailable.
 
-Owns the changes that the store does not have yet; relies on the repository for the rows.
+Owns the unsaved changes; relies on the repository for the rows.
 """
 
 import asyncio
@@ -12,13 +12,13 @@
 from larkpost.gateway.quarantine.repository import MAX_ROWS, CrashRepository
 
 RETRY_SECONDS = 0.2
-"""Pause after a write that the store did not carry out."""
+"""Delay after a failed write."""
 MAX_UNSAVED = 2000
-"""Changes that wait for the store; when it is away for long, the oldest ones are dropped."""
+"""Limit on unsaved changes; beyond it the oldest ones are dropped."""
 
 
 class CrashWriter:
-    """Saves changes in the order in which they came, until the store has them."""
+    """Saves changes in order, and retries until the store has them."""
 
     def __init__(self, repository: CrashRepository, clock: Clock) -> None:
         self._repository = repository
@@ -28,13 +28,13 @@
         self._wake = asyncio.Event()
 
     def time(self) -> float | None:
-        """Returns the store's time in seconds; None if it is not known."""
+        """Returns the store's time in seconds; None if it is unknown."""
         return self._repository.time()
 
     def schedule_save(
         self, content: ContentDigest, instance: InstanceId, crash: Crash | None
     ) -> None:
-        """Has a change saved soon; the newest one for a row replaces those before it.
+        """Queues a change; it replaces any earlier unsaved change of the same row.
 
         Args:
             crash: None to remove the row.
@@ -46,7 +46,7 @@
         self._wake.set()
 
     async def run(self) -> None:
-        """Saves what comes, for ever."""
+        """Saves queued changes forever."""
         while True:
             await self._wake.wait()
             self._wake.clear()
@@ -55,7 +55,7 @@
                     await self._clock.sleep(RETRY_SECONDS)
 
     async def _save_some(self) -> bool:
-        """Saves the oldest changes, and returns whether that is done."""
+        """Saves the oldest changes, and returns whether it succeeded."""
         taken = dict(list(self._unsaved.items())[:MAX_ROWS])
         removed = [Crash(*key, 0.0) for key, crash in taken.items() if crash is None]
         added = [crash for crash in taken.values() if crash is not None]
--- a/src/larkpost/gateway/quarantine/isolation_rule.py
+++ b/src/larkpost/gateway/quarantine/isolation_rule.py
@@ -1,10 +1,10 @@
-"""The rule that requests under which servers crashed repeatedly are isolated from each other.
+"""Placement rule that keeps requests suspected of crashing servers apart from each other.
 
-All that runs at a server ends with its crash. Two crashes can be one request's fault and leave a
-dozen others as suspect as that one; if they went on side by side, each further crash would count
-for all of them, and harmless items would be quarantined with the one that crashes engines. Isolated
-from each other, the next crash counts for one, and those that are served are cleared. A daemon
-knows only its own sends: another daemon's suspect may run at the same server.
+All requests on a server fail when it crashes. After two crashes, the request at fault and the
+harmless ones that ran beside it are equally suspect. If they kept running side by side, every
+further crash would count against all of them, and harmless requests would be quarantined too. Run
+apart, a crash counts against one request, and a request that completes is cleared. A daemon knows
+only its own sends, so a suspect of another daemon may run on the same server.
 """
 
 from collections import Counter
@@ -19,20 +19,20 @@
 
 
 class IsolationRule(StatelessRule):
-    """A suspect request goes to no server at which this daemon has another one."""
+    """Rejects a suspect request at a server that already runs another suspect of this daemon."""
 
     def __init__(self) -> None:
         self._running: Counter[InstanceId] = Counter()
 
     def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
-        """Returns whether the work is no suspect, or none runs at the instance."""
+        """Returns whether the work is not suspect, or no suspect runs at the instance."""
         if work.is_suspect and self._running[instance.id]:
             return PlacementDecision.ISOLATED
         return PlacementDecision.ALLOWED
 
     @contextmanager
     def track_suspect(self, instance: InstanceId) -> Iterator[None]:
-        """Counts a suspect at an instance until the context is left."""
+        """Counts a suspect at an instance until the context exits."""
         self._running[instance] += 1
         try:
             yield
--- a/src/larkpost/gateway/quarantine/repository.py
+++ b/src/larkpost/gateway/quarantine/repository.py
@@ -1,8 +1,8 @@
-"""Crashes in the store: a row for each content and server, so that no two daemons' writes conflict.
+"""Crashes in the store: one row per content and server, so that writes of daemons never conflict.
 
-The rows lie in a part of the table of batches. Every daemon follows that table, so news of a crash
-reach all within some 60 ms, and cost no call while there are none; a table of their own would cost
-each daemon a call a second.
+The rows are a part of the batch table. Every daemon already follows that table, so crashes reach
+all daemons within about 60 ms and cost no calls while there are none; a separate table would cost
+each daemon one call per second.
 """
 
 import orjson
@@ -15,22 +15,22 @@
 
 CRASH_TABLE = HEAD_TABLE
 MAX_ROWS = 90
-"""Rows written at once; a transaction takes a hundred entries."""
+"""Most rows written at once; a transaction takes up to 100 entries."""
 WRITE_TIMEOUT_SECONDS = 1.0
-"""Longest wait for the store. Nobody waits for it."""
+"""Timeout of a write; no request waits for it."""
 CLAIM_TIMEOUT_SECONDS = 0.3
-"""Longest wait for the claim of a trial. Short, as a client waits for it."""
+"""Timeout of a trial claim; short, because a client waits for it."""
 
 
 def crash_of_row(row: Row) -> Crash:
-    """Reads a row.
+    """Parses a row.
 
     Raises:
-        ValueError: it is no crash.
+        ValueError: the row is not a crash.
     """
     content, slash, instance = row.key.key.partition("/")
     if not slash:
-        raise ValueError("the key names no instance")
+        raise ValueError("crash row key has no instance; expected '<content>/<instance>'")
     at = 0.0 if row.removed else float(orjson.loads(row.value)["at"])
     return Crash(ContentDigest(content), InstanceId(instance), at)
 
@@ -42,13 +42,13 @@
         self._store = store
 
     def time(self) -> float | None:
-        """Returns the store's time in seconds; None if it is not known."""
+        """Returns the store's time in seconds; None if it is unknown."""
         return self._store.time()
 
     async def save(self, added: list[Crash], removed: list[Crash]) -> bool:
-        """Writes some crashes, removes others, `MAX_ROWS` in all; returns whether it is done.
+        """Writes and removes crashes, `MAX_ROWS` in total; returns whether it succeeded.
 
-        What is not certainly done is to be saved again; a second time changes nothing.
+        The caller retries a write that is not known to have succeeded; writes are idempotent.
         """
         change = Transaction(
             puts=tuple((_key(crash), orjson.dumps({"at": crash.at})) for crash in added),
@@ -58,7 +58,7 @@
         return result.outcome is WriteOutcome.DONE
 
     async def claim(self, trial: Crash) -> bool:
-        """Writes a trial that no daemon has claimed yet, and returns whether that is done."""
+        """Writes a trial that no daemon has claimed yet, and returns whether it succeeded."""
         key = _key(trial)
         change = Transaction(
             conditions=((key, ABSENT),), puts=((key, orjson.dumps({"at": trial.at})),)
--- a/src/larkpost/gateway/quarantine/server_port.py
+++ b/src/larkpost/gateway/quarantine/server_port.py
@@ -1,8 +1,8 @@
-"""The port to servers for all requests: what crashes them is recognised here, and sent on no more.
+"""Server port that refuses quarantined requests and detects new crashes.
 
-Relies on the known crashes for what is quarantined, and has the watch and the recorder learn more.
-Client requests, items of batches and reward calls are all sent through this port, so none of them
-can be sent on, or be left out of the count, by a path of its own.
+Relies on the known crashes for what is quarantined, and reports to the crash detector and the
+recorder. Client requests, batch items and reward calls all go through this port, so none of them
+can bypass the quarantine or the crash count.
 """
 
 from collections.abc import AsyncIterator
@@ -28,11 +28,11 @@
 )
 
 MIN_FAILURE_STATUS = 400
-"""Below this status a signed response shows that the server ran the request whole."""
+"""A signed response with a lower status shows that the server completed the request."""
 
 
 class QuarantineServerPort:
-    """Servers that are sent no quarantined request; implements `ServerPort`."""
+    """Sends requests to servers unless they are quarantined; implements `ServerPort`."""
 
     def __init__(
         self,
@@ -72,15 +72,15 @@
         return self._servers.is_connected(instance)
 
     async def probe(self, instance: InstanceInfo, timeout: float) -> PortState:
-        """Asks whether a server listens; see the port."""
+        """Probes whether a server listens; see the port."""
         return await self._servers.probe(instance, timeout)
 
     async def report(self, instance: InstanceInfo, timeout: float) -> EngineReport | None:
-        """Asks an engine for its report; see the port."""
+        """Requests an engine's report; see the port."""
         return await self._servers.report(instance, timeout)
 
     async def order(
         self, instance: InstanceInfo, order: VersionOrder, timeout: float
     ) -> OrderOutcome:
-        """Gives an engine an order; see the port."""
+        """Sends an order to an engine; see the port."""
         return await self._servers.order(instance, order, timeout)
--- a/src/larkpost/gateway/quarantine/trial_claims.py
+++ b/src/larkpost/gateway/quarantine/trial_claims.py
@@ -1,10 +1,10 @@
-"""Lets a client's quarantined request run once more, to see whether that is a mistake.
+"""Permits a quarantined client request to run once more, in case it is harmless.
 
-A page that many ask for may be at three servers when each of them crashes under another request.
-It would be quarantined until its crashes are forgotten, and nothing could clear it, as it runs
-nowhere. So one daemon of all may send it to one server, a while after the last crash, and once more
-later; it claims that in the store. A whole response clears the request; one that does crash servers
-has crashed two more by then.
+A frequent request may be running on three servers when each of them crashes because of another
+request. It would then stay quarantined until its crashes expire, as nothing that does not run can
+be cleared. Therefore one daemon may send it to one server some time after the last crash, and once
+more later; the daemon claims each trial in the store. A complete response clears the request. A
+request that does crash servers crashes two more this way.
 """
 
 from larkpost.common.clock import Clock
@@ -15,16 +15,18 @@
 from larkpost.gateway.quarantine.repository import CrashRepository
 
 TRIAL_DELAYS_SECONDS = (5.0, 60.0)
-"""From the last crash to the first trial, and from then to the second: crashed servers are back
-after some seconds. Two trials are one less than users bear retries after the third crash."""
+"""Delay from the last crash to the first trial, and from there to the second; a crashed server
+restarts within seconds. Two trials stay within the retries that clients accept after the third
+crash."""
 CLAIM_INTERVAL_SECONDS = 1.0
-"""Between two claims of this daemon for one content, if the store did not grant the first."""
+"""Minimum time between two claims of this daemon for the same content, if the store rejected the
+first."""
 TRIAL_PREFIX = "trial-"
-"""Begins the name that stands for the instance in the row of a trial."""
+"""Prefix of the name that replaces the instance in the row of a trial."""
 
 
 class TrialClaims:
-    """Claims trials; a claim stands among a content's crashes, as one that is taken in advance."""
+    """Claims trials; a claim is stored among the content's crashes, counted in advance."""
 
     def __init__(
         self, crashes: KnownCrashes, repository: CrashRepository, clock: Clock, log: EventLog
@@ -58,7 +60,7 @@
         return True
 
     def _may_claim(self, content: ContentDigest) -> bool:
-        """Returns whether this daemon has claimed none a moment ago, and remembers that it does."""
+        """Records a claim unless this daemon made one recently; returns whether it did."""
         now = self._clock.now()
         self._claimed_at = {
             name: at for name, at in self._claimed_at.items() if now - at < CLAIM_INTERVAL_SECONDS
