--- a/src/larkpost/gateway/controllers/batch_forecast.py
+++ b/src/larkpost/gateway/controllers/batch_forecast.py
@@ -1,7 +1,8 @@
-"""Whether a batch will be in time: the work left at the engines' paces, against its due time.
+"""Forecasts whether a batch will be on time, from its remaining work and the engines' service
+times.
 
-Owns no state and reads none. A forecast from the guesses of trainers is often off by a second, so
-it says no more than whether a batch has time to spare, is tight, or can't be in time at all.
+Pure functions. Trainers' estimates make a forecast off by a second or so, so the result is coarse:
+a batch has time to spare, is tight, or cannot be on time.
 """
 
 from collections.abc import Iterable
@@ -11,11 +12,11 @@
 from larkpost.gateway.blackboard.weight_targets import DeadlineForecast
 
 MIN_SPARE_SECONDS = 2.5
-"""A batch that is forecast to end so long before it is due has time to spare: its trainer needs a
-second to train within that time, and forecasts are off by as much."""
+"""A batch forecast to end at least this long before it is due has time to spare; covers a second of
+training and the forecast's error."""
 INFEASIBLE_DELAY_SECONDS = 1.0
-"""A batch that is later than this, or whose work takes all engines so much longer, is hopeless,
-unless what is left takes no longer than this either: then its trainer soon goes on."""
+"""A batch cannot be on time if even all engines could not finish it within this time after it is
+due, unless its remaining work takes no longer than this."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,10 +24,10 @@
     """What engines can do for a batch.
 
     Attributes:
-        share: items at once at the engines that it can count on.
-        whole: items at once at all engines.
-        token_time: seconds that a token takes at an engine of middling pace.
-        best_token_time: the same at the fastest one.
+        available_slots: concurrent items at the engines that the batch can rely on.
+        total_slots: concurrent items at all engines.
+        token_time: seconds per token at an engine of median service time.
+        fastest_token_time: seconds per token at the fastest engine.
     """
 
     available_slots: int
@@ -38,7 +39,7 @@
 def forecast_deadline(
     progress: BatchProgress, due_in: float, capacity: BatchCapacity
 ) -> DeadlineForecast:
-    """Returns the outlook of a batch.
+    """Forecasts whether a batch will be on time.
 
     Args:
         due_in: seconds until it is due; negative once it is late.
@@ -57,18 +58,18 @@
 
 
 def remaining_seconds(progress: BatchProgress, places: int, token_time: float) -> float:
-    """Returns the seconds that a batch needs yet, with so many places.
+    """Returns the seconds that a batch still needs with a number of slots.
 
-    No item is made by two engines, and a long one may be the last to find a place.
+    An item runs on one engine, and a long one may be the last to get a slot.
     """
     return (progress.work / places + progress.p90_item_work) * token_time
 
 
 def most_urgent_forecast(outlooks: Iterable[DeadlineForecast]) -> DeadlineForecast:
-    """Returns the outlook that counts for a model of whose batches these are the outlooks.
+    """Returns the forecast that counts for a model, given those of its batches.
 
-    One that can be saved counts before all others, and one that is not known before one that can't
-    be saved: it may be the next step's, which has all its time.
+    A batch that can still be saved ranks first. An unknown forecast ranks before an infeasible one,
+    because it may belong to the next step, which has all its time left.
     """
     known = set(outlooks)
     for deadline_forecast in (
--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -1,9 +1,9 @@
-"""Which engines should load which weight version now.
+"""Decides which engines should load which weight version now.
 
-Owns the rule by which the engines of one model load in groups, one after the other, so that some
-always serve. Engines of evacuated zones load last: nobody waits for them, but they may be back at
-any moment. It is a function of the blackboard's state and the time: all daemons that have read the
-same rows work out the same.
+The engines of one model load in groups, one after the other, so that some engines always serve.
+Engines in evacuated zones load last: no request waits for them, but they may return to service at
+any moment. The result depends only on the blackboard's state and the time, so daemons that have
+read the same rows agree on it.
 """
 
 import math
@@ -29,26 +29,26 @@
 )
 
 LOAD_GROUP_COUNT = 3
-"""Groups of a model's engines that load a version one after the other; two thirds serve on."""
+"""Groups of a model's engines that load a version one after the other; two thirds of them keep
+serving."""
 GROUP_TURN_SECONDS = 1.0
-"""Seconds for one group, after which it is the next one's turn. Above the time that one load
-takes."""
+"""Turn of one group; longer than one load takes."""
 IDLE_LOAD_DELAY_SECONDS = 0.3
-"""Seconds before the first group loads while no batch of the model runs: one may come at once."""
+"""Delay before the first group loads while no batch of the model runs, in case a batch arrives."""
 BUSY_LOAD_DELAY_SECONDS = 0.9
-"""The same while one runs, so that its items have found their places before."""
+"""Delay before the first group loads while a batch runs, so that its items get slots first."""
 URGENT_LOAD_DELAY_SECONDS = 0.3
-"""Seconds from a batch to the loads while the next one is near: most items have found places."""
+"""Delay from a batch to the loads when the next batch is near; most items have slots by then."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadInputs:
-    """What the due loads of a service follow from.
+    """Inputs from which the due loads of a service are computed.
 
     Attributes:
         demands: what the batches of each model ask for.
         evacuated: zones whose engines get no work; they load after the others.
-        pace: returns the lasting pace of an engine.
+        service_time: returns an engine's lasting service time.
     """
 
     directory: InstanceDirectory
@@ -60,12 +60,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineShares:
-    """How the engines of a service are divided.
+    """How the engines of a service are shared among its models.
 
     Attributes:
-        division: each model's share of the engines that get work.
+        assignment: each model's engines among those that get work.
         lending: which of them are lent.
-        resting: each model's share of the engines in evacuated zones.
+        evacuated_engines: each model's engines in evacuated zones.
     """
 
     assignment: Assignment
@@ -75,14 +75,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelLoadState:
-    """How far the engines of one model are; engines are in the order in which they load.
+    """Load progress of one model's engines, in the order in which they load.
 
     Attributes:
         target: the version that they should have.
         elapsed: seconds since the first group's turn began; negative before it.
-        is_urgent: whether the next batch, which wants the version, is near; see `is_urgent`.
-        serving: the version at each engine that gets work.
-        resting: the version at each engine of an evacuated zone.
+        is_urgent: whether the next batch, which needs the version, is near; see `is_urgent`.
+        serving: the version of each engine that gets work.
+        evacuated_engines: the version of each engine in an evacuated zone.
     """
 
     target: int
@@ -93,18 +93,18 @@
 
 
 def is_urgent(demand: ModelDemand, version: int) -> bool:
-    """Returns whether a model's next batch is near, so that a version must soon be loaded.
+    """Returns whether a model's next batch is near, so that a version must be loaded soon.
 
-    Its trainer waits for each version and asks for the next step at once. The step that it has
-    asked with this version is here, and no batch before it is open whose end the next version
-    waits for.
+    This holds if the trainer waits for each version and requests the next step at once, its batch
+    for this version has arrived, and no earlier batch is open, on whose end the next version
+    depends.
     """
     waits = demand.submit_delay is not None and demand.submit_delay < TRAINER_BLOCKED_SECONDS
     return waits and demand.submit_version == version and not demand.has_earlier_open
 
 
 def allocate_engines(service: Service, inputs: LoadInputs) -> EngineShares:
-    """Divides the engines of a service among its models."""
+    """Assigns the engines of a service to its models."""
     engines = inputs.directory.ready_of(service.name)
     serving, evacuated_engines = split_evacuated(engines, inputs.evacuated)
     assignment = assign_models(
@@ -120,11 +120,11 @@
 def due_loads(
     service: Service, inputs: LoadInputs, now: float, shares: EngineShares | None = None
 ) -> list[tuple[InstanceId, WeightTarget]]:
-    """Returns the loads that should be under way now.
+    """Returns the loads that should be in progress now.
 
     Args:
         now: steady time in seconds.
-        shares: the engines as they were divided a moment ago; None to divide them now.
+        shares: a recent allocation of the engines; None to compute it now.
     """
     if not _is_any_engine_behind(service, inputs):
         return []
@@ -132,7 +132,7 @@
     assigned = shares.lending.loading_engines(shares.assignment)
     due: list[tuple[InstanceId, WeightTarget]] = []
     for model in sorted(assigned, key=lambda model: model not in shares.lending.lent):
-        engine_ids = assigned[model]  # a borrower's first: an engine takes one order at a time
+        engine_ids = assigned[model]  # borrowers first: an engine takes one order at a time
         target = WeightTarget(model, inputs.targets.version(model))
         state = ModelLoadState(
             target.version,
@@ -148,7 +148,7 @@
 def engines_to_load(state: ModelLoadState) -> list[InstanceId]:
     """Returns the engines of one model that should be loading its version now.
 
-    Those of evacuated zones are added once the others are done or have all had their turn.
+    Engines in evacuated zones are added once the others are done or have all had their turn.
     """
     names = _serving_engines_to_load(state)
     if not names or state.elapsed >= LOAD_GROUP_COUNT * GROUP_TURN_SECONDS:
@@ -157,12 +157,12 @@
 
 
 def _serving_engines_to_load(state: ModelLoadState) -> list[InstanceId]:
-    """Returns the engines that get work and load now.
+    """Returns the engines that get work and should be loading now.
 
-    One that is two versions behind loads at once: it is of no use to the next step. The others load
-    in groups, once the items of a running batch have found their places. If the next step is near,
-    two groups load together; the last one serves what comes until the others are done, or have had
-    their time: one engine that cannot load must not hold the last group up.
+    An engine two or more versions behind loads at once, because the next step cannot use it. The
+    others load in groups, after the items of a running batch have got slots. If the next step is
+    near, all groups but the last load together; the last one serves until the others are done or
+    their turn is over, so that an engine that cannot load does not block it.
     """
     late = [name for name, version in state.serving.items() if version < state.target - 1]
     if state.elapsed < 0:
@@ -176,15 +176,16 @@
 
 
 def _all_but_last_group(engine_ids: list[InstanceId], behind: set[InstanceId]) -> list[InstanceId]:
-    """Returns the engines that lack the version, but for those of the last group."""
+    """Returns the engines that lack the version, except those of the last group."""
     groups = _split(engine_ids, LOAD_GROUP_COUNT)
     return [name for group in groups[:-1] for name in group if name in behind]
 
 
 def _evacuated_engines_to_load(state: ModelLoadState) -> list[InstanceId]:
-    """Returns the engines of evacuated zones that load now, in groups all the same.
+    """Returns the engines in evacuated zones that should be loading now.
 
-    Many loads at once slow each other down, also those of engines that serve.
+    They load in groups too, because many simultaneous loads slow each other and the serving engines
+    down.
     """
     if state.elapsed < 0:
         return []
@@ -197,8 +198,8 @@
 ) -> list[InstanceId]:
     """Returns the engines of the group that loads now.
 
-    The groups take turns by time, so that one which can't load holds the others up for its turn
-    only; a group whose engines are all done gives its turn to the next.
+    Turns are by time, so a group that cannot load delays the others by one turn only; a group whose
+    engines are all done gives its turn to the next.
 
     Args:
         behind: the engines that lack the version.
@@ -214,7 +215,7 @@
 
 
 def _split(engine_ids: list[InstanceId], count: int) -> list[list[InstanceId]]:
-    """Cuts engines into at most ``count`` groups of about the same size."""
+    """Splits engines into at most `count` groups of about the same size."""
     size = math.ceil(len(engine_ids) / count) or 1
     return [engine_ids[start : start + size] for start in range(0, len(engine_ids), size)]
 
@@ -236,7 +237,7 @@
 
 
 def _is_any_engine_behind(service: Service, inputs: LoadInputs) -> bool:
-    """Returns whether any engine lacks any named version: a check that costs little."""
+    """Returns whether any engine lacks a named version; a cheap check before the allocation."""
     engines = inputs.directory.ready_of(service.name)
     return any(
         inputs.directory.version_of(engine.id, model) < inputs.targets.version(model)
--- a/src/larkpost/gateway/controllers/engine_allocator.py
+++ b/src/larkpost/gateway/controllers/engine_allocator.py
@@ -1,7 +1,7 @@
-"""The division of each service's engines among its models, and the loads that follow from it.
+"""Allocates each service's engines to its models, and derives the loads that follow.
 
-`controllers.loader` asks for the due loads, of which it gives the orders; `rollouts` asks for a
-model's own engines and for those that load, which it avoids. All daemons work out the same.
+`controllers.weight_loader` asks for the due loads and orders them; `rollouts` asks for a model's
+preferred engines and for the loading ones, which it avoids. All daemons compute the same result.
 """
 
 from collections import defaultdict
@@ -28,25 +28,26 @@
 )
 
 ALLOCATION_LIFETIME_SECONDS = 0.1
-"""Seconds for which a division serves: items ask for it again and again. As long as the loader's
+"""How long an allocation is reused, because items ask for it often; equal to the loader's
 interval."""
 ALLOCATION_LIFETIME_SECONDS_PER_ENGINE = 0.0003
-"""The same by the number of engines, where it is more, so that dividing takes no whole core."""
+"""Lifetime per engine, used where it exceeds the fixed one; bounds the CPU time spent on
+allocations."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineAllocation:
-    """The engines of one service.
+    """The allocation of one service's engines.
 
     Attributes:
-        made_at: steady time at which it was worked out.
-        lifetime: seconds for which it serves.
-        own: the engines whose first places are each model's.
-        loading: for each model, the engines that load a version of it now, or will be ordered to
-            in a moment; they refuse its items only.
-        yielding: the models whose batches leave free places to others; see `models_that_yield`.
-        demands: what it followed from.
-        shares: the division itself; None for a service without models.
+        made_at: steady time at which it was computed.
+        lifetime: seconds for which it is reused.
+        preferred: for each model, the engines at which it has the first claim on slots.
+        loading: for each model, the engines that load a version of it now or are about to; they
+            refuse only this model's items.
+        yielding: models whose batches leave free slots to others; see `yielding_models`.
+        demands: the demands from which it was computed.
+        shares: how the engines are shared; None for a service without models.
     """
 
     made_at: float
@@ -59,13 +60,13 @@
 
 
 class EngineAllocator:
-    """The division of each service's engines among its models, and the loads that are due.
+    """Allocates each service's engines to its models, and determines the due loads.
 
     Args:
         demands: returns what the batches of each model ask for.
-        record: logs which engines are lent; None if nobody is to know.
-        pace: returns the lasting pace of an engine: one that changes by the moment would divide the
-            engines anew again and again.
+        record: logs which engines are lent; None to log nothing.
+        service_time: returns an engine's lasting service time; one that varies from moment to
+            moment would change the allocation again and again.
     """
 
     def __init__(
@@ -84,30 +85,31 @@
         self._cache: dict[ServiceName, EngineAllocation] = {}
 
     def due(self, service: Service, now: float) -> list[tuple[InstanceId, WeightTarget]]:
-        """Returns the engines of a service that should be loading now, and what."""
+        """Returns the engines of a service that should be loading now, with their versions."""
         allocation = self._allocation(service.name)
         return due_loads(service, self._inputs(allocation.demands), now, allocation.shares)
 
     def engines_of(self, service: ServiceName, model: ModelName) -> frozenset[InstanceId]:
-        """Returns a model's own engines; none if the service does not hold the model.
+        """Returns a model's preferred engines; empty if the service does not serve the model.
 
-        None of them is in an evacuated zone: a batch would wait for engines that get nothing.
+        None of them is in an evacuated zone, because a batch would wait for engines that get no
+        work.
         """
         return self._allocation(service).preferred.get(model, frozenset())
 
     def loading(self, service: ServiceName, model: ModelName) -> frozenset[InstanceId]:
-        """Returns the engines that refuse a model's items now, or will in a moment.
+        """Returns the engines that refuse a model's items now or are about to.
 
-        They load a version of it; items of other models run there as before.
+        They load a version of the model; items of other models continue to run on them.
         """
         return self._allocation(service).loading.get(model, frozenset())
 
     def should_yield(self, service: ServiceName, model: ModelName) -> bool:
-        """Returns whether a model's batches use their own engines only, for the sake of others."""
+        """Returns whether a model's batches should use its preferred engines only."""
         return model in self._allocation(service).yielding
 
     def last_announcement(self, model: ModelName) -> VersionAnnouncement | None:
-        """Returns when a model's newest version was named; None if that was not seen here."""
+        """Returns when a model's newest version was named; None if this daemon did not see it."""
         return self._blackboard.targets.last_announcement(model, self._clock.now())
 
     def _allocation(self, service: ServiceName) -> EngineAllocation:
@@ -150,7 +152,7 @@
 
 
 def allocation_lifetime(assignment: Assignment) -> float:
-    """Returns the seconds for which a division serves: one of many engines takes long to make."""
+    """Returns the seconds for which an allocation is reused, which grow with its engines."""
     count = sum(len(engines) for engines in assignment.values())
     return max(ALLOCATION_LIFETIME_SECONDS, count * ALLOCATION_LIFETIME_SECONDS_PER_ENGINE)
 
--- a/src/larkpost/gateway/controllers/engine_speeds.py
+++ b/src/larkpost/gateway/controllers/engine_speeds.py
@@ -1,7 +1,7 @@
-"""How fast engines are beside each other, in a few coarse steps.
+"""Relative speeds of engines, in a few coarse steps.
 
-Owns no state. Steps are coarse, as each daemon knows lasting paces a little differently, and all
-are to divide the engines alike.
+Steps are coarse because daemons know lasting service times slightly differently, and all daemons
+must assign engines alike.
 """
 
 import math
@@ -11,15 +11,15 @@
 from larkpost.common.ids import InstanceId
 
 STEP_RATIO = 2.0
-"""Ratio of paces that makes one step; half a step, the square root of it, is rounded up."""
+"""Ratio of service times per step; steps are rounded to the nearest whole one."""
 
 
 def slowdown_steps(service_times: Mapping[InstanceId, float]) -> dict[InstanceId, int]:
-    """Returns by how many steps each engine is slower than the middling one; negative if faster.
+    """Returns by how many steps each engine is slower than the median one; negative if faster.
 
     Args:
-        paces: seconds that an event lastingly takes at each engine; 0 if not known, which counts
-            as middling.
+        service_times: lasting seconds per event at each engine; 0 if unknown, which counts as the
+            median.
     """
     known = [service_time for service_time in service_times.values() if service_time > 0]
     if not known:
@@ -32,5 +32,5 @@
 
 
 def relative_speed(steps: int) -> float:
-    """Returns what an engine makes beside a middling one, by its steps slower than that."""
+    """Returns the speed relative to the median engine, for a number of steps slower."""
     return STEP_RATIO**-steps
--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -1,8 +1,8 @@
-"""Which models lend engines to which others, by who has time to spare and who is short of it.
+"""Decides which models lend engines to which others, by how much time their trainers have.
 
-Owns the rule, a function of what it is given. A model that lends goes on loading its versions at
-what it has lent, so that it has the engines back at once; a model that borrows loads its versions
-there too. All that changes hands is which batch the first places there are for.
+A pure function of its inputs. A model that lends engines keeps loading its versions on them, so
+that it can take them back at once; the borrower loads its versions there too. Lending changes only
+which model's batches have the first claim on the engines' slots.
 """
 
 from collections import Counter
@@ -17,15 +17,15 @@
 from larkpost.gateway.controllers.model_assignment import MIN_ENGINES_PER_MODEL, Assignment
 
 TRAINER_BLOCKED_SECONDS = 0.5
-"""A batch that comes within so many seconds of its model's version had to wait for it."""
+"""A batch that arrives within this time after its model's version was waiting for the version."""
 TRAINER_SLACK_SECONDS = 1.5
-"""A trainer whose batches come so long after their versions has time to spare."""
+"""A trainer whose batches arrive at least this long after their versions has time to spare."""
 MAX_LENT_FRACTION = 0.4
-"""Share of its engines that a model lends at most: its own batches must stay in time."""
+"""Largest fraction of its engines that a model lends, so that its own batches stay on time."""
 
 
 class LendingRole(StrEnum):
-    """What a model does when engines are lent."""
+    """A model's role in lending."""
 
     LENDER = "lends"
     BORROWER = "borrows"
@@ -34,12 +34,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Lending:
-    """Engines lent: for each model that borrows, from which engines it gets the first places."""
+    """The lent engines.
+
+    Attributes:
+        lent: for each borrowing model, the engines at which it gets the first claim on slots.
+    """
 
     lent: dict[ModelName, list[InstanceId]] = field(default_factory=dict)
 
     def preferred_engines(self, assignment: Assignment) -> Assignment:
-        """Returns the engines whose first places are each model's: no engine is two models'."""
+        """Returns the engines at which each model has the first claim; none has two models."""
         lent_away = {engine for engines in self.lent.values() for engine in engines}
         return {
             model: [engine for engine in engines if engine not in lent_away] + self._borrowed(model)
@@ -47,7 +51,7 @@
         }
 
     def loading_engines(self, assignment: Assignment) -> Assignment:
-        """Returns the engines that load each model's versions, in the order of loading."""
+        """Returns the engines that load each model's versions, in loading order."""
         return {
             model: sorted(engines + self._borrowed(model), key=hash64)
             if model in self.lent
@@ -60,12 +64,13 @@
 
 
 def lending_role(demand: ModelDemand) -> LendingRole:
-    """Returns what a model does, by how its trainer asks, and by whether its batches are hopeless.
+    """Returns a model's role, by how soon its trainer asks and whether its batches can be on time.
 
-    Both hold for whole steps. Whether a batch is tight does not: it gets places, and is so no more.
+    Both hold for whole steps. Whether a batch is tight is not considered, because that changes as
+    soon as the batch gets slots.
     """
     if demand.deadline_forecast is DeadlineForecast.HOPELESS:
-        return LendingRole.LENDER  # what can't be in time comes after what can
+        return LendingRole.LENDER  # batches that can be on time come first
     if demand.submit_delay is not None and demand.submit_delay < TRAINER_BLOCKED_SECONDS:
         return LendingRole.BORROWER
     has_slack = (
@@ -79,13 +84,13 @@
     demands: Demands,
     version_of: Callable[[InstanceId, ModelName], int],
 ) -> Lending:
-    """Returns which engines are lent to whom; none if nobody is short or nobody can lend.
+    """Returns which engines are lent to which models; empty if there is no borrower or no lender.
 
-    The borrower with the most work for each of its engines chooses next, as in the division, and
-    takes the engine with its newest version: so engines lent once are lent again.
+    The borrower with the most work per engine chooses next, as in the assignment, and takes the
+    engine with its newest version, so that the same engines are lent again.
 
     Args:
-        division: the engines of each model, each of one model only.
+        assignment: the engines of each model; only engines with one model are lent.
         version_of: returns the version of a model that an engine holds.
     """
     known = {model: demands.get(model, ModelDemand()) for model in assignment}
@@ -111,11 +116,10 @@
 
 
 def yielding_models(models: Iterable[ModelName], demands: Demands) -> frozenset[ModelName]:
-    """Returns the models whose batches leave places that fall free to those of others.
+    """Returns the models whose batches leave free slots to those of other models.
 
-    They do while they have time to spare, or can't be in time, and items of a batch of another
-    model wait that is short of time, or tight, and of no lower priority. Their own engines are
-    theirs still.
+    A model yields while it has time to spare or cannot be on time, and items are waiting for
+    another model's batch that is short of time and of no lower priority. It keeps its own engines.
     """
     known = {model: demands.get(model, ModelDemand()) for model in models}
     waiting_priorities = [
@@ -143,7 +147,7 @@
 ) -> dict[InstanceId, int]:
     """Returns the engines that may be lent, with the priorities of the models that lend them.
 
-    An engine of two models is nobody's to lend.
+    Engines with several models are not lent.
     """
     holdings = Counter(engine for engines in assignment.values() for engine in engines)
     offers: dict[InstanceId, int] = {}
@@ -161,7 +165,7 @@
     demand: ModelDemand,
     version_of: Callable[[InstanceId, ModelName], int],
 ) -> list[InstanceId]:
-    """Returns the engines that a borrower may take; nobody lends to a lower priority."""
+    """Returns the engines that a borrower may take; models never lend to a lower priority."""
     allowed = [engine for engine, priority in offers.items() if demand.priority <= priority]
     return sorted(allowed, key=lambda engine: (-version_of(engine, model), hash64(engine)))
 
@@ -172,6 +176,6 @@
     demands: Demands,
     lent: Mapping[ModelName, list[InstanceId]],
 ) -> tuple[float, ModelName]:
-    """Returns by what a borrower comes before others; the least of these chooses next."""
+    """Returns the sort key of borrowers; the smallest one chooses next."""
     work = demands.get(model, ModelDemand()).work
     return -work / (len(assignment[model]) + len(lent[model]) + 1), model
--- a/src/larkpost/gateway/controllers/lending_log.py
+++ b/src/larkpost/gateway/controllers/lending_log.py
@@ -1,4 +1,4 @@
-"""Logs which engines are lent to which models, once that has changed."""
+"""Logs which engines are lent to which models, when that changes."""
 
 from larkpost.common.clock import Clock
 from larkpost.gateway.blackboard.configuration import Service, ServiceName
@@ -7,23 +7,23 @@
 from larkpost.gateway.observability.eventlog import Event, EventLog
 
 LOG_INTERVAL_SECONDS = 1.0
-"""Least time between two lines on one service."""
+"""Minimum time between two log lines for one service."""
 
 MAX_NAMED = 8
-"""Most engines that a line names for each model."""
+"""Most engines that a log line names for each model."""
 
 
 class LendingLog:
-    """What was logged last of the lending of each service."""
+    """Remembers what was last logged about the lending of each service."""
 
     def __init__(self, log: EventLog, clock: Clock) -> None:
         self._log = log
         self._clock = clock
         self._logged: dict[ServiceName, tuple[float, Lending]] = {}
-        """For each service when its last line was written, and of what."""
+        """For each service, the time and content of its last log line."""
 
     def record(self, service: Service, lending: Lending, demands: Demands) -> None:
-        """Logs the lending of a service with its reasons, if it is another than logged last."""
+        """Logs a service's lending and the reasons for it, if it differs from the last log line."""
         now = self._clock.now()
         logged_at, logged = self._logged.get(service.name, (float("-inf"), Lending()))
         if lending == logged or now - logged_at < LOG_INTERVAL_SECONDS:
--- a/src/larkpost/gateway/controllers/model_assignment.py
+++ b/src/larkpost/gateway/controllers/model_assignment.py
@@ -1,8 +1,7 @@
-"""Which engines are to hold the newest version of which model.
+"""Assigns the engines of a service to its models.
 
-Owns the rule that divides the engines of a service among its models, so that a new version is
-loaded only where its model runs. It is a function of the blackboard's state alone: all daemons that
-have read the same rows divide alike.
+A new weight version is loaded only on the engines assigned to its model. The result depends only on
+the blackboard's state, so daemons that have read the same rows agree on it.
 """
 
 from collections.abc import Callable, Mapping
@@ -16,36 +15,36 @@
 from larkpost.gateway.controllers.engine_speeds import relative_speed, slowdown_steps
 
 MAX_VERSIONS_BEHIND = 1
-"""Versions by which an engine that a model keeps may be behind the model's newest engine."""
+"""Versions by which an engine may be behind a model's newest one and still count as holding the
+model."""
 MIN_ENGINES_PER_MODEL = 2
-"""Engines that each model gets at least, so that it is served while one of them is lost or loads.
-The least number for which that holds."""
+"""Minimum number of engines per model, so that it is served while one of them is lost or loads."""
 
 ServiceTimeLookup = Callable[[InstanceId], float]
-"""Returns the seconds that an event lastingly takes at an engine; 0 if that is not known."""
+"""Returns the lasting time per event of an engine in seconds; 0 if it is unknown."""
 Assignment = dict[ModelName, list[InstanceId]]
 """For each model its engines, in the order in which they load new versions."""
 
 
 def unknown_service_time(_engine: InstanceId) -> float:
-    """Returns that a pace is not known."""
+    """Returns 0 for an unknown service time."""
     return 0.0
 
 
 class _ModelOrder(NamedTuple):
-    """Which model chooses an engine next: the least of these."""
+    """Sort key of the model that chooses next; the smallest one does."""
 
     negative_work_per_engine: float
     name: ModelName
 
 
 class _EngineOrder(NamedTuple):
-    """Which of the engines with the fewest models a model chooses: the least of these."""
+    """Sort key of a model's preference among the engines with the fewest models; smallest first."""
 
-    negative_version: int  # the newest version first, so that a division once made stays
-    other_models: int  # of those the one that no other model keeps, as one lent to this model
-    slowdown_steps: int  # of those the fastest
-    rank: int  # the same for all daemons
+    negative_version: int  # newest version first, which keeps the assignment stable
+    other_models: int  # then engines that no other model holds
+    slowdown_steps: int  # then the fastest
+    rank: int  # tie-break that is the same on all daemons
 
 
 def assign_models(
@@ -55,14 +54,15 @@
     demands: Demands,
     service_time: ServiceTimeLookup = unknown_service_time,
 ) -> Assignment:
-    """Divides the engines of a service among its models by the work their batches bring.
+    """Assigns the engines of a service to its models in proportion to their work.
 
-    The model with the most work for what its engines can do chooses next. A choice falls on the
-    engine with the fewest models, then on the one with the newest version of the model, then on the
-    fastest. It ends when every engine has a model and every model has enough engines.
+    The model with the most work per unit of its engines' speed chooses next. It takes the engine
+    with the fewest models, then the one with the newest version of the model, then the fastest. The
+    assignment ends when every engine has a model and every model has enough engines.
 
     Args:
-        pace: returns the lasting pace of an engine; while paces are not known all count alike.
+        service_time: returns an engine's lasting service time; engines whose service time is
+            unknown count as average.
     """
     steps = slowdown_steps({engine.id: service_time(engine.id) for engine in engines})
     current_models = _current_models(service, engines, directory)
@@ -83,16 +83,16 @@
 def split_evacuated(
     engines: list[InstanceInfo], evacuated: frozenset[ZoneId]
 ) -> tuple[list[InstanceInfo], list[InstanceInfo]]:
-    """Returns the engines that get work, and those in evacuated zones, which get none."""
+    """Returns the engines that get work, and those in evacuated zones."""
     serving = [info for info in engines if info.zone not in evacuated]
     evacuated_engines = [info for info in engines if info.zone in evacuated]
     return serving, evacuated_engines
 
 
 def _work_of_models(service: Service, demands: Demands) -> dict[ModelName, int]:
-    """Returns the work of each model in tokens; one that is not known counts as much as the most.
+    """Returns the work of each model in tokens.
 
-    If none is known, all count alike.
+    An unknown work counts as the largest known one; if none is known, all models count equally.
     """
     known = {model: demands.get(model, ModelDemand()).work for model in service.models}
     most = max(known.values(), default=0) or 1
@@ -102,7 +102,7 @@
 def _current_models(
     service: Service, engines: list[InstanceInfo], directory: InstanceDirectory
 ) -> dict[InstanceId, frozenset[ModelName]]:
-    """Returns for each engine the models of which it holds the newest version, or nearly so."""
+    """Returns for each engine the models of which it holds a recent version."""
     newest = {
         model: max((directory.version_of(engine.id, model) for engine in engines), default=0)
         for model in service.models
@@ -123,11 +123,11 @@
     steps: Mapping[InstanceId, int],
     current_models: Mapping[InstanceId, frozenset[ModelName]],
 ) -> list[InstanceId]:
-    """Returns the engines as a model prefers them among those with equally many models.
+    """Returns the engines by a model's preference among those with equally many models.
 
     Args:
-        steps: by how many steps each engine is slower than the middling one.
-        kept_by: for each engine, the models whose versions it was kept up to.
+        steps: how many speed steps each engine is slower than the median one.
+        current_models: for each engine, the models of which it holds a recent version.
     """
 
     def order(engine: InstanceId) -> _EngineOrder:
@@ -144,11 +144,11 @@
 class _Preferences:
     """The engines in the order in which one model chooses them.
 
-    Engines with fewer models come first. As engines only gain models, one that was passed over for
-    having more of them need not be looked at again before all others have as many.
+    Engines with fewer models come first. As engines only gain models, an engine passed over because
+    it had more models is not examined again until all others have as many.
 
     Args:
-        engines: in the order in which the model prefers them among those with equally many models.
+        engines: in the model's order of preference among those with equally many models.
     """
 
     def __init__(self, engines: list[InstanceId]) -> None:
@@ -176,12 +176,12 @@
 
 
 class _AssignmentBuilder:
-    """A division under way.
+    """An assignment under construction.
 
     Args:
         work: tokens that each model's batches ask for.
         preferences: of each model.
-        capacities: what each engine can do, beside a middling one.
+        capacities: each engine's speed relative to the median one.
 
     Attributes:
         chosen: the engines of each model so far.
@@ -202,10 +202,10 @@
         self._unassigned_count = len(capacities)
 
     def choose_next(self, enough: int) -> bool:
-        """Gives one engine to one model; returns whether there was anything left to do.
+        """Assigns one engine to one model; returns whether there was anything left to assign.
 
         Args:
-            enough: engines that each model gets at least.
+            enough: minimum number of engines per model.
         """
         lacking = [model for model in self.chosen if len(self.chosen[model]) < enough]
         if not lacking and not self._unassigned_count:
--- a/src/larkpost/gateway/controllers/weight_loader.py
+++ b/src/larkpost/gateway/controllers/weight_loader.py
@@ -1,8 +1,8 @@
 """Orders engines to load weight versions.
 
-Every daemon computes the same loads that are due; the one that rendezvous hashing names for an
-engine takes the lease on it and gives the order. An order names the count of orders that the engine
-must have taken, so one that is carried out late does nothing.
+Every daemon computes the same due loads; the one that rendezvous hashing selects for an engine
+takes its lease and sends the order. An order states how many orders the engine must already have
+taken, so an order that arrives late has no effect.
 """
 
 from larkpost.common.ids import InstanceId
@@ -26,19 +26,20 @@
 )
 
 INTERVAL_SECONDS = 0.1
-"""Seconds between two checks of a coordinator."""
+"""Interval between checks of a coordinator."""
 IDLE_INTERVAL_SECONDS = 0.5
-"""The same for a daemon that is none: it checks only whether it has become one."""
+"""Interval between checks of other daemons, which only look whether they have become
+coordinators."""
 REPORT_TIMEOUT_SECONDS = 0.7
-"""Seconds for an engine's report."""
+"""Timeout of an engine's report."""
 ORDER_TIMEOUT_SECONDS = 0.4
-"""Seconds for an engine's response to an order; under `leases.USE_SECONDS`."""
+"""Timeout of an order; less than `leases.LEASE_USE_SECONDS`."""
 ACCEPTED_RECHECK_SECONDS = 2.5
-"""Seconds after an order was taken before the engine is checked again: it loads."""
+"""Delay until the next check after an accepted order, during which the engine loads."""
 UNANSWERED_RECHECK_SECONDS = 0.6
-"""The same after an order without a response: it may have been lost, or come late."""
+"""Delay after an order without a response, which may be lost or late."""
 RETRY_SECONDS = 0.4
-"""The same after an order that was refused or could not be given."""
+"""Delay after an order that was refused or could not be sent."""
 
 
 class WeightLoader:
@@ -71,14 +72,14 @@
         tasks.every(self._interval, self.update, "weights")
 
     def _forget(self, engine: InstanceId) -> None:
-        """Forgets an engine that has ended; its next incarnation is checked at once."""
+        """Forgets an ended engine, so that its next incarnation is checked at once."""
         self._next_attempt.pop(engine, None)
 
     def _interval(self) -> float:
         return INTERVAL_SECONDS if self._coordination.is_coordinator() else IDLE_INTERVAL_SECONDS
 
     async def update(self) -> None:
-        """Starts the orders that are due and are this daemon's to give."""
+        """Starts the due orders that this daemon is responsible for."""
         configuration = self._configuration.current
         if configuration is None or self._tasks is None:
             return
@@ -113,7 +114,7 @@
     async def _order_once(
         self, service: Service, engine: InstanceInfo, target: WeightTarget
     ) -> float:
-        """Gives one order if it is needed, and returns the seconds until the next check."""
+        """Sends one order if it is needed, and returns the seconds until the next check."""
         report = await self._servers.report(engine, REPORT_TIMEOUT_SECONDS)
         if report is None:
             self._record_no_order(engine, target, "no_report")
@@ -136,7 +137,7 @@
         return seconds_until_next_check(outcome)
 
     async def _take_lease(self, engine: InstanceInfo, target: WeightTarget) -> Lease | None:
-        """Takes the lease for one order; returns None, and records why, if none may be given."""
+        """Takes the lease for an order; returns None and records why if none may be sent."""
         lease = await self._coordination.take_lease(LeaseSubject(Duty.ENGINE_ORDERS, engine.name))
         if lease is None:
             self._record_no_order(engine, target, "no_lease")
@@ -181,7 +182,7 @@
         )
 
     def _record_no_order(self, engine: InstanceInfo, target: WeightTarget, reason: str) -> None:
-        """Records that an order which is due could not be given."""
+        """Records that a due order could not be sent."""
         self._metrics.count(Count.ORDERS, reason)
         self._log.record(
             Event.ORDER,
@@ -193,9 +194,9 @@
 
 
 def is_of_other_incarnation(report: EngineReport, engine: InstanceInfo) -> bool:
-    """Returns whether a report is not of the incarnation that is known.
+    """Returns whether a report comes from another incarnation than the known one.
 
-    Its count of orders is then not the one that an order must name.
+    Its order count then does not match the one that an order must state.
     """
     is_known = report.started_at_ms is not None and engine.started_at_ms is not None
     return is_known and report.started_at_ms != engine.started_at_ms
@@ -207,13 +208,13 @@
         return ACCEPTED_RECHECK_SECONDS
     if outcome is OrderOutcome.UNKNOWN:
         return UNANSWERED_RECHECK_SECONDS
-    return RETRY_SECONDS  # whatever it holds, its next report says it
+    return RETRY_SECONDS  # the next report shows the engine's actual version
 
 
 def running_work(service: Service, configuration: Configuration | None) -> RunningWork:
-    """Returns what an engine is to do with its runs when it loads.
+    """Returns what an engine does with its runs when it loads a version.
 
-    They go on under the new version unless a route wants one version in each result.
+    Runs continue under the new version unless a route requires a single version in each result.
     """
     routes = configuration.batch_routes_to(service.name) if configuration is not None else ()
     wants_one_version = any(route.single_version for route in routes)
