--- a/src/larkpost/gateway/controllers/__init__.py
+++ b/src/larkpost/gateway/controllers/__init__.py
@@ -1,5 +1,5 @@
-"""What keeps the blackboard current and acts on it, each at an interval of its own.
+"""Controllers that keep the blackboard current and act on it, each at its own interval.
 
-Owns the followed tables, the knowledge of other daemons (heartbeats, leases, true time) and the
-loads of weights that are due. Relies on the store's port, the servers' port and the blackboard.
+Owns the followed tables, the knowledge of other daemons (heartbeats, leases, fleet clock) and the
+weight loads that are due. Relies on the store's port, the servers' port and the blackboard.
 """
--- a/src/larkpost/gateway/controllers/coordination.py
+++ b/src/larkpost/gateway/controllers/coordination.py
@@ -1,8 +1,8 @@
-"""Which daemon acts on a subject, and its right to.
+"""Determines which daemon acts on a subject, and grants it the lease to do so.
 
-Several controllers act on the world outside on behalf of the whole fleet: orders to engines, usage
-reports, orders of servers. For each subject one daemon is chosen, without messages; because two
-daemons may choose differently for a moment, the chosen one also takes a lease for each act.
+Some controllers act outside the fleet on behalf of all daemons: engine orders, usage reports,
+server orders. One daemon is selected for each subject without communication. Two daemons may
+briefly disagree on it, so the selected one also takes a lease for each act.
 """
 
 from larkpost.common.ids import DaemonId
@@ -11,7 +11,7 @@
 
 
 class Coordination:
-    """What a controller that acts for the fleet asks before each act."""
+    """Selection and leases for controllers that act on behalf of the fleet."""
 
     def __init__(self, membership: Membership, leases: LeaseTable) -> None:
         self._membership = membership
@@ -19,11 +19,11 @@
 
     @property
     def own(self) -> DaemonId:
-        """This process's id: the holder that an act names."""
+        """This process's id, which acts name as the holder."""
         return self._membership.own
 
     def is_coordinator(self) -> bool:
-        """Returns whether this daemon is one of those that may be chosen."""
+        """Returns whether this daemon is a coordinator."""
         return self._membership.is_coordinator()
 
     def count_alive(self) -> int:
@@ -31,9 +31,9 @@
         return len(list(self._membership.alive()))
 
     def is_responsible_for(self, key: str) -> bool:
-        """Returns whether this daemon is the one to act on what a key names."""
+        """Returns whether this daemon is the one selected to act on a key."""
         return self._membership.choose_coordinator(key) == self._membership.own
 
     async def take_lease(self, subject: LeaseSubject) -> Lease | None:
-        """Takes the lease for one act, or returns None if another holds it or the store fails."""
+        """Takes the lease for one act; None if another daemon holds it or the store fails."""
         return await self._leases.take(subject)
--- a/src/larkpost/gateway/controllers/coordinators.py
+++ b/src/larkpost/gateway/controllers/coordinators.py
@@ -1,13 +1,14 @@
-"""Which daemons coordinate: they alone order engines, claim batches and report for the fleet.
+"""Decides which daemons are coordinators, which order engine loads, claim batches and act for the
+fleet.
 
-A fixed number of daemons are coordinators. Each region has its share of them, as a batch may be
-bound to one. Each daemon works out from the known heartbeats whether it is to be one, and says so
-in its awaited heartbeat; the others go by that.
+The number of coordinators is fixed, and each region has its share of them, because a batch may be
+restricted to a region. Each daemon determines from the slow heartbeats whether it should be a
+coordinator, and reports that in its fast heartbeat, which the others rely on.
 
-Machines differ, so duties go by capacity: weighted rendezvous hashing gives each daemon keys in
-proportion to it, and a change of one daemon's capacity moves keys to or from that one only. It
-counts only where all that could be chosen report theirs: a daemon of an earlier build goes by no
-capacities, and if the others did, it and they would name different daemons.
+Weighted rendezvous hashing gives each daemon keys in proportion to its capacity, and a change of
+one daemon's capacity moves only keys to or from that daemon. Weights are used only if all
+candidates report a capacity: earlier versions ignore capacities, and daemons of both versions must
+choose the same coordinator.
 """
 
 import math
@@ -20,16 +21,16 @@
 """Coordinators of the whole fleet: enough that not all of them fail at once, few enough that their
 heartbeats fit into one part of the store."""
 MIN_CAPACITY = 0.05
-"""A daemon that reports less counts as this: each can be chosen."""
+"""Lower bound on reported capacities, so that every daemon can be chosen."""
 HASH_SPACE_SIZE = 2**64
-"""How many values a hash may have."""
+"""Number of distinct hash values."""
 MIN_COORDINATOR_AGE_SECONDS = 0.5
-"""Seconds after its start from which a daemon may coordinate: when all start at once, the first
-listings show few."""
+"""Time after its start before a daemon may coordinate; when all daemons start at once, the first
+listings are incomplete."""
 
 
 Capacities = Mapping[DaemonId, float | None]
-"""What each daemon can bear beside clients, without unit; None if it does not say it."""
+"""Each daemon's spare capacity beside client requests, without unit; None if it reports none."""
 
 
 def should_coordinate(
@@ -38,10 +39,10 @@
     age: float,
     capacity_of: Capacities | None = None,
 ) -> bool:
-    """Returns whether a daemon is one of those of its region that are to coordinate.
+    """Returns whether a daemon is one of its region's coordinators.
 
     Args:
-        region_of: the region of each daemon considered alive, `own` among them.
+        region_of: the region of each daemon considered alive, `own` included.
         age: seconds since `own` started.
     """
     if age < MIN_COORDINATOR_AGE_SECONDS:
@@ -56,7 +57,7 @@
 def choose_coordinator(
     key: str, coordinators: Iterable[DaemonId], capacity_of: Capacities | None = None
 ) -> DaemonId | None:
-    """Returns the coordinator that rendezvous hashing names for a key; None if there is none."""
+    """Returns the coordinator that rendezvous hashing selects for a key; None if there is none."""
     names = list(coordinators)
     weight_of = _weights(names, capacity_of)
     return min(names, key=lambda name: _distance(name, key, weight_of), default=None)
@@ -65,7 +66,7 @@
 def _weights(
     names: Iterable[DaemonId], capacity_of: Capacities | None
 ) -> dict[DaemonId, float] | None:
-    """Returns the weights of daemons; None if any of them does not report its capacity."""
+    """Returns the weights of daemons; None if any of them reports no capacity."""
     weights: dict[DaemonId, float] = {}
     for name in names:
         capacity = capacity_of.get(name) if capacity_of is not None else None
@@ -76,7 +77,7 @@
 
 
 def _distance(name: DaemonId, key: str, weight_of: Mapping[DaemonId, float] | None) -> float:
-    """Returns how far a daemon is from being chosen for a key; the nearest one is."""
+    """Returns a daemon's distance from a key; the nearest daemon is selected."""
     value = hash64(f"{name}\x00{key}")
     return (
         -value if weight_of is None else -math.log((value + 1) / HASH_SPACE_SIZE) / weight_of[name]
@@ -84,7 +85,7 @@
 
 
 def _rank(daemon: DaemonId, weight_of: Mapping[DaemonId, float] | None) -> float:
-    """Returns the rank of a daemon among those that could coordinate; the lowest do."""
+    """Returns a daemon's rank among the candidates; the lowest ranks coordinate."""
     value = hash64(f"coordinator\x00{daemon}")
     return (
         value
--- a/src/larkpost/gateway/controllers/feeds.py
+++ b/src/larkpost/gateway/controllers/feeds.py
@@ -1,6 +1,6 @@
-"""The tables that a daemon follows, and what records their rows on its blackboard.
+"""The tables that a daemon follows, and the recording of their rows on its blackboard.
 
-Owns the followers of the operator's rows, the instances' entries and the heads of batches.
+Owns the followers of the operator's rows, the instances' entries and the batch heads.
 """
 
 from collections.abc import Callable
@@ -15,22 +15,23 @@
 from larkpost.gateway.store.port import Row, Store
 
 FAST_RELIST_SECONDS = 1.5
-"""Seconds between two listings of the instances."""
+"""Interval between listings of the instances."""
 SLOW_RELIST_SECONDS = 3.0
-"""Seconds between two listings of the operator's rows and of the heads."""
+"""Interval between listings of the operator's rows and of the batch heads."""
 IDLE_RELIST_FACTOR = 4
-"""How much less often a daemon lists the batches that neither coordinates nor owns any."""
+"""Factor on the interval of batch listings for a daemon that neither coordinates nor owns
+batches."""
 EXPIRY_CHECK_SECONDS = 0.25
-"""Seconds between two checks for instances whose entries lapsed."""
+"""Interval between checks for instances whose entries have expired."""
 
 
 @dataclass(frozen=True, slots=True)
 class FeedSource:
-    """Where rows come from, and how long the store must be sound to be believed.
+    """Where rows come from, and how long the store must be healthy before removals are trusted.
 
     Attributes:
-        contact_time: returns the seconds without a fault after which the store's news are believed;
-            read at each use, as settings change while the daemon runs.
+        contact_time: returns the seconds without a fault after which the store's news is trusted;
+            called at each use, because settings may change at run time.
     """
 
     store: Store
@@ -40,12 +41,12 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchListener:
-    """What records the rows of the table of batches.
+    """Records the rows of the batch table.
 
     Attributes:
-        record_head: records a head's row.
-        record_crash: records the row of a server's crash, which is in a part of the same table.
-        is_active: returns whether this daemon has to act on news of batches at once.
+        record_head: records the row of a batch head.
+        record_crash: records the row of a server crash, which is in a part of the same table.
+        is_active: returns whether this daemon must act on batch changes at once.
     """
 
     record_head: Callable[[Row], None]
@@ -60,7 +61,7 @@
             self.record_head(row)
 
     def relist_factor(self) -> int:
-        """Returns by how much the interval between two listings is longer at the moment."""
+        """Returns the current factor on the interval between two listings."""
         return 1 if self.is_active() else IDLE_RELIST_FACTOR
 
 
@@ -76,7 +77,7 @@
     ) -> None:
         self._source = source
         self._instruments = instruments
-        # A cycle: a row that is gone is believed by the state of the follower that brings it.
+        # Cyclic: whether a removed row is trusted depends on the follower that delivers it.
         trust = RemovalTrust(self.healthy_for, source.contact_time, lambda: self.instances.listed)
         self.row_recorder = RowRecorder(source.readers, blackboard, instruments, trust)
         self.operator = self._follow(
@@ -102,7 +103,7 @@
         tasks.every(EXPIRY_CHECK_SECONDS, self.row_recorder.drop_expired_entries, "lapsed")
 
     def healthy_for(self) -> float:
-        """Returns for how many seconds each call to the store has succeeded."""
+        """Returns for how many seconds all calls to the store have succeeded."""
         return self.instances.healthy_for(self._instruments.clock.now())
 
     def operator_age(self) -> float:
--- a/src/larkpost/gateway/controllers/fleet_clock.py
+++ b/src/larkpost/gateway/controllers/fleet_clock.py
@@ -1,8 +1,8 @@
-"""True time of day, agreed by the fleet: single machines' clocks differ, and some jump.
+"""Time of day agreed on by the fleet, because clocks of single machines differ or jump.
 
-Every daemon reports with its heartbeat by how much its own clock is ahead of the store's steady
-clock. The median of what all report is taken for true: a minority of clocks that are wrong does not
-move it, and daemons that list the same heartbeats agree.
+Every daemon reports in its heartbeat by how much its clock is ahead of the store's steady clock.
+The median of these offsets is used: a minority of wrong clocks does not affect it, and daemons that
+list the same heartbeats agree.
 """
 
 from collections.abc import Callable, Iterable
@@ -11,10 +11,10 @@
 
 
 class ClockOffset:
-    """By how much this machine's clock is ahead of the store's.
+    """How far this machine's clock is ahead of the store's.
 
     Args:
-        store_time: returns the store's steady clock in seconds, or None if it is not known.
+        store_time: returns the store's steady clock in seconds, or None if it is unknown.
     """
 
     def __init__(self, clock: Clock, store_time: Callable[[], float | None]) -> None:
@@ -22,7 +22,7 @@
         self._store_time = store_time
 
     def now(self) -> float | None:
-        """Returns it in seconds, or None if the store's clock is not known."""
+        """Returns the offset in seconds, or None if the store's clock is unknown."""
         store_time = self._store_time()
         return self._clock.wall_ms() / 1000 - store_time if store_time is not None else None
 
@@ -31,7 +31,7 @@
     """The time of day, in seconds since the Unix epoch.
 
     Args:
-        store_time: returns the store's steady clock in seconds, or None if it is not known.
+        store_time: returns the store's steady clock in seconds, or None if it is unknown.
         offsets: returns by how many seconds each daemon's clock is ahead of the store's.
     """
 
@@ -46,7 +46,7 @@
         self._offsets = offsets
 
     def now(self) -> float | None:
-        """Returns the time of day; None until the store and a heartbeat were heard."""
+        """Returns the time of day; None until the store's clock and a heartbeat are known."""
         store_time = self._store_time()
         offsets = sorted(self._offsets())
         if store_time is None or not offsets:
@@ -54,6 +54,6 @@
         return store_time + offsets[len(offsets) // 2]
 
     def at(self, steady: float) -> float | None:
-        """Returns the time of day at a steady time of this process, or None if it is not known."""
+        """Returns the time of day at a steady time of this process, or None if it is unknown."""
         now = self.now()
         return now - (self._clock.now() - steady) if now is not None else None
--- a/src/larkpost/gateway/controllers/fleet_view.py
+++ b/src/larkpost/gateway/controllers/fleet_view.py
@@ -1,7 +1,7 @@
-"""What this daemon knows of the others: who is alive, who coordinates, where they stand.
+"""This daemon's view of the others: which are alive, which coordinate, where they run.
 
-Owns what follows from the two lists of heartbeats. `members` brings the lists up to date and has
-the view worked out anew after each change.
+Derived from the lists of slow and fast heartbeats, which `membership` refreshes; it calls `update`
+after each change.
 """
 
 from collections.abc import Iterable
@@ -16,8 +16,8 @@
 from larkpost.gateway.controllers.heartbeat_list import HeartbeatList
 
 MAX_LISTING_AGE_INTERVALS = 3.0
-"""Intervals without a listing after which an awaited daemon takes it that it hears nothing; fewer
-than those after which others consider it dead (`heartbeat_list.MISSED_HEARTBEATS`)."""
+"""Intervals without a listing after which a daemon with fast heartbeats considers its view
+outdated; fewer than `heartbeat_list.MISSED_HEARTBEATS`, after which others consider it dead."""
 
 
 class FleetView:
@@ -25,9 +25,9 @@
 
     Args:
         own: this process's id, unique to one incarnation.
-        known: the known heartbeats, which every daemon writes.
-        awaited: the awaited heartbeats, which coordinators and owners of batches write.
-        regions: where zones lie, this daemon's among them.
+        slow_heartbeats: infrequent heartbeats, which every daemon writes.
+        fast_heartbeats: frequent heartbeats, which coordinators and batch owners write.
+        regions: the regions of zones, this daemon's own zone included.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
 
     @property
     def listed(self) -> bool:
-        """Whether the daemons were listed at least once."""
+        """Whether the daemons have been listed at least once."""
         return (
             self.slow_heartbeats.listed_at is not None
             and self.fast_heartbeats.listed_at is not None
@@ -61,9 +61,10 @@
         return self._clock.now() - self._started_at
 
     def has_recent_listing(self) -> bool:
-        """Returns whether this daemon, if it is awaited, has listed the others a moment ago.
+        """Returns whether this daemon has recently listed the fast heartbeats.
 
-        One that has not may be considered dead soon, and another be at its work.
+        A daemon with fast heartbeats that has not may soon be considered dead, and another may take
+        over its work.
         """
         listed_at = self.fast_heartbeats.listed_at
         if listed_at is None:
@@ -72,7 +73,7 @@
         return self._clock.now() - listed_at < MAX_LISTING_AGE_INTERVALS * interval
 
     def alive(self) -> frozenset[DaemonId]:
-        """Returns the daemons considered alive; this one too, unless it is leaving."""
+        """Returns the daemons considered alive, including this one unless it is leaving."""
         return self._alive
 
     def is_alive(self, daemon: DaemonId) -> bool:
@@ -82,7 +83,7 @@
     def is_owner_alive(self, owner: DaemonId, since: float) -> bool:
         """Returns whether the owner of a batch is considered alive.
 
-        An owner is awaited: from the moment it is known, its heartbeats must come often.
+        From the moment it becomes the owner, fast heartbeats are expected of it.
 
         Args:
             since: steady time at which this daemon learnt that it is the owner.
@@ -101,16 +102,16 @@
         return listed_at - heard_at < self.fast_heartbeats.silence_limit(interval)
 
     def is_coordinator(self) -> bool:
-        """Returns whether this daemon gives orders and claims batches."""
+        """Returns whether this daemon orders engine loads and claims batches."""
         return self.own in self._coordinators
 
     def choose_coordinator(
         self, key: str, regions: frozenset[RegionId] | None = None
     ) -> DaemonId | None:
-        """Returns the coordinator that rendezvous hashing names for a key; None if there is none.
+        """Returns the coordinator that rendezvous hashing selects for a key; None if there is none.
 
         Args:
-            regions: it must be in one of these; None for anywhere.
+            regions: the coordinator must be in one of these; None for any region.
         """
         fitting = [
             name
@@ -120,7 +121,7 @@
         return choose_coordinator(key, fitting, self._capacities(fitting))
 
     def region_of(self, daemon: DaemonId) -> RegionId | None:
-        """Returns the region of a daemon; None if it is not known."""
+        """Returns the region of a daemon; None if it is unknown."""
         if daemon == self.own:
             return self._regions.own_region
         seen = self.slow_heartbeats.seen.get(daemon)
@@ -128,7 +129,7 @@
         return self._regions.region_of(zone) if zone is not None else None
 
     def peers(self) -> dict[Address, Distance]:
-        """Returns where the other daemons considered alive make calls, and how far that is."""
+        """Returns the addresses at which live peers relay store calls, and their distances."""
         return {
             seen.heartbeat.address: self._regions.distance(seen.heartbeat.zone or ZoneId(""))
             for name, seen in self.slow_heartbeats.seen.items()
@@ -136,12 +137,12 @@
         }
 
     def clock_offsets(self) -> list[float]:
-        """Returns by how many seconds the clock of each daemon is ahead of the store's."""
+        """Returns by how many seconds each daemon's clock is ahead of the store's."""
         reported = (seen.heartbeat.clock_offset for seen in self.slow_heartbeats.seen.values())
         return [offset for offset in reported if offset is not None]
 
     def update(self) -> None:
-        """Works out from the lists who is alive, and who of them are the coordinators."""
+        """Recomputes which daemons are alive and which of them are coordinators."""
         alive = self._responsive_daemons()
         alive.discard(self.own)
         acting = [name for name in alive if self._reports_coordinating(name)]
@@ -154,20 +155,20 @@
         self._coordinators = tuple(sorted(acting))
 
     def _responsive_daemons(self) -> set[DaemonId]:
-        """Returns the daemons whose heartbeats come."""
+        """Returns the daemons whose heartbeats are current."""
         newest = self._newest_incarnations()
         names = self.slow_heartbeats.seen.keys() | self.fast_heartbeats.seen.keys()
         return {name for name in names if self._is_responsive(name, newest)}
 
     def _is_responsive(self, daemon: DaemonId, newest: dict[str, int]) -> bool:
-        """Returns whether a daemon's heartbeats come; awaited ones count before known ones."""
+        """Returns whether a daemon's heartbeats are current; fast ones take precedence."""
         if daemon in self.fast_heartbeats.seen:
             return self.fast_heartbeats.is_responsive(daemon)
         is_newest = self.slow_heartbeats.seen[daemon].version == newest[machine_of(daemon)]
         return is_newest and self.slow_heartbeats.is_responsive(daemon)
 
     def _newest_incarnations(self) -> dict[str, int]:
-        """Returns for each machine the newest version of its incarnations' known heartbeats."""
+        """Returns each machine's newest row version among its incarnations' slow heartbeats."""
         newest: dict[str, int] = {}
         for name, seen in self.slow_heartbeats.seen.items():
             machine = machine_of(name)
@@ -179,7 +180,7 @@
         return seen is not None and seen.heartbeat.coordinates
 
     def _capacities(self, daemons: Iterable[DaemonId]) -> dict[DaemonId, float | None]:
-        """Returns the capacities that daemons report, this one's as the others see it."""
+        """Returns the capacities that daemons report; this daemon's as the others see it."""
         return {name: self._capacity(name) for name in daemons}
 
     def _capacity(self, daemon: DaemonId) -> float | None:
--- a/src/larkpost/gateway/controllers/heartbeat.py
+++ b/src/larkpost/gateway/controllers/heartbeat.py
@@ -1,4 +1,4 @@
-"""Heartbeats: what a daemon writes into the store of itself, and how its rows are named."""
+"""Heartbeats: the content of a daemon's row in the store, and the ids of daemons."""
 
 import secrets
 from dataclasses import dataclass, field
@@ -13,7 +13,8 @@
 from larkpost.gateway.controllers.report_codec import read_report, report_fields
 
 INCARNATION_SEPARATOR = "/"
-"""Between a machine's name and what tells its incarnations apart; part of stored rows' keys."""
+"""Separates the machine name from the incarnation in daemon ids; part of the keys of stored
+rows."""
 
 
 def new_incarnation(machine: str) -> DaemonId:
@@ -28,13 +29,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """What a daemon writes into its row.
+    """The content of a daemon's row.
 
     Attributes:
-        interval: seconds until it will write again.
-        uses: what it reports to the others of its use of instances.
-        address: where it makes calls to the store for daemons that the store turns away, or None.
-        coordinates: whether it gives orders and claims batches.
+        interval: seconds until its next heartbeat.
+        uses: its use of instances, as reported to the others.
+        address: where it relays store calls for daemons that the store rejects, or None.
+        coordinates: whether it is a coordinator.
         leaving: whether this is its last heartbeat.
         clock_offset: seconds by which its time of day is ahead of the store's clock, or None.
         zone: where it runs; None in rows of earlier versions.
@@ -52,7 +53,7 @@
 
 
 def encode_heartbeat(heartbeat: Heartbeat) -> bytes:
-    """Returns a heartbeat as a row's value; fields that hold nothing are left out."""
+    """Returns a heartbeat as a row's value; empty fields are omitted."""
     fields: dict[str, object] = {"interval": heartbeat.interval}
     if heartbeat.uses:
         fields.update(_use_fields(heartbeat.uses))
@@ -71,10 +72,10 @@
 
 
 def decode_heartbeat(value: bytes) -> Heartbeat:
-    """Reads a row's value.
+    """Parses a row's value.
 
     Raises:
-        ValueError: it is no heartbeat.
+        ValueError: the value is not a heartbeat.
     """
     try:
         document = orjson.loads(value)
@@ -91,11 +92,11 @@
             read_report(document),
         )
     except (AttributeError, KeyError, TypeError) as error:
-        raise ValueError(f"no heartbeat: {error!r}") from None
+        raise ValueError(f"row is not a heartbeat: {error!r}") from None
 
 
 def _use_fields(uses: InstanceUsage) -> dict[str, object]:
-    """Returns the fields of a summary: by name, as earlier versions read it, and the starts."""
+    """Returns the fields of a use summary: uses by name (as earlier versions) and starts."""
     named = {split_instance_id(instance): use for instance, use in uses.items()}
     fields: dict[str, object] = {"uses": {name: use for (name, _), use in named.items()}}
     starts = {name: started_at_ms for name, started_at_ms in named if started_at_ms is not None}
@@ -105,7 +106,7 @@
 
 
 def _read_uses(document: dict[str, Any]) -> InstanceUsage:
-    """Returns a summary; where no start is said, the id is the name alone."""
+    """Returns a use summary; without a start, the instance id is the name alone."""
     starts = document.get("born") or {}
     return {
         instance_id(InstanceName(name), starts.get(name)): use
--- a/src/larkpost/gateway/controllers/heartbeat_list.py
+++ b/src/larkpost/gateway/controllers/heartbeat_list.py
@@ -1,7 +1,7 @@
-"""The heartbeats in one part of the store, as listed again and again by this daemon.
+"""The heartbeats in one part of the store, as this daemon lists them repeatedly.
 
-A daemon has fallen silent once its row has not changed for a time during which this daemon's own
-listings succeeded: a store that is down, or a daemon that was frozen, blames nobody.
+A daemon counts as silent if its row has not changed for long enough while this daemon's own
+listings succeeded. An outage of the store, or a pause of this daemon, makes no daemon silent.
 """
 
 from collections.abc import Callable
@@ -16,18 +16,19 @@
 from larkpost.gateway.store.port import Row, RowKey, Store, StoreUnavailableError, read_all
 
 MEMBER_TABLE = "members"
-"""Table of the store that has the heartbeats of all daemons, by kind and daemon."""
+"""Table of all heartbeats; its parts are the kinds, its keys the daemons."""
 MISSED_HEARTBEATS = 3.2
-"""A daemon has fallen silent once this many of its intervals have elapsed without a heartbeat.
-Three may be lost, and a little more for the listing."""
+"""Intervals without a heartbeat after which a daemon is silent: three lost heartbeats, and some
+time for the listing."""
 STORE_CALLS_ALLOWED = 4.0
-"""Calls to the store, as they take now, that are added to the time until a daemon is silent."""
+"""Store calls, at their current duration, added to the time until a daemon is silent."""
 STORE_CALL_WEIGHT = 0.3
-"""Weight of the newest call in the usual time of one."""
+"""Weight of the newest call in the moving average of call durations."""
 MAX_LISTING_GAP_INTERVALS = 2.2
-"""Intervals between two successful listings after which all observations start afresh."""
+"""Intervals between two successful listings above which the time without heartbeats is counted
+afresh."""
 UNREADABLE_INTERVAL_SECONDS = 0.25
-"""Interval that counts for a row that cannot be read: the shortest that a daemon reports."""
+"""Interval assumed for an unreadable row; the shortest that a daemon reports."""
 
 
 @dataclass(slots=True)
@@ -45,13 +46,11 @@
 
 
 class HeartbeatList:
-    """The rows of one part.
+    """The heartbeats in one part of the store.
 
     Args:
-        listener: called with what each daemon newly reports of its use; an empty summary once it
-            is gone.
-        report_listener: called with what else each daemon newly reports; an empty report once it
-            is gone.
+        listener: called with each new use summary of a daemon; an empty one once it is gone.
+        report_listener: called with each new report of a daemon; an empty one once it is gone.
     """
 
     def __init__(
@@ -78,9 +77,9 @@
         return RowKey(MEMBER_TABLE, self.part, daemon)
 
     def silence_limit(self, interval: float) -> float:
-        """Returns the seconds without a heartbeat after which a daemon has fallen silent.
+        """Returns the seconds without a heartbeat after which a daemon is silent.
 
-        A slow store delays the heartbeat, its listing and what lies between, and blames nobody.
+        The limit grows with the store's latency, which delays heartbeats and listings.
 
         Args:
             interval: seconds between the daemon's heartbeats.
@@ -89,24 +88,24 @@
 
     @property
     def typical_call_seconds(self) -> float:
-        """The seconds that a listing has taken lately."""
+        """Moving average of the duration of a listing, in seconds."""
         return self._typical_call
 
     def silence(self, daemon: DaemonId) -> float:
-        """Returns for how many seconds a listed daemon's row has not changed, as of now known."""
+        """Returns the seconds without a change of a daemon's row, up to the last listing."""
         if self.listed_at is None:
             return 0.0
         return self.listed_at - self.seen[daemon].changed_at
 
     def is_responsive(self, daemon: DaemonId) -> bool:
-        """Returns whether a daemon has a row here, has not fallen silent and is not leaving."""
+        """Returns whether a daemon has a row here, is not silent and is not leaving."""
         seen = self.seen.get(daemon)
         if seen is None or seen.heartbeat.leaving:
             return False
         return self.silence(daemon) < self.silence_limit(seen.heartbeat.interval)
 
     def rows_silent_for(self, seconds: float) -> list[tuple[RowKey, int]]:
-        """Returns the rows, with their versions, that have not changed for as long as this."""
+        """Returns the rows, with their versions, that have not changed for longer than this."""
         return [
             (self.row_of(name), seen.version)
             for name, seen in self.seen.items()
@@ -117,13 +116,13 @@
         """Lists the rows, and returns whether the store responded.
 
         Args:
-            interval: seconds between two listings, as planned now.
+            interval: planned seconds between two listings.
         """
         asked_at = self._clock.now()
         try:
             page = await read_all(self._store, MEMBER_TABLE, self.part)
         except StoreUnavailableError:
-            return False  # the store's adapter has counted it; nobody is blamed meanwhile
+            return False  # counted by the store's adapter; no daemon becomes silent meanwhile
         now = self._clock.now()
         self._typical_call += STORE_CALL_WEIGHT * (now - asked_at - self._typical_call)
         gap = now - self.listed_at if self.listed_at is not None else float("inf")
@@ -133,7 +132,7 @@
         return True
 
     def _store_rows(self, rows: tuple[Row, ...], now: float, *, had_gap: bool) -> None:
-        """Stores the rows of all daemons; if ``blind``, none is blamed for the time before."""
+        """Stores the listed rows; with `had_gap`, unchanged rows count as changed now."""
         for row in rows:
             name = DaemonId(row.key.key)
             seen = self.seen.get(name)
--- a/src/larkpost/gateway/controllers/heartbeat_writer.py
+++ b/src/larkpost/gateway/controllers/heartbeat_writer.py
@@ -1,6 +1,6 @@
-"""Writes this daemon's heartbeats: the known one seldom, the awaited one while others wait for it.
+"""Writes this daemon's heartbeats: slow ones always, fast ones while others rely on them.
 
-Owns when each was last written, and until when this daemon is awaited.
+Owns the times of the last writes, and the time until which fast heartbeats are written.
 """
 
 from collections.abc import Callable
@@ -23,33 +23,34 @@
 from larkpost.gateway.store.port import Store, Transaction, WriteOutcome
 
 FAST_HEARTBEAT_LINGER_SECONDS = 5.0
-"""Seconds for which a daemon stays awaited after its last reason: the next step's batch is near."""
+"""How long a daemon keeps writing fast heartbeats after its last reason to; the next step's batch
+usually follows soon."""
 MAX_REPORTED_CALL_SECONDS = 0.4
-"""Most seconds of a call by which a daemon reports its interval longer: a full link between regions
-takes 0.3 s. Others wait 3.2 times as long for it, so more would hold up its batches once it is
-dead."""
+"""Most seconds of store latency added to the reported interval. A saturated link between regions
+takes 0.3 s; others wait 3.2 times as long for the daemon, so a larger value would delay the
+takeover of its batches."""
 TIMER_SLACK_SECONDS = 0.05
-"""Seconds by which a timer may be early and still count: a tick of `HEARTBEAT_SECONDS` that comes a
-little early must not wait for the next one."""
+"""Seconds by which a timer may fire early and still count, so that an early tick of
+`FAST_HEARTBEAT_SECONDS` does not wait for the next one."""
 WRITE_TIMEOUT_SECONDS = 1.0
-"""Seconds for one call that writes."""
+"""Timeout of a write."""
 
 
 @dataclass(frozen=True, slots=True)
 class LocalDaemon:
-    """This daemon, as it shows itself to the others.
+    """This daemon, as it reports itself to the others.
 
     Attributes:
         id: this process's id, unique to one incarnation.
-        use: returns what it reports of its use of instances with each awaited heartbeat.
-        is_owner: returns whether it owns batches that are not ended.
+        use: returns the use of instances reported with each fast heartbeat.
+        is_owner: returns whether it owns batches that have not ended.
         clock_offset: returns the seconds by which this machine's time of day is ahead of the
-            store's clock, or None if that is not known.
-        address: where it makes calls to the store for others, or None.
-        report: returns what else it reports to the others with each heartbeat.
-        paces: returns the lasting paces that it reports with the next awaited heartbeat. Known ones
-            carry none, as all daemons list them and their bytes are bounded.
-        has_shortage: returns whether a service lacks places, so that reports are wanted sooner.
+            store's clock, or None if that is unknown.
+        address: where it relays store calls for others, or None.
+        report: returns what else it reports with each heartbeat.
+        paces: returns the lasting service times reported with the next fast heartbeat. Slow
+            heartbeats carry none, because all daemons list them and their size is bounded.
+        has_shortage: returns whether a service lacks slots, so that reports are needed sooner.
     """
 
     id: DaemonId
@@ -63,7 +64,7 @@
 
 
 class HeartbeatWriter:
-    """Keeps this daemon's rows current."""
+    """Keeps this daemon's heartbeat rows current."""
 
     def __init__(
         self, own: LocalDaemon, view: FleetView, regions: RegionMap, store: Store, clock: Clock
@@ -78,14 +79,14 @@
         self._fast_until = float("-inf")
 
     def needs_fast_heartbeats(self) -> bool:
-        """Returns whether others wait for this daemon, or did a moment ago."""
+        """Returns whether others rely on this daemon's fast heartbeats now, or did recently."""
         now = self._clock.now()
         if self._view.is_coordinator() or self._own.is_owner():
             self._fast_until = now + FAST_HEARTBEAT_LINGER_SECONDS
         return now < self._fast_until
 
     async def write_due(self) -> None:
-        """Writes the heartbeats that are due, and removes the awaited one if nobody awaits it."""
+        """Writes the heartbeats that are due, and removes the fast one once it is not needed."""
         if self._view.is_leaving:
             return
         if self.needs_fast_heartbeats():
@@ -100,7 +101,7 @@
             await self._write_slow()
 
     async def write_last(self) -> None:
-        """Removes the known heartbeat, and says in the awaited one that this daemon is leaving."""
+        """Removes the slow heartbeat, and marks this daemon as leaving in the fast one."""
         await self._write(Transaction(removals=(self._view.slow_heartbeats.row_of(self._own.id),)))
         if self._fast_written_at is not None:
             await self._put(
@@ -136,7 +137,7 @@
         )
 
     async def _remove_fast(self) -> None:
-        """Removes the awaited heartbeat; until that is done it goes on, as others count on it."""
+        """Removes the fast heartbeat, or writes it again if that fails: others rely on it."""
         removal = Transaction(removals=(self._view.fast_heartbeats.row_of(self._own.id),))
         if await self._write(removal) is WriteOutcome.DONE:
             self._fast_written_at = None
@@ -152,10 +153,10 @@
 
 
 def is_due(last: float | None, interval: float, now: float) -> bool:
-    """Returns whether it is time again.
+    """Returns whether an interval has passed.
 
     Args:
-        last: steady time of the last time; None if there was none.
+        last: steady time of the last occurrence; None if there was none.
         interval: seconds.
     """
     return last is None or now - last >= interval - TIMER_SLACK_SECONDS
--- a/src/larkpost/gateway/controllers/leases.py
+++ b/src/larkpost/gateway/controllers/leases.py
@@ -1,10 +1,10 @@
 """Leases: the right to act on one subject, with a fencing token.
 
-A subject is a duty and what it is about: the orders of one engine, the usage reports. Its lease is
-a row in the store that names its holder and the store's time before which nobody else may take it.
-The row's version is the fencing token. A lease is taken for one act and serves only for a moment,
-measured on the steady clock from before the call that took it; so a holder that was paused in
-between does not use it, and after a refusal the token is not used again.
+A subject is a duty and its object, such as the orders of one engine. Its lease is a row in the
+store with the holder and the store time before which no other holder may take it. The row's version
+is the fencing token. A lease is taken for one act and is usable only briefly, measured on the
+steady clock from before the call that took it, so a holder that was paused does not use it. A token
+is not used again after a refusal.
 """
 
 from dataclasses import dataclass
@@ -26,15 +26,15 @@
 LEASE_TABLE = "leases"
 """Table of the store; its parts are the duties, its keys the subjects."""
 LEASE_USE_SECONDS = 0.5
-"""Seconds after the call was sent for which a lease may be used."""
+"""How long a lease may be used after the call that takes it was sent."""
 LEASE_MARGIN_SECONDS = 0.5
-"""Seconds added for the time an act travels and for the error of the estimated store clock."""
+"""Margin for the travel time of an act and the error of the estimated store clock."""
 WRITE_TIMEOUT_SECONDS = 1.0
-"""Seconds for the call that takes a lease."""
+"""Timeout of the call that takes a lease."""
 
 
 class Duty(StrEnum):
-    """What one daemon at a time does; the value is the part of the store that has its leases."""
+    """What only one daemon does at a time; the value is the store part that holds its leases."""
 
     ENGINE_ORDERS = "engines"
     USAGE = "usage"
@@ -43,10 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseSubject:
-    """What a lease is about.
+    """The subject of a lease.
 
     Attributes:
-        name: which of the duty's subjects; an engine's id, for instance.
+        name: which of the duty's subjects, for example an engine's id.
     """
 
     duty: Duty
@@ -54,7 +54,7 @@
 
     @property
     def key(self) -> str:
-        """Names the subject among those of all duties."""
+        """Identifies the subject among those of all duties."""
         return f"{self.duty}\x00{self.name}"
 
 
@@ -72,7 +72,7 @@
     usable_until: float
 
     def has_expired(self, now: float) -> bool:
-        """Returns whether it must not be used any more, at a steady time of this process."""
+        """Returns whether the lease must not be used any more, at a steady time of this process."""
         return now >= self.usable_until
 
 
@@ -98,12 +98,12 @@
         self._exclusive_time = exclusive_time
 
     async def take(self, subject: LeaseSubject) -> Lease | None:
-        """Takes a lease, or returns None if another holds it or the store fails."""
+        """Takes a lease; returns None if another daemon holds it or the store fails."""
         key = RowKey(LEASE_TABLE, subject.duty.value, subject.name)
         try:
             known = await self._read(key)
         except StoreUnavailableError:
-            return None  # whoever wants it logs that and tries again
+            return None  # the caller logs it and retries
         started = self._clock.now()
         store_time = self._store.time()
         if store_time is None or not self._may_take(known, store_time):
--- a/src/larkpost/gateway/controllers/membership.py
+++ b/src/larkpost/gateway/controllers/membership.py
@@ -1,11 +1,11 @@
-"""Which daemons are alive, by heartbeats in the store.
+"""Determines which daemons are alive, from heartbeats in the store.
 
-Owns the tasks that write this daemon's heartbeats and list those of all, and what is logged of the
-others. `heartbeat_intervals` says which kinds there are and how often they come, `fleet_view` what
-follows from them, `coordinators` who gives orders.
+Owns the tasks that write this daemon's heartbeats and list those of all daemons, and logs changes
+of membership. `heartbeat_intervals` defines the kinds of heartbeat and their intervals,
+`fleet_view` derives the live daemons, `coordinators` the coordinators.
 
 Each machine runs one daemon. A new one removes the rows of its predecessors, so that their batches
-are claimed without a wait.
+are claimed without delay.
 """
 
 from collections.abc import Callable
@@ -35,29 +35,29 @@
 from larkpost.gateway.store.port import RowKey, Store, Transaction
 
 SLOW_HEARTBEAT_PART = "known"
-"""Part of the store that has the known heartbeats; see `heartbeat_intervals`."""
+"""Store part of the slow heartbeats; see `heartbeat_intervals`."""
 FAST_HEARTBEAT_PART = "awaited"
-"""Part of the store that has the awaited heartbeats."""
+"""Store part of the fast heartbeats."""
 ROW_RETENTION_SECONDS = 60.0
-"""Seconds of silence after which a daemon's rows are removed. Far above any outage that its machine
-survives."""
+"""Time without a heartbeat after which a daemon's rows are removed; far longer than any outage that
+its machine survives."""
 MAX_REMOVALS = 40
-"""Rows of dead daemons removed at once: a transaction takes a hundred entries."""
+"""Most rows of dead daemons removed at once; a transaction takes up to 100 entries."""
 
 
 def _ignore(_daemon: DaemonId, _use: InstanceUsage) -> None:
-    """Drops what another daemon reports."""
+    """Ignores another daemon's report."""
 
 
 class Membership(FleetView):
     """This daemon's heartbeats and its view of the others.
 
     Args:
-        own: what this daemon shows of itself.
-        regions: where zones lie, this daemon's among them.
-        listener: called with each new summary of another daemon; an empty one when it is gone.
-        report_listener: called with what else another daemon newly reports, by either heartbeat;
-            an empty report when that one is gone.
+        own: what this daemon reports of itself.
+        regions: the regions of zones, this daemon's own zone included.
+        listener: called with each new use summary of another daemon; an empty one when it is gone.
+        report_listener: called with each new report of another daemon, in either heartbeat; an
+            empty report when that heartbeat is gone.
     """
 
     def __init__(
@@ -87,17 +87,17 @@
         self._logged_coordinator = False
 
     def start(self, tasks: TaskSet) -> None:
-        """Starts the heartbeats and the listings."""
+        """Starts writing and listing heartbeats."""
         tasks.every(FAST_HEARTBEAT_SECONDS, self._writer.write_due, "heartbeat")
         tasks.every(FAST_HEARTBEAT_SECONDS, self._refresh_lists, "members")
 
     async def refresh(self) -> None:
-        """Learns at once what the awaited daemons use, before this one joins them."""
+        """Lists the fast heartbeats at once, before this daemon starts to write its own."""
         if await self.fast_heartbeats.update(self._fast_listing_interval()):
             self.update()
 
     async def leave(self) -> None:
-        """Takes this daemon out, so that others take over without waiting."""
+        """Announces that this daemon is leaving, so that others take over without delay."""
         self.is_leaving = True
         self.update()
         await self._writer.write_last()
@@ -107,7 +107,7 @@
             self._listener(daemon, use)
 
     def _record_slow_report(self, daemon: DaemonId, report: DaemonReport) -> None:
-        """Passes on what a known heartbeat reports, unless the awaited one comes more often."""
+        """Passes on the report of a slow heartbeat, unless the daemon also has fast heartbeats."""
         if daemon != self.own and daemon not in self.fast_heartbeats.seen:
             self._report_listener(daemon, report)
 
@@ -138,9 +138,9 @@
             self._log_changes()
 
     async def _remove_old(self, rows: HeartbeatList) -> None:
-        """Removes the rows of this machine's earlier incarnations, and of daemons long dead.
+        """Removes the rows of this machine's earlier incarnations and of long-dead daemons.
 
-        The latter are removed by one daemon, so that calls are few.
+        Only one daemon removes the latter, to limit the number of calls.
         """
         old = self._rows_of_earlier_incarnations(rows)
         if self.choose_coordinator("forget") == self.own:
@@ -150,7 +150,7 @@
             await self._store.write(removal, WRITE_TIMEOUT_SECONDS)
 
     def _rows_of_earlier_incarnations(self, rows: HeartbeatList) -> dict[RowKey, int]:
-        """Returns the rows of this machine's earlier daemons, with their versions."""
+        """Returns the rows of this machine's earlier incarnations, with their versions."""
         machine = machine_of(self.own)
         return {
             rows.row_of(name): seen.version
@@ -159,7 +159,7 @@
         }
 
     def _log_changes(self) -> None:
-        """Logs who is newly considered alive or dead, and whether this daemon coordinates now."""
+        """Logs daemons newly considered alive or dead, and whether this daemon is a coordinator."""
         for name in sorted(self.alive() ^ self._logged_alive):
             rows = (
                 self.fast_heartbeats if name in self.fast_heartbeats.seen else self.slow_heartbeats
--- a/src/larkpost/gateway/controllers/report_codec.py
+++ b/src/larkpost/gateway/controllers/report_codec.py
@@ -1,7 +1,6 @@
-"""The fields of a heartbeat's row that hold a daemon's report.
+"""Encodes and decodes a daemon's report in its heartbeat row.
 
-Fields that hold nothing are left out. What another daemon wrote in another form counts as not said:
-it may be of a later version.
+Empty fields are omitted. Fields in an unknown format, perhaps of a later version, count as missing.
 """
 
 from collections.abc import Callable, Mapping
@@ -22,12 +21,12 @@
 CAPACITY_FIELD = "capacity"
 BATCHES_FIELD = "batches"
 TENANT_ROW_LENGTH = 5
-"""Use by a flow is written as service, priority, name, requests that run, requests that wait."""
+"""A flow's use is written as service, priority, name, running requests, waiting requests."""
 _Value = TypeVar("_Value")
 
 
 def report_fields(report: DaemonReport) -> dict[str, object]:
-    """Returns the fields that a report adds to a heartbeat's row."""
+    """Returns the fields that a report adds to a heartbeat row."""
     fields: dict[str, object] = {}
     if report.paces:
         fields[PACES_FIELD] = report.paces
@@ -43,7 +42,7 @@
 
 
 def read_report(document: Mapping[str, Any]) -> DaemonReport:
-    """Returns the report in a heartbeat's row; what is missing or unreadable is not said."""
+    """Returns the report in a heartbeat row; missing or unreadable fields stay empty."""
     paces = _read_table(document.get(PACES_FIELD), _read_number)
     batches = _read_table(document.get(BATCHES_FIELD), _read_batch_progress)
     return DaemonReport(
@@ -55,7 +54,7 @@
 
 
 def _read_table(value: Any, read: Callable[[Any], _Value | None]) -> dict[str, _Value]:
-    """Returns the entries of a table that can be read."""
+    """Returns the readable entries of a table."""
     if not isinstance(value, dict):
         return {}
     entries = ((name, read(entry)) for name, entry in value.items())
@@ -63,7 +62,7 @@
 
 
 def _read_tenants(value: Any) -> dict[Flow, FlowUsage]:
-    """Returns the use by flow that can be read."""
+    """Returns the readable uses by flow."""
     if not isinstance(value, list):
         return {}
     rows = (row for row in value if isinstance(row, list) and len(row) == TENANT_ROW_LENGTH)
--- a/src/larkpost/gateway/controllers/row_recorder.py
+++ b/src/larkpost/gateway/controllers/row_recorder.py
@@ -1,7 +1,7 @@
-"""Records on the blackboard the rows that operators, trainers and servers write.
+"""Records the rows of operators, trainers and servers on the blackboard.
 
-Owns the rule by which an instance's entry that is gone ends the instance, and the entries of
-services that no configuration has named yet.
+Owns the rule by which a removed entry ends its instance, and the entries whose services no
+configuration has named yet.
 """
 
 from collections.abc import Callable
@@ -19,22 +19,22 @@
 from larkpost.gateway.store.port import Row
 
 EXPIRY_CONFIRMATION_SECONDS = 2.2
-"""Seconds for which the store must have been sound for a missing entry to be gone for good."""
+"""How long the store must have been healthy before a missing entry counts as expired."""
 
 
 @dataclass(frozen=True, slots=True)
 class RowReaders:
-    """Reads rows that others write, in whatever format they write them.
+    """Parsers of the rows that others write, for the formats in use.
 
     Attributes:
-        operator_table: the table of the configuration, the named weight versions and the
-            evacuated zones.
+        operator_table: the table of the configuration, the named weight versions and the evacuated
+            zones.
         instance_table: the table of the instances.
-        configuration: reads a configuration, or None if the row holds something else.
-        weight_target: reads a named version, or None if the row holds something else.
-        instance: reads an instance.
-        evacuation: reads the begin of a zone's evacuation, or its end from a removed row; None if
-            the row holds something else. All of them raise ValueError for what they cannot read.
+        configuration: parses a configuration; None if the row holds something else.
+        weight_target: parses a named version; None if the row holds something else.
+        instance: parses an instance.
+        evacuation: parses the start of a zone's evacuation, or its end from a removed row; None if
+            the row holds something else. All of them raise ValueError for unreadable rows.
     """
 
     operator_table: str
@@ -47,12 +47,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RemovalTrust:
-    """How far what is read of instances is believed; durations in seconds.
+    """When a removed instance entry is trusted; durations in seconds.
 
     Attributes:
-        sound_for: returns for how long each call to the store has succeeded.
-        trust_after: returns for how long it must have for a row that is gone to be believed.
-        had_whole_list: returns whether all instances were listed: one that is new then has started.
+        healthy_for: returns for how long all calls to the store have succeeded.
+        trust_after: returns how long that must be for a removed row to be trusted.
+        has_full_listing: returns whether all instances have been listed; an unknown one has just
+            started then.
     """
 
     healthy_for: Callable[[], float]
@@ -60,7 +61,7 @@
     has_full_listing: Callable[[], bool]
 
     def is_removal_believed(self) -> bool:
-        """Returns whether an instance has ended if its entry is gone."""
+        """Returns whether a removed entry means that the instance has ended."""
         return self.healthy_for() >= self.trust_after()
 
 
@@ -69,7 +70,7 @@
     """An instance's entry.
 
     Attributes:
-        is_new: whether an instance that was not known before has just started.
+        is_new: whether the instance has just started if it was unknown before.
     """
 
     info: InstanceInfo
@@ -77,10 +78,10 @@
 
 
 class RowRecorder:
-    """Records rows, and logs what changes by them.
+    """Records rows, and logs the changes.
 
-    A row that cannot be read is passed over; what stood in it before goes on to hold, but for an
-    instance's entry, which then names no server.
+    An unreadable row is skipped and its previous content stays in effect; an unreadable instance
+    entry, however, no longer names a usable server.
     """
 
     def __init__(
@@ -99,12 +100,12 @@
         self._log = instruments.log
         self._metrics = instruments.metrics
         self._pending_entries: dict[InstanceName, _Entry] = {}
-        """Entries whose service no configuration has named; they are no servers to use."""
+        """Entries whose service no configuration has named; not usable as servers yet."""
         self._trust = trust
         self._cold = blackboard.cold
 
     async def drop_expired_entries(self) -> None:
-        """Gives up instances whose entries lapsed while the store was away and are not back."""
+        """Removes instances whose entries expired during a store outage and have not returned."""
         if self._trust.healthy_for() < EXPIRY_CONFIRMATION_SECONDS:
             return
         for instance in self._directory.drop_unlisted():
@@ -113,7 +114,7 @@
     def record_operator_row(self, row: Row) -> None:
         """Records a row with a configuration, a named weight version or an evacuated zone.
 
-        Rows that are gone change nothing but evacuations, which end by it.
+        Of the removed rows, only those of evacuations have an effect: they end the evacuation.
         """
         try:
             configuration = self._readers.configuration(row)
@@ -151,7 +152,7 @@
         self._log.record(Event.EVACUATION, zone=evacuation.zone, state=state, instances=instances)
 
     def record_instance_row(self, row: Row) -> None:
-        """Records an instance's entry, or that it is gone."""
+        """Records an instance's entry or its removal."""
         name = InstanceName(row.key.key)
         self._pending_entries.pop(name, None)
         if row.removed:
@@ -173,36 +174,38 @@
                 self._record_unknown_service(info)
 
     def _record_unreadable(self, name: InstanceName, error: str) -> None:
-        """Records that an entry names no server to use; it was perhaps another writer's."""
+        """Records an entry that names no usable server, perhaps another writer's."""
         self._directory.drop_unreadable(name)
         self._metrics.count(Count.SPOILED_ENTRIES)
         self._log.record(Event.UNREADABLE, row=name, error=error)
 
     def _record_unknown_service(self, info: InstanceInfo) -> None:
-        self._record_unreadable(info.name, f"no configuration names service {info.service}")
+        self._record_unreadable(
+            info.name, f"service {info.service} is not named in any configuration"
+        )
 
     def _is_service_known(self, info: InstanceInfo) -> bool:
-        """Returns whether a configuration names an instance's service, or has named it before."""
+        """Returns whether a configuration names the instance's service, or named it before."""
         known = self._directory.find_by_name(info.name)
         was_named = known is not None and known.service == info.service
         current = self._configuration.current
         return was_named or (current is not None and info.service in current.services)
 
     def _apply_pending(self) -> None:
-        """Takes the entries whose services the configuration names now."""
+        """Applies the pending entries whose services the configuration now names."""
         for name, entry in list(self._pending_entries.items()):
             if self._is_service_known(entry.info):
                 del self._pending_entries[name]
                 self._apply(entry)
 
     def _apply(self, entry: _Entry) -> None:
-        """Stores an entry that names a server to use."""
+        """Records an entry that names a usable server."""
         info = entry.info
         known = self._directory.find_by_name(info.name)
         self._directory.update(info)
         current = self._directory.find_by_name(info.name)
         if current is None:
-            return  # it was replaced at its address, and this is a late word of it
+            return  # a late row: the instance has already been replaced at its address
         has_started = known is None or known.id != current.id
         self._record_cold(info, is_new=has_started and entry.is_new)
         if has_started or known.state != info.state:
@@ -211,7 +214,7 @@
             )
 
     def _record_cold(self, info: InstanceInfo, *, is_new: bool) -> None:
-        """Records how long an instance stays cold; one that just started may not say it yet."""
+        """Records how long an instance stays cold; a new one may not report it yet."""
         left = info.cold_left
         if is_new and left != 0.0:
             service = self._configuration.service(info.service)
