--- a/src/larkpost/gateway/scaling/__init__.py
+++ b/src/larkpost/gateway/scaling/__init__.py
@@ -1,5 +1,6 @@
-"""How many servers a service has in each zone: planned from demand and price, ordered by one.
+"""Plans the number of servers of each service and zone from demand and price, and orders them.
 
-`census` counts what there is, `demand` works out what is asked for, `planner` is the rule,
-`controller` logs the plan and orders by `port`. Relies on the blackboard, leases and the store.
+`server_counter` counts the current servers, `demand_estimator` estimates the demand, `planner` is
+the rule, `controller` logs the plan and sends orders through `port`. Relies on the blackboard,
+leases and the store.
 """
--- a/src/larkpost/gateway/scaling/controller.py
+++ b/src/larkpost/gateway/scaling/controller.py
@@ -1,9 +1,9 @@
-"""Plans the size of services, says so, and orders what its mode lets it order.
+"""Plans the sizes of services, logs the plans, and places the orders that the mode allows.
 
-Each service and zone is a subject of its own: the coordinator that rendezvous hashing names for it
-orders under its lease. An order says how many servers there are to be, so one that is repeated or
-carried out late does no harm that the next one does not mend. Nothing is ordered while the store
-is not sound: what is known of the servers may be old then.
+Each service and zone is one subject: the coordinator that rendezvous hashing selects for it orders
+under a lease. An order states the desired number of servers, so the next order corrects a repeated
+or late one. Nothing is ordered while the store is unhealthy, because the server counts may be
+outdated.
 """
 
 from collections.abc import Callable
@@ -30,27 +30,27 @@
 from larkpost.gateway.scaling.server_counter import ServerCounter
 
 INTERVAL_SECONDS = 1.0
-"""Seconds between two plans."""
+"""Interval between plans."""
 LOST_AFTER_SECONDS = 8.0
-"""Seconds after which a missing server is considered lost for good: one that crashed is back
-before, listed anew, and its entry lapses three heartbeats (3.6 s) after its end."""
+"""Time after which a missing server is considered lost. A crashed server is listed again before
+that; its entry expires three heartbeats (3.6 s) after its end."""
 MIN_STORE_HEALTHY_SECONDS = 4.0
-"""Seconds for which the store must have responded for counts to be believed."""
+"""How long the store must have responded before server counts are trusted."""
 ORDER_TIMEOUT_SECONDS = 1.0
-"""Seconds for one call that orders."""
+"""Timeout of an order."""
 RETRY_SECONDS = 2.0
-"""Seconds after an order that was not taken, or not for certain, before the next."""
+"""Delay after an order that was not, or not certainly, accepted."""
 REFUSAL_SECONDS = 20.0
-"""Seconds for which a zone that has no preemptible servers is not asked for them."""
+"""How long a zone without preemptible servers is not asked for them again."""
 
 
 @dataclass(frozen=True, slots=True)
 class ScalingInputs:
-    """What the sizes of services follow from.
+    """Inputs for the sizes of services.
 
     Attributes:
-        demand: works out what is asked of a service.
-        store_sound_for: returns for how many seconds each call to the store has succeeded.
+        demand: estimates the demand for a service.
+        store_healthy_for: returns for how many seconds all calls to the store have succeeded.
     """
 
     blackboard: Blackboard
@@ -59,7 +59,7 @@
 
 
 class ScalingController:
-    """Plans for all services that have terms; orders for those that this daemon is chosen for."""
+    """Plans all services with scaling terms; orders for those it is responsible for."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
     ) -> None:
         self._blackboard = inputs.blackboard
         self._demand = inputs.demand
-        self._store_sound_for = inputs.store_healthy_for
+        self._store_healthy_for = inputs.store_healthy_for
         self._coordination = coordination
         self._port = port
         self._clock = instruments.clock
@@ -88,9 +88,9 @@
         tasks.every(INTERVAL_SECONDS, self.update, "scaling")
 
     async def update(self) -> None:
-        """Plans each service, and orders what is due and this daemon is chosen for."""
+        """Plans each service, and places due orders that this daemon is responsible for."""
         configuration = self._blackboard.configuration.current
-        if configuration is None or self._store_sound_for() < MIN_STORE_HEALTHY_SECONDS:
+        if configuration is None or self._store_healthy_for() < MIN_STORE_HEALTHY_SECONDS:
             return
         for service in configuration.services.values():
             if service.scaling is not None:
@@ -118,7 +118,7 @@
                 self._next_order[order.service, order.zone] = self._clock.now() + pause
 
     def _log_plan(self, service: ServiceName, plan: Plan, present: int) -> None:
-        """Logs what should be ordered, once for each change."""
+        """Logs a plan, once for each change."""
         self._metrics.set(Level.SERVERS_NEEDED, plan.needed, service)
         if self._logged_plans.get(service) == plan or not self._coordination.is_coordinator():
             return
@@ -136,7 +136,7 @@
         return self._coordination.is_responsible_for(_subject(order).key)
 
     async def _order(self, order: ScalingOrder, boot_time: float) -> float:
-        """Orders, and returns the seconds until the zone is checked again."""
+        """Places an order, and returns the seconds until the zone is checked again."""
         lease = await self._coordination.take_lease(_subject(order))
         if lease is None or lease.has_expired(self._clock.now()):
             self._record(order, "no_lease", None)
@@ -165,5 +165,5 @@
 
 
 def _subject(order: ScalingOrder) -> LeaseSubject:
-    """A service together with a zone is one subject, whatever the kind."""
+    """Returns the lease subject of an order: its service and zone, whatever the kind of server."""
     return LeaseSubject(Duty.SCALING, f"{order.service}\x00{order.zone}")
--- a/src/larkpost/gateway/scaling/demand_estimator.py
+++ b/src/larkpost/gateway/scaling/demand_estimator.py
@@ -1,4 +1,4 @@
-"""What is asked of a service of engines, from its open batches and the pace of its engines."""
+"""Estimates the demand for a service from its open batches and its engines' service times."""
 
 from collections.abc import Callable
 
@@ -10,11 +10,11 @@
 
 
 class DemandEstimator:
-    """Works out the demand of services.
+    """Estimates the demand for services.
 
     Args:
         demands: returns what the batches of each model ask for.
-        pace: returns the seconds between two events of a run at an engine; 0 if not known.
+        service_time: returns the seconds between two events of a run at an engine; 0 if unknown.
     """
 
     def __init__(
@@ -28,7 +28,7 @@
         self._service_time = service_time
 
     def of(self, service: Service, configuration: Configuration) -> ServiceDemand:
-        """Returns the demand of a service: the tokens of each open batch within its due time."""
+        """Returns a service's demand: the tokens of open batches over the shortest due time."""
         routes = configuration.batch_routes_to(service.name)
         due = min((route.due for route in routes if route.due), default=0.0)
         if not due:
@@ -38,7 +38,7 @@
         return ServiceDemand(work / due, self._server_rate(service))
 
     def _server_rate(self, service: Service) -> float:
-        """Returns the tokens that an engine of middling pace makes a second; 0 if not known."""
+        """Returns the tokens per second of an engine with median service time; 0 if unknown."""
         service_times = sorted(
             service_time
             for info in self._directory.of_service(service.name)
--- a/src/larkpost/gateway/scaling/planner.py
+++ b/src/larkpost/gateway/scaling/planner.py
@@ -1,8 +1,8 @@
-"""What servers a service should have, worked out from what it has, needs and pays.
+"""Plans the servers of a service from its current servers, demand and prices.
 
-Servers that were lost for good are replaced in the zone that lost them, so that a service stays
-spread as its operator laid it out. Preemptible servers come first where they are cheap enough, but
-never more than a share of a zone: all of them may go at once.
+Lost servers are replaced in the zone that lost them, which keeps the operator's spread across
+zones. Preemptible servers are preferred where they are cheap enough, but limited to a share of each
+zone, because all of them may be preempted at once.
 """
 
 from collections.abc import Mapping
@@ -14,12 +14,13 @@
 from larkpost.gateway.scaling.port import ScalingOrder, ServerKind
 
 PREEMPTIBLE_SHARE = 0.5
-"""Most of a zone's servers that are preemptible: the zone serves on when all of them go."""
+"""Largest share of a zone's servers that is preemptible; the zone keeps serving when they are
+lost."""
 MAX_PREEMPTIBLE_PRICE = 0.6
-"""Highest price of a preemptible server, as a share of one on demand, at which one is taken: what
-is lost with it, its runs and its weights, must cost less than it saves."""
+"""Highest price of a preemptible server that is accepted, relative to an on-demand one; the saving
+must exceed the cost of lost runs and weights."""
 HEADROOM = 1.25
-"""Servers are planned for this multiple of the demand: batches come in bursts."""
+"""Planned capacity as a multiple of the demand, because batches arrive in bursts."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,11 +28,11 @@
     """The servers of one service in one zone.
 
     Attributes:
-        on_demand: those that serve now and are on demand.
-        preemptible: those that serve now and are preemptible.
-        usual: most that served at once within the last while.
-        lost_for: seconds since there were as many as usual; 0 if there are.
-        is_evacuated: whether the operator wants the zone to get nothing.
+        on_demand: serving on-demand servers.
+        preemptible: serving preemptible servers.
+        usual_count: most servers that served at once recently.
+        missing_for: seconds since there were at least that many; 0 if there are.
+        is_evacuated: whether the operator has evacuated the zone.
     """
 
     on_demand: int
@@ -48,11 +49,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceDemand:
-    """What is asked of a service.
+    """The demand for a service.
 
     Attributes:
-        work: tokens wanted a second; 0 if nothing is known.
-        server_rate: tokens that one server makes a second; 0 if it is not known.
+        work: tokens per second demanded; 0 if unknown.
+        server_rate: tokens per second that one server generates; 0 if unknown.
     """
 
     work: float = 0.0
@@ -60,7 +61,7 @@
 
     @property
     def servers(self) -> int:
-        """Servers that the demand takes; 0 if it is not known."""
+        """Servers that the demand requires; 0 if unknown."""
         if not self.work or not self.server_rate:
             return 0
         return -int(-self.work * HEADROOM // self.server_rate)
@@ -68,11 +69,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What a service should have.
+    """The planned size of a service.
 
     Attributes:
-        needed: servers that the demand takes; 0 if it is not known.
-        orders: what is to be ordered for that.
+        needed: servers that the demand requires; 0 if unknown.
+        orders: the orders to place.
     """
 
     needed: int
@@ -81,12 +82,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanInputs:
-    """What the plan of one service follows from.
+    """Inputs for the plan of one service.
 
     Attributes:
-        zones: what the service has; zones without a price are passed over.
-        lost_after: seconds after which a missing server is considered lost for good.
-        refused: zones that have no preemptible servers at the moment.
+        zones: the service's current servers; zones without a price are ignored.
+        lost_after: seconds after which a missing server is considered lost.
+        refused: zones that currently have no preemptible servers.
     """
 
     service: ServiceName
@@ -98,15 +99,15 @@
 
     @property
     def present(self) -> int:
-        """Servers that the service has, in all zones."""
+        """Current servers of the service in all zones."""
         return sum(known.count for known in self.zones.values())
 
 
 def plan_servers(inputs: PlanInputs) -> Plan:
-    """Returns the orders that replace what is missing and needed, the cheapest zones first."""
+    """Returns the orders that replace servers that are missing and needed, cheapest zones first."""
     needed = inputs.demand.servers
     if needed and inputs.present >= needed:
-        return Plan(needed, ())  # what is missing is not needed: it would cost more than it serves
+        return Plan(needed, ())  # the demand is covered without the missing servers
     prices = inputs.terms.zone_prices
     priced = sorted((zone for zone in inputs.zones if zone in prices), key=prices.__getitem__)
     orders = (_order(inputs, zone) for zone in priced)
@@ -114,14 +115,14 @@
 
 
 def _missing_count(known: ZoneServers, lost_after: float) -> int:
-    """Returns how many servers a zone has lost for good and may have back."""
+    """Returns how many servers a zone has lost and may get back."""
     if known.is_evacuated or known.missing_for < lost_after:
         return 0
     return max(0, known.usual_count - known.count)
 
 
 def _order(inputs: PlanInputs, zone: ZoneId) -> ScalingOrder | None:
-    """Returns the order for one zone; None if nothing is missing or its limits leave no room."""
+    """Returns the order for one zone; None if nothing is missing or the limits do not allow any."""
     service, terms, known = inputs.service, inputs.terms, inputs.zones[zone]
     if not _missing_count(known, inputs.lost_after):
         return None
@@ -136,6 +137,6 @@
 
 
 def is_preemptible_worthwhile(terms: ScalingTerms) -> bool:
-    """Returns whether preemptible servers are cheap enough for the chance that they go."""
+    """Returns whether preemptible servers are cheap enough for the risk of preemption."""
     price = terms.preemptible_price
     return price is not None and price <= MAX_PREEMPTIBLE_PRICE
--- a/src/larkpost/gateway/scaling/port.py
+++ b/src/larkpost/gateway/scaling/port.py
@@ -1,4 +1,4 @@
-"""The port to whoever starts and ends servers, and what is ordered by it."""
+"""Port for ordering servers from the platform."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -12,20 +12,20 @@
 class ScalingMode(StrEnum):
     """What a daemon does with a plan."""
 
-    ANNOUNCE = "announce"  # says what it would order
-    REPLACE = "replace"  # orders in place of servers that were lost
+    ANNOUNCE = "announce"  # only logs the orders
+    REPLACE = "replace"  # orders replacements of lost servers
 
 
 class ServerKind(StrEnum):
-    """On which terms a server runs."""
+    """The terms on which a server runs."""
 
-    ON_DEMAND = "on_demand"  # stays until it is given back
-    PREEMPTIBLE = "preemptible"  # cheaper; all of a zone may be taken away at short notice
+    ON_DEMAND = "on_demand"  # runs until it is released
+    PREEMPTIBLE = "preemptible"  # cheaper; all servers of a zone may be preempted at short notice
 
 
 @dataclass(frozen=True, slots=True)
 class ScalingOrder:
-    """How many servers of one kind a service is to have in a zone; not by how many to change."""
+    """The desired number of servers of one kind in a zone, not the change."""
 
     service: ServiceName
     zone: ZoneId
@@ -34,18 +34,18 @@
 
 
 class ScalingOutcome(StrEnum):
-    """What became of an order."""
+    """Outcome of an order."""
 
     TAKEN = "taken"
-    REFUSED = "refused"  # a higher fencing token was seen, or there are no such servers now
-    NOT_TAKEN = "not_taken"  # refused for the moment
-    UNKNOWN = "unknown"  # no response; it may be taken, even seconds later
+    REFUSED = "refused"  # a higher fencing token was seen, or no such servers are available
+    NOT_TAKEN = "not_taken"  # temporarily refused
+    UNKNOWN = "unknown"  # no response; it may still be accepted, even seconds later
 
 
 class ScalingPort(Protocol):
-    """Takes orders of servers."""
+    """Accepts orders for servers."""
 
     async def order_servers(
         self, order: ScalingOrder, holder: str, lease: Lease, timeout: float
     ) -> ScalingOutcome:
-        """Sends an order under a lease; an exact repeat does no harm."""
+        """Sends an order under a lease; an exact repeat has no effect."""
--- a/src/larkpost/gateway/scaling/server_counter.py
+++ b/src/larkpost/gateway/scaling/server_counter.py
@@ -1,6 +1,7 @@
-"""Counts the servers of services by zone over time: how many there usually are, and since when not.
+"""Counts the servers of services by zone over time.
 
-Counts are taken only while the store is sound: entries that lapse with it blame no server.
+Counts are taken only while the store is healthy: entries that expire during an outage do not count
+as lost servers.
 """
 
 from collections import deque
@@ -12,21 +13,21 @@
 from larkpost.gateway.blackboard.evacuations import Evacuations
 from larkpost.gateway.scaling.planner import ZoneServers
 
-BASELINE_LIFETIME_SECONDS = 60.0
-"""Seconds for which the most servers seen at once count as usual: longer than a release takes,
-shorter than an operator needs to change the size by hand and wonder."""
+USUAL_COUNT_WINDOW_SECONDS = 60.0
+"""Window of the maximum that counts as the usual number of servers; longer than a release takes,
+short enough that a manual change of size takes effect soon."""
 
 
 @dataclass(slots=True)
 class _ZoneHistory:
-    """Counts of one zone, as (steady time, servers); `full_at`: last time there were as usual."""
+    """Counts of one zone as (steady time, servers); `full_at`: last time at the usual count."""
 
     counts: deque[tuple[float, int]] = field(default_factory=deque)
     full_at: float = float("-inf")
 
 
 class ServerCounter:
-    """The counts of one daemon."""
+    """The server counts of one daemon."""
 
     def __init__(self, directory: InstanceDirectory, evacuations: Evacuations) -> None:
         self._directory = directory
@@ -34,7 +35,7 @@
         self._histories: dict[tuple[ServiceName, ZoneId], _ZoneHistory] = {}
 
     def count_by_zone(self, service: ServiceName, now: float) -> dict[ZoneId, ZoneServers]:
-        """Counts a service's servers by zone, those zones included that have none any more."""
+        """Counts a service's servers by zone, including zones that have none any more."""
         ready = self._directory.ready_of(service)
         zones = {info.zone for info in ready} | {
             zone for known, zone in self._histories if known == service
@@ -49,7 +50,7 @@
     ) -> ZoneServers:
         history = self._histories.setdefault((service, zone), _ZoneHistory())
         history.counts.append((now, len(ready)))
-        while history.counts[0][0] < now - BASELINE_LIFETIME_SECONDS:
+        while history.counts[0][0] < now - USUAL_COUNT_WINDOW_SECONDS:
             history.counts.popleft()
         usual_count = max(count for _, count in history.counts)
         if len(ready) >= usual_count:
