--- a/tests/choice_cost.py
+++ b/tests/choice_cost.py
@@ -1,6 +1,6 @@
-"""Prints the processor time of choices and surveys by the number of servers; run by hand.
+"""Prints the CPU time of server choices and slot counts by the number of servers; run by hand.
 
-``python -m tests.choice_cost``. Each figure is the median of many choices, in milliseconds.
+Run ``python -m tests.choice_cost``. Each figure is the median of many choices, in milliseconds.
 """
 
 import asyncio
@@ -30,12 +30,12 @@
 ZONES = {ZoneId(f"z{number}"): RegionId(f"r{number % 2}") for number in range(5)}
 ITEM_WORK = Work(WorkKind.ITEM, model=MODEL, minimum_version=1)
 REPORTS, REPORTED = 20, 200
-"""Daemons that report their use, and of how many servers each."""
+"""Daemons that report their use, and the servers that each reports."""
 REPEATS = 100
 
 
 def make_balancer(servers: int, daemons: int) -> Balancer:
-    """Returns a balancer that knows the paces of most servers and the reports of some daemons."""
+    """Returns a balancer that knows the service times of most servers and some daemons' reports."""
     rng = random.Random(1)
     board = Blackboard(RegionMap(ZoneId("z0"), ZONES))
     names = [InstanceId(f"s{number}") for number in range(servers)]
@@ -59,14 +59,14 @@
 
 
 def time_ms(use: Callable[[], object]) -> float:
-    """Returns the processor time of one use."""
+    """Returns the CPU time of one call in milliseconds."""
     began = time.process_time()
     use()
     return (time.process_time() - began) * 1000
 
 
 def make_uses(servers: int, daemons: int) -> tuple[Callable[[], object], ...]:
-    """Returns what is measured at one size of a fleet."""
+    """Returns the calls to time at one size of a fleet."""
     balancer = make_balancer(servers, daemons)
     names = [InstanceId(f"s{number}") for number in range(servers)]
     alive = frozenset(DaemonId(f"d{number}") for number in range(daemons))
@@ -81,7 +81,7 @@
 async def main() -> None:
     """Prints one line for each size of a fleet.
 
-    The sizes take turns, as the speed of a machine that is shared changes meanwhile.
+    The sizes alternate, because the speed of a shared machine varies over time.
     """
     fleets = {servers: make_uses(servers, daemons) for servers, daemons in FLEETS}
     times = {servers: [[] for _ in uses] for servers, uses in fleets.items()}
--- a/tests/cold_views.py
+++ b/tests/cold_views.py
@@ -1,4 +1,4 @@
-"""An engine that turns cold, and what daemons know of each other then, for the tests."""
+"""A cold engine, and daemons' views of the senders to it, for tests."""
 
 from larkpost.common.ids import Address, DaemonId, InstanceId, ZoneId
 from larkpost.gateway.blackboard.directory import InstanceInfo, InstanceState
@@ -20,15 +20,15 @@
 ITEM_WORK = Work(WorkKind.ITEM)
 INFO = InstanceInfo(ENGINE, ENGINES, Address("10.0.0.1:1"), ZoneId("z"), 8, InstanceState.READY)
 LONG_SECONDS = 30.0
-"""Longer than any of these tests lasts."""
+"""Longer than any of these tests."""
 
 
 def daemon_ids(count: int) -> list[DaemonId]:
-    """Returns the names of some daemons."""
+    """Returns the ids of some daemons."""
     return [DaemonId(f"daemon-{number}/0") for number in range(count)]
 
 
 def established_view(own: DaemonId, owners: list[DaemonId]) -> SenderView:
-    """Returns the view of a daemon that knows all owners, and is known to them."""
+    """Returns the view of a daemon that knows all owners and is known to them."""
     everyone = frozenset(owners)
     return SenderView(own, everyone, everyone, True, True, False)
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -10,7 +10,7 @@
 
 
 def append_without_condition():
-    """Appends results whatever the tail's version is."""
+    """Appends results without checking the version of the tail."""
     from larkpost.gateway.store.batch_tables import HEAD_TABLE, TAIL_TABLE
     from larkpost.platform.stand_in.memory_store import StoreClient
 
@@ -26,7 +26,7 @@
 
 
 def take_unknown_for_done():
-    """Does not read back after a write without an answer."""
+    """Assumes success after a write without a response, instead of reading it back."""
     from larkpost.gateway.rollouts.repository import BatchRepository
 
     original = BatchRepository.append
@@ -41,7 +41,7 @@
 
 
 def refuse_after_unknown():
-    """Says "not accepted" though a write was without an answer."""
+    """Reports "not accepted" although a write had no response."""
     from larkpost.gateway.rollouts.acceptance import AcceptOutcome
     from larkpost.gateway.rollouts.repository import BatchRepository
 
@@ -55,7 +55,7 @@
 
 
 def list_again():
-    """Appends what another owner has listed."""
+    """Appends results that another owner has already listed."""
     from larkpost.gateway.rollouts.result_appender import ResultAppender
 
     original = ResultAppender.__init__
@@ -78,7 +78,7 @@
 
 
 def accept_any_version():
-    """Takes any version for new enough."""
+    """Accepts every weight version as recent enough."""
     from larkpost.gateway.rollouts import repository
 
     original = repository.codec.decode_head
@@ -90,14 +90,14 @@
 
 
 def skip_echo_check():
-    """Takes the answer to another request for its own."""
+    """Accepts the response to another request."""
     from larkpost.platform import servers
 
     return mock.patch.object(servers, "check_executed", lambda *_: None)
 
 
 def take_lower_version():
-    """Takes an older configuration."""
+    """Accepts an older configuration."""
     from larkpost.gateway.blackboard.configuration import ConfigurationState
 
     def update(self, configuration):
@@ -108,7 +108,7 @@
 
 
 def trust_stale_listing():
-    """Takes rows as they come, older ones too."""
+    """Applies rows as they arrive, including outdated ones."""
     from larkpost.gateway.store.follower import TableFollower
 
     def take(self, row):
@@ -122,7 +122,7 @@
 
 
 def own_without_awaited_heartbeats():
-    """Owns batches, but beats like an idle daemon."""
+    """Owns batches, but writes heartbeats like an idle daemon."""
     from larkpost.gateway.controllers.heartbeat_writer import HeartbeatWriter
 
     return mock.patch.object(
@@ -131,7 +131,7 @@
 
 
 def keep_rows_of_earlier_lives():
-    """Leaves the rows of the machine's earlier lives, so that others wait for them."""
+    """Keeps the rows of the machine's earlier incarnations, so that others wait for them."""
     from larkpost.gateway.controllers.membership import Membership
 
     async def remove_old(self, rows):
@@ -141,7 +141,7 @@
 
 
 def judge_owner_like_an_idle_daemon():
-    """Waits for the long interval of an idle daemon though it owns a batch."""
+    """Applies an idle daemon's long interval to a batch owner."""
     from larkpost.gateway.controllers.membership import Membership
 
     def is_owner_alive(self, owner, since):
@@ -158,7 +158,7 @@
 
 
 def list_without_score():
-    """Lists whole outputs without their scores."""
+    """Lists complete outputs without their scores."""
     from larkpost.gateway.rollouts.owned_batch import OwnedBatch
 
     original = OwnedBatch._on_result
@@ -186,7 +186,7 @@
 
 
 def score_unsigned_answers():
-    """Takes any success for a score."""
+    """Accepts any successful response as a score."""
     from larkpost.gateway.rollouts import reward_caller
 
     original = reward_caller.classify_call_response
@@ -198,7 +198,7 @@
 
 
 def give_up_after_one_failed_call():
-    """Ends an item with the first failure of its reward call."""
+    """Ends an item at the first failure of its reward call."""
     from larkpost.gateway.rollouts.reward_scorer import RewardScorer
 
     original = RewardScorer.score
@@ -211,7 +211,7 @@
 
 
 def relay_unanswered_writes():
-    """Sends a write without an answer again by way of a peer."""
+    """Repeats a write without a response through a peer."""
     from larkpost.gateway.store import relay
 
     return mock.patch.object(
@@ -220,14 +220,14 @@
 
 
 def keep_one_row_of_an_output():
-    """Keeps of an output only what fits in one row."""
+    """Stores only the part of an output that fits in one row."""
     from larkpost.gateway.rollouts import partial_outputs
 
     return mock.patch.object(partial_outputs, "MAX_STORED_BYTES", 48_000)
 
 
 def believe_that_outputs_are_kept():
-    """Takes an output for kept, whatever the store answered."""
+    """Considers an output stored, whatever the store responds."""
     from larkpost.gateway.rollouts.repository import BatchRepository
 
     original = BatchRepository.keep_partials
@@ -240,21 +240,21 @@
 
 
 def ask_silent_peers_again():
-    """Asks a peer that did not answer again at once."""
+    """Asks an unresponsive peer again at once."""
     from larkpost.gateway.store import peers
 
     return mock.patch.object(peers, "PEER_COOLDOWN_SECONDS", 0.0)
 
 
 def keep_connections_of_nameless_refusals():
-    """Uses a connection again after a refusal that names no request."""
+    """Reuses a connection after a rejection that names no request."""
     from larkpost.platform.connections import CheckedConnector
 
     return mock.patch.object(CheckedConnector, "close_idle", lambda *_: None)
 
 
 def forget_whole_texts():
-    """Keeps whole outputs as if they were not whole."""
+    """Stores complete outputs as incomplete ones."""
     from larkpost.gateway.rollouts import repository
 
     original = repository.codec.decode_progress
@@ -268,28 +268,28 @@
 
 
 def admit_unknown_keys():
-    """Lets callers in whose key nobody holds."""
+    """Admits callers with an unknown key."""
     from larkpost.gateway.blackboard.configuration import Configuration
 
     return mock.patch.object(Configuration, "tenant_of", lambda self, _: (self.tenants or [])[0])
 
 
 def pass_keys_on():
-    """Passes a caller's key, and what it says of its tenant, on to the server."""
+    """Forwards the caller's key and tenant headers to the server."""
     from larkpost.platform import client_call
 
     return mock.patch.object(client_call, "OWN_REQUEST_HEADERS", frozenset({b"host", b"expect"}))
 
 
 def show_batches_to_other_tenants():
-    """Lets every tenant see every batch."""
+    """Lets every tenant read every batch."""
     from larkpost.gateway.blackboard.tenants import Caller
 
     return mock.patch.object(Caller, "can_read", lambda *_: True)
 
 
 def refuse_for_good_by_old_configurations():
-    """Says that there is no such key or route however old the configuration is."""
+    """Rejects unknown keys and routes permanently, however old the configuration is."""
     from larkpost.gateway.proxy import admission
 
     original = admission.Admission.__init__
@@ -301,7 +301,7 @@
 
 
 def decide_usage_anew():
-    """Sends whatever the counts are now, not what was decided."""
+    """Sends the current counts instead of those that were decided on."""
     from larkpost.gateway.usage import reporter
     from larkpost.gateway.usage.repository import DecidedReport
 
@@ -312,7 +312,7 @@
 
 
 def save_counts_without_condition():
-    """Writes counts whatever the row's version is, so that late writes undo later ones."""
+    """Writes counts without checking the row's version, so that late writes undo newer ones."""
     from larkpost.gateway.usage.repository import COUNT_TABLE
     from larkpost.platform.stand_in.memory_store import StoreClient
 
@@ -327,49 +327,49 @@
 
 
 def believe_own_clock():
-    """Takes this machine's time of day for the true one."""
+    """Uses this machine's time of day instead of the fleet's."""
     from larkpost.gateway.controllers.fleet_clock import FleetClock
 
     return mock.patch.object(FleetClock, "now", lambda self: self._clock.wall_ms() / 1000)
 
 
 def end_stalled_runs_without_places():
-    """Ends every run that makes nothing, whether another engine has a place or not."""
+    """Ends every stalled run, even if no other engine has a free slot."""
     from larkpost.gateway.rollouts.engine_selector import EngineSelector
 
     return mock.patch.object(EngineSelector, "count_free_slots", lambda *_: 1000)
 
 
 def mix_bursts_into_paces():
-    """Takes the smoothed pace of an engine, bursts and all, for its lasting one."""
+    """Uses the smoothed service time, including bursts, as the lasting one."""
     from larkpost.gateway.proxy.service_time_tracker import ServiceTimeTracker
 
     return mock.patch.object(ServiceTimeTracker, "lasting", lambda self, name: self._smoothed(name))
 
 
 def believe_any_slowness():
-    """Takes a server's word for its slowness, whatever its answers show."""
+    """Trusts a server's reported slowness, whatever its responses show."""
     from larkpost.gateway.proxy import slowness
 
     return mock.patch.object(slowness, "believed_slowness", lambda said, _: said)
 
 
 def forward_for_callers_that_left():
-    """Forwards requests whose callers had left before they were read."""
+    """Forwards requests whose callers disconnected before they were read."""
     from larkpost.platform import ingress
 
     return mock.patch.object(ingress, "LOOP_TURNS_TO_DETECT_CLOSE", 0)
 
 
 def ignore_permits():
-    """Sends to cold engines as to others."""
+    """Sends to cold engines without a limit."""
     from larkpost.gateway.placement.cold_rate_limit import ColdRateLimit
 
     return mock.patch.object(ColdRateLimit, "_limit", lambda *_: None)
 
 
 def claim_outside_homes():
-    """Has a batch claimed by any coordinator, wherever it may be served."""
+    """Lets any coordinator claim a batch, whatever its regions."""
     from larkpost.gateway.rollouts.claims import BatchClaims
 
     return mock.patch.object(BatchClaims, "_allowed_regions", lambda *_: None)
@@ -384,7 +384,7 @@
 
 
 def forget_evacuations():
-    """Lets an evacuation lapse by itself after a while."""
+    """Ends an evacuation by itself after some time."""
     from larkpost.gateway.controllers.row_recorder import RowRecorder
 
     original = RowRecorder.drop_expired_entries
@@ -401,7 +401,7 @@
 
 
 def miss_ends_of_evacuations():
-    """Passes rows over that are gone, as those of configurations are."""
+    """Ignores removed rows of evacuations, as with configurations."""
     from larkpost.gateway.controllers.row_recorder import RowRecorder
 
     original = RowRecorder.record_operator_row
@@ -414,35 +414,35 @@
 
 
 def trust_silent_connections():
-    """Goes on using the other connections to an address of which one has gone silent."""
+    """Keeps using the other connections to an address after one of them has died."""
     from larkpost.platform.dead_connections import DeadConnectionDetector
 
     return mock.patch.object(DeadConnectionDetector, "is_suspect", lambda *_: False)
 
 
 def wait_on_silent_connections():
-    """Leaves a call on a silent connection until its time is over."""
+    """Keeps a call on a dead connection until its timeout."""
     from larkpost.platform.watched_connection import WatchedConnection
 
     return mock.patch.object(WatchedConnection, "_schedule_check", lambda *_: None)
 
 
 def give_up_writes_without_proof():
-    """Ends a write on a connection that looks silent, though the store may only be slow."""
+    """Aborts a write on a connection that looks dead, though the store may only be slow."""
     from larkpost.platform.watched_connection import WatchedConnection
 
     return mock.patch.object(WatchedConnection, "_awaits_probe", lambda _: False)
 
 
 def send_crashing_requests_on():
-    """Sends a request on, however many servers have crashed under it."""
+    """Sends a request however many servers have crashed while running it."""
     from larkpost.gateway.blackboard.known_crashes import KnownCrashes
 
     return mock.patch.object(KnownCrashes, "is_content_quarantined", lambda *_: False)
 
 
 def keep_crashes_to_oneself():
-    """Tells no other daemon of crashes."""
+    """Reports no crashes to other daemons."""
     from larkpost.gateway.quarantine.repository import CrashRepository
 
     async def save(self, added, removed):
@@ -452,7 +452,7 @@
 
 
 def take_lost_connections_for_crashes():
-    """Takes a server for crashed whenever it leaves a request without an answer."""
+    """Treats every lost connection to a server as its crash."""
     from larkpost.gateway.quarantine.crash_detector import CrashDetector, CrashEvidence
 
     async def seek_evidence(self, suspect, *, has_new_loss):
@@ -462,7 +462,7 @@
 
 
 def run_suspects_together():
-    """Runs requests under which servers crashed side by side."""
+    """Runs suspect requests side by side on one server."""
     from larkpost.gateway.placement.decision import PlacementDecision
     from larkpost.gateway.quarantine.isolation_rule import IsolationRule
 
@@ -470,14 +470,14 @@
 
 
 def never_clear_requests():
-    """Holds a request on though a server has run it whole."""
+    """Keeps a request quarantined although a server has completed it."""
     from larkpost.gateway.quarantine.crash_recorder import CrashRecorder
 
     return mock.patch.object(CrashRecorder, "record_success", lambda *_: None)
 
 
 def stand_still_while_suspended():
-    """Goes by a clock that stands still while the machine is suspended."""
+    """Uses a clock that stops while the machine is suspended."""
     from larkpost.common.clock import LoopClock
     from tests.platform_fleet import MachineClock
 
@@ -491,7 +491,7 @@
 
 
 def trust_the_plain_clock():
-    """Reads the system's plain steady clock."""
+    """Uses CLOCK_MONOTONIC."""
     import time
 
     from larkpost.common import steady_time
@@ -500,14 +500,14 @@
 
 
 def reserve_no_bytes():
-    """Holds whatever comes, and counts none of it."""
+    """Accepts any number of bytes without counting them."""
     from larkpost.gateway.memory.budget import MemoryBudget
 
     return mock.patch.object(MemoryBudget, "add", lambda *_: None)
 
 
 def weigh_daemons_of_earlier_builds():
-    """Takes a daemon that reports no capacity for an ordinary one, which it does not do itself."""
+    """Assumes an ordinary capacity for daemons of earlier versions, which do not assume it."""
     from larkpost.gateway.controllers import coordinators
 
     original = coordinators._weights
@@ -520,35 +520,35 @@
 
 
 def hold_bodies_of_anyone():
-    """Holds room for the bodies of calls that are not admitted."""
+    """Reserves memory for the bodies of calls that are not admitted."""
     from larkpost.platform.ingress import Ingress
 
     return mock.patch.object(Ingress, "_check_admitted", lambda *_: None)
 
 
 def wait_for_slow_readers():
-    """Cuts no client, however slowly it takes its answer."""
+    """Never disconnects slow clients."""
     from larkpost.gateway.memory import daemon_memory
 
     return mock.patch.object(daemon_memory, "slowest_client", lambda _: None)
 
 
 def ignore_the_start():
-    """Takes a server that has started again for the one before."""
+    """Treats a restarted server as the previous incarnation."""
     from larkpost.platform import instance_rows
 
     return mock.patch.object(instance_rows, "read_start_ms", lambda _: None)
 
 
 def divide_by_work_alone():
-    """Lends no engines, whoever is short of time."""
+    """Lends no engines."""
     from larkpost.gateway.controllers import lending
 
     return mock.patch.object(lending, "lending_role", lambda _: lending.LendingRole.NONE)
 
 
 def load_before_the_batch():
-    """Has engines load together though the batch that comes with the version is not here yet."""
+    """Loads engines together before the batch for the version has arrived."""
     from larkpost.gateway.controllers import due_loads
 
     original = due_loads.is_urgent
@@ -558,42 +558,42 @@
 
 
 def keep_progress_to_oneself():
-    """Tells the other daemons nothing of the batches that this one owns."""
+    """Reports no batch progress to other daemons."""
     from larkpost.gateway.rollouts.batch_forecaster import BatchForecaster
 
     return mock.patch.object(BatchForecaster, "record_report", lambda *_: None)
 
 
 def forget_shares():
-    """Takes all tenants' requests as equal, however much one of them has."""
+    """Ignores how much each tenant already uses."""
     from larkpost.gateway.proxy.fair_order import FairOrder
 
     return mock.patch.object(FairOrder, "_flow_share", lambda *_: None)
 
 
 def take_any_wait_for_a_shortage():
-    """Shares out the places as soon as a request waits, also if they suffice."""
+    """Enforces shares as soon as a request waits, even if there are enough slots."""
     from larkpost.gateway.proxy.shortage_detector import ShortageDetector
 
     return mock.patch.object(ShortageDetector, "is_persistent", lambda *_: True)
 
 
 def keep_use_to_oneself():
-    """Goes by this daemon's own requests alone."""
+    """Counts this daemon's own requests only."""
     from larkpost.gateway.fairness.ledger import FlowLedger
 
     return mock.patch.object(FlowLedger, "record_report", lambda *_: None)
 
 
 def look_at_all_servers():
-    """Looks at all servers of a service for each choice, however many it has."""
+    """Examines all servers of a service for each choice."""
     from larkpost.gateway.proxy import server_pool
 
     return mock.patch.object(server_pool, "MAX_UNSAMPLED_INSTANCES", 1_000_000)
 
 
 def keep_servers_of_daemons_that_are_gone():
-    """Counts daemons for a server that are gone: a server may be left to nobody."""
+    """Keeps counting removed daemons for a server, which may leave it to no daemon."""
     from larkpost.gateway.proxy.subset import DaemonSubset
 
     original = DaemonSubset.update
@@ -605,14 +605,14 @@
 
 
 def stay_with_the_subset():
-    """Looks at no others when the whole subset has failed or is full."""
+    """Never extends the subset, even if all its servers have failed or are full."""
     from larkpost.gateway.proxy.server_pool import ServerPool
 
     return mock.patch.object(ServerPool, "extend_pool", lambda *_: [])
 
 
 def be_content_with_one_open_server():
-    """Searches no others while one of those looked at is open to the work, tried or full."""
+    """Accepts a pool with a single open server, even if it was tried or is full."""
     from larkpost.gateway.proxy import balancer
 
     return mock.patch.object(balancer, "MIN_OPEN_INSTANCES", 1)
@@ -688,7 +688,7 @@
     )
 }
 TESTS = dict.fromkeys(MUTANTS, FUZZ) | {
-    # 120 examples of the fuzz were seen not to catch these three, so directed tests do.
+    # The fuzz does not catch these three, so directed tests do.
     "append_without_condition": "tests.test_durable_batches",
     "refuse_after_unknown": "tests.test_durable_batches",
     "order_without_lease": "tests.test_weights",
@@ -718,7 +718,7 @@
     "believe_any_slowness": "tests.test_paces",
     "forward_for_callers_that_left": "tests.test_platform_ingress",
     "ignore_permits": "tests.test_cold_fleet",
-    # 60 examples of the fuzz caught it, 120 with a far store did not.
+    # The fuzz does not catch it reliably, so a directed test does.
     "claim_outside_homes": "tests.test_regions",
     "miss_ends_of_evacuations": "tests.test_evacuations",
     "divide_by_work_alone": "tests.test_lending",
@@ -766,4 +766,4 @@
     "take_any_wait_for_a_shortage": ("held back while there is room",),
     "forget_shares": ("the small tenants pay for the heavy one",),
 }
-"""What the failure must name: another failure proves nothing about the mutant."""
+"""Text that the failure must contain; another failure proves nothing about the mutant."""
--- a/tests/scripted_scaling.py
+++ b/tests/scripted_scaling.py
@@ -1,4 +1,4 @@
-"""A receiver of orders of servers in memory, with the platform's contract and its faults."""
+"""In-memory scaling port with the platform's contract and faults."""
 
 from dataclasses import dataclass, field
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedOrder:
-    """An order that arrived; `at`: seconds on the receiver's clock."""
+    """A received order; `at` is in seconds on the receiver's clock."""
 
     order: ScalingOrder
     holder: str
@@ -20,12 +20,12 @@
 
 @dataclass(slots=True)
 class ScriptedScaling:
-    """Takes orders; implements `larkpost.gateway.scaling.port.ScalingPort`.
+    """Accepts orders; implements `larkpost.gateway.scaling.port.ScalingPort`.
 
     Attributes:
-        down: nothing is answered and nothing is taken.
+        down: no order is answered or accepted.
         has_preemptible: whether there are preemptible servers.
-        received: all orders that arrived, in order.
+        received: all received orders, in order.
     """
 
     clock: Clock
@@ -41,9 +41,9 @@
         if self.down:
             await self.clock.sleep(timeout)
             return ScalingOutcome.UNKNOWN
-        is_cheap = order.kind is ServerKind.PREEMPTIBLE
+        is_preemptible = order.kind is ServerKind.PREEMPTIBLE
         outcome = ScalingOutcome.TAKEN
-        if is_cheap and not self.has_preemptible:
+        if is_preemptible and not self.has_preemptible:
             outcome = ScalingOutcome.REFUSED
         self.received.append(ReceivedOrder(order, holder, lease.token, self.clock.now(), outcome))
         return outcome
--- a/tests/test_cold_bound.py
+++ b/tests/test_cold_bound.py
@@ -1,4 +1,4 @@
-"""Cold servers: the bound over owners that send all they may, some of them cut off."""
+"""Cold servers: the limit holds while owners send all they may and some are cut off."""
 
 import random
 import unittest
@@ -26,11 +26,11 @@
 
 
 class GreedyDaemon:
-    """A daemon that sends to one cold engine whatever its rule lets through, if it is an owner.
+    """A batch owner that sends everything its rate limit admits to one cold engine.
 
     Attributes:
-        delay: seconds after which it hears of owners; if it is cut off it hears of none.
-        cut_at: since when it is cut off; None if it is not.
+        delay: seconds after which it learns of owners; it learns of none while it is cut off.
+        cut_at: when it was cut off; None if it is not.
     """
 
     def __init__(self, own: DaemonId, clock: LoopClock, history: list) -> None:
@@ -50,23 +50,23 @@
         self.rule = ColdRateLimit(COLD_TERMS, blackboard, clock, EventLog(own), senders)
 
     def silence(self) -> float:
-        """Returns for how long it has heard nothing."""
+        """Returns the seconds for which it has been cut off."""
         return self.clock.now() - self.cut_at if self.cut_at is not None else 0.0
 
     def has_recent_listing(self) -> bool:
-        """Tells whether it hears the others; see `Membership`."""
+        """Returns whether it has recently listed the others; see `Membership`."""
         return self.silence() < MAX_LISTING_AGE_INTERVALS * FAST_HEARTBEAT_SECONDS
 
     def alive(self) -> tuple[DaemonId, ...]:
-        """Returns the members."""
+        """Returns the live daemons."""
         return ()
 
     def age(self, now: float) -> float:
-        """Returns the age of the feed of heads."""
+        """Returns the age of the batch feed."""
         return self.delay + self.silence()
 
     def owners(self) -> set[DaemonId]:
-        """Returns the owners that it knows of, itself for as long as it believes to be one."""
+        """Returns the owners that it knows of, itself included while it considers itself one."""
         known_at = (self.cut_at if self.cut_at is not None else self.clock.now()) - self.delay
         known = next((owners for at, owners in reversed(self.history) if at <= known_at), set())
         if self.cut_at is None:
@@ -74,7 +74,7 @@
         return known - {self.own} | ({self.own} if self.is_owner else set())
 
     def send(self) -> int:
-        """Sends as much as it may at this moment, and returns how much that was."""
+        """Sends as much as it may at this moment, and returns the number of sends."""
         self.owners()
         if not self.is_owner:
             return 0
@@ -82,7 +82,7 @@
 
 
 class GreedyOwnersTest(unittest.TestCase):
-    """Three batches at a time, each step's at new owners, while some are cut off and go on."""
+    """Three batches at a time, with new owners each step, while some are cut off and go on."""
 
     DAEMONS = 12
     TRAINERS = 3
@@ -91,7 +91,7 @@
     MOST_CUT = 4
 
     def play(self, seed: int, cuts: int) -> int:
-        """Plays a minute, checks all its seconds, and returns how many requests were sent."""
+        """Simulates a minute, checks every second, and returns the number of requests sent."""
 
         async def work() -> list[float]:
             rng, clock, history = random.Random(seed), LoopClock(), [(0.0, set())]
@@ -117,7 +117,7 @@
         return len(times)
 
     def disturb(self, rng: random.Random, daemons: list[GreedyDaemon], cuts: int) -> None:
-        """Makes news slow or quick, and cuts a daemon off or heals it, now and then."""
+        """Changes the delay of news at random, and cuts daemons off or reconnects them."""
         daemon = rng.choice(daemons)
         if daemon.cut_at is None:
             daemon.delay = rng.choice((0.02, 0.1, 0.5))
--- a/tests/test_cold_rule.py
+++ b/tests/test_cold_rule.py
@@ -1,4 +1,4 @@
-"""Cold servers: the rule of one daemon, and what makes an instance count as cold."""
+"""Cold servers: the rate limit of one daemon, and when an instance counts as cold."""
 
 import random
 import unittest
@@ -52,11 +52,11 @@
 from tests.virtual import run
 
 
-class RuleTest(unittest.TestCase):
-    """The rule of one daemon that is the only owner."""
+class ColdRateLimitTest(unittest.TestCase):
+    """The rate limit of a daemon that is the only owner."""
 
     def play(self, work, terms: ColdTerms | None = COLD_TERMS) -> None:
-        """Runs a test on virtual time with a rule for one cold engine."""
+        """Runs a test on virtual time with a rate limit for one cold engine."""
 
         async def begin() -> None:
             self.clock = LoopClock()
@@ -75,10 +75,10 @@
         run(begin())
 
     def admitted(self, work: Work = ITEM_WORK, tries: int = 100) -> int:
-        """Returns how many of some sends are let through at this moment."""
+        """Returns how many of some sends are admitted now."""
         return sum(self.rule.admit(INFO, work).is_allowed for _ in range(tries))
 
-    def test_share_is_let_through_in_each_window(self) -> None:
+    def test_quota_is_admitted_in_each_window(self) -> None:
         async def work() -> None:
             self.assertEqual(self.share, self.admitted())
             await self.clock.sleep(SECOND)
@@ -88,7 +88,7 @@
 
         self.play(work)
 
-    def test_choice_takes_nothing_and_sees_what_is_left(self) -> None:
+    def test_evaluate_counts_nothing_and_sees_remaining_sends(self) -> None:
         async def work() -> None:
             for _ in range(100):
                 self.assertIs(PlacementDecision.ALLOWED, self.rule.evaluate(INFO, ITEM_WORK))
@@ -104,7 +104,7 @@
 
         self.play(work)
 
-    def test_orders_are_no_requests(self) -> None:
+    def test_load_orders_do_not_count(self) -> None:
         async def work() -> None:
             self.assertEqual(100, self.admitted(ORDER_WORK))
             self.assertEqual(self.share, self.admitted())
@@ -120,7 +120,7 @@
 
         self.play(work)
 
-    def test_daemon_that_hears_nothing_is_limited_at_engines_that_may_have_turned_cold(self):
+    def test_stale_view_limits_engines_that_may_be_cold(self):
         async def work() -> None:
             self.blackboard.cold = self.rule._blackboard.cold = ColdInstances()
             self.senders.view.return_value = replace(self.senders.view(), is_stale=True)
@@ -129,7 +129,7 @@
 
         self.play(work)
 
-    def test_places_given_count_until_they_are_sent(self) -> None:
+    def test_reservations_count_until_sent(self) -> None:
         async def work() -> None:
             for _ in range(self.share):
                 self.assertIs(PlacementDecision.ALLOWED, self.rule.evaluate(INFO, ITEM_WORK))
@@ -139,7 +139,7 @@
 
         self.play(work)
 
-    def test_shares_of_different_engines_are_independent(self) -> None:
+    def test_quotas_of_different_engines_are_independent(self) -> None:
         async def work() -> None:
             other = replace(INFO, id=NEW_ENGINE)
             self.blackboard.cold.record(NEW_ENGINE, LONG_SECONDS, self.clock.now())
@@ -148,7 +148,7 @@
 
         self.play(work)
 
-    def test_warm_again_after_its_time(self) -> None:
+    def test_engine_is_warm_after_its_cold_time(self) -> None:
         async def work() -> None:
             self.admitted()
             await self.clock.sleep(LONG_SECONDS)
@@ -157,7 +157,7 @@
 
         self.play(work)
 
-    def test_only_a_send_to_a_cold_engine_must_be_made_at_once(self) -> None:
+    def test_only_sends_to_cold_engines_have_a_timeout(self) -> None:
         async def work() -> None:
             placement = Placement(
                 self.blackboard.directory, (self.rule,), send_timeout=self.rule.send_timeout
@@ -198,12 +198,12 @@
                 balancer.occupy(OTHER_ENGINE)
             found = balancer.candidates(ENGINES)
             self.assertEqual([OTHER_ENGINE, ENGINE], [info.id for info in found])
-            balancer.record_cold(OTHER_ENGINE, 2.0)  # its own answer says so
+            balancer.record_cold(OTHER_ENGINE, 2.0)  # as its own response reports
             self.assertEqual(ENGINE, balancer.candidates(ENGINES)[0].id)
 
         self.play(work)
 
-    def test_refusal_leaves_the_engine_to_others_at_once(self) -> None:
+    def test_rejection_does_not_make_the_engine_avoided(self) -> None:
         async def work() -> None:
             placement = Placement(self.blackboard.directory, (self.rule,))
             balancer = Balancer(
@@ -222,8 +222,8 @@
         self.play(work)
 
 
-class ReadTest(unittest.TestCase):
-    """What operator and servers write."""
+class ParsingTest(unittest.TestCase):
+    """Cold settings in the operator's configuration and in server entries."""
 
     def test_service_with_a_limit_and_one_without(self) -> None:
         services = [
@@ -236,21 +236,21 @@
         self.assertEqual((3.0, 9.3), (read["a"].cold_start, read["a"].cold_rate))
         self.assertEqual((0.0, 0.0), (read["b"].cold_start, read["b"].cold_rate))
 
-    def test_entry_that_says_how_long_or_is_none(self) -> None:
+    def test_entry_with_and_without_cold_time(self) -> None:
         entry = {"service": "a", "address": "10.0.0.1:1", "zone": "z", "version": "v1", "slots": 1}
         entry |= {"state": "ready", "seq": 1}
-        for told, left in (({"cold-left-ms": 1500}, 1.5), ({"cold-left-ms": 0}, 0.0)):
-            row = Row(RowKey("servers", "", "i"), orjson.dumps({**entry, **told}), 1)
+        for reported, left in (({"cold-left-ms": 1500}, 1.5), ({"cold-left-ms": 0}, 0.0)):
+            row = Row(RowKey("servers", "", "i"), orjson.dumps({**entry, **reported}), 1)
             self.assertEqual(left, read_instance(row).cold_left)
         row = Row(RowKey("servers", "", "i"), orjson.dumps(entry), 1)
         self.assertRaises(UnreadableRowError, read_instance, row)
 
 
-class NewsTest(unittest.TestCase):
-    """What makes an instance count as cold."""
+class ColdStateTest(unittest.TestCase):
+    """When an instance counts as cold."""
 
     def play(self, work, *, has_full_listing: bool = True) -> None:
-        """Runs a test on virtual time with an intake of rows."""
+        """Runs a test on virtual time with a recorder of rows."""
 
         async def begin() -> None:
             self.clock = LoopClock()
@@ -269,33 +269,33 @@
         run(begin())
 
     def take(self, cold_left: float | None) -> float:
-        """Takes an entry of the engine, and returns for how long it counts as cold."""
+        """Records an entry of the engine, and returns for how long it counts as cold."""
         self.info = replace(INFO, cold_left=cold_left)
         self.row_recorder.record_instance_row(Row(RowKey("instances", "", ENGINE), b"", 1))
         return self.blackboard.cold.seconds_left(ENGINE, self.clock.now())
 
-    def test_new_during_traffic_whether_its_entry_says_so_or_nothing(self) -> None:
-        for told in (None, 0.5, COLD_SECONDS):
+    def test_new_instance_is_cold_whatever_its_entry_says(self) -> None:
+        for reported in (None, 0.5, COLD_SECONDS):
 
-            async def work(told=told) -> None:
-                self.assertEqual(COLD_SECONDS, self.take(told))
+            async def work(reported=reported) -> None:
+                self.assertEqual(COLD_SECONDS, self.take(reported))
 
             self.play(work)
 
-    def test_new_and_said_to_be_warm(self) -> None:
+    def test_new_instance_reported_warm(self) -> None:
         async def work() -> None:
             self.assertEqual(0.0, self.take(0.0))
 
         self.play(work)
 
-    def test_listed_when_this_daemon_began(self) -> None:
+    def test_instance_listed_at_daemon_start(self) -> None:
         async def work() -> None:
             self.assertEqual(0.0, self.take(None))
             self.assertEqual(1.5, self.take(1.5))
 
         self.play(work, has_full_listing=False)
 
-    def test_back_after_its_entry_went_while_the_store_was_away(self) -> None:
+    def test_entry_returns_after_a_store_outage(self) -> None:
         async def work() -> None:
             self.take(0.0)
             self.sound = 0.0
@@ -306,16 +306,16 @@
 
         self.play(work)
 
-    def test_entry_that_says_it_is_cold_again(self) -> None:
+    def test_entry_reports_cold_again(self) -> None:
         async def work() -> None:
             self.take(0.0)
             await self.clock.sleep(50.0)
             self.assertEqual(2.0, self.take(2.0))
-            self.assertEqual(2.0, self.take(0.0))  # an older statement may come late
+            self.assertEqual(2.0, self.take(0.0))  # an older report may arrive late
 
         self.play(work)
 
-    def test_zone_whose_evacuation_has_ended(self) -> None:
+    def test_zone_after_its_evacuation(self) -> None:
         async def work() -> None:
             self.take(0.0)
             cold, now = self.blackboard.cold, self.clock.now()
--- a/tests/test_cold_senders.py
+++ b/tests/test_cold_senders.py
@@ -1,4 +1,4 @@
-"""Cold servers: what a daemon knows of the others that send to them."""
+"""Cold servers: what a daemon knows of the other senders."""
 
 import unittest
 
@@ -19,24 +19,24 @@
 
 
 class FakeMembers:
-    """Heartbeats as a test wishes."""
+    """Heartbeats that a test controls."""
 
     def __init__(self) -> None:
         self.listed = True
-        self.hears = True
+        self.has_listing = True
         self.everyone = daemon_ids(3)
 
     def has_recent_listing(self) -> bool:
-        """Tells whether this daemon hears the others."""
-        return self.hears
+        """Returns whether this daemon has recently listed the others."""
+        return self.has_listing
 
     def alive(self) -> list[DaemonId]:
-        """Returns the daemons held alive."""
+        """Returns the daemons considered alive."""
         return self.everyone
 
 
-class FakeHeads:
-    """A feed of heads as a test wishes."""
+class FakeBatchFeed:
+    """A batch feed that a test controls."""
 
     def __init__(self) -> None:
         self.listed = True
@@ -47,33 +47,33 @@
         return self.age_seconds
 
 
-class SendersTest(unittest.TestCase):
-    """What a daemon knows of the other senders."""
+class SenderTrackerTest(unittest.TestCase):
+    """One daemon's view of the senders."""
 
     def play(self, work) -> None:
-        """Runs a test on virtual time with the senders of the first of three daemons."""
+        """Runs a test on virtual time with the tracker of the first of three daemons."""
 
         async def begin() -> None:
             self.clock = LoopClock()
             self.own, *self.others = daemon_ids(3)
             self.owners = {self.own, *self.others}
             self.members = FakeMembers()
-            self.heads = FakeHeads()
+            self.batch_feed = FakeBatchFeed()
             self.senders = SenderTracker(self.own, self.clock)
-            self.senders.set_sources(lambda: self.owners, self.members, self.heads)
+            self.senders.set_sources(lambda: self.owners, self.members, self.batch_feed)
             await work()
 
         run(begin())
 
     async def wait(self, seconds: float) -> SenderView:
-        """Lets time pass while the rule asks again and again, and returns the view then."""
+        """Lets time pass while the view is requested repeatedly, and returns the last view."""
         end = self.clock.now() + seconds
         while self.clock.now() < end:
             await self.clock.sleep(VIEW_LIFETIME_SECONDS)
             view = self.senders.view()
         return view
 
-    def test_new_owner_is_settled_after_a_while(self) -> None:
+    def test_new_owner_becomes_established(self) -> None:
         async def work() -> None:
             self.assertFalse(self.senders.view().is_established)
             self.assertFalse((await self.wait(NEW_OWNER_SECONDS - 0.2)).is_established)
@@ -81,23 +81,23 @@
 
         self.play(work)
 
-    def test_owner_that_hears_nothing_of_the_store_is_not_settled(self) -> None:
+    def test_owner_cut_off_from_the_store_is_not_established(self) -> None:
         async def work() -> None:
             self.assertTrue((await self.wait(2.0)).is_established)
-            self.members.hears = False
+            self.members.has_listing = False
             view = await self.wait(0.2)
             self.assertEqual((False, True), (view.is_established, view.is_stale))
-            self.members.hears = True
+            self.members.has_listing = True
             self.assertTrue((await self.wait(0.2)).is_established)
-            self.heads.age_seconds = 5.0
+            self.batch_feed.age_seconds = 5.0
             self.assertFalse((await self.wait(0.2)).is_established)
 
         self.play(work)
 
-    def test_owner_of_long_ago_is_new_again(self) -> None:
+    def test_former_owner_is_new_again(self) -> None:
         async def work() -> None:
             self.assertTrue((await self.wait(2.0)).is_established)
-            await self.clock.sleep(LONG_SECONDS)  # nobody asks meanwhile
+            await self.clock.sleep(LONG_SECONDS)  # the view is not requested meanwhile
             self.assertFalse(self.senders.view().is_established)
 
         self.play(work)
@@ -114,7 +114,7 @@
 
         self.play(work)
 
-    def test_young_daemon_sends_no_requests_of_clients(self) -> None:
+    def test_new_daemon_does_not_know_the_members(self) -> None:
         async def work() -> None:
             self.assertFalse((await self.wait(STARTUP_SECONDS - 0.3)).knows_members)
             self.assertTrue((await self.wait(0.5)).knows_members)
@@ -123,7 +123,7 @@
 
         self.play(work)
 
-    def test_daemon_that_was_not_told_whom_to_ask_knows_nobody(self) -> None:
+    def test_tracker_without_sources_is_stale(self) -> None:
         async def work() -> None:
             view = SenderTracker(self.own, self.clock).view()
             self.assertEqual(
--- a/tests/test_cold_share.py
+++ b/tests/test_cold_share.py
@@ -1,4 +1,4 @@
-"""Cold servers: how much of the bound each daemon may use."""
+"""Cold servers: the quota of each daemon."""
 
 import unittest
 from dataclasses import replace
@@ -18,13 +18,13 @@
 from tests.cold_views import BOUND, ENGINE, daemon_ids, established_view
 
 
-class ShareTest(unittest.TestCase):
-    """The shares of all daemons together, with an owner of whom the others have not heard."""
+class QuotaTest(unittest.TestCase):
+    """The quotas of all daemons together, including an owner unknown to the others."""
 
     def test_bound_of_the_example(self) -> None:
         self.assertAlmostEqual(18.95, ColdTerms(1.5, 5).bound(9.3))
 
-    def test_all_shares_together_are_within_the_bound(self) -> None:
+    def test_sum_of_quotas_is_within_the_bound(self) -> None:
         for bound in (5.0, 8.0, BOUND, 60.0):
             for count in range(1, 60):
                 owners = daemon_ids(count)
@@ -41,7 +41,7 @@
                     self.assertLessEqual(sent, bound, (bound, count, is_engine))
                     self.assertGreater(sent, 0, (bound, count, is_engine))
 
-    def test_owner_that_has_just_joined_breaks_nothing_before_the_others_have_heard(self) -> None:
+    def test_unseen_new_owner_keeps_the_bound(self) -> None:
         for count in range(1, 30):
             owners = daemon_ids(count)
             new = DaemonId("new/0")
@@ -54,7 +54,7 @@
                 sent = known + owner_quota(BOUND, view, ENGINE, is_engine=True)
                 self.assertLessEqual(sent, BOUND, count)
 
-    def test_three_owners_that_have_just_joined_break_nothing_beside_three_others(self) -> None:
+    def test_three_new_owners_beside_three_others_keep_the_bound(self) -> None:
         owners, everyone = daemon_ids(3), daemon_ids(6)
         views = [established_view(own, owners) for own in owners]
         views += [
@@ -62,20 +62,20 @@
         ]
         sent = [owner_quota(BOUND, view, ENGINE, is_engine=True) for view in views]
         self.assertEqual([3, 3, 3, 1, 1, 1], sent)
-        self.assertLessEqual(sum(sent) + MIN_SENDS, BOUND)  # and a client's request
+        self.assertLessEqual(sum(sent) + MIN_SENDS, BOUND)  # leaves one client request
 
-    def test_owner_that_hears_nothing_takes_the_least_share(self) -> None:
+    def test_owner_with_stale_view_gets_the_minimum(self) -> None:
         view = replace(
             established_view(daemon_ids(1)[0], daemon_ids(2)), is_established=False, is_stale=True
         )
         self.assertEqual(MIN_SENDS, owner_quota(BOUND, view, ENGINE, is_engine=True))
 
-    def test_daemon_that_knows_nobody_takes_the_least_share(self) -> None:
+    def test_empty_view_gets_the_minimum(self) -> None:
         view = SenderView(DaemonId("new/0"), frozenset(), frozenset())
         self.assertEqual(MIN_SENDS, owner_quota(BOUND, view, ENGINE, is_engine=True))
         self.assertEqual(0, client_quota(BOUND, view, ENGINE, is_engine=False))
 
-    def test_few_daemons_send_requests_of_clients(self) -> None:
+    def test_few_daemons_send_client_requests(self) -> None:
         members = daemon_ids(300)
         sent = [
             client_quota(BOUND, established_view(own, members), ENGINE, is_engine=False)
@@ -84,43 +84,43 @@
         self.assertEqual(7, sum(sent))
 
 
-class AllowedSendsTest(unittest.TestCase):
-    """Which share a send counts against, as a table of cases; the bound is 18.95."""
+class SendQuotaTest(unittest.TestCase):
+    """The quota of each send category; the bound is 18.95."""
 
-    def test_each_kind_of_send(self) -> None:
+    def test_each_send_category(self) -> None:
         own = daemon_ids(1)[0]
         alone = established_view(own, [own])
-        newcomer = replace(alone, is_established=False)
-        blind = replace(newcomer, is_stale=True, knows_members=False)
+        new_owner = replace(alone, is_established=False)
+        stale = replace(new_owner, is_stale=True, knows_members=False)
         for view, is_owner_work, is_cold, is_engine, expected in (
-            (alone, True, True, True, 5),  # 0.8 of the bound among two owners and one unheard of
+            (alone, True, True, True, 5),  # 0.8 of the bound for two owners and one unseen
             (alone, True, True, False, 1),
-            (newcomer, True, True, True, 1),  # a twelfth of the owners' part
-            (blind, True, True, True, MIN_SENDS),
-            (blind, True, False, True, 5),  # it may have turned cold unheard
-            (blind, True, False, False, MIN_SENDS),
+            (new_owner, True, True, True, 1),  # 1/12 of the owners' part
+            (stale, True, True, True, MIN_SENDS),
+            (stale, True, False, True, 5),  # it may have turned cold unnoticed
+            (stale, True, False, False, MIN_SENDS),
             (alone, False, True, True, MIN_SENDS),
             (alone, False, True, False, MIN_SENDS),
-            (blind, False, True, True, 0),  # it may not be the one that is named
+            (stale, False, True, True, 0),  # it may not be a selected daemon
         ):
-            kind = SendCategory(ENGINE, is_owner_work, is_cold, BOUND)
-            with self.subTest(view=view, kind=kind, is_engine=is_engine):
-                self.assertEqual(expected, send_quota(view, kind, is_engine=is_engine))
+            category = SendCategory(ENGINE, is_owner_work, is_cold, BOUND)
+            with self.subTest(view=view, category=category, is_engine=is_engine):
+                self.assertEqual(expected, send_quota(view, category, is_engine=is_engine))
 
 
 class ManyDaemonsTest(unittest.TestCase):
-    """A zone's instances turn cold at once in a large fleet."""
+    """All instances of a zone turn cold at once in a large fleet."""
 
-    def test_few_daemons_are_weighed_for_each_instance(self) -> None:
+    def test_few_daemons_are_ranked_for_each_instance(self) -> None:
         members = daemon_ids(370)
         view, instances = established_view(members[0], members), 200
-        with mock.patch.object(cold_rate_quota, "_weight", wraps=cold_rate_quota._weight) as weigh:
+        with mock.patch.object(cold_rate_quota, "_weight", wraps=cold_rate_quota._weight) as weight:
             named = sum(
                 client_quota(BOUND, view, InstanceId(f"engine-{number}"), is_engine=False)
                 for number in range(instances)
             )
         self.assertGreater(named, 0)
-        self.assertLess(weigh.call_count, instances * len(members) / 4)
+        self.assertLess(weight.call_count, instances * len(members) / 4)
 
 
 if __name__ == "__main__":
--- a/tests/test_division_cost.py
+++ b/tests/test_division_cost.py
@@ -1,4 +1,4 @@
-"""Load: hundreds of engines, and items that ask for the division at each place that they take."""
+"""Cost of engine allocations with hundreds of engines and frequent queries."""
 
 import unittest
 
@@ -16,13 +16,13 @@
 from tests.virtual import run
 
 ENGINES = 300
-QUESTIONS = 50
+QUERIES = 50
 
 
-class DivisionCostTest(unittest.TestCase):
-    """How often a division looks at its engines."""
+class AllocationCostTest(unittest.TestCase):
+    """How often an allocation examines its engines."""
 
-    def test_one_pass_serves_all_who_ask_meanwhile(self):
+    def test_allocation_is_reused_within_its_lifetime(self):
         async def play() -> tuple[int, int]:
             fleet = PlatformFleet(gateways=1, engines=0)
             await fleet.wait(1.0)
@@ -31,28 +31,28 @@
             for number in range(ENGINES):
                 board.directory.update(make_instance(f"x{number}", TWO_MODELS.name))
             board.targets.update(WeightTarget(FIRST, 3), fleet.clock.now())
-            looks: list[InstanceId] = []
+            lookups: list[InstanceId] = []
             asked: list[int] = []
 
             def service_time(engine: InstanceId) -> float:
-                looks.append(engine)
+                lookups.append(engine)
                 return 0.05
 
             def demands() -> dict:
                 asked.append(1)
                 return {}
 
-            division = EngineAllocator(board, fleet.clock, demands, service_time=service_time)
-            for _ in range(QUESTIONS):
-                division.engines_of(TWO_MODELS.name, FIRST)
-                division.loading(TWO_MODELS.name, SECOND)
-                division.should_yield(TWO_MODELS.name, FIRST)
-                self.assertTrue(division.due(TWO_MODELS, fleet.clock.now()))
-            return len(looks), len(asked)
+            allocator = EngineAllocator(board, fleet.clock, demands, service_time=service_time)
+            for _ in range(QUERIES):
+                allocator.engines_of(TWO_MODELS.name, FIRST)
+                allocator.loading(TWO_MODELS.name, SECOND)
+                allocator.should_yield(TWO_MODELS.name, FIRST)
+                self.assertTrue(allocator.due(TWO_MODELS, fleet.clock.now()))
+            return len(lookups), len(asked)
 
         self.assertEqual((ENGINES, 1), run(play()))
 
-    def test_division_of_many_engines_serves_longer(self):
+    def test_allocation_of_many_engines_lives_longer(self):
         few = {FIRST: [InstanceId("a")], SECOND: [InstanceId("b")]}
         many = {FIRST: [InstanceId(str(number)) for number in range(3200)]}
         self.assertEqual(ALLOCATION_LIFETIME_SECONDS, allocation_lifetime(few))
--- a/tests/test_lending_record.py
+++ b/tests/test_lending_record.py
@@ -1,4 +1,4 @@
-"""Load: engines that are lent and given back many times a second; the log gets few lines of it."""
+"""The log gets few lines when engines are lent and returned many times a second."""
 
 import unittest
 
@@ -18,11 +18,11 @@
 }
 
 
-class LendingRecordTest(unittest.TestCase):
+class LendingLogTest(unittest.TestCase):
     """Which lendings are logged."""
 
     def lines(self, *steps: tuple[float, Lending]) -> list[dict]:
-        """Returns the lines about lendings that were found so many seconds after each other."""
+        """Returns the log lines for lendings that follow each other after these seconds."""
 
         async def play() -> list[dict]:
             clock, log = LoopClock(), RecordingLog()
@@ -34,10 +34,10 @@
 
         return run(play())
 
-    def test_nothing_lent_is_no_line(self):
+    def test_no_lending_logs_nothing(self):
         self.assertEqual([], self.lines((0.0, Lending()), (5.0, Lending())))
 
-    def test_line_says_to_whom_and_why(self):
+    def test_line_names_borrowers_and_reasons(self):
         (line,) = self.lines((0.0, LENT), (5.0, LENT))
         self.assertEqual({FIRST: ["e1"]}, line["lent"])
         self.assertEqual({FIRST: LendingRole.BORROWER, SECOND: LendingRole.NONE}, line["standings"])
@@ -48,7 +48,7 @@
         steps = [(LOG_INTERVAL_SECONDS / 10, (LENT, Lending())[n % 2]) for n in range(40)]
         self.assertLessEqual(len(self.lines(*steps)), 5)
 
-    def test_end_of_a_lending_is_a_line(self):
+    def test_end_of_lending_is_logged(self):
         lines = self.lines((0.0, LENT), (LOG_INTERVAL_SECONDS, Lending()))
         self.assertEqual([{FIRST: ["e1"]}, {}], [line["lent"] for line in lines])
 
--- a/tests/test_load_timing.py
+++ b/tests/test_load_timing.py
@@ -1,7 +1,7 @@
-"""Load: a trainer that waits for each version, so that two steps come a second apart.
+"""When engines load for a trainer that waits for each version, with steps a second apart.
 
-Its second step wants a version that was named with the first one: engines that load in turns of a
-second each would all lack it.
+The second step needs the version that was named with the first one; engines that loaded in turns of
+a second each would lack it.
 """
 
 import unittest
@@ -41,7 +41,7 @@
 
 NAMED_AT = 10.0
 WAITS = ModelDemand(100, open=True, submit_delay=0.02, submit_version=2)
-"""The newest batch came with its version, and no earlier one is open."""
+"""The newest batch arrived with its version, and no earlier one is open."""
 CASES = (
     ("nothing is known", ModelDemand(), False),
     ("came with its version, no earlier batch is open", WAITS, True),
@@ -56,19 +56,19 @@
     """When the engines of a model load together."""
 
     def due(self, demands: Demands, elapsed: float) -> int:
-        """Returns how many of nine engines load, so long after the second version was named."""
+        """Returns how many of nine engines load this long after the second version was named."""
         directory = make_directory(18, TWO_MODELS.name, slots=8)
         targets = WeightTargets()
         targets.update(WeightTarget(FIRST, 2), NAMED_AT)
         inputs = LoadInputs(directory, targets, demands)
         return len(due_loads(TWO_MODELS, inputs, NAMED_AT + elapsed))
 
-    def test_the_next_step_is_near(self):
+    def test_is_urgent(self):
         for name, demand, expected in CASES:
             with self.subTest(name):
                 self.assertIs(expected, is_urgent(demand, 2))
 
-    def test_engines_load_together_once_the_items_have_found_their_places(self):
+    def test_urgent_engines_load_together_once_items_have_slots(self):
         for submit_delay in (0.02, 0.4):
             demands = {FIRST: replace(WAITS, submit_delay=submit_delay)}
             due_at = submit_delay + URGENT_LOAD_DELAY_SECONDS
@@ -84,13 +84,13 @@
         some = state.serving | dict.fromkeys("abcde", 5)
         self.assertEqual(["f"], engines_to_load(replace(state, serving=some)))
 
-    def test_engine_that_cannot_load_holds_the_last_group_up_for_one_turn_only(self):
+    def test_failing_engine_delays_the_last_group_by_one_turn(self):
         loaded = dict.fromkeys("bcdef", 5) | dict.fromkeys("ag", 4)
         state = ModelLoadState(5, 0.0, loaded, {}, is_urgent=True)
         self.assertEqual(["a"], engines_to_load(replace(state, elapsed=GROUP_TURN_SECONDS - 0.1)))
         self.assertEqual(["a", "g"], engines_to_load(replace(state, elapsed=GROUP_TURN_SECONDS)))
 
-    def test_engines_wait_for_items_that_wait(self):
+    def test_loads_wait_for_waiting_items(self):
         waiting = {FIRST: replace(WAITS, waiting=3)}
         self.assertEqual(0, self.due(waiting, BUSY_LOAD_DELAY_SECONDS - 0.1))
         self.assertEqual(6, self.due(waiting, BUSY_LOAD_DELAY_SECONDS + 0.1))
@@ -100,16 +100,14 @@
         self.assertEqual(0, self.due(before, BUSY_LOAD_DELAY_SECONDS - 0.1))
 
     def test_engines_load_in_turns_while_there_is_time(self):
-        at_leisure = {FIRST: ModelDemand(100, open=True, submit_delay=2.7)}
-        self.assertEqual(0, self.due(at_leisure, BUSY_LOAD_DELAY_SECONDS - 0.1))
-        self.assertEqual(3, self.due(at_leisure, BUSY_LOAD_DELAY_SECONDS + 0.1))
-        self.assertEqual(
-            3, self.due(at_leisure, BUSY_LOAD_DELAY_SECONDS + GROUP_TURN_SECONDS + 0.1)
-        )
+        unhurried = {FIRST: ModelDemand(100, open=True, submit_delay=2.7)}
+        self.assertEqual(0, self.due(unhurried, BUSY_LOAD_DELAY_SECONDS - 0.1))
+        self.assertEqual(3, self.due(unhurried, BUSY_LOAD_DELAY_SECONDS + 0.1))
+        self.assertEqual(3, self.due(unhurried, BUSY_LOAD_DELAY_SECONDS + GROUP_TURN_SECONDS + 0.1))
 
 
-class AskedAfterTest(unittest.TestCase):
-    """How long after its version a batch came, as the heads of batches tell it."""
+class SubmitDelayTest(unittest.TestCase):
+    """How long after its version a batch arrived, derived from batch heads."""
 
     def setUp(self):
         self.naming: VersionAnnouncement | None = None
@@ -134,7 +132,7 @@
         self.heads.record(row)
 
     def demand(self, *batches: tuple[str, float, bool]) -> ModelDemand:
-        """Returns what batches of these names, times and ends ask for."""
+        """Returns the demand of batches with these names, times and end flags."""
 
         async def play() -> ModelDemand:
             self.naming = (
@@ -203,7 +201,7 @@
                 naming = targets.last_announcement(FIRST, 20.0)
                 self.assertEqual(expected, naming.version if naming is not None else None)
 
-    def test_a_batch_that_is_no_news_tells_nothing(self):
+    def test_batch_that_is_not_new_gives_no_delay(self):
         for self.age in (None, MAX_NEW_BATCH_AGE_SECONDS + 0.1):
             self.assertIsNone(self.demand(("a", 1.0, False)).submit_delay)
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Who is held alive: heartbeats, blind times, and later lives of a machine."""
+"""Which daemons are considered alive: heartbeats, outages, and new incarnations of a machine."""
 
 import unittest
 
@@ -24,15 +24,15 @@
 
 
 class MembersTest(unittest.TestCase):
-    """Each test plays some daemons' heartbeats on virtual time."""
+    """Runs some daemons' heartbeats on virtual time."""
 
     def begin(self):
-        """Makes a store."""
+        """Creates a store."""
         self.clock = LoopClock()
         self.store = MemoryStore(self.clock)
 
     def start(self, machine: str, answer_seconds: float = 0.004) -> Membership:
-        """Starts a daemon's heartbeat; the store answers it after a time."""
+        """Starts a daemon's heartbeats, with a latency of the store."""
         client = StoreClient(self.store, answer_seconds)
         membership = Membership(
             LocalDaemon(new_incarnation(machine)),
@@ -45,7 +45,7 @@
         membership.start(membership.tasks)
         return membership
 
-    def test_silent_daemon_is_held_dead(self):
+    def test_silent_daemon_is_considered_dead(self):
         async def play():
             self.begin()
             first, second = self.start("a"), self.start("b")
@@ -63,8 +63,8 @@
 
         run(play())
 
-    def test_two_heartbeats_lost_on_a_slow_link_end_nobody(self):
-        """One daemon is near the store; the other is behind a link that is full."""
+    def test_two_lost_heartbeats_on_a_slow_link_are_tolerated(self):
+        """One daemon is near the store; the other is behind a saturated link."""
 
         async def play():
             self.begin()
@@ -81,7 +81,7 @@
 
         run(play())
 
-    def test_store_that_is_down_blames_nobody(self):
+    def test_store_outage_marks_no_daemon_dead(self):
         async def play():
             self.begin()
             first, second = self.start("a"), self.start("b")
@@ -96,8 +96,8 @@
 
         run(play())
 
-    def test_earlier_life_of_a_machine_is_over_soon(self):
-        """After the loss of all machines, old lives are held dead within about a heartbeat."""
+    def test_earlier_incarnation_is_soon_considered_dead(self):
+        """After the loss of all machines, old incarnations are dead within about a heartbeat."""
 
         async def play():
             self.begin()
@@ -115,7 +115,7 @@
 
         run(play())
 
-    def test_late_heartbeat_of_an_earlier_incarnation_ends_nobody(self):
+    def test_late_heartbeat_of_an_earlier_incarnation_is_ignored(self):
         async def play():
             self.begin()
             old = self.start("a")
@@ -144,7 +144,7 @@
         run(play())
 
     def test_new_incarnation_removes_the_rows_of_the_earlier_one(self):
-        """So its batches are claimed without waiting for it to fall silent."""
+        """Its batches are then claimed without waiting until it counts as silent."""
 
         async def play():
             self.begin()
@@ -161,7 +161,7 @@
 
         run(play())
 
-    def test_awaited_daemon_knows_that_it_hears_nothing_before_others_hold_it_dead(self):
+    def test_cut_off_daemon_notices_before_others_consider_it_dead(self):
         async def play():
             self.begin()
             first, second = self.start("a"), self.start("b")
@@ -173,12 +173,12 @@
                 await self.clock.sleep(0.01)
             self.assertFalse(first.has_recent_listing())
             first._store.cut_off = False
-            await self.clock.sleep(3.0)  # a call that was cut off hangs for a while
+            await self.clock.sleep(3.0)  # a call that was cut off takes a while to time out
             self.assertTrue(first.has_recent_listing())
 
         run(play())
 
-    def test_part_that_is_down_blames_nobody(self):
+    def test_partial_store_outage_marks_no_daemon_dead(self):
         async def play():
             self.begin()
             first, second = self.start("a"), self.start("b")
@@ -198,16 +198,16 @@
 
 
 class RuleTest(unittest.TestCase):
-    """The rules of intervals and coordinators, case by case."""
+    """The rules of intervals and coordinators, as tables of cases."""
 
     def test_intervals(self):
         cases = (
-            ("few awaited", fast_heartbeat_interval(12), 0.25),
-            ("many awaited", fast_heartbeat_interval(100), 0.5),
+            ("few fast", fast_heartbeat_interval(12), 0.25),
+            ("many fast", fast_heartbeat_interval(100), 0.5),
             ("few alive", slow_heartbeat_interval(160), 2.0),
             ("many alive", slow_heartbeat_interval(400), 5.0),
-            ("listing by a young daemon", slow_listing_interval(100, age=2.9), 0.25),
-            ("listing of many by a young daemon", slow_listing_interval(400, age=0.0), 1.0),
+            ("listing by a new daemon", slow_listing_interval(100, age=2.9), 0.25),
+            ("listing of many by a new daemon", slow_listing_interval(400, age=0.0), 1.0),
             ("listing of few", slow_listing_interval(76, age=3.0), 2.0),
             ("listing of many", slow_listing_interval(380, age=3.0), 10.0),
         )
@@ -226,7 +226,7 @@
             with self.subTest(last=last, interval=interval, now=now):
                 self.assertEqual(expected, is_due(last, interval, now))
 
-    def test_daemons_that_are_to_coordinate(self):
+    def test_daemons_that_should_coordinate(self):
         for count, regions, expected in ((5, 1, 5), (40, 1, 12), (40, 2, 12), (40, 5, 15)):
             with self.subTest(count=count, regions=regions):
                 fleet = {f"m{number}/a": f"region-{number % regions}" for number in range(count)}
@@ -234,7 +234,7 @@
                 self.assertEqual(expected, len(chosen))
                 self.assertFalse(any(should_coordinate(name, fleet, age=0.4) for name in fleet))
 
-    def test_first_choice_is_the_same_in_any_order(self):
+    def test_chosen_coordinator_is_independent_of_order(self):
         names = [f"m{number}/a" for number in range(12)]
         choices = {choose_coordinator("key", order) for order in (names, names[::-1])}
         self.assertEqual(1, len(choices))
--- a/tests/test_scale_mechanisms.py
+++ b/tests/test_scale_mechanisms.py
@@ -1,4 +1,4 @@
-"""Mechanisms whose cost must not grow with the square of the fleet, or with what waits."""
+"""Mechanisms whose cost must not grow with the square of the fleet or with the waiting items."""
 
 import asyncio
 import socket
@@ -38,25 +38,25 @@
 
 DAEMONS = 40
 PART_WRITES_PER_SECOND = 200
-"""What the users' store writes in one part a second."""
+"""Writes per second that one part of the store accepts."""
 
 
 def free_port() -> int:
-    """Returns a port on which nobody listens."""
+    """Returns a port on which nothing listens."""
     with socket.socket() as opened:
         opened.bind(("127.0.0.1", 0))
         return opened.getsockname()[1]
 
 
 class LargeMembershipTest(unittest.TestCase):
-    """Heartbeats of a fleet that is larger than the number of coordinators."""
+    """Heartbeats of a fleet with more daemons than coordinators."""
 
     def begin(self) -> list[Membership]:
         """Starts the heartbeats of a fleet."""
         self.clock = LoopClock()
         self.store = MemoryStore(self.clock)
-        self.beats = 0
-        self.part_beats = Counter()
+        self.heartbeats = 0
+        self.heartbeats_by_part = Counter()
         self.store.watchers.append(self.count)
         self.owners: set[Membership] = set()
         self.is_short = False
@@ -65,11 +65,11 @@
     def count(self, transaction) -> None:
         """Counts the heartbeats written."""
         parts = [key.part for key, _ in transaction.puts if key.table == MEMBER_TABLE]
-        self.beats += len(parts)
-        self.part_beats.update(parts)
+        self.heartbeats += len(parts)
+        self.heartbeats_by_part.update(parts)
 
     def start(self, machine: str) -> Membership:
-        """Starts a daemon's heartbeat."""
+        """Starts a daemon's heartbeats."""
         membership = Membership(
             LocalDaemon(
                 new_incarnation(machine),
@@ -84,30 +84,30 @@
         membership.start(membership.tasks)
         return membership
 
-    def test_idle_daemons_beat_seldom_and_are_held_alive(self):
+    def test_idle_daemons_send_few_heartbeats_and_stay_alive(self):
         async def play():
             fleet = self.begin()
             await self.clock.sleep(6.0)
-            self.beats = 0
+            self.heartbeats = 0
             await self.clock.sleep(10.0)
             often = COORDINATOR_COUNT * 10.0 / FAST_HEARTBEAT_SECONDS
             seldom = (DAEMONS - COORDINATOR_COUNT) * 10.0 / SLOW_HEARTBEAT_SECONDS
-            self.assertLessEqual(self.beats, (often + seldom) * 1.1)
-            self.assertLess(self.beats / 10.0, PART_WRITES_PER_SECOND / 2)
+            self.assertLessEqual(self.heartbeats, (often + seldom) * 1.1)
+            self.assertLess(self.heartbeats / 10.0, PART_WRITES_PER_SECOND / 2)
             for membership in fleet:
                 self.assertEqual(DAEMONS, len(membership.alive()))
 
         run(play())
 
-    def test_daemons_that_know_of_a_shortage_hear_of_each_other_twice_as_often(self):
-        """What they report of their tenants is then wanted; they are not held dead when it ends."""
+    def test_shortage_doubles_the_rate_of_reports(self):
+        """Tenant reports are needed then; no daemon counts as dead when the shortage ends."""
 
         async def play():
             fleet = self.begin()
             await self.clock.sleep(6.0)
             heard = []
-            judge = next(member for member in fleet if not member.is_coordinator())
-            judge._report_listener = lambda daemon, _: heard.append(daemon)
+            observer = next(member for member in fleet if not member.is_coordinator())
+            observer._report_listener = lambda daemon, _: heard.append(daemon)
             others = [member for member in fleet if not member.is_coordinator()]
             await self.clock.sleep(10.0)
             usual = len(heard)
@@ -115,17 +115,17 @@
             await self.clock.sleep(10.0)
             self.assertGreater(len(heard) - usual, 0)
             counts = Counter(heard[usual:])
-            seldom = [counts[member.own] for member in others if member is not judge]
+            seldom = [counts[member.own] for member in others if member is not observer]
             self.assertGreater(min(seldom), 1.5 * 10.0 / SLOW_HEARTBEAT_SECONDS)
             self.assertLess(max(seldom), 2.5 * 10.0 / SLOW_HEARTBEAT_SECONDS)
             self.is_short = False
             for _ in range(80):
                 await self.clock.sleep(0.1)
-                self.assertEqual(DAEMONS, len(judge.alive()))
+                self.assertEqual(DAEMONS, len(observer.alive()))
 
         run(play())
 
-    def test_heartbeats_of_a_fleet_with_a_shortage_stay_below_what_one_part_takes(self):
+    def test_heartbeats_during_a_shortage_stay_below_the_limit_of_a_part(self):
         for daemons in (20, 80, 160, 370, 3000):
             interval = slow_heartbeat_interval(daemons) * shortage_factor(has_shortage=True)
             self.assertLess(daemons / interval, PART_WRITES_PER_SECOND)
@@ -154,30 +154,30 @@
 
         run(play())
 
-    def test_owner_that_falls_silent_is_found_dead_soon_though_it_beat_seldom(self):
-        """An idle daemon that dies right after it accepted a batch must not hold it for long."""
+    def test_new_owner_that_dies_is_detected_soon(self):
+        """An idle daemon that dies right after it accepted a batch must not block it for long."""
 
         async def play():
             fleet = self.begin()
             await self.clock.sleep(6.0)
-            judge = next(member for member in fleet if member.is_coordinator())
+            observer = next(member for member in fleet if member.is_coordinator())
             owner = next(member for member in fleet if not member.is_coordinator())
             owner.tasks.cancel_all()
             since = self.clock.now()
             await self.clock.sleep(DEAD_AFTER_SECONDS / 2)
-            self.assertTrue(judge.is_owner_alive(owner.own, since))
+            self.assertTrue(observer.is_owner_alive(owner.own, since))
             await self.clock.sleep(DEAD_AFTER_SECONDS / 2 + 0.6)
-            self.assertFalse(judge.is_owner_alive(owner.own, since))
+            self.assertFalse(observer.is_owner_alive(owner.own, since))
 
         run(play())
 
-    def test_owner_that_becomes_idle_is_never_held_dead(self):
-        """The others count on the interval that they were told last."""
+    def test_owner_that_becomes_idle_stays_alive(self):
+        """The other daemons rely on the interval that was last reported to them."""
 
         async def play():
             fleet = self.begin()
             await self.clock.sleep(6.0)
-            judge = next(member for member in fleet if member.is_coordinator())
+            observer = next(member for member in fleet if member.is_coordinator())
             owner = next(member for member in fleet if not member.is_coordinator())
             for _ in range(3):
                 self.owners.add(owner)
@@ -185,49 +185,49 @@
                 self.owners.clear()
                 for _ in range(50):
                     await self.clock.sleep(0.1)
-                    self.assertTrue(judge.is_alive(owner.own))
+                    self.assertTrue(observer.is_alive(owner.own))
 
         run(play())
 
-    def test_idle_daemons_of_a_large_fleet_beat_slower(self):
+    def test_idle_daemons_of_a_large_fleet_send_fewer_heartbeats(self):
         async def play():
             fleet = self.begin()
             fleet += [self.start(f"more-{number}") for number in range(300 - DAEMONS)]
             await self.clock.sleep(9.0)
-            self.beats = 0
-            self.part_beats.clear()
+            self.heartbeats = 0
+            self.heartbeats_by_part.clear()
             await self.clock.sleep(9.0)
             often = COORDINATOR_COUNT * 9.0 / FAST_HEARTBEAT_SECONDS
-            self.assertLessEqual(self.part_beats[FAST_HEARTBEAT_PART], 1.1 * often)
+            self.assertLessEqual(self.heartbeats_by_part[FAST_HEARTBEAT_PART], 1.1 * often)
             seldom = 9.0 * MAX_SLOW_HEARTBEATS_PER_SECOND
-            self.assertLessEqual(self.part_beats[SLOW_HEARTBEAT_PART], 1.1 * seldom)
-            self.assertEqual(self.beats, self.part_beats.total())
+            self.assertLessEqual(self.heartbeats_by_part[SLOW_HEARTBEAT_PART], 1.1 * seldom)
+            self.assertEqual(self.heartbeats, self.heartbeats_by_part.total())
             for membership in fleet:
                 self.assertEqual(300, len(membership.alive()))
 
         run(play())
 
-    def test_dead_owner_of_a_large_fleet_is_found_within_a_second(self):
+    def test_dead_owner_in_a_large_fleet_is_detected_within_a_second(self):
         """However many daemons there are, few are listed often."""
 
         async def play():
             fleet = self.begin()
             fleet += [self.start(f"more-{number}") for number in range(200 - DAEMONS)]
             await self.clock.sleep(9.0)
-            judge = next(member for member in fleet if member.is_coordinator())
+            observer = next(member for member in fleet if member.is_coordinator())
             owner = next(member for member in fleet if not member.is_coordinator())
             self.owners.add(owner)
             since = self.clock.now()
             await self.clock.sleep(2.0)
-            self.assertTrue(judge.is_owner_alive(owner.own, since))
+            self.assertTrue(observer.is_owner_alive(owner.own, since))
             owner.tasks.cancel_all()
             await self.clock.sleep(DEAD_AFTER_SECONDS + 2 * FAST_HEARTBEAT_SECONDS)
-            self.assertFalse(judge.is_owner_alive(owner.own, since))
+            self.assertFalse(observer.is_owner_alive(owner.own, since))
 
         run(play())
 
-    def test_all_daemons_of_a_large_fleet_lost_at_once(self):
-        """The new lives agree on coordinators, all of them alive, within two seconds."""
+    def test_restart_of_all_daemons_of_a_large_fleet(self):
+        """The new incarnations agree on live coordinators within two seconds."""
 
         async def play():
             fleet = self.begin()
@@ -240,34 +240,34 @@
             fleet = [self.start(machine) for machine in machines]
             await self.clock.sleep(2.5)
             alive = {member.own for member in fleet}
-            judges = [member for member in fleet if member.is_coordinator()]
-            self.assertGreaterEqual(len(judges), COORDINATOR_COUNT)
+            observers = [member for member in fleet if member.is_coordinator()]
+            self.assertGreaterEqual(len(observers), COORDINATOR_COUNT)
             for key in ("one", "two", "three"):
-                choices = {judge.choose_coordinator(key) for judge in judges}
+                choices = {observer.choose_coordinator(key) for observer in observers}
                 self.assertEqual(1, len(choices))
                 self.assertLessEqual(choices, alive)
 
         run(play())
 
-    def test_owner_beats_often(self):
+    def test_owner_sends_frequent_heartbeats(self):
         async def play():
             fleet = self.begin()
             await self.clock.sleep(6.0)
-            judge = next(member for member in fleet if member.is_coordinator())
+            observer = next(member for member in fleet if member.is_coordinator())
             owner = next(member for member in fleet if not member.is_coordinator())
             self.owners.add(owner)
             since = self.clock.now()
             for _ in range(60):
                 await self.clock.sleep(0.1)
-                self.assertTrue(judge.is_owner_alive(owner.own, since))
+                self.assertTrue(observer.is_owner_alive(owner.own, since))
 
         run(play())
 
 
 class WaitingItemsTest(unittest.TestCase):
-    """What many items that wait for a place cost."""
+    """The cost of many items that wait for a slot."""
 
-    def test_items_that_wait_share_one_look_at_the_engines(self):
+    def test_waiting_items_share_one_choice_of_engines(self):
         async def play():
             looks = 0
             choose = EngineSelector.choose
@@ -295,7 +295,7 @@
 
         run(play())
 
-    def test_longest_items_get_their_places_first(self):
+    def test_longest_items_get_slots_first(self):
         async def play():
             fleet = PlatformFleet(1, 1)
             await fleet.wait(1.0)
@@ -311,9 +311,9 @@
 
 
 class IdleDaemonTest(unittest.TestCase):
-    """What daemons cost that have nothing to do."""
+    """The cost of idle daemons."""
 
-    def test_idle_daemons_list_batches_seldom_and_still_learn_of_them(self):
+    def test_idle_daemons_list_batches_rarely_but_learn_of_them(self):
         async def play():
             fleet = PlatformFleet(20, 2)
             await fleet.wait(15.0)
@@ -338,7 +338,7 @@
         run(play())
 
     def counted(self, read, reads: dict[int, int], number: int):
-        """Returns a reading call that counts those of the table of batches."""
+        """Returns a read call that counts reads of the batch table."""
 
         async def call(table, part, *rest):
             reads[number] += table == HEAD_TABLE
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -1,4 +1,4 @@
-"""The size of services: what is planned, and that one daemon at a time orders it."""
+"""Server counts of services: what is planned, and that one daemon at a time orders it."""
 
 import json
 import unittest
@@ -38,26 +38,26 @@
     def test_a_server_that_may_come_back_is_waited_for(self) -> None:
         self.assertEqual((), plan({NORTH: replace(LOST, missing_for=3.0)}))
 
-    def test_lost_servers_are_replaced_in_their_zone_by_cheap_ones(self) -> None:
+    def test_lost_servers_are_replaced_in_their_zone_by_preemptible_ones(self) -> None:
         expected = ScalingOrder(SERVICE, NORTH, ServerKind.PREEMPTIBLE, 3)
         self.assertEqual((expected,), plan({NORTH: LOST, SOUTH: WHOLE}))
 
-    def test_a_zone_never_hangs_on_preemptible_servers(self) -> None:
+    def test_preemptible_share_of_a_zone_is_limited(self) -> None:
         known = ZoneServers(on_demand=2, preemptible=4, usual_count=8, missing_for=9.0)
         expected = ScalingOrder(SERVICE, NORTH, ServerKind.ON_DEMAND, 4)
         self.assertEqual((expected,), plan({NORTH: known}))
 
-    def test_without_cheap_servers_others_are_ordered(self) -> None:
+    def test_on_demand_servers_are_ordered_without_preemptible_ones(self) -> None:
         expected = ScalingOrder(SERVICE, NORTH, ServerKind.ON_DEMAND, 8)
         self.assertEqual((expected,), plan({NORTH: LOST}, refused=frozenset({NORTH})))
-        dear = replace(TERMS, preemptible_price=0.9)
-        self.assertEqual((expected,), plan({NORTH: LOST}, dear))
+        expensive = replace(TERMS, preemptible_price=0.9)
+        self.assertEqual((expected,), plan({NORTH: LOST}, expensive))
 
     def test_nothing_is_ordered_that_is_not_needed(self) -> None:
         zones = {NORTH: LOST, SOUTH: WHOLE}
         enough = ServiceDemand(
             work=1000.0, server_rate=100.0
-        )  # 12.5 servers with the headroom, 13 there
+        )  # needs 12.5 servers with the headroom; there are 13
         self.assertEqual((), plan(zones, demand=enough))
         self.assertEqual(1, len(plan(zones, demand=replace(enough, work=1100.0))))
 
@@ -71,10 +71,10 @@
 
 
 class OrderTest(unittest.TestCase):
-    """A small fleet on virtual time loses an engine for good."""
+    """A small fleet on virtual time loses an engine permanently."""
 
     async def begin(self) -> PlatformFleet:
-        """Starts a fleet whose service has been whole for a while, and takes an engine."""
+        """Starts a fleet, waits until its usual size is known, and removes an engine."""
         fleet = PlatformFleet(gateways=4, engines=12, scaling_mode=ScalingMode.REPLACE)
         fleet.put("operator", "configuration", b"scaled")
         await fleet.wait(8.0)
@@ -82,16 +82,16 @@
         return fleet
 
     def take(self, fleet: PlatformFleet, number: int) -> None:
-        """Removes an engine's entry for good."""
+        """Removes an engine's entry permanently."""
         key = RowKey("instances", "", f"engine-{number}")
         fleet.store.apply(Transaction(removals=(key,)))
 
     def check(self, fleet: PlatformFleet) -> None:
-        """Checks that holders never take turns within a lease."""
+        """Checks that holders never alternate within a lease."""
         received = fleet.scaling.received
         check_turns([(order.holder, order.token, order.at) for order in received], "scaling")
 
-    def test_it_is_replaced_once(self) -> None:
+    def test_lost_server_is_replaced_once(self) -> None:
         async def play() -> None:
             fleet = await self.begin()
             await fleet.wait(6.0)
@@ -104,7 +104,7 @@
 
         run(play())
 
-    def test_the_holder_dies_and_another_goes_on(self) -> None:
+    def test_another_daemon_takes_over_from_a_dead_holder(self) -> None:
         async def play() -> None:
             fleet = await self.begin()
             await fleet.wait(11.0)
@@ -118,7 +118,7 @@
 
         run(play())
 
-    def test_a_silent_platform_is_asked_again(self) -> None:
+    def test_unresponsive_platform_is_asked_again(self) -> None:
         async def play() -> None:
             fleet = await self.begin()
             fleet.scaling.down = True
@@ -130,7 +130,7 @@
 
         run(play())
 
-    def test_no_preemptible_server_is_to_be_had(self) -> None:
+    def test_no_preemptible_server_is_available(self) -> None:
         async def play() -> None:
             fleet = await self.begin()
             fleet.scaling.has_preemptible = False
@@ -141,7 +141,7 @@
 
         run(play())
 
-    def test_entries_that_lapse_with_the_store_order_nothing(self) -> None:
+    def test_entries_that_expire_during_an_outage_order_nothing(self) -> None:
         async def play() -> None:
             fleet = PlatformFleet(gateways=3, scaling_mode=ScalingMode.REPLACE)
             fleet.put("operator", "configuration", b"scaled")
@@ -161,7 +161,7 @@
 
 
 class ReadTermsTest(unittest.TestCase):
-    """Terms in the operator's configuration."""
+    """Scaling terms in the operator's configuration."""
 
     def read(self, terms: dict):
         """Returns the terms of a configuration's one service."""
@@ -177,7 +177,7 @@
         self.assertEqual(replace(TERMS, zone_prices={NORTH: 1.0}), terms)
         self.assertIsNone(self.read({}))
 
-    def test_limits_that_cannot_be(self) -> None:
+    def test_invalid_limits(self) -> None:
         with self.assertRaisesRegex(UnreadableRowError, "from 9 to 8"):
             self.read({"min": 9, "max": 8})
 
--- a/tests/test_sliding_count.py
+++ b/tests/test_sliding_count.py
@@ -11,7 +11,7 @@
 
 
 class SlidingCountTest(unittest.TestCase):
-    """The window, and its edge."""
+    """The window and its boundary."""
 
     def test_edge(self) -> None:
         sent = SlidingCount(WINDOW_SECONDS)
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -1,4 +1,4 @@
-"""A machine that is suspended: its plain steady clock stands still, and nothing may trust it."""
+"""A suspended machine: CLOCK_MONOTONIC stands still, so no deadline may rely on it."""
 
 import ast
 import asyncio
@@ -21,7 +21,7 @@
 
 
 class Suspension:
-    """The machine's clocks, as a test sets them: suspended time counts on one of them only."""
+    """The machine's clocks under test control; suspended time counts only on CLOCK_BOOTTIME."""
 
     def __init__(self) -> None:
         self.suspended = 0.0
@@ -34,7 +34,7 @@
 
 
 class SteadyLoopTest(unittest.TestCase):
-    """The loop of a daemon on a machine that is suspended."""
+    """A daemon's event loop on a machine that is suspended."""
 
     def play(self, work) -> None:
         """Runs a coroutine on such a loop."""
@@ -51,7 +51,7 @@
 
         self.play(work)
 
-    def test_time_limit_that_passed_meanwhile_ends_with_the_next_turn(self):
+    def test_timeout_that_passed_while_suspended_fires_at_once(self):
         async def work():
             began = time.monotonic()
             with self.assertRaises(TimeoutError):
@@ -85,9 +85,9 @@
 
 
 class SuspendedDaemonTest(unittest.TestCase):
-    """A fleet one of whose daemons is suspended."""
+    """A fleet with a suspended daemon."""
 
-    def test_lease_that_was_taken_before_is_not_used_afterwards(self):
+    def test_lease_taken_before_suspension_has_expired(self):
         async def play():
             fleet = PlatformFleet(gateways=1, engines=1)
             await fleet.wait(1.0)
@@ -101,7 +101,7 @@
 
         run(play())
 
-    def test_orders_of_daemons_that_are_suspended_in_turn_never_cross(self):
+    def test_orders_of_suspended_daemons_never_overlap(self):
         async def play():
             fleet = PlatformFleet(gateways=3, engines=4)
             oracle = PlatformOracle(fleet)
@@ -109,7 +109,7 @@
             for version in range(2, 14):
                 fleet.put("operator", MODEL, str(version).encode())
                 clock = fleet.clocks[version % 3]
-                await fleet.wait(0.02 * version)  # at another point of its orders each time
+                await fleet.wait(0.02 * version)  # at a different point of its orders each time
                 clock.suspend()
                 await fleet.wait(LEASE_SECONDS + 1.5)
                 clock.wake()
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -1,4 +1,4 @@
-"""Weight versions: division of engines, groups, orders under leases with fencing tokens."""
+"""Weight versions: assignment of engines, load groups, orders under leases with fencing tokens."""
 
 import unittest
 
@@ -21,8 +21,8 @@
 from tests.virtual import run
 
 
-class DivisionTest(unittest.TestCase):
-    """How engines are divided and when they load."""
+class AssignmentTest(unittest.TestCase):
+    """How engines are assigned to models and when they load."""
 
     def test_every_engine_has_a_model_and_every_model_enough_engines(self):
         for count in range(1, 9):
@@ -37,7 +37,7 @@
             if count >= 4:
                 self.assertFalse(set(chosen[FIRST]) & set(chosen[SECOND]))
 
-    def test_division_stays_when_versions_rise(self):
+    def test_assignment_is_stable_when_versions_rise(self):
         directory = make_directory(5, TWO_MODELS.name, slots=8)
         engines = directory.of_service(TWO_MODELS.name)
         before = assign_models(TWO_MODELS, engines, directory, {})
@@ -69,7 +69,7 @@
         directory.observe_version(first, FIRST, 2)
         self.assertEqual([second], self.due(directory, targets, start + 0.1))
 
-    def test_first_group_waits_while_a_batch_finds_its_places(self):
+    def test_first_group_waits_while_a_batch_gets_slots(self):
         directory = make_directory(4, TWO_MODELS.name, slots=8)
         targets = WeightTargets()
         targets.update(WeightTarget(FIRST, 2), now=10.0)
@@ -98,10 +98,10 @@
 
 
 class RuleTest(unittest.TestCase):
-    """The rules of loads and orders, case by case."""
+    """The rules of loads and orders, as tables of cases."""
 
     def test_engines_to_load(self):
-        """Engines a, b, c serve and d rests; the version is 5, and each group is one engine."""
+        """Engines a, b, c serve, d is evacuated; the version is 5, each group is one engine."""
         cases = (
             ("too early", -0.1, (4, 4, 4), 4, ""),
             ("too early, one two versions behind", -0.1, (4, 3, 4), 4, "b"),
@@ -113,7 +113,7 @@
             ("all that serve are done", 0.5, (5, 5, 5), 4, "d"),
             ("all are done", 0.5, (5, 5, 5), 5, ""),
             ("first could not load in its turn", 3.1, (4, 5, 5), 4, "ad"),
-            ("a resting one is far behind", 0.5, (4, 4, 4), 1, "a"),
+            ("an evacuated one is far behind", 0.5, (4, 4, 4), 1, "a"),
             ("ahead of the version", 0.5, (6, 6, 6), 6, ""),
         )
         for name, elapsed, versions, evacuated_engines, expected in cases:
@@ -131,17 +131,17 @@
 
 
 class OrderTest(unittest.TestCase):
-    """Orders of a small fleet on virtual time."""
+    """Orders in a small fleet on virtual time."""
 
     def check_orders(self, fleet: PlatformFleet) -> None:
-        """Checks that holders never take turns within a lease, and tokens rise."""
+        """Checks that holders never alternate within a lease, and that tokens increase."""
         for state in fleet.engines.engines.values():
             for before, after in zip(state.orders, state.orders[1:], strict=False):
                 self.assertLess(before[1], after[1])
                 if before[0] != after[0]:
                     self.assertGreaterEqual(after[4] - before[4], 3.0)
 
-    def test_all_engines_come_to_the_named_version(self):
+    def test_all_engines_load_the_named_version(self):
         async def play():
             fleet = PlatformFleet()
             await fleet.wait(1.0)
@@ -170,7 +170,7 @@
 
         run(play())
 
-    def test_dead_engine_does_not_hold_the_others_up(self):
+    def test_dead_engine_does_not_block_the_others(self):
         async def play():
             fleet = PlatformFleet(engines=2)
             await fleet.wait(1.0)
@@ -183,7 +183,7 @@
 
         run(play())
 
-    def test_orders_go_on_when_the_giver_is_killed_or_cut_off(self):
+    def test_orders_continue_when_a_daemon_dies_or_is_cut_off(self):
         async def play():
             fleet = PlatformFleet(gateways=4)
             await fleet.wait(1.0)
