--- a/src/larkpost/gateway/controllers/batch_forecast.py
+++ b/src/larkpost/gateway/controllers/batch_forecast.py
@@ -1,5 +1,4 @@
-"""Forecasts whether a batch will be on time, from its remaining work and the engines' service
-times.
+"""Forecasts whether batches will be on time, by remaining work and engines' service times.
 
 Pure functions. Trainers' estimates make a forecast off by a second or so, so the result is coarse:
 a batch has time to spare, is tight, or cannot be on time.
@@ -12,7 +11,7 @@
 from larkpost.gateway.blackboard.weight_targets import DeadlineForecast
 
 MIN_SPARE_SECONDS = 2.5
-"""A batch forecast to end at least this long before it is due has time to spare; covers a second of
+"""A batch forecast to end at minimum this long before it is due has time to spare; covers a second of
 training and the forecast's error."""
 INFEASIBLE_DELAY_SECONDS = 1.0
 """A batch cannot be on time if even all engines could not finish it within this time after it is
@@ -46,9 +45,9 @@
     """
     if not capacity.available_slots or not capacity.token_time:
         return DeadlineForecast.UNKNOWN
-    least = progress.work / capacity.total_slots * capacity.fastest_token_time
+    minimum = progress.work / capacity.total_slots * capacity.fastest_token_time
     expected = remaining_seconds(progress, capacity.available_slots, capacity.token_time)
-    if due_in + INFEASIBLE_DELAY_SECONDS < least and expected > INFEASIBLE_DELAY_SECONDS:
+    if due_in + INFEASIBLE_DELAY_SECONDS < minimum and expected > INFEASIBLE_DELAY_SECONDS:
         return DeadlineForecast.HOPELESS
     return (
         DeadlineForecast.TO_SPARE
@@ -57,27 +56,27 @@
     )
 
 
-def remaining_seconds(progress: BatchProgress, places: int, token_time: float) -> float:
+def remaining_seconds(progress: BatchProgress, slots: int, token_time: float) -> float:
     """Returns the seconds that a batch still needs with a number of slots.
 
     An item runs on one engine, and a long one may be the last to get a slot.
     """
-    return (progress.work / places + progress.p90_item_work) * token_time
+    return (progress.work / slots + progress.p90_item_work) * token_time
 
 
-def most_urgent_forecast(outlooks: Iterable[DeadlineForecast]) -> DeadlineForecast:
+def most_urgent_forecast(forecasts: Iterable[DeadlineForecast]) -> DeadlineForecast:
     """Returns the forecast that counts for a model, given those of its batches.
 
     A batch that can still be saved ranks first. An unknown forecast ranks before an infeasible one,
     because it may belong to the next step, which has all its time left.
     """
-    known = set(outlooks)
-    for deadline_forecast in (
+    known = set(forecasts)
+    for forecast in (
         DeadlineForecast.TIGHT,
         DeadlineForecast.UNKNOWN,
         DeadlineForecast.HOPELESS,
         DeadlineForecast.TO_SPARE,
     ):
-        if deadline_forecast in known:
-            return deadline_forecast
+        if forecast in known:
+            return forecast
     return DeadlineForecast.UNKNOWN
--- a/src/larkpost/gateway/controllers/coordinators.py
+++ b/src/larkpost/gateway/controllers/coordinators.py
@@ -1,5 +1,4 @@
-"""Decides which daemons are coordinators, which order engine loads, claim batches and act for the
-fleet.
+"""Decides which daemons coordinate: order engine loads, claim batches and act for the fleet.
 
 The number of coordinators is fixed, and each region has its share of them, because a batch may be
 restricted to a region. Each daemon determines from the slow heartbeats whether it should be a
@@ -47,11 +46,11 @@
     """
     if age < MIN_COORDINATOR_AGE_SECONDS:
         return False
-    neighbours = [name for name, region in region_of.items() if region == region_of[own]]
-    share = math.ceil(COORDINATOR_COUNT / len(set(region_of.values())))
-    weight_of = _weights(neighbours, capacity_of)
+    regional_daemons = [name for name, region in region_of.items() if region == region_of[own]]
+    region_quota = math.ceil(COORDINATOR_COUNT / len(set(region_of.values())))
+    weight_of = _weights(regional_daemons, capacity_of)
     rank = _rank(own, weight_of)
-    return sum(_rank(name, weight_of) < rank for name in neighbours) < share
+    return sum(_rank(name, weight_of) < rank for name in regional_daemons) < region_quota
 
 
 def choose_coordinator(
--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -99,8 +99,10 @@
     for this version has arrived, and no earlier batch is open, on whose end the next version
     depends.
     """
-    waits = demand.submit_delay is not None and demand.submit_delay < TRAINER_BLOCKED_SECONDS
-    return waits and demand.submit_version == version and not demand.has_earlier_open
+    is_trainer_blocked = (
+        demand.submit_delay is not None and demand.submit_delay < TRAINER_BLOCKED_SECONDS
+    )
+    return is_trainer_blocked and demand.submit_version == version and not demand.has_earlier_open
 
 
 def allocate_engines(service: Service, inputs: LoadInputs) -> EngineShares:
@@ -164,15 +166,15 @@
     near, all groups but the last load together; the last one serves until the others are done or
     their turn is over, so that an engine that cannot load does not block it.
     """
-    late = [name for name, version in state.serving.items() if version < state.target - 1]
+    far_behind = [name for name, version in state.serving.items() if version < state.target - 1]
     if state.elapsed < 0:
-        return late
+        return far_behind
     behind = {name for name, version in state.serving.items() if version == state.target - 1}
     if state.is_urgent:
         first = _all_but_last_group(list(state.serving), behind)
-        are_first_on_turn = state.elapsed < GROUP_TURN_SECONDS
-        return late + (first if first and are_first_on_turn else sorted(behind))
-    return late + _current_group(list(state.serving), behind, state.elapsed)
+        is_first_turn = state.elapsed < GROUP_TURN_SECONDS
+        return far_behind + (first if first and is_first_turn else sorted(behind))
+    return far_behind + _current_group(list(state.serving), behind, state.elapsed)
 
 
 def _all_but_last_group(engine_ids: list[InstanceId], behind: set[InstanceId]) -> list[InstanceId]:
--- a/src/larkpost/gateway/controllers/fleet_view.py
+++ b/src/larkpost/gateway/controllers/fleet_view.py
@@ -145,14 +145,14 @@
         """Recomputes which daemons are alive and which of them are coordinators."""
         alive = self._responsive_daemons()
         alive.discard(self.own)
-        acting = [name for name in alive if self._reports_coordinating(name)]
+        coordinators = [name for name in alive if self._reports_coordinating(name)]
         if not self.is_leaving:
             alive.add(self.own)
             regions, capacities = self._regions_of(alive), self._capacities(alive)
             if should_coordinate(self.own, regions, self.age(), capacities):
-                acting.append(self.own)
+                coordinators.append(self.own)
         self._alive = frozenset(alive)
-        self._coordinators = tuple(sorted(acting))
+        self._coordinators = tuple(sorted(coordinators))
 
     def _responsive_daemons(self) -> set[DaemonId]:
         """Returns the daemons whose heartbeats are current."""
--- a/src/larkpost/gateway/controllers/heartbeat_list.py
+++ b/src/larkpost/gateway/controllers/heartbeat_list.py
@@ -118,13 +118,13 @@
         Args:
             interval: planned seconds between two listings.
         """
-        asked_at = self._clock.now()
+        started_at = self._clock.now()
         try:
             page = await read_all(self._store, MEMBER_TABLE, self.part)
         except StoreUnavailableError:
             return False  # counted by the store's adapter; no daemon becomes silent meanwhile
         now = self._clock.now()
-        self._typical_call += STORE_CALL_WEIGHT * (now - asked_at - self._typical_call)
+        self._typical_call += STORE_CALL_WEIGHT * (now - started_at - self._typical_call)
         gap = now - self.listed_at if self.listed_at is not None else float("inf")
         self.listed_at = now
         usual_gap = interval + STORE_CALLS_ALLOWED * self._typical_call
--- a/src/larkpost/gateway/controllers/model_assignment.py
+++ b/src/larkpost/gateway/controllers/model_assignment.py
@@ -42,7 +42,7 @@
     """Sort key of a model's preference among the engines with the fewest models; smallest first."""
 
     negative_version: int  # newest version first, which keeps the assignment stable
-    other_models: int  # then engines that no other model holds
+    other_models: int  # then the fewest other models with a recent version
     slowdown_steps: int  # then the fastest
     rank: int  # tie-break that is the same on all daemons
 
@@ -61,8 +61,8 @@
     assignment ends when every engine has a model and every model has enough engines.
 
     Args:
-        service_time: returns an engine's lasting service time; engines whose service time is
-            unknown count as average.
+        service_time: returns an engine's lasting service time; an unknown one counts as
+            the median.
     """
     steps = slowdown_steps({engine.id: service_time(engine.id) for engine in engines})
     current_models = _current_models(service, engines, directory)
--- a/src/larkpost/gateway/controllers/row_recorder.py
+++ b/src/larkpost/gateway/controllers/row_recorder.py
@@ -60,7 +60,7 @@
     trust_after: Callable[[], float]
     has_full_listing: Callable[[], bool]
 
-    def is_removal_believed(self) -> bool:
+    def is_removal_trusted(self) -> bool:
         """Returns whether a removed entry means that the instance has ended."""
         return self.healthy_for() >= self.trust_after()
 
@@ -156,9 +156,9 @@
         name = InstanceName(row.key.key)
         self._pending_entries.pop(name, None)
         if row.removed:
-            sound = self._trust.is_removal_believed()
-            self._directory.remove(name, store_healthy=sound)
-            self._log.record(Event.INSTANCE, instance=name, state="gone", sound=sound)
+            store_healthy = self._trust.is_removal_trusted()
+            self._directory.remove(name, store_healthy=store_healthy)
+            self._log.record(Event.INSTANCE, instance=name, state="gone", sound=store_healthy)
             return
         try:
             info = self._readers.instance(row)
@@ -206,9 +206,9 @@
         current = self._directory.find_by_name(info.name)
         if current is None:
             return  # a late row: the instance has already been replaced at its address
-        has_started = known is None or known.id != current.id
-        self._record_cold(info, is_new=has_started and entry.is_new)
-        if has_started or known.state != info.state:
+        is_new_incarnation = known is None or known.id != current.id
+        self._record_cold(info, is_new=is_new_incarnation and entry.is_new)
+        if is_new_incarnation or known.state != info.state:
             self._log.record(
                 Event.INSTANCE, instance=current.id, state=info.state, service=info.service
             )
--- a/src/larkpost/gateway/controllers/weight_loader.py
+++ b/src/larkpost/gateway/controllers/weight_loader.py
@@ -101,14 +101,14 @@
         return self._coordination.is_responsible_for(f"engine\x00{engine}")
 
     async def _order(self, service: Service, engine: InstanceId, target: WeightTarget) -> None:
-        pause = RETRY_SECONDS
+        delay = RETRY_SECONDS
         try:
             info = self._directory.get(engine)
             if info is not None:
-                pause = await self._order_once(service, info, target)
+                delay = await self._order_once(service, info, target)
         finally:
             if self._directory.get(engine) is not None:
-                self._next_attempt[engine] = self._clock.now() + pause
+                self._next_attempt[engine] = self._clock.now() + delay
             self._in_progress.discard(engine)
 
     async def _order_once(
--- a/src/larkpost/gateway/placement/cold_rate_limit.py
+++ b/src/larkpost/gateway/placement/cold_rate_limit.py
@@ -123,8 +123,7 @@
     async def poll(self) -> None:
         """Logs which instances have turned cold or warm, and updates the known owners.
 
-        A daemon that owns no batch never needs the view for its own sends, but must remember recent
-        owners.
+        A daemon that owns no batch requests no view otherwise, but must remember recent owners.
         """
         self._senders.view()
         cold = self._cold_instances()
@@ -169,10 +168,10 @@
         if not is_cold and not (is_owner_work and view.is_stale):
             return None
         bound = self._terms.bound(service.cold_rate)
-        kind = SendCategory(instance.id, is_owner_work, is_cold, bound)
-        if kind not in self._limits:
-            self._limits[kind] = send_quota(view, kind, is_engine=bool(service.models))
-        return self._limits[kind]
+        category = SendCategory(instance.id, is_owner_work, is_cold, bound)
+        if category not in self._limits:
+            self._limits[category] = send_quota(view, category, is_engine=bool(service.models))
+        return self._limits[category]
 
     def _send_count(self, instance: InstanceId, work: Work) -> SlidingCount:
         """Returns the count of owner or client sends; each has its part of the limit."""
--- a/src/larkpost/gateway/placement/cold_rate_quota.py
+++ b/src/larkpost/gateway/placement/cold_rate_quota.py
@@ -69,17 +69,17 @@
     bound: float
 
 
-def send_quota(view: SenderView, kind: SendCategory, *, is_engine: bool) -> int:
+def send_quota(view: SenderView, category: SendCategory, *, is_engine: bool) -> int:
     """Returns how many sends of a category this daemon may make in a window.
 
     Args:
         is_engine: whether the instance's service serves models.
     """
-    if not kind.is_owner_work:
-        return client_quota(kind.bound, view, kind.instance, is_engine=is_engine)
-    if not kind.is_cold:
-        return stale_view_quota(kind.bound, view, is_engine=is_engine)
-    return owner_quota(kind.bound, view, kind.instance, is_engine=is_engine)
+    if not category.is_owner_work:
+        return client_quota(category.bound, view, category.instance, is_engine=is_engine)
+    if not category.is_cold:
+        return stale_view_quota(category.bound, view, is_engine=is_engine)
+    return owner_quota(category.bound, view, category.instance, is_engine=is_engine)
 
 
 def owner_quota(bound: float, view: SenderView, instance: InstanceId, *, is_engine: bool) -> int:
@@ -128,8 +128,8 @@
     if own not in daemons or not count:
         return False
     rank = _weight(own, instance)
-    before = (name for name in daemons if _weight(name, instance) > rank)
-    return next(islice(before, count - 1, None), None) is None
+    higher_ranked = (name for name in daemons if _weight(name, instance) > rank)
+    return next(islice(higher_ranked, count - 1, None), None) is None
 
 
 def _weight(daemon: DaemonId, instance: InstanceId) -> int:
--- a/src/larkpost/gateway/placement/sender_tracker.py
+++ b/src/larkpost/gateway/placement/sender_tracker.py
@@ -90,14 +90,14 @@
 
     def _current_view(self, now: float, members: MemberView, batch_feed: BatchFeed) -> SenderView:
         since = self._owner_since
-        is_known = since is not None and now - since >= NEW_OWNER_SECONDS
+        is_known_to_others = since is not None and now - since >= NEW_OWNER_SECONDS
         is_started = now - self._started_at >= STARTUP_SECONDS and members.listed
         is_stale = self._is_stale(now, members, batch_feed)
         return SenderView(
             self._own,
             frozenset(self._listed_at),
             frozenset(members.alive()),
-            is_established=is_known and not is_stale,
+            is_established=is_known_to_others and not is_stale,
             knows_members=is_started and batch_feed.age(now) < PRESUMED_DEAD_SECONDS,
             is_stale=is_stale,
         )
--- a/src/larkpost/gateway/quarantine/trial_claims.py
+++ b/src/larkpost/gateway/quarantine/trial_claims.py
@@ -16,8 +16,8 @@
 
 TRIAL_DELAYS_SECONDS = (5.0, 60.0)
 """Delay from the last crash to the first trial, and from there to the second; a crashed server
-restarts within seconds. Two trials stay within the retries that clients accept after the third
-crash."""
+restarts within seconds. Two trials are one fewer than the retries
+that clients accept after the third crash."""
 CLAIM_INTERVAL_SECONDS = 1.0
 """Minimum time between two claims of this daemon for the same content, if the store rejected the
 first."""
--- a/src/larkpost/gateway/scaling/controller.py
+++ b/src/larkpost/gateway/scaling/controller.py
@@ -114,8 +114,8 @@
             if self._is_responsible_for(order) and now >= self._next_order.get(
                 (order.service, order.zone), 0
             ):
-                pause = await self._order(order, service.scaling.boot_time)
-                self._next_order[order.service, order.zone] = self._clock.now() + pause
+                delay = await self._order(order, service.scaling.boot_time)
+                self._next_order[order.service, order.zone] = self._clock.now() + delay
 
     def _log_plan(self, service: ServiceName, plan: Plan, present: int) -> None:
         """Logs a plan, once for each change."""
