--- a/src/larkpost/gateway/controllers/batch_forecast.py
+++ b/src/larkpost/gateway/controllers/batch_forecast.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.blackboard.weight_targets import DeadlineForecast
 
 MIN_SPARE_SECONDS = 2.5
-"""A batch forecast to end at minimum this long before it is due has time to spare; covers a second of
+"""A batch forecast to end at least this long before it is due has time to spare; covers a second of
 training and the forecast's error."""
 INFEASIBLE_DELAY_SECONDS = 1.0
 """A batch cannot be on time if even all engines could not finish it within this time after it is
--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -239,7 +239,7 @@
 
 
 def _is_any_engine_behind(service: Service, inputs: LoadInputs) -> bool:
-    """Returns whether any engine lacks a named version; a cheap check before the allocation."""
+    """Returns whether any engine lacks an announced version; a cheap check before allocating."""
     engines = inputs.directory.ready_of(service.name)
     return any(
         inputs.directory.version_of(engine.id, model) < inputs.targets.version(model)
--- a/src/larkpost/gateway/controllers/engine_allocator.py
+++ b/src/larkpost/gateway/controllers/engine_allocator.py
@@ -109,7 +109,7 @@
         return model in self._allocation(service).yielding
 
     def last_announcement(self, model: ModelName) -> VersionAnnouncement | None:
-        """Returns when a model's newest version was named; None if this daemon did not see it."""
+        """Returns when a model's newest version was announced; None if not seen here."""
         return self._blackboard.targets.last_announcement(model, self._clock.now())
 
     def _allocation(self, service: ServiceName) -> EngineAllocation:
--- a/src/larkpost/gateway/controllers/row_recorder.py
+++ b/src/larkpost/gateway/controllers/row_recorder.py
@@ -27,11 +27,11 @@
     """Parsers of the rows that others write, for the formats in use.
 
     Attributes:
-        operator_table: the table of the configuration, the named weight versions and the evacuated
-            zones.
+        operator_table: the table of the configuration, the announced weight versions and the
+            evacuated zones.
         instance_table: the table of the instances.
         configuration: parses a configuration; None if the row holds something else.
-        weight_target: parses a named version; None if the row holds something else.
+        weight_target: parses an announced version; None if the row holds something else.
         instance: parses an instance.
         evacuation: parses the start of a zone's evacuation, or its end from a removed row; None if
             the row holds something else. All of them raise ValueError for unreadable rows.
@@ -112,7 +112,7 @@
             self._log.record(Event.INSTANCE, instance=instance, state="gone", sound=True)
 
     def record_operator_row(self, row: Row) -> None:
-        """Records a row with a configuration, a named weight version or an evacuated zone.
+        """Records a row with a configuration, an announced weight version or an evacuated zone.
 
         Of the removed rows, only those of evacuations have an effect: they end the evacuation.
         """
--- a/src/larkpost/gateway/controllers/weight_loader.py
+++ b/src/larkpost/gateway/controllers/weight_loader.py
@@ -43,7 +43,7 @@
 
 
 class WeightLoader:
-    """Reconciles the engines' weight versions with the named ones."""
+    """Reconciles the engines' weight versions with the announced ones."""
 
     def __init__(
         self,
--- a/tests/test_cold_bound.py
+++ b/tests/test_cold_bound.py
@@ -82,15 +82,15 @@
 
 
 class GreedyOwnersTest(unittest.TestCase):
-    """Three batches at a time, with new owners each step, while some are cut off and go on."""
+    """Three batches at a time, with new owners each step, while some are cut off and still send."""
 
     DAEMONS = 12
     TRAINERS = 3
     STEP_SECONDS = 4.0
     TICK_SECONDS = 0.02
-    MOST_CUT = 4
+    MAX_CUT_OFF = 4
 
-    def play(self, seed: int, cuts: int) -> int:
+    def simulate(self, seed: int, cuts: int) -> int:
         """Simulates a minute, checks every second, and returns the number of requests sent."""
 
         async def work() -> list[float]:
@@ -100,13 +100,13 @@
             steps = int(60 / self.TICK_SECONDS)
             for step in range(steps):
                 if step % int(self.STEP_SECONDS / self.TICK_SECONDS) == 0:
-                    whole = [daemon for daemon in daemons if daemon.cut_at is None]
-                    owners = {daemon.own for daemon in rng.sample(whole, self.TRAINERS)}
+                    connected = [daemon for daemon in daemons if daemon.cut_at is None]
+                    owners = {daemon.own for daemon in rng.sample(connected, self.TRAINERS)}
                     history.append((clock.now(), owners))
                 if step % int(POLL_SECONDS / self.TICK_SECONDS) == 0:
                     for daemon in daemons:
                         await daemon.rule.poll()
-                self.disturb(rng, daemons, cuts)
+                self.inject_faults(rng, daemons, cuts)
                 for daemon in rng.sample(daemons, len(daemons)):
                     times += [clock.now()] * daemon.send()
                 await clock.sleep(self.TICK_SECONDS)
@@ -116,7 +116,7 @@
         check_cold("engine", times, BOUND)
         return len(times)
 
-    def disturb(self, rng: random.Random, daemons: list[GreedyDaemon], cuts: int) -> None:
+    def inject_faults(self, rng: random.Random, daemons: list[GreedyDaemon], cuts: int) -> None:
         """Changes the delay of news at random, and cuts daemons off or reconnects them."""
         daemon = rng.choice(daemons)
         if daemon.cut_at is None:
@@ -128,11 +128,11 @@
 
     def test_each_step_has_new_owners(self) -> None:
         for seed in range(10):
-            self.assertGreater(self.play(seed, 0), 60 * RATE / 2)
+            self.assertGreater(self.simulate(seed, 0), 60 * RATE / 2)
 
-    def test_some_are_cut_off_and_go_on(self) -> None:
+    def test_daemons_that_are_cut_off_keep_sending(self) -> None:
         for seed in range(10):
-            self.assertGreater(self.play(seed, self.MOST_CUT), 60 * RATE / 2)
+            self.assertGreater(self.simulate(seed, self.MAX_CUT_OFF), 60 * RATE / 2)
 
 
 if __name__ == "__main__":
--- a/tests/test_load_timing.py
+++ b/tests/test_load_timing.py
@@ -1,7 +1,7 @@
 """When engines load for a trainer that waits for each version, with steps a second apart.
 
-The second step needs the version that was named with the first one; engines that loaded in turns of
-a second each would lack it.
+The second step needs the version that was announced with the first one; engines that loaded in
+turns of a second each would lack it.
 """
 
 import unittest
@@ -56,7 +56,7 @@
     """When the engines of a model load together."""
 
     def due(self, demands: Demands, elapsed: float) -> int:
-        """Returns how many of nine engines load this long after the second version was named."""
+        """Returns how many of nine engines load this long after the second version is announced."""
         directory = make_directory(18, TWO_MODELS.name, slots=8)
         targets = WeightTargets()
         targets.update(WeightTarget(FIRST, 2), NAMED_AT)
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -1,4 +1,4 @@
-"""A suspended machine: CLOCK_MONOTONIC stands still, so no deadline may rely on it."""
+"""A suspended machine: CLOCK_MONOTONIC stops, so no deadline may rely on it."""
 
 import ast
 import asyncio
