--- a/tests/test_scale_mechanisms.py
+++ b/tests/test_scale_mechanisms.py
@@ -90,9 +90,9 @@
             await self.clock.sleep(6.0)
             self.heartbeats = 0
             await self.clock.sleep(10.0)
-            often = COORDINATOR_COUNT * 10.0 / FAST_HEARTBEAT_SECONDS
-            seldom = (DAEMONS - COORDINATOR_COUNT) * 10.0 / SLOW_HEARTBEAT_SECONDS
-            self.assertLessEqual(self.heartbeats, (often + seldom) * 1.1)
+            fast = COORDINATOR_COUNT * 10.0 / FAST_HEARTBEAT_SECONDS
+            slow = (DAEMONS - COORDINATOR_COUNT) * 10.0 / SLOW_HEARTBEAT_SECONDS
+            self.assertLessEqual(self.heartbeats, (fast + slow) * 1.1)
             self.assertLess(self.heartbeats / 10.0, PART_WRITES_PER_SECOND / 2)
             for membership in fleet:
                 self.assertEqual(DAEMONS, len(membership.alive()))
@@ -105,19 +105,19 @@
         async def play():
             fleet = self.begin()
             await self.clock.sleep(6.0)
-            heard = []
+            reporting_daemons = []
             observer = next(member for member in fleet if not member.is_coordinator())
-            observer._report_listener = lambda daemon, _: heard.append(daemon)
+            observer._report_listener = lambda daemon, _: reporting_daemons.append(daemon)
             others = [member for member in fleet if not member.is_coordinator()]
             await self.clock.sleep(10.0)
-            usual = len(heard)
+            count_before = len(reporting_daemons)
             self.is_short = True
             await self.clock.sleep(10.0)
-            self.assertGreater(len(heard) - usual, 0)
-            counts = Counter(heard[usual:])
-            seldom = [counts[member.own] for member in others if member is not observer]
-            self.assertGreater(min(seldom), 1.5 * 10.0 / SLOW_HEARTBEAT_SECONDS)
-            self.assertLess(max(seldom), 2.5 * 10.0 / SLOW_HEARTBEAT_SECONDS)
+            self.assertGreater(len(reporting_daemons) - count_before, 0)
+            counts = Counter(reporting_daemons[count_before:])
+            slow_counts = [counts[member.own] for member in others if member is not observer]
+            self.assertGreater(min(slow_counts), 1.5 * 10.0 / SLOW_HEARTBEAT_SECONDS)
+            self.assertLess(max(slow_counts), 2.5 * 10.0 / SLOW_HEARTBEAT_SECONDS)
             self.is_short = False
             for _ in range(80):
                 await self.clock.sleep(0.1)
@@ -197,10 +197,10 @@
             self.heartbeats = 0
             self.heartbeats_by_part.clear()
             await self.clock.sleep(9.0)
-            often = COORDINATOR_COUNT * 9.0 / FAST_HEARTBEAT_SECONDS
-            self.assertLessEqual(self.heartbeats_by_part[FAST_HEARTBEAT_PART], 1.1 * often)
-            seldom = 9.0 * MAX_SLOW_HEARTBEATS_PER_SECOND
-            self.assertLessEqual(self.heartbeats_by_part[SLOW_HEARTBEAT_PART], 1.1 * seldom)
+            fast = COORDINATOR_COUNT * 9.0 / FAST_HEARTBEAT_SECONDS
+            self.assertLessEqual(self.heartbeats_by_part[FAST_HEARTBEAT_PART], 1.1 * fast)
+            slow = 9.0 * MAX_SLOW_HEARTBEATS_PER_SECOND
+            self.assertLessEqual(self.heartbeats_by_part[SLOW_HEARTBEAT_PART], 1.1 * slow)
             self.assertEqual(self.heartbeats, self.heartbeats_by_part.total())
             for membership in fleet:
                 self.assertEqual(300, len(membership.alive()))
@@ -269,12 +269,12 @@
 
     def test_waiting_items_share_one_choice_of_engines(self):
         async def play():
-            looks = 0
+            choices_made = 0
             choose = EngineSelector.choose
 
             def counted(self, *arguments):
-                nonlocal looks
-                looks += 1
+                nonlocal choices_made
+                choices_made += 1
                 return choose(self, *arguments)
 
             EngineSelector.choose = counted
@@ -284,14 +284,14 @@
                 spec = make_batch("batch", 200)
                 await fleet.gateways[0].batches.submit(spec)
                 await fleet.wait(0.1)
-                looks = 0
+                choices_made = 0
                 before = fleet.clock.now()
                 results = await fleet.read_all(fleet.gateways[0], "batch")
                 passes = (fleet.clock.now() - before) / 0.03
             finally:
                 EngineSelector.choose = choose
             check_results(self, spec, results)
-            self.assertLess(looks, 1.2 * passes + 2 * len(spec.items))
+            self.assertLess(choices_made, 1.2 * passes + 2 * len(spec.items))
 
         run(play())
 
