--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -1,7 +1,7 @@
-"""The pool of connections to servers and to the store: kept, and checked before they serve again.
+"""The connection pool for servers and the store; validates connections before reuse.
 
-Owns which idle connections are handed out, and how long each server keeps idle ones. Relies on the
-HTTP library's connector, of which private methods are overridden: its version is pinned.
+Decides which idle connections are reused and records the keep-alive timeout of each server. It
+overrides private methods of aiohttp's connector, so the version of aiohttp is pinned.
 """
 
 import functools
@@ -16,34 +16,31 @@
 from larkpost.platform.watched_connection import CallOptions, WatchedConnection
 
 DEFAULT_KEEP_ALIVE_SECONDS = 3.0
-"""How long an idle connection is used again if its server does not say how long it keeps it."""
+"""How long an idle connection is reused if its server announces no keep-alive timeout."""
 MAX_KEEP_ALIVE_SECONDS = 30.0
-"""The same, however long its server says that it keeps it."""
+"""Upper bound of the announced keep-alive timeout."""
 KEEP_ALIVE_MARGIN_SECONDS = 1.5
-"""A connection is left alone this long before its server would close it: servers say it in whole
-seconds."""
+"""Connections are not reused this shortly before their server closes them; servers announce the
+timeout in whole seconds."""
 MIN_TRACKED_ADDRESSES = 1000
-"""So many servers are remembered before those without an idle connection are forgotten. A few
-hundred bytes each."""
+"""Number of tracked servers above which those without an idle connection are dropped."""
 MAX_HEADER_LINE_BYTES = 65536
-"""Longest status line and longest header that is read of a response. Eight times the library's own
-limit."""
+"""Maximum length of a status line or a header line of a response."""
 
-# The library records by a clock of its own since when connections are idle. By the plain steady
-# clock, one that was idle while the machine was suspended would look fresh, though its server
-# closed it.
+# aiohttp measures idle time with time.monotonic, which stops while the machine is suspended. A
+# connection that its server closed meanwhile would look fresh; steady_seconds counts that time.
 aiohttp.connector.monotonic = steady_seconds
 
 
 class CheckedConnector(aiohttp.TCPConnector):
-    """Keeps connections, but never hands out one that holds bytes nobody asked for.
+    """A connector that validates idle connections before reuse.
 
-    A server may send a second response after a whole one. On an idle connection those bytes lie in
-    the protocol's buffer, and the library would give them to the next request as its response. Nor
-    does it hand out a connection that its server is about to close, or one that may be silent.
+    A server may send a second response after a complete one. Those bytes stay in the buffer of the
+    idle connection, and aiohttp would take them for the response to the next request. Such
+    connections are closed, and so are those that their server is about to close and suspect ones.
 
     Args:
-        silences: knows which connections may be silent.
+        detector: knows which connections are suspect.
     """
 
     def __init__(self, detector: DeadConnectionDetector, **options) -> None:
@@ -52,21 +49,21 @@
         self._factory = functools.partial(WatchedConnection, detector, self._loop)
         self._keep_alive_seconds: dict[Address, float] = {}
         self._connection_keys: dict[Address, ConnectionKey] = {}
-        """The library's name for each server, under which it keeps the idle connections."""
+        """aiohttp's pool key of each server."""
         self._max_tracked = MIN_TRACKED_ADDRESSES
 
     @property
     def open_connections(self) -> int:
-        """The connections that are open, in use or idle."""
+        """The number of open connections, in use or idle."""
         return len(self._acquired) + sum(len(idle) for idle in self._conns.values())
 
     def record_keep_alive(self, server: Address, seconds: float) -> None:
-        """Records for how many seconds a server said that it keeps idle connections."""
+        """Records the keep-alive timeout that a server announced, in seconds."""
         usable = max(0.0, seconds - KEEP_ALIVE_MARGIN_SECONDS)
         self._keep_alive_seconds[server] = min(MAX_KEEP_ALIVE_SECONDS, usable)
 
     def has_idle(self, server: Address) -> bool:
-        """Returns whether an idle connection to a server is likely to serve again."""
+        """Returns whether there is a reusable idle connection to a server."""
         idle = self._conns.get(self._connection_keys.get(server))
         if not idle:
             return False
@@ -78,7 +75,7 @@
             protocol.close()
 
     def close_suspect(self, server: Address) -> None:
-        """Closes the idle connections to a server that may be silent."""
+        """Closes the suspect idle connections to a server."""
         idle = self._conns.get(self._connection_keys.get(server), ())
         for entry in [entry for entry in idle if self._detector.is_suspect(entry[0].record)]:
             idle.remove(entry)
@@ -87,7 +84,7 @@
             self._conns.pop(self._connection_keys.get(server), None)
 
     def _oldest_usable(self, server: Address) -> float:
-        """Returns the steady time since which a connection may be idle and still be used."""
+        """Returns the monotonic time before which a reusable connection must not have gone idle."""
         return steady_seconds() - self._keep_alive_seconds.get(server, DEFAULT_KEEP_ALIVE_SECONDS)
 
     def _is_usable(self, protocol: WatchedConnection, idle_since: float, oldest: float) -> bool:
@@ -96,9 +93,15 @@
         return protocol.record is None or not self._detector.is_suspect(protocol.record)
 
     async def connect(self, req, traces, timeout):
-        """Returns a connection for a call, kept or new, never later than the call's limit says.
+        """Returns a pooled or new connection for a call.
 
-        A process that was frozen meanwhile finds its connection open and its timer not yet run.
+        Checks the connect timeout itself: after the process was suspended, the connection may be
+        open before the timer has run.
+
+        Raises:
+            aiohttp.ConnectionTimeoutError: the connect timeout has passed.
+            aiohttp.ServerDisconnectedError: the call's connection was lost and it must not be
+                retried.
         """
         limits = timeout if isinstance(timeout, CallOptions) else CallOptions()
         if limits.disables_retry and limits.connection_count[0]:
@@ -108,12 +111,12 @@
         connection = await super().connect(req, traces, timeout)
         if timeout.connect is not None and steady_seconds() - began > timeout.connect:
             connection.close()
-            raise aiohttp.ConnectionTimeoutError("the connection came too late")
+            raise aiohttp.ConnectionTimeoutError("connected after the connect timeout")
         key = req.connection_key
         connection.protocol.begin_call(Address(f"{key.host}:{key.port}"), limits)
         return connection
 
-    async def _get(self, key, traces):  # overrides a private method: the version is pinned
+    async def _get(self, key, traces):  # overrides a private method of aiohttp
         server = Address(f"{key.host}:{key.port}")
         self._track_server(server, key)
         idle = self._conns.get(key)
@@ -128,7 +131,7 @@
         return await super()._get(key, traces)
 
     def _track_server(self, server: Address, key: ConnectionKey) -> None:
-        """Remembers a server; now and then those without an idle connection are forgotten."""
+        """Records the pool key of a server; drops servers without idle connections at times."""
         self._connection_keys[server] = key
         if len(self._connection_keys) <= self._max_tracked:
             return
@@ -145,10 +148,10 @@
         self._max_tracked = max(MIN_TRACKED_ADDRESSES, 2 * len(self._connection_keys))
 
     def _release(self, key, protocol, *, should_close: bool = False) -> None:
-        """Returns a connection to the pool; one that may be silent is not kept.
+        """Returns a connection to the pool; closes it if it is suspect.
 
-        One that is closed sends nothing more of its request: the transport would go on sending
-        what it holds of a body, whoever has left meanwhile.
+        Aborts a closing connection with unsent bytes, as the transport would otherwise go on
+        sending the request's body.
         """
         protocol.end_call()
         record = protocol.record
@@ -164,11 +167,11 @@
 def make_session(
     detector: DeadConnectionDetector, *, keep_alive: bool = True
 ) -> aiohttp.ClientSession:
-    """Returns a client session that sends and returns bytes as they are.
+    """Returns a client session that passes headers and bodies through unchanged.
 
     Args:
-        silences: tells which connections may be silent; sessions to the same addresses share it.
-        keep: whether connections are kept for later requests.
+        detector: knows which connections are suspect; shared by sessions to the same addresses.
+        keep_alive: whether connections are reused for later requests.
     """
     lifetime = (
         {"keepalive_timeout": MAX_KEEP_ALIVE_SECONDS} if keep_alive else {"force_close": True}
--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -1,9 +1,13 @@
-"""Watches connections for those that have gone silent for good, as against slow servers.
+"""Detects connections that are dead without having been reset, as opposed to slow servers.
 
-Owns what each open connection has shown, how long calls to each address usually take, and which
-addresses are suspect. The rule itself stands in `larkpost.platform.dead_connection_rule`. Once a
-connection is silent for good, its address is suspect: none of the connections that were open at
-that moment is trusted again. So a slow server costs no more than one set of connections."""
+Keeps the state of each open connection, the typical latency of calls to each address, and the
+suspect addresses. The criteria are in `larkpost.platform.dead_connection_rule`. When a connection
+is dead, its address becomes suspect, and no connection that was open at that moment is reused.
+Connections opened since are trusted, so a slow server loses at most one set of connections.
+
+Operators see dead connections as ``connections_silent`` in the log and as
+``larkpost_silent_connections_total`` in the metrics.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -24,16 +28,16 @@
 )
 
 LATENCY_DECAY = 0.1
-"""Share by which the usual time of an address nears that of a quicker call; it rises at once."""
+"""Weight of a faster call in the moving average of the latency; a slower call replaces it."""
 SUSPECT_COOLDOWN_SECONDS = 2.0
-"""After a suspicion, before connections opened since may be suspected as well: a server that is
-slow now and then does not have its connections closed again and again."""
+"""Minimum time before an address becomes suspect again, so that a server that is slow at times does
+not lose its connections repeatedly."""
 ADDRESS_RETENTION_SECONDS = 60.0
-"""How long an address without connections is remembered: servers come back at new ones."""
+"""How long the state of an address without connections is kept; restarted servers use new ones."""
 
 
 class UpstreamKind(StrEnum):
-    """What connections lead to; the label of their counter."""
+    """What a connection leads to; the value is a metric label."""
 
     STORE = "store"
     PEER = "peer"
@@ -41,22 +45,22 @@
 
 
 class CallKind(StrEnum):
-    """Kinds of calls whose usual times have nothing to do with each other."""
+    """Kinds of calls whose latencies are tracked separately."""
 
     REQUEST = "request"
-    CONTROL = "control"  # answered at once, whatever the other end is at work on
+    CONTROL = "control"  # answered at once, however busy the server is
 
 
 @dataclass(slots=True, eq=False)
 class ConnectionRecord:
-    """What one open connection has shown. All times are steady ones.
+    """The state of one open connection. All times are monotonic.
 
     Attributes:
-        received_at: when it last brought bytes; None if it never did.
-        called_at: when its last call began.
-        kind: the kind of that call.
-        hold_time: seconds that this call may be held at the other end before it is answered.
-        is_awaited: whether the call has not got a byte of its response yet.
+        received_at: time at which it last received bytes; None if it never did.
+        call_started_at: time at which its last call began.
+        kind: kind of that call.
+        hold_time: seconds for which the server may hold this call (long poll) before it responds.
+        awaits_response: whether the call has not received a byte of its response yet.
     """
 
     address: Address
@@ -68,18 +72,18 @@
     awaits_response: bool = False
 
     def waiting_since(self) -> float:
-        """Returns since when a call has waited for bytes."""
+        """Returns the time since which the call has waited for bytes."""
         return max(self.call_started_at, self.received_at or 0.0)
 
 
 class DeadConnectionDetector:
-    """Watches the connections to all addresses of one kind.
+    """Tracks the connections to all addresses of one kind and detects dead ones.
 
     Args:
         peer: what the connections lead to.
-        metrics: counts suspicions.
+        metrics: counts addresses that become suspect.
         log: records them.
-        now: returns steady time.
+        now: returns monotonic time.
     """
 
     def __init__(
@@ -97,10 +101,10 @@
         self._typical_latencies: dict[tuple[Address, CallKind], float] = {}
         self._suspected_at: dict[Address, float] = {}
         self._unused_since: dict[Address, float] = {}
-        """When the last connection to each address without one was closed, in that order."""
+        """Close time of the last connection, for addresses without any, oldest first."""
 
     def open(self, address: Address) -> ConnectionRecord:
-        """Returns the record of a connection that has just been opened."""
+        """Returns the record of a new connection."""
         record = ConnectionRecord(address, self._now())
         self._unused_since.pop(address, None)
         self._evict_unused()
@@ -108,7 +112,7 @@
         return record
 
     def close(self, record: ConnectionRecord) -> None:
-        """Forgets a connection that is closed."""
+        """Removes the record of a closed connection."""
         records = self._records.get(record.address)
         if records is not None:
             records.discard(record)
@@ -117,14 +121,14 @@
                 self._unused_since[record.address] = self._now()
 
     def begin_call(self, record: ConnectionRecord, kind: CallKind, hold_time: float) -> None:
-        """Records that a call begins on a connection."""
+        """Records the start of a call on a connection."""
         record.call_started_at = self._now()
         record.kind = kind
         record.hold_time = hold_time
         record.awaits_response = True
 
     def record_bytes(self, record: ConnectionRecord) -> None:
-        """Records that a connection has brought bytes."""
+        """Records that a connection has received bytes."""
         record.received_at = self._now()
         if record.awaits_response:
             record.awaits_response = False
@@ -132,7 +136,7 @@
                 self._record_latency(record, record.received_at - record.call_started_at)
 
     def end_call(self, record: ConnectionRecord) -> None:
-        """Records that a call ends, whole or not; after a long silence its address is suspect."""
+        """Records the end of a call, complete or not; marks the address suspect if it timed out."""
         if self.is_dead(record, ABANDONED_CALL_TIMEOUT):
             self.mark_suspect(record)
         elif record.awaits_response and not record.hold_time:
@@ -142,16 +146,16 @@
         record.awaits_response = False
 
     def timeout_of(self, record: ConnectionRecord, limit: AdaptiveTimeout = ABORT_TIMEOUT) -> float:
-        """Returns the seconds without a byte after which a connection may be silent for good.
+        """Returns the seconds without a byte after which a connection may be dead.
 
-        They count from when its call could have been answered at the earliest.
+        They count from the end of the call's hold time.
         """
         if not record.awaits_response:
             return MAX_BODY_PAUSE_SECONDS
         return limit.seconds(self._typical_latency(record))
 
     def is_dead(self, record: ConnectionRecord, limit: AdaptiveTimeout = ABORT_TIMEOUT) -> bool:
-        """Returns whether a connection with a call on it has gone silent for good."""
+        """Returns whether a connection with a call in progress is dead."""
         wait = PendingCall(
             now=self._now(),
             since=record.waiting_since(),
@@ -162,14 +166,17 @@
         return has_timed_out(wait) and not is_server_slow(wait, self._others_received_at(record))
 
     def is_newer_connection_alive(self, record: ConnectionRecord) -> bool:
-        """Returns whether a connection opened since its call began has brought bytes."""
+        """Returns whether a connection opened after the call began has received bytes."""
         return any(
             other.received_at is not None and other.opened_at > record.call_started_at
             for other in self._records.get(record.address, ())
         )
 
     def mark_suspect(self, record: ConnectionRecord) -> None:
-        """Trusts no connection to an address any more that is open now."""
+        """Marks all open connections to the record's address as suspect.
+
+        Does nothing during the cooldown, or if the connection was suspect already.
+        """
         now = self._now()
         suspected_at = self._suspected_at.get(record.address, float("-inf"))
         if now - suspected_at < SUSPECT_COOLDOWN_SECONDS or record.opened_at < suspected_at:
@@ -188,11 +195,11 @@
             )
 
     def is_suspect(self, record: ConnectionRecord) -> bool:
-        """Returns whether a connection was open when its address became suspect."""
+        """Returns whether a connection was open when its address last became suspect."""
         return record.opened_at <= self._suspected_at.get(record.address, float("-inf"))
 
     def _others_received_at(self, record: ConnectionRecord) -> float | None:
-        """Returns when a connection that was open when the call began last brought bytes."""
+        """Returns when any connection that was open when the call began last received bytes."""
         times = (
             other.received_at
             for other in self._records.get(record.address, ())
@@ -212,7 +219,7 @@
                 self._typical_latencies.pop((address, kind), None)
 
     def _typical_latency(self, record: ConnectionRecord) -> float:
-        """Returns what calls like a connection's last usually take; 0 if nothing is known."""
+        """Returns the typical latency of calls like the connection's last; 0 if unknown."""
         return self._typical_latencies.get((record.address, record.kind), 0.0)
 
     def _record_latency(self, record: ConnectionRecord, seconds: float) -> None:
--- a/src/larkpost/platform/watched_connection.py
+++ b/src/larkpost/platform/watched_connection.py
@@ -1,6 +1,6 @@
-"""One connection to a server or to the store, and the end of its call once it is silent.
+"""A connection to a server or to the store that aborts its call when it is dead.
 
-Relies on `larkpost.platform.dead_connections` for whether a connection is silent for good.
+`larkpost.platform.dead_connections` decides whether a connection is dead.
 """
 
 import asyncio
@@ -14,34 +14,35 @@
 from larkpost.platform.dead_connections import CallKind, ConnectionRecord, DeadConnectionDetector
 
 CONNECT_TIMEOUT_SECONDS = 1.0
-"""Longest wait for a new connection."""
+"""Connect timeout."""
 PROBE_WAIT_SECONDS = 0.2
-"""How much longer a call that must not be given up lightly waits for proof from a new connection: a
-server that turned slow all at once answers both late, and is not to blame."""
+"""How much longer a call waits for its probe. If the server is slow rather than the connection
+dead, the probe is late as well, and the call may still be answered."""
 PROBE_POLL_SECONDS = 0.01
-"""Between two checks whether a new connection has proven an old one silent."""
+"""Interval at which the result of a probe is checked."""
 
 
 class DeadConnectionError(aiohttp.ClientError):
-    """The connection of a call has gone silent for good; the call may have been made."""
+    """The connection of a call is dead; the call may have been executed."""
 
 
 @attrs.frozen
 class CallOptions(aiohttp.ClientTimeout):
-    """The limits of one call.
+    """The timeouts and options of one call.
 
     Attributes:
-        sock_connect: seconds within which a new connection must be open.
-        kind: which calls it takes about as long as.
-        hold_time: seconds that the other end may hold the call before it responds.
-        ends_if_silent: whether the call ends with `SilentConnectionError` once its connection is
-            taken to be silent for good; if not, its own time limit shows that.
-        prove: asks for proof on a new connection, as it harms to end this call without need; it
-            ends once there is proof, or `PROOF_SECONDS` later. None if it ends without.
-        is_sent_once: whether the call ends when its connection is lost. The library sends some
-            again by itself then, and reports only how that ended: a server that has crashed would
+        sock_connect: connect timeout in seconds.
+        kind: kind of calls whose latency applies.
+        hold_time: seconds for which the server may hold the call (long poll) before it responds.
+        aborts_if_dead: whether the call fails with `DeadConnectionError` once its connection is
+            dead; otherwise only its own timeout ends it.
+        start_probe: sends a probe on a new connection, for calls that should not be aborted
+            needlessly. The call is aborted once the probe succeeds, or `PROBE_WAIT_SECONDS`
+            later. None to abort without a probe.
+        disables_retry: whether the call fails when its connection is lost. aiohttp retries some
+            requests by itself and reports only the last attempt, so a server that crashed would
             look as if it had never been reached.
-        connections: one number, which counts the connections that the call was given.
+        connection_count: one number: the connections that were handed out to the call.
     """
 
     sock_connect: float | None = CONNECT_TIMEOUT_SECONDS
@@ -54,10 +55,10 @@
 
 
 class WatchedConnection(ResponseHandler):
-    """One connection, whose bytes and calls are recorded.
+    """A connection that reports its calls and received bytes to the detector.
 
     Attributes:
-        record: what the connection has shown; None until its first call.
+        record: the connection's state; None until its first call.
     """
 
     def __init__(self, detector: DeadConnectionDetector, loop: asyncio.AbstractEventLoop) -> None:
@@ -69,7 +70,7 @@
         self.record: ConnectionRecord | None = None
 
     def begin_call(self, address: Address, limits: CallOptions) -> None:
-        """Records that a call begins, and ends it if the connection is silent."""
+        """Records the start of a call and schedules the check for a dead connection."""
         if self.record is None:
             self.record = self._detector.open(address)
         self._detector.begin_call(self.record, limits.kind, limits.hold_time)
@@ -78,34 +79,34 @@
             self._schedule_check(limits.hold_time + self._detector.timeout_of(self.record))
 
     def end_call(self) -> None:
-        """Records that a call has ended, or was given up."""
+        """Records that a call has ended or was abandoned."""
         self._cancel_timer()
         if self.record is not None and self.is_connected() and not self._is_reading_paused():
             self._detector.end_call(self.record)
 
     def data_received(self, data: bytes) -> None:
-        """Records that bytes of a response came, and passes them on."""
+        """Records the received bytes and passes them on."""
         if data and self.record is not None:
             self._cancel_timer()
             self._detector.record_bytes(self.record)
         super().data_received(data)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Forgets the connection."""
+        """Removes the connection's record."""
         self._cancel_timer()
         if self.record is not None:
             self._detector.close(self.record)
         super().connection_lost(exc)
 
     def _is_reading_paused(self) -> bool:
-        """Returns whether no bytes come as nobody here reads them."""
+        """Returns whether flow control has paused reading, so that no bytes can arrive."""
         return self._reading_paused or self._buffer_paused
 
     def _schedule_check(self, delay: float) -> None:
         self._timer = self._loop.call_later(delay, self._check)
 
     def _check(self) -> None:
-        """Breaks the call off if its connection is silent for good."""
+        """Aborts the call if its connection is dead."""
         if not self._detector.is_dead(self.record):
             self._schedule_check(self._detector.timeout_of(self.record))
             return
@@ -113,11 +114,11 @@
         if self._awaits_probe():
             self._schedule_check(PROBE_POLL_SECONDS)
             return
-        self.set_exception(DeadConnectionError(f"{self.record.address} is silent"))
+        self.set_exception(DeadConnectionError(f"the connection to {self.record.address} is dead"))
         self.transport.abort()
 
     def _awaits_probe(self) -> bool:
-        """Returns whether a new connection may yet prove this one silent; asks for that once."""
+        """Returns whether a probe is in progress; starts it the first time."""
         if self._start_probe is None:
             return False
         if self._probe_until is None:
