--- a/src/larkpost/platform/event_stream.py
+++ b/src/larkpost/platform/event_stream.py
@@ -1,8 +1,7 @@
-"""Splits the body of a stream into events.
+"""Decodes server-sent events.
 
-The libraries for event streams drop unknown fields, and the platform reports a change of the weight
-version in a field of its own; so the lines of an event are read here. Framing of the body itself
-is the HTTP library's.
+SSE libraries drop unknown fields, but the platform reports a change of the weight version in a
+custom field, so the lines of an event are parsed here. aiohttp decodes the framing of the body.
 """
 
 from collections.abc import Iterator
@@ -14,18 +13,18 @@
 
 
 class EventDecoder:
-    """Collects bytes and yields whole events; a partial event stays back."""
+    """Buffers bytes and yields complete events."""
 
     def __init__(self) -> None:
         self._pending = b""
 
     def feed(self, content: bytes) -> Iterator[StreamEvent]:
-        """Adds bytes as they arrive and yields the events that are now whole.
+        """Adds bytes and yields the events that are complete.
 
         Raises:
-            ValueError: an event has no readable id.
+            ValueError: an event has no valid id.
         """
-        # What is left over is looked at again: a line end may be cut between two chunks.
+        # Normalizes the whole buffer, as a CRLF may be split between two chunks.
         self._pending = (self._pending + content).replace(b"\r\n", b"\n")
         while EVENT_END in self._pending:
             block, self._pending = self._pending.split(EVENT_END, 1)
@@ -34,7 +33,7 @@
 
     @property
     def has_partial_event(self) -> bool:
-        """Whether bytes of an unfinished event are held."""
+        """Whether the buffer holds an incomplete event."""
         return bool(self._pending.strip())
 
 
@@ -52,5 +51,5 @@
         elif name.lower() == names.WEIGHT_VERSIONS:
             version = int(value)
     if event_id is None:
-        raise ValueError("an event without an id")
+        raise ValueError("an event has no id")
     return StreamEvent(event_id, b"\n".join(data), block + EVENT_END, version)
--- a/src/larkpost/platform/server_control.py
+++ b/src/larkpost/platform/server_control.py
@@ -1,7 +1,7 @@
-"""Control calls to engines: their reports, and orders of weight versions.
+"""Control calls to engines: status reports and orders to load weight versions.
 
-Both may be lost or made twice without harm: a report changes nothing, and an order names the count
-of orders that the engine must have taken before, so a second one of the same is refused.
+Both are safe to repeat: a report changes nothing, and an order carries the number of orders that
+the engine must have accepted before, so a duplicate is rejected.
 """
 
 import asyncio
@@ -43,7 +43,7 @@
     """One control call.
 
     Attributes:
-        target: the path, as it is on the wire.
+        target: the encoded path.
         body: a JSON document; None for a call without a body.
     """
 
@@ -52,7 +52,7 @@
     body: bytes | None = None
 
     def headers(self, instance: InstanceInfo) -> dict[str, str]:
-        """Returns the headers; an engine that is not the instance meant refuses the call."""
+        """Returns the headers; they name the instance, and any other instance rejects the call."""
         headers = {names.EXPECT_INSTANCE.decode(): instance.name}
         if self.body is not None:
             headers["Content-Type"] = "application/json"
@@ -60,27 +60,28 @@
 
 
 class ControlClient:
-    """Makes control calls on the kept connections of a session."""
+    """Makes control calls over the connections of a session."""
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
         self._session = session
 
     async def report(self, instance: InstanceInfo, timeout: float) -> EngineReport | None:
-        """Asks an engine for its report; see the port.
+        """Requests an engine's report; see the port.
 
-        A late response to an earlier request on the connection names that request, or is no report.
+        A late response to an earlier request on the connection either carries the id of that
+        request or cannot be parsed as a report; it is dropped in both cases.
         """
         call = ControlCall("GET", names.REPORT_PATH)
         try:
             status, content = await self._call(call, instance, timeout)
             return read_report(content) if status == OK else None
         except (BrokenResponseError, *RESPONSE_FAILURES, *PARSE_ERRORS):
-            return None  # the loader logs it and asks again
+            return None  # the caller logs it and retries
 
     async def order(
         self, instance: InstanceInfo, order: VersionOrder, timeout: float
     ) -> OrderOutcome:
-        """Gives an engine an order; see the port."""
+        """Sends an engine an order; see the port."""
         call = ControlCall("POST", names.ORDER_PATH, orjson.dumps(order_document(order)))
         try:
             status, _ = await self._call(call, instance, timeout)
@@ -91,13 +92,13 @@
     async def _call(
         self, call: ControlCall, instance: InstanceInfo, timeout: float
     ) -> tuple[int, bytes]:
-        """Makes a call and returns the response's status and body.
+        """Makes a call and returns the status and body of the response.
 
         Args:
             timeout: seconds for the whole call.
 
         Raises:
-            BrokenResponseError: the response belongs to a request that was sent earlier.
+            BrokenResponseError: the response belongs to an earlier request.
         """
         async with (
             asyncio.timeout(timeout),
@@ -111,6 +112,6 @@
         ):
             if match_response(response.headers, None) is ResponseMatch.OTHER_REQUEST:
                 response.close()
-                raise BrokenResponseError("the answer belongs to an earlier request")
+                raise BrokenResponseError("the response belongs to an earlier request")
             record_keep_alive(self._session.connector, instance.address, response)
             return response.status, await response.read()
--- a/src/larkpost/platform/server_messages.py
+++ b/src/larkpost/platform/server_messages.py
@@ -1,4 +1,4 @@
-"""What servers say of themselves and what they are told, on the wire and as larkpost's types."""
+"""Converts between the wire formats of servers and larkpost's types: headers, reports, orders."""
 
 import re
 from collections.abc import Mapping
@@ -17,34 +17,34 @@
     RunningWork.FINISH: "wait",
     RunningWork.INTERRUPT: "preempt",
 }
-"""How a server treats the work that runs under the old version while it changes to the new one."""
+"""How a server treats requests that run under the old version while it loads the new one."""
 LOAD_LENGTHS = (3, 4)
-"""How many figures a server's load has: running, waiting and slots; some servers add, in per cent,
-how long work takes there now."""
+"""Number of values in a server's load header: running, waiting, slots and, optionally, the current
+duration of work in per cent."""
 LOAD_FIGURE = re.compile(r"[0-9]{1,6}")
 IDLE_TIME = re.compile(r"timeout=(\d+)")
 
 
 def read_int_header(headers: Mapping[str, str], name: bytes) -> int | None:
-    """Returns a header that is a whole number; None if it is none."""
+    """Returns a header's value as an integer; None if it is missing or not one."""
     text = headers.get(name.decode())
     return int(text) if text is not None and text.isdigit() else None
 
 
 def read_keep_alive(headers: Mapping[str, str]) -> float | None:
-    """Returns the seconds for which a server leaves an idle connection open; None if not said."""
+    """Returns the server's keep-alive timeout in seconds; None if it announces none."""
     found = IDLE_TIME.search(headers.get("Keep-Alive", ""))
     return float(found[1]) if found is not None else None
 
 
 def read_cold_seconds(headers: Mapping[str, str]) -> float | None:
-    """Returns the seconds for which a server says that it stays cold; None if it says nothing."""
+    """Returns the seconds for which a server stays cold; None if it does not say."""
     left = read_int_header(headers, names.COLD_MS)
     return left / 1000 if left is not None else None
 
 
 def read_load(headers: Mapping[str, str]) -> ServerLoad | None:
-    """Returns what a server says of its load; None if it says nothing."""
+    """Returns a server's load; None if the header is missing or malformed."""
     parts = [part.strip() for part in headers.get(names.INSTANCE_LOAD.decode(), "").split(",")]
     if len(parts) not in LOAD_LENGTHS or not all(LOAD_FIGURE.fullmatch(part) for part in parts):
         return None
@@ -54,17 +54,17 @@
 
 
 def read_report(content: bytes) -> EngineReport:
-    """Reads an engine's report.
+    """Parses an engine's report.
 
     Raises:
-        ValueError: it is none.
+        ValueError: the report is invalid.
     """
     document = read_json_object(content)
     busy = document.get("busy")
     if not isinstance(busy, bool):
-        raise ValueError(f"busy is {busy!r}, not true or false")
+        raise ValueError(f"busy is {busy!r}, but must be true or false")
     return EngineReport(
-        orders=read_int(document, "seq"),  # the count of orders, not of reports
+        orders=read_int(document, "seq"),  # the number of orders, not of reports
         busy=busy,
         running=read_int(document, "running") if "running" in document else 0,
         waiting=read_int(document, "waiting") if "waiting" in document else 0,
@@ -74,7 +74,7 @@
 
 
 def order_document(order: VersionOrder) -> dict[str, object]:
-    """Returns an order as an engine takes it."""
+    """Returns the document of an order."""
     return {
         "op": "version",
         "model": order.model,
@@ -82,5 +82,5 @@
         "mode": ORDER_MODES[order.running_work],
         "holder": order.holder,
         "fence": order.fencing_token,
-        "expected": order.expected_orders,  # the count of orders that the engine reported
+        "expected": order.expected_orders,  # the number of orders that the engine reported
     }
--- a/src/larkpost/platform/server_refusals.py
+++ b/src/larkpost/platform/server_refusals.py
@@ -1,7 +1,7 @@
-"""Which request a server's response belongs to, and whether that request ran.
+"""Checks which request a server's response belongs to and whether that request was executed.
 
-A response may come late or twice on a kept connection, so it counts only if it repeats the id of
-the request that it is read for.
+A response may arrive late or twice on a reused connection, so it is accepted only if it repeats the
+id of the request.
 """
 
 import asyncio
@@ -24,14 +24,13 @@
 
 MISDIRECTED = 421
 MAX_REFUSAL_BYTES = 4096
-"""Longest body of a refusal that is read so that its connection serves again. A refusal's body is a
-line of text."""
+"""Maximum body of a refusal that is read so that its connection can be reused."""
 REFUSAL_BODY_SECONDS = 0.05
-"""Longest wait for it: it comes with its head, and the request wants another server at once."""
+"""Timeout for reading that body; the request is to be sent to another server at once."""
 
 
 class ResponseMatch(Enum):
-    """The request to which a response says that it belongs."""
+    """How the request id of a response compares with that of the request."""
 
     THIS_REQUEST = auto()
     OTHER_REQUEST = auto()
@@ -39,7 +38,7 @@
 
 
 def match_response(headers: Mapping[str, str], request_id: bytes | None) -> ResponseMatch:
-    """Returns to which request a response says that it belongs.
+    """Compares the request id of a response with that of the request.
 
     Args:
         request_id: the id that the request was sent with; None if it was sent without one.
@@ -55,15 +54,15 @@
 def check_executed(
     response: aiohttp.ClientResponse, instance: InstanceInfo, request: OutgoingRequest
 ) -> None:
-    """Checks that the response belongs to the request and that the request ran.
+    """Checks that the response belongs to the request and that the request was executed.
 
     Raises:
-        NotRunError: the server says that it did not run it.
-        BrokenResponseError: the response belongs to another request, or names none.
+        NotRunError: the server did not execute it.
+        BrokenResponseError: the response belongs to another request or has no request id.
     """
     owner = match_response(response.headers, request.request_id)
     if owner is ResponseMatch.OTHER_REQUEST:
-        raise BrokenResponseError("the answer belongs to another request")
+        raise BrokenResponseError("the response belongs to another request")
     if response.status == MISDIRECTED:
         found = response.headers.get(names.INSTANCE_ID.decode(), instance.name)
         is_replaced = found != instance.name
@@ -71,7 +70,7 @@
     if names.NOT_EXECUTED.decode() in response.headers:
         raise NotRunError(NotRunReason.FULL, read_cold_seconds(response.headers))
     if owner is ResponseMatch.UNIDENTIFIED:
-        raise BrokenResponseError("the answer names no request")
+        raise BrokenResponseError("the response has no request id")
 
 
 async def drain_refusal(
@@ -80,13 +79,13 @@
     request: OutgoingRequest,
     connector: CheckedConnector,
 ) -> None:
-    """Reads a short refusal to its end, so that its connection serves again.
+    """Reads a short refusal to its end so that its connection can be reused.
 
-    A refusal that does not name its request loses the connection: were it to come a second
-    time, it would pass for the refusal of the next request.
+    If the refusal does not carry the request's id, the connections to the server are closed: a
+    duplicate of the refusal would be taken for the refusal of the next request.
 
     Args:
-        connector: keeps the connections to the server.
+        connector: the pool that holds the connections to the server.
     """
     if match_response(response.headers, request.request_id) is not ResponseMatch.THIS_REQUEST:
         response.close()
@@ -99,4 +98,4 @@
         async with asyncio.timeout(REFUSAL_BODY_SECONDS):
             await response.read()
     except RESPONSE_FAILURES:
-        return  # only the connection is lost: the head has said that the request did not run
+        return  # only the connection is lost; the head already says that the request did not run
--- a/src/larkpost/platform/server_requests.py
+++ b/src/larkpost/platform/server_requests.py
@@ -1,4 +1,4 @@
-"""Sends one request to a server, in the form in which servers take requests."""
+"""Builds and sends a request to a server."""
 
 import aiohttp
 from aiohttp.abc import AbstractStreamWriter
@@ -12,10 +12,10 @@
 from larkpost.platform.watched_connection import CallOptions
 
 MAX_PIECE_BYTES = 65536
-"""Larger bodies are sent in pieces, each once the connection has taken the last: a connection
-copies what it cannot send at once."""
+"""Larger bodies are sent in pieces of this size, each once the connection has room for it, as a
+transport copies what it cannot send at once."""
 MIN_DEADLINE_MS = 1
-"""What a server is told where less is left: none at all would be no limit to it."""
+"""Lower bound of the deadline sent to a server: without one, the server would apply no limit."""
 
 
 async def send_once(
@@ -24,10 +24,10 @@
     request: OutgoingRequest,
     limits: CallOptions,
 ) -> aiohttp.ClientResponse:
-    """Sends a request and returns the response once its head has come.
+    """Sends a request and returns the response once its head has arrived.
 
     Raises:
-        aiohttp.ClientError, TimeoutError, OSError, ValueError: no head of a response came.
+        aiohttp.ClientError, TimeoutError, OSError, ValueError: no response head arrived.
     """
     return await session.request(
         request.method,
@@ -40,7 +40,7 @@
 
 
 class PiecewisePayload(aiohttp.payload.Payload):
-    """A large body, sent in pieces."""
+    """A large body that is sent in pieces."""
 
     _autoclose = True
     _value: bytes | bytearray
@@ -67,12 +67,12 @@
 
 
 def server_url(server: Address, target: str) -> URL:
-    """Returns the URL of a target, path and query as they are."""
+    """Returns the URL of a target; its path and query are already encoded."""
     return URL(f"http://{server}{target}", encoded=True)
 
 
 def _headers(instance: InstanceInfo, request: OutgoingRequest) -> CIMultiDict[str]:
-    """Returns the caller's headers, then those that larkpost sets, in the order of the wire."""
+    """Returns the caller's headers followed by those that larkpost sets, in wire order."""
     headers: CIMultiDict[str] = CIMultiDict()
     for name, value in request.headers:
         headers.add(name.decode("latin-1"), value.decode("latin-1"))
--- a/src/larkpost/platform/server_responses.py
+++ b/src/larkpost/platform/server_responses.py
@@ -1,4 +1,4 @@
-"""A server's response: its head, its body and how it shows that the body is not whole."""
+"""A server's response: its head, its body, and the detection of incomplete bodies."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -23,13 +23,13 @@
     aiohttp.ClientPayloadError,
     ConnectionError,
 )
-"""How it shows that a connection was closed or reset before the whole response had come."""
+"""Errors that mean that the connection was lost before the response was complete."""
 RESPONSE_FAILURES = (aiohttp.ClientError, asyncio.TimeoutError, OSError, ValueError)
-"""Everything that a call may end with besides a whole response."""
+"""Errors that a call may fail with."""
 MAX_CHUNK_BYTES = 65536
-"""Most bytes of a body that are passed on at once, as soon as there are any."""
+"""Maximum size of a chunk of the body; smaller chunks are passed on as they arrive."""
 EMPTY_STATUSES = (204, 304)
-"""Their responses have no body, whatever their headers say."""
+"""Statuses of responses without a body, whatever their headers say."""
 
 
 class HttpResponse:
@@ -42,7 +42,7 @@
         self.status = response.status
         self.headers: Headers = tuple(response.raw_headers)
         self.load = read_load(response.headers)
-        # One number, though the header's name is in the plural: the version of the one model.
+        # A single version, despite the plural in the header's name.
         self.version = read_int_header(response.headers, names.WEIGHT_VERSIONS)
         self.cold_left = read_cold_seconds(response.headers)
         self.signature = response.headers.get(names.SERVER_SIGNATURE.decode())
@@ -50,7 +50,7 @@
     async def chunks(self) -> AsyncIterator[bytes]:
         """Yields the body; see the port."""
         if "Content-Encoding" in self._response.headers:
-            raise BrokenResponseError("the body is encoded, though no encoding was asked for")
+            raise BrokenResponseError("the body is encoded, but no encoding was requested")
         try:
             async for chunk in self._response.content.iter_chunked(MAX_CHUNK_BYTES):
                 yield chunk
@@ -58,7 +58,7 @@
             raise broken_response("", error) from None
         if self._was_reset():
             raise BrokenResponseError(
-                "a body without a length ended in a reset", connection_lost=True
+                "the connection was reset within a body without a length", connection_lost=True
             )
 
     async def events(self) -> AsyncIterator[StreamEvent]:
@@ -69,12 +69,12 @@
                 for event in decoder.feed(chunk):
                     yield event
             except ValueError as error:
-                raise BrokenResponseError(f"no event stream: {error}") from None
+                raise BrokenResponseError(f"the event stream is malformed: {error}") from None
         if decoder.has_partial_event:
             raise BrokenResponseError("the stream ended within an event", connection_lost=True)
 
     def _was_reset(self) -> bool:
-        """Returns whether a body without a length ended otherwise than by an orderly close."""
+        """Returns whether a body without a length ended other than by an orderly close."""
         headers = self._response.headers
         is_framed = "Content-Length" in headers or "Transfer-Encoding" in headers
         if is_framed or self.status in EMPTY_STATUSES:
@@ -85,7 +85,7 @@
 
 
 def broken_response(prefix: str, error: Exception) -> BrokenResponseError:
-    """Returns the error for a response that did not come whole."""
+    """Returns the error for an incomplete response."""
     return BrokenResponseError(
         f"{prefix}{type(error).__name__}: {error}",
         connection_lost=isinstance(error, LOST_CONNECTIONS),
@@ -95,7 +95,7 @@
 def record_keep_alive(
     connector: CheckedConnector, server: Address, response: aiohttp.ClientResponse
 ) -> None:
-    """Records how long the server says that it leaves an idle connection open, if it says so."""
+    """Records the server's keep-alive timeout, if the response announces it."""
     seconds = read_keep_alive(response.headers)
     if seconds is not None:
         connector.record_keep_alive(server, seconds)
--- a/src/larkpost/platform/servers.py
+++ b/src/larkpost/platform/servers.py
@@ -1,8 +1,7 @@
-"""The server adapter: requests, reports and orders over HTTP.
+"""The server adapter: sends requests and orders to model servers over HTTP.
 
-Owns two sessions: one whose connections are kept for later requests, and one that opens a
-connection for each request. What servers are sent and what they say stands in the modules
-``server_*`` beside this one.
+It has two sessions: one that reuses connections, and one that opens a connection for each request.
+The modules ``server_*`` hold the formats of requests and responses.
 """
 
 import asyncio
@@ -40,14 +39,14 @@
 from larkpost.platform.watched_connection import CallOptions, DeadConnectionError
 
 CONNECT_FAILURES = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
-"""How it shows that there was no connection, so that nothing was sent."""
+"""Errors that mean that no connection was made, so nothing was sent."""
 
 
 class HttpServers:
     """Sends requests and orders to servers; implements `larkpost.gateway.servers.port.ServerPort`.
 
     Args:
-        metrics: counts connections that go silent.
+        metrics: counts dead connections.
         log: records them.
     """
 
@@ -87,53 +86,53 @@
             async with asyncio.timeout(timeout):
                 _, writer = await asyncio.open_connection(host, port)
         except ConnectionRefusedError:
-            return PortState.DEAD  # what was asked
+            return PortState.DEAD  # the machine is up and nothing listens
         except (TimeoutError, OSError):
-            return PortState.SILENT  # nothing is known: the machine or the way to it may be gone
+            return PortState.SILENT  # unknown: the machine or the network may be down
         writer.transport.abort()
         return PortState.LISTENS
 
     async def report(self, instance: InstanceInfo, timeout: float) -> EngineReport | None:
-        """Asks an engine for its report; see the port."""
+        """Requests an engine's report; see the port."""
         return await self._control.report(instance, timeout)
 
     async def order(
         self, instance: InstanceInfo, order: VersionOrder, timeout: float
     ) -> OrderOutcome:
-        """Gives an engine an order; see the port."""
+        """Sends an engine an order; see the port."""
         return await self._control.order(instance, order, timeout)
 
     @property
     def open_connections(self) -> int:
-        """The connections to servers that are open, in use or idle."""
+        """The number of open connections to servers, in use or idle."""
         return self._pooled.connector.open_connections + self._unpooled.connector.open_connections
 
     def is_connected(self, instance: InstanceInfo) -> bool:
-        """Returns whether an idle connection to a server is kept; see the port."""
+        """Returns whether there is a reusable idle connection to a server; see the port."""
         return self._pooled.connector.has_idle(instance.address)
 
     async def _receive_head(
         self, session: aiohttp.ClientSession, instance: InstanceInfo, request: OutgoingRequest
     ) -> aiohttp.ClientResponse:
-        """Sends a request and returns the response once its head has come.
+        """Sends a request and returns the response once its head has arrived.
 
         Raises:
-            NotRunError: there was no connection.
-            BrokenResponseError: no head came.
+            NotRunError: no connection could be made.
+            BrokenResponseError: no response head arrived.
         """
         try:
             return await self._send(session, instance, request)
         except CONNECT_FAILURES:
             raise NotRunError(NotRunReason.UNREACHABLE) from None
         except RESPONSE_FAILURES as error:
-            raise broken_response("no answer: ", error) from None
+            raise broken_response("no response: ", error) from None
 
     async def _send(
         self, session: aiohttp.ClientSession, instance: InstanceInfo, request: OutgoingRequest
     ) -> aiohttp.ClientResponse:
-        """Sends a request; one that may be repeated again, once, if its connection goes silent."""
+        """Sends a request; if its connection is dead and it is repeatable, sends it once more."""
         if not request.repeat_if_silent or request.send_timeout is not None:
-            # A send that is limited was counted once, so it is made once.
+            # A send with a deadline was counted against a rate limit once, so it is made once.
             limits = CallOptions(connect=request.send_timeout, disables_retry=True)
             return await send_once(session, instance, request, limits)
         began = steady_seconds()
@@ -146,7 +145,7 @@
 
 
 def _with_remaining_time(elapsed: float, request: OutgoingRequest) -> OutgoingRequest:
-    """Returns a request with the time that is left to it after ``elapsed`` seconds."""
+    """Returns a request with its remaining time reduced by ``elapsed`` seconds."""
     if request.time_left is None:
         return request
     return replace(request, time_left=request.time_left - elapsed)
--- a/src/larkpost/platform/sockets.py
+++ b/src/larkpost/platform/sockets.py
@@ -1,18 +1,17 @@
-"""What the system is told of the sockets of connections: probes of idle ones, limits on silence."""
+"""Socket options for connections: TCP keepalive and TCP user timeout."""
 
 import socket
 
 USER_TIMEOUT_MS = 3000
-"""After this long without an acknowledgement of sent bytes, a connection is given up."""
+"""Time without an acknowledgement of sent bytes after which a connection is closed."""
 KEEPALIVE_IDLE_SECONDS = 2
 KEEPALIVE_INTERVAL_SECONDS = 1
 KEEPALIVE_PROBES = 2
-"""The system probes a connection that is idle this long, so often, so many times: a stream that
-waits for its next event on a silent connection ends after four seconds. The system counts whole
-seconds, and one lost probe must not end a connection."""
+"""TCP keepalive, in whole seconds as the kernel requires. A stream that waits for its next event on
+a dead connection fails after four seconds; a single lost probe does not close a connection."""
 
 TCP_USER_TIMEOUT = getattr(socket, "TCP_USER_TIMEOUT", 18)
-"""Milliseconds for which sent bytes may stay without an acknowledgement; 18 is Linux's number."""
+"""Socket option: milliseconds for which sent bytes may stay unacknowledged; 18 on Linux."""
 
 
 def open_socket(address_info: tuple) -> socket.socket:
@@ -27,12 +26,12 @@
 
 
 def enable_keepalive(opened: socket.socket, after: int, interval: int, probes: int) -> None:
-    """Makes the system probe an idle connection, and end it if nothing answers.
+    """Enables TCP keepalive.
 
     Args:
         after: idle seconds before the first probe.
-        interval: seconds between two probes.
-        probes: unanswered probes after which the connection ends.
+        interval: seconds between probes.
+        probes: number of unanswered probes after which the connection is closed.
     """
     opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, after)
