--- a/src/larkpost/platform/descriptors.py
+++ b/src/larkpost/platform/descriptors.py
@@ -1,10 +1,8 @@
-"""Keeps descriptors free, so that a daemon that reports that it is ready can accept connections.
+"""Keeps file descriptors free, so that a ready daemon can accept connections.
 
-Where a process has used up its descriptors, the event loop stops accepting for a second, and again
-as long as none is free. So idle client connections are closed before that, and a daemon whose
-connections are all in use reports that it is not ready until some have ended.
-
-Decides when connections are closed and when the daemon is not ready; owns nothing else.
+When a process runs out of descriptors, the event loop stops accepting for a second at a time. To
+avoid that, idle client connections are closed early, and a daemon whose connections are all in use
+reports not ready until some have ended.
 """
 
 import asyncio
@@ -15,31 +13,31 @@
 from larkpost.gateway.observability.eventlog import Event, EventLog
 
 CHECK_INTERVAL_SECONDS = 0.5
-"""Between two checks. A check counts sets, and connections come in more slowly."""
+"""Interval between checks."""
 RESERVED_DESCRIPTORS = 200
-"""Left to files, listeners and the event loop itself, and to what is not counted."""
+"""Descriptors for files, listeners, the event loop and anything that is not counted."""
 CLOSE_IDLE_THRESHOLD = 0.85
-"""Share of the descriptors from which on idle connections are closed."""
+"""Fraction of descriptors in use at which idle connections are closed."""
 CLOSE_IDLE_TARGET = 0.75
-"""They are closed until no more than this share is used, so that it is not done at each check."""
+"""Fraction down to which they are closed; below the threshold, so that not every check closes."""
 NOT_READY_THRESHOLD = 0.95
-"""Share from which on the daemon is not ready: the rest is for connections to servers."""
+"""Fraction at which the daemon is not ready; the rest is for connections to servers."""
 
 
 @dataclass(frozen=True, slots=True)
 class DescriptorUse:
-    """How many sockets are open, and how many may be.
+    """The use of descriptors by sockets.
 
     Attributes:
-        used: sockets that are open.
-        limit: descriptors that are left to sockets.
+        used: open sockets.
+        limit: descriptors available to sockets.
     """
 
     used: int
     limit: int
 
     def count_excess(self) -> int:
-        """Returns how many connections must be closed until no more than `CALM_SHARE` is used."""
+        """Returns how many connections exceed `CLOSE_IDLE_TARGET`; negative if none do."""
         return self.used - int(self.limit * CLOSE_IDLE_TARGET)
 
     def must_close_idle(self) -> bool:
@@ -47,17 +45,18 @@
         return self.used >= self.limit * CLOSE_IDLE_THRESHOLD
 
     def can_accept(self, closed: int) -> bool:
-        """Returns whether connections can be accepted once ``closed`` ones have been closed."""
+        """Returns whether the daemon can accept connections after closing ``closed`` of them."""
         return self.used - closed < self.limit * NOT_READY_THRESHOLD
 
 
 class DescriptorMonitor:
-    """Watches how many descriptors one daemon uses.
+    """Monitors the descriptors that one daemon uses.
 
     Args:
-        limit: the most descriptors that it may use.
-        count_sockets: returns how many sockets it uses.
-        shed: closes up to so many idle client connections, and returns how many it closed.
+        limit: maximum number of descriptors.
+        count_sockets: returns the number of open sockets.
+        close_idle: closes up to the given number of idle client connections and returns how many
+            it closed.
     """
 
     def __init__(
@@ -75,19 +74,19 @@
         self._log = log
 
     async def watch(self) -> None:
-        """Checks again and again, until it is cancelled."""
+        """Checks periodically until cancelled."""
         while True:
             self.check()
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     def check(self) -> None:
-        """Closes idle connections if too many are open, and sets whether more can be accepted."""
+        """Closes idle connections if too many sockets are open, and updates readiness."""
         use = self._measure()
         closed = self._close_idle(use.count_excess()) if use.must_close_idle() else 0
         self._set_accepting(use.used, closed, accepting=use.can_accept(closed))
 
     def handle_loop_error(self, loop: asyncio.AbstractEventLoop, context: dict) -> None:
-        """Handles an error of the event loop: of accepting, or another one, which is passed on."""
+        """Handles failures to accept; passes other event loop errors to the default handler."""
         if not _is_accept_failure(context):
             loop.default_exception_handler(context)
             return
--- a/src/larkpost/platform/instance_rows.py
+++ b/src/larkpost/platform/instance_rows.py
@@ -1,7 +1,7 @@
-"""Reads what servers write of themselves into the store, and their reports.
+"""Parses the entries that servers write into the store, and fields of their reports.
 
-An entry may come from another writer. Whatever is missing, of another type, out of bounds or not
-among the agreed words makes it no server at all; what else it says is not used either.
+Entries are validated strictly: a missing field, a wrong type, a value out of bounds or an unknown
+state rejects the whole entry. Unknown fields are ignored.
 """
 
 import ipaddress
@@ -21,19 +21,18 @@
 
 STATES = {"ready": InstanceState.READY, "draining": InstanceState.LEAVING}
 MAX_SLOTS = 65_535
-"""A server serves each request on a connection of its own, and a port has no more of them to one
-caller."""
+"""Each request uses its own connection, and a caller has at most this many to one port."""
 MAX_COLD_MS = 86_400_000
 """One day."""
 MAX_SAFE_INTEGER = 2**53
-"""The largest whole number that all JSON writers keep exactly."""
+"""Largest integer that JSON implementations with double-precision numbers represent exactly."""
 
 
 def read_instance(row: Row) -> InstanceInfo:
     """Returns the instance in a row of the servers' table.
 
     Raises:
-        UnreadableRowError: the row holds no server's entry; the message names the field.
+        UnreadableRowError: the entry is invalid; the message names the field.
     """
     try:
         return _read_entry(row)
@@ -43,8 +42,8 @@
 
 def _read_entry(row: Row) -> InstanceInfo:
     document = read_json_object(row.value)
-    _text(document, "version")  # the release of its software, which nothing depends on
-    read_int(document, "seq")  # counts its writes, and is checked only as all of the entry is
+    _text(document, "version")  # the software release; validated but not used
+    read_int(document, "seq")  # the number of writes; validated but not used
     return InstanceInfo(
         id=instance_id(InstanceName(row.key.key), read_start_ms(document)),
         service=ServiceName(_text(document, "service")),
@@ -60,14 +59,14 @@
 
 
 def read_json_object(content: bytes) -> dict[str, Any]:
-    """Returns the table that a text of JSON holds.
+    """Parses a JSON object.
 
     Raises:
-        ValueError: it is not JSON, or holds something else.
+        ValueError: the content is not JSON or not an object.
     """
     document = orjson.loads(content)
     if not isinstance(document, dict):
-        raise ValueError("no table of fields")
+        raise ValueError("not a JSON object")
     return document
 
 
@@ -75,19 +74,19 @@
     """Returns the weight version of each model named in a server's entry or report.
 
     Raises:
-        ValueError: the models are not in the agreed form.
+        ValueError: the list of models is malformed.
     """
     models = document.get("models", [])
     if not isinstance(models, list) or not all(isinstance(model, dict) for model in models):
-        raise ValueError("models is no list of tables")
+        raise ValueError("models is not a list of objects")
     return {ModelName(_text(model, "name")): read_int(model, "version") for model in models}
 
 
 def read_start_ms(document: Mapping[str, Any]) -> int | None:
-    """Returns the Unix millisecond of a server's start; None if it does not say it.
+    """Returns a server's start time in Unix milliseconds; None if it is not given.
 
     Raises:
-        ValueError: it is no whole number.
+        ValueError: it is not an integer.
     """
     return read_int(document, "born") if "born" in document else None
 
@@ -95,14 +94,14 @@
 def read_int(
     document: Mapping[str, Any], name: str, *, minimum: int = 0, maximum: int = MAX_SAFE_INTEGER
 ) -> int:
-    """Returns a field that is a whole number within bounds.
+    """Returns an integer field.
 
     Raises:
-        ValueError: it is missing, or something else.
+        ValueError: the field is missing, not an integer, or out of bounds.
     """
     value = document.get(name)
     if isinstance(value, bool) or not isinstance(value, int) or not minimum <= value <= maximum:
-        raise ValueError(f"{name} is {value!r}, not a whole number from {minimum} to {maximum}")
+        raise ValueError(f"{name} is {value!r}, but must be an integer from {minimum} to {maximum}")
     return value
 
 
@@ -110,21 +109,24 @@
     value = document.get("cold-left-ms")
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     if not is_number or not math.isfinite(value) or not 0 <= value <= MAX_COLD_MS:
-        raise ValueError(f"cold-left-ms is {value!r}, not milliseconds from 0 to {MAX_COLD_MS}")
+        raise ValueError(
+            f"cold-left-ms is {value!r}, but must be a number of milliseconds from 0 to "
+            f"{MAX_COLD_MS}"
+        )
     return float(value)
 
 
 def _text(document: Mapping[str, Any], name: str) -> str:
     value = document.get(name)
     if not isinstance(value, str) or not value:
-        raise ValueError(f"{name} is {value!r}, not a text")
+        raise ValueError(f"{name} is {value!r}, but must be a non-empty string")
     return value
 
 
 def _boolean(document: Mapping[str, Any], name: str) -> bool:
     value = document.get(name, False)
     if not isinstance(value, bool):
-        raise ValueError(f"{name} is {value!r}, not true or false")
+        raise ValueError(f"{name} is {value!r}, but must be true or false")
     return value
 
 
@@ -138,5 +140,5 @@
 def _state(document: Mapping[str, Any]) -> InstanceState:
     value = _text(document, "state")
     if value not in STATES:
-        raise ValueError(f"state is {value!r}, not one of {', '.join(STATES)}")
+        raise ValueError(f"state is {value!r}, but must be one of {', '.join(STATES)}")
     return STATES[value]
--- a/src/larkpost/platform/peer_store.py
+++ b/src/larkpost/platform/peer_store.py
@@ -1,7 +1,7 @@
-"""Makes calls to the store for other daemons that the store turns away.
+"""Relays store calls for peer daemons that cannot reach the store.
 
-The documents are the store's own and pass unchanged in both directions, so a daemon speaks to a
-peer as it speaks to the store.
+Requests and responses pass unchanged in both directions, so a daemon calls a peer in the same way
+as the store.
 """
 
 from larkpost.gateway.memory.budget import MemoryBudget, MemoryBudgetError, MemoryPurpose
@@ -15,24 +15,23 @@
     ("GET", names.FEED_PATH),
 }
 MAX_BODY_BYTES = 1_500_000
-"""Largest body of a call: half as much again as the largest transaction that the store takes, so
-that each call that the store would take passes."""
+"""Maximum body of a call; above the largest transaction that the store accepts."""
 RESERVED_BYTES_PER_CALL = 300_000
-"""Reserved for one call and its response; most are far smaller, and few are made at once."""
+"""Memory reserved for one call and its response; most need far less."""
 NOT_FOUND = 404
 TOO_LARGE = 413
 UNAVAILABLE = 503
 
 
 class PeerStoreApp:
-    """The application behind the address at which peers ask for calls to the store."""
+    """The ASGI application that relays store calls for peers."""
 
     def __init__(self, store: HttpStore, budget: MemoryBudget | None = None) -> None:
         self._store = store
         self._budget = budget if budget is not None else MemoryBudget()
 
     async def __call__(self, scope: dict, receive: Receive, send: Send) -> None:
-        """Makes the call, unless the store turns this daemon away as well."""
+        """Relays the call, unless this daemon's own calls to the store fail as well."""
         try:
             with self._budget.reserve(MemoryPurpose.RELAYED_CALLS, RESERVED_BYTES_PER_CALL, "peer"):
                 await self._serve(scope, receive, send)
@@ -62,8 +61,8 @@
 
 
 async def _read_body(receive: Receive) -> bytes | None:
-    """Returns a request's whole body, or None if it is too large or broke off."""
+    """Returns a request's whole body, or None if it is too large or the peer disconnected."""
     try:
         return await asgi.read_body(receive, MAX_BODY_BYTES)
     except ClientDisconnectedError:
-        return None  # nobody reads the status that is sent instead
+        return None  # nobody reads the response
--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -1,7 +1,7 @@
-"""The store adapter: rows, transactions and the feed over HTTP.
+"""The store adapter: rows, transactions and the change feed over HTTP.
 
-Owns the session to one address, the estimate of the store's clock and whether the store responds.
-The documents stand in `larkpost.platform.store_documents`.
+Holds the session to one address, the estimate of the store's clock and whether the store responds.
+The document formats are in `larkpost.platform.store_documents`.
 """
 
 import asyncio
@@ -43,25 +43,25 @@
 from larkpost.platform.watched_connection import CallOptions, DeadConnectionError
 
 READ_TIMEOUT_SECONDS = 1.5
-"""Longest time for a reading call, beside the time for which it may be held."""
+"""Timeout of a read call, in addition to its hold time."""
 RELAYED_LONG_POLL_SECONDS = 1.0
-"""Longest time for which the feed is held for a peer. It is what peers ask for."""
+"""Maximum hold time of a feed call for a peer."""
 RELAYED_TIMEOUT_SECONDS = 3.0
-"""Longest time for a call that is made for a peer; its feed is held for a second of it."""
+"""Timeout of a call for a peer, including its hold time."""
 NOT_SENT_STATUS = 503
-"""The status that a peer gets for a call that was certainly not made."""
+"""Status for a peer whose call was definitely not sent."""
 NO_RESPONSE = 504
-"""The status that a peer gets for a call without a response; it may have been made."""
+"""Status for a peer whose call got no response; it may have been executed."""
 PROBE_TARGET = f"{names.READ_PATH}?table=members&part=proof&limit=1"
-"""A read of no rows, made to check whether the store responds on a new connection."""
+"""A read of no rows that checks whether the store responds on a new connection."""
 CALL_LABELS = {names.READ_PATH: "read", names.FEED_PATH: "feed"}
-"""The names of the reading calls in the metrics."""
+"""Metric labels of the read calls."""
 CALL_FAILURES = (aiohttp.ClientError, asyncio.TimeoutError, OSError, ValueError, KeyError)
-"""Everything a call may end with besides a response; malformed responses included."""
+"""Errors that a call may fail with, including malformed responses."""
 CONNECT_FAILURES = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
-"""How it shows that there was no connection, so that the call was certainly not made."""
+"""Errors that mean that no connection was made, so the call was definitely not sent."""
 SUCCESSFUL_OUTCOMES = ("answered", "410", WriteOutcome.DONE, WriteOutcome.CONFLICT)
-"""Outcomes of calls that the store carried out, or refused for a reason in the call itself."""
+"""Outcomes of calls that the store executed, or rejected for a reason in the call itself."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,8 +70,8 @@
 
     Attributes:
         target: path and query.
-        body: a document; None for a reading call, which may be made twice.
-        hold_time: seconds for which the store may hold the call.
+        body: a document; None for a read call, which is safe to repeat.
+        hold_time: seconds for which the store may hold the call (long poll).
     """
 
     method: str
@@ -89,14 +89,14 @@
     """The platform's store; implements `larkpost.gateway.store.port.Store`.
 
     Args:
-        address: where the store listens.
-        row_bytes: most bytes in a row's value.
+        address: address of the store, or of a peer that relays calls.
+        row_bytes: maximum size of a row's value in bytes.
         metrics: counts and times the calls.
-        log: records connections that go silent.
-        peer: whether a daemon makes the calls for this one.
+        log: records dead connections.
+        peer: what the address belongs to: the store, or a peer that relays the calls.
 
     Attributes:
-        is_failing: whether the last call got no response, or a refusal.
+        is_failing: whether the last call got no response or was refused.
     """
 
     def __init__(
@@ -116,7 +116,7 @@
         self.is_failing = False
 
     def set_address(self, address: Address) -> None:
-        """Uses another address for all later calls."""
+        """Changes the address for all later calls."""
         self._base_url = f"http://{address}"
 
     async def close(self) -> None:
@@ -126,11 +126,11 @@
         await self._session.close()
 
     def time(self) -> float | None:
-        """Returns the store's steady clock in seconds, as estimated here."""
+        """Returns the estimated monotonic clock of the store in seconds; None if unknown."""
         return self._clock.now()
 
     async def write(self, transaction: Transaction, timeout: float) -> WriteResult:
-        """Carries out a transaction; see the port."""
+        """Executes a transaction; see the port."""
         body = orjson.dumps(transaction_document(transaction))
         started = steady_seconds()
         try:
@@ -144,19 +144,20 @@
         return result
 
     async def relay_call(self, method: str, target: str, body: bytes | None) -> tuple[int, bytes]:
-        """Makes a peer's call and returns the store's status and document as they came.
+        """Makes a call for a peer.
 
         Returns:
-            `NOT_MADE` or `NO_RESPONSE`, and nothing, if there are none.
+            The store's status and body, unchanged; `NOT_SENT_STATUS` or `NO_RESPONSE` with an
+            empty body if there was no response.
         """
         hold_time = RELAYED_LONG_POLL_SECONDS if target.startswith(names.FEED_PATH) else 0.0
         try:
             call = StoreCall(method, target, body, hold_time)
             return await self._exchange(call, RELAYED_TIMEOUT_SECONDS)
         except CONNECT_FAILURES:
-            return NOT_SENT_STATUS, b""  # the peer is told that the call was not made
+            return NOT_SENT_STATUS, b""  # tells the peer that the call was not sent
         except CALL_FAILURES:
-            return NO_RESPONSE, b""  # the peer is told that nobody answered
+            return NO_RESPONSE, b""  # tells the peer that there was no response
 
     async def read(
         self, table: str, part: str, first: str = "", end: str = "", limit: int = 0
@@ -176,10 +177,10 @@
         return read_page(status, document)
 
     async def _get(self, path: str, call: StoreCall, timeout: float) -> tuple[int, Any]:
-        """Makes a reading call and returns the status and the document, if there is one.
+        """Makes a read call and returns the status and the document, if there is one.
 
         Raises:
-            StoreUnavailableError: no response came, or it cannot be read.
+            StoreUnavailableError: there was no response, or it cannot be parsed.
         """
         label = CALL_LABELS[path]
         started = steady_seconds()
@@ -207,13 +208,13 @@
         return status, document
 
     async def _exchange(self, call: StoreCall, timeout: float) -> tuple[int, bytes]:
-        """Makes a call, a reading one again if its connection has gone silent.
+        """Makes a call; repeats a read call once if its connection is dead.
 
         Args:
-            timeout: seconds for both together.
+            timeout: seconds for both attempts together.
 
         Raises:
-            SilentConnectionError: a writing call's connection has gone silent; it may be done.
+            DeadConnectionError: the connection of a write call is dead; the write may be done.
         """
         async with asyncio.timeout(timeout):
             try:
@@ -233,13 +234,16 @@
             return response.status, await response.read()
 
     def _start_probe(self) -> None:
-        """Asks on a new connection, unless that is under way: a response proves old ones silent."""
+        """Starts a probe on a new connection unless one is running.
+
+        If it succeeds, the older connections are dead rather than the store slow.
+        """
         if self._probe_task is None or self._probe_task.done():
             self._probe_task = asyncio.create_task(self._probe_store())
 
     async def _probe_store(self) -> None:
         url = URL(f"{self._base_url}{PROBE_TARGET}", encoded=True)
-        with contextlib.suppress(*CALL_FAILURES):  # no response is no proof
+        with contextlib.suppress(*CALL_FAILURES):  # without a response, the probe shows nothing
             async with (
                 asyncio.timeout(READ_TIMEOUT_SECONDS),
                 self._session.get(url) as response,
--- a/src/larkpost/platform/store_documents.py
+++ b/src/larkpost/platform/store_documents.py
@@ -1,8 +1,8 @@
-"""The documents of calls to the store, read into the types of the store port and written from them.
+"""Converts between the documents of store calls and the types of the store port.
 
-Names that mislead: ``ver`` is the number of the transaction that last changed a row, or in a page
-the newest one of the whole store; ``after-rev`` takes such a number; ``target-version`` is a key,
-behind the last one to be read.
+Fields whose names are misleading: ``ver`` is the number of the transaction that last changed a row,
+or, in a page, the newest one of the whole store; ``after-rev`` takes such a number;
+``target-version`` is the key at which a read ends (exclusive).
 """
 
 import base64
@@ -25,14 +25,14 @@
 UNAVAILABLE = 503
 
 READABLE_STATUSES = (OK, CONFLICT)
-"""Only responses with these have a document."""
+"""Statuses of responses that have a document."""
 
 
 def write_result(status: int, document: Any) -> WriteResult:
-    """Returns what became of a transaction.
+    """Returns the result of a transaction.
 
     Raises:
-        KeyError, TypeError, ValueError: the document cannot be read.
+        KeyError, TypeError, ValueError: the document cannot be parsed.
     """
     if status == OK:
         return WriteResult(WriteOutcome.DONE, int(document["ver"]))
@@ -50,25 +50,25 @@
     """Returns a page of rows.
 
     Raises:
-        StoreUnavailableError: the store refused, or the document cannot be read.
+        StoreUnavailableError: the store refused, or the document cannot be parsed.
     """
     if status != OK:
-        raise StoreUnavailableError(f"the store answered {status}")
+        raise StoreUnavailableError(f"the store responded with status {status}")
     try:
         version = int(document["ver"])
         rows = tuple(_read_row(row, version) for row in document["rows"])
         return RowPage(rows, bool(document.get("more", False)), version)
     except (KeyError, TypeError, ValueError) as error:
-        raise StoreUnavailableError(f"the store's answer cannot be read: {error}") from None
+        raise StoreUnavailableError(f"the store's response cannot be parsed: {error!r}") from None
 
 
 def rows_query(table: str, part: str, first: str, end: str, limit: int) -> dict[str, str]:
-    """Returns the query of a call for rows.
+    """Returns the query of a read call.
 
     Args:
-        first: the first key; empty for the part's first.
-        end: the key behind the last; empty for the part's end.
-        limit: most rows; 0 for the store's own limit.
+        first: first key; empty to start at the part's first key.
+        end: key at which to stop (exclusive); empty to read to the end of the part.
+        limit: maximum number of rows; 0 for the store's own limit.
     """
     query = {"table": table, "part": part}
     if first:
@@ -81,17 +81,17 @@
 
 
 def changes_query(table: str, after: int, wait: float) -> dict[str, str]:
-    """Returns the query of a call for changes.
+    """Returns the query of a feed call.
 
     Args:
-        after: the version after which changes are wanted.
+        after: version after which changes are returned.
         wait: seconds for which the store may hold the call.
     """
     return {"table": table, "after-rev": str(after), "wait-ms": str(int(wait * 1000))}
 
 
 def transaction_document(transaction: Transaction) -> dict[str, Any]:
-    """Returns a transaction as the store takes it."""
+    """Returns the document of a transaction."""
     return {
         "expected": [
             _key_document(key) | {"ver": version} for key, version in transaction.conditions
