--- a/src/larkpost/platform/asgi.py
+++ b/src/larkpost/platform/asgi.py
@@ -1,8 +1,4 @@
-"""The calls between the HTTP library and the applications of this folder.
-
-The library calls an application with a scope, and with a function to receive the request's body and
-one to send the response. What several applications do with these stands here.
-"""
+"""Helpers for the ASGI applications of this package."""
 
 from collections.abc import Awaitable, Callable, Iterable
 
@@ -13,7 +9,7 @@
 
 
 class ClientDisconnectedError(Exception):
-    """The client closed its connection before the response was whole."""
+    """The client closed its connection before the response was complete."""
 
 
 async def read_body(
@@ -21,14 +17,14 @@
 ) -> bytes | bytearray | None:
     """Returns a request's whole body, or None if it is larger than ``limit`` bytes.
 
-    A body in several parts is gathered in place, so that no large one is held twice.
+    Parts are appended to one buffer, so that a large body is not held twice.
 
     Args:
-        reserved: grows if the body turns out larger; None if nothing is reserved.
+        reserved: grows if the body is larger than reserved; None to reserve nothing.
 
     Raises:
-        ClientLeftError: the client closed its connection.
-        NoRoomError: there is no room for the rest of the body.
+        ClientDisconnectedError: the client closed its connection.
+        MemoryBudgetError: there is not enough memory for the rest of the body.
     """
     body = bytearray()
     while True:
@@ -57,6 +53,6 @@
 async def send_whole(
     send: Send, status: int, headers: Iterable[tuple[bytes, bytes]], body: bytes
 ) -> None:
-    """Sends a whole response."""
+    """Sends a complete response."""
     await send_head(send, status, headers)
     await send({"type": "http.response.body", "body": body})
--- a/src/larkpost/platform/batch_documents.py
+++ b/src/larkpost/platform/batch_documents.py
@@ -1,8 +1,8 @@
-"""Reads and writes the documents of batch calls.
+"""Parses and builds the documents of the batch endpoints.
 
-Names that mislead: ``desired`` counts groups, ``tokens`` sums those of the prompt and the most out,
-``after-rev`` and ``next-token`` are positions in the results, and ``scorer-url`` holds a whole
-call, not its address.
+Fields whose names are misleading: ``desired`` counts groups, ``tokens`` is the number of prompt
+tokens plus the maximum number of output tokens, ``after-rev`` and ``next-token`` are positions in
+the results, and ``scorer-url`` holds a whole call, not its address.
 """
 
 import base64
@@ -26,7 +26,7 @@
 from larkpost.platform import names
 
 MAX_ID_LENGTH = 120
-"""Longest id of a batch in characters: it is part of keys in the store."""
+"""Maximum length of a batch id in characters; ids are part of keys in the store."""
 
 
 def read_batch(
@@ -36,15 +36,15 @@
     content: bytes | bytearray,
     tenant: TenantName | None = None,
 ) -> BatchSpec:
-    """Reads a submitted batch.
+    """Parses a submitted batch.
 
     Args:
-        batch: the id, as it was sent.
-        path: the path, as it was sent.
-        tenant: whose batch it is; None if it is no tenant's.
+        batch: the id as sent.
+        path: the path as sent.
+        tenant: tenant that owns the batch; None if it has none.
 
     Raises:
-        ValueError: the document or the id cannot be read; the message names the field.
+        ValueError: the document or the id is invalid; the message names the field.
     """
     batch_id = _read_id(batch)
     document = orjson.loads(content)
@@ -77,10 +77,10 @@
 
 
 def _check_items(items: tuple[Item, ...]) -> None:
-    """Checks that all items can be sent, and that each has an id of its own.
+    """Checks that all items can be sent and that their ids are unique.
 
     Raises:
-        ValueError: it is not so.
+        ValueError: an item cannot be sent, or two items have the same id.
     """
     for item in items:
         _check_sendable(item)
@@ -89,10 +89,10 @@
 
 
 def _check_sendable(item: Item) -> None:
-    """Checks that everything of an item that goes into a request's head can be sent.
+    """Checks that all values of an item that go into a request's head are printable ASCII.
 
     Raises:
-        ValueError: a text has characters that no head can carry.
+        ValueError: a value contains other characters.
     """
     texts = [item.id, item.path, *(text for header in item.headers for text in header)]
     if item.reward_call is not None:
@@ -103,10 +103,10 @@
 
 
 def read_position(query: dict[str, list[str]]) -> int:
-    """Returns the position from which results are asked for.
+    """Returns the position from which results are requested.
 
     Raises:
-        ValueError: it is no whole number.
+        ValueError: it is not a non-negative integer.
     """
     text = query.get("after-rev", ["0"])[0]
     if not text.isdigit():
--- a/src/larkpost/platform/batch_endpoints.py
+++ b/src/larkpost/platform/batch_endpoints.py
@@ -1,6 +1,6 @@
-"""The clients' calls about batches: submit one, read its results or an item, end it.
+"""HTTP endpoints for batches: submit a batch, read its results or an item, end it.
 
-Translates the calls for `larkpost.gateway.rollouts.service.BatchService` and its results back.
+Translates between HTTP and `larkpost.gateway.rollouts.service.BatchService`.
 """
 
 from urllib.parse import unquote
@@ -25,18 +25,18 @@
 NOT_FOUND = 404
 NOT_ALLOWED = 405
 SUBMISSION_MEMORY_FACTOR = 3
-"""How many times its body a batch takes, besides the body, while it is decoded and written to the
-store: its items, their rows and the calls that carry these."""
+"""Memory that a submission needs besides its body, as a multiple of the body's size: the decoded
+items, their rows and the store calls that carry these."""
 MAX_LONG_POLL_SECONDS = 10.0
-"""Longest time for which a call for results is held. Ten times what callers ask."""
+"""Maximum time for which a request for results is held."""
 
 
 TOO_LARGE_RETRY_SECONDS = 5.0
-"""When to come back with a batch that this daemon can never hold: the caller is to ask another."""
+"""``Retry-After`` for a batch that this daemon can never hold; the caller should use another."""
 
 
 class BatchTooLargeError(LarkpostError):
-    """The batch can never be held on this machine; it was not accepted and will not be."""
+    """The batch exceeds this machine's memory; it was not accepted and never will be here."""
 
     code = "batch_too_large_here"
     status = 503
@@ -44,7 +44,7 @@
 
 
 class BatchEndpoints:
-    """Serves the calls about batches."""
+    """Serves the batch endpoints."""
 
     def __init__(self, admission: Admission, batches: BatchService) -> None:
         self._admission = admission
@@ -57,10 +57,10 @@
         body: bytes | bytearray,
         tenant: TenantName | None,
     ) -> None:
-        """Submits the batch that a request holds.
+        """Submits the batch in a request's body.
 
         Raises:
-            LarkpostError: it is not accepted.
+            LarkpostError: the batch is not accepted.
         """
         if call.method != "POST":
             await response.send_whole(NOT_ALLOWED)
@@ -70,10 +70,10 @@
             await self._submit(call, response, body, tenant)
 
     def check_size(self, call: ClientCall, size: int) -> None:
-        """Checks that a batch with a body of so many bytes could be held here.
+        """Checks that a batch with a body of ``size`` bytes could fit into memory.
 
         Raises:
-            BatchTooLargeError: it could not.
+            BatchTooLargeError: it could never fit.
         """
         needed = size * (1 + SUBMISSION_MEMORY_FACTOR)
         if not call.memory.fits_limit(needed):
@@ -98,10 +98,10 @@
         await response.send_whole(ACCEPTED)
 
     async def serve(self, call: ClientCall, response: ClientResponse) -> None:
-        """Serves a call about a batch that was submitted.
+        """Serves a request about a submitted batch.
 
         Raises:
-            LarkpostError: the call cannot be served.
+            LarkpostError: the request cannot be served.
         """
         caller = self._admission.caller(call.request_name, call.host_name, call.key)
         if call.path.startswith(names.BATCH_PATH_PREFIX):
@@ -144,5 +144,5 @@
 
 
 def _batch_id_from_path(prefix: bytes, call: ClientCall) -> BatchId:
-    """Returns the batch's id in the path of a call, behind its prefix."""
+    """Returns the batch id that follows a prefix in the path."""
     return BatchId(unquote(call.path[len(prefix) :].decode("latin-1")))
--- a/src/larkpost/platform/client_call.py
+++ b/src/larkpost/platform/client_call.py
@@ -1,4 +1,4 @@
-"""Reads what a client's call says: its head, its body, and that the client has left."""
+"""A client's request: its head, its body, and the client's disconnect."""
 
 import asyncio
 from urllib.parse import parse_qs
@@ -28,7 +28,7 @@
         b"content-length",
     }
 )
-"""Headers that concern one connection, or that are set anew for each."""
+"""Hop-by-hop headers, and ``Content-Length``, which is set anew for each connection."""
 
 OWN_REQUEST_HEADERS = names.CALLER_HEADERS | {
     b"host",
@@ -36,16 +36,16 @@
     names.REQUEST_ID,
     names.DEADLINE_MS,
 }
-"""Headers of a request that larkpost reads itself, and sets anew or leaves out towards a server."""
+"""Request headers that are not forwarded: larkpost consumes them or sets them anew."""
 
 
 MIN_BODY_BYTES_PER_SECOND = 50_000.0
-"""Bytes a second, averaged since the head, at which a large body must come: its room is held
-meanwhile. Held against it once a body may have stalled, not before."""
+"""Minimum average rate, measured from the head, at which a large body must arrive, as memory is
+reserved for it meanwhile. Enforced only after `STALLED_SECONDS`."""
 
 
 class BodyStalledError(LarkpostError):
-    """The body stalled or came too slowly; the request did not run and will not."""
+    """The body stalled or arrived too slowly; the request was not and will not be executed."""
 
     code = "body_stalled"
     status = 408
@@ -53,14 +53,14 @@
 
 
 class ClientCall:
-    """One call of a client.
+    """One request of a client.
 
     Attributes:
-        received_at: the loop's time at which its head was read, in seconds.
-        path: the path as it was sent, still encoded.
-        headers: names in lower case, in the order in which they were sent.
+        received_at: event loop time at which the head was read, in seconds.
+        path: the encoded path as sent.
+        headers: lower-case names and values, in the order in which they were sent.
         request_id: the caller's id of this attempt; empty if it sent none.
-        memory: what is held for it.
+        memory: memory reserved for the request.
     """
 
     def __init__(self, scope: dict, receive: Receive, memory: RequestMemory) -> None:
@@ -78,17 +78,17 @@
 
     @property
     def is_head_too_large(self) -> bool:
-        """Whether the head is larger than allowed."""
+        """Whether the head exceeds the size limit."""
         return bool(self._scope.get("state", {}).get(OVERSIZED))
 
     @property
     def client_connection(self) -> ClientConnection | None:
-        """The connection that the response goes to, if it can be followed."""
+        """The connection that the response is written to; None if it is not known."""
         return self._scope.get("state", {}).get(CLIENT_CONNECTION)
 
     @property
     def expects_continue(self) -> bool:
-        """Whether the client sends its body only once it is asked for, and it was not."""
+        """Whether the client waits for ``100 Continue``, which has not been sent, with its body."""
         return not self._is_body_requested and self.header(b"expect").lower() == b"100-continue"
 
     @property
@@ -108,7 +108,7 @@
 
     @property
     def key(self) -> KeyDigest | None:
-        """The digest of the caller's key; None if there is none, or several that differ."""
+        """The digest of the caller's API key; None without a key or with several different ones."""
         keys = {value for name, value in self.headers if name == names.API_KEY}
         return digest_key(keys.pop()) if len(keys) == 1 else None
 
@@ -118,17 +118,17 @@
         return parse_qs(self._scope["query_string"].decode("latin-1"))
 
     def header(self, name: bytes) -> bytes:
-        """Returns a header's first value; empty if it is not there."""
+        """Returns the first value of a header; empty if the header is missing."""
         return next((value for key, value in self.headers if key == name), b"")
 
     def int_header(self, name: bytes) -> int | None:
-        """Returns a header's value as a whole number, or None."""
+        """Returns a header's value as an integer; None if it is missing or not one."""
         text = self.header(name)
         return int(text) if text.isdigit() else None
 
     def to_client_request(self, body: bytes | bytearray, admitted: AdmittedCall) -> ClientRequest:
-        """Returns the request as it is to be forwarded."""
-        deadline_ms = self.int_header(names.DEADLINE_MS)  # not a time: what is left of it
+        """Returns the request to forward."""
+        deadline_ms = self.int_header(names.DEADLINE_MS)  # remaining time, not a time of day
         return ClientRequest(
             request_id=self.request_id,
             method=self.method,
@@ -146,12 +146,13 @@
     async def read_body(self, limit: int) -> bytes | bytearray | None:
         """Returns the whole body, or None if it is larger than ``limit`` bytes.
 
-        Its declared length is reserved before it is read; one that declares none grows as it comes.
+        The declared length is reserved before reading; without one, the reservation grows as the
+        body arrives.
 
         Raises:
-            ClientLeftError: the client closed its connection.
-            NoRoomError: the body cannot be held now.
-            BodyStalledError: it brought nothing for too long, or came too slowly.
+            ClientDisconnectedError: the client closed its connection.
+            MemoryBudgetError: there is not enough memory for the body now.
+            BodyStalledError: the body stalled or arrived too slowly.
         """
         declared = self.int_header(b"content-length")
         if declared is not None and declared > limit:
@@ -172,7 +173,7 @@
         """Returns the next part of the body.
 
         Raises:
-            BodyStalledError: it did not come in time.
+            BodyStalledError: it did not arrive in time.
         """
         now = asyncio.get_running_loop().time()
         slow_at = self.received_at + max(
@@ -190,7 +191,7 @@
         return message
 
     async def wait_for_disconnect(self) -> None:
-        """Returns once the client has closed its connection, or the response is complete."""
+        """Waits until the client has closed its connection or the response is complete."""
         while (await self._receive())["type"] != "http.disconnect":
             pass
 
--- a/src/larkpost/platform/client_response.py
+++ b/src/larkpost/platform/client_response.py
@@ -1,4 +1,4 @@
-"""Writes the response to one call of a client."""
+"""Writes the response to a client's request."""
 
 from larkpost.common.errors import LarkpostError
 from larkpost.gateway.blackboard.lifecycle import Lifecycle
@@ -9,25 +9,25 @@
 from larkpost.platform.client_call import CONNECTION_HEADERS
 
 SEND_CHUNK_BYTES = 65536
-"""A response to a client that is followed is sent in pieces of this size, each once the connection
-has taken the last."""
+"""A response whose delivery is tracked is sent in chunks of this size, each once the connection has
+room for it."""
 
 
 class ResponseAbortedError(Exception):
-    """A response under way cannot be completed; the connection is closed within it."""
+    """A started response cannot be completed; the connection is closed."""
 
 
 class ClientResponse:
-    """The response to one call.
+    """The response to one request.
 
     Args:
         request_id: the caller's id of the attempt, which the response repeats.
         lifecycle: once the daemon is stopping, each response closes its connection.
-        delivery: how the client takes the response; None if that is not followed.
+        delivery: tracks how the client receives the response; None if that is not tracked.
 
     Attributes:
         delivery: as given.
-        closes: whether the response closes its connection, whatever the daemon's state.
+        closes_connection: whether the response closes its connection, whatever the daemon's state.
     """
 
     def __init__(
@@ -51,11 +51,11 @@
         headers: Headers = (),
         retry_after: float | None = None,
     ) -> None:
-        """Sends a whole response.
+        """Sends a complete response.
 
         Args:
-            headers: a server's; if there are any, they name the request themselves.
-            retry_after: seconds after which the caller may come back; None if that is not said.
+            headers: headers of a server's response; if given, they include the request id.
+            retry_after: value of ``Retry-After`` in seconds; None to leave it out.
         """
         extra_headers: list[tuple[bytes, bytes]] = [(b"content-length", str(len(body)).encode())]
         if retry_after is not None:
@@ -66,15 +66,15 @@
         await self._send_body(body)
 
     async def send_json(self, content: bytes) -> None:
-        """Sends an encoded document as a whole response."""
+        """Sends an encoded JSON document as a complete response."""
         headers = ((b"content-type", b"application/json"), (names.REQUEST_ID, self._request_id))
         await self.send_whole(200, content, headers)
 
     async def send_error(self, error: LarkpostError) -> None:
-        """Responds with an error, or cuts a response that is under way.
+        """Responds with an error, or aborts a response that has started.
 
         Raises:
-            StreamCutError: the response was under way.
+            ResponseAbortedError: the response had started.
         """
         if self._started:
             raise ResponseAbortedError(error.message)
@@ -82,19 +82,19 @@
         await self.send_whole(error.status, text, retry_after=error.retry_after)
 
     async def begin(self, status: int, headers: Headers) -> None:
-        """Starts a response that is sent in parts and whose length is not said."""
+        """Starts a response that is sent in chunks without a declared length."""
         await self._start(status, headers, [])
 
     async def begin_with_length(self, status: int, headers: Headers) -> None:
-        """Starts a response with a body that is sent in parts; it says the length that it gives."""
+        """Starts a response that is sent in chunks, with the length that its headers declare."""
         lengths = [value for name, value in headers if name.lower() == b"content-length"]
         await self._start(status, headers, [(b"content-length", value) for value in lengths[:1]])
 
     async def send_chunk(self, content: bytes | memoryview) -> None:
-        """Sends a part of a started response, once the client has room for it.
+        """Sends a chunk of a started response once the connection has room for it.
 
         Raises:
-            ReaderCutError: the client took nothing for too long.
+            SlowClientError: the client read nothing for too long.
         """
         if self.delivery is not None:
             await self.delivery.wait_until_writable()
@@ -119,7 +119,7 @@
         await asgi.send_head(self._send, status, forwarded + extra_headers)
 
     async def _send_body(self, body: bytes | bytearray) -> None:
-        """Sends the whole body; a large one in pieces if the client is followed."""
+        """Sends the whole body; in chunks if it is large and its delivery is tracked."""
         last = 0
         if self.delivery is not None:
             content = memoryview(body)
--- a/src/larkpost/platform/http_protocol.py
+++ b/src/larkpost/platform/http_protocol.py
@@ -1,8 +1,8 @@
-"""The server side of HTTP: the library's protocol, with the configured limits on clients.
+"""The HTTP server: uvicorn's protocol with configurable limits on clients.
 
-Owns the limits on a request's head, when a connection is idle, and how it ends after a response
-that came before the request's body was read. Relies on the HTTP library's
-protocol, of which private methods are overridden: its version is pinned.
+It limits the head of a request, tracks idle connections, and closes a connection safely after a
+response that was sent before the request's body was read. It overrides private methods of uvicorn's
+protocol, so the version of uvicorn is pinned.
 """
 
 import asyncio
@@ -19,22 +19,21 @@
 from larkpost.platform.sockets import TCP_USER_TIMEOUT, enable_keepalive
 
 MAX_INITIAL_IDLE_SECONDS = 3600
-"""How long a connection may wait with its first request; then the limit in force holds."""
+"""Maximum wait for the first request on a connection; after it, the configured limit applies."""
 KEEPALIVE_IDLE_SECONDS = 3
 KEEPALIVE_INTERVAL_SECONDS = 1
 KEEPALIVE_PROBES = 3
-"""The system probes a client that sends nothing: one whose connection has gone silent for good, or
-whose machine has, holds its request and its place for six seconds."""
+"""TCP keepalive of client connections: a dead connection or machine is detected after six seconds,
+and the request's resources are released."""
 CLIENT_USER_TIMEOUT_MS = 6000
-"""So long may a response wait for its client's machine to acknowledge it: as long as the probes
-take."""
+"""Maximum time for which sent bytes may stay unacknowledged; equal to the keepalive time."""
 MAX_DISCARD_SECONDS = 15.0
-"""So long the rest of a body is read and dropped whose request was answered before, so that the
-answer reaches its client: closing with unread bytes would reset the connection."""
+"""Maximum time for which the rest of a body is discarded after an early response. Closing with
+unread bytes would reset the connection, and the client might lose the response."""
 CLIENT_CONNECTION = "outlet"
-"""Names, in a request's state, the connection that its response goes to."""
+"""Key in a request's ASGI state: the connection that the response is written to."""
 OVERSIZED = "oversized"
-"""Marks, in a request's state, that its head is larger than allowed."""
+"""Key in a request's ASGI state: whether its head exceeds the size limit."""
 HEAD_TOO_LARGE = (
     b"HTTP/1.1 431 Request Header Fields Too Large\r\n"
     b"content-length: 0\r\nconnection: close\r\n\r\n"
@@ -42,7 +41,7 @@
 HEAD_TOO_SLOW = b"HTTP/1.1 408 Request Timeout\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"
 
 HEADER_OVERHEAD_BYTES = 4
-"""What a header has on the wire besides its name and value: a colon, a space and a line end."""
+"""Bytes of a header line besides its name and value: colon, space and CRLF."""
 
 BAD_REQUEST = (
     b"HTTP/1.1 400 Bad Request\r\ncontent-type: text/plain; charset=utf-8\r\n"
@@ -53,29 +52,29 @@
 
 
 class ResponseTransport:
-    """What one response is written to: its connection, which may end later than the response."""
+    """The transport of one response; closing it may be delayed until the body is discarded."""
 
     def __init__(self, protocol: "LimitedProtocol", cycle: RequestResponseCycle) -> None:
         self._protocol = protocol
         self._cycle = cycle
 
     def write(self, content: bytes | memoryview) -> None:
-        """Gives bytes to the connection."""
+        """Writes bytes to the connection."""
         self._protocol.transport.write(content)
 
     def is_closing(self) -> bool:
-        """Whether the connection is closed or about to be."""
+        """Returns whether the connection is closed or closing."""
         return self._protocol.transport.is_closing()
 
     def close(self) -> None:
-        """Closes the connection, once the rest of the request's body was dropped."""
+        """Closes the connection once the rest of the request's body has been discarded."""
         self._protocol.close_after(self._cycle)
 
 
 class LimitedProtocol(HttpToolsProtocol):
-    """One client connection, with limits on the size and time of a request's head.
+    """A client connection with limits on the size and duration of a request's head.
 
-    Implements `larkpost.gateway.memory.delivery.Outlet`.
+    Implements `larkpost.gateway.memory.delivery.ClientConnection`.
     """
 
     limits: LimitSource
@@ -94,7 +93,7 @@
         self._current_cycle: RequestResponseCycle | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Begins a connection, and has the system watch it."""
+        """Starts a connection with TCP keepalive enabled."""
         super().connection_made(transport)
         accepted = transport.get_extra_info("socket")
         enable_keepalive(
@@ -103,9 +102,9 @@
         accepted.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, CLIENT_USER_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
-        """Reads bytes from the client; the head's are counted.
+        """Parses bytes from the client and counts those of the head.
 
-        What follows a head that was refused is dropped.
+        Bytes after a rejected head are dropped.
         """
         if self._refusal is not None:
             return
@@ -118,9 +117,9 @@
             self._refuse(HEAD_TOO_LARGE)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forgets the connection, and wakes the request that is served.
+        """Cleans up, and wakes the request that is being served.
 
-        The library wakes only the newest request, which may be one that was sent ahead.
+        uvicorn wakes only the newest request, which may be a pipelined one.
         """
         self._stop_head_timer()
         self._stop_discard_timer()
@@ -131,7 +130,7 @@
         super().connection_lost(exc)
 
     def on_message_begin(self) -> None:
-        """Starts a request; the connection is idle no longer."""
+        """Starts a request; the connection is no longer idle."""
         super().on_message_begin()
         self._unset_keepalive_if_required()
         self.scope["state"][CLIENT_CONNECTION] = self
@@ -139,9 +138,9 @@
         self.idle_since = None
 
     def on_response_complete(self) -> None:
-        """Records that the connection is idle, unless a request was sent ahead.
+        """Marks the connection idle, unless a pipelined request waits.
 
-        One whose request was answered before its body was read is idle once that has come.
+        After an early response, the connection becomes idle once the body has been discarded.
         """
         is_before_body = self._in_body and self._current_cycle is self.cycle
         if not is_before_body and not self.pipeline:
@@ -155,7 +154,7 @@
             self._discard_body()
 
     def on_message_complete(self) -> None:
-        """Ends a request's body."""
+        """Handles the end of a request's body."""
         self._in_body = False
         super().on_message_complete()
         if self._discard_timer is not None:
@@ -163,12 +162,12 @@
             self._end_discarding()
 
     def on_body(self, body: bytes) -> None:
-        """Takes a part of a request's body."""
+        """Handles a part of a request's body."""
         self._has_body_begun = True
         super().on_body(body)
 
     def on_headers_complete(self) -> None:
-        """Ends a request's head, and marks it if it is too large."""
+        """Handles the end of a request's head; marks the request if its head is too large."""
         self._in_head = False
         self._in_body = True
         self._has_body_begun = False
@@ -183,13 +182,13 @@
         super().on_headers_complete()
         self.cycle.transport = ResponseTransport(self, self.cycle)
         if len(self.pipeline) == 1:
-            # The library stops reading at a request sent ahead, and would not see a close.
+            # uvicorn stops reading at a pipelined request and would not detect a close.
             self.flow.resume_reading()
 
     def close_after(self, cycle: RequestResponseCycle) -> None:
-        """Closes the connection after a response, and after the body of its request if that comes.
+        """Closes the connection after a response and, if it is being sent, the request's body.
 
-        Closing with unread bytes resets a connection, and its client may lose the response.
+        Closing with unread bytes resets the connection, and the client may lose the response.
         """
         is_before_body = self._in_body and self.cycle is cycle and cycle.response_complete
         if is_before_body and not self._expects_continue:
@@ -198,7 +197,7 @@
             self.transport.close()
 
     def shutdown(self) -> None:
-        """Closes the connection, after the response and the body that are under way."""
+        """Closes the connection after the response and the body in progress."""
         if self._discard_timer is None:
             super().shutdown()
         elif not self._closes_after_body:
@@ -206,38 +205,38 @@
             self._end_writing()
 
     def send_400_response(self, msg: str) -> None:
-        """Refuses bytes that are no request."""
+        """Responds to malformed input with 400."""
         self._refuse(BAD_REQUEST % (len(msg), msg.encode()))
 
     @property
     def is_full(self) -> bool:
-        """Whether the connection should be given no more now."""
+        """Whether writing is paused by flow control."""
         return self.flow.write_paused
 
     @property
     def unsent(self) -> int:
-        """The bytes that it was given and that its client has not made room for."""
+        """The number of bytes in the write buffer."""
         return self.transport.get_write_buffer_size()
 
     @property
     def is_serving(self) -> bool:
-        """Whether a request is served and its response not complete."""
+        """Whether a request is being served."""
         return self._current_cycle is not None and not self._current_cycle.response_complete
 
     async def wait_until_writable(self, seconds: float) -> None:
-        """Waits until it is not full, at most so long."""
+        """Waits until the connection is not full, for at most ``seconds``."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
                 await self.flow.drain()
 
     def disconnect(self) -> None:
-        """Breaks the connection off; what is unsent is dropped."""
+        """Aborts the connection; unsent bytes are dropped."""
         self.transport.abort()
 
     def _start_asgi_task(self, cycle: RequestResponseCycle, app) -> None:
         if self.transport.is_closing():
-            return  # nobody would get the response
-        self._current_cycle = cycle  # overrides a private method: the version is pinned
+            return  # nobody would receive the response
+        self._current_cycle = cycle
         super()._start_asgi_task(cycle, app)
 
     def _is_between_requests(self) -> bool:
@@ -245,23 +244,23 @@
 
     @property
     def _expects_continue(self) -> bool:
-        """Whether the client holds its body back until it is asked for."""
+        """Whether the client waits for ``100 Continue`` before it sends the body."""
         return self.expect_100_continue and not self._has_body_begun
 
     def _discard_body(self) -> None:
-        """Drops the rest of a body whose request was answered, for a limited time."""
+        """Discards the rest of a body after an early response, for a limited time."""
         self._unset_keepalive_if_required()
         self._discard_timer = self.loop.call_later(MAX_DISCARD_SECONDS, self.transport.close)
         if self._closes_after_body:
             self._end_writing()
 
     def _end_writing(self) -> None:
-        """Tells the client that nothing follows the response; its bytes are still read."""
-        with contextlib.suppress(OSError):  # it has left; the transport learns of it by reading
+        """Half-closes the connection: nothing follows the response, but bytes are still read."""
+        with contextlib.suppress(OSError):  # disconnected; the transport detects it by reading
             self.transport.write_eof()
 
     def _end_discarding(self) -> None:
-        """Closes the connection, or begins its idle time."""
+        """Closes the connection or marks it idle, once the body has been discarded."""
         if self._closes_after_body:
             self.transport.close()
             return
@@ -289,17 +288,17 @@
             self._discard_timer = None
 
     def _refuse(self, response: bytes) -> None:
-        """Ends the connection with a response to what was just read.
+        """Closes the connection with an error response to what was just read.
 
-        Requests that came whole before it are answered first: the client would take the response
-        for that of the oldest one.
+        Complete requests that precede it are answered first, as the client would otherwise take
+        the response for that of the oldest request.
         """
         self._stop_head_timer()
         if self._refusal is not None or self.transport.is_closing():
             return
         self._refusal = response
         if self._discard_timer is not None:
-            self.transport.close()  # the request was answered; its rest is malformed
+            self.transport.close()  # the request was answered; the rest of its body is malformed
         elif self._in_body and self.pipeline:
             self.pipeline.popleft()  # the newest, whose body is malformed
         elif self._has_answered_all or (self._in_body and not self.cycle.response_started):
@@ -307,7 +306,7 @@
 
     @property
     def _has_answered_all(self) -> bool:
-        """Whether all requests that were read have had their responses."""
+        """Whether all requests read so far have been answered."""
         return self.cycle is None or self.cycle.response_complete
 
     def _send_refusal(self) -> None:
@@ -316,14 +315,14 @@
 
 
 class Listener(HttpServer):
-    """Serves an application, with the limits on clients that are in force."""
+    """Serves an application with the current limits on clients."""
 
     def __init__(self, app, address: Address, limits: LimitSource = RequestLimits) -> None:
         protocol = type("Protocol", (LimitedProtocol,), {"limits": staticmethod(limits)})
         super().__init__(app, address, protocol, idle_seconds=MAX_INITIAL_IDLE_SECONDS)
 
     def close_idle(self, most: int) -> int:
-        """Closes up to ``most`` idle connections, those idle longest first; returns how many."""
+        """Closes up to ``most`` idle connections, longest idle first; returns how many."""
         idle = [one for one in self.connections if one.idle_since is not None]
         idle.sort(key=attrgetter("idle_since"))
         chosen = idle[:most]
--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -1,7 +1,7 @@
-"""The application behind the address for clients: serves each request while its client is there.
+"""The ASGI application for clients: serves each request while its client is connected.
 
-Owns the order of the steps: limits on the request, watching for the client's close, admission, and
-the service that the route names. Which route that is, `larkpost.gateway.proxy.admission` decides.
+It applies the request limits, watches for the client's disconnect, and passes the request to the
+service of its route, which `larkpost.gateway.proxy.admission` decides.
 """
 
 import asyncio
@@ -33,12 +33,12 @@
 TOO_LARGE = 413
 HEAD_TOO_LARGE = 431
 LOOP_TURNS_TO_DETECT_CLOSE = 4
-"""Turns of the event loop from reading the last byte of a request to knowing of a close right
-behind it: reading the end, telling the protocol, waking who waits for it, and its result."""
+"""Event loop iterations from reading the last byte of a request until a close that follows it is
+known: read EOF, notify the protocol, wake the waiting task, and complete it."""
 
 
 class Ingress:
-    """The application behind the address for clients."""
+    """The ASGI application for clients."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         self._memory = memory if memory is not None else unlimited_memory()
 
     def limits(self) -> RequestLimits:
-        """Returns the limits on clients in force."""
+        """Returns the current request limits."""
         current = self._configuration.current
         return current.limits if current is not None else RequestLimits()
 
@@ -72,7 +72,7 @@
                     await _wait_until_delivered(delivery, memory)
 
     def _track_delivery(self, call: ClientCall) -> AbstractContextManager[Delivery | None]:
-        """Follows how a client takes its response, if the daemon's memory is limited."""
+        """Tracks how the client receives its response, if the daemon's memory is limited."""
         if call.client_connection is None or not self._memory.is_limited:
             return nullcontext()
         return self._memory.delivery(call.client_connection, call.memory)
@@ -82,7 +82,7 @@
             try:
                 await self._respond(call, response)
             except ClientDisconnectedError:
-                return  # nobody is left to be answered
+                return  # there is nobody to respond to
             except LarkpostError as error:
                 response.closes_connection = call.expects_continue or isinstance(
                     error, BodyStalledError
@@ -109,11 +109,11 @@
             closed.cancel()
 
     def _check_admitted(self, call: ClientCall) -> None:
-        """Checks by a call's head that it may be made: nothing is held for one that may not.
+        """Checks a request by its head, before any memory is reserved for its body.
 
         Raises:
-            LarkpostError: it may not by the configuration in force, or is a batch that can never be
-                held here.
+            LarkpostError: the configuration does not admit the request, or it is a batch that can
+                never fit into memory.
         """
         if call.path.startswith(names.RESERVED_PATH_PREFIX):
             self._admission.caller(call.request_name, call.host_name, call.key)
@@ -130,10 +130,10 @@
         response: ClientResponse,
         body: bytes | bytearray,
     ) -> None:
-        """Serves a request as long as its client is there.
+        """Serves a request as long as its client is connected.
 
         Raises:
-            ClientLeftError: the client closed its connection; nothing goes on for it.
+            ClientDisconnectedError: the client closed its connection; the work was cancelled.
         """
         work = asyncio.create_task(self._serve(call, response, body))
         try:
@@ -187,21 +187,21 @@
 
 
 async def _wait_until_delivered(delivery: Delivery, memory: RequestMemory) -> None:
-    """Holds what the connection has not sent yet, until the client has taken it."""
+    """Keeps the unsent bytes reserved until they have been delivered."""
     if delivery.unsent == 0:
         return
     memory.shrink_to(MemoryPurpose.ANSWERS, delivery.unsent)
-    with contextlib.suppress(SlowClientError):  # logged where it was cut
+    with contextlib.suppress(SlowClientError):  # logged where the connection is closed
         await delivery.wait_until_drained()
 
 
 async def _detect_close(closed: asyncio.Task) -> None:
-    """Lets the loop see a close that lies in the socket behind the request.
+    """Lets the event loop detect a close that follows the request in the socket.
 
-    A daemon that was busy or frozen reads requests whose clients have given up meanwhile.
+    A daemon that was busy or suspended reads requests whose clients have given up meanwhile.
 
     Raises:
-        ClientLeftError: the client has closed its connection.
+        ClientDisconnectedError: the client has closed its connection.
     """
     for _ in range(LOOP_TURNS_TO_DETECT_CLOSE):
         await asyncio.sleep(0)
