--- a/src/larkpost/platform/__init__.py
+++ b/src/larkpost/platform/__init__.py
@@ -1,7 +1,7 @@
 """Adapters to the users' platform: its names, formats and calls.
 
-It translates between what the platform speaks and larkpost's own types, and every call ends in a
-typed outcome. Nothing outside it knows the platform's names. What is served, where and when, it
-does not decide; of its own connections it does: which are silent (`silence_rule`), which idle ones
-serve again (`connections`), and which are closed as descriptors run short (`descriptors`).
+This package translates between the platform's protocol and larkpost's own types; every call ends in
+a typed outcome. No other package knows the platform's names. It makes no scheduling decisions; it
+only manages its own connections: which are dead (`dead_connection_rule`), which idle ones are
+reused (`connections`), and which are closed when descriptors run short (`descriptors`).
 """
--- a/src/larkpost/platform/assembly.py
+++ b/src/larkpost/platform/assembly.py
@@ -1,7 +1,6 @@
-"""Builds the parts of one daemon of the platform from its settings.
+"""Builds the parts of a daemon from its settings.
 
-Owns nothing after the start: whoever asks for a part starts it and closes it. The parts that hold
-sessions need a running event loop.
+The caller starts and closes the parts. Parts that hold sessions need a running event loop.
 """
 
 import random
@@ -40,11 +39,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Clients:
-    """The clients of everything that the daemon calls.
+    """The clients of the services that the daemon calls.
 
     Attributes:
-        store: the store on the direct way.
-        relayed_store: the same store, by way of peers where the direct way fails.
+        store: the store, called directly.
+        relayed_store: the store, called through peers when direct calls fail.
         servers: the model servers.
         duties: the platform's calls that one daemon at a time makes; None if there are none.
     """
@@ -64,7 +63,7 @@
 
 
 def open_clients(settings: PlatformSettings, metrics: Metrics, log: EventLog) -> Clients:
-    """Returns the clients; they connect with their first calls."""
+    """Returns the clients; they connect on their first call."""
     store = HttpStore(settings.store, settings.row_bytes, metrics, log)
 
     def open_peer(address: Address) -> HttpStore:
@@ -81,7 +80,7 @@
 def make_gateway(
     settings: PlatformSettings, clients: Clients, metrics: Metrics, log: EventLog
 ) -> Gateway:
-    """Returns the daemon itself, not yet started."""
+    """Returns the gateway, not yet started."""
     ports = GatewayPorts(
         clients.relayed_store,
         clients.servers,
@@ -97,7 +96,7 @@
 
 
 def gateway_settings(settings: PlatformSettings) -> GatewaySettings:
-    """Returns what the daemon needs to know of its surroundings."""
+    """Returns the gateway's settings."""
     return GatewaySettings(
         machine=settings.machine,
         contact_time=settings.contact_time,
@@ -120,18 +119,18 @@
 
     Attributes:
         front: for clients.
-        others: for readiness, metrics and peers, as far as the settings name them.
+        others: for readiness, and for metrics and peers if configured.
     """
 
     front: Listener
     others: tuple[Listener, ...]
 
     def in_start_order(self) -> tuple[Listener, ...]:
-        """Returns all listeners, in the order in which they start."""
+        """Returns all listeners in start order."""
         return (self.front, *self.others)
 
     def count_connections(self) -> int:
-        """Returns how many connections are open at all listeners together."""
+        """Returns the number of open connections at all listeners."""
         return sum(len(listener.connections) for listener in self.in_start_order())
 
 
@@ -162,10 +161,10 @@
 def make_descriptor_monitor(
     limit: int, servers: HttpServers, listeners: Listeners, lifecycle: Lifecycle, log: EventLog
 ) -> DescriptorMonitor:
-    """Returns the guard of the descriptors; it closes idle connections of clients.
+    """Returns the monitor of the descriptors; it closes idle client connections.
 
     Args:
-        limit: the most descriptors that the process may hold.
+        limit: maximum number of descriptors of the process.
     """
 
     def count_sockets() -> int:
--- a/src/larkpost/platform/configuration_document.py
+++ b/src/larkpost/platform/configuration_document.py
@@ -1,7 +1,7 @@
-"""Reads the parts of the operator's configuration: routes, services, tenants, limits.
+"""Parses the operator's configuration: routes, services, tenants, limits.
 
-Durations become seconds here. Names that mislead: a route's ``target-ms`` is the time within
-which a response is worth most; a service's ``stride`` is the most tokens in one event of a stream.
+Durations are converted to seconds. Fields whose names are misleading: a route's ``target-ms`` is
+its latency objective; a service's ``stride`` is the maximum number of tokens per stream event.
 """
 
 from typing import Any
@@ -22,7 +22,7 @@
 DEFAULT_TIMEOUT_MS = 30000
 DEFAULT_OBJECTIVE_MS = 1000
 DEFAULT_CONNECTIONS = 100
-"""What holds where a route or a service does not say it."""
+"""Defaults for routes and services that do not set these values."""
 
 ROUTE_KINDS = {
     "idempotent": RouteKind.IDEMPOTENT,
@@ -34,10 +34,10 @@
 
 
 def read_route(entry: dict[str, Any]) -> Route:
-    """Returns a route.
+    """Parses a route.
 
     Raises:
-        KeyError, TypeError, ValueError, AttributeError: the entry cannot be read.
+        KeyError, TypeError, ValueError, AttributeError: the entry cannot be parsed.
     """
     shares = _shares(entry)
     return Route(
@@ -60,7 +60,7 @@
 
 
 def _shares(entry: dict[str, Any]) -> tuple[ServiceShare, ...]:
-    """Returns how a route's requests are divided among services."""
+    """Returns the services of a route with their traffic weights."""
     shares = entry.get("weighted-services")
     if not shares:
         return (ServiceShare(ServiceName(entry["service"]), 1.0),)
@@ -70,10 +70,10 @@
 
 
 def read_tenants(entries: list[dict[str, Any]] | None) -> tuple[Tenant, ...] | None:
-    """Returns the tenants; None where the configuration does not speak of any.
+    """Parses the tenants; None if the configuration has no such section.
 
     Raises:
-        KeyError, TypeError, ValueError: an entry cannot be read.
+        KeyError, TypeError, ValueError: an entry cannot be parsed.
     """
     return tuple(_tenant(entry) for entry in entries) if entries is not None else None
 
@@ -81,7 +81,7 @@
 def _tenant(entry: dict[str, Any]) -> Tenant:
     name = str(entry["name"])
     if not name or not name.isprintable() or not name.isascii():
-        raise ValueError(f"tenant name {name!r} cannot be sent in a request's head")
+        raise ValueError(f"tenant name {name!r} must be non-empty printable ASCII")
     priority = entry.get("priority")
     return Tenant(
         TenantName(name),
@@ -92,18 +92,18 @@
 
 
 def _regions(entry: dict[str, Any]) -> frozenset[RegionId] | None:
-    """Returns the only regions in which a route or a tenant may be served; None for all."""
+    """Returns the regions in which a route or a tenant may be served; None for all."""
     regions = entry.get("allowed-regions") or []
     if not isinstance(regions, list) or not all(isinstance(name, str) for name in regions):
-        raise TypeError(f"allowed-regions {regions!r} is no list of names")
+        raise TypeError(f"allowed-regions is {regions!r}, but must be a list of names")
     return frozenset(map(RegionId, regions)) or None
 
 
 def read_service(entry: dict[str, Any]) -> Service:
-    """Returns a service.
+    """Parses a service.
 
     Raises:
-        KeyError, TypeError, ValueError, AttributeError: the entry cannot be read.
+        KeyError, TypeError, ValueError, AttributeError: the entry cannot be parsed.
     """
     engine = entry.get("engine") or {}
     return Service(
@@ -123,7 +123,7 @@
         return None
     minimum, maximum = int(entry["min"]), int(entry["max"])
     if not 0 <= minimum <= maximum:
-        raise ValueError(f"autoscale from {minimum} to {maximum} servers")
+        raise ValueError(f"autoscale range from {minimum} to {maximum} servers is invalid")
     preemptible_price = entry.get("spot-price")
     return ScalingTerms(
         minimum=minimum,
@@ -137,10 +137,10 @@
 
 
 def read_limits(entry: dict[str, Any]) -> RequestLimits:
-    """Returns the limits on clients; those that are not named have the defaults.
+    """Parses the limits on clients; missing ones have their defaults.
 
     Raises:
-        TypeError, ValueError: a limit is no number.
+        TypeError, ValueError: a limit is not a number.
     """
     default = RequestLimits()
     return RequestLimits(
--- a/src/larkpost/platform/duties.py
+++ b/src/larkpost/platform/duties.py
@@ -1,6 +1,6 @@
-"""The adapter to the platform's calls that one daemon at a time makes, under a lease.
+"""The adapter to the platform's calls that only the holder of a lease makes.
 
-Translates usage reports and orders of servers, and the statuses of the responses.
+Sends usage reports and orders of servers, and translates the response statuses.
 """
 
 import asyncio
@@ -18,9 +18,9 @@
 from larkpost.platform.dead_connections import DeadConnectionDetector, UpstreamKind
 
 CALL_FAILURES = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
-"""Everything a call may end with besides a response."""
+"""Errors that a call may fail with."""
 NO_RESPONSE = 0
-"""Stands for the status of a call without a response."""
+"""Placeholder status of a call without a response."""
 REPORT_OUTCOMES = {
     200: ReportOutcome.TAKEN,
     409: ReportOutcome.FENCED,
@@ -37,10 +37,10 @@
 
 
 class HttpDuties:
-    """Makes the calls; implements `UsagePort` and `ScalingPort`.
+    """Sends usage reports and orders of servers; implements `UsagePort` and `ScalingPort`.
 
     Args:
-        address: where the platform listens for them.
+        address: address of the platform's API.
     """
 
     def __init__(self, address: Address) -> None:
@@ -48,7 +48,7 @@
         self._session = make_session(DeadConnectionDetector(UpstreamKind.STORE))
 
     def set_address(self, address: Address) -> None:
-        """Uses another address for all later calls."""
+        """Changes the address for all later calls."""
         self._base_url = f"http://{address}"
 
     async def close(self) -> None:
@@ -58,7 +58,7 @@
     async def report_usage(
         self, report: UsageReport, holder: str, lease: Lease, timeout: float
     ) -> ReportOutcome:
-        """Sends a report; see the port."""
+        """Sends a usage report; see the port."""
         document = {"window-id": report.window, "counts": report.counts}
         status = await self._call(names.USAGE_PATH, document, holder, lease, timeout)
         return REPORT_OUTCOMES.get(status, ReportOutcome.NOT_TAKEN)
@@ -66,7 +66,7 @@
     async def order_servers(
         self, order: ScalingOrder, holder: str, lease: Lease, timeout: float
     ) -> ScalingOutcome:
-        """Sends an order of servers; see the port."""
+        """Orders servers; see the port."""
         document: dict[str, object] = {
             "service": order.service,
             "zone": order.zone,
@@ -95,4 +95,4 @@
                 await response.read()
                 return response.status
         except CALL_FAILURES:
-            return NO_RESPONSE  # whoever has the duty logs it and tries again
+            return NO_RESPONSE  # the lease holder logs it and retries
--- a/src/larkpost/platform/operator.py
+++ b/src/larkpost/platform/operator.py
@@ -1,6 +1,6 @@
-"""Reads what the operator and the trainers write into the operator's table of the store.
+"""Parses the rows that the operator and the trainers write into the operator's table.
 
-Which keys hold what stands in `larkpost.platform.names`; the parts of a configuration are read in
+The keys are in `larkpost.platform.names`; the parts of a configuration are parsed in
 `larkpost.platform.configuration_document`.
 """
 
@@ -20,18 +20,18 @@
 )
 
 PARSE_ERRORS = (KeyError, TypeError, ValueError, AttributeError)
-"""What reading a document ends with that is not in the agreed form."""
+"""Errors that parsing a malformed document raises."""
 
 
 class UnreadableRowError(ValueError):
-    """A row is not in the agreed form; it is passed over and counted."""
+    """A row is malformed; it is skipped and counted."""
 
 
 def read_configuration(row: Row) -> Configuration | None:
-    """Returns the configuration in a row of the operator's table, or None if it holds another.
+    """Parses a configuration row; returns None for a row of another kind or a removed one.
 
     Raises:
-        UnreadableRowError: the document cannot be read.
+        UnreadableRowError: the document cannot be parsed.
     """
     if row.key.key != names.CONFIGURATION_KEY or row.removed:
         return None
@@ -50,10 +50,10 @@
 
 
 def read_weight_target(row: Row) -> WeightTarget | None:
-    """Returns the named version in a row of the operator's table, or None if it holds another.
+    """Parses a weight version row; returns None for a row of another kind or a removed one.
 
     Raises:
-        UnreadableRowError: the document cannot be read.
+        UnreadableRowError: the document cannot be parsed.
     """
     if not row.key.key.startswith(names.VERSION_KEY_PREFIX) or row.removed:
         return None
@@ -65,9 +65,9 @@
 
 
 def read_evacuation(row: Row) -> ZoneEvacuation | None:
-    """Returns the evacuation in a row of the operator's table, or None if it holds another.
+    """Parses an evacuation row; returns None for a row of another kind.
 
-    The row's standing is the evacuation, whatever its value is; its removal is the end.
+    The evacuation is on as long as the row exists, whatever its value.
 
     Raises:
         UnreadableRowError: the row names no zone.
--- a/src/larkpost/platform/process.py
+++ b/src/larkpost/platform/process.py
@@ -1,7 +1,7 @@
-"""Runs one daemon as a process of the platform, from its settings to its planned stop.
+"""Runs a daemon as a process, from loading its settings to its graceful stop.
 
-Owns the order in which the parts start and stop, the process's signals and its watching tasks. The
-parts come from `larkpost.platform.assembly`.
+It defines the start and stop order of the parts that `larkpost.platform.assembly` builds, handles
+the process's signals, and runs the settings watcher and the descriptor monitor.
 """
 
 import asyncio
@@ -29,13 +29,13 @@
 
 
 async def serve(path: Path) -> None:
-    """Runs a daemon on the running loop until a signal asks it to stop.
+    """Runs a daemon on the running event loop until a signal asks it to stop.
 
     Raises:
-        SettingsError: the settings cannot be used.
-        OSError: an address cannot be listened on.
+        SettingsError: the settings are invalid.
+        OSError: an address cannot be bound.
     """
-    content = read_content(path)  # before the settings, so that no change between is missed
+    content = read_content(path)  # before loading, so that no change in between is missed
     process = Process(load_platform_settings(path))
     watcher = process.watch_file(path, content)
     process.handle_signals()
@@ -45,7 +45,7 @@
 
 
 class Process:
-    """One daemon with its clients and listeners."""
+    """A daemon with its clients and listeners."""
 
     def __init__(self, settings: PlatformSettings) -> None:
         metrics = Metrics()
@@ -67,13 +67,13 @@
         """Returns the watcher of the settings file, not yet started.
 
         Args:
-            content: the file as it was read before the settings were taken from it.
+            content: the file's content, read before the settings were loaded.
         """
         live = LiveSettings(self._gateway.settings, self._clients.store, self._clients.duties)
         return SettingsWatcher(path, content, self._reload, live, self._log)
 
     def handle_signals(self) -> None:
-        """Has signals and errors of the event loop reported to this process's parts."""
+        """Installs handlers for signals and for event loop errors."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stop.set)
@@ -88,7 +88,7 @@
         gc.freeze()
 
     async def run_until_stopped(self, watch_settings: Callable[[], Awaitable[None]]) -> None:
-        """Runs until a signal asks for the end and the daemon has drained."""
+        """Runs until a signal asks to stop and the daemon has drained."""
         watching = asyncio.create_task(watch_settings())
         guarding = asyncio.create_task(self._descriptor_monitor.watch())
         await self._stop.wait()
@@ -97,7 +97,7 @@
         guarding.cancel()
 
     async def close(self) -> None:
-        """Ends the daemon, then its listeners, then its clients."""
+        """Stops the daemon, then its listeners, then its clients."""
         self._gateway.stop()
         await asyncio.gather(*(listener.close() for listener in self._listeners.in_start_order()))
         await self._clients.close()
--- a/src/larkpost/platform/settings.py
+++ b/src/larkpost/platform/settings.py
@@ -1,6 +1,6 @@
-"""Reads the settings file that the platform writes for a process, and checks it.
+"""Parses and validates the settings file that the platform writes for a process.
 
-The file is the platform's: fields that are not needed here are passed over. Durations become
+Unknown fields are ignored, as the file also serves other programs. Durations are converted to
 seconds.
 """
 
@@ -27,13 +27,13 @@
 DEFAULT_BATCH_LIFETIME_SECONDS = 120
 DEFAULT_WINDOW_SECONDS = 5
 DEFAULT_REPORT_DUE_SECONDS = 10
-"""What holds where the file does not say it; most are figures of the platform's sample file."""
+"""Defaults for fields that the file leaves out."""
 MAX_PORT = 65535
 BYTES_PER_MB = 1_000_000
 
 
 class MetricsEndpoint(NamedTuple):
-    """Where the metrics are read: a port, and a path that begins with a slash."""
+    """Where metrics are served: a port, and a path that begins with a slash."""
 
     port: int
     path: str
@@ -41,24 +41,26 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformSettings:
-    """What larkpost needs of the platform's settings; durations in seconds.
+    """The platform's settings for one daemon; durations in seconds.
 
     Attributes:
-        regions: where the deployment's zones lie, seen from this daemon's.
-        contact_time: time without a fault after which the store's news are believed.
+        regions: regions of the deployment's zones, relative to this daemon's zone.
+        contact_time: time without a fault after which news from the store are trusted.
         lease_time: time after a holder's last order before another holder may order.
-        apply_time: time within which a new configuration is to be in force everywhere.
+        apply_time: time within which a new configuration must be in force everywhere.
         grace_time: time between the request to stop and the kill.
         batch_lifetime: time after its submission for which a batch must be readable.
-        peer: where this daemon makes calls to the store for others; None if no port is free.
-        metrics: where the metrics are read; None if they are not.
-        duties: where the platform listens for the calls of duties; None if there are none.
-        max_descriptors: the most descriptors that this daemon may use.
-        memory_bytes: the most memory that this daemon may use; None if it is not said.
-        cores: what it may use of a processor, in ordinary cores; None if it is not said.
-        usage: what is agreed about usage reports; None if none are asked for.
+        peer: address at which this daemon relays store calls for peers; None if no port is
+            configured.
+        metrics: where metrics are served; None to serve none.
+        duties: address for the platform calls that one daemon at a time makes; None if there are
+            none.
+        max_descriptors: maximum number of file descriptors of this daemon.
+        memory_bytes: memory limit of this daemon; None if not set.
+        cores: CPU limit of this daemon in reference cores; None if not set.
+        usage: terms of the usage reports; None to send none.
         orders_servers: whether servers may be ordered from the platform.
-        cold: what is agreed about cold servers; None if nothing is.
+        cold: terms for cold servers; None if there are none.
     """
 
     machine: str
@@ -86,15 +88,15 @@
 
 
 def settings_path() -> Path:
-    """Returns where the settings file lies."""
+    """Returns the path of the settings file."""
     return Path(os.environ.get(names.SETTINGS_VARIABLE, names.SETTINGS_PATH))
 
 
 def load_platform_settings(path: Path) -> PlatformSettings:
-    """Reads and checks the settings; unknown fields are passed over.
+    """Loads and validates the settings; unknown fields are ignored.
 
     Raises:
-        SettingsError: the file or a field is missing or wrong; the message names it.
+        SettingsError: the file or a field is missing or invalid; the message names it.
     """
     try:
         document = tomllib.loads(path.read_text(encoding="utf-8"))
@@ -142,7 +144,7 @@
 
 
 def _descriptor_limit() -> int:
-    """Returns how many descriptors the system lets this process use."""
+    """Returns the soft limit of file descriptors of this process."""
     return resource.getrlimit(resource.RLIMIT_NOFILE)[0]
 
 
@@ -153,7 +155,7 @@
 
 
 def _cores(document: dict[str, Any]) -> float | None:
-    """Returns the processor in ordinary cores: ``cores`` is how fast its one core is."""
+    """Returns the CPU limit in reference cores: the core's speed ``cores`` times ``cpu-share``."""
     if _find(document, ("limits", "cores")) is None:
         return None
     speed = _number(document, "limits", "cores", default=1)
@@ -181,10 +183,10 @@
 
 
 def _text(document: dict[str, Any], *path: str, of: tuple[str, ...] = ()) -> str:
-    """Returns a text; ``of`` names the table that the document is."""
+    """Returns a non-empty string; ``of`` is the path of the table ``document``, for errors."""
     value = _find(document, path)
     if not isinstance(value, str) or not value:
-        raise _invalid((*of, *path), value, "a text")
+        raise _invalid((*of, *path), value, "a non-empty string")
     return value
 
 
@@ -240,7 +242,7 @@
     if not ports:
         return None
     if not isinstance(ports, list) or not isinstance(ports[0], int) or not 0 < ports[0] <= MAX_PORT:
-        raise _invalid(("port-range",), ports, "two ports")
+        raise _invalid(("port-range",), ports, "a list of ports")
     return Address(f"{ip}:{ports[0]}")
 
 
--- a/src/larkpost/platform/settings_watch.py
+++ b/src/larkpost/platform/settings_watch.py
@@ -1,7 +1,7 @@
-"""Watches the settings file of a running daemon and puts changed settings into force.
+"""Reloads the settings file of a running daemon.
 
-Only what may change while the daemon runs is put into force: the addresses of the store and of the
-duties, the times, and the regions. Everything else holds until the next start.
+Only the addresses of the store and of the platform's calls, the times and the regions are reloaded.
+Changes to other settings take effect at the next start.
 """
 
 import asyncio
@@ -17,19 +17,18 @@
 from larkpost.platform.store import HttpStore
 
 SETTINGS_POLL_SECONDS = 1.0
-"""Between two checks of the file when no signal comes. A changed file is in force within about a
-second, and a check is one read of a small file."""
+"""Interval at which the file is checked without a signal."""
 
 RELOADABLE_TIMES = ("contact_time", "lease_time", "apply_time", "grace_time", "batch_lifetime")
 
 
 @dataclass(frozen=True, slots=True)
 class LiveSettings:
-    """The parts of a running daemon that take changed settings.
+    """The parts of a running daemon that changed settings are applied to.
 
     Attributes:
-        gateway: the daemon's settings in force, changed in place.
-        duties: None if the platform takes no calls of duties.
+        gateway: the current settings, changed in place.
+        duties: client for the platform's calls; None if there are none.
     """
 
     gateway: GatewaySettings
@@ -37,7 +36,7 @@
     duties: HttpDuties | None
 
     def apply(self, settings: PlatformSettings) -> None:
-        """Puts changed settings into force."""
+        """Applies changed settings."""
         self.store.set_address(settings.store)
         if self.duties is not None and settings.duties is not None:
             self.duties.set_address(settings.duties)
@@ -48,11 +47,11 @@
 
 
 class SettingsWatcher:
-    """Reads the settings again after a signal, and whenever the file alone has changed.
+    """Reloads the settings after a signal, and when the file has changed.
 
     Args:
-        content: the file as it was read before the settings in force were taken from it.
-        reload: is set by the signal.
+        content: the file's content, read before the current settings were loaded.
+        reload: set by the signal.
     """
 
     def __init__(
@@ -65,13 +64,13 @@
         self._log = log
 
     async def watch(self) -> None:
-        """Checks the file until it is cancelled; unusable settings change nothing."""
+        """Checks the file until cancelled; invalid settings change nothing."""
         while True:
             await self._wait()
             self._check()
 
     async def _wait(self) -> None:
-        """Waits for the signal, but not longer than the file may go without a check."""
+        """Waits for the signal, for at most `SETTINGS_POLL_SECONDS`."""
         try:
             async with asyncio.timeout(SETTINGS_POLL_SECONDS):
                 await self._reload.wait()
@@ -94,8 +93,8 @@
 
 
 def read_content(path: Path) -> bytes:
-    """Returns a file's content; empty if it cannot be read, as loading it reports the cause."""
+    """Returns a file's content; empty if it cannot be read."""
     try:
         return path.read_bytes()
     except OSError:
-        return b""  # loading it reports what is wrong
+        return b""  # loading the settings reports the cause
--- a/src/larkpost/platform/status_apps.py
+++ b/src/larkpost/platform/status_apps.py
@@ -1,4 +1,4 @@
-"""The applications behind the addresses for readiness and metrics."""
+"""ASGI applications for readiness and metrics."""
 
 from collections.abc import Callable
 
@@ -13,7 +13,7 @@
 
 
 class ReadinessApp:
-    """The application that reports whether this daemon admits clients."""
+    """Reports whether this daemon is ready for clients."""
 
     def __init__(self, lifecycle: Lifecycle) -> None:
         self._lifecycle = lifecycle
@@ -27,11 +27,11 @@
 
 
 class MetricsApp:
-    """The application behind the address for metrics.
+    """Serves the metrics.
 
     Args:
-        read: returns the metrics as text.
-        path: the path at which they are read.
+        read: returns the encoded metrics.
+        path: path at which they are served.
     """
 
     def __init__(self, read: Callable[[], bytes], path: str) -> None:
