--- a/src/larkpost/platform/stand_in/__init__.py
+++ b/src/larkpost/platform/stand_in/__init__.py
@@ -1,6 +1,5 @@
-"""Stand-ins that speak the platform's protocol: store, servers, trainers and clients.
+"""Test doubles that speak the platform's protocol: store, servers, trainers and clients.
 
-They serve the demonstration and tests, so that neither needs the users' bench. `memory_store` and
-`engine_state` hold what a store and an engine do; the other modules give it the platform's names
-and formats.
+The demo and the tests use them in place of the real platform. `memory_store` and `engine_state`
+implement the behaviour of a store and an engine; the other modules add the platform's protocol.
 """
--- a/src/larkpost/platform/stand_in/callers.py
+++ b/src/larkpost/platform/stand_in/callers.py
@@ -1,4 +1,4 @@
-"""Trainers and clients that speak to the daemons over HTTP and check every answer."""
+"""Trainers and clients that call the daemons over HTTP and check every response."""
 
 import asyncio
 import base64
@@ -28,13 +28,13 @@
 RETRY_SECONDS = 0.1
 CALL_SECONDS = 3.0
 CONFIGURATION_VERSION = 1
-"""The only one that the demonstration writes; its keys are used."""
+"""The only version that the demo writes; its API keys are used."""
 FAILURES = (aiohttp.ClientError, TimeoutError, OSError)
 
 
 @dataclass(slots=True)
 class CallerRecord:
-    """What trainers and clients saw; the last four must be 0."""
+    """What trainers and clients observed; the counts in `violations` must be 0."""
 
     batches_accepted: int = 0
     batches_whole: int = 0
@@ -51,12 +51,12 @@
 
     @property
     def violations(self) -> int:
-        """Counts what must never happen."""
+        """The number of duplicate, lost or wrong results and wrong responses."""
         return self.results_doubled + self.results_lost + self.results_wrong + self.answers_wrong
 
 
 class Caller:
-    """Calls daemons, another one after each failure."""
+    """Calls a random daemon each time and retries failed calls."""
 
     def __init__(self, daemons: list[Address], record: CallerRecord, seed: int) -> None:
         self._daemons = daemons
@@ -66,7 +66,7 @@
     async def call(
         self, method: str, target: str, request_id: str, body: bytes | None = None
     ) -> tuple[int, bytes] | None:
-        """Makes one call at one daemon; None if there was no whole answer."""
+        """Makes one call; returns None if there was no complete response."""
         daemon = self._chance.choice(self._daemons)
         tenant = READING if target.startswith(PAGE_PREFIX) else TRAINING
         headers = {
@@ -85,12 +85,12 @@
             ):
                 return answer.status, await answer.read()
         except FAILURES:
-            return None  # the caller counts it as unanswered
+            return None  # the caller counts it as a failure
 
     async def call_until(
         self, method: str, target: str, request_id: str, body: bytes | None, wanted: int
     ) -> bytes:
-        """Repeats a call until it is answered with the wanted status."""
+        """Repeats a call until the response has the wanted status."""
         while True:
             answer = await self.call(method, target, request_id, body)
             if answer is not None and answer[0] == wanted:
@@ -101,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchShape:
-    """What one trainer asks for: batches of items in groups, for one model."""
+    """The batches of one trainer: a model, and items in groups."""
 
     model: ModelName
     items: int
@@ -109,7 +109,7 @@
 
 
 class StandInTrainer:
-    """Submits one batch after the other and names a weight version after each.
+    """Submits batches one after another and publishes a weight version after each.
 
     Args:
         name_version: writes a weight version of a model to the store.
@@ -127,7 +127,7 @@
         self._name_version = name_version
 
     async def run(self, until: float) -> None:
-        """Trains until a time of the loop; a batch once begun is finished."""
+        """Trains until an event loop time; finishes the batch in progress."""
         loop = asyncio.get_running_loop()
         for step in itertools.count():
             if loop.time() >= until:
@@ -199,7 +199,7 @@
 
 
 def _reward_call(item: str) -> dict[str, str]:
-    """Returns the call that has an item's output scored; the page servers answer it."""
+    """Returns the reward call of an item; the page servers answer it."""
     return {
         "id": _reward_call_id(item),
         "host": HOST,
@@ -209,7 +209,7 @@
 
 
 class StandInClient:
-    """Sends requests for pages at a steady rate."""
+    """Requests pages at a constant rate."""
 
     def __init__(self, caller: Caller, per_second: float) -> None:
         self._caller = caller
@@ -218,7 +218,7 @@
         self._running: set[asyncio.Task] = set()
 
     async def run(self, until: float) -> None:
-        """Sends requests until a time of the loop."""
+        """Sends requests until an event loop time."""
         loop = asyncio.get_running_loop()
         while loop.time() < until:
             task = asyncio.create_task(self._ask())
--- a/src/larkpost/platform/stand_in/daemon_settings.py
+++ b/src/larkpost/platform/stand_in/daemon_settings.py
@@ -1,4 +1,4 @@
-"""Writes the settings file of a daemon as the platform does."""
+"""Writes the settings file of a daemon in the platform's format."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -37,10 +37,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DaemonSettings:
-    """Where a daemon stands and listens.
+    """The machine, zone and addresses of a daemon.
 
     Attributes:
-        memory_mb: the machine's memory; None if the settings do not say it.
+        memory_mb: the machine's memory in MB; None to leave it out.
     """
 
     machine: str
@@ -53,7 +53,7 @@
 
 
 def write_settings(place: DaemonSettings, folder: Path) -> dict[str, str]:
-    """Writes a daemon's settings and returns the environment that names them."""
+    """Writes a daemon's settings file and returns the environment variables that point to it."""
     path = folder / f"{place.machine}.toml"
     text = TEMPLATE.format(
         machine=place.machine,
@@ -70,5 +70,5 @@
 
 
 def ready_path() -> str:
-    """Returns the path that responds whether a daemon takes clients."""
+    """Returns the path of a daemon's readiness check."""
     return names.READY_PATH
--- a/src/larkpost/platform/stand_in/engine_state.py
+++ b/src/larkpost/platform/stand_in/engine_state.py
@@ -1,6 +1,7 @@
-"""What a stand-in engine is, makes and does with an order of weights.
+"""The state of a fake engine, its output, and its handling of weight orders.
 
-`larkpost.platform.stand_in.server_app` serves it over HTTP; the tests' engines in memory share it.
+`larkpost.platform.stand_in.server_app` serves it over HTTP; in-memory engines of the tests use it
+as well.
 """
 
 from dataclasses import dataclass, field
@@ -11,16 +12,16 @@
 
 MIN_EVENTS = 4
 MAX_EXTRA_EVENTS = 12
-"""A request's output has `MIN_EVENTS` events and up to `SPREAD_EVENTS` - 1 more."""
+"""A request's output has `MIN_EVENTS` events and up to `MAX_EXTRA_EVENTS` - 1 more."""
 LOAD_SECONDS = 0.9
-"""A load of weights, in seconds. Short, so that a demonstration has several."""
+"""Duration of a weight load; short, so that a demo has several."""
 
 
 def expected_output(request_id: str, events: int | None = None) -> list[bytes]:
-    """Returns the events' data that every engine makes for a request.
+    """Returns the event data that every engine generates for a request.
 
     Args:
-        events: how many; None for a number that hangs on the request.
+        events: number of events; None to derive it from the request id.
     """
     count = MIN_EVENTS + hash64(request_id) % MAX_EXTRA_EVENTS if events is None else events
     return [f"{request_id}-{number}".encode() for number in range(1, count + 1)]
@@ -31,15 +32,15 @@
     """One engine.
 
     Attributes:
-        slots: requests that it runs at once.
-        event_seconds: time it takes for an event.
-        running: requests that run now.
-        versions: weight version per model that it holds.
-        highest_token: the highest fencing token of all orders so far.
-        orders_taken: how many orders it has carried out or begun.
-        loading_until: when the load under way ends, in seconds.
-        runs: ids of all requests it has run.
-        orders: (holder, fencing token, model, version, time) of each order that arrived.
+        slots: maximum number of concurrent requests.
+        event_seconds: seconds per event.
+        running: number of running requests.
+        versions: loaded weight version per model.
+        highest_token: highest fencing token of all orders so far.
+        orders_accepted: number of orders accepted so far.
+        loading_until: time at which the current load ends, in seconds.
+        runs: ids of all requests that have run.
+        orders: (holder, fencing token, model, version, time) of each order received.
     """
 
     slots: int = 8
@@ -54,7 +55,7 @@
 
 
 def take_order(state: EngineState, order: VersionOrder, now: float) -> OrderOutcome:
-    """Judges an order as an engine does, and begins the load if it is to."""
+    """Validates an order as an engine does, and starts the load if it is accepted."""
     state.orders.append((order.holder, order.fencing_token, order.model, order.version, now))
     if order.fencing_token < state.highest_token:
         return OrderOutcome.FENCED
--- a/src/larkpost/platform/stand_in/memory_store.py
+++ b/src/larkpost/platform/stand_in/memory_store.py
@@ -1,4 +1,4 @@
-"""A store in memory with the platform's contract and its faults, for tests and simulations."""
+"""An in-memory store with the platform's semantics and injectable faults."""
 
 import random
 from collections.abc import Callable
@@ -23,16 +23,16 @@
 
 @dataclass(slots=True)
 class StoreFaults:
-    """What is wrong with the store at the moment; all chances are between 0 and 1.
+    """The current faults of the store; probabilities are between 0 and 1.
 
     Attributes:
-        down: nothing is answered and nothing is done.
+        down: calls time out and have no effect.
         refuses: every call is refused at once.
-        lost_answers: chance that a write is done but not answered.
-        late_writes: chance that a write is not answered and is done only later.
-        late_seconds: how much later.
-        slow_seconds: added to every answer.
-        parts_down: parts that refuse every call.
+        lost_answers: probability that a write is applied but times out.
+        late_writes: probability that a write times out and is applied later.
+        late_seconds: delay of late writes.
+        slow_seconds: delay added to every response.
+        parts_down: parts for which every call is refused.
     """
 
     down: bool = False
@@ -45,7 +45,7 @@
 
 
 class MemoryStore:
-    """Rows, conditions, a feed, and faults. Many `StoreClient`s share one."""
+    """The rows, the change feed and the faults of a store, shared by many `StoreClient`s."""
 
     def __init__(self, clock: Clock, rng: random.Random | None = None) -> None:
         self.clock = clock
@@ -61,12 +61,12 @@
         self.watchers: list[Callable[[Transaction], None]] = []
 
     def apply(self, transaction: Transaction) -> WriteResult:
-        """Carries a transaction out at once."""
+        """Applies a transaction at once."""
         self.carry_out_late()
         return self._apply(transaction)
 
     def carry_out_late(self) -> None:
-        """Carries out the late writes whose time has come."""
+        """Applies the late writes that are due."""
         now = self.clock.now()
         due = [entry for entry in self.late if entry[0] <= now]
         self.late = [entry for entry in self.late if entry[0] > now]
@@ -102,11 +102,11 @@
 
 
 class StoreClient:
-    """One daemon's way to a `MemoryStore`; implements `larkpost.gateway.store.port.Store`.
+    """One daemon's client of a `MemoryStore`; implements `larkpost.gateway.store.port.Store`.
 
     Attributes:
         cut_off: whether this client cannot reach the store.
-        refused: whether the store turns this client away.
+        refused: whether the store refuses this client's calls.
     """
 
     row_bytes = 65536
@@ -125,7 +125,7 @@
         return self._store.clock.now()
 
     async def write(self, transaction: Transaction, timeout: float) -> WriteResult:
-        """Carries out a transaction; see the port."""
+        """Applies a transaction; see the port."""
         store = self._store
         faults = store.faults
         if await self._is_silent(timeout):
@@ -171,7 +171,9 @@
         while True:
             store.carry_out_late()
             if after < store.oldest_change:
-                raise HistoryLostError("the history is gone")
+                raise HistoryLostError(
+                    f"the feed has no changes between {after} and {store.oldest_change}"
+                )
             rows = tuple(
                 row for row in store.history if row.key.table == table and row.version > after
             )
--- a/src/larkpost/platform/stand_in/programs.py
+++ b/src/larkpost/platform/stand_in/programs.py
@@ -1,7 +1,7 @@
-"""The stand-ins as processes.
+"""Runs the fake store or a fake server as a process.
 
 Run as ``python -m larkpost.platform.stand_in.programs`` with ``store ADDRESS``, or with ``server``,
-the store's address and what `server_arguments` returns.
+the store's address and the arguments that `server_arguments` returns.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
 
 
 async def run_store(address: Address) -> None:
-    """Serves the store, and drops the entries of servers that have fallen silent."""
+    """Serves the store and removes the entries of servers whose heartbeats have stopped."""
     clock = LoopClock()
     store = MemoryStore(clock)
     await HttpServer(StoreApp(store, clock).app(), address).start()
@@ -38,7 +38,7 @@
 
 
 def drop_silent_servers(store: MemoryStore, clock: Clock) -> None:
-    """Drops the entries of servers that have not written for some heartbeats."""
+    """Removes the entries of servers that have not been written for `ENTRY_TTL_SECONDS`."""
     removals = tuple(
         key
         for key in store.rows
@@ -50,14 +50,14 @@
 
 
 async def run_server(server: StandInServer, store: Address) -> None:
-    """Serves as one instance of a service and keeps its entry in the store."""
+    """Serves as an instance of a service and keeps its entry in the store up to date."""
     state = EngineState(slots=server.slots, versions=dict(server.versions))
     await HttpServer(ServerApp(server.id, state).app(), server.address).start()
     await keep_listed(server, state, store)
 
 
 async def keep_listed(server: StandInServer, state: EngineState, store: Address) -> None:
-    """Writes a server's entry with each heartbeat, with the versions that it then holds."""
+    """Writes a server's entry with its current versions at each heartbeat."""
     client = HttpStore(store, ROW_BYTES)
     while True:
         entry = replace(server, versions=dict(state.versions))
@@ -66,7 +66,7 @@
 
 
 def read_server(arguments: list[str]) -> StandInServer:
-    """Reads a server from a program's arguments, in the order of `server_arguments`."""
+    """Parses a server from the arguments that `server_arguments` returns."""
     instance, service, address, zone, slots, models = arguments
     return StandInServer(
         InstanceId(instance),
@@ -79,7 +79,7 @@
 
 
 def server_arguments(server: StandInServer) -> list[str]:
-    """Returns the arguments that name a server to its program; each model is at version 1."""
+    """Returns the program arguments of a server; each model starts at version 1."""
     return [
         server.id,
         server.service,
@@ -91,7 +91,7 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Runs one stand-in until it is ended."""
+    """Runs the store or a server until the process is terminated."""
     kind, *rest = arguments
     if kind == "store":
         asyncio.run(run_store(Address(rest[0])))
--- a/src/larkpost/platform/stand_in/rows.py
+++ b/src/larkpost/platform/stand_in/rows.py
@@ -1,4 +1,4 @@
-"""The rows that the operator, the trainers and the servers write."""
+"""Builds the rows that the operator, the trainers and the servers write."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -15,7 +15,7 @@
 TRAINING = TenantName("training")
 READING = TenantName("reading")
 TENANTS = (TRAINING, READING)
-"""Who submits batches, and who asks for pages."""
+"""The tenants that submit batches and that request pages."""
 BATCH_PREFIX = "/rollouts/"
 PAGE_PREFIX = "/pages/"
 LIMITS = {
@@ -24,15 +24,15 @@
     "header-timeout-ms": 3000,
     "idle-timeout-ms": 15000,
 }
-"""The daemons' limits for each request and connection."""
+"""The daemons' limits on requests and connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class StandInServer:
-    """A server as it lists itself.
+    """The entry of a server.
 
     Attributes:
-        versions: weight version of each model; empty if the server is no engine.
+        versions: weight version of each model; empty if the server is not an engine.
     """
 
     id: InstanceId
@@ -45,9 +45,9 @@
 
 
 def tenant_api_key(tenant: TenantName, version: int) -> str:
-    """Returns the key that a tenant gets with a version of the configuration.
+    """Returns the API key that a version of the configuration introduces for a tenant.
 
-    It is taken away again with the second version after that one.
+    The key is valid in that version and the next one.
     """
     return f"key-of-{tenant}-{version}"
 
@@ -59,7 +59,7 @@
     slots: int,
     models: tuple[ModelName, ...],
 ) -> Transaction:
-    """Returns the operator's change to a configuration with one route for each service."""
+    """Returns the transaction that writes a configuration with one route for each service."""
     document = {
         "version": version,
         "routes": [_rollout_route(engines), _page_route(pages)],
@@ -86,7 +86,7 @@
 
 
 def _rollout_route(engines: ServiceName) -> dict[str, Any]:
-    """Returns the route of the batches; its times are not measured."""
+    """Returns the route of the batches."""
     return {
         "name": "rollouts",
         "host": HOST,
@@ -119,20 +119,20 @@
 
 
 def version_transaction(model: ModelName, version: int) -> Transaction:
-    """Returns a trainer's naming of a weight version."""
+    """Returns the transaction by which a trainer publishes a weight version."""
     key = RowKey(names.OPERATOR_TABLE, "", f"{names.VERSION_KEY_PREFIX}{model}")
     value = orjson.dumps({"model": model, "version": version})
     return Transaction(puts=((key, value),))
 
 
 def evacuation_transaction(zone: ZoneId, *, is_on: bool) -> Transaction:
-    """Returns the operator's begin, or end, of a zone's evacuation."""
+    """Returns the transaction that starts or ends the evacuation of a zone."""
     key = RowKey(names.OPERATOR_TABLE, "", f"{names.EVACUATION_KEY_PREFIX}{zone}")
     return Transaction(puts=((key, b"{}"),)) if is_on else Transaction(removals=(key,))
 
 
 def server_transaction(server: StandInServer) -> Transaction:
-    """Returns a server's writing of its own entry."""
+    """Returns the transaction by which a server writes its own entry."""
     document = {
         "service": server.service,
         "address": server.address,
--- a/src/larkpost/platform/stand_in/server_app.py
+++ b/src/larkpost/platform/stand_in/server_app.py
@@ -1,4 +1,4 @@
-"""A server as an HTTP service: a model engine, or one that answers with pages."""
+"""A fake server over HTTP: a model engine, or a server of pages."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -25,7 +25,7 @@
 
 
 class ServerApp:
-    """Answers requests, orders and questions for a report."""
+    """Serves requests, orders and reports."""
 
     def __init__(self, instance: InstanceId, state: EngineState) -> None:
         self._instance = instance
--- a/src/larkpost/platform/stand_in/store_app.py
+++ b/src/larkpost/platform/stand_in/store_app.py
@@ -1,4 +1,4 @@
-"""The platform's store as an HTTP service over a store in memory."""
+"""The platform's store API over an in-memory store."""
 
 import base64
 from typing import Any
@@ -31,7 +31,7 @@
 
 
 class StoreApp:
-    """Answers the calls to the store."""
+    """Serves the store's API."""
 
     def __init__(self, store: MemoryStore, clock: Clock) -> None:
         self._client = StoreClient(store)
@@ -39,7 +39,7 @@
         self._highest_token = 0
 
     def app(self) -> Starlette:
-        """Returns the application; it takes usage reports as well."""
+        """Returns the application; it also accepts usage reports."""
         return Starlette(
             routes=[
                 Route(names.USAGE_PATH, self._take_usage, methods=["POST"]),
