--- a/tests/process_soak/callers.py
+++ b/tests/process_soak/callers.py
@@ -1,4 +1,4 @@
-"""Trainers and clients that speak HTTP to the daemons and record what they saw for the judge."""
+"""Trainers and clients that call the daemons over HTTP and record responses for the checker."""
 
 import asyncio
 import base64
@@ -32,11 +32,11 @@
 GROUP_SIZE = 4
 ONCE_PREFIX = "/orders/"
 KEY_LIFETIME_VERSIONS = 2
-"""A key is in force in the version that brings it and in the next one."""
+"""Number of configuration versions in which a key is valid."""
 REVOKED_KEY_INTERVAL = 7
-"""One request in this many carries a key that was taken away."""
+"""One request in this many carries a revoked key."""
 KEEP_ALIVE_SHARE = 0.5
-"""Share of the clients' requests on connections that are kept until the daemon closes them."""
+"""Fraction of the clients' requests that reuse connections."""
 CRASHING_TRIES = 2
 CRASHING_PAUSE_SECONDS = 0.7
 NOT_RUN_STATUSES = (408, 421, 429, 503)
@@ -44,12 +44,12 @@
 
 
 class Callers:
-    """What trainers and clients share: the daemons, the judge, and chance.
+    """The trainers and clients of a soak.
 
     Args:
-        fronts: returns the addresses of the daemons, as callers reach them.
-        name_version: names a weight version for a model.
-        configured_at: returns when each version of the configuration was acknowledged.
+        fronts: returns the addresses at which callers reach the daemons.
+        name_version: publishes a weight version of a model.
+        configured_at: returns the acknowledgement time of each configuration version.
     """
 
     def __init__(
@@ -74,12 +74,12 @@
         self._sessions: dict[Address, aiohttp.ClientSession] = {}
 
     async def close(self) -> None:
-        """Closes the connections that are kept."""
+        """Closes the reused connections."""
         for session in self._sessions.values():
             await session.close()
 
     async def train(self, model: ModelName, items: int, until: float) -> None:
-        """Draws one step after the other until a steady time."""
+        """Runs training steps until a monotonic time."""
         step = 0
         while time.monotonic() < until:
             if step:
@@ -88,7 +88,7 @@
             step += 1
 
     async def ask(self, per_second: float, until: float) -> None:
-        """Sends requests at a rate until a steady time, every third to be run only once."""
+        """Sends requests at a rate until a monotonic time; every third may run only once."""
         running: set[asyncio.Task] = set()
         while time.monotonic() < until:
             task = asyncio.create_task(self._request(once=self.requests % 3 == 0))
@@ -99,7 +99,7 @@
         await asyncio.gather(*running)
 
     async def ask_again_and_again(self, page: int, seconds: float) -> None:
-        """Asks for a page that crashes servers, under new ids and at any daemon, for a while."""
+        """Requests a page that crashes servers, with new request ids and at random daemons."""
         self.crashing_pages.add(page)
         until = time.monotonic() + seconds
         while time.monotonic() < until:
@@ -110,11 +110,11 @@
             await asyncio.sleep(CRASHING_PAUSE_SECONDS)
 
     async def read_on(self, batch: SubmittedBatch, until: float) -> None:
-        """Reads a batch on until it is whole or a steady time has come."""
+        """Reads a batch until it is complete or a monotonic time is reached."""
         while not batch.is_whole and time.monotonic() < until:
             position = len(batch.read)
             if position and self._chance.random() < 0.2:
-                position = self._chance.randrange(position)  # now and then from an earlier one
+                position = self._chance.randrange(position)  # sometimes from an earlier position
             target = f"{names.BATCH_PATH_PREFIX.decode()}{batch.batch}?after-rev={position}"
             answer = await self._call("GET", target, batch.batch)
             if answer is None or answer[0] != 200:
@@ -131,7 +131,7 @@
         await self.read_on(batch, began + STEP_SECONDS)
         if not batch.is_whole:
             self.abandoned += 1
-            return  # it is to become whole once all has healed
+            return  # it must complete once all faults have ended
         self.step_seconds.append(time.monotonic() - began)
         target = f"{names.BATCH_PATH_PREFIX.decode()}{batch.batch}"
         answer = await self._call("DELETE", target, batch.batch)
@@ -183,7 +183,7 @@
             self._checker.reported_not_run.add(name)
 
     def _newest_version(self) -> int:
-        """Returns the newest version of the configuration that was acknowledged."""
+        """Returns the newest acknowledged configuration version."""
         return max(self._configured_at())
 
     async def _call(
@@ -195,11 +195,11 @@
         version: int | None = None,
         keep_alive: bool = False,
     ) -> tuple[int, bytes] | None:
-        """Makes one call at any daemon; None if there was no whole answer.
+        """Makes one call at a random daemon; returns None without a complete response.
 
         Args:
-            version: of the configuration whose key is sent; None for the newest.
-            kept: whether it goes on a connection that is kept until the daemon closes it.
+            version: configuration version whose key is sent; None for the newest.
+            keep_alive: whether the call reuses a connection.
         """
         daemon = self._chance.choice(self._fronts())
         tenant = TRAINING if request.startswith("b") else READING
@@ -224,7 +224,7 @@
     async def _session(
         self, daemon: Address, *, keep_alive: bool
     ) -> AsyncIterator[aiohttp.ClientSession]:
-        """Gives a session with kept connections to a daemon, or one of its own for a call."""
+        """Yields a session with reused connections to a daemon, or a new one for a single call."""
         if keep_alive:
             if daemon not in self._sessions:
                 self._sessions[daemon] = aiohttp.ClientSession()
--- a/tests/process_soak/checker.py
+++ b/tests/process_soak/checker.py
@@ -1,6 +1,6 @@
-"""What must hold, judged by what trainers, clients and servers saw on their sockets.
+"""Checks the invariants of a soak against what trainers, clients and servers recorded.
 
-The checks of single results are those of the fuzz's oracle (`tests.platform_checks`).
+The checks of single results are shared with the fuzz oracle (`tests.platform_checks`).
 """
 
 from collections.abc import Sequence
@@ -13,25 +13,25 @@
 from tests.process_soak.records import Evacuation, Records
 
 APPLY_SECONDS = 2.0
-"""Time after the acknowledgement of a configuration until it is in force everywhere."""
+"""Time after the acknowledgement of a configuration until it is in effect everywhere."""
 CANCEL_SECONDS = 3.0
-"""Time after the acknowledgement of a batch's end within which its items may still arrive."""
+"""Time after the acknowledgement of a batch's end during which its items may still run."""
 CRASH_REPORT_SECONDS = 4.0
-"""Time after a fault until each daemon has heard of all crashes: 3 s, and a start takes one."""
+"""Time after a fault until each daemon knows of all crashes, including the start of a daemon."""
 FAULT_SLACK_SECONDS = 12.0
-"""Time around a fault in which the rules with time bounds excuse a daemon."""
+"""Time after a fault during which rules with time bounds are not enforced."""
 
 
 @dataclass(slots=True)
 class SubmittedBatch:
-    """A batch as its trainer knows it; times are steady.
+    """A batch as its trainer knows it; times are monotonic.
 
     Attributes:
         calls: the reward call of each item.
-        accepted: whether a daemon has answered that it keeps it.
-        refused: whether its trainer gave it up after only answers that it does not run.
-        ended_at: when its end was acknowledged.
-        read: what was read of it, by position.
+        accepted: whether a daemon has accepted it.
+        refused: whether its trainer gave up after only responses that guarantee it does not run.
+        ended_at: time at which its end was acknowledged.
+        read: the results read so far, by position.
     """
 
     batch: str
@@ -44,24 +44,24 @@
 
     @property
     def is_whole(self) -> bool:
-        """Whether all results were read."""
+        """Whether all results have been read."""
         return len(self.read) == len(self.calls)
 
 
 @dataclass(slots=True)
 class InvariantChecker:
-    """Remembers what was promised and read, and checks it.
+    """Collects what the callers were told and checks it against the records.
 
     Attributes:
-        asked: ids of all client requests; the value is whether it may run only once.
-        told_not_run: run-once requests of which a response said that they did and will not run.
-        tenants: whose key each client request carried.
-        dropped: requests with a key that was taken away, each with the time of that.
-        fault_times: when faults struck or ended.
-        hindrances: spans of the faults that keep news from daemons or requests from servers, as
-            begin and end; the end is infinite until it has come.
-        evacuations: the site's, as they happen.
-        untold: spans of the faults that may lose or delay news of a crash, as hindrances.
+        asked: ids of all client requests; the value is whether the request may run only once.
+        reported_not_run: run-once requests that a response guaranteed not to run.
+        tenants: the tenant whose key each client request carried.
+        revoked: requests with a revoked key, with the time of the revocation.
+        fault_times: times at which faults started or ended.
+        disruptions: start and end of faults that keep updates from daemons or requests from
+            servers; the end is infinite while the fault lasts.
+        evacuations: the site's evacuations, updated as they happen.
+        crash_report_gaps: start and end of faults that may lose or delay crash reports.
     """
 
     batches: dict[str, SubmittedBatch] = field(default_factory=dict)
@@ -75,7 +75,7 @@
     crash_report_gaps: list[tuple[float, float]] = field(default_factory=list)
 
     def take_page(self, batch: SubmittedBatch, position: int, results: list[dict]) -> None:
-        """Takes results that a daemon has given; what was read before must come again."""
+        """Records results that a daemon returned; earlier results must not change."""
         for number, result in enumerate(results, position):
             if number < len(batch.read):
                 assert batch.read[number] == result, f"{batch.batch}: position {number} has changed"
@@ -85,7 +85,7 @@
                 raise AssertionError(f"{batch.batch}: position {len(batch.read)} was left out")
 
     def check(self, records: Records) -> None:
-        """Checks everything that must hold at all times."""
+        """Checks all invariants."""
         for batch in self.batches.values():
             self._check_results(batch, records)
             self._check_arrivals(batch, records)
@@ -127,7 +127,7 @@
                 checks.check_given_up(result["id"], failures)
 
     def _check_arrivals(self, batch: SubmittedBatch, records: Records) -> None:
-        """Nothing of a refused batch runs, and nothing of an ended one in calm times."""
+        """Nothing of a refused batch runs, and nothing of an ended one without a recent fault."""
         names = [*batch.calls, *batch.calls.values()]
         for name in names:
             for run in records.runs.get(name, ()):
@@ -145,10 +145,10 @@
             assert name in submitted or name in self.asked, f"{name} runs, but nobody sent it"
             if self.asked.get(name):
                 assert len(runs) == 1, f"{name} ran {len(runs)} times"
-                assert name not in self.reported_not_run, f"{name} was told not run, but ran"
+                assert name not in self.reported_not_run, f"{name} ran, but was reported as not run"
 
     def _check_tenants(self, records: Records) -> None:
-        """Servers get the tenant of each request; what carried a dropped key does not run."""
+        """Servers receive the tenant of each request; requests with a revoked key do not run."""
         owners = {name: None for batch in self.batches.values() for name in batch.calls.values()}
         owners |= {name: TRAINING for batch in self.batches.values() for name in batch.calls}
         owners |= self.tenants
@@ -158,10 +158,10 @@
         for name, dropped_at in self.revoked.items():
             for run in records.runs.get(name, ()):
                 late = run.began > dropped_at + APPLY_SECONDS
-                assert not (late and self._is_calm(run.began)), f"{name} ran with a dropped key"
+                assert not (late and self._is_calm(run.began)), f"{name} ran with a revoked key"
 
     def _check_evacuated(self, records: Records) -> None:
-        """Nothing reaches an evacuated zone once every daemon had to know."""
+        """Nothing reaches an evacuated zone once every daemon must know of the evacuation."""
         for span in self.evacuations:
             known_at = checks.known_by(span.began_at, sorted(self.disruptions))
             for name, runs in records.runs.items():
@@ -170,7 +170,7 @@
                         checks.check_evacuated(name, run.began, known_at, span.ended_at)
 
     def _check_crashes(self, records: Records) -> None:
-        """A request that has crashed three servers is hardly sent on by daemons that can know."""
+        """Bounds how often a request that has crashed three servers is sent again."""
         for path, runs in records.crashes.items():
             for run in runs:
                 assert run.request in self.asked, f"{run.request} runs, but nobody sent it"
@@ -178,12 +178,12 @@
             checks.check_crashes(path, sorted(run.began for run in runs), counted)
 
     def _is_crash_reported(self, at: float) -> bool:
-        """Returns whether nothing has lost or delayed news of crashes for a while."""
+        """Returns whether no fault has lost or delayed crash reports recently."""
         since = at - CRASH_REPORT_SECONDS
         return not any(start <= at and end >= since for start, end in self.crash_report_gaps)
 
     def missing(self) -> list[str]:
-        """Returns the accepted batches that are neither whole nor ended."""
+        """Returns the accepted batches that are neither complete nor ended."""
         return [
             name
             for name, batch in self.batches.items()
--- a/tests/process_soak/daemon_program.py
+++ b/tests/process_soak/daemon_program.py
@@ -1,9 +1,8 @@
 """A daemon of the soak: ``python -m tests.process_soak.daemon_program [MUTANT]``.
 
-Its machine can be suspended: it is stopped, gets `SUSPENDED_SIGNAL`, and is continued. Then its
-plain steady clock has stood still, as that of a suspended machine does; the clock that counts
-suspended time has gone on. With a mutant's name, one mechanism is broken, which shows that the soak
-can fail.
+It simulates a suspended machine: the process is stopped, gets `SUSPENDED_SIGNAL`, and is continued.
+CLOCK_MONOTONIC then excludes the suspended time, and CLOCK_BOOTTIME includes it. A mutant breaks
+one mechanism, which shows that the soak can fail.
 """
 
 import contextlib
@@ -19,9 +18,9 @@
 
 
 class SuspendableClock:
-    """The plain steady clock of a machine that may be suspended.
+    """CLOCK_MONOTONIC of a machine that may be suspended.
 
-    How long it was, is known from when its time was last read, so a little may be lost.
+    The suspended time is measured from the last time the clock was read.
     """
 
     def __init__(self, gettime: Callable[[int], float]) -> None:
@@ -35,11 +34,11 @@
         return self._read_at - self._lost
 
     def record_suspension(self, *_) -> None:
-        """Handles a suspension of the machine that has just ended."""
+        """Handles the end of a suspension."""
         self._lost += self._true() - self._read_at
 
     def gettime(self, clock: int) -> float:
-        """Returns the seconds of any clock of the machine."""
+        """Returns the seconds of any clock."""
         return self.seconds() if clock == time.CLOCK_MONOTONIC else self._gettime(clock)
 
     def _true(self) -> float:
--- a/tests/process_soak/server_program.py
+++ b/tests/process_soak/server_program.py
@@ -1,7 +1,7 @@
-"""A stand-in server that records on standard output what it ran, so that a judge can read it.
+"""A fake server that records on standard output what it ran, for the invariant checker.
 
-Run as ``python -m tests.process_soak.server_program`` with the address where it listens, the
-store's, and what `server_arguments` returns; the address in its entry is a proxy's.
+Run as ``python -m tests.process_soak.server_program`` with its listen address, the store's address,
+and the arguments that `server_arguments` returns; the address in its entry is that of a proxy.
 """
 
 import asyncio
@@ -37,7 +37,7 @@
 
 
 class RecordingServerApp(ServerApp):
-    """A stand-in server that records its runs, answers and orders, and may fail all pages."""
+    """A fake server that records its runs, responses and orders, and may fail all pages."""
 
     def __init__(self, instance: InstanceId, state: EngineState, zone: ZoneId) -> None:
         super().__init__(instance, state)
@@ -87,7 +87,7 @@
         return response
 
     async def _crash(self, request: Request) -> None:
-        """Ends the process a moment later, without an answer, as a crash does."""
+        """Exits the process after a short delay without a response, as in a crash."""
         refusal = self._refusal(request)
         if refusal is not None:
             return
@@ -113,7 +113,7 @@
             task = asyncio.create_task(self._order_later(request))
             self._late.add(task)
             task.add_done_callback(self._late.discard)
-            await asyncio.sleep(UNANSWERED_RECHECK_SECONDS)  # its sender has long given up
+            await asyncio.sleep(UNANSWERED_RECHECK_SECONDS)  # the sender's timeout is shorter
             return Response(status_code=503)
         return await super()._order(request)
 
@@ -123,7 +123,7 @@
 
 
 async def serve(server: StandInServer, own: Address, store: Address) -> None:
-    """Serves at its own address, and keeps the entry with the listed one in the store."""
+    """Serves at its own address and keeps the entry with the proxy's address in the store."""
     state = EngineState(slots=server.slots, versions=dict(server.versions))
     app = RecordingServerApp(server.id, state, server.zone).app()
     await HttpServer(app, own).start()
--- a/tests/process_soak/site.py
+++ b/tests/process_soak/site.py
@@ -1,4 +1,4 @@
-"""The processes of a soak, the links between them, and what its operator writes."""
+"""The processes of a soak, the links between them, and the operator's writes."""
 
 import asyncio
 import time
@@ -34,22 +34,22 @@
 ENGINES, PAGES = ServiceName("engines"), ServiceName("pages")
 MODEL = ModelName("model")
 ZONES = (ZoneId("north"), ZoneId("south"))
-"""Servers stand in turn in either."""
+"""Servers alternate between them."""
 DAEMONS, ENGINE_COUNT, PAGE_COUNT = 4, 3, 2
 ENGINE_SLOTS, PAGE_SLOTS = 8, 6
 ROW_BYTES = 65536
 MEMORY_MB = 160
-"""The daemons' machines are small, so what is held for others is limited."""
+"""Memory of each daemon; small, so that memory limits take effect."""
 STORE_SECONDS = 2.0
 CRASH_STATUS = 1
-"""Exit status of a server that a request has crashed."""
+"""Exit status of a crashed server."""
 CRASH_POLL_SECONDS = 0.1
 CRASH_RESTART_SECONDS = 2.5
 
 
 @dataclass(slots=True)
 class Server:
-    """A server's place: its proxy stays, its instances follow one another."""
+    """A server; its proxy persists across restarts of its instances."""
 
     service: ServiceName
     number: int
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True)
 class Daemon:
-    """A daemon's place: its settings, its links, and its process."""
+    """A daemon: its settings, its links, and its process."""
 
     place: DaemonSettings
     environment: dict[str, str]
@@ -74,8 +74,8 @@
     """All processes and links.
 
     Args:
-        mutant: the broken mechanism of all daemons, or None.
-        daemons: how many there are.
+        mutant: the mutant that all daemons run, or None.
+        daemons: number of daemons.
     """
 
     def __init__(
@@ -102,7 +102,7 @@
         self.evacuations: list[Evacuation] = []
         self._started = 0
         self._crashed: dict[int, asyncio.Task] = {}
-        """Restarts under way of servers that have ended by themselves, by number."""
+        """Restarts in progress of crashed servers, by number."""
         self.servers: list[Server] = []
         self.daemons: list[Daemon] = []
 
@@ -122,7 +122,7 @@
         self._restarts = asyncio.create_task(self._restart_crashed())
 
     async def close(self) -> None:
-        """Closes the links; the processes are the group's to end."""
+        """Closes the links; the process group ends the processes."""
         for task in [self._restarts, *self._crashed.values()]:
             task.cancel()
         for proxy in self._proxies():
@@ -131,7 +131,7 @@
         await self._client.close()
 
     def fronts(self) -> list[Address]:
-        """Returns the daemons' addresses, as callers reach them."""
+        """Returns the addresses at which callers reach the daemons."""
         return [daemon.front.address for daemon in self.daemons]
 
     def outputs(self) -> list[Path]:
@@ -139,7 +139,7 @@
         return sorted([*self._folder.glob("server-*.out"), *self._folder.glob("store.out")])
 
     async def change_configuration(self) -> None:
-        """Writes a newer configuration, with a route that the one before had not."""
+        """Writes a new configuration version, with a route that the previous one lacked."""
         self._configuration += 1
         slots = ENGINE_SLOTS
         change = configuration_transaction(self._configuration, ENGINES, PAGES, slots, (MODEL,))
@@ -154,7 +154,7 @@
         self.configured_at[self._configuration] = time.monotonic()
 
     async def name_version(self, model: ModelName, version: int) -> None:
-        """Names a weight version."""
+        """Publishes a weight version."""
         await self.write(version_transaction(model, version))
 
     def _proxies(self) -> list[FaultProxy]:
@@ -163,7 +163,7 @@
         return fronts + stores + [server.proxy for server in self.servers]
 
     async def new_daemon(self) -> Daemon:
-        """Starts a daemon under a new name, behind links of its own."""
+        """Starts a daemon with a new name and its own links."""
         front, store = FaultProxy(free_address()), FaultProxy(self._daemons_store)
         place = DaemonSettings(
             f"daemon-{self._started}",
@@ -208,7 +208,7 @@
         )
 
     async def _restart_crashed(self) -> None:
-        """Starts another instance a while after a server has ended by itself."""
+        """Restarts crashed servers after a delay."""
         while True:
             for server in self.servers:
                 process = server.process
@@ -223,7 +223,7 @@
         del self._crashed[server.number]
 
     def follow(self, server: Server, process: Process) -> None:
-        """Starts the instance that follows one that has ended, unless another fault has."""
+        """Starts the next instance of a server, unless another fault has already done so."""
         if server.process is process:
             server.incarnation += 1
             server.process = self._start_server(
@@ -231,13 +231,13 @@
             )
 
     async def write(self, change: Transaction) -> None:
-        """Writes as the operator does, until the store has done it."""
+        """Writes as the operator, retrying until the store has applied it."""
         while (await self._client.write(change, STORE_SECONDS)).outcome is not WriteOutcome.DONE:
             await asyncio.sleep(0.1)
 
 
 async def _refuse(scope: dict, receive, send) -> None:
-    """Answers every call as a store does that turns a machine away."""
+    """Responds with 503 to every call, as a store that refuses a machine does."""
     await receive()
     headers = [(b"content-length", b"0")]
     await send({"type": "http.response.start", "status": 503, "headers": headers})
--- a/tests/process_soak/store_program.py
+++ b/tests/process_soak/store_program.py
@@ -1,4 +1,4 @@
-"""The store of a soak: faults strike the calls of daemons, not those of the operator and servers.
+"""The store of a soak: faults affect the calls of daemons, not those of the operator and servers.
 
 Run as ``python -m tests.process_soak.store_program`` with the address for the operator and servers,
 and the one for daemons.
@@ -25,7 +25,7 @@
 
 
 class FaultFreeStore:
-    """A store in memory as its operator reaches it: the same rows, no faults."""
+    """The in-memory store as the operator and servers see it: the same rows without faults."""
 
     def __init__(self, store: MemoryStore) -> None:
         self._store = store
@@ -36,7 +36,7 @@
 
 
 class RecordingStoreApp(StoreApp):
-    """The store as daemons reach it; it records the usage reports that it takes."""
+    """The store as daemons see it; it records the usage reports that it accepts."""
 
     async def _take_usage(self, request: Request) -> Response:
         response = await super()._take_usage(request)
@@ -53,22 +53,22 @@
 
 
 def read_faults(content: bytes) -> StoreFaults:
-    """Reads faults from a document of the fields that differ from none.
+    """Parses faults from a document of the fields that differ from their defaults.
 
     Raises:
-        ValueError: there is no such field.
+        ValueError: a field is unknown.
     """
     document = orjson.loads(content)
     unknown = set(document) - {field.name for field in fields(StoreFaults)}
     if unknown:
-        raise ValueError(f"no such faults of the store: {sorted(unknown)}")
+        raise ValueError(f"unknown store faults: {sorted(unknown)}")
     if "parts_down" in document:
         document["parts_down"] = frozenset(document["parts_down"])
     return StoreFaults(**document)
 
 
 async def serve(clean: Address, faulty: Address) -> None:
-    """Serves both addresses, and drops the entries of servers that have fallen silent."""
+    """Serves both addresses and removes the entries of servers whose heartbeats have stopped."""
     clock = LoopClock()
     store = MemoryStore(clock)
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,11 +1,8 @@
-"""A long run of a fleet under overlapping faults, on virtual time: `make soak-virtual`.
-
-Trainers draw steps one after the other while faults come at random moments, several at once:
-daemons are killed, stopped as planned, added and cut off; the store is down, refuses, loses
-answers, writes late, is slow, loses some parts or its history; engines go down, break streams off
-and turn slow. The oracle of the fuzz checks everything every few seconds; at the end all heals, and
-every accepted batch must become whole. Prints one line of JSON for each seed, with what was
-promised, what broke, and how long steps took. Exits 1 if anything broke.
+"""A long run of a fleet under overlapping random faults, in virtual time: `make soak-virtual`.
+
+Daemons are killed, stopped and cut off; the store fails, loses responses or history; engines fail
+and slow down. The fuzz oracle checks the invariants periodically, and after all faults have ended,
+every accepted batch must complete. Prints one JSON line per seed; exits 1 if a run has failed.
 """
 
 import asyncio
@@ -46,16 +43,16 @@
 
 @dataclass(slots=True)
 class Report:
-    """What one run saw; durations in virtual seconds.
+    """The outcome of one run; durations in virtual seconds.
 
     Attributes:
-        steps: batches that were read whole.
-        abandoned: batches that a trainer gave up after its time-out: id, when it was first
-            submitted, whether it was accepted, and how many of its results were read.
-        unavailable: calls that were answered with a promise of nothing.
-        step_seconds: from the first submission until a batch was read whole.
-        faults: how often each kind of fault began.
-        broken: what the oracle found; empty if everything held.
+        steps: number of batches that were read completely.
+        abandoned: batches that a trainer gave up after its timeout: id, time of the first
+            submission, whether it was accepted, and the number of results read.
+        unavailable: number of calls answered as unavailable.
+        step_seconds: durations from the first submission until a batch was read completely.
+        faults: number of faults of each kind.
+        broken: the violation that the oracle found; empty if there was none.
     """
 
     seed: int
@@ -79,7 +76,7 @@
 
 
 class VirtualSoak:
-    """One fleet, its trainers and its troubles."""
+    """A fleet, its trainers and its faults."""
 
     def __init__(self, seed: int, daemons: int, engines: int, gap: float) -> None:
         self.rng = random.Random(seed)
@@ -92,7 +89,7 @@
         self.over = False
 
     async def play(self, seconds: float, trainers: int) -> Report:
-        """Plays a run."""
+        """Runs the soak."""
         await self.fleet.wait(1.0)
         work = [asyncio.create_task(self._train(number)) for number in range(trainers)]
         troubles = asyncio.create_task(self._trouble())
@@ -106,14 +103,14 @@
             await self._heal()
             self.oracle.check()
         except AssertionError:
-            # A bare assertion has no text of its own: the line that failed tells what broke.
+            # A bare assertion has no message; the traceback shows the line that failed.
             self.report.broken = traceback.format_exc()[-BROKEN_CHARACTERS:]
         self.report.refused = len(self.oracle.refused)
         self.report.unavailable = self.oracle.unavailable
         return self.report
 
     def _living(self):
-        """Returns any gateway that has not been ended, or None."""
+        """Returns a random running gateway, or None."""
         alive = [n for n in range(len(self.fleet.gateways)) if n not in self.gone]
         return self.fleet.gateways[self.rng.choice(alive)] if alive else None
 
@@ -128,7 +125,7 @@
             self.fleet.put("operator", MODEL, str(self.version).encode())
 
     async def _step(self, spec) -> None:
-        """Submits a batch at one daemon after another and reads it to its end."""
+        """Submits a batch, trying one daemon after another, and reads all its results."""
         clock = self.fleet.clock
         began = clock.now()
         accepted = False
@@ -150,7 +147,7 @@
             await self.oracle.end(gateway, spec.id)
 
     async def _trouble(self) -> None:
-        """Begins faults at random moments; each heals by itself after a while."""
+        """Starts faults at random times; each ends by itself."""
         kinds = (
             self._kill,
             self._stop,
@@ -256,10 +253,10 @@
 def soak(
     seed: int, seconds: float, daemons: int, engines: int, trainers: int, gap: float
 ) -> Report:
-    """Plays one run and returns what it saw; the same seed gives the same run.
+    """Runs one soak and returns its report; a run is determined by its seed.
 
-    Names that daemons draw at random decide much (who coordinates, who claims), so they are drawn
-    from the seed as well; sets of names need a fixed PYTHONHASHSEED.
+    The daemons' random names affect coordination and claims, so they are derived from the seed as
+    well. The order of sets of names requires a fixed PYTHONHASHSEED.
     """
 
     async def play() -> Report:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""A daemon whose descriptors run out: resting connections go first, then it is not ready."""
+"""A daemon that runs out of descriptors closes idle connections, then reports not ready."""
 
 import asyncio
 import errno
@@ -16,12 +16,12 @@
 from larkpost.rehearsal.processes import free_address
 
 SOCKETS = 20
-"""The most sockets that the daemon under test may hold."""
+"""Maximum number of sockets of the daemon under test."""
 REQUEST = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
 
 class SlowApp:
-    """Answers calls of ``/`` at once, others when the test lets it."""
+    """Answers requests for ``/`` at once, others when `release` is set."""
 
     def __init__(self) -> None:
         self.release = asyncio.Event()
@@ -36,7 +36,7 @@
 
 
 class DescriptorTest(unittest.IsolatedAsyncioTestCase):
-    """A listener on loopback, its guard, and some clients."""
+    """A listener on loopback, its descriptor monitor, and clients."""
 
     async def asyncSetUp(self):
         self.lifecycle = Lifecycle()
@@ -64,7 +64,7 @@
         return reader, writer
 
     async def open_idle(self, count: int) -> list:
-        """Opens connections that rest after an answer, and returns their readers."""
+        """Opens connections that are idle after a response, and returns their readers."""
         readers = []
         for _ in range(count):
             reader, _ = await self.connect(REQUEST)
@@ -73,7 +73,7 @@
         return readers
 
     async def open_busy(self, count: int) -> list:
-        """Opens connections whose requests are being answered, and returns their readers."""
+        """Opens connections with requests in progress, and returns their readers."""
         slow = REQUEST.replace(b"/ ", b"/slow ", 1)
         readers = [(await self.connect(slow))[0] for _ in range(count)]
         await asyncio.sleep(0.05)
@@ -124,7 +124,7 @@
 
 
 class DescriptorUseTest(unittest.TestCase):
-    """The rule alone."""
+    """The thresholds."""
 
     def test_rule_by_cases(self):
         for used, closed, must_close_idle, above_calm, can_accept in (
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -1,7 +1,6 @@
-"""The resident memory of a daemon as a process, on a machine of 160 MB.
+"""A daemon process stays within a memory limit of 160 MB, though bodies and responses exceed it.
 
-The store is a process, the server and the clients are this one. Answers and bodies are together far
-larger than the machine.
+The store is a process of its own; the server and the clients run in the test.
 """
 
 import asyncio
@@ -44,12 +43,12 @@
 WAIT_SECONDS = 60.0
 READ_BYTES = 50_000
 READ_SECONDS = 0.05
-"""A slow client takes a megabyte a second."""
+"""A slow client reads 1 MB per second."""
 BLOCK = bytes(range(256)) * 256
 
 
 class Server:
-    """Answers with a digest of the body, or with a large body if the target says so."""
+    """Responds with a digest of the body, or with a large body if the target ends in ``large``."""
 
     async def serve(self, reader, writer) -> None:
         """Serves one connection."""
@@ -78,7 +77,7 @@
 
 
 class MemoryTest(unittest.IsolatedAsyncioTestCase):
-    """One daemon before one server."""
+    """One daemon with one server."""
 
     async def asyncSetUp(self):
         folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
@@ -116,7 +115,7 @@
             await asyncio.sleep(HEARTBEAT_SECONDS)
 
     def configuration(self) -> Transaction:
-        """Returns the operator's writing of one route."""
+        """Returns the transaction that writes a configuration with one route."""
         route = {
             "name": "pages",
             "host": HOST,
@@ -149,7 +148,7 @@
         )
 
     async def connect(self):
-        """Opens a connection of which the client's system holds little."""
+        """Opens a connection with a small receive buffer."""
         raw = socket()
         raw.setsockopt(SOL_SOCKET, SO_RCVBUF, READ_BYTES)
         raw.setblocking(False)
@@ -159,7 +158,7 @@
         return reader, writer
 
     async def ask(self, target: bytes, body: bytes = b"") -> tuple[int, bytes]:
-        """Returns the status and the body of a response, which is read at once."""
+        """Returns the status and the body of a response."""
         reader, writer = await self.connect()
         try:
             writer.write(self.head(target, len(body)) + body)
@@ -169,24 +168,24 @@
             writer.close()
 
     async def read_head(self, reader) -> tuple[int, int]:
-        """Reads the head of a response: its status, its length."""
+        """Reads the head of a response; returns its status and content length."""
         head = (await reader.readuntil(b"\r\n\r\n")).lower()
         (length,) = [line for line in head.split(b"\r\n") if line.startswith(b"content-length")]
         return int(head.split(b" ")[1]), int(length.split(b":")[1])
 
     def peak(self) -> int:
-        """Returns the most bytes that have been resident at the daemon."""
+        """Returns the daemon's peak resident memory in bytes."""
         text = Path(f"/proc/{self.daemon.popen.pid}/status").read_text(encoding="utf-8")
         (line,) = [line for line in text.splitlines() if line.startswith("VmHWM:")]
         return int(line.split()[1]) * 1024
 
     def assert_fits(self) -> None:
-        """Checks that the daemon runs and was never larger than its machine."""
+        """Checks that the daemon runs and its peak memory is below the limit."""
         self.assertIsNone(self.daemon.popen.poll())
         self.assertLess(self.peak(), MACHINE_BYTES)
 
     async def test_forty_slow_readers_get_their_answers_within_the_memory_of_the_machine(self):
-        """40 answers of 6 MB, to clients that take a megabyte a second."""
+        """40 responses of 6 MB to clients that read 1 MB per second."""
 
         async def read_slowly() -> int:
             reader, writer = await self.connect()
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings: wrong fields are named with their remedy, changes are taken at once."""
+"""The platform's settings: errors name the invalid field, and changed files are reloaded."""
 
 import asyncio
 import resource
@@ -39,10 +39,10 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """Reads settings files."""
+    """Loads settings files."""
 
     def load(self, text: str):
-        """Writes a file and reads it."""
+        """Writes a file and loads it."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "node.toml"
             path.write_text(text, encoding="utf-8")
@@ -140,7 +140,7 @@
 
 
 class ReloadTest(unittest.TestCase):
-    """A real process whose settings change; its store does not answer."""
+    """A daemon process whose settings change; its store does not respond."""
 
     def test_changes_are_taken_with_and_without_a_signal(self):
         with tempfile.TemporaryDirectory() as name, ProcessGroup(Path(name)) as group:
@@ -176,7 +176,7 @@
             self.assertTrue(any('"stop"' in line for line in daemon.lines()))
 
     def test_change_during_the_start_is_not_missed(self):
-        """The file is compared with what was read before the settings were taken from it."""
+        """The file is compared with the content that was read before the settings were loaded."""
 
         async def play() -> GatewaySettings:
             with tempfile.TemporaryDirectory() as name:
@@ -199,5 +199,5 @@
 
     @staticmethod
     def settings(daemon) -> list[str]:
-        """Returns the lines about settings."""
+        """Returns the log lines about settings."""
         return [line for line in daemon.lines() if '"message_type":"settings"' in line]
--- a/tests/test_process_soak.py
+++ b/tests/test_process_soak.py
@@ -1,4 +1,4 @@
-"""The soak of real programs: its proxy, its plan, its judge, and a short run."""
+"""The soak of real processes: its proxy, its plan, its invariant checker, and a short run."""
 
 import asyncio
 import time
@@ -41,14 +41,14 @@
         await self.server.close()
 
     async def echo(self, reader, writer):
-        """Answers everything with itself."""
+        """Echoes everything."""
         while content := await reader.read(100):
             self.received += content
             writer.write(content)
         writer.close()
 
     async def answer(self, content: bytes) -> bytes | None:
-        """Returns what comes back of some bytes; None if nothing does, and b"" on a break."""
+        """Returns the echo of some bytes; None without one, and b"" if the connection breaks."""
         self.writer.write(content)
         try:
             async with asyncio.timeout(WAIT_SECONDS):
@@ -136,7 +136,7 @@
 
 
 class PlanTest(unittest.TestCase):
-    """What a seed draws."""
+    """The plan that a seed determines."""
 
     def test_seed_decides_the_plan(self):
         self.assertEqual(draw_plan(3, 60.0, 1.0), draw_plan(3, 60.0, 1.0))
@@ -149,8 +149,8 @@
         self.assertTrue(any(first.at + first.seconds > second.at for first, second in pairs))
 
 
-class JudgeTest(unittest.TestCase):
-    """Each promise, broken by hand."""
+class InvariantCheckerTest(unittest.TestCase):
+    """Each invariant, violated on purpose."""
 
     def setUp(self):
         self.checker = InvariantChecker()
@@ -163,14 +163,14 @@
             self.records.runs[call].append(Run("/p", 3.0, f"p.{call}", 200))
 
     def result(self, item: str, **changes) -> dict:
-        """Returns a sound result, with changes."""
+        """Returns a correct result with changes."""
         text = b"\n".join(expected_output(item)).decode()
         score = f"p.{self.batch.calls[item]}"
         sound = {"id": item, "state": "done", "message": text, "versions": [2], "score": score}
         return sound | changes
 
     def assert_broken(self, words: str) -> None:
-        """Checks that the judge finds what it must."""
+        """Checks that the checker reports a violation."""
         with self.assertRaisesRegex(AssertionError, words):
             self.checker.check(self.records)
 
@@ -233,7 +233,7 @@
         self.records.runs["r1"].append(Run("/p", 1.0, "p.r1", 200))
         self.checker.check(self.records)
         self.checker.reported_not_run.add("r1")
-        self.assert_broken("told not run")
+        self.assert_broken("reported as not run")
         self.records.runs["r1"].append(Run("/p", 2.0, "p.r1", 200))
         self.assert_broken("ran 2 times")
 
@@ -256,13 +256,13 @@
         self.records.runs["r1"].append(Run("/p", 11.0, "p.r1", 200, READING))
         self.checker.check(self.records)
         self.records.runs["r1"].append(Run("/p", 13.0, "p.r1", 200, READING))
-        self.assert_broken("dropped key")
+        self.assert_broken("revoked key")
         self.checker.fault_times.append(12.0)
         self.checker.check(self.records)
 
     def test_request_that_crashes_servers_and_is_sent_on(self):
         self.checker.asked["r1"] = False
-        began = [30.0, 10.0, 20.0, 24.0, 24.5, 28.0, 29.0]  # as two servers tell them
+        began = [30.0, 10.0, 20.0, 24.0, 24.5, 28.0, 29.0]  # as reported by two servers
         self.records.crashes["/p"] += [CrashingRun("r1", at) for at in began]
         self.checker.check(self.records)
         self.records.crashes["/p"].append(CrashingRun("r1", 31.0))
@@ -301,7 +301,7 @@
 
 
 class RunTest(unittest.TestCase):
-    """Short runs of the seeds that are kept."""
+    """Short runs of the stored seeds."""
 
     def test_kept_seeds_break_no_promise(self):
         kept = tomllib.loads(SEEDS.read_text(encoding="utf-8"))["seeds"]
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Connections that go silent for good, without a reset, while new ones work."""
+"""Dead connections: they deliver nothing more and are not reset, while new ones work."""
 
 import asyncio
 import random
@@ -62,35 +62,35 @@
 ADDRESS = Address("10.0.0.1:1")
 ROW_BYTES = 65536
 LONGEST_SECONDS = 3.0
-"""A request that is not answered by then has failed."""
+"""Timeout of a request."""
 SLACK_SECONDS = 0.4
-"""What a busy machine adds to a time."""
+"""Tolerance for a busy machine."""
 LATE_SECONDS = MIN_ABORT_TIMEOUT_SECONDS + SLACK_SECONDS
-"""An answer to a call that met a silent connection is here by then."""
+"""Time within which a call on a dead connection is answered."""
 SETTLING_CALLS = 40
-"""Calls one after another, after which the time that many at once take is no longer the usual."""
+"""Sequential calls after which concurrent ones no longer affect the typical latency."""
 REPORT = b'{"seq":0,"busy":false,"models":[]}'
 
 
 class LogRecorder:
-    """A log that keeps what it is told."""
+    """A log that stores its lines."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[Event, dict]] = []
 
     def record(self, event: Event, **fields) -> None:
-        """Keeps a line."""
+        """Stores a line."""
         self.lines.append((event, fields))
 
 
 def count_dead_connections(metrics: Metrics, peer: UpstreamKind) -> float:
-    """Returns how often connections of a kind were taken for silent."""
+    """Returns how often connections of a kind were detected as dead."""
     name = Count.SILENT_CONNECTIONS.value
     return metrics.registry.get_sample_value(name, {"to": peer}) or 0.0
 
 
 class StoreTest(unittest.IsolatedAsyncioTestCase):
-    """A daemon before the store, and one that a peer helps; all links may fall silent."""
+    """A daemon that calls the store, and one that calls it through a peer; all links may die."""
 
     async def asyncSetUp(self):
         clock = LoopClock()
@@ -115,7 +115,7 @@
             self.addAsyncCleanup(store.close)
 
     async def open_connections(self, store: HttpStore) -> None:
-        """Makes three calls at once, so that a store has three connections."""
+        """Makes three concurrent calls, so that a store has three connections."""
         reads = (store.read("table", "part") for _ in range(3))
         await asyncio.gather(*reads)
 
@@ -129,7 +129,7 @@
         self.assertEqual(1.0, count_dead_connections(self.metrics, UpstreamKind.STORE))
 
     async def test_write_to_a_store_that_turns_slow_is_answered(self):
-        """All its answers come late, also those on new connections."""
+        """All responses are late, also those on new connections."""
         await self.open_connections(self.store)
         self.link.harm(LinkFault.DELAY)  # for 0.15 s there and 0.15 s back
         writes = (self.store.write(CHANGE, 1.0) for _ in range(3))
@@ -205,7 +205,7 @@
 
 
 class MemoryTest(unittest.IsolatedAsyncioTestCase):
-    """Servers come back at new addresses for months."""
+    """State of addresses and servers does not grow without bound."""
 
     def test_addresses_without_connections_are_forgotten_after_a_while(self):
         now = 0.0
@@ -247,7 +247,7 @@
 
 
 class PageServer:
-    """A server that answers after a while, or in events."""
+    """A server that responds after a delay, or in events."""
 
     def __init__(self, name: str) -> None:
         address = free_address()
@@ -273,7 +273,7 @@
         await self.link.start()
 
     async def close(self) -> None:
-        """Ends both."""
+        """Closes both."""
         await self.link.close()
         await self._server.close()
 
@@ -301,14 +301,14 @@
 
 
 def page_request(number: int, *, repeat: bool = True) -> OutgoingRequest:
-    """Returns a request for a page, which may be repeated if not told otherwise."""
+    """Returns a request for a page; it may be repeated by default."""
     return OutgoingRequest(
         b"r%d" % number, "POST", b"h", b"/page", (), b"", time_left=2.0, repeat_if_silent=repeat
     )
 
 
 class ServerTest(unittest.IsolatedAsyncioTestCase):
-    """Servers behind links that may fall silent."""
+    """Servers behind links that may die."""
 
     async def asyncSetUp(self):
         self.metrics = Metrics()
@@ -336,7 +336,7 @@
                 pass
 
     async def open_connections(self, count: int = 3) -> None:
-        """Makes requests at once, so that so many connections are kept."""
+        """Makes concurrent requests, so that ``count`` connections are pooled."""
         await asyncio.gather(*(self.ask(number) for number in range(count)))
         self.assertEqual(count, self.pages.link.connections)
 
@@ -360,7 +360,7 @@
         self.assertEqual(4, self.pages.link.connections)
 
     async def test_given_up_attempt_makes_its_server_suspect(self):
-        """It was overtaken by another server's answer, or its time was over."""
+        """The attempt lost to its hedge or timed out."""
         await self.open_connections()
         self.pages.link.harm(LinkFault.OLD_SILENT)
         with self.assertRaises(TimeoutError):
@@ -392,7 +392,7 @@
         self.assertFalse(self.servers.is_connected(self.instance))
 
     async def test_slow_server_keeps_its_connections(self):
-        """New ones are as slow, and a connection that has never answered shows nothing."""
+        """New connections are as slow, and one that never received bytes is not evidence."""
         await self.open_connections()
         self.pages.delay = 3 * MIN_ABORT_TIMEOUT_SECONDS
         for number in range(10, 15):
@@ -443,7 +443,7 @@
         self.assertEqual(4, self.pages.link.connections)
 
     async def test_orders_are_judged_by_the_time_of_orders(self):
-        """An engine's first event may take seconds; its answer to an order never does."""
+        """Slow requests do not raise the typical latency of control calls."""
         for _ in range(SETTLING_CALLS):
             await self.servers.report(self.instance, 1.0)
         self.pages.delay = 0.5
@@ -455,10 +455,10 @@
 
 
 class ForwardedTest(unittest.IsolatedAsyncioTestCase):
-    """Clients' requests before servers whose connections fall silent."""
+    """Client requests to servers whose connections die."""
 
     async def begin(self, *names: str) -> None:
-        """Starts servers, and makes requests until connections to all of them are kept."""
+        """Starts servers and makes requests until connections to all of them are pooled."""
         self.servers = HttpServers()
         self.addAsyncCleanup(self.servers.close)
         directory = InstanceDirectory()
@@ -479,10 +479,10 @@
             await self.settle(pages)
 
     async def settle(self, pages: PageServer) -> None:
-        """Makes calls to one server until its usual time is that of a call alone.
+        """Makes sequential calls to one server until its typical latency is that of a single call.
 
-        Requests through the forwarder would all go to the quicker server, and the other one would
-        keep the time of the many calls at once, for four times which it is waited for.
+        Requests through the forwarder would all go to the faster server, so that the timeout of the
+        other one would stay that of concurrent calls.
         """
         loop = asyncio.get_running_loop()
         for number in range(SETTLING_CALLS):
@@ -493,10 +493,10 @@
             self.slowest = max(self.slowest, loop.time() - began)
 
     def late(self) -> float:
-        """Returns the seconds by which a call that met a silent connection is answered.
+        """Returns the time within which a call on a dead connection is answered.
 
-        `LATE_SECONDS`, unless calls alone take so long here that a connection is waited for longer:
-        beside 14 busy processes they took 0.14 s, and the test failed in 2 of 30 runs.
+        `LATE_SECONDS`, or more if single calls are so slow here that the timeout exceeds its
+        minimum.
         """
         return max(LATE_SECONDS, ABORT_TIMEOUT.latency_factor * self.slowest + SLACK_SECONDS)
 
@@ -539,20 +539,20 @@
 
 
 class DetectorTest(unittest.TestCase):
-    """The judgement alone, with a clock of its own."""
+    """The detector without connections, on a manual clock."""
 
     def setUp(self):
         self.time = 100.0
         self.detector = DeadConnectionDetector(UpstreamKind.SERVER, now=lambda: self.time)
 
     def open(self):
-        """Returns a connection that has answered a call."""
+        """Returns a connection on which a call was answered."""
         line = self.detector.open(ADDRESS)
         self.call(line, 0.01)
         return line
 
     def call(self, line, seconds: float | None, held: float = 0.0) -> None:
-        """Makes a call that is answered after some time, or never."""
+        """Makes a call that is answered after ``seconds``, or never."""
         self.detector.begin_call(line, CallKind.REQUEST, held)
         if seconds is not None:
             self.time += seconds
@@ -608,7 +608,7 @@
         self.assertTrue(self.detector.is_suspect(young))
 
     def test_rule_by_cases(self):
-        """Each case changes one input of a wait that is too long and shows a silent connection."""
+        """Each case changes one input of a call that has timed out on a dead connection."""
         silent = PendingCall(now=10.0, since=9.0, limit=0.5, hold_time=0.25, received_at=8.0)
         for change, others_received_at, too_long, slow in (
             ({}, None, True, False),
@@ -645,7 +645,7 @@
 
 
 class AcceptedTest(unittest.IsolatedAsyncioTestCase):
-    """The connections of clients."""
+    """Connections of clients have TCP keepalive and a user timeout."""
 
     async def test_system_watches_accepted_connections(self):
         accepted = []
--- a/tests/test_stream_events.py
+++ b/tests/test_stream_events.py
@@ -1,4 +1,4 @@
-"""Events of a stream, however its bytes are cut into chunks."""
+"""The decoded events of a stream do not depend on how its bytes are split into chunks."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class EventDecoderTest(unittest.TestCase):
-    """The same events come out whatever the chunks are."""
+    """Splits a stream at every position."""
 
     def test_line_ends_may_be_cut_between_two_chunks(self):
         for cut in range(len(STREAM) + 1):
