--- a/src/larkpost/platform/stand_in/daemon_settings.py
+++ b/src/larkpost/platform/stand_in/daemon_settings.py
@@ -52,19 +52,19 @@
     memory_mb: int | None = None
 
 
-def write_settings(place: DaemonSettings, folder: Path) -> dict[str, str]:
+def write_settings(settings: DaemonSettings, folder: Path) -> dict[str, str]:
     """Writes a daemon's settings file and returns the environment variables that point to it."""
-    path = folder / f"{place.machine}.toml"
+    path = folder / f"{settings.machine}.toml"
     text = TEMPLATE.format(
-        machine=place.machine,
-        zone=place.zone,
-        front=place.front,
-        ready=place.ready,
-        peer_port=split_address(place.peer)[1],
-        store=place.store,
+        machine=settings.machine,
+        zone=settings.zone,
+        front=settings.front,
+        ready=settings.ready,
+        peer_port=split_address(settings.peer)[1],
+        store=settings.store,
     )
-    if place.memory_mb is not None:
-        text += f"[limits]\nmemory-mb = {place.memory_mb}\n"
+    if settings.memory_mb is not None:
+        text += f"[limits]\nmemory-mb = {settings.memory_mb}\n"
     path.write_text(text, encoding="utf-8")
     return {names.SETTINGS_VARIABLE: str(path)}
 
