--- a/src/larkpost/platform/stand_in/callers.py
+++ b/src/larkpost/platform/stand_in/callers.py
@@ -61,13 +61,13 @@
     def __init__(self, daemons: list[Address], record: CallerRecord, seed: int) -> None:
         self._daemons = daemons
         self.record = record
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
 
     async def call(
         self, method: str, target: str, request_id: str, body: bytes | None = None
     ) -> tuple[int, bytes] | None:
         """Makes one call; returns None if there was no complete response."""
-        daemon = self._chance.choice(self._daemons)
+        daemon = self._rng.choice(self._daemons)
         tenant = READING if target.startswith(PAGE_PREFIX) else TRAINING
         headers = {
             "Host": HOST,
