--- a/src/larkpost/platform/stand_in/callers.py
+++ b/src/larkpost/platform/stand_in/callers.py
@@ -88,12 +88,12 @@
             return None  # the caller counts it as a failure
 
     async def call_until(
-        self, method: str, target: str, request_id: str, body: bytes | None, wanted: int
+        self, method: str, target: str, request_id: str, body: bytes | None, expected_status: int
     ) -> bytes:
         """Repeats a call until the response has the wanted status."""
         while True:
             answer = await self.call(method, target, request_id, body)
-            if answer is not None and answer[0] == wanted:
+            if answer is not None and answer[0] == expected_status:
                 return answer[1]
             self.record.retries += 1
             await asyncio.sleep(RETRY_SECONDS)
