--- a/src/larkpost/platform/stand_in/callers.py
+++ b/src/larkpost/platform/stand_in/callers.py
@@ -186,10 +186,14 @@
         self._record.results_doubled += len(ids) - len(set(ids))
         self._record.results_lost += len(set(items) - set(ids))
         for result in found:
-            whole = b"\n".join(expected_output(result["id"])).decode()
+            expected_text = b"\n".join(expected_output(result["id"])).decode()
             fresh = min(result.get("versions", [0])) >= max(1, step)
             scored = result.get("score", "").endswith(f".{_reward_call_id(result['id'])}")
-            if result["state"] != "done" or result["message"] != whole or not (fresh and scored):
+            if (
+                result["state"] != "done"
+                or result["message"] != expected_text
+                or not (fresh and scored)
+            ):
                 self._record.results_wrong += 1
         self._record.batches_whole += 1
 
