--- a/src/larkpost/platform/stand_in/callers.py
+++ b/src/larkpost/platform/stand_in/callers.py
@@ -218,7 +218,7 @@
     def __init__(self, caller: Caller, per_second: float) -> None:
         self._caller = caller
         self._record = caller.record
-        self._pause = 1 / per_second
+        self._interval = 1 / per_second
         self._running: set[asyncio.Task] = set()
 
     async def run(self, until: float) -> None:
@@ -228,7 +228,7 @@
             task = asyncio.create_task(self._ask())
             self._running.add(task)
             task.add_done_callback(self._running.discard)
-            await asyncio.sleep(self._pause)
+            await asyncio.sleep(self._interval)
         await asyncio.gather(*self._running)
 
     async def _ask(self) -> None:
