--- a/src/larkpost/platform/stand_in/memory_store.py
+++ b/src/larkpost/platform/stand_in/memory_store.py
@@ -132,13 +132,13 @@
             return WriteResult(WriteOutcome.UNKNOWN)
         if self._is_refused({key.part for key, _ in transaction.puts}):
             return WriteResult(WriteOutcome.NOT_DONE)
-        fate = store.rng.random()
-        if fate < faults.late_writes:
+        draw = store.rng.random()
+        if draw < faults.late_writes:
             store.late.append((store.clock.now() + faults.late_seconds, transaction))
             await store.clock.sleep(timeout)
             return WriteResult(WriteOutcome.UNKNOWN)
         result = store.apply(transaction)
-        if fate < faults.late_writes + faults.lost_answers:
+        if draw < faults.late_writes + faults.lost_answers:
             await store.clock.sleep(timeout)
             return WriteResult(WriteOutcome.UNKNOWN)
         return result
