--- a/src/larkpost/platform/server_messages.py
+++ b/src/larkpost/platform/server_messages.py
@@ -21,7 +21,7 @@
 LOAD_VALUE_COUNTS = (3, 4)
 """Number of values in a server's load header: running, waiting, slots and, optionally, the current
 duration of work in per cent."""
-LOAD_FIGURE = re.compile(r"[0-9]{1,6}")
+LOAD_VALUE = re.compile(r"[0-9]{1,6}")
 IDLE_TIME = re.compile(r"timeout=(\d+)")
 
 
@@ -46,9 +46,7 @@
 def read_load(headers: Mapping[str, str]) -> ServerLoad | None:
     """Returns a server's load; None if the header is missing or malformed."""
     parts = [part.strip() for part in headers.get(names.INSTANCE_LOAD.decode(), "").split(",")]
-    if len(parts) not in LOAD_VALUE_COUNTS or not all(
-        LOAD_FIGURE.fullmatch(part) for part in parts
-    ):
+    if len(parts) not in LOAD_VALUE_COUNTS or not all(LOAD_VALUE.fullmatch(part) for part in parts):
         return None
     running, waiting, slots = (int(part) for part in parts[:3])
     per_cent = int(parts[3]) if len(parts) > 3 else 0
