--- a/src/larkpost/platform/server_refusals.py
+++ b/src/larkpost/platform/server_refusals.py
@@ -43,10 +43,10 @@
     Args:
         request_id: the id that the request was sent with; None if it was sent without one.
     """
-    named = headers.get(names.REQUEST_ID.decode())
-    if named is None:
+    response_id = headers.get(names.REQUEST_ID.decode())
+    if response_id is None:
         return ResponseMatch.UNIDENTIFIED
-    if request_id is not None and named == request_id.decode("latin-1"):
+    if request_id is not None and response_id == request_id.decode("latin-1"):
         return ResponseMatch.THIS_REQUEST
     return ResponseMatch.OTHER_REQUEST
 
