--- a/src/larkpost/platform/server_refusals.py
+++ b/src/larkpost/platform/server_refusals.py
@@ -64,8 +64,8 @@
     if owner is ResponseMatch.OTHER_REQUEST:
         raise BrokenResponseError("the response belongs to another request")
     if response.status == MISDIRECTED:
-        found = response.headers.get(names.INSTANCE_ID.decode(), instance.name)
-        is_replaced = found != instance.name
+        actual_instance = response.headers.get(names.INSTANCE_ID.decode(), instance.name)
+        is_replaced = actual_instance != instance.name
         raise NotRunError(NotRunReason.REPLACED if is_replaced else NotRunReason.MISDIRECTED)
     if names.NOT_EXECUTED.decode() in response.headers:
         raise NotRunError(NotRunReason.FULL, read_cold_seconds(response.headers))
