--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -88,12 +88,12 @@
 
     def __init__(
         self,
-        peer: UpstreamKind,
+        upstream: UpstreamKind,
         metrics: Metrics | None = None,
         log: EventLog | None = None,
         now: Callable[[], float] = steady_seconds,
     ) -> None:
-        self._peer = peer
+        self._peer = upstream
         self._metrics = metrics
         self._log = log
         self._now = now
