--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -93,7 +93,7 @@
         log: EventLog | None = None,
         now: Callable[[], float] = steady_seconds,
     ) -> None:
-        self._peer = upstream
+        self._upstream = upstream
         self._metrics = metrics
         self._log = log
         self._now = now
@@ -183,11 +183,11 @@
             return
         self._suspected_at[record.address] = now
         if self._metrics is not None:
-            self._metrics.count(Count.SILENT_CONNECTIONS, self._peer)
+            self._metrics.count(Count.SILENT_CONNECTIONS, self._upstream)
         if self._log is not None:
             self._log.record(
                 Event.CONNECTIONS_SILENT,
-                to=self._peer,
+                to=self._upstream,
                 address=record.address,
                 silent=round(now - record.waiting_since(), 3),
                 patience=round(self.timeout_of(record), 3),
