--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -105,12 +105,12 @@
         row_bytes: int,
         metrics: Metrics | None = None,
         log: EventLog | None = None,
-        peer: UpstreamKind = UpstreamKind.STORE,
+        upstream: UpstreamKind = UpstreamKind.STORE,
     ) -> None:
         self.row_bytes = row_bytes
         self._base_url = f"http://{address}"
         self._metrics = metrics or Metrics()
-        self._session = make_session(DeadConnectionDetector(peer, self._metrics, log))
+        self._session = make_session(DeadConnectionDetector(upstream, self._metrics, log))
         self._probe_task: asyncio.Task | None = None
         self._clock = StoreClock()
         self.is_failing = False
