--- a/src/larkpost/platform/settings.py
+++ b/src/larkpost/platform/settings.py
@@ -256,8 +256,8 @@
     return MetricsEndpoint(int(port), f"/{path}")
 
 
-def _invalid(path: tuple[str, ...], value: Any, wanted: str) -> SettingsError:
+def _invalid(path: tuple[str, ...], value: Any, expected: str) -> SettingsError:
     name = ".".join(path)
     return SettingsError(
-        f"{name} is {value!r}, but must be {wanted}", remedy=f"Correct {name} in the settings."
+        f"{name} is {value!r}, but must be {expected}", remedy=f"Correct {name} in the settings."
     )
