--- a/src/larkpost/platform/settings.py
+++ b/src/larkpost/platform/settings.py
@@ -163,12 +163,14 @@
 
 
 def _regions(document: dict[str, Any], zone: ZoneId) -> RegionMap:
-    named = _find(document, ("zones",))
-    if named is None:
-        named = {}
-    if not isinstance(named, dict):
-        raise _invalid(("zones",), named, "a table of zones with their regions")
-    regions = {ZoneId(name): RegionId(_text(named, name, of=("zones",))) for name in named}
+    zone_regions = _find(document, ("zones",))
+    if zone_regions is None:
+        zone_regions = {}
+    if not isinstance(zone_regions, dict):
+        raise _invalid(("zones",), zone_regions, "a table of zones with their regions")
+    regions = {
+        ZoneId(name): RegionId(_text(zone_regions, name, of=("zones",))) for name in zone_regions
+    }
     own = RegionId(_text(document, "region")) if "region" in document else None
     if own is not None and regions.get(zone, own) != own:
         raise _invalid(("region",), own, f"the region of zone {zone}, {regions[zone]!r}")
