--- a/src/larkpost/platform/settings_watch.py
+++ b/src/larkpost/platform/settings_watch.py
@@ -79,10 +79,10 @@
         self._reload.clear()
 
     def _check(self) -> None:
-        found = read_content(self._path)
-        if found == self._content:
+        new_content = read_content(self._path)
+        if new_content == self._content:
             return
-        self._content = found
+        self._content = new_content
         try:
             settings = load_platform_settings(self._path)
         except SettingsError as error:
