--- a/src/larkpost/platform/http_protocol.py
+++ b/src/larkpost/platform/http_protocol.py
@@ -114,7 +114,7 @@
         if not self._in_head:
             self._stop_head_timer()
         elif self._head_bytes > self.limits().header_bytes:
-            self._refuse(HEAD_TOO_LARGE)
+            self._reject(HEAD_TOO_LARGE)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Cleans up, and wakes the request that is being served.
@@ -206,7 +206,7 @@
 
     def send_400_response(self, msg: str) -> None:
         """Responds to malformed input with 400."""
-        self._refuse(BAD_REQUEST % (len(msg), msg.encode()))
+        self._reject(BAD_REQUEST % (len(msg), msg.encode()))
 
     @property
     def is_full(self) -> bool:
@@ -273,7 +273,7 @@
     def _count_head(self, size: int) -> None:
         if self._head_timer is None:
             self._head_timer = self.loop.call_later(
-                self.limits().header_time, self._refuse, HEAD_TOO_SLOW
+                self.limits().header_time, self._reject, HEAD_TOO_SLOW
             )
         self._head_bytes += size
 
@@ -287,7 +287,7 @@
             self._discard_timer.cancel()
             self._discard_timer = None
 
-    def _refuse(self, response: bytes) -> None:
+    def _reject(self, response: bytes) -> None:
         """Closes the connection with an error response to what was just read.
 
         Complete requests that precede it are answered first, as the client would otherwise take
