--- a/src/larkpost/platform/http_protocol.py
+++ b/src/larkpost/platform/http_protocol.py
@@ -87,7 +87,7 @@
         self._head_bytes = 0
         self._head_timer: asyncio.TimerHandle | None = None
         self._closes_after_body = False
-        self._refusal: bytes | None = None
+        self._error_response: bytes | None = None
         self._discard_timer: asyncio.TimerHandle | None = None
         self.idle_since: float | None = self.loop.time()
         self._current_cycle: RequestResponseCycle | None = None
@@ -106,7 +106,7 @@
 
         Bytes after a rejected head are dropped.
         """
-        if self._refusal is not None:
+        if self._error_response is not None:
             return
         if self._in_head or self._is_between_requests():
             self._count_head(len(data))
@@ -148,7 +148,7 @@
         super().on_response_complete()
         if self.transport.is_closing():
             return
-        if self._refusal is not None and self._current_cycle.response_complete:
+        if self._error_response is not None and self._current_cycle.response_complete:
             self._send_refusal()
         elif is_before_body:
             self._discard_body()
@@ -294,9 +294,9 @@
         the response for that of the oldest request.
         """
         self._stop_head_timer()
-        if self._refusal is not None or self.transport.is_closing():
+        if self._error_response is not None or self.transport.is_closing():
             return
-        self._refusal = response
+        self._error_response = response
         if self._discard_timer is not None:
             self.transport.close()  # the request was answered; the rest of its body is malformed
         elif self._in_body and self.pipeline:
@@ -310,7 +310,7 @@
         return self.cycle is None or self.cycle.response_complete
 
     def _send_refusal(self) -> None:
-        self.transport.write(self._refusal)
+        self.transport.write(self._error_response)
         self.transport.close()
 
 
