--- a/src/larkpost/platform/http_protocol.py
+++ b/src/larkpost/platform/http_protocol.py
@@ -149,7 +149,7 @@
         if self.transport.is_closing():
             return
         if self._error_response is not None and self._current_cycle.response_complete:
-            self._send_refusal()
+            self._send_error_response()
         elif is_before_body:
             self._discard_body()
 
@@ -302,14 +302,14 @@
         elif self._in_body and self.pipeline:
             self.pipeline.popleft()  # the newest, whose body is malformed
         elif self._has_answered_all or (self._in_body and not self.cycle.response_started):
-            self._send_refusal()
+            self._send_error_response()
 
     @property
     def _has_answered_all(self) -> bool:
         """Whether all requests read so far have been answered."""
         return self.cycle is None or self.cycle.response_complete
 
-    def _send_refusal(self) -> None:
+    def _send_error_response(self) -> None:
         self.transport.write(self._error_response)
         self.transport.close()
 
