--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -170,8 +170,8 @@
             return
         async with answer:
             await response.begin_with_length(answer.status, answer.headers)
-            passed = BufferedBody(answer.rest, answer.reservation, answer.buffered)
-            await self._send_body(passed, response)
+            forwarded_body = BufferedBody(answer.rest, answer.reservation, answer.buffered)
+            await self._send_body(forwarded_body, response)
 
     async def _stream(self, request: ClientRequest, route: Route, response: ClientResponse) -> None:
         async with self._forwarder.stream(request, route) as streamed:
