--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -100,13 +100,13 @@
             response.closes_connection = call.expects_continue
             await response.send_whole(TOO_LARGE)
             return
-        closed = asyncio.create_task(call.wait_for_disconnect())
+        disconnect = asyncio.create_task(call.wait_for_disconnect())
         try:
             if not call.path.startswith(names.RESERVED_PATH_PREFIX):
-                await _detect_close(closed)
-            await self._serve_while_connected(closed, call, response, body)
+                await _detect_close(disconnect)
+            await self._serve_while_connected(disconnect, call, response, body)
         finally:
-            closed.cancel()
+            disconnect.cancel()
 
     def _check_admitted(self, call: ClientCall) -> None:
         """Checks a request by its head, before any memory is reserved for its body.
@@ -125,7 +125,7 @@
 
     async def _serve_while_connected(
         self,
-        closed: asyncio.Task,
+        disconnect: asyncio.Task,
         call: ClientCall,
         response: ClientResponse,
         body: bytes | bytearray,
@@ -137,7 +137,7 @@
         """
         work = asyncio.create_task(self._serve(call, response, body))
         try:
-            await asyncio.wait({work, closed}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({work, disconnect}, return_when=asyncio.FIRST_COMPLETED)
             if not work.done():
                 raise ClientDisconnectedError
             await work
@@ -195,7 +195,7 @@
         await delivery.wait_until_drained()
 
 
-async def _detect_close(closed: asyncio.Task) -> None:
+async def _detect_close(disconnect: asyncio.Task) -> None:
     """Lets the event loop detect a close that follows the request in the socket.
 
     A daemon that was busy or suspended reads requests whose clients have given up meanwhile.
@@ -205,5 +205,5 @@
     """
     for _ in range(LOOP_TURNS_TO_DETECT_CLOSE):
         await asyncio.sleep(0)
-    if closed.done():
+    if disconnect.done():
         raise ClientDisconnectedError
