--- a/src/larkpost/platform/batch_documents.py
+++ b/src/larkpost/platform/batch_documents.py
@@ -51,7 +51,7 @@
     if not isinstance(document, dict):
         raise ValueError("the batch is no JSON object")
     try:
-        items = tuple(_item(entry) for entry in document["requests"])
+        items = tuple(_parse_item(entry) for entry in document["requests"])
         spec = BatchSpec(
             id=batch_id,
             host=host,
@@ -131,7 +131,7 @@
     }
 
 
-def _item(entry: dict[str, Any]) -> Item:
+def _parse_item(entry: dict[str, Any]) -> Item:
     headers = tuple(
         (str(name), str(value))
         for name, value in (entry.get("headers") or {}).items()
