--- a/src/larkpost/platform/batch_documents.py
+++ b/src/larkpost/platform/batch_documents.py
@@ -146,11 +146,11 @@
         tokens=int(entry.get("tokens", 0)),
         group=GroupId(str(entry.get("group", entry["id"]))),
         length_hint=int(hints[0]) if hints and hints[0].isdigit() else 0,
-        reward_call=_reward_call(entry.get("scorer-url")),
+        reward_call=_parse_reward_call(entry.get("scorer-url")),
     )
 
 
-def _reward_call(entry: dict[str, Any] | None) -> RewardCall | None:
+def _parse_reward_call(entry: dict[str, Any] | None) -> RewardCall | None:
     if not entry:
         return None
     return RewardCall(
