--- a/src/larkpost/platform/batch_documents.py
+++ b/src/larkpost/platform/batch_documents.py
@@ -46,7 +46,7 @@
     Raises:
         ValueError: the document or the id is invalid; the message names the field.
     """
-    batch_id = _read_id(batch)
+    batch_id = _parse_id(batch)
     document = orjson.loads(content)
     if not isinstance(document, dict):
         raise ValueError("the batch is no JSON object")
@@ -69,7 +69,7 @@
     return spec
 
 
-def _read_id(batch: bytes) -> BatchId:
+def _parse_id(batch: bytes) -> BatchId:
     text = batch.decode("latin-1")
     if not text or len(text) > MAX_ID_LENGTH or "/" in text:
         raise ValueError("the batch has no usable id")
