--- a/src/larkpost/platform/client_response.py
+++ b/src/larkpost/platform/client_response.py
@@ -120,11 +120,11 @@
 
     async def _send_body(self, body: bytes | bytearray) -> None:
         """Sends the whole body; in chunks if it is large and its delivery is tracked."""
-        last = 0
+        offset = 0
         if self.delivery is not None:
             content = memoryview(body)
-            while len(body) - last > SEND_CHUNK_BYTES:
-                await self.send_chunk(content[last : last + SEND_CHUNK_BYTES])
-                last += SEND_CHUNK_BYTES
-        rest = memoryview(body)[last:] if last else body
+            while len(body) - offset > SEND_CHUNK_BYTES:
+                await self.send_chunk(content[offset : offset + SEND_CHUNK_BYTES])
+                offset += SEND_CHUNK_BYTES
+        rest = memoryview(body)[offset:] if offset else body
         await self._send({"type": "http.response.body", "body": rest})
