--- a/src/larkpost/platform/client_response.py
+++ b/src/larkpost/platform/client_response.py
@@ -126,5 +126,5 @@
             while len(body) - offset > SEND_CHUNK_BYTES:
                 await self.send_chunk(content[offset : offset + SEND_CHUNK_BYTES])
                 offset += SEND_CHUNK_BYTES
-        rest = memoryview(body)[offset:] if offset else body
-        await self._send({"type": "http.response.body", "body": rest})
+        remainder = memoryview(body)[offset:] if offset else body
+        await self._send({"type": "http.response.body", "body": remainder})
