--- a/src/larkpost/platform/configuration_document.py
+++ b/src/larkpost/platform/configuration_document.py
@@ -75,10 +75,10 @@
     Raises:
         KeyError, TypeError, ValueError: an entry cannot be parsed.
     """
-    return tuple(_tenant(entry) for entry in entries) if entries is not None else None
+    return tuple(_parse_tenant(entry) for entry in entries) if entries is not None else None
 
 
-def _tenant(entry: dict[str, Any]) -> Tenant:
+def _parse_tenant(entry: dict[str, Any]) -> Tenant:
     name = str(entry["name"])
     if not name or not name.isprintable() or not name.isascii():
         raise ValueError(f"tenant name {name!r} must be non-empty printable ASCII")
