--- a/tests/soak.py
+++ b/tests/soak.py
@@ -23,7 +23,7 @@
 from tests.virtual import run
 
 CHECK_SECONDS = 5.0
-STEP_PATIENCE_SECONDS = 30.0
+STEP_TIMEOUT_SECONDS = 30.0
 RETRY_SECONDS = 0.3
 READ_WAIT_SECONDS = 1.0
 HEAL_SECONDS = 90
@@ -129,7 +129,7 @@
         clock = self.fleet.clock
         began = clock.now()
         accepted = False
-        while clock.now() - began < STEP_PATIENCE_SECONDS:
+        while clock.now() - began < STEP_TIMEOUT_SECONDS:
             gateway = self._living()
             if gateway is not None and not accepted:
                 accepted = await self.oracle.submit(gateway, spec)
