--- a/tests/soak.py
+++ b/tests/soak.py
@@ -30,7 +30,7 @@
 BROKEN_CHARACTERS = 600
 RESTART_SECONDS = (0.3, 3.0)
 FAULT_SECONDS = (0.5, 5.0)
-STORE_TROUBLES = (
+STORE_FAULTS = (
     StoreFaults(down=True),
     StoreFaults(refuses=True),
     StoreFaults(lost_answers=0.3),
@@ -206,7 +206,7 @@
         client.cut_off = False
 
     async def _trouble_store(self) -> None:
-        self.fleet.store.faults = self.rng.choice(STORE_TROUBLES)
+        self.fleet.store.faults = self.rng.choice(STORE_FAULTS)
         await self._pause()
         self.fleet.store.faults = StoreFaults()
 
