--- a/tests/soak.py
+++ b/tests/soak.py
@@ -92,7 +92,7 @@
         """Runs the soak."""
         await self.fleet.wait(1.0)
         work = [asyncio.create_task(self._train(number)) for number in range(trainers)]
-        troubles = asyncio.create_task(self._trouble())
+        troubles = asyncio.create_task(self._inject_faults())
         try:
             for _ in range(int(seconds / CHECK_SECONDS)):
                 await self.fleet.wait(CHECK_SECONDS)
@@ -146,7 +146,7 @@
         if accepted and (gateway := self._living()) is not None:
             await self.oracle.end(gateway, spec.id)
 
-    async def _trouble(self) -> None:
+    async def _inject_faults(self) -> None:
         """Starts faults at random times; each ends by itself."""
         kinds = (
             self._kill,
