--- a/tests/soak.py
+++ b/tests/soak.py
@@ -109,7 +109,7 @@
         self.report.unavailable = self.oracle.unavailable
         return self.report
 
-    def _living(self):
+    def _running_gateway(self):
         """Returns a random running gateway, or None."""
         alive = [n for n in range(len(self.fleet.gateways)) if n not in self.gone]
         return self.fleet.gateways[self.rng.choice(alive)] if alive else None
@@ -130,7 +130,7 @@
         began = clock.now()
         accepted = False
         while clock.now() - began < STEP_TIMEOUT_SECONDS:
-            gateway = self._living()
+            gateway = self._running_gateway()
             if gateway is not None and not accepted:
                 accepted = await self.oracle.submit(gateway, spec)
             elif gateway is not None:
@@ -143,7 +143,7 @@
             await clock.sleep(0.0 if accepted else RETRY_SECONDS)
         read = len(self.oracle.read.get(spec.id, ()))
         self.report.abandoned.append((spec.id, round(began, 1), accepted, read))
-        if accepted and (gateway := self._living()) is not None:
+        if accepted and (gateway := self._running_gateway()) is not None:
             await self.oracle.end(gateway, spec.id)
 
     async def _inject_faults(self) -> None:
@@ -241,7 +241,7 @@
             engine.down = False
             engine.break_after = None
             engine.event_seconds = 0.03
-        if self._living() is None:
+        if self._running_gateway() is None:
             self._restart(0)
         for _ in range(HEAL_SECONDS):
             if not self.oracle.missing():
