--- a/tests/soak.py
+++ b/tests/soak.py
@@ -92,13 +92,13 @@
         """Runs the soak."""
         await self.fleet.wait(1.0)
         work = [asyncio.create_task(self._train(number)) for number in range(trainers)]
-        troubles = asyncio.create_task(self._inject_faults())
+        fault_task = asyncio.create_task(self._inject_faults())
         try:
             for _ in range(int(seconds / CHECK_SECONDS)):
                 await self.fleet.wait(CHECK_SECONDS)
                 self.oracle.check()
             self.over = True
-            troubles.cancel()
+            fault_task.cancel()
             await asyncio.gather(*work)
             await self._heal()
             self.oracle.check()
