--- a/tests/soak.py
+++ b/tests/soak.py
@@ -227,10 +227,10 @@
 
     async def _slow_engine(self) -> None:
         engine = self._engine()
-        usual = 0.03
-        engine.event_seconds = usual * self.rng.choice((3, 10, 1000))
+        normal_event_seconds = 0.03
+        engine.event_seconds = normal_event_seconds * self.rng.choice((3, 10, 1000))
         await self._pause()
-        engine.event_seconds = usual
+        engine.event_seconds = normal_event_seconds
 
     async def _heal(self) -> None:
         fleet = self.fleet
