--- a/tests/soak.py
+++ b/tests/soak.py
@@ -83,7 +83,7 @@
         self.fleet = PlatformFleet(daemons, engines, seed)
         self.oracle = PlatformOracle(self.fleet)
         self.report = Report(seed, daemons)
-        self.gone: set[int] = set()
+        self.stopped: set[int] = set()
         self.version = 1
         self.gap = gap
         self.over = False
@@ -111,7 +111,7 @@
 
     def _running_gateway(self):
         """Returns a random running gateway, or None."""
-        alive = [n for n in range(len(self.fleet.gateways)) if n not in self.gone]
+        alive = [n for n in range(len(self.fleet.gateways)) if n not in self.stopped]
         return self.fleet.gateways[self.rng.choice(alive)] if alive else None
 
     async def _train(self, trainer: int) -> None:
@@ -175,7 +175,7 @@
         await self.fleet.wait(self.rng.uniform(*bounds))
 
     def _pick(self) -> int | None:
-        alive = [n for n in range(len(self.fleet.gateways)) if n not in self.gone]
+        alive = [n for n in range(len(self.fleet.gateways)) if n not in self.stopped]
         return self.rng.choice(alive) if len(alive) > 1 else None
 
     def _restart(self, number: int) -> None:
@@ -185,7 +185,7 @@
     async def _kill(self) -> None:
         number = self._pick()
         if number is not None:
-            self.gone.add(number)
+            self.stopped.add(number)
             self.fleet.kill(number)
             await self._pause(RESTART_SECONDS)
             self._restart(number)
@@ -193,7 +193,7 @@
     async def _stop(self) -> None:
         number = self._pick()
         if number is not None:
-            self.gone.add(number)
+            self.stopped.add(number)
             await self.fleet.gateways[number].drain()
             self.fleet.kill(number)
             await self._pause(RESTART_SECONDS)
