--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -92,8 +92,8 @@
         await listening.start(*split_address(own))
         self.addAsyncCleanup(listening.close)
         front, ready, peer = free_address(), free_address(), free_address()
-        place = DaemonSettings("daemon", ZoneId("z"), front, ready, peer, store, MACHINE_MB)
-        environment = write_settings(place, folder)
+        settings = DaemonSettings("daemon", ZoneId("z"), front, ready, peer, store, MACHINE_MB)
+        environment = write_settings(settings, folder)
         self.daemon = group.start_module(
             "daemon", "larkpost.platform.process", environment=environment
         )
