--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -191,18 +191,18 @@
             reader, writer = await self.connect()
             writer.write(self.head(b"large", 0))
             status, length = await self.read_head(reader)
-            taken = 0
-            while taken < length:
+            received = 0
+            while received < length:
                 part = await reader.read(READ_BYTES)
                 if not part:
                     break
-                taken += len(part)
+                received += len(part)
                 await asyncio.sleep(READ_SECONDS)
-            return taken if status == 200 else 0
+            return received if status == 200 else 0
 
         async with asyncio.timeout(WAIT_SECONDS):
-            taken = await asyncio.gather(*(read_slowly() for _ in range(READERS)))
-        self.assertEqual([ANSWER_BYTES] * READERS, taken)
+            received = await asyncio.gather(*(read_slowly() for _ in range(READERS)))
+        self.assertEqual([ANSWER_BYTES] * READERS, received)
         self.assert_fits()
 
     async def test_forty_clients_that_read_nothing_are_let_go_while_others_are_served(self):
