--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -98,8 +98,8 @@
             "daemon", "larkpost.platform.process", environment=environment
         )
         self.front = split_address(front)
-        listed = asyncio.create_task(self.keep_listed(own))
-        self.addCleanup(listed.cancel)
+        listing_task = asyncio.create_task(self.keep_listed(own))
+        self.addCleanup(listing_task.cancel)
         async with asyncio.timeout(START_SECONDS):
             while not await asyncio.to_thread(answers, ready, ready_path()):
                 await asyncio.sleep(0.1)
