--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -86,10 +86,10 @@
         group.start_module("store", "larkpost.platform.stand_in.programs", "store", store)
         self.client = HttpStore(store, ROW_BYTES)
         self.addAsyncCleanup(self.client.close)
-        own = free_address()
+        server_address = free_address()
         self.server = Server()
         listening = ConnectionServer(self.server.serve)
-        await listening.start(*split_address(own))
+        await listening.start(*split_address(server_address))
         self.addAsyncCleanup(listening.close)
         front, ready, peer = free_address(), free_address(), free_address()
         settings = DaemonSettings("daemon", ZoneId("z"), front, ready, peer, store, MACHINE_MB)
@@ -98,7 +98,7 @@
             "daemon", "larkpost.platform.process", environment=environment
         )
         self.front = split_address(front)
-        listing_task = asyncio.create_task(self.keep_listed(own))
+        listing_task = asyncio.create_task(self.keep_listed(server_address))
         self.addCleanup(listing_task.cancel)
         async with asyncio.timeout(START_SECONDS):
             while not await asyncio.to_thread(answers, ready, ready_path()):
@@ -106,9 +106,9 @@
             while (await self.ask(b"small"))[0] != 200:
                 await asyncio.sleep(0.1)
 
-    async def keep_listed(self, own: Address) -> None:
+    async def keep_listed(self, server_address: Address) -> None:
         """Writes the configuration, and the server's entry with each heartbeat."""
-        server = StandInServer(InstanceId("e0"), PAGES, own, ZoneId("z"), 64, {})
+        server = StandInServer(InstanceId("e0"), PAGES, server_address, ZoneId("z"), 64, {})
         while True:
             await self.client.write(self.configuration(), 1.0)
             await self.client.write(server_transaction(server), 1.0)
