--- a/tests/process_soak/callers.py
+++ b/tests/process_soak/callers.py
@@ -121,7 +121,7 @@
                 assert answer is None or answer[0] != 404, f"{batch.batch} is lost"
                 await asyncio.sleep(PAUSE_SECONDS)
                 continue
-            self._checker.take_page(batch, position, orjson.loads(answer[1])["results"])
+            self._checker.record_page(batch, position, orjson.loads(answer[1])["results"])
 
     async def _step(self, model: ModelName, step: int, items: int) -> None:
         began = time.monotonic()
--- a/tests/process_soak/checker.py
+++ b/tests/process_soak/checker.py
@@ -74,7 +74,7 @@
     evacuations: Sequence[Evacuation] = ()
     crash_report_gaps: list[tuple[float, float]] = field(default_factory=list)
 
-    def take_page(self, batch: SubmittedBatch, position: int, results: list[dict]) -> None:
+    def record_page(self, batch: SubmittedBatch, position: int, results: list[dict]) -> None:
         """Records results that a daemon returned; earlier results must not change."""
         for number, result in enumerate(results, position):
             if number < len(batch.read):
--- a/tests/test_process_soak.py
+++ b/tests/test_process_soak.py
@@ -175,25 +175,25 @@
             self.checker.check(self.records)
 
     def test_sound_results_hold(self):
-        self.checker.take_page(self.batch, 0, [self.result("i1"), self.result("i2")])
+        self.checker.record_page(self.batch, 0, [self.result("i1"), self.result("i2")])
         self.checker.check(self.records)
         self.assertEqual([], self.checker.missing())
 
     def test_missing_results_are_named(self):
-        self.checker.take_page(self.batch, 0, [self.result("i1")])
+        self.checker.record_page(self.batch, 0, [self.result("i1")])
         self.assertEqual(["b"], self.checker.missing())
 
     def test_position_that_changes(self):
-        self.checker.take_page(self.batch, 0, [self.result("i1")])
+        self.checker.record_page(self.batch, 0, [self.result("i1")])
         with self.assertRaisesRegex(AssertionError, "has changed"):
-            self.checker.take_page(self.batch, 0, [self.result("i2")])
+            self.checker.record_page(self.batch, 0, [self.result("i2")])
 
     def test_position_left_out(self):
         with self.assertRaisesRegex(AssertionError, "left out"):
-            self.checker.take_page(self.batch, 1, [self.result("i1")])
+            self.checker.record_page(self.batch, 1, [self.result("i1")])
 
     def test_item_twice(self):
-        self.checker.take_page(self.batch, 0, [self.result("i1"), self.result("i1")])
+        self.checker.record_page(self.batch, 0, [self.result("i1"), self.result("i1")])
         self.assert_broken("doubled")
 
     def test_text_version_and_score(self):
@@ -210,7 +210,7 @@
 
     def test_score_of_a_call_before_the_text(self):
         self.records.whole_at["i1"] = 5.0
-        self.checker.take_page(self.batch, 0, [self.result("i1")])
+        self.checker.record_page(self.batch, 0, [self.result("i1")])
         self.assert_broken("scored before")
 
     def test_refused_batch_that_runs(self):
