--- a/tests/process_soak/checker.py
+++ b/tests/process_soak/checker.py
@@ -133,9 +133,11 @@
             for run in records.runs.get(name, ()):
                 assert not batch.refused, f"{name} runs, but was refused"
                 late = batch.ended_at is not None and run.began > batch.ended_at + CANCEL_SECONDS
-                assert not (late and self._is_calm(run.began)), f"{name} runs after its batch's end"
+                assert not (late and self._is_fault_free(run.began)), (
+                    f"{name} runs after its batch's end"
+                )
 
-    def _is_calm(self, at: float) -> bool:
+    def _is_fault_free(self, at: float) -> bool:
         return all(not at - FAULT_SLACK_SECONDS < time < at for time in self.fault_times)
 
     def _check_requests(self, records: Records) -> None:
@@ -158,7 +160,9 @@
         for name, dropped_at in self.revoked.items():
             for run in records.runs.get(name, ()):
                 late = run.began > dropped_at + APPLY_SECONDS
-                assert not (late and self._is_calm(run.began)), f"{name} ran with a revoked key"
+                assert not (late and self._is_fault_free(run.began)), (
+                    f"{name} ran with a revoked key"
+                )
 
     def _check_evacuated(self, records: Records) -> None:
         """Nothing reaches an evacuated zone once every daemon must know of the evacuation."""
