--- a/tests/process_soak/callers.py
+++ b/tests/process_soak/callers.py
@@ -105,7 +105,7 @@
         while time.monotonic() < until:
             for _ in range(CRASHING_TRIES):
                 name = f"r{self._chance.getrandbits(60):x}"
-                self._checker.asked[name] = False
+                self._checker.client_requests[name] = False
                 await self._call("GET", f"{PAGE_PREFIX}{CRASHING_PAGE}{page}", name)
             await asyncio.sleep(CRASHING_PAUSE_SECONDS)
 
@@ -162,7 +162,7 @@
 
     async def _request(self, *, once: bool) -> None:
         name = f"r{self._chance.getrandbits(60):x}"
-        self._checker.asked[name] = once
+        self._checker.client_requests[name] = once
         self._checker.tenants[name] = READING
         version = self._newest_version()
         if self.requests % REVOKED_KEY_INTERVAL == 0 and version > KEY_LIFETIME_VERSIONS:
--- a/tests/process_soak/checker.py
+++ b/tests/process_soak/checker.py
@@ -65,7 +65,7 @@
     """
 
     batches: dict[str, SubmittedBatch] = field(default_factory=dict)
-    asked: dict[str, bool] = field(default_factory=dict)
+    client_requests: dict[str, bool] = field(default_factory=dict)
     reported_not_run: set[str] = field(default_factory=set)
     tenants: dict[str, str] = field(default_factory=dict)
     revoked: dict[str, float] = field(default_factory=dict)
@@ -144,8 +144,10 @@
         submitted = {name for batch in self.batches.values() for name in batch.calls}
         submitted |= {name for batch in self.batches.values() for name in batch.calls.values()}
         for name, runs in records.runs.items():
-            assert name in submitted or name in self.asked, f"{name} runs, but nobody sent it"
-            if self.asked.get(name):
+            assert name in submitted or name in self.client_requests, (
+                f"{name} runs, but nobody sent it"
+            )
+            if self.client_requests.get(name):
                 assert len(runs) == 1, f"{name} ran {len(runs)} times"
                 assert name not in self.reported_not_run, f"{name} ran, but was reported as not run"
 
@@ -177,7 +179,9 @@
         """Bounds how often a request that has crashed three servers is sent again."""
         for path, runs in records.crashes.items():
             for run in runs:
-                assert run.request in self.asked, f"{run.request} runs, but nobody sent it"
+                assert run.request in self.client_requests, (
+                    f"{run.request} runs, but nobody sent it"
+                )
             counted = [run.began for run in runs if self._is_crash_reported(run.began)]
             checks.check_crashes(path, sorted(run.began for run in runs), counted)
 
--- a/tests/test_process_soak.py
+++ b/tests/test_process_soak.py
@@ -229,7 +229,7 @@
         self.assert_broken("nobody sent")
 
     def test_run_once_requests(self):
-        self.checker.asked["r1"] = True
+        self.checker.client_requests["r1"] = True
         self.records.runs["r1"].append(Run("/p", 1.0, "p.r1", 200))
         self.checker.check(self.records)
         self.checker.reported_not_run.add("r1")
@@ -238,7 +238,7 @@
         self.assert_broken("ran 2 times")
 
     def test_request_that_runs_as_another_tenant(self):
-        self.checker.asked["r1"] = False
+        self.checker.client_requests["r1"] = False
         self.checker.tenants["r1"] = READING
         self.records.runs["r1"].append(Run("/p", 1.0, "p.r1", 200, READING))
         self.checker.check(self.records)
@@ -250,7 +250,7 @@
         self.assert_broken("ran as None")
 
     def test_dropped_key_that_runs_in_calm_times(self):
-        self.checker.asked["r1"] = False
+        self.checker.client_requests["r1"] = False
         self.checker.tenants["r1"] = READING
         self.checker.revoked["r1"] = 10.0
         self.records.runs["r1"].append(Run("/p", 11.0, "p.r1", 200, READING))
@@ -261,7 +261,7 @@
         self.checker.check(self.records)
 
     def test_request_that_crashes_servers_and_is_sent_on(self):
-        self.checker.asked["r1"] = False
+        self.checker.client_requests["r1"] = False
         began = [30.0, 10.0, 20.0, 24.0, 24.5, 28.0, 29.0]  # as reported by two servers
         self.records.crashes["/p"] += [CrashingRun("r1", at) for at in began]
         self.checker.check(self.records)
@@ -273,7 +273,7 @@
         self.assert_broken("nobody sent")
 
     def test_request_in_an_evacuated_zone(self):
-        self.checker.asked["r1"] = False
+        self.checker.client_requests["r1"] = False
         self.checker.evacuations = [Evacuation(ZONES[0], 10.0, 30.0)]
         for began, zone in ((14.0, ZONES[0]), (20.0, ZONES[1]), (31.0, ZONES[0])):
             self.records.runs["r1"].append(Run("/p", began, "p.r1", 200, zone=zone))
