--- a/tests/process_soak/daemon_program.py
+++ b/tests/process_soak/daemon_program.py
@@ -25,17 +25,17 @@
 
     def __init__(self, gettime: Callable[[int], float]) -> None:
         self._gettime = gettime
-        self._lost = 0.0
+        self._suspended_seconds = 0.0
         self._read_at = self._true()
 
     def seconds(self) -> float:
         """Returns the seconds of the clock."""
         self._read_at = self._true()
-        return self._read_at - self._lost
+        return self._read_at - self._suspended_seconds
 
     def record_suspension(self, *_) -> None:
         """Handles the end of a suspension."""
-        self._lost += self._true() - self._read_at
+        self._suspended_seconds += self._true() - self._read_at
 
     def gettime(self, clock: int) -> float:
         """Returns the seconds of any clock."""
