--- a/tests/process_soak/daemon_program.py
+++ b/tests/process_soak/daemon_program.py
@@ -26,22 +26,22 @@
     def __init__(self, gettime: Callable[[int], float]) -> None:
         self._gettime = gettime
         self._suspended_seconds = 0.0
-        self._read_at = self._true()
+        self._read_at = self._true_seconds()
 
     def seconds(self) -> float:
         """Returns the seconds of the clock."""
-        self._read_at = self._true()
+        self._read_at = self._true_seconds()
         return self._read_at - self._suspended_seconds
 
     def record_suspension(self, *_) -> None:
         """Handles the end of a suspension."""
-        self._suspended_seconds += self._true() - self._read_at
+        self._suspended_seconds += self._true_seconds() - self._read_at
 
     def gettime(self, clock: int) -> float:
         """Returns the seconds of any clock."""
         return self.seconds() if clock == time.CLOCK_MONOTONIC else self._gettime(clock)
 
-    def _true(self) -> float:
+    def _true_seconds(self) -> float:
         return self._gettime(time.CLOCK_MONOTONIC)
 
 
