--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -233,7 +233,7 @@
         detector.begin_call(line, CallKind.REQUEST, 0.0)
         self.assertGreater(detector.timeout_of(line), MIN_ABORT_TIMEOUT_SECONDS)
 
-    async def test_connector_forgets_servers_to_which_no_connection_rests(self):
+    async def test_connector_drops_servers_without_connections(self):
         async with make_session(DeadConnectionDetector(UpstreamKind.SERVER)) as session:
             for number in range(3 * MIN_TRACKED_ADDRESSES):
                 server = Address(f"10.0.0.1:{number}")
