--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -359,7 +359,7 @@
                 await self.ask(number)
         self.assertEqual(4, self.pages.link.connections)
 
-    async def test_given_up_attempt_makes_its_server_suspect(self):
+    async def test_abandoned_attempt_marks_its_server_suspect(self):
         """The attempt lost to its hedge or timed out."""
         await self.open_connections()
         self.pages.link.harm(LinkFault.OLD_SILENT)
