--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -370,7 +370,7 @@
         async with asyncio.timeout(SLACK_SECONDS):
             await self.ask(10, repeat=False)
 
-    async def test_attempt_that_is_given_up_at_once_shows_nothing(self):
+    async def test_attempt_abandoned_at_once_is_no_evidence(self):
         await self.open_connections()
         self.pages.delay = 0.1
         with self.assertRaises(TimeoutError):
