--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -137,7 +137,7 @@
             results = await asyncio.gather(*writes)
         self.assertEqual({WriteOutcome.DONE}, {result.outcome for result in results})
 
-    async def test_writes_on_silent_connections_ask_once_for_proof(self):
+    async def test_writes_on_dead_connections_share_one_probe(self):
         await self.open_connections(self.store)
         self.link.harm(LinkFault.OLD_SILENT)
         writes = (self.store.write(CHANGE, 1.5) for _ in range(3))
