--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -400,7 +400,7 @@
         self.assertLessEqual(self.pages.link.connections, 4)
         self.assertLessEqual(count_dead_connections(self.metrics, UpstreamKind.SERVER), 1.0)
 
-    async def test_single_slow_request_beside_others_shows_nothing(self):
+    async def test_single_slow_request_beside_others_is_no_evidence(self):
         await self.open_connections()
         self.pages.delay = 3 * MIN_ABORT_TIMEOUT_SECONDS
         slow = asyncio.create_task(self.ask(9))
