--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -412,7 +412,7 @@
         self.assertEqual(3, self.pages.link.connections)
         self.assertEqual(0.0, count_dead_connections(self.metrics, UpstreamKind.SERVER))
 
-    async def test_stream_that_falls_silent_midway_goes_on_over_a_new_connection(self):
+    async def test_request_after_a_dead_stream_uses_a_new_connection(self):
         await self.open_connections()
         self.pages.events, self.pages.gap = 20, 0.1
         seen = []
