--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -442,7 +442,7 @@
         self.assertIs(OrderOutcome.HOLDS, outcome)
         self.assertEqual(4, self.pages.link.connections)
 
-    async def test_orders_are_judged_by_the_time_of_orders(self):
+    async def test_control_calls_have_their_own_typical_latency(self):
         """Slow requests do not raise the typical latency of control calls."""
         for _ in range(SETTLING_CALLS):
             await self.servers.report(self.instance, 1.0)
