--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -558,7 +558,7 @@
             self.time += seconds
             self.detector.record_bytes(line)
 
-    def test_silence_is_long_by_the_usual_time(self):
+    def test_timeout_depends_on_the_typical_latency(self):
         line = self.open()
         self.call(line, 0.3)
         self.call(line, None)
