--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -575,7 +575,7 @@
         self.time += 0.1
         self.assertTrue(self.detector.is_dead(line))
 
-    def test_held_call_teaches_no_usual_time(self):
+    def test_held_call_does_not_affect_the_typical_latency(self):
         line = self.open()
         self.call(line, 1.0, held=1.0)
         self.call(line, None)
