--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -567,7 +567,7 @@
         self.time += 0.2
         self.assertTrue(self.detector.is_dead(line))
 
-    def test_held_call_is_silent_only_after_its_time(self):
+    def test_held_call_is_dead_only_after_its_hold_time(self):
         line = self.open()
         self.call(line, None, held=1.0)
         self.time += 1.2
