--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -582,7 +582,7 @@
         self.time += MIN_ABORT_TIMEOUT_SECONDS + 0.01
         self.assertTrue(self.detector.is_dead(line))
 
-    def test_new_connection_that_never_answered_shows_nothing(self):
+    def test_new_connection_without_bytes_is_never_dead(self):
         line = self.detector.open(ADDRESS)
         self.call(line, None)
         self.time += 100.0
