--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -588,7 +588,7 @@
         self.time += 100.0
         self.assertFalse(self.detector.is_dead(line))
 
-    def test_bytes_on_new_connections_prove_nothing_for_old_ones(self):
+    def test_bytes_on_new_connections_do_not_keep_old_ones_alive(self):
         line = self.open()
         self.call(line, None)
         self.time += 0.2
