--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -627,7 +627,7 @@
             found = (has_timed_out(wait), is_server_slow(wait, others_received_at))
             self.assertEqual((too_long, slow), found, (change, others_received_at))
 
-    def test_limits_by_usual_time(self):
+    def test_timeouts_by_typical_latency(self):
         for limit, usual, seconds in (
             (ABORT_TIMEOUT, 0.0, 0.25),
             (ABORT_TIMEOUT, 0.0625, 0.25),
