--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -172,7 +172,7 @@
             await feed
         self.assertEqual(1.0, count_dead_connections(self.metrics, UpstreamKind.STORE))
 
-    async def test_held_feed_that_nothing_changes_is_not_taken_for_silent(self):
+    async def test_held_feed_without_changes_is_not_dead(self):
         await self.open_connections(self.store)
         await self.store.changes("table", 0, 3 * MIN_ABORT_TIMEOUT_SECONDS)
         self.assertEqual(3, self.link.connections)
