--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -79,7 +79,7 @@
         await asyncio.sleep(0.05)
         return readers
 
-    async def test_few_resting_connections_are_left_alone(self):
+    async def test_few_idle_connections_are_left_open(self):
         readers = await self.open_idle(SOCKETS // 2)
         self.monitor.check()
         await asyncio.sleep(0.05)
