--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -85,7 +85,7 @@
         await asyncio.sleep(0.05)
         self.assertFalse(any(reader.at_eof() for reader in readers))
 
-    async def test_longest_resting_connections_are_closed_before_descriptors_run_out(self):
+    async def test_longest_idle_connections_are_closed_before_descriptors_run_out(self):
         working = await self.open_busy(4)
         idle = await self.open_idle(14)
         self.monitor.check()
