--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -106,7 +106,7 @@
         self.monitor.check()
         self.assertTrue(self.lifecycle.ready)
 
-    async def test_failure_to_accept_closes_resting_connections_at_once(self):
+    async def test_failure_to_accept_closes_idle_connections_at_once(self):
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(self.monitor.handle_loop_error)
         self.addCleanup(loop.set_exception_handler, None)
