--- a/tests/test_process_soak.py
+++ b/tests/test_process_soak.py
@@ -249,7 +249,7 @@
         self.records.runs["i1"].append(Run("/r", 2.0, "e.i1", 200))
         self.assert_broken("ran as None")
 
-    def test_dropped_key_that_runs_in_calm_times(self):
+    def test_revoked_key_that_runs_without_recent_faults(self):
         self.checker.client_requests["r1"] = False
         self.checker.tenants["r1"] = READING
         self.checker.revoked["r1"] = 10.0
