--- a/tests/test_process_soak.py
+++ b/tests/test_process_soak.py
@@ -303,7 +303,7 @@
 class RunTest(unittest.TestCase):
     """Short runs of the stored seeds."""
 
-    def test_kept_seeds_break_no_promise(self):
+    def test_stored_seeds_violate_no_invariant(self):
         kept = tomllib.loads(SEEDS.read_text(encoding="utf-8"))["seeds"]
         for entry in kept:
             with self.subTest(entry["seed"]):
