--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -80,7 +80,7 @@
     """Tracks the connections to all addresses of one kind and detects dead ones.
 
     Args:
-        peer: what the connections lead to.
+        upstream: what the connections lead to.
         metrics: counts addresses that become suspect.
         log: records them.
         now: returns monotonic time.
@@ -145,21 +145,23 @@
                 self._record_latency(record, elapsed)
         record.awaits_response = False
 
-    def timeout_of(self, record: ConnectionRecord, limit: AdaptiveTimeout = ABORT_TIMEOUT) -> float:
+    def timeout_of(
+        self, record: ConnectionRecord, timeout: AdaptiveTimeout = ABORT_TIMEOUT
+    ) -> float:
         """Returns the seconds without a byte after which a connection may be dead.
 
         They count from the end of the call's hold time.
         """
         if not record.awaits_response:
             return MAX_BODY_PAUSE_SECONDS
-        return limit.seconds(self._typical_latency(record))
+        return timeout.seconds(self._typical_latency(record))
 
-    def is_dead(self, record: ConnectionRecord, limit: AdaptiveTimeout = ABORT_TIMEOUT) -> bool:
+    def is_dead(self, record: ConnectionRecord, timeout: AdaptiveTimeout = ABORT_TIMEOUT) -> bool:
         """Returns whether a connection with a call in progress is dead."""
         wait = PendingCall(
             now=self._now(),
             since=record.waiting_since(),
-            limit=self.timeout_of(record, limit),
+            limit=self.timeout_of(record, timeout),
             hold_time=record.hold_time if record.awaits_response else 0.0,
             received_at=record.received_at,
         )
--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -176,8 +176,8 @@
     async def _stream(self, request: ClientRequest, route: Route, response: ClientResponse) -> None:
         async with self._forwarder.stream(request, route) as streamed:
             await response.begin(streamed.status, streamed.headers)
-            ahead = request.memory.reserve(MemoryPurpose.STREAMS)
-            await self._send_body(BufferedBody(streamed.chunks(), ahead), response)
+            stream_reservation = request.memory.reserve(MemoryPurpose.STREAMS)
+            await self._send_body(BufferedBody(streamed.chunks(), stream_reservation), response)
 
     async def _send_body(self, answer: BufferedBody, response: ClientResponse) -> None:
         async with aclosing(read_ahead(answer, response.delivery, self._memory)) as parts:
--- a/src/larkpost/platform/stand_in/callers.py
+++ b/src/larkpost/platform/stand_in/callers.py
@@ -90,7 +90,7 @@
     async def call_until(
         self, method: str, target: str, request_id: str, body: bytes | None, expected_status: int
     ) -> bytes:
-        """Repeats a call until the response has the wanted status."""
+        """Repeats a call until the response has the expected status."""
         while True:
             answer = await self.call(method, target, request_id, body)
             if answer is not None and answer[0] == expected_status:
--- a/src/larkpost/platform/stand_in/memory_store.py
+++ b/src/larkpost/platform/stand_in/memory_store.py
@@ -148,7 +148,7 @@
     ) -> RowPage:
         """Reads rows of a part; see the port."""
         if await self._is_silent(1.5) or self._is_refused({part}):
-            raise StoreUnavailableError("the store does not answer")
+            raise StoreUnavailableError("the store is unreachable or refuses the call")
         store = self._store
         store.carry_out_late()
         found = [
@@ -165,7 +165,7 @@
     async def changes(self, table: str, after: int, wait: float) -> RowPage:
         """Returns the changes of a table; see the port."""
         if await self._is_silent(wait + 1.5) or self._is_refused(set()):
-            raise StoreUnavailableError("the store does not answer")
+            raise StoreUnavailableError("the store is unreachable or refuses the call")
         store = self._store
         give_up_at = store.clock.now() + wait
         while True:
--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -93,7 +93,7 @@
         row_bytes: maximum size of a row's value in bytes.
         metrics: counts and times the calls.
         log: records dead connections.
-        peer: what the address belongs to: the store, or a peer that relays the calls.
+        upstream: what the address belongs to: the store, or a peer that relays the calls.
 
     Attributes:
         is_failing: whether the last call got no response or was refused.
--- a/tests/process_soak/checker.py
+++ b/tests/process_soak/checker.py
@@ -53,7 +53,8 @@
     """Collects what the callers were told and checks it against the records.
 
     Attributes:
-        asked: ids of all client requests; the value is whether the request may run only once.
+        client_requests: ids of all client requests; the value is whether the request may run only
+            once.
         reported_not_run: run-once requests that a response guaranteed not to run.
         tenants: the tenant whose key each client request carried.
         revoked: requests with a revoked key, with the time of the revocation.
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -212,26 +212,26 @@
         detector = DeadConnectionDetector(UpstreamKind.SERVER, now=lambda: now)
         for number in range(500):
             now += 1.0
-            line = detector.open(Address(f"10.0.0.1:{number}"))
-            detector.begin_call(line, CallKind.REQUEST, 0.0)
-            detector.record_bytes(line)
-            detector.mark_suspect(line)
-            detector.close(line)
+            record = detector.open(Address(f"10.0.0.1:{number}"))
+            detector.begin_call(record, CallKind.REQUEST, 0.0)
+            detector.record_bytes(record)
+            detector.mark_suspect(record)
+            detector.close(record)
         for kept in (detector._typical_latencies, detector._suspected_at, detector._unused_since):
             self.assertLessEqual(len(kept), ADDRESS_RETENTION_SECONDS + 1)
 
     def test_address_with_a_connection_is_remembered(self):
         now = 0.0
         detector = DeadConnectionDetector(UpstreamKind.SERVER, now=lambda: now)
-        line = detector.open(ADDRESS)
+        record = detector.open(ADDRESS)
         detector.close(detector.open(ADDRESS))
-        detector.begin_call(line, CallKind.REQUEST, 0.0)
+        detector.begin_call(record, CallKind.REQUEST, 0.0)
         now = 0.3
-        detector.record_bytes(line)
+        detector.record_bytes(record)
         now += 10 * ADDRESS_RETENTION_SECONDS
         detector.open(Address("10.0.0.2:1"))
-        detector.begin_call(line, CallKind.REQUEST, 0.0)
-        self.assertGreater(detector.timeout_of(line), MIN_ABORT_TIMEOUT_SECONDS)
+        detector.begin_call(record, CallKind.REQUEST, 0.0)
+        self.assertGreater(detector.timeout_of(record), MIN_ABORT_TIMEOUT_SECONDS)
 
     async def test_connector_drops_servers_without_connections(self):
         async with make_session(DeadConnectionDetector(UpstreamKind.SERVER)) as session:
@@ -386,8 +386,8 @@
         await asyncio.sleep(0.05)
         self.pages.events = 0
         detector = self.servers._pooled.connector._detector
-        lines = detector._records[self.instance.address]
-        detector.mark_suspect(next(iter(lines)))
+        records = detector._records[self.instance.address]
+        detector.mark_suspect(next(iter(records)))
         await long
         self.assertFalse(self.servers.is_connected(self.instance))
 
@@ -547,54 +547,54 @@
 
     def open(self):
         """Returns a connection on which a call was answered."""
-        line = self.detector.open(ADDRESS)
-        self.call(line, 0.01)
-        return line
+        record = self.detector.open(ADDRESS)
+        self.call(record, 0.01)
+        return record
 
-    def call(self, line, seconds: float | None, held: float = 0.0) -> None:
+    def call(self, record, seconds: float | None, held: float = 0.0) -> None:
         """Makes a call that is answered after ``seconds``, or never."""
-        self.detector.begin_call(line, CallKind.REQUEST, held)
+        self.detector.begin_call(record, CallKind.REQUEST, held)
         if seconds is not None:
             self.time += seconds
-            self.detector.record_bytes(line)
+            self.detector.record_bytes(record)
 
     def test_timeout_depends_on_the_typical_latency(self):
-        line = self.open()
-        self.call(line, 0.3)
-        self.call(line, None)
+        record = self.open()
+        self.call(record, 0.3)
+        self.call(record, None)
         self.time += 1.1
-        self.assertFalse(self.detector.is_dead(line))
+        self.assertFalse(self.detector.is_dead(record))
         self.time += 0.2
-        self.assertTrue(self.detector.is_dead(line))
+        self.assertTrue(self.detector.is_dead(record))
 
     def test_held_call_is_dead_only_after_its_hold_time(self):
-        line = self.open()
-        self.call(line, None, held=1.0)
+        record = self.open()
+        self.call(record, None, held=1.0)
         self.time += 1.2
-        self.assertFalse(self.detector.is_dead(line))
+        self.assertFalse(self.detector.is_dead(record))
         self.time += 0.1
-        self.assertTrue(self.detector.is_dead(line))
+        self.assertTrue(self.detector.is_dead(record))
 
     def test_held_call_does_not_affect_the_typical_latency(self):
-        line = self.open()
-        self.call(line, 1.0, held=1.0)
-        self.call(line, None)
+        record = self.open()
+        self.call(record, 1.0, held=1.0)
+        self.call(record, None)
         self.time += MIN_ABORT_TIMEOUT_SECONDS + 0.01
-        self.assertTrue(self.detector.is_dead(line))
+        self.assertTrue(self.detector.is_dead(record))
 
     def test_new_connection_without_bytes_is_never_dead(self):
-        line = self.detector.open(ADDRESS)
-        self.call(line, None)
+        record = self.detector.open(ADDRESS)
+        self.call(record, None)
         self.time += 100.0
-        self.assertFalse(self.detector.is_dead(line))
+        self.assertFalse(self.detector.is_dead(record))
 
     def test_bytes_on_new_connections_do_not_keep_old_ones_alive(self):
-        line = self.open()
-        self.call(line, None)
+        record = self.open()
+        self.call(record, None)
         self.time += 0.2
         self.open()
         self.time += 0.1
-        self.assertTrue(self.detector.is_dead(line))
+        self.assertTrue(self.detector.is_dead(record))
 
     def test_connections_opened_since_are_trusted_for_a_while(self):
         old = self.open()
@@ -609,7 +609,7 @@
 
     def test_rule_by_cases(self):
         """Each case changes one input of a call that has timed out on a dead connection."""
-        silent = PendingCall(now=10.0, since=9.0, limit=0.5, hold_time=0.25, received_at=8.0)
+        dead = PendingCall(now=10.0, since=9.0, limit=0.5, hold_time=0.25, received_at=8.0)
         for change, others_received_at, too_long, slow in (
             ({}, None, True, False),
             ({"received_at": None}, None, False, False),
@@ -623,7 +623,7 @@
             ({}, 9.625, True, True),
             ({"limit": 0.25}, 9.625, True, False),
         ):
-            wait = replace(silent, **change)
+            wait = replace(dead, **change)
             found = (has_timed_out(wait), is_server_slow(wait, others_received_at))
             self.assertEqual((too_long, slow), found, (change, others_received_at))
 
