--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -3,7 +3,8 @@
 Keeps the state of each open connection, the typical latency of calls to each address, and the
 suspect addresses. The criteria are in `larkpost.platform.dead_connection_rule`. When a connection
 is dead, its address becomes suspect, and no connection that was open at that moment is reused.
-Connections opened since are trusted, so a slow server loses at most one set of connections.
+Connections opened since are trusted, so a slow server loses at most one set of connections per
+`SUSPECT_COOLDOWN_SECONDS`.
 
 Operators see dead connections as ``connections_silent`` in the log and as
 ``larkpost_silent_connections_total`` in the metrics.
--- a/src/larkpost/platform/http_protocol.py
+++ b/src/larkpost/platform/http_protocol.py
@@ -321,11 +321,11 @@
         protocol = type("Protocol", (LimitedProtocol,), {"limits": staticmethod(limits)})
         super().__init__(app, address, protocol, idle_seconds=MAX_INITIAL_IDLE_SECONDS)
 
-    def close_idle(self, most: int) -> int:
-        """Closes up to ``most`` idle connections, longest idle first; returns how many."""
-        idle = [one for one in self.connections if one.idle_since is not None]
+    def close_idle(self, max_count: int) -> int:
+        """Closes up to ``max_count`` idle connections, longest idle first; returns how many."""
+        idle = [connection for connection in self.connections if connection.idle_since is not None]
         idle.sort(key=attrgetter("idle_since"))
-        chosen = idle[:most]
+        chosen = idle[:max_count]
         for connection in chosen:
             connection.transport.close()
         return len(chosen)
--- a/src/larkpost/platform/instance_rows.py
+++ b/src/larkpost/platform/instance_rows.py
@@ -21,7 +21,7 @@
 
 STATES = {"ready": InstanceState.READY, "draining": InstanceState.LEAVING}
 MAX_SLOTS = 65_535
-"""Each request uses its own connection, and a caller has at most this many to one port."""
+"""Each request uses its own connection, and a caller can have at most this many to one port."""
 MAX_COLD_MS = 86_400_000
 """One day."""
 MAX_SAFE_INTEGER = 2**53
--- a/src/larkpost/platform/settings.py
+++ b/src/larkpost/platform/settings.py
@@ -45,7 +45,7 @@
 
     Attributes:
         regions: regions of the deployment's zones, relative to this daemon's zone.
-        contact_time: time without a fault after which news from the store are trusted.
+        contact_time: time without a fault after which updates from the store are trusted.
         lease_time: time after a holder's last order before another holder may order.
         apply_time: time within which a new configuration must be in force everywhere.
         grace_time: time between the request to stop and the kill.
--- a/src/larkpost/platform/settings_watch.py
+++ b/src/larkpost/platform/settings_watch.py
@@ -47,7 +47,7 @@
 
 
 class SettingsWatcher:
-    """Reloads the settings after a signal, and when the file has changed.
+    """Reloads the settings when the file has changed; a signal triggers a check at once.
 
     Args:
         content: the file's content, read before the current settings were loaded.
