--- a/tests/process_soak/checker.py
+++ b/tests/process_soak/checker.py
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class InvariantChecker:
-    """Collects what the callers were told and checks it against the records.
+    """Collects what the callers observed and checks it against the records.
 
     Attributes:
         client_requests: ids of all client requests; the value is whether the request may run only
