--- a/tests/process_soak/callers.py
+++ b/tests/process_soak/callers.py
@@ -63,7 +63,7 @@
         self._configured_at = configured_at
         self._fronts = fronts
         self._checker = checker
-        self._chance = rng
+        self._rng = rng
         self._name_version = name_version
         self.step_seconds: list[float] = []
         self.abandoned = 0
@@ -104,7 +104,7 @@
         until = time.monotonic() + seconds
         while time.monotonic() < until:
             for _ in range(CRASHING_TRIES):
-                name = f"r{self._chance.getrandbits(60):x}"
+                name = f"r{self._rng.getrandbits(60):x}"
                 self._checker.client_requests[name] = False
                 await self._call("GET", f"{PAGE_PREFIX}{CRASHING_PAGE}{page}", name)
             await asyncio.sleep(CRASHING_PAUSE_SECONDS)
@@ -113,8 +113,8 @@
         """Reads a batch until it is complete or a monotonic time is reached."""
         while not batch.is_whole and time.monotonic() < until:
             position = len(batch.read)
-            if position and self._chance.random() < 0.2:
-                position = self._chance.randrange(position)  # sometimes from an earlier position
+            if position and self._rng.random() < 0.2:
+                position = self._rng.randrange(position)  # sometimes from an earlier position
             target = f"{names.BATCH_PATH_PREFIX.decode()}{batch.batch}?after-rev={position}"
             answer = await self._call("GET", target, batch.batch)
             if answer is None or answer[0] != 200:
@@ -139,7 +139,7 @@
             batch.ended_at = time.monotonic()
 
     def _new_batch(self, step: int, items: int) -> SubmittedBatch:
-        name = f"b{self._chance.getrandbits(60):x}"
+        name = f"b{self._rng.getrandbits(60):x}"
         calls = {f"{name}i{number}": f"{name}s{number}" for number in range(items)}
         batch = SubmittedBatch(name, calls, minimum_version=max(1, step))
         self._checker.batches[name] = batch
@@ -161,7 +161,7 @@
         return False
 
     async def _request(self, *, once: bool) -> None:
-        name = f"r{self._chance.getrandbits(60):x}"
+        name = f"r{self._rng.getrandbits(60):x}"
         self._checker.client_requests[name] = once
         self._checker.tenants[name] = READING
         version = self._newest_version()
@@ -169,7 +169,7 @@
             self._checker.revoked[name] = self._configured_at()[version]
             version -= KEY_LIFETIME_VERSIONS
         target = f"{ONCE_PREFIX if once else PAGE_PREFIX}{name}"
-        keep_alive = self._chance.random() < KEEP_ALIVE_SHARE
+        keep_alive = self._rng.random() < KEEP_ALIVE_SHARE
         method = "POST" if once else "GET"
         answer = await self._call(method, target, name, version=version, keep_alive=keep_alive)
         if answer is None:
@@ -201,7 +201,7 @@
             version: configuration version whose key is sent; None for the newest.
             keep_alive: whether the call reuses a connection.
         """
-        daemon = self._chance.choice(self._fronts())
+        daemon = self._rng.choice(self._fronts())
         tenant = TRAINING if request.startswith("b") else READING
         headers = {
             "Host": HOST,
