--- a/src/larkpost/platform/stand_in/daemon_settings.py
+++ b/src/larkpost/platform/stand_in/daemon_settings.py
@@ -1,4 +1,4 @@
-"""Writes the settings file of a daemon as the platform does."""
+"""Writes the settings file of a daemon in the platform's format."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -37,10 +37,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DaemonSettings:
-    """Where a daemon stands and listens.
+    """The machine, zone and addresses of a daemon.
 
     Attributes:
-        memory_mb: the machine's memory; None if the settings do not say it.
+        memory_mb: the machine's memory in MB; None to leave it out.
     """
 
     machine: str
@@ -52,23 +52,23 @@
     memory_mb: int | None = None
 
 
-def write_settings(place: DaemonSettings, folder: Path) -> dict[str, str]:
-    """Writes a daemon's settings and returns the environment that names them."""
-    path = folder / f"{place.machine}.toml"
+def write_settings(settings: DaemonSettings, folder: Path) -> dict[str, str]:
+    """Writes a daemon's settings file and returns the environment variables that point to it."""
+    path = folder / f"{settings.machine}.toml"
     text = TEMPLATE.format(
-        machine=place.machine,
-        zone=place.zone,
-        front=place.front,
-        ready=place.ready,
-        peer_port=split_address(place.peer)[1],
-        store=place.store,
+        machine=settings.machine,
+        zone=settings.zone,
+        front=settings.front,
+        ready=settings.ready,
+        peer_port=split_address(settings.peer)[1],
+        store=settings.store,
     )
-    if place.memory_mb is not None:
-        text += f"[limits]\nmemory-mb = {place.memory_mb}\n"
+    if settings.memory_mb is not None:
+        text += f"[limits]\nmemory-mb = {settings.memory_mb}\n"
     path.write_text(text, encoding="utf-8")
     return {names.SETTINGS_VARIABLE: str(path)}
 
 
 def ready_path() -> str:
-    """Returns the path that responds whether a daemon takes clients."""
+    """Returns the path of a daemon's readiness check."""
     return names.READY_PATH
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,11 +1,8 @@
-"""A long run of a fleet under overlapping faults, on virtual time: `make soak-virtual`.
-
-Trainers draw steps one after the other while faults come at random moments, several at once:
-daemons are killed, stopped as planned, added and cut off; the store is down, refuses, loses
-answers, writes late, is slow, loses some parts or its history; engines go down, break streams off
-and turn slow. The oracle of the fuzz checks everything every few seconds; at the end all heals, and
-every accepted batch must become whole. Prints one line of JSON for each seed, with what was
-promised, what broke, and how long steps took. Exits 1 if anything broke.
+"""A long run of a fleet under overlapping random faults, in virtual time: `make soak-virtual`.
+
+Daemons are killed, stopped and cut off; the store fails, loses responses or history; engines fail
+and slow down. The fuzz oracle checks the invariants periodically, and after all faults have ended,
+every accepted batch must complete. Prints one JSON line per seed; exits 1 if a run has failed.
 """
 
 import asyncio
@@ -26,14 +23,14 @@
 from tests.virtual import run
 
 CHECK_SECONDS = 5.0
-STEP_PATIENCE_SECONDS = 30.0
+STEP_TIMEOUT_SECONDS = 30.0
 RETRY_SECONDS = 0.3
 READ_WAIT_SECONDS = 1.0
 HEAL_SECONDS = 90
 BROKEN_CHARACTERS = 600
 RESTART_SECONDS = (0.3, 3.0)
 FAULT_SECONDS = (0.5, 5.0)
-STORE_TROUBLES = (
+STORE_FAULTS = (
     StoreFaults(down=True),
     StoreFaults(refuses=True),
     StoreFaults(lost_answers=0.3),
@@ -46,16 +43,16 @@
 
 @dataclass(slots=True)
 class Report:
-    """What one run saw; durations in virtual seconds.
+    """The outcome of one run; durations in virtual seconds.
 
     Attributes:
-        steps: batches that were read whole.
-        abandoned: batches that a trainer gave up after its time-out: id, when it was first
-            submitted, whether it was accepted, and how many of its results were read.
-        unavailable: calls that were answered with a promise of nothing.
-        step_seconds: from the first submission until a batch was read whole.
-        faults: how often each kind of fault began.
-        broken: what the oracle found; empty if everything held.
+        steps: number of batches that were read completely.
+        abandoned: batches that a trainer gave up after its timeout: id, time of the first
+            submission, whether it was accepted, and the number of results read.
+        unavailable: number of calls answered as unavailable.
+        step_seconds: durations from the first submission until a batch was read completely.
+        faults: number of faults of each kind.
+        broken: the violation that the oracle found; empty if there was none.
     """
 
     seed: int
@@ -79,42 +76,42 @@
 
 
 class VirtualSoak:
-    """One fleet, its trainers and its troubles."""
+    """A fleet, its trainers and its faults."""
 
     def __init__(self, seed: int, daemons: int, engines: int, gap: float) -> None:
         self.rng = random.Random(seed)
         self.fleet = PlatformFleet(daemons, engines, seed)
         self.oracle = PlatformOracle(self.fleet)
         self.report = Report(seed, daemons)
-        self.gone: set[int] = set()
+        self.stopped: set[int] = set()
         self.version = 1
         self.gap = gap
         self.over = False
 
     async def play(self, seconds: float, trainers: int) -> Report:
-        """Plays a run."""
+        """Runs the soak."""
         await self.fleet.wait(1.0)
         work = [asyncio.create_task(self._train(number)) for number in range(trainers)]
-        troubles = asyncio.create_task(self._trouble())
+        fault_task = asyncio.create_task(self._inject_faults())
         try:
             for _ in range(int(seconds / CHECK_SECONDS)):
                 await self.fleet.wait(CHECK_SECONDS)
                 self.oracle.check()
             self.over = True
-            troubles.cancel()
+            fault_task.cancel()
             await asyncio.gather(*work)
             await self._heal()
             self.oracle.check()
         except AssertionError:
-            # A bare assertion has no text of its own: the line that failed tells what broke.
+            # A bare assertion has no message; the traceback shows the line that failed.
             self.report.broken = traceback.format_exc()[-BROKEN_CHARACTERS:]
         self.report.refused = len(self.oracle.refused)
         self.report.unavailable = self.oracle.unavailable
         return self.report
 
-    def _living(self):
-        """Returns any gateway that has not been ended, or None."""
-        alive = [n for n in range(len(self.fleet.gateways)) if n not in self.gone]
+    def _running_gateway(self):
+        """Returns a random running gateway, or None."""
+        alive = [n for n in range(len(self.fleet.gateways)) if n not in self.stopped]
         return self.fleet.gateways[self.rng.choice(alive)] if alive else None
 
     async def _train(self, trainer: int) -> None:
@@ -128,12 +125,12 @@
             self.fleet.put("operator", MODEL, str(self.version).encode())
 
     async def _step(self, spec) -> None:
-        """Submits a batch at one daemon after another and reads it to its end."""
+        """Submits a batch, trying one daemon after another, and reads all its results."""
         clock = self.fleet.clock
         began = clock.now()
         accepted = False
-        while clock.now() - began < STEP_PATIENCE_SECONDS:
-            gateway = self._living()
+        while clock.now() - began < STEP_TIMEOUT_SECONDS:
+            gateway = self._running_gateway()
             if gateway is not None and not accepted:
                 accepted = await self.oracle.submit(gateway, spec)
             elif gateway is not None:
@@ -146,11 +143,11 @@
             await clock.sleep(0.0 if accepted else RETRY_SECONDS)
         read = len(self.oracle.read.get(spec.id, ()))
         self.report.abandoned.append((spec.id, round(began, 1), accepted, read))
-        if accepted and (gateway := self._living()) is not None:
+        if accepted and (gateway := self._running_gateway()) is not None:
             await self.oracle.end(gateway, spec.id)
 
-    async def _trouble(self) -> None:
-        """Begins faults at random moments; each heals by itself after a while."""
+    async def _inject_faults(self) -> None:
+        """Starts faults at random times; each ends by itself."""
         kinds = (
             self._kill,
             self._stop,
@@ -178,7 +175,7 @@
         await self.fleet.wait(self.rng.uniform(*bounds))
 
     def _pick(self) -> int | None:
-        alive = [n for n in range(len(self.fleet.gateways)) if n not in self.gone]
+        alive = [n for n in range(len(self.fleet.gateways)) if n not in self.stopped]
         return self.rng.choice(alive) if len(alive) > 1 else None
 
     def _restart(self, number: int) -> None:
@@ -188,7 +185,7 @@
     async def _kill(self) -> None:
         number = self._pick()
         if number is not None:
-            self.gone.add(number)
+            self.stopped.add(number)
             self.fleet.kill(number)
             await self._pause(RESTART_SECONDS)
             self._restart(number)
@@ -196,7 +193,7 @@
     async def _stop(self) -> None:
         number = self._pick()
         if number is not None:
-            self.gone.add(number)
+            self.stopped.add(number)
             await self.fleet.gateways[number].drain()
             self.fleet.kill(number)
             await self._pause(RESTART_SECONDS)
@@ -209,7 +206,7 @@
         client.cut_off = False
 
     async def _trouble_store(self) -> None:
-        self.fleet.store.faults = self.rng.choice(STORE_TROUBLES)
+        self.fleet.store.faults = self.rng.choice(STORE_FAULTS)
         await self._pause()
         self.fleet.store.faults = StoreFaults()
 
@@ -230,10 +227,10 @@
 
     async def _slow_engine(self) -> None:
         engine = self._engine()
-        usual = 0.03
-        engine.event_seconds = usual * self.rng.choice((3, 10, 1000))
+        normal_event_seconds = 0.03
+        engine.event_seconds = normal_event_seconds * self.rng.choice((3, 10, 1000))
         await self._pause()
-        engine.event_seconds = usual
+        engine.event_seconds = normal_event_seconds
 
     async def _heal(self) -> None:
         fleet = self.fleet
@@ -244,7 +241,7 @@
             engine.down = False
             engine.break_after = None
             engine.event_seconds = 0.03
-        if self._living() is None:
+        if self._running_gateway() is None:
             self._restart(0)
         for _ in range(HEAL_SECONDS):
             if not self.oracle.missing():
@@ -256,10 +253,10 @@
 def soak(
     seed: int, seconds: float, daemons: int, engines: int, trainers: int, gap: float
 ) -> Report:
-    """Plays one run and returns what it saw; the same seed gives the same run.
+    """Runs one soak and returns its report; a run is determined by its seed.
 
-    Names that daemons draw at random decide much (who coordinates, who claims), so they are drawn
-    from the seed as well; sets of names need a fixed PYTHONHASHSEED.
+    The daemons' random names affect coordination and claims, so they are derived from the seed as
+    well. The order of sets of names requires a fixed PYTHONHASHSEED.
     """
 
     async def play() -> Report:
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Connections that go silent for good, without a reset, while new ones work."""
+"""Dead connections: they deliver nothing more and are not reset, while new ones work."""
 
 import asyncio
 import random
@@ -62,35 +62,35 @@
 ADDRESS = Address("10.0.0.1:1")
 ROW_BYTES = 65536
 LONGEST_SECONDS = 3.0
-"""A request that is not answered by then has failed."""
+"""Timeout of a request."""
 SLACK_SECONDS = 0.4
-"""What a busy machine adds to a time."""
+"""Tolerance for a busy machine."""
 LATE_SECONDS = MIN_ABORT_TIMEOUT_SECONDS + SLACK_SECONDS
-"""An answer to a call that met a silent connection is here by then."""
+"""Time within which a call on a dead connection is answered."""
 SETTLING_CALLS = 40
-"""Calls one after another, after which the time that many at once take is no longer the usual."""
+"""Sequential calls after which concurrent ones no longer affect the typical latency."""
 REPORT = b'{"seq":0,"busy":false,"models":[]}'
 
 
 class LogRecorder:
-    """A log that keeps what it is told."""
+    """A log that stores its lines."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[Event, dict]] = []
 
     def record(self, event: Event, **fields) -> None:
-        """Keeps a line."""
+        """Stores a line."""
         self.lines.append((event, fields))
 
 
 def count_dead_connections(metrics: Metrics, peer: UpstreamKind) -> float:
-    """Returns how often connections of a kind were taken for silent."""
+    """Returns how often connections of a kind were detected as dead."""
     name = Count.SILENT_CONNECTIONS.value
     return metrics.registry.get_sample_value(name, {"to": peer}) or 0.0
 
 
 class StoreTest(unittest.IsolatedAsyncioTestCase):
-    """A daemon before the store, and one that a peer helps; all links may fall silent."""
+    """A daemon that calls the store, and one that calls it through a peer; all links may die."""
 
     async def asyncSetUp(self):
         clock = LoopClock()
@@ -115,7 +115,7 @@
             self.addAsyncCleanup(store.close)
 
     async def open_connections(self, store: HttpStore) -> None:
-        """Makes three calls at once, so that a store has three connections."""
+        """Makes three concurrent calls, so that a store has three connections."""
         reads = (store.read("table", "part") for _ in range(3))
         await asyncio.gather(*reads)
 
@@ -129,7 +129,7 @@
         self.assertEqual(1.0, count_dead_connections(self.metrics, UpstreamKind.STORE))
 
     async def test_write_to_a_store_that_turns_slow_is_answered(self):
-        """All its answers come late, also those on new connections."""
+        """All responses are late, also those on new connections."""
         await self.open_connections(self.store)
         self.link.harm(LinkFault.DELAY)  # for 0.15 s there and 0.15 s back
         writes = (self.store.write(CHANGE, 1.0) for _ in range(3))
@@ -137,7 +137,7 @@
             results = await asyncio.gather(*writes)
         self.assertEqual({WriteOutcome.DONE}, {result.outcome for result in results})
 
-    async def test_writes_on_silent_connections_ask_once_for_proof(self):
+    async def test_writes_on_dead_connections_share_one_probe(self):
         await self.open_connections(self.store)
         self.link.harm(LinkFault.OLD_SILENT)
         writes = (self.store.write(CHANGE, 1.5) for _ in range(3))
@@ -172,7 +172,7 @@
             await feed
         self.assertEqual(1.0, count_dead_connections(self.metrics, UpstreamKind.STORE))
 
-    async def test_held_feed_that_nothing_changes_is_not_taken_for_silent(self):
+    async def test_held_feed_without_changes_is_not_dead(self):
         await self.open_connections(self.store)
         await self.store.changes("table", 0, 3 * MIN_ABORT_TIMEOUT_SECONDS)
         self.assertEqual(3, self.link.connections)
@@ -205,35 +205,35 @@
 
 
 class MemoryTest(unittest.IsolatedAsyncioTestCase):
-    """Servers come back at new addresses for months."""
+    """State of addresses and servers does not grow without bound."""
 
     def test_addresses_without_connections_are_forgotten_after_a_while(self):
         now = 0.0
         detector = DeadConnectionDetector(UpstreamKind.SERVER, now=lambda: now)
         for number in range(500):
             now += 1.0
-            line = detector.open(Address(f"10.0.0.1:{number}"))
-            detector.begin_call(line, CallKind.REQUEST, 0.0)
-            detector.record_bytes(line)
-            detector.mark_suspect(line)
-            detector.close(line)
+            record = detector.open(Address(f"10.0.0.1:{number}"))
+            detector.begin_call(record, CallKind.REQUEST, 0.0)
+            detector.record_bytes(record)
+            detector.mark_suspect(record)
+            detector.close(record)
         for kept in (detector._typical_latencies, detector._suspected_at, detector._unused_since):
             self.assertLessEqual(len(kept), ADDRESS_RETENTION_SECONDS + 1)
 
     def test_address_with_a_connection_is_remembered(self):
         now = 0.0
         detector = DeadConnectionDetector(UpstreamKind.SERVER, now=lambda: now)
-        line = detector.open(ADDRESS)
+        record = detector.open(ADDRESS)
         detector.close(detector.open(ADDRESS))
-        detector.begin_call(line, CallKind.REQUEST, 0.0)
+        detector.begin_call(record, CallKind.REQUEST, 0.0)
         now = 0.3
-        detector.record_bytes(line)
+        detector.record_bytes(record)
         now += 10 * ADDRESS_RETENTION_SECONDS
         detector.open(Address("10.0.0.2:1"))
-        detector.begin_call(line, CallKind.REQUEST, 0.0)
-        self.assertGreater(detector.timeout_of(line), MIN_ABORT_TIMEOUT_SECONDS)
+        detector.begin_call(record, CallKind.REQUEST, 0.0)
+        self.assertGreater(detector.timeout_of(record), MIN_ABORT_TIMEOUT_SECONDS)
 
-    async def test_connector_forgets_servers_to_which_no_connection_rests(self):
+    async def test_connector_drops_servers_without_connections(self):
         async with make_session(DeadConnectionDetector(UpstreamKind.SERVER)) as session:
             for number in range(3 * MIN_TRACKED_ADDRESSES):
                 server = Address(f"10.0.0.1:{number}")
@@ -247,7 +247,7 @@
 
 
 class PageServer:
-    """A server that answers after a while, or in events."""
+    """A server that responds after a delay, or in events."""
 
     def __init__(self, name: str) -> None:
         address = free_address()
@@ -273,7 +273,7 @@
         await self.link.start()
 
     async def close(self) -> None:
-        """Ends both."""
+        """Closes both."""
         await self.link.close()
         await self._server.close()
 
@@ -301,14 +301,14 @@
 
 
 def page_request(number: int, *, repeat: bool = True) -> OutgoingRequest:
-    """Returns a request for a page, which may be repeated if not told otherwise."""
+    """Returns a request for a page; it may be repeated by default."""
     return OutgoingRequest(
         b"r%d" % number, "POST", b"h", b"/page", (), b"", time_left=2.0, repeat_if_silent=repeat
     )
 
 
 class ServerTest(unittest.IsolatedAsyncioTestCase):
-    """Servers behind links that may fall silent."""
+    """Servers behind links that may die."""
 
     async def asyncSetUp(self):
         self.metrics = Metrics()
@@ -336,7 +336,7 @@
                 pass
 
     async def open_connections(self, count: int = 3) -> None:
-        """Makes requests at once, so that so many connections are kept."""
+        """Makes concurrent requests, so that ``count`` connections are pooled."""
         await asyncio.gather(*(self.ask(number) for number in range(count)))
         self.assertEqual(count, self.pages.link.connections)
 
@@ -359,8 +359,8 @@
                 await self.ask(number)
         self.assertEqual(4, self.pages.link.connections)
 
-    async def test_given_up_attempt_makes_its_server_suspect(self):
-        """It was overtaken by another server's answer, or its time was over."""
+    async def test_abandoned_attempt_marks_its_server_suspect(self):
+        """The attempt lost to its hedge or timed out."""
         await self.open_connections()
         self.pages.link.harm(LinkFault.OLD_SILENT)
         with self.assertRaises(TimeoutError):
@@ -370,7 +370,7 @@
         async with asyncio.timeout(SLACK_SECONDS):
             await self.ask(10, repeat=False)
 
-    async def test_attempt_that_is_given_up_at_once_shows_nothing(self):
+    async def test_attempt_abandoned_at_once_is_no_evidence(self):
         await self.open_connections()
         self.pages.delay = 0.1
         with self.assertRaises(TimeoutError):
@@ -386,13 +386,13 @@
         await asyncio.sleep(0.05)
         self.pages.events = 0
         detector = self.servers._pooled.connector._detector
-        lines = detector._records[self.instance.address]
-        detector.mark_suspect(next(iter(lines)))
+        records = detector._records[self.instance.address]
+        detector.mark_suspect(next(iter(records)))
         await long
         self.assertFalse(self.servers.is_connected(self.instance))
 
     async def test_slow_server_keeps_its_connections(self):
-        """New ones are as slow, and a connection that has never answered shows nothing."""
+        """New connections are as slow, and one that never received bytes is not evidence."""
         await self.open_connections()
         self.pages.delay = 3 * MIN_ABORT_TIMEOUT_SECONDS
         for number in range(10, 15):
@@ -400,7 +400,7 @@
         self.assertLessEqual(self.pages.link.connections, 4)
         self.assertLessEqual(count_dead_connections(self.metrics, UpstreamKind.SERVER), 1.0)
 
-    async def test_single_slow_request_beside_others_shows_nothing(self):
+    async def test_single_slow_request_beside_others_is_no_evidence(self):
         await self.open_connections()
         self.pages.delay = 3 * MIN_ABORT_TIMEOUT_SECONDS
         slow = asyncio.create_task(self.ask(9))
@@ -412,7 +412,7 @@
         self.assertEqual(3, self.pages.link.connections)
         self.assertEqual(0.0, count_dead_connections(self.metrics, UpstreamKind.SERVER))
 
-    async def test_stream_that_falls_silent_midway_goes_on_over_a_new_connection(self):
+    async def test_request_after_a_dead_stream_uses_a_new_connection(self):
         await self.open_connections()
         self.pages.events, self.pages.gap = 20, 0.1
         seen = []
@@ -442,8 +442,8 @@
         self.assertIs(OrderOutcome.HOLDS, outcome)
         self.assertEqual(4, self.pages.link.connections)
 
-    async def test_orders_are_judged_by_the_time_of_orders(self):
-        """An engine's first event may take seconds; its answer to an order never does."""
+    async def test_control_calls_have_their_own_typical_latency(self):
+        """Slow requests do not raise the typical latency of control calls."""
         for _ in range(SETTLING_CALLS):
             await self.servers.report(self.instance, 1.0)
         self.pages.delay = 0.5
@@ -455,10 +455,10 @@
 
 
 class ForwardedTest(unittest.IsolatedAsyncioTestCase):
-    """Clients' requests before servers whose connections fall silent."""
+    """Client requests to servers whose connections die."""
 
     async def begin(self, *names: str) -> None:
-        """Starts servers, and makes requests until connections to all of them are kept."""
+        """Starts servers and makes requests until connections to all of them are pooled."""
         self.servers = HttpServers()
         self.addAsyncCleanup(self.servers.close)
         directory = InstanceDirectory()
@@ -479,10 +479,10 @@
             await self.settle(pages)
 
     async def settle(self, pages: PageServer) -> None:
-        """Makes calls to one server until its usual time is that of a call alone.
+        """Makes sequential calls to one server until its typical latency is that of a single call.
 
-        Requests through the forwarder would all go to the quicker server, and the other one would
-        keep the time of the many calls at once, for four times which it is waited for.
+        Requests through the forwarder would all go to the faster server, so that the timeout of the
+        other one would stay that of concurrent calls.
         """
         loop = asyncio.get_running_loop()
         for number in range(SETTLING_CALLS):
@@ -493,10 +493,10 @@
             self.slowest = max(self.slowest, loop.time() - began)
 
     def late(self) -> float:
-        """Returns the seconds by which a call that met a silent connection is answered.
+        """Returns the time within which a call on a dead connection is answered.
 
-        `LATE_SECONDS`, unless calls alone take so long here that a connection is waited for longer:
-        beside 14 busy processes they took 0.14 s, and the test failed in 2 of 30 runs.
+        `LATE_SECONDS`, or more if single calls are so slow here that the timeout exceeds its
+        minimum.
         """
         return max(LATE_SECONDS, ABORT_TIMEOUT.latency_factor * self.slowest + SLACK_SECONDS)
 
@@ -539,62 +539,62 @@
 
 
 class DetectorTest(unittest.TestCase):
-    """The judgement alone, with a clock of its own."""
+    """The detector without connections, on a manual clock."""
 
     def setUp(self):
         self.time = 100.0
         self.detector = DeadConnectionDetector(UpstreamKind.SERVER, now=lambda: self.time)
 
     def open(self):
-        """Returns a connection that has answered a call."""
-        line = self.detector.open(ADDRESS)
-        self.call(line, 0.01)
-        return line
-
-    def call(self, line, seconds: float | None, held: float = 0.0) -> None:
-        """Makes a call that is answered after some time, or never."""
-        self.detector.begin_call(line, CallKind.REQUEST, held)
+        """Returns a connection on which a call was answered."""
+        record = self.detector.open(ADDRESS)
+        self.call(record, 0.01)
+        return record
+
+    def call(self, record, seconds: float | None, held: float = 0.0) -> None:
+        """Makes a call that is answered after ``seconds``, or never."""
+        self.detector.begin_call(record, CallKind.REQUEST, held)
         if seconds is not None:
             self.time += seconds
-            self.detector.record_bytes(line)
+            self.detector.record_bytes(record)
 
-    def test_silence_is_long_by_the_usual_time(self):
-        line = self.open()
-        self.call(line, 0.3)
-        self.call(line, None)
+    def test_timeout_depends_on_the_typical_latency(self):
+        record = self.open()
+        self.call(record, 0.3)
+        self.call(record, None)
         self.time += 1.1
-        self.assertFalse(self.detector.is_dead(line))
+        self.assertFalse(self.detector.is_dead(record))
         self.time += 0.2
-        self.assertTrue(self.detector.is_dead(line))
+        self.assertTrue(self.detector.is_dead(record))
 
-    def test_held_call_is_silent_only_after_its_time(self):
-        line = self.open()
-        self.call(line, None, held=1.0)
+    def test_held_call_is_dead_only_after_its_hold_time(self):
+        record = self.open()
+        self.call(record, None, held=1.0)
         self.time += 1.2
-        self.assertFalse(self.detector.is_dead(line))
+        self.assertFalse(self.detector.is_dead(record))
         self.time += 0.1
-        self.assertTrue(self.detector.is_dead(line))
+        self.assertTrue(self.detector.is_dead(record))
 
-    def test_held_call_teaches_no_usual_time(self):
-        line = self.open()
-        self.call(line, 1.0, held=1.0)
-        self.call(line, None)
+    def test_held_call_does_not_affect_the_typical_latency(self):
+        record = self.open()
+        self.call(record, 1.0, held=1.0)
+        self.call(record, None)
         self.time += MIN_ABORT_TIMEOUT_SECONDS + 0.01
-        self.assertTrue(self.detector.is_dead(line))
+        self.assertTrue(self.detector.is_dead(record))
 
-    def test_new_connection_that_never_answered_shows_nothing(self):
-        line = self.detector.open(ADDRESS)
-        self.call(line, None)
+    def test_new_connection_without_bytes_is_never_dead(self):
+        record = self.detector.open(ADDRESS)
+        self.call(record, None)
         self.time += 100.0
-        self.assertFalse(self.detector.is_dead(line))
+        self.assertFalse(self.detector.is_dead(record))
 
-    def test_bytes_on_new_connections_prove_nothing_for_old_ones(self):
-        line = self.open()
-        self.call(line, None)
+    def test_bytes_on_new_connections_do_not_keep_old_ones_alive(self):
+        record = self.open()
+        self.call(record, None)
         self.time += 0.2
         self.open()
         self.time += 0.1
-        self.assertTrue(self.detector.is_dead(line))
+        self.assertTrue(self.detector.is_dead(record))
 
     def test_connections_opened_since_are_trusted_for_a_while(self):
         old = self.open()
@@ -608,8 +608,8 @@
         self.assertTrue(self.detector.is_suspect(young))
 
     def test_rule_by_cases(self):
-        """Each case changes one input of a wait that is too long and shows a silent connection."""
-        silent = PendingCall(now=10.0, since=9.0, limit=0.5, hold_time=0.25, received_at=8.0)
+        """Each case changes one input of a call that has timed out on a dead connection."""
+        dead = PendingCall(now=10.0, since=9.0, limit=0.5, hold_time=0.25, received_at=8.0)
         for change, others_received_at, too_long, slow in (
             ({}, None, True, False),
             ({"received_at": None}, None, False, False),
@@ -623,11 +623,11 @@
             ({}, 9.625, True, True),
             ({"limit": 0.25}, 9.625, True, False),
         ):
-            wait = replace(silent, **change)
+            wait = replace(dead, **change)
             found = (has_timed_out(wait), is_server_slow(wait, others_received_at))
             self.assertEqual((too_long, slow), found, (change, others_received_at))
 
-    def test_limits_by_usual_time(self):
+    def test_timeouts_by_typical_latency(self):
         for limit, usual, seconds in (
             (ABORT_TIMEOUT, 0.0, 0.25),
             (ABORT_TIMEOUT, 0.0625, 0.25),
@@ -645,7 +645,7 @@
 
 
 class AcceptedTest(unittest.IsolatedAsyncioTestCase):
-    """The connections of clients."""
+    """Connections of clients have TCP keepalive and a user timeout."""
 
     async def test_system_watches_accepted_connections(self):
         accepted = []
