--- a/src/larkpost/gateway/rollouts/engine_rules.py
+++ b/src/larkpost/gateway/rollouts/engine_rules.py
@@ -43,20 +43,20 @@
     """
 
     info: InstanceInfo
-    pace: float = 0.0
+    service_time: float = 0.0
     occupied: int = 0
     distance: Distance = Distance.SAME_REGION
     is_loading: bool = False
     is_cold: bool = False
 
 
-def is_fast_enough(pace: float, is_cold: bool, service_time_limit: float) -> bool:
+def is_fast_enough(service_time: float, is_cold: bool, service_time_limit: float) -> bool:
     """Returns whether an engine is warm and known to be about as fast as a limit.
 
     Args:
         pace_limit: seconds for an event.
     """
-    return 0 < pace <= service_time_limit * SERVICE_TIME_TOLERANCE and not is_cold
+    return 0 < service_time <= service_time_limit * SERVICE_TIME_TOLERANCE and not is_cold
 
 
 def choose_engine(candidates: list[EngineState]) -> EngineState | None:
@@ -96,7 +96,9 @@
     """
     best = candidates[0]
     for engine in candidates[1:]:
-        if engine.pace and is_slower_by(best.pace, engine.pace, FASTER_RATIO):
+        if engine.service_time and is_slower_by(
+            best.service_time, engine.service_time, FASTER_RATIO
+        ):
             best = engine
     return best
 
@@ -111,8 +113,8 @@
     return (
         engine.distance < best.distance
         and engine.occupied <= best.occupied + SIMILAR_LOAD_MARGIN
-        and engine.pace <= best.pace * FASTER_RATIO
-        and bool(engine.pace) == bool(best.pace)
+        and engine.service_time <= best.service_time * FASTER_RATIO
+        and bool(engine.service_time) == bool(best.service_time)
     )
 
 
@@ -121,9 +123,9 @@
     return migrations < MAX_MIGRATIONS
 
 
-def is_slower_by(pace: float, other: float, ratio: float) -> bool:
+def is_slower_by(service_time: float, other: float, ratio: float) -> bool:
     """Returns whether an engine is slower than another one by more than a ratio of paces."""
-    return pace > other * ratio
+    return service_time > other * ratio
 
 
 def migration_source_service_time(lasting: float, recent: float) -> float:
@@ -136,17 +138,17 @@
     return min(lasting, recent) if recent else lasting
 
 
-def could_migration_pay_off(events: int, pace: float) -> bool:
+def could_migration_pay_off(events: int, service_time: float) -> bool:
     """Returns whether a move to some engine, however fast, might be worth it.
 
     Args:
         events: that the item has made.
         pace: of the engine where it runs.
     """
-    return events * pace >= MIGRATION_COST_SECONDS
+    return events * service_time >= MIGRATION_COST_SECONDS
 
 
-def is_migration_worthwhile(events: int, pace: float, other: float) -> bool:
+def is_migration_worthwhile(events: int, service_time: float, other: float) -> bool:
     """Returns whether a run is to go on at a faster engine that has a place for it.
 
     An item is expected to make as many events more as it has made: the lengths of items differ
@@ -157,12 +159,12 @@
         pace: of the engine where it runs.
         other: of the faster engine; 0 if not known.
     """
-    if not other or not is_slower_by(pace, other, MIGRATION_RATIO):
+    if not other or not is_slower_by(service_time, other, MIGRATION_RATIO):
         return False
-    return events * (pace - other) >= MIGRATION_COST_SECONDS
+    return events * (service_time - other) >= MIGRATION_COST_SECONDS
 
 
-def migration_service_time_limit(events: int, pace: float, best: float) -> float:
+def migration_service_time_limit(events: int, service_time: float, best: float) -> float:
     """Returns the slowest pace for which a run requests a place; 0 if it is to stay.
 
     Args:
@@ -170,7 +172,7 @@
         pace: of the engine where it runs.
         best: of the fastest engine that it may use, whether or not it has a place; 0 if not known.
     """
-    if not is_migration_worthwhile(events, pace, best):
+    if not is_migration_worthwhile(events, service_time, best):
         return 0.0
     # Any engine that is fast enough for it is one that the run then moves to.
-    return min(best * FASTER_RATIO, pace / (MIGRATION_RATIO * SERVICE_TIME_TOLERANCE))
+    return min(best * FASTER_RATIO, service_time / (MIGRATION_RATIO * SERVICE_TIME_TOLERANCE))
--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -104,7 +104,7 @@
         return [
             EngineState(
                 info,
-                pace=balancer.service_times.lasting(info.id),
+                service_time=balancer.service_times.lasting(info.id),
                 occupied=balancer.occupied(info),
                 distance=balancer.distance(info),
                 is_loading=info.id in loading,
@@ -141,8 +141,8 @@
         """Returns the seconds for which a run may make nothing before it is stalled."""
         engine = watch.engine
         loading = self._services.division.loading(engine.service, self._head.model)
-        pace = self._services.balancer.service_times.lasting(engine.id)
-        return stall_timeout_seconds(pace, is_loading=engine.id in loading)
+        service_time = self._services.balancer.service_times.lasting(engine.id)
+        return stall_timeout_seconds(service_time, is_loading=engine.id in loading)
 
     def may_migrate_to(self, engine: InstanceInfo, run: ItemRun) -> bool:
         """Returns whether a run may still move to the place that it was assigned at an engine.
@@ -153,9 +153,9 @@
         balancer = self._services.balancer
         if known is None or balancer.is_cold(known):
             return False
-        pace = balancer.service_times.lasting(engine.id)
-        if not pace or not is_slower_by(
-            self._source_service_time(run.engine), pace, MIGRATION_RATIO
+        service_time = balancer.service_times.lasting(engine.id)
+        if not service_time or not is_slower_by(
+            self._source_service_time(run.engine), service_time, MIGRATION_RATIO
         ):
             return False
         return balancer.placement.allows(known, self.items.work_of(run.item))
@@ -168,12 +168,12 @@
         service only some engines are looked at.
         """
         engine, events = run.engine, len(run.progress.events)
-        pace = self._source_service_time(engine)
-        if not could_migration_pay_off(events, pace):
+        service_time = self._source_service_time(engine)
+        if not could_migration_pay_off(events, service_time):
             return 0.0
         version = self._services.directory.version_of(engine.id, self._head.model)
         best = self._best_service_time(engine.service, self.items.work_of(run.item), version)
-        return migration_service_time_limit(events, pace, best)
+        return migration_service_time_limit(events, service_time, best)
 
     def _source_service_time(self, engine: InstanceInfo) -> float:
         service_times = self._services.balancer.service_times
@@ -190,9 +190,9 @@
         balancer = self._services.balancer
         directory = self._services.directory
         service_times = [
-            pace
+            service_time
             for info in balancer.candidate_pool(service, work).instances
-            if (pace := balancer.service_times.lasting(info.id))
+            if (service_time := balancer.service_times.lasting(info.id))
             and not balancer.is_cold(info)
             and directory.version_of(info.id, self._head.model) >= version
             and not balancer.is_avoided(info.id)
--- a/tests/test_engine_rules.py
+++ b/tests/test_engine_rules.py
@@ -32,22 +32,26 @@
     return EngineState(info, **known)
 
 
-FIRST = make_engine("first", pace=0.04)
-FASTER = make_engine("faster", pace=0.035)
-ABOUT_AS_FAST = make_engine("about_as_fast", pace=0.036)
+FIRST = make_engine("first", service_time=0.04)
+FASTER = make_engine("faster", service_time=0.035)
+ABOUT_AS_FAST = make_engine("about_as_fast", service_time=0.036)
 UNKNOWN = make_engine("unknown")
-NEAR = make_engine("near", pace=0.04, distance=Distance.SAME_ZONE)
-NEARER_THAN_FAR = make_engine("nearer", pace=0.04, distance=Distance.SAME_REGION)
-FAR = make_engine("far", pace=0.04, distance=Distance.OTHER_REGION)
+NEAR = make_engine("near", service_time=0.04, distance=Distance.SAME_ZONE)
+NEARER_THAN_FAR = make_engine("nearer", service_time=0.04, distance=Distance.SAME_REGION)
+FAR = make_engine("far", service_time=0.04, distance=Distance.OTHER_REGION)
 CHOICES = (
     ("no engine", [], None),
-    ("the least occupied of equals", [FIRST, make_engine("second", pace=0.04)], "first"),
+    ("the least occupied of equals", [FIRST, make_engine("second", service_time=0.04)], "first"),
     ("a faster one", [FIRST, FASTER], "faster"),
     ("not one about as fast", [FIRST, ABOUT_AS_FAST], "first"),
     ("not one of unknown pace", [FIRST, UNKNOWN], "first"),
     ("one of unknown pace that comes first", [UNKNOWN, FASTER], "unknown"),
-    ("not one that loads", [make_engine("loading", pace=0.02, is_loading=True), FIRST], "first"),
-    ("not a cold one", [make_engine("cold", pace=0.02, is_cold=True), FIRST], "first"),
+    (
+        "not one that loads",
+        [make_engine("loading", service_time=0.02, is_loading=True), FIRST],
+        "first",
+    ),
+    ("not a cold one", [make_engine("cold", service_time=0.02, is_cold=True), FIRST], "first"),
     (
         "a cold one before one that loads",
         [make_engine("loading", is_loading=True), make_engine("cold", is_cold=True)],
@@ -62,17 +66,17 @@
     ("the nearest of its like", [FAR, NEARER_THAN_FAR, NEAR], "near"),
     (
         "a nearer one that is fuller by one",
-        [FAR, make_engine("near", pace=0.04, occupied=1, distance=Distance.SAME_ZONE)],
+        [FAR, make_engine("near", service_time=0.04, occupied=1, distance=Distance.SAME_ZONE)],
         "near",
     ),
     (
         "not a nearer one that is fuller by two",
-        [FAR, make_engine("near", pace=0.04, occupied=2, distance=Distance.SAME_ZONE)],
+        [FAR, make_engine("near", service_time=0.04, occupied=2, distance=Distance.SAME_ZONE)],
         "far",
     ),
     (
         "not a nearer one that is slower",
-        [FAR, make_engine("near", pace=0.045, distance=Distance.SAME_ZONE)],
+        [FAR, make_engine("near", service_time=0.045, distance=Distance.SAME_ZONE)],
         "far",
     ),
     (
@@ -139,15 +143,15 @@
                 self.assertEqual(expected, chosen.info.id if chosen is not None else None)
 
     def test_pace_limit(self):
-        for pace, is_cold, limit, expected in PACES:
-            with self.subTest(pace=pace, is_cold=is_cold):
-                self.assertEqual(expected, is_fast_enough(pace, is_cold, limit))
+        for service_time, is_cold, limit, expected in PACES:
+            with self.subTest(service_time=service_time, is_cold=is_cold):
+                self.assertEqual(expected, is_fast_enough(service_time, is_cold, limit))
 
     def test_moves(self):
-        for case, events, pace, other, expected in MOVES:
+        for case, events, service_time, other, expected in MOVES:
             with self.subTest(case):
-                self.assertEqual(expected, is_migration_worthwhile(events, pace, other))
-                self.assertTrue(could_migration_pay_off(events, pace) or not expected)
+                self.assertEqual(expected, is_migration_worthwhile(events, service_time, other))
+                self.assertTrue(could_migration_pay_off(events, service_time) or not expected)
 
     def test_paces_to_leave(self):
         for case, lasting, recent, expected in LEAVES:
@@ -155,21 +159,26 @@
                 self.assertEqual(expected, migration_source_service_time(lasting, recent))
 
     def test_requests_for_faster_places(self):
-        for events, pace, best, expected in REQUESTS:
-            with self.subTest(events=events, pace=pace, best=best):
-                self.assertAlmostEqual(expected, migration_service_time_limit(events, pace, best))
+        for events, service_time, best, expected in REQUESTS:
+            with self.subTest(events=events, service_time=service_time, best=best):
+                self.assertAlmostEqual(
+                    expected, migration_service_time_limit(events, service_time, best)
+                )
 
     def test_place_that_is_requested_is_one_that_the_run_moves_to(self):
         """Else it would hold the place until its next event, give it up, and request it again."""
         best = 0.03
-        for pace in (0.0376, 0.04, 0.042, 0.0422, 0.09):
-            limit = migration_service_time_limit(160, pace, best)
-            self.assertTrue(is_fast_enough(best, is_cold=False, service_time_limit=limit), pace)
+        for service_time in (0.0376, 0.04, 0.042, 0.0422, 0.09):
+            limit = migration_service_time_limit(160, service_time, best)
+            self.assertTrue(
+                is_fast_enough(best, is_cold=False, service_time_limit=limit), service_time
+            )
             for step in range(100):
                 other = best * (1 + step / 200)
                 if is_fast_enough(other, is_cold=False, service_time_limit=limit):
                     self.assertTrue(
-                        is_slower_by(pace, other * 0.999, MIGRATION_RATIO), (pace, other)
+                        is_slower_by(service_time, other * 0.999, MIGRATION_RATIO),
+                        (service_time, other),
                     )
 
 
