--- a/src/larkpost/gateway/rollouts/faster_engine.py
+++ b/src/larkpost/gateway/rollouts/faster_engine.py
@@ -40,9 +40,9 @@
         if self._slot is not None:
             return
         run = self._run
-        pace = self._engine_selector.target_service_time(run)
-        if pace:
-            self._slot = self._slot_queue.request(run.progress, run.route, pace)
+        service_time = self._engine_selector.target_service_time(run)
+        if service_time:
+            self._slot = self._slot_queue.request(run.progress, run.route, service_time)
 
     def raise_if_assigned(self) -> None:
         """Ends the run once it has a place; a place that may be used no longer is given back.
--- a/src/larkpost/gateway/rollouts/reward_rules.py
+++ b/src/larkpost/gateway/rollouts/reward_rules.py
@@ -62,14 +62,14 @@
     return max(1, int(slots * (1 - CLIENT_RESERVED_SHARE)))
 
 
-def call_timeout_seconds(pace: float, timeouts: int) -> float:
+def call_timeout_seconds(service_time: float, timeouts: int) -> float:
     """Returns the seconds that a server is given for a call.
 
     Args:
         pace: seconds that a call takes there; 0 if not known.
         silences: attempts of this call that ended in silence, at any server.
     """
-    usual = CALL_TIMEOUT_SERVICE_TIME_FACTOR * pace
+    usual = CALL_TIMEOUT_SERVICE_TIME_FACTOR * service_time
     return min(MAX_CALL_TIMEOUT_SECONDS, max(MIN_CALL_TIMEOUT_SECONDS, usual) * 2**timeouts)
 
 
--- a/src/larkpost/gateway/rollouts/stall_detector.py
+++ b/src/larkpost/gateway/rollouts/stall_detector.py
@@ -98,12 +98,12 @@
         watch.limit.reschedule(self._clock.now())
 
 
-def stall_timeout_seconds(pace: float, *, is_loading: bool = False) -> float:
+def stall_timeout_seconds(service_time: float, *, is_loading: bool = False) -> float:
     """Returns the silence, in seconds, after which a run at an engine of this pace is stalled.
 
     Args:
         pace: seconds for an event, lastingly; 0 if not known.
         is_loading: whether the engine loads weights, and its runs go on afterwards.
     """
-    silence = max(MIN_STALL_TIMEOUT_SECONDS, STALL_SERVICE_TIME_FACTOR * pace)
+    silence = max(MIN_STALL_TIMEOUT_SECONDS, STALL_SERVICE_TIME_FACTOR * service_time)
     return max(silence, LOADING_STALL_TIMEOUT_SECONDS) if is_loading else silence
--- a/tests/test_retry_rules.py
+++ b/tests/test_retry_rules.py
@@ -89,9 +89,9 @@
                 )
 
     def test_silences(self):
-        for pace, expected in SILENCES:
-            with self.subTest(pace=pace):
-                self.assertAlmostEqual(expected, stall_timeout_seconds(pace))
+        for service_time, expected in SILENCES:
+            with self.subTest(service_time=service_time):
+                self.assertAlmostEqual(expected, stall_timeout_seconds(service_time))
 
 
 if __name__ == "__main__":
--- a/tests/test_reward_rules.py
+++ b/tests/test_reward_rules.py
@@ -61,9 +61,9 @@
                 self.assertEqual(expected, usable_slots(slots))
 
     def test_limits(self):
-        for pace, timeouts, expected in LIMITS:
-            with self.subTest(pace=pace, timeouts=timeouts):
-                self.assertAlmostEqual(expected, call_timeout_seconds(pace, timeouts))
+        for service_time, timeouts, expected in LIMITS:
+            with self.subTest(service_time=service_time, timeouts=timeouts):
+                self.assertAlmostEqual(expected, call_timeout_seconds(service_time, timeouts))
 
     def test_servers(self):
         for names, tried, expected, left in SERVERS:
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -110,9 +110,9 @@
             self.assertEqual(priority, configuration.priority_of(tenant, ROUTE))
 
 
-def _of_pace(pace: float) -> Callable[[MonitoredRun], float]:
+def _of_pace(service_time: float) -> Callable[[MonitoredRun], float]:
     """Returns what runs at engines of a pace may be silent for."""
-    return lambda _: stall_timeout_seconds(pace)
+    return lambda _: stall_timeout_seconds(service_time)
 
 
 class StallTest(unittest.TestCase):
@@ -136,15 +136,17 @@
         run(play())
 
     def test_silence_allowed(self):
-        for pace, is_loading, expected in (
+        for service_time, is_loading, expected in (
             (0.0, False, MIN_STALL_TIMEOUT_SECONDS),
             (0.034, False, MIN_STALL_TIMEOUT_SECONDS),
             (0.1, False, 0.6),  # an engine that is slow for good is not silent
             (0.034, True, LOADING_STALL_TIMEOUT_SECONDS),  # its runs go on once it has loaded
             (0.3, True, 1.8),
         ):
-            with self.subTest(pace=pace, is_loading=is_loading):
-                self.assertAlmostEqual(expected, stall_timeout_seconds(pace, is_loading=is_loading))
+            with self.subTest(service_time=service_time, is_loading=is_loading):
+                self.assertAlmostEqual(
+                    expected, stall_timeout_seconds(service_time, is_loading=is_loading)
+                )
 
     def test_a_run_whose_time_is_over_is_not_ended_again(self):
         """Its time may be over in the turn of the loop in which it is looked at."""
