--- a/src/larkpost/gateway/rollouts/batch_forecaster.py
+++ b/src/larkpost/gateway/rollouts/batch_forecaster.py
@@ -46,7 +46,7 @@
 
     configuration: ConfigurationState
     directory: InstanceDirectory
-    pace: Callable[[InstanceId], float]
+    service_time: Callable[[InstanceId], float]
     clock: Clock
     store_time: Callable[[], float | None]
 
@@ -171,8 +171,8 @@
         It counts on an equal share of them, less what its model may lend.
         """
         engines = self._sources.directory.ready_of(service.name)
-        known = (self._sources.pace(info.id) for info in engines)
-        paces = sorted(pace for pace in known if pace)
+        known = (self._sources.service_time(info.id) for info in engines)
+        paces = sorted(service_time for service_time in known if service_time)
         if not paces:
             return BatchCapacity(0, 0, 0.0, 0.0)
         places = sum(max(1, info.slots) for info in engines)
