--- a/src/larkpost/gateway/rollouts/batch_forecaster.py
+++ b/src/larkpost/gateway/rollouts/batch_forecaster.py
@@ -172,15 +172,15 @@
         """
         engines = self._sources.directory.ready_of(service.name)
         known = (self._sources.service_time(info.id) for info in engines)
-        paces = sorted(service_time for service_time in known if service_time)
-        if not paces:
+        service_times = sorted(service_time for service_time in known if service_time)
+        if not service_times:
             return BatchCapacity(0, 0, 0.0, 0.0)
         places = sum(max(1, info.slots) for info in engines)
         return BatchCapacity(
             max(1, int(places * (1 - MAX_LENT_FRACTION) / len(service.models))),
             places,
-            paces[len(paces) // 2] / service.tokens_per_event,
-            paces[0] / service.tokens_per_event,
+            service_times[len(service_times) // 2] / service.tokens_per_event,
+            service_times[0] / service.tokens_per_event,
         )
 
 
