--- a/src/larkpost/gateway/rollouts/batch_forecaster.py
+++ b/src/larkpost/gateway/rollouts/batch_forecaster.py
@@ -92,20 +92,20 @@
         """
         known = self._recent_reports() | own
         capacities: dict[ServiceName, BatchCapacity] = {}
-        outlooks: dict[ModelName, list[DeadlineForecast]] = defaultdict(list)
+        forecasts: dict[ModelName, list[DeadlineForecast]] = defaultdict(list)
         waiting: dict[ModelName, int] = defaultdict(int)
         for head in heads.open:
             progress = known.get(head.id)
             if progress is None:
-                outlooks[head.model].append(DeadlineForecast.UNKNOWN)
+                forecasts[head.model].append(DeadlineForecast.UNKNOWN)
             else:
-                outlooks[head.model].append(self._forecast(head, progress, capacities))
+                forecasts[head.model].append(self._forecast(head, progress, capacities))
                 waiting[head.model] += progress.waiting
         priorities = self._priorities(heads)
         return {
             model: replace(
                 demand,
-                deadline_forecast=most_urgent_forecast(outlooks[model]),
+                deadline_forecast=most_urgent_forecast(forecasts[model]),
                 waiting=waiting[model],
                 priority=priorities.get(model, LOWEST_PRIORITY),
             )
