--- a/src/larkpost/gateway/rollouts/batch_forecaster.py
+++ b/src/larkpost/gateway/rollouts/batch_forecaster.py
@@ -68,14 +68,14 @@
     """What is known of the progress of open batches, and what follows from it."""
 
     def __init__(self, sources: ForecastInputs) -> None:
-        self._sources = sources
+        self._inputs = sources
         self._reports: dict[DaemonId, tuple[float, dict[BatchId, BatchProgress]]] = {}
         """What each owner reported last, and the steady time of that."""
 
     def record_report(self, daemon: DaemonId, batches: dict[BatchId, BatchProgress]) -> None:
         """Records what another daemon reports of its batches, in place of its last report."""
         if batches:
-            self._reports[daemon] = (self._sources.clock.now(), batches)
+            self._reports[daemon] = (self._inputs.clock.now(), batches)
         else:
             self._reports.pop(daemon, None)
 
@@ -122,7 +122,7 @@
 
     def _recent_reports(self) -> dict[BatchId, BatchProgress]:
         """Returns what the others reported a moment ago."""
-        oldest = self._sources.clock.now() - REPORT_LIFETIME_SECONDS
+        oldest = self._inputs.clock.now() - REPORT_LIFETIME_SECONDS
         for daemon in [name for name, (at, _) in self._reports.items() if at < oldest]:
             del self._reports[daemon]
         return {
@@ -142,8 +142,8 @@
         Args:
             capacities: of the services that other batches of the same pass have asked for.
         """
-        now = self._sources.store_time()
-        configuration = self._sources.configuration.current
+        now = self._inputs.store_time()
+        configuration = self._inputs.configuration.current
         if now is None or configuration is None:
             return DeadlineForecast.UNKNOWN
         route = configuration.match(head.host, head.path.encode("latin-1"))
@@ -157,7 +157,7 @@
 
     def _priority(self, head: BatchHead) -> int:
         """Returns the priority of a batch's tenant or route, 0 highest."""
-        configuration = self._sources.configuration.current
+        configuration = self._inputs.configuration.current
         if configuration is None:
             return LOWEST_PRIORITY
         route = configuration.match(head.host, head.path.encode("latin-1"))
@@ -170,8 +170,8 @@
 
         It counts on an equal share of them, less what its model may lend.
         """
-        engines = self._sources.directory.ready_of(service.name)
-        known = (self._sources.service_time(info.id) for info in engines)
+        engines = self._inputs.directory.ready_of(service.name)
+        known = (self._inputs.service_time(info.id) for info in engines)
         service_times = sorted(service_time for service_time in known if service_time)
         if not service_times:
             return BatchCapacity(0, 0, 0.0, 0.0)
