--- a/src/larkpost/gateway/rollouts/batch_forecaster.py
+++ b/src/larkpost/gateway/rollouts/batch_forecaster.py
@@ -67,8 +67,8 @@
 class BatchForecaster:
     """What is known of the progress of open batches, and what follows from it."""
 
-    def __init__(self, sources: ForecastInputs) -> None:
-        self._inputs = sources
+    def __init__(self, inputs: ForecastInputs) -> None:
+        self._inputs = inputs
         self._reports: dict[DaemonId, tuple[float, dict[BatchId, BatchProgress]]] = {}
         """What each owner reported last, and the steady time of that."""
 
