--- a/src/larkpost/gateway/rollouts/batch_head_cache.py
+++ b/src/larkpost/gateway/rollouts/batch_head_cache.py
@@ -40,7 +40,7 @@
     head: BatchHead
     version: int
     owner_since: float
-    asked_after: VersionAnnouncement | None = None
+    submitted_after: VersionAnnouncement | None = None
 
 
 class BatchHeadCache:
@@ -78,8 +78,8 @@
         head = head_of_row(row)
         same_owner = known is not None and known.head.owner == head.owner
         owner_since = known.owner_since if same_owner else self._clock.now()
-        asked_after = known.asked_after if known is not None else self._asked_after(head)
-        self._heads[batch] = CachedBatchHead(head, row.version, owner_since, asked_after)
+        submitted_after = known.submitted_after if known is not None else self._asked_after(head)
+        self._heads[batch] = CachedBatchHead(head, row.version, owner_since, submitted_after)
 
     def _asked_after(self, head: BatchHead) -> VersionAnnouncement | None:
         """Returns after which version a batch that is new here came, and how long after it."""
@@ -125,8 +125,10 @@
     """Returns what a model's batches, at least one, ask for."""
     newest_first = heapq.nlargest(DEMAND_BATCHES, batches, key=lambda known: known.head.created_at)
     newest = newest_first[0]
-    namings = [known.asked_after for known in newest_first[:2] if known.asked_after is not None]
-    naming = newest.asked_after
+    namings = [
+        known.submitted_after for known in newest_first[:2] if known.submitted_after is not None
+    ]
+    naming = newest.submitted_after
     running = [known for known in batches if not known.head.ended]
     return ModelDemand(
         round(fmean(known.head.work for known in newest_first)),
