--- a/src/larkpost/gateway/rollouts/batch_head_cache.py
+++ b/src/larkpost/gateway/rollouts/batch_head_cache.py
@@ -78,10 +78,12 @@
         head = head_of_row(row)
         same_owner = known is not None and known.head.owner == head.owner
         owner_since = known.owner_since if same_owner else self._clock.now()
-        submitted_after = known.submitted_after if known is not None else self._asked_after(head)
+        submitted_after = (
+            known.submitted_after if known is not None else self._submitted_after(head)
+        )
         self._heads[batch] = CachedBatchHead(head, row.version, owner_since, submitted_after)
 
-    def _asked_after(self, head: BatchHead) -> VersionAnnouncement | None:
+    def _submitted_after(self, head: BatchHead) -> VersionAnnouncement | None:
         """Returns after which version a batch that is new here came, and how long after it."""
         age = self._age(head)
         naming = self._last_naming(head.model)
