--- a/src/larkpost/gateway/rollouts/batch_head_cache.py
+++ b/src/larkpost/gateway/rollouts/batch_head_cache.py
@@ -86,13 +86,13 @@
     def _submitted_after(self, head: BatchHead) -> VersionAnnouncement | None:
         """Returns after which version a batch that is new here came, and how long after it."""
         age = self._age(head)
-        naming = self._last_naming(head.model)
-        if naming is None or age is None or age > MAX_NEW_BATCH_AGE_SECONDS:
+        announcement = self._last_naming(head.model)
+        if announcement is None or age is None or age > MAX_NEW_BATCH_AGE_SECONDS:
             return None
-        seconds = naming.seconds - age  # all daemons know the batch's own time alike
+        seconds = announcement.seconds - age  # all daemons know the batch's own time alike
         if seconds < -MAX_CLOCK_SKEW_SECONDS:
             return None  # a version that was named since
-        return VersionAnnouncement(naming.version, max(0.0, seconds))
+        return VersionAnnouncement(announcement.version, max(0.0, seconds))
 
     def forget(self, batch: BatchId) -> None:
         """Drops the head of a batch that is stored no more."""
@@ -130,13 +130,13 @@
     namings = [
         known.submitted_after for known in newest_first[:2] if known.submitted_after is not None
     ]
-    naming = newest.submitted_after
+    announcement = newest.submitted_after
     running = [known for known in batches if not known.head.ended]
     return ModelDemand(
         round(fmean(known.head.work for known in newest_first)),
         open=bool(running),
         has_earlier_open=any(known is not newest for known in running),
-        submit_delay=naming.seconds if naming is not None else None,
-        submit_version=naming.version if naming is not None else 0,
+        submit_delay=announcement.seconds if announcement is not None else None,
+        submit_version=announcement.version if announcement is not None else 0,
         min_submit_delay=min((known.seconds for known in namings), default=None),
     )
