--- a/src/larkpost/gateway/rollouts/batch_head_cache.py
+++ b/src/larkpost/gateway/rollouts/batch_head_cache.py
@@ -127,7 +127,7 @@
     """Returns what a model's batches, at least one, ask for."""
     newest_first = heapq.nlargest(DEMAND_BATCHES, batches, key=lambda known: known.head.created_at)
     newest = newest_first[0]
-    namings = [
+    announcements = [
         known.submitted_after for known in newest_first[:2] if known.submitted_after is not None
     ]
     announcement = newest.submitted_after
@@ -138,5 +138,5 @@
         has_earlier_open=any(known is not newest for known in running),
         submit_delay=announcement.seconds if announcement is not None else None,
         submit_version=announcement.version if announcement is not None else 0,
-        min_submit_delay=min((known.seconds for known in namings), default=None),
+        min_submit_delay=min((known.seconds for known in announcements), default=None),
     )
