--- a/src/larkpost/gateway/rollouts/batch_head_cache.py
+++ b/src/larkpost/gateway/rollouts/batch_head_cache.py
@@ -58,7 +58,7 @@
         age: Callable[[BatchHead], float | None] = lambda _: None,
     ) -> None:
         self._clock = clock
-        self._last_naming = last_announcement
+        self._last_announcement = last_announcement
         self._age = age
         self._heads: dict[BatchId, CachedBatchHead] = {}
 
@@ -86,7 +86,7 @@
     def _submitted_after(self, head: BatchHead) -> VersionAnnouncement | None:
         """Returns after which version a batch that is new here came, and how long after it."""
         age = self._age(head)
-        announcement = self._last_naming(head.model)
+        announcement = self._last_announcement(head.model)
         if announcement is None or age is None or age > MAX_NEW_BATCH_AGE_SECONDS:
             return None
         seconds = announcement.seconds - age  # all daemons know the batch's own time alike
