--- a/src/larkpost/gateway/rollouts/reward_rules.py
+++ b/src/larkpost/gateway/rollouts/reward_rules.py
@@ -69,8 +69,8 @@
         pace: seconds that a call takes there; 0 if not known.
         silences: attempts of this call that ended in silence, at any server.
     """
-    usual = CALL_TIMEOUT_SERVICE_TIME_FACTOR * service_time
-    return min(MAX_CALL_TIMEOUT_SECONDS, max(MIN_CALL_TIMEOUT_SECONDS, usual) * 2**timeouts)
+    scaled = CALL_TIMEOUT_SERVICE_TIME_FACTOR * service_time
+    return min(MAX_CALL_TIMEOUT_SECONDS, max(MIN_CALL_TIMEOUT_SECONDS, scaled) * 2**timeouts)
 
 
 def choose_server(
