--- a/src/larkpost/gateway/rollouts/engine_rules.py
+++ b/src/larkpost/gateway/rollouts/engine_rules.py
@@ -105,8 +105,8 @@
 
 def _nearest_equivalent(best: EngineState, candidates: list[EngineState]) -> EngineState:
     """Returns the nearest of the engines that are about as fast and as full as the best one."""
-    alike = [engine for engine in candidates if _is_nearer_equivalent(engine, best)]
-    return min(alike, key=lambda engine: engine.distance, default=best)
+    equivalent = [engine for engine in candidates if _is_nearer_equivalent(engine, best)]
+    return min(equivalent, key=lambda engine: engine.distance, default=best)
 
 
 def _is_nearer_equivalent(engine: EngineState, best: EngineState) -> bool:
