--- a/src/larkpost/gateway/rollouts/item_runner.py
+++ b/src/larkpost/gateway/rollouts/item_runner.py
@@ -77,9 +77,9 @@
 
     def release_unused(self, item: ItemId) -> None:
         """Releases the place that a run has taken for an item that runs no more."""
-        unused = self._assigned_engines.pop(item, None)
-        if unused is not None:
-            self._services.balancer.release(unused.id)
+        unclaimed = self._assigned_engines.pop(item, None)
+        if unclaimed is not None:
+            self._services.balancer.release(unclaimed.id)
 
     async def _attempt_run(self, progress: Progress) -> RunOutcome:
         """Runs an item once if it may run and gets a place."""
