--- a/src/larkpost/gateway/rollouts/engine_rules.py
+++ b/src/larkpost/gateway/rollouts/engine_rules.py
@@ -1,10 +1,9 @@
-"""The rules by which an item of a batch gets an engine, and by which its run moves to another one.
+"""Rules that select an engine for a batch item and decide when a run migrates to another one.
 
-Each rule stands here once, as a function of what is known of the engines at one moment. The module
-owns no state and reads none; `engine_choice.py` gathers the inputs and applies the rules.
+All rules are pure functions of a snapshot of the engines; `engine_selector.py` gathers the inputs
+and applies them.
 
-A pace is the seconds that an event lastingly takes at an engine, its bursts taken out; 0 if it is
-not known.
+Service times are sustained seconds per event, without short bursts; 0 means unknown.
 """
 
 from dataclasses import dataclass
@@ -13,33 +12,32 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 
 FASTER_RATIO = 1.12
-"""Ratio of paces from which one engine counts as faster than another. It is to be more than the
-paces of equal engines differ by chance."""
+"""Ratio of service times above which one engine counts as faster than another. Above the random
+difference between equal engines."""
 MIGRATION_RATIO = 1.25
-"""Ratio of paces from which a run may leave its engine for a faster one."""
+"""Ratio of service times above which a run may migrate to a faster engine."""
 MIGRATION_COST_SECONDS = 1.2
-"""What a move must save an item. It costs the new engine the prompt and all output so far, which it
-reads again while the others there wait, and gives up a place where the item was running."""
+"""Least time that a migration must save an item. The new engine has to prefill the prompt and all
+output so far, while its other requests wait."""
 SERVICE_TIME_TOLERANCE = 1.05
-"""Factor by which the pace of an engine may be above the limit of a moved run. Without any limit,
-a moved run may end at an engine slower than the one that it has left."""
+"""Factor by which the service time of an engine may exceed the limit of a migrating run. The limit
+keeps a run from ending up at an engine slower than the one that it left."""
 SIMILAR_LOAD_MARGIN = 1
-"""Items by which a nearer engine may be fuller than the best one and still be taken in its place.
-One more item among an engine's slots, most often six, costs less than the way."""
+"""Items by which a nearer engine may be more loaded than the best one and still be preferred."""
 
 MAX_MIGRATIONS = 2
-"""An item is moved this often at most: what it has made is read again at each new engine."""
+"""Most migrations of an item; each new engine has to prefill the output so far."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineState:
-    """What is known of an engine that has a free place for an item.
+    """State of an engine that has a free slot for an item.
 
     Attributes:
-        pace: seconds for an event; 0 if not known.
-        occupied: items and other requests believed to be there.
-        is_loading: whether it loads weights, or will in a moment, and refuses all work meanwhile.
-        is_cold: whether it has just started and is slow.
+        service_time: seconds per event; 0 if unknown.
+        occupied: estimated number of requests at the engine, batch items included.
+        is_loading: whether it loads weights, or is about to, and refuses all work meanwhile.
+        is_cold: whether it has just started and is still slow.
     """
 
     info: InstanceInfo
@@ -51,22 +49,22 @@
 
 
 def is_fast_enough(service_time: float, is_cold: bool, service_time_limit: float) -> bool:
-    """Returns whether an engine is warm and known to be about as fast as a limit.
+    """Returns whether an engine is warm and its known service time is within a limit.
 
     Args:
-        pace_limit: seconds for an event.
+        service_time_limit: seconds per event; exceeded by `SERVICE_TIME_TOLERANCE` at most.
     """
     return 0 < service_time <= service_time_limit * SERVICE_TIME_TOLERANCE and not is_cold
 
 
 def choose_engine(candidates: list[EngineState]) -> EngineState | None:
-    """Returns the engine that an item gets; None without candidates.
+    """Returns the engine for an item; None without candidates.
 
-    In this order: an engine that does not load, a warm one, the fastest one, the nearest one of
-    those about as fast and as full.
+    Prefers, in this order: engines that are not loading, warm engines, the fastest engine, and the
+    nearest of those with about the same speed and load.
 
     Args:
-        candidates: the engines that the item may use, the least occupied first.
+        candidates: engines that the item may use, the least occupied first.
     """
     if not candidates:
         return None
@@ -85,14 +83,13 @@
 
 
 PREFERENCES = (_accepts_work, _is_warm)
-"""What an engine should be, the most important first; engines that are not are taken if no engine
-is. Loads take about a second, in which an item would be refused."""
+"""Preferences among engines, the most important first; one that no engine meets is ignored."""
 
 
 def _fastest(candidates: list[EngineState]) -> EngineState:
-    """Returns the fastest engine; of those about as fast, the one that comes first.
+    """Returns the fastest engine; of engines about as fast, the first one.
 
-    Engines of unknown pace are taken only if they come first: nothing speaks for the others.
+    An engine of unknown service time is returned only if it comes first.
     """
     best = candidates[0]
     for engine in candidates[1:]:
@@ -104,7 +101,7 @@
 
 
 def _nearest_equivalent(best: EngineState, candidates: list[EngineState]) -> EngineState:
-    """Returns the nearest of the engines that are about as fast and as full as the best one."""
+    """Returns the nearest of the engines with about the same speed and load as the best one."""
     equivalent = [engine for engine in candidates if _is_nearer_equivalent(engine, best)]
     return min(equivalent, key=lambda engine: engine.distance, default=best)
 
@@ -119,45 +116,47 @@
 
 
 def may_migrate(migrations: int) -> bool:
-    """Returns whether an item that was moved so often may be moved once more."""
+    """Returns whether an item may migrate once more after this many migrations."""
     return migrations < MAX_MIGRATIONS
 
 
 def is_slower_by(service_time: float, other: float, ratio: float) -> bool:
-    """Returns whether an engine is slower than another one by more than a ratio of paces."""
+    """Returns whether an engine is slower than another one by more than a ratio."""
     return service_time > other * ratio
 
 
 def migration_source_service_time(lasting: float, recent: float) -> float:
-    """Returns the pace by which a run leaves its engine: one that is slow for good and still is.
+    """Returns the service time by which a run leaves its engine.
+
+    The lesser of the two, so that only an engine that was slow for long and still is loses runs.
 
     Args:
-        lasting: the engine's lasting pace; 0 if not known.
-        recent: what events took there just now; 0 if not known.
+        lasting: sustained service time of the engine; 0 if unknown.
+        recent: recent service time of the engine; 0 if unknown.
     """
     return min(lasting, recent) if recent else lasting
 
 
 def could_migration_pay_off(events: int, service_time: float) -> bool:
-    """Returns whether a move to some engine, however fast, might be worth it.
+    """Returns whether migrating could pay off at all, even to an infinitely fast engine.
 
     Args:
-        events: that the item has made.
-        pace: of the engine where it runs.
+        events: events that the item has produced.
+        service_time: of the engine where it runs.
     """
     return events * service_time >= MIGRATION_COST_SECONDS
 
 
 def is_migration_worthwhile(events: int, service_time: float, other: float) -> bool:
-    """Returns whether a run is to go on at a faster engine that has a place for it.
+    """Returns whether a run should migrate to a faster engine that has a free slot.
 
-    An item is expected to make as many events more as it has made: the lengths of items differ
-    so much that one that is long already is the one which a step will wait for.
+    Assumes that an item will produce as many events again as it has produced: item lengths vary so
+    much that an item which is already long is likely to hold up the training step.
 
     Args:
-        events: that the item has made.
-        pace: of the engine where it runs.
-        other: of the faster engine; 0 if not known.
+        events: events that the item has produced.
+        service_time: of the engine where it runs.
+        other: service time of the faster engine; 0 if unknown.
     """
     if not other or not is_slower_by(service_time, other, MIGRATION_RATIO):
         return False
@@ -165,14 +164,15 @@
 
 
 def migration_service_time_limit(events: int, service_time: float, best: float) -> float:
-    """Returns the slowest pace for which a run requests a place; 0 if it is to stay.
+    """Returns the longest service time at which a run requests a slot; 0 if it should stay.
 
     Args:
-        events: that the item has made.
-        pace: of the engine where it runs.
-        best: of the fastest engine that it may use, whether or not it has a place; 0 if not known.
+        events: events that the item has produced.
+        service_time: of the engine where it runs.
+        best: service time of the fastest engine that it may use, with or without a free slot; 0 if
+            unknown.
     """
     if not is_migration_worthwhile(events, service_time, best):
         return 0.0
-    # Any engine that is fast enough for it is one that the run then moves to.
+    # Guarantees that any engine within the limit passes the check that ends in a migration.
     return min(best * FASTER_RATIO, service_time / (MIGRATION_RATIO * SERVICE_TIME_TOLERANCE))
--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -1,9 +1,8 @@
-"""Finds the engines that fit an item of a batch, and applies the rules of the choice to them.
+"""Selects engines for the items of one batch.
 
-Items come longest first, so that the longest ones get the fastest engines. The module owns what is
-known of one batch: when it began, and the best paces as of a moment ago. It relies on the balancer
-for loads, lasting paces and the rules of placement, on `item_work.py` for what an item asks, and on
-`engine_rules.py` for the choice.
+Items are assigned longest first, so that the longest ones get the fastest engines. Loads, sustained
+service times and placement rules come from the balancer, the requirements of an item from
+`item_work.py`, and the selection rules from `engine_rules.py`.
 """
 
 from larkpost.common.ids import InstanceId
@@ -27,15 +26,14 @@
 from larkpost.gateway.rollouts.stall_detector import MonitoredRun, stall_timeout_seconds
 
 OWN_ENGINES_ONLY_SECONDS = 0.6
-"""For so long a batch takes places at its model's own engines only. Batches often come at the same
-moment, and what the others take is known a heartbeat and its listing (0.25 s each) later."""
+"""For this long after its start, a batch uses only engines assigned to its model. Batches often
+start at the same moment, and daemons learn of each other's load two heartbeat intervals later."""
 BEST_SERVICE_TIME_CACHE_SECONDS = 0.25
-"""How long the best pace of a service is reused: each run of a batch asks for it at every few
-events, and all engines are looked at for it."""
+"""Lifetime of the cached best service time, which takes a scan of the engines to compute."""
 
 
 class EngineSelector:
-    """Chooses engines for the items of one batch."""
+    """Selects engines for the items of one batch."""
 
     def __init__(self, head: BatchHead, services: RunServices) -> None:
         self._head = head
@@ -43,17 +41,17 @@
         self._began_at = services.clock.now()
         self.items = ItemWork(head, services)
         self._best_service_times: dict[tuple[ServiceName, Work, int], tuple[float, float]] = {}
-        """When the best pace at engines of a version was last worked out, and that pace."""
+        """Time of computation and best service time, by service, work and least version."""
 
     def choose(
         self, service: ServiceName, service_time_limit: float = 0.0, work: Work | None = None
     ) -> InstanceInfo | None:
-        """Returns an engine with a free place and a version that may make the batch's tokens.
+        """Returns an engine with a free slot and a weight version that the batch accepts.
 
         Args:
-            pace_limit: the engine must be warm and known to be about as fast as this, in seconds
-                for an event; 0 for any engine.
-            work: what the rules of placement ask of the item; None for the batch's own.
+            service_time_limit: the engine must be warm and known to take at most about this many
+                seconds per event; 0 for any engine.
+            work: placement requirements of the item; None for those of the batch.
         """
         allowed = self._allowed_engines(service)
         candidates = self._with_free_slot(service, work or self.items.work_of(), allowed)
@@ -67,7 +65,7 @@
     def _fast_enough(
         self, service: ServiceName, candidates: list[InstanceInfo], service_time_limit: float
     ) -> list[InstanceInfo]:
-        """Returns the engines that a moved run may go on at; those that load refuse it."""
+        """Returns the engines to which a run may migrate; loading engines refuse all work."""
         balancer = self._services.balancer
         loading = self._services.division.loading(service, self._head.model)
         return [
@@ -80,11 +78,11 @@
         ]
 
     def _allowed_engines(self, service: ServiceName) -> frozenset[InstanceId] | None:
-        """Returns the only engines that the batch may use now; None for any.
+        """Returns the engines to which the batch is limited now; None for no limit.
 
-        At first those are its model's own, and later too while it has time to spare and a batch of
-        another model that has none waits for places. If all of them are cold, as after the return
-        of a zone, the batch need not wait for them.
+        A batch is limited to the engines assigned to its model at first, and later while it has
+        time to spare and a batch of another model that has none waits for slots. The limit does
+        not apply while all of these engines are cold, as after a zone is restored.
         """
         division = self._services.division
         is_new = self._services.clock.now() - self._began_at < OWN_ENGINES_ONLY_SECONDS
@@ -96,7 +94,7 @@
         return None if all(balancer.is_cold(info) for info in known) else own
 
     def _states(self, service: ServiceName, candidates: list[InstanceInfo]) -> list[EngineState]:
-        """Returns what is known of engines, in the same order."""
+        """Returns the states of the engines, in the same order."""
         if not candidates:
             return []
         balancer = self._services.balancer
@@ -114,9 +112,9 @@
         ]
 
     def record_assigned(self, engine: InstanceInfo) -> None:
-        """Records that an item was assigned a place at an engine, and will send in a moment.
+        """Records that an item was assigned a slot at an engine and will be sent to it shortly.
 
-        An engine that loads weights refuses all that come, so one item at a time tries it.
+        An engine that loads weights refuses all work, so only one item at a time tries it.
         """
         if engine.id in self._services.division.loading(engine.service, self._head.model):
             self._services.balancer.use(engine.id).mark_refusing(self._services.clock.now())
@@ -124,30 +122,30 @@
             self._services.cold.reserve(engine)
 
     def count_free_slots(self, service: ServiceName) -> int:
-        """Returns how many places the engines that fit are believed to have free."""
+        """Returns the estimated number of free slots at all matching engines."""
         work = self.items.work_of()
         fitting = self._with_free_slot(service, work)
         scale = self._services.balancer.candidate_pool(service, work).scale
         return int(sum(self._free_slots_at(info, work) for info in fitting) * scale)
 
     def _free_slots_at(self, info: InstanceInfo, work: Work) -> int:
-        """Returns an engine's free places; at a cold one, those that may be used now."""
+        """Returns the free slots of an engine; at a cold engine, as many as its limit allows."""
         free = info.slots - self._services.balancer.occupied(info)
         cold = self._services.cold
         left = cold.remaining_sends(info, work) if cold is not None else None
         return free if left is None else min(free, left)
 
     def stall_timeout(self, watch: MonitoredRun) -> float:
-        """Returns the seconds for which a run may make nothing before it is stalled."""
+        """Returns the seconds without an event after which a run counts as stalled."""
         engine = watch.engine
         loading = self._services.division.loading(engine.service, self._head.model)
         service_time = self._services.balancer.service_times.lasting(engine.id)
         return stall_timeout_seconds(service_time, is_loading=engine.id in loading)
 
     def may_migrate_to(self, engine: InstanceInfo, run: ItemRun) -> bool:
-        """Returns whether a run may still move to the place that it was assigned at an engine.
+        """Returns whether a run may still migrate to an engine where it was assigned a slot.
 
-        The engine must be known and warm, and still faster: paces may have changed meanwhile.
+        The engine must be known, warm and still faster: service times may have changed meanwhile.
         """
         known = self._services.directory.get(engine.id)
         balancer = self._services.balancer
@@ -161,11 +159,11 @@
         return balancer.placement.allows(known, self.items.work_of(run.item))
 
     def target_service_time(self, run: ItemRun) -> float:
-        """Returns the pace that a run should go on at elsewhere; 0 if it is to stay.
+        """Returns the service time limit for a run to migrate; 0 if it should stay.
 
-        Whether an engine of that pace has a free place is not asked. An engine whose weights are
-        older than those of the run's engine is about to load and to refuse all work. Of a large
-        service only some engines are looked at.
+        Does not check whether such an engine has a free slot. Ignores engines with older weights
+        than the run's engine, which are about to load and refuse all work. Considers only a sample
+        of the engines of a large service.
         """
         engine, events = run.engine, len(run.progress.events)
         service_time = self._source_service_time(engine)
@@ -182,7 +180,7 @@
         )
 
     def _best_service_time(self, service: ServiceName, work: Work, version: int) -> float:
-        """Returns the best pace at engines of a version or a newer one, as of a moment ago."""
+        """Returns the best service time at engines of at least a version; may be cached."""
         now = self._services.clock.now()
         known = self._best_service_times.get((service, work, version))
         if known is not None and now - known[0] < BEST_SERVICE_TIME_CACHE_SECONDS:
@@ -205,15 +203,15 @@
     def _with_free_slot(
         self, service: ServiceName, work: Work, within: frozenset[InstanceId] | None = None
     ) -> list[InstanceInfo]:
-        """Returns the engines that fit and have a free place, the least occupied first.
+        """Returns the matching engines with a free slot, the least occupied first.
 
         Args:
-            within: the only engines of a large service to look at; None for any.
+            within: the only engines of a large service to consider; None for any.
         """
         balancer = self._services.balancer
         fitting = balancer.candidates(service, work, eligible=self._is_not_avoided, within=within)
         return [info for info in fitting if balancer.has_free_slot(info)]
 
     def _is_not_avoided(self, info: InstanceInfo) -> bool:
-        """Returns whether an engine did not fail a moment ago."""
+        """Returns whether an engine is not avoided because of a recent failure."""
         return not self._services.balancer.is_avoided(info.id)
--- a/src/larkpost/gateway/rollouts/read_rules.py
+++ b/src/larkpost/gateway/rollouts/read_rules.py
@@ -1,27 +1,25 @@
-"""The rule by which a read of results is answered, held, or fails.
+"""Rules that decide whether a read of results is answered, held or fails.
 
-A read that may wait is held until results come, and then for a moment more for those that make the
-trainer's step whole: a trainer that gets results asks again only after a pause. The rule is a
-function of what is known of the read; the module owns no state.
+A read that may wait is held until results arrive, and briefly beyond that for the results that
+complete the trainer's step: a trainer that received results polls again only after a pause. All
+rules are pure functions of the state of the read.
 """
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 HOLD_SECONDS = 0.5
-"""For so long a read that may wait holds results back for those that make a step whole: the last
-items of a step often end within half a second of each other, and a trainer that got a response
-asks again after as long."""
+"""How long a read holds available results back for those that complete the step. The last items of
+a step often end within this time of each other, and a trainer polls again after as long."""
 OVERDUE_HOLD_SECONDS = 0.6
-"""For so long after a batch is due results are held back still. A step that is whole just after its
-due time would else cost its trainer the pause after a response; a little later results must not
-wait, as they count less by the moment."""
+"""How long after the due time of a batch results are still held back, for steps that complete just
+after it. Later results lose value with each moment, so they are answered at once."""
 MIN_WAIT_SECONDS = 0.001
-"""A remaining wait below this counts as over: the clock's own steps are not much smaller."""
+"""A remaining wait below this counts as over; near the resolution of the clock."""
 
 
 class ReadDecision(StrEnum):
-    """What becomes of a read now."""
+    """What to do with a read now."""
 
     RESPOND = "give"
     WAIT = "wait"
@@ -30,15 +28,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadState:
-    """What is known of a read.
+    """State of a pending read.
 
     Attributes:
         is_complete: whether all results of the batch are known.
-        has_new: whether there are results from the read's position on.
-        has_step: whether enough groups are whole for the trainer to go on.
+        has_new: whether there are results at or after the read's position.
+        has_enough_groups: whether enough groups are complete for the trainer's step.
         may_hold: whether results may be held back for others; see `may_hold`.
         store_failed: whether the store did not answer, so that there may be more results.
-        seconds_left: for which the caller, or the hold, lets the read wait.
+        seconds_left: remaining seconds for which the read may wait.
     """
 
     is_complete: bool
@@ -50,7 +48,7 @@
 
 
 def decide_read(state: ReadState) -> ReadDecision:
-    """Returns whether a read is answered with what is known, waits for more, or fails."""
+    """Returns whether a read is answered with the known results, waits for more, or fails."""
     is_over = state.seconds_left < MIN_WAIT_SECONDS
     if state.is_complete or (state.has_new and (is_over or _should_not_hold(state))):
         return ReadDecision.RESPOND
@@ -61,19 +59,19 @@
 
 def _should_not_hold(state: ReadState) -> bool:
     return (
-        state.has_enough_groups  # the trainer goes on with these
+        state.has_enough_groups  # the step is complete
         or not state.may_hold
-        or state.store_failed  # whether others come can't be seen
+        or state.store_failed  # new results cannot be seen
     )
 
 
 def may_hold(age: float, due: float) -> bool:
-    """Returns whether results of a batch of groups may be held back for others.
+    """Returns whether results of a batch may be held back until its step is complete.
 
-    Once the batch has been due for a while, each result counts as it comes.
+    Results are no longer held once the batch is overdue by `OVERDUE_HOLD_SECONDS`.
 
     Args:
         age: seconds since the batch was accepted.
-        due: seconds within which the batch's route wants a step.
+        due: seconds within which the batch's route wants a step; 0 for no due time.
     """
     return bool(due) and age < due + OVERDUE_HOLD_SECONDS
--- a/src/larkpost/gateway/rollouts/retry_rules.py
+++ b/src/larkpost/gateway/rollouts/retry_rules.py
@@ -1,6 +1,6 @@
-"""The rules by which an item runs again, dies or is given up, and an engine rests after a failure.
+"""Rules for retrying or giving up items, and for avoiding engines after failures.
 
-Each rule stands here once, as a function of its inputs; the module owns no state.
+All rules are pure functions of their inputs.
 """
 
 from dataclasses import dataclass
@@ -11,17 +11,17 @@
 from larkpost.gateway.servers.port import BrokenResponseError
 
 UNPROCESSABLE_STATUS = 422
-"""The engine says that the item can never be done."""
+"""Status by which an engine reports that the item can never be processed."""
 FAILED_STATUS = 500
-"""The engine says that this run has failed."""
+"""Status by which an engine reports that this run has failed."""
 REFUSED_AVOID_SECONDS = 0.15
-"""How long an engine that refused an item gets no more of them."""
+"""How long an engine gets no more items after it refused one."""
 BROKEN_AVOID_SECONDS = 0.3
-"""The same after a stream that broke off or can't be used."""
+"""How long an engine gets no more items after a broken or unusable stream."""
 SILENT_AVOID_SECONDS = 1.5
-"""The same after a silence beyond the run's time limit."""
+"""How long an engine gets no more items after a run timed out there."""
 STALLED_AVOID_SECONDS = 0.3
-"""The same after it left an item waiting though another engine had a place."""
+"""How long an engine gets no more items after a run stalled there."""
 
 
 class RunOutcome(StrEnum):
@@ -34,12 +34,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RunFailure:
-    """What follows from a run that ended without a response that says what it means.
+    """Consequences of a run that ended by a timeout or an unusable stream.
 
     Attributes:
-        outcome: what the log calls it.
+        outcome: name of the outcome in the log.
         avoid_seconds: how long the engine gets no more items.
-        loses_output: whether the output so far can't be continued, so that the item starts anew.
+        discards_output: whether the output so far is discarded, so that the item starts over.
     """
 
     outcome: str
@@ -48,13 +48,13 @@
 
 
 def classify_failed_response(status: int, failed_runs: int, max_attempts: int) -> RunOutcome:
-    """Returns whether an item runs again after a response that is no stream.
+    """Returns whether an item is retried after an error response.
 
-    Refusals and other statuses don't count as attempts: the item did not run.
+    Only responses with `FAILED_STATUS` count as attempts; after a refusal the item did not run.
 
     Args:
-        failed_runs: the item's runs that ended with `FAILED_STATUS`, this one included.
-        max_attempts: as many of them as the item's route allows.
+        failed_runs: runs of the item that ended with `FAILED_STATUS`, this one included.
+        max_attempts: failed runs after which the item's route gives up.
     """
     if status == UNPROCESSABLE_STATUS:
         return RunOutcome.DEAD
@@ -66,32 +66,34 @@
 def classify_run_error(
     error: TimeoutError | StalledError | ValueError | BrokenResponseError,
 ) -> RunFailure:
-    """Returns what follows from a run that a time limit or a useless stream ended."""
+    """Returns the consequences of a run that ended by a timeout or an unusable stream."""
     if isinstance(error, StalledError):
         return RunFailure("stalled", STALLED_AVOID_SECONDS)
     if isinstance(error, TimeoutError):
         return RunFailure("silent", SILENT_AVOID_SECONDS)
-    # After a gap, or if the whole output is no text, the beginning is no good either.
+    # Output with a gap, or that is not valid text as a whole, cannot be continued.
     discards_output = isinstance(error, (DiscontinuityError, UnicodeDecodeError))
     return RunFailure(f"broken: {error}", BROKEN_AVOID_SECONDS, discards_output)
 
 
 def is_past_lifetime(age: float, queue_lifetime: float) -> bool:
-    """Returns whether an item has been tried for as long as its route wants, and is given up.
+    """Returns whether an item is given up because its route's queue lifetime is over.
 
     Args:
-        age: seconds since its batch was accepted.
-        queue_lifetime: seconds; 0 if it is tried until its batch ends.
+        age: seconds since the batch was accepted.
+        queue_lifetime: seconds; 0 to retry until the batch ends.
     """
     return bool(queue_lifetime) and age > queue_lifetime
 
 
 def are_call_attempts_exhausted(failed_calls: int, item_attempts: int, call_attempts: int) -> bool:
-    """Returns whether a reward call is given up, and its item with it.
+    """Returns whether a reward call has no attempts left, so that its item is given up.
+
+    The greater of the two limits applies.
 
     Args:
-        failed_calls: attempts that the server itself reported as failed.
-        item_attempts: as many of them as the item's route allows; 0 if it has no route.
-        call_attempts: as many as the call's own route allows. The greater figure counts.
+        failed_calls: attempts that the server reported as failed.
+        item_attempts: limit of the item's route; 0 if it has no route.
+        call_attempts: limit of the reward call's route.
     """
     return failed_calls >= max(item_attempts, call_attempts)
