--- a/src/larkpost/gateway/rollouts/acceptance.py
+++ b/src/larkpost/gateway/rollouts/acceptance.py
@@ -1,7 +1,8 @@
-"""Accepts a batch for good, once: its items first, then its head and its tail.
+"""Accepts batches durably and exactly once.
 
-Owns the time that the store is given for the next write, learnt from the last ones. A batch is
-there once its head is, which is written on condition that there is none of its id.
+The items are written first, then the head and the tail. A batch exists once its head does; the head
+is written on condition that there is none with the same id. The timeout of these writes adapts to
+the response times of the store.
 """
 
 from dataclasses import dataclass
@@ -30,30 +31,30 @@
 )
 
 ACCEPT_TIMEOUT_SECONDS = 0.7
-"""First time limit of the write that accepts a batch; doubled after each silence."""
+"""Initial and least timeout of the write that accepts a batch; doubled after each timeout."""
 ACCEPT_TIMEOUT_FACTOR = 4.0
-"""After a response, the next write that accepts a batch may take this many times as long."""
+"""Timeout of the next accepting write as a multiple of the last response time."""
 RETRY_SECONDS = 0.1
 """Pause before a write is tried again."""
 
 
 class AcceptOutcome(StrEnum):
-    """What became of a submitted batch."""
+    """Outcome of a submission."""
 
     ACCEPTED = "accepted"
-    REFUSED = "refused"  # certainly not accepted, and it never will be by this call
-    UNCERTAIN = "uncertain"  # it may have been accepted, or may be yet
-    TAKEN = "taken"  # the id is that of another tenant's batch
+    REFUSED = "refused"  # not accepted, and this call never will
+    UNCERTAIN = "uncertain"  # it may have been accepted, or still be
+    TAKEN = "taken"  # another tenant has a batch with this id
 
 
 @dataclass(slots=True)
 class _Submission:
-    """A batch on its way into the store.
+    """A batch that is being written to the store.
 
     Attributes:
-        upload: a name for the item rows that no other call uses.
-        rows: the items.
-        is_uploaded: whether the items need no write of their own (any more).
+        upload: unique name of the item rows of this submission.
+        rows: the item rows.
+        is_uploaded: whether the item rows need no separate write, or no further one.
         is_uncertain: whether a write of the head had no response.
     """
 
@@ -66,7 +67,7 @@
 
 
 class BatchAcceptance:
-    """Accepts batches."""
+    """Writes submitted batches to the store."""
 
     def __init__(self, store: Store, clock: Clock, rows: BatchRows) -> None:
         self._store = store
@@ -77,14 +78,14 @@
     async def accept(
         self, spec: BatchSpec, owner: DaemonId, upload: str, seconds: float
     ) -> AcceptOutcome:
-        """Stores a batch for good, once.
+        """Stores a batch durably and exactly once.
 
-        The same transaction is repeated after a lost response: its condition lets it take effect
-        only once, and a conflict means that the batch is there.
+        Repeats the same transaction after a lost response. Its condition lets it take effect only
+        once, and a conflict means that the batch exists.
 
         Args:
-            upload: a name for the item rows that no other call uses.
-            seconds: for which it is tried.
+            upload: unique name of the item rows of this submission.
+            seconds: how long to keep trying.
         """
         give_up_at = self._clock.now() + seconds
         rows = self._item_rows(spec, upload)
@@ -99,7 +100,7 @@
             await self._clock.sleep(RETRY_SECONDS)
 
     async def _try(self, submission: _Submission) -> AcceptOutcome | None:
-        """Writes what is missing; None if that has to be tried again."""
+        """Makes one attempt to write the batch; None if it has to be repeated."""
         if not submission.is_uploaded:
             outcome = await self._rows.write([[row] for row in submission.rows])
             if outcome is not WriteOutcome.DONE:
@@ -116,10 +117,10 @@
         return AcceptOutcome.ACCEPTED if is_there else None
 
     async def _write(self, change: Transaction) -> WriteResult:
-        """Writes a batch's head, and learns how long the store may take for the next one.
+        """Writes the head of a batch and adapts the timeout of the next such write.
 
-        A store that is silent to this daemon alone must not hold a trainer up that another daemon
-        could serve; one that is slow to all must be given its time.
+        The timeout is short when the store is fast, so that a trainer can turn to another daemon
+        soon if only this one has lost the store. It is longer when the store is slow for everyone.
         """
         started = self._clock.now()
         result = await self._store.write(change, self._timeout)
@@ -138,7 +139,7 @@
         ]
 
     def _transaction(self, submission: _Submission) -> Transaction:
-        """Returns what makes a batch be there: its head, an empty tail, its items if they fit."""
+        """Returns the write of the head, an empty tail, and the items if they fit."""
         batch = submission.spec.id
         head_key = batch_key(HEAD_TABLE, batch)
         tail_key = batch_key(TAIL_TABLE, batch)
@@ -172,6 +173,6 @@
 
 
 def _is_other_tenants(spec: BatchSpec, rows: tuple[Row, ...]) -> bool:
-    """Returns whether the rows hold the head of a batch of this id that is another tenant's."""
+    """Returns whether the rows hold the head of another tenant's batch with this id."""
     heads = [head_of_row(row) for row in rows if row.key.table == HEAD_TABLE and row.value]
     return any(head.id == spec.id and head.tenant != spec.tenant for head in heads)
--- a/src/larkpost/gateway/rollouts/batch_run.py
+++ b/src/larkpost/gateway/rollouts/batch_run.py
@@ -1,7 +1,7 @@
-"""Runs the items of one batch until each has a result: whole, scored if it wants that, or dead.
+"""Runs the items of one batch until each has a result.
 
-Owns one task for each item and the output that they have made so far. It relies on `item_runs.py`
-for outputs and on `reward.py` for scores.
+Each item has a task of its own. `item_runner.py` produces the outputs and `reward_scorer.py` has
+them scored.
 """
 
 import asyncio
@@ -23,16 +23,15 @@
 from larkpost.gateway.rollouts.stall_detector import CHECK_INTERVAL_SECONDS
 
 FAULT_PAUSE_SECONDS = 1.0
-"""Pause before an item is run again after an unexpected error, so that a fault that comes each time
-costs little."""
+"""Pause before an item is run again after an unexpected error, which may recur each time."""
 
 
 class BatchRun:
     """Runs the unfinished items of a batch that this daemon owns, each until it has a result.
 
     Args:
-        finished: called with each result, in the order they arise.
-        kept: output that an earlier owner of the batch has kept.
+        finished: called with each result as it becomes available.
+        kept: partial outputs that an earlier owner of the batch has stored.
     """
 
     def __init__(
@@ -59,7 +58,7 @@
         self._tasks: dict[ItemId, asyncio.Task] = {}
 
     def start(self) -> None:
-        """Starts all items; each waits for its place at an engine, the longest first."""
+        """Starts all items; they queue for slots at engines, the longest first."""
         self._stall_task = asyncio.create_task(self._watch_for_stalls())
         for item in self._waiting:
             task = asyncio.create_task(self._finish_item(item), name=item.id)
@@ -68,7 +67,7 @@
         self._waiting = []
 
     def summarize_progress(self) -> BatchProgress:
-        """Returns how far the batch is, for the forecasts of all daemons."""
+        """Returns the progress of the batch, for the deadline forecasts of all daemons."""
         return summarize_progress(
             self.progress.values(), self._tokens_per_event(), len(self._slot_queue)
         )
@@ -81,7 +80,7 @@
         return service.tokens_per_event if service is not None else 1
 
     def cancel(self) -> None:
-        """Stops all runs; their connections close at once."""
+        """Cancels all runs; their connections close at once."""
         self._slot_queue.stop()
         if self._stall_task is not None:
             self._stall_task.cancel()
@@ -89,7 +88,7 @@
             task.cancel()
 
     def cancel_items(self, items: set[ItemId]) -> None:
-        """Stops the runs of items that another daemon has listed meanwhile."""
+        """Cancels the runs of items whose results another daemon has listed meanwhile."""
         for item in items & self._tasks.keys():
             self._tasks[item].cancel()
             self.progress.pop(item, None)
@@ -100,13 +99,13 @@
         self._item_runner.release_unused(item)
 
     async def _watch_for_stalls(self) -> None:
-        """Ends runs that make nothing, as many as there are free places elsewhere."""
+        """Checks for stalled runs at intervals, and aborts them if there are free slots."""
         while self._waiting or self._tasks:
             await self._services.clock.sleep(CHECK_INTERVAL_SECONDS)
             self._abort_stalled()
 
     def _abort_stalled(self) -> None:
-        """Ends stalled runs while there are more free places than items that wait for one."""
+        """Aborts stalled runs while there are more free slots than waiting items."""
         free: dict[ServiceName, int] = {}
         for watch in self._stall_detector.find_stalled(self._engine_selector.stall_timeout):
             service = watch.engine.service
@@ -117,7 +116,7 @@
                 self._stall_detector.abort(watch)
 
     async def _finish_item(self, item: Item) -> None:
-        """Runs an item and has it scored until it has a result, whatever errors come between."""
+        """Runs an item and has it scored until it has a result; survives unexpected errors."""
         progress = self.progress[item.id]
         while True:
             try:
@@ -134,10 +133,10 @@
             self._finish_dead(item, progress)
 
     async def _complete(self, progress: Progress) -> tuple[bool, str | None]:
-        """Makes an output whole and has it scored.
+        """Completes the output of an item and has it scored.
 
         Returns:
-            Whether the item is done, or else dead; its score, if it wants one.
+            Whether the item is done, or else dead; its score, if it has a reward call.
         """
         if not await self._item_runner.run_to_completion(progress):
             return False, None
--- a/src/larkpost/gateway/rollouts/claims.py
+++ b/src/larkpost/gateway/rollouts/claims.py
@@ -1,10 +1,9 @@
-"""Who owns a batch after its owner: the rule of claiming, and the claims that are written.
+"""Failover of batch ownership.
 
-The head of a batch names its owner. If the owner counts as dead, the daemon that rendezvous hashing
-names writes its own name there, on condition of the head's version. Two daemons may run one batch
-for a moment: that costs work, and the conditional appends keep the list of results right.
-
-Owns the times of this daemon's claims. The membership knows which daemons count as alive.
+The head of a batch names its owner. When the owner counts as dead, the daemon selected by
+rendezvous hashing writes its own id into the head, on condition of the head's version. Two daemons
+may run the same batch for a moment; this costs work, but conditional appends keep the result list
+correct. The membership knows which daemons count as alive.
 """
 
 from collections.abc import Callable
@@ -21,14 +20,14 @@
 from larkpost.gateway.store.port import Row, StoreUnavailableError
 
 CLAIM_INTERVAL_SECONDS = 0.5
-"""Pause between two claims of one batch: the feed has to bring what became of the first."""
+"""Least pause between two claims of one batch, in which the feed delivers the updated head."""
 
 
 class BatchClaims:
     """Decides which batches this daemon claims, and writes owners into heads.
 
     Args:
-        learn: called with the head's row after each claim, whoever is the owner by then.
+        record_head: called with the row of the head after each claim, whoever the owner is.
     """
 
     def __init__(
@@ -47,11 +46,11 @@
         self._claimed_at: dict[BatchId, float] = {}
 
     def should_claim(self, known: CachedBatchHead) -> bool:
-        """Returns whether this daemon is to claim a batch that another one owns."""
+        """Returns whether this daemon should claim a batch that another daemon owns."""
         membership = self._membership
         return (
-            membership.listed  # before, each owner would seem to be gone
-            and membership.is_coordinator()  # few daemons have to know all batches at once
+            membership.listed  # until then every owner would count as dead
+            and membership.is_coordinator()  # limits how many daemons track all batches
             and not membership.is_owner_alive(known.head.owner, known.owner_since)
             and not self._has_just_claimed(known.head.id)
             and self.successor(known.head) == membership.own
@@ -66,21 +65,21 @@
         self._claimed_at[batch] = self._clock.now()
 
     def successor(self, head: BatchHead) -> DaemonId | None:
-        """Returns the daemon that is to claim a batch; None if none may.
+        """Returns the daemon that should claim a batch; None if none may.
 
-        Who runs or removes a batch reads its items, so it must be where they may be served.
+        It must be in a region where the batch may be served, as it reads the batch's items.
         """
         return self._membership.choose_coordinator(head.id, self._allowed_regions(head))
 
     def _allowed_regions(self, head: BatchHead) -> frozenset[RegionId] | None:
-        """Returns the only regions in which a batch may be served; None for all."""
+        """Returns the regions in which a batch may be served; None for all."""
         configuration = self._services.configuration.current
         if configuration is None:
             return frozenset()
         return configuration.allowed_regions_at(head.tenant, head.host, head.path.encode("latin-1"))
 
     async def claim(self, known: CachedBatchHead, owner: DaemonId) -> None:
-        """Writes an owner into a head; if another change came first, learns the head as it is."""
+        """Writes an owner into a head, and records the head as it is afterwards."""
         batch = known.head.id
         done = await self._repository.claim(known.head, known.version, owner)
         outcome = "done" if done else "failed"
@@ -95,6 +94,6 @@
         try:
             row = await self._repository.head_row(batch)
         except StoreUnavailableError:
-            return  # the feed will tell what the head is
+            return  # the feed delivers the head
         if row is not None:
             self._record_head(row)
--- a/src/larkpost/gateway/rollouts/engine_runner.py
+++ b/src/larkpost/gateway/rollouts/engine_runner.py
@@ -1,7 +1,7 @@
-"""One run of an item at an engine: the request, its stream, and how they end.
+"""Single runs of items at engines: the request, its response stream, and the outcome.
 
-Owns nothing but the runs under way. It relies on `run_events.py` to record the stream, on
-`engine_rules.py` for whether a run moves, and on `retry_rules.py` for what a refusal means.
+`event_recorder.py` records the stream, `engine_rules.py` decides whether a run migrates, and
+`retry_rules.py` decides what an error response means.
 """
 
 import asyncio
@@ -31,17 +31,17 @@
 )
 
 FIRST_EVENT_SECONDS = 2.5
-"""Longest wait for a response's head and for its first event."""
+"""Timeout of the first event, including connecting and the response headers."""
 EVENTS_BETWEEN_CHECKS = 4
-"""Events of a run between two checks for a faster engine."""
+"""Number of events between two checks for a faster engine."""
 
 
 class EngineRunner:
-    """Makes the runs of one batch's items at engines.
+    """Runs the items of one batch at engines.
 
     Args:
-        items: all items of the batch that are to run.
-        places: where runs request places at faster engines.
+        items: all items of the batch that still have to run.
+        slot_queue: queue in which runs request slots at faster engines.
     """
 
     def __init__(
@@ -60,16 +60,16 @@
         self._priorities = EnginePriorities(items)
 
     async def run(self, run: ItemRun) -> RunOutcome:
-        """Runs an item at an engine from where it is, and returns how that ended.
+        """Runs an item at an engine, resuming after its last event, and returns the outcome.
 
         Raises:
-            NotRunError: it certainly did not run.
-            BrokenResponseError: the stream broke off, or its version is not to be used.
+            NotRunError: the item certainly did not run.
+            BrokenResponseError: the stream broke off, or its weight version must not be used.
             DiscontinuityError: an event does not follow the last one.
-            UnicodeDecodeError: the whole output is no text.
-            MoveAwayError: it has a place at a faster engine.
-            StalledError: the run was ended by the watcher of stalls.
-            TimeoutError: the engine was silent.
+            UnicodeDecodeError: the complete output is not valid UTF-8.
+            MigrateRunError: the item has a slot at a faster engine.
+            StalledError: the stall detector has aborted the run.
+            TimeoutError: no event arrived in time.
         """
         if run.progress.last_event is not None and run.route.single_version:
             self._keep_single_version(run)
@@ -84,7 +84,7 @@
             raise
 
     async def _stream(self, run: ItemRun, watch: MonitoredRun) -> RunOutcome:
-        """Sends the request and records the response."""
+        """Sends the request and records the response stream."""
         balancer = self._services.balancer
         request = self._request(run)
         within = balancer.placement.admit(
@@ -98,19 +98,19 @@
                 return _record_failure(run, response.status)
             await self._read_events(run, watch, response)
         if not run.progress.events:
-            raise BrokenResponseError("a stream without events")
+            raise BrokenResponseError("the stream ended without any event")
         run.progress.complete()
         return RunOutcome.COMPLETE
 
     async def _read_events(
         self, run: ItemRun, watch: MonitoredRun, response: ServerResponse
     ) -> None:
-        """Records the events of a run until the stream ends or the run is to move.
+        """Records the events of a run until the stream ends or the run migrates.
 
         Raises:
-            BrokenResponseError: the stream broke off, or its version is not to be used.
+            BrokenResponseError: the stream broke off, or its weight version must not be used.
             DiscontinuityError: an event does not follow the last one.
-            MoveAwayError: it has a place at a faster engine.
+            MigrateRunError: the item has a slot at a faster engine.
         """
         faster = FasterEngineRequest(self._slot_queue, self._engine_selector, run)
         try:
@@ -144,7 +144,7 @@
         )
 
     def _priority(self, run: ItemRun) -> int | None:
-        """Returns the rank that the engine is sent; None for none."""
+        """Returns the priority that is sent to the engine; None without a configuration."""
         configuration = self._services.configuration.current
         if configuration is None:
             return None
@@ -153,14 +153,14 @@
         return self._priorities.engine_priority(run.progress, priority, yields=yields)
 
     def _keep_single_version(self, run: ItemRun) -> None:
-        """Drops the output if the engine has another version than the one that made it."""
+        """Discards the output unless the engine's version has produced all of it."""
         version = self._services.directory.version_of(run.engine.id, self._head.model)
         if run.progress.versions != {version}:
             run.progress.restart()
 
 
 def _record_failure(run: ItemRun, status: int) -> RunOutcome:
-    """Counts a response that is no stream, and returns whether the item runs again."""
+    """Records an error response, and returns whether the item is retried."""
     progress = run.progress
     if status == UNPROCESSABLE_STATUS:
         progress.unprocessable_responses += 1
--- a/src/larkpost/gateway/rollouts/event_recorder.py
+++ b/src/larkpost/gateway/rollouts/event_recorder.py
@@ -1,6 +1,6 @@
-"""Records the events of one run of an item: output, versions, and the pace of the engine.
+"""Records the event stream of one run: output, weight versions and service times.
 
-Owns what is known of one stream; the output itself is the item's `Progress`.
+The output itself is kept in the item's `Progress`.
 """
 
 import asyncio
@@ -14,22 +14,20 @@
 from larkpost.gateway.servers.port import BrokenResponseError, StreamEvent
 
 MAX_EVENT_GAP_SECONDS = 1.2
-"""Longest pause between two events before the run is continued elsewhere. A trial with 0.8 s
-together with another change was worse than this, and was reverted."""
+"""Longest gap between two events before the run times out and continues elsewhere."""
 EVENT_SERVICE_TIME_WEIGHT = 0.06
-"""Weight of one pause between two events in an engine's pace, which is so smoothed over about 16
-events: single pauses vary with the prefills of other requests, and runs left their engines for
-ones whose pace was a stray measurement."""
+"""Weight of one event in an engine's service time. Single events are delayed by the prefill of
+other requests, so that a larger weight would make runs migrate because of outliers."""
 
 
 class EventRecorder:
-    """The events of one run.
+    """Records the events of one run.
 
     Args:
-        version: of the engine's weights, as the head of its response names it.
+        version: weight version of the engine according to its response headers.
 
     Attributes:
-        count: events of this run.
+        count: number of events of this run.
     """
 
     def __init__(
@@ -53,7 +51,7 @@
         """Adds an event to the item's output.
 
         Raises:
-            BrokenResponseError: its version is not to be used.
+            BrokenResponseError: its weight version must not be used.
             DiscontinuityError: it does not follow the last one.
         """
         now = asyncio.get_running_loop().time()
@@ -71,21 +69,21 @@
         self._services.directory.observe_version(engine.id, self._head.model, version)
 
     def _check_version(self) -> None:
-        """Raises unless the engine's version may make the next event.
+        """Raises unless the current weight version may produce the next event.
 
         Raises:
-            BrokenResponseError: it is too old, or another than that of the output so far though
-                the route wants a single one; the output is dropped then.
+            BrokenResponseError: the version is too old; or it differs from that of the output so
+                far although the route requires a single one, and the output is discarded.
         """
         if self._version < self._head.minimum_version:
-            raise BrokenResponseError(f"version {self._version} is too old")
+            raise BrokenResponseError(f"weight version {self._version} is too old")
         progress = self._run.progress
         if self._run.route.single_version and progress.versions - {self._version}:
             progress.restart()
-            raise BrokenResponseError("the version changed within a result")
+            raise BrokenResponseError("the weight version changed within a result")
 
     def _record_latency(self, now: float) -> None:
-        """Records the time from the beginning to the first event, and all later pauses as pace."""
+        """Records the time to the first event, and later gaps as the engine's service time."""
         if self._last_event_at is None:
             seconds = now - self._watch.started_at
             self._services.metrics.observe(Timing.ITEM_FIRST_EVENT, seconds)
--- a/src/larkpost/gateway/rollouts/faster_engine.py
+++ b/src/larkpost/gateway/rollouts/faster_engine.py
@@ -1,7 +1,8 @@
-"""A run's request for a place at a faster engine, made while the run goes on where it is.
+"""Migration of a run to a faster engine.
 
-Owns the request of one run. `engine_rules.py` says whether the run is worth moving, and
-`place_queue.py` assigns the place. No run leaves its engine for another one without a place there.
+The run requests a slot and continues where it is until the slot is assigned. `engine_rules.py`
+decides whether migrating is worthwhile, and `slot_queue.py` assigns the slot. A run never leaves
+its engine without a slot at the other one.
 """
 
 import asyncio
@@ -13,19 +14,19 @@
 
 
 class MigrateRunError(Exception):
-    """The run is to go on at a faster engine.
+    """Ends a run that continues at a faster engine.
 
     Attributes:
-        engine: where a place was taken for it.
+        engine: the engine where a slot is reserved for the item.
     """
 
     def __init__(self, engine: InstanceInfo) -> None:
-        super().__init__("a faster engine has a place")
+        super().__init__("a faster engine has a free slot")
         self.engine = engine
 
 
 class FasterEngineRequest:
-    """The request of a run at a slow engine for a place at a fast one."""
+    """Request of a run at a slow engine for a slot at a faster one."""
 
     def __init__(
         self, slot_queue: SlotQueue, engine_selector: EngineSelector, run: ItemRun
@@ -36,7 +37,7 @@
         self._slot: asyncio.Future[InstanceInfo] | None = None
 
     def request_if_slow(self) -> None:
-        """Requests a place if the engine is so slow for good that the run is worth moving."""
+        """Requests a slot if the engine is so slow that migrating is worthwhile."""
         if self._slot is not None:
             return
         run = self._run
@@ -45,10 +46,10 @@
             self._slot = self._slot_queue.request(run.progress, run.route, service_time)
 
     def raise_if_assigned(self) -> None:
-        """Ends the run once it has a place; a place that may be used no longer is given back.
+        """Ends the run if a slot was assigned; releases the slot if it is no longer usable.
 
         Raises:
-            MoveAwayError: there is a place, which is the caller's from now on.
+            MigrateRunError: a slot was assigned; the caller owns it from now on.
         """
         if self._slot is None or not self._slot.done():
             return
--- a/src/larkpost/gateway/rollouts/item_runner.py
+++ b/src/larkpost/gateway/rollouts/item_runner.py
@@ -1,8 +1,7 @@
-"""Runs an item at one engine after another until its output is whole or it can have none.
+"""Runs an item at one engine after another until its output is complete or the item is given up.
 
-Owns the places that runs have taken at faster engines before they ended. It relies on
-`place_queue.py` for places, on `engine_run.py` for single runs, and on `retry_rules.py` for what
-follows from their ends.
+Owns the slots that migrating runs have reserved at faster engines. `slot_queue.py` assigns slots,
+`engine_runner.py` makes single runs, and `retry_rules.py` decides what follows from their outcomes.
 """
 
 from larkpost.gateway.blackboard.configuration import Route
@@ -26,9 +25,9 @@
 from larkpost.gateway.servers.port import BrokenResponseError, NotRunError
 
 RETRY_PAUSE_SECONDS = 0.03
-"""Pause before an item waits for a place again. One pass over the queue."""
+"""Pause before an item queues for a slot again; one pass over the queue."""
 QUARANTINE_CHECK_SECONDS = 0.5
-"""Between two checks whether an item that crashes engines may run again, or its time is over."""
+"""Interval of the checks whether a quarantined item may run again or has expired."""
 
 EXPECTED_ERRORS = (
     NotRunError,
@@ -39,11 +38,11 @@
     UnicodeDecodeError,
     BrokenResponseError,
 )
-"""Ends of a run after which the item goes on; all other errors are faults of this program."""
+"""Errors after which the item is run again; any other error is a bug."""
 
 
 class ItemRunner:
-    """Makes the outputs of one batch's items whole."""
+    """Runs the items of one batch to completion."""
 
     def __init__(
         self,
@@ -59,12 +58,12 @@
         self._runs = runs
         self._services = services
         self._assigned_engines: dict[ItemId, InstanceInfo] = {}
-        """Places that runs have taken for their items before they ended, by item."""
+        """Engines with a slot reserved by a migrating run, by item."""
         self._queued_at: dict[ItemId, float] = {}
-        """Steady times since which items that have not run yet wait."""
+        """Monotonic times at which items that have not run yet were queued."""
 
     async def run_to_completion(self, progress: Progress) -> bool:
-        """Runs an item at engines until its output is whole; False if it can never be."""
+        """Runs an item until its output is complete; False if the item is given up."""
         item = progress.item
         self._queued_at[item.id] = self._services.clock.now()
         while not progress.whole:
@@ -76,13 +75,13 @@
         return True
 
     def release_unused(self, item: ItemId) -> None:
-        """Releases the place that a run has taken for an item that runs no more."""
+        """Releases the slot that a migrating run has reserved for an item that runs no more."""
         unclaimed = self._assigned_engines.pop(item, None)
         if unclaimed is not None:
             self._services.balancer.release(unclaimed.id)
 
     async def _attempt_run(self, progress: Progress) -> RunOutcome:
-        """Runs an item once if it may run and gets a place."""
+        """Runs an item once if it may run and gets a slot."""
         item = progress.item
         route = self._routes.route_of(item)
         if self._routes.is_expired(route):
@@ -98,13 +97,13 @@
         return await self._run_at(ItemRun(engine, route, progress))
 
     async def _acquire_slot(self, progress: Progress, route: Route) -> InstanceInfo | None:
-        """Returns where the item has a place; None if there was none for a while."""
+        """Returns the engine where the item has a slot; None after a timeout."""
         item = progress.item.id
         engine = self._assigned_engines.pop(item, None)
         if engine is None:
             engine = await self._slot_queue.acquire(progress, route, progress.previous_service_time)
         if engine is None:
-            progress.previous_service_time = 0.0  # no engine as fast has a place any more
+            progress.previous_service_time = 0.0  # no engine as fast has a free slot
             return None
         queued_at = self._queued_at.pop(item, None)
         if queued_at is not None:
@@ -113,9 +112,9 @@
         return engine
 
     def _is_quarantined(self, item: Item) -> bool:
-        """Returns whether an item must not run, as too many engines have crashed under its like.
+        """Returns whether an item must not run, as too many engines crashed under its content.
 
-        It is not given up: it runs again if it is cleared, until its time is over.
+        The item is not given up: it runs again if its content is cleared before it expires.
         """
         crashes = self._services.crashes
         if not crashes.has_suspects:
@@ -123,7 +122,7 @@
         return crashes.is_content_quarantined(item.content(self._head), BATCH_CRASH_LIMIT)
 
     async def _run_at(self, run: ItemRun) -> RunOutcome:
-        """Runs an item at its place at an engine, and releases the place."""
+        """Runs an item at the engine where it has a slot, and releases the slot."""
         started = self._services.clock.now()
         resumed_after = run.progress.last_event
         end = RunOutcome.RETRY
@@ -138,7 +137,7 @@
         return end
 
     def _record_error(self, run: ItemRun, error: Exception) -> str:
-        """Records what follows from the end of a run, and returns what the log calls it."""
+        """Records the consequences of a failed run, and returns its outcome for the log."""
         balancer, engine = self._services.balancer, run.engine.id
         if isinstance(error, NotRunError):
             balancer.record_cold(engine, error.cold_left)
@@ -163,7 +162,7 @@
     def _record_run(
         self, run: ItemRun, resumed_after: int | None, started: float, outcome: str
     ) -> None:
-        """Logs the end of one run with what decided where it ran."""
+        """Logs the end of a run with the state of its engine."""
         seconds = self._services.clock.now() - started
         balancer = self._services.balancer
         directory = self._services.directory
--- a/src/larkpost/gateway/rollouts/reward_rules.py
+++ b/src/larkpost/gateway/rollouts/reward_rules.py
@@ -1,7 +1,6 @@
-"""The rules of reward calls: which server, how long it is given, and what its response means.
+"""Rules of reward calls: server selection, timeouts, and the meaning of responses.
 
-Each rule stands here once, as a function of its inputs; the module owns no state. How often a call
-may fail is a rule of `retry_rules.py`.
+All rules are functions of their inputs. The limit of failed attempts is in `retry_rules.py`.
 """
 
 from dataclasses import dataclass
@@ -12,32 +11,32 @@
 from larkpost.gateway.servers.port import NotRunReason
 
 CLIENT_RESERVED_SHARE = 1 / 3
-"""Share of a server's slots that reward calls leave to clients."""
+"""Fraction of a server's slots that is reserved for client requests."""
 MIN_CALL_TIMEOUT_SECONDS = 0.8
-"""Least time that a server is given for a call."""
+"""Lower bound of the timeout of a call, before it is doubled for earlier timeouts."""
 MAX_CALL_TIMEOUT_SECONDS = 10.0
-"""Most time that a server is given for a call."""
+"""Upper bound of the timeout of a call."""
 CALL_TIMEOUT_SERVICE_TIME_FACTOR = 8.0
-"""A server is given this many times what calls take there, twice as much after each silence."""
+"""Timeout of a call as a multiple of the server's service time; doubled after each timeout."""
 
 
 class RewardCallOutcome(StrEnum):
-    """How one attempt of a reward call ended; one that did not run ends with its reason."""
+    """Outcome of an attempt of a reward call that may have run at a server."""
 
     SCORED = "scored"
     FAILED = "failed"  # the server reported that it failed
-    BROKEN = "broken"  # no whole response, or a success without a signature
+    BROKEN = "broken"  # an incomplete response, or a success without a signature
     TIMED_OUT = "silent"
     REJECTED = "rejected"  # any other response
 
 
 @dataclass(frozen=True, slots=True)
 class RewardAttempt:
-    """The end of one attempt.
+    """Result of one attempt of a reward call.
 
     Attributes:
-        end: a `CallEnd`, or the reason why it did not run.
-        score: the server's signature if it was scored.
+        outcome: a `RewardCallOutcome`, or the reason why the call did not run.
+        score: signature of the server's response; None unless the outcome is `SCORED`.
     """
 
     outcome: RewardCallOutcome | NotRunReason
@@ -46,11 +45,11 @@
 
 @dataclass(slots=True)
 class RewardCallHistory:
-    """The attempts of one call so far.
+    """Attempts of one reward call so far.
 
     Attributes:
-        servers: those tried since each of the service's servers was tried.
-        silences: attempts that ended in silence.
+        servers: servers tried in the current round; emptied once all with a free slot were tried.
+        timeouts: number of attempts that timed out.
     """
 
     servers: set[InstanceId]
@@ -58,16 +57,16 @@
 
 
 def usable_slots(slots: int) -> int:
-    """Returns how many of a server's slots may be occupied when a reward call is sent to it."""
+    """Returns the number of occupied slots from which a server gets no more reward calls."""
     return max(1, int(slots * (1 - CLIENT_RESERVED_SHARE)))
 
 
 def call_timeout_seconds(service_time: float, timeouts: int) -> float:
-    """Returns the seconds that a server is given for a call.
+    """Returns the timeout of a call.
 
     Args:
-        pace: seconds that a call takes there; 0 if not known.
-        silences: attempts of this call that ended in silence, at any server.
+        service_time: seconds that a call takes at the server; 0 if unknown.
+        timeouts: attempts of this call that timed out, at any server.
     """
     scaled = CALL_TIMEOUT_SERVICE_TIME_FACTOR * service_time
     return min(MAX_CALL_TIMEOUT_SECONDS, max(MIN_CALL_TIMEOUT_SECONDS, scaled) * 2**timeouts)
@@ -76,12 +75,12 @@
 def choose_server(
     candidates: list[InstanceInfo], history: RewardCallHistory
 ) -> InstanceInfo | None:
-    """Returns the best server with a place, one that was not tried yet if there is one.
+    """Returns the best server with a free slot, preferring servers that were not tried yet.
 
-    Once all that have a place were tried, the record of servers tried begins anew.
+    Clears the record of tried servers once all candidates were tried.
 
     Args:
-        candidates: the servers with a place, the best first.
+        candidates: servers with a free slot, the best first.
     """
     fresh = [info for info in candidates if info.id not in history.servers]
     if candidates and not fresh:
@@ -91,7 +90,7 @@
 
 
 def classify_call_response(status: int, signature: str | None) -> RewardAttempt:
-    """Returns what a whole response means; a score is nothing but a success that is signed."""
+    """Returns the meaning of a complete response; only a signed success is a score."""
     if 200 <= status < 300:
         if signature:
             return RewardAttempt(RewardCallOutcome.SCORED, signature)
--- a/src/larkpost/gateway/rollouts/slot_queue.py
+++ b/src/larkpost/gateway/rollouts/slot_queue.py
@@ -1,13 +1,13 @@
-"""The items of one batch that wait for a place at an engine: which item is served next.
+"""Queue of the items of one batch that wait for a slot at an engine.
 
-Items that have shown themselves long come before all others, as a step waits for them; then the
-items come by falling expected work. An item that runs at a slow engine may request a place at a
-fast one too, and goes on meanwhile.
+Items known to be long come first, as the training step waits for them; the others follow by
+descending expected work. An item that runs at a slow engine may queue for a slot at a faster one
+while it continues.
 
-The module owns the queue; `engine_choice.py` says which engine an item gets, and the balancer
-counts the place. One pass over the queue checks the engines once for each item that it serves,
-however many wait: the first item of a service that finds no place ends the pass for all items of
-that service and those regions.
+`engine_selector.py` selects the engine of an item, and the balancer counts the slot. A pass over
+the queue searches the engines once for each item that it serves, however many wait: the first
+request that finds no slot ends the pass for all requests with the same service and placement
+requirements that are at least as hard to serve.
 """
 
 import asyncio
@@ -24,23 +24,23 @@
 from larkpost.gateway.rollouts.progress import Progress
 
 PASS_INTERVAL_SECONDS = 0.03
-"""Pause between two passes: places free up without notice when other daemons' requests end. About
-the time that one event takes."""
+"""Interval between two passes; slots freed by other daemons' requests are found by polling."""
 MAX_SLOTS_PER_PASS = 8
-"""Places assigned before the loop turns: what is placed first, the longest items, is sent first."""
+"""Slots assigned before yielding to the event loop, so that the first items are sent first."""
 TIMEOUT_SECONDS = 0.5
-"""How long an item waits before its route and its time are checked again."""
+"""How long an item waits before its route and lifetime are checked again."""
 FAST_ENGINE_TIMEOUT_SECONDS = 0.1
-"""The same for an item that wants a fast engine; after that it takes any. Some three passes."""
+"""How long an item waits for a fast engine; then it accepts any."""
 
 
 @dataclass(frozen=True, slots=True)
 class _SlotRequest:
-    """An item in the queue; ``place`` gets its engine as result.
+    """Request of an item for a slot.
 
     Attributes:
-        pace_limit: the engine must be about as fast as this, in seconds for an event; 0 for any.
-        order: the lowest is served first.
+        service_time_limit: longest seconds per event at the engine; 0 for any engine.
+        slot: future whose result is the engine.
+        order: sort key; the lowest is served first.
     """
 
     item: Item
@@ -52,22 +52,22 @@
 
 @dataclass(slots=True)
 class _UnavailableSlots:
-    """What one pass has learnt of places that there are not.
+    """Requirements for which one pass has found no slot.
 
     Attributes:
-        full: services, and what is asked of their engines, without any place.
-        slow: the greatest pace limit that no engine with a place has met.
+        full: services and placement requirements without any free slot.
+        slow: for each of them, the longest service time limit that no engine with a free slot met.
     """
 
     full: set[tuple[ServiceName, Work]] = field(default_factory=set)
     slow: dict[tuple[ServiceName, Work], float] = field(default_factory=dict)
 
     def rules_out(self, wanted: tuple[ServiceName, Work], service_time_limit: float) -> bool:
-        """Returns whether a request needs no check, as one easier to serve has found no place."""
+        """Returns whether a request can be skipped, as an easier one has found no slot."""
         return wanted in self.full or 0 < service_time_limit <= self.slow.get(wanted, 0.0)
 
     def record(self, wanted: tuple[ServiceName, Work], service_time_limit: float) -> None:
-        """Records that a request has found no place."""
+        """Records that a request has found no slot."""
         if service_time_limit:
             self.slow[wanted] = max(self.slow.get(wanted, 0.0), service_time_limit)
         else:
@@ -75,7 +75,7 @@
 
 
 class SlotQueue:
-    """Gives waiting items places at engines."""
+    """Assigns slots at engines to the waiting items of one batch."""
 
     def __init__(self, engine_selector: EngineSelector, balancer: Balancer, clock: Clock) -> None:
         self._engine_selector = engine_selector
@@ -90,13 +90,13 @@
     async def acquire(
         self, progress: Progress, route: Route, service_time_limit: float = 0.0
     ) -> InstanceInfo | None:
-        """Waits for a place; None if there was none for a while.
+        """Waits for a slot and returns its engine; None after a timeout.
 
-        The place counts as occupied from its assignment on; the caller releases it.
+        The slot counts as occupied once it is assigned; the caller releases it.
 
         Args:
-            progress: of the item that wants the place.
-            pace_limit: how fast the engine must be, in seconds for an event; 0 for any.
+            progress: of the item that requests the slot.
+            service_time_limit: longest seconds per event at the engine; 0 for any engine.
         """
         slot = self.request(progress, route, service_time_limit)
         try:
@@ -113,7 +113,7 @@
     def request(
         self, progress: Progress, route: Route, service_time_limit: float = 0.0
     ) -> asyncio.Future[InstanceInfo]:
-        """Requests a place without waiting; see `take`. It must be used, or cancelled."""
+        """Requests a slot without waiting; see `acquire`. The caller must use or cancel it."""
         slot: asyncio.Future[InstanceInfo] = asyncio.get_running_loop().create_future()
         entry = _SlotRequest(progress.item, route, service_time_limit, slot, queue_order(progress))
         bisect.insort(self._waiting, entry, key=lambda waiting: waiting.order)
@@ -122,14 +122,14 @@
         return slot
 
     def cancel(self, slot: asyncio.Future[InstanceInfo]) -> None:
-        """Cancels a request; a place that was assigned meanwhile is free again."""
+        """Cancels a request, and releases the slot if one was assigned meanwhile."""
         if slot.done():
             self._balancer.release(slot.result().id)
             return
         self._waiting = [entry for entry in self._waiting if entry.slot is not slot]
 
     def stop(self) -> None:
-        """Stops serving."""
+        """Stops assigning slots."""
         if self._serve_task is not None:
             self._serve_task.cancel()
 
@@ -140,7 +140,7 @@
             await self._clock.sleep(PASS_INTERVAL_SECONDS)
 
     def _pass(self) -> int:
-        """Assigns at most `PLACES_AT_ONCE` places, the longest items first, and counts them."""
+        """Assigns up to `MAX_SLOTS_PER_PASS` slots in queue order and returns their number."""
         unavailable = _UnavailableSlots()
         left: list[_SlotRequest] = []
         assigned = 0
@@ -153,7 +153,7 @@
         return assigned
 
     def _assign(self, entry: _SlotRequest, unavailable: _UnavailableSlots) -> bool:
-        """Gives an item a place if there is one, and returns whether there is."""
+        """Assigns a slot to a request and returns whether there was one."""
         service = self._engine_selector.items.service_of(entry.item, entry.route)
         if service is None:
             return False
@@ -172,8 +172,8 @@
 
 
 def queue_order(progress: Progress) -> tuple[bool, float]:
-    """Returns an item's rank in the queue, by these criteria; the lowest is served first."""
+    """Returns the sort key of an item in the queue; the lowest is served first."""
     return (
-        not progress.is_long,  # a step waits for items that have shown themselves long
-        -progress.item.expected_work,  # tokens; what takes longest begins first
+        not progress.is_long,  # the training step waits for long items
+        -progress.item.expected_work,  # in tokens; the longest items start first
     )
