--- a/src/larkpost/gateway/rollouts/batch_forecaster.py
+++ b/src/larkpost/gateway/rollouts/batch_forecaster.py
@@ -1,7 +1,7 @@
-"""The outlook of each open batch: its own daemon's word, or what its owner has reported.
+"""Deadline forecasts of the open batches, from their progress as their owners report it.
 
-Owns what the owners of batches report. `controllers/batch_forecast.py` has the rule; this module
-gathers its inputs: due times from the heads and routes, paces from the balancer.
+`controllers/batch_forecast.py` has the rules; this module gathers their inputs: the reported
+progress, due times from heads and routes, and service times from the balancer.
 """
 
 from collections import defaultdict
@@ -30,18 +30,18 @@
 from larkpost.gateway.rollouts.model import BatchHead
 
 LOWEST_PRIORITY = 9
-"""Of a model without a batch, or whose route is not known."""
+"""Priority of a model without a batch, or whose route is unknown."""
 REPORT_LIFETIME_SECONDS = 1.2
-"""How long a report is believed: some four heartbeats. Then nothing is known of its batches."""
+"""Lifetime of a progress report; the progress of its batches is unknown afterwards."""
 
 
 @dataclass(frozen=True, slots=True)
 class ForecastInputs:
-    """What outlooks are worked out from, beside reports.
+    """Inputs of deadline forecasts other than progress reports.
 
     Attributes:
-        pace: returns the seconds that an event takes at an engine; 0 if not known.
-        store_time: returns the store's clock in seconds, or None if it is not known.
+        service_time: returns the seconds per event of an engine; 0 if unknown.
+        store_time: returns the store's clock in seconds; None if unknown.
     """
 
     configuration: ConfigurationState
@@ -53,11 +53,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelHeads:
-    """The heads of batches that demands are worked out from.
+    """Heads of the batches from which the demand of models is computed.
 
     Attributes:
-        open: of the batches that are open.
-        newest: of each model's newest batch: between two steps none is open, but versions load.
+        open: heads of the open batches.
+        newest: head of each model's newest batch, as no batch may be open between two steps.
     """
 
     open: Iterable[BatchHead]
@@ -65,15 +65,15 @@
 
 
 class BatchForecaster:
-    """What is known of the progress of open batches, and what follows from it."""
+    """Keeps the reported progress of open batches and forecasts their deadlines."""
 
     def __init__(self, inputs: ForecastInputs) -> None:
         self._inputs = inputs
         self._reports: dict[DaemonId, tuple[float, dict[BatchId, BatchProgress]]] = {}
-        """What each owner reported last, and the steady time of that."""
+        """Monotonic time and content of the last report of each owner."""
 
     def record_report(self, daemon: DaemonId, batches: dict[BatchId, BatchProgress]) -> None:
-        """Records what another daemon reports of its batches, in place of its last report."""
+        """Records the batch progress reported by another daemon, replacing its last report."""
         if batches:
             self._reports[daemon] = (self._inputs.clock.now(), batches)
         else:
@@ -85,7 +85,7 @@
         heads: ModelHeads,
         own: dict[BatchId, BatchProgress],
     ) -> dict[ModelName, ModelDemand]:
-        """Returns what models ask for, with the outlook of their open batches added.
+        """Returns the demands with the deadline forecasts of open batches added.
 
         Args:
             own: progress of the batches that this daemon owns.
@@ -113,7 +113,7 @@
         }
 
     def _priorities(self, heads: ModelHeads) -> dict[ModelName, int]:
-        """Returns the priority of each model: the highest of its open and its newest batch."""
+        """Returns the highest priority of each model's open batches and newest batch."""
         priorities: dict[ModelName, int] = {}
         for head in (*heads.open, *heads.newest):
             known = priorities.get(head.model, LOWEST_PRIORITY)
@@ -121,7 +121,7 @@
         return priorities
 
     def _recent_reports(self) -> dict[BatchId, BatchProgress]:
-        """Returns what the others reported a moment ago."""
+        """Returns the progress in current reports of other daemons, and drops expired reports."""
         oldest = self._inputs.clock.now() - REPORT_LIFETIME_SECONDS
         for daemon in [name for name, (at, _) in self._reports.items() if at < oldest]:
             del self._reports[daemon]
@@ -137,10 +137,10 @@
         progress: BatchProgress,
         capacities: dict[ServiceName, BatchCapacity],
     ) -> DeadlineForecast:
-        """Returns the outlook of a batch.
+        """Returns the deadline forecast of a batch.
 
         Args:
-            capacities: of the services that other batches of the same pass have asked for.
+            capacities: cache of service capacities; extended if the batch's service is missing.
         """
         now = self._inputs.store_time()
         configuration = self._inputs.configuration.current
@@ -166,9 +166,9 @@
         return configuration.priority_of(head.tenant, route)
 
     def _capacity(self, service: Service) -> BatchCapacity:
-        """Returns what a service's engines can do for a batch.
+        """Returns the capacity of a service's engines for a batch.
 
-        It counts on an equal share of them, less what its model may lend.
+        Assumes an equal share of them for each model, less the fraction that a model may lend.
         """
         engines = self._inputs.directory.ready_of(service.name)
         known = (self._inputs.service_time(info.id) for info in engines)
@@ -185,7 +185,7 @@
 
 
 def _service_of(route: Route | None, configuration: Configuration) -> Service | None:
-    """Returns the service of engines that a route names first; None if it names none."""
+    """Returns the engine service that a route names first; None if it names none."""
     if route is None or not route.shares:
         return None
     service = configuration.services.get(route.shares[0].service)
--- a/src/larkpost/gateway/rollouts/batch_head_cache.py
+++ b/src/larkpost/gateway/rollouts/batch_head_cache.py
@@ -1,6 +1,6 @@
-"""The heads of batches as this daemon last read them: who owns which batch, what models must do.
+"""Cache of the heads of all stored batches, updated from the feed of the head table.
 
-Owns the heads of all batches that are stored, as the feed of the head table brings them.
+Tells who owns which batch, and the demand of each model.
 """
 
 import heapq
@@ -18,23 +18,23 @@
 from larkpost.gateway.store.port import Row
 
 DEMAND_BATCHES = 6
-"""Newest batches of a model over which its work is averaged: the guesses of single batches differ
-by so much that engines would change their models with each step."""
+"""Number of newest batches over which the work of a model is averaged. The expected work of single
+batches varies so much that engines would change models with each step."""
 MAX_CLOCK_SKEW_SECONDS = 0.2
-"""By so much a batch may seem older than the version that it came with, as clocks differ."""
+"""Clock difference by which a batch may seem older than the version announced with it."""
 MAX_NEW_BATCH_AGE_SECONDS = 1.0
-"""A batch accepted longer ago is not news: this daemon has just started, or was cut off."""
+"""Age above which a batch does not count as new: this daemon has just started, or lost the feed."""
 
 
 @dataclass(frozen=True, slots=True)
 class CachedBatchHead:
-    """A head as last read.
+    """A batch head as last read.
 
     Attributes:
-        version: of its row.
-        owner_since: steady time at which this daemon learnt who the owner is.
-        asked_after: the version that was its model's newest when this daemon learnt of the batch,
-            and for how long it was; None if it did not see both happen.
+        version: version of the head's row.
+        owner_since: monotonic time at which this daemon learnt who the owner is.
+        submitted_after: the model's newest weight version when the batch was accepted, and how long
+            before that it was announced; None if this daemon did not observe both.
     """
 
     head: BatchHead
@@ -44,11 +44,11 @@
 
 
 class BatchHeadCache:
-    """The heads of all batches that are known.
+    """Heads of all known batches.
 
     Args:
-        last_naming: returns when a model's newest version was named; None if that was not seen.
-        age: returns the seconds since a batch was accepted; None if not known.
+        last_announcement: returns the last version announcement of a model; None if not observed.
+        age: returns the seconds since a batch was accepted; None if unknown.
     """
 
     def __init__(
@@ -66,11 +66,11 @@
         return iter(list(self._heads.values()))
 
     def get(self, batch: BatchId) -> CachedBatchHead | None:
-        """Returns what is known of a batch's head."""
+        """Returns the cached head of a batch; None if there is none."""
         return self._heads.get(batch)
 
     def record(self, row: Row) -> None:
-        """Records a head's row unless a newer one is known."""
+        """Records the row of a head unless a newer one is known."""
         batch = BatchId(row.key.key)
         known = self._heads.get(batch)
         if known is not None and row.version <= known.version:
@@ -84,26 +84,26 @@
         self._heads[batch] = CachedBatchHead(head, row.version, owner_since, submitted_after)
 
     def _submitted_after(self, head: BatchHead) -> VersionAnnouncement | None:
-        """Returns after which version a batch that is new here came, and how long after it."""
+        """Returns the version after which a new batch was submitted, and the time between."""
         age = self._age(head)
         announcement = self._last_announcement(head.model)
         if announcement is None or age is None or age > MAX_NEW_BATCH_AGE_SECONDS:
             return None
-        seconds = announcement.seconds - age  # all daemons know the batch's own time alike
+        seconds = announcement.seconds - age  # acceptance time, on which all daemons agree
         if seconds < -MAX_CLOCK_SKEW_SECONDS:
-            return None  # a version that was named since
+            return None  # the version was announced after the batch
         return VersionAnnouncement(announcement.version, max(0.0, seconds))
 
     def forget(self, batch: BatchId) -> None:
-        """Drops the head of a batch that is stored no more."""
+        """Drops the head of a batch that was removed from the store."""
         self._heads.pop(batch, None)
 
     def open_owners(self) -> set[DaemonId]:
-        """Returns the daemons that own batches which are not ended."""
+        """Returns the daemons that own open batches."""
         return {known.head.owner for known in self._heads.values() if not known.head.ended}
 
     def demands(self) -> dict[ModelName, ModelDemand]:
-        """Returns what the newest batches of each model ask for, and which ones are open."""
+        """Returns the demand of each model, from its newest and its open batches."""
         of_model: dict[ModelName, list[CachedBatchHead]] = defaultdict(list)
         for known in self._heads.values():
             of_model[known.head.model].append(known)
@@ -119,12 +119,12 @@
         return list(newest.values())
 
     def open(self) -> list[BatchHead]:
-        """Returns the heads of the batches that have not ended."""
+        """Returns the heads of the batches that were not ended."""
         return [known.head for known in self._heads.values() if not known.head.ended]
 
 
 def _demand(batches: list[CachedBatchHead]) -> ModelDemand:
-    """Returns what a model's batches, at least one, ask for."""
+    """Returns the demand of a model from its batches, of which there is at least one."""
     newest_first = heapq.nlargest(DEMAND_BATCHES, batches, key=lambda known: known.head.created_at)
     newest = newest_first[0]
     announcements = [
--- a/src/larkpost/gateway/rollouts/batch_manager.py
+++ b/src/larkpost/gateway/rollouts/batch_manager.py
@@ -1,7 +1,7 @@
-"""Updates batches: runs those this daemon owns, claims those whose owner is dead.
+"""Runs the batches that this daemon owns, and claims batches whose owner is dead.
 
-Owns the batches that this daemon runs. `known_heads.py` tells who owns which batch, `claims.py`
-who claims one whose owner is dead, `owned.py` runs one.
+`batch_head_cache.py` tells who owns which batch, `claims.py` decides who claims a batch of a dead
+owner, and `owned_batch.py` runs a single batch.
 """
 
 import asyncio
@@ -26,23 +26,23 @@
 from larkpost.gateway.store.port import Row, StoreUnavailableError
 
 INTERVAL_SECONDS = 0.1
-"""Between two checks of all batches at a daemon that owns batches or may claim them."""
+"""Interval of the checks of all batches at a daemon that owns batches or may claim them."""
 IDLE_INTERVAL_SECONDS = 0.5
-"""The same at a daemon that may claim nothing."""
+"""Interval of the checks of all batches at any other daemon."""
 REMOVAL_INTERVAL_SECONDS = 5.0
-"""Between two checks for batches to remove. Nobody waits for a removal."""
+"""Interval of the checks for batches to remove."""
 MAX_REPORTED_BATCHES = 16
-"""Most batches whose progress a daemon reports, the newest: some 40 bytes a batch and heartbeat."""
+"""Maximum number of batches, the newest, whose progress a heartbeat reports; bounds its size."""
 RETENTION_SLACK_SECONDS = 60.0
-"""For so long after its lifetime a batch is stored still, so that a read which began within it is
-answered, whatever the clocks differ by."""
+"""How long a batch is kept beyond its lifetime, so that a read which began within the lifetime is
+answered in spite of clock differences."""
 
 
 class BatchManager:
-    """The batches that this daemon knows, and those it runs.
+    """Manages all batches known to this daemon, and runs those that it owns.
 
     Args:
-        lifetime: seconds after its acceptance for which a batch is readable; read at each use.
+        lifetime: returns the seconds after its acceptance for which a batch is readable.
     """
 
     def __init__(
@@ -77,17 +77,17 @@
         self._handing_over = False
 
     def start(self, tasks: TaskSet) -> None:
-        """Starts to update and remove batches, each at its interval."""
+        """Starts the periodic updates and removals of batches."""
         tasks.every(self._interval, self.update, "batches")
         tasks.every(REMOVAL_INTERVAL_SECONDS, self.remove_expired, "batch_removal")
 
     def _interval(self) -> float:
-        """Returns the seconds between two checks: a daemon that may claim nothing checks seldom."""
+        """Returns the current interval of the checks of all batches, in seconds."""
         active = bool(self._owned) or self._membership.is_coordinator()
         return INTERVAL_SECONDS if active else IDLE_INTERVAL_SECONDS
 
     def record_head(self, row: Row) -> None:
-        """Records news of a batch's head."""
+        """Records a changed or removed row of a head."""
         if row.removed:
             batch = BatchId(row.key.key)
             self._heads.forget(batch)
@@ -97,21 +97,21 @@
             self._heads.record(row)
 
     def head(self, batch: BatchId) -> BatchHead | None:
-        """Returns the head of a batch, if it is known."""
+        """Returns the head of a batch; None if unknown."""
         known = self._heads.get(batch)
         return known.head if known is not None else None
 
     def _age(self, head: BatchHead) -> float | None:
-        """Returns the seconds since a batch was accepted; None if the store's time is not known."""
+        """Returns the seconds since a batch was accepted; None if the store's time is unknown."""
         now = self._services.store_time()
         return now - head.created_at if now is not None else None
 
     def is_owner(self) -> bool:
-        """Returns whether this daemon runs batches, or is named as the owner of one not ended."""
+        """Returns whether this daemon runs batches, or is named as the owner of an open one."""
         return bool(self._owned) or self._membership.own in self._heads.open_owners()
 
     def open_owners(self) -> set[DaemonId]:
-        """Returns the daemons that run batches now, as far as is known here; maybe this one."""
+        """Returns the daemons known to run batches now, including this one if it does."""
         return self._heads.open_owners() | ({self._membership.own} if self._owned else set())
 
     def owned(self) -> list[OwnedBatch]:
@@ -119,29 +119,32 @@
         return list(self._owned.values())
 
     def demands(self) -> dict[ModelName, ModelDemand]:
-        """Returns what the batches of each model ask for, with the outlook of those open."""
+        """Returns the demand of each model, with the deadline forecasts of its open batches."""
         demands = self._heads.demands()
         heads = ModelHeads(self._heads.open(), self._heads.newest())
         return self._forecaster.add_forecasts(demands, heads, self.progress())
 
     def progress(self) -> dict[BatchId, BatchProgress]:
-        """Returns how far the batches that this daemon owns are, at most `MAX_REPORTED` of them."""
+        """Returns the progress of up to `MAX_REPORTED_BATCHES` batches that this daemon owns."""
         newest = list(self._owned.items())[-MAX_REPORTED_BATCHES:]
         known = ((batch, owned.progress()) for batch, owned in newest)
         return {batch: progress for batch, progress in known if progress is not None}
 
     def record_report(self, daemon: DaemonId, batches: dict[BatchId, BatchProgress]) -> None:
-        """Records how far another daemon's batches are, as it reports it."""
+        """Records the batch progress reported by another daemon."""
         self._forecaster.record_report(daemon, batches)
 
     async def start_accepted(self, spec: BatchSpec, upload: str) -> None:
-        """Starts an accepted batch at once if it is this daemon's, without waiting for the feed."""
+        """Starts a batch accepted by this daemon at once, without waiting for the feed.
+
+        Does nothing if the stored batch is that of another submission, as its upload name tells.
+        """
         try:
             head, _ = await asyncio.gather(
                 self._repository.head(spec.id), self._membership.refresh()
             )
         except StoreUnavailableError:
-            return  # the feed will tell of the head
+            return  # the feed delivers the head
         if head is None or head.upload != upload or self._handing_over or spec.id in self._owned:
             return
         if head.ended or spec.id in self._completed:
@@ -155,7 +158,7 @@
         self._completed.add(batch)
 
     async def update(self) -> None:
-        """Starts, claims and releases batches as what is known of them demands."""
+        """Starts, claims and releases batches according to their heads."""
         for known in self._heads:
             self._update_batch(known)
         for batch, owned in list(self._owned.items()):
@@ -164,12 +167,12 @@
         self._record_memory_use()
 
     async def hand_over(self) -> None:
-        """Gives all owned batches to other daemons, with what their items have made so far."""
+        """Hands all owned batches over to other daemons, with their partial outputs."""
         self._handing_over = True
         await asyncio.gather(*(self._hand_over(batch) for batch in list(self._owned)))
 
     async def remove_expired(self) -> None:
-        """Removes batches whose time of storage is over; one daemon does it for each."""
+        """Removes expired batches; each batch is removed by a single daemon."""
         now = self._services.store_time()
         if now is None:
             return
@@ -180,10 +183,10 @@
                 try:
                     await self._repository.remove(known.head)
                 except StoreUnavailableError:
-                    return  # tried again after the next interval
+                    return  # retried after the next interval
 
     def _update_batch(self, known: CachedBatchHead) -> None:
-        """Runs, releases or claims a batch, by its owner and whether it is over."""
+        """Starts, releases or claims a batch, depending on its owner and whether it is over."""
         head, batch = known.head, known.head.id
         mine = head.owner == self._membership.own and not self._handing_over
         if head.ended or batch in self._completed or (batch in self._owned and not mine):
@@ -210,7 +213,7 @@
         owned.start(items, fresh)
 
     def _record_memory_use(self) -> None:
-        """Tells the budget what all batches hold, and drops some that are not run here."""
+        """Reports the memory of all batches to the budget, and evicts idle views."""
         outputs = sum(owned.output_bytes for owned in self._owned.values())
         self._views.evict_idle(set(self._owned), outputs)
 
--- a/src/larkpost/gateway/rollouts/engine_priorities.py
+++ b/src/larkpost/gateway/rollouts/engine_priorities.py
@@ -1,10 +1,9 @@
-"""How urgent the items of a batch are to an engine: the longest first, as a step waits for them.
+"""Priorities that engines are sent with the items of a batch.
 
-Engines admit more urgent requests first, and put less urgent ones off when their memory runs out.
-Priorities of tenants and routes come before lengths. An item that has shown itself long is urgent
-whatever its trainer guessed.
-
-Owns the limits between long and short items of one batch, which follow from all its items.
+Engines admit requests of higher priority first, and preempt those of lower priority when their
+memory runs out. The priority of the tenant or route comes first; within it, longer items come
+first, as the training step waits for them. An item that is already long counts as long whatever
+length its trainer expected.
 """
 
 import math
@@ -15,17 +14,20 @@
 
 HIGHEST_PRIORITY = 0
 LOWEST_PRIORITY = 9
-"""The ranks that an engine distinguishes; requests without one have the middle of them."""
+"""Range of priorities of an engine; a request without one gets the middle of the range."""
 LENGTH_CLASSES = 3
-"""Ranks within one priority: long, middling and short items."""
+"""Number of length classes within one priority: long, medium and short items."""
 LONG_SHARE = 0.15
-"""Share of a batch's items that count as long: about one in ten is several times the others."""
+"""Fraction of a batch's items that count as long."""
 LOW_MEMORY_FRACTION = 0.5
-"""Share of them that count as short."""
+"""Fraction of a batch's items that count as short."""
 
 
 class EnginePriorities:
-    """Ranks the items of one batch."""
+    """Computes the engine priorities of the items of one batch.
+
+    The limits between long, medium and short items are quantiles of all its items.
+    """
 
     def __init__(self, items: Sequence[Item]) -> None:
         works = sorted((item.expected_work for item in items), reverse=True)
@@ -33,12 +35,12 @@
         self._short_threshold = _quantile(works, 1 - LOW_MEMORY_FRACTION)
 
     def engine_priority(self, progress: Progress, priority: int, *, yields: bool = False) -> int:
-        """Returns the rank that an engine is sent, from 0, the most urgent, to 9.
+        """Returns the priority to send to an engine, from 0, the highest, to 9.
 
         Args:
-            priority: of the item's tenant or route, 0 highest.
-            yields: whether the batch comes after other models' batches of the same priority, as it
-                has time to spare or can't be in time.
+            priority: priority of the item's tenant or route, 0 highest.
+            yields: whether the batch ranks below other models' batches of the same priority, as it
+                has time to spare or cannot be in time.
         """
         length_class = self._length_class(progress)
         if yields:
@@ -47,7 +49,7 @@
         return max(HIGHEST_PRIORITY, min(LOWEST_PRIORITY, engine_priority))
 
     def _length_class(self, progress: Progress) -> int:
-        """Returns 0 for a long item, 2 for a short one."""
+        """Returns 0 for a long item, 1 for a medium one, 2 for a short one."""
         work = progress.item.expected_work
         if progress.is_long or work >= self._long_threshold:
             return 0
@@ -55,7 +57,7 @@
 
 
 def _quantile(works: list[int], share: float) -> float:
-    """Returns the work that a share of the items, sorted by falling work, reaches."""
+    """Returns the work at a quantile of the items, given in descending order of work."""
     if not works:
         return math.inf
     return works[min(len(works) - 1, int(len(works) * share))]
--- a/src/larkpost/gateway/rollouts/owned_batch.py
+++ b/src/larkpost/gateway/rollouts/owned_batch.py
@@ -1,7 +1,7 @@
-"""A batch that this daemon owns: it is loaded, run, and appended to until all is listed.
+"""Background work on a batch that this daemon owns, until all its results are listed.
 
-Owns the background work. `run.py` makes the results, `result_list.py` appends them, and
-`output_saver.py` stores what running items have made so far.
+`batch_run.py` produces the results, `result_appender.py` appends them to the result list, and
+`output_saver.py` stores the partial outputs of running items.
 """
 
 import asyncio
@@ -24,13 +24,13 @@
 from larkpost.gateway.store.port import StoreUnavailableError
 
 FLUSH_SECONDS = 1.0
-"""Longest time to append what waits when the batch is handed over."""
+"""Timeout of the last append when the batch is handed over."""
 FAULT_PAUSE_SECONDS = 1.0
-"""Pause before a batch is worked on again after an unexpected error."""
+"""Pause before the batch is loaded again after an unexpected error."""
 
 
 class OwnedBatch:
-    """Loads a batch, runs what is not listed yet, and appends results until all are listed."""
+    """Loads a batch, runs its unlisted items, and appends results until all are listed."""
 
     def __init__(
         self,
@@ -52,41 +52,41 @@
         self._tasks: list[asyncio.Task] = []
 
     def start(self, items: tuple[Item, ...] | None, fresh: bool) -> None:
-        """Starts in the background.
+        """Starts the background tasks.
 
         Args:
-            items: the batch's items, if this daemon has just accepted them.
-            fresh: whether the batch was accepted just now, so that nothing is listed yet.
+            items: items of the batch if this daemon has just accepted it; None to load them.
+            fresh: whether the batch was just accepted, so that nothing is listed yet.
         """
         self._tasks.append(asyncio.create_task(self._work(items, fresh)))
         self._tasks.append(asyncio.create_task(self._save_outputs_periodically()))
 
     @property
     def running(self) -> int:
-        """Items without a result."""
+        """Number of items without a result."""
         return len(self._run.progress) if self._run is not None else 0
 
     def progress(self) -> BatchProgress | None:
-        """Returns how far the batch is; None while it is not loaded."""
+        """Returns the progress of the batch; None before it is loaded."""
         return self._run.summarize_progress() if self._run is not None else None
 
     @property
     def unscored(self) -> int:
-        """Whole outputs that wait for their score."""
+        """Number of complete outputs that wait for their score."""
         if self._run is None:
             return 0
         return sum(progress.whole for progress in self._run.progress.values())
 
     @property
     def output_bytes(self) -> int:
-        """Bytes that items without a result have made so far."""
+        """Bytes of output of the items without a result."""
         if self._run is None:
             return 0
         return sum(progress.output_bytes for progress in self._run.progress.values())
 
     @property
     def waiting(self) -> int:
-        """Results that wait for their append."""
+        """Number of results that wait to be appended."""
         return len(self._results.pending)
 
     def stop(self) -> None:
@@ -97,7 +97,7 @@
             self._run.cancel()
 
     async def hand_over(self) -> None:
-        """Stops all runs and stores what they made, so that another daemon goes on from there."""
+        """Stops all runs and stores their outputs, so that another daemon can continue them."""
         self.stop()
         await self._save_outputs(minimum=1)
         if not self._results.pending:
@@ -107,10 +107,10 @@
                 await self._results.reload()
                 await self._results.append_once()
         except (TimeoutError, StoreUnavailableError):
-            return  # the next owner runs them again
+            return  # the next owner runs these items again
 
     async def _work(self, items: tuple[Item, ...] | None, fresh: bool) -> None:
-        """Works on the batch until it is over, whatever errors come between."""
+        """Works on the batch until it is complete or ended; survives unexpected errors."""
         while True:
             try:
                 await self._load(items, fresh)
@@ -126,7 +126,7 @@
             await self._clock.sleep(FAULT_PAUSE_SECONDS)
 
     async def _load(self, items: tuple[Item, ...] | None, fresh: bool) -> None:
-        """Reads what is missing of the batch, and starts the items that have no result."""
+        """Reads the batch from the store and starts the items that have no result."""
         items, stored = await self._read(items, fresh)
         self._view.set_items(items)
         ended_items = self._results.listed | {result.item for result in self._results.pending}
@@ -148,9 +148,9 @@
     async def _read(
         self, items: tuple[Item, ...] | None, fresh: bool
     ) -> tuple[tuple[Item, ...], dict[ItemId, Progress]]:
-        """Returns a batch's items and their stored output, once the tail is read too.
+        """Returns the items and their stored outputs, after reading the result list.
 
-        A batch that was accepted here just now is run though the store does not answer.
+        Retries until the store answers, unless the batch was just accepted by this daemon.
         """
         stored: dict[ItemId, Progress] = {}
         while True:
--- a/src/larkpost/gateway/rollouts/remaining_work.py
+++ b/src/larkpost/gateway/rollouts/remaining_work.py
@@ -1,4 +1,4 @@
-"""How much of an item is left to be made, by its trainer's guess and by what it has made."""
+"""Estimates the remaining work of items from their expected work and their output so far."""
 
 from collections.abc import Iterable
 
@@ -6,18 +6,18 @@
 from larkpost.gateway.rollouts.progress import Progress
 
 LONG_ITEM_QUANTILE = 0.9
-"""Share of a batch's items that take no more than its long item. The greatest of many guesses is
-most often the one that is farthest off."""
+"""Quantile of the remaining work that stands for the longest item of a batch. The maximum would
+most often be an overestimate."""
 OVERRUN_SHARE = 0.5
-"""An item that has outlived its trainer's guess is expected to make so much more, as a share of
-what it has made."""
+"""Expected remaining work of an item that has exceeded its expected work, as a fraction of its
+output so far."""
 
 
 def remaining_tokens(progress: Progress, tokens_per_event: int) -> int:
-    """Returns the tokens that an item is expected to take yet.
+    """Returns the expected number of tokens that an item has yet to process.
 
     Args:
-        tokens_per_event: tokens that an event of its output holds.
+        tokens_per_event: tokens in one event of its output.
     """
     if progress.whole:
         return 0
@@ -35,7 +35,7 @@
     """Returns the progress of a batch from that of its unfinished items.
 
     Args:
-        waiting: items that wait for a place.
+        waiting: number of items that wait for a slot.
     """
     left = sorted(remaining_tokens(progress, tokens_per_event) for progress in items)
     p90_item_work = left[int(len(left) * LONG_ITEM_QUANTILE)] if left else 0
--- a/src/larkpost/gateway/rollouts/result_appender.py
+++ b/src/larkpost/gateway/rollouts/result_appender.py
@@ -1,8 +1,7 @@
-"""The end of a batch's list of results, as its owner appends to it.
+"""Appends results to the result list of a batch.
 
-Owns the tail as last known, the items that are listed, and the results that wait for their append.
-Each append is made on condition of the tail's version, so that another owner's results are never
-overwritten; after a conflict or a write without a response, the list is read anew.
+Each append is made on condition of the version of the list's tail, so that the results of another
+owner are never overwritten. After a conflict or a write without a response, the list is reloaded.
 """
 
 import asyncio
@@ -18,21 +17,21 @@
 from larkpost.gateway.store.port import StoreUnavailableError, WriteOutcome
 
 APPEND_INTERVAL_SECONDS = 0.06
-"""Pause between two appends, in which results gather."""
+"""Pause between two appends, in which results accumulate."""
 RETRY_SECONDS = 0.15
-"""Pause after a call that the store refused or did not answer."""
+"""Pause after a store call that was refused or not answered."""
 
 
 class ResultAppender:
-    """The list of results of one batch.
+    """Appends the results of one batch.
 
     Args:
-        drop: called with the items that are listed by anyone, each time they were read.
+        on_listed: called with the items listed by any daemon, after each reload of the list.
 
     Attributes:
-        tail: of the list; None until it is known.
-        listed: items that have a result in the list, as far as is known.
-        pending: results that wait for their append, in the order in which they arose.
+        tail: tail of the result list; None until it is loaded.
+        listed: items known to have a result in the list.
+        pending: results that wait to be appended, in order of completion.
     """
 
     def __init__(
@@ -58,22 +57,22 @@
         self._wake = asyncio.Event()
 
     def add(self, result: Result) -> None:
-        """Adds a result to those that wait, unless another daemon has listed the item."""
+        """Queues a result to be appended, unless another daemon has listed the item."""
         if result.item in self.listed:
-            return  # another daemon that ran the batch has listed it meanwhile
+            return
         self.pending.append(result)
         self._ended_at[result.item] = self._clock.now()
         self._wake.set()
 
     @property
     def is_over(self) -> bool:
-        """Whether nothing can be appended any more: the batch is ended, or all is listed."""
+        """Whether no more appends are possible: the batch is ended or all items are listed."""
         if self.tail is None:
             return False
         return self.tail.ended or self.tail.count >= self._total
 
     async def reload(self) -> None:
-        """Reads the tail and the results listed by anyone.
+        """Reads the tail and the results listed by any daemon.
 
         Raises:
             StoreUnavailableError: the store did not answer.
@@ -94,7 +93,7 @@
         self._on_listed(self.listed)
 
     async def append_all(self) -> None:
-        """Appends results as they come, until nothing can be appended any more."""
+        """Appends results as they become available, until no more appends are possible."""
         while not self.is_over:
             if not self.pending or self.tail is None:
                 self._wake.clear()
@@ -104,7 +103,7 @@
             await self._clock.sleep(APPEND_INTERVAL_SECONDS)
 
     async def append_once(self) -> None:
-        """Appends as many results as one write takes; reads the list anew if that is not done."""
+        """Appends as many results as fit in one write; reloads the list after a failure."""
         before = self.tail
         if before is None:
             await self._resynchronise()
@@ -132,7 +131,7 @@
             await self._clock.sleep(RETRY_SECONDS)
 
     def _record_appended(self, position: int, results: list[Result], started: float) -> None:
-        """Records that the first results that wait are listed from a position on."""
+        """Records that the first pending results were appended at a position."""
         self._log_appended(position, results, started)
         self._view.add(position, results)
         self._view.confirm(started)
--- a/src/larkpost/gateway/rollouts/stall_detector.py
+++ b/src/larkpost/gateway/rollouts/stall_detector.py
@@ -1,10 +1,8 @@
-"""Finds runs that make nothing for a while although another engine could go on with them.
+"""Detects stalled runs, which produce no events although another engine has a free slot.
 
-An engine takes more requests than it runs at once, and more texts than its memory has room for.
-The others wait there, or are put off, and their streams are silent. The daemon that sent them
-cannot see why, but a silence of several events is plain, and so is a free place elsewhere.
-
-Owns the record of the runs of one batch and of their last events.
+An engine accepts more requests than it runs at once, and preempts requests when its memory runs
+out. The streams of queued and preempted requests are silent. A daemon does not see the reason, so
+it goes by the length of the silence.
 """
 
 import asyncio
@@ -16,30 +14,30 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 
 CHECK_INTERVAL_SECONDS = 0.1
-"""Interval at which the runs of a batch are checked. A third of the shortest silence that
-counts."""
+"""Interval at which the runs of a batch are checked for stalls."""
 MIN_STALL_TIMEOUT_SECONDS = 0.3
-"""A run is not stalled before: the first event takes about 0.1 s, a queue at least as long."""
+"""Lower bound of the stall timeout; above the usual time to the first event."""
 STALL_SERVICE_TIME_FACTOR = 6.0
-"""Nor before as many events could have come at the engine's pace: slow engines are not silent."""
+"""Stall timeout as a multiple of the engine's service time, so that slow engines do not count as
+stalled."""
 LOADING_STALL_TIMEOUT_SECONDS = 1.1
-"""Nor, at an engine that loads weights, before the load can have ended: its runs go on then, and an
-engine that one of them moved to may load next."""
+"""Lower bound of the stall timeout at an engine that loads weights; its runs continue after the
+load, and another engine might load next."""
 
 
 class StalledError(Exception):
-    """The run made nothing, and is to go on at an engine with a free place."""
+    """The run produced no events and should continue at an engine with a free slot."""
 
 
 @dataclass(slots=True)
 class MonitoredRun:
-    """One run at an engine.
+    """A run at an engine that is watched for stalls.
 
     Attributes:
-        limit: ends the run when its time is over; moved forward to end it at once.
-        began_at: steady time at which the run began.
-        progress_at: steady time of the last event; of the beginning before the first one.
-        is_stalled: whether the run was ended because it made nothing.
+        limit: timeout of the next event; rescheduled to now to abort the run.
+        started_at: monotonic time at which the run started.
+        last_event_at: monotonic time of the last event; `started_at` before the first one.
+        is_stalled: whether the run was aborted as stalled.
     """
 
     engine: InstanceInfo
@@ -49,10 +47,10 @@
     is_stalled: bool = False
 
     def record_event(self, now: float, longest_gap: float) -> None:
-        """Records that an event has come, and gives the run time for the next one.
+        """Records an event and extends the timeout.
 
         Args:
-            longest_gap: seconds until the next event, after which the run is over.
+            longest_gap: seconds until the next event after which the run times out.
         """
         self.last_event_at = now
         if not self.is_stalled:
@@ -60,7 +58,7 @@
 
 
 class StallDetector:
-    """Watches the runs of one batch."""
+    """Detects stalled runs of one batch."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -68,7 +66,7 @@
 
     @contextmanager
     def watch(self, engine: InstanceInfo, limit: asyncio.Timeout) -> Iterator[MonitoredRun]:
-        """Watches a run until the context is left."""
+        """Watches a run until the context exits."""
         now = self._clock.now()
         watch = MonitoredRun(engine, limit, now, now)
         self._watches.append(watch)
@@ -78,10 +76,10 @@
             self._watches.remove(watch)
 
     def find_stalled(self, stall_timeout: Callable[[MonitoredRun], float]) -> list[MonitoredRun]:
-        """Returns the runs that have been silent for too long, the longest silence first.
+        """Returns the stalled runs, the longest silent first.
 
         Args:
-            silence_allowed: returns the seconds for which a run may make nothing.
+            stall_timeout: returns the seconds without an event after which a run is stalled.
         """
         now = self._clock.now()
         silent = [
@@ -93,17 +91,17 @@
         return sorted(silent, key=lambda watch: watch.last_event_at)
 
     def abort(self, watch: MonitoredRun) -> None:
-        """Ends a run, so that it goes on elsewhere."""
+        """Aborts a run, so that its item continues elsewhere."""
         watch.is_stalled = True
         watch.limit.reschedule(self._clock.now())
 
 
 def stall_timeout_seconds(service_time: float, *, is_loading: bool = False) -> float:
-    """Returns the silence, in seconds, after which a run at an engine of this pace is stalled.
+    """Returns the seconds without an event after which a run is stalled.
 
     Args:
-        pace: seconds for an event, lastingly; 0 if not known.
-        is_loading: whether the engine loads weights, and its runs go on afterwards.
+        service_time: sustained seconds per event of the engine; 0 if unknown.
+        is_loading: whether the engine loads weights, after which its runs continue.
     """
     silence = max(MIN_STALL_TIMEOUT_SECONDS, STALL_SERVICE_TIME_FACTOR * service_time)
     return max(silence, LOADING_STALL_TIMEOUT_SECONDS) if is_loading else silence
