--- a/src/larkpost/gateway/rollouts/codec.py
+++ b/src/larkpost/gateway/rollouts/codec.py
@@ -1,6 +1,6 @@
-"""Writes batches as values of store rows, and reads them, those of earlier versions too.
+"""Encodes batches as values of store rows, and decodes them.
 
-Owns the form of the values; it is fixed, as daemons of two versions read each other's rows.
+The format is fixed, as daemons of different versions read each other's rows.
 """
 
 import base64
@@ -24,7 +24,7 @@
 from larkpost.gateway.rollouts.progress import Progress
 
 LENGTH_DIGITS = 8
-"""Digits of the length that stands before a document which is written again and again."""
+"""Digits of the length prefix of a document that is rewritten."""
 
 
 def encode_head(head: BatchHead) -> bytes:
@@ -50,7 +50,7 @@
 
 
 def decode_head(batch: BatchId, value: bytes) -> BatchHead:
-    """Reads a head row's value; rows of earlier versions have no tenant and no size of groups."""
+    """Decodes the value of a head row; rows of earlier versions lack tenant and group size."""
     fields = orjson.loads(value)
     return BatchHead(
         id=batch,
@@ -72,18 +72,18 @@
 
 
 def encode_tail(tail: Tail) -> bytes:
-    """Returns the value of a tail row; its version is the store's."""
+    """Returns the value of a tail row; the store keeps its version."""
     return orjson.dumps({"count": tail.count, "ended": tail.ended})
 
 
 def decode_tail(value: bytes, version: int) -> Tail:
-    """Reads a tail row's value."""
+    """Decodes the value of a tail row."""
     fields = orjson.loads(value)
     return Tail(fields["count"], fields["ended"], version)
 
 
 def encode_items(items: Iterable[Item]) -> bytes:
-    """Returns all items as one document."""
+    """Encodes all items as one document."""
     return orjson.dumps(
         [
             [
@@ -102,15 +102,12 @@
 
 
 def decode_items(content: bytes) -> tuple[Item, ...]:
-    """Reads a document of items."""
+    """Decodes a document of items."""
     return tuple(_item(fields) for fields in orjson.loads(content))
 
 
 def _item(fields: list) -> Item:
-    """Returns an item from the fields of `encode_items`.
-
-    Rows of earlier versions have no reward call.
-    """
+    """Decodes the fields of an item; rows of earlier versions lack the reward call."""
     item_id, path, headers, body, tokens, group, length_hint, *later = fields
     (reward_call,) = later or (None,)
     return Item(
@@ -136,23 +133,23 @@
 
 
 def encode_result(result: Result) -> bytes:
-    """Returns a result as a document."""
+    """Encodes a result as a document."""
     return orjson.dumps(
         [result.item, result.state, result.text, result.versions, result.score, result.group]
     )
 
 
 def decode_result(content: bytes) -> Result:
-    """Reads a document of a result; rows of earlier versions have no score or no group."""
+    """Decodes a result; rows of earlier versions lack the group, or score and group."""
     item, state, text, versions, *later = orjson.loads(content)
     score, group, *_ = (*later, None, None)
     return Result(ItemId(item), ResultState(state), text, tuple(versions), score, group)
 
 
 def encode_progress(progress: Progress, limit: int) -> bytes:
-    """Returns as much of an item's output so far as fits in ``limit`` bytes.
+    """Encodes as many events of an item's output as fit in ``limit`` bytes.
 
-    Only an output that fits altogether is stored as whole.
+    An output is marked as complete only if all its events fit.
     """
     count = len(progress.events)
     while True:
@@ -163,7 +160,7 @@
 
 
 def _progress_fields(progress: Progress, count: int) -> list:
-    """Returns the fields of an output's first ``count`` events."""
+    """Returns the fields of the first ``count`` events of an output."""
     first = 0 if progress.last_event is None else progress.last_event - len(progress.events) + 1
     whole = progress.whole and count == len(progress.events)
     return [
@@ -177,7 +174,7 @@
 
 
 def decode_progress(item: Item, content: bytes) -> Progress:
-    """Reads an item's output so far; rows of earlier versions know nothing of reward calls."""
+    """Decodes an item's output; rows of earlier versions lack the state of reward calls."""
     events, versions, first, failed_runs, *scoring = orjson.loads(content)
     progress = Progress(item, failed_runs=failed_runs)
     for number, (data, version) in enumerate(zip(events, versions, strict=True)):
@@ -188,20 +185,20 @@
 
 
 def split_rewritten(content: bytes, size: int) -> list[bytes]:
-    """Cuts a document that is written again and again, and may become shorter, into pieces.
+    """Splits a document that is rewritten, and may become shorter, into chunks.
 
-    It begins with its length, so that pieces left of a longer one are not taken for its end.
+    A length prefix keeps leftover chunks of a longer predecessor from being read as its end.
     """
     return split(b"%0*d" % (LENGTH_DIGITS, len(content)) + content, size)
 
 
 def join_rewritten(pieces: Iterable[bytes]) -> bytes:
-    """Returns a document from its pieces in order; see `split_rewritten`."""
+    """Joins the chunks of a document in order; see `split_rewritten`."""
     content = b"".join(pieces)
     end = LENGTH_DIGITS + int(content[:LENGTH_DIGITS])
     return content[LENGTH_DIGITS:end]
 
 
 def split(content: bytes, size: int) -> list[bytes]:
-    """Cuts a document into pieces of at most ``size`` bytes; an empty one into one piece."""
+    """Splits a document into chunks of at most ``size`` bytes; an empty one into one chunk."""
     return [content[start : start + size] for start in range(0, len(content), size)] or [b""]
--- a/src/larkpost/gateway/rollouts/context.py
+++ b/src/larkpost/gateway/rollouts/context.py
@@ -1,4 +1,4 @@
-"""The parts of a daemon that batches rely on, passed together."""
+"""Dependencies of batch runs on the rest of the daemon."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,14 +19,14 @@
 
 @dataclass(slots=True)
 class RunServices:
-    """The parts of a daemon that batches use.
+    """Services of the daemon that batch runs use.
 
     Attributes:
-        store_time: returns the store's clock in seconds, or None if it is not known.
-        division: knows which engines are a model's own.
-        cold: limits what is sent to cold engines; None if nothing does.
-        crashes: the servers that have crashed, and under which requests.
-        reward_places: bounds the reward calls that the daemon has at servers at once.
+        store_time: returns the store's clock in seconds; None if unknown.
+        division: knows which engines are assigned to each model.
+        cold: limits the requests sent to cold engines; None for no limit.
+        crashes: server crashes and the requests that caused them.
+        reward_call_slots: limits the reward calls that the daemon has in flight.
     """
 
     configuration: ConfigurationState
--- a/src/larkpost/gateway/rollouts/errors.py
+++ b/src/larkpost/gateway/rollouts/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the batch calls, as their callers get them."""
+"""Errors that callers of the batch calls receive."""
 
 from larkpost.common.errors import LarkpostError
 
@@ -12,7 +12,7 @@
 
 
 class BatchUncertainError(LarkpostError):
-    """It is not known whether the batch was accepted, or was ended."""
+    """Whether the batch was accepted or ended is unknown."""
 
     code = "batch_uncertain"
     status = 504
@@ -20,7 +20,7 @@
 
 
 class BatchUnreadableError(LarkpostError):
-    """The store does not answer, so this daemon cannot be sure of the batch."""
+    """The store does not answer, so the state of the batch is unknown."""
 
     code = "batch_unreadable"
     status = 503
@@ -28,7 +28,7 @@
 
 
 class BatchIdTakenError(LarkpostError):
-    """The id is that of another tenant's batch; nothing of this one runs."""
+    """Another tenant has a batch with this id; the submitted batch was not accepted."""
 
     code = "batch_id_taken"
     status = 409
--- a/src/larkpost/gateway/rollouts/item_routes.py
+++ b/src/larkpost/gateway/rollouts/item_routes.py
@@ -1,4 +1,4 @@
-"""The routes of a batch's items, by the configuration in force, and whether their time is over."""
+"""Routes of a batch's items in the current configuration, and the expiry of items."""
 
 from larkpost.gateway.blackboard.configuration import Route
 from larkpost.gateway.rollouts.context import RunServices
@@ -14,16 +14,16 @@
         self._services = services
 
     def route_of(self, item: Item) -> Route | None:
-        """Returns an item's route; None if the configuration has none, or is not known."""
+        """Returns the route of an item; None if there is no such route or no configuration."""
         configuration = self._services.configuration.current
         if configuration is None:
             return None
         return configuration.match(self._head.host, item.path.partition("?")[0].encode())
 
     def is_expired(self, route: Route | None) -> bool:
-        """Returns whether the time is over in which an item of a route must be kept trying.
+        """Returns whether the queue lifetime of a route's items is over.
 
-        While the store's time or the route is not known, no item is given up.
+        Nothing expires while the store's time or the route is unknown.
         """
         store_time = self._services.store_time()
         if store_time is None or route is None:
--- a/src/larkpost/gateway/rollouts/item_work.py
+++ b/src/larkpost/gateway/rollouts/item_work.py
@@ -1,6 +1,6 @@
-"""What the items of a batch ask of an engine: its service, and what the rules of placement ask.
+"""Service and placement requirements of the items of a batch.
 
-Owns the service that each item was given, and what was worked out for the configuration in force.
+Caches the service selected for each item, and the requirements under the current configuration.
 """
 
 from dataclasses import replace
@@ -12,21 +12,21 @@
 
 
 class ItemWork:
-    """What the items of one batch ask."""
+    """Determines the service and placement requirements of the items of one batch."""
 
     def __init__(self, head: BatchHead, services: RunServices) -> None:
         self._head = head
         self._services = services
         self._works: dict[str, Work] = {}
-        """What is asked of the items of each path, by the configuration `_works_of`."""
+        """Placement requirements by item path, under the configuration `_works_of`."""
         self._works_of: Configuration | None = None
         self._item_services: dict[ItemId, ServiceName] = {}
 
     def work_of(self, item: Item | None = None) -> Work:
-        """Returns what the rules of placement ask of an item, as the configuration stands now.
+        """Returns the placement requirements of an item under the current configuration.
 
         Args:
-            item: None for what they ask of the batch's own path.
+            item: None for the requirements of the batch's own path.
         """
         configuration = self._services.configuration.current
         if configuration is not self._works_of:
@@ -49,9 +49,9 @@
         return Work(WorkKind.ITEM, regions, head.model, head.minimum_version)
 
     def service_of(self, item: Item, route: Route) -> ServiceName | None:
-        """Returns the service of an item, or None if its route takes no batches.
+        """Returns the service of an item; None if its route does not serve batches.
 
-        It is chosen once by the route's weights and kept while it stands.
+        The service is selected once by the route's weights, and kept while the route has it.
         """
         if route.kind is not RouteKind.BATCH:
             return None
--- a/src/larkpost/gateway/rollouts/model.py
+++ b/src/larkpost/gateway/rollouts/model.py
@@ -1,6 +1,6 @@
-"""What a batch of rollouts consists of, and what is stored of it.
+"""Types of batches, items and results.
 
-Owns the types only; `codec.py` writes them as rows, `platform/` reads them from submissions.
+`codec.py` encodes them as store rows, and `platform/` reads them from submissions.
 """
 
 from collections import Counter
@@ -17,17 +17,17 @@
 GroupId = NewType("GroupId", str)
 RewardCallId = NewType("RewardCallId", str)
 ITEM_METHOD = "POST"
-"""Items and reward calls are sent by this method."""
+"""HTTP method of items and reward calls."""
 
 
 @dataclass(frozen=True, slots=True)
 class RewardCall:
-    """The request that has an item's whole output scored, as the trainer wrote it.
+    """Request that has the complete output of an item scored, as the trainer wrote it.
 
-    It is sent by the route of its host and path once the output is whole, and may be repeated.
+    It is routed by its host and path once the output is complete, and may be repeated.
 
     Attributes:
-        path: the target at the server.
+        path: request target at the server.
     """
 
     id: RewardCallId
@@ -37,7 +37,7 @@
 
     @property
     def content(self) -> ContentDigest:
-        """What names the call among those that ask the same."""
+        """Digest of the request; equal for equal requests."""
         host, target = self.host.encode("latin-1"), self.path.encode("latin-1")
         return digest_content(None, ITEM_METHOD, host, target, self.body)
 
@@ -47,10 +47,10 @@
     """One request of a batch.
 
     Attributes:
-        path: the target at the server, as the trainer wrote it.
-        tokens: tokens of the prompt and most tokens out, summed.
-        length_hint: the trainer's guess of the tokens out; often far off. 0 if none.
-        reward_call: has the output scored, or None if the result needs no score.
+        path: request target at the server, as the trainer wrote it.
+        tokens: prompt tokens plus maximum output tokens.
+        length_hint: output tokens that the trainer expects, often far off; 0 if unknown.
+        reward_call: request that scores the output; None if the result needs no score.
     """
 
     id: ItemId
@@ -63,13 +63,13 @@
     reward_call: RewardCall | None = None
 
     def content(self, batch: "BatchHead | BatchSpec") -> ContentDigest:
-        """Returns what names the item's request among those that ask the same."""
+        """Returns the digest of the item's request; equal for equal requests of a tenant."""
         host, target = batch.host.encode("latin-1"), self.path.encode("latin-1")
         return digest_content(batch.tenant, ITEM_METHOD, host, target, self.body)
 
     @property
     def expected_work(self) -> int:
-        """Tokens that the item is expected to take."""
+        """Number of tokens that the item is expected to take."""
         return self.length_hint or self.tokens
 
 
@@ -78,9 +78,9 @@
     """A batch as a trainer submits it.
 
     Attributes:
-        minimum_version: the oldest weight version that may make a token of a result.
-        desired_groups: whole groups after which the trainer goes on.
-        tenant: whose batch it is; None if it is no tenant's.
+        minimum_version: oldest weight version that may produce tokens of a result.
+        desired_groups: number of complete groups that the trainer needs for its step.
+        tenant: owner of the batch; None without a tenant.
     """
 
     id: BatchId
@@ -95,23 +95,23 @@
 
     @property
     def group_size(self) -> int:
-        """Items of each group; 0 if the groups differ."""
+        """Number of items in each group; 0 if the groups differ."""
         sizes = set(Counter(item.group for item in self.items).values())
         return sizes.pop() if len(sizes) == 1 else 0
 
 
 @dataclass(frozen=True, slots=True)
 class BatchHead:
-    """What every daemon knows of a batch.
+    """Metadata of a batch that every daemon knows.
 
     Attributes:
-        owner: the daemon that accepted it and runs it as long as it counts as alive.
-        created_at: store time, in seconds, shortly before it was accepted.
-        ended: whether the trainer has ended it.
-        upload: names the rows that hold the items.
+        owner: daemon that runs the batch; at first the one that accepted it.
+        created_at: store time in seconds, shortly before the batch was accepted.
+        ended: whether the trainer has ended the batch.
+        upload: name of the rows that hold the items.
         work: expected tokens of all items together.
-        tenant: whose batch it is, as which its items run; None if it is no tenant's.
-        group_size: items of each group; 0 if the groups differ.
+        tenant: tenant as which the items run; None without a tenant.
+        group_size: number of items in each group; 0 if the groups differ.
     """
 
     id: BatchId
@@ -132,21 +132,21 @@
 
 
 class ResultState(StrEnum):
-    """How an item ended."""
+    """Final state of an item."""
 
     DONE = "done"
-    DEAD = "dead"  # it cannot be done, or was given up
+    DEAD = "dead"  # the item cannot be processed, or was given up
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """The end of an item; its place in the list of results never changes.
+    """Result of an item; its position in the result list never changes.
 
     Attributes:
         text: data of all events in order, joined by line feeds.
-        versions: the weight versions that made an event of the text, rising.
-        score: the signature of the response to the item's reward call; None if it has no such call.
-        group: the item's group; None in rows of earlier versions.
+        versions: weight versions that produced the text, ascending.
+        score: signature of the response to the item's reward call; None without a reward call.
+        group: group of the item; None in rows of earlier versions.
     """
 
     item: ItemId
@@ -159,10 +159,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Tail:
-    """The end of a batch's list of results. Every append is made on condition of its version.
+    """State of a batch's result list. Every append is made on condition of its version.
 
     Attributes:
-        count: results listed.
+        count: number of listed results.
+        ended: whether the batch was ended, so that nothing can be appended.
         version: version of the row.
     """
 
--- a/src/larkpost/gateway/rollouts/output_saver.py
+++ b/src/larkpost/gateway/rollouts/output_saver.py
@@ -1,6 +1,6 @@
-"""Stores the output of a batch's running items now and then, so that another owner can go on.
+"""Periodically stores the outputs of running items, so that another owner can continue them.
 
-Owns what was stored of each item last. `partial_outputs.py` writes the rows.
+`partial_outputs.py` writes the rows.
 """
 
 from collections.abc import Iterable
@@ -11,14 +11,14 @@
 from larkpost.gateway.rollouts.repository import BatchRepository
 
 SAVE_INTERVAL_SECONDS = 0.4
-"""Between two times at which the output of running items is stored: less than the second that a
-step has to spare. When it was longer, the death of an owner cost up to 1 s of output."""
+"""Interval at which the outputs of running items are stored; bounds the output that is lost when
+an owner dies."""
 MIN_NEW_EVENTS = 4
-"""An item's output is stored again once it has grown by this many events."""
+"""Number of new events after which an item's output is stored again."""
 
 
 class OutputSaver:
-    """Stores the output of one batch's items."""
+    """Stores the outputs of one batch's items."""
 
     def __init__(self, batch: BatchId, repository: BatchRepository) -> None:
         self._batch = batch
@@ -27,9 +27,9 @@
         self._saved_whole: set[ItemId] = set()
 
     async def save(self, running: Iterable[Progress], minimum: int) -> None:
-        """Stores outputs that are whole or have grown by ``minimum`` events or more.
+        """Stores outputs that became complete or have grown by at least ``minimum`` events.
 
-        What is not certainly stored is tried again with the next call.
+        Outputs that were not certainly stored are retried by the next call.
         """
         grown = [progress for progress in running if self._has_grown(progress, minimum)]
         if not grown:
@@ -41,7 +41,7 @@
             self._saved_whole |= whole
 
     def _has_grown(self, progress: Progress, minimum: int) -> bool:
-        """Returns whether an output is worth storing once more."""
+        """Returns whether an output should be stored again."""
         if progress.whole and progress.item.id not in self._saved_whole:
             return True
         return len(progress.events) - self._saved_events.get(progress.item.id, 0) >= minimum
--- a/src/larkpost/gateway/rollouts/partial_outputs.py
+++ b/src/larkpost/gateway/rollouts/partial_outputs.py
@@ -1,7 +1,7 @@
-"""Output so far of the items that run, stored for another owner to go on from.
+"""Stored partial outputs of running items, from which another owner can continue.
 
-Owns nothing; a loss is harmless, as an item runs anew from what is stored. Rows are overwritten as
-outputs grow, and a shorter output does not remove the last rows of a longer one.
+Losing one is harmless, as the item resumes from what is stored. Rows are overwritten as outputs
+grow; a shorter output leaves the last rows of a longer one in place.
 """
 
 from larkpost.common.ids import BatchId
@@ -13,7 +13,7 @@
 from larkpost.gateway.store.port import Store, WriteOutcome, read_all
 
 MAX_STORED_BYTES = 300_000
-"""Longest output of an item that is stored, some 700 events: one transaction must take it."""
+"""Maximum bytes that are stored of an item's output, which must fit in one transaction."""
 
 
 class PartialOutputs:
@@ -24,12 +24,12 @@
         self._rows = rows
 
     async def save(self, batch: BatchId, partials: list[Progress]) -> bool:
-        """Stores output so far, and returns whether all of it is stored."""
+        """Stores partial outputs and returns whether all of them are stored."""
         groups = [self._rows_of(batch, progress) for progress in partials]
         return await self._rows.write(groups) is WriteOutcome.DONE
 
     async def load(self, batch: BatchId, items: tuple[Item, ...]) -> dict[ItemId, Progress]:
-        """Returns the stored output of a batch's items.
+        """Returns the stored partial outputs of a batch's items.
 
         Raises:
             StoreUnavailableError: the store did not answer.
--- a/src/larkpost/gateway/rollouts/progress.py
+++ b/src/larkpost/gateway/rollouts/progress.py
@@ -1,6 +1,6 @@
-"""An item's output so far, and its runs at engines, each continued where the last one broke off.
+"""Output of an item so far, and its runs at engines, each of which resumes the last one.
 
-Owns the output of one item until it has a result. `codec.py` writes it for the next owner.
+`codec.py` encodes the output for the next owner of the batch.
 """
 
 from dataclasses import dataclass, field
@@ -10,29 +10,30 @@
 from larkpost.gateway.rollouts.model import Item, Result, ResultState
 
 LONG_ITEM_EVENTS = 30
-"""Events after which an item has shown itself long; three in four items have fewer."""
+"""Number of events from which an item counts as long."""
 
 
 class DiscontinuityError(ValueError):
-    """An event does not follow the last one that is known."""
+    """An event does not follow the last known one."""
 
 
 @dataclass(slots=True)
 class Progress:
-    """What is known of an item's output so far.
+    """Output of an item so far.
 
     Attributes:
-        events: data of the whole events in order.
-        output_bytes: their length together.
-        last_event: id of the last one, or None.
-        event_versions: the weight version that made each of them.
-        failed_runs: runs that the engine itself reported as failed.
-        impossible_responses: responses that say the item can never be done.
-        moves: how often it was moved to a faster engine.
-        pace_left: pace of the engine that it was last moved away from, which bounds that of the
-            next one; 0 if it was not moved, or no engine as fast had a place.
+        events: data of the complete events in order.
+        output_bytes: total length of the events' data.
+        last_event: id of the last event; None if there is none.
+        event_versions: weight version that produced each event.
+        failed_runs: number of runs that the engine reported as failed.
+        unprocessable_responses: number of responses that the item can never be processed.
+        migrations: number of migrations to a faster engine.
+        previous_service_time: service time of the engine that the item last migrated from, which
+            limits that of the next one; 0 if it has not migrated, or no engine as fast had a free
+            slot.
         whole: whether the output is complete, so that no engine has to run the item again.
-        failed_calls: reward calls of the whole output that the server itself reported as failed.
+        failed_calls: number of reward calls for the output that the server reported as failed.
     """
 
     item: Item
@@ -49,31 +50,31 @@
 
     @property
     def is_long(self) -> bool:
-        """Whether the item has shown itself long; such items are what a step waits for."""
+        """Whether the item has already produced a long output."""
         return len(self.events) >= LONG_ITEM_EVENTS
 
     @property
     def versions(self) -> set[int]:
-        """The weight versions that made an event of the output."""
+        """The weight versions that produced the output."""
         return set(self.event_versions)
 
     def take(self, event_id: int, data: bytes, version: int) -> None:
-        """Adds an event.
+        """Adds an event to the output.
 
         Raises:
-            DiscontinuityError: it does not follow the last one.
+            DiscontinuityError: the event does not follow the last one.
         """
         if self.last_event is not None and event_id != self.last_event + 1:
-            raise DiscontinuityError(f"event {event_id} after {self.last_event}")
+            raise DiscontinuityError(f"event {event_id} does not follow event {self.last_event}")
         if self.last_event is None and event_id not in (0, 1):
-            raise DiscontinuityError(f"event {event_id} at the start")
+            raise DiscontinuityError(f"the first event is {event_id}, not 0 or 1")
         self.events.append(data)
         self.output_bytes += len(data)
         self.last_event = event_id
         self.event_versions.append(version)
 
     def restart(self) -> None:
-        """Forgets all output, so that the next run starts anew."""
+        """Discards the output, so that the next run starts over."""
         self.events.clear()
         self.output_bytes = 0
         self.event_versions.clear()
@@ -82,21 +83,21 @@
         self.failed_calls = 0
 
     def complete(self) -> None:
-        """Records that the output is whole.
+        """Marks the output as complete.
 
         Raises:
-            ValueError: there is no output, or it is not text.
+            ValueError: there is no output, or it is not valid UTF-8.
         """
         if not self.events:
-            raise ValueError("an output without events")
+            raise ValueError("the output has no events")
         self._text()
         self.whole = True
 
     def result(self, score: str | None = None) -> Result:
-        """Returns the result of a whole output with its score, if it has one.
+        """Returns the result of a complete output, with its score if it has one.
 
         Raises:
-            ValueError: the output is not text.
+            ValueError: the output is not valid UTF-8.
         """
         versions = tuple(sorted(self.versions))
         return Result(
@@ -109,12 +110,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemRun:
-    """One run of an item at an engine, from where its output is.
+    """One run of an item at an engine, which resumes after its last event.
 
     Attributes:
-        engine: where the item has its place.
-        route: the item's, when the run began.
-        progress: the item with its output so far; the run adds to it.
+        engine: engine where the item has a slot.
+        route: route of the item when the run started.
+        progress: output of the item so far, to which the run adds.
     """
 
     engine: InstanceInfo
--- a/src/larkpost/gateway/rollouts/reader.py
+++ b/src/larkpost/gateway/rollouts/reader.py
@@ -1,7 +1,6 @@
-"""Answers the reads of batches: results from a position on, and the bodies of items.
+"""Answers reads of batches: results from a position on, and the bodies of items.
 
-Owns nothing but the reads that wait; what is known of a batch's results is its `BatchView`.
-`read_rules.py` says when a read is answered.
+`read_rules.py` decides when a read is answered; a batch's known results are in its `BatchView`.
 """
 
 from dataclasses import dataclass
@@ -26,19 +25,19 @@
 from larkpost.gateway.store.port import StoreUnavailableError
 
 READ_POLL_SECONDS = 0.05
-"""How often a held read checks for what another daemon appends: a step waits for the last one."""
+"""Interval at which a held read polls the store for results appended by other daemons."""
 MAX_CONFIRMATION_AGE_SECONDS = 0.04
-"""A list confirmed this recently is given without asking the store again. Less than the interval of
-checks."""
+"""Age up to which a confirmed result list is returned without reading the store again; less than
+the polling interval."""
 RETRY_AFTER_SECONDS = 0.2
-"""What a caller is asked to wait, in seconds, after a call that the store did not answer."""
+"""Seconds that a caller is told to wait after a store call was not answered."""
 MAX_PAGE_BYTES = 900_000
-"""Most bytes of texts in one page, unless a single text is longer."""
+"""Maximum bytes of texts in a page, unless a single text is longer."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResultPage:
-    """Results of a batch from a position on."""
+    """A page of the results of a batch, starting at a position."""
 
     total: int
     position: int
@@ -46,7 +45,7 @@
 
 
 class BatchReader:
-    """The reads of one daemon."""
+    """Answers the reads of batches at one daemon."""
 
     def __init__(
         self,
@@ -65,10 +64,12 @@
     async def read(
         self, batch: BatchId, position: int, wait: float, caller: Caller = UNRESTRICTED_CALLER
     ) -> ResultPage:
-        """Returns the results from a position on, waiting for one if there is none yet.
+        """Returns the results from a position on; waits if there are none yet.
+
+        Results may be held back for those that complete the trainer's step.
 
         Args:
-            wait: seconds for which the caller waits at most.
+            wait: maximum seconds to wait.
 
         Raises:
             NoSuchBatchError: there is no such batch.
@@ -90,7 +91,7 @@
             await view.wait_for_change(min(READ_POLL_SECONDS, give_up_at - now))
 
     def _may_hold(self, view: BatchView) -> bool:
-        """Returns whether results may be held back until there are enough for the trainer."""
+        """Returns whether results may be held back until the trainer's step is complete."""
         head = view.head
         now = self._services.store_time()
         configuration = self._services.configuration.current
@@ -102,13 +103,13 @@
         return route is not None and may_hold(now - head.created_at, route.due)
 
     def _read_error(self, batch: BatchId, position: int) -> BatchUnreadableError:
-        """Records a read that failed, and returns its error."""
+        """Records a failed read and returns its error."""
         self._services.metrics.count(Count.BATCH_CALLS, "read", "failed")
         self._log.record(Event.READ_FAILED, batch=batch, position=position)
         return BatchUnreadableError("the store does not answer", retry_after=RETRY_AFTER_SECONDS)
 
     def _respond(self, view: BatchView, position: int, *, from_memory: bool) -> ResultPage:
-        """Returns a page and records it, with the age of what was known."""
+        """Returns a page and logs the read with the age of the known results."""
         page = _page(view, position)
         self._services.metrics.count(Count.BATCH_CALLS, "read", "answered")
         self._log.record(
@@ -174,10 +175,10 @@
         return head
 
     async def _refresh(self, view: BatchView, position: int, may_hold: bool) -> bool:
-        """Brings a view up to date; False if the store did not answer.
+        """Updates a view from the store; False if the store did not answer.
 
         Args:
-            may_hold: whether more is wanted though there are results from the position on.
+            may_hold: whether to look for more results even if there are some at the position.
         """
         started = self._clock.now()
         known = len(view.results)
@@ -188,7 +189,7 @@
         try:
             results = await self._repository.results(view.head.id, known)
         except StoreUnavailableError:
-            return False  # the read fails if nothing is known
+            return False  # the known results may still answer the read
         view.add(known, results)
         view.confirm(started)
         return True
@@ -208,10 +209,10 @@
 
 
 def _check_visible(head: BatchHead, caller: Caller) -> None:
-    """Raises unless a caller may see a batch; another tenant's does not exist to it.
+    """Checks that a caller may see a batch; a batch of another tenant looks nonexistent.
 
     Raises:
-        NoSuchBatchError: it is another tenant's.
+        NoSuchBatchError: the batch belongs to another tenant.
     """
     if not caller.can_read(head.tenant):
         raise NoSuchBatchError(f"there is no batch {head.id}")
--- a/src/larkpost/gateway/rollouts/repository.py
+++ b/src/larkpost/gateway/rollouts/repository.py
@@ -1,9 +1,9 @@
-"""Batches in the store: accepted once, results appended at fixed places, ended once.
+"""Batches in the store.
 
-`store/batch_tables.py` names the tables and says where rows lie. A batch is there once its head
-is. Each append is made on condition of the tail's version, so two daemons that run the same batch
-cost work, but never a second result at a place. `acceptance.py` writes new batches,
-`partial_outputs.py` the output of items that run.
+`store/batch_tables.py` names the tables and the partitions of their rows. A batch exists once its
+head does. Each append is made on condition of the tail's version, so that two daemons which run the
+same batch never list two results at one position. `acceptance.py` writes new batches, and
+`partial_outputs.py` the outputs of running items.
 """
 
 from dataclasses import replace
@@ -45,7 +45,7 @@
 
 
 class EndOutcome(StrEnum):
-    """What became of a call to end a batch."""
+    """Outcome of a call to end a batch."""
 
     ENDED = "ended"
     UNKNOWN_BATCH = "unknown_batch"
@@ -53,7 +53,7 @@
 
 
 class BatchRepository:
-    """Reads and writes batches."""
+    """Reads and writes batches in the store."""
 
     def __init__(self, store: Store, clock: Clock) -> None:
         self._store = store
@@ -65,16 +65,16 @@
     async def accept(
         self, spec: BatchSpec, owner: DaemonId, upload: str, seconds: float
     ) -> AcceptOutcome:
-        """Stores a batch for good, once; see `BatchAcceptance.accept`.
+        """Stores a batch durably and exactly once; see `BatchAcceptance.accept`.
 
         Args:
-            upload: a name for the item rows that no other call uses.
-            seconds: for which it is tried.
+            upload: unique name of the item rows of this submission.
+            seconds: how long to keep trying.
         """
         return await self._acceptance.accept(spec, owner, upload, seconds)
 
     async def head(self, batch: BatchId) -> BatchHead | None:
-        """Returns a batch's head, or None if there is no such batch.
+        """Returns the head of a batch; None if there is no such batch.
 
         Raises:
             StoreUnavailableError: the store did not answer.
@@ -83,7 +83,7 @@
         return head_of_row(row) if row is not None else None
 
     async def head_row(self, batch: BatchId) -> Row | None:
-        """Returns the row of a batch's head, or None if there is no such batch.
+        """Returns the row of a batch's head; None if there is no such batch.
 
         Raises:
             StoreUnavailableError: the store did not answer.
@@ -91,7 +91,7 @@
         return await self._row(HEAD_TABLE, batch)
 
     async def tail(self, batch: BatchId) -> Tail | None:
-        """Returns a batch's tail, or None if there is no such batch.
+        """Returns the tail of a batch; None if there is no such batch.
 
         Raises:
             StoreUnavailableError: the store did not answer.
@@ -100,7 +100,7 @@
         return codec.decode_tail(row.value, row.version) if row is not None else None
 
     async def items(self, head: BatchHead) -> tuple[Item, ...]:
-        """Returns a batch's items.
+        """Returns the items of a batch.
 
         Raises:
             StoreUnavailableError: the store did not answer.
@@ -136,10 +136,11 @@
     async def append(
         self, batch: BatchId, tail: Tail, results: list[Result]
     ) -> tuple[WriteResult, Tail, int]:
-        """Appends as many of the results as fit in one transaction, on condition of the tail.
+        """Appends as many results as fit in one transaction, on condition of the tail's version.
 
         Returns:
-            The outcome; the tail as it is if the outcome is "done"; how many results were taken.
+            The outcome; the new tail, valid only if the outcome is "done"; the number of results
+            in the transaction.
         """
         puts, taken = self._result_rows(batch, tail.count, results)
         key = batch_key(TAIL_TABLE, batch)
@@ -154,7 +155,8 @@
     ) -> tuple[list[RowPut], int]:
         """Returns the rows of results from a position on, and how many results fit.
 
-        The first result is always taken: one that fits nowhere alone has to fail at the store.
+        The first result is always included: a result too large for any transaction has to fail at
+        the store.
         """
         puts: list[RowPut] = []
         size = 0
@@ -175,7 +177,7 @@
         return puts, taken
 
     async def end(self, batch: BatchId, seconds: float) -> EndOutcome:
-        """Marks a batch as ended, so that nothing is appended any more.
+        """Marks a batch as ended, so that no more results are appended.
 
         Raises:
             StoreUnavailableError: the store did not answer.
@@ -204,7 +206,11 @@
                 return EndOutcome.UNCERTAIN
 
     async def claim(self, head: BatchHead, version: int, owner: DaemonId) -> bool:
-        """Makes a daemon the owner of a batch, on condition of the head's version."""
+        """Makes a daemon the owner of a batch, on condition of the head's version.
+
+        Returns:
+            Whether the write certainly took effect.
+        """
         key = batch_key(HEAD_TABLE, head.id)
         value = codec.encode_head(replace(head, owner=owner))
         change = Transaction(conditions=((key, version),), puts=((key, value),))
@@ -212,15 +218,15 @@
         return result.outcome is WriteOutcome.DONE
 
     async def keep_partials(self, batch: BatchId, partials: list[Progress]) -> bool:
-        """Stores output so far, so that another daemon can go on from it.
+        """Stores partial outputs, so that another daemon can continue from them.
 
         Returns:
-            Whether all of it is stored; a failure is harmless.
+            Whether all of them are stored; a failure is harmless.
         """
         return await self._partials.save(batch, partials)
 
     async def partials(self, batch: BatchId, items: tuple[Item, ...]) -> dict[ItemId, Progress]:
-        """Returns the stored output of a batch's items.
+        """Returns the stored partial outputs of a batch's items.
 
         Raises:
             StoreUnavailableError: the store did not answer.
--- a/src/larkpost/gateway/rollouts/reward_caller.py
+++ b/src/larkpost/gateway/rollouts/reward_caller.py
@@ -1,8 +1,8 @@
-"""One attempt of a reward call at a server of its service.
+"""Single attempts of reward calls at a server of their service.
 
-The service is the one that the configuration in force names for the call's host and path. Calls
-wait for a place, so that a batch whose outputs become whole together does not push the clients of
-the same servers aside; `reward_rules.py` says which server, and what its response means.
+The current configuration names the service for the call's host and path. Calls wait for a slot, so
+that a batch whose outputs complete together does not crowd out the clients of the same servers.
+`reward_rules.py` selects the server and interprets its response.
 """
 
 import asyncio
@@ -29,15 +29,15 @@
 from larkpost.gateway.servers.port import BrokenResponseError, NotRunError, OutgoingRequest
 
 MAX_CALLS_IN_FLIGHT = 24
-"""Reward calls of one daemon at servers, or about to be sent; the others wait their turn."""
+"""Maximum number of reward calls that a daemon has in flight; the others wait."""
 SLOT_POLL_SECONDS = 0.03
-"""Pause between two checks for a place at a server."""
+"""Interval of the checks for a free slot at a server."""
 FULL_AVOID_SECONDS = 0.05
-"""How long a server that was full gets no more work."""
+"""How long a server gets no more work after it refused a call."""
 BROKEN_AVOID_SECONDS = 0.3
-"""The same after a response that broke off."""
+"""How long a server gets no more work after a broken response."""
 SILENT_AVOID_SECONDS = 1.0
-"""The same after a silence beyond the call's time limit."""
+"""How long a server gets no more work after a call timed out there."""
 
 
 class RewardCaller:
@@ -50,10 +50,10 @@
     async def make(
         self, progress: Progress, call: RewardCall, route: Route, history: RewardCallHistory
     ) -> RewardAttempt | None:
-        """Sends a call once; None if no server had a place.
+        """Sends a call once; None if no server had a free slot.
 
         Args:
-            history: of the call; the attempt is added to it.
+            history: earlier attempts of the call; this one is added.
         """
         async with self._services.reward_call_slots:
             server = self._choose(self._services.shares.choose(route), call, history)
@@ -72,7 +72,7 @@
             return attempt
 
     def _work(self, call: RewardCall) -> Work:
-        """Returns what the rules of placement ask of a call, as the configuration stands now."""
+        """Returns the placement requirements of a call under the current configuration."""
         configuration = self._services.configuration.current
         if configuration is None:
             return REWARD_WORK
@@ -93,7 +93,7 @@
         return self._services.balancer.occupied(info) < usable_slots(info.slots)
 
     async def _send(self, server: InstanceInfo, call: RewardCall, limit: float) -> RewardAttempt:
-        """Sends a call and records what its end says of the server."""
+        """Sends a call and updates the state of the server by the outcome."""
         balancer = self._services.balancer
         started = self._services.clock.now()
         try:
@@ -116,12 +116,12 @@
     async def _exchange(
         self, server: InstanceInfo, call: RewardCall, limit: float
     ) -> tuple[int, str | None]:
-        """Returns the status and the signature of a whole response.
+        """Returns the status and the signature of a complete response.
 
         Raises:
             NotRunError: the call certainly did not run.
-            BrokenResponseError: no whole response came.
-            TimeoutError: the server was silent for longer than its limit, in seconds.
+            BrokenResponseError: the response was incomplete.
+            TimeoutError: the response was not complete within ``limit`` seconds.
         """
         balancer = self._services.balancer
         within = balancer.placement.admit(server.id, self._work(call))
@@ -134,7 +134,7 @@
                 balancer.record_load(server.id, response.load)
                 balancer.record_cold(server.id, response.cold_left)
                 async for _ in response.chunks():
-                    pass  # only the signature matters, but the body must come whole
+                    pass  # only the signature matters, but the body must be complete
                 return response.status, response.signature
 
     def _record(
--- a/src/larkpost/gateway/rollouts/reward_scorer.py
+++ b/src/larkpost/gateway/rollouts/reward_scorer.py
@@ -1,8 +1,8 @@
-"""Has whole outputs scored by the reward calls of their items.
+"""Has complete outputs scored by the reward calls of their items.
 
-A reward call may run more than once, so whatever ends without a score is tried again, at another
-server if there is one, until the item's time is over or the call has failed too often
-(`retry_rules.py`). `reward_attempt.py` makes the single attempts.
+A reward call may run more than once, so any attempt without a score is retried, at another server
+if possible, until the item expires or the call has failed too often (`retry_rules.py`).
+`reward_caller.py` makes the single attempts.
 """
 
 from larkpost.gateway.blackboard.configuration import Route
@@ -17,13 +17,13 @@
 from larkpost.gateway.rollouts.reward_rules import RewardCallHistory, RewardCallOutcome
 
 RETRY_PAUSE_SECONDS = 0.05
-"""Pause before a call is tried again."""
+"""Pause before a call is retried."""
 QUARANTINE_CHECK_SECONDS = 0.5
-"""Between two checks whether a call that crashes servers may be sent again."""
+"""Interval of the checks whether a quarantined call may be sent again."""
 
 
 class RewardScorer:
-    """Has the outputs of one batch scored."""
+    """Scores the outputs of one batch by reward calls."""
 
     def __init__(self, head: BatchHead, routes: ItemRoutes, services: RunServices) -> None:
         self._routes = routes
@@ -31,10 +31,10 @@
         self._attempts = RewardCaller(head, services)
 
     async def score(self, progress: Progress, call: RewardCall) -> str | None:
-        """Returns an output's score; None if the call failed too often, or its time is over.
+        """Returns the score of an output; None if the call failed too often or the item expired.
 
         Args:
-            progress: a whole output; its count of failed calls is kept there.
+            progress: the complete output; its count of failed calls is updated.
         """
         item_route = self._routes.route_of(progress.item)
         item_attempts = item_route.max_attempts if item_route is not None else 0
@@ -61,7 +61,7 @@
         return None
 
     def _is_quarantined(self, call: RewardCall) -> bool:
-        """Returns whether a call must not be sent, as too many servers crashed under its like."""
+        """Returns whether a call must not be sent, as too many servers crashed under it."""
         crashes = self._services.crashes
         return crashes.has_suspects and crashes.is_content_quarantined(
             call.content, BATCH_CRASH_LIMIT
--- a/src/larkpost/gateway/rollouts/service.py
+++ b/src/larkpost/gateway/rollouts/service.py
@@ -1,7 +1,7 @@
-"""The batch calls of a daemon: submit, read results and bodies, end.
+"""Batch calls of a daemon: submit, read results and item bodies, end.
 
-Owns nothing; the batches themselves lie in the store. It relies on the repository to accept and
-end them, on the keeper to run them, and on `reader.py` for reads.
+The repository accepts and ends batches in the store, the batch manager runs them, and `reader.py`
+answers reads.
 """
 
 import secrets
@@ -30,17 +30,17 @@
 from larkpost.gateway.store.port import StoreUnavailableError
 
 ACCEPT_SECONDS = 0.6
-"""For so long a batch is tried for while the store refuses it, before the trainer is sent to
-another daemon, which may reach the store."""
+"""How long to try to store a batch before the trainer is told to retry at another daemon, which may
+still reach the store."""
 END_SECONDS = 2.0
-"""For so long an end is tried for."""
+"""How long to try to end a batch."""
 
 
 class BatchService:
-    """All batch calls of one daemon.
+    """The batch calls of one daemon.
 
     Args:
-        owner: this daemon, which runs what it accepts.
+        owner: id of this daemon, which becomes the owner of batches that it accepts.
     """
 
     def __init__(
@@ -60,12 +60,12 @@
         self._log: EventLog = services.log
 
     async def submit(self, spec: BatchSpec) -> None:
-        """Accepts a batch; it is kept for good once this returns.
+        """Accepts a batch; it is stored durably once this returns.
 
         Raises:
-            BatchRefusedError: it was certainly not accepted.
-            BatchUncertainError: it may have been accepted.
-            BatchIdTakenError: another tenant has a batch of this id.
+            BatchRefusedError: the batch was certainly not accepted.
+            BatchUncertainError: the batch may have been accepted.
+            BatchIdTakenError: another tenant has a batch with this id.
         """
         known = self._batch_manager.head(spec.id)
         if known is not None and known.tenant == spec.tenant:
@@ -81,15 +81,16 @@
         await self._batch_manager.start_accepted(spec, upload)
 
     def _no_eligible_engine_error(self, spec: BatchSpec) -> BatchRefusedError:
-        """Records that no engine may serve a batch, and returns the error of its submission."""
+        """Records a batch that no engine may serve, and returns the submission's error."""
         self._services.metrics.count(Count.BATCH_CALLS, "submit", "homeless")
         self._log.record(Event.BATCH_REFUSED, batch=spec.id, uncertain=False, homeless=True)
         return BatchRefusedError(
-            "no engine lies where the batch may be served", retry_after=RETRY_AFTER_SECONDS
+            "no engine is in a region where the batch may be served",
+            retry_after=RETRY_AFTER_SECONDS,
         )
 
     def _refusal_error(self, spec: BatchSpec, outcome: AcceptOutcome) -> LarkpostError:
-        """Records that the store has not accepted a batch, and returns the submission's error."""
+        """Records a batch that was not stored, and returns the submission's error."""
         self._services.metrics.count(Count.BATCH_CALLS, "submit", outcome.value)
         if outcome is AcceptOutcome.REFUSED:
             self._log.record(Event.BATCH_REFUSED, batch=spec.id, uncertain=False)
@@ -98,7 +99,7 @@
             self._log.record(Event.BATCH_REFUSED, batch=spec.id, uncertain=True)
             return BatchUncertainError("the store did not answer", ran=Ran.UNKNOWN)
         self._log.record(Event.BATCH_REFUSED, batch=spec.id, uncertain=False, taken=True)
-        return BatchIdTakenError(f"there is another batch {spec.id}")
+        return BatchIdTakenError(f"batch id {spec.id} is already in use")
 
     def _record_accepted(self, spec: BatchSpec, seconds: float) -> None:
         self._services.metrics.count(Count.BATCH_CALLS, "submit", "accepted")
@@ -115,7 +116,7 @@
         )
 
     def _has_no_eligible_engine(self, spec: BatchSpec) -> bool:
-        """Returns whether no engine lies where a batch may be served."""
+        """Returns whether no engine is in a region where a batch may be served."""
         configuration = self._services.configuration.current
         path = spec.path.encode("latin-1")
         route = configuration.match(spec.host, path) if configuration is not None else None
@@ -131,7 +132,7 @@
         """Returns the results from a position on; see `BatchReader.read`.
 
         Args:
-            wait: seconds for which the caller waits at most.
+            wait: maximum seconds to wait.
 
         Raises:
             NoSuchBatchError: there is no such batch.
@@ -151,12 +152,12 @@
         return await self._reader.body(batch, item, caller)
 
     async def end(self, batch: BatchId, caller: Caller = UNRESTRICTED_CALLER) -> None:
-        """Ends a batch: nothing of it is run or listed any more.
+        """Ends a batch: none of its items is run or listed any more.
 
         Raises:
             NoSuchBatchError: there is no such batch.
             BatchUnreadableError: the store does not answer.
-            BatchUncertainError: it may have been ended.
+            BatchUncertainError: the batch may have been ended.
         """
         if caller.is_restricted:
             await self._reader.find_head(batch, caller)
--- a/src/larkpost/gateway/rollouts/view.py
+++ b/src/larkpost/gateway/rollouts/view.py
@@ -1,6 +1,6 @@
-"""What one daemon knows of a batch's list of results. Places never change, so it only grows.
+"""Cached result lists of the batches that were recently read or run at this daemon.
 
-Owns the views of all batches that were read or run here lately, bounded in memory.
+Positions in a result list never change, so a cached list only grows.
 """
 
 import asyncio
@@ -12,21 +12,21 @@
 from larkpost.gateway.rollouts.model import BatchHead, GroupId, Item, ItemId, Result
 
 MAX_CACHE_BYTES = 24_000_000
-"""Most bytes of texts and bodies that the views of batches not run here hold."""
+"""Maximum bytes of texts and bodies in the views of batches that are not run here."""
 
 
 IDLE_BUDGET_DIVISOR = 8
-"""They hold at most this part of the budget, where there is one."""
+"""These views also use at most the memory limit divided by this, where there is a limit."""
 
 
 class BatchView:
-    """A batch's results from the first on, as far as they are known here.
+    """The known results of a batch, starting with the first.
 
     Attributes:
-        items: the batch's items, if this daemon has them; see `keep_items`.
-        size: bytes of texts and bodies, without the overhead of objects.
-        confirmed_at: steady time at which the list was certainly complete.
-        used_at: steady time of the last use, for the bound on memory.
+        items: items of the batch by id; None if not loaded.
+        size: bytes of texts and bodies, without object overhead.
+        confirmed_at: latest monotonic time at which the list held all results in the store.
+        used_at: monotonic time of the last use, for eviction.
     """
 
     def __init__(self, head: BatchHead) -> None:
@@ -40,7 +40,7 @@
         self._changed = asyncio.Event()
 
     def add(self, position: int, results: list[Result]) -> None:
-        """Adds results that the store holds from a position on."""
+        """Adds results that the store holds from a position on; known ones are skipped."""
         known = len(self.results)
         if position > known:
             return
@@ -53,7 +53,7 @@
             self._changed = asyncio.Event()
 
     def set_items(self, items: Iterable[Item]) -> dict[ItemId, Item]:
-        """Keeps the batch's items, and returns them by id."""
+        """Sets the items of the batch, and returns them by id."""
         if self.items is not None:
             self.size -= sum(len(item.body) for item in self.items.values())
         self.items = {item.id: item for item in items}
@@ -61,13 +61,13 @@
         return self.items
 
     def has_enough_groups(self) -> bool:
-        """Returns whether enough groups are whole for the trainer to go on."""
+        """Returns whether enough groups are complete for the trainer's step."""
         size = self.head.group_size
         whole = sum(count >= size for group, count in self._group_counts.items() if group)
         return bool(size) and whole >= self.head.desired_groups
 
     def confirm(self, at: float) -> None:
-        """Records that the list was complete at a steady time."""
+        """Records that the list held all results in the store at a monotonic time."""
         self.confirmed_at = max(self.confirmed_at, at)
 
     async def wait_for_change(self, timeout: float) -> None:
@@ -76,14 +76,14 @@
             async with asyncio.timeout(timeout):
                 await self._changed.wait()
         except TimeoutError:
-            return  # the wait is over; the reader asks the store
+            return  # the reader polls the store
 
 
 class ViewCache:
-    """The views of one daemon, bounded in memory; what is dropped is read again when needed.
+    """Views of one daemon, bounded in memory; evicted ones are read again when needed.
 
     Args:
-        budget: is told what the views hold.
+        budget: memory budget that counts the bytes of the views.
     """
 
     def __init__(self, budget: MemoryBudget | None = None) -> None:
@@ -91,11 +91,11 @@
         self._views: dict[BatchId, BatchView] = {}
 
     def get(self, batch: BatchId) -> BatchView | None:
-        """Returns the view of a batch, if there is one."""
+        """Returns the view of a batch; None if there is none."""
         return self._views.get(batch)
 
     def get_or_add(self, head: BatchHead) -> BatchView:
-        """Returns the view of a batch, a new one if there is none."""
+        """Returns the view of a batch, creating it if there is none."""
         return self._views.setdefault(head.id, BatchView(head))
 
     def forget(self, batch: BatchId) -> None:
@@ -103,10 +103,13 @@
         self._views.pop(batch, None)
 
     def evict_idle(self, in_use: set[BatchId], outputs: int = 0) -> None:
-        """Drops the views that were not used for longest, but none in use.
+        """Evicts the least recently used views that are not in use, down to the limit.
+
+        Also reports the bytes of all batches to the memory budget.
 
         Args:
-            outputs: bytes that batches in use have made and not listed.
+            in_use: batches whose views are kept.
+            outputs: bytes of unlisted output of the batches in use.
         """
         idle = [batch for batch in self._views if batch not in in_use]
         size = sum(self._views[batch].size for batch in idle)
