--- a/tests/platform_oracle.py
+++ b/tests/platform_oracle.py
@@ -1,4 +1,4 @@
-"""What must hold of a fleet on the platform, checked from what callers, engines and store saw."""
+"""Invariants of a fleet on the platform, checked against what callers, engines and store saw."""
 
 from larkpost.common.errors import LarkpostError
 from larkpost.common.ids import BatchId, RegionId
@@ -17,19 +17,19 @@
 
 
 class PlatformOracle:
-    """Calls daemons as trainers do, remembers what was promised, and checks it.
+    """Calls daemons as trainers do, records the responses, and checks that they hold.
 
     Attributes:
-        accepted: batches that a daemon said it keeps.
-        refused: batches that a daemon said it will never run.
-        ended: batches that someone asked to end.
-        read: what was read of each batch, by position.
-        unavailable: calls that a daemon could not answer, with a promise of nothing.
-        asked: the numbers of the daemons that a trainer itself sent each batch to.
-        homes: the only regions in which batches may be served all the time; None for all.
-        troubles: for each daemon the spans in which it could not read the store, as far as
-            seen by the checks, which come after each step.
-        unstable: the spans in which the store had any fault.
+        accepted: batches that a daemon confirmed as accepted.
+        refused: batches that a daemon confirmed as never accepted.
+        ended: batches that a caller tried to end.
+        read: results read of each batch, by position.
+        unavailable: number of calls that failed without any guarantee.
+        asked: numbers of the daemons to which a trainer sent each batch.
+        homes: regions in which batches may be served; None for all.
+        troubles: for each daemon, the spans in which it could not read the store, in the resolution
+            of the checks, which run after each step.
+        unstable: spans in which the store had any fault.
     """
 
     def __init__(self, fleet: PlatformFleet) -> None:
@@ -49,13 +49,13 @@
 
     @classmethod
     def of_batch(cls, fleet: PlatformFleet, spec: BatchSpec) -> "PlatformOracle":
-        """Returns an oracle that knows one batch, which was accepted without its help."""
+        """Returns an oracle for one batch that was submitted without the oracle."""
         oracle = cls(fleet)
         oracle.accepted[spec.id] = spec
         return oracle
 
     async def submit(self, gateway, spec: BatchSpec) -> bool:
-        """Submits a batch and tells whether it was accepted."""
+        """Submits a batch and returns whether it was accepted."""
         self.asked.setdefault(spec.id, set()).add(self.fleet.gateways.index(gateway))
         try:
             await gateway.batches.submit(spec)
@@ -65,13 +65,13 @@
             return False
         except LarkpostError:
             self.unavailable += 1
-            return False  # nothing is promised
+            return False  # whether it was accepted is unknown
         self.accepted[spec.id] = spec
         self.refused.pop(spec.id, None)
         return True
 
     async def look(self, gateway, batch: BatchId, position: int, wait: float = 0.3) -> None:
-        """Reads a batch from a position on; what was read before must come again."""
+        """Reads a batch from a position on; results read before must be unchanged."""
         try:
             page = await gateway.batches.read(batch, position, wait)
         except LarkpostError as error:
@@ -86,7 +86,7 @@
                 known.append(result)
 
     async def end(self, gateway, batch: BatchId) -> bool:
-        """Asks to end a batch and tells whether that was confirmed."""
+        """Ends a batch and returns whether that was confirmed."""
         self.ended.add(batch)
         try:
             await gateway.batches.end(batch)
@@ -96,7 +96,7 @@
         return True
 
     def check(self) -> None:
-        """Checks everything that must hold at all times."""
+        """Checks all invariants that hold at all times."""
         self.check_orders()
         self.check_refused()
         self.check_listed()
@@ -108,7 +108,7 @@
         self.check_crashes()
 
     def check_crashes(self) -> None:
-        """A request that has crashed three servers is hardly sent on by daemons that can know."""
+        """A request that crashed three servers is hardly sent by daemons that can know of it."""
         fleet = self.fleet
         for target in fleet.engines.crashing:
             arrivals = [arrival for arrival in fleet.arrivals if arrival.target == target]
@@ -117,7 +117,7 @@
             checks.check_crashes(target.decode(), sorted(crashed), counted)
 
     def _is_in_touch(self, arrival: Arrival) -> bool:
-        """Returns whether a daemon had been without trouble for long enough to know of crashes."""
+        """Returns whether a daemon could read the store for long enough to know of crashes."""
         since = arrival.at - checks.CONTACT_SECONDS
         if self.fleet.started_at[arrival.daemon] > since:
             return False
@@ -125,7 +125,7 @@
         return not any(start <= arrival.at and end >= since for start, end in spans)
 
     def check_cold(self) -> None:
-        """All daemons together send few requests to a cold engine in any second."""
+        """All daemons together stay within the bound of sends to a cold engine in any second."""
         if self.fleet.cold is None:
             return
         bound = self.fleet.cold.bound(CONFIGURATION.services[ENGINES].cold_rate)
@@ -133,7 +133,7 @@
             checks.check_cold(name, state.cold_arrivals, bound)
 
     def check_homes(self) -> None:
-        """No engine or daemon outside the homes holds a body, but those a trainer sent it to.
+        """No engine or daemon outside the allowed regions holds a body, unless a trainer sent it.
 
         A peer that writes items for a daemon may also be in that daemon's region.
         """
@@ -152,7 +152,7 @@
                     checks.check_home(f"reader {number} of {batch}", region, self.homes)
 
     def check_evacuated(self) -> None:
-        """No daemon has sent anything to an evacuated zone after it had to know."""
+        """No daemon sends requests to an evacuated zone once it must know of the evacuation."""
         self._record_troubles()
         sends = self.fleet.sends[self._sends_checked :]
         self._sends_checked = len(self.fleet.sends)
@@ -164,7 +164,7 @@
                     checks.check_evacuated(send.instance, send.at, known_at, span.ended_at)
 
     def _record_troubles(self) -> None:
-        """Notes which daemons cannot read the store, or only slowly."""
+        """Records which daemons cannot read the store, or only slowly."""
         now = self.fleet.now()
         faults = self.fleet.store.faults
         is_ill = faults.down or faults.refuses or faults.slow_seconds > 0
@@ -182,12 +182,12 @@
             self._in_trouble.add(daemon)
 
     def check_orders(self) -> None:
-        """Holders never take turns at an engine within a lease; tokens rise."""
+        """Lease holders never alternate at an engine within a lease; fencing tokens rise."""
         for name, state in self.fleet.engines.engines.items():
             checks.check_turns([(order[0], order[1], order[4]) for order in state.orders], name)
 
     def check_usage(self) -> None:
-        """Each window of usage has one report; holders of the duty never take turns in a lease."""
+        """Each usage window has one report; lease holders never alternate within a lease."""
         received = self.fleet.usage.received
         checks.check_turns(
             [(report.holder, report.token, report.at) for report in received], "usage"
@@ -195,13 +195,13 @@
         checks.check_reports((report.window, report.counts) for report in received)
 
     def check_refused(self) -> None:
-        """Nothing of a batch that was refused has run."""
+        """No item of a refused batch has run."""
         ran = {name for state in self.fleet.engines.engines.values() for name in state.runs}
         for spec in self.refused.values():
             assert not ran & {item.id for item in spec.items}, f"{spec.id} was refused, but runs"
 
     def check_listed(self) -> None:
-        """The store lists each item once, whole, and under versions that are new enough."""
+        """The store lists each item once, complete, and with versions that are new enough."""
         for batch, spec in self.accepted.items():
             listed = self.fleet.stored_results(batch)
             checks.check_once(
@@ -219,7 +219,7 @@
                     )
 
     def check_scores(self) -> None:
-        """A score is the signature of a call that began after the text was first whole.
+        """A score is the signature of a call that started after the text was first complete.
 
         An item without a score is dead, and only after as many failures as its call's route allows.
         """
@@ -235,7 +235,7 @@
                     checks.check_given_up(result.item, failures)
 
     def _crashes_servers(self, spec: BatchSpec, name: str) -> bool:
-        """Returns whether an item or its call crashes servers: it is dead when its time is over."""
+        """Returns whether an item or its call crashes servers, so that it dies when it expires."""
         item = next(item for item in spec.items if item.id == name)
         targets = {item.path.encode(), item.reward_call.path.encode()}
         return bool(targets & self.fleet.engines.crashing)
@@ -256,7 +256,7 @@
         checks.check_score(result.item, began, whole_at)
 
     def missing(self) -> list[BatchId]:
-        """Returns the accepted batches that are neither whole nor ended."""
+        """Returns the accepted batches that are neither complete nor ended."""
         return [
             batch
             for batch in self.accepted
--- a/tests/switched_off.py
+++ b/tests/switched_off.py
@@ -1,7 +1,6 @@
-"""Mechanisms of a daemon switched off, each by one function or figure that is replaced.
+"""Patches that disable single mechanisms of a daemon.
 
-A test that shows what a mechanism changes plays the same scene with it and without it. Daemons have
-no such switches.
+A test that shows the effect of a mechanism runs the same scenario with and without it.
 """
 
 import contextlib
@@ -20,71 +19,71 @@
 
 
 def hedged_attempts():
-    """No second server is tried beside a slow one."""
+    """Sends no hedged requests."""
     return mock.patch.object(ServerChoice, "hedge_delay", lambda *_: None)
 
 
 def moves_to_faster_engines():
-    """No run asks for the next free place at a faster engine, so none leaves its engine for one."""
+    """Disables migration to faster engines."""
     return mock.patch.object(FasterEngineRequest, "request_if_slow", lambda *_: None)
 
 
 def moves_of_stalled_runs():
-    """No run that makes nothing leaves its engine."""
+    """Leaves stalled runs at their engines."""
     return mock.patch.object(BatchRun, "_watch_for_stalls", _nothing)
 
 
 def ranks_of_items():
-    """Engines get no priority of an item."""
+    """Sends items without a priority."""
     return mock.patch.object(EngineRunner, "_priority", lambda *_: None)
 
 
 def own_engines_first():
-    """A new batch takes any engine at once."""
+    """Lets a new batch use any engine at once."""
     return mock.patch.object(EngineSelector, "_allowed_engines", lambda *_: None)
 
 
 def held_reads():
-    """A read that may wait is answered with the first result."""
+    """Answers a waiting read as soon as there is a result."""
     return mock.patch.object(BatchReader, "_may_hold", lambda *_: False)
 
 
 def kept_partial_outputs():
-    """The output of running items is not kept for another owner."""
+    """Does not store the partial outputs of running items."""
     return mock.patch.object(OwnedBatch, "_save_outputs_periodically", _nothing)
 
 
 def kept_connections_first():
-    """A kept connection counts no more than a new one."""
+    """Does not prefer servers with an open connection."""
     return mock.patch.object(ranking, "NEW_CONNECTION_FACTOR", 1.0)
 
 
 def pauses_after_failures():
-    """An instance that failed gets the next request like any other."""
+    """Does not avoid instances after failures."""
     return mock.patch.object(balancer.Balancer, "avoid", lambda *_: None)
 
 
 def slots_left_to_clients():
-    """Reward calls may take all slots of a server."""
+    """Lets reward calls use all slots of a server."""
     return mock.patch.object(reward_rules, "CLIENT_RESERVED_SHARE", 0.0)
 
 
 def early_refusal_of_batches():
-    """A batch is tried for much longer while the store refuses it."""
+    """Retries much longer while the store refuses a batch."""
     return mock.patch.object(service, "ACCEPT_SECONDS", 3.0)
 
 
 def most_coordinators():
-    """Two daemons coordinate in place of a dozen."""
+    """Elects only two coordinators."""
     return mock.patch.object(coordinators, "COORDINATOR_COUNT", 2)
 
 
 @contextlib.contextmanager
 def all_moves():
-    """Runs stay at their engines, so that some last long."""
+    """Disables all migrations, so that runs at slow engines last long."""
     with moves_to_faster_engines(), moves_of_stalled_runs():
         yield
 
 
 async def _nothing(*_) -> None:
-    """Does nothing, in place of background work."""
+    """Replaces a background task by nothing."""
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -1,4 +1,4 @@
-"""Load: batches of unequal length on one pool of engines of unequal pace; which will be in time."""
+"""Deadline forecasts of batches of different length, and the progress reports they are based on."""
 
 import unittest
 from dataclasses import replace
@@ -36,20 +36,20 @@
 POOL = BatchCapacity(
     available_slots=58, total_slots=176, token_time=0.000625, fastest_token_time=0.0006
 )
-"""A third of 22 engines of 8 places, where an event of 80 tokens takes 0.05 s."""
+"""A third of 22 engines with 8 slots, where an event of 80 tokens takes 0.05 s."""
 UNEVEN = BatchCapacity(
     available_slots=48, total_slots=192, token_time=0.001, fastest_token_time=0.0007
 )
-"""A quarter of 24 engines, of which the slow ones take 1.7 times the usual time, the others 0.7."""
+"""A quarter of 24 engines; slow ones take 1.7 times the usual service time, the others 0.7."""
 LONG = BatchProgress(0, work=1848 * 80, p90_item_work=149 * 80)
 SHORT = BatchProgress(0, work=864 * 80, p90_item_work=84 * 80)
 TOKENS = 80
 
 
 class ForecastTest(unittest.TestCase):
-    """The rule, case by case."""
+    """Cases of the forecast rules."""
 
-    def test_outlooks(self):
+    def test_deadline_forecasts(self):
         ended = BatchProgress(0, 0, 0)
         cases = (
             ("short items, all the time", SHORT, 7.5, POOL, DeadlineForecast.TO_SPARE),
@@ -62,9 +62,9 @@
                 DeadlineForecast.TO_SPARE,
             ),
             ("late, but not by much", LONG, 6.5, POOL, DeadlineForecast.TIGHT),
-            ("a long item may be shorter than guessed", LONG, 2.0, POOL, DeadlineForecast.TIGHT),
+            ("a long item may be shorter than expected", LONG, 2.0, POOL, DeadlineForecast.TIGHT),
             (
-                "hopeless: more work than all engines do",
+                "infeasible: more work than all engines can do",
                 LONG,
                 -0.5,
                 POOL,
@@ -88,9 +88,15 @@
             ("all is done", ended, 3.0, POOL, DeadlineForecast.TO_SPARE),
             ("short items at uneven engines", SHORT, 11.0, UNEVEN, DeadlineForecast.TO_SPARE),
             ("long ones: in time at the fast", LONG, 7.5, UNEVEN, DeadlineForecast.TIGHT),
-            ("more work than the fast engines do", LONG, -0.5, UNEVEN, DeadlineForecast.HOPELESS),
             (
-                "no pace is known",
+                "more work than the fast engines can do",
+                LONG,
+                -0.5,
+                UNEVEN,
+                DeadlineForecast.HOPELESS,
+            ),
+            (
+                "no service time is known",
                 SHORT,
                 7.5,
                 BatchCapacity(0, 0, 0.0, 0.0),
@@ -129,24 +135,24 @@
             ((spare, unknown), unknown),
             ((spare, hopeless, unknown, tight), tight),
         )
-        for forecaster, expected in cases:
-            with self.subTest(forecaster):
-                self.assertIs(expected, most_urgent_forecast(forecaster))
+        for forecasts, expected in cases:
+            with self.subTest(forecasts):
+                self.assertIs(expected, most_urgent_forecast(forecasts))
 
 
-class WorkLeftTest(unittest.TestCase):
-    """What an item is expected to take yet."""
+class RemainingWorkTest(unittest.TestCase):
+    """Estimates of the remaining work."""
 
-    def test_tokens_left(self):
+    def test_remaining_tokens(self):
         item = Item(ItemId("i"), "/p", (), b"", tokens=4000, group="g", length_hint=1600)
         cases = (
-            ("not begun", item, 0, 1600),
-            ("half made", item, 10, 800),
-            ("as long as guessed", item, 20, int(1600 * OVERRUN_SHARE)),
-            ("outlived its guess", item, 30, int(2400 * OVERRUN_SHARE)),
-            ("near the most that it may take", item, 45, 400),
-            ("beyond it", item, 60, TOKENS),
-            ("no guess", replace(item, length_hint=0), 10, 3200),
+            ("not started", item, 0, 1600),
+            ("half done", item, 10, 800),
+            ("as long as expected", item, 20, int(1600 * OVERRUN_SHARE)),
+            ("longer than expected", item, 30, int(2400 * OVERRUN_SHARE)),
+            ("near its maximum", item, 45, 400),
+            ("beyond its maximum", item, 60, TOKENS),
+            ("no length hint", replace(item, length_hint=0), 10, 3200),
         )
         for name, case, events, expected in cases:
             with self.subTest(name):
@@ -166,42 +172,42 @@
 
 
 class ReportTest(unittest.TestCase):
-    """How progress travels."""
+    """Progress reports in heartbeats."""
 
     def read(self, report: DaemonReport) -> DaemonReport:
-        """Returns a report as another daemon reads it."""
+        """Returns a report as another daemon decodes it."""
         return decode_heartbeat(encode_heartbeat(Heartbeat(0.25, report=report))).report
 
-    def test_there_and_back(self):
+    def test_round_trip(self):
         report = DaemonReport(batches={BatchId("b"): BatchProgress(3, 12000, 900)})
         self.assertEqual(report, self.read(report))
         self.assertEqual(DaemonReport(), self.read(DaemonReport()))
         self.assertNotIn(b"batches", encode_heartbeat(Heartbeat(0.25)))
 
-    def test_what_cannot_be_read_is_not_said(self):
+    def test_malformed_reports_are_ignored(self):
         for value in (b"7", b"[1]", b'{"b":[1,2]}', b'{"b":[1,2,-3]}', b'{"b":[1,"2",3]}'):
             with self.subTest(value):
                 row = b'{"interval":0.25,"batches":' + value + b"}"
                 self.assertEqual({}, decode_heartbeat(row).report.batches)
 
 
-class OutlooksTest(unittest.TestCase):
-    """What follows from the owners' reports, and from their silence."""
+class BatchForecasterTest(unittest.TestCase):
+    """Forecasts from the owners' reports, and without reports."""
 
     async def begin(self) -> PlatformFleet:
-        """Prepares outlooks of one batch, owned elsewhere, due in some seconds."""
+        """Prepares the forecasts of a batch that another daemon owns, due in some seconds."""
         fleet = PlatformFleet(gateways=1, engines=2)
         await fleet.wait(1.0)
         gateway = fleet.gateways[0]
         self.clock = fleet.clock
-        sources = ForecastInputs(
+        inputs = ForecastInputs(
             gateway.blackboard.configuration,
             gateway.directory,
             lambda _: 0.05,
             fleet.clock,
             lambda: 100.0,
         )
-        self.forecaster = BatchForecaster(sources)
+        self.forecaster = BatchForecaster(inputs)
         spec = make_batch(items=1)
         self.due = gateway.blackboard.configuration.current.match(spec.host, spec.path.encode()).due
         self.head = BatchHead(
@@ -210,11 +216,11 @@
         return fleet
 
     def demand(self, own: dict[BatchId, BatchProgress] | None = None) -> ModelDemand:
-        """Returns what the model's batches ask for."""
+        """Returns the demand of the model."""
         demands = {MODEL: ModelDemand(10, True)}
         return self.forecaster.add_forecasts(demands, ModelHeads([self.head]), own or {})[MODEL]
 
-    def test_report_is_believed_for_a_while(self):
+    def test_report_expires(self):
         async def play():
             await self.begin()
             self.assertIs(DeadlineForecast.UNKNOWN, self.demand().deadline_forecast)
@@ -227,7 +233,7 @@
 
         run(play())
 
-    def test_owner_that_is_gone_tells_nothing(self):
+    def test_empty_report_replaces_the_last_one(self):
         async def play():
             await self.begin()
             self.forecaster.record_report(DaemonId("o"), {self.head.id: BatchProgress(4, 1, 1)})
@@ -236,8 +242,8 @@
 
         run(play())
 
-    def test_priority_holds_between_two_steps_when_no_batch_is_open(self):
-        """Versions load then, and engines are lent by priority."""
+    def test_priority_is_kept_between_two_steps_when_no_batch_is_open(self):
+        """Weights are loaded between steps, and engines are lent by priority."""
 
         async def play():
             await self.begin()
@@ -251,7 +257,7 @@
 
         run(play())
 
-    def test_own_knowledge_counts_before_reports(self):
+    def test_own_progress_takes_precedence_over_reports(self):
         async def play():
             await self.begin()
             self.forecaster.record_report(DaemonId("o"), {self.head.id: BatchProgress(4, 1, 1)})
@@ -279,9 +285,9 @@
 
 
 class FleetTest(unittest.TestCase):
-    """What the other daemons know of a batch while its owner lives, and after."""
+    """Progress of a batch at the other daemons, before and after a failover."""
 
-    def test_progress_reaches_the_others_and_goes_on_with_the_next_owner(self):
+    def test_progress_reaches_the_others_also_after_a_failover(self):
         async def play():
             fleet = PlatformFleet(gateways=3, engines=2)
             for state in fleet.model_engines():
@@ -300,7 +306,7 @@
             await fleet.wait(DEAD_AFTER_SECONDS + 1.5)
             owners = [gateway for gateway in others if gateway.keeper.owned()]
             self.assertEqual(1, len(owners))
-            for gateway in others:  # now by the new owner's word
+            for gateway in others:  # reported by the new owner
                 self.assertIsNot(
                     DeadlineForecast.UNKNOWN, gateway.keeper.demands()[MODEL].deadline_forecast
                 )
@@ -309,7 +315,7 @@
 
 
 def left_of(progress: BatchProgress, work: int, p90_item_work: int) -> BatchProgress:
-    """Returns the progress of a batch with so much left."""
+    """Returns a copy of the progress with this much remaining work."""
     return progress._replace(work=work, p90_item_work=p90_item_work)
 
 
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""The rule by which a daemon claims a batch that another one owns, as a table of cases."""
+"""Cases of the rule by which a daemon claims a batch that another one owns."""
 
 import unittest
 from dataclasses import replace
@@ -32,7 +32,7 @@
 CASES = (
     ("the owner is dead, and this daemon is its successor", {}, True),
     ("heartbeats are not listed yet", {"listed": False}, False),
-    ("this daemon does not coordinate", {"coordinates": False}, False),
+    ("this daemon is no coordinator", {"coordinates": False}, False),
     ("the owner counts as alive", {"owner_alive": True}, False),
     ("another daemon is its successor", {"successor": DaemonId("other")}, False),
     ("no daemon may run the batch", {"successor": None}, False),
@@ -40,7 +40,7 @@
 
 
 def make_claims(clock: LoopClock, listed, coordinates, owner_alive, successor) -> BatchClaims:
-    """Returns the claims of a daemon of whose fleet these things are known."""
+    """Returns the claims of a daemon whose membership gives these answers."""
     membership = mock.Mock()
     membership.own = OWN
     membership.listed = listed
@@ -53,7 +53,7 @@
 
 
 class ClaimTest(unittest.TestCase):
-    """Each case of the table, and the pause between two claims."""
+    """The table of cases, and the pause between two claims of one batch."""
 
     def test_cases(self):
         async def play():
--- a/tests/test_cold_engine_choice.py
+++ b/tests/test_cold_engine_choice.py
@@ -1,4 +1,4 @@
-"""Cold engines among those that items choose: moved runs, and a model's own engines."""
+"""Engine selection with cold engines: migrating runs, and the engines assigned to a model."""
 
 import unittest
 from unittest import mock
@@ -10,21 +10,21 @@
 from tests.platform_fleet import COLD_TERMS, ENGINES, MODEL, PlatformFleet, make_batch
 from tests.virtual import run
 
-PACE = 0.03
+SERVICE_TIME = 0.03
 
 
 class ChoiceTest(unittest.TestCase):
-    """The choice of one batch among two engines of one pace."""
+    """Engine selection for one batch among two engines with the same service time."""
 
     async def begin(self) -> None:
-        """Starts a daemon, and a choice for a batch that has just come."""
+        """Starts a daemon, and an engine selector for a batch that was just accepted."""
         self.fleet = PlatformFleet(gateways=1, engines=2, cold=COLD_TERMS)
         await self.fleet.wait(4.0)
         gateway = self.fleet.gateways[0]
         self.blackboard, self.balancer = gateway.blackboard, gateway.balancer
         self.services = gateway.keeper._services
         for name in (ENGINE, OTHER_ENGINE):
-            self.balancer.record_service_time(name, PACE)
+            self.balancer.record_service_time(name, SERVICE_TIME)
         spec = make_batch(items=1)
         head = BatchHead(
             spec.id, spec.host, spec.path, MODEL, 0, 0, 1, 1, gateway.id, 0.0, False, "u"
@@ -36,29 +36,29 @@
         self.blackboard.cold.record(engine, LONG_SECONDS, self.fleet.clock.now())
 
     def fill(self, engine: InstanceId) -> None:
-        """Takes all places of an engine."""
+        """Occupies all slots of an engine."""
         for _ in range(self.blackboard.directory.get(engine).slots):
             self.balancer.occupy(engine)
 
     def own(self, *engines: InstanceId) -> None:
-        """Makes some engines the model's own."""
+        """Assigns some engines to the model."""
         self.services.division = mock.Mock()
         self.services.division.engines_of.return_value = frozenset(engines)
         self.services.division.loading.return_value = frozenset()
         self.services.division.should_yield.return_value = False
 
-    def test_moved_run_takes_no_cold_engine(self):
+    def test_migrating_run_takes_no_cold_engine(self):
         async def play():
             await self.begin()
             self.fill(ENGINE)
-            self.assertEqual(OTHER_ENGINE, self.choice.choose(ENGINES, PACE).id)
+            self.assertEqual(OTHER_ENGINE, self.choice.choose(ENGINES, SERVICE_TIME).id)
             self.cool(OTHER_ENGINE)
-            self.assertIsNone(self.choice.choose(ENGINES, PACE))
-            self.assertEqual(OTHER_ENGINE, self.choice.choose(ENGINES).id)  # an item that waits
+            self.assertIsNone(self.choice.choose(ENGINES, SERVICE_TIME))
+            self.assertEqual(OTHER_ENGINE, self.choice.choose(ENGINES).id)  # a waiting item
 
         run(play())
 
-    def test_batch_whose_own_engines_are_all_cold_takes_a_warm_one(self):
+    def test_batch_whose_assigned_engines_are_all_cold_takes_a_warm_one(self):
         async def play():
             await self.begin()
             self.own(OTHER_ENGINE)
@@ -70,7 +70,7 @@
 
         run(play())
 
-    def test_batch_with_a_warm_engine_of_its_own_leaves_the_others_alone_at_first(self):
+    def test_new_batch_with_a_warm_assigned_engine_uses_no_other_one(self):
         async def play():
             await self.begin()
             self.own(ENGINE)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""How soon and how well a fleet decides: acceptance, taking over, places of moved runs."""
+"""Latency and quality of decisions: acceptance, failover, and slots of migrating runs."""
 
 import random
 import unittest
@@ -34,11 +34,11 @@
 from tests.virtual import run
 
 REFUSAL_SECONDS = 1.0
-"""A trainer that waits longer loses the time in which another daemon would accept."""
+"""Longest time to refuse a batch; meanwhile the trainer could submit it to another daemon."""
 
 
 class AcceptanceTest(unittest.TestCase):
-    """A daemon that does not reach the store says so soon."""
+    """A daemon that cannot reach the store refuses batches quickly."""
 
     def test_daemon_cut_off_from_the_store_answers_soon(self):
         self.assertLess(self.seconds_until_refused(StoreFaults(down=True)), REFUSAL_SECONDS)
@@ -47,7 +47,7 @@
         self.assertLess(self.seconds_until_refused(StoreFaults(refuses=True)), REFUSAL_SECONDS)
 
     def seconds_until_refused(self, faults: StoreFaults) -> float:
-        """Returns how long a submission takes to fail."""
+        """Returns the seconds until a submission fails."""
 
         async def play() -> float:
             fleet = PlatformFleet()
@@ -71,7 +71,7 @@
             fleet.store.faults = StoreFaults(slow_seconds=0.8)
             await fleet.wait(6.0)
             spec = make_batch("second")
-            with self.assertRaises(LarkpostError):  # nothing is known of so slow a store yet
+            with self.assertRaises(LarkpostError):  # the timeout has not adapted to the store yet
                 await fleet.gateways[1].batches.submit(spec)
             await fleet.gateways[1].batches.submit(spec)
             check_results(self, spec, await fleet.read_all(fleet.gateways[1], spec.id))
@@ -79,8 +79,8 @@
         run(play())
 
 
-class TakeoverTest(unittest.TestCase):
-    """How soon a dead owner's batch goes on, and that a slow store blames nobody."""
+class FailoverTest(unittest.TestCase):
+    """Batches of dead owners are claimed quickly; a slow store makes no daemon count as dead."""
 
     def test_batch_of_a_dead_owner_is_claimed_soon(self):
         async def play():
@@ -98,7 +98,7 @@
 
         run(play())
 
-    def test_slow_store_makes_no_living_daemon_dead(self):
+    def test_slow_store_makes_no_daemon_count_as_dead(self):
         async def play():
             fleet = PlatformFleet()
             await fleet.wait(3.0)
@@ -111,10 +111,10 @@
         run(play())
 
 
-class LapsedEntryTest(unittest.TestCase):
-    """Entries of servers that lapse while the store is away."""
+class ExpiredEntryTest(unittest.TestCase):
+    """Server entries that expire while the store is down."""
 
-    def test_instances_serve_until_their_entries_are_back_or_given_up(self):
+    def test_instances_serve_until_their_entries_return_or_are_dropped(self):
         async def play():
             fleet = PlatformFleet(engines=3)
             await fleet.wait(4.0)
@@ -136,20 +136,20 @@
         run(play())
 
 
-class EngineChoiceScene(unittest.TestCase):
-    """The choice of one batch among some engines."""
+class EngineSelectionFixture(unittest.TestCase):
+    """Fixture with an engine selector for one batch and some engines."""
 
-    def begin(self, *paces: float) -> None:
-        """Starts a choice among engines of these paces; the version of each is 1."""
+    def begin(self, *service_times: float) -> None:
+        """Creates engines with these service times, all with version 1, and a selector."""
         fleet = PlatformFleet(gateways=1, engines=0)
         self.clock = fleet.clock
         services = fleet.gateways[0].keeper._services
         services.directory = self.directory = InstanceDirectory()
         services.balancer = self.balancer = Balancer(self.directory, self.clock, random.Random(0))
-        for number, pace in enumerate(paces):
+        for number, service_time in enumerate(service_times):
             self.put(number, version=1)
-            if pace:
-                self.balancer.record_service_time(InstanceId(f"e{number}"), pace)
+            if service_time:
+                self.balancer.record_service_time(InstanceId(f"e{number}"), service_time)
         spec = make_batch(items=1)
         head = BatchHead(
             spec.id, spec.host, spec.path, MODEL, 0, 0, 1, 1, fleet.gateways[0].id, 0.0, False, "u"
@@ -163,7 +163,7 @@
         self.directory.update(replace(engine, versions={MODEL: version}))
 
     def fill(self, number: int) -> None:
-        """Takes all places of an engine."""
+        """Occupies all slots of an engine."""
         for _ in range(2):
             self.balancer.occupy(InstanceId(f"e{number}"))
 
@@ -172,15 +172,15 @@
         return self.directory.get(InstanceId(f"e{number}"))
 
 
-class MovedRunTest(EngineChoiceScene):
-    """Where a run that leaves a slow engine goes on."""
+class MigratingRunTest(EngineSelectionFixture):
+    """Engines to which a run at a slow engine may migrate."""
 
     def run_at(self, number: int) -> ItemRun:
-        """Returns a run at an engine that has shown itself long."""
+        """Returns a run of a long item at an engine."""
         self.progress.events = [b"x"] * LONG_ITEM_EVENTS
         return ItemRun(self.engine(number), ROUTE, self.progress)
 
-    def test_moved_run_takes_no_slower_engine(self):
+    def test_migrating_run_takes_no_slower_engine(self):
         async def play():
             self.begin(0.04, 0.02, 0.05, 0.0)
             self.assertEqual("e1", self.choice.choose(ENGINES, 0.04).id)
@@ -203,7 +203,7 @@
 
         run(play())
 
-    def test_run_stays_if_the_pace_of_its_new_engine_is_known_no_longer(self):
+    def test_run_stays_if_the_service_time_of_the_new_engine_is_unknown(self):
         async def play():
             self.begin(0.09, 0.02)
             self.assertTrue(self.choice.may_migrate_to(self.engine(1), self.run_at(0)))
@@ -212,7 +212,7 @@
 
         run(play())
 
-    def test_moved_run_takes_no_engine_that_loads(self):
+    def test_migrating_run_takes_no_loading_engine(self):
         async def play():
             self.begin(0.04, 0.02)
             with mock.patch.object(EngineAllocator, "loading", lambda *_: frozenset({"e1"})):
@@ -221,36 +221,36 @@
         run(play())
 
 
-class LoadingEngineTest(EngineChoiceScene):
-    """An engine that loads weights refuses all that come until it has loaded."""
+class LoadingEngineTest(EngineSelectionFixture):
+    """An engine that loads weights refuses all work until the load has ended."""
 
     def test_one_item_at_a_time_tries_it(self):
         async def play():
             self.begin(0.04)
             with mock.patch.object(EngineAllocator, "loading", lambda *_: frozenset({"e0"})):
-                self.take_place()
+                self.take_slot()
                 self.assertIsNone(self.choice.choose(ENGINES))
                 await self.clock.sleep(PROBE_SECONDS + 0.01)
-                self.take_place()
+                self.take_slot()
                 self.assertIsNone(self.choice.choose(ENGINES))
-                self.balancer.record_load(InstanceId("e0"), None)  # it has taken the item
+                self.balancer.record_load(InstanceId("e0"), None)  # it has accepted the item
                 self.assertEqual("e0", self.choice.choose(ENGINES).id)
 
         run(play())
 
-    def take_place(self) -> None:
-        """Assigns an item a place at the engine; it is refused."""
+    def take_slot(self) -> None:
+        """Assigns an item a slot at the engine, which refuses it."""
         engine = self.choice.choose(ENGINES)
         self.balancer.occupy(engine.id)
         self.choice.record_assigned(engine)
         self.balancer.release(engine.id)
 
 
-class AssignedPlaceTest(unittest.TestCase):
-    """The request of a long run for a place at a faster engine, once it has one."""
+class AssignedSlotTest(unittest.TestCase):
+    """A long run that was assigned a slot at a faster engine."""
 
     async def begin(self) -> None:
-        """Has a run at a slow engine request a place at a fast one, which it is given."""
+        """Has a run at a slow engine request a slot at a fast one, and get it."""
         self.fleet = PlatformFleet(gateways=1, engines=2)
         await self.fleet.wait(1.0)
         gateway = self.fleet.gateways[0]
@@ -262,17 +262,19 @@
         head = BatchHead(
             spec.id, spec.host, spec.path, MODEL, 0, 0, 1, 1, gateway.id, 0.0, False, "u"
         )
-        engines = EngineSelector(head, gateway.keeper._services)
-        places = SlotQueue(engines, self.balancer, self.fleet.clock)
+        selector = EngineSelector(head, gateway.keeper._services)
+        slot_queue = SlotQueue(selector, self.balancer, self.fleet.clock)
         route = self.blackboard.configuration.current.match(spec.host, spec.path.encode())
         progress = Progress(spec.items[0])
         progress.events = [b"x"] * LONG_ITEM_EVENTS
-        self.request = FasterEngineRequest(places, engines, ItemRun(self.slow, route, progress))
+        self.request = FasterEngineRequest(
+            slot_queue, selector, ItemRun(self.slow, route, progress)
+        )
         self.request.request_if_slow()
         await self.fleet.wait(0.1)
         self.assertEqual(1, self.balancer.use(self.fast.id).outstanding)
 
-    def test_run_goes_to_the_place(self):
+    def test_run_migrates_to_the_slot(self):
         async def play():
             await self.begin()
             with self.assertRaises(MigrateRunError) as caught:
@@ -281,7 +283,7 @@
 
         run(play())
 
-    def test_run_stays_if_the_place_is_in_an_evacuated_zone_by_then(self):
+    def test_run_stays_if_the_zone_of_the_slot_was_evacuated_meanwhile(self):
         async def play():
             await self.begin()
             self.blackboard.evacuations.begin(self.fast.zone, self.fleet.clock.now())
--- a/tests/test_durable_batches.py
+++ b/tests/test_durable_batches.py
@@ -1,4 +1,4 @@
-"""Durable batches: accepted once, listed once, taken over, kept through faults of the store."""
+"""Durable batches: exactly-once acceptance and listing, failover, and faults of the store."""
 
 import unittest
 
@@ -12,7 +12,7 @@
 
 
 class DurableBatchTest(unittest.TestCase):
-    """Each test plays a small fleet on virtual time."""
+    """Each test runs a small fleet in virtual time."""
 
     def test_batch_is_run_and_read_at_another_daemon(self):
         async def play():
@@ -24,7 +24,7 @@
 
         run(play())
 
-    def test_batch_is_taken_over_after_a_kill(self):
+    def test_batch_is_claimed_after_its_owner_is_killed(self):
         async def play():
             fleet = PlatformFleet()
             await fleet.wait(1.0)
@@ -37,7 +37,7 @@
         run(play())
 
     def test_two_owners_list_each_item_once(self):
-        """A daemon cut off from the store runs on and comes back while another runs the batch."""
+        """A daemon that was cut off from the store returns while another one runs its batch."""
 
         async def play():
             fleet = PlatformFleet()
@@ -58,7 +58,7 @@
         run(play())
 
     def test_second_owner_appends_between(self):
-        """A result that another owner has listed is not listed again once its run here ends."""
+        """A result that another owner has listed is not listed a second time."""
 
         async def play():
             fleet = PlatformFleet(gateways=1)
@@ -74,7 +74,7 @@
 
         run(play())
 
-    def test_lost_and_late_answers_list_each_item_once(self):
+    def test_lost_and_late_responses_list_each_item_once(self):
         async def play():
             fleet = PlatformFleet(seed=3)
             await fleet.wait(1.0)
@@ -136,8 +136,8 @@
 
         run(play())
 
-    def test_long_outputs_are_kept_whole(self):
-        """The longest items are those that a step waits for, and fill more than a row."""
+    def test_long_outputs_are_stored_completely(self):
+        """Outputs larger than a row are stored, and a restarted output replaces a longer one."""
 
         async def play():
             fleet = PlatformFleet(gateways=1)
@@ -158,7 +158,7 @@
 
         run(play())
 
-    def test_planned_stop_hands_over_what_was_made(self):
+    def test_graceful_shutdown_hands_over_partial_outputs(self):
         async def play():
             fleet = PlatformFleet()
             for state in fleet.engines.engines.values():
@@ -177,8 +177,8 @@
 
         run(play())
 
-    def test_planned_stop_lists_what_waits_for_its_append(self):
-        """Results that are finished when the daemon is asked to stop are not run again."""
+    def test_graceful_shutdown_appends_pending_results(self):
+        """Items that have a result when the shutdown begins are not run again."""
 
         async def play():
             fleet = PlatformFleet()
@@ -187,7 +187,7 @@
             for state in fleet.engines.engines.values():
                 state.event_seconds = 0.06
             owner = await fleet.submit(spec)
-            await fleet.wait(0.2)  # the owner has read the batch, and no item is whole yet
+            await fleet.wait(0.2)  # the owner has read the batch, and no item is complete yet
             fleet.store.faults = StoreFaults(refuses=True)
             await fleet.wait(1.5)
             runs = sum(len(state.runs) for state in fleet.engines.engines.values())
@@ -203,7 +203,7 @@
         run(play())
 
     def test_batch_is_claimed_though_a_part_of_the_store_is_down(self):
-        """Parts that are down do not hide the news of the others."""
+        """A partition that is down does not hide changes in the others."""
 
         async def play():
             fleet = PlatformFleet()
--- a/tests/test_held_reads.py
+++ b/tests/test_held_reads.py
@@ -1,4 +1,4 @@
-"""Reads that wait for a trainer's step: how long, and when not."""
+"""Reads that are held until a trainer's step is complete, and limits of the hold."""
 
 import unittest
 from dataclasses import replace
@@ -13,17 +13,17 @@
 
 WAIT_SECONDS = 1.0
 SLOW_SECONDS = 1.1
-"""For an event: below the silence after which a run goes on elsewhere."""
+"""Seconds per event; below the gap after which a run times out."""
 
 
 class HeldReadTest(unittest.TestCase):
-    """Each test reads a batch while it runs; its runs stay where they are."""
+    """Each test reads a batch while it runs; runs do not migrate."""
 
     def setUp(self):
         self.enterContext(switched_off.all_moves())
 
     async def begin(self, spec, slow: float = 0.03) -> PlatformFleet:
-        """Submits a batch at one of two daemons, and waits until some results are there."""
+        """Submits a batch to one of two daemons, and waits for some results."""
         fleet = PlatformFleet(2, 4)
         for number, state in enumerate(fleet.model_engines()):
             state.event_seconds = slow if number == 0 else 0.03
@@ -33,12 +33,12 @@
         return fleet
 
     async def read(self, fleet: PlatformFleet, position: int = 0, wait: float = WAIT_SECONDS):
-        """Reads at the daemon that does not run the batch; returns the page and the seconds."""
+        """Reads from the daemon that does not run the batch; returns the page and the seconds."""
         began = fleet.clock.now()
         page = await fleet.gateways[1].batches.read(BatchId("batch"), position, wait)
         return page, fleet.clock.now() - began
 
-    def test_answers_once_enough_groups_are_whole(self):
+    def test_responds_once_enough_groups_are_complete(self):
         async def play():
             fleet = await self.begin(make_batch(items=12))
             page, seconds = await self.read(fleet)
@@ -105,7 +105,7 @@
         run(play())
 
     def test_reads_beyond_the_step_wait_for_a_result(self):
-        """A trainer that reads on once it has its groups is not answered with nothing at once."""
+        """A read beyond the completed step waits instead of returning an empty page at once."""
 
         async def play():
             spec = replace(make_batch(items=12), desired_groups=1)
@@ -118,7 +118,7 @@
 
         run(play())
 
-    def test_groups_that_differ_are_not_waited_for(self):
+    def test_results_of_groups_of_different_sizes_are_not_held(self):
         async def play():
             spec = make_batch(items=12)
             extra = Item(ItemId("batch-x"), "/r/x", (), b"", 100, GroupId("g0"))
--- a/tests/test_read_rules.py
+++ b/tests/test_read_rules.py
@@ -1,4 +1,4 @@
-"""The rule by which a read is answered, held, or fails, as a table of cases."""
+"""Tables of cases for the rules that decide whether a read is answered, held or fails."""
 
 import unittest
 from dataclasses import replace
@@ -23,34 +23,38 @@
 SOME = replace(NOTHING, has_new=True)
 CASES = (
     ("nothing yet", NOTHING, ReadDecision.WAIT),
-    ("nothing, and the store is silent", replace(NOTHING, store_failed=True), ReadDecision.WAIT),
-    ("nothing within the time", replace(NOTHING, seconds_left=0.0), ReadDecision.RESPOND),
     (
-        "nothing within the time, and the store is silent",
+        "nothing, and the store does not answer",
+        replace(NOTHING, store_failed=True),
+        ReadDecision.WAIT,
+    ),
+    ("nothing, and no time left", replace(NOTHING, seconds_left=0.0), ReadDecision.RESPOND),
+    (
+        "nothing, no time left, and the store does not answer",
         replace(NOTHING, seconds_left=0.0, store_failed=True),
         ReadDecision.FAIL,
     ),
-    ("less time than counts", replace(NOTHING, seconds_left=0.0009), ReadDecision.RESPOND),
-    ("just enough time", replace(NOTHING, seconds_left=MIN_WAIT_SECONDS), ReadDecision.WAIT),
+    ("less time left than counts", replace(NOTHING, seconds_left=0.0009), ReadDecision.RESPOND),
+    ("just enough time left", replace(NOTHING, seconds_left=MIN_WAIT_SECONDS), ReadDecision.WAIT),
     ("all results are known", replace(NOTHING, is_complete=True), ReadDecision.RESPOND),
     (
-        "all results are known, though the store is silent",
+        "all results are known, but the store does not answer",
         replace(NOTHING, is_complete=True, store_failed=True, seconds_left=0.0),
         ReadDecision.RESPOND,
     ),
-    ("some, but no whole step", SOME, ReadDecision.WAIT),
-    ("a whole step", replace(SOME, has_enough_groups=True), ReadDecision.RESPOND),
+    ("some, but no complete step", SOME, ReadDecision.WAIT),
+    ("a complete step", replace(SOME, has_enough_groups=True), ReadDecision.RESPOND),
     (
-        "a whole step before the position",
+        "a complete step before the position",
         replace(NOTHING, has_enough_groups=True),
         ReadDecision.WAIT,
     ),
-    ("some of a batch that is due", replace(SOME, may_hold=False), ReadDecision.RESPOND),
-    ("some, and the store is silent", replace(SOME, store_failed=True), ReadDecision.RESPOND),
-    ("some within the time", replace(SOME, seconds_left=0.0), ReadDecision.RESPOND),
+    ("some of an overdue batch", replace(SOME, may_hold=False), ReadDecision.RESPOND),
+    ("some, and the store does not answer", replace(SOME, store_failed=True), ReadDecision.RESPOND),
+    ("some, and no time left", replace(SOME, seconds_left=0.0), ReadDecision.RESPOND),
 )
 AGES = (
-    # seconds since the acceptance, within which a step is due, may results be held back
+    # seconds since the batch was accepted, due time of the step, may results be held back
     (0.0, 7.5, True),
     (7.4, 7.5, True),
     (7.5, 7.5, True),
@@ -68,7 +72,7 @@
             with self.subTest(case):
                 self.assertIs(expected, decide_read(state))
 
-    def test_time_in_which_results_may_be_held_back(self):
+    def test_how_long_results_may_be_held_back(self):
         for age, due, expected in AGES:
             with self.subTest(age=age, due=due):
                 self.assertEqual(expected, may_hold(age, due))
--- a/tests/test_reward_calls.py
+++ b/tests/test_reward_calls.py
@@ -1,4 +1,4 @@
-"""Reward calls: sent for whole outputs only, scored once, kept, bounded, and stopped in time."""
+"""Reward calls: sent for complete outputs only, retried, limited, and stopped in time."""
 
 import base64
 import unittest
@@ -27,14 +27,14 @@
 
 
 async def start_fleet(scorers: int = 3, gateways: int = 3) -> PlatformFleet:
-    """Returns a fleet that knows its servers."""
+    """Returns a fleet whose daemons know the servers."""
     fleet = PlatformFleet(gateways=gateways, scorers=scorers)
     await fleet.wait(1.0)
     return fleet
 
 
 async def submit_while_scorers_are_down(fleet: PlatformFleet, **options) -> tuple[BatchSpec, int]:
-    """Takes all scorers down, submits a batch whose items want scores; returns it and its owner."""
+    """Takes all scorers down and submits a batch with reward calls; returns it and its owner."""
     for state in fleet.scorers():
         state.down = True
     spec = make_batch(scored=True, **options)
@@ -42,23 +42,23 @@
 
 
 def bring_scorers_back(fleet: PlatformFleet) -> None:
-    """Heals all scorers."""
+    """Restores all scorers."""
     for state in fleet.scorers():
         state.down = False
 
 
 def scores_of(state: ScriptedEngine) -> set[str]:
-    """Returns all scores that a server has signed."""
+    """Returns all signatures of a server."""
     return {name for signed in state.signatures.values() for name, _ in signed}
 
 
 def calls(fleet: PlatformFleet) -> int:
-    """Returns how many reward calls servers have run."""
+    """Returns the number of reward calls that servers have run."""
     return sum(len(state.runs) for state in fleet.scorers())
 
 
 class RewardCallTest(unittest.TestCase):
-    """Each test plays a small fleet on virtual time."""
+    """Each test runs a small fleet in virtual time."""
 
     def test_results_carry_the_signature_of_a_call_made_after_the_text(self):
         async def play():
@@ -99,7 +99,7 @@
 
         run(play())
 
-    def test_whole_text_that_the_store_refused_to_keep_is_kept_later(self):
+    def test_complete_output_that_the_store_refused_is_stored_later(self):
         async def play():
             fleet = await start_fleet()
             spec, owner = await submit_while_scorers_are_down(fleet)
@@ -118,11 +118,11 @@
 
         run(play())
 
-    def test_planned_stop_hands_over_whole_texts(self):
+    def test_graceful_shutdown_hands_over_complete_outputs(self):
         async def play():
             fleet = await start_fleet()
             spec, owner = await submit_while_scorers_are_down(fleet)
-            await fleet.wait(0.7)  # before whole texts are kept in the ordinary course
+            await fleet.wait(0.7)  # before complete outputs are stored periodically
             whole = {name for state in fleet.model_engines() for name in state.whole_at}
             self.assertTrue(whole)
             await fleet.gateways[owner].membership.leave()
@@ -182,7 +182,7 @@
 
         run(play())
 
-    def test_broken_and_unsigned_answers_are_no_scores(self):
+    def test_broken_and_unsigned_responses_are_no_scores(self):
         async def play():
             fleet = await start_fleet()
             broken, unsigned, sound = fleet.scorers()
@@ -197,7 +197,7 @@
 
         run(play())
 
-    def test_silent_server_is_left_and_its_late_answer_is_not_taken(self):
+    def test_call_that_timed_out_is_retried_and_its_late_response_ignored(self):
         async def play():
             fleet = await start_fleet(scorers=2)
             silent, sound = fleet.scorers()
@@ -211,7 +211,7 @@
 
         run(play())
 
-    def test_servers_slower_than_the_first_limit_still_score(self):
+    def test_servers_slower_than_the_first_timeout_still_score(self):
         async def play():
             fleet = await start_fleet()
             for state in fleet.scorers():
@@ -252,8 +252,8 @@
 
         run(play())
 
-    def test_many_texts_at_once_leave_slots_to_clients(self):
-        """112 outputs wait for their score; clients' requests find a slot all the same."""
+    def test_many_outputs_at_once_leave_slots_to_clients(self):
+        """Reward calls of 112 outputs leave slots free for client requests."""
 
         async def play():
             fleet = await start_fleet(scorers=4)
@@ -311,7 +311,7 @@
 
 
 class RewardDocumentsTest(unittest.TestCase):
-    """What rows and calls say of reward calls."""
+    """Reward calls in stored rows and in batch documents."""
 
     def test_submitted_items_carry_their_reward_call(self):
         call = {"id": "c1", "host": "Scorers.Example", "path": "/s/1", "body": "c2NvcmU="}
@@ -329,7 +329,7 @@
         with self.assertRaisesRegex(ValueError, "host"):
             read_batch(b"b1", "trainers.example", b"/r/x", content)
 
-    def test_text_that_no_head_can_carry_is_a_clear_error(self):
+    def test_text_that_no_header_can_carry_is_a_clear_error(self):
         for field in ("id", "host", "path"):
             call = {"id": "c1", "host": "h", "path": "/s", "body": ""} | {field: "\u0416\r\n"}
             content = orjson.dumps({"requests": [{"id": "i1", "path": "/r/1", "scorer-url": call}]})
@@ -341,7 +341,7 @@
         document = page_document(ResultPage(1, 0, (result,)))
         self.assertEqual("stamp", document["results"][0]["score"])
 
-    def test_rows_keep_calls_scores_and_whole_texts(self):
+    def test_rows_keep_calls_scores_and_complete_outputs(self):
         spec = make_batch(items=1, scored=True)
         self.assertEqual(spec.items, codec.decode_items(codec.encode_items(spec.items)))
         result = Result(spec.items[0].id, ResultState.DONE, "text", (1,), "stamp")
@@ -353,7 +353,7 @@
         read = codec.decode_progress(spec.items[0], codec.encode_progress(progress, 10_000))
         self.assertEqual(progress, read)
 
-    def test_text_that_does_not_fit_is_not_kept_as_whole(self):
+    def test_output_that_does_not_fit_is_not_stored_as_complete(self):
         item = make_batch(items=1, scored=True).items[0]
         progress = Progress(item)
         for number in range(1, 9):
@@ -374,7 +374,7 @@
         self.assertFalse(progress.whole)
         self.assertEqual([b"one"], progress.events)
 
-    def test_a_text_begun_anew_is_not_whole(self):
+    def test_restarted_output_is_not_complete(self):
         progress = Progress(make_batch(items=1).items[0])
         progress.take(1, b"one", 1)
         progress.complete()
@@ -383,7 +383,7 @@
         self.assertFalse(progress.whole)
         self.assertEqual(0, progress.failed_calls)
 
-    def test_output_that_is_no_text_is_not_whole(self):
+    def test_output_that_is_not_utf8_is_not_complete(self):
         progress = Progress(make_batch(items=1).items[0])
         progress.take(1, b"\xff", 1)
         with self.assertRaises(UnicodeDecodeError):
--- a/tests/test_reward_rules.py
+++ b/tests/test_reward_rules.py
@@ -1,4 +1,4 @@
-"""The rules of reward calls, each as a table of cases."""
+"""Tables of cases for the rules of reward calls."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 from tests.server_parts import make_instance
 
 SLOTS = (
-    # slots of a server, those that may be occupied
+    # slots of a server, those that reward calls may occupy
     (0, 1),
     (1, 1),
     (2, 1),
@@ -22,8 +22,8 @@
     (6, 4),
     (8, 5),
 )
-LIMITS = (
-    # pace, silences, seconds
+TIMEOUTS = (
+    # service time, earlier timeouts, timeout in seconds
     (0.0, 0, 0.8),
     (0.05, 0, 0.8),
     (0.2, 0, 1.6),
@@ -32,7 +32,7 @@
     (0.0, 9, 10.0),
 )
 SERVERS = (
-    # candidates, servers tried, the chosen one, servers tried then
+    # candidates, tried servers, the chosen one, tried servers afterwards
     ("", "ab", None, "ab"),
     ("ab", "", "a", ""),
     ("ab", "a", "b", "a"),
@@ -40,7 +40,7 @@
     ("a", "b", "a", "b"),
 )
 RESPONSES = (
-    # status, signature, how the attempt ended
+    # status, signature, result of the attempt
     (200, "s", RewardAttempt(RewardCallOutcome.SCORED, "s")),
     (299, "s", RewardAttempt(RewardCallOutcome.SCORED, "s")),
     (200, None, RewardAttempt(RewardCallOutcome.BROKEN)),
@@ -60,8 +60,8 @@
             with self.subTest(slots=slots):
                 self.assertEqual(expected, usable_slots(slots))
 
-    def test_limits(self):
-        for service_time, timeouts, expected in LIMITS:
+    def test_timeouts(self):
+        for service_time, timeouts, expected in TIMEOUTS:
             with self.subTest(service_time=service_time, timeouts=timeouts):
                 self.assertAlmostEqual(expected, call_timeout_seconds(service_time, timeouts))
 
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -1,4 +1,4 @@
-"""How urgent an item is to an engine, and runs that make nothing."""
+"""Priorities of items at engines and in the slot queue, and the detection of stalled runs."""
 
 import asyncio
 import unittest
@@ -37,8 +37,8 @@
 )
 
 
-class UrgencyTest(unittest.TestCase):
-    """Ranks within a batch."""
+class EnginePriorityTest(unittest.TestCase):
+    """Engine priorities within a batch."""
 
     def setUp(self):
         self.items = make_batch(items=40).items
@@ -55,12 +55,12 @@
         urgent = self.priorities.engine_priority(Progress(short), 0)
         self.assertLess(urgent, self.priorities.engine_priority(Progress(long), 1))
 
-    def test_ranks_stay_within_what_engines_know(self):
+    def test_priorities_stay_within_the_range_of_engines(self):
         item = self.items[0]
         for priority in (-3, 0, 3, 50):
             self.assertIn(self.priorities.engine_priority(Progress(item), priority), range(10))
 
-    def test_items_of_a_batch_that_yields_come_after_like_ones_of_their_priority(self):
+    def test_items_of_a_yielding_batch_rank_one_length_class_lower(self):
         for item in self.items:
             progress = Progress(item)
             usual = self.priorities.engine_priority(progress, 1)
@@ -68,23 +68,23 @@
             self.assertEqual(min(usual + 1, 5), yielding)
             self.assertLess(yielding, self.priorities.engine_priority(progress, 2))
 
-    def test_an_item_that_shows_itself_long_is_urgent(self):
+    def test_an_item_that_is_already_long_ranks_as_long(self):
         item = self.items[0]
         progress = Progress(item)
         for number in range(1, LONG_ITEM_EVENTS + 1):
             progress.take(number, b"x", 1)
         self.assertEqual(0, self.priorities.engine_priority(progress, 0))
 
-    def test_a_batch_without_items_has_no_lengths(self):
+    def test_a_batch_without_items_ranks_all_as_short(self):
         self.assertEqual(2, EnginePriorities(()).engine_priority(Progress(self.items[0]), 0))
 
 
 class QueueTest(unittest.TestCase):
-    """Which item gets the next place."""
+    """Order of the slot queue."""
 
-    def test_items_that_showed_themselves_long_come_first_then_those_with_most_work(self):
+    def test_long_items_come_first_then_those_with_most_expected_work(self):
         cases = (
-            # events so far, tokens, the trainer's guess of the tokens out
+            # events so far, tokens, length hint of the trainer
             (LONG_ITEM_EVENTS, 40, 0),
             (LONG_ITEM_EVENTS, 900, 30),
             (LONG_ITEM_EVENTS - 1, 900, 0),
@@ -101,7 +101,7 @@
 
 
 class PriorityTest(unittest.TestCase):
-    """A tenant's priority goes before its route's."""
+    """A tenant's priority takes precedence over its route's."""
 
     def test_the_tenant_decides_where_it_has_a_priority(self):
         tenants = (Tenant(FIRST, frozenset(), 0), Tenant(SECOND, frozenset()))
@@ -111,12 +111,12 @@
 
 
 def _of_pace(service_time: float) -> Callable[[MonitoredRun], float]:
-    """Returns what runs at engines of a pace may be silent for."""
+    """Returns the stall timeout of runs at engines with a service time."""
     return lambda _: stall_timeout_seconds(service_time)
 
 
 class StallTest(unittest.TestCase):
-    """Silent runs, and what becomes of them."""
+    """Detection and abortion of stalled runs."""
 
     def test_a_run_is_stalled_after_a_silence_of_several_events(self):
         async def play():
@@ -135,12 +135,12 @@
 
         run(play())
 
-    def test_silence_allowed(self):
+    def test_stall_timeout(self):
         for service_time, is_loading, expected in (
             (0.0, False, MIN_STALL_TIMEOUT_SECONDS),
             (0.034, False, MIN_STALL_TIMEOUT_SECONDS),
-            (0.1, False, 0.6),  # an engine that is slow for good is not silent
-            (0.034, True, LOADING_STALL_TIMEOUT_SECONDS),  # its runs go on once it has loaded
+            (0.1, False, 0.6),  # a slow engine is not stalled
+            (0.034, True, LOADING_STALL_TIMEOUT_SECONDS),  # its runs continue after the load
             (0.3, True, 1.8),
         ):
             with self.subTest(service_time=service_time, is_loading=is_loading):
@@ -148,8 +148,8 @@
                     expected, stall_timeout_seconds(service_time, is_loading=is_loading)
                 )
 
-    def test_a_run_whose_time_is_over_is_not_ended_again(self):
-        """Its time may be over in the turn of the loop in which it is looked at."""
+    def test_a_run_that_timed_out_is_not_stalled(self):
+        """It may time out in the same event loop iteration in which it is checked."""
 
         async def play():
             watcher = StallDetector(LoopClock())
@@ -158,7 +158,7 @@
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(1.0) as limit:
                     with watcher.watch(make_instance("e", ENGINES), limit):
-                        # Called after the limit's own timer, before the run hears of it.
+                        # Called after the timeout has expired, before the run is cancelled.
                         loop.call_at(loop.time() + 1.0, self._look, watcher, limit, found)
                         await asyncio.sleep(5.0)
             self.assertEqual([(True, [])], found)
@@ -169,8 +169,8 @@
     def _look(watcher, limit, found) -> None:
         found.append((limit.expired(), watcher.find_stalled(_of_pace(0.0))))
 
-    def test_a_stalled_run_stays_while_there_is_no_place(self):
-        """Only as many runs are ended as there are free places; the others wait where they are."""
+    def test_a_stalled_run_stays_while_there_is_no_free_slot(self):
+        """Only as many runs are aborted as there are free slots; the others stay."""
 
         async def play():
             fleet = PlatformFleet(1, 2)
