--- a/src/larkpost/gateway/rollouts/retry_rules.py
+++ b/src/larkpost/gateway/rollouts/retry_rules.py
@@ -18,7 +18,7 @@
 """How long an engine gets no more items after it refused one."""
 BROKEN_AVOID_SECONDS = 0.3
 """How long an engine gets no more items after a broken or unusable stream."""
-SILENT_AVOID_SECONDS = 1.5
+TIMEOUT_AVOID_SECONDS = 1.5
 """How long an engine gets no more items after a run timed out there."""
 STALLED_AVOID_SECONDS = 0.3
 """How long an engine gets no more items after a run stalled there."""
@@ -70,7 +70,7 @@
     if isinstance(error, StalledError):
         return RunFailure("stalled", STALLED_AVOID_SECONDS)
     if isinstance(error, TimeoutError):
-        return RunFailure("silent", SILENT_AVOID_SECONDS)
+        return RunFailure("silent", TIMEOUT_AVOID_SECONDS)
     # Output with a gap, or that is not valid text as a whole, cannot be continued.
     discards_output = isinstance(error, (DiscontinuityError, UnicodeDecodeError))
     return RunFailure(f"broken: {error}", BROKEN_AVOID_SECONDS, discards_output)
--- a/src/larkpost/gateway/rollouts/reward_caller.py
+++ b/src/larkpost/gateway/rollouts/reward_caller.py
@@ -36,7 +36,7 @@
 """How long a server gets no more work after it refused a call."""
 BROKEN_AVOID_SECONDS = 0.3
 """How long a server gets no more work after a broken response."""
-SILENT_AVOID_SECONDS = 1.0
+TIMEOUT_AVOID_SECONDS = 1.0
 """How long a server gets no more work after a call timed out there."""
 
 
@@ -106,7 +106,7 @@
             balancer.avoid(server.id, BROKEN_AVOID_SECONDS)
             return RewardAttempt(RewardCallOutcome.BROKEN)
         except TimeoutError:
-            balancer.avoid(server.id, SILENT_AVOID_SECONDS)
+            balancer.avoid(server.id, TIMEOUT_AVOID_SECONDS)
             return RewardAttempt(RewardCallOutcome.TIMED_OUT)
         seconds = self._services.clock.now() - started
         balancer.record_service_time(server.id, seconds)
--- a/tests/test_retry_rules.py
+++ b/tests/test_retry_rules.py
@@ -5,8 +5,8 @@
 from larkpost.gateway.rollouts.progress import DiscontinuityError
 from larkpost.gateway.rollouts.retry_rules import (
     BROKEN_AVOID_SECONDS,
-    SILENT_AVOID_SECONDS,
     STALLED_AVOID_SECONDS,
+    TIMEOUT_AVOID_SECONDS,
     RunFailure,
     RunOutcome,
     are_call_attempts_exhausted,
@@ -29,7 +29,7 @@
 )
 ERRORS = (
     (StalledError(), RunFailure("stalled", STALLED_AVOID_SECONDS)),
-    (TimeoutError(), RunFailure("silent", SILENT_AVOID_SECONDS)),
+    (TimeoutError(), RunFailure("silent", TIMEOUT_AVOID_SECONDS)),
     (BrokenResponseError("cut"), RunFailure("broken: cut", BROKEN_AVOID_SECONDS)),
     (DiscontinuityError("gap"), RunFailure("broken: gap", BROKEN_AVOID_SECONDS, True)),
 )
