--- a/src/larkpost/gateway/rollouts/batch_run.py
+++ b/src/larkpost/gateway/rollouts/batch_run.py
@@ -39,13 +39,13 @@
         head: BatchHead,
         items: tuple[Item, ...],
         services: RunServices,
-        finished: Callable[[Result], None],
+        on_result: Callable[[Result], None],
         kept: dict[ItemId, Progress] | None = None,
     ) -> None:
         self.head = head
         self.progress = {item.id: (kept or {}).get(item.id) or Progress(item) for item in items}
         self._services = services
-        self._on_result = finished
+        self._on_result = on_result
         self._engine_selector = EngineSelector(head, services)
         self._slot_queue = SlotQueue(self._engine_selector, services.balancer, services.clock)
         runs = EngineRunner(head, items, self._engine_selector, self._slot_queue, services)
