--- a/src/larkpost/gateway/rollouts/batch_run.py
+++ b/src/larkpost/gateway/rollouts/batch_run.py
@@ -40,10 +40,12 @@
         items: tuple[Item, ...],
         services: RunServices,
         on_result: Callable[[Result], None],
-        kept: dict[ItemId, Progress] | None = None,
+        stored_outputs: dict[ItemId, Progress] | None = None,
     ) -> None:
         self.head = head
-        self.progress = {item.id: (kept or {}).get(item.id) or Progress(item) for item in items}
+        self.progress = {
+            item.id: (stored_outputs or {}).get(item.id) or Progress(item) for item in items
+        }
         self._services = services
         self._on_result = on_result
         self._engine_selector = EngineSelector(head, services)
