--- a/src/larkpost/gateway/rollouts/acceptance.py
+++ b/src/larkpost/gateway/rollouts/acceptance.py
@@ -87,14 +87,14 @@
             upload: unique name of the item rows of this submission.
             seconds: how long to keep trying.
         """
-        give_up_at = self._clock.now() + seconds
+        deadline = self._clock.now() + seconds
         rows = self._item_rows(spec, upload)
         submission = _Submission(spec, owner, upload, rows, is_uploaded=fits_transaction(rows))
         while True:
             outcome = await self._try(submission)
             if outcome is not None:
                 return outcome
-            if self._clock.now() + RETRY_SECONDS >= give_up_at:
+            if self._clock.now() + RETRY_SECONDS >= deadline:
                 is_uncertain = submission.is_uncertain
                 return AcceptOutcome.UNCERTAIN if is_uncertain else AcceptOutcome.REFUSED
             await self._clock.sleep(RETRY_SECONDS)
--- a/src/larkpost/gateway/rollouts/reader.py
+++ b/src/larkpost/gateway/rollouts/reader.py
@@ -76,19 +76,19 @@
             BatchUnreadableError: the store does not answer.
         """
         view = await self._view(batch, caller)
-        give_up_at = self._clock.now() + wait
+        deadline = self._clock.now() + wait
         while True:
             holds = self._may_hold(view)
             failed = not await self._refresh(view, position, holds)
             now = self._clock.now()
             if len(view.results) > position:
-                give_up_at = min(give_up_at, now + HOLD_SECONDS)
-            step = decide_read(_read_state(view, position, holds, failed, give_up_at - now))
+                deadline = min(deadline, now + HOLD_SECONDS)
+            step = decide_read(_read_state(view, position, holds, failed, deadline - now))
             if step is ReadDecision.RESPOND:
                 return self._respond(view, position, from_memory=failed)
             if step is ReadDecision.FAIL:
                 raise self._read_error(batch, position)
-            await view.wait_for_change(min(READ_POLL_SECONDS, give_up_at - now))
+            await view.wait_for_change(min(READ_POLL_SECONDS, deadline - now))
 
     def _may_hold(self, view: BatchView) -> bool:
         """Returns whether results may be held back until the trainer's step is complete."""
--- a/src/larkpost/gateway/rollouts/repository.py
+++ b/src/larkpost/gateway/rollouts/repository.py
@@ -182,7 +182,7 @@
         Raises:
             StoreUnavailableError: the store did not answer.
         """
-        give_up_at = self._clock.now() + seconds
+        deadline = self._clock.now() + seconds
         while True:
             head = await self.head(batch)
             tail = await self.tail(batch)
@@ -202,7 +202,7 @@
             result = await self._store.write(change, WRITE_TIMEOUT_SECONDS)
             if result.outcome is WriteOutcome.DONE:
                 return EndOutcome.ENDED
-            if self._clock.now() >= give_up_at:
+            if self._clock.now() >= deadline:
                 return EndOutcome.UNCERTAIN
 
     async def claim(self, head: BatchHead, version: int, owner: DaemonId) -> bool:
