--- a/src/larkpost/gateway/rollouts/acceptance.py
+++ b/src/larkpost/gateway/rollouts/acceptance.py
@@ -125,10 +125,10 @@
         started = self._clock.now()
         result = await self._store.write(change, self._timeout)
         if result.outcome is WriteOutcome.UNKNOWN:
-            wanted = 2 * self._timeout
+            next_timeout = 2 * self._timeout
         else:
-            wanted = ACCEPT_TIMEOUT_FACTOR * (self._clock.now() - started)
-        self._timeout = min(WRITE_TIMEOUT_SECONDS, max(ACCEPT_TIMEOUT_SECONDS, wanted))
+            next_timeout = ACCEPT_TIMEOUT_FACTOR * (self._clock.now() - started)
+        self._timeout = min(WRITE_TIMEOUT_SECONDS, max(ACCEPT_TIMEOUT_SECONDS, next_timeout))
         return result
 
     def _item_rows(self, spec: BatchSpec, upload: str) -> list[RowPut]:
