--- a/src/larkpost/gateway/rollouts/acceptance.py
+++ b/src/larkpost/gateway/rollouts/acceptance.py
@@ -113,8 +113,8 @@
             submission.spec, result.rows
         ):
             return AcceptOutcome.TAKEN
-        is_there = result.outcome in (WriteOutcome.DONE, WriteOutcome.CONFLICT)
-        return AcceptOutcome.ACCEPTED if is_there else None
+        exists = result.outcome in (WriteOutcome.DONE, WriteOutcome.CONFLICT)
+        return AcceptOutcome.ACCEPTED if exists else None
 
     async def _write(self, change: Transaction) -> WriteResult:
         """Writes the head of a batch and adapts the timeout of the next such write.
