--- a/src/larkpost/gateway/rollouts/acceptance.py
+++ b/src/larkpost/gateway/rollouts/acceptance.py
@@ -91,7 +91,7 @@
         rows = self._item_rows(spec, upload)
         submission = _Submission(spec, owner, upload, rows, is_uploaded=fits_transaction(rows))
         while True:
-            outcome = await self._try(submission)
+            outcome = await self._attempt(submission)
             if outcome is not None:
                 return outcome
             if self._clock.now() + RETRY_SECONDS >= deadline:
@@ -99,7 +99,7 @@
                 return AcceptOutcome.UNCERTAIN if is_uncertain else AcceptOutcome.REFUSED
             await self._clock.sleep(RETRY_SECONDS)
 
-    async def _try(self, submission: _Submission) -> AcceptOutcome | None:
+    async def _attempt(self, submission: _Submission) -> AcceptOutcome | None:
         """Makes one attempt to write the batch; None if it has to be repeated."""
         if not submission.is_uploaded:
             outcome = await self._rows.write([[row] for row in submission.rows])
