--- a/src/larkpost/gateway/rollouts/batch_head_cache.py
+++ b/src/larkpost/gateway/rollouts/batch_head_cache.py
@@ -104,10 +104,10 @@
 
     def demands(self) -> dict[ModelName, ModelDemand]:
         """Returns the demand of each model, from its newest and its open batches."""
-        of_model: dict[ModelName, list[CachedBatchHead]] = defaultdict(list)
+        batches_by_model: dict[ModelName, list[CachedBatchHead]] = defaultdict(list)
         for known in self._heads.values():
-            of_model[known.head.model].append(known)
-        return {model: _demand(batches) for model, batches in of_model.items()}
+            batches_by_model[known.head.model].append(known)
+        return {model: _demand(batches) for model, batches in batches_by_model.items()}
 
     def newest(self) -> list[BatchHead]:
         """Returns the head of each model's newest batch, whether or not it has ended."""
