--- a/src/larkpost/gateway/rollouts/claims.py
+++ b/src/larkpost/gateway/rollouts/claims.py
@@ -52,11 +52,11 @@
             membership.listed  # until then every owner would count as dead
             and membership.is_coordinator()  # limits how many daemons track all batches
             and not membership.is_owner_alive(known.head.owner, known.owner_since)
-            and not self._has_just_claimed(known.head.id)
+            and not self._has_recent_claim(known.head.id)
             and self.successor(known.head) == membership.own
         )
 
-    def _has_just_claimed(self, batch: BatchId) -> bool:
+    def _has_recent_claim(self, batch: BatchId) -> bool:
         last = self._claimed_at.get(batch, float("-inf"))
         return self._clock.now() - last < CLAIM_INTERVAL_SECONDS
 
