--- a/src/larkpost/gateway/rollouts/slot_queue.py
+++ b/src/larkpost/gateway/rollouts/slot_queue.py
@@ -62,16 +62,18 @@
     full: set[tuple[ServiceName, Work]] = field(default_factory=set)
     slow: dict[tuple[ServiceName, Work], float] = field(default_factory=dict)
 
-    def rules_out(self, wanted: tuple[ServiceName, Work], service_time_limit: float) -> bool:
+    def rules_out(self, requirements: tuple[ServiceName, Work], service_time_limit: float) -> bool:
         """Returns whether a request can be skipped, as an easier one has found no slot."""
-        return wanted in self.full or 0 < service_time_limit <= self.slow.get(wanted, 0.0)
+        return requirements in self.full or 0 < service_time_limit <= self.slow.get(
+            requirements, 0.0
+        )
 
-    def record(self, wanted: tuple[ServiceName, Work], service_time_limit: float) -> None:
+    def record(self, requirements: tuple[ServiceName, Work], service_time_limit: float) -> None:
         """Records that a request has found no slot."""
         if service_time_limit:
-            self.slow[wanted] = max(self.slow.get(wanted, 0.0), service_time_limit)
+            self.slow[requirements] = max(self.slow.get(requirements, 0.0), service_time_limit)
         else:
-            self.full.add(wanted)
+            self.full.add(requirements)
 
 
 class SlotQueue:
@@ -158,12 +160,12 @@
         if service is None:
             return False
         work = self._engine_selector.items.work_of(entry.item)
-        wanted = (service, work)
-        if unavailable.rules_out(wanted, entry.service_time_limit):
+        requirements = (service, work)
+        if unavailable.rules_out(requirements, entry.service_time_limit):
             return False
         engine = self._engine_selector.choose(service, entry.service_time_limit, work)
         if engine is None:
-            unavailable.record(wanted, entry.service_time_limit)
+            unavailable.record(requirements, entry.service_time_limit)
             return False
         self._balancer.occupy(engine.id)
         self._engine_selector.record_assigned(engine)
