--- a/src/larkpost/gateway/rollouts/slot_queue.py
+++ b/src/larkpost/gateway/rollouts/slot_queue.py
@@ -137,11 +137,11 @@
 
     async def _serve(self) -> None:
         while self._waiting:
-            while self._pass() == MAX_SLOTS_PER_PASS:
+            while self._run_pass() == MAX_SLOTS_PER_PASS:
                 await self._clock.sleep(0)
             await self._clock.sleep(PASS_INTERVAL_SECONDS)
 
-    def _pass(self) -> int:
+    def _run_pass(self) -> int:
         """Assigns up to `MAX_SLOTS_PER_PASS` slots in queue order and returns their number."""
         unavailable = _UnavailableSlots()
         left: list[_SlotRequest] = []
