--- a/src/larkpost/gateway/rollouts/slot_queue.py
+++ b/src/larkpost/gateway/rollouts/slot_queue.py
@@ -144,14 +144,14 @@
     def _run_pass(self) -> int:
         """Assigns up to `MAX_SLOTS_PER_PASS` slots in queue order and returns their number."""
         unavailable = _UnavailableSlots()
-        left: list[_SlotRequest] = []
+        remaining: list[_SlotRequest] = []
         assigned = 0
         for entry in self._waiting:
             if assigned < MAX_SLOTS_PER_PASS and self._assign(entry, unavailable):
                 assigned += 1
             else:
-                left.append(entry)
-        self._waiting = left
+                remaining.append(entry)
+        self._waiting = remaining
         return assigned
 
     def _assign(self, entry: _SlotRequest, unavailable: _UnavailableSlots) -> bool:
