--- a/src/larkpost/gateway/rollouts/batch_rows.py
+++ b/src/larkpost/gateway/rollouts/batch_rows.py
@@ -61,11 +61,11 @@
 
     async def write(self, groups: list[list[RowPut]]) -> WriteOutcome:
         """Writes groups of rows in as few transactions as possible, each group in a single one."""
-        left = list(groups)
-        while left:
-            rows = left.pop(0)
-            while left and fits_transaction(rows + left[0]):
-                rows = rows + left.pop(0)
+        remaining = list(groups)
+        while remaining:
+            rows = remaining.pop(0)
+            while remaining and fits_transaction(rows + remaining[0]):
+                rows = rows + remaining.pop(0)
             change = Transaction(puts=tuple(rows))
             outcome = (await self._store.write(change, WRITE_TIMEOUT_SECONDS)).outcome
             if outcome is not WriteOutcome.DONE:
