--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -88,10 +88,10 @@
         is_new = self._services.clock.now() - self._began_at < OWN_ENGINES_ONLY_SECONDS
         if not is_new and not division.should_yield(service, self._head.model):
             return None
-        own = division.engines_of(service, self._head.model)
+        assigned = division.engines_of(service, self._head.model)
         directory, balancer = self._services.directory, self._services.balancer
-        known = (info for name in own if (info := directory.get(name)) is not None)
-        return None if all(balancer.is_cold(info) for info in known) else own
+        known = (info for name in assigned if (info := directory.get(name)) is not None)
+        return None if all(balancer.is_cold(info) for info in known) else assigned
 
     def _states(self, service: ServiceName, candidates: list[InstanceInfo]) -> list[EngineState]:
         """Returns the states of the engines, in the same order."""
