--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -132,8 +132,8 @@
         """Returns the free slots of an engine; at a cold engine, as many as its limit allows."""
         free = info.slots - self._services.balancer.occupied(info)
         cold = self._services.cold
-        left = cold.remaining_sends(info, work) if cold is not None else None
-        return free if left is None else min(free, left)
+        send_quota = cold.remaining_sends(info, work) if cold is not None else None
+        return free if send_quota is None else min(free, send_quota)
 
     def stall_timeout(self, watch: MonitoredRun) -> float:
         """Returns the seconds without an event after which a run counts as stalled."""
