--- a/src/larkpost/gateway/rollouts/engine_runner.py
+++ b/src/larkpost/gateway/rollouts/engine_runner.py
@@ -112,19 +112,19 @@
             DiscontinuityError: an event does not follow the last one.
             MigrateRunError: the item has a slot at a faster engine.
         """
-        faster = FasterEngineRequest(self._slot_queue, self._engine_selector, run)
+        faster_engine_request = FasterEngineRequest(self._slot_queue, self._engine_selector, run)
         try:
             events = EventRecorder(run, watch, self._head, self._services, response.version or 0)
             async for event in response.events():
                 events.record(event)
-                faster.raise_if_assigned()
+                faster_engine_request.raise_if_assigned()
                 if (
                     may_migrate(run.progress.migrations)
                     and events.count % EVENTS_BETWEEN_CHECKS == 0
                 ):
-                    faster.request_if_slow()
+                    faster_engine_request.request_if_slow()
         finally:
-            faster.cancel()
+            faster_engine_request.cancel()
 
     def _request(self, run: ItemRun) -> OutgoingRequest:
         item = run.item
