--- a/src/larkpost/gateway/rollouts/reader.py
+++ b/src/larkpost/gateway/rollouts/reader.py
@@ -78,12 +78,12 @@
         view = await self._view(batch, caller)
         deadline = self._clock.now() + wait
         while True:
-            holds = self._may_hold(view)
-            failed = not await self._refresh(view, position, holds)
+            can_hold = self._may_hold(view)
+            failed = not await self._refresh(view, position, can_hold)
             now = self._clock.now()
             if len(view.results) > position:
                 deadline = min(deadline, now + HOLD_SECONDS)
-            step = decide_read(_read_state(view, position, holds, failed, deadline - now))
+            step = decide_read(_read_state(view, position, can_hold, failed, deadline - now))
             if step is ReadDecision.RESPOND:
                 return self._respond(view, position, from_memory=failed)
             if step is ReadDecision.FAIL:
@@ -196,13 +196,13 @@
 
 
 def _read_state(
-    view: BatchView, position: int, holds: bool, failed: bool, seconds_left: float
+    view: BatchView, position: int, can_hold: bool, failed: bool, seconds_left: float
 ) -> ReadState:
     return ReadState(
         is_complete=len(view.results) >= view.head.total,
         has_new=len(view.results) > position,
         has_enough_groups=view.has_enough_groups(),
-        may_hold=holds,
+        may_hold=can_hold,
         store_failed=failed,
         seconds_left=seconds_left,
     )
