--- a/src/larkpost/gateway/rollouts/reader.py
+++ b/src/larkpost/gateway/rollouts/reader.py
@@ -219,11 +219,11 @@
 
 
 def _page(view: BatchView, position: int) -> ResultPage:
-    chosen: list[Result] = []
+    page_results: list[Result] = []
     size = 0
     for result in view.results[position:]:
         size += len(result.text)
-        if chosen and size > MAX_PAGE_BYTES:
+        if page_results and size > MAX_PAGE_BYTES:
             break
-        chosen.append(result)
-    return ResultPage(view.head.total, position, tuple(chosen))
+        page_results.append(result)
+    return ResultPage(view.head.total, position, tuple(page_results))
