--- a/src/larkpost/gateway/rollouts/result_appender.py
+++ b/src/larkpost/gateway/rollouts/result_appender.py
@@ -104,25 +104,25 @@
 
     async def append_once(self) -> None:
         """Appends as many results as fit in one write; reloads the list after a failure."""
-        before = self.tail
-        if before is None:
+        known_tail = self.tail
+        if known_tail is None:
             await self._resynchronise()
             return
         pending = list(self.pending)
         if not pending:
             return
         started = self._clock.now()
-        result, tail, taken = await self._repository.append(self._batch, before, pending)
+        result, tail, taken = await self._repository.append(self._batch, known_tail, pending)
         self._services.metrics.count(Count.APPENDS, result.outcome)
         if result.outcome is WriteOutcome.DONE:
-            self._record_appended(before.count, pending[:taken], started)
+            self._record_appended(known_tail.count, pending[:taken], started)
             self.tail = tail
             return
         self._log.record(
             Event.APPEND_FAILED,
             batch=self._batch,
             outcome=result.outcome,
-            position=before.count,
+            position=known_tail.count,
             waiting=len(self.pending),
         )
         if result.outcome in (WriteOutcome.CONFLICT, WriteOutcome.UNKNOWN):
