--- a/src/larkpost/gateway/rollouts/acceptance.py
+++ b/src/larkpost/gateway/rollouts/acceptance.py
@@ -132,10 +132,10 @@
         return result
 
     def _item_rows(self, spec: BatchSpec, upload: str) -> list[RowPut]:
-        pieces = self._rows.split_content(codec.encode_items(spec.items))
+        chunks = self._rows.split_content(codec.encode_items(spec.items))
         return [
             (batch_key(ITEM_TABLE, spec.id, f"/{upload}/{number:06d}"), piece)
-            for number, piece in enumerate(pieces)
+            for number, piece in enumerate(chunks)
         ]
 
     def _transaction(self, submission: _Submission) -> Transaction:
--- a/src/larkpost/gateway/rollouts/codec.py
+++ b/src/larkpost/gateway/rollouts/codec.py
@@ -192,9 +192,9 @@
     return split(b"%0*d" % (LENGTH_DIGITS, len(content)) + content, size)
 
 
-def join_rewritten(pieces: Iterable[bytes]) -> bytes:
+def join_rewritten(chunks: Iterable[bytes]) -> bytes:
     """Joins the chunks of a document in order; see `split_rewritten`."""
-    content = b"".join(pieces)
+    content = b"".join(chunks)
     end = LENGTH_DIGITS + int(content[:LENGTH_DIGITS])
     return content[LENGTH_DIGITS:end]
 
--- a/src/larkpost/gateway/rollouts/partial_outputs.py
+++ b/src/larkpost/gateway/rollouts/partial_outputs.py
@@ -37,20 +37,20 @@
         page = await read_all(
             self._store, PARTIAL_TABLE, part_of(batch), f"{batch}/", prefix_end(batch)
         )
-        pieces: dict[str, list[bytes]] = {}
+        chunks: dict[str, list[bytes]] = {}
         for row in page.rows:
             item_id = row.key.key.partition("/")[2].rpartition("/")[0]
-            pieces.setdefault(item_id, []).append(row.value)
+            chunks.setdefault(item_id, []).append(row.value)
         return {
-            item.id: codec.decode_progress(item, codec.join_rewritten(pieces[item.id]))
+            item.id: codec.decode_progress(item, codec.join_rewritten(chunks[item.id]))
             for item in items
-            if item.id in pieces
+            if item.id in chunks
         }
 
     def _rows_of(self, batch: BatchId, progress: Progress) -> list[RowPut]:
         content = codec.encode_progress(progress, MAX_STORED_BYTES)
-        pieces = codec.split_rewritten(content, self._rows.chunk_bytes)
+        chunks = codec.split_rewritten(content, self._rows.chunk_bytes)
         return [
             (batch_key(PARTIAL_TABLE, batch, f"/{progress.item.id}/{number:02d}"), piece)
-            for number, piece in enumerate(pieces)
+            for number, piece in enumerate(chunks)
         ]
--- a/src/larkpost/gateway/rollouts/repository.py
+++ b/src/larkpost/gateway/rollouts/repository.py
@@ -128,10 +128,10 @@
             f"{batch}/{position:08d}/",
             prefix_end(batch),
         )
-        pieces: dict[str, list[bytes]] = {}
+        chunks: dict[str, list[bytes]] = {}
         for row in page.rows:
-            pieces.setdefault(row.key.key.rpartition("/")[0], []).append(row.value)
-        return [codec.decode_result(b"".join(parts)) for parts in pieces.values()]
+            chunks.setdefault(row.key.key.rpartition("/")[0], []).append(row.value)
+        return [codec.decode_result(b"".join(parts)) for parts in chunks.values()]
 
     async def append(
         self, batch: BatchId, tail: Tail, results: list[Result]
@@ -162,15 +162,15 @@
         size = 0
         taken = 0
         for result in results:
-            pieces = self._rows.split_content(codec.encode_result(result))
-            added = sum(len(piece) for piece in pieces)
+            chunks = self._rows.split_content(codec.encode_result(result))
+            added = sum(len(piece) for piece in chunks)
             over = size + added > MAX_TRANSACTION_BYTES
-            if taken and (over or len(puts) + len(pieces) > MAX_TRANSACTION_ROWS):
+            if taken and (over or len(puts) + len(chunks) > MAX_TRANSACTION_ROWS):
                 break
             prefix = f"/{position + taken:08d}"
             puts.extend(
                 (batch_key(RESULT_TABLE, batch, f"{prefix}/{number:04d}"), piece)
-                for number, piece in enumerate(pieces)
+                for number, piece in enumerate(chunks)
             )
             size += added
             taken += 1
