--- a/src/larkpost/gateway/rollouts/acceptance.py
+++ b/src/larkpost/gateway/rollouts/acceptance.py
@@ -134,8 +134,8 @@
     def _item_rows(self, spec: BatchSpec, upload: str) -> list[RowPut]:
         chunks = self._rows.split_content(codec.encode_items(spec.items))
         return [
-            (batch_key(ITEM_TABLE, spec.id, f"/{upload}/{number:06d}"), piece)
-            for number, piece in enumerate(chunks)
+            (batch_key(ITEM_TABLE, spec.id, f"/{upload}/{number:06d}"), chunk)
+            for number, chunk in enumerate(chunks)
         ]
 
     def _transaction(self, submission: _Submission) -> Transaction:
--- a/src/larkpost/gateway/rollouts/partial_outputs.py
+++ b/src/larkpost/gateway/rollouts/partial_outputs.py
@@ -51,6 +51,6 @@
         content = codec.encode_progress(progress, MAX_STORED_BYTES)
         chunks = codec.split_rewritten(content, self._rows.chunk_bytes)
         return [
-            (batch_key(PARTIAL_TABLE, batch, f"/{progress.item.id}/{number:02d}"), piece)
-            for number, piece in enumerate(chunks)
+            (batch_key(PARTIAL_TABLE, batch, f"/{progress.item.id}/{number:02d}"), chunk)
+            for number, chunk in enumerate(chunks)
         ]
--- a/src/larkpost/gateway/rollouts/repository.py
+++ b/src/larkpost/gateway/rollouts/repository.py
@@ -163,14 +163,14 @@
         taken = 0
         for result in results:
             chunks = self._rows.split_content(codec.encode_result(result))
-            added = sum(len(piece) for piece in chunks)
+            added = sum(len(chunk) for chunk in chunks)
             over = size + added > MAX_TRANSACTION_BYTES
             if taken and (over or len(puts) + len(chunks) > MAX_TRANSACTION_ROWS):
                 break
             prefix = f"/{position + taken:08d}"
             puts.extend(
-                (batch_key(RESULT_TABLE, batch, f"{prefix}/{number:04d}"), piece)
-                for number, piece in enumerate(chunks)
+                (batch_key(RESULT_TABLE, batch, f"{prefix}/{number:04d}"), chunk)
+                for number, chunk in enumerate(chunks)
             )
             size += added
             taken += 1
