--- a/src/larkpost/gateway/rollouts/batch_manager.py
+++ b/src/larkpost/gateway/rollouts/batch_manager.py
@@ -188,10 +188,10 @@
     def _update_batch(self, known: CachedBatchHead) -> None:
         """Starts, releases or claims a batch, depending on its owner and whether it is over."""
         head, batch = known.head, known.head.id
-        mine = head.owner == self._membership.own and not self._handing_over
-        if head.ended or batch in self._completed or (batch in self._owned and not mine):
+        is_own = head.owner == self._membership.own and not self._handing_over
+        if head.ended or batch in self._completed or (batch in self._owned and not is_own):
             self._release(batch)
-        elif mine:
+        elif is_own:
             if batch not in self._owned:
                 self._start_batch(head, None, fresh=False)
         elif not self._handing_over and self._claims.should_claim(known):
