--- a/src/larkpost/gateway/rollouts/batch_manager.py
+++ b/src/larkpost/gateway/rollouts/batch_manager.py
@@ -60,7 +60,9 @@
         self._lifetime = lifetime
         self._clock: Clock = services.clock
         self._log: EventLog = services.log
-        self._heads = BatchHeadCache(services.clock, services.division.last_announcement, self._age)
+        self._head_cache = BatchHeadCache(
+            services.clock, services.division.last_announcement, self._age
+        )
         self._forecaster = BatchForecaster(
             ForecastInputs(
                 services.configuration,
@@ -90,15 +92,15 @@
         """Records a changed or removed row of a head."""
         if row.removed:
             batch = BatchId(row.key.key)
-            self._heads.forget(batch)
+            self._head_cache.forget(batch)
             self._views.forget(batch)
             self._completed.discard(batch)
         else:
-            self._heads.record(row)
+            self._head_cache.record(row)
 
     def head(self, batch: BatchId) -> BatchHead | None:
         """Returns the head of a batch; None if unknown."""
-        known = self._heads.get(batch)
+        known = self._head_cache.get(batch)
         return known.head if known is not None else None
 
     def _age(self, head: BatchHead) -> float | None:
@@ -108,11 +110,11 @@
 
     def is_owner(self) -> bool:
         """Returns whether this daemon runs batches, or is named as the owner of an open one."""
-        return bool(self._owned) or self._membership.own in self._heads.open_owners()
+        return bool(self._owned) or self._membership.own in self._head_cache.open_owners()
 
     def open_owners(self) -> set[DaemonId]:
         """Returns the daemons known to run batches now, including this one if it does."""
-        return self._heads.open_owners() | ({self._membership.own} if self._owned else set())
+        return self._head_cache.open_owners() | ({self._membership.own} if self._owned else set())
 
     def owned(self) -> list[OwnedBatch]:
         """Returns the batches that this daemon runs."""
@@ -120,8 +122,8 @@
 
     def demands(self) -> dict[ModelName, ModelDemand]:
         """Returns the demand of each model, with the deadline forecasts of its open batches."""
-        demands = self._heads.demands()
-        heads = ModelHeads(self._heads.open(), self._heads.newest())
+        demands = self._head_cache.demands()
+        heads = ModelHeads(self._head_cache.open(), self._head_cache.newest())
         return self._forecaster.add_forecasts(demands, heads, self.progress())
 
     def progress(self) -> dict[BatchId, BatchProgress]:
@@ -159,7 +161,7 @@
 
     async def update(self) -> None:
         """Starts, claims and releases batches according to their heads."""
-        for known in self._heads:
+        for known in self._head_cache:
             self._update_batch(known)
         for batch, owned in list(self._owned.items()):
             if owned.complete:
@@ -176,7 +178,7 @@
         now = self._services.store_time()
         if now is None:
             return
-        for known in self._heads:
+        for known in self._head_cache:
             if now - known.head.created_at < self._lifetime() + RETENTION_SLACK_SECONDS:
                 continue
             if self._claims.successor(known.head) == self._membership.own:
@@ -228,11 +230,11 @@
         owned = self._owned[batch]
         await owned.hand_over()
         self._release(batch)
-        known = self._heads.get(batch)
+        known = self._head_cache.get(batch)
         successor = self._claims.successor(known.head) if known is not None else None
         if known is None or successor is None or known.head.ended:
             return
         await self._claims.claim(known, successor)
-        known = self._heads.get(batch)
+        known = self._head_cache.get(batch)
         if known is not None and known.head.owner == self._membership.own:
             await self._claims.claim(known, successor)
