--- a/src/larkpost/gateway/rollouts/reward_rules.py
+++ b/src/larkpost/gateway/rollouts/reward_rules.py
@@ -82,11 +82,11 @@
     Args:
         candidates: servers with a free slot, the best first.
     """
-    fresh = [info for info in candidates if info.id not in history.servers]
-    if candidates and not fresh:
+    untried = [info for info in candidates if info.id not in history.servers]
+    if candidates and not untried:
         history.servers.clear()
-        fresh = candidates
-    return fresh[0] if fresh else None
+        untried = candidates
+    return untried[0] if untried else None
 
 
 def classify_call_response(status: int, signature: str | None) -> RewardAttempt:
