--- a/src/larkpost/gateway/rollouts/item_work.py
+++ b/src/larkpost/gateway/rollouts/item_work.py
@@ -19,7 +19,7 @@
         self._services = services
         self._works: dict[str, Work] = {}
         """Placement requirements by item path, under the configuration `_works_of`."""
-        self._works_of: Configuration | None = None
+        self._works_configuration: Configuration | None = None
         self._item_services: dict[ItemId, ServiceName] = {}
 
     def work_of(self, item: Item | None = None) -> Work:
@@ -29,8 +29,8 @@
             item: None for the requirements of the batch's own path.
         """
         configuration = self._services.configuration.current
-        if configuration is not self._works_of:
-            self._works_of = configuration
+        if configuration is not self._works_configuration:
+            self._works_configuration = configuration
             self._works.clear()
         path = item.path if item is not None else self._head.path
         if path not in self._works:
