--- a/src/larkpost/gateway/rollouts/output_saver.py
+++ b/src/larkpost/gateway/rollouts/output_saver.py
@@ -24,7 +24,7 @@
         self._batch = batch
         self._repository = repository
         self._saved_events: dict[ItemId, int] = {}
-        self._saved_whole: set[ItemId] = set()
+        self._saved_complete: set[ItemId] = set()
 
     async def save(self, running: Iterable[Progress], minimum: int) -> None:
         """Stores outputs that became complete or have grown by at least ``minimum`` events.
@@ -38,10 +38,10 @@
         whole = {progress.item.id for progress in grown if progress.whole}
         if await self._repository.keep_partials(self._batch, grown):
             self._saved_events |= counts
-            self._saved_whole |= whole
+            self._saved_complete |= whole
 
     def _has_grown(self, progress: Progress, minimum: int) -> bool:
         """Returns whether an output should be stored again."""
-        if progress.whole and progress.item.id not in self._saved_whole:
+        if progress.whole and progress.item.id not in self._saved_complete:
             return True
         return len(progress.events) - self._saved_events.get(progress.item.id, 0) >= minimum
