--- a/src/larkpost/gateway/rollouts/remaining_work.py
+++ b/src/larkpost/gateway/rollouts/remaining_work.py
@@ -21,12 +21,12 @@
     """
     if progress.whole:
         return 0
-    made = len(progress.events) * tokens_per_event
-    guessed = progress.item.expected_work - made
+    produced = len(progress.events) * tokens_per_event
+    guessed = progress.item.expected_work - produced
     if guessed > 0:
         return guessed
-    most = max(tokens_per_event, progress.item.tokens - made)
-    return min(most, int(made * OVERRUN_SHARE))
+    most = max(tokens_per_event, progress.item.tokens - produced)
+    return min(most, int(produced * OVERRUN_SHARE))
 
 
 def summarize_progress(
