--- a/src/larkpost/gateway/rollouts/remaining_work.py
+++ b/src/larkpost/gateway/rollouts/remaining_work.py
@@ -22,9 +22,9 @@
     if progress.whole:
         return 0
     produced = len(progress.events) * tokens_per_event
-    guessed = progress.item.expected_work - produced
-    if guessed > 0:
-        return guessed
+    remaining = progress.item.expected_work - produced
+    if remaining > 0:
+        return remaining
     most = max(tokens_per_event, progress.item.tokens - produced)
     return min(most, int(produced * OVERRUN_SHARE))
 
