--- a/src/larkpost/gateway/rollouts/remaining_work.py
+++ b/src/larkpost/gateway/rollouts/remaining_work.py
@@ -25,8 +25,8 @@
     remaining = progress.item.expected_work - produced
     if remaining > 0:
         return remaining
-    most = max(tokens_per_event, progress.item.tokens - produced)
-    return min(most, int(produced * OVERRUN_SHARE))
+    upper_bound = max(tokens_per_event, progress.item.tokens - produced)
+    return min(upper_bound, int(produced * OVERRUN_SHARE))
 
 
 def summarize_progress(
