--- a/src/larkpost/gateway/rollouts/view.py
+++ b/src/larkpost/gateway/rollouts/view.py
@@ -113,9 +113,9 @@
         """
         idle = [batch for batch in self._views if batch not in in_use]
         size = sum(self._views[batch].size for batch in idle)
-        most = self._max_idle_bytes()
+        max_bytes = self._max_idle_bytes()
         for batch in sorted(idle, key=lambda name: self._views[name].used_at):
-            if size <= most:
+            if size <= max_bytes:
                 break
             size -= self._views[batch].size
             del self._views[batch]
