--- a/src/larkpost/gateway/rollouts/view.py
+++ b/src/larkpost/gateway/rollouts/view.py
@@ -119,8 +119,8 @@
                 break
             size -= self._views[batch].size
             del self._views[batch]
-        kept = sum(view.size for view in self._views.values())
-        self._budget.set_held(MemoryPurpose.BATCHES, kept + outputs)
+        held = sum(view.size for view in self._views.values())
+        self._budget.set_held(MemoryPurpose.BATCHES, held + outputs)
 
     def _max_idle_bytes(self) -> int:
         limit = self._budget.limit
