--- a/src/larkpost/gateway/rollouts/stall_detector.py
+++ b/src/larkpost/gateway/rollouts/stall_detector.py
@@ -62,18 +62,18 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._watches: list[MonitoredRun] = []
+        self._runs: list[MonitoredRun] = []
 
     @contextmanager
     def watch(self, engine: InstanceInfo, limit: asyncio.Timeout) -> Iterator[MonitoredRun]:
         """Watches a run until the context exits."""
         now = self._clock.now()
         watch = MonitoredRun(engine, limit, now, now)
-        self._watches.append(watch)
+        self._runs.append(watch)
         try:
             yield watch
         finally:
-            self._watches.remove(watch)
+            self._runs.remove(watch)
 
     def find_stalled(self, stall_timeout: Callable[[MonitoredRun], float]) -> list[MonitoredRun]:
         """Returns the stalled runs, the longest silent first.
@@ -84,7 +84,7 @@
         now = self._clock.now()
         silent = [
             watch
-            for watch in self._watches
+            for watch in self._runs
             if not (watch.is_stalled or watch.limit.expired())
             and now - watch.last_event_at >= stall_timeout(watch)
         ]
