--- a/src/larkpost/gateway/rollouts/event_recorder.py
+++ b/src/larkpost/gateway/rollouts/event_recorder.py
@@ -39,7 +39,7 @@
         version: int,
     ) -> None:
         self._run = run
-        self._watch = watch
+        self._monitored_run = watch
         self._head = head
         self._services = services
         self._version = version
@@ -55,7 +55,7 @@
             DiscontinuityError: it does not follow the last one.
         """
         now = asyncio.get_running_loop().time()
-        self._watch.record_event(now, MAX_EVENT_GAP_SECONDS)
+        self._monitored_run.record_event(now, MAX_EVENT_GAP_SECONDS)
         if event.version is not None:
             self._version = event.version
             self._observe_version(event.version)
@@ -85,7 +85,7 @@
     def _record_latency(self, now: float) -> None:
         """Records the time to the first event, and later gaps as the engine's service time."""
         if self._last_event_at is None:
-            seconds = now - self._watch.started_at
+            seconds = now - self._monitored_run.started_at
             self._services.metrics.observe(Timing.ITEM_FIRST_EVENT, seconds)
         else:
             seconds = now - self._last_event_at
