--- a/src/larkpost/gateway/rollouts/event_recorder.py
+++ b/src/larkpost/gateway/rollouts/event_recorder.py
@@ -33,13 +33,13 @@
     def __init__(
         self,
         run: ItemRun,
-        watch: MonitoredRun,
+        monitored_run: MonitoredRun,
         head: BatchHead,
         services: RunServices,
         version: int,
     ) -> None:
         self._run = run
-        self._monitored_run = watch
+        self._monitored_run = monitored_run
         self._head = head
         self._services = services
         self._version = version
