--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -135,9 +135,9 @@
         send_quota = cold.remaining_sends(info, work) if cold is not None else None
         return free if send_quota is None else min(free, send_quota)
 
-    def stall_timeout(self, watch: MonitoredRun) -> float:
+    def stall_timeout(self, monitored_run: MonitoredRun) -> float:
         """Returns the seconds without an event after which a run counts as stalled."""
-        engine = watch.engine
+        engine = monitored_run.engine
         loading = self._services.division.loading(engine.service, self._head.model)
         service_time = self._services.balancer.service_times.lasting(engine.id)
         return stall_timeout_seconds(service_time, is_loading=engine.id in loading)
