--- a/src/larkpost/gateway/rollouts/batch_run.py
+++ b/src/larkpost/gateway/rollouts/batch_run.py
@@ -109,13 +109,13 @@
     def _abort_stalled(self) -> None:
         """Aborts stalled runs while there are more free slots than waiting items."""
         free: dict[ServiceName, int] = {}
-        for watch in self._stall_detector.find_stalled(self._engine_selector.stall_timeout):
-            service = watch.engine.service
+        for monitored_run in self._stall_detector.find_stalled(self._engine_selector.stall_timeout):
+            service = monitored_run.engine.service
             if service not in free:
                 free[service] = self._engine_selector.count_free_slots(service)
             if free[service] > len(self._slot_queue):
                 free[service] -= 1
-                self._stall_detector.abort(watch)
+                self._stall_detector.abort(monitored_run)
 
     async def _finish_item(self, item: Item) -> None:
         """Runs an item and has it scored until it has a result; survives unexpected errors."""
