--- a/src/larkpost/gateway/rollouts/stall_detector.py
+++ b/src/larkpost/gateway/rollouts/stall_detector.py
@@ -82,13 +82,13 @@
             stall_timeout: returns the seconds without an event after which a run is stalled.
         """
         now = self._clock.now()
-        silent = [
+        stalled = [
             watch
             for watch in self._runs
             if not (watch.is_stalled or watch.limit.expired())
             and now - watch.last_event_at >= stall_timeout(watch)
         ]
-        return sorted(silent, key=lambda watch: watch.last_event_at)
+        return sorted(stalled, key=lambda watch: watch.last_event_at)
 
     def abort(self, watch: MonitoredRun) -> None:
         """Aborts a run, so that its item continues elsewhere."""
