--- a/src/larkpost/gateway/rollouts/owned_batch.py
+++ b/src/larkpost/gateway/rollouts/owned_batch.py
@@ -115,7 +115,7 @@
             try:
                 await self._load(items, fresh)
                 await self._results.append_all()
-                self._complete()
+                self._mark_complete()
                 return
             except Exception as error:
                 self._log.record(Event.FAULT, where=f"batch {self.head.id}", error=repr(error))
@@ -173,7 +173,7 @@
         if self._run is not None:
             self._run.cancel_items(listed)
 
-    def _complete(self) -> None:
+    def _mark_complete(self) -> None:
         self.complete = True
         if self._run is not None:
             self._run.cancel()
