--- a/src/larkpost/gateway/rollouts/batch_forecaster.py
+++ b/src/larkpost/gateway/rollouts/batch_forecaster.py
@@ -175,10 +175,10 @@
         service_times = sorted(service_time for service_time in known if service_time)
         if not service_times:
             return BatchCapacity(0, 0, 0.0, 0.0)
-        places = sum(max(1, info.slots) for info in engines)
+        total_slots = sum(max(1, info.slots) for info in engines)
         return BatchCapacity(
-            max(1, int(places * (1 - MAX_LENT_FRACTION) / len(service.models))),
-            places,
+            max(1, int(total_slots * (1 - MAX_LENT_FRACTION) / len(service.models))),
+            total_slots,
             service_times[len(service_times) // 2] / service.tokens_per_event,
             service_times[0] / service.tokens_per_event,
         )
--- a/src/larkpost/gateway/rollouts/batch_run.py
+++ b/src/larkpost/gateway/rollouts/batch_run.py
@@ -30,8 +30,8 @@
     """Runs the unfinished items of a batch that this daemon owns, each until it has a result.
 
     Args:
-        finished: called with each result as it becomes available.
-        kept: partial outputs that an earlier owner of the batch has stored.
+        on_result: called with each result as it becomes available.
+        stored_outputs: partial outputs that an earlier owner of the batch has stored.
     """
 
     def __init__(
--- a/src/larkpost/gateway/rollouts/codec.py
+++ b/src/larkpost/gateway/rollouts/codec.py
@@ -162,14 +162,14 @@
 def _progress_fields(progress: Progress, count: int) -> list:
     """Returns the fields of the first ``count`` events of an output."""
     first = 0 if progress.last_event is None else progress.last_event - len(progress.events) + 1
-    whole = progress.whole and count == len(progress.events)
+    is_complete = progress.whole and count == len(progress.events)
     return [
         [base64.b64encode(data).decode() for data in progress.events[:count]],
         progress.event_versions[:count],
         first,
         progress.failed_runs,
-        whole,
-        progress.failed_calls if whole else 0,
+        is_complete,
+        progress.failed_calls if is_complete else 0,
     ]
 
 
--- a/src/larkpost/gateway/rollouts/engine_runner.py
+++ b/src/larkpost/gateway/rollouts/engine_runner.py
@@ -73,17 +73,17 @@
         """
         if run.progress.last_event is not None and run.route.single_version:
             self._keep_single_version(run)
-        watch: MonitoredRun | None = None
+        monitored_run: MonitoredRun | None = None
         try:
             async with asyncio.timeout(FIRST_EVENT_SECONDS) as limit:
-                with self.stall_detector.watch(run.engine, limit) as watch:
-                    return await self._stream(run, watch)
+                with self.stall_detector.watch(run.engine, limit) as monitored_run:
+                    return await self._stream(run, monitored_run)
         except TimeoutError:
-            if watch is not None and watch.is_stalled:
+            if monitored_run is not None and monitored_run.is_stalled:
                 raise StalledError from None
             raise
 
-    async def _stream(self, run: ItemRun, watch: MonitoredRun) -> RunOutcome:
+    async def _stream(self, run: ItemRun, monitored_run: MonitoredRun) -> RunOutcome:
         """Sends the request and records the response stream."""
         balancer = self._services.balancer
         request = self._request(run)
@@ -96,14 +96,14 @@
             balancer.record_cold(run.engine.id, response.cold_left)
             if response.status != 200:
                 return _record_failure(run, response.status)
-            await self._read_events(run, watch, response)
+            await self._read_events(run, monitored_run, response)
         if not run.progress.events:
             raise BrokenResponseError("the stream ended without any event")
         run.progress.complete()
         return RunOutcome.COMPLETE
 
     async def _read_events(
-        self, run: ItemRun, watch: MonitoredRun, response: ServerResponse
+        self, run: ItemRun, monitored_run: MonitoredRun, response: ServerResponse
     ) -> None:
         """Records the events of a run until the stream ends or the run migrates.
 
@@ -114,7 +114,9 @@
         """
         faster_engine_request = FasterEngineRequest(self._slot_queue, self._engine_selector, run)
         try:
-            events = EventRecorder(run, watch, self._head, self._services, response.version or 0)
+            events = EventRecorder(
+                run, monitored_run, self._head, self._services, response.version or 0
+            )
             async for event in response.events():
                 events.record(event)
                 faster_engine_request.raise_if_assigned()
--- a/src/larkpost/gateway/rollouts/item_work.py
+++ b/src/larkpost/gateway/rollouts/item_work.py
@@ -18,7 +18,7 @@
         self._head = head
         self._services = services
         self._works: dict[str, Work] = {}
-        """Placement requirements by item path, under the configuration `_works_of`."""
+        """Placement requirements by item path, under the configuration `_works_configuration`."""
         self._works_configuration: Configuration | None = None
         self._item_services: dict[ItemId, ServiceName] = {}
 
--- a/src/larkpost/gateway/rollouts/output_saver.py
+++ b/src/larkpost/gateway/rollouts/output_saver.py
@@ -35,10 +35,10 @@
         if not grown:
             return
         counts = {progress.item.id: len(progress.events) for progress in grown}
-        whole = {progress.item.id for progress in grown if progress.whole}
+        complete = {progress.item.id for progress in grown if progress.whole}
         if await self._repository.keep_partials(self._batch, grown):
             self._saved_events |= counts
-            self._saved_complete |= whole
+            self._saved_complete |= complete
 
     def _has_grown(self, progress: Progress, minimum: int) -> bool:
         """Returns whether an output should be stored again."""
--- a/src/larkpost/gateway/rollouts/reader.py
+++ b/src/larkpost/gateway/rollouts/reader.py
@@ -79,13 +79,13 @@
         deadline = self._clock.now() + wait
         while True:
             can_hold = self._may_hold(view)
-            failed = not await self._refresh(view, position, can_hold)
+            store_failed = not await self._refresh(view, position, can_hold)
             now = self._clock.now()
             if len(view.results) > position:
                 deadline = min(deadline, now + HOLD_SECONDS)
-            step = decide_read(_read_state(view, position, can_hold, failed, deadline - now))
+            step = decide_read(_read_state(view, position, can_hold, store_failed, deadline - now))
             if step is ReadDecision.RESPOND:
-                return self._respond(view, position, from_memory=failed)
+                return self._respond(view, position, from_memory=store_failed)
             if step is ReadDecision.FAIL:
                 raise self._read_error(batch, position)
             await view.wait_for_change(min(READ_POLL_SECONDS, deadline - now))
@@ -196,14 +196,14 @@
 
 
 def _read_state(
-    view: BatchView, position: int, can_hold: bool, failed: bool, seconds_left: float
+    view: BatchView, position: int, can_hold: bool, store_failed: bool, seconds_left: float
 ) -> ReadState:
     return ReadState(
         is_complete=len(view.results) >= view.head.total,
         has_new=len(view.results) > position,
         has_enough_groups=view.has_enough_groups(),
         may_hold=can_hold,
-        store_failed=failed,
+        store_failed=store_failed,
         seconds_left=seconds_left,
     )
 
--- a/src/larkpost/gateway/rollouts/stall_detector.py
+++ b/src/larkpost/gateway/rollouts/stall_detector.py
@@ -68,12 +68,12 @@
     def watch(self, engine: InstanceInfo, limit: asyncio.Timeout) -> Iterator[MonitoredRun]:
         """Watches a run until the context exits."""
         now = self._clock.now()
-        watch = MonitoredRun(engine, limit, now, now)
-        self._runs.append(watch)
+        run = MonitoredRun(engine, limit, now, now)
+        self._runs.append(run)
         try:
-            yield watch
+            yield run
         finally:
-            self._runs.remove(watch)
+            self._runs.remove(run)
 
     def find_stalled(self, stall_timeout: Callable[[MonitoredRun], float]) -> list[MonitoredRun]:
         """Returns the stalled runs, the longest silent first.
@@ -83,17 +83,17 @@
         """
         now = self._clock.now()
         stalled = [
-            watch
-            for watch in self._runs
-            if not (watch.is_stalled or watch.limit.expired())
-            and now - watch.last_event_at >= stall_timeout(watch)
+            run
+            for run in self._runs
+            if not (run.is_stalled or run.limit.expired())
+            and now - run.last_event_at >= stall_timeout(run)
         ]
-        return sorted(stalled, key=lambda watch: watch.last_event_at)
+        return sorted(stalled, key=lambda run: run.last_event_at)
 
-    def abort(self, watch: MonitoredRun) -> None:
+    def abort(self, run: MonitoredRun) -> None:
         """Aborts a run, so that its item continues elsewhere."""
-        watch.is_stalled = True
-        watch.limit.reschedule(self._clock.now())
+        run.is_stalled = True
+        run.limit.reschedule(self._clock.now())
 
 
 def stall_timeout_seconds(service_time: float, *, is_loading: bool = False) -> float:
--- a/src/larkpost/gateway/rollouts/view.py
+++ b/src/larkpost/gateway/rollouts/view.py
@@ -63,8 +63,8 @@
     def has_enough_groups(self) -> bool:
         """Returns whether enough groups are complete for the trainer's step."""
         size = self.head.group_size
-        whole = sum(count >= size for group, count in self._group_counts.items() if group)
-        return bool(size) and whole >= self.head.desired_groups
+        complete_groups = sum(count >= size for group, count in self._group_counts.items() if group)
+        return bool(size) and complete_groups >= self.head.desired_groups
 
     def confirm(self, at: float) -> None:
         """Records that the list held all results in the store at a monotonic time."""
