--- a/src/larkpost/gateway/rollouts/result_appender.py
+++ b/src/larkpost/gateway/rollouts/result_appender.py
@@ -106,7 +106,7 @@
         """Appends as many results as fit in one write; reloads the list after a failure."""
         known_tail = self.tail
         if known_tail is None:
-            await self._resynchronise()
+            await self._reload_until_answered()
             return
         pending = list(self.pending)
         if not pending:
@@ -126,7 +126,7 @@
             waiting=len(self.pending),
         )
         if result.outcome in (WriteOutcome.CONFLICT, WriteOutcome.UNKNOWN):
-            await self._resynchronise()
+            await self._reload_until_answered()
         else:
             await self._clock.sleep(RETRY_SECONDS)
 
@@ -153,7 +153,7 @@
             seconds=round(now - started, 3),
         )
 
-    async def _resynchronise(self) -> None:
+    async def _reload_until_answered(self) -> None:
         while True:
             try:
                 await self.reload()
