--- a/src/larkpost/gateway/rollouts/item_runner.py
+++ b/src/larkpost/gateway/rollouts/item_runner.py
@@ -55,7 +55,7 @@
         self._head = head
         self._routes = routes
         self._slot_queue = slot_queue
-        self._runs = runs
+        self._engine_runner = runs
         self._services = services
         self._assigned_engines: dict[ItemId, InstanceInfo] = {}
         """Engines with a slot reserved by a migrating run, by item."""
@@ -127,7 +127,7 @@
         resumed_after = run.progress.last_event
         end = RunOutcome.RETRY
         try:
-            end = await self._runs.run(run)
+            end = await self._engine_runner.run(run)
             outcome = end.value if end is not RunOutcome.RETRY else "failed"
         except EXPECTED_ERRORS as error:
             outcome = self._record_error(run, error)
