--- a/src/larkpost/gateway/rollouts/owned_batch.py
+++ b/src/larkpost/gateway/rollouts/owned_batch.py
@@ -48,7 +48,7 @@
         self._log: EventLog = services.log
         self._run: BatchRun | None = None
         self._saver = OutputSaver(head.id, repository)
-        self._results = ResultAppender(head, view, repository, services, self._drop_listed)
+        self._results = ResultAppender(head, view, repository, services, self._cancel_listed)
         self._tasks: list[asyncio.Task] = []
 
     def start(self, items: tuple[Item, ...] | None, fresh: bool) -> None:
@@ -169,7 +169,7 @@
     def _on_result(self, result: Result) -> None:
         self._results.add(result)
 
-    def _drop_listed(self, listed: set[ItemId]) -> None:
+    def _cancel_listed(self, listed: set[ItemId]) -> None:
         if self._run is not None:
             self._run.cancel_items(listed)
 
