--- a/src/larkpost/gateway/rollouts/result_appender.py
+++ b/src/larkpost/gateway/rollouts/result_appender.py
@@ -65,7 +65,7 @@
         self._wake.set()
 
     @property
-    def is_over(self) -> bool:
+    def is_closed(self) -> bool:
         """Whether no more appends are possible: the batch is ended or all items are listed."""
         if self.tail is None:
             return False
@@ -94,7 +94,7 @@
 
     async def append_all(self) -> None:
         """Appends results as they become available, until no more appends are possible."""
-        while not self.is_over:
+        while not self.is_closed:
             if not self.pending or self.tail is None:
                 self._wake.clear()
                 if self.tail is not None:
