--- a/src/larkpost/gateway/rollouts/remaining_work.py
+++ b/src/larkpost/gateway/rollouts/remaining_work.py
@@ -37,6 +37,10 @@
     Args:
         waiting: number of items that wait for a slot.
     """
-    left = sorted(remaining_tokens(progress, tokens_per_event) for progress in items)
-    p90_item_work = left[int(len(left) * LONG_ITEM_QUANTILE)] if left else 0
-    return BatchProgress(waiting, sum(left), p90_item_work)
+    remaining_by_item = sorted(remaining_tokens(progress, tokens_per_event) for progress in items)
+    p90_item_work = (
+        remaining_by_item[int(len(remaining_by_item) * LONG_ITEM_QUANTILE)]
+        if remaining_by_item
+        else 0
+    )
+    return BatchProgress(waiting, sum(remaining_by_item), p90_item_work)
