--- a/src/larkpost/gateway/rollouts/batch_run.py
+++ b/src/larkpost/gateway/rollouts/batch_run.py
@@ -77,8 +77,8 @@
     def _tokens_per_event(self) -> int:
         configuration = self._services.configuration.current
         services = configuration.services.values() if configuration is not None else ()
-        holding = (service for service in services if self.head.model in service.models)
-        service = next(holding, None)
+        serving = (service for service in services if self.head.model in service.models)
+        service = next(serving, None)
         return service.tokens_per_event if service is not None else 1
 
     def cancel(self) -> None:
