--- a/src/larkpost/gateway/rollouts/engine_runner.py
+++ b/src/larkpost/gateway/rollouts/engine_runner.py
@@ -87,10 +87,10 @@
         """Sends the request and records the response stream."""
         balancer = self._services.balancer
         request = self._request(run)
-        within = balancer.placement.admit(
+        send_timeout_seconds = balancer.placement.admit(
             run.engine.id, self._engine_selector.items.work_of(run.item)
         )
-        request = replace(request, send_timeout=within)
+        request = replace(request, send_timeout=send_timeout_seconds)
         async with self._services.servers.send(run.engine, request) as response:
             balancer.record_load(run.engine.id, response.load)
             balancer.record_cold(run.engine.id, response.cold_left)
