--- a/src/larkpost/gateway/rollouts/reward_caller.py
+++ b/src/larkpost/gateway/rollouts/reward_caller.py
@@ -124,8 +124,8 @@
             TimeoutError: the response was not complete within ``limit`` seconds.
         """
         balancer = self._services.balancer
-        within = balancer.placement.admit(server.id, self._work(call))
-        request = replace(_request(call, limit), send_timeout=within)
+        send_timeout_seconds = balancer.placement.admit(server.id, self._work(call))
+        request = replace(_request(call, limit), send_timeout=send_timeout_seconds)
         with balancer.count_request(server.id):
             async with (
                 asyncio.timeout(limit),
