--- a/src/larkpost/gateway/rollouts/item_runner.py
+++ b/src/larkpost/gateway/rollouts/item_runner.py
@@ -152,9 +152,9 @@
         balancer.avoid(engine, failure.avoid_seconds)
         return failure.outcome
 
-    def _record_migration(self, run: ItemRun, move: MigrateRunError) -> None:
+    def _record_migration(self, run: ItemRun, migration: MigrateRunError) -> None:
         run.progress.migrations += 1
-        self._assigned_engines[run.item.id] = move.engine
+        self._assigned_engines[run.item.id] = migration.engine
         run.progress.previous_service_time = self._services.balancer.service_times.lasting(
             run.engine.id
         )
