--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -38,7 +38,7 @@
     def __init__(self, head: BatchHead, services: RunServices) -> None:
         self._head = head
         self._services = services
-        self._began_at = services.clock.now()
+        self._started_at = services.clock.now()
         self.items = ItemWork(head, services)
         self._best_service_times: dict[tuple[ServiceName, Work, int], tuple[float, float]] = {}
         """Time of computation and best service time, by service, work and least version."""
@@ -85,7 +85,7 @@
         not apply while all of these engines are cold, as after a zone is restored.
         """
         division = self._services.division
-        is_new = self._services.clock.now() - self._began_at < OWN_ENGINES_ONLY_SECONDS
+        is_new = self._services.clock.now() - self._started_at < OWN_ENGINES_ONLY_SECONDS
         if not is_new and not division.should_yield(service, self._head.model):
             return None
         assigned = division.engines_of(service, self._head.model)
