--- a/src/larkpost/gateway/rollouts/acceptance.py
+++ b/src/larkpost/gateway/rollouts/acceptance.py
@@ -35,7 +35,7 @@
 ACCEPT_TIMEOUT_FACTOR = 4.0
 """Timeout of the next accepting write as a multiple of the last response time."""
 RETRY_SECONDS = 0.1
-"""Pause before a write is tried again."""
+"""Pause before a write is retried."""
 
 
 class AcceptOutcome(StrEnum):
--- a/src/larkpost/gateway/rollouts/batch_rows.py
+++ b/src/larkpost/gateway/rollouts/batch_rows.py
@@ -60,7 +60,7 @@
         return codec.split(content, self.chunk_bytes)
 
     async def write(self, groups: list[list[RowPut]]) -> WriteOutcome:
-        """Writes groups of rows in as few transactions as possible, each group in a single one."""
+        """Writes groups of rows, as many groups per transaction as fit, none of them split."""
         remaining = list(groups)
         while remaining:
             rows = remaining.pop(0)
--- a/src/larkpost/gateway/rollouts/batch_run.py
+++ b/src/larkpost/gateway/rollouts/batch_run.py
@@ -50,10 +50,10 @@
         self._on_result = on_result
         self._engine_selector = EngineSelector(head, services)
         self._slot_queue = SlotQueue(self._engine_selector, services.balancer, services.clock)
-        runs = EngineRunner(head, items, self._engine_selector, self._slot_queue, services)
-        self._stall_detector = runs.stall_detector
+        engine_runner = EngineRunner(head, items, self._engine_selector, self._slot_queue, services)
+        self._stall_detector = engine_runner.stall_detector
         routes = ItemRoutes(head, services)
-        self._item_runner = ItemRunner(head, routes, self._slot_queue, runs, services)
+        self._item_runner = ItemRunner(head, routes, self._slot_queue, engine_runner, services)
         self._scorer = RewardScorer(head, routes, services)
         self._waiting = sorted(items, key=lambda item: item.expected_work, reverse=True)
         self._stall_task: asyncio.Task | None = None
--- a/src/larkpost/gateway/rollouts/engine_rules.py
+++ b/src/larkpost/gateway/rollouts/engine_rules.py
@@ -17,8 +17,8 @@
 MIGRATION_RATIO = 1.25
 """Ratio of service times above which a run may migrate to a faster engine."""
 MIGRATION_COST_SECONDS = 1.2
-"""Least time that a migration must save an item. The new engine has to prefill the prompt and all
-output so far, while its other requests wait."""
+"""Least time that a migration must save an item. The item gives up the slot where it runs, and the
+new engine has to prefill the prompt and all output so far while its other requests wait."""
 SERVICE_TIME_TOLERANCE = 1.05
 """Factor by which the service time of an engine may exceed the limit of a migrating run. The limit
 keeps a run from ending up at an engine slower than the one that it left."""
--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -27,7 +27,8 @@
 
 OWN_ENGINES_ONLY_SECONDS = 0.6
 """For this long after its start, a batch uses only engines assigned to its model. Batches often
-start at the same moment, and daemons learn of each other's load two heartbeat intervals later."""
+start at the same moment, and daemons learn of each other's load a heartbeat and a listing interval
+(0.25 s each) later."""
 BEST_SERVICE_TIME_CACHE_SECONDS = 0.25
 """Lifetime of the cached best service time, which takes a scan of the engines to compute."""
 
--- a/src/larkpost/gateway/rollouts/item_runner.py
+++ b/src/larkpost/gateway/rollouts/item_runner.py
@@ -49,13 +49,13 @@
         head: BatchHead,
         routes: ItemRoutes,
         slot_queue: SlotQueue,
-        engine_runs: EngineRunner,
+        engine_runner: EngineRunner,
         services: RunServices,
     ) -> None:
         self._head = head
         self._routes = routes
         self._slot_queue = slot_queue
-        self._engine_runner = engine_runs
+        self._engine_runner = engine_runner
         self._services = services
         self._assigned_engines: dict[ItemId, InstanceInfo] = {}
         """Engines with a slot reserved by a migrating run, by item."""
--- a/src/larkpost/gateway/rollouts/result_appender.py
+++ b/src/larkpost/gateway/rollouts/result_appender.py
@@ -85,7 +85,7 @@
         if tail.count > known:
             self._view.add(known, await self._repository.results(self._batch, known))
         if len(self._view.results) < tail.count:
-            raise StoreUnavailableError("the list of results is behind its tail")
+            raise StoreUnavailableError("the result list has fewer results than its tail counts")
         self.tail = tail
         self._view.confirm(started)
         self.listed = {result.item for result in self._view.results}
@@ -103,7 +103,10 @@
             await self._clock.sleep(APPEND_INTERVAL_SECONDS)
 
     async def append_once(self) -> None:
-        """Appends as many results as fit in one write; reloads the list after a failure."""
+        """Appends as many results as fit in one write.
+
+        Reloads the list if the tail is unknown, and after a conflict or a write without a response.
+        """
         known_tail = self.tail
         if known_tail is None:
             await self._reload_until_answered()
--- a/src/larkpost/gateway/rollouts/retry_rules.py
+++ b/src/larkpost/gateway/rollouts/retry_rules.py
@@ -25,7 +25,7 @@
 
 
 class RunOutcome(StrEnum):
-    """How one run of an item ended."""
+    """Outcome of one run of an item."""
 
     COMPLETE = "whole"
     RETRY = "again"
--- a/src/larkpost/gateway/rollouts/slot_queue.py
+++ b/src/larkpost/gateway/rollouts/slot_queue.py
@@ -6,7 +6,7 @@
 
 `engine_selector.py` selects the engine of an item, and the balancer counts the slot. A pass over
 the queue searches the engines once for each item that it serves, however many wait: the first
-request that finds no slot ends the pass for all requests with the same service and placement
+request that finds no slot makes the pass skip all requests with the same service and placement
 requirements that are at least as hard to serve.
 """
 
