--- a/src/larkpost/gateway/rollouts/reader.py
+++ b/src/larkpost/gateway/rollouts/reader.py
@@ -83,10 +83,12 @@
             now = self._clock.now()
             if len(view.results) > position:
                 deadline = min(deadline, now + HOLD_SECONDS)
-            step = decide_read(_read_state(view, position, can_hold, store_failed, deadline - now))
-            if step is ReadDecision.RESPOND:
+            decision = decide_read(
+                _read_state(view, position, can_hold, store_failed, deadline - now)
+            )
+            if decision is ReadDecision.RESPOND:
                 return self._respond(view, position, from_memory=store_failed)
-            if step is ReadDecision.FAIL:
+            if decision is ReadDecision.FAIL:
                 raise self._read_error(batch, position)
             await view.wait_for_change(min(READ_POLL_SECONDS, deadline - now))
 
