--- a/src/larkpost/gateway/rollouts/batch_head_cache.py
+++ b/src/larkpost/gateway/rollouts/batch_head_cache.py
@@ -1,6 +1,6 @@
-"""The heads of batches as this daemon last read them: who owns which batch, what models must do.
+"""Cache of the heads of all stored batches, updated from the feed of the head table.
 
-Owns the heads of all batches that are stored, as the feed of the head table brings them.
+Tells who owns which batch, and the demand of each model.
 """
 
 import heapq
@@ -18,37 +18,37 @@
 from larkpost.gateway.store.port import Row
 
 DEMAND_BATCHES = 6
-"""Newest batches of a model over which its work is averaged: the guesses of single batches differ
-by so much that engines would change their models with each step."""
+"""Number of newest batches over which the work of a model is averaged. The expected work of single
+batches varies so much that engines would change models with each step."""
 MAX_CLOCK_SKEW_SECONDS = 0.2
-"""By so much a batch may seem older than the version that it came with, as clocks differ."""
+"""Clock difference by which a batch may seem older than the version announced with it."""
 MAX_NEW_BATCH_AGE_SECONDS = 1.0
-"""A batch accepted longer ago is not news: this daemon has just started, or was cut off."""
+"""Age above which a batch does not count as new: this daemon has just started, or lost the feed."""
 
 
 @dataclass(frozen=True, slots=True)
 class CachedBatchHead:
-    """A head as last read.
+    """A batch head as last read.
 
     Attributes:
-        version: of its row.
-        owner_since: steady time at which this daemon learnt who the owner is.
-        asked_after: the version that was its model's newest when this daemon learnt of the batch,
-            and for how long it was; None if it did not see both happen.
+        version: version of the head's row.
+        owner_since: monotonic time at which this daemon learnt who the owner is.
+        submitted_after: the model's newest weight version when the batch was accepted, and how long
+            before that it was announced; None if this daemon did not observe both.
     """
 
     head: BatchHead
     version: int
     owner_since: float
-    asked_after: VersionAnnouncement | None = None
+    submitted_after: VersionAnnouncement | None = None
 
 
 class BatchHeadCache:
-    """The heads of all batches that are known.
+    """Heads of all known batches.
 
     Args:
-        last_naming: returns when a model's newest version was named; None if that was not seen.
-        age: returns the seconds since a batch was accepted; None if not known.
+        last_announcement: returns the last version announcement of a model; None if not observed.
+        age: returns the seconds since a batch was accepted; None if unknown.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         age: Callable[[BatchHead], float | None] = lambda _: None,
     ) -> None:
         self._clock = clock
-        self._last_naming = last_announcement
+        self._last_announcement = last_announcement
         self._age = age
         self._heads: dict[BatchId, CachedBatchHead] = {}
 
@@ -66,11 +66,11 @@
         return iter(list(self._heads.values()))
 
     def get(self, batch: BatchId) -> CachedBatchHead | None:
-        """Returns what is known of a batch's head."""
+        """Returns the cached head of a batch; None if there is none."""
         return self._heads.get(batch)
 
     def record(self, row: Row) -> None:
-        """Records a head's row unless a newer one is known."""
+        """Records the row of a head unless a newer one is known."""
         batch = BatchId(row.key.key)
         known = self._heads.get(batch)
         if known is not None and row.version <= known.version:
@@ -78,34 +78,36 @@
         head = head_of_row(row)
         same_owner = known is not None and known.head.owner == head.owner
         owner_since = known.owner_since if same_owner else self._clock.now()
-        asked_after = known.asked_after if known is not None else self._asked_after(head)
-        self._heads[batch] = CachedBatchHead(head, row.version, owner_since, asked_after)
+        submitted_after = (
+            known.submitted_after if known is not None else self._submitted_after(head)
+        )
+        self._heads[batch] = CachedBatchHead(head, row.version, owner_since, submitted_after)
 
-    def _asked_after(self, head: BatchHead) -> VersionAnnouncement | None:
-        """Returns after which version a batch that is new here came, and how long after it."""
+    def _submitted_after(self, head: BatchHead) -> VersionAnnouncement | None:
+        """Returns the version after which a new batch was submitted, and the time between."""
         age = self._age(head)
-        naming = self._last_naming(head.model)
-        if naming is None or age is None or age > MAX_NEW_BATCH_AGE_SECONDS:
+        announcement = self._last_announcement(head.model)
+        if announcement is None or age is None or age > MAX_NEW_BATCH_AGE_SECONDS:
             return None
-        seconds = naming.seconds - age  # all daemons know the batch's own time alike
+        seconds = announcement.seconds - age  # acceptance time, on which all daemons agree
         if seconds < -MAX_CLOCK_SKEW_SECONDS:
-            return None  # a version that was named since
-        return VersionAnnouncement(naming.version, max(0.0, seconds))
+            return None  # the version was announced after the batch
+        return VersionAnnouncement(announcement.version, max(0.0, seconds))
 
     def forget(self, batch: BatchId) -> None:
-        """Drops the head of a batch that is stored no more."""
+        """Drops the head of a batch that was removed from the store."""
         self._heads.pop(batch, None)
 
     def open_owners(self) -> set[DaemonId]:
-        """Returns the daemons that own batches which are not ended."""
+        """Returns the daemons that own open batches."""
         return {known.head.owner for known in self._heads.values() if not known.head.ended}
 
     def demands(self) -> dict[ModelName, ModelDemand]:
-        """Returns what the newest batches of each model ask for, and which ones are open."""
-        of_model: dict[ModelName, list[CachedBatchHead]] = defaultdict(list)
+        """Returns the demand of each model, from its newest and its open batches."""
+        batches_by_model: dict[ModelName, list[CachedBatchHead]] = defaultdict(list)
         for known in self._heads.values():
-            of_model[known.head.model].append(known)
-        return {model: _demand(batches) for model, batches in of_model.items()}
+            batches_by_model[known.head.model].append(known)
+        return {model: _demand(batches) for model, batches in batches_by_model.items()}
 
     def newest(self) -> list[BatchHead]:
         """Returns the head of each model's newest batch, whether or not it has ended."""
@@ -117,22 +119,24 @@
         return list(newest.values())
 
     def open(self) -> list[BatchHead]:
-        """Returns the heads of the batches that have not ended."""
+        """Returns the heads of the batches that were not ended."""
         return [known.head for known in self._heads.values() if not known.head.ended]
 
 
 def _demand(batches: list[CachedBatchHead]) -> ModelDemand:
-    """Returns what a model's batches, at least one, ask for."""
+    """Returns the demand of a model from its batches, of which there is at least one."""
     newest_first = heapq.nlargest(DEMAND_BATCHES, batches, key=lambda known: known.head.created_at)
     newest = newest_first[0]
-    namings = [known.asked_after for known in newest_first[:2] if known.asked_after is not None]
-    naming = newest.asked_after
+    announcements = [
+        known.submitted_after for known in newest_first[:2] if known.submitted_after is not None
+    ]
+    announcement = newest.submitted_after
     running = [known for known in batches if not known.head.ended]
     return ModelDemand(
         round(fmean(known.head.work for known in newest_first)),
         open=bool(running),
         has_earlier_open=any(known is not newest for known in running),
-        submit_delay=naming.seconds if naming is not None else None,
-        submit_version=naming.version if naming is not None else 0,
-        min_submit_delay=min((known.seconds for known in namings), default=None),
+        submit_delay=announcement.seconds if announcement is not None else None,
+        submit_version=announcement.version if announcement is not None else 0,
+        min_submit_delay=min((known.seconds for known in announcements), default=None),
     )
--- a/src/larkpost/gateway/rollouts/partial_outputs.py
+++ b/src/larkpost/gateway/rollouts/partial_outputs.py
@@ -1,7 +1,7 @@
-"""Output so far of the items that run, stored for another owner to go on from.
+"""Stored partial outputs of running items, from which another owner can continue.
 
-Owns nothing; a loss is harmless, as an item runs anew from what is stored. Rows are overwritten as
-outputs grow, and a shorter output does not remove the last rows of a longer one.
+Losing one is harmless, as the item resumes from what is stored. Rows are overwritten as outputs
+grow; a shorter output leaves the last rows of a longer one in place.
 """
 
 from larkpost.common.ids import BatchId
@@ -13,7 +13,7 @@
 from larkpost.gateway.store.port import Store, WriteOutcome, read_all
 
 MAX_STORED_BYTES = 300_000
-"""Longest output of an item that is stored, some 700 events: one transaction must take it."""
+"""Maximum bytes that are stored of an item's output, which must fit in one transaction."""
 
 
 class PartialOutputs:
@@ -24,12 +24,12 @@
         self._rows = rows
 
     async def save(self, batch: BatchId, partials: list[Progress]) -> bool:
-        """Stores output so far, and returns whether all of it is stored."""
+        """Stores partial outputs and returns whether all of them are stored."""
         groups = [self._rows_of(batch, progress) for progress in partials]
         return await self._rows.write(groups) is WriteOutcome.DONE
 
     async def load(self, batch: BatchId, items: tuple[Item, ...]) -> dict[ItemId, Progress]:
-        """Returns the stored output of a batch's items.
+        """Returns the stored partial outputs of a batch's items.
 
         Raises:
             StoreUnavailableError: the store did not answer.
@@ -37,20 +37,20 @@
         page = await read_all(
             self._store, PARTIAL_TABLE, part_of(batch), f"{batch}/", prefix_end(batch)
         )
-        pieces: dict[str, list[bytes]] = {}
+        chunks: dict[str, list[bytes]] = {}
         for row in page.rows:
             item_id = row.key.key.partition("/")[2].rpartition("/")[0]
-            pieces.setdefault(item_id, []).append(row.value)
+            chunks.setdefault(item_id, []).append(row.value)
         return {
-            item.id: codec.decode_progress(item, codec.join_rewritten(pieces[item.id]))
+            item.id: codec.decode_progress(item, codec.join_rewritten(chunks[item.id]))
             for item in items
-            if item.id in pieces
+            if item.id in chunks
         }
 
     def _rows_of(self, batch: BatchId, progress: Progress) -> list[RowPut]:
         content = codec.encode_progress(progress, MAX_STORED_BYTES)
-        pieces = codec.split_rewritten(content, self._rows.chunk_bytes)
+        chunks = codec.split_rewritten(content, self._rows.chunk_bytes)
         return [
-            (batch_key(PARTIAL_TABLE, batch, f"/{progress.item.id}/{number:02d}"), piece)
-            for number, piece in enumerate(pieces)
+            (batch_key(PARTIAL_TABLE, batch, f"/{progress.item.id}/{number:02d}"), chunk)
+            for number, chunk in enumerate(chunks)
         ]
--- a/src/larkpost/gateway/rollouts/reader.py
+++ b/src/larkpost/gateway/rollouts/reader.py
@@ -1,7 +1,6 @@
-"""Answers the reads of batches: results from a position on, and the bodies of items.
+"""Answers reads of batches: results from a position on, and the bodies of items.
 
-Owns nothing but the reads that wait; what is known of a batch's results is its `BatchView`.
-`read_rules.py` says when a read is answered.
+`read_rules.py` decides when a read is answered; a batch's known results are in its `BatchView`.
 """
 
 from dataclasses import dataclass
@@ -26,19 +25,19 @@
 from larkpost.gateway.store.port import StoreUnavailableError
 
 READ_POLL_SECONDS = 0.05
-"""How often a held read checks for what another daemon appends: a step waits for the last one."""
+"""Interval at which a held read polls the store for results appended by other daemons."""
 MAX_CONFIRMATION_AGE_SECONDS = 0.04
-"""A list confirmed this recently is given without asking the store again. Less than the interval of
-checks."""
+"""Age up to which a confirmed result list is returned without reading the store again; less than
+the polling interval."""
 RETRY_AFTER_SECONDS = 0.2
-"""What a caller is asked to wait, in seconds, after a call that the store did not answer."""
+"""Seconds that a caller is told to wait after a store call was not answered."""
 MAX_PAGE_BYTES = 900_000
-"""Most bytes of texts in one page, unless a single text is longer."""
+"""Maximum bytes of texts in a page, unless a single text is longer."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResultPage:
-    """Results of a batch from a position on."""
+    """A page of the results of a batch, starting at a position."""
 
     total: int
     position: int
@@ -46,7 +45,7 @@
 
 
 class BatchReader:
-    """The reads of one daemon."""
+    """Answers the reads of batches at one daemon."""
 
     def __init__(
         self,
@@ -65,32 +64,36 @@
     async def read(
         self, batch: BatchId, position: int, wait: float, caller: Caller = UNRESTRICTED_CALLER
     ) -> ResultPage:
-        """Returns the results from a position on, waiting for one if there is none yet.
+        """Returns the results from a position on; waits if there are none yet.
+
+        Results may be held back for those that complete the trainer's step.
 
         Args:
-            wait: seconds for which the caller waits at most.
+            wait: maximum seconds to wait.
 
         Raises:
             NoSuchBatchError: there is no such batch.
             BatchUnreadableError: the store does not answer.
         """
         view = await self._view(batch, caller)
-        give_up_at = self._clock.now() + wait
+        deadline = self._clock.now() + wait
         while True:
-            holds = self._may_hold(view)
-            failed = not await self._refresh(view, position, holds)
+            can_hold = self._may_hold(view)
+            store_failed = not await self._refresh(view, position, can_hold)
             now = self._clock.now()
             if len(view.results) > position:
-                give_up_at = min(give_up_at, now + HOLD_SECONDS)
-            step = decide_read(_read_state(view, position, holds, failed, give_up_at - now))
-            if step is ReadDecision.RESPOND:
-                return self._respond(view, position, from_memory=failed)
-            if step is ReadDecision.FAIL:
+                deadline = min(deadline, now + HOLD_SECONDS)
+            decision = decide_read(
+                _read_state(view, position, can_hold, store_failed, deadline - now)
+            )
+            if decision is ReadDecision.RESPOND:
+                return self._respond(view, position, from_memory=store_failed)
+            if decision is ReadDecision.FAIL:
                 raise self._read_error(batch, position)
-            await view.wait_for_change(min(READ_POLL_SECONDS, give_up_at - now))
+            await view.wait_for_change(min(READ_POLL_SECONDS, deadline - now))
 
     def _may_hold(self, view: BatchView) -> bool:
-        """Returns whether results may be held back until there are enough for the trainer."""
+        """Returns whether results may be held back until the trainer's step is complete."""
         head = view.head
         now = self._services.store_time()
         configuration = self._services.configuration.current
@@ -102,13 +105,13 @@
         return route is not None and may_hold(now - head.created_at, route.due)
 
     def _read_error(self, batch: BatchId, position: int) -> BatchUnreadableError:
-        """Records a read that failed, and returns its error."""
+        """Records a failed read and returns its error."""
         self._services.metrics.count(Count.BATCH_CALLS, "read", "failed")
         self._log.record(Event.READ_FAILED, batch=batch, position=position)
         return BatchUnreadableError("the store does not answer", retry_after=RETRY_AFTER_SECONDS)
 
     def _respond(self, view: BatchView, position: int, *, from_memory: bool) -> ResultPage:
-        """Returns a page and records it, with the age of what was known."""
+        """Returns a page and logs the read with the age of the known results."""
         page = _page(view, position)
         self._services.metrics.count(Count.BATCH_CALLS, "read", "answered")
         self._log.record(
@@ -174,10 +177,10 @@
         return head
 
     async def _refresh(self, view: BatchView, position: int, may_hold: bool) -> bool:
-        """Brings a view up to date; False if the store did not answer.
+        """Updates a view from the store; False if the store did not answer.
 
         Args:
-            may_hold: whether more is wanted though there are results from the position on.
+            may_hold: whether to look for more results even if there are some at the position.
         """
         started = self._clock.now()
         known = len(view.results)
@@ -188,41 +191,41 @@
         try:
             results = await self._repository.results(view.head.id, known)
         except StoreUnavailableError:
-            return False  # the read fails if nothing is known
+            return False  # the known results may still answer the read
         view.add(known, results)
         view.confirm(started)
         return True
 
 
 def _read_state(
-    view: BatchView, position: int, holds: bool, failed: bool, seconds_left: float
+    view: BatchView, position: int, can_hold: bool, store_failed: bool, seconds_left: float
 ) -> ReadState:
     return ReadState(
         is_complete=len(view.results) >= view.head.total,
         has_new=len(view.results) > position,
         has_enough_groups=view.has_enough_groups(),
-        may_hold=holds,
-        store_failed=failed,
+        may_hold=can_hold,
+        store_failed=store_failed,
         seconds_left=seconds_left,
     )
 
 
 def _check_visible(head: BatchHead, caller: Caller) -> None:
-    """Raises unless a caller may see a batch; another tenant's does not exist to it.
+    """Checks that a caller may see a batch; a batch of another tenant looks nonexistent.
 
     Raises:
-        NoSuchBatchError: it is another tenant's.
+        NoSuchBatchError: the batch belongs to another tenant.
     """
     if not caller.can_read(head.tenant):
         raise NoSuchBatchError(f"there is no batch {head.id}")
 
 
 def _page(view: BatchView, position: int) -> ResultPage:
-    chosen: list[Result] = []
+    page_results: list[Result] = []
     size = 0
     for result in view.results[position:]:
         size += len(result.text)
-        if chosen and size > MAX_PAGE_BYTES:
+        if page_results and size > MAX_PAGE_BYTES:
             break
-        chosen.append(result)
-    return ResultPage(view.head.total, position, tuple(chosen))
+        page_results.append(result)
+    return ResultPage(view.head.total, position, tuple(page_results))
