--- a/src/larkpost/gateway/controllers/batch_forecast.py
+++ b/src/larkpost/gateway/controllers/batch_forecast.py
@@ -1,7 +1,7 @@
 """Forecasts whether batches will be on time, by remaining work and engines' service times.
 
-Pure functions. Trainers' estimates make a forecast off by a second or so, so the result is coarse:
-a batch has time to spare, is tight, or cannot be on time.
+Pure functions. Forecasts are off by about a second because trainers' estimates are, so the result
+is coarse: a batch has time to spare, is tight, or cannot be on time.
 """
 
 from collections.abc import Iterable
@@ -14,8 +14,8 @@
 """A batch forecast to end at least this long before it is due has time to spare; covers a second of
 training and the forecast's error."""
 INFEASIBLE_DELAY_SECONDS = 1.0
-"""A batch cannot be on time if even all engines could not finish it within this time after it is
-due, unless its remaining work takes no longer than this."""
+"""A batch cannot be on time if all engines together would finish it later than this after it is due
+and its expected remaining time is longer than this."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,7 +59,7 @@
 def remaining_seconds(progress: BatchProgress, slots: int, token_time: float) -> float:
     """Returns the seconds that a batch still needs with a number of slots.
 
-    An item runs on one engine, and a long one may be the last to get a slot.
+    The time of a long item is added, because it runs on one engine and may get the last slot.
     """
     return (progress.work / slots + progress.p90_item_work) * token_time
 
@@ -67,7 +67,7 @@
 def most_urgent_forecast(forecasts: Iterable[DeadlineForecast]) -> DeadlineForecast:
     """Returns the forecast that counts for a model, given those of its batches.
 
-    A batch that can still be saved ranks first. An unknown forecast ranks before an infeasible one,
+    A batch that can still be on time ranks first. An unknown forecast ranks before a hopeless one,
     because it may belong to the next step, which has all its time left.
     """
     known = set(forecasts)
--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -29,16 +29,16 @@
 )
 
 LOAD_GROUP_COUNT = 3
-"""Groups of a model's engines that load a version one after the other; two thirds of them keep
-serving."""
+"""Number of groups into which a model's engines are split. The groups load a version one after the
+other, so two thirds of the engines keep serving."""
 GROUP_TURN_SECONDS = 1.0
-"""Turn of one group; longer than one load takes."""
+"""Duration of one group's turn; longer than one load takes."""
 IDLE_LOAD_DELAY_SECONDS = 0.3
 """Delay before the first group loads while no batch of the model runs, in case a batch arrives."""
 BUSY_LOAD_DELAY_SECONDS = 0.9
 """Delay before the first group loads while a batch runs, so that its items get slots first."""
 URGENT_LOAD_DELAY_SECONDS = 0.3
-"""Delay from a batch to the loads when the next batch is near; most items have slots by then."""
+"""Delay from a batch's arrival to the loads of an urgent version; most items have slots by then."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
     Attributes:
         demands: what the batches of each model ask for.
         evacuated: zones whose engines get no work; they load after the others.
-        service_time: returns an engine's lasting service time.
+        service_time: returns an engine's long-term service time, without short bursts of slowness.
     """
 
     directory: InstanceDirectory
@@ -80,24 +80,24 @@
     Attributes:
         target: the version that they should have.
         elapsed: seconds since the first group's turn began; negative before it.
-        is_urgent: whether the next batch, which needs the version, is near; see `is_urgent`.
-        serving: the version of each engine that gets work.
-        evacuated_engines: the version of each engine in an evacuated zone.
+        is_urgent: whether the version must be loaded soon; see the function `is_urgent`.
+        serving_versions: the version of each engine that gets work.
+        evacuated_versions: the version of each engine in an evacuated zone.
     """
 
     target: int
     elapsed: float
-    serving: dict[InstanceId, int]
-    evacuated_engines: dict[InstanceId, int]
+    serving_versions: dict[InstanceId, int]
+    evacuated_versions: dict[InstanceId, int]
     is_urgent: bool = False
 
 
 def is_urgent(demand: ModelDemand, version: int) -> bool:
-    """Returns whether a model's next batch is near, so that a version must be loaded soon.
+    """Returns whether a version must be loaded soon, because the model's next batch is near.
 
-    This holds if the trainer waits for each version and requests the next step at once, its batch
-    for this version has arrived, and no earlier batch is open, on whose end the next version
-    depends.
+    That is so if the trainer waits for each version and then submits a batch at once, its batch for
+    this version has arrived, and no earlier batch is open; the next version depends on the end of
+    an earlier one.
     """
     is_trainer_blocked = (
         demand.submit_delay is not None and demand.submit_delay < TRAINER_BLOCKED_SECONDS
@@ -106,7 +106,7 @@
 
 
 def allocate_engines(service: Service, inputs: LoadInputs) -> EngineShares:
-    """Assigns the engines of a service to its models."""
+    """Divides the engines of a service among its models, and decides which are lent."""
     engines = inputs.directory.ready_of(service.name)
     serving, evacuated_engines = split_evacuated(engines, inputs.evacuated)
     assignment = assign_models(
@@ -126,15 +126,16 @@
 
     Args:
         now: steady time in seconds.
-        shares: a recent allocation of the engines; None to compute it now.
+        shares: recently computed shares; None to compute them now.
     """
     if not _is_any_engine_behind(service, inputs):
         return []
     shares = shares or allocate_engines(service, inputs)
     assigned = shares.lending.loading_engines(shares.assignment)
     due: list[tuple[InstanceId, WeightTarget]] = []
+    # Borrowers come first, because an engine takes one order at a time.
     for model in sorted(assigned, key=lambda model: model not in shares.lending.lent):
-        engine_ids = assigned[model]  # borrowers first: an engine takes one order at a time
+        engine_ids = assigned[model]
         target = WeightTarget(model, inputs.targets.version(model))
         state = ModelLoadState(
             target.version,
@@ -162,19 +163,23 @@
     """Returns the engines that get work and should be loading now.
 
     An engine two or more versions behind loads at once, because the next step cannot use it. The
-    others load in groups, after the items of a running batch have got slots. If the next step is
-    near, all groups but the last load together; the last one serves until the others are done or
-    their turn is over, so that an engine that cannot load does not block it.
+    others load in groups, after the items of a running batch have been given slots. If the
+    next step is near, all groups but the last load together; the last one serves until the others
+    are done or their turn is over, so that an engine that cannot load does not block it.
     """
-    far_behind = [name for name, version in state.serving.items() if version < state.target - 1]
+    far_behind = [
+        name for name, version in state.serving_versions.items() if version < state.target - 1
+    ]
     if state.elapsed < 0:
         return far_behind
-    behind = {name for name, version in state.serving.items() if version == state.target - 1}
+    behind = {
+        name for name, version in state.serving_versions.items() if version == state.target - 1
+    }
     if state.is_urgent:
-        first = _all_but_last_group(list(state.serving), behind)
+        first = _all_but_last_group(list(state.serving_versions), behind)
         is_first_turn = state.elapsed < GROUP_TURN_SECONDS
         return far_behind + (first if first and is_first_turn else sorted(behind))
-    return far_behind + _current_group(list(state.serving), behind, state.elapsed)
+    return far_behind + _current_group(list(state.serving_versions), behind, state.elapsed)
 
 
 def _all_but_last_group(engine_ids: list[InstanceId], behind: set[InstanceId]) -> list[InstanceId]:
@@ -191,8 +196,8 @@
     """
     if state.elapsed < 0:
         return []
-    behind = {name for name, version in state.evacuated_engines.items() if version < state.target}
-    return _current_group(list(state.evacuated_engines), behind, state.elapsed)
+    behind = {name for name, version in state.evacuated_versions.items() if version < state.target}
+    return _current_group(list(state.evacuated_versions), behind, state.elapsed)
 
 
 def _current_group(
@@ -200,8 +205,8 @@
 ) -> list[InstanceId]:
     """Returns the engines of the group that loads now.
 
-    Turns are by time, so a group that cannot load delays the others by one turn only; a group whose
-    engines are all done gives its turn to the next.
+    Turns have a fixed duration, so a group that cannot load delays the others by one turn only. A
+    group whose engines are all done gives its turn to the next.
 
     Args:
         behind: the engines that lack the version.
@@ -223,6 +228,10 @@
 
 
 def _seconds_into_schedule(model: ModelName, inputs: LoadInputs, now: float) -> float:
+    """Returns the seconds since the first group's turn began; negative before it.
+
+    The turn begins after a delay, which is shorter for an urgent version once no items wait.
+    """
     demand = inputs.demands.get(model, ModelDemand())
     elapsed = inputs.targets.seconds_since_announced(model, now)
     if not demand.open:
--- a/src/larkpost/gateway/controllers/engine_allocator.py
+++ b/src/larkpost/gateway/controllers/engine_allocator.py
@@ -31,13 +31,13 @@
 """How long an allocation is reused, because items ask for it often; equal to the loader's
 interval."""
 ALLOCATION_LIFETIME_SECONDS_PER_ENGINE = 0.0003
-"""Lifetime per engine, used where it exceeds the fixed one; bounds the CPU time spent on
-allocations."""
+"""Lifetime per engine; the product is used if it exceeds the fixed lifetime. Bounds the CPU time
+spent on allocations."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineAllocation:
-    """The allocation of one service's engines.
+    """The shares of one service's engines and what follows from them, cached for a while.
 
     Attributes:
         made_at: steady time at which it was computed.
@@ -64,9 +64,9 @@
 
     Args:
         demands: returns what the batches of each model ask for.
-        record: logs which engines are lent; None to log nothing.
-        service_time: returns an engine's lasting service time; one that varies from moment to
-            moment would change the allocation again and again.
+        lending_log: logs which engines are lent; None to log nothing.
+        service_time: returns an engine's long-term service time; with short-term values the
+            allocation would change constantly.
     """
 
     def __init__(
@@ -74,13 +74,13 @@
         blackboard: Blackboard,
         clock: Clock,
         demands: Callable[[], Demands],
-        record: LendingLog | None = None,
+        lending_log: LendingLog | None = None,
         service_time: ServiceTimeLookup = unknown_service_time,
     ) -> None:
         self._blackboard = blackboard
         self._clock = clock
         self._demands = demands
-        self._record = record
+        self._lending_log = lending_log
         self._service_time = service_time
         self._cache: dict[ServiceName, EngineAllocation] = {}
 
@@ -98,9 +98,9 @@
         return self._allocation(service).preferred.get(model, frozenset())
 
     def loading(self, service: ServiceName, model: ModelName) -> frozenset[InstanceId]:
-        """Returns the engines that refuse a model's items now or are about to.
+        """Returns the engines that load a version of a model now or are about to.
 
-        They load a version of the model; items of other models continue to run on them.
+        They refuse this model's items; items of other models continue to run on them.
         """
         return self._allocation(service).loading.get(model, frozenset())
 
@@ -114,11 +114,11 @@
 
     def _allocation(self, service: ServiceName) -> EngineAllocation:
         now = self._clock.now()
-        known = self._cache.get(service)
-        if known is None or now - known.made_at >= known.lifetime:
-            known = self._allocate(service, now)
-            self._cache[service] = known
-        return known
+        cached = self._cache.get(service)
+        if cached is None or now - cached.made_at >= cached.lifetime:
+            cached = self._allocate(service, now)
+            self._cache[service] = cached
+        return cached
 
     def _allocate(self, name: ServiceName, now: float) -> EngineAllocation:
         configuration = self._blackboard.configuration.current
@@ -128,13 +128,13 @@
         demands = self._demands()
         inputs = self._inputs(demands)
         shares = allocate_engines(service, inputs)
-        if self._record is not None:
-            self._record.record(service, shares.lending, demands)
-        first = shares.lending.preferred_engines(shares.assignment)
+        if self._lending_log is not None:
+            self._lending_log.record(service, shares.lending, demands)
+        preferred = shares.lending.preferred_engines(shares.assignment)
         return EngineAllocation(
             now,
             allocation_lifetime(shares.assignment),
-            {model: frozenset(engines) for model, engines in first.items()},
+            {model: frozenset(engines) for model, engines in preferred.items()},
             _by_model(due_loads(service, inputs, now, shares)),
             yielding_models(service.models, demands),
             demands,
--- a/src/larkpost/gateway/controllers/leases.py
+++ b/src/larkpost/gateway/controllers/leases.py
@@ -2,9 +2,9 @@
 
 A subject is a duty and its object, such as the orders of one engine. Its lease is a row in the
 store with the holder and the store time before which no other holder may take it. The row's version
-is the fencing token. A lease is taken for one act and is usable only briefly, measured on the
-steady clock from before the call that took it, so a holder that was paused does not use it. A token
-is not used again after a refusal.
+is the fencing token. A lease is taken for one action and is usable only briefly. That time starts
+before the call that takes it and is measured on the steady clock, so a holder that was paused does
+not use the lease. A token is not used again after a refusal.
 """
 
 from dataclasses import dataclass
@@ -28,7 +28,7 @@
 LEASE_USE_SECONDS = 0.5
 """How long a lease may be used after the call that takes it was sent."""
 LEASE_MARGIN_SECONDS = 0.5
-"""Margin for the travel time of an act and the error of the estimated store clock."""
+"""Margin for the travel time of an action and the error of the estimated store clock."""
 WRITE_TIMEOUT_SECONDS = 1.0
 """Timeout of the call that takes a lease."""
 
@@ -78,6 +78,13 @@
 
 @dataclass(frozen=True, slots=True)
 class _LeaseRow:
+    """A lease in the store.
+
+    Attributes:
+        free_at: store time before which no other holder may take it.
+        version: version of the row, which is the fencing token.
+    """
+
     holder: str
     free_at: float
     version: int
@@ -88,7 +95,7 @@
 
     Args:
         own: this process's id.
-        exclusive_time: seconds after a holder's last act before another holder may act.
+        exclusive_time: seconds after a holder's last action before another holder may act.
     """
 
     def __init__(self, own: DaemonId, store: Store, clock: Clock, exclusive_time: float) -> None:
@@ -101,24 +108,24 @@
         """Takes a lease; returns None if another daemon holds it or the store fails."""
         key = RowKey(LEASE_TABLE, subject.duty.value, subject.name)
         try:
-            known = await self._read(key)
+            current = await self._read(key)
         except StoreUnavailableError:
             return None  # the caller logs it and retries
         started = self._clock.now()
         store_time = self._store.time()
-        if store_time is None or not self._may_take(known, store_time):
+        if store_time is None or not self._may_take(current, store_time):
             return None
         free_at = store_time + LEASE_USE_SECONDS + self._exclusive_time + LEASE_MARGIN_SECONDS
         value = orjson.dumps({"holder": self._own, "free_at": free_at})
-        expected = known.version if known is not None else ABSENT
+        expected = current.version if current is not None else ABSENT
         change = Transaction(conditions=((key, expected),), puts=((key, value),))
         result = await self._store.write(change, WRITE_TIMEOUT_SECONDS)
         if result.outcome is not WriteOutcome.DONE:
             return None
         return Lease(subject, result.version, started + LEASE_USE_SECONDS)
 
-    def _may_take(self, known: _LeaseRow | None, store_time: float) -> bool:
-        return known is None or known.holder == self._own or store_time >= known.free_at
+    def _may_take(self, current: _LeaseRow | None, store_time: float) -> bool:
+        return current is None or current.holder == self._own or store_time >= current.free_at
 
     async def _read(self, key: RowKey) -> _LeaseRow | None:
         page = await self._store.read(key.table, key.part, key.key, key.key + "\x00")
--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -1,4 +1,4 @@
-"""Decides which models lend engines to which others, by how much time their trainers have.
+"""Decides which models lend engines to which others, by the slack of their trainers.
 
 A pure function of its inputs. A model that lends engines keeps loading its versions on them, so
 that it can take them back at once; the borrower loads its versions there too. Lending changes only
@@ -17,9 +17,9 @@
 from larkpost.gateway.controllers.model_assignment import MIN_ENGINES_PER_MODEL, Assignment
 
 TRAINER_BLOCKED_SECONDS = 0.5
-"""A batch that arrives within this time after its model's version was waiting for the version."""
+"""If a batch arrives within this time after a version's announcement, its trainer waited for it."""
 TRAINER_SLACK_SECONDS = 1.5
-"""A trainer whose batches arrive at least this long after their versions has time to spare."""
+"""A trainer whose batches arrive at least this long after the announcements has time to spare."""
 MAX_LENT_FRACTION = 0.4
 """Largest fraction of its engines that a model lends, so that its own batches stay on time."""
 
@@ -43,7 +43,10 @@
     lent: dict[ModelName, list[InstanceId]] = field(default_factory=dict)
 
     def preferred_engines(self, assignment: Assignment) -> Assignment:
-        """Returns the engines at which each model has the first claim; none has two models."""
+        """Returns the engines at which each model has the first claim on slots.
+
+        A lent engine belongs to its borrower only.
+        """
         lent_away = {engine for engines in self.lent.values() for engine in engines}
         return {
             model: [engine for engine in engines if engine not in lent_away] + self._borrowed(model)
@@ -64,10 +67,10 @@
 
 
 def lending_role(demand: ModelDemand) -> LendingRole:
-    """Returns a model's role, by how soon its trainer asks and whether its batches can be on time.
+    """Returns a model's role, by its submit delays and whether its batches can be on time.
 
-    Both hold for whole steps. Whether a batch is tight is not considered, because that changes as
-    soon as the batch gets slots.
+    Both stay the same throughout a step. Whether a batch is tight is not considered, because that
+    changes as soon as the batch gets slots.
     """
     if demand.deadline_forecast is DeadlineForecast.HOPELESS:
         return LendingRole.LENDER  # batches that can be on time come first
@@ -118,8 +121,8 @@
 def yielding_models(models: Iterable[ModelName], demands: Demands) -> frozenset[ModelName]:
     """Returns the models whose batches leave free slots to those of other models.
 
-    A model yields while it has time to spare or cannot be on time, and items are waiting for
-    another model's batch that is short of time and of no lower priority. It keeps its own engines.
+    A model yields while it has time to spare or cannot be on time, and items of another model wait
+    for slots whose batch is short of time and of no lower priority. It keeps its own engines.
     """
     known = {model: demands.get(model, ModelDemand()) for model in models}
     waiting_priorities = [
@@ -149,12 +152,12 @@
 
     Engines with several models are not lent.
     """
-    holdings = Counter(engine for engines in assignment.values() for engine in engines)
+    model_counts = Counter(engine for engines in assignment.values() for engine in engines)
     offers: dict[InstanceId, int] = {}
     for model, engines in assignment.items():
         if lending_role(demands[model]) is LendingRole.LENDER:
             count = min(int(len(engines) * MAX_LENT_FRACTION), len(engines) - MIN_ENGINES_PER_MODEL)
-            free = [engine for engine in engines if holdings[engine] == 1]
+            free = [engine for engine in engines if model_counts[engine] == 1]
             offers |= dict.fromkeys(free[: max(0, count)], demands[model].priority)
     return offers
 
@@ -165,7 +168,10 @@
     demand: ModelDemand,
     version_of: Callable[[InstanceId, ModelName], int],
 ) -> list[InstanceId]:
-    """Returns the engines that a borrower may take; models never lend to a lower priority."""
+    """Returns the engines that a borrower may take, in its order of preference.
+
+    No model lends to one of lower priority, which is a larger number.
+    """
     allowed = [engine for engine, priority in offers.items() if demand.priority <= priority]
     return sorted(allowed, key=lambda engine: (-version_of(engine, model), hash64(engine)))
 
--- a/src/larkpost/gateway/controllers/weight_loader.py
+++ b/src/larkpost/gateway/controllers/weight_loader.py
@@ -26,18 +26,17 @@
 )
 
 INTERVAL_SECONDS = 0.1
-"""Interval between checks of a coordinator."""
+"""Interval at which a coordinator checks for due loads."""
 IDLE_INTERVAL_SECONDS = 0.5
-"""Interval between checks of other daemons, which only look whether they have become
-coordinators."""
+"""Interval at which any other daemon checks whether it has become a coordinator."""
 REPORT_TIMEOUT_SECONDS = 0.7
-"""Timeout of an engine's report."""
+"""Timeout of the request for an engine's report."""
 ORDER_TIMEOUT_SECONDS = 0.4
 """Timeout of an order; less than `leases.LEASE_USE_SECONDS`."""
 ACCEPTED_RECHECK_SECONDS = 2.5
 """Delay until the next check after an accepted order, during which the engine loads."""
 UNANSWERED_RECHECK_SECONDS = 0.6
-"""Delay after an order without a response, which may be lost or late."""
+"""Delay after an order without a response; the order or its response may be lost or late."""
 RETRY_SECONDS = 0.4
 """Delay after an order that was refused or could not be sent."""
 
@@ -196,10 +195,10 @@
 def is_of_other_incarnation(report: EngineReport, engine: InstanceInfo) -> bool:
     """Returns whether a report comes from another incarnation than the known one.
 
-    Its order count then does not match the one that an order must state.
+    If so, its order count must not be stated in an order to the known incarnation.
     """
-    is_known = report.started_at_ms is not None and engine.started_at_ms is not None
-    return is_known and report.started_at_ms != engine.started_at_ms
+    has_start_times = report.started_at_ms is not None and engine.started_at_ms is not None
+    return has_start_times and report.started_at_ms != engine.started_at_ms
 
 
 def seconds_until_next_check(outcome: OrderOutcome) -> float:
--- a/src/larkpost/gateway/placement/cold_rate_limit.py
+++ b/src/larkpost/gateway/placement/cold_rate_limit.py
@@ -1,8 +1,9 @@
 """Rate limit of the requests that all daemons together send to a cold instance.
 
-Every send to an instance of a service with such a limit is counted, whatever its outcome, also
-while the instance is warm, because it may turn cold at any moment. The window slides: a fixed
-window would admit up to twice the limit around its boundary.
+A cold instance is one that has just started and is overloaded by more than a few requests. Every
+send to an instance of a service with such a limit is counted, whatever its outcome, also while the
+instance is warm, because it may turn cold at any moment. The window slides: a fixed window would
+admit up to twice the limit around its boundary.
 
 Owns the counts of sends and the reservations for items. Relies on `sender_tracker` for the other
 senders, and on `cold_rate_quota` for this daemon's quota.
@@ -25,10 +26,11 @@
 """An admitted send reaches a connection within this time or is not made, so that a daemon that was
 frozen in between does not send on an outdated admission."""
 WINDOW_SECONDS = 1.0 + SEND_TIMEOUT_SECONDS
-"""Sends that may arrive within the same second are admitted within this time."""
+"""Length of the window in which admitted sends are counted; two sends that arrive within one second
+are admitted at most this far apart."""
 RESERVATION_SECONDS = 0.2
-"""How long a reservation for an item counts until its send does; the item is sent within
-milliseconds or not at all."""
+"""How long a reservation counts if its item is not sent; an item is sent within milliseconds or not
+at all."""
 POLL_SECONDS = 0.25
 """Interval between checks that log which instances have turned cold or warm."""
 OWNER_WORK_KINDS = (WorkKind.ITEM, WorkKind.REWARD)
@@ -40,7 +42,7 @@
 
     Args:
         terms: None if cold instances have no limits.
-        senders: knows which daemons may send.
+        senders: tracks which daemons may send.
     """
 
     def __init__(
@@ -57,28 +59,29 @@
         self._log = log
         self._senders = senders
         self._sent: dict[tuple[InstanceId, bool], SlidingCount] = {}
+        """Sends by instance and by whether batch owners make them; see `OWNER_WORK_KINDS`."""
         self._reserved: dict[InstanceId, SlidingCount] = {}
         self._logged_cold: frozenset[InstanceId] = frozenset()
         self._view: SenderView | None = None
-        self._limits: dict[SendCategory, int] = {}
+        self._quotas: dict[SendCategory, int] = {}
         """Quotas by category for the current view, cached because they are requested often."""
 
     def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
-        """Returns whether a send is left after those already reserved."""
+        """Returns whether this daemon has a send left, reservations deducted."""
         left = self.remaining_sends(instance, work)
         return PlacementDecision.ALLOWED if left is None or left > 0 else PlacementDecision.COLD
 
     def admit(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
-        """Counts a send, if one is left."""
+        """Counts a send if this daemon has one left; reservations are not deducted."""
         service = self._limited_service(instance)
         if service is None or work.kind is WorkKind.ORDER:
             return PlacementDecision.ALLOWED
         now = self._clock.now()
-        limit = self._limit(instance, service, work)
+        quota = self._quota(instance, service, work)
         sent = self._send_count(instance.id, work)
         if work.kind is WorkKind.ITEM and instance.id in self._reserved:
             self._reserved[instance.id].remove_oldest()
-        if limit is not None and sent.count(now) >= limit:
+        if quota is not None and sent.count(now) >= quota:
             return PlacementDecision.COLD
         sent.add(now)
         return PlacementDecision.ALLOWED
@@ -88,14 +91,14 @@
         service = self._limited_service(instance)
         if service is None or work.kind is WorkKind.ORDER:
             return None
-        limit = self._limit(instance, service, work)
-        if limit is None:
+        quota = self._quota(instance, service, work)
+        if quota is None:
             return None
         now = self._clock.now()
         taken = self._send_count(instance.id, work).count(now)
         if work.kind is WorkKind.ITEM and instance.id in self._reserved:
             taken += self._reserved[instance.id].count(now)
-        return max(0, limit - taken)
+        return max(0, quota - taken)
 
     def reserve(self, instance: InstanceInfo) -> None:
         """Reserves a send to an instance for an item that is about to be sent."""
@@ -104,7 +107,7 @@
             reserved.add(self._clock.now())
 
     def record(self, instance: InstanceId, left: float | None) -> None:
-        """Records how many seconds an instance says it stays cold; None if it says nothing."""
+        """Records the seconds for which an instance reports to stay cold; None if it reports none."""
         self._blackboard.cold.record(instance, left, self._clock.now())
 
     def is_cold(self, instance: InstanceInfo) -> bool:
@@ -123,7 +126,7 @@
     async def poll(self) -> None:
         """Logs which instances have turned cold or warm, and updates the known owners.
 
-        A daemon that owns no batch requests no view otherwise, but must remember recent owners.
+        A daemon that owns no batch never requests a view itself, but must remember recent owners.
         """
         self._senders.view()
         cold = self._cold_instances()
@@ -152,28 +155,27 @@
         service = self._blackboard.configuration.service(instance.service)
         return service if service is not None and service.cold_rate else None
 
-    def _limit(self, instance: InstanceInfo, service: Service, work: Work) -> int | None:
+    def _quota(self, instance: InstanceInfo, service: Service, work: Work) -> int | None:
         """Returns how many sends this daemon may make in a window; None for no limit.
 
-        A daemon with a stale view may miss that an instance has turned cold, so its items are
-        limited at every instance; where no instance is known to be cold, the limit is above the
-        minimum quota.
+        A daemon with a stale view may miss that an instance has turned cold, so its owner work is
+        limited at every instance; see `stale_view_quota`.
         """
         view = self._senders.view()
         if view is not self._view:
             self._view = view
-            self._limits.clear()
+            self._quotas.clear()
         is_cold = self._blackboard.cold.is_cold(instance.id, self._clock.now())
         is_owner_work = work.kind in OWNER_WORK_KINDS
         if not is_cold and not (is_owner_work and view.is_stale):
             return None
         bound = self._terms.bound(service.cold_rate)
         category = SendCategory(instance.id, is_owner_work, is_cold, bound)
-        if category not in self._limits:
-            self._limits[category] = send_quota(view, category, is_engine=bool(service.models))
-        return self._limits[category]
+        if category not in self._quotas:
+            self._quotas[category] = send_quota(view, category, is_engine=bool(service.models))
+        return self._quotas[category]
 
     def _send_count(self, instance: InstanceId, work: Work) -> SlidingCount:
-        """Returns the count of owner or client sends; each has its part of the limit."""
+        """Returns the count of owner sends or of client sends; each kind has its part of the limit."""
         key = (instance, work.kind in OWNER_WORK_KINDS)
         return self._sent.setdefault(key, SlidingCount(WINDOW_SECONDS))
--- a/src/larkpost/gateway/placement/cold_rate_quota.py
+++ b/src/larkpost/gateway/placement/cold_rate_quota.py
@@ -17,19 +17,19 @@
 from larkpost.common.ids import DaemonId, InstanceId
 
 PRIMARY_FRACTION = 0.8
-"""Fraction of the limit for batch owners at engines, and for clients at other instances."""
+"""Fraction of the limit for the primary senders: batch owners at engines, clients elsewhere."""
 MIN_OWNER_COUNT = 2
 """Batches arrive from several trainers at once, so a single owner counts as two."""
 UNSEEN_OWNER_ALLOWANCE = 1
 """Shares left for owners that this daemon has not seen yet."""
 NEW_OWNER_DIVISOR = 12
-"""A new owner gets this fraction (1/n) of the owners' part. Up to three trainers may submit batches
-at once while the three owners of the previous step have just sent their shares and disconnected
-daemons still send theirs."""
+"""Divisor of the owners' part that gives a new owner's quota. It leaves room for up to three new
+owners while the three of the previous step and disconnected daemons still send their shares."""
 MIN_SENDS = 1
 """Sends allowed to a daemon that cannot know how many others send."""
 VIEW_MISMATCH_FACTOR = 2
-"""Factor by which fewer daemons are selected than could send, because views may differ."""
+"""Divisor of the number of selected daemons, because daemons with different views may select
+different ones."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +83,7 @@
 
 
 def owner_quota(bound: float, view: SenderView, instance: InstanceId, *, is_engine: bool) -> int:
-    """Returns how many runs of items and reward calls this daemon may send."""
+    """Returns how many item runs and reward calls in total this daemon may send."""
     part = bound * (PRIMARY_FRACTION if is_engine else 1 - PRIMARY_FRACTION)
     share = _even_share(part, view)
     if share and view.is_established:
@@ -108,8 +108,8 @@
 
 
 def _even_share(part: float, view: SenderView) -> int:
-    counted = max(len(view.owners | {view.own}), MIN_OWNER_COUNT) + UNSEEN_OWNER_ALLOWANCE
-    return int(part / counted)
+    share_count = max(len(view.owners | {view.own}), MIN_OWNER_COUNT) + UNSEEN_OWNER_ALLOWANCE
+    return int(part / share_count)
 
 
 def _selected_count(part: float) -> int:
--- a/src/larkpost/gateway/placement/rules.py
+++ b/src/larkpost/gateway/placement/rules.py
@@ -55,8 +55,8 @@
 
     def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
         """Returns whether the instance accepts new work."""
-        leaves = instance.state is InstanceState.LEAVING
-        return PlacementDecision.LEAVING if leaves else PlacementDecision.ALLOWED
+        is_leaving = instance.state is InstanceState.LEAVING
+        return PlacementDecision.LEAVING if is_leaving else PlacementDecision.ALLOWED
 
 
 class VersionRule(StatelessRule):
--- a/src/larkpost/gateway/placement/sender_tracker.py
+++ b/src/larkpost/gateway/placement/sender_tracker.py
@@ -1,7 +1,7 @@
 """Tracks which daemons send to cold instances, from batch heads and heartbeats.
 
 Owns the memory of recent batch owners; relies on the heartbeats and the feed of batch heads for the
-current daemons and for how current that information is.
+current daemons and for the age of that information.
 """
 
 from collections.abc import Callable, Iterable
@@ -16,8 +16,8 @@
 NEW_OWNER_SECONDS = 1.0
 """How long a new owner gets the minimum quota, as the others may not know of it yet."""
 STALE_FEED_SECONDS = 1.6
-"""Age of the batch feed above which this daemon does not know the other owners; a response of the
-feed may wait for up to a second."""
+"""Age of the batch feed above which this daemon does not know the other owners; the feed may take
+up to a second to respond."""
 STARTUP_SECONDS = 3.0
 """How long after its start a daemon may not know all members."""
 PRESUMED_DEAD_SECONDS = 4.0
@@ -28,7 +28,11 @@
 
 
 class MemberView(Protocol):
-    """The queries made of the heartbeats."""
+    """What the tracker needs of the membership.
+
+    Attributes:
+        listed: whether the daemons have been listed at least once.
+    """
 
     listed: bool
 
@@ -40,7 +44,11 @@
 
 
 class BatchFeed(Protocol):
-    """The queries made of the feed of batch heads."""
+    """What the tracker needs of the feed of batch heads.
+
+    Attributes:
+        listed: whether the batch heads have been listed at least once.
+    """
 
     listed: bool
 
@@ -59,7 +67,7 @@
         self._batch_feed: BatchFeed | None = None
         self._started_at = clock.now()
         self._updated_at = float("-inf")
-        self._listed_at: dict[DaemonId, float] = {}
+        self._owner_listed_at: dict[DaemonId, float] = {}
         self._owner_since: float | None = None
         self._view = SenderView(own, frozenset(), frozenset())
 
@@ -95,7 +103,7 @@
         is_stale = self._is_stale(now, members, batch_feed)
         return SenderView(
             self._own,
-            frozenset(self._listed_at),
+            frozenset(self._owner_listed_at),
             frozenset(members.alive()),
             is_established=is_known_to_others and not is_stale,
             knows_members=is_started and batch_feed.age(now) < PRESUMED_DEAD_SECONDS,
@@ -106,15 +114,17 @@
         """Returns whether others may know of owners that this daemon does not know."""
         if not members.listed or not batch_feed.listed or batch_feed.age(now) > STALE_FEED_SECONDS:
             return True
-        return self._own in self._listed_at and not members.has_recent_listing()
+        return self._own in self._owner_listed_at and not members.has_recent_listing()
 
     def _remember_owners(self, now: float) -> None:
         """Drops owners last listed too long ago, and adds those listed now."""
-        self._listed_at = {
-            name: at for name, at in self._listed_at.items() if now - at < OWNER_RETENTION_SECONDS
+        self._owner_listed_at = {
+            name: at
+            for name, at in self._owner_listed_at.items()
+            if now - at < OWNER_RETENTION_SECONDS
         }
-        if self._own not in self._listed_at:
+        if self._own not in self._owner_listed_at:
             self._owner_since = None
-        self._listed_at |= dict.fromkeys(self._owners(), now)
-        if self._own in self._listed_at and self._owner_since is None:
+        self._owner_listed_at |= dict.fromkeys(self._owners(), now)
+        if self._own in self._owner_listed_at and self._owner_since is None:
             self._owner_since = now
--- a/src/larkpost/gateway/quarantine/trial_claims.py
+++ b/src/larkpost/gateway/quarantine/trial_claims.py
@@ -1,10 +1,9 @@
-"""Permits a quarantined client request to run once more, in case it is harmless.
+"""Permits trial runs of a quarantined client request, in case it is harmless.
 
-A frequent request may be running on three servers when each of them crashes because of another
-request. It would then stay quarantined until its crashes expire, as nothing that does not run can
-be cleared. Therefore one daemon may send it to one server some time after the last crash, and once
-more later; the daemon claims each trial in the store. A complete response clears the request. A
-request that does crash servers crashes two more this way.
+A frequent request may run on three servers that crash because of another request. Only a complete
+response clears it, so without trials it would stay quarantined until its crashes expire. After each
+delay in `TRIAL_DELAYS_SECONDS`, one daemon may send it to one server; the daemon claims the trial
+in the store. A request that does crash servers crashes two more this way.
 """
 
 from larkpost.common.clock import Clock
@@ -16,17 +15,17 @@
 
 TRIAL_DELAYS_SECONDS = (5.0, 60.0)
 """Delay from the last crash to the first trial, and from there to the second; a crashed server
-restarts within seconds. Two trials are one fewer than the retries
-that clients accept after the third crash."""
+restarts within seconds. There are fewer trials than the retries that clients accept after the third
+crash."""
 CLAIM_INTERVAL_SECONDS = 1.0
-"""Minimum time between two claims of this daemon for the same content, if the store rejected the
-first."""
+"""Minimum time between two attempts of this daemon to claim a trial of the same content, if the
+store rejected the first."""
 TRIAL_PREFIX = "trial-"
 """Prefix of the name that replaces the instance in the row of a trial."""
 
 
 class TrialClaims:
-    """Claims trials; a claim is stored among the content's crashes, counted in advance."""
+    """Claims trials; a claim is stored as a crash of the content before the trial runs."""
 
     def __init__(
         self, crashes: KnownCrashes, repository: CrashRepository, clock: Clock, log: EventLog
@@ -38,29 +37,29 @@
         self._claimed_at: dict[ContentDigest, float] = {}
 
     async def claim(self, request: Request) -> bool:
-        """Returns whether this daemon alone may send a quarantined request to one server now."""
+        """Claims a trial; returns whether this daemon may send the request to one server now."""
         content = self._crashes.suspect(request)
         now = self._repository.time()
         if content is None or now is None:
             return False
-        known = self._crashes.of(content)
-        used = sum(crash.instance.startswith(TRIAL_PREFIX) for crash in known)
-        if used >= len(TRIAL_DELAYS_SECONDS):
+        crashes = self._crashes.of(content)
+        trials = sum(crash.instance.startswith(TRIAL_PREFIX) for crash in crashes)
+        if trials >= len(TRIAL_DELAYS_SECONDS):
             return False
-        is_early = now - max(crash.at for crash in known) < TRIAL_DELAYS_SECONDS[used]
-        if is_early or not self._may_claim(content):
+        is_early = now - max(crash.at for crash in crashes) < TRIAL_DELAYS_SECONDS[trials]
+        if is_early or not self._start_attempt(content):
             return False
-        trial = Crash(content, InstanceId(f"{TRIAL_PREFIX}{used + 1}"), now)
+        trial = Crash(content, InstanceId(f"{TRIAL_PREFIX}{trials + 1}"), now)
         if not await self._repository.claim(trial):
             return False
         self._crashes.add(trial)
         self._log.record(
-            Event.QUARANTINE, content=content, state="trial", crashes=len(known) - used
+            Event.QUARANTINE, content=content, state="trial", crashes=len(crashes) - trials
         )
         return True
 
-    def _may_claim(self, content: ContentDigest) -> bool:
-        """Records a claim unless this daemon made one recently; returns whether it did."""
+    def _start_attempt(self, content: ContentDigest) -> bool:
+        """Records an attempt to claim unless there was one recently; returns whether it did."""
         now = self._clock.now()
         self._claimed_at = {
             name: at for name, at in self._claimed_at.items() if now - at < CLAIM_INTERVAL_SECONDS
--- a/src/larkpost/gateway/scaling/controller.py
+++ b/src/larkpost/gateway/scaling/controller.py
@@ -33,7 +33,7 @@
 """Interval between plans."""
 LOST_AFTER_SECONDS = 8.0
 """Time after which a missing server is considered lost. A crashed server is listed again before
-that; its entry expires three heartbeats (3.6 s) after its end."""
+that; its entry expires three heartbeats (3.6 s) after the crash."""
 MIN_STORE_HEALTHY_SECONDS = 4.0
 """How long the store must have responded before server counts are trusted."""
 ORDER_TIMEOUT_SECONDS = 1.0
@@ -99,12 +99,12 @@
     async def _update_service(self, service: Service, configuration: Configuration) -> None:
         now = self._clock.now()
         zones = self._counter.count_by_zone(service.name, now)
-        refused = frozenset(
+        without_preemptible = frozenset(
             zone for zone, until in self._no_preemptible_until.items() if now < until
         )
         demand = self._demand.of(service, configuration)
         inputs = PlanInputs(
-            service.name, service.scaling, zones, demand, LOST_AFTER_SECONDS, refused
+            service.name, service.scaling, zones, demand, LOST_AFTER_SECONDS, without_preemptible
         )
         plan = plan_servers(inputs)
         self._log_plan(service.name, plan, inputs.present)
--- a/src/larkpost/gateway/scaling/planner.py
+++ b/src/larkpost/gateway/scaling/planner.py
@@ -30,7 +30,7 @@
     Attributes:
         on_demand: serving on-demand servers.
         preemptible: serving preemptible servers.
-        usual_count: most servers that served at once recently.
+        usual_count: largest number of servers that recently served at the same time.
         missing_for: seconds since there were at least that many; 0 if there are.
         is_evacuated: whether the operator has evacuated the zone.
     """
@@ -52,19 +52,19 @@
     """The demand for a service.
 
     Attributes:
-        work: tokens per second demanded; 0 if unknown.
+        rate: tokens per second demanded; 0 if unknown.
         server_rate: tokens per second that one server generates; 0 if unknown.
     """
 
-    work: float = 0.0
+    rate: float = 0.0
     server_rate: float = 0.0
 
     @property
     def servers(self) -> int:
         """Servers that the demand requires; 0 if unknown."""
-        if not self.work or not self.server_rate:
+        if not self.rate or not self.server_rate:
             return 0
-        return -int(-self.work * HEADROOM // self.server_rate)
+        return -int(-self.rate * HEADROOM // self.server_rate)
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,7 +87,7 @@
     Attributes:
         zones: the service's current servers; zones without a price are ignored.
         lost_after: seconds after which a missing server is considered lost.
-        refused: zones that currently have no preemptible servers.
+        without_preemptible: zones that currently offer no preemptible servers.
     """
 
     service: ServiceName
@@ -95,7 +95,7 @@
     zones: Mapping[ZoneId, ZoneServers]
     demand: ServiceDemand
     lost_after: float
-    refused: frozenset[ZoneId] = frozenset()
+    without_preemptible: frozenset[ZoneId] = frozenset()
 
     @property
     def present(self) -> int:
@@ -104,7 +104,7 @@
 
 
 def plan_servers(inputs: PlanInputs) -> Plan:
-    """Returns the orders that replace servers that are missing and needed, cheapest zones first."""
+    """Returns the plan that replaces servers that are missing and needed, cheapest zones first."""
     needed = inputs.demand.servers
     if needed and inputs.present >= needed:
         return Plan(needed, ())  # the demand is covered without the missing servers
@@ -129,7 +129,7 @@
     wanted = max(terms.minimum, min(known.usual_count, terms.maximum))
     if wanted <= known.count:
         return None
-    if zone not in inputs.refused and is_preemptible_worthwhile(terms):
+    if zone not in inputs.without_preemptible and is_preemptible_worthwhile(terms):
         preemptible_count = min(wanted - known.on_demand, int(wanted * PREEMPTIBLE_SHARE))
         if preemptible_count > known.preemptible:
             return ScalingOrder(service, zone, ServerKind.PREEMPTIBLE, preemptible_count)
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -365,7 +365,7 @@
     """Sends to cold engines without a limit."""
     from larkpost.gateway.placement.cold_rate_limit import ColdRateLimit
 
-    return mock.patch.object(ColdRateLimit, "_limit", lambda *_: None)
+    return mock.patch.object(ColdRateLimit, "_quota", lambda *_: None)
 
 
 def claim_outside_homes():
--- a/tests/test_load_timing.py
+++ b/tests/test_load_timing.py
@@ -79,10 +79,10 @@
         state = ModelLoadState(5, 0.0, dict.fromkeys("abcdefg", 4), {}, is_urgent=True)
         first = engines_to_load(state)
         self.assertEqual(list("abcdef"), first)
-        loaded = state.serving | dict.fromkeys(first, 5)
-        self.assertEqual(["g"], engines_to_load(replace(state, serving=loaded)))
-        some = state.serving | dict.fromkeys("abcde", 5)
-        self.assertEqual(["f"], engines_to_load(replace(state, serving=some)))
+        loaded = state.serving_versions | dict.fromkeys(first, 5)
+        self.assertEqual(["g"], engines_to_load(replace(state, serving_versions=loaded)))
+        some = state.serving_versions | dict.fromkeys("abcde", 5)
+        self.assertEqual(["f"], engines_to_load(replace(state, serving_versions=some)))
 
     def test_failing_engine_delays_the_last_group_by_one_turn(self):
         loaded = dict.fromkeys("bcdef", 5) | dict.fromkeys("ag", 4)
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -49,17 +49,17 @@
 
     def test_on_demand_servers_are_ordered_without_preemptible_ones(self) -> None:
         expected = ScalingOrder(SERVICE, NORTH, ServerKind.ON_DEMAND, 8)
-        self.assertEqual((expected,), plan({NORTH: LOST}, refused=frozenset({NORTH})))
+        self.assertEqual((expected,), plan({NORTH: LOST}, without_preemptible=frozenset({NORTH})))
         expensive = replace(TERMS, preemptible_price=0.9)
         self.assertEqual((expected,), plan({NORTH: LOST}, expensive))
 
     def test_nothing_is_ordered_that_is_not_needed(self) -> None:
         zones = {NORTH: LOST, SOUTH: WHOLE}
         enough = ServiceDemand(
-            work=1000.0, server_rate=100.0
+            rate=1000.0, server_rate=100.0
         )  # needs 12.5 servers with the headroom; there are 13
         self.assertEqual((), plan(zones, demand=enough))
-        self.assertEqual(1, len(plan(zones, demand=replace(enough, work=1100.0))))
+        self.assertEqual(1, len(plan(zones, demand=replace(enough, rate=1100.0))))
 
     def test_nothing_is_ordered_into_an_evacuated_zone(self) -> None:
         self.assertEqual((), plan({NORTH: replace(LOST, is_evacuated=True)}))
