--- a/src/larkpost/gateway/controllers/coordination.py
+++ b/src/larkpost/gateway/controllers/coordination.py
@@ -19,7 +19,7 @@
 
     @property
     def own(self) -> DaemonId:
-        """This process's id, which acts name as the holder."""
+        """This process's id, stated as the holder in its orders."""
         return self._membership.own
 
     def is_coordinator(self) -> bool:
--- a/src/larkpost/gateway/controllers/coordinators.py
+++ b/src/larkpost/gateway/controllers/coordinators.py
@@ -29,7 +29,7 @@
 
 
 Capacities = Mapping[DaemonId, float | None]
-"""Each daemon's spare capacity beside client requests, without unit; None if it reports none."""
+"""Each daemon's capacity left over by client requests, without unit; None if it reports none."""
 
 
 def should_coordinate(
--- a/src/larkpost/gateway/controllers/engine_speeds.py
+++ b/src/larkpost/gateway/controllers/engine_speeds.py
@@ -1,7 +1,7 @@
 """Relative speeds of engines, in a few coarse steps.
 
-Steps are coarse because daemons know lasting service times slightly differently, and all daemons
-must assign engines alike.
+Steps are coarse because the service times that daemons know differ slightly, and all daemons must
+assign engines alike.
 """
 
 import math
@@ -18,8 +18,8 @@
     """Returns by how many steps each engine is slower than the median one; negative if faster.
 
     Args:
-        service_times: lasting seconds per event at each engine; 0 if unknown, which counts as the
-            median.
+        service_times: long-term seconds per event at each engine; 0 if unknown, which counts as
+            the median.
     """
     known = [service_time for service_time in service_times.values() if service_time > 0]
     if not known:
--- a/src/larkpost/gateway/controllers/feeds.py
+++ b/src/larkpost/gateway/controllers/feeds.py
@@ -30,8 +30,8 @@
     """Where rows come from, and how long the store must be healthy before removals are trusted.
 
     Attributes:
-        contact_time: returns the seconds without a fault after which the store's news is trusted;
-            called at each use, because settings may change at run time.
+        contact_time: returns for how many seconds the store must have had no fault before a removal
+            is trusted; called at each use, because settings may change at run time.
     """
 
     store: Store
@@ -77,7 +77,7 @@
     ) -> None:
         self._source = source
         self._instruments = instruments
-        # Cyclic: whether a removed row is trusted depends on the follower that delivers it.
+        # Cyclic dependency: trust in a removed row depends on the follower that delivers it.
         trust = RemovalTrust(self.healthy_for, source.contact_time, lambda: self.instances.listed)
         self.row_recorder = RowRecorder(source.readers, blackboard, instruments, trust)
         self.operator = self._follow(
@@ -120,6 +120,6 @@
         }
 
     def _follow(
-        self, parts: TableParts, listener: Callable[[Row], None], relisting: RelistPolicy
+        self, parts: TableParts, listener: Callable[[Row], None], relist_policy: RelistPolicy
     ) -> TableFollower:
-        return TableFollower(self._source.store, parts, listener, self._instruments, relisting)
+        return TableFollower(self._source.store, parts, listener, self._instruments, relist_policy)
--- a/src/larkpost/gateway/controllers/fleet_view.py
+++ b/src/larkpost/gateway/controllers/fleet_view.py
@@ -63,8 +63,8 @@
     def has_recent_listing(self) -> bool:
         """Returns whether this daemon has recently listed the fast heartbeats.
 
-        A daemon with fast heartbeats that has not may soon be considered dead, and another may take
-        over its work.
+        If not, a daemon that writes fast heartbeats may soon be considered dead, and another may
+        take over its work.
         """
         listed_at = self.fast_heartbeats.listed_at
         if listed_at is None:
@@ -83,7 +83,7 @@
     def is_owner_alive(self, owner: DaemonId, since: float) -> bool:
         """Returns whether the owner of a batch is considered alive.
 
-        From the moment it becomes the owner, fast heartbeats are expected of it.
+        Fast heartbeats are expected from the moment at which it becomes the owner.
 
         Args:
             since: steady time at which this daemon learnt that it is the owner.
@@ -113,12 +113,12 @@
         Args:
             regions: the coordinator must be in one of these; None for any region.
         """
-        fitting = [
+        eligible = [
             name
             for name in self._coordinators
             if regions is None or self.region_of(name) in regions
         ]
-        return choose_coordinator(key, fitting, self._capacities(fitting))
+        return choose_coordinator(key, eligible, self._capacities(eligible))
 
     def region_of(self, daemon: DaemonId) -> RegionId | None:
         """Returns the region of a daemon; None if it is unknown."""
@@ -180,7 +180,7 @@
         return seen is not None and seen.heartbeat.coordinates
 
     def _capacities(self, daemons: Iterable[DaemonId]) -> dict[DaemonId, float | None]:
-        """Returns the capacities that daemons report; this daemon's as the others see it."""
+        """Returns the reported capacities; for this daemon the listed one, which the others see."""
         return {name: self._capacity(name) for name in daemons}
 
     def _capacity(self, daemon: DaemonId) -> float | None:
--- a/src/larkpost/gateway/controllers/heartbeat.py
+++ b/src/larkpost/gateway/controllers/heartbeat.py
@@ -96,7 +96,7 @@
 
 
 def _use_fields(uses: InstanceUsage) -> dict[str, object]:
-    """Returns the fields of a use summary: uses by name (as earlier versions) and starts."""
+    """Returns the fields of a use summary: uses by instance name, and instance start times."""
     named = {split_instance_id(instance): use for instance, use in uses.items()}
     fields: dict[str, object] = {"uses": {name: use for (name, _), use in named.items()}}
     starts = {name: started_at_ms for name, started_at_ms in named if started_at_ms is not None}
@@ -106,7 +106,7 @@
 
 
 def _read_uses(document: dict[str, Any]) -> InstanceUsage:
-    """Returns a use summary; without a start, the instance id is the name alone."""
+    """Parses a use summary; without a start time, the instance id is the name alone."""
     starts = document.get("born") or {}
     return {
         instance_id(InstanceName(name), starts.get(name)): use
--- a/src/larkpost/gateway/controllers/heartbeat_intervals.py
+++ b/src/larkpost/gateway/controllers/heartbeat_intervals.py
@@ -41,7 +41,7 @@
     """Returns the factor on the intervals of slow heartbeats, without unit.
 
     Args:
-        has_shortage: whether a service lacks slots, which the daemons then divide by these reports.
+        has_shortage: whether a service lacks slots; daemons then divide its slots by these reports.
     """
     return SHORTAGE_INTERVAL_FACTOR if has_shortage else 1.0
 
@@ -64,7 +64,7 @@
     return max(SLOW_HEARTBEAT_SECONDS, alive / MAX_SLOW_HEARTBEATS_PER_SECOND)
 
 
-def slow_listing_interval(known: int, age: float) -> float:
+def slow_listing_interval(daemons: int, age: float) -> float:
     """Returns the interval between listings of the slow heartbeats in seconds.
 
     Args:
@@ -72,5 +72,5 @@
         age: seconds since this daemon started.
     """
     if age < STARTUP_SECONDS:
-        return max(FAST_HEARTBEAT_SECONDS, known / STARTUP_ROWS_PER_SECOND)
-    return max(SLOW_HEARTBEAT_SECONDS, known / MAX_SLOW_ROWS_PER_SECOND)
+        return max(FAST_HEARTBEAT_SECONDS, daemons / STARTUP_ROWS_PER_SECOND)
+    return max(SLOW_HEARTBEAT_SECONDS, daemons / MAX_SLOW_ROWS_PER_SECOND)
--- a/src/larkpost/gateway/controllers/heartbeat_list.py
+++ b/src/larkpost/gateway/controllers/heartbeat_list.py
@@ -21,12 +21,12 @@
 """Intervals without a heartbeat after which a daemon is silent: three lost heartbeats, and some
 time for the listing."""
 STORE_CALLS_ALLOWED = 4.0
-"""Store calls, at their current duration, added to the time until a daemon is silent."""
+"""Number of store calls whose typical duration is added to the time until a daemon is silent."""
 STORE_CALL_WEIGHT = 0.3
 """Weight of the newest call in the moving average of call durations."""
 MAX_LISTING_GAP_INTERVALS = 2.2
-"""Intervals between two successful listings above which the time without heartbeats is counted
-afresh."""
+"""Gap between two successful listings, in intervals, above which the time without heartbeats is
+counted from the later listing."""
 UNREADABLE_INTERVAL_SECONDS = 0.25
 """Interval assumed for an unreadable row; the shortest that a daemon reports."""
 
--- a/src/larkpost/gateway/controllers/heartbeat_writer.py
+++ b/src/larkpost/gateway/controllers/heartbeat_writer.py
@@ -23,15 +23,14 @@
 from larkpost.gateway.store.port import Store, Transaction, WriteOutcome
 
 FAST_HEARTBEAT_LINGER_SECONDS = 5.0
-"""How long a daemon keeps writing fast heartbeats after its last reason to; the next step's batch
+"""How long a daemon keeps writing fast heartbeats after it last needed them; the next step's batch
 usually follows soon."""
 MAX_REPORTED_CALL_SECONDS = 0.4
-"""Most seconds of store latency added to the reported interval. A saturated link between regions
-takes 0.3 s; others wait 3.2 times as long for the daemon, so a larger value would delay the
-takeover of its batches."""
+"""Most seconds of store latency added to the reported interval. Others wait for
+`heartbeat_list.MISSED_HEARTBEATS` intervals before they take over the daemon's batches."""
 TIMER_SLACK_SECONDS = 0.05
-"""Seconds by which a timer may fire early and still count, so that an early tick of
-`FAST_HEARTBEAT_SECONDS` does not wait for the next one."""
+"""Seconds before the end of an interval from which a heartbeat or listing is due, so that a timer
+tick that comes slightly early does not delay it to the next tick."""
 WRITE_TIMEOUT_SECONDS = 1.0
 """Timeout of a write."""
 
@@ -48,7 +47,7 @@
             store's clock, or None if that is unknown.
         address: where it relays store calls for others, or None.
         report: returns what else it reports with each heartbeat.
-        paces: returns the lasting service times reported with the next fast heartbeat. Slow
+        paces: returns the long-term service times reported with the next fast heartbeat. Slow
             heartbeats carry none, because all daemons list them and their size is bounded.
         has_shortage: returns whether a service lacks slots, so that reports are needed sooner.
     """
@@ -94,10 +93,10 @@
                 await self._write_fast()
         elif self._fast_written_at is not None:
             await self._remove_fast()
-        slow_heartbeat_interval = self._slow_interval() * shortage_factor(
+        slow_interval = self._slow_interval() * shortage_factor(
             has_shortage=self._own.has_shortage()
         )
-        if is_due(self._slow_written_at, slow_heartbeat_interval, self._clock.now()):
+        if is_due(self._slow_written_at, slow_interval, self._clock.now()):
             await self._write_slow()
 
     async def write_last(self) -> None:
@@ -129,11 +128,11 @@
         self._fast_written_at = self._clock.now()
         call = min(self._view.fast_heartbeats.typical_call_seconds, MAX_REPORTED_CALL_SECONDS)
         interval = round(self._fast_interval() + call, 3)
-        is_acting = self._view.is_coordinator()
+        is_coordinator = self._view.is_coordinator()
         report = replace(self._own.report(), paces=self._own.paces())
         await self._put(
             self._view.fast_heartbeats,
-            Heartbeat(interval, self._own.use(), coordinates=is_acting, report=report),
+            Heartbeat(interval, self._own.use(), coordinates=is_coordinator, report=report),
         )
 
     async def _remove_fast(self) -> None:
--- a/src/larkpost/gateway/controllers/lending_log.py
+++ b/src/larkpost/gateway/controllers/lending_log.py
@@ -14,7 +14,7 @@
 
 
 class LendingLog:
-    """Remembers what was last logged about the lending of each service."""
+    """Logs changes of each service's lending, at most once per interval."""
 
     def __init__(self, log: EventLog, clock: Clock) -> None:
         self._log = log
--- a/src/larkpost/gateway/controllers/membership.py
+++ b/src/larkpost/gateway/controllers/membership.py
@@ -116,8 +116,8 @@
             self._report_listener(daemon, report)
 
     def _slow_listing_interval(self) -> float:
-        usual = slow_listing_interval(len(self.slow_heartbeats.seen), self.age())
-        return usual * shortage_factor(has_shortage=self._has_shortage())
+        interval = slow_listing_interval(len(self.slow_heartbeats.seen), self.age())
+        return interval * shortage_factor(has_shortage=self._has_shortage())
 
     def _fast_listing_interval(self) -> float:
         if self._writer.needs_fast_heartbeats():
@@ -140,7 +140,7 @@
     async def _remove_old(self, rows: HeartbeatList) -> None:
         """Removes the rows of this machine's earlier incarnations and of long-dead daemons.
 
-        Only one daemon removes the latter, to limit the number of calls.
+        Only one daemon removes those of long-dead daemons, to limit the number of calls.
         """
         old = self._rows_of_earlier_incarnations(rows)
         if self.choose_coordinator("forget") == self.own:
--- a/src/larkpost/gateway/controllers/model_assignment.py
+++ b/src/larkpost/gateway/controllers/model_assignment.py
@@ -21,7 +21,7 @@
 """Minimum number of engines per model, so that it is served while one of them is lost or loads."""
 
 ServiceTimeLookup = Callable[[InstanceId], float]
-"""Returns the lasting time per event of an engine in seconds; 0 if it is unknown."""
+"""Returns the long-term time per event of an engine in seconds; 0 if it is unknown."""
 Assignment = dict[ModelName, list[InstanceId]]
 """For each model its engines, in the order in which they load new versions."""
 
@@ -32,14 +32,14 @@
 
 
 class _ModelOrder(NamedTuple):
-    """Sort key of the model that chooses next; the smallest one does."""
+    """Sort key of the models; the one with the smallest key chooses next."""
 
     negative_work_per_engine: float
     name: ModelName
 
 
 class _EngineOrder(NamedTuple):
-    """Sort key of a model's preference among the engines with the fewest models; smallest first."""
+    """Sort key of engines with equally many models, by one model's preference; smallest first."""
 
     negative_version: int  # newest version first, which keeps the assignment stable
     other_models: int  # then the fewest other models with a recent version
@@ -61,7 +61,7 @@
     assignment ends when every engine has a model and every model has enough engines.
 
     Args:
-        service_time: returns an engine's lasting service time; an unknown one counts as
+        service_time: returns an engine's long-term service time; an unknown one counts as
             the median.
     """
     steps = slowdown_steps({engine.id: service_time(engine.id) for engine in engines})
@@ -72,8 +72,8 @@
     }
     capacities = {engine: relative_speed(count) for engine, count in steps.items()}
     builder = _AssignmentBuilder(_work_of_models(service, demands), preferences, capacities)
-    enough = min(MIN_ENGINES_PER_MODEL, len(engines))
-    while engines and builder.chosen and builder.choose_next(enough):
+    min_engines = min(MIN_ENGINES_PER_MODEL, len(engines))
+    while engines and builder.chosen and builder.choose_next(min_engines):
         pass
     for engine_ids in builder.chosen.values():
         engine_ids.sort(key=hash64)
@@ -95,8 +95,8 @@
     An unknown work counts as the largest known one; if none is known, all models count equally.
     """
     known = {model: demands.get(model, ModelDemand()).work for model in service.models}
-    most = max(known.values(), default=0) or 1
-    return {model: work or most for model, work in known.items()}
+    largest = max(known.values(), default=0) or 1
+    return {model: work or largest for model, work in known.items()}
 
 
 def _current_models(
@@ -153,24 +153,25 @@
 
     def __init__(self, engines: list[InstanceId]) -> None:
         self._engines = engines
-        self._models_held = 0
+        self._model_count = 0
+        """Number of models of the engines that are examined now."""
         self._next = 0
         self._chosen: set[InstanceId] = set()
 
-    def take(self, models_held: dict[InstanceId, int]) -> InstanceId | None:
+    def take(self, model_counts: dict[InstanceId, int]) -> InstanceId | None:
         """Returns the engine that the model chooses now; None if it has chosen all.
 
         Args:
-            models_held: for each engine, how many models have chosen it.
+            model_counts: for each engine, how many models have chosen it.
         """
         while len(self._chosen) < len(self._engines):
             for position in range(self._next, len(self._engines)):
                 engine = self._engines[position]
-                if models_held[engine] == self._models_held and engine not in self._chosen:
+                if model_counts[engine] == self._model_count and engine not in self._chosen:
                     self._next = position + 1
                     self._chosen.add(engine)
                     return engine
-            self._models_held += 1
+            self._model_count += 1
             self._next = 0
         return None
 
@@ -198,25 +199,25 @@
         self._preferences = preferences
         self._capacities = capacities
         self._capacity_of_model = dict.fromkeys(work, 0.0)
-        self._models_held = dict.fromkeys(capacities, 0)
+        self._model_counts = dict.fromkeys(capacities, 0)
         self._unassigned_count = len(capacities)
 
-    def choose_next(self, enough: int) -> bool:
+    def choose_next(self, min_engines: int) -> bool:
         """Assigns one engine to one model; returns whether there was anything left to assign.
 
         Args:
-            enough: minimum number of engines per model.
+            min_engines: minimum number of engines per model.
         """
-        lacking = [model for model in self.chosen if len(self.chosen[model]) < enough]
-        if not lacking and not self._unassigned_count:
+        below_minimum = [model for model in self.chosen if len(self.chosen[model]) < min_engines]
+        if not below_minimum and not self._unassigned_count:
             return False
-        model = min(lacking or self.chosen, key=self._model_order)
-        engine = self._preferences[model].take(self._models_held)
+        model = min(below_minimum or self.chosen, key=self._model_order)
+        engine = self._preferences[model].take(self._model_counts)
         if engine is None:
             return False
         self.chosen[model].append(engine)
-        self._unassigned_count -= not self._models_held[engine]
-        self._models_held[engine] += 1
+        self._unassigned_count -= not self._model_counts[engine]
+        self._model_counts[engine] += 1
         self._capacity_of_model[model] += self._capacities[engine]
         return True
 
--- a/src/larkpost/gateway/controllers/report_codec.py
+++ b/src/larkpost/gateway/controllers/report_codec.py
@@ -77,7 +77,7 @@
 def _read_batch_progress(value: Any) -> BatchProgress | None:
     if not isinstance(value, list) or len(value) != len(BatchProgress._fields):
         return None
-    return BatchProgress(*value) if all(_is_whole(figure) for figure in value) else None
+    return BatchProgress(*value) if all(_is_whole(number) for number in value) else None
 
 
 def _read_number(value: Any) -> float | None:
--- a/src/larkpost/gateway/controllers/row_recorder.py
+++ b/src/larkpost/gateway/controllers/row_recorder.py
@@ -52,8 +52,8 @@
     Attributes:
         healthy_for: returns for how long all calls to the store have succeeded.
         trust_after: returns how long that must be for a removed row to be trusted.
-        has_full_listing: returns whether all instances have been listed; an unknown one has just
-            started then.
+        has_full_listing: returns whether all instances have been listed; one that first appears
+            after that has just started.
     """
 
     healthy_for: Callable[[], float]
@@ -80,8 +80,8 @@
 class RowRecorder:
     """Records rows, and logs the changes.
 
-    An unreadable row is skipped and its previous content stays in effect; an unreadable instance
-    entry, however, no longer names a usable server.
+    An unreadable row is skipped and its previous content stays in effect, except that an unreadable
+    instance entry no longer names a usable server.
     """
 
     def __init__(
@@ -174,7 +174,7 @@
                 self._record_unknown_service(info)
 
     def _record_unreadable(self, name: InstanceName, error: str) -> None:
-        """Records an entry that names no usable server, perhaps another writer's."""
+        """Records an entry that names no usable server, perhaps that of another writer."""
         self._directory.drop_unreadable(name)
         self._metrics.count(Count.SPOILED_ENTRIES)
         self._log.record(Event.UNREADABLE, row=name, error=error)
--- a/src/larkpost/gateway/placement/cold_rate_limit.py
+++ b/src/larkpost/gateway/placement/cold_rate_limit.py
@@ -107,7 +107,7 @@
             reserved.add(self._clock.now())
 
     def record(self, instance: InstanceId, left: float | None) -> None:
-        """Records the seconds for which an instance reports to stay cold; None if it reports none."""
+        """Records how many seconds an instance reports to stay cold; None if it reports none."""
         self._blackboard.cold.record(instance, left, self._clock.now())
 
     def is_cold(self, instance: InstanceInfo) -> bool:
@@ -176,6 +176,6 @@
         return self._quotas[category]
 
     def _send_count(self, instance: InstanceId, work: Work) -> SlidingCount:
-        """Returns the count of owner sends or of client sends; each kind has its part of the limit."""
+        """Returns the count of owner or of client sends; each kind has its part of the limit."""
         key = (instance, work.kind in OWNER_WORK_KINDS)
         return self._sent.setdefault(key, SlidingCount(WINDOW_SECONDS))
--- a/src/larkpost/gateway/quarantine/crash_detector.py
+++ b/src/larkpost/gateway/quarantine/crash_detector.py
@@ -26,9 +26,8 @@
 POLL_SECONDS = 0.25
 """Interval between checks of the directory while a server is suspect."""
 INVESTIGATION_SECONDS = 6.0
-"""A server that is still listed after this time has not crashed. An entry expires after three
-missed heartbeats of 1.2 s, and news of that may take two more seconds when the store has just
-recovered."""
+"""A server that is still listed after this time has not crashed. Longer than its entry takes to
+expire and the removal to reach this daemon when the store has just recovered."""
 
 CrashListener = Callable[[InstanceId, Iterable[ContentDigest], str], None]
 
@@ -49,7 +48,7 @@
         since: steady time of the last lost request.
         initial_instances: instances listed at its address when the first request was lost.
         contents: contents of all lost requests.
-        crashed: evidence of the crash; None if there is none.
+        evidence: evidence of the crash; None if there is none.
         has_new_loss: set by each lost request, until it is investigated.
     """
 
@@ -57,7 +56,7 @@
     since: float
     initial_instances: frozenset[InstanceId]
     contents: set[ContentDigest] = field(default_factory=set)
-    crashed: CrashEvidence | None = None
+    evidence: CrashEvidence | None = None
     has_new_loss: asyncio.Event = field(default_factory=asyncio.Event)
 
 
@@ -98,19 +97,19 @@
         suspect.contents.add(content)
         suspect.since = self._clock.now()
         suspect.has_new_loss.set()
-        if suspect.crashed is not None:
-            self._listener(instance.id, (content,), suspect.crashed)
+        if suspect.evidence is not None:
+            self._listener(instance.id, (content,), suspect.evidence)
 
     async def _investigate(self, suspect: _SuspectServer) -> None:
-        """Looks for evidence for some seconds; requests lost meanwhile count too."""
+        """Looks for evidence until `INVESTIGATION_SECONDS` after the last lost request."""
         try:
             while self._clock.now() - suspect.since < INVESTIGATION_SECONDS:
                 has_new_loss = suspect.has_new_loss.is_set()
                 suspect.has_new_loss.clear()
-                if suspect.crashed is None:
+                if suspect.evidence is None:
                     evidence = await self._seek_evidence(suspect, has_new_loss=has_new_loss)
                     if evidence is not None:
-                        suspect.crashed = evidence
+                        suspect.evidence = evidence
                         self._listener(suspect.info.id, suspect.contents, evidence)
                 with contextlib.suppress(TimeoutError):  # check the directory again
                     async with asyncio.timeout(POLL_SECONDS):
--- a/src/larkpost/gateway/quarantine/crash_recorder.py
+++ b/src/larkpost/gateway/quarantine/crash_recorder.py
@@ -46,7 +46,7 @@
         self._writer = writer
         self._log = log
         self._metrics = metrics
-        self._may_forget = may_remove_expired
+        self._may_remove_expired = may_remove_expired
 
     def start(self, tasks: TaskSet) -> None:
         """Starts saving crashes and removing expired ones."""
@@ -101,13 +101,14 @@
     async def remove_expired(self) -> None:
         """Removes the crashes whose retention is over."""
         now = self._writer.time()
-        if now is None or not self._may_forget():
+        if now is None or not self._may_remove_expired():
             return
         for crash in self._crashes.older_than(now - CRASH_RETENTION_SECONDS):
             self._remove(crash.content, crash.instance)
             self._writer.schedule_save(crash.content, crash.instance, None)
 
     def _add(self, crash: Crash) -> bool:
+        """Adds a crash, and returns whether it is new; logs when a quarantine begins."""
         is_new = self._crashes.add(crash)
         count = self._crashes.count(crash.content)
         if is_new and count == CLIENT_CRASH_LIMIT:
@@ -115,6 +116,7 @@
         return is_new
 
     def _remove(self, content: ContentDigest, instance: InstanceId) -> None:
+        """Removes a crash; logs when a quarantine ends."""
         count = self._crashes.count(content)
         if self._crashes.remove(content, instance) and count == CLIENT_CRASH_LIMIT:
             self._log.record(Event.QUARANTINE, content=content, state="ended", crashes=count - 1)
--- a/src/larkpost/gateway/quarantine/isolation_rule.py
+++ b/src/larkpost/gateway/quarantine/isolation_rule.py
@@ -1,10 +1,9 @@
 """Placement rule that keeps requests suspected of crashing servers apart from each other.
 
-All requests on a server fail when it crashes. After two crashes, the request at fault and the
-harmless ones that ran beside it are equally suspect. If they kept running side by side, every
-further crash would count against all of them, and harmless requests would be quarantined too. Run
-apart, a crash counts against one request, and a request that completes is cleared. A daemon knows
-only its own sends, so a suspect of another daemon may run on the same server.
+All requests on a server fail when it crashes, so the request at fault and harmless ones beside it
+become equally suspect after two crashes. If they run apart, a further crash counts against one
+suspect only, and harmless ones complete and are cleared instead of being quarantined too. A daemon
+knows only its own sends, so a suspect of another daemon may run on the same server.
 """
 
 from collections import Counter
--- a/src/larkpost/gateway/scaling/port.py
+++ b/src/larkpost/gateway/scaling/port.py
@@ -17,7 +17,7 @@
 
 
 class ServerKind(StrEnum):
-    """The terms on which a server runs."""
+    """Whether the platform may preempt a server."""
 
     ON_DEMAND = "on_demand"  # runs until it is released
     PREEMPTIBLE = "preemptible"  # cheaper; all servers of a zone may be preempted at short notice
--- a/src/larkpost/gateway/scaling/server_counter.py
+++ b/src/larkpost/gateway/scaling/server_counter.py
@@ -14,13 +14,18 @@
 from larkpost.gateway.scaling.planner import ZoneServers
 
 USUAL_COUNT_WINDOW_SECONDS = 60.0
-"""Window of the maximum that counts as the usual number of servers; longer than a release takes,
-short enough that a manual change of size takes effect soon."""
+"""Window whose largest count is the usual number of servers; longer than a release takes, short
+enough that a manual change of size takes effect soon."""
 
 
 @dataclass(slots=True)
 class _ZoneHistory:
-    """Counts of one zone as (steady time, servers); `full_at`: last time at the usual count."""
+    """The recent counts of one zone.
+
+    Attributes:
+        counts: pairs of steady time and number of servers.
+        full_at: steady time at which the zone last had its usual count.
+    """
 
     counts: deque[tuple[float, int]] = field(default_factory=deque)
     full_at: float = float("-inf")
