--- a/src/larkpost/gateway/scaling/planner.py
+++ b/src/larkpost/gateway/scaling/planner.py
@@ -122,7 +122,7 @@
 
 
 def _order(inputs: PlanInputs, zone: ZoneId) -> ScalingOrder | None:
-    """Returns the order for one zone; None if nothing is missing or the limits do not allow any."""
+    """Returns the order for one zone; None if none is needed or allowed by the zone's limits."""
     service, terms, known = inputs.service, inputs.terms, inputs.zones[zone]
     if not _missing_count(known, inputs.lost_after):
         return None
