--- a/src/larkpost/gateway/controllers/due_loads.py
+++ b/src/larkpost/gateway/controllers/due_loads.py
@@ -230,7 +230,7 @@
 def _seconds_into_schedule(model: ModelName, inputs: LoadInputs, now: float) -> float:
     """Returns the seconds since the first group's turn began; negative before it.
 
-    The turn begins after a delay, which is shorter for an urgent version once no items wait.
+    The turn begins after a delay, which depends on whether a batch runs and the version is urgent.
     """
     demand = inputs.demands.get(model, ModelDemand())
     elapsed = inputs.targets.seconds_since_announced(model, now)
--- a/src/larkpost/gateway/controllers/heartbeat_intervals.py
+++ b/src/larkpost/gateway/controllers/heartbeat_intervals.py
@@ -41,7 +41,8 @@
     """Returns the factor on the intervals of slow heartbeats, without unit.
 
     Args:
-        has_shortage: whether a service lacks slots; daemons then divide its slots by these reports.
+        has_shortage: whether a service lacks slots; the daemons then divide its slots according to
+            the reports in these heartbeats.
     """
     return SHORTAGE_INTERVAL_FACTOR if has_shortage else 1.0
 
--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -121,8 +121,8 @@
 def yielding_models(models: Iterable[ModelName], demands: Demands) -> frozenset[ModelName]:
     """Returns the models whose batches leave free slots to those of other models.
 
-    A model yields while it has time to spare or cannot be on time, and items of another model wait
-    for slots whose batch is short of time and of no lower priority. It keeps its own engines.
+    A model yields while it has time to spare or cannot be on time, and another model that is short
+    of time and of no lower priority has items waiting for slots. It keeps its own engines.
     """
     known = {model: demands.get(model, ModelDemand()) for model in models}
     waiting_priorities = [
--- a/src/larkpost/gateway/controllers/lending_log.py
+++ b/src/larkpost/gateway/controllers/lending_log.py
@@ -14,7 +14,7 @@
 
 
 class LendingLog:
-    """Logs changes of each service's lending, at most once per interval."""
+    """Logs changes of each service's lending, at most once per `LOG_INTERVAL_SECONDS`."""
 
     def __init__(self, log: EventLog, clock: Clock) -> None:
         self._log = log
--- a/src/larkpost/gateway/placement/cold_rate_limit.py
+++ b/src/larkpost/gateway/placement/cold_rate_limit.py
@@ -1,7 +1,7 @@
 """Rate limit of the requests that all daemons together send to a cold instance.
 
-A cold instance is one that has just started and is overloaded by more than a few requests. Every
-send to an instance of a service with such a limit is counted, whatever its outcome, also while the
+A cold instance is slow after its start, and is overloaded by more than a few requests. Every send
+to an instance of a service with such a limit is counted, whatever its outcome, also while the
 instance is warm, because it may turn cold at any moment. The window slides: a fixed window would
 admit up to twice the limit around its boundary.
 
--- a/src/larkpost/gateway/quarantine/crash_detector.py
+++ b/src/larkpost/gateway/quarantine/crash_detector.py
@@ -48,7 +48,7 @@
         since: steady time of the last lost request.
         initial_instances: instances listed at its address when the first request was lost.
         contents: contents of all lost requests.
-        evidence: evidence of the crash; None if there is none.
+        evidence: how the crash is known; None if no crash is known.
         has_new_loss: set by each lost request, until it is investigated.
     """
 
--- a/src/larkpost/gateway/rollouts/reward_caller.py
+++ b/src/larkpost/gateway/rollouts/reward_caller.py
@@ -41,7 +41,7 @@
 
 
 class RewardCaller:
-    """Sends the reward calls of one batch."""
+    """Sends the reward calls of one batch, each attempt to one server."""
 
     def __init__(self, head: BatchHead, services: RunServices) -> None:
         self._head = head
