--- a/src/larkpost/gateway/controllers/heartbeat.py
+++ b/src/larkpost/gateway/controllers/heartbeat.py
@@ -96,7 +96,7 @@
 
 
 def _use_fields(uses: InstanceUsage) -> dict[str, object]:
-    """Returns the fields of a use summary: uses by name, as in earlier versions, and start times."""
+    """Returns the fields of a use summary: uses by name as in earlier versions, and start times."""
     named = {split_instance_id(instance): use for instance, use in uses.items()}
     fields: dict[str, object] = {"uses": {name: use for (name, _), use in named.items()}}
     starts = {name: started_at_ms for name, started_at_ms in named if started_at_ms is not None}
