--- a/src/larkpost/gateway/fairness/__init__.py
+++ b/src/larkpost/gateway/fairness/__init__.py
@@ -1,5 +1,5 @@
-"""Who comes first when a service has too few places: shares of tenants, and use by tenant.
+"""Fair sharing of a service that has too few slots: shares of tenants, and their use.
 
 The rules are pure functions over counts; the ledger holds the counts of this daemon and those that
-other daemons report. Where no place is short, nothing here holds a request back.
+other daemons report. Without a shortage of slots, nothing here holds a request back.
 """
--- a/src/larkpost/gateway/fairness/batch_shares.py
+++ b/src/larkpost/gateway/fairness/batch_shares.py
@@ -1,6 +1,6 @@
-"""The shares of batches in the engines of a service: equal among tenants, then among their batches.
+"""Divides the slots of a service among batches: equally among tenants, then among their batches.
 
-A pure rule for whoever gives batches places; it knows neither engines nor queues.
+Pure functions without knowledge of engines or queues.
 """
 
 from collections.abc import Mapping
@@ -13,11 +13,11 @@
 
 
 class BatchDemand(NamedTuple):
-    """What one batch wants.
+    """The demand of one batch.
 
     Attributes:
-        tenant: whose batch it is; None for nobody's, which all count as one tenant.
-        places: places that it could use now.
+        tenant: owner of the batch; batches without an owner (None) count as one tenant.
+        places: number of slots that it could use now.
     """
 
     tenant: TenantName | None
@@ -25,11 +25,11 @@
 
 
 def share_among_batches(demands: Mapping[Batch, BatchDemand], places: float) -> dict[Batch, float]:
-    """Returns the places of each batch; together they are the places, or all that is wanted.
+    """Returns the slots of each batch; they add up to all slots, or to the total demand if less.
 
     Args:
-        demands: what each batch of one urgency wants.
-        places: places for all of them.
+        demands: demand of each batch of one urgency.
+        places: number of slots to divide.
     """
     by_tenant: dict[TenantName | None, dict[Batch, int]] = {}
     for batch, demand in demands.items():
--- a/src/larkpost/gateway/fairness/ledger.py
+++ b/src/larkpost/gateway/fairness/ledger.py
@@ -1,8 +1,8 @@
-"""Use by tenant: this daemon's own, exactly, and that of the others as they reported it lately.
+"""Use of slots by flow: exact for this daemon, as last reported for the others.
 
-Daemons report only while a service lacks places, and only their flows with the greatest use, so a
-fleet with room pays nothing for it. A report counts until it is replaced or too old; a daemon that
-hears nothing goes by its own requests alone.
+Daemons report only while a service lacks slots, and only the flows with the highest use, so that
+there is no overhead otherwise. A report is valid until it is replaced or expires; without reports,
+a daemon relies on its own requests alone.
 """
 
 from collections.abc import Iterator, Mapping
@@ -17,32 +17,33 @@
 from larkpost.gateway.fairness.use_table import UseTable
 
 REPORT_LIFETIME_SECONDS = 6.0
-"""How long a report counts: some heartbeats, of which a large fleet writes one in five seconds."""
+"""How long a report is valid: longer than the interval of heartbeats in a large fleet."""
 SHORTAGE_LIFETIME_SECONDS = 2.0
-"""How long a service counts as short after a request waited for it or was refused meanwhile."""
+"""How long a service counts as short of slots after a request last waited for it or missed its
+objective."""
 MAX_REPORTED_FLOWS = 6
-"""Flows in one report: a daemon of a large fleet has few requests at a time."""
+"""Maximum number of flows in a report."""
 MAX_REPORTED_NAME_LENGTH = 64
-"""Characters of a name that is reported; it bounds the bytes of a heartbeat."""
+"""Maximum length of a reported flow name in characters; bounds the size of a heartbeat."""
 
 
 @dataclass(frozen=True, slots=True)
 class _PeerReport:
-    """What another daemon reported, at a steady time."""
+    """A report of another daemon, and the monotonic time at which it was received."""
 
     at: float
     tenants: Mapping[Flow, FlowUsage]
 
 
 class FlowLedger:
-    """Use by flow in the fleet, as far as this daemon knows."""
+    """Use of slots by flow in the fleet, as far as this daemon knows."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._own = UseTable()
         self._peers = UseTable()
         self._reports: dict[DaemonId, _PeerReport] = {}
-        """The oldest first."""
+        """In order of receipt, oldest first."""
         self._short_at: dict[ServiceName, float] = {}
 
     @contextmanager
@@ -56,7 +57,7 @@
 
     @contextmanager
     def waiting(self, flow: Flow) -> Iterator[None]:
-        """Counts a request that waits for a place in a shortage that lasts."""
+        """Counts a request that waits for a slot during a persistent shortage."""
         self.record_shortage(flow.group.service)
         self._own.add(flow, 0, 1)
         try:
@@ -66,11 +67,11 @@
             self.record_shortage(flow.group.service)
 
     def record_shortage(self, service: ServiceName) -> None:
-        """Records that a service lacks places."""
+        """Records that a service lacks slots."""
         self._short_at[service] = self._clock.now()
 
     def record_report(self, daemon: DaemonId, tenants: Mapping[Flow, FlowUsage]) -> None:
-        """Records what another daemon reports, in place of what it reported before."""
+        """Records a report of another daemon, which replaces its previous one."""
         self._forget(daemon)
         if not tenants:
             return
@@ -79,7 +80,7 @@
             self._peers.add(flow, use.running, use.waiting)
 
     def uses(self, group: FlowGroup) -> Mapping[Flow, FlowUsage]:
-        """Returns the use of a group's flows, by this daemon and the others."""
+        """Returns the use of a group's flows by all daemons."""
         self._forget_old()
         uses = dict(self._peers.group_uses(group))
         for flow, own in self._own.group_uses(group).items():
@@ -96,17 +97,17 @@
         return sum(use.running for flow, use in self._own.all() if flow.group.service == service)
 
     def report_age(self) -> float | None:
-        """Returns the seconds since the newest report; None if none counts."""
+        """Returns the seconds since the newest report; None if none is valid."""
         self._forget_old()
         newest = max((report.at for report in self._reports.values()), default=None)
         return None if newest is None else self._clock.now() - newest
 
     def has_shortage(self) -> bool:
-        """Returns whether a service lacks places, here or at a daemon that reported it."""
+        """Returns whether any service lacks slots, here or at a daemon that reported it."""
         return bool(self._short_services())
 
     def report(self) -> dict[Flow, FlowUsage]:
-        """Returns what this daemon reports: its greatest use at services that lack places."""
+        """Returns this daemon's report: its flows with the highest use of services short of slots."""
         short = self._short_services()
         uses = [
             (flow, use)
--- a/src/larkpost/gateway/fairness/retry_schedule.py
+++ b/src/larkpost/gateway/fairness/retry_schedule.py
@@ -1,7 +1,7 @@
-"""Books the times at which refused callers come back, one after the other instead of in one wave.
+"""Schedules the retries of refused clients one after the other instead of all at once.
 
-Callers of one line are told times in the order in which they were refused, apart by the time that
-one request takes up of what this daemon gets served. Owns the last time that was told in each line.
+Clients of one queue get retry times in the order in which they were refused, spaced by the time
+that one request takes at this daemon's rate of service. Owns the last assigned time of each queue.
 """
 
 import random
@@ -10,34 +10,35 @@
 from larkpost.common.clock import Clock
 
 MAX_SCHEDULED_QUEUES = 256
-"""Lines remembered at most; dropped are those whose last time has come, then the one that was told
-a time longest ago."""
+"""Maximum number of queues remembered. Those whose last assigned time has passed are dropped first,
+then the one that was used least recently."""
 MIN_DELAY_FRACTION = 0.5
-"""Callers that cannot wait for their turn come back spread over the rest of the time that they can
-wait, from this part of it on."""
+"""Clients that cannot wait for their scheduled time retry at random times between this fraction of
+their maximum delay and all of it. Without unit."""
 
 
 class RetrySchedule:
-    """The times told to refused callers, by line.
+    """The last assigned retry time of each queue.
 
     Args:
-        chance: spreads the callers of different daemons, which know nothing of each other's lines.
+        chance: random generator that spreads the clients of different daemons, which do not share
+            their schedules.
     """
 
     def __init__(self, clock: Clock, rng: random.Random) -> None:
         self._clock = clock
         self._chance = rng
         self._told: dict[Hashable, float] = {}
-        """The line that was told a time longest ago comes first."""
+        """The least recently used queue comes first."""
 
     def reserve(self, queue: Hashable, wanted: float, spacing: float, most: float) -> float:
-        """Returns the seconds after which a caller should come back, at most ``most``.
+        """Reserves a retry time; returns the seconds until then, at most ``most``.
 
         Args:
-            line: what the caller waits for; callers of one line do not come back together.
-            wanted: seconds until there is room for it.
-            spacing: seconds between two callers.
-            most: seconds that the caller waits at most before it comes back.
+            queue: key of the client's queue; retries of one queue are spaced.
+            wanted: seconds until a slot is expected for it.
+            spacing: seconds between the retries of two clients.
+            most: maximum retry delay in seconds.
         """
         now = self._clock.now()
         at = max(now + wanted, self._told.get(queue, float("-inf")) + spacing)
--- a/src/larkpost/gateway/fairness/share_rule.py
+++ b/src/larkpost/gateway/fairness/share_rule.py
@@ -1,9 +1,8 @@
-"""The share of each flow in the places of a service, and which flows are beyond theirs.
+"""Computes the share of each flow in the slots of a service, and which flows are over their share.
 
-Only flows of one group, so of equal priority, compete: what they share are the places that they
-have now and those that are free; more urgent requests have taken theirs before. A flow is beyond
-its share only while a request of another one waits that is below its own; then such requests want
-all free places. Pure rules.
+Only flows of one group, which have equal priority, compete. They share the slots that they occupy
+and the free ones; more urgent requests have already taken theirs. A flow is over its share only
+while a request of another flow below its own share waits. Pure functions.
 """
 
 import math
@@ -14,21 +13,22 @@
 from larkpost.gateway.fairness.water_filling import fair_level
 
 NO_USE = FlowUsage(0, 0)
-"""Use by a flow of which nothing is known."""
+"""The use of a flow without requests."""
 MIN_SHARE_SLOTS = 1.0
-"""Share by which waits are forecast at least: a fraction of a place is a whole one in its turn."""
+"""Minimum share used in forecasts of waits: a flow with a fraction of a slot gets a whole one at
+times."""
 
 
 @dataclass(frozen=True, slots=True)
 class FlowShare:
-    """Where a flow stands in its group.
+    """The share of a flow and its use.
 
     Attributes:
-        share: places that are its own; not a whole number.
-        use: places that it has.
-        waiting: its requests that wait.
-        ahead: requests of other flows that wait while these are below their shares.
-        places: what the group shares: the places that it has and the free ones.
+        share: slots that it is entitled to; may be fractional.
+        use: slots that it occupies.
+        waiting: number of its requests that wait.
+        waiting_ahead: waiting requests of other flows that fit into those flows' shares.
+        places: slots shared by the group: those that it occupies and the free ones.
     """
 
     share: float
@@ -39,7 +39,7 @@
 
     @property
     def is_over_share(self) -> bool:
-        """Whether its next request has to let others go first."""
+        """Whether its next request must yield to other flows."""
         return self.waiting_ahead > 0 and self.use >= self.share
 
 
@@ -49,9 +49,9 @@
 
     Attributes:
         uses: use by flow, of all daemons as far as known.
-        level: the most that one flow's share may be; infinite if all have what they want.
-        below: requests that wait of flows below their shares.
-        places: what the group shares.
+        level: maximum share of a flow; infinite if all demands are met.
+        waiting_below_share: waiting requests that fit into the shares of their flows.
+        places: slots shared by the group.
     """
 
     uses: Mapping[Flow, FlowUsage]
@@ -60,7 +60,7 @@
     places: int
 
     def flow_share(self, flow: Flow) -> FlowShare:
-        """Returns where a flow stands that has, or is about to have, a request that waits."""
+        """Returns the share of a flow that has, or is about to have, a waiting request."""
         use = self.uses.get(flow, NO_USE)
         demand = use.running + max(1, use.waiting)
         waiting_ahead = self.waiting_below_share - _waiting_below(use, self.level)
@@ -74,7 +74,7 @@
 
     Args:
         uses: use by flow.
-        free: places that are free.
+        free: number of free slots.
     """
     places = free + sum(use.running for use in uses.values())
     level = fair_level([use.running + use.waiting for use in uses.values()], places)
@@ -86,8 +86,8 @@
     """Returns the seconds until a flow's share has room for one more request.
 
     Args:
-        flow_ahead: requests of the same flow that wait and come first.
-        pace: seconds that a request takes at a server.
+        flow_ahead: waiting requests of the same flow that precede it.
+        service_time: seconds that a request takes at a server.
     """
     if not flow_share.is_over_share:
         return 0.0
--- a/src/larkpost/gateway/fairness/starvation_guard.py
+++ b/src/larkpost/gateway/fairness/starvation_guard.py
@@ -1,10 +1,10 @@
-"""Lets part of each flow's requests count as within its share, however far beyond it the flow is.
+"""Exempts part of each flow's requests from its share, so that no flow is starved.
 
-An equal share can be next to nothing for a tenant that asks far more than the others. Each flow
-has a credit that grows with each of its requests, by a third of the part of all requests that find
-a place; a whole credit lets one request pass, and is given back if that one finds no place. So a
-flow is served at least about a third as often as all, and that holds on each daemon by itself,
-without news of the others.
+An equal share can be very little for a tenant that sends far more requests than the others. Each
+flow has a credit that grows with each of its requests, by a third of the fraction of all requests
+that get a slot. A whole credit exempts one request, and is refunded if that request gets no slot.
+So the fraction of a flow's requests that is served is at least about a third of the overall
+fraction. Each daemon enforces this by itself, without reports of the others.
 """
 
 import random
@@ -15,22 +15,24 @@
 from larkpost.gateway.blackboard.daemon_report import Flow
 
 MIN_RELATIVE_SERVICE = 1 / 3
-"""How often a flow is served at least, in relation to all. The bound that users count as starving
-is a quarter; the rest is for requests that pass and find no place in their time."""
+"""Minimum served fraction of a flow relative to that of all requests, without unit. It is above a
+quarter, below which a flow counts as starved, as some exempted requests get no slot in time."""
 MAX_CREDIT = 2.0
-"""Requests for which a flow has credit at most."""
+"""Maximum credit of a flow, in requests."""
 WINDOW_SECONDS = 5.0
-"""Time in which what was asked and found a place is counted; it counts half in the next window."""
+"""Length of a counting window; counts are halved with each new window."""
 FORGET_SECONDS = 60.0
-"""How long the credit of a flow without requests is kept; it only bounds memory."""
+"""How long the credit of a flow without requests is kept; bounds memory."""
 
 
 @dataclass(slots=True)
 class _ServiceCounts:
-    """Requests of a service; what came in earlier windows counts less and less.
+    """Counts of the requests of a service; earlier windows count less.
 
     Attributes:
-        began: steady time at which the current window began.
+        began: monotonic time at which the current window began.
+        requested: all requests.
+        granted: requests that got a slot.
     """
 
     began: float
@@ -38,19 +40,19 @@
     granted: float = 0.0
 
     def granted_fraction(self) -> float:
-        """Returns which part of the requests found a place; as if one more had."""
+        """Returns the fraction of requests that got a slot, counting one additional success."""
         return min(1.0, (self.granted + 1.0) / (self.requested + 1.0))
 
 
 @dataclass(slots=True)
 class _Credit:
-    """A flow's credit, and the steady time of its last request."""
+    """A flow's credit, and the monotonic time of its last request."""
 
     amount: float
     at: float
 
     def add(self, change: float) -> None:
-        """Changes the credit within its bounds."""
+        """Adds to the credit, within its bounds."""
         self.amount = min(MAX_CREDIT, max(0.0, self.amount + change))
 
 
@@ -58,8 +60,8 @@
     """The credits of all flows.
 
     Args:
-        chance: draws the credit with which a flow begins. If every daemon began with none, a
-            tenant with a request at each of many daemons would never be served.
+        chance: random generator for the initial credit of a flow. If it were 0 at every daemon, a
+            tenant with one request at each of many daemons would never be served.
     """
 
     def __init__(self, clock: Clock, rng: random.Random) -> None:
@@ -67,10 +69,10 @@
         self._chance = rng
         self._services: dict[ServiceName, _ServiceCounts] = {}
         self._credits: dict[Flow, _Credit] = {}
-        """The flow whose last request is the oldest comes first."""
+        """In the order of the flows' last requests, oldest first."""
 
     def admit(self, flow: Flow, *, is_over_share: bool) -> bool:
-        """Counts a request, and returns whether it passes though its flow is beyond its share."""
+        """Counts a request, and returns whether it is exempted although its flow is over its share."""
         counts = self._counts(flow.group.service)
         counts.requested += 1
         credit = self._take_credit(flow)
@@ -81,18 +83,18 @@
         return is_share_exempt
 
     def record_slot_granted(self, flow: Flow, *, is_share_exempt: bool) -> None:
-        """Counts a request that found a place; one that was not let through takes up credit now."""
+        """Counts a request that got a slot; unless it was exempted, its credit is used now."""
         self._counts(flow.group.service).granted += 1
         if not is_share_exempt and flow in self._credits:
             self._credits[flow].add(-1.0)
 
     def refund_credit(self, flow: Flow) -> None:
-        """Gives the credit back of a request that was let through and found no place."""
+        """Refunds the credit of an exempted request that got no slot."""
         if flow in self._credits:
             self._credits[flow].add(1.0)
 
     def _counts(self, service: ServiceName) -> _ServiceCounts:
-        """Returns the counts of a service, in a new window if the current one is full."""
+        """Returns the counts of a service, after starting a new window if the current one is full."""
         now = self._clock.now()
         counts = self._services.setdefault(service, _ServiceCounts(now))
         if now - counts.began >= WINDOW_SECONDS:
@@ -103,7 +105,7 @@
         return counts
 
     def _take_credit(self, flow: Flow) -> _Credit:
-        """Returns a flow's credit, moved to the end, and drops one that was not used for long."""
+        """Returns a flow's credit, moved to the end, and drops the oldest one if it expired."""
         now = self._clock.now()
         credit = self._credits.pop(flow, None) or _Credit(self._chance.random(), now)
         credit.at = now
--- a/src/larkpost/gateway/fairness/use_table.py
+++ b/src/larkpost/gateway/fairness/use_table.py
@@ -1,4 +1,4 @@
-"""Sums of use by flow, kept in their groups."""
+"""Use by flow, stored by group."""
 
 from collections.abc import Iterator, Mapping
 
@@ -8,13 +8,13 @@
 
 
 class UseTable:
-    """Use by flow; flows without any are not kept."""
+    """Use by flow; flows without use are not stored."""
 
     def __init__(self) -> None:
         self._groups: dict[FlowGroup, dict[Flow, FlowUsage]] = {}
 
     def add(self, flow: Flow, running: int, waiting: int) -> None:
-        """Adds to a flow's use, or takes from it if the numbers are negative."""
+        """Adds to a flow's use; negative numbers subtract."""
         group = self._groups.setdefault(flow.group, {})
         before = group.pop(flow, NO_USE)
         after = FlowUsage(before.running + running, before.waiting + waiting)
@@ -33,5 +33,5 @@
             yield from group.items()
 
     def services_waited_for(self) -> set[ServiceName]:
-        """Returns the services for which requests wait."""
+        """Returns the services that requests wait for."""
         return {flow.group.service for flow, use in self.all() if use.waiting}
--- a/src/larkpost/gateway/fairness/water_filling.py
+++ b/src/larkpost/gateway/fairness/water_filling.py
@@ -1,17 +1,18 @@
-"""Max-min fairness: capacity is divided equally, and what one does not need goes to the others."""
+"""Max-min fairness: capacity is divided equally, and unused parts are redistributed."""
 
 import math
 from collections.abc import Collection
 
 
 def fair_level(demands: Collection[float], capacity: float) -> float:
-    """Returns the most that one may get so that all together get the capacity.
+    """Returns the max-min fair level for some demands.
 
-    Everyone gets the lesser of its demand and the level. The level is infinite if all demands fit.
+    Each demand is granted up to the level, which then uses up the capacity. The level is infinite
+    if all demands fit.
 
     Args:
-        demands: what each wants, in the unit of the capacity.
-        capacity: what there is.
+        demands: the demands, in the unit of the capacity.
+        capacity: the capacity to divide.
     """
     left = capacity
     ordered = sorted(demands)
--- a/src/larkpost/gateway/proxy/__init__.py
+++ b/src/larkpost/gateway/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""Forwarding of client requests: choice of a server, attempts and their budgets, refusals."""
+"""Forwarding of client requests: choice of a server, attempts and their limits, refusals."""
--- a/src/larkpost/gateway/proxy/admission.py
+++ b/src/larkpost/gateway/proxy/admission.py
@@ -1,9 +1,9 @@
-"""Decides from the configuration in force whether a call may be made, and on whose behalf.
+"""Authorizes calls by the current configuration, and determines their route and tenant.
 
-A call is refused for good (404, 401) only by a configuration that is known to be recent. A daemon
-that has not heard of the configuration for a while goes on serving the routes and keys that it
-knows, but what it does not know may have been added meanwhile: it sends the caller to another
-daemon (503) rather than say that there is no such route or key.
+A call is rejected permanently (404, 401) only by a configuration that is known to be recent. A
+daemon whose configuration may be outdated goes on serving the routes and keys that it knows. Others
+may have been added meanwhile, so it sends the client to another daemon (503) instead of rejecting
+the call.
 """
 
 from collections.abc import Callable
@@ -17,11 +17,11 @@
 from larkpost.gateway.observability.metrics import Count, Metrics
 
 RETRY_AFTER_SECONDS = 0.3
-"""When to come back to a daemon that lacks the configuration: others usually have it."""
+"""Retry delay sent by a daemon without a recent configuration; other daemons usually have one."""
 
 
 class NotConfiguredError(LarkpostError):
-    """This daemon does not know the configuration, or not a recent one; nothing has run."""
+    """This daemon has no configuration, or only an outdated one; the request did not run."""
 
     code = "not_configured"
     status = 503
@@ -29,7 +29,7 @@
 
 
 class NoRouteError(LarkpostError):
-    """The configuration in force has no route for the host and path."""
+    """The current configuration has no route for the host and path."""
 
     code = "no_route"
     status = 404
@@ -37,7 +37,7 @@
 
 
 class UnknownKeyError(LarkpostError):
-    """The call has no key that the configuration in force holds."""
+    """The call has no key that is in the current configuration."""
 
     code = "unknown_key"
     status = 401
@@ -46,10 +46,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmittedCall:
-    """A call that may be made.
+    """An authorized call.
 
     Attributes:
-        tenant: whose call it is; None on a public route, or where there are no tenants.
+        tenant: tenant of the call; None on a public route, or if no tenants are configured.
         regions: the only regions in which it may be served; None for all.
     """
 
@@ -59,13 +59,13 @@
 
 
 class Admission:
-    """Admits calls by the configuration in force.
+    """Authorizes calls by the current configuration.
 
     Args:
         configuration_age: returns the seconds since the configuration was last known to be the
             newest.
-        apply_time: returns the seconds within which a new configuration is to be in force; a
-            configuration that is older refuses nobody for good.
+        apply_time: returns the seconds within which a new configuration must be applied; an older
+            configuration rejects no call permanently.
     """
 
     def __init__(
@@ -83,12 +83,12 @@
         self._metrics = metrics
 
     def admit(self, request_id: str, host: str, path: bytes, key: KeyDigest | None) -> AdmittedCall:
-        """Returns the route of a request and whose it is.
+        """Returns the route and the tenant of a request.
 
         Raises:
             NotConfiguredError: no configuration, or no recent one, is known.
             NoRouteError: there is no route.
-            UnknownKeyError: the route needs a key, and this is none.
+            UnknownKeyError: the route requires a key, and this one is missing or unknown.
         """
         configuration = self._known(request_id)
         route = configuration.match(host, path)
@@ -105,11 +105,11 @@
         raise self._refusal(error, request_id, configuration)
 
     def caller(self, request_id: str, host: str, key: KeyDigest | None) -> Caller:
-        """Returns on whose behalf a call about a batch is made.
+        """Returns the caller of a call about a batch.
 
         Raises:
             NotConfiguredError: no configuration, or no recent one, is known.
-            UnknownKeyError: the call needs a key, and this is none.
+            UnknownKeyError: the call requires a key, and this one is missing or unknown.
         """
         configuration = self._known(request_id)
         if configuration.tenants is None:
@@ -135,7 +135,7 @@
     def _refusal(
         self, error: LarkpostError, request_id: str, configuration: Configuration | None
     ) -> LarkpostError:
-        """Returns the error to respond with, and logs what it was decided on."""
+        """Returns the error to respond with, and logs the refusal."""
         age = self._configuration_age()
         if configuration is not None and age > self._apply_time():
             error = NotConfiguredError(
--- a/src/larkpost/gateway/proxy/attempts.py
+++ b/src/larkpost/gateway/proxy/attempts.py
@@ -1,7 +1,7 @@
-"""What is known of one client request while it is forwarded.
+"""The state of one client request while it is forwarded.
 
 Owns the record of which servers may have run a request and which certainly did not; the rules that
-read it stand in `retry`, `turn_gate` and `server_choice`.
+use it are in `retry`, `request_scheduler` and `server_choice`.
 """
 
 from contextlib import AsyncExitStack
@@ -17,11 +17,11 @@
 
 
 class QuarantineState(StrEnum):
-    """Whether servers have crashed under requests like this one, and what follows from it."""
+    """Whether a request is quarantined because servers crashed on requests like it."""
 
-    NONE = "none"  # it may be sent to any server
-    QUARANTINED = "quarantined"  # it goes to no server
-    TRIAL = "trial"  # it may go to one server, to see whether the quarantine is a mistake
+    NONE = "none"  # may be sent to any server
+    QUARANTINED = "quarantined"  # must not be sent to any server
+    TRIAL = "trial"  # may be sent to one server, to test whether the quarantine is a mistake
 
 
 @dataclass(slots=True)
@@ -29,15 +29,15 @@
     """The attempts of one request.
 
     Attributes:
-        waiter: its service, its work, its times, and its place in the queue.
-        first_forecast: what was forecast when it came.
+        waiter: its queue entry, with its service, work and deadlines.
+        first_forecast: the forecast at its arrival.
         forecast: the latest forecast.
         ran_at: servers that may have run it.
-        refused_by: servers that certainly did not, since it last waited.
-        reasons: why they did not.
-        last: the last failure that a server responded with in full.
-        quarantine: as it was last found; a trial lasts as long as the request.
-        opened: the responses that are passed on as they come; at most one is used.
+        refused_by: servers that certainly did not run it, since it last waited.
+        reasons: why they did not run it.
+        last_failure: the last whole response with a server failure.
+        quarantine: its last known quarantine state; a trial lasts as long as the request.
+        opened: the streamed responses; at most one is used.
     """
 
     request: ClientRequest
@@ -54,28 +54,28 @@
 
     @property
     def are_all_unreachable(self) -> bool:
-        """Whether each server that it was sent to since it last waited could not be reached."""
+        """Whether every server that it was sent to since it last waited was unreachable."""
         return self.reasons == {NotRunReason.UNREACHABLE}
 
     @property
     def is_trial(self) -> bool:
-        """Whether it may go to one server although it is quarantined."""
+        """Whether it is a trial, which may be sent to one server although it is quarantined."""
         return self.quarantine is QuarantineState.TRIAL
 
     @property
     def tried(self) -> set[InstanceId]:
-        """The servers that are not tried again: those that may have run it or refused it."""
+        """The servers not to try again: those that may have run it or refused it."""
         return self.may_have_run_on | self.refused_by
 
     def reset_refusals(self) -> None:
-        """Has all servers that did not run it tried again."""
+        """Allows the servers that did not run it to be tried again."""
         self.refused_by.clear()
         self.reasons.clear()
 
     async def close_unused(self, used: WholeResponse | StreamedResponse | None) -> None:
-        """Ends the calls whose responses are not used, as another one came first.
+        """Abandons the streamed responses that are not used.
 
-        All of them are ended, also if the request is cancelled meanwhile.
+        Abandons all of them even if the request is cancelled meanwhile.
         """
         async with AsyncExitStack() as calls:
             for opened in self.opened:
@@ -83,7 +83,7 @@
                     calls.push_async_callback(opened.abandon)
 
     def record_may_have_run(self, instance: InstanceId) -> None:
-        """Records that a server may have run it, also while that is not known yet."""
+        """Records that a server may have run it, including while that is not known yet."""
         self.may_have_run_on.add(instance)
 
     def record_not_run(self, instance: InstanceId, reason: NotRunReason) -> None:
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -1,9 +1,9 @@
-"""Chooses an instance of a service by its load and speed, as far as this daemon knows them.
+"""Chooses instances of a service by load and speed, as far as this daemon knows them.
 
-Joins what this daemon's own requests show (`instance_use`), what the others report (`peer_use`),
-which instances a choice looks at (`server_pool`) and where work may go at all (`placement`), and
-has the candidates put in order (`candidate_order`). Owns none of these rules but two: how many
-requests count as being at an instance, and what a request that did not run says about it.
+Combines the load and speed seen by this daemon's own requests (`instance_use`), the reports of
+other daemons (`peer_use`), the pool of instances to consider (`server_pool`) and the placement
+rules (`placement`), and has the candidates ordered by `candidate_order`. Itself only decides how
+many requests count as being at an instance, and what a request that did not run says about it.
 """
 
 import random
@@ -38,7 +38,7 @@
 from larkpost.gateway.servers.port import NotRunError, NotRunReason, ServerLoad
 
 UNREACHABLE_AVOID_SECONDS = 1.0
-"""For so long an instance is a last resort that did not run a request, unless it was full."""
+"""How long an instance that did not run a request is avoided, unless it was full."""
 NOT_SENT_REASONS = (
     NotRunReason.COLD,
     NotRunReason.EVACUATED,
@@ -46,7 +46,7 @@
     NotRunReason.ISOLATED,
     NotRunReason.QUARANTINED,
 )
-"""Reasons that say nothing of an instance: a rule forbade one send, and judges the next anew."""
+"""Reasons that say nothing about an instance: a placement rule forbade this send only."""
 
 
 def _never_connected(_: InstanceInfo) -> bool:
@@ -55,15 +55,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BalancerDependencies:
-    """What a balancer asks about instances besides their use.
+    """What a balancer relies on besides the use of instances.
 
     Attributes:
-        is_connected: returns whether a connection to an instance is kept.
-        placement: the rules by which instances are judged; None for no more than that they do not
-            leave.
+        is_connected: returns whether a connection to an instance is open.
+        placement: the placement rules; None to exclude only instances that are leaving.
         cold: knows which instances are cold; None if none ever is.
-        regions: where zones lie; None if that is not known.
-        subsets: this daemon's parts of large services; None if it serves them alone.
+        regions: the region of each zone; None if unknown.
+        subsets: this daemon's subsets of large services; None if it is the only daemon.
     """
 
     is_connected: Callable[[InstanceInfo], bool] = _never_connected
@@ -74,11 +73,11 @@
 
 
 class Balancer:
-    """Keeps the use of all instances and chooses among them.
+    """Tracks the use of all instances and chooses among them.
 
     Args:
-        chance: breaks ties, with one number for each candidate in the order of the directory, and
-            draws which instances of a large service are looked at.
+        chance: random generator that breaks ties, with one number for each candidate in the order
+            of the directory, and samples the instances of large services.
     """
 
     def __init__(
@@ -106,14 +105,14 @@
 
     @property
     def placement(self) -> Placement:
-        """The rules by which instances are judged."""
+        """The placement rules."""
         return self._placement
 
     def use(self, instance: InstanceId) -> InstanceUse:
         """Returns the record of this daemon's use of an instance."""
         return self._own.record_for(instance)
 
-    # The choice.
+    # Choosing instances.
 
     def candidates(
         self,
@@ -125,17 +124,18 @@
         for_client: bool = False,
         within: frozenset[InstanceId] | None = None,
     ) -> list[InstanceInfo]:
-        """Returns the instances that may take a request now, the best first.
+        """Returns the instances that may take a request now, best first.
 
-        Instances that failed a moment ago come last, and those that are cold before them. Of a
-        large service only some are returned.
+        Instances that failed recently come last, cold ones just before them. Of a large service
+        only some instances are returned.
 
         Args:
-            work: what is to be sent.
-            eligible: returns what else the caller wants of an instance.
-            for_client: whether it is a client's request, which rather takes a kept connection
-                and a near instance.
-            within: the only instances of a large service to look at; None for any.
+            work: the work to be sent.
+            exclude: instances that must not be returned.
+            eligible: further condition of the caller on an instance; None for none.
+            for_client: whether it is a client request, which prefers an open connection and a
+                near instance.
+            within: the only instances of a large service to consider; None for all.
         """
 
         def is_candidate(info: InstanceInfo) -> bool:
@@ -158,12 +158,12 @@
     def candidate_pool(
         self, service: ServiceName, work: Work, within: frozenset[InstanceId] | None = None
     ) -> CandidatePool:
-        """Returns the instances of a service that a choice for a piece of work looks at.
+        """Returns the instances of a service to consider for a piece of work.
 
-        `LEAST_OPEN` of them at least are open to the work, if there are as many that are.
+        At least `MIN_OPEN_INSTANCES` of them are open to the work, if there are that many.
 
         Args:
-            within: the only instances of a large service to look at; None for any.
+            within: the only instances of a large service to consider; None for all.
         """
         candidate_pool = self._pool.candidate_pool(service, work, within)
         if not candidate_pool.is_partial:
@@ -174,46 +174,46 @@
         return self._find_open(service, work, within, candidate_pool)
 
     def subset_sizes(self) -> dict[ServiceName, int]:
-        """Returns how many instances of each large service this daemon's requests go to."""
+        """Returns the size of this daemon's subset of each large service."""
         return self._pool.subset_sizes()
 
     def has_free_slot(self, info: InstanceInfo) -> bool:
-        """Returns whether an instance is believed to have a free place.
+        """Returns whether an instance is estimated to have a free slot.
 
-        One that refused is asked with a single request at a time until it takes one: while it
-        loads weights it refuses all that come, however few it has.
+        An instance that refused is probed with one request at a time until it accepts one: while
+        it loads weights it refuses every request, however few it runs.
         """
         if self._own.was_probed_recently(info.id):
             return False
         return self.occupied(info) < max(1, info.slots)
 
     def is_avoided(self, instance: InstanceId) -> bool:
-        """Returns whether an instance is only a last resort at the moment."""
+        """Returns whether an instance is only used as a last resort for now."""
         return self._own.is_avoided(instance)
 
     def is_cold(self, info: InstanceInfo) -> bool:
-        """Returns whether an instance is cold and gets few requests."""
+        """Returns whether an instance is cold and should get few requests."""
         return self._cold is not None and self._cold.is_cold(info)
 
     def distance(self, info: InstanceInfo) -> Distance:
-        """Returns how far an instance is."""
+        """Returns the network distance of an instance."""
         return self._regions.distance(info.zone)
 
     def occupied(self, info: InstanceInfo) -> int:
-        """Returns the requests believed to be at an instance, this daemon's and others'."""
+        """Returns the estimated number of requests at an instance, from all daemons."""
         use = self._own.record_for(info.id)
         if self._own.has_recent_load(info.id):
             return use.outstanding + use.peer_requests
         return use.outstanding + self._peers.requests(info.id)
 
     def service_time(self, instance: InstanceId) -> float:
-        """Returns the seconds a short request takes at an instance now; 0 if not known lately."""
+        """Returns the seconds a short request takes at an instance now; 0 if not known."""
         return self.service_times.current(instance)
 
     def verdicts(
         self, service: ServiceName, work: Work = CLIENT_WORK
     ) -> dict[PlacementDecision, int]:
-        """Returns how many instances of those looked at get each verdict; for the log."""
+        """Returns the number of considered instances per placement decision; for the log."""
         return dict(
             Counter(
                 self._verdict(info, work) for info in self.candidate_pool(service, work).instances
@@ -221,21 +221,21 @@
         )
 
     def is_outside_regions(self, service: ServiceName, work: Work) -> bool:
-        """Returns whether no server of a service lies where work may be served."""
+        """Returns whether no server of a service is in a region where work may be served."""
         if work.regions is None:
             return False
         zones = self._directory.index.zones(service)
         regions = {self._regions.region_of(zone) for zone in zones}
         return not work.regions or bool(regions) and not regions & work.regions
 
-    # What daemons report to each other.
+    # Reports between daemons.
 
     def summary(self) -> InstanceUsage:
-        """Returns what this daemon reports to the others of its use."""
+        """Returns the summary of this daemon's use that is reported to the other daemons."""
         return self._own.summary()
 
     def record_peer_summary(self, daemon: DaemonId, summary: InstanceUsage) -> None:
-        """Records what another daemon reports of its use, in place of its last report."""
+        """Records another daemon's summary of its use, which replaces its last one."""
         self._forget_unused()
         resolved = {self._directory.resolve(name): use for name, use in summary.items()}
         self._peers.record(daemon, resolved)
@@ -244,7 +244,10 @@
 
     @contextmanager
     def count_request(self, instance: InstanceId) -> Iterator[None]:
-        """Counts a request while it is at an instance; if it did not run, no place came free."""
+        """Counts a request while it is at an instance.
+
+        If it did not run, the release listeners are not called, as no slot became free.
+        """
         self.occupy(instance)
         try:
             yield
@@ -262,29 +265,29 @@
         self._own.occupy(instance)
 
     def release(self, instance: InstanceId) -> None:
-        """Ends the count of a request at an instance."""
+        """Stops counting a request at an instance, and calls the release listeners."""
         self._own.record_for(instance).outstanding -= 1
         for listener in self._release_listeners:
             listener(instance)
 
     def add_release_listener(self, listener: Callable[[InstanceId], None]) -> None:
-        """Calls a listener at the end of each request of this daemon, with its instance."""
+        """Registers a listener that is called with the instance when a request ends there."""
         self._release_listeners.append(listener)
 
     def outstanding_in(self, zone: ZoneId) -> int:
-        """Returns this daemon's requests at a zone's instances, also those that left the list."""
+        """Returns this daemon's requests in a zone, including at instances no longer listed."""
         return self._own.outstanding_in(zone)
 
-    # What requests show.
+    # Results of requests.
 
     def record_load(self, instance: InstanceId, load: ServerLoad | None) -> None:
-        """Records that an instance responds, and the load that it reported, if any."""
+        """Records that an instance responded, and the load that it reported, if any."""
         self._own.record_for(instance).is_refusing = False
         if load is not None:
             self._own.record_load(instance, load)
 
     def record_cold(self, instance: InstanceId, left: float | None) -> None:
-        """Records for how many seconds an instance says that it stays cold; None: it says none."""
+        """Records the seconds for which an instance reports to stay cold; None if it reports none."""
         if self._cold is not None:
             self._cold.record(instance, left)
 
@@ -294,19 +297,19 @@
         """Records the time that a unit of work took at an instance.
 
         Args:
-            weight: share of this measurement in the smoothed pace.
+            weight: weight of this measurement in the smoothed service time.
         """
         self._own.record_service_time(instance, seconds, weight)
 
     def record_response(self, info: InstanceInfo, seconds: float) -> None:
-        """Records the time from a client's request to its whole response."""
+        """Records the time from a client request to its whole response."""
         self.record_service_time(info.id, seconds)
         self.service_times.record_response(info.id, seconds)
         self._own.record_for(info.id).response_at = self._clock.now()
         self._order.record_response(info, seconds)
 
     def avoid(self, instance: InstanceId, seconds: float) -> None:
-        """Makes an instance a last resort for a while."""
+        """Makes an instance a last resort for some seconds."""
         self._own.avoid(instance, seconds)
 
     def record_not_run(
@@ -315,10 +318,10 @@
         """Records that an instance certainly did not run a request.
 
         Args:
-            full_seconds: how long to avoid it if it was full.
+            full_seconds: how long to avoid the instance if it was full.
         """
         if reason in NOT_SENT_REASONS:
-            return  # it was not asked at all, and may have room for other work
+            return  # the request was not sent, and the instance may accept other work
         if reason is NotRunReason.REPLACED:
             self._directory.mark_replaced(instance)
         is_full = reason is NotRunReason.FULL
@@ -332,7 +335,7 @@
         within: frozenset[InstanceId] | None,
         candidate_pool: CandidatePool,
     ) -> CandidatePool:
-        """Returns instances open to the work, of all that might have been looked at."""
+        """Returns instances open to the work, searched among all that may be considered."""
         return self._pool.find_open(
             service, work, within, candidate_pool, lambda info: self._is_open(info, work)
         )
@@ -354,7 +357,7 @@
         )
 
     def _forget_unused(self) -> None:
-        """Drops now and then the records of instances and daemons that are gone."""
+        """Drops the records of instances and daemons that are gone, at intervals."""
         now = self._clock.now()
         if now < self._forget_at:
             return
--- a/src/larkpost/gateway/proxy/candidate_order.py
+++ b/src/larkpost/gateway/proxy/candidate_order.py
@@ -1,6 +1,6 @@
-"""Fills in what the order of candidates depends on, and has them put in order by `ranking`.
+"""Builds the ranking records of candidate instances, and orders them by `ranking`.
 
-Owns the latency of responses by distance; relies on the balancer for what is believed of instances.
+Owns the response latency by distance; relies on the balancer for estimates about instances.
 """
 
 import random
@@ -17,30 +17,30 @@
 
 
 class InstanceEstimates(Protocol):
-    """What is believed of instances; see the balancer."""
+    """The estimates about instances that the order needs; see the balancer."""
 
     def is_avoided(self, instance: InstanceId) -> bool:
-        """Returns whether an instance is only a last resort at the moment."""
+        """Returns whether an instance is only used as a last resort for now."""
 
     def is_cold(self, info: InstanceInfo) -> bool:
-        """Returns whether an instance is cold and gets few requests."""
+        """Returns whether an instance is cold and should get few requests."""
 
     def distance(self, info: InstanceInfo) -> Distance:
-        """Returns how far an instance is."""
+        """Returns the network distance of an instance."""
 
     def occupied(self, info: InstanceInfo) -> int:
-        """Returns the requests believed to be at an instance."""
+        """Returns the estimated number of requests at an instance."""
 
     def service_time(self, instance: InstanceId) -> float:
-        """Returns the seconds a short request takes at an instance now; 0 if not known lately."""
+        """Returns the seconds a short request takes at an instance now; 0 if not known."""
 
 
 class CandidateOrder:
-    """Puts the instances in order that a request may go to.
+    """Orders the instances that a request may be sent to.
 
     Args:
-        is_connected: returns whether a connection to an instance is kept.
-        has_latency: returns whether the latency of the network is part of an instance's pace.
+        is_connected: returns whether a connection to an instance is open.
+        has_latency: returns whether an instance's service time includes the network latency.
     """
 
     def __init__(
@@ -58,13 +58,13 @@
         self._latency = LatencyFactors(clock)
 
     def record_response(self, info: InstanceInfo, seconds: float) -> None:
-        """Records the time from a client's request to its whole response."""
+        """Records the time from a client request to its whole response."""
         self._latency.record(info.service, self._estimates.distance(info), seconds)
 
     def ranked(
         self, service: ServiceName, fitting: list[InstanceInfo], *, for_client: bool
     ) -> list[InstanceInfo]:
-        """Returns the instances that work may go to, the best first."""
+        """Returns the instances, best first."""
         estimates = self._estimates
         factors = self._latency_factors(service, fitting) if for_client else {}
         service_times = {
@@ -92,9 +92,9 @@
     def _latency_factors(
         self, service: ServiceName, fitting: list[InstanceInfo]
     ) -> dict[InstanceId, float]:
-        """Returns how many times as long a response takes as from the nearest that has a place.
+        """Returns the latency factors relative to the nearest instance with a free slot.
 
-        Only instances that are farther than it are named.
+        Contains only instances that are farther away than that one.
         """
         estimates = self._estimates
         distances = {info.id: estimates.distance(info) for info in fitting}
@@ -116,7 +116,7 @@
         }
 
     def _local_service_time(self, instance: InstanceId, latency_factor: float) -> float:
-        """Returns an instance's pace, without the latency if this daemon measured it in."""
+        """Returns an instance's service time, with the network latency removed if included."""
         has_latency = self._has_latency(instance)
         return self._estimates.service_time(instance) / (latency_factor if has_latency else 1.0)
 
--- a/src/larkpost/gateway/proxy/elapsed_time.py
+++ b/src/larkpost/gateway/proxy/elapsed_time.py
@@ -1,18 +1,18 @@
-"""Estimates how long a caller has been trying, from the time that it still waits.
+"""Estimates how long a client has been trying, from the time that it says it still waits.
 
-A caller that was refused comes back with what is left of its time. How long a route's callers wait
-in all is learned from those that have the most time left; what one of them lacks has elapsed. It is
-an estimate: it decides who comes first and what is forecast to be late, never a refusal.
+A refused client retries with the rest of its time. The longest time left that was seen on a route
+is taken as the total time of its clients; what a client has less than that has elapsed. The
+estimate affects the order of requests and which are forecast late, but never refuses one.
 """
 
 from larkpost.common.clock import Clock
 
 WINDOW_SECONDS = 30.0
-"""How long the longest time left is remembered, at least; twice as long at most."""
+"""How long the longest time left is remembered at least; at most it is twice as long."""
 
 
 class ElapsedTimes:
-    """The time that the callers of each route wait in all; remembered in two windows."""
+    """The total time of the clients of each route, tracked in two windows."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -21,10 +21,11 @@
         self._longest_before: dict[str, float] = {}
 
     def elapsed(self, route: str, time_left: float | None) -> float:
-        """Returns the seconds since a caller's first attempt, and remembers its time left.
+        """Returns the estimated seconds since a client's first attempt, and records its time left.
 
         Args:
-            time_left: seconds that the caller said it still waits; None if it said nothing.
+            route: name of the route.
+            time_left: seconds that the client still waits; None if it did not say.
         """
         if time_left is None:
             return 0.0
@@ -34,7 +35,7 @@
         return usual - time_left
 
     def _turn_over(self) -> None:
-        """Begins a new window if the current one is full."""
+        """Starts a new window if the current one is full."""
         age = self._clock.now() - self._window_began
         if age < WINDOW_SECONDS:
             return
--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -1,11 +1,10 @@
-"""In which order requests for one service take their turns, and who lets others go first.
+"""Orders the waiting requests of a service, and holds back those of flows over their share.
 
-The more urgent kind comes first, then those whose tenants are within their shares, then callers who
-have come back before those who come first; among equals those that can still be in time, then
-those whose time ends first.
+The sort keys, in order: priority; flows within their share; retries before first attempts;
+requests that can still meet their objective; earliest deadline; earliest first attempt.
 
-Requests beyond their share also let those go first that wait at other daemons, but never for long:
-what is known of those is some seconds old, and no place stays free for them in vain.
+Requests over their share also yield to requests that wait at other daemons, but only briefly: the
+reports about those are some seconds old, and no slot should stay free for them unused.
 """
 
 from dataclasses import dataclass
@@ -18,25 +17,25 @@
 from larkpost.gateway.proxy.waiter import Waiter
 
 MAX_HOLD_SECONDS = 0.2
-"""How long a request lets those of other daemons go first before it tries once: ten of their polls,
-so that these come first, and not so long that a free place is missed by old news."""
+"""How long a request over its share yields to other daemons' requests before it tries once: long
+enough for them to poll several times."""
 
 
 @dataclass(frozen=True, slots=True)
 class Rank:
-    """Where a request stands among those for its service; the least comes first."""
+    """The rank of a request in its queue; the lowest key comes first."""
 
     key: tuple[int, bool, bool, bool, float, float]
     flow_share: FlowShare | None
 
     @property
     def is_over_share(self) -> bool:
-        """Whether the request is beyond its flow's share."""
+        """Whether the request's flow is over its share."""
         return self.flow_share is not None and self.flow_share.is_over_share
 
 
 class FairOrder:
-    """The order at one moment; shares are worked out once for each group, and for each flow."""
+    """The order at one moment; shares are computed once per group and per flow."""
 
     def __init__(self, ledger: FlowLedger, now: float) -> None:
         self._ledger = ledger
@@ -45,7 +44,7 @@
         self._flow_shares: dict[tuple[Flow, int], FlowShare] = {}
 
     def rank(self, waiter: Waiter, slot_counts: SlotCounts) -> Rank:
-        """Returns where a request stands."""
+        """Returns the rank of a request."""
         flow_share = self._flow_share(waiter, slot_counts)
         key = (
             waiter.priority,
@@ -58,7 +57,7 @@
         return Rank(key, flow_share)
 
     def _flow_share(self, waiter: Waiter, slot_counts: SlotCounts) -> FlowShare | None:
-        """Returns where a request's flow stands; None if shares do not matter for the request."""
+        """Returns the share of a request's flow; None if shares do not apply to the request."""
         if waiter.is_share_exempt or slot_counts.is_mostly_free:
             return None
         known = (waiter.flow, slot_counts.free)
@@ -71,7 +70,7 @@
         return flow_share
 
     def _shares_of(self, group: FlowGroup, free: int) -> GroupShares:
-        """Returns the shares of a group's flows while so many places are free."""
+        """Returns the shares of a group's flows while this many slots are free."""
         known = (group, free)
         if known not in self._shares:
             self._shares[known] = compute_shares(self._ledger.uses(group), free)
@@ -79,13 +78,13 @@
 
 
 class AttemptPermits:
-    """The turns that are given out at one moment to requests for one kind of work.
+    """The attempts permitted at one moment to requests for one kind of work.
 
-    One request tries even if no place is believed free, as the requests of other daemons end
-    without notice.
+    At least one request may try even if no slot is estimated free, as this daemon is not notified
+    of the ends of other daemons' requests.
 
     Args:
-        free: places believed free.
+        free: slots estimated free.
     """
 
     def __init__(self, free: int, now: float) -> None:
@@ -94,10 +93,10 @@
         self._is_yielding = False
 
     def claim(self, waiter: Waiter, rank: Rank) -> bool:
-        """Returns whether a request may try now; they ask in their order.
+        """Returns whether a request may try now; must be called in rank order.
 
-        Behind one that lets others go first no less urgent one may try: it would take their place.
-        Those that are beyond their shares too, and have been held for long, may.
+        Behind a request that yields, only requests that are over their share too and have been
+        held long enough may try: any other would take the slot that was yielded.
         """
         if rank.is_over_share and self._is_held(waiter):
             self._is_yielding = True
@@ -109,7 +108,7 @@
         return True
 
     def _is_held(self, waiter: Waiter) -> bool:
-        """Returns whether a request beyond its share lets others go first at the moment."""
+        """Returns whether a request over its share still yields to others."""
         if waiter.held_since is None:
             waiter.held_since = self._now
         return self._now - waiter.held_since < MAX_HOLD_SECONDS
--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -1,8 +1,8 @@
-"""Forecasts whether a request will be served, from its service's places and its caller's time.
+"""Forecasts whether a request will be served, from the slots of its service and its deadlines.
 
-A response is worth most within the route's objective, counted from the caller's first attempt, less
-until the caller leaves, and nothing after that. So a request that can still be served waits, and
-one that cannot is refused at once. Pure rules: nothing is remembered here.
+A response is most useful within the route's objective, counted from the client's first attempt,
+less useful until the client's deadline, and useless afterwards. So a request that can still be
+served waits, and any other is refused at once. Pure functions without state.
 """
 
 import math
@@ -12,36 +12,36 @@
 from larkpost.gateway.proxy.slot_counting import SlotCounts
 
 MIN_SERVICE_TIME_SHARE = 0.5
-"""A request may need half of what requests take: the smallest of a service do, and a refusal that
-was not necessary costs more than an attempt in vain."""
+"""Share of the service time that a request needs at least, without unit. It is low because an
+unnecessary refusal costs more than a failed attempt."""
 MIN_RETRY_SECONDS = 0.05
-"""A caller that comes back sooner meets the same state: the loads known are as old."""
+"""Minimum retry delay; loads are not known more precisely than this."""
 MAX_RETRY_SECONDS = 1.0
-"""Nothing is forecast further ahead: reported loads and paces are used for about a second."""
+"""Maximum retry delay: reported loads and service times are used for about a second."""
 NO_SLOT_RETRY_SECONDS = 0.5
-"""When to come back to a service without any place: entries of instances take about that long."""
+"""Retry delay for a service without any slot: time for new instances to be listed."""
 MAX_RETRY_SHARE = 1 / 3
-"""Callers wait at most this share of the time that they have left before they come back."""
+"""Maximum retry delay as a share of the time that the client has left, without unit."""
 MILLISECONDS = 1000
-"""Retry times are whole milliseconds, and at least one."""
+"""Milliseconds in a second; retry delays are whole milliseconds."""
 
 
 class Expectation(StrEnum):
     """Whether a request will be served, and when."""
 
     IN_TIME = "in_time"  # within its objective
-    LATE = "late"  # after it, while the caller still waits
+    LATE = "late"  # after the objective, before the deadline
     NOT_AT_ALL = "not_at_all"
 
 
 @dataclass(frozen=True, slots=True)
 class Deadlines:
-    """The times of one request, on the steady clock.
+    """The deadlines of one request, in monotonic time.
 
     Attributes:
-        objective_at: until then a response is worth most.
-        end_at: until then it is worth anything; nothing is sent on afterwards.
-        usual_pace: seconds it takes at a server if nothing is known of their pace.
+        objective_at: end of the route's objective.
+        expires_at: deadline; nothing is sent to a server afterwards.
+        default_service_time: seconds it takes at a server while no service time is known.
     """
 
     objective_at: float
@@ -51,12 +51,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Forecast:
-    """What is expected for one request.
+    """The forecast of one request.
 
     Attributes:
-        wait: seconds until a place is expected free for it.
-        retry_after: seconds after which a caller that is refused should come back.
-        pace: seconds a request takes at a server; 0 if there is no place to wait for.
+        wait: expected seconds until a slot is free for it.
+        retry_after: seconds after which the client should retry if it is refused.
+        service_time: seconds a request takes at a server; 0 if there is no slot to wait for.
     """
 
     expectation: Expectation
@@ -81,10 +81,10 @@
     """Returns the forecast of one request.
 
     Args:
-        ahead: requests that wait here and come first.
-        blocked_for: seconds for which no place was seen to come free; it is expected to go on for
-            as long again, whatever the paces say.
-        share_wait: seconds until its tenant's share has room for it.
+        ahead: requests that wait at this daemon and precede it.
+        blocked_seconds: seconds since a slot was last seen free; the wait is taken to last as long
+            again, whatever the service times say.
+        share_wait: seconds until its flow's share has room for it.
     """
     service_time = slot_counts.service_time or deadlines.default_service_time
     wait = max(share_wait, _wait(slot_counts, service_time, ahead, blocked_seconds))
@@ -102,14 +102,14 @@
 
 
 def forecast_for_unreachable(deadlines: Deadlines, now: float) -> Forecast:
-    """Returns the forecast of a request that reached no server, though it was sent to all."""
+    """Returns the forecast of a request for which every server was unreachable."""
     wait = NO_SLOT_RETRY_SECONDS
     told = retry_after(wait, deadlines.expires_at - now)
     return Forecast(Expectation.NOT_AT_ALL, wait, told, service_time=0.0)
 
 
 def would_miss_objective(slot_counts: SlotCounts, deadlines: Deadlines, now: float) -> bool:
-    """Returns whether a request would be late even if it got a place now."""
+    """Returns whether a request would miss its objective even if it got a slot now."""
     return (
         now + (slot_counts.service_time or deadlines.default_service_time) > deadlines.objective_at
     )
@@ -118,7 +118,7 @@
 def _wait(
     slot_counts: SlotCounts, service_time: float, ahead: int, blocked_seconds: float
 ) -> float:
-    """Returns the seconds until a place comes free, at the rate at which requests end."""
+    """Returns the expected seconds until a slot is free, at the rate at which requests end."""
     if not slot_counts.total:
         return NO_SLOT_RETRY_SECONDS
     missing = slot_counts.taken + ahead + 1 - slot_counts.total
@@ -130,11 +130,11 @@
 def _is_infeasible(
     slot_counts: SlotCounts, deadlines: Deadlines, now: float, least: float, is_untried: bool
 ) -> bool:
-    """Returns whether a request that takes ``least`` seconds or more will not be served.
+    """Returns whether a request that needs at least ``least`` seconds cannot be served in time.
 
     Args:
-        is_untried: whether few places have a request and none was found closed lately: one attempt
-            in vain costs less than a refusal for nothing.
+        is_untried: whether few slots run a request and none was found taken recently. An attempt
+            is then allowed, as a failed one costs less than an unnecessary refusal.
     """
     if now >= deadlines.expires_at or not slot_counts.total:
         return True
@@ -144,15 +144,15 @@
 
 
 def retry_after(wait: float, time_left: float) -> float:
-    """Returns the seconds after which to come back, so that enough of the caller's time is left."""
+    """Returns the retry delay in seconds; it leaves the client enough time for the retry."""
     return floor_to_milliseconds(min(max(MIN_RETRY_SECONDS, wait), max_retry_delay(time_left)))
 
 
 def max_retry_delay(time_left: float) -> float:
-    """Returns the most seconds after which a caller with so much time left should come back."""
+    """Returns the maximum retry delay of a client with ``time_left`` seconds left."""
     return min(MAX_RETRY_SECONDS, time_left * MAX_RETRY_SHARE)
 
 
 def floor_to_milliseconds(seconds: float) -> float:
-    """Returns a time as callers are told it: rounded down to milliseconds, and at least one."""
+    """Returns a time rounded down to whole milliseconds, at least one."""
     return max(1, math.floor(seconds * MILLISECONDS)) / MILLISECONDS
--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -1,15 +1,15 @@
-"""Forwards client requests to servers: attempts within budgets of servers and time.
+"""Forwards client requests to servers, within limits on the number of servers and on time.
 
-A request that may run more than once is tried at a second server when the first has failed or has
-been silent for long; the first whole response wins and the other attempt is cancelled. A request
-that must run at most once goes on to another server only after proof that it did not run.
+An idempotent request is tried at a second server when the first has failed or is slow to respond;
+the first whole response wins and the other attempt is cancelled. A request that must run at most
+once is sent to another server only after proof that it did not run.
 
-A request that no server takes waits in the queue of its service while its forecast says that it can
-still be served; once it says otherwise, the request is refused.
+A request that no server accepts waits in the queue of its service while its forecast says that it
+can still be served, and is refused afterwards.
 
-Here stand only the loops. Whether a request may be tried is decided in `turn_gate`, at which server
-in `server_choice`, and what the outcome means in `retry`; `server_attempt` makes one attempt and
-`outcomes` records it.
+Contains only the attempt loops. `request_scheduler` decides whether a request may be tried,
+`server_choice` at which server, and `retry` what the outcome means; `server_attempt` makes one
+attempt and `outcomes` records it.
 """
 
 import asyncio
@@ -46,17 +46,17 @@
 
     @property
     def waiting(self) -> int:
-        """The requests that wait for a place."""
+        """The number of requests that wait for a slot."""
         return self._scheduler.waiting
 
     async def forward(self, request: ClientRequest, route: Route) -> Response:
-        """Returns a server's response: whole, or open if it is too large to be held.
+        """Returns a server's response: whole, or streamed if it is too large to buffer.
 
         Raises:
             RefusedError: the request did not run.
-            QuarantinedError: it did not run, as servers have crashed under its like.
+            QuarantinedError: it did not run, as servers have crashed on requests like it.
             RequestFailedError: it may have run.
-            RequestTimeoutError: its time is over.
+            RequestTimeoutError: its deadline passed.
         """
         attempts, must_wait = self._scheduler.begin(request, route)
         response = None
@@ -78,13 +78,13 @@
 
     @asynccontextmanager
     async def stream(self, request: ClientRequest, route: Route) -> AsyncIterator[ServerResponse]:
-        """Opens a stream at a server; its events are passed on as they arrive.
+        """Opens a stream at a server; the caller forwards its events as they arrive.
 
         Raises:
             RefusedError: the request did not run.
-            QuarantinedError: it did not run, as servers have crashed under its like.
+            QuarantinedError: it did not run, as servers have crashed on requests like it.
             RequestFailedError: it may have run.
-            RequestTimeoutError: no response began in its time; it may have run.
+            RequestTimeoutError: no response began before its deadline; it may have run.
         """
         attempts, must_wait = self._scheduler.begin(request, route)
         if not await self._scheduler.wait_for_admission(attempts, must_wait=must_wait):
@@ -98,7 +98,7 @@
                     asyncio.timeout_at(attempts.waiter.deadlines.expires_at) as limit,
                     self._attempt.open(instance, attempts) as response,
                 ):
-                    limit.reschedule(None)  # from here on the client decides
+                    limit.reschedule(None)  # once begun, the stream has no deadline
                     self._outcomes.record_started(request, self._clock.now())
                     attempts.record_may_have_run(instance.id)
                     if implies_not_run(response.status, route.kind):
@@ -121,7 +121,7 @@
         return await self._forward_once(attempts)
 
     async def _next_server(self, attempts: Attempts) -> InstanceInfo | None:
-        """Returns the server to try next, once there is one; None if the request is hopeless."""
+        """Waits for the server to try next; returns None if the request is refused."""
         while True:
             instance = self._choice.choose(attempts)
             if instance is not None:
@@ -130,7 +130,7 @@
                 return None
 
     async def _forward_once(self, attempts: Attempts) -> Response | None:
-        """Sends a request on until a server may have run it."""
+        """Tries servers one after the other until one may have run the request."""
         most = _max_servers(attempts)
         while True:
             instance = await self._next_server(attempts)
@@ -141,7 +141,7 @@
                 return response or attempts.last_failure
 
     async def _forward_repeatable(self, attempts: Attempts) -> Response | None:
-        """Sends a request to one server after another, a second one early if the first is slow."""
+        """Tries servers one after the other, and a second one in parallel if the first is slow."""
         most = _max_servers(attempts)
         running: set[asyncio.Task] = set()
         try:
@@ -150,7 +150,7 @@
                     self._choice.choose(attempts) if len(attempts.may_have_run_on) < most else None
                 )
                 if instance is not None:
-                    # Until it is known not to have run, the attempt counts as one that may have.
+                    # The attempt counts as possibly run until it is known not to have run.
                     attempts.record_may_have_run(instance.id)
                     running.add(asyncio.create_task(self._attempt.make(instance, attempts)))
                 elif not running:
@@ -174,6 +174,6 @@
 
 
 def _max_servers(attempts: Attempts) -> int:
-    """Returns at how many servers a request may run, as far as is known when it is first tried."""
+    """Returns the maximum number of servers that may run a request, as known at its first try."""
     route = attempts.route
     return max_servers(route.kind, route.max_attempts, is_trial=attempts.is_trial)
--- a/src/larkpost/gateway/proxy/forwarder_dependencies.py
+++ b/src/larkpost/gateway/proxy/forwarder_dependencies.py
@@ -1,4 +1,4 @@
-"""What the forwarding of client requests relies on."""
+"""The dependencies of the forwarder of client requests."""
 
 import random
 from collections.abc import Callable
@@ -22,22 +22,22 @@
 
 
 def route_priority(_: TenantName | None, route: Route) -> int:
-    """Returns a route's own priority, whoever the tenant is."""
+    """Returns the priority of a route, for any tenant."""
     return route.priority
 
 
 @dataclass(frozen=True, slots=True)
 class ForwarderDependencies:
-    """The parts of a daemon that a forwarder works with.
+    """The components of a daemon that a forwarder uses.
 
     Attributes:
-        shares: choose the service for a route's next request.
-        usage: counts runs for tenants; None if nothing is counted.
-        priority_of: returns how urgent a request is, 0 the most.
-        crashes: the servers that have crashed, and under which requests.
-        trials: lets a quarantined request run once more; None if nothing does.
-        ledger: use by tenant in the fleet; None for that of this daemon alone.
-        chance: spreads what all daemons would else do alike.
+        service_selector: selects the service for a route's next request.
+        usage: counts runs for tenants; None to count nothing.
+        priority_of: returns the priority of a request; 0 is the most urgent.
+        crashes: the servers that crashed, and the requests that they were running.
+        trials: grants trial runs to quarantined requests; None for no trials.
+        ledger: use by flow in the fleet; None to count this daemon only.
+        chance: random generator, seeded differently at each daemon.
     """
 
     directory: InstanceDirectory
--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -1,7 +1,7 @@
-"""What a daemon knows of instances from its own requests.
+"""What a daemon knows about instances from its own requests.
 
-Owns the counts of its requests in flight, the paces that it measured, and the pauses after
-failures. What other daemons report is kept in `peer_use`.
+Owns the counts of its requests in flight, the measured service times, and the times until which
+failed instances are avoided. Reports of other daemons are kept in `peer_use`.
 """
 
 from dataclasses import dataclass, field
@@ -15,29 +15,28 @@
 from larkpost.gateway.servers.port import ServerLoad
 
 LOAD_LIFETIME_SECONDS = 1.0
-"""How long a load that a server reported of itself is used."""
+"""How long a load that a server reported is used."""
 SERVICE_TIME_WEIGHT = 0.25
-"""Share of the newest measurement in an instance's pace, without unit."""
+"""Weight of the newest measurement in an instance's smoothed service time, without unit."""
 SERVICE_TIME_LIFETIME_SECONDS = 4.0
-"""How long a pace that this daemon measured is used."""
+"""How long a service time that this daemon measured is used."""
 FORGET_SECONDS = 60.0
-"""After this long without use the records of instances and daemons that are gone are dropped. It
-only bounds memory, and is longer than anything in them is used."""
+"""Time without use after which the records of removed instances and daemons are dropped. It bounds
+memory, and is longer than any value in them is used."""
 PROBE_SECONDS = 0.15
-"""Pause between two requests to an instance that refuses. Short beside a load of weights, which
-takes about a second."""
+"""Interval between requests to an instance that refuses; short compared to loading weights."""
 SUMMARY_DIGITS = 4
-"""Decimal places of a pace in seconds as it is reported: a tenth of a millisecond."""
+"""Decimal places of a reported service time in seconds."""
 
 
 @dataclass(slots=True)
 class SpeedStats:
-    """What this daemon has learnt of the speed of an instance.
+    """What this daemon has measured of the speed of an instance.
 
     Attributes:
-        slowness: what it said of its slowness in its responses.
-        responses: what whole responses to clients' requests and reward calls took there.
-        events: what events of the streams of items took there.
+        slowness: the slowness that the instance reported in its responses.
+        responses: service times of whole responses to client requests and reward calls.
+        events: service times of events in the streams of items.
     """
 
     slowness: ReportedSlowness = field(default_factory=ReportedSlowness)
@@ -47,21 +46,20 @@
 
 @dataclass(slots=True)
 class InstanceUse:
-    """What this daemon knows of one instance from its own requests; times are steady.
+    """What this daemon knows about one instance from its own requests; times are monotonic.
 
     Attributes:
-        outstanding: this daemon's requests there.
-        others: requests of other daemons there, when the server last reported its load.
+        outstanding: this daemon's requests in flight there.
+        peer_requests: other daemons' requests there, when the server last reported its load.
         load_at: when the server last reported its load.
         is_refusing: whether it refused the last request to which it responded.
-        asked_at: when it was last sent a request while it was refusing.
-        avoid_until: time before which it is only a last resort.
-        pace: seconds a unit of work takes there, smoothed; 0 if unknown.
-        pace_at: when that was last measured.
-        response_at: when the pace last was that of a whole response, which includes the latency of
-            the network.
-        zone: where it is, kept for requests that outlast its entry; None if not known.
-        figures: what is known of its speed for good and at this moment; None if nothing is.
+        probed_at: when it was last sent a request while it was refusing.
+        avoid_until: time until which it is only used as a last resort.
+        service_time: smoothed seconds that a unit of work takes there; 0 if unknown.
+        service_time_at: when the service time was last measured.
+        response_at: when a whole response was last measured, which includes the network latency.
+        zone: its zone, kept for requests that outlive its directory entry; None if unknown.
+        speed_stats: its lasting and current speed; None if nothing is known.
     """
 
     outstanding: int = 0
@@ -77,7 +75,7 @@
     speed_stats: SpeedStats | None = None
 
     def mark_refusing(self, now: float) -> None:
-        """Has the instance asked with one request at a time until it takes one."""
+        """Limits the instance to one probe request at a time until it accepts one."""
         self.is_refusing = True
         self.probed_at = now
 
@@ -101,7 +99,7 @@
         return use
 
     def occupy(self, instance: InstanceId) -> None:
-        """Counts a request at an instance."""
+        """Counts a request in flight at an instance."""
         use = self.record_for(instance)
         use.outstanding += 1
         if use.is_refusing:
@@ -110,11 +108,11 @@
         use.zone = info.zone if info is not None else use.zone
 
     def outstanding_in(self, zone: ZoneId) -> int:
-        """Returns this daemon's requests at a zone's instances, also those that left the list."""
+        """Returns this daemon's requests in a zone, including at instances no longer listed."""
         return sum(use.outstanding for use in self._uses.values() if use.zone == zone)
 
     def record_load(self, instance: InstanceId, load: ServerLoad) -> None:
-        """Records the load that a server reported of itself."""
+        """Records the load that a server reported."""
         use = self.record_for(instance)
         use.peer_requests = max(0, load.running + load.waiting - use.outstanding)
         use.load_at = self._clock.now()
@@ -122,26 +120,26 @@
             self.ensure_speed_stats(instance).slowness.record(use.load_at, load.slowness)
 
     def speed_stats(self, instance: InstanceId) -> SpeedStats | None:
-        """Returns what is known of the speed of an instance; None if nothing is."""
+        """Returns the speed statistics of an instance; None if there are none."""
         use = self._uses.get(instance)
         return use.speed_stats if use is not None else None
 
     def ensure_speed_stats(self, instance: InstanceId) -> SpeedStats:
-        """Returns the figures of an instance, to record in them."""
+        """Returns the speed statistics of an instance, creating them if necessary."""
         use = self.record_for(instance)
         if use.speed_stats is None:
             use.speed_stats = SpeedStats()
         return use.speed_stats
 
     def measured(self) -> list[InstanceId]:
-        """Returns the instances of whose speed something is known."""
+        """Returns the instances that have speed statistics."""
         return [name for name, use in self._uses.items() if use.speed_stats is not None]
 
     def record_service_time(self, instance: InstanceId, seconds: float, weight: float) -> None:
         """Records the time that a unit of work took.
 
         Args:
-            weight: share of this measurement in the smoothed pace.
+            weight: weight of this measurement in the smoothed service time.
         """
         use = self.record_for(instance)
         now = self._clock.now()
@@ -152,39 +150,39 @@
         use.service_time_at = now
 
     def has_recent_load(self, instance: InstanceId) -> bool:
-        """Returns whether the load that the server last reported is still used."""
+        """Returns whether the last reported load is recent enough to be used."""
         return self._clock.now() - self.record_for(instance).load_at < LOAD_LIFETIME_SECONDS
 
     def has_recent_service_time(self, instance: InstanceId) -> bool:
-        """Returns whether the pace that this daemon last measured is still used."""
+        """Returns whether the last measured service time is recent enough to be used."""
         return (
             self._clock.now() - self.record_for(instance).service_time_at
             < SERVICE_TIME_LIFETIME_SECONDS
         )
 
     def has_recent_response(self, instance: InstanceId) -> bool:
-        """Returns whether the pace is one of whole responses, with the network's latency in it."""
+        """Returns whether a whole response, with its network latency, was measured recently."""
         return (
             self._clock.now() - self.record_for(instance).response_at
             < SERVICE_TIME_LIFETIME_SECONDS
         )
 
     def avoid(self, instance: InstanceId, seconds: float) -> None:
-        """Makes an instance a last resort for a while."""
+        """Makes an instance a last resort for some seconds."""
         use = self.record_for(instance)
         use.avoid_until = max(use.avoid_until, self._clock.now() + seconds)
 
     def is_avoided(self, instance: InstanceId) -> bool:
-        """Returns whether an instance is only a last resort at the moment."""
+        """Returns whether an instance is only used as a last resort for now."""
         return self._clock.now() < self.record_for(instance).avoid_until
 
     def was_probed_recently(self, instance: InstanceId) -> bool:
-        """Returns whether an instance that refuses was sent a request a moment ago."""
+        """Returns whether a refusing instance was sent a probe request recently."""
         use = self.record_for(instance)
         return use.is_refusing and self._clock.now() - use.probed_at < PROBE_SECONDS
 
     def summary(self) -> InstanceUsage:
-        """Returns what this daemon reports to the others of its use."""
+        """Returns the summary of this daemon's use that is reported to the other daemons."""
         now = self._clock.now()
         return {
             name: (use.outstanding, round(use.service_time, SUMMARY_DIGITS))
@@ -194,7 +192,7 @@
         }
 
     def forget_unused(self, now: float) -> None:
-        """Drops the records of instances that are gone and were not used for long."""
+        """Drops the records of removed instances that have not been used recently."""
         for instance, use in list(self._uses.items()):
             last = max(use.service_time_at + FORGET_SECONDS, use.avoid_until)
             if not use.outstanding and last < now and self._directory.get(instance) is None:
--- a/src/larkpost/gateway/proxy/latency.py
+++ b/src/larkpost/gateway/proxy/latency.py
@@ -1,7 +1,7 @@
-"""How much longer responses take from servers farther away, as this daemon's own requests show.
+"""Estimates how much longer responses from distant servers take, from this daemon's own requests.
 
-The quickest responses of a service from each distance tell the latency of the network; the others
-tell the load. Owns those measurements; relies on the caller for distances.
+The quickest responses from each distance indicate the network latency; slower ones indicate load.
+Owns these measurements; the caller provides distances.
 """
 
 from dataclasses import dataclass
@@ -15,20 +15,20 @@
     Distance.SAME_REGION: 1.05,
     Distance.OTHER_REGION: 1.5,
 }
-"""How many times as long a response is taken to take until it was measured, without unit. A little,
-so that the nearer of two equal servers is taken, and load and pace decide otherwise."""
+"""Factors on the response time used until it is measured, without unit. They are small, so that they
+decide only between otherwise similar servers."""
 MAX_FACTOR = 4.0
-"""Largest factor, without unit. A single late response must not close a region for long."""
+"""Maximum factor, without unit, so that a single late response does not exclude a region."""
 RISE_WEIGHT = 0.05
-"""Share of a response slower than the usual one, without unit. Small, as the quickest ones tell the
-latency, the others the load."""
+"""Weight of a response slower than the estimate, without unit. Low, as slow responses indicate load
+rather than latency."""
 LIFETIME_SECONDS = 120.0
-"""How long a measurement counts. Servers and links change, and a far one is seldom asked."""
+"""How long a measurement is used; long, as distant servers are seldom measured."""
 
 
 @dataclass(slots=True)
 class _Quickest:
-    """About the quickest responses lately, in seconds, and when the last one came (steady)."""
+    """Estimate of the quickest recent responses in seconds, and when it was updated (monotonic)."""
 
     seconds: float
     at: float
@@ -42,7 +42,7 @@
         self._quickest: dict[tuple[ServiceName, Distance], _Quickest] = {}
 
     def record(self, service: ServiceName, distance: Distance, seconds: float) -> None:
-        """Records the seconds that one whole response took."""
+        """Records the seconds that a whole response took."""
         now = self._clock.now()
         known = self._quickest.get((service, distance))
         if known is None or now - known.at > LIFETIME_SECONDS or seconds < known.seconds:
@@ -52,7 +52,7 @@
         known.at = now
 
     def factor(self, service: ServiceName, distance: Distance, nearest: Distance) -> float:
-        """Returns how many times as long a response takes from a distance as from a nearer one."""
+        """Returns the factor on the response time at a distance relative to a nearer one."""
         if distance <= nearest:
             return 1.0
         far, near = (self._measured(service, place) for place in (distance, nearest))
--- a/src/larkpost/gateway/proxy/outcomes.py
+++ b/src/larkpost/gateway/proxy/outcomes.py
@@ -1,6 +1,6 @@
-"""Records how attempts and requests ended: counters, lines, usage, and what the balancer learns.
+"""Records the outcomes of attempts and requests in metrics, the log, usage and the balancer.
 
-Relies on `retry` for what an ending means; decides only for how long an instance is avoided.
+Relies on `retry` for the meaning of an outcome; decides only how long an instance is avoided.
 """
 
 from larkpost.common.errors import LarkpostError
@@ -15,13 +15,13 @@
 from larkpost.gateway.servers.port import NotRunError
 
 FULL_AVOID_SECONDS = 0.05
-"""For so long a server that was full is a last resort."""
+"""How long a full server is avoided."""
 BROKEN_AVOID_SECONDS = 0.3
-"""For so long a server is a last resort that gave no response to pass on."""
+"""How long a server is avoided after an attempt without a valid response."""
 SILENT_AVOID_SECONDS = 1.0
-"""For so long a server is a last resort that was silent beyond the objective."""
+"""How long a server is avoided after it did not respond within the objective."""
 NOT_SERVED = "not_served"
-"""The outcome of a forecast whose request got no response that counts."""
+"""Outcome of a forecast whose request got no successful response."""
 
 
 class Outcomes:
@@ -35,7 +35,7 @@
         self._usage = dependencies.usage
 
     def record_started(self, request: ClientRequest, at: float) -> None:
-        """Counts a run at a server for its tenant; one that may have begun counts as well."""
+        """Counts a run for its tenant, including one that only may have begun."""
         if self._usage is not None and request.tenant is not None:
             self._usage.record_started(request.tenant, at)
 
@@ -49,7 +49,7 @@
         self._balancer.record_not_run(instance.id, error.reason, FULL_AVOID_SECONDS)
 
     def record_broken(self, instance: InstanceInfo, attempts: Attempts, reason: str) -> None:
-        """Records that a server gave no response that may be passed on now."""
+        """Records that a server gave no valid response."""
         attempts.record_may_have_run(instance.id)
         self._metrics.count(Count.ATTEMPTS, instance.service, "broken")
         self._balancer.avoid(instance.id, BROKEN_AVOID_SECONDS)
@@ -62,7 +62,7 @@
         )
 
     def record_cancelled(self, instance: InstanceInfo, attempts: Attempts, started: float) -> None:
-        """Records an attempt that was cancelled: its server is slower than it then had time for."""
+        """Records a cancelled attempt; its duration is a lower bound of the service time."""
         attempts.record_may_have_run(instance.id)
         elapsed = self._clock.now() - started
         self._balancer.record_service_time(instance.id, elapsed)
@@ -70,11 +70,11 @@
             self._balancer.avoid(instance.id, SILENT_AVOID_SECONDS)
 
     def record_response(self, instance: InstanceInfo) -> None:
-        """Counts an attempt whose response is passed on."""
+        """Counts an attempt whose response is returned to the client."""
         self._metrics.count(Count.ATTEMPTS, instance.service, "answered")
 
     def record_done(self, attempts: Attempts, status: int) -> None:
-        """Records a request whose caller gets a server's response."""
+        """Records a request that got a server's response."""
         request, route = attempts.request, attempts.route
         held = self._clock.now() - request.received_at
         self._metrics.count(Count.REQUESTS, route.name, "answered")
@@ -93,13 +93,13 @@
         )
 
     def record_forecast_served(self, attempts: Attempts, status: int) -> None:
-        """Counts what became of a forecast whose request a server has responded to."""
+        """Counts the outcome of a forecast whose request got a response."""
         in_time = self._clock.now() <= attempts.waiter.deadlines.objective_at
         outcome = "in_time" if in_time else "late"
         self._count_forecast(attempts, NOT_SERVED if status >= MIN_ERROR_STATUS else outcome)
 
     def failure(self, attempts: Attempts, *, timed_out: bool) -> LarkpostError:
-        """Returns the error that a request ends in, and records it."""
+        """Records a failed request, and returns its error."""
         request, route = attempts.request, attempts.route
         error = final_error(
             UnservedRequest(
--- a/src/larkpost/gateway/proxy/peer_use.py
+++ b/src/larkpost/gateway/proxy/peer_use.py
@@ -1,4 +1,4 @@
-"""What the other daemons report of their use of instances, and for how long it is believed."""
+"""The use of instances that other daemons report, and how long the reports are valid."""
 
 from dataclasses import dataclass
 
@@ -8,20 +8,20 @@
 from larkpost.gateway.proxy.instance_use import FORGET_SECONDS
 
 PEER_LIFETIME_SECONDS = 1.2
-"""How long the requests that another daemon reported are counted."""
+"""How long the requests in a report of another daemon are counted."""
 PEER_SERVICE_TIME_LIFETIME_SECONDS = 12.0
-"""How long a pace that another daemon reported is used. Longer than one's own, as it is used only
-where there is none of one's own."""
+"""How long a service time in a report of another daemon is used. Longer than for this daemon's own,
+as it is used only where there is none of its own."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerUse:
-    """What another daemon reported of its use of one instance.
+    """Another daemon's report about its use of one instance.
 
     Attributes:
-        requests: its requests there.
-        pace: seconds a unit of work takes there; 0 if it does not know.
-        at: steady time of the report.
+        requests: its requests in flight there.
+        service_time: seconds that a unit of work takes there; 0 if unknown.
+        at: monotonic time of the report.
     """
 
     requests: int
@@ -35,15 +35,16 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._peers: dict[InstanceId, dict[DaemonId, PeerUse]] = {}
-        """For each instance, only the daemons that use it: most daemons use few."""
+        """By instance and daemon; contains only instances that the daemon uses."""
 
     def __len__(self) -> int:
         return len(self._peers)
 
     def record(self, daemon: DaemonId, summary: InstanceUsage) -> None:
-        """Records a daemon's report in place of the one before.
+        """Records a daemon's report, which replaces its previous one.
 
-        Of instances that it uses no longer, the paces are kept for a while.
+        The service times of instances that it no longer uses are kept for
+        `PEER_SERVICE_TIME_LIFETIME_SECONDS`.
         """
         now = self._clock.now()
         for instance, (requests, service_time) in summary.items():
@@ -60,7 +61,7 @@
                 del self._peers[instance]
 
     def requests(self, instance: InstanceId) -> int:
-        """Returns the other daemons' requests at an instance, as far as they reported lately."""
+        """Returns the other daemons' requests at an instance, from recent reports."""
         now = self._clock.now()
         return sum(
             peer.requests
@@ -69,7 +70,7 @@
         )
 
     def service_time(self, instance: InstanceId) -> float:
-        """Returns the newest reported pace in seconds; 0 if none was reported lately."""
+        """Returns the newest reported service time in seconds; 0 if there is no recent one."""
         now = self._clock.now()
         reported = [
             (peer.at, peer.service_time)
@@ -79,7 +80,7 @@
         return max(reported, default=(0.0, 0.0))[1]
 
     def forget_old(self, now: float) -> None:
-        """Drops the reports of daemons that have reported nothing for long."""
+        """Drops reports older than `FORGET_SECONDS`."""
         for instance, peers in list(self._peers.items()):
             for daemon in [name for name, peer in peers.items() if now - peer.at > FORGET_SECONDS]:
                 del peers[daemon]
--- a/src/larkpost/gateway/proxy/ranking.py
+++ b/src/larkpost/gateway/proxy/ranking.py
@@ -1,7 +1,7 @@
-"""The order in which the instances that may take a request are tried.
+"""Orders the candidate instances for a request.
 
-A pure rule: `rank` sorts typed records; who fills them in is the balancer. Each candidate brings
-its own random number, drawn once, so that daemons which know the same do not all choose alike.
+Pure functions over records that `candidate_order` fills in. Each candidate carries its own random
+tie-break, so that daemons with the same view do not all choose the same instance.
 """
 
 from collections.abc import Iterable
@@ -10,27 +10,27 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 
 MAX_SERVICE_TIME_RATIO = 8.0
-"""By how much slower than the fastest an instance is taken to be at most, without unit. It bounds
-what a single outlier does."""
+"""Upper bound on an instance's service time relative to the fastest, without unit; it limits the
+effect of an outlier."""
 NEW_CONNECTION_FACTOR = 1.2
-"""By how much longer the wait counts at an instance to which no connection is kept, without unit.
+"""Factor on the expected wait at an instance without an open connection, without unit.
 
-More than the paces of equal servers differ by chance, less than one request more in a queue of
-five (6/5) does: a new connection costs a server time, but not as much as a request.
+It exceeds the random variation between equal servers, and costs less than one more request in a
+queue of five.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """An instance that may take a request, and all that its place in the order depends on.
+    """An instance that may take a request, with everything that its rank depends on.
 
     Attributes:
-        is_avoided: whether it failed or refused a moment ago.
-        is_cold: whether it is cold and gets few requests.
-        occupied: requests believed to be there, of all daemons.
-        pace: seconds a unit of work takes there; 0 if unknown.
-        latency_factor: how many times as long a response takes because of the distance.
-        connection_factor: how many times as long it takes because a connection must be opened.
+        is_avoided: whether it failed or refused a request recently.
+        is_cold: whether it is cold and should get few requests.
+        occupied: estimated requests there, from all daemons.
+        service_time: seconds that a unit of work takes there; 0 if unknown.
+        latency_factor: factor on the response time due to network distance.
+        connection_factor: factor on the response time due to opening a connection.
         tie_break: random number from 0 to 1.
     """
 
@@ -45,19 +45,19 @@
 
 
 def rank(candidates: Iterable[Candidate], best_service_time: float) -> list[InstanceInfo]:
-    """Returns the instances, the best first.
+    """Returns the instances, best first.
 
     Args:
-        best_pace: seconds a unit of work takes at the fastest; 0 if no pace is known.
+        best_service_time: the lowest known service time in seconds; 0 if none is known.
     """
     ordered = sorted(candidates, key=lambda candidate: _order(candidate, best_service_time))
     return [candidate.instance for candidate in ordered]
 
 
 def expected_wait(candidate: Candidate, best_service_time: float) -> float:
-    """Returns how long a request takes at a candidate, in units of the fastest one's pace.
+    """Returns the expected response time at a candidate, relative to the best service time.
 
-    Where a pace is unknown the instance counts as fast as the fastest.
+    An instance with an unknown service time counts as the fastest.
     """
     ratio = 1.0
     if candidate.service_time and best_service_time:
@@ -66,7 +66,7 @@
 
 
 def connection_factor(*, is_connected: bool) -> float:
-    """Returns how many times as long a response takes because of its connection."""
+    """Returns the factor on the response time due to opening a connection."""
     return 1.0 if is_connected else NEW_CONNECTION_FACTOR
 
 
--- a/src/larkpost/gateway/proxy/reported_service_times.py
+++ b/src/larkpost/gateway/proxy/reported_service_times.py
@@ -1,6 +1,6 @@
-"""The lasting paces that other daemons report with their heartbeats, and for how long they hold.
+"""The lasting service times that other daemons report with their heartbeats.
 
-A pace outlasts the silence of its reporter, and ends with its instance.
+A report stays valid after its daemon stops reporting, and is dropped with its instance.
 """
 
 import statistics
@@ -11,20 +11,20 @@
 from larkpost.gateway.blackboard.directory import InstanceDirectory
 
 REPORT_LIFETIME_SECONDS = 180.0
-"""How long a reported pace is used."""
+"""How long a reported service time is used."""
 FRESH_REPORT_SECONDS = 4.0
-"""How long a reported pace counts before what one has measured oneself earlier."""
+"""How long a reported service time takes precedence over this daemon's older measurements."""
 MAX_REPORTERS = 5
-"""Daemons whose pace of one instance is kept, those that reported last: enough for a median that
-one of them can't move."""
+"""Maximum number of reports kept per instance, the newest ones; enough for a median that a single
+outlier cannot shift."""
 
 
 class _Reported(NamedTuple):
-    """A pace that a daemon reported.
+    """A service time that a daemon reported.
 
     Attributes:
-        at: steady time of the report.
-        seconds: the pace.
+        at: monotonic time of the report.
+        seconds: the service time.
     """
 
     at: float
@@ -32,7 +32,7 @@
 
 
 class ReportedServiceTimes:
-    """The newest reports on each instance."""
+    """The newest reports about each instance."""
 
     def __init__(self, directory: InstanceDirectory, clock: Clock) -> None:
         self._directory = directory
@@ -44,17 +44,17 @@
         return len(self._reported)
 
     def record(self, daemon: DaemonId, service_times: dict[InstanceId, float]) -> None:
-        """Records what a daemon reports; of instances that are not listed here, nothing."""
+        """Records a daemon's report; ignores instances that are not in the directory."""
         for instance, seconds in service_times.items():
             if seconds > 0 and self._directory.get(instance) is not None:
                 self._keep(instance, daemon, seconds)
 
     def fresh(self, instance: InstanceId) -> float:
-        """Returns the median of what was reported in the last seconds; 0 if nothing was."""
+        """Returns the median of the fresh reports in seconds; 0 if there are none."""
         return self._median(instance, FRESH_REPORT_SECONDS)
 
     def service_time(self, instance: InstanceId) -> float:
-        """Returns the median of what was reported of an instance, in seconds; 0 if nothing was."""
+        """Returns the median of the valid reports in seconds; 0 if there are none."""
         return self._median(instance, REPORT_LIFETIME_SECONDS)
 
     def _median(self, instance: InstanceId, lifetime: float) -> float:
@@ -67,7 +67,7 @@
         return statistics.median_low(seconds) if seconds else 0.0
 
     def forget_old(self, now: float) -> None:
-        """Drops what is used no longer."""
+        """Drops expired reports."""
         for instance, reports in list(self._reported.items()):
             if now - max(reports.values()).at >= REPORT_LIFETIME_SECONDS:
                 del self._reported[instance]
--- a/src/larkpost/gateway/proxy/request.py
+++ b/src/larkpost/gateway/proxy/request.py
@@ -1,4 +1,4 @@
-"""A client's request, its whole response, and the errors in which it may end."""
+"""A client request, its response, and the errors that it may end in."""
 
 import asyncio
 from collections import deque
@@ -16,7 +16,7 @@
 
 
 class RefusedError(LarkpostError):
-    """The request did not run and will not; the client may come back."""
+    """The request did not run and will not; the client may retry."""
 
     code = "refused"
     status = 503
@@ -24,7 +24,7 @@
 
 
 class QuarantinedError(LarkpostError):
-    """The request did not run and will not: servers have crashed under its like."""
+    """The request did not run and will not: servers have crashed on requests like it."""
 
     code = "quarantined"
     status = 503
@@ -35,7 +35,7 @@
 
 
 class RequestFailedError(LarkpostError):
-    """No whole response came; the request may have run."""
+    """No whole response arrived; the request may have run."""
 
     code = "request_failed"
     status = 502
@@ -43,7 +43,7 @@
 
 
 class RequestTimeoutError(LarkpostError):
-    """The time of the request is over; it may have run."""
+    """The deadline of the request passed; it may have run."""
 
     code = "request_timeout"
     status = 504
@@ -52,14 +52,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A client's request, read whole.
+    """A complete client request.
 
     Attributes:
-        received_at: steady time at which its head was read.
-        time_left: seconds the client still waited then, or None if it did not say.
-        tenant: whose request it is; None if it is no tenant's.
+        received_at: monotonic time at which its head was read.
+        time_left: seconds that the client was still waiting then; None if it did not say.
+        tenant: tenant of the request; None if it belongs to none.
         regions: the only regions in which it may be served; None for all.
-        memory: what is held for it.
+        memory: memory reserved for it.
     """
 
     request_id: bytes
@@ -86,13 +86,13 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamedResponse:
-    """A server's response that is too large to be held whole; leaving it ends the call.
+    """A server's response that is too large to buffer; leaving its context ends the call.
 
     Attributes:
-        begun: what was read of the body, in order.
-        rest: what follows; see `ServerResponse.chunks`.
-        reservation: the bytes that are held for it.
-        call: the call at the server, which is under way.
+        buffered: the chunks of the body read so far, in order.
+        rest: the remaining chunks; see `ServerResponse.chunks`.
+        reservation: memory reserved for it.
+        call: the call to the server, still in progress.
         instance: the server.
     """
 
@@ -111,7 +111,7 @@
         await self.call.__aexit__(*error)
 
     async def abandon(self) -> None:
-        """Ends the call as one that was given up: its server has not answered in full."""
+        """Cancels the call, as the server has not responded in full."""
         self.reservation.release()
         given_up = asyncio.CancelledError()
         await self.call.__aexit__(asyncio.CancelledError, given_up, None)
--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -1,14 +1,15 @@
-"""Client requests that found no place, in one queue for each service.
+"""Queues of client requests that found no free slot, one for each service.
 
-`fair_order` says who comes first. A request is called when its turn has come to try the servers, or
-at once if its forecast has turned hopeless.
+`fair_order` defines the order. A request leaves its queue when its turn to try the servers comes,
+or as soon as its forecast becomes infeasible.
 
-A queue moves when a request of this daemon ends at the service, and by a timer, as the requests of
-others end without notice. Then one request tries, or as many as there are places believed free.
+A queue is dispatched when a request of this daemon ends at the service, and by a timer, as this
+daemon is not notified of the ends of other daemons' requests. Each dispatch lets one request try,
+or as many as there are slots estimated free.
 
-A request counts for the shares of tenants only while its service's shortage lasts.
+A waiting request counts towards the shares of flows only during a persistent shortage.
 
-Owns the queues; relies on a survey for the places of a service and on `forecast` for the rules.
+Owns the queues; relies on `slot_counting` for the slots of a service and on `forecast`.
 """
 
 import asyncio
@@ -30,29 +31,28 @@
 from larkpost.gateway.proxy.waiter import Waiter
 
 POLL_INTERVAL_SECONDS = 0.02
-"""Between two tries at servers that were full: a tenth of the shortest objectives, and less than
-what requests take there."""
+"""Interval between dispatches while servers are full."""
 SLOTS_PER_POLL = 2000
-"""Beyond so many places of a service its queue is polled less often: each poll counts them all."""
+"""Above this many slots a queue is polled less often, as each poll counts all of them."""
 BLOCKED_LIFETIME_SECONDS = 1.0
-"""How long it is believed, without a further attempt, that no place comes free."""
+"""How long the observation that no slot is free stays valid."""
 
 Survey = Callable[[ServiceName, Work], SlotCounts]
 
 
 def poll_interval(slot_counts: int) -> float:
-    """Returns the seconds between two polls of the queue of a service with so many places."""
+    """Returns the seconds between two polls of a queue whose service has this many slots."""
     return POLL_INTERVAL_SECONDS * max(1.0, slot_counts / SLOTS_PER_POLL)
 
 
 @dataclass(frozen=True, slots=True)
 class QueueForecast:
-    """What a request that has just come may expect.
+    """The forecast of a new request.
 
     Attributes:
-        must_wait: whether others come before it.
-        is_over: whether it is beyond its flow's share, and others wait below theirs.
-        places: those of its service that the forecast is made from.
+        must_wait: whether other requests precede it.
+        is_over_share: whether its flow is over its share while others wait below theirs.
+        slot_counts: the slots of its service that the forecast is based on.
     """
 
     forecast: Forecast
@@ -63,12 +63,12 @@
 
 @dataclass(slots=True)
 class _Queue:
-    """The requests that wait for one service; times are steady.
+    """The requests that wait for one service; times are monotonic.
 
     Attributes:
-        blocked_since: when a request first found no place, since one was last seen to be free.
-        seen_at: when that was last found to be so.
-        places: of the service, at the last poll.
+        blocked_since: when a request first found no slot, since one was last seen free.
+        blocked_seen_at: when that was last observed.
+        total_slots: slots of the service at the last poll.
     """
 
     waiters: list[Waiter] = field(default_factory=list)
@@ -79,10 +79,10 @@
 
 
 class _Line:
-    """Those that come before a request at one moment.
+    """The requests that precede another one in its queue, at one moment.
 
     Args:
-        blocked_for: seconds for which no place was seen to come free.
+        blocked_seconds: seconds since a slot was last seen free.
     """
 
     def __init__(self, now: float, blocked_seconds: float) -> None:
@@ -92,17 +92,17 @@
         self._blocked_for = blocked_seconds
 
     def add(self, waiter: Waiter) -> None:
-        """Adds a request at the end."""
+        """Appends a request."""
         self.length += 1
         self._of_flow[waiter.flow] += 1
 
     def forecast(
         self, waiter: Waiter, rank: Rank, slot_counts: SlotCounts, waiting_elsewhere: int
     ) -> Forecast:
-        """Returns the forecast of a request at the end; it remembers where its flow stands.
+        """Returns the forecast of a request behind these, and records its flow's share in it.
 
         Args:
-            elsewhere: requests of its flow that come before it at other daemons.
+            waiting_elsewhere: requests of its flow that precede it at other daemons.
         """
         share_wait = 0.0
         if rank.is_over_share:
@@ -119,7 +119,7 @@
     """The queues of all services.
 
     Args:
-        ledger: use by flow, which shares are worked out from.
+        ledger: usage by flow, from which the shares are computed.
     """
 
     def __init__(self, clock: Clock, count_slots: Survey, ledger: FlowLedger) -> None:
@@ -133,10 +133,10 @@
         return sum(len(queue.waiters) for queue in self._queues.values())
 
     def forecast(self, waiter: Waiter, slot_counts: SlotCounts | None = None) -> QueueForecast:
-        """Returns what a request may expect that is not in its queue.
+        """Returns the forecast of a request that is not in its queue.
 
         Args:
-            places: those of its service, if they were counted at this moment.
+            slot_counts: the slots of its service, if they have just been counted.
         """
         now = self._clock.now()
         slot_counts = slot_counts or self._survey(waiter.service, waiter.work)
@@ -155,7 +155,7 @@
         return QueueForecast(forecast, must_wait, rank.is_over_share, slot_counts)
 
     async def wait_for_turn(self, waiter: Waiter) -> Forecast:
-        """Waits until a request may try the servers, or is hopeless."""
+        """Waits until a request may try the servers or its forecast becomes infeasible."""
         queue = self._queues.setdefault(waiter.service, _Queue())
         now = self._clock.now()
         if now - queue.seen_at > BLOCKED_LIFETIME_SECONDS:
@@ -177,16 +177,16 @@
                 queue.waiters.remove(waiter)
 
     def record_slot_found(self, service: ServiceName) -> None:
-        """Records that a server of a service had a place."""
+        """Records that a server of a service accepted a request."""
         self._shortage.record_slot_granted(service)
         queue = self._queues.get(service)
         if queue is not None:
             queue.blocked_since = queue.seen_at = float("-inf")
 
     def record_release(self, service: ServiceName) -> None:
-        """Records that a request of this daemon has ended at a service.
+        """Dispatches a queue when a request of this daemon ends at its service.
 
-        The queue of a large service waits for its next poll: each poll counts all places.
+        The queue of a large service waits for its next poll, as each dispatch counts all slots.
         """
         queue = self._queues.get(service)
         if queue is not None and queue.waiters and queue.slot_counts <= SLOTS_PER_POLL:
@@ -198,7 +198,7 @@
             self._move(queue)
 
     def _move(self, queue: _Queue) -> None:
-        """Calls those whose turn it is, and those that have become hopeless."""
+        """Wakes the requests whose turn has come, and those that became infeasible."""
         now = self._clock.now()
         self._update_shortage(queue, now)
         surveys = {
@@ -214,7 +214,7 @@
         line = _Line(now, self._blocked_for(queue, now))
         for waiter in sorted(queue.waiters, key=lambda other: ranks[other].key):
             slot_counts, rank = surveys[waiter.work], ranks[waiter]
-            # Of those that wait at other daemons, half came before this one on the average.
+            # On average, half of those that wait at other daemons precede this one.
             waiting_elsewhere = self._waiting_elsewhere(waiter, rank) // 2
             forecast = line.forecast(waiter, rank, slot_counts, waiting_elsewhere)
             if forecast.is_infeasible:
@@ -227,26 +227,26 @@
                     waiter.turn.set_result(forecast)
 
     def _count_if_short(self, waiter: Waiter) -> None:
-        """Counts a waiting request for the shares once its service's places do not suffice."""
+        """Counts a waiting request towards the shares once the shortage of slots is persistent."""
         if waiter.share_count is None and self._shortage.is_persistent(waiter.service):
             waiter.share_count = ExitStack()
             waiter.share_count.enter_context(self._ledger.waiting(waiter.flow))
 
     def _end_count(self, waiter: Waiter) -> None:
-        """Ends the count of a request that waits no longer."""
+        """Stops counting a request that no longer waits."""
         if waiter.share_count is not None:
             waiter.share_count.close()
             waiter.share_count = None
 
     def _update_shortage(self, queue: _Queue, now: float) -> None:
-        """Records those whose objective is over, and counts those that wait in a shortage."""
+        """Records requests that missed their objective, and counts those in a shortage."""
         for waiter in queue.waiters:
             if now > waiter.deadlines.objective_at:
                 self._record_missed(waiter)
             self._count_if_short(waiter)
 
     def _record_missed(self, waiter: Waiter) -> None:
-        """Records, once, that a request finds no place in its time."""
+        """Records, once per request, that it gets no slot within its objective."""
         if waiter.missed_objective:
             return
         waiter.missed_objective = True
@@ -255,7 +255,7 @@
             self._ledger.record_shortage(waiter.service)
 
     def _waiting_elsewhere(self, waiter: Waiter, rank: Rank) -> int:
-        """Returns the requests of the same flow that are known to wait at other daemons."""
+        """Returns how many requests of the same flow wait at other daemons, as last reported."""
         if rank.flow_share is None:
             return 0
         return rank.flow_share.waiting - self._ledger.own_use(waiter.flow).waiting
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -1,10 +1,10 @@
-"""Decides whether a client request may be tried at a server now, must wait, or is refused.
+"""Decides whether a client request is sent to a server now, waits in a queue, or is refused.
 
-In this order: a quarantined request needs a trial; one that reached no server is refused, and one
-that cannot be served in its time; one that others come before, or that found no place, waits in its
-queue, and is refused once it can no longer be served in its time.
+The checks, in order: a quarantined request needs a trial; a request that could reach no server, or
+that cannot be served before its deadline, is refused; a request that others precede, or that found
+no free slot, waits in its queue until it is sent or its forecast becomes infeasible.
 
-Owns the queues, the estimates of callers' times, and the times that refused callers are told.
+Owns the queues, the estimates of elapsed client time, and the retry times of refused requests.
 """
 
 import asyncio
@@ -31,26 +31,25 @@
 from larkpost.gateway.proxy.waiter import Waiter
 
 DEFAULT_SERVICE_TIME_SHARE = 0.25
-"""Share of the objective that a request is taken to need where no pace is known: objectives leave
-room for a few requests one after the other."""
+"""Share of the objective assumed as the service time while none is known."""
 
 
 class SchedulingDecision(StrEnum):
-    """What happens to a request next."""
+    """The next step for a request."""
 
-    TRY = "try"  # it is tried at a server now
-    WAIT = "wait"  # it waits in the queue of its service
+    TRY = "try"  # send it to a server now
+    WAIT = "wait"  # put it into the queue of its service
     REFUSE = "refuse"
 
 
 @dataclass(frozen=True, slots=True)
 class SchedulingInputs:
-    """What a request's turn depends on.
+    """The inputs of a scheduling decision.
 
     Attributes:
-        are_all_unreachable: whether each server that it was sent to could not be reached.
-        is_hopeless: whether its forecast says that it cannot be served in its time.
-        must_wait: whether others come before it, or it found no place.
+        are_all_unreachable: whether every server that it was sent to was unreachable.
+        is_infeasible: whether its forecast says that it cannot be served before its deadline.
+        must_wait: whether other requests precede it, or it found no free slot.
     """
 
     are_all_unreachable: bool
@@ -59,10 +58,10 @@
 
 
 def decide_scheduling(inputs: SchedulingInputs) -> SchedulingDecision:
-    """Returns whether a request that is not quarantined is tried now, waits, or is refused.
+    """Returns the next step for a request that is not quarantined.
 
-    One that reached no server is refused although it has time left: no place comes free by waiting
-    here, but another daemon may reach the servers.
+    A request that reached no server is refused even if it has time left: waiting here frees no
+    slot, but another daemon may reach the servers.
     """
     if inputs.are_all_unreachable or inputs.is_infeasible:
         return SchedulingDecision.REFUSE
@@ -70,7 +69,7 @@
 
 
 class RequestScheduler:
-    """Lets requests through to the servers, one after the other."""
+    """Admits, queues and refuses the client requests of one daemon."""
 
     def __init__(self, dependencies: ForwarderDependencies) -> None:
         self._dependencies = dependencies
@@ -86,18 +85,18 @@
 
     @property
     def waiting(self) -> int:
-        """The requests that wait for a place."""
+        """The number of requests that wait for a slot."""
         return len(self._queues)
 
     def begin(self, request: ClientRequest, route: Route) -> tuple[Attempts, bool]:
-        """Returns a request's attempts with their forecast, and whether others come before it."""
+        """Returns the attempts of a new request with its forecast, and whether it must wait."""
         waiter = self._waiter(request, route)
         prospect = self._prospect(request, waiter)
         attempts = Attempts(request, route, waiter, prospect.forecast, prospect.forecast)
         return attempts, prospect.must_wait
 
     async def wait_for_admission(self, attempts: Attempts, *, must_wait: bool) -> bool:
-        """Waits for a request's turn if it must; returns whether it may be served at all."""
+        """Waits for a request's turn if necessary; returns whether it may be sent to a server."""
         if self.is_quarantined(attempts) and not await self._claim_trial(attempts):
             self._return_credit(attempts.waiter)
             return False
@@ -121,7 +120,7 @@
         return False
 
     def is_quarantined(self, attempts: Attempts) -> bool:
-        """Returns whether a request must go to no server now, as others crashed under its like."""
+        """Returns whether no server may get a request, as servers crashed on requests like it."""
         if attempts.is_trial:
             return False
         is_quarantined = self._dependencies.crashes.is_quarantined(
@@ -133,24 +132,24 @@
         return is_quarantined
 
     def running(self, waiter: Waiter) -> AbstractContextManager[None]:
-        """Counts a request's use of a place at a server."""
+        """Counts a request in its flow's usage while it occupies a slot."""
         return self._ledger.running(waiter.flow)
 
     def record_slot_found(self, waiter: Waiter) -> None:
-        """Records that a server had a place for a request."""
+        """Records that a server accepted a request."""
         self._queues.record_slot_found(waiter.service)
         self._starvation_guard.record_slot_granted(
             waiter.flow, is_share_exempt=waiter.is_share_exempt
         )
 
     def record_released(self, instance: InstanceId) -> None:
-        """Records that a request of this daemon has ended at an instance."""
+        """Records that a request of this daemon ended at an instance."""
         info = self._dependencies.directory.get(instance)
         if info is not None:
             self._queues.record_release(info.service)
 
     async def _wait(self, attempts: Attempts) -> None:
-        """Waits for a request's turn; one whose caller leaves meanwhile gives its credit back."""
+        """Waits for a request's turn; refunds its credit if the client disconnects meanwhile."""
         try:
             attempts.forecast = await self._queues.wait_for_turn(attempts.waiter)
         except asyncio.CancelledError:
@@ -159,7 +158,7 @@
         attempts.reset_refusals()
 
     async def _claim_trial(self, attempts: Attempts) -> bool:
-        """Claims for a quarantined request that it may be sent to one server all the same."""
+        """Claims a trial run at one server for a quarantined request; returns whether it has one."""
         if self._dependencies.trials is None or attempts.may_have_run_on:
             return False
         if await self._dependencies.trials.claim(attempts.request):
@@ -167,7 +166,7 @@
         return attempts.is_trial
 
     def _prospect(self, request: ClientRequest, waiter: Waiter) -> QueueForecast:
-        """Returns what a request may expect, after a look at how few of its flow are served."""
+        """Returns the forecast of a new request; the starvation guard may exempt it first."""
         prospect = self._queues.forecast(waiter)
         waiter.is_share_exempt = self._starvation_guard.admit(
             waiter.flow, is_over_share=prospect.is_over_share
@@ -178,7 +177,7 @@
         return self._queues.forecast(waiter, prospect.slot_counts)
 
     def _refuse(self, attempts: Attempts) -> None:
-        """Sets when a refused caller should come back, if it is for places that come free."""
+        """Refunds the credit of a refused request and sets when its client should retry."""
         waiter = attempts.waiter
         self._return_credit(waiter)
         if attempts.forecast.service_time:
@@ -186,12 +185,12 @@
         self._share_record.record(attempts.request, waiter, ShareOutcome.REFUSED)
 
     def _return_credit(self, waiter: Waiter) -> None:
-        """Gives the credit back of a request that was let through and finds no place."""
+        """Refunds the credit of an exempted request that got no slot."""
         if waiter.is_share_exempt:
             self._starvation_guard.refund_credit(waiter.flow)
 
     def _waiter(self, request: ClientRequest, route: Route) -> Waiter:
-        """Returns what a request wants."""
+        """Returns the queue entry of a request."""
         elapsed = self._elapsed_times.elapsed(route.name, request.time_left)
         return Waiter(
             self._dependencies.service_selector.choose(route),
@@ -208,10 +207,10 @@
 
 
 def _limits(request: ClientRequest, route: Route, elapsed: float) -> Deadlines:
-    """Returns a request's times; the objective counts from its caller's first attempt.
+    """Returns the deadlines of a request; the objective counts from the client's first attempt.
 
     Args:
-        elapsed: seconds since the first attempt.
+        elapsed: seconds since the client's first attempt.
     """
     time_left = route.time_limit
     if request.time_left is not None:
--- a/src/larkpost/gateway/proxy/response_body.py
+++ b/src/larkpost/gateway/proxy/response_body.py
@@ -1,4 +1,4 @@
-"""Reads the body of a server's response, as far as it may be held."""
+"""Reads the body of a server's response, up to the memory limit for one response."""
 
 from collections import deque
 from collections.abc import AsyncIterator
@@ -9,13 +9,13 @@
 async def read_until_limit(
     chunks: AsyncIterator[bytes], reservation: Reservation
 ) -> tuple[deque[bytes], bool]:
-    """Reads a body; returns what was read, and whether that is all of it.
+    """Reads a body; returns the chunks read, and whether the body is complete.
 
-    Reading ends early once the body is larger than one answer may be now. What was read is reserved
-    then, and released if the body breaks off.
+    Stops early once the body exceeds the current memory share of one response. The chunks read stay
+    reserved, and are released if the body is cut off.
 
     Raises:
-        BrokenResponseError: the body broke off.
+        BrokenResponseError: the body was cut off.
     """
     buffered: deque[bytes] = deque()
     try:
@@ -32,7 +32,7 @@
 
 
 def join_chunks(chunks: deque[bytes]) -> bytes | bytearray:
-    """Joins the chunks of a body and drops each as it goes, so that no body is held twice."""
+    """Joins the chunks of a body, dropping each one as it is copied to avoid a second full copy."""
     if len(chunks) <= 1:
         return chunks.popleft() if chunks else b""
     body = bytearray()
--- a/src/larkpost/gateway/proxy/retry.py
+++ b/src/larkpost/gateway/proxy/retry.py
@@ -1,7 +1,7 @@
-"""What the outcome of an attempt means: another attempt, a response, or an error.
+"""Maps the outcome of an attempt to another attempt, a response, or an error.
 
-Pure rules. A request that may run more than once is sent to as many servers as its route allows;
-any other goes on to another server only after proof that it did not run.
+Pure functions. An idempotent request is sent to as many servers as its route allows; any other is
+sent to another server only after proof that it did not run.
 """
 
 from dataclasses import dataclass
@@ -17,20 +17,20 @@
 )
 
 MIN_ERROR_STATUS = 500
-"""From this status on a response is a server's failure, and another server may do better."""
+"""Responses with this status or a higher one are server failures, and another server is tried."""
 MIN_NON_SUCCESS_STATUS = 300
-"""Below this status a response is a success; it counts only with the server's signature, as
-anything else on the way may respond with one as well."""
+"""Responses below this status are successes. They count only with the server's signature, as an
+intermediary may also send one."""
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-"""What a caller takes as a promise that its request has not run and never will."""
+"""Statuses that clients take to mean that the request did not run and will not run."""
 
 
 def max_servers(kind: RouteKind, max_attempts: int, *, is_trial: bool) -> int:
-    """Returns at how many servers a request may run.
+    """Returns the maximum number of servers that may run a request.
 
     Args:
-        max_attempts: what the route allows.
-        is_trial: whether servers have crashed under such requests: then one more at most.
+        max_attempts: the limit of the route.
+        is_trial: whether it is a trial of a quarantined request, which goes to one server only.
     """
     if kind is not RouteKind.IDEMPOTENT or is_trial:
         return 1
@@ -38,7 +38,7 @@
 
 
 def failure_reason(status: int, *, is_signed: bool) -> str | None:
-    """Returns why a whole response is not passed on while others may be had; None if it is."""
+    """Returns why a whole response counts as a failure; None if it can be returned."""
     if status < MIN_NON_SUCCESS_STATUS and not is_signed:
         return "a success without a signature"
     if status >= MIN_ERROR_STATUS:
@@ -47,28 +47,28 @@
 
 
 def is_fallback(status: int, *, is_signed: bool) -> bool:
-    """Returns whether a failed response is passed on if no better one comes."""
+    """Returns whether a failed response is returned if no better one arrives."""
     return status >= MIN_ERROR_STATUS and is_signed
 
 
 def implies_not_run(status: int, kind: RouteKind) -> bool:
-    """Returns whether a response would promise that its request did not run, though it may have.
+    """Returns whether a status wrongly tells the client that its request did not run.
 
-    A server that did not run a request says so in a header of its own, and gives no response then.
-    A request that may run more than once takes no harm from the promise.
+    A server that did not run a request reports it in a separate header, which raises an error
+    instead of giving a response. For idempotent requests the status is harmless.
     """
     return kind is not RouteKind.IDEMPOTENT and status in NOT_RUN_STATUSES
 
 
 @dataclass(frozen=True, slots=True)
 class UnservedRequest:
-    """A request that ends without a response, and all that its error depends on.
+    """A request that ends without a response, with everything that its error depends on.
 
     Attributes:
         may_have_run: whether any server may have run it.
-        is_quarantined: whether it was sent to no server as others crashed under its like.
-        is_timed_out: whether its time is over.
-        retry_after: seconds after which the caller should come back if it was refused.
+        is_quarantined: whether it was held back because servers crashed on requests like it.
+        is_timed_out: whether its deadline passed.
+        retry_after: seconds after which the client should retry if it was refused.
     """
 
     may_have_run: bool
@@ -78,7 +78,7 @@
 
 
 def final_error(unserved: UnservedRequest) -> LarkpostError:
-    """Returns the error in which a request ends that gets no response."""
+    """Returns the error for a request that gets no response."""
     if not unserved.may_have_run and unserved.is_quarantined:
         return QuarantinedError(
             "servers have crashed under this request", retry_after=CRASH_RETENTION_SECONDS
--- a/src/larkpost/gateway/proxy/retry_spreading.py
+++ b/src/larkpost/gateway/proxy/retry_spreading.py
@@ -1,7 +1,7 @@
-"""Tells refused callers when to come back: one after the other, as places come free for them.
+"""Sets retry times of refused clients: one after the other, at the rate at which slots become free.
 
-Callers beyond their tenant's share stand in a line of that share, all others in one of their group.
-Relies on the ledger for what this daemon gets served.
+Clients of flows over their share are scheduled per flow, all others per group. Relies on the ledger
+for the number of requests that this daemon has running.
 """
 
 import random
@@ -19,11 +19,11 @@
 from larkpost.gateway.proxy.waiter import Waiter
 
 MIN_RUNNING = 1
-"""Requests that a daemon without any is taken to get served at a time."""
+"""Number of running requests assumed for a daemon that has none."""
 
 
 class RetrySpreader:
-    """The times at which refused callers come back."""
+    """Spreads the retries of refused clients over time."""
 
     def __init__(self, clock: Clock, rng: random.Random, ledger: FlowLedger) -> None:
         self._clock = clock
@@ -31,7 +31,7 @@
         self._times = RetrySchedule(clock, rng)
 
     def spread(self, waiter: Waiter, forecast: Forecast) -> Forecast:
-        """Returns the forecast of a refused request with a time of its own to come back."""
+        """Returns the forecast of a refused request with its own retry time."""
         most = max_retry_delay(waiter.deadlines.expires_at - self._clock.now())
         queue = waiter.flow if waiter.was_over_share else waiter.flow.group
         wanted = max(MIN_RETRY_SECONDS, forecast.wait)
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -1,4 +1,4 @@
-"""Sends a client request to one server, and says what came of it."""
+"""Sends a client request to one server and evaluates the outcome."""
 
 import asyncio
 import sys
@@ -24,7 +24,7 @@
 )
 
 MIN_TIME_LEFT_SECONDS = 0.001
-"""What a server is told at least that is left of a request's time."""
+"""Minimum remaining time that is sent to a server with a request."""
 
 
 class ServerAttempt:
@@ -42,7 +42,7 @@
     async def make(
         self, instance: InstanceInfo, attempts: Attempts
     ) -> WholeResponse | StreamedResponse | None:
-        """Tries one server; None if it gave no response that the client should get now."""
+        """Tries one server; returns None if it gave no response to return to the client now."""
         started = self._clock.now()
         try:
             response, is_signed = await self._exchange(instance, attempts)
@@ -54,7 +54,7 @@
             self._outcomes.record_broken(instance, attempts, error.message)
             return None
         except asyncio.CancelledError:
-            # Its time is over or another response came first; the server may have run it.
+            # Its deadline passed or another response came first; the server may have run it.
             self._outcomes.record_started(attempts.request, started)
             self._outcomes.record_cancelled(instance, attempts, started)
             raise
@@ -70,7 +70,7 @@
     async def open(
         self, instance: InstanceInfo, attempts: Attempts
     ) -> AsyncIterator[ServerResponse]:
-        """Sends a request and yields the response once its head has come.
+        """Sends a request and yields the response once its head has arrived.
 
         Raises:
             NotRunError: it certainly did not run.
@@ -118,7 +118,7 @@
         *,
         is_signed: bool,
     ) -> WholeResponse | StreamedResponse | None:
-        """Returns a response if it is to be passed on now, and records it if it is not."""
+        """Returns a response if the client should get it; otherwise records the failure."""
         if implies_not_run(response.status, attempts.route.kind):
             reason = f"status {response.status} of a run"
             self._outcomes.record_broken(instance, attempts, reason)
@@ -128,19 +128,20 @@
             self._outcomes.record_response(instance)
             return response
         self._outcomes.record_broken(instance, attempts, failure)
-        is_held = isinstance(response, WholeResponse)  # a failure that is not is given up
+        is_held = isinstance(response, WholeResponse)  # a streamed failure is abandoned
         if is_held and is_fallback(response.status, is_signed=is_signed):
             attempts.last_failure = response
         return None
 
     def _outgoing(self, instance: InstanceInfo, attempts: Attempts) -> OutgoingRequest:
-        """Returns a request as it goes to a server, if it may go there.
+        """Returns the request to send to a server.
 
-        A request that must run once gets a connection of its own, on which no response to an
-        earlier request can come; any other may be repeated if a kept connection has gone silent.
+        A request that must run at most once gets a new connection, on which no response to an
+        earlier request can arrive; an idempotent one may be repeated if a reused connection is
+        dead.
 
         Raises:
-            NotRunError: a rule forbids the send; nothing was sent.
+            NotRunError: a placement rule forbids the send; nothing was sent.
         """
         request = attempts.request
         is_repeatable = attempts.route.kind is RouteKind.IDEMPOTENT
--- a/src/larkpost/gateway/proxy/server_choice.py
+++ b/src/larkpost/gateway/proxy/server_choice.py
@@ -1,6 +1,6 @@
-"""Decides which server a client request is sent to next, and when a second one is tried.
+"""Chooses the next server for a client request, and when to hedge with a second one.
 
-Relies on the balancer for the order of the servers and their paces.
+Relies on the balancer for the order of the servers and their service times.
 """
 
 from collections.abc import Collection
@@ -12,19 +12,19 @@
 from larkpost.gateway.proxy.request_scheduler import RequestScheduler
 
 MIN_HEDGE_SECONDS = 0.1
-"""No second server is tried sooner than this."""
+"""Minimum delay before a hedged attempt."""
 HEDGE_SERVICE_TIME_FACTOR = 3.0
-"""A second server is tried after so many times the pace of the fastest, without unit."""
+"""Hedge delay as a multiple of the fastest server's service time, without unit."""
 DEFAULT_SERVICE_TIME_DIVISOR = 2
-"""Where no pace is known, this part of the objective stands in for it."""
+"""Divides the objective to get the service time assumed while none is known, without unit."""
 
 
 def hedge_delay(service_times: Collection[float], objective: float) -> float:
-    """Returns the seconds after which a second server is tried beside a silent first one.
+    """Returns the seconds after which a second server is tried if the first has not responded.
 
     Args:
-        paces: seconds a request takes at each server whose pace is known.
-        objective: seconds within which a response is worth most.
+        service_times: seconds that a request takes at each server where this is known.
+        objective: target response time in seconds.
     """
     usual = min(service_times, default=objective / DEFAULT_SERVICE_TIME_DIVISOR)
     return max(MIN_HEDGE_SECONDS, HEDGE_SERVICE_TIME_FACTOR * usual)
@@ -39,7 +39,7 @@
         self._scheduler = scheduler
 
     def choose(self, attempts: Attempts) -> InstanceInfo | None:
-        """Returns the best server that was not tried yet; None if there is none, or none may be."""
+        """Returns the best untried server; None if there is none or the request is quarantined."""
         if self._scheduler.is_quarantined(attempts):
             return None
         if self._crashes.suspect(attempts.request) is not None:
@@ -53,7 +53,7 @@
         return candidates[0] if candidates else None
 
     def hedge_delay(self, attempts: Attempts) -> float:
-        """Returns the seconds after which a second server is tried beside the first."""
+        """Returns the seconds after which a second server is tried for a request."""
         pool = self._balancer.candidate_pool(attempts.waiter.service, attempts.waiter.work)
         service_times = [
             service_time
--- a/src/larkpost/gateway/proxy/server_pool.py
+++ b/src/larkpost/gateway/proxy/server_pool.py
@@ -1,11 +1,11 @@
-"""Which instances of a service a choice looks at: all of a small service, some of a large one.
+"""Selects the instances to consider for a request: all of a small service, a sample of a large one.
 
-So the cost of a choice, and of a count of places, does not grow with the fleet. A daemon's requests
-look at its subset (`subset`), of which it knows most and to which it keeps connections. Items of
-batches look at instances drawn anew each time from all that may hold their model: an owner's items
-need more places than a subset has.
+This keeps the cost of choosing an instance, and of counting slots, independent of the fleet size.
+Client requests consider the daemon's subset (`subset`), which it knows best and keeps connections
+to. Items of batches consider instances sampled each time from all that may hold their model, as
+one owner's items need more slots than a subset has.
 
-Decides only what is looked at; the order stands in `ranking`.
+Decides only which instances are considered; `ranking` orders them.
 """
 
 import random
@@ -21,28 +21,28 @@
 from larkpost.gateway.proxy.subset import DaemonSubsets
 
 MAX_UNSAMPLED_INSTANCES = 64
-"""A service of so many instances or fewer is looked at as a whole."""
+"""A service with at most this many instances is considered as a whole."""
 POOL_SIZE = 40
-"""Instances of a larger one that a choice looks at."""
+"""Instances of a larger service that are considered."""
 POOL_EXTENSION_SIZE = 12
-"""Others that it looks at if none of those has a place. Of a dozen drawn at random one has, unless
-nearly all are full."""
+"""Further instances considered if none of those has a free slot. A dozen random ones nearly always
+include one, unless almost all are full."""
 MIN_OPEN_INSTANCES = 4
-"""Instances open to the work that a choice looks at, if there are as many: with fewer, all of them
-may have been tried or be full while others could serve."""
+"""Minimum number of considered instances that are open to the work, if there are that many: with
+fewer, all of them may have been tried or be full while others could serve."""
 SEARCH_LIFETIME_SECONDS = 0.25
-"""How long it is believed which instances a search of a whole service has found."""
+"""How long the result of a search through a whole service is reused."""
 SORTED_IDS_CACHE_SIZE = 64
-"""Sets of instances of which the sorted ids are kept."""
+"""Number of instance sets whose sorted ids are cached."""
 
 
 @dataclass(frozen=True, slots=True)
 class CandidatePool:
-    """The instances that a choice looks at.
+    """The instances to consider for a request.
 
     Attributes:
-        total: how many they stand for, themselves among them.
-        possible: all that may be looked at, themselves among them; none if these are all.
+        total: number of instances that they represent, including themselves.
+        population: all instances that may be considered, including these; empty if these are all.
     """
 
     instances: list[InstanceInfo]
@@ -51,22 +51,22 @@
 
     @property
     def is_partial(self) -> bool:
-        """Whether there are others that may be looked at."""
+        """Whether there are others that may be considered."""
         return len(self.population) > len(self.instances)
 
     @property
     def scale(self) -> float:
-        """How many instances each of those looked at stands for, without unit."""
+        """Number of instances that each of these represents, without unit."""
         return self.total / len(self.instances) if self.instances else 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class _Search:
-    """What a search has found.
+    """The result of a search.
 
     Attributes:
-        at: when, in seconds of the clock.
-        scale: how many wanted instances each of those found stands for, without unit.
+        at: monotonic time of the search.
+        scale: number of matching instances that each found one represents, without unit.
     """
 
     at: float
@@ -75,7 +75,7 @@
 
 
 _SearchKey = tuple[ServiceName, Work, frozenset[InstanceId] | None]
-"""The service, the work, and the only instances that were searched."""
+"""The service, the work, and the instances that the search was restricted to."""
 
 
 @lru_cache(maxsize=SORTED_IDS_CACHE_SIZE)
@@ -84,10 +84,10 @@
 
 
 class ServerPool:
-    """Draws the instances that choices look at.
+    """Samples the instances to consider for requests.
 
     Args:
-        subsets: this daemon's part of each large service; None if it serves all alone.
+        subsets: this daemon's subset of each large service; None if it is the only daemon.
     """
 
     def __init__(
@@ -106,10 +106,10 @@
     def candidate_pool(
         self, service: ServiceName, work: Work, within: frozenset[InstanceId] | None = None
     ) -> CandidatePool:
-        """Returns the instances that a choice for a piece of work looks at.
+        """Returns the instances to consider for a piece of work.
 
         Args:
-            within: the only instances of a large service to look at; None for any.
+            within: the only instances of a large service to consider; None for all.
         """
         index = self._directory.index
         listed = index.ids(service)
@@ -125,7 +125,7 @@
     def extend_pool(
         self, service: ServiceName, candidate_pool: CandidatePool
     ) -> list[InstanceInfo]:
-        """Returns some of the others."""
+        """Returns further instances that are not in the pool."""
         seen = {info.id for info in candidate_pool.instances}
         drawn = self._draw(service, candidate_pool.population, POOL_EXTENSION_SIZE)
         return [info for info in drawn if info.id not in seen]
@@ -138,10 +138,13 @@
         candidate_pool: CandidatePool,
         is_wanted: Callable[[InstanceInfo], bool],
     ) -> CandidatePool:
-        """Returns instances that are wanted, found by looking at all if need be; seldom anew.
+        """Returns instances that match, searched among all that may be considered.
+
+        The result is cached for `SEARCH_LIFETIME_SECONDS`.
 
         Args:
-            look: what was looked at for the same arguments; the search goes through all possible.
+            candidate_pool: the pool for the same arguments; its population is searched.
+            is_wanted: returns whether an instance matches.
         """
         now = self._clock.now()
         key = (service, work, within)
@@ -160,7 +163,7 @@
         searched: Sequence[InstanceId],
         is_wanted: Callable[[InstanceInfo], bool],
     ) -> _Search:
-        """Goes through instances in no order until `LOOKED_AT` are found that are wanted."""
+        """Searches instances in random order until `POOL_SIZE` of them match."""
         in_no_order = self._draw(service, searched)
         found: list[InstanceId] = []
         judged = 0
@@ -180,7 +183,7 @@
         }
 
     def subset_sizes(self) -> dict[ServiceName, int]:
-        """Returns how many instances of each large service are in this daemon's subset."""
+        """Returns the size of this daemon's subset of each large service."""
         if self._subsets is None:
             return {}
         index = self._directory.index
@@ -203,7 +206,7 @@
     def _draw(
         self, service: ServiceName, ids: Sequence[InstanceId], most: int | None = None
     ) -> list[InstanceInfo]:
-        """Returns the entries of up to ``most`` of some instances, in no order; None for all."""
+        """Returns up to ``most`` of the instances in random order; all if it is None."""
         index = self._directory.index
         drawn = self._chance.sample(ids, min(len(ids), most if most is not None else len(ids)))
         return [info for name in drawn if (info := index.get(service, name)) is not None]
--- a/src/larkpost/gateway/proxy/service_selection.py
+++ b/src/larkpost/gateway/proxy/service_selection.py
@@ -1,6 +1,6 @@
-"""Divides a route's requests among its services by weight, evenly at any moment.
+"""Divides a route's requests among its services by smooth weighted round robin.
 
-Owns each route's place in its round; two daemons need not know of each other.
+Owns the state of each route; daemons do not coordinate.
 """
 
 import random
@@ -8,15 +8,15 @@
 from larkpost.gateway.blackboard.configuration import Route, ServiceName
 
 MAX_INITIAL_OFFSET = 97
-"""A route begins as if a random number of requests, below this, had come before."""
+"""Upper bound (exclusive) of the random number of choices that are skipped initially on a route."""
 
 
 class ServiceSelector:
-    """Smooth weighted round robin, for each route on its own.
+    """Selects services by smooth weighted round robin, separately for each route.
 
     Args:
-        chance: draws the place in the round at which a route begins. If every daemon began at the
-            same one, the first requests of all daemons would go to one service.
+        chance: random generator for the starting point of each route. With a common one, the first
+            requests of all daemons would go to the same service.
     """
 
     def __init__(self, rng: random.Random) -> None:
--- a/src/larkpost/gateway/proxy/service_time_history.py
+++ b/src/larkpost/gateway/proxy/service_time_history.py
@@ -1,11 +1,10 @@
-"""How long a unit of work lastingly takes at one incarnation of a server, its bursts taken out.
+"""The lasting service time of one incarnation of a server, without short bursts of slowness.
 
-A server that shares its machine is slowed now and then for fractions of a second, and for seconds
-when it is ill; what tells servers apart for good is what it takes between such times. All figures
-are seconds, times are steady. The module needs no network and no clock of its own.
+A server that shares its machine is slow for fractions of a second now and then, and for seconds
+when it is degraded; what distinguishes servers is their service time between such bursts. One
+smoothed average would mix both, so that equal servers look unequal.
 
-The load that it answers: servers whose usual times differ by two to one, each slowed two to three
-times in a sixth of its time. One smoothed figure mixes both, so that equal servers look unequal.
+Durations are in seconds and times are monotonic. Uses no network and no clock.
 """
 
 from collections import deque
@@ -13,27 +12,28 @@
 from dataclasses import dataclass
 
 SLICE_SECONDS = 0.25
-"""Measurements of so long a time count as one: a burst must not count by how many runs it meets."""
+"""Measurements within this time are averaged into one slice, so that the weight of a burst does not
+depend on the number of runs that it affects."""
 MAX_SLICES = 12
-"""Slices that are kept, at most: three seconds of a server in constant use."""
+"""Maximum number of slices kept."""
 MIN_SLICES = 2
-"""Slices before a pace is known: one may lie in a burst as a whole."""
+"""Slices needed for a service time, as a single one may lie entirely within a burst."""
 LOW_QUANTILE = 0.3
-"""The slice of this rank, from the quickest, is the sustained pace. So bursts in up to two thirds
-of the slices are passed over, and so is a single one that was too quick."""
+"""Quantile of the slices that is the sustained service time. It ignores bursts in up to two thirds
+of the slices, and a single slice that was too quick."""
 SLICE_LIFETIME_SECONDS = 60.0
-"""How long a slice counts: the few measurements of a server seldom used are worth keeping."""
+"""How long a slice is kept; long, for servers that are seldom used."""
 SUSTAINED_SECONDS = 4.0
-"""How long a sustained pace is believed after the last measurement; then the usual one counts, so
-that a server that was ill for a while is tried again."""
+"""How long the sustained service time is used after the last measurement. The baseline is used
+afterwards, so that a server that was degraded is tried again."""
 DEGRADED_RATIO = 1.25
-"""Ratio of the sustained to the usual pace from which a server counts as ill."""
+"""Ratio of the sustained service time to the baseline above which a server counts as degraded."""
 BASELINE_LIFETIME_SECONDS = 180.0
-"""How long the usual pace is believed after the last measurement."""
+"""How long the baseline is used after the last measurement."""
 FALL_WEIGHT = 0.3
-"""Share of a slice in the usual pace if it was quicker."""
+"""Weight of a quicker slice in the baseline."""
 RISE_WEIGHT = 0.004
-"""The same if it was slower: about a minute of slowness until it counts as usual."""
+"""Weight of a slower slice in the baseline; low, so that temporary slowness does not change it."""
 
 
 @dataclass(slots=True)
@@ -41,8 +41,9 @@
     """The measurements of one slice of time.
 
     Attributes:
-        measured: the sum of what was measured.
-        corrected: the same with the server's slowness taken out.
+        measured: sum of the measured seconds.
+        corrected: sum of the measured seconds, corrected for the server's reported slowness.
+        count: number of measurements.
     """
 
     began_at: float
@@ -58,20 +59,20 @@
 
     @property
     def measured_mean(self) -> float:
-        """The mean of what was measured."""
+        """Mean of the measured seconds."""
         return self.measured / self.count
 
     @property
     def corrected_mean(self) -> float:
-        """The mean of what was measured with the server's slowness taken out."""
+        """Mean of the seconds corrected for the server's reported slowness."""
         return self.corrected / self.count
 
 
 class ServiceTimeHistory:
-    """What this daemon's own requests have shown of the pace of one incarnation.
+    """The service times that this daemon measured at one incarnation of a server.
 
     Attributes:
-        measured_at: when it was last measured.
+        measured_at: monotonic time of the last measurement.
     """
 
     def __init__(self) -> None:
@@ -81,13 +82,13 @@
         self._sustained = 0.0
         self._usual = 0.0
         self._usual_at = float("-inf")
-        """When a slice last counted in the usual pace."""
+        """When a slice was last included in the baseline."""
 
     def record(self, now: float, seconds: float, slowness: float = 1.0) -> None:
-        """Records what a unit of work took.
+        """Records the seconds that a unit of work took.
 
         Args:
-            slowness: how many times as long as usual the server said that work took then.
+            slowness: the server's reported factor on its usual service time at that moment.
         """
         if self._open is not None and now - self._open.began_at >= SLICE_SECONDS:
             self._close(self._open)
@@ -99,25 +100,25 @@
         self.measured_at = now
 
     def service_time(self, now: float) -> float:
-        """Returns the lasting pace as it is believed now; 0 if it is not known.
+        """Returns the lasting service time; 0 if it is not known.
 
-        It is the sustained pace while the server is measured, and its usual one afterwards.
+        It is the sustained one while the server is measured, and the baseline afterwards.
         """
         if self.is_measured(now):
             return self._sustained
         return self._usual if now - self.measured_at < BASELINE_LIFETIME_SECONDS else 0.0
 
     def is_measured(self, now: float) -> bool:
-        """Returns whether the pace is the sustained one, of the last seconds."""
+        """Returns whether the sustained service time is recent enough to be used."""
         return now - self.measured_at < SUSTAINED_SECONDS and bool(self._sustained)
 
     @property
     def was_degraded(self) -> bool:
-        """Whether the server was much slower than usual when it was last measured."""
+        """Whether the server was much slower than its baseline when last measured."""
         return self._sustained > DEGRADED_RATIO * self._usual
 
     def recent(self, now: float) -> float:
-        """Returns what a unit of work took in the last whole slice; 0 if that is long ago."""
+        """Returns the corrected mean of the last complete slice; 0 if that is too old."""
         is_recent = now - self.measured_at < SUSTAINED_SECONDS
         return self._closed[-1].corrected_mean if self._closed and is_recent else 0.0
 
@@ -131,7 +132,7 @@
         self._usual_at = closed.began_at
 
     def _forget_old(self, now: float) -> None:
-        """Forgets paces of long ago, which one new measurement must not make new."""
+        """Drops expired service times, so that one new measurement does not revive them."""
         self._drop_slices(now)
         if len(self._closed) < MIN_SLICES:
             self._sustained = 0.0
@@ -150,17 +151,17 @@
 
 
 def low_quantile(means: Iterable[float]) -> float:
-    """Returns the value of rank `QUICK_SHARE` among some, from the least; 0 if there are none."""
+    """Returns the `LOW_QUANTILE` of some values; 0 if there are none."""
     ordered = sorted(means)
     return ordered[int(LOW_QUANTILE * (len(ordered) - 1))] if ordered else 0.0
 
 
 def smooth_baseline(usual: float, sustained: float) -> float:
-    """Returns the usual pace after one more slice; it falls quickly and rises slowly.
+    """Returns the baseline after one more slice; it falls quickly and rises slowly.
 
     Args:
-        usual: before; 0 if it is not known.
-        sustained: with the newest slice.
+        usual: the baseline before; 0 if it is not known.
+        sustained: the sustained service time, including the newest slice.
     """
     if not usual:
         return sustained
@@ -169,13 +170,15 @@
 
 
 def without_slowness(seconds: float, slowness: float, quickest: float, slowest: float) -> float:
-    """Returns what a unit of work would have taken without the slowness that its server said.
+    """Returns a measured time corrected for the slowness that the server reported.
 
-    It is never less than the quickest or more than the slowest that was measured there lately: a
-    server that says what its results don't show isn't believed.
+    The result stays between the quickest and the slowest recent measurement, so that a wrong report
+    has a limited effect.
 
     Args:
-        slowness: how many times as long as usual, by what the server said.
+        slowness: the server's reported factor on its usual service time.
+        quickest: the lowest recent slice mean in seconds.
+        slowest: the highest recent slice mean in seconds.
     """
     corrected = seconds / slowness
     return min(max(corrected, min(quickest, seconds)), max(slowest, seconds))
--- a/src/larkpost/gateway/proxy/service_time_tracker.py
+++ b/src/larkpost/gateway/proxy/service_time_tracker.py
@@ -1,9 +1,9 @@
-"""How long work takes at an instance: lastingly, and at this moment.
+"""Service times of instances: the lasting ones, and the current ones.
 
-Joins what this daemon's own requests showed of an instance (`lasting_pace`), what the server
-said of its slowness (`slowness`), and what the other daemons report (`shared_paces`, `peer_use`).
-A short request goes by the pace of this moment, the items of batches by the lasting one. Servers
-that say nothing of their slowness have one pace for short requests, the smoothed one.
+Combines the measurements of this daemon's own requests (`service_time_history`), the slowness that
+servers report (`slowness`), and the reports of other daemons (`reported_service_times`,
+`peer_use`). Short requests use the current service time, items of batches the lasting one. For a
+server that reports no slowness, short requests use the smoothed service time.
 """
 
 from larkpost.common.clock import Clock
@@ -15,17 +15,18 @@
 from larkpost.gateway.proxy.service_time_history import ServiceTimeHistory
 
 MAX_REPORTED_SERVICE_TIMES = 8
-"""Paces in one heartbeat, those of different instances by turns: it is listed by hundreds."""
+"""Maximum number of service times in one heartbeat; instances take turns. It bounds the size of
+heartbeats, which many daemons read."""
 RECOVERY_SECONDS = 12.0
-"""For so long after its last measurement the usual pace of a server that was ill is reported, so
-that the others don't go on taking it for ill. All other paces are reported while they are measured;
-the others keep them for longer."""
+"""How long after its last measurement the baseline of a degraded server is still reported, so that
+other daemons stop treating it as degraded. All other service times are reported only while they
+are measured; other daemons keep them for longer."""
 REPORTED_DIGITS = 4
-"""Decimal places of a pace in seconds as it is reported: a tenth of a millisecond."""
+"""Decimal places of a reported service time in seconds."""
 
 
 class ServiceTimeTracker:
-    """The paces of all instances, as far as they are known here."""
+    """The service times of all instances, as far as this daemon knows them."""
 
     def __init__(
         self, directory: InstanceDirectory, clock: Clock, own: LocalUse, peers: PeerUsage
@@ -36,12 +37,12 @@
         self._peers = peers
         self._shared = ReportedServiceTimes(directory, clock)
         self._reported: list[InstanceId] = []
-        """The instances that were reported, the one whose turn comes first in front."""
+        """The instances that were reported, least recently first."""
 
-    # What is known.
+    # Estimates.
 
     def current(self, instance: InstanceId) -> float:
-        """Returns the seconds that a short request takes now; 0 if that is not known."""
+        """Returns the seconds that a short request takes now; 0 if not known."""
         speed_stats = self._own.speed_stats(instance)
         if speed_stats is None or not speed_stats.slowness.has_reports:
             return self._smoothed(instance)
@@ -50,9 +51,9 @@
         return lasting * speed_stats.slowness.factor(now) or self._smoothed(instance)
 
     def has_latency(self, instance: InstanceId) -> bool:
-        """Returns whether the pace of this moment is of this daemon's own responses.
+        """Returns whether the current service time comes from this daemon's own responses.
 
-        Such a pace has the network's latency in it.
+        Such a service time includes the network latency.
         """
         speed_stats = self._own.speed_stats(instance)
         if speed_stats is None or not speed_stats.slowness.has_reports:
@@ -62,32 +63,32 @@
         return self._is_own_best(instance, speed_stats.responses)
 
     def lasting(self, instance: InstanceId) -> float:
-        """Returns the seconds that an event of an item takes, bursts taken out; 0 if not known."""
+        """Returns the seconds per event of an item, without short bursts; 0 if not known."""
         speed_stats = self._own.speed_stats(instance)
         history = speed_stats.events if speed_stats is not None else None
         return self._known_lasting(instance, history) or self._smoothed(instance)
 
     def recent(self, engine: InstanceId) -> float:
-        """Returns what an event took here in the last quarter of a second; 0 if not measured."""
+        """Returns the seconds per event in the last slice measured here; 0 if not measured."""
         speed_stats = self._own.speed_stats(engine)
         return speed_stats.events.recent(self._clock.now()) if speed_stats is not None else 0.0
 
-    # What requests show.
+    # Measurements.
 
     def record_response(self, instance: InstanceId, seconds: float) -> None:
-        """Records what the whole response to a short request took."""
+        """Records the seconds until the whole response to a short request."""
         speed_stats = self._own.ensure_speed_stats(instance)
         self._record(speed_stats, speed_stats.responses, seconds)
 
     def record_event(self, engine: InstanceId, seconds: float) -> None:
-        """Records what an event of an item took."""
+        """Records the seconds that an event of an item took."""
         speed_stats = self._own.ensure_speed_stats(engine)
         self._record(speed_stats, speed_stats.events, seconds)
 
-    # What daemons report to each other.
+    # Reports between daemons.
 
     def report(self) -> dict[InstanceId, float]:
-        """Returns paces that this daemon has measured, at most `MAX_REPORTED_PACES` by turns."""
+        """Returns up to `MAX_REPORTED_SERVICE_TIMES` measured service times; instances take turns."""
         measured = dict.fromkeys(self._own.measured())
         earlier = dict.fromkeys(name for name in self._reported if name in measured)
         turn = [name for name in measured if name not in earlier] + list(earlier)
@@ -102,36 +103,36 @@
         return report
 
     def record_report(self, daemon: DaemonId, service_times: dict[InstanceId, float]) -> None:
-        """Records the paces that another daemon reports."""
+        """Records the service times that another daemon reports."""
         self._shared.record(daemon, service_times)
 
     def forget_old(self, now: float) -> None:
-        """Drops reports that are used no longer."""
+        """Drops expired reports."""
         self._shared.forget_old(now)
 
     def _known_lasting(self, instance: InstanceId, history: ServiceTimeHistory | None) -> float:
-        """Returns a lasting pace: what is measured now, here or elsewhere, and then what was."""
+        """Returns the lasting service time; current measurements, here or elsewhere, come first."""
         if history is not None and self._is_own_best(instance, history):
             return history.service_time(self._clock.now())
         return self._shared.fresh(instance) or self._shared.service_time(instance)
 
     def _is_own_best(self, instance: InstanceId, history: ServiceTimeHistory) -> bool:
-        """Returns whether what was measured here counts before what others report."""
+        """Returns whether this daemon's measurements take precedence over reports."""
         now = self._clock.now()
         if history.is_measured(now):
             return True
         return bool(history.service_time(now)) and not self._shared.fresh(instance)
 
     def _smoothed(self, instance: InstanceId) -> float:
-        """Returns one's own smoothed pace, which counts before what the others report."""
+        """Returns the smoothed service time of this daemon, or else of other daemons."""
         if self._own.has_recent_service_time(instance):
             return self._own.record_for(instance).service_time
         return self._peers.service_time(instance)
 
     def _reportable_service_time(self, instance: InstanceId) -> float | None:
-        """Returns an instance's pace as it is reported; None if it is not to be.
+        """Returns an instance's service time to report; None to report none.
 
-        Where items and short requests go to the same server, it is that of the items.
+        Where items and short requests go to the same server, that of the items is reported.
         """
         speed_stats = self._own.speed_stats(instance)
         if speed_stats is None or not self._directory.accepts_work(instance):
@@ -148,6 +149,6 @@
 
 
 def is_reported(history: ServiceTimeHistory, now: float) -> bool:
-    """Returns whether a pace is reported: what is measured, and that an illness may be over."""
+    """Returns whether a service time is reported: while measured, and shortly after degradation."""
     is_recovery = history.was_degraded and now - history.measured_at < RECOVERY_SECONDS
     return history.is_measured(now) or is_recovery
--- a/src/larkpost/gateway/proxy/share_record.py
+++ b/src/larkpost/gateway/proxy/share_record.py
@@ -1,4 +1,4 @@
-"""Records what became of requests beyond their tenant's share: one line for each, and counters."""
+"""Logs and counts the outcomes of requests whose flow is over its share."""
 
 from enum import StrEnum
 
@@ -11,15 +11,15 @@
 
 
 class ShareOutcome(StrEnum):
-    """What became of a request beyond its share."""
+    """The outcome of a request whose flow is over its share."""
 
-    HELD = "held"  # it let others go first, and then tried
+    HELD = "held"  # it yielded to others before it tried
     REFUSED = "refused"
-    EXEMPTED = "passed"  # it was let through, as few of its flow are served
+    EXEMPTED = "passed"  # the starvation guard exempted it
 
 
 class ShareRecord:
-    """Writes the log and the counters."""
+    """Writes the log records and the counters."""
 
     def __init__(self, clock: Clock, log: EventLog, metrics: Metrics, ledger: FlowLedger) -> None:
         self._clock = clock
@@ -28,7 +28,7 @@
         self._ledger = ledger
 
     def record(self, request: ClientRequest, waiter: Waiter, outcome: ShareOutcome) -> None:
-        """Records what became of a request, if it was beyond its share; a hold only once."""
+        """Records an outcome if the request's flow was over its share; HELD only once."""
         is_again = outcome is ShareOutcome.HELD and waiter.is_recorded
         is_share_exempt = outcome is ShareOutcome.EXEMPTED
         flow_share = waiter.flow_share
--- a/src/larkpost/gateway/proxy/shortage_detector.py
+++ b/src/larkpost/gateway/proxy/shortage_detector.py
@@ -1,8 +1,8 @@
-"""Tells a service whose places do not suffice from one where requests wait for a moment.
+"""Distinguishes a persistent shortage of slots from requests that wait only briefly.
 
-Requests come at random, so some wait also where there is room for all. They are served in their
-turn; shares would not give anybody more, but make more of them late. A shortage lasts while a large
-part of the requests finds no place in its time.
+As requests arrive at random, some wait even where the capacity is sufficient. Applying shares then
+would serve nobody more, but make more requests late. A shortage is persistent while a large
+fraction of the requests gets no slot within its objective.
 """
 
 from dataclasses import dataclass
@@ -11,21 +11,21 @@
 from larkpost.gateway.blackboard.configuration import ServiceName
 
 MIN_MISSED_FRACTION = 0.3
-"""Part of the requests that find no place in their time while a shortage lasts."""
+"""Minimum fraction of requests without a slot in time for a persistent shortage, without unit."""
 MIN_MISSED_REQUESTS = 3.0
-"""Such requests lately while a shortage lasts: fewer may be so by chance."""
+"""Minimum (decayed) number of such requests; fewer may occur by chance."""
 HALF_LIFE_SECONDS = 3.0
-"""Time after which a request counts half."""
+"""Half-life of the weight of a counted request."""
 
 
 @dataclass(slots=True)
 class _Counts:
-    """Requests of a service; what came earlier counts less and less.
+    """Exponentially decayed counts of the requests of a service.
 
     Attributes:
-        at: steady time of the last change.
-        placed: requests that found a place, in their time or later.
-        missed: requests that found none in their time.
+        at: monotonic time of the last change.
+        granted: requests that got a slot, in time or later.
+        missed: requests that got no slot in time.
     """
 
     at: float
@@ -33,7 +33,7 @@
     missed: float = 0.0
 
     def age(self, now: float) -> None:
-        """Lets what was counted before weigh less."""
+        """Decays the counts to the present."""
         weight = 0.5 ** ((now - self.at) / HALF_LIFE_SECONDS)
         self.granted *= weight
         self.missed *= weight
@@ -41,22 +41,22 @@
 
 
 class ShortageDetector:
-    """What became lately of this daemon's requests for each service."""
+    """Detects persistent shortages from the recent requests of this daemon."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._services: dict[ServiceName, _Counts] = {}
 
     def record_slot_granted(self, service: ServiceName) -> None:
-        """Records a request that found a place."""
+        """Records a request that got a slot."""
         self._counts(service).granted += 1
 
     def record_missed(self, service: ServiceName) -> None:
-        """Records a request that found no place within its objective, or will not find any."""
+        """Records a request that got no slot within its objective, or will get none."""
         self._counts(service).missed += 1
 
     def is_persistent(self, service: ServiceName) -> bool:
-        """Returns whether the places of a service do not suffice."""
+        """Returns whether a service has a persistent shortage of slots."""
         counts = self._counts(service)
         least = MIN_MISSED_FRACTION * (counts.granted + counts.missed)
         return counts.missed >= max(MIN_MISSED_REQUESTS, least)
--- a/src/larkpost/gateway/proxy/slot_counting.py
+++ b/src/larkpost/gateway/proxy/slot_counting.py
@@ -1,7 +1,6 @@
-"""Counts the places of a service, and says how far they are taken.
+"""Counts the slots of a service and how many of them are taken.
 
-Relies on the balancer for what is believed of each instance, and for which instances of a large
-service stand for all; decides nothing itself.
+Relies on the balancer for estimates about each instance, and for the sample of a large service.
 """
 
 from dataclasses import dataclass, field
@@ -12,19 +11,19 @@
 from larkpost.gateway.proxy.balancer import Balancer
 
 MOSTLY_FREE_FRACTION = 0.5
-"""While less than this share of the places is taken, nothing waits and nothing is refused: what is
-known of the others' requests is a second old, and is not believed against so many free places."""
+"""While less than this share of the slots is taken, no request waits or is refused: reports about
+other daemons' requests are too old to outweigh so many free slots."""
 
 
 @dataclass(frozen=True, slots=True)
 class SlotCounts:
-    """The places of a service that a piece of work may take.
+    """The slots of a service that a piece of work may use.
 
     Attributes:
-        total: of all instances that placement allows, now or in a moment.
-        taken: those believed taken; more than all if instances let requests wait.
-        pace: seconds a request takes there; 0 if not known lately.
-        closed: those of the taken that have no request: their instance failed, refused or is cold.
+        total: slots of all instances that placement allows, now or once they are warm.
+        taken: slots estimated taken; exceeds the total if instances queue requests.
+        service_time: seconds a request takes there; 0 if not known.
+        unavailable: taken slots without a request: their instance failed, refused or is cold.
     """
 
     total: int
@@ -34,25 +33,25 @@
 
     @property
     def free(self) -> int:
-        """Places believed free."""
+        """Slots estimated free."""
         return max(0, self.total - self.taken)
 
     @property
     def is_mostly_free(self) -> bool:
-        """Whether so few are taken that nothing need wait."""
+        """Whether so few slots are taken that no request needs to wait."""
         return self.taken < self.total * MOSTLY_FREE_FRACTION
 
     @property
     def has_few_running(self) -> bool:
-        """Whether so few have a request that instances which failed may well take another."""
+        """Whether so few slots run a request that instances which failed are worth another try."""
         return self.taken - self.unavailable < self.total * MOSTLY_FREE_FRACTION
 
 
 def count_slots(balancer: Balancer, service: ServiceName, work: Work) -> SlotCounts:
-    """Counts the places of a service for a piece of work.
+    """Counts the slots of a service for a piece of work.
 
-    An instance that failed or refused a moment ago, or that is cold, has no free place. Of a large
-    service the places of some are counted, and scaled up to all.
+    An instance that failed or refused recently, or that is cold, has no free slot. Of a large
+    service only a sample is counted, and scaled up to the whole.
     """
     total = taken = unavailable = 0
     paced_slots, rate = 0, 0.0
--- a/src/larkpost/gateway/proxy/slowness.py
+++ b/src/larkpost/gateway/proxy/slowness.py
@@ -1,8 +1,7 @@
-"""How slow a server says that it is at this moment, and how far that is believed.
+"""The current slowness that a server reports, relative to its own usual reports.
 
-What a server says is compared with what it says at other times: whatever figure a server calls
-usual, and whatever it says always, moves no choice. Times are steady. The module needs no network
-and no clock of its own.
+Reports are compared only with earlier ones of the same server, so a constant offset in them affects
+no choice. Times are monotonic. Uses no network and no clock.
 """
 
 from collections import deque
@@ -10,16 +9,16 @@
 from larkpost.gateway.proxy.service_time_history import MAX_SLICES, SLICE_SECONDS, low_quantile
 
 SLOWNESS_LIFETIME_SECONDS = 0.15
-"""How long what a server said of its slowness is used; it changes many times a second."""
+"""How long a reported slowness is used; it changes many times a second."""
 MAX_SLOWNESS = 3.0
-"""By how much slower, or quicker, than usual a server is taken to be at most, without unit."""
+"""Limit on the factor by which a server counts as slower or quicker than usual, without unit."""
 
 
 class ReportedSlowness:
-    """What one incarnation of a server has said of its slowness.
+    """The slowness reports of one incarnation of a server.
 
     Attributes:
-        said_at: when it last said it.
+        reported_at: monotonic time of the last report.
     """
 
     def __init__(self) -> None:
@@ -31,14 +30,14 @@
 
     @property
     def has_reports(self) -> bool:
-        """Whether the server ever said how slow it is."""
+        """Whether the server ever reported its slowness."""
         return bool(self._kept)
 
     def record(self, now: float, slowness: float) -> None:
-        """Records what the server said.
+        """Records a report of the server.
 
         Args:
-            slowness: how many times as long as usual work takes there; above 0.
+            slowness: factor by which work takes longer there than usual; above 0.
         """
         self._said = slowness
         self.reported_at = now
@@ -48,17 +47,17 @@
             self._usual = low_quantile(self._kept)
 
     def factor(self, now: float) -> float:
-        """Returns how many times as long as usual work takes there now; 1 if that is not known."""
+        """Returns the factor by which work takes longer there than usual; 1 if not known."""
         if now - self.reported_at >= SLOWNESS_LIFETIME_SECONDS:
             return 1.0
         return believed_slowness(self._said, self._usual)
 
 
 def believed_slowness(said: float, usual: float) -> float:
-    """Returns how far a server is taken to be slower than usual, without unit.
+    """Returns the factor by which a server counts as slower than usual, within bounds.
 
     Args:
-        said: what it says now.
-        usual: what it says at most times.
+        said: the slowness that it reports now.
+        usual: the slowness that it usually reports.
     """
     return min(max(said / usual, 1 / MAX_SLOWNESS), MAX_SLOWNESS)
--- a/src/larkpost/gateway/proxy/streamed_body.py
+++ b/src/larkpost/gateway/proxy/streamed_body.py
@@ -1,7 +1,7 @@
-"""Follows the body of a large answer that is passed on as it comes, and records how it ended.
+"""Reads the body of a streamed response while it is forwarded, and records how it ended.
 
-The time of a request limits what its server takes for the body; the time that the client takes
-does not count.
+The deadline of a request limits the time that the server takes for the body; the time that the
+client takes to read it does not count.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 
 
 class StreamedBody:
-    """The rest of a large answer's body, chunk by chunk; it ends only if the body is whole."""
+    """The remaining chunks of a streamed body; iteration ends normally only if it is complete."""
 
     def __init__(
         self, response: StreamedResponse, attempts: Attempts, outcomes: Outcomes, clock: Clock
@@ -33,7 +33,7 @@
         """Returns the next chunk.
 
         Raises:
-            BrokenResponseError: the body broke off, or its server took too long for it.
+            BrokenResponseError: the body was cut off, or the server took too long for it.
         """
         try:
             return await self._next_in_time()
@@ -56,6 +56,6 @@
             self._time_left -= self._clock.now() - asked_at
 
     def _record_failed(self, reason: str, *, timed_out: bool) -> None:
-        """Records the failure; its client has a part of the answer and gets no error."""
+        """Records the failure; the client already has part of the response and gets no error."""
         self._outcomes.record_broken(self._response.instance, self._attempts, reason)
         self._outcomes.failure(self._attempts, timed_out=timed_out)
--- a/src/larkpost/gateway/proxy/subset.py
+++ b/src/larkpost/gateway/proxy/subset.py
@@ -1,11 +1,9 @@
-"""Which servers of a large service a daemon sends its requests to: a part that few others share.
+"""Subsets of the servers of a large service, one for each daemon, by rendezvous hashing.
 
-Rendezvous hashing of daemons and servers: each server is in the subsets of the same number of
-daemons, whichever these are, so that none is left out and none gets the requests of all. When a
-daemon or a server comes or goes, only the subsets that hold it, or are to hold it, change. Daemons
-that know the same daemons and servers agree without a message.
-
-Pure rules, and the subset kept by them as the fleet changes.
+Each server is in the subsets of the same number of daemons, so that none is left out and none gets
+the requests of all daemons. When a daemon or server is added or removed, only the subsets that
+contain it, or should contain it, change. Daemons with the same view of the fleet compute the same
+subsets without communication.
 """
 
 from collections.abc import Callable, Collection, Mapping, Sequence
@@ -16,17 +14,17 @@
 from larkpost.gateway.blackboard.service_index import IndexedIdSet, ServiceIndex
 
 MIN_SUBSET_SIZE = 24
-"""Servers that a subset has on average at least: few enough that connections to them stay in use,
-enough that one with a free place is nearly always among them."""
+"""Minimum average size of a subset: small enough that connections stay in use, large enough that it
+nearly always contains a server with a free slot."""
 MIN_DAEMONS_PER_SERVER = 3
-"""Daemons that each server is in the subsets of, if there are as many: the load of one with many
-clients, or of one that is gone, is shared."""
+"""Minimum number of daemons whose subsets contain a server, if there are that many. It spreads the
+load of a daemon with many clients, or of one that is gone."""
 
 
 def daemons_per_server(daemons: int, servers: int) -> int:
-    """Returns in the subsets of how many daemons each server is.
+    """Returns the number of daemons whose subsets contain a given server.
 
-    It doubles, so that it seldom changes: each change of it changes all subsets.
+    It grows by doubling, as each change of it changes all subsets.
     """
     wanted = MIN_DAEMONS_PER_SERVER
     while wanted < daemons and wanted * servers < MIN_SUBSET_SIZE * daemons:
@@ -35,23 +33,23 @@
 
 
 def daemon_seed(daemon: DaemonId) -> int:
-    """Returns what a daemon's weights are made from; worked out once for all servers."""
+    """Returns the hash seed of a daemon, from which its weights for all servers are computed."""
     return hash64(f"subset\x00{daemon}")
 
 
 def weight(seed: int, server: InstanceId) -> int:
-    """Returns the rank for a server of the daemon with a seed; the greatest are the first."""
+    """Returns the rendezvous weight of a daemon's seed for a server; the highest weights win."""
     return hash64(server, seed)
 
 
 def higher_ranked_daemons(
     own: int, others: Mapping[DaemonId, int], server: InstanceId, most: int
 ) -> list[DaemonId]:
-    """Returns daemons that come before this one for a server, ``most`` at the most.
+    """Returns up to ``most`` daemons that rank higher than this one for a server.
 
     Args:
         own: this daemon's seed.
-        others: the other daemons with their seeds.
+        others: the seeds of the other daemons.
     """
     own_weight = weight(own, server)
     found: list[DaemonId] = []
@@ -66,7 +64,7 @@
 class DaemonSubset:
     """One daemon's subset of the servers of one service.
 
-    Of each server outside it only so many daemons are remembered as leave no room for this one.
+    For each server outside it, stores just enough higher-ranked daemons to exclude this one.
     """
 
     def __init__(self, own: DaemonId) -> None:
@@ -81,14 +79,14 @@
 
     @property
     def ids(self) -> Sequence[InstanceId]:
-        """The servers of the subset, in no order."""
+        """The servers of the subset, in no particular order."""
         return self._inside.ids
 
     def update(self, daemons: Collection[DaemonId], servers: Collection[InstanceId]) -> None:
-        """Brings the subset up to date.
+        """Updates the subset to a new view of the fleet.
 
         Args:
-            daemons: those considered alive; this one is counted in any case.
+            daemons: the daemons considered alive; this one is always included.
             servers: the ids of the service's instances.
         """
         others = set(daemons) - {self._own}
@@ -130,7 +128,7 @@
 
 
 class DaemonSubsets:
-    """One daemon's subsets of the servers of all services, brought up to date when asked for.
+    """One daemon's subsets of the servers of all services, updated on access.
 
     Args:
         alive: returns the daemons considered alive.
@@ -143,7 +141,7 @@
         self._made_of: dict[ServiceName, tuple[frozenset[DaemonId], int]] = {}
 
     def ids(self, service: ServiceName, index: ServiceIndex) -> Sequence[InstanceId]:
-        """Returns the servers of a service's subset, in no order."""
+        """Returns the servers of a service's subset, in no particular order."""
         subset = self._subsets.setdefault(service, DaemonSubset(self._own))
         made_of = (self._alive(), index.generation(service))
         if self._made_of.get(service) != made_of:
--- a/src/larkpost/gateway/proxy/waiter.py
+++ b/src/larkpost/gateway/proxy/waiter.py
@@ -1,4 +1,4 @@
-"""One client request that wants a place, and what became of it by its tenant's share."""
+"""A client request that needs a slot, and how the share of its flow has affected it."""
 
 import asyncio
 from contextlib import ExitStack
@@ -13,21 +13,20 @@
 
 @dataclass(eq=False, slots=True)
 class Waiter:
-    """One request that wants a place; it may come back into its queue.
+    """A request that needs a slot; it may enter its queue several times.
 
     Attributes:
         priority: 0 is the most urgent.
-        since: steady time of its caller's first attempt, as estimated.
-        flow_name: whose share it counts to, its tenant's or its route's.
-        is_back: whether its caller was refused before and has come back.
-        is_passed: whether it counts as within its share, as few of its flow are served.
-        standing: its flow's, when it last had to let others go first; None if it never had.
-        held_since: steady time since which it lets others go first; None if it does not.
-        is_recorded: whether the log says that it was held.
-        call: resolved with the forecast when its turn has come, or when it is hopeless.
-        has_missed: whether it was found not to get a place within its objective.
-        share_count: ends its count among those that wait for their shares; None while it is not
-            counted.
+        since: estimated monotonic time of the client's first attempt.
+        flow_name: name of its flow, which is its tenant or its route.
+        is_retry: whether its client was refused before.
+        is_share_exempt: whether the starvation guard exempts it from its flow's share.
+        flow_share: its flow's share when it was last held back; None if it never was.
+        held_since: monotonic time since which it yields to others; None if it does not.
+        is_recorded: whether it is logged that it was held back.
+        turn: resolved with the forecast when its turn comes or it becomes infeasible.
+        missed_objective: whether it was recorded as getting no slot within its objective.
+        share_count: closed to stop counting it towards the shares; None while it is not counted.
         flow: the flow that it belongs to.
     """
 
@@ -52,5 +51,5 @@
 
     @property
     def was_over_share(self) -> bool:
-        """Whether it had to let others go first because of its flow's share."""
+        """Whether it was held back because its flow was over its share."""
         return self.flow_share is not None and not self.is_share_exempt
