--- a/tests/platform_callers.py
+++ b/tests/platform_callers.py
@@ -1,4 +1,4 @@
-"""Clients of a fleet in memory."""
+"""Clients of an in-memory fleet."""
 
 from dataclasses import replace
 
@@ -18,7 +18,7 @@
         self._sent = 0
 
     async def ask(self, daemon: int, target: bytes, body: bytes = b"") -> int:
-        """Sends a request once, and returns the status of its answer."""
+        """Sends a request once, and returns the status of its response."""
         self._sent += 1
         gateway = self._fleet.gateways[daemon % len(self._fleet.gateways)]
         name = f"request-{self._sent}".encode()
@@ -33,7 +33,7 @@
             return error.status
 
     async def ask_twice(self, daemon: int, target: bytes) -> int:
-        """Sends a request, and once more to the next daemon if it was not served."""
+        """Sends a request, and retries once at the next daemon if it was not served."""
         for attempt in range(CALLER_TRIES):
             status = await self.ask(daemon + attempt, target)
             if status == 200:
--- a/tests/test_bounded_choice.py
+++ b/tests/test_bounded_choice.py
@@ -1,7 +1,7 @@
-"""A choice among thousands of servers looks at a few, and still finds one that can serve.
+"""Choosing among thousands of servers considers only a few, and still finds one that can serve.
 
-The load that is answered: each client request, each item and each waiting request makes a choice or
-a survey, so what one looks at must not grow with the fleet.
+Every client request, item and queued request makes a choice or counts slots, so the cost of either
+must not grow with the fleet.
 """
 
 import random
@@ -32,16 +32,16 @@
 
 ITEM_WORK = Work(WorkKind.ITEM, model=MODEL, minimum_version=1)
 FLEETS = ((30, 4), (300, 30), (1000, 100), (3200, 370))
-"""Servers of one service, and daemons."""
+"""Numbers of servers of one service, and of daemons."""
 NAMES = tuple(InstanceId(f"s{number}") for number in range(3200))
-"""The servers of a scene, unless it has fewer."""
+"""The servers of a scene, of which it may use fewer."""
 OWN = DaemonId("d0")
 HOME, FAR = RegionId("home"), RegionId("far")
 HOME_ZONE, FAR_ZONE = ZoneId("home-a"), ZoneId("far-a")
 
 
 class CountedRule(StatelessRule):
-    """Allows all and counts how many instances were judged."""
+    """Allows all instances but the forbidden ones, and counts which were evaluated."""
 
     def __init__(self) -> None:
         self.judged: Counter[InstanceId] = Counter()
@@ -57,14 +57,14 @@
         )
 
     def take(self) -> int:
-        """Returns how many instances were looked at since it was last asked."""
+        """Returns how many instances were evaluated since the last call."""
         count = len(self.judged)
         self.judged.clear()
         return count
 
 
 class Scene:
-    """A balancer of one daemon of a fleet before one service."""
+    """The balancer of one daemon in a fleet with one service."""
 
     def __init__(self, servers: int = 3200, daemons: int = 370) -> None:
         self.directory = InstanceDirectory()
@@ -90,26 +90,26 @@
         return set(self.subsets.ids(PAGES, self.directory.index))
 
     def client_choice(self, **options) -> list[InstanceInfo]:
-        """Returns the candidates for a client's request."""
+        """Returns the candidates for a client request."""
         return self.balancer.candidates(PAGES, CLIENT_WORK, for_client=True, **options)
 
     def fill(self, names: set[InstanceId]) -> None:
-        """Takes all places of some servers."""
+        """Takes all slots of some servers."""
         for name in names:
             for _ in range(SLOTS):
                 self.balancer.occupy(name)
 
     def avoid(self, names: set[InstanceId]) -> None:
-        """Has some servers fail a moment ago."""
+        """Marks some servers as recently failed."""
         for name in names:
             self.balancer.avoid(name, 60.0)
 
 
 class CostTest(unittest.TestCase):
-    """How many servers are looked at."""
+    """The number of servers considered."""
 
     def looked_at(self, servers: int, daemons: int) -> dict[str, int]:
-        """Returns the servers that each use of the balancer looks at."""
+        """Returns the number of servers that each use of the balancer considers."""
 
         async def play():
             scene = Scene(servers, daemons)
@@ -162,7 +162,7 @@
         run(play())
 
     def test_items_may_go_to_any_server(self):
-        """An owner's items need more places than a subset has."""
+        """The items of one owner need more slots than a subset has."""
 
         async def play():
             scene = Scene(300, 30)
@@ -177,7 +177,7 @@
 
 
 class OthersTest(unittest.TestCase):
-    """What happens when those that are looked at cannot serve."""
+    """Other servers are considered when those in the pool cannot serve."""
 
     def test_others_are_tried_when_the_whole_subset_has_failed(self):
         async def play():
@@ -227,7 +227,7 @@
         run(play())
 
     def test_few_allowed_servers_of_thousands_are_found(self):
-        """As three servers in the only region where the work may be served."""
+        """Three servers are in the only region where the work may be served."""
 
         async def play():
             scene = Scene()
@@ -243,7 +243,7 @@
         run(play())
 
     def test_others_are_found_when_the_only_allowed_server_of_a_subset_cannot_serve(self):
-        """As three servers in the only region where the work may be served, one in the subset."""
+        """Three servers are in the only allowed region, one of them in the subset."""
 
         async def play():
             scene = Scene()
@@ -262,7 +262,7 @@
         run(play())
 
     def test_others_are_found_when_all_allowed_servers_of_a_subset_were_tried(self):
-        """As a region with 40 servers of 3,200, five of them in the subset."""
+        """The allowed region has 40 of 3,200 servers, five of them in the subset."""
 
         async def play():
             scene = Scene()
@@ -279,7 +279,7 @@
         run(play())
 
     def test_places_found_by_a_search_stand_for_all_that_are_allowed(self):
-        """As a region with 320 servers of 3,200, of which a search finds the first few dozen."""
+        """The allowed region has 320 of 3,200 servers, of which a search finds only some."""
 
         async def play():
             scene = Scene()
@@ -336,7 +336,7 @@
 
 
 class ItemTest(unittest.TestCase):
-    """Which engines of a large service are looked at for items."""
+    """The engines of a large service considered for items."""
 
     def test_only_engines_that_hold_the_model_are_looked_at(self):
         async def play():
@@ -364,7 +364,7 @@
         run(play())
 
     def test_places_at_one_engine_in_fifty_are_found_in_a_few_passes(self):
-        """A pass over the queue is made each 30 ms."""
+        """Each choice samples the engines anew."""
 
         async def play():
             scene = Scene()
@@ -380,7 +380,7 @@
 
 
 class FleetTest(unittest.TestCase):
-    """Daemons before a service of which they look at some servers only."""
+    """Daemons with a service that is too large to be considered as a whole."""
 
     def test_batch_is_whole_though_a_third_of_the_engines_does_not_respond(self):
         async def play():
@@ -403,7 +403,7 @@
 
 
 class SurveyTest(unittest.TestCase):
-    """The places of a large service are those of some, scaled up."""
+    """The slots of a large service are those of a sample, scaled up."""
 
     def test_places_of_some_stand_for_all(self):
         async def play():
--- a/tests/test_choice_quality.py
+++ b/tests/test_choice_quality.py
@@ -1,8 +1,8 @@
-"""How long requests take if a choice looks at a few servers, against all of them put in order.
+"""Compares response times of choosing among a few servers with choosing among all of them.
 
-A loop over the pure rules: requests come to daemons, some of which have several times as many as
-others, and take a place at the server that comes first, or wait for one there. The load is such
-that a bad choice costs: nine of ten places are taken. Times are in units of the usual pace.
+Simulates the pure rules: requests arrive at unevenly loaded daemons and take, or wait for, a slot
+at the server ranked first. The load is 90 %, so that bad choices increase the response times.
+Times are relative to the usual service time.
 """
 
 import functools
@@ -26,33 +26,33 @@
 
 SLOTS = 2
 LOAD = 0.9
-"""Share of the places that requests would take if they were spread evenly."""
+"""Fraction of the slots in use if requests were spread evenly."""
 REQUESTS_A_PLACE = 3
-"""Requests of a play for each place; the first half lets the load come up."""
+"""Requests of a simulation for each slot; the first half is warm-up."""
 PACES = (0.7, 1.7)
-"""Usual times of fast and slow servers."""
+"""Service times of fast and slow servers."""
 SKEW = 0.8
-"""Spread of the daemons' numbers of requests, as of a log-normal distribution."""
+"""Sigma of the log-normal distribution of requests among daemons."""
 LOAD_LIFETIME = 25.0
-"""How long daemons use what a server said of its load: a second, at a usual time of 40 ms."""
+"""How long daemons use a load that a server reported."""
 WORSE = 1.08
-"""By how much longer requests may take than with all servers put in order, without unit."""
+"""Allowed ratio of response times to those of choosing among all servers, without unit."""
 SEEDS = (1, 2, 3)
 MANY_SEEDS = range(20)
 
 
 @dataclass(slots=True)
 class Fleet:
-    """Servers with their queues, as a choice sees them.
+    """Servers with their queues.
 
     Attributes:
-        knows_all: whether daemons know all requests at each server, or only what they see.
-        now: the time.
+        knows_all: whether daemons know all requests at each server, or only what they observe.
+        now: the current time.
         busy: requests at each server.
-        free_at: when each place of a server comes free.
-        ends: of the requests under way, with their daemon and server.
-        own: of those at each server, the requests of each daemon.
-        said: requests of others at a server, and when it said so, with its last answer to a daemon.
+        free_at: when each slot of a server becomes free.
+        ends: end times of the requests in flight, with their daemon and server.
+        own: requests by daemon and server.
+        said: load by other daemons that a server reported to a daemon, and the time of the report.
     """
 
     servers: list[InstanceInfo]
@@ -70,7 +70,7 @@
         self.free_at = [[0.0] * SLOTS for _ in self.servers]
 
     def advance(self, now: float) -> None:
-        """Ends the requests that are over."""
+        """Advances the time and ends the completed requests."""
         self.now = now
         while self.ends and self.ends[0][0] <= now:
             end, daemon, server = heapq.heappop(self.ends)
@@ -79,7 +79,7 @@
             self.said[daemon, server] = (self.busy[server] - self.own[daemon, server], end)
 
     def occupied(self, daemon: int, server: int) -> int:
-        """Returns the requests that a daemon believes to be at a server."""
+        """Returns a daemon's estimate of the requests at a server."""
         if self.knows_all:
             return self.busy[server]
         others, at = self.said.get((daemon, server), (0, float("-inf")))
@@ -101,7 +101,7 @@
 
 
 def choose_of_all(fleet: Fleet, daemon: int, rng: random.Random) -> int:
-    """Returns the first of all servers in the order of `rank`, which is the least wait."""
+    """Returns the server with the lowest expected wait, as `rank` would."""
     waits = [
         (fleet.occupied(daemon, server) + 1) * service_time
         for server, service_time in enumerate(fleet.paces)
@@ -111,7 +111,7 @@
 
 
 def choose_of(fleet: Fleet, daemon: int, looked_at: Sequence[int], rng: random.Random) -> int:
-    """Returns the first of some servers in the order of `rank`."""
+    """Returns the server that `rank` puts first among some servers."""
     candidates = [
         Candidate(
             fleet.servers[server],
@@ -129,13 +129,13 @@
 
 
 def draw_of_all(fleet: Fleet, daemon: int, rng: random.Random) -> int:
-    """Returns the first of some servers drawn anew, as for an item of a batch."""
+    """Returns the best of a new random sample of servers, as for an item of a batch."""
     drawn = rng.sample(range(len(fleet.servers)), POOL_SIZE)
     return choose_of(fleet, daemon, drawn, rng)
 
 
 class SubsetChoice:
-    """Looks at the subset of the daemon, and at some others if it has no place."""
+    """Considers the subset of the daemon, and some other servers if it has no free slot."""
 
     def __init__(self, names: list[InstanceId], daemons: int) -> None:
         self._parts: list[list[int]] = [[] for _ in range(daemons)]
@@ -163,7 +163,7 @@
 def mean_time(
     servers: int, daemons: int, choose: Choice, seed: int, *, knows_all: bool = True
 ) -> float:
-    """Returns how long a request takes on average, waiting included."""
+    """Returns the mean response time, including waiting."""
     rng = random.Random(seed)
     fleet = Fleet(
         [make_instance(str(number), slots=SLOTS) for number in range(servers)],
@@ -174,7 +174,7 @@
     shares = [rng.lognormvariate(0, SKEW) for _ in range(daemons)]
     count = servers * SLOTS * REQUESTS_A_PLACE
     callers = rng.choices(range(daemons), shares, k=count)
-    choice_chance = random.Random(seed)  # apart, so that all choices see the same requests
+    choice_chance = random.Random(seed)  # separate, so that all policies get the same requests
     now, times = 0.0, []
     for caller in callers:
         now += rng.expovariate(rate)
@@ -187,15 +187,15 @@
 
 @functools.cache
 def best_time(servers: int, daemons: int, seed: int) -> float:
-    """Returns how long a request takes on average with all servers put in order."""
+    """Returns the mean response time of choosing among all servers."""
     return mean_time(servers, daemons, choose_of_all, seed)
 
 
 class QualityTest(unittest.TestCase):
-    """Times with a bounded choice against those with all servers put in order."""
+    """Response times of a bounded choice are close to those of choosing among all servers."""
 
     def check(self, servers: int, daemons: int, choose: Choice, seeds: Sequence[int]) -> None:
-        """Checks that requests take about as long as with all servers put in order."""
+        """Checks the ratio of response times to those of choosing among all servers."""
         best = sum(best_time(servers, daemons, seed) for seed in seeds)
         found = sum(mean_time(servers, daemons, choose, seed) for seed in seeds)
         self.assertLessEqual(found / best, WORSE, f"{found / best:.3f}")
@@ -211,7 +211,7 @@
                 self.check(servers, daemons, SubsetChoice(names, daemons), seeds)
 
     def test_subsets_are_better_where_daemons_know_only_what_they_see(self):
-        """Of all servers, those of which nothing is known would always look the least busy."""
+        """Among all servers, those without any known load would always look the least busy."""
         names = [InstanceId(f"s{number}") for number in range(300)]
         chosen = SubsetChoice(names, 30)
         for seed in SEEDS:
--- a/tests/test_elapsed_time.py
+++ b/tests/test_elapsed_time.py
@@ -1,4 +1,4 @@
-"""The estimate of how long a caller has been trying."""
+"""The estimate of how long a client has been trying."""
 
 import asyncio
 import unittest
@@ -9,7 +9,7 @@
 
 
 class ElapsedTimesTest(unittest.TestCase):
-    """The estimate of how long ago a caller first tried."""
+    """The time since a client's first attempt."""
 
     def test_caller_that_came_back_lacks_what_went_by(self):
         async def play():
--- a/tests/test_fair_load.py
+++ b/tests/test_fair_load.py
@@ -1,7 +1,7 @@
-"""Tenants before too few places: the whole way through the forwarders of two daemons.
+"""Fair sharing of too few slots among tenants, tested through the forwarders of two daemons.
 
-On virtual time. The scripted servers have no queue: a request beyond their slots is answered
-"full". Callers that are refused come back once, at the time that they were told.
+Runs in virtual time. The scripted servers have no queue: they answer "full" to requests beyond
+their slots. Refused clients retry once, at the time that they were told.
 """
 
 import asyncio
@@ -39,10 +39,10 @@
 SLOTS = 2
 PACE = 0.1
 CAPACITY = SERVERS * SLOTS / PACE
-"""Requests a second."""
+"""Requests per second."""
 TIME_LEFT = 1.0
 REPORT_SECONDS = 1.0
-"""Between two reports of each daemon."""
+"""Interval of the reports of each daemon."""
 SHARES = (ServiceShare(PAGES, 1.0),)
 ROUTE = Route("r", "h", b"/", RouteKind.RUN_ONCE, SHARES, 2.0, 0.2, 1, 3)
 HEAVY = TenantName("heavy")
@@ -50,13 +50,13 @@
 HEAVY_FLOW = flow("heavy", GROUP)
 LIGHT_FLOW = flow("light", GROUP)
 CHANCE_TOLERANCE = 0.01
-"""Part of the callers by which two runs of one load may differ by chance."""
+"""Fraction of the clients by which two runs of one load may differ randomly."""
 SHARE_COUNTER = "larkpost_share_decisions_total{"
 
 
 @dataclass
 class Daemon:
-    """What is simulated of one daemon."""
+    """The simulated parts of one daemon."""
 
     name: DaemonId
     balancer: Balancer
@@ -67,26 +67,26 @@
 
 @dataclass
 class Sums:
-    """What became of the callers, by tenant."""
+    """Counts of client outcomes by tenant."""
 
     asked: Counter = field(default_factory=Counter)
     served: Counter = field(default_factory=Counter)
     in_time: Counter = field(default_factory=Counter)
 
     def part(self, *tenants: TenantName) -> float:
-        """Returns which part of the tenants' callers was served."""
+        """Returns the fraction of the tenants' clients that was served."""
         return sum(self.served[name] for name in tenants) / sum(
             self.asked[name] for name in tenants
         )
 
     def part_in_time(self, *tenants: TenantName) -> float:
-        """Returns which part of the tenants' callers was served within the objective."""
+        """Returns the fraction of the tenants' clients that was served within the objective."""
         asked = sum(self.asked[name] for name in tenants)
         return sum(self.in_time[name] for name in tenants) / asked
 
 
 class LoadTest(unittest.TestCase):
-    """A fleet of two daemons before eight places."""
+    """A fleet of two daemons that share eight slots."""
 
     def begin(self, seed: int = 1) -> None:
         """Makes the servers and the daemons."""
@@ -101,7 +101,7 @@
         self.sums = Sums()
 
     def make_daemon(self, name: str) -> Daemon:
-        """Returns a daemon that knows the servers' paces."""
+        """Returns a daemon that knows the servers' service times."""
         balancer = Balancer(self.directory, self.clock, random.Random(name))
         for number in range(SERVERS):
             balancer.record_service_time(InstanceId(f"e{number}"), PACE)
@@ -111,7 +111,7 @@
         return Daemon(DaemonId(name), balancer, ledger, Forwarder(parts), parts.metrics)
 
     async def report(self) -> None:
-        """Has the daemons report to each other, again and again."""
+        """Makes the daemons report to each other at intervals."""
         while True:
             first, second = self.daemons
             for sender, receiver in ((first, second), (second, first)):
@@ -120,7 +120,7 @@
             await self.clock.sleep(REPORT_SECONDS)
 
     async def call(self, tenant: TenantName, daemon: Daemon) -> None:
-        """Makes one call, and comes back once if it is refused."""
+        """Makes one call, and retries once if it is refused."""
         began = self.clock.now()
         self.sums.asked[tenant] += 1
         for is_last in (False, True):
@@ -143,11 +143,11 @@
     async def play(
         self, rates: dict[TenantName, float], seconds: float, heavy_at_first: float = 0.5
     ) -> Sums:
-        """Sends requests of some tenants for a while, and returns what became of them.
+        """Sends requests of some tenants for some seconds, and returns their outcomes.
 
         Args:
-            rates: requests a second by tenant.
-            heavy_at_first: which part of the heavy tenant's requests the first daemon gets.
+            rates: requests per second by tenant.
+            heavy_at_first: fraction of the heavy tenant's requests sent to the first daemon.
         """
         self.sums = Sums()
         calls = []
@@ -169,7 +169,7 @@
         heavy_at_first: float = 0.5,
         seed: int = 1,
     ) -> Sums:
-        """Returns what became of a load."""
+        """Returns the outcomes of a load."""
 
         async def play() -> Sums:
             self.begin(seed)
@@ -182,17 +182,17 @@
 
 
 def light_rates(total: float, count: int = 8) -> dict[TenantName, float]:
-    """Returns the rates of tenants that together ask so much."""
+    """Returns the rates of tenants for a total load."""
     return {TenantName(f"light-{number}"): total / count for number in range(count)}
 
 
 def mean_in_time(runs: list[Sums], tenants: tuple[TenantName, ...]) -> float:
-    """Returns which part of the tenants' callers was served within the objective, on average."""
+    """Returns the mean fraction of the tenants' clients that was served within the objective."""
     return sum(sums.part_in_time(*tenants) for sums in runs) / len(runs)
 
 
 class OneTenantSendsHalfTest(LoadTest):
-    """One of nine tenants sends half of all requests, and there is room for about half."""
+    """One of nine tenants sends half of all requests, and the capacity suffices for about half."""
 
     RATES = light_rates(0.9 * CAPACITY) | {HEAVY: 0.9 * CAPACITY}
 
@@ -219,7 +219,7 @@
 
 
 class RoomTest(LoadTest):
-    """There are places for all: nobody is held back, whoever sends most."""
+    """With enough slots for all, no request is held back, whichever tenant sends most."""
 
     def test_nobody_is_held_back(self):
         rates = light_rates(0.1 * CAPACITY) | {HEAVY: 0.3 * CAPACITY}
@@ -237,17 +237,17 @@
 
 
 class LittleRoomTest(LoadTest):
-    """The places suffice, but requests often wait for a moment: one tenant still sends half.
+    """The slots suffice, but requests often wait briefly; one tenant sends half of them.
 
-    The aim: nobody is held back while there is room. So as many are served within the objective
-    as without shares, of all and of the heavy tenant.
+    As there is no shortage, the same fraction is served within the objective as without shares,
+    overall and for the heavy tenant.
     """
 
     SEEDS = range(1, 6)
     SECONDS = 8.0
 
     def check(self, load: float) -> None:
-        """Compares a load, in parts of the capacity, with and without shares."""
+        """Compares a load, as a fraction of the capacity, with and without shares."""
         half = load / 2 * CAPACITY
         rates = light_rates(half) | {HEAVY: half}
         with_shares = self.runs(rates)
@@ -260,7 +260,7 @@
             self.assertGreaterEqual(part, wanted - CHANCE_TOLERANCE, message)
 
     def runs(self, rates: dict[TenantName, float]) -> list[Sums]:
-        """Returns what became of a load, for each seed."""
+        """Returns the outcomes of a load for each seed."""
         return [self.run_load(rates, self.SECONDS, seed=seed) for seed in self.SEEDS]
 
     def test_at_seven_tenths_of_the_capacity(self):
@@ -274,7 +274,7 @@
 
 
 class BurstTest(LoadTest):
-    """Ten times as many requests as there are places for."""
+    """Ten times as many requests as the capacity."""
 
     def test_tenant_that_sends_ten_times_as_much_pays_alone_and_is_not_starved(self):
         rates = light_rates(0.5 * CAPACITY) | {HEAVY: 10 * CAPACITY}
@@ -292,7 +292,7 @@
 
 
 class ReturningWaveTest(LoadTest):
-    """Many callers are refused at one moment and come back as they were told."""
+    """Many clients are refused at the same moment and retry at the times that they were told."""
 
     def test_they_are_told_times_of_their_own(self):
         async def play() -> list[float]:
@@ -316,7 +316,7 @@
             self.assertLess(len(together), len(told) / 4)
 
     def test_caller_that_came_back_goes_before_those_who_come_first(self):
-        """Also if its objective is over, and before those that have waited less since then."""
+        """This holds even after its objective, and before requests that have waited less."""
 
         async def play() -> list[str]:
             clock = LoopClock()
@@ -341,10 +341,10 @@
 
 
 class HeldRequestTest(LoadTest):
-    """A request beyond its share at a daemon that has heard of others that wait elsewhere."""
+    """A request over its share at a daemon that knows of requests waiting at other daemons."""
 
     def wait(self, reported: dict) -> float:
-        """Returns for how long a request of the heavy tenant waits while a place is free."""
+        """Returns how long a request of the heavy tenant waits while a slot is free."""
 
         async def play() -> float:
             clock = LoopClock()
@@ -364,7 +364,7 @@
         self.assertLess(seconds, MAX_HOLD_SECONDS + 2 * POLL_INTERVAL_SECONDS)
 
     def test_those_that_come_after_it_do_not_hold_it_up(self):
-        """Callers who come back stand before it, and are held anew each."""
+        """Retries rank before it, and each of them is held for its own time."""
 
         async def play() -> float:
             clock = LoopClock()
@@ -449,7 +449,7 @@
 
 
 class ShortageNewsTest(unittest.TestCase):
-    """Which requests the shares, here and at other daemons, count."""
+    """Which waiting requests count towards the shares."""
 
     def setUp(self) -> None:
         self.clock = LoopClock()
@@ -457,7 +457,7 @@
         self.queues = RequestQueues(self.clock, lambda *_: SlotCounts(8, 8, PACE), self.ledger)
 
     def waiter(self, objective: float, time_left: float) -> Waiter:
-        """Returns a request that has just come."""
+        """Returns a new request."""
         now = self.clock.now()
         deadlines = Deadlines(now + objective, now + time_left, PACE)
         return Waiter(PAGES, CLIENT_WORK, 1, deadlines, now, "light")
@@ -501,10 +501,10 @@
 
 
 class LeavingCallerTest(LoadTest):
-    """Callers of a tenant beyond its share that leave while their requests wait."""
+    """Clients of a tenant over its share disconnect while their requests wait."""
 
     def test_credit_of_a_caller_that_left_is_for_the_next(self):
-        """Else a tenant with impatient callers would be served less than its least part."""
+        """Otherwise a tenant with impatient clients would get less than its guaranteed minimum."""
 
         async def play() -> list[int]:
             self.begin()
@@ -535,7 +535,7 @@
 
 
 class NewsStopTest(LoadTest):
-    """The daemons hear nothing of each other any more: each goes by what it sees itself."""
+    """Without reports of the others, each daemon relies on its own requests."""
 
     def test_small_tenants_are_still_served_and_no_place_stays_free(self):
         rates = light_rates(0.9 * CAPACITY) | {HEAVY: 0.9 * CAPACITY}
@@ -556,7 +556,7 @@
 
 
 class FleetTest(unittest.TestCase):
-    """Whole daemons with a store: use by tenant travels with their heartbeats."""
+    """Whole daemons with a store exchange their use by tenant with heartbeats."""
 
     def test_daemons_learn_of_a_shortage_and_of_its_end(self):
         async def play():
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -1,4 +1,4 @@
-"""The shares of tenants in the places of a service: the pure rules, each by the load it answers."""
+"""The shares of tenants in the slots of a service: the pure rules under typical loads."""
 
 import contextlib
 import itertools
@@ -35,7 +35,7 @@
 GROUP = FlowGroup(SERVICE, 1)
 PACE = 0.1
 STARVED_PART = 0.25
-"""A tenant counts as starving that is served less than this part as often as all."""
+"""A tenant counts as starved if its served fraction is below this part of the overall one."""
 
 
 def flow(name: str, group: FlowGroup = GROUP) -> Flow:
@@ -48,7 +48,7 @@
 
 
 class WaterFillingTest(unittest.TestCase):
-    """Equal parts; what one does not need goes to the others."""
+    """Equal parts; unused parts are redistributed."""
 
     def test_levels(self):
         for demands, capacity, expected in (
@@ -74,10 +74,10 @@
 
 
 class OneTenantSendsHalfTest(unittest.TestCase):
-    """One of eleven tenants sends half of all requests, and there are places for half of them."""
+    """One of eleven tenants sends half of all requests, and there are slots for half of them."""
 
     def uses(self) -> dict[Flow, FlowUsage]:
-        """Returns what is held: ten places, of which the heavy tenant has more than its part."""
+        """Returns the use of ten slots, of which the heavy tenant has more than its share."""
         small = {flow(f"t{number}"): FlowUsage(int(number < 5), 1) for number in range(10)}
         return small | {HEAVY: FlowUsage(5, 10)}
 
@@ -88,7 +88,7 @@
         self.assertLess(heavy.share, 1.0)
         self.assertEqual(
             5, heavy.waiting_ahead
-        )  # those without a place; the others have their share
+        )  # those without a slot; the others have their share
         self.assertFalse(shares.flow_share(flow("t9")).is_over_share)
 
     def test_it_gets_what_the_others_leave(self):
@@ -99,7 +99,7 @@
         self.assertFalse(heavy.is_over_share)
 
     def test_whoever_is_beyond_its_share_has_others_before_it_for_all_free_places(self):
-        """So a free place is never refused to it for nobody."""
+        """So it is never refused a free slot that no other request would take."""
         rng = random.Random(7)
         seen = 0
         for _ in range(500):
@@ -147,7 +147,7 @@
         self.assertFalse(any(shares.flow_share(name).is_over_share for name in uses))
 
     def test_credit_serves_the_greatest_tenant_a_third_as_often_as_all(self):
-        """A tenth of the requests find a place, and its share alone would give it none."""
+        """A tenth of the requests get a slot, and its share alone would give it none."""
 
         async def play():
             clock = LoopClock()
@@ -212,7 +212,7 @@
 
 
 class UnequalDaemonsTest(unittest.TestCase):
-    """Two daemons of unequal share of a tenant: what one sees is not what the fleet holds."""
+    """Two daemons with unequal parts of a tenant's requests."""
 
     def test_daemon_that_sees_few_requests_of_a_heavy_tenant_counts_those_of_the_other(self):
         async def play():
@@ -284,7 +284,7 @@
         run(play())
 
     def test_row_of_a_heartbeat_with_use_by_tenant_is_as_it_was(self):
-        """Daemons of other builds read it."""
+        """The format must stay compatible with daemons of other versions."""
         report = DaemonReport(tenants={HEAVY: FlowUsage(3, 1), LIGHT: FlowUsage(0, 2)})
         row = b'{"interval":1.0,"tenants":[["pages",1,"heavy",3,1],["pages",1,"light",0,2]]}'
         self.assertEqual(row, encode_heartbeat(Heartbeat(1.0, report=report)))
@@ -310,7 +310,7 @@
 
 
 class NewsStopTest(unittest.TestCase):
-    """The reports of other daemons stop: a daemon goes by its own requests after a while."""
+    """When the reports of other daemons stop, a daemon relies on its own requests."""
 
     def test_old_reports_count_no_longer(self):
         async def play():
@@ -341,7 +341,7 @@
 
 
 class ReturningWaveTest(unittest.TestCase):
-    """A wave of callers who are refused at one moment, and would come back together."""
+    """Clients that are refused at the same moment must not retry at the same moment."""
 
     def test_they_come_back_one_after_the_other_in_their_order(self):
         async def play():
@@ -361,7 +361,7 @@
             told = [times.reserve("line", 5.0, 0.05, 0.4) for _ in range(100)]
             self.assertLessEqual(max(told), 0.4)
             self.assertGreater(max(told) - min(told), 0.15)
-            # Nobody is put behind those who did not stay.
+            # Clients that could not wait do not delay later ones.
             self.assertLess(times.reserve("line", 0.1, 0.05, 1.0), 0.2)
 
         run(play())
@@ -386,7 +386,7 @@
         run(play())
 
     def test_line_in_constant_use_is_kept_among_many(self):
-        """Else the callers of the tenant that is refused most would come back together."""
+        """Otherwise the clients of the tenant that is refused most would retry together."""
 
         async def play():
             times = RetrySchedule(LoopClock(), random.Random(1))
@@ -402,14 +402,14 @@
 
 
 class LastingShortageTest(unittest.TestCase):
-    """By chance a tenth of the requests finds no place in its time; in a shortage half do."""
+    """Randomly a tenth of the requests gets no slot in time; in a shortage half of them do."""
 
     def setUp(self) -> None:
         self.clock = LoopClock()
         self.shortage = ShortageDetector(self.clock)
 
     async def play(self, missed_of_ten: int, seconds: int) -> None:
-        """Records ten requests a second."""
+        """Records ten requests per second."""
         for number in range(10 * seconds):
             if number % 10 < missed_of_ten:
                 self.shortage.record_missed(SERVICE)
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -1,6 +1,6 @@
-"""Client requests before servers without a free place: what is forecast, who waits, who is refused.
+"""Forecasts, queueing and refusals of client requests while servers have no free slot.
 
-The scripted servers have no queue: a request beyond their slots is answered "full".
+The scripted servers have no queue: they answer "full" to requests beyond their slots.
 """
 
 import asyncio
@@ -53,7 +53,7 @@
 PACE = 0.1
 DEADLINES = Deadlines(objective_at=OBJECTIVE, expires_at=0.8, default_service_time=0.05)
 SETTLE_SECONDS = 0.01
-"""Longer than an answer "full" takes, shorter than the pace."""
+"""Longer than an answer "full" takes, shorter than the service time."""
 
 
 def make_route(kind: RouteKind = RouteKind.RUN_ONCE, priority: int = 0) -> Route:
@@ -64,12 +64,12 @@
 
 
 class ForecastTest(unittest.TestCase):
-    """The forecast alone; the time is 0."""
+    """The forecast function at time 0."""
 
     def expectation(
         self, slot_counts: SlotCounts, ahead: int = 0, blocked_seconds: float = 0.0
     ) -> Expectation:
-        """Returns what is expected."""
+        """Returns the expectation of a forecast."""
         return make_forecast(slot_counts, DEADLINES, 0.0, ahead, blocked_seconds).expectation
 
     def test_more_requests_in_front_turn_it_from_in_time_to_late_to_hopeless(self):
@@ -113,10 +113,10 @@
 
 
 class WaitingTest(unittest.TestCase):
-    """Requests through the forwarder, on virtual time."""
+    """Requests through the forwarder, in virtual time."""
 
     def begin(self, count: int = 1, service_time: float = PACE) -> None:
-        """Lists some servers of which all places are free."""
+        """Lists some servers with all slots free."""
         self.clock = LoopClock()
         self.engines = ScriptedEngines(self.clock, ModelName("model"))
         self.directory = InstanceDirectory()
@@ -159,14 +159,14 @@
         return asyncio.create_task(read())
 
     async def refusal(self, task: asyncio.Task) -> tuple[float, RefusedError]:
-        """Returns how long a request took to be refused, and the refusal."""
+        """Returns the seconds until a request was refused, and the error."""
         began = self.clock.now()
         with self.assertRaises(RefusedError) as caught:
             await task
         return self.clock.now() - began, caught.exception
 
     def take_places(self, seconds: float) -> None:
-        """Has other daemons' requests take all places of the first server for a while."""
+        """Fills all slots of the first server with other daemons' requests for some seconds."""
         state = self.state()
         state.running += SLOTS
 
@@ -268,7 +268,7 @@
         run(play())
 
     def test_less_urgent_request_waits_behind_those_in_line(self):
-        """A newcomer does not take the place that came free for one that waits."""
+        """A new request does not take the slot that became free for a waiting one."""
 
         async def play():
             self.begin()
@@ -307,12 +307,12 @@
             self.assertGreater(error.retry_after, 0)
             self.assertEqual([], self.state().runs)
             seconds, _ = await self.refusal(self.send(make_route(), 0.7))
-            self.assertLess(seconds, 0.25)  # it is known by now that no place comes free
+            self.assertLess(seconds, 0.25)  # known by now: no slot becomes free
 
         run(play())
 
     def test_refusals_of_full_servers_do_not_wake_the_line(self):
-        """Each poll costs one attempt; else the queued requests would call each other for ever."""
+        """Each poll costs one attempt; otherwise queued requests would wake each other forever."""
 
         async def play():
             self.begin()
@@ -367,7 +367,7 @@
         run(play())
 
     def test_request_that_waited_and_then_ran_is_never_answered_as_not_run(self):
-        """Its server is silent until its time is over, or breaks its answer off."""
+        """Its server does not respond before the deadline, or cuts its response off."""
 
         async def play():
             for kind in (RouteKind.IDEMPOTENT, RouteKind.RUN_ONCE):
@@ -408,13 +408,13 @@
         run(play())
 
     def test_request_is_tried_at_free_servers_that_failed_a_moment_ago(self):
-        """No place is known to be taken, and nothing waits: a refusal would be for nothing."""
+        """No slot is known to be taken and no request waits, so a refusal would be unnecessary."""
 
         async def play():
             self.begin()
             self.balancer.record_service_time(
                 InstanceId("e0"), 0.5, weight=1.0
-            )  # others' requests took long
+            )  # other requests took long
             self.balancer.avoid(InstanceId("e0"), 0.3)
             answer = await self.send(make_route(), 0.4)
             self.assertEqual(200, answer.status)
@@ -443,7 +443,7 @@
             )
 
     async def polls_for_ends(self, slot_counts: SlotCounts) -> int:
-        """Returns how many polls of a queue twenty requests cost that end at once."""
+        """Returns the number of queue polls caused by twenty requests that end at once."""
         surveys = []
 
         def count(service, work) -> SlotCounts:
@@ -493,7 +493,7 @@
         run(play())
 
     def surveyed(self):
-        """Returns what a survey is made of."""
+        """Returns the arguments of `count_slots`."""
         return self.balancer, PAGES, CLIENT_WORK
 
 
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -1,4 +1,4 @@
-"""Client requests before servers that are slow, silent, failing, full or leaving."""
+"""Client requests to servers that are slow, unresponsive, failing, full or draining."""
 
 import asyncio
 import random
@@ -33,7 +33,7 @@
 
 
 class RecordingEngines(ScriptedEngines):
-    """Scripted servers that note the time each request may take, and can be late to answer."""
+    """Scripted servers that record the time limit of each request, and can respond late."""
 
     def __init__(self, clock: LoopClock) -> None:
         super().__init__(clock, MODEL)
@@ -50,7 +50,7 @@
 
 
 class LosingAnswer(ScriptedResponse):
-    """An answer that breaks off after the request ran."""
+    """A response that is cut off after the request ran."""
 
     async def chunks(self):
         """Yields nothing."""
@@ -60,10 +60,10 @@
 
 
 class ForwarderTest(unittest.TestCase):
-    """Each test scripts some servers and sends requests."""
+    """Requests to scripted servers."""
 
     def begin(self, **states: ScriptedEngine) -> None:
-        """Lists servers by name, each in its state."""
+        """Lists servers with their states."""
         self.clock = LoopClock()
         self.engines = RecordingEngines(self.clock)
         self.directory = InstanceDirectory()
@@ -89,11 +89,11 @@
         return ClientRequest(name, "GET", b"h", b"/", (), b"", now, time_left)
 
     def runs(self) -> int:
-        """Returns how often servers have run a request."""
+        """Returns how many times servers have run a request."""
         return sum(len(state.runs) for state in self.engines.engines.values())
 
     def running(self) -> int:
-        """Returns the requests that servers are working on."""
+        """Returns the number of requests in progress at servers."""
         return sum(state.running for state in self.engines.engines.values())
 
     def test_slow_server_is_overtaken_by_a_second_one(self):
@@ -143,9 +143,9 @@
         run(play())
 
     def test_full_servers_that_free_no_place_are_refused_by_half_the_time_and_nothing_runs(self):
-        """What found no place for so long is not expected to be served; the next learns it sooner.
+        """A request without a slot for this long is not expected to be served; later ones fail sooner.
 
-        Each server was really asked before.
+        Every server gets a request before the first refusal.
         """
 
         async def play():
@@ -220,7 +220,7 @@
         run(play())
 
     def test_timed_out_request_that_may_run_once_is_not_told_that_it_did_not_run(self):
-        """It was sent, so a refusal would be a false promise."""
+        """It was sent, so a refusal would be wrong."""
 
         async def play():
             self.begin(silent=ScriptedEngine(event_seconds=SILENT_SECONDS))
--- a/tests/test_lasting_pace.py
+++ b/tests/test_lasting_pace.py
@@ -1,4 +1,4 @@
-"""Lasting paces and momentary slowness: the pure rules, each as a table of cases."""
+"""Lasting service times and reported slowness: the pure rules, as tables of cases."""
 
 import random
 import unittest
@@ -27,7 +27,7 @@
 STREAMS = 4
 
 QUICK_MEANS = (
-    # case, means of slices, the sustained pace
+    # case, slice means, sustained service time
     ("nothing measured", [], 0.0),
     ("one slice", [0.04], 0.04),
     ("the quicker of two", [0.1, 0.04], 0.04),
@@ -36,13 +36,13 @@
     ("one that was too quick", [0.001] + [0.04] * 11, 0.04),
 )
 USUAL = (
-    # usual pace, sustained one, the usual one after the slice
+    # baseline, sustained service time, baseline after the slice
     (0.0, 0.05, 0.05),
     (0.1, 0.05, 0.085),
     (0.05, 0.15, 0.05 + RISE_WEIGHT * 0.1),
 )
 CORRECTIONS = (
-    # case, seconds, said slowness, quickest, slowest measured lately, without slowness
+    # case, seconds, reported slowness, quickest and slowest recent mean, corrected seconds
     ("nothing said", 0.1, 1.0, 0.04, 0.1, 0.1),
     ("a burst that is said", 0.1, 2.5, 0.04, 0.1, 0.04),
     ("said too much", 0.1, 3.0, 0.04, 0.1, 0.04),
@@ -52,7 +52,7 @@
     ("quicker than ever, and said to be slow", 0.03, 2.0, 0.04, 0.1, 0.03),
 )
 BELIEVED = (
-    # what the server says, what it says usually, how many times as long as usual
+    # reported slowness, usual reported slowness, resulting factor
     (1.0, 1.0, 1.0),
     (2.5, 1.0, 2.5),
     (4.25, 1.7, 2.5),
@@ -89,14 +89,14 @@
 
 
 class PaceHistoryTest(unittest.TestCase):
-    """What a server's streams show over time."""
+    """The service time over a sequence of measurements."""
 
     def setUp(self):
         self.history = ServiceTimeHistory()
         self.now = 0.0
 
     def measure(self, service_time: float, seconds: float, streams: int = STREAMS) -> None:
-        """Records the events of some streams at a pace for a while."""
+        """Records the events of some streams with a fixed service time for some seconds."""
         until = self.now + seconds
         while self.now < until:
             self.now += service_time
@@ -145,7 +145,7 @@
         self.assertGreater(self.history.service_time(self.now), 0.9 * SLOW)
 
     def test_events_that_come_together_make_no_server_quick(self):
-        """Two events in one packet: a pause of nothing after one of two paces."""
+        """Two events arrive in one packet: a zero interval after a double one."""
         for number in range(200):
             self.now += FAST
             self.history.record(self.now, 0.0 if number % 2 else 2 * FAST)
@@ -168,7 +168,7 @@
         self.assertAlmostEqual(FAST, self.history.service_time(self.now))
 
     def test_server_that_is_asked_too_seldom_keeps_no_pace_for_good(self):
-        """Once in more than a minute: its slices never suffice for a pace."""
+        """Slices more than a minute apart expire before there are enough of them."""
         self.measure(SLOW, 5.0)
         for _ in range(5):
             self.now += SLICE_LIFETIME_SECONDS + 1
@@ -178,13 +178,13 @@
 
 
 class SaidSlownessTest(unittest.TestCase):
-    """What a server says of itself, and for how long it is used."""
+    """The slowness that a server reports, and how long it is used."""
 
     def setUp(self):
         self.slowness = ReportedSlowness()
 
     def say(self, *said: float) -> None:
-        """Has the server say its slowness once a second."""
+        """Records a slowness report of the server once per second."""
         for second, figure in enumerate(said):
             self.slowness.record(float(second), figure)
 
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -1,4 +1,4 @@
-"""Paces of servers as a daemon knows them: of one incarnation, shared, and with their slowness."""
+"""Service times of servers: per incarnation, reported by other daemons, and with slowness."""
 
 import asyncio
 import random
@@ -40,7 +40,7 @@
 
 
 class KnownServers:
-    """A balancer of two servers that say when they were started."""
+    """A balancer of two servers that report their start times."""
 
     def __init__(self) -> None:
         self.clock = LoopClock()
@@ -51,7 +51,7 @@
         self.service_times = self.balancer.service_times
 
     def start(self, instance: InstanceId) -> None:
-        """Lists an incarnation of a server, in place of the one before."""
+        """Lists an incarnation of a server, which replaces its previous one."""
         self.directory.update(make_instance(instance, ENGINES))
 
     async def stream(self, instance: InstanceId, service_time: float, seconds: float = 1.0) -> None:
@@ -62,14 +62,14 @@
             self.service_times.record_event(instance, service_time)
 
     async def answer(self, seconds: float, slowness: float | None, name: InstanceId = SERVER):
-        """Records an answer that says the server's slowness in its head."""
+        """Records a response that reports the server's slowness in a header."""
         await asyncio.sleep(0.5)
         self.balancer.record_load(name, ServerLoad(1, 0, SLOTS, slowness))
         self.service_times.record_response(name, seconds)
 
 
 class IncarnationTest(unittest.TestCase):
-    """What is known of a server ends with its incarnation."""
+    """Knowledge about a server is dropped with its incarnation."""
 
     def test_restart_under_the_same_name_begins_anew(self):
         async def play():
@@ -109,7 +109,7 @@
 
 
 class SharedPacesTest(unittest.TestCase):
-    """What the others report with their heartbeats."""
+    """Service times that other daemons report with their heartbeats."""
 
     def test_own_measurement_counts_before_a_report(self):
         async def play():
@@ -122,7 +122,7 @@
         run(play())
 
     def test_fresh_report_counts_before_what_was_measured_here_earlier(self):
-        """A server turns ill while another daemon uses it, and is well again."""
+        """A server degrades while another daemon uses it, and recovers."""
 
         async def play():
             known = KnownServers()
@@ -245,7 +245,7 @@
 
 
 class SlownessTest(unittest.TestCase):
-    """The choice for a short request: the lasting pace and the slowness of this moment."""
+    """Short requests use the lasting service time and the current slowness."""
 
     def test_burst_moves_the_choice_for_a_moment_only(self):
         async def play():
@@ -261,7 +261,7 @@
         run(play())
 
     def test_figures_other_than_the_results_show_move_a_choice_within_bounds(self):
-        """The server lies: it says other figures than its answers take."""
+        """The server reports a slowness that its response times do not confirm."""
 
         async def play():
             for lies in ((1.0, 0.01), (9999.0, 1.0), (0.01, 0.02, 5.0, 80.0)):
@@ -278,7 +278,7 @@
         run(play())
 
     def test_first_pace_of_a_server_is_known_to_have_the_latency_in_it(self):
-        """Until its lasting pace is known, the smoothed one of this daemon's responses counts."""
+        """Until the lasting service time is known, the smoothed one of this daemon is used."""
 
         async def play():
             known = KnownServers()
@@ -305,7 +305,7 @@
         run(play())
 
     def test_servers_that_say_nothing_are_chosen_as_before(self):
-        """Of servers alike in all but the smoothed pace, the quicker one comes first."""
+        """Among servers that differ only in the smoothed service time, the faster comes first."""
 
         async def play():
             directory = InstanceDirectory()
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -1,4 +1,4 @@
-"""The order of candidates: one table of cases, each with what decides it."""
+"""The order of candidates, as a table with one deciding criterion per case."""
 
 import unittest
 from dataclasses import replace
@@ -39,7 +39,7 @@
 
 
 def candidate(name: str, **changes) -> Candidate:
-    """Returns a candidate that differs from the plain one as named."""
+    """Returns a candidate with changes to the plain one."""
     info = replace(PLAIN.instance, id=InstanceId(name), slots=changes.pop("slots", SLOTS))
     return replace(PLAIN, instance=info, **changes)
 
@@ -78,11 +78,11 @@
     ),
     "the smaller number among equals": ({"tie_break": 0.1}, {"tie_break": 0.2}),
 }
-"""What it says, and how the first and the second differ from the plain candidate."""
+"""By description: how the first and the second differ from the plain candidate."""
 
 
 class RankTest(unittest.TestCase):
-    """Candidates side by side."""
+    """Pairs of candidates."""
 
     def test_each_criterion_decides_where_those_before_it_are_equal(self):
         for name, (first, second) in ORDERS.items():
@@ -94,7 +94,7 @@
     def test_expected_wait_counts_the_request_itself_its_slots_and_the_pace(self):
         for expected, best_service_time, changes in (
             (3 / 8, PACE, {}),
-            (3 / 8, 0.0, {}),  # no pace is known
+            (3 / 8, 0.0, {}),  # no service time is known
             (3 / 8, PACE, {"service_time": 0.0}),
             (2 * 3 / 8, PACE, {"service_time": 2 * PACE}),
             (MAX_SERVICE_TIME_RATIO * 3 / 8, PACE, {"service_time": 100 * PACE}),
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -1,4 +1,4 @@
-"""Every way in which a request that must run at most once is told that it did not run."""
+"""A client is told that a run-once request did not run only if that is certain."""
 
 import asyncio
 import random
@@ -38,7 +38,7 @@
 
 
 class Ends:
-    """How sends end before a response, one after the other."""
+    """The errors in which consecutive sends end before a response."""
 
     def __init__(self, servers: ServerPort, *errors: Exception) -> None:
         self._servers = servers
@@ -49,7 +49,7 @@
 
     @asynccontextmanager
     async def send(self, instance, request):
-        """Ends as it was told to; afterwards requests are sent."""
+        """Raises the next error; sends the request once there is none."""
         if self._errors:
             raise self._errors.pop(0)
         async with self._servers.send(instance, request) as response:
@@ -57,7 +57,7 @@
 
 
 class PromiseTest(unittest.TestCase):
-    """A refusal promises that no server has run the request, nor will."""
+    """A refusal guarantees that no server has run the request or will run it."""
 
     def begin(self, *errors: Exception, **state: object) -> None:
         """Lists two servers in the same state; the first sends end in errors."""
@@ -72,7 +72,7 @@
         self.clock = clock
 
     def runs(self) -> int:
-        """Returns how often servers began to run a request."""
+        """Returns how many times servers started to run a request."""
         return sum(len(state.runs) for state in self.engines.engines.values())
 
     async def end_of(self, route) -> LarkpostError | int:
@@ -87,13 +87,13 @@
             return error
 
     def play(self, work) -> None:
-        """Runs a test on virtual time, for both kinds of routes that run once."""
+        """Runs a test in virtual time for both kinds of run-once routes."""
         for route in (ONCE, STREAM):
             with self.subTest(kind=route.kind):
                 run(work(route))
 
     def test_servers_status_of_a_run_is_no_promise(self) -> None:
-        """A server that failed a run with such a status has run it all the same."""
+        """A server that failed with such a status may have run the request."""
         for status in sorted(NOT_RUN_STATUSES):
 
             async def work(route, status=status) -> None:
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -1,4 +1,4 @@
-"""What the outcome of an attempt means, as tables of cases."""
+"""The retry rules, as tables of cases."""
 
 import unittest
 
@@ -23,7 +23,7 @@
 
 
 class MaxServersTest(unittest.TestCase):
-    """At how many servers a request may run."""
+    """The maximum number of servers that may run a request."""
 
     def test_only_idempotent_requests_that_are_no_trial_run_more_than_once(self):
         for kind, is_trial, expected in (
@@ -38,7 +38,7 @@
 
 
 class ResponseTest(unittest.TestCase):
-    """Whether a whole response is passed on."""
+    """Whether a whole response is returned to the client."""
 
     def test_each_response(self):
         for status, is_signed, failure, is_kept in (
--- a/tests/test_server_choice.py
+++ b/tests/test_server_choice.py
@@ -1,4 +1,4 @@
-"""When a second server is tried beside a silent first one, as a table of cases."""
+"""The hedge delay, as a table of cases."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 class HedgeDelayTest(unittest.TestCase):
-    """Three times the fastest pace; half of the objective stands in for an unknown one."""
+    """Three times the fastest service time; half of the objective replaces an unknown one."""
 
     def test_each_case(self):
         for paces, objective, expected in (
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -1,4 +1,4 @@
-"""Subsets of daemons: every server is in enough of them, whichever daemons come and go."""
+"""Every server is in enough subsets of daemons, whichever daemons are added or removed."""
 
 import random
 import unittest
@@ -25,14 +25,14 @@
 
 
 def new_subset(own: DaemonId, daemons: frozenset, servers: frozenset) -> DaemonSubset:
-    """Returns a daemon's subset as it is first made."""
+    """Returns a new subset of a daemon."""
     subset = DaemonSubset(own)
     subset.update(daemons, servers)
     return subset
 
 
 def new_subsets(daemons: frozenset, servers: frozenset) -> dict[DaemonId, DaemonSubset]:
-    """Returns the subsets of daemons that know the same."""
+    """Returns the subsets of daemons with the same view of the fleet."""
     return {own: new_subset(own, daemons, servers) for own in daemons}
 
 
@@ -40,14 +40,14 @@
     """Checks of subsets."""
 
     def check_coverage(self, subsets: dict[DaemonId, DaemonSubset], servers: frozenset) -> None:
-        """Checks that each server is in as many subsets as it is to be in."""
+        """Checks that each server is in the expected number of subsets."""
         counts = Counter(name for subset in subsets.values() for name in subset.ids)
         wanted = daemons_per_server(len(subsets), len(servers))
         self.assertEqual(dict.fromkeys(servers, wanted), dict(counts))
 
 
 class RuleTest(SubsetCase):
-    """How many daemons a server is for, and which."""
+    """The number of daemons per server, and the choice of them."""
 
     def test_daemons_a_server(self):
         for daemons, servers, wanted in (
@@ -97,7 +97,7 @@
         self.assertEqual(SERVERS, frozenset(subset.ids))
 
     def test_daemon_that_is_not_counted_itself_has_a_subset_all_the_same(self):
-        """A daemon that leaves is not among those alive, but serves on until it has left."""
+        """A draining daemon is not listed as alive, but goes on serving."""
         subset = new_subset(DaemonId("d0"), DAEMONS - {"d0"}, SERVERS)
         self.assertEqual(set(new_subset(DaemonId("d0"), DAEMONS, SERVERS).ids), set(subset.ids))
 
@@ -120,7 +120,7 @@
             self.check_like_new(subsets, frozenset(daemons), frozenset(servers))
 
     def check_like_new(self, subsets: dict, daemons: frozenset, servers: frozenset) -> None:
-        """Checks that subsets do not depend on how the fleet came to be as it is."""
+        """Checks that subsets do not depend on the order of changes to the fleet."""
         for own in sorted(daemons)[:8]:
             new = new_subset(own, daemons, servers)
             self.assertEqual(set(new.ids), set(subsets[own].ids))
@@ -144,7 +144,7 @@
 
 
 class UpdateTest(unittest.TestCase):
-    """Subsets follow the index and the members without being told."""
+    """Subsets follow the service index and the members on access."""
 
     def test_subset_follows_what_is_listed_and_who_is_alive(self):
         index = ServiceIndex()
--- a/tests/test_turn_gate.py
+++ b/tests/test_turn_gate.py
@@ -1,4 +1,4 @@
-"""Whether a client request is tried, waits or is refused: the rule as a table of all its cases."""
+"""The scheduling decision for a client request, as a table of all cases."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 
 
 class DecideTurnTest(unittest.TestCase):
-    """Requests that are not quarantined."""
+    """Decisions for requests that are not quarantined."""
 
     def test_each_case(self):
         for are_all_unreachable, is_infeasible, must_wait, expected in (
--- a/tests/test_uneven_engines.py
+++ b/tests/test_uneven_engines.py
@@ -1,4 +1,4 @@
-"""Batches over engines that differ for good and are slowed for moments: how runs are moved."""
+"""Batches on engines with different speeds and short bursts of slowness: which runs are moved."""
 
 import asyncio
 import random
@@ -19,16 +19,16 @@
 ENGINE_COUNT = 6
 ITEMS = 48
 EVENTS = 20
-"""Events of an item that is not long."""
+"""Number of events of a short item."""
 
 
 def smoothed_paces() -> AbstractContextManager:
-    """Bursts are no longer told from what an engine is for good."""
+    """Makes bursts indistinguishable from lasting differences between engines."""
     return mock.patch.object(ServiceTimeTracker, "lasting", lambda self, name: self._smoothed(name))
 
 
 async def slow_now_and_then(fleet: PlatformFleet, engine: ScriptedEngine, seed: int) -> None:
-    """Slows an engine in a share of the time."""
+    """Slows an engine down for a share of the time."""
     rng = random.Random(seed)
     usual = engine.event_seconds
     while True:
@@ -38,10 +38,10 @@
 
 
 async def play_steps(paces: list[float], *, events: int, steps: int = 3) -> tuple[int, float]:
-    """Runs some batches over engines of these paces with bursts.
+    """Runs some batches on engines of these speeds with bursts.
 
     Returns:
-        Runs that were ended to go on elsewhere, and the seconds that the batches took.
+        The number of runs that were migrated, and the seconds that the batches took.
     """
     fleet = PlatformFleet(1, len(paces))
     fleet.engines.output_events = events
@@ -63,10 +63,10 @@
 
 
 class UnevenEnginesTest(unittest.TestCase):
-    """Engines of one pace or of two, each with bursts."""
+    """Engines of equal or of two different speeds, each with bursts."""
 
     def moves(self, paces: list[float], events: int = EVENTS) -> int:
-        """Returns the runs that were moved."""
+        """Returns the number of runs that were moved."""
         return run(play_steps(paces, events=events))[0]
 
     def test_runs_at_equal_engines_stay_through_bursts(self):
@@ -86,7 +86,7 @@
         stays, seconds_without = play(switched_off.moves_to_faster_engines())
         self.assertEqual(0, stays)
         self.assertGreater(moves, 0)
-        self.assertLessEqual(moves, 3 * ITEMS // 3)  # at most those that began at a slow engine
+        self.assertLessEqual(moves, 3 * ITEMS // 3)  # at most those that started on a slow engine
         self.assertLess(seconds, seconds_without)
 
 
