--- a/src/larkpost/gateway/fairness/batch_shares.py
+++ b/src/larkpost/gateway/fairness/batch_shares.py
@@ -17,25 +17,25 @@
 
     Attributes:
         tenant: owner of the batch; batches without an owner (None) count as one tenant.
-        places: number of slots that it could use now.
+        slots: number of slots that it could use now.
     """
 
     tenant: TenantName | None
-    places: int
+    slots: int
 
 
-def share_among_batches(demands: Mapping[Batch, BatchDemand], places: float) -> dict[Batch, float]:
+def share_among_batches(demands: Mapping[Batch, BatchDemand], slots: float) -> dict[Batch, float]:
     """Returns the slots of each batch; they add up to all slots, or to the total demand if less.
 
     Args:
         demands: demand of each batch of one urgency.
-        places: number of slots to divide.
+        slots: number of slots to divide.
     """
     by_tenant: dict[TenantName | None, dict[Batch, int]] = {}
     for batch, demand in demands.items():
-        by_tenant.setdefault(demand.tenant, {})[batch] = demand.places
+        by_tenant.setdefault(demand.tenant, {})[batch] = demand.slots
     wanted = {tenant: sum(batches.values()) for tenant, batches in by_tenant.items()}
-    tenant_level = fair_level(wanted.values(), places)
+    tenant_level = fair_level(wanted.values(), slots)
     shares: dict[Batch, float] = {}
     for tenant, batches in by_tenant.items():
         level = fair_level(batches.values(), min(wanted[tenant], tenant_level))
--- a/src/larkpost/gateway/fairness/ledger.py
+++ b/src/larkpost/gateway/fairness/ledger.py
@@ -107,7 +107,7 @@
         return bool(self._short_services())
 
     def report(self) -> dict[Flow, FlowUsage]:
-        """Returns this daemon's report: its flows with the highest use of services short of slots."""
+        """Returns this daemon's report: its highest use by flow at services short of slots."""
         short = self._short_services()
         uses = [
             (flow, use)
--- a/src/larkpost/gateway/fairness/retry_schedule.py
+++ b/src/larkpost/gateway/fairness/retry_schedule.py
@@ -21,36 +21,36 @@
     """The last assigned retry time of each queue.
 
     Args:
-        chance: random generator that spreads the clients of different daemons, which do not share
+        rng: random generator that spreads the clients of different daemons, which do not share
             their schedules.
     """
 
     def __init__(self, clock: Clock, rng: random.Random) -> None:
         self._clock = clock
-        self._chance = rng
-        self._told: dict[Hashable, float] = {}
+        self._rng = rng
+        self._last_times: dict[Hashable, float] = {}
         """The least recently used queue comes first."""
 
-    def reserve(self, queue: Hashable, wanted: float, spacing: float, most: float) -> float:
-        """Reserves a retry time; returns the seconds until then, at most ``most``.
+    def reserve(self, queue: Hashable, wanted: float, spacing: float, max_delay: float) -> float:
+        """Reserves a retry time; returns the seconds until then, at most ``max_delay``.
 
         Args:
             queue: key of the client's queue; retries of one queue are spaced.
             wanted: seconds until a slot is expected for it.
             spacing: seconds between the retries of two clients.
-            most: maximum retry delay in seconds.
+            max_delay: maximum retry delay in seconds.
         """
         now = self._clock.now()
-        at = max(now + wanted, self._told.get(queue, float("-inf")) + spacing)
-        if at - now > most:
-            return most * self._chance.uniform(MIN_DELAY_FRACTION, 1.0)
-        self._told.pop(queue, None)
-        self._drop_past(now)
-        self._told[queue] = at
-        return min(most, at - now + self._chance.random() * spacing)
-
-    def _drop_past(self, now: float) -> None:
-        if len(self._told) >= MAX_SCHEDULED_QUEUES:
-            self._told = {queue: at for queue, at in self._told.items() if at > now}
-        while len(self._told) >= MAX_SCHEDULED_QUEUES:
-            del self._told[next(iter(self._told))]
+        at = max(now + wanted, self._last_times.get(queue, float("-inf")) + spacing)
+        if at - now > max_delay:
+            return max_delay * self._rng.uniform(MIN_DELAY_FRACTION, 1.0)
+        self._last_times.pop(queue, None)
+        self._drop_expired(now)
+        self._last_times[queue] = at
+        return min(max_delay, at - now + self._rng.random() * spacing)
+
+    def _drop_expired(self, now: float) -> None:
+        if len(self._last_times) >= MAX_SCHEDULED_QUEUES:
+            self._last_times = {queue: at for queue, at in self._last_times.items() if at > now}
+        while len(self._last_times) >= MAX_SCHEDULED_QUEUES:
+            del self._last_times[next(iter(self._last_times))]
--- a/src/larkpost/gateway/fairness/share_rule.py
+++ b/src/larkpost/gateway/fairness/share_rule.py
@@ -28,14 +28,14 @@
         use: slots that it occupies.
         waiting: number of its requests that wait.
         waiting_ahead: waiting requests of other flows that fit into those flows' shares.
-        places: slots shared by the group: those that it occupies and the free ones.
+        total_slots: slots shared by the group: those that it occupies and the free ones.
     """
 
     share: float
     use: int
     waiting: int
     waiting_ahead: int
-    places: int
+    total_slots: int
 
     @property
     def is_over_share(self) -> bool:
@@ -51,13 +51,13 @@
         uses: use by flow, of all daemons as far as known.
         level: maximum share of a flow; infinite if all demands are met.
         waiting_below_share: waiting requests that fit into the shares of their flows.
-        places: slots shared by the group.
+        total_slots: slots shared by the group.
     """
 
     uses: Mapping[Flow, FlowUsage]
     level: float
     waiting_below_share: int
-    places: int
+    total_slots: int
 
     def flow_share(self, flow: Flow) -> FlowShare:
         """Returns the share of a flow that has, or is about to have, a waiting request."""
@@ -65,7 +65,7 @@
         demand = use.running + max(1, use.waiting)
         waiting_ahead = self.waiting_below_share - _waiting_below(use, self.level)
         return FlowShare(
-            min(demand, self.level), use.running, use.waiting, waiting_ahead, self.places
+            min(demand, self.level), use.running, use.waiting, waiting_ahead, self.total_slots
         )
 
 
@@ -76,10 +76,10 @@
         uses: use by flow.
         free: number of free slots.
     """
-    places = free + sum(use.running for use in uses.values())
-    level = fair_level([use.running + use.waiting for use in uses.values()], places)
+    total_slots = free + sum(use.running for use in uses.values())
+    level = fair_level([use.running + use.waiting for use in uses.values()], total_slots)
     waiting_below_share = sum(_waiting_below(use, level) for use in uses.values())
-    return GroupShares(uses, level, waiting_below_share, places)
+    return GroupShares(uses, level, waiting_below_share, total_slots)
 
 
 def estimate_share_wait(flow_share: FlowShare, flow_ahead: int, service_time: float) -> float:
--- a/src/larkpost/gateway/fairness/starvation_guard.py
+++ b/src/larkpost/gateway/fairness/starvation_guard.py
@@ -60,22 +60,22 @@
     """The credits of all flows.
 
     Args:
-        chance: random generator for the initial credit of a flow. If it were 0 at every daemon, a
+        rng: random generator for the initial credit of a flow. If it were 0 at every daemon, a
             tenant with one request at each of many daemons would never be served.
     """
 
     def __init__(self, clock: Clock, rng: random.Random) -> None:
         self._clock = clock
-        self._chance = rng
+        self._rng = rng
         self._services: dict[ServiceName, _ServiceCounts] = {}
         self._credits: dict[Flow, _Credit] = {}
         """In the order of the flows' last requests, oldest first."""
 
     def admit(self, flow: Flow, *, is_over_share: bool) -> bool:
-        """Counts a request, and returns whether it is exempted although its flow is over its share."""
+        """Counts a request; returns whether it is exempted although its flow is over its share."""
         counts = self._counts(flow.group.service)
         counts.requested += 1
-        credit = self._take_credit(flow)
+        credit = self._touch_credit(flow)
         credit.add(MIN_RELATIVE_SERVICE * counts.granted_fraction())
         is_share_exempt = is_over_share and credit.amount >= 1.0
         if is_share_exempt:
@@ -94,7 +94,7 @@
             self._credits[flow].add(1.0)
 
     def _counts(self, service: ServiceName) -> _ServiceCounts:
-        """Returns the counts of a service, after starting a new window if the current one is full."""
+        """Returns the counts of a service; starts a new window if the current one is full."""
         now = self._clock.now()
         counts = self._services.setdefault(service, _ServiceCounts(now))
         if now - counts.began >= WINDOW_SECONDS:
@@ -104,10 +104,10 @@
             counts.began = now
         return counts
 
-    def _take_credit(self, flow: Flow) -> _Credit:
+    def _touch_credit(self, flow: Flow) -> _Credit:
         """Returns a flow's credit, moved to the end, and drops the oldest one if it expired."""
         now = self._clock.now()
-        credit = self._credits.pop(flow, None) or _Credit(self._chance.random(), now)
+        credit = self._credits.pop(flow, None) or _Credit(self._rng.random(), now)
         credit.at = now
         self._credits[flow] = credit
         oldest = next(iter(self._credits))
--- a/src/larkpost/gateway/proxy/admission.py
+++ b/src/larkpost/gateway/proxy/admission.py
@@ -90,7 +90,7 @@
             NoRouteError: there is no route.
             UnknownKeyError: the route requires a key, and this one is missing or unknown.
         """
-        configuration = self._known(request_id)
+        configuration = self._current_configuration(request_id)
         route = configuration.match(host, path)
         if route is None:
             raise self._refusal(NoRouteError(f"no route for {host}"), request_id, configuration)
@@ -111,7 +111,7 @@
             NotConfiguredError: no configuration, or no recent one, is known.
             UnknownKeyError: the call requires a key, and this one is missing or unknown.
         """
-        configuration = self._known(request_id)
+        configuration = self._current_configuration(request_id)
         if configuration.tenants is None:
             return UNRESTRICTED_CALLER
         tenant = configuration.tenant_of(key)
@@ -123,7 +123,7 @@
         error = UnknownKeyError("calls about batches need a key that is in force")
         raise self._refusal(error, request_id, configuration)
 
-    def _known(self, request_id: str) -> Configuration:
+    def _current_configuration(self, request_id: str) -> Configuration:
         configuration = self._configuration.current
         if configuration is None:
             error = NotConfiguredError(
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -76,7 +76,7 @@
     """Tracks the use of all instances and chooses among them.
 
     Args:
-        chance: random generator that breaks ties, with one number for each candidate in the order
+        rng: random generator that breaks ties, with one number for each candidate in the order
             of the directory, and samples the instances of large services.
     """
 
@@ -146,14 +146,14 @@
             )
 
         candidate_pool = self.candidate_pool(service, work, within)
-        fitting = [info for info in candidate_pool.instances if is_candidate(info)]
-        if candidate_pool.is_partial and not any(self._may_take_now(info) for info in fitting):
+        instances = [info for info in candidate_pool.instances if is_candidate(info)]
+        if candidate_pool.is_partial and not any(self._is_available(info) for info in instances):
             further = self._pool.extend_pool(service, candidate_pool)
-            fitting += [info for info in further if is_candidate(info)]
-        if candidate_pool.is_partial and not fitting:
+            instances += [info for info in further if is_candidate(info)]
+        if candidate_pool.is_partial and not instances:
             found = self._find_open(service, work, within, candidate_pool).instances
-            fitting = [info for info in found if is_candidate(info)]
-        return self._order.ranked(service, fitting, for_client=for_client)
+            instances = [info for info in found if is_candidate(info)]
+        return self._order.ranked(service, instances, for_client=for_client)
 
     def candidate_pool(
         self, service: ServiceName, work: Work, within: frozenset[InstanceId] | None = None
@@ -287,7 +287,7 @@
             self._own.record_load(instance, load)
 
     def record_cold(self, instance: InstanceId, left: float | None) -> None:
-        """Records the seconds for which an instance reports to stay cold; None if it reports none."""
+        """Records the seconds for which an instance reports that it stays cold, if any."""
         if self._cold is not None:
             self._cold.record(instance, left)
 
@@ -345,7 +345,7 @@
         verdict = self._placement.evaluate(info, work)
         return verdict.is_allowed or verdict is PlacementDecision.COLD
 
-    def _may_take_now(self, info: InstanceInfo) -> bool:
+    def _is_available(self, info: InstanceInfo) -> bool:
         return not self.is_avoided(info.id) and self.has_free_slot(info)
 
     def _verdict(self, info: InstanceInfo, work: Work) -> PlacementDecision:
--- a/src/larkpost/gateway/proxy/candidate_order.py
+++ b/src/larkpost/gateway/proxy/candidate_order.py
@@ -52,7 +52,7 @@
         has_latency: Callable[[InstanceId], bool],
     ) -> None:
         self._estimates = estimates
-        self._chance = rng
+        self._rng = rng
         self._is_connected = is_connected
         self._has_latency = has_latency
         self._latency = LatencyFactors(clock)
@@ -62,14 +62,14 @@
         self._latency.record(info.service, self._estimates.distance(info), seconds)
 
     def ranked(
-        self, service: ServiceName, fitting: list[InstanceInfo], *, for_client: bool
+        self, service: ServiceName, instances: list[InstanceInfo], *, for_client: bool
     ) -> list[InstanceInfo]:
         """Returns the instances, best first."""
         estimates = self._estimates
-        factors = self._latency_factors(service, fitting) if for_client else {}
+        factors = self._latency_factors(service, instances) if for_client else {}
         service_times = {
             info.id: self._local_service_time(info.id, factors.get(info.id, 1.0))
-            for info in fitting
+            for info in instances
         }
         candidates = [
             Candidate(
@@ -80,9 +80,9 @@
                 service_time=service_times[info.id],
                 latency_factor=factors.get(info.id, 1.0),
                 connection_factor=self._connection_factor(info) if for_client else 1.0,
-                tie_break=self._chance.random(),
+                tie_break=self._rng.random(),
             )
-            for info in fitting
+            for info in instances
         ]
         best_service_time = min(
             (service_time for service_time in service_times.values() if service_time), default=0.0
@@ -90,20 +90,20 @@
         return rank(candidates, best_service_time)
 
     def _latency_factors(
-        self, service: ServiceName, fitting: list[InstanceInfo]
+        self, service: ServiceName, instances: list[InstanceInfo]
     ) -> dict[InstanceId, float]:
         """Returns the latency factors relative to the nearest instance with a free slot.
 
         Contains only instances that are farther away than that one.
         """
         estimates = self._estimates
-        distances = {info.id: estimates.distance(info) for info in fitting}
+        distances = {info.id: estimates.distance(info) for info in instances}
         if len(set(distances.values())) < 2:
             return {}
         nearest = min(
             (
                 distances[info.id]
-                for info in fitting
+                for info in instances
                 if not estimates.is_avoided(info.id)
                 and estimates.occupied(info) < max(1, info.slots)
             ),
--- a/src/larkpost/gateway/proxy/elapsed_time.py
+++ b/src/larkpost/gateway/proxy/elapsed_time.py
@@ -29,12 +29,12 @@
         """
         if time_left is None:
             return 0.0
-        self._turn_over()
+        self._rotate_windows()
         self._longest[route] = max(time_left, self._longest.get(route, 0.0))
-        usual = max(self._longest[route], self._longest_before.get(route, 0.0))
-        return usual - time_left
+        total = max(self._longest[route], self._longest_before.get(route, 0.0))
+        return total - time_left
 
-    def _turn_over(self) -> None:
+    def _rotate_windows(self) -> None:
         """Starts a new window if the current one is full."""
         age = self._clock.now() - self._window_began
         if age < WINDOW_SECONDS:
--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -88,7 +88,7 @@
     """
 
     def __init__(self, free: int, now: float) -> None:
-        self._left = max(1, free)
+        self._remaining = max(1, free)
         self._now = now
         self._is_yielding = False
 
@@ -101,9 +101,9 @@
         if rank.is_over_share and self._is_held(waiter):
             self._is_yielding = True
             return False
-        if self._left <= 0 or (self._is_yielding and not rank.is_over_share):
+        if self._remaining <= 0 or (self._is_yielding and not rank.is_over_share):
             return False
-        self._left -= 1
+        self._remaining -= 1
         waiter.held_since = None
         return True
 
--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -97,15 +97,15 @@
         expectation = Expectation.IN_TIME
     else:
         expectation = Expectation.LATE
-    told = retry_after(wait, deadlines.expires_at - now)
-    return Forecast(expectation, wait, told, service_time if slot_counts.total else 0.0)
+    delay = retry_after(wait, deadlines.expires_at - now)
+    return Forecast(expectation, wait, delay, service_time if slot_counts.total else 0.0)
 
 
 def forecast_for_unreachable(deadlines: Deadlines, now: float) -> Forecast:
     """Returns the forecast of a request for which every server was unreachable."""
     wait = NO_SLOT_RETRY_SECONDS
-    told = retry_after(wait, deadlines.expires_at - now)
-    return Forecast(Expectation.NOT_AT_ALL, wait, told, service_time=0.0)
+    delay = retry_after(wait, deadlines.expires_at - now)
+    return Forecast(Expectation.NOT_AT_ALL, wait, delay, service_time=0.0)
 
 
 def would_miss_objective(slot_counts: SlotCounts, deadlines: Deadlines, now: float) -> bool:
@@ -128,9 +128,9 @@
 
 
 def _is_infeasible(
-    slot_counts: SlotCounts, deadlines: Deadlines, now: float, least: float, is_untried: bool
+    slot_counts: SlotCounts, deadlines: Deadlines, now: float, min_seconds: float, is_untried: bool
 ) -> bool:
-    """Returns whether a request that needs at least ``least`` seconds cannot be served in time.
+    """Returns whether a request that needs at least ``min_seconds`` cannot be served in time.
 
     Args:
         is_untried: whether few slots run a request and none was found taken recently. An attempt
@@ -140,7 +140,7 @@
         return True
     if slot_counts.is_mostly_free or is_untried:
         return False
-    return now + least > deadlines.expires_at
+    return now + min_seconds > deadlines.expires_at
 
 
 def retry_after(wait: float, time_left: float) -> float:
--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -131,23 +131,25 @@
 
     async def _forward_once(self, attempts: Attempts) -> Response | None:
         """Tries servers one after the other until one may have run the request."""
-        most = _max_servers(attempts)
+        max_count = _max_servers(attempts)
         while True:
             instance = await self._next_server(attempts)
             if instance is None:
                 return None
             response = await self._attempt.make(instance, attempts)
-            if response is not None or len(attempts.may_have_run_on) >= most:
+            if response is not None or len(attempts.may_have_run_on) >= max_count:
                 return response or attempts.last_failure
 
     async def _forward_repeatable(self, attempts: Attempts) -> Response | None:
         """Tries servers one after the other, and a second one in parallel if the first is slow."""
-        most = _max_servers(attempts)
+        max_count = _max_servers(attempts)
         running: set[asyncio.Task] = set()
         try:
             while True:
                 instance = (
-                    self._choice.choose(attempts) if len(attempts.may_have_run_on) < most else None
+                    self._choice.choose(attempts)
+                    if len(attempts.may_have_run_on) < max_count
+                    else None
                 )
                 if instance is not None:
                     # The attempt counts as possibly run until it is known not to have run.
@@ -159,7 +161,7 @@
                     ):
                         return attempts.last_failure
                     continue
-                may_hedge = len(attempts.may_have_run_on) < most
+                may_hedge = len(attempts.may_have_run_on) < max_count
                 delay = self._choice.hedge_delay(attempts) if may_hedge else None
                 done, running = await asyncio.wait(
                     running, timeout=delay, return_when=asyncio.FIRST_COMPLETED
--- a/src/larkpost/gateway/proxy/forwarder_dependencies.py
+++ b/src/larkpost/gateway/proxy/forwarder_dependencies.py
@@ -37,7 +37,7 @@
         crashes: the servers that crashed, and the requests that they were running.
         trials: grants trial runs to quarantined requests; None for no trials.
         ledger: use by flow in the fleet; None to count this daemon only.
-        chance: random generator, seeded differently at each daemon.
+        rng: random generator, seeded differently at each daemon.
     """
 
     directory: InstanceDirectory
--- a/src/larkpost/gateway/proxy/latency.py
+++ b/src/larkpost/gateway/proxy/latency.py
@@ -15,8 +15,8 @@
     Distance.SAME_REGION: 1.05,
     Distance.OTHER_REGION: 1.5,
 }
-"""Factors on the response time used until it is measured, without unit. They are small, so that they
-decide only between otherwise similar servers."""
+"""Factors on the response time used until it is measured, without unit. They are small, so that
+they decide only between otherwise similar servers."""
 MAX_FACTOR = 4.0
 """Maximum factor, without unit, so that a single late response does not exclude a region."""
 RISE_WEIGHT = 0.05
--- a/src/larkpost/gateway/proxy/reported_service_times.py
+++ b/src/larkpost/gateway/proxy/reported_service_times.py
@@ -38,7 +38,7 @@
         self._directory = directory
         self._clock = clock
         self._reported: dict[InstanceId, dict[DaemonId, _Reported]] = {}
-        directory.add_removal_listener(self._end)
+        directory.add_removal_listener(self._forget_instance)
 
     def __len__(self) -> int:
         return len(self._reported)
@@ -47,7 +47,7 @@
         """Records a daemon's report; ignores instances that are not in the directory."""
         for instance, seconds in service_times.items():
             if seconds > 0 and self._directory.get(instance) is not None:
-                self._keep(instance, daemon, seconds)
+                self._store(instance, daemon, seconds)
 
     def fresh(self, instance: InstanceId) -> float:
         """Returns the median of the fresh reports in seconds; 0 if there are none."""
@@ -72,11 +72,11 @@
             if now - max(reports.values()).at >= REPORT_LIFETIME_SECONDS:
                 del self._reported[instance]
 
-    def _keep(self, instance: InstanceId, daemon: DaemonId, seconds: float) -> None:
+    def _store(self, instance: InstanceId, daemon: DaemonId, seconds: float) -> None:
         reports = self._reported.setdefault(instance, {})
         reports[daemon] = _Reported(self._clock.now(), seconds)
         if len(reports) > MAX_REPORTERS:
             del reports[min(reports, key=lambda name: reports[name])]
 
-    def _end(self, instance: InstanceId) -> None:
+    def _forget_instance(self, instance: InstanceId) -> None:
         self._reported.pop(instance, None)
--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -37,12 +37,12 @@
 BLOCKED_LIFETIME_SECONDS = 1.0
 """How long the observation that no slot is free stays valid."""
 
-Survey = Callable[[ServiceName, Work], SlotCounts]
+SlotCounter = Callable[[ServiceName, Work], SlotCounts]
 
 
-def poll_interval(slot_counts: int) -> float:
-    """Returns the seconds between two polls of a queue whose service has this many slots."""
-    return POLL_INTERVAL_SECONDS * max(1.0, slot_counts / SLOTS_PER_POLL)
+def poll_interval(total_slots: int) -> float:
+    """Returns the seconds between two polls of a queue whose service has ``total_slots`` slots."""
+    return POLL_INTERVAL_SECONDS * max(1.0, total_slots / SLOTS_PER_POLL)
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,12 +73,12 @@
 
     waiters: list[Waiter] = field(default_factory=list)
     blocked_since: float = float("-inf")
-    seen_at: float = float("-inf")
-    slot_counts: int = 0
+    blocked_seen_at: float = float("-inf")
+    total_slots: int = 0
     poller: asyncio.Task | None = None
 
 
-class _Line:
+class _RequestsAhead:
     """The requests that precede another one in its queue, at one moment.
 
     Args:
@@ -87,14 +87,14 @@
 
     def __init__(self, now: float, blocked_seconds: float) -> None:
         self.length = 0
-        self._of_flow: Counter[Flow] = Counter()
+        self._count_by_flow: Counter[Flow] = Counter()
         self._now = now
         self._blocked_for = blocked_seconds
 
     def add(self, waiter: Waiter) -> None:
         """Appends a request."""
         self.length += 1
-        self._of_flow[waiter.flow] += 1
+        self._count_by_flow[waiter.flow] += 1
 
     def forecast(
         self, waiter: Waiter, rank: Rank, slot_counts: SlotCounts, waiting_elsewhere: int
@@ -108,8 +108,8 @@
         if rank.is_over_share:
             waiter.flow_share = rank.flow_share
             service_time = slot_counts.service_time or waiter.deadlines.default_service_time
-            of_flow = self._of_flow[waiter.flow] + waiting_elsewhere
-            share_wait = estimate_share_wait(rank.flow_share, of_flow, service_time)
+            flow_ahead = self._count_by_flow[waiter.flow] + waiting_elsewhere
+            share_wait = estimate_share_wait(rank.flow_share, flow_ahead, service_time)
         return make_forecast(
             slot_counts, waiter.deadlines, self._now, self.length, self._blocked_for, share_wait
         )
@@ -122,9 +122,9 @@
         ledger: usage by flow, from which the shares are computed.
     """
 
-    def __init__(self, clock: Clock, count_slots: Survey, ledger: FlowLedger) -> None:
+    def __init__(self, clock: Clock, count_slots: SlotCounter, ledger: FlowLedger) -> None:
         self._clock = clock
-        self._survey = count_slots
+        self._count_slots = count_slots
         self._ledger = ledger
         self._shortage = ShortageDetector(clock)
         self._queues: dict[ServiceName, _Queue] = {}
@@ -139,28 +139,30 @@
             slot_counts: the slots of its service, if they have just been counted.
         """
         now = self._clock.now()
-        slot_counts = slot_counts or self._survey(waiter.service, waiter.work)
+        slot_counts = slot_counts or self._count_slots(waiter.service, waiter.work)
         queue = self._queues.get(waiter.service, _Queue())
         order = FairOrder(self._ledger, now)
         rank = order.rank(waiter, slot_counts)
-        line = _Line(now, self._blocked_for(queue, now))
+        requests_ahead = _RequestsAhead(now, self._blocked_for(queue, now))
         for other in queue.waiters:
             if order.rank(other, slot_counts).key < rank.key:
-                line.add(other)
+                requests_ahead.add(other)
         waiting_elsewhere = self._waiting_elsewhere(waiter, rank)
-        forecast = line.forecast(waiter, rank, slot_counts, waiting_elsewhere)
+        forecast = requests_ahead.forecast(waiter, rank, slot_counts, waiting_elsewhere)
         if forecast.is_infeasible and slot_counts.total and now < waiter.deadlines.expires_at:
             self._record_missed(waiter)
-        must_wait = not slot_counts.is_mostly_free and (line.length > 0 or rank.is_over_share)
+        must_wait = not slot_counts.is_mostly_free and (
+            requests_ahead.length > 0 or rank.is_over_share
+        )
         return QueueForecast(forecast, must_wait, rank.is_over_share, slot_counts)
 
     async def wait_for_turn(self, waiter: Waiter) -> Forecast:
         """Waits until a request may try the servers or its forecast becomes infeasible."""
         queue = self._queues.setdefault(waiter.service, _Queue())
         now = self._clock.now()
-        if now - queue.seen_at > BLOCKED_LIFETIME_SECONDS:
+        if now - queue.blocked_seen_at > BLOCKED_LIFETIME_SECONDS:
             queue.blocked_since = now
-        queue.seen_at = now
+        queue.blocked_seen_at = now
         forecast = self.forecast(waiter).forecast
         if forecast.is_infeasible:
             return forecast
@@ -181,7 +183,7 @@
         self._shortage.record_slot_granted(service)
         queue = self._queues.get(service)
         if queue is not None:
-            queue.blocked_since = queue.seen_at = float("-inf")
+            queue.blocked_since = queue.blocked_seen_at = float("-inf")
 
     def record_release(self, service: ServiceName) -> None:
         """Dispatches a queue when a request of this daemon ends at its service.
@@ -189,38 +191,43 @@
         The queue of a large service waits for its next poll, as each dispatch counts all slots.
         """
         queue = self._queues.get(service)
-        if queue is not None and queue.waiters and queue.slot_counts <= SLOTS_PER_POLL:
-            self._move(queue)
+        if queue is not None and queue.waiters and queue.total_slots <= SLOTS_PER_POLL:
+            self._dispatch(queue)
 
     async def _poll(self, queue: _Queue) -> None:
         while queue.waiters:
-            await self._clock.sleep(poll_interval(queue.slot_counts))
-            self._move(queue)
+            await self._clock.sleep(poll_interval(queue.total_slots))
+            self._dispatch(queue)
 
-    def _move(self, queue: _Queue) -> None:
+    def _dispatch(self, queue: _Queue) -> None:
         """Wakes the requests whose turn has come, and those that became infeasible."""
         now = self._clock.now()
         self._update_shortage(queue, now)
-        surveys = {
-            work: self._survey(service, work)
+        counts_by_work = {
+            work: self._count_slots(service, work)
             for service, work in {(waiter.service, waiter.work) for waiter in queue.waiters}
         }
-        queue.slot_counts = max((slot_counts.total for slot_counts in surveys.values()), default=0)
+        queue.total_slots = max(
+            (slot_counts.total for slot_counts in counts_by_work.values()), default=0
+        )
         order = FairOrder(self._ledger, now)
         turns = {
-            work: AttemptPermits(slot_counts.free, now) for work, slot_counts in surveys.items()
+            work: AttemptPermits(slot_counts.free, now)
+            for work, slot_counts in counts_by_work.items()
+        }
+        ranks = {
+            waiter: order.rank(waiter, counts_by_work[waiter.work]) for waiter in queue.waiters
         }
-        ranks = {waiter: order.rank(waiter, surveys[waiter.work]) for waiter in queue.waiters}
-        line = _Line(now, self._blocked_for(queue, now))
+        requests_ahead = _RequestsAhead(now, self._blocked_for(queue, now))
         for waiter in sorted(queue.waiters, key=lambda other: ranks[other].key):
-            slot_counts, rank = surveys[waiter.work], ranks[waiter]
+            slot_counts, rank = counts_by_work[waiter.work], ranks[waiter]
             # On average, half of those that wait at other daemons precede this one.
             waiting_elsewhere = self._waiting_elsewhere(waiter, rank) // 2
-            forecast = line.forecast(waiter, rank, slot_counts, waiting_elsewhere)
+            forecast = requests_ahead.forecast(waiter, rank, slot_counts, waiting_elsewhere)
             if forecast.is_infeasible:
                 self._record_missed(waiter)
             else:
-                line.add(waiter)
+                requests_ahead.add(waiter)
             if forecast.is_infeasible or turns[waiter.work].claim(waiter, rank):
                 queue.waiters.remove(waiter)
                 if not waiter.turn.done():
@@ -261,6 +268,6 @@
         return rank.flow_share.waiting - self._ledger.own_use(waiter.flow).waiting
 
     def _blocked_for(self, queue: _Queue, now: float) -> float:
-        if now - queue.seen_at > BLOCKED_LIFETIME_SECONDS:
+        if now - queue.blocked_seen_at > BLOCKED_LIFETIME_SECONDS:
             return 0.0
         return now - queue.blocked_since
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -77,7 +77,7 @@
         self._elapsed_times = ElapsedTimes(dependencies.clock)
         self._ledger = dependencies.ledger or FlowLedger(dependencies.clock)
         self._starvation_guard = StarvationGuard(dependencies.clock, dependencies.rng)
-        self._queues = RequestQueues(dependencies.clock, self._survey, self._ledger)
+        self._queues = RequestQueues(dependencies.clock, self._count_slots, self._ledger)
         self._retry_spreader = RetrySpreader(dependencies.clock, dependencies.rng, self._ledger)
         self._share_record = ShareRecord(
             dependencies.clock, dependencies.log, dependencies.metrics, self._ledger
@@ -90,10 +90,12 @@
 
     def begin(self, request: ClientRequest, route: Route) -> tuple[Attempts, bool]:
         """Returns the attempts of a new request with its forecast, and whether it must wait."""
-        waiter = self._waiter(request, route)
-        prospect = self._prospect(request, waiter)
-        attempts = Attempts(request, route, waiter, prospect.forecast, prospect.forecast)
-        return attempts, prospect.must_wait
+        waiter = self._make_waiter(request, route)
+        queue_forecast = self._forecast(request, waiter)
+        attempts = Attempts(
+            request, route, waiter, queue_forecast.forecast, queue_forecast.forecast
+        )
+        return attempts, queue_forecast.must_wait
 
     async def wait_for_admission(self, attempts: Attempts, *, must_wait: bool) -> bool:
         """Waits for a request's turn if necessary; returns whether it may be sent to a server."""
@@ -158,23 +160,23 @@
         attempts.reset_refusals()
 
     async def _claim_trial(self, attempts: Attempts) -> bool:
-        """Claims a trial run at one server for a quarantined request; returns whether it has one."""
+        """Claims a trial run for a quarantined request; returns whether it has one."""
         if self._dependencies.trials is None or attempts.may_have_run_on:
             return False
         if await self._dependencies.trials.claim(attempts.request):
             attempts.quarantine = QuarantineState.TRIAL
         return attempts.is_trial
 
-    def _prospect(self, request: ClientRequest, waiter: Waiter) -> QueueForecast:
+    def _forecast(self, request: ClientRequest, waiter: Waiter) -> QueueForecast:
         """Returns the forecast of a new request; the starvation guard may exempt it first."""
-        prospect = self._queues.forecast(waiter)
+        queue_forecast = self._queues.forecast(waiter)
         waiter.is_share_exempt = self._starvation_guard.admit(
-            waiter.flow, is_over_share=prospect.is_over_share
+            waiter.flow, is_over_share=queue_forecast.is_over_share
         )
         if not waiter.is_share_exempt:
-            return prospect
+            return queue_forecast
         self._share_record.record(request, waiter, ShareOutcome.EXEMPTED)
-        return self._queues.forecast(waiter, prospect.slot_counts)
+        return self._queues.forecast(waiter, queue_forecast.slot_counts)
 
     def _refuse(self, attempts: Attempts) -> None:
         """Refunds the credit of a refused request and sets when its client should retry."""
@@ -189,7 +191,7 @@
         if waiter.is_share_exempt:
             self._starvation_guard.refund_credit(waiter.flow)
 
-    def _waiter(self, request: ClientRequest, route: Route) -> Waiter:
+    def _make_waiter(self, request: ClientRequest, route: Route) -> Waiter:
         """Returns the queue entry of a request."""
         elapsed = self._elapsed_times.elapsed(route.name, request.time_left)
         return Waiter(
@@ -202,7 +204,7 @@
             is_retry=elapsed >= MIN_RETRY_SECONDS,
         )
 
-    def _survey(self, service: ServiceName, work: Work) -> SlotCounts:
+    def _count_slots(self, service: ServiceName, work: Work) -> SlotCounts:
         return count_slots(self._dependencies.balancer, service, work)
 
 
--- a/src/larkpost/gateway/proxy/retry_spreading.py
+++ b/src/larkpost/gateway/proxy/retry_spreading.py
@@ -32,9 +32,9 @@
 
     def spread(self, waiter: Waiter, forecast: Forecast) -> Forecast:
         """Returns the forecast of a refused request with its own retry time."""
-        most = max_retry_delay(waiter.deadlines.expires_at - self._clock.now())
+        max_delay = max_retry_delay(waiter.deadlines.expires_at - self._clock.now())
         queue = waiter.flow if waiter.was_over_share else waiter.flow.group
         wanted = max(MIN_RETRY_SECONDS, forecast.wait)
         spacing = forecast.service_time / max(MIN_RUNNING, self._ledger.own_running(waiter.service))
-        told = self._times.reserve(queue, wanted, spacing, max(0.0, most))
-        return replace(forecast, retry_after=floor_to_milliseconds(told))
+        delay = self._times.reserve(queue, wanted, spacing, max(0.0, max_delay))
+        return replace(forecast, retry_after=floor_to_milliseconds(delay))
--- a/src/larkpost/gateway/proxy/server_choice.py
+++ b/src/larkpost/gateway/proxy/server_choice.py
@@ -26,8 +26,8 @@
         service_times: seconds that a request takes at each server where this is known.
         objective: target response time in seconds.
     """
-    usual = min(service_times, default=objective / DEFAULT_SERVICE_TIME_DIVISOR)
-    return max(MIN_HEDGE_SECONDS, HEDGE_SERVICE_TIME_FACTOR * usual)
+    best = min(service_times, default=objective / DEFAULT_SERVICE_TIME_DIVISOR)
+    return max(MIN_HEDGE_SECONDS, HEDGE_SERVICE_TIME_FACTOR * best)
 
 
 class ServerChoice:
--- a/src/larkpost/gateway/proxy/server_pool.py
+++ b/src/larkpost/gateway/proxy/server_pool.py
@@ -99,7 +99,7 @@
     ) -> None:
         self._directory = directory
         self._clock = clock
-        self._chance = rng
+        self._rng = rng
         self._subsets = subsets
         self._searches: dict[_SearchKey, _Search] = {}
 
@@ -116,19 +116,19 @@
         if len(listed) <= MAX_UNSAMPLED_INSTANCES:
             return CandidatePool(list(index.entries(service)), len(listed))
         if work.kind is WorkKind.ITEM:
-            drawn_from = self._for_items(service, work, within)
-            drawn = self._draw(service, drawn_from, POOL_SIZE)
-            return CandidatePool(drawn, len(drawn_from), drawn_from)
+            drawn_from = self._item_population(service, work, within)
+            sampled = self._sample(service, drawn_from, POOL_SIZE)
+            return CandidatePool(sampled, len(drawn_from), drawn_from)
         own = self._subsets.ids(service, index) if self._subsets is not None else listed
-        return CandidatePool(self._draw(service, own, POOL_SIZE), len(listed), listed)
+        return CandidatePool(self._sample(service, own, POOL_SIZE), len(listed), listed)
 
     def extend_pool(
         self, service: ServiceName, candidate_pool: CandidatePool
     ) -> list[InstanceInfo]:
         """Returns further instances that are not in the pool."""
         seen = {info.id for info in candidate_pool.instances}
-        drawn = self._draw(service, candidate_pool.population, POOL_EXTENSION_SIZE)
-        return [info for info in drawn if info.id not in seen]
+        sampled = self._sample(service, candidate_pool.population, POOL_EXTENSION_SIZE)
+        return [info for info in sampled if info.id not in seen]
 
     def find_open(
         self,
@@ -148,14 +148,14 @@
         """
         now = self._clock.now()
         key = (service, work, within)
-        known = self._searches.get(key)
-        if known is None or now - known.at >= SEARCH_LIFETIME_SECONDS:
-            known = self._find(service, candidate_pool.population, is_wanted)
+        cached = self._searches.get(key)
+        if cached is None or now - cached.at >= SEARCH_LIFETIME_SECONDS:
+            cached = self._find(service, candidate_pool.population, is_wanted)
             self._forget_searches(now)
-            self._searches[key] = known
+            self._searches[key] = cached
         index = self._directory.index
-        found = [info for name in known.ids if (info := index.get(service, name)) is not None]
-        return CandidatePool(found, round(len(found) * known.scale))
+        found = [info for name in cached.ids if (info := index.get(service, name)) is not None]
+        return CandidatePool(found, round(len(found) * cached.scale))
 
     def _find(
         self,
@@ -164,22 +164,22 @@
         is_wanted: Callable[[InstanceInfo], bool],
     ) -> _Search:
         """Searches instances in random order until `POOL_SIZE` of them match."""
-        in_no_order = self._draw(service, searched)
+        shuffled = self._sample(service, searched)
         found: list[InstanceId] = []
-        judged = 0
-        for info in in_no_order:
-            judged += 1
+        examined = 0
+        for info in shuffled:
+            examined += 1
             if is_wanted(info):
                 found.append(info.id)
             if len(found) == POOL_SIZE:
                 break
-        return _Search(self._clock.now(), found, len(in_no_order) / max(1, judged))
+        return _Search(self._clock.now(), found, len(shuffled) / max(1, examined))
 
     def _forget_searches(self, now: float) -> None:
         self._searches = {
-            key: known
-            for key, known in self._searches.items()
-            if now - known.at < SEARCH_LIFETIME_SECONDS
+            key: cached
+            for key, cached in self._searches.items()
+            if now - cached.at < SEARCH_LIFETIME_SECONDS
         }
 
     def subset_sizes(self) -> dict[ServiceName, int]:
@@ -193,7 +193,7 @@
             if len(index.ids(service)) > MAX_UNSAMPLED_INSTANCES
         }
 
-    def _for_items(
+    def _item_population(
         self, service: ServiceName, work: Work, within: frozenset[InstanceId] | None
     ) -> Sequence[InstanceId]:
         if within is not None:
@@ -203,10 +203,10 @@
             return index.ids(service)
         return index.holders(service, work.model)
 
-    def _draw(
-        self, service: ServiceName, ids: Sequence[InstanceId], most: int | None = None
+    def _sample(
+        self, service: ServiceName, ids: Sequence[InstanceId], limit: int | None = None
     ) -> list[InstanceInfo]:
-        """Returns up to ``most`` of the instances in random order; all if it is None."""
+        """Returns up to ``limit`` of the instances in random order; all if it is None."""
         index = self._directory.index
-        drawn = self._chance.sample(ids, min(len(ids), most if most is not None else len(ids)))
-        return [info for name in drawn if (info := index.get(service, name)) is not None]
+        sampled = self._rng.sample(ids, min(len(ids), limit if limit is not None else len(ids)))
+        return [info for name in sampled if (info := index.get(service, name)) is not None]
--- a/src/larkpost/gateway/proxy/service_selection.py
+++ b/src/larkpost/gateway/proxy/service_selection.py
@@ -15,12 +15,12 @@
     """Selects services by smooth weighted round robin, separately for each route.
 
     Args:
-        chance: random generator for the starting point of each route. With a common one, the first
+        rng: random generator for the starting point of each route. With a common one, the first
             requests of all daemons would go to the same service.
     """
 
     def __init__(self, rng: random.Random) -> None:
-        self._chance = rng
+        self._rng = rng
         self._credits: dict[str, dict[ServiceName, float]] = {}
 
     def choose(self, route: Route) -> ServiceName:
@@ -29,7 +29,7 @@
             return route.shares[0].service
         if route.name not in self._credits:
             self._credits[route.name] = {}
-            for _ in range(self._chance.randrange(MAX_INITIAL_OFFSET)):
+            for _ in range(self._rng.randrange(MAX_INITIAL_OFFSET)):
                 self._next(route)
         return self._next(route)
 
--- a/src/larkpost/gateway/proxy/service_time_history.py
+++ b/src/larkpost/gateway/proxy/service_time_history.py
@@ -77,11 +77,11 @@
 
     def __init__(self) -> None:
         self.measured_at = float("-inf")
-        self._open: _Slice | None = None
-        self._closed: deque[_Slice] = deque(maxlen=MAX_SLICES)
+        self._current: _Slice | None = None
+        self._slices: deque[_Slice] = deque(maxlen=MAX_SLICES)
         self._sustained = 0.0
-        self._usual = 0.0
-        self._usual_at = float("-inf")
+        self._baseline = 0.0
+        self._baseline_at = float("-inf")
         """When a slice was last included in the baseline."""
 
     def record(self, now: float, seconds: float, slowness: float = 1.0) -> None:
@@ -90,13 +90,13 @@
         Args:
             slowness: the server's reported factor on its usual service time at that moment.
         """
-        if self._open is not None and now - self._open.began_at >= SLICE_SECONDS:
-            self._close(self._open)
-            self._open = None
+        if self._current is not None and now - self._current.began_at >= SLICE_SECONDS:
+            self._close(self._current)
+            self._current = None
             self._forget_old(now)
-        if self._open is None:
-            self._open = _Slice(now)
-        self._open.add(seconds, self._without_slowness(seconds, slowness))
+        if self._current is None:
+            self._current = _Slice(now)
+        self._current.add(seconds, self._without_slowness(seconds, slowness))
         self.measured_at = now
 
     def service_time(self, now: float) -> float:
@@ -106,7 +106,7 @@
         """
         if self.is_measured(now):
             return self._sustained
-        return self._usual if now - self.measured_at < BASELINE_LIFETIME_SECONDS else 0.0
+        return self._baseline if now - self.measured_at < BASELINE_LIFETIME_SECONDS else 0.0
 
     def is_measured(self, now: float) -> bool:
         """Returns whether the sustained service time is recent enough to be used."""
@@ -115,36 +115,36 @@
     @property
     def was_degraded(self) -> bool:
         """Whether the server was much slower than its baseline when last measured."""
-        return self._sustained > DEGRADED_RATIO * self._usual
+        return self._sustained > DEGRADED_RATIO * self._baseline
 
     def recent(self, now: float) -> float:
         """Returns the corrected mean of the last complete slice; 0 if that is too old."""
         is_recent = now - self.measured_at < SUSTAINED_SECONDS
-        return self._closed[-1].corrected_mean if self._closed and is_recent else 0.0
+        return self._slices[-1].corrected_mean if self._slices and is_recent else 0.0
 
     def _close(self, closed: _Slice) -> None:
         self._drop_slices(closed.began_at)
-        self._closed.append(closed)
-        if len(self._closed) < MIN_SLICES:
+        self._slices.append(closed)
+        if len(self._slices) < MIN_SLICES:
             return
-        self._sustained = low_quantile(slice_.corrected_mean for slice_ in self._closed)
-        self._usual = smooth_baseline(self._usual, self._sustained)
-        self._usual_at = closed.began_at
+        self._sustained = low_quantile(slice_.corrected_mean for slice_ in self._slices)
+        self._baseline = smooth_baseline(self._baseline, self._sustained)
+        self._baseline_at = closed.began_at
 
     def _forget_old(self, now: float) -> None:
         """Drops expired service times, so that one new measurement does not revive them."""
         self._drop_slices(now)
-        if len(self._closed) < MIN_SLICES:
+        if len(self._slices) < MIN_SLICES:
             self._sustained = 0.0
-        if now - self._usual_at >= BASELINE_LIFETIME_SECONDS:
-            self._usual = 0.0
+        if now - self._baseline_at >= BASELINE_LIFETIME_SECONDS:
+            self._baseline = 0.0
 
     def _drop_slices(self, now: float) -> None:
-        while self._closed and now - self._closed[0].began_at > SLICE_LIFETIME_SECONDS:
-            self._closed.popleft()
+        while self._slices and now - self._slices[0].began_at > SLICE_LIFETIME_SECONDS:
+            self._slices.popleft()
 
     def _without_slowness(self, seconds: float, slowness: float) -> float:
-        means = [slice_.measured_mean for slice_ in self._closed]
+        means = [slice_.measured_mean for slice_ in self._slices]
         if not means:
             return seconds
         return without_slowness(seconds, slowness, min(means), max(means))
@@ -156,17 +156,17 @@
     return ordered[int(LOW_QUANTILE * (len(ordered) - 1))] if ordered else 0.0
 
 
-def smooth_baseline(usual: float, sustained: float) -> float:
+def smooth_baseline(baseline: float, sustained: float) -> float:
     """Returns the baseline after one more slice; it falls quickly and rises slowly.
 
     Args:
-        usual: the baseline before; 0 if it is not known.
+        baseline: the baseline before; 0 if it is not known.
         sustained: the sustained service time, including the newest slice.
     """
-    if not usual:
+    if not baseline:
         return sustained
-    share = FALL_WEIGHT if sustained < usual else RISE_WEIGHT
-    return usual + share * (sustained - usual)
+    share = FALL_WEIGHT if sustained < baseline else RISE_WEIGHT
+    return baseline + share * (sustained - baseline)
 
 
 def without_slowness(seconds: float, slowness: float, quickest: float, slowest: float) -> float:
--- a/src/larkpost/gateway/proxy/service_time_tracker.py
+++ b/src/larkpost/gateway/proxy/service_time_tracker.py
@@ -60,7 +60,7 @@
             return self._own.has_recent_response(instance)
         if not self._known_lasting(instance, speed_stats.responses):
             return self._own.has_recent_response(instance)
-        return self._is_own_best(instance, speed_stats.responses)
+        return self._prefers_own(instance, speed_stats.responses)
 
     def lasting(self, instance: InstanceId) -> float:
         """Returns the seconds per event of an item, without short bursts; 0 if not known."""
@@ -88,18 +88,18 @@
     # Reports between daemons.
 
     def report(self) -> dict[InstanceId, float]:
-        """Returns up to `MAX_REPORTED_SERVICE_TIMES` measured service times; instances take turns."""
+        """Returns at most `MAX_REPORTED_SERVICE_TIMES` measured service times, by turns."""
         measured = dict.fromkeys(self._own.measured())
-        earlier = dict.fromkeys(name for name in self._reported if name in measured)
-        turn = [name for name in measured if name not in earlier] + list(earlier)
+        reported_before = dict.fromkeys(name for name in self._reported if name in measured)
+        order = [name for name in measured if name not in reported_before] + list(reported_before)
         report: dict[InstanceId, float] = {}
-        for name in turn:
+        for name in order:
             if len(report) == MAX_REPORTED_SERVICE_TIMES:
                 break
             service_time = self._reportable_service_time(name)
             if service_time is not None:
                 report[name] = service_time
-        self._reported = [name for name in earlier if name not in report] + list(report)
+        self._reported = [name for name in reported_before if name not in report] + list(report)
         return report
 
     def record_report(self, daemon: DaemonId, service_times: dict[InstanceId, float]) -> None:
@@ -112,11 +112,11 @@
 
     def _known_lasting(self, instance: InstanceId, history: ServiceTimeHistory | None) -> float:
         """Returns the lasting service time; current measurements, here or elsewhere, come first."""
-        if history is not None and self._is_own_best(instance, history):
+        if history is not None and self._prefers_own(instance, history):
             return history.service_time(self._clock.now())
         return self._shared.fresh(instance) or self._shared.service_time(instance)
 
-    def _is_own_best(self, instance: InstanceId, history: ServiceTimeHistory) -> bool:
+    def _prefers_own(self, instance: InstanceId, history: ServiceTimeHistory) -> bool:
         """Returns whether this daemon's measurements take precedence over reports."""
         now = self._clock.now()
         if history.is_measured(now):
--- a/src/larkpost/gateway/proxy/share_record.py
+++ b/src/larkpost/gateway/proxy/share_record.py
@@ -50,6 +50,6 @@
             use=flow_share.use,
             waiting=flow_share.waiting,
             ahead=flow_share.waiting_ahead,
-            places=flow_share.places,
+            places=flow_share.total_slots,
             report_age=round(age, 3) if age is not None else None,
         )
--- a/src/larkpost/gateway/proxy/slot_counting.py
+++ b/src/larkpost/gateway/proxy/slot_counting.py
@@ -54,7 +54,7 @@
     service only a sample is counted, and scaled up to the whole.
     """
     total = taken = unavailable = 0
-    paced_slots, rate = 0, 0.0
+    measured_slots, rate = 0, 0.0
     candidate_pool = balancer.candidate_pool(service, work)
     for info in candidate_pool.instances:
         verdict = balancer.placement.evaluate(info, work)
@@ -68,9 +68,9 @@
         unavailable += max(0, slots - occupied) if is_closed else 0
         service_time = balancer.service_time(info.id)
         if service_time:
-            paced_slots += slots
+            measured_slots += slots
             rate += slots / service_time
     total, taken, unavailable = (
         round(count * candidate_pool.scale) for count in (total, taken, unavailable)
     )
-    return SlotCounts(total, taken, paced_slots / rate if rate else 0.0, unavailable)
+    return SlotCounts(total, taken, measured_slots / rate if rate else 0.0, unavailable)
--- a/src/larkpost/gateway/proxy/slowness.py
+++ b/src/larkpost/gateway/proxy/slowness.py
@@ -23,15 +23,15 @@
 
     def __init__(self) -> None:
         self.reported_at = float("-inf")
-        self._said = 0.0
-        self._kept_at = float("-inf")
-        self._kept: deque[float] = deque(maxlen=MAX_SLICES)
+        self._reported = 0.0
+        self._history_at = float("-inf")
+        self._history: deque[float] = deque(maxlen=MAX_SLICES)
         self._usual = 0.0
 
     @property
     def has_reports(self) -> bool:
         """Whether the server ever reported its slowness."""
-        return bool(self._kept)
+        return bool(self._history)
 
     def record(self, now: float, slowness: float) -> None:
         """Records a report of the server.
@@ -39,25 +39,25 @@
         Args:
             slowness: factor by which work takes longer there than usual; above 0.
         """
-        self._said = slowness
+        self._reported = slowness
         self.reported_at = now
-        if now - self._kept_at >= SLICE_SECONDS:
-            self._kept_at = now
-            self._kept.append(slowness)
-            self._usual = low_quantile(self._kept)
+        if now - self._history_at >= SLICE_SECONDS:
+            self._history_at = now
+            self._history.append(slowness)
+            self._usual = low_quantile(self._history)
 
     def factor(self, now: float) -> float:
         """Returns the factor by which work takes longer there than usual; 1 if not known."""
         if now - self.reported_at >= SLOWNESS_LIFETIME_SECONDS:
             return 1.0
-        return believed_slowness(self._said, self._usual)
+        return believed_slowness(self._reported, self._usual)
 
 
-def believed_slowness(said: float, usual: float) -> float:
+def believed_slowness(reported: float, usual: float) -> float:
     """Returns the factor by which a server counts as slower than usual, within bounds.
 
     Args:
-        said: the slowness that it reports now.
+        reported: the slowness that it reports now.
         usual: the slowness that it usually reports.
     """
-    return min(max(said / usual, 1 / MAX_SLOWNESS), MAX_SLOWNESS)
+    return min(max(reported / usual, 1 / MAX_SLOWNESS), MAX_SLOWNESS)
--- a/src/larkpost/gateway/proxy/subset.py
+++ b/src/larkpost/gateway/proxy/subset.py
@@ -75,7 +75,7 @@
         self._limit = 1
         self._inside = IndexedIdSet()
         self._outside: dict[InstanceId, list[DaemonId]] = {}
-        self._keeps_out: dict[DaemonId, set[InstanceId]] = {}
+        self._excluded_by: dict[DaemonId, set[InstanceId]] = {}
 
     @property
     def ids(self) -> Sequence[InstanceId]:
@@ -96,35 +96,35 @@
             changed = set(servers) | self._servers
         self._limit = limit
         self._servers = set(servers)
-        for gone in self._others.keys() - others:
-            del self._others[gone]
-            changed |= self._keeps_out.pop(gone, set())
-        for come in others - self._others.keys():
-            seed = self._others[come] = daemon_seed(come)
+        for removed in self._others.keys() - others:
+            del self._others[removed]
+            changed |= self._excluded_by.pop(removed, set())
+        for added in others - self._others.keys():
+            seed = self._others[added] = daemon_seed(added)
             changed.update(name for name in self.ids if self._comes_before(seed, name))
         for server in changed:
             self._forget(server)
             if server in self._servers:
-                self._judge(server)
+                self._assign(server)
 
     def _comes_before(self, seed: int, server: InstanceId) -> bool:
         return weight(seed, server) > weight(self._seed, server)
 
-    def _judge(self, server: InstanceId) -> None:
+    def _assign(self, server: InstanceId) -> None:
         before = higher_ranked_daemons(self._seed, self._others, server, self._limit)
         if len(before) < self._limit:
             self._inside.add(server)
             return
         self._outside[server] = before
         for daemon in before:
-            self._keeps_out.setdefault(daemon, set()).add(server)
+            self._excluded_by.setdefault(daemon, set()).add(server)
 
     def _forget(self, server: InstanceId) -> None:
         self._inside.discard(server)
         for daemon in self._outside.pop(server, ()):
-            kept_out = self._keeps_out.get(daemon)
-            if kept_out is not None:
-                kept_out.discard(server)
+            excluded = self._excluded_by.get(daemon)
+            if excluded is not None:
+                excluded.discard(server)
 
 
 class DaemonSubsets:
@@ -138,13 +138,13 @@
         self._own = own
         self._alive = alive
         self._subsets: dict[ServiceName, DaemonSubset] = {}
-        self._made_of: dict[ServiceName, tuple[frozenset[DaemonId], int]] = {}
+        self._versions: dict[ServiceName, tuple[frozenset[DaemonId], int]] = {}
 
     def ids(self, service: ServiceName, index: ServiceIndex) -> Sequence[InstanceId]:
         """Returns the servers of a service's subset, in no particular order."""
         subset = self._subsets.setdefault(service, DaemonSubset(self._own))
-        made_of = (self._alive(), index.generation(service))
-        if self._made_of.get(service) != made_of:
-            subset.update(made_of[0], index.ids(service))
-            self._made_of[service] = made_of
+        version = (self._alive(), index.generation(service))
+        if self._versions.get(service) != version:
+            subset.update(version[0], index.ids(service))
+            self._versions[service] = version
         return subset.ids
--- a/tests/test_bounded_choice.py
+++ b/tests/test_bounded_choice.py
@@ -40,7 +40,7 @@
 HOME_ZONE, FAR_ZONE = ZoneId("home-a"), ZoneId("far-a")
 
 
-class CountedRule(StatelessRule):
+class CountingRule(StatelessRule):
     """Allows all instances but the forbidden ones, and counts which were evaluated."""
 
     def __init__(self) -> None:
@@ -71,7 +71,7 @@
         regions = RegionMap(HOME_ZONE, {HOME_ZONE: HOME, FAR_ZONE: FAR})
         alive = frozenset(DaemonId(f"d{number}") for number in range(daemons))
         self.subsets = DaemonSubsets(OWN, lambda: alive)
-        self.rule = CountedRule()
+        self.rule = CountingRule()
         for number in range(servers):
             self.directory.update(make_instance(f"s{number}", zone=HOME_ZONE))
         rules = (RegionRule(regions), self.rule)
@@ -108,7 +108,7 @@
 class CostTest(unittest.TestCase):
     """The number of servers considered."""
 
-    def looked_at(self, servers: int, daemons: int) -> dict[str, int]:
+    def count_considered(self, servers: int, daemons: int) -> dict[str, int]:
         """Returns the number of servers that each use of the balancer considers."""
 
         async def play():
@@ -132,9 +132,9 @@
         return run(play())
 
     def test_a_choice_of_thousands_looks_at_no_more_than_twice_as_many_as_one_of_thirty(self):
-        few = self.looked_at(*FLEETS[0])
+        few = self.count_considered(*FLEETS[0])
         for servers, daemons in FLEETS[1:]:
-            for use, count in self.looked_at(servers, daemons).items():
+            for use, count in self.count_considered(servers, daemons).items():
                 with self.subTest(servers=servers, use=use):
                     self.assertLessEqual(count, 2 * few[use])
 
@@ -176,7 +176,7 @@
         run(play())
 
 
-class OthersTest(unittest.TestCase):
+class FallbackTest(unittest.TestCase):
     """Other servers are considered when those in the pool cannot serve."""
 
     def test_others_are_tried_when_the_whole_subset_has_failed(self):
@@ -402,7 +402,7 @@
         run(play())
 
 
-class SurveyTest(unittest.TestCase):
+class SlotCountTest(unittest.TestCase):
     """The slots of a large service are those of a sample, scaled up."""
 
     def test_places_of_some_stand_for_all(self):
--- a/tests/test_choice_quality.py
+++ b/tests/test_choice_quality.py
@@ -27,9 +27,9 @@
 SLOTS = 2
 LOAD = 0.9
 """Fraction of the slots in use if requests were spread evenly."""
-REQUESTS_A_PLACE = 3
+REQUESTS_PER_SLOT = 3
 """Requests of a simulation for each slot; the first half is warm-up."""
-PACES = (0.7, 1.7)
+SERVICE_TIMES = (0.7, 1.7)
 """Service times of fast and slow servers."""
 SKEW = 0.8
 """Sigma of the log-normal distribution of requests among daemons."""
@@ -52,18 +52,18 @@
         free_at: when each slot of a server becomes free.
         ends: end times of the requests in flight, with their daemon and server.
         own: requests by daemon and server.
-        said: load by other daemons that a server reported to a daemon, and the time of the report.
+        reported: load by other daemons that a server reported to a daemon, and when.
     """
 
     servers: list[InstanceInfo]
-    paces: list[float]
+    service_times: list[float]
     knows_all: bool = True
     now: float = 0.0
     busy: list[int] = field(default_factory=list)
     free_at: list[list[float]] = field(default_factory=list)
     ends: list[tuple[float, int, int]] = field(default_factory=list)
     own: Counter[tuple[int, int]] = field(default_factory=Counter)
-    said: dict[tuple[int, int], tuple[int, float]] = field(default_factory=dict)
+    reported: dict[tuple[int, int], tuple[int, float]] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.busy = [0] * len(self.servers)
@@ -76,19 +76,19 @@
             end, daemon, server = heapq.heappop(self.ends)
             self.busy[server] -= 1
             self.own[daemon, server] -= 1
-            self.said[daemon, server] = (self.busy[server] - self.own[daemon, server], end)
+            self.reported[daemon, server] = (self.busy[server] - self.own[daemon, server], end)
 
     def occupied(self, daemon: int, server: int) -> int:
         """Returns a daemon's estimate of the requests at a server."""
         if self.knows_all:
             return self.busy[server]
-        others, at = self.said.get((daemon, server), (0, float("-inf")))
+        others, at = self.reported.get((daemon, server), (0, float("-inf")))
         is_recent = self.now - at < LOAD_LIFETIME
         return self.own[daemon, server] + (others if is_recent else 0)
 
     def send(self, daemon: int, server: int, work: float) -> float:
         """Sends a request to a server, and returns the time until it ends."""
-        end = max(self.now, self.free_at[server][0]) + work * self.paces[server]
+        end = max(self.now, self.free_at[server][0]) + work * self.service_times[server]
         heapq.heapreplace(self.free_at[server], end)
         heapq.heappush(self.ends, (end, daemon, server))
         self.busy[server] += 1
@@ -104,13 +104,13 @@
     """Returns the server with the lowest expected wait, as `rank` would."""
     waits = [
         (fleet.occupied(daemon, server) + 1) * service_time
-        for server, service_time in enumerate(fleet.paces)
+        for server, service_time in enumerate(fleet.service_times)
     ]
     least = min(waits)
     return rng.choice([server for server, wait in enumerate(waits) if wait == least])
 
 
-def choose_of(fleet: Fleet, daemon: int, looked_at: Sequence[int], rng: random.Random) -> int:
+def choose_of(fleet: Fleet, daemon: int, pool: Sequence[int], rng: random.Random) -> int:
     """Returns the server that `rank` puts first among some servers."""
     candidates = [
         Candidate(
@@ -118,17 +118,17 @@
             is_avoided=False,
             is_cold=False,
             occupied=fleet.occupied(daemon, server),
-            service_time=fleet.paces[server],
+            service_time=fleet.service_times[server],
             latency_factor=1.0,
             connection_factor=1.0,
             tie_break=rng.random(),
         )
-        for server in looked_at
+        for server in pool
     ]
-    return int(rank(candidates, min(fleet.paces))[0].id)
+    return int(rank(candidates, min(fleet.service_times))[0].id)
 
 
-def draw_of_all(fleet: Fleet, daemon: int, rng: random.Random) -> int:
+def choose_of_sample(fleet: Fleet, daemon: int, rng: random.Random) -> int:
     """Returns the best of a new random sample of servers, as for an item of a batch."""
     drawn = rng.sample(range(len(fleet.servers)), POOL_SIZE)
     return choose_of(fleet, daemon, drawn, rng)
@@ -167,12 +167,12 @@
     rng = random.Random(seed)
     fleet = Fleet(
         [make_instance(str(number), slots=SLOTS) for number in range(servers)],
-        [rng.choice(PACES) for _ in range(servers)],
+        [rng.choice(SERVICE_TIMES) for _ in range(servers)],
         knows_all,
     )
-    rate = LOAD * sum(SLOTS / service_time for service_time in fleet.paces)
+    rate = LOAD * sum(SLOTS / service_time for service_time in fleet.service_times)
     shares = [rng.lognormvariate(0, SKEW) for _ in range(daemons)]
-    count = servers * SLOTS * REQUESTS_A_PLACE
+    count = servers * SLOTS * REQUESTS_PER_SLOT
     callers = rng.choices(range(daemons), shares, k=count)
     choice_chance = random.Random(seed)  # separate, so that all policies get the same requests
     now, times = 0.0, []
@@ -225,7 +225,7 @@
     def test_items_at_engines_drawn_anew(self):
         for servers, daemons, seeds in ((300, 30, SEEDS), (1000, 100, SEEDS[:1])):
             with self.subTest(servers=servers):
-                self.check(servers, daemons, draw_of_all, seeds)
+                self.check(servers, daemons, choose_of_sample, seeds)
 
 
 if __name__ == "__main__":
--- a/tests/test_fair_load.py
+++ b/tests/test_fair_load.py
@@ -32,13 +32,13 @@
 from tests.platform_fleet import ENGINES, PAGES, PlatformFleet
 from tests.scripted_engines import ScriptedEngine, ScriptedEngines
 from tests.server_parts import make_directory, make_parts
-from tests.test_fair_shares import STARVED_PART, flow
+from tests.test_fair_shares import STARVED_FRACTION, flow
 from tests.virtual import run
 
 SERVERS = 4
 SLOTS = 2
-PACE = 0.1
-CAPACITY = SERVERS * SLOTS / PACE
+SERVICE_TIME = 0.1
+CAPACITY = SERVERS * SLOTS / SERVICE_TIME
 """Requests per second."""
 TIME_LEFT = 1.0
 REPORT_SECONDS = 1.0
@@ -95,7 +95,7 @@
         self.engines = ScriptedEngines(self.clock, ModelName("model"))
         self.directory: InstanceDirectory = make_directory(SERVERS, PAGES, slots=SLOTS)
         for number in range(SERVERS):
-            engine = ScriptedEngine(slots=SLOTS, event_seconds=PACE)
+            engine = ScriptedEngine(slots=SLOTS, event_seconds=SERVICE_TIME)
             self.engines.engines[InstanceId(f"e{number}")] = engine
         self.daemons = [self.make_daemon(f"d{number}") for number in range(2)]
         self.sums = Sums()
@@ -104,7 +104,7 @@
         """Returns a daemon that knows the servers' service times."""
         balancer = Balancer(self.directory, self.clock, random.Random(name))
         for number in range(SERVERS):
-            balancer.record_service_time(InstanceId(f"e{number}"), PACE)
+            balancer.record_service_time(InstanceId(f"e{number}"), SERVICE_TIME)
         ledger = FlowLedger(self.clock)
         parts = make_parts(self.directory, balancer, self.engines, self.clock)
         parts = replace(parts, ledger=ledger, rng=random.Random(f"{name} chance"))
@@ -203,7 +203,7 @@
         self.assertGreater(sums.part(*lights), 0.8, "the small tenants pay for the heavy one")
         for name in lights:
             self.assertGreater(sums.part(name), 0.6)
-        self.assertGreater(sums.part(HEAVY), STARVED_PART * sums.part(*self.RATES))
+        self.assertGreater(sums.part(HEAVY), STARVED_FRACTION * sums.part(*self.RATES))
 
     def test_it_pays_with_its_own_requests(self):
         self.check(heavy_at_first=0.5)
@@ -281,17 +281,17 @@
         sums = self.run_load(rates, seconds=3.0)
         lights = [name for name in rates if name != HEAVY]
         self.assertGreater(sums.part(*lights), 0.7)
-        self.assertGreater(sums.part(HEAVY), STARVED_PART * sums.part(*rates))
+        self.assertGreater(sums.part(HEAVY), STARVED_FRACTION * sums.part(*rates))
 
     def test_in_a_burst_of_all_no_tenant_is_starved_and_all_places_are_used(self):
         rates = light_rates(5 * CAPACITY) | {HEAVY: 5 * CAPACITY}
         sums = self.run_load(rates, seconds=3.0)
         for name in rates:
-            self.assertGreater(sums.part(name), STARVED_PART * sums.part(*rates), name)
+            self.assertGreater(sums.part(name), STARVED_FRACTION * sums.part(*rates), name)
         self.assertGreater(sums.served.total(), 0.8 * 3.0 * CAPACITY, "places stay free")
 
 
-class ReturningWaveTest(LoadTest):
+class RetryWaveTest(LoadTest):
     """Many clients are refused at the same moment and retry at the times that they were told."""
 
     def test_they_are_told_times_of_their_own(self):
@@ -320,12 +320,12 @@
 
         async def play() -> list[str]:
             clock = LoopClock()
-            places = SlotCounts(1, 1, PACE)
+            places = SlotCounts(1, 1, SERVICE_TIME)
             queues = RequestQueues(clock, lambda *_: places, FlowLedger(clock))
             called = []
 
             async def wait(name: str, first_tried: float) -> None:
-                deadlines = Deadlines(first_tried + 0.05, first_tried + 20.0, PACE)
+                deadlines = Deadlines(first_tried + 0.05, first_tried + 20.0, SERVICE_TIME)
                 is_retry = first_tried < 0
                 waiter = Waiter(
                     PAGES, CLIENT_WORK, 0, deadlines, first_tried, name, is_retry=is_retry
@@ -350,8 +350,8 @@
             clock = LoopClock()
             ledger = FlowLedger(clock)
             ledger.record_report(DaemonId("far"), reported)
-            queues = RequestQueues(clock, lambda *_: SlotCounts(8, 7, PACE), ledger)
-            deadlines = Deadlines(1.0, 5.0, PACE)
+            queues = RequestQueues(clock, lambda *_: SlotCounts(8, 7, SERVICE_TIME), ledger)
+            deadlines = Deadlines(1.0, 5.0, SERVICE_TIME)
             waiter = Waiter(PAGES, CLIENT_WORK, 1, deadlines, clock.now(), "heavy")
             await queues.wait_for_turn(waiter)
             return clock.now()
@@ -371,10 +371,10 @@
             ledger = FlowLedger(clock)
             reported = {HEAVY_FLOW: FlowUsage(6, 2), LIGHT_FLOW: FlowUsage(0, 3)}
             ledger.record_report(DaemonId("far"), reported)
-            queues = RequestQueues(clock, lambda *_: SlotCounts(8, 7, PACE), ledger)
+            queues = RequestQueues(clock, lambda *_: SlotCounts(8, 7, SERVICE_TIME), ledger)
 
             async def wait(*, is_retry: bool) -> float:
-                deadlines = Deadlines(1.0, 5.0, PACE)
+                deadlines = Deadlines(1.0, 5.0, SERVICE_TIME)
                 waiter = Waiter(PAGES, CLIENT_WORK, 1, deadlines, 0.0, "heavy", is_retry=is_retry)
                 await queues.wait_for_turn(waiter)
                 return clock.now()
@@ -393,11 +393,11 @@
             ledger = FlowLedger(clock)
             reported = {HEAVY_FLOW: FlowUsage(6, 2), LIGHT_FLOW: FlowUsage(0, 3)}
             ledger.record_report(DaemonId("far"), reported)
-            queues = RequestQueues(clock, lambda *_: SlotCounts(8, 8, PACE), ledger)
+            queues = RequestQueues(clock, lambda *_: SlotCounts(8, 8, SERVICE_TIME), ledger)
             called = []
 
             async def wait(priority: int, name: str) -> None:
-                deadlines = Deadlines(1.0, 5.0, PACE)
+                deadlines = Deadlines(1.0, 5.0, SERVICE_TIME)
                 await queues.wait_for_turn(
                     Waiter(PAGES, CLIENT_WORK, priority, deadlines, 0.0, name)
                 )
@@ -418,8 +418,8 @@
             ledger = FlowLedger(clock)
             reported = {HEAVY_FLOW: FlowUsage(6, 30), LIGHT_FLOW: FlowUsage(1, 30)}
             ledger.record_report(DaemonId("far"), reported)
-            queues = RequestQueues(clock, lambda *_: SlotCounts(8, 8, PACE), ledger)
-            deadlines = Deadlines(0.2, 0.8, PACE)
+            queues = RequestQueues(clock, lambda *_: SlotCounts(8, 8, SERVICE_TIME), ledger)
+            deadlines = Deadlines(0.2, 0.8, SERVICE_TIME)
             return queues.forecast(Waiter(PAGES, CLIENT_WORK, 1, deadlines, 0.0, "heavy"))
 
         prospect = run(play())
@@ -432,11 +432,11 @@
             ledger = FlowLedger(clock)
             urgent = flow("heavy", FlowGroup(PAGES, 0))
             ledger.record_report(DaemonId("far"), {urgent: FlowUsage(9, 0)})
-            queues = RequestQueues(clock, lambda *_: SlotCounts(8, 8, PACE), ledger)
+            queues = RequestQueues(clock, lambda *_: SlotCounts(8, 8, SERVICE_TIME), ledger)
             called = []
 
             async def wait(priority: int, name: str) -> None:
-                deadlines = Deadlines(1.0, 5.0, PACE)
+                deadlines = Deadlines(1.0, 5.0, SERVICE_TIME)
                 await queues.wait_for_turn(
                     Waiter(PAGES, CLIENT_WORK, priority, deadlines, 0.0, name)
                 )
@@ -448,18 +448,20 @@
         self.assertEqual([0, 2], run(play()))
 
 
-class ShortageNewsTest(unittest.TestCase):
+class ShortageCountTest(unittest.TestCase):
     """Which waiting requests count towards the shares."""
 
     def setUp(self) -> None:
         self.clock = LoopClock()
         self.ledger = FlowLedger(self.clock)
-        self.queues = RequestQueues(self.clock, lambda *_: SlotCounts(8, 8, PACE), self.ledger)
+        self.queues = RequestQueues(
+            self.clock, lambda *_: SlotCounts(8, 8, SERVICE_TIME), self.ledger
+        )
 
     def waiter(self, objective: float, time_left: float) -> Waiter:
         """Returns a new request."""
         now = self.clock.now()
-        deadlines = Deadlines(now + objective, now + time_left, PACE)
+        deadlines = Deadlines(now + objective, now + time_left, SERVICE_TIME)
         return Waiter(PAGES, CLIENT_WORK, 1, deadlines, now, "light")
 
     def test_request_that_waits_for_a_moment_is_not_counted(self):
@@ -534,7 +536,7 @@
         self.assertEqual(list(range(passed[0], 8)), passed)
 
 
-class NewsStopTest(LoadTest):
+class LostReportsTest(LoadTest):
     """Without reports of the others, each daemon relies on its own requests."""
 
     def test_small_tenants_are_still_served_and_no_place_stays_free(self):
@@ -551,7 +553,7 @@
         sums = run(play())
         lights = [name for name in rates if name != HEAVY]
         self.assertGreater(sums.part(*lights), 0.75)
-        self.assertGreater(sums.part(HEAVY), STARVED_PART * sums.part(*rates))
+        self.assertGreater(sums.part(HEAVY), STARVED_FRACTION * sums.part(*rates))
         self.assertGreater(sums.served.total(), 0.9 * seconds * CAPACITY)
 
 
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -33,8 +33,8 @@
 
 SERVICE = ServiceName("pages")
 GROUP = FlowGroup(SERVICE, 1)
-PACE = 0.1
-STARVED_PART = 0.25
+SERVICE_TIME = 0.1
+STARVED_FRACTION = 0.25
 """A tenant counts as starved if its served fraction is below this part of the overall one."""
 
 
@@ -114,11 +114,13 @@
 
     def test_its_forecast_grows_with_its_own_requests_alone(self):
         heavy = compute_shares(self.uses(), free=0).flow_share(HEAVY)
-        waits = [estimate_share_wait(heavy, waiting_ahead, PACE) for waiting_ahead in (0, 5, 10)]
+        waits = [
+            estimate_share_wait(heavy, waiting_ahead, SERVICE_TIME) for waiting_ahead in (0, 5, 10)
+        ]
         self.assertEqual(sorted(waits), waits)
-        self.assertGreater(waits[1] - waits[0], 4 * PACE)
+        self.assertGreater(waits[1] - waits[0], 4 * SERVICE_TIME)
         light = compute_shares(self.uses(), free=0).flow_share(flow("t9"))
-        self.assertEqual(0.0, estimate_share_wait(light, 0, PACE))
+        self.assertEqual(0.0, estimate_share_wait(light, 0, SERVICE_TIME))
 
     def test_tenant_alone_is_never_beyond_its_share(self):
         self.assertFalse(
@@ -151,49 +153,49 @@
 
         async def play():
             clock = LoopClock()
-            least = StarvationGuard(clock, random.Random(5))
+            guard = StarvationGuard(clock, random.Random(5))
             passed = 0
             asked = 2000
             for number in range(asked):
                 await clock.sleep(0.01)
-                passed += least.admit(HEAVY, is_over_share=True)
+                passed += guard.admit(HEAVY, is_over_share=True)
                 if number % 10 == 0:
-                    least.record_slot_granted(LIGHT, is_share_exempt=False)
+                    guard.record_slot_granted(LIGHT, is_share_exempt=False)
             part = passed / asked
-            self.assertGreater(part, STARVED_PART * 0.1)
+            self.assertGreater(part, STARVED_FRACTION * 0.1)
             self.assertLess(part, 1.2 * MIN_RELATIVE_SERVICE * 0.1)
 
         run(play())
 
     def test_credit_is_not_saved_up_while_a_flow_is_served(self):
         async def play():
-            least = StarvationGuard(LoopClock(), random.Random(5))
+            guard = StarvationGuard(LoopClock(), random.Random(5))
             for _ in range(100):
-                least.admit(HEAVY, is_over_share=False)
-                least.record_slot_granted(HEAVY, is_share_exempt=False)
-            self.assertLessEqual(sum(least.admit(HEAVY, is_over_share=True) for _ in range(3)), 1)
+                guard.admit(HEAVY, is_over_share=False)
+                guard.record_slot_granted(HEAVY, is_share_exempt=False)
+            self.assertLessEqual(sum(guard.admit(HEAVY, is_over_share=True) for _ in range(3)), 1)
 
         run(play())
 
     def test_credit_of_a_request_that_was_refused_is_for_the_next(self):
         async def play():
-            least = StarvationGuard(LoopClock(), random.Random(5))
-            while not least.admit(HEAVY, is_over_share=True):
+            guard = StarvationGuard(LoopClock(), random.Random(5))
+            while not guard.admit(HEAVY, is_over_share=True):
                 pass
-            least.refund_credit(HEAVY)
-            self.assertTrue(least.admit(HEAVY, is_over_share=True))
-            least.record_slot_granted(HEAVY, is_share_exempt=True)
-            self.assertFalse(least.admit(HEAVY, is_over_share=True))
+            guard.refund_credit(HEAVY)
+            self.assertTrue(guard.admit(HEAVY, is_over_share=True))
+            guard.record_slot_granted(HEAVY, is_share_exempt=True)
+            self.assertFalse(guard.admit(HEAVY, is_over_share=True))
 
         run(play())
 
     def test_request_after_a_night_without_any_is_admitted(self):
         async def play():
             clock = LoopClock()
-            least = StarvationGuard(clock, random.Random(5))
-            least.admit(HEAVY, is_over_share=False)
+            guard = StarvationGuard(clock, random.Random(5))
+            guard.admit(HEAVY, is_over_share=False)
             await clock.sleep(4 * 3600.0)
-            self.assertFalse(least.admit(LIGHT, is_over_share=False))
+            self.assertFalse(guard.admit(LIGHT, is_over_share=False))
 
         run(play())
 
@@ -203,10 +205,10 @@
             daemons = 300
             passed = 0
             for seed in range(daemons):
-                least = StarvationGuard(clock, random.Random(seed))
-                least.record_slot_granted(LIGHT, is_share_exempt=False)
-                passed += least.admit(HEAVY, is_over_share=True)
-            self.assertGreater(passed / daemons, STARVED_PART)
+                guard = StarvationGuard(clock, random.Random(seed))
+                guard.record_slot_granted(LIGHT, is_share_exempt=False)
+                passed += guard.admit(HEAVY, is_over_share=True)
+            self.assertGreater(passed / daemons, STARVED_FRACTION)
 
         run(play())
 
@@ -309,7 +311,7 @@
                 self.assertEqual({}, decode_heartbeat(row).report.tenants)
 
 
-class NewsStopTest(unittest.TestCase):
+class LostReportsTest(unittest.TestCase):
     """When the reports of other daemons stop, a daemon relies on its own requests."""
 
     def test_old_reports_count_no_longer(self):
@@ -340,27 +342,27 @@
         run(play())
 
 
-class ReturningWaveTest(unittest.TestCase):
+class RetryWaveTest(unittest.TestCase):
     """Clients that are refused at the same moment must not retry at the same moment."""
 
     def test_they_come_back_one_after_the_other_in_their_order(self):
         async def play():
             times = RetrySchedule(LoopClock(), random.Random(1))
-            told = [times.reserve("line", 0.2, 0.05, 1.0) for _ in range(12)]
-            self.assertEqual(sorted(told), told)
-            self.assertGreaterEqual(told[0], 0.2)
-            for sooner, later in itertools.pairwise(told):
+            delays = [times.reserve("line", 0.2, 0.05, 1.0) for _ in range(12)]
+            self.assertEqual(sorted(delays), delays)
+            self.assertGreaterEqual(delays[0], 0.2)
+            for sooner, later in itertools.pairwise(delays):
                 self.assertLess(later - sooner, 0.1)
-            self.assertGreater(told[-1] - told[0], 10 * 0.05)
+            self.assertGreater(delays[-1] - delays[0], 10 * 0.05)
 
         run(play())
 
     def test_those_who_cannot_wait_for_their_turn_are_spread_over_their_time(self):
         async def play():
             times = RetrySchedule(LoopClock(), random.Random(1))
-            told = [times.reserve("line", 5.0, 0.05, 0.4) for _ in range(100)]
-            self.assertLessEqual(max(told), 0.4)
-            self.assertGreater(max(told) - min(told), 0.15)
+            delays = [times.reserve("line", 5.0, 0.05, 0.4) for _ in range(100)]
+            self.assertLessEqual(max(delays), 0.4)
+            self.assertGreater(max(delays) - min(delays), 0.15)
             # Clients that could not wait do not delay later ones.
             self.assertLess(times.reserve("line", 0.1, 0.05, 1.0), 0.2)
 
@@ -368,11 +370,11 @@
 
     def test_daemons_do_not_tell_the_same_times(self):
         async def play():
-            told = {
+            delays = {
                 RetrySchedule(LoopClock(), random.Random(n)).reserve(1, 0.2, 0.05, 1.0)
                 for n in range(50)
             }
-            self.assertEqual(50, len(told))
+            self.assertEqual(50, len(delays))
 
         run(play())
 
@@ -381,7 +383,7 @@
             times = RetrySchedule(LoopClock(), random.Random(1))
             for number in range(3 * MAX_SCHEDULED_QUEUES):
                 times.reserve(number, 0.2, 0.05, 1.0)
-            self.assertLessEqual(len(times._told), MAX_SCHEDULED_QUEUES)
+            self.assertLessEqual(len(times._last_times), MAX_SCHEDULED_QUEUES)
 
         run(play())
 
@@ -390,18 +392,18 @@
 
         async def play():
             times = RetrySchedule(LoopClock(), random.Random(1))
-            told = [times.reserve("heavy", 0.1, 0.1, 1.0)]
+            delays = [times.reserve("heavy", 0.1, 0.1, 1.0)]
             for number in range(2 * MAX_SCHEDULED_QUEUES):
                 times.reserve(number, 0.2, 0.05, 1.0)
                 if number % (MAX_SCHEDULED_QUEUES // 2) == 0:
-                    told.append(times.reserve("heavy", 0.1, 0.1, 1.0))
-            for sooner, later in itertools.pairwise(told):
+                    delays.append(times.reserve("heavy", 0.1, 0.1, 1.0))
+            for sooner, later in itertools.pairwise(delays):
                 self.assertGreater(later, sooner)
 
         run(play())
 
 
-class LastingShortageTest(unittest.TestCase):
+class ShortageDetectorTest(unittest.TestCase):
     """Randomly a tenth of the requests gets no slot in time; in a shortage half of them do."""
 
     def setUp(self) -> None:
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -50,7 +50,7 @@
 SLOTS = 2
 OBJECTIVE = 0.2
 TIME_LIMIT = 2.0
-PACE = 0.1
+SERVICE_TIME = 0.1
 DEADLINES = Deadlines(objective_at=OBJECTIVE, expires_at=0.8, default_service_time=0.05)
 SETTLE_SECONDS = 0.01
 """Longer than an answer "full" takes, shorter than the service time."""
@@ -115,7 +115,7 @@
 class WaitingTest(unittest.TestCase):
     """Requests through the forwarder, in virtual time."""
 
-    def begin(self, count: int = 1, service_time: float = PACE) -> None:
+    def begin(self, count: int = 1, service_time: float = SERVICE_TIME) -> None:
         """Lists some servers with all slots free."""
         self.clock = LoopClock()
         self.engines = ScriptedEngines(self.clock, ModelName("model"))
@@ -165,7 +165,7 @@
             await task
         return self.clock.now() - began, caught.exception
 
-    def take_places(self, seconds: float) -> None:
+    def take_slots(self, seconds: float) -> None:
         """Fills all slots of the first server with other daemons' requests for some seconds."""
         state = self.state()
         state.running += SLOTS
@@ -210,7 +210,7 @@
                 self.assertLess(seconds, POLL_INTERVAL_SECONDS)
                 self.assertGreater(error.retry_after, 0)
                 self.state().down = False
-                self.take_places(0.1)
+                self.take_slots(0.1)
                 await self.send(make_route(kind))
 
         run(play())
@@ -237,7 +237,7 @@
             await asyncio.gather(*others)
             free_at = self.clock.now()
             await waiting
-            self.assertLess(self.clock.now() - free_at, PACE + POLL_INTERVAL_SECONDS / 4)
+            self.assertLess(self.clock.now() - free_at, SERVICE_TIME + POLL_INTERVAL_SECONDS / 4)
 
         run(play())
 
@@ -245,10 +245,10 @@
         async def play():
             for kind in (RouteKind.IDEMPOTENT, RouteKind.RUN_ONCE):
                 self.begin()
-                self.take_places(0.15)
+                self.take_slots(0.15)
                 began = self.clock.now()
                 await self.send(make_route(kind))
-                waited = self.clock.now() - began - PACE
+                waited = self.clock.now() - began - SERVICE_TIME
                 self.assertLess(waited, 0.15 + 2 * POLL_INTERVAL_SECONDS)
 
         run(play())
@@ -272,7 +272,7 @@
 
         async def play():
             self.begin()
-            self.take_places(0.1)
+            self.take_slots(0.1)
             waiting = self.send(make_route(priority=1))
             await self.clock.sleep(SETTLE_SECONDS)
             self.balancer.occupy(InstanceId("e0"))
@@ -287,7 +287,7 @@
     def test_request_that_is_late_anyway_comes_after_one_that_is_not(self):
         async def play():
             self.begin()
-            self.take_places(0.15)
+            self.take_slots(0.15)
             route = make_route(priority=1)
             early = self.send(route, 1.0)
             await self.clock.sleep(0.12)
@@ -300,7 +300,7 @@
     def test_request_that_turns_hopeless_while_it_waits_is_refused_then(self):
         async def play():
             self.begin()
-            self.take_places(10.0)
+            self.take_slots(10.0)
             seconds, error = await self.refusal(self.send(make_route(), 0.8))
             self.assertGreater(seconds, OBJECTIVE)
             self.assertLess(seconds, 0.5)
@@ -316,7 +316,7 @@
 
         async def play():
             self.begin()
-            self.take_places(10.0)
+            self.take_slots(10.0)
             tried = 0
             original = self.engines.send
 
@@ -338,7 +338,7 @@
         async def play():
             for send in (self.send, self.stream):
                 self.begin()
-                self.take_places(0.1)
+                self.take_slots(0.1)
                 leaving = send(make_route())
                 await self.clock.sleep(0.05)
                 self.assertEqual(1, self.forwarder.waiting)
@@ -354,9 +354,9 @@
         async def play():
             for kind in (RouteKind.IDEMPOTENT, RouteKind.RUN_ONCE):
                 self.begin(count=2)
-                self.take_places(10.0)
+                self.take_slots(10.0)
                 self.balancer.record_service_time(
-                    InstanceId("e1"), 2 * PACE, weight=1.0
+                    InstanceId("e1"), 2 * SERVICE_TIME, weight=1.0
                 )  # tried second
                 leaving = self.send(make_route(kind))
                 await self.clock.sleep(0.0005)  # before the first has answered "full"
@@ -377,7 +377,7 @@
                 ):
                     self.begin()
                     self.engines.engines[InstanceId("e0")] = state
-                    self.take_places(0.1)
+                    self.take_slots(0.1)
                     with self.assertRaises(error):
                         await self.send(make_route(kind), 0.8)
                     self.assertEqual(["request-1"], self.state().runs)
@@ -390,7 +390,7 @@
                 self.begin(count=2)
                 self.state().break_after = 0
                 self.balancer.record_service_time(
-                    InstanceId("e1"), 2 * PACE, weight=1.0
+                    InstanceId("e1"), 2 * SERVICE_TIME, weight=1.0
                 )  # tried second
                 self.engines.engines[InstanceId("e1")].running = SLOTS
                 with self.assertRaises(RequestFailedError):
@@ -439,7 +439,7 @@
     def test_queue_of_a_large_service_is_not_polled_for_each_end(self):
         for slot_counts, polls in ((24 * 8, 20), (3200 * 8, 0)):
             self.assertEqual(
-                polls, run(self.polls_for_ends(SlotCounts(slot_counts, slot_counts, PACE)))
+                polls, run(self.polls_for_ends(SlotCounts(slot_counts, slot_counts, SERVICE_TIME)))
             )
 
     async def polls_for_ends(self, slot_counts: SlotCounts) -> int:
@@ -452,7 +452,7 @@
 
         clock = LoopClock()
         queues = RequestQueues(clock, count, FlowLedger(clock))
-        deadlines = Deadlines(1.0, 60.0, PACE)
+        deadlines = Deadlines(1.0, 60.0, SERVICE_TIME)
         turns = [
             asyncio.create_task(queues.wait_for_turn(Waiter(PAGES, CLIENT_WORK, 0, deadlines, 0.0)))
             for _ in range(40)
@@ -484,15 +484,17 @@
     def test_survey_counts_no_free_place_where_a_server_refused(self):
         async def play():
             self.begin(count=2)
-            self.assertEqual(2 * SLOTS, count_slots(*self.surveyed()).free)
+            self.assertEqual(2 * SLOTS, count_slots(*self.count_arguments()).free)
             self.balancer.avoid(InstanceId("e0"), 1.0)
-            self.assertEqual(SLOTS, count_slots(*self.surveyed()).free)
+            self.assertEqual(SLOTS, count_slots(*self.count_arguments()).free)
             self.list(InstanceId("e1"), InstanceState.LEAVING)
-            self.assertEqual(SlotCounts(SLOTS, SLOTS, PACE), count_slots(*self.surveyed()))
+            self.assertEqual(
+                SlotCounts(SLOTS, SLOTS, SERVICE_TIME), count_slots(*self.count_arguments())
+            )
 
         run(play())
 
-    def surveyed(self):
+    def count_arguments(self):
         """Returns the arguments of `count_slots`."""
         return self.balancer, PAGES, CLIENT_WORK
 
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -143,7 +143,7 @@
         run(play())
 
     def test_full_servers_that_free_no_place_are_refused_by_half_the_time_and_nothing_runs(self):
-        """A request without a slot for this long is not expected to be served; later ones fail sooner.
+        """A request that long without a slot is not expected to be served; later ones fail sooner.
 
         Every server gets a request before the first refusal.
         """
--- a/tests/test_lasting_pace.py
+++ b/tests/test_lasting_pace.py
@@ -43,15 +43,15 @@
 )
 CORRECTIONS = (
     # case, seconds, reported slowness, quickest and slowest recent mean, corrected seconds
-    ("nothing said", 0.1, 1.0, 0.04, 0.1, 0.1),
-    ("a burst that is said", 0.1, 2.5, 0.04, 0.1, 0.04),
-    ("said too much", 0.1, 3.0, 0.04, 0.1, 0.04),
-    ("slow, said, and never seen quicker", 0.1, 2.5, 0.1, 0.1, 0.1),
-    ("said to be quick, and never seen slower", 0.04, 0.5, 0.04, 0.04, 0.04),
-    ("said to be quick", 0.04, 0.8, 0.03, 0.08, 0.05),
-    ("quicker than ever, and said to be slow", 0.03, 2.0, 0.04, 0.1, 0.03),
+    ("nothing reported", 0.1, 1.0, 0.04, 0.1, 0.1),
+    ("a burst that is reported", 0.1, 2.5, 0.04, 0.1, 0.04),
+    ("reported as too slow", 0.1, 3.0, 0.04, 0.1, 0.04),
+    ("slow, reported, and never measured quicker", 0.1, 2.5, 0.1, 0.1, 0.1),
+    ("reported as quick, and never measured slower", 0.04, 0.5, 0.04, 0.04, 0.04),
+    ("reported as quick", 0.04, 0.8, 0.03, 0.08, 0.05),
+    ("quicker than ever, and reported as slow", 0.03, 2.0, 0.04, 0.1, 0.03),
 )
-BELIEVED = (
+SLOWNESS_FACTORS = (
     # reported slowness, usual reported slowness, resulting factor
     (1.0, 1.0, 1.0),
     (2.5, 1.0, 2.5),
@@ -63,7 +63,7 @@
 )
 
 
-class LastingPaceRulesTest(unittest.TestCase):
+class ServiceTimeRulesTest(unittest.TestCase):
     """Each case of each table."""
 
     def test_sustained_pace(self):
@@ -83,12 +83,12 @@
                 self.assertAlmostEqual(expected, found)
 
     def test_slowness_that_is_believed(self):
-        for said, usual, expected in BELIEVED:
-            with self.subTest(said=said, usual=usual):
-                self.assertAlmostEqual(expected, believed_slowness(said, usual))
+        for reported, usual, expected in SLOWNESS_FACTORS:
+            with self.subTest(reported=reported, usual=usual):
+                self.assertAlmostEqual(expected, believed_slowness(reported, usual))
 
 
-class PaceHistoryTest(unittest.TestCase):
+class ServiceTimeHistoryTest(unittest.TestCase):
     """The service time over a sequence of measurements."""
 
     def setUp(self):
@@ -177,15 +177,15 @@
         self.assertEqual(0.0, self.history.service_time(self.now))
 
 
-class SaidSlownessTest(unittest.TestCase):
+class ReportedSlownessTest(unittest.TestCase):
     """The slowness that a server reports, and how long it is used."""
 
     def setUp(self):
         self.slowness = ReportedSlowness()
 
-    def say(self, *said: float) -> None:
+    def say(self, *reported: float) -> None:
         """Records a slowness report of the server once per second."""
-        for second, figure in enumerate(said):
+        for second, figure in enumerate(reported):
             self.slowness.record(float(second), figure)
 
     def test_server_that_says_nothing_is_as_usual(self):
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -108,7 +108,7 @@
         run(play())
 
 
-class SharedPacesTest(unittest.TestCase):
+class ReportedServiceTimesTest(unittest.TestCase):
     """Service times that other daemons report with their heartbeats."""
 
     def test_own_measurement_counts_before_a_report(self):
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -16,7 +16,7 @@
 )
 
 SLOTS = 8
-PACE = 0.04
+SERVICE_TIME = 0.04
 PLAIN = Candidate(
     InstanceInfo(
         InstanceId("plain"),
@@ -31,7 +31,7 @@
     is_avoided=False,
     is_cold=False,
     occupied=2,
-    service_time=PACE,
+    service_time=SERVICE_TIME,
     latency_factor=1.0,
     connection_factor=1.0,
     tie_break=0.5,
@@ -46,7 +46,7 @@
 
 ORDERS = {
     "a slow one before one that failed a moment ago": (
-        {"service_time": 5 * PACE, "occupied": 8},
+        {"service_time": 5 * SERVICE_TIME, "occupied": 8},
         {"is_avoided": True, "occupied": 0},
     ),
     "a full one before a cold one": ({"occupied": 8}, {"is_cold": True, "occupied": 0}),
@@ -57,13 +57,16 @@
     ),
     "fewer requests first": ({"occupied": 1, "tie_break": 0.9}, {"occupied": 2}),
     "more slots first": ({"slots": 16, "tie_break": 0.9}, {"slots": 8}),
-    "the faster first": ({"service_time": PACE, "tie_break": 0.9}, {"service_time": 1.1 * PACE}),
+    "the faster first": (
+        {"service_time": SERVICE_TIME, "tie_break": 0.9},
+        {"service_time": 1.1 * SERVICE_TIME},
+    ),
     "an unknown pace counts as the best": (
         {"service_time": 0.0, "tie_break": 0.9},
-        {"service_time": 1.1 * PACE},
+        {"service_time": 1.1 * SERVICE_TIME},
     ),
     "a slow one with no request before a fast one with six": (
-        {"service_time": 3 * PACE, "occupied": 0},
+        {"service_time": 3 * SERVICE_TIME, "occupied": 0},
         {"occupied": 6},
     ),
     "the nearer first": ({"tie_break": 0.9}, {"latency_factor": 1.05}),
@@ -89,16 +92,18 @@
             better, worse = candidate("first", **first), candidate("second", **second)
             for order in ((better, worse), (worse, better)):
                 with self.subTest(name):
-                    self.assertEqual(["first", "second"], [info.id for info in rank(order, PACE)])
+                    self.assertEqual(
+                        ["first", "second"], [info.id for info in rank(order, SERVICE_TIME)]
+                    )
 
     def test_expected_wait_counts_the_request_itself_its_slots_and_the_pace(self):
         for expected, best_service_time, changes in (
-            (3 / 8, PACE, {}),
+            (3 / 8, SERVICE_TIME, {}),
             (3 / 8, 0.0, {}),  # no service time is known
-            (3 / 8, PACE, {"service_time": 0.0}),
-            (2 * 3 / 8, PACE, {"service_time": 2 * PACE}),
-            (MAX_SERVICE_TIME_RATIO * 3 / 8, PACE, {"service_time": 100 * PACE}),
-            (3.0, PACE, {"slots": 0}),
+            (3 / 8, SERVICE_TIME, {"service_time": 0.0}),
+            (2 * 3 / 8, SERVICE_TIME, {"service_time": 2 * SERVICE_TIME}),
+            (MAX_SERVICE_TIME_RATIO * 3 / 8, SERVICE_TIME, {"service_time": 100 * SERVICE_TIME}),
+            (3.0, SERVICE_TIME, {"slots": 0}),
         ):
             with self.subTest(changes=changes, best_service_time=best_service_time):
                 self.assertAlmostEqual(
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -56,7 +56,7 @@
             yield response
 
 
-class PromiseTest(unittest.TestCase):
+class RefusalTest(unittest.TestCase):
     """A refusal guarantees that no server has run the request or will run it."""
 
     def begin(self, *errors: Exception, **state: object) -> None:
--- a/tests/test_turn_gate.py
+++ b/tests/test_turn_gate.py
@@ -9,7 +9,7 @@
 )
 
 
-class DecideTurnTest(unittest.TestCase):
+class SchedulingDecisionTest(unittest.TestCase):
     """Decisions for requests that are not quarantined."""
 
     def test_each_case(self):
--- a/tests/test_uneven_engines.py
+++ b/tests/test_uneven_engines.py
@@ -22,12 +22,12 @@
 """Number of events of a short item."""
 
 
-def smoothed_paces() -> AbstractContextManager:
+def smoothed_service_times() -> AbstractContextManager:
     """Makes bursts indistinguishable from lasting differences between engines."""
     return mock.patch.object(ServiceTimeTracker, "lasting", lambda self, name: self._smoothed(name))
 
 
-async def slow_now_and_then(fleet: PlatformFleet, engine: ScriptedEngine, seed: int) -> None:
+async def slow_in_bursts(fleet: PlatformFleet, engine: ScriptedEngine, seed: int) -> None:
     """Slows an engine down for a share of the time."""
     rng = random.Random(seed)
     usual = engine.event_seconds
@@ -37,18 +37,20 @@
         await fleet.clock.sleep(BURST_SECONDS)
 
 
-async def play_steps(paces: list[float], *, events: int, steps: int = 3) -> tuple[int, float]:
+async def play_steps(event_times: list[float], *, events: int, steps: int = 3) -> tuple[int, float]:
     """Runs some batches on engines of these speeds with bursts.
 
     Returns:
         The number of runs that were migrated, and the seconds that the batches took.
     """
-    fleet = PlatformFleet(1, len(paces))
+    fleet = PlatformFleet(1, len(event_times))
     fleet.engines.output_events = events
     tasks = []
-    for number, (engine, pace) in enumerate(zip(fleet.model_engines(), paces, strict=True)):
-        engine.event_seconds = pace
-        tasks.append(asyncio.create_task(slow_now_and_then(fleet, engine, number)))
+    for number, (engine, event_time) in enumerate(
+        zip(fleet.model_engines(), event_times, strict=True)
+    ):
+        engine.event_seconds = event_time
+        tasks.append(asyncio.create_task(slow_in_bursts(fleet, engine, number)))
     await fleet.wait(1.0)
     began = fleet.clock.now()
     for step in range(steps):
@@ -65,13 +67,13 @@
 class UnevenEnginesTest(unittest.TestCase):
     """Engines of equal or of two different speeds, each with bursts."""
 
-    def moves(self, paces: list[float], events: int = EVENTS) -> int:
+    def moves(self, event_times: list[float], events: int = EVENTS) -> int:
         """Returns the number of runs that were moved."""
-        return run(play_steps(paces, events=events))[0]
+        return run(play_steps(event_times, events=events))[0]
 
     def test_runs_at_equal_engines_stay_through_bursts(self):
         self.assertEqual(0, self.moves([FAST] * ENGINE_COUNT, events=60))
-        with smoothed_paces():
+        with smoothed_service_times():
             self.assertGreater(self.moves([FAST] * ENGINE_COUNT, events=60), 0)
 
     def test_short_items_stay_at_slow_engines(self):
