--- a/src/larkpost/gateway/fairness/ledger.py
+++ b/src/larkpost/gateway/fairness/ledger.py
@@ -44,7 +44,7 @@
         self._peers = UseTable()
         self._reports: dict[DaemonId, _PeerReport] = {}
         """In order of receipt, oldest first."""
-        self._short_at: dict[ServiceName, float] = {}
+        self._shortage_at: dict[ServiceName, float] = {}
 
     @contextmanager
     def running(self, flow: Flow) -> Iterator[None]:
@@ -68,7 +68,7 @@
 
     def record_shortage(self, service: ServiceName) -> None:
         """Records that a service lacks slots."""
-        self._short_at[service] = self._clock.now()
+        self._shortage_at[service] = self._clock.now()
 
     def record_report(self, daemon: DaemonId, tenants: Mapping[Flow, FlowUsage]) -> None:
         """Records a report of another daemon, which replaces its previous one."""
@@ -108,11 +108,11 @@
 
     def report(self) -> dict[Flow, FlowUsage]:
         """Returns this daemon's report: its highest use by flow at services short of slots."""
-        short = self._short_services()
+        short_services = self._short_services()
         uses = [
             (flow, use)
             for flow, use in self._own.all()
-            if flow.group.service in short and len(flow.name) <= MAX_REPORTED_NAME_LENGTH
+            if flow.group.service in short_services and len(flow.name) <= MAX_REPORTED_NAME_LENGTH
         ]
         uses.sort(key=lambda entry: (-sum(entry[1]), entry[0]))
         return dict(uses[:MAX_REPORTED_FLOWS])
@@ -120,7 +120,9 @@
     def _short_services(self) -> set[ServiceName]:
         self._forget_old()
         now = self._clock.now()
-        own = {name for name, at in self._short_at.items() if now - at < SHORTAGE_LIFETIME_SECONDS}
+        own = {
+            name for name, at in self._shortage_at.items() if now - at < SHORTAGE_LIFETIME_SECONDS
+        }
         return own | self._peers.services_waited_for()
 
     def _forget_old(self) -> None:
--- a/src/larkpost/gateway/fairness/retry_schedule.py
+++ b/src/larkpost/gateway/fairness/retry_schedule.py
@@ -41,16 +41,18 @@
             max_delay: maximum retry delay in seconds.
         """
         now = self._clock.now()
-        at = max(now + wanted, self._last_times.get(queue, float("-inf")) + spacing)
-        if at - now > max_delay:
+        retry_at = max(now + wanted, self._last_times.get(queue, float("-inf")) + spacing)
+        if retry_at - now > max_delay:
             return max_delay * self._rng.uniform(MIN_DELAY_FRACTION, 1.0)
         self._last_times.pop(queue, None)
         self._drop_expired(now)
-        self._last_times[queue] = at
-        return min(max_delay, at - now + self._rng.random() * spacing)
+        self._last_times[queue] = retry_at
+        return min(max_delay, retry_at - now + self._rng.random() * spacing)
 
     def _drop_expired(self, now: float) -> None:
         if len(self._last_times) >= MAX_SCHEDULED_QUEUES:
-            self._last_times = {queue: at for queue, at in self._last_times.items() if at > now}
+            self._last_times = {
+                queue: retry_at for queue, retry_at in self._last_times.items() if retry_at > now
+            }
         while len(self._last_times) >= MAX_SCHEDULED_QUEUES:
             del self._last_times[next(iter(self._last_times))]
--- a/src/larkpost/gateway/fairness/starvation_guard.py
+++ b/src/larkpost/gateway/fairness/starvation_guard.py
@@ -30,12 +30,12 @@
     """Counts of the requests of a service; earlier windows count less.
 
     Attributes:
-        began: monotonic time at which the current window began.
+        window_started_at: monotonic time at which the current window began.
         requested: all requests.
         granted: requests that got a slot.
     """
 
-    began: float
+    window_started_at: float
     requested: float = 0.0
     granted: float = 0.0
 
@@ -97,11 +97,11 @@
         """Returns the counts of a service; starts a new window if the current one is full."""
         now = self._clock.now()
         counts = self._services.setdefault(service, _ServiceCounts(now))
-        if now - counts.began >= WINDOW_SECONDS:
-            windows = int((now - counts.began) / WINDOW_SECONDS)
+        if now - counts.window_started_at >= WINDOW_SECONDS:
+            windows = int((now - counts.window_started_at) / WINDOW_SECONDS)
             counts.requested *= 0.5**windows
             counts.granted *= 0.5**windows
-            counts.began = now
+            counts.window_started_at = now
         return counts
 
     def _touch_credit(self, flow: Flow) -> _Credit:
--- a/src/larkpost/gateway/fairness/water_filling.py
+++ b/src/larkpost/gateway/fairness/water_filling.py
@@ -14,11 +14,11 @@
         demands: the demands, in the unit of the capacity.
         capacity: the capacity to divide.
     """
-    left = capacity
+    remaining = capacity
     ordered = sorted(demands)
-    for number, demand in enumerate(ordered):
-        equal_part = left / (len(ordered) - number)
+    for index, demand in enumerate(ordered):
+        equal_part = remaining / (len(ordered) - index)
         if demand > equal_part:
             return max(0.0, equal_part)
-        left -= demand
+        remaining -= demand
     return math.inf
--- a/src/larkpost/gateway/proxy/admission.py
+++ b/src/larkpost/gateway/proxy/admission.py
@@ -41,7 +41,7 @@
 
     code = "unknown_key"
     status = 401
-    remedy = "Send one of the tenant's keys that the configuration in force holds."
+    remedy = "Send one of the tenant's keys in the current configuration."
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,7 +101,7 @@
             )
         if configuration.tenants is None or route.is_public:
             return AdmittedCall(route, None, route.regions)
-        error = UnknownKeyError(f"route {route.name} needs a key that is in force")
+        error = UnknownKeyError(f"route {route.name} requires a valid key")
         raise self._refusal(error, request_id, configuration)
 
     def caller(self, request_id: str, host: str, key: KeyDigest | None) -> Caller:
@@ -120,7 +120,7 @@
         route = configuration.first_batch_route(host)
         if route is not None and route.is_public:
             return Caller(None, is_restricted=True)
-        error = UnknownKeyError("calls about batches need a key that is in force")
+        error = UnknownKeyError("calls about batches require a valid key")
         raise self._refusal(error, request_id, configuration)
 
     def _current_configuration(self, request_id: str) -> Configuration:
@@ -139,7 +139,7 @@
         age = self._configuration_age()
         if configuration is not None and age > self._apply_time():
             error = NotConfiguredError(
-                f"{error.code}, but the configuration known here is {age:.1f} s old",
+                f"{error.code}, but this daemon's configuration is {age:.1f} s old",
                 retry_after=RETRY_AFTER_SECONDS,
             )
         self._metrics.count(Count.DENIALS, error.code)
--- a/src/larkpost/gateway/proxy/attempts.py
+++ b/src/larkpost/gateway/proxy/attempts.py
@@ -77,10 +77,10 @@
 
         Abandons all of them even if the request is cancelled meanwhile.
         """
-        async with AsyncExitStack() as calls:
+        async with AsyncExitStack() as stack:
             for opened in self.opened:
                 if opened is not used:
-                    calls.push_async_callback(opened.abandon)
+                    stack.push_async_callback(opened.abandon)
 
     def record_may_have_run(self, instance: InstanceId) -> None:
         """Records that a server may have run it, including while that is not known yet."""
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -85,20 +85,20 @@
         directory: InstanceDirectory,
         clock: Clock,
         rng: random.Random,
-        sources: BalancerDependencies | None = None,
+        dependencies: BalancerDependencies | None = None,
     ) -> None:
-        sources = sources or BalancerDependencies()
+        dependencies = dependencies or BalancerDependencies()
         self._directory = directory
         self._clock = clock
-        self._placement = sources.placement or Placement(directory)
-        self._cold = sources.cold
-        self._regions = sources.regions or RegionMap()
+        self._placement = dependencies.placement or Placement(directory)
+        self._cold = dependencies.cold
+        self._regions = dependencies.regions or RegionMap()
         self._own = LocalUse(directory, clock)
         self._peers = PeerUsage(clock)
         self.service_times = ServiceTimeTracker(directory, clock, self._own, self._peers)
-        self._pool = ServerPool(directory, clock, rng, sources.subsets)
+        self._pool = ServerPool(directory, clock, rng, dependencies.subsets)
         self._order = CandidateOrder(
-            self, clock, rng, sources.is_connected, self.service_times.has_latency
+            self, clock, rng, dependencies.is_connected, self.service_times.has_latency
         )
         self._forget_at = float("-inf")
         self._release_listeners: list[Callable[[InstanceId], None]] = []
@@ -168,8 +168,8 @@
         candidate_pool = self._pool.candidate_pool(service, work, within)
         if not candidate_pool.is_partial:
             return candidate_pool
-        are_open = (info for info in candidate_pool.instances if self._is_open(info, work))
-        if len(list(islice(are_open, MIN_OPEN_INSTANCES))) == MIN_OPEN_INSTANCES:
+        open_instances = (info for info in candidate_pool.instances if self._is_open(info, work))
+        if len(list(islice(open_instances, MIN_OPEN_INSTANCES))) == MIN_OPEN_INSTANCES:
             return candidate_pool
         return self._find_open(service, work, within, candidate_pool)
 
@@ -216,7 +216,7 @@
         """Returns the number of considered instances per placement decision; for the log."""
         return dict(
             Counter(
-                self._verdict(info, work) for info in self.candidate_pool(service, work).instances
+                self._decision(info, work) for info in self.candidate_pool(service, work).instances
             )
         )
 
@@ -342,18 +342,18 @@
 
     def _is_open(self, info: InstanceInfo, work: Work) -> bool:
         """Returns whether placement allows work at an instance, now or once it is warm."""
-        verdict = self._placement.evaluate(info, work)
-        return verdict.is_allowed or verdict is PlacementDecision.COLD
+        decision = self._placement.evaluate(info, work)
+        return decision.is_allowed or decision is PlacementDecision.COLD
 
     def _is_available(self, info: InstanceInfo) -> bool:
         return not self.is_avoided(info.id) and self.has_free_slot(info)
 
-    def _verdict(self, info: InstanceInfo, work: Work) -> PlacementDecision:
-        verdict = self._placement.evaluate(info, work)
+    def _decision(self, info: InstanceInfo, work: Work) -> PlacementDecision:
+        decision = self._placement.evaluate(info, work)
         return (
             PlacementDecision.AVOIDED
-            if verdict.is_allowed and self.is_avoided(info.id)
-            else verdict
+            if decision.is_allowed and self.is_avoided(info.id)
+            else decision
         )
 
     def _forget_unused(self) -> None:
--- a/src/larkpost/gateway/proxy/elapsed_time.py
+++ b/src/larkpost/gateway/proxy/elapsed_time.py
@@ -16,9 +16,9 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._window_began = float("-inf")
+        self._window_started_at = float("-inf")
         self._longest: dict[str, float] = {}
-        self._longest_before: dict[str, float] = {}
+        self._longest_previous: dict[str, float] = {}
 
     def elapsed(self, route: str, time_left: float | None) -> float:
         """Returns the estimated seconds since a client's first attempt, and records its time left.
@@ -31,14 +31,14 @@
             return 0.0
         self._rotate_windows()
         self._longest[route] = max(time_left, self._longest.get(route, 0.0))
-        total = max(self._longest[route], self._longest_before.get(route, 0.0))
+        total = max(self._longest[route], self._longest_previous.get(route, 0.0))
         return total - time_left
 
     def _rotate_windows(self) -> None:
         """Starts a new window if the current one is full."""
-        age = self._clock.now() - self._window_began
+        age = self._clock.now() - self._window_started_at
         if age < WINDOW_SECONDS:
             return
-        self._longest_before = self._longest if age < 2 * WINDOW_SECONDS else {}
+        self._longest_previous = self._longest if age < 2 * WINDOW_SECONDS else {}
         self._longest = {}
-        self._window_began = self._clock.now()
+        self._window_started_at = self._clock.now()
--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -98,7 +98,7 @@
         Behind a request that yields, only requests that are over their share too and have been
         held long enough may try: any other would take the slot that was yielded.
         """
-        if rank.is_over_share and self._is_held(waiter):
+        if rank.is_over_share and self._must_yield(waiter):
             self._is_yielding = True
             return False
         if self._remaining <= 0 or (self._is_yielding and not rank.is_over_share):
@@ -107,7 +107,7 @@
         waiter.held_since = None
         return True
 
-    def _is_held(self, waiter: Waiter) -> bool:
+    def _must_yield(self, waiter: Waiter) -> bool:
         """Returns whether a request over its share still yields to others."""
         if waiter.held_since is None:
             waiter.held_since = self._now
--- a/src/larkpost/gateway/proxy/latency.py
+++ b/src/larkpost/gateway/proxy/latency.py
@@ -44,24 +44,24 @@
     def record(self, service: ServiceName, distance: Distance, seconds: float) -> None:
         """Records the seconds that a whole response took."""
         now = self._clock.now()
-        known = self._quickest.get((service, distance))
-        if known is None or now - known.at > LIFETIME_SECONDS or seconds < known.seconds:
+        quickest = self._quickest.get((service, distance))
+        if quickest is None or now - quickest.at > LIFETIME_SECONDS or seconds < quickest.seconds:
             self._quickest[service, distance] = _Quickest(seconds, now)
             return
-        known.seconds += RISE_WEIGHT * (seconds - known.seconds)
-        known.at = now
+        quickest.seconds += RISE_WEIGHT * (seconds - quickest.seconds)
+        quickest.at = now
 
     def factor(self, service: ServiceName, distance: Distance, nearest: Distance) -> float:
         """Returns the factor on the response time at a distance relative to a nearer one."""
         if distance <= nearest:
             return 1.0
-        far, near = (self._measured(service, place) for place in (distance, nearest))
+        far, near = (self._quickest_seconds(service, place) for place in (distance, nearest))
         if far is None or not near:
             return DEFAULT_FACTORS[distance] / DEFAULT_FACTORS[nearest]
         return min(MAX_FACTOR, max(1.0, far / near))
 
-    def _measured(self, service: ServiceName, distance: Distance) -> float | None:
-        known = self._quickest.get((service, distance))
-        if known is None or self._clock.now() - known.at > LIFETIME_SECONDS:
+    def _quickest_seconds(self, service: ServiceName, distance: Distance) -> float | None:
+        quickest = self._quickest.get((service, distance))
+        if quickest is None or self._clock.now() - quickest.at > LIFETIME_SECONDS:
             return None
-        return known.seconds
+        return quickest.seconds
--- a/src/larkpost/gateway/proxy/peer_use.py
+++ b/src/larkpost/gateway/proxy/peer_use.py
@@ -50,13 +50,13 @@
         for instance, (requests, service_time) in summary.items():
             self._peers.setdefault(instance, {})[daemon] = PeerUse(requests, service_time, now)
         for instance, peers in list(self._peers.items()):
-            known = peers.get(daemon)
-            if known is None or instance in summary:
+            previous = peers.get(daemon)
+            if previous is None or instance in summary:
                 continue
-            if now - known.at > PEER_SERVICE_TIME_LIFETIME_SECONDS:
+            if now - previous.at > PEER_SERVICE_TIME_LIFETIME_SECONDS:
                 del peers[daemon]
-            elif known.requests:
-                peers[daemon] = PeerUse(0, known.service_time, known.at)
+            elif previous.requests:
+                peers[daemon] = PeerUse(0, previous.service_time, previous.at)
             if not peers:
                 del self._peers[instance]
 
--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -89,7 +89,7 @@
         self.length = 0
         self._count_by_flow: Counter[Flow] = Counter()
         self._now = now
-        self._blocked_for = blocked_seconds
+        self._blocked_seconds = blocked_seconds
 
     def add(self, waiter: Waiter) -> None:
         """Appends a request."""
@@ -111,7 +111,7 @@
             flow_ahead = self._count_by_flow[waiter.flow] + waiting_elsewhere
             share_wait = estimate_share_wait(rank.flow_share, flow_ahead, service_time)
         return make_forecast(
-            slot_counts, waiter.deadlines, self._now, self.length, self._blocked_for, share_wait
+            slot_counts, waiter.deadlines, self._now, self.length, self._blocked_seconds, share_wait
         )
 
 
@@ -143,7 +143,7 @@
         queue = self._queues.get(waiter.service, _Queue())
         order = FairOrder(self._ledger, now)
         rank = order.rank(waiter, slot_counts)
-        requests_ahead = _RequestsAhead(now, self._blocked_for(queue, now))
+        requests_ahead = _RequestsAhead(now, self._blocked_seconds(queue, now))
         for other in queue.waiters:
             if order.rank(other, slot_counts).key < rank.key:
                 requests_ahead.add(other)
@@ -170,11 +170,11 @@
         queue.waiters.append(waiter)
         if queue.poller is None or queue.poller.done():
             queue.poller = asyncio.create_task(self._poll(queue))
-        self._count_if_short(waiter)
+        self._count_in_shortage(waiter)
         try:
             return await waiter.turn
         finally:
-            self._end_count(waiter)
+            self._stop_counting(waiter)
             if waiter in queue.waiters:
                 queue.waiters.remove(waiter)
 
@@ -211,14 +211,14 @@
             (slot_counts.total for slot_counts in counts_by_work.values()), default=0
         )
         order = FairOrder(self._ledger, now)
-        turns = {
+        permits = {
             work: AttemptPermits(slot_counts.free, now)
             for work, slot_counts in counts_by_work.items()
         }
         ranks = {
             waiter: order.rank(waiter, counts_by_work[waiter.work]) for waiter in queue.waiters
         }
-        requests_ahead = _RequestsAhead(now, self._blocked_for(queue, now))
+        requests_ahead = _RequestsAhead(now, self._blocked_seconds(queue, now))
         for waiter in sorted(queue.waiters, key=lambda other: ranks[other].key):
             slot_counts, rank = counts_by_work[waiter.work], ranks[waiter]
             # On average, half of those that wait at other daemons precede this one.
@@ -228,18 +228,18 @@
                 self._record_missed(waiter)
             else:
                 requests_ahead.add(waiter)
-            if forecast.is_infeasible or turns[waiter.work].claim(waiter, rank):
+            if forecast.is_infeasible or permits[waiter.work].claim(waiter, rank):
                 queue.waiters.remove(waiter)
                 if not waiter.turn.done():
                     waiter.turn.set_result(forecast)
 
-    def _count_if_short(self, waiter: Waiter) -> None:
+    def _count_in_shortage(self, waiter: Waiter) -> None:
         """Counts a waiting request towards the shares once the shortage of slots is persistent."""
         if waiter.share_count is None and self._shortage.is_persistent(waiter.service):
             waiter.share_count = ExitStack()
             waiter.share_count.enter_context(self._ledger.waiting(waiter.flow))
 
-    def _end_count(self, waiter: Waiter) -> None:
+    def _stop_counting(self, waiter: Waiter) -> None:
         """Stops counting a request that no longer waits."""
         if waiter.share_count is not None:
             waiter.share_count.close()
@@ -250,7 +250,7 @@
         for waiter in queue.waiters:
             if now > waiter.deadlines.objective_at:
                 self._record_missed(waiter)
-            self._count_if_short(waiter)
+            self._count_in_shortage(waiter)
 
     def _record_missed(self, waiter: Waiter) -> None:
         """Records, once per request, that it gets no slot within its objective."""
@@ -267,7 +267,7 @@
             return 0
         return rank.flow_share.waiting - self._ledger.own_use(waiter.flow).waiting
 
-    def _blocked_for(self, queue: _Queue, now: float) -> float:
+    def _blocked_seconds(self, queue: _Queue, now: float) -> float:
         if now - queue.blocked_seen_at > BLOCKED_LIFETIME_SECONDS:
             return 0.0
         return now - queue.blocked_since
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -100,20 +100,20 @@
     async def wait_for_admission(self, attempts: Attempts, *, must_wait: bool) -> bool:
         """Waits for a request's turn if necessary; returns whether it may be sent to a server."""
         if self.is_quarantined(attempts) and not await self._claim_trial(attempts):
-            self._return_credit(attempts.waiter)
+            self._refund_credit(attempts.waiter)
             return False
         if attempts.are_all_unreachable:
             attempts.forecast = forecast_for_unreachable(
                 attempts.waiter.deadlines, self._clock.now()
             )
-        turn = decide_scheduling(
+        decision = decide_scheduling(
             SchedulingInputs(
                 attempts.are_all_unreachable, attempts.forecast.is_infeasible, must_wait
             )
         )
-        if turn is SchedulingDecision.TRY:
+        if decision is SchedulingDecision.TRY:
             return True
-        if turn is SchedulingDecision.WAIT:
+        if decision is SchedulingDecision.WAIT:
             await self._wait(attempts)
         if not attempts.forecast.is_infeasible:
             self._share_record.record(attempts.request, attempts.waiter, ShareOutcome.HELD)
@@ -155,7 +155,7 @@
         try:
             attempts.forecast = await self._queues.wait_for_turn(attempts.waiter)
         except asyncio.CancelledError:
-            self._return_credit(attempts.waiter)
+            self._refund_credit(attempts.waiter)
             raise
         attempts.reset_refusals()
 
@@ -181,12 +181,12 @@
     def _refuse(self, attempts: Attempts) -> None:
         """Refunds the credit of a refused request and sets when its client should retry."""
         waiter = attempts.waiter
-        self._return_credit(waiter)
+        self._refund_credit(waiter)
         if attempts.forecast.service_time:
             attempts.forecast = self._retry_spreader.spread(waiter, attempts.forecast)
         self._share_record.record(attempts.request, waiter, ShareOutcome.REFUSED)
 
-    def _return_credit(self, waiter: Waiter) -> None:
+    def _refund_credit(self, waiter: Waiter) -> None:
         """Refunds the credit of an exempted request that got no slot."""
         if waiter.is_share_exempt:
             self._starvation_guard.refund_credit(waiter.flow)
@@ -198,7 +198,7 @@
             self._dependencies.service_selector.choose(route),
             Work(WorkKind.CLIENT, request.regions),
             self._dependencies.priority_of(request.tenant, route),
-            _limits(request, route, elapsed),
+            _deadlines(request, route, elapsed),
             request.received_at - elapsed,
             request.tenant or route_flow_name(route.name),
             is_retry=elapsed >= MIN_RETRY_SECONDS,
@@ -208,7 +208,7 @@
         return count_slots(self._dependencies.balancer, service, work)
 
 
-def _limits(request: ClientRequest, route: Route, elapsed: float) -> Deadlines:
+def _deadlines(request: ClientRequest, route: Route, elapsed: float) -> Deadlines:
     """Returns the deadlines of a request; the objective counts from the client's first attempt.
 
     Args:
--- a/src/larkpost/gateway/proxy/response_body.py
+++ b/src/larkpost/gateway/proxy/response_body.py
@@ -20,10 +20,10 @@
     buffered: deque[bytes] = deque()
     try:
         async for chunk in chunks:
-            is_share = reservation.fits_answer_limit(len(chunk))
+            fits = reservation.fits_answer_limit(len(chunk))
             reservation.force_grow(len(chunk))
             buffered.append(chunk)
-            if not is_share:
+            if not fits:
                 return buffered, False
     except BaseException:
         reservation.release()
--- a/src/larkpost/gateway/proxy/retry.py
+++ b/src/larkpost/gateway/proxy/retry.py
@@ -81,10 +81,12 @@
     """Returns the error for a request that gets no response."""
     if not unserved.may_have_run and unserved.is_quarantined:
         return QuarantinedError(
-            "servers have crashed under this request", retry_after=CRASH_RETENTION_SECONDS
+            "servers have crashed on requests like this one", retry_after=CRASH_RETENTION_SECONDS
         )
     if not unserved.may_have_run:
         return RefusedError("no server could take it", retry_after=unserved.retry_after)
     if unserved.is_timed_out:
-        return RequestTimeoutError("its time is over", ran=Ran.UNKNOWN)
-    return RequestFailedError("no whole answer came", ran=Ran.UNKNOWN)
+        return RequestTimeoutError(
+            "its deadline passed before a server responded in full", ran=Ran.UNKNOWN
+        )
+    return RequestFailedError("no server responded in full", ran=Ran.UNKNOWN)
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -43,28 +43,28 @@
         self, instance: InstanceInfo, attempts: Attempts
     ) -> WholeResponse | StreamedResponse | None:
         """Tries one server; returns None if it gave no response to return to the client now."""
-        started = self._clock.now()
+        started_at = self._clock.now()
         try:
             response, is_signed = await self._exchange(instance, attempts)
         except NotRunError as error:
             self._outcomes.record_not_run(instance, attempts, error)
             return None
         except BrokenResponseError as error:
-            self._outcomes.record_started(attempts.request, started)
+            self._outcomes.record_started(attempts.request, started_at)
             self._outcomes.record_broken(instance, attempts, error.message)
             return None
         except asyncio.CancelledError:
             # Its deadline passed or another response came first; the server may have run it.
-            self._outcomes.record_started(attempts.request, started)
-            self._outcomes.record_cancelled(instance, attempts, started)
+            self._outcomes.record_started(attempts.request, started_at)
+            self._outcomes.record_cancelled(instance, attempts, started_at)
             raise
-        self._outcomes.record_started(attempts.request, started)
+        self._outcomes.record_started(attempts.request, started_at)
         attempts.record_may_have_run(instance.id)
-        self._balancer.record_response(instance, self._clock.now() - started)
-        judged = self._judge(instance, attempts, response, is_signed=is_signed)
-        if judged is None and isinstance(response, StreamedResponse):
+        self._balancer.record_response(instance, self._clock.now() - started_at)
+        accepted = self._accept(instance, attempts, response, is_signed=is_signed)
+        if accepted is None and isinstance(response, StreamedResponse):
             await response.abandon()
-        return judged
+        return accepted
 
     @asynccontextmanager
     async def open(
@@ -110,7 +110,7 @@
             attempts.opened.append(opened)
             return opened, is_signed
 
-    def _judge(
+    def _accept(
         self,
         instance: InstanceInfo,
         attempts: Attempts,
@@ -128,8 +128,8 @@
             self._outcomes.record_response(instance)
             return response
         self._outcomes.record_broken(instance, attempts, failure)
-        is_held = isinstance(response, WholeResponse)  # a streamed failure is abandoned
-        if is_held and is_fallback(response.status, is_signed=is_signed):
+        is_whole_response = isinstance(response, WholeResponse)  # a streamed failure is abandoned
+        if is_whole_response and is_fallback(response.status, is_signed=is_signed):
             attempts.last_failure = response
         return None
 
--- a/src/larkpost/gateway/proxy/server_pool.py
+++ b/src/larkpost/gateway/proxy/server_pool.py
@@ -112,15 +112,15 @@
             within: the only instances of a large service to consider; None for all.
         """
         index = self._directory.index
-        listed = index.ids(service)
-        if len(listed) <= MAX_UNSAMPLED_INSTANCES:
-            return CandidatePool(list(index.entries(service)), len(listed))
+        all_ids = index.ids(service)
+        if len(all_ids) <= MAX_UNSAMPLED_INSTANCES:
+            return CandidatePool(list(index.entries(service)), len(all_ids))
         if work.kind is WorkKind.ITEM:
-            drawn_from = self._item_population(service, work, within)
-            sampled = self._sample(service, drawn_from, POOL_SIZE)
-            return CandidatePool(sampled, len(drawn_from), drawn_from)
-        own = self._subsets.ids(service, index) if self._subsets is not None else listed
-        return CandidatePool(self._sample(service, own, POOL_SIZE), len(listed), listed)
+            item_population = self._item_population(service, work, within)
+            sampled = self._sample(service, item_population, POOL_SIZE)
+            return CandidatePool(sampled, len(item_population), item_population)
+        own = self._subsets.ids(service, index) if self._subsets is not None else all_ids
+        return CandidatePool(self._sample(service, own, POOL_SIZE), len(all_ids), all_ids)
 
     def extend_pool(
         self, service: ServiceName, candidate_pool: CandidatePool
--- a/src/larkpost/gateway/proxy/service_selection.py
+++ b/src/larkpost/gateway/proxy/service_selection.py
@@ -30,10 +30,10 @@
         if route.name not in self._credits:
             self._credits[route.name] = {}
             for _ in range(self._rng.randrange(MAX_INITIAL_OFFSET)):
-                self._next(route)
-        return self._next(route)
+                self._select_next(route)
+        return self._select_next(route)
 
-    def _next(self, route: Route) -> ServiceName:
+    def _select_next(self, route: Route) -> ServiceName:
         credits = self._credits[route.name]
         total = sum(share.weight for share in route.shares)
         for share in route.shares:
--- a/src/larkpost/gateway/proxy/service_time_history.py
+++ b/src/larkpost/gateway/proxy/service_time_history.py
@@ -165,8 +165,8 @@
     """
     if not baseline:
         return sustained
-    share = FALL_WEIGHT if sustained < baseline else RISE_WEIGHT
-    return baseline + share * (sustained - baseline)
+    weight = FALL_WEIGHT if sustained < baseline else RISE_WEIGHT
+    return baseline + weight * (sustained - baseline)
 
 
 def without_slowness(seconds: float, slowness: float, quickest: float, slowest: float) -> float:
--- a/src/larkpost/gateway/proxy/service_time_tracker.py
+++ b/src/larkpost/gateway/proxy/service_time_tracker.py
@@ -35,7 +35,7 @@
         self._clock = clock
         self._own = own
         self._peers = peers
-        self._shared = ReportedServiceTimes(directory, clock)
+        self._peer_reports = ReportedServiceTimes(directory, clock)
         self._reported: list[InstanceId] = []
         """The instances that were reported, least recently first."""
 
@@ -47,7 +47,7 @@
         if speed_stats is None or not speed_stats.slowness.has_reports:
             return self._smoothed(instance)
         now = self._clock.now()
-        lasting = self._known_lasting(instance, speed_stats.responses)
+        lasting = self._lasting(instance, speed_stats.responses)
         return lasting * speed_stats.slowness.factor(now) or self._smoothed(instance)
 
     def has_latency(self, instance: InstanceId) -> bool:
@@ -58,7 +58,7 @@
         speed_stats = self._own.speed_stats(instance)
         if speed_stats is None or not speed_stats.slowness.has_reports:
             return self._own.has_recent_response(instance)
-        if not self._known_lasting(instance, speed_stats.responses):
+        if not self._lasting(instance, speed_stats.responses):
             return self._own.has_recent_response(instance)
         return self._prefers_own(instance, speed_stats.responses)
 
@@ -66,7 +66,7 @@
         """Returns the seconds per event of an item, without short bursts; 0 if not known."""
         speed_stats = self._own.speed_stats(instance)
         history = speed_stats.events if speed_stats is not None else None
-        return self._known_lasting(instance, history) or self._smoothed(instance)
+        return self._lasting(instance, history) or self._smoothed(instance)
 
     def recent(self, engine: InstanceId) -> float:
         """Returns the seconds per event in the last slice measured here; 0 if not measured."""
@@ -104,24 +104,24 @@
 
     def record_report(self, daemon: DaemonId, service_times: dict[InstanceId, float]) -> None:
         """Records the service times that another daemon reports."""
-        self._shared.record(daemon, service_times)
+        self._peer_reports.record(daemon, service_times)
 
     def forget_old(self, now: float) -> None:
         """Drops expired reports."""
-        self._shared.forget_old(now)
+        self._peer_reports.forget_old(now)
 
-    def _known_lasting(self, instance: InstanceId, history: ServiceTimeHistory | None) -> float:
+    def _lasting(self, instance: InstanceId, history: ServiceTimeHistory | None) -> float:
         """Returns the lasting service time; current measurements, here or elsewhere, come first."""
         if history is not None and self._prefers_own(instance, history):
             return history.service_time(self._clock.now())
-        return self._shared.fresh(instance) or self._shared.service_time(instance)
+        return self._peer_reports.fresh(instance) or self._peer_reports.service_time(instance)
 
     def _prefers_own(self, instance: InstanceId, history: ServiceTimeHistory) -> bool:
         """Returns whether this daemon's measurements take precedence over reports."""
         now = self._clock.now()
         if history.is_measured(now):
             return True
-        return bool(history.service_time(now)) and not self._shared.fresh(instance)
+        return bool(history.service_time(now)) and not self._peer_reports.fresh(instance)
 
     def _smoothed(self, instance: InstanceId) -> float:
         """Returns the smoothed service time of this daemon, or else of other daemons."""
--- a/src/larkpost/gateway/proxy/slot_counting.py
+++ b/src/larkpost/gateway/proxy/slot_counting.py
@@ -57,15 +57,15 @@
     measured_slots, rate = 0, 0.0
     candidate_pool = balancer.candidate_pool(service, work)
     for info in candidate_pool.instances:
-        verdict = balancer.placement.evaluate(info, work)
-        if not verdict.is_allowed and verdict is not PlacementDecision.COLD:
+        decision = balancer.placement.evaluate(info, work)
+        if not decision.is_allowed and decision is not PlacementDecision.COLD:
             continue
         slots = max(1, info.slots)
         occupied = balancer.occupied(info)
-        is_closed = not verdict.is_allowed or balancer.is_avoided(info.id)
+        is_unavailable = not decision.is_allowed or balancer.is_avoided(info.id)
         total += slots
-        taken += max(occupied, slots) if is_closed else occupied
-        unavailable += max(0, slots - occupied) if is_closed else 0
+        taken += max(occupied, slots) if is_unavailable else occupied
+        unavailable += max(0, slots - occupied) if is_unavailable else 0
         service_time = balancer.service_time(info.id)
         if service_time:
             measured_slots += slots
--- a/src/larkpost/gateway/proxy/streamed_body.py
+++ b/src/larkpost/gateway/proxy/streamed_body.py
@@ -41,8 +41,10 @@
             self._outcomes.record_done(self._attempts, self._response.status)
             raise
         except TimeoutError:
-            self._record_failed("no whole body in the request's time", timed_out=True)
-            raise BrokenResponseError("its server took too long for the body") from None
+            self._record_failed("the body was incomplete at the request's deadline", timed_out=True)
+            raise BrokenResponseError(
+                "the server did not send the whole body before the deadline"
+            ) from None
         except BrokenResponseError as error:
             self._record_failed(error.message, timed_out=False)
             raise
--- a/src/larkpost/gateway/proxy/subset.py
+++ b/src/larkpost/gateway/proxy/subset.py
@@ -26,10 +26,10 @@
 
     It grows by doubling, as each change of it changes all subsets.
     """
-    wanted = MIN_DAEMONS_PER_SERVER
-    while wanted < daemons and wanted * servers < MIN_SUBSET_SIZE * daemons:
-        wanted *= 2
-    return min(wanted, daemons)
+    daemon_count = MIN_DAEMONS_PER_SERVER
+    while daemon_count < daemons and daemon_count * servers < MIN_SUBSET_SIZE * daemons:
+        daemon_count *= 2
+    return min(daemon_count, daemons)
 
 
 def daemon_seed(daemon: DaemonId) -> int:
@@ -43,9 +43,9 @@
 
 
 def higher_ranked_daemons(
-    own: int, others: Mapping[DaemonId, int], server: InstanceId, most: int
+    own: int, others: Mapping[DaemonId, int], server: InstanceId, max_count: int
 ) -> list[DaemonId]:
-    """Returns up to ``most`` daemons that rank higher than this one for a server.
+    """Returns up to ``max_count`` daemons that rank higher than this one for a server.
 
     Args:
         own: this daemon's seed.
@@ -56,7 +56,7 @@
     for daemon, seed in others.items():
         if weight(seed, server) > own_weight:
             found.append(daemon)
-            if len(found) == most:
+            if len(found) == max_count:
                 break
     return found
 
@@ -101,22 +101,22 @@
             changed |= self._excluded_by.pop(removed, set())
         for added in others - self._others.keys():
             seed = self._others[added] = daemon_seed(added)
-            changed.update(name for name in self.ids if self._comes_before(seed, name))
+            changed.update(name for name in self.ids if self._outranks(seed, name))
         for server in changed:
             self._forget(server)
             if server in self._servers:
                 self._assign(server)
 
-    def _comes_before(self, seed: int, server: InstanceId) -> bool:
+    def _outranks(self, seed: int, server: InstanceId) -> bool:
         return weight(seed, server) > weight(self._seed, server)
 
     def _assign(self, server: InstanceId) -> None:
-        before = higher_ranked_daemons(self._seed, self._others, server, self._limit)
-        if len(before) < self._limit:
+        higher_ranked = higher_ranked_daemons(self._seed, self._others, server, self._limit)
+        if len(higher_ranked) < self._limit:
             self._inside.add(server)
             return
-        self._outside[server] = before
-        for daemon in before:
+        self._outside[server] = higher_ranked
+        for daemon in higher_ranked:
             self._excluded_by.setdefault(daemon, set()).add(server)
 
     def _forget(self, server: InstanceId) -> None:
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -80,7 +80,7 @@
             known.start(RESTARTED)
             self.assertEqual(0.0, known.service_times.lasting(RESTARTED))
             self.assertEqual({}, known.service_times.report())
-            self.assertEqual(0, len(known.service_times._shared))
+            self.assertEqual(0, len(known.service_times._peer_reports))
 
         run(play())
 
@@ -168,7 +168,7 @@
             await asyncio.sleep(2.0)
             self.assertEqual(0.0, known.service_times.lasting(SERVER))
             known.service_times.forget_old(known.clock.now())
-            self.assertEqual(0, len(known.service_times._shared))
+            self.assertEqual(0, len(known.service_times._peer_reports))
 
         run(play())
 
@@ -178,7 +178,7 @@
             reported = {instance_id(InstanceName(f"e{n}"), BORN): SLOW for n in range(100)}
             for number in range(50):
                 known.service_times.record_report(DaemonId(f"d{number}"), reported)
-            kept = known.service_times._shared._reported
+            kept = known.service_times._peer_reports._reported
             self.assertEqual({SERVER, OTHER}, set(kept))
             self.assertEqual(MAX_REPORTERS, len(kept[SERVER]))
 
