--- a/tests/test_bounded_choice.py
+++ b/tests/test_bounded_choice.py
@@ -131,14 +131,14 @@
 
         return run(play())
 
-    def test_a_choice_of_thousands_looks_at_no_more_than_twice_as_many_as_one_of_thirty(self):
+    def test_choice_among_thousands_considers_at_most_twice_as_many_as_among_thirty(self):
         few = self.count_considered(*FLEETS[0])
         for servers, daemons in FLEETS[1:]:
             for use, count in self.count_considered(servers, daemons).items():
                 with self.subTest(servers=servers, use=use):
                     self.assertLessEqual(count, 2 * few[use])
 
-    def test_all_servers_of_a_small_service_are_put_in_order(self):
+    def test_all_servers_of_a_small_service_are_ranked(self):
         async def play():
             scene = Scene(MAX_UNSAMPLED_INSTANCES, 370)
             self.assertEqual(MAX_UNSAMPLED_INSTANCES, len(scene.client_choice()))
@@ -152,7 +152,7 @@
 
         run(play())
 
-    def test_requests_go_to_a_few_servers_so_that_connections_to_them_are_used_again(self):
+    def test_requests_go_to_a_few_servers_so_that_connections_are_reused(self):
         async def play():
             scene = Scene()
             firsts = {scene.client_choice()[0].id for _ in range(500)}
@@ -197,7 +197,7 @@
 
         run(play())
 
-    def test_others_are_tried_when_the_whole_subset_was_tried(self):
+    def test_others_are_chosen_when_the_whole_subset_was_tried(self):
         async def play():
             scene = Scene()
             tried = scene.subset
@@ -207,7 +207,7 @@
 
         run(play())
 
-    def test_subset_is_whole_again_when_all_its_servers_are_gone(self):
+    def test_subset_is_refilled_when_all_its_servers_are_removed(self):
         async def play():
             scene = Scene(300, 30)
             for name in scene.subset:
@@ -218,7 +218,7 @@
 
         run(play())
 
-    def test_servers_that_have_failed_are_the_last_resort(self):
+    def test_failed_servers_are_the_last_resort(self):
         async def play():
             scene = Scene()
             scene.avoid({info.id for info in scene.directory.all()})
@@ -278,7 +278,7 @@
 
         run(play())
 
-    def test_places_found_by_a_search_stand_for_all_that_are_allowed(self):
+    def test_slots_found_by_a_search_are_scaled_up_to_all_allowed_servers(self):
         """The allowed region has 320 of 3,200 servers, of which a search finds only some."""
 
         async def play():
@@ -293,7 +293,7 @@
 
         run(play())
 
-    def test_search_for_items_stays_within_the_engines_that_are_named(self):
+    def test_search_for_items_stays_within_the_given_engines(self):
         async def play():
             scene = Scene()
             for start in range(0, 1500, 150):
@@ -306,7 +306,7 @@
 
         run(play())
 
-    def test_server_that_has_left_since_a_search_is_not_chosen(self):
+    def test_server_removed_since_a_search_is_not_chosen(self):
         async def play():
             scene = Scene()
             far = InstanceId(min({"s17", "s170"} - scene.subset))
@@ -318,7 +318,7 @@
 
         run(play())
 
-    def test_all_servers_are_searched_seldom_while_none_is_allowed(self):
+    def test_search_of_all_servers_is_cached_while_none_is_allowed(self):
         async def play():
             scene = Scene()
             scene.rule.forbidden = {info.id for info in scene.directory.all()}
@@ -338,7 +338,7 @@
 class ItemTest(unittest.TestCase):
     """The engines of a large service considered for items."""
 
-    def test_only_engines_that_hold_the_model_are_looked_at(self):
+    def test_only_engines_that_hold_the_model_are_considered(self):
         async def play():
             scene = Scene()
             holders = {f"s{number}" for number in range(0, 3200, 40)}
@@ -353,7 +353,7 @@
 
         run(play())
 
-    def test_only_engines_that_are_named_are_looked_at(self):
+    def test_only_the_given_engines_are_considered(self):
         async def play():
             scene = Scene()
             own = frozenset(f"s{number}" for number in range(100, 250))
@@ -363,7 +363,7 @@
 
         run(play())
 
-    def test_places_at_one_engine_in_fifty_are_found_in_a_few_passes(self):
+    def test_free_slots_at_one_engine_in_fifty_are_found_in_a_few_choices(self):
         """Each choice samples the engines anew."""
 
         async def play():
@@ -382,7 +382,7 @@
 class FleetTest(unittest.TestCase):
     """Daemons with a service that is too large to be considered as a whole."""
 
-    def test_batch_is_whole_though_a_third_of_the_engines_does_not_respond(self):
+    def test_batch_completes_although_a_third_of_the_engines_does_not_respond(self):
         async def play():
             fleet = PlatformFleet(gateways=3, engines=2 * MAX_UNSAMPLED_INSTANCES)
             await fleet.wait(1.0)
@@ -405,7 +405,7 @@
 class SlotCountTest(unittest.TestCase):
     """The slots of a large service are those of a sample, scaled up."""
 
-    def test_places_of_some_stand_for_all(self):
+    def test_slots_of_a_sample_are_scaled_up(self):
         async def play():
             scene = Scene(1000, 100)
             places = count_slots(scene.balancer, PAGES, CLIENT_WORK)
--- a/tests/test_choice_quality.py
+++ b/tests/test_choice_quality.py
@@ -200,7 +200,7 @@
         found = sum(mean_time(servers, daemons, choose, seed) for seed in seeds)
         self.assertLessEqual(found / best, WORSE, f"{found / best:.3f}")
 
-    def test_requests_at_their_daemons_subsets(self):
+    def test_requests_to_daemon_subsets(self):
         for servers, daemons, seeds in (
             (30, 4, MANY_SEEDS),
             (300, 30, SEEDS),
@@ -210,7 +210,7 @@
                 names = [InstanceId(f"s{number}") for number in range(servers)]
                 self.check(servers, daemons, SubsetChoice(names, daemons), seeds)
 
-    def test_subsets_are_better_where_daemons_know_only_what_they_see(self):
+    def test_subsets_are_better_where_daemons_know_only_observed_load(self):
         """Among all servers, those without any known load would always look the least busy."""
         names = [InstanceId(f"s{number}") for number in range(300)]
         chosen = SubsetChoice(names, 30)
@@ -218,11 +218,11 @@
             by_all = mean_time(300, 30, choose_of_all, seed, knows_all=False)
             self.assertLess(mean_time(300, 30, chosen, seed, knows_all=False), by_all)
 
-    def test_requests_of_few_daemons_before_many_servers(self):
+    def test_requests_of_few_daemons_to_many_servers(self):
         names = [InstanceId(f"s{number}") for number in range(1000)]
         self.check(1000, 10, SubsetChoice(names, 10), SEEDS[:1])
 
-    def test_items_at_engines_drawn_anew(self):
+    def test_items_at_newly_sampled_engines(self):
         for servers, daemons, seeds in ((300, 30, SEEDS), (1000, 100, SEEDS[:1])):
             with self.subTest(servers=servers):
                 self.check(servers, daemons, choose_of_sample, seeds)
--- a/tests/test_elapsed_time.py
+++ b/tests/test_elapsed_time.py
@@ -11,7 +11,7 @@
 class ElapsedTimesTest(unittest.TestCase):
     """The time since a client's first attempt."""
 
-    def test_caller_that_came_back_lacks_what_went_by(self):
+    def test_time_left_of_a_retry_is_less_by_the_elapsed_time(self):
         async def play():
             times = ElapsedTimes(LoopClock())
             self.assertEqual(0.0, times.elapsed("r", 0.8))
--- a/tests/test_fair_load.py
+++ b/tests/test_fair_load.py
@@ -205,13 +205,13 @@
             self.assertGreater(sums.part(name), 0.6)
         self.assertGreater(sums.part(HEAVY), STARVED_FRACTION * sums.part(*self.RATES))
 
-    def test_it_pays_with_its_own_requests(self):
+    def test_only_the_heavy_tenant_is_held_back(self):
         self.check(heavy_at_first=0.5)
 
-    def test_it_pays_also_if_one_daemon_sees_next_to_nothing_of_it(self):
+    def test_only_the_heavy_tenant_is_held_back_if_one_daemon_sees_few_of_its_requests(self):
         self.check(heavy_at_first=0.95)
 
-    def test_no_place_stays_free_for_it(self):
+    def test_no_slot_stays_free(self):
         """As many requests are served as without shares."""
         served = self.run_load(self.RATES).served.total()
         with mock.patch.object(FairOrder, "_flow_share", lambda *_: None):
@@ -221,7 +221,7 @@
 class RoomTest(LoadTest):
     """With enough slots for all, no request is held back, whichever tenant sends most."""
 
-    def test_nobody_is_held_back(self):
+    def test_no_request_is_held_back(self):
         rates = light_rates(0.1 * CAPACITY) | {HEAVY: 0.3 * CAPACITY}
 
         async def play() -> Sums:
@@ -276,14 +276,14 @@
 class BurstTest(LoadTest):
     """Ten times as many requests as the capacity."""
 
-    def test_tenant_that_sends_ten_times_as_much_pays_alone_and_is_not_starved(self):
+    def test_only_a_tenant_that_sends_ten_times_as_much_is_held_back_and_it_is_not_starved(self):
         rates = light_rates(0.5 * CAPACITY) | {HEAVY: 10 * CAPACITY}
         sums = self.run_load(rates, seconds=3.0)
         lights = [name for name in rates if name != HEAVY]
         self.assertGreater(sums.part(*lights), 0.7)
         self.assertGreater(sums.part(HEAVY), STARVED_FRACTION * sums.part(*rates))
 
-    def test_in_a_burst_of_all_no_tenant_is_starved_and_all_places_are_used(self):
+    def test_in_a_burst_of_all_no_tenant_is_starved_and_all_slots_are_used(self):
         rates = light_rates(5 * CAPACITY) | {HEAVY: 5 * CAPACITY}
         sums = self.run_load(rates, seconds=3.0)
         for name in rates:
@@ -294,7 +294,7 @@
 class RetryWaveTest(LoadTest):
     """Many clients are refused at the same moment and retry at the times that they were told."""
 
-    def test_they_are_told_times_of_their_own(self):
+    def test_they_are_told_different_times(self):
         async def play() -> list[float]:
             self.begin()
             calls = [
@@ -315,7 +315,7 @@
             together = [other for other in told if time <= other < time + POLL_INTERVAL_SECONDS]
             self.assertLess(len(together), len(told) / 4)
 
-    def test_caller_that_came_back_goes_before_those_who_come_first(self):
+    def test_retry_precedes_first_attempts(self):
         """This holds even after its objective, and before requests that have waited less."""
 
         async def play() -> list[str]:
@@ -358,12 +358,12 @@
 
         return run(play())
 
-    def test_it_lets_them_go_first_but_not_for_long(self):
+    def test_it_yields_but_not_for_long(self):
         seconds = self.wait({HEAVY_FLOW: FlowUsage(6, 2), LIGHT_FLOW: FlowUsage(0, 3)})
         self.assertGreaterEqual(seconds, MAX_HOLD_SECONDS)
         self.assertLess(seconds, MAX_HOLD_SECONDS + 2 * POLL_INTERVAL_SECONDS)
 
-    def test_those_that_come_after_it_do_not_hold_it_up(self):
+    def test_later_requests_do_not_delay_it(self):
         """Retries rank before it, and each of them is held for its own time."""
 
         async def play() -> float:
@@ -387,7 +387,7 @@
 
         self.assertLess(run(play()), 2 * MAX_HOLD_SECONDS)
 
-    def test_less_urgent_requests_do_not_take_the_places_that_it_leaves_to_others(self):
+    def test_less_urgent_requests_do_not_take_the_slots_that_it_yields(self):
         async def play() -> list[int]:
             clock = LoopClock()
             ledger = FlowLedger(clock)
@@ -408,11 +408,11 @@
 
         self.assertEqual([1, 2], run(play()))
 
-    def test_it_goes_at_once_if_nobody_waits(self):
+    def test_it_is_sent_at_once_if_no_request_waits(self):
         seconds = self.wait({HEAVY_FLOW: FlowUsage(6, 2), LIGHT_FLOW: FlowUsage(1, 0)})
         self.assertLess(seconds, 2 * POLL_INTERVAL_SECONDS)
 
-    def test_it_is_refused_at_once_if_its_share_has_no_room_in_its_time(self):
+    def test_it_is_refused_at_once_if_its_share_has_no_room_before_its_deadline(self):
         async def play() -> QueueForecast:
             clock = LoopClock()
             ledger = FlowLedger(clock)
@@ -464,7 +464,7 @@
         deadlines = Deadlines(now + objective, now + time_left, SERVICE_TIME)
         return Waiter(PAGES, CLIENT_WORK, 1, deadlines, now, "light")
 
-    def test_request_that_waits_for_a_moment_is_not_counted(self):
+    def test_request_that_waits_briefly_is_not_counted(self):
         async def play() -> None:
             task = asyncio.create_task(self.queues.wait_for_turn(self.waiter(0.2, 1.0)))
             await self.clock.sleep(POLL_INTERVAL_SECONDS / 2)
@@ -489,7 +489,7 @@
 
         run(play())
 
-    def test_requests_whose_time_was_over_when_they_came_show_no_shortage(self):
+    def test_requests_that_arrive_after_their_deadline_indicate_no_shortage(self):
         async def play() -> None:
             for _ in range(20):
                 self.assertTrue(self.queues.forecast(self.waiter(-0.8, 0.0)).forecast.is_infeasible)
@@ -505,7 +505,7 @@
 class LeavingCallerTest(LoadTest):
     """Clients of a tenant over its share disconnect while their requests wait."""
 
-    def test_credit_of_a_caller_that_left_is_for_the_next(self):
+    def test_credit_of_a_disconnected_client_is_refunded(self):
         """Otherwise a tenant with impatient clients would get less than its guaranteed minimum."""
 
         async def play() -> list[int]:
@@ -539,7 +539,7 @@
 class LostReportsTest(LoadTest):
     """Without reports of the others, each daemon relies on its own requests."""
 
-    def test_small_tenants_are_still_served_and_no_place_stays_free(self):
+    def test_small_tenants_are_still_served_and_no_slot_stays_free(self):
         rates = light_rates(0.9 * CAPACITY) | {HEAVY: 0.9 * CAPACITY}
         seconds = REPORT_LIFETIME_SECONDS + 4.0
 
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -63,7 +63,7 @@
             with self.subTest(demands=demands, capacity=capacity):
                 self.assertEqual(expected, fair_level(demands, capacity))
 
-    def test_everything_is_given_out_and_nobody_gets_more_than_it_wants(self):
+    def test_whole_capacity_is_used_and_no_demand_is_exceeded(self):
         rng = random.Random(3)
         for _ in range(300):
             demands = [rng.randrange(12) for _ in range(rng.randrange(1, 9))]
@@ -81,7 +81,7 @@
         small = {flow(f"t{number}"): FlowUsage(int(number < 5), 1) for number in range(10)}
         return small | {HEAVY: FlowUsage(5, 10)}
 
-    def test_it_lets_the_others_go_first(self):
+    def test_it_yields_to_the_others(self):
         shares = compute_shares(self.uses(), free=0)
         heavy = shares.flow_share(HEAVY)
         self.assertTrue(heavy.is_over_share)
@@ -91,14 +91,14 @@
         )  # those without a slot; the others have their share
         self.assertFalse(shares.flow_share(flow("t9")).is_over_share)
 
-    def test_it_gets_what_the_others_leave(self):
+    def test_it_gets_the_unused_shares_of_the_others(self):
         uses = {flow(f"t{number}"): FlowUsage(1, 0) for number in range(3)}
         shares = compute_shares(uses | {HEAVY: FlowUsage(7, 5)}, free=0)
         heavy = shares.flow_share(HEAVY)
         self.assertEqual(7.0, heavy.share)
         self.assertFalse(heavy.is_over_share)
 
-    def test_whoever_is_beyond_its_share_has_others_before_it_for_all_free_places(self):
+    def test_flow_over_its_share_has_others_ahead_for_all_free_slots(self):
         """So it is never refused a free slot that no other request would take."""
         rng = random.Random(7)
         seen = 0
@@ -122,12 +122,12 @@
         light = compute_shares(self.uses(), free=0).flow_share(flow("t9"))
         self.assertEqual(0.0, estimate_share_wait(light, 0, SERVICE_TIME))
 
-    def test_tenant_alone_is_never_beyond_its_share(self):
+    def test_single_tenant_is_never_over_its_share(self):
         self.assertFalse(
             compute_shares({HEAVY: FlowUsage(9, 90)}, free=0).flow_share(HEAVY).is_over_share
         )
 
-    def test_nobody_is_beyond_its_share_while_no_request_waits(self):
+    def test_no_flow_is_over_its_share_while_no_request_waits(self):
         uses = {HEAVY: FlowUsage(9, 0), LIGHT: FlowUsage(1, 0)}
         self.assertFalse(compute_shares(uses, free=2).flow_share(HEAVY).is_over_share)
 
@@ -135,7 +135,7 @@
 class BurstTest(unittest.TestCase):
     """Ten times as many requests as usual, of one tenant or of all."""
 
-    def test_tenants_that_ask_as_usual_are_not_beyond_their_shares_in_a_burst_of_another(self):
+    def test_tenants_with_usual_load_are_not_over_their_shares_in_a_burst_of_another(self):
         usual = {flow(f"t{number}"): FlowUsage(1, 1) for number in range(4)}
         shares = compute_shares(usual | {HEAVY: FlowUsage(12, 80)}, free=0)
         self.assertTrue(shares.flow_share(HEAVY).is_over_share)
@@ -148,7 +148,7 @@
         self.assertEqual(2.0, shares.level)
         self.assertFalse(any(shares.flow_share(name).is_over_share for name in uses))
 
-    def test_credit_serves_the_greatest_tenant_a_third_as_often_as_all(self):
+    def test_starvation_guard_serves_the_largest_tenant_a_third_as_often_as_all(self):
         """A tenth of the requests get a slot, and its share alone would give it none."""
 
         async def play():
@@ -167,7 +167,7 @@
 
         run(play())
 
-    def test_credit_is_not_saved_up_while_a_flow_is_served(self):
+    def test_credit_does_not_accumulate_while_a_flow_is_served(self):
         async def play():
             guard = StarvationGuard(LoopClock(), random.Random(5))
             for _ in range(100):
@@ -177,7 +177,7 @@
 
         run(play())
 
-    def test_credit_of_a_request_that_was_refused_is_for_the_next(self):
+    def test_credit_of_a_refused_request_is_refunded(self):
         async def play():
             guard = StarvationGuard(LoopClock(), random.Random(5))
             while not guard.admit(HEAVY, is_over_share=True):
@@ -189,7 +189,7 @@
 
         run(play())
 
-    def test_request_after_a_night_without_any_is_admitted(self):
+    def test_request_after_hours_without_any_is_admitted(self):
         async def play():
             clock = LoopClock()
             guard = StarvationGuard(clock, random.Random(5))
@@ -216,7 +216,7 @@
 class UnequalDaemonsTest(unittest.TestCase):
     """Two daemons with unequal parts of a tenant's requests."""
 
-    def test_daemon_that_sees_few_requests_of_a_heavy_tenant_counts_those_of_the_other(self):
+    def test_daemon_counts_the_requests_of_a_heavy_tenant_at_the_other_daemon(self):
         async def play():
             clock = LoopClock()
             near, far = FlowLedger(clock), FlowLedger(clock)
@@ -251,7 +251,7 @@
 
         run(play())
 
-    def test_report_is_bounded_and_names_the_greatest(self):
+    def test_report_is_bounded_and_contains_the_highest_use(self):
         async def play():
             ledger = FlowLedger(LoopClock())
             with contextlib.ExitStack() as held:
@@ -268,7 +268,7 @@
 
         run(play())
 
-    def test_nothing_is_reported_while_there_is_room(self):
+    def test_nothing_is_reported_without_a_shortage(self):
         async def play():
             clock = LoopClock()
             ledger = FlowLedger(clock)
@@ -285,18 +285,18 @@
 
         run(play())
 
-    def test_row_of_a_heartbeat_with_use_by_tenant_is_as_it_was(self):
+    def test_row_of_a_heartbeat_with_use_by_tenant_is_unchanged(self):
         """The format must stay compatible with daemons of other versions."""
         report = DaemonReport(tenants={HEAVY: FlowUsage(3, 1), LIGHT: FlowUsage(0, 2)})
         row = b'{"interval":1.0,"tenants":[["pages",1,"heavy",3,1],["pages",1,"light",0,2]]}'
         self.assertEqual(row, encode_heartbeat(Heartbeat(1.0, report=report)))
 
-    def test_report_survives_the_way_through_a_heartbeat(self):
+    def test_report_round_trips_through_a_heartbeat(self):
         tenants = {HEAVY: FlowUsage(3, 1), flow(route_flow_name("r")): FlowUsage(0, 2)}
         row = encode_heartbeat(Heartbeat(1.0, report=DaemonReport(tenants=tenants)))
         self.assertEqual(tenants, decode_heartbeat(row).report.tenants)
 
-    def test_unreadable_rows_of_a_report_are_passed_over(self):
+    def test_unreadable_rows_of_a_report_are_skipped(self):
         for value in (
             b"7",
             b'{"a":[1,2]}',
@@ -314,7 +314,7 @@
 class LostReportsTest(unittest.TestCase):
     """When the reports of other daemons stop, a daemon relies on its own requests."""
 
-    def test_old_reports_count_no_longer(self):
+    def test_old_reports_expire(self):
         async def play():
             clock = LoopClock()
             ledger = FlowLedger(clock)
@@ -332,7 +332,7 @@
 
         run(play())
 
-    def test_daemon_that_is_gone_holds_nothing(self):
+    def test_report_of_a_removed_daemon_is_dropped(self):
         async def play():
             ledger = FlowLedger(LoopClock())
             ledger.record_report("far", {HEAVY: FlowUsage(9, 0)})
@@ -345,7 +345,7 @@
 class RetryWaveTest(unittest.TestCase):
     """Clients that are refused at the same moment must not retry at the same moment."""
 
-    def test_they_come_back_one_after_the_other_in_their_order(self):
+    def test_they_retry_one_after_the_other_in_their_order(self):
         async def play():
             times = RetrySchedule(LoopClock(), random.Random(1))
             delays = [times.reserve("line", 0.2, 0.05, 1.0) for _ in range(12)]
@@ -357,7 +357,7 @@
 
         run(play())
 
-    def test_those_who_cannot_wait_for_their_turn_are_spread_over_their_time(self):
+    def test_clients_that_cannot_wait_for_their_turn_are_spread_over_their_time(self):
         async def play():
             times = RetrySchedule(LoopClock(), random.Random(1))
             delays = [times.reserve("line", 5.0, 0.05, 0.4) for _ in range(100)]
@@ -368,7 +368,7 @@
 
         run(play())
 
-    def test_daemons_do_not_tell_the_same_times(self):
+    def test_daemons_tell_different_times(self):
         async def play():
             delays = {
                 RetrySchedule(LoopClock(), random.Random(n)).reserve(1, 0.2, 0.05, 1.0)
@@ -378,7 +378,7 @@
 
         run(play())
 
-    def test_lines_are_bounded(self):
+    def test_number_of_queues_is_bounded(self):
         async def play():
             times = RetrySchedule(LoopClock(), random.Random(1))
             for number in range(3 * MAX_SCHEDULED_QUEUES):
@@ -387,7 +387,7 @@
 
         run(play())
 
-    def test_line_in_constant_use_is_kept_among_many(self):
+    def test_queue_in_constant_use_is_kept_among_many(self):
         """Otherwise the clients of the tenant that is refused most would retry together."""
 
         async def play():
@@ -419,14 +419,14 @@
                 self.shortage.record_slot_granted(SERVICE)
             await self.clock.sleep(0.1)
 
-    def test_few_that_miss_show_none(self):
+    def test_few_missed_requests_are_no_shortage(self):
         async def play() -> None:
             await self.play(1, 20)
             self.assertFalse(self.shortage.is_persistent(SERVICE))
 
         run(play())
 
-    def test_it_is_seen_within_seconds_and_ends_within_seconds(self):
+    def test_it_is_detected_within_seconds_and_ends_within_seconds(self):
         async def play() -> None:
             await self.play(1, 20)
             await self.play(5, 6)
@@ -437,7 +437,7 @@
 
         run(play())
 
-    def test_it_ends_also_if_no_request_comes(self):
+    def test_it_ends_even_without_requests(self):
         async def play() -> None:
             await self.play(9, 6)
             self.assertTrue(self.shortage.is_persistent(SERVICE))
@@ -450,7 +450,7 @@
 class BatchSharesTest(unittest.TestCase):
     """Several batches of several tenants compete for engines."""
 
-    def test_tenant_with_many_batches_pays_with_its_own(self):
+    def test_tenant_with_many_batches_divides_its_own_share(self):
         many, few = TenantName("many"), TenantName("few")
         demands = {f"b{number}": BatchDemand(many, 40) for number in range(4)}
         shares = share_among_batches(demands | {"c": BatchDemand(few, 40)}, 80)
@@ -465,7 +465,7 @@
         shares = share_among_batches(demands, 60)
         self.assertEqual({"small": 5, "large": 35, "other": 20}, shares)
 
-    def test_with_room_each_gets_what_it_wants(self):
+    def test_all_demands_are_met_if_the_slots_suffice(self):
         demands = {"a": BatchDemand(None, 5), "b": BatchDemand(TenantName("t"), 7)}
         self.assertEqual({"a": 5, "b": 7}, share_among_batches(demands, 12))
 
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -72,35 +72,35 @@
         """Returns the expectation of a forecast."""
         return make_forecast(slot_counts, DEADLINES, 0.0, ahead, blocked_seconds).expectation
 
-    def test_more_requests_in_front_turn_it_from_in_time_to_late_to_hopeless(self):
+    def test_more_requests_ahead_turn_it_from_in_time_to_late_to_infeasible(self):
         expectations = [
             self.expectation(SlotCounts(4, 4, 0.1), ahead) for ahead in (0, 3, 4, 29, 30, 60)
         ]
         expected = [Expectation.IN_TIME, Expectation.IN_TIME, Expectation.LATE, Expectation.LATE]
         self.assertEqual([*expected, Expectation.NOT_AT_ALL, Expectation.NOT_AT_ALL], expectations)
 
-    def test_slow_servers_are_no_hope_for_short_times(self):
+    def test_slow_servers_are_infeasible_for_short_deadlines(self):
         self.assertIs(Expectation.NOT_AT_ALL, self.expectation(SlotCounts(4, 3, 1.7)))
 
-    def test_nothing_is_refused_while_most_places_are_free(self):
+    def test_nothing_is_refused_while_most_slots_are_free(self):
         self.assertIs(
             Expectation.LATE, self.expectation(SlotCounts(4, 1, 1.7), blocked_seconds=9.0)
         )
 
-    def test_service_without_places_is_hopeless(self):
+    def test_service_without_slots_is_infeasible(self):
         self.assertIs(Expectation.NOT_AT_ALL, self.expectation(SlotCounts(0, 0, 0.0)))
 
-    def test_request_whose_time_is_over_is_hopeless_whatever_is_free(self):
+    def test_request_after_its_deadline_is_infeasible_whatever_is_free(self):
         forecast = make_forecast(SlotCounts(4, 0, 0.1), DEADLINES, DEADLINES.expires_at)
         self.assertIs(Expectation.NOT_AT_ALL, forecast.expectation)
 
-    def test_places_that_stay_taken_are_expected_to_stay_so_for_as_long(self):
+    def test_slots_that_stay_taken_are_expected_to_stay_taken_as_long_again(self):
         slot_counts = SlotCounts(4, 4, 0.1)
         self.assertIs(Expectation.IN_TIME, self.expectation(slot_counts, blocked_seconds=0.05))
         self.assertIs(Expectation.LATE, self.expectation(slot_counts, blocked_seconds=0.3))
         self.assertIs(Expectation.NOT_AT_ALL, self.expectation(slot_counts, blocked_seconds=0.77))
 
-    def test_caller_is_told_the_wait_but_never_more_than_it_can_use(self):
+    def test_retry_delay_is_the_wait_but_never_more_than_the_client_can_use(self):
         for ahead in (0, 1, 5, 40, 4000):
             forecast = make_forecast(SlotCounts(4, 4, 0.1), DEADLINES, 0.3, ahead)
             self.assertGreater(forecast.retry_after, 0)
@@ -175,7 +175,7 @@
 
         asyncio.get_running_loop().call_later(seconds, free)
 
-    def test_hopeless_request_is_refused_at_once_with_the_forecast_s_time(self):
+    def test_infeasible_request_is_refused_at_once_with_the_forecast_retry_delay(self):
         async def play():
             for send in (self.send, self.stream):
                 self.begin(service_time=1.0)
@@ -228,7 +228,7 @@
 
         run(play())
 
-    def test_place_that_comes_free_here_is_taken_at_once(self):
+    def test_slot_that_becomes_free_here_is_taken_at_once(self):
         async def play():
             self.begin()
             others = [self.send(make_route()) for _ in range(SLOTS)]
@@ -241,7 +241,7 @@
 
         run(play())
 
-    def test_place_that_another_daemon_leaves_is_found(self):
+    def test_slot_that_another_daemon_releases_is_found(self):
         async def play():
             for kind in (RouteKind.IDEMPOTENT, RouteKind.RUN_ONCE):
                 self.begin()
@@ -267,7 +267,7 @@
 
         run(play())
 
-    def test_less_urgent_request_waits_behind_those_in_line(self):
+    def test_less_urgent_request_waits_behind_queued_ones(self):
         """A new request does not take the slot that became free for a waiting one."""
 
         async def play():
@@ -284,7 +284,7 @@
 
         run(play())
 
-    def test_request_that_is_late_anyway_comes_after_one_that_is_not(self):
+    def test_request_that_would_be_late_comes_after_one_that_would_not(self):
         async def play():
             self.begin()
             self.take_slots(0.15)
@@ -297,7 +297,7 @@
 
         run(play())
 
-    def test_request_that_turns_hopeless_while_it_waits_is_refused_then(self):
+    def test_request_that_becomes_infeasible_while_it_waits_is_refused_then(self):
         async def play():
             self.begin()
             self.take_slots(10.0)
@@ -311,7 +311,7 @@
 
         run(play())
 
-    def test_refusals_of_full_servers_do_not_wake_the_line(self):
+    def test_refusals_of_full_servers_do_not_wake_the_queue(self):
         """Each poll costs one attempt; otherwise queued requests would wake each other forever."""
 
         async def play():
@@ -334,7 +334,7 @@
 
         run(play())
 
-    def test_client_that_leaves_the_line_reaches_no_server(self):
+    def test_client_that_leaves_the_queue_reaches_no_server(self):
         async def play():
             for send in (self.send, self.stream):
                 self.begin()
@@ -366,7 +366,7 @@
 
         run(play())
 
-    def test_request_that_waited_and_then_ran_is_never_answered_as_not_run(self):
+    def test_request_that_waited_and_then_ran_is_never_reported_as_not_run(self):
         """Its server does not respond before the deadline, or cuts its response off."""
 
         async def play():
@@ -398,7 +398,7 @@
 
         run(play())
 
-    def test_waiting_request_whose_time_ends_is_not_sent(self):
+    def test_waiting_request_whose_deadline_passes_is_not_sent(self):
         async def play():
             self.begin()
             seconds, _ = await self.refusal(self.send(make_route(), 0.0))
@@ -407,7 +407,7 @@
 
         run(play())
 
-    def test_request_is_tried_at_free_servers_that_failed_a_moment_ago(self):
+    def test_request_is_tried_at_free_servers_that_failed_recently(self):
         """No slot is known to be taken and no request waits, so a refusal would be unnecessary."""
 
         async def play():
@@ -436,7 +436,7 @@
         self.assertEqual(POLL_INTERVAL_SECONDS, poll_interval(24 * 8))
         self.assertGreater(poll_interval(3200 * 8), 10 * POLL_INTERVAL_SECONDS)
 
-    def test_queue_of_a_large_service_is_not_polled_for_each_end(self):
+    def test_queue_of_a_large_service_is_not_polled_for_each_ended_request(self):
         for slot_counts, polls in ((24 * 8, 20), (3200 * 8, 0)):
             self.assertEqual(
                 polls, run(self.polls_for_ends(SlotCounts(slot_counts, slot_counts, SERVICE_TIME)))
@@ -466,7 +466,7 @@
             turn.cancel()
         return polls
 
-    def test_forecasts_are_counted_with_what_became_of_them(self):
+    def test_forecasts_are_counted_with_their_outcomes(self):
         async def play():
             self.begin(service_time=0.3)
             others = [self.send(make_route()) for _ in range(SLOTS)]
@@ -481,7 +481,7 @@
 
         run(play())
 
-    def test_survey_counts_no_free_place_where_a_server_refused(self):
+    def test_server_that_refused_has_no_free_slot(self):
         async def play():
             self.begin(count=2)
             self.assertEqual(2 * SLOTS, count_slots(*self.count_arguments()).free)
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -96,7 +96,7 @@
         """Returns the number of requests in progress at servers."""
         return sum(state.running for state in self.engines.engines.values())
 
-    def test_slow_server_is_overtaken_by_a_second_one(self):
+    def test_second_server_is_tried_while_the_first_is_slow(self):
         async def play():
             self.begin(slow=ScriptedEngine(event_seconds=1.4), quick=ScriptedEngine())
             for _ in range(10):
@@ -109,7 +109,7 @@
 
         run(play())
 
-    def test_silent_server_costs_few_requests_their_objective(self):
+    def test_unresponsive_server_makes_few_requests_miss_their_objective(self):
         async def play():
             self.begin(silent=ScriptedEngine(event_seconds=SILENT_SECONDS), quick=ScriptedEngine())
             late = 0
@@ -121,7 +121,7 @@
 
         run(play())
 
-    def test_failing_server_is_left_for_another_within_the_budget(self):
+    def test_another_server_is_tried_after_a_failure_within_the_limit(self):
         async def play():
             self.begin(grey=ScriptedEngine(status=500), sound=ScriptedEngine())
             for _ in range(10):
@@ -142,7 +142,7 @@
 
         run(play())
 
-    def test_full_servers_that_free_no_place_are_refused_by_half_the_time_and_nothing_runs(self):
+    def test_requests_to_full_servers_are_refused_by_half_the_time_and_nothing_runs(self):
         """A request that long without a slot is not expected to be served; later ones fail sooner.
 
         Every server gets a request before the first refusal.
@@ -162,7 +162,7 @@
 
         run(play())
 
-    def test_burst_is_spread_over_all_places(self):
+    def test_burst_is_spread_over_all_slots(self):
         async def play():
             self.begin(**{f"s{number}": ScriptedEngine(event_seconds=0.05) for number in range(4)})
             requests = [
@@ -175,7 +175,7 @@
 
         run(play())
 
-    def test_request_that_may_run_once_is_never_sent_again_after_a_lost_answer(self):
+    def test_run_once_request_is_never_sent_again_after_a_lost_response(self):
         async def play():
             self.begin(a=ScriptedEngine(), b=ScriptedEngine())
             original = ScriptedResponse.chunks
@@ -189,7 +189,7 @@
 
         run(play())
 
-    def test_request_that_may_run_once_goes_on_after_proof_that_it_did_not_run(self):
+    def test_run_once_request_is_sent_again_after_proof_that_it_did_not_run(self):
         async def play():
             self.begin(
                 down=ScriptedEngine(down=True),
@@ -203,7 +203,7 @@
 
         run(play())
 
-    def test_servers_get_the_time_that_is_left_and_no_more(self):
+    def test_servers_get_the_remaining_time(self):
         async def play():
             self.begin(silent=ScriptedEngine(event_seconds=SILENT_SECONDS))
             cases = ((0.7, REPEATABLE, 0.7), (9.0, REPEATABLE, 2.0), (None, ONCE, 2.0))
@@ -219,7 +219,7 @@
 
         run(play())
 
-    def test_timed_out_request_that_may_run_once_is_not_told_that_it_did_not_run(self):
+    def test_timed_out_run_once_request_is_not_reported_as_not_run(self):
         """It was sent, so a refusal would be wrong."""
 
         async def play():
@@ -231,7 +231,7 @@
 
         run(play())
 
-    def test_stream_that_does_not_begin_ends_with_its_time(self):
+    def test_stream_that_does_not_begin_ends_at_its_deadline(self):
         async def play():
             self.begin(silent=ScriptedEngine())
             self.engines.head_delay = SILENT_SECONDS
@@ -244,7 +244,7 @@
 
         run(play())
 
-    def test_stream_that_has_begun_is_not_cut_by_its_time(self):
+    def test_stream_that_has_begun_is_not_cut_off_at_its_deadline(self):
         async def play():
             self.begin(slow=ScriptedEngine(event_seconds=1.0))
             async with self.forwarder.stream(self.request(0.5), STREAM) as answer:
@@ -252,7 +252,7 @@
 
         run(play())
 
-    def test_leaving_server_gets_no_new_request(self):
+    def test_draining_server_gets_no_new_request(self):
         async def play():
             self.begin(leaving=ScriptedEngine(), stays=ScriptedEngine())
             self.list("leaving", InstanceState.LEAVING)
@@ -262,7 +262,7 @@
 
         run(play())
 
-    def test_client_that_leaves_ends_the_work_at_the_server(self):
+    def test_client_disconnect_ends_the_work_at_the_server(self):
         async def play():
             self.begin(slow=ScriptedEngine(event_seconds=1.0))
             work = asyncio.create_task(self.forwarder.forward(self.request(), REPEATABLE))
--- a/tests/test_lasting_pace.py
+++ b/tests/test_lasting_pace.py
@@ -66,23 +66,23 @@
 class ServiceTimeRulesTest(unittest.TestCase):
     """Each case of each table."""
 
-    def test_sustained_pace(self):
+    def test_sustained_service_time(self):
         for case, means, expected in QUICK_MEANS:
             with self.subTest(case):
                 self.assertEqual(expected, low_quantile(means))
 
-    def test_usual_pace(self):
+    def test_baseline(self):
         for usual, sustained, expected in USUAL:
             with self.subTest(usual=usual, sustained=sustained):
                 self.assertAlmostEqual(expected, smooth_baseline(usual, sustained))
 
-    def test_slowness_taken_out(self):
+    def test_correction_for_slowness(self):
         for case, seconds, slowness, quickest, slowest, expected in CORRECTIONS:
             with self.subTest(case):
                 found = without_slowness(seconds, slowness, quickest, slowest)
                 self.assertAlmostEqual(expected, found)
 
-    def test_slowness_that_is_believed(self):
+    def test_slowness_factor(self):
         for reported, usual, expected in SLOWNESS_FACTORS:
             with self.subTest(reported=reported, usual=usual):
                 self.assertAlmostEqual(expected, believed_slowness(reported, usual))
@@ -103,12 +103,12 @@
             for _ in range(streams):
                 self.history.record(self.now, service_time)
 
-    def test_nothing_is_known_at_first(self):
+    def test_service_time_is_unknown_at_first(self):
         self.assertEqual(0.0, self.history.service_time(0.0))
         self.history.record(0.0, FAST)
         self.assertEqual(0.0, self.history.service_time(0.1))
 
-    def test_bursts_are_passed_over_at_servers_of_two_speeds(self):
+    def test_bursts_are_ignored_at_servers_of_two_speeds(self):
         rng = random.Random(3)
         for base in (FAST, SLOW):
             self.setUp()
@@ -118,46 +118,46 @@
                 self.measure(base * BURST if is_burst else base, BURST_SECONDS)
                 self.assertLess(self.history.service_time(self.now), 1.05 * base)
 
-    def test_lasting_slowness_is_believed_within_three_seconds(self):
+    def test_lasting_slowness_is_detected_within_three_seconds(self):
         self.measure(FAST, 3.0)
         self.measure(3 * FAST, 3.0)
         self.assertAlmostEqual(3 * FAST, self.history.service_time(self.now), 3)
         self.measure(FAST, 1.5)
         self.assertAlmostEqual(FAST, self.history.service_time(self.now), 3)
 
-    def test_server_that_was_ill_is_taken_for_what_it_usually_is_after_a_silence(self):
+    def test_degraded_server_has_its_baseline_after_a_time_without_measurements(self):
         self.measure(FAST, 10.0)
         self.measure(3 * FAST, 5.0)
         self.now += SUSTAINED_SECONDS + 0.1
         self.assertLess(self.history.service_time(self.now), 1.2 * FAST)
 
-    def test_usual_pace_outlasts_silence_and_ends(self):
+    def test_baseline_expires_after_a_time_without_measurements(self):
         self.measure(SLOW, 3.0)
         self.assertAlmostEqual(
             SLOW, self.history.service_time(self.now + BASELINE_LIFETIME_SECONDS - 1)
         )
         self.assertEqual(0.0, self.history.service_time(self.now + BASELINE_LIFETIME_SECONDS))
 
-    def test_server_that_stays_slow_becomes_usually_slow(self):
+    def test_baseline_follows_a_server_that_stays_slow(self):
         self.measure(FAST, 5.0)
         self.measure(SLOW, 300.0, streams=1)
         self.now += SUSTAINED_SECONDS + 0.1
         self.assertGreater(self.history.service_time(self.now), 0.9 * SLOW)
 
-    def test_events_that_come_together_make_no_server_quick(self):
+    def test_events_that_arrive_together_do_not_lower_the_service_time(self):
         """Two events arrive in one packet: a zero interval after a double one."""
         for number in range(200):
             self.now += FAST
             self.history.record(self.now, 0.0 if number % 2 else 2 * FAST)
         self.assertAlmostEqual(FAST, self.history.service_time(self.now), 2)
 
-    def test_few_measurements_count_for_a_minute(self):
+    def test_few_measurements_are_kept_for_a_minute(self):
         for _ in range(5):
             self.now += SLICE_LIFETIME_SECONDS / 6
             self.history.record(self.now, SLOW)
         self.assertAlmostEqual(SLOW, self.history.service_time(self.now))
 
-    def test_measurement_after_a_long_silence_makes_no_old_pace_new(self):
+    def test_measurement_after_a_long_gap_does_not_revive_an_old_service_time(self):
         self.measure(3 * FAST, 5.0)
         self.now += 2 * BASELINE_LIFETIME_SECONDS
         self.history.record(self.now, FAST)
@@ -167,7 +167,7 @@
         self.measure(FAST, 1.0)
         self.assertAlmostEqual(FAST, self.history.service_time(self.now))
 
-    def test_server_that_is_asked_too_seldom_keeps_no_pace_for_good(self):
+    def test_server_that_is_measured_too_seldom_has_no_service_time(self):
         """Slices more than a minute apart expire before there are enough of them."""
         self.measure(SLOW, 5.0)
         for _ in range(5):
@@ -188,22 +188,22 @@
         for second, figure in enumerate(reported):
             self.slowness.record(float(second), figure)
 
-    def test_server_that_says_nothing_is_as_usual(self):
+    def test_server_without_reports_is_as_usual(self):
         self.assertFalse(self.slowness.has_reports)
         self.assertEqual(1.0, self.slowness.factor(0.0))
 
-    def test_slowness_is_used_for_a_moment_only(self):
+    def test_slowness_expires_quickly(self):
         self.say(1.0, 1.0, 2.5)
         self.assertAlmostEqual(2.5, self.slowness.factor(2.0))
         self.assertEqual(1.0, self.slowness.factor(2.01 + SLOWNESS_LIFETIME_SECONDS))
 
-    def test_server_that_always_says_the_same_is_as_usual(self):
+    def test_server_with_constant_reports_is_as_usual(self):
         for figure in (0.01, 1.7, 9999.0):
             self.setUp()
             self.say(figure, figure, figure)
             self.assertAlmostEqual(1.0, self.slowness.factor(2.0))
 
-    def test_what_is_said_many_times_a_second_counts_once(self):
+    def test_frequent_reports_within_a_slice_count_once(self):
         self.say(1.0, 1.0)
         for number in range(100):
             self.slowness.record(1.0 + number / 1000, 2.5)
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -71,7 +71,7 @@
 class IncarnationTest(unittest.TestCase):
     """Knowledge about a server is dropped with its incarnation."""
 
-    def test_restart_under_the_same_name_begins_anew(self):
+    def test_restart_under_the_same_name_starts_without_measurements(self):
         async def play():
             known = KnownServers()
             await known.stream(SERVER, SLOW)
@@ -84,7 +84,7 @@
 
         run(play())
 
-    def test_run_at_the_earlier_incarnation_says_nothing_of_the_next(self):
+    def test_run_at_the_earlier_incarnation_does_not_affect_the_next(self):
         async def play():
             known = KnownServers()
             known.start(RESTARTED)
@@ -111,7 +111,7 @@
 class ReportedServiceTimesTest(unittest.TestCase):
     """Service times that other daemons report with their heartbeats."""
 
-    def test_own_measurement_counts_before_a_report(self):
+    def test_own_measurement_takes_precedence_over_a_report(self):
         async def play():
             known = KnownServers()
             known.service_times.record_report(DaemonId("d"), {SERVER: SLOW})
@@ -121,7 +121,7 @@
 
         run(play())
 
-    def test_fresh_report_counts_before_what_was_measured_here_earlier(self):
+    def test_fresh_report_takes_precedence_over_older_own_measurements(self):
         """A server degrades while another daemon uses it, and recovers."""
 
         async def play():
@@ -135,7 +135,7 @@
 
         run(play())
 
-    def test_illness_is_reported_while_it_is_measured_and_its_end_for_a_while(self):
+    def test_degradation_is_reported_while_measured_and_recovery_for_some_seconds(self):
         for case, service_time, silence, expected in (
             ("measured", FAST, 1.0, True),
             ("not measured any more", FAST, SUSTAINED_SECONDS, False),
@@ -149,7 +149,7 @@
                     history.record(number * 0.25, FAST if number < 20 else service_time)
                 self.assertEqual(expected, is_reported(history, 39 * 0.25 + silence + 0.01))
 
-    def test_one_daemon_that_measures_wrong_moves_nothing(self):
+    def test_one_daemon_with_wrong_measurements_has_no_effect(self):
         async def play():
             known = KnownServers()
             for daemon, service_time in (("a", FAST), ("late", 1.0), ("b", FAST)):
@@ -158,7 +158,7 @@
 
         run(play())
 
-    def test_reports_outlast_silent_heartbeats_and_end(self):
+    def test_reports_outlive_their_daemon_and_expire(self):
         async def play():
             known = KnownServers()
             known.service_times.record_report(DaemonId("d"), {SERVER: SLOW})
@@ -184,7 +184,7 @@
 
         run(play())
 
-    def test_all_paces_are_reported_by_turns_while_they_are_young(self):
+    def test_all_recent_service_times_are_reported_by_turns(self):
         async def play():
             known = KnownServers()
             names = [
@@ -202,7 +202,7 @@
 
         run(play())
 
-    def test_heartbeats_that_carry_no_paces_take_nobodys_turn(self):
+    def test_heartbeats_without_service_times_do_not_use_up_turns(self):
         async def play():
             known = KnownServers()
             names = [
@@ -220,7 +220,7 @@
 
         run(play())
 
-    def test_a_fleet_knows_the_paces_that_one_daemon_has_measured(self):
+    def test_fleet_knows_the_service_times_that_one_daemon_measured(self):
         async def play():
             fleet = PlatformFleet(gateways=3, engines=2)
             await fleet.wait(3.0)
@@ -235,7 +235,7 @@
 
         run(play())
 
-    def test_heartbeat_carries_a_report_and_is_as_before_without(self):
+    def test_heartbeat_carries_a_report_and_is_unchanged_without_one(self):
         flow = Flow(FlowGroup(PAGES, 1), "t")
         report = DaemonReport({SERVER: SLOW, InstanceId("e1"): FAST})
         report = replace(report, tenants={flow: FlowUsage(3, 1)}, capacity=1.5)
@@ -247,7 +247,7 @@
 class SlownessTest(unittest.TestCase):
     """Short requests use the lasting service time and the current slowness."""
 
-    def test_burst_moves_the_choice_for_a_moment_only(self):
+    def test_burst_changes_the_choice_only_briefly(self):
         async def play():
             known = KnownServers()
             for _ in range(5):
@@ -260,7 +260,7 @@
 
         run(play())
 
-    def test_figures_other_than_the_results_show_move_a_choice_within_bounds(self):
+    def test_wrong_slowness_reports_affect_a_choice_within_bounds(self):
         """The server reports a slowness that its response times do not confirm."""
 
         async def play():
@@ -277,7 +277,7 @@
 
         run(play())
 
-    def test_first_pace_of_a_server_is_known_to_have_the_latency_in_it(self):
+    def test_first_service_time_of_a_server_includes_the_latency(self):
         """Until the lasting service time is known, the smoothed one of this daemon is used."""
 
         async def play():
@@ -294,7 +294,7 @@
 
         run(play())
 
-    def test_server_that_says_nothing_has_its_smoothed_pace(self):
+    def test_server_without_reports_has_its_smoothed_service_time(self):
         async def play():
             known = KnownServers()
             for seconds in (0.04, 0.08):
@@ -304,7 +304,7 @@
 
         run(play())
 
-    def test_servers_that_say_nothing_are_chosen_as_before(self):
+    def test_servers_without_reports_are_chosen_by_smoothed_service_time(self):
         """Among servers that differ only in the smoothed service time, the faster comes first."""
 
         async def play():
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -96,7 +96,7 @@
                         ["first", "second"], [info.id for info in rank(order, SERVICE_TIME)]
                     )
 
-    def test_expected_wait_counts_the_request_itself_its_slots_and_the_pace(self):
+    def test_expected_wait_depends_on_requests_slots_and_service_time(self):
         for expected, best_service_time, changes in (
             (3 / 8, SERVICE_TIME, {}),
             (3 / 8, 0.0, {}),  # no service time is known
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -92,8 +92,8 @@
             with self.subTest(kind=route.kind):
                 run(work(route))
 
-    def test_servers_status_of_a_run_is_no_promise(self) -> None:
-        """A server that failed with such a status may have run the request."""
+    def test_status_of_a_server_that_ran_the_request_is_not_passed_on(self) -> None:
+        """A server that responds with such a status has still run the request."""
         for status in sorted(NOT_RUN_STATUSES):
 
             async def work(route, status=status) -> None:
@@ -127,7 +127,7 @@
 
         self.play(work)
 
-    def test_refusal_and_then_a_lost_response(self) -> None:
+    def test_refusal_followed_by_a_lost_response(self) -> None:
         async def work(route) -> None:
             self.begin(NotRunError(NotRunReason.FULL), BrokenResponseError("lost"))
             error = await self.end_of(route)
@@ -143,7 +143,7 @@
 
         self.play(work)
 
-    def test_time_is_over_while_a_server_may_run_it(self) -> None:
+    def test_deadline_passes_while_a_server_may_run_it(self) -> None:
         async def work() -> None:
             self.begin(event_seconds=LATE_SECONDS)
             error = await self.end_of(ONCE)
@@ -151,7 +151,7 @@
 
         run(work())
 
-    def test_time_is_over_while_it_waits(self) -> None:
+    def test_deadline_passes_while_it_waits(self) -> None:
         async def work(route) -> None:
             self.begin(running=SLOTS)
             error = await self.end_of(route)
@@ -164,7 +164,7 @@
 
         self.play(work)
 
-    def test_final_error_promises_only_what_is_certain(self) -> None:
+    def test_final_error_states_only_what_is_certain(self) -> None:
         for is_timed_out in (False, True):
             for is_quarantined in (False, True):
                 unserved = UnservedRequest(True, is_quarantined, is_timed_out, 0.1)
@@ -173,7 +173,7 @@
                     certain = replace(unserved, may_have_run=False)
                     self.assertEqual(503, final_error(certain).status)
 
-    def test_repeatable_requests_take_no_harm(self) -> None:
+    def test_idempotent_requests_are_unaffected(self) -> None:
         for status in NOT_RUN_STATUSES:
             self.assertFalse(implies_not_run(status, RouteKind.IDEMPOTENT))
         self.assertFalse(implies_not_run(500, RouteKind.RUN_ONCE))
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -25,7 +25,7 @@
 class MaxServersTest(unittest.TestCase):
     """The maximum number of servers that may run a request."""
 
-    def test_only_idempotent_requests_that_are_no_trial_run_more_than_once(self):
+    def test_only_idempotent_requests_outside_trials_run_more_than_once(self):
         for kind, is_trial, expected in (
             (RouteKind.IDEMPOTENT, False, 3),
             (RouteKind.IDEMPOTENT, True, 1),
@@ -62,7 +62,7 @@
 class FinalErrorTest(unittest.TestCase):
     """The error of a request that gets no response."""
 
-    def test_each_ending(self):
+    def test_each_outcome(self):
         for may_have_run, is_quarantined, is_timed_out, error, ran, retry_after in (
             (False, False, False, RefusedError, Ran.NO, RETRY_SECONDS),
             (False, False, True, RefusedError, Ran.NO, RETRY_SECONDS),
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -49,7 +49,7 @@
 class RuleTest(SubsetCase):
     """The number of daemons per server, and the choice of them."""
 
-    def test_daemons_a_server(self):
+    def test_daemons_per_server(self):
         for daemons, servers, wanted in (
             (1, 3200, 1),
             (2, 3200, 2),
@@ -68,7 +68,7 @@
             with self.subTest(daemons=daemons, servers=servers):
                 self.assertEqual(wanted, daemons_per_server(daemons, servers))
 
-    def test_subsets_are_as_large_as_they_are_to_be_on_average(self):
+    def test_subsets_have_the_intended_average_size(self):
         for daemons in (80, 200, 370):
             for servers in (300, 1000, 3200):
                 mean = daemons_per_server(daemons, servers) * servers / daemons
@@ -76,7 +76,7 @@
                 few = max(2 * MIN_SUBSET_SIZE, MIN_DAEMONS_PER_SERVER * servers / daemons)
                 self.assertLessEqual(mean, few)
 
-    def test_no_more_daemons_are_asked_than_needed(self):
+    def test_search_for_higher_ranked_daemons_stops_at_the_limit(self):
         others = {name: daemon_seed(name) for name in DAEMONS - {"d0"}}
         own = daemon_seed(DaemonId("d0"))
         for server in SERVERS:
@@ -92,16 +92,16 @@
     def test_every_server_is_in_enough_subsets(self):
         self.check_coverage(new_subsets(DAEMONS, SERVERS), SERVERS)
 
-    def test_lone_daemon_has_all_servers(self):
+    def test_single_daemon_has_all_servers(self):
         subset = new_subset(DaemonId("d0"), frozenset(), SERVERS)
         self.assertEqual(SERVERS, frozenset(subset.ids))
 
-    def test_daemon_that_is_not_counted_itself_has_a_subset_all_the_same(self):
+    def test_daemon_that_is_not_listed_as_alive_has_a_subset(self):
         """A draining daemon is not listed as alive, but goes on serving."""
         subset = new_subset(DaemonId("d0"), DAEMONS - {"d0"}, SERVERS)
         self.assertEqual(set(new_subset(DaemonId("d0"), DAEMONS, SERVERS).ids), set(subset.ids))
 
-    def test_coverage_lasts_while_daemons_and_servers_come_and_go(self):
+    def test_coverage_is_kept_while_daemons_and_servers_are_added_and_removed(self):
         rng = random.Random(3)
         daemons, servers = set(DAEMONS), set(SERVERS)
         subsets = new_subsets(DAEMONS, SERVERS)
@@ -125,7 +125,7 @@
             new = new_subset(own, daemons, servers)
             self.assertEqual(set(new.ids), set(subsets[own].ids))
 
-    def test_one_daemon_less_changes_only_who_serves_its_servers(self):
+    def test_removing_a_daemon_changes_only_the_subsets_for_its_servers(self):
         subsets = new_subsets(DAEMONS, SERVERS)
         before = {own: set(subset.ids) for own, subset in subsets.items()}
         gone = DaemonId("d7")
@@ -135,7 +135,7 @@
             self.assertLessEqual(before[own] ^ set(subset.ids), lost)
             self.assertLessEqual(before[own], set(subset.ids))
 
-    def test_one_server_less_changes_nothing_else(self):
+    def test_removing_a_server_changes_nothing_else(self):
         subsets = new_subsets(DAEMONS, SERVERS)
         before = {own: set(subset.ids) for own, subset in subsets.items()}
         for own, subset in subsets.items():
@@ -146,7 +146,7 @@
 class UpdateTest(unittest.TestCase):
     """Subsets follow the service index and the members on access."""
 
-    def test_subset_follows_what_is_listed_and_who_is_alive(self):
+    def test_subset_follows_listed_servers_and_alive_daemons(self):
         index = ServiceIndex()
         alive = [DAEMONS]
         subsets = DaemonSubsets(DaemonId("d0"), lambda: alive[0])
@@ -159,7 +159,7 @@
         alive[0] = frozenset({"d0"})
         self.assertEqual(len(SERVERS) - 1, len(subsets.ids(SERVICE, index)))
 
-    def test_nothing_is_worked_out_again_while_nothing_comes_or_goes(self):
+    def test_nothing_is_recomputed_while_the_fleet_is_unchanged(self):
         index = ServiceIndex()
         subsets = DaemonSubsets(DaemonId("d0"), lambda: DAEMONS)
         index.put(make_instance("s0", SERVICE), ())
--- a/tests/test_uneven_engines.py
+++ b/tests/test_uneven_engines.py
@@ -71,7 +71,7 @@
         """Returns the number of runs that were moved."""
         return run(play_steps(event_times, events=events))[0]
 
-    def test_runs_at_equal_engines_stay_through_bursts(self):
+    def test_runs_at_equal_engines_are_not_moved_in_bursts(self):
         self.assertEqual(0, self.moves([FAST] * ENGINE_COUNT, events=60))
         with smoothed_service_times():
             self.assertGreater(self.moves([FAST] * ENGINE_COUNT, events=60), 0)
@@ -79,7 +79,7 @@
     def test_short_items_stay_at_slow_engines(self):
         self.assertEqual(0, self.moves([FAST, FAST, SLOW] * 2))
 
-    def test_long_items_leave_slow_engines_once_and_the_step_is_sooner(self):
+    def test_long_items_leave_slow_engines_once_and_the_batches_are_faster(self):
         def play(switch: AbstractContextManager) -> tuple[int, float]:
             with switch:
                 return run(play_steps([FAST, FAST, SLOW] * 2, events=60))
