--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -80,8 +80,8 @@
 class AttemptPermits:
     """The attempts permitted at one moment to requests for one kind of work.
 
-    At least one request may try even if no slot is estimated free, as this daemon is not notified
-    of the ends of other daemons' requests.
+    At least one request may try even if no slot is estimated free, as a daemon is not notified when
+    requests of other daemons end.
 
     Args:
         free: slots estimated free.
--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -3,9 +3,9 @@
 `fair_order` defines the order. A request leaves its queue when its turn to try the servers comes,
 or as soon as its forecast becomes infeasible.
 
-A queue is dispatched when a request of this daemon ends at the service, and by a timer, as this
-daemon is not notified of the ends of other daemons' requests. Each dispatch lets one request try,
-or as many as there are slots estimated free.
+A queue is dispatched when a request of this daemon ends at the service, and by a timer, as a daemon
+is not notified when requests of other daemons end. Each dispatch lets one request try, or as many
+as there are slots estimated free.
 
 A waiting request counts towards the shares of flows only during a persistent shortage.
 
--- a/src/larkpost/gateway/proxy/shortage_detector.py
+++ b/src/larkpost/gateway/proxy/shortage_detector.py
@@ -58,8 +58,8 @@
     def is_persistent(self, service: ServiceName) -> bool:
         """Returns whether a service has a persistent shortage of slots."""
         counts = self._counts(service)
-        least = MIN_MISSED_FRACTION * (counts.granted + counts.missed)
-        return counts.missed >= max(MIN_MISSED_REQUESTS, least)
+        min_missed = MIN_MISSED_FRACTION * (counts.granted + counts.missed)
+        return counts.missed >= max(MIN_MISSED_REQUESTS, min_missed)
 
     def _counts(self, service: ServiceName) -> _Counts:
         now = self._clock.now()
--- a/src/larkpost/gateway/proxy/subset.py
+++ b/src/larkpost/gateway/proxy/subset.py
@@ -18,7 +18,7 @@
 nearly always contains a server with a free slot."""
 MIN_DAEMONS_PER_SERVER = 3
 """Minimum number of daemons whose subsets contain a server, if there are that many. It spreads the
-load of a daemon with many clients, or of one that is gone."""
+load of a daemon with many clients, or of one that was removed."""
 
 
 def daemons_per_server(daemons: int, servers: int) -> int:
--- a/tests/test_bounded_choice.py
+++ b/tests/test_bounded_choice.py
@@ -117,7 +117,7 @@
                 "client": scene.client_choice,
                 "reward call": lambda: scene.balancer.candidates(PAGES, REWARD_WORK),
                 "item": lambda: scene.balancer.candidates(PAGES, ITEM_WORK),
-                "survey": lambda: count_slots(scene.balancer, PAGES, CLIENT_WORK),
+                "slot count": lambda: count_slots(scene.balancer, PAGES, CLIENT_WORK),
                 "verdicts": lambda: scene.balancer.verdicts(PAGES),
             }
             counts = {}
@@ -408,8 +408,8 @@
     def test_slots_of_a_sample_are_scaled_up(self):
         async def play():
             scene = Scene(1000, 100)
-            places = count_slots(scene.balancer, PAGES, CLIENT_WORK)
-            self.assertEqual((1000 * SLOTS, 0), (places.total, places.taken))
+            sampled = count_slots(scene.balancer, PAGES, CLIENT_WORK)
+            self.assertEqual((1000 * SLOTS, 0), (sampled.total, sampled.taken))
             scene.fill(scene.subset)
             full = count_slots(scene.balancer, PAGES, CLIENT_WORK)
             self.assertEqual((1000 * SLOTS, 0), (full.total, full.free))
--- a/tests/test_fair_load.py
+++ b/tests/test_fair_load.py
@@ -69,20 +69,20 @@
 class Sums:
     """Counts of client outcomes by tenant."""
 
-    asked: Counter = field(default_factory=Counter)
+    requested: Counter = field(default_factory=Counter)
     served: Counter = field(default_factory=Counter)
     in_time: Counter = field(default_factory=Counter)
 
     def part(self, *tenants: TenantName) -> float:
         """Returns the fraction of the tenants' clients that was served."""
         return sum(self.served[name] for name in tenants) / sum(
-            self.asked[name] for name in tenants
+            self.requested[name] for name in tenants
         )
 
     def part_in_time(self, *tenants: TenantName) -> float:
         """Returns the fraction of the tenants' clients that was served within the objective."""
-        asked = sum(self.asked[name] for name in tenants)
-        return sum(self.in_time[name] for name in tenants) / asked
+        requested = sum(self.requested[name] for name in tenants)
+        return sum(self.in_time[name] for name in tenants) / requested
 
 
 class LoadTest(unittest.TestCase):
@@ -122,10 +122,10 @@
     async def call(self, tenant: TenantName, daemon: Daemon) -> None:
         """Makes one call, and retries once if it is refused."""
         began = self.clock.now()
-        self.sums.asked[tenant] += 1
+        self.sums.requested[tenant] += 1
         for is_last in (False, True):
             left = TIME_LEFT - (self.clock.now() - began)
-            name = f"{tenant}-{self.sums.asked[tenant]}-{is_last}".encode()
+            name = f"{tenant}-{self.sums.requested[tenant]}-{is_last}".encode()
             request = ClientRequest(
                 name, "GET", b"h", b"/", (), b"", self.clock.now(), left, tenant
             )
@@ -233,7 +233,7 @@
             return sums
 
         sums = run(play())
-        self.assertEqual(sums.asked, sums.served)
+        self.assertEqual(sums.requested, sums.served)
 
 
 class LittleRoomTest(LoadTest):
@@ -288,7 +288,7 @@
         sums = self.run_load(rates, seconds=3.0)
         for name in rates:
             self.assertGreater(sums.part(name), STARVED_FRACTION * sums.part(*rates), name)
-        self.assertGreater(sums.served.total(), 0.8 * 3.0 * CAPACITY, "places stay free")
+        self.assertGreater(sums.served.total(), 0.8 * 3.0 * CAPACITY, "slots stay free")
 
 
 class RetryWaveTest(LoadTest):
@@ -309,19 +309,21 @@
             ends = await asyncio.gather(*calls, return_exceptions=True)
             return [end.retry_after for end in ends if isinstance(end, RefusedError)]
 
-        told = run(play())
-        self.assertGreater(len(told), 50)
-        for time in told:
-            together = [other for other in told if time <= other < time + POLL_INTERVAL_SECONDS]
-            self.assertLess(len(together), len(told) / 4)
+        retry_times = run(play())
+        self.assertGreater(len(retry_times), 50)
+        for time in retry_times:
+            together = [
+                other for other in retry_times if time <= other < time + POLL_INTERVAL_SECONDS
+            ]
+            self.assertLess(len(together), len(retry_times) / 4)
 
     def test_retry_precedes_first_attempts(self):
         """This holds even after its objective, and before requests that have waited less."""
 
         async def play() -> list[str]:
             clock = LoopClock()
-            places = SlotCounts(1, 1, SERVICE_TIME)
-            queues = RequestQueues(clock, lambda *_: places, FlowLedger(clock))
+            slot_counts = SlotCounts(1, 1, SERVICE_TIME)
+            queues = RequestQueues(clock, lambda *_: slot_counts, FlowLedger(clock))
             called = []
 
             async def wait(name: str, first_tried: float) -> None:
@@ -574,15 +576,15 @@
                     f"r{number}".encode(), "GET", b"h", b"/", (), b"", fleet.clock.now(), 9.0, HEAVY
                 )
                 calls.append(asyncio.create_task(first.forwarder.forward(request, route)))
-            heard = set()
+            informed = set()
             for _ in range(40):
                 await fleet.wait(0.1)
                 for gateway in others:
                     use = gateway._ledger.uses(group).get(flow("heavy", group))
                     if use is not None and use.running:
-                        heard.add(gateway.id)
+                        informed.add(gateway.id)
             await asyncio.gather(*calls, return_exceptions=True)
-            self.assertEqual({gateway.id for gateway in others}, heard)
+            self.assertEqual({gateway.id for gateway in others}, informed)
             await fleet.wait(REPORT_LIFETIME_SECONDS)
             for gateway in fleet.gateways:
                 self.assertEqual({}, gateway._ledger.uses(group))
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -155,13 +155,13 @@
             clock = LoopClock()
             guard = StarvationGuard(clock, random.Random(5))
             passed = 0
-            asked = 2000
-            for number in range(asked):
+            requested = 2000
+            for number in range(requested):
                 await clock.sleep(0.01)
                 passed += guard.admit(HEAVY, is_over_share=True)
                 if number % 10 == 0:
                     guard.record_slot_granted(LIGHT, is_share_exempt=False)
-            part = passed / asked
+            part = passed / requested
             self.assertGreater(part, STARVED_FRACTION * 0.1)
             self.assertLess(part, 1.2 * MIN_RELATIVE_SERVICE * 0.1)
 
@@ -220,12 +220,12 @@
         async def play():
             clock = LoopClock()
             near, far = FlowLedger(clock), FlowLedger(clock)
-            with contextlib.ExitStack() as held:
+            with contextlib.ExitStack() as stack:
                 for _ in range(3):
-                    held.enter_context(far.running(HEAVY))
-                held.enter_context(far.waiting(HEAVY))
-                held.enter_context(near.running(HEAVY))
-                held.enter_context(near.waiting(LIGHT))
+                    stack.enter_context(far.running(HEAVY))
+                stack.enter_context(far.waiting(HEAVY))
+                stack.enter_context(near.running(HEAVY))
+                stack.enter_context(near.waiting(LIGHT))
                 alone = compute_shares(near.uses(GROUP), free=0)
                 self.assertEqual(1, alone.flow_share(HEAVY).use)
                 self.assertFalse(
@@ -254,12 +254,12 @@
     def test_report_is_bounded_and_contains_the_highest_use(self):
         async def play():
             ledger = FlowLedger(LoopClock())
-            with contextlib.ExitStack() as held:
+            with contextlib.ExitStack() as stack:
                 for _ in range(40):
-                    held.enter_context(ledger.running(flow("x" * (MAX_REPORTED_NAME_LENGTH + 1))))
+                    stack.enter_context(ledger.running(flow("x" * (MAX_REPORTED_NAME_LENGTH + 1))))
                 for number in range(30):
                     for _ in range(number + 1):
-                        held.enter_context(ledger.waiting(flow(f"tenant-{number}")))
+                        stack.enter_context(ledger.waiting(flow(f"tenant-{number}")))
                 report = ledger.report()
             self.assertEqual(MAX_REPORTED_FLOWS, len(report))
             self.assertEqual(FlowUsage(0, 30), report[flow("tenant-29")])
@@ -348,7 +348,7 @@
     def test_they_retry_one_after_the_other_in_their_order(self):
         async def play():
             times = RetrySchedule(LoopClock(), random.Random(1))
-            delays = [times.reserve("line", 0.2, 0.05, 1.0) for _ in range(12)]
+            delays = [times.reserve("queue", 0.2, 0.05, 1.0) for _ in range(12)]
             self.assertEqual(sorted(delays), delays)
             self.assertGreaterEqual(delays[0], 0.2)
             for sooner, later in itertools.pairwise(delays):
@@ -360,11 +360,11 @@
     def test_clients_that_cannot_wait_for_their_turn_are_spread_over_their_time(self):
         async def play():
             times = RetrySchedule(LoopClock(), random.Random(1))
-            delays = [times.reserve("line", 5.0, 0.05, 0.4) for _ in range(100)]
+            delays = [times.reserve("queue", 5.0, 0.05, 0.4) for _ in range(100)]
             self.assertLessEqual(max(delays), 0.4)
             self.assertGreater(max(delays) - min(delays), 0.15)
             # Clients that could not wait do not delay later ones.
-            self.assertLess(times.reserve("line", 0.1, 0.05, 1.0), 0.2)
+            self.assertLess(times.reserve("queue", 0.1, 0.05, 1.0), 0.2)
 
         run(play())
 
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -106,10 +106,10 @@
             self.assertGreater(forecast.retry_after, 0)
             self.assertLessEqual(forecast.retry_after, 0.5 * MAX_RETRY_SHARE)
         patient = Deadlines(objective_at=0.2, expires_at=100.0, default_service_time=0.05)
-        told = make_forecast(SlotCounts(4, 4, 0.4), patient, 0.0, ahead=1).retry_after
-        self.assertAlmostEqual(0.2, told)
-        told = make_forecast(SlotCounts(4, 4, 0.4), patient, 0.0, ahead=900).retry_after
-        self.assertEqual(MAX_RETRY_SECONDS, told)
+        delay = make_forecast(SlotCounts(4, 4, 0.4), patient, 0.0, ahead=1).retry_after
+        self.assertAlmostEqual(0.2, delay)
+        delay = make_forecast(SlotCounts(4, 4, 0.4), patient, 0.0, ahead=900).retry_after
+        self.assertEqual(MAX_RETRY_SECONDS, delay)
 
 
 class WaitingTest(unittest.TestCase):
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -26,7 +26,7 @@
 from tests.server_parts import OBJECTIVE, SLOTS, make_instance, make_parts, make_route
 from tests.virtual import run
 
-SILENT_SECONDS = 1000.0
+UNRESPONSIVE_SECONDS = 1000.0
 REPEATABLE = make_route(RouteKind.IDEMPOTENT)
 ONCE = make_route(RouteKind.RUN_ONCE)
 STREAM = make_route(RouteKind.STREAM)
@@ -111,7 +111,9 @@
 
     def test_unresponsive_server_makes_few_requests_miss_their_objective(self):
         async def play():
-            self.begin(silent=ScriptedEngine(event_seconds=SILENT_SECONDS), quick=ScriptedEngine())
+            self.begin(
+                silent=ScriptedEngine(event_seconds=UNRESPONSIVE_SECONDS), quick=ScriptedEngine()
+            )
             late = 0
             for _ in range(30):
                 began = self.clock.now()
@@ -205,7 +207,7 @@
 
     def test_servers_get_the_remaining_time(self):
         async def play():
-            self.begin(silent=ScriptedEngine(event_seconds=SILENT_SECONDS))
+            self.begin(silent=ScriptedEngine(event_seconds=UNRESPONSIVE_SECONDS))
             cases = ((0.7, REPEATABLE, 0.7), (9.0, REPEATABLE, 2.0), (None, ONCE, 2.0))
             for time_left, route, expected in cases:
                 self.engines.times_left.clear()
@@ -223,7 +225,7 @@
         """It was sent, so a refusal would be wrong."""
 
         async def play():
-            self.begin(silent=ScriptedEngine(event_seconds=SILENT_SECONDS))
+            self.begin(silent=ScriptedEngine(event_seconds=UNRESPONSIVE_SECONDS))
             with self.assertRaises(RequestTimeoutError) as caught:
                 await self.forwarder.forward(self.request(0.5), ONCE)
             self.assertEqual(504, caught.exception.status)
@@ -234,7 +236,7 @@
     def test_stream_that_does_not_begin_ends_at_its_deadline(self):
         async def play():
             self.begin(silent=ScriptedEngine())
-            self.engines.head_delay = SILENT_SECONDS
+            self.engines.head_delay = UNRESPONSIVE_SECONDS
             began = self.clock.now()
             with self.assertRaises(RequestTimeoutError):
                 async with self.forwarder.stream(self.request(0.5), STREAM):
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -136,18 +136,18 @@
         run(play())
 
     def test_degradation_is_reported_while_measured_and_recovery_for_some_seconds(self):
-        for case, service_time, silence, expected in (
+        for case, service_time, gap, expected in (
             ("measured", FAST, 1.0, True),
             ("not measured any more", FAST, SUSTAINED_SECONDS, False),
-            ("ill", 3 * FAST, 1.0, True),
-            ("it may be well again", 3 * FAST, SUSTAINED_SECONDS, True),
+            ("degraded", 3 * FAST, 1.0, True),
+            ("it may have recovered", 3 * FAST, SUSTAINED_SECONDS, True),
             ("long ago", 3 * FAST, RECOVERY_SECONDS, False),
         ):
             with self.subTest(case):
                 history = ServiceTimeHistory()
                 for number in range(40):
                     history.record(number * 0.25, FAST if number < 20 else service_time)
-                self.assertEqual(expected, is_reported(history, 39 * 0.25 + silence + 0.01))
+                self.assertEqual(expected, is_reported(history, 39 * 0.25 + gap + 0.01))
 
     def test_one_daemon_with_wrong_measurements_has_no_effect(self):
         async def play():
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -61,7 +61,7 @@
         {"service_time": SERVICE_TIME, "tie_break": 0.9},
         {"service_time": 1.1 * SERVICE_TIME},
     ),
-    "an unknown pace counts as the best": (
+    "an unknown service time counts as the best": (
         {"service_time": 0.0, "tie_break": 0.9},
         {"service_time": 1.1 * SERVICE_TIME},
     ),
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -106,9 +106,9 @@
         daemons, servers = set(DAEMONS), set(SERVERS)
         subsets = new_subsets(DAEMONS, SERVERS)
         for step in range(12):
-            for gone in rng.sample(sorted(daemons), 3):
-                daemons.remove(gone)
-                del subsets[gone]
+            for removed in rng.sample(sorted(daemons), 3):
+                daemons.remove(removed)
+                del subsets[removed]
             come = {DaemonId(f"new-{step}-{number}") for number in range(rng.randrange(6))}
             daemons |= come
             subsets |= {name: DaemonSubset(name) for name in come}
@@ -128,10 +128,10 @@
     def test_removing_a_daemon_changes_only_the_subsets_for_its_servers(self):
         subsets = new_subsets(DAEMONS, SERVERS)
         before = {own: set(subset.ids) for own, subset in subsets.items()}
-        gone = DaemonId("d7")
-        lost = set(subsets.pop(gone).ids)
+        removed = DaemonId("d7")
+        lost = set(subsets.pop(removed).ids)
         for own, subset in subsets.items():
-            subset.update(DAEMONS - {gone}, SERVERS)
+            subset.update(DAEMONS - {removed}, SERVERS)
             self.assertLessEqual(before[own] ^ set(subset.ids), lost)
             self.assertLessEqual(before[own], set(subset.ids))
 
