--- a/src/larkpost/gateway/proxy/attempts.py
+++ b/src/larkpost/gateway/proxy/attempts.py
@@ -32,7 +32,7 @@
         waiter: its queue entry, with its service, work and deadlines.
         first_forecast: the forecast at its arrival.
         forecast: the latest forecast.
-        ran_at: servers that may have run it.
+        may_have_run_on: servers that may have run it.
         refused_by: servers that certainly did not run it, since it last waited.
         reasons: why they did not run it.
         last_failure: the last whole response with a server failure.
--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -60,21 +60,21 @@
         """Returns the share of a request's flow; None if shares do not apply to the request."""
         if waiter.is_share_exempt or slot_counts.is_mostly_free:
             return None
-        known = (waiter.flow, slot_counts.free)
-        flow_share = self._flow_shares.get(known)
+        cache_key = (waiter.flow, slot_counts.free)
+        flow_share = self._flow_shares.get(cache_key)
         if flow_share is None:
             flow_share = self._shares_of(waiter.flow.group, slot_counts.free).flow_share(
                 waiter.flow
             )
-            self._flow_shares[known] = flow_share
+            self._flow_shares[cache_key] = flow_share
         return flow_share
 
     def _shares_of(self, group: FlowGroup, free: int) -> GroupShares:
         """Returns the shares of a group's flows while this many slots are free."""
-        known = (group, free)
-        if known not in self._shares:
-            self._shares[known] = compute_shares(self._ledger.uses(group), free)
-        return self._shares[known]
+        cache_key = (group, free)
+        if cache_key not in self._shares:
+            self._shares[cache_key] = compute_shares(self._ledger.uses(group), free)
+        return self._shares[cache_key]
 
 
 class AttemptPermits:
--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -117,7 +117,7 @@
 
     async def _forward_by_kind(self, attempts: Attempts) -> Response | None:
         if attempts.route.kind is RouteKind.IDEMPOTENT:
-            return await self._forward_repeatable(attempts)
+            return await self._forward_idempotent(attempts)
         return await self._forward_once(attempts)
 
     async def _next_server(self, attempts: Attempts) -> InstanceInfo | None:
@@ -140,7 +140,7 @@
             if response is not None or len(attempts.may_have_run_on) >= max_count:
                 return response or attempts.last_failure
 
-    async def _forward_repeatable(self, attempts: Attempts) -> Response | None:
+    async def _forward_idempotent(self, attempts: Attempts) -> Response | None:
         """Tries servers one after the other, and a second one in parallel if the first is slow."""
         max_count = _max_servers(attempts)
         running: set[asyncio.Task] = set()
--- a/src/larkpost/gateway/proxy/outcomes.py
+++ b/src/larkpost/gateway/proxy/outcomes.py
@@ -18,7 +18,7 @@
 """How long a full server is avoided."""
 BROKEN_AVOID_SECONDS = 0.3
 """How long a server is avoided after an attempt without a valid response."""
-SILENT_AVOID_SECONDS = 1.0
+UNRESPONSIVE_AVOID_SECONDS = 1.0
 """How long a server is avoided after it did not respond within the objective."""
 NOT_SERVED = "not_served"
 """Outcome of a forecast whose request got no successful response."""
@@ -61,13 +61,15 @@
             reason=reason,
         )
 
-    def record_cancelled(self, instance: InstanceInfo, attempts: Attempts, started: float) -> None:
+    def record_cancelled(
+        self, instance: InstanceInfo, attempts: Attempts, started_at: float
+    ) -> None:
         """Records a cancelled attempt; its duration is a lower bound of the service time."""
         attempts.record_may_have_run(instance.id)
-        elapsed = self._clock.now() - started
+        elapsed = self._clock.now() - started_at
         self._balancer.record_service_time(instance.id, elapsed)
         if elapsed > attempts.route.objective:
-            self._balancer.avoid(instance.id, SILENT_AVOID_SECONDS)
+            self._balancer.avoid(instance.id, UNRESPONSIVE_AVOID_SECONDS)
 
     def record_response(self, instance: InstanceInfo) -> None:
         """Counts an attempt whose response is returned to the client."""
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -144,7 +144,7 @@
             NotRunError: a placement rule forbids the send; nothing was sent.
         """
         request = attempts.request
-        is_repeatable = attempts.route.kind is RouteKind.IDEMPOTENT
+        is_idempotent = attempts.route.kind is RouteKind.IDEMPOTENT
         time_left = attempts.waiter.deadlines.expires_at - self._clock.now()
         return OutgoingRequest(
             request_id=request.request_id,
@@ -154,8 +154,8 @@
             headers=request.headers,
             body=request.body,
             time_left=max(MIN_TIME_LEFT_SECONDS, time_left),
-            fresh_connection=not is_repeatable,
-            repeat_if_silent=is_repeatable,
+            fresh_connection=not is_idempotent,
+            repeat_if_silent=is_idempotent,
             tenant=request.tenant,
             send_timeout=self._balancer.placement.admit(instance.id, attempts.waiter.work),
             crash_limit=sys.maxsize if attempts.is_trial else CLIENT_CRASH_LIMIT,
--- a/src/larkpost/gateway/proxy/streamed_body.py
+++ b/src/larkpost/gateway/proxy/streamed_body.py
@@ -50,12 +50,12 @@
             raise
 
     async def _next_in_time(self) -> bytes:
-        asked_at = self._clock.now()
+        started_at = self._clock.now()
         try:
             async with asyncio.timeout(self._time_left):
                 return await anext(self._response.rest)
         finally:
-            self._time_left -= self._clock.now() - asked_at
+            self._time_left -= self._clock.now() - started_at
 
     def _record_failed(self, reason: str, *, timed_out: bool) -> None:
         """Records the failure; the client already has part of the response and gets no error."""
--- a/tests/test_fair_load.py
+++ b/tests/test_fair_load.py
@@ -49,7 +49,7 @@
 GROUP = FlowGroup(PAGES, ROUTE.priority)
 HEAVY_FLOW = flow("heavy", GROUP)
 LIGHT_FLOW = flow("light", GROUP)
-CHANCE_TOLERANCE = 0.01
+RANDOM_TOLERANCE = 0.01
 """Fraction of the clients by which two runs of one load may differ randomly."""
 SHARE_COUNTER = "larkpost_share_decisions_total{"
 
@@ -66,20 +66,20 @@
 
 
 @dataclass
-class Sums:
+class ClientCounts:
     """Counts of client outcomes by tenant."""
 
     requested: Counter = field(default_factory=Counter)
     served: Counter = field(default_factory=Counter)
     in_time: Counter = field(default_factory=Counter)
 
-    def part(self, *tenants: TenantName) -> float:
+    def served_fraction(self, *tenants: TenantName) -> float:
         """Returns the fraction of the tenants' clients that was served."""
         return sum(self.served[name] for name in tenants) / sum(
             self.requested[name] for name in tenants
         )
 
-    def part_in_time(self, *tenants: TenantName) -> float:
+    def in_time_fraction(self, *tenants: TenantName) -> float:
         """Returns the fraction of the tenants' clients that was served within the objective."""
         requested = sum(self.requested[name] for name in tenants)
         return sum(self.in_time[name] for name in tenants) / requested
@@ -98,7 +98,7 @@
             engine = ScriptedEngine(slots=SLOTS, event_seconds=SERVICE_TIME)
             self.engines.engines[InstanceId(f"e{number}")] = engine
         self.daemons = [self.make_daemon(f"d{number}") for number in range(2)]
-        self.sums = Sums()
+        self.client_counts = ClientCounts()
 
     def make_daemon(self, name: str) -> Daemon:
         """Returns a daemon that knows the servers' service times."""
@@ -122,10 +122,10 @@
     async def call(self, tenant: TenantName, daemon: Daemon) -> None:
         """Makes one call, and retries once if it is refused."""
         began = self.clock.now()
-        self.sums.requested[tenant] += 1
+        self.client_counts.requested[tenant] += 1
         for is_last in (False, True):
             left = TIME_LEFT - (self.clock.now() - began)
-            name = f"{tenant}-{self.sums.requested[tenant]}-{is_last}".encode()
+            name = f"{tenant}-{self.client_counts.requested[tenant]}-{is_last}".encode()
             request = ClientRequest(
                 name, "GET", b"h", b"/", (), b"", self.clock.now(), left, tenant
             )
@@ -136,20 +136,20 @@
             except LarkpostError:
                 return
             else:
-                self.sums.served[tenant] += 1
-                self.sums.in_time[tenant] += self.clock.now() - began <= ROUTE.objective
+                self.client_counts.served[tenant] += 1
+                self.client_counts.in_time[tenant] += self.clock.now() - began <= ROUTE.objective
                 return
 
     async def play(
         self, rates: dict[TenantName, float], seconds: float, heavy_at_first: float = 0.5
-    ) -> Sums:
+    ) -> ClientCounts:
         """Sends requests of some tenants for some seconds, and returns their outcomes.
 
         Args:
             rates: requests per second by tenant.
             heavy_at_first: fraction of the heavy tenant's requests sent to the first daemon.
         """
-        self.sums = Sums()
+        self.client_counts = ClientCounts()
         calls = []
         end = self.clock.now() + seconds
         tenants, weights = list(rates), list(rates.values())
@@ -160,7 +160,7 @@
             daemon = self.daemons[self.rng.random() >= at_first]
             calls.append(asyncio.create_task(self.call(tenant, daemon)))
         await asyncio.gather(*calls)
-        return self.sums
+        return self.client_counts
 
     def run_load(
         self,
@@ -168,15 +168,15 @@
         seconds: float = 6.0,
         heavy_at_first: float = 0.5,
         seed: int = 1,
-    ) -> Sums:
+    ) -> ClientCounts:
         """Returns the outcomes of a load."""
 
-        async def play() -> Sums:
+        async def play() -> ClientCounts:
             self.begin(seed)
             reports = asyncio.create_task(self.report())
-            sums = await self.play(rates, seconds, heavy_at_first)
+            client_counts = await self.play(rates, seconds, heavy_at_first)
             reports.cancel()
-            return sums
+            return client_counts
 
         return run(play())
 
@@ -186,9 +186,9 @@
     return {TenantName(f"light-{number}"): total / count for number in range(count)}
 
 
-def mean_in_time(runs: list[Sums], tenants: tuple[TenantName, ...]) -> float:
+def mean_in_time(runs: list[ClientCounts], tenants: tuple[TenantName, ...]) -> float:
     """Returns the mean fraction of the tenants' clients that was served within the objective."""
-    return sum(sums.part_in_time(*tenants) for sums in runs) / len(runs)
+    return sum(client_counts.in_time_fraction(*tenants) for client_counts in runs) / len(runs)
 
 
 class OneTenantSendsHalfTest(LoadTest):
@@ -198,12 +198,19 @@
 
     def check(self, heavy_at_first: float) -> None:
         """The small tenants are served, and the heavy one is not starved."""
-        sums = self.run_load(self.RATES, heavy_at_first=heavy_at_first)
+        client_counts = self.run_load(self.RATES, heavy_at_first=heavy_at_first)
         lights = [name for name in self.RATES if name != HEAVY]
-        self.assertGreater(sums.part(*lights), 0.8, "the small tenants pay for the heavy one")
+        self.assertGreater(
+            client_counts.served_fraction(*lights),
+            0.8,
+            "the small tenants are held back for the heavy one",
+        )
         for name in lights:
-            self.assertGreater(sums.part(name), 0.6)
-        self.assertGreater(sums.part(HEAVY), STARVED_FRACTION * sums.part(*self.RATES))
+            self.assertGreater(client_counts.served_fraction(name), 0.6)
+        self.assertGreater(
+            client_counts.served_fraction(HEAVY),
+            STARVED_FRACTION * client_counts.served_fraction(*self.RATES),
+        )
 
     def test_only_the_heavy_tenant_is_held_back(self):
         self.check(heavy_at_first=0.5)
@@ -218,22 +225,22 @@
             self.assertGreater(served, 0.95 * self.run_load(self.RATES).served.total())
 
 
-class RoomTest(LoadTest):
+class NoShortageTest(LoadTest):
     """With enough slots for all, no request is held back, whichever tenant sends most."""
 
     def test_no_request_is_held_back(self):
         rates = light_rates(0.1 * CAPACITY) | {HEAVY: 0.3 * CAPACITY}
 
-        async def play() -> Sums:
+        async def play() -> ClientCounts:
             self.begin()
-            sums = await self.play(rates, 8.0)
+            client_counts = await self.play(rates, 8.0)
             for daemon in self.daemons:
                 self.assertNotIn(SHARE_COUNTER, daemon.metrics.text().decode())
                 self.assertEqual({}, daemon.ledger.report())
-            return sums
+            return client_counts
 
-        sums = run(play())
-        self.assertEqual(sums.requested, sums.served)
+        client_counts = run(play())
+        self.assertEqual(client_counts.requested, client_counts.served)
 
 
 class LittleRoomTest(LoadTest):
@@ -254,12 +261,14 @@
         with mock.patch.object(FairOrder, "_flow_share", lambda *_: None):
             without_shares = self.runs(rates)
         for tenants in (tuple(rates), (HEAVY,)):
-            part = mean_in_time(with_shares, tenants)
-            wanted = mean_in_time(without_shares, tenants)
-            message = f"held back while there is room: {part:.3f} in time, not {wanted:.3f}"
-            self.assertGreaterEqual(part, wanted - CHANCE_TOLERANCE, message)
+            served_fraction = mean_in_time(with_shares, tenants)
+            expected = mean_in_time(without_shares, tenants)
+            message = (
+                f"held back without a shortage: {served_fraction:.3f} in time, not {expected:.3f}"
+            )
+            self.assertGreaterEqual(served_fraction, expected - RANDOM_TOLERANCE, message)
 
-    def runs(self, rates: dict[TenantName, float]) -> list[Sums]:
+    def runs(self, rates: dict[TenantName, float]) -> list[ClientCounts]:
         """Returns the outcomes of a load for each seed."""
         return [self.run_load(rates, self.SECONDS, seed=seed) for seed in self.SEEDS]
 
@@ -278,17 +287,24 @@
 
     def test_only_a_tenant_that_sends_ten_times_as_much_is_held_back_and_it_is_not_starved(self):
         rates = light_rates(0.5 * CAPACITY) | {HEAVY: 10 * CAPACITY}
-        sums = self.run_load(rates, seconds=3.0)
+        client_counts = self.run_load(rates, seconds=3.0)
         lights = [name for name in rates if name != HEAVY]
-        self.assertGreater(sums.part(*lights), 0.7)
-        self.assertGreater(sums.part(HEAVY), STARVED_FRACTION * sums.part(*rates))
+        self.assertGreater(client_counts.served_fraction(*lights), 0.7)
+        self.assertGreater(
+            client_counts.served_fraction(HEAVY),
+            STARVED_FRACTION * client_counts.served_fraction(*rates),
+        )
 
     def test_in_a_burst_of_all_no_tenant_is_starved_and_all_slots_are_used(self):
         rates = light_rates(5 * CAPACITY) | {HEAVY: 5 * CAPACITY}
-        sums = self.run_load(rates, seconds=3.0)
+        client_counts = self.run_load(rates, seconds=3.0)
         for name in rates:
-            self.assertGreater(sums.part(name), STARVED_FRACTION * sums.part(*rates), name)
-        self.assertGreater(sums.served.total(), 0.8 * 3.0 * CAPACITY, "slots stay free")
+            self.assertGreater(
+                client_counts.served_fraction(name),
+                STARVED_FRACTION * client_counts.served_fraction(*rates),
+                name,
+            )
+        self.assertGreater(client_counts.served.total(), 0.8 * 3.0 * CAPACITY, "slots stay free")
 
 
 class RetryWaveTest(LoadTest):
@@ -335,11 +351,11 @@
                 await queues.wait_for_turn(waiter)
                 called.append(name)
 
-            waits = {"first": 0.0, "back": -0.4, "back for long": -0.8}
+            waits = {"first": 0.0, "retry": -0.4, "long retry": -0.8}
             await asyncio.gather(*(wait(name, tried) for name, tried in waits.items()))
             return called
 
-        self.assertEqual(["back for long", "back", "first"], run(play()))
+        self.assertEqual(["long retry", "retry", "first"], run(play()))
 
 
 class HeldRequestTest(LoadTest):
@@ -424,9 +440,9 @@
             deadlines = Deadlines(0.2, 0.8, SERVICE_TIME)
             return queues.forecast(Waiter(PAGES, CLIENT_WORK, 1, deadlines, 0.0, "heavy"))
 
-        prospect = run(play())
-        self.assertTrue(prospect.forecast.is_infeasible)
-        self.assertGreater(prospect.forecast.wait, 0.8)
+        queue_forecast = run(play())
+        self.assertTrue(queue_forecast.forecast.is_infeasible)
+        self.assertGreater(queue_forecast.forecast.wait, 0.8)
 
     def test_more_urgent_requests_come_first_whatever_their_share(self):
         async def play() -> list[int]:
@@ -497,14 +513,14 @@
                 self.assertTrue(self.queues.forecast(self.waiter(-0.8, 0.0)).forecast.is_infeasible)
             self.assertFalse(self.ledger.has_shortage())
             for _ in range(20):
-                prospect = self.queues.forecast(self.waiter(0.01, 0.01))
-                self.assertTrue(prospect.forecast.is_infeasible)
+                queue_forecast = self.queues.forecast(self.waiter(0.01, 0.01))
+                self.assertTrue(queue_forecast.forecast.is_infeasible)
             self.assertTrue(self.ledger.has_shortage())
 
         run(play())
 
 
-class LeavingCallerTest(LoadTest):
+class DisconnectedClientTest(LoadTest):
     """Clients of a tenant over its share disconnect while their requests wait."""
 
     def test_credit_of_a_disconnected_client_is_refunded(self):
@@ -519,23 +535,23 @@
             for number in range(SERVERS):
                 for _ in range(SLOTS):
                     daemon.balancer.occupy(InstanceId(f"e{number}"))
-            gate = daemon.forwarder._scheduler
-            passed = []
+            scheduler = daemon.forwarder._scheduler
+            exempted = []
             for number in range(8):
                 request = ClientRequest(b"%d" % number, "GET", b"h", b"/", (), b"", 0.0, 9.0, HEAVY)
-                attempts, must_wait = gate.begin(
+                attempts, must_wait = scheduler.begin(
                     replace(request, received_at=self.clock.now()), ROUTE
                 )
                 if attempts.waiter.is_share_exempt:
-                    passed.append(number)
-                turn = asyncio.create_task(gate.wait_for_admission(attempts, must_wait=True))
+                    exempted.append(number)
+                turn = asyncio.create_task(scheduler.wait_for_admission(attempts, must_wait=True))
                 await self.clock.sleep(0)
                 turn.cancel()
                 await asyncio.wait({turn})
-            return passed
+            return exempted
 
-        passed = run(play())
-        self.assertEqual(list(range(passed[0], 8)), passed)
+        exempted = run(play())
+        self.assertEqual(list(range(exempted[0], 8)), exempted)
 
 
 class LostReportsTest(LoadTest):
@@ -545,18 +561,21 @@
         rates = light_rates(0.9 * CAPACITY) | {HEAVY: 0.9 * CAPACITY}
         seconds = REPORT_LIFETIME_SECONDS + 4.0
 
-        async def play() -> Sums:
+        async def play() -> ClientCounts:
             self.begin()
             reports = asyncio.create_task(self.report())
             await self.play(rates, 2.0)
             reports.cancel()
             return await self.play(rates, seconds)
 
-        sums = run(play())
+        client_counts = run(play())
         lights = [name for name in rates if name != HEAVY]
-        self.assertGreater(sums.part(*lights), 0.75)
-        self.assertGreater(sums.part(HEAVY), STARVED_FRACTION * sums.part(*rates))
-        self.assertGreater(sums.served.total(), 0.9 * seconds * CAPACITY)
+        self.assertGreater(client_counts.served_fraction(*lights), 0.75)
+        self.assertGreater(
+            client_counts.served_fraction(HEAVY),
+            STARVED_FRACTION * client_counts.served_fraction(*rates),
+        )
+        self.assertGreater(client_counts.served.total(), 0.9 * seconds * CAPACITY)
 
 
 class FleetTest(unittest.TestCase):
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -69,8 +69,8 @@
             demands = [rng.randrange(12) for _ in range(rng.randrange(1, 9))]
             capacity = rng.randrange(40)
             level = fair_level(demands, capacity)
-            given = [min(demand, level) for demand in demands]
-            self.assertAlmostEqual(min(capacity, sum(demands)), sum(given))
+            granted = [min(demand, level) for demand in demands]
+            self.assertAlmostEqual(min(capacity, sum(demands)), sum(granted))
 
 
 class OneTenantSendsHalfTest(unittest.TestCase):
@@ -154,16 +154,16 @@
         async def play():
             clock = LoopClock()
             guard = StarvationGuard(clock, random.Random(5))
-            passed = 0
+            exempted = 0
             requested = 2000
             for number in range(requested):
                 await clock.sleep(0.01)
-                passed += guard.admit(HEAVY, is_over_share=True)
+                exempted += guard.admit(HEAVY, is_over_share=True)
                 if number % 10 == 0:
                     guard.record_slot_granted(LIGHT, is_share_exempt=False)
-            part = passed / requested
-            self.assertGreater(part, STARVED_FRACTION * 0.1)
-            self.assertLess(part, 1.2 * MIN_RELATIVE_SERVICE * 0.1)
+            fraction = exempted / requested
+            self.assertGreater(fraction, STARVED_FRACTION * 0.1)
+            self.assertLess(fraction, 1.2 * MIN_RELATIVE_SERVICE * 0.1)
 
         run(play())
 
@@ -203,12 +203,12 @@
         async def play():
             clock = LoopClock()
             daemons = 300
-            passed = 0
+            exempted = 0
             for seed in range(daemons):
                 guard = StarvationGuard(clock, random.Random(seed))
                 guard.record_slot_granted(LIGHT, is_share_exempt=False)
-                passed += guard.admit(HEAVY, is_over_share=True)
-            self.assertGreater(passed / daemons, STARVED_FRACTION)
+                exempted += guard.admit(HEAVY, is_over_share=True)
+            self.assertGreater(exempted / daemons, STARVED_FRACTION)
 
         run(play())
 
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -27,9 +27,9 @@
 from tests.virtual import run
 
 UNRESPONSIVE_SECONDS = 1000.0
-REPEATABLE = make_route(RouteKind.IDEMPOTENT)
-ONCE = make_route(RouteKind.RUN_ONCE)
-STREAM = make_route(RouteKind.STREAM)
+IDEMPOTENT_ROUTE = make_route(RouteKind.IDEMPOTENT)
+RUN_ONCE_ROUTE = make_route(RouteKind.RUN_ONCE)
+STREAM_ROUTE = make_route(RouteKind.STREAM)
 
 
 class RecordingEngines(ScriptedEngines):
@@ -44,18 +44,18 @@
     async def send(self, instance, request):
         """Sends a request; see the port."""
         self.times_left.append(request.time_left)
-        async with super().send(instance, request) as answer:
+        async with super().send(instance, request) as response:
             await asyncio.sleep(self.head_delay)
-            yield answer
+            yield response
 
 
-class LosingAnswer(ScriptedResponse):
+class CutOffResponse(ScriptedResponse):
     """A response that is cut off after the request ran."""
 
     async def chunks(self):
         """Yields nothing."""
         await asyncio.sleep(0.01)
-        raise BrokenResponseError("the answer was lost")
+        raise BrokenResponseError("the response was cut off")
         yield b""
 
 
@@ -101,8 +101,8 @@
             self.begin(slow=ScriptedEngine(event_seconds=1.4), quick=ScriptedEngine())
             for _ in range(10):
                 began = self.clock.now()
-                answer = await self.forwarder.forward(self.request(), REPEATABLE)
-                self.assertEqual(200, answer.status)
+                response = await self.forwarder.forward(self.request(), IDEMPOTENT_ROUTE)
+                self.assertEqual(200, response.status)
                 self.assertLess(self.clock.now() - began, 0.45)
             await self.clock.sleep(0.01)
             self.assertEqual(0, self.running())
@@ -112,12 +112,13 @@
     def test_unresponsive_server_makes_few_requests_miss_their_objective(self):
         async def play():
             self.begin(
-                silent=ScriptedEngine(event_seconds=UNRESPONSIVE_SECONDS), quick=ScriptedEngine()
+                unresponsive=ScriptedEngine(event_seconds=UNRESPONSIVE_SECONDS),
+                quick=ScriptedEngine(),
             )
             late = 0
             for _ in range(30):
                 began = self.clock.now()
-                await self.forwarder.forward(self.request(), REPEATABLE)
+                await self.forwarder.forward(self.request(), IDEMPOTENT_ROUTE)
                 late += self.clock.now() - began > OBJECTIVE
             self.assertLessEqual(late, 5)
 
@@ -125,20 +126,20 @@
 
     def test_another_server_is_tried_after_a_failure_within_the_limit(self):
         async def play():
-            self.begin(grey=ScriptedEngine(status=500), sound=ScriptedEngine())
+            self.begin(failing=ScriptedEngine(status=500), healthy=ScriptedEngine())
             for _ in range(10):
-                answer = await self.forwarder.forward(self.request(), REPEATABLE)
-                self.assertEqual(200, answer.status)
+                response = await self.forwarder.forward(self.request(), IDEMPOTENT_ROUTE)
+                self.assertEqual(200, response.status)
 
         run(play())
 
     def test_no_more_servers_than_the_route_allows(self):
         async def play():
-            self.begin(**{f"grey-{number}": ScriptedEngine(status=500) for number in range(5)})
+            self.begin(**{f"failing-{number}": ScriptedEngine(status=500) for number in range(5)})
             for route in (make_route(RouteKind.IDEMPOTENT, 1), make_route(RouteKind.IDEMPOTENT, 3)):
                 before = self.runs()
-                answer = await self.forwarder.forward(self.request(), route)
-                self.assertEqual(500, answer.status)
+                response = await self.forwarder.forward(self.request(), route)
+                self.assertEqual(500, response.status)
                 self.assertEqual(route.max_attempts, self.runs() - before)
                 await self.clock.sleep(1.0)
 
@@ -152,12 +153,12 @@
 
         async def play():
             self.begin(full=ScriptedEngine(running=SLOTS), other=ScriptedEngine(running=SLOTS))
-            for route, most in ((REPEATABLE, 0.75), (ONCE, 0.4)):
+            for route, max_seconds in ((IDEMPOTENT_ROUTE, 0.75), (RUN_ONCE_ROUTE, 0.4)):
                 began = self.clock.now()
                 self.engines.times_left.clear()
                 with self.assertRaises(RefusedError) as caught:
                     await self.forwarder.forward(self.request(), route)
-                self.assertLessEqual(self.clock.now() - began, most)
+                self.assertLessEqual(self.clock.now() - began, max_seconds)
                 self.assertGreaterEqual(len(self.engines.times_left), 2)
                 self.assertGreater(caught.exception.retry_after, 0)
             self.assertEqual(0, self.runs())
@@ -168,10 +169,10 @@
         async def play():
             self.begin(**{f"s{number}": ScriptedEngine(event_seconds=0.05) for number in range(4)})
             requests = [
-                self.forwarder.forward(self.request(), REPEATABLE) for _ in range(4 * SLOTS)
+                self.forwarder.forward(self.request(), IDEMPOTENT_ROUTE) for _ in range(4 * SLOTS)
             ]
-            answers = await asyncio.gather(*requests)
-            self.assertEqual({200}, {answer.status for answer in answers})
+            responses = await asyncio.gather(*requests)
+            self.assertEqual({200}, {response.status for response in responses})
             for state in self.engines.engines.values():
                 self.assertGreaterEqual(len(state.runs), SLOTS // 2)
 
@@ -181,10 +182,10 @@
         async def play():
             self.begin(a=ScriptedEngine(), b=ScriptedEngine())
             original = ScriptedResponse.chunks
-            ScriptedResponse.chunks = LosingAnswer.chunks
+            ScriptedResponse.chunks = CutOffResponse.chunks
             try:
                 with self.assertRaises(RequestFailedError):
-                    await self.forwarder.forward(self.request(), ONCE)
+                    await self.forwarder.forward(self.request(), RUN_ONCE_ROUTE)
             finally:
                 ScriptedResponse.chunks = original
             self.assertEqual(1, self.runs())
@@ -199,24 +200,28 @@
                 ok=ScriptedEngine(),
             )
             for _ in range(6):
-                answer = await self.forwarder.forward(self.request(), ONCE)
-                self.assertEqual(200, answer.status)
+                response = await self.forwarder.forward(self.request(), RUN_ONCE_ROUTE)
+                self.assertEqual(200, response.status)
             self.assertEqual(6, self.runs())
 
         run(play())
 
     def test_servers_get_the_remaining_time(self):
         async def play():
-            self.begin(silent=ScriptedEngine(event_seconds=UNRESPONSIVE_SECONDS))
-            cases = ((0.7, REPEATABLE, 0.7), (9.0, REPEATABLE, 2.0), (None, ONCE, 2.0))
+            self.begin(unresponsive=ScriptedEngine(event_seconds=UNRESPONSIVE_SECONDS))
+            cases = (
+                (0.7, IDEMPOTENT_ROUTE, 0.7),
+                (9.0, IDEMPOTENT_ROUTE, 2.0),
+                (None, RUN_ONCE_ROUTE, 2.0),
+            )
             for time_left, route, expected in cases:
                 self.engines.times_left.clear()
                 began = self.clock.now()
                 with self.assertRaises(RequestTimeoutError):
                     await self.forwarder.forward(self.request(time_left), route)
                 self.assertAlmostEqual(expected, self.clock.now() - began, delta=0.05)
-                for given in self.engines.times_left:
-                    self.assertLessEqual(given, expected)
+                for sent_time in self.engines.times_left:
+                    self.assertLessEqual(sent_time, expected)
             self.assertEqual(0, self.running())
 
         run(play())
@@ -225,9 +230,9 @@
         """It was sent, so a refusal would be wrong."""
 
         async def play():
-            self.begin(silent=ScriptedEngine(event_seconds=UNRESPONSIVE_SECONDS))
+            self.begin(unresponsive=ScriptedEngine(event_seconds=UNRESPONSIVE_SECONDS))
             with self.assertRaises(RequestTimeoutError) as caught:
-                await self.forwarder.forward(self.request(0.5), ONCE)
+                await self.forwarder.forward(self.request(0.5), RUN_ONCE_ROUTE)
             self.assertEqual(504, caught.exception.status)
             self.assertEqual(1, self.runs())
 
@@ -235,12 +240,12 @@
 
     def test_stream_that_does_not_begin_ends_at_its_deadline(self):
         async def play():
-            self.begin(silent=ScriptedEngine())
+            self.begin(unresponsive=ScriptedEngine())
             self.engines.head_delay = UNRESPONSIVE_SECONDS
             began = self.clock.now()
             with self.assertRaises(RequestTimeoutError):
-                async with self.forwarder.stream(self.request(0.5), STREAM):
-                    self.fail("no answer was to begin")
+                async with self.forwarder.stream(self.request(0.5), STREAM_ROUTE):
+                    self.fail("no response should begin")
             self.assertAlmostEqual(0.5, self.clock.now() - began, delta=0.05)
             self.assertEqual(0, self.running())
 
@@ -249,8 +254,8 @@
     def test_stream_that_has_begun_is_not_cut_off_at_its_deadline(self):
         async def play():
             self.begin(slow=ScriptedEngine(event_seconds=1.0))
-            async with self.forwarder.stream(self.request(0.5), STREAM) as answer:
-                self.assertTrue([chunk async for chunk in answer.chunks()])
+            async with self.forwarder.stream(self.request(0.5), STREAM_ROUTE) as response:
+                self.assertTrue([chunk async for chunk in response.chunks()])
 
         run(play())
 
@@ -259,7 +264,7 @@
             self.begin(leaving=ScriptedEngine(), stays=ScriptedEngine())
             self.list("leaving", InstanceState.LEAVING)
             for _ in range(10):
-                await self.forwarder.forward(self.request(), REPEATABLE)
+                await self.forwarder.forward(self.request(), IDEMPOTENT_ROUTE)
             self.assertEqual([], self.engines.engines[InstanceId("leaving")].runs)
 
         run(play())
@@ -267,7 +272,7 @@
     def test_client_disconnect_ends_the_work_at_the_server(self):
         async def play():
             self.begin(slow=ScriptedEngine(event_seconds=1.0))
-            work = asyncio.create_task(self.forwarder.forward(self.request(), REPEATABLE))
+            work = asyncio.create_task(self.forwarder.forward(self.request(), IDEMPOTENT_ROUTE))
             await self.clock.sleep(0.1)
             self.assertEqual(1, self.running())
             work.cancel()
