--- a/tests/test_choice_quality.py
+++ b/tests/test_choice_quality.py
@@ -35,7 +35,7 @@
 """Sigma of the log-normal distribution of requests among daemons."""
 LOAD_LIFETIME = 25.0
 """How long daemons use a load that a server reported."""
-WORSE = 1.08
+MAX_SLOWDOWN = 1.08
 """Allowed ratio of response times to those of choosing among all servers, without unit."""
 SEEDS = (1, 2, 3)
 MANY_SEEDS = range(20)
@@ -198,7 +198,7 @@
         """Checks the ratio of response times to those of choosing among all servers."""
         best = sum(best_time(servers, daemons, seed) for seed in seeds)
         found = sum(mean_time(servers, daemons, choose, seed) for seed in seeds)
-        self.assertLessEqual(found / best, WORSE, f"{found / best:.3f}")
+        self.assertLessEqual(found / best, MAX_SLOWDOWN, f"{found / best:.3f}")
 
     def test_requests_to_daemon_subsets(self):
         for servers, daemons, seeds in (
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -153,8 +153,8 @@
         request = ClientRequest(name, "GET", b"h", b"/", (), b"", self.clock.now(), time_left)
 
         async def read() -> bytes:
-            async with self.forwarder.stream(request, route) as answer:
-                return b"".join([chunk async for chunk in answer.chunks()])
+            async with self.forwarder.stream(request, route) as response:
+                return b"".join([chunk async for chunk in response.chunks()])
 
         return asyncio.create_task(read())
 
@@ -278,8 +278,8 @@
             self.balancer.occupy(InstanceId("e0"))
             self.balancer.occupy(InstanceId("e0"))
             await self.clock.sleep(0.1 - SETTLE_SECONDS + 0.001)
-            newcomer = self.send(make_route(priority=3))
-            await asyncio.gather(waiting, newcomer)
+            new_request = self.send(make_route(priority=3))
+            await asyncio.gather(waiting, new_request)
             self.assertEqual(["request-1", "request-2"], self.state().runs)
 
         run(play())
@@ -416,8 +416,8 @@
                 InstanceId("e0"), 0.5, weight=1.0
             )  # other requests took long
             self.balancer.avoid(InstanceId("e0"), 0.3)
-            answer = await self.send(make_route(), 0.4)
-            self.assertEqual(200, answer.status)
+            response = await self.send(make_route(), 0.4)
+            self.assertEqual(200, response.status)
 
         run(play())
 
@@ -437,17 +437,18 @@
         self.assertGreater(poll_interval(3200 * 8), 10 * POLL_INTERVAL_SECONDS)
 
     def test_queue_of_a_large_service_is_not_polled_for_each_ended_request(self):
-        for slot_counts, polls in ((24 * 8, 20), (3200 * 8, 0)):
+        for slots, polls in ((24 * 8, 20), (3200 * 8, 0)):
             self.assertEqual(
-                polls, run(self.polls_for_ends(SlotCounts(slot_counts, slot_counts, SERVICE_TIME)))
+                polls,
+                run(self.polls_for_ended_requests(SlotCounts(slots, slots, SERVICE_TIME))),
             )
 
-    async def polls_for_ends(self, slot_counts: SlotCounts) -> int:
+    async def polls_for_ended_requests(self, slot_counts: SlotCounts) -> int:
         """Returns the number of queue polls caused by twenty requests that end at once."""
-        surveys = []
+        counted = []
 
         def count(service, work) -> SlotCounts:
-            surveys.append(service)
+            counted.append(service)
             return slot_counts
 
         clock = LoopClock()
@@ -458,10 +459,10 @@
             for _ in range(40)
         ]
         await asyncio.sleep(poll_interval(slot_counts.total) + SETTLE_SECONDS)
-        before = len(surveys)
+        before = len(counted)
         for _ in range(20):
             queues.record_release(PAGES)
-        polls = len(surveys) - before
+        polls = len(counted) - before
         for turn in turns:
             turn.cancel()
         return polls
--- a/tests/test_lasting_pace.py
+++ b/tests/test_lasting_pace.py
@@ -26,7 +26,7 @@
 BURST_SECONDS = 0.6
 STREAMS = 4
 
-QUICK_MEANS = (
+QUANTILES = (
     # case, slice means, sustained service time
     ("nothing measured", [], 0.0),
     ("one slice", [0.04], 0.04),
@@ -35,7 +35,7 @@
     ("slow in nearly all", [0.1] * 9 + [0.04] * 3, 0.1),
     ("one that was too quick", [0.001] + [0.04] * 11, 0.04),
 )
-USUAL = (
+BASELINES = (
     # baseline, sustained service time, baseline after the slice
     (0.0, 0.05, 0.05),
     (0.1, 0.05, 0.085),
@@ -67,12 +67,12 @@
     """Each case of each table."""
 
     def test_sustained_service_time(self):
-        for case, means, expected in QUICK_MEANS:
+        for case, means, expected in QUANTILES:
             with self.subTest(case):
                 self.assertEqual(expected, low_quantile(means))
 
     def test_baseline(self):
-        for usual, sustained, expected in USUAL:
+        for usual, sustained, expected in BASELINES:
             with self.subTest(usual=usual, sustained=sustained):
                 self.assertAlmostEqual(expected, smooth_baseline(usual, sustained))
 
@@ -183,28 +183,28 @@
     def setUp(self):
         self.slowness = ReportedSlowness()
 
-    def say(self, *reported: float) -> None:
+    def report(self, *reported: float) -> None:
         """Records a slowness report of the server once per second."""
-        for second, figure in enumerate(reported):
-            self.slowness.record(float(second), figure)
+        for second, value in enumerate(reported):
+            self.slowness.record(float(second), value)
 
     def test_server_without_reports_is_as_usual(self):
         self.assertFalse(self.slowness.has_reports)
         self.assertEqual(1.0, self.slowness.factor(0.0))
 
     def test_slowness_expires_quickly(self):
-        self.say(1.0, 1.0, 2.5)
+        self.report(1.0, 1.0, 2.5)
         self.assertAlmostEqual(2.5, self.slowness.factor(2.0))
         self.assertEqual(1.0, self.slowness.factor(2.01 + SLOWNESS_LIFETIME_SECONDS))
 
     def test_server_with_constant_reports_is_as_usual(self):
-        for figure in (0.01, 1.7, 9999.0):
+        for value in (0.01, 1.7, 9999.0):
             self.setUp()
-            self.say(figure, figure, figure)
+            self.report(value, value, value)
             self.assertAlmostEqual(1.0, self.slowness.factor(2.0))
 
     def test_frequent_reports_within_a_slice_count_once(self):
-        self.say(1.0, 1.0)
+        self.report(1.0, 1.0)
         for number in range(100):
             self.slowness.record(1.0 + number / 1000, 2.5)
         self.assertAlmostEqual(2.5, self.slowness.factor(1.1))
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -39,7 +39,7 @@
 OTHER = instance_id(InstanceName("e1"), BORN)
 
 
-class KnownServers:
+class ServerFixture:
     """A balancer of two servers that report their start times."""
 
     def __init__(self) -> None:
@@ -61,7 +61,7 @@
             await asyncio.sleep(service_time)
             self.service_times.record_event(instance, service_time)
 
-    async def answer(self, seconds: float, slowness: float | None, name: InstanceId = SERVER):
+    async def respond(self, seconds: float, slowness: float | None, name: InstanceId = SERVER):
         """Records a response that reports the server's slowness in a header."""
         await asyncio.sleep(0.5)
         self.balancer.record_load(name, ServerLoad(1, 0, SLOTS, slowness))
@@ -73,37 +73,37 @@
 
     def test_restart_under_the_same_name_starts_without_measurements(self):
         async def play():
-            known = KnownServers()
-            await known.stream(SERVER, SLOW)
-            known.service_times.record_report(DaemonId("d"), {SERVER: SLOW})
-            self.assertAlmostEqual(SLOW, known.service_times.lasting(SERVER))
-            known.start(RESTARTED)
-            self.assertEqual(0.0, known.service_times.lasting(RESTARTED))
-            self.assertEqual({}, known.service_times.report())
-            self.assertEqual(0, len(known.service_times._peer_reports))
+            fixture = ServerFixture()
+            await fixture.stream(SERVER, SLOW)
+            fixture.service_times.record_report(DaemonId("d"), {SERVER: SLOW})
+            self.assertAlmostEqual(SLOW, fixture.service_times.lasting(SERVER))
+            fixture.start(RESTARTED)
+            self.assertEqual(0.0, fixture.service_times.lasting(RESTARTED))
+            self.assertEqual({}, fixture.service_times.report())
+            self.assertEqual(0, len(fixture.service_times._peer_reports))
 
         run(play())
 
     def test_run_at_the_earlier_incarnation_does_not_affect_the_next(self):
         async def play():
-            known = KnownServers()
-            known.start(RESTARTED)
-            await known.stream(SERVER, SLOW)
-            self.assertEqual(0.0, known.service_times.lasting(RESTARTED))
-            await known.stream(RESTARTED, FAST)
-            self.assertAlmostEqual(FAST, known.service_times.lasting(RESTARTED))
+            fixture = ServerFixture()
+            fixture.start(RESTARTED)
+            await fixture.stream(SERVER, SLOW)
+            self.assertEqual(0.0, fixture.service_times.lasting(RESTARTED))
+            await fixture.stream(RESTARTED, FAST)
+            self.assertAlmostEqual(FAST, fixture.service_times.lasting(RESTARTED))
 
         run(play())
 
     def test_late_report_of_the_earlier_incarnation_changes_nothing(self):
         async def play():
-            known = KnownServers()
-            known.start(RESTARTED)
+            fixture = ServerFixture()
+            fixture.start(RESTARTED)
             for instance in (SERVER, InstanceId("e0")):
-                known.service_times.record_report(DaemonId("d"), {instance: SLOW})
-            self.assertEqual(0.0, known.service_times.lasting(RESTARTED))
-            known.service_times.record_report(DaemonId("d"), {RESTARTED: FAST})
-            self.assertEqual(FAST, known.service_times.lasting(RESTARTED))
+                fixture.service_times.record_report(DaemonId("d"), {instance: SLOW})
+            self.assertEqual(0.0, fixture.service_times.lasting(RESTARTED))
+            fixture.service_times.record_report(DaemonId("d"), {RESTARTED: FAST})
+            self.assertEqual(FAST, fixture.service_times.lasting(RESTARTED))
 
         run(play())
 
@@ -113,11 +113,11 @@
 
     def test_own_measurement_takes_precedence_over_a_report(self):
         async def play():
-            known = KnownServers()
-            known.service_times.record_report(DaemonId("d"), {SERVER: SLOW})
-            self.assertEqual(SLOW, known.service_times.lasting(SERVER))
-            await known.stream(SERVER, FAST)
-            self.assertAlmostEqual(FAST, known.service_times.lasting(SERVER))
+            fixture = ServerFixture()
+            fixture.service_times.record_report(DaemonId("d"), {SERVER: SLOW})
+            self.assertEqual(SLOW, fixture.service_times.lasting(SERVER))
+            await fixture.stream(SERVER, FAST)
+            self.assertAlmostEqual(FAST, fixture.service_times.lasting(SERVER))
 
         run(play())
 
@@ -125,13 +125,13 @@
         """A server degrades while another daemon uses it, and recovers."""
 
         async def play():
-            known = KnownServers()
-            await known.stream(SERVER, FAST)
+            fixture = ServerFixture()
+            await fixture.stream(SERVER, FAST)
             await asyncio.sleep(SUSTAINED_SECONDS + 0.1)
-            known.service_times.record_report(DaemonId("d"), {SERVER: 3 * FAST})
-            self.assertEqual(3 * FAST, known.service_times.lasting(SERVER))
+            fixture.service_times.record_report(DaemonId("d"), {SERVER: 3 * FAST})
+            self.assertEqual(3 * FAST, fixture.service_times.lasting(SERVER))
             await asyncio.sleep(FRESH_REPORT_SECONDS + 0.1)
-            self.assertAlmostEqual(FAST, known.service_times.lasting(SERVER))
+            self.assertAlmostEqual(FAST, fixture.service_times.lasting(SERVER))
 
         run(play())
 
@@ -151,34 +151,34 @@
 
     def test_one_daemon_with_wrong_measurements_has_no_effect(self):
         async def play():
-            known = KnownServers()
+            fixture = ServerFixture()
             for daemon, service_time in (("a", FAST), ("late", 1.0), ("b", FAST)):
-                known.service_times.record_report(DaemonId(daemon), {SERVER: service_time})
-            self.assertEqual(FAST, known.service_times.lasting(SERVER))
+                fixture.service_times.record_report(DaemonId(daemon), {SERVER: service_time})
+            self.assertEqual(FAST, fixture.service_times.lasting(SERVER))
 
         run(play())
 
     def test_reports_outlive_their_daemon_and_expire(self):
         async def play():
-            known = KnownServers()
-            known.service_times.record_report(DaemonId("d"), {SERVER: SLOW})
-            known.service_times.record_report(DaemonId("d"), {})  # the daemon is gone
+            fixture = ServerFixture()
+            fixture.service_times.record_report(DaemonId("d"), {SERVER: SLOW})
+            fixture.service_times.record_report(DaemonId("d"), {})  # the daemon was removed
             await asyncio.sleep(REPORT_LIFETIME_SECONDS - 1.0)
-            self.assertEqual(SLOW, known.service_times.lasting(SERVER))
+            self.assertEqual(SLOW, fixture.service_times.lasting(SERVER))
             await asyncio.sleep(2.0)
-            self.assertEqual(0.0, known.service_times.lasting(SERVER))
-            known.service_times.forget_old(known.clock.now())
-            self.assertEqual(0, len(known.service_times._peer_reports))
+            self.assertEqual(0.0, fixture.service_times.lasting(SERVER))
+            fixture.service_times.forget_old(fixture.clock.now())
+            self.assertEqual(0, len(fixture.service_times._peer_reports))
 
         run(play())
 
     def test_reports_are_bounded(self):
         async def play():
-            known = KnownServers()
+            fixture = ServerFixture()
             reported = {instance_id(InstanceName(f"e{n}"), BORN): SLOW for n in range(100)}
             for number in range(50):
-                known.service_times.record_report(DaemonId(f"d{number}"), reported)
-            kept = known.service_times._peer_reports._reported
+                fixture.service_times.record_report(DaemonId(f"d{number}"), reported)
+            kept = fixture.service_times._peer_reports._reported
             self.assertEqual({SERVER, OTHER}, set(kept))
             self.assertEqual(MAX_REPORTERS, len(kept[SERVER]))
 
@@ -186,34 +186,36 @@
 
     def test_all_recent_service_times_are_reported_by_turns(self):
         async def play():
-            known = KnownServers()
+            fixture = ServerFixture()
             names = [
                 instance_id(InstanceName(f"e{n}"), BORN)
                 for n in range(2 * MAX_REPORTED_SERVICE_TIMES + 1)
             ]
             for name in names:
-                known.start(name)
-            await asyncio.gather(*(known.stream(name, FAST) for name in names))
-            reports = [known.service_times.report() for _ in range(3)]
+                fixture.start(name)
+            await asyncio.gather(*(fixture.stream(name, FAST) for name in names))
+            reports = [fixture.service_times.report() for _ in range(3)]
             self.assertEqual(set(names), set().union(*reports))
             self.assertTrue(all(len(report) == MAX_REPORTED_SERVICE_TIMES for report in reports))
             await asyncio.sleep(SUSTAINED_SECONDS + 0.1)
-            self.assertEqual({}, known.service_times.report())
+            self.assertEqual({}, fixture.service_times.report())
 
         run(play())
 
     def test_heartbeats_without_service_times_do_not_use_up_turns(self):
         async def play():
-            known = KnownServers()
+            fixture = ServerFixture()
             names = [
                 instance_id(InstanceName(f"e{n}"), BORN)
                 for n in range(2 * MAX_REPORTED_SERVICE_TIMES)
             ]
             for name in names:
-                known.start(name)
-            await asyncio.gather(*(known.stream(name, FAST) for name in names))
-            keeper = mock.Mock(progress=dict)
-            reports = DaemonReports(known.service_times, FlowLedger(LoopClock()), lambda: keeper)
+                fixture.start(name)
+            await asyncio.gather(*(fixture.stream(name, FAST) for name in names))
+            batch_manager = mock.Mock(progress=dict)
+            reports = DaemonReports(
+                fixture.service_times, FlowLedger(LoopClock()), lambda: batch_manager
+            )
             first = reports.own_service_times()
             self.assertEqual({}, reports.own().paces)
             self.assertEqual(set(names), first.keys() | reports.own_service_times().keys())
@@ -249,14 +251,14 @@
 
     def test_burst_changes_the_choice_only_briefly(self):
         async def play():
-            known = KnownServers()
+            fixture = ServerFixture()
             for _ in range(5):
-                await known.answer(FAST, 1.0)
-            await known.answer(FAST * 2.5, 2.5)
-            service_time = known.balancer.service_time(SERVER)
+                await fixture.respond(FAST, 1.0)
+            await fixture.respond(FAST * 2.5, 2.5)
+            service_time = fixture.balancer.service_time(SERVER)
             self.assertAlmostEqual(FAST * 2.5, service_time)
             await asyncio.sleep(0.2)
-            self.assertAlmostEqual(FAST, known.balancer.service_time(SERVER))
+            self.assertAlmostEqual(FAST, fixture.balancer.service_time(SERVER))
 
         run(play())
 
@@ -264,16 +266,16 @@
         """The server reports a slowness that its response times do not confirm."""
 
         async def play():
-            for lies in ((1.0, 0.01), (9999.0, 1.0), (0.01, 0.02, 5.0, 80.0)):
-                known = KnownServers()
+            for slowness_reports in ((1.0, 0.01), (9999.0, 1.0), (0.01, 0.02, 5.0, 80.0)):
+                fixture = ServerFixture()
                 for number in range(24):
-                    await known.answer(FAST, lies[number % len(lies)])
+                    await fixture.respond(FAST, slowness_reports[number % len(slowness_reports)])
                     if number > 4:
-                        service_time = known.balancer.service_time(SERVER)
+                        service_time = fixture.balancer.service_time(SERVER)
                         self.assertLessEqual(service_time, 1.01 * FAST * MAX_SLOWNESS)
                         self.assertGreaterEqual(service_time, 0.99 * FAST / MAX_SLOWNESS)
                 await asyncio.sleep(0.5)
-                self.assertAlmostEqual(FAST, known.balancer.service_time(SERVER))
+                self.assertAlmostEqual(FAST, fixture.balancer.service_time(SERVER))
 
         run(play())
 
@@ -281,26 +283,26 @@
         """Until the lasting service time is known, the smoothed one of this daemon is used."""
 
         async def play():
-            known = KnownServers()
-            info = known.directory.get(SERVER)
-            known.balancer.record_load(SERVER, ServerLoad(1, 0, SLOTS, 1.0))
-            self.assertFalse(known.service_times.has_latency(SERVER))
-            known.balancer.record_response(info, SLOW)
-            self.assertEqual(SLOW, known.balancer.service_time(SERVER))
-            self.assertTrue(known.service_times.has_latency(SERVER))
-            known.service_times.record_report(DaemonId("d"), {SERVER: FAST})
-            self.assertEqual(FAST, known.balancer.service_time(SERVER))
-            self.assertFalse(known.service_times.has_latency(SERVER))
+            fixture = ServerFixture()
+            info = fixture.directory.get(SERVER)
+            fixture.balancer.record_load(SERVER, ServerLoad(1, 0, SLOTS, 1.0))
+            self.assertFalse(fixture.service_times.has_latency(SERVER))
+            fixture.balancer.record_response(info, SLOW)
+            self.assertEqual(SLOW, fixture.balancer.service_time(SERVER))
+            self.assertTrue(fixture.service_times.has_latency(SERVER))
+            fixture.service_times.record_report(DaemonId("d"), {SERVER: FAST})
+            self.assertEqual(FAST, fixture.balancer.service_time(SERVER))
+            self.assertFalse(fixture.service_times.has_latency(SERVER))
 
         run(play())
 
     def test_server_without_reports_has_its_smoothed_service_time(self):
         async def play():
-            known = KnownServers()
+            fixture = ServerFixture()
             for seconds in (0.04, 0.08):
-                await known.answer(seconds, None)
-                known.balancer.record_service_time(SERVER, seconds)
-            self.assertAlmostEqual(0.05, known.balancer.service_time(SERVER))
+                await fixture.respond(seconds, None)
+                fixture.balancer.record_service_time(SERVER, seconds)
+            self.assertAlmostEqual(0.05, fixture.balancer.service_time(SERVER))
 
         run(play())
 
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -30,14 +30,14 @@
 from tests.server_parts import PAGES, SLOTS, make_directory, make_parts, make_route
 from tests.virtual import run
 
-ONCE = make_route(RouteKind.RUN_ONCE)
-STREAM = make_route(RouteKind.STREAM)
-REPEATABLE = make_route(RouteKind.IDEMPOTENT)
+RUN_ONCE_ROUTE = make_route(RouteKind.RUN_ONCE)
+STREAM_ROUTE = make_route(RouteKind.STREAM)
+IDEMPOTENT_ROUTE = make_route(RouteKind.IDEMPOTENT)
 TIME_LEFT = 0.5
 LATE_SECONDS = 1000.0
 
 
-class Ends:
+class FailingServers:
     """The errors in which consecutive sends end before a response."""
 
     def __init__(self, servers: ServerPort, *errors: Exception) -> None:
@@ -67,7 +67,7 @@
         for number in range(2):
             self.engines.engines[InstanceId(f"e{number}")] = ScriptedEngine(slots=SLOTS, **state)
         balancer = Balancer(directory, clock, random.Random(1))
-        servers = Ends(self.engines, *errors)
+        servers = FailingServers(self.engines, *errors)
         self.forwarder = Forwarder(make_parts(directory, balancer, servers, clock))
         self.clock = clock
 
@@ -75,7 +75,7 @@
         """Returns how many times servers started to run a request."""
         return sum(len(state.runs) for state in self.engines.engines.values())
 
-    async def end_of(self, route) -> LarkpostError | int:
+    async def outcome(self, route) -> LarkpostError | int:
         """Returns the error that a request ends in, or the status of its response."""
         request = ClientRequest(b"r", "POST", b"h", b"/", (), b"", self.clock.now(), TIME_LEFT)
         try:
@@ -88,7 +88,7 @@
 
     def play(self, work) -> None:
         """Runs a test in virtual time for both kinds of run-once routes."""
-        for route in (ONCE, STREAM):
+        for route in (RUN_ONCE_ROUTE, STREAM_ROUTE):
             with self.subTest(kind=route.kind):
                 run(work(route))
 
@@ -98,7 +98,7 @@
 
             async def work(route, status=status) -> None:
                 self.begin(status=status)
-                error = await self.end_of(route)
+                error = await self.outcome(route)
                 self.assertIsInstance(error, RequestFailedError)
                 self.assertEqual((502, 1), (error.status, self.runs()))
 
@@ -107,14 +107,14 @@
     def test_other_failures_of_a_run_are_passed_on(self) -> None:
         async def work(route) -> None:
             self.begin(status=500)
-            self.assertEqual(500, await self.end_of(route))
+            self.assertEqual(500, await self.outcome(route))
 
         self.play(work)
 
     def test_all_servers_refuse(self) -> None:
         async def work(route) -> None:
             self.begin(loading_until=LATE_SECONDS)
-            error = await self.end_of(route)
+            error = await self.outcome(route)
             self.assertEqual((503, 0), (error.status, self.runs()))
 
         self.play(work)
@@ -122,7 +122,7 @@
     def test_no_server_can_be_reached(self) -> None:
         async def work(route) -> None:
             self.begin(down=True)
-            error = await self.end_of(route)
+            error = await self.outcome(route)
             self.assertEqual((503, 0), (error.status, self.runs()))
 
         self.play(work)
@@ -130,7 +130,7 @@
     def test_refusal_followed_by_a_lost_response(self) -> None:
         async def work(route) -> None:
             self.begin(NotRunError(NotRunReason.FULL), BrokenResponseError("lost"))
-            error = await self.end_of(route)
+            error = await self.outcome(route)
             self.assertEqual(502, error.status)
 
         self.play(work)
@@ -138,7 +138,7 @@
     def test_lost_response_is_not_tried_again(self) -> None:
         async def work(route) -> None:
             self.begin(BrokenResponseError("lost", connection_lost=True))
-            error = await self.end_of(route)
+            error = await self.outcome(route)
             self.assertEqual((502, 0), (error.status, self.runs()))
 
         self.play(work)
@@ -146,7 +146,7 @@
     def test_deadline_passes_while_a_server_may_run_it(self) -> None:
         async def work() -> None:
             self.begin(event_seconds=LATE_SECONDS)
-            error = await self.end_of(ONCE)
+            error = await self.outcome(RUN_ONCE_ROUTE)
             self.assertEqual((504, 1), (error.status, self.runs()))
 
         run(work())
@@ -154,7 +154,7 @@
     def test_deadline_passes_while_it_waits(self) -> None:
         async def work(route) -> None:
             self.begin(running=SLOTS)
-            error = await self.end_of(route)
+            error = await self.outcome(route)
             self.assertEqual((503, 0), (error.status, self.runs()))
             await asyncio.sleep(TIME_LEFT)
             for state in self.engines.engines.values():
