--- a/src/larkpost/gateway/proxy/forwarder_dependencies.py
+++ b/src/larkpost/gateway/proxy/forwarder_dependencies.py
@@ -37,7 +37,7 @@
         crashes: the servers that crashed, and the requests that they were running.
         trials: grants trial runs to quarantined requests; None for no trials.
         ledger: use by flow in the fleet; None to count this daemon only.
-        rng: random generator, seeded differently at each daemon.
+        rng: random generator that spreads actions which all daemons would otherwise take alike.
     """
 
     directory: InstanceDirectory
