--- a/src/larkpost/gateway/proxy/retry.py
+++ b/src/larkpost/gateway/proxy/retry.py
@@ -87,6 +87,6 @@
         return RefusedError("no server could take it", retry_after=unserved.retry_after)
     if unserved.is_timed_out:
         return RequestTimeoutError(
-            "its deadline passed before a server responded in full", ran=Ran.UNKNOWN
+            "its deadline passed before a response was complete", ran=Ran.UNKNOWN
         )
-    return RequestFailedError("no server responded in full", ran=Ran.UNKNOWN)
+    return RequestFailedError("no complete response was received", ran=Ran.UNKNOWN)
