--- a/src/larkpost/gateway/fairness/water_filling.py
+++ b/src/larkpost/gateway/fairness/water_filling.py
@@ -1,23 +1,24 @@
-"""Max-min fairness: capacity is divided equally, and what one does not need goes to the others."""
+"""Max-min fairness: capacity is divided equally, and unused parts are redistributed."""
 
 import math
 from collections.abc import Collection
 
 
 def fair_level(demands: Collection[float], capacity: float) -> float:
-    """Returns the most that one may get so that all together get the capacity.
+    """Returns the max-min fair level for some demands.
 
-    Everyone gets the lesser of its demand and the level. The level is infinite if all demands fit.
+    Each demand is granted up to the level, which then uses up the capacity. The level is infinite
+    if all demands fit.
 
     Args:
-        demands: what each wants, in the unit of the capacity.
-        capacity: what there is.
+        demands: the demands, in the unit of the capacity.
+        capacity: the capacity to divide.
     """
-    left = capacity
+    remaining = capacity
     ordered = sorted(demands)
-    for number, demand in enumerate(ordered):
-        equal_part = left / (len(ordered) - number)
+    for index, demand in enumerate(ordered):
+        equal_part = remaining / (len(ordered) - index)
         if demand > equal_part:
             return max(0.0, equal_part)
-        left -= demand
+        remaining -= demand
     return math.inf
--- a/src/larkpost/gateway/proxy/service_selection.py
+++ b/src/larkpost/gateway/proxy/service_selection.py
@@ -1,6 +1,6 @@
-"""Divides a route's requests among its services by weight, evenly at any moment.
+"""Divides a route's requests among its services by smooth weighted round robin.
 
-Owns each route's place in its round; two daemons need not know of each other.
+Owns the state of each route; daemons do not coordinate.
 """
 
 import random
@@ -8,19 +8,19 @@
 from larkpost.gateway.blackboard.configuration import Route, ServiceName
 
 MAX_INITIAL_OFFSET = 97
-"""A route begins as if a random number of requests, below this, had come before."""
+"""Upper bound (exclusive) of the random number of choices that are skipped initially on a route."""
 
 
 class ServiceSelector:
-    """Smooth weighted round robin, for each route on its own.
+    """Selects services by smooth weighted round robin, separately for each route.
 
     Args:
-        chance: draws the place in the round at which a route begins. If every daemon began at the
-            same one, the first requests of all daemons would go to one service.
+        rng: random generator for the starting point of each route. With a common one, the first
+            requests of all daemons would go to the same service.
     """
 
     def __init__(self, rng: random.Random) -> None:
-        self._chance = rng
+        self._rng = rng
         self._credits: dict[str, dict[ServiceName, float]] = {}
 
     def choose(self, route: Route) -> ServiceName:
@@ -29,11 +29,11 @@
             return route.shares[0].service
         if route.name not in self._credits:
             self._credits[route.name] = {}
-            for _ in range(self._chance.randrange(MAX_INITIAL_OFFSET)):
-                self._next(route)
-        return self._next(route)
+            for _ in range(self._rng.randrange(MAX_INITIAL_OFFSET)):
+                self._select_next(route)
+        return self._select_next(route)
 
-    def _next(self, route: Route) -> ServiceName:
+    def _select_next(self, route: Route) -> ServiceName:
         credits = self._credits[route.name]
         total = sum(share.weight for share in route.shares)
         for share in route.shares:
--- a/src/larkpost/gateway/proxy/share_record.py
+++ b/src/larkpost/gateway/proxy/share_record.py
@@ -1,4 +1,4 @@
-"""Records what became of requests beyond their tenant's share: one line for each, and counters."""
+"""Logs and counts the outcomes of requests whose flow is over its share."""
 
 from enum import StrEnum
 
@@ -11,15 +11,15 @@
 
 
 class ShareOutcome(StrEnum):
-    """What became of a request beyond its share."""
+    """The outcome of a request whose flow is over its share."""
 
-    HELD = "held"  # it let others go first, and then tried
+    HELD = "held"  # it yielded to others before it tried
     REFUSED = "refused"
-    EXEMPTED = "passed"  # it was let through, as few of its flow are served
+    EXEMPTED = "passed"  # the starvation guard exempted it
 
 
 class ShareRecord:
-    """Writes the log and the counters."""
+    """Writes the log records and the counters."""
 
     def __init__(self, clock: Clock, log: EventLog, metrics: Metrics, ledger: FlowLedger) -> None:
         self._clock = clock
@@ -28,11 +28,11 @@
         self._ledger = ledger
 
     def record(self, request: ClientRequest, waiter: Waiter, outcome: ShareOutcome) -> None:
-        """Records what became of a request, if it was beyond its share; a hold only once."""
-        is_again = outcome is ShareOutcome.HELD and waiter.is_recorded
+        """Records an outcome if the request's flow was over its share; HELD only once."""
+        is_repeated = outcome is ShareOutcome.HELD and waiter.is_recorded
         is_share_exempt = outcome is ShareOutcome.EXEMPTED
         flow_share = waiter.flow_share
-        if flow_share is None or is_again or waiter.is_share_exempt != is_share_exempt:
+        if flow_share is None or is_repeated or waiter.is_share_exempt != is_share_exempt:
             return
         waiter.is_recorded = True
         self._metrics.count(Count.SHARES, waiter.service, outcome)
@@ -50,6 +50,6 @@
             use=flow_share.use,
             waiting=flow_share.waiting,
             ahead=flow_share.waiting_ahead,
-            places=flow_share.places,
+            places=flow_share.total_slots,
             report_age=round(age, 3) if age is not None else None,
         )
--- a/src/larkpost/gateway/proxy/subset.py
+++ b/src/larkpost/gateway/proxy/subset.py
@@ -1,11 +1,9 @@
-"""Which servers of a large service a daemon sends its requests to: a part that few others share.
+"""Subsets of the servers of a large service, one for each daemon, by rendezvous hashing.
 
-Rendezvous hashing of daemons and servers: each server is in the subsets of the same number of
-daemons, whichever these are, so that none is left out and none gets the requests of all. When a
-daemon or a server comes or goes, only the subsets that hold it, or are to hold it, change. Daemons
-that know the same daemons and servers agree without a message.
-
-Pure rules, and the subset kept by them as the fleet changes.
+Each server is in the subsets of the same number of daemons, so that none is left out and none gets
+the requests of all daemons. When a daemon or server is added or removed, only the subsets that
+contain it, or should contain it, change. Daemons with the same view of the fleet compute the same
+subsets without communication.
 """
 
 from collections.abc import Callable, Collection, Mapping, Sequence
@@ -16,49 +14,49 @@
 from larkpost.gateway.blackboard.service_index import IndexedIdSet, ServiceIndex
 
 MIN_SUBSET_SIZE = 24
-"""Servers that a subset has on average at least: few enough that connections to them stay in use,
-enough that one with a free place is nearly always among them."""
+"""Minimum average size of a subset: small enough that connections stay in use, large enough that it
+nearly always contains a server with a free slot."""
 MIN_DAEMONS_PER_SERVER = 3
-"""Daemons that each server is in the subsets of, if there are as many: the load of one with many
-clients, or of one that is gone, is shared."""
+"""Minimum number of daemons whose subsets contain a server, if there are that many. It spreads the
+load of a daemon with many clients, or of one that was removed."""
 
 
 def daemons_per_server(daemons: int, servers: int) -> int:
-    """Returns in the subsets of how many daemons each server is.
+    """Returns the number of daemons whose subsets contain a given server.
 
-    It doubles, so that it seldom changes: each change of it changes all subsets.
+    It grows by doubling, as each change of it changes all subsets.
     """
-    wanted = MIN_DAEMONS_PER_SERVER
-    while wanted < daemons and wanted * servers < MIN_SUBSET_SIZE * daemons:
-        wanted *= 2
-    return min(wanted, daemons)
+    daemon_count = MIN_DAEMONS_PER_SERVER
+    while daemon_count < daemons and daemon_count * servers < MIN_SUBSET_SIZE * daemons:
+        daemon_count *= 2
+    return min(daemon_count, daemons)
 
 
 def daemon_seed(daemon: DaemonId) -> int:
-    """Returns what a daemon's weights are made from; worked out once for all servers."""
+    """Returns the hash seed of a daemon, from which its weights for all servers are computed."""
     return hash64(f"subset\x00{daemon}")
 
 
 def weight(seed: int, server: InstanceId) -> int:
-    """Returns the rank for a server of the daemon with a seed; the greatest are the first."""
+    """Returns the rendezvous weight of a daemon's seed for a server; the highest weights win."""
     return hash64(server, seed)
 
 
 def higher_ranked_daemons(
-    own: int, others: Mapping[DaemonId, int], server: InstanceId, most: int
+    own: int, others: Mapping[DaemonId, int], server: InstanceId, max_count: int
 ) -> list[DaemonId]:
-    """Returns daemons that come before this one for a server, ``most`` at the most.
+    """Returns up to ``max_count`` daemons that rank higher than this one for a server.
 
     Args:
         own: this daemon's seed.
-        others: the other daemons with their seeds.
+        others: the seeds of the other daemons.
     """
     own_weight = weight(own, server)
     found: list[DaemonId] = []
     for daemon, seed in others.items():
         if weight(seed, server) > own_weight:
             found.append(daemon)
-            if len(found) == most:
+            if len(found) == max_count:
                 break
     return found
 
@@ -66,7 +64,7 @@
 class DaemonSubset:
     """One daemon's subset of the servers of one service.
 
-    Of each server outside it only so many daemons are remembered as leave no room for this one.
+    For each server outside it, stores just enough higher-ranked daemons to exclude this one.
     """
 
     def __init__(self, own: DaemonId) -> None:
@@ -77,18 +75,18 @@
         self._limit = 1
         self._inside = IndexedIdSet()
         self._outside: dict[InstanceId, list[DaemonId]] = {}
-        self._keeps_out: dict[DaemonId, set[InstanceId]] = {}
+        self._excluded_by: dict[DaemonId, set[InstanceId]] = {}
 
     @property
     def ids(self) -> Sequence[InstanceId]:
-        """The servers of the subset, in no order."""
+        """The servers of the subset, in no particular order."""
         return self._inside.ids
 
     def update(self, daemons: Collection[DaemonId], servers: Collection[InstanceId]) -> None:
-        """Brings the subset up to date.
+        """Updates the subset to a new view of the fleet.
 
         Args:
-            daemons: those considered alive; this one is counted in any case.
+            daemons: the daemons considered alive; this one is always included.
             servers: the ids of the service's instances.
         """
         others = set(daemons) - {self._own}
@@ -98,39 +96,39 @@
             changed = set(servers) | self._servers
         self._limit = limit
         self._servers = set(servers)
-        for gone in self._others.keys() - others:
-            del self._others[gone]
-            changed |= self._keeps_out.pop(gone, set())
-        for come in others - self._others.keys():
-            seed = self._others[come] = daemon_seed(come)
-            changed.update(name for name in self.ids if self._comes_before(seed, name))
+        for removed in self._others.keys() - others:
+            del self._others[removed]
+            changed |= self._excluded_by.pop(removed, set())
+        for added in others - self._others.keys():
+            seed = self._others[added] = daemon_seed(added)
+            changed.update(name for name in self.ids if self._outranks(seed, name))
         for server in changed:
             self._forget(server)
             if server in self._servers:
-                self._judge(server)
+                self._assign(server)
 
-    def _comes_before(self, seed: int, server: InstanceId) -> bool:
+    def _outranks(self, seed: int, server: InstanceId) -> bool:
         return weight(seed, server) > weight(self._seed, server)
 
-    def _judge(self, server: InstanceId) -> None:
-        before = higher_ranked_daemons(self._seed, self._others, server, self._limit)
-        if len(before) < self._limit:
+    def _assign(self, server: InstanceId) -> None:
+        higher_ranked = higher_ranked_daemons(self._seed, self._others, server, self._limit)
+        if len(higher_ranked) < self._limit:
             self._inside.add(server)
             return
-        self._outside[server] = before
-        for daemon in before:
-            self._keeps_out.setdefault(daemon, set()).add(server)
+        self._outside[server] = higher_ranked
+        for daemon in higher_ranked:
+            self._excluded_by.setdefault(daemon, set()).add(server)
 
     def _forget(self, server: InstanceId) -> None:
         self._inside.discard(server)
         for daemon in self._outside.pop(server, ()):
-            kept_out = self._keeps_out.get(daemon)
-            if kept_out is not None:
-                kept_out.discard(server)
+            excluded = self._excluded_by.get(daemon)
+            if excluded is not None:
+                excluded.discard(server)
 
 
 class DaemonSubsets:
-    """One daemon's subsets of the servers of all services, brought up to date when asked for.
+    """One daemon's subsets of the servers of all services, updated on access.
 
     Args:
         alive: returns the daemons considered alive.
@@ -140,13 +138,13 @@
         self._own = own
         self._alive = alive
         self._subsets: dict[ServiceName, DaemonSubset] = {}
-        self._made_of: dict[ServiceName, tuple[frozenset[DaemonId], int]] = {}
+        self._versions: dict[ServiceName, tuple[frozenset[DaemonId], int]] = {}
 
     def ids(self, service: ServiceName, index: ServiceIndex) -> Sequence[InstanceId]:
-        """Returns the servers of a service's subset, in no order."""
+        """Returns the servers of a service's subset, in no particular order."""
         subset = self._subsets.setdefault(service, DaemonSubset(self._own))
-        made_of = (self._alive(), index.generation(service))
-        if self._made_of.get(service) != made_of:
-            subset.update(made_of[0], index.ids(service))
-            self._made_of[service] = made_of
+        version = (self._alive(), index.generation(service))
+        if self._versions.get(service) != version:
+            subset.update(version[0], index.ids(service))
+            self._versions[service] = version
         return subset.ids
--- a/tests/test_bounded_choice.py
+++ b/tests/test_bounded_choice.py
@@ -1,7 +1,7 @@
-"""A choice among thousands of servers looks at a few, and still finds one that can serve.
+"""Choosing among thousands of servers considers only a few, and still finds one that can serve.
 
-The load that is answered: each client request, each item and each waiting request makes a choice or
-a survey, so what one looks at must not grow with the fleet.
+Every client request, item and queued request makes a choice or counts slots, so the cost of either
+must not grow with the fleet.
 """
 
 import random
@@ -32,16 +32,16 @@
 
 ITEM_WORK = Work(WorkKind.ITEM, model=MODEL, minimum_version=1)
 FLEETS = ((30, 4), (300, 30), (1000, 100), (3200, 370))
-"""Servers of one service, and daemons."""
+"""Numbers of servers of one service, and of daemons."""
 NAMES = tuple(InstanceId(f"s{number}") for number in range(3200))
-"""The servers of a scene, unless it has fewer."""
+"""The servers of a scene, of which it may use fewer."""
 OWN = DaemonId("d0")
 HOME, FAR = RegionId("home"), RegionId("far")
 HOME_ZONE, FAR_ZONE = ZoneId("home-a"), ZoneId("far-a")
 
 
-class CountedRule(StatelessRule):
-    """Allows all and counts how many instances were judged."""
+class CountingRule(StatelessRule):
+    """Allows all instances but the forbidden ones, and counts which were evaluated."""
 
     def __init__(self) -> None:
         self.judged: Counter[InstanceId] = Counter()
@@ -57,21 +57,21 @@
         )
 
     def take(self) -> int:
-        """Returns how many instances were looked at since it was last asked."""
+        """Returns how many instances were evaluated since the last call."""
         count = len(self.judged)
         self.judged.clear()
         return count
 
 
 class Scene:
-    """A balancer of one daemon of a fleet before one service."""
+    """The balancer of one daemon in a fleet with one service."""
 
     def __init__(self, servers: int = 3200, daemons: int = 370) -> None:
         self.directory = InstanceDirectory()
         regions = RegionMap(HOME_ZONE, {HOME_ZONE: HOME, FAR_ZONE: FAR})
         alive = frozenset(DaemonId(f"d{number}") for number in range(daemons))
         self.subsets = DaemonSubsets(OWN, lambda: alive)
-        self.rule = CountedRule()
+        self.rule = CountingRule()
         for number in range(servers):
             self.directory.update(make_instance(f"s{number}", zone=HOME_ZONE))
         rules = (RegionRule(regions), self.rule)
@@ -90,26 +90,26 @@
         return set(self.subsets.ids(PAGES, self.directory.index))
 
     def client_choice(self, **options) -> list[InstanceInfo]:
-        """Returns the candidates for a client's request."""
+        """Returns the candidates for a client request."""
         return self.balancer.candidates(PAGES, CLIENT_WORK, for_client=True, **options)
 
     def fill(self, names: set[InstanceId]) -> None:
-        """Takes all places of some servers."""
+        """Takes all slots of some servers."""
         for name in names:
             for _ in range(SLOTS):
                 self.balancer.occupy(name)
 
     def avoid(self, names: set[InstanceId]) -> None:
-        """Has some servers fail a moment ago."""
+        """Marks some servers as recently failed."""
         for name in names:
             self.balancer.avoid(name, 60.0)
 
 
 class CostTest(unittest.TestCase):
-    """How many servers are looked at."""
+    """The number of servers considered."""
 
-    def looked_at(self, servers: int, daemons: int) -> dict[str, int]:
-        """Returns the servers that each use of the balancer looks at."""
+    def count_considered(self, servers: int, daemons: int) -> dict[str, int]:
+        """Returns the number of servers that each use of the balancer considers."""
 
         async def play():
             scene = Scene(servers, daemons)
@@ -117,7 +117,7 @@
                 "client": scene.client_choice,
                 "reward call": lambda: scene.balancer.candidates(PAGES, REWARD_WORK),
                 "item": lambda: scene.balancer.candidates(PAGES, ITEM_WORK),
-                "survey": lambda: count_slots(scene.balancer, PAGES, CLIENT_WORK),
+                "slot count": lambda: count_slots(scene.balancer, PAGES, CLIENT_WORK),
                 "verdicts": lambda: scene.balancer.verdicts(PAGES),
             }
             counts = {}
@@ -131,14 +131,14 @@
 
         return run(play())
 
-    def test_a_choice_of_thousands_looks_at_no_more_than_twice_as_many_as_one_of_thirty(self):
-        few = self.looked_at(*FLEETS[0])
+    def test_choice_among_thousands_considers_at_most_twice_as_many_as_among_thirty(self):
+        few = self.count_considered(*FLEETS[0])
         for servers, daemons in FLEETS[1:]:
-            for use, count in self.looked_at(servers, daemons).items():
+            for use, count in self.count_considered(servers, daemons).items():
                 with self.subTest(servers=servers, use=use):
                     self.assertLessEqual(count, 2 * few[use])
 
-    def test_all_servers_of_a_small_service_are_put_in_order(self):
+    def test_all_servers_of_a_small_service_are_ranked(self):
         async def play():
             scene = Scene(MAX_UNSAMPLED_INSTANCES, 370)
             self.assertEqual(MAX_UNSAMPLED_INSTANCES, len(scene.client_choice()))
@@ -152,7 +152,7 @@
 
         run(play())
 
-    def test_requests_go_to_a_few_servers_so_that_connections_to_them_are_used_again(self):
+    def test_requests_go_to_a_few_servers_so_that_connections_are_reused(self):
         async def play():
             scene = Scene()
             firsts = {scene.client_choice()[0].id for _ in range(500)}
@@ -162,7 +162,7 @@
         run(play())
 
     def test_items_may_go_to_any_server(self):
-        """An owner's items need more places than a subset has."""
+        """The items of one owner need more slots than a subset has."""
 
         async def play():
             scene = Scene(300, 30)
@@ -176,8 +176,8 @@
         run(play())
 
 
-class OthersTest(unittest.TestCase):
-    """What happens when those that are looked at cannot serve."""
+class FallbackTest(unittest.TestCase):
+    """Other servers are considered when those in the pool cannot serve."""
 
     def test_others_are_tried_when_the_whole_subset_has_failed(self):
         async def play():
@@ -197,7 +197,7 @@
 
         run(play())
 
-    def test_others_are_tried_when_the_whole_subset_was_tried(self):
+    def test_others_are_chosen_when_the_whole_subset_was_tried(self):
         async def play():
             scene = Scene()
             tried = scene.subset
@@ -207,7 +207,7 @@
 
         run(play())
 
-    def test_subset_is_whole_again_when_all_its_servers_are_gone(self):
+    def test_subset_is_refilled_when_all_its_servers_are_removed(self):
         async def play():
             scene = Scene(300, 30)
             for name in scene.subset:
@@ -218,7 +218,7 @@
 
         run(play())
 
-    def test_servers_that_have_failed_are_the_last_resort(self):
+    def test_failed_servers_are_the_last_resort(self):
         async def play():
             scene = Scene()
             scene.avoid({info.id for info in scene.directory.all()})
@@ -227,7 +227,7 @@
         run(play())
 
     def test_few_allowed_servers_of_thousands_are_found(self):
-        """As three servers in the only region where the work may be served."""
+        """Three servers are in the only region where the work may be served."""
 
         async def play():
             scene = Scene()
@@ -243,7 +243,7 @@
         run(play())
 
     def test_others_are_found_when_the_only_allowed_server_of_a_subset_cannot_serve(self):
-        """As three servers in the only region where the work may be served, one in the subset."""
+        """Three servers are in the only allowed region, one of them in the subset."""
 
         async def play():
             scene = Scene()
@@ -262,7 +262,7 @@
         run(play())
 
     def test_others_are_found_when_all_allowed_servers_of_a_subset_were_tried(self):
-        """As a region with 40 servers of 3,200, five of them in the subset."""
+        """The allowed region has 40 of 3,200 servers, five of them in the subset."""
 
         async def play():
             scene = Scene()
@@ -278,8 +278,8 @@
 
         run(play())
 
-    def test_places_found_by_a_search_stand_for_all_that_are_allowed(self):
-        """As a region with 320 servers of 3,200, of which a search finds the first few dozen."""
+    def test_slots_found_by_a_search_are_scaled_up_to_all_allowed_servers(self):
+        """The allowed region has 320 of 3,200 servers, of which a search finds only some."""
 
         async def play():
             scene = Scene()
@@ -293,7 +293,7 @@
 
         run(play())
 
-    def test_search_for_items_stays_within_the_engines_that_are_named(self):
+    def test_search_for_items_stays_within_the_given_engines(self):
         async def play():
             scene = Scene()
             for start in range(0, 1500, 150):
@@ -306,7 +306,7 @@
 
         run(play())
 
-    def test_server_that_has_left_since_a_search_is_not_chosen(self):
+    def test_server_removed_since_a_search_is_not_chosen(self):
         async def play():
             scene = Scene()
             far = InstanceId(min({"s17", "s170"} - scene.subset))
@@ -318,7 +318,7 @@
 
         run(play())
 
-    def test_all_servers_are_searched_seldom_while_none_is_allowed(self):
+    def test_search_of_all_servers_is_cached_while_none_is_allowed(self):
         async def play():
             scene = Scene()
             scene.rule.forbidden = {info.id for info in scene.directory.all()}
@@ -336,9 +336,9 @@
 
 
 class ItemTest(unittest.TestCase):
-    """Which engines of a large service are looked at for items."""
+    """The engines of a large service considered for items."""
 
-    def test_only_engines_that_hold_the_model_are_looked_at(self):
+    def test_only_engines_that_hold_the_model_are_considered(self):
         async def play():
             scene = Scene()
             holders = {f"s{number}" for number in range(0, 3200, 40)}
@@ -353,7 +353,7 @@
 
         run(play())
 
-    def test_only_engines_that_are_named_are_looked_at(self):
+    def test_only_the_given_engines_are_considered(self):
         async def play():
             scene = Scene()
             own = frozenset(f"s{number}" for number in range(100, 250))
@@ -363,8 +363,8 @@
 
         run(play())
 
-    def test_places_at_one_engine_in_fifty_are_found_in_a_few_passes(self):
-        """A pass over the queue is made each 30 ms."""
+    def test_free_slots_at_one_engine_in_fifty_are_found_in_a_few_choices(self):
+        """Each choice samples the engines anew."""
 
         async def play():
             scene = Scene()
@@ -380,9 +380,9 @@
 
 
 class FleetTest(unittest.TestCase):
-    """Daemons before a service of which they look at some servers only."""
+    """Daemons with a service that is too large to be considered as a whole."""
 
-    def test_batch_is_whole_though_a_third_of_the_engines_does_not_respond(self):
+    def test_batch_completes_although_a_third_of_the_engines_does_not_respond(self):
         async def play():
             fleet = PlatformFleet(gateways=3, engines=2 * MAX_UNSAMPLED_INSTANCES)
             await fleet.wait(1.0)
@@ -402,14 +402,14 @@
         run(play())
 
 
-class SurveyTest(unittest.TestCase):
-    """The places of a large service are those of some, scaled up."""
+class SlotCountTest(unittest.TestCase):
+    """The slots of a large service are those of a sample, scaled up."""
 
-    def test_places_of_some_stand_for_all(self):
+    def test_slots_of_a_sample_are_scaled_up(self):
         async def play():
             scene = Scene(1000, 100)
-            places = count_slots(scene.balancer, PAGES, CLIENT_WORK)
-            self.assertEqual((1000 * SLOTS, 0), (places.total, places.taken))
+            sampled = count_slots(scene.balancer, PAGES, CLIENT_WORK)
+            self.assertEqual((1000 * SLOTS, 0), (sampled.total, sampled.taken))
             scene.fill(scene.subset)
             full = count_slots(scene.balancer, PAGES, CLIENT_WORK)
             self.assertEqual((1000 * SLOTS, 0), (full.total, full.free))
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -1,4 +1,4 @@
-"""The shares of tenants in the places of a service: the pure rules, each by the load it answers."""
+"""The shares of tenants in the slots of a service: the pure rules under typical loads."""
 
 import contextlib
 import itertools
@@ -33,9 +33,9 @@
 
 SERVICE = ServiceName("pages")
 GROUP = FlowGroup(SERVICE, 1)
-PACE = 0.1
-STARVED_PART = 0.25
-"""A tenant counts as starving that is served less than this part as often as all."""
+SERVICE_TIME = 0.1
+STARVED_FRACTION = 0.25
+"""A tenant counts as starved if its served fraction is below this part of the overall one."""
 
 
 def flow(name: str, group: FlowGroup = GROUP) -> Flow:
@@ -48,7 +48,7 @@
 
 
 class WaterFillingTest(unittest.TestCase):
-    """Equal parts; what one does not need goes to the others."""
+    """Equal parts; unused parts are redistributed."""
 
     def test_levels(self):
         for demands, capacity, expected in (
@@ -63,43 +63,43 @@
             with self.subTest(demands=demands, capacity=capacity):
                 self.assertEqual(expected, fair_level(demands, capacity))
 
-    def test_everything_is_given_out_and_nobody_gets_more_than_it_wants(self):
+    def test_whole_capacity_is_used_and_no_demand_is_exceeded(self):
         rng = random.Random(3)
         for _ in range(300):
             demands = [rng.randrange(12) for _ in range(rng.randrange(1, 9))]
             capacity = rng.randrange(40)
             level = fair_level(demands, capacity)
-            given = [min(demand, level) for demand in demands]
-            self.assertAlmostEqual(min(capacity, sum(demands)), sum(given))
+            granted = [min(demand, level) for demand in demands]
+            self.assertAlmostEqual(min(capacity, sum(demands)), sum(granted))
 
 
 class OneTenantSendsHalfTest(unittest.TestCase):
-    """One of eleven tenants sends half of all requests, and there are places for half of them."""
+    """One of eleven tenants sends half of all requests, and there are slots for half of them."""
 
     def uses(self) -> dict[Flow, FlowUsage]:
-        """Returns what is held: ten places, of which the heavy tenant has more than its part."""
+        """Returns the use of ten slots, of which the heavy tenant has more than its share."""
         small = {flow(f"t{number}"): FlowUsage(int(number < 5), 1) for number in range(10)}
         return small | {HEAVY: FlowUsage(5, 10)}
 
-    def test_it_lets_the_others_go_first(self):
+    def test_it_yields_to_the_others(self):
         shares = compute_shares(self.uses(), free=0)
         heavy = shares.flow_share(HEAVY)
         self.assertTrue(heavy.is_over_share)
         self.assertLess(heavy.share, 1.0)
         self.assertEqual(
             5, heavy.waiting_ahead
-        )  # those without a place; the others have their share
+        )  # those without a slot; the others have their share
         self.assertFalse(shares.flow_share(flow("t9")).is_over_share)
 
-    def test_it_gets_what_the_others_leave(self):
+    def test_it_gets_the_unused_shares_of_the_others(self):
         uses = {flow(f"t{number}"): FlowUsage(1, 0) for number in range(3)}
         shares = compute_shares(uses | {HEAVY: FlowUsage(7, 5)}, free=0)
         heavy = shares.flow_share(HEAVY)
         self.assertEqual(7.0, heavy.share)
         self.assertFalse(heavy.is_over_share)
 
-    def test_whoever_is_beyond_its_share_has_others_before_it_for_all_free_places(self):
-        """So a free place is never refused to it for nobody."""
+    def test_flow_over_its_share_has_others_ahead_for_all_free_slots(self):
+        """So it is never refused a free slot that no other request would take."""
         rng = random.Random(7)
         seen = 0
         for _ in range(500):
@@ -114,18 +114,20 @@
 
     def test_its_forecast_grows_with_its_own_requests_alone(self):
         heavy = compute_shares(self.uses(), free=0).flow_share(HEAVY)
-        waits = [estimate_share_wait(heavy, waiting_ahead, PACE) for waiting_ahead in (0, 5, 10)]
+        waits = [
+            estimate_share_wait(heavy, waiting_ahead, SERVICE_TIME) for waiting_ahead in (0, 5, 10)
+        ]
         self.assertEqual(sorted(waits), waits)
-        self.assertGreater(waits[1] - waits[0], 4 * PACE)
+        self.assertGreater(waits[1] - waits[0], 4 * SERVICE_TIME)
         light = compute_shares(self.uses(), free=0).flow_share(flow("t9"))
-        self.assertEqual(0.0, estimate_share_wait(light, 0, PACE))
+        self.assertEqual(0.0, estimate_share_wait(light, 0, SERVICE_TIME))
 
-    def test_tenant_alone_is_never_beyond_its_share(self):
+    def test_single_tenant_is_never_over_its_share(self):
         self.assertFalse(
             compute_shares({HEAVY: FlowUsage(9, 90)}, free=0).flow_share(HEAVY).is_over_share
         )
 
-    def test_nobody_is_beyond_its_share_while_no_request_waits(self):
+    def test_no_flow_is_over_its_share_while_no_request_waits(self):
         uses = {HEAVY: FlowUsage(9, 0), LIGHT: FlowUsage(1, 0)}
         self.assertFalse(compute_shares(uses, free=2).flow_share(HEAVY).is_over_share)
 
@@ -133,7 +135,7 @@
 class BurstTest(unittest.TestCase):
     """Ten times as many requests as usual, of one tenant or of all."""
 
-    def test_tenants_that_ask_as_usual_are_not_beyond_their_shares_in_a_burst_of_another(self):
+    def test_tenants_with_usual_load_are_not_over_their_shares_in_a_burst_of_another(self):
         usual = {flow(f"t{number}"): FlowUsage(1, 1) for number in range(4)}
         shares = compute_shares(usual | {HEAVY: FlowUsage(12, 80)}, free=0)
         self.assertTrue(shares.flow_share(HEAVY).is_over_share)
@@ -146,54 +148,54 @@
         self.assertEqual(2.0, shares.level)
         self.assertFalse(any(shares.flow_share(name).is_over_share for name in uses))
 
-    def test_credit_serves_the_greatest_tenant_a_third_as_often_as_all(self):
-        """A tenth of the requests find a place, and its share alone would give it none."""
+    def test_starvation_guard_serves_the_largest_tenant_a_third_as_often_as_all(self):
+        """A tenth of the requests get a slot, and its share alone would give it none."""
 
         async def play():
             clock = LoopClock()
-            least = StarvationGuard(clock, random.Random(5))
-            passed = 0
-            asked = 2000
-            for number in range(asked):
+            guard = StarvationGuard(clock, random.Random(5))
+            exempted = 0
+            requested = 2000
+            for number in range(requested):
                 await clock.sleep(0.01)
-                passed += least.admit(HEAVY, is_over_share=True)
+                exempted += guard.admit(HEAVY, is_over_share=True)
                 if number % 10 == 0:
-                    least.record_slot_granted(LIGHT, is_share_exempt=False)
-            part = passed / asked
-            self.assertGreater(part, STARVED_PART * 0.1)
-            self.assertLess(part, 1.2 * MIN_RELATIVE_SERVICE * 0.1)
+                    guard.record_slot_granted(LIGHT, is_share_exempt=False)
+            fraction = exempted / requested
+            self.assertGreater(fraction, STARVED_FRACTION * 0.1)
+            self.assertLess(fraction, 1.2 * MIN_RELATIVE_SERVICE * 0.1)
 
         run(play())
 
-    def test_credit_is_not_saved_up_while_a_flow_is_served(self):
+    def test_credit_does_not_accumulate_while_a_flow_is_served(self):
         async def play():
-            least = StarvationGuard(LoopClock(), random.Random(5))
+            guard = StarvationGuard(LoopClock(), random.Random(5))
             for _ in range(100):
-                least.admit(HEAVY, is_over_share=False)
-                least.record_slot_granted(HEAVY, is_share_exempt=False)
-            self.assertLessEqual(sum(least.admit(HEAVY, is_over_share=True) for _ in range(3)), 1)
+                guard.admit(HEAVY, is_over_share=False)
+                guard.record_slot_granted(HEAVY, is_share_exempt=False)
+            self.assertLessEqual(sum(guard.admit(HEAVY, is_over_share=True) for _ in range(3)), 1)
 
         run(play())
 
-    def test_credit_of_a_request_that_was_refused_is_for_the_next(self):
+    def test_credit_of_a_refused_request_is_refunded(self):
         async def play():
-            least = StarvationGuard(LoopClock(), random.Random(5))
-            while not least.admit(HEAVY, is_over_share=True):
+            guard = StarvationGuard(LoopClock(), random.Random(5))
+            while not guard.admit(HEAVY, is_over_share=True):
                 pass
-            least.refund_credit(HEAVY)
-            self.assertTrue(least.admit(HEAVY, is_over_share=True))
-            least.record_slot_granted(HEAVY, is_share_exempt=True)
-            self.assertFalse(least.admit(HEAVY, is_over_share=True))
+            guard.refund_credit(HEAVY)
+            self.assertTrue(guard.admit(HEAVY, is_over_share=True))
+            guard.record_slot_granted(HEAVY, is_share_exempt=True)
+            self.assertFalse(guard.admit(HEAVY, is_over_share=True))
 
         run(play())
 
-    def test_request_after_a_night_without_any_is_admitted(self):
+    def test_request_after_hours_without_any_is_admitted(self):
         async def play():
             clock = LoopClock()
-            least = StarvationGuard(clock, random.Random(5))
-            least.admit(HEAVY, is_over_share=False)
+            guard = StarvationGuard(clock, random.Random(5))
+            guard.admit(HEAVY, is_over_share=False)
             await clock.sleep(4 * 3600.0)
-            self.assertFalse(least.admit(LIGHT, is_over_share=False))
+            self.assertFalse(guard.admit(LIGHT, is_over_share=False))
 
         run(play())
 
@@ -201,29 +203,29 @@
         async def play():
             clock = LoopClock()
             daemons = 300
-            passed = 0
+            exempted = 0
             for seed in range(daemons):
-                least = StarvationGuard(clock, random.Random(seed))
-                least.record_slot_granted(LIGHT, is_share_exempt=False)
-                passed += least.admit(HEAVY, is_over_share=True)
-            self.assertGreater(passed / daemons, STARVED_PART)
+                guard = StarvationGuard(clock, random.Random(seed))
+                guard.record_slot_granted(LIGHT, is_share_exempt=False)
+                exempted += guard.admit(HEAVY, is_over_share=True)
+            self.assertGreater(exempted / daemons, STARVED_FRACTION)
 
         run(play())
 
 
 class UnequalDaemonsTest(unittest.TestCase):
-    """Two daemons of unequal share of a tenant: what one sees is not what the fleet holds."""
+    """Two daemons with unequal parts of a tenant's requests."""
 
-    def test_daemon_that_sees_few_requests_of_a_heavy_tenant_counts_those_of_the_other(self):
+    def test_daemon_counts_the_requests_of_a_heavy_tenant_at_the_other_daemon(self):
         async def play():
             clock = LoopClock()
             near, far = FlowLedger(clock), FlowLedger(clock)
-            with contextlib.ExitStack() as held:
+            with contextlib.ExitStack() as stack:
                 for _ in range(3):
-                    held.enter_context(far.running(HEAVY))
-                held.enter_context(far.waiting(HEAVY))
-                held.enter_context(near.running(HEAVY))
-                held.enter_context(near.waiting(LIGHT))
+                    stack.enter_context(far.running(HEAVY))
+                stack.enter_context(far.waiting(HEAVY))
+                stack.enter_context(near.running(HEAVY))
+                stack.enter_context(near.waiting(LIGHT))
                 alone = compute_shares(near.uses(GROUP), free=0)
                 self.assertEqual(1, alone.flow_share(HEAVY).use)
                 self.assertFalse(
@@ -249,15 +251,15 @@
 
         run(play())
 
-    def test_report_is_bounded_and_names_the_greatest(self):
+    def test_report_is_bounded_and_contains_the_highest_use(self):
         async def play():
             ledger = FlowLedger(LoopClock())
-            with contextlib.ExitStack() as held:
+            with contextlib.ExitStack() as stack:
                 for _ in range(40):
-                    held.enter_context(ledger.running(flow("x" * (MAX_REPORTED_NAME_LENGTH + 1))))
+                    stack.enter_context(ledger.running(flow("x" * (MAX_REPORTED_NAME_LENGTH + 1))))
                 for number in range(30):
                     for _ in range(number + 1):
-                        held.enter_context(ledger.waiting(flow(f"tenant-{number}")))
+                        stack.enter_context(ledger.waiting(flow(f"tenant-{number}")))
                 report = ledger.report()
             self.assertEqual(MAX_REPORTED_FLOWS, len(report))
             self.assertEqual(FlowUsage(0, 30), report[flow("tenant-29")])
@@ -266,7 +268,7 @@
 
         run(play())
 
-    def test_nothing_is_reported_while_there_is_room(self):
+    def test_nothing_is_reported_without_a_shortage(self):
         async def play():
             clock = LoopClock()
             ledger = FlowLedger(clock)
@@ -283,18 +285,18 @@
 
         run(play())
 
-    def test_row_of_a_heartbeat_with_use_by_tenant_is_as_it_was(self):
-        """Daemons of other builds read it."""
+    def test_row_of_a_heartbeat_with_use_by_tenant_is_unchanged(self):
+        """The format must stay compatible with daemons of other versions."""
         report = DaemonReport(tenants={HEAVY: FlowUsage(3, 1), LIGHT: FlowUsage(0, 2)})
         row = b'{"interval":1.0,"tenants":[["pages",1,"heavy",3,1],["pages",1,"light",0,2]]}'
         self.assertEqual(row, encode_heartbeat(Heartbeat(1.0, report=report)))
 
-    def test_report_survives_the_way_through_a_heartbeat(self):
+    def test_report_round_trips_through_a_heartbeat(self):
         tenants = {HEAVY: FlowUsage(3, 1), flow(route_flow_name("r")): FlowUsage(0, 2)}
         row = encode_heartbeat(Heartbeat(1.0, report=DaemonReport(tenants=tenants)))
         self.assertEqual(tenants, decode_heartbeat(row).report.tenants)
 
-    def test_unreadable_rows_of_a_report_are_passed_over(self):
+    def test_unreadable_rows_of_a_report_are_skipped(self):
         for value in (
             b"7",
             b'{"a":[1,2]}',
@@ -309,10 +311,10 @@
                 self.assertEqual({}, decode_heartbeat(row).report.tenants)
 
 
-class NewsStopTest(unittest.TestCase):
-    """The reports of other daemons stop: a daemon goes by its own requests after a while."""
+class LostReportsTest(unittest.TestCase):
+    """When the reports of other daemons stop, a daemon relies on its own requests."""
 
-    def test_old_reports_count_no_longer(self):
+    def test_old_reports_expire(self):
         async def play():
             clock = LoopClock()
             ledger = FlowLedger(clock)
@@ -330,7 +332,7 @@
 
         run(play())
 
-    def test_daemon_that_is_gone_holds_nothing(self):
+    def test_report_of_a_removed_daemon_is_dropped(self):
         async def play():
             ledger = FlowLedger(LoopClock())
             ledger.record_report("far", {HEAVY: FlowUsage(9, 0)})
@@ -340,76 +342,76 @@
         run(play())
 
 
-class ReturningWaveTest(unittest.TestCase):
-    """A wave of callers who are refused at one moment, and would come back together."""
+class RetryWaveTest(unittest.TestCase):
+    """Clients that are refused at the same moment must not retry at the same moment."""
 
-    def test_they_come_back_one_after_the_other_in_their_order(self):
+    def test_they_retry_one_after_the_other_in_their_order(self):
         async def play():
             times = RetrySchedule(LoopClock(), random.Random(1))
-            told = [times.reserve("line", 0.2, 0.05, 1.0) for _ in range(12)]
-            self.assertEqual(sorted(told), told)
-            self.assertGreaterEqual(told[0], 0.2)
-            for sooner, later in itertools.pairwise(told):
+            delays = [times.reserve("queue", 0.2, 0.05, 1.0) for _ in range(12)]
+            self.assertEqual(sorted(delays), delays)
+            self.assertGreaterEqual(delays[0], 0.2)
+            for sooner, later in itertools.pairwise(delays):
                 self.assertLess(later - sooner, 0.1)
-            self.assertGreater(told[-1] - told[0], 10 * 0.05)
+            self.assertGreater(delays[-1] - delays[0], 10 * 0.05)
 
         run(play())
 
-    def test_those_who_cannot_wait_for_their_turn_are_spread_over_their_time(self):
+    def test_clients_that_cannot_wait_for_their_turn_are_spread_over_their_time(self):
         async def play():
             times = RetrySchedule(LoopClock(), random.Random(1))
-            told = [times.reserve("line", 5.0, 0.05, 0.4) for _ in range(100)]
-            self.assertLessEqual(max(told), 0.4)
-            self.assertGreater(max(told) - min(told), 0.15)
-            # Nobody is put behind those who did not stay.
-            self.assertLess(times.reserve("line", 0.1, 0.05, 1.0), 0.2)
+            delays = [times.reserve("queue", 5.0, 0.05, 0.4) for _ in range(100)]
+            self.assertLessEqual(max(delays), 0.4)
+            self.assertGreater(max(delays) - min(delays), 0.15)
+            # Clients that could not wait do not delay later ones.
+            self.assertLess(times.reserve("queue", 0.1, 0.05, 1.0), 0.2)
 
         run(play())
 
-    def test_daemons_do_not_tell_the_same_times(self):
+    def test_daemons_tell_different_times(self):
         async def play():
-            told = {
+            delays = {
                 RetrySchedule(LoopClock(), random.Random(n)).reserve(1, 0.2, 0.05, 1.0)
                 for n in range(50)
             }
-            self.assertEqual(50, len(told))
+            self.assertEqual(50, len(delays))
 
         run(play())
 
-    def test_lines_are_bounded(self):
+    def test_number_of_queues_is_bounded(self):
         async def play():
             times = RetrySchedule(LoopClock(), random.Random(1))
             for number in range(3 * MAX_SCHEDULED_QUEUES):
                 times.reserve(number, 0.2, 0.05, 1.0)
-            self.assertLessEqual(len(times._told), MAX_SCHEDULED_QUEUES)
+            self.assertLessEqual(len(times._last_times), MAX_SCHEDULED_QUEUES)
 
         run(play())
 
-    def test_line_in_constant_use_is_kept_among_many(self):
-        """Else the callers of the tenant that is refused most would come back together."""
+    def test_queue_in_constant_use_is_kept_among_many(self):
+        """Otherwise the clients of the tenant that is refused most would retry together."""
 
         async def play():
             times = RetrySchedule(LoopClock(), random.Random(1))
-            told = [times.reserve("heavy", 0.1, 0.1, 1.0)]
+            delays = [times.reserve("heavy", 0.1, 0.1, 1.0)]
             for number in range(2 * MAX_SCHEDULED_QUEUES):
                 times.reserve(number, 0.2, 0.05, 1.0)
                 if number % (MAX_SCHEDULED_QUEUES // 2) == 0:
-                    told.append(times.reserve("heavy", 0.1, 0.1, 1.0))
-            for sooner, later in itertools.pairwise(told):
+                    delays.append(times.reserve("heavy", 0.1, 0.1, 1.0))
+            for sooner, later in itertools.pairwise(delays):
                 self.assertGreater(later, sooner)
 
         run(play())
 
 
-class LastingShortageTest(unittest.TestCase):
-    """By chance a tenth of the requests finds no place in its time; in a shortage half do."""
+class ShortageDetectorTest(unittest.TestCase):
+    """Randomly a tenth of the requests gets no slot in time; in a shortage half of them do."""
 
     def setUp(self) -> None:
         self.clock = LoopClock()
         self.shortage = ShortageDetector(self.clock)
 
     async def play(self, missed_of_ten: int, seconds: int) -> None:
-        """Records ten requests a second."""
+        """Records ten requests per second."""
         for number in range(10 * seconds):
             if number % 10 < missed_of_ten:
                 self.shortage.record_missed(SERVICE)
@@ -417,14 +419,14 @@
                 self.shortage.record_slot_granted(SERVICE)
             await self.clock.sleep(0.1)
 
-    def test_few_that_miss_show_none(self):
+    def test_few_missed_requests_are_no_shortage(self):
         async def play() -> None:
             await self.play(1, 20)
             self.assertFalse(self.shortage.is_persistent(SERVICE))
 
         run(play())
 
-    def test_it_is_seen_within_seconds_and_ends_within_seconds(self):
+    def test_it_is_detected_within_seconds_and_ends_within_seconds(self):
         async def play() -> None:
             await self.play(1, 20)
             await self.play(5, 6)
@@ -435,7 +437,7 @@
 
         run(play())
 
-    def test_it_ends_also_if_no_request_comes(self):
+    def test_it_ends_even_without_requests(self):
         async def play() -> None:
             await self.play(9, 6)
             self.assertTrue(self.shortage.is_persistent(SERVICE))
@@ -448,7 +450,7 @@
 class BatchSharesTest(unittest.TestCase):
     """Several batches of several tenants compete for engines."""
 
-    def test_tenant_with_many_batches_pays_with_its_own(self):
+    def test_tenant_with_many_batches_divides_its_own_share(self):
         many, few = TenantName("many"), TenantName("few")
         demands = {f"b{number}": BatchDemand(many, 40) for number in range(4)}
         shares = share_among_batches(demands | {"c": BatchDemand(few, 40)}, 80)
@@ -463,7 +465,7 @@
         shares = share_among_batches(demands, 60)
         self.assertEqual({"small": 5, "large": 35, "other": 20}, shares)
 
-    def test_with_room_each_gets_what_it_wants(self):
+    def test_all_demands_are_met_if_the_slots_suffice(self):
         demands = {"a": BatchDemand(None, 5), "b": BatchDemand(TenantName("t"), 7)}
         self.assertEqual({"a": 5, "b": 7}, share_among_batches(demands, 12))
 
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -1,6 +1,6 @@
-"""Client requests before servers without a free place: what is forecast, who waits, who is refused.
+"""Forecasts, queueing and refusals of client requests while servers have no free slot.
 
-The scripted servers have no queue: a request beyond their slots is answered "full".
+The scripted servers have no queue: they answer "full" to requests beyond their slots.
 """
 
 import asyncio
@@ -50,10 +50,10 @@
 SLOTS = 2
 OBJECTIVE = 0.2
 TIME_LIMIT = 2.0
-PACE = 0.1
+SERVICE_TIME = 0.1
 DEADLINES = Deadlines(objective_at=OBJECTIVE, expires_at=0.8, default_service_time=0.05)
 SETTLE_SECONDS = 0.01
-"""Longer than an answer "full" takes, shorter than the pace."""
+"""Longer than an answer "full" takes, shorter than the service time."""
 
 
 def make_route(kind: RouteKind = RouteKind.RUN_ONCE, priority: int = 0) -> Route:
@@ -64,59 +64,59 @@
 
 
 class ForecastTest(unittest.TestCase):
-    """The forecast alone; the time is 0."""
+    """The forecast function at time 0."""
 
     def expectation(
         self, slot_counts: SlotCounts, ahead: int = 0, blocked_seconds: float = 0.0
     ) -> Expectation:
-        """Returns what is expected."""
+        """Returns the expectation of a forecast."""
         return make_forecast(slot_counts, DEADLINES, 0.0, ahead, blocked_seconds).expectation
 
-    def test_more_requests_in_front_turn_it_from_in_time_to_late_to_hopeless(self):
+    def test_more_requests_ahead_turn_it_from_in_time_to_late_to_infeasible(self):
         expectations = [
             self.expectation(SlotCounts(4, 4, 0.1), ahead) for ahead in (0, 3, 4, 29, 30, 60)
         ]
         expected = [Expectation.IN_TIME, Expectation.IN_TIME, Expectation.LATE, Expectation.LATE]
         self.assertEqual([*expected, Expectation.NOT_AT_ALL, Expectation.NOT_AT_ALL], expectations)
 
-    def test_slow_servers_are_no_hope_for_short_times(self):
+    def test_slow_servers_are_infeasible_for_short_deadlines(self):
         self.assertIs(Expectation.NOT_AT_ALL, self.expectation(SlotCounts(4, 3, 1.7)))
 
-    def test_nothing_is_refused_while_most_places_are_free(self):
+    def test_nothing_is_refused_while_most_slots_are_free(self):
         self.assertIs(
             Expectation.LATE, self.expectation(SlotCounts(4, 1, 1.7), blocked_seconds=9.0)
         )
 
-    def test_service_without_places_is_hopeless(self):
+    def test_service_without_slots_is_infeasible(self):
         self.assertIs(Expectation.NOT_AT_ALL, self.expectation(SlotCounts(0, 0, 0.0)))
 
-    def test_request_whose_time_is_over_is_hopeless_whatever_is_free(self):
+    def test_request_after_its_deadline_is_infeasible_whatever_is_free(self):
         forecast = make_forecast(SlotCounts(4, 0, 0.1), DEADLINES, DEADLINES.expires_at)
         self.assertIs(Expectation.NOT_AT_ALL, forecast.expectation)
 
-    def test_places_that_stay_taken_are_expected_to_stay_so_for_as_long(self):
+    def test_slots_that_stay_taken_are_expected_to_stay_taken_as_long_again(self):
         slot_counts = SlotCounts(4, 4, 0.1)
         self.assertIs(Expectation.IN_TIME, self.expectation(slot_counts, blocked_seconds=0.05))
         self.assertIs(Expectation.LATE, self.expectation(slot_counts, blocked_seconds=0.3))
         self.assertIs(Expectation.NOT_AT_ALL, self.expectation(slot_counts, blocked_seconds=0.77))
 
-    def test_caller_is_told_the_wait_but_never_more_than_it_can_use(self):
+    def test_retry_delay_is_the_wait_but_never_more_than_the_client_can_use(self):
         for ahead in (0, 1, 5, 40, 4000):
             forecast = make_forecast(SlotCounts(4, 4, 0.1), DEADLINES, 0.3, ahead)
             self.assertGreater(forecast.retry_after, 0)
             self.assertLessEqual(forecast.retry_after, 0.5 * MAX_RETRY_SHARE)
         patient = Deadlines(objective_at=0.2, expires_at=100.0, default_service_time=0.05)
-        told = make_forecast(SlotCounts(4, 4, 0.4), patient, 0.0, ahead=1).retry_after
-        self.assertAlmostEqual(0.2, told)
-        told = make_forecast(SlotCounts(4, 4, 0.4), patient, 0.0, ahead=900).retry_after
-        self.assertEqual(MAX_RETRY_SECONDS, told)
+        delay = make_forecast(SlotCounts(4, 4, 0.4), patient, 0.0, ahead=1).retry_after
+        self.assertAlmostEqual(0.2, delay)
+        delay = make_forecast(SlotCounts(4, 4, 0.4), patient, 0.0, ahead=900).retry_after
+        self.assertEqual(MAX_RETRY_SECONDS, delay)
 
 
 class WaitingTest(unittest.TestCase):
-    """Requests through the forwarder, on virtual time."""
+    """Requests through the forwarder, in virtual time."""
 
-    def begin(self, count: int = 1, service_time: float = PACE) -> None:
-        """Lists some servers of which all places are free."""
+    def begin(self, count: int = 1, service_time: float = SERVICE_TIME) -> None:
+        """Lists some servers with all slots free."""
         self.clock = LoopClock()
         self.engines = ScriptedEngines(self.clock, ModelName("model"))
         self.directory = InstanceDirectory()
@@ -153,20 +153,20 @@
         request = ClientRequest(name, "GET", b"h", b"/", (), b"", self.clock.now(), time_left)
 
         async def read() -> bytes:
-            async with self.forwarder.stream(request, route) as answer:
-                return b"".join([chunk async for chunk in answer.chunks()])
+            async with self.forwarder.stream(request, route) as response:
+                return b"".join([chunk async for chunk in response.chunks()])
 
         return asyncio.create_task(read())
 
     async def refusal(self, task: asyncio.Task) -> tuple[float, RefusedError]:
-        """Returns how long a request took to be refused, and the refusal."""
+        """Returns the seconds until a request was refused, and the error."""
         began = self.clock.now()
         with self.assertRaises(RefusedError) as caught:
             await task
         return self.clock.now() - began, caught.exception
 
-    def take_places(self, seconds: float) -> None:
-        """Has other daemons' requests take all places of the first server for a while."""
+    def take_slots(self, seconds: float) -> None:
+        """Fills all slots of the first server with other daemons' requests for some seconds."""
         state = self.state()
         state.running += SLOTS
 
@@ -175,7 +175,7 @@
 
         asyncio.get_running_loop().call_later(seconds, free)
 
-    def test_hopeless_request_is_refused_at_once_with_the_forecast_s_time(self):
+    def test_infeasible_request_is_refused_at_once_with_the_forecast_retry_delay(self):
         async def play():
             for send in (self.send, self.stream):
                 self.begin(service_time=1.0)
@@ -210,7 +210,7 @@
                 self.assertLess(seconds, POLL_INTERVAL_SECONDS)
                 self.assertGreater(error.retry_after, 0)
                 self.state().down = False
-                self.take_places(0.1)
+                self.take_slots(0.1)
                 await self.send(make_route(kind))
 
         run(play())
@@ -228,7 +228,7 @@
 
         run(play())
 
-    def test_place_that_comes_free_here_is_taken_at_once(self):
+    def test_slot_that_becomes_free_here_is_taken_at_once(self):
         async def play():
             self.begin()
             others = [self.send(make_route()) for _ in range(SLOTS)]
@@ -237,18 +237,18 @@
             await asyncio.gather(*others)
             free_at = self.clock.now()
             await waiting
-            self.assertLess(self.clock.now() - free_at, PACE + POLL_INTERVAL_SECONDS / 4)
+            self.assertLess(self.clock.now() - free_at, SERVICE_TIME + POLL_INTERVAL_SECONDS / 4)
 
         run(play())
 
-    def test_place_that_another_daemon_leaves_is_found(self):
+    def test_slot_that_another_daemon_releases_is_found(self):
         async def play():
             for kind in (RouteKind.IDEMPOTENT, RouteKind.RUN_ONCE):
                 self.begin()
-                self.take_places(0.15)
+                self.take_slots(0.15)
                 began = self.clock.now()
                 await self.send(make_route(kind))
-                waited = self.clock.now() - began - PACE
+                waited = self.clock.now() - began - SERVICE_TIME
                 self.assertLess(waited, 0.15 + 2 * POLL_INTERVAL_SECONDS)
 
         run(play())
@@ -267,27 +267,27 @@
 
         run(play())
 
-    def test_less_urgent_request_waits_behind_those_in_line(self):
-        """A newcomer does not take the place that came free for one that waits."""
+    def test_less_urgent_request_waits_behind_queued_ones(self):
+        """A new request does not take the slot that became free for a waiting one."""
 
         async def play():
             self.begin()
-            self.take_places(0.1)
+            self.take_slots(0.1)
             waiting = self.send(make_route(priority=1))
             await self.clock.sleep(SETTLE_SECONDS)
             self.balancer.occupy(InstanceId("e0"))
             self.balancer.occupy(InstanceId("e0"))
             await self.clock.sleep(0.1 - SETTLE_SECONDS + 0.001)
-            newcomer = self.send(make_route(priority=3))
-            await asyncio.gather(waiting, newcomer)
+            new_request = self.send(make_route(priority=3))
+            await asyncio.gather(waiting, new_request)
             self.assertEqual(["request-1", "request-2"], self.state().runs)
 
         run(play())
 
-    def test_request_that_is_late_anyway_comes_after_one_that_is_not(self):
+    def test_request_that_would_be_late_comes_after_one_that_would_not(self):
         async def play():
             self.begin()
-            self.take_places(0.15)
+            self.take_slots(0.15)
             route = make_route(priority=1)
             early = self.send(route, 1.0)
             await self.clock.sleep(0.12)
@@ -297,26 +297,26 @@
 
         run(play())
 
-    def test_request_that_turns_hopeless_while_it_waits_is_refused_then(self):
+    def test_request_that_becomes_infeasible_while_it_waits_is_refused_then(self):
         async def play():
             self.begin()
-            self.take_places(10.0)
+            self.take_slots(10.0)
             seconds, error = await self.refusal(self.send(make_route(), 0.8))
             self.assertGreater(seconds, OBJECTIVE)
             self.assertLess(seconds, 0.5)
             self.assertGreater(error.retry_after, 0)
             self.assertEqual([], self.state().runs)
             seconds, _ = await self.refusal(self.send(make_route(), 0.7))
-            self.assertLess(seconds, 0.25)  # it is known by now that no place comes free
+            self.assertLess(seconds, 0.25)  # known by now: no slot becomes free
 
         run(play())
 
-    def test_refusals_of_full_servers_do_not_wake_the_line(self):
-        """Each poll costs one attempt; else the queued requests would call each other for ever."""
+    def test_refusals_of_full_servers_do_not_wake_the_queue(self):
+        """Each poll costs one attempt; otherwise queued requests would wake each other forever."""
 
         async def play():
             self.begin()
-            self.take_places(10.0)
+            self.take_slots(10.0)
             tried = 0
             original = self.engines.send
 
@@ -334,11 +334,11 @@
 
         run(play())
 
-    def test_client_that_leaves_the_line_reaches_no_server(self):
+    def test_client_that_leaves_the_queue_reaches_no_server(self):
         async def play():
             for send in (self.send, self.stream):
                 self.begin()
-                self.take_places(0.1)
+                self.take_slots(0.1)
                 leaving = send(make_route())
                 await self.clock.sleep(0.05)
                 self.assertEqual(1, self.forwarder.waiting)
@@ -354,9 +354,9 @@
         async def play():
             for kind in (RouteKind.IDEMPOTENT, RouteKind.RUN_ONCE):
                 self.begin(count=2)
-                self.take_places(10.0)
+                self.take_slots(10.0)
                 self.balancer.record_service_time(
-                    InstanceId("e1"), 2 * PACE, weight=1.0
+                    InstanceId("e1"), 2 * SERVICE_TIME, weight=1.0
                 )  # tried second
                 leaving = self.send(make_route(kind))
                 await self.clock.sleep(0.0005)  # before the first has answered "full"
@@ -366,8 +366,8 @@
 
         run(play())
 
-    def test_request_that_waited_and_then_ran_is_never_answered_as_not_run(self):
-        """Its server is silent until its time is over, or breaks its answer off."""
+    def test_request_that_waited_and_then_ran_is_never_reported_as_not_run(self):
+        """Its server does not respond before the deadline, or cuts its response off."""
 
         async def play():
             for kind in (RouteKind.IDEMPOTENT, RouteKind.RUN_ONCE):
@@ -377,7 +377,7 @@
                 ):
                     self.begin()
                     self.engines.engines[InstanceId("e0")] = state
-                    self.take_places(0.1)
+                    self.take_slots(0.1)
                     with self.assertRaises(error):
                         await self.send(make_route(kind), 0.8)
                     self.assertEqual(["request-1"], self.state().runs)
@@ -390,7 +390,7 @@
                 self.begin(count=2)
                 self.state().break_after = 0
                 self.balancer.record_service_time(
-                    InstanceId("e1"), 2 * PACE, weight=1.0
+                    InstanceId("e1"), 2 * SERVICE_TIME, weight=1.0
                 )  # tried second
                 self.engines.engines[InstanceId("e1")].running = SLOTS
                 with self.assertRaises(RequestFailedError):
@@ -398,7 +398,7 @@
 
         run(play())
 
-    def test_waiting_request_whose_time_ends_is_not_sent(self):
+    def test_waiting_request_whose_deadline_passes_is_not_sent(self):
         async def play():
             self.begin()
             seconds, _ = await self.refusal(self.send(make_route(), 0.0))
@@ -407,17 +407,17 @@
 
         run(play())
 
-    def test_request_is_tried_at_free_servers_that_failed_a_moment_ago(self):
-        """No place is known to be taken, and nothing waits: a refusal would be for nothing."""
+    def test_request_is_tried_at_free_servers_that_failed_recently(self):
+        """No slot is known to be taken and no request waits, so a refusal would be unnecessary."""
 
         async def play():
             self.begin()
             self.balancer.record_service_time(
                 InstanceId("e0"), 0.5, weight=1.0
-            )  # others' requests took long
+            )  # other requests took long
             self.balancer.avoid(InstanceId("e0"), 0.3)
-            answer = await self.send(make_route(), 0.4)
-            self.assertEqual(200, answer.status)
+            response = await self.send(make_route(), 0.4)
+            self.assertEqual(200, response.status)
 
         run(play())
 
@@ -436,37 +436,38 @@
         self.assertEqual(POLL_INTERVAL_SECONDS, poll_interval(24 * 8))
         self.assertGreater(poll_interval(3200 * 8), 10 * POLL_INTERVAL_SECONDS)
 
-    def test_queue_of_a_large_service_is_not_polled_for_each_end(self):
-        for slot_counts, polls in ((24 * 8, 20), (3200 * 8, 0)):
+    def test_queue_of_a_large_service_is_not_polled_for_each_ended_request(self):
+        for slots, polls in ((24 * 8, 20), (3200 * 8, 0)):
             self.assertEqual(
-                polls, run(self.polls_for_ends(SlotCounts(slot_counts, slot_counts, PACE)))
+                polls,
+                run(self.polls_for_ended_requests(SlotCounts(slots, slots, SERVICE_TIME))),
             )
 
-    async def polls_for_ends(self, slot_counts: SlotCounts) -> int:
-        """Returns how many polls of a queue twenty requests cost that end at once."""
-        surveys = []
+    async def polls_for_ended_requests(self, slot_counts: SlotCounts) -> int:
+        """Returns the number of queue polls caused by twenty requests that end at once."""
+        counted = []
 
         def count(service, work) -> SlotCounts:
-            surveys.append(service)
+            counted.append(service)
             return slot_counts
 
         clock = LoopClock()
         queues = RequestQueues(clock, count, FlowLedger(clock))
-        deadlines = Deadlines(1.0, 60.0, PACE)
+        deadlines = Deadlines(1.0, 60.0, SERVICE_TIME)
         turns = [
             asyncio.create_task(queues.wait_for_turn(Waiter(PAGES, CLIENT_WORK, 0, deadlines, 0.0)))
             for _ in range(40)
         ]
         await asyncio.sleep(poll_interval(slot_counts.total) + SETTLE_SECONDS)
-        before = len(surveys)
+        before = len(counted)
         for _ in range(20):
             queues.record_release(PAGES)
-        polls = len(surveys) - before
+        polls = len(counted) - before
         for turn in turns:
             turn.cancel()
         return polls
 
-    def test_forecasts_are_counted_with_what_became_of_them(self):
+    def test_forecasts_are_counted_with_their_outcomes(self):
         async def play():
             self.begin(service_time=0.3)
             others = [self.send(make_route()) for _ in range(SLOTS)]
@@ -481,19 +482,21 @@
 
         run(play())
 
-    def test_survey_counts_no_free_place_where_a_server_refused(self):
+    def test_server_that_refused_has_no_free_slot(self):
         async def play():
             self.begin(count=2)
-            self.assertEqual(2 * SLOTS, count_slots(*self.surveyed()).free)
+            self.assertEqual(2 * SLOTS, count_slots(*self.count_arguments()).free)
             self.balancer.avoid(InstanceId("e0"), 1.0)
-            self.assertEqual(SLOTS, count_slots(*self.surveyed()).free)
+            self.assertEqual(SLOTS, count_slots(*self.count_arguments()).free)
             self.list(InstanceId("e1"), InstanceState.LEAVING)
-            self.assertEqual(SlotCounts(SLOTS, SLOTS, PACE), count_slots(*self.surveyed()))
+            self.assertEqual(
+                SlotCounts(SLOTS, SLOTS, SERVICE_TIME), count_slots(*self.count_arguments())
+            )
 
         run(play())
 
-    def surveyed(self):
-        """Returns what a survey is made of."""
+    def count_arguments(self):
+        """Returns the arguments of `count_slots`."""
         return self.balancer, PAGES, CLIENT_WORK
 
 
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -1,4 +1,4 @@
-"""Paces of servers as a daemon knows them: of one incarnation, shared, and with their slowness."""
+"""Service times of servers: per incarnation, reported by other daemons, and with slowness."""
 
 import asyncio
 import random
@@ -39,8 +39,8 @@
 OTHER = instance_id(InstanceName("e1"), BORN)
 
 
-class KnownServers:
-    """A balancer of two servers that say when they were started."""
+class ServerFixture:
+    """A balancer of two servers that report their start times."""
 
     def __init__(self) -> None:
         self.clock = LoopClock()
@@ -51,7 +51,7 @@
         self.service_times = self.balancer.service_times
 
     def start(self, instance: InstanceId) -> None:
-        """Lists an incarnation of a server, in place of the one before."""
+        """Lists an incarnation of a server, which replaces its previous one."""
         self.directory.update(make_instance(instance, ENGINES))
 
     async def stream(self, instance: InstanceId, service_time: float, seconds: float = 1.0) -> None:
@@ -61,166 +61,168 @@
             await asyncio.sleep(service_time)
             self.service_times.record_event(instance, service_time)
 
-    async def answer(self, seconds: float, slowness: float | None, name: InstanceId = SERVER):
-        """Records an answer that says the server's slowness in its head."""
+    async def respond(self, seconds: float, slowness: float | None, name: InstanceId = SERVER):
+        """Records a response that reports the server's slowness in a header."""
         await asyncio.sleep(0.5)
         self.balancer.record_load(name, ServerLoad(1, 0, SLOTS, slowness))
         self.service_times.record_response(name, seconds)
 
 
 class IncarnationTest(unittest.TestCase):
-    """What is known of a server ends with its incarnation."""
+    """Knowledge about a server is dropped with its incarnation."""
 
-    def test_restart_under_the_same_name_begins_anew(self):
+    def test_restart_under_the_same_name_starts_without_measurements(self):
         async def play():
-            known = KnownServers()
-            await known.stream(SERVER, SLOW)
-            known.service_times.record_report(DaemonId("d"), {SERVER: SLOW})
-            self.assertAlmostEqual(SLOW, known.service_times.lasting(SERVER))
-            known.start(RESTARTED)
-            self.assertEqual(0.0, known.service_times.lasting(RESTARTED))
-            self.assertEqual({}, known.service_times.report())
-            self.assertEqual(0, len(known.service_times._shared))
+            fixture = ServerFixture()
+            await fixture.stream(SERVER, SLOW)
+            fixture.service_times.record_report(DaemonId("d"), {SERVER: SLOW})
+            self.assertAlmostEqual(SLOW, fixture.service_times.lasting(SERVER))
+            fixture.start(RESTARTED)
+            self.assertEqual(0.0, fixture.service_times.lasting(RESTARTED))
+            self.assertEqual({}, fixture.service_times.report())
+            self.assertEqual(0, len(fixture.service_times._peer_reports))
 
         run(play())
 
-    def test_run_at_the_earlier_incarnation_says_nothing_of_the_next(self):
+    def test_run_at_the_earlier_incarnation_does_not_affect_the_next(self):
         async def play():
-            known = KnownServers()
-            known.start(RESTARTED)
-            await known.stream(SERVER, SLOW)
-            self.assertEqual(0.0, known.service_times.lasting(RESTARTED))
-            await known.stream(RESTARTED, FAST)
-            self.assertAlmostEqual(FAST, known.service_times.lasting(RESTARTED))
+            fixture = ServerFixture()
+            fixture.start(RESTARTED)
+            await fixture.stream(SERVER, SLOW)
+            self.assertEqual(0.0, fixture.service_times.lasting(RESTARTED))
+            await fixture.stream(RESTARTED, FAST)
+            self.assertAlmostEqual(FAST, fixture.service_times.lasting(RESTARTED))
 
         run(play())
 
     def test_late_report_of_the_earlier_incarnation_changes_nothing(self):
         async def play():
-            known = KnownServers()
-            known.start(RESTARTED)
+            fixture = ServerFixture()
+            fixture.start(RESTARTED)
             for instance in (SERVER, InstanceId("e0")):
-                known.service_times.record_report(DaemonId("d"), {instance: SLOW})
-            self.assertEqual(0.0, known.service_times.lasting(RESTARTED))
-            known.service_times.record_report(DaemonId("d"), {RESTARTED: FAST})
-            self.assertEqual(FAST, known.service_times.lasting(RESTARTED))
+                fixture.service_times.record_report(DaemonId("d"), {instance: SLOW})
+            self.assertEqual(0.0, fixture.service_times.lasting(RESTARTED))
+            fixture.service_times.record_report(DaemonId("d"), {RESTARTED: FAST})
+            self.assertEqual(FAST, fixture.service_times.lasting(RESTARTED))
 
         run(play())
 
 
-class SharedPacesTest(unittest.TestCase):
-    """What the others report with their heartbeats."""
+class ReportedServiceTimesTest(unittest.TestCase):
+    """Service times that other daemons report with their heartbeats."""
 
-    def test_own_measurement_counts_before_a_report(self):
+    def test_own_measurement_takes_precedence_over_a_report(self):
         async def play():
-            known = KnownServers()
-            known.service_times.record_report(DaemonId("d"), {SERVER: SLOW})
-            self.assertEqual(SLOW, known.service_times.lasting(SERVER))
-            await known.stream(SERVER, FAST)
-            self.assertAlmostEqual(FAST, known.service_times.lasting(SERVER))
+            fixture = ServerFixture()
+            fixture.service_times.record_report(DaemonId("d"), {SERVER: SLOW})
+            self.assertEqual(SLOW, fixture.service_times.lasting(SERVER))
+            await fixture.stream(SERVER, FAST)
+            self.assertAlmostEqual(FAST, fixture.service_times.lasting(SERVER))
 
         run(play())
 
-    def test_fresh_report_counts_before_what_was_measured_here_earlier(self):
-        """A server turns ill while another daemon uses it, and is well again."""
+    def test_fresh_report_takes_precedence_over_older_own_measurements(self):
+        """A server degrades while another daemon uses it, and recovers."""
 
         async def play():
-            known = KnownServers()
-            await known.stream(SERVER, FAST)
+            fixture = ServerFixture()
+            await fixture.stream(SERVER, FAST)
             await asyncio.sleep(SUSTAINED_SECONDS + 0.1)
-            known.service_times.record_report(DaemonId("d"), {SERVER: 3 * FAST})
-            self.assertEqual(3 * FAST, known.service_times.lasting(SERVER))
+            fixture.service_times.record_report(DaemonId("d"), {SERVER: 3 * FAST})
+            self.assertEqual(3 * FAST, fixture.service_times.lasting(SERVER))
             await asyncio.sleep(FRESH_REPORT_SECONDS + 0.1)
-            self.assertAlmostEqual(FAST, known.service_times.lasting(SERVER))
+            self.assertAlmostEqual(FAST, fixture.service_times.lasting(SERVER))
 
         run(play())
 
-    def test_illness_is_reported_while_it_is_measured_and_its_end_for_a_while(self):
-        for case, service_time, silence, expected in (
+    def test_degradation_is_reported_while_measured_and_recovery_for_some_seconds(self):
+        for case, service_time, gap, expected in (
             ("measured", FAST, 1.0, True),
             ("not measured any more", FAST, SUSTAINED_SECONDS, False),
-            ("ill", 3 * FAST, 1.0, True),
-            ("it may be well again", 3 * FAST, SUSTAINED_SECONDS, True),
+            ("degraded", 3 * FAST, 1.0, True),
+            ("it may have recovered", 3 * FAST, SUSTAINED_SECONDS, True),
             ("long ago", 3 * FAST, RECOVERY_SECONDS, False),
         ):
             with self.subTest(case):
                 history = ServiceTimeHistory()
                 for number in range(40):
                     history.record(number * 0.25, FAST if number < 20 else service_time)
-                self.assertEqual(expected, is_reported(history, 39 * 0.25 + silence + 0.01))
+                self.assertEqual(expected, is_reported(history, 39 * 0.25 + gap + 0.01))
 
-    def test_one_daemon_that_measures_wrong_moves_nothing(self):
+    def test_one_daemon_with_wrong_measurements_has_no_effect(self):
         async def play():
-            known = KnownServers()
+            fixture = ServerFixture()
             for daemon, service_time in (("a", FAST), ("late", 1.0), ("b", FAST)):
-                known.service_times.record_report(DaemonId(daemon), {SERVER: service_time})
-            self.assertEqual(FAST, known.service_times.lasting(SERVER))
+                fixture.service_times.record_report(DaemonId(daemon), {SERVER: service_time})
+            self.assertEqual(FAST, fixture.service_times.lasting(SERVER))
 
         run(play())
 
-    def test_reports_outlast_silent_heartbeats_and_end(self):
+    def test_reports_outlive_their_daemon_and_expire(self):
         async def play():
-            known = KnownServers()
-            known.service_times.record_report(DaemonId("d"), {SERVER: SLOW})
-            known.service_times.record_report(DaemonId("d"), {})  # the daemon is gone
+            fixture = ServerFixture()
+            fixture.service_times.record_report(DaemonId("d"), {SERVER: SLOW})
+            fixture.service_times.record_report(DaemonId("d"), {})  # the daemon was removed
             await asyncio.sleep(REPORT_LIFETIME_SECONDS - 1.0)
-            self.assertEqual(SLOW, known.service_times.lasting(SERVER))
+            self.assertEqual(SLOW, fixture.service_times.lasting(SERVER))
             await asyncio.sleep(2.0)
-            self.assertEqual(0.0, known.service_times.lasting(SERVER))
-            known.service_times.forget_old(known.clock.now())
-            self.assertEqual(0, len(known.service_times._shared))
+            self.assertEqual(0.0, fixture.service_times.lasting(SERVER))
+            fixture.service_times.forget_old(fixture.clock.now())
+            self.assertEqual(0, len(fixture.service_times._peer_reports))
 
         run(play())
 
     def test_reports_are_bounded(self):
         async def play():
-            known = KnownServers()
+            fixture = ServerFixture()
             reported = {instance_id(InstanceName(f"e{n}"), BORN): SLOW for n in range(100)}
             for number in range(50):
-                known.service_times.record_report(DaemonId(f"d{number}"), reported)
-            kept = known.service_times._shared._reported
+                fixture.service_times.record_report(DaemonId(f"d{number}"), reported)
+            kept = fixture.service_times._peer_reports._reported
             self.assertEqual({SERVER, OTHER}, set(kept))
             self.assertEqual(MAX_REPORTERS, len(kept[SERVER]))
 
         run(play())
 
-    def test_all_paces_are_reported_by_turns_while_they_are_young(self):
+    def test_all_recent_service_times_are_reported_by_turns(self):
         async def play():
-            known = KnownServers()
+            fixture = ServerFixture()
             names = [
                 instance_id(InstanceName(f"e{n}"), BORN)
                 for n in range(2 * MAX_REPORTED_SERVICE_TIMES + 1)
             ]
             for name in names:
-                known.start(name)
-            await asyncio.gather(*(known.stream(name, FAST) for name in names))
-            reports = [known.service_times.report() for _ in range(3)]
+                fixture.start(name)
+            await asyncio.gather(*(fixture.stream(name, FAST) for name in names))
+            reports = [fixture.service_times.report() for _ in range(3)]
             self.assertEqual(set(names), set().union(*reports))
             self.assertTrue(all(len(report) == MAX_REPORTED_SERVICE_TIMES for report in reports))
             await asyncio.sleep(SUSTAINED_SECONDS + 0.1)
-            self.assertEqual({}, known.service_times.report())
+            self.assertEqual({}, fixture.service_times.report())
 
         run(play())
 
-    def test_heartbeats_that_carry_no_paces_take_nobodys_turn(self):
+    def test_heartbeats_without_service_times_do_not_use_up_turns(self):
         async def play():
-            known = KnownServers()
+            fixture = ServerFixture()
             names = [
                 instance_id(InstanceName(f"e{n}"), BORN)
                 for n in range(2 * MAX_REPORTED_SERVICE_TIMES)
             ]
             for name in names:
-                known.start(name)
-            await asyncio.gather(*(known.stream(name, FAST) for name in names))
-            keeper = mock.Mock(progress=dict)
-            reports = DaemonReports(known.service_times, FlowLedger(LoopClock()), lambda: keeper)
+                fixture.start(name)
+            await asyncio.gather(*(fixture.stream(name, FAST) for name in names))
+            batch_manager = mock.Mock(progress=dict)
+            reports = DaemonReports(
+                fixture.service_times, FlowLedger(LoopClock()), lambda: batch_manager
+            )
             first = reports.own_service_times()
             self.assertEqual({}, reports.own().paces)
             self.assertEqual(set(names), first.keys() | reports.own_service_times().keys())
 
         run(play())
 
-    def test_a_fleet_knows_the_paces_that_one_daemon_has_measured(self):
+    def test_fleet_knows_the_service_times_that_one_daemon_measured(self):
         async def play():
             fleet = PlatformFleet(gateways=3, engines=2)
             await fleet.wait(3.0)
@@ -235,7 +237,7 @@
 
         run(play())
 
-    def test_heartbeat_carries_a_report_and_is_as_before_without(self):
+    def test_heartbeat_carries_a_report_and_is_unchanged_without_one(self):
         flow = Flow(FlowGroup(PAGES, 1), "t")
         report = DaemonReport({SERVER: SLOW, InstanceId("e1"): FAST})
         report = replace(report, tenants={flow: FlowUsage(3, 1)}, capacity=1.5)
@@ -245,67 +247,67 @@
 
 
 class SlownessTest(unittest.TestCase):
-    """The choice for a short request: the lasting pace and the slowness of this moment."""
+    """Short requests use the lasting service time and the current slowness."""
 
-    def test_burst_moves_the_choice_for_a_moment_only(self):
+    def test_burst_changes_the_choice_only_briefly(self):
         async def play():
-            known = KnownServers()
+            fixture = ServerFixture()
             for _ in range(5):
-                await known.answer(FAST, 1.0)
-            await known.answer(FAST * 2.5, 2.5)
-            service_time = known.balancer.service_time(SERVER)
+                await fixture.respond(FAST, 1.0)
+            await fixture.respond(FAST * 2.5, 2.5)
+            service_time = fixture.balancer.service_time(SERVER)
             self.assertAlmostEqual(FAST * 2.5, service_time)
             await asyncio.sleep(0.2)
-            self.assertAlmostEqual(FAST, known.balancer.service_time(SERVER))
+            self.assertAlmostEqual(FAST, fixture.balancer.service_time(SERVER))
 
         run(play())
 
-    def test_figures_other_than_the_results_show_move_a_choice_within_bounds(self):
-        """The server lies: it says other figures than its answers take."""
+    def test_wrong_slowness_reports_affect_a_choice_within_bounds(self):
+        """The server reports a slowness that its response times do not confirm."""
 
         async def play():
-            for lies in ((1.0, 0.01), (9999.0, 1.0), (0.01, 0.02, 5.0, 80.0)):
-                known = KnownServers()
+            for slowness_reports in ((1.0, 0.01), (9999.0, 1.0), (0.01, 0.02, 5.0, 80.0)):
+                fixture = ServerFixture()
                 for number in range(24):
-                    await known.answer(FAST, lies[number % len(lies)])
+                    await fixture.respond(FAST, slowness_reports[number % len(slowness_reports)])
                     if number > 4:
-                        service_time = known.balancer.service_time(SERVER)
+                        service_time = fixture.balancer.service_time(SERVER)
                         self.assertLessEqual(service_time, 1.01 * FAST * MAX_SLOWNESS)
                         self.assertGreaterEqual(service_time, 0.99 * FAST / MAX_SLOWNESS)
                 await asyncio.sleep(0.5)
-                self.assertAlmostEqual(FAST, known.balancer.service_time(SERVER))
+                self.assertAlmostEqual(FAST, fixture.balancer.service_time(SERVER))
 
         run(play())
 
-    def test_first_pace_of_a_server_is_known_to_have_the_latency_in_it(self):
-        """Until its lasting pace is known, the smoothed one of this daemon's responses counts."""
+    def test_first_service_time_of_a_server_includes_the_latency(self):
+        """Until the lasting service time is known, the smoothed one of this daemon is used."""
 
         async def play():
-            known = KnownServers()
-            info = known.directory.get(SERVER)
-            known.balancer.record_load(SERVER, ServerLoad(1, 0, SLOTS, 1.0))
-            self.assertFalse(known.service_times.has_latency(SERVER))
-            known.balancer.record_response(info, SLOW)
-            self.assertEqual(SLOW, known.balancer.service_time(SERVER))
-            self.assertTrue(known.service_times.has_latency(SERVER))
-            known.service_times.record_report(DaemonId("d"), {SERVER: FAST})
-            self.assertEqual(FAST, known.balancer.service_time(SERVER))
-            self.assertFalse(known.service_times.has_latency(SERVER))
+            fixture = ServerFixture()
+            info = fixture.directory.get(SERVER)
+            fixture.balancer.record_load(SERVER, ServerLoad(1, 0, SLOTS, 1.0))
+            self.assertFalse(fixture.service_times.has_latency(SERVER))
+            fixture.balancer.record_response(info, SLOW)
+            self.assertEqual(SLOW, fixture.balancer.service_time(SERVER))
+            self.assertTrue(fixture.service_times.has_latency(SERVER))
+            fixture.service_times.record_report(DaemonId("d"), {SERVER: FAST})
+            self.assertEqual(FAST, fixture.balancer.service_time(SERVER))
+            self.assertFalse(fixture.service_times.has_latency(SERVER))
 
         run(play())
 
-    def test_server_that_says_nothing_has_its_smoothed_pace(self):
+    def test_server_without_reports_has_its_smoothed_service_time(self):
         async def play():
-            known = KnownServers()
+            fixture = ServerFixture()
             for seconds in (0.04, 0.08):
-                await known.answer(seconds, None)
-                known.balancer.record_service_time(SERVER, seconds)
-            self.assertAlmostEqual(0.05, known.balancer.service_time(SERVER))
+                await fixture.respond(seconds, None)
+                fixture.balancer.record_service_time(SERVER, seconds)
+            self.assertAlmostEqual(0.05, fixture.balancer.service_time(SERVER))
 
         run(play())
 
-    def test_servers_that_say_nothing_are_chosen_as_before(self):
-        """Of servers alike in all but the smoothed pace, the quicker one comes first."""
+    def test_servers_without_reports_are_chosen_by_smoothed_service_time(self):
+        """Among servers that differ only in the smoothed service time, the faster comes first."""
 
         async def play():
             directory = InstanceDirectory()
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -1,4 +1,4 @@
-"""The order of candidates: one table of cases, each with what decides it."""
+"""The order of candidates, as a table with one deciding criterion per case."""
 
 import unittest
 from dataclasses import replace
@@ -16,7 +16,7 @@
 )
 
 SLOTS = 8
-PACE = 0.04
+SERVICE_TIME = 0.04
 PLAIN = Candidate(
     InstanceInfo(
         InstanceId("plain"),
@@ -31,7 +31,7 @@
     is_avoided=False,
     is_cold=False,
     occupied=2,
-    service_time=PACE,
+    service_time=SERVICE_TIME,
     latency_factor=1.0,
     connection_factor=1.0,
     tie_break=0.5,
@@ -39,14 +39,14 @@
 
 
 def candidate(name: str, **changes) -> Candidate:
-    """Returns a candidate that differs from the plain one as named."""
+    """Returns a candidate with changes to the plain one."""
     info = replace(PLAIN.instance, id=InstanceId(name), slots=changes.pop("slots", SLOTS))
     return replace(PLAIN, instance=info, **changes)
 
 
 ORDERS = {
     "a slow one before one that failed a moment ago": (
-        {"service_time": 5 * PACE, "occupied": 8},
+        {"service_time": 5 * SERVICE_TIME, "occupied": 8},
         {"is_avoided": True, "occupied": 0},
     ),
     "a full one before a cold one": ({"occupied": 8}, {"is_cold": True, "occupied": 0}),
@@ -57,13 +57,16 @@
     ),
     "fewer requests first": ({"occupied": 1, "tie_break": 0.9}, {"occupied": 2}),
     "more slots first": ({"slots": 16, "tie_break": 0.9}, {"slots": 8}),
-    "the faster first": ({"service_time": PACE, "tie_break": 0.9}, {"service_time": 1.1 * PACE}),
-    "an unknown pace counts as the best": (
+    "the faster first": (
+        {"service_time": SERVICE_TIME, "tie_break": 0.9},
+        {"service_time": 1.1 * SERVICE_TIME},
+    ),
+    "an unknown service time counts as the best": (
         {"service_time": 0.0, "tie_break": 0.9},
-        {"service_time": 1.1 * PACE},
+        {"service_time": 1.1 * SERVICE_TIME},
     ),
     "a slow one with no request before a fast one with six": (
-        {"service_time": 3 * PACE, "occupied": 0},
+        {"service_time": 3 * SERVICE_TIME, "occupied": 0},
         {"occupied": 6},
     ),
     "the nearer first": ({"tie_break": 0.9}, {"latency_factor": 1.05}),
@@ -78,27 +81,29 @@
     ),
     "the smaller number among equals": ({"tie_break": 0.1}, {"tie_break": 0.2}),
 }
-"""What it says, and how the first and the second differ from the plain candidate."""
+"""By description: how the first and the second differ from the plain candidate."""
 
 
 class RankTest(unittest.TestCase):
-    """Candidates side by side."""
+    """Pairs of candidates."""
 
     def test_each_criterion_decides_where_those_before_it_are_equal(self):
         for name, (first, second) in ORDERS.items():
             better, worse = candidate("first", **first), candidate("second", **second)
             for order in ((better, worse), (worse, better)):
                 with self.subTest(name):
-                    self.assertEqual(["first", "second"], [info.id for info in rank(order, PACE)])
+                    self.assertEqual(
+                        ["first", "second"], [info.id for info in rank(order, SERVICE_TIME)]
+                    )
 
-    def test_expected_wait_counts_the_request_itself_its_slots_and_the_pace(self):
+    def test_expected_wait_depends_on_requests_slots_and_service_time(self):
         for expected, best_service_time, changes in (
-            (3 / 8, PACE, {}),
-            (3 / 8, 0.0, {}),  # no pace is known
-            (3 / 8, PACE, {"service_time": 0.0}),
-            (2 * 3 / 8, PACE, {"service_time": 2 * PACE}),
-            (MAX_SERVICE_TIME_RATIO * 3 / 8, PACE, {"service_time": 100 * PACE}),
-            (3.0, PACE, {"slots": 0}),
+            (3 / 8, SERVICE_TIME, {}),
+            (3 / 8, 0.0, {}),  # no service time is known
+            (3 / 8, SERVICE_TIME, {"service_time": 0.0}),
+            (2 * 3 / 8, SERVICE_TIME, {"service_time": 2 * SERVICE_TIME}),
+            (MAX_SERVICE_TIME_RATIO * 3 / 8, SERVICE_TIME, {"service_time": 100 * SERVICE_TIME}),
+            (3.0, SERVICE_TIME, {"slots": 0}),
         ):
             with self.subTest(changes=changes, best_service_time=best_service_time):
                 self.assertAlmostEqual(
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -1,4 +1,4 @@
-"""Every way in which a request that must run at most once is told that it did not run."""
+"""A client is told that a run-once request did not run only if that is certain."""
 
 import asyncio
 import random
@@ -30,15 +30,15 @@
 from tests.server_parts import PAGES, SLOTS, make_directory, make_parts, make_route
 from tests.virtual import run
 
-ONCE = make_route(RouteKind.RUN_ONCE)
-STREAM = make_route(RouteKind.STREAM)
-REPEATABLE = make_route(RouteKind.IDEMPOTENT)
+RUN_ONCE_ROUTE = make_route(RouteKind.RUN_ONCE)
+STREAM_ROUTE = make_route(RouteKind.STREAM)
+IDEMPOTENT_ROUTE = make_route(RouteKind.IDEMPOTENT)
 TIME_LEFT = 0.5
 LATE_SECONDS = 1000.0
 
 
-class Ends:
-    """How sends end before a response, one after the other."""
+class FailingServers:
+    """The errors in which consecutive sends end before a response."""
 
     def __init__(self, servers: ServerPort, *errors: Exception) -> None:
         self._servers = servers
@@ -49,15 +49,15 @@
 
     @asynccontextmanager
     async def send(self, instance, request):
-        """Ends as it was told to; afterwards requests are sent."""
+        """Raises the next error; sends the request once there is none."""
         if self._errors:
             raise self._errors.pop(0)
         async with self._servers.send(instance, request) as response:
             yield response
 
 
-class PromiseTest(unittest.TestCase):
-    """A refusal promises that no server has run the request, nor will."""
+class RefusalTest(unittest.TestCase):
+    """A refusal guarantees that no server has run the request or will run it."""
 
     def begin(self, *errors: Exception, **state: object) -> None:
         """Lists two servers in the same state; the first sends end in errors."""
@@ -67,15 +67,15 @@
         for number in range(2):
             self.engines.engines[InstanceId(f"e{number}")] = ScriptedEngine(slots=SLOTS, **state)
         balancer = Balancer(directory, clock, random.Random(1))
-        servers = Ends(self.engines, *errors)
+        servers = FailingServers(self.engines, *errors)
         self.forwarder = Forwarder(make_parts(directory, balancer, servers, clock))
         self.clock = clock
 
     def runs(self) -> int:
-        """Returns how often servers began to run a request."""
+        """Returns how many times servers started to run a request."""
         return sum(len(state.runs) for state in self.engines.engines.values())
 
-    async def end_of(self, route) -> LarkpostError | int:
+    async def outcome(self, route) -> LarkpostError | int:
         """Returns the error that a request ends in, or the status of its response."""
         request = ClientRequest(b"r", "POST", b"h", b"/", (), b"", self.clock.now(), TIME_LEFT)
         try:
@@ -87,18 +87,18 @@
             return error
 
     def play(self, work) -> None:
-        """Runs a test on virtual time, for both kinds of routes that run once."""
-        for route in (ONCE, STREAM):
+        """Runs a test in virtual time for both kinds of run-once routes."""
+        for route in (RUN_ONCE_ROUTE, STREAM_ROUTE):
             with self.subTest(kind=route.kind):
                 run(work(route))
 
-    def test_servers_status_of_a_run_is_no_promise(self) -> None:
-        """A server that failed a run with such a status has run it all the same."""
+    def test_status_of_a_server_that_ran_the_request_is_not_passed_on(self) -> None:
+        """A server that responds with such a status has still run the request."""
         for status in sorted(NOT_RUN_STATUSES):
 
             async def work(route, status=status) -> None:
                 self.begin(status=status)
-                error = await self.end_of(route)
+                error = await self.outcome(route)
                 self.assertIsInstance(error, RequestFailedError)
                 self.assertEqual((502, 1), (error.status, self.runs()))
 
@@ -107,14 +107,14 @@
     def test_other_failures_of_a_run_are_passed_on(self) -> None:
         async def work(route) -> None:
             self.begin(status=500)
-            self.assertEqual(500, await self.end_of(route))
+            self.assertEqual(500, await self.outcome(route))
 
         self.play(work)
 
     def test_all_servers_refuse(self) -> None:
         async def work(route) -> None:
             self.begin(loading_until=LATE_SECONDS)
-            error = await self.end_of(route)
+            error = await self.outcome(route)
             self.assertEqual((503, 0), (error.status, self.runs()))
 
         self.play(work)
@@ -122,15 +122,15 @@
     def test_no_server_can_be_reached(self) -> None:
         async def work(route) -> None:
             self.begin(down=True)
-            error = await self.end_of(route)
+            error = await self.outcome(route)
             self.assertEqual((503, 0), (error.status, self.runs()))
 
         self.play(work)
 
-    def test_refusal_and_then_a_lost_response(self) -> None:
+    def test_refusal_followed_by_a_lost_response(self) -> None:
         async def work(route) -> None:
             self.begin(NotRunError(NotRunReason.FULL), BrokenResponseError("lost"))
-            error = await self.end_of(route)
+            error = await self.outcome(route)
             self.assertEqual(502, error.status)
 
         self.play(work)
@@ -138,23 +138,23 @@
     def test_lost_response_is_not_tried_again(self) -> None:
         async def work(route) -> None:
             self.begin(BrokenResponseError("lost", connection_lost=True))
-            error = await self.end_of(route)
+            error = await self.outcome(route)
             self.assertEqual((502, 0), (error.status, self.runs()))
 
         self.play(work)
 
-    def test_time_is_over_while_a_server_may_run_it(self) -> None:
+    def test_deadline_passes_while_a_server_may_run_it(self) -> None:
         async def work() -> None:
             self.begin(event_seconds=LATE_SECONDS)
-            error = await self.end_of(ONCE)
+            error = await self.outcome(RUN_ONCE_ROUTE)
             self.assertEqual((504, 1), (error.status, self.runs()))
 
         run(work())
 
-    def test_time_is_over_while_it_waits(self) -> None:
+    def test_deadline_passes_while_it_waits(self) -> None:
         async def work(route) -> None:
             self.begin(running=SLOTS)
-            error = await self.end_of(route)
+            error = await self.outcome(route)
             self.assertEqual((503, 0), (error.status, self.runs()))
             await asyncio.sleep(TIME_LEFT)
             for state in self.engines.engines.values():
@@ -164,7 +164,7 @@
 
         self.play(work)
 
-    def test_final_error_promises_only_what_is_certain(self) -> None:
+    def test_final_error_states_only_what_is_certain(self) -> None:
         for is_timed_out in (False, True):
             for is_quarantined in (False, True):
                 unserved = UnservedRequest(True, is_quarantined, is_timed_out, 0.1)
@@ -173,7 +173,7 @@
                     certain = replace(unserved, may_have_run=False)
                     self.assertEqual(503, final_error(certain).status)
 
-    def test_repeatable_requests_take_no_harm(self) -> None:
+    def test_idempotent_requests_are_unaffected(self) -> None:
         for status in NOT_RUN_STATUSES:
             self.assertFalse(implies_not_run(status, RouteKind.IDEMPOTENT))
         self.assertFalse(implies_not_run(500, RouteKind.RUN_ONCE))
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -1,4 +1,4 @@
-"""Subsets of daemons: every server is in enough of them, whichever daemons come and go."""
+"""Every server is in enough subsets of daemons, whichever daemons are added or removed."""
 
 import random
 import unittest
@@ -25,14 +25,14 @@
 
 
 def new_subset(own: DaemonId, daemons: frozenset, servers: frozenset) -> DaemonSubset:
-    """Returns a daemon's subset as it is first made."""
+    """Returns a new subset of a daemon."""
     subset = DaemonSubset(own)
     subset.update(daemons, servers)
     return subset
 
 
 def new_subsets(daemons: frozenset, servers: frozenset) -> dict[DaemonId, DaemonSubset]:
-    """Returns the subsets of daemons that know the same."""
+    """Returns the subsets of daemons with the same view of the fleet."""
     return {own: new_subset(own, daemons, servers) for own in daemons}
 
 
@@ -40,16 +40,16 @@
     """Checks of subsets."""
 
     def check_coverage(self, subsets: dict[DaemonId, DaemonSubset], servers: frozenset) -> None:
-        """Checks that each server is in as many subsets as it is to be in."""
+        """Checks that each server is in the expected number of subsets."""
         counts = Counter(name for subset in subsets.values() for name in subset.ids)
         wanted = daemons_per_server(len(subsets), len(servers))
         self.assertEqual(dict.fromkeys(servers, wanted), dict(counts))
 
 
 class RuleTest(SubsetCase):
-    """How many daemons a server is for, and which."""
+    """The number of daemons per server, and the choice of them."""
 
-    def test_daemons_a_server(self):
+    def test_daemons_per_server(self):
         for daemons, servers, wanted in (
             (1, 3200, 1),
             (2, 3200, 2),
@@ -68,7 +68,7 @@
             with self.subTest(daemons=daemons, servers=servers):
                 self.assertEqual(wanted, daemons_per_server(daemons, servers))
 
-    def test_subsets_are_as_large_as_they_are_to_be_on_average(self):
+    def test_subsets_have_the_intended_average_size(self):
         for daemons in (80, 200, 370):
             for servers in (300, 1000, 3200):
                 mean = daemons_per_server(daemons, servers) * servers / daemons
@@ -76,7 +76,7 @@
                 few = max(2 * MIN_SUBSET_SIZE, MIN_DAEMONS_PER_SERVER * servers / daemons)
                 self.assertLessEqual(mean, few)
 
-    def test_no_more_daemons_are_asked_than_needed(self):
+    def test_search_for_higher_ranked_daemons_stops_at_the_limit(self):
         others = {name: daemon_seed(name) for name in DAEMONS - {"d0"}}
         own = daemon_seed(DaemonId("d0"))
         for server in SERVERS:
@@ -92,23 +92,23 @@
     def test_every_server_is_in_enough_subsets(self):
         self.check_coverage(new_subsets(DAEMONS, SERVERS), SERVERS)
 
-    def test_lone_daemon_has_all_servers(self):
+    def test_single_daemon_has_all_servers(self):
         subset = new_subset(DaemonId("d0"), frozenset(), SERVERS)
         self.assertEqual(SERVERS, frozenset(subset.ids))
 
-    def test_daemon_that_is_not_counted_itself_has_a_subset_all_the_same(self):
-        """A daemon that leaves is not among those alive, but serves on until it has left."""
+    def test_daemon_that_is_not_listed_as_alive_has_a_subset(self):
+        """A draining daemon is not listed as alive, but goes on serving."""
         subset = new_subset(DaemonId("d0"), DAEMONS - {"d0"}, SERVERS)
         self.assertEqual(set(new_subset(DaemonId("d0"), DAEMONS, SERVERS).ids), set(subset.ids))
 
-    def test_coverage_lasts_while_daemons_and_servers_come_and_go(self):
+    def test_coverage_is_kept_while_daemons_and_servers_are_added_and_removed(self):
         rng = random.Random(3)
         daemons, servers = set(DAEMONS), set(SERVERS)
         subsets = new_subsets(DAEMONS, SERVERS)
         for step in range(12):
-            for gone in rng.sample(sorted(daemons), 3):
-                daemons.remove(gone)
-                del subsets[gone]
+            for removed in rng.sample(sorted(daemons), 3):
+                daemons.remove(removed)
+                del subsets[removed]
             come = {DaemonId(f"new-{step}-{number}") for number in range(rng.randrange(6))}
             daemons |= come
             subsets |= {name: DaemonSubset(name) for name in come}
@@ -120,22 +120,22 @@
             self.check_like_new(subsets, frozenset(daemons), frozenset(servers))
 
     def check_like_new(self, subsets: dict, daemons: frozenset, servers: frozenset) -> None:
-        """Checks that subsets do not depend on how the fleet came to be as it is."""
+        """Checks that subsets do not depend on the order of changes to the fleet."""
         for own in sorted(daemons)[:8]:
             new = new_subset(own, daemons, servers)
             self.assertEqual(set(new.ids), set(subsets[own].ids))
 
-    def test_one_daemon_less_changes_only_who_serves_its_servers(self):
+    def test_removing_a_daemon_changes_only_the_subsets_for_its_servers(self):
         subsets = new_subsets(DAEMONS, SERVERS)
         before = {own: set(subset.ids) for own, subset in subsets.items()}
-        gone = DaemonId("d7")
-        lost = set(subsets.pop(gone).ids)
+        removed = DaemonId("d7")
+        lost = set(subsets.pop(removed).ids)
         for own, subset in subsets.items():
-            subset.update(DAEMONS - {gone}, SERVERS)
+            subset.update(DAEMONS - {removed}, SERVERS)
             self.assertLessEqual(before[own] ^ set(subset.ids), lost)
             self.assertLessEqual(before[own], set(subset.ids))
 
-    def test_one_server_less_changes_nothing_else(self):
+    def test_removing_a_server_changes_nothing_else(self):
         subsets = new_subsets(DAEMONS, SERVERS)
         before = {own: set(subset.ids) for own, subset in subsets.items()}
         for own, subset in subsets.items():
@@ -144,9 +144,9 @@
 
 
 class UpdateTest(unittest.TestCase):
-    """Subsets follow the index and the members without being told."""
+    """Subsets follow the service index and the members on access."""
 
-    def test_subset_follows_what_is_listed_and_who_is_alive(self):
+    def test_subset_follows_listed_servers_and_alive_daemons(self):
         index = ServiceIndex()
         alive = [DAEMONS]
         subsets = DaemonSubsets(DaemonId("d0"), lambda: alive[0])
@@ -159,7 +159,7 @@
         alive[0] = frozenset({"d0"})
         self.assertEqual(len(SERVERS) - 1, len(subsets.ids(SERVICE, index)))
 
-    def test_nothing_is_worked_out_again_while_nothing_comes_or_goes(self):
+    def test_nothing_is_recomputed_while_the_fleet_is_unchanged(self):
         index = ServiceIndex()
         subsets = DaemonSubsets(DaemonId("d0"), lambda: DAEMONS)
         index.put(make_instance("s0", SERVICE), ())
