--- a/src/larkpost/gateway/store/__init__.py
+++ b/src/larkpost/gateway/store/__init__.py
@@ -1,5 +1,5 @@
-"""The durable store: rows changed under conditions, and a feed of changes.
+"""The durable store: conditional writes of rows, and a change feed.
 
-`port` says what is asked of a store; `follower` keeps a local copy of a table, `relay` makes calls
-by way of `peers` while the store turns this daemon away. Relies on the log alone.
+`port` defines the interface, `follower` keeps a local copy of a table, and `relay` sends calls
+through `peers` while the store rejects this daemon. Depends only on observability.
 """
--- a/src/larkpost/gateway/store/batch_tables.py
+++ b/src/larkpost/gateway/store/batch_tables.py
@@ -1,14 +1,14 @@
-"""The tables and parts that hold batches, as all modules that read or follow them name them.
+"""Names of the tables and parts (partitions) that hold batches.
 
-Owns the names only; `gateway/rollouts/` writes the rows. Rows of one batch lie in one part, which a
-hash of its id names:
+`gateway/rollouts/` writes the rows. All rows of a batch are in one part, selected by a hash of the
+batch id:
 
-    batches        <id>                       the head, followed by every daemon
-    batches        <content>/<instance>       a crash of a server, in a part of its own
-    batch_items    <id>/<upload>/<piece>      the items, cut into pieces
-    batch_tails    <id>                       count of results, and whether the batch is ended
+    batches        <id>                       the batch head, followed by every daemon
+    batches        <content>/<instance>       a server crash, in a separate part
+    batch_items    <id>/<upload>/<piece>      the items, split into pieces
+    batch_tails    <id>                       the number of results, and whether the batch has ended
     batch_results  <id>/<position>/<piece>    one result
-    batch_partials <id>/<item>/<piece>        output so far of an item that runs
+    batch_partials <id>/<item>/<piece>        partial output of a running item
 """
 
 from larkpost.common.hashing import hash64
@@ -20,10 +20,10 @@
 RESULT_TABLE = "batch_results"
 PARTIAL_TABLE = "batch_partials"
 PARTS = tuple(f"b{number}" for number in range(8))
-"""Parts of each table. The count can't change while batches are stored, as the part of a batch
-follows from it."""
+"""Parts of each table. The number must not change while batches are stored: it determines which
+part a batch is in."""
 CRASH_PART = "crashes"
-"""Part of the table of heads that holds crashes of servers: every daemon follows that table."""
+"""Part of the head table that holds server crashes; every daemon follows that table."""
 
 
 def part_of(batch: BatchId) -> str:
--- a/src/larkpost/gateway/store/follower.py
+++ b/src/larkpost/gateway/store/follower.py
@@ -1,8 +1,8 @@
-"""Keeps a local copy of a table: listed once, then followed by the feed of changes.
+"""Keeps a local copy of a table: lists it once, then follows the change feed.
 
-A row is only ever replaced by a newer version of itself, so nothing that is read late or out of
-order can bring back an older state. A silent feed proves nothing: the table is listed again at an
-interval as well.
+A row is replaced only by a newer version of itself, so late or reordered reads never restore an
+older state. The feed may miss changes without an error, so the table is also relisted
+periodically.
 """
 
 from collections.abc import Callable
@@ -21,21 +21,21 @@
 )
 
 FEED_WAIT_SECONDS = 1.0
-"""Seconds for which a call of the feed may wait for a change."""
+"""Maximum time that a feed call waits for a change."""
 FEED_GAP_SECONDS = 0.05
-"""Seconds between two calls of the feed, so that changes are grouped."""
+"""Pause between two feed calls, so that changes arrive in batches."""
 RETRY_SECONDS = 0.15
-"""Seconds after a call that failed before the next one."""
+"""Pause after a failed call."""
 PARTIAL_RELIST_SECONDS = 0.5
-"""Seconds after a listing in which some parts could not be read before the next."""
+"""Interval to the next listing after one that could not read every part."""
 
 
 @dataclass(frozen=True, slots=True)
 class TableParts:
-    """What is followed.
+    """The parts (partitions) of a table to follow.
 
     Attributes:
-        parts: the parts to list; the feed covers all of them.
+        parts: parts to list; the feed always covers all parts.
     """
 
     table: str
@@ -44,11 +44,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RelistPolicy:
-    """How often a table is listed again.
+    """How often a table is relisted.
 
     Attributes:
         interval: seconds between two listings.
-        factor: returns by how much the interval is longer at the moment; read at each step.
+        factor: returns the current multiplier of the interval; called at each step.
     """
 
     interval: float
@@ -56,10 +56,10 @@
 
 
 class TableFollower:
-    """A copy of the rows of some parts of one table.
+    """A local copy of the rows of some parts of one table.
 
     Args:
-        listener: called with each row that is new or gone, in the order learned.
+        listener: called with each new, changed or removed row, in the order received.
     """
 
     def __init__(
@@ -89,11 +89,11 @@
 
     @property
     def listed(self) -> bool:
-        """Whether the table was read whole at least once."""
+        """Whether the whole table has been read at least once."""
         return self._is_listed
 
     def healthy_for(self, now: float) -> float:
-        """Returns for how many seconds every call has succeeded; 0 if none has."""
+        """Returns for how many seconds every call has succeeded; 0 before the first success."""
         if self.confirmed_at is None:
             return 0.0
         if self.failed_at is None:
@@ -101,11 +101,11 @@
         return max(0.0, now - self.failed_at)
 
     def age(self, now: float) -> float:
-        """Returns the seconds since the copy was last known to be current."""
+        """Returns the seconds since the copy was last confirmed to be current."""
         return now - self.confirmed_at if self.confirmed_at is not None else now
 
     def start(self, tasks: TaskSet) -> None:
-        """Starts following in the background."""
+        """Starts following the table in the background."""
         tasks.spawn(self._run(), f"follow.{self._table}")
 
     async def _run(self) -> None:
@@ -123,7 +123,7 @@
                 await self._clock.sleep(RETRY_SECONDS)
 
     def _log_change(self, *, following: bool, reason: str = "") -> None:
-        """Logs that the table is lost or regained."""
+        """Logs when the connection to the table is lost or regained."""
         if following == self._following:
             return
         self._following = following
@@ -147,9 +147,9 @@
         await self._clock.sleep(FEED_GAP_SECONDS)
 
     async def _list(self) -> bool:
-        """Reads all parts, and returns whether all of them could be read.
+        """Lists all parts, and returns whether all of them could be read.
 
-        Parts of the store may be down alone: the others are read, and the feed is followed.
+        Single parts of the store may be unavailable; the others are still read and followed.
 
         Raises:
             StoreUnavailableError: no part could be read.
@@ -170,10 +170,10 @@
         return failure is None
 
     async def _list_part(self, part: str) -> int:
-        """Reads one part and returns the store's version at that moment.
+        """Lists one part, and returns the store's version at that time.
 
         Raises:
-            StoreUnavailableError: no response, or one older than what is known already.
+            StoreUnavailableError: no response, or one that is older than the local copy.
         """
         page = await read_all(self._store, self._table, part)
         if page.version < self._newest_version:
@@ -191,7 +191,7 @@
         return page.version
 
     def _apply(self, row: Row) -> None:
-        """Stores a row unless it is older than the copy's, and calls the listener."""
+        """Stores a row unless the copy has it as new or newer, and calls the listener."""
         known = self.rows.get(row.key)
         if known is not None and row.version <= known.version and not row.removed:
             return
--- a/src/larkpost/gateway/store/peers.py
+++ b/src/larkpost/gateway/store/peers.py
@@ -1,7 +1,7 @@
-"""Which peer makes this daemon's calls to the store while the store turns this daemon away.
+"""Selects the peer that relays this daemon's store calls while the store rejects the daemon.
 
-Owns the connections to peers, and which of them are not asked for a while. `store.relay` decides
-when a peer is needed, and says whether it helped.
+Owns the connections to peers and their cooldowns. `store.relay` decides when a peer is needed and
+reports whether it could reach the store.
 """
 
 import random
@@ -15,29 +15,28 @@
 from larkpost.gateway.store.port import Store
 
 MAX_PEER_ATTEMPTS = 3
-"""Peers that are asked for one call, the last of them a far one."""
+"""Peers tried for one call; the last of them is as far away as possible."""
 PEER_COOLDOWN_SECONDS = 3.0
-"""Seconds for which a peer that did not respond is not asked again: it may be frozen, or cut off as
-well."""
+"""Time for which a peer that did not respond is skipped."""
 NO_PEER_COOLDOWN_SECONDS = 0.7
-"""Seconds for which no peer is asked after none of those asked could help."""
+"""Time for which no peer is tried after all attempts of a call have failed."""
 
 PeerDistances = Mapping[Address, Distance]
-"""Where peers make calls for others, and how far each is."""
+"""Relay address of each peer and its distance from this daemon."""
 
 
 class PeerStore(Store, Protocol):
-    """The store as a peer reaches it."""
+    """The store as reached through a peer."""
 
     async def close(self) -> None:
         """Closes all connections to the peer."""
 
 
 class PeerSelector:
-    """The peers of one daemon, at most one of which makes its calls.
+    """Selects the one peer that relays a daemon's store calls.
 
     Args:
-        connect: returns the store by way of the peer at an address.
+        connect: returns the store as reached through the peer at an address.
     """
 
     def __init__(
@@ -59,15 +58,15 @@
         self._cooldown_until = float("-inf")
 
     def set_distances(self, distances: Callable[[], PeerDistances]) -> None:
-        """Sets who is asked where the other daemons are that are considered alive."""
+        """Sets the function that returns the live peers and their distances."""
         self._distances = distances
 
     def select(self, failed_attempts: int, *, region_bound: bool) -> PeerStore | None:
-        """Returns the peer that makes this daemon's calls, a new one if there is none.
+        """Returns the current peer, or selects a new one; None if no peer is available.
 
         Args:
-            tried: peers that were asked in vain for this call.
-            confined: whether the peer must be in this daemon's region.
+            failed_attempts: peers that have already failed for this call.
+            region_bound: whether the peer must be in this daemon's region.
         """
         if self.current is not None and is_allowed(
             self._current_distance, region_bound=region_bound
@@ -87,7 +86,7 @@
         return self.current
 
     def drop(self, peer: PeerStore, *, unresponsive: bool = False) -> None:
-        """Drops a peer that did not help; a silent one is not asked again for a while."""
+        """Stops using a peer that failed; an unresponsive one also gets a cooldown."""
         if unresponsive:
             address = next(name for name, known in self._connected.items() if known is peer)
             self._unresponsive_at[address] = self._clock.now()
@@ -95,7 +94,7 @@
             self.current = None
 
     def start_cooldown(self) -> None:
-        """Asks no peer for a while: none of those asked reaches the store."""
+        """Tries no peer for a while, as none of those tried reaches the store."""
         self._cooldown_until = self._clock.now() + NO_PEER_COOLDOWN_SECONDS
         self._log.record(Event.STORE_RELAY, state="no_peer")
 
@@ -106,7 +105,7 @@
         self._connected.clear()
 
     def _usable(self, *, region_bound: bool) -> dict[Address, Distance]:
-        """Returns the peers that may be asked now."""
+        """Returns the peers that may be tried now."""
         now = self._clock.now()
         return {
             address: distance
@@ -117,22 +116,22 @@
 
 
 def is_allowed(distance: Distance, *, region_bound: bool) -> bool:
-    """Returns whether a peer so far away may make a call.
+    """Returns whether a peer at a distance may relay a call.
 
     Args:
-        confined: whether the call's content must not leave this daemon's region.
+        region_bound: whether the call's content must not leave this daemon's region.
     """
     return not (region_bound and distance is Distance.OTHER_REGION)
 
 
 def next_peer_distance(usable: PeerDistances, failed_attempts: int) -> Distance:
-    """Returns how far the next peer is to be: near ones first, the last one as far as there are.
+    """Returns the distance of the next peer to try: the nearest, but the farthest at the last try.
 
-    Whatever cuts this daemon off may cut its whole region off.
+    The last try is farther away because the whole region may have lost the store.
 
     Args:
-        usable: the peers that may be asked; at least one.
-        tried: peers that were asked in vain for the same call.
+        usable: the peers that may be tried; at least one.
+        failed_attempts: peers that have already failed for this call.
     """
     is_last = failed_attempts == MAX_PEER_ATTEMPTS - 1
     return max(usable.values()) if is_last else min(usable.values())
--- a/src/larkpost/gateway/store/port.py
+++ b/src/larkpost/gateway/store/port.py
@@ -1,9 +1,8 @@
-"""The store port: what larkpost needs from a durable, linearizable table of rows.
+"""Interface to the durable, linearizable store of rows.
 
-Every call has a time limit and a typed outcome. A write is *done*, *not done* (for certain), or
-*unknown*: an unknown write may still be carried out seconds later, if its conditions then hold.
-Code that writes must therefore stay correct when a write takes effect late; conditions on row
-versions are the means for that.
+Every call has a timeout and a typed outcome. A write is done, not done, or unknown. An unknown
+write may still be applied seconds later if its conditions hold at that time, so callers must
+tolerate late writes; conditions on row versions make that possible.
 """
 
 from dataclasses import dataclass
@@ -13,11 +12,11 @@
 from larkpost.common.errors import LarkpostError
 
 ABSENT = 0
-"""The version of a row that does not exist; as a condition it means "not there"."""
+"""Version of a row that does not exist; as a condition, requires that the row is absent."""
 
 
 class RowKey(NamedTuple):
-    """Names a row. Rows of one part are changed together by one transaction."""
+    """Identifies a row. One transaction can change only rows of the same part (partition)."""
 
     table: str
     part: str
@@ -26,11 +25,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """A row as of one version.
+    """A row at one version.
 
     Attributes:
-        version: number of the transaction that last changed the row; rises over the whole store.
-        removed: True for the news that the row is gone; its value is then empty.
+        version: transaction number of the row's last change; increases across the whole store.
+        removed: whether this is a deletion notice; the value is then empty.
     """
 
     key: RowKey
@@ -41,12 +40,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """A change that is made whole or not at all.
+    """An atomic change.
 
     Attributes:
-        conditions: the version each named row must have, `ABSENT` for "not there".
+        conditions: required version of each row, `ABSENT` for a row that must not exist.
         puts: rows to write.
-        removals: rows to remove.
+        removals: rows to delete.
     """
 
     conditions: tuple[tuple[RowKey, int], ...] = ()
@@ -55,22 +54,22 @@
 
 
 class WriteOutcome(StrEnum):
-    """What became of a write."""
+    """Outcome of a write."""
 
     DONE = "done"
-    CONFLICT = "conflict"  # a condition did not hold; nothing was changed
-    NOT_DONE = "not_done"  # refused; nothing was changed and nothing will be
-    THROTTLED = "throttled"  # refused because of the rate; nothing was changed
-    UNKNOWN = "unknown"  # no response; it may have been done, or may be done later
+    CONFLICT = "conflict"  # a condition did not hold; nothing changed
+    NOT_DONE = "not_done"  # rejected; nothing changed and nothing will
+    THROTTLED = "throttled"  # rejected by a rate limit; nothing changed
+    UNKNOWN = "unknown"  # no response; it may be applied already or later
 
 
 @dataclass(frozen=True, slots=True)
 class WriteResult:
-    """Outcome of a transaction.
+    """Result of a transaction.
 
     Attributes:
-        version: the version written, if done; else 0.
-        rows: on a conflict, the rows named by the conditions as they are.
+        version: the version written; 0 unless the outcome is DONE.
+        rows: on a conflict, the current rows that the conditions name.
     """
 
     outcome: WriteOutcome
@@ -80,11 +79,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RowPage:
-    """Rows of one part as of one moment, keys rising.
+    """A consistent page of rows of one part, in ascending key order.
 
     Attributes:
-        more: whether rows follow after the last one.
-        version: the newest version of the store at that moment.
+        more: whether more rows follow.
+        version: the newest version of the store when the page was read.
     """
 
     rows: tuple[Row, ...]
@@ -93,61 +92,61 @@
 
 
 class StoreError(LarkpostError):
-    """Base of the errors of reading calls."""
+    """Base class for errors of read calls."""
 
     code = "store"
     status = 503
-    remedy = "Ask again; check the store if this goes on."
+    remedy = "Retry; check the store if the error persists."
 
 
 class StoreUnavailableError(StoreError):
-    """The store did not respond, refused, or throttled a reading call."""
+    """The store did not respond, or rejected or throttled a read call."""
 
     code = "store_unavailable"
 
 
 class HistoryLostError(StoreError):
-    """The feed no longer has the changes after the version asked for."""
+    """The change feed no longer holds the changes after the requested version."""
 
     code = "history_lost"
-    remedy = "List the table again and follow it from there."
+    remedy = "List the table again and follow the feed from there."
 
 
 class Store(Protocol):
-    """A linearizable store of rows. No method raises anything but `StoreError`."""
+    """A linearizable store of rows. Methods raise only `StoreError`."""
 
     row_bytes: int
-    """Most bytes in one row's value."""
+    """Maximum size of a row's value in bytes."""
 
     async def write(self, transaction: Transaction, timeout: float) -> WriteResult:
-        """Carries out a transaction within ``timeout`` seconds, or reports why not."""
+        """Applies a transaction and returns its outcome after at most ``timeout`` seconds."""
 
     async def read(
         self, table: str, part: str, first: str = "", end: str = "", limit: int = 0
     ) -> RowPage:
-        """Reads rows of a part from key ``first`` on, up to and without ``end`` if given.
+        """Reads rows of a part from key ``first`` (inclusive) to ``end`` (exclusive, if given).
 
         Raises:
             StoreUnavailableError: no response.
         """
 
     async def changes(self, table: str, after: int, wait: float) -> RowPage:
-        """Returns the changes of a table after a version, waiting up to ``wait`` seconds for one.
+        """Returns the changes of a table after a version; waits up to ``wait`` seconds for one.
 
         Raises:
-            HistoryLostError: list the table again.
+            HistoryLostError: the table must be listed again.
             StoreUnavailableError: no response.
         """
 
     def time(self) -> float | None:
-        """Returns the store's steady clock in seconds, as estimated here; None if never heard."""
+        """Returns the estimated monotonic store time in seconds; None before the first response."""
 
 
 async def read_all(store: Store, table: str, part: str, first: str = "", end: str = "") -> RowPage:
-    """Reads a key range to its end, page by page.
+    """Reads all pages of a key range.
 
     Returns:
-        All rows; the version is that of the first page, the oldest one.
+        All rows, with the version of the first (oldest) page.
 
     Raises:
         StoreUnavailableError: a page could not be read.
--- a/src/larkpost/gateway/store/relay.py
+++ b/src/larkpost/gateway/store/relay.py
@@ -1,14 +1,13 @@
-"""A store whose calls another daemon makes while the store turns this one away.
+"""Relays store calls through a peer while the store rejects this daemon.
 
-The store may refuse or drop single machines while it serves the others. A daemon that it refuses
-asks a peer to make its calls, so that its batches stay with it and their results are listed at
-once. If no peer reaches the store either, the store is away for all, and nothing is gained: peers
-are left alone for a while then. `store.peers` chooses the peer.
+The store may reject or drop single machines while it serves others. Relaying lets such a daemon
+keep its batches and list their results without delay. If no peer reaches the store either, relaying
+pauses for a cooldown. `store.peers` selects the peer.
 
-Calls whose content must not leave the region go to near peers only.
+Calls whose content must not leave the region are relayed only by peers in the region.
 
-Every write that larkpost makes is conditional or harmless when it is done twice, but a write
-without a response is never sent again from here: its caller reads what became of it.
+Writes are conditional or idempotent. Even so, a write without a response is never resent here; its
+caller reads the outcome from the store.
 """
 
 import asyncio
@@ -31,26 +30,26 @@
 )
 
 PROBE_INTERVAL_SECONDS = 0.5
-"""Seconds between two checks of a relayed daemon whether the store takes its own calls again."""
+"""Interval at which a relayed daemon checks whether the store accepts direct calls again."""
 MAX_PEER_CALL_SECONDS = 0.8
-"""Most seconds for a call by way of a peer, besides the time that a feed may wait."""
+"""Timeout of a relayed call, not counting the time that a feed call may wait."""
 PROBE_TABLE = "members"
 PROBE_PART = "known"
-"""What a probe reads: a row that is there, in a part that every daemon reads."""
+"""The part that a probe reads: it always has rows, and every daemon reads it."""
 REFUSED_OUTCOMES = (WriteOutcome.NOT_DONE, WriteOutcome.THROTTLED)
-"""Outcomes that prove that the store did not do a write."""
+"""Outcomes that prove that a write was not applied."""
 
 Response = TypeVar("Response")
 
 
 class RelayedStore:
-    """The store, reached directly or by way of a peer.
+    """The store, reached directly or through a peer.
 
     Implements `larkpost.gateway.store.port.Store`.
 
     Args:
-        direct: the store as this daemon reaches it.
-        connect: returns the store by way of the peer at an address.
+        direct: the store as this daemon reaches it directly.
+        connect: returns the store as reached through the peer at an address.
     """
 
     def __init__(
@@ -73,11 +72,11 @@
         tasks: TaskSet,
         is_region_bound: Callable[[str], bool] = lambda _: False,
     ) -> None:
-        """Starts to check for the store's return whenever calls are relayed.
+        """Starts to probe for direct access while calls are relayed.
 
         Args:
-            peers: returns where the other daemons that are considered alive make calls for others.
-            is_confined: returns whether rows of a table must not pass through another region.
+            peers: returns the relay addresses and distances of the live peers.
+            is_region_bound: returns whether a table's rows must not pass through another region.
         """
         self._is_region_bound = is_region_bound
         self._peers.set_distances(peers)
@@ -85,16 +84,16 @@
 
     @property
     def is_relayed(self) -> bool:
-        """Whether a peer makes this daemon's calls at the moment."""
+        """Whether calls currently go through a peer."""
         return self._peers.current is not None
 
     def time(self) -> float | None:
-        """Returns the store's steady clock in seconds; see the port."""
+        """Returns the store's monotonic time in seconds; see `Store.time`."""
         relayed = self._peers.current.time() if self._peers.current is not None else None
         return relayed if relayed is not None else self._direct.time()
 
     async def write(self, transaction: Transaction, timeout: float) -> WriteResult:
-        """Carries out a transaction; see the port."""
+        """Applies a transaction; see `Store.write`."""
         result = WriteResult(WriteOutcome.NOT_DONE)
         if self._peers.current is None:
             result = await self._direct.write(transaction, timeout)
@@ -107,9 +106,7 @@
                 return result
             result = await peer.write(transaction, min(timeout, MAX_PEER_CALL_SECONDS))
             if result.outcome is WriteOutcome.UNKNOWN:
-                self._peers.drop(
-                    peer, unresponsive=True
-                )  # the next call goes elsewhere, this one not
+                self._peers.drop(peer, unresponsive=True)  # only the next call may try another peer
             if result.outcome not in REFUSED_OUTCOMES:
                 return result
             self._peers.drop(peer)
@@ -119,14 +116,14 @@
     async def read(
         self, table: str, part: str, first: str = "", end: str = "", limit: int = 0
     ) -> RowPage:
-        """Reads rows of a part; see the port."""
+        """Reads rows of a part; see `Store.read`."""
         return await self._call(
             lambda store: store.read(table, part, first, end, limit),
             region_bound=self._is_region_bound(table),
         )
 
     async def changes(self, table: str, after: int, wait: float) -> RowPage:
-        """Returns the changes of a table; see the port."""
+        """Returns the changes of a table; see `Store.changes`."""
         return await self._call(lambda store: store.changes(table, after, wait), wait)
 
     async def close(self) -> None:
@@ -140,17 +137,19 @@
         *,
         region_bound: bool = False,
     ) -> Response:
-        """Makes a reading call directly or by way of a peer.
+        """Makes a read call directly or through a peer.
 
         Args:
             wait: seconds that the store itself may wait before it responds.
-            confined: whether the response must not pass through another region.
+            region_bound: whether the response must not pass through another region.
 
         Raises:
-            HistoryLostError: as the store says.
-            StoreUnavailableError: neither responded.
+            HistoryLostError: the feed has lost the requested changes.
+            StoreUnavailableError: neither the store nor any peer responded.
         """
-        failure = StoreUnavailableError("the store turns this daemon away, and no peer helps")
+        failure = StoreUnavailableError(
+            "the store rejects this daemon, and no peer can relay the call"
+        )
         if self._peers.current is None:
             try:
                 return await call(self._direct)
@@ -166,10 +165,10 @@
         *,
         region_bound: bool,
     ) -> Response:
-        """Makes a reading call by way of a peer; see `_call`.
+        """Makes a read call through a peer; see `_call`.
 
         Args:
-            failure: what to raise if no peer helps.
+            failure: the error to raise if no peer can make the call.
         """
         for failed_attempts in range(MAX_PEER_ATTEMPTS):
             peer = self._peers.select(failed_attempts, region_bound=region_bound)
@@ -186,12 +185,12 @@
         raise failure
 
     async def _probe(self) -> None:
-        """Goes back to direct calls once the store takes them again."""
+        """Returns to direct calls once the store accepts them again."""
         if self._peers.current is None:
             return
         try:
             await self._direct.read(PROBE_TABLE, PROBE_PART, limit=1)
         except StoreUnavailableError:
-            return  # the store still turns this daemon away
+            return  # still rejected
         self._peers.current = None
         self._log.record(Event.STORE_RELAY, state="direct")
--- a/tests/test_store_follower.py
+++ b/tests/test_store_follower.py
@@ -1,4 +1,4 @@
-"""A copy of a table never goes back, whatever order its news come in."""
+"""Tests that a followed table never reverts to older rows, in whatever order changes arrive."""
 
 import unittest
 
@@ -22,7 +22,7 @@
 
 
 class StaleStore(StoreClient):
-    """Gives a listing as it was some time ago."""
+    """A store client that can return an outdated listing."""
 
     stale_page: RowPage | None = None
 
@@ -34,18 +34,18 @@
 
 
 class FollowerTest(unittest.TestCase):
-    """Each test follows one table on virtual time."""
+    """Follows one table in virtual time."""
 
     def begin(self):
         """Starts a follower."""
         clock = LoopClock()
         self.store = MemoryStore(clock)
         self.client = StaleStore(self.store)
-        self.news: list[Row] = []
+        self.received: list[Row] = []
         self.follower = TableFollower(
             self.client,
             TableParts(TABLE),
-            self.news.append,
+            self.received.append,
             Instruments(clock, EventLog("d")),
             RelistPolicy(1.0),
         )
@@ -57,7 +57,7 @@
         self.store.apply(Transaction(puts=((key(name), value),)))
 
     def values(self) -> dict[str, bytes]:
-        """Returns the copy."""
+        """Returns the values of the local copy."""
         return {name.key: row.value for name, row in self.follower.rows.items()}
 
     def test_changes_and_removals_are_followed(self):
@@ -72,11 +72,11 @@
             self.store.apply(Transaction(removals=(key("a"),)))
             await clock.sleep(0.5)
             self.assertEqual({"b": b"1"}, self.values())
-            self.assertTrue(self.news[-1].removed)
+            self.assertTrue(self.received[-1].removed)
 
         run(play())
 
-    def test_lost_history_is_listed_anew(self):
+    def test_table_is_listed_again_after_lost_history(self):
         async def play():
             clock = self.begin()
             self.put("a", b"1")
@@ -106,7 +106,7 @@
 
         run(play())
 
-    def test_older_row_is_passed_over(self):
+    def test_older_row_is_ignored(self):
         async def play():
             clock = self.begin()
             self.put("a", b"1")
@@ -116,7 +116,7 @@
 
         run(play())
 
-    def test_soundness_counts_from_the_last_failure(self):
+    def test_healthy_time_counts_from_the_last_failure(self):
         async def play():
             clock = self.begin()
             await clock.sleep(4.0)
@@ -131,9 +131,9 @@
 
 
 class ConfigurationStateTest(unittest.TestCase):
-    """A configuration is only replaced by a newer one."""
+    """A configuration is replaced only by a newer one."""
 
-    def test_lower_and_equal_versions_are_passed_over(self):
+    def test_lower_and_equal_versions_are_ignored(self):
         state = ConfigurationState()
         newer = Configuration(5, (), {})
         self.assertTrue(state.update(newer))
--- a/tests/test_store_relay.py
+++ b/tests/test_store_relay.py
@@ -1,4 +1,4 @@
-"""Calls to the store that a peer makes for a daemon that the store turns away."""
+"""Tests of store calls that a peer relays for a daemon that the store rejects."""
 
 import random
 import unittest
@@ -41,9 +41,9 @@
 
 
 class PeerRuleTest(unittest.TestCase):
-    """Which peer is asked, case by case."""
+    """Distance and region rules for selecting a peer."""
 
-    def test_distance_to_ask(self):
+    def test_next_peer_distance(self):
         zone, region, other = Distance
         cases = (
             ("nearest first", (other, zone, region), 0, zone),
@@ -52,12 +52,12 @@
             ("the last one, none is far", (zone, region), 2, region),
             ("all in one region", (region, region), 0, region),
         )
-        for name, distances, tried, expected in cases:
+        for name, distances, failed_attempts, expected in cases:
             with self.subTest(name):
                 usable = {Address(f"peer:{at}"): far for at, far in enumerate(distances)}
-                self.assertEqual(expected, next_peer_distance(usable, tried))
+                self.assertEqual(expected, next_peer_distance(usable, failed_attempts))
 
-    def test_only_confined_calls_stay_in_the_region(self):
+    def test_only_region_bound_calls_stay_in_the_region(self):
         for distance in Distance:
             with self.subTest(distance):
                 self.assertTrue(is_allowed(distance, region_bound=False))
@@ -66,15 +66,15 @@
 
 
 class RelayTest(unittest.TestCase):
-    """One daemon and two peers over a store in memory."""
+    """One daemon and two peers with an in-memory store."""
 
     def begin(self) -> None:
-        """Starts a daemon whose peers both reach the store."""
+        """Creates a daemon with two peers that both reach the store."""
         self.clock = LoopClock()
         self.memory = MemoryStore(self.clock)
         self.direct = StoreClient(self.memory)
         self.peers = {address: StoreClient(self.memory) for address in PEERS}
-        self.asked = 0
+        self.connections = 0
         self.store = RelayedStore(
             self.direct, self.connect, self.clock, EventLog("d"), random.Random(0)
         )
@@ -82,8 +82,8 @@
         self.store.start(lambda: dict.fromkeys(PEERS, Distance.SAME_REGION), self.tasks)
 
     def connect(self, address: Address) -> StoreClient:
-        """Returns the store by way of a peer; counts the peers that were asked."""
-        self.asked += 1
+        """Returns the store as reached through a peer, and counts the connections."""
+        self.connections += 1
         return self.peers[address]
 
     def test_refused_calls_are_made_by_a_peer(self):
@@ -98,7 +98,7 @@
 
         run(play())
 
-    def test_silence_of_the_store_is_told_from_its_absence_by_reading(self):
+    def test_read_timeout_starts_relaying(self):
         async def play():
             self.begin()
             self.direct.cut_off = True
@@ -110,7 +110,7 @@
 
         run(play())
 
-    def test_write_without_an_answer_is_not_sent_again(self):
+    def test_write_without_a_response_is_not_resent(self):
         async def play():
             self.begin()
             self.direct.cut_off = True
@@ -119,7 +119,7 @@
 
         run(play())
 
-    def test_calls_are_direct_again_once_the_store_takes_them(self):
+    def test_calls_are_direct_again_once_the_store_accepts_them(self):
         async def play():
             self.begin()
             self.direct.refused = True
@@ -130,7 +130,7 @@
 
         run(play())
 
-    def test_peer_that_is_refused_too_is_left_for_another(self):
+    def test_peer_that_is_rejected_too_is_replaced(self):
         async def play():
             self.begin()
             self.direct.refused = True
@@ -146,7 +146,7 @@
 
         run(play())
 
-    def test_peers_are_left_alone_while_the_store_is_away_for_all(self):
+    def test_peers_get_a_cooldown_while_none_reaches_the_store(self):
         async def play():
             self.begin()
             self.memory.faults = StoreFaults(refuses=True)
@@ -171,14 +171,14 @@
 
         run(play())
 
-    def test_silent_peer_is_left_soon_and_not_asked_again_at_once(self):
-        """Frozen peers must not hold a daemon up that others could help."""
+    def test_unresponsive_peer_is_dropped_soon_and_gets_a_cooldown(self):
+        """A frozen peer must not delay calls that another peer could relay."""
 
         async def play():
             self.begin()
             self.direct.refused = True
             self.peers[PEERS[0]].cut_off = True
-            self.direct_peer_first(PEERS[0])
+            self.prefer_peer(PEERS[0])
             began = self.clock.now()
             await self.store.read("table", "part")
             self.assertLess(self.clock.now() - began, MAX_PEER_CALL_SECONDS + 0.1)
@@ -193,11 +193,11 @@
 
         run(play())
 
-    def test_peer_that_does_not_answer_a_write_is_left(self):
+    def test_peer_that_does_not_respond_to_a_write_is_dropped(self):
         async def play():
             self.begin()
             self.direct.refused = True
-            self.direct_peer_first(PEERS[0])
+            self.prefer_peer(PEERS[0])
             await self.store.read("table", "part")
             self.peers[PEERS[0]].cut_off = True
             self.assertIs(WriteOutcome.UNKNOWN, (await self.store.write(CHANGE, 0.5)).outcome)
@@ -207,24 +207,24 @@
 
         run(play())
 
-    def direct_peer_first(self, address: Address) -> None:
-        """Makes a peer the one that is asked whenever it may be."""
+    def prefer_peer(self, address: Address) -> None:
+        """Makes the selector prefer a peer."""
         self.store._peers._chance.choice = lambda found: address if address in found else found[0]
 
-    def test_lost_history_is_told_and_not_asked_of_a_peer(self):
+    def test_lost_history_is_raised_without_trying_a_peer(self):
         async def play():
             self.begin()
             self.memory.apply(CHANGE)
             self.memory.forget_history()
             with self.assertRaises(HistoryLostError):
                 await self.store.changes("table", 0, 0.1)
-            self.assertEqual(0, self.asked)
+            self.assertEqual(0, self.connections)
 
         run(play())
 
 
 class RelayedFleetTest(unittest.TestCase):
-    """What a relay is for: a batch stays with an owner that the store turns away."""
+    """A batch stays with its owner while the store rejects the owner."""
 
     def test_refused_owner_lists_its_results_itself(self):
         async def play():
@@ -256,7 +256,7 @@
 
 
 class PeerStoreAppTest(unittest.IsolatedAsyncioTestCase):
-    """A peer's listener before a store, over real connections."""
+    """A peer's relay listener in front of a store, over real connections."""
 
     async def asyncSetUp(self):
         clock = LoopClock()
