--- a/src/larkpost/gateway/memory/__init__.py
+++ b/src/larkpost/gateway/memory/__init__.py
@@ -1,4 +1,4 @@
-"""What a daemon holds in memory for others: how much it may be, and who gives way when it is not.
+"""Memory budget of a daemon, and backpressure towards slow clients.
 
-The budget counts bytes by purpose; deliveries are the answers on their way to clients.
+The budget counts bytes by purpose; a delivery tracks one response on its way to a client.
 """
--- a/src/larkpost/gateway/memory/budget.py
+++ b/src/larkpost/gateway/memory/budget.py
@@ -1,7 +1,7 @@
-"""The bytes that one daemon holds for others, by purpose, and the most that it may hold.
+"""Memory budget of one daemon: counts the bytes held for requests and batches, by purpose.
 
-Pure: whoever holds bytes reserves them here first. Answers are held in full as far as they leave
-room to others; see `ByteBudget.share`.
+No I/O. Code that buffers bytes reserves them here first. The limit for one buffered response
+shrinks as the budget fills up; see `MemoryBudget.answer_limit`.
 """
 
 import math
@@ -12,51 +12,50 @@
 from larkpost.common.errors import LarkpostError
 
 ANSWER_LIMIT_DIVISOR = 8
-"""One answer may hold as much as this part of what is free, so that the next one always finds some
-room."""
+"""One response may hold at most the free bytes divided by this, which leaves room for others."""
 MIN_ANSWER_LIMIT_BYTES = 65536
-"""One answer may hold as much as this, however little is free, so that each can go on."""
+"""Lower bound of the limit for one response, so that every response can make progress."""
 LOW_MEMORY_FRACTION = 0.5
-"""Room is short once less than this share of the budget is free."""
+"""Memory is low while less than this fraction of the budget is free."""
 SMALL_BODY_BYTES = 65536
-"""A body of at most this size is a small one."""
+"""Maximum size of a small body."""
 SMALL_BODIES_FRACTION = 1 / 16
-"""Small bodies may hold this part of the budget beyond it, so that ordinary requests are served
-while large bodies or batches fill it."""
+"""Extra fraction of the budget for small bodies, on top of the limit, so that ordinary requests are
+served while large bodies or batches fill the budget."""
 MAX_BATCHES_FRACTION = 0.5
-"""New batches are taken only while those that are held take no more than this part of the budget:
-they stay for long, and more may be claimed from daemons that end."""
+"""New batches are accepted only while batches hold at most this fraction of the budget: they are
+held for a long time, and more may be claimed from daemons that end."""
 RETRY_AFTER_SECONDS = 0.3
-"""What a caller is asked to wait at least; up to twice as long, so that they return one by one."""
+"""Minimum Retry-After; randomized up to twice this value, so that callers do not retry together."""
 
 
 class MemoryPurpose(StrEnum):
     """What bytes are held for."""
 
-    REQUEST_BODIES = "request_bodies"  # read, until the request is answered
-    SMALL_BODIES = "small_bodies"  # the same, of requests that declare at most `SMALL_BODY_BYTES`
+    REQUEST_BODIES = "request_bodies"  # from receipt until the request is answered
+    SMALL_BODIES = "small_bodies"  # of requests that declare at most `SMALL_BODY_BYTES`
     SUBMISSIONS = "submissions"  # batches while they are read and written to the store
-    ANSWERS = "answers"  # whole, from their server until their client has taken them
-    STREAMS = "streams"  # read from their server before their client takes them
-    PAGES = "pages"  # results and bodies of batches that clients have asked for
-    BATCHES = "batches"  # items and results of batches that are run or were read here
-    RELAYED_CALLS = "relayed_calls"  # calls to the store for other daemons
+    ANSWERS = "answers"  # whole responses, until the client has received them
+    STREAMS = "streams"  # read ahead from the server for slow clients
+    PAGES = "pages"  # result pages and bodies of batches that clients requested
+    BATCHES = "batches"  # items and results of batches that run or were read here
+    RELAYED_CALLS = "relayed_calls"  # store calls relayed for other daemons
 
 
 class MemoryBudgetError(LarkpostError):
-    """The daemon may hold no more bytes now; the request did not run and will not."""
+    """The memory budget is exhausted; the request did not run and will not."""
 
     code = "no_room"
     status = 503
-    remedy = "Ask again after the time in Retry-After, or another daemon."
+    remedy = "Retry after the time in Retry-After, or at another daemon."
 
 
 class MemoryBudget:
-    """Counts the bytes that are held, and reserves more while there is room.
+    """Counts the bytes that are held, and grants reservations within a limit.
 
     Attributes:
-        limit: the most bytes that may be held together; None if there is no limit.
-        on_refusal: told which reservation could not grow, and by how many bytes.
+        limit: maximum number of bytes held in total; None if unlimited.
+        on_rejection: called with the reservation that could not grow and the bytes it asked for.
     """
 
     def __init__(self, limit: int | None = None, rng: random.Random | None = None) -> None:
@@ -67,29 +66,29 @@
 
     @property
     def total(self) -> int:
-        """The bytes held for all purposes."""
+        """Bytes held for all purposes."""
         return sum(self._held.values())
 
     @property
     def free(self) -> float:
-        """The bytes that may still be reserved; infinite without a limit."""
+        """Bytes that may still be reserved; infinite without a limit."""
         return max(0, self.limit - self.total) if self.limit is not None else math.inf
 
     @property
     def is_low(self) -> bool:
-        """Whether so little is free that slow clients must give way."""
+        """Whether so little memory is free that slow clients may be disconnected."""
         return self.limit is not None and self.free < self.limit * LOW_MEMORY_FRACTION
 
     @property
     def answer_limit(self) -> float:
-        """The most bytes that one answer may hold now; infinite without a limit."""
+        """Maximum number of bytes that one response may hold now; infinite without a limit."""
         return max(MIN_ANSWER_LIMIT_BYTES, self.free / ANSWER_LIMIT_DIVISOR)
 
     def shortfall(self, purpose: MemoryPurpose, size: int) -> float:
-        """Returns how many bytes must be released before so many more may be held.
+        """Returns how many bytes must be released before ``size`` more may be held.
 
         Returns:
-            0 if they may be held now; infinite if releasing requests and answers does not suffice.
+            0 if they may be held now; infinite if releasing requests and responses cannot help.
         """
         if self.limit is None:
             return 0
@@ -107,26 +106,26 @@
         """Reserves bytes.
 
         Args:
-            owner: for whom, for logs.
+            owner: request id for logs.
 
         Raises:
-            NoRoomError: there is no room for them.
+            MemoryBudgetError: the budget is exhausted.
         """
         reservation = Reservation(self, purpose, owner)
         reservation.grow(size)
         return reservation
 
     def set_held(self, purpose: MemoryPurpose, size: int) -> None:
-        """Records all that is held for a purpose of which nothing is reserved."""
+        """Sets the bytes held for a purpose that does not use reservations."""
         self._held[purpose] = size
 
     def budget_error(self, size: int) -> MemoryBudgetError:
-        """Returns the error of a reservation that finds no room."""
+        """Returns the error for a reservation of ``size`` bytes that does not fit."""
         wait = RETRY_AFTER_SECONDS * (1 + self._chance.random())
-        return MemoryBudgetError(f"no room for {size} bytes", retry_after=round(wait, 3))
+        return MemoryBudgetError(f"no room for {size} more bytes", retry_after=round(wait, 3))
 
     def add(self, purpose: MemoryPurpose, size: int) -> None:
-        """Counts bytes of a reservation, fewer if negative."""
+        """Adds bytes to a purpose; a negative size subtracts."""
         self._held[purpose] += size
 
     def _fits_small_bodies(self, size: int) -> bool:
@@ -138,10 +137,10 @@
 
 
 class Reservation:
-    """Bytes held for one purpose; a context manager that releases them at its end.
+    """Bytes held for one purpose; a context manager that releases them on exit.
 
     Attributes:
-        size: bytes reserved now.
+        size: bytes currently reserved.
     """
 
     def __init__(self, budget: MemoryBudget, purpose: MemoryPurpose, owner: str = "") -> None:
@@ -151,18 +150,18 @@
         self.size = 0
 
     def fits(self, size: int) -> bool:
-        """Returns whether there is room for so many bytes more."""
+        """Returns whether ``size`` more bytes fit into the budget."""
         return self._budget.shortfall(self.purpose, size) == 0
 
     def fits_answer_limit(self, size: int) -> bool:
-        """Returns whether so many bytes more leave room to others; see `ByteBudget.share`."""
+        """Returns whether ``size`` more bytes stay within `MemoryBudget.answer_limit`."""
         return self.size + size <= self._budget.answer_limit
 
     def grow(self, size: int) -> None:
         """Reserves more bytes.
 
         Raises:
-            NoRoomError: there is no room for them; what was reserved stays so.
+            MemoryBudgetError: the budget is exhausted; earlier bytes stay reserved.
         """
         if size > 0 and not self.fits(size):
             self._budget.on_rejection(self, size)
@@ -170,12 +169,12 @@
         self.force_grow(size)
 
     def force_grow(self, size: int) -> None:
-        """Counts bytes that are held already, whether there is room or not."""
+        """Counts bytes that are already held, even beyond the limit."""
         self._budget.add(self.purpose, size)
         self.size += size
 
     def shrink(self, size: int) -> None:
-        """Releases a part of the bytes."""
+        """Releases some of the bytes."""
         self._budget.add(self.purpose, -size)
         self.size -= size
 
--- a/src/larkpost/gateway/memory/daemon_memory.py
+++ b/src/larkpost/gateway/memory/daemon_memory.py
@@ -1,6 +1,6 @@
-"""The memory of one daemon that is held for others: its budget and the clients that are behind.
+"""The memory budget of one daemon and its slow clients.
 
-Owns which client is cut when room is short; `slow_readers.py` says which.
+Disconnects the slowest client when the budget runs low; `slow_clients.py` selects it.
 """
 
 import random
@@ -18,17 +18,17 @@
 
 
 class DisconnectReason(StrEnum):
-    """Why a client's connection was cut."""
+    """Why a client was disconnected."""
 
-    SLOWEST = "slowest"  # memory was short, and it took its answer slowest
-    STALLED = "stalled"  # it took nothing for long
+    SLOWEST = "slowest"  # memory was low, and it read its response slowest
+    STALLED = "stalled"  # it read nothing for `STALLED_SECONDS`
 
 
 class RequestMemory:
-    """What is held for one request of a client; released at its end.
+    """Memory held for one client request; released when the request ends.
 
     Attributes:
-        owner: the request's id, for logs.
+        owner: the request id, for logs.
     """
 
     def __init__(self, budget: MemoryBudget | None = None) -> None:
@@ -38,44 +38,44 @@
 
     @property
     def is_limited(self) -> bool:
-        """Whether there is a limit on what may be held."""
+        """Whether the budget has a limit."""
         return self._budget.limit is not None
 
     def fits_limit(self, size: int) -> bool:
-        """Returns whether so many bytes could be held if nothing else were."""
+        """Returns whether ``size`` bytes would fit into an empty budget."""
         return self._budget.limit is None or size <= self._budget.limit
 
     @property
     def size(self) -> int:
-        """The bytes held for the request."""
+        """Bytes held for the request."""
         return sum(reservation.size for reservation in self._reservations)
 
     def reserve(self, purpose: MemoryPurpose, size: int = 0) -> Reservation:
-        """Reserves bytes, at most until the request's end.
+        """Reserves bytes until released, at the latest when the request ends.
 
         Raises:
-            NoRoomError: there is no room for them.
+            MemoryBudgetError: the budget is exhausted.
         """
         reservation = self._budget.reserve(purpose, size, self.owner)
         self._reservations.append(reservation)
         return reservation
 
     def shrink_to(self, purpose: MemoryPurpose, size: int) -> None:
-        """Releases all but so many bytes, which are held already."""
+        """Replaces all reservations by one of ``size`` bytes that are already held."""
         self.release()
         self.reserve(purpose).force_grow(size)
 
     def release(self) -> None:
-        """Releases all that is held for the request."""
+        """Releases all reservations of the request."""
         for reservation in self._reservations:
             reservation.release()
 
 
 class DaemonMemory:
-    """What one daemon holds for others.
+    """Memory held by one daemon.
 
     Args:
-        limit: the most bytes; None if there is no limit.
+        limit: maximum number of bytes; None if unlimited.
     """
 
     def __init__(
@@ -88,12 +88,12 @@
 
     @property
     def is_limited(self) -> bool:
-        """Whether there is a limit on what may be held."""
+        """Whether the budget has a limit."""
         return self.budget.limit is not None
 
     @contextmanager
     def request(self) -> Iterator[RequestMemory]:
-        """Holds bytes for one request, until its end."""
+        """Returns the memory of one request, released on exit."""
         memory = RequestMemory(self.budget)
         try:
             yield memory
@@ -102,7 +102,7 @@
 
     @contextmanager
     def delivery(self, connection: ClientConnection, memory: RequestMemory) -> Iterator[Delivery]:
-        """Follows the answer to a request on its way to the client."""
+        """Tracks the response to a request while it is delivered to the client."""
         delivery = Delivery(
             connection,
             self._instruments.clock,
@@ -116,10 +116,10 @@
             self._slow_deliveries.pop(delivery, None)
 
     def disconnect_slowest(self, shortfall: float = 0) -> None:
-        """Cuts the client that takes its answer slowest, if one is slow.
+        """Disconnects the slowest client, if any client is slow.
 
         Args:
-            missing: bytes for which there is no room; nobody is cut who holds less.
+            shortfall: bytes to free; a client that holds fewer is not disconnected.
         """
         slowest = slowest_client(
             {
@@ -133,14 +133,14 @@
             slowest.disconnect()
 
     def set_gauges(self) -> None:
-        """Sets the gauges of what is held."""
+        """Updates the gauges of the memory budget."""
         metrics = self._instruments.metrics
         for purpose in MemoryPurpose:
             metrics.set(Level.BYTES_HELD, self.budget.held(purpose), purpose)
         metrics.set(Level.BYTES_LIMIT, self.budget.limit or 0)
 
     def _record_refusal(self, reservation: Reservation, size: int) -> None:
-        """Records that there was no room, and makes some if a client is slow."""
+        """Records a rejected reservation, and disconnects a slow client to free memory."""
         self._instruments.metrics.count(Count.NO_ROOM, reservation.purpose)
         self._instruments.log.record(
             Event.NO_ROOM,
@@ -166,5 +166,5 @@
 
 
 def unlimited_memory() -> DaemonMemory:
-    """Returns the memory of a daemon without a limit, that records nothing."""
+    """Returns unlimited memory that records nothing."""
     return DaemonMemory(None, Instruments(LoopClock(), EventLog("")))
--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -1,6 +1,6 @@
-"""One answer on its way to its client, and how fast the client takes it.
+"""Tracks the delivery of one response, and how fast the client reads it.
 
-Owns the record of what a connection was given; it relies on the connection for what was not sent.
+Counts the bytes written to the connection; the connection reports how many are unsent.
 """
 
 from collections.abc import Callable
@@ -11,15 +11,15 @@
 from larkpost.gateway.memory.slow_clients import STALLED_SECONDS, ReadRate
 
 POLL_SECONDS = 0.25
-"""Between two looks at whether a client that does not keep up has taken anything."""
+"""Interval between two checks whether a slow client has read anything."""
 
 
 class SlowClientError(LarkpostError):
-    """The client's connection was cut, as it took its answer too slowly."""
+    """The client was disconnected because it read its response too slowly."""
 
     code = "reader_cut"
     status = 502
-    remedy = "Read answers as they come."
+    remedy = "Read responses as they arrive."
 
 
 class ClientConnection(Protocol):
@@ -27,30 +27,30 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether it should be given no more now."""
+        """Whether nothing more should be written now."""
 
     @property
     def unsent(self) -> int:
-        """The bytes that it was given and that its client has not made room for."""
+        """Bytes written to it that the client has not accepted yet."""
 
     @property
     def is_serving(self) -> bool:
-        """Whether a request that came on it is served and its response not complete."""
+        """Whether a request on it is being served and its response is incomplete."""
 
     async def wait_until_writable(self, seconds: float) -> None:
-        """Waits until it is not full, at most so long."""
+        """Waits until it is not full, for at most ``seconds``."""
 
     def disconnect(self) -> None:
-        """Breaks the connection off; what is unsent is dropped."""
+        """Closes the connection at once; unsent bytes are dropped."""
 
 
 class Delivery:
-    """An answer under way.
+    """A response that is being delivered.
 
     Args:
-        count_held: returns the bytes reserved for its request.
-        on_behind: called once the client does not keep up.
-        on_stalled: called when the client has taken nothing for too long, before it is cut.
+        count_held: returns the bytes reserved for the request.
+        on_slow: called when the client starts to fall behind.
+        on_stalled: called before a client that has read nothing for too long is disconnected.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         self._count_held = count_held
         self._on_slow = on_slow
         self._on_stalled = on_stalled
-        self._written = connection.unsent  # of the response before, which is taken first
+        self._written = connection.unsent  # rest of the previous response, which is sent first
         self._slow_since: float | None = None
         self._taken_at_start = 0
         self._last_unsent = 0
@@ -76,31 +76,31 @@
 
     @property
     def is_superseded(self) -> bool:
-        """Whether the next request on the connection is served, after this answer.
+        """Whether this response is complete and the next request on the connection is being served.
 
-        Its own delivery tells then how the client takes what it is given.
+        From then on, that request's delivery tracks how fast the client reads.
         """
         return self._is_complete and self._connection.is_serving
 
     @property
     def is_writable(self) -> bool:
-        """Whether the connection may be given more at once."""
+        """Whether more can be written without waiting."""
         return not self._connection.is_full
 
     @property
     def unsent(self) -> int:
-        """The bytes that the connection was given and that its client has not made room for."""
+        """Bytes written to the connection that the client has not accepted yet."""
         return self._connection.unsent
 
     def record_written(self, size: int) -> None:
-        """Records that the connection was given bytes."""
+        """Records that bytes were written to the connection."""
         self._written += size
         self._last_unsent += size
 
     def read_rate(self) -> ReadRate:
-        """Returns how the client takes what it is given.
+        """Returns how fast the client reads.
 
-        One that has taken everything is not behind, however long its server sends nothing more.
+        A client that has read everything is not slow, even while its server sends nothing.
         """
         if self._connection.unsent == 0 or self.is_superseded:
             self._slow_since = None
@@ -109,10 +109,10 @@
         return ReadRate(self._count_held(), self._taken() - self._taken_at_start, seconds)
 
     async def wait_until_writable(self) -> None:
-        """Waits until the connection may be given more.
+        """Waits until more can be written to the connection.
 
         Raises:
-            ReaderCutError: the client took nothing for too long.
+            SlowClientError: the client read nothing for too long, or was disconnected.
         """
         if self._connection.unsent == 0:
             self._slow_since = None
@@ -122,10 +122,10 @@
             self._check_progress()
 
     async def wait_until_drained(self) -> None:
-        """Waits until a complete answer is taken, or the next request on its connection is served.
+        """Waits until a complete response is sent, or the next request on the connection is served.
 
         Raises:
-            ReaderCutError: the client took nothing for too long.
+            SlowClientError: the client read nothing for too long, or was disconnected.
         """
         self._is_complete = True
         while self._connection.unsent and not self.is_superseded:
@@ -135,7 +135,7 @@
                 self._check_progress()
 
     def disconnect(self) -> None:
-        """Breaks the connection off."""
+        """Disconnects the client."""
         self.is_disconnected = True
         self._connection.disconnect()
 
@@ -156,8 +156,10 @@
             self._last_progress_at = now
         self._last_unsent = unsent
         if self.is_disconnected:
-            raise SlowClientError("its connection was cut", ran=Ran.UNKNOWN)
+            raise SlowClientError(
+                "the client read too slowly and was disconnected", ran=Ran.UNKNOWN
+            )
         if unsent and now - self._last_progress_at >= STALLED_SECONDS:
             self._on_stalled(self)
             self.disconnect()
-            raise SlowClientError("it took nothing for too long", ran=Ran.UNKNOWN)
+            raise SlowClientError("the client read nothing for too long", ran=Ran.UNKNOWN)
--- a/src/larkpost/gateway/memory/read_ahead.py
+++ b/src/larkpost/gateway/memory/read_ahead.py
@@ -1,7 +1,7 @@
-"""Passes an answer on to a client, and reads ahead of one that does not keep up.
+"""Streams a response body to a client, and reads ahead of a slow client.
 
-A server cuts an answer that stays unread for some seconds, and falls over if many do. So what a
-slow client has not taken yet is read from the server all the same, as far as the budget allows.
+Servers abort a response that stays unread for some seconds, and fail if many do. Responses to slow
+clients are therefore buffered here, as far as the memory budget allows.
 """
 
 import asyncio
@@ -14,20 +14,20 @@
 from larkpost.gateway.memory.delivery import Delivery
 
 MAX_PAUSED_READ_SECONDS = 2.0
-"""After so long without room to read an answer on, a little more is read beyond its share; where
-room is short, the slowest client is cut instead: the servers' patience is some seconds."""
+"""Maximum time without reading from the server. Then one more chunk is read beyond the limit, or
+the slowest client is disconnected if memory is low."""
 BUDGET_POLL_SECONDS = 0.1
-"""Between two looks at whether others have left room."""
+"""Interval between two checks whether memory has been freed."""
 
 
 @dataclass(slots=True)
 class BufferedBody:
-    """The body of an answer that is passed on as it comes.
+    """A response body that is streamed to the client.
 
     Attributes:
-        source: yields what is still to be read.
-        reservation: the bytes of what was read and not yet passed on.
-        begun: these, in order.
+        source: yields the rest of the body from the server.
+        reservation: memory of the buffered chunks.
+        buffered: chunks that were read and not yet passed on, in order.
     """
 
     source: AsyncIterator[bytes]
@@ -35,7 +35,7 @@
     buffered: deque[bytes] = field(default_factory=deque)
 
     def pop_chunk(self) -> bytes:
-        """Returns the next of what was read; it is held no longer."""
+        """Removes and returns the next buffered chunk, and releases its memory."""
         chunk = self.buffered.popleft()
         self.reservation.shrink(len(chunk))
         return chunk
@@ -44,12 +44,12 @@
 async def read_ahead(
     answer: BufferedBody, delivery: Delivery | None, memory: DaemonMemory
 ) -> AsyncGenerator[bytes, None]:
-    """Yields an answer's body; whoever takes a part waits until the client has room for it.
+    """Yields the chunks of a response body; the caller waits until the client can take each.
 
-    While the client keeps up, or without a limit on memory, nothing is read ahead.
+    Nothing is read ahead while the client keeps up, or if memory is unlimited.
 
     Raises:
-        BrokenResponseError: the body broke off.
+        BrokenResponseError: the body ended early.
     """
     if delivery is None or not memory.is_limited:
         async for chunk in answer.source:
@@ -73,7 +73,7 @@
 
 
 class _ReadAhead:
-    """Reads one answer in the background, while its client takes what was read before."""
+    """Reads one response in the background while the client takes earlier chunks."""
 
     def __init__(self, answer: BufferedBody, memory: DaemonMemory) -> None:
         self._answer = answer
@@ -83,7 +83,7 @@
         self._reading.add_done_callback(lambda _: self._changed.set())
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yields what was read, in order, then raises what ended the reading, if anything did."""
+        """Yields the chunks in order, then raises the error that ended the reading, if any."""
         while True:
             while self._answer.buffered:
                 yield self._answer.pop_chunk()
@@ -94,7 +94,7 @@
             await self._changed.wait()
 
     async def close(self) -> None:
-        """Ends the reading."""
+        """Stops reading."""
         self._reading.cancel()
         await asyncio.gather(self._reading, return_exceptions=True)
 
@@ -106,7 +106,7 @@
             self._changed.set()
 
     async def _wait_for_budget(self, size: int) -> None:
-        """Waits until a chunk may be held; one chunk may be, however little room there is."""
+        """Waits until a chunk may be held; a first chunk may always be."""
         loop = asyncio.get_running_loop()
         reservation = self._answer.reservation
         relieve_at = loop.time() + MAX_PAUSED_READ_SECONDS
--- a/src/larkpost/gateway/memory/sizing.py
+++ b/src/larkpost/gateway/memory/sizing.py
@@ -1,16 +1,16 @@
-"""How many bytes a daemon may hold for others on a machine of a given size."""
+"""Derives the memory budget from the size of the machine."""
 
 RESERVED_BYTES = 70_000_000
-"""Left to the program itself and to what it knows of a fleet of hundreds."""
+"""Reserved for the program itself and its state of a fleet of hundreds of servers."""
 BUDGET_FRACTION = 0.5
-"""Share of the rest that may be held for others; what is left is for the buffers of connections,
-for copies while something is passed on, and for gaps between what is allocated."""
+"""Fraction of the rest that goes to the budget; what remains covers connection buffers, temporary
+copies and heap fragmentation."""
 MIN_BUDGET_BYTES = 8_000_000
-"""A machine that is smaller than the program still serves requests of ordinary size."""
+"""Lower bound, so that even the smallest machine serves ordinary requests."""
 
 
 def byte_budget_for(memory_bytes: int | None) -> int | None:
-    """Returns the most bytes to hold for others; None, without limit, if no size is known."""
+    """Returns the memory budget in bytes; None (unlimited) if the memory size is unknown."""
     if memory_bytes is None:
         return None
     return max(MIN_BUDGET_BYTES, int((memory_bytes - RESERVED_BYTES) * BUDGET_FRACTION))
--- a/src/larkpost/gateway/memory/slow_clients.py
+++ b/src/larkpost/gateway/memory/slow_clients.py
@@ -1,6 +1,6 @@
-"""Which client is cut first when memory gets short: the one that takes its answer slowest.
+"""Selects the client to disconnect when memory runs low: the one that reads slowest.
 
-Pure rules; answers under way are `delivery.py`'s.
+No I/O; `delivery.py` tracks the responses.
 """
 
 from collections.abc import Hashable, Mapping
@@ -8,21 +8,21 @@
 from typing import TypeVar
 
 MIN_SLOW_SECONDS = 2.0
-"""A client is called slow after so long only: any stops for a moment."""
+"""Minimum time behind before a client counts as slow, so that short pauses do not count."""
 STALLED_SECONDS = 10.0
-"""A client that takes nothing for so long is let go, and so is a body that brings nothing."""
+"""Maximum time without progress, of a client that reads a response or sends a body."""
 
 Key = TypeVar("Key", bound=Hashable)
 
 
 @dataclass(frozen=True, slots=True)
 class ReadRate:
-    """How a client that does not keep up takes its answer.
+    """How fast a client that has fallen behind reads its response.
 
     Attributes:
         held: bytes reserved for its request.
-        taken: bytes that it took since it fell behind.
-        seconds: since it fell behind.
+        taken: bytes that it has read since it fell behind.
+        seconds: time since it fell behind.
     """
 
     held: int
@@ -31,9 +31,9 @@
 
 
 def slowest_client(rates: Mapping[Key, ReadRate]) -> Key | None:
-    """Returns the client to cut; None if none is slow whose end would free anything.
+    """Returns the client to disconnect; None if no slow client holds memory.
 
-    It is the one that takes the fewest bytes a second, and of several the one that holds most.
+    It is the one that reads the fewest bytes per second; ties go to the one that holds the most.
     """
     slow = {
         key: (pace.taken / pace.seconds, -pace.held)
--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -1,4 +1,4 @@
-"""The rules of what a daemon holds for others: the budget, one answer's share, who is cut first."""
+"""Tests of the memory budget, the limit per response, and which client is disconnected."""
 
 import asyncio
 import math
@@ -30,7 +30,7 @@
 MB = 1_000_000
 
 
-class ByteBudgetTest(unittest.TestCase):
+class MemoryBudgetTest(unittest.TestCase):
     """A budget of 10 MB."""
 
     def setUp(self):
@@ -106,7 +106,7 @@
         self.budget.reserve(MemoryPurpose.REQUEST_BODIES, 4 * MB)
 
     def test_bytes_missing(self):
-        """What must be released before a reservation fits; batches are not released for one."""
+        """Bytes to release before a reservation fits; batches are never released for one."""
         self.budget.set_held(MemoryPurpose.BATCHES, 6 * MB)
         self.budget.reserve(MemoryPurpose.ANSWERS).force_grow(5 * MB)
         cases = {
@@ -120,7 +120,7 @@
                 self.assertEqual(shortfall, self.budget.shortfall(purpose, size))
 
     def test_forty_answers_that_take_their_shares_fit_but_for_the_least_that_each_may_hold(self):
-        """Forty slow clients of answers larger than the budget."""
+        """Forty slow clients with responses larger than the budget."""
         for _ in range(40):
             answer = self.budget.reserve(MemoryPurpose.STREAMS)
             while answer.fits_answer_limit(MIN_ANSWER_LIMIT_BYTES):
@@ -147,7 +147,7 @@
 
 
 class SizingTest(unittest.TestCase):
-    """What the sizes of machines leave to others."""
+    """Budget by machine size."""
 
     def test_budget_by_machine(self):
         self.assertIsNone(byte_budget_for(None))
@@ -157,8 +157,8 @@
         self.assertGreater(byte_budget_for(552 * MB), 5 * byte_budget_for(160 * MB))
 
 
-class SlowestReaderTest(unittest.TestCase):
-    """Which client is cut."""
+class SlowestClientTest(unittest.TestCase):
+    """Selection of the client to disconnect."""
 
     def test_rule_by_cases(self):
         late = MIN_SLOW_SECONDS
@@ -186,7 +186,7 @@
 
 
 class OpenResponseTest(unittest.IsolatedAsyncioTestCase):
-    """Responses that are passed on as they come."""
+    """Responses that are streamed to the client."""
 
     async def test_calls_whose_responses_are_not_used_are_ended(self):
         ended = []
@@ -233,7 +233,7 @@
 
 
 class RequestMemoryTest(unittest.TestCase):
-    """What is held for one request."""
+    """Memory held for one request."""
 
     def test_everything_is_released_at_the_end_of_the_request(self):
         memory = unlimited_memory()
--- a/tests/test_held_bytes.py
+++ b/tests/test_held_bytes.py
@@ -1,6 +1,6 @@
-"""What a daemon holds for others, from client to server, on real sockets on loopback.
+"""Tests of the memory budget from client to server, over real loopback sockets.
 
-A listener, the forwarder and the server adapter stand between a client and a server of bytes.
+The listener, the forwarder and the server adapter run between a client and a test server.
 """
 
 import asyncio
@@ -65,10 +65,10 @@
 
 
 class ByteServer:
-    """Answers each request with a body of so many bytes, and breaks off after some if told so.
+    """Responds with bodies of a given size, optionally aborted early.
 
     Attributes:
-        written: bytes of bodies that its connections have taken.
+        written: body bytes that its connections have accepted.
     """
 
     def __init__(self) -> None:
@@ -115,19 +115,19 @@
 
 @functools.cache
 def body_of(size: int) -> bytes:
-    """Returns bytes that differ by their place."""
+    """Returns bytes that differ by position."""
     return (b"%07d." * (size // 8 + 1) % tuple(range(size // 8 + 1)))[:size]
 
 
 def open_small_socket(address_info: tuple) -> socket:
-    """Returns a socket to a server of which the system holds little, as in the users' network."""
+    """Returns a socket to a server with small system buffers, as in the users' network."""
     opened = sockets.open_socket(address_info)
     opened.setsockopt(SOL_SOCKET, SO_RCVBUF, SMALL_BUFFER)
     return opened
 
 
 class Batches:
-    """Takes batches, and gives the same page for each read."""
+    """Accepts batches, and returns the same page for each read."""
 
     def __init__(self) -> None:
         self.submitted = []
@@ -182,7 +182,7 @@
         """Opens a connection that is closed after the test.
 
         Args:
-            reads_little: whether the system holds little at both ends, as in the users' network.
+            reads_little: whether both ends use small system buffers, as in the users' network.
         """
         known = set(self.listener.connections)
         raw = socket()
@@ -210,7 +210,7 @@
         return self.head(path, b"Content-Length: %d" % len(body)) + body
 
     async def response(self, reader) -> tuple[int, dict[bytes, bytes], bytes]:
-        """Reads a response: its status, its headers in lower case, its body."""
+        """Reads a response: status, headers in lower case, and body."""
         async with asyncio.timeout(WAIT_SECONDS):
             head = await reader.readuntil(b"\r\n\r\n")
             first, *lines = head.lower().split(b"\r\n")[:-2]
@@ -236,15 +236,15 @@
                 await asyncio.sleep(0.01)
 
     def lines(self, event: Event) -> list[dict]:
-        """Returns the fields of the lines of an event."""
+        """Returns the log fields of all events of one type."""
         return [fields for known, fields in self.log.events if known is event]
 
 
 class BodyTest(Case):
-    """Bodies at a daemon that may hold 8 MB for others."""
+    """Request bodies at a daemon with a budget of 8 MB."""
 
     async def test_body_without_room_is_refused_before_it_is_sent(self):
-        """The head alone is sent, so the response is known not to have waited for the body."""
+        """Only the head is sent, so the response cannot have waited for the body."""
         no_room = b"no_room: "
         codes = {b"/p/x": no_room, b"/o/x": no_room, b"/s/x": no_room}
         codes[b"/b/x"] = b"batch_too_large_here: "
@@ -270,7 +270,7 @@
         self.assertEqual([b"good"], [body for _, body in self.server.requests])
 
     async def test_connection_whose_body_was_refused_is_left_by_itself_only_after_its_rest(self):
-        """It is not idle while the rest comes, and serves on after it; nothing of it is a head."""
+        """It is not idle while the rest arrives, does not parse it as a head, and is reused."""
         reader, writer = await self.connect()
         writer.write(self.head(b"/p/x", b"Content-Length: %d" % (9 * MB)))
         self.assertEqual(503, (await self.response(reader))[0])
@@ -333,7 +333,7 @@
         self.assertEqual([], self.server.requests)
 
     async def test_body_that_trickles_is_given_up_with_a_promise(self):
-        """It never stands still for long; its room is free then, and nothing of it has run."""
+        """It never stalls for long; afterwards its memory is free, and the request has not run."""
         for framing in (b"Content-Length: %d" % (7 * MB), b"Transfer-Encoding: chunked"):
             reader, writer = await self.connect()
             writer.write(self.head(b"/o/x", framing))
@@ -351,7 +351,7 @@
         self.assertEqual([], self.server.requests)
 
     async def test_body_that_comes_slowly_at_the_least_rate_is_read(self):
-        """For longer than it may stand still."""
+        """It takes longer than the stall timeout."""
         reader, writer = await self.connect()
         with (
             mock.patch.object(client_call, "STALLED_SECONDS", 0.4),
@@ -364,7 +364,7 @@
             self.assertEqual(200, (await self.response(reader))[0])
 
     async def test_nothing_is_held_for_a_call_that_is_not_admitted(self):
-        """Its 404, 401 or 503 comes before its body, which is dropped and is no request."""
+        """Its 404, 401 or 503 is sent before its body, which is dropped without being parsed."""
         evil = self.request(b"evil", b"/o/evil")
         body = evil * (MB // len(evil))
         usual = self.configuration.current
@@ -380,7 +380,7 @@
         self.assertEqual({b"good"}, {body for _, body in self.server.requests})
 
     async def refused_by_head(self, configuration, host, path, status, body) -> None:
-        """Checks that a call is refused before its body comes, and the next one served."""
+        """Checks that a call is rejected before its body arrives, and the next one served."""
         usual, self.configuration.current = self.configuration.current, configuration
         reader, writer = await self.connect()
         head = self.head(path, b"Content-Length: %d" % len(body))
@@ -420,7 +420,7 @@
 
 
 class AnswerTest(Case):
-    """Answers at a daemon that may hold 8 MB for others."""
+    """Responses at a daemon with a budget of 8 MB."""
 
     async def test_answer_larger_than_the_budget_arrives_whole(self):
         self.server.size = 20 * MB
@@ -435,7 +435,7 @@
         await self.wait_until(lambda: self.memory.budget.total == 0)
 
     async def test_answer_that_fits_is_given_once_it_is_whole(self):
-        """So a server may break off within it, and another one is asked."""
+        """So another server can be tried if the first one aborts the response."""
         self.server.size, self.server.breaks_after = MB, MB // 2
         reader, writer = await self.connect()
         writer.write(self.request(b""))
@@ -501,7 +501,7 @@
         await self.wait_until(lambda: self.memory.budget.total == 0)
 
     async def test_answer_of_a_slow_client_is_read_from_its_server(self):
-        """The client reads nothing; what fits is read from the server all the same."""
+        """The client reads nothing; the server's response is read as far as it fits."""
         size = 9 * MB // 10
         self.server.size = size
         for path in (b"/p/x", b"/s/x"):
@@ -548,15 +548,15 @@
 
 
 class BatchTest(Case):
-    """Calls about batches at a daemon that may hold 8 MB for others."""
+    """Batch calls at a daemon with a budget of 8 MB."""
 
     def submission(self, size: int) -> bytes:
-        """Returns a batch of one item with a body of so many bytes."""
+        """Returns a batch of one item with a body of a given size."""
         body = base64.b64encode(bytes(size)).decode()
         return orjson.dumps({"requests": [{"id": "i", "path": "/x", "body": body}]})
 
     async def test_batch_at_the_limit_is_refused_whole_and_taken_once_there_is_room(self):
-        """Its body fits, but not what reading and storing it takes."""
+        """Its body fits, but not the memory needed to read and store it."""
         held = self.memory.budget.reserve(MemoryPurpose.REQUEST_BODIES, 5 * MB)
         reader, writer = await self.connect()
         batch = self.submission(MB)
@@ -589,7 +589,7 @@
         self.assertEqual(1, len(self.batches.submitted))
 
     async def test_batch_that_never_fits_is_told_to_be_split_before_its_body_is_read(self):
-        """A body above a quarter of the budget, also if its length is known only at its end."""
+        """A body above a quarter of the budget, even if its length is known only at its end."""
         batch = self.submission(2 * MB)
         chunk = b"%x\r\n%b\r\n0\r\n\r\n" % (len(batch), batch)
         for framing, body in (
@@ -618,7 +618,7 @@
 
 
 class UnlimitedTest(Case):
-    """A daemon whose settings name no memory serves as before: nothing is refused or passed on."""
+    """Without a memory limit, nothing is rejected, and responses are not streamed."""
 
     budget = None
 
@@ -682,10 +682,10 @@
 
 
 class ViewCacheTest(unittest.TestCase):
-    """What batches hold is told to the budget."""
+    """The memory of batches is counted in the budget."""
 
     def view(self, cache: ViewCache, name: str, size: int):
-        """Adds a view with an item and a result of so many bytes each."""
+        """Adds a view with an item and a result of a given size each."""
         head = BatchHead(BatchId(name), "h", "/", "m", 0, 0, 0, 1, "d", 0.0, False, "u")
         view = cache.get_or_add(head)
         view.set_items((Item(ItemId("i"), "/", (), bytes(size), 1, "g"),))
