--- a/src/larkpost/gateway/blackboard/__init__.py
+++ b/src/larkpost/gateway/blackboard/__init__.py
@@ -1,6 +1,6 @@
-"""What a daemon knows of the world: typed sections that controllers write and everything reads.
+"""The daemon's view of the cluster: state that controllers write and all other parts read.
 
-Owns the configuration in force, the directory of instances, weight targets, evacuated zones, cold
-instances, known crashes, and where zones lie. Each section says how old its news is or which
-version it holds. Nothing here makes a call; there are no locks, as one thread writes and reads.
+Holds the active configuration, the instance directory, weight targets, evacuated zones, cold
+instances, known crashes and zone regions. Each section records the age or version of its data. No
+I/O, and no locks: a single thread reads and writes.
 """
--- a/src/larkpost/gateway/blackboard/board.py
+++ b/src/larkpost/gateway/blackboard/board.py
@@ -1,7 +1,7 @@
-"""What a daemon knows of the world: the blackboard that its controllers write.
+"""The blackboard: one daemon's view of the cluster.
 
-Feeds and the responses of servers write it (`row_intake`, `directory`); forwarding, runs and orders
-read it. Each part says by itself how old its news are or which version it holds.
+Feeds and server responses update it; request forwarding, batch runs and weight loads read it. Each
+section records the age or version of its data.
 """
 
 from dataclasses import dataclass, field
@@ -17,16 +17,16 @@
 
 @dataclass(slots=True)
 class Blackboard:
-    """The blackboard of one daemon.
+    """The shared state of one daemon.
 
     Attributes:
-        configuration: routes, services, tenants and limits in force.
-        directory: the server instances, their states and versions.
+        configuration: active routes, services, tenants and limits.
+        directory: server instances with their states and weight versions.
         targets: the weight version that each model should have.
-        evacuations: the zones that are to get nothing.
-        regions: where zones lie.
-        cold: the instances that are cold.
-        crashes: the servers that have crashed, and under which requests.
+        evacuations: zones that receive no new requests.
+        regions: regions of the zones.
+        cold: instances that are cold.
+        crashes: server crashes, by the request that the server was running.
     """
 
     regions: RegionMap = field(default_factory=RegionMap)
--- a/src/larkpost/gateway/blackboard/cold_instances.py
+++ b/src/larkpost/gateway/blackboard/cold_instances.py
@@ -1,4 +1,4 @@
-"""Which instances are cold: slow after their start, and overloaded by more than a few requests."""
+"""Cold instances: slow after their start, and easily overloaded."""
 
 from dataclasses import dataclass
 
@@ -9,33 +9,33 @@
 
 @dataclass(frozen=True, slots=True)
 class ColdTerms:
-    """What is agreed about the requests that all daemons together send to a cold instance.
+    """Limits on the requests that all daemons together send to a cold instance.
 
     Attributes:
-        overage: how many times the rate that it bears may be reached.
-        slack: requests that may come on top of that in any second.
+        overage: allowed multiple of the instance's cold rate.
+        slack: extra requests allowed in any second.
     """
 
     overage: float
     slack: float
 
     def bound(self, rate: float) -> float:
-        """Returns how many requests may go to an instance of a given rate in any second."""
+        """Returns the maximum number of requests in any second for a cold rate."""
         return rate * self.overage + self.slack
 
 
 class ColdInstances:
-    """Until when each instance is cold, by this daemon's steady clock.
+    """When each instance stops being cold, in this daemon's monotonic time.
 
-    Whoever says that an instance is cold for longer is believed: its entry, its own responses,
-    the end of an evacuation. Nothing makes the time shorter, as news may overtake each other.
+    Sources are the instance's entry, its responses, and the end of an evacuation. The latest end
+    wins, as reports may arrive out of order.
     """
 
     def __init__(self) -> None:
         self._until: dict[InstanceId, float] = {}
 
     def record(self, instance: InstanceId, left: float | None, now: float) -> None:
-        """Records for how many seconds from now an instance stays cold; None if not known."""
+        """Records for how many more seconds an instance stays cold; None if unknown."""
         if left:
             self._until[instance] = max(now + left, self._until.get(instance, now))
 
@@ -46,7 +46,7 @@
         configuration: ConfigurationState,
         now: float,
     ) -> None:
-        """Records that a zone's evacuation has ended: its instances may have become cold before."""
+        """Records the end of a zone's evacuation: idle instances may have become cold."""
         for info in directory.all():
             service = configuration.service(info.service)
             if info.zone == zone and service is not None:
@@ -57,10 +57,10 @@
         return now < self._until.get(instance, now)
 
     def seconds_left(self, instance: InstanceId, now: float) -> float:
-        """Returns the seconds for which an instance stays cold, as far as is known."""
+        """Returns the seconds for which an instance stays cold; 0 if it is not known to be cold."""
         return max(0.0, self._until.get(instance, now) - now)
 
     def current(self, now: float) -> frozenset[InstanceId]:
-        """Returns the instances that are cold, and forgets those that no longer are."""
+        """Returns the cold instances, and forgets those that no longer are cold."""
         self._until = {name: until for name, until in self._until.items() if now < until}
         return frozenset(self._until)
--- a/src/larkpost/gateway/blackboard/configuration.py
+++ b/src/larkpost/gateway/blackboard/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force: routes, services, tenants, limits; only a newer one replaces it."""
+"""The active configuration: routes, services, tenants and limits."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -15,17 +15,17 @@
 
 
 class RouteKind(StrEnum):
-    """What may be done with a request of a route."""
+    """Retry and delivery semantics of a route's requests."""
 
     IDEMPOTENT = "idempotent"  # may run more than once
-    RUN_ONCE = "run_once"  # at most once for each attempt of the client
-    STREAM = "stream"  # answered by events; run once unless resumable
+    RUN_ONCE = "run_once"  # runs at most once per client attempt
+    STREAM = "stream"  # event stream; runs once unless resumable
     BATCH = "batch"  # accepted as a durable batch of rollouts
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceShare:
-    """A part of a route's requests that goes to one service."""
+    """The weight of one service in the traffic split of a route."""
 
     service: ServiceName
     weight: float
@@ -36,15 +36,15 @@
     """How requests of one host and path prefix are served.
 
     Attributes:
-        path_prefix: begins the raw path of the route's requests; ends with a slash.
-        time_limit: seconds a request may be held, from its receipt.
-        objective: seconds within which an answer is worth most.
-        max_attempts: servers that one request may be sent to; runs of a batch item that may fail.
-        resumable: whether a stream may go on at another server from its last event.
-        due: seconds from a batch's first sending until all its results are due.
-        queue_lifetime: seconds after which an item of a batch may be given up.
-        single_version: whether a result must be made under one weight version.
-        is_public: whether requests need no key where the configuration has tenants.
+        path_prefix: prefix of the raw request path; ends with a slash.
+        time_limit: maximum seconds from the receipt of a request to its response.
+        objective: latency objective in seconds.
+        max_attempts: maximum number of servers for a request, or of failed runs of a batch item.
+        resumable: whether another server may resume a stream after its last event.
+        due: seconds from the first submission of a batch until all its results are due.
+        queue_lifetime: seconds after which a batch item may be given up.
+        single_version: whether a result must come from a single weight version.
+        is_public: whether requests need no key even though tenants are configured.
         regions: the only regions in which its requests may be served; None for all.
     """
 
@@ -67,16 +67,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A group of servers that do the same.
+    """A group of interchangeable servers.
 
     Attributes:
-        max_connections: connections one server takes from all callers together.
-        slots: requests a model engine runs at once; 0 if the servers are no engines.
-        models: the models that the engines hold; empty if the servers are no engines.
-        tokens_per_event: tokens that one event of a stream holds at most.
-        scaling: what is agreed about its size; None if its servers cannot be ordered.
-        cold_start: seconds for which a server is cold after a start during traffic.
-        cold_rate: requests a second that a cold server bears; 0 if there is no such limit.
+        max_connections: maximum connections to one server, from all callers together.
+        slots: concurrent requests of a model engine; 0 if the servers are not engines.
+        models: models that the engines hold; empty if the servers are not engines.
+        tokens_per_event: maximum number of tokens in a stream event.
+        scaling: scaling limits and prices; None if servers cannot be ordered.
+        cold_start: seconds for which a server that starts under traffic is cold.
+        cold_rate: requests per second that a cold server can take; 0 for no limit.
     """
 
     name: ServiceName
@@ -91,11 +91,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestLimits:
-    """What a client may send and how long it may take.
+    """Limits on client requests and connections.
 
     Attributes:
-        header_time: seconds from the first byte of a request to the end of its headers.
-        idle_time: seconds a connection may rest between two requests.
+        header_time: maximum seconds from the first byte of a request to the end of its headers.
+        idle_time: maximum seconds that a connection may be idle between two requests.
     """
 
     header_bytes: int = 65536
@@ -109,7 +109,7 @@
     """One version of the whole configuration.
 
     Attributes:
-        tenants: whose keys are taken; None if requests need no keys.
+        tenants: tenants whose keys are accepted; None if requests need no key.
     """
 
     version: int
@@ -123,11 +123,11 @@
         return index_by_key(self.tenants or ())
 
     def tenant_of(self, key: KeyDigest | None) -> Tenant | None:
-        """Returns the tenant that holds a key, or None."""
+        """Returns the tenant of a key; None if there is none."""
         return self._tenants_by_key.get(key) if key is not None else None
 
     def batch_routes_to(self, service: ServiceName) -> list[Route]:
-        """Returns the routes of batches that may run at a service."""
+        """Returns the batch routes that include a service."""
         return [
             route
             for route in self.routes
@@ -136,10 +136,10 @@
         ]
 
     def priority_of(self, tenant: TenantName | None, route: Route) -> int:
-        """Returns a request's priority, 0 highest: its tenant's if that has one, else its route's.
+        """Returns a request's priority, 0 highest: that of its tenant if set, else of its route.
 
         Args:
-            tenant: whose request it is; None if it is no tenant's.
+            tenant: tenant of the request; None if it has none.
         """
         known = self._tenants_by_name.get(tenant)
         if known is None or known.priority is None:
@@ -151,11 +151,11 @@
     ) -> frozenset[RegionId] | None:
         """Returns the only regions in which a request may be served; None for all.
 
-        Both the route's and the tenant's regions bind.
+        The regions must be allowed by both the route and the tenant.
 
         Args:
-            tenant: whose request it is; None if it is no tenant's.
-            route: the request's; None if it has none any more.
+            tenant: tenant of the request; None if it has none.
+            route: route of the request; None if it no longer exists.
         """
         known = self._tenants_by_name.get(tenant)
         of_tenant = known.regions if known is not None else None
@@ -172,7 +172,7 @@
 
     @cached_property
     def has_region_limits(self) -> bool:
-        """Whether a route or a tenant has regions of its own."""
+        """Whether any route or tenant restricts its regions."""
         holders = (*self.routes, *(self.tenants or ()))
         return any(holder.regions is not None for holder in holders)
 
@@ -182,7 +182,7 @@
 
     @cached_property
     def _routes_by_host(self) -> dict[str, list[Route]]:
-        """Routes of each host, the longest prefix first."""
+        """Routes of each host, longest prefix first."""
         by_host: dict[str, list[Route]] = {}
         for route in self.routes:
             by_host.setdefault(route.host, []).append(route)
@@ -191,18 +191,18 @@
         return by_host
 
     def match(self, host: str, path: bytes) -> Route | None:
-        """Returns the route with the longest prefix of a path, or None."""
+        """Returns the route with the longest matching path prefix; None if there is none."""
         routes = self._routes_by_host.get(host, ())
         return next((route for route in routes if path.startswith(route.path_prefix)), None)
 
     def first_batch_route(self, host: str) -> Route | None:
-        """Returns the first batch route of a host."""
+        """Returns the first batch route of a host; None if there is none."""
         routes = self._routes_by_host.get(host, ())
         return next((route for route in routes if route.kind is RouteKind.BATCH), None)
 
 
 class ConfigurationState:
-    """The newest configuration known; it never goes back."""
+    """The newest known configuration; older versions never replace it."""
 
     def __init__(self) -> None:
         self.current: Configuration | None = None
@@ -215,11 +215,11 @@
         return True
 
     def priority_of(self, tenant: TenantName | None, route: Route) -> int:
-        """Returns a request's priority by the configuration in force; see `Configuration`."""
+        """Returns a request's priority in the active configuration; see `Configuration`."""
         if self.current is None:
             return route.priority
         return self.current.priority_of(tenant, route)
 
     def service(self, name: ServiceName) -> Service | None:
-        """Returns a service of the configuration in force; None if there is none."""
+        """Returns a service of the active configuration; None if there is none."""
         return self.current.services.get(name) if self.current is not None else None
--- a/src/larkpost/gateway/blackboard/daemon_report.py
+++ b/src/larkpost/gateway/blackboard/daemon_report.py
@@ -1,4 +1,4 @@
-"""What daemons report to each other with their heartbeats, beside their use of instances."""
+"""Reports that daemons exchange with their heartbeats, in addition to instance usage."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -8,10 +8,10 @@
 
 
 class FlowGroup(NamedTuple):
-    """The requests that compete for the same places as equals.
+    """The flows that share the slots of one service at one priority.
 
     Attributes:
-        priority: of the requests, 0 the most urgent.
+        priority: priority of the requests; 0 is the most urgent.
     """
 
     service: ServiceName
@@ -19,10 +19,10 @@
 
 
 class Flow(NamedTuple):
-    """The requests of one tenant in a group; without tenants, those of one route.
+    """The requests of one tenant in a group; without tenants, of one route.
 
     Attributes:
-        name: the tenant's, or what `route_flow_name` makes of a route's.
+        name: the tenant's name, or `route_flow_name` of the route.
     """
 
     group: FlowGroup
@@ -30,16 +30,16 @@
 
 
 def route_flow_name(route: str) -> str:
-    """Returns the name of the flow of a route's callers that are no tenant's."""
+    """Returns the flow name of a route's requests that have no tenant."""
     return f"route/{route}"
 
 
 class FlowUsage(NamedTuple):
-    """What one daemon holds for one tenant, or another flow, at a moment.
+    """One daemon's current number of requests of a flow.
 
     Attributes:
-        running: its requests at servers.
-        waiting: its requests that wait for a place.
+        running: requests at servers.
+        waiting: requests that wait for a slot.
     """
 
     running: int
@@ -47,13 +47,12 @@
 
 
 class BatchProgress(NamedTuple):
-    """How far a batch is, as its owner knows it at a moment.
+    """Progress of a batch, as reported by its owner.
 
     Attributes:
-        waiting: items that wait for a place at an engine.
-        work: tokens that its items are expected to take yet.
-        long_item: tokens that one of the longer items is expected to take yet; nine in ten take
-            no more.
+        waiting: items that wait for a slot at an engine.
+        work: expected tokens that are left in all items.
+        p90_item_work: 90th percentile of the expected tokens that are left in an item.
     """
 
     waiting: int
@@ -63,15 +62,15 @@
 
 @dataclass(frozen=True, slots=True)
 class DaemonReport:
-    """What one daemon reports; what it does not say is unknown.
+    """The report of one daemon; everything that it omits is unknown.
 
     Attributes:
-        paces: seconds that a unit of work lastingly takes at instances, short bursts of slowness
-            left out, as far as it has learnt that itself.
-        tenants: use by its flows with the greatest use, of bounded number, at services that lack
-            places.
-        capacity: what its machine can bear beside clients, without unit; None if not known.
-        batches: progress of the batches that it owns, of bounded number.
+        paces: long-term seconds per unit of work at each instance, without short slowdowns; only
+            values that the daemon measured itself.
+        tenants: usage of its largest flows at services that lack slots; bounded in number.
+        capacity: relative capacity of its machine for work besides client requests; None if
+            unknown.
+        batches: progress of the batches that it owns; bounded in number.
     """
 
     paces: dict[InstanceId, float] = field(default_factory=dict)
--- a/src/larkpost/gateway/blackboard/directory.py
+++ b/src/larkpost/gateway/blackboard/directory.py
@@ -1,4 +1,4 @@
-"""The directory of server instances: who serves which service, where, and in which state."""
+"""Directory of the server instances: their services, addresses and states."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field, replace
@@ -11,28 +11,28 @@
 
 
 class InstanceState(StrEnum):
-    """Whether an instance takes new work.
+    """Whether an instance accepts new work.
 
-    READY may become LEAVING or UNLISTED. UNLISTED becomes READY again once its entry is back.
-    LEAVING is final: a server that comes back is another instance.
+    READY may become LEAVING or UNLISTED. UNLISTED becomes READY again when the entry reappears.
+    LEAVING is final: a server that restarts is a new instance.
     """
 
     READY = "ready"
-    UNLISTED = "unlisted"  # its entry went while the store was not sound; it may be back soon
+    UNLISTED = "unlisted"  # its entry vanished while the store was unhealthy
     LEAVING = "leaving"
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceInfo:
-    """A snapshot of one instance's entry.
+    """An instance's entry in the store, at one version.
 
     Attributes:
-        slots: requests it handles at once.
-        versions: weight version of each model it holds.
-        listed_version: version of the entry in the store.
-        is_preemptible: whether it may be taken away at short notice.
-        cold_left: seconds, from the entry's writing, for which it stays cold; None if not
-            known.
+        slots: maximum number of concurrent requests.
+        versions: weight version of each model that it holds.
+        listed_version: row version of the entry in the store.
+        is_preemptible: whether it may be reclaimed at short notice.
+        cold_left: seconds for which it stays cold, from when the entry was written; None if
+            unknown.
     """
 
     id: InstanceId
@@ -48,25 +48,25 @@
 
     @property
     def name(self) -> InstanceName:
-        """What the server calls itself, whichever incarnation it is."""
+        """The server's name, which all its incarnations share."""
         return split_instance_id(self.id)[0]
 
     @property
     def started_at_ms(self) -> int | None:
-        """The Unix millisecond of its start; None if it does not say it."""
+        """Unix time of the server's start in milliseconds; None if not reported."""
         return split_instance_id(self.id)[1]
 
 
 class InstanceDirectory:
-    """All instances known, by id; of each server one incarnation at the most.
+    """All known instances by id, with at most one incarnation of each server.
 
-    An entry that goes while the store is sound ends the instance at once. While the store is not
-    sound entries also go for no reason of the instance's; those of living instances are back soon
-    after the store is. So the instance is kept until then, and serves like the others: if only
-    those listed again did, all work would fall on the first few.
+    An instance whose entry is removed while the store is healthy is dropped at once. While the
+    store is unhealthy, entries of live instances may vanish too, and reappear soon after it
+    recovers. Such instances are kept as UNLISTED and still receive work; otherwise all work would
+    go to the first few instances that reappear.
 
     Attributes:
-        index: the instances that may take new work, by service; only read by others.
+        index: instances that accept new work, by service; read-only for other classes.
     """
 
     def __init__(self) -> None:
@@ -81,28 +81,28 @@
         return len(self._instances)
 
     def get(self, instance: InstanceId) -> InstanceInfo | None:
-        """Returns an instance, or None if it is unknown."""
+        """Returns an instance; None if unknown."""
         return self._instances.get(instance)
 
     def find_by_name(self, name: InstanceName) -> InstanceInfo | None:
-        """Returns the incarnation of a server that is known, or None if none is."""
+        """Returns the known incarnation of a server; None if there is none."""
         current = self._current.get(name)
         return self._instances.get(current) if current is not None else None
 
     def resolve(self, instance: InstanceId) -> InstanceId:
-        """Returns the incarnation that is known of a server of which only the name was said."""
+        """Returns the id of the known incarnation if ``instance`` is only a server's name."""
         name, started_at_ms = split_instance_id(instance)
         return self._current.get(name, instance) if started_at_ms is None else instance
 
     def add_removal_listener(self, listener: Callable[[InstanceId], None]) -> None:
-        """Calls a listener whenever an instance is dropped for good."""
+        """Registers a listener that is called whenever an instance is dropped."""
         self._removal_listeners.append(listener)
 
     def update(self, info: InstanceInfo) -> None:
-        """Stores an entry that is new or has changed.
+        """Stores a new or changed entry.
 
-        A later incarnation ends the one before; a late word of an earlier one changes nothing. An
-        entry that does not say when its server started is of the incarnation that is known.
+        A newer incarnation replaces an older one; entries of older incarnations are ignored. An
+        entry without a start time belongs to the known incarnation.
         """
         known = self.find_by_name(info.name)
         if known is not None and known.started_at_ms is not None:
@@ -121,10 +121,10 @@
         self._current[info.name] = info.id
 
     def remove(self, name: InstanceName, *, store_healthy: bool) -> None:
-        """Records that a server's entry is gone.
+        """Records that a server's entry was removed from the store.
 
         Args:
-            sound: whether the store has been without fault for long enough to be believed.
+            store_healthy: whether the store has been healthy for long enough to trust the removal.
         """
         self._replaced = {known for known in self._replaced if split_instance_id(known)[0] != name}
         known = self.find_by_name(name)
@@ -136,13 +136,13 @@
             self._store(replace(known, state=InstanceState.UNLISTED))
 
     def drop_unreadable(self, name: InstanceName) -> None:
-        """Records that a server's entry names no server any more; one that leaves goes on to."""
+        """Drops a server whose entry became unreadable, unless it is already leaving."""
         known = self.find_by_name(name)
         if known is not None and known.state is not InstanceState.LEAVING:
             self.forget(known.id)
 
     def observe_version(self, instance: InstanceId, model: ModelName, version: int) -> None:
-        """Records a weight version that an instance reports; it may be ahead of its entry."""
+        """Records a weight version reported by an instance, which may be ahead of its entry."""
         observed = self._observed.setdefault(instance, {})
         is_first = version > 0 and not observed.get(model)
         observed[model] = max(version, observed.get(model, 0))
@@ -151,21 +151,21 @@
             self._store(info)
 
     def version_of(self, instance: InstanceId, model: ModelName) -> int:
-        """Returns the newest weight version known of a model at an instance; 0 if none is."""
+        """Returns the newest known weight version of a model at an instance; 0 if unknown."""
         info = self._instances.get(instance)
         listed = info.versions.get(model, 0) if info is not None else 0
         return max(listed, self._observed.get(instance, {}).get(model, 0))
 
     def mark_replaced(self, instance: InstanceId) -> None:
-        """Drops an instance for good: another one has responded at its address.
+        """Drops an instance for good, because another one responded at its address.
 
-        Its entry may stand for a while. A server that starts again is another instance.
+        Its entry, which may remain in the store for a while, is ignored from now on.
         """
         self.forget(instance)
         self._replaced.add(instance)
 
     def forget(self, instance: InstanceId) -> None:
-        """Drops an instance."""
+        """Drops an instance and notifies the removal listeners."""
         info = self._instances.pop(instance, None)
         if info is None:
             return
@@ -177,15 +177,15 @@
             listener(instance)
 
     def of_service(self, service: ServiceName) -> list[InstanceInfo]:
-        """Returns the instances that may take new work."""
+        """Returns the instances of a service that accept new work."""
         return list(self.index.entries(service))
 
     def ready_of(self, service: ServiceName) -> list[InstanceInfo]:
-        """Returns the instances whose entries stand, of those that may take new work."""
+        """Returns the instances of a service that accept new work and are listed in the store."""
         return [info for info in self.of_service(service) if info.state is InstanceState.READY]
 
     def drop_unlisted(self) -> list[InstanceId]:
-        """Drops the instances whose entries are not back, and returns them."""
+        """Drops all UNLISTED instances, and returns their ids."""
         lapsed = [
             name for name, info in self._instances.items() if info.state is InstanceState.UNLISTED
         ]
@@ -194,19 +194,19 @@
         return lapsed
 
     def accepts_work(self, instance: InstanceId) -> bool:
-        """Returns whether an instance may be given new work at this moment."""
+        """Returns whether an instance accepts new work."""
         info = self._instances.get(instance)
         return info is not None and info.state is not InstanceState.LEAVING
 
     def counts(self) -> dict[InstanceState, int]:
-        """Returns how many instances are in each state."""
+        """Returns the number of instances in each state."""
         counts = dict.fromkeys(InstanceState, 0)
         for info in self._instances.values():
             counts[info.state] += 1
         return counts
 
     def all(self) -> Iterable[InstanceInfo]:
-        """Returns all instances, in no order."""
+        """Returns all instances, in no particular order."""
         return self._instances.values()
 
     def _store(self, info: InstanceInfo) -> None:
--- a/src/larkpost/gateway/blackboard/evacuations.py
+++ b/src/larkpost/gateway/blackboard/evacuations.py
@@ -1,4 +1,4 @@
-"""The zones that the operator has evacuated: nothing new is sent to their instances."""
+"""Zones evacuated by the operator: their instances receive no new requests."""
 
 from dataclasses import dataclass
 
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneEvacuation:
-    """What the operator says of one zone.
+    """An operator's instruction for one zone.
 
     Attributes:
-        is_on: whether the zone is evacuated from now on, or no longer.
+        is_on: whether the evacuation begins (True) or ends (False).
     """
 
     zone: ZoneId
@@ -18,32 +18,32 @@
 
 
 class Evacuations:
-    """Zones evacuated now, each since the steady time at which this daemon learnt of it."""
+    """Evacuated zones, with the monotonic time at which this daemon learned of each."""
 
     def __init__(self) -> None:
         self._since: dict[ZoneId, float] = {}
 
     def begin(self, zone: ZoneId, now: float) -> bool:
-        """Records that a zone is evacuated, and returns whether that was news."""
+        """Marks a zone as evacuated, and returns whether it was not before."""
         if zone in self._since:
             return False
         self._since[zone] = now
         return True
 
     def end(self, zone: ZoneId) -> bool:
-        """Records that a zone's evacuation has ended, and returns whether that was news."""
+        """Ends a zone's evacuation, and returns whether it was evacuated."""
         return self._since.pop(zone, None) is not None
 
     def update(self, evacuation: ZoneEvacuation, now: float) -> bool:
-        """Records what the operator says of a zone, and returns whether it was news."""
+        """Applies an instruction, and returns whether it changed anything."""
         if evacuation.is_on:
             return self.begin(evacuation.zone, now)
         return self.end(evacuation.zone)
 
     def is_evacuated(self, zone: ZoneId) -> bool:
-        """Returns whether nothing new may be sent to a zone's instances."""
+        """Returns whether a zone is evacuated."""
         return zone in self._since
 
     def zones(self) -> frozenset[ZoneId]:
-        """Returns the zones that are evacuated."""
+        """Returns the evacuated zones."""
         return frozenset(self._since)
--- a/src/larkpost/gateway/blackboard/instance_usage.py
+++ b/src/larkpost/gateway/blackboard/instance_usage.py
@@ -1,4 +1,4 @@
-"""What daemons report to each other of their use of instances; it travels with their heartbeats."""
+"""Instance usage that daemons report to each other with their heartbeats."""
 
 from larkpost.common.ids import InstanceId
 
--- a/src/larkpost/gateway/blackboard/known_crashes.py
+++ b/src/larkpost/gateway/blackboard/known_crashes.py
@@ -1,10 +1,10 @@
-"""Which servers have crashed under which requests, as far as this daemon knows.
+"""Known server crashes, by the content of the requests that the servers were running.
 
-A request may crash each server that begins to run it, and come again at any daemon. One crash
-proves nothing, as all that a server runs ends with it; so crashes are counted by content, over all
-daemons. A content under which too many servers have crashed is quarantined: it goes to no server.
+A request may crash every server that runs it, and may be retried at any daemon. A crash does not
+show which of the running requests caused it, so crashes are counted by request content across all
+daemons. A content with too many crashes is quarantined: it is sent to no server.
 
-Owns what this daemon knows; the rows in the store are written by `quarantine`.
+Holds this daemon's copy; `quarantine` writes the rows in the store.
 """
 
 from dataclasses import dataclass
@@ -13,26 +13,26 @@
 from larkpost.gateway.blackboard.request_content import ContentDigest, Request, digest_request
 
 CLIENT_CRASH_LIMIT = 3
-"""Servers that may crash under a client's request before it is quarantined. Two crashes may be
-another request's, which ran beside it at both; a small service that loses three servers is gone."""
+"""Server crashes after which a client request is quarantined. Two crashes may be caused by another
+request that ran alongside at both servers; more than three could take down a small service."""
 BATCH_CRASH_LIMIT = 4
-"""The same for items of batches and their reward calls. They cannot be refused, so a quarantine
-by mistake costs its trainer a group; one crash more than a client's request is granted covers an
-item that was beside two different ones that crash engines."""
+"""Server crashes after which a batch item or its reward call is quarantined. These cannot be
+rejected, so a wrong quarantine costs the trainer a group; the limit is one higher to cover an item
+that ran alongside two different items that crash engines."""
 SUSPECT_CRASHES = 2
-"""A content under which so many have crashed is suspect: it is isolated from other suspects, and
-its next whole response clears it. One crash is forgotten with time, which saves a write for each
-request that a crash broke off."""
+"""Server crashes after which a content is suspect: it is isolated from other suspects, and its next
+complete response clears it. A single crash only expires, which saves a store write for each request
+that a crash interrupted."""
 CRASH_RETENTION_SECONDS = 3600.0
-"""How long a crash counts; software that survives the request may be rolled out by then."""
+"""Time for which a crash counts; a fixed server version may be rolled out by then."""
 
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """A server that crashed while it ran a request.
+    """A server crash during a request.
 
     Attributes:
-        at: store time in seconds, a moment after the crash.
+        at: store time in seconds, shortly after the crash.
     """
 
     content: ContentDigest
@@ -41,7 +41,7 @@
 
 
 class KnownCrashes:
-    """The crashes that this daemon knows of, its own and those of the others, by content."""
+    """The crashes that this or other daemons observed, by request content."""
 
     def __init__(self) -> None:
         self._crashes: dict[ContentDigest, dict[InstanceId, Crash]] = {}
@@ -51,7 +51,7 @@
         return sum(len(crashes) for crashes in self._crashes.values())
 
     def add(self, crash: Crash) -> bool:
-        """Records a crash, and returns whether it was not known yet."""
+        """Records a crash, and returns whether it is new."""
         crashes = self._crashes.setdefault(crash.content, {})
         is_new = crash.instance not in crashes
         crashes[crash.instance] = crash
@@ -60,7 +60,7 @@
         return is_new
 
     def remove(self, content: ContentDigest, instance: InstanceId) -> bool:
-        """Forgets one crash, and returns whether it was known."""
+        """Removes a crash, and returns whether it was known."""
         crashes = self._crashes.get(content, {})
         was_known = crashes.pop(instance, None) is not None
         if len(crashes) < SUSPECT_CRASHES:
@@ -70,17 +70,17 @@
         return was_known
 
     def count(self, content: ContentDigest) -> int:
-        """Returns how many servers have crashed under a content."""
+        """Returns how many servers crashed while they ran a content."""
         return len(self._crashes.get(content, ()))
 
     def of(self, content: ContentDigest) -> list[Crash]:
-        """Returns the crashes under a content."""
+        """Returns the crashes of a content."""
         return list(self._crashes.get(content, {}).values())
 
     def suspect(self, request: Request) -> ContentDigest | None:
-        """Returns a request's content if servers have crashed under it repeatedly, else None.
+        """Returns the content digest of a request if it is suspect, else None.
 
-        As long as there are no such contents, nothing is computed.
+        Computes no digest while there are no suspects.
         """
         if not self._suspects:
             return None
@@ -88,29 +88,29 @@
         return content if content in self._suspects else None
 
     def is_suspect(self, content: ContentDigest) -> bool:
-        """Returns whether servers have crashed repeatedly under a content."""
+        """Returns whether a content is suspect."""
         return content in self._suspects
 
     @property
     def has_suspects(self) -> bool:
-        """Whether there is any such content."""
+        """Whether any content is suspect."""
         return bool(self._suspects)
 
     def is_quarantined(self, request: Request, limit: int) -> bool:
-        """Returns whether a request is quarantined: it must not be sent to any server.
+        """Returns whether a request is quarantined and must not be sent to any server.
 
         Args:
-            limit: servers that may crash under it.
+            limit: number of crashes from which it is quarantined.
         """
         content = self.suspect(request)
         return content is not None and self.is_content_quarantined(content, limit)
 
     def is_content_quarantined(self, content: ContentDigest, limit: int) -> bool:
-        """Returns the same of a content."""
+        """Returns whether a content is quarantined; see `is_quarantined`."""
         return self.is_suspect(content) and self.count(content) >= limit
 
     def count_quarantined(self) -> int:
-        """Returns how many contents are quarantined as clients' requests."""
+        """Returns the number of contents that are quarantined as client requests."""
         return sum(self.count(content) >= CLIENT_CRASH_LIMIT for content in self._suspects)
 
     def older_than(self, at: float) -> list[Crash]:
--- a/src/larkpost/gateway/blackboard/lifecycle.py
+++ b/src/larkpost/gateway/blackboard/lifecycle.py
@@ -1,17 +1,17 @@
-"""Whether this daemon takes clients, and what it is still answering."""
+"""Readiness of this daemon, and its number of open requests."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
 
 
 class Lifecycle:
-    """Start, readiness and planned stop of one daemon.
+    """Readiness and shutdown state of one daemon.
 
     Attributes:
-        informed: whether it knows a configuration and the instances.
-        accepting: whether it has room for more connections.
-        stopping: whether a planned stop has begun; it is final.
-        open_requests: requests being answered.
+        informed: whether it has a configuration and a list of instances.
+        accepting: whether it can accept more connections.
+        stopping: whether a graceful shutdown has begun; never reset.
+        open_requests: number of requests in progress.
     """
 
     def __init__(self) -> None:
@@ -22,12 +22,12 @@
 
     @property
     def ready(self) -> bool:
-        """Whether new clients may come."""
+        """Whether the daemon is ready for new clients."""
         return self.informed and self.accepting and not self.stopping
 
     @contextmanager
     def request(self) -> Iterator[None]:
-        """Counts one request while it is answered."""
+        """Counts a request as open while the context is active."""
         self.open_requests += 1
         try:
             yield
--- a/src/larkpost/gateway/blackboard/regions.py
+++ b/src/larkpost/gateway/blackboard/regions.py
@@ -1,4 +1,4 @@
-"""Where zones lie: their regions, and how far they are from this daemon."""
+"""Regions of the zones, and their distance from this daemon."""
 
 from collections.abc import Mapping
 
@@ -7,15 +7,15 @@
 
 
 class RegionMap:
-    """The regions of a deployment's zones, seen from one of them.
+    """The regions of a deployment's zones, relative to this daemon's zone.
 
-    A zone that the settings do not name lies in this daemon's region if the settings name no
-    zones at all, else in none that is known.
+    If the settings list no zones, every zone is in this daemon's region; otherwise the region of an
+    unlisted zone is unknown.
 
     Args:
-        own_zone: this daemon's zone; None if it is not known.
-        regions: the region of each zone.
-        own_region: this daemon's region; None to take that of its zone.
+        own_zone: this daemon's zone; None if unknown.
+        regions: region of each zone.
+        own_region: this daemon's region; None to use the region of its zone.
     """
 
     def __init__(
@@ -30,25 +30,25 @@
 
     @property
     def own_region(self) -> RegionId | None:
-        """This daemon's region; None if it is not known."""
+        """This daemon's region; None if unknown."""
         if self._own_region is not None or self.own_zone is None:
             return self._own_region
         return self._regions.get(self.own_zone)
 
     def update_from(self, other: "RegionMap") -> None:
-        """Stores what changed settings say of zones."""
+        """Takes over the zones and regions of another map, after the settings changed."""
         self.own_zone = other.own_zone
         self._regions = other._regions
         self._own_region = other._own_region
 
     def region_of(self, zone: ZoneId) -> RegionId | None:
-        """Returns a zone's region; None if it is not known."""
+        """Returns a zone's region; None if unknown."""
         if not self._regions or zone == self.own_zone:
             return self.own_region
         return self._regions.get(zone)
 
     def distance(self, zone: ZoneId) -> Distance:
-        """Returns how far a zone is; all are equally far if the settings name no zones."""
+        """Returns the distance of a zone; SAME_REGION for all if the settings list no zones."""
         if not self._regions:
             return Distance.SAME_REGION
         if zone == self.own_zone:
--- a/src/larkpost/gateway/blackboard/request_content.py
+++ b/src/larkpost/gateway/blackboard/request_content.py
@@ -1,7 +1,7 @@
-"""Identifies requests by what they ask, as a caller asks the same again under a new id.
+"""Content digests of requests, which identify a retry that has a new request id.
 
-Pure functions. A digest covers caller, method, host, target and body. It names the request in log
-lines and rows, which so contain neither bodies nor paths.
+A digest covers tenant, method, host, target and body. Log lines and rows contain the digest instead
+of paths and bodies.
 """
 
 import hashlib
@@ -10,16 +10,16 @@
 from larkpost.gateway.blackboard.tenants import TenantName
 
 ContentDigest = NewType("ContentDigest", str)
-"""Hexadecimal digits that are equal for requests that ask the same for the same caller."""
+"""Hexadecimal digest; equal for equal requests of the same tenant."""
 
 DIGEST_BYTES = 12
-"""96 bits: among a million contents two have the same digest with a chance below 1 in 10**16."""
+"""96 bits: the probability of a collision among a million contents is below 1e-16."""
 LENGTH_BYTES = 8
-"""Each part is preceded by its length, so that no two requests run together to the same bytes."""
+"""Size of the length prefix of each part, which keeps the hashed encoding unambiguous."""
 
 
 class Request(Protocol):
-    """What a digest covers of a client's request, or of one to a server."""
+    """The fields that a digest covers."""
 
     method: str
     host: bytes
@@ -29,7 +29,7 @@
 
 
 def digest_request(request: Request) -> ContentDigest:
-    """Returns the digest of what a request asks, whatever its id; 2 us for a body of 600 B."""
+    """Returns the content digest of a request, independent of its id."""
     return digest_content(
         request.tenant, request.method, request.host, request.target, request.body
     )
@@ -38,7 +38,7 @@
 def digest_content(
     tenant: TenantName | None, method: str, host: bytes, target: bytes, body: bytes
 ) -> ContentDigest:
-    """Returns the digest of a request that is not at hand whole; see `digest_request`."""
+    """Returns the content digest for the given fields; see `digest_request`."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     name = host.partition(b":")[0].lower()
     for part in ((tenant or "").encode(), method.encode(), name, target, body):
--- a/src/larkpost/gateway/blackboard/scaling_terms.py
+++ b/src/larkpost/gateway/blackboard/scaling_terms.py
@@ -1,4 +1,4 @@
-"""What is agreed about the size of a service."""
+"""Scaling limits and prices of a service."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -8,15 +8,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ScalingTerms:
-    """What is agreed about the servers of one service.
+    """Scaling limits and prices of one service.
 
     Attributes:
-        minimum: fewest servers in each zone, of both kinds together.
-        maximum: most servers in each zone, of both kinds together.
-        boot_time: seconds from an order until a server serves.
-        preemptible_price: price of a preemptible server as a share of one on demand; None if
-            there are none.
-        zone_prices: price of a server for a second, by zone; the only zones that have servers.
+        minimum: minimum number of servers in each zone, on-demand and preemptible together.
+        maximum: maximum number of servers in each zone, on-demand and preemptible together.
+        boot_time: seconds from ordering a server until it serves.
+        preemptible_price: price of a preemptible server as a fraction of the on-demand price; None
+            if there are no preemptible servers.
+        zone_prices: price per server and second in each zone that can have servers.
     """
 
     minimum: int
--- a/src/larkpost/gateway/blackboard/service_index.py
+++ b/src/larkpost/gateway/blackboard/service_index.py
@@ -1,7 +1,7 @@
-"""The instances that may take new work, by service: kept with each change of an entry.
+"""Index of the instances that accept new work, by service.
 
-Without it each choice would look through the instances of all services. The directory writes it;
-its order is that in which the instances were first listed.
+Avoids a scan of all instances for each placement decision. `InstanceDirectory` updates it with each
+change of an entry. Entries are ordered by when they were first listed.
 """
 
 from collections import Counter
@@ -14,7 +14,7 @@
 
 
 class Entry(Protocol):
-    """What the index reads of an instance's entry."""
+    """The fields of an instance's entry that the index reads."""
 
     id: InstanceId
     service: ServiceName
@@ -25,7 +25,7 @@
 
 
 class IndexedIdSet:
-    """A set of ids that can be drawn from by number, without going through it."""
+    """A set of ids with constant-time access by position, for random choices."""
 
     def __init__(self) -> None:
         self._ids: list[InstanceId] = []
@@ -33,17 +33,17 @@
 
     @property
     def ids(self) -> Sequence[InstanceId]:
-        """The ids, numbered from 0 in no order; not to be changed."""
+        """The ids, in no particular order; must not be modified."""
         return self._ids
 
     def add(self, instance: InstanceId) -> None:
-        """Adds an id, if it is not there."""
+        """Adds an id if it is absent."""
         if instance not in self._numbers:
             self._numbers[instance] = len(self._ids)
             self._ids.append(instance)
 
     def discard(self, instance: InstanceId) -> None:
-        """Removes an id, if it is there; the last one takes its number."""
+        """Removes an id if present; the last id takes its position."""
         number = self._numbers.pop(instance, None)
         if number is None:
             return
@@ -55,14 +55,14 @@
 
 @dataclass(slots=True)
 class _Service(Generic[EntryT]):
-    """The instances of one service, one at least.
+    """The instances of one service; at least one.
 
     Attributes:
-        entries: of its instances.
-        numbered: their ids.
-        holders: of each model, the instances of which a version of it is known.
-        zones: how many of its instances each zone has.
-        generation: a number of its own since an instance last came or went.
+        entries: entry of each instance.
+        id_set: ids of the instances.
+        holders: for each model, the instances with a known version of it.
+        zones: number of instances in each zone.
+        generation: unique number of the current set of instances.
     """
 
     entries: dict[InstanceId, EntryT] = field(default_factory=dict)
@@ -73,7 +73,7 @@
 
 
 class ServiceIndex(Generic[EntryT]):
-    """The instances that may take new work, of all services."""
+    """The instances of all services that accept new work."""
 
     def __init__(self) -> None:
         self._services: dict[ServiceName, _Service[EntryT]] = {}
@@ -85,7 +85,7 @@
         """Stores an instance's entry.
 
         Args:
-            models: those of which a version of it is known.
+            models: models of which the instance has a known version.
         """
         if self._service_of.get(entry.id, entry.service) != entry.service:
             self.drop(entry.id)
@@ -103,7 +103,7 @@
         self._put_models(service, entry.id, frozenset(models))
 
     def drop(self, instance: InstanceId) -> None:
-        """Removes an instance, if it is there."""
+        """Removes an instance if present."""
         name = self._service_of.pop(instance, None)
         if name is None:
             return
@@ -122,22 +122,22 @@
         return self._services.keys()
 
     def get(self, service: ServiceName, instance: InstanceId) -> EntryT | None:
-        """Returns an instance of a service, or None if it has no such one."""
+        """Returns an instance of a service; None if the service does not have it."""
         known = self._services.get(service)
         return known.entries.get(instance) if known is not None else None
 
     def entries(self, service: ServiceName) -> Collection[EntryT]:
-        """Returns the entries of a service's instances, in the order in which they came."""
+        """Returns the entries of a service's instances, in the order first listed."""
         known = self._services.get(service)
         return known.entries.values() if known is not None else ()
 
     def ids(self, service: ServiceName) -> Sequence[InstanceId]:
-        """Returns the ids of a service's instances, in no order."""
+        """Returns the ids of a service's instances, in no particular order."""
         known = self._services.get(service)
         return known.id_set.ids if known is not None else ()
 
     def holders(self, service: ServiceName, model: ModelName) -> Sequence[InstanceId]:
-        """Returns the ids of those instances of which a version of a model is known."""
+        """Returns the ids of the instances with a known version of a model."""
         known = self._services.get(service)
         holders = known.holders.get(model) if known is not None else None
         return holders.ids if holders is not None else ()
@@ -148,7 +148,7 @@
         return known.zones.keys() if known is not None else ()
 
     def generation(self, service: ServiceName) -> int:
-        """Returns a number that is another one once instances came or went; 0 without any."""
+        """Returns a number that changes with the set of instances; 0 if there are none."""
         known = self._services.get(service)
         return known.generation if known is not None else 0
 
--- a/src/larkpost/gateway/blackboard/tenants.py
+++ b/src/larkpost/gateway/blackboard/tenants.py
@@ -1,8 +1,8 @@
-"""Tenants: who may call, and the keys by which they are known.
+"""Tenants and their API keys.
 
-A key is a secret. It is turned into a digest where it enters the process, in a request or in a
-configuration; only the digest is kept and compared, so that no log line, metric, error or row of
-larkpost's own can hold a key.
+Keys are secrets. A key is hashed as soon as it enters the process, from a request or a
+configuration. Only the digest is stored and compared, so that no log line, metric, error or row of
+larkpost contains a key.
 """
 
 import hashlib
@@ -17,7 +17,7 @@
 
 
 def digest_key(key: bytes) -> KeyDigest:
-    """Returns the digest of a key as a caller sent it or an operator wrote it."""
+    """Returns the digest of a key from a request or a configuration."""
     return KeyDigest(hashlib.sha256(key).digest())
 
 
@@ -26,8 +26,8 @@
     """A customer whose requests larkpost serves.
 
     Attributes:
-        priority: its rank, 0 highest, which goes before its route's; None if it has none.
-        keys: digests of the keys that it may call with.
+        keys: digests of its API keys.
+        priority: overrides the priority of the route, 0 is the highest; None for no override.
         regions: the only regions in which its requests may be served; None for all.
     """
 
@@ -38,7 +38,7 @@
 
 
 def index_by_key(tenants: Iterable[Tenant]) -> Mapping[KeyDigest, Tenant]:
-    """Returns the tenant that holds each key; a key of several tenants is the first one's."""
+    """Returns the tenant of each key; a key of several tenants belongs to the first one."""
     by_key: dict[KeyDigest, Tenant] = {}
     for tenant in tenants:
         for key in tenant.keys:
@@ -48,21 +48,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """On whose behalf a call is made.
+    """The authenticated caller of a request.
 
     Attributes:
-        tenant: the tenant whose key came with the call; None if it came without one.
-        is_restricted: whether the caller sees only what is its tenant's own. It is not where the
-            configuration knows no tenants.
+        tenant: tenant of the key in the request; None if there was no key.
+        is_restricted: whether the caller sees only its own tenant's data; False if no tenants are
+            configured.
     """
 
     tenant: TenantName | None = None
     is_restricted: bool = False
 
     def can_read(self, owner: TenantName | None) -> bool:
-        """Returns whether the caller may see what belongs to a tenant, or to none (None)."""
+        """Returns whether the caller may read data of a tenant; None for data without a tenant."""
         return not self.is_restricted or owner is None or owner == self.tenant
 
 
 UNRESTRICTED_CALLER = Caller()
-"""A caller where no tenants are known."""
+"""The caller of every request if no tenants are configured."""
--- a/src/larkpost/gateway/blackboard/weight_targets.py
+++ b/src/larkpost/gateway/blackboard/weight_targets.py
@@ -1,7 +1,7 @@
-"""The weight version that each model should have, and what the batches of each model ask for.
+"""The weight version that each model should have, and the demand of each model's batches.
 
-Owns the newest version named for each model. `controllers.row_intake` writes it from the rows of
-trainers; `controllers.due_loads` reads it.
+`controllers.row_recorder` updates the targets from the trainers' rows; `controllers.due_loads`
+reads them.
 """
 
 from collections.abc import Mapping
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightTarget:
-    """A version that a trainer has named for its model."""
+    """A weight version announced by a trainer for its model."""
 
     model: ModelName
     version: int
@@ -21,10 +21,10 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionAnnouncement:
-    """A version as it was named.
+    """An announced weight version and its age.
 
     Attributes:
-        seconds: since this daemon learnt of it.
+        seconds: time since this daemon learned of it.
     """
 
     version: int
@@ -32,19 +32,19 @@
 
 
 class WeightTargets:
-    """The newest version named for each model; it never goes back."""
+    """The newest version announced for each model; it never decreases."""
 
     def __init__(self) -> None:
         self._versions: dict[ModelName, int] = {}
         self._announced_at: dict[ModelName, float] = {}
         self._is_observed: dict[ModelName, bool] = {}
-        """Whether this daemon knew the version before: else it has read an old row."""
+        """Whether this daemon also knew the preceding version; if not, the row may be old."""
 
     def update(self, target: WeightTarget, now: float) -> bool:
-        """Stores a named version if it is newer, and returns whether it was.
+        """Stores an announced version if it is newer, and returns whether it was.
 
         Args:
-            now: steady time in seconds.
+            now: monotonic time in seconds.
         """
         if target.version <= self._versions.get(target.model, 0):
             return False
@@ -55,44 +55,44 @@
         return True
 
     def seconds_since_announced(self, model: ModelName, now: float) -> float:
-        """Returns the seconds since this daemon learnt of a model's newest version."""
+        """Returns the seconds since this daemon learned of a model's newest version."""
         return now - self._announced_at.get(model, now)
 
     def last_announcement(self, model: ModelName, now: float) -> VersionAnnouncement | None:
-        """Returns when a model's newest version was named; None if that was not seen here."""
+        """Returns a model's newest announcement; None if this daemon did not observe it."""
         if not self._is_observed.get(model, False):
             return None
         return VersionAnnouncement(self._versions[model], now - self._announced_at[model])
 
     def version(self, model: ModelName) -> int:
-        """Returns the newest version named for a model; 0 if none was."""
+        """Returns the newest version announced for a model; 0 if there is none."""
         return self._versions.get(model, 0)
 
 
 class DeadlineForecast(StrEnum):
-    """Whether a batch will be in time, by a forecast."""
+    """Forecast whether a batch will meet its deadline."""
 
     UNKNOWN = "unknown"
-    TO_SPARE = "to_spare"  # in time, with some seconds left
-    TIGHT = "tight"  # just in time, or late though it can still be in time
-    HOPELESS = "hopeless"  # late even if it had all engines for itself, with much left to do
+    TO_SPARE = "to_spare"  # in time, with some seconds to spare
+    TIGHT = "tight"  # just in time, or late but still recoverable
+    HOPELESS = "hopeless"  # late even with all engines, with much work left
 
 
 @dataclass(frozen=True, slots=True)
 class ModelDemand:
-    """What the batches of a model ask for.
+    """The demand of a model's batches.
 
     Attributes:
-        work: expected tokens of a batch, averaged over the newest ones; 0 if none is known.
-        open: whether a batch runs now.
-        open_before: whether a batch before the newest one runs now.
-        asked_after: seconds between the naming of a version and the newest batch, whose trainer
-            waited for that version or had time to spare; None if not known.
-        asked_at: the newest version that was named then; 0 if none was, or it is not known.
-        least_asked_after: the least of this for the newest batch and the one before.
-        outlook: of the open batch that is most in need.
-        waiting: items of its open batches that wait for places, as far as is known.
-        priority: the highest, which is the least, of its open batches.
+        work: expected tokens of a batch, averaged over recent batches; 0 if unknown.
+        open: whether a batch is running.
+        has_earlier_open: whether a batch before the newest one is running.
+        submit_delay: seconds from the announcement of a version to the newest batch: short if the
+            trainer waited for that version, long if it had time to spare; None if unknown.
+        submit_version: newest announced version at that time; 0 if none or unknown.
+        min_submit_delay: minimum of the submit delays of the newest batch and the one before it.
+        deadline_forecast: forecast of the most urgent open batch.
+        waiting: known number of items of open batches that wait for a slot.
+        priority: highest priority (lowest number) of its open batches.
     """
 
     work: int = 0
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Evacuated zones: nothing new is sent there, whatever happens to the news of it."""
+"""Tests that evacuated zones get no new requests, even if the notice is delayed or lost."""
 
 import asyncio
 import random
@@ -57,11 +57,11 @@
 NORTH, SOUTH = ZONES
 OBJECTIVE_SECONDS = 0.2
 CHANGE_SECONDS = 1.5
-"""Time for news of the store to have reached every daemon that can read it."""
+"""Time after which a change in the store has reached every daemon that can read it."""
 
 
 class ReaderTest(unittest.TestCase):
-    """What the platform's rows say."""
+    """Parsing of the platform's rows."""
 
     def read(self, key: str, *, removed: bool = False) -> ZoneEvacuation | None:
         """Reads a row of the operator's table."""
@@ -87,7 +87,7 @@
 
 
 class RuleTest(unittest.TestCase):
-    """Which work an evacuation forbids."""
+    """Which work the evacuation rule rejects."""
 
     def test_requests_are_forbidden_and_orders_are_not(self):
         evacuations = Evacuations()
@@ -102,10 +102,10 @@
 
 
 class ForwarderTest(unittest.TestCase):
-    """Client requests of a service with a server in either zone."""
+    """Client requests to a service with one server in each zone."""
 
     def begin(self, *evacuated: ZoneId, slow: ZoneId | None = None) -> None:
-        """Lists a server in either zone, one of them silent."""
+        """Lists one server in each zone, one of them unresponsive."""
         self.clock = LoopClock()
         self.engines = ScriptedEngines(self.clock, MODEL)
         directory = InstanceDirectory()
@@ -171,7 +171,7 @@
 
 
 class NotSentTest(unittest.TestCase):
-    """Sends that a rule forbids at the last moment tell nothing of the server."""
+    """A send that a rule rejects at the last moment does not count against the server."""
 
     def test_server_is_there_for_other_work_and_once_the_evacuation_has_ended(self):
         async def play():
@@ -186,7 +186,7 @@
 
 
 class LoadTest(unittest.TestCase):
-    """Which engines load when, and which are a model's own."""
+    """When engines load a version, and which engines belong to a model."""
 
     def setUp(self) -> None:
         self.service = CONFIGURATION.services[ENGINES]
@@ -199,14 +199,14 @@
         self.south = {InstanceId(f"e{number}") for number in (1, 3, 5)}
 
     def due(self, seconds: float, zone: ZoneId = NORTH) -> set[InstanceId]:
-        """Returns the engines that load so long after the version was named."""
+        """Returns the engines that are due to load a given time after the announcement."""
         now = 10.0 + IDLE_LOAD_DELAY_SECONDS + seconds
         inputs = LoadInputs(self.directory, self.targets, {}, frozenset({zone}))
         loads = due_loads(self.service, inputs, now)
         return {engine for engine, _ in loads}
 
     def load(self, engines: set[InstanceId]) -> None:
-        """Brings engines to the version."""
+        """Sets engines to the version."""
         for engine in engines:
             self.directory.observe_version(engine, MODEL, 2)
 
@@ -245,22 +245,22 @@
 
 
 class FleetTest(unittest.TestCase):
-    """A fleet of daemons with two engines in either zone."""
+    """A fleet of daemons with two engines in each zone."""
 
     def setUp(self) -> None:
         self.enterContext(switched_off.own_engines_first())
 
     async def begin(self, **options) -> None:
-        """Starts a fleet, and waits until it has learnt all that it must.
+        """Starts a fleet, and waits until it has its initial state.
 
-        Items may go to any engine from the start, so that nothing but the rule keeps them away.
+        Items may go to any engine from the start, so only the evacuation rule keeps them away.
         """
         self.fleet = PlatformFleet(**options)
         self.batches = 0
         await self.fleet.wait(CHANGE_SECONDS)
 
     async def run_batch(self, number: int = 0, items: int = 12, **options) -> set[ZoneId]:
-        """Runs a batch at a daemon and returns the zones to which anything was sent meanwhile."""
+        """Runs a batch at a daemon, and returns the zones that received requests meanwhile."""
         self.batches += 1
         spec = make_batch(f"batch-{self.batches}", items, **options)
         first = len(self.fleet.sends)
@@ -297,7 +297,7 @@
             log = RecordingLog()
             self.fleet.gateways[0]._feeds.row_recorder._log = log
             await self.change(NORTH)
-            self.fleet.put("operator", f"evacuate-{NORTH}", b"{}")  # said again: no news
+            self.fleet.put("operator", f"evacuate-{NORTH}", b"{}")  # repeated, without effect
             await self.change(NORTH, on=False)
             lines = [fields for event, fields in log.events if event is Event.EVACUATION]
             self.assertEqual(["begun", "ended"], [line["state"] for line in lines])
@@ -472,7 +472,7 @@
         run(play())
 
     def check_gauges(self, count: int) -> None:
-        """Checks that the evacuated zone is told to hold some requests."""
+        """Checks that the gauges show requests in the evacuated zone."""
         text = self.fleet.gateways[0].read_metrics().decode()
         self.assertIn('larkpost_evacuated{zone="north"} 1.0', text)
         self.assertIn(f'larkpost_evacuated_requests{{zone="north"}} {count}.0', text)
@@ -512,7 +512,7 @@
 
 
 class CheckTest(unittest.TestCase):
-    """The check of the bound, by which the fuzz judges."""
+    """The bound check that the fuzz test uses."""
 
     def test_trouble_within_the_bound_excuses_and_later_trouble_does_not(self):
         self.assertEqual(15.0, known_by(10.0, []))
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -1,4 +1,4 @@
-"""A server that starts again under its name: what was learnt before is not used for the new one."""
+"""Tests that data about a server is not applied to its next incarnation under the same name."""
 
 import asyncio
 import random
@@ -89,7 +89,7 @@
 
 
 class DirectoryTest(unittest.TestCase):
-    """One incarnation of each server is known, the latest."""
+    """Only the latest incarnation of each server is known."""
 
     def setUp(self) -> None:
         self.directory = InstanceDirectory()
@@ -145,7 +145,7 @@
 
 
 class IntakeTest(unittest.TestCase):
-    """Entries that come in, whoever wrote them."""
+    """Processing of entries, including unreadable ones."""
 
     def setUp(self) -> None:
         self.blackboard = Blackboard()
@@ -155,14 +155,14 @@
         self.row_recorder = RowRecorder(READERS, self.blackboard, self.instruments, trust)
 
     def configure(self, version: int, *services: str) -> None:
-        """Has a configuration come in."""
-        find_by_name = [{"name": name} for name in services]
-        document = {"version": version, "routes": [], "services": find_by_name}
+        """Applies a configuration with the given services."""
+        entries = [{"name": name} for name in services]
+        document = {"version": version, "routes": [], "services": entries}
         row = Row(RowKey("op", "", "config"), orjson.dumps(document), version)
         self.row_recorder.record_operator_row(row)
 
     def spoiled(self) -> float:
-        """Returns how many entries were counted as no server's."""
+        """Returns the number of entries counted as unreadable."""
         name = "larkpost_spoiled_entries_total"
         return self.instruments.metrics.registry.get_sample_value(name)
 
@@ -233,7 +233,7 @@
 
 
 class BalancerTest(unittest.TestCase):
-    """What is known of a server's use."""
+    """Usage and load data of a server."""
 
     def setUp(self) -> None:
         self.directory = InstanceDirectory()
@@ -282,7 +282,7 @@
 
 
 class HeartbeatTest(unittest.TestCase):
-    """Heartbeats of this version and the one before understand each other."""
+    """Heartbeats are compatible with the previous version."""
 
     def test_earlier_version_reads_names_and_passes_over_the_starts(self) -> None:
         written = encode_heartbeat(
@@ -310,7 +310,7 @@
 
 
 class CrashTest(unittest.TestCase):
-    """A request that crashes one server again and again, which starts again under its name."""
+    """A request that repeatedly crashes a server, which restarts under the same name."""
 
     def test_each_start_that_ends_under_it_counts(self) -> None:
         known = KnownCrashes()
@@ -344,7 +344,7 @@
 
 
 class OrderTest(unittest.TestCase):
-    """Orders to engines that have started again."""
+    """Orders to engines that have restarted."""
 
     def test_report_of_another_start(self) -> None:
         def report(started_at_ms: int | None) -> EngineReport:
--- a/tests/test_known_crashes.py
+++ b/tests/test_known_crashes.py
@@ -1,4 +1,4 @@
-"""Which requests are suspect and which are quarantined, by their crashes, as a table of cases."""
+"""Tests which crash counts make a request suspect or quarantined."""
 
 import unittest
 
@@ -16,13 +16,13 @@
 
 
 class QuarantineRuleTest(unittest.TestCase):
-    """Contents with a number of crashes each."""
+    """Contents with different numbers of crashes."""
 
     def test_each_count_of_crashes(self):
         for crashes, limit, is_suspect, is_quarantined in (
             (0, CLIENT_CRASH_LIMIT, False, False),
             (1, CLIENT_CRASH_LIMIT, False, False),
-            (1, 1, False, False),  # one crash proves nothing, whatever the limit
+            (1, 1, False, False),  # a single crash is never enough, whatever the limit
             (2, CLIENT_CRASH_LIMIT, True, False),
             (3, CLIENT_CRASH_LIMIT, True, True),
             (3, BATCH_CRASH_LIMIT, True, False),
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -1,4 +1,4 @@
-"""Homes of routes and tenants: which regions get what, and who may claim."""
+"""Tests of region restrictions: where requests are served, and which daemons may claim batches."""
 
 import unittest
 from dataclasses import replace
@@ -48,7 +48,7 @@
 
 
 def read_configuration(route: dict, tenants: list[dict] | None = None) -> Configuration | None:
-    """Reads a configuration of one route as the operator writes it."""
+    """Reads an operator's configuration with one route."""
     entry = {"host": "h", "path-prefix": "/", "kind": "idempotent", "service": "pages"}
     document = {"version": 1, "routes": [entry | route]}
     if tenants is not None:
@@ -58,7 +58,7 @@
 
 
 class ConfigurationTest(unittest.TestCase):
-    """The regions that routes and tenants are read with."""
+    """Region restrictions of routes and tenants in a configuration."""
 
     def test_absent_and_empty_regions_allow_all(self):
         for entry in ({}, {"allowed-regions": []}, {"allowed-regions": None}):
@@ -96,7 +96,7 @@
 
 
 class RegionMapTest(unittest.TestCase):
-    """How far zones are."""
+    """Distances of zones."""
 
     def test_distances(self):
         found = [HERE.distance(ZoneId(zone)) for zone in ("east-1", "east-2", "west-1", "new")]
@@ -112,14 +112,14 @@
 
 
 class HomeFleetTest(unittest.TestCase):
-    """Batches that may be served in the east only, in a fleet over two regions."""
+    """Batches restricted to the east, in a fleet across two regions."""
 
     def begin(self, configuration: bytes = b"east", **arguments) -> PlatformFleet:
-        """Starts four daemons and four engines, every other one in the west."""
+        """Starts four daemons and four engines, alternating between the regions."""
         return PlatformFleet(4, 4, zones=TWO_REGIONS, configuration=configuration, **arguments)
 
     def oracle(self, fleet: PlatformFleet) -> PlatformOracle:
-        """Returns an oracle that knows of the homes."""
+        """Returns an oracle that checks the region restrictions."""
         oracle = PlatformOracle(fleet)
         oracle.homes = frozenset({EAST})
         return oracle
@@ -306,7 +306,7 @@
 
 
 class HeartbeatZoneTest(unittest.TestCase):
-    """What daemons tell of where they stand."""
+    """Zones in heartbeats."""
 
     def test_zone_is_told_and_rows_without_it_are_read(self):
         told = decode_heartbeat(encode_heartbeat(Heartbeat(2.0, zone=WEST_ZONE)))
--- a/tests/test_request_content.py
+++ b/tests/test_request_content.py
@@ -1,4 +1,4 @@
-"""What names the requests that ask the same, whatever their ids."""
+"""Tests of content digests, which are equal for equal requests with different ids."""
 
 import unittest
 from dataclasses import replace
@@ -12,7 +12,7 @@
 
 
 class ContentTest(unittest.TestCase):
-    """Requests that ask the same, and requests that do not."""
+    """Requests with equal and with different contents."""
 
     def test_id_headers_and_time_do_not_count(self):
         again = replace(FIRST, request_id=b"2", headers=((b"a", b"b"),), received_at=9.0)
--- a/tests/test_server_entries.py
+++ b/tests/test_server_entries.py
@@ -1,4 +1,4 @@
-"""What is read of servers' entries and reports, whoever wrote them."""
+"""Tests of parsing servers' entries and reports, including invalid ones."""
 
 import unittest
 
@@ -48,7 +48,7 @@
 
 
 class EntryTest(unittest.TestCase):
-    """Entries name a server to use only if all of them is in the agreed form."""
+    """An entry is used only if all of it is valid."""
 
     def test_whole_entry(self) -> None:
         expected = InstanceInfo(
@@ -117,7 +117,7 @@
 
 
 class ReportTest(unittest.TestCase):
-    """Reports and loads in another form count as not given."""
+    """Invalid reports and loads count as missing."""
 
     def test_report_names_the_incarnation(self) -> None:
         report = read_report(b'{"seq":3,"busy":false,"models":[],"born":1700000000123}')
--- a/tests/test_service_index.py
+++ b/tests/test_service_index.py
@@ -1,4 +1,4 @@
-"""The index by service says what a look through all entries would say, whatever comes and goes."""
+"""Tests that the service index always agrees with a scan of all entries."""
 
 import random
 import unittest
@@ -17,7 +17,7 @@
 
 
 def change(directory: InstanceDirectory, rng: random.Random) -> None:
-    """Makes one change of a directory that its feeds or requests may make."""
+    """Applies one random change that feeds or requests may make to a directory."""
     name = rng.choice(NAMES)
     match rng.randrange(8):
         case 0:
@@ -36,10 +36,10 @@
 
 
 class ServiceIndexTest(unittest.TestCase):
-    """The index of a directory against all its entries."""
+    """Compares the index of a directory with its entries."""
 
     def check(self, directory: InstanceDirectory) -> None:
-        """Compares everything that the index says of the services."""
+        """Compares all lookups of the index with the entries."""
         index = directory.index
         for service in SERVICES:
             open_to_work = {
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -1,4 +1,4 @@
-"""Tenants and keys: who is let in, what a server is told, and that a key goes nowhere else."""
+"""Tests of tenants and keys: admission, tenant headers to servers, and secrecy of keys."""
 
 import asyncio
 import contextlib
@@ -58,7 +58,7 @@
 
 
 def make_tenant(name: TenantName, *keys: bytes) -> Tenant:
-    """Returns a tenant with some keys."""
+    """Returns a tenant with keys."""
     return Tenant(name, frozenset(digest_key(key) for key in keys))
 
 
@@ -79,7 +79,7 @@
 
 
 class ReadTenantsTest(unittest.TestCase):
-    """The operator's document."""
+    """Parsing of the operator's document."""
 
     def document(self, **fields) -> dict:
         return {"version": 3, "routes": [], "services": [], **fields}
@@ -111,7 +111,7 @@
 
 
 class AdmissionTest(unittest.TestCase):
-    """Decisions on calls, by the configuration in force and its age."""
+    """Admission decisions, by the active configuration and its age."""
 
     def setUp(self):
         self.state = ConfigurationState()
@@ -159,7 +159,7 @@
         self.assertEqual(FIRST, self.admit(NEW_KEY).tenant)
 
     def test_an_old_configuration_refuses_nobody_for_good(self):
-        """It may lack what was added: the caller is sent to another daemon; known keys go on."""
+        """It may lack new keys: their callers are sent to another daemon; known keys still work."""
         self.age = APPLY_SECONDS + 0.1
         self.assertEqual(FIRST, self.admit(FIRST_KEY).tenant)
         for call in (lambda: self.admit(NEW_KEY), lambda: self.admit(FIRST_KEY, b"/new/x")):
@@ -243,7 +243,7 @@
 
 
 def record_tenants(fleet: PlatformFleet) -> list:
-    """Returns the list that is to hold the tenant of each request that reaches an engine."""
+    """Returns a list that collects the tenant of each request that reaches an engine."""
     told = []
     send = fleet.engines.send
 
@@ -258,7 +258,7 @@
 
 
 class RecordingForwarder:
-    """Notes what it is given."""
+    """Records the requests that it receives."""
 
     def __init__(self) -> None:
         self.requests = []
@@ -339,7 +339,7 @@
 
 
 class NoKeyIsKeptTest(unittest.TestCase):
-    """A key stands in no line, metric, error or row of larkpost's own."""
+    """No log line, metric, error or row of larkpost contains a key."""
 
     def test_keys_are_found_nowhere(self):
         lines = RecordingWriter()
@@ -378,13 +378,13 @@
         run(play())
 
     def assert_no_key(self, content: bytes) -> None:
-        """Checks that none of the keys stands in some bytes."""
+        """Checks that the bytes contain none of the keys."""
         for key in (FIRST_KEY, SECOND_KEY, NEW_KEY):
             self.assertNotIn(key, content)
 
 
 class RecordingWriter(NonBlockingWriter):
-    """Keeps lines."""
+    """Collects log lines."""
 
     def __init__(self) -> None:
         self.lines: list[bytes] = []
