--- a/src/larkpost/gateway/servers/__init__.py
+++ b/src/larkpost/gateway/servers/__init__.py
@@ -1,1 +1,1 @@
-"""The port to servers: what is sent to one, what comes back, and which failures are told apart."""
+"""Interface to servers: requests, responses and the kinds of failures."""
--- a/src/larkpost/gateway/servers/port.py
+++ b/src/larkpost/gateway/servers/port.py
@@ -1,6 +1,6 @@
-"""The port to servers: what larkpost sends them and what it learns from their responses.
+"""Interface to servers: requests, responses and errors.
 
-Owns the types and errors only; adapters implement `ServerPort`.
+Defines types only; adapters implement `ServerPort`.
 """
 
 from collections.abc import AsyncIterator
@@ -20,23 +20,23 @@
 
 @dataclass(frozen=True, slots=True)
 class OutgoingRequest:
-    """One request as it goes to a server.
+    """A request to a server.
 
     Attributes:
-        request_id: the caller's id of this attempt; the server's response repeats it.
-        target: path and query exactly as the caller sent them.
-        headers: the caller's headers without those that concern one connection.
-        time_left: seconds the server may take, or None for no limit.
-        resume_after: the last event that is already known, or None for a new run.
-        expected_version: the weight version the server must have, or None for any.
-        fresh_connection: whether to open a connection for this request alone. Then a response
-            cannot be one that belongs to an earlier request.
+        request_id: the caller's id of this attempt, which the server's response repeats.
+        target: path and query, unchanged from the caller.
+        headers: the caller's headers without hop-by-hop headers.
+        time_left: maximum seconds that the server may take; None for no limit.
+        resume_after: id of the last event already received; None for a new run.
+        expected_version: weight version that the server must have; None for any.
+        fresh_connection: whether to use a new connection for this request only, so that the
+            response cannot belong to an earlier request.
         repeat_if_silent: whether a second run is harmless, so that the request may be sent to the
-            server again if the kept connection it went on has gone silent for good.
-        tenant: whose request it is, which the server is told; None if it is no tenant's.
-        send_within: seconds within which it must be on a connection, or it is not sent; None for
-            the connection's own limit.
-        crash_limit: it is not sent once so many servers have crashed under it.
+            server again if the reused connection turns out to be dead.
+        tenant: tenant that is reported to the server; None if there is none.
+        send_timeout: maximum seconds until the request is on a connection, after which it is not
+            sent; None for the connection's own limit.
+        crash_limit: number of server crashes after which it is not sent any more.
     """
 
     request_id: bytes
@@ -58,14 +58,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLoad:
-    """What a server reported of itself.
+    """The load that a server reports.
 
     Attributes:
-        running: requests that run there.
-        waiting: requests that wait there.
-        slots: requests that it runs at once.
-        slowness: how many times as long as usual work takes there at this moment, without unit; it
-            changes many times a second. None if the server does not say it.
+        running: number of running requests.
+        waiting: number of queued requests.
+        slots: maximum number of concurrent requests.
+        slowness: current service time relative to the usual one; changes many times per second.
+            None if not reported.
     """
 
     running: int
@@ -76,12 +76,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One whole event of a stream.
+    """A complete event of a stream.
 
     Attributes:
-        data: the event's data, lines parted by line feeds.
-        raw: the event's bytes as they came, its closing blank line included.
-        version: the weight version from this event on, or None if it is unchanged.
+        data: the event's data, with lines separated by line feeds.
+        raw: the bytes of the event as received, including the closing blank line.
+        version: weight version from this event on; None if unchanged.
     """
 
     id: int
@@ -91,12 +91,13 @@
 
 
 class ServerResponse(Protocol):
-    """A response whose head has arrived and belongs to the request.
+    """A response whose headers have arrived and match the request.
 
     Attributes:
-        version: the weight version the response began under, or None if not reported.
-        signature: marks the response as the server's own and names the run; None if it has none.
-        cold_left: seconds for which the server says that it stays cold; None if not reported.
+        version: weight version at the start of the response; None if not reported.
+        signature: proves that the server itself made the response, and identifies the run; None if
+            absent.
+        cold_left: seconds for which the server reports that it stays cold; None if not reported.
     """
 
     status: int
@@ -107,42 +108,40 @@
     cold_left: float | None
 
     def chunks(self) -> AsyncIterator[bytes]:
-        """Yields the body. It ends only if the body is whole.
+        """Yields the body; returns only after the complete body.
 
         Raises:
-            BrokenResponseError: the body broke off.
+            BrokenResponseError: the body ended early.
         """
 
     def events(self) -> AsyncIterator[StreamEvent]:
-        """Yields the body's events. It ends only if the stream is whole.
+        """Yields the body's events; returns only after the complete stream.
 
         Raises:
-            BrokenResponseError: the stream broke off; a partial event is dropped.
+            BrokenResponseError: the stream ended early; a partial event is dropped.
         """
 
 
 class NotRunReason(StrEnum):
-    """Why a server certainly did not run a request."""
+    """Why a server did not run a request."""
 
     UNREACHABLE = "unreachable"  # no connection; nothing was sent
-    FULL = "full"  # the server refused it before it ran
-    MISDIRECTED = "misdirected"  # it has another instance or weight version than expected
-    REPLACED = "replaced"  # another instance answers at the address
+    FULL = "full"  # the server rejected it before running it
+    MISDIRECTED = "misdirected"  # wrong instance or weight version
+    REPLACED = "replaced"  # another instance responds at the address
     LEAVING = "leaving"  # the instance left before anything was sent
-    EVACUATED = "evacuated"  # its zone is to get no requests; nothing was sent
-    COLD = "cold"  # it is cold and takes no more requests now; nothing was sent
-    OUTSIDE_REGIONS = "outside_regions"  # the request may not go there; nothing was sent
-    ISOLATED = (
-        "apart"  # servers crashed under it, and a request like it runs there; nothing was sent
-    )
-    QUARANTINED = "quarantined"  # servers crashed under the request; it goes to none
+    EVACUATED = "evacuated"  # its zone is evacuated; nothing was sent
+    COLD = "cold"  # cold, and its request limit is reached; nothing was sent
+    OUTSIDE_REGIONS = "outside_regions"  # not an allowed region; nothing was sent
+    ISOLATED = "apart"  # suspect, and another suspect runs there; nothing was sent
+    QUARANTINED = "quarantined"  # crashed too many servers; it is sent to none
 
 
 class NotRunError(LarkpostError):
-    """The request certainly did not run at this server, and never will.
+    """The request did not run at this server and never will.
 
     Attributes:
-        cold_left: seconds for which the server says that it stays cold; None if not reported.
+        cold_left: seconds for which the server reports that it stays cold; None if not reported.
     """
 
     code = "not_run"
@@ -156,10 +155,10 @@
 
 
 class BrokenResponseError(LarkpostError):
-    """No whole response came, though the request may have run.
+    """No complete response arrived, although the request may have run.
 
     Attributes:
-        connection_lost: whether that is because the connection was closed or reset.
+        connection_lost: whether the connection was closed or reset.
     """
 
     code = "broken_answer"
@@ -172,31 +171,31 @@
 
 
 class PortState(StrEnum):
-    """Whether anything accepts connections at a server's address."""
+    """Result of probing a server's address."""
 
-    LISTENS = "listens"
-    DEAD = "dead"  # connections are refused
-    SILENT = "silent"  # nothing responds
+    LISTENS = "listens"  # a connection was accepted
+    DEAD = "dead"  # the connection was refused
+    SILENT = "silent"  # no response
 
 
 class OrderOutcome(StrEnum):
-    """What an engine responded to an order."""
+    """An engine's response to an order."""
 
     TAKEN = "taken"
-    HOLDS = "holds"  # the engine already is as ordered
-    BUSY = "busy"  # another order is under way, or the engine has taken orders since
-    FENCED = "fenced"  # a higher fencing token was seen
+    HOLDS = "holds"  # the engine already has the ordered version
+    BUSY = "busy"  # another order is in progress, or the engine has taken orders since
+    FENCED = "fenced"  # the engine has seen a higher fencing token
     WRONG_INSTANCE = "wrong_instance"
     REJECTED = "rejected"
-    UNKNOWN = "unknown"  # no response; it may be carried out, even seconds later
+    UNKNOWN = "unknown"  # no response; it may still be carried out seconds later
 
 
 class RunningWork(StrEnum):
-    """What becomes of an engine's running requests when it loads a version."""
+    """What happens to an engine's running requests when it loads a version."""
 
-    CARRY = "carry"  # they go on under the new version
-    FINISH = "finish"  # the load waits for their end
-    INTERRUPT = "interrupt"  # their streams are broken off
+    CARRY = "carry"  # they continue under the new version
+    FINISH = "finish"  # the load waits until they end
+    INTERRUPT = "interrupt"  # their streams are aborted
 
 
 @dataclass(frozen=True, slots=True)
@@ -204,9 +203,9 @@
     """An order to load a weight version.
 
     Attributes:
-        fencing_token: rises with every lease on the engine.
-        expected_orders: the count of orders the engine must have taken so far.
-        running_work: what becomes of the requests that run.
+        fencing_token: increases with each lease on the engine.
+        expected_orders: number of orders that the engine must have taken so far.
+        running_work: what happens to the running requests.
     """
 
     model: ModelName
@@ -219,12 +218,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """What an engine reports of itself, some hundred milliseconds late.
+    """An engine's report of its state, some hundred milliseconds old.
 
     Attributes:
-        orders: how many orders it has taken since its start.
-        busy: whether an order is under way.
-        born: Unix millisecond of its start; None if it does not say it.
+        orders: number of orders taken since its start.
+        busy: whether an order is in progress.
+        started_at_ms: Unix time of its start in milliseconds; None if not reported.
     """
 
     orders: int
@@ -241,23 +240,23 @@
     def send(
         self, instance: InstanceInfo, request: OutgoingRequest
     ) -> AbstractAsyncContextManager[ServerResponse]:
-        """Sends a request; leaving the context early cancels it at the server.
+        """Sends a request; leaving the context early cancels the request at the server.
 
         Raises:
-            NotRunError: it certainly did not run.
-            BrokenResponseError: it may have run.
+            NotRunError: the request did not run.
+            BrokenResponseError: the request may have run.
         """
 
     def is_connected(self, instance: InstanceInfo) -> bool:
-        """Returns whether a connection to a server is kept that a request could use."""
+        """Returns whether an open connection to a server can be reused."""
 
     async def probe(self, instance: InstanceInfo, timeout: float) -> PortState:
-        """Opens a connection to a server and closes it, to see whether it listens."""
+        """Opens and closes a connection to check whether the server listens."""
 
     async def report(self, instance: InstanceInfo, timeout: float) -> EngineReport | None:
-        """Asks an engine for its report; None if it gave none."""
+        """Requests an engine's report; returns None if there is no valid response."""
 
     async def order(
         self, instance: InstanceInfo, order: VersionOrder, timeout: float
     ) -> OrderOutcome:
-        """Gives an engine an order."""
+        """Sends an order to an engine."""
--- a/src/larkpost/gateway/usage/__init__.py
+++ b/src/larkpost/gateway/usage/__init__.py
@@ -1,5 +1,6 @@
-"""Usage: how many requests of each tenant began in each window of time, counted and reported.
+"""Usage accounting: requests started per tenant and time window.
 
-`counter` counts what this daemon sends, `count_writer` brings the counts into the store, `reporter`
-decides each window and sends its report by `port`. Relies on true time, leases and the store.
+`counter` counts this daemon's requests, `count_writer` saves the counts in the store, and
+`reporter` decides the final counts of each window and sends them through `port`. Depends on the
+fleet clock, leases and the store.
 """
--- a/src/larkpost/gateway/usage/count_writer.py
+++ b/src/larkpost/gateway/usage/count_writer.py
@@ -1,6 +1,6 @@
-"""Saves what this daemon counts into the store, where whoever reports a window sums it up.
+"""Saves this daemon's usage counts in the store, where the reporting daemon sums them up.
 
-Owns the interval of the savings and their tries.
+Owns the save interval and the retries.
 """
 
 import asyncio
@@ -12,19 +12,18 @@
 from larkpost.gateway.usage.repository import UsageRepository
 
 MIN_SAVE_INTERVAL_SECONDS = 0.5
-"""Least seconds between two savings of a daemon's counts: what it counts meanwhile dies with it."""
+"""Minimum interval between two saves; a crash loses the counts since the last save."""
 MAX_SAVES_PER_SECOND = 120.0
-"""Most savings that a fleet makes together: one part of the store takes 200 writes a second."""
+"""Maximum saves per second of the whole fleet: one part of the store takes 200 writes/s."""
 SAVE_TIMEOUTS = (0.5, 1.0, 1.5)
-"""Time limits of the tries to save, in seconds: a response may be lost, or the store may be
-slow."""
+"""Timeouts in seconds of the attempts to save."""
 FINAL_SAVE_SECONDS = 0.8
-"""Most seconds that a planned stop waits for its counts to be saved: its kill is near.
-Part of `planned_stop.KILL_MARGIN_SECONDS`."""
+"""Timeout of the last save during a graceful shutdown. Part of
+`graceful_shutdown.KILL_MARGIN_SECONDS`."""
 
 
 class UsageCountWriter:
-    """Saves the counts of one daemon."""
+    """Periodically saves the counts of one daemon."""
 
     def __init__(
         self, repository: UsageRepository, counter: UsageCounter, coordination: Coordination
@@ -34,13 +33,13 @@
         self._coordination = coordination
 
     def start(self, tasks: TaskSet) -> None:
-        """Starts saving."""
+        """Starts saving periodically."""
         tasks.every(
             lambda: save_interval(self._coordination.count_alive()), self.save, "usage_counts"
         )
 
     async def save(self) -> None:
-        """Writes what this daemon has counted since it last did."""
+        """Saves the windows whose counts have changed since the last save."""
         for timeout in SAVE_TIMEOUTS:
             counts = self._counter.unsaved()
             if not counts:
@@ -50,16 +49,16 @@
                 return
 
     async def save_final(self) -> None:
-        """Saves at a planned stop, which must not take long."""
+        """Saves once more during a graceful shutdown, with a short timeout."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(FINAL_SAVE_SECONDS):
                 await self.save()
 
 
 def save_interval(alive: int) -> float:
-    """Returns the seconds between two savings of a daemon.
+    """Returns the seconds between two saves of one daemon.
 
     Args:
-        alive: daemons that are considered alive.
+        alive: number of live daemons.
     """
     return max(MIN_SAVE_INTERVAL_SECONDS, alive / MAX_SAVES_PER_SECOND)
--- a/src/larkpost/gateway/usage/counter.py
+++ b/src/larkpost/gateway/usage/counter.py
@@ -1,4 +1,4 @@
-"""Counts the requests that began to run for each tenant, as far as this daemon sent them."""
+"""Counts the requests of each tenant that this daemon started."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -8,22 +8,22 @@
 from larkpost.gateway.usage.port import TenantCounts, WindowNumber
 
 KEPT_WINDOWS = 24
-"""Windows that a daemon counts at once; older counts are of no use to anybody."""
+"""Number of recent windows for which counts are kept."""
 
 
 @dataclass(frozen=True, slots=True)
 class _StartedRequest:
-    """A request that began to run, at a steady time of this process."""
+    """A started request, with its monotonic start time in this process."""
 
     tenant: TenantName
     at: float
 
 
 class UsageCounter:
-    """The counts of one daemon, by window.
+    """Counts the requests of one daemon by window.
 
     Args:
-        window_length: seconds.
+        window_length: window length in seconds.
     """
 
     def __init__(self, true_time: FleetClock, window_length: float) -> None:
@@ -34,25 +34,25 @@
         self._unsaved: set[WindowNumber] = set()
 
     def record_started(self, tenant: TenantName, at: float) -> None:
-        """Records that a request of a tenant began to run at a steady time."""
+        """Records that a tenant's request started at a monotonic time."""
         self._started.append(_StartedRequest(tenant, at))
 
     def unsaved(self) -> dict[WindowNumber, TenantCounts]:
         """Returns the counts of all windows that have changed since they were saved.
 
-        Requests wait for their window until the time of day is known.
+        Requests are not assigned to a window until the time of day is known.
         """
         self._assign_windows()
         return {window: dict(self._counts[window]) for window in sorted(self._unsaved)}
 
     def record_saved(self, saved: dict[WindowNumber, TenantCounts]) -> None:
-        """Records that counts, as `unsaved` returned them, are kept in the store."""
+        """Records that counts returned by `unsaved` are now in the store."""
         for window, counts in saved.items():
             if self._counts.get(window) == counts:
                 self._unsaved.discard(window)
 
     def _assign_windows(self) -> None:
-        """Counts each request in its window."""
+        """Counts each recorded request in its window, and drops old windows."""
         if not self._started or self._true_time.now() is None:
             return
         for begun in self._started:
--- a/src/larkpost/gateway/usage/port.py
+++ b/src/larkpost/gateway/usage/port.py
@@ -1,4 +1,4 @@
-"""The port to whoever takes usage reports, and what is reported."""
+"""Interface to the receiver of usage reports."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -9,19 +9,19 @@
 from larkpost.gateway.controllers.leases import Lease
 
 WindowNumber = NewType("WindowNumber", int)
-"""Window k begins k times the length of a window after the start of 1970."""
+"""Window k begins k window lengths after the Unix epoch."""
 
 TenantCounts = Mapping[TenantName, int]
-"""For each tenant, how many of its requests began to run at a server; none are left out."""
+"""Number of requests started at servers for each tenant."""
 
 
 @dataclass(frozen=True, slots=True)
 class UsageTerms:
-    """What is agreed about usage reports; durations in seconds.
+    """Schedule of the usage reports; durations in seconds.
 
     Attributes:
         window_length: length of a window.
-        due_after: time from a window's end until its report is due.
+        due_after: time from the end of a window until its report is due.
     """
 
     window_length: float
@@ -30,25 +30,25 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageReport:
-    """The counts of one window; once decided they never change."""
+    """The final counts of one window."""
 
     window: WindowNumber
     counts: TenantCounts
 
 
 class ReportOutcome(StrEnum):
-    """What became of a report."""
+    """Outcome of sending a report."""
 
     TAKEN = "taken"
-    FENCED = "fenced"  # a higher fencing token was seen
-    NOT_TAKEN = "not_taken"  # refused for the moment
-    UNKNOWN = "unknown"  # no response; it may be taken, even seconds later
+    FENCED = "fenced"  # the receiver has seen a higher fencing token
+    NOT_TAKEN = "not_taken"  # rejected for now
+    UNKNOWN = "unknown"  # no response; it may still be taken seconds later
 
 
 class UsagePort(Protocol):
-    """Takes usage reports."""
+    """Receives usage reports."""
 
     async def report_usage(
         self, report: UsageReport, holder: str, lease: Lease, timeout: float
     ) -> ReportOutcome:
-        """Sends a report under a lease; an exact repeat does no harm."""
+        """Sends a report under a lease; sending the same report again is harmless."""
--- a/src/larkpost/gateway/usage/reporter.py
+++ b/src/larkpost/gateway/usage/reporter.py
@@ -1,7 +1,7 @@
-"""Reports usage: one daemon at a time decides each window's counts and sends them.
+"""Reports usage: one daemon at a time finalizes each window's counts and sends the report.
 
-A window is decided once its counts have come in; the decision stays in the store, so whoever
-reports later repeats exactly what was sent before. `usage.count_writer` brings the counts in.
+A window is finalized ("decided") once its counts are in the store. The decision is stored as well,
+so a later reporter sends exactly the same report. `usage.count_writer` saves the counts.
 """
 
 from collections.abc import Callable
@@ -26,32 +26,31 @@
 from larkpost.gateway.usage.repository import DecidedReport, UsageRepository
 
 UPDATE_SECONDS = 0.5
-"""Seconds between two checks for windows to report."""
+"""Interval between two checks for windows to report."""
 SETTLE_SECONDS = 3.5
-"""Seconds from a window's end until its requests have ended and their daemons have been heard,
-besides the interval at which those save their counts."""
+"""Time from the end of a window until its counts are complete, in addition to the save interval:
+requests that are in progress must end, and their daemons must become known."""
 STORE_HEALTHY_SECONDS = 2.0
-"""Seconds for which the store must have responded, so that daemons have saved what they held
-back."""
+"""Time for which the store must have been healthy, so that daemons have saved delayed counts."""
 DECISION_MARGIN_SECONDS = 2.0
-"""So many seconds before a report is due it is decided from the counts that there are."""
+"""A report is decided from the available counts this long before it is due."""
 REPORT_TIMEOUT_SECONDS = 0.8
-"""Seconds for one call that reports."""
+"""Timeout of a call that sends a report."""
 LOOK_BACK_WINDOWS = 24
-"""How far back a daemon that begins to report searches for windows that were not reported. As many
-as `usage.counter.KEPT_WINDOWS`."""
+"""How many windows back a new reporter searches for unreported ones. Equals
+`usage.counter.KEPT_WINDOWS`."""
 KEPT_WINDOWS = 2 * LOOK_BACK_WINDOWS
-"""Windows whose rows are kept, so that a search finds them all."""
+"""Number of windows whose rows are kept; covers every search."""
 SUBJECT = LeaseSubject(Duty.USAGE, "windows")
-"""All windows are one subject."""
+"""Lease subject of the reporter; all windows share it."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReportTiming:
-    """When a window may be decided.
+    """Decides when a window is complete.
 
     Attributes:
-        store_sound_for: returns for how many seconds each call to the store has succeeded.
+        store_healthy_for: returns for how many seconds every store call has succeeded.
     """
 
     terms: UsageTerms
@@ -59,15 +58,15 @@
     store_healthy_for: Callable[[], float]
 
     def window_at(self, time: float) -> WindowNumber:
-        """Returns the window that a time of day lies in."""
+        """Returns the window of a time of day in seconds."""
         return WindowNumber(int(time // self.terms.window_length))
 
     def is_established(self, window: WindowNumber, now: float, alive: int) -> bool:
-        """Returns whether all daemons that can be heard have saved their counts of a window.
+        """Returns whether all live daemons have had time to save their counts of a window.
 
         Args:
             now: time of day in seconds.
-            alive: daemons that are considered alive.
+            alive: number of live daemons.
         """
         elapsed = now - (window + 1) * self.terms.window_length
         if elapsed >= self.terms.due_after - DECISION_MARGIN_SECONDS:
@@ -78,7 +77,7 @@
 
 
 class UsageReporter:
-    """Reports windows while this daemon is the one chosen to."""
+    """Reports windows while this daemon is the chosen reporter."""
 
     def __init__(
         self,
@@ -96,14 +95,14 @@
         self._metrics = instruments.metrics
         self._timing = timing
         self._next: WindowNumber | None = None
-        """The first window that is not known to be reported; None while others report."""
+        """First window not known to be reported; None while another daemon reports."""
 
     def start(self, tasks: TaskSet) -> None:
-        """Starts reporting."""
+        """Starts reporting periodically."""
         tasks.every(UPDATE_SECONDS, self.update, "usage")
 
     async def update(self) -> None:
-        """Decides and reports the windows that are due, if this daemon is the one chosen to."""
+        """Decides and reports the windows that are due, if this daemon is the chosen reporter."""
         if not self._coordination.is_responsible_for(SUBJECT.key):
             self._next = None
             return
@@ -115,10 +114,10 @@
                 self._next = await self._find_first_unreported(now)
             await self._report_due(self._next, now)
         except StoreUnavailableError:
-            return  # the store's adapter has counted it; the next update tries again
+            return  # counted by the store adapter; the next update retries
 
     async def _find_first_unreported(self, now: float) -> WindowNumber:
-        """Returns the first window that nobody is known to have reported."""
+        """Returns the first window that is not known to be reported."""
         current = self._timing.window_at(now)
         decided = await self._repository.decided_since(WindowNumber(current - LOOK_BACK_WINDOWS))
         open_windows = [window for window, known in decided.items() if not known.is_taken]
@@ -142,7 +141,7 @@
         await self._repository.remove_before(WindowNumber(last - KEPT_WINDOWS))
 
     async def _report(self, window: WindowNumber) -> bool:
-        """Decides a window if nobody has, sends its report, and returns whether it was taken."""
+        """Decides a window if necessary, sends its report, and returns whether it was taken."""
         decided = await self._decide(window)
         if decided is None:
             return False
@@ -165,7 +164,7 @@
         return True
 
     async def _decide(self, window: WindowNumber) -> DecidedReport | None:
-        """Returns the decision on a window, made now unless there is one; None if it is not known.
+        """Returns the stored report of a window, deciding it if necessary; None if undecided.
 
         Raises:
             StoreUnavailableError: the store did not respond.
--- a/src/larkpost/gateway/usage/repository.py
+++ b/src/larkpost/gateway/usage/repository.py
@@ -1,11 +1,10 @@
-"""Usage in the store: what each daemon counted, and what was decided for each window.
+"""Usage rows in the store: the counts of each daemon, and the decided report of each window.
 
-    usage_counts   <window>/<daemon>  the counts of one daemon, written again as they grow
-    usage_reports  <window>           the decided counts, and whether the report was taken
+    usage_counts   <window>/<daemon>  counts of one daemon, rewritten as they grow
+    usage_reports  <window>           decided counts, and whether the report was taken
 
-The decision is written on condition that there is none, so it is made once, whoever makes it.
-Counts are written on condition of the row's version, so a write that is carried out late does not
-take the place of a later one.
+A decision is written only if the row is absent, so each window is decided once. Counts are written
+only if the row has the expected version, so a late write cannot overwrite a newer one.
 """
 
 from collections import Counter
@@ -26,23 +25,23 @@
 from larkpost.gateway.usage.port import TenantCounts, UsageReport, WindowNumber
 
 COUNT_TABLE = "usage_counts"
-"""Table of the store that has what each daemon counted."""
+"""Table of the counts of each daemon."""
 REPORT_TABLE = "usage_reports"
-"""Table of the store that has what was decided."""
+"""Table of the decided reports."""
 PART = "usage"
-"""The only part of both tables."""
+"""The only part (partition) of both tables."""
 WRITE_TIMEOUT_SECONDS = 1.0
-"""Seconds for one call that writes."""
+"""Timeout of a write."""
 MAX_REMOVALS = 90
-"""Rows removed at once: a transaction takes a hundred entries."""
+"""Maximum rows removed per transaction; the store allows 100 entries."""
 
 
 @dataclass(frozen=True, slots=True)
 class DecidedReport:
-    """A report as the store holds it.
+    """A report in the store.
 
     Attributes:
-        is_taken: whether the report is known to have been taken.
+        is_taken: whether the report is known to have been taken by the receiver.
         version: version of its row.
     """
 
@@ -52,20 +51,20 @@
 
 
 class UsageRepository:
-    """Reads and writes usage."""
+    """Reads and writes the usage rows."""
 
     def __init__(self, store: Store) -> None:
         self._store = store
         self._count_versions: dict[RowKey, int] = {}
-        """Versions of the rows of this daemon's counts, as far as they are known."""
+        """Known versions of this daemon's count rows."""
 
     async def save_counts(
         self, daemon: DaemonId, counts: dict[WindowNumber, TenantCounts], timeout: float
     ) -> bool:
-        """Writes this daemon's counts of some windows, in place of what it wrote before.
+        """Writes this daemon's counts of some windows, replacing its earlier counts.
 
         Returns:
-            Whether they are written; if not, another call may succeed.
+            Whether they were written; if not, the caller may retry.
         """
         puts = {
             RowKey(COUNT_TABLE, PART, f"{_key(window)}/{daemon}"): orjson.dumps(tenants)
@@ -83,7 +82,7 @@
         return True
 
     async def sum_counts(self, window: WindowNumber) -> UsageReport:
-        """Returns what all daemons together have counted in a window.
+        """Returns the sum of all daemons' counts of a window.
 
         Raises:
             StoreUnavailableError: the store did not respond.
@@ -96,7 +95,7 @@
         return UsageReport(window, dict(sorted(total.items())))
 
     async def decide(self, report: UsageReport) -> WriteOutcome:
-        """Decides the counts of a window, unless they are decided already."""
+        """Stores the decided report of a window unless there is one."""
         key = RowKey(REPORT_TABLE, PART, _key(report.window))
         change = Transaction(
             conditions=((key, ABSENT),), puts=((key, _encode(report, is_taken=False)),)
@@ -104,7 +103,7 @@
         return (await self._store.write(change, WRITE_TIMEOUT_SECONDS)).outcome
 
     async def note_taken(self, decided: DecidedReport) -> WriteOutcome:
-        """Records that a report was taken, so that nobody sends it again."""
+        """Records that a report was taken, so that it is not sent again."""
         key = RowKey(REPORT_TABLE, PART, _key(decided.report.window))
         change = Transaction(
             conditions=((key, decided.version),),
@@ -113,7 +112,7 @@
         return (await self._store.write(change, WRITE_TIMEOUT_SECONDS)).outcome
 
     async def decided_since(self, window: WindowNumber) -> dict[WindowNumber, DecidedReport]:
-        """Returns the decided reports from a window on.
+        """Returns the decided reports of a window and all later ones.
 
         Raises:
             StoreUnavailableError: the store did not respond.
@@ -128,7 +127,7 @@
         return reports
 
     async def remove_before(self, window: WindowNumber) -> None:
-        """Removes the counts and reports of windows before one.
+        """Removes counts and reports of windows before ``window``, up to `MAX_REMOVALS` rows each.
 
         Raises:
             StoreUnavailableError: the store did not respond.
@@ -141,7 +140,7 @@
 
 
 def _key(window: WindowNumber) -> str:
-    """Returns a window's key; keys rise with the windows."""
+    """Returns a window's key; keys sort in the order of windows."""
     return f"{window:012d}"
 
 
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -1,4 +1,4 @@
-"""Usage reports: each window once, with the counts of all daemons, whatever fails meanwhile."""
+"""Tests that each usage window is reported once with all daemons' counts, despite failures."""
 
 import unittest
 from collections import Counter
@@ -36,7 +36,7 @@
 
 
 class Traffic:
-    """Sends requests of tenants through a fleet, and knows the truth."""
+    """Sends requests of tenants through a fleet, and keeps the expected counts."""
 
     def __init__(self, fleet: PlatformFleet) -> None:
         self.fleet = fleet
@@ -45,7 +45,7 @@
         fleet.add_scorer(InstanceId("page-0"), PAGES)
 
     async def send(self, number: int, tenant: TenantName) -> None:
-        """Sends a request at one gateway and waits for its answer."""
+        """Sends a request to one gateway and waits for its response."""
         self.sent += 1
         now = self.fleet.clock.now()
         window = int((EPOCH_SECONDS + now) // WINDOW)
@@ -56,7 +56,7 @@
         await self.fleet.gateways[number].forwarder.forward(request, ROUTE)
 
     async def run(self, seconds: float, gateways: int) -> None:
-        """Sends requests at the first gateways, off the borders of windows."""
+        """Sends requests to the first gateways, away from window boundaries."""
         end = self.fleet.clock.now() + seconds
         while self.fleet.clock.now() < end:
             await self.send(self.sent % gateways, SECOND if self.sent % 3 == 0 else FIRST)
@@ -64,10 +64,10 @@
 
 
 class UsageTest(unittest.TestCase):
-    """Each test plays a small fleet on virtual time."""
+    """Runs a small fleet in virtual time."""
 
     def check(self, fleet: PlatformFleet, truth: dict[int, Counter]) -> None:
-        """Checks that each window was reported, rightly, in time and by one holder at a time."""
+        """Checks that each window was reported correctly, in time and by one holder at a time."""
         taken = fleet.usage.taken()
         for window, counts in truth.items():
             self.assertIn(window, taken)
@@ -79,7 +79,7 @@
         self.assertEqual(set(), {r.outcome for r in fleet.usage.received} - {ReportOutcome.TAKEN})
 
     def check_in_time(self, fleet: PlatformFleet) -> None:
-        """Checks that all reports came before they were due."""
+        """Checks that all reports were sent before they were due."""
         for window, reports in fleet.usage.taken().items():
             late = EPOCH_SECONDS + reports[0].at - (window + 1) * WINDOW
             self.assertLess(late, USAGE_TERMS.due_after, window)
@@ -118,7 +118,7 @@
         run(play())
 
     def test_a_successor_repeats_what_was_decided(self):
-        """The holder dies after its report was taken and before it heard so."""
+        """The holder dies after its report was taken, before it receives the response."""
 
         async def play():
             fleet = PlatformFleet(gateways=4)
@@ -213,7 +213,7 @@
 
 
 class CounterTest(unittest.TestCase):
-    """The counts of one daemon."""
+    """Counts of one daemon."""
 
     def test_requests_wait_for_the_time_of_day(self):
         async def play():
@@ -234,7 +234,7 @@
 
 
 class LeaseTest(unittest.TestCase):
-    """Leases of any duty."""
+    """Leases of different duties."""
 
     def test_subjects_of_different_duties_do_not_meet(self):
         async def play():
