--- a/src/larkpost/gateway/assembly/__init__.py
+++ b/src/larkpost/gateway/assembly/__init__.py
@@ -1,1 +1,1 @@
-"""The groups of parts that one daemon is made of, each built in one place."""
+"""Factories that build the component groups of one daemon."""
--- a/src/larkpost/gateway/assembly/balancing.py
+++ b/src/larkpost/gateway/assembly/balancing.py
@@ -1,4 +1,4 @@
-"""How the rules of placement and the balancer of one daemon are put together."""
+"""Builds the placement rules and the balancer of one daemon."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Balancing:
-    """Where work may go, and which instance is best; see the classes."""
+    """The balancer, and the placement rules that other components use."""
 
     cold_senders: SenderTracker
     cold: ColdRateLimit
@@ -33,15 +33,15 @@
     ports: GatewayPorts,
     alive: Callable[[], frozenset[DaemonId]],
 ) -> Balancing:
-    """Returns the parts of one daemon.
+    """Returns the balancing components of one daemon.
 
     Args:
-        alive: returns the daemons considered alive; called only once all parts stand.
+        alive: returns the live daemons; called only after the daemon is fully built.
     """
     cold_senders = SenderTracker(own, ports.clock)
     cold = ColdRateLimit(settings.cold, blackboard, ports.clock, ports.log, cold_senders)
     isolation = IsolationRule()
-    # Rules that count sends come last, so that they count none that another forbids.
+    # Rules that count sends come last, so that they do not count sends that others reject.
     rules = (
         EvacuationRule(blackboard.evacuations),
         RegionRule(blackboard.regions),
--- a/src/larkpost/gateway/assembly/client_requests.py
+++ b/src/larkpost/gateway/assembly/client_requests.py
@@ -1,4 +1,4 @@
-"""Puts together what forwards client requests."""
+"""Builds the forwarder of client requests."""
 
 from larkpost.gateway.assembly.environment import GatewayPorts
 from larkpost.gateway.blackboard.board import Blackboard
@@ -24,9 +24,9 @@
     """Returns the forwarder of a daemon.
 
     Args:
-        servers: the way to the servers for requests that do not crash them.
-        ledger: use by tenant in the fleet.
-        counter: counts this daemon's requests by tenant; None if no usage is reported.
+        servers: access to servers that rejects quarantined requests.
+        ledger: usage by tenant across the fleet.
+        counter: counts this daemon's requests by tenant; None if usage is not reported.
     """
     crashes = blackboard.crashes
     trials = TrialClaims(crashes, CrashRepository(ports.store), ports.clock, ports.log)
--- a/src/larkpost/gateway/assembly/daemon_capacity.py
+++ b/src/larkpost/gateway/assembly/daemon_capacity.py
@@ -1,25 +1,25 @@
-"""What this daemon can bear beside its clients, which it reports to the others.
+"""This daemon's capacity for work besides client requests, which it reports to other daemons.
 
-Relies on the settings for the machine's size and on the loop's watch for whether it keeps up.
+Derived from the machine size in the settings and the lag of the event loop.
 """
 
 from larkpost.common.clock import Clock
 from larkpost.gateway.assembly.loop_monitor import EventLoopMonitor
 
 BYTES_PER_CORE = 100_000_000
-"""A machine whose budget of bytes is smaller than this for each core cannot use all of them."""
+"""Memory budget needed per core; a machine with less cannot use all of its cores."""
 LATE_CAPACITY_FRACTION = 0.25
-"""What is left of the capacity of a daemon whose loop was late."""
+"""Fraction of the capacity that a daemon reports while its event loop is late."""
 LATE_CAPACITY_SECONDS = 10.0
-"""For so long it stays so: shorter, and duties would come and go with each late turn."""
+"""Time for which the reduction lasts, so that duties do not move with every single lag."""
 
 
 def machine_capacity(cores: float | None, byte_budget: int | None) -> float | None:
-    """Returns a machine's capacity in cores, as far as its memory lets them be used.
+    """Returns a machine's capacity in cores, limited by its memory; None if nothing is known.
 
     Args:
-        cores: what it may use of a processor, in ordinary cores; None if that is not known.
-        byte_budget: the most bytes that it may hold for others; None if that is not known.
+        cores: CPU limit in cores; None if unknown.
+        byte_budget: memory budget in bytes; None if unknown.
     """
     known = [cores] if cores is not None else []
     if byte_budget is not None:
@@ -28,10 +28,10 @@
 
 
 class DaemonCapacity:
-    """This daemon's capacity as it is now.
+    """This daemon's current capacity.
 
     Args:
-        most: while it keeps up; None if that is not known.
+        most: capacity while the event loop keeps up; None if unknown.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         self._clock = clock
 
     def now(self) -> float | None:
-        """Returns the capacity; None if it is not known."""
+        """Returns the current capacity; None if unknown."""
         if self._most is None:
             return None
         is_late = self._clock.now() - self._event_loop_monitor.late_at < LATE_CAPACITY_SECONDS
--- a/src/larkpost/gateway/assembly/daemon_reports.py
+++ b/src/larkpost/gateway/assembly/daemon_reports.py
@@ -1,4 +1,4 @@
-"""Joins what a daemon reports to the others with its heartbeats; passes on what they report."""
+"""Builds the report in this daemon's heartbeats, and distributes received reports."""
 
 from collections.abc import Callable
 
@@ -13,8 +13,8 @@
     """The reports of this daemon and of the others.
 
     Args:
-        keeper: returns the keeper of this daemon's batches, which is made after the reports.
-        capacity: returns what this daemon can bear beside clients; None if that is not known.
+        keeper: returns the batch manager, which is created later.
+        capacity: returns this daemon's capacity for work besides clients; None if unknown.
     """
 
     def __init__(
@@ -30,7 +30,7 @@
         self._capacity = capacity
 
     def own(self) -> DaemonReport:
-        """Returns what each of this daemon's heartbeats reports now."""
+        """Returns the report for this daemon's next heartbeat."""
         return DaemonReport(
             tenants=self._ledger.report(),
             batches=self._keeper().progress(),
@@ -38,11 +38,11 @@
         )
 
     def own_service_times(self) -> dict[InstanceId, float]:
-        """Returns the paces whose turn it is; each call takes the next ones."""
+        """Returns the next group of service times to report; each call advances the rotation."""
         return self._paces.report()
 
     def record(self, daemon: DaemonId, report: DaemonReport) -> None:
-        """Records what another daemon reports."""
+        """Distributes another daemon's report to the components."""
         self._paces.record_report(daemon, report.paces)
         self._keeper().record_report(daemon, report.batches)
         self._ledger.record_report(daemon, report.tenants)
--- a/src/larkpost/gateway/assembly/environment.py
+++ b/src/larkpost/gateway/assembly/environment.py
@@ -1,4 +1,4 @@
-"""What a daemon is given: its settings, and the ports to everything outside it."""
+"""The settings of a daemon, and its interfaces to the outside."""
 
 import random
 from dataclasses import dataclass, field
@@ -20,22 +20,22 @@
 
 @dataclass(slots=True)
 class GatewaySettings:
-    """What a daemon needs to know of its surroundings; durations in seconds.
+    """Settings of a daemon; durations in seconds.
 
     Attributes:
         machine: name of the machine, for logs.
-        contact_time: time without a fault after which what the store says is believed.
-        lease_time: time after a holder's last order before another holder may order.
-        apply_time: time within which a new configuration is to be in force everywhere.
-        grace_time: time between the request to stop and the kill.
-        batch_lifetime: time for which a batch must be readable.
-        peer_address: where it makes calls to the store for other daemons, or None.
-        scaling_mode: whether lost servers are ordered anew where they can be ordered.
-        usage: what is agreed about usage reports; None if there are none.
-        regions: where the deployment's zones lie, seen from this daemon's.
-        cold: what is agreed about cold instances; None if they have no limits.
-        memory_bytes: the most memory that the daemon may use; None if there is no limit.
-        cores: what it may use of a processor, in ordinary cores; None if that is not said.
+        contact_time: time without store errors after which removals in the store are trusted.
+        lease_time: time after a holder's last order before another holder may give orders.
+        apply_time: time within which a new configuration must be active on all daemons.
+        grace_time: time between the stop request and the kill.
+        batch_lifetime: time for which a batch must remain readable.
+        peer_address: address at which it relays store calls for other daemons, or None.
+        scaling_mode: whether lost servers are replaced by new ones, where possible.
+        usage: schedule of usage reports; None if usage is not reported.
+        regions: regions of the deployment's zones, relative to this daemon.
+        cold: limits for cold instances; None for no limits.
+        memory_bytes: maximum memory of the process; None for no limit.
+        cores: CPU limit in cores; None if unknown.
     """
 
     machine: str
@@ -54,18 +54,18 @@
 
     @property
     def byte_budget(self) -> int | None:
-        """The most bytes that the daemon may hold for others; None if there is no limit."""
+        """Memory budget for buffered requests and batches in bytes; None if unlimited."""
         return byte_budget_for(self.memory_bytes)
 
 
 @dataclass(slots=True)
 class GatewayPorts:
-    """Everything outside the daemon.
+    """Interfaces to everything outside the daemon.
 
     Attributes:
-        relay: the store itself, if it can be reached by way of peers.
-        usage: takes usage reports; None if nobody does.
-        scaling: takes orders of servers; None if nobody does.
+        relay: the same store, if it can be reached through peers; else None.
+        usage: receiver of usage reports; None if there is none.
+        scaling: receiver of server orders; None if there is none.
     """
 
     store: Store
--- a/src/larkpost/gateway/assembly/gauges.py
+++ b/src/larkpost/gateway/assembly/gauges.py
@@ -1,4 +1,4 @@
-"""Sets the gauges of one daemon as of now, whenever its metrics are read."""
+"""Updates the gauges of one daemon whenever its metrics are read."""
 
 from dataclasses import dataclass
 
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Gauges:
-    """What the gauges are read from.
+    """Updates the gauges from the components of a daemon.
 
     Attributes:
-        relay: the store itself, if it can be reached by way of peers.
+        relay: the store, if it can be reached through peers; else None.
     """
 
     metrics: Metrics
@@ -36,7 +36,7 @@
     memory: DaemonMemory
 
     def update(self) -> None:
-        """Sets all gauges."""
+        """Updates all gauges."""
         self._set_configuration()
         self._set_instances()
         self._set_fleet()
@@ -44,7 +44,7 @@
         self.memory.set_gauges()
 
     def _set_configuration(self) -> None:
-        """Sets the gauges of the configuration, the feeds and the crashes."""
+        """Sets the gauges of the configuration, the feeds and known crashes."""
         metrics, blackboard = self.metrics, self.blackboard
         current = blackboard.configuration.current
         metrics.set(Level.CONFIGURATION_VERSION, current.version if current is not None else 0)
@@ -66,7 +66,7 @@
         metrics.replace(Level.EVACUATED_REQUESTS, in_zones)
 
     def _set_fleet(self) -> None:
-        """Sets the gauges of the daemons, and of this one's way to the store."""
+        """Sets the gauges of the daemons, and of this daemon's access to the store."""
         metrics = self.metrics
         metrics.set(Level.MEMBERS, len(self.membership.alive()))
         metrics.set(Level.COORDINATOR, int(self.membership.is_coordinator()))
@@ -74,7 +74,7 @@
         metrics.set(Level.STORE_RELAYED, int(is_relayed))
 
     def _set_work(self) -> None:
-        """Sets the gauges of what this daemon does."""
+        """Sets the gauges of this daemon's requests and batches."""
         metrics = self.metrics
         metrics.set(Level.OPEN_REQUESTS, self.lifecycle.open_requests)
         metrics.set(Level.READY, int(self.lifecycle.ready))
--- a/src/larkpost/gateway/assembly/leased_controllers.py
+++ b/src/larkpost/gateway/assembly/leased_controllers.py
@@ -1,6 +1,7 @@
-"""The controllers of which one daemon at a time acts: weight loads, usage reports, scaling.
+"""Controllers that act on one daemon at a time: weight loads, usage reports and scaling.
 
-Each daemon runs all of them; each acts only on what this daemon is chosen for, under a lease.
+Every daemon runs all of them; each acts only on subjects that this daemon is chosen for, under a
+lease.
 """
 
 from dataclasses import dataclass
@@ -28,10 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ControllerInputs:
-    """What the controllers need of the other groups.
+    """Dependencies of the controllers.
 
     Attributes:
-        counter: counts this daemon's requests by tenant; None if no usage is reported.
+        counter: counts this daemon's requests by tenant; None if usage is not reported.
     """
 
     blackboard: Blackboard
@@ -81,7 +82,7 @@
             self._scaling.start(tasks)
 
     async def save_final(self) -> None:
-        """Saves at a planned stop what would die with this process."""
+        """Saves unsaved usage counts during a graceful shutdown."""
         if self._usage_writer is not None:
             await self._usage_writer.save_final()
 
--- a/src/larkpost/gateway/assembly/loop_monitor.py
+++ b/src/larkpost/gateway/assembly/loop_monitor.py
@@ -1,20 +1,20 @@
-"""Measures how late the event loop is; a long delay means a freeze or a busy machine."""
+"""Measures the lag of the event loop; a large lag means a frozen or overloaded process."""
 
 from larkpost.common.clock import Clock
 from larkpost.common.tasks import TaskSet
 from larkpost.gateway.observability.eventlog import Event, EventLog
 
 LOOP_INTERVAL_SECONDS = 0.5
-"""Seconds between two measurements."""
+"""Interval between two measurements."""
 LATE_LOOP_SECONDS = 0.5
-"""Seconds of delay of the event loop from which it is logged."""
+"""Lag from which it is logged."""
 
 
 class EventLoopMonitor:
-    """The largest delay since it was last asked for.
+    """Tracks the lag of the event loop.
 
     Attributes:
-        late_at: steady time at which the loop was last found late.
+        late_at: monotonic time of the last lag above `LATE_LOOP_SECONDS`.
     """
 
     def __init__(self, clock: Clock, log: EventLog) -> None:
@@ -28,7 +28,7 @@
         tasks.spawn(self._run(), "loop")
 
     def take_max_lag(self) -> float:
-        """Returns the largest delay in seconds since the last call, and begins anew."""
+        """Returns the maximum lag in seconds since the last call, and resets it."""
         largest, self._largest = self._largest, 0.0
         return largest
 
--- a/src/larkpost/gateway/assembly/membership.py
+++ b/src/larkpost/gateway/assembly/membership.py
@@ -1,4 +1,4 @@
-"""How a daemon's heartbeats are put together: what it shows of itself, and who hears the others."""
+"""Builds the membership of a daemon: the contents of its heartbeats and their listeners."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -20,12 +20,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipInputs:
-    """What a daemon's membership is made of.
+    """Dependencies of a daemon's membership.
 
     Attributes:
-        daemon: this process's id.
-        ledger: use by tenant in the fleet.
-        keeper: returns the keeper of its batches, which is made after the membership.
+        daemon: id of this process.
+        ledger: usage by tenant across the fleet.
+        keeper: returns the batch manager, which is created later.
     """
 
     daemon: DaemonId
@@ -40,7 +40,7 @@
 
 
 def make_membership(inputs: MembershipInputs) -> Membership:
-    """Returns the membership, whose heartbeats carry the daemon's use and report."""
+    """Returns the membership, whose heartbeats carry the daemon's instance usage and report."""
     store, balancer, settings = inputs.ports.store, inputs.balancer, inputs.settings
     most = machine_capacity(settings.cores, settings.byte_budget)
     capacity = DaemonCapacity(most, inputs.event_loop_monitor, inputs.ports.clock)
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -1,14 +1,14 @@
-"""One daemon on the platform: its groups of parts, and its start and planned stop.
+"""Builds one daemon of the platform from its components, and starts and stops it.
 
-blackboard            what it knows of the world; controllers write it, everything else reads it
-memory                how many bytes it may hold for others
+blackboard            view of the cluster; written by controllers, read by everything else
+memory                budget for buffered bytes
 placement             whether work may go to an instance, and which instance is best
-membership            which daemons are alive, and what the time is
-quarantine            which requests crash servers; the way to servers for all others
+membership            live daemons and the current time
+quarantine            detection of requests that crash servers, and guarded access to servers
 proxy                 client requests
 rollouts              batches
-feeds                 the tables that it follows
-leased controllers    what one daemon at a time does
+feeds                 tables that the daemon follows
+leased controllers    duties that one daemon at a time performs
 """
 
 import asyncio
@@ -52,18 +52,17 @@
 from larkpost.gateway.usage.counter import UsageCounter
 
 READINESS_INTERVAL_SECONDS = 0.05
-"""Seconds between two checks whether enough is known to take clients."""
+"""Interval between two checks whether the daemon is ready for clients."""
 
 
 class Gateway:
     """One daemon.
 
-    Its parts are made in the order in which they depend on each other. Three dependencies are real
-    cycles, and are closed by calls that are made only once all parts stand: the membership reports
-    what the balancer knows, which asks it in turn who is alive (`_alive_daemons`); the keeper of
-    batches relies on the membership and on the division of engines, which ask it in turn what this
-    daemon owns and what the open batches demand; and the senders of work to cold instances follow
-    the batches that are placed by their rule (`ColdSenders.follow`).
+    Components are created in the order of their dependencies. Three cycles are closed by callbacks
+    that are called only after construction: membership reports the balancer's data, and the
+    balancer needs the live daemons (`_alive_daemons`); the batch manager needs membership and the
+    engine allocator, which need its owned batches and their demand; and the sender tracker needs
+    the batches that are placed by its rule (`SenderTracker.set_sources`).
     """
 
     def __init__(self, settings: GatewaySettings, ports: GatewayPorts) -> None:
@@ -220,7 +219,7 @@
         )
 
     def start(self) -> None:
-        """Starts all background work."""
+        """Starts all background tasks."""
         self._log.record(Event.START, id=self.id)
         self._feeds.start(self._tasks)
         self._crash_recorder.start(self._tasks)
@@ -235,7 +234,7 @@
         self._event_loop_monitor.start(self._tasks)
 
     async def drain(self) -> None:
-        """Stops as planned: hands its work over and waits for the responses under way."""
+        """Shuts down gracefully: hands over batches and waits for open responses."""
         steps = ShutdownSteps(
             immediate_steps=(
                 ("leave", self.membership.leave),
@@ -247,39 +246,39 @@
         await stop.run()
 
     def stop(self) -> None:
-        """Ends all background work."""
+        """Cancels all background tasks."""
         self._tasks.cancel_all()
 
     def read_metrics(self) -> bytes:
-        """Returns all metrics as text, the gauges as of now."""
+        """Returns all metrics as text, with current gauges."""
         self._gauges.update()
         return self._ports.metrics.text()
 
     async def _become_ready(self) -> None:
-        """Waits until enough is known to take clients."""
+        """Waits for a configuration and the list of instances, then becomes ready."""
         while self.configuration.current is None or not self._feeds.instances.listed:
             await self._clock.sleep(READINESS_INTERVAL_SECONDS)
         self.lifecycle.informed = True
         self._log.record(Event.READY, instances=len(self.directory))
 
     def _is_region_bound(self, table: str) -> bool:
-        """Returns whether rows of a table hold bodies that may be bound to this daemon's region."""
+        """Returns whether a table's rows may hold bodies that must stay in this daemon's region."""
         current = self.configuration.current
         return table == ITEM_TABLE and current is not None and current.has_region_limits
 
     def _is_active(self) -> bool:
-        """Returns whether this daemon has to act on news of batches at once."""
+        """Returns whether this daemon must react to batch changes immediately."""
         return self.membership.is_coordinator() or bool(self.keeper.owned())
 
     def _alive_daemons(self) -> frozenset[DaemonId]:
-        """Returns the daemons considered alive."""
+        """Returns the live daemons."""
         return self.membership.alive()
 
     def _may_forget_crashes(self) -> bool:
-        """Returns whether this daemon is the one that removes old crashes."""
+        """Returns whether this daemon is the one that removes expired crashes."""
         return self.membership.choose_coordinator("crashes") == self.id
 
-    # Settings change while the daemon runs, so these are read at each use; durations in seconds.
+    # Settings may change at run time, so they are read at each use; durations in seconds.
 
     def _contact_time(self) -> float:
         return self.settings.contact_time
--- a/src/larkpost/gateway/graceful_shutdown.py
+++ b/src/larkpost/gateway/graceful_shutdown.py
@@ -1,7 +1,7 @@
-"""A daemon's planned stop: it hands its work over and ends before it is killed.
+"""Graceful shutdown of a daemon: hands its work over and finishes open responses.
 
-Each step has a time limit, so that a store or a caller that is silent delays none of the others:
-the platform kills a process that is still there after its grace time, and a kill cuts responses.
+The platform kills the process after the grace time, which breaks open responses. Each step has a
+timeout, so that an unresponsive store or caller cannot delay the other steps.
 """
 
 import asyncio
@@ -13,27 +13,27 @@
 from larkpost.gateway.observability.instruments import Instruments
 
 DEREGISTRATION_SECONDS = 2.6
-"""Seconds from the request to stop until no new connections are expected: readiness is asked for
-each second, and two responses must be missed."""
+"""Time until no new connections are expected: the platform probes readiness every second, and two
+probes must fail."""
 KILL_MARGIN_SECONDS = 1.8
-"""Seconds that are left of the grace time once no more responses are waited for: for the last
-counts of usage (0.8 s at most), the listeners (0.4 s at most), and a machine that is slow."""
+"""Part of the grace time reserved for the final steps after the wait for responses: saving usage
+counts (at most 0.8 s), closing listeners (at most 0.4 s), and slow machines."""
 HANDOVER_FRACTION = 0.6
-"""Share of the grace time, less the margin, within which batches are handed over; those that are
-not are claimed by others once this daemon is considered dead."""
+"""Fraction of the grace time, less the margin, for handing over batches. Other daemons claim the
+remaining ones once this daemon is considered dead."""
 POLL_SECONDS = 0.05
-"""Seconds between two checks for responses under way."""
+"""Interval between two checks for open responses."""
 
 Step = Callable[[], Awaitable[None]]
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownSteps:
-    """What a planned stop does.
+    """The steps of a graceful shutdown.
 
     Attributes:
-        at_once: what is done first and in this order, by name: leave the fleet, hand over.
-        at_end: what is done once all responses are given.
+        immediate_steps: named steps to run first, in order: leave the fleet, hand over batches.
+        final_step: step to run after all responses are finished.
     """
 
     immediate_steps: tuple[tuple[str, Step], ...]
@@ -41,10 +41,10 @@
 
 
 class GracefulShutdown:
-    """The planned stop of one daemon.
+    """The graceful shutdown of one daemon.
 
     Args:
-        grace_time: seconds from the request to stop to the kill.
+        grace_time: seconds from the stop request until the process is killed.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self._grace_time = grace_time
 
     async def run(self) -> None:
-        """Stops taking clients, hands over, and waits for the responses under way."""
+        """Stops accepting clients, hands over batches, and waits for open responses."""
         began = self._clock.now()
         self._lifecycle.stopping = True
         self._log.record(Event.STOPPING, open_requests=self._lifecycle.open_requests)
@@ -76,7 +76,7 @@
         )
 
     async def _hand_over(self, latest: float) -> None:
-        """Carries out the first steps; what is not done in time is left."""
+        """Runs the immediate steps; a step that exceeds the time limit is cancelled."""
         for name, step in self._steps.immediate_steps:
             try:
                 async with asyncio.timeout(max(0.0, latest - self._clock.now())):
