--- a/src/larkpost/gateway/observability/__init__.py
+++ b/src/larkpost/gateway/observability/__init__.py
@@ -1,1 +1,1 @@
-"""What a daemon reports of itself: log, metrics, and the commands that read the log."""
+"""Structured log and metrics of a daemon, and the commands that read the log."""
--- a/src/larkpost/gateway/observability/batch_times.py
+++ b/src/larkpost/gateway/observability/batch_times.py
@@ -1,9 +1,9 @@
-"""Shows from the daemons' logs where the time of each batch went.
+"""Derives a timeline of each batch from the daemons' logs.
 
-For each batch, in the order of acceptance: when it was accepted, who owned it, and for its items
-when the middle one and the last one had begun to run, were whole, were scored, got their places in
-the list of results, and were read. All but the first are seconds from the acceptance. Lines that
-were left out of a log make a time early or empty, never late by more than what is missing.
+For each batch, in order of acceptance: the acceptance time, the number of owners, and the time at
+which the median and the last item began to run, were whole, scored, listed and read. All times but
+the first are seconds since the acceptance. Lines missing from a log make a time early or empty,
+never later than what is missing.
 """
 
 from collections import Counter
@@ -14,24 +14,24 @@
 from larkpost.gateway.observability.explain import LogLine, read_lines
 
 WHOLE = "whole"
-"""Outcome of a run, as logged, that left a whole output."""
+"""Logged outcome of a run with a complete output."""
 SCORED = "scored"
-"""Outcome of a reward call, as logged, that gave a score."""
+"""Logged outcome of a reward call that returned a score."""
 
 
 @dataclass(slots=True)
 class BatchTimes:
-    """One batch as its daemons' logs tell it; times are the writing machines', in seconds.
+    """The timeline of one batch; times are in seconds, by the clock of the logging machine.
 
     Attributes:
-        items: how many items were accepted; 0 if the acceptance is in no log.
-        owners: daemons that ran it, in turn.
-        desired_groups: whole groups that its trainer waits for.
-        groups: the group of each item that ran.
-        began, whole, scored, listed: when each item first began to run, was whole, scored, listed.
-        read: when so many results had been given to a caller for the first time.
-        runs: ends of its runs at engines, counted by outcome.
-        ended_at: when its trainer ended it.
+        items: number of accepted items; 0 if the acceptance is in no log.
+        owners: daemons that ran it, in order.
+        desired_groups: number of complete groups that its trainer waits for.
+        groups: group of each item that ran.
+        began, whole, scored, listed: first time at which each item reached this state.
+        read: time at which this many results had first been returned to a caller.
+        runs: number of runs at engines, by outcome.
+        ended_at: time at which its trainer ended it.
     """
 
     batch: str
@@ -52,7 +52,7 @@
     ended_at: float | None = None
 
     def add(self, line: LogLine) -> None:
-        """Adds what one line says that names this batch."""
+        """Adds a log line of this batch."""
         fields = line.fields
         match line.event:
             case Event.BATCH_ACCEPTED:
@@ -88,9 +88,9 @@
             self.whole.setdefault(item, line.at)
 
     def _wanted_at(self) -> float | None:
-        """Returns when the last item of the last group that the trainer waits for was listed.
+        """Returns the time at which the last of the desired groups was completely listed.
 
-        Any groups are taken to serve: which ones the trainer insists on is in no log.
+        Counts any groups, as the logs do not show whether the trainer needs particular ones.
         """
         members: dict[str, list[str]] = {}
         for item, group in self.groups.items():
@@ -104,7 +104,7 @@
         return whole_groups[wanted - 1] if 0 < wanted <= len(whole_groups) else None
 
     def row(self, start: float) -> list[str]:
-        """Returns the batch as a row of the table; `start` is the table's time 0."""
+        """Returns the batch as a table row; `start` is time 0 of the table."""
         first = self.accepted_at if self.accepted_at is not None else start
         columns = [
             f"{first - start:.2f}" if self.accepted_at is not None else "?",
@@ -141,13 +141,13 @@
 )
 """Columns of the table.
 
-From "began" to "read" each holds the middle item's and the last one's time; "wanted" is when as
-many groups were listed whole as the trainer waits for.
+"began" to "read" show the times of the median and the last item; "wanted" is the time at which the
+trainer's desired number of groups was completely listed.
 """
 
 
 def read_batch_times(lines: Iterable[str]) -> list[BatchTimes]:
-    """Returns the batches that the lines of daemons' logs name, in the order of acceptance."""
+    """Returns the batches in the log lines of daemons, in order of acceptance."""
     batches: dict[str, BatchTimes] = {}
     for line in sorted(read_lines(lines), key=lambda entry: entry.at):
         name = line.fields.get("batch")
@@ -157,7 +157,7 @@
 
 
 def table(batches: list[BatchTimes]) -> list[list[str]]:
-    """Returns the rows of the table, without its head."""
+    """Returns the rows of the table without its header."""
     known = [times.accepted_at for times in batches if times.accepted_at is not None]
     start = min(known, default=0.0)
     return [times.row(start) for times in batches]
--- a/src/larkpost/gateway/observability/eventlog.py
+++ b/src/larkpost/gateway/observability/eventlog.py
@@ -1,9 +1,8 @@
-"""The structured log: a line of JSON on standard output for each decision.
+"""Structured log: one JSON line on standard output per event.
 
-It is bounded and never blocks.
-
-Each event has a budget of lines a second; what is over it is counted and logged once a second. A
-reader that stops reading makes lines be dropped and counted; it never holds the process up.
+Logging is rate-limited and never blocks. Each event type has a limit of lines per second; the lines
+beyond it are counted, and the counts are logged once per second. If the reader is too slow, lines
+are dropped and counted.
 """
 
 import os
@@ -19,15 +18,15 @@
 STANDARD_OUTPUT = 1
 """File descriptor of standard output."""
 MAX_LINES_PER_SECOND = 40
-"""Lines of one event that are written a second; the others are counted."""
+"""Maximum lines per second of one event type; the others are only counted."""
 MAX_PENDING_BYTES = 262144
-"""Bytes that may wait for a slow reader; lines beyond are dropped and counted."""
+"""Maximum bytes buffered for a slow reader; further lines are dropped and counted."""
 LINE_OPTIONS = orjson.OPT_APPEND_NEWLINE | orjson.OPT_NON_STR_KEYS
-"""Fields may be tables by an enumeration's members, which are no plain texts."""
+"""Non-string keys are allowed, as fields may be dictionaries keyed by enum members."""
 
 
 class Event(StrEnum):
-    """All events of the log; docs/LOGS.md describes each with its fields."""
+    """Event types of the log; docs/LOGS.md describes them and their fields."""
 
     START = "start"
     STOP = "stop"
@@ -84,7 +83,7 @@
 
 
 class NonBlockingWriter:
-    """Writes lines to a file descriptor without ever waiting for its reader."""
+    """Writes lines to a file descriptor without blocking."""
 
     def __init__(self, descriptor: int = STANDARD_OUTPUT) -> None:
         self._descriptor = descriptor
@@ -93,7 +92,7 @@
         os.set_blocking(descriptor, False)
 
     def write(self, line: bytes) -> None:
-        """Writes a line, or drops it if too much waits already."""
+        """Writes a line, or drops it if the buffer is full."""
         if len(self._pending) > MAX_PENDING_BYTES:
             self.dropped += 1
             self._flush()
@@ -105,7 +104,7 @@
         try:
             written = os.write(self._descriptor, self._pending)
         except (BlockingIOError, BrokenPipeError):
-            return  # the line waits, or is counted as dropped once too many do
+            return  # kept in the buffer; dropped and counted once it is full
         except OSError:
             self.dropped += 1
             self._pending.clear()
@@ -117,8 +116,8 @@
     """Records events of one daemon.
 
     Args:
-        writer: where lines go; None for nowhere.
-        metrics: counts the lines that are left out.
+        writer: destination of the lines; None to discard them.
+        metrics: counts the lines beyond the rate limit.
     """
 
     def __init__(
@@ -134,7 +133,7 @@
             eliot.add_destinations(self._write)
 
     def record(self, event: Event, **fields: Any) -> None:
-        """Records an event, unless its budget for this second is used up."""
+        """Records an event, unless its rate limit for this second is reached."""
         if self._writer is None:
             return
         second = int(steady_seconds())
--- a/src/larkpost/gateway/observability/explain.py
+++ b/src/larkpost/gateway/observability/explain.py
@@ -1,8 +1,8 @@
-"""Shows the story of one request, batch, item or instance from the logs of all daemons.
+"""Shows all log events of one request, batch, item or instance, from the logs of all daemons.
 
-Lines are read from files or standard input, one JSON object a line; whatever stands before the
-first brace (a time, a machine's name) is passed over. Times are those of the writing machines,
-which may disagree; the order within one machine is right.
+Reads lines from files or standard input, one JSON object per line; a prefix before the first brace
+(such as a time or a machine name) is skipped. Times are by the clocks of the logging machines,
+which may disagree; the order of events of one machine is correct.
 """
 
 from collections.abc import Iterable, Iterator
@@ -23,7 +23,7 @@
     """One line of a daemon's log.
 
     Attributes:
-        at: the writing machine's time of day, in seconds.
+        at: time of day in seconds, by the clock of the logging machine.
     """
 
     at: float
@@ -32,9 +32,9 @@
     fields: dict[str, Any]
 
     def mentions(self, wanted: str) -> bool:
-        """Returns whether the line names an id, alone or in a list.
+        """Returns whether a field of the line is an id, or a list that contains it.
 
-        A server's name stands for all its incarnations.
+        A server name matches all its incarnations.
         """
         values = (
             item
@@ -49,7 +49,7 @@
 
 
 def read_lines(lines: Iterable[str]) -> Iterator[LogLine]:
-    """Yields the log lines among the lines given; others are passed over."""
+    """Yields the log lines among the given lines; others are skipped."""
     for text in lines:
         start = text.find("{")
         if start < 0:
@@ -59,13 +59,13 @@
             event = document["message_type"]
             at = float(document["timestamp"])
         except (ValueError, KeyError, TypeError):
-            continue  # not a line of this log: a process's other output may lie in the same file
+            continue  # other output of the process in the same file
         fields = {name: value for name, value in document.items() if name not in HIDDEN_FIELDS}
         yield LogLine(at, str(document.get("daemon", "?")), str(event), fields)
 
 
 def explain(lines: Iterable[str], wanted: str) -> list[str]:
-    """Returns the story of an id, a line for each event, and what is missing from it."""
+    """Returns the events of an id, one line each, followed by notes on missing events."""
     parsed = list(read_lines(lines))
     story = [line for line in parsed if line.mentions(wanted)]
     batches = {line.fields["batch"] for line in story if "batch" in line.fields} - {wanted}
@@ -91,7 +91,7 @@
 
 
 def _missing(parsed: list[LogLine], story: list[LogLine], wanted: str) -> list[str]:
-    """Names what a whole story would hold and this one does not."""
+    """Returns notes on events that a complete log would contain."""
     events = {line.event for line in story}
     missing = []
     if any("request" in line.fields for line in story) and not events & CLOSING_EVENTS:
--- a/src/larkpost/gateway/observability/instruments.py
+++ b/src/larkpost/gateway/observability/instruments.py
@@ -1,4 +1,4 @@
-"""What a part measures time with and reports by."""
+"""The clock, the log and the metrics that components share."""
 
 from dataclasses import dataclass, field
 
--- a/src/larkpost/gateway/observability/metrics.py
+++ b/src/larkpost/gateway/observability/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of one daemon on the platform, in the Prometheus text format."""
+"""Prometheus metrics of one daemon: counters, gauges and histograms."""
 
 from collections.abc import Mapping
 from enum import StrEnum
@@ -7,13 +7,13 @@
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 SHORT_SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0)
-"""Buckets of what takes a part of a second: requests, calls to the store."""
+"""Histogram buckets for requests and store calls."""
 LONG_SECONDS = (0.25, 0.5, 1.0, 2.0, 3.0, 4.5, 6.0, 7.5, 10.0, 20.0, 40.0)
-"""Buckets of what takes seconds: runs of items."""
+"""Histogram buckets for runs of batch items."""
 
 
 class Count(StrEnum):
-    """All counters; the value is the name, `COUNTS` has their labels and meanings."""
+    """Names of the counters; `COUNTERS` holds their descriptions and labels."""
 
     REQUESTS = "larkpost_requests_total"
     DENIALS = "larkpost_denials_total"
@@ -78,7 +78,7 @@
 
 
 class Level(StrEnum):
-    """All gauges; the value is the name, `LEVELS` has their meanings."""
+    """Names of the gauges; `GAUGES` holds their descriptions and labels."""
 
     CONFIGURATION_VERSION = "larkpost_configuration_version"
     FEED_AGE = "larkpost_feed_age_seconds"
@@ -140,7 +140,7 @@
 
 
 class Timing(StrEnum):
-    """All histograms; the value is the name, `TIMINGS` has their meanings."""
+    """Names of the histograms; `HISTOGRAMS` holds their descriptions, labels and buckets."""
 
     REQUEST = "larkpost_request_seconds"
     STORE_CALL = "larkpost_store_call_seconds"
@@ -165,7 +165,7 @@
 
 
 class Metrics:
-    """One daemon's metrics, in a registry of its own."""
+    """The metrics of one daemon, in their own registry."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -183,7 +183,7 @@
         }
 
     def count(self, count: Count, *labels: str, amount: float = 1) -> None:
-        """Adds to a counter."""
+        """Increments a counter."""
         metric = self._counts[count]
         (metric.labels(*labels) if labels else metric).inc(amount)
 
@@ -193,17 +193,17 @@
         (metric.labels(*labels) if labels else metric).set(value)
 
     def replace(self, level: Level, values: Mapping[str, float]) -> None:
-        """Sets a gauge of one label, and drops the values of labels that are not given."""
+        """Sets a gauge with one label, and removes the label values that are not given."""
         metric = self._levels[level]
         metric.clear()
         for label, value in values.items():
             metric.labels(label).set(value)
 
     def observe(self, timing: Timing, seconds: float, *labels: str) -> None:
-        """Adds to a histogram."""
+        """Records a value in a histogram."""
         metric = self._timings[timing]
         (metric.labels(*labels) if labels else metric).observe(seconds)
 
     def text(self) -> bytes:
-        """Returns all metrics as text."""
+        """Returns all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
