--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -93,7 +93,7 @@
         parts = make_balancing(
             self.id, self.settings, self.blackboard, self._ports, self._alive_daemons
         )
-        self._cold_senders, self._isolation = parts.cold_senders, parts.isolation
+        self._sender_tracker, self._isolation = parts.cold_senders, parts.isolation
         self.cold, self.balancer = parts.cold, parts.balancer
 
     def _make_membership(self) -> None:
@@ -179,7 +179,9 @@
                 self.keeper.record_head, self._crash_recorder.record_row, self._is_active
             ),
         )
-        self._cold_senders.set_sources(self.keeper.open_owners, self.membership, self._feeds.heads)
+        self._sender_tracker.set_sources(
+            self.keeper.open_owners, self.membership, self._feeds.heads
+        )
 
     def _make_admission(self) -> None:
         ports = self._ports
