--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -140,7 +140,7 @@
 
     def _make_rollouts(self) -> None:
         ports = self._ports
-        self._division = EngineAllocator(
+        self._engine_allocator = EngineAllocator(
             self.blackboard,
             ports.clock,
             lambda: self.keeper.demands(),
@@ -158,7 +158,7 @@
             ServiceSelector(ports.rng),
             ports.store.time,
             asyncio.Semaphore(MAX_CALLS_IN_FLIGHT),
-            self._division,
+            self._engine_allocator,
             self.cold,
             self.blackboard.crashes,
         )
@@ -195,7 +195,7 @@
             self._ports,
             ControllerInputs(
                 self.blackboard,
-                self._division,
+                self._engine_allocator,
                 self.membership,
                 self.balancer,
                 self.keeper,
