--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -124,9 +124,11 @@
             self._may_forget_crashes,
         )
         record_crash = self._crash_recorder.record_crash
-        watch = CrashDetector(self.directory, ports.servers, ports.clock, self._tasks, record_crash)
+        detector = CrashDetector(
+            self.directory, ports.servers, ports.clock, self._tasks, record_crash
+        )
         self._servers = QuarantineServerPort(
-            ports.servers, self.blackboard.crashes, watch, self._crash_recorder, self._isolation
+            ports.servers, self.blackboard.crashes, detector, self._crash_recorder, self._isolation
         )
 
     def _make_forwarder(self) -> None:
