--- a/src/larkpost/gateway/assembly/daemon_reports.py
+++ b/src/larkpost/gateway/assembly/daemon_reports.py
@@ -24,7 +24,7 @@
         keeper: Callable[[], BatchManager],
         capacity: Callable[[], float | None] = lambda: None,
     ) -> None:
-        self._paces = paces
+        self._service_times = paces
         self._ledger = ledger
         self._keeper = keeper
         self._capacity = capacity
@@ -39,10 +39,10 @@
 
     def own_service_times(self) -> dict[InstanceId, float]:
         """Returns the next group of service times to report; each call advances the rotation."""
-        return self._paces.report()
+        return self._service_times.report()
 
     def record(self, daemon: DaemonId, report: DaemonReport) -> None:
         """Distributes another daemon's report to the components."""
-        self._paces.record_report(daemon, report.paces)
+        self._service_times.record_report(daemon, report.paces)
         self._keeper().record_report(daemon, report.batches)
         self._ledger.record_report(daemon, report.tenants)
