--- a/src/larkpost/gateway/assembly/daemon_capacity.py
+++ b/src/larkpost/gateway/assembly/daemon_capacity.py
@@ -37,13 +37,15 @@
     def __init__(
         self, most: float | None, event_loop_monitor: EventLoopMonitor, clock: Clock
     ) -> None:
-        self._most = most
+        self._max_capacity = most
         self._event_loop_monitor = event_loop_monitor
         self._clock = clock
 
     def now(self) -> float | None:
         """Returns the current capacity; None if unknown."""
-        if self._most is None:
+        if self._max_capacity is None:
             return None
         is_late = self._clock.now() - self._event_loop_monitor.late_at < LATE_CAPACITY_SECONDS
-        return round(self._most * LATE_CAPACITY_FRACTION, 3) if is_late else self._most
+        return (
+            round(self._max_capacity * LATE_CAPACITY_FRACTION, 3) if is_late else self._max_capacity
+        )
