--- a/src/larkpost/gateway/assembly/daemon_capacity.py
+++ b/src/larkpost/gateway/assembly/daemon_capacity.py
@@ -35,9 +35,9 @@
     """
 
     def __init__(
-        self, most: float | None, event_loop_monitor: EventLoopMonitor, clock: Clock
+        self, max_capacity: float | None, event_loop_monitor: EventLoopMonitor, clock: Clock
     ) -> None:
-        self._max_capacity = most
+        self._max_capacity = max_capacity
         self._event_loop_monitor = event_loop_monitor
         self._clock = clock
 
--- a/src/larkpost/gateway/assembly/membership.py
+++ b/src/larkpost/gateway/assembly/membership.py
@@ -42,8 +42,8 @@
 def make_membership(inputs: MembershipInputs) -> Membership:
     """Returns the membership, whose heartbeats carry the daemon's instance usage and report."""
     store, balancer, settings = inputs.ports.store, inputs.balancer, inputs.settings
-    most = machine_capacity(settings.cores, settings.byte_budget)
-    capacity = DaemonCapacity(most, inputs.event_loop_monitor, inputs.ports.clock)
+    max_capacity = machine_capacity(settings.cores, settings.byte_budget)
+    capacity = DaemonCapacity(max_capacity, inputs.event_loop_monitor, inputs.ports.clock)
     reports = DaemonReports(balancer.service_times, inputs.ledger, inputs.keeper, capacity.now)
     own = LocalDaemon(
         inputs.daemon,
