--- a/src/larkpost/gateway/memory/daemon_memory.py
+++ b/src/larkpost/gateway/memory/daemon_memory.py
@@ -82,7 +82,7 @@
         self, limit: int | None, instruments: Instruments, rng: random.Random | None = None
     ) -> None:
         self.budget = MemoryBudget(limit, rng)
-        self.budget.on_rejection = self._record_refusal
+        self.budget.on_rejection = self._record_rejection
         self._instruments = instruments
         self._slow_deliveries: dict[Delivery, str] = {}
 
@@ -139,7 +139,7 @@
             metrics.set(Level.BYTES_HELD, self.budget.held(purpose), purpose)
         metrics.set(Level.BYTES_LIMIT, self.budget.limit or 0)
 
-    def _record_refusal(self, reservation: Reservation, size: int) -> None:
+    def _record_rejection(self, reservation: Reservation, size: int) -> None:
         """Records a rejected reservation, and disconnects a slow client to free memory."""
         self._instruments.metrics.count(Count.NO_ROOM, reservation.purpose)
         self._instruments.log.record(
