--- a/src/larkpost/gateway/memory/slow_clients.py
+++ b/src/larkpost/gateway/memory/slow_clients.py
@@ -36,8 +36,8 @@
     It is the one that reads the fewest bytes per second; ties go to the one that holds the most.
     """
     slow = {
-        key: (pace.taken / pace.seconds, -pace.held)
-        for key, pace in rates.items()
-        if pace.held > 0 and pace.seconds >= MIN_SLOW_SECONDS
+        key: (rate.taken / rate.seconds, -rate.held)
+        for key, rate in rates.items()
+        if rate.held > 0 and rate.seconds >= MIN_SLOW_SECONDS
     }
     return min(slow, key=slow.__getitem__, default=None)
