--- a/src/larkpost/gateway/memory/read_ahead.py
+++ b/src/larkpost/gateway/memory/read_ahead.py
@@ -109,11 +109,11 @@
         """Waits until a chunk may be held; a first chunk may always be."""
         loop = asyncio.get_running_loop()
         reservation = self._answer.reservation
-        relieve_at = loop.time() + MAX_PAUSED_READ_SECONDS
+        disconnect_at = loop.time() + MAX_PAUSED_READ_SECONDS
         while reservation.size and not reservation.fits_answer_limit(size):
-            if loop.time() >= relieve_at:
+            if loop.time() >= disconnect_at:
                 if not self._memory.budget.is_low:
                     return
                 self._memory.disconnect_slowest()
-                relieve_at = loop.time() + MAX_PAUSED_READ_SECONDS
+                disconnect_at = loop.time() + MAX_PAUSED_READ_SECONDS
             await asyncio.sleep(BUDGET_POLL_SECONDS)
