--- a/src/larkpost/gateway/memory/read_ahead.py
+++ b/src/larkpost/gateway/memory/read_ahead.py
@@ -76,7 +76,7 @@
     """Reads one response in the background while the client takes earlier chunks."""
 
     def __init__(self, answer: BufferedBody, memory: DaemonMemory) -> None:
-        self._answer = answer
+        self._body = answer
         self._memory = memory
         self._changed = asyncio.Event()
         self._reading = asyncio.create_task(self._read())
@@ -85,9 +85,9 @@
     async def chunks(self) -> AsyncIterator[bytes]:
         """Yields the chunks in order, then raises the error that ended the reading, if any."""
         while True:
-            while self._answer.buffered:
-                yield self._answer.pop_chunk()
-            if self._reading.done() and not self._answer.buffered:
+            while self._body.buffered:
+                yield self._body.pop_chunk()
+            if self._reading.done() and not self._body.buffered:
                 self._reading.result()
                 return
             self._changed.clear()
@@ -99,16 +99,16 @@
         await asyncio.gather(self._reading, return_exceptions=True)
 
     async def _read(self) -> None:
-        async for chunk in self._answer.source:
+        async for chunk in self._body.source:
             await self._wait_for_budget(len(chunk))
-            self._answer.reservation.force_grow(len(chunk))
-            self._answer.buffered.append(chunk)
+            self._body.reservation.force_grow(len(chunk))
+            self._body.buffered.append(chunk)
             self._changed.set()
 
     async def _wait_for_budget(self, size: int) -> None:
         """Waits until a chunk may be held; a first chunk may always be."""
         loop = asyncio.get_running_loop()
-        reservation = self._answer.reservation
+        reservation = self._body.reservation
         disconnect_at = loop.time() + MAX_PAUSED_READ_SECONDS
         while reservation.size and not reservation.fits_answer_limit(size):
             if loop.time() >= disconnect_at:
