--- a/src/larkpost/gateway/memory/read_ahead.py
+++ b/src/larkpost/gateway/memory/read_ahead.py
@@ -42,7 +42,7 @@
 
 
 async def read_ahead(
-    answer: BufferedBody, delivery: Delivery | None, memory: DaemonMemory
+    body: BufferedBody, delivery: Delivery | None, memory: DaemonMemory
 ) -> AsyncGenerator[bytes, None]:
     """Yields the chunks of a response body; the caller waits until the client can take each.
 
@@ -52,19 +52,19 @@
         BrokenResponseError: the body ended early.
     """
     if delivery is None or not memory.is_limited:
-        async for chunk in answer.source:
+        async for chunk in body.source:
             yield chunk
         return
-    while answer.buffered and delivery.is_writable:
-        yield answer.pop_chunk()
+    while body.buffered and delivery.is_writable:
+        yield body.pop_chunk()
     if delivery.is_writable:
-        async for chunk in answer.source:
+        async for chunk in body.source:
             yield chunk
             if not delivery.is_writable:
                 break
         else:
             return
-    ahead = _ReadAhead(answer, memory)
+    ahead = _ReadAhead(body, memory)
     try:
         async for chunk in ahead.chunks():
             yield chunk
@@ -75,8 +75,8 @@
 class _ReadAhead:
     """Reads one response in the background while the client takes earlier chunks."""
 
-    def __init__(self, answer: BufferedBody, memory: DaemonMemory) -> None:
-        self._body = answer
+    def __init__(self, body: BufferedBody, memory: DaemonMemory) -> None:
+        self._body = body
         self._memory = memory
         self._changed = asyncio.Event()
         self._reading = asyncio.create_task(self._read())
