--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -106,7 +106,7 @@
             self._slow_since = None
         since = self._slow_since
         seconds = self._clock.now() - since if since is not None else 0.0
-        return ReadRate(self._count_held(), self._taken() - self._taken_at_start, seconds)
+        return ReadRate(self._count_held(), self._bytes_read() - self._taken_at_start, seconds)
 
     async def wait_until_writable(self) -> None:
         """Waits until more can be written to the connection.
@@ -139,14 +139,14 @@
         self.is_disconnected = True
         self._connection.disconnect()
 
-    def _taken(self) -> int:
+    def _bytes_read(self) -> int:
         return max(0, self._written - self._connection.unsent)
 
     def _mark_slow(self) -> None:
         if self._slow_since is not None:
             return
         self._slow_since = self._last_progress_at = self._clock.now()
-        self._taken_at_start = self._taken()
+        self._taken_at_start = self._bytes_read()
         self._last_unsent = self._connection.unsent
         self._on_slow(self)
 
