--- a/src/larkpost/gateway/store/follower.py
+++ b/src/larkpost/gateway/store/follower.py
@@ -134,10 +134,12 @@
     async def _step(self) -> None:
         started = self._clock.now()
         if started - self._list_started_at >= self._relist_interval * self._relisting.factor():
-            whole = await self._list()
-            self._is_listed = self._is_listed or whole
+            is_complete = await self._list()
+            self._is_listed = self._is_listed or is_complete
             self._list_started_at = started
-            self._relist_interval = self._relisting.interval if whole else PARTIAL_RELIST_SECONDS
+            self._relist_interval = (
+                self._relisting.interval if is_complete else PARTIAL_RELIST_SECONDS
+            )
         page = await self._store.changes(self._table, self._position, FEED_WAIT_SECONDS)
         for row in page.rows:
             self._apply(row)
