--- a/src/larkpost/gateway/store/follower.py
+++ b/src/larkpost/gateway/store/follower.py
@@ -183,12 +183,12 @@
         found = {row.key for row in page.rows}
         for row in page.rows:
             self._apply(row)
-        gone = [
+        removed_rows = [
             row
             for key, row in self.rows.items()
             if key.part == part and key not in found and row.version <= page.version
         ]
-        for row in gone:
+        for row in removed_rows:
             self._apply(Row(row.key, b"", page.version, removed=True))
         return page.version
 
