--- a/src/larkpost/gateway/store/follower.py
+++ b/src/larkpost/gateway/store/follower.py
@@ -180,13 +180,13 @@
         page = await read_all(self._store, self._table, part)
         if page.version < self._newest_version:
             raise StoreUnavailableError(f"the listing of {self._table} is out of date")
-        found = {row.key for row in page.rows}
+        listed_keys = {row.key for row in page.rows}
         for row in page.rows:
             self._apply(row)
         removed_rows = [
             row
             for key, row in self.rows.items()
-            if key.part == part and key not in found and row.version <= page.version
+            if key.part == part and key not in listed_keys and row.version <= page.version
         ]
         for row in removed_rows:
             self._apply(Row(row.key, b"", page.version, removed=True))
