--- a/src/larkpost/gateway/blackboard/weight_targets.py
+++ b/src/larkpost/gateway/blackboard/weight_targets.py
@@ -48,10 +48,10 @@
         """
         if target.version <= self._versions.get(target.model, 0):
             return False
-        follows = target.version - 1 == self._versions.get(target.model)
+        is_successor = target.version - 1 == self._versions.get(target.model)
         self._versions[target.model] = target.version
         self._announced_at[target.model] = now
-        self._is_observed[target.model] = follows
+        self._is_observed[target.model] = is_successor
         return True
 
     def seconds_since_announced(self, model: ModelName, now: float) -> float:
