--- a/src/larkpost/gateway/blackboard/directory.py
+++ b/src/larkpost/gateway/blackboard/directory.py
@@ -186,12 +186,12 @@
 
     def drop_unlisted(self) -> list[InstanceId]:
         """Drops all UNLISTED instances, and returns their ids."""
-        lapsed = [
+        unlisted = [
             name for name, info in self._instances.items() if info.state is InstanceState.UNLISTED
         ]
-        for name in lapsed:
+        for name in unlisted:
             self.forget(name)
-        return lapsed
+        return unlisted
 
     def accepts_work(self, instance: InstanceId) -> bool:
         """Returns whether an instance accepts new work."""
