--- a/src/larkpost/gateway/observability/explain.py
+++ b/src/larkpost/gateway/observability/explain.py
@@ -67,18 +67,20 @@
 def explain(lines: Iterable[str], wanted: str) -> list[str]:
     """Returns the events of an id, one line each, followed by notes on missing events."""
     parsed = list(read_lines(lines))
-    story = [line for line in parsed if line.mentions(wanted)]
-    batches = {line.fields["batch"] for line in story if "batch" in line.fields} - {wanted}
-    story.extend(
+    matching = [line for line in parsed if line.mentions(wanted)]
+    batches = {line.fields["batch"] for line in matching if "batch" in line.fields} - {wanted}
+    matching.extend(
         line
         for line in parsed
-        if line.fields.get("batch") in batches and "item" not in line.fields and line not in story
+        if line.fields.get("batch") in batches
+        and "item" not in line.fields
+        and line not in matching
     )
-    story.sort(key=lambda line: line.at)
-    if not story:
+    matching.sort(key=lambda line: line.at)
+    if not matching:
         return [f"no line names {wanted}: it never reached a daemon whose log is here"]
-    first = story[0].at
-    return [_describe(line, first) for line in story] + _missing(parsed, story, wanted)
+    first = matching[0].at
+    return [_describe(line, first) for line in matching] + _missing(parsed, matching, wanted)
 
 
 def _describe(line: LogLine, first: float) -> str:
@@ -90,13 +92,13 @@
     return orjson.dumps(value).decode() if isinstance(value, list | dict) else str(value)
 
 
-def _missing(parsed: list[LogLine], story: list[LogLine], wanted: str) -> list[str]:
+def _missing(parsed: list[LogLine], matching: list[LogLine], wanted: str) -> list[str]:
     """Returns notes on events that a complete log would contain."""
-    events = {line.event for line in story}
+    events = {line.event for line in matching}
     missing = []
-    if any("request" in line.fields for line in story) and not events & CLOSING_EVENTS:
+    if any("request" in line.fields for line in matching) and not events & CLOSING_EVENTS:
         missing.append("missing: how the request ended (its client left, or its daemon died)")
-    if any("batch" in line.fields for line in story):
+    if any("batch" in line.fields for line in matching):
         if Event.BATCH_ACCEPTED not in events:
             missing.append("missing: the batch's acceptance; its daemon's log is not here")
         if Event.BATCH_OWNED not in events:
