--- a/src/larkpost/gateway/observability/batch_times.py
+++ b/src/larkpost/gateway/observability/batch_times.py
@@ -87,7 +87,7 @@
         if outcome == WHOLE:
             self.whole.setdefault(item, line.at)
 
-    def _wanted_at(self) -> float | None:
+    def _desired_groups_listed_at(self) -> float | None:
         """Returns the time at which the last of the desired groups was completely listed.
 
         Counts any groups, as the logs do not show whether the trainer needs particular ones.
@@ -116,7 +116,7 @@
         for times in (self.began, self.whole, self.scored, self.listed):
             columns.append(_median_and_last(list(times.values()), first))
         columns.append(_median_and_last(list(self.read.values()), first))
-        for at in (self._wanted_at(), self.ended_at):
+        for at in (self._desired_groups_listed_at(), self.ended_at):
             columns.append(f"{at - first:.1f}" if at is not None else "-")
         columns.append(" ".join(f"{name}:{count}" for name, count in self.runs.most_common()))
         columns.append(" ".join(f"{name}:{count}" for name, count in self.calls.most_common()))
