--- a/src/larkpost/gateway/usage/counter.py
+++ b/src/larkpost/gateway/usage/counter.py
@@ -55,9 +55,9 @@
         """Counts each recorded request in its window, and drops old windows."""
         if not self._started or self._true_time.now() is None:
             return
-        for begun in self._started:
-            window = WindowNumber(int(self._true_time.at(begun.at) // self._window_length))
-            self._counts.setdefault(window, Counter())[begun.tenant] += 1
+        for request in self._started:
+            window = WindowNumber(int(self._true_time.at(request.at) // self._window_length))
+            self._counts.setdefault(window, Counter())[request.tenant] += 1
             self._unsaved.add(window)
         self._started.clear()
         for window in sorted(self._counts)[:-KEPT_WINDOWS]:
