--- a/src/larkpost/gateway/graceful_shutdown.py
+++ b/src/larkpost/gateway/graceful_shutdown.py
@@ -62,17 +62,17 @@
 
     async def run(self) -> None:
         """Stops accepting clients, hands over batches, and waits for open responses."""
-        began = self._clock.now()
+        started_at = self._clock.now()
         self._lifecycle.stopping = True
         self._log.record(Event.STOPPING, open_requests=self._lifecycle.open_requests)
-        latest = began + max(POLL_SECONDS, self._grace_time - KILL_MARGIN_SECONDS)
-        await self._hand_over(began + (latest - began) * HANDOVER_FRACTION)
-        await self._wait_for_responses(began + DEREGISTRATION_SECONDS, latest)
+        latest = started_at + max(POLL_SECONDS, self._grace_time - KILL_MARGIN_SECONDS)
+        await self._hand_over(started_at + (latest - started_at) * HANDOVER_FRACTION)
+        await self._wait_for_responses(started_at + DEREGISTRATION_SECONDS, latest)
         await self._steps.final_step()
         self._log.record(
             Event.STOP,
             open_requests=self._lifecycle.open_requests,
-            seconds=round(self._clock.now() - began, 3),
+            seconds=round(self._clock.now() - started_at, 3),
         )
 
     async def _hand_over(self, latest: float) -> None:
