--- a/src/larkpost/gateway/graceful_shutdown.py
+++ b/src/larkpost/gateway/graceful_shutdown.py
@@ -65,9 +65,9 @@
         started_at = self._clock.now()
         self._lifecycle.stopping = True
         self._log.record(Event.STOPPING, open_requests=self._lifecycle.open_requests)
-        latest = started_at + max(POLL_SECONDS, self._grace_time - KILL_MARGIN_SECONDS)
-        await self._hand_over(started_at + (latest - started_at) * HANDOVER_FRACTION)
-        await self._wait_for_responses(started_at + DEREGISTRATION_SECONDS, latest)
+        deadline = started_at + max(POLL_SECONDS, self._grace_time - KILL_MARGIN_SECONDS)
+        await self._hand_over(started_at + (deadline - started_at) * HANDOVER_FRACTION)
+        await self._wait_for_responses(started_at + DEREGISTRATION_SECONDS, deadline)
         await self._steps.final_step()
         self._log.record(
             Event.STOP,
@@ -75,17 +75,17 @@
             seconds=round(self._clock.now() - started_at, 3),
         )
 
-    async def _hand_over(self, latest: float) -> None:
+    async def _hand_over(self, deadline: float) -> None:
         """Runs the immediate steps; a step that exceeds the time limit is cancelled."""
         for name, step in self._steps.immediate_steps:
             try:
-                async with asyncio.timeout(max(0.0, latest - self._clock.now())):
+                async with asyncio.timeout(max(0.0, deadline - self._clock.now())):
                     await step()
             except TimeoutError:
                 self._log.record(Event.STOP_STEP_LEFT, step=name)
 
-    async def _wait_for_responses(self, earliest: float, latest: float) -> None:
-        while self._clock.now() < latest:
+    async def _wait_for_responses(self, earliest: float, deadline: float) -> None:
+        while self._clock.now() < deadline:
             if self._clock.now() >= earliest and self._lifecycle.open_requests == 0:
                 return
             await self._clock.sleep(POLL_SECONDS)
