--- a/src/larkpost/gateway/assembly/balancing.py
+++ b/src/larkpost/gateway/assembly/balancing.py
@@ -20,7 +20,7 @@
 class Balancing:
     """The balancer, and the placement rules that other components use."""
 
-    cold_senders: SenderTracker
+    sender_tracker: SenderTracker
     cold: ColdRateLimit
     isolation: IsolationRule
     balancer: Balancer
@@ -38,8 +38,8 @@
     Args:
         alive: returns the live daemons; called only after the daemon is fully built.
     """
-    cold_senders = SenderTracker(own, ports.clock)
-    cold = ColdRateLimit(settings.cold, blackboard, ports.clock, ports.log, cold_senders)
+    sender_tracker = SenderTracker(own, ports.clock)
+    cold = ColdRateLimit(settings.cold, blackboard, ports.clock, ports.log, sender_tracker)
     isolation = IsolationRule()
     # Rules that count sends come last, so that they do not count sends that others reject.
     rules = (
@@ -56,4 +56,4 @@
         DaemonSubsets(own, alive),
     )
     balancer = Balancer(blackboard.directory, ports.clock, ports.rng, sources)
-    return Balancing(cold_senders, cold, isolation, balancer)
+    return Balancing(sender_tracker, cold, isolation, balancer)
--- a/src/larkpost/gateway/assembly/daemon_capacity.py
+++ b/src/larkpost/gateway/assembly/daemon_capacity.py
@@ -31,7 +31,7 @@
     """This daemon's current capacity.
 
     Args:
-        most: capacity while the event loop keeps up; None if unknown.
+        max_capacity: capacity while the event loop keeps up; None if unknown.
     """
 
     def __init__(
--- a/src/larkpost/gateway/assembly/leased_controllers.py
+++ b/src/larkpost/gateway/assembly/leased_controllers.py
@@ -36,7 +36,7 @@
     """
 
     blackboard: Blackboard
-    division: EngineAllocator
+    engine_allocator: EngineAllocator
     membership: Membership
     balancer: Balancer
     keeper: BatchManager
@@ -61,7 +61,7 @@
         self._coordination = Coordination(inputs.membership, self.leases)
         self._loader = WeightLoader(
             inputs.blackboard,
-            inputs.division,
+            inputs.engine_allocator,
             self._coordination,
             ports.servers,
             self._instruments,
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -93,7 +93,7 @@
         parts = make_balancing(
             self.id, self.settings, self.blackboard, self._ports, self._alive_daemons
         )
-        self._sender_tracker, self._isolation = parts.cold_senders, parts.isolation
+        self._sender_tracker, self._isolation = parts.sender_tracker, parts.isolation
         self.cold, self.balancer = parts.cold, parts.balancer
 
     def _make_membership(self) -> None:
--- a/src/larkpost/gateway/memory/daemon_memory.py
+++ b/src/larkpost/gateway/memory/daemon_memory.py
@@ -107,7 +107,7 @@
             connection,
             self._instruments.clock,
             lambda: memory.size,
-            lambda behind: self._slow_deliveries.setdefault(behind, memory.owner),
+            lambda slow: self._slow_deliveries.setdefault(slow, memory.owner),
             lambda stalled: self._record_disconnect(stalled, DisconnectReason.STALLED),
         )
         try:
@@ -123,9 +123,9 @@
         """
         slowest = slowest_client(
             {
-                behind: behind.read_rate()
-                for behind in self._slow_deliveries
-                if not behind.is_disconnected
+                delivery: delivery.read_rate()
+                for delivery in self._slow_deliveries
+                if not delivery.is_disconnected
             }
         )
         if slowest is not None and slowest.read_rate().held >= shortfall:
