--- a/tests/pinned_parts.py
+++ b/tests/pinned_parts.py
@@ -1,7 +1,6 @@
-"""Builds the parts that `tests.test_pinned_rows` needs.
+"""Builds the objects that `tests.test_pinned_rows` needs.
 
-The pinned forms stand in that module and are not edited; how a part is built may change with the
-code, and changes here.
+The pinned formats in that module are never edited; changes in how objects are built belong here.
 """
 
 from larkpost.common.clock import LoopClock
@@ -17,14 +16,14 @@
 
 
 def make_member(name: str, store: MemoryStore, clock: LoopClock, told: dict) -> Membership:
-    """Returns a member that needs no heartbeats of others and puts their summaries into `told`."""
+    """Returns a member that ignores others' heartbeats and puts their summaries into `told`."""
     client = StoreClient(store, answer_seconds=0.0)
     instruments = Instruments(clock, EventLog(name))
     return Membership(LocalDaemon(name), client, instruments, RegionMap(), told.__setitem__)
 
 
 def make_active_member(name: str, store: MemoryStore, clock: LoopClock) -> Membership:
-    """Returns a member that owns batches, uses two places of engine-3/1 and relays calls."""
+    """Returns a member that owns batches, uses two slots of engine-3/1 and relays calls."""
     own = LocalDaemon(
         name,
         use=lambda: {"engine-3/1": (2, 0.5)},
@@ -37,10 +36,10 @@
 
 
 def make_scaled_fleet() -> PlatformFleet:
-    """Returns a fleet whose daemons order servers anew for those that are lost."""
+    """Returns a fleet whose daemons replace lost servers."""
     return PlatformFleet(gateways=3, engines=12, scaling_mode=ScalingMode.REPLACE)
 
 
 async def forward(fleet: PlatformFleet, request: ClientRequest, route) -> None:
-    """Sends a client's request to the first daemon of a fleet."""
+    """Sends a client request to the first daemon of a fleet."""
     await fleet.gateways[0].forwarder.forward(request, route)
--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of gateways over a store and engines in memory, for tests on virtual time."""
+"""A fleet of gateways with an in-memory store and engines, for tests in virtual time."""
 
 import asyncio
 import random
@@ -62,12 +62,12 @@
 PAGES = ServiceName("pages")
 HEARTBEAT_SECONDS = 0.4
 MISSED_HEARTBEATS = 3
-"""After so many of them an instance's entry goes."""
+"""Number of missed heartbeats after which an instance's entry is removed."""
 RESTART_SECONDS = 3.0
-"""From a crash until another instance serves at the address."""
+"""Time from a crash until another instance serves at the address."""
 EVACUATION = "evacuate-"
 ZONES = (ZoneId("north"), ZoneId("south"))
-"""Servers are listed in turn in either."""
+"""Zones in which servers are listed in turn."""
 HOST = "trainers.example"
 ROUTE = Route(
     name="rollouts",
@@ -113,7 +113,7 @@
     version=2,
     routes=(ROUTE, replace(SCORER_ROUTE, shares=(ServiceShare(OTHER_SCORERS, 1.0),))),
 )
-"""The scorers' route leads to another service."""
+"""Configuration whose scorer route goes to another service."""
 SCALING_TERMS = ScalingTerms(1, 8, 4.0, 0.22, dict.fromkeys(ZONES, 1.0))
 SCALED_CONFIGURATION = replace(
     CONFIGURATION,
@@ -123,13 +123,13 @@
         ENGINES: replace(CONFIGURATION.services[ENGINES], scaling=SCALING_TERMS),
     },
 )
-"""Engines can be ordered."""
+"""Configuration in which engines can be ordered."""
 EAST_CONFIGURATION = replace(
     CONFIGURATION,
     version=3,
     routes=tuple(replace(route, regions=frozenset({EAST})) for route in CONFIGURATION.routes),
 )
-"""Only servers in the east may serve."""
+"""Configuration in which only servers in the east may serve."""
 CONFIGURATIONS = {
     b"": CONFIGURATION,
     b"moved": MOVED_CONFIGURATION,
@@ -180,20 +180,20 @@
 
 
 EPOCH_SECONDS = 1_700_000_000.0
-"""The time of day at which each test begins."""
+"""Time of day at which each test begins."""
 USAGE_TERMS = UsageTerms(window_length=5.0, due_after=10.0)
 
 
 class MachineClock(LoopClock):
-    """The clock of one machine: its time of day goes with the test's clock, but may be off.
+    """The clock of one machine; its time of day may be offset from the test's clock.
 
-    A machine may be suspended: then no wait on it ends. Its steady time goes on meanwhile.
+    While the machine is suspended, no wait on it ends, but its monotonic time advances.
 
     Attributes:
-        ahead: seconds by which its time of day is ahead of the true one.
+        ahead: seconds by which its time of day is ahead of the true time.
         awake: set unless the machine is suspended.
-        suspended_at: when that began, in the test's time.
-        suspended_seconds: how long it was suspended before.
+        suspended_at: start of the suspension, in the test's time.
+        suspended_seconds: total duration of earlier suspensions.
     """
 
     ahead = 0.0
@@ -211,13 +211,13 @@
             self.suspended_at = LoopClock.now(self)
 
     def wake(self) -> None:
-        """Ends that."""
+        """Ends the suspension."""
         if not self.awake.is_set():
             self.suspended_seconds += LoopClock.now(self) - self.suspended_at
             self.awake.set()
 
     async def sleep(self, seconds: float) -> None:
-        """Waits, and on until the machine is awake."""
+        """Waits, and then until the machine is awake."""
         await super().sleep(seconds)
         await self.awake.wait()
 
@@ -228,7 +228,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """A request that a daemon sent to an instance, whatever became of it."""
+    """A request that a daemon sent to an instance, whatever its outcome."""
 
     daemon: int
     instance: InstanceId
@@ -238,7 +238,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that an instance began to run."""
+    """A request that an instance started to run."""
 
     daemon: int
     instance: InstanceId
@@ -248,7 +248,7 @@
 
 @dataclass(slots=True)
 class EvacuationSpan:
-    """An evacuation as the store holds it."""
+    """An evacuation in the store."""
 
     zone: ZoneId
     began_at: float
@@ -256,7 +256,7 @@
 
 
 class NotingServers:
-    """The servers as one daemon reaches them; notes what it sends."""
+    """The servers as reached by one daemon; records the requests sent."""
 
     def __init__(self, servers: ScriptedEngines, daemon: int, fleet: "PlatformFleet") -> None:
         self._servers = servers
@@ -266,19 +266,19 @@
         self.is_connected = servers.is_connected
 
     async def report(self, instance, timeout):
-        """Asks an engine for its report; see the port."""
+        """Requests an engine's report; see the port."""
         report = await self._servers.report(instance, timeout)
         await self._awake.wait()
         return report
 
     async def probe(self, instance, timeout):
-        """Sees whether an engine listens; see the port."""
+        """Checks whether an engine listens; see the port."""
         state = await self._servers.probe(instance, timeout)
         await self._awake.wait()
         return state
 
     async def order(self, instance, order, timeout):
-        """Gives an engine an order; see the port."""
+        """Sends an order to an engine; see the port."""
         outcome = await self._servers.order(instance, order, timeout)
         await self._awake.wait()
         return outcome
@@ -296,7 +296,7 @@
 
 
 class PlatformFleet:
-    """Some gateways, engines and a store."""
+    """Gateways, engines and a store."""
 
     def __init__(
         self,
@@ -313,11 +313,11 @@
         """Starts a fleet.
 
         Args:
-            zones: where daemons and engines stand, in turn; empty if they have no zones.
-            configuration: names the configuration that it begins with.
-            relays: whether daemons make calls to the store for those that it turns away.
-            scaling_mode: whether the daemons order servers anew for those that are lost.
-            cold: what is agreed about cold engines; None if they have no limits.
+            zones: zones of the daemons and engines, assigned in turn; empty for no zones.
+            configuration: name of the initial configuration.
+            relays: whether daemons relay store calls for daemons that the store rejects.
+            scaling_mode: whether the daemons replace lost servers.
+            cold: limits for cold engines; None for no limits.
         """
         self.scaling_mode = scaling_mode
         self.cold = cold
@@ -352,49 +352,49 @@
         self._heartbeats = asyncio.create_task(self._send_heartbeats())
 
     def put(self, table: str, key: str, value: bytes) -> None:
-        """Writes a row as the operator or an engine does."""
+        """Writes a row as the operator or an engine would."""
         self.store.apply(Transaction(puts=((RowKey(table, "", key), value),)))
 
     def now(self) -> float:
-        """Returns the test's time, also while its loop stands."""
+        """Returns the test's time, even while its loop is not running."""
         return self._loop.time()
 
     def evacuate(self, zone: ZoneId) -> None:
-        """Begins a zone's evacuation as the operator does."""
+        """Begins a zone's evacuation as the operator would."""
         if zone not in self.evacuated_zones():
             self.evacuations.append(EvacuationSpan(zone, self.clock.now()))
         self.put("operator", f"{EVACUATION}{zone}", b"{}")
 
     def end_evacuation(self, zone: ZoneId) -> None:
-        """Ends a zone's evacuation as the operator does."""
+        """Ends a zone's evacuation as the operator would."""
         for span in self.evacuations:
             if span.zone == zone:
                 span.ended_at = min(span.ended_at, self.clock.now())
         self.store.apply(Transaction(removals=(RowKey("operator", "", f"{EVACUATION}{zone}"),)))
 
     def evacuated_zones(self) -> list[ZoneId]:
-        """Returns the zones that are evacuated by the store."""
+        """Returns the zones that are evacuated according to the store."""
         return [span.zone for span in self.evacuations if span.ended_at == float("inf")]
 
     def zone_of(self, instance: InstanceId) -> ZoneId:
-        """Returns an instance's zone, which it gets when it is first asked for."""
+        """Returns an instance's zone, assigned on first use."""
         zones = self.zones or ZONES
         return self.engine_zones.setdefault(instance, zones[len(self.engine_zones) % len(zones)])
 
     def address_of(self, instance: InstanceId) -> Address:
-        """Returns an instance's address, which it gets when it is first asked for."""
+        """Returns an instance's address, assigned on first use."""
         number = len(self._addresses) + 1
         return self._addresses.setdefault(instance, Address(f"10.0.0.{number}:1"))
 
     def _record_crash(self, instance: InstanceId) -> None:
-        """Records the crash of an instance by a request; another one follows at its address."""
+        """Records an instance's crash by a request; another instance follows at its address."""
         self.crashed_at[instance] = self.clock.now()
         task = asyncio.create_task(self._restart(instance))
         self._restarts.add(task)
         task.add_done_callback(self._restarts.discard)
 
     async def _restart(self, instance: InstanceId) -> None:
-        """Drops a crashed instance's entry, and starts the one that follows it."""
+        """Removes a crashed instance's entry, and starts its successor."""
         await self.clock.sleep(MISSED_HEARTBEATS * HEARTBEAT_SECONDS)
         self.store.apply(Transaction(removals=(RowKey("instances", "", instance),)))
         await self.clock.sleep(RESTART_SECONDS - MISSED_HEARTBEATS * HEARTBEAT_SECONDS)
@@ -428,17 +428,17 @@
     def start_cold_engine(
         self, engine: InstanceId, seconds: float = COLD_SECONDS
     ) -> ScriptedEngine:
-        """Starts an engine that is cold for some seconds, and lists it."""
+        """Starts and lists an engine that is cold for some seconds."""
         state = ScriptedEngine(versions={MODEL: 1}, cold_until=self.clock.now() + seconds)
         self.engines.engines[engine] = state
         self.add_engine(engine)
         return state
 
     def turn_cold(self, engine: InstanceId, seconds: float, known_after: float) -> ScriptedEngine:
-        """Turns an engine cold again, which its entry says.
+        """Makes an engine cold again, and updates its entry.
 
         Args:
-            known_after: seconds after which requests are counted: news take a while.
+            known_after: seconds after which requests are counted, as the change must propagate.
         """
         state = self.engines.engines[engine]
         state.cold_known_from = self.clock.now() + known_after
@@ -466,7 +466,7 @@
         self.put("instances", scorer, orjson.dumps(entry))
 
     def _zone(self, number: int) -> ZoneId:
-        """Returns where a daemon stands."""
+        """Returns a daemon's zone."""
         return self.zones[number % len(self.zones)] if self.zones else ZoneId("z")
 
     def region_of_gateway(self, number: int) -> RegionId | None:
@@ -478,7 +478,7 @@
         return [state for state in self.engines.engines.values() if not state.versions]
 
     def answers_of_failure(self, request: str) -> int:
-        """Returns how often servers have answered a request with their failure status."""
+        """Returns how often servers responded to a request with their failure status."""
         return sum(state.failures[request] for state in self.engines.engines.values())
 
     def model_engines(self) -> list[ScriptedEngine]:
@@ -486,7 +486,7 @@
         return [state for state in self.engines.engines.values() if state.versions]
 
     async def _send_heartbeats(self) -> None:
-        """Writes the engines' entries anew when their versions have changed."""
+        """Rewrites the engines' entries when their versions have changed."""
         written = {name: 1 for name in self.engines.engines}
         while True:
             await self.clock.sleep(HEARTBEAT_SECONDS)
@@ -497,7 +497,7 @@
                     self.add_engine(name)
 
     def add_gateway(self, name: str, zone: ZoneId | None = None) -> Gateway:
-        """Starts a gateway; in the next zone in turn if none is named."""
+        """Starts a gateway, in the next zone in turn unless one is given."""
         self.gateway_zones.append(zone or self._zone(len(self.gateway_zones)))
         clock = MachineClock()
         client = WatchedClient(self.store, self.gateway_zones[-1], clock.awake)
@@ -534,11 +534,11 @@
         return gateway
 
     def _client_of(self, address: Address) -> StoreClient:
-        """Returns the store as the daemon at an address reaches it."""
+        """Returns the store as reached by the daemon at an address."""
         return self.clients[int(address.partition(":")[2])]
 
     def kill(self, number: int) -> None:
-        """Ends a gateway without notice."""
+        """Kills a gateway."""
         gateway = self.gateways[number]
         gateway.stop()
         for owned in list(gateway.keeper._owned.values()):
@@ -546,13 +546,13 @@
         gateway.keeper._owned.clear()
 
     async def submit(self, spec: BatchSpec, number: int = 0) -> int:
-        """Submits a batch at a gateway; returns the number of the one that is to run it."""
+        """Submits a batch to a gateway, and returns the number of the gateway that will run it."""
         await self.gateways[number].batches.submit(spec)
         head = self.gateways[number].keeper.head(spec.id) or await self.repository().head(spec.id)
         return next(i for i, gateway in enumerate(self.gateways) if gateway.id == head.owner)
 
     def other(self, number: int) -> Gateway:
-        """Returns a gateway besides a given one."""
+        """Returns another gateway than the given one."""
         return self.gateways[(number + 1) % len(self.gateways)]
 
     async def wait(self, seconds: float) -> None:
@@ -560,7 +560,7 @@
         await self.clock.sleep(seconds)
 
     async def read_all(self, gateway: Gateway, batch: str) -> list[Result]:
-        """Reads a batch's results from the start until all are there."""
+        """Reads a batch's results from the start until complete."""
         results: list[Result] = []
         for _ in range(600):
             page = await gateway.batches.read(BatchId(batch), len(results), 1.0)
@@ -570,7 +570,7 @@
         return results
 
     def stored_results(self, batch: str) -> list[Result]:
-        """Returns the results that the store holds, in order."""
+        """Returns the results in the store, in order."""
         prefix = f"{batch}/"
         rows = [
             row
@@ -582,7 +582,7 @@
         return [decode_result(row.value) for row in rows]
 
     def repository(self) -> BatchRepository:
-        """Returns a repository of its own."""
+        """Returns a new batch repository."""
         return BatchRepository(StoreClient(self.store), self.clock)
 
 
@@ -598,7 +598,7 @@
 
     Args:
         scored: whether each item has a reward call.
-        tenant: whose batch it is.
+        tenant: tenant that owns the batch.
     """
     return BatchSpec(
         id=BatchId(name),
@@ -630,12 +630,12 @@
 
 
 def expected_text(item: str) -> str:
-    """Returns the whole output of an item."""
+    """Returns the complete output of an item."""
     return b"\n".join(expected_output(item)).decode()
 
 
 def check_results(test, spec: BatchSpec, results: list[Result]) -> None:
-    """Checks that each item stands once, done, with its whole output."""
+    """Checks that each item is listed once, done, with its complete output."""
     test.assertEqual(
         sorted(item.id for item in spec.items), sorted(result.item for result in results)
     )
--- a/tests/platform_places.py
+++ b/tests/platform_places.py
@@ -1,4 +1,4 @@
-"""Two regions for tests, and daemons' ways to the store that tell whose items passed there."""
+"""Two regions for tests, and store clients that record whose items passed through them."""
 
 import asyncio
 
@@ -13,19 +13,19 @@
 WEST_ZONE = ZoneId("west-1")
 NEAR_STORE_SECONDS = 0.004
 FAR_STORE_SECONDS = 0.042
-"""How long the store, which stands in the east, takes for an answer to the west."""
+"""Latency from the west to the store, which is in the east."""
 REGIONS = dict.fromkeys(EAST_ZONES, EAST) | {WEST_ZONE: WEST}
 TWO_REGIONS = (EAST_ZONES[0], WEST_ZONE, EAST_ZONES[1], WEST_ZONE)
-"""Zones of the daemons and of the engines, in their order, over two regions."""
+"""Zones of the daemons and of the engines, in order, across two regions."""
 
 
 class WatchedClient(StoreClient):
-    """A daemon's way to the store that remembers whose items passed through it.
+    """A daemon's store client that records whose items passed through it.
 
     Attributes:
         items_read: batches whose items it read.
         items_written: batches whose items it wrote.
-        awake: set unless the daemon's machine is suspended, which hears of no answer meanwhile.
+        awake: set unless the daemon's machine is suspended; responses wait for it.
     """
 
     def __init__(self, store: MemoryStore, zone: ZoneId, awake: asyncio.Event) -> None:
@@ -45,7 +45,7 @@
         return page
 
     async def write(self, transaction: Transaction, timeout: float) -> WriteResult:
-        """Carries out a transaction; see the port."""
+        """Applies a transaction; see the port."""
         self.items_written |= {
             key.key.partition("/")[0] for key, _ in transaction.puts if key.table == ITEM_TABLE
         }
--- a/tests/recording_log.py
+++ b/tests/recording_log.py
@@ -1,4 +1,4 @@
-"""A log for tests, which keeps what is noted."""
+"""An event log for tests that keeps all events in memory."""
 
 from larkpost.gateway.observability.eventlog import Event, EventLog
 
@@ -11,5 +11,5 @@
         self.events: list[tuple[Event, dict]] = []
 
     def record(self, event: Event, **fields) -> None:
-        """Keeps an event."""
+        """Stores an event."""
         self.events.append((event, fields))
--- a/tests/scripted_engines.py
+++ b/tests/scripted_engines.py
@@ -1,4 +1,4 @@
-"""Engines in memory that speak larkpost's server port, for tests and simulations."""
+"""In-memory engines that implement the server port, for tests and simulations."""
 
 import functools
 from collections import Counter
@@ -27,27 +27,27 @@
 
 STALL_SECONDS = 1000.0
 CRASH_SECONDS = 0.08
-"""From the begin of a request that crashes its server to the crash."""
+"""Time from the start of a request that crashes its server to the crash."""
 
 
 @dataclass(slots=True)
 class ScriptedEngine(EngineState):
-    """An engine that fails as a test tells it, and records what it ran.
+    """An engine whose failures a test controls, and that records what it ran.
 
     Attributes:
-        down: it does not respond.
-        stall_after: its streams make nothing more after so many events, or never.
-        break_after: its next streams break off after so many events, or never.
-        status: of its responses instead of a stream, if set.
-        unsigned: its responses carry no signature.
-        cold_until: when it is warm, in seconds; its responses say how long it stays cold.
-        cold_known_from: when every daemon can know that it is cold, in seconds.
-        cold_arrivals: when requests arrived from then on while it was cold, in seconds.
-        most_running: the most requests it has run at once.
-        whole_at: when each stream that came to its end ended, in seconds.
-        ranks: the priority that each request which ran was sent with.
-        signatures: of all its responses by request, each with the time at which the run began.
-        failures: how often it responded to each request with its failure status.
+        down: whether it does not respond.
+        stall_after: number of events after which its streams stall; None for never.
+        break_after: number of events after which its next streams break; None for never.
+        status: failure status of its responses, instead of a stream; None for no failure.
+        unsigned: whether its responses have no signature.
+        cold_until: time at which it is warm; its responses report how long it stays cold.
+        cold_known_from: time from which every daemon can know that it is cold.
+        cold_arrivals: arrival times of requests from then on while it was cold.
+        most_running: maximum number of concurrent requests so far.
+        whole_at: time at which each complete stream ended.
+        ranks: priority of each request that ran.
+        signatures: signatures of its responses by request, each with the start time of the run.
+        failures: number of responses with the failure status, by request.
     """
 
     down: bool = False
@@ -89,7 +89,7 @@
         self.cold_left = max(0.0, state.cold_until - clock.now())
         self.version = state.versions.get(model, 1)
         name = request.request_id.decode()
-        signature = f"{name}.{id(state)}.{len(state.runs)}"  # no other response has it
+        signature = f"{name}.{id(state)}.{len(state.runs)}"  # unique per response
         self.signature = None if state.unsigned else signature
         state.signatures.setdefault(name, []).append((signature, clock.now()))
         state.failures[name] += state.status is not None
@@ -123,7 +123,7 @@
             yield StreamEvent(number, data, data, changed)
 
     async def _crash_if_so(self) -> None:
-        """Crashes the engine a moment after its begin, if the request is one that does so.
+        """Crashes the engine shortly after the start of a request that does so.
 
         Raises:
             BrokenResponseError: the engine has crashed.
@@ -139,7 +139,7 @@
     """All engines; implements `larkpost.gateway.servers.port.ServerPort`.
 
     Attributes:
-        crashing: targets of the requests that crash each engine that begins to run them.
+        crashing: targets of requests that crash every engine that runs them.
         when_crashed: called with an engine that such a request has crashed.
     """
 
@@ -183,7 +183,7 @@
             state.running -= 1
 
     def crash(self, engine: InstanceId) -> None:
-        """Crashes an engine: all that it runs breaks off, and its port is dead."""
+        """Crashes an engine: all its requests break, and its port refuses connections."""
         state = self.engines[engine]
         if not state.down:
             state.down = True
@@ -194,13 +194,13 @@
         return instance.id in self.connected
 
     async def probe(self, instance: InstanceInfo, timeout: float) -> PortState:
-        """Sees whether an engine listens; see the port."""
+        """Checks whether an engine listens; see the port."""
         await self._clock.sleep(0.001)
         state = self.engines.get(instance.id)
         return PortState.DEAD if state is None or state.down else PortState.LISTENS
 
     async def report(self, instance: InstanceInfo, timeout: float) -> EngineReport | None:
-        """Asks an engine for its report; see the port."""
+        """Requests an engine's report; see the port."""
         await self._clock.sleep(0.001)
         state = self.engines.get(instance.id)
         if state is None or state.down:
@@ -211,7 +211,7 @@
     async def order(
         self, instance: InstanceInfo, order: VersionOrder, timeout: float
     ) -> OrderOutcome:
-        """Gives an engine an order; see the port."""
+        """Sends an order to an engine; see the port."""
         await self._clock.sleep(0.001)
         state = self.engines.get(instance.id)
         if state is None or state.down:
--- a/tests/scripted_usage.py
+++ b/tests/scripted_usage.py
@@ -1,4 +1,4 @@
-"""A receiver of usage reports in memory, with the platform's contract and its faults."""
+"""An in-memory receiver of usage reports, with the platform's contract and faults."""
 
 from dataclasses import dataclass, field
 
@@ -9,11 +9,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedReport:
-    """A report that arrived.
+    """A received report.
 
     Attributes:
-        at: seconds on the taker's clock.
-        outcome: what became of it.
+        at: time of receipt in seconds, by the receiver's clock.
+        outcome: outcome of the report.
     """
 
     window: WindowNumber
@@ -26,12 +26,12 @@
 
 @dataclass(slots=True)
 class ScriptedUsage:
-    """Takes reports; implements `larkpost.gateway.usage.port.UsagePort`.
+    """Receives reports; implements `larkpost.gateway.usage.port.UsagePort`.
 
     Attributes:
-        down: nothing is answered and nothing is taken.
-        lost_answers: how many of the next reports are taken without an answer.
-        received: all reports that arrived, in order.
+        down: whether it neither responds nor takes reports.
+        lost_answers: number of next reports that are taken without a response.
+        received: all received reports, in order.
     """
 
     clock: Clock
--- a/tests/server_parts.py
+++ b/tests/server_parts.py
@@ -1,4 +1,4 @@
-"""Servers, directories, a route and a forwarder's parts, for tests of single parts."""
+"""Factories of servers, directories, routes and forwarder dependencies, for unit tests."""
 
 import random
 
@@ -24,7 +24,7 @@
 FIRST = ModelName("first")
 SECOND = ModelName("second")
 TWO_MODELS = Service(ServiceName("s"), 100, slots=8, models=(FIRST, SECOND))
-"""A service whose engines are divided between two models."""
+"""A service whose engines are shared by two models."""
 ADDRESS = Address("10.0.0.1:1")
 ZONE = ZoneId("z")
 SLOTS = 4
@@ -39,7 +39,7 @@
     zone: ZoneId = ZONE,
     address: Address = ADDRESS,
 ) -> InstanceInfo:
-    """Returns the entry of an instance that serves, with each model at version 1."""
+    """Returns the entry of a ready instance, with each model at version 1."""
     versions = {FIRST: 1, SECOND: 1, MODEL: 1}
     return InstanceInfo(
         InstanceId(name), service, address, zone, slots, InstanceState.READY, versions
@@ -49,7 +49,7 @@
 def make_directory(
     count: int, service: ServiceName = ENGINES, *, slots: int = SLOTS
 ) -> InstanceDirectory:
-    """Returns a directory of some instances: e0, e1 and so on."""
+    """Returns a directory of instances e0, e1 and so on."""
     directory = InstanceDirectory()
     for number in range(count):
         directory.update(make_instance(f"e{number}", service, slots=slots))
@@ -65,7 +65,7 @@
 def make_parts(
     directory: InstanceDirectory, balancer: Balancer, servers: ServerPort, clock: Clock
 ) -> ForwarderDependencies:
-    """Returns what a forwarder works with, with a log, metrics and shares of its own."""
+    """Returns a forwarder's dependencies, with their own log, metrics and service selector."""
     shares = ServiceSelector(random.Random(0))
     return ForwarderDependencies(
         directory, balancer, servers, clock, EventLog("daemon"), Metrics(), shares
--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -1,4 +1,4 @@
-"""The page that explains larkpost names files that exist, and who writes each event."""
+"""Tests that the pages name existing files and the code that writes each event."""
 
 import ast
 import re
@@ -16,16 +16,16 @@
 EVENT_ROW = re.compile(r"^\| `([a-z_]+)` \| (.*) \|$", re.MULTILINE)
 WRITER = re.compile(r"`([a-z_/]+\.py)` `([A-Za-z_.]+)`")
 CURRENT_PAGES = (*(ROOT / "docs").glob("*.md"), *(ROOT / "docs" / "design").glob("*.md"))
-"""The pages on today's code; those in docs/history/ name the modules of their day."""
+"""Pages on the current code; those in docs/history/ may name former modules."""
 
 
 def find_file(name: str) -> bool:
-    """Returns whether a path stands in the repository, below its sources, or in the gateway."""
+    """Returns whether a path exists in the repository, its sources, or the gateway."""
     return any((folder / name).exists() for folder in (ROOT, SOURCES, SOURCES / "gateway"))
 
 
 def writers_of_events() -> dict[str, set[tuple[str, str]]]:
-    """Returns the module and function of each call that names an event, by event."""
+    """Returns the module and function of each call with an event, by event."""
     found: dict[str, set[tuple[str, str]]] = {}
     for path in sorted((SOURCES / "gateway").rglob("*.py")) + sorted(
         (SOURCES / "platform").rglob("*.py")
@@ -59,7 +59,7 @@
 
 
 def event_rows() -> str:
-    """Returns the rows of the page's table, as the sources stand."""
+    """Returns the expected rows of the page's table."""
     rows = []
     for event, writers in sorted(writers_of_events().items()):
         names = ", ".join(f"`{module}` `{function}`" for module, function in sorted(writers))
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -1,4 +1,4 @@
-"""The balancer: kept connections, and what other daemons report of their use of instances."""
+"""Tests of the balancer: preference for open connections, and usage reported by other daemons."""
 
 import asyncio
 import random
@@ -16,10 +16,10 @@
 
 
 class ConnectedInstanceTest(unittest.TestCase):
-    """The choice between instances to which a connection is kept and others."""
+    """Choice between instances with and without an open connection."""
 
     def begin(self) -> Balancer:
-        """Returns a balancer of four instances, connected to the first only."""
+        """Returns a balancer for four instances, connected only to the first."""
         directory = InstanceDirectory()
         for number in range(4):
             state = InstanceState.READY
@@ -31,7 +31,7 @@
         return Balancer(directory, LoopClock(), rng, sources)
 
     def first_choices(self, balancer: Balancer) -> set[InstanceId]:
-        """Returns the instances that come first in some choices."""
+        """Returns the first choices of several rankings."""
         choices = [balancer.candidates(ENGINES, for_client=True)[0] for _ in range(20)]
         return {info.id for info in choices}
 
@@ -66,7 +66,7 @@
 
 
 class PaceTest(unittest.TestCase):
-    """What other daemons tell of the speed of instances."""
+    """Service times of instances reported by other daemons."""
 
     def test_pace_that_a_daemon_does_not_know_hides_none_that_another_told(self):
         async def play():
@@ -81,7 +81,7 @@
 
 
 class PeerUseTest(unittest.TestCase):
-    """What the others tell of their use of an instance."""
+    """Usage of instances reported by other daemons."""
 
     def test_requests_of_a_peer_end_with_its_next_summary(self):
         async def play():
@@ -99,7 +99,7 @@
         run(play())
 
     def test_instances_and_daemons_that_are_gone_are_forgotten(self):
-        """Both come back under new names for months."""
+        """Both return under new names, so stale state would accumulate."""
 
         async def play():
             balancer = Balancer(InstanceDirectory(), LoopClock(), None)
--- a/tests/test_batch_times.py
+++ b/tests/test_batch_times.py
@@ -1,4 +1,4 @@
-"""The table of where a batch's time went, from the lines of daemons' logs."""
+"""Tests of the timeline of batches derived from daemons' logs."""
 
 import unittest
 
@@ -30,10 +30,10 @@
 
 
 class BatchTimesTest(unittest.TestCase):
-    """One batch with a story, one that was only accepted."""
+    """One batch that ran, and one that was only accepted."""
 
     def row(self, number: int) -> dict[str, str]:
-        """Returns a row of the table by the names of its columns."""
+        """Returns a row of the table, by column name."""
         rows = table(read_batch_times(LINES))
         self.assertEqual(2, len(rows))
         return dict(zip(COLUMNS, rows[number], strict=True))
--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -66,7 +66,7 @@
             body.grow(2 * MB)
         self.assertEqual((9 * MB, 9 * MB), (body.size, self.budget.total))
 
-    def test_refused_callers_come_back_one_by_one(self):
+    def test_retries_of_rejected_callers_are_spread(self):
         self.budget.reserve(MemoryPurpose.REQUEST_BODIES, 10 * MB)
         waits = {self.budget.budget_error(1).retry_after for _ in range(20)}
         self.assertGreater(len(waits), 15)
@@ -82,7 +82,7 @@
             self.budget.reserve(MemoryPurpose.REQUEST_BODIES, 11 * MB, "r1")
         self.assertEqual([("r1", MemoryPurpose.REQUEST_BODIES, 11 * MB)], refused)
 
-    def test_what_is_kept_anyway_leaves_less_room(self):
+    def test_bytes_set_as_held_reduce_the_free_bytes(self):
         self.budget.set_held(MemoryPurpose.BATCHES, 12 * MB)
         self.assertEqual(0, self.budget.free)
         self.budget.set_held(MemoryPurpose.BATCHES, 4 * MB)
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -1,4 +1,4 @@
-"""Cold servers in a fleet: the bound holds over all daemons, and work flows."""
+"""Tests that a fleet keeps the request limit of cold servers, and still makes progress."""
 
 import asyncio
 import unittest
@@ -25,10 +25,10 @@
 
 
 class FleetTest(unittest.TestCase):
-    """Three owners of batches at once."""
+    """Three concurrent batch owners."""
 
     def play(self, work, engines: int = 0, cold: ColdTerms | None = COLD_TERMS) -> None:
-        """Runs a test on virtual time with a fleet."""
+        """Runs a test with a fleet in virtual time."""
 
         async def begin() -> None:
             self.fleet = PlatformFleet(gateways=3, engines=engines, cold=cold)
@@ -40,7 +40,7 @@
         run(begin())
 
     def submit_everywhere(self, items: int = 24) -> list:
-        """Hands a batch in at each daemon, all at once."""
+        """Submits a batch to each daemon at the same time."""
         self.specs = [make_batch(f"batch-{number}", items) for number in range(3)]
         return [
             asyncio.create_task(self.oracle.submit(gateway, spec))
@@ -48,7 +48,7 @@
         ]
 
     async def finish(self, seconds: int = 60) -> None:
-        """Waits until all batches are whole."""
+        """Waits until all batches are complete."""
         for _ in range(seconds):
             if len(self.oracle.accepted) == len(self.specs) and not self.oracle.missing():
                 break
@@ -149,7 +149,7 @@
         async def work() -> None:
             state = self.fleet.start_cold_engine(NEW_ENGINE, LONG_SECONDS)
             await self.fleet.wait(0.5)
-            for gateway in self.fleet.gateways:  # the cold one was fast before it turned cold
+            for gateway in self.fleet.gateways:  # the cold engine was fast before it turned cold
                 for name, pace in ((NEW_ENGINE, 0.01), (ENGINE, 0.03), (OTHER_ENGINE, 0.03)):
                     gateway.balancer.record_service_time(name, pace)
             self.specs = [make_batch("batch", 8)]
--- a/tests/test_eventlog.py
+++ b/tests/test_eventlog.py
@@ -1,4 +1,4 @@
-"""Lines of the log can be read back, whatever their fields hold."""
+"""Tests that log lines can be parsed, whatever their fields contain."""
 
 import os
 import unittest
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""The story of an id from logs, the documentation of every event, and a reader that stops."""
+"""Tests of `explain`, of the documentation of events and metrics, and of slow log readers."""
 
 import os
 import time
@@ -38,7 +38,7 @@
 
 
 class ExplainTest(unittest.TestCase):
-    """Stories from a few lines."""
+    """Explanations from a few log lines."""
 
     def test_item_is_told_with_its_batch_in_order(self):
         story = explain(LINES, "i1")
@@ -65,7 +65,7 @@
 
 
 class DocumentationTest(unittest.TestCase):
-    """Every event and every metric is described."""
+    """Every event and every metric is documented."""
 
     def test_every_event_is_documented(self):
         text = (DOCS / "LOGS.md").read_text(encoding="utf-8")
@@ -78,7 +78,7 @@
 
 
 class BoundedLogTest(unittest.TestCase):
-    """The log never holds the process up and is bounded."""
+    """The log is bounded and never blocks the process."""
 
     def test_reader_that_stops_does_not_block(self):
         reader, writer = os.pipe()
--- a/tests/test_fault_kinds.py
+++ b/tests/test_fault_kinds.py
@@ -1,4 +1,4 @@
-"""Kinds of faults that no other test stands for: clock steps, large configurations, fleets."""
+"""Tests of faults without a test module of their own: clock steps, size, changing fleets."""
 
 import re
 import time
@@ -28,7 +28,7 @@
 
 
 class ClockStepTest(unittest.TestCase):
-    """The time of day may jump by seconds, forward or backward."""
+    """The time of day jumps by seconds, forward or backward."""
 
     def test_no_deciding_module_reads_the_time_of_day(self):
         for package in DECIDING_PACKAGES:
@@ -61,7 +61,7 @@
 
 
 class LargeConfigurationTest(unittest.TestCase):
-    """Thousands of routes come at once."""
+    """A configuration with thousands of routes."""
 
     def configuration(self, version: int, service: str) -> Configuration:
         """Returns a configuration whose routes all go to one service."""
@@ -90,7 +90,7 @@
 
 
 class ChangingFleetTest(unittest.TestCase):
-    """Daemons and engines come and go while a batch runs."""
+    """Daemons and engines join and leave while a batch runs."""
 
     def test_new_engines_are_used_soon(self):
         async def play():
@@ -143,7 +143,7 @@
         run(play())
 
     def test_engine_that_falls_silent_is_left_for_another(self):
-        """A cut link: the engine takes the request and says nothing more."""
+        """The link breaks: the engine accepts the request and then sends nothing."""
 
         async def play():
             fleet = PlatformFleet(1, 2)
--- a/tests/test_leaving_clients.py
+++ b/tests/test_leaving_clients.py
@@ -1,6 +1,6 @@
-"""Clients that leave, from their connection to that of the server: nothing goes on for them.
+"""Tests that work stops at all layers when a client disconnects.
 
-A listener, the forwarder and the server adapter stand between real sockets on loopback.
+The listener, the forwarder and the server adapter run between real loopback sockets.
 """
 
 import asyncio
@@ -34,17 +34,17 @@
 
 KINDS = {b"/p/": RouteKind.IDEMPOTENT, b"/o/": RouteKind.RUN_ONCE, b"/s/": RouteKind.STREAM}
 STOP_SECONDS = 0.5
-"""Within so long nothing may go on for a client that left."""
+"""Time after which no work for a disconnected client may continue."""
 FULL = (
     b"HTTP/1.1 503 Full\r\nLarkpost-Attempt-Id: r1\r\nLarkpost-Not-Executed: 1\r\n"
     b"Content-Length: 0\r\n\r\n"
 )
 LARGE = 8_000_000
-"""More than the buffers of both ends of a connection hold."""
+"""More than the buffers at both ends of a connection can hold."""
 
 
 class StallingServer:
-    """Reads requests and never answers them, says that it is full, or does not read at all."""
+    """Reads requests without responding, reports that it is full, or does not read at all."""
 
     def __init__(self) -> None:
         self.is_full = False
@@ -75,7 +75,7 @@
 
 
 class LeavingClientTest(unittest.IsolatedAsyncioTestCase):
-    """Each test sends a request, leaves, and looks at the server half a second later."""
+    """Sends a request, disconnects, and checks the server half a second later."""
 
     async def asyncSetUp(self):
         self.server = StallingServer()
@@ -103,7 +103,7 @@
         self.host, self.port = address.split(":")
 
     async def send(self, path: bytes, body: bytes = b"", length: int | None = None):
-        """Sends a request, or the begin of one, and returns its connection."""
+        """Sends a request or its beginning, and returns the connection."""
         _, writer = await asyncio.open_connection(self.host, int(self.port))
         self.addCleanup(writer.close)
         size = len(body) if length is None else length
@@ -114,7 +114,7 @@
         return writer
 
     async def leave(self, writer) -> None:
-        """Closes a client's connection, and waits until nothing may go on for it."""
+        """Closes a client's connection, and waits until all its work must have stopped."""
         writer.close()
         await asyncio.sleep(STOP_SECONDS)
 
@@ -129,7 +129,7 @@
         for path in KINDS:
             self.server.is_full = True
             writer = await self.send(path)
-            self.assertGreater(self.server.heads, 1)  # it waits, and asks again
+            self.assertGreater(self.server.heads, 1)  # it waits, and tries again
             await self.leave(writer)
             self.server.heads, self.server.is_full = 0, False
             await asyncio.sleep(0.2)
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -1,4 +1,4 @@
-"""What each mechanism of a daemon changes: the same scene with it and without it."""
+"""Tests what each mechanism changes, by running the same scenario with and without it."""
 
 import asyncio
 import random
@@ -48,14 +48,14 @@
 
 
 def make_head(fleet: PlatformFleet) -> BatchHead:
-    """Returns the head of a batch of a fleet's first daemon."""
+    """Returns the head of a batch owned by a fleet's first daemon."""
     spec = make_batch(items=1)
     owner = fleet.gateways[0].id
     return BatchHead(spec.id, spec.host, spec.path, MODEL, 0, 0, 1, 1, owner, 0.0, False, "u")
 
 
 class MechanismsTest(unittest.TestCase):
-    """Each test plays a scene with a mechanism; most play it without it as well."""
+    """Runs a scenario with a mechanism, and mostly without it as well."""
 
     def test_hedged_tries(self):
         async def seconds() -> float:
@@ -70,7 +70,7 @@
             balancer = Balancer(directory, clock, random.Random(1))
             balancer.record_service_time(
                 InstanceId("e0"), 0.01
-            )  # so that the slow one is tried first
+            )  # so that the slow engine is tried first
             balancer.record_service_time(InstanceId("e1"), 0.05)
             forwarder = Forwarder(make_parts(directory, balancer, servers, clock))
             sent = self.client_request(clock)
@@ -87,7 +87,7 @@
 
     def test_faster_engine_moves(self):
         async def moves() -> bool:
-            """Returns whether a long run at a slow engine is given a place at a fast one."""
+            """Returns whether a long run at a slow engine gets a slot at a fast one."""
             fleet = PlatformFleet(gateways=1, engines=0)
             services = fleet.gateways[0].keeper._services
             services.directory = make_directory(2)
@@ -114,7 +114,7 @@
 
     def test_stalled_moves(self):
         async def seconds() -> float:
-            """Returns the time in which a batch is whole though an engine stalls."""
+            """Returns the time to complete a batch while an engine stalls."""
             fleet = PlatformFleet(1, 2)
             first = next(iter(fleet.engines.engines.values()))
             first.stall_after = 1
@@ -143,7 +143,7 @@
 
     def test_own_engines_first(self):
         async def engines() -> int:
-            """Returns how many engines a new batch uses, of which two are its model's own."""
+            """Returns how many engines a new batch uses; two belong to its model."""
             fleet = PlatformFleet(1, 4)
             own = frozenset({InstanceId("engine-0"), InstanceId("engine-1")})
             await fleet.wait(1.0)
@@ -159,7 +159,7 @@
 
     def test_long_runs_wish(self):
         async def wished() -> bool:
-            """Tells whether long runs leave a slow engine though waiting items take all places."""
+            """Returns whether long runs leave a slow engine while waiting items take all slots."""
             fleet = PlatformFleet(1, 2)
             slow, fast = fleet.model_engines()
             slow.event_seconds, fast.event_seconds = 0.085, 0.03
@@ -175,7 +175,7 @@
 
     def test_hold_seconds(self):
         async def results() -> int:
-            """Returns how many results a read gets that may wait while some are there already."""
+            """Returns how many results a waiting read gets if some are already available."""
             fleet = PlatformFleet(1, 4)
             await fleet.wait(1.0)
             spec = make_batch("batch", 12)
@@ -238,7 +238,7 @@
             self.assertEqual(sizes, (len(chosen[FIRST]), len(chosen[SECOND])))
 
     def paces(self) -> tuple[float, float]:
-        """Returns the pace of an instance measured here, and of one told by another daemon."""
+        """Returns the service times of an instance measured here, and of one reported by a peer."""
 
         async def play() -> tuple[float, float]:
             balancer = Balancer(make_directory(2), LoopClock(), random.Random(0))
@@ -301,10 +301,10 @@
 
     def test_probe_refusing(self):
         async def places() -> list[bool]:
-            """Tells whether an engine that refused has a place, at four moments."""
+            """Returns whether an engine that rejected a request has a slot, at four times."""
             balancer = Balancer(make_directory(1), LoopClock(), random.Random(0))
             engine = make_instance("e0", ENGINES)
-            balancer.occupy(engine.id)  # runs there all the time
+            balancer.occupy(engine.id)  # runs there throughout
             balancer.record_not_run(engine.id, NotRunReason.FULL, 0.0)
             found = [balancer.has_free_slot(engine)]
             balancer.occupy(engine.id)
@@ -326,7 +326,7 @@
         self.assertTrue(run(is_avoided()))
 
     def active(self) -> Counter[str]:
-        """Returns how many of 20 idle daemons coordinate, and how many beat often."""
+        """Returns how many of 20 idle daemons coordinate, and how many send frequent heartbeats."""
 
         async def play() -> Counter[str]:
             fleet = PlatformFleet(20, 1)
--- a/tests/test_nearness.py
+++ b/tests/test_nearness.py
@@ -1,4 +1,4 @@
-"""What is near: servers for clients' requests in two regions, and peers of the store."""
+"""Tests of the preference for near servers and near peers."""
 
 import random
 import unittest
@@ -42,10 +42,10 @@
 
 
 class ServersTest(unittest.TestCase):
-    """Client requests before servers in two regions."""
+    """Client requests with servers in two regions."""
 
     def begin(self, *zones: ZoneId, regions: RegionMap = HERE) -> None:
-        """Lists a server in each zone, named s0, s1 and so on."""
+        """Lists one server in each zone, named s0, s1 and so on."""
         self.clock = LoopClock()
         self.servers = ScriptedEngines(self.clock, MODEL)
         self.directory = InstanceDirectory()
@@ -66,21 +66,21 @@
         )
 
     def request(self, *regions: RegionId) -> ClientRequest:
-        """Returns a request that may be served in these regions only."""
+        """Returns a request that may be served only in these regions."""
         now = self.clock.now()
         homes = frozenset(regions)
         return ClientRequest(b"1", "GET", b"h", b"/", (), b"", now, 1.5, regions=homes)
 
     def first(self) -> str:
-        """Returns the server that a client's request would be sent to."""
+        """Returns the server that a client request would be sent to."""
         return self.balancer.candidates(PAGES, for_client=True)[0].id
 
     def firsts(self) -> set[str]:
-        """Returns all servers that it might be sent to, by chance."""
+        """Returns all servers that the request may be sent to, over several random choices."""
         return {self.first() for _ in range(30)}
 
     async def seconds_until_refused(self, *regions: RegionId) -> float:
-        """Returns how long it takes to refuse a request that may be served there only."""
+        """Returns the time to reject a request that may be served only in these regions."""
         began = self.clock.now()
         with self.assertRaises(RefusedError) as caught:
             await self.forwarder.forward(self.request(*regions), ROUTE)
@@ -138,7 +138,7 @@
             self.balancer.record_response(far, 0.5)
             self.balancer.record_response(near, 0.01)
             self.assertEqual({"s1"}, self.firsts())
-            await self.clock.sleep(5.0)  # the paces are forgotten, the way is not
+            await self.clock.sleep(5.0)  # the service times are forgotten, the latency is not
             for _ in range(3):
                 self.balancer.occupy(far.id)
             for _ in range(4):
@@ -163,7 +163,9 @@
             self.balancer.record_response(near, 0.04)
             self.balancer.record_response(far, 0.08)
             self.assertEqual({"s1"}, self.firsts())
-            for _ in range(2):  # three in four slots wait longer than one that has twice the way
+            for _ in range(
+                2
+            ):  # three requests on four slots wait longer than one at twice the distance
                 self.balancer.occupy(near.id)
             self.assertEqual({"s0"}, self.firsts())
 
@@ -193,13 +195,13 @@
 
 
 class NearPeerTest(unittest.TestCase):
-    """Which peers make the calls of a daemon that the store turns away."""
+    """Selection of the peers that relay store calls."""
 
     KEY = RowKey(ITEM_TABLE, "b0", "key")
     CHANGE = Transaction(puts=((KEY, b"value"),))
 
     def begin(self, **distances: Distance) -> None:
-        """Starts a daemon with these peers; it is refused."""
+        """Starts a daemon with these peers; the store rejects the daemon."""
         self.clock = LoopClock()
         self.memory = MemoryStore(self.clock)
         self.direct = StoreClient(self.memory)
@@ -214,7 +216,7 @@
         self.store.start(lambda: peers, tasks, lambda table: table == ITEM_TABLE)
 
     def connect(self, address: Address) -> StoreClient:
-        """Returns the store by way of a peer."""
+        """Returns the store as reached through a peer."""
         self.asked.append(address)
         return self.peers[address]
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""The one answer to whether work may go to an instance: asked for a choice, and before a send."""
+"""Tests that the placement rules apply both at the choice of an instance and before the send."""
 
 import unittest
 from dataclasses import replace
@@ -25,24 +25,24 @@
 
 
 class OnceRule:
-    """Lets one send through, as a rule that counts sends does."""
+    """Allows one send, as a rule that counts sends does."""
 
     def __init__(self) -> None:
         self.left = 1
 
     def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
-        """Tells whether a send is left."""
+        """Returns whether a send is left."""
         return PlacementDecision.ALLOWED if self.left else PlacementDecision.COLD
 
     def admit(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
-        """Takes a send."""
+        """Consumes a send."""
         verdict = self.evaluate(instance, work)
         self.left = 0
         return verdict
 
 
 class PlacementTest(unittest.TestCase):
-    """Each rule forbids both the choice and the send."""
+    """Each rule rejects both the choice and the send."""
 
     def setUp(self) -> None:
         self.directory = InstanceDirectory()
@@ -52,7 +52,7 @@
         self.placement = Placement(self.directory, (self.rule,), self.metrics)
 
     def refusal(self, work: Work = CLIENT_WORK) -> NotRunReason | None:
-        """Returns why a send must not be made; None if it may."""
+        """Returns why a send is rejected; None if it is allowed."""
         try:
             self.placement.admit(ENGINE.id, work)
         except NotRunError as error:
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop ends within its grace time, whatever is silent meanwhile."""
+"""Tests that a graceful shutdown ends within the grace time, even if something is unresponsive."""
 
 import asyncio
 import unittest
@@ -14,7 +14,7 @@
 
 
 class SilentStoreTest(unittest.TestCase):
-    """The store is down while a daemon that owns a batch is asked to stop."""
+    """A daemon that owns a batch is stopped while the store is down."""
 
     def test_stop_ends_before_the_kill(self) -> None:
         async def play() -> float:
@@ -43,7 +43,7 @@
 
 
 class ListenerTest(unittest.IsolatedAsyncioTestCase):
-    """A listener that is closed does not wait for an answer that never ends."""
+    """Closing a listener does not wait for an endless response."""
 
     async def test_close_cuts_an_answer_that_does_not_end(self) -> None:
         called = asyncio.Event()
--- a/tests/test_platform_fuzz.py
+++ b/tests/test_platform_fuzz.py
@@ -1,11 +1,11 @@
 """Stateful fuzz of a fleet over the platform's contract, against an oracle.
 
-Hypothesis chooses what happens: batches come, daemons are killed, suspended, cut off and added,
-clients come, requests and items crash the servers that run them, the store is
-down, refuses, loses answers, carries writes out late and forgets its history, engines go down and
-break streams, versions are named, zones are evacuated, batches are ended. What must hold at all
-times is checked after each step; at the end everything heals but one zone's evacuation, and every
-accepted batch must become whole, also one that comes then.
+Hypothesis generates the events: batches are submitted and ended; daemons are killed, suspended,
+disconnected and added; clients send requests; requests and items crash servers; the store is down,
+rejects calls, loses responses, applies writes late and loses its history; engines go down and break
+streams; versions are announced; zones are evacuated. Invariants are checked after each step. At the
+end everything but one zone's evacuation heals, and every accepted batch must complete, including
+one submitted then.
 """
 
 import asyncio
@@ -33,10 +33,9 @@
 ENGINES = 4
 SCORERS = 2
 COLD_TERMS = ColdTerms(overage=0.25, slack=4)
-"""So few requests a second that most plays come to the bound: 6."""
+"""Limits low enough that most runs reach them: 6 requests per second."""
 NEWS_SECONDS = 2.0
-"""After this long a daemon has heard that an engine is cold, or counts itself as one that hears
-nothing."""
+"""Time after which a daemon has learned that an engine is cold, or knows that its view is stale."""
 MAX_STARTED = 3
 CRASHING_TARGET = b"/s/crashing"
 CLIENT_TARGETS = (b"/s/page-1", b"/s/page-2", CRASHING_TARGET)
@@ -44,21 +43,21 @@
 SCORER_TROUBLES = ("none", "down", "broken", "unsigned", "failing")
 MAX_VERSION_GAP = 1
 LAST_ITEMS = 28
-"""More than one zone's engines have places for, when every daemon knows what is evacuated."""
+"""More than the slots of one zone's engines, for when every daemon knows of the evacuation."""
 LIVENESS_SECONDS = 90
-"""Seconds after all faults within which every accepted batch is whole."""
+"""Time after all faults within which every accepted batch completes."""
 
 
 class PlatformMachine(RuleBasedStateMachine):
-    """What happens; the oracle remembers what was promised and read."""
+    """The generated events; the oracle records what was accepted and read."""
 
     @initialize(
         troubles=st.tuples(*[st.sampled_from(SCORER_TROUBLES)] * SCORERS), at_home=st.booleans()
     )
     def begin(self, troubles, at_home):
-        """Starts a fleet whose scoring servers may be ill from the beginning.
+        """Starts a fleet whose scoring servers may be faulty from the beginning.
 
-        Its daemons and engines may stand in two regions, of which only one may serve.
+        Its daemons and engines may be in two regions, of which only one may serve.
         """
         self.loop = async_solipsism.EventLoop()
         self.dead: set[int] = set()
@@ -93,7 +92,7 @@
         return self.loop.run_until_complete(work)
 
     def living(self, choice: int):
-        """Returns a gateway that is neither dead nor suspended, or None."""
+        """Returns a gateway that is neither dead nor suspended; None if there is none."""
         alive = [
             number
             for number, clock in enumerate(self.fleet.clocks)
@@ -139,7 +138,7 @@
 
     @rule(choice=st.integers(0, 9), page=st.sampled_from(CLIENT_TARGETS))
     def ask(self, choice, page):
-        """A client asks for a page, or for what crashes the servers that run it."""
+        """A client requests a page, or sends a request that crashes servers."""
         gateway = self.living(choice)
         if gateway is not None:
             number = self.fleet.gateways.index(gateway)
@@ -153,7 +152,7 @@
 
     @rule(number=st.integers(0, 3))
     def crash_engines(self, number):
-        """Items of this number crash each engine that runs them, from now on."""
+        """From now on, items with this number crash each engine that runs them."""
         if len(self.fleet.engines.crashing) < MOST_CRASHING:
             self.fleet.engines.crashing.add(f"/r/{number}".encode())
 
@@ -179,7 +178,7 @@
 
     @rule(choice=st.integers(0, 9))
     def cut(self, choice):
-        """A daemon loses the store, or has it back."""
+        """A daemon loses the store, or reaches it again."""
         client = self.fleet.clients[choice % len(self.fleet.clients)]
         client.cut_off = not client.cut_off
 
@@ -197,19 +196,19 @@
         )
     )
     def trouble_store(self, fault):
-        """The store falls ill, or heals."""
+        """The store becomes faulty, or heals."""
         self.fleet.store.faults = fault
 
     @rule()
     def forget_history(self):
-        """The store forgets its history."""
+        """The store loses its change history."""
         self.fleet.store.forget_history()
 
     @rule(number=st.integers(0, ENGINES - 1), down=st.booleans())
     def trouble_engine(self, number, down):
-        """An engine goes down or comes back."""
+        """An engine goes down or recovers."""
         engine = InstanceId(f"engine-{number}")
-        if engine not in self.fleet.crashed_at:  # another one follows a crashed engine
+        if engine not in self.fleet.crashed_at:  # a crashed engine is followed by another one
             self.fleet.engines.engines[engine].down = down
 
     @rule(seconds=st.sampled_from([1.0, 3.0, 10.0]))
@@ -228,12 +227,12 @@
 
     @rule(number=st.integers(0, ENGINES - 1), after=st.sampled_from([None, 0, 2]))
     def break_streams(self, number, after):
-        """An engine begins or ceases to break its streams off."""
+        """An engine starts or stops breaking its streams."""
         self.fleet.engines.engines[InstanceId(f"engine-{number}")].break_after = after
 
     @rule(number=st.integers(0, SCORERS - 1), trouble=st.sampled_from(SCORER_TROUBLES))
     def trouble_scorer(self, number, trouble):
-        """A server that scores outputs falls ill, or heals."""
+        """A server that scores outputs becomes faulty, or heals."""
         scorer = InstanceId(f"scorer-{number}")
         state = self.fleet.engines.engines[scorer]
         state.down = trouble == "down" or scorer in self.fleet.crashed_at
@@ -243,13 +242,13 @@
 
     @rule()
     def name_version(self):
-        """A trainer names the next version."""
+        """A trainer announces the next version."""
         self.version += 1
         self.run(self._do(self.fleet.put, "operator", MODEL, str(self.version).encode()))
 
     @rule(zone=st.sampled_from(ZONES), on=st.booleans())
     def evacuate(self, zone, on):
-        """The operator evacuates a zone, or ends that."""
+        """The operator evacuates a zone, or ends the evacuation."""
         change = self.fleet.evacuate if on else self.fleet.end_evacuation
         self.run(self._do(change, zone))
 
@@ -258,12 +257,12 @@
 
     @invariant()
     def promises_hold(self):
-        """What must hold at all times; see the oracle."""
+        """Checks the invariants; see the oracle."""
         if hasattr(self, "oracle"):
             self.oracle.check()
 
     def teardown(self):
-        """Heals everything; then every accepted batch must become whole."""
+        """Heals everything; then every accepted batch must complete."""
         if not hasattr(self, "oracle"):
             return
         try:
@@ -288,11 +287,15 @@
             state.unsigned = False
             state.status = None
         if len(fleet.evacuated_zones()) == len(ZONES):
-            fleet.end_evacuation(ZONES[0])  # the other one stays: batches become whole without it
+            fleet.end_evacuation(
+                ZONES[0]
+            )  # the other zone stays evacuated: batches complete without it
         while len(fleet.gateways) - len(self.dead) < GATEWAYS:
             fleet.add_gateway(f"daemon-{len(fleet.gateways)}")
         if self.oracle.homes is not None:
-            fleet.add_gateway(f"daemon-{len(fleet.gateways)}", EAST_ZONES[0])  # one must live there
+            fleet.add_gateway(
+                f"daemon-{len(fleet.gateways)}", EAST_ZONES[0]
+            )  # at least one must be alive there
         await self._finish()
         await fleet.wait(EVACUATE_SECONDS)
         last = make_batch("last", LAST_ITEMS, scored=True)
@@ -313,7 +316,7 @@
     deadline=None,
     derandomize=not FRESH,
     database=None,
-    # Shrinking a failure takes minutes; it is done on wish.
+    # Shrinking a failure takes minutes, so it is optional.
     phases=(Phase.generate, Phase.shrink) if SHRINK else (Phase.generate,),
     suppress_health_check=list(HealthCheck),
 )
--- a/tests/test_platform_ingress.py
+++ b/tests/test_platform_ingress.py
@@ -1,4 +1,4 @@
-"""The client side against clients that send too much, too slowly, or leave."""
+"""Tests of the ingress with clients that send too much, too slowly, or disconnect."""
 
 import asyncio
 import socket
@@ -43,7 +43,7 @@
 
 
 class ScriptedForwarder:
-    """Answers every request by itself and notes what it was given."""
+    """Responds to every request itself, and records the requests."""
 
     def __init__(self) -> None:
         self.requests = []
@@ -52,7 +52,7 @@
         self.error = None
 
     async def forward(self, request, _route):
-        """Answers a request."""
+        """Responds to a request."""
         self.requests.append(request)
         if self.error is not None:
             raise self.error
@@ -66,7 +66,7 @@
 
     @asynccontextmanager
     async def stream(self, request, _route):
-        """Answers with a stream that breaks off."""
+        """Responds with a stream that breaks."""
         self.requests.append(request)
         try:
             yield BrokenStream(self.delay)
@@ -76,7 +76,7 @@
 
 
 class BrokenStream:
-    """A stream that breaks off after its first event."""
+    """A stream that breaks after its first event."""
 
     status = 200
     headers = ((b"Content-Type", b"text/event-stream"),)
@@ -92,7 +92,7 @@
 
 
 class IngressTest(unittest.IsolatedAsyncioTestCase):
-    """Each test talks to a listener over a plain connection."""
+    """Talks to a listener over a plain connection."""
 
     async def asyncSetUp(self):
         self.configuration = ConfigurationState()
@@ -131,7 +131,7 @@
         return reader, writer
 
     async def exchange(self, content: bytes) -> bytes:
-        """Sends bytes and returns all that comes back until the connection closes."""
+        """Sends bytes, and returns everything received until the connection closes."""
         reader, writer = await self.connect()
         writer.write(content)
         return await asyncio.wait_for(reader.read(), 3)
@@ -219,7 +219,7 @@
         self.assertEqual([], self.forwarder.requests)
 
     async def test_client_that_left_before_it_was_read_is_not_served(self):
-        """Its whole request and its close lie in the socket when a busy loop reads it."""
+        """The complete request and the close are in the socket buffer when a busy loop reads it."""
         for prefix in (b"/p/", b"/s/"):
             for body in (b"", b"a" * 4000):
                 head = b"POST %bx HTTP/1.1\r\nHost: pages.example\r\nContent-Length: %d\r\n\r\n"
@@ -228,7 +228,7 @@
                 self.assertEqual([], self.forwarder.requests)
 
     async def test_client_that_left_by_a_reset_before_it_was_read_is_not_served(self):
-        linger = struct.pack("ii", 1, 0)  # closing discards what is unsent, and resets
+        linger = struct.pack("ii", 1, 0)  # closing discards unsent bytes and resets the connection
         self.send_and_leave(b"GET /p/x HTTP/1.1\r\nHost: pages.example\r\n\r\n", linger)
         await self.rest()
         self.assertEqual([], self.forwarder.requests)
@@ -259,7 +259,7 @@
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
 
     async def rest(self) -> None:
-        """Lets the listener do all that it has to do."""
+        """Lets the listener finish its pending work."""
         await asyncio.sleep(0.1)
 
     async def test_broken_stream_does_not_look_complete(self):
@@ -284,7 +284,7 @@
         self.assertIn(b"connection: close\r\n", answer)
 
     def too_large(self, *lines: bytes) -> tuple[bytes, bytes]:
-        """Returns the head and the body of a request that is refused before its body is read."""
+        """Returns the head and the body of a request that is rejected before its body is read."""
         head = (b"POST /p/x HTTP/1.1", b"Host: pages.example", b"Content-Length: 6000")
         return b"\r\n".join((*head, *lines)) + b"\r\n\r\n", b"a" * 6000
 
@@ -352,7 +352,7 @@
         self.assertEqual([], self.forwarder.requests)
 
     async def answered_before(self, refused: bytes, status: bytes) -> None:
-        """Checks that what is refused does not answer the requests that came before it."""
+        """Checks that a rejection does not answer earlier requests."""
         self.forwarder.delay = 2 * LIMITS.header_time
         self.forwarder.requests.clear()
         reader, writer = await self.connect()
--- a/tests/test_platform_servers.py
+++ b/tests/test_platform_servers.py
@@ -1,4 +1,4 @@
-"""The server adapter against servers that break their promises in every way it must notice."""
+"""Tests of the server adapter with servers that violate the protocol."""
 
 import asyncio
 import socket
@@ -28,12 +28,12 @@
 
 
 def whole(body: bytes, headers: bytes = ECHO, status: bytes = b"200 OK") -> bytes:
-    """Returns a framed answer."""
+    """Returns a response with a content length."""
     return b"HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s" % (status, headers, len(body), body)
 
 
 def chunked(*parts: bytes, end: bool = True) -> bytes:
-    """Returns an answer in chunks."""
+    """Returns a chunked response."""
     content = b"HTTP/1.1 200 OK\r\n" + ECHO + b"Transfer-Encoding: chunked\r\n\r\n"
     for part in parts:
         content += b"%x\r\n%s\r\n" % (len(part), part)
@@ -41,7 +41,7 @@
 
 
 class ScriptedServer:
-    """Answers the requests of each connection from a list of byte strings, in turn."""
+    """Responds to the requests of each connection from a list of byte strings, in order."""
 
     def __init__(self, *answers: bytes, reset: bool = False, late: bytes = b"") -> None:
         self._answers = list(answers)
@@ -102,7 +102,7 @@
 
 
 class ClosingServer(ScriptedServer):
-    """Answers one request, and closes the connection once it has read the next one."""
+    """Responds to one request, and closes the connection after reading the next one."""
 
     def __init__(self, *, is_dead: bool) -> None:
         super().__init__(whole(b"", ECHO), whole(b"", ECHO))
@@ -130,12 +130,12 @@
 
 
 def stand_still(seconds: float) -> None:
-    """Holds the whole process up, as a freeze does."""
+    """Blocks the whole process, like a freeze."""
     time.sleep(seconds)
 
 
 class ServerAdapterTest(unittest.IsolatedAsyncioTestCase):
-    """Each test serves scripted bytes."""
+    """Serves scripted bytes."""
 
     def setUp(self):
         self.servers = None
@@ -149,7 +149,7 @@
             return b"".join([chunk async for chunk in answer.chunks()])
 
     async def events(self, server: ScriptedServer, sent: OutgoingRequest):
-        """Sends a request and returns its events, and the error that ended them."""
+        """Sends a request, and returns its events and the error that ended them."""
         self.servers = HttpServers()
         self.addAsyncCleanup(self.servers.close)
         found = []
@@ -162,7 +162,7 @@
         return found, None
 
     async def use_twice(self, told: str, rest: float) -> int:
-        """Returns the connections that two requests take, with a rest between them."""
+        """Returns the connections that two requests use, with a pause between them."""
         header = ECHO + f"Keep-Alive: timeout={told}\r\n".encode()
         answers = whole(b"first", header), whole(b"second", header.replace(b"r1", b"r2"))
         async with ScriptedServer(*answers) as server:
@@ -191,7 +191,7 @@
             self.assertFalse(self.servers.is_connected(server.instance))
 
     async def test_refusal_that_names_no_request_closes_its_connection(self):
-        """It could come a second time, and pass for the refusal of the next request."""
+        """A repeated one could be taken for the rejection of the next request."""
         full = whole(b"full", b"Larkpost-Not-Executed: 1\r\n", b"503 Service Unavailable")
         done = whole(b"done", ECHO.replace(b"r1", b"r2"))
         async with ScriptedServer(full, done) as server:
@@ -227,7 +227,7 @@
         self.assertEqual(2, await self.use_twice("1", 0.05))
 
     async def test_answer_too_many_on_an_idle_connection(self):
-        """Bytes that arrive on an idle connection are no answer to the next request."""
+        """Bytes that arrive on an idle connection are not a response to the next request."""
         second = whole(b"second", ECHO.replace(b"r1", b"r2"))
         async with ScriptedServer(whole(b"first"), second, late=whole(b"first")) as server:
             self.assertEqual(b"first", await self.fetch(server, request(1)))
@@ -337,7 +337,7 @@
         full.bind(("127.0.0.1", 0))
         full.listen(0)
         address = Address(f"127.0.0.1:{full.getsockname()[1]}")
-        queued = socket.create_connection(full.getsockname())  # nobody accepts it
+        queued = socket.create_connection(full.getsockname())  # nobody accepts the connection
         self.addCleanup(queued.close)
         silent = replace(server.instance, address=address)
         self.assertIs(PortState.SILENT, await servers.probe(silent, 0.2))
@@ -368,7 +368,7 @@
                 self.assertFalse([line for line in lines if line.startswith(added)])
 
     async def test_answer_before_the_body_was_read(self):
-        """The rest of a body never stands where the server expects the next request."""
+        """The rest of a body is never sent where the server expects the next request."""
         streams: list[bytes] = []
 
         async def answer_early(reader, writer):
@@ -383,7 +383,7 @@
                 while chunk := await asyncio.wait_for(reader.read(65536), 0.3):
                     streams[number] += chunk
             except (TimeoutError, ConnectionError):
-                pass  # the client has given the connection up
+                pass  # the client has closed the connection
             writer.close()
 
         async with ScriptedServer() as server:
@@ -397,7 +397,7 @@
                 try:
                     content = await self.fetch(server, request(number, body=body))
                 except BrokenResponseError:
-                    continue  # the answer may also be given up
+                    continue  # the response may also be abandoned
                 self.assertEqual(b"early", content)
             await asyncio.sleep(0.7)
         self.assertEqual(2, len(streams))
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""What counts as a crash, how daemons tell each other, and how a request is cleared."""
+"""Tests of crash detection, of sharing crashes between daemons, and of clearing requests."""
 
 import unittest
 from dataclasses import replace
@@ -49,23 +49,23 @@
 
 
 class Probes:
-    """Servers whose ports are as a test says."""
+    """Servers whose probe results a test controls."""
 
     def __init__(self, state: PortState) -> None:
         self.state = state
         self.asked = 0
 
     async def probe(self, instance: InstanceInfo, timeout: float) -> PortState:
-        """Sees whether a server listens."""
+        """Returns the scripted probe result."""
         self.asked += 1
         return self.state
 
 
 class CrashWatchTest(unittest.TestCase):
-    """A server that left a request without an answer, and what shows that it has crashed."""
+    """A server that did not respond to a request, and the evidence that it has crashed."""
 
     def begin(self, state: PortState) -> None:
-        """Lists a server that left a request."""
+        """Lists a server that did not respond to a request."""
         self.clock = LoopClock()
         self.directory = InstanceDirectory()
         self.probes = Probes(state)
@@ -81,7 +81,7 @@
         )
 
     def check_found(self, *evidence: CrashEvidence) -> None:
-        """Checks how the server was found to have crashed, if at all."""
+        """Checks the evidence of the server's crash, or that there is none."""
         expected = [("a", {CONTENT}, how) for how in evidence]
         self.assertEqual(expected, self.found)
 
@@ -192,10 +192,10 @@
 
 
 class RecorderTest(unittest.TestCase):
-    """A recorder over a store, and a second one that hears of it by rows."""
+    """A recorder with a store, and a second one that receives the rows."""
 
     def begin(self) -> None:
-        """Starts both."""
+        """Starts both recorders."""
         self.clock = LoopClock()
         self.store = MemoryStore(self.clock)
         self.tasks = TaskSet(self.clock, Telemetry("t", log=False))
@@ -204,7 +204,7 @@
         self.others, self.other = self.make()
 
     def make(self) -> tuple[KnownCrashes, CrashRecorder]:
-        """Returns a recorder that has started, and what it knows."""
+        """Returns a started recorder and its known crashes."""
         crashes = KnownCrashes()
         repository = CrashRepository(StoreClient(self.store))
         writer = CrashWriter(repository, self.clock)
@@ -213,13 +213,13 @@
         return crashes, recorder
 
     def crash(self, count: int, first: int = 0) -> None:
-        """Has some servers crash under the request."""
+        """Crashes some servers during the request."""
         for number in range(first, first + count):
             contents = (digest_request(REQUEST),)
             self.recorder.record_crash(InstanceId(f"i{number}"), contents, CrashEvidence.DEAD_PORT)
 
     def tell_other(self) -> None:
-        """Has the second recorder hear of all rows, those that are gone too."""
+        """Passes all rows to the second recorder, including removals."""
         stored = {key: row for key, row in self.store.rows.items() if key.part == CRASH_PART}
         for crash in self.others.older_than(float("inf")):
             key = RowKey(CRASH_TABLE, CRASH_PART, f"{crash.content}/{crash.instance}")
@@ -311,7 +311,7 @@
 
 
 class GuardTest(unittest.TestCase):
-    """Requests by way of the guard to one server."""
+    """Requests through the quarantine to one server."""
 
     def begin(self) -> None:
         """Starts a server."""
@@ -327,15 +327,15 @@
         self.served_requests: list[OutgoingRequest] = []
 
     def record_lost_connection(self, content: ContentDigest, instance: InstanceInfo) -> None:
-        """Takes what a watch is told."""
+        """Records what the crash detector is told."""
         self.lost.append(content)
 
     def record_success(self, request: OutgoingRequest) -> None:
-        """Takes what a recorder is told."""
+        """Records what the crash recorder is told."""
         self.served_requests.append(request)
 
     async def send(self) -> None:
-        """Sends the request and reads its answer."""
+        """Sends the request and reads the response."""
         async with self.guard.send(self.instance, REQUEST) as answer:
             async for _ in answer.chunks():
                 pass
--- a/tests/test_quarantine_fleet.py
+++ b/tests/test_quarantine_fleet.py
@@ -1,4 +1,4 @@
-"""Requests that crash each server that runs them, and come again at any daemon under new ids."""
+"""Tests of requests that crash each server, and are retried at any daemon under new ids."""
 
 import asyncio
 import unittest
@@ -18,15 +18,15 @@
 SERVERS = 3
 REPEATS = 6
 PAUSE_SECONDS = 4.0
-"""Between two repeats: crashed servers are back."""
+"""Time between two retries, after which crashed servers are back."""
 BATCH_SECONDS = 25.0
 SAVED_SECONDS = 0.1
-"""Within this a crash stands in the store."""
+"""Time after which a crash is in the store."""
 OUTAGE_SECONDS = 6.0
 
 
 async def begin(gateways: int = 3) -> tuple[PlatformFleet, Caller]:
-    """Starts a fleet whose servers one request crashes, and returns it with a client."""
+    """Starts a fleet whose servers crash under one request, and returns it with a client."""
     fleet = PlatformFleet(gateways, engines=0, scorers=SERVERS)
     fleet.engines.crashing.add(CRASHING)
     await fleet.wait(1.0)
@@ -76,7 +76,7 @@
             )
             before = len(fleet.arrivals)
             self.assertEqual({502, 503}, await self.ask_all(caller))
-            self.assertEqual(before + 1, len(fleet.arrivals))  # a trial is due by now, and only one
+            self.assertEqual(before + 1, len(fleet.arrivals))  # exactly one trial is due by now
             self.assertEqual({503}, await self.ask_all(caller))
             self.assertEqual(before + 1, len(fleet.arrivals))
 
@@ -89,7 +89,7 @@
                 crashing = f"/s/crashing-{repeat}".encode()
                 fleet.engines.crashing.add(crashing)
                 for scorer in fleet.scorers():
-                    scorer.event_seconds = 0.2  # so that it is at the servers when they crash
+                    scorer.event_seconds = 0.2  # so that it runs at the servers when they crash
                 beside = [caller.ask_twice(repeat + n, b"/s/beside") for n in range(2)]
                 await asyncio.gather(caller.ask_twice(repeat, crashing), *beside)
                 await fleet.wait(TRIAL_DELAYS_SECONDS[0] + SAVED_SECONDS)
@@ -117,7 +117,7 @@
         run(play())
 
     async def ask_all(self, caller: Caller) -> set[int]:
-        """Asks all daemons at once for what crashes servers, and returns their answers."""
+        """Sends the crashing request to all daemons at once, and returns their responses."""
         return set(await asyncio.gather(*(caller.ask(n, CRASHING) for n in range(3))))
 
     def test_no_trial_is_made_without_the_store(self):
--- a/tests/test_route_shares.py
+++ b/tests/test_route_shares.py
@@ -1,4 +1,4 @@
-"""How a route's requests are divided among its services."""
+"""Tests of the traffic split of a route among its services."""
 
 import random
 import unittest
@@ -14,7 +14,7 @@
 
 
 class ShareTest(unittest.TestCase):
-    """Weights of a route's services, over many daemons with few requests each."""
+    """Weights of a route's services, across many daemons with few requests each."""
 
     def test_few_requests_at_many_daemons_keep_the_weights(self):
         shares = (ServiceShare(ENGINES, 0.7), ServiceShare(PAGES, 0.3))
--- a/tests/test_steady_division.py
+++ b/tests/test_steady_division.py
@@ -1,6 +1,6 @@
-"""Load: three models whose trainers guess the work of each step differently, over many steps.
+"""Tests that engine assignments stay stable while three models' work estimates vary by step.
 
-An engine that changes its model lacks the other one's version when the next batch comes.
+An engine that changes its model does not have the version that the next batch needs.
 """
 
 import random
@@ -19,20 +19,20 @@
 from tests.virtual import run
 
 WORKS = {ModelName("short"): 70_000, ModelName("long"): 130_000, ModelName("longest"): 140_000}
-"""Tokens that a step of each model takes on average."""
+"""Average tokens per step of each model."""
 SPREAD = 0.2
-"""Share by which the guess of a step's work is off, on average: of 80 items some are many times as
-long as the others, and each guess is half as long again or more."""
+"""Relative error of the estimate of a step's work: some of the 80 items are many times as long as
+the others, and each estimate is at least 50% too long."""
 POOL = Service(ServiceName("s"), 100, slots=8, models=tuple(WORKS))
 ENGINES = 22
 STEPS = 30
 
 
 class SteadyDivisionTest(unittest.TestCase):
-    """Engines that change their models from step to step."""
+    """Engines that change their models between steps."""
 
     def begin(self) -> None:
-        """Begins with engines that hold the first version of each model, and no batch."""
+        """Starts with engines that hold the first version of each model, and no batch."""
         self.directory = make_directory(ENGINES, POOL.name, slots=8)
         for engine in self.directory.of_service(POOL.name):
             for model in POOL.models:
@@ -50,7 +50,7 @@
         self.heads.record(row)
 
     def play_step(self, step: int, works: dict[ModelName, int]) -> dict[ModelName, list]:
-        """Has each model's batch come, and its version loaded; returns the division then."""
+        """Submits each model's batch, loads its version, and returns the assignment."""
         for model, work in works.items():
             self.record_batch(model, step, work * self.rng.gauss(1.0, SPREAD))
         engines = self.directory.of_service(POOL.name)
--- a/tests/test_uneven_division.py
+++ b/tests/test_uneven_division.py
@@ -1,6 +1,6 @@
-"""Load: four models on engines of which some are lastingly 2.4 times as slow as others.
+"""Tests the assignment of four models to engines of which some are 2.4 times as slow.
 
-A model whose share were all slow engines would be late with every step.
+A model with only slow engines would be late with every step.
 """
 
 import random
@@ -14,17 +14,17 @@
 from tests.server_parts import make_directory
 
 FAST, USUAL, SLOW = 0.033, 0.047, 0.08
-"""Seconds for an event at engines of 0.7 times the usual time, the usual time, and 1.7 times."""
+"""Seconds per event at engines with 0.7, 1.0 and 1.7 times the usual service time."""
 MODELS = tuple(ModelName(name) for name in ("a", "b", "c", "d"))
 FOUR = Service(ServiceName("s"), 100, slots=8, models=MODELS)
 WORKS = dict(zip(MODELS, (1512, 1512, 792, 1680), strict=True))
-"""Events that a step of each model takes."""
+"""Events per step of each model."""
 DEMANDS = {model: ModelDemand(work) for model, work in WORKS.items()}
 ENGINES = 24
 
 
 class SpeedTest(unittest.TestCase):
-    """Steps of speed."""
+    """Speed classes."""
 
     def test_steps(self):
         cases = (
@@ -48,7 +48,7 @@
 
 
 class UnevenDivisionTest(unittest.TestCase):
-    """The division of uneven engines."""
+    """Assignment of engines with different speeds."""
 
     def setUp(self):
         self.directory = make_directory(ENGINES, FOUR.name, slots=8)
@@ -59,7 +59,7 @@
         self.paces = dict.fromkeys(names[:half], FAST) | dict.fromkeys(names[half:], SLOW)
 
     def divide(self) -> dict[ModelName, list[InstanceId]]:
-        """Returns the division by work and pace."""
+        """Returns the assignment by work and service time."""
         engines = self.directory.of_service(FOUR.name)
         return assign_models(FOUR, engines, self.directory, DEMANDS, self.paces.__getitem__)
 
--- a/tests/test_uneven_machines.py
+++ b/tests/test_uneven_machines.py
@@ -1,7 +1,6 @@
-"""Duties by the capacity of machines: the rule of choice, what a daemon reports, and a small fleet.
+"""Tests of choosing daemons for duties by machine capacity.
 
-The load: machines of 0.387 to 2.15 cores and 160 to 552 MB, of which those of an earlier build do
-not report what they can bear.
+Machines have 0.387 to 2.15 cores and 160 to 552 MB; those of an earlier build report no capacity.
 """
 
 import asyncio
@@ -47,12 +46,12 @@
 
 
 def unweighted_choice(key: str, names: list[DaemonId]) -> DaemonId:
-    """Returns the choice of builds that know no capacities."""
+    """Returns the choice of builds without capacities."""
     return max(names, key=lambda name: hash64(f"{name}\x00{key}"))
 
 
 class FirstChoiceTest(unittest.TestCase):
-    """Which coordinator is named for a key."""
+    """Choice of a coordinator for a key."""
 
     def choices(self, capacities) -> dict[str, DaemonId]:
         """Returns the choice for each key."""
@@ -65,7 +64,7 @@
             self.assertAlmostEqual(capacity / whole, counts[name] / len(KEYS), delta=0.02)
 
     def test_every_hash_gives_a_choice(self):
-        """The lowest and the highest one among them."""
+        """Including the lowest and the highest hash."""
         for value in (0, HASH_SPACE_SIZE - 1):
             with (
                 self.subTest(value=value),
@@ -99,7 +98,7 @@
 
 
 class CoordinatorsTest(unittest.TestCase):
-    """Which daemons coordinate: 20 of 2 cores and 60 of 0.4."""
+    """Choice of coordinators among 20 daemons with 2 cores and 60 with 0.4."""
 
     def setUp(self):
         self.fleet = {DaemonId(f"m{number}/1"): "region" for number in range(80)}
@@ -108,7 +107,7 @@
         }
 
     def chosen(self, capacities=None) -> set[DaemonId]:
-        """Returns the daemons that are to coordinate."""
+        """Returns the expected coordinators."""
         return {name for name in self.fleet if should_coordinate(name, self.fleet, 1.0, capacities)}
 
     def test_as_many_coordinate_whatever_their_capacities(self):
@@ -130,23 +129,23 @@
 
 
 class LateClock:
-    """A clock that is set by hand, and whose sleeps end late."""
+    """A manually set clock whose sleeps end late."""
 
     def __init__(self) -> None:
         self.time = 100.0
 
     def now(self) -> float:
-        """Returns the time that was set."""
+        """Returns the current set time."""
         return self.time
 
     async def sleep(self, seconds: float) -> None:
-        """Sleeps longer than was asked for."""
+        """Sleeps longer than requested."""
         self.time += seconds + LATE_LOOP_SECONDS + 0.1
         await asyncio.sleep(0)
 
 
-class OwnCapacityTest(unittest.TestCase):
-    """What a daemon reports."""
+class DaemonCapacityTest(unittest.TestCase):
+    """Reported capacity of a daemon."""
 
     def test_capacity_by_cores_and_memory(self):
         for cores, memory, expected in (
@@ -162,14 +161,14 @@
 
     def test_daemon_whose_loop_is_late_reports_less_for_a_while(self):
         clock = LateClock()
-        watch = EventLoopMonitor(clock, RecordingLog())
-        capacity = DaemonCapacity(2.0, watch, clock)
+        monitor = EventLoopMonitor(clock, RecordingLog())
+        capacity = DaemonCapacity(2.0, monitor, clock)
         self.assertEqual(2.0, capacity.now())
 
         async def measure():
             tasks = TaskSet(LoopClock(), UnreportedFailures())
-            watch.start(tasks)
-            while watch.late_at < 0:
+            monitor.start(tasks)
+            while monitor.late_at < 0:
                 await asyncio.sleep(0)
             tasks.cancel_all()
 
@@ -185,10 +184,10 @@
 
 
 class FleetTest(unittest.TestCase):
-    """Thirty daemons over a store in memory, on virtual time."""
+    """Thirty daemons with an in-memory store, in virtual time."""
 
     async def start(self, capacities: list[float | None]) -> list[Membership]:
-        """Starts daemons that report these capacities, and waits until they know each other."""
+        """Starts daemons with these capacities, and waits until they know each other."""
         clock = LoopClock()
         store = MemoryStore(clock)
         fleet = []
@@ -221,7 +220,7 @@
         virtual.run(play())
 
     def test_all_agree_with_a_daemon_of_an_earlier_build(self):
-        """As many daemons as coordinate, so that it is one of them."""
+        """There are only as many daemons as coordinators, so it is one of them."""
 
         async def play():
             fleet = await self.start([2.0] * 5 + [0.4] * (COORDINATOR_COUNT - 6) + [None])
--- a/tests/test_yielding.py
+++ b/tests/test_yielding.py
@@ -1,4 +1,4 @@
-"""Load: a batch with time to spare beside one of another model that waits for places."""
+"""Tests that a batch with time to spare yields engines to a batch that waits for slots."""
 
 import unittest
 
@@ -19,10 +19,10 @@
 
 
 class YieldingTest(unittest.TestCase):
-    """Which engines a batch uses once it is no longer new."""
+    """Engines that a batch uses once it is no longer new."""
 
     def engines_used(self, *, yields: bool) -> int:
-        """Returns how many of four engines a batch uses, of which two are its model's own."""
+        """Returns how many of four engines a batch uses; two belong to its model."""
 
         async def play() -> int:
             fleet = PlatformFleet(1, 4)
