--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -51,7 +51,7 @@
 
         run(play())
 
-    def test_a_request_more_or_a_slower_pace_outweighs_the_connection(self):
+    def test_higher_load_or_service_time_outweighs_the_connection(self):
         async def play():
             balancer = self.begin()
             balancer.occupy(InstanceId("e0"))
@@ -68,7 +68,7 @@
 class PaceTest(unittest.TestCase):
     """Service times of instances reported by other daemons."""
 
-    def test_pace_that_a_daemon_does_not_know_hides_none_that_another_told(self):
+    def test_unknown_service_time_of_a_peer_does_not_hide_a_reported_one(self):
         async def play():
             balancer = Balancer(InstanceDirectory(), LoopClock(), random.Random(0))
             engine = InstanceId("e0")
@@ -98,7 +98,7 @@
 
         run(play())
 
-    def test_instances_and_daemons_that_are_gone_are_forgotten(self):
+    def test_removed_instances_and_daemons_are_forgotten(self):
         """Both return under new names, so stale state would accumulate."""
 
         async def play():
@@ -115,7 +115,7 @@
 
         run(play())
 
-    def test_instance_with_a_request_is_remembered_when_its_entry_is_gone(self):
+    def test_instance_with_an_open_request_is_kept_without_its_entry(self):
         async def play():
             balancer = Balancer(InstanceDirectory(), LoopClock(), None)
             with balancer.count_request("engine"):
--- a/tests/test_batch_times.py
+++ b/tests/test_batch_times.py
@@ -54,13 +54,13 @@
         self.assertEqual("whole:2 full:1", row["runs"])
         self.assertEqual("failed:1 scored:1", row["reward calls"])
 
-    def test_what_no_line_tells_is_left_open(self):
+    def test_times_missing_from_the_logs_are_empty(self):
         row = self.row(1)
         self.assertEqual("3.00", row["accepted"])
         self.assertEqual("-", row["whole"])
         self.assertEqual("-", row["wanted"])
 
-    def test_no_lines_make_no_rows(self):
+    def test_no_lines_give_no_rows(self):
         self.assertEqual([], table(read_batch_times(["nothing"])))
 
 
--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -45,22 +45,22 @@
         self.assertEqual(0, self.budget.held(MemoryPurpose.REQUEST_BODIES))
         self.assertEqual(MB, self.budget.total)
 
-    def test_bytes_are_released_when_their_holder_fails(self):
+    def test_bytes_are_released_on_an_exception(self):
         with self.assertRaises(ValueError), self.budget.reserve(MemoryPurpose.ANSWERS, MB):
             raise ValueError
         self.assertEqual(0, self.budget.total)
 
-    def test_nothing_is_reserved_without_room_and_what_was_stays(self):
+    def test_rejected_reservation_keeps_the_others(self):
         self.budget.reserve(MemoryPurpose.REQUEST_BODIES, 10 * MB)
         with self.assertRaises(MemoryBudgetError):
             self.budget.reserve(MemoryPurpose.REQUEST_BODIES, 1)
         self.assertEqual(10 * MB, self.budget.total)
 
-    def test_reservation_of_nothing_is_never_refused(self):
+    def test_empty_reservation_is_never_rejected(self):
         self.budget.reserve(MemoryPurpose.REQUEST_BODIES, 10 * MB)
         self.budget.reserve(MemoryPurpose.REQUEST_BODIES, 0)
 
-    def test_growing_beyond_the_room_keeps_what_was_reserved(self):
+    def test_rejected_growth_keeps_the_reserved_bytes(self):
         body = self.budget.reserve(MemoryPurpose.REQUEST_BODIES, 9 * MB)
         with self.assertRaises(MemoryBudgetError):
             body.grow(2 * MB)
@@ -73,7 +73,7 @@
         self.assertGreaterEqual(min(waits), RETRY_AFTER_SECONDS)
         self.assertLessEqual(max(waits), 2 * RETRY_AFTER_SECONDS)
 
-    def test_refusal_names_its_holder_and_size(self):
+    def test_rejection_reports_owner_purpose_and_size(self):
         refused = []
         self.budget.on_rejection = lambda reservation, size: refused.append(
             (reservation.owner, reservation.purpose, size)
@@ -88,7 +88,7 @@
         self.budget.set_held(MemoryPurpose.BATCHES, 4 * MB)
         self.assertEqual(6 * MB, self.budget.free)
 
-    def test_small_bodies_find_room_beside_batches_that_fill_the_budget(self):
+    def test_small_bodies_fit_while_batches_fill_the_budget(self):
         self.budget.set_held(MemoryPurpose.BATCHES, 12 * MB)
         most = int(10 * MB * SMALL_BODIES_FRACTION)
         for _ in range(most // 800):
@@ -97,7 +97,7 @@
             with self.assertRaises(MemoryBudgetError):
                 self.budget.reserve(purpose, 801)
 
-    def test_new_batches_are_taken_while_those_held_leave_half_of_the_budget(self):
+    def test_new_batches_are_accepted_up_to_half_of_the_budget(self):
         self.budget.set_held(MemoryPurpose.BATCHES, 5 * MB)
         self.budget.reserve(MemoryPurpose.SUBMISSIONS, MB).release()
         self.budget.set_held(MemoryPurpose.BATCHES, 5 * MB + 1)
@@ -105,7 +105,7 @@
             self.budget.reserve(MemoryPurpose.SUBMISSIONS, 1)
         self.budget.reserve(MemoryPurpose.REQUEST_BODIES, 4 * MB)
 
-    def test_bytes_missing(self):
+    def test_shortfall(self):
         """Bytes to release before a reservation fits; batches are never released for one."""
         self.budget.set_held(MemoryPurpose.BATCHES, 6 * MB)
         self.budget.reserve(MemoryPurpose.ANSWERS).force_grow(5 * MB)
@@ -119,7 +119,7 @@
             with self.subTest(purpose=purpose, size=size):
                 self.assertEqual(shortfall, self.budget.shortfall(purpose, size))
 
-    def test_forty_answers_that_take_their_shares_fit_but_for_the_least_that_each_may_hold(self):
+    def test_forty_responses_exceed_the_budget_only_by_their_minimum(self):
         """Forty slow clients with responses larger than the budget."""
         for _ in range(40):
             answer = self.budget.reserve(MemoryPurpose.STREAMS)
@@ -128,12 +128,12 @@
         self.assertLess(self.budget.total, 10 * MB + 40 * MIN_ANSWER_LIMIT_BYTES)
         self.assertGreater(self.budget.total, 9 * MB)
 
-    def test_one_answer_may_hold_a_part_of_what_is_free(self):
+    def test_response_limit_is_a_fraction_of_the_free_bytes(self):
         answer = self.budget.reserve(MemoryPurpose.ANSWERS)
         self.assertTrue(answer.fits_answer_limit(10 * MB // ANSWER_LIMIT_DIVISOR))
         self.assertFalse(answer.fits_answer_limit(10 * MB // ANSWER_LIMIT_DIVISOR + 1))
 
-    def test_room_is_short_once_half_is_held(self):
+    def test_memory_is_low_once_half_is_held(self):
         body = self.budget.reserve(MemoryPurpose.REQUEST_BODIES, 5 * MB)
         self.assertFalse(self.budget.is_low)
         body.grow(1)
@@ -188,7 +188,7 @@
 class OpenResponseTest(unittest.IsolatedAsyncioTestCase):
     """Responses that are streamed to the client."""
 
-    async def test_calls_whose_responses_are_not_used_are_ended(self):
+    async def test_unused_responses_are_closed(self):
         ended = []
 
         def opened(name: str) -> StreamedResponse:
@@ -206,7 +206,7 @@
             self.assertEqual([given_up], ended)
         self.assertEqual([given_up, ("used", None)], ended)
 
-    async def test_all_unused_calls_are_ended_though_the_request_is_cancelled_meanwhile(self):
+    async def test_all_unused_responses_are_closed_despite_cancellation(self):
         ended = []
 
         def opened(name: str) -> StreamedResponse:
@@ -245,7 +245,7 @@
             self.assertEqual((100, 100), (request.size, memory.budget.total))
         self.assertEqual(0, memory.budget.total)
 
-    def test_refusal_is_logged_with_its_request(self):
+    def test_rejection_is_logged_with_its_request(self):
         log = RecordingLog()
         memory = DaemonMemory(MB, Instruments(LoopClock(), log))
         with memory.request() as request, self.assertRaises(MemoryBudgetError):
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -57,7 +57,7 @@
         for spec in self.specs:
             check_results(self, spec, self.fleet.stored_results(spec.id))
 
-    def test_three_owners_fill_a_new_engine_in_one_instant(self) -> None:
+    def test_three_owners_fill_a_new_engine_at_once(self) -> None:
         async def work() -> None:
             await asyncio.gather(*self.submit_everywhere())
             await self.fleet.wait(2.0)
@@ -67,7 +67,7 @@
 
         self.play(work)
 
-    def test_batches_that_begin_while_all_engines_are_cold_still_flow(self) -> None:
+    def test_batches_that_start_while_all_engines_are_cold_progress(self) -> None:
         async def work() -> None:
             for number in range(4):
                 self.fleet.start_cold_engine(InstanceId(f"cold-{number}"), LONG_SECONDS)
@@ -103,7 +103,7 @@
 
         self.play(work)
 
-    def test_store_away(self) -> None:
+    def test_store_outage(self) -> None:
         async def work() -> None:
             state = self.fleet.start_cold_engine(NEW_ENGINE, LONG_SECONDS)
             await asyncio.gather(*self.submit_everywhere(60))
@@ -131,7 +131,7 @@
 
         self.play(work)
 
-    def test_cold_again_and_only_its_answers_say_so(self) -> None:
+    def test_engine_turns_cold_and_only_its_responses_report_it(self) -> None:
         async def work() -> None:
             state = self.fleet.engines.engines[ENGINE]
             state.event_seconds = 0.01
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -76,7 +76,7 @@
         gone = Row(removal, b"", 2, removed=True)
         self.assertEqual(ZoneEvacuation(NORTH, is_on=False), operator.read_evacuation(gone))
 
-    def test_other_rows_say_nothing_also_when_they_are_gone(self):
+    def test_other_rows_and_their_removals_are_ignored(self):
         for key in (names.CONFIGURATION_KEY, f"{names.VERSION_KEY_PREFIX}m", "evacuates"):
             for removed in (False, True):
                 self.assertIsNone(self.read(key, removed=removed))
@@ -89,7 +89,7 @@
 class RuleTest(unittest.TestCase):
     """Which work the evacuation rule rejects."""
 
-    def test_requests_are_forbidden_and_orders_are_not(self):
+    def test_requests_are_rejected_and_orders_allowed(self):
         evacuations = Evacuations()
         evacuations.begin(NORTH, 0.0)
         rule = EvacuationRule(evacuations)
@@ -144,7 +144,7 @@
 
         run(play())
 
-    def test_no_server_elsewhere_is_refused_at_once(self):
+    def test_request_without_a_server_elsewhere_is_rejected_at_once(self):
         async def play():
             self.begin(*ZONES)
             for kind in (RouteKind.IDEMPOTENT, RouteKind.RUN_ONCE):
@@ -173,7 +173,7 @@
 class NotSentTest(unittest.TestCase):
     """A send that a rule rejects at the last moment does not count against the server."""
 
-    def test_server_is_there_for_other_work_and_once_the_evacuation_has_ended(self):
+    def test_server_stays_usable_for_other_work_and_after_the_evacuation(self):
         async def play():
             balancer = Balancer(InstanceDirectory(), LoopClock(), random.Random(1))
             for reason in (NotRunReason.EVACUATED, NotRunReason.OUTSIDE_REGIONS):
@@ -225,7 +225,7 @@
         for engine in self.north | self.south:
             self.assertEqual(2, self.directory.version_of(engine, MODEL))
 
-    def test_engine_that_cannot_load_holds_up_the_evacuated_ones_for_its_turns_only(self):
+    def test_engine_that_cannot_load_delays_evacuated_ones_only_for_its_turns(self):
         late = LOAD_GROUP_COUNT * GROUP_TURN_SECONDS + 0.1
         self.assertTrue(self.due(late) & self.north)
 
@@ -291,7 +291,7 @@
 
         run(play())
 
-    def test_begin_and_end_have_one_line_each(self):
+    def test_begin_and_end_are_logged_once(self):
         async def play():
             await self.begin(gateways=1)
             log = RecordingLog()
@@ -307,7 +307,7 @@
 
         run(play())
 
-    def test_end_and_new_begin_within_one_answer_of_the_feed(self):
+    def test_end_and_new_begin_in_one_feed_response(self):
         async def play():
             await self.begin()
             await self.change(NORTH)
@@ -317,7 +317,7 @@
 
         run(play())
 
-    def test_begin_and_end_within_one_answer_of_the_feed(self):
+    def test_begin_and_end_in_one_feed_response(self):
         async def play():
             await self.begin()
             self.fleet.evacuate(NORTH)
@@ -369,7 +369,7 @@
 
         run(play())
 
-    def test_end_is_learnt_when_the_feed_lost_it(self):
+    def test_end_is_learned_after_the_feed_lost_it(self):
         async def play():
             await self.begin(gateways=1)
             await self.change(NORTH)
@@ -383,7 +383,7 @@
 
         run(play())
 
-    def test_begin_is_learnt_when_the_feed_lost_it(self):
+    def test_begin_is_learned_after_the_feed_lost_it(self):
         async def play():
             await self.begin(gateways=1)
             self.fleet.evacuate(NORTH)
@@ -405,7 +405,7 @@
 
         run(play())
 
-    def test_daemon_that_the_store_turns_away_hears_through_a_peer(self):
+    def test_daemon_rejected_by_the_store_learns_through_a_peer(self):
         async def play():
             await self.begin(relays=True)
             self.fleet.clients[0].refused = True
@@ -417,7 +417,7 @@
 
         run(play())
 
-    def test_broken_run_goes_on_outside_the_zone(self):
+    def test_broken_run_continues_outside_the_zone(self):
         async def play():
             self.enterContext(switched_off.pauses_after_failures())
             await self.begin(gateways=1)
@@ -435,7 +435,7 @@
 
         run(play())
 
-    def test_run_under_way_ends_where_it_is(self):
+    def test_running_item_finishes_in_the_zone(self):
         async def play():
             await self.begin(gateways=1)
             spec = make_batch(items=8)
@@ -448,7 +448,7 @@
 
         run(play())
 
-    def test_gauges_tell_when_a_zone_is_empty(self):
+    def test_gauges_show_when_a_zone_is_empty(self):
         async def play():
             await self.begin(gateways=1)
             gateway = self.fleet.gateways[0]
@@ -477,7 +477,7 @@
         self.assertIn('larkpost_evacuated{zone="north"} 1.0', text)
         self.assertIn(f'larkpost_evacuated_requests{{zone="north"}} {count}.0', text)
 
-    def test_request_at_an_instance_that_left_the_list_is_counted(self):
+    def test_request_at_an_unlisted_instance_is_counted(self):
         async def play():
             await self.begin(gateways=1)
             gateway = self.fleet.gateways[0]
@@ -514,7 +514,7 @@
 class CheckTest(unittest.TestCase):
     """The bound check that the fuzz test uses."""
 
-    def test_trouble_within_the_bound_excuses_and_later_trouble_does_not(self):
+    def test_only_faults_within_the_bound_are_excuses(self):
         self.assertEqual(15.0, known_by(10.0, []))
         self.assertEqual(18.0, known_by(10.0, [(12.0, 13.0)]))
         self.assertEqual(23.0, known_by(10.0, [(12.0, 13.0), (17.0, 18.0)]))
--- a/tests/test_eventlog.py
+++ b/tests/test_eventlog.py
@@ -12,7 +12,7 @@
 class LineTest(unittest.TestCase):
     """Lines written to a pipe."""
 
-    def test_tables_by_members_of_an_enumeration(self) -> None:
+    def test_dictionaries_keyed_by_enum_members(self) -> None:
         reader, writer = os.pipe()
         log = EventLog("daemon-1", NonBlockingWriter(writer))
         log.record(Event.REQUEST_FAILED, request="r1", verdicts={PlacementDecision.COLD: 2})
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -40,19 +40,19 @@
 class ExplainTest(unittest.TestCase):
     """Explanations from a few log lines."""
 
-    def test_item_is_told_with_its_batch_in_order(self):
+    def test_item_is_explained_with_its_batch_in_order(self):
         story = explain(LINES, "i1")
         events = [entry.split()[3] for entry in story if " s  " in entry]
         self.assertEqual(["batch_accepted", "batch_owned", "item_run", "appended"], events)
         self.assertNotIn("i2 ", "".join(story[2:3]))
         self.assertIn("missing: the batch's end", story[-1])
 
-    def test_request_with_its_end_misses_nothing(self):
+    def test_finished_request_has_nothing_missing(self):
         story = explain(LINES, "r")
         self.assertEqual(1, len(story))
         self.assertIn("outcome=refused", story[0])
 
-    def test_name_of_a_server_stands_for_all_its_starts(self):
+    def test_server_name_matches_all_its_incarnations(self):
         lines = [
             f'{{"timestamp":{at},"message_type":"instance","instance":"{instance}"}}'
             for at, instance in ((1, "i-7@1700000000000"), (2, "i-7@1700000004000"), (3, "i-70"))
@@ -60,7 +60,7 @@
         self.assertEqual(2, len(explain(lines, "i-7")))
         self.assertEqual(1, len(explain(lines, "i-7@1700000004000")))
 
-    def test_unknown_id_is_said_to_be_unknown(self):
+    def test_unknown_id_is_reported(self):
         self.assertIn("no line names", explain(LINES, "nobody")[0])
 
 
@@ -80,7 +80,7 @@
 class BoundedLogTest(unittest.TestCase):
     """The log is bounded and never blocks the process."""
 
-    def test_reader_that_stops_does_not_block(self):
+    def test_stopped_reader_does_not_block(self):
         reader, writer = os.pipe()
         self.addCleanup(os.close, reader)
         self.addCleanup(os.close, writer)
@@ -92,7 +92,7 @@
         self.assertLess(time.monotonic() - began, 5.0)
         self.assertGreater(lines.dropped, 0)
 
-    def test_lines_over_the_budget_are_counted(self):
+    def test_lines_over_the_limit_are_counted(self):
         reader, writer = os.pipe()
         self.addCleanup(os.close, reader)
         self.addCleanup(os.close, writer)
--- a/tests/test_fault_kinds.py
+++ b/tests/test_fault_kinds.py
@@ -30,7 +30,7 @@
 class ClockStepTest(unittest.TestCase):
     """The time of day jumps by seconds, forward or backward."""
 
-    def test_no_deciding_module_reads_the_time_of_day(self):
+    def test_no_decision_reads_the_time_of_day(self):
         for package in DECIDING_PACKAGES:
             for path in sorted((SOURCE / package).rglob("*.py")):
                 if "stand_in" not in path.parts:
@@ -82,7 +82,7 @@
         self.assertIsNone(current.match("h1", b"/p0/x"))
         self.assertIsNone(current.match("h0", b"/p0"))
 
-    def test_older_one_that_arrives_later_changes_nothing(self):
+    def test_late_older_configuration_is_ignored(self):
         state = ConfigurationState()
         self.assertTrue(state.update(self.configuration(9, "new")))
         self.assertFalse(state.update(self.configuration(4, "old")))
@@ -124,7 +124,7 @@
 
         run(play())
 
-    def test_engines_that_go_down_and_up_by_turns_hold_no_item_up(self):
+    def test_engines_that_fail_in_turn_delay_no_item(self):
         async def play():
             fleet = PlatformFleet(2, 3)
             await fleet.wait(1.0)
@@ -142,7 +142,7 @@
 
         run(play())
 
-    def test_engine_that_falls_silent_is_left_for_another(self):
+    def test_unresponsive_engine_is_replaced_by_another(self):
         """The link breaks: the engine accepts the request and then sends nothing."""
 
         async def play():
--- a/tests/test_held_bytes.py
+++ b/tests/test_held_bytes.py
@@ -243,7 +243,7 @@
 class BodyTest(Case):
     """Request bodies at a daemon with a budget of 8 MB."""
 
-    async def test_body_without_room_is_refused_before_it_is_sent(self):
+    async def test_body_that_does_not_fit_is_rejected_before_it_is_sent(self):
         """Only the head is sent, so the response cannot have waited for the body."""
         no_room = b"no_room: "
         codes = {b"/p/x": no_room, b"/o/x": no_room, b"/s/x": no_room}
@@ -260,7 +260,7 @@
         self.assertEqual(0, self.memory.budget.total)
         self.assertEqual(3, len(self.lines(Event.NO_ROOM)))
 
-    async def test_rest_of_a_refused_body_is_no_request(self):
+    async def test_rest_of_a_rejected_body_is_not_parsed_as_a_request(self):
         evil = self.request(b"evil", b"/o/evil")
         body = evil * (9 * MB // len(evil))
         reader, writer = await self.connect()
@@ -269,7 +269,7 @@
         self.assertEqual((200, b"00000"), (await self.response(reader))[::2])
         self.assertEqual([b"good"], [body for _, body in self.server.requests])
 
-    async def test_connection_whose_body_was_refused_is_left_by_itself_only_after_its_rest(self):
+    async def test_connection_of_a_rejected_body_is_idle_only_after_the_rest(self):
         """It is not idle while the rest arrives, does not parse it as a head, and is reused."""
         reader, writer = await self.connect()
         writer.write(self.head(b"/p/x", b"Content-Length: %d" % (9 * MB)))
@@ -284,7 +284,7 @@
         writer.write(half[20:])
         self.assertEqual(200, (await self.response(reader))[0])
 
-    async def test_chunked_body_is_refused_once_it_grows_beyond_the_room(self):
+    async def test_chunked_body_is_rejected_once_it_exceeds_the_budget(self):
         evil = self.request(b"evil", b"/o/evil")
         chunk = b"%x\r\n%b\r\n" % (len(evil) * 1000, evil * 1000)
         reader, writer = await self.connect()
@@ -314,14 +314,14 @@
         self.assertEqual(200, (await self.response(second[0]))[0])
         self.assertEqual([body, body], [body for _, body in self.server.requests])
 
-    async def test_room_comes_back_when_a_client_leaves_within_its_body(self):
+    async def test_memory_is_released_when_a_client_leaves_within_its_body(self):
         _, writer = await self.connect()
         writer.write(self.head(b"/p/x", b"Content-Length: %d" % (5 * MB)) + bytes(MB))
         await self.wait_until(lambda: self.memory.budget.total > 0)
         writer.transport.abort()
         await self.wait_until(lambda: self.memory.budget.total == 0)
 
-    async def test_body_that_stalls_is_given_up_with_a_promise(self):
+    async def test_stalled_body_is_rejected_as_not_run(self):
         for framing in (b"Content-Length: %d" % MB, b"Transfer-Encoding: chunked"):
             reader, writer = await self.connect()
             writer.write(self.head(b"/o/x", framing))
@@ -332,7 +332,7 @@
             self.assertEqual(b"", await reader.read())
         self.assertEqual([], self.server.requests)
 
-    async def test_body_that_trickles_is_given_up_with_a_promise(self):
+    async def test_trickling_body_is_rejected_as_not_run(self):
         """It never stalls for long; afterwards its memory is free, and the request has not run."""
         for framing in (b"Content-Length: %d" % (7 * MB), b"Transfer-Encoding: chunked"):
             reader, writer = await self.connect()
@@ -350,7 +350,7 @@
             await self.wait_until(lambda: self.memory.budget.total == 0)
         self.assertEqual([], self.server.requests)
 
-    async def test_body_that_comes_slowly_at_the_least_rate_is_read(self):
+    async def test_body_at_the_minimum_rate_is_read(self):
         """It takes longer than the stall timeout."""
         reader, writer = await self.connect()
         with (
@@ -394,14 +394,14 @@
         writer.write(body + self.request(b"good", b"/o/good"))
         self.assertEqual(200, (await self.response(reader))[0])
 
-    async def test_client_that_waits_for_leave_to_send_is_refused_without_it(self):
+    async def test_client_that_expects_100_continue_is_rejected_without_it(self):
         reader, writer = await self.connect()
         length = b"Content-Length: %d" % (9 * MB)
         writer.write(self.head(b"/p/x", length, b"Expect: 100-continue"))
         status, headers, _ = await self.response(reader)
         self.assertEqual((503, b"close"), (status, headers[b"connection"]))
 
-    async def test_body_larger_than_configured_is_no_question_of_room(self):
+    async def test_body_above_the_configured_size_is_not_a_budget_error(self):
         for path in (b"/p/x", b"/b/x"):
             reader, writer = await self.connect()
             writer.write(self.head(path, b"Content-Length: %d" % (34 * MB)))
@@ -422,7 +422,7 @@
 class AnswerTest(Case):
     """Responses at a daemon with a budget of 8 MB."""
 
-    async def test_answer_larger_than_the_budget_arrives_whole(self):
+    async def test_response_larger_than_the_budget_arrives_complete(self):
         self.server.size = 20 * MB
         for says_length in (True, False):
             self.server.says_length = says_length
@@ -434,14 +434,14 @@
             self.assertTrue(body == body_of(20 * MB))
         await self.wait_until(lambda: self.memory.budget.total == 0)
 
-    async def test_answer_that_fits_is_given_once_it_is_whole(self):
+    async def test_response_that_fits_is_sent_once_complete(self):
         """So another server can be tried if the first one aborts the response."""
         self.server.size, self.server.breaks_after = MB, MB // 2
         reader, writer = await self.connect()
         writer.write(self.request(b""))
         self.assertEqual(502, (await self.response(reader))[0])
 
-    async def test_answer_that_is_passed_on_and_breaks_off_does_not_look_whole(self):
+    async def test_broken_streamed_response_does_not_look_complete(self):
         self.server.size, self.server.breaks_after = 20 * MB, 5 * MB
         for says_length in (True, False):
             self.server.says_length = says_length
@@ -451,7 +451,7 @@
                 await self.response(reader)
         await self.wait_until(lambda: self.memory.budget.total == 0)
 
-    async def test_answer_that_breaks_off_is_recorded_as_failed_and_its_server_avoided(self):
+    async def test_broken_response_is_recorded_as_failed_and_its_server_avoided(self):
         self.server.size, self.server.breaks_after = 20 * MB, 5 * MB
         reader, writer = await self.connect()
         writer.write(self.request(b""))
@@ -462,7 +462,7 @@
         (line,) = self.lines(Event.REQUEST_FAILED)
         self.assertEqual("request_failed", line["outcome"])
 
-    async def test_answer_is_recorded_as_served_once_it_is_whole(self):
+    async def test_response_is_recorded_as_served_once_complete(self):
         self.server.size = 20 * MB
         reader, writer = await self.connect(reads_little=True)
         writer.write(self.request(b""))
@@ -472,7 +472,7 @@
             await reader.readexactly(20 * MB)
         self.assertEqual([200], [line["status"] for line in self.lines(Event.REQUEST_DONE)])
 
-    async def test_time_of_a_request_ends_an_answer_whose_server_falls_silent_within_it(self):
+    async def test_time_limit_ends_a_response_whose_server_stalls(self):
         self.server.size, self.server.breaks_after = 20 * MB, 5 * MB
         self.server.pause = 2 * WAIT_SECONDS
         reader, writer = await self.connect()
@@ -482,7 +482,7 @@
         self.assertEqual(1, len(self.lines(Event.ATTEMPT_FAILED)))
         self.assertEqual("request_timeout", self.lines(Event.REQUEST_FAILED)[0]["outcome"])
 
-    async def test_time_that_a_client_takes_ends_no_answer(self):
+    async def test_slow_client_does_not_use_up_the_time_limit(self):
         self.server.size = 3 * MB
         reader, writer = await self.connect(reads_little=True)
         writer.write(self.head(b"/p/x", b"Content-Length: 0", b"Larkpost-Deadline-Ms: 800"))
@@ -492,7 +492,7 @@
             await asyncio.sleep(0.05)
         self.assertEqual(1, len(self.lines(Event.REQUEST_DONE)))
 
-    async def test_failure_that_is_too_large_to_be_held_is_given_up(self):
+    async def test_failure_response_too_large_to_hold_is_dropped(self):
         self.server.size, self.server.status = 20 * MB, 500
         for path in (b"/p/x", b"/o/x"):
             reader, writer = await self.connect()
@@ -500,7 +500,7 @@
             self.assertEqual(502, (await self.response(reader))[0])
         await self.wait_until(lambda: self.memory.budget.total == 0)
 
-    async def test_answer_of_a_slow_client_is_read_from_its_server(self):
+    async def test_response_to_a_slow_client_is_read_from_its_server(self):
         """The client reads nothing; the server's response is read as far as it fits."""
         size = 9 * MB // 10
         self.server.size = size
@@ -513,7 +513,7 @@
             self.assertEqual(body_of(size), (await self.response(reader))[2])
             await self.wait_until(lambda: self.memory.budget.total == 0)
 
-    async def test_answer_beyond_the_share_waits_at_its_server(self):
+    async def test_response_beyond_the_limit_waits_at_its_server(self):
         self.server.size = 20 * MB
         reader, writer = await self.connect(reads_little=True)
         writer.write(self.request(b""))
@@ -523,7 +523,7 @@
         self.assertLess(self.memory.budget.total, 2 * MB)
         self.assertTrue((await self.response(reader))[2] == body_of(20 * MB))
 
-    async def test_client_that_takes_nothing_is_let_go_and_its_server_with_it(self):
+    async def test_stalled_client_is_disconnected_and_its_request_cancelled(self):
         for path, size in ((b"/p/x", 20 * MB), (b"/s/x", 20 * MB), (b"/p/x", MB // 2)):
             self.server.size, cuts = size, self.server.cuts
             reader, writer = await self.connect(reads_little=True)
@@ -537,7 +537,7 @@
                 await self.response(reader)
         self.assertEqual(["stalled"] * 3, [line["reason"] for line in self.lines(Event.READER_CUT)])
 
-    async def test_what_is_held_shows_in_the_metrics(self):
+    async def test_held_bytes_are_in_the_metrics(self):
         _, writer = await self.connect()
         writer.write(self.head(b"/p/x", b"Content-Length: %d" % (5 * MB)))
         await self.wait_until(lambda: self.memory.budget.total > 0)
@@ -555,7 +555,7 @@
         body = base64.b64encode(bytes(size)).decode()
         return orjson.dumps({"requests": [{"id": "i", "path": "/x", "body": body}]})
 
-    async def test_batch_at_the_limit_is_refused_whole_and_taken_once_there_is_room(self):
+    async def test_batch_at_the_limit_is_rejected_and_accepted_once_it_fits(self):
         """Its body fits, but not the memory needed to read and store it."""
         held = self.memory.budget.reserve(MemoryPurpose.REQUEST_BODIES, 5 * MB)
         reader, writer = await self.connect()
@@ -580,7 +580,7 @@
         writer.write(self.request(bytes(MB)))
         self.assertEqual(503, (await self.response(reader))[0])
 
-    async def test_batch_is_refused_while_those_held_take_half_of_the_budget(self):
+    async def test_batch_is_rejected_while_others_hold_half_of_the_budget(self):
         reader, writer = await self.connect()
         for held, status in ((4 * MB + 1, 503), (4 * MB, 202)):
             self.memory.budget.set_held(MemoryPurpose.BATCHES, held)
@@ -588,7 +588,7 @@
             self.assertEqual(status, (await self.response(reader))[0])
         self.assertEqual(1, len(self.batches.submitted))
 
-    async def test_batch_that_never_fits_is_told_to_be_split_before_its_body_is_read(self):
+    async def test_batch_that_never_fits_is_rejected_before_its_body_is_read(self):
         """A body above a quarter of the budget, even if its length is known only at its end."""
         batch = self.submission(2 * MB)
         chunk = b"%x\r\n%b\r\n0\r\n\r\n" % (len(batch), batch)
@@ -604,7 +604,7 @@
         self.assertEqual([], self.batches.submitted)
         self.assertEqual([], self.lines(Event.NO_ROOM))
 
-    async def test_page_of_results_without_room_is_refused(self):
+    async def test_result_page_that_does_not_fit_is_rejected(self):
         self.batches.text = "x" * MB
         held = self.memory.budget.reserve(MemoryPurpose.REQUEST_BODIES, 7 * MB + 1)
         reader, writer = await self.connect()
@@ -638,7 +638,7 @@
         writer.write(self.request(b""))
         self.assertEqual(502, (await self.response(reader))[0])
 
-    async def test_call_is_judged_once_its_body_is_read(self):
+    async def test_call_is_admitted_once_its_body_is_read(self):
         reader, writer = await self.connect()
         request = self.request(bytes(MB), b"/none")
         writer.write(request[:-1])
@@ -666,7 +666,7 @@
 class AcceptedBatchTest(unittest.IsolatedAsyncioTestCase):
     """A batch that its daemon has just accepted."""
 
-    async def test_it_counts_at_once(self):
+    async def test_accepted_batch_is_counted_at_once(self):
         budget = MemoryBudget(100 * MB)
         head = BatchHead(BatchId("b"), "h", "/", "m", 0, 0, 0, 1, "d", 0.0, False, "u")
         repository = mock.AsyncMock()
@@ -704,7 +704,7 @@
         cache.evict_idle(set())
         self.assertEqual(0, budget.held(MemoryPurpose.BATCHES))
 
-    def test_views_not_in_use_keep_to_a_part_of_the_budget(self):
+    def test_unused_views_are_limited_to_a_part_of_the_budget(self):
         budget = MemoryBudget(16 * MB)
         cache = ViewCache(budget)
         for name, size in (("old", MB), ("new", MB + 1), ("used", 3 * MB)):
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -84,7 +84,7 @@
         made = instance_id(InstanceName(name), started_at_ms)
         self.assertEqual((name, started_at_ms), split_instance_id(made))
 
-    def test_server_that_does_not_say_its_start_is_known_by_its_name(self) -> None:
+    def test_server_without_a_start_time_is_identified_by_its_name(self) -> None:
         self.assertEqual("engine-3", instance_id(NAME, None))
 
 
@@ -96,7 +96,7 @@
         self.ended: list[InstanceId] = []
         self.directory.add_removal_listener(self.ended.append)
 
-    def test_later_incarnation_ends_the_one_before(self) -> None:
+    def test_later_incarnation_replaces_the_previous_one(self) -> None:
         self.directory.update(FIRST)
         self.directory.observe_version(FIRST.id, MODEL, 9)
         self.directory.update(SECOND)
@@ -104,7 +104,7 @@
         self.assertEqual([SECOND], list(self.directory.all()))
         self.assertEqual(1, self.directory.version_of(SECOND.id, MODEL))
 
-    def test_late_word_of_the_earlier_one_changes_nothing(self) -> None:
+    def test_late_entry_of_an_earlier_incarnation_is_ignored(self) -> None:
         self.directory.update(SECOND)
         self.directory.update(incarnation(FIRST_START, InstanceState.LEAVING))
         self.directory.observe_version(FIRST.id, MODEL, 9)
@@ -112,13 +112,13 @@
         self.assertEqual(1, self.directory.version_of(SECOND.id, MODEL))
         self.assertEqual([], self.ended)
 
-    def test_server_that_was_leaving_serves_once_it_has_started_again(self) -> None:
+    def test_leaving_server_serves_after_a_restart(self) -> None:
         self.directory.update(incarnation(FIRST_START, InstanceState.LEAVING))
         self.assertEqual([], self.directory.of_service(SERVICE))
         self.directory.update(SECOND)
         self.assertEqual([SECOND], self.directory.of_service(SERVICE))
 
-    def test_server_that_was_replaced_at_its_address_serves_once_it_has_started_again(self) -> None:
+    def test_replaced_server_serves_after_a_restart(self) -> None:
         self.directory.update(FIRST)
         self.directory.mark_replaced(FIRST.id)
         self.directory.update(FIRST)
@@ -126,17 +126,17 @@
         self.directory.update(SECOND)
         self.assertEqual([SECOND], list(self.directory.all()))
 
-    def test_entry_without_a_start_is_of_the_incarnation_that_is_known(self) -> None:
+    def test_entry_without_a_start_time_updates_the_known_incarnation(self) -> None:
         self.directory.update(FIRST)
         self.directory.update(incarnation(None, InstanceState.LEAVING))
         self.assertEqual(InstanceState.LEAVING, self.directory.get(FIRST.id).state)
 
-    def test_entry_that_is_gone_ends_the_incarnation_that_is_known(self) -> None:
+    def test_removed_entry_ends_the_known_incarnation(self) -> None:
         self.directory.update(SECOND)
         self.directory.remove(NAME, store_healthy=True)
         self.assertEqual([SECOND.id], self.ended)
 
-    def test_server_back_while_the_store_is_away(self) -> None:
+    def test_server_restarts_during_a_store_outage(self) -> None:
         self.directory.update(FIRST)
         self.directory.remove(NAME, store_healthy=False)
         self.assertEqual(InstanceState.UNLISTED, self.directory.get(FIRST.id).state)
@@ -177,7 +177,7 @@
         self.assertEqual(2, self.events().count(Event.INSTANCE))
         self.assertEqual(SECOND_START, self.blackboard.directory.find_by_name(NAME).started_at_ms)
 
-    def test_spoiled_entry_names_no_server_and_the_next_whole_one_does(self) -> None:
+    def test_unreadable_entry_drops_the_server_until_a_valid_one(self) -> None:
         self.configure(1, SERVICE)
         self.row_recorder.record_instance_row(entry_row(1, FIRST_START))
         other = Row(RowKey("servers", "", "engine-4"), entry_row(1, 7).value, 1)
@@ -190,7 +190,7 @@
         self.row_recorder.record_instance_row(entry_row(3, FIRST_START))
         self.assertIsNotNone(self.blackboard.directory.find_by_name(NAME))
 
-    def test_spoiled_entry_of_a_server_that_leaves_does_not_bring_it_back(self) -> None:
+    def test_unreadable_entry_does_not_bring_back_a_leaving_server(self) -> None:
         self.configure(1, SERVICE)
         self.row_recorder.record_instance_row(entry_row(1, FIRST_START, state="draining"))
         self.row_recorder.record_instance_row(entry_row(2, FIRST_START, slots=-3))
@@ -198,7 +198,7 @@
         state = self.blackboard.directory.find_by_name(NAME).state
         self.assertEqual(InstanceState.LEAVING, state)
 
-    def test_service_that_no_configuration_names(self) -> None:
+    def test_entry_of_an_unknown_service(self) -> None:
         self.configure(1, "pages")
         self.row_recorder.record_instance_row(entry_row(1, FIRST_START))
         self.assertEqual(0, len(self.blackboard.directory))
@@ -206,14 +206,14 @@
         self.configure(2, "pages", SERVICE)
         self.assertEqual(1, len(self.blackboard.directory))
 
-    def test_entries_that_come_before_the_first_configuration(self) -> None:
+    def test_entries_before_the_first_configuration(self) -> None:
         self.row_recorder.record_instance_row(entry_row(1, FIRST_START))
         self.assertEqual(0, self.spoiled())
         self.configure(1, SERVICE)
         self.assertEqual(1, len(self.blackboard.directory))
         self.assertEqual(0, self.spoiled())
 
-    def test_server_goes_on_when_its_service_is_named_no_more(self) -> None:
+    def test_server_is_kept_when_its_service_is_removed(self) -> None:
         self.configure(1, SERVICE)
         self.row_recorder.record_instance_row(entry_row(1, FIRST_START))
         self.configure(2, "pages")
@@ -222,7 +222,7 @@
         self.row_recorder.record_instance_row(entry_row(3, FIRST_START, service="other"))
         self.assertEqual(0, len(self.blackboard.directory))
 
-    def test_entry_that_is_gone_is_forgotten_while_its_service_is_not_named(self) -> None:
+    def test_removed_entry_is_forgotten_while_its_service_is_unknown(self) -> None:
         self.configure(1, "pages")
         self.row_recorder.record_instance_row(entry_row(1, FIRST_START))
         self.row_recorder.record_instance_row(
@@ -241,7 +241,7 @@
         self.balancer = Balancer(self.directory, self.clock, random.Random(7))
         self.directory.update(FIRST)
 
-    def test_load_pace_and_avoidance_end_with_the_incarnation(self) -> None:
+    def test_load_service_time_and_avoidance_end_with_the_incarnation(self) -> None:
         self.balancer.record_load(FIRST.id, ServerLoad(8, 3, 8))
         self.balancer.record_service_time(FIRST.id, 0.5)
         self.balancer.record_not_run(FIRST.id, NotRunReason.FULL, 5.0)
@@ -251,7 +251,7 @@
         self.assertFalse(self.balancer.is_avoided(SECOND.id))
         self.assertTrue(self.balancer.has_free_slot(SECOND))
 
-    def test_request_under_way_at_the_earlier_one_takes_no_place_at_the_new(self) -> None:
+    def test_open_request_at_the_old_incarnation_takes_no_slot_at_the_new(self) -> None:
         self.balancer.occupy(FIRST.id)
         self.directory.update(SECOND)
         self.balancer.occupy(SECOND.id)
@@ -259,7 +259,7 @@
         self.balancer.release(FIRST.id)
         self.assertEqual(1, self.balancer.occupied(SECOND))
 
-    def test_late_answer_of_the_earlier_one_changes_nothing_of_the_new(self) -> None:
+    def test_late_response_of_the_old_incarnation_does_not_affect_the_new(self) -> None:
         self.directory.update(SECOND)
         self.balancer.record_load(FIRST.id, ServerLoad(8, 3, 8))
         self.balancer.record_response(FIRST, 0.5)
@@ -268,14 +268,14 @@
         self.assertEqual(0, self.balancer.occupied(SECOND))
         self.assertFalse(self.balancer.is_avoided(SECOND.id))
 
-    def test_peer_that_speaks_of_the_earlier_one(self) -> None:
+    def test_peer_reports_on_the_old_incarnation(self) -> None:
         self.directory.update(SECOND)
         peer = DaemonId("daemon-1")
         self.balancer.record_peer_summary(peer, {FIRST.id: (5, 0.5)})
         self.assertEqual(0, self.balancer.occupied(SECOND))
         self.assertEqual(0.0, self.balancer.service_time(SECOND.id))
 
-    def test_peer_of_an_earlier_version_that_names_servers_only(self) -> None:
+    def test_peer_of_an_earlier_version_reports_names_only(self) -> None:
         self.directory.update(SECOND)
         self.balancer.record_peer_summary(DaemonId("daemon-1"), {InstanceId(NAME): (5, 0.5)})
         self.assertEqual(5, self.balancer.occupied(SECOND))
@@ -284,7 +284,7 @@
 class HeartbeatTest(unittest.TestCase):
     """Heartbeats are compatible with the previous version."""
 
-    def test_earlier_version_reads_names_and_passes_over_the_starts(self) -> None:
+    def test_earlier_version_reads_names_and_ignores_start_times(self) -> None:
         written = encode_heartbeat(
             Heartbeat(0.25, {SECOND.id: (2, 0.04), InstanceId("p"): (1, 0.0)})
         )
@@ -304,7 +304,7 @@
         self.assertEqual({InstanceId(NAME): [2, 0.04]}, read.uses)
         self.assertTrue(read.coordinates)
 
-    def test_heartbeat_without_starts_is_written_as_before(self) -> None:
+    def test_heartbeat_without_start_times_is_unchanged(self) -> None:
         written = encode_heartbeat(Heartbeat(0.25, {InstanceId("p"): (1, 0.0)}))
         self.assertEqual(b'{"interval":0.25,"uses":{"p":[1,0.0]}}', written)
 
@@ -312,18 +312,18 @@
 class CrashTest(unittest.TestCase):
     """A request that repeatedly crashes a server, which restarts under the same name."""
 
-    def test_each_start_that_ends_under_it_counts(self) -> None:
+    def test_crash_of_each_incarnation_counts(self) -> None:
         known = KnownCrashes()
         content = ContentDigest("c")
         for number in range(CLIENT_CRASH_LIMIT):
             known.add(Crash(content, instance_id(NAME, FIRST_START + number), 0.0))
         self.assertTrue(known.is_content_quarantined(content, CLIENT_CRASH_LIMIT))
 
-    def test_row_of_a_crash_names_the_incarnation(self) -> None:
+    def test_crash_row_contains_the_incarnation(self) -> None:
         row = Row(RowKey("batches", "crashes", f"c/{FIRST.id}"), b'{"at":5.0}', 1)
         self.assertEqual(Crash(ContentDigest("c"), FIRST.id, 5.0), crash_of_row(row))
 
-    def test_start_under_the_same_name_is_evidence(self) -> None:
+    def test_restart_under_the_same_name_is_evidence(self) -> None:
         async def play() -> None:
             directory = InstanceDirectory()
             directory.update(FIRST)
@@ -346,7 +346,7 @@
 class OrderTest(unittest.TestCase):
     """Orders to engines that have restarted."""
 
-    def test_report_of_another_start(self) -> None:
+    def test_report_of_another_incarnation(self) -> None:
         def report(started_at_ms: int | None) -> EngineReport:
             return EngineReport(0, False, 0, 0, {}, started_at_ms)
 
--- a/tests/test_known_crashes.py
+++ b/tests/test_known_crashes.py
@@ -18,7 +18,7 @@
 class QuarantineRuleTest(unittest.TestCase):
     """Contents with different numbers of crashes."""
 
-    def test_each_count_of_crashes(self):
+    def test_crash_counts(self):
         for crashes, limit, is_suspect, is_quarantined in (
             (0, CLIENT_CRASH_LIMIT, False, False),
             (1, CLIENT_CRASH_LIMIT, False, False),
@@ -38,7 +38,7 @@
                 self.assertEqual(is_quarantined, known.is_content_quarantined(CONTENT, limit))
                 self.assertFalse(known.is_content_quarantined(OTHER, limit))
 
-    def test_same_crash_counts_once_and_a_removed_one_no_more(self):
+    def test_duplicate_and_removed_crashes_do_not_count(self):
         known = KnownCrashes()
         for _ in range(2):
             known.add(Crash(CONTENT, InstanceId("i0"), 0.0))
--- a/tests/test_leaving_clients.py
+++ b/tests/test_leaving_clients.py
@@ -125,7 +125,7 @@
             await self.leave(writer)
             self.assertEqual(0, self.server.working)
 
-    async def test_waiting_request_is_not_sent_any_more(self):
+    async def test_queued_request_is_not_sent(self):
         for path in KINDS:
             self.server.is_full = True
             writer = await self.send(path)
--- a/tests/test_nearness.py
+++ b/tests/test_nearness.py
@@ -87,7 +87,7 @@
         self.assertGreater(caught.exception.retry_after, 0)
         return self.clock.now() - began
 
-    def test_request_with_homes_goes_there_only(self):
+    def test_request_stays_in_its_allowed_regions(self):
         async def play():
             self.begin(EAST_ZONES[0], WEST_ZONE)
             for _ in range(5):
@@ -96,7 +96,7 @@
 
         run(play())
 
-    def test_no_server_in_the_homes_is_refused_at_once(self):
+    def test_request_without_a_server_in_its_regions_is_rejected_at_once(self):
         async def play():
             self.begin(WEST_ZONE, ZoneId("nowhere"))
             self.balancer.avoid(InstanceId("s0"), 5.0)
@@ -104,7 +104,7 @@
 
         run(play())
 
-    def test_no_home_at_all_is_refused_at_once(self):
+    def test_request_without_an_allowed_region_is_rejected_at_once(self):
         async def play():
             self.begin(EAST_ZONES[0], WEST_ZONE)
             self.assertEqual(0.0, await self.seconds_until_refused())
@@ -113,7 +113,7 @@
 
         run(play())
 
-    def test_nearest_of_equal_servers_is_taken(self):
+    def test_nearest_of_equal_servers_is_chosen(self):
         async def play():
             self.begin(WEST_ZONE, EAST_ZONES[1], EAST_ZONES[0])
             self.assertEqual({"s2"}, self.firsts())
@@ -122,7 +122,7 @@
 
         run(play())
 
-    def test_nearness_does_not_beat_load(self):
+    def test_distance_does_not_outweigh_load(self):
         async def play():
             self.begin(WEST_ZONE, EAST_ZONES[0])
             for _ in range(3):
@@ -156,7 +156,7 @@
 
         run(play())
 
-    def test_the_way_is_counted_as_measured_and_once(self):
+    def test_network_latency_is_counted_as_measured_and_once(self):
         async def play():
             self.begin(WEST_ZONE, EAST_ZONES[0])
             far, near = (self.directory.get(InstanceId(name)) for name in ("s0", "s1"))
@@ -171,7 +171,7 @@
 
         run(play())
 
-    def test_the_way_is_known_when_the_paces_are_forgotten(self):
+    def test_network_latency_outlives_the_service_times(self):
         async def play():
             self.begin(WEST_ZONE, EAST_ZONES[0])
             far, near = (self.directory.get(InstanceId(name)) for name in ("s0", "s1"))
@@ -220,7 +220,7 @@
         self.asked.append(address)
         return self.peers[address]
 
-    def test_nearest_peer_is_asked(self):
+    def test_nearest_peer_is_tried(self):
         async def play():
             self.begin(
                 far=Distance.OTHER_REGION, near=Distance.SAME_ZONE, middle=Distance.SAME_REGION
@@ -230,7 +230,7 @@
 
         run(play())
 
-    def test_last_peer_asked_is_a_far_one(self):
+    def test_last_peer_tried_is_a_far_one(self):
         async def play():
             near = {f"near{number}": Distance.SAME_ZONE for number in range(MAX_PEER_ATTEMPTS)}
             self.begin(**near, far=Distance.OTHER_REGION)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -69,25 +69,25 @@
             b'larkpost_not_placed_total{verdict="leaving",work="client"} 1.0', self.metrics.text()
         )
 
-    def test_older_weights_than_the_work_allows(self) -> None:
+    def test_weights_older_than_the_work_allows(self) -> None:
         fitting = Work(WorkKind.ITEM, model=MODEL, minimum_version=3)
         newer = replace(fitting, minimum_version=4)
         self.assertIs(self.placement.evaluate(ENGINE, fitting), PlacementDecision.ALLOWED)
         self.assertIs(self.placement.evaluate(ENGINE, newer), PlacementDecision.OLD_VERSION)
         self.assertIs(self.refusal(newer), NotRunReason.MISDIRECTED)
 
-    def test_forbidden_send_takes_nothing_of_a_rule_that_counts(self) -> None:
+    def test_rejected_send_is_not_counted_by_a_rule(self) -> None:
         self.assertIsNotNone(self.refusal(Work(WorkKind.ITEM, model=MODEL, minimum_version=9)))
         self.assertEqual(self.rule.left, 1)
         self.assertIsNone(self.refusal())
         self.assertIs(self.refusal(), NotRunReason.COLD)
 
-    def test_choice_takes_nothing(self) -> None:
+    def test_choice_is_not_counted(self) -> None:
         for _ in range(3):
             self.assertTrue(self.placement.allows(ENGINE, CLIENT_WORK))
         self.assertIsNone(self.refusal())
 
-    def test_each_objection_has_a_reason_to_answer_with(self) -> None:
+    def test_each_decision_has_a_not_run_reason(self) -> None:
         objections = set(PlacementDecision) - {PlacementDecision.ALLOWED}
         self.assertEqual(objections, set(REJECTION_REASONS))
 
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -28,7 +28,7 @@
 
         self.assertLessEqual(run_virtual(play()), GRACE_SECONDS - KILL_MARGIN_SECONDS + 0.8)
 
-    def test_stop_waits_for_an_answer_no_longer_than_it_may(self) -> None:
+    def test_stop_waits_for_a_response_no_longer_than_allowed(self) -> None:
         async def play() -> float:
             fleet = PlatformFleet(gateways=2)
             await fleet.wait(1.0)
@@ -45,7 +45,7 @@
 class ListenerTest(unittest.IsolatedAsyncioTestCase):
     """Closing a listener does not wait for an endless response."""
 
-    async def test_close_cuts_an_answer_that_does_not_end(self) -> None:
+    async def test_close_aborts_an_endless_response(self) -> None:
         called = asyncio.Event()
 
         async def never_answers(scope, receive, send) -> None:
--- a/tests/test_platform_ingress.py
+++ b/tests/test_platform_ingress.py
@@ -136,7 +136,7 @@
         writer.write(content)
         return await asyncio.wait_for(reader.read(), 3)
 
-    async def test_path_query_and_headers_are_passed_as_they_are(self):
+    async def test_path_query_and_headers_are_unchanged(self):
         answer = await self.exchange(
             b"POST /p/a%2fb%41?x=%20+&y=%2F HTTP/1.1\r\nHost: Pages.example:80\r\n"
             b"Larkpost-Attempt-Id: r1\r\nLarkpost-Deadline-Ms: 900\r\nX-Other: v\r\n"
@@ -192,7 +192,7 @@
         self.assertTrue(answer.startswith(b"HTTP/1.1 413"), answer[:40])
         self.assertEqual([], self.forwarder.requests)
 
-    async def test_resting_connection_is_kept_and_then_closed(self):
+    async def test_idle_connection_is_kept_and_then_closed(self):
         reader, writer = await self.connect()
         request = b"GET /p/x HTTP/1.1\r\nHost: pages.example\r\n\r\n"
         for _ in range(2):
@@ -267,7 +267,7 @@
         self.assertIn(b"data: a", answer)
         self.assertFalse(answer.endswith(b"0\r\n\r\n"))
 
-    async def test_refusal_names_the_request_and_when_to_come_back(self):
+    async def test_rejection_has_the_request_id_and_retry_after(self):
         self.forwarder.error = RefusedError("full", retry_after=0.2)
         answer = await self.exchange(
             b"GET /p/x HTTP/1.1\r\nHost: pages.example\r\nLarkpost-Attempt-Id: r1\r\n"
--- a/tests/test_platform_servers.py
+++ b/tests/test_platform_servers.py
@@ -181,7 +181,7 @@
             self.assertEqual(b"done", await self.fetch(server, request(2)))
             self.assertEqual(1, server.connections)
 
-    async def test_refusal_whose_body_does_not_come_is_proof_all_the_same(self):
+    async def test_rejection_without_its_body_is_still_proof(self):
         head = b"HTTP/1.1 503 Service Unavailable\r\nLarkpost-Not-Executed: 1\r\n" + ECHO
         began = asyncio.get_running_loop().time()
         async with ScriptedServer(head + b"Content-Length: 9\r\n\r\nfu") as server:
@@ -211,7 +211,7 @@
             outcome = await self.servers.order(server.instance, order, 1.0)
             self.assertEqual((OrderOutcome.TAKEN, 1), (outcome, server.connections))
 
-    async def test_answer_of_an_earlier_request_is_none_to_an_order(self):
+    async def test_response_to_an_earlier_request_is_not_taken_for_an_order(self):
         async with ScriptedServer(whole(b"late", ECHO)) as server:
             self.servers = HttpServers()
             self.addAsyncCleanup(self.servers.close)
@@ -219,14 +219,14 @@
             outcome = await self.servers.order(server.instance, order, 1.0)
             self.assertEqual(OrderOutcome.UNKNOWN, outcome)
 
-    async def test_idle_connection_is_kept_as_long_as_its_server_says(self):
+    async def test_idle_connection_is_kept_for_the_servers_keep_alive(self):
         with mock.patch.object(connections, "DEFAULT_KEEP_ALIVE_SECONDS", 0.05):
             self.assertEqual(1, await self.use_twice("10", 0.15))
 
     async def test_idle_connection_is_not_used_when_its_server_is_about_to_close_it(self):
         self.assertEqual(2, await self.use_twice("1", 0.05))
 
-    async def test_answer_too_many_on_an_idle_connection(self):
+    async def test_extra_response_on_an_idle_connection(self):
         """Bytes that arrive on an idle connection are not a response to the next request."""
         second = whole(b"second", ECHO.replace(b"r1", b"r2"))
         async with ScriptedServer(whole(b"first"), second, late=whole(b"first")) as server:
@@ -235,12 +235,12 @@
             self.assertEqual(b"second", await self.fetch(server, request(2)))
             self.assertEqual(2, server.connections)
 
-    async def test_answer_of_another_request(self):
+    async def test_response_to_another_request(self):
         async with ScriptedServer(whole(b"x", ECHO.replace(b"r1", b"r9"))) as server:
             with self.assertRaises(BrokenResponseError):
                 await self.fetch(server, request(1))
 
-    async def test_answer_that_names_no_request(self):
+    async def test_response_without_a_request_id(self):
         async with ScriptedServer(whole(b"x", b"")) as server:
             with self.assertRaises(BrokenResponseError):
                 await self.fetch(server, request(1))
@@ -292,7 +292,7 @@
             with self.assertRaises(BrokenResponseError):
                 await self.fetch(server, request(1))
 
-    async def test_only_lost_connections_are_called_so(self):
+    async def test_only_lost_connections_are_reported_as_lost(self):
         lost = {
             "closed without an answer": (b"", False),
             "closed within the head": (b"HTTP/1.1 200 OK\r\nLark", False),
@@ -316,7 +316,7 @@
                             await self.fetch(server, request(1))
                     self.assertEqual(expected, caught.exception.connection_lost)
 
-    async def test_request_lost_on_a_kept_connection_is_not_sent_again_unasked(self):
+    async def test_request_lost_on_a_reused_connection_is_not_resent_by_default(self):
         for is_dead in (False, True):
             with self.subTest(is_dead=is_dead):
                 async with ClosingServer(is_dead=is_dead) as server:
@@ -326,7 +326,7 @@
                 self.assertTrue(caught.exception.connection_lost)
                 self.assertEqual((1, 2), (server.connections, len(server.heads)))
 
-    async def test_probe_tells_a_dead_port_from_one_that_listens(self):
+    async def test_probe_distinguishes_dead_and_listening_ports(self):
         servers = HttpServers()
         self.addAsyncCleanup(servers.close)
         async with ScriptedServer(b"") as server:
@@ -354,7 +354,7 @@
             await self.fetch(server, request(1, target=b"/a%2fb/%41;x?q=%20+&r=a%2F|"))
             self.assertIn(b"POST /a%2fb/%41;x?q=%20+&r=a%2F| HTTP/1.1", server.heads[0])
 
-    async def test_headers_are_passed_as_they_are(self):
+    async def test_headers_are_unchanged(self):
         headers = ((b"x-one", b"1"), (b"x-one", b"2"), (b"accept", b"text/plain"))
         async with ScriptedServer(whole(b"")) as server:
             await self.fetch(server, request(1, headers=headers, time_left=1.5))
@@ -367,7 +367,7 @@
             for added in (b"user-agent", b"accept-encoding", b"content-type"):
                 self.assertFalse([line for line in lines if line.startswith(added)])
 
-    async def test_answer_before_the_body_was_read(self):
+    async def test_response_before_the_body_was_read(self):
         """The rest of a body is never sent where the server expects the next request."""
         streams: list[bytes] = []
 
@@ -415,7 +415,7 @@
                     break
             await asyncio.wait_for(server.closed.wait(), 0.25)
 
-    async def test_frozen_before_its_connection_it_sends_nothing_with_an_old_permission(self):
+    async def test_request_is_not_sent_after_its_send_timeout_despite_a_freeze(self):
         original = CheckedConnector._create_connection
 
         async def freeze(self, *arguments):
@@ -432,7 +432,7 @@
                 self.assertEqual([], server.heads)
                 self.assertEqual(b"a", await self.fetch(server, request(1)))
 
-    async def test_server_says_how_long_it_stays_cold(self):
+    async def test_server_reports_how_long_it_stays_cold(self):
         cold = ECHO + b"Larkpost-Cold-Ms: 1500\r\n"
         async with ScriptedServer(whole(b"a", cold), whole(b"a", ECHO)) as server:
             self.servers = HttpServers()
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -94,7 +94,7 @@
 
         run(play())
 
-    def test_all_that_a_crashed_server_leaves_a_little_later_counts(self):
+    def test_requests_lost_shortly_after_the_crash_count(self):
         async def play():
             self.begin(PortState.DEAD)
             self.watch.record_lost_connection(CONTENT, self.instance)
@@ -119,7 +119,7 @@
 
         run(play())
 
-    def test_server_that_crashes_after_it_has_left_a_request_is_found_as_well(self):
+    def test_server_that_crashes_after_losing_a_request_is_detected(self):
         async def play():
             self.begin(PortState.LISTENS)
             self.watch.record_lost_connection(CONTENT, self.instance)
@@ -131,7 +131,7 @@
 
         run(play())
 
-    def test_server_that_begins_to_leave_is_not_asked_again(self):
+    def test_leaving_server_is_not_probed_again(self):
         async def play():
             self.begin(PortState.LISTENS)
             self.watch.record_lost_connection(CONTENT, self.instance)
@@ -158,7 +158,7 @@
 
         run(play())
 
-    def test_silent_server_has_crashed_once_its_entry_is_gone(self):
+    def test_unresponsive_server_has_crashed_once_its_entry_is_removed(self):
         async def play():
             self.begin(PortState.SILENT)
             self.watch.record_lost_connection(CONTENT, self.instance)
@@ -228,7 +228,7 @@
         for row in stored.values():
             self.other.record_row(row)
 
-    def test_others_hold_the_request_after_the_third_crash(self):
+    def test_other_daemons_quarantine_the_request_after_the_third_crash(self):
         async def play():
             self.begin()
             self.crash(2)
@@ -243,7 +243,7 @@
 
         run(play())
 
-    def test_one_crash_that_two_daemons_saw_counts_once(self):
+    def test_crash_observed_by_two_daemons_counts_once(self):
         async def play():
             self.begin()
             for recorder in (self.recorder, self.other):
@@ -256,7 +256,7 @@
 
         run(play())
 
-    def test_whole_answer_clears_it_everywhere(self):
+    def test_complete_response_clears_the_request_everywhere(self):
         async def play():
             self.begin()
             self.crash(3)
@@ -274,7 +274,7 @@
 
         run(play())
 
-    def test_changes_wait_for_a_store_that_is_away(self):
+    def test_changes_are_written_after_a_store_outage(self):
         async def play():
             self.begin()
             self.store.faults = StoreFaults(refuses=True)
@@ -299,7 +299,7 @@
 
         run(play())
 
-    def test_rows_that_cannot_be_read_are_passed_over(self):
+    def test_unreadable_rows_are_ignored(self):
         async def play():
             self.begin()
             for key, value in (("aa/i", b"no json"), ("aa/i", b"{}"), ("aa", b'{"at": 1}')):
@@ -340,7 +340,7 @@
             async for _ in answer.chunks():
                 pass
 
-    def test_whole_answer_is_told(self):
+    def test_complete_response_is_recorded(self):
         async def play():
             self.begin()
             await self.send()
@@ -359,7 +359,7 @@
 
         run(play())
 
-    def test_lost_connection_is_told(self):
+    def test_lost_connection_is_recorded(self):
         async def play():
             self.begin()
             self.state.break_after = 0
@@ -369,7 +369,7 @@
 
         run(play())
 
-    def test_answer_that_is_not_wanted_is_no_lost_connection(self):
+    def test_abandoned_response_is_not_a_lost_connection(self):
         async def play():
             self.begin()
             with self.assertRaises(BrokenResponseError):
@@ -379,7 +379,7 @@
 
         run(play())
 
-    def test_suspects_run_apart_from_each_other_only(self):
+    def test_suspects_are_isolated_only_from_each_other(self):
         async def play():
             self.begin()
             suspect = Work(WorkKind.CLIENT, is_suspect=True)
@@ -400,7 +400,7 @@
 
         run(play())
 
-    def test_held_request_is_not_sent(self):
+    def test_quarantined_request_is_not_sent(self):
         async def play():
             self.begin()
             for number in range(CLIENT_CRASH_LIMIT):
--- a/tests/test_quarantine_fleet.py
+++ b/tests/test_quarantine_fleet.py
@@ -36,7 +36,7 @@
 class RepeatedCrashesTest(unittest.TestCase):
     """A fleet, its servers, and requests that crash them."""
 
-    def test_client_request_that_comes_again_at_other_daemons(self):
+    def test_client_request_retried_at_other_daemons(self):
         async def play():
             fleet, caller = await begin()
             for repeat in range(REPEATS):
@@ -63,7 +63,7 @@
 
         run(play())
 
-    def test_crashes_seen_while_the_store_was_away_are_told_once_it_is_back(self):
+    def test_crashes_during_a_store_outage_are_shared_afterwards(self):
         async def play():
             fleet, caller = await begin()
             fleet.store.faults = StoreFaults(down=True)
@@ -82,7 +82,7 @@
 
         run(play())
 
-    def test_requests_that_ran_beside_it_are_served_on(self):
+    def test_requests_that_ran_alongside_are_still_served(self):
         async def play():
             fleet, caller = await begin()
             for repeat in range(REPEATS):
@@ -98,7 +98,7 @@
 
         run(play())
 
-    def test_held_request_is_tried_twice_by_one_daemon_of_all(self):
+    def test_quarantined_request_gets_two_trials_in_the_whole_fleet(self):
         async def play():
             fleet, caller = await begin()
             await caller.ask_twice(0, CRASHING)
@@ -132,7 +132,7 @@
 
         run(play())
 
-    def test_next_owner_of_a_batch_counts_on(self):
+    def test_next_owner_of_a_batch_keeps_the_crash_count(self):
         async def play():
             fleet = PlatformFleet(gateways=3, engines=6)
             fleet.engines.crashing.add(b"/r/5")
@@ -146,7 +146,7 @@
 
         run(play())
 
-    def test_item_that_crashes_engines_is_dead_once_its_time_is_over(self):
+    def test_item_that_crashes_engines_fails_after_its_lifetime(self):
         async def play():
             fleet = PlatformFleet(gateways=2, engines=6)
             fleet.engines.crashing.add(b"/r/5")
@@ -160,7 +160,7 @@
 
         run(play())
 
-    def test_item_that_crashes_engines_does_not_run_on_and_on(self):
+    def test_item_that_crashes_engines_stops_running(self):
         async def play():
             fleet = PlatformFleet(gateways=3, engines=6)
             fleet.engines.crashing.add(b"/r/5")
@@ -174,7 +174,7 @@
 
         run(play())
 
-    def test_items_beside_two_that_crash_engines_are_not_held(self):
+    def test_items_alongside_two_crashing_ones_are_not_quarantined(self):
         async def play():
             fleet = PlatformFleet(gateways=2, engines=2)
             fleet.engines.crashing |= {b"/r/0", b"/r/1"}
@@ -188,7 +188,7 @@
 
         run(play())
 
-    def test_reward_call_that_crashes_servers_is_not_sent_on_and_on(self):
+    def test_reward_call_that_crashes_servers_stops_being_sent(self):
         async def play():
             fleet = PlatformFleet(gateways=3, engines=3, scorers=SERVERS)
             fleet.engines.crashing.add(b"/s/batch-5")
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -66,12 +66,12 @@
             self.assertIsNone(configuration.routes[0].regions)
             self.assertFalse(configuration.has_region_limits)
 
-    def test_wrong_regions_make_the_document_unreadable(self):
+    def test_invalid_regions_make_the_document_unreadable(self):
         for wrong in ("east", [1], {"east": 1}):
             with self.assertRaises(UnreadableRowError):
                 read_configuration({"allowed-regions": wrong})
 
-    def test_route_and_tenant_both_bind(self):
+    def test_route_and_tenant_regions_both_apply(self):
         tenant = {"name": "t", "api-keys": ["k"], "allowed-regions": ["east", "south"]}
         configuration = read_configuration({"allowed-regions": ["east", "west"]}, [tenant])
         self.assertTrue(configuration.has_region_limits)
@@ -81,7 +81,7 @@
         key = next(iter(configuration.tenants[0].keys))
         self.assertEqual(frozenset({EAST}), admission.admit("id", "h", b"/x", key).regions)
 
-    def test_regions_that_have_none_in_common_allow_none(self):
+    def test_disjoint_regions_allow_none(self):
         tenant = Tenant(TenantName("t"), frozenset(), regions=frozenset({WEST}))
         configuration = replace(CONFIGURATION, tenants=(tenant,))
         route = replace(ROUTE, regions=frozenset({EAST}))
@@ -103,7 +103,7 @@
         far = Distance.OTHER_REGION
         self.assertEqual([Distance.SAME_ZONE, Distance.SAME_REGION, far, far], found)
 
-    def test_without_named_zones_all_are_alike(self):
+    def test_without_configured_zones_all_distances_are_equal(self):
         regions = RegionMap(ZoneId("z"), {}, EAST)
         self.assertEqual(EAST, regions.region_of(ZoneId("other")))
         self.assertEqual(
@@ -124,7 +124,7 @@
         oracle.homes = frozenset({EAST})
         return oracle
 
-    def test_items_and_reward_calls_stay_at_home(self):
+    def test_items_and_reward_calls_stay_in_their_regions(self):
         async def play():
             fleet = self.begin(scorers=4)
             oracle = self.oracle(fleet)
@@ -136,7 +136,7 @@
 
         run(play())
 
-    def test_regions_named_while_items_run_bind_the_next_runs(self):
+    def test_regions_configured_while_items_run_apply_to_the_next_runs(self):
         async def play():
             fleet = self.begin(b"")
             for state in fleet.engines.engines.values():
@@ -232,7 +232,7 @@
 
         run(play())
 
-    def test_batch_without_an_engine_at_home_is_refused_at_once(self):
+    def test_batch_without_an_engine_in_its_regions_is_rejected_at_once(self):
         async def play():
             fleet = PlatformFleet(2, 2, zones=(WEST_ZONE,), configuration=b"east")
             await fleet.wait(1.0)
@@ -244,7 +244,7 @@
 
         run(play())
 
-    def test_evacuation_outside_does_not_hide_that_no_engine_is_at_home(self):
+    def test_evacuation_outside_does_not_hide_missing_engines_in_the_regions(self):
         async def play():
             fleet = PlatformFleet(2, 2, zones=(WEST_ZONE,), configuration=b"east")
             fleet.evacuate(WEST_ZONE)
@@ -254,7 +254,7 @@
 
         run(play())
 
-    def test_batch_whose_engines_at_home_are_evacuated_is_accepted_and_waits(self):
+    def test_batch_whose_engines_are_evacuated_is_accepted_and_waits(self):
         async def play():
             fleet = self.begin()
             for zone in EAST_ZONES:
@@ -280,7 +280,7 @@
 
         run(play())
 
-    def test_engine_near_the_owner_is_taken_unless_it_is_fuller_or_slower(self):
+    def test_engine_near_the_owner_is_preferred_unless_fuller_or_slower(self):
         async def play():
             fleet = self.begin(b"")
             await fleet.wait(1.0)
@@ -308,7 +308,7 @@
 class HeartbeatZoneTest(unittest.TestCase):
     """Zones in heartbeats."""
 
-    def test_zone_is_told_and_rows_without_it_are_read(self):
+    def test_heartbeats_contain_the_zone_and_rows_without_it_are_read(self):
         told = decode_heartbeat(encode_heartbeat(Heartbeat(2.0, zone=WEST_ZONE)))
         self.assertEqual(WEST_ZONE, told.zone)
         self.assertIsNone(decode_heartbeat(b'{"interval":2.0}').zone)
--- a/tests/test_request_content.py
+++ b/tests/test_request_content.py
@@ -32,7 +32,7 @@
         )
         self.assertEqual(7, len({digest_request(request) for request in (FIRST, *others)}))
 
-    def test_items_of_two_batches_that_ask_the_same_are_one(self):
+    def test_equal_items_of_two_batches_have_one_digest(self):
         first, second = make_batch("first"), make_batch("second")
         contents = [[item.content(batch) for item in batch.items] for batch in (first, second)]
         self.assertEqual(*contents)
--- a/tests/test_server_entries.py
+++ b/tests/test_server_entries.py
@@ -50,7 +50,7 @@
 class EntryTest(unittest.TestCase):
     """An entry is used only if all of it is valid."""
 
-    def test_whole_entry(self) -> None:
+    def test_complete_entry(self) -> None:
         expected = InstanceInfo(
             "engine-3@1700000000123",
             "engines",
@@ -66,12 +66,12 @@
         self.assertEqual(expected, info)
         self.assertEqual(("engine-3", 1_700_000_000_123), (info.name, info.started_at_ms))
 
-    def test_each_missing_field_makes_it_no_server(self) -> None:
+    def test_each_missing_field_makes_the_entry_invalid(self) -> None:
         for name in REQUIRED:
             with self.subTest(name), self.assertRaisesRegex(UnreadableRowError, name):
                 read({field: value for field, value in ENTRY.items() if field != name})
 
-    def test_values_that_make_it_no_server(self) -> None:
+    def test_invalid_values(self) -> None:
         spoiled = {
             "state": ("zombie", None, 7, ["ready"]),
             "address": (5, "nonsense", "host:80", "10.0.0.3", "10.0.0.3:0", "10.0.0.3:70000"),
@@ -92,13 +92,13 @@
 
     @settings(max_examples=300, deadline=None)
     @given(st.binary(max_size=60))
-    def test_any_bytes_are_no_server_and_no_fault(self, content: bytes) -> None:
+    def test_arbitrary_bytes_are_invalid_without_an_error(self, content: bytes) -> None:
         row = Row(RowKey("servers", "", "engine-3"), content, 5)
         self.assertRaises(UnreadableRowError, read_instance, row)
 
     @settings(max_examples=500, deadline=None)
     @given(st.sampled_from(sorted(ENTRY)), JSON_VALUES)
-    def test_any_value_of_a_field_is_taken_whole_or_not_at_all(
+    def test_arbitrary_field_values_are_accepted_or_rejected_as_a_whole(
         self, name: str, value: object
     ) -> None:
         try:
@@ -111,7 +111,7 @@
         self.assertTrue(0 <= info.cold_left <= 86_400)
         self.assertIn(type(info.started_at_ms), (int, type(None)))
 
-    def test_entry_of_a_server_that_does_not_say_when_it_started(self) -> None:
+    def test_entry_without_a_start_time(self) -> None:
         document = {name: value for name, value in ENTRY.items() if name != "born"}
         self.assertIsNone(read(document).started_at_ms)
 
@@ -119,11 +119,11 @@
 class ReportTest(unittest.TestCase):
     """Invalid reports and loads count as missing."""
 
-    def test_report_names_the_incarnation(self) -> None:
+    def test_report_contains_the_start_time(self) -> None:
         report = read_report(b'{"seq":3,"busy":false,"models":[],"born":1700000000123}')
         self.assertEqual(EngineReport(3, False, 0, 0, {}, 1_700_000_000_123), report)
 
-    def test_spoiled_reports(self) -> None:
+    def test_invalid_reports(self) -> None:
         for content in (b"", b"[]", b"7", b'{"seq":"3","busy":false}', b'{"seq":3,"busy":0}'):
             self.assertRaises(ValueError, read_report, content)
 
--- a/tests/test_service_index.py
+++ b/tests/test_service_index.py
@@ -74,7 +74,7 @@
         directory.update(make_instance(NAMES[5]))
         self.assertEqual(list(NAMES), [info.id for info in directory.of_service(SERVICES[0])])
 
-    def test_generation_changes_only_when_instances_come_or_go(self):
+    def test_generation_changes_only_with_the_set_of_instances(self):
         directory = InstanceDirectory()
         seen = [directory.index.generation(SERVICES[0])]
         for change_entry, is_new in (
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -172,7 +172,7 @@
         virtual.run(relay.run())
         self.assertEqual((60 * len(CHUNK), 0), (relay.taken, relay.largest))
 
-    def test_answer_that_breaks_off_breaks_off_after_what_was_read(self):
+    def test_broken_response_breaks_after_the_chunks_read(self):
         relay = Relay(self.memory, Server(15, BrokenResponseError("lost")), FakeConnection(200_000))
         with self.assertRaises(BrokenResponseError):
             virtual.run(relay.run())
--- a/tests/test_store_relay.py
+++ b/tests/test_store_relay.py
@@ -86,7 +86,7 @@
         self.connections += 1
         return self.peers[address]
 
-    def test_refused_calls_are_made_by_a_peer(self):
+    def test_rejected_calls_are_relayed_by_a_peer(self):
         async def play():
             self.begin()
             self.direct.refused = True
@@ -285,13 +285,13 @@
         self.assertIs(WriteOutcome.CONFLICT, (await self.by_peer.write(conflict, 1.0)).outcome)
         self.assertIsNotNone(self.by_peer.time())
 
-    async def test_peer_that_the_store_turns_away_says_so_at_once(self):
+    async def test_peer_rejected_by_the_store_reports_it_at_once(self):
         self.own.is_failing = True
         self.assertIs(WriteOutcome.NOT_DONE, (await self.by_peer.write(CHANGE, 1.0)).outcome)
         with self.assertRaises(StoreUnavailableError):
             await self.by_peer.read("table", "part")
 
-    async def test_store_that_is_gone_is_told_from_one_that_is_silent(self):
+    async def test_stopped_store_is_reported_as_not_done(self):
         await self.servers[0].close()
         self.assertIs(WriteOutcome.NOT_DONE, (await self.by_peer.write(CHANGE, 1.0)).outcome)
 
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -92,12 +92,12 @@
         self.assertIsNone(configuration.tenant_of(digest_key(b"unknown")))
         self.assertNotIn(FIRST_KEY.decode(), repr(configuration))
 
-    def test_no_word_of_tenants_is_not_an_empty_list_of_them(self):
+    def test_missing_tenants_differ_from_an_empty_list(self):
         self.assertIsNone(read_configuration(operator_row(self.document())).tenants)
         empty = read_configuration(operator_row(self.document(tenants=[])))
         self.assertEqual((), empty.tenants)
 
-    def test_a_name_that_no_head_can_carry_is_refused(self):
+    def test_a_name_invalid_in_a_header_is_rejected(self):
         for name in ("", "a\r\nX: y", "ä"):
             entry = {"name": name, "api-keys": ["k"]}
             with self.assertRaises(UnreadableRowError):
@@ -125,12 +125,12 @@
         digest = digest_key(key) if key is not None else None
         return self.admission.admit("request", HOST, path, digest)
 
-    def test_a_key_tells_whose_call_it_is(self):
+    def test_a_key_identifies_its_tenant(self):
         self.assertEqual(FIRST, self.admit(FIRST_KEY).tenant)
         self.assertEqual(SECOND, self.admit(SECOND_KEY).tenant)
         self.assertEqual(SECOND, self.admit(SECOND_KEY, b"/open/x").tenant)
 
-    def test_unknown_keys_and_routes_are_refused(self):
+    def test_unknown_keys_and_routes_are_rejected(self):
         for key in (None, b"", b"unknown", FIRST_KEY + b" "):
             with self.assertRaises(UnknownKeyError) as caught:
                 self.admit(key)
@@ -142,12 +142,12 @@
         for key in (None, b"unknown"):
             self.assertIsNone(self.admit(key, b"/open/x").tenant)
 
-    def test_keys_are_not_asked_for_where_there_are_no_tenants(self):
+    def test_keys_are_not_required_without_tenants(self):
         self.state.update(Configuration(2, (make_route(b"/p/"),), {PAGES: Service(PAGES, 10)}))
         self.assertIsNone(self.admit(None).tenant)
         self.assertTrue(self.admission.caller("c", HOST, None).can_read(FIRST))
 
-    def test_dropped_moved_and_doubled_keys(self):
+    def test_removed_moved_and_duplicate_keys(self):
         self.state.update(make_configuration(2, make_tenant(FIRST, NEW_KEY)))
         with self.assertRaises(UnknownKeyError):
             self.admit(FIRST_KEY)
@@ -158,7 +158,7 @@
         self.state.update(make_configuration(4, *doubled))
         self.assertEqual(FIRST, self.admit(NEW_KEY).tenant)
 
-    def test_an_old_configuration_refuses_nobody_for_good(self):
+    def test_an_old_configuration_rejects_nobody_permanently(self):
         """It may lack new keys: their callers are sent to another daemon; known keys still work."""
         self.age = APPLY_SECONDS + 0.1
         self.assertEqual(FIRST, self.admit(FIRST_KEY).tenant)
@@ -168,7 +168,7 @@
             self.assertEqual(503, caught.exception.status)
             self.assertIsNotNone(caught.exception.retry_after)
 
-    def test_without_a_configuration_nothing_is_known(self):
+    def test_without_a_configuration_nothing_is_admitted(self):
         self.state.current = None
         for call in (
             lambda: self.admit(FIRST_KEY),
@@ -294,7 +294,7 @@
         writer.write(b"\r\n".join((*lines, b"Connection: close", b"", b"")))
         return await asyncio.wait_for(reader.read(), 3)
 
-    async def test_the_server_is_told_the_tenant_whatever_the_client_sent(self):
+    async def test_the_server_receives_the_tenant_whatever_the_client_sent(self):
         answer = await self.ask(
             b"Larkpost-Tenant: second",
             b"LARKPOST-tenant: second",
@@ -331,7 +331,7 @@
         for call in (b"/-/lots/b", b"/-/items/b?id=i"):
             self.assertTrue((await self.ask(path=call)).startswith(b"HTTP/1.1 401"))
 
-    async def test_a_dropped_key_is_refused_from_the_next_request_on(self):
+    async def test_a_removed_key_is_rejected_from_the_next_request_on(self):
         key = b"Api-Key: " + FIRST_KEY
         self.assertTrue((await self.ask(key)).startswith(b"HTTP/1.1 200"))
         self.state.update(make_configuration(2, make_tenant(FIRST, NEW_KEY)))
@@ -341,7 +341,7 @@
 class NoKeyIsKeptTest(unittest.TestCase):
     """No log line, metric, error or row of larkpost contains a key."""
 
-    def test_keys_are_found_nowhere(self):
+    def test_keys_are_not_disclosed(self):
         lines = RecordingWriter()
         metrics = Metrics()
         log = EventLog("daemon", lines, metrics)
--- a/tests/test_uneven_division.py
+++ b/tests/test_uneven_division.py
@@ -41,7 +41,7 @@
                 steps = slowdown_steps({InstanceId(str(i)): pace for i, pace in enumerate(paces)})
                 self.assertEqual(expected, tuple(steps.values()))
 
-    def test_slower_engines_do_less(self):
+    def test_slower_engines_get_less_work(self):
         self.assertEqual(1.0, relative_speed(0))
         self.assertLess(relative_speed(1), 1.0)
         self.assertGreater(relative_speed(-1), 1.0)
@@ -74,7 +74,7 @@
             share = ENGINES / 2 * WORKS[model] / sum(WORKS.values())
             self.assertAlmostEqual(share, count, delta=1.0)
 
-    def test_division_stays_though_paces_are_measured_anew(self):
+    def test_assignment_is_stable_under_new_measurements(self):
         before = self.divide()
         for model, names in before.items():
             for name in names:
@@ -87,7 +87,7 @@
             }
             self.assertEqual(before, self.divide())
 
-    def test_division_stays_when_a_loaded_engine_turns_out_slow(self):
+    def test_assignment_is_stable_when_a_loaded_engine_turns_out_slow(self):
         before = self.divide()
         for model, names in before.items():
             for name in names:
@@ -97,7 +97,7 @@
         moved = sum(len(set(after[model]) - set(before[model])) for model in MODELS)
         self.assertLessEqual(moved, 2)
 
-    def test_engines_of_one_pace_are_divided_as_if_none_were_known(self):
+    def test_equally_fast_engines_are_assigned_as_if_no_speed_were_known(self):
         engines = self.directory.of_service(FOUR.name)
         unknown = assign_models(FOUR, engines, self.directory, DEMANDS)
         self.paces = dict.fromkeys(self.paces, USUAL)
--- a/tests/test_uneven_machines.py
+++ b/tests/test_uneven_machines.py
@@ -57,7 +57,7 @@
         """Returns the choice for each key."""
         return {key: choose_coordinator(key, CAPACITIES, capacities) for key in KEYS}
 
-    def test_keys_go_by_capacity(self):
+    def test_keys_are_distributed_by_capacity(self):
         counts = Counter(self.choices(CAPACITIES).values())
         whole = sum(CAPACITIES.values())
         for name, capacity in CAPACITIES.items():
@@ -80,7 +80,7 @@
         moved = {before[key] for key in KEYS if before[key] != after[key]}
         self.assertEqual({LARGE}, moved)
 
-    def test_daemon_that_reports_nothing_can_be_chosen_still(self):
+    def test_daemon_without_a_reported_capacity_can_be_chosen(self):
         counts = Counter(self.choices(CAPACITIES | {SMALL: 0.0}).values())
         expected = MIN_CAPACITY / (MIN_CAPACITY + 2.8)
         self.assertAlmostEqual(expected, counts[SMALL] / len(KEYS), delta=0.01)
@@ -110,7 +110,7 @@
         """Returns the expected coordinators."""
         return {name for name in self.fleet if should_coordinate(name, self.fleet, 1.0, capacities)}
 
-    def test_as_many_coordinate_whatever_their_capacities(self):
+    def test_number_of_coordinators_is_independent_of_capacities(self):
         for capacities in (None, self.capacities, dict.fromkeys(self.fleet, 1.0)):
             self.assertEqual(COORDINATOR_COUNT, len(self.chosen(capacities)))
 
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -117,7 +117,7 @@
 
         run(play())
 
-    def test_a_successor_repeats_what_was_decided(self):
+    def test_a_successor_repeats_the_decided_report(self):
         """The holder dies after its report was taken, before it receives the response."""
 
         async def play():
@@ -140,7 +140,7 @@
 
         run(play())
 
-    def test_counts_survive_a_store_that_is_away(self):
+    def test_counts_survive_a_store_outage(self):
         async def play():
             fleet = PlatformFleet()
             traffic = Traffic(fleet)
@@ -156,7 +156,7 @@
 
         run(play())
 
-    def test_lost_and_late_answers_of_the_store_change_no_report(self):
+    def test_lost_and_late_store_responses_change_no_report(self):
         async def play():
             fleet = PlatformFleet(seed=5)
             traffic = Traffic(fleet)
@@ -169,7 +169,7 @@
 
         run(play())
 
-    def test_a_planned_stop_saves_its_counts(self):
+    def test_a_graceful_shutdown_saves_the_counts(self):
         async def play():
             fleet = PlatformFleet(gateways=4)
             traffic = Traffic(fleet)
@@ -182,7 +182,7 @@
 
         run(play())
 
-    def test_counts_that_come_after_the_decision_change_nothing(self):
+    def test_counts_after_the_decision_are_ignored(self):
         async def play():
             fleet = PlatformFleet(gateways=4)
             traffic = Traffic(fleet)
@@ -236,7 +236,7 @@
 class LeaseTest(unittest.TestCase):
     """Leases of different duties."""
 
-    def test_subjects_of_different_duties_do_not_meet(self):
+    def test_subjects_of_different_duties_are_independent(self):
         async def play():
             clock = LoopClock()
             store = MemoryStore(clock)
--- a/tests/test_yielding.py
+++ b/tests/test_yielding.py
@@ -42,10 +42,10 @@
     def test_batch_that_yields_stays_at_its_own_engines(self):
         self.assertEqual(2, self.engines_used(yields=True))
 
-    def test_others_take_what_is_free(self):
+    def test_other_batches_use_free_engines(self):
         self.assertEqual(4, self.engines_used(yields=False))
 
-    def test_division_says_who_yields_for_as_long_as_somebody_waits(self):
+    def test_assignment_marks_yielding_models_while_items_wait(self):
         async def play():
             fleet = PlatformFleet(1, 8)
             await fleet.wait(1.0)
