--- a/src/larkpost/gateway/memory/budget.py
+++ b/src/larkpost/gateway/memory/budget.py
@@ -61,7 +61,7 @@
     def __init__(self, limit: int | None = None, rng: random.Random | None = None) -> None:
         self.limit = limit
         self.on_rejection: Callable[[Reservation, int], None] = lambda *_: None
-        self._chance = rng or random.Random()
+        self._rng = rng or random.Random()
         self._held = dict.fromkeys(MemoryPurpose, 0)
 
     @property
@@ -121,7 +121,7 @@
 
     def budget_error(self, size: int) -> MemoryBudgetError:
         """Returns the error for a reservation of ``size`` bytes that does not fit."""
-        wait = RETRY_AFTER_SECONDS * (1 + self._chance.random())
+        wait = RETRY_AFTER_SECONDS * (1 + self._rng.random())
         return MemoryBudgetError(f"no room for {size} more bytes", retry_after=round(wait, 3))
 
     def add(self, purpose: MemoryPurpose, size: int) -> None:
--- a/src/larkpost/gateway/store/peers.py
+++ b/src/larkpost/gateway/store/peers.py
@@ -50,7 +50,7 @@
         self._connect = connect
         self._clock = clock
         self._log = log
-        self._chance = rng
+        self._rng = rng
         self._distances: Callable[[], PeerDistances] = dict
         self._connected: dict[Address, PeerStore] = {}
         self._current_distance = Distance.SAME_ZONE
@@ -76,7 +76,7 @@
         if not usable or self._clock.now() < self._cooldown_until:
             return None
         self._current_distance = next_peer_distance(usable, failed_attempts)
-        address = self._chance.choice(
+        address = self._rng.choice(
             [name for name, distance in usable.items() if distance is self._current_distance]
         )
         if address not in self._connected:
--- a/tests/test_store_relay.py
+++ b/tests/test_store_relay.py
@@ -209,7 +209,7 @@
 
     def prefer_peer(self, address: Address) -> None:
         """Makes the selector prefer a peer."""
-        self.store._peers._chance.choice = lambda found: address if address in found else found[0]
+        self.store._peers._rng.choice = lambda found: address if address in found else found[0]
 
     def test_lost_history_is_raised_without_trying_a_peer(self):
         async def play():
