--- a/src/larkpost/gateway/usage/counter.py
+++ b/src/larkpost/gateway/usage/counter.py
@@ -27,7 +27,7 @@
     """
 
     def __init__(self, true_time: FleetClock, window_length: float) -> None:
-        self._true_time = true_time
+        self._fleet_clock = true_time
         self._window_length = window_length
         self._started: list[_StartedRequest] = []
         self._counts: dict[WindowNumber, Counter[TenantName]] = {}
@@ -53,10 +53,10 @@
 
     def _assign_windows(self) -> None:
         """Counts each recorded request in its window, and drops old windows."""
-        if not self._started or self._true_time.now() is None:
+        if not self._started or self._fleet_clock.now() is None:
             return
         for request in self._started:
-            window = WindowNumber(int(self._true_time.at(request.at) // self._window_length))
+            window = WindowNumber(int(self._fleet_clock.at(request.at) // self._window_length))
             self._counts.setdefault(window, Counter())[request.tenant] += 1
             self._unsaved.add(window)
         self._started.clear()
