--- a/src/larkpost/gateway/store/peers.py
+++ b/src/larkpost/gateway/store/peers.py
@@ -17,7 +17,7 @@
 MAX_PEER_ATTEMPTS = 3
 """Peers tried for one call; the last of them is as far away as possible."""
 PEER_COOLDOWN_SECONDS = 3.0
-"""Time for which a peer that did not respond is skipped."""
+"""Time for which a peer that did not respond is skipped, as it may be frozen or disconnected."""
 NO_PEER_COOLDOWN_SECONDS = 0.7
 """Time for which no peer is tried after all attempts of a call have failed."""
 
