--- a/src/larkpost/gateway/usage/reporter.py
+++ b/src/larkpost/gateway/usage/reporter.py
@@ -61,7 +61,7 @@
         """Returns the window of a time of day in seconds."""
         return WindowNumber(int(time // self.terms.window_length))
 
-    def is_established(self, window: WindowNumber, now: float, alive: int) -> bool:
+    def can_decide(self, window: WindowNumber, now: float, alive: int) -> bool:
         """Returns whether all live daemons have had time to save their counts of a window.
 
         Args:
@@ -130,7 +130,7 @@
         due = [
             WindowNumber(window)
             for window in range(first, last)
-            if self._timing.is_established(WindowNumber(window), now, alive)
+            if self._timing.can_decide(WindowNumber(window), now, alive)
         ]
         if not due:
             return
