--- a/src/larkpost/gateway/usage/counter.py
+++ b/src/larkpost/gateway/usage/counter.py
@@ -26,8 +26,8 @@
         window_length: window length in seconds.
     """
 
-    def __init__(self, true_time: FleetClock, window_length: float) -> None:
-        self._fleet_clock = true_time
+    def __init__(self, fleet_clock: FleetClock, window_length: float) -> None:
+        self._fleet_clock = fleet_clock
         self._window_length = window_length
         self._started: list[_StartedRequest] = []
         self._counts: dict[WindowNumber, Counter[TenantName]] = {}
--- a/src/larkpost/gateway/usage/reporter.py
+++ b/src/larkpost/gateway/usage/reporter.py
@@ -54,7 +54,7 @@
     """
 
     terms: UsageTerms
-    true_time: FleetClock
+    fleet_clock: FleetClock
     store_healthy_for: Callable[[], float]
 
     def window_at(self, time: float) -> WindowNumber:
@@ -106,7 +106,7 @@
         if not self._coordination.is_responsible_for(SUBJECT.key):
             self._next = None
             return
-        now = self._timing.true_time.now()
+        now = self._timing.fleet_clock.now()
         if now is None:
             return
         try:
