--- a/src/larkpost/gateway/assembly/balancing.py
+++ b/src/larkpost/gateway/assembly/balancing.py
@@ -48,12 +48,12 @@
         isolation,
         cold,
     )
-    sources = BalancerDependencies(
+    dependencies = BalancerDependencies(
         ports.servers.is_connected,
         Placement(blackboard.directory, rules, ports.metrics, cold.send_timeout),
         cold,
         blackboard.regions,
         DaemonSubsets(own, alive),
     )
-    balancer = Balancer(blackboard.directory, ports.clock, ports.rng, sources)
+    balancer = Balancer(blackboard.directory, ports.clock, ports.rng, dependencies)
     return Balancing(sender_tracker, cold, isolation, balancer)
--- a/src/larkpost/gateway/assembly/daemon_reports.py
+++ b/src/larkpost/gateway/assembly/daemon_reports.py
@@ -13,27 +13,27 @@
     """The reports of this daemon and of the others.
 
     Args:
-        keeper: returns the batch manager, which is created later.
+        batch_manager: returns the batch manager, which is created later.
         capacity: returns this daemon's capacity for work besides clients; None if unknown.
     """
 
     def __init__(
         self,
-        paces: ServiceTimeTracker,
+        service_times: ServiceTimeTracker,
         ledger: FlowLedger,
-        keeper: Callable[[], BatchManager],
+        batch_manager: Callable[[], BatchManager],
         capacity: Callable[[], float | None] = lambda: None,
     ) -> None:
-        self._service_times = paces
+        self._service_times = service_times
         self._ledger = ledger
-        self._keeper = keeper
+        self._batch_manager = batch_manager
         self._capacity = capacity
 
     def own(self) -> DaemonReport:
         """Returns the report for this daemon's next heartbeat."""
         return DaemonReport(
             tenants=self._ledger.report(),
-            batches=self._keeper().progress(),
+            batches=self._batch_manager().progress(),
             capacity=self._capacity(),
         )
 
@@ -44,5 +44,5 @@
     def record(self, daemon: DaemonId, report: DaemonReport) -> None:
         """Distributes another daemon's report to the components."""
         self._service_times.record_report(daemon, report.paces)
-        self._keeper().record_report(daemon, report.batches)
+        self._batch_manager().record_report(daemon, report.batches)
         self._ledger.record_report(daemon, report.tenants)
--- a/src/larkpost/gateway/assembly/gauges.py
+++ b/src/larkpost/gateway/assembly/gauges.py
@@ -30,7 +30,7 @@
     membership: Membership
     balancer: Balancer
     cold: ColdRateLimit
-    keeper: BatchManager
+    batch_manager: BatchManager
     event_loop_monitor: EventLoopMonitor
     relay: RelayedStore | None
     memory: DaemonMemory
@@ -78,7 +78,7 @@
         metrics = self.metrics
         metrics.set(Level.OPEN_REQUESTS, self.lifecycle.open_requests)
         metrics.set(Level.READY, int(self.lifecycle.ready))
-        owned = self.keeper.owned()
+        owned = self.batch_manager.owned()
         metrics.set(Level.BATCHES_OWNED, len(owned))
         metrics.set(Level.ITEMS_RUNNING, sum(batch.running for batch in owned))
         metrics.set(Level.REWARDS_WAITING, sum(batch.unscored for batch in owned))
--- a/src/larkpost/gateway/assembly/leased_controllers.py
+++ b/src/larkpost/gateway/assembly/leased_controllers.py
@@ -39,9 +39,9 @@
     engine_allocator: EngineAllocator
     membership: Membership
     balancer: Balancer
-    keeper: BatchManager
+    batch_manager: BatchManager
     feeds: Feeds
-    true_time: FleetClock
+    fleet_clock: FleetClock
     counter: UsageCounter | None
 
 
@@ -101,7 +101,7 @@
             self._coordination,
             port,
             self._instruments,
-            ReportTiming(terms, self._inputs.true_time, self._inputs.feeds.healthy_for),
+            ReportTiming(terms, self._inputs.fleet_clock, self._inputs.feeds.healthy_for),
         )
 
     def _make_scaling(self) -> ScalingController | None:
@@ -109,7 +109,7 @@
             return None
         inputs = self._inputs
         demand = DemandEstimator(
-            inputs.blackboard.directory, inputs.keeper.demands, inputs.balancer.service_time
+            inputs.blackboard.directory, inputs.batch_manager.demands, inputs.balancer.service_time
         )
         return ScalingController(
             ScalingInputs(inputs.blackboard, demand, inputs.feeds.healthy_for),
--- a/src/larkpost/gateway/assembly/membership.py
+++ b/src/larkpost/gateway/assembly/membership.py
@@ -25,7 +25,7 @@
     Attributes:
         daemon: id of this process.
         ledger: usage by tenant across the fleet.
-        keeper: returns the batch manager, which is created later.
+        batch_manager: returns the batch manager, which is created later.
     """
 
     daemon: DaemonId
@@ -35,7 +35,7 @@
     regions: RegionMap
     balancer: Balancer
     ledger: FlowLedger
-    keeper: Callable[[], BatchManager]
+    batch_manager: Callable[[], BatchManager]
     event_loop_monitor: EventLoopMonitor
 
 
@@ -44,11 +44,13 @@
     store, balancer, settings = inputs.ports.store, inputs.balancer, inputs.settings
     max_capacity = machine_capacity(settings.cores, settings.byte_budget)
     capacity = DaemonCapacity(max_capacity, inputs.event_loop_monitor, inputs.ports.clock)
-    reports = DaemonReports(balancer.service_times, inputs.ledger, inputs.keeper, capacity.now)
+    reports = DaemonReports(
+        balancer.service_times, inputs.ledger, inputs.batch_manager, capacity.now
+    )
     own = LocalDaemon(
         inputs.daemon,
         balancer.summary,
-        lambda: inputs.keeper().is_owner(),
+        lambda: inputs.batch_manager().is_owner(),
         ClockOffset(inputs.ports.clock, store.time).now,
         settings.peer_address,
         reports.own,
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -112,7 +112,7 @@
                 self._event_loop_monitor,
             )
         )
-        self.true_time = FleetClock(self._clock, ports.store.time, self.membership.clock_offsets)
+        self.fleet_clock = FleetClock(self._clock, ports.store.time, self.membership.clock_offsets)
 
     def _make_quarantine(self) -> None:
         ports = self._ports
@@ -135,7 +135,7 @@
         ports = self._ports
         self._counter: UsageCounter | None = None
         if ports.usage is not None and self.settings.usage is not None:
-            self._counter = UsageCounter(self.true_time, self.settings.usage.window_length)
+            self._counter = UsageCounter(self.fleet_clock, self.settings.usage.window_length)
         self.forwarder = make_forwarder(
             ports, self.blackboard, self.balancer, self._servers, self._ledger, self._counter
         )
@@ -202,7 +202,7 @@
                 self.balancer,
                 self.keeper,
                 self._feeds,
-                self.true_time,
+                self.fleet_clock,
                 self._counter,
             ),
         )
