--- a/src/larkpost/gateway/assembly/balancing.py
+++ b/src/larkpost/gateway/assembly/balancing.py
@@ -1,4 +1,4 @@
-"""How the rules of placement and the balancer of one daemon are put together."""
+"""Builds the placement rules and the balancer of one daemon."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -18,9 +18,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Balancing:
-    """Where work may go, and which instance is best; see the classes."""
+    """The balancer, and the placement rules that other components use."""
 
-    cold_senders: SenderTracker
+    sender_tracker: SenderTracker
     cold: ColdRateLimit
     isolation: IsolationRule
     balancer: Balancer
@@ -33,27 +33,27 @@
     ports: GatewayPorts,
     alive: Callable[[], frozenset[DaemonId]],
 ) -> Balancing:
-    """Returns the parts of one daemon.
+    """Returns the balancing components of one daemon.
 
     Args:
-        alive: returns the daemons considered alive; called only once all parts stand.
+        alive: returns the live daemons; called only after the daemon is fully built.
     """
-    cold_senders = SenderTracker(own, ports.clock)
-    cold = ColdRateLimit(settings.cold, blackboard, ports.clock, ports.log, cold_senders)
+    sender_tracker = SenderTracker(own, ports.clock)
+    cold = ColdRateLimit(settings.cold, blackboard, ports.clock, ports.log, sender_tracker)
     isolation = IsolationRule()
-    # Rules that count sends come last, so that they count none that another forbids.
+    # Rules that count sends come last, so that they do not count sends that others reject.
     rules = (
         EvacuationRule(blackboard.evacuations),
         RegionRule(blackboard.regions),
         isolation,
         cold,
     )
-    sources = BalancerDependencies(
+    dependencies = BalancerDependencies(
         ports.servers.is_connected,
         Placement(blackboard.directory, rules, ports.metrics, cold.send_timeout),
         cold,
         blackboard.regions,
         DaemonSubsets(own, alive),
     )
-    balancer = Balancer(blackboard.directory, ports.clock, ports.rng, sources)
-    return Balancing(cold_senders, cold, isolation, balancer)
+    balancer = Balancer(blackboard.directory, ports.clock, ports.rng, dependencies)
+    return Balancing(sender_tracker, cold, isolation, balancer)
--- a/src/larkpost/gateway/assembly/daemon_reports.py
+++ b/src/larkpost/gateway/assembly/daemon_reports.py
@@ -1,4 +1,4 @@
-"""Joins what a daemon reports to the others with its heartbeats; passes on what they report."""
+"""Builds the report in this daemon's heartbeats, and distributes received reports."""
 
 from collections.abc import Callable
 
@@ -13,36 +13,36 @@
     """The reports of this daemon and of the others.
 
     Args:
-        keeper: returns the keeper of this daemon's batches, which is made after the reports.
-        capacity: returns what this daemon can bear beside clients; None if that is not known.
+        batch_manager: returns the batch manager, which is created later.
+        capacity: returns this daemon's capacity for work besides clients; None if unknown.
     """
 
     def __init__(
         self,
-        paces: ServiceTimeTracker,
+        service_times: ServiceTimeTracker,
         ledger: FlowLedger,
-        keeper: Callable[[], BatchManager],
+        batch_manager: Callable[[], BatchManager],
         capacity: Callable[[], float | None] = lambda: None,
     ) -> None:
-        self._paces = paces
+        self._service_times = service_times
         self._ledger = ledger
-        self._keeper = keeper
+        self._batch_manager = batch_manager
         self._capacity = capacity
 
     def own(self) -> DaemonReport:
-        """Returns what each of this daemon's heartbeats reports now."""
+        """Returns the report for this daemon's next heartbeat."""
         return DaemonReport(
             tenants=self._ledger.report(),
-            batches=self._keeper().progress(),
+            batches=self._batch_manager().progress(),
             capacity=self._capacity(),
         )
 
     def own_service_times(self) -> dict[InstanceId, float]:
-        """Returns the paces whose turn it is; each call takes the next ones."""
-        return self._paces.report()
+        """Returns the next group of service times to report; each call advances the rotation."""
+        return self._service_times.report()
 
     def record(self, daemon: DaemonId, report: DaemonReport) -> None:
-        """Records what another daemon reports."""
-        self._paces.record_report(daemon, report.paces)
-        self._keeper().record_report(daemon, report.batches)
+        """Distributes another daemon's report to the components."""
+        self._service_times.record_report(daemon, report.paces)
+        self._batch_manager().record_report(daemon, report.batches)
         self._ledger.record_report(daemon, report.tenants)
--- a/src/larkpost/gateway/assembly/leased_controllers.py
+++ b/src/larkpost/gateway/assembly/leased_controllers.py
@@ -1,6 +1,7 @@
-"""The controllers of which one daemon at a time acts: weight loads, usage reports, scaling.
+"""Controllers that act on one daemon at a time: weight loads, usage reports and scaling.
 
-Each daemon runs all of them; each acts only on what this daemon is chosen for, under a lease.
+Every daemon runs all of them; each acts only on subjects that this daemon is chosen for, under a
+lease.
 """
 
 from dataclasses import dataclass
@@ -28,19 +29,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ControllerInputs:
-    """What the controllers need of the other groups.
+    """Dependencies of the controllers.
 
     Attributes:
-        counter: counts this daemon's requests by tenant; None if no usage is reported.
+        counter: counts this daemon's requests by tenant; None if usage is not reported.
     """
 
     blackboard: Blackboard
-    division: EngineAllocator
+    engine_allocator: EngineAllocator
     membership: Membership
     balancer: Balancer
-    keeper: BatchManager
+    batch_manager: BatchManager
     feeds: Feeds
-    true_time: FleetClock
+    fleet_clock: FleetClock
     counter: UsageCounter | None
 
 
@@ -60,7 +61,7 @@
         self._coordination = Coordination(inputs.membership, self.leases)
         self._loader = WeightLoader(
             inputs.blackboard,
-            inputs.division,
+            inputs.engine_allocator,
             self._coordination,
             ports.servers,
             self._instruments,
@@ -81,7 +82,7 @@
             self._scaling.start(tasks)
 
     async def save_final(self) -> None:
-        """Saves at a planned stop what would die with this process."""
+        """Saves unsaved usage counts during a graceful shutdown."""
         if self._usage_writer is not None:
             await self._usage_writer.save_final()
 
@@ -100,7 +101,7 @@
             self._coordination,
             port,
             self._instruments,
-            ReportTiming(terms, self._inputs.true_time, self._inputs.feeds.healthy_for),
+            ReportTiming(terms, self._inputs.fleet_clock, self._inputs.feeds.healthy_for),
         )
 
     def _make_scaling(self) -> ScalingController | None:
@@ -108,7 +109,7 @@
             return None
         inputs = self._inputs
         demand = DemandEstimator(
-            inputs.blackboard.directory, inputs.keeper.demands, inputs.balancer.service_time
+            inputs.blackboard.directory, inputs.batch_manager.demands, inputs.balancer.service_time
         )
         return ScalingController(
             ScalingInputs(inputs.blackboard, demand, inputs.feeds.healthy_for),
--- a/tests/test_batch_times.py
+++ b/tests/test_batch_times.py
@@ -1,4 +1,4 @@
-"""The table of where a batch's time went, from the lines of daemons' logs."""
+"""Tests of the timeline of batches derived from daemons' logs."""
 
 import unittest
 
@@ -30,10 +30,10 @@
 
 
 class BatchTimesTest(unittest.TestCase):
-    """One batch with a story, one that was only accepted."""
+    """One batch that ran, and one that was only accepted."""
 
     def row(self, number: int) -> dict[str, str]:
-        """Returns a row of the table by the names of its columns."""
+        """Returns a row of the table, by column name."""
         rows = table(read_batch_times(LINES))
         self.assertEqual(2, len(rows))
         return dict(zip(COLUMNS, rows[number], strict=True))
@@ -54,13 +54,13 @@
         self.assertEqual("whole:2 full:1", row["runs"])
         self.assertEqual("failed:1 scored:1", row["reward calls"])
 
-    def test_what_no_line_tells_is_left_open(self):
+    def test_times_missing_from_the_logs_are_empty(self):
         row = self.row(1)
         self.assertEqual("3.00", row["accepted"])
         self.assertEqual("-", row["whole"])
         self.assertEqual("-", row["wanted"])
 
-    def test_no_lines_make_no_rows(self):
+    def test_no_lines_give_no_rows(self):
         self.assertEqual([], table(read_batch_times(["nothing"])))
 
 
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Evacuated zones: nothing new is sent there, whatever happens to the news of it."""
+"""Tests that evacuated zones get no new requests, even if the notice is delayed or lost."""
 
 import asyncio
 import random
@@ -57,11 +57,11 @@
 NORTH, SOUTH = ZONES
 OBJECTIVE_SECONDS = 0.2
 CHANGE_SECONDS = 1.5
-"""Time for news of the store to have reached every daemon that can read it."""
+"""Time after which a change in the store has reached every daemon that can read it."""
 
 
 class ReaderTest(unittest.TestCase):
-    """What the platform's rows say."""
+    """Parsing of the platform's rows."""
 
     def read(self, key: str, *, removed: bool = False) -> ZoneEvacuation | None:
         """Reads a row of the operator's table."""
@@ -76,7 +76,7 @@
         gone = Row(removal, b"", 2, removed=True)
         self.assertEqual(ZoneEvacuation(NORTH, is_on=False), operator.read_evacuation(gone))
 
-    def test_other_rows_say_nothing_also_when_they_are_gone(self):
+    def test_other_rows_and_their_removals_are_ignored(self):
         for key in (names.CONFIGURATION_KEY, f"{names.VERSION_KEY_PREFIX}m", "evacuates"):
             for removed in (False, True):
                 self.assertIsNone(self.read(key, removed=removed))
@@ -87,9 +87,9 @@
 
 
 class RuleTest(unittest.TestCase):
-    """Which work an evacuation forbids."""
+    """Which work the evacuation rule rejects."""
 
-    def test_requests_are_forbidden_and_orders_are_not(self):
+    def test_requests_are_rejected_and_orders_allowed(self):
         evacuations = Evacuations()
         evacuations.begin(NORTH, 0.0)
         rule = EvacuationRule(evacuations)
@@ -102,10 +102,10 @@
 
 
 class ForwarderTest(unittest.TestCase):
-    """Client requests of a service with a server in either zone."""
+    """Client requests to a service with one server in each zone."""
 
     def begin(self, *evacuated: ZoneId, slow: ZoneId | None = None) -> None:
-        """Lists a server in either zone, one of them silent."""
+        """Lists one server in each zone, one of them unresponsive."""
         self.clock = LoopClock()
         self.engines = ScriptedEngines(self.clock, MODEL)
         directory = InstanceDirectory()
@@ -144,7 +144,7 @@
 
         run(play())
 
-    def test_no_server_elsewhere_is_refused_at_once(self):
+    def test_request_without_a_server_elsewhere_is_rejected_at_once(self):
         async def play():
             self.begin(*ZONES)
             for kind in (RouteKind.IDEMPOTENT, RouteKind.RUN_ONCE):
@@ -171,9 +171,9 @@
 
 
 class NotSentTest(unittest.TestCase):
-    """Sends that a rule forbids at the last moment tell nothing of the server."""
+    """A send that a rule rejects at the last moment does not count against the server."""
 
-    def test_server_is_there_for_other_work_and_once_the_evacuation_has_ended(self):
+    def test_server_stays_usable_for_other_work_and_after_the_evacuation(self):
         async def play():
             balancer = Balancer(InstanceDirectory(), LoopClock(), random.Random(1))
             for reason in (NotRunReason.EVACUATED, NotRunReason.OUTSIDE_REGIONS):
@@ -186,7 +186,7 @@
 
 
 class LoadTest(unittest.TestCase):
-    """Which engines load when, and which are a model's own."""
+    """When engines load a version, and which engines belong to a model."""
 
     def setUp(self) -> None:
         self.service = CONFIGURATION.services[ENGINES]
@@ -199,14 +199,14 @@
         self.south = {InstanceId(f"e{number}") for number in (1, 3, 5)}
 
     def due(self, seconds: float, zone: ZoneId = NORTH) -> set[InstanceId]:
-        """Returns the engines that load so long after the version was named."""
+        """Returns the engines that are due to load a given time after the announcement."""
         now = 10.0 + IDLE_LOAD_DELAY_SECONDS + seconds
         inputs = LoadInputs(self.directory, self.targets, {}, frozenset({zone}))
         loads = due_loads(self.service, inputs, now)
         return {engine for engine, _ in loads}
 
     def load(self, engines: set[InstanceId]) -> None:
-        """Brings engines to the version."""
+        """Sets engines to the version."""
         for engine in engines:
             self.directory.observe_version(engine, MODEL, 2)
 
@@ -225,7 +225,7 @@
         for engine in self.north | self.south:
             self.assertEqual(2, self.directory.version_of(engine, MODEL))
 
-    def test_engine_that_cannot_load_holds_up_the_evacuated_ones_for_its_turns_only(self):
+    def test_engine_that_cannot_load_delays_evacuated_ones_only_for_its_turns(self):
         late = LOAD_GROUP_COUNT * GROUP_TURN_SECONDS + 0.1
         self.assertTrue(self.due(late) & self.north)
 
@@ -245,22 +245,22 @@
 
 
 class FleetTest(unittest.TestCase):
-    """A fleet of daemons with two engines in either zone."""
+    """A fleet of daemons with two engines in each zone."""
 
     def setUp(self) -> None:
         self.enterContext(switched_off.own_engines_first())
 
     async def begin(self, **options) -> None:
-        """Starts a fleet, and waits until it has learnt all that it must.
+        """Starts a fleet, and waits until it has its initial state.
 
-        Items may go to any engine from the start, so that nothing but the rule keeps them away.
+        Items may go to any engine from the start, so only the evacuation rule keeps them away.
         """
         self.fleet = PlatformFleet(**options)
         self.batches = 0
         await self.fleet.wait(CHANGE_SECONDS)
 
     async def run_batch(self, number: int = 0, items: int = 12, **options) -> set[ZoneId]:
-        """Runs a batch at a daemon and returns the zones to which anything was sent meanwhile."""
+        """Runs a batch at a daemon, and returns the zones that received requests meanwhile."""
         self.batches += 1
         spec = make_batch(f"batch-{self.batches}", items, **options)
         first = len(self.fleet.sends)
@@ -291,13 +291,13 @@
 
         run(play())
 
-    def test_begin_and_end_have_one_line_each(self):
+    def test_begin_and_end_are_logged_once(self):
         async def play():
             await self.begin(gateways=1)
             log = RecordingLog()
             self.fleet.gateways[0]._feeds.row_recorder._log = log
             await self.change(NORTH)
-            self.fleet.put("operator", f"evacuate-{NORTH}", b"{}")  # said again: no news
+            self.fleet.put("operator", f"evacuate-{NORTH}", b"{}")  # repeated, without effect
             await self.change(NORTH, on=False)
             lines = [fields for event, fields in log.events if event is Event.EVACUATION]
             self.assertEqual(["begun", "ended"], [line["state"] for line in lines])
@@ -307,7 +307,7 @@
 
         run(play())
 
-    def test_end_and_new_begin_within_one_answer_of_the_feed(self):
+    def test_end_and_new_begin_in_one_feed_response(self):
         async def play():
             await self.begin()
             await self.change(NORTH)
@@ -317,7 +317,7 @@
 
         run(play())
 
-    def test_begin_and_end_within_one_answer_of_the_feed(self):
+    def test_begin_and_end_in_one_feed_response(self):
         async def play():
             await self.begin()
             self.fleet.evacuate(NORTH)
@@ -369,7 +369,7 @@
 
         run(play())
 
-    def test_end_is_learnt_when_the_feed_lost_it(self):
+    def test_end_is_learned_after_the_feed_lost_it(self):
         async def play():
             await self.begin(gateways=1)
             await self.change(NORTH)
@@ -383,7 +383,7 @@
 
         run(play())
 
-    def test_begin_is_learnt_when_the_feed_lost_it(self):
+    def test_begin_is_learned_after_the_feed_lost_it(self):
         async def play():
             await self.begin(gateways=1)
             self.fleet.evacuate(NORTH)
@@ -405,7 +405,7 @@
 
         run(play())
 
-    def test_daemon_that_the_store_turns_away_hears_through_a_peer(self):
+    def test_daemon_rejected_by_the_store_learns_through_a_peer(self):
         async def play():
             await self.begin(relays=True)
             self.fleet.clients[0].refused = True
@@ -417,7 +417,7 @@
 
         run(play())
 
-    def test_broken_run_goes_on_outside_the_zone(self):
+    def test_broken_run_continues_outside_the_zone(self):
         async def play():
             self.enterContext(switched_off.pauses_after_failures())
             await self.begin(gateways=1)
@@ -435,7 +435,7 @@
 
         run(play())
 
-    def test_run_under_way_ends_where_it_is(self):
+    def test_running_item_finishes_in_the_zone(self):
         async def play():
             await self.begin(gateways=1)
             spec = make_batch(items=8)
@@ -448,7 +448,7 @@
 
         run(play())
 
-    def test_gauges_tell_when_a_zone_is_empty(self):
+    def test_gauges_show_when_a_zone_is_empty(self):
         async def play():
             await self.begin(gateways=1)
             gateway = self.fleet.gateways[0]
@@ -472,12 +472,12 @@
         run(play())
 
     def check_gauges(self, count: int) -> None:
-        """Checks that the evacuated zone is told to hold some requests."""
+        """Checks that the gauges show requests in the evacuated zone."""
         text = self.fleet.gateways[0].read_metrics().decode()
         self.assertIn('larkpost_evacuated{zone="north"} 1.0', text)
         self.assertIn(f'larkpost_evacuated_requests{{zone="north"}} {count}.0', text)
 
-    def test_request_at_an_instance_that_left_the_list_is_counted(self):
+    def test_request_at_an_unlisted_instance_is_counted(self):
         async def play():
             await self.begin(gateways=1)
             gateway = self.fleet.gateways[0]
@@ -512,9 +512,9 @@
 
 
 class CheckTest(unittest.TestCase):
-    """The check of the bound, by which the fuzz judges."""
+    """The bound check that the fuzz test uses."""
 
-    def test_trouble_within_the_bound_excuses_and_later_trouble_does_not(self):
+    def test_only_faults_within_the_bound_are_excuses(self):
         self.assertEqual(15.0, known_by(10.0, []))
         self.assertEqual(18.0, known_by(10.0, [(12.0, 13.0)]))
         self.assertEqual(23.0, known_by(10.0, [(12.0, 13.0), (17.0, 18.0)]))
--- a/tests/test_fault_kinds.py
+++ b/tests/test_fault_kinds.py
@@ -1,4 +1,4 @@
-"""Kinds of faults that no other test stands for: clock steps, large configurations, fleets."""
+"""Tests of faults without a test module of their own: clock steps, size, changing fleets."""
 
 import re
 import time
@@ -28,9 +28,9 @@
 
 
 class ClockStepTest(unittest.TestCase):
-    """The time of day may jump by seconds, forward or backward."""
+    """The time of day jumps by seconds, forward or backward."""
 
-    def test_no_deciding_module_reads_the_time_of_day(self):
+    def test_no_decision_reads_the_time_of_day(self):
         for package in DECIDING_PACKAGES:
             for path in sorted((SOURCE / package).rglob("*.py")):
                 if "stand_in" not in path.parts:
@@ -61,7 +61,7 @@
 
 
 class LargeConfigurationTest(unittest.TestCase):
-    """Thousands of routes come at once."""
+    """A configuration with thousands of routes."""
 
     def configuration(self, version: int, service: str) -> Configuration:
         """Returns a configuration whose routes all go to one service."""
@@ -82,7 +82,7 @@
         self.assertIsNone(current.match("h1", b"/p0/x"))
         self.assertIsNone(current.match("h0", b"/p0"))
 
-    def test_older_one_that_arrives_later_changes_nothing(self):
+    def test_late_older_configuration_is_ignored(self):
         state = ConfigurationState()
         self.assertTrue(state.update(self.configuration(9, "new")))
         self.assertFalse(state.update(self.configuration(4, "old")))
@@ -90,7 +90,7 @@
 
 
 class ChangingFleetTest(unittest.TestCase):
-    """Daemons and engines come and go while a batch runs."""
+    """Daemons and engines join and leave while a batch runs."""
 
     def test_new_engines_are_used_soon(self):
         async def play():
@@ -124,7 +124,7 @@
 
         run(play())
 
-    def test_engines_that_go_down_and_up_by_turns_hold_no_item_up(self):
+    def test_engines_that_fail_in_turn_delay_no_item(self):
         async def play():
             fleet = PlatformFleet(2, 3)
             await fleet.wait(1.0)
@@ -142,8 +142,8 @@
 
         run(play())
 
-    def test_engine_that_falls_silent_is_left_for_another(self):
-        """A cut link: the engine takes the request and says nothing more."""
+    def test_unresponsive_engine_is_replaced_by_another(self):
+        """The link breaks: the engine accepts the request and then sends nothing."""
 
         async def play():
             fleet = PlatformFleet(1, 2)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""The one answer to whether work may go to an instance: asked for a choice, and before a send."""
+"""Tests that the placement rules apply both at the choice of an instance and before the send."""
 
 import unittest
 from dataclasses import replace
@@ -25,24 +25,24 @@
 
 
 class OnceRule:
-    """Lets one send through, as a rule that counts sends does."""
+    """Allows one send, as a rule that counts sends does."""
 
     def __init__(self) -> None:
         self.left = 1
 
     def evaluate(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
-        """Tells whether a send is left."""
+        """Returns whether a send is left."""
         return PlacementDecision.ALLOWED if self.left else PlacementDecision.COLD
 
     def admit(self, instance: InstanceInfo, work: Work) -> PlacementDecision:
-        """Takes a send."""
+        """Consumes a send."""
         verdict = self.evaluate(instance, work)
         self.left = 0
         return verdict
 
 
 class PlacementTest(unittest.TestCase):
-    """Each rule forbids both the choice and the send."""
+    """Each rule rejects both the choice and the send."""
 
     def setUp(self) -> None:
         self.directory = InstanceDirectory()
@@ -52,7 +52,7 @@
         self.placement = Placement(self.directory, (self.rule,), self.metrics)
 
     def refusal(self, work: Work = CLIENT_WORK) -> NotRunReason | None:
-        """Returns why a send must not be made; None if it may."""
+        """Returns why a send is rejected; None if it is allowed."""
         try:
             self.placement.admit(ENGINE.id, work)
         except NotRunError as error:
@@ -69,25 +69,25 @@
             b'larkpost_not_placed_total{verdict="leaving",work="client"} 1.0', self.metrics.text()
         )
 
-    def test_older_weights_than_the_work_allows(self) -> None:
+    def test_weights_older_than_the_work_allows(self) -> None:
         fitting = Work(WorkKind.ITEM, model=MODEL, minimum_version=3)
         newer = replace(fitting, minimum_version=4)
         self.assertIs(self.placement.evaluate(ENGINE, fitting), PlacementDecision.ALLOWED)
         self.assertIs(self.placement.evaluate(ENGINE, newer), PlacementDecision.OLD_VERSION)
         self.assertIs(self.refusal(newer), NotRunReason.MISDIRECTED)
 
-    def test_forbidden_send_takes_nothing_of_a_rule_that_counts(self) -> None:
+    def test_rejected_send_is_not_counted_by_a_rule(self) -> None:
         self.assertIsNotNone(self.refusal(Work(WorkKind.ITEM, model=MODEL, minimum_version=9)))
         self.assertEqual(self.rule.left, 1)
         self.assertIsNone(self.refusal())
         self.assertIs(self.refusal(), NotRunReason.COLD)
 
-    def test_choice_takes_nothing(self) -> None:
+    def test_choice_is_not_counted(self) -> None:
         for _ in range(3):
             self.assertTrue(self.placement.allows(ENGINE, CLIENT_WORK))
         self.assertIsNone(self.refusal())
 
-    def test_each_objection_has_a_reason_to_answer_with(self) -> None:
+    def test_each_decision_has_a_not_run_reason(self) -> None:
         objections = set(PlacementDecision) - {PlacementDecision.ALLOWED}
         self.assertEqual(objections, set(REJECTION_REASONS))
 
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop ends within its grace time, whatever is silent meanwhile."""
+"""Tests that a graceful shutdown ends within the grace time, even if something is unresponsive."""
 
 import asyncio
 import unittest
@@ -14,7 +14,7 @@
 
 
 class SilentStoreTest(unittest.TestCase):
-    """The store is down while a daemon that owns a batch is asked to stop."""
+    """A daemon that owns a batch is stopped while the store is down."""
 
     def test_stop_ends_before_the_kill(self) -> None:
         async def play() -> float:
@@ -28,7 +28,7 @@
 
         self.assertLessEqual(run_virtual(play()), GRACE_SECONDS - KILL_MARGIN_SECONDS + 0.8)
 
-    def test_stop_waits_for_an_answer_no_longer_than_it_may(self) -> None:
+    def test_stop_waits_for_a_response_no_longer_than_allowed(self) -> None:
         async def play() -> float:
             fleet = PlatformFleet(gateways=2)
             await fleet.wait(1.0)
@@ -43,9 +43,9 @@
 
 
 class ListenerTest(unittest.IsolatedAsyncioTestCase):
-    """A listener that is closed does not wait for an answer that never ends."""
+    """Closing a listener does not wait for an endless response."""
 
-    async def test_close_cuts_an_answer_that_does_not_end(self) -> None:
+    async def test_close_aborts_an_endless_response(self) -> None:
         called = asyncio.Event()
 
         async def never_answers(scope, receive, send) -> None:
--- a/tests/test_platform_servers.py
+++ b/tests/test_platform_servers.py
@@ -1,4 +1,4 @@
-"""The server adapter against servers that break their promises in every way it must notice."""
+"""Tests of the server adapter with servers that violate the protocol."""
 
 import asyncio
 import socket
@@ -28,12 +28,12 @@
 
 
 def whole(body: bytes, headers: bytes = ECHO, status: bytes = b"200 OK") -> bytes:
-    """Returns a framed answer."""
+    """Returns a response with a content length."""
     return b"HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s" % (status, headers, len(body), body)
 
 
 def chunked(*parts: bytes, end: bool = True) -> bytes:
-    """Returns an answer in chunks."""
+    """Returns a chunked response."""
     content = b"HTTP/1.1 200 OK\r\n" + ECHO + b"Transfer-Encoding: chunked\r\n\r\n"
     for part in parts:
         content += b"%x\r\n%s\r\n" % (len(part), part)
@@ -41,7 +41,7 @@
 
 
 class ScriptedServer:
-    """Answers the requests of each connection from a list of byte strings, in turn."""
+    """Responds to the requests of each connection from a list of byte strings, in order."""
 
     def __init__(self, *answers: bytes, reset: bool = False, late: bytes = b"") -> None:
         self._answers = list(answers)
@@ -102,7 +102,7 @@
 
 
 class ClosingServer(ScriptedServer):
-    """Answers one request, and closes the connection once it has read the next one."""
+    """Responds to one request, and closes the connection after reading the next one."""
 
     def __init__(self, *, is_dead: bool) -> None:
         super().__init__(whole(b"", ECHO), whole(b"", ECHO))
@@ -130,12 +130,12 @@
 
 
 def stand_still(seconds: float) -> None:
-    """Holds the whole process up, as a freeze does."""
+    """Blocks the whole process, like a freeze."""
     time.sleep(seconds)
 
 
 class ServerAdapterTest(unittest.IsolatedAsyncioTestCase):
-    """Each test serves scripted bytes."""
+    """Serves scripted bytes."""
 
     def setUp(self):
         self.servers = None
@@ -149,7 +149,7 @@
             return b"".join([chunk async for chunk in answer.chunks()])
 
     async def events(self, server: ScriptedServer, sent: OutgoingRequest):
-        """Sends a request and returns its events, and the error that ended them."""
+        """Sends a request, and returns its events and the error that ended them."""
         self.servers = HttpServers()
         self.addAsyncCleanup(self.servers.close)
         found = []
@@ -162,7 +162,7 @@
         return found, None
 
     async def use_twice(self, told: str, rest: float) -> int:
-        """Returns the connections that two requests take, with a rest between them."""
+        """Returns the connections that two requests use, with a pause between them."""
         header = ECHO + f"Keep-Alive: timeout={told}\r\n".encode()
         answers = whole(b"first", header), whole(b"second", header.replace(b"r1", b"r2"))
         async with ScriptedServer(*answers) as server:
@@ -181,7 +181,7 @@
             self.assertEqual(b"done", await self.fetch(server, request(2)))
             self.assertEqual(1, server.connections)
 
-    async def test_refusal_whose_body_does_not_come_is_proof_all_the_same(self):
+    async def test_rejection_without_its_body_is_still_proof(self):
         head = b"HTTP/1.1 503 Service Unavailable\r\nLarkpost-Not-Executed: 1\r\n" + ECHO
         began = asyncio.get_running_loop().time()
         async with ScriptedServer(head + b"Content-Length: 9\r\n\r\nfu") as server:
@@ -191,7 +191,7 @@
             self.assertFalse(self.servers.is_connected(server.instance))
 
     async def test_refusal_that_names_no_request_closes_its_connection(self):
-        """It could come a second time, and pass for the refusal of the next request."""
+        """A repeated one could be taken for the rejection of the next request."""
         full = whole(b"full", b"Larkpost-Not-Executed: 1\r\n", b"503 Service Unavailable")
         done = whole(b"done", ECHO.replace(b"r1", b"r2"))
         async with ScriptedServer(full, done) as server:
@@ -211,7 +211,7 @@
             outcome = await self.servers.order(server.instance, order, 1.0)
             self.assertEqual((OrderOutcome.TAKEN, 1), (outcome, server.connections))
 
-    async def test_answer_of_an_earlier_request_is_none_to_an_order(self):
+    async def test_response_to_an_earlier_request_is_not_taken_for_an_order(self):
         async with ScriptedServer(whole(b"late", ECHO)) as server:
             self.servers = HttpServers()
             self.addAsyncCleanup(self.servers.close)
@@ -219,15 +219,15 @@
             outcome = await self.servers.order(server.instance, order, 1.0)
             self.assertEqual(OrderOutcome.UNKNOWN, outcome)
 
-    async def test_idle_connection_is_kept_as_long_as_its_server_says(self):
+    async def test_idle_connection_is_kept_for_the_servers_keep_alive(self):
         with mock.patch.object(connections, "DEFAULT_KEEP_ALIVE_SECONDS", 0.05):
             self.assertEqual(1, await self.use_twice("10", 0.15))
 
     async def test_idle_connection_is_not_used_when_its_server_is_about_to_close_it(self):
         self.assertEqual(2, await self.use_twice("1", 0.05))
 
-    async def test_answer_too_many_on_an_idle_connection(self):
-        """Bytes that arrive on an idle connection are no answer to the next request."""
+    async def test_extra_response_on_an_idle_connection(self):
+        """Bytes that arrive on an idle connection are not a response to the next request."""
         second = whole(b"second", ECHO.replace(b"r1", b"r2"))
         async with ScriptedServer(whole(b"first"), second, late=whole(b"first")) as server:
             self.assertEqual(b"first", await self.fetch(server, request(1)))
@@ -235,12 +235,12 @@
             self.assertEqual(b"second", await self.fetch(server, request(2)))
             self.assertEqual(2, server.connections)
 
-    async def test_answer_of_another_request(self):
+    async def test_response_to_another_request(self):
         async with ScriptedServer(whole(b"x", ECHO.replace(b"r1", b"r9"))) as server:
             with self.assertRaises(BrokenResponseError):
                 await self.fetch(server, request(1))
 
-    async def test_answer_that_names_no_request(self):
+    async def test_response_without_a_request_id(self):
         async with ScriptedServer(whole(b"x", b"")) as server:
             with self.assertRaises(BrokenResponseError):
                 await self.fetch(server, request(1))
@@ -292,7 +292,7 @@
             with self.assertRaises(BrokenResponseError):
                 await self.fetch(server, request(1))
 
-    async def test_only_lost_connections_are_called_so(self):
+    async def test_only_lost_connections_are_reported_as_lost(self):
         lost = {
             "closed without an answer": (b"", False),
             "closed within the head": (b"HTTP/1.1 200 OK\r\nLark", False),
@@ -316,7 +316,7 @@
                             await self.fetch(server, request(1))
                     self.assertEqual(expected, caught.exception.connection_lost)
 
-    async def test_request_lost_on_a_kept_connection_is_not_sent_again_unasked(self):
+    async def test_request_lost_on_a_reused_connection_is_not_resent_by_default(self):
         for is_dead in (False, True):
             with self.subTest(is_dead=is_dead):
                 async with ClosingServer(is_dead=is_dead) as server:
@@ -326,7 +326,7 @@
                 self.assertTrue(caught.exception.connection_lost)
                 self.assertEqual((1, 2), (server.connections, len(server.heads)))
 
-    async def test_probe_tells_a_dead_port_from_one_that_listens(self):
+    async def test_probe_distinguishes_dead_and_listening_ports(self):
         servers = HttpServers()
         self.addAsyncCleanup(servers.close)
         async with ScriptedServer(b"") as server:
@@ -337,7 +337,7 @@
         full.bind(("127.0.0.1", 0))
         full.listen(0)
         address = Address(f"127.0.0.1:{full.getsockname()[1]}")
-        queued = socket.create_connection(full.getsockname())  # nobody accepts it
+        queued = socket.create_connection(full.getsockname())  # nobody accepts the connection
         self.addCleanup(queued.close)
         silent = replace(server.instance, address=address)
         self.assertIs(PortState.SILENT, await servers.probe(silent, 0.2))
@@ -354,7 +354,7 @@
             await self.fetch(server, request(1, target=b"/a%2fb/%41;x?q=%20+&r=a%2F|"))
             self.assertIn(b"POST /a%2fb/%41;x?q=%20+&r=a%2F| HTTP/1.1", server.heads[0])
 
-    async def test_headers_are_passed_as_they_are(self):
+    async def test_headers_are_unchanged(self):
         headers = ((b"x-one", b"1"), (b"x-one", b"2"), (b"accept", b"text/plain"))
         async with ScriptedServer(whole(b"")) as server:
             await self.fetch(server, request(1, headers=headers, time_left=1.5))
@@ -367,8 +367,8 @@
             for added in (b"user-agent", b"accept-encoding", b"content-type"):
                 self.assertFalse([line for line in lines if line.startswith(added)])
 
-    async def test_answer_before_the_body_was_read(self):
-        """The rest of a body never stands where the server expects the next request."""
+    async def test_response_before_the_body_was_read(self):
+        """The rest of a body is never sent where the server expects the next request."""
         streams: list[bytes] = []
 
         async def answer_early(reader, writer):
@@ -383,7 +383,7 @@
                 while chunk := await asyncio.wait_for(reader.read(65536), 0.3):
                     streams[number] += chunk
             except (TimeoutError, ConnectionError):
-                pass  # the client has given the connection up
+                pass  # the client has closed the connection
             writer.close()
 
         async with ScriptedServer() as server:
@@ -397,7 +397,7 @@
                 try:
                     content = await self.fetch(server, request(number, body=body))
                 except BrokenResponseError:
-                    continue  # the answer may also be given up
+                    continue  # the response may also be abandoned
                 self.assertEqual(b"early", content)
             await asyncio.sleep(0.7)
         self.assertEqual(2, len(streams))
@@ -415,7 +415,7 @@
                     break
             await asyncio.wait_for(server.closed.wait(), 0.25)
 
-    async def test_frozen_before_its_connection_it_sends_nothing_with_an_old_permission(self):
+    async def test_request_is_not_sent_after_its_send_timeout_despite_a_freeze(self):
         original = CheckedConnector._create_connection
 
         async def freeze(self, *arguments):
@@ -432,7 +432,7 @@
                 self.assertEqual([], server.heads)
                 self.assertEqual(b"a", await self.fetch(server, request(1)))
 
-    async def test_server_says_how_long_it_stays_cold(self):
+    async def test_server_reports_how_long_it_stays_cold(self):
         cold = ECHO + b"Larkpost-Cold-Ms: 1500\r\n"
         async with ScriptedServer(whole(b"a", cold), whole(b"a", ECHO)) as server:
             self.servers = HttpServers()
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""What counts as a crash, how daemons tell each other, and how a request is cleared."""
+"""Tests of crash detection, of sharing crashes between daemons, and of clearing requests."""
 
 import unittest
 from dataclasses import replace
@@ -49,23 +49,23 @@
 
 
 class Probes:
-    """Servers whose ports are as a test says."""
+    """Servers whose probe results a test controls."""
 
     def __init__(self, state: PortState) -> None:
         self.state = state
         self.asked = 0
 
     async def probe(self, instance: InstanceInfo, timeout: float) -> PortState:
-        """Sees whether a server listens."""
+        """Returns the scripted probe result."""
         self.asked += 1
         return self.state
 
 
 class CrashWatchTest(unittest.TestCase):
-    """A server that left a request without an answer, and what shows that it has crashed."""
+    """A server that did not respond to a request, and the evidence that it has crashed."""
 
     def begin(self, state: PortState) -> None:
-        """Lists a server that left a request."""
+        """Lists a server that did not respond to a request."""
         self.clock = LoopClock()
         self.directory = InstanceDirectory()
         self.probes = Probes(state)
@@ -81,7 +81,7 @@
         )
 
     def check_found(self, *evidence: CrashEvidence) -> None:
-        """Checks how the server was found to have crashed, if at all."""
+        """Checks the evidence of the server's crash, or that there is none."""
         expected = [("a", {CONTENT}, how) for how in evidence]
         self.assertEqual(expected, self.found)
 
@@ -94,7 +94,7 @@
 
         run(play())
 
-    def test_all_that_a_crashed_server_leaves_a_little_later_counts(self):
+    def test_requests_lost_shortly_after_the_crash_count(self):
         async def play():
             self.begin(PortState.DEAD)
             self.watch.record_lost_connection(CONTENT, self.instance)
@@ -119,7 +119,7 @@
 
         run(play())
 
-    def test_server_that_crashes_after_it_has_left_a_request_is_found_as_well(self):
+    def test_server_that_crashes_after_losing_a_request_is_detected(self):
         async def play():
             self.begin(PortState.LISTENS)
             self.watch.record_lost_connection(CONTENT, self.instance)
@@ -131,7 +131,7 @@
 
         run(play())
 
-    def test_server_that_begins_to_leave_is_not_asked_again(self):
+    def test_leaving_server_is_not_probed_again(self):
         async def play():
             self.begin(PortState.LISTENS)
             self.watch.record_lost_connection(CONTENT, self.instance)
@@ -158,7 +158,7 @@
 
         run(play())
 
-    def test_silent_server_has_crashed_once_its_entry_is_gone(self):
+    def test_unresponsive_server_has_crashed_once_its_entry_is_removed(self):
         async def play():
             self.begin(PortState.SILENT)
             self.watch.record_lost_connection(CONTENT, self.instance)
@@ -192,10 +192,10 @@
 
 
 class RecorderTest(unittest.TestCase):
-    """A recorder over a store, and a second one that hears of it by rows."""
+    """A recorder with a store, and a second one that receives the rows."""
 
     def begin(self) -> None:
-        """Starts both."""
+        """Starts both recorders."""
         self.clock = LoopClock()
         self.store = MemoryStore(self.clock)
         self.tasks = TaskSet(self.clock, Telemetry("t", log=False))
@@ -204,7 +204,7 @@
         self.others, self.other = self.make()
 
     def make(self) -> tuple[KnownCrashes, CrashRecorder]:
-        """Returns a recorder that has started, and what it knows."""
+        """Returns a started recorder and its known crashes."""
         crashes = KnownCrashes()
         repository = CrashRepository(StoreClient(self.store))
         writer = CrashWriter(repository, self.clock)
@@ -213,13 +213,13 @@
         return crashes, recorder
 
     def crash(self, count: int, first: int = 0) -> None:
-        """Has some servers crash under the request."""
+        """Crashes some servers during the request."""
         for number in range(first, first + count):
             contents = (digest_request(REQUEST),)
             self.recorder.record_crash(InstanceId(f"i{number}"), contents, CrashEvidence.DEAD_PORT)
 
     def tell_other(self) -> None:
-        """Has the second recorder hear of all rows, those that are gone too."""
+        """Passes all rows to the second recorder, including removals."""
         stored = {key: row for key, row in self.store.rows.items() if key.part == CRASH_PART}
         for crash in self.others.older_than(float("inf")):
             key = RowKey(CRASH_TABLE, CRASH_PART, f"{crash.content}/{crash.instance}")
@@ -228,7 +228,7 @@
         for row in stored.values():
             self.other.record_row(row)
 
-    def test_others_hold_the_request_after_the_third_crash(self):
+    def test_other_daemons_quarantine_the_request_after_the_third_crash(self):
         async def play():
             self.begin()
             self.crash(2)
@@ -243,7 +243,7 @@
 
         run(play())
 
-    def test_one_crash_that_two_daemons_saw_counts_once(self):
+    def test_crash_observed_by_two_daemons_counts_once(self):
         async def play():
             self.begin()
             for recorder in (self.recorder, self.other):
@@ -256,7 +256,7 @@
 
         run(play())
 
-    def test_whole_answer_clears_it_everywhere(self):
+    def test_complete_response_clears_the_request_everywhere(self):
         async def play():
             self.begin()
             self.crash(3)
@@ -274,7 +274,7 @@
 
         run(play())
 
-    def test_changes_wait_for_a_store_that_is_away(self):
+    def test_changes_are_written_after_a_store_outage(self):
         async def play():
             self.begin()
             self.store.faults = StoreFaults(refuses=True)
@@ -299,7 +299,7 @@
 
         run(play())
 
-    def test_rows_that_cannot_be_read_are_passed_over(self):
+    def test_unreadable_rows_are_ignored(self):
         async def play():
             self.begin()
             for key, value in (("aa/i", b"no json"), ("aa/i", b"{}"), ("aa", b'{"at": 1}')):
@@ -311,7 +311,7 @@
 
 
 class GuardTest(unittest.TestCase):
-    """Requests by way of the guard to one server."""
+    """Requests through the quarantine to one server."""
 
     def begin(self) -> None:
         """Starts a server."""
@@ -327,20 +327,20 @@
         self.served_requests: list[OutgoingRequest] = []
 
     def record_lost_connection(self, content: ContentDigest, instance: InstanceInfo) -> None:
-        """Takes what a watch is told."""
+        """Records what the crash detector is told."""
         self.lost.append(content)
 
     def record_success(self, request: OutgoingRequest) -> None:
-        """Takes what a recorder is told."""
+        """Records what the crash recorder is told."""
         self.served_requests.append(request)
 
     async def send(self) -> None:
-        """Sends the request and reads its answer."""
+        """Sends the request and reads the response."""
         async with self.guard.send(self.instance, REQUEST) as answer:
             async for _ in answer.chunks():
                 pass
 
-    def test_whole_answer_is_told(self):
+    def test_complete_response_is_recorded(self):
         async def play():
             self.begin()
             await self.send()
@@ -359,7 +359,7 @@
 
         run(play())
 
-    def test_lost_connection_is_told(self):
+    def test_lost_connection_is_recorded(self):
         async def play():
             self.begin()
             self.state.break_after = 0
@@ -369,7 +369,7 @@
 
         run(play())
 
-    def test_answer_that_is_not_wanted_is_no_lost_connection(self):
+    def test_abandoned_response_is_not_a_lost_connection(self):
         async def play():
             self.begin()
             with self.assertRaises(BrokenResponseError):
@@ -379,7 +379,7 @@
 
         run(play())
 
-    def test_suspects_run_apart_from_each_other_only(self):
+    def test_suspects_are_isolated_only_from_each_other(self):
         async def play():
             self.begin()
             suspect = Work(WorkKind.CLIENT, is_suspect=True)
@@ -400,7 +400,7 @@
 
         run(play())
 
-    def test_held_request_is_not_sent(self):
+    def test_quarantined_request_is_not_sent(self):
         async def play():
             self.begin()
             for number in range(CLIENT_CRASH_LIMIT):
--- a/tests/test_quarantine_fleet.py
+++ b/tests/test_quarantine_fleet.py
@@ -1,4 +1,4 @@
-"""Requests that crash each server that runs them, and come again at any daemon under new ids."""
+"""Tests of requests that crash each server, and are retried at any daemon under new ids."""
 
 import asyncio
 import unittest
@@ -18,15 +18,15 @@
 SERVERS = 3
 REPEATS = 6
 PAUSE_SECONDS = 4.0
-"""Between two repeats: crashed servers are back."""
+"""Time between two retries, after which crashed servers are back."""
 BATCH_SECONDS = 25.0
 SAVED_SECONDS = 0.1
-"""Within this a crash stands in the store."""
+"""Time after which a crash is in the store."""
 OUTAGE_SECONDS = 6.0
 
 
 async def begin(gateways: int = 3) -> tuple[PlatformFleet, Caller]:
-    """Starts a fleet whose servers one request crashes, and returns it with a client."""
+    """Starts a fleet whose servers crash under one request, and returns it with a client."""
     fleet = PlatformFleet(gateways, engines=0, scorers=SERVERS)
     fleet.engines.crashing.add(CRASHING)
     await fleet.wait(1.0)
@@ -36,7 +36,7 @@
 class RepeatedCrashesTest(unittest.TestCase):
     """A fleet, its servers, and requests that crash them."""
 
-    def test_client_request_that_comes_again_at_other_daemons(self):
+    def test_client_request_retried_at_other_daemons(self):
         async def play():
             fleet, caller = await begin()
             for repeat in range(REPEATS):
@@ -63,7 +63,7 @@
 
         run(play())
 
-    def test_crashes_seen_while_the_store_was_away_are_told_once_it_is_back(self):
+    def test_crashes_during_a_store_outage_are_shared_afterwards(self):
         async def play():
             fleet, caller = await begin()
             fleet.store.faults = StoreFaults(down=True)
@@ -76,20 +76,20 @@
             )
             before = len(fleet.arrivals)
             self.assertEqual({502, 503}, await self.ask_all(caller))
-            self.assertEqual(before + 1, len(fleet.arrivals))  # a trial is due by now, and only one
+            self.assertEqual(before + 1, len(fleet.arrivals))  # exactly one trial is due by now
             self.assertEqual({503}, await self.ask_all(caller))
             self.assertEqual(before + 1, len(fleet.arrivals))
 
         run(play())
 
-    def test_requests_that_ran_beside_it_are_served_on(self):
+    def test_requests_that_ran_alongside_are_still_served(self):
         async def play():
             fleet, caller = await begin()
             for repeat in range(REPEATS):
                 crashing = f"/s/crashing-{repeat}".encode()
                 fleet.engines.crashing.add(crashing)
                 for scorer in fleet.scorers():
-                    scorer.event_seconds = 0.2  # so that it is at the servers when they crash
+                    scorer.event_seconds = 0.2  # so that it runs at the servers when they crash
                 beside = [caller.ask_twice(repeat + n, b"/s/beside") for n in range(2)]
                 await asyncio.gather(caller.ask_twice(repeat, crashing), *beside)
                 await fleet.wait(TRIAL_DELAYS_SECONDS[0] + SAVED_SECONDS)
@@ -98,7 +98,7 @@
 
         run(play())
 
-    def test_held_request_is_tried_twice_by_one_daemon_of_all(self):
+    def test_quarantined_request_gets_two_trials_in_the_whole_fleet(self):
         async def play():
             fleet, caller = await begin()
             await caller.ask_twice(0, CRASHING)
@@ -117,7 +117,7 @@
         run(play())
 
     async def ask_all(self, caller: Caller) -> set[int]:
-        """Asks all daemons at once for what crashes servers, and returns their answers."""
+        """Sends the crashing request to all daemons at once, and returns their responses."""
         return set(await asyncio.gather(*(caller.ask(n, CRASHING) for n in range(3))))
 
     def test_no_trial_is_made_without_the_store(self):
@@ -132,7 +132,7 @@
 
         run(play())
 
-    def test_next_owner_of_a_batch_counts_on(self):
+    def test_next_owner_of_a_batch_keeps_the_crash_count(self):
         async def play():
             fleet = PlatformFleet(gateways=3, engines=6)
             fleet.engines.crashing.add(b"/r/5")
@@ -146,7 +146,7 @@
 
         run(play())
 
-    def test_item_that_crashes_engines_is_dead_once_its_time_is_over(self):
+    def test_item_that_crashes_engines_fails_after_its_lifetime(self):
         async def play():
             fleet = PlatformFleet(gateways=2, engines=6)
             fleet.engines.crashing.add(b"/r/5")
@@ -160,7 +160,7 @@
 
         run(play())
 
-    def test_item_that_crashes_engines_does_not_run_on_and_on(self):
+    def test_item_that_crashes_engines_stops_running(self):
         async def play():
             fleet = PlatformFleet(gateways=3, engines=6)
             fleet.engines.crashing.add(b"/r/5")
@@ -174,7 +174,7 @@
 
         run(play())
 
-    def test_items_beside_two_that_crash_engines_are_not_held(self):
+    def test_items_alongside_two_crashing_ones_are_not_quarantined(self):
         async def play():
             fleet = PlatformFleet(gateways=2, engines=2)
             fleet.engines.crashing |= {b"/r/0", b"/r/1"}
@@ -188,7 +188,7 @@
 
         run(play())
 
-    def test_reward_call_that_crashes_servers_is_not_sent_on_and_on(self):
+    def test_reward_call_that_crashes_servers_stops_being_sent(self):
         async def play():
             fleet = PlatformFleet(gateways=3, engines=3, scorers=SERVERS)
             fleet.engines.crashing.add(b"/s/batch-5")
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -1,4 +1,4 @@
-"""Homes of routes and tenants: which regions get what, and who may claim."""
+"""Tests of region restrictions: where requests are served, and which daemons may claim batches."""
 
 import unittest
 from dataclasses import replace
@@ -48,7 +48,7 @@
 
 
 def read_configuration(route: dict, tenants: list[dict] | None = None) -> Configuration | None:
-    """Reads a configuration of one route as the operator writes it."""
+    """Reads an operator's configuration with one route."""
     entry = {"host": "h", "path-prefix": "/", "kind": "idempotent", "service": "pages"}
     document = {"version": 1, "routes": [entry | route]}
     if tenants is not None:
@@ -58,7 +58,7 @@
 
 
 class ConfigurationTest(unittest.TestCase):
-    """The regions that routes and tenants are read with."""
+    """Region restrictions of routes and tenants in a configuration."""
 
     def test_absent_and_empty_regions_allow_all(self):
         for entry in ({}, {"allowed-regions": []}, {"allowed-regions": None}):
@@ -66,12 +66,12 @@
             self.assertIsNone(configuration.routes[0].regions)
             self.assertFalse(configuration.has_region_limits)
 
-    def test_wrong_regions_make_the_document_unreadable(self):
+    def test_invalid_regions_make_the_document_unreadable(self):
         for wrong in ("east", [1], {"east": 1}):
             with self.assertRaises(UnreadableRowError):
                 read_configuration({"allowed-regions": wrong})
 
-    def test_route_and_tenant_both_bind(self):
+    def test_route_and_tenant_regions_both_apply(self):
         tenant = {"name": "t", "api-keys": ["k"], "allowed-regions": ["east", "south"]}
         configuration = read_configuration({"allowed-regions": ["east", "west"]}, [tenant])
         self.assertTrue(configuration.has_region_limits)
@@ -81,7 +81,7 @@
         key = next(iter(configuration.tenants[0].keys))
         self.assertEqual(frozenset({EAST}), admission.admit("id", "h", b"/x", key).regions)
 
-    def test_regions_that_have_none_in_common_allow_none(self):
+    def test_disjoint_regions_allow_none(self):
         tenant = Tenant(TenantName("t"), frozenset(), regions=frozenset({WEST}))
         configuration = replace(CONFIGURATION, tenants=(tenant,))
         route = replace(ROUTE, regions=frozenset({EAST}))
@@ -96,14 +96,14 @@
 
 
 class RegionMapTest(unittest.TestCase):
-    """How far zones are."""
+    """Distances of zones."""
 
     def test_distances(self):
         found = [HERE.distance(ZoneId(zone)) for zone in ("east-1", "east-2", "west-1", "new")]
         far = Distance.OTHER_REGION
         self.assertEqual([Distance.SAME_ZONE, Distance.SAME_REGION, far, far], found)
 
-    def test_without_named_zones_all_are_alike(self):
+    def test_without_configured_zones_all_distances_are_equal(self):
         regions = RegionMap(ZoneId("z"), {}, EAST)
         self.assertEqual(EAST, regions.region_of(ZoneId("other")))
         self.assertEqual(
@@ -112,19 +112,19 @@
 
 
 class HomeFleetTest(unittest.TestCase):
-    """Batches that may be served in the east only, in a fleet over two regions."""
+    """Batches restricted to the east, in a fleet across two regions."""
 
     def begin(self, configuration: bytes = b"east", **arguments) -> PlatformFleet:
-        """Starts four daemons and four engines, every other one in the west."""
+        """Starts four daemons and four engines, alternating between the regions."""
         return PlatformFleet(4, 4, zones=TWO_REGIONS, configuration=configuration, **arguments)
 
     def oracle(self, fleet: PlatformFleet) -> PlatformOracle:
-        """Returns an oracle that knows of the homes."""
+        """Returns an oracle that checks the region restrictions."""
         oracle = PlatformOracle(fleet)
         oracle.homes = frozenset({EAST})
         return oracle
 
-    def test_items_and_reward_calls_stay_at_home(self):
+    def test_items_and_reward_calls_stay_in_their_regions(self):
         async def play():
             fleet = self.begin(scorers=4)
             oracle = self.oracle(fleet)
@@ -136,7 +136,7 @@
 
         run(play())
 
-    def test_regions_named_while_items_run_bind_the_next_runs(self):
+    def test_regions_configured_while_items_run_apply_to_the_next_runs(self):
         async def play():
             fleet = self.begin(b"")
             for state in fleet.engines.engines.values():
@@ -232,7 +232,7 @@
 
         run(play())
 
-    def test_batch_without_an_engine_at_home_is_refused_at_once(self):
+    def test_batch_without_an_engine_in_its_regions_is_rejected_at_once(self):
         async def play():
             fleet = PlatformFleet(2, 2, zones=(WEST_ZONE,), configuration=b"east")
             await fleet.wait(1.0)
@@ -244,7 +244,7 @@
 
         run(play())
 
-    def test_evacuation_outside_does_not_hide_that_no_engine_is_at_home(self):
+    def test_evacuation_outside_does_not_hide_missing_engines_in_the_regions(self):
         async def play():
             fleet = PlatformFleet(2, 2, zones=(WEST_ZONE,), configuration=b"east")
             fleet.evacuate(WEST_ZONE)
@@ -254,7 +254,7 @@
 
         run(play())
 
-    def test_batch_whose_engines_at_home_are_evacuated_is_accepted_and_waits(self):
+    def test_batch_whose_engines_are_evacuated_is_accepted_and_waits(self):
         async def play():
             fleet = self.begin()
             for zone in EAST_ZONES:
@@ -280,7 +280,7 @@
 
         run(play())
 
-    def test_engine_near_the_owner_is_taken_unless_it_is_fuller_or_slower(self):
+    def test_engine_near_the_owner_is_preferred_unless_fuller_or_slower(self):
         async def play():
             fleet = self.begin(b"")
             await fleet.wait(1.0)
@@ -306,9 +306,9 @@
 
 
 class HeartbeatZoneTest(unittest.TestCase):
-    """What daemons tell of where they stand."""
+    """Zones in heartbeats."""
 
-    def test_zone_is_told_and_rows_without_it_are_read(self):
+    def test_heartbeats_contain_the_zone_and_rows_without_it_are_read(self):
         told = decode_heartbeat(encode_heartbeat(Heartbeat(2.0, zone=WEST_ZONE)))
         self.assertEqual(WEST_ZONE, told.zone)
         self.assertIsNone(decode_heartbeat(b'{"interval":2.0}').zone)
--- a/tests/test_uneven_division.py
+++ b/tests/test_uneven_division.py
@@ -1,6 +1,6 @@
-"""Load: four models on engines of which some are lastingly 2.4 times as slow as others.
+"""Tests the assignment of four models to engines of which some are 2.4 times as slow.
 
-A model whose share were all slow engines would be late with every step.
+A model with only slow engines would be late with every step.
 """
 
 import random
@@ -14,17 +14,17 @@
 from tests.server_parts import make_directory
 
 FAST, USUAL, SLOW = 0.033, 0.047, 0.08
-"""Seconds for an event at engines of 0.7 times the usual time, the usual time, and 1.7 times."""
+"""Seconds per event at engines with 0.7, 1.0 and 1.7 times the usual service time."""
 MODELS = tuple(ModelName(name) for name in ("a", "b", "c", "d"))
 FOUR = Service(ServiceName("s"), 100, slots=8, models=MODELS)
 WORKS = dict(zip(MODELS, (1512, 1512, 792, 1680), strict=True))
-"""Events that a step of each model takes."""
+"""Events per step of each model."""
 DEMANDS = {model: ModelDemand(work) for model, work in WORKS.items()}
 ENGINES = 24
 
 
 class SpeedTest(unittest.TestCase):
-    """Steps of speed."""
+    """Speed classes."""
 
     def test_steps(self):
         cases = (
@@ -41,14 +41,14 @@
                 steps = slowdown_steps({InstanceId(str(i)): pace for i, pace in enumerate(paces)})
                 self.assertEqual(expected, tuple(steps.values()))
 
-    def test_slower_engines_do_less(self):
+    def test_slower_engines_get_less_work(self):
         self.assertEqual(1.0, relative_speed(0))
         self.assertLess(relative_speed(1), 1.0)
         self.assertGreater(relative_speed(-1), 1.0)
 
 
 class UnevenDivisionTest(unittest.TestCase):
-    """The division of uneven engines."""
+    """Assignment of engines with different speeds."""
 
     def setUp(self):
         self.directory = make_directory(ENGINES, FOUR.name, slots=8)
@@ -59,7 +59,7 @@
         self.paces = dict.fromkeys(names[:half], FAST) | dict.fromkeys(names[half:], SLOW)
 
     def divide(self) -> dict[ModelName, list[InstanceId]]:
-        """Returns the division by work and pace."""
+        """Returns the assignment by work and service time."""
         engines = self.directory.of_service(FOUR.name)
         return assign_models(FOUR, engines, self.directory, DEMANDS, self.paces.__getitem__)
 
@@ -74,7 +74,7 @@
             share = ENGINES / 2 * WORKS[model] / sum(WORKS.values())
             self.assertAlmostEqual(share, count, delta=1.0)
 
-    def test_division_stays_though_paces_are_measured_anew(self):
+    def test_assignment_is_stable_under_new_measurements(self):
         before = self.divide()
         for model, names in before.items():
             for name in names:
@@ -87,7 +87,7 @@
             }
             self.assertEqual(before, self.divide())
 
-    def test_division_stays_when_a_loaded_engine_turns_out_slow(self):
+    def test_assignment_is_stable_when_a_loaded_engine_turns_out_slow(self):
         before = self.divide()
         for model, names in before.items():
             for name in names:
@@ -97,7 +97,7 @@
         moved = sum(len(set(after[model]) - set(before[model])) for model in MODELS)
         self.assertLessEqual(moved, 2)
 
-    def test_engines_of_one_pace_are_divided_as_if_none_were_known(self):
+    def test_equally_fast_engines_are_assigned_as_if_no_speed_were_known(self):
         engines = self.directory.of_service(FOUR.name)
         unknown = assign_models(FOUR, engines, self.directory, DEMANDS)
         self.paces = dict.fromkeys(self.paces, USUAL)
--- a/tests/test_yielding.py
+++ b/tests/test_yielding.py
@@ -1,4 +1,4 @@
-"""Load: a batch with time to spare beside one of another model that waits for places."""
+"""Tests that a batch with time to spare yields engines to a batch that waits for slots."""
 
 import unittest
 
@@ -19,10 +19,10 @@
 
 
 class YieldingTest(unittest.TestCase):
-    """Which engines a batch uses once it is no longer new."""
+    """Engines that a batch uses once it is no longer new."""
 
     def engines_used(self, *, yields: bool) -> int:
-        """Returns how many of four engines a batch uses, of which two are its model's own."""
+        """Returns how many of four engines a batch uses; two belong to its model."""
 
         async def play() -> int:
             fleet = PlatformFleet(1, 4)
@@ -42,10 +42,10 @@
     def test_batch_that_yields_stays_at_its_own_engines(self):
         self.assertEqual(2, self.engines_used(yields=True))
 
-    def test_others_take_what_is_free(self):
+    def test_other_batches_use_free_engines(self):
         self.assertEqual(4, self.engines_used(yields=False))
 
-    def test_division_says_who_yields_for_as_long_as_somebody_waits(self):
+    def test_assignment_marks_yielding_models_while_items_wait(self):
         async def play():
             fleet = PlatformFleet(1, 8)
             await fleet.wait(1.0)
