--- a/src/larkpost/gateway/rollouts/owned_batch.py
+++ b/src/larkpost/gateway/rollouts/owned_batch.py
@@ -129,8 +129,8 @@
         """Reads the batch from the store and starts the items that have no result."""
         items, stored = await self._read(items, fresh)
         self._view.set_items(items)
-        ended_items = self._results.listed | {result.item for result in self._results.pending}
-        open_items = tuple(item for item in items if item.id not in ended_items)
+        finished_items = self._results.listed | {result.item for result in self._results.pending}
+        open_items = tuple(item for item in items if item.id not in finished_items)
         self._log.record(
             Event.BATCH_LOADED,
             batch=self.head.id,
