--- a/src/larkpost/gateway/rollouts/item_runner.py
+++ b/src/larkpost/gateway/rollouts/item_runner.py
@@ -57,7 +57,7 @@
         self._slot_queue = slot_queue
         self._engine_runner = engine_runner
         self._services = services
-        self._assigned_engines: dict[ItemId, InstanceInfo] = {}
+        self._reserved_engines: dict[ItemId, InstanceInfo] = {}
         """Engines with a slot reserved by a migrating run, by item."""
         self._queued_at: dict[ItemId, float] = {}
         """Monotonic times at which items that have not run yet were queued."""
@@ -70,13 +70,13 @@
             end = await self._attempt_run(progress)
             if end is RunOutcome.DEAD:
                 return False
-            if end is RunOutcome.RETRY and item.id not in self._assigned_engines:
+            if end is RunOutcome.RETRY and item.id not in self._reserved_engines:
                 await self._services.clock.sleep(RETRY_PAUSE_SECONDS)
         return True
 
     def release_unused(self, item: ItemId) -> None:
         """Releases the slot that a migrating run has reserved for an item that runs no more."""
-        unclaimed = self._assigned_engines.pop(item, None)
+        unclaimed = self._reserved_engines.pop(item, None)
         if unclaimed is not None:
             self._services.balancer.release(unclaimed.id)
 
@@ -99,7 +99,7 @@
     async def _acquire_slot(self, progress: Progress, route: Route) -> InstanceInfo | None:
         """Returns the engine where the item has a slot; None after a timeout."""
         item = progress.item.id
-        engine = self._assigned_engines.pop(item, None)
+        engine = self._reserved_engines.pop(item, None)
         if engine is None:
             engine = await self._slot_queue.acquire(progress, route, progress.previous_service_time)
         if engine is None:
@@ -154,7 +154,7 @@
 
     def _record_migration(self, run: ItemRun, migration: MigrateRunError) -> None:
         run.progress.migrations += 1
-        self._assigned_engines[run.item.id] = migration.engine
+        self._reserved_engines[run.item.id] = migration.engine
         run.progress.previous_service_time = self._services.balancer.service_times.lasting(
             run.engine.id
         )
