--- a/src/larkpost/gateway/rollouts/item_runner.py
+++ b/src/larkpost/gateway/rollouts/item_runner.py
@@ -76,9 +76,9 @@
 
     def release_unused(self, item: ItemId) -> None:
         """Releases the slot that a migrating run has reserved for an item that runs no more."""
-        unclaimed = self._reserved_engines.pop(item, None)
-        if unclaimed is not None:
-            self._services.balancer.release(unclaimed.id)
+        reserved = self._reserved_engines.pop(item, None)
+        if reserved is not None:
+            self._services.balancer.release(reserved.id)
 
     async def _attempt_run(self, progress: Progress) -> RunOutcome:
         """Runs an item once if it may run and gets a slot."""
