--- a/src/larkpost/gateway/rollouts/item_runner.py
+++ b/src/larkpost/gateway/rollouts/item_runner.py
@@ -67,10 +67,10 @@
         item = progress.item
         self._queued_at[item.id] = self._services.clock.now()
         while not progress.whole:
-            end = await self._attempt_run(progress)
-            if end is RunOutcome.DEAD:
+            run_outcome = await self._attempt_run(progress)
+            if run_outcome is RunOutcome.DEAD:
                 return False
-            if end is RunOutcome.RETRY and item.id not in self._reserved_engines:
+            if run_outcome is RunOutcome.RETRY and item.id not in self._reserved_engines:
                 await self._services.clock.sleep(RETRY_PAUSE_SECONDS)
         return True
 
@@ -125,16 +125,16 @@
         """Runs an item at the engine where it has a slot, and releases the slot."""
         started = self._services.clock.now()
         resumed_after = run.progress.last_event
-        end = RunOutcome.RETRY
+        run_outcome = RunOutcome.RETRY
         try:
-            end = await self._engine_runner.run(run)
-            outcome = end.value if end is not RunOutcome.RETRY else "failed"
+            run_outcome = await self._engine_runner.run(run)
+            outcome = run_outcome.value if run_outcome is not RunOutcome.RETRY else "failed"
         except EXPECTED_ERRORS as error:
             outcome = self._record_error(run, error)
         finally:
             self._services.balancer.release(run.engine.id)
         self._record_run(run, resumed_after, started, outcome)
-        return end
+        return run_outcome
 
     def _record_error(self, run: ItemRun, error: Exception) -> str:
         """Records the consequences of a failed run, and returns its outcome for the log."""
