--- a/src/larkpost/gateway/rollouts/item_runner.py
+++ b/src/larkpost/gateway/rollouts/item_runner.py
@@ -101,9 +101,9 @@
         item = progress.item.id
         engine = self._reserved_engines.pop(item, None)
         if engine is None:
-            engine = await self._slot_queue.acquire(progress, route, progress.previous_service_time)
+            engine = await self._slot_queue.acquire(progress, route, progress.service_time_limit)
         if engine is None:
-            progress.previous_service_time = 0.0  # no engine as fast has a free slot
+            progress.service_time_limit = 0.0  # no engine as fast has a free slot
             return None
         queued_at = self._queued_at.pop(item, None)
         if queued_at is not None:
@@ -155,7 +155,7 @@
     def _record_migration(self, run: ItemRun, migration: MigrateRunError) -> None:
         run.progress.migrations += 1
         self._reserved_engines[run.item.id] = migration.engine
-        run.progress.previous_service_time = self._services.balancer.service_times.lasting(
+        run.progress.service_time_limit = self._services.balancer.service_times.lasting(
             run.engine.id
         )
 
--- a/src/larkpost/gateway/rollouts/progress.py
+++ b/src/larkpost/gateway/rollouts/progress.py
@@ -43,7 +43,7 @@
     failed_runs: int = 0
     unprocessable_responses: int = 0
     migrations: int = 0
-    previous_service_time: float = 0.0
+    service_time_limit: float = 0.0
     whole: bool = False
     failed_calls: int = 0
     output_bytes: int = 0
