--- a/src/larkpost/gateway/rollouts/stall_detector.py
+++ b/src/larkpost/gateway/rollouts/stall_detector.py
@@ -46,7 +46,7 @@
     last_event_at: float
     is_stalled: bool = False
 
-    def record_event(self, now: float, longest_gap: float) -> None:
+    def record_event(self, now: float, max_event_gap: float) -> None:
         """Records an event and extends the timeout.
 
         Args:
@@ -54,7 +54,7 @@
         """
         self.last_event_at = now
         if not self.is_stalled:
-            self.limit.reschedule(now + longest_gap)
+            self.limit.reschedule(now + max_event_gap)
 
 
 class StallDetector:
