--- a/src/larkpost/gateway/rollouts/stall_detector.py
+++ b/src/larkpost/gateway/rollouts/stall_detector.py
@@ -103,5 +103,5 @@
         service_time: sustained seconds per event of the engine; 0 if unknown.
         is_loading: whether the engine loads weights, after which its runs continue.
     """
-    silence = max(MIN_STALL_TIMEOUT_SECONDS, STALL_SERVICE_TIME_FACTOR * service_time)
-    return max(silence, LOADING_STALL_TIMEOUT_SECONDS) if is_loading else silence
+    timeout = max(MIN_STALL_TIMEOUT_SECONDS, STALL_SERVICE_TIME_FACTOR * service_time)
+    return max(timeout, LOADING_STALL_TIMEOUT_SECONDS) if is_loading else timeout
