--- a/src/larkpost/gateway/rollouts/engine_runner.py
+++ b/src/larkpost/gateway/rollouts/engine_runner.py
@@ -75,8 +75,8 @@
             self._keep_single_version(run)
         monitored_run: MonitoredRun | None = None
         try:
-            async with asyncio.timeout(FIRST_EVENT_SECONDS) as limit:
-                with self.stall_detector.watch(run.engine, limit) as monitored_run:
+            async with asyncio.timeout(FIRST_EVENT_SECONDS) as event_timeout:
+                with self.stall_detector.watch(run.engine, event_timeout) as monitored_run:
                     return await self._stream(run, monitored_run)
         except TimeoutError:
             if monitored_run is not None and monitored_run.is_stalled:
--- a/src/larkpost/gateway/rollouts/stall_detector.py
+++ b/src/larkpost/gateway/rollouts/stall_detector.py
@@ -41,7 +41,7 @@
     """
 
     engine: InstanceInfo
-    limit: asyncio.Timeout
+    event_timeout: asyncio.Timeout
     started_at: float
     last_event_at: float
     is_stalled: bool = False
@@ -54,7 +54,7 @@
         """
         self.last_event_at = now
         if not self.is_stalled:
-            self.limit.reschedule(now + max_event_gap)
+            self.event_timeout.reschedule(now + max_event_gap)
 
 
 class StallDetector:
@@ -65,10 +65,10 @@
         self._runs: list[MonitoredRun] = []
 
     @contextmanager
-    def watch(self, engine: InstanceInfo, limit: asyncio.Timeout) -> Iterator[MonitoredRun]:
+    def watch(self, engine: InstanceInfo, event_timeout: asyncio.Timeout) -> Iterator[MonitoredRun]:
         """Watches a run until the context exits."""
         now = self._clock.now()
-        run = MonitoredRun(engine, limit, now, now)
+        run = MonitoredRun(engine, event_timeout, now, now)
         self._runs.append(run)
         try:
             yield run
@@ -85,7 +85,7 @@
         stalled = [
             run
             for run in self._runs
-            if not (run.is_stalled or run.limit.expired())
+            if not (run.is_stalled or run.event_timeout.expired())
             and now - run.last_event_at >= stall_timeout(run)
         ]
         return sorted(stalled, key=lambda run: run.last_event_at)
@@ -93,7 +93,7 @@
     def abort(self, run: MonitoredRun) -> None:
         """Aborts a run, so that its item continues elsewhere."""
         run.is_stalled = True
-        run.limit.reschedule(self._clock.now())
+        run.event_timeout.reschedule(self._clock.now())
 
 
 def stall_timeout_seconds(service_time: float, *, is_loading: bool = False) -> float:
