--- a/src/larkpost/gateway/rollouts/engine_priorities.py
+++ b/src/larkpost/gateway/rollouts/engine_priorities.py
@@ -19,7 +19,7 @@
 """Number of length classes within one priority: long, medium and short items."""
 LONG_SHARE = 0.15
 """Fraction of a batch's items that count as long."""
-LOW_MEMORY_FRACTION = 0.5
+SHORT_SHARE = 0.5
 """Fraction of a batch's items that count as short."""
 
 
@@ -32,7 +32,7 @@
     def __init__(self, items: Sequence[Item]) -> None:
         works = sorted((item.expected_work for item in items), reverse=True)
         self._long_threshold = _quantile(works, LONG_SHARE)
-        self._short_threshold = _quantile(works, 1 - LOW_MEMORY_FRACTION)
+        self._short_threshold = _quantile(works, 1 - SHORT_SHARE)
 
     def engine_priority(self, progress: Progress, priority: int, *, yields: bool = False) -> int:
         """Returns the priority to send to an engine, from 0, the highest, to 9.
