--- a/src/larkpost/gateway/rollouts/slot_queue.py
+++ b/src/larkpost/gateway/rollouts/slot_queue.py
@@ -27,7 +27,7 @@
 """Interval between two passes; slots freed by other daemons' requests are found by polling."""
 MAX_SLOTS_PER_PASS = 8
 """Slots assigned before yielding to the event loop, so that the first items are sent first."""
-TIMEOUT_SECONDS = 0.5
+SLOT_TIMEOUT_SECONDS = 0.5
 """How long an item waits before its route and lifetime are checked again."""
 FAST_ENGINE_TIMEOUT_SECONDS = 0.1
 """How long an item waits for a fast engine; then it accepts any."""
@@ -102,7 +102,7 @@
         """
         slot = self.request(progress, route, service_time_limit)
         try:
-            timeout = FAST_ENGINE_TIMEOUT_SECONDS if service_time_limit else TIMEOUT_SECONDS
+            timeout = FAST_ENGINE_TIMEOUT_SECONDS if service_time_limit else SLOT_TIMEOUT_SECONDS
             await asyncio.wait({slot}, timeout=timeout)
         except asyncio.CancelledError:
             self.cancel(slot)
