--- a/src/larkpost/gateway/rollouts/read_rules.py
+++ b/src/larkpost/gateway/rollouts/read_rules.py
@@ -50,14 +50,14 @@
 def decide_read(state: ReadState) -> ReadDecision:
     """Returns whether a read is answered with the known results, waits for more, or fails."""
     is_over = state.seconds_left < MIN_WAIT_SECONDS
-    if state.is_complete or (state.has_new and (is_over or _should_not_hold(state))):
+    if state.is_complete or (state.has_new and (is_over or _should_respond_now(state))):
         return ReadDecision.RESPOND
     if not is_over:
         return ReadDecision.WAIT
     return ReadDecision.FAIL if state.store_failed else ReadDecision.RESPOND
 
 
-def _should_not_hold(state: ReadState) -> bool:
+def _should_respond_now(state: ReadState) -> bool:
     return (
         state.has_enough_groups  # the step is complete
         or not state.may_hold
