--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -125,9 +125,9 @@
     def count_free_slots(self, service: ServiceName) -> int:
         """Returns the estimated number of free slots at all matching engines."""
         work = self.items.work_of()
-        fitting = self._with_free_slot(service, work)
+        matching = self._with_free_slot(service, work)
         scale = self._services.balancer.candidate_pool(service, work).scale
-        return int(sum(self._free_slots_at(info, work) for info in fitting) * scale)
+        return int(sum(self._free_slots_at(info, work) for info in matching) * scale)
 
     def _free_slots_at(self, info: InstanceInfo, work: Work) -> int:
         """Returns the free slots of an engine; at a cold engine, as many as its limit allows."""
@@ -210,8 +210,8 @@
             within: the only engines of a large service to consider; None for any.
         """
         balancer = self._services.balancer
-        fitting = balancer.candidates(service, work, eligible=self._is_not_avoided, within=within)
-        return [info for info in fitting if balancer.has_free_slot(info)]
+        matching = balancer.candidates(service, work, eligible=self._is_not_avoided, within=within)
+        return [info for info in matching if balancer.has_free_slot(info)]
 
     def _is_not_avoided(self, info: InstanceInfo) -> bool:
         """Returns whether an engine is not avoided because of a recent failure."""
