--- a/src/larkpost/gateway/rollouts/engine_rules.py
+++ b/src/larkpost/gateway/rollouts/engine_rules.py
@@ -120,9 +120,9 @@
     return migrations < MAX_MIGRATIONS
 
 
-def is_slower_by(service_time: float, other: float, ratio: float) -> bool:
+def is_slower_by(service_time: float, other_service_time: float, ratio: float) -> bool:
     """Returns whether an engine is slower than another one by more than a ratio."""
-    return service_time > other * ratio
+    return service_time > other_service_time * ratio
 
 
 def migration_source_service_time(lasting: float, recent: float) -> float:
@@ -147,7 +147,7 @@
     return events * service_time >= MIGRATION_COST_SECONDS
 
 
-def is_migration_worthwhile(events: int, service_time: float, other: float) -> bool:
+def is_migration_worthwhile(events: int, service_time: float, other_service_time: float) -> bool:
     """Returns whether a run should migrate to a faster engine that has a free slot.
 
     Assumes that an item will produce as many events again as it has produced: item lengths vary so
@@ -158,9 +158,11 @@
         service_time: of the engine where it runs.
         other: service time of the faster engine; 0 if unknown.
     """
-    if not other or not is_slower_by(service_time, other, MIGRATION_RATIO):
+    if not other_service_time or not is_slower_by(
+        service_time, other_service_time, MIGRATION_RATIO
+    ):
         return False
-    return events * (service_time - other) >= MIGRATION_COST_SECONDS
+    return events * (service_time - other_service_time) >= MIGRATION_COST_SECONDS
 
 
 def migration_service_time_limit(events: int, service_time: float, best: float) -> float:
