--- a/src/larkpost/gateway/rollouts/batch_run.py
+++ b/src/larkpost/gateway/rollouts/batch_run.py
@@ -55,18 +55,18 @@
         routes = ItemRoutes(head, services)
         self._item_runner = ItemRunner(head, routes, self._slot_queue, engine_runner, services)
         self._scorer = RewardScorer(head, routes, services)
-        self._waiting = sorted(items, key=lambda item: item.expected_work, reverse=True)
+        self._unstarted = sorted(items, key=lambda item: item.expected_work, reverse=True)
         self._stall_task: asyncio.Task | None = None
         self._tasks: dict[ItemId, asyncio.Task] = {}
 
     def start(self) -> None:
         """Starts all items; they queue for slots at engines, the longest first."""
         self._stall_task = asyncio.create_task(self._watch_for_stalls())
-        for item in self._waiting:
+        for item in self._unstarted:
             task = asyncio.create_task(self._finish_item(item), name=item.id)
             self._tasks[item.id] = task
             task.add_done_callback(self._task_done)
-        self._waiting = []
+        self._unstarted = []
 
     def summarize_progress(self) -> BatchProgress:
         """Returns the progress of the batch, for the deadline forecasts of all daemons."""
@@ -102,7 +102,7 @@
 
     async def _watch_for_stalls(self) -> None:
         """Checks for stalled runs at intervals, and aborts them if there are free slots."""
-        while self._waiting or self._tasks:
+        while self._unstarted or self._tasks:
             await self._services.clock.sleep(CHECK_INTERVAL_SECONDS)
             self._abort_stalled()
 
