--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -60,7 +60,7 @@
             candidates = [info for info in candidates if info.id in allowed]
         if service_time_limit:
             candidates = self._fast_enough(service, candidates, service_time_limit)
-        chosen = choose_engine(self._states(service, candidates))
+        chosen = choose_engine(self._engine_states(service, candidates))
         return chosen.info if chosen is not None else None
 
     def _fast_enough(
@@ -94,7 +94,9 @@
         known = (info for name in assigned if (info := directory.get(name)) is not None)
         return None if all(balancer.is_cold(info) for info in known) else assigned
 
-    def _states(self, service: ServiceName, candidates: list[InstanceInfo]) -> list[EngineState]:
+    def _engine_states(
+        self, service: ServiceName, candidates: list[InstanceInfo]
+    ) -> list[EngineState]:
         """Returns the states of the engines, in the same order."""
         if not candidates:
             return []
