--- a/src/larkpost/gateway/rollouts/batch_head_cache.py
+++ b/src/larkpost/gateway/rollouts/batch_head_cache.py
@@ -72,14 +72,14 @@
     def record(self, row: Row) -> None:
         """Records the row of a head unless a newer one is known."""
         batch = BatchId(row.key.key)
-        known = self._heads.get(batch)
-        if known is not None and row.version <= known.version:
+        cached = self._heads.get(batch)
+        if cached is not None and row.version <= cached.version:
             return
         head = head_of_row(row)
-        same_owner = known is not None and known.head.owner == head.owner
-        owner_since = known.owner_since if same_owner else self._clock.now()
+        same_owner = cached is not None and cached.head.owner == head.owner
+        owner_since = cached.owner_since if same_owner else self._clock.now()
         submitted_after = (
-            known.submitted_after if known is not None else self._submitted_after(head)
+            cached.submitted_after if cached is not None else self._submitted_after(head)
         )
         self._heads[batch] = CachedBatchHead(head, row.version, owner_since, submitted_after)
 
@@ -100,43 +100,45 @@
 
     def open_owners(self) -> set[DaemonId]:
         """Returns the daemons that own open batches."""
-        return {known.head.owner for known in self._heads.values() if not known.head.ended}
+        return {cached.head.owner for cached in self._heads.values() if not cached.head.ended}
 
     def demands(self) -> dict[ModelName, ModelDemand]:
         """Returns the demand of each model, from its newest and its open batches."""
         batches_by_model: dict[ModelName, list[CachedBatchHead]] = defaultdict(list)
-        for known in self._heads.values():
-            batches_by_model[known.head.model].append(known)
+        for cached in self._heads.values():
+            batches_by_model[cached.head.model].append(cached)
         return {model: _demand(batches) for model, batches in batches_by_model.items()}
 
     def newest(self) -> list[BatchHead]:
         """Returns the head of each model's newest batch, whether or not it has ended."""
         newest: dict[ModelName, BatchHead] = {}
-        for known in self._heads.values():
-            other = newest.get(known.head.model)
-            if other is None or other.created_at < known.head.created_at:
-                newest[known.head.model] = known.head
+        for cached in self._heads.values():
+            other = newest.get(cached.head.model)
+            if other is None or other.created_at < cached.head.created_at:
+                newest[cached.head.model] = cached.head
         return list(newest.values())
 
     def open(self) -> list[BatchHead]:
         """Returns the heads of the batches that were not ended."""
-        return [known.head for known in self._heads.values() if not known.head.ended]
+        return [cached.head for cached in self._heads.values() if not cached.head.ended]
 
 
 def _demand(batches: list[CachedBatchHead]) -> ModelDemand:
     """Returns the demand of a model from its batches, of which there is at least one."""
-    newest_first = heapq.nlargest(DEMAND_BATCHES, batches, key=lambda known: known.head.created_at)
+    newest_first = heapq.nlargest(
+        DEMAND_BATCHES, batches, key=lambda cached: cached.head.created_at
+    )
     newest = newest_first[0]
     announcements = [
-        known.submitted_after for known in newest_first[:2] if known.submitted_after is not None
+        cached.submitted_after for cached in newest_first[:2] if cached.submitted_after is not None
     ]
     announcement = newest.submitted_after
-    running = [known for known in batches if not known.head.ended]
+    running = [cached for cached in batches if not cached.head.ended]
     return ModelDemand(
-        round(fmean(known.head.work for known in newest_first)),
+        round(fmean(cached.head.work for cached in newest_first)),
         open=bool(running),
-        has_earlier_open=any(known is not newest for known in running),
+        has_earlier_open=any(cached is not newest for cached in running),
         submit_delay=announcement.seconds if announcement is not None else None,
         submit_version=announcement.version if announcement is not None else 0,
-        min_submit_delay=min((known.seconds for known in announcements), default=None),
+        min_submit_delay=min((cached.seconds for cached in announcements), default=None),
     )
--- a/src/larkpost/gateway/rollouts/batch_manager.py
+++ b/src/larkpost/gateway/rollouts/batch_manager.py
@@ -100,8 +100,8 @@
 
     def head(self, batch: BatchId) -> BatchHead | None:
         """Returns the head of a batch; None if unknown."""
-        known = self._head_cache.get(batch)
-        return known.head if known is not None else None
+        cached = self._head_cache.get(batch)
+        return cached.head if cached is not None else None
 
     def _age(self, head: BatchHead) -> float | None:
         """Returns the seconds since a batch was accepted; None if the store's time is unknown."""
@@ -129,8 +129,8 @@
     def progress(self) -> dict[BatchId, BatchProgress]:
         """Returns the progress of up to `MAX_REPORTED_BATCHES` batches that this daemon owns."""
         newest = list(self._owned.items())[-MAX_REPORTED_BATCHES:]
-        known = ((batch, owned.progress()) for batch, owned in newest)
-        return {batch: progress for batch, progress in known if progress is not None}
+        cached = ((batch, owned.progress()) for batch, owned in newest)
+        return {batch: progress for batch, progress in cached if progress is not None}
 
     def record_report(self, daemon: DaemonId, batches: dict[BatchId, BatchProgress]) -> None:
         """Records the batch progress reported by another daemon."""
@@ -161,8 +161,8 @@
 
     async def update(self) -> None:
         """Starts, claims and releases batches according to their heads."""
-        for known in self._head_cache:
-            self._update_batch(known)
+        for cached in self._head_cache:
+            self._update_batch(cached)
         for batch, owned in list(self._owned.items()):
             if owned.complete:
                 self.finish(batch)
@@ -178,30 +178,30 @@
         now = self._services.store_time()
         if now is None:
             return
-        for known in self._head_cache:
-            if now - known.head.created_at < self._lifetime() + RETENTION_SLACK_SECONDS:
+        for cached in self._head_cache:
+            if now - cached.head.created_at < self._lifetime() + RETENTION_SLACK_SECONDS:
                 continue
-            if self._claims.successor(known.head) == self._membership.own:
+            if self._claims.successor(cached.head) == self._membership.own:
                 try:
-                    await self._repository.remove(known.head)
+                    await self._repository.remove(cached.head)
                 except StoreUnavailableError:
                     return  # retried after the next interval
 
-    def _update_batch(self, known: CachedBatchHead) -> None:
+    def _update_batch(self, cached: CachedBatchHead) -> None:
         """Starts, releases or claims a batch, depending on its owner and whether it is over."""
-        head, batch = known.head, known.head.id
+        head, batch = cached.head, cached.head.id
         is_own = head.owner == self._membership.own and not self._handing_over
         if head.ended or batch in self._completed or (batch in self._owned and not is_own):
             self._release(batch)
         elif is_own:
             if batch not in self._owned:
                 self._start_batch(head, None, fresh=False)
-        elif not self._handing_over and self._claims.should_claim(known):
-            self._start_claim(known)
+        elif not self._handing_over and self._claims.should_claim(cached):
+            self._start_claim(cached)
 
-    def _start_claim(self, known: CachedBatchHead) -> None:
-        self._claims.record_claim(known.head.id)
-        task = asyncio.create_task(self._claims.claim(known, self._membership.own))
+    def _start_claim(self, cached: CachedBatchHead) -> None:
+        self._claims.record_claim(cached.head.id)
+        task = asyncio.create_task(self._claims.claim(cached, self._membership.own))
         self._claim_tasks.add(task)
         task.add_done_callback(self._claim_tasks.discard)
 
@@ -230,11 +230,11 @@
         owned = self._owned[batch]
         await owned.hand_over()
         self._release(batch)
-        known = self._head_cache.get(batch)
-        successor = self._claims.successor(known.head) if known is not None else None
-        if known is None or successor is None or known.head.ended:
+        cached = self._head_cache.get(batch)
+        successor = self._claims.successor(cached.head) if cached is not None else None
+        if cached is None or successor is None or cached.head.ended:
             return
-        await self._claims.claim(known, successor)
-        known = self._head_cache.get(batch)
-        if known is not None and known.head.owner == self._membership.own:
-            await self._claims.claim(known, successor)
+        await self._claims.claim(cached, successor)
+        cached = self._head_cache.get(batch)
+        if cached is not None and cached.head.owner == self._membership.own:
+            await self._claims.claim(cached, successor)
--- a/src/larkpost/gateway/rollouts/claims.py
+++ b/src/larkpost/gateway/rollouts/claims.py
@@ -45,15 +45,15 @@
         self._log: EventLog = services.log
         self._claimed_at: dict[BatchId, float] = {}
 
-    def should_claim(self, known: CachedBatchHead) -> bool:
+    def should_claim(self, cached: CachedBatchHead) -> bool:
         """Returns whether this daemon should claim a batch that another daemon owns."""
         membership = self._membership
         return (
             membership.listed  # until then every owner would count as dead
             and membership.is_coordinator()  # limits how many daemons track all batches
-            and not membership.is_owner_alive(known.head.owner, known.owner_since)
-            and not self._has_recent_claim(known.head.id)
-            and self.successor(known.head) == membership.own
+            and not membership.is_owner_alive(cached.head.owner, cached.owner_since)
+            and not self._has_recent_claim(cached.head.id)
+            and self.successor(cached.head) == membership.own
         )
 
     def _has_recent_claim(self, batch: BatchId) -> bool:
@@ -78,16 +78,16 @@
             return frozenset()
         return configuration.allowed_regions_at(head.tenant, head.host, head.path.encode("latin-1"))
 
-    async def claim(self, known: CachedBatchHead, owner: DaemonId) -> None:
+    async def claim(self, cached: CachedBatchHead, owner: DaemonId) -> None:
         """Writes an owner into a head, and records the head as it is afterwards."""
-        batch = known.head.id
-        done = await self._repository.claim(known.head, known.version, owner)
+        batch = cached.head.id
+        done = await self._repository.claim(cached.head, cached.version, owner)
         outcome = "done" if done else "failed"
         self._services.metrics.count(Count.CLAIMS, outcome)
         self._log.record(
             Event.BATCH_CLAIMED,
             batch=batch,
-            owner=known.head.owner,
+            owner=cached.head.owner,
             successor=owner,
             outcome=outcome,
         )
