--- a/src/larkpost/gateway/rollouts/batch_manager.py
+++ b/src/larkpost/gateway/rollouts/batch_manager.py
@@ -61,7 +61,7 @@
         self._clock: Clock = services.clock
         self._log: EventLog = services.log
         self._head_cache = BatchHeadCache(
-            services.clock, services.division.last_announcement, self._age
+            services.clock, services.allocator.last_announcement, self._age
         )
         self._forecaster = BatchForecaster(
             ForecastInputs(
--- a/src/larkpost/gateway/rollouts/context.py
+++ b/src/larkpost/gateway/rollouts/context.py
@@ -39,6 +39,6 @@
     shares: ServiceSelector
     store_time: Callable[[], float | None]
     reward_call_slots: asyncio.Semaphore
-    division: EngineAllocator
+    allocator: EngineAllocator
     cold: ColdRateLimit | None = None
     crashes: KnownCrashes = field(default_factory=KnownCrashes)
--- a/src/larkpost/gateway/rollouts/engine_runner.py
+++ b/src/larkpost/gateway/rollouts/engine_runner.py
@@ -151,7 +151,7 @@
         if configuration is None:
             return None
         priority = configuration.priority_of(self._head.tenant, run.route)
-        yields = self._services.division.should_yield(run.engine.service, self._head.model)
+        yields = self._services.allocator.should_yield(run.engine.service, self._head.model)
         return self._priorities.engine_priority(run.progress, priority, yields=yields)
 
     def _keep_single_version(self, run: ItemRun) -> None:
--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -68,7 +68,7 @@
     ) -> list[InstanceInfo]:
         """Returns the engines to which a run may migrate; loading engines refuse all work."""
         balancer = self._services.balancer
-        loading = self._services.division.loading(service, self._head.model)
+        loading = self._services.allocator.loading(service, self._head.model)
         return [
             info
             for info in candidates
@@ -85,11 +85,11 @@
         time to spare and a batch of another model that has none waits for slots. The limit does
         not apply while all of these engines are cold, as after a zone is restored.
         """
-        division = self._services.division
+        allocator = self._services.allocator
         is_new = self._services.clock.now() - self._started_at < OWN_ENGINES_ONLY_SECONDS
-        if not is_new and not division.should_yield(service, self._head.model):
+        if not is_new and not allocator.should_yield(service, self._head.model):
             return None
-        assigned = division.engines_of(service, self._head.model)
+        assigned = allocator.engines_of(service, self._head.model)
         directory, balancer = self._services.directory, self._services.balancer
         known = (info for name in assigned if (info := directory.get(name)) is not None)
         return None if all(balancer.is_cold(info) for info in known) else assigned
@@ -101,7 +101,7 @@
         if not candidates:
             return []
         balancer = self._services.balancer
-        loading = self._services.division.loading(service, self._head.model)
+        loading = self._services.allocator.loading(service, self._head.model)
         return [
             EngineState(
                 info,
@@ -119,7 +119,7 @@
 
         An engine that loads weights refuses all work, so only one item at a time tries it.
         """
-        if engine.id in self._services.division.loading(engine.service, self._head.model):
+        if engine.id in self._services.allocator.loading(engine.service, self._head.model):
             self._services.balancer.use(engine.id).mark_refusing(self._services.clock.now())
         if self._services.cold is not None:
             self._services.cold.reserve(engine)
@@ -141,7 +141,7 @@
     def stall_timeout(self, monitored_run: MonitoredRun) -> float:
         """Returns the seconds without an event after which a run counts as stalled."""
         engine = monitored_run.engine
-        loading = self._services.division.loading(engine.service, self._head.model)
+        loading = self._services.allocator.loading(engine.service, self._head.model)
         service_time = self._services.balancer.service_times.lasting(engine.id)
         return stall_timeout_seconds(service_time, is_loading=engine.id in loading)
 
--- a/tests/test_cold_engine_choice.py
+++ b/tests/test_cold_engine_choice.py
@@ -42,10 +42,10 @@
 
     def own(self, *engines: InstanceId) -> None:
         """Assigns some engines to the model."""
-        self.services.division = mock.Mock()
-        self.services.division.engines_of.return_value = frozenset(engines)
-        self.services.division.loading.return_value = frozenset()
-        self.services.division.should_yield.return_value = False
+        self.services.allocator = mock.Mock()
+        self.services.allocator.engines_of.return_value = frozenset(engines)
+        self.services.allocator.loading.return_value = frozenset()
+        self.services.allocator.should_yield.return_value = False
 
     def test_migrating_run_takes_no_cold_engine(self):
         async def play():
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -148,7 +148,7 @@
             own = frozenset({InstanceId("engine-0"), InstanceId("engine-1")})
             await fleet.wait(1.0)
             services = fleet.gateways[0].keeper._services
-            services.division.engines_of = lambda *_: own
+            services.allocator.engines_of = lambda *_: own
             await fleet.gateways[0].batches.submit(make_batch("batch", 40))
             await fleet.wait(0.4)
             return sum(bool(state.runs) for state in fleet.model_engines())
@@ -196,7 +196,7 @@
             services.directory = make_directory(2)
             services.balancer = Balancer(services.directory, fleet.clock, random.Random(0))
             services.balancer.occupy(InstanceId("e1"))
-            services.division.loading = lambda *_: frozenset(loading)
+            services.allocator.loading = lambda *_: frozenset(loading)
             return EngineSelector(make_head(fleet), services).choose(ENGINES).id
 
         self.assertEqual("e0", run(chosen(set())))
--- a/tests/test_yielding.py
+++ b/tests/test_yielding.py
@@ -28,9 +28,9 @@
             fleet = PlatformFleet(1, 4)
             own = frozenset({InstanceId("engine-0"), InstanceId("engine-1")})
             await fleet.wait(1.0)
-            division = fleet.gateways[0].keeper._services.division
-            division.engines_of = lambda *_: own
-            division.should_yield = lambda *_: yields
+            allocator = fleet.gateways[0].keeper._services.allocator
+            allocator.engines_of = lambda *_: own
+            allocator.should_yield = lambda *_: yields
             for state in fleet.model_engines():
                 state.event_seconds = 0.2
             await fleet.gateways[0].batches.submit(make_batch("batch", 40))
@@ -53,17 +53,17 @@
             service = Service(ENGINES, 100, slots=8, models=(MODEL, OTHER))
             blackboard.configuration.current = Configuration(9, (), {ENGINES: service})
             demands = {MODEL: AT_LEISURE, OTHER: SHORT_OF_TIME}
-            division = EngineAllocator(blackboard, fleet.clock, lambda: demands)
-            self.assertTrue(division.should_yield(ENGINES, MODEL))
-            self.assertFalse(division.should_yield(ENGINES, OTHER))
-            self.assertEqual(3, len(division.engines_of(ENGINES, MODEL)))
-            self.assertEqual(5, len(division.engines_of(ENGINES, OTHER)))
+            allocator = EngineAllocator(blackboard, fleet.clock, lambda: demands)
+            self.assertTrue(allocator.should_yield(ENGINES, MODEL))
+            self.assertFalse(allocator.should_yield(ENGINES, OTHER))
+            self.assertEqual(3, len(allocator.engines_of(ENGINES, MODEL)))
+            self.assertEqual(5, len(allocator.engines_of(ENGINES, OTHER)))
             demands[OTHER] = ModelDemand(
                 100, open=True, deadline_forecast=DeadlineForecast.TO_SPARE
             )
             await fleet.wait(2 * ALLOCATION_LIFETIME_SECONDS)
-            self.assertFalse(division.should_yield(ENGINES, MODEL))
-            self.assertEqual(4, len(division.engines_of(ENGINES, MODEL)))
+            self.assertFalse(allocator.should_yield(ENGINES, MODEL))
+            self.assertEqual(4, len(allocator.engines_of(ENGINES, MODEL)))
 
         run(play())
 
