--- a/src/larkpost/gateway/rollouts/acceptance.py
+++ b/src/larkpost/gateway/rollouts/acceptance.py
@@ -1,8 +1,8 @@
 """Accepts batches durably and exactly once.
 
 The items are written first, then the head and the tail. A batch exists once its head does; the head
-is written on condition that there is none with the same id. The timeout of these writes adapts to
-the response times of the store.
+is written only if there is none with the same id. The timeout of this write adapts to the response
+times of the store.
 """
 
 from dataclasses import dataclass
@@ -31,7 +31,7 @@
 )
 
 ACCEPT_TIMEOUT_SECONDS = 0.7
-"""Initial and least timeout of the write that accepts a batch; doubled after each timeout."""
+"""Initial and minimum timeout of the write that accepts a batch; doubled after each timeout."""
 ACCEPT_TIMEOUT_FACTOR = 4.0
 """Timeout of the next accepting write as a multiple of the last response time."""
 RETRY_SECONDS = 0.1
@@ -42,8 +42,8 @@
     """Outcome of a submission."""
 
     ACCEPTED = "accepted"
-    REFUSED = "refused"  # not accepted, and this call never will
-    UNCERTAIN = "uncertain"  # it may have been accepted, or still be
+    REFUSED = "refused"  # certainly not accepted
+    UNCERTAIN = "uncertain"  # may have been accepted, or may still be
     TAKEN = "taken"  # another tenant has a batch with this id
 
 
@@ -52,9 +52,9 @@
     """A batch that is being written to the store.
 
     Attributes:
-        upload: unique name of the item rows of this submission.
+        upload: unique name of this submission, which the keys of its item rows contain.
         rows: the item rows.
-        is_uploaded: whether the item rows need no separate write, or no further one.
+        is_uploaded: whether the item rows are stored, or fit in the transaction of the head.
         is_uncertain: whether a write of the head had no response.
     """
 
@@ -84,7 +84,7 @@
         once, and a conflict means that the batch exists.
 
         Args:
-            upload: unique name of the item rows of this submission.
+            upload: unique name of this submission, which the keys of its item rows contain.
             seconds: how long to keep trying.
         """
         deadline = self._clock.now() + seconds
@@ -119,8 +119,8 @@
     async def _write(self, change: Transaction) -> WriteResult:
         """Writes the head of a batch and adapts the timeout of the next such write.
 
-        The timeout is short when the store is fast, so that a trainer can turn to another daemon
-        soon if only this one has lost the store. It is longer when the store is slow for everyone.
+        The timeout is short when the store is fast, so that a trainer can soon turn to another
+        daemon if only this one cannot reach the store. It is longer when the store is slow.
         """
         started = self._clock.now()
         result = await self._store.write(change, self._timeout)
@@ -139,7 +139,7 @@
         ]
 
     def _transaction(self, submission: _Submission) -> Transaction:
-        """Returns the write of the head, an empty tail, and the items if they fit."""
+        """Returns the transaction that writes the head, an empty tail, and the items if they fit."""
         batch = submission.spec.id
         head_key = batch_key(HEAD_TABLE, batch)
         tail_key = batch_key(TAIL_TABLE, batch)
--- a/src/larkpost/gateway/rollouts/batch_forecaster.py
+++ b/src/larkpost/gateway/rollouts/batch_forecaster.py
@@ -57,7 +57,7 @@
 
     Attributes:
         open: heads of the open batches.
-        newest: head of each model's newest batch, as no batch may be open between two steps.
+        newest: head of each model's newest batch, for models without an open batch between steps.
     """
 
     open: Iterable[BatchHead]
@@ -85,7 +85,7 @@
         heads: ModelHeads,
         own: dict[BatchId, BatchProgress],
     ) -> dict[ModelName, ModelDemand]:
-        """Returns the demands with the deadline forecasts of open batches added.
+        """Returns the demands with the forecast, waiting items and priority of each model added.
 
         Args:
             own: progress of the batches that this daemon owns.
@@ -168,7 +168,7 @@
     def _capacity(self, service: Service) -> BatchCapacity:
         """Returns the capacity of a service's engines for a batch.
 
-        Assumes an equal share of them for each model, less the fraction that a model may lend.
+        Assumes that each model has an equal share of the slots, less the fraction that it may lend.
         """
         engines = self._inputs.directory.ready_of(service.name)
         known = (self._inputs.service_time(info.id) for info in engines)
@@ -185,7 +185,7 @@
 
 
 def _service_of(route: Route | None, configuration: Configuration) -> Service | None:
-    """Returns the engine service that a route names first; None if it names none."""
+    """Returns the first service of a route; None without one, or if it serves no model."""
     if route is None or not route.shares:
         return None
     service = configuration.services.get(route.shares[0].service)
--- a/src/larkpost/gateway/rollouts/batch_head_cache.py
+++ b/src/larkpost/gateway/rollouts/batch_head_cache.py
@@ -18,10 +18,11 @@
 from larkpost.gateway.store.port import Row
 
 DEMAND_BATCHES = 6
-"""Number of newest batches over which the work of a model is averaged. The expected work of single
-batches varies so much that engines would change models with each step."""
+"""Number of newest batches over which the expected work of a model is averaged. It varies so much
+between single batches that engines would change models with each step."""
 MAX_CLOCK_SKEW_SECONDS = 0.2
-"""Clock difference by which a batch may seem older than the version announced with it."""
+"""Maximum clock difference: a batch that seems older than a weight version by at most this much
+still counts as submitted after the version was announced."""
 MAX_NEW_BATCH_AGE_SECONDS = 1.0
 """Age above which a batch does not count as new: this daemon has just started, or lost the feed."""
 
@@ -32,7 +33,7 @@
 
     Attributes:
         version: version of the head's row.
-        owner_since: monotonic time at which this daemon learnt who the owner is.
+        owner_since: monotonic time at which this daemon first read the current owner.
         submitted_after: the model's newest weight version when the batch was accepted, and how long
             before that it was announced; None if this daemon did not observe both.
     """
@@ -84,7 +85,7 @@
         self._heads[batch] = CachedBatchHead(head, row.version, owner_since, submitted_after)
 
     def _submitted_after(self, head: BatchHead) -> VersionAnnouncement | None:
-        """Returns the version after which a new batch was submitted, and the time between."""
+        """Returns the newest weight version when a new batch was accepted, and the time since it."""
         age = self._age(head)
         announcement = self._last_announcement(head.model)
         if announcement is None or age is None or age > MAX_NEW_BATCH_AGE_SECONDS:
--- a/src/larkpost/gateway/rollouts/batch_manager.py
+++ b/src/larkpost/gateway/rollouts/batch_manager.py
@@ -129,8 +129,8 @@
     def progress(self) -> dict[BatchId, BatchProgress]:
         """Returns the progress of up to `MAX_REPORTED_BATCHES` batches that this daemon owns."""
         newest = list(self._owned.items())[-MAX_REPORTED_BATCHES:]
-        cached = ((batch, owned.progress()) for batch, owned in newest)
-        return {batch: progress for batch, progress in cached if progress is not None}
+        reports = ((batch, owned.progress()) for batch, owned in newest)
+        return {batch: progress for batch, progress in reports if progress is not None}
 
     def record_report(self, daemon: DaemonId, batches: dict[BatchId, BatchProgress]) -> None:
         """Records the batch progress reported by another daemon."""
@@ -139,7 +139,7 @@
     async def start_accepted(self, spec: BatchSpec, upload: str) -> None:
         """Starts a batch accepted by this daemon at once, without waiting for the feed.
 
-        Does nothing if the stored batch is that of another submission, as its upload name tells.
+        Does nothing if the stored batch is that of another submission, with another upload name.
         """
         try:
             head, _ = await asyncio.gather(
@@ -188,7 +188,7 @@
                     return  # retried after the next interval
 
     def _update_batch(self, cached: CachedBatchHead) -> None:
-        """Starts, releases or claims a batch, depending on its owner and whether it is over."""
+        """Starts, releases or claims a batch, depending on its owner and whether it has ended."""
         head, batch = cached.head, cached.head.id
         is_own = head.owner == self._membership.own and not self._handing_over
         if head.ended or batch in self._completed or (batch in self._owned and not is_own):
--- a/src/larkpost/gateway/rollouts/batch_run.py
+++ b/src/larkpost/gateway/rollouts/batch_run.py
@@ -90,7 +90,7 @@
             task.cancel()
 
     def cancel_items(self, items: set[ItemId]) -> None:
-        """Cancels the runs of items whose results another daemon has listed meanwhile."""
+        """Cancels the runs of items that another daemon has appended to the result list."""
         for item in items & self._tasks.keys():
             self._tasks[item].cancel()
             self.progress.pop(item, None)
@@ -118,7 +118,7 @@
                 self._stall_detector.abort(monitored_run)
 
     async def _finish_item(self, item: Item) -> None:
-        """Runs an item and has it scored until it has a result; survives unexpected errors."""
+        """Runs an item and has it scored until it has a result; retries after unexpected errors."""
         progress = self.progress[item.id]
         while True:
             try:
@@ -138,7 +138,7 @@
         """Completes the output of an item and has it scored.
 
         Returns:
-            Whether the item is done, or else dead; its score, if it has a reward call.
+            Whether the item is done rather than dead; its score, None without a reward call.
         """
         if not await self._item_runner.run_to_completion(progress):
             return False, None
--- a/src/larkpost/gateway/rollouts/claims.py
+++ b/src/larkpost/gateway/rollouts/claims.py
@@ -1,9 +1,9 @@
 """Failover of batch ownership.
 
 The head of a batch names its owner. When the owner counts as dead, the daemon selected by
-rendezvous hashing writes its own id into the head, on condition of the head's version. Two daemons
-may run the same batch for a moment; this costs work, but conditional appends keep the result list
-correct. The membership knows which daemons count as alive.
+rendezvous hashing writes its own id into the head, provided that the head's version is unchanged.
+Two daemons may run the same batch for a moment; this costs work, but conditional appends keep the
+result list correct. `controllers/membership.py` decides which daemons count as alive.
 """
 
 from collections.abc import Callable
@@ -20,14 +20,14 @@
 from larkpost.gateway.store.port import Row, StoreUnavailableError
 
 CLAIM_INTERVAL_SECONDS = 0.5
-"""Least pause between two claims of one batch, in which the feed delivers the updated head."""
+"""Minimum interval between two claims of one batch, in which the feed delivers the updated head."""
 
 
 class BatchClaims:
     """Decides which batches this daemon claims, and writes owners into heads.
 
     Args:
-        record_head: called with the row of the head after each claim, whoever the owner is.
+        record_head: called with the row of the head after each claim, also if the claim failed.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         self._claimed_at[batch] = self._clock.now()
 
     def successor(self, head: BatchHead) -> DaemonId | None:
-        """Returns the daemon that should claim a batch; None if none may.
+        """Returns the daemon that should claim a batch; None if no daemon may.
 
         It must be in a region where the batch may be served, as it reads the batch's items.
         """
--- a/src/larkpost/gateway/rollouts/context.py
+++ b/src/larkpost/gateway/rollouts/context.py
@@ -23,8 +23,8 @@
 
     Attributes:
         store_time: returns the store's clock in seconds; None if unknown.
-        division: knows which engines are assigned to each model.
-        cold: limits the requests sent to cold engines; None for no limit.
+        allocator: knows which engines are assigned to each model.
+        cold_rate_limit: limits the requests sent to cold engines; None for no limit.
         crashes: server crashes and the requests that caused them.
         reward_call_slots: limits the reward calls that the daemon has in flight.
     """
@@ -36,9 +36,9 @@
     clock: Clock
     log: EventLog
     metrics: Metrics
-    shares: ServiceSelector
+    service_selector: ServiceSelector
     store_time: Callable[[], float | None]
     reward_call_slots: asyncio.Semaphore
     allocator: EngineAllocator
-    cold: ColdRateLimit | None = None
+    cold_rate_limit: ColdRateLimit | None = None
     crashes: KnownCrashes = field(default_factory=KnownCrashes)
--- a/src/larkpost/gateway/rollouts/engine_priorities.py
+++ b/src/larkpost/gateway/rollouts/engine_priorities.py
@@ -1,9 +1,9 @@
-"""Priorities that engines are sent with the items of a batch.
+"""Priorities that are sent to engines with the items of a batch.
 
 Engines admit requests of higher priority first, and preempt those of lower priority when their
 memory runs out. The priority of the tenant or route comes first; within it, longer items come
-first, as the training step waits for them. An item that is already long counts as long whatever
-length its trainer expected.
+first, as the training step waits for them. An item whose output is already long counts as long,
+whatever its expected length.
 """
 
 import math
@@ -39,8 +39,8 @@
 
         Args:
             priority: priority of the item's tenant or route, 0 highest.
-            yields: whether the batch ranks below other models' batches of the same priority, as it
-                has time to spare or cannot be in time.
+            yields: whether the batch ranks below other models' batches of the same priority,
+                because it has time to spare or cannot meet its deadline.
         """
         length_class = self._length_class(progress)
         if yields:
--- a/src/larkpost/gateway/rollouts/engine_rules.py
+++ b/src/larkpost/gateway/rollouts/engine_rules.py
@@ -12,21 +12,22 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 
 FASTER_RATIO = 1.12
-"""Ratio of service times above which one engine counts as faster than another. Above the random
-difference between equal engines."""
+"""Ratio of service times above which one engine counts as faster than another; larger than the
+random difference between equal engines."""
 MIGRATION_RATIO = 1.25
 """Ratio of service times above which a run may migrate to a faster engine."""
 MIGRATION_COST_SECONDS = 1.2
-"""Least time that a migration must save an item. The item gives up the slot where it runs, and the
-new engine has to prefill the prompt and all output so far while its other requests wait."""
+"""Minimum time that a migration must save an item. The item gives up its slot at the old engine, and
+the new one has to prefill the prompt and all output so far while its other requests wait."""
 SERVICE_TIME_TOLERANCE = 1.05
-"""Factor by which the service time of an engine may exceed the limit of a migrating run. The limit
-keeps a run from ending up at an engine slower than the one that it left."""
+"""Factor by which the service time of an engine may exceed the service time limit of an item. The
+limit keeps a migrating item from running at an engine slower than the one that it left."""
 SIMILAR_LOAD_MARGIN = 1
-"""Items by which a nearer engine may be more loaded than the best one and still be preferred."""
+"""Maximum number of requests that a nearer engine may have more than the best engine and still be
+preferred to it."""
 
 MAX_MIGRATIONS = 2
-"""Most migrations of an item; each new engine has to prefill the output so far."""
+"""Maximum number of migrations of an item; each new engine has to prefill the output so far."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +53,7 @@
     """Returns whether an engine is warm and its known service time is within a limit.
 
     Args:
-        service_time_limit: seconds per event; exceeded by `SERVICE_TIME_TOLERANCE` at most.
+        service_time_limit: seconds per event, before `SERVICE_TIME_TOLERANCE` is applied.
     """
     return 0 < service_time <= service_time_limit * SERVICE_TIME_TOLERANCE and not is_cold
 
@@ -83,13 +84,14 @@
 
 
 PREFERENCES = (_accepts_work, _is_warm)
-"""Preferences among engines, the most important first; one that no engine meets is ignored."""
+"""Preferences among engines, the most important first; a preference that no engine meets is ignored."""
 
 
 def _fastest(candidates: list[EngineState]) -> EngineState:
     """Returns the fastest engine; of engines about as fast, the first one.
 
-    An engine of unknown service time is returned only if it comes first.
+    If the service time of the first engine is unknown, that engine is returned; any other engine of
+    unknown service time never is.
     """
     best = candidates[0]
     for engine in candidates[1:]:
@@ -126,9 +128,10 @@
 
 
 def migration_source_service_time(lasting: float, recent: float) -> float:
-    """Returns the service time by which a run leaves its engine.
+    """Returns the service time of a run's engine by which migrations are decided.
 
-    The lesser of the two, so that only an engine that was slow for long and still is loses runs.
+    It is the lesser of the two, so that runs leave an engine only if it has been slow for long and
+    still is.
 
     Args:
         lasting: sustained service time of the engine; 0 if unknown.
@@ -156,7 +159,7 @@
     Args:
         events: events that the item has produced.
         service_time: of the engine where it runs.
-        other: service time of the faster engine; 0 if unknown.
+        other_service_time: of the faster engine; 0 if unknown.
     """
     if not other_service_time or not is_slower_by(
         service_time, other_service_time, MIGRATION_RATIO
@@ -165,16 +168,20 @@
     return events * (service_time - other_service_time) >= MIGRATION_COST_SECONDS
 
 
-def migration_service_time_limit(events: int, service_time: float, best: float) -> float:
-    """Returns the longest service time at which a run requests a slot; 0 if it should stay.
+def migration_service_time_limit(
+    events: int, service_time: float, best_service_time: float
+) -> float:
+    """Returns the service time limit of a run's slot request; 0 if the run should not migrate.
 
     Args:
         events: events that the item has produced.
         service_time: of the engine where it runs.
-        best: service time of the fastest engine that it may use, with or without a free slot; 0 if
+        best_service_time: of the fastest engine that it may use, with or without a free slot; 0 if
             unknown.
     """
-    if not is_migration_worthwhile(events, service_time, best):
+    if not is_migration_worthwhile(events, service_time, best_service_time):
         return 0.0
-    # Guarantees that any engine within the limit passes the check that ends in a migration.
-    return min(best * FASTER_RATIO, service_time / (MIGRATION_RATIO * SERVICE_TIME_TOLERANCE))
+    # Even with the tolerance, an engine within the limit passes `EngineSelector.may_migrate_to`.
+    return min(
+        best_service_time * FASTER_RATIO, service_time / (MIGRATION_RATIO * SERVICE_TIME_TOLERANCE)
+    )
--- a/src/larkpost/gateway/rollouts/engine_runner.py
+++ b/src/larkpost/gateway/rollouts/engine_runner.py
@@ -88,7 +88,7 @@
         balancer = self._services.balancer
         request = self._request(run)
         send_timeout_seconds = balancer.placement.admit(
-            run.engine.id, self._engine_selector.items.work_of(run.item)
+            run.engine.id, self._engine_selector.item_work.work_of(run.item)
         )
         request = replace(request, send_timeout=send_timeout_seconds)
         async with self._services.servers.send(run.engine, request) as response:
--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -27,10 +27,10 @@
 
 OWN_ENGINES_ONLY_SECONDS = 0.6
 """For this long after its start, a batch uses only engines assigned to its model. Batches often
-start at the same moment, and daemons learn of each other's load a heartbeat and a listing interval
-(0.25 s each) later."""
+start at the same moment, and a daemon learns the load of the others only after a heartbeat and a
+listing interval (0.25 s each)."""
 BEST_SERVICE_TIME_CACHE_SECONDS = 0.25
-"""Lifetime of the cached best service time, which takes a scan of the engines to compute."""
+"""Lifetime of a cached best service time; computing one takes a scan of the engines."""
 
 
 class EngineSelector:
@@ -40,9 +40,10 @@
         self._head = head
         self._services = services
         self._started_at = services.clock.now()
-        self.items = ItemWork(head, services)
+        self.item_work = ItemWork(head, services)
         self._best_service_times: dict[tuple[ServiceName, Work, int], tuple[float, float]] = {}
-        """Time of computation and best service time, by service, work and least version."""
+        """Monotonic time of computation and best service time, by service, placement requirements and
+        minimum version."""
 
     def choose(
         self, service: ServiceName, service_time_limit: float = 0.0, work: Work | None = None
@@ -50,12 +51,12 @@
         """Returns an engine with a free slot and a weight version that the batch accepts.
 
         Args:
-            service_time_limit: the engine must be warm and known to take at most about this many
-                seconds per event; 0 for any engine.
+            service_time_limit: seconds per event that the engine, which must be warm, may take
+                within `SERVICE_TIME_TOLERANCE`; 0 for any engine, warm or not.
             work: placement requirements of the item; None for those of the batch.
         """
         allowed = self._allowed_engines(service)
-        candidates = self._with_free_slot(service, work or self.items.work_of(), allowed)
+        candidates = self._with_free_slot(service, work or self.item_work.work_of(), allowed)
         if allowed is not None:
             candidates = [info for info in candidates if info.id in allowed]
         if service_time_limit:
@@ -66,7 +67,7 @@
     def _fast_enough(
         self, service: ServiceName, candidates: list[InstanceInfo], service_time_limit: float
     ) -> list[InstanceInfo]:
-        """Returns the engines to which a run may migrate; loading engines refuse all work."""
+        """Returns the warm engines within the limit, except loading ones, which refuse all work."""
         balancer = self._services.balancer
         loading = self._services.allocator.loading(service, self._head.model)
         return [
@@ -81,9 +82,9 @@
     def _allowed_engines(self, service: ServiceName) -> frozenset[InstanceId] | None:
         """Returns the engines to which the batch is limited now; None for no limit.
 
-        A batch is limited to the engines assigned to its model at first, and later while it has
-        time to spare and a batch of another model that has none waits for slots. The limit does
-        not apply while all of these engines are cold, as after a zone is restored.
+        At first, a batch is limited to the engines assigned to its model. Later it is limited only
+        while it has time to spare and a batch of another model, which has none, waits for slots.
+        There is no limit while all assigned engines are cold, as after a zone is restored.
         """
         allocator = self._services.allocator
         is_new = self._services.clock.now() - self._started_at < OWN_ENGINES_ONLY_SECONDS
@@ -117,25 +118,31 @@
     def record_assigned(self, engine: InstanceInfo) -> None:
         """Records that an item was assigned a slot at an engine and will be sent to it shortly.
 
-        An engine that loads weights refuses all work, so only one item at a time tries it.
+        An engine that loads weights refuses all work. It is marked as refusing at once, so that only
+        one item at a time tries it.
         """
         if engine.id in self._services.allocator.loading(engine.service, self._head.model):
             self._services.balancer.use(engine.id).mark_refusing(self._services.clock.now())
-        if self._services.cold is not None:
-            self._services.cold.reserve(engine)
+        if self._services.cold_rate_limit is not None:
+            self._services.cold_rate_limit.reserve(engine)
 
     def count_free_slots(self, service: ServiceName) -> int:
-        """Returns the estimated number of free slots at all matching engines."""
-        work = self.items.work_of()
+        """Returns the number of free slots at all matching engines.
+
+        In a large service, it is extrapolated from a sample of the engines.
+        """
+        work = self.item_work.work_of()
         matching = self._with_free_slot(service, work)
         scale = self._services.balancer.candidate_pool(service, work).scale
         return int(sum(self._free_slots_at(info, work) for info in matching) * scale)
 
     def _free_slots_at(self, info: InstanceInfo, work: Work) -> int:
-        """Returns the free slots of an engine; at a cold engine, as many as its limit allows."""
+        """Returns the free slots of an engine; at a cold engine, no more than its remaining sends."""
         free = info.slots - self._services.balancer.occupied(info)
-        cold = self._services.cold
-        send_quota = cold.remaining_sends(info, work) if cold is not None else None
+        cold_rate_limit = self._services.cold_rate_limit
+        send_quota = (
+            cold_rate_limit.remaining_sends(info, work) if cold_rate_limit is not None else None
+        )
         return free if send_quota is None else min(free, send_quota)
 
     def stall_timeout(self, monitored_run: MonitoredRun) -> float:
@@ -159,21 +166,21 @@
             self._source_service_time(run.engine), service_time, MIGRATION_RATIO
         ):
             return False
-        return balancer.placement.allows(known, self.items.work_of(run.item))
+        return balancer.placement.allows(known, self.item_work.work_of(run.item))
 
     def target_service_time(self, run: ItemRun) -> float:
-        """Returns the service time limit for a run to migrate; 0 if it should stay.
+        """Returns the service time limit of a run's slot request; 0 if it should not migrate.
 
-        Does not check whether such an engine has a free slot. Ignores engines with older weights
-        than the run's engine, which are about to load and refuse all work. Considers only a sample
-        of the engines of a large service.
+        Does not check whether an engine within the limit has a free slot. Ignores engines with
+        older weights than the run's engine, which are about to load and refuse all work. Considers
+        only a sample of the engines of a large service.
         """
         engine, events = run.engine, len(run.progress.events)
         service_time = self._source_service_time(engine)
         if not could_migration_pay_off(events, service_time):
             return 0.0
         version = self._services.directory.version_of(engine.id, self._head.model)
-        best = self._best_service_time(engine.service, self.items.work_of(run.item), version)
+        best = self._best_service_time(engine.service, self.item_work.work_of(run.item), version)
         return migration_service_time_limit(events, service_time, best)
 
     def _source_service_time(self, engine: InstanceInfo) -> float:
@@ -183,7 +190,10 @@
         )
 
     def _best_service_time(self, service: ServiceName, work: Work, version: int) -> float:
-        """Returns the best service time at engines of at least a version; may be cached."""
+        """Returns the service time of the fastest warm engine with at least a weight version.
+
+        Returns 0 if unknown. The value is cached for `BEST_SERVICE_TIME_CACHE_SECONDS`.
+        """
         now = self._services.clock.now()
         known = self._best_service_times.get((service, work, version))
         if known is not None and now - known[0] < BEST_SERVICE_TIME_CACHE_SECONDS:
@@ -209,7 +219,7 @@
         """Returns the matching engines with a free slot, the least occupied first.
 
         Args:
-            within: the only engines of a large service to consider; None for any.
+            within: engines to which the search in a large service is limited; None for no limit.
         """
         balancer = self._services.balancer
         matching = balancer.candidates(service, work, eligible=self._is_not_avoided, within=within)
--- a/src/larkpost/gateway/rollouts/item_runner.py
+++ b/src/larkpost/gateway/rollouts/item_runner.py
@@ -25,7 +25,7 @@
 from larkpost.gateway.servers.port import BrokenResponseError, NotRunError
 
 RETRY_PAUSE_SECONDS = 0.03
-"""Pause before an item queues for a slot again; one pass over the queue."""
+"""Pause before an item queues for a slot again; as long as the interval of the queue's passes."""
 QUARANTINE_CHECK_SECONDS = 0.5
 """Interval of the checks whether a quarantined item may run again or has expired."""
 
@@ -75,7 +75,7 @@
         return True
 
     def release_unused(self, item: ItemId) -> None:
-        """Releases the slot that a migrating run has reserved for an item that runs no more."""
+        """Releases the slot that a migrating run has reserved for an item that no longer runs."""
         reserved = self._reserved_engines.pop(item, None)
         if reserved is not None:
             self._services.balancer.release(reserved.id)
@@ -103,7 +103,7 @@
         if engine is None:
             engine = await self._slot_queue.acquire(progress, route, progress.service_time_limit)
         if engine is None:
-            progress.service_time_limit = 0.0  # no engine as fast has a free slot
+            progress.service_time_limit = 0.0  # no engine within the limit has a free slot
             return None
         queued_at = self._queued_at.pop(item, None)
         if queued_at is not None:
@@ -112,9 +112,10 @@
         return engine
 
     def _is_quarantined(self, item: Item) -> bool:
-        """Returns whether an item must not run, as too many engines crashed under its content.
+        """Returns whether an item must not run, as too many engines crashed while running its content.
 
-        The item is not given up: it runs again if its content is cleared before it expires.
+        The item is not given up: it runs again if its content leaves quarantine before the item
+        expires.
         """
         crashes = self._services.crashes
         if not crashes.has_suspects:
--- a/src/larkpost/gateway/rollouts/item_work.py
+++ b/src/larkpost/gateway/rollouts/item_work.py
@@ -57,6 +57,6 @@
             return None
         chosen = self._item_services.get(item.id)
         if chosen is None or all(share.service != chosen for share in route.shares):
-            chosen = self._services.shares.choose(route)
+            chosen = self._services.service_selector.choose(route)
             self._item_services[item.id] = chosen
         return chosen
--- a/src/larkpost/gateway/rollouts/model.py
+++ b/src/larkpost/gateway/rollouts/model.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RewardCall:
-    """Request that has the complete output of an item scored, as the trainer wrote it.
+    """Request that has the complete output of an item scored, as the trainer submitted it.
 
     It is routed by its host and path once the output is complete, and may be repeated.
 
@@ -108,9 +108,9 @@
         owner: daemon that runs the batch; at first the one that accepted it.
         created_at: store time in seconds, shortly before the batch was accepted.
         ended: whether the trainer has ended the batch.
-        upload: name of the rows that hold the items.
+        upload: unique name of the submission, which the keys of the item rows contain.
         work: expected tokens of all items together.
-        tenant: tenant as which the items run; None without a tenant.
+        tenant: owner of the batch, for which its items run; None without a tenant.
         group_size: number of items in each group; 0 if the groups differ.
     """
 
@@ -159,7 +159,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tail:
-    """State of a batch's result list. Every append is made on condition of its version.
+    """State of a batch's result list. An append succeeds only if its version is unchanged.
 
     Attributes:
         count: number of listed results.
--- a/src/larkpost/gateway/rollouts/owned_batch.py
+++ b/src/larkpost/gateway/rollouts/owned_batch.py
@@ -110,7 +110,7 @@
             return  # the next owner runs these items again
 
     async def _work(self, items: tuple[Item, ...] | None, fresh: bool) -> None:
-        """Works on the batch until it is complete or ended; survives unexpected errors."""
+        """Works on the batch until it is complete or ended; retries after unexpected errors."""
         while True:
             try:
                 await self._load(items, fresh)
--- a/src/larkpost/gateway/rollouts/progress.py
+++ b/src/larkpost/gateway/rollouts/progress.py
@@ -29,9 +29,9 @@
         failed_runs: number of runs that the engine reported as failed.
         unprocessable_responses: number of responses that the item can never be processed.
         migrations: number of migrations to a faster engine.
-        previous_service_time: service time of the engine that the item last migrated from, which
-            limits that of the next one; 0 if it has not migrated, or no engine as fast had a free
-            slot.
+        service_time_limit: maximum seconds per event of the item's next engine: the service time
+            of the engine that it last migrated from; 0 for no limit, before a migration or after
+            no engine within the limit had a free slot.
         whole: whether the output is complete, so that no engine has to run the item again.
         failed_calls: number of reward calls for the output that the server reported as failed.
     """
--- a/src/larkpost/gateway/rollouts/read_rules.py
+++ b/src/larkpost/gateway/rollouts/read_rules.py
@@ -1,21 +1,21 @@
-"""Rules that decide whether a read of results is answered, held or fails.
+"""Rules that decide whether a read of results is answered, waits or fails.
 
-A read that may wait is held until results arrive, and briefly beyond that for the results that
-complete the trainer's step: a trainer that received results polls again only after a pause. All
-rules are pure functions of the state of the read.
+A read waits until there are results, at most as long as its caller allows. Available results are
+held back briefly for those that complete the trainer's step, as a trainer that received results
+polls again only after a pause. All rules are pure functions of the state of the read.
 """
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 HOLD_SECONDS = 0.5
-"""How long a read holds available results back for those that complete the step. The last items of
-a step often end within this time of each other, and a trainer polls again after as long."""
+"""How long available results are held back for those that complete the step. The last items of a
+step often end within this time of each other, and a trainer pauses as long between two polls."""
 OVERDUE_HOLD_SECONDS = 0.6
-"""How long after the due time of a batch results are still held back, for steps that complete just
-after it. Later results lose value with each moment, so they are answered at once."""
+"""How long after the due time of a batch its results are still held back, for steps that complete
+just after it. After that, results lose value with time, so they are returned at once."""
 MIN_WAIT_SECONDS = 0.001
-"""A remaining wait below this counts as over; near the resolution of the clock."""
+"""Remaining wait below which a read waits no longer; near the resolution of the clock."""
 
 
 class ReadDecision(StrEnum):
@@ -35,7 +35,7 @@
         has_new: whether there are results at or after the read's position.
         has_enough_groups: whether enough groups are complete for the trainer's step.
         may_hold: whether results may be held back for others; see `may_hold`.
-        store_failed: whether the store did not answer, so that there may be more results.
+        store_failed: whether the store did not answer; it may hold more results.
         seconds_left: remaining seconds for which the read may wait.
     """
 
--- a/src/larkpost/gateway/rollouts/repository.py
+++ b/src/larkpost/gateway/rollouts/repository.py
@@ -1,8 +1,8 @@
 """Batches in the store.
 
 `store/batch_tables.py` names the tables and the partitions of their rows. A batch exists once its
-head does. Each append is made on condition of the tail's version, so that two daemons which run the
-same batch never list two results at one position. `acceptance.py` writes new batches, and
+head does. An append succeeds only if the tail's version is unchanged, so that two daemons which run
+the same batch never list two results at one position. `acceptance.py` writes new batches, and
 `partial_outputs.py` the outputs of running items.
 """
 
@@ -68,7 +68,7 @@
         """Stores a batch durably and exactly once; see `BatchAcceptance.accept`.
 
         Args:
-            upload: unique name of the item rows of this submission.
+            upload: unique name of this submission, which the keys of its item rows contain.
             seconds: how long to keep trying.
         """
         return await self._acceptance.accept(spec, owner, upload, seconds)
@@ -136,7 +136,7 @@
     async def append(
         self, batch: BatchId, tail: Tail, results: list[Result]
     ) -> tuple[WriteResult, Tail, int]:
-        """Appends as many results as fit in one transaction, on condition of the tail's version.
+        """Appends as many results as fit in one transaction, if the tail's version is unchanged.
 
         Returns:
             The outcome; the new tail, valid only if the outcome is "done"; the number of results
@@ -155,8 +155,8 @@
     ) -> tuple[list[RowPut], int]:
         """Returns the rows of results from a position on, and how many results fit.
 
-        The first result is always included: a result too large for any transaction has to fail at
-        the store.
+        The first result is always included, so that the store rejects a result that is too large
+        for any transaction.
         """
         puts: list[RowPut] = []
         size = 0
@@ -206,7 +206,7 @@
                 return EndOutcome.UNCERTAIN
 
     async def claim(self, head: BatchHead, version: int, owner: DaemonId) -> bool:
-        """Makes a daemon the owner of a batch, on condition of the head's version.
+        """Makes a daemon the owner of a batch, if the head's version is unchanged.
 
         Returns:
             Whether the write certainly took effect.
--- a/src/larkpost/gateway/rollouts/retry_rules.py
+++ b/src/larkpost/gateway/rollouts/retry_rules.py
@@ -15,13 +15,13 @@
 FAILED_STATUS = 500
 """Status by which an engine reports that this run has failed."""
 REFUSED_AVOID_SECONDS = 0.15
-"""How long an engine gets no more items after it refused one."""
+"""How long an engine is avoided after it refused an item."""
 BROKEN_AVOID_SECONDS = 0.3
-"""How long an engine gets no more items after a broken or unusable stream."""
+"""How long an engine is avoided after a broken or unusable stream."""
 TIMEOUT_AVOID_SECONDS = 1.5
-"""How long an engine gets no more items after a run timed out there."""
+"""How long an engine is avoided after a run timed out there."""
 STALLED_AVOID_SECONDS = 0.3
-"""How long an engine gets no more items after a run stalled there."""
+"""How long an engine is avoided after a run stalled there."""
 
 
 class RunOutcome(StrEnum):
@@ -37,8 +37,8 @@
     """Consequences of a run that ended by a timeout or an unusable stream.
 
     Attributes:
-        outcome: name of the outcome in the log.
-        avoid_seconds: how long the engine gets no more items.
+        outcome: outcome as it is logged.
+        avoid_seconds: how long the engine is avoided.
         discards_output: whether the output so far is discarded, so that the item starts over.
     """
 
@@ -48,13 +48,13 @@
 
 
 def classify_failed_response(status: int, failed_runs: int, max_attempts: int) -> RunOutcome:
-    """Returns whether an item is retried after an error response.
+    """Returns whether an item is retried or given up after an error response.
 
     Only responses with `FAILED_STATUS` count as attempts; after a refusal the item did not run.
 
     Args:
         failed_runs: runs of the item that ended with `FAILED_STATUS`, this one included.
-        max_attempts: failed runs after which the item's route gives up.
+        max_attempts: limit of failed runs of the item's route, at which the item is given up.
     """
     if status == UNPROCESSABLE_STATUS:
         return RunOutcome.DEAD
@@ -71,7 +71,7 @@
         return RunFailure("stalled", STALLED_AVOID_SECONDS)
     if isinstance(error, TimeoutError):
         return RunFailure("silent", TIMEOUT_AVOID_SECONDS)
-    # Output with a gap, or that is not valid text as a whole, cannot be continued.
+    # Output that lacks an event, or is complete but not valid UTF-8, cannot be continued.
     discards_output = isinstance(error, (DiscontinuityError, UnicodeDecodeError))
     return RunFailure(f"broken: {error}", BROKEN_AVOID_SECONDS, discards_output)
 
--- a/src/larkpost/gateway/rollouts/reward_caller.py
+++ b/src/larkpost/gateway/rollouts/reward_caller.py
@@ -1,7 +1,7 @@
 """Single attempts of reward calls at a server of their service.
 
 The current configuration names the service for the call's host and path. Calls wait for a slot, so
-that a batch whose outputs complete together does not crowd out the clients of the same servers.
+that outputs which complete together do not crowd out client requests to the same servers.
 `reward_rules.py` selects the server and interprets its response.
 """
 
@@ -56,7 +56,7 @@
             history: earlier attempts of the call; this one is added.
         """
         async with self._services.reward_call_slots:
-            server = self._choose(self._services.shares.choose(route), call, history)
+            server = self._choose(self._services.service_selector.choose(route), call, history)
             if server is None:
                 await self._services.clock.sleep(SLOT_POLL_SECONDS)
                 return None
--- a/src/larkpost/gateway/rollouts/reward_rules.py
+++ b/src/larkpost/gateway/rollouts/reward_rules.py
@@ -77,7 +77,7 @@
 ) -> InstanceInfo | None:
     """Returns the best server with a free slot, preferring servers that were not tried yet.
 
-    Clears the record of tried servers once all candidates were tried.
+    Once all candidates were tried, clears the tried servers and starts a new round.
 
     Args:
         candidates: servers with a free slot, the best first.
--- a/src/larkpost/gateway/rollouts/slot_queue.py
+++ b/src/larkpost/gateway/rollouts/slot_queue.py
@@ -5,9 +5,9 @@
 while it continues.
 
 `engine_selector.py` selects the engine of an item, and the balancer counts the slot. A pass over
-the queue searches the engines once for each item that it serves, however many wait: the first
-request that finds no slot makes the pass skip all requests with the same service and placement
-requirements that are at least as hard to serve.
+the queue does not search the engines for each waiting item: once a request finds no slot, the pass
+skips all requests with the same service and placement requirements, unless they allow a higher
+service time.
 """
 
 import asyncio
@@ -26,11 +26,12 @@
 PASS_INTERVAL_SECONDS = 0.03
 """Interval between two passes; slots freed by other daemons' requests are found by polling."""
 MAX_SLOTS_PER_PASS = 8
-"""Slots assigned before yielding to the event loop, so that the first items are sent first."""
+"""Maximum number of slots assigned before the queue yields to the event loop, so that their items
+are sent before further slots are assigned."""
 SLOT_TIMEOUT_SECONDS = 0.5
-"""How long an item waits before its route and lifetime are checked again."""
+"""How long an item waits for a slot before its route and lifetime are checked again."""
 FAST_ENGINE_TIMEOUT_SECONDS = 0.1
-"""How long an item waits for a fast engine; then it accepts any."""
+"""How long an item with a service time limit waits for a slot; then it accepts any engine."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +39,7 @@
     """Request of an item for a slot.
 
     Attributes:
-        service_time_limit: longest seconds per event at the engine; 0 for any engine.
+        service_time_limit: maximum seconds per event of the engine; 0 for any engine.
         slot: future whose result is the engine.
         order: sort key; the lowest is served first.
     """
@@ -55,15 +56,16 @@
     """Requirements for which one pass has found no slot.
 
     Attributes:
-        full: services and placement requirements without any free slot.
-        slow: for each of them, the longest service time limit that no engine with a free slot met.
+        full: services and placement requirements for which no engine has a free slot.
+        slow: highest service time limit that no engine with a free slot met, by service and
+            placement requirements.
     """
 
     full: set[tuple[ServiceName, Work]] = field(default_factory=set)
     slow: dict[tuple[ServiceName, Work], float] = field(default_factory=dict)
 
     def rules_out(self, requirements: tuple[ServiceName, Work], service_time_limit: float) -> bool:
-        """Returns whether a request can be skipped, as an easier one has found no slot."""
+        """Returns whether a request finds no slot, as one with the same or a higher limit did not."""
         return requirements in self.full or 0 < service_time_limit <= self.slow.get(
             requirements, 0.0
         )
@@ -98,7 +100,7 @@
 
         Args:
             progress: of the item that requests the slot.
-            service_time_limit: longest seconds per event at the engine; 0 for any engine.
+            service_time_limit: maximum seconds per event of the engine; 0 for any engine.
         """
         slot = self.request(progress, route, service_time_limit)
         try:
@@ -156,10 +158,10 @@
 
     def _assign(self, entry: _SlotRequest, unavailable: _UnavailableSlots) -> bool:
         """Assigns a slot to a request and returns whether there was one."""
-        service = self._engine_selector.items.service_of(entry.item, entry.route)
+        service = self._engine_selector.item_work.service_of(entry.item, entry.route)
         if service is None:
             return False
-        work = self._engine_selector.items.work_of(entry.item)
+        work = self._engine_selector.item_work.work_of(entry.item)
         requirements = (service, work)
         if unavailable.rules_out(requirements, entry.service_time_limit):
             return False
--- a/src/larkpost/gateway/rollouts/stall_detector.py
+++ b/src/larkpost/gateway/rollouts/stall_detector.py
@@ -1,8 +1,9 @@
-"""Detects stalled runs, which produce no events although another engine has a free slot.
+"""Detects stalled runs, whose engines have sent no event for too long.
 
 An engine accepts more requests than it runs at once, and preempts requests when its memory runs
-out. The streams of queued and preempted requests are silent. A daemon does not see the reason, so
-it goes by the length of the silence.
+out. It sends no events for queued and preempted requests. A daemon does not see the reason, so it
+detects stalls by the time since the last event. `batch_run.py` aborts stalled runs if there are
+free slots.
 """
 
 import asyncio
@@ -34,7 +35,7 @@
     """A run at an engine that is watched for stalls.
 
     Attributes:
-        limit: timeout of the next event; rescheduled to now to abort the run.
+        event_timeout: timeout of the next event; rescheduled to now to abort the run.
         started_at: monotonic time at which the run started.
         last_event_at: monotonic time of the last event; `started_at` before the first one.
         is_stalled: whether the run was aborted as stalled.
@@ -50,7 +51,7 @@
         """Records an event and extends the timeout.
 
         Args:
-            longest_gap: seconds until the next event after which the run times out.
+            max_event_gap: seconds after which the run times out unless another event arrives.
         """
         self.last_event_at = now
         if not self.is_stalled:
@@ -101,7 +102,7 @@
 
     Args:
         service_time: sustained seconds per event of the engine; 0 if unknown.
-        is_loading: whether the engine loads weights, after which its runs continue.
+        is_loading: whether the engine loads weights; its runs continue after the load.
     """
     timeout = max(MIN_STALL_TIMEOUT_SECONDS, STALL_SERVICE_TIME_FACTOR * service_time)
     return max(timeout, LOADING_STALL_TIMEOUT_SECONDS) if is_loading else timeout
--- a/src/larkpost/gateway/rollouts/view.py
+++ b/src/larkpost/gateway/rollouts/view.py
@@ -13,10 +13,9 @@
 
 MAX_CACHE_BYTES = 24_000_000
 """Maximum bytes of texts and bodies in the views of batches that are not run here."""
-
-
 IDLE_BUDGET_DIVISOR = 8
-"""These views also use at most the memory limit divided by this, where there is a limit."""
+"""The views of batches that are not run here use at most the memory limit divided by this, if there
+is a memory limit."""
 
 
 class BatchView:
@@ -40,7 +39,10 @@
         self._changed = asyncio.Event()
 
     def add(self, position: int, results: list[Result]) -> None:
-        """Adds results that the store holds from a position on; known ones are skipped."""
+        """Adds results that the store holds from a position on.
+
+        Known results are skipped, and all are ignored if there is a gap before the position.
+        """
         known = len(self.results)
         if position > known:
             return
