--- a/src/larkpost/gateway/rollouts/reward_scorer.py
+++ b/src/larkpost/gateway/rollouts/reward_scorer.py
@@ -28,7 +28,7 @@
     def __init__(self, head: BatchHead, routes: ItemRoutes, services: RunServices) -> None:
         self._routes = routes
         self._services = services
-        self._attempts = RewardCaller(head, services)
+        self._reward_caller = RewardCaller(head, services)
 
     async def score(self, progress: Progress, call: RewardCall) -> str | None:
         """Returns the score of an output; None if the call failed too often or the item expired.
@@ -46,7 +46,7 @@
                 continue
             route = self._route(call)
             if route is not None:
-                attempt = await self._attempts.make(progress, call, route, history)
+                attempt = await self._reward_caller.make(progress, call, route, history)
                 if attempt is not None and attempt.outcome is RewardCallOutcome.SCORED:
                     waited = self._services.clock.now() - started
                     self._services.metrics.observe(Timing.REWARD, waited)
