--- a/src/larkpost/gateway/rollouts/owned_batch.py
+++ b/src/larkpost/gateway/rollouts/owned_batch.py
@@ -62,7 +62,7 @@
         self._tasks.append(asyncio.create_task(self._save_outputs_periodically()))
 
     @property
-    def running(self) -> int:
+    def unfinished_items(self) -> int:
         """Number of items without a result."""
         return len(self._run.progress) if self._run is not None else 0
 
