--- a/src/larkpost/gateway/assembly/gauges.py
+++ b/src/larkpost/gateway/assembly/gauges.py
@@ -82,5 +82,5 @@
         metrics.set(Level.BATCHES_OWNED, len(owned))
         metrics.set(Level.ITEMS_RUNNING, sum(batch.unfinished_items for batch in owned))
         metrics.set(Level.REWARDS_WAITING, sum(batch.unscored for batch in owned))
-        metrics.set(Level.RESULTS_WAITING, sum(batch.waiting for batch in owned))
+        metrics.set(Level.RESULTS_WAITING, sum(batch.pending_results for batch in owned))
         metrics.set(Level.LOOP_LAG, self.event_loop_monitor.take_max_lag())
--- a/src/larkpost/gateway/rollouts/owned_batch.py
+++ b/src/larkpost/gateway/rollouts/owned_batch.py
@@ -85,7 +85,7 @@
         return sum(progress.output_bytes for progress in self._run.progress.values())
 
     @property
-    def waiting(self) -> int:
+    def pending_results(self) -> int:
         """Number of results that wait to be appended."""
         return len(self._results.pending)
 
