--- a/src/larkpost/gateway/assembly/gauges.py
+++ b/src/larkpost/gateway/assembly/gauges.py
@@ -81,6 +81,6 @@
         owned = self.keeper.owned()
         metrics.set(Level.BATCHES_OWNED, len(owned))
         metrics.set(Level.ITEMS_RUNNING, sum(batch.unfinished_items for batch in owned))
-        metrics.set(Level.REWARDS_WAITING, sum(batch.unscored for batch in owned))
+        metrics.set(Level.REWARDS_WAITING, sum(batch.unscored_outputs for batch in owned))
         metrics.set(Level.RESULTS_WAITING, sum(batch.pending_results for batch in owned))
         metrics.set(Level.LOOP_LAG, self.event_loop_monitor.take_max_lag())
--- a/src/larkpost/gateway/rollouts/owned_batch.py
+++ b/src/larkpost/gateway/rollouts/owned_batch.py
@@ -71,7 +71,7 @@
         return self._run.summarize_progress() if self._run is not None else None
 
     @property
-    def unscored(self) -> int:
+    def unscored_outputs(self) -> int:
         """Number of complete outputs that wait for their score."""
         if self._run is None:
             return 0
