--- a/src/larkpost/gateway/rollouts/owned_batch.py
+++ b/src/larkpost/gateway/rollouts/owned_batch.py
@@ -48,7 +48,7 @@
         self._log: EventLog = services.log
         self._run: BatchRun | None = None
         self._saver = OutputSaver(head.id, repository)
-        self._results = ResultAppender(head, view, repository, services, self._cancel_listed)
+        self._appender = ResultAppender(head, view, repository, services, self._cancel_listed)
         self._tasks: list[asyncio.Task] = []
 
     def start(self, items: tuple[Item, ...] | None, fresh: bool) -> None:
@@ -87,7 +87,7 @@
     @property
     def pending_results(self) -> int:
         """Number of results that wait to be appended."""
-        return len(self._results.pending)
+        return len(self._appender.pending)
 
     def stop(self) -> None:
         """Stops all runs and appends."""
@@ -100,12 +100,12 @@
         """Stops all runs and stores their outputs, so that another daemon can continue them."""
         self.stop()
         await self._save_outputs(minimum=1)
-        if not self._results.pending:
+        if not self._appender.pending:
             return
         try:
             async with asyncio.timeout(FLUSH_SECONDS):
-                await self._results.reload()
-                await self._results.append_once()
+                await self._appender.reload()
+                await self._appender.append_once()
         except (TimeoutError, StoreUnavailableError):
             return  # the next owner runs these items again
 
@@ -114,7 +114,7 @@
         while True:
             try:
                 await self._load(items, fresh)
-                await self._results.append_all()
+                await self._appender.append_all()
                 self._mark_complete()
                 return
             except Exception as error:
@@ -129,17 +129,17 @@
         """Reads the batch from the store and starts the items that have no result."""
         items, stored = await self._read(items, fresh)
         self._view.set_items(items)
-        finished_items = self._results.listed | {result.item for result in self._results.pending}
+        finished_items = self._appender.listed | {result.item for result in self._appender.pending}
         open_items = tuple(item for item in items if item.id not in finished_items)
         self._log.record(
             Event.BATCH_LOADED,
             batch=self.head.id,
-            listed=len(self._results.listed),
+            listed=len(self._appender.listed),
             open=len(open_items),
             kept=sum(1 for item in open_items if item.id in stored),
             kept_events=sum(len(progress.events) for progress in stored.values()),
         )
-        ended = self._results.tail is not None and self._results.tail.ended
+        ended = self._appender.tail is not None and self._appender.tail.ended
         if ended or not open_items:
             return
         self._run = BatchRun(self.head, open_items, self._services, self._on_result, stored)
@@ -159,7 +159,7 @@
                     items = await self._repository.items(self.head)
                 if not fresh:
                     stored = await self._repository.partials(self.head.id, items)
-                await self._results.reload()
+                await self._appender.reload()
                 return items, stored
             except StoreUnavailableError:
                 if fresh and items is not None:
@@ -167,7 +167,7 @@
                 await self._clock.sleep(RETRY_SECONDS)
 
     def _on_result(self, result: Result) -> None:
-        self._results.add(result)
+        self._appender.add(result)
 
     def _cancel_listed(self, listed: set[ItemId]) -> None:
         if self._run is not None:
