--- a/src/larkpost/gateway/rollouts/batch_forecaster.py
+++ b/src/larkpost/gateway/rollouts/batch_forecaster.py
@@ -147,7 +147,7 @@
         if now is None or configuration is None:
             return DeadlineForecast.UNKNOWN
         route = configuration.match(head.host, head.path.encode("latin-1"))
-        service = _service_of(route, configuration)
+        service = _first_service(route, configuration)
         if route is None or not route.due or service is None:
             return DeadlineForecast.UNKNOWN
         due_in = head.created_at + route.due - now
@@ -184,7 +184,7 @@
         )
 
 
-def _service_of(route: Route | None, configuration: Configuration) -> Service | None:
+def _first_service(route: Route | None, configuration: Configuration) -> Service | None:
     """Returns the first service of a route; None without one, or if it serves no model."""
     if route is None or not route.shares:
         return None
