--- a/src/larkpost/gateway/rollouts/item_work.py
+++ b/src/larkpost/gateway/rollouts/item_work.py
@@ -17,7 +17,7 @@
     def __init__(self, head: BatchHead, services: RunServices) -> None:
         self._head = head
         self._services = services
-        self._works: dict[str, Work] = {}
+        self._work_by_path: dict[str, Work] = {}
         """Placement requirements by item path, under the configuration `_works_configuration`."""
         self._cached_configuration: Configuration | None = None
         self._item_services: dict[ItemId, ServiceName] = {}
@@ -31,14 +31,16 @@
         configuration = self._services.configuration.current
         if configuration is not self._cached_configuration:
             self._cached_configuration = configuration
-            self._works.clear()
+            self._work_by_path.clear()
         path = item.path if item is not None else self._head.path
-        if path not in self._works:
-            self._works[path] = self._make_work(configuration, path)
+        if path not in self._work_by_path:
+            self._work_by_path[path] = self._make_work(configuration, path)
         crashes = self._services.crashes
         if item is None or not crashes.has_suspects:
-            return self._works[path]
-        return replace(self._works[path], is_suspect=crashes.is_suspect(item.content(self._head)))
+            return self._work_by_path[path]
+        return replace(
+            self._work_by_path[path], is_suspect=crashes.is_suspect(item.content(self._head))
+        )
 
     def _make_work(self, configuration: Configuration | None, path: str) -> Work:
         head = self._head
