--- a/src/larkpost/gateway/rollouts/batch_forecaster.py
+++ b/src/larkpost/gateway/rollouts/batch_forecaster.py
@@ -57,7 +57,7 @@
 
     Attributes:
         open: heads of the open batches.
-        newest: head of each model's newest batch, for models without an open batch between steps.
+        newest: head of each model's newest batch; a model may have no open batch between two steps.
     """
 
     open: Iterable[BatchHead]
--- a/src/larkpost/gateway/rollouts/batch_head_cache.py
+++ b/src/larkpost/gateway/rollouts/batch_head_cache.py
@@ -85,7 +85,7 @@
         self._heads[batch] = CachedBatchHead(head, row.version, owner_since, submitted_after)
 
     def _submitted_after(self, head: BatchHead) -> VersionAnnouncement | None:
-        """Returns the newest weight version when a new batch was accepted, and the time since it."""
+        """Returns the last weight version announced before a new batch, and the seconds between."""
         age = self._age(head)
         announcement = self._last_announcement(head.model)
         if announcement is None or age is None or age > MAX_NEW_BATCH_AGE_SECONDS:
--- a/src/larkpost/gateway/rollouts/batch_manager.py
+++ b/src/larkpost/gateway/rollouts/batch_manager.py
@@ -32,7 +32,7 @@
 REMOVAL_INTERVAL_SECONDS = 5.0
 """Interval of the checks for batches to remove."""
 MAX_REPORTED_BATCHES = 16
-"""Maximum number of batches, the newest, whose progress a heartbeat reports; bounds its size."""
+"""Maximum number of batches whose progress a heartbeat reports; only the newest are reported."""
 RETENTION_SLACK_SECONDS = 60.0
 """How long a batch is kept beyond its lifetime, so that a read which began within the lifetime is
 answered in spite of clock differences."""
--- a/src/larkpost/gateway/rollouts/batch_run.py
+++ b/src/larkpost/gateway/rollouts/batch_run.py
@@ -1,7 +1,7 @@
 """Runs the items of one batch until each has a result.
 
-Each item has a task of its own. `item_runner.py` produces the outputs and `reward_scorer.py` has
-them scored.
+Each item has a task of its own. `item_runner.py` produces the outputs, and `reward_scorer.py`
+obtains their scores.
 """
 
 import asyncio
@@ -90,7 +90,7 @@
             task.cancel()
 
     def cancel_items(self, items: set[ItemId]) -> None:
-        """Cancels the runs of items that another daemon has appended to the result list."""
+        """Cancels the runs of items whose results another daemon has appended to the list."""
         for item in items & self._tasks.keys():
             self._tasks[item].cancel()
             self.progress.pop(item, None)
@@ -118,7 +118,7 @@
                 self._stall_detector.abort(monitored_run)
 
     async def _finish_item(self, item: Item) -> None:
-        """Runs an item and has it scored until it has a result; retries after unexpected errors."""
+        """Runs and scores an item until it has a result; retries after unexpected errors."""
         progress = self.progress[item.id]
         while True:
             try:
@@ -135,7 +135,7 @@
             self._finish_dead(item, progress)
 
     async def _complete(self, progress: Progress) -> tuple[bool, str | None]:
-        """Completes the output of an item and has it scored.
+        """Completes the output of an item and obtains its score.
 
         Returns:
             Whether the item is done rather than dead; its score, None without a reward call.
--- a/src/larkpost/gateway/rollouts/codec.py
+++ b/src/larkpost/gateway/rollouts/codec.py
@@ -187,7 +187,7 @@
 def split_rewritten(content: bytes, size: int) -> list[bytes]:
     """Splits a document that is rewritten, and may become shorter, into chunks.
 
-    The length prefix tells which bytes to ignore: chunks left over from a longer earlier document.
+    The length prefix lets a reader ignore chunks left over from a longer earlier document.
     """
     return split(b"%0*d" % (LENGTH_DIGITS, len(content)) + content, size)
 
--- a/src/larkpost/gateway/rollouts/engine_rules.py
+++ b/src/larkpost/gateway/rollouts/engine_rules.py
@@ -17,14 +17,14 @@
 MIGRATION_RATIO = 1.25
 """Ratio of service times above which a run may migrate to a faster engine."""
 MIGRATION_COST_SECONDS = 1.2
-"""Minimum time that a migration must save an item. The item gives up its slot at the old engine, and
-the new one has to prefill the prompt and all output so far while its other requests wait."""
+"""Minimum time that a migration must save an item. The item gives up its slot at the old
+engine, and the new one has to prefill the prompt and all output so far while its other requests
+wait."""
 SERVICE_TIME_TOLERANCE = 1.05
 """Factor by which the service time of an engine may exceed the service time limit of an item. The
 limit keeps a migrating item from running at an engine slower than the one that it left."""
 SIMILAR_LOAD_MARGIN = 1
-"""Maximum number of requests that a nearer engine may have more than the best engine and still be
-preferred to it."""
+"""A nearer engine is preferred to the best one if it has at most this many more requests."""
 
 MAX_MIGRATIONS = 2
 """Maximum number of migrations of an item; each new engine has to prefill the output so far."""
@@ -84,7 +84,8 @@
 
 
 PREFERENCES = (_accepts_work, _is_warm)
-"""Preferences among engines, the most important first; a preference that no engine meets is ignored."""
+"""Preferences among engines, the most important first. A preference that no engine meets is
+ignored."""
 
 
 def _fastest(candidates: list[EngineState]) -> EngineState:
@@ -181,7 +182,7 @@
     """
     if not is_migration_worthwhile(events, service_time, best_service_time):
         return 0.0
-    # Even with the tolerance, an engine within the limit passes `EngineSelector.may_migrate_to`.
+    # Even with the tolerance, an engine within the limit is fast enough for `may_migrate_to`.
     return min(
         best_service_time * FASTER_RATIO, service_time / (MIGRATION_RATIO * SERVICE_TIME_TOLERANCE)
     )
--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -42,8 +42,8 @@
         self._started_at = services.clock.now()
         self.item_work = ItemWork(head, services)
         self._best_service_times: dict[tuple[ServiceName, Work, int], tuple[float, float]] = {}
-        """Monotonic time of computation and best service time, by service, placement requirements and
-        minimum version."""
+        """Monotonic time of computation and best service time, by service, placement requirements
+        and minimum version."""
 
     def choose(
         self, service: ServiceName, service_time_limit: float = 0.0, work: Work | None = None
@@ -118,8 +118,8 @@
     def record_assigned(self, engine: InstanceInfo) -> None:
         """Records that an item was assigned a slot at an engine and will be sent to it shortly.
 
-        An engine that loads weights refuses all work. It is marked as refusing at once, so that only
-        one item at a time tries it.
+        An engine that loads weights refuses all work. It is marked as refusing at once, so that
+        only one item at a time tries it.
         """
         if engine.id in self._services.allocator.loading(engine.service, self._head.model):
             self._services.balancer.use(engine.id).mark_refusing(self._services.clock.now())
@@ -137,7 +137,7 @@
         return int(sum(self._free_slots_at(info, work) for info in matching) * scale)
 
     def _free_slots_at(self, info: InstanceInfo, work: Work) -> int:
-        """Returns the free slots of an engine; at a cold engine, no more than its remaining sends."""
+        """Returns the free slots of an engine; if it is cold, at most its remaining sends."""
         free = info.slots - self._services.balancer.occupied(info)
         cold_rate_limit = self._services.cold_rate_limit
         send_quota = (
--- a/src/larkpost/gateway/rollouts/event_recorder.py
+++ b/src/larkpost/gateway/rollouts/event_recorder.py
@@ -16,8 +16,8 @@
 MAX_EVENT_GAP_SECONDS = 1.2
 """Longest gap between two events before the run times out and continues elsewhere."""
 EVENT_SERVICE_TIME_WEIGHT = 0.06
-"""Weight of one event in an engine's service time. Single events are delayed by the prefill of
-other requests, so that a larger weight would make runs migrate because of outliers."""
+"""Weight of one event in an engine's service time. It is low because the prefill of other requests
+delays single events, and runs should not migrate because of outliers."""
 
 
 class EventRecorder:
--- a/src/larkpost/gateway/rollouts/item_runner.py
+++ b/src/larkpost/gateway/rollouts/item_runner.py
@@ -112,7 +112,7 @@
         return engine
 
     def _is_quarantined(self, item: Item) -> bool:
-        """Returns whether an item must not run, as too many engines crashed while running its content.
+        """Returns whether an item must not run, as too many engines crashed running its content.
 
         The item is not given up: it runs again if its content leaves quarantine before the item
         expires.
--- a/src/larkpost/gateway/rollouts/item_work.py
+++ b/src/larkpost/gateway/rollouts/item_work.py
@@ -18,7 +18,7 @@
         self._head = head
         self._services = services
         self._work_by_path: dict[str, Work] = {}
-        """Placement requirements by item path, under the configuration `_works_configuration`."""
+        """Placement requirements by item path, under the configuration `_cached_configuration`."""
         self._cached_configuration: Configuration | None = None
         self._item_services: dict[ItemId, ServiceName] = {}
 
--- a/src/larkpost/gateway/rollouts/model.py
+++ b/src/larkpost/gateway/rollouts/model.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RewardCall:
-    """Request that has the complete output of an item scored, as the trainer submitted it.
+    """Request that scores the complete output of an item, as the trainer submitted it.
 
     It is routed by its host and path once the output is complete, and may be repeated.
 
--- a/src/larkpost/gateway/rollouts/progress.py
+++ b/src/larkpost/gateway/rollouts/progress.py
@@ -30,8 +30,8 @@
         unprocessable_responses: number of responses that the item can never be processed.
         migrations: number of migrations to a faster engine.
         service_time_limit: maximum seconds per event of the item's next engine: the service time
-            of the engine that it last migrated from; 0 for no limit, before a migration or after
-            no engine within the limit had a free slot.
+            of the engine that it last migrated from; 0 for no limit: before a migration, or
+            once no engine within the limit had a free slot.
         whole: whether the output is complete, so that no engine has to run the item again.
         failed_calls: number of reward calls for the output that the server reported as failed.
     """
--- a/src/larkpost/gateway/rollouts/remaining_work.py
+++ b/src/larkpost/gateway/rollouts/remaining_work.py
@@ -6,8 +6,8 @@
 from larkpost.gateway.rollouts.progress import Progress
 
 LONG_ITEM_QUANTILE = 0.9
-"""Quantile of the remaining work that stands for the longest item of a batch. The maximum would
-most often be an overestimate."""
+"""Quantile of the remaining work that stands for the longest item of a batch, as the maximum is
+most often an overestimate."""
 OVERRUN_SHARE = 0.5
 """Expected remaining work of an item that has exceeded its expected work, as a fraction of its
 output so far."""
--- a/src/larkpost/gateway/rollouts/result_appender.py
+++ b/src/larkpost/gateway/rollouts/result_appender.py
@@ -1,7 +1,8 @@
 """Appends results to the result list of a batch.
 
 An append succeeds only if the version of the list's tail is unchanged, so that the results of
-another owner are never overwritten. After a conflict or a write without a response, the list is reloaded.
+another owner are never overwritten. After a conflict or a write without a response, the list is
+reloaded.
 """
 
 import asyncio
--- a/src/larkpost/gateway/rollouts/reward_caller.py
+++ b/src/larkpost/gateway/rollouts/reward_caller.py
@@ -1,4 +1,4 @@
-"""Single attempts of reward calls at a server of their service.
+"""Sends reward calls, each attempt to one server of the call's service.
 
 The current configuration names the service for the call's host and path. Calls wait for a slot, so
 that outputs which complete together do not crowd out client requests to the same servers.
@@ -33,15 +33,15 @@
 SLOT_POLL_SECONDS = 0.03
 """Interval of the checks for a free slot at a server."""
 FULL_AVOID_SECONDS = 0.05
-"""How long a server gets no more work after it refused a call."""
+"""How long a server is avoided after it refused a call."""
 BROKEN_AVOID_SECONDS = 0.3
-"""How long a server gets no more work after a broken response."""
+"""How long a server is avoided after a broken response."""
 TIMEOUT_AVOID_SECONDS = 1.0
-"""How long a server gets no more work after a call timed out there."""
+"""How long a server is avoided after a call timed out there."""
 
 
 class RewardCaller:
-    """Sends the reward calls of one batch, each attempt to one server."""
+    """Sends the reward calls of one batch."""
 
     def __init__(self, head: BatchHead, services: RunServices) -> None:
         self._head = head
--- a/src/larkpost/gateway/rollouts/reward_rules.py
+++ b/src/larkpost/gateway/rollouts/reward_rules.py
@@ -57,7 +57,7 @@
 
 
 def usable_slots(slots: int) -> int:
-    """Returns the number of occupied slots from which a server gets no more reward calls."""
+    """Returns the number of occupied slots at which a server gets no more reward calls."""
     return max(1, int(slots * (1 - CLIENT_RESERVED_SHARE)))
 
 
--- a/src/larkpost/gateway/rollouts/reward_scorer.py
+++ b/src/larkpost/gateway/rollouts/reward_scorer.py
@@ -1,4 +1,4 @@
-"""Has complete outputs scored by the reward calls of their items.
+"""Scores complete outputs by the reward calls of their items.
 
 A reward call may run more than once, so any attempt without a score is retried, at another server
 if possible, until the item expires or the call has failed too often (`retry_rules.py`).
--- a/src/larkpost/gateway/rollouts/slot_queue.py
+++ b/src/larkpost/gateway/rollouts/slot_queue.py
@@ -65,7 +65,7 @@
     slow: dict[tuple[ServiceName, Work], float] = field(default_factory=dict)
 
     def rules_out(self, requirements: tuple[ServiceName, Work], service_time_limit: float) -> bool:
-        """Returns whether a request finds no slot, as one with the same or a higher limit did not."""
+        """Returns whether a request finds no slot, as one with no lower limit has found none."""
         return requirements in self.full or 0 < service_time_limit <= self.slow.get(
             requirements, 0.0
         )
