--- a/src/larkpost/gateway/rollouts/reward_caller.py
+++ b/src/larkpost/gateway/rollouts/reward_caller.py
@@ -47,7 +47,7 @@
         self._head = head
         self._services = services
 
-    async def make(
+    async def send_once(
         self, progress: Progress, call: RewardCall, route: Route, history: RewardCallHistory
     ) -> RewardAttempt | None:
         """Sends a call once; None if no server had a free slot.
--- a/src/larkpost/gateway/rollouts/reward_scorer.py
+++ b/src/larkpost/gateway/rollouts/reward_scorer.py
@@ -46,7 +46,7 @@
                 continue
             route = self._route(call)
             if route is not None:
-                attempt = await self._reward_caller.make(progress, call, route, history)
+                attempt = await self._reward_caller.send_once(progress, call, route, history)
                 if attempt is not None and attempt.outcome is RewardCallOutcome.SCORED:
                     waited = self._services.clock.now() - started
                     self._services.metrics.observe(Timing.REWARD, waited)
