--- a/src/larkpost/gateway/rollouts/acceptance.py
+++ b/src/larkpost/gateway/rollouts/acceptance.py
@@ -139,7 +139,7 @@
         ]
 
     def _transaction(self, submission: _Submission) -> Transaction:
-        """Returns the write of the head, an empty tail and, if they fit, the items."""
+        """Returns the transaction that writes the head, an empty tail and, if they fit, items."""
         batch = submission.spec.id
         head_key = batch_key(HEAD_TABLE, batch)
         tail_key = batch_key(TAIL_TABLE, batch)
--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -51,8 +51,8 @@
         """Returns an engine with a free slot and a weight version that the batch accepts.
 
         Args:
-            service_time_limit: seconds per event that the engine, which must be warm, may take
-                within `SERVICE_TIME_TOLERANCE`; 0 for any engine, warm or not.
+            service_time_limit: maximum seconds per event of the engine, which must be warm and of
+                known service time; 0 for any engine. Exceeded by `SERVICE_TIME_TOLERANCE` at most.
             work: placement requirements of the item; None for those of the batch.
         """
         allowed = self._allowed_engines(service)
@@ -83,7 +83,7 @@
         """Returns the engines to which the batch is limited now; None for no limit.
 
         At first, a batch is limited to the engines assigned to its model. Later it is limited only
-        while it has time to spare and a batch of another model, which has none, waits for slots.
+        while it has time to spare and a batch of another model without spare time waits for slots.
         There is no limit while all assigned engines are cold, as after a zone is restored.
         """
         allocator = self._services.allocator
@@ -127,7 +127,7 @@
             self._services.cold_rate_limit.reserve(engine)
 
     def count_free_slots(self, service: ServiceName) -> int:
-        """Returns the number of free slots at all matching engines.
+        """Returns the estimated number of free slots at all matching engines.
 
         In a large service, it is extrapolated from a sample of the engines.
         """
--- a/src/larkpost/gateway/rollouts/slot_queue.py
+++ b/src/larkpost/gateway/rollouts/slot_queue.py
@@ -5,9 +5,9 @@
 while it continues.
 
 `engine_selector.py` selects the engine of an item, and the balancer counts the slot. A pass over
-the queue does not search the engines for each waiting item: once a request finds no slot, the pass
-skips all requests with the same service and placement requirements, unless they allow a higher
-service time.
+the queue searches the engines once for each slot that it assigns, however many items wait: when a
+request finds no slot, the pass skips all further requests with the same service and placement
+requirements, unless they allow a higher service time.
 """
 
 import asyncio
--- a/src/larkpost/gateway/rollouts/stall_detector.py
+++ b/src/larkpost/gateway/rollouts/stall_detector.py
@@ -2,8 +2,8 @@
 
 An engine accepts more requests than it runs at once, and preempts requests when its memory runs
 out. It sends no events for queued and preempted requests. A daemon does not see the reason, so it
-detects stalls by the time since the last event. `batch_run.py` aborts stalled runs while
-there are more free slots than waiting items.
+detects stalls by the time since the last event. `batch_run.py` aborts stalled runs while there are
+more free slots than waiting items.
 """
 
 import asyncio
