--- a/src/larkpost/gateway/rollouts/batch_forecaster.py
+++ b/src/larkpost/gateway/rollouts/batch_forecaster.py
@@ -57,7 +57,7 @@
 
     Attributes:
         open: heads of the open batches.
-        newest: head of each model's newest batch, as no batch may be open between two steps.
+        newest: head of each model's newest batch; a model may have no open batch between two steps.
     """
 
     open: Iterable[BatchHead]
@@ -85,7 +85,7 @@
         heads: ModelHeads,
         own: dict[BatchId, BatchProgress],
     ) -> dict[ModelName, ModelDemand]:
-        """Returns the demands with the deadline forecasts of open batches added.
+        """Returns the demands with the forecast, waiting items and priority of each model added.
 
         Args:
             own: progress of the batches that this daemon owns.
@@ -147,7 +147,7 @@
         if now is None or configuration is None:
             return DeadlineForecast.UNKNOWN
         route = configuration.match(head.host, head.path.encode("latin-1"))
-        service = _service_of(route, configuration)
+        service = _first_service(route, configuration)
         if route is None or not route.due or service is None:
             return DeadlineForecast.UNKNOWN
         due_in = head.created_at + route.due - now
@@ -168,7 +168,7 @@
     def _capacity(self, service: Service) -> BatchCapacity:
         """Returns the capacity of a service's engines for a batch.
 
-        Assumes an equal share of them for each model, less the fraction that a model may lend.
+        Assumes that each model has an equal share of the slots, less the fraction that it may lend.
         """
         engines = self._inputs.directory.ready_of(service.name)
         known = (self._inputs.service_time(info.id) for info in engines)
@@ -184,8 +184,8 @@
         )
 
 
-def _service_of(route: Route | None, configuration: Configuration) -> Service | None:
-    """Returns the engine service that a route names first; None if it names none."""
+def _first_service(route: Route | None, configuration: Configuration) -> Service | None:
+    """Returns the first service of a route; None without one, or if it serves no model."""
     if route is None or not route.shares:
         return None
     service = configuration.services.get(route.shares[0].service)
--- a/src/larkpost/gateway/rollouts/batch_run.py
+++ b/src/larkpost/gateway/rollouts/batch_run.py
@@ -1,7 +1,7 @@
 """Runs the items of one batch until each has a result.
 
-Each item has a task of its own. `item_runner.py` produces the outputs and `reward_scorer.py` has
-them scored.
+Each item has a task of its own. `item_runner.py` produces the outputs, and `reward_scorer.py`
+obtains their scores.
 """
 
 import asyncio
@@ -55,18 +55,18 @@
         routes = ItemRoutes(head, services)
         self._item_runner = ItemRunner(head, routes, self._slot_queue, engine_runner, services)
         self._scorer = RewardScorer(head, routes, services)
-        self._waiting = sorted(items, key=lambda item: item.expected_work, reverse=True)
+        self._unstarted = sorted(items, key=lambda item: item.expected_work, reverse=True)
         self._stall_task: asyncio.Task | None = None
         self._tasks: dict[ItemId, asyncio.Task] = {}
 
     def start(self) -> None:
         """Starts all items; they queue for slots at engines, the longest first."""
         self._stall_task = asyncio.create_task(self._watch_for_stalls())
-        for item in self._waiting:
+        for item in self._unstarted:
             task = asyncio.create_task(self._finish_item(item), name=item.id)
             self._tasks[item.id] = task
             task.add_done_callback(self._task_done)
-        self._waiting = []
+        self._unstarted = []
 
     def summarize_progress(self) -> BatchProgress:
         """Returns the progress of the batch, for the deadline forecasts of all daemons."""
@@ -90,7 +90,7 @@
             task.cancel()
 
     def cancel_items(self, items: set[ItemId]) -> None:
-        """Cancels the runs of items whose results another daemon has listed meanwhile."""
+        """Cancels the runs of items whose results another daemon has appended to the list."""
         for item in items & self._tasks.keys():
             self._tasks[item].cancel()
             self.progress.pop(item, None)
@@ -102,7 +102,7 @@
 
     async def _watch_for_stalls(self) -> None:
         """Checks for stalled runs at intervals, and aborts them if there are free slots."""
-        while self._waiting or self._tasks:
+        while self._unstarted or self._tasks:
             await self._services.clock.sleep(CHECK_INTERVAL_SECONDS)
             self._abort_stalled()
 
@@ -118,7 +118,7 @@
                 self._stall_detector.abort(monitored_run)
 
     async def _finish_item(self, item: Item) -> None:
-        """Runs an item and has it scored until it has a result; survives unexpected errors."""
+        """Runs and scores an item until it has a result; retries after unexpected errors."""
         progress = self.progress[item.id]
         while True:
             try:
@@ -135,10 +135,10 @@
             self._finish_dead(item, progress)
 
     async def _complete(self, progress: Progress) -> tuple[bool, str | None]:
-        """Completes the output of an item and has it scored.
+        """Completes the output of an item and obtains its score.
 
         Returns:
-            Whether the item is done, or else dead; its score, if it has a reward call.
+            Whether the item is done rather than dead; its score, None without a reward call.
         """
         if not await self._item_runner.run_to_completion(progress):
             return False, None
--- a/src/larkpost/gateway/rollouts/claims.py
+++ b/src/larkpost/gateway/rollouts/claims.py
@@ -1,9 +1,9 @@
 """Failover of batch ownership.
 
 The head of a batch names its owner. When the owner counts as dead, the daemon selected by
-rendezvous hashing writes its own id into the head, on condition of the head's version. Two daemons
-may run the same batch for a moment; this costs work, but conditional appends keep the result list
-correct. The membership knows which daemons count as alive.
+rendezvous hashing writes its own id into the head, provided that the head's version is unchanged.
+Two daemons may run the same batch for a moment; this costs work, but conditional appends keep the
+result list correct. `controllers/membership.py` decides which daemons count as alive.
 """
 
 from collections.abc import Callable
@@ -20,14 +20,14 @@
 from larkpost.gateway.store.port import Row, StoreUnavailableError
 
 CLAIM_INTERVAL_SECONDS = 0.5
-"""Least pause between two claims of one batch, in which the feed delivers the updated head."""
+"""Minimum interval between two claims of one batch, in which the feed delivers the updated head."""
 
 
 class BatchClaims:
     """Decides which batches this daemon claims, and writes owners into heads.
 
     Args:
-        record_head: called with the row of the head after each claim, whoever the owner is.
+        record_head: called with the row of the head after each claim, also if the claim failed.
     """
 
     def __init__(
@@ -45,15 +45,15 @@
         self._log: EventLog = services.log
         self._claimed_at: dict[BatchId, float] = {}
 
-    def should_claim(self, known: CachedBatchHead) -> bool:
+    def should_claim(self, cached: CachedBatchHead) -> bool:
         """Returns whether this daemon should claim a batch that another daemon owns."""
         membership = self._membership
         return (
             membership.listed  # until then every owner would count as dead
             and membership.is_coordinator()  # limits how many daemons track all batches
-            and not membership.is_owner_alive(known.head.owner, known.owner_since)
-            and not self._has_recent_claim(known.head.id)
-            and self.successor(known.head) == membership.own
+            and not membership.is_owner_alive(cached.head.owner, cached.owner_since)
+            and not self._has_recent_claim(cached.head.id)
+            and self.successor(cached.head) == membership.own
         )
 
     def _has_recent_claim(self, batch: BatchId) -> bool:
@@ -65,7 +65,7 @@
         self._claimed_at[batch] = self._clock.now()
 
     def successor(self, head: BatchHead) -> DaemonId | None:
-        """Returns the daemon that should claim a batch; None if none may.
+        """Returns the daemon that should claim a batch; None if no daemon may.
 
         It must be in a region where the batch may be served, as it reads the batch's items.
         """
@@ -78,16 +78,16 @@
             return frozenset()
         return configuration.allowed_regions_at(head.tenant, head.host, head.path.encode("latin-1"))
 
-    async def claim(self, known: CachedBatchHead, owner: DaemonId) -> None:
+    async def claim(self, cached: CachedBatchHead, owner: DaemonId) -> None:
         """Writes an owner into a head, and records the head as it is afterwards."""
-        batch = known.head.id
-        done = await self._repository.claim(known.head, known.version, owner)
+        batch = cached.head.id
+        done = await self._repository.claim(cached.head, cached.version, owner)
         outcome = "done" if done else "failed"
         self._services.metrics.count(Count.CLAIMS, outcome)
         self._log.record(
             Event.BATCH_CLAIMED,
             batch=batch,
-            owner=known.head.owner,
+            owner=cached.head.owner,
             successor=owner,
             outcome=outcome,
         )
--- a/src/larkpost/gateway/rollouts/engine_priorities.py
+++ b/src/larkpost/gateway/rollouts/engine_priorities.py
@@ -1,9 +1,9 @@
-"""Priorities that engines are sent with the items of a batch.
+"""Priorities that are sent to engines with the items of a batch.
 
 Engines admit requests of higher priority first, and preempt those of lower priority when their
 memory runs out. The priority of the tenant or route comes first; within it, longer items come
-first, as the training step waits for them. An item that is already long counts as long whatever
-length its trainer expected.
+first, as the training step waits for them. An item whose output is already long counts as long,
+whatever its expected length.
 """
 
 import math
@@ -19,7 +19,7 @@
 """Number of length classes within one priority: long, medium and short items."""
 LONG_SHARE = 0.15
 """Fraction of a batch's items that count as long."""
-LOW_MEMORY_FRACTION = 0.5
+SHORT_SHARE = 0.5
 """Fraction of a batch's items that count as short."""
 
 
@@ -32,15 +32,15 @@
     def __init__(self, items: Sequence[Item]) -> None:
         works = sorted((item.expected_work for item in items), reverse=True)
         self._long_threshold = _quantile(works, LONG_SHARE)
-        self._short_threshold = _quantile(works, 1 - LOW_MEMORY_FRACTION)
+        self._short_threshold = _quantile(works, 1 - SHORT_SHARE)
 
     def engine_priority(self, progress: Progress, priority: int, *, yields: bool = False) -> int:
         """Returns the priority to send to an engine, from 0, the highest, to 9.
 
         Args:
             priority: priority of the item's tenant or route, 0 highest.
-            yields: whether the batch ranks below other models' batches of the same priority, as it
-                has time to spare or cannot be in time.
+            yields: whether the batch ranks below other models' batches of the same priority,
+                because it has time to spare or cannot meet its deadline.
         """
         length_class = self._length_class(progress)
         if yields:
--- a/src/larkpost/gateway/rollouts/engine_runner.py
+++ b/src/larkpost/gateway/rollouts/engine_runner.py
@@ -75,8 +75,8 @@
             self._keep_single_version(run)
         monitored_run: MonitoredRun | None = None
         try:
-            async with asyncio.timeout(FIRST_EVENT_SECONDS) as limit:
-                with self.stall_detector.watch(run.engine, limit) as monitored_run:
+            async with asyncio.timeout(FIRST_EVENT_SECONDS) as event_timeout:
+                with self.stall_detector.watch(run.engine, event_timeout) as monitored_run:
                     return await self._stream(run, monitored_run)
         except TimeoutError:
             if monitored_run is not None and monitored_run.is_stalled:
@@ -88,7 +88,7 @@
         balancer = self._services.balancer
         request = self._request(run)
         send_timeout_seconds = balancer.placement.admit(
-            run.engine.id, self._engine_selector.items.work_of(run.item)
+            run.engine.id, self._engine_selector.item_work.work_of(run.item)
         )
         request = replace(request, send_timeout=send_timeout_seconds)
         async with self._services.servers.send(run.engine, request) as response:
@@ -151,7 +151,7 @@
         if configuration is None:
             return None
         priority = configuration.priority_of(self._head.tenant, run.route)
-        yields = self._services.division.should_yield(run.engine.service, self._head.model)
+        yields = self._services.allocator.should_yield(run.engine.service, self._head.model)
         return self._priorities.engine_priority(run.progress, priority, yields=yields)
 
     def _keep_single_version(self, run: ItemRun) -> None:
--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -27,10 +27,10 @@
 
 OWN_ENGINES_ONLY_SECONDS = 0.6
 """For this long after its start, a batch uses only engines assigned to its model. Batches often
-start at the same moment, and daemons learn of each other's load a heartbeat and a listing interval
-(0.25 s each) later."""
+start at the same moment, and a daemon learns the load of the others only after a heartbeat and a
+listing interval (0.25 s each)."""
 BEST_SERVICE_TIME_CACHE_SECONDS = 0.25
-"""Lifetime of the cached best service time, which takes a scan of the engines to compute."""
+"""Lifetime of a cached best service time; computing one takes a scan of the engines."""
 
 
 class EngineSelector:
@@ -40,9 +40,10 @@
         self._head = head
         self._services = services
         self._started_at = services.clock.now()
-        self.items = ItemWork(head, services)
+        self.item_work = ItemWork(head, services)
         self._best_service_times: dict[tuple[ServiceName, Work, int], tuple[float, float]] = {}
-        """Time of computation and best service time, by service, work and least version."""
+        """Monotonic time of computation and best service time, by service, placement requirements
+        and minimum version."""
 
     def choose(
         self, service: ServiceName, service_time_limit: float = 0.0, work: Work | None = None
@@ -50,25 +51,25 @@
         """Returns an engine with a free slot and a weight version that the batch accepts.
 
         Args:
-            service_time_limit: the engine must be warm and known to take at most about this many
-                seconds per event; 0 for any engine.
+            service_time_limit: maximum seconds per event of the engine, which must be warm and of
+                known service time; 0 for any engine. Exceeded by `SERVICE_TIME_TOLERANCE` at most.
             work: placement requirements of the item; None for those of the batch.
         """
         allowed = self._allowed_engines(service)
-        candidates = self._with_free_slot(service, work or self.items.work_of(), allowed)
+        candidates = self._with_free_slot(service, work or self.item_work.work_of(), allowed)
         if allowed is not None:
             candidates = [info for info in candidates if info.id in allowed]
         if service_time_limit:
             candidates = self._fast_enough(service, candidates, service_time_limit)
-        chosen = choose_engine(self._states(service, candidates))
+        chosen = choose_engine(self._engine_states(service, candidates))
         return chosen.info if chosen is not None else None
 
     def _fast_enough(
         self, service: ServiceName, candidates: list[InstanceInfo], service_time_limit: float
     ) -> list[InstanceInfo]:
-        """Returns the engines to which a run may migrate; loading engines refuse all work."""
+        """Returns the warm engines within the limit, except loading ones, which refuse all work."""
         balancer = self._services.balancer
-        loading = self._services.division.loading(service, self._head.model)
+        loading = self._services.allocator.loading(service, self._head.model)
         return [
             info
             for info in candidates
@@ -81,25 +82,27 @@
     def _allowed_engines(self, service: ServiceName) -> frozenset[InstanceId] | None:
         """Returns the engines to which the batch is limited now; None for no limit.
 
-        A batch is limited to the engines assigned to its model at first, and later while it has
-        time to spare and a batch of another model that has none waits for slots. The limit does
-        not apply while all of these engines are cold, as after a zone is restored.
+        At first, a batch is limited to the engines assigned to its model. Later it is limited only
+        while it has time to spare and a batch of another model without spare time waits for slots.
+        There is no limit while all assigned engines are cold, as after a zone is restored.
         """
-        division = self._services.division
+        allocator = self._services.allocator
         is_new = self._services.clock.now() - self._started_at < OWN_ENGINES_ONLY_SECONDS
-        if not is_new and not division.should_yield(service, self._head.model):
+        if not is_new and not allocator.should_yield(service, self._head.model):
             return None
-        assigned = division.engines_of(service, self._head.model)
+        assigned = allocator.engines_of(service, self._head.model)
         directory, balancer = self._services.directory, self._services.balancer
         known = (info for name in assigned if (info := directory.get(name)) is not None)
         return None if all(balancer.is_cold(info) for info in known) else assigned
 
-    def _states(self, service: ServiceName, candidates: list[InstanceInfo]) -> list[EngineState]:
+    def _engine_states(
+        self, service: ServiceName, candidates: list[InstanceInfo]
+    ) -> list[EngineState]:
         """Returns the states of the engines, in the same order."""
         if not candidates:
             return []
         balancer = self._services.balancer
-        loading = self._services.division.loading(service, self._head.model)
+        loading = self._services.allocator.loading(service, self._head.model)
         return [
             EngineState(
                 info,
@@ -115,31 +118,37 @@
     def record_assigned(self, engine: InstanceInfo) -> None:
         """Records that an item was assigned a slot at an engine and will be sent to it shortly.
 
-        An engine that loads weights refuses all work, so only one item at a time tries it.
+        An engine that loads weights refuses all work. It is marked as refusing at once, so that
+        only one item at a time tries it.
         """
-        if engine.id in self._services.division.loading(engine.service, self._head.model):
+        if engine.id in self._services.allocator.loading(engine.service, self._head.model):
             self._services.balancer.use(engine.id).mark_refusing(self._services.clock.now())
-        if self._services.cold is not None:
-            self._services.cold.reserve(engine)
+        if self._services.cold_rate_limit is not None:
+            self._services.cold_rate_limit.reserve(engine)
 
     def count_free_slots(self, service: ServiceName) -> int:
-        """Returns the estimated number of free slots at all matching engines."""
-        work = self.items.work_of()
-        fitting = self._with_free_slot(service, work)
+        """Returns the estimated number of free slots at all matching engines.
+
+        In a large service, it is extrapolated from a sample of the engines.
+        """
+        work = self.item_work.work_of()
+        matching = self._with_free_slot(service, work)
         scale = self._services.balancer.candidate_pool(service, work).scale
-        return int(sum(self._free_slots_at(info, work) for info in fitting) * scale)
+        return int(sum(self._free_slots_at(info, work) for info in matching) * scale)
 
     def _free_slots_at(self, info: InstanceInfo, work: Work) -> int:
-        """Returns the free slots of an engine; at a cold engine, as many as its limit allows."""
+        """Returns the free slots of an engine; if it is cold, at most its remaining sends."""
         free = info.slots - self._services.balancer.occupied(info)
-        cold = self._services.cold
-        send_quota = cold.remaining_sends(info, work) if cold is not None else None
+        cold_rate_limit = self._services.cold_rate_limit
+        send_quota = (
+            cold_rate_limit.remaining_sends(info, work) if cold_rate_limit is not None else None
+        )
         return free if send_quota is None else min(free, send_quota)
 
     def stall_timeout(self, monitored_run: MonitoredRun) -> float:
         """Returns the seconds without an event after which a run counts as stalled."""
         engine = monitored_run.engine
-        loading = self._services.division.loading(engine.service, self._head.model)
+        loading = self._services.allocator.loading(engine.service, self._head.model)
         service_time = self._services.balancer.service_times.lasting(engine.id)
         return stall_timeout_seconds(service_time, is_loading=engine.id in loading)
 
@@ -157,21 +166,21 @@
             self._source_service_time(run.engine), service_time, MIGRATION_RATIO
         ):
             return False
-        return balancer.placement.allows(known, self.items.work_of(run.item))
+        return balancer.placement.allows(known, self.item_work.work_of(run.item))
 
     def target_service_time(self, run: ItemRun) -> float:
-        """Returns the service time limit for a run to migrate; 0 if it should stay.
+        """Returns the service time limit of a run's slot request; 0 if it should not migrate.
 
-        Does not check whether such an engine has a free slot. Ignores engines with older weights
-        than the run's engine, which are about to load and refuse all work. Considers only a sample
-        of the engines of a large service.
+        Does not check whether an engine within the limit has a free slot. Ignores engines with
+        older weights than the run's engine, which are about to load and refuse all work. Considers
+        only a sample of the engines of a large service.
         """
         engine, events = run.engine, len(run.progress.events)
         service_time = self._source_service_time(engine)
         if not could_migration_pay_off(events, service_time):
             return 0.0
         version = self._services.directory.version_of(engine.id, self._head.model)
-        best = self._best_service_time(engine.service, self.items.work_of(run.item), version)
+        best = self._best_service_time(engine.service, self.item_work.work_of(run.item), version)
         return migration_service_time_limit(events, service_time, best)
 
     def _source_service_time(self, engine: InstanceInfo) -> float:
@@ -181,7 +190,10 @@
         )
 
     def _best_service_time(self, service: ServiceName, work: Work, version: int) -> float:
-        """Returns the best service time at engines of at least a version; may be cached."""
+        """Returns the service time of the fastest warm engine with at least a weight version.
+
+        Returns 0 if unknown. The value is cached for `BEST_SERVICE_TIME_CACHE_SECONDS`.
+        """
         now = self._services.clock.now()
         known = self._best_service_times.get((service, work, version))
         if known is not None and now - known[0] < BEST_SERVICE_TIME_CACHE_SECONDS:
@@ -207,11 +219,11 @@
         """Returns the matching engines with a free slot, the least occupied first.
 
         Args:
-            within: the only engines of a large service to consider; None for any.
+            within: engines to which the search in a large service is limited; None for no limit.
         """
         balancer = self._services.balancer
-        fitting = balancer.candidates(service, work, eligible=self._is_not_avoided, within=within)
-        return [info for info in fitting if balancer.has_free_slot(info)]
+        matching = balancer.candidates(service, work, eligible=self._is_not_avoided, within=within)
+        return [info for info in matching if balancer.has_free_slot(info)]
 
     def _is_not_avoided(self, info: InstanceInfo) -> bool:
         """Returns whether an engine is not avoided because of a recent failure."""
--- a/src/larkpost/gateway/rollouts/item_runner.py
+++ b/src/larkpost/gateway/rollouts/item_runner.py
@@ -25,7 +25,7 @@
 from larkpost.gateway.servers.port import BrokenResponseError, NotRunError
 
 RETRY_PAUSE_SECONDS = 0.03
-"""Pause before an item queues for a slot again; one pass over the queue."""
+"""Pause before an item queues for a slot again; as long as the interval of the queue's passes."""
 QUARANTINE_CHECK_SECONDS = 0.5
 """Interval of the checks whether a quarantined item may run again or has expired."""
 
@@ -57,7 +57,7 @@
         self._slot_queue = slot_queue
         self._engine_runner = engine_runner
         self._services = services
-        self._assigned_engines: dict[ItemId, InstanceInfo] = {}
+        self._reserved_engines: dict[ItemId, InstanceInfo] = {}
         """Engines with a slot reserved by a migrating run, by item."""
         self._queued_at: dict[ItemId, float] = {}
         """Monotonic times at which items that have not run yet were queued."""
@@ -67,18 +67,18 @@
         item = progress.item
         self._queued_at[item.id] = self._services.clock.now()
         while not progress.whole:
-            end = await self._attempt_run(progress)
-            if end is RunOutcome.DEAD:
+            run_outcome = await self._attempt_run(progress)
+            if run_outcome is RunOutcome.DEAD:
                 return False
-            if end is RunOutcome.RETRY and item.id not in self._assigned_engines:
+            if run_outcome is RunOutcome.RETRY and item.id not in self._reserved_engines:
                 await self._services.clock.sleep(RETRY_PAUSE_SECONDS)
         return True
 
     def release_unused(self, item: ItemId) -> None:
-        """Releases the slot that a migrating run has reserved for an item that runs no more."""
-        unclaimed = self._assigned_engines.pop(item, None)
-        if unclaimed is not None:
-            self._services.balancer.release(unclaimed.id)
+        """Releases the slot that a migrating run has reserved for an item that no longer runs."""
+        reserved = self._reserved_engines.pop(item, None)
+        if reserved is not None:
+            self._services.balancer.release(reserved.id)
 
     async def _attempt_run(self, progress: Progress) -> RunOutcome:
         """Runs an item once if it may run and gets a slot."""
@@ -99,11 +99,11 @@
     async def _acquire_slot(self, progress: Progress, route: Route) -> InstanceInfo | None:
         """Returns the engine where the item has a slot; None after a timeout."""
         item = progress.item.id
-        engine = self._assigned_engines.pop(item, None)
+        engine = self._reserved_engines.pop(item, None)
         if engine is None:
-            engine = await self._slot_queue.acquire(progress, route, progress.previous_service_time)
+            engine = await self._slot_queue.acquire(progress, route, progress.service_time_limit)
         if engine is None:
-            progress.previous_service_time = 0.0  # no engine as fast has a free slot
+            progress.service_time_limit = 0.0  # no engine within the limit has a free slot
             return None
         queued_at = self._queued_at.pop(item, None)
         if queued_at is not None:
@@ -112,9 +112,10 @@
         return engine
 
     def _is_quarantined(self, item: Item) -> bool:
-        """Returns whether an item must not run, as too many engines crashed under its content.
+        """Returns whether an item must not run, as too many engines crashed running its content.
 
-        The item is not given up: it runs again if its content is cleared before it expires.
+        The item is not given up: it runs again if its content leaves quarantine before the item
+        expires.
         """
         crashes = self._services.crashes
         if not crashes.has_suspects:
@@ -125,16 +126,16 @@
         """Runs an item at the engine where it has a slot, and releases the slot."""
         started = self._services.clock.now()
         resumed_after = run.progress.last_event
-        end = RunOutcome.RETRY
+        run_outcome = RunOutcome.RETRY
         try:
-            end = await self._engine_runner.run(run)
-            outcome = end.value if end is not RunOutcome.RETRY else "failed"
+            run_outcome = await self._engine_runner.run(run)
+            outcome = run_outcome.value if run_outcome is not RunOutcome.RETRY else "failed"
         except EXPECTED_ERRORS as error:
             outcome = self._record_error(run, error)
         finally:
             self._services.balancer.release(run.engine.id)
         self._record_run(run, resumed_after, started, outcome)
-        return end
+        return run_outcome
 
     def _record_error(self, run: ItemRun, error: Exception) -> str:
         """Records the consequences of a failed run, and returns its outcome for the log."""
@@ -154,8 +155,8 @@
 
     def _record_migration(self, run: ItemRun, migration: MigrateRunError) -> None:
         run.progress.migrations += 1
-        self._assigned_engines[run.item.id] = migration.engine
-        run.progress.previous_service_time = self._services.balancer.service_times.lasting(
+        self._reserved_engines[run.item.id] = migration.engine
+        run.progress.service_time_limit = self._services.balancer.service_times.lasting(
             run.engine.id
         )
 
--- a/src/larkpost/gateway/rollouts/item_work.py
+++ b/src/larkpost/gateway/rollouts/item_work.py
@@ -17,9 +17,9 @@
     def __init__(self, head: BatchHead, services: RunServices) -> None:
         self._head = head
         self._services = services
-        self._works: dict[str, Work] = {}
-        """Placement requirements by item path, under the configuration `_works_configuration`."""
-        self._works_configuration: Configuration | None = None
+        self._work_by_path: dict[str, Work] = {}
+        """Placement requirements by item path, under the configuration `_cached_configuration`."""
+        self._cached_configuration: Configuration | None = None
         self._item_services: dict[ItemId, ServiceName] = {}
 
     def work_of(self, item: Item | None = None) -> Work:
@@ -29,16 +29,18 @@
             item: None for the requirements of the batch's own path.
         """
         configuration = self._services.configuration.current
-        if configuration is not self._works_configuration:
-            self._works_configuration = configuration
-            self._works.clear()
+        if configuration is not self._cached_configuration:
+            self._cached_configuration = configuration
+            self._work_by_path.clear()
         path = item.path if item is not None else self._head.path
-        if path not in self._works:
-            self._works[path] = self._make_work(configuration, path)
+        if path not in self._work_by_path:
+            self._work_by_path[path] = self._make_work(configuration, path)
         crashes = self._services.crashes
         if item is None or not crashes.has_suspects:
-            return self._works[path]
-        return replace(self._works[path], is_suspect=crashes.is_suspect(item.content(self._head)))
+            return self._work_by_path[path]
+        return replace(
+            self._work_by_path[path], is_suspect=crashes.is_suspect(item.content(self._head))
+        )
 
     def _make_work(self, configuration: Configuration | None, path: str) -> Work:
         head = self._head
@@ -57,6 +59,6 @@
             return None
         chosen = self._item_services.get(item.id)
         if chosen is None or all(share.service != chosen for share in route.shares):
-            chosen = self._services.shares.choose(route)
+            chosen = self._services.service_selector.choose(route)
             self._item_services[item.id] = chosen
         return chosen
--- a/src/larkpost/gateway/rollouts/reward_caller.py
+++ b/src/larkpost/gateway/rollouts/reward_caller.py
@@ -1,7 +1,7 @@
-"""Single attempts of reward calls at a server of their service.
+"""Sends reward calls, each attempt to one server of the call's service.
 
 The current configuration names the service for the call's host and path. Calls wait for a slot, so
-that a batch whose outputs complete together does not crowd out the clients of the same servers.
+that outputs which complete together do not crowd out client requests to the same servers.
 `reward_rules.py` selects the server and interprets its response.
 """
 
@@ -33,21 +33,21 @@
 SLOT_POLL_SECONDS = 0.03
 """Interval of the checks for a free slot at a server."""
 FULL_AVOID_SECONDS = 0.05
-"""How long a server gets no more work after it refused a call."""
+"""How long a server is avoided after it refused a call."""
 BROKEN_AVOID_SECONDS = 0.3
-"""How long a server gets no more work after a broken response."""
+"""How long a server is avoided after a broken response."""
 TIMEOUT_AVOID_SECONDS = 1.0
-"""How long a server gets no more work after a call timed out there."""
+"""How long a server is avoided after a call timed out there."""
 
 
 class RewardCaller:
-    """Sends the reward calls of one batch, each attempt to one server."""
+    """Sends the reward calls of one batch."""
 
     def __init__(self, head: BatchHead, services: RunServices) -> None:
         self._head = head
         self._services = services
 
-    async def make(
+    async def send_once(
         self, progress: Progress, call: RewardCall, route: Route, history: RewardCallHistory
     ) -> RewardAttempt | None:
         """Sends a call once; None if no server had a free slot.
@@ -56,7 +56,7 @@
             history: earlier attempts of the call; this one is added.
         """
         async with self._services.reward_call_slots:
-            server = self._choose(self._services.shares.choose(route), call, history)
+            server = self._choose(self._services.service_selector.choose(route), call, history)
             if server is None:
                 await self._services.clock.sleep(SLOT_POLL_SECONDS)
                 return None
--- a/src/larkpost/gateway/rollouts/reward_rules.py
+++ b/src/larkpost/gateway/rollouts/reward_rules.py
@@ -57,7 +57,7 @@
 
 
 def usable_slots(slots: int) -> int:
-    """Returns the number of occupied slots from which a server gets no more reward calls."""
+    """Returns the number of occupied slots at which a server gets no more reward calls."""
     return max(1, int(slots * (1 - CLIENT_RESERVED_SHARE)))
 
 
@@ -77,7 +77,7 @@
 ) -> InstanceInfo | None:
     """Returns the best server with a free slot, preferring servers that were not tried yet.
 
-    Clears the record of tried servers once all candidates were tried.
+    Once all candidates were tried, clears the tried servers and starts a new round.
 
     Args:
         candidates: servers with a free slot, the best first.
--- a/src/larkpost/gateway/rollouts/stall_detector.py
+++ b/src/larkpost/gateway/rollouts/stall_detector.py
@@ -1,8 +1,9 @@
-"""Detects stalled runs, which produce no events although another engine has a free slot.
+"""Detects stalled runs, whose engines have sent no event for too long.
 
 An engine accepts more requests than it runs at once, and preempts requests when its memory runs
-out. The streams of queued and preempted requests are silent. A daemon does not see the reason, so
-it goes by the length of the silence.
+out. It sends no events for queued and preempted requests. A daemon does not see the reason, so it
+detects stalls by the time since the last event. `batch_run.py` aborts stalled runs while there are
+more free slots than waiting items.
 """
 
 import asyncio
@@ -34,27 +35,27 @@
     """A run at an engine that is watched for stalls.
 
     Attributes:
-        limit: timeout of the next event; rescheduled to now to abort the run.
+        event_timeout: timeout of the next event; rescheduled to now to abort the run.
         started_at: monotonic time at which the run started.
         last_event_at: monotonic time of the last event; `started_at` before the first one.
         is_stalled: whether the run was aborted as stalled.
     """
 
     engine: InstanceInfo
-    limit: asyncio.Timeout
+    event_timeout: asyncio.Timeout
     started_at: float
     last_event_at: float
     is_stalled: bool = False
 
-    def record_event(self, now: float, longest_gap: float) -> None:
+    def record_event(self, now: float, max_event_gap: float) -> None:
         """Records an event and extends the timeout.
 
         Args:
-            longest_gap: seconds until the next event after which the run times out.
+            max_event_gap: seconds after which the run times out unless another event arrives.
         """
         self.last_event_at = now
         if not self.is_stalled:
-            self.limit.reschedule(now + longest_gap)
+            self.event_timeout.reschedule(now + max_event_gap)
 
 
 class StallDetector:
@@ -65,10 +66,10 @@
         self._runs: list[MonitoredRun] = []
 
     @contextmanager
-    def watch(self, engine: InstanceInfo, limit: asyncio.Timeout) -> Iterator[MonitoredRun]:
+    def watch(self, engine: InstanceInfo, event_timeout: asyncio.Timeout) -> Iterator[MonitoredRun]:
         """Watches a run until the context exits."""
         now = self._clock.now()
-        run = MonitoredRun(engine, limit, now, now)
+        run = MonitoredRun(engine, event_timeout, now, now)
         self._runs.append(run)
         try:
             yield run
@@ -85,7 +86,7 @@
         stalled = [
             run
             for run in self._runs
-            if not (run.is_stalled or run.limit.expired())
+            if not (run.is_stalled or run.event_timeout.expired())
             and now - run.last_event_at >= stall_timeout(run)
         ]
         return sorted(stalled, key=lambda run: run.last_event_at)
@@ -93,7 +94,7 @@
     def abort(self, run: MonitoredRun) -> None:
         """Aborts a run, so that its item continues elsewhere."""
         run.is_stalled = True
-        run.limit.reschedule(self._clock.now())
+        run.event_timeout.reschedule(self._clock.now())
 
 
 def stall_timeout_seconds(service_time: float, *, is_loading: bool = False) -> float:
@@ -101,7 +102,7 @@
 
     Args:
         service_time: sustained seconds per event of the engine; 0 if unknown.
-        is_loading: whether the engine loads weights, after which its runs continue.
+        is_loading: whether the engine loads weights; its runs continue after the load.
     """
-    silence = max(MIN_STALL_TIMEOUT_SECONDS, STALL_SERVICE_TIME_FACTOR * service_time)
-    return max(silence, LOADING_STALL_TIMEOUT_SECONDS) if is_loading else silence
+    timeout = max(MIN_STALL_TIMEOUT_SECONDS, STALL_SERVICE_TIME_FACTOR * service_time)
+    return max(timeout, LOADING_STALL_TIMEOUT_SECONDS) if is_loading else timeout
