--- a/src/larkpost/standalone/batches/placement.py
+++ b/src/larkpost/standalone/batches/placement.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class EngineRoom:
+class EngineCapacity:
     """What is known of one engine while slots are placed.
 
     Attributes:
@@ -34,7 +34,7 @@
 class Placement(ABC):
     """Chooses engines one slot after another."""
 
-    def __init__(self, rooms: Iterable[EngineRoom]) -> None:
+    def __init__(self, rooms: Iterable[EngineCapacity]) -> None:
         self._rooms = {room.engine: room for room in rooms}
 
     def take(self, preferred: EngineId | None) -> EngineId | None:
@@ -62,14 +62,14 @@
         return _occupy(min(others, key=attrgetter("running")))
 
     @abstractmethod
-    def _choose(self, usable: list[EngineRoom], preferred: EngineId | None) -> EngineRoom:
+    def _choose(self, usable: list[EngineCapacity], preferred: EngineId | None) -> EngineCapacity:
         """Chooses among engines with a free slot."""
 
 
 class LoadPlacement(Placement):
     """Chooses the prompt's engine, else the least loaded one."""
 
-    def _choose(self, usable: list[EngineRoom], preferred: EngineId | None) -> EngineRoom:
+    def _choose(self, usable: list[EngineCapacity], preferred: EngineId | None) -> EngineCapacity:
         for room in usable:
             if room.engine == preferred and not room.is_slow:
                 return room
@@ -83,7 +83,7 @@
     occupied_share: float
 
 
-def _load_order(room: EngineRoom) -> _LoadOrder:
+def _load_order(room: EngineCapacity) -> _LoadOrder:
     return _LoadOrder(
         is_slow=room.is_slow,
         occupied_share=room.running / (room.running + room.free),
@@ -93,26 +93,26 @@
 class RoundRobinPlacement(Placement):
     """Chooses the engines in turn; a baseline."""
 
-    def __init__(self, rooms: Iterable[EngineRoom], last: EngineId | None) -> None:
+    def __init__(self, rooms: Iterable[EngineCapacity], last: EngineId | None) -> None:
         super().__init__(rooms)
         self._last = last
 
-    def _choose(self, usable: list[EngineRoom], preferred: EngineId | None) -> EngineRoom:
+    def _choose(self, usable: list[EngineCapacity], preferred: EngineId | None) -> EngineCapacity:
         later = [r for r in usable if self._last is not None and r.engine > self._last]
         room = min(later or usable, key=attrgetter("engine"))
         self._last = room.engine
         return room
 
 
-def _occupy(room: EngineRoom) -> EngineId:
+def _occupy(room: EngineCapacity) -> EngineId:
     room.free -= 1
     room.running += 1
     return room.engine
 
 
-def make_rooms(candidates: Iterable[Candidate], reserve: int) -> list[EngineRoom]:
+def make_rooms(candidates: Iterable[Candidate], reserve: int) -> list[EngineCapacity]:
     """Returns the rooms of engines that may take rollouts."""
     return [
-        EngineRoom(c.engine, max(c.free_slots - reserve, 0), c.busy_slots, c.is_slow)
+        EngineCapacity(c.engine, max(c.free_slots - reserve, 0), c.busy_slots, c.is_slow)
         for c in candidates
     ]
--- a/tests/test_speeds.py
+++ b/tests/test_speeds.py
@@ -3,7 +3,7 @@
 import unittest
 
 from larkpost.common.ids import EngineId
-from larkpost.standalone.batches.placement import EngineRoom, LoadPlacement
+from larkpost.standalone.batches.placement import EngineCapacity, LoadPlacement
 from larkpost.standalone.blackboard.speeds import LIFETIME, EngineSpeeds
 
 ENGINES = tuple(EngineId(f"engine-{i}") for i in range(4))
@@ -33,12 +33,12 @@
 
 class PlacementTest(unittest.TestCase):
     def test_straggler_is_taken_last_even_for_its_own_prompt(self):
-        slow = EngineRoom(ENGINES[0], free=2, running=0, is_slow=True)
-        full = EngineRoom(ENGINES[1], free=1, running=9)
+        slow = EngineCapacity(ENGINES[0], free=2, running=0, is_slow=True)
+        full = EngineCapacity(ENGINES[1], free=1, running=9)
         placement = LoadPlacement([slow, full])
         self.assertEqual(placement.take(preferred=ENGINES[0]), ENGINES[1])
         self.assertEqual(placement.take(preferred=None), ENGINES[0])
 
     def test_stuck_sample_is_continued_elsewhere_or_not_at_all(self):
-        only = LoadPlacement([EngineRoom(ENGINES[0], free=5, running=0)])
+        only = LoadPlacement([EngineCapacity(ENGINES[0], free=5, running=0)])
         self.assertIsNone(only.take_other(ENGINES[0]))
