--- a/src/larkpost/standalone/batches/placement.py
+++ b/src/larkpost/standalone/batches/placement.py
@@ -110,7 +110,7 @@
     return room.engine
 
 
-def make_rooms(candidates: Iterable[Candidate], reserve: int) -> list[EngineCapacity]:
+def make_capacities(candidates: Iterable[Candidate], reserve: int) -> list[EngineCapacity]:
     """Returns the rooms of engines that may take rollouts."""
     return [
         EngineCapacity(c.engine, max(c.free_slots - reserve, 0), c.busy_slots, c.is_slow)
--- a/src/larkpost/standalone/batches/runner.py
+++ b/src/larkpost/standalone/batches/runner.py
@@ -18,7 +18,7 @@
     LoadPlacement,
     Placement,
     RoundRobinPlacement,
-    make_rooms,
+    make_capacities,
 )
 from larkpost.standalone.config.intent import TrainerIntent
 from larkpost.standalone.routing.dispatcher import Dispatcher
@@ -107,7 +107,7 @@
     def _make_placement(self) -> Placement:
         candidates = self._selector.candidates(self._make_work(0), ())
         pool = self._board.configuration.intent.pool(self.ledger.spec.pool)
-        rooms = make_rooms(candidates, pool.client_reserve if pool is not None else 0)
+        rooms = make_capacities(candidates, pool.client_reserve if pool is not None else 0)
         if self._settings.placement == PlacementKind.ROUND_ROBIN:
             return RoundRobinPlacement(rooms, self._last_engine)
         return LoadPlacement(rooms)
