--- a/src/larkpost/standalone/batches/placement.py
+++ b/src/larkpost/standalone/batches/placement.py
@@ -34,8 +34,8 @@
 class Placement(ABC):
     """Chooses engines one slot after another."""
 
-    def __init__(self, rooms: Iterable[EngineCapacity]) -> None:
-        self._rooms = {room.engine: room for room in rooms}
+    def __init__(self, capacities: Iterable[EngineCapacity]) -> None:
+        self._rooms = {room.engine: room for room in capacities}
 
     def take(self, preferred: EngineId | None) -> EngineId | None:
         """Occupies a slot.
@@ -93,8 +93,8 @@
 class RoundRobinPlacement(Placement):
     """Chooses the engines in turn; a baseline."""
 
-    def __init__(self, rooms: Iterable[EngineCapacity], last: EngineId | None) -> None:
-        super().__init__(rooms)
+    def __init__(self, capacities: Iterable[EngineCapacity], last: EngineId | None) -> None:
+        super().__init__(capacities)
         self._last = last
 
     def _choose(self, usable: list[EngineCapacity], preferred: EngineId | None) -> EngineCapacity:
--- a/src/larkpost/standalone/batches/runner.py
+++ b/src/larkpost/standalone/batches/runner.py
@@ -107,10 +107,10 @@
     def _make_placement(self) -> Placement:
         candidates = self._selector.candidates(self._make_work(0), ())
         pool = self._board.configuration.intent.pool(self.ledger.spec.pool)
-        rooms = make_capacities(candidates, pool.client_reserve if pool is not None else 0)
+        capacities = make_capacities(candidates, pool.client_reserve if pool is not None else 0)
         if self._settings.placement == PlacementKind.ROUND_ROBIN:
-            return RoundRobinPlacement(rooms, self._last_engine)
-        return LoadPlacement(rooms)
+            return RoundRobinPlacement(capacities, self._last_engine)
+        return LoadPlacement(capacities)
 
     def _group_engine(self, slot: int) -> EngineId | None:
         if not self._settings.keep_groups:
