--- a/src/larkpost/standalone/batches/placement.py
+++ b/src/larkpost/standalone/batches/placement.py
@@ -35,7 +35,7 @@
     """Chooses engines one slot after another."""
 
     def __init__(self, capacities: Iterable[EngineCapacity]) -> None:
-        self._rooms = {room.engine: room for room in capacities}
+        self._capacities = {room.engine: room for room in capacities}
 
     def take(self, preferred: EngineId | None) -> EngineId | None:
         """Occupies a slot.
@@ -46,7 +46,7 @@
         Returns:
             The engine, or None if no slot is free.
         """
-        usable = [r for r in self._rooms.values() if r.free > 0]
+        usable = [r for r in self._capacities.values() if r.free > 0]
         if not usable:
             return None
         room = self._choose(usable, preferred)
@@ -55,7 +55,9 @@
     def take_other(self, current: EngineId) -> EngineId | None:
         """Occupies a slot at another engine, for a sample that is stuck at its current one."""
         others = [
-            r for r in self._rooms.values() if r.free > 0 and r.engine != current and not r.is_slow
+            r
+            for r in self._capacities.values()
+            if r.free > 0 and r.engine != current and not r.is_slow
         ]
         if not others:
             return None
