--- a/src/larkpost/standalone/batches/placement.py
+++ b/src/larkpost/standalone/batches/placement.py
@@ -35,7 +35,7 @@
     """Chooses engines one slot after another."""
 
     def __init__(self, capacities: Iterable[EngineCapacity]) -> None:
-        self._capacities = {room.engine: room for room in capacities}
+        self._capacities = {capacity.engine: capacity for capacity in capacities}
 
     def take(self, preferred: EngineId | None) -> EngineId | None:
         """Occupies a slot.
@@ -49,8 +49,8 @@
         usable = [r for r in self._capacities.values() if r.free > 0]
         if not usable:
             return None
-        room = self._choose(usable, preferred)
-        return _occupy(room)
+        capacity = self._choose(usable, preferred)
+        return _occupy(capacity)
 
     def take_other(self, current: EngineId) -> EngineId | None:
         """Occupies a slot at another engine, for a sample that is stuck at its current one."""
@@ -72,9 +72,9 @@
     """Chooses the prompt's engine, else the least loaded one."""
 
     def _choose(self, usable: list[EngineCapacity], preferred: EngineId | None) -> EngineCapacity:
-        for room in usable:
-            if room.engine == preferred and not room.is_slow:
-                return room
+        for capacity in usable:
+            if capacity.engine == preferred and not capacity.is_slow:
+                return capacity
         return min(usable, key=_load_order)
 
 
@@ -85,10 +85,10 @@
     occupied_share: float
 
 
-def _load_order(room: EngineCapacity) -> _LoadOrder:
+def _load_order(capacity: EngineCapacity) -> _LoadOrder:
     return _LoadOrder(
-        is_slow=room.is_slow,
-        occupied_share=room.running / (room.running + room.free),
+        is_slow=capacity.is_slow,
+        occupied_share=capacity.running / (capacity.running + capacity.free),
     )
 
 
@@ -101,15 +101,15 @@
 
     def _choose(self, usable: list[EngineCapacity], preferred: EngineId | None) -> EngineCapacity:
         later = [r for r in usable if self._last is not None and r.engine > self._last]
-        room = min(later or usable, key=attrgetter("engine"))
-        self._last = room.engine
-        return room
+        capacity = min(later or usable, key=attrgetter("engine"))
+        self._last = capacity.engine
+        return capacity
 
 
-def _occupy(room: EngineCapacity) -> EngineId:
-    room.free -= 1
-    room.running += 1
-    return room.engine
+def _occupy(capacity: EngineCapacity) -> EngineId:
+    capacity.free -= 1
+    capacity.running += 1
+    return capacity.engine
 
 
 def make_capacities(candidates: Iterable[Candidate], reserve: int) -> list[EngineCapacity]:
