--- a/src/larkpost/standalone/batches/placement.py
+++ b/src/larkpost/standalone/batches/placement.py
@@ -37,7 +37,7 @@
     def __init__(self, capacities: Iterable[EngineCapacity]) -> None:
         self._capacities = {capacity.engine: capacity for capacity in capacities}
 
-    def take(self, preferred: EngineId | None) -> EngineId | None:
+    def acquire(self, preferred: EngineId | None) -> EngineId | None:
         """Occupies a slot.
 
         Args:
--- a/src/larkpost/standalone/batches/runner.py
+++ b/src/larkpost/standalone/batches/runner.py
@@ -77,7 +77,7 @@
         self._cancel_outdated()
         placement = self._make_placement()
         for slot in list(self.ledger.pending()):
-            engine = placement.take(self._group_engine(slot))
+            engine = placement.acquire(self._group_engine(slot))
             if engine is None:
                 return
             self._start(slot, engine, Answer())
--- a/tests/test_speeds.py
+++ b/tests/test_speeds.py
@@ -36,8 +36,8 @@
         slow = EngineCapacity(ENGINES[0], free=2, running=0, is_slow=True)
         full = EngineCapacity(ENGINES[1], free=1, running=9)
         placement = LoadPlacement([slow, full])
-        self.assertEqual(placement.take(preferred=ENGINES[0]), ENGINES[1])
-        self.assertEqual(placement.take(preferred=None), ENGINES[0])
+        self.assertEqual(placement.acquire(preferred=ENGINES[0]), ENGINES[1])
+        self.assertEqual(placement.acquire(preferred=None), ENGINES[0])
 
     def test_stuck_sample_is_continued_elsewhere_or_not_at_all(self):
         only = LoadPlacement([EngineCapacity(ENGINES[0], free=5, running=0)])
