--- a/src/larkpost/standalone/batches/placement.py
+++ b/src/larkpost/standalone/batches/placement.py
@@ -52,7 +52,7 @@
         capacity = self._choose(usable, preferred)
         return _occupy(capacity)
 
-    def take_other(self, current: EngineId) -> EngineId | None:
+    def acquire_other(self, current: EngineId) -> EngineId | None:
         """Occupies a slot at another engine, for a sample that is stuck at its current one."""
         others = [
             r
--- a/src/larkpost/standalone/batches/runner.py
+++ b/src/larkpost/standalone/batches/runner.py
@@ -127,7 +127,7 @@
         for attempt in [a for a in self._attempts if a.engine in stuck]:
             if len(self.ledger.engines_of(attempt.slot)) != 1:
                 continue
-            engine = placement.take_other(attempt.engine)
+            engine = placement.acquire_other(attempt.engine)
             if engine is None:
                 return
             self._telemetry.count("samples_duplicated")
--- a/tests/test_speeds.py
+++ b/tests/test_speeds.py
@@ -41,4 +41,4 @@
 
     def test_stuck_sample_is_continued_elsewhere_or_not_at_all(self):
         only = LoadPlacement([EngineCapacity(ENGINES[0], free=5, running=0)])
-        self.assertIsNone(only.take_other(ENGINES[0]))
+        self.assertIsNone(only.acquire_other(ENGINES[0]))
