--- a/src/larkpost/standalone/controllers/configuration.py
+++ b/src/larkpost/standalone/controllers/configuration.py
@@ -16,7 +16,7 @@
 from larkpost.standalone.blackboard.members import MemberInfo
 from larkpost.standalone.config.intent import Intent
 from larkpost.standalone.config.plan import Plan
-from larkpost.standalone.controllers.duty import is_on_duty
+from larkpost.standalone.controllers.duty import is_zone_poller
 from larkpost.standalone.controllers.facts import Dissemination
 from larkpost.standalone.controllers.readiness import Readiness
 from larkpost.standalone.runtime import Runtime
@@ -79,7 +79,7 @@
     async def poll(self) -> None:
         """Reads the row when it is this daemon's turn."""
         interval = self._settings.background_poll_interval
-        if self._board.phase == Phase.JOINING or is_on_duty(self._board, "configuration"):
+        if self._board.phase == Phase.JOINING or is_zone_poller(self._board, "configuration"):
             interval = self._settings.duty_poll_interval
         if self._clock.now() - self._last_read < interval:
             return
--- a/src/larkpost/standalone/controllers/directory.py
+++ b/src/larkpost/standalone/controllers/directory.py
@@ -10,7 +10,7 @@
 from larkpost.common.ids import Address, EngineId, PolicyId, PoolId, ZoneId
 from larkpost.standalone.blackboard.engines import EngineInfo
 from larkpost.standalone.blackboard.facts import DRAIN_PREFIX, MACHINE_PREFIX, POLICY_PREFIX, Fact
-from larkpost.standalone.controllers.duty import is_on_duty
+from larkpost.standalone.controllers.duty import is_zone_poller
 from larkpost.standalone.controllers.facts import Dissemination
 from larkpost.standalone.runtime import Runtime
 from larkpost.standalone.table_service.ports import MachineEntry, MachineList
@@ -47,7 +47,7 @@
         not on duty learn the machines from others: a fleet that starts would else ask for the
         whole list once for each daemon.
         """
-        if not is_on_duty(self._board, "machines"):
+        if not is_zone_poller(self._board, "machines"):
             return
         whole = self._polls % WHOLE_LIST_POLLS == 0
         self._polls += 1
--- a/src/larkpost/standalone/controllers/duty.py
+++ b/src/larkpost/standalone/controllers/duty.py
@@ -7,7 +7,7 @@
 """Daemons on duty in each zone, so that the death of one leaves no gap."""
 
 
-def is_on_duty(board: Blackboard, duty: str) -> bool:
+def is_zone_poller(board: Blackboard, duty: str) -> bool:
     """Whether this daemon polls for its zone. Two views that differ only add a poller."""
     own = board.members.own
     holders = ranked(board.members.eligible(own.zone), duty)[:DUTY_HOLDERS]
