--- a/src/larkpost/standalone/controllers/duty.py
+++ b/src/larkpost/standalone/controllers/duty.py
@@ -3,12 +3,12 @@
 from larkpost.standalone.blackboard.board import Blackboard
 from larkpost.standalone.rendezvous import ranked
 
-DUTY_HOLDERS = 2
+POLLERS_PER_ZONE = 2
 """Daemons on duty in each zone, so that the death of one leaves no gap."""
 
 
 def is_zone_poller(board: Blackboard, duty: str) -> bool:
     """Whether this daemon polls for its zone. Two views that differ only add a poller."""
     own = board.members.own
-    holders = ranked(board.members.eligible(own.zone), duty)[:DUTY_HOLDERS]
+    holders = ranked(board.members.eligible(own.zone), duty)[:POLLERS_PER_ZONE]
     return any(holder.id == own.id for holder in holders)
