--- a/src/larkpost/standalone/controllers/duty.py
+++ b/src/larkpost/standalone/controllers/duty.py
@@ -7,8 +7,8 @@
 """Daemons on duty in each zone, so that the death of one leaves no gap."""
 
 
-def is_zone_poller(board: Blackboard, duty: str) -> bool:
+def is_zone_poller(board: Blackboard, resource: str) -> bool:
     """Whether this daemon polls for its zone. Two views that differ only add a poller."""
     own = board.members.own
-    holders = ranked(board.members.eligible(own.zone), duty)[:POLLERS_PER_ZONE]
+    holders = ranked(board.members.eligible(own.zone), resource)[:POLLERS_PER_ZONE]
     return any(holder.id == own.id for holder in holders)
