--- a/src/larkpost/standalone/controllers/duty.py
+++ b/src/larkpost/standalone/controllers/duty.py
@@ -10,5 +10,5 @@
 def is_zone_poller(board: Blackboard, resource: str) -> bool:
     """Whether this daemon polls for its zone. Two views that differ only add a poller."""
     own = board.members.own
-    holders = ranked(board.members.eligible(own.zone), resource)[:POLLERS_PER_ZONE]
-    return any(holder.id == own.id for holder in holders)
+    pollers = ranked(board.members.eligible(own.zone), resource)[:POLLERS_PER_ZONE]
+    return any(holder.id == own.id for holder in pollers)
