--- a/src/larkpost/standalone/controllers/configuration.py
+++ b/src/larkpost/standalone/controllers/configuration.py
@@ -16,9 +16,9 @@
 from larkpost.standalone.blackboard.members import MemberInfo
 from larkpost.standalone.config.intent import Intent
 from larkpost.standalone.config.plan import Plan
-from larkpost.standalone.controllers.duty import is_zone_poller
 from larkpost.standalone.controllers.facts import Dissemination
 from larkpost.standalone.controllers.readiness import Readiness
+from larkpost.standalone.controllers.zone_pollers import is_zone_poller
 from larkpost.standalone.runtime import Runtime
 from larkpost.standalone.table_service.ports import Row, TableStore
 
--- a/src/larkpost/standalone/controllers/directory.py
+++ b/src/larkpost/standalone/controllers/directory.py
@@ -10,8 +10,8 @@
 from larkpost.common.ids import Address, EngineId, PolicyId, PoolId, ZoneId
 from larkpost.standalone.blackboard.engines import EngineInfo
 from larkpost.standalone.blackboard.facts import DRAIN_PREFIX, MACHINE_PREFIX, POLICY_PREFIX, Fact
-from larkpost.standalone.controllers.duty import is_zone_poller
 from larkpost.standalone.controllers.facts import Dissemination
+from larkpost.standalone.controllers.zone_pollers import is_zone_poller
 from larkpost.standalone.runtime import Runtime
 from larkpost.standalone.table_service.ports import MachineEntry, MachineList
 
