--- a/src/larkpost/standalone/blackboard/members.py
+++ b/src/larkpost/standalone/blackboard/members.py
@@ -94,7 +94,7 @@
         self._others[member.id] = member
         self.revision += 1
 
-    def put_own(
+    def update_own(
         self, incarnation: int, state: MemberState = MemberState.ALIVE, leaving: bool = False
     ) -> None:
         """Raises the daemon's own incarnation or state; leaving is never taken back."""
--- a/src/larkpost/standalone/controllers/membership.py
+++ b/src/larkpost/standalone/controllers/membership.py
@@ -85,12 +85,12 @@
 
     def announce_leaving(self) -> None:
         """Announces a planned stop: this daemon still answers and takes on nothing new."""
-        self._table.put_own(self._table.own.incarnation + 1, leaving=True)
+        self._table.update_own(self._table.own.incarnation + 1, leaving=True)
         self._spread(self._table.own.id)
 
     def leave(self) -> None:
         """Announces that this daemon leaves for good."""
-        self._table.put_own(self._table.own.incarnation, MemberState.LEFT)
+        self._table.update_own(self._table.own.incarnation, MemberState.LEFT)
         targets = self._table.alive_others()
         for target in self._rng.sample(targets, min(len(targets), 2 * EAGER_FANOUT)):
             self._gossip.send(target, pb.Envelope())
@@ -140,7 +140,7 @@
         if own.state == MemberState.LEFT or update.state == MemberState.ALIVE:
             return
         if update.incarnation >= own.incarnation:
-            self._table.put_own(update.incarnation + 1)
+            self._table.update_own(update.incarnation + 1)
             self._spread(own.id)
 
     def _adopt(self, update: MemberInfo) -> None:
