--- a/src/larkpost/standalone/controllers/ownership.py
+++ b/src/larkpost/standalone/controllers/ownership.py
@@ -62,13 +62,13 @@
         assigned = {info.id: info for info in self.assigned()}
         for engine in list(self._board.owned):
             if engine not in assigned:
-                self.give_up(engine)
+                self.release(engine)
         for engine, info in assigned.items():
             if engine not in self._board.owned:
                 await self._claim(info)
         self._telemetry.gauge("engines_owned", len(self._board.owned))
 
-    def give_up(self, engine: EngineId) -> None:
+    def release(self, engine: EngineId) -> None:
         """Forgets an engine that another daemon owns now."""
         self._board.owned.pop(engine, None)
         self._not_before[engine] = self._clock.now() + RECLAIM_DELAY
@@ -82,7 +82,7 @@
         if token is None:
             return
         if report.token > token:
-            self.give_up(report.engine)
+            self.release(report.engine)
         elif report.token < token or report.owner != self._board.members.own.id:
             self._board.owned.pop(report.engine)
 
--- a/src/larkpost/standalone/controllers/weights.py
+++ b/src/larkpost/standalone/controllers/weights.py
@@ -108,7 +108,7 @@
             await self._engines.order(address, order, self._settings.order_timeout)
             self._monitor.record_swapping(engine)
         except StaleTokenError:
-            self._ownership.give_up(engine)
+            self._ownership.release(engine)
         except EngineError:
             self._telemetry.count("swap_failures")
 
