--- a/src/larkpost/standalone/controllers/ownership.py
+++ b/src/larkpost/standalone/controllers/ownership.py
@@ -37,7 +37,7 @@
         self._clock = runtime.clock
         self._telemetry = runtime.telemetry
         self._settings = runtime.settings.engines
-        self._not_before: dict[EngineId, float] = {}
+        self._retry_at: dict[EngineId, float] = {}
         self._owners = OwnerMap(runtime.board)
         self._assigned: list[EngineInfo] = []
         self._assigned_at: tuple[int, int] = (-1, -1)
@@ -71,7 +71,7 @@
     def release(self, engine: EngineId) -> None:
         """Forgets an engine that another daemon owns now."""
         self._board.owned.pop(engine, None)
-        self._not_before[engine] = self._clock.now() + RECLAIM_DELAY
+        self._retry_at[engine] = self._clock.now() + RECLAIM_DELAY
 
     def check_report(self, report: EngineReport) -> None:
         """Gives an engine up if its report shows another owner, or that it has restarted.
@@ -87,7 +87,7 @@
             self._board.owned.pop(report.engine)
 
     async def _claim(self, info: EngineInfo) -> None:
-        if self._clock.now() < self._not_before.get(info.id, 0.0):
+        if self._clock.now() < self._retry_at.get(info.id, 0.0):
             return
         timeout = self._settings.report_timeout
         try:
@@ -98,10 +98,10 @@
             order = Order(OrderKind.CLAIM, self._board.members.own.id, token)
             await self._engines.order(info.address, order, timeout)
         except StaleTokenError:
-            self._not_before[info.id] = self._clock.now() + RECLAIM_DELAY
+            self._retry_at[info.id] = self._clock.now() + RECLAIM_DELAY
             return
         except EngineError:
-            self._not_before[info.id] = self._clock.now() + self._settings.report_interval
+            self._retry_at[info.id] = self._clock.now() + self._settings.report_interval
             return
         self._board.owned[info.id] = token
         self._board.engines.observe(load_from_report(report, self._clock.now()))
--- a/src/larkpost/standalone/controllers/weights.py
+++ b/src/larkpost/standalone/controllers/weights.py
@@ -47,7 +47,7 @@
         self._settings = runtime.settings.engines
         self._rng = runtime.rng
         self._failures: dict[EngineId, int] = {}
-        self._not_before: dict[EngineId, float] = {}
+        self._retry_at: dict[EngineId, float] = {}
 
     async def reconcile(self) -> None:
         """Orders each swap that is due."""
@@ -73,7 +73,7 @@
         if load.version >= target:
             self._failures.pop(engine, None)
             return False
-        if self._clock.now() < self._not_before.get(engine, 0.0):
+        if self._clock.now() < self._retry_at.get(engine, 0.0):
             return False
         return self._wave_has_begun(engine, pool, target)
 
@@ -117,4 +117,4 @@
         failures = self._failures.get(engine, 0)
         self._failures[engine] = failures + 1
         wait = min(RETRY_BASE * 2**failures, RETRY_LIMIT)
-        self._not_before[engine] = self._clock.now() + wait * self._rng.uniform(0.5, 1.0)
+        self._retry_at[engine] = self._clock.now() + wait * self._rng.uniform(0.5, 1.0)
