--- a/src/larkpost/standalone/batches/replication.py
+++ b/src/larkpost/standalone/batches/replication.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True)
-class Recovered:
+class RecoveredBatch:
     """What was found of a batch elsewhere."""
 
     spec: BatchSpec
@@ -121,7 +121,7 @@
         if member is not None:
             await self._send(member, spec, [], closed=True)
 
-    async def find(self, batch: BatchId) -> Recovered | None:
+    async def find(self, batch: BatchId) -> RecoveredBatch | None:
         """Looks for a batch at the likely standbys and takes it over from its owner."""
         payload = pb.BatchFetchRequest(id=batch).SerializeToString()
         candidates = self._candidates(batch)
@@ -138,7 +138,7 @@
                 known.append(last_state)
         samples = {s.slot: s for answer in known for s in answer.samples}
         decoded = [sample_from_message(message) for message in samples.values()]
-        return Recovered(spec_from_message(known[0].spec), decoded)
+        return RecoveredBatch(spec_from_message(known[0].spec), decoded)
 
     def _candidates(self, batch: BatchId) -> list[MemberInfo]:
         own = self._board.members.own
