--- a/src/larkpost/standalone/batches/open_batch.py
+++ b/src/larkpost/standalone/batches/open_batch.py
@@ -20,7 +20,7 @@
     """
 
     ledger: BatchLedger
-    touched: float
+    last_pull_at: float
     due_at: float
     runner: BatchRunner | None = None
     unreplicated: list[Sample] = field(default_factory=list)
--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -120,7 +120,7 @@
         with self._activity.request():
             batch = await self._find(call.batch)
             check_slots(batch.ledger.spec, call.held)
-            batch.touched = self._clock.now()
+            batch.last_pull_at = self._clock.now()
             self._announce_version(batch.ledger.spec, call.trainer_version)
             batch.ledger.record_trainer(call.trainer_version, call.held)
             await self._wait_for_samples(batch, call.wait)
@@ -163,7 +163,7 @@
         """Drops batches whose trainer has not pulled for long."""
         limit = self._clock.now() - self._settings.idle_timeout
         for batch_id, batch in list(self._batches.items()):
-            if batch.touched < limit:
+            if batch.last_pull_at < limit:
                 self._telemetry.change(f"batch.{batch_id}", "expired")
                 await self.close(batch_id)
 
