--- a/src/larkpost/standalone/batches/replication.py
+++ b/src/larkpost/standalone/batches/replication.py
@@ -38,7 +38,7 @@
 
     spec: BatchSpec
     owner: DaemonId
-    touched: float
+    last_update_at: float
     samples: dict[int, Sample] = field(default_factory=dict)
 
 
@@ -74,7 +74,7 @@
             replica = Replica(spec, owner, self._clock.now())
             self._replicas[batch] = replica
         replica.owner = owner
-        replica.touched = self._clock.now()
+        replica.last_update_at = self._clock.now()
         for sample in map(sample_from_message, message.samples):
             replica.samples.setdefault(sample.slot, sample)
 
@@ -85,8 +85,8 @@
     async def expire(self) -> None:
         """Drops copies that were not touched for long, and the oldest above the limit."""
         limit = self._clock.now() - self._lifetime
-        kept = [(b, r) for b, r in self._replicas.items() if r.touched >= limit]
-        kept.sort(key=lambda pair: pair[1].touched)
+        kept = [(b, r) for b, r in self._replicas.items() if r.last_update_at >= limit]
+        kept.sort(key=lambda pair: pair[1].last_update_at)
         self._replicas = dict(kept[-MAX_REPLICAS:])
 
 
