--- a/src/larkpost/standalone/batches/open_batch.py
+++ b/src/larkpost/standalone/batches/open_batch.py
@@ -25,4 +25,4 @@
     runner: BatchRunner | None = None
     unreplicated: list[Sample] = field(default_factory=list)
     changed: asyncio.Event = field(default_factory=asyncio.Event)
-    copied: bool = False
+    was_replicated: bool = False
--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -154,10 +154,12 @@
         """Copies newly finished samples to the standbys."""
         for batch in list(self._batches.values()):
             news, batch.unreplicated = batch.unreplicated, []
-            if (news or not batch.copied) and not await self._replicator.copy(batch.ledger, news):
+            if (news or not batch.was_replicated) and not await self._replicator.copy(
+                batch.ledger, news
+            ):
                 batch.unreplicated = news + batch.unreplicated
             else:
-                batch.copied = True
+                batch.was_replicated = True
 
     async def expire(self) -> None:
         """Drops batches whose trainer has not pulled for long."""
