--- a/src/larkpost/standalone/batches/replication.py
+++ b/src/larkpost/standalone/batches/replication.py
@@ -98,7 +98,7 @@
         self._transport = transport
         self._standbys: dict[BatchId, DaemonId] = {}
 
-    async def copy(self, ledger: BatchLedger, news: list[Sample]) -> bool:
+    async def copy_to_standby(self, ledger: BatchLedger, news: list[Sample]) -> bool:
         """Sends new samples to the standby; all of the batch if the standby has changed.
 
         Returns:
--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -154,7 +154,7 @@
         """Copies newly finished samples to the standbys."""
         for batch in list(self._batches.values()):
             news, batch.unreplicated = batch.unreplicated, []
-            if (news or not batch.was_replicated) and not await self._replicator.copy(
+            if (news or not batch.was_replicated) and not await self._replicator.copy_to_standby(
                 batch.ledger, news
             ):
                 batch.unreplicated = news + batch.unreplicated
