--- a/src/larkpost/standalone/batches/replication.py
+++ b/src/larkpost/standalone/batches/replication.py
@@ -114,7 +114,7 @@
         self._standbys.pop(spec.id, None)
         return False
 
-    async def drop(self, spec: BatchSpec) -> None:
+    async def drop_copy(self, spec: BatchSpec) -> None:
         """Has the standby drop its copy of a batch that is closed."""
         standby = self._standbys.pop(spec.id, None)
         member = self._board.members.get(standby) if standby is not None else None
--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -140,7 +140,7 @@
             known.runner.cancel_all()
         self._update_gauge()
         with self._activity.request():
-            await self._replicator.drop(known.ledger.spec)
+            await self._replicator.drop_copy(known.ledger.spec)
 
     async def schedule(self) -> None:
         """Starts samples of every batch, the one due first before the others."""
