--- a/src/larkpost/standalone/batches/replication.py
+++ b/src/larkpost/standalone/batches/replication.py
@@ -121,7 +121,7 @@
         if member is not None:
             await self._send(member, spec, [], closed=True)
 
-    async def find(self, batch: BatchId) -> RecoveredBatch | None:
+    async def recover(self, batch: BatchId) -> RecoveredBatch | None:
         """Looks for a batch at the likely standbys and takes it over from its owner."""
         payload = pb.BatchFetchRequest(id=batch).SerializeToString()
         candidates = self._candidates(batch)
--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -216,7 +216,7 @@
                 raise StoppingError("this daemon is stopping and nothing of the batch runs here")
             return batch
         self._readiness.check()
-        found = await self._replicator.find(batch_id)
+        found = await self._replicator.recover(batch_id)
         if batch_id in self._batches:
             return self._batches[batch_id]
         replica = self._replicas.get(batch_id)
