--- a/src/larkpost/standalone/batches/replication.py
+++ b/src/larkpost/standalone/batches/replication.py
@@ -98,7 +98,7 @@
         self._transport = transport
         self._standbys: dict[BatchId, DaemonId] = {}
 
-    async def copy_to_standby(self, ledger: BatchLedger, news: list[Sample]) -> bool:
+    async def copy_to_standby(self, ledger: BatchLedger, new_samples: list[Sample]) -> bool:
         """Sends new samples to the standby; all of the batch if the standby has changed.
 
         Returns:
@@ -107,7 +107,7 @@
         spec = ledger.spec
         for standby in self._candidates(spec.id):
             fresh = self._standbys.get(spec.id) != standby.id
-            samples = ledger.finished() if fresh else news
+            samples = ledger.finished() if fresh else new_samples
             if await self._send(standby, spec, samples, closed=False):
                 self._standbys[spec.id] = standby.id
                 return True
--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -153,11 +153,11 @@
     async def replicate(self) -> None:
         """Copies newly finished samples to the standbys."""
         for batch in list(self._batches.values()):
-            news, batch.unreplicated = batch.unreplicated, []
-            if (news or not batch.was_replicated) and not await self._replicator.copy_to_standby(
-                batch.ledger, news
-            ):
-                batch.unreplicated = news + batch.unreplicated
+            new_samples, batch.unreplicated = batch.unreplicated, []
+            if (
+                new_samples or not batch.was_replicated
+            ) and not await self._replicator.copy_to_standby(batch.ledger, new_samples):
+                batch.unreplicated = new_samples + batch.unreplicated
             else:
                 batch.was_replicated = True
 
