--- a/src/larkpost/standalone/controllers/facts.py
+++ b/src/larkpost/standalone/controllers/facts.py
@@ -54,18 +54,18 @@
         Returns:
             Whether any was new.
         """
-        news = self._merge(facts)
-        if 0 < len(news) <= MAX_PUSHED:
+        new_facts = self._merge(facts)
+        if 0 < len(new_facts) <= MAX_PUSHED:
             if not self._outgoing:
                 self._tasks.spawn(self._push(), "push-facts")
-            self._outgoing |= {fact.key: fact for fact in news}
-        return bool(news)
+            self._outgoing |= {fact.key: fact for fact in new_facts}
+        return bool(new_facts)
 
     def _merge(self, facts: Iterable[Fact]) -> list[Fact]:
-        news = [fact for fact in facts if self._board.facts.merge(fact)]
-        if news:
-            self._telemetry.count("facts_merged", len(news))
-        return news
+        new_facts = [fact for fact in facts if self._board.facts.merge(fact)]
+        if new_facts:
+            self._telemetry.count("facts_merged", len(new_facts))
+        return new_facts
 
     async def on_push(self, payload: bytes) -> bytes:
         """Merges pushed facts."""
