--- a/src/larkpost/standalone/controllers/directory.py
+++ b/src/larkpost/standalone/controllers/directory.py
@@ -59,8 +59,8 @@
             self._telemetry.change("platform.machines", "unreachable")
             return
         self._telemetry.change("platform.machines", "reachable")
-        news = [entry for entry in entries if self._is_newer(entry)]
-        self._dissemination.publish(*map(_machine_fact, news))
+        new_entries = [entry for entry in entries if self._is_newer(entry)]
+        self._dissemination.publish(*map(_machine_fact, new_entries))
 
     def _is_newer(self, entry: MachineEntry) -> bool:
         return entry.revision > self._board.facts.version(MACHINE_PREFIX + entry.engine)
