--- a/src/larkpost/standalone/controllers/membership.py
+++ b/src/larkpost/standalone/controllers/membership.py
@@ -57,7 +57,7 @@
         ]
         self._rng = runtime.rng
         self._updates: dict[DaemonId, int] = {}
-        self._news = 0
+        self._new_update_count = 0
         """Changes learned since the last eager datagrams."""
         self._probe_order: list[DaemonId] = []
         self._probes = 0
@@ -154,15 +154,17 @@
 
     def _spread(self, daemon: DaemonId) -> None:
         self._updates[daemon] = RETRANSMIT_FACTOR * math.ceil(math.log2(len(self._table) + 2))
-        self._news += 1
-        if self._news == 1:
+        self._new_update_count += 1
+        if self._new_update_count == 1:
             self._tasks.spawn(self._send_eagerly(), "membership-news")
 
     async def _send_eagerly(self) -> None:
         """Passes on what is new, gathered for a moment: a lost zone is many changes at once."""
         await self._clock.sleep(self._settings.probe_interval / GATHERING_DIVISOR)
-        datagrams = min(math.ceil(self._news / UPDATES_PER_DATAGRAM), MAX_EAGER_DATAGRAMS)
-        self._news = 0
+        datagrams = min(
+            math.ceil(self._new_update_count / UPDATES_PER_DATAGRAM), MAX_EAGER_DATAGRAMS
+        )
+        self._new_update_count = 0
         targets = self._table.alive_others()
         for target in self._rng.sample(targets, min(len(targets), EAGER_FANOUT)):
             for _ in range(datagrams):
