--- a/src/larkpost/standalone/batches/ledger.py
+++ b/src/larkpost/standalone/batches/ledger.py
@@ -165,7 +165,7 @@
         self._pending.pop(sample.slot, None)
         return True
 
-    def record_trainer(self, version: int, held: Iterable[int]) -> None:
+    def record_trainer_state(self, version: int, held: Iterable[int]) -> None:
         """Records what a pull says of the trainer: its version and the slots it has."""
         self.trainer_version = max(self.trainer_version, version)
         for slot in held:
--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -100,7 +100,7 @@
         if known is not None:
             if known.ledger.spec != spec:
                 raise BatchConflictError(f"batch {spec.id!r} is open with another content")
-            known.ledger.record_trainer(spec.policy_version, held)
+            known.ledger.record_trainer_state(spec.policy_version, held)
             return
         if len(self._batches) >= self._settings.max_batches:
             raise OverloadedError(
@@ -122,7 +122,7 @@
             check_slots(batch.ledger.spec, call.held)
             batch.last_pull_at = self._clock.now()
             self._announce_version(batch.ledger.spec, call.trainer_version)
-            batch.ledger.record_trainer(call.trainer_version, call.held)
+            batch.ledger.record_trainer_state(call.trainer_version, call.held)
             await self._wait_for_samples(batch, call.wait)
             return self._build_page(batch, call)
 
@@ -195,7 +195,7 @@
         ledger = BatchLedger(spec, self._settings.longest_first)
         now = self._clock.now()
         batch = OpenBatch(ledger, now, now + spec.due if spec.due > 0 else math.inf)
-        ledger.record_trainer(spec.policy_version, held)
+        ledger.record_trainer_state(spec.policy_version, held)
         for sample in samples:
             ledger.finish(sample)
 
