--- a/src/larkpost/standalone/blackboard/engines.py
+++ b/src/larkpost/standalone/blackboard/engines.py
@@ -67,7 +67,7 @@
         self.directory[info.id] = info
         self.revision += 1
 
-    def observe(self, load: EngineLoad) -> None:
+    def record_load(self, load: EngineLoad) -> None:
         """Stores a report unless a later one is known."""
         known = self.loads.get(load.engine)
         if known is None or load.at >= known.at:
--- a/src/larkpost/standalone/controllers/monitor.py
+++ b/src/larkpost/standalone/controllers/monitor.py
@@ -89,7 +89,7 @@
         self._telemetry.change(f"engine.{info.id}.report", "reachable")
         load = load_from_report(report, self._clock.now())
         known = self._board.engines.loads.get(info.id)
-        self._board.engines.observe(load)
+        self._board.engines.record_load(load)
         self._ownership.check_report(report)
         if info.id in self._board.owned and known is not None and known.version != load.version:
             self._push(info.id)
@@ -194,7 +194,7 @@
     def _on_load(self, envelope: pb.Envelope) -> None:
         now = self._clock.now()
         for message in envelope.load.engines:
-            self._board.engines.observe(_load_from_message(message, now))
+            self._board.engines.record_load(_load_from_message(message, now))
 
 
 def _load_message(load: EngineLoad, now: float) -> pb.EngineLoad:
--- a/src/larkpost/standalone/controllers/ownership.py
+++ b/src/larkpost/standalone/controllers/ownership.py
@@ -104,7 +104,7 @@
             self._retry_at[info.id] = self._clock.now() + self._settings.report_interval
             return
         self._board.owned[info.id] = token
-        self._board.engines.observe(load_from_report(report, self._clock.now()))
+        self._board.engines.record_load(load_from_report(report, self._clock.now()))
         self._telemetry.count("claims")
 
     def _next_token(self, engine: EngineId, report: EngineReport) -> int:
