--- a/src/larkpost/standalone/blackboard/engines.py
+++ b/src/larkpost/standalone/blackboard/engines.py
@@ -81,7 +81,7 @@
         reported = load is not None and load.leaving
         return listed or reported or engine in self.draining
 
-    def begin(self, engine: EngineId) -> None:
+    def begin_attempt(self, engine: EngineId) -> None:
         """Counts an attempt in flight."""
         self.in_flight[engine] = self.in_flight.get(engine, 0) + 1
 
--- a/src/larkpost/standalone/routing/dispatcher.py
+++ b/src/larkpost/standalone/routing/dispatcher.py
@@ -153,7 +153,7 @@
             return
         self._budgets.earn(_engine_key(engine))
         self._telemetry.count("dispatches", kind=work.work_class)
-        self._board.engines.begin(engine)
+        self._board.engines.begin_attempt(engine)
         try:
             async with aclosing(self._receive(work, engine, request, progress)) as runs:
                 async for run in runs:
