--- a/src/larkpost/standalone/blackboard/engines.py
+++ b/src/larkpost/standalone/blackboard/engines.py
@@ -85,7 +85,7 @@
         """Counts an attempt in flight."""
         self.in_flight[engine] = self.in_flight.get(engine, 0) + 1
 
-    def end(self, engine: EngineId) -> None:
+    def end_attempt(self, engine: EngineId) -> None:
         """Ends an attempt in flight."""
         self.in_flight[engine] -= 1
 
--- a/src/larkpost/standalone/routing/dispatcher.py
+++ b/src/larkpost/standalone/routing/dispatcher.py
@@ -161,7 +161,7 @@
         except EngineError as error:
             self._record_failure(engine, work, progress, error)
         finally:
-            self._board.engines.end(engine)
+            self._board.engines.end_attempt(engine)
             if not progress.finished:
                 self._tasks.spawn(self._cancel(engine, request.attempt), "cancel-attempt")
 
