--- a/src/larkpost/standalone/blackboard/engines.py
+++ b/src/larkpost/standalone/blackboard/engines.py
@@ -19,7 +19,7 @@
     id: EngineId
     zone: ZoneId
     address: Address
-    label_pool: PoolId
+    default_pool: PoolId
     leaving: bool = False
 
 
--- a/src/larkpost/standalone/config/plan.py
+++ b/src/larkpost/standalone/config/plan.py
@@ -77,7 +77,7 @@
 
 def pool_of(engine: EngineInfo, assigned: dict[EngineId, PoolId]) -> PoolId:
     """Returns the engine's pool: the intent's assignment, else the machine list's label."""
-    return assigned.get(engine.id, engine.label_pool)
+    return assigned.get(engine.id, engine.default_pool)
 
 
 def _engine_actions(
