--- a/src/larkpost/standalone/blackboard/facts.py
+++ b/src/larkpost/standalone/blackboard/facts.py
@@ -58,7 +58,7 @@
         """Returns every fact."""
         return self._facts.values()
 
-    def listen(self, prefix: str, listener: FactListener) -> None:
+    def add_listener(self, prefix: str, listener: FactListener) -> None:
         """Calls ``listener`` on each newer fact whose key starts with ``prefix``."""
         self._listeners.append((prefix, listener))
 
--- a/src/larkpost/standalone/controllers/configuration.py
+++ b/src/larkpost/standalone/controllers/configuration.py
@@ -74,7 +74,7 @@
         self._settings = runtime.settings.configuration
         self._activity = runtime.activity
         self._last_read = float("-inf")
-        runtime.board.facts.listen(CONFIGURATION_KEY, self._apply)
+        runtime.board.facts.add_listener(CONFIGURATION_KEY, self._apply)
 
     async def poll(self) -> None:
         """Reads the row when it is this daemon's turn."""
--- a/src/larkpost/standalone/controllers/directory.py
+++ b/src/larkpost/standalone/controllers/directory.py
@@ -35,9 +35,9 @@
         self._telemetry = runtime.telemetry
         self._settings = runtime.settings.configuration
         self._polls = 0
-        runtime.board.facts.listen(MACHINE_PREFIX, self._on_machine)
-        runtime.board.facts.listen(DRAIN_PREFIX, self._on_drain)
-        runtime.board.facts.listen(POLICY_PREFIX, self._on_policy)
+        runtime.board.facts.add_listener(MACHINE_PREFIX, self._on_machine)
+        runtime.board.facts.add_listener(DRAIN_PREFIX, self._on_drain)
+        runtime.board.facts.add_listener(POLICY_PREFIX, self._on_policy)
 
     async def poll(self) -> None:
         """Reads the zone's machines if this daemon is on duty, and now and then all machines.
