--- a/src/larkpost/standalone/routing/dispatcher.py
+++ b/src/larkpost/standalone/routing/dispatcher.py
@@ -132,8 +132,8 @@
 
     async def _probe(self, work: Work, progress: Progress) -> None:
         """Asks engines whose report is too old, so that a dead owner does not stop traffic."""
-        stale = self._selector.stale(work.pool, progress.excluded)
-        for engine in self._rng.sample(stale, min(len(stale), MAX_PROBES)):
+        stale_engines = self._selector.stale_engines(work.pool, progress.excluded)
+        for engine in self._rng.sample(stale_engines, min(len(stale_engines), MAX_PROBES)):
             info = self._board.engines.directory[engine]
             if await self._monitor.ask(info) is not None:
                 return
--- a/src/larkpost/standalone/routing/selection.py
+++ b/src/larkpost/standalone/routing/selection.py
@@ -64,7 +64,7 @@
                 found.append(self._weigh(engine, engine in slow))
         return found
 
-    def stale(self, pool: PoolId, excluded: Collection[EngineId]) -> list[EngineId]:
+    def stale_engines(self, pool: PoolId, excluded: Collection[EngineId]) -> list[EngineId]:
         """Returns the pool's engines that need to be asked before they may be used."""
         now = self._clock.now()
         return [
