--- a/src/larkpost/standalone/controllers/monitor.py
+++ b/src/larkpost/standalone/controllers/monitor.py
@@ -50,7 +50,7 @@
         gossip.handle("subscribe", self._on_subscribe)
         gossip.handle("load", self._on_load)
 
-    def watched(self, pool: PoolId) -> list[EngineId]:
+    def watched_engines(self, pool: PoolId) -> list[EngineId]:
         """Returns the engines of a pool that this daemon chooses from."""
         board = self._board
         key = (board.configuration.epoch, board.engines.revision, board.members.revision)
@@ -128,7 +128,7 @@
         own = self._board.members.own.id
         wanted: set[tuple[str, PoolId]] = set()
         for pool in self._pools():
-            for engine in self.watched(pool):
+            for engine in self.watched_engines(pool):
                 owner = self._ownership.owner_of(self._board.engines.directory[engine])
                 if owner is not None and owner != own:
                     wanted.add((owner, pool))
--- a/src/larkpost/standalone/routing/selection.py
+++ b/src/larkpost/standalone/routing/selection.py
@@ -54,10 +54,10 @@
     def candidates(self, work: Work, excluded: Collection[EngineId]) -> list[Candidate]:
         """Returns every engine that may take the work now."""
         now = self._clock.now()
-        watched = self._monitor.watched(work.pool)
-        slow = self._board.engines.speeds.stragglers(watched, now)
+        watched_engines = self._monitor.watched_engines(work.pool)
+        slow = self._board.engines.speeds.stragglers(watched_engines, now)
         found = []
-        for engine in watched:
+        for engine in watched_engines:
             if engine in excluded or not self._may_use(engine, now):
                 continue
             if self._fresh(engine, now) and self._admits(work, self._board.engines.loads[engine]):
@@ -69,7 +69,7 @@
         now = self._clock.now()
         return [
             engine
-            for engine in self._monitor.watched(pool)
+            for engine in self._monitor.watched_engines(pool)
             if engine not in excluded
             and self._may_use(engine, now)
             and not self._fresh(engine, now)
