--- a/src/larkpost/standalone/controllers/monitor.py
+++ b/src/larkpost/standalone/controllers/monitor.py
@@ -64,7 +64,7 @@
     async def report_owned(self) -> None:
         """Asks every owned engine for its report."""
         owned = [self._board.engines.directory[engine] for engine in self._board.owned]
-        await asyncio.gather(*(self.ask(info) for info in owned))
+        await asyncio.gather(*(self.poll_engine(info) for info in owned))
 
     async def report_swapping(self) -> None:
         """Asks the owned engines that are swapping, often, so that a done swap is used at once."""
@@ -75,9 +75,9 @@
             if engine in loads and loads[engine].swapping
         ]
         if swapping:
-            await asyncio.gather(*(self.ask(info) for info in swapping))
+            await asyncio.gather(*(self.poll_engine(info) for info in swapping))
 
-    async def ask(self, info: EngineInfo) -> EngineLoad | None:
+    async def poll_engine(self, info: EngineInfo) -> EngineLoad | None:
         """Asks one engine for its report; None if it does not answer or is another engine."""
         try:
             report = await self._engines.report(info.address, self._settings.report_timeout)
--- a/src/larkpost/standalone/routing/dispatcher.py
+++ b/src/larkpost/standalone/routing/dispatcher.py
@@ -135,7 +135,7 @@
         stale_engines = self._selector.stale_engines(work.pool, progress.excluded)
         for engine in self._rng.sample(stale_engines, min(len(stale_engines), MAX_PROBES)):
             info = self._board.engines.directory[engine]
-            if await self._monitor.ask(info) is not None:
+            if await self._monitor.poll_engine(info) is not None:
                 return
             self._board.engines.avoid(engine, self._clock.now() + self._settings.avoid_time)
 
