--- a/src/larkpost/standalone/controllers/monitor.py
+++ b/src/larkpost/standalone/controllers/monitor.py
@@ -61,7 +61,7 @@
             self._watched[pool] = self._choose_watched(pool)
         return self._watched[pool]
 
-    async def report_owned(self) -> None:
+    async def poll_owned_engines(self) -> None:
         """Asks every owned engine for its report."""
         owned = [self._board.engines.directory[engine] for engine in self._board.owned]
         await asyncio.gather(*(self.poll_engine(info) for info in owned))
--- a/src/larkpost/standalone/daemon.py
+++ b/src/larkpost/standalone/daemon.py
@@ -116,7 +116,7 @@
         every(poll, self.directory.poll, "directory")
         every(REFRESH_INTERVAL, self.readiness.refresh, "readiness")
         every(CONTROL_INTERVAL, self.ownership.reconcile, "ownership")
-        every(engines.report_interval, self.monitor.report_owned, "reports")
+        every(engines.report_interval, self.monitor.poll_owned_engines, "reports")
         every(engines.report_interval, self.monitor.push_summaries, "summaries")
         every(SUBSCRIBE_INTERVAL, self.monitor.subscribe, "subscriptions")
         every(SWAP_INTERVAL, self.weights.reconcile, "weights")
