--- a/src/larkpost/standalone/controllers/monitor.py
+++ b/src/larkpost/standalone/controllers/monitor.py
@@ -66,7 +66,7 @@
         owned = [self._board.engines.directory[engine] for engine in self._board.owned]
         await asyncio.gather(*(self.poll_engine(info) for info in owned))
 
-    async def report_swapping(self) -> None:
+    async def poll_swapping_engines(self) -> None:
         """Asks the owned engines that are swapping, often, so that a done swap is used at once."""
         loads = self._board.engines.loads
         swapping = [
--- a/src/larkpost/standalone/daemon.py
+++ b/src/larkpost/standalone/daemon.py
@@ -120,7 +120,7 @@
         every(engines.report_interval, self.monitor.push_summaries, "summaries")
         every(SUBSCRIBE_INTERVAL, self.monitor.subscribe, "subscriptions")
         every(SWAP_INTERVAL, self.weights.reconcile, "weights")
-        every(SWAP_INTERVAL, self.monitor.report_swapping, "swap-reports")
+        every(SWAP_INTERVAL, self.monitor.poll_swapping_engines, "swap-reports")
         every(SCHEDULE_INTERVAL, self.batches.schedule, "schedule")
         every(self.settings.batches.replicate_interval, self.batches.replicate, "replication")
         every(EXPIRE_INTERVAL, self.batches.expire, "expiry")
