--- a/src/larkpost/standalone/controllers/configuration.py
+++ b/src/larkpost/standalone/controllers/configuration.py
@@ -115,7 +115,7 @@
         asked_at = self._clock.now()
         own = self._board.members.own
         others = [m for m in self._readiness.known_members(own.zone) if m.id != own.id]
-        answers = await asyncio.gather(*(self._readiness.ask_state(m) for m in others))
+        answers = await asyncio.gather(*(self._readiness.fetch_state(m) for m in others))
         ready = [
             (member, answer)
             for member, answer in zip(others, answers, strict=True)
@@ -232,7 +232,7 @@
     async def _has_epoch(self, member: MemberInfo, epoch: int) -> bool:
         if member.id == self._board.members.own.id:
             return self._board.configuration.epoch >= epoch
-        state = await self._readiness.ask_state(member)
+        state = await self._readiness.fetch_state(member)
         return state is not None and state.epoch >= epoch
 
 
--- a/src/larkpost/standalone/controllers/readiness.py
+++ b/src/larkpost/standalone/controllers/readiness.py
@@ -115,7 +115,7 @@
             return True
         return self._clock.now() - member.since < self._settings.lost_grace
 
-    async def ask_state(self, member: MemberInfo) -> pb.ConfigurationStateReply | None:
+    async def fetch_state(self, member: MemberInfo) -> pb.ConfigurationStateReply | None:
         """Asks a daemon for its epoch; None if it does not answer."""
         try:
             answer = await self._transport.request(
@@ -132,7 +132,7 @@
 
     async def _verify_with(self, peer: MemberInfo) -> None:
         asked_at = self._clock.now()
-        state = await self.ask_state(peer)
+        state = await self.fetch_state(peer)
         if state is None or not state.ready:
             return
         if state.epoch > self._board.configuration.epoch:
