--- a/src/larkpost/standalone/controllers/membership.py
+++ b/src/larkpost/standalone/controllers/membership.py
@@ -200,7 +200,7 @@
         target = self._next_target()
         if target is None:
             return
-        if await self._prober.is_alive(target):
+        if await self._prober.probe(target):
             return
         known = self._table.get(target.id)
         if known is not None and known.state == MemberState.ALIVE and _is_unchanged(known, target):
--- a/src/larkpost/standalone/controllers/probing.py
+++ b/src/larkpost/standalone/controllers/probing.py
@@ -38,7 +38,7 @@
         gossip.handle("ack", self._on_ack)
         gossip.handle("ping_request", self._on_ping_request)
 
-    async def is_alive(self, target: MemberInfo) -> bool:
+    async def probe(self, target: MemberInfo) -> bool:
         """Returns whether a daemon answers, to this daemon or to its helpers."""
         return await self._ping(target) or await self._ping_by_helpers(target)
 
