--- a/src/larkpost/standalone/controllers/gossip.py
+++ b/src/larkpost/standalone/controllers/gossip.py
@@ -29,7 +29,7 @@
         self.compare_digest: Callable[[DaemonId, int], None] = lambda _d, _n: None
         """Set by the fact controller: compares a peer's digest."""
 
-    def handle(self, body: str, handler: BodyHandler) -> None:
+    def register_handler(self, body: str, handler: BodyHandler) -> None:
         """Registers the handler of a body kind; None as body is an envelope without one."""
         self._handlers[body] = handler
 
--- a/src/larkpost/standalone/controllers/monitor.py
+++ b/src/larkpost/standalone/controllers/monitor.py
@@ -47,8 +47,8 @@
         self._watched: dict[PoolId, list[EngineId]] = {}
         self._remote: dict[PoolId, tuple[tuple[int, int, int], list[EngineId]]] = {}
         self._watched_at: tuple[int, int, int] = (-1, -1, -1)
-        gossip.handle("subscribe", self._on_subscribe)
-        gossip.handle("load", self._on_load)
+        gossip.register_handler("subscribe", self._on_subscribe)
+        gossip.register_handler("load", self._on_load)
 
     def watched_engines(self, pool: PoolId) -> list[EngineId]:
         """Returns the engines of a pool that this daemon chooses from."""
--- a/src/larkpost/standalone/controllers/probing.py
+++ b/src/larkpost/standalone/controllers/probing.py
@@ -34,9 +34,9 @@
         self._waiting: dict[int, asyncio.Event] = {}
         self._relayed: dict[int, tuple[MemberInfo, int]] = {}
         """The origin of each relayed probe, and its own number for it."""
-        gossip.handle("ping", self._on_ping)
-        gossip.handle("ack", self._on_ack)
-        gossip.handle("ping_request", self._on_ping_request)
+        gossip.register_handler("ping", self._on_ping)
+        gossip.register_handler("ack", self._on_ack)
+        gossip.register_handler("ping_request", self._on_ping_request)
 
     async def probe(self, target: MemberInfo) -> bool:
         """Returns whether a daemon answers, to this daemon or to its helpers."""
