--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -24,7 +24,7 @@
 from larkpost.standalone.batches.replication import Replication, encode_fetch_reply
 from larkpost.standalone.batches.runner import BatchRunner
 from larkpost.standalone.blackboard.board import Phase
-from larkpost.standalone.controllers.directory import InstanceDirectory
+from larkpost.standalone.controllers.directory import EngineDirectory
 from larkpost.standalone.controllers.readiness import Readiness
 from larkpost.standalone.runtime import Runtime
 from larkpost.standalone.wire import larkpost_pb2 as pb
@@ -62,7 +62,7 @@
     def __init__(
         self,
         runtime: Runtime,
-        directory: InstanceDirectory,
+        directory: EngineDirectory,
         replication: Replication,
         make_runner: RunnerFactory,
         readiness: Readiness,
--- a/src/larkpost/standalone/controllers/directory.py
+++ b/src/larkpost/standalone/controllers/directory.py
@@ -19,7 +19,7 @@
 """Every so many polls the whole machine list is read in place of the zone's."""
 
 
-class InstanceDirectory:
+class EngineDirectory:
     """Keeps the blackboard's engine directory, drain marks and policy versions."""
 
     def __init__(
--- a/src/larkpost/standalone/daemon.py
+++ b/src/larkpost/standalone/daemon.py
@@ -18,7 +18,7 @@
 from larkpost.standalone.blackboard.board import Blackboard, Phase
 from larkpost.standalone.blackboard.members import MemberInfo, MemberTable
 from larkpost.standalone.controllers.configuration import ConfigurationController
-from larkpost.standalone.controllers.directory import InstanceDirectory
+from larkpost.standalone.controllers.directory import EngineDirectory
 from larkpost.standalone.controllers.facts import Dissemination
 from larkpost.standalone.controllers.gossip import Gossip
 from larkpost.standalone.controllers.membership import Membership
@@ -153,7 +153,7 @@
         self.configuration = ConfigurationController(
             runtime, ports.table, self.dissemination, self.readiness
         )
-        self.directory = InstanceDirectory(runtime, ports.machines, self.dissemination)
+        self.directory = EngineDirectory(runtime, ports.machines, self.dissemination)
 
     def _build_engines(self) -> None:
         runtime, engines = self._runtime, self._ports.engines
