--- a/src/larkpost/standalone/routing/dispatcher.py
+++ b/src/larkpost/standalone/routing/dispatcher.py
@@ -30,7 +30,7 @@
     EngineRefusedError,
     GenerateRequest,
 )
-from larkpost.standalone.routing.progress import Progress, check_chunk
+from larkpost.standalone.routing.progress import Progress, apply_chunk
 from larkpost.standalone.routing.retry import RetryBudgets, backoff
 from larkpost.standalone.routing.selection import Selector
 from larkpost.standalone.routing.work import TokenRun, Work, WorkClass
@@ -193,7 +193,7 @@
             try:
                 async with aclosing(stream):
                     async for chunk in stream:
-                        run = check_chunk(chunk, request, progress)
+                        run = apply_chunk(chunk, request, progress)
                         last_chunk_at = self._record_speed(engine, run, last_chunk_at)
                         if run.tokens:
                             yield run
--- a/src/larkpost/standalone/routing/progress.py
+++ b/src/larkpost/standalone/routing/progress.py
@@ -34,7 +34,7 @@
         return Ran.UNKNOWN if self.uncertain else Ran.NO
 
 
-def check_chunk(chunk: EngineChunk, request: GenerateRequest, progress: Progress) -> TokenRun:
+def apply_chunk(chunk: EngineChunk, request: GenerateRequest, progress: Progress) -> TokenRun:
     """Adds a chunk to the progress and returns what is new in it.
 
     Raises:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -27,7 +27,7 @@
     """Point 1: stamps the whole answer with the version of its first chunk."""
     from larkpost.standalone.routing import dispatcher
 
-    original = dispatcher.check_chunk
+    original = dispatcher.apply_chunk
     first: dict[str, int] = {}
 
     def check(chunk, request, progress):
@@ -61,7 +61,7 @@
     """Point 4: does not compare the attempt that a chunk names."""
     from larkpost.standalone.routing import dispatcher
 
-    original = dispatcher.check_chunk
+    original = dispatcher.apply_chunk
     return mock.patch.object(
         dispatcher,
         "check_chunk",
