--- a/src/larkpost/standalone/routing/run_once.py
+++ b/src/larkpost/standalone/routing/run_once.py
@@ -21,7 +21,7 @@
 ROW_PREFIX = "run-once/"
 REMOTE_TIMEOUT = 1.0
 """Seconds to wait for the daemon that issued a ticket."""
-MAX_CONSUMED = 1_000_000
+MAX_OPEN_TICKETS = 1_000_000
 """Tickets after whose number an older one counts as used."""
 
 
@@ -79,7 +79,7 @@
         """Issues a ticket; the oldest open one is dropped when too many were never used."""
         self._issued += 1
         self._open.add(self._issued)
-        self._open.discard(self._issued - MAX_CONSUMED)
+        self._open.discard(self._issued - MAX_OPEN_TICKETS)
         return Ticket(self._board.members.own.id, self._born, self._issued)
 
     async def claim(self, key: str) -> None:
