--- a/src/larkpost/standalone/documents.py
+++ b/src/larkpost/standalone/documents.py
@@ -5,7 +5,7 @@
 import orjson
 
 
-def read_fields(content: bytes) -> dict[str, Any]:
+def parse_json_object(content: bytes) -> dict[str, Any]:
     """Returns the fields of a JSON object.
 
     Raises:
--- a/src/larkpost/standalone/engines/http_adapter.py
+++ b/src/larkpost/standalone/engines/http_adapter.py
@@ -12,7 +12,7 @@
 import orjson
 
 from larkpost.common.ids import Address, AttemptId, DaemonId, EngineId
-from larkpost.standalone.documents import read_fields
+from larkpost.standalone.documents import parse_json_object
 from larkpost.standalone.engines.port import (
     EngineBrokenError,
     EngineChunk,
@@ -106,7 +106,7 @@
         url = f"http://{address}/v1/report"
         try:
             async with self._session.get(url, timeout=_total(timeout)) as response:
-                fields = read_fields(await response.read())
+                fields = parse_json_object(await response.read())
             return _parse_report(fields)
         except NETWORK_ERRORS as error:
             raise EngineBrokenError(repr(error)) from error
@@ -119,7 +119,7 @@
             async with self._session.post(
                 url, data=orjson.dumps(order), timeout=_total(timeout)
             ) as response:
-                fields = read_fields(await response.read())
+                fields = parse_json_object(await response.read())
         except (*NETWORK_ERRORS, ValueError) as error:
             raise EngineBrokenError(repr(error)) from error
         if response.status == 412:
@@ -144,7 +144,7 @@
         return
     content = await response.read()
     try:
-        fields = read_fields(content)
+        fields = parse_json_object(content)
     except ValueError:
         fields = {}
     named = fields.get("attempt") == attempt
@@ -160,7 +160,7 @@
         *lines, rest = (rest + data).split(b"\n")
         try:
             chunks = [
-                _parse_chunk(read_fields(line[len(EVENT_PREFIX) :]))
+                _parse_chunk(parse_json_object(line[len(EVENT_PREFIX) :]))
                 for line in lines
                 if line.startswith(EVENT_PREFIX)
             ]
--- a/src/larkpost/standalone/table_service/http_adapter.py
+++ b/src/larkpost/standalone/table_service/http_adapter.py
@@ -8,7 +8,7 @@
 
 from larkpost.common.errors import PlatformError
 from larkpost.common.ids import Address, EngineId, PoolId, ZoneId
-from larkpost.standalone.documents import read_fields
+from larkpost.standalone.documents import parse_json_object
 from larkpost.standalone.table_service.ports import MachineEntry, Row
 
 NETWORK_ERRORS = (aiohttp.ClientError, TimeoutError, OSError, ValueError, KeyError)
@@ -56,7 +56,7 @@
                 content = await response.read()
                 if response.status != 200:
                     raise PlatformError(f"{verb} {path}: status {response.status}")
-                return read_fields(content)
+                return parse_json_object(content)
         except NETWORK_ERRORS as error:
             raise PlatformError(f"{verb} {path}: {error!r}") from error
 
