--- a/src/larkpost/standalone/batches/replication.py
+++ b/src/larkpost/standalone/batches/replication.py
@@ -20,7 +20,7 @@
 )
 from larkpost.standalone.blackboard.board import Blackboard
 from larkpost.standalone.blackboard.members import MemberInfo
-from larkpost.standalone.rendezvous import ranked
+from larkpost.standalone.rendezvous import rank_members
 from larkpost.standalone.wire import larkpost_pb2 as pb
 from larkpost.standalone.wire.peer import PeerError, PeerMethod, PeerTransport
 
@@ -142,7 +142,7 @@
 
     def _candidates(self, batch: BatchId) -> list[MemberInfo]:
         own = self._board.members.own
-        others = ranked((m for m in self._board.members.eligible() if m.id != own.id), batch)
+        others = rank_members((m for m in self._board.members.eligible() if m.id != own.id), batch)
         remote = [member for member in others if member.zone != own.zone]
         local = [member for member in others if member.zone == own.zone]
         return (remote + local)[:STANDBY_CANDIDATES]
--- a/src/larkpost/standalone/rendezvous.py
+++ b/src/larkpost/standalone/rendezvous.py
@@ -13,7 +13,7 @@
     return hash64(f"{node}\x00{key}")
 
 
-def ranked(members: Iterable[MemberInfo], key: str) -> list[MemberInfo]:
+def rank_members(members: Iterable[MemberInfo], key: str) -> list[MemberInfo]:
     """Returns the members, the first choice for ``key`` first."""
     return sorted(members, key=lambda member: score(member.id, key), reverse=True)
 
