--- a/src/larkpost/standalone/batches/runner.py
+++ b/src/larkpost/standalone/batches/runner.py
@@ -161,7 +161,7 @@
                 async for run in runs:
                     answer.append(run)
         except LarkpostError as error:
-            self._telemetry.change(f"batch.{self.ledger.spec.id}.failure", error.code)
+            self._telemetry.log_state(f"batch.{self.ledger.spec.id}.failure", error.code)
         else:
             self._finish(attempt)
         finally:
--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -166,7 +166,7 @@
         limit = self._clock.now() - self._settings.idle_timeout
         for batch_id, batch in list(self._batches.items()):
             if batch.last_pull_at < limit:
-                self._telemetry.change(f"batch.{batch_id}", "expired")
+                self._telemetry.log_state(f"batch.{batch_id}", "expired")
                 await self.close(batch_id)
 
     async def on_replicate(self, payload: bytes) -> bytes:
@@ -226,7 +226,7 @@
         spec = found.spec if found is not None else replica.spec if replica is not None else None
         if spec is None:
             raise UnknownBatchError(f"batch {batch_id!r} is not known")
-        self._telemetry.change(f"batch.{batch_id}", "taken over", samples=len(samples))
+        self._telemetry.log_state(f"batch.{batch_id}", "taken over", samples=len(samples))
         return self._adopt(spec, samples, ())
 
     def _is_handed_over(self, batch: OpenBatch) -> bool:
@@ -237,7 +237,7 @@
         batch = self._batches.pop(batch_id)
         batch.runner.cancel_all()
         batch.changed.set()
-        self._telemetry.change(f"batch.{batch_id}", "given up")
+        self._telemetry.log_state(f"batch.{batch_id}", "given up")
         self._update_gauge()
 
     async def _wait_for_samples(self, batch: OpenBatch, wait: float | None) -> None:
--- a/src/larkpost/standalone/controllers/configuration.py
+++ b/src/larkpost/standalone/controllers/configuration.py
@@ -96,9 +96,9 @@
             row = await self._table.read(CONFIGURATION_KEY, self._settings.platform_timeout)
         except PlatformError:
             self._telemetry.count("platform_errors", kind="table")
-            self._telemetry.change("platform.table", "unreachable")
+            self._telemetry.log_state("platform.table", "unreachable")
             return False
-        self._telemetry.change("platform.table", "reachable")
+        self._telemetry.log_state("platform.table", "reachable")
         self._take(row)
         self._readiness.record_verified(asked_at)
         return True
@@ -205,7 +205,7 @@
         state.intent = row.intent
         state.plan_id = row.plan_id
         self._telemetry.gauge("configuration_epoch", fact.version)
-        self._telemetry.change("configuration", f"epoch {fact.version}", plan=row.plan_id)
+        self._telemetry.log_state("configuration", f"epoch {fact.version}", plan=row.plan_id)
 
     async def _wait_in_force(self, epoch: int) -> set[ZoneId]:
         deadline = self._clock.now() + IN_FORCE_WAIT
--- a/src/larkpost/standalone/controllers/directory.py
+++ b/src/larkpost/standalone/controllers/directory.py
@@ -56,9 +56,9 @@
             entries = await self._machines.entries(zone, self._settings.platform_timeout)
         except PlatformError:
             self._telemetry.count("platform_errors", kind="machines")
-            self._telemetry.change("platform.machines", "unreachable")
+            self._telemetry.log_state("platform.machines", "unreachable")
             return
-        self._telemetry.change("platform.machines", "reachable")
+        self._telemetry.log_state("platform.machines", "reachable")
         new_entries = [entry for entry in entries if self._is_newer(entry)]
         self._dissemination.publish(*map(_machine_fact, new_entries))
 
@@ -93,18 +93,18 @@
         )
         self._board.engines.put(info)
         if info.leaving:
-            self._telemetry.change(f"engine.{info.id}", "leaving", source="machine list")
+            self._telemetry.log_state(f"engine.{info.id}", "leaving", source="machine list")
 
     def _on_drain(self, fact: Fact) -> None:
         engine = EngineId(fact.key.removeprefix(DRAIN_PREFIX))
         self._board.engines.draining.add(engine)
-        self._telemetry.change(f"engine.{engine}", "leaving", source="operator")
+        self._telemetry.log_state(f"engine.{engine}", "leaving", source="operator")
 
     def _on_policy(self, fact: Fact) -> None:
         policy = PolicyId(fact.key.removeprefix(POLICY_PREFIX))
         self._board.policy_versions[policy] = fact.version
         self._board.policy_learned_at[policy] = self._clock.now()
-        self._telemetry.change(f"policy.{policy}", f"version {fact.version}")
+        self._telemetry.log_state(f"policy.{policy}", f"version {fact.version}")
 
 
 def _machine_fact(entry: MachineEntry) -> Fact:
--- a/src/larkpost/standalone/controllers/membership.py
+++ b/src/larkpost/standalone/controllers/membership.py
@@ -147,7 +147,7 @@
         known = self._table.get(update.id)
         self._table.put(update)
         if known is None or known.state != update.state:
-            self._telemetry.change(f"member.{update.id}", update.state.name.lower())
+            self._telemetry.log_state(f"member.{update.id}", update.state.name.lower())
         self._spread(update.id)
         if update.state == MemberState.SUSPECT:
             self._tasks.spawn(self._confirm_death(update), "suspicion")
--- a/src/larkpost/standalone/controllers/monitor.py
+++ b/src/larkpost/standalone/controllers/monitor.py
@@ -82,11 +82,11 @@
         try:
             report = await self._engines.report(info.address, self._settings.report_timeout)
         except EngineError:
-            self._telemetry.change(f"engine.{info.id}.report", "unreachable")
+            self._telemetry.log_state(f"engine.{info.id}.report", "unreachable")
             return None
         if report.engine != info.id:
             return None
-        self._telemetry.change(f"engine.{info.id}.report", "reachable")
+        self._telemetry.log_state(f"engine.{info.id}.report", "reachable")
         load = load_from_report(report, self._clock.now())
         known = self._board.engines.loads.get(info.id)
         self._board.engines.record_load(load)
--- a/src/larkpost/standalone/daemon.py
+++ b/src/larkpost/standalone/daemon.py
@@ -130,7 +130,7 @@
     async def drain(self) -> None:
         """Stops as planned: admits nothing new, finishes what is in flight, hands over, leaves."""
         self.board.phase = Phase.STOPPING
-        self.telemetry.change("daemon", Phase.STOPPING)
+        self.telemetry.log_state("daemon", Phase.STOPPING)
         self.membership.announce_leaving()
         while self.activity.requests or self.batches.running:
             await self._ports.clock.sleep(DRAIN_POLL)
@@ -192,7 +192,7 @@
 
     async def _join(self) -> None:
         """Joins the fleet and waits until the configuration in force is known."""
-        self.telemetry.change("daemon", Phase.JOINING)
+        self.telemetry.log_state("daemon", Phase.JOINING)
         interval = JOIN_INTERVAL
         joined = False
         while self.board.phase == Phase.JOINING:
@@ -207,7 +207,7 @@
             interval = min(2 * interval, JOIN_INTERVAL_LIMIT)
         if self.board.phase == Phase.JOINING:
             self.board.phase = Phase.READY
-            self.telemetry.change("daemon", Phase.READY)
+            self.telemetry.log_state("daemon", Phase.READY)
 
     async def _fetch_facts(self) -> None:
         """Fetches the directory and policy versions from one daemon, for a fast start."""
--- a/src/larkpost/standalone/telemetry.py
+++ b/src/larkpost/standalone/telemetry.py
@@ -74,7 +74,7 @@
         """Sets a gauge."""
         self._gauges[name].set(value)
 
-    def change(self, subject: str, state: str, **details: Any) -> None:
+    def log_state(self, subject: str, state: str, **details: Any) -> None:
         """Logs a change of state; the same state twice in a row is logged once."""
         if self._states.get(subject) == state:
             return
@@ -87,7 +87,7 @@
     def report_refused_round(self, task: str, error: LarkpostError) -> None:
         """Counts a controller's round that ended with an error of a known kind, and logs it."""
         self.count("controller_errors", kind=task)
-        self.change(f"controller.{task}", error.code)
+        self.log_state(f"controller.{task}", error.code)
 
     def report_failed_round(self, task: str, error: Exception) -> None:
         """Counts a controller's round that ended with an unexpected error, and logs it."""
