--- a/src/larkpost/standalone/api/responses.py
+++ b/src/larkpost/standalone/api/responses.py
@@ -53,7 +53,7 @@
         except LarkpostError as error:
             return error_response(error)
         except Exception as error:
-            telemetry.fault(request.url.path, error)
+            telemetry.log_error(request.url.path, error)
             return error_response(LarkpostError(repr(error), ran=Ran.UNKNOWN))
 
     return guarded
--- a/src/larkpost/standalone/controllers/configuration.py
+++ b/src/larkpost/standalone/controllers/configuration.py
@@ -199,7 +199,7 @@
         try:
             row = ConfigurationRow.model_validate_json(fact.value)
         except ValidationError as error:
-            self._telemetry.fault("configuration", error)
+            self._telemetry.log_error("configuration", error)
             return
         state.epoch = fact.version
         state.intent = row.intent
--- a/src/larkpost/standalone/telemetry.py
+++ b/src/larkpost/standalone/telemetry.py
@@ -92,13 +92,13 @@
     def report_failed_round(self, task: str, error: Exception) -> None:
         """Counts a controller's round that ended with an unexpected error, and logs it."""
         self.count("controller_errors", kind=task)
-        self.fault(task, error)
+        self.log_error(task, error)
 
     def report_failed_task(self, task: str, error: BaseException) -> None:
         """Logs a task that ended with an error."""
-        self.fault(task, error)
+        self.log_error(task, error)
 
-    def fault(self, where: str, error: BaseException) -> None:
+    def log_error(self, where: str, error: BaseException) -> None:
         """Logs an unexpected error with its origin."""
         if self._log:
             trace = traceback.format_exception(error)
