--- a/src/larkpost/rehearsal/simulation/ports.py
+++ b/src/larkpost/rehearsal/simulation/ports.py
@@ -22,9 +22,9 @@
 from larkpost.rehearsal.simulation.fabric import EngineNode, Fabric
 from larkpost.rehearsal.simulation.network import Host, HostUnreachableError
 from larkpost.standalone.engines.port import (
-    EngineBrokenError,
     EngineChunk,
     EngineNotSentError,
+    EngineOutcomeUnknownError,
     EngineRefusedError,
     EngineReport,
     GenerateRequest,
@@ -161,7 +161,7 @@
         try:
             return await self._fabric.network.call(self._host, target, handle, timeout)
         except HostUnreachableError as error:
-            raise EngineBrokenError(str(error)) from error
+            raise EngineOutcomeUnknownError(str(error)) from error
 
     async def _stream(
         self,
@@ -177,9 +177,9 @@
         except QueueFullError as error:
             raise EngineRefusedError(str(error), 0.5) from error
         except (StreamCutError, UnknownAttemptError) as error:
-            raise EngineBrokenError(repr(error)) from error
+            raise EngineOutcomeUnknownError(repr(error)) from error
         except HostUnreachableError as error:
-            kind = EngineBrokenError if error.delivered else EngineNotSentError
+            kind = EngineOutcomeUnknownError if error.delivered else EngineNotSentError
             raise kind(str(error)) from error
         finally:
             await stream.aclose()
--- a/src/larkpost/standalone/engines/http_adapter.py
+++ b/src/larkpost/standalone/engines/http_adapter.py
@@ -14,10 +14,10 @@
 from larkpost.common.ids import Address, AttemptId, DaemonId, EngineId
 from larkpost.standalone.documents import parse_json_object
 from larkpost.standalone.engines.port import (
-    EngineBrokenError,
     EngineChunk,
     EngineError,
     EngineNotSentError,
+    EngineOutcomeUnknownError,
     EngineRefusedError,
     EngineReport,
     GenerateRequest,
@@ -77,7 +77,7 @@
         except NETWORK_ERRORS as error:
             if not body.sent:
                 raise EngineNotSentError(repr(error)) from error
-            raise EngineBrokenError(repr(error)) from error
+            raise EngineOutcomeUnknownError(repr(error)) from error
 
     async def resume(
         self, address: Address, attempt: AttemptId, offset: int, chunk_timeout: float
@@ -92,7 +92,7 @@
                 async for chunk in _read_events(response):
                     yield chunk
         except NETWORK_ERRORS as error:
-            raise EngineBrokenError(repr(error)) from error
+            raise EngineOutcomeUnknownError(repr(error)) from error
 
     async def cancel(self, address: Address, attempt: AttemptId) -> None:
         url = f"http://{address}/v1/attempts/{attempt}"
@@ -100,7 +100,7 @@
             async with self._session.delete(url, timeout=_total(CANCEL_TIMEOUT)) as response:
                 await response.read()
         except NETWORK_ERRORS as error:
-            raise EngineBrokenError(repr(error)) from error
+            raise EngineOutcomeUnknownError(repr(error)) from error
 
     async def report(self, address: Address, timeout: float) -> EngineReport:
         url = f"http://{address}/v1/report"
@@ -109,9 +109,9 @@
                 fields = parse_json_object(await response.read())
             return _parse_report(fields)
         except NETWORK_ERRORS as error:
-            raise EngineBrokenError(repr(error)) from error
+            raise EngineOutcomeUnknownError(repr(error)) from error
         except (KeyError, TypeError, ValueError) as error:
-            raise EngineBrokenError(f"not a report: {error!r}") from error
+            raise EngineOutcomeUnknownError(f"not a report: {error!r}") from error
 
     async def order(self, address: Address, order: Order, timeout: float) -> None:
         url = f"http://{address}/v1/orders"
@@ -121,7 +121,7 @@
             ) as response:
                 fields = parse_json_object(await response.read())
         except (*NETWORK_ERRORS, ValueError) as error:
-            raise EngineBrokenError(repr(error)) from error
+            raise EngineOutcomeUnknownError(repr(error)) from error
         if response.status == 412:
             raise StaleTokenError("the engine has accepted a higher token", fields.get("token", 0))
         if response.status != 200:
@@ -150,7 +150,7 @@
     named = fields.get("attempt") == attempt
     if response.status in REFUSED_STATUSES and named and fields.get("ran") is False:
         raise EngineRefusedError(str(fields.get("error")), fields.get("retry_after"))
-    raise EngineBrokenError(f"status {response.status}")
+    raise EngineOutcomeUnknownError(f"status {response.status}")
 
 
 async def _read_events(response: aiohttp.ClientResponse) -> AsyncIterator[EngineChunk]:
@@ -165,7 +165,7 @@
                 if line.startswith(EVENT_PREFIX)
             ]
         except (KeyError, TypeError, ValueError) as error:
-            raise EngineBrokenError(f"not a chunk: {error!r}") from error
+            raise EngineOutcomeUnknownError(f"not a chunk: {error!r}") from error
         for chunk in _join(chunks):
             yield chunk
 
--- a/src/larkpost/standalone/engines/port.py
+++ b/src/larkpost/standalone/engines/port.py
@@ -24,7 +24,7 @@
         self.retry_after = retry_after
 
 
-class EngineBrokenError(EngineError):
+class EngineOutcomeUnknownError(EngineError):
     """The request was or may have been sent; what became of it is unknown."""
 
 
--- a/src/larkpost/standalone/routing/dispatcher.py
+++ b/src/larkpost/standalone/routing/dispatcher.py
@@ -22,10 +22,10 @@
 from larkpost.common.ids import Address, AttemptId, EngineId
 from larkpost.standalone.controllers.monitor import Monitor
 from larkpost.standalone.engines.port import (
-    EngineBrokenError,
     EngineChunk,
     EngineError,
     EngineNotSentError,
+    EngineOutcomeUnknownError,
     EnginePort,
     EngineRefusedError,
     GenerateRequest,
@@ -199,8 +199,8 @@
                             yield run
                         if progress.finished:
                             return
-                raise EngineBrokenError("the stream ended before the answer was whole")
-            except EngineBrokenError:
+                raise EngineOutcomeUnknownError("the stream ended before the answer was whole")
+            except EngineOutcomeUnknownError:
                 self._telemetry.count("broken_streams")
                 progress.uncertain = True
                 if resumes_left == 0:
--- a/src/larkpost/standalone/routing/progress.py
+++ b/src/larkpost/standalone/routing/progress.py
@@ -4,7 +4,7 @@
 
 from larkpost.common.errors import Ran
 from larkpost.common.ids import EngineId
-from larkpost.standalone.engines.port import EngineBrokenError, EngineChunk, GenerateRequest
+from larkpost.standalone.engines.port import EngineChunk, EngineOutcomeUnknownError, GenerateRequest
 from larkpost.standalone.routing.work import TokenRun
 
 
@@ -41,18 +41,18 @@
         EngineBrokenError: the chunk is another attempt's, out of place, or ends the answer wrongly.
     """
     if chunk.attempt != request.attempt:
-        raise EngineBrokenError(f"got a chunk of attempt {chunk.attempt!r}")
+        raise EngineOutcomeUnknownError(f"got a chunk of attempt {chunk.attempt!r}")
     have = len(progress.tokens)
     if chunk.offset > have:
-        raise EngineBrokenError(f"a gap: token {chunk.offset} came after {have} tokens")
+        raise EngineOutcomeUnknownError(f"a gap: token {chunk.offset} came after {have} tokens")
     fresh = chunk.tokens[have - chunk.offset :]
     repeated = chunk.tokens[: have - chunk.offset]
     if repeated != tuple(progress.tokens[chunk.offset : chunk.offset + len(repeated)]):
-        raise EngineBrokenError("a repeated chunk differs from the first one")
+        raise EngineOutcomeUnknownError("a repeated chunk differs from the first one")
     progress.tokens.extend(fresh)
     if chunk.total is not None:
         if chunk.total != len(progress.tokens):
-            raise EngineBrokenError(
+            raise EngineOutcomeUnknownError(
                 f"the answer ends at {len(progress.tokens)} of {chunk.total} tokens"
             )
         progress.finished = True
--- a/tests/test_engine_adapter.py
+++ b/tests/test_engine_adapter.py
@@ -9,9 +9,9 @@
 from larkpost.rehearsal.processes import free_address
 from larkpost.standalone.engines.http_adapter import HttpEnginePort
 from larkpost.standalone.engines.port import (
-    EngineBrokenError,
     EngineError,
     EngineNotSentError,
+    EngineOutcomeUnknownError,
     EngineRefusedError,
     GenerateRequest,
 )
@@ -77,7 +77,7 @@
 
     async def test_connection_closed_before_the_answer_is_broken(self):
         _chunks, error = await self.generate(b"")
-        self.assertIsInstance(error, EngineBrokenError)
+        self.assertIsInstance(error, EngineOutcomeUnknownError)
 
     async def test_connection_closed_in_mid_chunk_is_broken(self):
         cut = HEAD + http_chunk(
@@ -85,11 +85,11 @@
         )
         chunks, error = await self.generate(cut + b"40\r\ndata: {")
         self.assertEqual([chunk.tokens for chunk in chunks], [(1,)])
-        self.assertIsInstance(error, EngineBrokenError)
+        self.assertIsInstance(error, EngineOutcomeUnknownError)
 
     async def test_silent_engine_is_broken_after_the_time_limit(self):
         _chunks, error = await self.generate(HEAD, hold=2.0)
-        self.assertIsInstance(error, EngineBrokenError)
+        self.assertIsInstance(error, EngineOutcomeUnknownError)
 
     async def test_refusal_that_names_the_attempt_proves_that_it_did_not_run(self):
         _chunks, error = await self.generate(refusal("a", "false"))
@@ -97,7 +97,7 @@
 
     async def test_refusal_of_another_attempt_proves_nothing(self):
         _chunks, error = await self.generate(refusal("other", "false"))
-        self.assertIsInstance(error, EngineBrokenError)
+        self.assertIsInstance(error, EngineOutcomeUnknownError)
 
     async def test_chunks_that_arrive_together_are_joined_within_one_version(self):
         events = [(0, 1, 7, "null"), (1, 2, 7, "null"), (2, 3, 8, "null"), (3, 4, 8, "4")]
@@ -113,7 +113,7 @@
 
     async def test_answer_that_is_no_chunk_is_broken(self):
         _chunks, error = await self.generate(HEAD + http_chunk(b'data: {"tokens": 3}\n\n'))
-        self.assertIsInstance(error, EngineBrokenError)
+        self.assertIsInstance(error, EngineOutcomeUnknownError)
 
     async def test_report_that_is_no_report_is_broken(self):
         async def serve(reader, writer):
@@ -126,5 +126,5 @@
         server = ConnectionServer(serve)
         await server.start(host, int(port))
         async with server, aiohttp.ClientSession() as session:
-            with self.assertRaises(EngineBrokenError):
+            with self.assertRaises(EngineOutcomeUnknownError):
                 await HttpEnginePort(session).report(Address(address), 1.0)
