--- a/src/larkpost/standalone/batches/runner.py
+++ b/src/larkpost/standalone/batches/runner.py
@@ -29,7 +29,7 @@
 
 ROLLOUT_PRIORITY = 0
 """The lowest: client requests come before rollouts."""
-SILENT_ENGINE_SECONDS = 3.0
+UNRESPONSIVE_ENGINE_SECONDS = 3.0
 """Age of an engine's last report after which its running samples are continued elsewhere."""
 
 
@@ -136,7 +136,7 @@
 
     def _is_silent(self, engine: EngineId) -> bool:
         load = self._board.engines.loads.get(engine)
-        return load is None or self._clock.now() - load.at > SILENT_ENGINE_SECONDS
+        return load is None or self._clock.now() - load.at > UNRESPONSIVE_ENGINE_SECONDS
 
     def _cancel_outdated(self) -> None:
         """Ends attempts whose first tokens are already too old for the trainer."""
