--- a/src/larkpost/standalone/routing/dispatcher.py
+++ b/src/larkpost/standalone/routing/dispatcher.py
@@ -42,7 +42,7 @@
 """Seconds after which a caller may come back that found no engine."""
 MAX_PROBES = 3
 """Engines asked for a report at once when no report is fresh."""
-RESUME_ATTEMPTS = 2
+MAX_STREAMS_PER_ATTEMPT = 2
 """Streams of one attempt: the first, and one that goes on where it broke."""
 
 
@@ -188,7 +188,7 @@
         stream = self._engines.generate(
             address, request, timeout, partial(self._may_send, work, engine)
         )
-        for resumes_left in reversed(range(RESUME_ATTEMPTS)):
+        for resumes_left in reversed(range(MAX_STREAMS_PER_ATTEMPT)):
             last_chunk_at: float | None = None
             try:
                 async with aclosing(stream):
