--- a/src/larkpost/standalone/routing/dispatcher.py
+++ b/src/larkpost/standalone/routing/dispatcher.py
@@ -40,7 +40,7 @@
 """Attempts at one piece of work."""
 RETRY_AFTER_NO_ENGINE = 1.0
 """Seconds after which a caller may come back that found no engine."""
-MAX_PROBES = 3
+MAX_REPORT_PROBES = 3
 """Engines asked for a report at once when no report is fresh."""
 MAX_STREAMS_PER_ATTEMPT = 2
 """Streams of one attempt: the first, and one that goes on where it broke."""
@@ -133,7 +133,7 @@
     async def _probe(self, work: Work, progress: Progress) -> None:
         """Asks engines whose report is too old, so that a dead owner does not stop traffic."""
         stale_engines = self._selector.stale_engines(work.pool, progress.excluded)
-        for engine in self._rng.sample(stale_engines, min(len(stale_engines), MAX_PROBES)):
+        for engine in self._rng.sample(stale_engines, min(len(stale_engines), MAX_REPORT_PROBES)):
             info = self._board.engines.directory[engine]
             if await self._monitor.poll_engine(info) is not None:
                 return
