--- a/src/larkpost/standalone/routing/selection.py
+++ b/src/larkpost/standalone/routing/selection.py
@@ -10,7 +10,7 @@
 from larkpost.standalone.routing.work import Work, WorkClass
 from larkpost.standalone.runtime import Runtime
 
-SMALL_POOL = 8
+MAX_FULL_COMPARISON = 8
 """Up to so many candidates all are compared; above it two random ones."""
 REMOTE_PENALTY = 0.5
 """Added to the load of an engine in another zone: half a batch must be saved to leave the zone."""
@@ -46,7 +46,7 @@
     def choose(self, work: Work, excluded: Collection[EngineId]) -> Candidate | None:
         """Returns an engine with a fresh report that may take the work, or None."""
         candidates = self.candidates(work, excluded)
-        if len(candidates) > SMALL_POOL:
+        if len(candidates) > MAX_FULL_COMPARISON:
             candidates = self._rng.sample(candidates, 2)
         self._rng.shuffle(candidates)
         return min(candidates, key=attrgetter("score"), default=None)
