--- a/src/larkpost/standalone/blackboard/speeds.py
+++ b/src/larkpost/standalone/blackboard/speeds.py
@@ -8,7 +8,7 @@
 
 SMOOTHING = 0.1
 """Weight of a new observation in the moving average."""
-LIFETIME = 10.0
+SPEED_LIFETIME_SECONDS = 10.0
 """Seconds after the last observation at which an engine is given another chance."""
 SLOW_RATIO = 0.4
 """An engine below this share of the pool's median speed is a straggler."""
@@ -34,7 +34,7 @@
             return
         observed = tokens / seconds
         known = self._speeds.get(engine)
-        if known is not None and now - known.at <= LIFETIME:
+        if known is not None and now - known.at <= SPEED_LIFETIME_SECONDS:
             observed = known.tokens_per_second + SMOOTHING * (observed - known.tokens_per_second)
         self._speeds[engine] = _Speed(observed, now)
 
@@ -43,7 +43,7 @@
         known = {
             engine: self._speeds[engine].tokens_per_second
             for engine in engines
-            if engine in self._speeds and now - self._speeds[engine].at <= LIFETIME
+            if engine in self._speeds and now - self._speeds[engine].at <= SPEED_LIFETIME_SECONDS
         }
         if len(known) < MIN_COMPARED:
             return set()
--- a/tests/test_speeds.py
+++ b/tests/test_speeds.py
@@ -4,7 +4,7 @@
 
 from larkpost.common.ids import EngineId
 from larkpost.standalone.batches.placement import EngineCapacity, LoadPlacement
-from larkpost.standalone.blackboard.speeds import LIFETIME, EngineSpeeds
+from larkpost.standalone.blackboard.speeds import SPEED_LIFETIME_SECONDS, EngineSpeeds
 
 ENGINES = tuple(EngineId(f"engine-{i}") for i in range(4))
 
@@ -25,7 +25,7 @@
 
     def test_straggler_gets_another_chance_when_its_speed_is_old(self):
         self.speeds.record(ENGINES[3], 10, 0.5, now=0.0)
-        self.assertEqual(self.speeds.stragglers(ENGINES, LIFETIME + 1), set())
+        self.assertEqual(self.speeds.stragglers(ENGINES, SPEED_LIFETIME_SECONDS + 1), set())
 
     def test_two_engines_are_too_few_to_call_one_slow(self):
         self.assertEqual(self.speeds.stragglers(ENGINES[:2], 0.0), set())
