--- a/src/larkpost/standalone/blackboard/speeds.py
+++ b/src/larkpost/standalone/blackboard/speeds.py
@@ -6,7 +6,7 @@
 
 from larkpost.common.ids import EngineId
 
-SMOOTHING = 0.1
+SMOOTHING_FACTOR = 0.1
 """Weight of a new observation in the moving average."""
 SPEED_LIFETIME_SECONDS = 10.0
 """Seconds after the last observation at which an engine is given another chance."""
@@ -35,7 +35,9 @@
         observed = tokens / seconds
         known = self._speeds.get(engine)
         if known is not None and now - known.at <= SPEED_LIFETIME_SECONDS:
-            observed = known.tokens_per_second + SMOOTHING * (observed - known.tokens_per_second)
+            observed = known.tokens_per_second + SMOOTHING_FACTOR * (
+                observed - known.tokens_per_second
+            )
         self._speeds[engine] = _Speed(observed, now)
 
     def stragglers(self, engines: Iterable[EngineId], now: float) -> set[EngineId]:
