--- a/src/larkpost/standalone/blackboard/speeds.py
+++ b/src/larkpost/standalone/blackboard/speeds.py
@@ -12,7 +12,7 @@
 """Seconds after the last observation at which an engine is given another chance."""
 SLOW_RATIO = 0.4
 """An engine below this share of the pool's median speed is a straggler."""
-MIN_COMPARED = 3
+MIN_COMPARED_ENGINES = 3
 """Engines with a known speed that a comparison needs."""
 
 
@@ -47,7 +47,7 @@
             for engine in engines
             if engine in self._speeds and now - self._speeds[engine].at <= SPEED_LIFETIME_SECONDS
         }
-        if len(known) < MIN_COMPARED:
+        if len(known) < MIN_COMPARED_ENGINES:
             return set()
         limit = SLOW_RATIO * statistics.median(known.values())
         return {engine for engine, speed in known.items() if speed < limit}
