--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -34,7 +34,7 @@
         run = original(chunk, request, progress)
         return replace(run, version=first.setdefault(request.attempt, chunk.version))
 
-    return mock.patch.object(dispatcher, "check_chunk", check)
+    return mock.patch.object(dispatcher, "apply_chunk", check)
 
 
 def check_staleness_when_made():
@@ -53,7 +53,7 @@
 
     original = BatchLedger.record_trainer_state
     return mock.patch.object(
-        BatchLedger, "record_trainer", lambda self, version, held: original(self, version, ())
+        BatchLedger, "record_trainer_state", lambda self, version, held: original(self, version, ())
     )
 
 
@@ -64,7 +64,7 @@
     original = dispatcher.apply_chunk
     return mock.patch.object(
         dispatcher,
-        "check_chunk",
+        "apply_chunk",
         lambda chunk, request, progress: original(
             replace(chunk, attempt=request.attempt), request, progress
         ),
