--- a/src/larkpost/standalone/controllers/membership.py
+++ b/src/larkpost/standalone/controllers/membership.py
@@ -26,7 +26,7 @@
 """Changes are gathered for this part of the probe interval before they are passed on."""
 RETRANSMIT_FACTOR = 3
 """A change travels on this many datagrams for each doubling of the fleet."""
-REVIVE_EVERY_PROBES = 5
+HEAL_EVERY_PROBES = 5
 """Every so many probes one goes to a dead daemon or a configured peer, to heal a partition."""
 JOIN_TIMEOUT = 1.0
 """Seconds to wait for a peer's member table."""
@@ -195,7 +195,7 @@
     async def _probe_round(self) -> None:
         self._probes += 1
         self._telemetry.gauge("members_alive", len(self._table.alive()))
-        if self._probes % REVIVE_EVERY_PROBES == 0:
+        if self._probes % HEAL_EVERY_PROBES == 0:
             await self._try_to_heal()
         target = self._next_target()
         if target is None:
