--- a/src/larkpost/standalone/controllers/membership.py
+++ b/src/larkpost/standalone/controllers/membership.py
@@ -30,7 +30,7 @@
 """Every so many probes one goes to a dead daemon or a configured peer, to heal a partition."""
 JOIN_TIMEOUT = 1.0
 """Seconds to wait for a peer's member table."""
-JOIN_ANSWERS = 2
+MIN_JOIN_REPLIES = 2
 """Tables to read on joining; probes and exchanges bring what two peers do not know."""
 SYNC_INTERVAL = 30.0
 """Seconds between exchanges of the whole table with one random daemon."""
@@ -79,7 +79,7 @@
         answers = 0
         for peer in self._rng.sample(self._peers, len(self._peers)):
             answers += await self._exchange_with(peer)
-            if answers >= JOIN_ANSWERS:
+            if answers >= MIN_JOIN_REPLIES:
                 break
         return answers > 0 or not self._peers
 
