--- a/src/larkpost/standalone/controllers/membership.py
+++ b/src/larkpost/standalone/controllers/membership.py
@@ -22,7 +22,7 @@
 """Daemons to which a change is passed on at once."""
 MAX_EAGER_DATAGRAMS = 16
 """Most datagrams to each of them."""
-GATHERING_DIVISOR = 20
+EAGER_DELAY_DIVISOR = 20
 """Changes are gathered for this part of the probe interval before they are passed on."""
 RETRANSMIT_FACTOR = 3
 """A change travels on this many datagrams for each doubling of the fleet."""
@@ -160,7 +160,7 @@
 
     async def _send_eagerly(self) -> None:
         """Passes on what is new, gathered for a moment: a lost zone is many changes at once."""
-        await self._clock.sleep(self._settings.probe_interval / GATHERING_DIVISOR)
+        await self._clock.sleep(self._settings.probe_interval / EAGER_DELAY_DIVISOR)
         datagrams = min(
             math.ceil(self._new_update_count / UPDATES_PER_DATAGRAM), MAX_EAGER_DATAGRAMS
         )
