--- a/src/larkpost/standalone/controllers/facts.py
+++ b/src/larkpost/standalone/controllers/facts.py
@@ -17,7 +17,7 @@
 
 FANOUT = 4
 """Daemons to which a new fact is pushed by each that first learns it."""
-PUSH_GROUPING = 0.02
+PUSH_DELAY = 0.02
 """Seconds over which new facts are gathered into one push."""
 MAX_PUSHED = 32
 """More new facts than this at once are left to the comparison of digests."""
@@ -97,7 +97,7 @@
         return True
 
     async def _push(self) -> None:
-        await self._clock.sleep(PUSH_GROUPING)
+        await self._clock.sleep(PUSH_DELAY)
         facts, self._outgoing = list(self._outgoing.values()), {}
         payload = pb.FactPush(facts=map(_to_message, facts)).SerializeToString()
         targets = self._board.members.alive_others()
