--- a/src/larkpost/standalone/controllers/directory.py
+++ b/src/larkpost/standalone/controllers/directory.py
@@ -15,7 +15,7 @@
 from larkpost.standalone.runtime import Runtime
 from larkpost.standalone.table_service.ports import MachineEntry, MachineList
 
-WHOLE_LIST_POLLS = 15
+FULL_LIST_EVERY_POLLS = 15
 """Every so many polls the whole machine list is read in place of the zone's."""
 
 
@@ -49,7 +49,7 @@
         """
         if not is_zone_poller(self._board, "machines"):
             return
-        whole = self._polls % WHOLE_LIST_POLLS == 0
+        whole = self._polls % FULL_LIST_EVERY_POLLS == 0
         self._polls += 1
         zone = None if whole else self._board.members.own.zone
         try:
