--- a/src/larkpost/standalone/controllers/probing.py
+++ b/src/larkpost/standalone/controllers/probing.py
@@ -14,7 +14,7 @@
 
 ACK_POLLS = 8
 """Checks for an acknowledgement within a probe's time limit."""
-LATE_DIVISOR = 2
+MAX_LOOP_DELAY_DIVISOR = 2
 """A loop that is late by more than this part of the time limit is itself to blame."""
 RELAY_TIMEOUTS = 2
 """Time limits of a probe for which a relayed one is remembered."""
@@ -69,7 +69,7 @@
             await self._clock.sleep(timeout / ACK_POLLS)
         self._waiting.pop(sequence, None)
         own_delay = self._clock.now() - started - timeout
-        return answered.is_set() or own_delay > timeout / LATE_DIVISOR
+        return answered.is_set() or own_delay > timeout / MAX_LOOP_DELAY_DIVISOR
 
     def _on_ping(self, envelope: pb.Envelope) -> None:
         sender = self._table.get(DaemonId(envelope.sender.id))
