--- a/src/larkpost/standalone/controllers/probing.py
+++ b/src/larkpost/standalone/controllers/probing.py
@@ -16,7 +16,7 @@
 """Checks for an acknowledgement within a probe's time limit."""
 MAX_LOOP_DELAY_DIVISOR = 2
 """A loop that is late by more than this part of the time limit is itself to blame."""
-RELAY_TIMEOUTS = 2
+RELAY_LIFETIME_FACTOR = 2
 """Time limits of a probe for which a relayed one is remembered."""
 
 
@@ -96,5 +96,5 @@
         self._tasks.spawn(self._forget_relay(self._sequence), "relayed-probe")
 
     async def _forget_relay(self, sequence: int) -> None:
-        await self._clock.sleep(RELAY_TIMEOUTS * self._settings.probe_timeout)
+        await self._clock.sleep(RELAY_LIFETIME_FACTOR * self._settings.probe_timeout)
         self._relayed.pop(sequence, None)
