--- a/src/larkpost/standalone/controllers/configuration.py
+++ b/src/larkpost/standalone/controllers/configuration.py
@@ -26,7 +26,7 @@
 """Confirmations that the row remembers."""
 WRITE_ATTEMPTS = 3
 """Writes of one confirmation whose outcome is unknown."""
-IN_FORCE_WAIT = 5.0
+IN_FORCE_TIMEOUT = 5.0
 """Seconds a confirmation waits for the zones before it reports those that are still pending."""
 IN_FORCE_POLL = 0.2
 """Seconds between two checks of the zones while a confirmation waits."""
@@ -208,7 +208,7 @@
         self._telemetry.log_state("configuration", f"epoch {fact.version}", plan=row.plan_id)
 
     async def _wait_in_force(self, epoch: int) -> set[ZoneId]:
-        deadline = self._clock.now() + IN_FORCE_WAIT
+        deadline = self._clock.now() + IN_FORCE_TIMEOUT
         reached: set[DaemonId] = set()
         while True:
             waiting = [m for m in self._board.members.alive() if m.id not in reached]
