--- a/src/larkpost/standalone/controllers/configuration.py
+++ b/src/larkpost/standalone/controllers/configuration.py
@@ -28,7 +28,7 @@
 """Writes of one confirmation whose outcome is unknown."""
 IN_FORCE_TIMEOUT = 5.0
 """Seconds a confirmation waits for the zones before it reports those that are still pending."""
-IN_FORCE_POLL = 0.2
+IN_FORCE_POLL_INTERVAL = 0.2
 """Seconds between two checks of the zones while a confirmation waits."""
 
 
@@ -217,7 +217,7 @@
             in_force = self._zones_reached(reached)
             if in_force == self._board.members.zones() or self._clock.now() >= deadline:
                 return in_force
-            await self._clock.sleep(IN_FORCE_POLL)
+            await self._clock.sleep(IN_FORCE_POLL_INTERVAL)
 
     def _zones_reached(self, reached: set[DaemonId]) -> set[ZoneId]:
         return {zone for zone in self._board.members.zones() if self._is_reached(zone, reached)}
