--- a/src/larkpost/standalone/daemon.py
+++ b/src/larkpost/standalone/daemon.py
@@ -50,7 +50,7 @@
 """Seconds between checks that the configuration in force is known to be current."""
 EXPIRE_INTERVAL = 10.0
 """Seconds between rounds that drop batches and replicas that nobody asks for."""
-DRAIN_POLL = 0.05
+DRAIN_POLL_INTERVAL = 0.05
 """Seconds between checks, in a planned stop, whether anything is still in flight."""
 LAG_INTERVAL = 1.0
 """Seconds between measurements of the event loop's delay."""
@@ -133,7 +133,7 @@
         self.telemetry.log_state("daemon", Phase.STOPPING)
         self.membership.announce_leaving()
         while self.activity.requests or self.batches.running:
-            await self._ports.clock.sleep(DRAIN_POLL)
+            await self._ports.clock.sleep(DRAIN_POLL_INTERVAL)
         await self.batches.replicate()
         self.membership.leave()
 
