--- a/src/larkpost/standalone/api/inference.py
+++ b/src/larkpost/standalone/api/inference.py
@@ -22,7 +22,7 @@
 DEADLINE_HEADER = "Larkpost-Deadline-Seconds"
 REQUEST_HEADER = "Larkpost-Request-Id"
 END_OF_STREAM = b"data: [DONE]\n\n"
-DISCONNECT_POLL = 1.0
+DISCONNECT_POLL_INTERVAL = 1.0
 """Seconds between checks whether the caller of a whole answer is still there."""
 TRUE_WORDS = ("1", "true", "yes")
 
@@ -110,7 +110,7 @@
     reading = asyncio.create_task(read())
     try:
         while not reading.done():
-            await asyncio.wait({reading}, timeout=DISCONNECT_POLL)
+            await asyncio.wait({reading}, timeout=DISCONNECT_POLL_INTERVAL)
             if not reading.done() and await request.is_disconnected():
                 raise CallerLeftError("the caller has closed the connection", ran=Ran.UNKNOWN)
         return reading.result()
