--- a/src/larkpost/standalone/wire/http_peer.py
+++ b/src/larkpost/standalone/wire/http_peer.py
@@ -10,7 +10,7 @@
 from larkpost.standalone.wire.peer import DatagramHandler, PeerError, PeerMethod
 
 PEER_PATH = "/internal/v1/"
-HTTP_OVERHEAD = 300
+HTTP_OVERHEAD_BYTES = 300
 """Bytes of headers counted for one request and its answer."""
 
 
@@ -57,8 +57,10 @@
     def _count(self, sent: int, received: int) -> None:
         telemetry = self._source.telemetry
         if telemetry is not None:
-            telemetry.count("control_bytes_sent", sent + HTTP_OVERHEAD, kind="request")
-            telemetry.count("control_bytes_received", received + HTTP_OVERHEAD, kind="request")
+            telemetry.count("control_bytes_sent", sent + HTTP_OVERHEAD_BYTES, kind="request")
+            telemetry.count(
+                "control_bytes_received", received + HTTP_OVERHEAD_BYTES, kind="request"
+            )
 
 
 class TelemetrySource:
