--- a/src/larkpost/standalone/server.py
+++ b/src/larkpost/standalone/server.py
@@ -19,7 +19,7 @@
 from larkpost.standalone.table_service.http_adapter import HttpPlatform
 from larkpost.standalone.wire.http_peer import HttpPeerTransport, TelemetrySource
 
-IDLE_CONNECTION_SECONDS = 30
+KEEPALIVE_TIMEOUT_SECONDS = 30
 """Seconds for which a connection may rest between two requests."""
 
 
@@ -31,7 +31,7 @@
 
 async def serve(settings: Settings) -> None:
     """Runs a daemon on the running loop."""
-    connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=IDLE_CONNECTION_SECONDS)
+    connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=KEEPALIVE_TIMEOUT_SECONDS)
     session = aiohttp.ClientSession(connector=connector)
     source = TelemetrySource()
     transport = HttpPeerTransport(session, source)
