--- a/src/larkpost/standalone/config/plan.py
+++ b/src/larkpost/standalone/config/plan.py
@@ -10,7 +10,7 @@
 from larkpost.standalone.blackboard.engines import EngineInfo
 from larkpost.standalone.config.intent import Intent, PoolIntent, ServiceIntent, TrainerIntent
 
-User = TrainerIntent | ServiceIntent
+CallerIntent = TrainerIntent | ServiceIntent
 
 
 class ActionKind(StrEnum):
@@ -112,7 +112,7 @@
 
 
 def _user_actions(
-    kind: str, old_users: Sequence[User], new_users: Sequence[User]
+    kind: str, old_users: Sequence[CallerIntent], new_users: Sequence[CallerIntent]
 ) -> list[PlannedAction]:
     old_by_name = {user.name: user for user in old_users}
     new_by_name = {user.name: user for user in new_users}
