--- a/src/larkpost/standalone/config/plan.py
+++ b/src/larkpost/standalone/config/plan.py
@@ -62,8 +62,8 @@
     """
     actions = [
         *_engine_actions(current, wanted, engines),
-        *_user_actions("trainer", current.trainers, wanted.trainers),
-        *_user_actions("service", current.services, wanted.services),
+        *_caller_actions("trainer", current.trainers, wanted.trainers),
+        *_caller_actions("service", current.services, wanted.services),
         *_pool_changes(current, wanted),
     ]
     text = f"{base_epoch}:{nonce}:{wanted.model_dump_json()}"
@@ -111,7 +111,7 @@
     return actions
 
 
-def _user_actions(
+def _caller_actions(
     kind: str, old_users: Sequence[CallerIntent], new_users: Sequence[CallerIntent]
 ) -> list[PlannedAction]:
     old_by_name = {user.name: user for user in old_users}
