--- a/src/larkpost/standalone/config/plan.py
+++ b/src/larkpost/standalone/config/plan.py
@@ -112,9 +112,9 @@
 
 
 def _caller_actions(
-    kind: str, old_users: Sequence[CallerIntent], new_users: Sequence[CallerIntent]
+    kind: str, old_callers: Sequence[CallerIntent], new_users: Sequence[CallerIntent]
 ) -> list[PlannedAction]:
-    old_by_name = {user.name: user for user in old_users}
+    old_by_name = {user.name: user for user in old_callers}
     new_by_name = {user.name: user for user in new_users}
     actions = []
     for name in sorted(old_by_name.keys() | new_by_name.keys()):
