--- a/src/larkpost/standalone/config/intent.py
+++ b/src/larkpost/standalone/config/intent.py
@@ -121,6 +121,6 @@
             raise ValueError(f"{kind} {name!r} is named more than once; name it once")
 
 
-def _require_known_pool(user: str, pool: PoolId, known: list[PoolId]) -> None:
+def _require_known_pool(caller: str, pool: PoolId, known: list[PoolId]) -> None:
     if pool not in known:
-        raise ValueError(f"{user!r} draws from pool {pool!r}, which is not declared; declare it")
+        raise ValueError(f"{caller!r} draws from pool {pool!r}, which is not declared; declare it")
--- a/src/larkpost/standalone/config/plan.py
+++ b/src/larkpost/standalone/config/plan.py
@@ -114,8 +114,8 @@
 def _caller_actions(
     kind: str, old_callers: Sequence[CallerIntent], new_callers: Sequence[CallerIntent]
 ) -> list[PlannedAction]:
-    old_by_name = {user.name: user for user in old_callers}
-    new_by_name = {user.name: user for user in new_callers}
+    old_by_name = {caller.name: caller for caller in old_callers}
+    new_by_name = {caller.name: caller for caller in new_callers}
     actions = []
     for name in sorted(old_by_name.keys() | new_by_name.keys()):
         old = old_by_name.get(name)
