--- a/src/larkpost/standalone/config/plan.py
+++ b/src/larkpost/standalone/config/plan.py
@@ -89,11 +89,11 @@
     for engine in sorted(engines, key=lambda info: info.id):
         old = current.pool(pool_of(engine, old_pools))
         new = wanted.pool(pool_of(engine, new_pools))
-        actions += _actions_of_engine(engine.id, old, new)
+        actions += _actions_for_engine(engine.id, old, new)
     return actions
 
 
-def _actions_of_engine(
+def _actions_for_engine(
     engine: EngineId, old: PoolIntent | None, new: PoolIntent | None
 ) -> list[PlannedAction]:
     if new is None:
