--- a/src/larkpost/standalone/api/schema.py
+++ b/src/larkpost/standalone/api/schema.py
@@ -9,7 +9,7 @@
 from larkpost.standalone.batches.ledger import BatchSpec, Page, Sample
 from larkpost.standalone.batches.service import Pull
 
-MAX_HELD = 65_536
+MAX_HELD_SLOTS = 65_536
 """Most slots that one pull may name."""
 
 
@@ -153,7 +153,7 @@
     total = 0
     for first, last in ranges:
         total += last - first + 1
-        if first > last or first < 0 or total > MAX_HELD:
+        if first > last or first < 0 or total > MAX_HELD_SLOTS:
             raise InvalidRequestError(f"held range [{first}, {last}] is wrong or too long")
     return tuple(slot for first, last in ranges for slot in range(first, last + 1))
 
