--- a/src/larkpost/standalone/api/inference.py
+++ b/src/larkpost/standalone/api/inference.py
@@ -24,7 +24,7 @@
 END_OF_STREAM = b"data: [DONE]\n\n"
 DISCONNECT_POLL_INTERVAL = 1.0
 """Seconds between checks whether the caller of a whole answer is still there."""
-TRUE_WORDS = ("1", "true", "yes")
+TRUE_VALUES = ("1", "true", "yes")
 
 
 class InferenceRoutes:
@@ -84,7 +84,7 @@
             prompt=body.prompt_text(),
             max_tokens=body.max_tokens,
             deadline_seconds=_parse_deadline(headers.get(DEADLINE_HEADER)),
-            run_once=headers.get(RUN_ONCE_HEADER, "").lower() in TRUE_WORDS,
+            run_once=headers.get(RUN_ONCE_HEADER, "").lower() in TRUE_VALUES,
             key=headers.get(KEY_HEADER),
         )
 
