--- a/src/larkpost/standalone/api/inference.py
+++ b/src/larkpost/standalone/api/inference.py
@@ -59,7 +59,7 @@
         body = await read_document(request, CompletionRequest)
         call = self._make_call(request, body)
         runs = self._daemon.inference.complete(call)
-        writer = _Writer(call, chat)
+        writer = _ResponseWriter(call, chat)
         if not body.stream:
             answer = await _collect(request, runs)
             return Response(writer.whole(answer), media_type=JSON)
@@ -140,7 +140,7 @@
     yield END_OF_STREAM
 
 
-class _Writer:
+class _ResponseWriter:
     """Writes one answer in the words of the OpenAI API."""
 
     def __init__(self, call: InferenceCall, chat: bool) -> None:
