--- a/src/larkpost/standalone/api/inference.py
+++ b/src/larkpost/standalone/api/inference.py
@@ -62,7 +62,7 @@
         writer = _ResponseWriter(call, chat)
         if not body.stream:
             answer = await _collect(request, runs)
-            return Response(writer.whole(answer), media_type=JSON)
+            return Response(writer.full_response(answer), media_type=JSON)
         try:
             first = await anext(runs, None)
         except LarkpostError:
@@ -148,7 +148,7 @@
         self._chat = chat
         self._created = int(time.time())
 
-    def whole(self, answer: Answer) -> bytes:
+    def full_response(self, answer: Answer) -> bytes:
         """Writes a whole answer."""
         text = _text(answer.tokens)
         content = (
