--- a/src/larkpost/standalone/api/inference.py
+++ b/src/larkpost/standalone/api/inference.py
@@ -126,10 +126,10 @@
     try:
         if first is not None:
             answer.append(first)
-            yield writer.event(first)
+            yield writer.chunk_event(first)
         async for run in runs:
             answer.append(run)
-            yield writer.event(run)
+            yield writer.chunk_event(run)
     except LarkpostError as error:
         document = error_document(error).model_dump()
         yield b"data: " + orjson.dumps({"error": document}) + b"\n\n"
@@ -160,7 +160,7 @@
         fields["usage"] = {"completion_tokens": len(answer.tokens)}
         return orjson.dumps(fields)
 
-    def event(self, run: TokenRun) -> bytes:
+    def chunk_event(self, run: TokenRun) -> bytes:
         """Writes one piece of a stream."""
         text = _text(run.tokens) if run.offset == 0 else " " + _text(run.tokens)
         content = {"delta": {"content": text}} if self._chat else {"text": text}
