--- a/src/larkpost/standalone/api/inference.py
+++ b/src/larkpost/standalone/api/inference.py
@@ -136,7 +136,7 @@
         return
     finally:
         await runs.aclose()
-    yield writer.last_event(answer)
+    yield writer.final_event(answer)
     yield END_OF_STREAM
 
 
@@ -166,7 +166,7 @@
         content = {"delta": {"content": text}} if self._chat else {"text": text}
         return _event(self._fields(self._chunk_kind(), content, None))
 
-    def last_event(self, answer: Answer) -> bytes:
+    def final_event(self, answer: Answer) -> bytes:
         """Writes the piece that ends a stream, with the whole answer's length and versions."""
         content = {"delta": {}} if self._chat else {"text": ""}
         fields = self._fields(self._chunk_kind(), content, "stop")
