--- a/src/larkpost/standalone/api/inference.py
+++ b/src/larkpost/standalone/api/inference.py
@@ -61,7 +61,7 @@
         runs = self._daemon.inference.complete(call)
         writer = _ResponseWriter(call, chat)
         if not body.stream:
-            answer = await _collect(request, runs)
+            answer = await _read_answer(request, runs)
             return Response(writer.full_response(answer), media_type=JSON)
         try:
             first = await anext(runs, None)
@@ -98,7 +98,7 @@
         raise InvalidRequestError(f"{DEADLINE_HEADER} must be a number of seconds") from None
 
 
-async def _collect(request: Request, runs: AsyncIterator[TokenRun]) -> Answer:
+async def _read_answer(request: Request, runs: AsyncIterator[TokenRun]) -> Answer:
     """Returns the whole answer; gives it up when the caller has left."""
 
     async def read() -> Answer:
