--- a/src/larkpost/standalone/engines/http_adapter.py
+++ b/src/larkpost/standalone/engines/http_adapter.py
@@ -34,7 +34,7 @@
 NETWORK_ERRORS = (aiohttp.ClientError, TimeoutError, OSError)
 
 
-class _GuardedBody:
+class _SendOnceBody:
     """A request body that leaves at most once, and only while the caller allows it."""
 
     def __init__(self, content: bytes, may_send: Callable[[], bool]) -> None:
@@ -63,7 +63,7 @@
         chunk_timeout: float,
         may_send: Callable[[], bool],
     ) -> AsyncIterator[EngineChunk]:
-        body = _GuardedBody(orjson.dumps(request), may_send)
+        body = _SendOnceBody(orjson.dumps(request), may_send)
         headers = {"Content-Type": "application/json"}
         limit = _stream_timeout(chunk_timeout)
         url = f"http://{address}/v1/generate"
