--- a/src/larkpost/standalone/routing/dispatcher.py
+++ b/src/larkpost/standalone/routing/dispatcher.py
@@ -202,7 +202,7 @@
                 raise EngineOutcomeUnknownError("the stream ended before the answer was whole")
             except EngineOutcomeUnknownError:
                 self._telemetry.count("broken_streams")
-                progress.uncertain = True
+                progress.outcome_unknown = True
                 if resumes_left == 0:
                     raise
             stream = self._resume(work, address, request.attempt, progress)
@@ -243,11 +243,11 @@
         progress.excluded.add(engine)
         certain = isinstance(error, EngineNotSentError | EngineRefusedError)
         if not certain:
-            progress.uncertain = True
+            progress.outcome_unknown = True
         if not isinstance(error, EngineRefusedError):
             until = self._clock.now() + self._settings.avoid_time
             self._board.engines.avoid(engine, until)
-        if progress.uncertain and work.run_once:
+        if progress.outcome_unknown and work.run_once:
             raise BrokenAnswerError(
                 f"the answer of engine {engine!r} broke off: {error}", ran=Ran.UNKNOWN
             )
--- a/src/larkpost/standalone/routing/progress.py
+++ b/src/larkpost/standalone/routing/progress.py
@@ -24,14 +24,14 @@
     tokens: list[int] = field(default_factory=list)
     attempts: int = 0
     failures: int = 0
-    uncertain: bool = False
+    outcome_unknown: bool = False
     excluded: set[EngineId] = field(default_factory=set)
     finished: bool = False
 
     @property
     def ran(self) -> Ran:
         """What a failure answer may say."""
-        return Ran.UNKNOWN if self.uncertain else Ran.NO
+        return Ran.UNKNOWN if self.outcome_unknown else Ran.NO
 
 
 def apply_chunk(chunk: EngineChunk, request: GenerateRequest, progress: Progress) -> TokenRun:
