--- a/src/larkpost/standalone/controllers/membership.py
+++ b/src/larkpost/standalone/controllers/membership.py
@@ -133,7 +133,7 @@
             return
         if known is None and not update.usable:
             return
-        self._adopt(update)
+        self._store_member(update)
 
     def _refute(self, update: MemberInfo) -> None:
         own = self._table.own
@@ -143,7 +143,7 @@
             self._table.update_own(update.incarnation + 1)
             self._spread(own.id)
 
-    def _adopt(self, update: MemberInfo) -> None:
+    def _store_member(self, update: MemberInfo) -> None:
         known = self._table.get(update.id)
         self._table.put(update)
         if known is None or known.state != update.state:
@@ -190,7 +190,7 @@
             self._change_state(known, MemberState.DEAD)
 
     def _change_state(self, member: MemberInfo, state: MemberState) -> None:
-        self._adopt(replace(member, state=state, since=self._clock.now()))
+        self._store_member(replace(member, state=state, since=self._clock.now()))
 
     async def _probe_round(self) -> None:
         self._probes += 1
