--- a/src/larkpost/standalone/controllers/membership.py
+++ b/src/larkpost/standalone/controllers/membership.py
@@ -86,7 +86,7 @@
     def announce_leaving(self) -> None:
         """Announces a planned stop: this daemon still answers and takes on nothing new."""
         self._table.update_own(self._table.own.incarnation + 1, leaving=True)
-        self._spread(self._table.own.id)
+        self._queue_update(self._table.own.id)
 
     def leave(self) -> None:
         """Announces that this daemon leaves for good."""
@@ -141,18 +141,18 @@
             return
         if update.incarnation >= own.incarnation:
             self._table.update_own(update.incarnation + 1)
-            self._spread(own.id)
+            self._queue_update(own.id)
 
     def _store_member(self, update: MemberInfo) -> None:
         known = self._table.get(update.id)
         self._table.put(update)
         if known is None or known.state != update.state:
             self._telemetry.log_state(f"member.{update.id}", update.state.name.lower())
-        self._spread(update.id)
+        self._queue_update(update.id)
         if update.state == MemberState.SUSPECT:
             self._tasks.spawn(self._confirm_death(update), "suspicion")
 
-    def _spread(self, daemon: DaemonId) -> None:
+    def _queue_update(self, daemon: DaemonId) -> None:
         self._updates[daemon] = RETRANSMIT_FACTOR * math.ceil(math.log2(len(self._table) + 2))
         self._new_update_count += 1
         if self._new_update_count == 1:
