--- a/src/larkpost/standalone/controllers/membership.py
+++ b/src/larkpost/standalone/controllers/membership.py
@@ -196,7 +196,7 @@
         self._probes += 1
         self._telemetry.gauge("members_alive", len(self._table.alive()))
         if self._probes % HEAL_EVERY_PROBES == 0:
-            await self._try_to_heal()
+            await self._heal_partition()
         target = self._next_target()
         if target is None:
             return
@@ -216,7 +216,7 @@
         self._probe_order = order
         return self._table.get(self._probe_order.pop()) if order else None
 
-    async def _try_to_heal(self) -> None:
+    async def _heal_partition(self) -> None:
         now = self._clock.now()
         limit = self._settings.forget_time
         dead = [m for m in self._table.others() if not m.usable and now - m.since < limit]
