--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -108,7 +108,7 @@
                 remedy="Ask another daemon.",
                 retry_after=1.0,
             )
-        self._adopt(spec, [], held)
+        self._add_batch(spec, [], held)
 
     async def pull(self, call: Pull) -> Page:
         """Returns a page of finished samples; it is empty if none finished within the wait.
@@ -191,7 +191,9 @@
             return encode_fetch_reply(replica.spec, samples, replica.owner)
         return pb.BatchFetchReply(known=False).SerializeToString()
 
-    def _adopt(self, spec: BatchSpec, samples: list[Sample], held: tuple[int, ...]) -> OpenBatch:
+    def _add_batch(
+        self, spec: BatchSpec, samples: list[Sample], held: tuple[int, ...]
+    ) -> OpenBatch:
         ledger = BatchLedger(spec, self._settings.longest_first)
         now = self._clock.now()
         batch = OpenBatch(ledger, now, now + spec.due if spec.due > 0 else math.inf)
@@ -227,7 +229,7 @@
         if spec is None:
             raise UnknownBatchError(f"batch {batch_id!r} is not known")
         self._telemetry.log_state(f"batch.{batch_id}", "taken over", samples=len(samples))
-        return self._adopt(spec, samples, ())
+        return self._add_batch(spec, samples, ())
 
     def _is_handed_over(self, batch: OpenBatch) -> bool:
         stopping = self._board.phase == Phase.STOPPING
