--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -183,7 +183,7 @@
         if batch is not None:
             answer = encode_fetch_reply(batch.ledger.spec, batch.ledger.finished(), own)
             if request.take_over:
-                self._give_up(batch_id)
+                self._hand_over(batch_id)
             return answer
         replica = self._replicas.get(batch_id)
         if replica is not None:
@@ -235,7 +235,7 @@
         stopping = self._board.phase == Phase.STOPPING
         return stopping and batch.runner.running == 0 and not batch.ledger.finished()
 
-    def _give_up(self, batch_id: BatchId) -> None:
+    def _hand_over(self, batch_id: BatchId) -> None:
         batch = self._batches.pop(batch_id)
         batch.runner.cancel_all()
         batch.changed.set()
