--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -118,7 +118,7 @@
             StoppingError: this daemon has finished what it had running and is leaving.
         """
         with self._activity.request():
-            batch = await self._find(call.batch)
+            batch = await self._find_or_recover(call.batch)
             check_slots(batch.ledger.spec, call.held)
             batch.last_pull_at = self._clock.now()
             self._announce_version(batch.ledger.spec, call.trainer_version)
@@ -211,7 +211,7 @@
         self._update_gauge()
         return batch
 
-    async def _find(self, batch_id: BatchId) -> OpenBatch:
+    async def _find_or_recover(self, batch_id: BatchId) -> OpenBatch:
         batch = self._batches.get(batch_id)
         if batch is not None:
             if self._is_handed_over(batch):
