--- a/src/larkpost/standalone/batches/runner.py
+++ b/src/larkpost/standalone/batches/runner.py
@@ -82,7 +82,7 @@
                 return
             self._start(slot, engine, Answer())
             self._last_engine = engine
-        self._double_stuck_ones(placement)
+        self._duplicate_stuck_samples(placement)
 
     def cancel_all(self) -> None:
         """Ends every attempt."""
@@ -117,7 +117,7 @@
             return None
         return self._group_engines.get(self.ledger.spec.prompt_index(slot))
 
-    def _double_stuck_ones(self, placement: Placement) -> None:
+    def _duplicate_stuck_samples(self, placement: Placement) -> None:
         """Continues samples of silent engines and stragglers on a second engine as well."""
         engines = {attempt.engine for attempt in self._attempts}
         stuck = {engine for engine in engines if self._is_silent(engine)}
