--- a/src/larkpost/standalone/batches/runner.py
+++ b/src/larkpost/standalone/batches/runner.py
@@ -120,7 +120,7 @@
     def _duplicate_stuck_samples(self, placement: Placement) -> None:
         """Continues samples of silent engines and stragglers on a second engine as well."""
         engines = {attempt.engine for attempt in self._attempts}
-        stuck = {engine for engine in engines if self._is_silent(engine)}
+        stuck = {engine for engine in engines if self._is_unresponsive(engine)}
         if self._settings.duplicate_slow:
             pool = self._board.pool_engines(self.ledger.spec.pool)
             stuck |= self._board.engines.speeds.stragglers(pool, self._clock.now())
@@ -134,7 +134,7 @@
             copy = Answer(list(attempt.answer.tokens), list(attempt.answer.spans))
             self._start(attempt.slot, engine, copy)
 
-    def _is_silent(self, engine: EngineId) -> bool:
+    def _is_unresponsive(self, engine: EngineId) -> bool:
         load = self._board.engines.loads.get(engine)
         return load is None or self._clock.now() - load.at > UNRESPONSIVE_ENGINE_SECONDS
 
