--- a/src/larkpost/standalone/batches/runner.py
+++ b/src/larkpost/standalone/batches/runner.py
@@ -77,7 +77,7 @@
         self._cancel_outdated()
         placement = self._make_placement()
         for slot in list(self.ledger.pending()):
-            engine = placement.acquire(self._group_engine(slot))
+            engine = placement.acquire(self._preferred_engine(slot))
             if engine is None:
                 return
             self._start(slot, engine, Answer())
@@ -112,7 +112,7 @@
             return RoundRobinPlacement(capacities, self._last_engine)
         return LoadPlacement(capacities)
 
-    def _group_engine(self, slot: int) -> EngineId | None:
+    def _preferred_engine(self, slot: int) -> EngineId | None:
         if not self._settings.keep_groups:
             return None
         return self._group_engines.get(self.ledger.spec.prompt_index(slot))
