--- a/src/larkpost/standalone/batches/runner.py
+++ b/src/larkpost/standalone/batches/runner.py
@@ -65,7 +65,7 @@
         self._on_sample = on_sample
         self._attempts: list[_Attempt] = []
         self._last_engine: EngineId | None = None
-        self._group_engines: dict[int, EngineId] = {}
+        self._prompt_engines: dict[int, EngineId] = {}
 
     @property
     def running(self) -> int:
@@ -115,7 +115,7 @@
     def _preferred_engine(self, slot: int) -> EngineId | None:
         if not self._settings.keep_groups:
             return None
-        return self._group_engines.get(self.ledger.spec.prompt_index(slot))
+        return self._prompt_engines.get(self.ledger.spec.prompt_index(slot))
 
     def _duplicate_stuck_samples(self, placement: Placement) -> None:
         """Continues samples of silent engines and stragglers on a second engine as well."""
@@ -147,7 +147,7 @@
 
     def _start(self, slot: int, engine: EngineId, answer: Answer) -> None:
         self.ledger.start(slot, engine)
-        self._group_engines.setdefault(self.ledger.spec.prompt_index(slot), engine)
+        self._prompt_engines.setdefault(self.ledger.spec.prompt_index(slot), engine)
         attempt = _Attempt(slot, engine, answer)
         self._attempts.append(attempt)
         attempt.task = self._tasks.spawn(self._run(attempt), f"sample-{slot}")
