--- a/src/larkpost/standalone/routing/selection.py
+++ b/src/larkpost/standalone/routing/selection.py
@@ -60,7 +60,9 @@
         for engine in watched_engines:
             if engine in excluded or not self._may_use(engine, now):
                 continue
-            if self._fresh(engine, now) and self._admits(work, self._board.engines.loads[engine]):
+            if self._has_fresh_report(engine, now) and self._admits(
+                work, self._board.engines.loads[engine]
+            ):
                 found.append(self._weigh(engine, engine in slow))
         return found
 
@@ -72,7 +74,7 @@
             for engine in self._monitor.watched_engines(pool)
             if engine not in excluded
             and self._may_use(engine, now)
-            and not self._fresh(engine, now)
+            and not self._has_fresh_report(engine, now)
         ]
 
     def is_full(self, work: Work) -> bool:
@@ -87,7 +89,7 @@
     def may_dispatch(self, engine: EngineId) -> bool:
         """Last check before an attempt: the engine is not leaving and its report is fresh."""
         now = self._clock.now()
-        return self._may_use(engine, now) and self._fresh(engine, now)
+        return self._may_use(engine, now) and self._has_fresh_report(engine, now)
 
     def _weigh(self, engine: EngineId, is_slow: bool) -> Candidate:
         engines = self._board.engines
@@ -116,6 +118,6 @@
         engines = self._board.engines
         return not engines.is_leaving(engine) and engines.avoid_until.get(engine, 0.0) <= now
 
-    def _fresh(self, engine: EngineId, now: float) -> bool:
+    def _has_fresh_report(self, engine: EngineId, now: float) -> bool:
         load = self._board.engines.loads.get(engine)
         return load is not None and now - load.at <= self._settings.report_lifetime
