--- a/src/larkpost/standalone/routing/selection.py
+++ b/src/larkpost/standalone/routing/selection.py
@@ -63,7 +63,7 @@
             if self._has_fresh_report(engine, now) and self._admits(
                 work, self._board.engines.loads[engine]
             ):
-                found.append(self._weigh(engine, engine in slow))
+                found.append(self._make_candidate(engine, engine in slow))
         return found
 
     def stale_engines(self, pool: PoolId, excluded: Collection[EngineId]) -> list[EngineId]:
@@ -91,7 +91,7 @@
         now = self._clock.now()
         return self._may_use(engine, now) and self._has_fresh_report(engine, now)
 
-    def _weigh(self, engine: EngineId, is_slow: bool) -> Candidate:
+    def _make_candidate(self, engine: EngineId, is_slow: bool) -> Candidate:
         engines = self._board.engines
         load = engines.loads[engine]
         busy = max(load.running + load.waiting, engines.in_flight.get(engine, 0))
