--- a/src/larkpost/standalone/routing/dispatcher.py
+++ b/src/larkpost/standalone/routing/dispatcher.py
@@ -95,7 +95,7 @@
     ) -> EngineId:
         self._check_deadline(work, progress)
         if progress.attempts > 0:
-            await self._pay_for_retry(work, progress)
+            await self._spend_retry(work, progress)
         if prefer is not None and progress.attempts == 0 and self._fits(work, prefer):
             return prefer
         candidate = self._selector.choose(work, progress.excluded)
@@ -116,7 +116,7 @@
     def _fits(self, work: Work, engine: EngineId) -> bool:
         return any(c.engine == engine for c in self._selector.candidates(work, ()))
 
-    async def _pay_for_retry(self, work: Work, progress: Progress) -> None:
+    async def _spend_retry(self, work: Work, progress: Progress) -> None:
         if progress.attempts >= MAX_ATTEMPTS or not self._budgets.spend(_caller_key(work)):
             raise OverloadedError(
                 "the request failed and its caller's retries are spent",
