--- a/src/larkpost/standalone/routing/dispatcher.py
+++ b/src/larkpost/standalone/routing/dispatcher.py
@@ -96,7 +96,7 @@
         self._check_deadline(work, progress)
         if progress.attempts > 0:
             await self._spend_retry(work, progress)
-        if prefer is not None and progress.attempts == 0 and self._fits(work, prefer):
+        if prefer is not None and progress.attempts == 0 and self._is_candidate(work, prefer):
             return prefer
         candidate = self._selector.choose(work, progress.excluded)
         if candidate is None:
@@ -113,7 +113,7 @@
             )
         return candidate.engine
 
-    def _fits(self, work: Work, engine: EngineId) -> bool:
+    def _is_candidate(self, work: Work, engine: EngineId) -> bool:
         return any(c.engine == engine for c in self._selector.candidates(work, ()))
 
     async def _spend_retry(self, work: Work, progress: Progress) -> None:
