--- a/src/larkpost/standalone/routing/dispatcher.py
+++ b/src/larkpost/standalone/routing/dispatcher.py
@@ -100,7 +100,7 @@
             return prefer
         candidate = self._selector.choose(work, progress.excluded)
         if candidate is None:
-            await self._probe(work, progress)
+            await self._poll_stale_engines(work, progress)
             candidate = self._selector.choose(work, progress.excluded)
         if candidate is None and progress.excluded:
             progress.excluded.clear()
@@ -130,7 +130,7 @@
         if self._clock.now() >= work.deadline:
             raise DeadlineError("the request's deadline has passed", ran=progress.ran)
 
-    async def _probe(self, work: Work, progress: Progress) -> None:
+    async def _poll_stale_engines(self, work: Work, progress: Progress) -> None:
         """Asks engines whose report is too old, so that a dead owner does not stop traffic."""
         stale_engines = self._selector.stale_engines(work.pool, progress.excluded)
         for engine in self._rng.sample(stale_engines, min(len(stale_engines), MAX_REPORT_PROBES)):
