--- a/src/larkpost/standalone/routing/run_once.py
+++ b/src/larkpost/standalone/routing/run_once.py
@@ -70,7 +70,7 @@
         self._table = table
         self._transport = transport
         self._settings = settings
-        self._born = board.members.own.incarnation
+        self._start_incarnation = board.members.own.incarnation
         """Incarnation at the start: refutations raise the member's, but the memory is the same."""
         self._issued = 0
         self._open: set[int] = set()
@@ -80,7 +80,7 @@
         self._issued += 1
         self._open.add(self._issued)
         self._open.discard(self._issued - MAX_OPEN_TICKETS)
-        return Ticket(self._board.members.own.id, self._born, self._issued)
+        return Ticket(self._board.members.own.id, self._start_incarnation, self._issued)
 
     async def claim(self, key: str) -> None:
         """Claims the right to run the key's request.
@@ -111,7 +111,10 @@
         return True
 
     def _is_open(self, ticket: Ticket) -> bool:
-        own = ticket.daemon == self._board.members.own.id and ticket.incarnation == self._born
+        own = (
+            ticket.daemon == self._board.members.own.id
+            and ticket.incarnation == self._start_incarnation
+        )
         return own and ticket.number in self._open
 
     async def _claim_ticket(self, ticket: Ticket) -> bool:
