--- a/src/larkpost/standalone/routing/run_once.py
+++ b/src/larkpost/standalone/routing/run_once.py
@@ -73,13 +73,13 @@
         self._start_incarnation = board.members.own.incarnation
         """Incarnation at the start: refutations raise the member's, but the memory is the same."""
         self._issued = 0
-        self._open: set[int] = set()
+        self._open_tickets: set[int] = set()
 
     def issue(self) -> Ticket:
         """Issues a ticket; the oldest open one is dropped when too many were never used."""
         self._issued += 1
-        self._open.add(self._issued)
-        self._open.discard(self._issued - MAX_OPEN_TICKETS)
+        self._open_tickets.add(self._issued)
+        self._open_tickets.discard(self._issued - MAX_OPEN_TICKETS)
         return Ticket(self._board.members.own.id, self._start_incarnation, self._issued)
 
     async def claim(self, key: str) -> None:
@@ -107,7 +107,7 @@
     def _consume(self, ticket: Ticket) -> bool:
         if not self._is_open(ticket):
             return False
-        self._open.remove(ticket.number)
+        self._open_tickets.remove(ticket.number)
         return True
 
     def _is_open(self, ticket: Ticket) -> bool:
@@ -115,7 +115,7 @@
             ticket.daemon == self._board.members.own.id
             and ticket.incarnation == self._start_incarnation
         )
-        return own and ticket.number in self._open
+        return own and ticket.number in self._open_tickets
 
     async def _claim_ticket(self, ticket: Ticket) -> bool:
         if ticket.daemon == self._board.members.own.id:
