--- a/src/larkpost/standalone/routing/run_once.py
+++ b/src/larkpost/standalone/routing/run_once.py
@@ -137,10 +137,10 @@
         return answer == b"1"
 
     async def _claim_row(self, key: str) -> bool:
-        mine = f"{self._board.members.own.id}/{uuid.uuid4().hex}".encode()
+        own_claim = f"{self._board.members.own.id}/{uuid.uuid4().hex}".encode()
         timeout = self._settings.platform_timeout
         try:
-            return await self._table.compare_and_set(ROW_PREFIX + key, 0, mine, timeout)
+            return await self._table.compare_and_set(ROW_PREFIX + key, 0, own_claim, timeout)
         except PlatformError:
             pass  # the write may have taken effect: read it back
         try:
@@ -156,4 +156,4 @@
             raise KeyStoreUnavailableError(
                 f"the claim of key {key!r} was lost", ran=Ran.UNKNOWN, retry_after=timeout
             )
-        return row.value == mine
+        return row.value == own_claim
