--- a/src/larkpost/standalone/controllers/owner_map.py
+++ b/src/larkpost/standalone/controllers/owner_map.py
@@ -23,7 +23,7 @@
         self._owners: dict[EngineId, DaemonId] = {}
         self._engines: dict[ZoneId, list[EngineInfo]] = {}
         self._candidates: dict[ZoneId, set[DaemonId]] = {}
-        self._seen = (-1, -1)
+        self._seen_revisions = (-1, -1)
         self.revision = 0
         """Grows with each change of an owner."""
 
@@ -48,11 +48,11 @@
 
     def _refresh(self) -> None:
         seen = (self._board.members.revision, self._board.engines.revision)
-        if seen == self._seen:
+        if seen == self._seen_revisions:
             return
-        if seen[1] != self._seen[1]:
+        if seen[1] != self._seen_revisions[1]:
             self._index_engines()
-        self._seen = seen
+        self._seen_revisions = seen
         eligible = self._board.members.eligible()
         everyone = {member.id for member in eligible}
         served = {member.zone for member in eligible}
