--- a/src/larkpost/standalone/controllers/owner_map.py
+++ b/src/larkpost/standalone/controllers/owner_map.py
@@ -38,7 +38,7 @@
         info = self._board.engines.directory.get(engine)
         if info is None or info.zone in self._candidates:
             return self._owners.get(engine)
-        return _best((m.id for m in self._board.members.eligible(info.zone)), engine)
+        return _highest_scoring((m.id for m in self._board.members.eligible(info.zone)), engine)
 
     def engines_of(self, daemon: DaemonId) -> list[EngineInfo]:
         """Returns the engines that fall to a daemon."""
@@ -85,9 +85,9 @@
         for info in engines:
             owner = self._owners.get(info.id)
             if owner is None or owner not in candidates:
-                self._assign(info.id, _best(candidates, info.id))
+                self._assign(info.id, _highest_scoring(candidates, info.id))
             elif added:
-                self._assign(info.id, _best({owner, *added}, info.id))
+                self._assign(info.id, _highest_scoring({owner, *added}, info.id))
 
     def _forget_zone(self, zone: ZoneId, engines: list[EngineInfo]) -> None:
         """Drops the owners of a zone that has daemons of its own again."""
@@ -104,5 +104,5 @@
             self.revision += 1
 
 
-def _best(candidates: Iterable[DaemonId], engine: EngineId) -> DaemonId | None:
+def _highest_scoring(candidates: Iterable[DaemonId], engine: EngineId) -> DaemonId | None:
     return max(candidates, key=lambda daemon: score(daemon, engine), default=None)
