--- a/src/larkpost/standalone/controllers/owner_map.py
+++ b/src/larkpost/standalone/controllers/owner_map.py
@@ -59,7 +59,7 @@
         own_zone = self._board.members.own.zone
         for zone, engines in self._engines.items():
             if zone in served and zone != own_zone:
-                self._forget_zone(zone, engines)
+                self._drop_zone(zone, engines)
             else:
                 own = {member.id for member in eligible if member.zone == zone}
                 self._update_zone(zone, engines, own or everyone)
@@ -89,7 +89,7 @@
             elif added:
                 self._assign(info.id, _highest_scoring({owner, *added}, info.id))
 
-    def _forget_zone(self, zone: ZoneId, engines: list[EngineInfo]) -> None:
+    def _drop_zone(self, zone: ZoneId, engines: list[EngineInfo]) -> None:
         """Drops the owners of a zone that has daemons of its own again."""
         if self._candidates.pop(zone, None) is not None:
             self.revision += 1
