--- a/src/larkpost/standalone/controllers/monitor.py
+++ b/src/larkpost/standalone/controllers/monitor.py
@@ -148,7 +148,7 @@
         directory = self._board.engines.directory
         local = [engine for engine in engines if directory[engine].zone == own.zone]
         remote = [engine for engine in engines if directory[engine].zone != own.zone]
-        local = self._of_best_owners(local, self._settings.watched_per_pool)
+        local = self._engines_of_best_owners(local, self._settings.watched_per_pool)
         missing = self._settings.watched_per_pool - len(local)
         count = max(missing, self._settings.watched_remote)
         return local + self._best_remote(pool, remote, count)
@@ -162,7 +162,7 @@
             self._remote[pool] = (key, best)
         return self._remote[pool][1]
 
-    def _of_best_owners(self, engines: list[EngineId], count: int) -> list[EngineId]:
+    def _engines_of_best_owners(self, engines: list[EngineId], count: int) -> list[EngineId]:
         """Returns the engines of the first owners that have at least ``count`` together."""
         by_owner: dict[str, list[EngineId]] = {}
         for engine in engines:
