--- a/src/larkpost/standalone/controllers/monitor.py
+++ b/src/larkpost/standalone/controllers/monitor.py
@@ -92,7 +92,7 @@
         self._board.engines.record_load(load)
         self._ownership.check_report(report)
         if info.id in self._board.owned and known is not None and known.version != load.version:
-            self._push(info.id)
+            self._push_load(info.id)
         return load
 
     async def push_summaries(self) -> None:
@@ -106,9 +106,9 @@
         """Records that an owned engine was just ordered to swap, and informs the subscribers."""
         load = self._board.engines.loads[engine]
         self._board.engines.loads[engine] = replace(load, swapping=True)
-        self._push(engine)
+        self._push_load(engine)
 
-    def _push(self, engine: EngineId) -> None:
+    def _push_load(self, engine: EngineId) -> None:
         """Sends the subscribers at once what has changed at an engine."""
         load = _load_message(self._board.engines.loads[engine], self._clock.now())
         for daemon, pool in self._subscribers:
