--- a/src/larkpost/standalone/controllers/monitor.py
+++ b/src/larkpost/standalone/controllers/monitor.py
@@ -45,7 +45,7 @@
         self._settings = runtime.settings.engines
         self._subscribers: dict[tuple[DaemonId, PoolId], float] = {}
         self._watched: dict[PoolId, list[EngineId]] = {}
-        self._remote: dict[PoolId, tuple[tuple[int, int, int], list[EngineId]]] = {}
+        self._remote_cache: dict[PoolId, tuple[tuple[int, int, int], list[EngineId]]] = {}
         self._watched_at: tuple[int, int, int] = (-1, -1, -1)
         gossip.register_handler("subscribe", self._on_subscribe)
         gossip.register_handler("load", self._on_load)
@@ -156,11 +156,11 @@
     def _best_remote(self, pool: PoolId, engines: list[EngineId], count: int) -> list[EngineId]:
         """Returns engines of other zones; kept until the directory changes, as they are many."""
         key = (self._board.configuration.epoch, self._board.engines.revision, count)
-        if self._remote.get(pool, (None, []))[0] != key:
+        if self._remote_cache.get(pool, (None, []))[0] != key:
             own = self._board.members.own.id
             best = nlargest(count, engines, key=lambda engine: score(own, engine))
-            self._remote[pool] = (key, best)
-        return self._remote[pool][1]
+            self._remote_cache[pool] = (key, best)
+        return self._remote_cache[pool][1]
 
     def _engines_of_best_owners(self, engines: list[EngineId], count: int) -> list[EngineId]:
         """Returns the engines of the first owners that have at least ``count`` together."""
