--- a/src/larkpost/standalone/controllers/monitor.py
+++ b/src/larkpost/standalone/controllers/monitor.py
@@ -46,7 +46,7 @@
         self._subscribers: dict[tuple[DaemonId, PoolId], float] = {}
         self._watched: dict[PoolId, list[EngineId]] = {}
         self._remote_cache: dict[PoolId, tuple[tuple[int, int, int], list[EngineId]]] = {}
-        self._watched_at: tuple[int, int, int] = (-1, -1, -1)
+        self._watched_key: tuple[int, int, int] = (-1, -1, -1)
         gossip.register_handler("subscribe", self._on_subscribe)
         gossip.register_handler("load", self._on_load)
 
@@ -54,9 +54,9 @@
         """Returns the engines of a pool that this daemon chooses from."""
         board = self._board
         key = (board.configuration.epoch, board.engines.revision, board.members.revision)
-        if key != self._watched_at:
+        if key != self._watched_key:
             self._watched.clear()
-            self._watched_at = key
+            self._watched_key = key
         if pool not in self._watched:
             self._watched[pool] = self._choose_watched(pool)
         return self._watched[pool]
