--- a/src/larkpost/standalone/controllers/readiness.py
+++ b/src/larkpost/standalone/controllers/readiness.py
@@ -43,7 +43,7 @@
         self._forget_time = runtime.settings.membership.forget_time
         self._rng = runtime.rng
         self._verified_at = float("-inf")
-        self._alone = False
+        self._is_alone = False
         self._alone_at = -1
 
     @property
@@ -144,8 +144,8 @@
         """Whether no other daemon of the zone is known; computed once per state of the members."""
         if self._alone_at != self._board.members.revision:
             self._alone_at = self._board.members.revision
-            self._alone = len(self.known_members(self._board.members.own.zone)) == 1
-        return self._alone
+            self._is_alone = len(self.known_members(self._board.members.own.zone)) == 1
+        return self._is_alone
 
     def _is_forgotten(self, member: MemberInfo) -> bool:
         if member.state == MemberState.LEFT:
