--- a/src/larkpost/standalone/controllers/readiness.py
+++ b/src/larkpost/standalone/controllers/readiness.py
@@ -44,7 +44,7 @@
         self._rng = runtime.rng
         self._verified_at = float("-inf")
         self._is_alone = False
-        self._alone_at = -1
+        self._alone_revision = -1
 
     @property
     def admits(self) -> bool:
@@ -142,8 +142,8 @@
 
     def _is_alone_in_zone(self) -> bool:
         """Whether no other daemon of the zone is known; computed once per state of the members."""
-        if self._alone_at != self._board.members.revision:
-            self._alone_at = self._board.members.revision
+        if self._alone_revision != self._board.members.revision:
+            self._alone_revision = self._board.members.revision
             self._is_alone = len(self.known_members(self._board.members.own.zone)) == 1
         return self._is_alone
 
