--- a/src/larkpost/standalone/controllers/ownership.py
+++ b/src/larkpost/standalone/controllers/ownership.py
@@ -40,14 +40,14 @@
         self._retry_at: dict[EngineId, float] = {}
         self._owners = OwnerMap(runtime.board)
         self._assigned: list[EngineInfo] = []
-        self._assigned_at: tuple[int, int] = (-1, -1)
+        self._assigned_revision: tuple[int, int] = (-1, -1)
 
     def assigned(self) -> list[EngineInfo]:
         """Returns the engines that fall to this daemon in its present view."""
         own = self._board.members.own.id
-        if self._owners.owner_revision() != self._assigned_at:
+        if self._owners.owner_revision() != self._assigned_revision:
             self._assigned = self._owners.engines_of(own)
-            self._assigned_at = self._owners.owner_revision()
+            self._assigned_revision = self._owners.owner_revision()
         return self._assigned
 
     def owner_of(self, info: EngineInfo) -> DaemonId | None:
