--- a/src/larkpost/standalone/controllers/configuration.py
+++ b/src/larkpost/standalone/controllers/configuration.py
@@ -99,7 +99,7 @@
             self._telemetry.log_state("platform.table", "unreachable")
             return False
         self._telemetry.log_state("platform.table", "reachable")
-        self._take(row)
+        self._publish_row(row)
         self._readiness.record_verified(asked_at)
         return True
 
@@ -157,7 +157,7 @@
                 row = await self._table.read(CONFIGURATION_KEY, timeout)
                 epoch = self._check(plan, row)
                 if epoch is not None:
-                    self._take(row)
+                    self._publish_row(row)
                     return epoch
                 value = _encode_row(plan, row)
                 await self._table.compare_and_set(
@@ -170,7 +170,7 @@
         epoch = self._check(plan, row)
         if epoch is None:
             raise PlatformError("the table service did not accept the plan in time")
-        self._take(row)
+        self._publish_row(row)
         return epoch
 
     def _check(self, plan: Plan, row: Row | None) -> int | None:
@@ -188,7 +188,7 @@
             )
         return None
 
-    def _take(self, row: Row | None) -> None:
+    def _publish_row(self, row: Row | None) -> None:
         if row is not None:
             self._dissemination.publish(Fact(CONFIGURATION_KEY, row.version, row.value))
 
