--- a/src/larkpost/standalone/controllers/configuration.py
+++ b/src/larkpost/standalone/controllers/configuration.py
@@ -155,7 +155,7 @@
         for attempt in range(WRITE_ATTEMPTS):
             try:
                 row = await self._table.read(CONFIGURATION_KEY, timeout)
-                epoch = self._check(plan, row)
+                epoch = self._find_applied_epoch(plan, row)
                 if epoch is not None:
                     self._publish_row(row)
                     return epoch
@@ -167,13 +167,13 @@
                 self._telemetry.count("platform_errors", kind="table")
                 await self._clock.sleep(0.1 * (attempt + 1))
         row = await self._table.read(CONFIGURATION_KEY, timeout)
-        epoch = self._check(plan, row)
+        epoch = self._find_applied_epoch(plan, row)
         if epoch is None:
             raise PlatformError("the table service did not accept the plan in time")
         self._publish_row(row)
         return epoch
 
-    def _check(self, plan: Plan, row: Row | None) -> int | None:
+    def _find_applied_epoch(self, plan: Plan, row: Row | None) -> int | None:
         """Returns the epoch at which the plan is written, or None if it may still be."""
         if row is None:
             if plan.base_epoch == 0:
