--- a/src/larkpost/standalone/controllers/configuration.py
+++ b/src/larkpost/standalone/controllers/configuration.py
@@ -220,9 +220,11 @@
             await self._clock.sleep(IN_FORCE_POLL_INTERVAL)
 
     def _zones_reached(self, reached: set[DaemonId]) -> set[ZoneId]:
-        return {zone for zone in self._board.members.zones() if self._is_reached(zone, reached)}
+        return {
+            zone for zone in self._board.members.zones() if self._is_zone_in_force(zone, reached)
+        }
 
-    def _is_reached(self, zone: ZoneId, reached: set[DaemonId]) -> bool:
+    def _is_zone_in_force(self, zone: ZoneId, reached: set[DaemonId]) -> bool:
         """Whether no daemon of the zone can act on an older epoch any more."""
         if not self._readiness.has_quorum(zone, reached):
             return False
