--- a/src/larkpost/standalone/controllers/configuration.py
+++ b/src/larkpost/standalone/controllers/configuration.py
@@ -214,12 +214,12 @@
             waiting = [m for m in self._board.members.alive() if m.id not in reached]
             answers = await asyncio.gather(*(self._has_epoch(m, epoch) for m in waiting))
             reached |= {m.id for m, has in zip(waiting, answers, strict=True) if has}
-            in_force = self._zones_reached(reached)
+            in_force = self._zones_in_force(reached)
             if in_force == self._board.members.zones() or self._clock.now() >= deadline:
                 return in_force
             await self._clock.sleep(IN_FORCE_POLL_INTERVAL)
 
-    def _zones_reached(self, reached: set[DaemonId]) -> set[ZoneId]:
+    def _zones_in_force(self, reached: set[DaemonId]) -> set[ZoneId]:
         return {
             zone for zone in self._board.members.zones() if self._is_zone_in_force(zone, reached)
         }
