--- a/src/larkpost/standalone/controllers/weights.py
+++ b/src/larkpost/standalone/controllers/weights.py
@@ -103,7 +103,7 @@
             policy=pool.policy,
             version=self._board.policy_versions[pool.policy],
         )
-        self._back_off(engine)
+        self._schedule_retry(engine)
         self._telemetry.count("swap_orders")
         address = self._board.engines.directory[engine].address
         try:
@@ -114,7 +114,7 @@
         except EngineError:
             self._telemetry.count("swap_failures")
 
-    def _back_off(self, engine: EngineId) -> None:
+    def _schedule_retry(self, engine: EngineId) -> None:
         """Sets the earliest next order; the first success of the engine resets it."""
         failures = self._failures.get(engine, 0)
         self._failures[engine] = failures + 1
