--- a/src/larkpost/standalone/controllers/probing.py
+++ b/src/larkpost/standalone/controllers/probing.py
@@ -43,20 +43,20 @@
         return await self._ping(target) or await self._ping_by_helpers(target)
 
     async def _ping(self, target: MemberInfo) -> bool:
-        sequence, answered = self._expect()
+        sequence, answered = self._register_probe()
         self._gossip.send(target, pb.Envelope(ping=pb.Ping(sequence=sequence)))
         return await self._await_ack(sequence, answered, self._settings.probe_timeout)
 
     async def _ping_by_helpers(self, target: MemberInfo) -> bool:
         helpers = [member for member in self._table.alive_others() if member.id != target.id]
         helpers = self._rng.sample(helpers, min(len(helpers), self._settings.indirect_probes))
-        sequence, answered = self._expect()
+        sequence, answered = self._register_probe()
         request = pb.PingRequest(sequence=sequence, target=target.to_message())
         for helper in helpers:
             self._gossip.send(helper, pb.Envelope(ping_request=request))
         return await self._await_ack(sequence, answered, self._settings.probe_timeout)
 
-    def _expect(self) -> tuple[int, asyncio.Event]:
+    def _register_probe(self) -> tuple[int, asyncio.Event]:
         self._sequence += 1
         answered = asyncio.Event()
         self._waiting[self._sequence] = answered
