--- a/src/larkpost/standalone/controllers/facts.py
+++ b/src/larkpost/standalone/controllers/facts.py
@@ -44,7 +44,7 @@
         self._rng = runtime.rng
         self._outgoing: dict[str, Fact] = {}
         self._repairing = False
-        gossip.compare_digest = self._compare
+        gossip.compare_digest = self._compare_digest
 
     def publish(self, *facts: Fact) -> bool:
         """Merges facts and spreads those that are new.
@@ -111,7 +111,7 @@
         except PeerError:
             return  # the next digest comparison repairs it
 
-    def _compare(self, daemon: DaemonId, digest: int) -> None:
+    def _compare_digest(self, daemon: DaemonId, digest: int) -> None:
         if digest != self._board.facts.digest and not self._repairing:
             self._repairing = True
             self._tasks.spawn(self._repair(daemon, digest), "repair-facts")
