--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -146,7 +146,7 @@
         """Starts samples of every batch, the one due first before the others."""
         if not self._batches or not self._readiness.admits:
             return
-        for batch in sorted(self._batches.values(), key=attrgetter("deadline_at")):
+        for batch in sorted(self._batches.values(), key=attrgetter("due_at")):
             if batch.runner is not None:
                 batch.runner.schedule()
 
