--- a/src/larkpost/standalone/batches/open_batch.py
+++ b/src/larkpost/standalone/batches/open_batch.py
@@ -21,7 +21,7 @@
 
     ledger: BatchLedger
     last_pull_at: float
-    deadline_at: float
+    due_at: float
     runner: BatchRunner | None = None
     unreplicated: list[Sample] = field(default_factory=list)
     changed: asyncio.Event = field(default_factory=asyncio.Event)
