--- a/src/larkpost/standalone/api/inference.py
+++ b/src/larkpost/standalone/api/inference.py
@@ -119,7 +119,7 @@
 
 
 async def _stream(
-    writer: "_ResponseWriter", first: TokenRun | None, runs: AsyncIterator[TokenRun]
+    writer: "_Writer", first: TokenRun | None, runs: AsyncIterator[TokenRun]
 ) -> AsyncIterator[bytes]:
     """Writes events. A broken answer ends with an error event and without the end mark."""
     answer = Answer()
