--- a/src/larkpost/standalone/api/inference.py
+++ b/src/larkpost/standalone/api/inference.py
@@ -59,7 +59,7 @@
         body = await read_document(request, CompletionRequest)
         call = self._make_call(request, body)
         runs = self._daemon.inference.complete(call)
-        writer = _ResponseWriter(call, chat)
+        writer = _Writer(call, chat)
         if not body.stream:
             answer = await _read_answer(request, runs)
             return Response(writer.full_response(answer), media_type=JSON)
@@ -140,7 +140,7 @@
     yield END_OF_STREAM
 
 
-class _ResponseWriter:
+class _Writer:
     """Writes one answer in the words of the OpenAI API."""
 
     def __init__(self, call: InferenceCall, chat: bool) -> None:
