--- a/src/larkpost/standalone/batches/ledger.py
+++ b/src/larkpost/standalone/batches/ledger.py
@@ -128,7 +128,7 @@
         """Whether the trainer holds every slot."""
         return all(slot.state == SlotState.HELD for slot in self._slots)
 
-    def start(self, slot: int, engine: EngineId) -> None:
+    def start_attempt(self, slot: int, engine: EngineId) -> None:
         """Notes an attempt at a pending or running slot."""
         entry = self._slots[slot]
         entry.state = SlotState.RUNNING
--- a/src/larkpost/standalone/batches/runner.py
+++ b/src/larkpost/standalone/batches/runner.py
@@ -146,7 +146,7 @@
                 self._cancel(attempt)
 
     def _start(self, slot: int, engine: EngineId, answer: Answer) -> None:
-        self.ledger.start(slot, engine)
+        self.ledger.start_attempt(slot, engine)
         self._prompt_engines.setdefault(self.ledger.spec.prompt_index(slot), engine)
         attempt = _Attempt(slot, engine, answer)
         self._attempts.append(attempt)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -60,14 +60,14 @@
 
     def test_stale_sample_is_refused_on_finishing(self):
         ledger = BatchLedger(make_spec())
-        ledger.start(0, ENGINE)
+        ledger.start_attempt(0, ENGINE)
         self.assertFalse(ledger.finish(make_sample(0, version=3)))
         self.assertEqual(ledger.state(0), SlotState.PENDING)
 
     def test_slot_is_pending_again_only_when_its_last_attempt_ends(self):
         ledger = BatchLedger(make_spec())
-        ledger.start(0, ENGINE)
-        ledger.start(0, EngineId("engine-2"))
+        ledger.start_attempt(0, ENGINE)
+        ledger.start_attempt(0, EngineId("engine-2"))
         ledger.abandon(0, ENGINE)
         self.assertEqual(ledger.state(0), SlotState.RUNNING)
         ledger.abandon(0, EngineId("engine-2"))
