--- a/src/larkpost/standalone/batches/ledger.py
+++ b/src/larkpost/standalone/batches/ledger.py
@@ -139,7 +139,7 @@
         """Returns the engines that attempt the slot now."""
         return self._slots[slot].engines
 
-    def abandon(self, slot: int, engine: EngineId) -> None:
+    def end_attempt(self, slot: int, engine: EngineId) -> None:
         """Records that an attempt ended without a sample."""
         entry = self._slots[slot]
         if engine in entry.engines:
--- a/src/larkpost/standalone/batches/runner.py
+++ b/src/larkpost/standalone/batches/runner.py
@@ -188,7 +188,7 @@
     def _end(self, attempt: _Attempt) -> None:
         if attempt in self._attempts:
             self._attempts.remove(attempt)
-            self.ledger.abandon(attempt.slot, attempt.engine)
+            self.ledger.end_attempt(attempt.slot, attempt.engine)
 
     def _make_work(self, slot: int) -> Work:
         spec = self.ledger.spec
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -68,9 +68,9 @@
         ledger = BatchLedger(make_spec())
         ledger.start_attempt(0, ENGINE)
         ledger.start_attempt(0, EngineId("engine-2"))
-        ledger.abandon(0, ENGINE)
+        ledger.end_attempt(0, ENGINE)
         self.assertEqual(ledger.state(0), SlotState.RUNNING)
-        ledger.abandon(0, EngineId("engine-2"))
+        ledger.end_attempt(0, EngineId("engine-2"))
         self.assertEqual(ledger.state(0), SlotState.PENDING)
 
     def test_longest_expected_answers_start_first(self):
