--- a/src/larkpost/standalone/batches/ledger.py
+++ b/src/larkpost/standalone/batches/ledger.py
@@ -112,7 +112,7 @@
         """Returns the slot's state."""
         return self._slots[slot].state
 
-    def pending(self) -> Iterable[int]:
+    def pending_slots(self) -> Iterable[int]:
         """Returns the slots to start, in the order to start them."""
         return self._pending.keys()
 
--- a/src/larkpost/standalone/batches/runner.py
+++ b/src/larkpost/standalone/batches/runner.py
@@ -76,7 +76,7 @@
         """Starts what can be started now."""
         self._cancel_outdated()
         placement = self._make_placement()
-        for slot in list(self.ledger.pending()):
+        for slot in list(self.ledger.pending_slots()):
             engine = placement.acquire(self._preferred_engine(slot))
             if engine is None:
                 return
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -75,4 +75,4 @@
 
     def test_longest_expected_answers_start_first(self):
         ledger = BatchLedger(make_spec(expected_tokens=(3, 8)))
-        self.assertEqual(list(ledger.pending()), [2, 3, 0, 1])
+        self.assertEqual(list(ledger.pending_slots()), [2, 3, 0, 1])
