--- a/src/larkpost/standalone/batches/ledger.py
+++ b/src/larkpost/standalone/batches/ledger.py
@@ -116,7 +116,7 @@
         """Returns the slots to start, in the order to start them."""
         return self._pending.keys()
 
-    def running(self) -> list[int]:
+    def running_slots(self) -> list[int]:
         """Returns the slots with an attempt under way."""
         return [i for i, slot in enumerate(self._slots) if slot.state == SlotState.RUNNING]
 
