--- a/src/larkpost/standalone/batches/ledger.py
+++ b/src/larkpost/standalone/batches/ledger.py
@@ -120,7 +120,7 @@
         """Returns the slots with an attempt under way."""
         return [i for i, slot in enumerate(self._slots) if slot.state == SlotState.RUNNING]
 
-    def finished(self) -> list[Sample]:
+    def finished_samples(self) -> list[Sample]:
         """Returns the finished samples that the trainer does not hold yet."""
         return [s.sample for s in self._slots if s.state == SlotState.FINISHED and s.sample]
 
@@ -185,7 +185,7 @@
             unchanged = all(self._slots[s.slot].sample is s for s in page.samples)
             if (last_number, last_version) == (number, version) and page.samples and unchanged:
                 return page
-        samples = tuple(self.finished()[:limit])
+        samples = tuple(self.finished_samples()[:limit])
         held = sum(slot.state == SlotState.HELD for slot in self._slots)
         page = Page(number, samples, self.spec.slot_count - held - len(samples))
         self._last_page = (number, version, page)
--- a/src/larkpost/standalone/batches/replication.py
+++ b/src/larkpost/standalone/batches/replication.py
@@ -107,7 +107,7 @@
         spec = ledger.spec
         for standby in self._candidates(spec.id):
             fresh = self._standbys.get(spec.id) != standby.id
-            samples = ledger.finished() if fresh else new_samples
+            samples = ledger.finished_samples() if fresh else new_samples
             if await self._send(standby, spec, samples, closed=False):
                 self._standbys[spec.id] = standby.id
                 return True
--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -181,7 +181,7 @@
         own = self._board.members.own.id
         batch = self._batches.get(batch_id)
         if batch is not None:
-            answer = encode_fetch_reply(batch.ledger.spec, batch.ledger.finished(), own)
+            answer = encode_fetch_reply(batch.ledger.spec, batch.ledger.finished_samples(), own)
             if request.take_over:
                 self._hand_over(batch_id)
             return answer
@@ -233,7 +233,7 @@
 
     def _is_handed_over(self, batch: OpenBatch) -> bool:
         stopping = self._board.phase == Phase.STOPPING
-        return stopping and batch.runner.running == 0 and not batch.ledger.finished()
+        return stopping and batch.runner.running == 0 and not batch.ledger.finished_samples()
 
     def _hand_over(self, batch_id: BatchId) -> None:
         batch = self._batches.pop(batch_id)
@@ -245,7 +245,7 @@
     async def _wait_for_samples(self, batch: OpenBatch, wait: float | None) -> None:
         seconds = self._settings.pull_wait if wait is None else min(wait, MAX_PULL_WAIT)
         deadline = self._clock.now() + seconds
-        while not batch.ledger.finished() and not batch.ledger.is_complete():
+        while not batch.ledger.finished_samples() and not batch.ledger.is_complete():
             remaining = deadline - self._clock.now()
             if remaining <= 0 or batch.ledger.spec.id not in self._batches:
                 return
