--- a/src/larkpost/standalone/batches/runner.py
+++ b/src/larkpost/standalone/batches/runner.py
@@ -68,7 +68,7 @@
         self._prompt_engines: dict[int, EngineId] = {}
 
     @property
-    def running(self) -> int:
+    def running_attempts(self) -> int:
         """Attempts under way."""
         return len(self._attempts)
 
--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -80,9 +80,11 @@
         self._readiness = readiness
 
     @property
-    def running(self) -> int:
+    def running_attempts(self) -> int:
         """Attempts at samples under way."""
-        return sum(batch.runner.running for batch in self._batches.values() if batch.runner)
+        return sum(
+            batch.runner.running_attempts for batch in self._batches.values() if batch.runner
+        )
 
     def __len__(self) -> int:
         return len(self._batches)
@@ -233,7 +235,9 @@
 
     def _is_handed_over(self, batch: OpenBatch) -> bool:
         stopping = self._board.phase == Phase.STOPPING
-        return stopping and batch.runner.running == 0 and not batch.ledger.finished_samples()
+        return (
+            stopping and batch.runner.running_attempts == 0 and not batch.ledger.finished_samples()
+        )
 
     def _hand_over(self, batch_id: BatchId) -> None:
         batch = self._batches.pop(batch_id)
--- a/src/larkpost/standalone/daemon.py
+++ b/src/larkpost/standalone/daemon.py
@@ -132,7 +132,7 @@
         self.board.phase = Phase.STOPPING
         self.telemetry.log_state("daemon", Phase.STOPPING)
         self.membership.announce_leaving()
-        while self.activity.requests or self.batches.running:
+        while self.activity.requests or self.batches.running_attempts:
             await self._ports.clock.sleep(DRAIN_POLL_INTERVAL)
         await self.batches.replicate()
         self.membership.leave()
