--- a/src/larkpost/standalone/blackboard/facts.py
+++ b/src/larkpost/standalone/blackboard/facts.py
@@ -80,7 +80,7 @@
                 listener(fact)
         return True
 
-    def differing(self, digests: list[int]) -> list[Fact]:
+    def facts_differing_from(self, digests: list[int]) -> list[Fact]:
         """Returns the facts of each bucket whose digest differs from the given one."""
         differs = [own != other for own, other in zip(self.bucket_digests, digests, strict=True)]
         return [fact for fact in self._facts.values() if differs[_bucket(fact.key)]]
--- a/src/larkpost/standalone/controllers/facts.py
+++ b/src/larkpost/standalone/controllers/facts.py
@@ -75,7 +75,7 @@
     async def on_sync(self, payload: bytes) -> bytes:
         """Answers with the buckets that differ."""
         request = pb.FactSyncRequest.FromString(payload)
-        facts = self._board.facts.differing(list(request.bucket_digests))
+        facts = self._board.facts.facts_differing_from(list(request.bucket_digests))
         return pb.FactSyncReply(facts=map(_to_message, facts)).SerializeToString()
 
     async def fetch_from(self, address: Address) -> bool:
