--- a/src/larkpost/standalone/batches/runner.py
+++ b/src/larkpost/standalone/batches/runner.py
@@ -72,7 +72,7 @@
         """Attempts under way."""
         return len(self._attempts)
 
-    def schedule(self) -> None:
+    def schedule_samples(self) -> None:
         """Starts what can be started now."""
         self._cancel_outdated()
         placement = self._make_placement()
--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -144,13 +144,13 @@
         with self._activity.request():
             await self._replicator.drop_copy(known.ledger.spec)
 
-    async def schedule(self) -> None:
+    async def schedule_samples(self) -> None:
         """Starts samples of every batch, the one due first before the others."""
         if not self._batches or not self._readiness.admits:
             return
         for batch in sorted(self._batches.values(), key=attrgetter("due_at")):
             if batch.runner is not None:
-                batch.runner.schedule()
+                batch.runner.schedule_samples()
 
     async def replicate(self) -> None:
         """Copies newly finished samples to the standbys."""
--- a/src/larkpost/standalone/daemon.py
+++ b/src/larkpost/standalone/daemon.py
@@ -121,7 +121,7 @@
         every(SUBSCRIBE_INTERVAL, self.monitor.subscribe, "subscriptions")
         every(SWAP_INTERVAL, self.weights.reconcile, "weights")
         every(SWAP_INTERVAL, self.monitor.poll_swapping_engines, "swap-reports")
-        every(SCHEDULE_INTERVAL, self.batches.schedule, "schedule")
+        every(SCHEDULE_INTERVAL, self.batches.schedule_samples, "schedule")
         every(self.settings.batches.replicate_interval, self.batches.replicate, "replication")
         every(EXPIRE_INTERVAL, self.batches.expire, "expiry")
         every(EXPIRE_INTERVAL, self.replicas.expire, "replica-expiry")
