--- a/src/larkpost/standalone/api/operations.py
+++ b/src/larkpost/standalone/api/operations.py
@@ -82,7 +82,7 @@
         return PlainTextResponse("alive\n")
 
     async def _ready(self, _request: Request) -> Response:
-        status = 200 if self._daemon.readiness.admits else 503
+        status = 200 if self._daemon.readiness.admits_work else 503
         return PlainTextResponse(f"{self._daemon.board.phase}\n", status)
 
     async def _peer(self, request: Request) -> Response:
@@ -103,7 +103,7 @@
         "daemon": board.members.own.id,
         "zone": board.members.own.zone,
         "phase": board.phase,
-        "admits": daemon.readiness.admits,
+        "admits": daemon.readiness.admits_work,
         "epoch": board.configuration.epoch,
         "open_batches": len(daemon.batches),
         "members": [
--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -146,7 +146,7 @@
 
     async def schedule_samples(self) -> None:
         """Starts samples of every batch, the one due first before the others."""
-        if not self._batches or not self._readiness.admits:
+        if not self._batches or not self._readiness.admits_work:
             return
         for batch in sorted(self._batches.values(), key=attrgetter("due_at")):
             if batch.runner is not None:
--- a/src/larkpost/standalone/controllers/readiness.py
+++ b/src/larkpost/standalone/controllers/readiness.py
@@ -47,7 +47,7 @@
         self._alone_revision = -1
 
     @property
-    def admits(self) -> bool:
+    def admits_work(self) -> bool:
         """Whether the daemon may take new work and give orders now."""
         return self._board.phase == Phase.READY and self.is_current()
 
@@ -60,7 +60,7 @@
         """
         if self._board.phase == Phase.STOPPING:
             raise StoppingError("this daemon is stopping")
-        if not self.admits:
+        if not self.admits_work:
             raise NotReadyError(
                 "this daemon is not certain of the configuration in force",
                 retry_after=RETRY_AFTER_NOT_READY,
@@ -127,7 +127,9 @@
 
     async def on_state(self, _payload: bytes) -> bytes:
         """Answers with the epoch in force here, and whether this daemon may act on it."""
-        reply = pb.ConfigurationStateReply(epoch=self._board.configuration.epoch, ready=self.admits)
+        reply = pb.ConfigurationStateReply(
+            epoch=self._board.configuration.epoch, ready=self.admits_work
+        )
         return reply.SerializeToString()
 
     async def _verify_with(self, peer: MemberInfo) -> None:
--- a/src/larkpost/standalone/controllers/weights.py
+++ b/src/larkpost/standalone/controllers/weights.py
@@ -56,7 +56,7 @@
             for engine, pool in self._owned_with_pools()
             if self._is_due(engine, pool)
         ]
-        if not due or not self._readiness.admits:
+        if not due or not self._readiness.admits_work:
             return
         for engine, pool in due:
             await self._swap(engine, pool)
--- a/tests/test_regressions.py
+++ b/tests/test_regressions.py
@@ -38,9 +38,9 @@
         sleeper = self.names[0]
         self.fleet.act(self.world.freeze_daemon, sleeper, 60.0)
         self.fleet.advance(59.9)
-        self.assertFalse(self.fleet.act(lambda: self.daemon(0).readiness.admits))
+        self.assertFalse(self.fleet.act(lambda: self.daemon(0).readiness.admits_work))
         self.fleet.advance(10.0)
-        self.assertTrue(self.fleet.act(lambda: self.daemon(0).readiness.admits))
+        self.assertTrue(self.fleet.act(lambda: self.daemon(0).readiness.admits_work))
 
     def test_answer_that_waited_through_a_pause_verifies_nothing(self):
         daemon = self.daemon(0)
