--- a/src/larkpost/standalone/batches/ledger.py
+++ b/src/larkpost/standalone/batches/ledger.py
@@ -1,12 +1,12 @@
-"""The state of one rollout batch: which slots are pending, running or finished, and its pages.
-
-Pure: no clock, no network. Invariants:
-- A slot takes one value; the first attempt to finish wins, later ones are dropped.
-- A page is built from the slots that the trainer says it lacks, so a slot that the trainer holds is
-  never served again, by this daemon or by one that takes the batch over.
-- A finished sample whose oldest version is below the trainer's bound is never put on a page; its
-  slot becomes pending again.
-- A page number that is asked again under the same trainer version gets the identical page.
+"""The state of one rollout batch: its slots (pending, running, finished or held) and its pages.
+
+Uses neither clock nor network. Invariants:
+- A slot gets one value: the first attempt to finish wins, results of later ones are dropped.
+- A page contains only slots that the trainer does not report as held, so a held slot is never
+  served again, neither by this daemon nor by one that takes over the batch.
+- A finished sample whose oldest version is below the trainer's staleness bound is never put on a
+  page; its slot becomes pending again.
+- A repeated request for a page number at the same trainer version returns the identical page.
 """
 
 from collections.abc import Iterable
@@ -19,14 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchSpec:
-    """What a trainer asks for.
+    """A trainer's specification of a batch.
 
     Attributes:
         prompts: one entry per prompt; slot ``i`` is a sample of prompt ``i // samples_per_prompt``.
-        staleness_bound: versions a sample may be older than the trainer's step.
+        staleness_bound: maximum number of versions by which a sample may lag behind the trainer.
         policy_version: the trainer's version when it opened the batch.
-        due: seconds from opening within which the trainer wants the batch whole.
-        expected_tokens: expected response length per prompt, empty if unknown.
+        due: seconds after opening by which the trainer wants the complete batch; 0 for no limit.
+        expected_tokens: expected response length per prompt; empty if unknown.
     """
 
     id: BatchId
@@ -42,17 +42,17 @@
 
     @property
     def slot_count(self) -> int:
-        """Number of samples."""
+        """Number of samples in the batch."""
         return len(self.prompts) * self.samples_per_prompt
 
     def prompt_index(self, slot: int) -> int:
-        """Returns which prompt a slot samples."""
+        """Returns the index of the prompt that a slot samples."""
         return slot // self.samples_per_prompt
 
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """A finished response with the versions that produced it."""
+    """A finished response with the weight versions that produced it."""
 
     slot: int
     tokens: tuple[int, ...]
@@ -60,28 +60,28 @@
 
     @property
     def oldest_version(self) -> int:
-        """The lowest version that produced a token."""
+        """The lowest weight version that produced a token; 0 for an empty response."""
         return min((span.version for span in self.spans), default=0)
 
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """An answer to a pull."""
+    """A page of finished samples, the response to a pull."""
 
     number: int
     samples: tuple[Sample, ...]
     remaining: int
-    """Slots that the trainer will still lack after this page."""
+    """Number of slots that the trainer still lacks after this page."""
 
 
 class SlotState(StrEnum):
-    """State of a slot at its batch owner."""
+    """State of a slot at the batch owner."""
 
     PENDING = "pending"
     RUNNING = "running"
     FINISHED = "finished"
     HELD = "held"
-    """The trainer says that it has the sample. Final."""
+    """The trainer has reported that it has the sample; a final state."""
 
 
 @dataclass(slots=True)
@@ -92,7 +92,7 @@
 
 
 class BatchLedger:
-    """All slots of a batch."""
+    """Tracks all slots of a batch."""
 
     def __init__(self, spec: BatchSpec, longest_first: bool = True) -> None:
         self.spec = spec
@@ -105,7 +105,7 @@
 
     @property
     def oldest_accepted(self) -> int:
-        """The lowest version the trainer accepts at its present step."""
+        """The lowest version that the trainer accepts at its current version."""
         return max(self.trainer_version - self.spec.staleness_bound, 0)
 
     def state(self, slot: int) -> SlotState:
@@ -113,15 +113,15 @@
         return self._slots[slot].state
 
     def pending_slots(self) -> Iterable[int]:
-        """Returns the slots to start, in the order to start them."""
+        """Returns the pending slots in the order in which to start them."""
         return self._pending.keys()
 
     def running_slots(self) -> list[int]:
-        """Returns the slots with an attempt under way."""
+        """Returns the slots that have a running attempt."""
         return [i for i, slot in enumerate(self._slots) if slot.state == SlotState.RUNNING]
 
     def finished_samples(self) -> list[Sample]:
-        """Returns the finished samples that the trainer does not hold yet."""
+        """Returns the finished samples that the trainer does not hold."""
         return [s.sample for s in self._slots if s.state == SlotState.FINISHED and s.sample]
 
     def is_complete(self) -> bool:
@@ -129,14 +129,14 @@
         return all(slot.state == SlotState.HELD for slot in self._slots)
 
     def start_attempt(self, slot: int, engine: EngineId) -> None:
-        """Notes an attempt at a pending or running slot."""
+        """Records a new attempt at a pending or running slot."""
         entry = self._slots[slot]
         entry.state = SlotState.RUNNING
         entry.engines.append(engine)
         self._pending.pop(slot, None)
 
     def engines_of(self, slot: int) -> list[EngineId]:
-        """Returns the engines that attempt the slot now."""
+        """Returns the engines with a running attempt at the slot."""
         return self._slots[slot].engines
 
     def end_attempt(self, slot: int, engine: EngineId) -> None:
@@ -151,7 +151,7 @@
         """Stores a finished sample.
 
         Returns:
-            Whether it is the slot's value; False if the slot already had one.
+            Whether it became the slot's value; False if the slot has one or the sample is stale.
         """
         entry = self._slots[sample.slot]
         if entry.state in (SlotState.FINISHED, SlotState.HELD):
@@ -166,7 +166,7 @@
         return True
 
     def record_trainer_state(self, version: int, held: Iterable[int]) -> None:
-        """Records what a pull says of the trainer: its version and the slots it has."""
+        """Records the trainer's version and held slots, and drops samples that became stale."""
         self.trainer_version = max(self.trainer_version, version)
         for slot in held:
             entry = self._slots[slot]
@@ -179,7 +179,7 @@
                 self._drop_stale(slot)
 
     def make_page(self, number: int, version: int, limit: int) -> Page:
-        """Builds the page of that number, or returns it again if it was built before."""
+        """Builds a page, or returns the last one again if number and version are the same."""
         if self._last_page is not None:
             last_number, last_version, page = self._last_page
             unchanged = all(self._slots[s.slot].sample is s for s in page.samples)
@@ -198,7 +198,7 @@
         self._make_pending(slot)
 
     def _make_pending(self, slot: int) -> None:
-        """Puts a slot back in front: it is the batch's most delayed one."""
+        """Puts a slot at the front of the pending ones, as it is the most delayed."""
         self._slots[slot].state = SlotState.PENDING
         self._pending = {slot: None, **self._pending}
 
--- a/src/larkpost/standalone/batches/messages.py
+++ b/src/larkpost/standalone/batches/messages.py
@@ -1,4 +1,4 @@
-"""Encoding of batches for other daemons."""
+"""Conversion of batch specifications and samples to and from protobuf messages."""
 
 from larkpost.common.ids import BatchId, PoolId, TrainerId
 from larkpost.standalone.batches.ledger import BatchSpec, Sample
--- a/src/larkpost/standalone/batches/open_batch.py
+++ b/src/larkpost/standalone/batches/open_batch.py
@@ -12,11 +12,11 @@
     """A batch owned by this daemon.
 
     Attributes:
-        touched: local monotonic time of the trainer's last pull.
-        due_at: local monotonic time by which the trainer wants the batch whole, or infinity.
-        unreplicated: samples that no other daemon has yet.
-        changed: is set whenever a sample is finished, and when the batch is given up.
-        copied: whether another daemon has had a copy of the batch.
+        last_pull_at: local monotonic time of the trainer's last pull, or of opening.
+        due_at: local monotonic time by which the trainer wants the complete batch, or infinity.
+        unreplicated: finished samples not yet sent to a standby.
+        changed: set when a sample finishes and when the batch is handed over.
+        was_replicated: whether a standby has stored the batch at least once.
     """
 
     ledger: BatchLedger
--- a/src/larkpost/standalone/batches/placement.py
+++ b/src/larkpost/standalone/batches/placement.py
@@ -1,9 +1,4 @@
-"""Where the next rollouts start: free slots per engine, counted down while slots are placed.
-
-Weighed and dropped: a placement that keeps long samples apart from many short ones. The lengths are
-known per prompt and within a factor of two at best; on the calm day it changed nothing (idle time
-over the bound 1.376, and 1.373 by load alone, median of three seeds).
-"""
+"""Placement of new rollouts on engines, within the free slots of each engine."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Iterable
@@ -17,12 +12,12 @@
 
 @dataclass(slots=True)
 class EngineCapacity:
-    """What is known of one engine while slots are placed.
+    """Free slots and load of one engine, updated as rollouts are placed.
 
     Attributes:
-        free: sequence slots that rollouts may still take.
-        running: sequences in the engine.
-        is_slow: it is a straggler, taken only when the others are full.
+        free: sequence slots that rollouts may still use.
+        running: sequences at the engine.
+        is_slow: the engine is a straggler, used only when the others are full.
     """
 
     engine: EngineId
@@ -32,32 +27,32 @@
 
 
 class Placement(ABC):
-    """Chooses engines one slot after another."""
+    """Chooses an engine for each rollout in turn."""
 
     def __init__(self, capacities: Iterable[EngineCapacity]) -> None:
         self._capacities = {capacity.engine: capacity for capacity in capacities}
 
     def acquire(self, preferred: EngineId | None) -> EngineId | None:
-        """Occupies a slot.
+        """Occupies a slot at an engine.
 
         Args:
-            preferred: the engine that runs the sample's prompt already.
+            preferred: the engine that already runs samples of the same prompt.
 
         Returns:
             The engine, or None if no slot is free.
         """
-        usable = [r for r in self._capacities.values() if r.free > 0]
+        usable = [c for c in self._capacities.values() if c.free > 0]
         if not usable:
             return None
         capacity = self._choose(usable, preferred)
         return _occupy(capacity)
 
     def acquire_other(self, current: EngineId) -> EngineId | None:
-        """Occupies a slot at another engine, for a sample that is stuck at its current one."""
+        """Occupies a slot at another engine that is not slow, for a sample stuck at ``current``."""
         others = [
-            r
-            for r in self._capacities.values()
-            if r.free > 0 and r.engine != current and not r.is_slow
+            c
+            for c in self._capacities.values()
+            if c.free > 0 and c.engine != current and not c.is_slow
         ]
         if not others:
             return None
@@ -65,11 +60,11 @@
 
     @abstractmethod
     def _choose(self, usable: list[EngineCapacity], preferred: EngineId | None) -> EngineCapacity:
-        """Chooses among engines with a free slot."""
+        """Chooses one of the engines that have a free slot."""
 
 
 class LoadPlacement(Placement):
-    """Chooses the prompt's engine, else the least loaded one."""
+    """Chooses the preferred engine unless it is slow or full, else the least loaded one."""
 
     def _choose(self, usable: list[EngineCapacity], preferred: EngineId | None) -> EngineCapacity:
         for capacity in usable:
@@ -79,7 +74,7 @@
 
 
 class _LoadOrder(NamedTuple):
-    """The criteria by which an engine comes first, the first one before the others."""
+    """Sort key of engines: those that are not slow first, then by load."""
 
     is_slow: bool
     occupied_share: float
@@ -93,14 +88,14 @@
 
 
 class RoundRobinPlacement(Placement):
-    """Chooses the engines in turn; a baseline."""
+    """Chooses the engines in turn; a baseline for comparisons."""
 
     def __init__(self, capacities: Iterable[EngineCapacity], last: EngineId | None) -> None:
         super().__init__(capacities)
         self._last = last
 
     def _choose(self, usable: list[EngineCapacity], preferred: EngineId | None) -> EngineCapacity:
-        later = [r for r in usable if self._last is not None and r.engine > self._last]
+        later = [c for c in usable if self._last is not None and c.engine > self._last]
         capacity = min(later or usable, key=attrgetter("engine"))
         self._last = capacity.engine
         return capacity
@@ -113,7 +108,7 @@
 
 
 def make_capacities(candidates: Iterable[Candidate], reserve: int) -> list[EngineCapacity]:
-    """Returns the rooms of engines that may take rollouts."""
+    """Returns the capacity of each candidate, less the ``reserve`` slots kept for clients."""
     return [
         EngineCapacity(c.engine, max(c.free_slots - reserve, 0), c.busy_slots, c.is_slow)
         for c in candidates
--- a/src/larkpost/standalone/batches/replication.py
+++ b/src/larkpost/standalone/batches/replication.py
@@ -1,9 +1,9 @@
-"""Copies of batches at a second daemon, so that the death of the owner loses no finished sample.
+"""Replication of batches to a standby daemon, so that finished samples survive the owner's failure.
 
-The owner groups newly finished samples and sends them to a standby, chosen by rendezvous hashing
-and preferably in another zone. A daemon that is asked for a batch it does not know fetches it from
-the likely standbys. If none has it, the trainer opens the batch again: the trainer holds the
-specification and knows its slots, so no store is needed.
+The owner sends newly finished samples in groups to a standby, chosen by rendezvous hashing and
+preferably in another zone. A daemon asked for a batch it does not know fetches it from the likely
+standbys. If none has it, the trainer reopens the batch: it has the specification and the list of
+held slots, so no store is needed.
 """
 
 import asyncio
@@ -25,16 +25,16 @@
 from larkpost.standalone.wire.peer import PeerError, PeerMethod, PeerTransport
 
 STANDBY_CANDIDATES = 3
-"""Daemons among which a standby is sought, of other zones first."""
+"""Number of daemons tried as standby, those of other zones first."""
 REPLICATE_TIMEOUT = 1.0
-"""Seconds to wait for the answer of a standby."""
+"""Seconds to wait for a standby's answer."""
 MAX_REPLICAS = 1024
-"""Batches of other daemons that a daemon keeps copies of, the newest."""
+"""Maximum number of replicas at a daemon; the least recently updated are dropped."""
 
 
 @dataclass(slots=True)
 class Replica:
-    """A copy of another daemon's batch."""
+    """A replica of another daemon's batch."""
 
     spec: BatchSpec
     owner: DaemonId
@@ -44,14 +44,14 @@
 
 @dataclass(slots=True)
 class RecoveredBatch:
-    """What was found of a batch elsewhere."""
+    """A batch as recovered from other daemons."""
 
     spec: BatchSpec
     samples: list[Sample]
 
 
 class ReplicaStore:
-    """Copies held for other daemons."""
+    """Replicas held for other daemons."""
 
     def __init__(self, clock: Clock, lifetime: float) -> None:
         self._clock = clock
@@ -62,7 +62,7 @@
         return len(self._replicas)
 
     def store(self, message: pb.BatchReplica) -> None:
-        """Adds to a copy, or drops it once the batch is closed."""
+        """Updates a replica, or drops it if the batch is closed."""
         batch = BatchId(message.spec.id)
         if message.closed:
             self._replicas.pop(batch, None)
@@ -79,11 +79,11 @@
             replica.samples.setdefault(sample.slot, sample)
 
     def get(self, batch: BatchId) -> Replica | None:
-        """Returns the copy of a batch, or None."""
+        """Returns the replica of a batch, or None."""
         return self._replicas.get(batch)
 
     async def expire(self) -> None:
-        """Drops copies that were not touched for long, and the oldest above the limit."""
+        """Drops replicas beyond their lifetime, and the least recently updated above the limit."""
         limit = self._clock.now() - self._lifetime
         kept = [(b, r) for b, r in self._replicas.items() if r.last_update_at >= limit]
         kept.sort(key=lambda pair: pair[1].last_update_at)
@@ -91,7 +91,7 @@
 
 
 class Replicator:
-    """Sends copies of owned batches, and finds batches of other daemons."""
+    """Replicates owned batches to standbys, and recovers batches of other daemons."""
 
     def __init__(self, board: Blackboard, transport: PeerTransport) -> None:
         self._board = board
@@ -99,15 +99,15 @@
         self._standbys: dict[BatchId, DaemonId] = {}
 
     async def copy_to_standby(self, ledger: BatchLedger, new_samples: list[Sample]) -> bool:
-        """Sends new samples to the standby; all of the batch if the standby has changed.
+        """Sends new samples to the standby, or all finished ones if the standby has changed.
 
         Returns:
-            Whether a second daemon now holds them.
+            Whether a standby has stored them.
         """
         spec = ledger.spec
         for standby in self._candidates(spec.id):
-            fresh = self._standbys.get(spec.id) != standby.id
-            samples = ledger.finished_samples() if fresh else new_samples
+            is_new_standby = self._standbys.get(spec.id) != standby.id
+            samples = ledger.finished_samples() if is_new_standby else new_samples
             if await self._send(standby, spec, samples, closed=False):
                 self._standbys[spec.id] = standby.id
                 return True
@@ -115,14 +115,14 @@
         return False
 
     async def drop_copy(self, spec: BatchSpec) -> None:
-        """Has the standby drop its copy of a batch that is closed."""
+        """Tells the standby to drop its replica of a closed batch."""
         standby = self._standbys.pop(spec.id, None)
         member = self._board.members.get(standby) if standby is not None else None
         if member is not None:
             await self._send(member, spec, [], closed=True)
 
     async def recover(self, batch: BatchId) -> RecoveredBatch | None:
-        """Looks for a batch at the likely standbys and takes it over from its owner."""
+        """Fetches a batch from the likely standbys and takes it over from its owner."""
         payload = pb.BatchFetchRequest(id=batch).SerializeToString()
         candidates = self._candidates(batch)
         answers = await asyncio.gather(*(self._fetch(m, payload) for m in candidates))
@@ -177,11 +177,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Replication:
-    """Both sides of the copying of batches.
+    """The receiving and the sending side of replication.
 
     Attributes:
-        replicas: copies of other daemons' batches.
-        replicator: sends copies of this daemon's.
+        replicas: replicas of other daemons' batches.
+        replicator: replicates this daemon's batches.
     """
 
     replicas: ReplicaStore
@@ -189,7 +189,7 @@
 
 
 def encode_fetch_reply(spec: BatchSpec, samples: list[Sample], owner: DaemonId) -> bytes:
-    """Answers a fetch with a known batch."""
+    """Encodes the reply to a fetch of a known batch."""
     reply = pb.BatchFetchReply(
         known=True,
         spec=spec_to_message(spec),
--- a/src/larkpost/standalone/batches/runner.py
+++ b/src/larkpost/standalone/batches/runner.py
@@ -1,9 +1,9 @@
-"""Runs the slots of one batch on engines: chooses which to start where, and which to double.
+"""Runs the slots of one batch on engines, and duplicates samples stuck on slow or silent engines.
 
-Three policies shorten the time until the batch is whole: prompts with the longest expected answers
-start first, the samples of a prompt stay on one engine for its prefix cache, and samples on an
-engine that no longer reports, or that is much slower than the others, are continued on a second
-engine from the tokens they have. The first attempt to finish gives the slot its value.
+Three policies shorten the time to completion: prompts with the longest expected responses start
+first, samples of one prompt share an engine for its prefix cache, and samples on an engine that no
+longer reports, or is much slower than the others, are continued on a second engine from the tokens
+generated so far. The first attempt to finish provides the slot's value.
 """
 
 import asyncio
@@ -28,14 +28,14 @@
 from larkpost.standalone.settings import PlacementKind
 
 ROLLOUT_PRIORITY = 0
-"""The lowest: client requests come before rollouts."""
+"""The lowest priority: client requests come before rollouts."""
 UNRESPONSIVE_ENGINE_SECONDS = 3.0
-"""Age of an engine's last report after which its running samples are continued elsewhere."""
+"""Age of an engine's last report in seconds at which its samples are continued elsewhere."""
 
 
 @dataclass(slots=True)
 class _Attempt:
-    """One running attempt at a slot."""
+    """A running attempt at a slot."""
 
     slot: int
     engine: EngineId
@@ -44,7 +44,7 @@
 
 
 class BatchRunner:
-    """Keeps one batch's slots running until each has a sample."""
+    """Runs attempts at one batch's slots until each has a sample."""
 
     def __init__(
         self,
@@ -69,11 +69,11 @@
 
     @property
     def running_attempts(self) -> int:
-        """Attempts under way."""
+        """Number of running attempts."""
         return len(self._attempts)
 
     def schedule_samples(self) -> None:
-        """Starts what can be started now."""
+        """Starts as many pending slots as engines have room for, then duplicates stuck samples."""
         self._cancel_outdated()
         placement = self._make_placement()
         for slot in list(self.ledger.pending_slots()):
@@ -85,21 +85,21 @@
         self._duplicate_stuck_samples(placement)
 
     def cancel_all(self) -> None:
-        """Ends every attempt."""
+        """Cancels every attempt."""
         for attempt in list(self._attempts):
             self._cancel(attempt)
 
     def minimum_version(self) -> int:
         """Returns the lowest version at which a new sample may start.
 
-        It is the trainer's bound, tightened by the intent's weight on staleness, and never above
-        the trainer's version: an engine cannot hold a version that does not exist yet.
+        It is the trainer's staleness bound, tightened by the intent's staleness weight, and never
+        above the trainer's version, as engines cannot have a later one.
         """
         bound = self.ledger.spec.staleness_bound
         trainer = self._trainer()
         weight = trainer.staleness_weight if trainer is not None else 0.0
-        wanted = self.ledger.trainer_version - round((1 - weight) * bound)
-        return max(wanted, self.ledger.oldest_accepted)
+        weighted = self.ledger.trainer_version - round((1 - weight) * bound)
+        return max(weighted, self.ledger.oldest_accepted)
 
     def _trainer(self) -> TrainerIntent | None:
         return self._board.configuration.intent.trainer(self.ledger.spec.trainer)
@@ -118,7 +118,7 @@
         return self._prompt_engines.get(self.ledger.spec.prompt_index(slot))
 
     def _duplicate_stuck_samples(self, placement: Placement) -> None:
-        """Continues samples of silent engines and stragglers on a second engine as well."""
+        """Continues samples of unresponsive engines and stragglers on a second engine as well."""
         engines = {attempt.engine for attempt in self._attempts}
         stuck = {engine for engine in engines if self._is_unresponsive(engine)}
         if self._settings.duplicate_slow:
@@ -131,15 +131,15 @@
             if engine is None:
                 return
             self._telemetry.count("samples_duplicated")
-            copy = Answer(list(attempt.answer.tokens), list(attempt.answer.spans))
-            self._start(attempt.slot, engine, copy)
+            partial_answer = Answer(list(attempt.answer.tokens), list(attempt.answer.spans))
+            self._start(attempt.slot, engine, partial_answer)
 
     def _is_unresponsive(self, engine: EngineId) -> bool:
         load = self._board.engines.loads.get(engine)
         return load is None or self._clock.now() - load.at > UNRESPONSIVE_ENGINE_SECONDS
 
     def _cancel_outdated(self) -> None:
-        """Ends attempts whose first tokens are already too old for the trainer."""
+        """Cancels attempts that have tokens of a version the trainer no longer accepts."""
         for attempt in list(self._attempts):
             answer = attempt.answer
             if answer.spans and answer.oldest_version < self.ledger.oldest_accepted:
--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -1,7 +1,7 @@
-"""The batch service: opens, pulls and closes batches, and takes over those of other daemons.
+"""The batch service: opens, serves and closes batches, and takes over those of other daemons.
 
-Owns the batches that are open at this daemon; their slots are the ledger's, their attempts the
-runner's.
+Owns the batches that are open at this daemon. The ledger of a batch keeps its slots, and its runner
+the attempts.
 """
 
 import asyncio
@@ -30,9 +30,9 @@
 from larkpost.standalone.wire import larkpost_pb2 as pb
 
 SCHEDULE_INTERVAL = 0.05
-"""Seconds between rounds that start samples."""
+"""Seconds between scheduling rounds."""
 MAX_PULL_WAIT = 30.0
-"""Longest time in seconds for which a pull is held."""
+"""Maximum seconds for which a pull waits for samples."""
 RunnerFactory = Callable[[BatchLedger, Callable[[Sample], None]], BatchRunner]
 
 
@@ -41,11 +41,11 @@
     """A trainer's pull.
 
     Attributes:
-        page: number of the page, counted by the trainer from 1.
-        trainer_version: the trainer's policy version; it must not rise while the pull is open.
-        held: slots the trainer already has.
-        limit: most samples in the page, 0 for the daemon's default.
-        wait: seconds to wait for a first sample, None for the daemon's default.
+        page: page number, counted by the trainer from 1.
+        trainer_version: the trainer's policy version; must not rise while the pull is open.
+        held: slots whose samples the trainer already has.
+        limit: maximum number of samples in the page; 0 for the daemon's default.
+        wait: seconds to wait for a first sample; None for the daemon's default.
     """
 
     batch: BatchId
@@ -57,7 +57,7 @@
 
 
 class BatchService:
-    """Owns batches."""
+    """Owns the batches that are open at this daemon."""
 
     def __init__(
         self,
@@ -81,7 +81,7 @@
 
     @property
     def running_attempts(self) -> int:
-        """Attempts at samples under way."""
+        """Number of running attempts in all batches."""
         return sum(
             batch.runner.running_attempts for batch in self._batches.values() if batch.runner
         )
@@ -90,10 +90,10 @@
         return len(self._batches)
 
     async def open(self, spec: BatchSpec, held: tuple[int, ...] = ()) -> None:
-        """Opens a batch, or opens it again with the slots the trainer already holds.
+        """Opens a batch, or reopens it with the slots that the trainer already holds.
 
         Raises:
-            LarkpostError: the daemon is not serving, the batch is wrong, or there are too many.
+            LarkpostError: the daemon is not ready, the batch is invalid, or too many are open.
         """
         self._readiness.check()
         spec = check_spec(spec, self._board.configuration.intent)
@@ -101,23 +101,25 @@
         known = self._batches.get(spec.id)
         if known is not None:
             if known.ledger.spec != spec:
-                raise BatchConflictError(f"batch {spec.id!r} is open with another content")
+                raise BatchConflictError(
+                    f"batch {spec.id!r} is already open with another specification"
+                )
             known.ledger.record_trainer_state(spec.policy_version, held)
             return
         if len(self._batches) >= self._settings.max_batches:
             raise OverloadedError(
-                f"{len(self._batches)} batches are open here",
-                remedy="Ask another daemon.",
+                f"this daemon has {len(self._batches)} open batches, its maximum",
+                remedy="Open the batch at another daemon.",
                 retry_after=1.0,
             )
         self._add_batch(spec, [], held)
 
     async def pull(self, call: Pull) -> Page:
-        """Returns a page of finished samples; it is empty if none finished within the wait.
+        """Returns a page of finished samples; empty if none finished within the wait.
 
         Raises:
-            UnknownBatchError: neither this daemon nor a replica knows the batch.
-            StoppingError: this daemon has finished what it had running and is leaving.
+            UnknownBatchError: neither this daemon nor a standby knows the batch.
+            StoppingError: this daemon is stopping and the batch has no work left here.
         """
         with self._activity.request():
             batch = await self._find_or_recover(call.batch)
@@ -129,12 +131,12 @@
             return self._build_page(batch, call)
 
     def samples_per_prompt(self, batch: BatchId) -> int:
-        """Returns the batch's samples per prompt; 1 if it was closed meanwhile."""
+        """Returns the batch's samples per prompt; 1 if the batch is no longer open."""
         known = self._batches.get(batch)
         return known.ledger.spec.samples_per_prompt if known is not None else 1
 
     async def close(self, batch: BatchId) -> None:
-        """Ends a batch; one that is not known is closed already."""
+        """Closes a batch; has no effect on one that is not open."""
         known = self._batches.pop(batch, None)
         if known is None:
             return
@@ -145,7 +147,7 @@
             await self._replicator.drop_copy(known.ledger.spec)
 
     async def schedule_samples(self) -> None:
-        """Starts samples of every batch, the one due first before the others."""
+        """Starts samples of every batch, in the order of their due times."""
         if not self._batches or not self._readiness.admits_work:
             return
         for batch in sorted(self._batches.values(), key=attrgetter("due_at")):
@@ -153,7 +155,7 @@
                 batch.runner.schedule_samples()
 
     async def replicate(self) -> None:
-        """Copies newly finished samples to the standbys."""
+        """Sends newly finished samples to the standbys."""
         for batch in list(self._batches.values()):
             new_samples, batch.unreplicated = batch.unreplicated, []
             if (
@@ -164,7 +166,7 @@
                 batch.was_replicated = True
 
     async def expire(self) -> None:
-        """Drops batches whose trainer has not pulled for long."""
+        """Closes batches whose trainer has not pulled within the idle timeout."""
         limit = self._clock.now() - self._settings.idle_timeout
         for batch_id, batch in list(self._batches.items()):
             if batch.last_pull_at < limit:
@@ -172,12 +174,12 @@
                 await self.close(batch_id)
 
     async def on_replicate(self, payload: bytes) -> bytes:
-        """Stores a copy from another daemon."""
+        """Stores a replica sent by another daemon."""
         self._replicas.store(pb.BatchReplica.FromString(payload))
         return b""
 
     async def on_fetch(self, payload: bytes) -> bytes:
-        """Answers another daemon that is asked for a batch, and gives the batch up to it."""
+        """Answers a fetch of a batch by another daemon, and hands it over if it takes over."""
         request = pb.BatchFetchRequest.FromString(payload)
         batch_id = BatchId(request.id)
         own = self._board.members.own.id
@@ -217,7 +219,9 @@
         batch = self._batches.get(batch_id)
         if batch is not None:
             if self._is_handed_over(batch):
-                raise StoppingError("this daemon is stopping and nothing of the batch runs here")
+                raise StoppingError(
+                    f"this daemon is stopping and has no running samples of batch {batch_id!r}"
+                )
             return batch
         self._readiness.check()
         found = await self._replicator.recover(batch_id)
@@ -229,7 +233,9 @@
             samples = samples + list(replica.samples.values())
         spec = found.spec if found is not None else replica.spec if replica is not None else None
         if spec is None:
-            raise UnknownBatchError(f"batch {batch_id!r} is not known")
+            raise UnknownBatchError(
+                f"batch {batch_id!r} is unknown to this daemon and its standbys"
+            )
         self._telemetry.log_state(f"batch.{batch_id}", "taken over", samples=len(samples))
         return self._add_batch(spec, samples, ())
 
@@ -263,10 +269,10 @@
         before = batch.ledger.stale_dropped
         limit = call.limit if call.limit > 0 else self._settings.page_size
         if batch.ledger.trainer_version > call.trainer_version:
-            # A later pull of the same trainer is known; this one was overtaken.
+            # The trainer has reported a newer version since this pull began.
             raise InvalidRequestError(
-                f"the trainer is at version {batch.ledger.trainer_version} already",
-                remedy="Pull with the trainer's present version.",
+                f"the trainer is already at version {batch.ledger.trainer_version}",
+                remedy="Pull with the trainer's current version.",
             )
         page = batch.ledger.make_page(call.page, call.trainer_version, limit)
         self._telemetry.count("samples_delivered", len(page.samples))
--- a/src/larkpost/standalone/controllers/configuration.py
+++ b/src/larkpost/standalone/controllers/configuration.py
@@ -1,8 +1,8 @@
-"""The configuration in force: one row of the table service, spread to every daemon as a fact.
+"""The configuration in force: one row of the table service, disseminated as a fact.
 
-The row's version is the epoch. Confirming a plan is a compare-and-set of that row. The row keeps
-the ids of the last plans with their epochs, so that a write whose answer was lost is read back and
-never applied twice. Daemons only move to a higher epoch.
+The row's version is the epoch. Confirming a plan is a compare-and-set on that row. The row records
+the ids and epochs of recent plans, so that a write whose response was lost is detected by reading
+the row and never applied twice. Daemons only move to a higher epoch.
 """
 
 import asyncio
@@ -23,31 +23,31 @@
 from larkpost.standalone.table_service.ports import Row, TableStore
 
 HISTORY_LENGTH = 64
-"""Confirmations that the row remembers."""
+"""Number of confirmed plans that the row records."""
 WRITE_ATTEMPTS = 3
-"""Writes of one confirmation whose outcome is unknown."""
+"""Maximum number of attempts to write one plan when the table service does not answer."""
 IN_FORCE_TIMEOUT = 5.0
-"""Seconds a confirmation waits for the zones before it reports those that are still pending."""
+"""Seconds a confirmation waits for the zones before it reports the rest as pending."""
 IN_FORCE_POLL_INTERVAL = 0.2
-"""Seconds between two checks of the zones while a confirmation waits."""
+"""Seconds between checks of the zones while a confirmation waits."""
 
 
 class ConfigurationRow(BaseModel):
-    """Content of the table row."""
+    """Content of the table row that holds the configuration."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
     intent: Intent
     plan_id: PlanId
     history: tuple[tuple[int, PlanId], ...] = ()
-    """Epoch and plan of the last confirmations, this one last."""
+    """Epoch and plan id of recent confirmations, oldest first, including this one."""
 
     def epoch_of(self, plan_id: PlanId) -> int | None:
-        """Returns the epoch at which the plan was applied, or None."""
+        """Returns the epoch at which the plan was applied, or None if it is not recorded."""
         return next((epoch for epoch, plan in self.history if plan == plan_id), None)
 
 
 class Confirmation(BaseModel):
-    """Answer to an operator: what is written, and where it is in force."""
+    """Result of a confirmation: the epoch written, and the zones in which it is in force."""
 
     epoch: int
     plan_id: PlanId
@@ -77,7 +77,7 @@
         runtime.board.facts.add_listener(CONFIGURATION_KEY, self._apply)
 
     async def poll(self) -> None:
-        """Reads the row when it is this daemon's turn."""
+        """Reads the row if its poll interval has passed; zone pollers use the shorter interval."""
         interval = self._settings.background_poll_interval
         if self._board.phase == Phase.JOINING or is_zone_poller(self._board, "configuration"):
             interval = self._settings.duty_poll_interval
@@ -86,7 +86,7 @@
         await self.read()
 
     async def read(self) -> bool:
-        """Reads the row and takes it.
+        """Reads the row and publishes its content.
 
         Returns:
             Whether the table service answered.
@@ -104,13 +104,14 @@
         return True
 
     async def learn_from_zone(self) -> bool:
-        """Learns the configuration from the zone's daemons while the table service is down.
+        """Learns the configuration from the zone's daemons while the table service is unavailable.
 
-        A quorum of the zone's other daemons must answer that they may act; the highest epoch among
-        them is taken. Every epoch that was reported in force in the zone is held by a quorum.
+        A majority of the zone's other daemons must answer that they are ready; the highest epoch
+        among them is adopted. Every epoch that was reported in force in the zone is held by a
+        quorum of it.
 
         Returns:
-            Whether the highest epoch of a quorum is now in force here.
+            Whether the highest epoch of that majority is now in force at this daemon.
         """
         asked_at = self._clock.now()
         own = self._board.members.own
@@ -135,8 +136,8 @@
         """Applies a plan if its base epoch is still in force.
 
         Raises:
-            OutdatedPlanError: another plan was confirmed since.
-            PlatformError: the table service did not tell whether the plan was written.
+            OutdatedPlanError: another plan has been confirmed since.
+            PlatformError: the table service did not confirm whether the plan was written.
         """
         with self._activity.request():
             epoch = await self._write(plan)
@@ -150,7 +151,7 @@
         )
 
     async def _write(self, plan: Plan) -> int:
-        """Writes the plan's row; every attempt starts by reading whether it is written already."""
+        """Writes the plan; each attempt first reads whether an earlier one succeeded."""
         timeout = self._settings.platform_timeout
         for attempt in range(WRITE_ATTEMPTS):
             try:
@@ -169,22 +170,30 @@
         row = await self._table.read(CONFIGURATION_KEY, timeout)
         epoch = self._find_applied_epoch(plan, row)
         if epoch is None:
-            raise PlatformError("the table service did not accept the plan in time")
+            raise PlatformError(
+                f"plan {plan.plan_id!r} was not written in {WRITE_ATTEMPTS} attempts"
+            )
         self._publish_row(row)
         return epoch
 
     def _find_applied_epoch(self, plan: Plan, row: Row | None) -> int | None:
-        """Returns the epoch at which the plan is written, or None if it may still be."""
+        """Returns the epoch at which the plan was written, or None if it may still be written.
+
+        Raises:
+            OutdatedPlanError: the row has another version than the plan's base epoch.
+        """
         if row is None:
             if plan.base_epoch == 0:
                 return None
-            raise OutdatedPlanError("the plan names a base epoch, but no configuration exists")
+            raise OutdatedPlanError(
+                f"the plan has base epoch {plan.base_epoch}, but no configuration exists"
+            )
         applied = ConfigurationRow.model_validate_json(row.value).epoch_of(plan.plan_id)
         if applied is not None:
             return applied
         if row.version != plan.base_epoch:
             raise OutdatedPlanError(
-                f"the plan is against epoch {plan.base_epoch}; epoch {row.version} is in force"
+                f"the plan has base epoch {plan.base_epoch}, but epoch {row.version} is in force"
             )
         return None
 
@@ -225,7 +234,7 @@
         }
 
     def _is_zone_in_force(self, zone: ZoneId, reached: set[DaemonId]) -> bool:
-        """Whether no daemon of the zone can act on an older epoch any more."""
+        """Whether a quorum of the zone has the epoch and no other daemon can act on an older."""
         if not self._readiness.has_quorum(zone, reached):
             return False
         others = [m for m in self._readiness.known_members(zone) if m.id not in reached]
--- a/src/larkpost/standalone/controllers/directory.py
+++ b/src/larkpost/standalone/controllers/directory.py
@@ -1,7 +1,7 @@
-"""The engine directory and the policy versions, kept as facts.
+"""The engine directory, drain marks and policy versions, replicated as facts.
 
-Daemons on duty poll the machine list and turn its entries into facts; every daemon turns facts into
-its engine table. Drain marks by operators and new policy versions travel the same way.
+Zone pollers read the machine list and publish its entries as facts; every daemon builds its engine
+table from the facts. Operators' drain marks and new policy versions are replicated the same way.
 """
 
 import json
@@ -16,11 +16,11 @@
 from larkpost.standalone.table_service.ports import MachineEntry, MachineList
 
 FULL_LIST_EVERY_POLLS = 15
-"""Every so many polls the whole machine list is read in place of the zone's."""
+"""Polls from one read of the whole machine list to the next; the others read one zone."""
 
 
 class EngineDirectory:
-    """Keeps the blackboard's engine directory, drain marks and policy versions."""
+    """Maintains the blackboard's engine directory, drain marks and policy versions."""
 
     def __init__(
         self,
@@ -40,12 +40,11 @@
         runtime.board.facts.add_listener(POLICY_PREFIX, self._on_policy)
 
     async def poll(self) -> None:
-        """Reads the zone's machines if this daemon is on duty, and now and then all machines.
+        """Reads the zone's machine list if this daemon is a zone poller.
 
-        One zone's list is a fraction of the fleet's; the whole list is read at first, and at long
-        intervals so that a zone that has lost all its daemons is not forgotten. Daemons that are
-        not on duty learn the machines from others: a fleet that starts would else ask for the
-        whole list once for each daemon.
+        The whole list is read first and then every ``FULL_LIST_EVERY_POLLS`` polls, so that zones
+        that have lost all their daemons are covered. Other daemons learn the machines as facts;
+        otherwise a starting fleet would request the whole list once per daemon.
         """
         if not is_zone_poller(self._board, "machines"):
             return
@@ -66,18 +65,18 @@
         return entry.revision > self._board.facts.version(MACHINE_PREFIX + entry.engine)
 
     def announce_version(self, policy: PolicyId, version: int) -> None:
-        """Publishes a policy version of a trainer. Only higher ones have an effect."""
+        """Publishes a policy version; one that is not above the known version has no effect."""
         self._dissemination.publish(Fact(POLICY_PREFIX + policy, version, b""))
 
     def drain(self, engine: EngineId) -> None:
-        """Marks an engine as leaving for good.
+        """Marks an engine as leaving permanently.
 
         Raises:
             InvalidRequestError: the engine is not in the directory.
         """
         if engine not in self._board.engines.directory:
             raise InvalidRequestError(
-                f"engine {engine!r} is not known",
+                f"engine {engine!r} is not in the engine directory",
                 remedy="Name an engine that `larkpost status` lists.",
             )
         self._dissemination.publish(Fact(DRAIN_PREFIX + engine, 1, b""))
--- a/src/larkpost/standalone/controllers/facts.py
+++ b/src/larkpost/standalone/controllers/facts.py
@@ -1,8 +1,8 @@
-"""Dissemination of facts: passed on at once to a few daemons, and repaired by comparing digests.
+"""Dissemination of facts: pushed to a few daemons at once, and repaired by anti-entropy.
 
-A daemon that first learns a fact passes it to ``FANOUT`` others, so that a fact reaches the fleet
-in a logarithmic number of hops. Every probe carries the digest of the sender's table; a difference
-that lasts is repaired by fetching the buckets that differ.
+A daemon that learns a new fact pushes it to ``FANOUT`` others, so a fact reaches the fleet in a
+logarithmic number of hops. Every datagram carries the digest of the sender's table; a difference
+that persists is repaired by fetching the buckets that differ.
 """
 
 import asyncio
@@ -16,19 +16,19 @@
 from larkpost.standalone.wire.peer import PeerError, PeerMethod, PeerTransport
 
 FANOUT = 4
-"""Daemons to which a new fact is pushed by each that first learns it."""
+"""Number of daemons to which a daemon pushes a fact that is new to it."""
 PUSH_DELAY = 0.02
-"""Seconds over which new facts are gathered into one push."""
+"""Seconds over which new facts are collected into one push."""
 MAX_PUSHED = 32
-"""More new facts than this at once are left to the comparison of digests."""
+"""Maximum number of new facts to push at once; more are left to the comparison of digests."""
 PUSH_TIMEOUT = 1.0
-"""Seconds to wait for the answer to a push."""
+"""Seconds to wait for the answer to a push or a fetch."""
 REPAIR_DELAY = 0.5
-"""Seconds a difference must last before it is repaired; pushes under way mend most by then."""
+"""Seconds a difference must persist before it is repaired; pushes resolve most before that."""
 
 
 class Dissemination:
-    """Spreads facts and repairs differences."""
+    """Pushes new facts to other daemons and repairs differences between fact tables."""
 
     def __init__(
         self,
@@ -47,12 +47,13 @@
         gossip.compare_digest = self._compare_digest
 
     def publish(self, *facts: Fact) -> bool:
-        """Merges facts and spreads those that are new.
+        """Merges facts and pushes those that are new.
 
-        Very many at once, as when a machine list is first read, are left to comparing digests.
+        If more than ``MAX_PUSHED`` are new, as when a machine list is first read, none is pushed;
+        the comparison of digests spreads them.
 
         Returns:
-            Whether any was new.
+            Whether any fact was new.
         """
         new_facts = self._merge(facts)
         if 0 < len(new_facts) <= MAX_PUSHED:
@@ -73,13 +74,13 @@
         return b""
 
     async def on_sync(self, payload: bytes) -> bytes:
-        """Answers with the buckets that differ."""
+        """Answers with the facts of the buckets whose digests differ."""
         request = pb.FactSyncRequest.FromString(payload)
         facts = self._board.facts.facts_differing_from(list(request.bucket_digests))
         return pb.FactSyncReply(facts=map(_to_message, facts)).SerializeToString()
 
     async def fetch_from(self, address: Address) -> bool:
-        """Fetches what a peer has and this daemon lacks.
+        """Fetches the facts of the buckets in which a peer differs from this daemon.
 
         Returns:
             Whether the peer answered.
@@ -92,7 +93,7 @@
             )
         except PeerError:
             return False
-        # What a peer had already is known elsewhere too, so it is not pushed on.
+        # Facts that a peer already had are known elsewhere, so they are not pushed.
         self._merge(map(_from_message, pb.FactSyncReply.FromString(answer).facts))
         return True
 
@@ -109,7 +110,7 @@
         try:
             await self._transport.request(address, PeerMethod.PUSH_FACTS, payload, PUSH_TIMEOUT)
         except PeerError:
-            return  # the next digest comparison repairs it
+            return  # a later comparison of digests repairs it
 
     def _compare_digest(self, daemon: DaemonId, digest: int) -> None:
         if digest != self._board.facts.digest and not self._repairing:
--- a/src/larkpost/standalone/controllers/membership.py
+++ b/src/larkpost/standalone/controllers/membership.py
@@ -1,8 +1,9 @@
-"""Membership by random probing (after SWIM): constant cost per daemon at any fleet size.
+"""SWIM-style membership: random probing with a constant cost per daemon at any fleet size.
 
-Each period a daemon probes one other, see `larkpost.standalone.controllers.probing`. If it does
-not answer it is suspected and has some time to refute with a higher incarnation. Changes
-travel on the probes, and each daemon that first learns of one passes it on at once to a few others.
+Each period a daemon probes one other, see `larkpost.standalone.controllers.probing`. A daemon that
+does not answer becomes a suspect, and is declared dead unless it refutes the suspicion in time with
+a higher incarnation. Updates are piggybacked on probes, and a daemon that learns a new one also
+sends it to a few others at once.
 """
 
 import math
@@ -17,27 +18,27 @@
 from larkpost.standalone.wire.peer import PeerError, PeerMethod, PeerTransport
 
 UPDATES_PER_DATAGRAM = 6
-"""Changes of members that one datagram carries."""
+"""Maximum number of member updates in one datagram."""
 EAGER_FANOUT = 3
-"""Daemons to which a change is passed on at once."""
+"""Number of daemons to which new updates are sent at once."""
 MAX_EAGER_DATAGRAMS = 16
-"""Most datagrams to each of them."""
+"""Maximum number of datagrams sent at once to each of them."""
 EAGER_DELAY_DIVISOR = 20
-"""Changes are gathered for this part of the probe interval before they are passed on."""
+"""New updates are collected for the probe interval divided by this before they are sent."""
 RETRANSMIT_FACTOR = 3
-"""A change travels on this many datagrams for each doubling of the fleet."""
+"""An update is sent this many times for each doubling of the fleet's size."""
 HEAL_EVERY_PROBES = 5
-"""Every so many probes one goes to a dead daemon or a configured peer, to heal a partition."""
+"""Probe rounds between attempts to reach dead daemons and missing peers across a partition."""
 JOIN_TIMEOUT = 1.0
 """Seconds to wait for a peer's member table."""
 MIN_JOIN_REPLIES = 2
-"""Tables to read on joining; probes and exchanges bring what two peers do not know."""
+"""Member tables to fetch on joining; later probes and exchanges supply what they lack."""
 SYNC_INTERVAL = 30.0
-"""Seconds between exchanges of the whole table with one random daemon."""
+"""Seconds between exchanges of the whole member table with a random daemon."""
 
 
 class Membership:
-    """Keeps the blackboard's member table."""
+    """Maintains the blackboard's member table."""
 
     def __init__(
         self,
@@ -58,7 +59,7 @@
         self._rng = runtime.rng
         self._updates: dict[DaemonId, int] = {}
         self._new_update_count = 0
-        """Changes learned since the last eager datagrams."""
+        """Updates queued since the last eager datagrams."""
         self._probe_order: list[DaemonId] = []
         self._probes = 0
         gossip.pick_updates = self._pick_updates
@@ -66,15 +67,15 @@
         self._prober = Prober(runtime, gossip)
 
     def start(self) -> None:
-        """Starts probing and joining."""
+        """Starts periodic probing and synchronisation of the member table."""
         self._tasks.every(self._settings.probe_interval, self._probe_round, "membership")
         self._tasks.every(SYNC_INTERVAL, self._synchronise, "membership-sync")
 
     async def join(self) -> bool:
-        """Asks configured peers, in random order, for the member table until enough answered.
+        """Fetches the member table from configured peers, in random order, until enough answered.
 
         Returns:
-            Whether one answered; with no peers configured, True.
+            Whether a peer answered; True if no peers are configured.
         """
         answers = 0
         for peer in self._rng.sample(self._peers, len(self._peers)):
@@ -84,24 +85,24 @@
         return answers > 0 or not self._peers
 
     def announce_leaving(self) -> None:
-        """Announces a planned stop: this daemon still answers and takes on nothing new."""
+        """Announces a planned stop: this daemon still answers, but takes on nothing new."""
         self._table.update_own(self._table.own.incarnation + 1, leaving=True)
         self._queue_update(self._table.own.id)
 
     def leave(self) -> None:
-        """Announces that this daemon leaves for good."""
+        """Announces that this daemon has left."""
         self._table.update_own(self._table.own.incarnation, MemberState.LEFT)
         targets = self._table.alive_others()
         for target in self._rng.sample(targets, min(len(targets), 2 * EAGER_FANOUT)):
             self._gossip.send(target, pb.Envelope())
 
     def apply(self, sender: pb.Member, updates: list[pb.Member]) -> None:
-        """Applies what a datagram says of its sender and of other members."""
+        """Applies the states in a datagram: its sender's and those of other members."""
         for message in [sender, *updates]:
             self._apply_update(member_from_message(message, self._clock.now()))
 
     async def on_join(self, payload: bytes) -> bytes:
-        """Answers a join request with the whole table."""
+        """Answers a join request with the whole member table."""
         request = pb.JoinRequest.FromString(payload)
         self.apply(request.member, [])
         members = [member.to_message() for member in self._table.others()]
@@ -159,7 +160,7 @@
             self._tasks.spawn(self._send_eagerly(), "membership-news")
 
     async def _send_eagerly(self) -> None:
-        """Passes on what is new, gathered for a moment: a lost zone is many changes at once."""
+        """Sends new updates to a few daemons, after a delay that groups simultaneous changes."""
         await self._clock.sleep(self._settings.probe_interval / EAGER_DELAY_DIVISOR)
         datagrams = min(
             math.ceil(self._new_update_count / UPDATES_PER_DATAGRAM), MAX_EAGER_DATAGRAMS
@@ -182,7 +183,7 @@
         return [member.to_message() for member in members if member is not None]
 
     async def _confirm_death(self, suspect: MemberInfo) -> None:
-        # News and refutations need more hops in a larger fleet.
+        # Suspicions and refutations take more hops to spread in a larger fleet.
         growth = max(math.log10(len(self._table)), 1.0)
         await self._clock.sleep(self._settings.suspicion_time * growth)
         known = self._table.get(suspect.id)
--- a/src/larkpost/standalone/controllers/monitor.py
+++ b/src/larkpost/standalone/controllers/monitor.py
@@ -1,8 +1,8 @@
-"""Load reports: the owner asks its engines and pushes summaries to the daemons that subscribed.
+"""Load reports: an owner polls its engines and pushes load summaries to subscribed daemons.
 
-A daemon follows a bounded subset of each pool, so that its cost does not grow with the fleet. The
-subset is made of whole owners, chosen by rendezvous hashing: few datagrams carry many engines, and
-two random daemons follow different owners, which spreads the load.
+A daemon watches a bounded subset of each pool, so its cost does not grow with the fleet. In its own
+zone the subset consists of all engines of some owners, chosen by rendezvous hashing: each datagram
+then carries many engines, and different daemons watch different owners, which spreads the load.
 """
 
 import asyncio
@@ -19,15 +19,15 @@
 from larkpost.standalone.wire import larkpost_pb2 as pb
 
 SUBSCRIPTION_LIFETIME = 10.0
-"""Seconds for which a subscription holds: a renewal may be lost."""
+"""Seconds until a subscription expires; longer than two renewals, as one may be lost."""
 SUBSCRIBE_INTERVAL = 4.0
-"""Seconds between two renewals of the subscriptions."""
+"""Seconds between renewals of the subscriptions."""
 LOADS_PER_DATAGRAM = 24
-"""Loads of engines that one datagram carries."""
+"""Maximum number of engine loads in one datagram."""
 
 
 class Monitor:
-    """Watches owned engines and follows others."""
+    """Polls owned engines and receives the loads of other watched engines."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         gossip.register_handler("load", self._on_load)
 
     def watched_engines(self, pool: PoolId) -> list[EngineId]:
-        """Returns the engines of a pool that this daemon chooses from."""
+        """Returns the engines of a pool from which this daemon selects."""
         board = self._board
         key = (board.configuration.epoch, board.engines.revision, board.members.revision)
         if key != self._watched_key:
@@ -62,12 +62,12 @@
         return self._watched[pool]
 
     async def poll_owned_engines(self) -> None:
-        """Asks every owned engine for its report."""
+        """Requests a report from every owned engine."""
         owned = [self._board.engines.directory[engine] for engine in self._board.owned]
         await asyncio.gather(*(self.poll_engine(info) for info in owned))
 
     async def poll_swapping_engines(self) -> None:
-        """Asks the owned engines that are swapping, often, so that a done swap is used at once."""
+        """Requests a report from each swapping engine, to use it soon after its swap ends."""
         loads = self._board.engines.loads
         swapping = [
             self._board.engines.directory[engine]
@@ -78,7 +78,7 @@
             await asyncio.gather(*(self.poll_engine(info) for info in swapping))
 
     async def poll_engine(self, info: EngineInfo) -> EngineLoad | None:
-        """Asks one engine for its report; None if it does not answer or is another engine."""
+        """Requests an engine's report; None if it does not answer or names another engine."""
         try:
             report = await self._engines.report(info.address, self._settings.report_timeout)
         except EngineError:
@@ -96,20 +96,20 @@
         return load
 
     async def push_summaries(self) -> None:
-        """Sends the load of owned engines to the subscribers of their pools."""
+        """Sends the loads of owned engines to the subscribers of their pools."""
         now = self._clock.now()
         self._subscribers = {k: end for k, end in self._subscribers.items() if end > now}
         for daemon, pool in self._subscribers:
             self._send_loads(daemon, self._loads_of(pool))
 
     def record_swapping(self, engine: EngineId) -> None:
-        """Records that an owned engine was just ordered to swap, and informs the subscribers."""
+        """Marks an owned engine as swapping and notifies the subscribers of its pool."""
         load = self._board.engines.loads[engine]
         self._board.engines.loads[engine] = replace(load, swapping=True)
         self._push_load(engine)
 
     def _push_load(self, engine: EngineId) -> None:
-        """Sends the subscribers at once what has changed at an engine."""
+        """Sends an engine's load to the subscribers of its pool at once."""
         load = _load_message(self._board.engines.loads[engine], self._clock.now())
         for daemon, pool in self._subscribers:
             if self._board.engine_pool(engine) == pool:
@@ -154,7 +154,7 @@
         return local + self._best_remote(pool, remote, count)
 
     def _best_remote(self, pool: PoolId, engines: list[EngineId], count: int) -> list[EngineId]:
-        """Returns engines of other zones; kept until the directory changes, as they are many."""
+        """Returns the best-scoring engines of other zones, cached until the directory changes."""
         key = (self._board.configuration.epoch, self._board.engines.revision, count)
         if self._remote_cache.get(pool, (None, []))[0] != key:
             own = self._board.members.own.id
@@ -163,7 +163,7 @@
         return self._remote_cache[pool][1]
 
     def _engines_of_best_owners(self, engines: list[EngineId], count: int) -> list[EngineId]:
-        """Returns the engines of the first owners that have at least ``count`` together."""
+        """Returns all engines of the best-scoring owners, until there are at least ``count``."""
         by_owner: dict[str, list[EngineId]] = {}
         for engine in engines:
             owner = self._ownership.owner_of(self._board.engines.directory[engine])
--- a/src/larkpost/standalone/controllers/owner_map.py
+++ b/src/larkpost/standalone/controllers/owner_map.py
@@ -1,10 +1,10 @@
-"""Which daemon each engine falls to, kept up to date by differences.
+"""Assignment of engines to daemons, updated incrementally.
 
-The owner is the daemon of the engine's zone with the highest rendezvous score; a zone without
-daemons falls to the others. A full computation is engines times daemons, tens of milliseconds at
-3,200 engines. A joining daemon only has to be compared with each engine's present owner, and a
-leaving one only leaves its own engines to be assigned again. Only the daemon's own zone and zones
-without daemons are kept so; the owner of an engine elsewhere is computed when it is asked for.
+The owner of an engine is the daemon of its zone with the highest rendezvous score; engines of a
+zone without daemons are assigned among all daemons. A full computation costs engines times daemons,
+so it is avoided: a joining daemon is compared with each engine's current owner only, and a leaving
+one has only its own engines reassigned. Owners are cached for the daemon's own zone and for zones
+without daemons; those of other zones are computed on demand.
 """
 
 from collections.abc import Iterable
@@ -16,7 +16,7 @@
 
 
 class OwnerMap:
-    """Owners of all engines in one daemon's view."""
+    """Maps each engine to its owner in one daemon's view."""
 
     def __init__(self, board: Blackboard) -> None:
         self._board = board
@@ -25,7 +25,7 @@
         self._candidates: dict[ZoneId, set[DaemonId]] = {}
         self._seen_revisions = (-1, -1)
         self.revision = 0
-        """Grows with each change of an owner."""
+        """Increases with each change of a cached owner."""
 
     def owner_revision(self) -> tuple[int, int]:
         """Returns a value that changes with each change of an owner or of the directory."""
@@ -33,7 +33,7 @@
         return self.revision, self._board.engines.revision
 
     def owner_of(self, engine: EngineId) -> DaemonId | None:
-        """Returns the daemon to which the engine falls, or None."""
+        """Returns the engine's owner, or None if there is none."""
         self._refresh()
         info = self._board.engines.directory.get(engine)
         if info is None or info.zone in self._candidates:
@@ -41,7 +41,7 @@
         return _highest_scoring((m.id for m in self._board.members.eligible(info.zone)), engine)
 
     def engines_of(self, daemon: DaemonId) -> list[EngineInfo]:
-        """Returns the engines that fall to a daemon."""
+        """Returns the engines whose cached owner is the given daemon."""
         self._refresh()
         infos = self._board.engines.entries()
         return [info for info in infos if self._owners.get(info.id) == daemon]
@@ -65,7 +65,7 @@
                 self._update_zone(zone, engines, own or everyone)
 
     def _index_engines(self) -> None:
-        """Groups the directory by zone; engines that moved or are new have no owner yet."""
+        """Groups the directory by zone and drops the owners of engines that are new to a zone."""
         grouped: dict[ZoneId, list[EngineInfo]] = {}
         for info in self._board.engines.entries():
             grouped.setdefault(info.zone, []).append(info)
@@ -90,7 +90,7 @@
                 self._assign(info.id, _highest_scoring({owner, *added}, info.id))
 
     def _drop_zone(self, zone: ZoneId, engines: list[EngineInfo]) -> None:
-        """Drops the owners of a zone that has daemons of its own again."""
+        """Drops the cached owners of another zone once it has daemons of its own."""
         if self._candidates.pop(zone, None) is not None:
             self.revision += 1
             for info in engines:
--- a/src/larkpost/standalone/controllers/ownership.py
+++ b/src/larkpost/standalone/controllers/ownership.py
@@ -1,9 +1,9 @@
-"""Ownership of engines: one daemon watches each engine and gives it orders, under a fencing token.
+"""Ownership of engines: one daemon monitors each engine and orders it under a fencing token.
 
-The owner is chosen by rendezvous hashing among the daemons of the engine's zone, so all daemons
-with the same view agree without messages. The engine itself arbitrates: a claim needs a token above
-every token it has accepted, and it refuses the orders of an owner that was replaced. No store is
-needed, and a paused owner that wakes up cannot give an order.
+The owner is chosen by rendezvous hashing among the daemons of the engine's zone, so daemons with
+the same view agree without messages. The engine arbitrates between differing views: a claim needs a
+token above every token it has accepted, and orders of a replaced owner are refused. So no store is
+needed, and an owner that resumes after a pause cannot give an order under its old token.
 """
 
 from larkpost.common.ids import DaemonId, EngineId
@@ -21,11 +21,11 @@
 from larkpost.standalone.runtime import Runtime
 
 RECLAIM_DELAY = 2.0
-"""Seconds an owner waits after it was replaced, for the two views to agree."""
+"""Seconds before a replaced owner may claim an engine again, for the two views to converge."""
 
 
 class Ownership:
-    """Claims the engines that fall to this daemon and gives up the others."""
+    """Claims the engines assigned to this daemon and releases the others."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self._assigned_revision: tuple[int, int] = (-1, -1)
 
     def assigned(self) -> list[EngineInfo]:
-        """Returns the engines that fall to this daemon in its present view."""
+        """Returns the engines assigned to this daemon in its current view."""
         own = self._board.members.own.id
         if self._owners.owner_revision() != self._assigned_revision:
             self._assigned = self._owners.engines_of(own)
@@ -51,11 +51,11 @@
         return self._assigned
 
     def owner_of(self, info: EngineInfo) -> DaemonId | None:
-        """Returns the daemon to which the engine falls; another zone's if its own has none."""
+        """Returns the daemon assigned to the engine; of another zone if its own has none."""
         return self._owners.owner_of(info.id)
 
     async def reconcile(self) -> None:
-        """Brings what is owned in line with what falls to this daemon."""
+        """Releases owned engines that are no longer assigned here and claims missing ones."""
         if self._board.phase == Phase.STOPPING:
             self._board.owned.clear()
             return
@@ -69,14 +69,14 @@
         self._telemetry.gauge("engines_owned", len(self._board.owned))
 
     def release(self, engine: EngineId) -> None:
-        """Forgets an engine that another daemon owns now."""
+        """Stops treating an engine as owned, and delays a new claim by `RECLAIM_DELAY`."""
         self._board.owned.pop(engine, None)
         self._retry_at[engine] = self._clock.now() + RECLAIM_DELAY
 
     def check_report(self, report: EngineReport) -> None:
-        """Gives an engine up if its report shows another owner, or that it has restarted.
+        """Drops ownership of an engine whose report shows another owner or a restart.
 
-        An engine forgets its token in a restart, so the same token may come to name another owner.
+        An engine loses its token in a restart, so another owner may hold the same token afterwards.
         """
         token = self._board.owned.get(report.engine)
         if token is None:
@@ -108,14 +108,14 @@
         self._telemetry.count("claims")
 
     def _next_token(self, engine: EngineId, report: EngineReport) -> int:
-        """Returns a token above every one known, also of the engine's life before a restart."""
+        """Returns a token above every known one, including those from before an engine restart."""
         load = self._board.engines.loads.get(engine)
         known = load.token if load is not None else 0
         return max(report.token, known) + 1
 
 
 def load_from_report(report: EngineReport, at: float) -> EngineLoad:
-    """Turns a report into a blackboard entry received at local time ``at``."""
+    """Returns the blackboard entry of a report received at local monotonic time ``at``."""
     return EngineLoad(
         engine=report.engine,
         running=report.running,
--- a/src/larkpost/standalone/controllers/probing.py
+++ b/src/larkpost/standalone/controllers/probing.py
@@ -1,7 +1,7 @@
-"""Probes of other daemons: a ping, then pings by helpers, and the answers to others' probes.
+"""Direct and indirect probes of other daemons, and answers to their probes.
 
-Owns the probes under way and those that are relayed for others. What follows from a probe,
-`larkpost.standalone.controllers.membership` decides.
+Owns the probes in progress and those relayed for others. The results are acted on by
+`larkpost.standalone.controllers.membership`.
 """
 
 import asyncio
@@ -13,11 +13,11 @@
 from larkpost.standalone.wire import larkpost_pb2 as pb
 
 ACK_POLLS = 8
-"""Checks for an acknowledgement within a probe's time limit."""
+"""Number of checks for an acknowledgement within a probe's timeout."""
 MAX_LOOP_DELAY_DIVISOR = 2
-"""A loop that is late by more than this part of the time limit is itself to blame."""
+"""A missing ack counts only if the event loop is late by at most the timeout divided by this."""
 RELAY_LIFETIME_FACTOR = 2
-"""Time limits of a probe for which a relayed one is remembered."""
+"""A relayed probe is kept for the probe timeout times this."""
 
 
 class Prober:
@@ -33,13 +33,13 @@
         self._sequence = 0
         self._waiting: dict[int, asyncio.Event] = {}
         self._relayed: dict[int, tuple[MemberInfo, int]] = {}
-        """The origin of each relayed probe, and its own number for it."""
+        """For each relayed probe, the requesting daemon and the sequence number it gave."""
         gossip.register_handler("ping", self._on_ping)
         gossip.register_handler("ack", self._on_ack)
         gossip.register_handler("ping_request", self._on_ping_request)
 
     async def probe(self, target: MemberInfo) -> bool:
-        """Returns whether a daemon answers, to this daemon or to its helpers."""
+        """Returns whether a daemon answers a direct probe or an indirect one through helpers."""
         return await self._ping(target) or await self._ping_by_helpers(target)
 
     async def _ping(self, target: MemberInfo) -> bool:
@@ -63,7 +63,10 @@
         return self._sequence, answered
 
     async def _await_ack(self, sequence: int, answered: asyncio.Event, timeout: float) -> bool:
-        """Waits for an answer; a loop that is itself late blames nobody and reports one."""
+        """Waits for an acknowledgement.
+
+        If this daemon's event loop is late, a missing answer proves nothing, so True is returned.
+        """
         started = self._clock.now()
         while not answered.is_set() and self._clock.now() < started + timeout:
             await self._clock.sleep(timeout / ACK_POLLS)
--- a/src/larkpost/standalone/controllers/weights.py
+++ b/src/larkpost/standalone/controllers/weights.py
@@ -1,9 +1,9 @@
-"""Weight swaps: the owner brings each engine to its policy's newest version, wave by wave.
+"""Rolling weight swaps: each engine's owner moves it to its policy's newest version in waves.
 
-The wave of an engine follows from its rank in the pool, so owners need no messages to stagger
-swaps, and at no time does the whole pool swap. A wave starts once the engines of the earlier waves
-that this daemon follows have the version, at the latest after the pool's interval. A swap is done
-when the engine reports the version, never when the order was accepted.
+An engine's wave follows from its rank in the pool, so owners stagger swaps without messages and the
+whole pool never swaps at once. A wave starts once the engines of earlier waves that this daemon
+watches have the version, or at the latest after the pool's interval. A swap is complete when the
+engine reports the version, not when it accepts the order.
 """
 
 from larkpost.common.ids import EngineId
@@ -21,13 +21,13 @@
 from larkpost.standalone.runtime import Runtime
 
 RETRY_BASE = 0.5
-"""Seconds after a first failed order before the next one; doubles with each."""
+"""Seconds between a first order and its retry; doubles with each further retry."""
 RETRY_LIMIT = 8.0
-"""Most seconds between two orders to an engine that fails them."""
+"""Maximum seconds between retries of an order."""
 
 
 class WeightController:
-    """Orders swaps at owned engines."""
+    """Orders weight swaps at owned engines."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         self._retry_at: dict[EngineId, float] = {}
 
     async def reconcile(self) -> None:
-        """Orders each swap that is due."""
+        """Orders the swaps that are due."""
         due = [
             (engine, pool)
             for engine, pool in self._owned_with_pools()
@@ -115,7 +115,7 @@
             self._telemetry.count("swap_failures")
 
     def _schedule_retry(self, engine: EngineId) -> None:
-        """Sets the earliest next order; the first success of the engine resets it."""
+        """Sets the earliest time of the next order; reaching the target version resets it."""
         failures = self._failures.get(engine, 0)
         self._failures[engine] = failures + 1
         wait = min(RETRY_BASE * 2**failures, RETRY_LIMIT)
