--- a/src/larkpost/standalone/__init__.py
+++ b/src/larkpost/standalone/__init__.py
@@ -1,6 +1,7 @@
-"""The program that ``larkpost serve`` starts: larkpost's own interface, without that platform.
+"""The standalone daemon that ``larkpost serve`` starts, with larkpost's own HTTP interface.
 
-Daemons find each other by gossip and keep configuration, membership and batches among themselves;
-only the configuration's row lies in a table service. It owns everything below this folder and
-imports nothing of `larkpost.gateway`. `larkpost.client` is its client library for trainers.
+Daemons discover each other by gossip and keep configuration, membership and batches among
+themselves; only the configuration row and named run-once keys are stored in a table service. The
+package imports nothing from `larkpost.gateway`. Its client library for trainers is
+`larkpost.client`.
 """
--- a/src/larkpost/standalone/api/app.py
+++ b/src/larkpost/standalone/api/app.py
@@ -9,6 +9,6 @@
 
 
 def make_app(daemon: Daemon) -> Starlette:
-    """Returns the application."""
+    """Returns the application with all routes of the daemon."""
     groups = (InferenceRoutes(daemon), BatchRoutes(daemon), OperationRoutes(daemon))
     return Starlette(routes=[route for group in groups for route in group.routes()])
--- a/src/larkpost/standalone/api/batches.py
+++ b/src/larkpost/standalone/api/batches.py
@@ -1,4 +1,4 @@
-"""Routes for trainers."""
+"""HTTP routes for trainers: batches and policy versions."""
 
 from starlette.requests import Request
 from starlette.responses import Response
@@ -51,7 +51,7 @@
     async def _announce(self, request: Request) -> Response:
         version = request.path_params["version"]
         if version < 1:
-            raise InvalidRequestError("versions are counted from 1")
+            raise InvalidRequestError(f"the version must be at least 1, not {version}")
         policy = PolicyId(request.path_params["policy"])
         self._daemon.directory.announce_version(policy, version)
         return Response(status_code=204)
--- a/src/larkpost/standalone/api/inference.py
+++ b/src/larkpost/standalone/api/inference.py
@@ -1,4 +1,4 @@
-"""OpenAI-compatible routes for client services."""
+"""OpenAI-compatible HTTP routes for client services."""
 
 import asyncio
 import time
@@ -23,7 +23,7 @@
 REQUEST_HEADER = "Larkpost-Request-Id"
 END_OF_STREAM = b"data: [DONE]\n\n"
 DISCONNECT_POLL_INTERVAL = 1.0
-"""Seconds between checks whether the caller of a whole answer is still there."""
+"""Seconds between checks whether the caller of an unstreamed answer is still connected."""
 TRUE_VALUES = ("1", "true", "yes")
 
 
@@ -95,11 +95,17 @@
     try:
         return float(text)
     except ValueError:
-        raise InvalidRequestError(f"{DEADLINE_HEADER} must be a number of seconds") from None
+        raise InvalidRequestError(
+            f"{DEADLINE_HEADER} must be a number of seconds, not {text!r}"
+        ) from None
 
 
 async def _read_answer(request: Request, runs: AsyncIterator[TokenRun]) -> Answer:
-    """Returns the whole answer; gives it up when the caller has left."""
+    """Returns the complete answer.
+
+    Raises:
+        CallerLeftError: the caller disconnected before the answer was complete.
+    """
 
     async def read() -> Answer:
         answer = Answer()
@@ -121,7 +127,7 @@
 async def _stream(
     writer: "_Writer", first: TokenRun | None, runs: AsyncIterator[TokenRun]
 ) -> AsyncIterator[bytes]:
-    """Writes events. A broken answer ends with an error event and without the end mark."""
+    """Yields server-sent events; an error ends the stream with an error event, without [DONE]."""
     answer = Answer()
     try:
         if first is not None:
@@ -141,7 +147,7 @@
 
 
 class _Writer:
-    """Writes one answer in the words of the OpenAI API."""
+    """Encodes one answer in the format of the OpenAI API."""
 
     def __init__(self, call: InferenceCall, chat: bool) -> None:
         self._call = call
@@ -149,7 +155,7 @@
         self._created = int(time.time())
 
     def full_response(self, answer: Answer) -> bytes:
-        """Writes a whole answer."""
+        """Encodes a complete answer."""
         text = _text(answer.tokens)
         content = (
             {"message": {"role": "assistant", "content": text}} if self._chat else {"text": text}
@@ -161,13 +167,13 @@
         return orjson.dumps(fields)
 
     def chunk_event(self, run: TokenRun) -> bytes:
-        """Writes one piece of a stream."""
+        """Encodes a token run as an event of a stream."""
         text = _text(run.tokens) if run.offset == 0 else " " + _text(run.tokens)
         content = {"delta": {"content": text}} if self._chat else {"text": text}
         return _event(self._fields(self._chunk_kind(), content, None))
 
     def final_event(self, answer: Answer) -> bytes:
-        """Writes the piece that ends a stream, with the whole answer's length and versions."""
+        """Encodes the last event of a stream, with the length and versions of the answer."""
         content = {"delta": {}} if self._chat else {"text": ""}
         fields = self._fields(self._chunk_kind(), content, "stop")
         fields["larkpost"] = self._provenance(answer)
--- a/src/larkpost/standalone/api/operations.py
+++ b/src/larkpost/standalone/api/operations.py
@@ -1,4 +1,4 @@
-"""Routes for operators, monitoring and other daemons."""
+"""HTTP routes for operators, monitoring and other daemons."""
 
 import uuid
 
@@ -24,7 +24,7 @@
 
 
 class OperationRoutes:
-    """Serves intents, status, drains, metrics and health."""
+    """Serves intents, status, drains, metrics, health checks and requests of other daemons."""
 
     def __init__(self, daemon: Daemon) -> None:
         self._daemon = daemon
@@ -96,7 +96,7 @@
 
 
 def describe_status(daemon: Daemon) -> dict:
-    """Returns what a daemon knows, as one JSON document."""
+    """Returns a daemon's view of the fleet, as fields of a JSON document."""
     board = daemon.board
     assigned = board.configuration.intent.assigned_pools()
     return {
--- a/src/larkpost/standalone/api/responses.py
+++ b/src/larkpost/standalone/api/responses.py
@@ -1,4 +1,4 @@
-"""HTTP answers shared by all routes: errors, and bodies that are checked on the way in."""
+"""Validation of request bodies and error responses, shared by all routes."""
 
 import math
 from collections.abc import Awaitable, Callable
@@ -19,12 +19,12 @@
 
 
 def json_response(document: BaseModel, status: int = 200) -> Response:
-    """Answers with a document."""
+    """Returns a response with the document as JSON."""
     return Response(document.model_dump_json(), status, media_type=JSON)
 
 
 def error_response(error: LarkpostError) -> Response:
-    """Answers with an error, and Retry-After where asking again makes sense."""
+    """Returns an error response, with a Retry-After header if the error has a delay."""
     headers = {}
     if error.retry_after is not None:
         headers["Retry-After"] = str(math.ceil(error.retry_after))
@@ -33,10 +33,10 @@
 
 
 async def read_document(request: Request, kind: type[Document]) -> Document:
-    """Reads and checks a request's body.
+    """Reads and validates a request body.
 
     Raises:
-        InvalidRequestError: the body is not such a document; the message names each wrong field.
+        InvalidRequestError: the body is not a valid document; the message names each invalid field.
     """
     try:
         return kind.model_validate_json(await request.body())
@@ -45,7 +45,7 @@
 
 
 def with_errors(endpoint: Endpoint, telemetry: Telemetry) -> Endpoint:
-    """Turns a raised error into its answer; an unexpected one is logged with its origin."""
+    """Wraps an endpoint to return errors as responses; unexpected ones are also logged."""
 
     async def guarded(request: Request) -> Response:
         try:
--- a/src/larkpost/standalone/api/schema.py
+++ b/src/larkpost/standalone/api/schema.py
@@ -1,4 +1,4 @@
-"""The JSON documents that callers and operators exchange with a daemon."""
+"""JSON documents exchanged between callers and a daemon."""
 
 from typing import Literal
 
@@ -10,24 +10,24 @@
 from larkpost.standalone.batches.service import Pull
 
 MAX_HELD_SLOTS = 65_536
-"""Most slots that one pull may name."""
+"""Maximum number of held slots in one request."""
 
 
 class _Document(BaseModel):
-    """Refuses unknown fields, with the field's name in the error."""
+    """Rejects unknown fields; the error names the field."""
 
     model_config = ConfigDict(extra="forbid")
 
 
 class Message(BaseModel):
-    """One message of a chat."""
+    """A message of a chat."""
 
     role: str
     content: str
 
 
 class CompletionRequest(BaseModel):
-    """An OpenAI-compatible request; unknown fields are ignored, as clients send many."""
+    """An OpenAI-compatible request; unknown fields are ignored, as OpenAI clients send many."""
 
     model: str = Field(description="Name of a service of the intent.")
     prompt: str | None = None
@@ -36,7 +36,11 @@
     stream: bool = False
 
     def prompt_text(self) -> str:
-        """Returns the prompt as one text."""
+        """Returns the prompt, or the chat messages joined into one.
+
+        Raises:
+            InvalidRequestError: the request has neither.
+        """
         if self.prompt is not None:
             return self.prompt
         if self.messages is None:
@@ -45,7 +49,7 @@
 
 
 class BatchDocument(_Document):
-    """A trainer's batch."""
+    """A request to open a batch."""
 
     trainer: TrainerId
     pool: PoolId
@@ -61,7 +65,7 @@
     )
 
     def to_spec(self, batch: BatchId) -> BatchSpec:
-        """Returns the specification."""
+        """Returns the batch's specification."""
         return BatchSpec(
             id=batch,
             trainer=self.trainer,
@@ -77,7 +81,7 @@
 
 
 class PullDocument(_Document):
-    """A trainer's pull of one page."""
+    """A request for one page of a batch."""
 
     page: int = Field(ge=1)
     trainer_version: int = Field(ge=0)
@@ -109,7 +113,7 @@
 
 
 class PageDocument(_Document):
-    """A page of samples. ``remaining`` slots are still lacking after it."""
+    """A page of samples; ``remaining`` is the number of slots still lacking after it."""
 
     batch: BatchId
     page: int
@@ -118,7 +122,7 @@
 
 
 class ErrorDocument(_Document):
-    """Every failure answer."""
+    """The body of every error response."""
 
     code: str
     message: str
@@ -127,14 +131,14 @@
     retry_after: float | None = None
 
 
-def page_document(batch: BatchId, page: Page, spec_samples: int) -> PageDocument:
-    """Writes a page; ``spec_samples`` is the batch's samples per prompt."""
-    samples = [_sample_document(sample, spec_samples) for sample in page.samples]
+def page_document(batch: BatchId, page: Page, samples_per_prompt: int) -> PageDocument:
+    """Returns a page as a document."""
+    samples = [_sample_document(sample, samples_per_prompt) for sample in page.samples]
     return PageDocument(batch=batch, page=page.number, samples=samples, remaining=page.remaining)
 
 
 def error_document(error: LarkpostError) -> ErrorDocument:
-    """Writes an error."""
+    """Returns an error as a document."""
     return ErrorDocument(
         code=error.code,
         message=error.message,
@@ -148,18 +152,21 @@
     """Returns the slots of inclusive ranges.
 
     Raises:
-        InvalidRequestError: a range is empty or there are too many slots.
+        InvalidRequestError: a range is empty or negative, or there are too many slots.
     """
     total = 0
     for first, last in ranges:
         total += last - first + 1
         if first > last or first < 0 or total > MAX_HELD_SLOTS:
-            raise InvalidRequestError(f"held range [{first}, {last}] is wrong or too long")
+            raise InvalidRequestError(
+                f"held range [{first}, {last}] is empty or negative, or exceeds {MAX_HELD_SLOTS} "
+                "slots in total"
+            )
     return tuple(slot for first, last in ranges for slot in range(first, last + 1))
 
 
 def compress_slots(slots: set[int]) -> list[tuple[int, int]]:
-    """Writes slots as inclusive ranges."""
+    """Returns slots as inclusive ranges, in ascending order."""
     ranges: list[tuple[int, int]] = []
     for slot in sorted(slots):
         if ranges and ranges[-1][1] == slot - 1:
--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -233,9 +233,7 @@
             samples = samples + list(replica.samples.values())
         spec = found.spec if found is not None else replica.spec if replica is not None else None
         if spec is None:
-            raise UnknownBatchError(
-                f"batch {batch_id!r} is unknown to this daemon and its standbys"
-            )
+            raise UnknownBatchError(f"batch {batch_id!r} is not known")
         self._telemetry.log_state(f"batch.{batch_id}", "taken over", samples=len(samples))
         return self._add_batch(spec, samples, ())
 
--- a/src/larkpost/standalone/blackboard/board.py
+++ b/src/larkpost/standalone/blackboard/board.py
@@ -1,7 +1,7 @@
-"""The blackboard: everything a daemon knows, in typed sections.
+"""The blackboard: a daemon's in-memory state, in typed sections.
 
-Controllers write their section and read the others; the data path only reads. All access happens
-on one event loop, so there are no locks; code must not hold a view over an ``await``.
+Each controller writes its own section and reads the others; the data path reads. All access is on
+one event loop, so there are no locks; code must not keep values read from it across an ``await``.
 """
 
 from dataclasses import dataclass, field
@@ -16,7 +16,7 @@
 
 
 class Phase(StrEnum):
-    """Life of a daemon. It only moves down this list."""
+    """Lifecycle phase of a daemon; it only advances, in this order."""
 
     JOINING = "joining"
     READY = "ready"
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class Blackboard:
-    """One daemon's knowledge."""
+    """One daemon's in-memory state."""
 
     members: MemberTable
     facts: FactTable = field(default_factory=FactTable)
@@ -43,7 +43,7 @@
     policy_versions: dict[PolicyId, int] = field(default_factory=dict)
     policy_learned_at: dict[PolicyId, float] = field(default_factory=dict)
     owned: dict[EngineId, int] = field(default_factory=dict)
-    """Engines this daemon owns, with the fencing token it holds."""
+    """Fencing token of each engine that this daemon owns."""
     phase: Phase = Phase.JOINING
     _pool_engines: dict[PoolId, list[EngineId]] = field(default_factory=dict)
     _engine_pools: dict[EngineId, PoolId] = field(default_factory=dict)
@@ -55,17 +55,17 @@
         return self._pool_engines.get(pool, [])
 
     def engine_pool(self, engine: EngineId) -> PoolId | None:
-        """Returns the engine's pool, or None if the engine is not known."""
+        """Returns the engine's pool, or None if the engine is unknown."""
         self._refresh_pools()
         return self._engine_pools.get(engine)
 
     def pool_intent_of(self, engine: EngineId) -> PoolIntent | None:
-        """Returns the intent of the engine's pool, or None if no pool uses it."""
+        """Returns the intent of the engine's pool, or None if the intent has no such pool."""
         pool = self.engine_pool(engine)
         return self.configuration.intent.pool(pool) if pool is not None else None
 
     def _refresh_pools(self) -> None:
-        """Assigns engines to pools anew when the configuration or the directory has changed."""
+        """Reassigns engines to pools if the configuration or the directory has changed."""
         key = (self.configuration.epoch, self.engines.revision)
         if key == self._pools_key:
             return
--- a/src/larkpost/standalone/blackboard/engines.py
+++ b/src/larkpost/standalone/blackboard/engines.py
@@ -1,4 +1,4 @@
-"""The engine directory and the load of the engines this daemon watches."""
+"""The engine directory, reported loads, and the attempts that this daemon has in flight."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -12,8 +12,8 @@
     """One entry of the machine list.
 
     Attributes:
-        label_pool: the pool that the machine list gives; an intent may assign another.
-        leaving: the machine list marks the machine as leaving.
+        default_pool: pool given by the machine list; an intent may assign another.
+        leaving: whether the machine list marks the machine as leaving.
     """
 
     id: EngineId
@@ -25,16 +25,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineLoad:
-    """What an engine reported about itself.
+    """Load and state that an engine reported.
 
     Attributes:
         running: sequences in the current batch.
         waiting: sequences queued inside the engine.
-        slots: largest batch.
-        version: weight version that the engine says it has loaded.
-        leaving: the engine says that it is leaving.
-        token: highest fencing token the engine has accepted.
-        swapping: a weight swap is in progress.
+        slots: maximum batch size in sequences.
+        version: weight version that the engine reports as loaded.
+        leaving: whether the engine reports that it is leaving.
+        token: highest fencing token that the engine has accepted.
+        swapping: whether a weight swap is in progress.
         at: local monotonic time of the report.
     """
 
@@ -50,7 +50,7 @@
 
 
 class EngineTable:
-    """Known engines, their reported load, and what this daemon itself has in flight at them."""
+    """Known engines, their reported loads, and this daemon's attempts in flight at them."""
 
     def __init__(self) -> None:
         self.directory: dict[EngineId, EngineInfo] = {}
@@ -60,7 +60,7 @@
         self.avoid_until: dict[EngineId, float] = {}
         self.speeds = EngineSpeeds()
         self.revision = 0
-        """Grows when the directory changes, so that derived values can be cached."""
+        """Increases with each change of the directory; caches of derived values compare it."""
 
     def put(self, info: EngineInfo) -> None:
         """Adds or replaces a directory entry."""
@@ -68,13 +68,13 @@
         self.revision += 1
 
     def record_load(self, load: EngineLoad) -> None:
-        """Stores a report unless a later one is known."""
+        """Stores a reported load unless a later one is known."""
         known = self.loads.get(load.engine)
         if known is None or load.at >= known.at:
             self.loads[load.engine] = load
 
     def is_leaving(self, engine: EngineId) -> bool:
-        """Whether any source says that the engine is leaving."""
+        """Whether the machine list, the engine's report or a drain mark says that it is leaving."""
         info = self.directory.get(engine)
         load = self.loads.get(engine)
         listed = info is not None and info.leaving
@@ -86,13 +86,13 @@
         self.in_flight[engine] = self.in_flight.get(engine, 0) + 1
 
     def end_attempt(self, engine: EngineId) -> None:
-        """Ends an attempt in flight."""
+        """Removes an attempt from the count in flight."""
         self.in_flight[engine] -= 1
 
     def avoid(self, engine: EngineId, until: float) -> None:
-        """Keeps new attempts away from an engine that just failed."""
+        """Excludes an engine from new attempts until the given local time."""
         self.avoid_until[engine] = max(until, self.avoid_until.get(engine, 0.0))
 
     def entries(self) -> Iterable[EngineInfo]:
-        """Returns the directory."""
+        """Returns all entries of the directory."""
         return self.directory.values()
--- a/src/larkpost/standalone/blackboard/facts.py
+++ b/src/larkpost/standalone/blackboard/facts.py
@@ -1,8 +1,8 @@
-"""Replicated facts: keyed values of which the highest version wins everywhere.
+"""Replicated facts: versioned key-value pairs of which the highest version wins.
 
 Configuration epochs, the newest weight version of each policy, machine entries and drain marks are
-facts. Each key has one writer or an externally ordered version, so merging needs no agreement, and
-a daemon can never move to a lower version.
+facts. Each key has one writer or externally ordered versions, so merging needs no consensus and a
+daemon never moves to a lower version.
 """
 
 from collections.abc import Callable, Iterable
@@ -16,12 +16,12 @@
 DRAIN_PREFIX = "drain/"
 
 BUCKETS = 64
-"""Buckets of the digest: a difference is exchanged bucket by bucket, not as the whole table."""
+"""Number of digest buckets; only buckets that differ are exchanged, not the whole table."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fact:
-    """One version of one key; ``value`` is encoded by the controller that owns the prefix."""
+    """One version of a key; ``value`` is encoded by the controller that owns the key's prefix."""
 
     key: str
     version: int
@@ -32,13 +32,13 @@
 
 
 class FactTable:
-    """All facts a daemon knows, with a digest that two equal tables share."""
+    """All facts known to a daemon, with a digest that is equal for equal tables."""
 
     def __init__(self) -> None:
         self._facts: dict[str, Fact] = {}
         self._listeners: list[tuple[str, FactListener]] = []
         self.bucket_digests = [0] * BUCKETS
-        """For each bucket, the XOR of a 64-bit hash of each key and version in it."""
+        """For each bucket, the XOR of the 64-bit hashes of its facts' keys and versions."""
         self.digest = 0
         """XOR of the bucket digests."""
 
@@ -59,11 +59,11 @@
         return self._facts.values()
 
     def add_listener(self, prefix: str, listener: FactListener) -> None:
-        """Calls ``listener`` on each newer fact whose key starts with ``prefix``."""
+        """Registers ``listener`` for each newly merged fact whose key starts with ``prefix``."""
         self._listeners.append((prefix, listener))
 
     def merge(self, fact: Fact) -> bool:
-        """Stores a fact if it is newer than the known one.
+        """Stores a fact and calls its listeners if it is newer than the known one.
 
         Returns:
             Whether the table changed.
--- a/src/larkpost/standalone/blackboard/members.py
+++ b/src/larkpost/standalone/blackboard/members.py
@@ -1,4 +1,4 @@
-"""The membership table: every daemon that this one knows, and its last known state."""
+"""The membership table: every known daemon with its last known state."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
@@ -9,7 +9,7 @@
 
 
 class MemberState(IntEnum):
-    """State of a daemon. At one incarnation only a higher state replaces a lower one."""
+    """State of a daemon. Within one incarnation a higher state replaces a lower one."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberInfo:
-    """One incarnation of a daemon."""
+    """State of a daemon in one incarnation; ``since`` is the local time at which it was learned."""
 
     id: DaemonId
     zone: ZoneId
@@ -28,24 +28,24 @@
     state: MemberState = MemberState.ALIVE
     since: float = 0.0
     leaving: bool = False
-    """It is stopping as planned: it still answers, and takes on nothing new."""
+    """Whether it is in a planned stop: it still answers, but takes on nothing new."""
 
     @property
     def usable(self) -> bool:
-        """Whether work may be given to it: a suspect is still a member."""
+        """Whether it counts as a live member: alive or suspect."""
         return self.state <= MemberState.SUSPECT
 
     @property
     def eligible(self) -> bool:
-        """Whether it may own engines, hold duties and keep copies."""
+        """Whether it may own engines, poll for its zone and hold replicas."""
         return self.usable and not self.leaving
 
     def replaces(self, other: "MemberInfo") -> bool:
-        """Returns whether this state is newer than ``other``."""
+        """Returns whether this state supersedes ``other``."""
         return (self.incarnation, self.state) > (other.incarnation, other.state)
 
     def to_message(self) -> pb.Member:
-        """Returns the message that other daemons are sent."""
+        """Returns the protobuf message for other daemons."""
         return pb.Member(
             id=self.id,
             zone=self.zone,
@@ -57,10 +57,11 @@
 
 
 def member_from_message(message: pb.Member, since: float) -> MemberInfo:
-    """Returns the state in a message.
+    """Returns the member state in a message.
 
     Args:
-        since: the local time at which it was learned, in seconds.
+        message: the member as sent by another daemon.
+        since: local monotonic time in seconds at which it was received.
     """
     return MemberInfo(
         DaemonId(message.id),
@@ -80,47 +81,47 @@
         self.own = own
         self._others: dict[DaemonId, MemberInfo] = {}
         self.revision = 0
-        """Grows with each change, so that derived values can be cached."""
+        """Increases with each change; caches of derived values compare it."""
 
     def __len__(self) -> int:
         return len(self._others) + 1
 
     def get(self, daemon: DaemonId) -> MemberInfo | None:
-        """Returns what is known of a daemon."""
+        """Returns the state of a daemon, or None if it is unknown."""
         return self.own if daemon == self.own.id else self._others.get(daemon)
 
     def put(self, member: MemberInfo) -> None:
-        """Stores a member's state; the caller has checked that it is newer."""
+        """Stores the state of another daemon; the caller must have checked that it is newer."""
         self._others[member.id] = member
         self.revision += 1
 
     def update_own(
         self, incarnation: int, state: MemberState = MemberState.ALIVE, leaving: bool = False
     ) -> None:
-        """Raises the daemon's own incarnation or state; leaving is never taken back."""
+        """Updates this daemon's incarnation and state; ``leaving`` is never reset."""
         leaving = leaving or self.own.leaving
         self.own = replace(self.own, incarnation=incarnation, state=state, leaving=leaving)
         self.revision += 1
 
     def others(self) -> Iterable[MemberInfo]:
-        """Returns every other known daemon, dead ones included."""
+        """Returns every other known daemon, including dead ones."""
         return self._others.values()
 
     def alive_others(self) -> list[MemberInfo]:
-        """Returns the other daemons that may be given work."""
+        """Returns the other daemons that are alive or suspect."""
         return [member for member in self._others.values() if member.usable]
 
     def alive(self, zone: ZoneId | None = None) -> list[MemberInfo]:
-        """Returns the usable daemons of a zone, or of all zones, this one included."""
+        """Returns the alive and suspect daemons of a zone, or of all zones, including this one."""
         members = self.alive_others()
         if self.own.usable:
             members.append(self.own)
         return [member for member in members if zone is None or member.zone == zone]
 
     def eligible(self, zone: ZoneId | None = None) -> list[MemberInfo]:
-        """Returns the daemons of a zone, or of all, that may be given something to keep."""
+        """Returns the daemons of a zone, or of all zones, that may take on responsibilities."""
         return [member for member in self.alive(zone) if member.eligible]
 
     def zones(self) -> set[ZoneId]:
-        """Returns the zones that have a known daemon, dead ones included."""
+        """Returns the zones of all known daemons, including dead ones."""
         return {member.zone for member in self._others.values()} | {self.own.zone}
--- a/src/larkpost/standalone/blackboard/speeds.py
+++ b/src/larkpost/standalone/blackboard/speeds.py
@@ -1,4 +1,4 @@
-"""How fast each engine generates, as this daemon saw it, and which ones are stragglers."""
+"""Generation speeds of engines as observed by this daemon, and detection of stragglers."""
 
 import statistics
 from collections.abc import Iterable
@@ -7,13 +7,13 @@
 from larkpost.common.ids import EngineId
 
 SMOOTHING_FACTOR = 0.1
-"""Weight of a new observation in the moving average."""
+"""Weight of a new observation in the exponential moving average."""
 SPEED_LIFETIME_SECONDS = 10.0
-"""Seconds after the last observation at which an engine is given another chance."""
+"""Seconds after its last observation at which a speed expires, so a straggler is tried again."""
 SLOW_RATIO = 0.4
-"""An engine below this share of the pool's median speed is a straggler."""
+"""An engine below this fraction of the pool's median speed is a straggler."""
 MIN_COMPARED_ENGINES = 3
-"""Engines with a known speed that a comparison needs."""
+"""Minimum number of engines with a known speed for a comparison."""
 
 
 @dataclass(slots=True)
@@ -23,13 +23,13 @@
 
 
 class EngineSpeeds:
-    """Moving averages of tokens per second and sequence, by engine."""
+    """Moving averages of tokens per second of one sequence, by engine."""
 
     def __init__(self) -> None:
         self._speeds: dict[EngineId, _Speed] = {}
 
     def record(self, engine: EngineId, tokens: int, seconds: float, now: float) -> None:
-        """Records an observation: so many tokens of one sequence arrived within some seconds."""
+        """Records that ``tokens`` of one sequence arrived within ``seconds``."""
         if tokens <= 0 or seconds <= 0:
             return
         observed = tokens / seconds
@@ -41,7 +41,7 @@
         self._speeds[engine] = _Speed(observed, now)
 
     def stragglers(self, engines: Iterable[EngineId], now: float) -> set[EngineId]:
-        """Returns the engines that are much slower than the others of their pool."""
+        """Returns the engines that are slower than ``SLOW_RATIO`` times the median of all given."""
         known = {
             engine: self._speeds[engine].tokens_per_second
             for engine in engines
--- a/src/larkpost/standalone/config/intent.py
+++ b/src/larkpost/standalone/config/intent.py
@@ -1,4 +1,4 @@
-"""The operators' intent: which trainers and services draw from which engines, and on what terms."""
+"""The operators' intent: pools of engines, and the trainers and services that use them."""
 
 from typing import Self
 
@@ -8,7 +8,7 @@
 
 
 class _StrictModel(BaseModel):
-    """Refuses unknown fields, so that a misspelled one is reported and not ignored."""
+    """Rejects unknown fields, so that a misspelled one is reported."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -50,7 +50,7 @@
 
 
 class ServiceIntent(_StrictModel):
-    """A client service and its priority."""
+    """A client service, its pool and its priority."""
 
     name: str
     pool: PoolId
@@ -58,7 +58,7 @@
 
 
 class TrainerIntent(_StrictModel):
-    """A trainer, the pools it draws from, and its terms."""
+    """A trainer, the pools it may use, and its staleness limits."""
 
     name: TrainerId
     pools: tuple[PoolId, ...]
@@ -78,7 +78,7 @@
 
 
 class Intent(_StrictModel):
-    """The whole configuration that operators confirm."""
+    """The complete configuration that operators confirm."""
 
     pools: tuple[PoolIntent, ...] = ()
     services: tuple[ServiceIntent, ...] = ()
@@ -99,15 +99,15 @@
         return self
 
     def pool(self, name: PoolId) -> PoolIntent | None:
-        """Returns the pool of that name, or None."""
+        """Returns the named pool, or None."""
         return next((pool for pool in self.pools if pool.name == name), None)
 
     def service(self, name: str) -> ServiceIntent | None:
-        """Returns the service of that name, or None."""
+        """Returns the named service, or None."""
         return next((service for service in self.services if service.name == name), None)
 
     def trainer(self, name: TrainerId) -> TrainerIntent | None:
-        """Returns the trainer of that name, or None."""
+        """Returns the named trainer, or None."""
         return next((trainer for trainer in self.trainers if trainer.name == name), None)
 
     def assigned_pools(self) -> dict[EngineId, PoolId]:
@@ -118,9 +118,9 @@
 def _require_unique(kind: str, names: list) -> None:
     for name in names:
         if names.count(name) > 1:
-            raise ValueError(f"{kind} {name!r} is named more than once; name it once")
+            raise ValueError(f"{kind} {name!r} is listed more than once; list it once")
 
 
 def _require_known_pool(caller: str, pool: PoolId, known: list[PoolId]) -> None:
     if pool not in known:
-        raise ValueError(f"{caller!r} draws from pool {pool!r}, which is not declared; declare it")
+        raise ValueError(f"{caller!r} uses pool {pool!r}, which is not declared; add it to pools")
--- a/src/larkpost/standalone/config/plan.py
+++ b/src/larkpost/standalone/config/plan.py
@@ -1,4 +1,4 @@
-"""Plans: what confirming an intent would change, computed without acting."""
+"""Plans: the changes that confirming an intent would make, computed without applying them."""
 
 from collections.abc import Iterable, Sequence
 from enum import StrEnum
@@ -14,7 +14,7 @@
 
 
 class ActionKind(StrEnum):
-    """What a step of a plan does."""
+    """Kind of a step of a plan."""
 
     MOVE = "move"
     LOAD = "load"
@@ -24,7 +24,7 @@
 
 
 class PlannedAction(BaseModel):
-    """One step of a plan, for an operator to read."""
+    """One step of a plan, described for operators."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
     kind: ActionKind
@@ -33,9 +33,9 @@
 
 
 class Plan(BaseModel):
-    """An intent, the epoch it was compared with, and the steps it leads to.
+    """An intent, the epoch it was compared with, and the resulting steps.
 
-    The plan is complete in itself, so any daemon can confirm it.
+    A plan is self-contained, so any daemon can confirm it.
     """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
@@ -48,17 +48,17 @@
 def make_plan(
     current: Intent, base_epoch: int, wanted: Intent, engines: Iterable[EngineInfo], nonce: str
 ) -> Plan:
-    """Compares two intents.
+    """Compares the intent in force with a wanted one.
 
     Args:
         current: the intent in force at ``base_epoch``.
-        base_epoch: the epoch the plan may be confirmed against.
+        base_epoch: the epoch that must still be in force when the plan is confirmed.
         wanted: the operator's intent.
         engines: every engine of the directory.
-        nonce: makes the plan's id unique among equal intents.
+        nonce: makes the ids of plans with equal intents unique.
 
     Returns:
-        The plan with its actions in a stable order.
+        The plan, with its actions in a stable order.
     """
     actions = [
         *_engine_actions(current, wanted, engines),
@@ -76,7 +76,7 @@
 
 
 def pool_of(engine: EngineInfo, assigned: dict[EngineId, PoolId]) -> PoolId:
-    """Returns the engine's pool: the intent's assignment, else the machine list's label."""
+    """Returns the engine's pool: the intent's assignment, else the machine list's default."""
     return assigned.get(engine.id, engine.default_pool)
 
 
--- a/src/larkpost/standalone/daemon.py
+++ b/src/larkpost/standalone/daemon.py
@@ -1,7 +1,7 @@
 """Assembles one daemon from its ports: blackboard, controllers, data path and services.
 
-The same class runs in a process of its own (`larkpost.standalone.server`) and, on simulated ports
-and time, in the tests.
+The same class runs in a process of its own (`larkpost.standalone.server`) and in tests with
+simulated ports and time.
 """
 
 import random
@@ -39,28 +39,28 @@
 from larkpost.standalone.wire.peer import PeerHandler, PeerMethod, PeerTransport
 
 CONTROL_INTERVAL = 0.5
-"""Seconds between rounds of the controllers that reconcile."""
+"""Seconds between rounds of configuration polling and ownership reconciliation."""
 SWAP_INTERVAL = 0.1
-"""Seconds between rounds of the weight swaps, on whose end trainers wait."""
+"""Seconds between rounds of weight swaps; short because trainers wait for swaps."""
 JOIN_INTERVAL = 0.25
-"""Seconds between the first two tries to join; doubles with each."""
+"""Seconds between the first two attempts to join; doubles with each further one."""
 JOIN_INTERVAL_LIMIT = 4.0
-"""Most seconds between two tries to join."""
+"""Maximum seconds between two attempts to join."""
 REFRESH_INTERVAL = 1.0
-"""Seconds between checks that the configuration in force is known to be current."""
+"""Seconds between checks whether the configuration needs to be verified again."""
 EXPIRE_INTERVAL = 10.0
-"""Seconds between rounds that drop batches and replicas that nobody asks for."""
+"""Seconds between rounds that drop idle batches and expired replicas."""
 DRAIN_POLL_INTERVAL = 0.05
-"""Seconds between checks, in a planned stop, whether anything is still in flight."""
+"""Seconds between checks for work in flight during a planned stop."""
 LAG_INTERVAL = 1.0
-"""Seconds between measurements of the event loop's delay."""
+"""Seconds between measurements of the event loop's lag."""
 REPLICA_LIFETIME_FACTOR = 2
-"""A replica is kept so many times as long as an idle batch: its owner must drop the batch first."""
+"""Replica lifetime in idle timeouts of a batch; above 1, as the owner must drop a batch first."""
 
 
 @dataclass(frozen=True, slots=True)
 class Ports:
-    """Everything outside the daemon."""
+    """Interfaces of the daemon to everything outside it."""
 
     clock: Clock
     transport: PeerTransport
@@ -70,7 +70,7 @@
 
 
 class Daemon:
-    """One daemon."""
+    """A standalone daemon with all its components."""
 
     def __init__(
         self, settings: Settings, ports: Ports, rng: random.Random, log: bool = True
@@ -128,7 +128,7 @@
         self.tasks.spawn(self._measure_lag(), "loop-lag")
 
     async def drain(self) -> None:
-        """Stops as planned: admits nothing new, finishes what is in flight, hands over, leaves."""
+        """Stops gracefully: admits nothing new, waits for work in flight, replicates and leaves."""
         self.board.phase = Phase.STOPPING
         self.telemetry.log_state("daemon", Phase.STOPPING)
         self.membership.announce_leaving()
@@ -138,7 +138,7 @@
         self.membership.leave()
 
     def stop(self) -> None:
-        """Ends all tasks at once."""
+        """Cancels all tasks."""
         self.tasks.cancel_all()
 
     def _build_membership(self) -> None:
@@ -202,7 +202,7 @@
             ):
                 await self._fetch_facts()
                 break
-            # Many daemons that start at once would otherwise keep each other at the rate limit.
+            # The jitter keeps daemons that start together from hitting the rate limit together.
             await self._ports.clock.sleep(interval * self._rng.uniform(0.5, 1.0))
             interval = min(2 * interval, JOIN_INTERVAL_LIMIT)
         if self.board.phase == Phase.JOINING:
@@ -210,7 +210,7 @@
             self.telemetry.log_state("daemon", Phase.READY)
 
     async def _fetch_facts(self) -> None:
-        """Fetches the directory and policy versions from one daemon, for a fast start."""
+        """Fetches the known facts from one other daemon, for a fast start."""
         members = self.board.members.alive_others()
         if members:
             await self.dissemination.fetch_from(self._rng.choice(members).address)
--- a/src/larkpost/standalone/engines/http_adapter.py
+++ b/src/larkpost/standalone/engines/http_adapter.py
@@ -1,7 +1,7 @@
 """The engine port over HTTP: JSON requests, answers as server-sent events.
 
-The request's body leaves only when the connection stands and the caller still allows it, and that
-moment is recorded. A failure before it proves that the engine cannot have executed the request.
+The request body is sent only once connected and while the caller still permits it, and the sending
+is recorded. A failure before that proves that the engine has not run the request.
 """
 
 import asyncio
@@ -26,16 +26,16 @@
 )
 
 CONNECT_TIMEOUT = 2.0
-"""Longest wait in seconds for a connection to an engine."""
+"""Maximum seconds to wait for a connection to an engine."""
 CANCEL_TIMEOUT = 1.0
-"""Longest wait in seconds for the cancelling of an attempt."""
+"""Maximum seconds to wait for the cancellation of an attempt."""
 EVENT_PREFIX = b"data: "
 REFUSED_STATUSES = (409, 429, 503)
 NETWORK_ERRORS = (aiohttp.ClientError, TimeoutError, OSError)
 
 
 class _SendOnceBody:
-    """A request body that leaves at most once, and only while the caller allows it."""
+    """A request body that is sent at most once, and only while the caller permits it."""
 
     def __init__(self, content: bytes, may_send: Callable[[], bool]) -> None:
         self._content = content
@@ -43,9 +43,9 @@
         self.sent = False
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yields the body once; aiohttp asks for it after it has connected."""
+        """Yields the body once; aiohttp reads it after connecting."""
         if self.sent or not self._may_send():
-            raise EngineNotSentError("the request may no longer be sent")
+            raise EngineNotSentError("the request was not sent: its caller no longer permits it")
         self.sent = True
         yield self._content
 
@@ -111,7 +111,7 @@
         except NETWORK_ERRORS as error:
             raise EngineOutcomeUnknownError(repr(error)) from error
         except (KeyError, TypeError, ValueError) as error:
-            raise EngineOutcomeUnknownError(f"not a report: {error!r}") from error
+            raise EngineOutcomeUnknownError(f"invalid engine report: {error!r}") from error
 
     async def order(self, address: Address, order: Order, timeout: float) -> None:
         url = f"http://{address}/v1/orders"
@@ -123,9 +123,13 @@
         except (*NETWORK_ERRORS, ValueError) as error:
             raise EngineOutcomeUnknownError(repr(error)) from error
         if response.status == 412:
-            raise StaleTokenError("the engine has accepted a higher token", fields.get("token", 0))
+            raise StaleTokenError(
+                f"the engine has accepted a higher token than {order.token}", fields.get("token", 0)
+            )
         if response.status != 200:
-            raise EngineError(f"order refused: {fields.get('error', response.status)}")
+            raise EngineError(
+                f"the engine refused the order: {fields.get('error', response.status)}"
+            )
 
 
 def _stream_timeout(chunk_timeout: float) -> aiohttp.ClientTimeout:
@@ -139,7 +143,7 @@
 
 
 async def _check_status(response: aiohttp.ClientResponse, attempt: AttemptId) -> None:
-    """Lets a stream pass; a refusal counts only if it names this very attempt."""
+    """Raises an error unless the status is 200; a refusal must name the attempt to count."""
     if response.status == 200:
         return
     content = await response.read()
@@ -150,11 +154,11 @@
     named = fields.get("attempt") == attempt
     if response.status in REFUSED_STATUSES and named and fields.get("ran") is False:
         raise EngineRefusedError(str(fields.get("error")), fields.get("retry_after"))
-    raise EngineOutcomeUnknownError(f"status {response.status}")
+    raise EngineOutcomeUnknownError(f"the engine answered with status {response.status}")
 
 
 async def _read_events(response: aiohttp.ClientResponse) -> AsyncIterator[EngineChunk]:
-    """Yields chunks; those that arrived together are joined, which saves work for every one."""
+    """Yields chunks; those that arrive together are joined, to reduce the work per chunk."""
     rest = b""
     async for data in response.content.iter_any():
         *lines, rest = (rest + data).split(b"\n")
@@ -165,13 +169,13 @@
                 if line.startswith(EVENT_PREFIX)
             ]
         except (KeyError, TypeError, ValueError) as error:
-            raise EngineOutcomeUnknownError(f"not a chunk: {error!r}") from error
+            raise EngineOutcomeUnknownError(f"invalid answer chunk: {error!r}") from error
         for chunk in _join(chunks):
             yield chunk
 
 
 def _join(chunks: list[EngineChunk]) -> list[EngineChunk]:
-    """Joins neighbours of one attempt and version that follow each other without a gap."""
+    """Joins consecutive chunks of one attempt and version."""
     joined: list[EngineChunk] = []
     run: list[EngineChunk] = []
     for chunk in chunks:
@@ -225,6 +229,6 @@
 
 
 async def close_session(session: aiohttp.ClientSession) -> None:
-    """Closes a client session and lets its connections end."""
+    """Closes a client session and yields to the event loop so that its connections close."""
     await session.close()
     await asyncio.sleep(0)
--- a/src/larkpost/standalone/operator_calls.py
+++ b/src/larkpost/standalone/operator_calls.py
@@ -1,4 +1,4 @@
-"""Calls an operator's commands make to a daemon, and how their answers are shown."""
+"""Calls of the operators' commands to a daemon, and the display of the results."""
 
 import asyncio
 import tomllib
@@ -18,11 +18,11 @@
 from larkpost.standalone.settings import describe_validation
 
 CALL_TIMEOUT = 30.0
-"""Seconds to wait for a daemon, which waits itself for zones."""
+"""Seconds to wait for an answer; longer than a confirmation waits for the zones."""
 
 
 def call_daemon(daemon: Address, verb: str, path: str, body: bytes = b"") -> dict:
-    """Calls a daemon and returns its answer.
+    """Calls a daemon and returns its decoded answer.
 
     Raises:
         LarkpostError: the daemon refused, or did not answer.
@@ -51,27 +51,28 @@
     """Reads an intent from a TOML file.
 
     Raises:
-        InvalidRequestError: the file cannot be read, or is no intent.
+        InvalidRequestError: the file cannot be read or is not a valid intent.
     """
     try:
         return Intent.model_validate(tomllib.loads(path.read_text(encoding="utf-8")))
     except ValidationError as error:
         raise InvalidRequestError(f"{path}: {describe_validation(error)}") from None
     except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise InvalidRequestError(f"{path}: {error}", remedy="Name a TOML file.") from None
+        raise InvalidRequestError(f"{path}: {error}", remedy="Name a readable TOML file.") from None
 
 
 def read_plan(path: Path) -> Plan:
     """Reads a plan that `larkpost intent plan` wrote.
 
     Raises:
-        InvalidRequestError: the file cannot be read, or is no plan.
+        InvalidRequestError: the file cannot be read or is not a valid plan.
     """
     try:
         return Plan.model_validate_json(path.read_bytes())
     except (OSError, ValidationError) as error:
         raise InvalidRequestError(
-            f"{path} is no plan: {error}", remedy="Write one with `larkpost intent plan`."
+            f"{path} is not a valid plan: {error}",
+            remedy="Create one with `larkpost intent plan`.",
         ) from None
 
 
@@ -88,7 +89,7 @@
 
 
 def show_status(console: Console, status: dict) -> None:
-    """Prints what a daemon knows."""
+    """Prints a daemon's status with its members and engines."""
     console.print(
         f"{status['daemon']} in {status['zone']}: {status['phase']}, "
         f"epoch {status['epoch']}, {status['open_batches']} open batches"
--- a/src/larkpost/standalone/routing/dispatcher.py
+++ b/src/larkpost/standalone/routing/dispatcher.py
@@ -1,11 +1,11 @@
-"""Runs a piece of work on engines: attempt, check each chunk, resume or retry, or say why not.
+"""Runs a request on engines: sends attempts, validates chunks, and resumes or retries on failure.
 
 Invariants:
-- A chunk counts only if it names this attempt and starts at the next token.
-- An answer ends only with a chunk that states its whole length, and only if that length is reached.
-- ``Ran.NO`` is said only while no attempt was sent, or each one sent was refused by the engine that
-  names the attempt. One attempt whose outcome is unknown makes every later answer ``UNKNOWN``.
-- Work that may run only once is never sent again after an attempt whose outcome is unknown.
+- A chunk is accepted only if it names the current attempt and leaves no gap after earlier tokens.
+- An answer ends only with a chunk that states the total length, and only at that length.
+- ``Ran.NO`` is reported only if no attempt was sent, or every attempt sent was refused by an engine
+  that named the attempt. After an attempt with an unknown outcome, errors report ``Ran.UNKNOWN``.
+- Run-once work is never sent again after an attempt whose outcome is unknown.
 """
 
 from collections.abc import AsyncIterator
@@ -37,17 +37,17 @@
 from larkpost.standalone.runtime import Runtime
 
 MAX_ATTEMPTS = 6
-"""Attempts at one piece of work."""
+"""Maximum number of attempts at one request."""
 RETRY_AFTER_NO_ENGINE = 1.0
-"""Seconds after which a caller may come back that found no engine."""
+"""Seconds after which a caller may retry when no engine was available."""
 MAX_REPORT_PROBES = 3
-"""Engines asked for a report at once when no report is fresh."""
+"""Maximum number of engines polled by one request when no report is fresh."""
 MAX_STREAMS_PER_ATTEMPT = 2
-"""Streams of one attempt: the first, and one that goes on where it broke."""
+"""Streams of one attempt: the first, and one that resumes it after a break."""
 
 
 class Dispatcher:
-    """Sends work to engines."""
+    """Sends work to engines and yields their answers."""
 
     def __init__(
         self,
@@ -72,15 +72,15 @@
     async def run(
         self, work: Work, prefer: EngineId | None = None, prefix: tuple[int, ...] = ()
     ) -> AsyncIterator[TokenRun]:
-        """Yields the answer's token runs; returning means that the answer is whole.
+        """Yields the answer's token runs; the answer is complete when it returns.
 
         Args:
             work: the request.
-            prefer: engine to use first if it may take the work, for its prefix cache.
-            prefix: tokens of the answer that exist already; the runs go on after them.
+            prefer: engine to try first if it may take the work, for its prefix cache.
+            prefix: tokens of the answer that already exist; the runs continue after them.
 
         Raises:
-            LarkpostError: there is no whole answer; the error says whether the request ran.
+            LarkpostError: the answer is incomplete; the error says whether the request ran.
         """
         progress = Progress(tokens=list(prefix))
         self._budgets.earn(_caller_key(work))
@@ -119,7 +119,7 @@
     async def _spend_retry(self, work: Work, progress: Progress) -> None:
         if progress.attempts >= MAX_ATTEMPTS or not self._budgets.spend(_caller_key(work)):
             raise OverloadedError(
-                "the request failed and its caller's retries are spent",
+                "the request failed and no further retry is allowed for its caller",
                 ran=progress.ran,
                 retry_after=self._settings.backoff_limit,
             )
@@ -131,7 +131,7 @@
             raise DeadlineError("the request's deadline has passed", ran=progress.ran)
 
     async def _poll_stale_engines(self, work: Work, progress: Progress) -> None:
-        """Asks engines whose report is too old, so that a dead owner does not stop traffic."""
+        """Polls engines with stale reports directly, so that a dead owner does not stop traffic."""
         stale_engines = self._selector.stale_engines(work.pool, progress.excluded)
         for engine in self._rng.sample(stale_engines, min(len(stale_engines), MAX_REPORT_PROBES)):
             info = self._board.engines.directory[engine]
@@ -142,7 +142,7 @@
     async def _attempt(
         self, work: Work, engine: EngineId, progress: Progress
     ) -> AsyncIterator[TokenRun]:
-        """Runs one attempt; on a failure that allows another it returns with ``finished`` unset."""
+        """Runs one attempt; returns with ``progress.finished`` unset if another may follow."""
         request = self._make_request(work, progress)
         progress.attempts += 1
         if not self._selector.may_dispatch(engine):
@@ -182,7 +182,7 @@
     async def _receive(
         self, work: Work, engine: EngineId, request: GenerateRequest, progress: Progress
     ) -> AsyncIterator[TokenRun]:
-        """Yields checked runs of one attempt, attaching to it again if its stream breaks."""
+        """Yields the validated runs of one attempt, and resumes it once if its stream breaks."""
         address = self._board.engines.directory[engine].address
         timeout = self._chunk_timeout(work)
         stream = self._engines.generate(
@@ -199,7 +199,7 @@
                             yield run
                         if progress.finished:
                             return
-                raise EngineOutcomeUnknownError("the stream ended before the answer was whole")
+                raise EngineOutcomeUnknownError("the stream ended before the answer was complete")
             except EngineOutcomeUnknownError:
                 self._telemetry.count("broken_streams")
                 progress.outcome_unknown = True
@@ -210,14 +210,14 @@
     def _resume(
         self, work: Work, address: Address, attempt: AttemptId, progress: Progress
     ) -> AsyncIterator[EngineChunk]:
-        """Attaches to an attempt again, after the tokens that have come."""
+        """Reattaches to an attempt after the tokens received so far."""
         self._check_deadline(work, progress)
         self._telemetry.count("resumes")
         offset = len(progress.tokens)
         return self._engines.resume(address, attempt, offset, self._chunk_timeout(work))
 
     def _record_speed(self, engine: EngineId, run: TokenRun, last_chunk_at: float | None) -> float:
-        """Measures between chunks, so that waiting in the engine's queue does not count."""
+        """Records the speed between two chunks, which excludes the time in the engine's queue."""
         now = self._clock.now()
         if last_chunk_at is not None:
             self._board.engines.speeds.record(engine, len(run.tokens), now - last_chunk_at, now)
@@ -234,10 +234,10 @@
     def _record_failure(
         self, engine: EngineId, work: Work, progress: Progress, error: EngineError
     ) -> None:
-        """Decides whether another attempt is allowed.
+        """Records a failed attempt.
 
         Raises:
-            LarkpostError: it is not.
+            BrokenAnswerError: the work is run-once and may have run.
         """
         progress.failures += 1
         progress.excluded.add(engine)
@@ -249,7 +249,7 @@
             self._board.engines.avoid(engine, until)
         if progress.outcome_unknown and work.run_once:
             raise BrokenAnswerError(
-                f"the answer of engine {engine!r} broke off: {error}", ran=Ran.UNKNOWN
+                f"the answer of engine {engine!r} is incomplete: {error}", ran=Ran.UNKNOWN
             )
 
     async def _cancel(self, engine: EngineId, attempt: AttemptId) -> None:
@@ -257,7 +257,7 @@
         try:
             await self._engines.cancel(info.address, attempt)
         except EngineError:
-            return  # the engine is gone, or drops the attempt when its caller is gone
+            return  # the engine is down, or drops the attempt once its caller disconnects
 
 
 def _caller_key(work: Work) -> str:
--- a/src/larkpost/standalone/routing/inference.py
+++ b/src/larkpost/standalone/routing/inference.py
@@ -1,4 +1,4 @@
-"""Client requests: admission, the run-once claim, and dispatch."""
+"""Client requests: admission, the claim of run-once keys, and dispatch."""
 
 from collections.abc import AsyncIterator
 from contextlib import aclosing
@@ -20,9 +20,9 @@
 from larkpost.standalone.runtime import Runtime
 
 RETRY_AFTER_OVERLOAD = 0.5
-"""Seconds after which a refused caller may come back."""
+"""Seconds after which a refused caller may retry."""
 MAX_TOKENS_LIMIT = 131_072
-"""Most tokens that one request may ask for."""
+"""Maximum number of tokens that one request may generate."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,10 +30,10 @@
     """A client's request.
 
     Attributes:
-        service: name of a service of the intent; it gives the pool and the priority.
-        deadline_seconds: how long the caller waits, or None for the default.
-        run_once: it must not be executed a second time.
-        key: names the request when it is asked again; a ticket or the caller's choice.
+        service: name of a service in the intent, which determines the pool and the priority.
+        deadline_seconds: how long the caller waits; None for the default.
+        run_once: whether the request must not run more than once.
+        key: idempotency key of a run-once request: a ticket, or a name chosen by the caller.
     """
 
     request: RequestId
@@ -67,10 +67,10 @@
         self._readiness = readiness
 
     async def complete(self, call: InferenceCall) -> AsyncIterator[TokenRun]:
-        """Yields the answer's token runs; returning means that the answer is whole.
+        """Yields the answer's token runs; the answer is complete when it returns.
 
         Raises:
-            LarkpostError: there is no whole answer; the error says whether the request ran.
+            LarkpostError: the answer is incomplete; the error says whether the request ran.
         """
         with self._activity.request():
             try:
@@ -83,10 +83,10 @@
                 raise
 
     async def _admit_once(self, call: InferenceCall) -> Work:
-        """Admits the request and takes the right to run its key.
+        """Admits the request and claims its key if it is run-once.
 
-        A refusal before the claim may say "not run" only if the key was certainly never used: an
-        earlier try under the same key may have run.
+        An earlier request with the same key may have run, so a refusal before the claim reports
+        ``Ran.NO`` only if the key is known to be unused.
         """
         claimed = call.key if call.run_once else None
         try:
@@ -109,10 +109,11 @@
             )
         _check_call(call)
         work = self._make_work(call, service)
-        crowded = self._activity.requests > self._settings.max_client_requests
-        if crowded or self._selector.is_full(work):
+        over_limit = self._activity.requests > self._settings.max_client_requests
+        if over_limit or self._selector.is_full(work):
             raise OverloadedError(
-                f"pool {service.pool!r} is full", retry_after=RETRY_AFTER_OVERLOAD
+                f"pool {service.pool!r} or this daemon is at its limit of client requests",
+                retry_after=RETRY_AFTER_OVERLOAD,
             )
         self._telemetry.count("client_requests")
         return work
@@ -137,8 +138,12 @@
 
 def _check_call(call: InferenceCall) -> None:
     if not 0 < call.max_tokens <= MAX_TOKENS_LIMIT:
-        raise InvalidRequestError(f"max_tokens must be between 1 and {MAX_TOKENS_LIMIT}")
+        raise InvalidRequestError(
+            f"max_tokens must be between 1 and {MAX_TOKENS_LIMIT}, not {call.max_tokens}"
+        )
     if call.deadline_seconds is not None and not call.deadline_seconds > 0:
-        raise InvalidRequestError("the deadline must be above 0 seconds")
+        raise InvalidRequestError(
+            f"the deadline must be above 0 seconds, not {call.deadline_seconds}"
+        )
     if not call.prompt:
         raise InvalidRequestError("the prompt is empty")
--- a/src/larkpost/standalone/routing/progress.py
+++ b/src/larkpost/standalone/routing/progress.py
@@ -1,4 +1,4 @@
-"""The progress of one piece of work, and the rule by which a chunk of an answer counts."""
+"""The progress of one request over its attempts, and validation of answer chunks."""
 
 from dataclasses import dataclass, field
 
@@ -10,15 +10,15 @@
 
 @dataclass(slots=True)
 class Progress:
-    """State of one piece of work over its attempts.
+    """State of one request over its attempts.
 
     Attributes:
         tokens: the tokens of the answer so far.
-        attempts: attempts begun.
-        failures: attempts that failed.
-        uncertain: whether the outcome of an attempt is unknown.
-        excluded: engines that are not tried again, as long as there are others.
-        finished: whether the answer is whole.
+        attempts: number of attempts begun.
+        failures: number of attempts that failed.
+        outcome_unknown: whether an attempt may have run without a known outcome.
+        excluded: engines that are not tried again while others are available.
+        finished: whether the answer is complete.
     """
 
     tokens: list[int] = field(default_factory=list)
@@ -30,30 +30,37 @@
 
     @property
     def ran(self) -> Ran:
-        """What a failure answer may say."""
+        """Whether an error may report that the request did not run."""
         return Ran.UNKNOWN if self.outcome_unknown else Ran.NO
 
 
 def apply_chunk(chunk: EngineChunk, request: GenerateRequest, progress: Progress) -> TokenRun:
-    """Adds a chunk to the progress and returns what is new in it.
+    """Validates a chunk, adds its new tokens to the progress, and returns them as a run.
 
     Raises:
-        EngineBrokenError: the chunk is another attempt's, out of place, or ends the answer wrongly.
+        EngineOutcomeUnknownError: the chunk belongs to another attempt, leaves a gap, contradicts
+            earlier tokens, or states a wrong total.
     """
     if chunk.attempt != request.attempt:
-        raise EngineOutcomeUnknownError(f"got a chunk of attempt {chunk.attempt!r}")
+        raise EngineOutcomeUnknownError(
+            f"received a chunk of attempt {chunk.attempt!r} instead of {request.attempt!r}"
+        )
     have = len(progress.tokens)
     if chunk.offset > have:
-        raise EngineOutcomeUnknownError(f"a gap: token {chunk.offset} came after {have} tokens")
+        raise EngineOutcomeUnknownError(
+            f"received a chunk at token {chunk.offset} after only {have} tokens"
+        )
     fresh = chunk.tokens[have - chunk.offset :]
     repeated = chunk.tokens[: have - chunk.offset]
     if repeated != tuple(progress.tokens[chunk.offset : chunk.offset + len(repeated)]):
-        raise EngineOutcomeUnknownError("a repeated chunk differs from the first one")
+        raise EngineOutcomeUnknownError(
+            f"a repeated chunk at token {chunk.offset} differs from the tokens received before"
+        )
     progress.tokens.extend(fresh)
     if chunk.total is not None:
         if chunk.total != len(progress.tokens):
             raise EngineOutcomeUnknownError(
-                f"the answer ends at {len(progress.tokens)} of {chunk.total} tokens"
+                f"the answer ended after {len(progress.tokens)} of {chunk.total} tokens"
             )
         progress.finished = True
     return TokenRun(have, fresh, chunk.version)
--- a/src/larkpost/standalone/routing/retry.py
+++ b/src/larkpost/standalone/routing/retry.py
@@ -1,4 +1,4 @@
-"""Retry budgets and backoff: retries stay a bounded share of the requests, whatever fails."""
+"""Retry budgets and backoff, which bound retries to a fraction of the requests."""
 
 import random
 from collections import OrderedDict
@@ -6,14 +6,14 @@
 from larkpost.standalone.settings import RoutingSettings
 
 MAX_BUDGETS = 4096
-"""Budgets kept; the least recently used is forgotten."""
+"""Maximum number of budgets; the least recently used is dropped."""
 
 
 class RetryBudgets:
-    """Token buckets by caller and by engine.
+    """Token buckets of retries, by caller and by engine.
 
-    Each request earns ``retry_ratio`` of a retry up to ``retry_reserve``; each retry costs one.
-    When a zone dies, attempts are thus bounded by (1 + ratio) of the requests plus the reserve.
+    Each request earns ``retry_ratio`` of a retry, up to ``retry_reserve``, and each retry costs
+    one. If a zone fails, attempts are bounded by (1 + ratio) times the requests plus the reserve.
     """
 
     def __init__(self, settings: RoutingSettings) -> None:
@@ -21,16 +21,16 @@
         self._budgets: OrderedDict[str, float] = OrderedDict()
 
     def earn(self, *keys: str) -> None:
-        """Credits a first attempt to each key."""
+        """Credits each key for a first attempt."""
         for key in keys:
             credit = self._get(key) + self._settings.retry_ratio
             self._budgets[key] = min(credit, self._settings.retry_reserve)
 
     def spend(self, *keys: str) -> bool:
-        """Spends one retry of every key, or of none.
+        """Spends one retry of every key, or none if any key has less than one.
 
         Returns:
-            Whether every key had one.
+            Whether the retries were spent.
         """
         if any(self._get(key) < 1 for key in keys):
             return False
@@ -48,6 +48,6 @@
 
 
 def backoff(settings: RoutingSettings, failures: int, rng: random.Random) -> float:
-    """Returns the seconds to wait after so many failures, with full jitter."""
+    """Returns the seconds to wait after ``failures``: half to all of the exponential backoff."""
     longest = min(settings.backoff_base * 2 ** max(failures - 1, 0), settings.backoff_limit)
     return rng.uniform(longest / 2, longest)
--- a/src/larkpost/standalone/routing/run_once.py
+++ b/src/larkpost/standalone/routing/run_once.py
@@ -1,9 +1,8 @@
-"""Requests that may run at most once: who may still run a key.
+"""Idempotency keys: grants each key of a run-once request at most once in the fleet.
 
-A key is either a ticket, issued by a daemon and consumed in that daemon's memory (no store is
-needed, and the ticket dies with the daemon), or a name of the caller's choice, claimed by a row of
-the table service. A request without a key cannot be asked again, so the daemon that took it is the
-only one that can run it.
+A key is either a ticket, issued by a daemon and consumed in its memory (it needs no store, and is
+lost with the daemon), or a name chosen by the caller, claimed with a row of the table service. A
+request without a key cannot be repeated by its caller, so only the daemon that received it runs it.
 """
 
 import uuid
@@ -22,11 +21,11 @@
 REMOTE_TIMEOUT = 1.0
 """Seconds to wait for the daemon that issued a ticket."""
 MAX_OPEN_TICKETS = 1_000_000
-"""Tickets after whose number an older one counts as used."""
+"""Maximum number of unused tickets; the oldest beyond it count as used."""
 
 
 class KeyStoreUnavailableError(LarkpostError):
-    """Whether the key was used before cannot be known now."""
+    """It is unknown at present whether the key was used before."""
 
     code = "key_store_unavailable"
     status = 503
@@ -35,19 +34,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Ticket:
-    """A key issued by one incarnation of a daemon."""
+    """A run-once key issued by one incarnation of a daemon."""
 
     daemon: DaemonId
     incarnation: int
     number: int
 
     def encode(self) -> str:
-        """Returns the key text."""
+        """Returns the ticket as key text."""
         return f"{TICKET_PREFIX}:{self.daemon}:{self.incarnation}:{self.number}"
 
 
 def parse_ticket(key: str) -> Ticket | None:
-    """Returns the ticket, or None if the key is a name of the caller's choice."""
+    """Returns the ticket, or None if the key is a name chosen by the caller."""
     parts = key.split(":")
     if len(parts) != 4 or parts[0] != TICKET_PREFIX:
         return None
@@ -57,7 +56,7 @@
 
 
 class RunOnceRegistry:
-    """Grants each key once, fleet-wide."""
+    """Grants each run-once key at most once in the fleet."""
 
     def __init__(
         self,
@@ -71,12 +70,12 @@
         self._transport = transport
         self._settings = settings
         self._start_incarnation = board.members.own.incarnation
-        """Incarnation at the start: refutations raise the member's, but the memory is the same."""
+        """Incarnation at start; refutations raise the member's without losing the open tickets."""
         self._issued = 0
         self._open_tickets: set[int] = set()
 
     def issue(self) -> Ticket:
-        """Issues a ticket; the oldest open one is dropped when too many were never used."""
+        """Issues a ticket and drops the one issued ``MAX_OPEN_TICKETS`` before it if unused."""
         self._issued += 1
         self._open_tickets.add(self._issued)
         self._open_tickets.discard(self._issued - MAX_OPEN_TICKETS)
@@ -86,8 +85,8 @@
         """Claims the right to run the key's request.
 
         Raises:
-            AlreadyClaimedError: it was taken before; the request may have run.
-            KeyStoreUnavailableError: it could not be found out.
+            AlreadyClaimedError: the key was claimed before; its request may have run.
+            KeyStoreUnavailableError: it is unknown whether the key was claimed before.
         """
         ticket = parse_ticket(key)
         granted = await (self._claim_row(key) if ticket is None else self._claim_ticket(ticket))
@@ -95,12 +94,12 @@
             raise AlreadyClaimedError(f"the key {key!r} was used before", ran=Ran.UNKNOWN)
 
     def is_unused(self, key: str) -> bool:
-        """Whether it is certain, without asking anyone, that the key's request never ran."""
+        """Whether this daemon knows without a remote call that the key was never claimed."""
         ticket = parse_ticket(key)
         return ticket is not None and self._is_open(ticket)
 
     async def on_remote_claim(self, payload: bytes) -> bytes:
-        """Consumes a ticket of this daemon for another one; the answer is empty if refused."""
+        """Consumes a ticket of this daemon for another daemon; an empty answer means refused."""
         ticket = parse_ticket(pb.RunOnceRequest.FromString(payload).key)
         return b"1" if ticket is not None and self._consume(ticket) else b""
 
@@ -130,8 +129,8 @@
             )
         except PeerError:
             raise KeyStoreUnavailableError(
-                f"the ticket's daemon {ticket.daemon!r} does not answer",
-                remedy="Ask that daemon, or take a new ticket if a second run is harmless.",
+                f"daemon {ticket.daemon!r}, which issued the ticket, does not answer",
+                remedy="Ask that daemon, or use a new ticket if a second run is harmless.",
                 ran=Ran.UNKNOWN,
             ) from None
         return answer == b"1"
@@ -142,18 +141,18 @@
         try:
             return await self._table.compare_and_set(ROW_PREFIX + key, 0, own_claim, timeout)
         except PlatformError:
-            pass  # the write may have taken effect: read it back
+            pass  # the write may have taken effect: read the row
         try:
             row = await self._table.read(ROW_PREFIX + key, timeout)
         except PlatformError as error:
             raise KeyStoreUnavailableError(
-                f"the table service does not tell whether key {key!r} was used",
+                f"the table service did not answer whether key {key!r} was used",
                 ran=Ran.UNKNOWN,
                 retry_after=timeout,
             ) from error
         if row is None:
-            # The lost write may still arrive and would then hold the key; it is not safe to run.
+            # The lost write may still arrive and claim the key, so running is not safe.
             raise KeyStoreUnavailableError(
-                f"the claim of key {key!r} was lost", ran=Ran.UNKNOWN, retry_after=timeout
+                f"the claim of key {key!r} was not written", ran=Ran.UNKNOWN, retry_after=timeout
             )
         return row.value == own_claim
--- a/src/larkpost/standalone/routing/selection.py
+++ b/src/larkpost/standalone/routing/selection.py
@@ -1,4 +1,4 @@
-"""Choice of an engine for a piece of work, from what the blackboard holds at this moment."""
+"""Selection of an engine for a request, from the current state of the blackboard."""
 
 from collections.abc import Collection
 from dataclasses import dataclass
@@ -11,20 +11,24 @@
 from larkpost.standalone.runtime import Runtime
 
 MAX_FULL_COMPARISON = 8
-"""Up to so many candidates all are compared; above it two random ones."""
+"""Maximum number of candidates to compare all; of more, two random ones are compared."""
 REMOTE_PENALTY = 0.5
-"""Added to the load of an engine in another zone: half a batch must be saved to leave the zone."""
+"""Added to the score of an engine in another zone; 1.0 is one full batch of load."""
 
 SWAP_PENALTY = 2.0
-"""Added to the load of an engine that swaps weights: it generates nothing until it is done."""
+"""Added to the score of an engine that swaps weights, as it generates nothing until it is done."""
 
 SLOW_PENALTY = 1.0
-"""Added to the load of a straggler: it is used when the others are full."""
+"""Added to the score of a straggler, so that it is used when the others are full."""
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """An engine that may take the work, and how full it is (1.0: every slot taken)."""
+    """An engine that may take the work.
+
+    Attributes:
+        score: share of busy slots (1.0: all) plus penalties; the lowest is preferred.
+    """
 
     engine: EngineId
     score: float
@@ -34,7 +38,7 @@
 
 
 class Selector:
-    """Finds the engine for the next attempt."""
+    """Selects the engine for the next attempt."""
 
     def __init__(self, runtime: Runtime, monitor: Monitor) -> None:
         self._board = runtime.board
@@ -44,7 +48,7 @@
         self._rng = runtime.rng
 
     def choose(self, work: Work, excluded: Collection[EngineId]) -> Candidate | None:
-        """Returns an engine with a fresh report that may take the work, or None."""
+        """Returns the best of the compared candidates, or None if no engine may take the work."""
         candidates = self.candidates(work, excluded)
         if len(candidates) > MAX_FULL_COMPARISON:
             candidates = self._rng.sample(candidates, 2)
@@ -52,7 +56,7 @@
         return min(candidates, key=attrgetter("score"), default=None)
 
     def candidates(self, work: Work, excluded: Collection[EngineId]) -> list[Candidate]:
-        """Returns every engine that may take the work now."""
+        """Returns every engine with a fresh report that may take the work now."""
         now = self._clock.now()
         watched_engines = self._monitor.watched_engines(work.pool)
         slow = self._board.engines.speeds.stragglers(watched_engines, now)
@@ -67,7 +71,7 @@
         return found
 
     def stale_engines(self, pool: PoolId, excluded: Collection[EngineId]) -> list[EngineId]:
-        """Returns the pool's engines that need to be asked before they may be used."""
+        """Returns the pool's usable engines that need a new report before they may be used."""
         now = self._clock.now()
         return [
             engine
@@ -78,7 +82,7 @@
         ]
 
     def is_full(self, work: Work) -> bool:
-        """Whether every usable engine of the pool refuses clients because of its queue."""
+        """Whether every candidate's batch is full and its queue at the pool's limit."""
         pool = self._board.configuration.intent.pool(work.pool)
         limit = pool.max_waiting if pool is not None else 0
         loads = [self._board.engines.loads[c.engine] for c in self.candidates(work, ())]
@@ -87,7 +91,7 @@
         )
 
     def may_dispatch(self, engine: EngineId) -> bool:
-        """Last check before an attempt: the engine is not leaving and its report is fresh."""
+        """Whether an attempt may be sent now: the engine is usable and its report is fresh."""
         now = self._clock.now()
         return self._may_use(engine, now) and self._has_fresh_report(engine, now)
 
--- a/src/larkpost/standalone/routing/work.py
+++ b/src/larkpost/standalone/routing/work.py
@@ -1,4 +1,4 @@
-"""What the data path carries: a piece of work, and the token runs of its answer."""
+"""Data types of the data path: a request, and the token runs of its answer."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -6,13 +6,13 @@
 from larkpost.common.ids import PoolId, RequestId
 
 CLIENT_CHUNK_TOKENS = 1
-"""The same for client requests, which are to see each token as it is made."""
+"""Maximum tokens per chunk for client requests, which stream each token at once."""
 ROLLOUT_CHUNK_TOKENS = 16
-"""Tokens that an engine may gather in a chunk."""
+"""Maximum tokens per chunk for rollouts, which need no low latency."""
 
 
 class WorkClass(StrEnum):
-    """Client requests go before rollouts everywhere."""
+    """Class of a request; client requests take precedence over rollouts."""
 
     CLIENT = "client"
     ROLLOUT = "rollout"
@@ -20,13 +20,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """A request as the data path sees it.
+    """A request in the data path.
 
     Attributes:
-        caller: whose retry budget it spends.
+        caller: service or trainer whose retry budget the request spends.
         deadline: local monotonic time after which the caller no longer waits.
-        run_once: it must not be executed a second time.
-        min_version: lowest weight version that may produce its first token.
+        run_once: whether the request must not run more than once.
+        min_version: lowest weight version that may produce the first token.
+        chunk_tokens: maximum number of tokens that the engine may collect in one chunk.
     """
 
     request: RequestId
@@ -53,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenRun:
-    """Tokens of an answer, in order and without gaps between runs."""
+    """Consecutive tokens of an answer from one weight version; runs follow without gaps."""
 
     offset: int
     tokens: tuple[int, ...]
@@ -62,15 +63,15 @@
 
 @dataclass(slots=True)
 class Answer:
-    """Collects token runs into a whole answer with its version spans."""
+    """Collects token runs into an answer with its version spans."""
 
     tokens: list[int] = field(default_factory=list)
     spans: list[VersionSpan] = field(default_factory=list)
 
     def append(self, run: TokenRun) -> None:
-        """Adds the next run."""
+        """Appends a run, which must start at the next token."""
         if run.offset != len(self.tokens):
-            raise ValueError(f"run at {run.offset} does not follow token {len(self.tokens)}")
+            raise ValueError(f"run starts at token {run.offset}, expected {len(self.tokens)}")
         if not run.tokens:
             return
         self.tokens.extend(run.tokens)
@@ -83,10 +84,10 @@
 
     @property
     def oldest_version(self) -> int:
-        """The lowest version in the answer; 0 for an empty one."""
+        """The lowest weight version in the answer; 0 for an empty one."""
         return min((span.version for span in self.spans), default=0)
 
 
 def chunk_size(work_class: WorkClass) -> int:
-    """Returns how many tokens an engine may gather in a chunk: rollouts need no low latency."""
+    """Returns the maximum number of tokens per chunk for a class of work."""
     return CLIENT_CHUNK_TOKENS if work_class == WorkClass.CLIENT else ROLLOUT_CHUNK_TOKENS
--- a/src/larkpost/standalone/runtime.py
+++ b/src/larkpost/standalone/runtime.py
@@ -1,4 +1,4 @@
-"""What all parts of one standalone daemon share."""
+"""Objects shared by all components of a standalone daemon."""
 
 import random
 from dataclasses import dataclass
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Runtime:
-    """What all parts of one daemon share.
+    """Objects shared by all components of one daemon.
 
     Attributes:
-        board: what the controllers read and write.
-        clock: all waiting and reading of time.
+        board: state that the controllers read and write.
+        clock: source of time and of all waits.
         tasks: the daemon's background tasks.
-        activity: counts the requests being answered.
-        rng: the daemon's one source of random draws; the order of draws is that of its users.
+        activity: counts the requests in progress.
+        rng: the only random generator of the daemon, shared so that seeded runs are reproducible.
     """
 
     settings: Settings
--- a/src/larkpost/standalone/server.py
+++ b/src/larkpost/standalone/server.py
@@ -1,4 +1,4 @@
-"""Runs one daemon as a process: HTTP and UDP listeners, signals, and a planned stop."""
+"""Runs one daemon as a process: HTTP and UDP listeners, signals and graceful shutdown."""
 
 import asyncio
 import random
@@ -20,17 +20,17 @@
 from larkpost.standalone.wire.http_peer import HttpPeerTransport, TelemetrySource
 
 KEEPALIVE_TIMEOUT_SECONDS = 30
-"""Seconds for which a connection may rest between two requests."""
+"""Seconds for which an idle connection to an engine, peer or the platform is kept open."""
 
 
 def run_server(settings: Settings) -> None:
-    """Runs a daemon until SIGTERM or SIGINT, then stops it as planned."""
+    """Runs a daemon until SIGTERM or SIGINT, then drains and stops it."""
     to_file(sys.stdout)
     run_steadily(serve(settings))
 
 
 async def serve(settings: Settings) -> None:
-    """Runs a daemon on the running loop."""
+    """Runs a daemon on the running event loop until it is told to stop."""
     connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=KEEPALIVE_TIMEOUT_SECONDS)
     session = aiohttp.ClientSession(connector=connector)
     source = TelemetrySource()
@@ -54,10 +54,10 @@
 
 
 async def _listen(server: HttpServer, transport: HttpPeerTransport, daemon: Daemon) -> None:
-    """Opens the HTTP and the UDP port.
+    """Opens the HTTP and UDP listeners.
 
     Raises:
-        SettingsError: one of them cannot be bound.
+        SettingsError: the address cannot be bound for one of them.
     """
     address = daemon.settings.listen
     try:
--- a/src/larkpost/standalone/settings.py
+++ b/src/larkpost/standalone/settings.py
@@ -1,4 +1,4 @@
-"""Checked settings of a daemon, from a TOML file, flags, or both. Flags win over the file."""
+"""Validated settings of a daemon, from a TOML file and flags. Flags take precedence."""
 
 import tomllib
 from enum import StrEnum
@@ -19,14 +19,14 @@
 
 
 class PlacementKind(StrEnum):
-    """How a rollout's engine is chosen; `standalone.batches.placement` has one class for each."""
+    """Placement policy of rollouts; `standalone.batches.placement` has a class for each."""
 
     LOAD = "load"
     ROUND_ROBIN = "round_robin"
 
 
 class _Section(BaseModel):
-    """Refuses unknown settings."""
+    """Rejects unknown settings."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -199,7 +199,7 @@
         dotenv_settings: PydanticBaseSettingsSource,
         file_secret_settings: PydanticBaseSettingsSource,
     ) -> tuple[PydanticBaseSettingsSource, ...]:
-        """Reads arguments and the file only: the environment must not change a daemon unseen."""
+        """Uses arguments and the file only, so that environment variables have no effect."""
         return init_settings, TomlConfigSettingsSource(settings_cls)
 
     @field_validator("listen", "platform")
@@ -217,14 +217,15 @@
 
 
 def load_settings(path: Path | None, overrides: dict[str, Any]) -> Settings:
-    """Reads and checks the settings.
+    """Reads and validates the settings.
 
     Args:
         path: a TOML file, or None.
-        overrides: top-level settings given as flags; None values are left out.
+        overrides: top-level settings given as flags; None values are ignored.
 
     Raises:
-        SettingsError: a setting is missing, unknown or wrong; the message names each.
+        SettingsError: the file is unreadable, or a setting is missing, unknown or invalid; the
+            message names each.
     """
 
     class FileSettings(Settings):
@@ -244,12 +245,12 @@
         ) from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise SettingsError(
-            f"settings file {path} is not TOML: {error}", remedy="Correct the file."
+            f"settings file {path} is not TOML: {error}", remedy="Correct its TOML syntax."
         ) from None
 
 
 def describe_validation(error: ValidationError) -> str:
-    """Writes one clause per wrong field: its name and what is wrong."""
+    """Returns one clause per invalid field, with its name and the problem."""
     clauses = []
     for problem in error.errors():
         name = ".".join(str(part) for part in problem["loc"]) or "document"
--- a/src/larkpost/standalone/table_service/http_adapter.py
+++ b/src/larkpost/standalone/table_service/http_adapter.py
@@ -1,4 +1,4 @@
-"""The platform's ports over HTTP."""
+"""Clients of the platform's table service and machine list over HTTP."""
 
 import base64
 from typing import Any
@@ -15,7 +15,7 @@
 
 
 class HttpPlatform:
-    """The table service and the machine list of one platform address."""
+    """The table service and the machine list at one platform address."""
 
     def __init__(self, session: aiohttp.ClientSession, address: Address) -> None:
         self._session = session
--- a/src/larkpost/standalone/table_service/ports.py
+++ b/src/larkpost/standalone/table_service/ports.py
@@ -1,6 +1,6 @@
-"""The platform's ports: the table service and the machine list.
+"""Ports to the platform: the table service and the machine list.
 
-Each call raises `PlatformError` when no answer came; a write may then still have taken effect.
+Each call raises `PlatformError` if there is no valid answer; a write may still have taken effect.
 """
 
 from dataclasses import dataclass
@@ -11,31 +11,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """A row of the table service; ``version`` grows by one with each write, starting at 1."""
+    """A row of the table service; ``version`` starts at 1 and increases by 1 with each write."""
 
     version: int
     value: bytes
 
 
 class TableStore(Protocol):
-    """The transactional table service."""
+    """A transactional table service."""
 
     async def read(self, key: str, timeout: float) -> Row | None:
-        """Returns the row, or None if there is none."""
+        """Returns the row of a key, or None if it does not exist."""
 
     async def compare_and_set(
         self, key: str, expected_version: int, value: bytes, timeout: float
     ) -> bool:
-        """Writes the row if its version is the expected one (0: there is none).
+        """Writes a row if it has the expected version; 0 means that it does not exist.
 
         Returns:
-            Whether this call wrote.
+            Whether this call wrote the row.
         """
 
 
 @dataclass(frozen=True, slots=True)
 class MachineEntry:
-    """An engine machine. ``revision`` grows with each change of the entry."""
+    """An engine machine; ``revision`` increases with each change of the entry."""
 
     engine: EngineId
     zone: ZoneId
@@ -46,7 +46,7 @@
 
 
 class MachineList(Protocol):
-    """The list of engine machines; it lags."""
+    """The list of engine machines, which may be out of date."""
 
     async def entries(self, zone: ZoneId | None, timeout: float) -> list[MachineEntry]:
-        """Returns the live and leaving machines of a zone, or of all zones."""
+        """Returns the live and leaving machines of a zone, or of all zones if None."""
--- a/src/larkpost/standalone/telemetry.py
+++ b/src/larkpost/standalone/telemetry.py
@@ -1,4 +1,4 @@
-"""The counters and the log of a standalone daemon: log lines only for changes of state.
+"""Metrics and log of a standalone daemon; apart from errors only changes of state are logged.
 
 Implements `larkpost.common.tasks.FailureReporter`.
 """
@@ -45,7 +45,7 @@
 class Telemetry:
     """A daemon's counters, gauges and state-change log.
 
-    Each daemon has its own registry, so that several can share a process.
+    Each daemon has its own metrics registry, so that several can share a process.
     """
 
     def __init__(self, daemon: str, log: bool = True) -> None:
@@ -75,7 +75,7 @@
         self._gauges[name].set(value)
 
     def log_state(self, subject: str, state: str, **details: Any) -> None:
-        """Logs a change of state; the same state twice in a row is logged once."""
+        """Logs the state of a subject if it differs from the last one logged."""
         if self._states.get(subject) == state:
             return
         self._states[subject] = state
@@ -85,21 +85,21 @@
             )
 
     def report_refused_round(self, task: str, error: LarkpostError) -> None:
-        """Counts a controller's round that ended with an error of a known kind, and logs it."""
+        """Counts a controller round that failed with a known error, and logs the error code."""
         self.count("controller_errors", kind=task)
         self.log_state(f"controller.{task}", error.code)
 
     def report_failed_round(self, task: str, error: Exception) -> None:
-        """Counts a controller's round that ended with an unexpected error, and logs it."""
+        """Counts a controller round that failed with an unexpected error, and logs the error."""
         self.count("controller_errors", kind=task)
         self.log_error(task, error)
 
     def report_failed_task(self, task: str, error: BaseException) -> None:
-        """Logs a task that ended with an error."""
+        """Logs a background task that failed."""
         self.log_error(task, error)
 
     def log_error(self, where: str, error: BaseException) -> None:
-        """Logs an unexpected error with its origin."""
+        """Logs an unexpected error with its traceback."""
         if self._log:
             trace = traceback.format_exception(error)
             log_message("larkpost:fault", daemon=self._daemon, where=where, trace="".join(trace))
--- a/src/larkpost/standalone/wire/http_peer.py
+++ b/src/larkpost/standalone/wire/http_peer.py
@@ -1,4 +1,4 @@
-"""The port to other daemons over UDP datagrams and HTTP requests, through asyncio and aiohttp."""
+"""The port to other daemons over UDP datagrams and HTTP requests, with asyncio and aiohttp."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 PEER_PATH = "/internal/v1/"
 HTTP_OVERHEAD_BYTES = 300
-"""Bytes of headers counted for one request and its answer."""
+"""Estimated bytes of HTTP headers, counted for each request and for each response."""
 
 
 class HttpPeerTransport:
@@ -64,7 +64,7 @@
 
 
 class TelemetrySource:
-    """Gives the transport its daemon's telemetry, which exists only after the transport."""
+    """Holds the daemon's telemetry, which is created after the transport that uses it."""
 
     def __init__(self) -> None:
         self.telemetry: Telemetry | None = None
@@ -78,4 +78,4 @@
         self._handler(data)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignores what the network says of earlier datagrams: membership probes find out."""
+        """Ignores errors of earlier datagrams; membership probes detect unreachable daemons."""
--- a/src/larkpost/standalone/wire/peer.py
+++ b/src/larkpost/standalone/wire/peer.py
@@ -1,4 +1,4 @@
-"""The port to other daemons: unacknowledged datagrams, and requests with an answer."""
+"""The port to other daemons: unacknowledged datagrams, and requests with a response."""
 
 from collections.abc import Awaitable, Callable
 from enum import StrEnum
@@ -8,11 +8,11 @@
 
 
 class PeerError(Exception):
-    """The other daemon did not answer in time; whether it acted is unknown."""
+    """There was no valid response from the other daemon; it may have handled the request."""
 
 
 class PeerMethod(StrEnum):
-    """Requests between daemons."""
+    """Methods of requests between daemons."""
 
     JOIN = "join"
     PUSH_FACTS = "push-facts"
@@ -28,7 +28,7 @@
 
 
 class PeerTransport(Protocol):
-    """Sends to other daemons."""
+    """Sends datagrams and requests to other daemons."""
 
     def send(self, address: Address, data: bytes) -> None:
         """Sends a datagram; it may be lost, repeated or reordered."""
@@ -36,8 +36,8 @@
     async def request(
         self, address: Address, method: PeerMethod, payload: bytes, timeout: float
     ) -> bytes:
-        """Sends a request and returns the answer.
+        """Sends a request and returns the response.
 
         Raises:
-            PeerError: there was no answer within ``timeout`` seconds.
+            PeerError: there was no valid response within ``timeout`` seconds.
         """
