--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -98,13 +98,13 @@
         self._readiness.check()
         spec = check_spec(spec, self._board.configuration.intent)
         check_slots(spec, held)
-        known = self._batches.get(spec.id)
-        if known is not None:
-            if known.ledger.spec != spec:
+        existing = self._batches.get(spec.id)
+        if existing is not None:
+            if existing.ledger.spec != spec:
                 raise BatchConflictError(
                     f"batch {spec.id!r} is already open with another specification"
                 )
-            known.ledger.record_trainer_state(spec.policy_version, held)
+            existing.ledger.record_trainer_state(spec.policy_version, held)
             return
         if len(self._batches) >= self._settings.max_batches:
             raise OverloadedError(
@@ -132,19 +132,19 @@
 
     def samples_per_prompt(self, batch: BatchId) -> int:
         """Returns the batch's samples per prompt; 1 if the batch is no longer open."""
-        known = self._batches.get(batch)
-        return known.ledger.spec.samples_per_prompt if known is not None else 1
+        existing = self._batches.get(batch)
+        return existing.ledger.spec.samples_per_prompt if existing is not None else 1
 
     async def close(self, batch: BatchId) -> None:
         """Closes a batch; has no effect on one that is not open."""
-        known = self._batches.pop(batch, None)
-        if known is None:
+        existing = self._batches.pop(batch, None)
+        if existing is None:
             return
-        if known.runner is not None:
-            known.runner.cancel_all()
+        if existing.runner is not None:
+            existing.runner.cancel_all()
         self._update_gauge()
         with self._activity.request():
-            await self._replicator.drop_copy(known.ledger.spec)
+            await self._replicator.drop_copy(existing.ledger.spec)
 
     async def schedule_samples(self) -> None:
         """Starts samples of every batch, in the order of their due times."""
