--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -270,7 +270,7 @@
                 return
 
     def _build_page(self, batch: OpenBatch, call: Pull) -> Page:
-        before = batch.ledger.stale_dropped
+        stale_before = batch.ledger.stale_dropped
         limit = call.limit if call.limit > 0 else self._settings.page_size
         if batch.ledger.trainer_version > call.trainer_version:
             # The trainer has reported a newer version since this pull began.
@@ -280,7 +280,7 @@
             )
         page = batch.ledger.make_page(call.page, call.trainer_version, limit)
         self._telemetry.count("samples_delivered", len(page.samples))
-        self._telemetry.count("samples_stale", batch.ledger.stale_dropped - before)
+        self._telemetry.count("samples_stale", batch.ledger.stale_dropped - stale_before)
         return page
 
     def _announce_version(self, spec: BatchSpec, version: int) -> None:
