--- a/src/larkpost/standalone/batches/replication.py
+++ b/src/larkpost/standalone/batches/replication.py
@@ -126,19 +126,21 @@
         payload = pb.BatchFetchRequest(id=batch).SerializeToString()
         candidates = self._candidates(batch)
         answers = await asyncio.gather(*(self._fetch(m, payload) for m in candidates))
-        known = [answer for answer in answers if answer is not None and answer.known]
-        if not known:
+        known_replies = [
+            answer for answer in answers if answer is not None and answer.known_replies
+        ]
+        if not known_replies:
             return None
-        owner = DaemonId(known[0].owner)
+        owner = DaemonId(known_replies[0].owner)
         member = self._board.members.get(owner)
         if member is not None and owner != self._board.members.own.id:
             request = pb.BatchFetchRequest(id=batch, take_over=True)
             last_state = await self._fetch(member, request.SerializeToString())
-            if last_state is not None and last_state.known:
-                known.append(last_state)
-        samples = {s.slot: s for answer in known for s in answer.samples}
+            if last_state is not None and last_state.known_replies:
+                known_replies.append(last_state)
+        samples = {s.slot: s for answer in known_replies for s in answer.samples}
         decoded = [sample_from_message(message) for message in samples.values()]
-        return RecoveredBatch(spec_from_message(known[0].spec), decoded)
+        return RecoveredBatch(spec_from_message(known_replies[0].spec), decoded)
 
     def _candidates(self, batch: BatchId) -> list[MemberInfo]:
         own = self._board.members.own
@@ -191,7 +193,7 @@
 def encode_fetch_reply(spec: BatchSpec, samples: list[Sample], owner: DaemonId) -> bytes:
     """Encodes the reply to a fetch of a known batch."""
     reply = pb.BatchFetchReply(
-        known=True,
+        known_replies=True,
         spec=spec_to_message(spec),
         samples=map(sample_to_message, samples),
         owner=owner,
