--- a/src/larkpost/standalone/batches/replication.py
+++ b/src/larkpost/standalone/batches/replication.py
@@ -85,9 +85,9 @@
     async def expire(self) -> None:
         """Drops replicas beyond their lifetime, and the least recently updated above the limit."""
         limit = self._clock.now() - self._lifetime
-        kept = [(b, r) for b, r in self._replicas.items() if r.last_update_at >= limit]
-        kept.sort(key=lambda pair: pair[1].last_update_at)
-        self._replicas = dict(kept[-MAX_REPLICAS:])
+        unexpired = [(b, r) for b, r in self._replicas.items() if r.last_update_at >= limit]
+        unexpired.sort(key=lambda pair: pair[1].last_update_at)
+        self._replicas = dict(unexpired[-MAX_REPLICAS:])
 
 
 class Replicator:
