--- a/src/larkpost/standalone/controllers/owner_map.py
+++ b/src/larkpost/standalone/controllers/owner_map.py
@@ -47,12 +47,12 @@
         return [info for info in infos if self._owners.get(info.id) == daemon]
 
     def _refresh(self) -> None:
-        seen = (self._board.members.revision, self._board.engines.revision)
-        if seen == self._seen_revisions:
+        revisions = (self._board.members.revision, self._board.engines.revision)
+        if revisions == self._seen_revisions:
             return
-        if seen[1] != self._seen_revisions[1]:
+        if revisions[1] != self._seen_revisions[1]:
             self._index_engines()
-        self._seen_revisions = seen
+        self._seen_revisions = revisions
         eligible = self._board.members.eligible()
         everyone = {member.id for member in eligible}
         served = {member.zone for member in eligible}
