--- a/src/larkpost/standalone/controllers/owner_map.py
+++ b/src/larkpost/standalone/controllers/owner_map.py
@@ -55,10 +55,10 @@
         self._seen_revisions = revisions
         eligible = self._board.members.eligible()
         everyone = {member.id for member in eligible}
-        served = {member.zone for member in eligible}
+        zones_with_daemons = {member.zone for member in eligible}
         own_zone = self._board.members.own.zone
         for zone, engines in self._engines.items():
-            if zone in served and zone != own_zone:
+            if zone in zones_with_daemons and zone != own_zone:
                 self._drop_zone(zone, engines)
             else:
                 own = {member.id for member in eligible if member.zone == zone}
