--- a/src/larkpost/standalone/controllers/owner_map.py
+++ b/src/larkpost/standalone/controllers/owner_map.py
@@ -54,7 +54,7 @@
             self._index_engines()
         self._seen_revisions = revisions
         eligible = self._board.members.eligible()
-        everyone = {member.id for member in eligible}
+        all_daemons = {member.id for member in eligible}
         zones_with_daemons = {member.zone for member in eligible}
         own_zone = self._board.members.own.zone
         for zone, engines in self._engines.items():
@@ -62,7 +62,7 @@
                 self._drop_zone(zone, engines)
             else:
                 own = {member.id for member in eligible if member.zone == zone}
-                self._update_zone(zone, engines, own or everyone)
+                self._update_zone(zone, engines, own or all_daemons)
 
     def _index_engines(self) -> None:
         """Groups the directory by zone and drops the owners of engines that are new to a zone."""
