--- a/src/larkpost/standalone/controllers/owner_map.py
+++ b/src/larkpost/standalone/controllers/owner_map.py
@@ -79,8 +79,8 @@
     def _update_zone(
         self, zone: ZoneId, engines: list[EngineInfo], candidates: set[DaemonId]
     ) -> None:
-        before = self._candidates.get(zone, set())
-        added = candidates - before
+        previous = self._candidates.get(zone, set())
+        added = candidates - previous
         self._candidates[zone] = candidates
         for info in engines:
             owner = self._owners.get(info.id)
