--- a/src/larkpost/standalone/controllers/configuration.py
+++ b/src/larkpost/standalone/controllers/configuration.py
@@ -218,26 +218,26 @@
 
     async def _wait_in_force(self, epoch: int) -> set[ZoneId]:
         deadline = self._clock.now() + IN_FORCE_TIMEOUT
-        reached: set[DaemonId] = set()
+        updated: set[DaemonId] = set()
         while True:
-            waiting = [m for m in self._board.members.alive() if m.id not in reached]
+            waiting = [m for m in self._board.members.alive() if m.id not in updated]
             answers = await asyncio.gather(*(self._has_epoch(m, epoch) for m in waiting))
-            reached |= {m.id for m, has in zip(waiting, answers, strict=True) if has}
-            in_force = self._zones_in_force(reached)
+            updated |= {m.id for m, has in zip(waiting, answers, strict=True) if has}
+            in_force = self._zones_in_force(updated)
             if in_force == self._board.members.zones() or self._clock.now() >= deadline:
                 return in_force
             await self._clock.sleep(IN_FORCE_POLL_INTERVAL)
 
-    def _zones_in_force(self, reached: set[DaemonId]) -> set[ZoneId]:
+    def _zones_in_force(self, updated: set[DaemonId]) -> set[ZoneId]:
         return {
-            zone for zone in self._board.members.zones() if self._is_zone_in_force(zone, reached)
+            zone for zone in self._board.members.zones() if self._is_zone_in_force(zone, updated)
         }
 
-    def _is_zone_in_force(self, zone: ZoneId, reached: set[DaemonId]) -> bool:
+    def _is_zone_in_force(self, zone: ZoneId, updated: set[DaemonId]) -> bool:
         """Whether a quorum of the zone has the epoch and no other daemon can act on an older."""
-        if not self._readiness.has_quorum(zone, reached):
+        if not self._readiness.has_quorum(zone, updated):
             return False
-        others = [m for m in self._readiness.known_members(zone) if m.id not in reached]
+        others = [m for m in self._readiness.known_members(zone) if m.id not in updated]
         return not any(self._readiness.may_still_act(member) for member in others)
 
     async def _has_epoch(self, member: MemberInfo, epoch: int) -> bool:
