--- a/src/larkpost/standalone/controllers/configuration.py
+++ b/src/larkpost/standalone/controllers/configuration.py
@@ -222,7 +222,9 @@
         while True:
             pending_members = [m for m in self._board.members.alive() if m.id not in updated]
             answers = await asyncio.gather(*(self._has_epoch(m, epoch) for m in pending_members))
-            updated |= {m.id for m, has in zip(pending_members, answers, strict=True) if has}
+            updated |= {
+                m.id for m, has_epoch in zip(pending_members, answers, strict=True) if has_epoch
+            }
             in_force = self._zones_in_force(updated)
             if in_force == self._board.members.zones() or self._clock.now() >= deadline:
                 return in_force
