--- a/src/larkpost/standalone/controllers/monitor.py
+++ b/src/larkpost/standalone/controllers/monitor.py
@@ -126,14 +126,14 @@
     async def subscribe(self) -> None:
         """Renews the subscriptions with the owners of the watched engines."""
         own = self._board.members.own.id
-        wanted: set[tuple[str, PoolId]] = set()
+        subscriptions: set[tuple[str, PoolId]] = set()
         for pool in self._pools():
             for engine in self.watched_engines(pool):
                 owner = self._ownership.owner_of(self._board.engines.directory[engine])
                 if owner is not None and owner != own:
-                    wanted.add((owner, pool))
+                    subscriptions.add((owner, pool))
         ttl = int(SUBSCRIPTION_LIFETIME * 1000)
-        for owner, pool in sorted(wanted):
+        for owner, pool in sorted(subscriptions):
             member = self._board.members.get(DaemonId(owner))
             if member is not None:
                 body = pb.Subscribe(pool=pool, ttl_ms=ttl)
