--- a/src/larkpost/standalone/controllers/readiness.py
+++ b/src/larkpost/standalone/controllers/readiness.py
@@ -153,5 +153,5 @@
     def _is_forgotten(self, member: MemberInfo) -> bool:
         if member.state == MemberState.LEFT:
             return True
-        old = self._clock.now() - member.since > self._forget_time
-        return member.state == MemberState.DEAD and old
+        is_expired = self._clock.now() - member.since > self._forget_time
+        return member.state == MemberState.DEAD and is_expired
