--- a/src/larkpost/standalone/controllers/weights.py
+++ b/src/larkpost/standalone/controllers/weights.py
@@ -83,10 +83,10 @@
         latest = self._board.policy_learned_at[pool.policy] + wave * pool.swap_interval_seconds
         if self._clock.now() >= latest:
             return True
-        earlier = [
+        earlier_engines = [
             e for e in self._monitor.watched_engines(pool.name) if ranks[e] % pool.swap_waves < wave
         ]
-        return all(self._has_version(name, target) for name in earlier)
+        return all(self._has_version(name, target) for name in earlier_engines)
 
     def _has_version(self, engine: EngineId, target: int) -> bool:
         load = self._board.engines.loads.get(engine)
