--- a/src/larkpost/standalone/controllers/weights.py
+++ b/src/larkpost/standalone/controllers/weights.py
@@ -80,8 +80,10 @@
     def _wave_has_begun(self, engine: EngineId, pool: PoolIntent, target: int) -> bool:
         ranks = {name: rank for rank, name in enumerate(self._board.pool_engines(pool.name))}
         wave = ranks[engine] % pool.swap_waves
-        latest = self._board.policy_learned_at[pool.policy] + wave * pool.swap_interval_seconds
-        if self._clock.now() >= latest:
+        latest_start = (
+            self._board.policy_learned_at[pool.policy] + wave * pool.swap_interval_seconds
+        )
+        if self._clock.now() >= latest_start:
             return True
         earlier_engines = [
             e for e in self._monitor.watched_engines(pool.name) if ranks[e] % pool.swap_waves < wave
