--- a/src/larkpost/standalone/controllers/probing.py
+++ b/src/larkpost/standalone/controllers/probing.py
@@ -71,8 +71,8 @@
         while not answered.is_set() and self._clock.now() < started + timeout:
             await self._clock.sleep(timeout / ACK_POLLS)
         self._waiting.pop(sequence, None)
-        own_delay = self._clock.now() - started - timeout
-        return answered.is_set() or own_delay > timeout / MAX_LOOP_DELAY_DIVISOR
+        loop_delay = self._clock.now() - started - timeout
+        return answered.is_set() or loop_delay > timeout / MAX_LOOP_DELAY_DIVISOR
 
     def _on_ping(self, envelope: pb.Envelope) -> None:
         sender = self._table.get(DaemonId(envelope.sender.id))
