--- a/src/larkpost/standalone/routing/dispatcher.py
+++ b/src/larkpost/standalone/routing/dispatcher.py
@@ -241,8 +241,8 @@
         """
         progress.failures += 1
         progress.excluded.add(engine)
-        certain = isinstance(error, EngineNotSentError | EngineRefusedError)
-        if not certain:
+        did_not_run = isinstance(error, EngineNotSentError | EngineRefusedError)
+        if not did_not_run:
             progress.outcome_unknown = True
         if not isinstance(error, EngineRefusedError):
             until = self._clock.now() + self._settings.avoid_time
