--- a/src/larkpost/standalone/engines/http_adapter.py
+++ b/src/larkpost/standalone/engines/http_adapter.py
@@ -151,8 +151,8 @@
         fields = parse_json_object(content)
     except ValueError:
         fields = {}
-    named = fields.get("attempt") == attempt
-    if response.status in REFUSED_STATUSES and named and fields.get("ran") is False:
+    names_attempt = fields.get("attempt") == attempt
+    if response.status in REFUSED_STATUSES and names_attempt and fields.get("ran") is False:
         raise EngineRefusedError(str(fields.get("error")), fields.get("retry_after"))
     raise EngineOutcomeUnknownError(f"the engine answered with status {response.status}")
 
