--- a/src/larkpost/standalone/engines/http_adapter.py
+++ b/src/larkpost/standalone/engines/http_adapter.py
@@ -159,9 +159,9 @@
 
 async def _read_events(response: aiohttp.ClientResponse) -> AsyncIterator[EngineChunk]:
     """Yields chunks; those that arrive together are joined, to reduce the work per chunk."""
-    rest = b""
+    remainder = b""
     async for data in response.content.iter_any():
-        *lines, rest = (rest + data).split(b"\n")
+        *lines, remainder = (remainder + data).split(b"\n")
         try:
             chunks = [
                 _parse_chunk(parse_json_object(line[len(EVENT_PREFIX) :]))
