--- a/src/larkpost/standalone/engines/http_adapter.py
+++ b/src/larkpost/standalone/engines/http_adapter.py
@@ -177,13 +177,13 @@
 def _join(chunks: list[EngineChunk]) -> list[EngineChunk]:
     """Joins consecutive chunks of one attempt and version."""
     joined: list[EngineChunk] = []
-    run: list[EngineChunk] = []
+    group: list[EngineChunk] = []
     for chunk in chunks:
-        if run and not _continues(run[-1], chunk):
-            joined.append(_merge(run))
-            run = []
-        run.append(chunk)
-    return [*joined, _merge(run)] if run else joined
+        if group and not _continues(group[-1], chunk):
+            joined.append(_merge(group))
+            group = []
+        group.append(chunk)
+    return [*joined, _merge(group)] if group else joined
 
 
 def _continues(last: EngineChunk, chunk: EngineChunk) -> bool:
@@ -195,11 +195,11 @@
     )
 
 
-def _merge(run: list[EngineChunk]) -> EngineChunk:
-    if len(run) == 1:
-        return run[0]
-    first, last = run[0], run[-1]
-    tokens = tuple(token for chunk in run for token in chunk.tokens)
+def _merge(group: list[EngineChunk]) -> EngineChunk:
+    if len(group) == 1:
+        return group[0]
+    first, last = group[0], group[-1]
+    tokens = tuple(token for chunk in group for token in chunk.tokens)
     return EngineChunk(first.attempt, first.offset, tokens, first.version, last.total)
 
 
