--- a/src/larkpost/standalone/engines/http_adapter.py
+++ b/src/larkpost/standalone/engines/http_adapter.py
@@ -65,11 +65,11 @@
     ) -> AsyncIterator[EngineChunk]:
         body = _SendOnceBody(orjson.dumps(request), may_send)
         headers = {"Content-Type": "application/json"}
-        limit = _stream_timeout(chunk_timeout)
+        client_timeout = _stream_timeout(chunk_timeout)
         url = f"http://{address}/v1/generate"
         try:
             async with self._session.post(
-                url, data=body.chunks(), headers=headers, timeout=limit
+                url, data=body.chunks(), headers=headers, timeout=client_timeout
             ) as response:
                 await _check_status(response, request.attempt)
                 async for chunk in _read_events(response):
@@ -83,10 +83,10 @@
         self, address: Address, attempt: AttemptId, offset: int, chunk_timeout: float
     ) -> AsyncIterator[EngineChunk]:
         url = f"http://{address}/v1/attempts/{attempt}"
-        limit = _stream_timeout(chunk_timeout)
+        client_timeout = _stream_timeout(chunk_timeout)
         try:
             async with self._session.get(
-                url, params={"offset": str(offset)}, timeout=limit
+                url, params={"offset": str(offset)}, timeout=client_timeout
             ) as response:
                 await _check_status(response, attempt)
                 async for chunk in _read_events(response):
--- a/src/larkpost/standalone/operator_calls.py
+++ b/src/larkpost/standalone/operator_calls.py
@@ -31,10 +31,10 @@
 
 
 async def _call(daemon: Address, verb: str, path: str, body: bytes) -> dict:
-    limit = aiohttp.ClientTimeout(total=CALL_TIMEOUT, sock_connect=2.0)
+    client_timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT, sock_connect=2.0)
     try:
         async with (
-            aiohttp.ClientSession(timeout=limit) as session,
+            aiohttp.ClientSession(timeout=client_timeout) as session,
             session.request(verb, f"http://{daemon}{path}", data=body) as response,
         ):
             content = await response.read()
--- a/src/larkpost/standalone/table_service/http_adapter.py
+++ b/src/larkpost/standalone/table_service/http_adapter.py
@@ -46,12 +46,12 @@
     async def _call(
         self, verb: str, path: str, params: dict[str, str], body: Any, timeout: float
     ) -> dict[str, Any]:
-        limit = aiohttp.ClientTimeout(total=timeout)
+        client_timeout = aiohttp.ClientTimeout(total=timeout)
         data = orjson.dumps(body) if body is not None else None
         url = self._base + path
         try:
             async with self._session.request(
-                verb, url, params=params, data=data, timeout=limit
+                verb, url, params=params, data=data, timeout=client_timeout
             ) as response:
                 content = await response.read()
                 if response.status != 200:
--- a/src/larkpost/standalone/wire/http_peer.py
+++ b/src/larkpost/standalone/wire/http_peer.py
@@ -43,9 +43,9 @@
         self, address: Address, method: PeerMethod, payload: bytes, timeout: float
     ) -> bytes:
         url = f"http://{address}{PEER_PATH}{method}"
-        limit = aiohttp.ClientTimeout(total=timeout)
+        client_timeout = aiohttp.ClientTimeout(total=timeout)
         try:
-            async with self._session.post(url, data=payload, timeout=limit) as response:
+            async with self._session.post(url, data=payload, timeout=client_timeout) as response:
                 body = await response.read()
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             raise PeerError(f"{method} to {address}: {error!r}") from error
