--- a/src/larkpost/standalone/engines/http_adapter.py
+++ b/src/larkpost/standalone/engines/http_adapter.py
@@ -97,7 +97,9 @@
     async def cancel(self, address: Address, attempt: AttemptId) -> None:
         url = f"http://{address}/v1/attempts/{attempt}"
         try:
-            async with self._session.delete(url, timeout=_total(CANCEL_TIMEOUT)) as response:
+            async with self._session.delete(
+                url, timeout=_total_timeout(CANCEL_TIMEOUT)
+            ) as response:
                 await response.read()
         except NETWORK_ERRORS as error:
             raise EngineOutcomeUnknownError(repr(error)) from error
@@ -105,7 +107,7 @@
     async def report(self, address: Address, timeout: float) -> EngineReport:
         url = f"http://{address}/v1/report"
         try:
-            async with self._session.get(url, timeout=_total(timeout)) as response:
+            async with self._session.get(url, timeout=_total_timeout(timeout)) as response:
                 fields = parse_json_object(await response.read())
             return _parse_report(fields)
         except NETWORK_ERRORS as error:
@@ -117,7 +119,7 @@
         url = f"http://{address}/v1/orders"
         try:
             async with self._session.post(
-                url, data=orjson.dumps(order), timeout=_total(timeout)
+                url, data=orjson.dumps(order), timeout=_total_timeout(timeout)
             ) as response:
                 fields = parse_json_object(await response.read())
         except (*NETWORK_ERRORS, ValueError) as error:
@@ -138,7 +140,7 @@
     )
 
 
-def _total(timeout: float) -> aiohttp.ClientTimeout:
+def _total_timeout(timeout: float) -> aiohttp.ClientTimeout:
     return aiohttp.ClientTimeout(total=timeout)
 
 
