--- a/src/larkpost/standalone/api/operations.py
+++ b/src/larkpost/standalone/api/operations.py
@@ -35,7 +35,7 @@
     def routes(self) -> list[Route]:
         """Returns the routes."""
         return [
-            Route("/v1/intent", self._guard(self._show), methods=["GET"]),
+            Route("/v1/intent", self._guard(self._get_intent), methods=["GET"]),
             Route("/v1/intent/plan", self._guard(self._plan), methods=["POST"]),
             Route("/v1/intent/confirm", self._guard(self._confirm), methods=["POST"]),
             Route("/v1/status", self._guard(self._status), methods=["GET"]),
@@ -46,7 +46,7 @@
             Route(PEER_PATH + "{method}", self._peer, methods=["POST"]),
         ]
 
-    async def _show(self, _request: Request) -> Response:
+    async def _get_intent(self, _request: Request) -> Response:
         state = self._daemon.board.configuration
         fields = {
             "epoch": state.epoch,
