--- a/src/larkpost/standalone/api/operations.py
+++ b/src/larkpost/standalone/api/operations.py
@@ -36,7 +36,7 @@
         """Returns the routes."""
         return [
             Route("/v1/intent", self._guard(self._get_intent), methods=["GET"]),
-            Route("/v1/intent/plan", self._guard(self._plan), methods=["POST"]),
+            Route("/v1/intent/plan", self._guard(self._plan_intent), methods=["POST"]),
             Route("/v1/intent/confirm", self._guard(self._confirm), methods=["POST"]),
             Route("/v1/status", self._guard(self._status), methods=["GET"]),
             Route("/v1/engines/{engine}/drain", self._guard(self._drain), methods=["POST"]),
@@ -55,7 +55,7 @@
         }
         return Response(orjson.dumps(fields), media_type=JSON)
 
-    async def _plan(self, request: Request) -> Response:
+    async def _plan_intent(self, request: Request) -> Response:
         self._daemon.readiness.check()
         wanted = await read_document(request, Intent)
         state = self._daemon.board.configuration
