--- a/src/larkpost/standalone/api/operations.py
+++ b/src/larkpost/standalone/api/operations.py
@@ -37,7 +37,7 @@
         return [
             Route("/v1/intent", self._guard(self._get_intent), methods=["GET"]),
             Route("/v1/intent/plan", self._guard(self._plan_intent), methods=["POST"]),
-            Route("/v1/intent/confirm", self._guard(self._confirm), methods=["POST"]),
+            Route("/v1/intent/confirm", self._guard(self._confirm_plan), methods=["POST"]),
             Route("/v1/status", self._guard(self._status), methods=["GET"]),
             Route("/v1/engines/{engine}/drain", self._guard(self._drain), methods=["POST"]),
             Route("/metrics", self._metrics, methods=["GET"]),
@@ -63,7 +63,7 @@
         plan = make_plan(state.intent, state.epoch, wanted, engines, uuid.uuid4().hex)
         return json_response(plan)
 
-    async def _confirm(self, request: Request) -> Response:
+    async def _confirm_plan(self, request: Request) -> Response:
         self._daemon.readiness.check()
         plan = await read_document(request, Plan)
         return json_response(await self._daemon.configuration.confirm(plan))
