--- a/src/larkpost/standalone/api/operations.py
+++ b/src/larkpost/standalone/api/operations.py
@@ -43,7 +43,7 @@
             Route("/metrics", self._metrics, methods=["GET"]),
             Route("/healthz", self._health, methods=["GET"]),
             Route("/readyz", self._ready, methods=["GET"]),
-            Route(PEER_PATH + "{method}", self._peer, methods=["POST"]),
+            Route(PEER_PATH + "{method}", self._handle_peer_request, methods=["POST"]),
         ]
 
     async def _get_intent(self, _request: Request) -> Response:
@@ -85,7 +85,7 @@
         status = 200 if self._daemon.readiness.admits_work else 503
         return PlainTextResponse(f"{self._daemon.board.phase}\n", status)
 
-    async def _peer(self, request: Request) -> Response:
+    async def _handle_peer_request(self, request: Request) -> Response:
         try:
             method = PeerMethod(request.path_params["method"])
         except ValueError:
