--- a/src/larkpost/standalone/server.py
+++ b/src/larkpost/standalone/server.py
@@ -40,7 +40,7 @@
     daemon = Daemon(settings, ports, random.Random())
     source.telemetry = daemon.telemetry
     server = HttpServer(make_app(daemon), settings.listen)
-    stop = _stop_signal()
+    stop = _listen_for_stop()
     try:
         await _listen(server, transport, daemon)
         daemon.start()
@@ -70,7 +70,7 @@
         ) from None
 
 
-def _stop_signal() -> asyncio.Event:
+def _listen_for_stop() -> asyncio.Event:
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
