--- a/src/larkpost/standalone/daemon.py
+++ b/src/larkpost/standalone/daemon.py
@@ -200,7 +200,7 @@
             if await self.configuration.read() or (
                 joined and await self.configuration.learn_from_zone()
             ):
-                await self._fetch_facts()
+                await self._fetch_initial_facts()
                 break
             # The jitter keeps daemons that start together from hitting the rate limit together.
             await self._ports.clock.sleep(interval * self._rng.uniform(0.5, 1.0))
@@ -209,7 +209,7 @@
             self.board.phase = Phase.READY
             self.telemetry.log_state("daemon", Phase.READY)
 
-    async def _fetch_facts(self) -> None:
+    async def _fetch_initial_facts(self) -> None:
         """Fetches the known facts from one other daemon, for a fast start."""
         members = self.board.members.alive_others()
         if members:
