--- a/src/larkpost/standalone/routing/selection.py
+++ b/src/larkpost/standalone/routing/selection.py
@@ -62,7 +62,7 @@
         slow = self._board.engines.speeds.stragglers(watched_engines, now)
         found = []
         for engine in watched_engines:
-            if engine in excluded or not self._may_use(engine, now):
+            if engine in excluded or not self._is_usable(engine, now):
                 continue
             if self._has_fresh_report(engine, now) and self._admits(
                 work, self._board.engines.loads[engine]
@@ -77,7 +77,7 @@
             engine
             for engine in self._monitor.watched_engines(pool)
             if engine not in excluded
-            and self._may_use(engine, now)
+            and self._is_usable(engine, now)
             and not self._has_fresh_report(engine, now)
         ]
 
@@ -93,7 +93,7 @@
     def may_dispatch(self, engine: EngineId) -> bool:
         """Whether an attempt may be sent now: the engine is usable and its report is fresh."""
         now = self._clock.now()
-        return self._may_use(engine, now) and self._has_fresh_report(engine, now)
+        return self._is_usable(engine, now) and self._has_fresh_report(engine, now)
 
     def _make_candidate(self, engine: EngineId, is_slow: bool) -> Candidate:
         engines = self._board.engines
@@ -118,7 +118,7 @@
         in_flight = self._board.engines.in_flight.get(load.engine, 0)
         return max(load.running + load.waiting, in_flight) < load.slots - reserve
 
-    def _may_use(self, engine: EngineId, now: float) -> bool:
+    def _is_usable(self, engine: EngineId, now: float) -> bool:
         engines = self._board.engines
         return not engines.is_leaving(engine) and engines.avoid_until.get(engine, 0.0) <= now
 
