--- a/src/larkpost/standalone/batches/replication.py
+++ b/src/larkpost/standalone/batches/replication.py
@@ -126,9 +126,7 @@
         payload = pb.BatchFetchRequest(id=batch).SerializeToString()
         candidates = self._candidates(batch)
         answers = await asyncio.gather(*(self._fetch(m, payload) for m in candidates))
-        known_replies = [
-            answer for answer in answers if answer is not None and answer.known_replies
-        ]
+        known_replies = [answer for answer in answers if answer is not None and answer.known]
         if not known_replies:
             return None
         owner = DaemonId(known_replies[0].owner)
@@ -136,7 +134,7 @@
         if member is not None and owner != self._board.members.own.id:
             request = pb.BatchFetchRequest(id=batch, take_over=True)
             last_state = await self._fetch(member, request.SerializeToString())
-            if last_state is not None and last_state.known_replies:
+            if last_state is not None and last_state.known:
                 known_replies.append(last_state)
         samples = {s.slot: s for answer in known_replies for s in answer.samples}
         decoded = [sample_from_message(message) for message in samples.values()]
@@ -193,7 +191,7 @@
 def encode_fetch_reply(spec: BatchSpec, samples: list[Sample], owner: DaemonId) -> bytes:
     """Encodes the reply to a fetch of a known batch."""
     reply = pb.BatchFetchReply(
-        known_replies=True,
+        known=True,
         spec=spec_to_message(spec),
         samples=map(sample_to_message, samples),
         owner=owner,
