--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1,7 +1,7 @@
-"""Breaks one mechanism after another and reports whether the fleet fuzz catches it.
+"""Mutation testing: disables one mechanism at a time and reports whether the fuzz detects it.
 
 ``python -m tests.mutants`` runs every mutant in a process of its own; with a name it runs one.
-Exit status 0 of a single run means that the fuzz failed, as it must.
+Exit status 0 of a single run means that the fuzz failed, as expected.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 
 
 def trust_first_version():
-    """Point 1: stamps the whole answer with the version of its first chunk."""
+    """Point 1: stamps the complete answer with the version of its first chunk."""
     from larkpost.standalone.routing import dispatcher
 
     original = dispatcher.apply_chunk
@@ -38,7 +38,7 @@
 
 
 def check_staleness_when_made():
-    """Point 2: judges samples by the trainer's version at the batch's opening."""
+    """Point 2: checks staleness against the trainer's version at the opening of the batch."""
     from larkpost.standalone.batches.ledger import BatchLedger
 
     def oldest(self):
@@ -48,7 +48,7 @@
 
 
 def ignore_held_slots():
-    """Point 3: does not ask the trainer what it has."""
+    """Point 3: ignores the slots that the trainer reports as held."""
     from larkpost.standalone.batches.ledger import BatchLedger
 
     original = BatchLedger.record_trainer_state
@@ -58,7 +58,7 @@
 
 
 def accept_any_attempt():
-    """Point 4: does not compare the attempt that a chunk names."""
+    """Point 4: does not check which attempt a chunk names."""
     from larkpost.standalone.routing import dispatcher
 
     original = dispatcher.apply_chunk
@@ -72,7 +72,7 @@
 
 
 def close_broken_streams_as_whole():
-    """Point 4: takes the end of a stream for the end of the answer."""
+    """Point 4: treats the end of a stream as the end of the answer."""
     from larkpost.standalone.engines.port import EngineError
     from larkpost.standalone.routing.dispatcher import Dispatcher
 
@@ -91,7 +91,7 @@
 
 
 def always_say_not_run():
-    """Point 5: says "not run" whatever was sent."""
+    """Point 5: reports "not run" even if an attempt was sent."""
     from larkpost.common.errors import Ran
     from larkpost.standalone.routing import dispatcher
 
@@ -99,7 +99,7 @@
 
 
 def resend_after_reset():
-    """Point 6: sends run-once work again like any other."""
+    """Point 6: retries run-once work like any other."""
     from larkpost.standalone.routing.dispatcher import Dispatcher
 
     original = Dispatcher.run
@@ -113,7 +113,7 @@
 
 
 def grant_every_key():
-    """Point 6: does not remember which keys were used."""
+    """Point 6: grants keys that were used before."""
     from larkpost.standalone.routing.run_once import RunOnceRegistry
 
     async def claim(_self, _key):
@@ -130,7 +130,7 @@
 
 
 def stop_without_waiting():
-    """Point 8: leaves at once on a planned stop."""
+    """Point 8: leaves at once on a planned stop, without waiting for work in flight."""
     from larkpost.standalone.daemon import Daemon
 
     async def drain(self):
@@ -142,7 +142,7 @@
 
 
 def accept_lower_epochs():
-    """Point 9: takes any other version of a fact for news."""
+    """Point 9: accepts a fact with a lower version."""
     from larkpost.standalone.blackboard.facts import FactTable
     from larkpost.standalone.controllers.configuration import ConfigurationController
 
@@ -165,21 +165,21 @@
 
 
 def act_on_unverified_configuration():
-    """Point 9: acts after a pause as if nothing had happened."""
+    """Point 9: acts on its configuration after a pause without verifying it."""
     from larkpost.standalone.controllers.readiness import Readiness
 
     return mock.patch.object(Readiness, "is_current", lambda _self: True)
 
 
 def forget_applied_plans():
-    """Point 9: does not read back whether a lost write was applied."""
+    """Point 9: does not detect that a plan whose response was lost is already applied."""
     from larkpost.standalone.controllers.configuration import ConfigurationRow
 
     return mock.patch.object(ConfigurationRow, "epoch_of", lambda _self, _plan: None)
 
 
 def keep_engines_while_draining():
-    """Liveness: a draining daemon stays the owner of its engines."""
+    """Liveness: a draining daemon remains the owner of its engines."""
     from larkpost.standalone.blackboard.members import MemberInfo
 
     return mock.patch.object(MemberInfo, "eligible", property(lambda self: self.usable))
@@ -209,9 +209,9 @@
 FUZZ = "tests.test_fuzz"
 INVARIANT = "configuration_never_reverts"
 OTHER_TESTS = {
-    # The fuzz judges ownership once every stop has ended, so a long drain has a test of its own.
+    # The fuzz checks ownership only after every stop has ended, so a long drain has its own test.
     "keep_engines_while_draining": "tests.test_regressions.OwnershipTest",
-    # Sixty examples of the fuzz were seen not to catch these, so they have tests of their own.
+    # The fuzz does not reliably detect these, so they have their own tests.
     "always_say_not_run": "tests.test_regressions.DispatchTest",
     "ignore_leaving": "tests.test_regressions.LeavingTest",
     "accept_lower_epochs": "tests.test_regressions.EpochTest",
@@ -228,11 +228,15 @@
     "stop_without_waiting": ("check_stops",),
     "forget_applied_plans": ("check_configuration",),
 } | platform_mutants.EXPECTED_CHECKS
-"""Checks of the oracle that must fail: a failure of another one proves nothing about the mutant."""
+"""Checks of the oracle of which one must fail; another failure does not count as detection."""
 
 
 def run_one(name: str) -> int:
-    """Runs the fuzz, or the mutant's own test, under a mutant; prints what it found."""
+    """Runs the fuzz, or the mutant's own test, with one mutant and prints the result.
+
+    Returns:
+        0 if the mutant was detected, 1 otherwise.
+    """
     suite = unittest.TestLoader().loadTestsFromName(OTHER_TESTS.get(name, FUZZ))
     with MUTANTS[name]():
         result = unittest.TextTestRunner(stream=io.StringIO()).run(suite)
@@ -266,7 +270,7 @@
 
 
 def main() -> int:
-    """Runs all mutants, or the named one."""
+    """Runs all mutants, or the one named on the command line."""
     if len(sys.argv) > 1:
         return run_one(sys.argv[1])
     missed = 0
--- a/tests/test_engine_adapter.py
+++ b/tests/test_engine_adapter.py
@@ -1,4 +1,4 @@
-"""The HTTP engine adapter against servers that break their promises in every way it must notice."""
+"""Tests that the HTTP engine adapter detects faulty servers and what their failures prove."""
 
 import asyncio
 import unittest
@@ -31,10 +31,10 @@
 
 
 class EngineAdapterTest(unittest.IsolatedAsyncioTestCase):
-    """Each test serves one scripted answer."""
+    """Tests of the adapter; each serves one scripted response."""
 
     async def generate(self, answer: bytes, may_send=lambda: True, hold: float = 0.0):
-        """Serves the answer, closes the connection, and returns chunks and the raised error."""
+        """Serves one response, closes the connection, and returns the chunks and the error."""
         self.bodies: list[bytes] = []
 
         async def serve(reader, writer):
@@ -70,16 +70,16 @@
                 async for _ in port.generate(free_address(), REQUEST, 0.5, lambda: True):
                     pass
 
-    async def test_withdrawn_permission_after_connecting_sends_no_body(self):
+    async def test_permission_withdrawn_after_connecting_sends_no_body(self):
         _chunks, error = await self.generate(HEAD, may_send=lambda: False)
         self.assertIsInstance(error, EngineNotSentError)
         self.assertEqual([body for body in self.bodies if b"prompt" in body], [])
 
-    async def test_connection_closed_before_the_answer_is_broken(self):
+    async def test_connection_closed_before_the_answer_leaves_the_outcome_unknown(self):
         _chunks, error = await self.generate(b"")
         self.assertIsInstance(error, EngineOutcomeUnknownError)
 
-    async def test_connection_closed_in_mid_chunk_is_broken(self):
+    async def test_connection_closed_within_a_chunk_leaves_the_outcome_unknown(self):
         cut = HEAD + http_chunk(
             b'data: {"attempt":"a","offset":0,"tokens":[1],"version":1,"total":null}\n\n'
         )
@@ -87,7 +87,7 @@
         self.assertEqual([chunk.tokens for chunk in chunks], [(1,)])
         self.assertIsInstance(error, EngineOutcomeUnknownError)
 
-    async def test_silent_engine_is_broken_after_the_time_limit(self):
+    async def test_engine_that_sends_nothing_times_out_with_unknown_outcome(self):
         _chunks, error = await self.generate(HEAD, hold=2.0)
         self.assertIsInstance(error, EngineOutcomeUnknownError)
 
@@ -111,11 +111,11 @@
         self.assertEqual([c.tokens for c in chunks], [(1, 2), (3, 4)])
         self.assertEqual([(c.version, c.total) for c in chunks], [(7, None), (8, 4)])
 
-    async def test_answer_that_is_no_chunk_is_broken(self):
+    async def test_invalid_chunk_leaves_the_outcome_unknown(self):
         _chunks, error = await self.generate(HEAD + http_chunk(b'data: {"tokens": 3}\n\n'))
         self.assertIsInstance(error, EngineOutcomeUnknownError)
 
-    async def test_report_that_is_no_report_is_broken(self):
+    async def test_invalid_report_is_rejected(self):
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]")
--- a/tests/test_http_api.py
+++ b/tests/test_http_api.py
@@ -1,4 +1,4 @@
-"""The HTTP API of a simulated fleet's daemon: words, errors, streams and their ends."""
+"""Tests of the HTTP API of a daemon in a simulated fleet: documents, errors and streams."""
 
 import json
 import unittest
@@ -24,7 +24,7 @@
         work = self.client.request(verb, path, json=body, headers=names)
         return self.fleet.run(work)
 
-    def test_whole_chat_answer_names_its_versions(self):
+    def test_unstreamed_chat_answer_names_its_versions(self):
         body = {"model": "quotes", "messages": [{"role": "user", "content": "hi"}]}
         fields = self.call("POST", "/v1/chat/completions", body).json()
         count = sum(span["count"] for span in fields["larkpost"]["versions"])
@@ -32,12 +32,12 @@
         self.assertEqual(len(words), count)
         self.assertEqual(fields["usage"]["completion_tokens"], count)
 
-    def test_stream_ends_with_its_mark(self):
+    def test_stream_ends_with_done(self):
         body = {"model": "quotes", "prompt": "hi", "stream": True}
         text = self.call("POST", "/v1/completions", body).text
         self.assertTrue(text.endswith("data: [DONE]\n\n"))
 
-    def test_broken_stream_ends_with_an_error_and_without_the_mark(self):
+    def test_broken_stream_ends_with_an_error_and_without_done(self):
         for node in self.fleet.world.engines.values():
             node.model.faults.cut_streams = 1000
         body = {"model": "quotes", "prompt": "hi", "stream": True, "max_tokens": 400}
@@ -45,7 +45,7 @@
             self.call("POST", "/v1/completions", body, Larkpost_Run_Once="true").text
             for _ in range(8)
         ]
-        # Once engines have failed, later requests may be refused before any stream begins.
+        # After engines have failed, later requests may be refused before a stream begins.
         broken = [text for text in replies if text.startswith("data:") and "error" in text]
         self.assertTrue(broken)
         for text in broken:
@@ -71,7 +71,7 @@
                 self.assertIn(word, error["message"])
                 self.assertTrue(error["remedy"])
 
-    def test_unknown_batch_is_told_to_open_it_again(self):
+    def test_pull_of_an_unknown_batch_is_refused(self):
         reply = self.call("POST", "/v1/batches/b/pull", {"page": 1, "trainer_version": 0})
         self.assertEqual(reply.json()["error"]["code"], "unknown_batch")
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""The batch ledger: one value per slot, pages that do not repeat, and the staleness bound."""
+"""Tests of the batch ledger: one value per slot, no held slot on a page, the staleness bound."""
 
 import unittest
 
@@ -28,14 +28,14 @@
 
 
 class BatchLedgerTest(unittest.TestCase):
-    def test_first_attempt_to_finish_gives_the_value(self):
+    def test_first_attempt_to_finish_provides_the_value(self):
         ledger = BatchLedger(make_spec())
         self.assertTrue(ledger.finish(make_sample(0, token=1)))
         self.assertFalse(ledger.finish(make_sample(0, token=2)))
         page = ledger.make_page(1, 5, 10)
         self.assertEqual([sample.tokens for sample in page.samples], [(1,)])
 
-    def test_page_asked_again_is_identical_although_more_has_finished(self):
+    def test_repeated_page_is_identical_after_more_samples_finish(self):
         ledger = BatchLedger(make_spec())
         ledger.finish(make_sample(0))
         first = ledger.make_page(1, 5, 10)
@@ -51,14 +51,14 @@
         page = ledger.make_page(2, 5, 10)
         self.assertEqual([sample.slot for sample in page.samples], [1])
 
-    def test_sample_that_grew_stale_before_its_page_is_run_again(self):
+    def test_sample_that_becomes_stale_before_its_page_is_pending_again(self):
         ledger = BatchLedger(make_spec())
         ledger.finish(make_sample(0, version=4))
         ledger.record_trainer_state(6, [])
         self.assertEqual(ledger.make_page(1, 6, 10).samples, ())
         self.assertEqual(ledger.state(0), SlotState.PENDING)
 
-    def test_stale_sample_is_refused_on_finishing(self):
+    def test_stale_sample_is_rejected_on_finish(self):
         ledger = BatchLedger(make_spec())
         ledger.start_attempt(0, ENGINE)
         self.assertFalse(ledger.finish(make_sample(0, version=3)))
--- a/tests/test_owner_map.py
+++ b/tests/test_owner_map.py
@@ -1,4 +1,4 @@
-"""Owners kept by differences equal owners computed from nothing, whatever came before."""
+"""Tests that incrementally updated owners equal owners computed from scratch."""
 
 import unittest
 
@@ -31,9 +31,9 @@
 class OwnerMapTest(unittest.TestCase):
     @settings(derandomize=True, database=None, max_examples=200)
     @given(changes)
-    def test_differences_give_the_same_owners_as_a_new_computation(self, steps):
+    def test_incremental_updates_give_the_same_owners_as_a_full_computation(self, steps):
         board = Blackboard(MemberTable(make_member(0, ZONES[0])))
-        kept = OwnerMap(board)
+        incremental = OwnerMap(board)
         for kind, number, zone, state, leaving in steps:
             if kind == "daemon" and number > 0:
                 member = make_member(number, ZONES[number % 2], state=state, leaving=leaving)
@@ -43,4 +43,4 @@
                 board.engines.put(info)
             fresh = OwnerMap(board)
             for engine in board.engines.directory:
-                self.assertEqual(kept.owner_of(engine), fresh.owner_of(engine))
+                self.assertEqual(incremental.owner_of(engine), fresh.owner_of(engine))
--- a/tests/test_regressions.py
+++ b/tests/test_regressions.py
@@ -1,4 +1,4 @@
-"""One test for each fault that the fleet fuzz, or a run with real processes, has found."""
+"""Regression tests for faults found by the fleet fuzz or by runs with real processes."""
 
 import asyncio
 import unittest
@@ -15,7 +15,7 @@
 
 
 class FleetTestCase(unittest.TestCase):
-    """A fresh simulated fleet for each test."""
+    """Base class with a new simulated fleet for each test."""
 
     def setUp(self):
         self.fleet = SimulatedFleet(seed=7)
@@ -35,8 +35,8 @@
         return self.fleet.run(self.fleet.operators.confirm(self.names[number], plan))
 
     def test_daemon_that_wakes_from_a_pause_does_not_act_before_it_has_verified(self):
-        sleeper = self.names[0]
-        self.fleet.act(self.world.freeze_daemon, sleeper, 60.0)
+        paused = self.names[0]
+        self.fleet.act(self.world.freeze_daemon, paused, 60.0)
         self.fleet.advance(59.9)
         self.assertFalse(self.fleet.act(lambda: self.daemon(0).readiness.admits_work))
         self.fleet.advance(10.0)
@@ -225,7 +225,7 @@
 
 class LeavingTest(FleetTestCase):
     def check_no_new_work(self, leave) -> None:
-        """Keeps asking while an engine leaves; the oracle judges after the stated times."""
+        """Sends requests while an engine leaves; the oracle checks that it gets no late work."""
         clients = self.fleet.clients["assistant"]
         leave()
         for number in range(60):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: where they come from, and what a wrong one is told."""
+"""Tests of the settings: precedence of their sources, and errors that name what is invalid."""
 
 import tempfile
 import unittest
@@ -42,7 +42,7 @@
     def test_wrong_value_is_named(self):
         self.assertIn("routing.retry_ratio", self.fail_with("[routing]\nretry_ratio=7\n").message)
 
-    def test_wrong_address_says_what_one_looks_like(self):
+    def test_wrong_address_names_the_expected_format(self):
         self.assertIn("host:port", self.fail_with("", listen="nowhere").message)
 
     def test_file_that_is_not_toml_is_named(self):
--- a/tests/test_speeds.py
+++ b/tests/test_speeds.py
@@ -1,4 +1,4 @@
-"""Stragglers among engines, and what placement and duplication make of them."""
+"""Tests of straggler detection and of placement around stragglers."""
 
 import unittest
 
@@ -19,26 +19,26 @@
         self.speeds.record(ENGINES[3], 10, 0.5, now=0.0)
         self.assertEqual(self.speeds.stragglers(ENGINES, 0.0), {ENGINES[3]})
 
-    def test_slightly_slower_engine_is_none(self):
+    def test_slightly_slower_engine_is_not_a_straggler(self):
         self.speeds.record(ENGINES[3], 10, 0.2, now=0.0)
         self.assertEqual(self.speeds.stragglers(ENGINES, 0.0), set())
 
-    def test_straggler_gets_another_chance_when_its_speed_is_old(self):
+    def test_straggler_is_used_again_when_its_speed_expires(self):
         self.speeds.record(ENGINES[3], 10, 0.5, now=0.0)
         self.assertEqual(self.speeds.stragglers(ENGINES, SPEED_LIFETIME_SECONDS + 1), set())
 
-    def test_two_engines_are_too_few_to_call_one_slow(self):
+    def test_two_engines_are_too_few_to_detect_a_straggler(self):
         self.assertEqual(self.speeds.stragglers(ENGINES[:2], 0.0), set())
 
 
 class PlacementTest(unittest.TestCase):
-    def test_straggler_is_taken_last_even_for_its_own_prompt(self):
+    def test_straggler_is_chosen_last_even_for_its_own_prompt(self):
         slow = EngineCapacity(ENGINES[0], free=2, running=0, is_slow=True)
         full = EngineCapacity(ENGINES[1], free=1, running=9)
         placement = LoadPlacement([slow, full])
         self.assertEqual(placement.acquire(preferred=ENGINES[0]), ENGINES[1])
         self.assertEqual(placement.acquire(preferred=None), ENGINES[0])
 
-    def test_stuck_sample_is_continued_elsewhere_or_not_at_all(self):
+    def test_stuck_sample_is_never_continued_on_its_own_engine(self):
         only = LoadPlacement([EngineCapacity(ENGINES[0], free=5, running=0)])
         self.assertIsNone(only.acquire_other(ENGINES[0]))
