--- a/src/larkpost/standalone/api/schema.py
+++ b/src/larkpost/standalone/api/schema.py
@@ -90,7 +90,7 @@
     wait_seconds: float | None = Field(default=None, ge=0)
 
     def to_pull(self, batch: BatchId) -> Pull:
-        """Returns the pull."""
+        """Returns the pull of this page."""
         held = expand_ranges(self.held)
         return Pull(batch, self.page, self.trainer_version, held, self.limit, self.wait_seconds)
 
--- a/src/larkpost/standalone/batches/runner.py
+++ b/src/larkpost/standalone/batches/runner.py
@@ -1,4 +1,4 @@
-"""Runs the slots of one batch on engines and duplicates samples stuck on slow or lost engines.
+"""Runs one batch's slots on engines and duplicates samples stuck on slow or unresponsive ones.
 
 Three policies shorten the time to completion: prompts with the longest expected responses start
 first, samples of one prompt share an engine for its prefix cache, and samples on an engine that no
--- a/src/larkpost/standalone/controllers/configuration.py
+++ b/src/larkpost/standalone/controllers/configuration.py
@@ -171,7 +171,8 @@
         epoch = self._find_applied_epoch(plan, row)
         if epoch is None:
             raise PlatformError(
-                f"plan {plan.plan_id!r} was not written in {WRITE_ATTEMPTS} attempts"
+                f"the table service did not accept plan {plan.plan_id!r} in "
+                f"{WRITE_ATTEMPTS} attempts"
             )
         self._publish_row(row)
         return epoch
--- a/src/larkpost/standalone/engines/http_adapter.py
+++ b/src/larkpost/standalone/engines/http_adapter.py
@@ -45,7 +45,9 @@
     async def chunks(self) -> AsyncIterator[bytes]:
         """Yields the body once; aiohttp reads it after connecting."""
         if self.sent or not self._may_send():
-            raise EngineNotSentError("the request was not sent: its caller no longer permits it")
+            raise EngineNotSentError(
+                "the request may not be sent: it was sent before or is no longer permitted"
+            )
         self.sent = True
         yield self._content
 
--- a/src/larkpost/standalone/routing/run_once.py
+++ b/src/larkpost/standalone/routing/run_once.py
@@ -153,6 +153,8 @@
         if row is None:
             # The lost write may still arrive and claim the key, so running is not safe.
             raise KeyStoreUnavailableError(
-                f"the claim of key {key!r} was not written", ran=Ran.UNKNOWN, retry_after=timeout
+                f"the claim of key {key!r} got no answer and is not stored yet",
+                ran=Ran.UNKNOWN,
+                retry_after=timeout,
             )
         return row.value == own_claim
--- a/src/larkpost/standalone/settings.py
+++ b/src/larkpost/standalone/settings.py
@@ -173,7 +173,7 @@
 
 
 class Settings(BaseSettings):
-    """All settings of one daemon. Values given as arguments win over the TOML file's."""
+    """All settings of one daemon. Arguments take precedence over the TOML file."""
 
     model_config = SettingsConfigDict(extra="forbid", frozen=True)
 
