--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -224,20 +224,14 @@
                 )
             return batch
         self._readiness.check()
-        recovered = await self._replicator.recover(batch_id)
+        found = await self._replicator.recover(batch_id)
         if batch_id in self._batches:
             return self._batches[batch_id]
         replica = self._replicas.get(batch_id)
-        samples = recovered.samples if recovered is not None else []
+        samples = found.samples if found is not None else []
         if replica is not None:
             samples = samples + list(replica.samples.values())
-        spec = (
-            recovered.spec
-            if recovered is not None
-            else replica.spec
-            if replica is not None
-            else None
-        )
+        spec = found.spec if found is not None else replica.spec if replica is not None else None
         if spec is None:
             raise UnknownBatchError(f"batch {batch_id!r} is not known")
         self._telemetry.log_state(f"batch.{batch_id}", "taken over", samples=len(samples))
