--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -218,7 +218,7 @@
     async def _find_or_recover(self, batch_id: BatchId) -> OpenBatch:
         batch = self._batches.get(batch_id)
         if batch is not None:
-            if self._is_handed_over(batch):
+            if self._is_drained(batch):
                 raise StoppingError(
                     f"this daemon is stopping and has no running samples of batch {batch_id!r}"
                 )
@@ -237,7 +237,7 @@
         self._telemetry.log_state(f"batch.{batch_id}", "taken over", samples=len(samples))
         return self._add_batch(spec, samples, ())
 
-    def _is_handed_over(self, batch: OpenBatch) -> bool:
+    def _is_drained(self, batch: OpenBatch) -> bool:
         stopping = self._board.phase == Phase.STOPPING
         return (
             stopping and batch.runner.running_attempts == 0 and not batch.ledger.finished_samples()
