--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -179,7 +179,7 @@
         return b""
 
     async def on_fetch(self, payload: bytes) -> bytes:
-        """Answers a fetch of a batch by another daemon, and hands it over if it takes over."""
+        """Answers another daemon's fetch of a batch, and hands the batch over if requested."""
         request = pb.BatchFetchRequest.FromString(payload)
         batch_id = BatchId(request.id)
         own = self._board.members.own.id
@@ -267,7 +267,7 @@
         stale_before = batch.ledger.stale_dropped
         limit = call.limit if call.limit > 0 else self._settings.page_size
         if batch.ledger.trainer_version > call.trainer_version:
-            # The trainer has reported a newer version since this pull began.
+            # Another pull has already reported a newer trainer version.
             raise InvalidRequestError(
                 f"the trainer is already at version {batch.ledger.trainer_version}",
                 remedy="Pull with the trainer's current version.",
