--- a/src/larkpost/standalone/api/inference.py
+++ b/src/larkpost/standalone/api/inference.py
@@ -1,4 +1,4 @@
-"""OpenAI-compatible routes for client services."""
+"""OpenAI-compatible HTTP routes for client services."""
 
 import asyncio
 import time
@@ -22,9 +22,9 @@
 DEADLINE_HEADER = "Larkpost-Deadline-Seconds"
 REQUEST_HEADER = "Larkpost-Request-Id"
 END_OF_STREAM = b"data: [DONE]\n\n"
-DISCONNECT_POLL = 1.0
-"""Seconds between checks whether the caller of a whole answer is still there."""
-TRUE_WORDS = ("1", "true", "yes")
+DISCONNECT_POLL_INTERVAL = 1.0
+"""Seconds between checks whether the caller of an unstreamed answer is still connected."""
+TRUE_VALUES = ("1", "true", "yes")
 
 
 class InferenceRoutes:
@@ -61,8 +61,8 @@
         runs = self._daemon.inference.complete(call)
         writer = _Writer(call, chat)
         if not body.stream:
-            answer = await _collect(request, runs)
-            return Response(writer.whole(answer), media_type=JSON)
+            answer = await _read_answer(request, runs)
+            return Response(writer.full_response(answer), media_type=JSON)
         try:
             first = await anext(runs, None)
         except LarkpostError:
@@ -84,7 +84,7 @@
             prompt=body.prompt_text(),
             max_tokens=body.max_tokens,
             deadline_seconds=_parse_deadline(headers.get(DEADLINE_HEADER)),
-            run_once=headers.get(RUN_ONCE_HEADER, "").lower() in TRUE_WORDS,
+            run_once=headers.get(RUN_ONCE_HEADER, "").lower() in TRUE_VALUES,
             key=headers.get(KEY_HEADER),
         )
 
@@ -95,11 +95,17 @@
     try:
         return float(text)
     except ValueError:
-        raise InvalidRequestError(f"{DEADLINE_HEADER} must be a number of seconds") from None
+        raise InvalidRequestError(
+            f"{DEADLINE_HEADER} must be a number of seconds, not {text!r}"
+        ) from None
 
 
-async def _collect(request: Request, runs: AsyncIterator[TokenRun]) -> Answer:
-    """Returns the whole answer; gives it up when the caller has left."""
+async def _read_answer(request: Request, runs: AsyncIterator[TokenRun]) -> Answer:
+    """Returns the complete answer.
+
+    Raises:
+        CallerLeftError: the caller disconnected before the answer was complete.
+    """
 
     async def read() -> Answer:
         answer = Answer()
@@ -110,7 +116,7 @@
     reading = asyncio.create_task(read())
     try:
         while not reading.done():
-            await asyncio.wait({reading}, timeout=DISCONNECT_POLL)
+            await asyncio.wait({reading}, timeout=DISCONNECT_POLL_INTERVAL)
             if not reading.done() and await request.is_disconnected():
                 raise CallerLeftError("the caller has closed the connection", ran=Ran.UNKNOWN)
         return reading.result()
@@ -121,35 +127,35 @@
 async def _stream(
     writer: "_Writer", first: TokenRun | None, runs: AsyncIterator[TokenRun]
 ) -> AsyncIterator[bytes]:
-    """Writes events. A broken answer ends with an error event and without the end mark."""
+    """Yields server-sent events; an error ends the stream with an error event, without [DONE]."""
     answer = Answer()
     try:
         if first is not None:
             answer.append(first)
-            yield writer.event(first)
+            yield writer.chunk_event(first)
         async for run in runs:
             answer.append(run)
-            yield writer.event(run)
+            yield writer.chunk_event(run)
     except LarkpostError as error:
         document = error_document(error).model_dump()
         yield b"data: " + orjson.dumps({"error": document}) + b"\n\n"
         return
     finally:
         await runs.aclose()
-    yield writer.last_event(answer)
+    yield writer.final_event(answer)
     yield END_OF_STREAM
 
 
 class _Writer:
-    """Writes one answer in the words of the OpenAI API."""
+    """Encodes one answer in the format of the OpenAI API."""
 
     def __init__(self, call: InferenceCall, chat: bool) -> None:
         self._call = call
         self._chat = chat
         self._created = int(time.time())
 
-    def whole(self, answer: Answer) -> bytes:
-        """Writes a whole answer."""
+    def full_response(self, answer: Answer) -> bytes:
+        """Encodes a complete answer."""
         text = _text(answer.tokens)
         content = (
             {"message": {"role": "assistant", "content": text}} if self._chat else {"text": text}
@@ -160,14 +166,14 @@
         fields["usage"] = {"completion_tokens": len(answer.tokens)}
         return orjson.dumps(fields)
 
-    def event(self, run: TokenRun) -> bytes:
-        """Writes one piece of a stream."""
+    def chunk_event(self, run: TokenRun) -> bytes:
+        """Encodes a token run as an event of a stream."""
         text = _text(run.tokens) if run.offset == 0 else " " + _text(run.tokens)
         content = {"delta": {"content": text}} if self._chat else {"text": text}
         return _event(self._fields(self._chunk_kind(), content, None))
 
-    def last_event(self, answer: Answer) -> bytes:
-        """Writes the piece that ends a stream, with the whole answer's length and versions."""
+    def final_event(self, answer: Answer) -> bytes:
+        """Encodes the last event of a stream, with the length and versions of the answer."""
         content = {"delta": {}} if self._chat else {"text": ""}
         fields = self._fields(self._chunk_kind(), content, "stop")
         fields["larkpost"] = self._provenance(answer)
--- a/src/larkpost/standalone/api/operations.py
+++ b/src/larkpost/standalone/api/operations.py
@@ -1,4 +1,4 @@
-"""Routes for operators, monitoring and other daemons."""
+"""HTTP routes for operators, monitoring and other daemons."""
 
 import uuid
 
@@ -24,7 +24,7 @@
 
 
 class OperationRoutes:
-    """Serves intents, status, drains, metrics and health."""
+    """Serves intents, status, drains, metrics, health checks and requests of other daemons."""
 
     def __init__(self, daemon: Daemon) -> None:
         self._daemon = daemon
@@ -35,18 +35,18 @@
     def routes(self) -> list[Route]:
         """Returns the routes."""
         return [
-            Route("/v1/intent", self._guard(self._show), methods=["GET"]),
-            Route("/v1/intent/plan", self._guard(self._plan), methods=["POST"]),
-            Route("/v1/intent/confirm", self._guard(self._confirm), methods=["POST"]),
+            Route("/v1/intent", self._guard(self._get_intent), methods=["GET"]),
+            Route("/v1/intent/plan", self._guard(self._plan_intent), methods=["POST"]),
+            Route("/v1/intent/confirm", self._guard(self._confirm_plan), methods=["POST"]),
             Route("/v1/status", self._guard(self._status), methods=["GET"]),
             Route("/v1/engines/{engine}/drain", self._guard(self._drain), methods=["POST"]),
             Route("/metrics", self._metrics, methods=["GET"]),
             Route("/healthz", self._health, methods=["GET"]),
             Route("/readyz", self._ready, methods=["GET"]),
-            Route(PEER_PATH + "{method}", self._peer, methods=["POST"]),
+            Route(PEER_PATH + "{method}", self._handle_peer_request, methods=["POST"]),
         ]
 
-    async def _show(self, _request: Request) -> Response:
+    async def _get_intent(self, _request: Request) -> Response:
         state = self._daemon.board.configuration
         fields = {
             "epoch": state.epoch,
@@ -55,7 +55,7 @@
         }
         return Response(orjson.dumps(fields), media_type=JSON)
 
-    async def _plan(self, request: Request) -> Response:
+    async def _plan_intent(self, request: Request) -> Response:
         self._daemon.readiness.check()
         wanted = await read_document(request, Intent)
         state = self._daemon.board.configuration
@@ -63,7 +63,7 @@
         plan = make_plan(state.intent, state.epoch, wanted, engines, uuid.uuid4().hex)
         return json_response(plan)
 
-    async def _confirm(self, request: Request) -> Response:
+    async def _confirm_plan(self, request: Request) -> Response:
         self._daemon.readiness.check()
         plan = await read_document(request, Plan)
         return json_response(await self._daemon.configuration.confirm(plan))
@@ -82,10 +82,10 @@
         return PlainTextResponse("alive\n")
 
     async def _ready(self, _request: Request) -> Response:
-        status = 200 if self._daemon.readiness.admits else 503
+        status = 200 if self._daemon.readiness.admits_work else 503
         return PlainTextResponse(f"{self._daemon.board.phase}\n", status)
 
-    async def _peer(self, request: Request) -> Response:
+    async def _handle_peer_request(self, request: Request) -> Response:
         try:
             method = PeerMethod(request.path_params["method"])
         except ValueError:
@@ -96,14 +96,14 @@
 
 
 def describe_status(daemon: Daemon) -> dict:
-    """Returns what a daemon knows, as one JSON document."""
+    """Returns a daemon's view of the fleet, as fields of a JSON document."""
     board = daemon.board
     assigned = board.configuration.intent.assigned_pools()
     return {
         "daemon": board.members.own.id,
         "zone": board.members.own.zone,
         "phase": board.phase,
-        "admits": daemon.readiness.admits,
+        "admits": daemon.readiness.admits_work,
         "epoch": board.configuration.epoch,
         "open_batches": len(daemon.batches),
         "members": [
--- a/src/larkpost/standalone/batches/runner.py
+++ b/src/larkpost/standalone/batches/runner.py
@@ -1,9 +1,9 @@
-"""Runs the slots of one batch on engines: chooses which to start where, and which to double.
+"""Runs one batch's slots on engines and duplicates samples stuck on slow or unresponsive ones.
 
-Three policies shorten the time until the batch is whole: prompts with the longest expected answers
-start first, the samples of a prompt stay on one engine for its prefix cache, and samples on an
-engine that no longer reports, or that is much slower than the others, are continued on a second
-engine from the tokens they have. The first attempt to finish gives the slot its value.
+Three policies shorten the time to completion: prompts with the longest expected responses start
+first, samples of one prompt share an engine for its prefix cache, and samples on an engine that no
+longer reports, or is much slower than the others, are continued on a second engine from the tokens
+generated so far. The first attempt to finish provides the slot's value.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
     LoadPlacement,
     Placement,
     RoundRobinPlacement,
-    make_rooms,
+    make_capacities,
 )
 from larkpost.standalone.config.intent import TrainerIntent
 from larkpost.standalone.routing.dispatcher import Dispatcher
@@ -28,14 +28,14 @@
 from larkpost.standalone.settings import PlacementKind
 
 ROLLOUT_PRIORITY = 0
-"""The lowest: client requests come before rollouts."""
-SILENT_ENGINE_SECONDS = 3.0
-"""Age of an engine's last report after which its running samples are continued elsewhere."""
+"""The lowest priority: client requests come before rollouts."""
+UNRESPONSIVE_ENGINE_SECONDS = 3.0
+"""Age of an engine's last report in seconds at which its samples are continued elsewhere."""
 
 
 @dataclass(slots=True)
 class _Attempt:
-    """One running attempt at a slot."""
+    """A running attempt at a slot."""
 
     slot: int
     engine: EngineId
@@ -44,7 +44,7 @@
 
 
 class BatchRunner:
-    """Keeps one batch's slots running until each has a sample."""
+    """Runs attempts at one batch's slots until each has a sample."""
 
     def __init__(
         self,
@@ -65,41 +65,41 @@
         self._on_sample = on_sample
         self._attempts: list[_Attempt] = []
         self._last_engine: EngineId | None = None
-        self._group_engines: dict[int, EngineId] = {}
+        self._prompt_engines: dict[int, EngineId] = {}
 
     @property
-    def running(self) -> int:
-        """Attempts under way."""
+    def running_attempts(self) -> int:
+        """Number of running attempts."""
         return len(self._attempts)
 
-    def schedule(self) -> None:
-        """Starts what can be started now."""
+    def schedule_samples(self) -> None:
+        """Starts as many pending slots as engines have room for, then duplicates stuck samples."""
         self._cancel_outdated()
         placement = self._make_placement()
-        for slot in list(self.ledger.pending()):
-            engine = placement.take(self._group_engine(slot))
+        for slot in list(self.ledger.pending_slots()):
+            engine = placement.acquire(self._preferred_engine(slot))
             if engine is None:
                 return
             self._start(slot, engine, Answer())
             self._last_engine = engine
-        self._double_stuck_ones(placement)
+        self._duplicate_stuck_samples(placement)
 
     def cancel_all(self) -> None:
-        """Ends every attempt."""
+        """Cancels every attempt."""
         for attempt in list(self._attempts):
             self._cancel(attempt)
 
     def minimum_version(self) -> int:
         """Returns the lowest version at which a new sample may start.
 
-        It is the trainer's bound, tightened by the intent's weight on staleness, and never above
-        the trainer's version: an engine cannot hold a version that does not exist yet.
+        It is the trainer's staleness bound, tightened by the intent's staleness weight, and never
+        above the trainer's version, as engines cannot have a later one.
         """
         bound = self.ledger.spec.staleness_bound
         trainer = self._trainer()
         weight = trainer.staleness_weight if trainer is not None else 0.0
-        wanted = self.ledger.trainer_version - round((1 - weight) * bound)
-        return max(wanted, self.ledger.oldest_accepted)
+        weighted = self.ledger.trainer_version - round((1 - weight) * bound)
+        return max(weighted, self.ledger.oldest_accepted)
 
     def _trainer(self) -> TrainerIntent | None:
         return self._board.configuration.intent.trainer(self.ledger.spec.trainer)
@@ -107,47 +107,47 @@
     def _make_placement(self) -> Placement:
         candidates = self._selector.candidates(self._make_work(0), ())
         pool = self._board.configuration.intent.pool(self.ledger.spec.pool)
-        rooms = make_rooms(candidates, pool.client_reserve if pool is not None else 0)
+        capacities = make_capacities(candidates, pool.client_reserve if pool is not None else 0)
         if self._settings.placement == PlacementKind.ROUND_ROBIN:
-            return RoundRobinPlacement(rooms, self._last_engine)
-        return LoadPlacement(rooms)
+            return RoundRobinPlacement(capacities, self._last_engine)
+        return LoadPlacement(capacities)
 
-    def _group_engine(self, slot: int) -> EngineId | None:
+    def _preferred_engine(self, slot: int) -> EngineId | None:
         if not self._settings.keep_groups:
             return None
-        return self._group_engines.get(self.ledger.spec.prompt_index(slot))
+        return self._prompt_engines.get(self.ledger.spec.prompt_index(slot))
 
-    def _double_stuck_ones(self, placement: Placement) -> None:
-        """Continues samples of silent engines and stragglers on a second engine as well."""
+    def _duplicate_stuck_samples(self, placement: Placement) -> None:
+        """Continues samples of unresponsive engines and stragglers on a second engine as well."""
         engines = {attempt.engine for attempt in self._attempts}
-        stuck = {engine for engine in engines if self._is_silent(engine)}
+        stuck = {engine for engine in engines if self._is_unresponsive(engine)}
         if self._settings.duplicate_slow:
             pool = self._board.pool_engines(self.ledger.spec.pool)
             stuck |= self._board.engines.speeds.stragglers(pool, self._clock.now())
         for attempt in [a for a in self._attempts if a.engine in stuck]:
             if len(self.ledger.engines_of(attempt.slot)) != 1:
                 continue
-            engine = placement.take_other(attempt.engine)
+            engine = placement.acquire_other(attempt.engine)
             if engine is None:
                 return
             self._telemetry.count("samples_duplicated")
-            copy = Answer(list(attempt.answer.tokens), list(attempt.answer.spans))
-            self._start(attempt.slot, engine, copy)
+            partial_answer = Answer(list(attempt.answer.tokens), list(attempt.answer.spans))
+            self._start(attempt.slot, engine, partial_answer)
 
-    def _is_silent(self, engine: EngineId) -> bool:
+    def _is_unresponsive(self, engine: EngineId) -> bool:
         load = self._board.engines.loads.get(engine)
-        return load is None or self._clock.now() - load.at > SILENT_ENGINE_SECONDS
+        return load is None or self._clock.now() - load.at > UNRESPONSIVE_ENGINE_SECONDS
 
     def _cancel_outdated(self) -> None:
-        """Ends attempts whose first tokens are already too old for the trainer."""
+        """Cancels attempts that have tokens of a version the trainer no longer accepts."""
         for attempt in list(self._attempts):
             answer = attempt.answer
             if answer.spans and answer.oldest_version < self.ledger.oldest_accepted:
                 self._cancel(attempt)
 
     def _start(self, slot: int, engine: EngineId, answer: Answer) -> None:
-        self.ledger.start(slot, engine)
-        self._group_engines.setdefault(self.ledger.spec.prompt_index(slot), engine)
+        self.ledger.start_attempt(slot, engine)
+        self._prompt_engines.setdefault(self.ledger.spec.prompt_index(slot), engine)
         attempt = _Attempt(slot, engine, answer)
         self._attempts.append(attempt)
         attempt.task = self._tasks.spawn(self._run(attempt), f"sample-{slot}")
@@ -161,7 +161,7 @@
                 async for run in runs:
                     answer.append(run)
         except LarkpostError as error:
-            self._telemetry.change(f"batch.{self.ledger.spec.id}.failure", error.code)
+            self._telemetry.log_state(f"batch.{self.ledger.spec.id}.failure", error.code)
         else:
             self._finish(attempt)
         finally:
@@ -188,7 +188,7 @@
     def _end(self, attempt: _Attempt) -> None:
         if attempt in self._attempts:
             self._attempts.remove(attempt)
-            self.ledger.abandon(attempt.slot, attempt.engine)
+            self.ledger.end_attempt(attempt.slot, attempt.engine)
 
     def _make_work(self, slot: int) -> Work:
         spec = self.ledger.spec
--- a/src/larkpost/standalone/config/plan.py
+++ b/src/larkpost/standalone/config/plan.py
@@ -1,4 +1,4 @@
-"""Plans: what confirming an intent would change, computed without acting."""
+"""Plans: the changes that confirming an intent would make, computed without applying them."""
 
 from collections.abc import Iterable, Sequence
 from enum import StrEnum
@@ -10,11 +10,11 @@
 from larkpost.standalone.blackboard.engines import EngineInfo
 from larkpost.standalone.config.intent import Intent, PoolIntent, ServiceIntent, TrainerIntent
 
-User = TrainerIntent | ServiceIntent
+CallerIntent = TrainerIntent | ServiceIntent
 
 
 class ActionKind(StrEnum):
-    """What a step of a plan does."""
+    """Kind of a step of a plan."""
 
     MOVE = "move"
     LOAD = "load"
@@ -24,7 +24,7 @@
 
 
 class PlannedAction(BaseModel):
-    """One step of a plan, for an operator to read."""
+    """One step of a plan, described for operators."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
     kind: ActionKind
@@ -33,9 +33,9 @@
 
 
 class Plan(BaseModel):
-    """An intent, the epoch it was compared with, and the steps it leads to.
+    """An intent, the epoch it was compared with, and the resulting steps.
 
-    The plan is complete in itself, so any daemon can confirm it.
+    A plan is self-contained, so any daemon can confirm it.
     """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
@@ -48,22 +48,22 @@
 def make_plan(
     current: Intent, base_epoch: int, wanted: Intent, engines: Iterable[EngineInfo], nonce: str
 ) -> Plan:
-    """Compares two intents.
+    """Compares the intent in force with a wanted one.
 
     Args:
         current: the intent in force at ``base_epoch``.
-        base_epoch: the epoch the plan may be confirmed against.
+        base_epoch: the epoch that must still be in force when the plan is confirmed.
         wanted: the operator's intent.
         engines: every engine of the directory.
-        nonce: makes the plan's id unique among equal intents.
+        nonce: makes the ids of plans with equal intents unique.
 
     Returns:
-        The plan with its actions in a stable order.
+        The plan, with its actions in a stable order.
     """
     actions = [
         *_engine_actions(current, wanted, engines),
-        *_user_actions("trainer", current.trainers, wanted.trainers),
-        *_user_actions("service", current.services, wanted.services),
+        *_caller_actions("trainer", current.trainers, wanted.trainers),
+        *_caller_actions("service", current.services, wanted.services),
         *_pool_changes(current, wanted),
     ]
     text = f"{base_epoch}:{nonce}:{wanted.model_dump_json()}"
@@ -76,8 +76,8 @@
 
 
 def pool_of(engine: EngineInfo, assigned: dict[EngineId, PoolId]) -> PoolId:
-    """Returns the engine's pool: the intent's assignment, else the machine list's label."""
-    return assigned.get(engine.id, engine.label_pool)
+    """Returns the engine's pool: the intent's assignment, else the machine list's default."""
+    return assigned.get(engine.id, engine.default_pool)
 
 
 def _engine_actions(
@@ -89,11 +89,11 @@
     for engine in sorted(engines, key=lambda info: info.id):
         old = current.pool(pool_of(engine, old_pools))
         new = wanted.pool(pool_of(engine, new_pools))
-        actions += _actions_of_engine(engine.id, old, new)
+        actions += _actions_for_engine(engine.id, old, new)
     return actions
 
 
-def _actions_of_engine(
+def _actions_for_engine(
     engine: EngineId, old: PoolIntent | None, new: PoolIntent | None
 ) -> list[PlannedAction]:
     if new is None:
@@ -111,11 +111,11 @@
     return actions
 
 
-def _user_actions(
-    kind: str, old_users: Sequence[User], new_users: Sequence[User]
+def _caller_actions(
+    kind: str, old_callers: Sequence[CallerIntent], new_callers: Sequence[CallerIntent]
 ) -> list[PlannedAction]:
-    old_by_name = {user.name: user for user in old_users}
-    new_by_name = {user.name: user for user in new_users}
+    old_by_name = {caller.name: caller for caller in old_callers}
+    new_by_name = {caller.name: caller for caller in new_callers}
     actions = []
     for name in sorted(old_by_name.keys() | new_by_name.keys()):
         old = old_by_name.get(name)
--- a/src/larkpost/standalone/controllers/monitor.py
+++ b/src/larkpost/standalone/controllers/monitor.py
@@ -1,8 +1,8 @@
-"""Load reports: the owner asks its engines and pushes summaries to the daemons that subscribed.
+"""Load reports: an owner polls its engines and pushes load summaries to subscribed daemons.
 
-A daemon follows a bounded subset of each pool, so that its cost does not grow with the fleet. The
-subset is made of whole owners, chosen by rendezvous hashing: few datagrams carry many engines, and
-two random daemons follow different owners, which spreads the load.
+A daemon watches a bounded subset of each pool, so its cost does not grow with the fleet. In its own
+zone the subset consists of all engines of some owners, chosen by rendezvous hashing: each datagram
+then carries many engines, and different daemons watch different owners, which spreads the load.
 """
 
 import asyncio
@@ -19,15 +19,15 @@
 from larkpost.standalone.wire import larkpost_pb2 as pb
 
 SUBSCRIPTION_LIFETIME = 10.0
-"""Seconds for which a subscription holds: a renewal may be lost."""
+"""Seconds until a subscription expires; longer than two renewals, as one may be lost."""
 SUBSCRIBE_INTERVAL = 4.0
-"""Seconds between two renewals of the subscriptions."""
+"""Seconds between renewals of the subscriptions."""
 LOADS_PER_DATAGRAM = 24
-"""Loads of engines that one datagram carries."""
+"""Maximum number of engine loads in one datagram."""
 
 
 class Monitor:
-    """Watches owned engines and follows others."""
+    """Polls owned engines and receives the loads of other watched engines."""
 
     def __init__(
         self,
@@ -45,29 +45,29 @@
         self._settings = runtime.settings.engines
         self._subscribers: dict[tuple[DaemonId, PoolId], float] = {}
         self._watched: dict[PoolId, list[EngineId]] = {}
-        self._remote: dict[PoolId, tuple[tuple[int, int, int], list[EngineId]]] = {}
-        self._watched_at: tuple[int, int, int] = (-1, -1, -1)
-        gossip.handle("subscribe", self._on_subscribe)
-        gossip.handle("load", self._on_load)
+        self._remote_cache: dict[PoolId, tuple[tuple[int, int, int], list[EngineId]]] = {}
+        self._watched_key: tuple[int, int, int] = (-1, -1, -1)
+        gossip.register_handler("subscribe", self._on_subscribe)
+        gossip.register_handler("load", self._on_load)
 
-    def watched(self, pool: PoolId) -> list[EngineId]:
-        """Returns the engines of a pool that this daemon chooses from."""
+    def watched_engines(self, pool: PoolId) -> list[EngineId]:
+        """Returns the engines of a pool from which this daemon selects."""
         board = self._board
         key = (board.configuration.epoch, board.engines.revision, board.members.revision)
-        if key != self._watched_at:
+        if key != self._watched_key:
             self._watched.clear()
-            self._watched_at = key
+            self._watched_key = key
         if pool not in self._watched:
             self._watched[pool] = self._choose_watched(pool)
         return self._watched[pool]
 
-    async def report_owned(self) -> None:
-        """Asks every owned engine for its report."""
+    async def poll_owned_engines(self) -> None:
+        """Requests a report from every owned engine."""
         owned = [self._board.engines.directory[engine] for engine in self._board.owned]
-        await asyncio.gather(*(self.ask(info) for info in owned))
+        await asyncio.gather(*(self.poll_engine(info) for info in owned))
 
-    async def report_swapping(self) -> None:
-        """Asks the owned engines that are swapping, often, so that a done swap is used at once."""
+    async def poll_swapping_engines(self) -> None:
+        """Requests a report from each swapping engine, to use it soon after its swap ends."""
         loads = self._board.engines.loads
         swapping = [
             self._board.engines.directory[engine]
@@ -75,41 +75,41 @@
             if engine in loads and loads[engine].swapping
         ]
         if swapping:
-            await asyncio.gather(*(self.ask(info) for info in swapping))
+            await asyncio.gather(*(self.poll_engine(info) for info in swapping))
 
-    async def ask(self, info: EngineInfo) -> EngineLoad | None:
-        """Asks one engine for its report; None if it does not answer or is another engine."""
+    async def poll_engine(self, info: EngineInfo) -> EngineLoad | None:
+        """Requests an engine's report; None if it does not answer or names another engine."""
         try:
             report = await self._engines.report(info.address, self._settings.report_timeout)
         except EngineError:
-            self._telemetry.change(f"engine.{info.id}.report", "unreachable")
+            self._telemetry.log_state(f"engine.{info.id}.report", "unreachable")
             return None
         if report.engine != info.id:
             return None
-        self._telemetry.change(f"engine.{info.id}.report", "reachable")
+        self._telemetry.log_state(f"engine.{info.id}.report", "reachable")
         load = load_from_report(report, self._clock.now())
         known = self._board.engines.loads.get(info.id)
-        self._board.engines.observe(load)
+        self._board.engines.record_load(load)
         self._ownership.check_report(report)
         if info.id in self._board.owned and known is not None and known.version != load.version:
-            self._push(info.id)
+            self._push_load(info.id)
         return load
 
     async def push_summaries(self) -> None:
-        """Sends the load of owned engines to the subscribers of their pools."""
+        """Sends the loads of owned engines to the subscribers of their pools."""
         now = self._clock.now()
         self._subscribers = {k: end for k, end in self._subscribers.items() if end > now}
         for daemon, pool in self._subscribers:
             self._send_loads(daemon, self._loads_of(pool))
 
     def record_swapping(self, engine: EngineId) -> None:
-        """Records that an owned engine was just ordered to swap, and informs the subscribers."""
+        """Marks an owned engine as swapping and notifies the subscribers of its pool."""
         load = self._board.engines.loads[engine]
         self._board.engines.loads[engine] = replace(load, swapping=True)
-        self._push(engine)
+        self._push_load(engine)
 
-    def _push(self, engine: EngineId) -> None:
-        """Sends the subscribers at once what has changed at an engine."""
+    def _push_load(self, engine: EngineId) -> None:
+        """Sends an engine's load to the subscribers of its pool at once."""
         load = _load_message(self._board.engines.loads[engine], self._clock.now())
         for daemon, pool in self._subscribers:
             if self._board.engine_pool(engine) == pool:
@@ -126,14 +126,14 @@
     async def subscribe(self) -> None:
         """Renews the subscriptions with the owners of the watched engines."""
         own = self._board.members.own.id
-        wanted: set[tuple[str, PoolId]] = set()
+        subscriptions: set[tuple[str, PoolId]] = set()
         for pool in self._pools():
-            for engine in self.watched(pool):
+            for engine in self.watched_engines(pool):
                 owner = self._ownership.owner_of(self._board.engines.directory[engine])
                 if owner is not None and owner != own:
-                    wanted.add((owner, pool))
+                    subscriptions.add((owner, pool))
         ttl = int(SUBSCRIPTION_LIFETIME * 1000)
-        for owner, pool in sorted(wanted):
+        for owner, pool in sorted(subscriptions):
             member = self._board.members.get(DaemonId(owner))
             if member is not None:
                 body = pb.Subscribe(pool=pool, ttl_ms=ttl)
@@ -148,22 +148,22 @@
         directory = self._board.engines.directory
         local = [engine for engine in engines if directory[engine].zone == own.zone]
         remote = [engine for engine in engines if directory[engine].zone != own.zone]
-        local = self._of_best_owners(local, self._settings.watched_per_pool)
+        local = self._engines_of_best_owners(local, self._settings.watched_per_pool)
         missing = self._settings.watched_per_pool - len(local)
         count = max(missing, self._settings.watched_remote)
         return local + self._best_remote(pool, remote, count)
 
     def _best_remote(self, pool: PoolId, engines: list[EngineId], count: int) -> list[EngineId]:
-        """Returns engines of other zones; kept until the directory changes, as they are many."""
+        """Returns the best-scoring engines of other zones, cached until the directory changes."""
         key = (self._board.configuration.epoch, self._board.engines.revision, count)
-        if self._remote.get(pool, (None, []))[0] != key:
+        if self._remote_cache.get(pool, (None, []))[0] != key:
             own = self._board.members.own.id
             best = nlargest(count, engines, key=lambda engine: score(own, engine))
-            self._remote[pool] = (key, best)
-        return self._remote[pool][1]
+            self._remote_cache[pool] = (key, best)
+        return self._remote_cache[pool][1]
 
-    def _of_best_owners(self, engines: list[EngineId], count: int) -> list[EngineId]:
-        """Returns the engines of the first owners that have at least ``count`` together."""
+    def _engines_of_best_owners(self, engines: list[EngineId], count: int) -> list[EngineId]:
+        """Returns all engines of the best-scoring owners, until there are at least ``count``."""
         by_owner: dict[str, list[EngineId]] = {}
         for engine in engines:
             owner = self._ownership.owner_of(self._board.engines.directory[engine])
@@ -194,7 +194,7 @@
     def _on_load(self, envelope: pb.Envelope) -> None:
         now = self._clock.now()
         for message in envelope.load.engines:
-            self._board.engines.observe(_load_from_message(message, now))
+            self._board.engines.record_load(_load_from_message(message, now))
 
 
 def _load_message(load: EngineLoad, now: float) -> pb.EngineLoad:
--- a/src/larkpost/standalone/controllers/owner_map.py
+++ b/src/larkpost/standalone/controllers/owner_map.py
@@ -1,10 +1,10 @@
-"""Which daemon each engine falls to, kept up to date by differences.
+"""Assignment of engines to daemons, updated incrementally.
 
-The owner is the daemon of the engine's zone with the highest rendezvous score; a zone without
-daemons falls to the others. A full computation is engines times daemons, tens of milliseconds at
-3,200 engines. A joining daemon only has to be compared with each engine's present owner, and a
-leaving one only leaves its own engines to be assigned again. Only the daemon's own zone and zones
-without daemons are kept so; the owner of an engine elsewhere is computed when it is asked for.
+The owner of an engine is the daemon of its zone with the highest rendezvous score; engines of a
+zone without daemons are assigned among all daemons. A full computation costs engines times daemons,
+so it is avoided: a joining daemon is compared with each engine's current owner only, and a leaving
+one has only its own engines reassigned. Owners are cached for the daemon's own zone and for zones
+without daemons; those of other zones are computed on demand.
 """
 
 from collections.abc import Iterable
@@ -16,16 +16,16 @@
 
 
 class OwnerMap:
-    """Owners of all engines in one daemon's view."""
+    """Maps each engine to its owner in one daemon's view."""
 
     def __init__(self, board: Blackboard) -> None:
         self._board = board
         self._owners: dict[EngineId, DaemonId] = {}
         self._engines: dict[ZoneId, list[EngineInfo]] = {}
         self._candidates: dict[ZoneId, set[DaemonId]] = {}
-        self._seen = (-1, -1)
+        self._seen_revisions = (-1, -1)
         self.revision = 0
-        """Grows with each change of an owner."""
+        """Increases with each change of a cached owner."""
 
     def owner_revision(self) -> tuple[int, int]:
         """Returns a value that changes with each change of an owner or of the directory."""
@@ -33,39 +33,39 @@
         return self.revision, self._board.engines.revision
 
     def owner_of(self, engine: EngineId) -> DaemonId | None:
-        """Returns the daemon to which the engine falls, or None."""
+        """Returns the engine's owner, or None if there is none."""
         self._refresh()
         info = self._board.engines.directory.get(engine)
         if info is None or info.zone in self._candidates:
             return self._owners.get(engine)
-        return _best((m.id for m in self._board.members.eligible(info.zone)), engine)
+        return _best_candidate((m.id for m in self._board.members.eligible(info.zone)), engine)
 
     def engines_of(self, daemon: DaemonId) -> list[EngineInfo]:
-        """Returns the engines that fall to a daemon."""
+        """Returns the engines whose cached owner is the given daemon."""
         self._refresh()
         infos = self._board.engines.entries()
         return [info for info in infos if self._owners.get(info.id) == daemon]
 
     def _refresh(self) -> None:
-        seen = (self._board.members.revision, self._board.engines.revision)
-        if seen == self._seen:
+        revisions = (self._board.members.revision, self._board.engines.revision)
+        if revisions == self._seen_revisions:
             return
-        if seen[1] != self._seen[1]:
+        if revisions[1] != self._seen_revisions[1]:
             self._index_engines()
-        self._seen = seen
+        self._seen_revisions = revisions
         eligible = self._board.members.eligible()
-        everyone = {member.id for member in eligible}
-        served = {member.zone for member in eligible}
+        all_daemons = {member.id for member in eligible}
+        zones_with_daemons = {member.zone for member in eligible}
         own_zone = self._board.members.own.zone
         for zone, engines in self._engines.items():
-            if zone in served and zone != own_zone:
-                self._forget_zone(zone, engines)
+            if zone in zones_with_daemons and zone != own_zone:
+                self._drop_zone(zone, engines)
             else:
                 own = {member.id for member in eligible if member.zone == zone}
-                self._update_zone(zone, engines, own or everyone)
+                self._update_zone(zone, engines, own or all_daemons)
 
     def _index_engines(self) -> None:
-        """Groups the directory by zone; engines that moved or are new have no owner yet."""
+        """Groups the directory by zone and drops the owners of engines that are new to a zone."""
         grouped: dict[ZoneId, list[EngineInfo]] = {}
         for info in self._board.engines.entries():
             grouped.setdefault(info.zone, []).append(info)
@@ -79,18 +79,18 @@
     def _update_zone(
         self, zone: ZoneId, engines: list[EngineInfo], candidates: set[DaemonId]
     ) -> None:
-        before = self._candidates.get(zone, set())
-        added = candidates - before
+        previous = self._candidates.get(zone, set())
+        added = candidates - previous
         self._candidates[zone] = candidates
         for info in engines:
             owner = self._owners.get(info.id)
             if owner is None or owner not in candidates:
-                self._assign(info.id, _best(candidates, info.id))
+                self._assign(info.id, _best_candidate(candidates, info.id))
             elif added:
-                self._assign(info.id, _best({owner, *added}, info.id))
+                self._assign(info.id, _best_candidate({owner, *added}, info.id))
 
-    def _forget_zone(self, zone: ZoneId, engines: list[EngineInfo]) -> None:
-        """Drops the owners of a zone that has daemons of its own again."""
+    def _drop_zone(self, zone: ZoneId, engines: list[EngineInfo]) -> None:
+        """Drops the cached owners of another zone once it has daemons of its own."""
         if self._candidates.pop(zone, None) is not None:
             self.revision += 1
             for info in engines:
@@ -104,5 +104,5 @@
             self.revision += 1
 
 
-def _best(candidates: Iterable[DaemonId], engine: EngineId) -> DaemonId | None:
+def _best_candidate(candidates: Iterable[DaemonId], engine: EngineId) -> DaemonId | None:
     return max(candidates, key=lambda daemon: score(daemon, engine), default=None)
--- a/src/larkpost/standalone/controllers/weights.py
+++ b/src/larkpost/standalone/controllers/weights.py
@@ -1,9 +1,9 @@
-"""Weight swaps: the owner brings each engine to its policy's newest version, wave by wave.
+"""Rolling weight swaps: each engine's owner moves it to its policy's newest version in waves.
 
-The wave of an engine follows from its rank in the pool, so owners need no messages to stagger
-swaps, and at no time does the whole pool swap. A wave starts once the engines of the earlier waves
-that this daemon follows have the version, at the latest after the pool's interval. A swap is done
-when the engine reports the version, never when the order was accepted.
+An engine's wave follows from its rank in the pool, so owners stagger swaps without messages and the
+whole pool never swaps at once. A wave starts once the engines of earlier waves that this daemon
+watches have the version, or at the latest after the pool's interval. A swap is complete when the
+engine reports the version, not when it accepts the order.
 """
 
 from larkpost.common.ids import EngineId
@@ -21,13 +21,13 @@
 from larkpost.standalone.runtime import Runtime
 
 RETRY_BASE = 0.5
-"""Seconds after a first failed order before the next one; doubles with each."""
+"""Seconds between a first order and its retry; doubles with each further retry."""
 RETRY_LIMIT = 8.0
-"""Most seconds between two orders to an engine that fails them."""
+"""Maximum seconds between retries of an order."""
 
 
 class WeightController:
-    """Orders swaps at owned engines."""
+    """Orders weight swaps at owned engines."""
 
     def __init__(
         self,
@@ -47,16 +47,16 @@
         self._settings = runtime.settings.engines
         self._rng = runtime.rng
         self._failures: dict[EngineId, int] = {}
-        self._not_before: dict[EngineId, float] = {}
+        self._retry_at: dict[EngineId, float] = {}
 
     async def reconcile(self) -> None:
-        """Orders each swap that is due."""
+        """Orders the swaps that are due."""
         due = [
             (engine, pool)
             for engine, pool in self._owned_with_pools()
             if self._is_due(engine, pool)
         ]
-        if not due or not self._readiness.admits:
+        if not due or not self._readiness.admits_work:
             return
         for engine, pool in due:
             await self._swap(engine, pool)
@@ -73,18 +73,22 @@
         if load.version >= target:
             self._failures.pop(engine, None)
             return False
-        if self._clock.now() < self._not_before.get(engine, 0.0):
+        if self._clock.now() < self._retry_at.get(engine, 0.0):
             return False
         return self._wave_has_begun(engine, pool, target)
 
     def _wave_has_begun(self, engine: EngineId, pool: PoolIntent, target: int) -> bool:
         ranks = {name: rank for rank, name in enumerate(self._board.pool_engines(pool.name))}
         wave = ranks[engine] % pool.swap_waves
-        latest = self._board.policy_learned_at[pool.policy] + wave * pool.swap_interval_seconds
-        if self._clock.now() >= latest:
+        latest_start = (
+            self._board.policy_learned_at[pool.policy] + wave * pool.swap_interval_seconds
+        )
+        if self._clock.now() >= latest_start:
             return True
-        earlier = [e for e in self._monitor.watched(pool.name) if ranks[e] % pool.swap_waves < wave]
-        return all(self._has_version(name, target) for name in earlier)
+        earlier_engines = [
+            e for e in self._monitor.watched_engines(pool.name) if ranks[e] % pool.swap_waves < wave
+        ]
+        return all(self._has_version(name, target) for name in earlier_engines)
 
     def _has_version(self, engine: EngineId, target: int) -> bool:
         load = self._board.engines.loads.get(engine)
@@ -101,20 +105,20 @@
             policy=pool.policy,
             version=self._board.policy_versions[pool.policy],
         )
-        self._back_off(engine)
+        self._schedule_retry(engine)
         self._telemetry.count("swap_orders")
         address = self._board.engines.directory[engine].address
         try:
             await self._engines.order(address, order, self._settings.order_timeout)
             self._monitor.record_swapping(engine)
         except StaleTokenError:
-            self._ownership.give_up(engine)
+            self._ownership.release(engine)
         except EngineError:
             self._telemetry.count("swap_failures")
 
-    def _back_off(self, engine: EngineId) -> None:
-        """Sets the earliest next order; the first success of the engine resets it."""
+    def _schedule_retry(self, engine: EngineId) -> None:
+        """Sets the earliest time of the next order; reaching the target version resets it."""
         failures = self._failures.get(engine, 0)
         self._failures[engine] = failures + 1
         wait = min(RETRY_BASE * 2**failures, RETRY_LIMIT)
-        self._not_before[engine] = self._clock.now() + wait * self._rng.uniform(0.5, 1.0)
+        self._retry_at[engine] = self._clock.now() + wait * self._rng.uniform(0.5, 1.0)
--- a/src/larkpost/standalone/engines/http_adapter.py
+++ b/src/larkpost/standalone/engines/http_adapter.py
@@ -1,7 +1,7 @@
 """The engine port over HTTP: JSON requests, answers as server-sent events.
 
-The request's body leaves only when the connection stands and the caller still allows it, and that
-moment is recorded. A failure before it proves that the engine cannot have executed the request.
+The request body is sent only once connected and while the caller still permits it, and the sending
+is recorded. A failure before that proves that the engine has not run the request.
 """
 
 import asyncio
@@ -12,12 +12,12 @@
 import orjson
 
 from larkpost.common.ids import Address, AttemptId, DaemonId, EngineId
-from larkpost.standalone.documents import read_fields
+from larkpost.standalone.documents import parse_json_object
 from larkpost.standalone.engines.port import (
-    EngineBrokenError,
     EngineChunk,
     EngineError,
     EngineNotSentError,
+    EngineOutcomeUnknownError,
     EngineRefusedError,
     EngineReport,
     GenerateRequest,
@@ -26,16 +26,16 @@
 )
 
 CONNECT_TIMEOUT = 2.0
-"""Longest wait in seconds for a connection to an engine."""
+"""Maximum seconds to wait for a connection to an engine."""
 CANCEL_TIMEOUT = 1.0
-"""Longest wait in seconds for the cancelling of an attempt."""
+"""Maximum seconds to wait for the cancellation of an attempt."""
 EVENT_PREFIX = b"data: "
 REFUSED_STATUSES = (409, 429, 503)
 NETWORK_ERRORS = (aiohttp.ClientError, TimeoutError, OSError)
 
 
-class _GuardedBody:
-    """A request body that leaves at most once, and only while the caller allows it."""
+class _SendOnceBody:
+    """A request body that is sent at most once, and only while the caller permits it."""
 
     def __init__(self, content: bytes, may_send: Callable[[], bool]) -> None:
         self._content = content
@@ -43,9 +43,11 @@
         self.sent = False
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yields the body once; aiohttp asks for it after it has connected."""
+        """Yields the body once; aiohttp reads it after connecting."""
         if self.sent or not self._may_send():
-            raise EngineNotSentError("the request may no longer be sent")
+            raise EngineNotSentError(
+                "the request may not be sent: it was sent before or is no longer permitted"
+            )
         self.sent = True
         yield self._content
 
@@ -63,13 +65,13 @@
         chunk_timeout: float,
         may_send: Callable[[], bool],
     ) -> AsyncIterator[EngineChunk]:
-        body = _GuardedBody(orjson.dumps(request), may_send)
+        body = _SendOnceBody(orjson.dumps(request), may_send)
         headers = {"Content-Type": "application/json"}
-        limit = _stream_timeout(chunk_timeout)
+        client_timeout = _stream_timeout(chunk_timeout)
         url = f"http://{address}/v1/generate"
         try:
             async with self._session.post(
-                url, data=body.chunks(), headers=headers, timeout=limit
+                url, data=body.chunks(), headers=headers, timeout=client_timeout
             ) as response:
                 await _check_status(response, request.attempt)
                 async for chunk in _read_events(response):
@@ -77,55 +79,61 @@
         except NETWORK_ERRORS as error:
             if not body.sent:
                 raise EngineNotSentError(repr(error)) from error
-            raise EngineBrokenError(repr(error)) from error
+            raise EngineOutcomeUnknownError(repr(error)) from error
 
     async def resume(
         self, address: Address, attempt: AttemptId, offset: int, chunk_timeout: float
     ) -> AsyncIterator[EngineChunk]:
         url = f"http://{address}/v1/attempts/{attempt}"
-        limit = _stream_timeout(chunk_timeout)
+        client_timeout = _stream_timeout(chunk_timeout)
         try:
             async with self._session.get(
-                url, params={"offset": str(offset)}, timeout=limit
+                url, params={"offset": str(offset)}, timeout=client_timeout
             ) as response:
                 await _check_status(response, attempt)
                 async for chunk in _read_events(response):
                     yield chunk
         except NETWORK_ERRORS as error:
-            raise EngineBrokenError(repr(error)) from error
+            raise EngineOutcomeUnknownError(repr(error)) from error
 
     async def cancel(self, address: Address, attempt: AttemptId) -> None:
         url = f"http://{address}/v1/attempts/{attempt}"
         try:
-            async with self._session.delete(url, timeout=_total(CANCEL_TIMEOUT)) as response:
+            async with self._session.delete(
+                url, timeout=_total_timeout(CANCEL_TIMEOUT)
+            ) as response:
                 await response.read()
         except NETWORK_ERRORS as error:
-            raise EngineBrokenError(repr(error)) from error
+            raise EngineOutcomeUnknownError(repr(error)) from error
 
     async def report(self, address: Address, timeout: float) -> EngineReport:
         url = f"http://{address}/v1/report"
         try:
-            async with self._session.get(url, timeout=_total(timeout)) as response:
-                fields = read_fields(await response.read())
+            async with self._session.get(url, timeout=_total_timeout(timeout)) as response:
+                fields = parse_json_object(await response.read())
             return _parse_report(fields)
         except NETWORK_ERRORS as error:
-            raise EngineBrokenError(repr(error)) from error
+            raise EngineOutcomeUnknownError(repr(error)) from error
         except (KeyError, TypeError, ValueError) as error:
-            raise EngineBrokenError(f"not a report: {error!r}") from error
+            raise EngineOutcomeUnknownError(f"invalid engine report: {error!r}") from error
 
     async def order(self, address: Address, order: Order, timeout: float) -> None:
         url = f"http://{address}/v1/orders"
         try:
             async with self._session.post(
-                url, data=orjson.dumps(order), timeout=_total(timeout)
+                url, data=orjson.dumps(order), timeout=_total_timeout(timeout)
             ) as response:
-                fields = read_fields(await response.read())
+                fields = parse_json_object(await response.read())
         except (*NETWORK_ERRORS, ValueError) as error:
-            raise EngineBrokenError(repr(error)) from error
+            raise EngineOutcomeUnknownError(repr(error)) from error
         if response.status == 412:
-            raise StaleTokenError("the engine has accepted a higher token", fields.get("token", 0))
+            raise StaleTokenError(
+                f"the engine has accepted a higher token than {order.token}", fields.get("token", 0)
+            )
         if response.status != 200:
-            raise EngineError(f"order refused: {fields.get('error', response.status)}")
+            raise EngineError(
+                f"the engine refused the order: {fields.get('error', response.status)}"
+            )
 
 
 def _stream_timeout(chunk_timeout: float) -> aiohttp.ClientTimeout:
@@ -134,52 +142,52 @@
     )
 
 
-def _total(timeout: float) -> aiohttp.ClientTimeout:
+def _total_timeout(timeout: float) -> aiohttp.ClientTimeout:
     return aiohttp.ClientTimeout(total=timeout)
 
 
 async def _check_status(response: aiohttp.ClientResponse, attempt: AttemptId) -> None:
-    """Lets a stream pass; a refusal counts only if it names this very attempt."""
+    """Raises an error unless the status is 200; a refusal must name the attempt to count."""
     if response.status == 200:
         return
     content = await response.read()
     try:
-        fields = read_fields(content)
+        fields = parse_json_object(content)
     except ValueError:
         fields = {}
-    named = fields.get("attempt") == attempt
-    if response.status in REFUSED_STATUSES and named and fields.get("ran") is False:
+    names_attempt = fields.get("attempt") == attempt
+    if response.status in REFUSED_STATUSES and names_attempt and fields.get("ran") is False:
         raise EngineRefusedError(str(fields.get("error")), fields.get("retry_after"))
-    raise EngineBrokenError(f"status {response.status}")
+    raise EngineOutcomeUnknownError(f"the engine answered with status {response.status}")
 
 
 async def _read_events(response: aiohttp.ClientResponse) -> AsyncIterator[EngineChunk]:
-    """Yields chunks; those that arrived together are joined, which saves work for every one."""
-    rest = b""
+    """Yields chunks; those that arrive together are joined, to reduce the work per chunk."""
+    remainder = b""
     async for data in response.content.iter_any():
-        *lines, rest = (rest + data).split(b"\n")
+        *lines, remainder = (remainder + data).split(b"\n")
         try:
             chunks = [
-                _parse_chunk(read_fields(line[len(EVENT_PREFIX) :]))
+                _parse_chunk(parse_json_object(line[len(EVENT_PREFIX) :]))
                 for line in lines
                 if line.startswith(EVENT_PREFIX)
             ]
         except (KeyError, TypeError, ValueError) as error:
-            raise EngineBrokenError(f"not a chunk: {error!r}") from error
+            raise EngineOutcomeUnknownError(f"invalid answer chunk: {error!r}") from error
         for chunk in _join(chunks):
             yield chunk
 
 
 def _join(chunks: list[EngineChunk]) -> list[EngineChunk]:
-    """Joins neighbours of one attempt and version that follow each other without a gap."""
+    """Joins consecutive chunks of one attempt and version."""
     joined: list[EngineChunk] = []
-    run: list[EngineChunk] = []
+    group: list[EngineChunk] = []
     for chunk in chunks:
-        if run and not _continues(run[-1], chunk):
-            joined.append(_merge(run))
-            run = []
-        run.append(chunk)
-    return [*joined, _merge(run)] if run else joined
+        if group and not _continues(group[-1], chunk):
+            joined.append(_merge(group))
+            group = []
+        group.append(chunk)
+    return [*joined, _merge(group)] if group else joined
 
 
 def _continues(last: EngineChunk, chunk: EngineChunk) -> bool:
@@ -191,11 +199,11 @@
     )
 
 
-def _merge(run: list[EngineChunk]) -> EngineChunk:
-    if len(run) == 1:
-        return run[0]
-    first, last = run[0], run[-1]
-    tokens = tuple(token for chunk in run for token in chunk.tokens)
+def _merge(group: list[EngineChunk]) -> EngineChunk:
+    if len(group) == 1:
+        return group[0]
+    first, last = group[0], group[-1]
+    tokens = tuple(token for chunk in group for token in chunk.tokens)
     return EngineChunk(first.attempt, first.offset, tokens, first.version, last.total)
 
 
@@ -225,6 +233,6 @@
 
 
 async def close_session(session: aiohttp.ClientSession) -> None:
-    """Closes a client session and lets its connections end."""
+    """Closes a client session and yields to the event loop so that its connections close."""
     await session.close()
     await asyncio.sleep(0)
--- a/src/larkpost/standalone/routing/selection.py
+++ b/src/larkpost/standalone/routing/selection.py
@@ -1,4 +1,4 @@
-"""Choice of an engine for a piece of work, from what the blackboard holds at this moment."""
+"""Selection of an engine for a request, from the current state of the blackboard."""
 
 from collections.abc import Collection
 from dataclasses import dataclass
@@ -10,21 +10,25 @@
 from larkpost.standalone.routing.work import Work, WorkClass
 from larkpost.standalone.runtime import Runtime
 
-SMALL_POOL = 8
-"""Up to so many candidates all are compared; above it two random ones."""
+MAX_FULL_COMPARISON = 8
+"""Maximum number of candidates to compare all; of more, two random ones are compared."""
 REMOTE_PENALTY = 0.5
-"""Added to the load of an engine in another zone: half a batch must be saved to leave the zone."""
+"""Added to the score of an engine in another zone; 1.0 is one full batch of load."""
 
 SWAP_PENALTY = 2.0
-"""Added to the load of an engine that swaps weights: it generates nothing until it is done."""
+"""Added to the score of an engine that swaps weights, as it generates nothing until it is done."""
 
 SLOW_PENALTY = 1.0
-"""Added to the load of a straggler: it is used when the others are full."""
+"""Added to the score of a straggler, so that it is used when the others are full."""
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """An engine that may take the work, and how full it is (1.0: every slot taken)."""
+    """An engine that may take the work.
+
+    Attributes:
+        score: share of busy slots (1.0: all) plus penalties; the lowest is preferred.
+    """
 
     engine: EngineId
     score: float
@@ -34,7 +38,7 @@
 
 
 class Selector:
-    """Finds the engine for the next attempt."""
+    """Selects the engine for the next attempt."""
 
     def __init__(self, runtime: Runtime, monitor: Monitor) -> None:
         self._board = runtime.board
@@ -44,39 +48,41 @@
         self._rng = runtime.rng
 
     def choose(self, work: Work, excluded: Collection[EngineId]) -> Candidate | None:
-        """Returns an engine with a fresh report that may take the work, or None."""
+        """Returns the best of the compared candidates, or None if no engine may take the work."""
         candidates = self.candidates(work, excluded)
-        if len(candidates) > SMALL_POOL:
+        if len(candidates) > MAX_FULL_COMPARISON:
             candidates = self._rng.sample(candidates, 2)
         self._rng.shuffle(candidates)
         return min(candidates, key=attrgetter("score"), default=None)
 
     def candidates(self, work: Work, excluded: Collection[EngineId]) -> list[Candidate]:
-        """Returns every engine that may take the work now."""
+        """Returns every engine with a fresh report that may take the work now."""
         now = self._clock.now()
-        watched = self._monitor.watched(work.pool)
-        slow = self._board.engines.speeds.stragglers(watched, now)
+        watched_engines = self._monitor.watched_engines(work.pool)
+        slow = self._board.engines.speeds.stragglers(watched_engines, now)
         found = []
-        for engine in watched:
-            if engine in excluded or not self._may_use(engine, now):
+        for engine in watched_engines:
+            if engine in excluded or not self._is_usable(engine, now):
                 continue
-            if self._fresh(engine, now) and self._admits(work, self._board.engines.loads[engine]):
-                found.append(self._weigh(engine, engine in slow))
+            if self._has_fresh_report(engine, now) and self._admits(
+                work, self._board.engines.loads[engine]
+            ):
+                found.append(self._make_candidate(engine, engine in slow))
         return found
 
-    def stale(self, pool: PoolId, excluded: Collection[EngineId]) -> list[EngineId]:
-        """Returns the pool's engines that need to be asked before they may be used."""
+    def stale_engines(self, pool: PoolId, excluded: Collection[EngineId]) -> list[EngineId]:
+        """Returns the pool's usable engines that need a new report before they may be used."""
         now = self._clock.now()
         return [
             engine
-            for engine in self._monitor.watched(pool)
+            for engine in self._monitor.watched_engines(pool)
             if engine not in excluded
-            and self._may_use(engine, now)
-            and not self._fresh(engine, now)
+            and self._is_usable(engine, now)
+            and not self._has_fresh_report(engine, now)
         ]
 
     def is_full(self, work: Work) -> bool:
-        """Whether every usable engine of the pool refuses clients because of its queue."""
+        """Whether every candidate's batch is full and its queue at the pool's limit."""
         pool = self._board.configuration.intent.pool(work.pool)
         limit = pool.max_waiting if pool is not None else 0
         loads = [self._board.engines.loads[c.engine] for c in self.candidates(work, ())]
@@ -85,11 +91,11 @@
         )
 
     def may_dispatch(self, engine: EngineId) -> bool:
-        """Last check before an attempt: the engine is not leaving and its report is fresh."""
+        """Whether an attempt may be sent now: the engine is usable and its report is fresh."""
         now = self._clock.now()
-        return self._may_use(engine, now) and self._fresh(engine, now)
+        return self._is_usable(engine, now) and self._has_fresh_report(engine, now)
 
-    def _weigh(self, engine: EngineId, is_slow: bool) -> Candidate:
+    def _make_candidate(self, engine: EngineId, is_slow: bool) -> Candidate:
         engines = self._board.engines
         load = engines.loads[engine]
         busy = max(load.running + load.waiting, engines.in_flight.get(engine, 0))
@@ -112,10 +118,10 @@
         in_flight = self._board.engines.in_flight.get(load.engine, 0)
         return max(load.running + load.waiting, in_flight) < load.slots - reserve
 
-    def _may_use(self, engine: EngineId, now: float) -> bool:
+    def _is_usable(self, engine: EngineId, now: float) -> bool:
         engines = self._board.engines
         return not engines.is_leaving(engine) and engines.avoid_until.get(engine, 0.0) <= now
 
-    def _fresh(self, engine: EngineId, now: float) -> bool:
+    def _has_fresh_report(self, engine: EngineId, now: float) -> bool:
         load = self._board.engines.loads.get(engine)
         return load is not None and now - load.at <= self._settings.report_lifetime
--- a/src/larkpost/standalone/table_service/http_adapter.py
+++ b/src/larkpost/standalone/table_service/http_adapter.py
@@ -1,4 +1,4 @@
-"""The platform's ports over HTTP."""
+"""Clients of the platform's table service and machine list over HTTP."""
 
 import base64
 from typing import Any
@@ -8,14 +8,14 @@
 
 from larkpost.common.errors import PlatformError
 from larkpost.common.ids import Address, EngineId, PoolId, ZoneId
-from larkpost.standalone.documents import read_fields
+from larkpost.standalone.documents import parse_json_object
 from larkpost.standalone.table_service.ports import MachineEntry, Row
 
 NETWORK_ERRORS = (aiohttp.ClientError, TimeoutError, OSError, ValueError, KeyError)
 
 
 class HttpPlatform:
-    """The table service and the machine list of one platform address."""
+    """The table service and the machine list at one platform address."""
 
     def __init__(self, session: aiohttp.ClientSession, address: Address) -> None:
         self._session = session
@@ -46,17 +46,17 @@
     async def _call(
         self, verb: str, path: str, params: dict[str, str], body: Any, timeout: float
     ) -> dict[str, Any]:
-        limit = aiohttp.ClientTimeout(total=timeout)
+        client_timeout = aiohttp.ClientTimeout(total=timeout)
         data = orjson.dumps(body) if body is not None else None
         url = self._base + path
         try:
             async with self._session.request(
-                verb, url, params=params, data=data, timeout=limit
+                verb, url, params=params, data=data, timeout=client_timeout
             ) as response:
                 content = await response.read()
                 if response.status != 200:
                     raise PlatformError(f"{verb} {path}: status {response.status}")
-                return read_fields(content)
+                return parse_json_object(content)
         except NETWORK_ERRORS as error:
             raise PlatformError(f"{verb} {path}: {error!r}") from error
 
--- a/src/larkpost/standalone/wire/http_peer.py
+++ b/src/larkpost/standalone/wire/http_peer.py
@@ -1,4 +1,4 @@
-"""The port to other daemons over UDP datagrams and HTTP requests, through asyncio and aiohttp."""
+"""The port to other daemons over UDP datagrams and HTTP requests, with asyncio and aiohttp."""
 
 import asyncio
 
@@ -10,8 +10,8 @@
 from larkpost.standalone.wire.peer import DatagramHandler, PeerError, PeerMethod
 
 PEER_PATH = "/internal/v1/"
-HTTP_OVERHEAD = 300
-"""Bytes of headers counted for one request and its answer."""
+HTTP_OVERHEAD_BYTES = 300
+"""Estimated bytes of HTTP headers, counted for each request and for each response."""
 
 
 class HttpPeerTransport:
@@ -43,9 +43,9 @@
         self, address: Address, method: PeerMethod, payload: bytes, timeout: float
     ) -> bytes:
         url = f"http://{address}{PEER_PATH}{method}"
-        limit = aiohttp.ClientTimeout(total=timeout)
+        client_timeout = aiohttp.ClientTimeout(total=timeout)
         try:
-            async with self._session.post(url, data=payload, timeout=limit) as response:
+            async with self._session.post(url, data=payload, timeout=client_timeout) as response:
                 body = await response.read()
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             raise PeerError(f"{method} to {address}: {error!r}") from error
@@ -57,12 +57,14 @@
     def _count(self, sent: int, received: int) -> None:
         telemetry = self._source.telemetry
         if telemetry is not None:
-            telemetry.count("control_bytes_sent", sent + HTTP_OVERHEAD, kind="request")
-            telemetry.count("control_bytes_received", received + HTTP_OVERHEAD, kind="request")
+            telemetry.count("control_bytes_sent", sent + HTTP_OVERHEAD_BYTES, kind="request")
+            telemetry.count(
+                "control_bytes_received", received + HTTP_OVERHEAD_BYTES, kind="request"
+            )
 
 
 class TelemetrySource:
-    """Gives the transport its daemon's telemetry, which exists only after the transport."""
+    """Holds the daemon's telemetry, which is created after the transport that uses it."""
 
     def __init__(self) -> None:
         self.telemetry: Telemetry | None = None
@@ -76,4 +78,4 @@
         self._handler(data)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignores what the network says of earlier datagrams: membership probes find out."""
+        """Ignores errors of earlier datagrams; membership probes detect unreachable daemons."""
--- a/tests/test_engine_adapter.py
+++ b/tests/test_engine_adapter.py
@@ -1,4 +1,4 @@
-"""The HTTP engine adapter against servers that break their promises in every way it must notice."""
+"""Tests that the HTTP engine adapter detects faulty servers and what their failures prove."""
 
 import asyncio
 import unittest
@@ -9,9 +9,9 @@
 from larkpost.rehearsal.processes import free_address
 from larkpost.standalone.engines.http_adapter import HttpEnginePort
 from larkpost.standalone.engines.port import (
-    EngineBrokenError,
     EngineError,
     EngineNotSentError,
+    EngineOutcomeUnknownError,
     EngineRefusedError,
     GenerateRequest,
 )
@@ -31,10 +31,10 @@
 
 
 class EngineAdapterTest(unittest.IsolatedAsyncioTestCase):
-    """Each test serves one scripted answer."""
+    """Tests of the adapter; each serves one scripted response."""
 
     async def generate(self, answer: bytes, may_send=lambda: True, hold: float = 0.0):
-        """Serves the answer, closes the connection, and returns chunks and the raised error."""
+        """Serves one response, closes the connection, and returns the chunks and the error."""
         self.bodies: list[bytes] = []
 
         async def serve(reader, writer):
@@ -70,26 +70,26 @@
                 async for _ in port.generate(free_address(), REQUEST, 0.5, lambda: True):
                     pass
 
-    async def test_withdrawn_permission_after_connecting_sends_no_body(self):
+    async def test_permission_withdrawn_after_connecting_sends_no_body(self):
         _chunks, error = await self.generate(HEAD, may_send=lambda: False)
         self.assertIsInstance(error, EngineNotSentError)
         self.assertEqual([body for body in self.bodies if b"prompt" in body], [])
 
-    async def test_connection_closed_before_the_answer_is_broken(self):
+    async def test_connection_closed_before_the_answer_leaves_the_outcome_unknown(self):
         _chunks, error = await self.generate(b"")
-        self.assertIsInstance(error, EngineBrokenError)
+        self.assertIsInstance(error, EngineOutcomeUnknownError)
 
-    async def test_connection_closed_in_mid_chunk_is_broken(self):
+    async def test_connection_closed_within_a_chunk_leaves_the_outcome_unknown(self):
         cut = HEAD + http_chunk(
             b'data: {"attempt":"a","offset":0,"tokens":[1],"version":1,"total":null}\n\n'
         )
         chunks, error = await self.generate(cut + b"40\r\ndata: {")
         self.assertEqual([chunk.tokens for chunk in chunks], [(1,)])
-        self.assertIsInstance(error, EngineBrokenError)
+        self.assertIsInstance(error, EngineOutcomeUnknownError)
 
-    async def test_silent_engine_is_broken_after_the_time_limit(self):
+    async def test_engine_that_sends_nothing_times_out_with_unknown_outcome(self):
         _chunks, error = await self.generate(HEAD, hold=2.0)
-        self.assertIsInstance(error, EngineBrokenError)
+        self.assertIsInstance(error, EngineOutcomeUnknownError)
 
     async def test_refusal_that_names_the_attempt_proves_that_it_did_not_run(self):
         _chunks, error = await self.generate(refusal("a", "false"))
@@ -97,7 +97,7 @@
 
     async def test_refusal_of_another_attempt_proves_nothing(self):
         _chunks, error = await self.generate(refusal("other", "false"))
-        self.assertIsInstance(error, EngineBrokenError)
+        self.assertIsInstance(error, EngineOutcomeUnknownError)
 
     async def test_chunks_that_arrive_together_are_joined_within_one_version(self):
         events = [(0, 1, 7, "null"), (1, 2, 7, "null"), (2, 3, 8, "null"), (3, 4, 8, "4")]
@@ -111,11 +111,11 @@
         self.assertEqual([c.tokens for c in chunks], [(1, 2), (3, 4)])
         self.assertEqual([(c.version, c.total) for c in chunks], [(7, None), (8, 4)])
 
-    async def test_answer_that_is_no_chunk_is_broken(self):
+    async def test_invalid_chunk_leaves_the_outcome_unknown(self):
         _chunks, error = await self.generate(HEAD + http_chunk(b'data: {"tokens": 3}\n\n'))
-        self.assertIsInstance(error, EngineBrokenError)
+        self.assertIsInstance(error, EngineOutcomeUnknownError)
 
-    async def test_report_that_is_no_report_is_broken(self):
+    async def test_invalid_report_is_rejected(self):
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]")
@@ -126,5 +126,5 @@
         server = ConnectionServer(serve)
         await server.start(host, int(port))
         async with server, aiohttp.ClientSession() as session:
-            with self.assertRaises(EngineBrokenError):
+            with self.assertRaises(EngineOutcomeUnknownError):
                 await HttpEnginePort(session).report(Address(address), 1.0)
