--- a/src/larkpost/gateway/blackboard/weight_targets.py
+++ b/src/larkpost/gateway/blackboard/weight_targets.py
@@ -75,7 +75,7 @@
     UNKNOWN = "unknown"
     TO_SPARE = "to_spare"  # in time, with some seconds to spare
     TIGHT = "tight"  # just in time, or late but still recoverable
-    HOPELESS = "hopeless"  # late even with all engines, with much work left
+    INFEASIBLE = "hopeless"  # late even with all engines, with much work left
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/larkpost/gateway/controllers/batch_forecast.py
+++ b/src/larkpost/gateway/controllers/batch_forecast.py
@@ -48,7 +48,7 @@
     minimum = progress.work / capacity.total_slots * capacity.fastest_token_time
     expected = remaining_seconds(progress, capacity.available_slots, capacity.token_time)
     if due_in + INFEASIBLE_DELAY_SECONDS < minimum and expected > INFEASIBLE_DELAY_SECONDS:
-        return DeadlineForecast.HOPELESS
+        return DeadlineForecast.INFEASIBLE
     return (
         DeadlineForecast.TO_SPARE
         if due_in - expected >= MIN_SPARE_SECONDS
@@ -74,7 +74,7 @@
     for forecast in (
         DeadlineForecast.TIGHT,
         DeadlineForecast.UNKNOWN,
-        DeadlineForecast.HOPELESS,
+        DeadlineForecast.INFEASIBLE,
         DeadlineForecast.TO_SPARE,
     ):
         if forecast in known:
--- a/src/larkpost/gateway/controllers/lending.py
+++ b/src/larkpost/gateway/controllers/lending.py
@@ -72,7 +72,7 @@
     Both stay the same throughout a step. Whether a batch is tight is not considered, because that
     changes as soon as the batch gets slots.
     """
-    if demand.deadline_forecast is DeadlineForecast.HOPELESS:
+    if demand.deadline_forecast is DeadlineForecast.INFEASIBLE:
         return LendingRole.LENDER  # batches that can be on time come first
     if demand.submit_delay is not None and demand.submit_delay < TRAINER_BLOCKED_SECONDS:
         return LendingRole.BORROWER
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -68,9 +68,9 @@
                 LONG,
                 -0.5,
                 POOL,
-                DeadlineForecast.HOPELESS,
+                DeadlineForecast.INFEASIBLE,
             ),
-            ("long since due", SHORT, -1.0, POOL, DeadlineForecast.HOPELESS),
+            ("long since due", SHORT, -1.0, POOL, DeadlineForecast.INFEASIBLE),
             (
                 "long since due, all but done",
                 BatchProgress(0, 80, 80),
@@ -93,7 +93,7 @@
                 LONG,
                 -0.5,
                 UNEVEN,
-                DeadlineForecast.HOPELESS,
+                DeadlineForecast.INFEASIBLE,
             ),
             (
                 "no service time is known",
@@ -113,7 +113,10 @@
             (needed + MIN_SPARE_SECONDS + 0.01, DeadlineForecast.TO_SPARE),
             (needed + MIN_SPARE_SECONDS - 0.01, DeadlineForecast.TIGHT),
             (864 * 80 * 0.0006 / 176 - INFEASIBLE_DELAY_SECONDS + 0.01, DeadlineForecast.TIGHT),
-            (864 * 80 * 0.0006 / 176 - INFEASIBLE_DELAY_SECONDS - 0.01, DeadlineForecast.HOPELESS),
+            (
+                864 * 80 * 0.0006 / 176 - INFEASIBLE_DELAY_SECONDS - 0.01,
+                DeadlineForecast.INFEASIBLE,
+            ),
         )
         for due_in, expected in cases:
             with self.subTest(due_in=due_in):
@@ -126,7 +129,7 @@
 
     def test_which_batch_of_a_model_counts(self):
         tight, unknown = DeadlineForecast.TIGHT, DeadlineForecast.UNKNOWN
-        hopeless, spare = DeadlineForecast.HOPELESS, DeadlineForecast.TO_SPARE
+        hopeless, spare = DeadlineForecast.INFEASIBLE, DeadlineForecast.TO_SPARE
         cases = (
             ((), unknown),
             ((spare,), spare),
@@ -279,7 +282,7 @@
             )
             much = {self.head.id: BatchProgress(0, 10**6, 10**5)}
             self.forecaster.record_report(DaemonId("o"), much)
-            self.assertIs(DeadlineForecast.HOPELESS, self.demand().deadline_forecast)
+            self.assertIs(DeadlineForecast.INFEASIBLE, self.demand().deadline_forecast)
 
         run(play())
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -94,7 +94,7 @@
             ),
             (
                 "can't be in time any more",
-                demand(LONG, waits, deadline_forecast=DeadlineForecast.HOPELESS),
+                demand(LONG, waits, deadline_forecast=DeadlineForecast.INFEASIBLE),
                 LendingRole.LENDER,
             ),
         )
@@ -106,7 +106,7 @@
         waiting = two_blocked() | {LONG: demand(LONG, 0.02, waiting=5)}
         easy = all_with_slack() | {SHORT: demand(SHORT, 9.0, waiting=5)}
         hopeless = waiting | {
-            LONGEST: demand(LONGEST, 0.02, deadline_forecast=DeadlineForecast.HOPELESS)
+            LONGEST: demand(LONGEST, 0.02, deadline_forecast=DeadlineForecast.INFEASIBLE)
         }
         tight = demand(LONG, 9.0, deadline_forecast=DeadlineForecast.TIGHT, waiting=5)
         cases = (
@@ -195,7 +195,7 @@
     def test_infeasible_model_lends_to_a_feasible_one(self):
         demands = {
             SHORT: demand(SHORT, 1.0),
-            LONG: demand(LONG, 0.02, deadline_forecast=DeadlineForecast.HOPELESS),
+            LONG: demand(LONG, 0.02, deadline_forecast=DeadlineForecast.INFEASIBLE),
             LONGEST: demand(LONGEST, 0.02, deadline_forecast=DeadlineForecast.TIGHT),
         }
         assignment, lending = self.assign(demands)
