--- a/src/larkpost/gateway/memory/budget.py
+++ b/src/larkpost/gateway/memory/budget.py
@@ -80,7 +80,7 @@
         return self.limit is not None and self.free < self.limit * LOW_MEMORY_FRACTION
 
     @property
-    def answer_limit(self) -> float:
+    def response_limit(self) -> float:
         """Maximum number of bytes that one response may hold now; infinite without a limit."""
         return max(MIN_ANSWER_LIMIT_BYTES, self.free / ANSWER_LIMIT_DIVISOR)
 
@@ -155,7 +155,7 @@
 
     def fits_answer_limit(self, size: int) -> bool:
         """Returns whether ``size`` more bytes stay within `MemoryBudget.answer_limit`."""
-        return self.size + size <= self._budget.answer_limit
+        return self.size + size <= self._budget.response_limit
 
     def grow(self, size: int) -> None:
         """Reserves more bytes.
