--- a/src/larkpost/gateway/memory/budget.py
+++ b/src/larkpost/gateway/memory/budget.py
@@ -153,7 +153,7 @@
         """Returns whether ``size`` more bytes fit into the budget."""
         return self._budget.shortfall(self.purpose, size) == 0
 
-    def fits_answer_limit(self, size: int) -> bool:
+    def fits_response_limit(self, size: int) -> bool:
         """Returns whether ``size`` more bytes stay within `MemoryBudget.answer_limit`."""
         return self.size + size <= self._budget.response_limit
 
--- a/src/larkpost/gateway/memory/read_ahead.py
+++ b/src/larkpost/gateway/memory/read_ahead.py
@@ -110,7 +110,7 @@
         loop = asyncio.get_running_loop()
         reservation = self._body.reservation
         disconnect_at = loop.time() + MAX_PAUSED_READ_SECONDS
-        while reservation.size and not reservation.fits_answer_limit(size):
+        while reservation.size and not reservation.fits_response_limit(size):
             if loop.time() >= disconnect_at:
                 if not self._memory.budget.is_low:
                     return
--- a/src/larkpost/gateway/proxy/response_body.py
+++ b/src/larkpost/gateway/proxy/response_body.py
@@ -20,7 +20,7 @@
     buffered: deque[bytes] = deque()
     try:
         async for chunk in chunks:
-            fits = reservation.fits_answer_limit(len(chunk))
+            fits = reservation.fits_response_limit(len(chunk))
             reservation.force_grow(len(chunk))
             buffered.append(chunk)
             if not fits:
--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -123,15 +123,15 @@
         """Forty slow clients with responses larger than the budget."""
         for _ in range(40):
             answer = self.budget.reserve(MemoryPurpose.STREAMS)
-            while answer.fits_answer_limit(MIN_ANSWER_LIMIT_BYTES):
+            while answer.fits_response_limit(MIN_ANSWER_LIMIT_BYTES):
                 answer.force_grow(MIN_ANSWER_LIMIT_BYTES)
         self.assertLess(self.budget.total, 10 * MB + 40 * MIN_ANSWER_LIMIT_BYTES)
         self.assertGreater(self.budget.total, 9 * MB)
 
     def test_response_limit_is_a_fraction_of_the_free_bytes(self):
         answer = self.budget.reserve(MemoryPurpose.ANSWERS)
-        self.assertTrue(answer.fits_answer_limit(10 * MB // ANSWER_LIMIT_DIVISOR))
-        self.assertFalse(answer.fits_answer_limit(10 * MB // ANSWER_LIMIT_DIVISOR + 1))
+        self.assertTrue(answer.fits_response_limit(10 * MB // ANSWER_LIMIT_DIVISOR))
+        self.assertFalse(answer.fits_response_limit(10 * MB // ANSWER_LIMIT_DIVISOR + 1))
 
     def test_memory_is_low_once_half_is_held(self):
         body = self.budget.reserve(MemoryPurpose.REQUEST_BODIES, 5 * MB)
@@ -142,7 +142,7 @@
     def test_without_a_limit_everything_fits(self):
         budget = MemoryBudget()
         answer = budget.reserve(MemoryPurpose.ANSWERS, 10**12)
-        self.assertTrue(answer.fits_answer_limit(10**12))
+        self.assertTrue(answer.fits_response_limit(10**12))
         self.assertEqual((math.inf, False), (budget.free, budget.is_low))
 
 
