--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -10,8 +10,8 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.gateway.memory.budget import (
-    ANSWER_LIMIT_DIVISOR,
     MIN_ANSWER_LIMIT_BYTES,
+    RESPONSE_LIMIT_DIVISOR,
     RETRY_AFTER_SECONDS,
     SMALL_BODIES_FRACTION,
     MemoryBudget,
@@ -130,8 +130,8 @@
 
     def test_response_limit_is_a_fraction_of_the_free_bytes(self):
         answer = self.budget.reserve(MemoryPurpose.ANSWERS)
-        self.assertTrue(answer.fits_response_limit(10 * MB // ANSWER_LIMIT_DIVISOR))
-        self.assertFalse(answer.fits_response_limit(10 * MB // ANSWER_LIMIT_DIVISOR + 1))
+        self.assertTrue(answer.fits_response_limit(10 * MB // RESPONSE_LIMIT_DIVISOR))
+        self.assertFalse(answer.fits_response_limit(10 * MB // RESPONSE_LIMIT_DIVISOR + 1))
 
     def test_memory_is_low_once_half_is_held(self):
         body = self.budget.reserve(MemoryPurpose.REQUEST_BODIES, 5 * MB)
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -11,8 +11,8 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.gateway.memory.budget import (
-    ANSWER_LIMIT_DIVISOR,
     MIN_ANSWER_LIMIT_BYTES,
+    RESPONSE_LIMIT_DIVISOR,
     MemoryBudgetError,
     MemoryPurpose,
 )
@@ -163,7 +163,7 @@
         virtual.run(relay.run())
         self.assertEqual(60 * len(CHUNK), relay.taken)
         self.assertGreater(relay.largest, MB // 2)
-        self.assertLessEqual(relay.largest, 8 * MB // ANSWER_LIMIT_DIVISOR)
+        self.assertLessEqual(relay.largest, 8 * MB // RESPONSE_LIMIT_DIVISOR)
         self.assertEqual(0, self.memory.budget.total)
 
     def test_without_a_limit_nothing_is_read_ahead(self):
