--- a/src/larkpost/gateway/memory/budget.py
+++ b/src/larkpost/gateway/memory/budget.py
@@ -13,7 +13,7 @@
 
 RESPONSE_LIMIT_DIVISOR = 8
 """One response may hold at most the free bytes divided by this, which leaves room for others."""
-MIN_ANSWER_LIMIT_BYTES = 65536
+MIN_RESPONSE_LIMIT_BYTES = 65536
 """Lower bound of the limit for one response, so that every response can make progress."""
 LOW_MEMORY_FRACTION = 0.5
 """Memory is low while less than this fraction of the budget is free."""
@@ -82,7 +82,7 @@
     @property
     def response_limit(self) -> float:
         """Maximum number of bytes that one response may hold now; infinite without a limit."""
-        return max(MIN_ANSWER_LIMIT_BYTES, self.free / RESPONSE_LIMIT_DIVISOR)
+        return max(MIN_RESPONSE_LIMIT_BYTES, self.free / RESPONSE_LIMIT_DIVISOR)
 
     def shortfall(self, purpose: MemoryPurpose, size: int) -> float:
         """Returns how many bytes must be released before ``size`` more may be held.
--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -10,7 +10,7 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.gateway.memory.budget import (
-    MIN_ANSWER_LIMIT_BYTES,
+    MIN_RESPONSE_LIMIT_BYTES,
     RESPONSE_LIMIT_DIVISOR,
     RETRY_AFTER_SECONDS,
     SMALL_BODIES_FRACTION,
@@ -123,9 +123,9 @@
         """Forty slow clients with responses larger than the budget."""
         for _ in range(40):
             answer = self.budget.reserve(MemoryPurpose.STREAMS)
-            while answer.fits_response_limit(MIN_ANSWER_LIMIT_BYTES):
-                answer.force_grow(MIN_ANSWER_LIMIT_BYTES)
-        self.assertLess(self.budget.total, 10 * MB + 40 * MIN_ANSWER_LIMIT_BYTES)
+            while answer.fits_response_limit(MIN_RESPONSE_LIMIT_BYTES):
+                answer.force_grow(MIN_RESPONSE_LIMIT_BYTES)
+        self.assertLess(self.budget.total, 10 * MB + 40 * MIN_RESPONSE_LIMIT_BYTES)
         self.assertGreater(self.budget.total, 9 * MB)
 
     def test_response_limit_is_a_fraction_of_the_free_bytes(self):
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -11,7 +11,7 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.gateway.memory.budget import (
-    MIN_ANSWER_LIMIT_BYTES,
+    MIN_RESPONSE_LIMIT_BYTES,
     RESPONSE_LIMIT_DIVISOR,
     MemoryBudgetError,
     MemoryPurpose,
@@ -259,7 +259,7 @@
         virtual.run(play())
         self.assertEqual({60 * len(CHUNK)}, {relay.taken for relay in relays})
         largest = max(relay.largest for relay in relays)
-        self.assertLessEqual(largest, 8 * MB + 40 * MIN_ANSWER_LIMIT_BYTES)
+        self.assertLessEqual(largest, 8 * MB + 40 * MIN_RESPONSE_LIMIT_BYTES)
 
     def test_rejected_body_disconnects_a_slow_client(self):
         relay = Relay(self.memory, Server(1000), FakeConnection(rate=2_000))
