--- a/src/larkpost/gateway/store/relay.py
+++ b/src/larkpost/gateway/store/relay.py
@@ -36,7 +36,7 @@
 PROBE_TABLE = "members"
 PROBE_PART = "known"
 """The part that a probe reads: it always has rows, and every daemon reads it."""
-REFUSED_OUTCOMES = (WriteOutcome.NOT_DONE, WriteOutcome.THROTTLED)
+REJECTED_OUTCOMES = (WriteOutcome.NOT_DONE, WriteOutcome.THROTTLED)
 """Outcomes that prove that a write was not applied."""
 
 Response = TypeVar("Response")
@@ -97,7 +97,7 @@
         result = WriteResult(WriteOutcome.NOT_DONE)
         if self._peers.current is None:
             result = await self._direct.write(transaction, timeout)
-        if result.outcome not in REFUSED_OUTCOMES:
+        if result.outcome not in REJECTED_OUTCOMES:
             return result
         region_bound = any(self._is_region_bound(key.table) for key, _ in transaction.puts)
         for failed_attempts in range(MAX_PEER_ATTEMPTS):
@@ -107,7 +107,7 @@
             result = await peer.write(transaction, min(timeout, MAX_PEER_CALL_SECONDS))
             if result.outcome is WriteOutcome.UNKNOWN:
                 self._peers.drop(peer, unresponsive=True)  # only the next call may try another peer
-            if result.outcome not in REFUSED_OUTCOMES:
+            if result.outcome not in REJECTED_OUTCOMES:
                 return result
             self._peers.drop(peer)
         self._peers.start_cooldown()
