--- a/src/larkpost/gateway/blackboard/directory.py
+++ b/src/larkpost/gateway/blackboard/directory.py
@@ -72,7 +72,7 @@
     def __init__(self) -> None:
         self.index: ServiceIndex[InstanceInfo] = ServiceIndex()
         self._instances: dict[InstanceId, InstanceInfo] = {}
-        self._observed: dict[InstanceId, dict[ModelName, int]] = {}
+        self._observed_versions: dict[InstanceId, dict[ModelName, int]] = {}
         self._replaced: set[InstanceId] = set()
         self._current: dict[InstanceName, InstanceId] = {}
         self._removal_listeners: list[Callable[[InstanceId], None]] = []
@@ -143,7 +143,7 @@
 
     def observe_version(self, instance: InstanceId, model: ModelName, version: int) -> None:
         """Records a weight version reported by an instance, which may be ahead of its entry."""
-        observed = self._observed.setdefault(instance, {})
+        observed = self._observed_versions.setdefault(instance, {})
         is_first = version > 0 and not observed.get(model)
         observed[model] = max(version, observed.get(model, 0))
         info = self._instances.get(instance)
@@ -154,7 +154,7 @@
         """Returns the newest known weight version of a model at an instance; 0 if unknown."""
         info = self._instances.get(instance)
         listed = info.versions.get(model, 0) if info is not None else 0
-        return max(listed, self._observed.get(instance, {}).get(model, 0))
+        return max(listed, self._observed_versions.get(instance, {}).get(model, 0))
 
     def mark_replaced(self, instance: InstanceId) -> None:
         """Drops an instance for good, because another one responded at its address.
@@ -172,7 +172,7 @@
         self.index.drop(instance)
         if self._current.get(info.name) == instance:
             del self._current[info.name]
-        self._observed.pop(instance, None)
+        self._observed_versions.pop(instance, None)
         for listener in self._removal_listeners:
             listener(instance)
 
@@ -214,6 +214,6 @@
         if info.state is InstanceState.LEAVING:
             self.index.drop(info.id)
             return
-        known = (info.versions, self._observed.get(info.id, {}))
+        known = (info.versions, self._observed_versions.get(info.id, {}))
         models = {model for versions in known for model, version in versions.items() if version}
         self.index.put(info, models)
