--- a/src/larkpost/gateway/blackboard/directory.py
+++ b/src/larkpost/gateway/blackboard/directory.py
@@ -74,7 +74,7 @@
         self._instances: dict[InstanceId, InstanceInfo] = {}
         self._observed_versions: dict[InstanceId, dict[ModelName, int]] = {}
         self._replaced: set[InstanceId] = set()
-        self._current: dict[InstanceName, InstanceId] = {}
+        self._id_by_name: dict[InstanceName, InstanceId] = {}
         self._removal_listeners: list[Callable[[InstanceId], None]] = []
 
     def __len__(self) -> int:
@@ -86,13 +86,13 @@
 
     def find_by_name(self, name: InstanceName) -> InstanceInfo | None:
         """Returns the known incarnation of a server; None if there is none."""
-        current = self._current.get(name)
+        current = self._id_by_name.get(name)
         return self._instances.get(current) if current is not None else None
 
     def resolve(self, instance: InstanceId) -> InstanceId:
         """Returns the id of the known incarnation if ``instance`` is only a server's name."""
         name, started_at_ms = split_instance_id(instance)
-        return self._current.get(name, instance) if started_at_ms is None else instance
+        return self._id_by_name.get(name, instance) if started_at_ms is None else instance
 
     def add_removal_listener(self, listener: Callable[[InstanceId], None]) -> None:
         """Registers a listener that is called whenever an instance is dropped."""
@@ -118,7 +118,7 @@
         if known is not None and known.state is InstanceState.LEAVING:
             info = replace(info, state=InstanceState.LEAVING)
         self._store(info)
-        self._current[info.name] = info.id
+        self._id_by_name[info.name] = info.id
 
     def remove(self, name: InstanceName, *, store_healthy: bool) -> None:
         """Records that a server's entry was removed from the store.
@@ -170,8 +170,8 @@
         if info is None:
             return
         self.index.drop(instance)
-        if self._current.get(info.name) == instance:
-            del self._current[info.name]
+        if self._id_by_name.get(info.name) == instance:
+            del self._id_by_name[info.name]
         self._observed_versions.pop(instance, None)
         for listener in self._removal_listeners:
             listener(instance)
