--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -68,7 +68,7 @@
         self._on_stalled = on_stalled
         self._written = connection.unsent  # rest of the previous response, which is sent first
         self._slow_since: float | None = None
-        self._read_before = 0
+        self._read_before_slow = 0
         self._last_unsent = 0
         self._last_progress_at = 0.0
         self._is_complete = False
@@ -106,7 +106,7 @@
             self._slow_since = None
         since = self._slow_since
         seconds = self._clock.now() - since if since is not None else 0.0
-        return ReadRate(self._count_held(), self._bytes_read() - self._read_before, seconds)
+        return ReadRate(self._count_held(), self._bytes_read() - self._read_before_slow, seconds)
 
     async def wait_until_writable(self) -> None:
         """Waits until more can be written to the connection.
@@ -146,7 +146,7 @@
         if self._slow_since is not None:
             return
         self._slow_since = self._last_progress_at = self._clock.now()
-        self._read_before = self._bytes_read()
+        self._read_before_slow = self._bytes_read()
         self._last_unsent = self._connection.unsent
         self._on_slow(self)
 
