--- a/src/larkpost/gateway/graceful_shutdown.py
+++ b/src/larkpost/gateway/graceful_shutdown.py
@@ -66,7 +66,7 @@
         self._lifecycle.stopping = True
         self._log.record(Event.STOPPING, open_requests=self._lifecycle.open_requests)
         deadline = started_at + max(POLL_SECONDS, self._grace_time - KILL_MARGIN_SECONDS)
-        await self._hand_over(started_at + (deadline - started_at) * HANDOVER_FRACTION)
+        await self._run_immediate_steps(started_at + (deadline - started_at) * HANDOVER_FRACTION)
         await self._wait_for_responses(started_at + DEREGISTRATION_SECONDS, deadline)
         await self._steps.final_step()
         self._log.record(
@@ -75,7 +75,7 @@
             seconds=round(self._clock.now() - started_at, 3),
         )
 
-    async def _hand_over(self, deadline: float) -> None:
+    async def _run_immediate_steps(self, deadline: float) -> None:
         """Runs the immediate steps; a step that exceeds the time limit is cancelled."""
         for name, step in self._steps.immediate_steps:
             try:
