--- a/src/larkpost/gateway/usage/reporter.py
+++ b/src/larkpost/gateway/usage/reporter.py
@@ -94,7 +94,7 @@
         self._log = instruments.log
         self._metrics = instruments.metrics
         self._timing = timing
-        self._next: WindowNumber | None = None
+        self._next_window: WindowNumber | None = None
         """First window not known to be reported; None while another daemon reports."""
 
     def start(self, tasks: TaskSet) -> None:
@@ -104,15 +104,15 @@
     async def update(self) -> None:
         """Decides and reports the windows that are due, if this daemon is the chosen reporter."""
         if not self._coordination.is_responsible_for(SUBJECT.key):
-            self._next = None
+            self._next_window = None
             return
         now = self._timing.fleet_clock.now()
         if now is None:
             return
         try:
-            if self._next is None:
-                self._next = await self._find_first_unreported(now)
-            await self._report_due(self._next, now)
+            if self._next_window is None:
+                self._next_window = await self._find_first_unreported(now)
+            await self._report_due(self._next_window, now)
         except StoreUnavailableError:
             return  # counted by the store adapter; the next update retries
 
@@ -137,7 +137,7 @@
         for window in due:
             if not await self._report(window):
                 return
-            self._next = WindowNumber(window + 1)
+            self._next_window = WindowNumber(window + 1)
         await self._repository.remove_before(WindowNumber(last - KEPT_WINDOWS))
 
     async def _report(self, window: WindowNumber) -> bool:
