--- a/src/larkpost/gateway/usage/reporter.py
+++ b/src/larkpost/gateway/usage/reporter.py
@@ -39,7 +39,7 @@
 LOOK_BACK_WINDOWS = 24
 """How many windows back a new reporter searches for unreported ones. Equals
 `usage.counter.KEPT_WINDOWS`."""
-KEPT_WINDOWS = 2 * LOOK_BACK_WINDOWS
+STORED_WINDOWS = 2 * LOOK_BACK_WINDOWS
 """Number of windows whose rows are kept; covers every search."""
 SUBJECT = LeaseSubject(Duty.USAGE, "windows")
 """Lease subject of the reporter; all windows share it."""
@@ -138,7 +138,7 @@
             if not await self._report(window):
                 return
             self._next_window = WindowNumber(window + 1)
-        await self._repository.remove_before(WindowNumber(last - KEPT_WINDOWS))
+        await self._repository.remove_before(WindowNumber(last - STORED_WINDOWS))
 
     async def _report(self, window: WindowNumber) -> bool:
         """Decides a window if necessary, sends its report, and returns whether it was taken."""
