--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -133,11 +133,11 @@
 
     def _make_forwarder(self) -> None:
         ports = self._ports
-        self._counter: UsageCounter | None = None
+        self._usage_counter: UsageCounter | None = None
         if ports.usage is not None and self.settings.usage is not None:
-            self._counter = UsageCounter(self.fleet_clock, self.settings.usage.window_length)
+            self._usage_counter = UsageCounter(self.fleet_clock, self.settings.usage.window_length)
         self.forwarder = make_forwarder(
-            ports, self.blackboard, self.balancer, self._servers, self._ledger, self._counter
+            ports, self.blackboard, self.balancer, self._servers, self._ledger, self._usage_counter
         )
 
     def _make_rollouts(self) -> None:
@@ -203,7 +203,7 @@
                 self.keeper,
                 self._feeds,
                 self.fleet_clock,
-                self._counter,
+                self._usage_counter,
             ),
         )
 
