--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -93,7 +93,7 @@
         parts = make_balancing(
             self.id, self.settings, self.blackboard, self._ports, self._alive_daemons
         )
-        self._sender_tracker, self._isolation = parts.sender_tracker, parts.isolation
+        self._sender_tracker, self._isolation_rule = parts.sender_tracker, parts.isolation
         self.cold, self.balancer = parts.cold, parts.balancer
 
     def _make_membership(self) -> None:
@@ -128,7 +128,11 @@
             self.directory, ports.servers, ports.clock, self._tasks, record_crash
         )
         self._servers = QuarantineServerPort(
-            ports.servers, self.blackboard.crashes, detector, self._crash_recorder, self._isolation
+            ports.servers,
+            self.blackboard.crashes,
+            detector,
+            self._crash_recorder,
+            self._isolation_rule,
         )
 
     def _make_forwarder(self) -> None:
