--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -121,7 +121,7 @@
             CrashWriter(CrashRepository(ports.store), ports.clock),
             ports.log,
             ports.metrics,
-            self._may_forget_crashes,
+            self._removes_expired_crashes,
         )
         record_crash = self._crash_recorder.record_crash
         detector = CrashDetector(
@@ -282,7 +282,7 @@
         """Returns the live daemons."""
         return self.membership.alive()
 
-    def _may_forget_crashes(self) -> bool:
+    def _removes_expired_crashes(self) -> bool:
         """Returns whether this daemon is the one that removes expired crashes."""
         return self.membership.choose_coordinator("crashes") == self.id
 
