--- a/src/larkpost/gateway/blackboard/service_index.py
+++ b/src/larkpost/gateway/blackboard/service_index.py
@@ -29,7 +29,7 @@
 
     def __init__(self) -> None:
         self._ids: list[InstanceId] = []
-        self._numbers: dict[InstanceId, int] = {}
+        self._positions: dict[InstanceId, int] = {}
 
     @property
     def ids(self) -> Sequence[InstanceId]:
@@ -38,19 +38,19 @@
 
     def add(self, instance: InstanceId) -> None:
         """Adds an id if it is absent."""
-        if instance not in self._numbers:
-            self._numbers[instance] = len(self._ids)
+        if instance not in self._positions:
+            self._positions[instance] = len(self._ids)
             self._ids.append(instance)
 
     def discard(self, instance: InstanceId) -> None:
         """Removes an id if present; the last id takes its position."""
-        number = self._numbers.pop(instance, None)
+        number = self._positions.pop(instance, None)
         if number is None:
             return
         last = self._ids.pop()
         if last != instance:
             self._ids[number] = last
-            self._numbers[last] = number
+            self._positions[last] = number
 
 
 @dataclass(slots=True)
