--- a/src/larkpost/gateway/store/follower.py
+++ b/src/larkpost/gateway/store/follower.py
@@ -77,7 +77,7 @@
         self._clock = instruments.clock
         self._log = instruments.log
         self._relisting = relisting
-        self._following = True
+        self._is_connected = True
         self._position = 0
         self._newest_version = 0
         self._list_started_at = float("-inf")
@@ -124,9 +124,9 @@
 
     def _log_change(self, *, following: bool, reason: str = "") -> None:
         """Logs when the connection to the table is lost or regained."""
-        if following == self._following:
+        if following == self._is_connected:
             return
-        self._following = following
+        self._is_connected = following
         age = round(self.age(self._clock.now()), 3)
         state = "regained" if following else "lost"
         self._log.record(Event.STORE, table=self._table, state=state, age=age, reason=reason)
