--- a/src/larkpost/gateway/store/follower.py
+++ b/src/larkpost/gateway/store/follower.py
@@ -112,23 +112,23 @@
         while True:
             try:
                 await self._step()
-                self._log_change(following=True)
+                self._log_change(is_connected=True)
             except HistoryLostError:
                 self._list_started_at = float("-inf")
                 self._position = 0
                 self._log.record(Event.STORE, table=self._table, state="history_lost")
             except StoreUnavailableError as error:
                 self.failed_at = self._clock.now()
-                self._log_change(following=False, reason=error.message)
+                self._log_change(is_connected=False, reason=error.message)
                 await self._clock.sleep(RETRY_SECONDS)
 
-    def _log_change(self, *, following: bool, reason: str = "") -> None:
+    def _log_change(self, *, is_connected: bool, reason: str = "") -> None:
         """Logs when the connection to the table is lost or regained."""
-        if following == self._is_connected:
+        if is_connected == self._is_connected:
             return
-        self._is_connected = following
+        self._is_connected = is_connected
         age = round(self.age(self._clock.now()), 3)
-        state = "regained" if following else "lost"
+        state = "regained" if is_connected else "lost"
         self._log.record(Event.STORE, table=self._table, state=state, age=age, reason=reason)
 
     async def _step(self) -> None:
