--- a/src/larkpost/gateway/store/follower.py
+++ b/src/larkpost/gateway/store/follower.py
@@ -112,17 +112,17 @@
         while True:
             try:
                 await self._step()
-                self._log_change(is_connected=True)
+                self._log_connection_change(is_connected=True)
             except HistoryLostError:
                 self._list_started_at = float("-inf")
                 self._position = 0
                 self._log.record(Event.STORE, table=self._table, state="history_lost")
             except StoreUnavailableError as error:
                 self.failed_at = self._clock.now()
-                self._log_change(is_connected=False, reason=error.message)
+                self._log_connection_change(is_connected=False, reason=error.message)
                 await self._clock.sleep(RETRY_SECONDS)
 
-    def _log_change(self, *, is_connected: bool, reason: str = "") -> None:
+    def _log_connection_change(self, *, is_connected: bool, reason: str = "") -> None:
         """Logs when the connection to the table is lost or regained."""
         if is_connected == self._is_connected:
             return
