--- a/src/larkpost/gateway/blackboard/weight_targets.py
+++ b/src/larkpost/gateway/blackboard/weight_targets.py
@@ -37,7 +37,7 @@
     def __init__(self) -> None:
         self._versions: dict[ModelName, int] = {}
         self._announced_at: dict[ModelName, float] = {}
-        self._is_observed: dict[ModelName, bool] = {}
+        self._knew_predecessor: dict[ModelName, bool] = {}
         """Whether this daemon also knew the preceding version; if not, the row may be old."""
 
     def update(self, target: WeightTarget, now: float) -> bool:
@@ -51,7 +51,7 @@
         is_successor = target.version - 1 == self._versions.get(target.model)
         self._versions[target.model] = target.version
         self._announced_at[target.model] = now
-        self._is_observed[target.model] = is_successor
+        self._knew_predecessor[target.model] = is_successor
         return True
 
     def seconds_since_announced(self, model: ModelName, now: float) -> float:
@@ -60,7 +60,7 @@
 
     def last_announcement(self, model: ModelName, now: float) -> VersionAnnouncement | None:
         """Returns a model's newest announcement; None if this daemon did not observe it."""
-        if not self._is_observed.get(model, False):
+        if not self._knew_predecessor.get(model, False):
             return None
         return VersionAnnouncement(self._versions[model], now - self._announced_at[model])
 
