--- a/src/larkpost/gateway/assembly/loop_monitor.py
+++ b/src/larkpost/gateway/assembly/loop_monitor.py
@@ -20,7 +20,7 @@
     def __init__(self, clock: Clock, log: EventLog) -> None:
         self._clock = clock
         self._log = log
-        self._largest = 0.0
+        self._max_lag = 0.0
         self.late_at = float("-inf")
 
     def start(self, tasks: TaskSet) -> None:
@@ -29,7 +29,7 @@
 
     def take_max_lag(self) -> float:
         """Returns the maximum lag in seconds since the last call, and resets it."""
-        largest, self._largest = self._largest, 0.0
+        largest, self._max_lag = self._max_lag, 0.0
         return largest
 
     async def _run(self) -> None:
@@ -37,7 +37,7 @@
             started = self._clock.now()
             await self._clock.sleep(LOOP_INTERVAL_SECONDS)
             lag = self._clock.now() - started - LOOP_INTERVAL_SECONDS
-            self._largest = max(self._largest, lag)
+            self._max_lag = max(self._max_lag, lag)
             if lag > LATE_LOOP_SECONDS:
                 self.late_at = self._clock.now()
                 self._log.record(Event.LOOP_LATE, seconds=round(lag, 3))
