--- a/src/larkpost/gateway/assembly/balancing.py
+++ b/src/larkpost/gateway/assembly/balancing.py
@@ -21,7 +21,7 @@
     """The balancer, and the placement rules that other components use."""
 
     sender_tracker: SenderTracker
-    cold: ColdRateLimit
+    cold_rate_limit: ColdRateLimit
     isolation: IsolationRule
     balancer: Balancer
 
@@ -39,21 +39,23 @@
         alive: returns the live daemons; called only after the daemon is fully built.
     """
     sender_tracker = SenderTracker(own, ports.clock)
-    cold = ColdRateLimit(settings.cold, blackboard, ports.clock, ports.log, sender_tracker)
+    cold_rate_limit = ColdRateLimit(
+        settings.cold, blackboard, ports.clock, ports.log, sender_tracker
+    )
     isolation = IsolationRule()
     # Rules that count sends come last, so that they do not count sends that others reject.
     rules = (
         EvacuationRule(blackboard.evacuations),
         RegionRule(blackboard.regions),
         isolation,
-        cold,
+        cold_rate_limit,
     )
     dependencies = BalancerDependencies(
         ports.servers.is_connected,
-        Placement(blackboard.directory, rules, ports.metrics, cold.send_timeout),
-        cold,
+        Placement(blackboard.directory, rules, ports.metrics, cold_rate_limit.send_timeout),
+        cold_rate_limit,
         blackboard.regions,
         DaemonSubsets(own, alive),
     )
     balancer = Balancer(blackboard.directory, ports.clock, ports.rng, dependencies)
-    return Balancing(sender_tracker, cold, isolation, balancer)
+    return Balancing(sender_tracker, cold_rate_limit, isolation, balancer)
--- a/src/larkpost/gateway/assembly/gauges.py
+++ b/src/larkpost/gateway/assembly/gauges.py
@@ -29,7 +29,7 @@
     feeds: Feeds
     membership: Membership
     balancer: Balancer
-    cold: ColdRateLimit
+    cold_rate_limit: ColdRateLimit
     batch_manager: BatchManager
     event_loop_monitor: EventLoopMonitor
     relay: RelayedStore | None
@@ -58,7 +58,7 @@
         metrics = self.metrics
         for state, count in self.blackboard.directory.counts().items():
             metrics.set(Level.INSTANCES, count, state)
-        metrics.set(Level.INSTANCES_COLD, self.cold.count_cold_instances())
+        metrics.set(Level.INSTANCES_COLD, self.cold_rate_limit.count_cold_instances())
         metrics.replace(Level.INSTANCES_OF_SUBSET, self.balancer.subset_sizes())
         zones = self.blackboard.evacuations.zones()
         metrics.replace(Level.EVACUATED, dict.fromkeys(zones, 1))
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -94,7 +94,7 @@
             self.id, self.settings, self.blackboard, self._ports, self._alive_daemons
         )
         self._sender_tracker, self._isolation_rule = parts.sender_tracker, parts.isolation
-        self.cold, self.balancer = parts.cold, parts.balancer
+        self.cold_rate_limit, self.balancer = parts.cold_rate_limit, parts.balancer
 
     def _make_membership(self) -> None:
         ports = self._ports
@@ -108,7 +108,7 @@
                 self.blackboard.regions,
                 self.balancer,
                 self._ledger,
-                lambda: self.keeper,
+                lambda: self.batch_manager,
                 self._event_loop_monitor,
             )
         )
@@ -149,7 +149,7 @@
         self._engine_allocator = EngineAllocator(
             self.blackboard,
             ports.clock,
-            lambda: self.keeper.demands(),
+            lambda: self.batch_manager.demands(),
             LendingLog(ports.log, ports.clock),
             self.balancer.service_times.lasting,
         )
@@ -165,15 +165,15 @@
             ports.store.time,
             asyncio.Semaphore(MAX_CALLS_IN_FLIGHT),
             self._engine_allocator,
-            self.cold,
+            self.cold_rate_limit,
             self.blackboard.crashes,
         )
         repository = BatchRepository(ports.store, ports.clock)
         views = ViewCache(self.memory.budget)
-        self.keeper = BatchManager(
+        self.batch_manager = BatchManager(
             repository, self.membership, services, views, self._batch_lifetime
         )
-        self.batches = BatchService(self.id, repository, self.keeper, views, services)
+        self.batches = BatchService(self.id, repository, self.batch_manager, views, services)
 
     def _make_feeds(self) -> None:
         ports = self._ports
@@ -182,11 +182,11 @@
             self.blackboard,
             self._instruments,
             BatchListener(
-                self.keeper.record_head, self._crash_recorder.record_row, self._is_active
+                self.batch_manager.record_head, self._crash_recorder.record_row, self._is_active
             ),
         )
         self._sender_tracker.set_sources(
-            self.keeper.open_owners, self.membership, self._feeds.heads
+            self.batch_manager.open_owners, self.membership, self._feeds.heads
         )
 
     def _make_admission(self) -> None:
@@ -204,7 +204,7 @@
                 self._engine_allocator,
                 self.membership,
                 self.balancer,
-                self.keeper,
+                self.batch_manager,
                 self._feeds,
                 self.fleet_clock,
                 self._usage_counter,
@@ -219,8 +219,8 @@
             self._feeds,
             self.membership,
             self.balancer,
-            self.cold,
-            self.keeper,
+            self.cold_rate_limit,
+            self.batch_manager,
             self._event_loop_monitor,
             self._ports.relay,
             self.memory,
@@ -234,10 +234,10 @@
         if self._ports.relay is not None:
             self._ports.relay.start(self.membership.peers, self._tasks, self._is_region_bound)
         self.membership.start(self._tasks)
-        self.keeper.start(self._tasks)
+        self.batch_manager.start(self._tasks)
         self.leased_controllers.start(self._tasks)
         if self.settings.cold is not None:
-            self._tasks.every(POLL_SECONDS, self.cold.poll, "cold")
+            self._tasks.every(POLL_SECONDS, self.cold_rate_limit.poll, "cold")
         self._tasks.spawn(self._become_ready(), "readiness")
         self._event_loop_monitor.start(self._tasks)
 
@@ -246,7 +246,7 @@
         steps = ShutdownSteps(
             immediate_steps=(
                 ("leave", self.membership.leave),
-                ("hand_over", self.keeper.hand_over),
+                ("hand_over", self.batch_manager.hand_over),
             ),
             final_step=self.leased_controllers.save_final,
         )
@@ -276,7 +276,7 @@
 
     def _is_active(self) -> bool:
         """Returns whether this daemon must react to batch changes immediately."""
-        return self.membership.is_coordinator() or bool(self.keeper.owned())
+        return self.membership.is_coordinator() or bool(self.batch_manager.owned())
 
     def _alive_daemons(self) -> frozenset[DaemonId]:
         """Returns the live daemons."""
--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -541,14 +541,16 @@
         """Kills a gateway."""
         gateway = self.gateways[number]
         gateway.stop()
-        for owned in list(gateway.keeper._owned.values()):
+        for owned in list(gateway.batch_manager._owned.values()):
             owned.stop()
-        gateway.keeper._owned.clear()
+        gateway.batch_manager._owned.clear()
 
     async def submit(self, spec: BatchSpec, number: int = 0) -> int:
         """Submits a batch to a gateway, and returns the number of the gateway that will run it."""
         await self.gateways[number].batches.submit(spec)
-        head = self.gateways[number].keeper.head(spec.id) or await self.repository().head(spec.id)
+        head = self.gateways[number].batch_manager.head(spec.id) or await self.repository().head(
+            spec.id
+        )
         return next(i for i, gateway in enumerate(self.gateways) if gateway.id == head.owner)
 
     def other(self, number: int) -> Gateway:
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -298,20 +298,22 @@
             await fleet.wait(3.0)
             owner = await fleet.submit(make_batch(items=60))
             await fleet.wait(1.0)
-            others = [gateway for gateway in fleet.gateways if not gateway.keeper.owned()]
+            others = [gateway for gateway in fleet.gateways if not gateway.batch_manager.owned()]
             self.assertEqual(2, len(others))
             for gateway in others:
-                self.assertGreater(gateway.keeper.demands()[MODEL].waiting, 0)
+                self.assertGreater(gateway.batch_manager.demands()[MODEL].waiting, 0)
                 self.assertIsNot(
-                    DeadlineForecast.UNKNOWN, gateway.keeper.demands()[MODEL].deadline_forecast
+                    DeadlineForecast.UNKNOWN,
+                    gateway.batch_manager.demands()[MODEL].deadline_forecast,
                 )
             fleet.kill(owner)
             await fleet.wait(DEAD_AFTER_SECONDS + 1.5)
-            owners = [gateway for gateway in others if gateway.keeper.owned()]
+            owners = [gateway for gateway in others if gateway.batch_manager.owned()]
             self.assertEqual(1, len(owners))
             for gateway in others:  # reported by the new owner
                 self.assertIsNot(
-                    DeadlineForecast.UNKNOWN, gateway.keeper.demands()[MODEL].deadline_forecast
+                    DeadlineForecast.UNKNOWN,
+                    gateway.batch_manager.demands()[MODEL].deadline_forecast,
                 )
 
         run(play())
--- a/tests/test_cold_engine_choice.py
+++ b/tests/test_cold_engine_choice.py
@@ -22,7 +22,7 @@
         await self.fleet.wait(4.0)
         gateway = self.fleet.gateways[0]
         self.blackboard, self.balancer = gateway.blackboard, gateway.balancer
-        self.services = gateway.keeper._services
+        self.services = gateway.batch_manager._services
         for name in (ENGINE, OTHER_ENGINE):
             self.balancer.record_service_time(name, SERVICE_TIME)
         spec = make_batch(items=1)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -93,7 +93,7 @@
             await fleet.wait(0.5)
             fleet.kill(owner)
             await fleet.wait(DEAD_AFTER_SECONDS + 0.7)
-            owners = [gateway for gateway in fleet.gateways if gateway.keeper.owned()]
+            owners = [gateway for gateway in fleet.gateways if gateway.batch_manager.owned()]
             self.assertEqual(1, len(owners))
 
         run(play())
@@ -143,7 +143,7 @@
         """Creates engines with these service times, all with version 1, and a selector."""
         fleet = PlatformFleet(gateways=1, engines=0)
         self.clock = fleet.clock
-        services = fleet.gateways[0].keeper._services
+        services = fleet.gateways[0].batch_manager._services
         services.directory = self.directory = InstanceDirectory()
         services.balancer = self.balancer = Balancer(self.directory, self.clock, random.Random(0))
         for number, service_time in enumerate(service_times):
@@ -262,7 +262,7 @@
         head = BatchHead(
             spec.id, spec.host, spec.path, MODEL, 0, 0, 1, 1, gateway.id, 0.0, False, "u"
         )
-        selector = EngineSelector(head, gateway.keeper._services)
+        selector = EngineSelector(head, gateway.batch_manager._services)
         slot_queue = SlotQueue(selector, self.balancer, self.fleet.clock)
         route = self.blackboard.configuration.current.match(spec.host, spec.path.encode())
         progress = Progress(spec.items[0])
--- a/tests/test_fault_kinds.py
+++ b/tests/test_fault_kinds.py
@@ -120,7 +120,7 @@
             spec = make_batch("batch", 12)
             await late.batches.submit(spec)
             check_results(self, spec, await fleet.read_all(fleet.gateways[0], "batch"))
-            self.assertEqual(late.id, fleet.gateways[0].keeper.head("batch").owner)
+            self.assertEqual(late.id, fleet.gateways[0].batch_manager.head("batch").owner)
 
         run(play())
 
--- a/tests/test_held_bytes.py
+++ b/tests/test_held_bytes.py
@@ -672,13 +672,13 @@
         repository = mock.AsyncMock()
         repository.head.return_value = head
         services = mock.Mock(clock=LoopClock())
-        keeper = BatchManager(
+        manager = BatchManager(
             repository, mock.AsyncMock(), services, ViewCache(budget), lambda: 60.0
         )
         item = Item(ItemId("i"), "/", (), bytes(MB), 1, "g")
-        await keeper.start_accepted(mock.Mock(id=BatchId("b"), items=(item,)), "u")
+        await manager.start_accepted(mock.Mock(id=BatchId("b"), items=(item,)), "u")
         self.assertEqual(MB, budget.held(MemoryPurpose.BATCHES))
-        keeper.finish(BatchId("b"))
+        manager.finish(BatchId("b"))
 
 
 class ViewCacheTest(unittest.TestCase):
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -89,7 +89,7 @@
         async def moves() -> bool:
             """Returns whether a long run at a slow engine gets a slot at a fast one."""
             fleet = PlatformFleet(gateways=1, engines=0)
-            services = fleet.gateways[0].keeper._services
+            services = fleet.gateways[0].batch_manager._services
             services.directory = make_directory(2)
             services.balancer = Balancer(services.directory, fleet.clock, random.Random(0))
             services.balancer.record_service_time(InstanceId("e0"), 0.09)
@@ -147,7 +147,7 @@
             fleet = PlatformFleet(1, 4)
             own = frozenset({InstanceId("engine-0"), InstanceId("engine-1")})
             await fleet.wait(1.0)
-            services = fleet.gateways[0].keeper._services
+            services = fleet.gateways[0].batch_manager._services
             services.division.engines_of = lambda *_: own
             await fleet.gateways[0].batches.submit(make_batch("batch", 40))
             await fleet.wait(0.4)
@@ -192,7 +192,7 @@
     def test_loading_last(self):
         async def chosen(loading: set[str]) -> str:
             fleet = PlatformFleet(gateways=1, engines=0)
-            services = fleet.gateways[0].keeper._services
+            services = fleet.gateways[0].batch_manager._services
             services.directory = make_directory(2)
             services.balancer = Balancer(services.directory, fleet.clock, random.Random(0))
             services.balancer.occupy(InstanceId("e1"))
@@ -387,7 +387,7 @@
     def test_client_slots_share(self):
         async def has_free_slot() -> bool:
             fleet = PlatformFleet(1, 1, scorers=1)
-            services = fleet.gateways[0].keeper._services
+            services = fleet.gateways[0].batch_manager._services
             attempts = RewardCaller(make_head(fleet), services)
             info = make_instance("scorer-0", SCORERS, slots=6)
             for _ in range(4):
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -172,7 +172,7 @@
                 await fleet.wait(0.5)
                 fleet.kill(1)
                 await fleet.wait(DEAD_AFTER_SECONDS + 0.7)
-                owners = [n for n, one in enumerate(fleet.gateways) if one.keeper.owned()]
+                owners = [n for n, one in enumerate(fleet.gateways) if one.batch_manager.owned()]
                 self.assertEqual([EAST], [fleet.region_of_gateway(owner) for owner in owners])
                 check_results(self, spec, await fleet.read_all(fleet.gateways[3], spec.id))
                 oracle.check()
@@ -190,7 +190,7 @@
                 await fleet.submit(spec, 1)
                 await fleet.wait(0.3)
                 await fleet.gateways[1].membership.leave()
-                await fleet.gateways[1].keeper.hand_over()
+                await fleet.gateways[1].batch_manager.hand_over()
                 head = await fleet.repository().head(spec.id)
                 owner = next(n for n, one in enumerate(fleet.gateways) if one.id == head.owner)
                 self.assertEqual(EAST, fleet.region_of_gateway(owner))
@@ -209,7 +209,7 @@
             for number in (0, 1, 2):  # all of the east, and the owner
                 fleet.kill(number)
             await fleet.wait(6.0)
-            self.assertEqual([], fleet.gateways[3].keeper.owned())
+            self.assertEqual([], fleet.gateways[3].batch_manager.owned())
             fleet.add_gateway("late", EAST_ZONES[0])
             check_results(self, spec, await fleet.read_all(fleet.gateways[3], spec.id))
             oracle.check()
@@ -284,7 +284,7 @@
         async def play():
             fleet = self.begin(b"")
             await fleet.wait(1.0)
-            services = fleet.gateways[1].keeper._services
+            services = fleet.gateways[1].batch_manager._services
             head = BatchHead(
                 "b", "h", "/r/x", MODEL, 0, 0, 1, 1, fleet.gateways[1].id, 0.0, False, "u"
             )
--- a/tests/test_reward_calls.py
+++ b/tests/test_reward_calls.py
@@ -126,7 +126,7 @@
             whole = {name for state in fleet.model_engines() for name in state.whole_at}
             self.assertTrue(whole)
             await fleet.gateways[owner].membership.leave()
-            await fleet.gateways[owner].keeper.hand_over()
+            await fleet.gateways[owner].batch_manager.hand_over()
             runs_before = [len(state.runs) for state in fleet.model_engines()]
             bring_scorers_back(fleet)
             results = await fleet.read_all(fleet.other(owner), spec.id)
@@ -294,7 +294,7 @@
         async def play():
             fleet = await start_fleet()
             spec = make_batch(scored=True)
-            repository = fleet.gateways[0].keeper._repository
+            repository = fleet.gateways[0].batch_manager._repository
             append = repository.append
             errors = iter([RuntimeError("unexpected")] * 2)
 
--- a/tests/test_scale_mechanisms.py
+++ b/tests/test_scale_mechanisms.py
@@ -333,7 +333,7 @@
             await fleet.gateways[idle[0]].batches.submit(make_batch("batch"))
             await fleet.wait(0.5)
             for gateway in fleet.gateways:
-                self.assertIsNotNone(gateway.keeper.head("batch"))
+                self.assertIsNotNone(gateway.batch_manager.head("batch"))
 
         run(play())
 
--- a/tests/test_yielding.py
+++ b/tests/test_yielding.py
@@ -28,7 +28,7 @@
             fleet = PlatformFleet(1, 4)
             own = frozenset({InstanceId("engine-0"), InstanceId("engine-1")})
             await fleet.wait(1.0)
-            division = fleet.gateways[0].keeper._services.division
+            division = fleet.gateways[0].batch_manager._services.division
             division.engines_of = lambda *_: own
             division.should_yield = lambda *_: yields
             for state in fleet.model_engines():
