--- a/src/larkpost/gateway/memory/budget.py
+++ b/src/larkpost/gateway/memory/budget.py
@@ -35,7 +35,7 @@
     REQUEST_BODIES = "request_bodies"  # from receipt until the request is answered
     SMALL_BODIES = "small_bodies"  # of requests that declare at most `SMALL_BODY_BYTES`
     SUBMISSIONS = "submissions"  # batches while they are read and written to the store
-    ANSWERS = "answers"  # whole responses, until the client has received them
+    RESPONSES = "answers"  # whole responses, until the client has received them
     STREAMS = "streams"  # read ahead from the server for slow clients
     PAGES = "pages"  # result pages and bodies of batches that clients requested
     BATCHES = "batches"  # items and results of batches that run or were read here
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -91,7 +91,7 @@
             response = await call.enter_async_context(self.open(instance, attempts))
             self._balancer.record_load(instance.id, response.load)
             is_signed = response.signature is not None
-            reservation = attempts.request.memory.reserve(MemoryPurpose.ANSWERS)
+            reservation = attempts.request.memory.reserve(MemoryPurpose.RESPONSES)
             chunks = response.chunks()
             buffered, is_whole = await read_until_limit(chunks, reservation)
             if is_whole:
--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -190,7 +190,7 @@
     """Keeps the unsent bytes reserved until they have been delivered."""
     if delivery.unsent == 0:
         return
-    memory.shrink_to(MemoryPurpose.ANSWERS, delivery.unsent)
+    memory.shrink_to(MemoryPurpose.RESPONSES, delivery.unsent)
     with contextlib.suppress(SlowClientError):  # logged where the connection is closed
         await delivery.wait_until_drained()
 
--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -38,7 +38,7 @@
 
     def test_bytes_are_counted_by_purpose_and_released_at_the_end(self):
         with self.budget.reserve(MemoryPurpose.REQUEST_BODIES, 3 * MB) as body:
-            self.budget.reserve(MemoryPurpose.ANSWERS, MB)
+            self.budget.reserve(MemoryPurpose.RESPONSES, MB)
             body.grow(MB)
             self.assertEqual(4 * MB, self.budget.held(MemoryPurpose.REQUEST_BODIES))
             self.assertEqual((5 * MB, 5 * MB), (self.budget.total, self.budget.free))
@@ -46,7 +46,7 @@
         self.assertEqual(MB, self.budget.total)
 
     def test_bytes_are_released_on_an_exception(self):
-        with self.assertRaises(ValueError), self.budget.reserve(MemoryPurpose.ANSWERS, MB):
+        with self.assertRaises(ValueError), self.budget.reserve(MemoryPurpose.RESPONSES, MB):
             raise ValueError
         self.assertEqual(0, self.budget.total)
 
@@ -108,7 +108,7 @@
     def test_shortfall(self):
         """Bytes to release before a reservation fits; batches are never released for one."""
         self.budget.set_held(MemoryPurpose.BATCHES, 6 * MB)
-        self.budget.reserve(MemoryPurpose.ANSWERS).force_grow(5 * MB)
+        self.budget.reserve(MemoryPurpose.RESPONSES).force_grow(5 * MB)
         cases = {
             (MemoryPurpose.REQUEST_BODIES, MB): 2 * MB,
             (MemoryPurpose.REQUEST_BODIES, 10 * MB + 1): math.inf,
@@ -129,7 +129,7 @@
         self.assertGreater(self.budget.total, 9 * MB)
 
     def test_response_limit_is_a_fraction_of_the_free_bytes(self):
-        answer = self.budget.reserve(MemoryPurpose.ANSWERS)
+        answer = self.budget.reserve(MemoryPurpose.RESPONSES)
         self.assertTrue(answer.fits_response_limit(10 * MB // RESPONSE_LIMIT_DIVISOR))
         self.assertFalse(answer.fits_response_limit(10 * MB // RESPONSE_LIMIT_DIVISOR + 1))
 
@@ -141,7 +141,7 @@
 
     def test_without_a_limit_everything_fits(self):
         budget = MemoryBudget()
-        answer = budget.reserve(MemoryPurpose.ANSWERS, 10**12)
+        answer = budget.reserve(MemoryPurpose.RESPONSES, 10**12)
         self.assertTrue(answer.fits_response_limit(10**12))
         self.assertEqual((math.inf, False), (budget.free, budget.is_low))
 
@@ -194,7 +194,7 @@
         def opened(name: str) -> StreamedResponse:
             call = AsyncExitStack()
             call.push(lambda kind, *_: ended.append((name, kind)))
-            body = MemoryBudget().reserve(MemoryPurpose.ANSWERS)
+            body = MemoryBudget().reserve(MemoryPurpose.RESPONSES)
             return StreamedResponse(200, (), deque(), mock.Mock(), body, call)
 
         used, unused = opened("used"), opened("unused")
@@ -218,7 +218,7 @@
 
             call = AsyncExitStack()
             call.push_async_exit(end)
-            body = MemoryBudget().reserve(MemoryPurpose.ANSWERS)
+            body = MemoryBudget().reserve(MemoryPurpose.RESPONSES)
             return StreamedResponse(200, (), deque(), mock.Mock(), body, call)
 
         attempts = Attempts(*[mock.Mock()] * 5, opened=[opened("first"), opened("second")])
@@ -239,9 +239,9 @@
         memory = unlimited_memory()
         with memory.request() as request:
             request.reserve(MemoryPurpose.REQUEST_BODIES, MB)
-            request.reserve(MemoryPurpose.ANSWERS).force_grow(MB)
+            request.reserve(MemoryPurpose.RESPONSES).force_grow(MB)
             self.assertEqual((2 * MB, 2 * MB), (request.size, memory.budget.total))
-            request.shrink_to(MemoryPurpose.ANSWERS, 100)
+            request.shrink_to(MemoryPurpose.RESPONSES, 100)
             self.assertEqual((100, 100), (request.size, memory.budget.total))
         self.assertEqual(0, memory.budget.total)
 
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -332,7 +332,7 @@
                 self.memory.request() as request,
                 self.memory.delivery(connection, request) as delivery,
             ):
-                request.reserve(MemoryPurpose.ANSWERS, MB)
+                request.reserve(MemoryPurpose.RESPONSES, MB)
                 delivery.record_written(2 * HIGH_BYTES)
                 connection.write(2 * HIGH_BYTES)
                 connection.is_serving = False
@@ -369,7 +369,7 @@
         async def play():
             connection = FakeConnection(rate=10**9)
             with memory.request() as request, memory.delivery(connection, request) as delivery:
-                held = request.reserve(MemoryPurpose.ANSWERS, 2)
+                held = request.reserve(MemoryPurpose.RESPONSES, 2)
                 answer = BufferedBody(Server(1).answer(), held, deque([b"a", b"b"]))
                 async with aclosing(read_ahead(answer, delivery, memory)) as parts:
                     return [part async for part in parts]
