--- a/src/larkpost/gateway/assembly/daemon_capacity.py
+++ b/src/larkpost/gateway/assembly/daemon_capacity.py
@@ -11,7 +11,7 @@
 LATE_CAPACITY_FRACTION = 0.25
 """Fraction of the capacity that a daemon reports while its event loop is late."""
 LATE_CAPACITY_SECONDS = 10.0
-"""Time for which the reduction lasts, so that duties do not move with every single lag."""
+"""Time for which the reduction lasts, so that duties do not move with each lag."""
 
 
 def machine_capacity(cores: float | None, byte_budget: int | None) -> float | None:
--- a/src/larkpost/gateway/assembly/leased_controllers.py
+++ b/src/larkpost/gateway/assembly/leased_controllers.py
@@ -1,7 +1,7 @@
-"""Controllers that act on one daemon at a time: weight loads, usage reports and scaling.
+"""Controllers of duties that only one daemon performs at a time: weight loads, usage, scaling.
 
-Every daemon runs all of them; each acts only on subjects that this daemon is chosen for, under a
-lease.
+Every daemon runs all of them. Each controller acts only on subjects for which this daemon is
+chosen, and only under a lease.
 """
 
 from dataclasses import dataclass
--- a/src/larkpost/gateway/assembly/loop_monitor.py
+++ b/src/larkpost/gateway/assembly/loop_monitor.py
@@ -14,7 +14,7 @@
     """Tracks the lag of the event loop.
 
     Attributes:
-        late_at: monotonic time of the last lag above `LATE_LOOP_SECONDS`.
+        late_at: steady time of the last lag above `LATE_LOOP_SECONDS`.
     """
 
     def __init__(self, clock: Clock, log: EventLog) -> None:
--- a/src/larkpost/gateway/blackboard/cold_instances.py
+++ b/src/larkpost/gateway/blackboard/cold_instances.py
@@ -25,10 +25,10 @@
 
 
 class ColdInstances:
-    """When each instance stops being cold, in this daemon's monotonic time.
+    """When each instance stops being cold, in this daemon's steady time.
 
-    Sources are the instance's entry, its responses, and the end of an evacuation. The latest end
-    wins, as reports may arrive out of order.
+    Known from the instance's entry, its responses, and the end of an evacuation. The latest time
+    counts, as reports may arrive out of order.
     """
 
     def __init__(self) -> None:
--- a/src/larkpost/gateway/blackboard/daemon_report.py
+++ b/src/larkpost/gateway/blackboard/daemon_report.py
@@ -65,8 +65,8 @@
     """The report of one daemon; everything that it omits is unknown.
 
     Attributes:
-        paces: long-term seconds per unit of work at each instance, without short slowdowns; only
-            values that the daemon measured itself.
+        paces: long-term service time of each instance, in seconds per unit of work and without
+            short slowdowns; only values that the daemon measured itself.
         tenants: usage of its largest flows at services that lack slots; bounded in number.
         capacity: relative capacity of its machine for work besides client requests; None if
             unknown.
--- a/src/larkpost/gateway/blackboard/directory.py
+++ b/src/larkpost/gateway/blackboard/directory.py
@@ -13,7 +13,7 @@
 class InstanceState(StrEnum):
     """Whether an instance accepts new work.
 
-    READY may become LEAVING or UNLISTED. UNLISTED becomes READY again when the entry reappears.
+    READY may become LEAVING or UNLISTED; UNLISTED becomes READY again when the entry reappears.
     LEAVING is final: a server that restarts is a new instance.
     """
 
@@ -90,7 +90,7 @@
         return self._instances.get(current) if current is not None else None
 
     def resolve(self, instance: InstanceId) -> InstanceId:
-        """Returns the id of the known incarnation if ``instance`` is only a server's name."""
+        """Returns the id of the known incarnation if ``instance`` has no start time."""
         name, started_at_ms = split_instance_id(instance)
         return self._id_by_name.get(name, instance) if started_at_ms is None else instance
 
@@ -148,7 +148,7 @@
         observed[model] = max(version, observed.get(model, 0))
         info = self._instances.get(instance)
         if is_first and info is not None:
-            self._store(info)
+            self._store(info)  # indexes it under the model
 
     def version_of(self, instance: InstanceId, model: ModelName) -> int:
         """Returns the newest known weight version of a model at an instance; 0 if unknown."""
@@ -187,10 +187,10 @@
     def drop_unlisted(self) -> list[InstanceId]:
         """Drops all UNLISTED instances, and returns their ids."""
         unlisted = [
-            name for name, info in self._instances.items() if info.state is InstanceState.UNLISTED
+            key for key, info in self._instances.items() if info.state is InstanceState.UNLISTED
         ]
-        for name in unlisted:
-            self.forget(name)
+        for key in unlisted:
+            self.forget(key)
         return unlisted
 
     def accepts_work(self, instance: InstanceId) -> bool:
@@ -214,6 +214,6 @@
         if info.state is InstanceState.LEAVING:
             self.index.drop(info.id)
             return
-        known = (info.versions, self._observed_versions.get(info.id, {}))
-        models = {model for versions in known for model, version in versions.items() if version}
+        sources = (info.versions, self._observed_versions.get(info.id, {}))
+        models = {model for versions in sources for model, version in versions.items() if version}
         self.index.put(info, models)
--- a/src/larkpost/gateway/blackboard/evacuations.py
+++ b/src/larkpost/gateway/blackboard/evacuations.py
@@ -18,7 +18,7 @@
 
 
 class Evacuations:
-    """Evacuated zones, with the monotonic time at which this daemon learned of each."""
+    """Evacuated zones, with the steady time at which this daemon learned of each."""
 
     def __init__(self) -> None:
         self._since: dict[ZoneId, float] = {}
--- a/src/larkpost/gateway/blackboard/instance_usage.py
+++ b/src/larkpost/gateway/blackboard/instance_usage.py
@@ -3,4 +3,6 @@
 from larkpost.common.ids import InstanceId
 
 InstanceUsage = dict[InstanceId, tuple[int, float]]
-"""For each instance in use: requests there, and seconds a unit of work takes (0: unknown)."""
+"""Number of requests and service time of each instance in use.
+
+The service time is in seconds per unit of work; 0 if unknown."""
--- a/src/larkpost/gateway/blackboard/service_index.py
+++ b/src/larkpost/gateway/blackboard/service_index.py
@@ -1,7 +1,7 @@
 """Index of the instances that accept new work, by service.
 
-Avoids a scan of all instances for each placement decision. `InstanceDirectory` updates it with each
-change of an entry. Entries are ordered by when they were first listed.
+Avoids a scan of all instances for each placement decision. `InstanceDirectory` updates the index
+whenever an entry changes.
 """
 
 from collections import Counter
@@ -44,13 +44,13 @@
 
     def discard(self, instance: InstanceId) -> None:
         """Removes an id if present; the last id takes its position."""
-        number = self._positions.pop(instance, None)
-        if number is None:
+        position = self._positions.pop(instance, None)
+        if position is None:
             return
         last = self._ids.pop()
         if last != instance:
-            self._ids[number] = last
-            self._positions[last] = number
+            self._ids[position] = last
+            self._positions[last] = position
 
 
 @dataclass(slots=True)
@@ -62,7 +62,7 @@
         id_set: ids of the instances.
         holders: for each model, the instances with a known version of it.
         zones: number of instances in each zone.
-        generation: unique number of the current set of instances.
+        generation: number that changes whenever an instance is added or removed.
     """
 
     entries: dict[InstanceId, EntryT] = field(default_factory=dict)
@@ -127,7 +127,7 @@
         return known.entries.get(instance) if known is not None else None
 
     def entries(self, service: ServiceName) -> Collection[EntryT]:
-        """Returns the entries of a service's instances, in the order first listed."""
+        """Returns the entries of a service's instances, in the order in which they were added."""
         known = self._services.get(service)
         return known.entries.values() if known is not None else ()
 
@@ -148,7 +148,7 @@
         return known.zones.keys() if known is not None else ()
 
     def generation(self, service: ServiceName) -> int:
-        """Returns a number that changes with the set of instances; 0 if there are none."""
+        """Returns a number that changes whenever the set of instances does; 0 if it is empty."""
         known = self._services.get(service)
         return known.generation if known is not None else 0
 
--- a/src/larkpost/gateway/blackboard/weight_targets.py
+++ b/src/larkpost/gateway/blackboard/weight_targets.py
@@ -38,13 +38,13 @@
         self._versions: dict[ModelName, int] = {}
         self._announced_at: dict[ModelName, float] = {}
         self._knew_predecessor: dict[ModelName, bool] = {}
-        """Whether this daemon also knew the preceding version; if not, the row may be old."""
+        """Whether this daemon knew the preceding version; if not, the announcement may be old."""
 
     def update(self, target: WeightTarget, now: float) -> bool:
         """Stores an announced version if it is newer, and returns whether it was.
 
         Args:
-            now: monotonic time in seconds.
+            now: steady time in seconds.
         """
         if target.version <= self._versions.get(target.model, 0):
             return False
@@ -59,7 +59,11 @@
         return now - self._announced_at.get(model, now)
 
     def last_announcement(self, model: ModelName, now: float) -> VersionAnnouncement | None:
-        """Returns a model's newest announcement; None if this daemon did not observe it."""
+        """Returns a model's newest announcement.
+
+        Returns:
+            None if the announcement may be older than this daemon's knowledge of it.
+        """
         if not self._knew_predecessor.get(model, False):
             return None
         return VersionAnnouncement(self._versions[model], now - self._announced_at[model])
@@ -70,7 +74,7 @@
 
 
 class DeadlineForecast(StrEnum):
-    """Forecast whether a batch will meet its deadline."""
+    """Whether a batch is expected to meet its deadline."""
 
     UNKNOWN = "unknown"
     TO_SPARE = "to_spare"  # in time, with some seconds to spare
@@ -86,10 +90,13 @@
         work: expected tokens of a batch, averaged over recent batches; 0 if unknown.
         open: whether a batch is running.
         has_earlier_open: whether a batch before the newest one is running.
-        submit_delay: seconds from the announcement of a version to the newest batch: short if the
-            trainer waited for that version, long if it had time to spare; None if unknown.
-        submit_version: newest announced version at that time; 0 if none or unknown.
-        min_submit_delay: minimum of the submit delays of the newest batch and the one before it.
+        submit_delay: seconds from the latest announcement of a version until the newest batch was
+            submitted: short if the trainer waited for that version, long if it had time to spare;
+            None if unknown.
+        submit_version: newest announced version when that batch was submitted; 0 if none or
+            unknown.
+        min_submit_delay: minimum of the known submit delays of the newest two batches; None if both
+            are unknown.
         deadline_forecast: forecast of the most urgent open batch.
         waiting: known number of items of open batches that wait for a slot.
         priority: highest priority (lowest number) of its open batches.
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -8,7 +8,7 @@
 proxy                 client requests
 rollouts              batches
 feeds                 tables that the daemon follows
-leased controllers    duties that one daemon at a time performs
+leased controllers    duties that only one daemon performs at a time
 """
 
 import asyncio
@@ -52,17 +52,21 @@
 from larkpost.gateway.usage.counter import UsageCounter
 
 READINESS_INTERVAL_SECONDS = 0.05
-"""Interval between two checks whether the daemon is ready for clients."""
+"""Interval between two checks for whether the daemon is ready for clients."""
 
 
 class Gateway:
     """One daemon.
 
     Components are created in the order of their dependencies. Three cycles are closed by callbacks
-    that are called only after construction: membership reports the balancer's data, and the
-    balancer needs the live daemons (`_alive_daemons`); the batch manager needs membership and the
-    engine allocator, which need its owned batches and their demand; and the sender tracker needs
-    the batches that are placed by its rule (`SenderTracker.set_sources`).
+    that are called only after construction:
+
+    - Membership reports the balancer's data, and the balancer needs the live daemons
+      (`_alive_daemons`).
+    - The batch manager needs membership and the engine allocator, which need its batches and their
+      demand.
+    - The sender tracker needs the owners of batches, whose items are placed by the cold rate limit,
+      which needs the sender tracker (`SenderTracker.set_sources`).
     """
 
     def __init__(self, settings: GatewaySettings, ports: GatewayPorts) -> None:
@@ -283,7 +287,7 @@
         return self.membership.alive()
 
     def _removes_expired_crashes(self) -> bool:
-        """Returns whether this daemon is the one that removes expired crashes."""
+        """Returns whether this daemon is chosen to remove expired crashes from the store."""
         return self.membership.choose_coordinator("crashes") == self.id
 
     # Settings may change at run time, so they are read at each use; durations in seconds.
--- a/src/larkpost/gateway/graceful_shutdown.py
+++ b/src/larkpost/gateway/graceful_shutdown.py
@@ -13,16 +13,16 @@
 from larkpost.gateway.observability.instruments import Instruments
 
 DEREGISTRATION_SECONDS = 2.6
-"""Time until no new connections are expected: the platform probes readiness every second, and two
-probes must fail."""
+"""Time after the stop request until no new connections are expected: the platform probes readiness
+every second, and two probes must fail."""
 KILL_MARGIN_SECONDS = 1.8
 """Part of the grace time reserved for the final steps after the wait for responses: saving usage
 counts (at most 0.8 s), closing listeners (at most 0.4 s), and slow machines."""
 HANDOVER_FRACTION = 0.6
-"""Fraction of the grace time, less the margin, for handing over batches. Other daemons claim the
-remaining ones once this daemon is considered dead."""
+"""Fraction of the grace time, without its margin, within which the immediate steps must end. Other
+daemons claim batches that were not handed over once they consider this daemon dead."""
 POLL_SECONDS = 0.05
-"""Interval between two checks for open responses."""
+"""Interval between two checks for open requests."""
 
 Step = Callable[[], Awaitable[None]]
 
@@ -76,7 +76,7 @@
         )
 
     async def _run_immediate_steps(self, deadline: float) -> None:
-        """Runs the immediate steps; a step that exceeds the time limit is cancelled."""
+        """Runs the immediate steps; a step that is running at the deadline is cancelled."""
         for name, step in self._steps.immediate_steps:
             try:
                 async with asyncio.timeout(max(0.0, deadline - self._clock.now())):
--- a/src/larkpost/gateway/memory/budget.py
+++ b/src/larkpost/gateway/memory/budget.py
@@ -1,7 +1,7 @@
 """Memory budget of one daemon: counts the bytes held for requests and batches, by purpose.
 
 No I/O. Code that buffers bytes reserves them here first. The limit for one buffered response
-shrinks as the budget fills up; see `MemoryBudget.answer_limit`.
+shrinks as the budget fills up; see `MemoryBudget.response_limit`.
 """
 
 import math
@@ -12,7 +12,7 @@
 from larkpost.common.errors import LarkpostError
 
 RESPONSE_LIMIT_DIVISOR = 8
-"""One response may hold at most the free bytes divided by this, which leaves room for others."""
+"""One response may hold at most the free bytes divided by this, so that others fit as well."""
 MIN_RESPONSE_LIMIT_BYTES = 65536
 """Lower bound of the limit for one response, so that every response can make progress."""
 LOW_MEMORY_FRACTION = 0.5
@@ -23,8 +23,8 @@
 """Extra fraction of the budget for small bodies, on top of the limit, so that ordinary requests are
 served while large bodies or batches fill the budget."""
 MAX_BATCHES_FRACTION = 0.5
-"""New batches are accepted only while batches hold at most this fraction of the budget: they are
-held for a long time, and more may be claimed from daemons that end."""
+"""New batches are accepted only while batches hold at most this fraction of the budget: batches are
+held for a long time, and those of daemons that stop may be claimed in addition."""
 RETRY_AFTER_SECONDS = 0.3
 """Minimum Retry-After; randomized up to twice this value, so that callers do not retry together."""
 
@@ -88,7 +88,7 @@
         """Returns how many bytes must be released before ``size`` more may be held.
 
         Returns:
-            0 if they may be held now; infinite if releasing requests and responses cannot help.
+            0 if they may be held now; infinite if they do not fit however much is released.
         """
         if self.limit is None:
             return 0
@@ -154,7 +154,7 @@
         return self._budget.shortfall(self.purpose, size) == 0
 
     def fits_response_limit(self, size: int) -> bool:
-        """Returns whether ``size`` more bytes stay within `MemoryBudget.answer_limit`."""
+        """Returns whether ``size`` more bytes stay within `MemoryBudget.response_limit`."""
         return self.size + size <= self._budget.response_limit
 
     def grow(self, size: int) -> None:
--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.memory.slow_clients import STALLED_SECONDS, ReadRate
 
 POLL_SECONDS = 0.25
-"""Interval between two checks whether a slow client has read anything."""
+"""Interval between two checks for whether a slow client has read anything."""
 
 
 class SlowClientError(LarkpostError):
@@ -48,7 +48,7 @@
     """A response that is being delivered.
 
     Args:
-        count_held: returns the bytes reserved for the request.
+        count_held: returns the bytes that are reserved for the request.
         on_slow: called when the client starts to fall behind.
         on_stalled: called before a client that has read nothing for too long is disconnected.
     """
--- a/src/larkpost/gateway/memory/read_ahead.py
+++ b/src/larkpost/gateway/memory/read_ahead.py
@@ -1,7 +1,8 @@
 """Streams a response body to a client, and reads ahead of a slow client.
 
-Servers abort a response that stays unread for some seconds, and fail if many do. Responses to slow
-clients are therefore buffered here, as far as the memory budget allows.
+A server aborts a response that nobody reads for some seconds, and fails if many of its responses
+stay unread. Responses to slow clients are therefore buffered here, as far as the memory budget
+allows.
 """
 
 import asyncio
@@ -17,7 +18,7 @@
 """Maximum time without reading from the server. Then one more chunk is read beyond the limit, or
 the slowest client is disconnected if memory is low."""
 BUDGET_POLL_SECONDS = 0.1
-"""Interval between two checks whether memory has been freed."""
+"""Interval between two checks for whether memory has been freed."""
 
 
 @dataclass(slots=True)
@@ -106,7 +107,7 @@
             self._changed.set()
 
     async def _wait_for_budget(self, size: int) -> None:
-        """Waits until a chunk may be held; a first chunk may always be."""
+        """Waits until a chunk may be held; always allowed while no other chunk is held."""
         loop = asyncio.get_running_loop()
         reservation = self._body.reservation
         pause_ends_at = loop.time() + MAX_PAUSED_READ_SECONDS
--- a/src/larkpost/gateway/observability/batch_times.py
+++ b/src/larkpost/gateway/observability/batch_times.py
@@ -2,8 +2,8 @@
 
 For each batch, in order of acceptance: the acceptance time, the number of owners, and the time at
 which the median and the last item began to run, were whole, scored, listed and read. All times but
-the first are seconds since the acceptance. Lines missing from a log make a time early or empty,
-never later than what is missing.
+the first are seconds since the acceptance. If lines are missing from a log, a time may be empty or
+too early, or too late by at most the span of the missing lines.
 """
 
 from collections import Counter
--- a/src/larkpost/gateway/observability/eventlog.py
+++ b/src/larkpost/gateway/observability/eventlog.py
@@ -18,7 +18,7 @@
 STANDARD_OUTPUT = 1
 """File descriptor of standard output."""
 MAX_LINES_PER_SECOND = 40
-"""Maximum lines per second of one event type; the others are only counted."""
+"""Maximum lines per second of one event type; further ones are only counted."""
 MAX_PENDING_BYTES = 262144
 """Maximum bytes buffered for a slow reader; further lines are dropped and counted."""
 LINE_OPTIONS = orjson.OPT_APPEND_NEWLINE | orjson.OPT_NON_STR_KEYS
--- a/src/larkpost/gateway/servers/port.py
+++ b/src/larkpost/gateway/servers/port.py
@@ -36,7 +36,7 @@
         tenant: tenant that is reported to the server; None if there is none.
         send_timeout: maximum seconds until the request is on a connection, after which it is not
             sent; None for the connection's own limit.
-        crash_limit: number of server crashes after which it is not sent any more.
+        crash_limit: number of server crashes from which it is quarantined and no longer sent.
     """
 
     request_id: bytes
@@ -129,7 +129,7 @@
     FULL = "full"  # the server rejected it before running it
     MISDIRECTED = "misdirected"  # wrong instance or weight version
     REPLACED = "replaced"  # another instance responds at the address
-    LEAVING = "leaving"  # the instance left before anything was sent
+    LEAVING = "leaving"  # the instance is leaving or unknown; nothing was sent
     EVACUATED = "evacuated"  # its zone is evacuated; nothing was sent
     COLD = "cold"  # cold, and its request limit is reached; nothing was sent
     OUTSIDE_REGIONS = "outside_regions"  # not an allowed region; nothing was sent
--- a/src/larkpost/gateway/store/follower.py
+++ b/src/larkpost/gateway/store/follower.py
@@ -27,15 +27,15 @@
 RETRY_SECONDS = 0.15
 """Pause after a failed call."""
 PARTIAL_RELIST_SECONDS = 0.5
-"""Interval to the next listing after one that could not read every part."""
+"""Time until the next listing after one that failed to read some of the parts."""
 
 
 @dataclass(frozen=True, slots=True)
 class TableParts:
-    """The parts (partitions) of a table to follow.
+    """The table to follow, and its parts (partitions).
 
     Attributes:
-        parts: parts to list; the feed always covers all parts.
+        parts: parts to list; the feed always covers all parts of the table.
     """
 
     table: str
@@ -48,7 +48,7 @@
 
     Attributes:
         interval: seconds between two listings.
-        factor: returns the current multiplier of the interval; called at each step.
+        factor: returns a factor by which the interval is multiplied; called at each step.
     """
 
     interval: float
@@ -93,7 +93,11 @@
         return self._is_listed
 
     def healthy_for(self, now: float) -> float:
-        """Returns for how many seconds every call has succeeded; 0 before the first success."""
+        """Returns for how many seconds every call has succeeded.
+
+        Returns:
+            0 before the first success; ``now`` if no call has ever failed.
+        """
         if self.confirmed_at is None:
             return 0.0
         if self.failed_at is None:
@@ -101,7 +105,7 @@
         return max(0.0, now - self.failed_at)
 
     def age(self, now: float) -> float:
-        """Returns the seconds since the copy was last confirmed to be current."""
+        """Returns the seconds since the copy was last confirmed; ``now`` if it never was."""
         return now - self.confirmed_at if self.confirmed_at is not None else now
 
     def start(self, tasks: TaskSet) -> None:
@@ -149,7 +153,7 @@
         await self._clock.sleep(FEED_GAP_SECONDS)
 
     async def _list(self) -> bool:
-        """Lists all parts, and returns whether all of them could be read.
+        """Lists all parts, and returns whether every one was read.
 
         Single parts of the store may be unavailable; the others are still read and followed.
 
@@ -193,7 +197,11 @@
         return page.version
 
     def _apply(self, row: Row) -> None:
-        """Stores a row unless the copy has it as new or newer, and calls the listener."""
+        """Applies a changed or removed row, and calls the listener.
+
+        Ignores a change to a version that is not newer than the copy's, and a removal that is older
+        than it.
+        """
         known = self.rows.get(row.key)
         if known is not None and row.version <= known.version and not row.removed:
             return
--- a/src/larkpost/gateway/store/peers.py
+++ b/src/larkpost/gateway/store/peers.py
@@ -15,11 +15,11 @@
 from larkpost.gateway.store.port import Store
 
 MAX_PEER_ATTEMPTS = 3
-"""Peers tried for one call; the last of them is as far away as possible."""
+"""Maximum number of peers tried for one call; the last one is the farthest available."""
 PEER_COOLDOWN_SECONDS = 3.0
-"""Time for which a peer that did not respond is skipped, as it may be frozen or disconnected."""
+"""Time for which a peer is skipped after it did not respond; it may be frozen or disconnected."""
 NO_PEER_COOLDOWN_SECONDS = 0.7
-"""Time for which no peer is tried after all attempts of a call have failed."""
+"""Time for which no new peer is selected after all attempts of a call have failed."""
 
 PeerDistances = Mapping[Address, Distance]
 """Relay address of each peer and its distance from this daemon."""
@@ -65,7 +65,7 @@
         """Returns the current peer, or selects a new one; None if no peer is available.
 
         Args:
-            failed_attempts: peers that have already failed for this call.
+            failed_attempts: number of peers that have already failed for this call.
             region_bound: whether the peer must be in this daemon's region.
         """
         if self.current is not None and is_allowed(
@@ -77,7 +77,7 @@
             return None
         self._current_distance = next_peer_distance(usable, failed_attempts)
         address = self._rng.choice(
-            [name for name, distance in usable.items() if distance is self._current_distance]
+            [peer for peer, distance in usable.items() if distance is self._current_distance]
         )
         if address not in self._connected:
             self._connected[address] = self._connect(address)
@@ -88,13 +88,13 @@
     def drop(self, peer: PeerStore, *, unresponsive: bool = False) -> None:
         """Stops using a peer that failed; an unresponsive one also gets a cooldown."""
         if unresponsive:
-            address = next(name for name, known in self._connected.items() if known is peer)
+            address = next(key for key, known in self._connected.items() if known is peer)
             self._unresponsive_at[address] = self._clock.now()
         if self.current is peer:
             self.current = None
 
     def start_cooldown(self) -> None:
-        """Tries no peer for a while, as none of those tried reaches the store."""
+        """Selects no new peer for `NO_PEER_COOLDOWN_SECONDS`, after all those tried have failed."""
         self._cooldown_until = self._clock.now() + NO_PEER_COOLDOWN_SECONDS
         self._log.record(Event.STORE_RELAY, state="no_peer")
 
@@ -125,13 +125,14 @@
 
 
 def next_peer_distance(usable: PeerDistances, failed_attempts: int) -> Distance:
-    """Returns the distance of the next peer to try: the nearest, but the farthest at the last try.
+    """Returns the distance at which the next peer is selected.
 
-    The last try is farther away because the whole region may have lost the store.
+    It is the smallest one, but the largest for the last attempt, because all nearby peers may have
+    lost the store as well.
 
     Args:
         usable: the peers that may be tried; at least one.
-        failed_attempts: peers that have already failed for this call.
+        failed_attempts: number of peers that have already failed for this call.
     """
     is_last = failed_attempts == MAX_PEER_ATTEMPTS - 1
     return max(usable.values()) if is_last else min(usable.values())
--- a/src/larkpost/gateway/store/relay.py
+++ b/src/larkpost/gateway/store/relay.py
@@ -6,7 +6,7 @@
 
 Calls whose content must not leave the region are relayed only by peers in the region.
 
-Writes are conditional or idempotent. Even so, a write without a response is never resent here; its
+A write without a response is never resent here, although writes are conditional or idempotent; its
 caller reads the outcome from the store.
 """
 
@@ -35,9 +35,9 @@
 """Timeout of a relayed call, not counting the time that a feed call may wait."""
 PROBE_TABLE = "members"
 PROBE_PART = "known"
-"""The part that a probe reads: it always has rows, and every daemon reads it."""
+"""Part that a probe reads; it always has rows, and every daemon may read it."""
 REJECTED_OUTCOMES = (WriteOutcome.NOT_DONE, WriteOutcome.THROTTLED)
-"""Outcomes that prove that a write was not applied."""
+"""Outcomes that prove that a write was not and will not be applied."""
 
 Response = TypeVar("Response")
 
@@ -88,7 +88,7 @@
         return self._peers.current is not None
 
     def time(self) -> float | None:
-        """Returns the store's monotonic time in seconds; see `Store.time`."""
+        """Returns the estimated store time in seconds; see `Store.time`."""
         relayed = self._peers.current.time() if self._peers.current is not None else None
         return relayed if relayed is not None else self._direct.time()
 
@@ -106,7 +106,7 @@
                 return result
             result = await peer.write(transaction, min(timeout, MAX_PEER_CALL_SECONDS))
             if result.outcome is WriteOutcome.UNKNOWN:
-                self._peers.drop(peer, unresponsive=True)  # only the next call may try another peer
+                self._peers.drop(peer, unresponsive=True)  # the next call may use another peer
             if result.outcome not in REJECTED_OUTCOMES:
                 return result
             self._peers.drop(peer)
--- a/src/larkpost/gateway/usage/counter.py
+++ b/src/larkpost/gateway/usage/counter.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _StartedRequest:
-    """A started request, with its monotonic start time in this process."""
+    """A started request, with its start in the steady time of this process."""
 
     tenant: TenantName
     at: float
@@ -34,7 +34,7 @@
         self._unsaved: set[WindowNumber] = set()
 
     def record_started(self, tenant: TenantName, at: float) -> None:
-        """Records that a tenant's request started at a monotonic time."""
+        """Records that a tenant's request started at a steady time."""
         self._started.append(_StartedRequest(tenant, at))
 
     def unsaved(self) -> dict[WindowNumber, TenantCounts]:
--- a/src/larkpost/gateway/usage/reporter.py
+++ b/src/larkpost/gateway/usage/reporter.py
@@ -26,21 +26,22 @@
 from larkpost.gateway.usage.repository import DecidedReport, UsageRepository
 
 UPDATE_SECONDS = 0.5
-"""Interval between two checks for windows to report."""
+"""Interval between two checks for windows that are due."""
 SETTLE_SECONDS = 3.5
 """Time from the end of a window until its counts are complete, in addition to the save interval:
 requests that are in progress must end, and their daemons must become known."""
 STORE_HEALTHY_SECONDS = 2.0
-"""Time for which the store must have been healthy, so that daemons have saved delayed counts."""
+"""Time for which the store must have been healthy before a decision, so that counts delayed by an
+outage are saved."""
 DECISION_MARGIN_SECONDS = 2.0
 """A report is decided from the available counts this long before it is due."""
 REPORT_TIMEOUT_SECONDS = 0.8
 """Timeout of a call that sends a report."""
 LOOK_BACK_WINDOWS = 24
 """How many windows back a new reporter searches for unreported ones. Equals
-`usage.counter.KEPT_WINDOWS`."""
+`usage.counter.KEPT_WINDOWS`, the number of windows for which daemons keep counts."""
 STORED_WINDOWS = 2 * LOOK_BACK_WINDOWS
-"""Number of windows whose rows are kept; covers every search."""
+"""Number of windows whose rows stay in the store; covers the search of any new reporter."""
 SUBJECT = LeaseSubject(Duty.USAGE, "windows")
 """Lease subject of the reporter; all windows share it."""
 
@@ -120,9 +121,9 @@
         """Returns the first window that is not known to be reported."""
         current = self._timing.window_at(now)
         decided = await self._repository.decided_since(WindowNumber(current - LOOK_BACK_WINDOWS))
-        open_windows = [window for window, known in decided.items() if not known.is_taken]
+        untaken = [window for window, known in decided.items() if not known.is_taken]
         after_last = max(decided, default=current - 1) + 1
-        return WindowNumber(min([after_last, *open_windows]))
+        return WindowNumber(min([after_last, *untaken]))
 
     async def _report_due(self, first: WindowNumber, now: float) -> None:
         last = self._timing.window_at(now)
@@ -141,7 +142,11 @@
         await self._repository.remove_before(WindowNumber(last - STORED_WINDOWS))
 
     async def _report(self, window: WindowNumber) -> bool:
-        """Decides a window if necessary, sends its report, and returns whether it was taken."""
+        """Decides a window if necessary and sends its report.
+
+        Returns:
+            Whether the receiver has taken it.
+        """
         decided = await self._decide(window)
         if decided is None:
             return False
@@ -164,7 +169,10 @@
         return True
 
     async def _decide(self, window: WindowNumber) -> DecidedReport | None:
-        """Returns the stored report of a window, deciding it if necessary; None if undecided.
+        """Returns the stored report of a window, after deciding it if necessary.
+
+        Returns:
+            None if no decision could be stored or read.
 
         Raises:
             StoreUnavailableError: the store did not respond.
