--- a/tests/test_byte_budget.py
+++ b/tests/test_byte_budget.py
@@ -160,7 +160,7 @@
 class SlowestClientTest(unittest.TestCase):
     """Selection of the client to disconnect."""
 
-    def test_rule_by_cases(self):
+    def test_selection_by_read_rate_and_held_bytes(self):
         late = MIN_SLOW_SECONDS
         cases = {
             "none": ({}, None),
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -79,7 +79,7 @@
 
         self.play(work)
 
-    def test_refusals_count(self) -> None:
+    def test_rejected_sends_count_towards_the_bound(self) -> None:
         async def work() -> None:
             state = self.fleet.start_cold_engine(NEW_ENGINE, LONG_SECONDS)
             state.slots = 0
@@ -91,7 +91,7 @@
 
         self.play(work)
 
-    def test_retries_count(self) -> None:
+    def test_retried_sends_count_towards_the_bound(self) -> None:
         async def work() -> None:
             state = self.fleet.start_cold_engine(NEW_ENGINE, LONG_SECONDS)
             state.break_after = 1
@@ -103,7 +103,7 @@
 
         self.play(work)
 
-    def test_store_outage(self) -> None:
+    def test_cold_engine_gets_requests_during_a_store_outage(self) -> None:
         async def work() -> None:
             state = self.fleet.start_cold_engine(NEW_ENGINE, LONG_SECONDS)
             await asyncio.gather(*self.submit_everywhere(60))
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -68,7 +68,7 @@
         row = Row(RowKey(names.OPERATOR_TABLE, "", key), b"{}", 1, removed=removed)
         return operator.read_evacuation(row)
 
-    def test_row_begins_and_its_removal_ends(self):
+    def test_row_begins_and_its_removal_ends_an_evacuation(self):
         ((key, value),) = evacuation_transaction(NORTH, is_on=True).puts
         row = Row(key, value, 1)
         self.assertEqual(ZoneEvacuation(NORTH, is_on=True), operator.read_evacuation(row))
@@ -173,7 +173,7 @@
 class NotSentTest(unittest.TestCase):
     """A send that a rule rejects at the last moment does not count against the server."""
 
-    def test_server_stays_usable_for_other_work_and_after_the_evacuation(self):
+    def test_server_is_not_avoided_after_a_placement_rule_rejected_a_send(self):
         async def play():
             balancer = Balancer(InstanceDirectory(), LoopClock(), random.Random(1))
             for reason in (NotRunReason.EVACUATED, NotRunReason.OUTSIDE_REGIONS):
@@ -326,7 +326,7 @@
 
         run(play())
 
-    def test_two_zones_at_once(self):
+    def test_batch_waits_while_all_zones_are_evacuated(self):
         async def play():
             await self.begin()
             await self.change(*ZONES)
@@ -341,7 +341,7 @@
 
         run(play())
 
-    def test_zone_without_servers(self):
+    def test_evacuation_of_a_zone_without_servers_has_no_effect(self):
         async def play():
             await self.begin()
             await self.change(ZoneId("nowhere"))
@@ -349,7 +349,7 @@
 
         run(play())
 
-    def test_other_rows_that_are_removed_end_nothing(self):
+    def test_removal_of_other_rows_ends_no_evacuation(self):
         async def play():
             await self.begin()
             await self.change(NORTH, ZoneId("nowhere"))
@@ -358,7 +358,7 @@
 
         run(play())
 
-    def test_daemon_that_was_just_started(self):
+    def test_new_daemon_knows_the_evacuation(self):
         async def play():
             await self.begin()
             await self.change(NORTH)
@@ -514,7 +514,7 @@
 class CheckTest(unittest.TestCase):
     """The bound check that the fuzz test uses."""
 
-    def test_only_faults_within_the_bound_are_excuses(self):
+    def test_only_faults_within_the_bound_extend_it(self):
         self.assertEqual(15.0, known_by(10.0, []))
         self.assertEqual(18.0, known_by(10.0, [(12.0, 13.0)]))
         self.assertEqual(23.0, known_by(10.0, [(12.0, 13.0), (17.0, 18.0)]))
--- a/tests/test_fault_kinds.py
+++ b/tests/test_fault_kinds.py
@@ -30,7 +30,7 @@
 class ClockStepTest(unittest.TestCase):
     """The time of day jumps by seconds, forward or backward."""
 
-    def test_no_decision_reads_the_time_of_day(self):
+    def test_no_deciding_module_reads_the_time_of_day(self):
         for package in DECIDING_PACKAGES:
             for path in sorted((SOURCE / package).rglob("*.py")):
                 if "stand_in" not in path.parts:
--- a/tests/test_held_bytes.py
+++ b/tests/test_held_bytes.py
@@ -299,7 +299,7 @@
         self.assertEqual([b"good"], [body for _, body in self.server.requests])
         self.assertEqual(0, self.memory.budget.total)
 
-    async def test_second_body_waits_outside_until_the_first_is_served(self):
+    async def test_second_body_is_rejected_until_the_first_is_served(self):
         first, second = await self.connect(), await self.connect()
         body = body_of(5 * MB)
         first[1].write(self.head(b"/p/x", b"Content-Length: %d" % len(body)))
@@ -314,7 +314,7 @@
         self.assertEqual(200, (await self.response(second[0]))[0])
         self.assertEqual([body, body], [body for _, body in self.server.requests])
 
-    async def test_memory_is_released_when_a_client_leaves_within_its_body(self):
+    async def test_memory_is_released_when_a_client_leaves_while_its_body_arrives(self):
         _, writer = await self.connect()
         writer.write(self.head(b"/p/x", b"Content-Length: %d" % (5 * MB)) + bytes(MB))
         await self.wait_until(lambda: self.memory.budget.total > 0)
@@ -419,7 +419,7 @@
         self.assertEqual([body] * 4, [body for _, body in self.server.requests])
 
 
-class AnswerTest(Case):
+class ResponseTest(Case):
     """Responses at a daemon with a budget of 8 MB."""
 
     async def test_response_larger_than_the_budget_arrives_complete(self):
@@ -629,7 +629,7 @@
         self.assertEqual(200, (await self.response(reader))[0])
         self.assertTrue(self.server.requests[0][1] == body)
 
-    async def test_answer_is_held_whole_whatever_its_size(self):
+    async def test_complete_response_is_held_whatever_its_size(self):
         self.server.size = 20 * MB
         reader, writer = await self.connect()
         writer.write(self.request(b""))
@@ -638,7 +638,7 @@
         writer.write(self.request(b""))
         self.assertEqual(502, (await self.response(reader))[0])
 
-    async def test_call_is_admitted_once_its_body_is_read(self):
+    async def test_body_is_read_before_the_call_is_admitted(self):
         reader, writer = await self.connect()
         request = self.request(bytes(MB), b"/none")
         writer.write(request[:-1])
@@ -647,7 +647,7 @@
         writer.write(request[-1:])
         self.assertEqual(404, (await self.response(reader))[0])
 
-    async def test_stalls_are_not_watched(self):
+    async def test_stalled_clients_are_not_disconnected(self):
         reader, writer = await self.connect(reads_little=True)
         with (
             mock.patch.object(client_call, "STALLED_SECONDS", 0.1),
--- a/tests/test_known_crashes.py
+++ b/tests/test_known_crashes.py
@@ -18,7 +18,7 @@
 class QuarantineRuleTest(unittest.TestCase):
     """Contents with different numbers of crashes."""
 
-    def test_crash_counts(self):
+    def test_limits_of_suspects_and_quarantine(self):
         for crashes, limit, is_suspect, is_quarantined in (
             (0, CLIENT_CRASH_LIMIT, False, False),
             (1, CLIENT_CRASH_LIMIT, False, False),
--- a/tests/test_platform_ingress.py
+++ b/tests/test_platform_ingress.py
@@ -218,7 +218,7 @@
         await self.rest()
         self.assertEqual([], self.forwarder.requests)
 
-    async def test_client_that_left_before_it_was_read_is_not_served(self):
+    async def test_client_that_left_before_its_request_was_read_is_not_served(self):
         """The complete request and the close are in the socket buffer when a busy loop reads it."""
         for prefix in (b"/p/", b"/s/"):
             for body in (b"", b"a" * 4000):
@@ -227,7 +227,7 @@
                 await self.rest()
                 self.assertEqual([], self.forwarder.requests)
 
-    async def test_client_that_left_by_a_reset_before_it_was_read_is_not_served(self):
+    async def test_client_that_reset_before_its_request_was_read_is_not_served(self):
         linger = struct.pack("ii", 1, 0)  # closing discards unsent bytes and resets the connection
         self.send_and_leave(b"GET /p/x HTTP/1.1\r\nHost: pages.example\r\n\r\n", linger)
         await self.rest()
@@ -288,7 +288,7 @@
         head = (b"POST /p/x HTTP/1.1", b"Host: pages.example", b"Content-Length: 6000")
         return b"\r\n".join((*head, *lines)) + b"\r\n\r\n", b"a" * 6000
 
-    async def test_request_right_behind_a_refused_body_is_served_for_longer_than_idle_time(self):
+    async def test_request_right_behind_a_rejected_body_is_served_for_longer_than_idle_time(self):
         self.forwarder.delay = 2 * LIMITS.idle_time
         reader, writer = await self.connect()
         head, body = self.too_large()
@@ -312,14 +312,14 @@
         await asyncio.sleep(0.05)
         self.assertEqual(set(), self.listener.connections)
 
-    async def test_refusal_reaches_a_client_that_asks_to_close_and_sends_its_body(self):
+    async def test_rejection_reaches_a_client_that_asks_to_close_and_sends_its_body(self):
         await self.refused_while_sending(self.too_large(b"Connection: close")[0])
 
-    async def test_refusal_reaches_a_client_that_sends_its_body_while_the_daemon_stops(self):
+    async def test_rejection_reaches_a_client_that_sends_its_body_while_the_daemon_stops(self):
         self.lifecycle.stopping = True
         await self.refused_while_sending(self.too_large()[0])
 
-    async def test_listener_that_closes_reads_the_rest_of_a_refused_body(self):
+    async def test_closing_listener_reads_the_rest_of_a_rejected_body(self):
         reader, writer = await self.connect()
         head, body = self.too_large()
         writer.write(head + body[:1000])
@@ -332,7 +332,7 @@
         await closing
         self.assertEqual(set(), self.listener.connections)
 
-    async def test_rest_of_a_refused_body_is_read_for_a_limited_time(self):
+    async def test_rest_of_a_rejected_body_is_read_for_a_limited_time(self):
         with mock.patch.object(http_protocol, "MAX_DISCARD_SECONDS", 0.2):
             for line in (b"Connection: close", b"Connection: keep-alive"):
                 reader, writer = await self.connect()
@@ -342,7 +342,7 @@
                 await asyncio.sleep(0.3)
                 self.assertEqual(set(), self.listener.connections)
 
-    async def test_request_behind_a_refused_body_that_closes_does_not_run(self):
+    async def test_request_behind_a_rejected_body_that_closes_does_not_run(self):
         head, body = self.too_large(b"Connection: close")
         reader, writer = await self.connect()
         writer.write(head)
@@ -368,7 +368,7 @@
         self.assertTrue(last.startswith(b"HTTP/1.1 " + status), answer)
         self.assertEqual(2, len(self.forwarder.requests))
 
-    async def test_head_that_is_refused_behind_requests_is_answered_after_them(self):
+    async def test_head_that_is_rejected_behind_requests_is_answered_after_them(self):
         head = b"GET /p/last HTTP/1.1\r\nHost: pages.example\r\n"
         await self.answered_before(head, b"408")
         await self.answered_before(head + b"X-Long: " + b"a" * 3000, b"431")
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -61,7 +61,7 @@
         return self.state
 
 
-class CrashWatchTest(unittest.TestCase):
+class CrashDetectorTest(unittest.TestCase):
     """A server that did not respond to a request, and the evidence that it has crashed."""
 
     def begin(self, state: PortState) -> None:
@@ -72,7 +72,7 @@
         self.found: list[tuple[InstanceId, set[ContentDigest], str]] = []
         self.instance = make_instance("a")
         self.directory.update(self.instance)
-        self.watch = CrashDetector(
+        self.detector = CrashDetector(
             self.directory,
             self.probes,
             self.clock,
@@ -88,7 +88,7 @@
     def test_dead_port_shows_a_crash_at_once(self):
         async def play():
             self.begin(PortState.DEAD)
-            self.watch.record_lost_connection(CONTENT, self.instance)
+            self.detector.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(0.05)
             self.check_found(CrashEvidence.DEAD_PORT)
 
@@ -97,9 +97,9 @@
     def test_requests_lost_shortly_after_the_crash_count(self):
         async def play():
             self.begin(PortState.DEAD)
-            self.watch.record_lost_connection(CONTENT, self.instance)
+            self.detector.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(0.05)
-            self.watch.record_lost_connection(ContentDigest("bb"), self.instance)
+            self.detector.record_lost_connection(ContentDigest("bb"), self.instance)
             self.assertEqual(["a", "a"], [found[0] for found in self.found])
             self.assertEqual({"bb"}, self.found[1][1])
             self.assertEqual(1, self.probes.asked)
@@ -109,7 +109,7 @@
     def test_server_that_listens_and_stays_listed_has_not_crashed(self):
         async def play():
             self.begin(PortState.LISTENS)
-            self.watch.record_lost_connection(CONTENT, self.instance)
+            self.detector.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(2 * INVESTIGATION_SECONDS)
             self.check_found()
             self.assertEqual(1, self.probes.asked)
@@ -122,10 +122,10 @@
     def test_server_that_crashes_after_losing_a_request_is_detected(self):
         async def play():
             self.begin(PortState.LISTENS)
-            self.watch.record_lost_connection(CONTENT, self.instance)
+            self.detector.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(INVESTIGATION_SECONDS - 0.1)
             self.probes.state = PortState.DEAD
-            self.watch.record_lost_connection(CONTENT, self.instance)
+            self.detector.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(0.05)
             self.check_found(CrashEvidence.DEAD_PORT)
 
@@ -134,11 +134,11 @@
     def test_leaving_server_is_not_probed_again(self):
         async def play():
             self.begin(PortState.LISTENS)
-            self.watch.record_lost_connection(CONTENT, self.instance)
+            self.detector.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(0.1)
             self.directory.update(replace(self.instance, state=InstanceState.LEAVING))
             self.probes.state = PortState.DEAD
-            self.watch.record_lost_connection(CONTENT, self.instance)
+            self.detector.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(2 * INVESTIGATION_SECONDS)
             self.check_found()
             self.assertEqual(1, self.probes.asked)
@@ -149,7 +149,7 @@
         async def play():
             self.begin(PortState.LISTENS)
             self.directory.update(make_instance("neighbour"))
-            self.watch.record_lost_connection(CONTENT, self.instance)
+            self.detector.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(3.0)
             self.check_found()
             self.directory.update(make_instance("b"))
@@ -161,7 +161,7 @@
     def test_unresponsive_server_has_crashed_once_its_entry_is_removed(self):
         async def play():
             self.begin(PortState.SILENT)
-            self.watch.record_lost_connection(CONTENT, self.instance)
+            self.detector.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(3.0)
             self.check_found()
             self.directory.forget(self.instance.id)
@@ -173,7 +173,7 @@
     def test_server_without_an_entry_that_listens_has_not_crashed(self):
         async def play():
             self.begin(PortState.LISTENS)
-            self.watch.record_lost_connection(CONTENT, self.instance)
+            self.detector.record_lost_connection(CONTENT, self.instance)
             self.directory.forget(self.instance.id)
             await self.clock.sleep(2 * INVESTIGATION_SECONDS)
             self.check_found()
@@ -184,7 +184,7 @@
         async def play():
             self.begin(PortState.DEAD)
             self.directory.update(replace(self.instance, state=InstanceState.LEAVING))
-            self.watch.record_lost_connection(CONTENT, self.instance)
+            self.detector.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(1.0)
             self.check_found()
 
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -249,7 +249,7 @@
         (line,) = self.lines(Event.READER_CUT)
         self.assertEqual(DisconnectReason.SLOWEST, line["reason"])
 
-    def test_forty_slow_clients_stay_within_the_budget_and_get_their_answers(self):
+    def test_forty_slow_clients_stay_within_the_budget_and_get_their_responses(self):
         """40 responses of 3 MB, 15 times the budget, to clients that read 500 kB/s."""
         relays = [Relay(self.memory, Server(60), FakeConnection(500_000)) for _ in range(40)]
 
--- a/tests/test_store_relay.py
+++ b/tests/test_store_relay.py
@@ -226,7 +226,7 @@
 class RelayedFleetTest(unittest.TestCase):
     """A batch stays with its owner while the store rejects the owner."""
 
-    def test_refused_owner_lists_its_results_itself(self):
+    def test_rejected_owner_lists_its_own_results(self):
         async def play():
             fleet = PlatformFleet(relays=True)
             await fleet.wait(3.0)
@@ -241,7 +241,7 @@
 
         run(play())
 
-    def test_refused_daemon_accepts_and_reads(self):
+    def test_rejected_daemon_accepts_and_reads_batches(self):
         async def play():
             fleet = PlatformFleet(relays=True)
             await fleet.wait(3.0)
@@ -291,11 +291,11 @@
         with self.assertRaises(StoreUnavailableError):
             await self.by_peer.read("table", "part")
 
-    async def test_stopped_store_is_reported_as_not_done(self):
+    async def test_write_to_a_stopped_store_is_reported_as_not_done(self):
         await self.servers[0].close()
         self.assertIs(WriteOutcome.NOT_DONE, (await self.by_peer.write(CHANGE, 1.0)).outcome)
 
-    async def test_other_calls_are_refused(self):
+    async def test_unknown_calls_and_large_bodies_are_rejected(self):
         async with aiohttp.ClientSession() as session:
             for path in ("/", names.REPORT_PATH):
                 async with session.get(self.url + path) as answer:
