--- a/src/larkpost/gateway/assembly/loop_monitor.py
+++ b/src/larkpost/gateway/assembly/loop_monitor.py
@@ -29,8 +29,8 @@
 
     def take_max_lag(self) -> float:
         """Returns the maximum lag in seconds since the last call, and resets it."""
-        largest, self._max_lag = self._max_lag, 0.0
-        return largest
+        max_lag, self._max_lag = self._max_lag, 0.0
+        return max_lag
 
     async def _run(self) -> None:
         while True:
--- a/src/larkpost/gateway/blackboard/configuration.py
+++ b/src/larkpost/gateway/blackboard/configuration.py
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True)
 class Configuration:
-    """One version of the whole configuration.
+    """One version of the configuration.
 
     Attributes:
         tenants: tenants whose keys are accepted; None if requests need no key.
--- a/src/larkpost/gateway/blackboard/weight_targets.py
+++ b/src/larkpost/gateway/blackboard/weight_targets.py
@@ -62,7 +62,7 @@
         """Returns a model's newest announcement.
 
         Returns:
-            None if the announcement may be older than this daemon's knowledge of it.
+            None if there is none, or if it may be older than this daemon's knowledge of it.
         """
         if not self._knew_predecessor.get(model, False):
             return None
--- a/src/larkpost/gateway/memory/budget.py
+++ b/src/larkpost/gateway/memory/budget.py
@@ -35,7 +35,7 @@
     REQUEST_BODIES = "request_bodies"  # from receipt until the request is answered
     SMALL_BODIES = "small_bodies"  # of requests that declare at most `SMALL_BODY_BYTES`
     SUBMISSIONS = "submissions"  # batches while they are read and written to the store
-    RESPONSES = "answers"  # whole responses, until the client has received them
+    RESPONSES = "answers"  # complete responses, until the client has received them
     STREAMS = "streams"  # read ahead from the server for slow clients
     PAGES = "pages"  # result pages and bodies of batches that clients requested
     BATCHES = "batches"  # items and results of batches that run or were read here
@@ -88,7 +88,8 @@
         """Returns how many bytes must be released before ``size`` more may be held.
 
         Returns:
-            0 if they may be held now; infinite if they do not fit however much is released.
+            0 if they may be held now; infinite if they would not fit even after all requests and
+            responses were released.
         """
         if self.limit is None:
             return 0
--- a/src/larkpost/gateway/memory/daemon_memory.py
+++ b/src/larkpost/gateway/memory/daemon_memory.py
@@ -160,7 +160,7 @@
             request=self._slow_deliveries.get(delivery, ""),
             reason=reason,
             held=read_rate.held,
-            taken=read_rate.taken,
+            taken=read_rate.bytes_read,
             seconds=round(read_rate.seconds, 3),
         )
 
--- a/src/larkpost/gateway/memory/slow_clients.py
+++ b/src/larkpost/gateway/memory/slow_clients.py
@@ -21,12 +21,12 @@
 
     Attributes:
         held: bytes reserved for its request.
-        taken: bytes that it has read since it fell behind.
+        bytes_read: bytes that it has read since it fell behind.
         seconds: time since it fell behind.
     """
 
     held: int
-    taken: int
+    bytes_read: int
     seconds: float
 
 
@@ -36,7 +36,7 @@
     It is the one that reads the fewest bytes per second; ties go to the one that holds the most.
     """
     slow = {
-        key: (rate.taken / rate.seconds, -rate.held)
+        key: (rate.bytes_read / rate.seconds, -rate.held)
         for key, rate in rates.items()
         if rate.held > 0 and rate.seconds >= MIN_SLOW_SECONDS
     }
--- a/src/larkpost/gateway/observability/batch_times.py
+++ b/src/larkpost/gateway/observability/batch_times.py
@@ -1,9 +1,9 @@
 """Derives a timeline of each batch from the daemons' logs.
 
 For each batch, in order of acceptance: the acceptance time, the number of owners, and the time at
-which the median and the last item began to run, were whole, scored, listed and read. All times but
-the first are seconds since the acceptance. If lines are missing from a log, a time may be empty or
-too early, or too late by at most the span of the missing lines.
+which the median and the last item began to run, had a complete output ("whole"), were scored,
+listed and read. All times but the first are seconds since the acceptance. If lines are missing from
+a log, a time may be empty or too early, or too late by at most the span of the missing lines.
 """
 
 from collections import Counter
@@ -95,13 +95,13 @@
         members: dict[str, list[str]] = {}
         for item, group in self.groups.items():
             members.setdefault(group, []).append(item)
-        whole_groups = sorted(
+        listed_groups = sorted(
             max(self.listed[item] for item in items)
             for items in members.values()
             if all(item in self.listed for item in items)
         )
-        wanted = self.desired_groups
-        return whole_groups[wanted - 1] if 0 < wanted <= len(whole_groups) else None
+        desired = self.desired_groups
+        return listed_groups[desired - 1] if 0 < desired <= len(listed_groups) else None
 
     def row(self, start: float) -> list[str]:
         """Returns the batch as a table row; `start` is time 0 of the table."""
--- a/src/larkpost/gateway/observability/explain.py
+++ b/src/larkpost/gateway/observability/explain.py
@@ -31,7 +31,7 @@
     event: str
     fields: dict[str, Any]
 
-    def mentions(self, wanted: str) -> bool:
+    def mentions(self, wanted_id: str) -> bool:
         """Returns whether a field of the line is an id, or a list that contains it.
 
         A server name matches all its incarnations.
@@ -41,9 +41,9 @@
             for value in self.fields.values()
             for item in (value if isinstance(value, list) else (value,))
         )
-        prefix = f"{wanted}{BORN_SEPARATOR}"
+        prefix = f"{wanted_id}{BORN_SEPARATOR}"
         return any(
-            value == wanted or (isinstance(value, str) and value.startswith(prefix))
+            value == wanted_id or (isinstance(value, str) and value.startswith(prefix))
             for value in values
         )
 
@@ -64,11 +64,11 @@
         yield LogLine(at, str(document.get("daemon", "?")), str(event), fields)
 
 
-def explain(lines: Iterable[str], wanted: str) -> list[str]:
+def explain(lines: Iterable[str], wanted_id: str) -> list[str]:
     """Returns the events of an id, one line each, followed by notes on missing events."""
     parsed = list(read_lines(lines))
-    matching = [line for line in parsed if line.mentions(wanted)]
-    batches = {line.fields["batch"] for line in matching if "batch" in line.fields} - {wanted}
+    matching = [line for line in parsed if line.mentions(wanted_id)]
+    batches = {line.fields["batch"] for line in matching if "batch" in line.fields} - {wanted_id}
     matching.extend(
         line
         for line in parsed
@@ -78,9 +78,9 @@
     )
     matching.sort(key=lambda line: line.at)
     if not matching:
-        return [f"no line names {wanted}: it never reached a daemon whose log is here"]
+        return [f"no line names {wanted_id}: it never reached a daemon whose log is here"]
     first = matching[0].at
-    return [_describe(line, first) for line in matching] + _missing(parsed, matching, wanted)
+    return [_describe(line, first) for line in matching] + _missing(parsed, matching, wanted_id)
 
 
 def _describe(line: LogLine, first: float) -> str:
@@ -92,7 +92,7 @@
     return orjson.dumps(value).decode() if isinstance(value, list | dict) else str(value)
 
 
-def _missing(parsed: list[LogLine], matching: list[LogLine], wanted: str) -> list[str]:
+def _missing(parsed: list[LogLine], matching: list[LogLine], wanted_id: str) -> list[str]:
     """Returns notes on events that a complete log would contain."""
     events = {line.event for line in matching}
     missing = []
@@ -108,6 +108,6 @@
     left_out = [line for line in parsed if line.event == Event.LEFT_OUT]
     if left_out:
         missing.append(
-            f"note: {len(left_out)} times lines were left out, some may concern {wanted}"
+            f"note: {len(left_out)} times lines were left out, some may concern {wanted_id}"
         )
     return missing
--- a/src/larkpost/gateway/store/follower.py
+++ b/src/larkpost/gateway/store/follower.py
@@ -199,8 +199,8 @@
     def _apply(self, row: Row) -> None:
         """Applies a changed or removed row, and calls the listener.
 
-        Ignores a change to a version that is not newer than the copy's, and a removal that is older
-        than it.
+        Ignores a change whose version is not newer than the copy's, a removal that is older, and a
+        removal of an unknown row.
         """
         known = self.rows.get(row.key)
         if known is not None and row.version <= known.version and not row.removed:
--- a/src/larkpost/gateway/store/peers.py
+++ b/src/larkpost/gateway/store/peers.py
@@ -127,8 +127,8 @@
 def next_peer_distance(usable: PeerDistances, failed_attempts: int) -> Distance:
     """Returns the distance at which the next peer is selected.
 
-    It is the smallest one, but the largest for the last attempt, because all nearby peers may have
-    lost the store as well.
+    It is the smallest one, but the largest for the last attempt, because the whole region may have
+    lost the store.
 
     Args:
         usable: the peers that may be tried; at least one.
--- a/src/larkpost/gateway/store/port.py
+++ b/src/larkpost/gateway/store/port.py
@@ -139,7 +139,7 @@
         """
 
     def time(self) -> float | None:
-        """Returns the estimated steady time of the store in seconds; None before a response."""
+        """Returns the estimated steady time of the store; None before the first response."""
 
 
 async def read_all(store: Store, table: str, part: str, first: str = "", end: str = "") -> RowPage:
--- a/src/larkpost/gateway/store/relay.py
+++ b/src/larkpost/gateway/store/relay.py
@@ -35,9 +35,9 @@
 """Timeout of a relayed call, not counting the time that a feed call may wait."""
 PROBE_TABLE = "members"
 PROBE_PART = "known"
-"""Part that a probe reads; it always has rows, and every daemon may read it."""
+"""Part that a probe reads; it always has rows, and every daemon reads it."""
 REJECTED_OUTCOMES = (WriteOutcome.NOT_DONE, WriteOutcome.THROTTLED)
-"""Outcomes that prove that a write was not and will not be applied."""
+"""Outcomes that prove that a write was not applied."""
 
 Response = TypeVar("Response")
 
@@ -106,7 +106,7 @@
                 return result
             result = await peer.write(transaction, min(timeout, MAX_PEER_CALL_SECONDS))
             if result.outcome is WriteOutcome.UNKNOWN:
-                self._peers.drop(peer, unresponsive=True)  # the next call may use another peer
+                self._peers.drop(peer, unresponsive=True)  # not resent; next call: another peer
             if result.outcome not in REJECTED_OUTCOMES:
                 return result
             self._peers.drop(peer)
--- a/src/larkpost/gateway/usage/reporter.py
+++ b/src/larkpost/gateway/usage/reporter.py
@@ -31,8 +31,8 @@
 """Time from the end of a window until its counts are complete, in addition to the save interval:
 requests that are in progress must end, and their daemons must become known."""
 STORE_HEALTHY_SECONDS = 2.0
-"""Time for which the store must have been healthy before a decision, so that counts delayed by an
-outage are saved."""
+"""Time for which the store must have been healthy before a decision, unless the report is nearly
+due: counts delayed by an outage must be saved first."""
 DECISION_MARGIN_SECONDS = 2.0
 """A report is decided from the available counts this long before it is due."""
 REPORT_TIMEOUT_SECONDS = 0.8
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -358,7 +358,7 @@
                 waiting = asyncio.create_task(delivery.wait_until_writable())
                 await asyncio.sleep(1)
                 connection.unsent -= HIGH_BYTES
-                self.assertEqual(HIGH_BYTES, delivery.read_rate().taken)
+                self.assertEqual(HIGH_BYTES, delivery.read_rate().bytes_read)
                 waiting.cancel()
 
         virtual.run(play())
