--- a/src/larkpost/gateway/quarantine/crash_detector.py
+++ b/src/larkpost/gateway/quarantine/crash_detector.py
@@ -137,7 +137,7 @@
         if state is PortState.DEAD:
             return CrashEvidence.DEAD_PORT
         is_gone = self._directory.get(info.id) is None
-        return CrashEvidence.GONE if state is PortState.SILENT and is_gone else None
+        return CrashEvidence.GONE if state is PortState.UNRESPONSIVE and is_gone else None
 
     def _instances_at(self, address: Address) -> frozenset[InstanceId]:
         """Returns the instances that are listed at an address."""
--- a/src/larkpost/gateway/servers/port.py
+++ b/src/larkpost/gateway/servers/port.py
@@ -175,7 +175,7 @@
 
     LISTENS = "listens"  # a connection was accepted
     DEAD = "dead"  # the connection was refused
-    SILENT = "silent"  # no response
+    UNRESPONSIVE = "silent"  # no response
 
 
 class OrderOutcome(StrEnum):
--- a/src/larkpost/platform/servers.py
+++ b/src/larkpost/platform/servers.py
@@ -88,7 +88,7 @@
         except ConnectionRefusedError:
             return PortState.DEAD  # the machine is up and nothing listens
         except (TimeoutError, OSError):
-            return PortState.SILENT  # unknown: the machine or the network may be down
+            return PortState.UNRESPONSIVE  # unknown: the machine or the network may be down
         writer.transport.abort()
         return PortState.LISTENS
 
--- a/tests/test_platform_servers.py
+++ b/tests/test_platform_servers.py
@@ -340,7 +340,7 @@
         queued = socket.create_connection(full.getsockname())  # nobody accepts the connection
         self.addCleanup(queued.close)
         silent = replace(server.instance, address=address)
-        self.assertIs(PortState.SILENT, await servers.probe(silent, 0.2))
+        self.assertIs(PortState.UNRESPONSIVE, await servers.probe(silent, 0.2))
 
     async def test_unreachable_server(self):
         async with ScriptedServer(b"") as server:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -160,7 +160,7 @@
 
     def test_unresponsive_server_has_crashed_once_its_entry_is_removed(self):
         async def play():
-            self.begin(PortState.SILENT)
+            self.begin(PortState.UNRESPONSIVE)
             self.detector.record_lost_connection(CONTENT, self.instance)
             await self.clock.sleep(3.0)
             self.check_found()
