--- a/src/larkpost/gateway/store/relay.py
+++ b/src/larkpost/gateway/store/relay.py
@@ -106,7 +106,8 @@
                 return result
             result = await peer.write(transaction, min(timeout, MAX_PEER_CALL_SECONDS))
             if result.outcome is WriteOutcome.UNKNOWN:
-                self._peers.drop(peer, unresponsive=True)  # not resent; next call: another peer
+                # The write is not resent: only the next call may use another peer.
+                self._peers.drop(peer, unresponsive=True)
             if result.outcome not in REJECTED_OUTCOMES:
                 return result
             self._peers.drop(peer)
