--- a/src/larkpost/gateway/assembly/loop_monitor.py
+++ b/src/larkpost/gateway/assembly/loop_monitor.py
@@ -14,13 +14,13 @@
     """Tracks the lag of the event loop.
 
     Attributes:
-        late_at: monotonic time of the last lag above `LATE_LOOP_SECONDS`.
+        late_at: steady time of the last lag above `LATE_LOOP_SECONDS`.
     """
 
     def __init__(self, clock: Clock, log: EventLog) -> None:
         self._clock = clock
         self._log = log
-        self._largest = 0.0
+        self._max_lag = 0.0
         self.late_at = float("-inf")
 
     def start(self, tasks: TaskSet) -> None:
@@ -29,15 +29,15 @@
 
     def take_max_lag(self) -> float:
         """Returns the maximum lag in seconds since the last call, and resets it."""
-        largest, self._largest = self._largest, 0.0
-        return largest
+        max_lag, self._max_lag = self._max_lag, 0.0
+        return max_lag
 
     async def _run(self) -> None:
         while True:
             started = self._clock.now()
             await self._clock.sleep(LOOP_INTERVAL_SECONDS)
             lag = self._clock.now() - started - LOOP_INTERVAL_SECONDS
-            self._largest = max(self._largest, lag)
+            self._max_lag = max(self._max_lag, lag)
             if lag > LATE_LOOP_SECONDS:
                 self.late_at = self._clock.now()
                 self._log.record(Event.LOOP_LATE, seconds=round(lag, 3))
--- a/src/larkpost/gateway/blackboard/directory.py
+++ b/src/larkpost/gateway/blackboard/directory.py
@@ -13,7 +13,7 @@
 class InstanceState(StrEnum):
     """Whether an instance accepts new work.
 
-    READY may become LEAVING or UNLISTED. UNLISTED becomes READY again when the entry reappears.
+    READY may become LEAVING or UNLISTED; UNLISTED becomes READY again when the entry reappears.
     LEAVING is final: a server that restarts is a new instance.
     """
 
@@ -72,9 +72,9 @@
     def __init__(self) -> None:
         self.index: ServiceIndex[InstanceInfo] = ServiceIndex()
         self._instances: dict[InstanceId, InstanceInfo] = {}
-        self._observed: dict[InstanceId, dict[ModelName, int]] = {}
+        self._observed_versions: dict[InstanceId, dict[ModelName, int]] = {}
         self._replaced: set[InstanceId] = set()
-        self._current: dict[InstanceName, InstanceId] = {}
+        self._id_by_name: dict[InstanceName, InstanceId] = {}
         self._removal_listeners: list[Callable[[InstanceId], None]] = []
 
     def __len__(self) -> int:
@@ -86,13 +86,13 @@
 
     def find_by_name(self, name: InstanceName) -> InstanceInfo | None:
         """Returns the known incarnation of a server; None if there is none."""
-        current = self._current.get(name)
+        current = self._id_by_name.get(name)
         return self._instances.get(current) if current is not None else None
 
     def resolve(self, instance: InstanceId) -> InstanceId:
-        """Returns the id of the known incarnation if ``instance`` is only a server's name."""
+        """Returns the id of the known incarnation if ``instance`` has no start time."""
         name, started_at_ms = split_instance_id(instance)
-        return self._current.get(name, instance) if started_at_ms is None else instance
+        return self._id_by_name.get(name, instance) if started_at_ms is None else instance
 
     def add_removal_listener(self, listener: Callable[[InstanceId], None]) -> None:
         """Registers a listener that is called whenever an instance is dropped."""
@@ -118,7 +118,7 @@
         if known is not None and known.state is InstanceState.LEAVING:
             info = replace(info, state=InstanceState.LEAVING)
         self._store(info)
-        self._current[info.name] = info.id
+        self._id_by_name[info.name] = info.id
 
     def remove(self, name: InstanceName, *, store_healthy: bool) -> None:
         """Records that a server's entry was removed from the store.
@@ -143,18 +143,18 @@
 
     def observe_version(self, instance: InstanceId, model: ModelName, version: int) -> None:
         """Records a weight version reported by an instance, which may be ahead of its entry."""
-        observed = self._observed.setdefault(instance, {})
+        observed = self._observed_versions.setdefault(instance, {})
         is_first = version > 0 and not observed.get(model)
         observed[model] = max(version, observed.get(model, 0))
         info = self._instances.get(instance)
         if is_first and info is not None:
-            self._store(info)
+            self._store(info)  # indexes it under the model
 
     def version_of(self, instance: InstanceId, model: ModelName) -> int:
         """Returns the newest known weight version of a model at an instance; 0 if unknown."""
         info = self._instances.get(instance)
         listed = info.versions.get(model, 0) if info is not None else 0
-        return max(listed, self._observed.get(instance, {}).get(model, 0))
+        return max(listed, self._observed_versions.get(instance, {}).get(model, 0))
 
     def mark_replaced(self, instance: InstanceId) -> None:
         """Drops an instance for good, because another one responded at its address.
@@ -170,9 +170,9 @@
         if info is None:
             return
         self.index.drop(instance)
-        if self._current.get(info.name) == instance:
-            del self._current[info.name]
-        self._observed.pop(instance, None)
+        if self._id_by_name.get(info.name) == instance:
+            del self._id_by_name[info.name]
+        self._observed_versions.pop(instance, None)
         for listener in self._removal_listeners:
             listener(instance)
 
@@ -187,10 +187,10 @@
     def drop_unlisted(self) -> list[InstanceId]:
         """Drops all UNLISTED instances, and returns their ids."""
         unlisted = [
-            name for name, info in self._instances.items() if info.state is InstanceState.UNLISTED
+            key for key, info in self._instances.items() if info.state is InstanceState.UNLISTED
         ]
-        for name in unlisted:
-            self.forget(name)
+        for key in unlisted:
+            self.forget(key)
         return unlisted
 
     def accepts_work(self, instance: InstanceId) -> bool:
@@ -214,6 +214,6 @@
         if info.state is InstanceState.LEAVING:
             self.index.drop(info.id)
             return
-        known = (info.versions, self._observed.get(info.id, {}))
-        models = {model for versions in known for model, version in versions.items() if version}
+        sources = (info.versions, self._observed_versions.get(info.id, {}))
+        models = {model for versions in sources for model, version in versions.items() if version}
         self.index.put(info, models)
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -8,7 +8,7 @@
 proxy                 client requests
 rollouts              batches
 feeds                 tables that the daemon follows
-leased controllers    duties that one daemon at a time performs
+leased controllers    duties that only one daemon performs at a time
 """
 
 import asyncio
@@ -52,17 +52,21 @@
 from larkpost.gateway.usage.counter import UsageCounter
 
 READINESS_INTERVAL_SECONDS = 0.05
-"""Interval between two checks whether the daemon is ready for clients."""
+"""Interval between two checks for whether the daemon is ready for clients."""
 
 
 class Gateway:
     """One daemon.
 
     Components are created in the order of their dependencies. Three cycles are closed by callbacks
-    that are called only after construction: membership reports the balancer's data, and the
-    balancer needs the live daemons (`_alive_daemons`); the batch manager needs membership and the
-    engine allocator, which need its owned batches and their demand; and the sender tracker needs
-    the batches that are placed by its rule (`SenderTracker.set_sources`).
+    that are called only after construction:
+
+    - Membership reports the balancer's data, and the balancer needs the live daemons
+      (`_alive_daemons`).
+    - The batch manager needs membership and the engine allocator, which need its batches and their
+      demand.
+    - The sender tracker needs the owners of batches, whose items are placed by the cold rate limit,
+      which needs the sender tracker (`SenderTracker.set_sources`).
     """
 
     def __init__(self, settings: GatewaySettings, ports: GatewayPorts) -> None:
@@ -93,8 +97,8 @@
         parts = make_balancing(
             self.id, self.settings, self.blackboard, self._ports, self._alive_daemons
         )
-        self._sender_tracker, self._isolation = parts.sender_tracker, parts.isolation
-        self.cold, self.balancer = parts.cold, parts.balancer
+        self._sender_tracker, self._isolation_rule = parts.sender_tracker, parts.isolation
+        self.cold_rate_limit, self.balancer = parts.cold_rate_limit, parts.balancer
 
     def _make_membership(self) -> None:
         ports = self._ports
@@ -108,7 +112,7 @@
                 self.blackboard.regions,
                 self.balancer,
                 self._ledger,
-                lambda: self.keeper,
+                lambda: self.batch_manager,
                 self._event_loop_monitor,
             )
         )
@@ -121,23 +125,27 @@
             CrashWriter(CrashRepository(ports.store), ports.clock),
             ports.log,
             ports.metrics,
-            self._may_forget_crashes,
+            self._removes_expired_crashes,
         )
         record_crash = self._crash_recorder.record_crash
         detector = CrashDetector(
             self.directory, ports.servers, ports.clock, self._tasks, record_crash
         )
         self._servers = QuarantineServerPort(
-            ports.servers, self.blackboard.crashes, detector, self._crash_recorder, self._isolation
+            ports.servers,
+            self.blackboard.crashes,
+            detector,
+            self._crash_recorder,
+            self._isolation_rule,
         )
 
     def _make_forwarder(self) -> None:
         ports = self._ports
-        self._counter: UsageCounter | None = None
+        self._usage_counter: UsageCounter | None = None
         if ports.usage is not None and self.settings.usage is not None:
-            self._counter = UsageCounter(self.fleet_clock, self.settings.usage.window_length)
+            self._usage_counter = UsageCounter(self.fleet_clock, self.settings.usage.window_length)
         self.forwarder = make_forwarder(
-            ports, self.blackboard, self.balancer, self._servers, self._ledger, self._counter
+            ports, self.blackboard, self.balancer, self._servers, self._ledger, self._usage_counter
         )
 
     def _make_rollouts(self) -> None:
@@ -145,7 +153,7 @@
         self._engine_allocator = EngineAllocator(
             self.blackboard,
             ports.clock,
-            lambda: self.keeper.demands(),
+            lambda: self.batch_manager.demands(),
             LendingLog(ports.log, ports.clock),
             self.balancer.service_times.lasting,
         )
@@ -161,15 +169,15 @@
             ports.store.time,
             asyncio.Semaphore(MAX_CALLS_IN_FLIGHT),
             self._engine_allocator,
-            self.cold,
+            self.cold_rate_limit,
             self.blackboard.crashes,
         )
         repository = BatchRepository(ports.store, ports.clock)
         views = ViewCache(self.memory.budget)
-        self.keeper = BatchManager(
+        self.batch_manager = BatchManager(
             repository, self.membership, services, views, self._batch_lifetime
         )
-        self.batches = BatchService(self.id, repository, self.keeper, views, services)
+        self.batches = BatchService(self.id, repository, self.batch_manager, views, services)
 
     def _make_feeds(self) -> None:
         ports = self._ports
@@ -178,11 +186,11 @@
             self.blackboard,
             self._instruments,
             BatchListener(
-                self.keeper.record_head, self._crash_recorder.record_row, self._is_active
+                self.batch_manager.record_head, self._crash_recorder.record_row, self._is_active
             ),
         )
         self._sender_tracker.set_sources(
-            self.keeper.open_owners, self.membership, self._feeds.heads
+            self.batch_manager.open_owners, self.membership, self._feeds.heads
         )
 
     def _make_admission(self) -> None:
@@ -200,10 +208,10 @@
                 self._engine_allocator,
                 self.membership,
                 self.balancer,
-                self.keeper,
+                self.batch_manager,
                 self._feeds,
                 self.fleet_clock,
-                self._counter,
+                self._usage_counter,
             ),
         )
 
@@ -215,8 +223,8 @@
             self._feeds,
             self.membership,
             self.balancer,
-            self.cold,
-            self.keeper,
+            self.cold_rate_limit,
+            self.batch_manager,
             self._event_loop_monitor,
             self._ports.relay,
             self.memory,
@@ -230,10 +238,10 @@
         if self._ports.relay is not None:
             self._ports.relay.start(self.membership.peers, self._tasks, self._is_region_bound)
         self.membership.start(self._tasks)
-        self.keeper.start(self._tasks)
+        self.batch_manager.start(self._tasks)
         self.leased_controllers.start(self._tasks)
         if self.settings.cold is not None:
-            self._tasks.every(POLL_SECONDS, self.cold.poll, "cold")
+            self._tasks.every(POLL_SECONDS, self.cold_rate_limit.poll, "cold")
         self._tasks.spawn(self._become_ready(), "readiness")
         self._event_loop_monitor.start(self._tasks)
 
@@ -242,7 +250,7 @@
         steps = ShutdownSteps(
             immediate_steps=(
                 ("leave", self.membership.leave),
-                ("hand_over", self.keeper.hand_over),
+                ("hand_over", self.batch_manager.hand_over),
             ),
             final_step=self.leased_controllers.save_final,
         )
@@ -272,14 +280,14 @@
 
     def _is_active(self) -> bool:
         """Returns whether this daemon must react to batch changes immediately."""
-        return self.membership.is_coordinator() or bool(self.keeper.owned())
+        return self.membership.is_coordinator() or bool(self.batch_manager.owned())
 
     def _alive_daemons(self) -> frozenset[DaemonId]:
         """Returns the live daemons."""
         return self.membership.alive()
 
-    def _may_forget_crashes(self) -> bool:
-        """Returns whether this daemon is the one that removes expired crashes."""
+    def _removes_expired_crashes(self) -> bool:
+        """Returns whether this daemon is chosen to remove expired crashes from the store."""
         return self.membership.choose_coordinator("crashes") == self.id
 
     # Settings may change at run time, so they are read at each use; durations in seconds.
--- a/src/larkpost/gateway/memory/budget.py
+++ b/src/larkpost/gateway/memory/budget.py
@@ -1,7 +1,7 @@
 """Memory budget of one daemon: counts the bytes held for requests and batches, by purpose.
 
 No I/O. Code that buffers bytes reserves them here first. The limit for one buffered response
-shrinks as the budget fills up; see `MemoryBudget.answer_limit`.
+shrinks as the budget fills up; see `MemoryBudget.response_limit`.
 """
 
 import math
@@ -11,9 +11,9 @@
 
 from larkpost.common.errors import LarkpostError
 
-ANSWER_LIMIT_DIVISOR = 8
-"""One response may hold at most the free bytes divided by this, which leaves room for others."""
-MIN_ANSWER_LIMIT_BYTES = 65536
+RESPONSE_LIMIT_DIVISOR = 8
+"""One response may hold at most the free bytes divided by this, so that others fit as well."""
+MIN_RESPONSE_LIMIT_BYTES = 65536
 """Lower bound of the limit for one response, so that every response can make progress."""
 LOW_MEMORY_FRACTION = 0.5
 """Memory is low while less than this fraction of the budget is free."""
@@ -23,8 +23,8 @@
 """Extra fraction of the budget for small bodies, on top of the limit, so that ordinary requests are
 served while large bodies or batches fill the budget."""
 MAX_BATCHES_FRACTION = 0.5
-"""New batches are accepted only while batches hold at most this fraction of the budget: they are
-held for a long time, and more may be claimed from daemons that end."""
+"""New batches are accepted only while batches hold at most this fraction of the budget: batches are
+held for a long time, and those of daemons that stop may be claimed in addition."""
 RETRY_AFTER_SECONDS = 0.3
 """Minimum Retry-After; randomized up to twice this value, so that callers do not retry together."""
 
@@ -35,7 +35,7 @@
     REQUEST_BODIES = "request_bodies"  # from receipt until the request is answered
     SMALL_BODIES = "small_bodies"  # of requests that declare at most `SMALL_BODY_BYTES`
     SUBMISSIONS = "submissions"  # batches while they are read and written to the store
-    ANSWERS = "answers"  # whole responses, until the client has received them
+    RESPONSES = "answers"  # complete responses, until the client has received them
     STREAMS = "streams"  # read ahead from the server for slow clients
     PAGES = "pages"  # result pages and bodies of batches that clients requested
     BATCHES = "batches"  # items and results of batches that run or were read here
@@ -80,15 +80,16 @@
         return self.limit is not None and self.free < self.limit * LOW_MEMORY_FRACTION
 
     @property
-    def answer_limit(self) -> float:
+    def response_limit(self) -> float:
         """Maximum number of bytes that one response may hold now; infinite without a limit."""
-        return max(MIN_ANSWER_LIMIT_BYTES, self.free / ANSWER_LIMIT_DIVISOR)
+        return max(MIN_RESPONSE_LIMIT_BYTES, self.free / RESPONSE_LIMIT_DIVISOR)
 
     def shortfall(self, purpose: MemoryPurpose, size: int) -> float:
         """Returns how many bytes must be released before ``size`` more may be held.
 
         Returns:
-            0 if they may be held now; infinite if releasing requests and responses cannot help.
+            0 if they may be held now; infinite if they would not fit even after all requests and
+            responses were released.
         """
         if self.limit is None:
             return 0
@@ -153,9 +154,9 @@
         """Returns whether ``size`` more bytes fit into the budget."""
         return self._budget.shortfall(self.purpose, size) == 0
 
-    def fits_answer_limit(self, size: int) -> bool:
-        """Returns whether ``size`` more bytes stay within `MemoryBudget.answer_limit`."""
-        return self.size + size <= self._budget.answer_limit
+    def fits_response_limit(self, size: int) -> bool:
+        """Returns whether ``size`` more bytes stay within `MemoryBudget.response_limit`."""
+        return self.size + size <= self._budget.response_limit
 
     def grow(self, size: int) -> None:
         """Reserves more bytes.
--- a/src/larkpost/gateway/memory/delivery.py
+++ b/src/larkpost/gateway/memory/delivery.py
@@ -11,7 +11,7 @@
 from larkpost.gateway.memory.slow_clients import STALLED_SECONDS, ReadRate
 
 POLL_SECONDS = 0.25
-"""Interval between two checks whether a slow client has read anything."""
+"""Interval between two checks for whether a slow client has read anything."""
 
 
 class SlowClientError(LarkpostError):
@@ -48,7 +48,7 @@
     """A response that is being delivered.
 
     Args:
-        count_held: returns the bytes reserved for the request.
+        count_held: returns the bytes that are reserved for the request.
         on_slow: called when the client starts to fall behind.
         on_stalled: called before a client that has read nothing for too long is disconnected.
     """
@@ -68,7 +68,7 @@
         self._on_stalled = on_stalled
         self._written = connection.unsent  # rest of the previous response, which is sent first
         self._slow_since: float | None = None
-        self._read_before = 0
+        self._read_before_slow = 0
         self._last_unsent = 0
         self._last_progress_at = 0.0
         self._is_complete = False
@@ -106,7 +106,7 @@
             self._slow_since = None
         since = self._slow_since
         seconds = self._clock.now() - since if since is not None else 0.0
-        return ReadRate(self._count_held(), self._bytes_read() - self._read_before, seconds)
+        return ReadRate(self._count_held(), self._bytes_read() - self._read_before_slow, seconds)
 
     async def wait_until_writable(self) -> None:
         """Waits until more can be written to the connection.
@@ -146,7 +146,7 @@
         if self._slow_since is not None:
             return
         self._slow_since = self._last_progress_at = self._clock.now()
-        self._read_before = self._bytes_read()
+        self._read_before_slow = self._bytes_read()
         self._last_unsent = self._connection.unsent
         self._on_slow(self)
 
--- a/src/larkpost/gateway/usage/reporter.py
+++ b/src/larkpost/gateway/usage/reporter.py
@@ -26,21 +26,22 @@
 from larkpost.gateway.usage.repository import DecidedReport, UsageRepository
 
 UPDATE_SECONDS = 0.5
-"""Interval between two checks for windows to report."""
+"""Interval between two checks for windows that are due."""
 SETTLE_SECONDS = 3.5
 """Time from the end of a window until its counts are complete, in addition to the save interval:
 requests that are in progress must end, and their daemons must become known."""
 STORE_HEALTHY_SECONDS = 2.0
-"""Time for which the store must have been healthy, so that daemons have saved delayed counts."""
+"""Time for which the store must have been healthy before a decision, unless the report is nearly
+due: counts delayed by an outage must be saved first."""
 DECISION_MARGIN_SECONDS = 2.0
 """A report is decided from the available counts this long before it is due."""
 REPORT_TIMEOUT_SECONDS = 0.8
 """Timeout of a call that sends a report."""
 LOOK_BACK_WINDOWS = 24
 """How many windows back a new reporter searches for unreported ones. Equals
-`usage.counter.KEPT_WINDOWS`."""
-KEPT_WINDOWS = 2 * LOOK_BACK_WINDOWS
-"""Number of windows whose rows are kept; covers every search."""
+`usage.counter.KEPT_WINDOWS`, the number of windows for which daemons keep counts."""
+STORED_WINDOWS = 2 * LOOK_BACK_WINDOWS
+"""Number of windows whose rows stay in the store; covers the search of any new reporter."""
 SUBJECT = LeaseSubject(Duty.USAGE, "windows")
 """Lease subject of the reporter; all windows share it."""
 
@@ -94,7 +95,7 @@
         self._log = instruments.log
         self._metrics = instruments.metrics
         self._timing = timing
-        self._next: WindowNumber | None = None
+        self._next_window: WindowNumber | None = None
         """First window not known to be reported; None while another daemon reports."""
 
     def start(self, tasks: TaskSet) -> None:
@@ -104,15 +105,15 @@
     async def update(self) -> None:
         """Decides and reports the windows that are due, if this daemon is the chosen reporter."""
         if not self._coordination.is_responsible_for(SUBJECT.key):
-            self._next = None
+            self._next_window = None
             return
         now = self._timing.fleet_clock.now()
         if now is None:
             return
         try:
-            if self._next is None:
-                self._next = await self._find_first_unreported(now)
-            await self._report_due(self._next, now)
+            if self._next_window is None:
+                self._next_window = await self._find_first_unreported(now)
+            await self._report_due(self._next_window, now)
         except StoreUnavailableError:
             return  # counted by the store adapter; the next update retries
 
@@ -120,9 +121,9 @@
         """Returns the first window that is not known to be reported."""
         current = self._timing.window_at(now)
         decided = await self._repository.decided_since(WindowNumber(current - LOOK_BACK_WINDOWS))
-        open_windows = [window for window, known in decided.items() if not known.is_taken]
+        untaken = [window for window, known in decided.items() if not known.is_taken]
         after_last = max(decided, default=current - 1) + 1
-        return WindowNumber(min([after_last, *open_windows]))
+        return WindowNumber(min([after_last, *untaken]))
 
     async def _report_due(self, first: WindowNumber, now: float) -> None:
         last = self._timing.window_at(now)
@@ -137,11 +138,15 @@
         for window in due:
             if not await self._report(window):
                 return
-            self._next = WindowNumber(window + 1)
-        await self._repository.remove_before(WindowNumber(last - KEPT_WINDOWS))
+            self._next_window = WindowNumber(window + 1)
+        await self._repository.remove_before(WindowNumber(last - STORED_WINDOWS))
 
     async def _report(self, window: WindowNumber) -> bool:
-        """Decides a window if necessary, sends its report, and returns whether it was taken."""
+        """Decides a window if necessary and sends its report.
+
+        Returns:
+            Whether the receiver has taken it.
+        """
         decided = await self._decide(window)
         if decided is None:
             return False
@@ -164,7 +169,10 @@
         return True
 
     async def _decide(self, window: WindowNumber) -> DecidedReport | None:
-        """Returns the stored report of a window, deciding it if necessary; None if undecided.
+        """Returns the stored report of a window, after deciding it if necessary.
+
+        Returns:
+            None if no decision could be stored or read.
 
         Raises:
             StoreUnavailableError: the store did not respond.
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -11,8 +11,8 @@
 
 from larkpost.common.clock import LoopClock
 from larkpost.gateway.memory.budget import (
-    ANSWER_LIMIT_DIVISOR,
-    MIN_ANSWER_LIMIT_BYTES,
+    MIN_RESPONSE_LIMIT_BYTES,
+    RESPONSE_LIMIT_DIVISOR,
     MemoryBudgetError,
     MemoryPurpose,
 )
@@ -163,7 +163,7 @@
         virtual.run(relay.run())
         self.assertEqual(60 * len(CHUNK), relay.taken)
         self.assertGreater(relay.largest, MB // 2)
-        self.assertLessEqual(relay.largest, 8 * MB // ANSWER_LIMIT_DIVISOR)
+        self.assertLessEqual(relay.largest, 8 * MB // RESPONSE_LIMIT_DIVISOR)
         self.assertEqual(0, self.memory.budget.total)
 
     def test_without_a_limit_nothing_is_read_ahead(self):
@@ -249,7 +249,7 @@
         (line,) = self.lines(Event.READER_CUT)
         self.assertEqual(DisconnectReason.SLOWEST, line["reason"])
 
-    def test_forty_slow_clients_stay_within_the_budget_and_get_their_answers(self):
+    def test_forty_slow_clients_stay_within_the_budget_and_get_their_responses(self):
         """40 responses of 3 MB, 15 times the budget, to clients that read 500 kB/s."""
         relays = [Relay(self.memory, Server(60), FakeConnection(500_000)) for _ in range(40)]
 
@@ -259,7 +259,7 @@
         virtual.run(play())
         self.assertEqual({60 * len(CHUNK)}, {relay.taken for relay in relays})
         largest = max(relay.largest for relay in relays)
-        self.assertLessEqual(largest, 8 * MB + 40 * MIN_ANSWER_LIMIT_BYTES)
+        self.assertLessEqual(largest, 8 * MB + 40 * MIN_RESPONSE_LIMIT_BYTES)
 
     def test_rejected_body_disconnects_a_slow_client(self):
         relay = Relay(self.memory, Server(1000), FakeConnection(rate=2_000))
@@ -332,7 +332,7 @@
                 self.memory.request() as request,
                 self.memory.delivery(connection, request) as delivery,
             ):
-                request.reserve(MemoryPurpose.ANSWERS, MB)
+                request.reserve(MemoryPurpose.RESPONSES, MB)
                 delivery.record_written(2 * HIGH_BYTES)
                 connection.write(2 * HIGH_BYTES)
                 connection.is_serving = False
@@ -358,7 +358,7 @@
                 waiting = asyncio.create_task(delivery.wait_until_writable())
                 await asyncio.sleep(1)
                 connection.unsent -= HIGH_BYTES
-                self.assertEqual(HIGH_BYTES, delivery.read_rate().taken)
+                self.assertEqual(HIGH_BYTES, delivery.read_rate().bytes_read)
                 waiting.cancel()
 
         virtual.run(play())
@@ -369,7 +369,7 @@
         async def play():
             connection = FakeConnection(rate=10**9)
             with memory.request() as request, memory.delivery(connection, request) as delivery:
-                held = request.reserve(MemoryPurpose.ANSWERS, 2)
+                held = request.reserve(MemoryPurpose.RESPONSES, 2)
                 answer = BufferedBody(Server(1).answer(), held, deque([b"a", b"b"]))
                 async with aclosing(read_ahead(answer, delivery, memory)) as parts:
                     return [part async for part in parts]
--- a/tests/test_yielding.py
+++ b/tests/test_yielding.py
@@ -28,7 +28,7 @@
             fleet = PlatformFleet(1, 4)
             own = frozenset({InstanceId("engine-0"), InstanceId("engine-1")})
             await fleet.wait(1.0)
-            allocator = fleet.gateways[0].keeper._services.allocator
+            allocator = fleet.gateways[0].batch_manager._services.allocator
             allocator.engines_of = lambda *_: own
             allocator.should_yield = lambda *_: yields
             for state in fleet.model_engines():
