--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -88,9 +88,13 @@
     """
     service_time = slot_counts.service_time or deadlines.default_service_time
     wait = max(share_wait, _wait(slot_counts, service_time, ahead, blocked_seconds))
-    is_untried = slot_counts.has_few_running and not ahead and not blocked_seconds
+    may_find_free_slot = slot_counts.has_few_running and not ahead and not blocked_seconds
     if _is_infeasible(
-        slot_counts, deadlines, now, wait + service_time * MIN_SERVICE_TIME_SHARE, is_untried
+        slot_counts,
+        deadlines,
+        now,
+        wait + service_time * MIN_SERVICE_TIME_SHARE,
+        may_find_free_slot,
     ):
         expectation = Expectation.NOT_AT_ALL
     elif now + wait + service_time <= deadlines.objective_at:
@@ -128,7 +132,11 @@
 
 
 def _is_infeasible(
-    slot_counts: SlotCounts, deadlines: Deadlines, now: float, min_seconds: float, is_untried: bool
+    slot_counts: SlotCounts,
+    deadlines: Deadlines,
+    now: float,
+    min_seconds: float,
+    may_find_free_slot: bool,
 ) -> bool:
     """Returns whether a request that needs at least ``min_seconds`` cannot be served in time.
 
@@ -138,7 +146,7 @@
     """
     if now >= deadlines.expires_at or not slot_counts.total:
         return True
-    if slot_counts.is_mostly_free or is_untried:
+    if slot_counts.is_mostly_free or may_find_free_slot:
         return False
     return now + min_seconds > deadlines.expires_at
 
