--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -235,15 +235,15 @@
 
     def _count_in_shortage(self, waiter: Waiter) -> None:
         """Counts a waiting request towards the shares once the shortage of slots is persistent."""
-        if waiter.share_count is None and self._shortage.is_persistent(waiter.service):
-            waiter.share_count = ExitStack()
-            waiter.share_count.enter_context(self._ledger.waiting(waiter.flow))
+        if waiter.ledger_entry is None and self._shortage.is_persistent(waiter.service):
+            waiter.ledger_entry = ExitStack()
+            waiter.ledger_entry.enter_context(self._ledger.waiting(waiter.flow))
 
     def _stop_counting(self, waiter: Waiter) -> None:
         """Stops counting a request that no longer waits."""
-        if waiter.share_count is not None:
-            waiter.share_count.close()
-            waiter.share_count = None
+        if waiter.ledger_entry is not None:
+            waiter.ledger_entry.close()
+            waiter.ledger_entry = None
 
     def _update_shortage(self, queue: _Queue, now: float) -> None:
         """Records requests that missed their objective, and counts those in a shortage."""
--- a/src/larkpost/gateway/proxy/waiter.py
+++ b/src/larkpost/gateway/proxy/waiter.py
@@ -43,7 +43,7 @@
     is_recorded: bool = False
     turn: asyncio.Future[Forecast] | None = None
     missed_objective: bool = False
-    share_count: ExitStack | None = None
+    ledger_entry: ExitStack | None = None
     flow: Flow = field(init=False)
 
     def __post_init__(self) -> None:
