--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -11,7 +11,7 @@
 
 from larkpost.gateway.proxy.slot_counting import SlotCounts
 
-MIN_SERVICE_TIME_SHARE = 0.5
+MIN_SERVICE_TIME_FRACTION = 0.5
 """Share of the service time that a request needs at least, without unit. It is low because an
 unnecessary refusal costs more than a failed attempt."""
 MIN_RETRY_SECONDS = 0.05
@@ -93,7 +93,7 @@
         slot_counts,
         deadlines,
         now,
-        wait + service_time * MIN_SERVICE_TIME_SHARE,
+        wait + service_time * MIN_SERVICE_TIME_FRACTION,
         may_find_free_slot,
     ):
         expectation = Expectation.NOT_AT_ALL
