--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -20,7 +20,7 @@
 """Maximum retry delay: reported loads and service times are used for about a second."""
 NO_SLOT_RETRY_SECONDS = 0.5
 """Retry delay for a service without any slot: time for new instances to be listed."""
-MAX_RETRY_SHARE = 1 / 3
+MAX_RETRY_FRACTION = 1 / 3
 """Maximum retry delay as a share of the time that the client has left, without unit."""
 MILLISECONDS = 1000
 """Milliseconds in a second; retry delays are whole milliseconds."""
@@ -158,7 +158,7 @@
 
 def max_retry_delay(time_left: float) -> float:
     """Returns the maximum retry delay of a client with ``time_left`` seconds left."""
-    return min(MAX_RETRY_SECONDS, time_left * MAX_RETRY_SHARE)
+    return min(MAX_RETRY_SECONDS, time_left * MAX_RETRY_FRACTION)
 
 
 def floor_to_milliseconds(seconds: float) -> float:
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -22,8 +22,8 @@
 from larkpost.gateway.placement.work import CLIENT_WORK
 from larkpost.gateway.proxy.balancer import Balancer
 from larkpost.gateway.proxy.forecast import (
+    MAX_RETRY_FRACTION,
     MAX_RETRY_SECONDS,
-    MAX_RETRY_SHARE,
     Deadlines,
     Expectation,
     make_forecast,
@@ -104,7 +104,7 @@
         for ahead in (0, 1, 5, 40, 4000):
             forecast = make_forecast(SlotCounts(4, 4, 0.1), DEADLINES, 0.3, ahead)
             self.assertGreater(forecast.retry_after, 0)
-            self.assertLessEqual(forecast.retry_after, 0.5 * MAX_RETRY_SHARE)
+            self.assertLessEqual(forecast.retry_after, 0.5 * MAX_RETRY_FRACTION)
         patient = Deadlines(objective_at=0.2, expires_at=100.0, default_service_time=0.05)
         delay = make_forecast(SlotCounts(4, 4, 0.4), patient, 0.0, ahead=1).retry_after
         self.assertAlmostEqual(0.2, delay)
@@ -183,7 +183,7 @@
                 await self.clock.sleep(SETTLE_SECONDS)
                 seconds, error = await self.refusal(send(make_route(), 0.6))
                 self.assertLess(seconds, POLL_INTERVAL_SECONDS)
-                self.assertLessEqual(error.retry_after, 0.6 * MAX_RETRY_SHARE)
+                self.assertLessEqual(error.retry_after, 0.6 * MAX_RETRY_FRACTION)
                 self.assertEqual(SLOTS, len(self.state().runs))
                 await asyncio.gather(*others)
 
