--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -30,7 +30,7 @@
 from larkpost.gateway.proxy.slot_counting import SlotCounts, count_slots
 from larkpost.gateway.proxy.waiter import Waiter
 
-DEFAULT_SERVICE_TIME_SHARE = 0.25
+DEFAULT_SERVICE_TIME_FRACTION = 0.25
 """Share of the objective assumed as the service time while none is known."""
 
 
@@ -220,5 +220,5 @@
     return Deadlines(
         objective_at=request.received_at - elapsed + route.objective,
         expires_at=request.received_at + time_left,
-        default_service_time=route.objective * DEFAULT_SERVICE_TIME_SHARE,
+        default_service_time=route.objective * DEFAULT_SERVICE_TIME_FRACTION,
     )
