--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -22,7 +22,7 @@
 """Retry delay for a service without any slot: time for new instances to be listed."""
 MAX_RETRY_FRACTION = 1 / 3
 """Maximum retry delay as a share of the time that the client has left, without unit."""
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 """Milliseconds in a second; retry delays are whole milliseconds."""
 
 
@@ -163,4 +163,4 @@
 
 def floor_to_milliseconds(seconds: float) -> float:
     """Returns a time rounded down to whole milliseconds, at least one."""
-    return max(1, math.floor(seconds * MILLISECONDS)) / MILLISECONDS
+    return max(1, math.floor(seconds * MILLISECONDS_PER_SECOND)) / MILLISECONDS_PER_SECOND
