--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -32,7 +32,7 @@
 
 POLL_INTERVAL_SECONDS = 0.02
 """Interval between dispatches while servers are full."""
-SLOTS_PER_POLL = 2000
+LARGE_SERVICE_SLOTS = 2000
 """Above this many slots a queue is polled less often, as each poll counts all of them."""
 BLOCKED_LIFETIME_SECONDS = 1.0
 """How long the observation that no slot is free stays valid."""
@@ -42,7 +42,7 @@
 
 def poll_interval(total_slots: int) -> float:
     """Returns the seconds between two polls of a queue whose service has ``total_slots`` slots."""
-    return POLL_INTERVAL_SECONDS * max(1.0, total_slots / SLOTS_PER_POLL)
+    return POLL_INTERVAL_SECONDS * max(1.0, total_slots / LARGE_SERVICE_SLOTS)
 
 
 @dataclass(frozen=True, slots=True)
@@ -191,7 +191,7 @@
         The queue of a large service waits for its next poll, as each dispatch counts all slots.
         """
         queue = self._queues.get(service)
-        if queue is not None and queue.waiters and queue.total_slots <= SLOTS_PER_POLL:
+        if queue is not None and queue.waiters and queue.total_slots <= LARGE_SERVICE_SLOTS:
             self._dispatch(queue)
 
     async def _poll(self, queue: _Queue) -> None:
