--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -178,7 +178,7 @@
             if waiter in queue.waiters:
                 queue.waiters.remove(waiter)
 
-    def record_slot_found(self, service: ServiceName) -> None:
+    def record_accepted(self, service: ServiceName) -> None:
         """Records that a server of a service accepted a request."""
         self._shortage.record_slot_granted(service)
         queue = self._queues.get(service)
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -137,9 +137,9 @@
         """Counts a request in its flow's usage while it occupies a slot."""
         return self._ledger.running(waiter.flow)
 
-    def record_slot_found(self, waiter: Waiter) -> None:
+    def record_accepted(self, waiter: Waiter) -> None:
         """Records that a server accepted a request."""
-        self._queues.record_slot_found(waiter.service)
+        self._queues.record_accepted(waiter.service)
         self._starvation_guard.record_slot_granted(
             waiter.flow, is_share_exempt=waiter.is_share_exempt
         )
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -79,7 +79,7 @@
         outgoing = self._outgoing(instance, attempts)
         with self._balancer.count_request(instance.id), self._scheduler.running(attempts.waiter):
             async with self._servers.send(instance, outgoing) as response:
-                self._scheduler.record_slot_found(attempts.waiter)
+                self._scheduler.record_accepted(attempts.waiter)
                 self._balancer.record_cold(instance.id, response.cold_left)
                 yield response
 
