--- a/src/larkpost/gateway/proxy/ranking.py
+++ b/src/larkpost/gateway/proxy/ranking.py
@@ -54,7 +54,7 @@
     return [candidate.instance for candidate in ordered]
 
 
-def expected_wait(candidate: Candidate, best_service_time: float) -> float:
+def expected_response_time(candidate: Candidate, best_service_time: float) -> float:
     """Returns the expected response time at a candidate, relative to the best service time.
 
     An instance with an unknown service time counts as the fastest.
@@ -71,7 +71,7 @@
 
 
 def _order(candidate: Candidate, best_service_time: float) -> tuple[bool, bool, float, float]:
-    wait = expected_wait(candidate, best_service_time)
+    wait = expected_response_time(candidate, best_service_time)
     return (
         candidate.is_avoided,
         candidate.is_cold,
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -11,7 +11,7 @@
     NEW_CONNECTION_FACTOR,
     Candidate,
     connection_factor,
-    expected_wait,
+    expected_response_time,
     rank,
 )
 
@@ -107,7 +107,7 @@
         ):
             with self.subTest(changes=changes, best_service_time=best_service_time):
                 self.assertAlmostEqual(
-                    expected, expected_wait(candidate("one", **changes), best_service_time)
+                    expected, expected_response_time(candidate("one", **changes), best_service_time)
                 )
 
     def test_connection_factor(self):
