--- a/src/larkpost/gateway/proxy/service_time_history.py
+++ b/src/larkpost/gateway/proxy/service_time_history.py
@@ -104,11 +104,11 @@
 
         It is the sustained one while the server is measured, and the baseline afterwards.
         """
-        if self.is_measured(now):
+        if self.is_recently_measured(now):
             return self._sustained
         return self._baseline if now - self.measured_at < BASELINE_LIFETIME_SECONDS else 0.0
 
-    def is_measured(self, now: float) -> bool:
+    def is_recently_measured(self, now: float) -> bool:
         """Returns whether the sustained service time is recent enough to be used."""
         return now - self.measured_at < SUSTAINED_SECONDS and bool(self._sustained)
 
--- a/src/larkpost/gateway/proxy/service_time_tracker.py
+++ b/src/larkpost/gateway/proxy/service_time_tracker.py
@@ -119,7 +119,7 @@
     def _prefers_own(self, instance: InstanceId, history: ServiceTimeHistory) -> bool:
         """Returns whether this daemon's measurements take precedence over reports."""
         now = self._clock.now()
-        if history.is_measured(now):
+        if history.is_recently_measured(now):
             return True
         return bool(history.service_time(now)) and not self._peer_reports.fresh(instance)
 
@@ -151,4 +151,4 @@
 def is_reported(history: ServiceTimeHistory, now: float) -> bool:
     """Returns whether a service time is reported: while measured, and shortly after degradation."""
     is_recovery = history.was_degraded and now - history.measured_at < RECOVERY_SECONDS
-    return history.is_measured(now) or is_recovery
+    return history.is_recently_measured(now) or is_recovery
--- a/tests/test_lasting_pace.py
+++ b/tests/test_lasting_pace.py
@@ -161,7 +161,7 @@
         self.measure(3 * FAST, 5.0)
         self.now += 2 * BASELINE_LIFETIME_SECONDS
         self.history.record(self.now, FAST)
-        self.assertFalse(self.history.is_measured(self.now))
+        self.assertFalse(self.history.is_recently_measured(self.now))
         self.assertFalse(self.history.was_degraded)
         self.assertEqual(0.0, self.history.service_time(self.now))
         self.measure(FAST, 1.0)
@@ -173,7 +173,7 @@
         for _ in range(5):
             self.now += SLICE_LIFETIME_SECONDS + 1
             self.history.record(self.now, FAST)
-            self.assertFalse(self.history.is_measured(self.now))
+            self.assertFalse(self.history.is_recently_measured(self.now))
         self.assertEqual(0.0, self.history.service_time(self.now))
 
 
