--- a/src/larkpost/gateway/proxy/service_time_history.py
+++ b/src/larkpost/gateway/proxy/service_time_history.py
@@ -147,7 +147,7 @@
         means = [slice_.measured_mean for slice_ in self._slices]
         if not means:
             return seconds
-        return without_slowness(seconds, slowness, min(means), max(means))
+        return correct_for_slowness(seconds, slowness, min(means), max(means))
 
 
 def low_quantile(means: Iterable[float]) -> float:
@@ -169,7 +169,7 @@
     return baseline + weight * (sustained - baseline)
 
 
-def without_slowness(seconds: float, slowness: float, quickest: float, slowest: float) -> float:
+def correct_for_slowness(seconds: float, slowness: float, quickest: float, slowest: float) -> float:
     """Returns a measured time corrected for the slowness that the server reported.
 
     The result stays between the quickest and the slowest recent measurement, so that a wrong report
--- a/tests/test_lasting_pace.py
+++ b/tests/test_lasting_pace.py
@@ -9,9 +9,9 @@
     SLICE_LIFETIME_SECONDS,
     SUSTAINED_SECONDS,
     ServiceTimeHistory,
+    correct_for_slowness,
     low_quantile,
     smooth_baseline,
-    without_slowness,
 )
 from larkpost.gateway.proxy.slowness import (
     MAX_SLOWNESS,
@@ -79,7 +79,7 @@
     def test_correction_for_slowness(self):
         for case, seconds, slowness, quickest, slowest, expected in CORRECTIONS:
             with self.subTest(case):
-                found = without_slowness(seconds, slowness, quickest, slowest)
+                found = correct_for_slowness(seconds, slowness, quickest, slowest)
                 self.assertAlmostEqual(expected, found)
 
     def test_slowness_factor(self):
