--- a/src/larkpost/gateway/proxy/service_time_history.py
+++ b/src/larkpost/gateway/proxy/service_time_history.py
@@ -96,7 +96,7 @@
             self._forget_old(now)
         if self._current is None:
             self._current = _Slice(now)
-        self._current.add(seconds, self._without_slowness(seconds, slowness))
+        self._current.add(seconds, self._correct_for_slowness(seconds, slowness))
         self.measured_at = now
 
     def service_time(self, now: float) -> float:
@@ -143,7 +143,7 @@
         while self._slices and now - self._slices[0].began_at > SLICE_LIFETIME_SECONDS:
             self._slices.popleft()
 
-    def _without_slowness(self, seconds: float, slowness: float) -> float:
+    def _correct_for_slowness(self, seconds: float, slowness: float) -> float:
         means = [slice_.measured_mean for slice_ in self._slices]
         if not means:
             return seconds
