--- a/src/larkpost/gateway/proxy/service_time_tracker.py
+++ b/src/larkpost/gateway/proxy/service_time_tracker.py
@@ -47,7 +47,7 @@
         if speed_stats is None or not speed_stats.slowness.has_reports:
             return self._smoothed(instance)
         now = self._clock.now()
-        lasting = self._lasting(instance, speed_stats.responses)
+        lasting = self._long_term(instance, speed_stats.responses)
         return lasting * speed_stats.slowness.factor(now) or self._smoothed(instance)
 
     def has_latency(self, instance: InstanceId) -> bool:
@@ -58,7 +58,7 @@
         speed_stats = self._own.speed_stats(instance)
         if speed_stats is None or not speed_stats.slowness.has_reports:
             return self._own.has_recent_response(instance)
-        if not self._lasting(instance, speed_stats.responses):
+        if not self._long_term(instance, speed_stats.responses):
             return self._own.has_recent_response(instance)
         return self._prefers_own(instance, speed_stats.responses)
 
@@ -66,7 +66,7 @@
         """Returns the seconds per event of an item, without short bursts; 0 if not known."""
         speed_stats = self._own.speed_stats(instance)
         history = speed_stats.events if speed_stats is not None else None
-        return self._lasting(instance, history) or self._smoothed(instance)
+        return self._long_term(instance, history) or self._smoothed(instance)
 
     def recent(self, engine: InstanceId) -> float:
         """Returns the seconds per event in the last slice measured here; 0 if not measured."""
@@ -110,7 +110,7 @@
         """Drops expired reports."""
         self._peer_reports.forget_old(now)
 
-    def _lasting(self, instance: InstanceId, history: ServiceTimeHistory | None) -> float:
+    def _long_term(self, instance: InstanceId, history: ServiceTimeHistory | None) -> float:
         """Returns the lasting service time; current measurements, here or elsewhere, come first."""
         if history is not None and self._prefers_own(instance, history):
             return history.service_time(self._clock.now())
