--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -147,7 +147,7 @@
             ports.clock,
             lambda: self.keeper.demands(),
             LendingLog(ports.log, ports.clock),
-            self.balancer.service_times.lasting,
+            self.balancer.service_times.long_term,
         )
         services = RunServices(
             self.configuration,
--- a/src/larkpost/gateway/proxy/service_time_tracker.py
+++ b/src/larkpost/gateway/proxy/service_time_tracker.py
@@ -47,8 +47,8 @@
         if speed_stats is None or not speed_stats.slowness.has_reports:
             return self._smoothed(instance)
         now = self._clock.now()
-        lasting = self._long_term(instance, speed_stats.responses)
-        return lasting * speed_stats.slowness.factor(now) or self._smoothed(instance)
+        long_term = self._long_term(instance, speed_stats.responses)
+        return long_term * speed_stats.slowness.factor(now) or self._smoothed(instance)
 
     def has_latency(self, instance: InstanceId) -> bool:
         """Returns whether the current service time comes from this daemon's own responses.
@@ -62,7 +62,7 @@
             return self._own.has_recent_response(instance)
         return self._prefers_own(instance, speed_stats.responses)
 
-    def lasting(self, instance: InstanceId) -> float:
+    def long_term(self, instance: InstanceId) -> float:
         """Returns the seconds per event of an item, without short bursts; 0 if not known."""
         speed_stats = self._own.speed_stats(instance)
         history = speed_stats.events if speed_stats is not None else None
--- a/src/larkpost/gateway/rollouts/batch_manager.py
+++ b/src/larkpost/gateway/rollouts/batch_manager.py
@@ -67,7 +67,7 @@
             ForecastInputs(
                 services.configuration,
                 services.directory,
-                services.balancer.service_times.lasting,
+                services.balancer.service_times.long_term,
                 services.clock,
                 services.store_time,
             )
--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -74,7 +74,9 @@
             for info in candidates
             if info.id not in loading
             and is_fast_enough(
-                balancer.service_times.lasting(info.id), balancer.is_cold(info), service_time_limit
+                balancer.service_times.long_term(info.id),
+                balancer.is_cold(info),
+                service_time_limit,
             )
         ]
 
@@ -103,7 +105,7 @@
         return [
             EngineState(
                 info,
-                service_time=balancer.service_times.lasting(info.id),
+                service_time=balancer.service_times.long_term(info.id),
                 occupied=balancer.occupied(info),
                 distance=balancer.distance(info),
                 is_loading=info.id in loading,
@@ -140,7 +142,7 @@
         """Returns the seconds without an event after which a run counts as stalled."""
         engine = monitored_run.engine
         loading = self._services.division.loading(engine.service, self._head.model)
-        service_time = self._services.balancer.service_times.lasting(engine.id)
+        service_time = self._services.balancer.service_times.long_term(engine.id)
         return stall_timeout_seconds(service_time, is_loading=engine.id in loading)
 
     def may_migrate_to(self, engine: InstanceInfo, run: ItemRun) -> bool:
@@ -152,7 +154,7 @@
         balancer = self._services.balancer
         if known is None or balancer.is_cold(known):
             return False
-        service_time = balancer.service_times.lasting(engine.id)
+        service_time = balancer.service_times.long_term(engine.id)
         if not service_time or not is_slower_by(
             self._source_service_time(run.engine), service_time, MIGRATION_RATIO
         ):
@@ -177,7 +179,7 @@
     def _source_service_time(self, engine: InstanceInfo) -> float:
         service_times = self._services.balancer.service_times
         return migration_source_service_time(
-            service_times.lasting(engine.id), service_times.recent(engine.id)
+            service_times.long_term(engine.id), service_times.recent(engine.id)
         )
 
     def _best_service_time(self, service: ServiceName, work: Work, version: int) -> float:
@@ -191,7 +193,7 @@
         service_times = [
             service_time
             for info in balancer.candidate_pool(service, work).instances
-            if (service_time := balancer.service_times.lasting(info.id))
+            if (service_time := balancer.service_times.long_term(info.id))
             and not balancer.is_cold(info)
             and directory.version_of(info.id, self._head.model) >= version
             and not balancer.is_avoided(info.id)
--- a/src/larkpost/gateway/rollouts/item_runner.py
+++ b/src/larkpost/gateway/rollouts/item_runner.py
@@ -155,7 +155,7 @@
     def _record_migration(self, run: ItemRun, migration: MigrateRunError) -> None:
         run.progress.migrations += 1
         self._assigned_engines[run.item.id] = migration.engine
-        run.progress.previous_service_time = self._services.balancer.service_times.lasting(
+        run.progress.previous_service_time = self._services.balancer.service_times.long_term(
             run.engine.id
         )
 
@@ -181,7 +181,7 @@
             seconds=round(seconds, 3),
             occupied=balancer.occupied(run.engine),
             pace=round(balancer.service_time(run.engine.id), 4),
-            lasting_pace=round(balancer.service_times.lasting(run.engine.id), 4),
+            lasting_pace=round(balancer.service_times.long_term(run.engine.id), 4),
             version=directory.version_of(run.engine.id, self._head.model),
             minimum_version=self._head.minimum_version,
         )
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -76,9 +76,9 @@
             fixture = ServerFixture()
             await fixture.stream(SERVER, SLOW)
             fixture.service_times.record_report(DaemonId("d"), {SERVER: SLOW})
-            self.assertAlmostEqual(SLOW, fixture.service_times.lasting(SERVER))
+            self.assertAlmostEqual(SLOW, fixture.service_times.long_term(SERVER))
             fixture.start(RESTARTED)
-            self.assertEqual(0.0, fixture.service_times.lasting(RESTARTED))
+            self.assertEqual(0.0, fixture.service_times.long_term(RESTARTED))
             self.assertEqual({}, fixture.service_times.report())
             self.assertEqual(0, len(fixture.service_times._peer_reports))
 
@@ -89,9 +89,9 @@
             fixture = ServerFixture()
             fixture.start(RESTARTED)
             await fixture.stream(SERVER, SLOW)
-            self.assertEqual(0.0, fixture.service_times.lasting(RESTARTED))
+            self.assertEqual(0.0, fixture.service_times.long_term(RESTARTED))
             await fixture.stream(RESTARTED, FAST)
-            self.assertAlmostEqual(FAST, fixture.service_times.lasting(RESTARTED))
+            self.assertAlmostEqual(FAST, fixture.service_times.long_term(RESTARTED))
 
         run(play())
 
@@ -101,9 +101,9 @@
             fixture.start(RESTARTED)
             for instance in (SERVER, InstanceId("e0")):
                 fixture.service_times.record_report(DaemonId("d"), {instance: SLOW})
-            self.assertEqual(0.0, fixture.service_times.lasting(RESTARTED))
+            self.assertEqual(0.0, fixture.service_times.long_term(RESTARTED))
             fixture.service_times.record_report(DaemonId("d"), {RESTARTED: FAST})
-            self.assertEqual(FAST, fixture.service_times.lasting(RESTARTED))
+            self.assertEqual(FAST, fixture.service_times.long_term(RESTARTED))
 
         run(play())
 
@@ -115,9 +115,9 @@
         async def play():
             fixture = ServerFixture()
             fixture.service_times.record_report(DaemonId("d"), {SERVER: SLOW})
-            self.assertEqual(SLOW, fixture.service_times.lasting(SERVER))
+            self.assertEqual(SLOW, fixture.service_times.long_term(SERVER))
             await fixture.stream(SERVER, FAST)
-            self.assertAlmostEqual(FAST, fixture.service_times.lasting(SERVER))
+            self.assertAlmostEqual(FAST, fixture.service_times.long_term(SERVER))
 
         run(play())
 
@@ -129,9 +129,9 @@
             await fixture.stream(SERVER, FAST)
             await asyncio.sleep(SUSTAINED_SECONDS + 0.1)
             fixture.service_times.record_report(DaemonId("d"), {SERVER: 3 * FAST})
-            self.assertEqual(3 * FAST, fixture.service_times.lasting(SERVER))
+            self.assertEqual(3 * FAST, fixture.service_times.long_term(SERVER))
             await asyncio.sleep(FRESH_REPORT_SECONDS + 0.1)
-            self.assertAlmostEqual(FAST, fixture.service_times.lasting(SERVER))
+            self.assertAlmostEqual(FAST, fixture.service_times.long_term(SERVER))
 
         run(play())
 
@@ -154,7 +154,7 @@
             fixture = ServerFixture()
             for daemon, service_time in (("a", FAST), ("late", 1.0), ("b", FAST)):
                 fixture.service_times.record_report(DaemonId(daemon), {SERVER: service_time})
-            self.assertEqual(FAST, fixture.service_times.lasting(SERVER))
+            self.assertEqual(FAST, fixture.service_times.long_term(SERVER))
 
         run(play())
 
@@ -164,9 +164,9 @@
             fixture.service_times.record_report(DaemonId("d"), {SERVER: SLOW})
             fixture.service_times.record_report(DaemonId("d"), {})  # the daemon was removed
             await asyncio.sleep(REPORT_LIFETIME_SECONDS - 1.0)
-            self.assertEqual(SLOW, fixture.service_times.lasting(SERVER))
+            self.assertEqual(SLOW, fixture.service_times.long_term(SERVER))
             await asyncio.sleep(2.0)
-            self.assertEqual(0.0, fixture.service_times.lasting(SERVER))
+            self.assertEqual(0.0, fixture.service_times.long_term(SERVER))
             fixture.service_times.forget_old(fixture.clock.now())
             self.assertEqual(0, len(fixture.service_times._peer_reports))
 
@@ -233,7 +233,7 @@
                 await fleet.wait(SLOW)
             await fleet.wait(3.0)
             for gateway in others:
-                self.assertAlmostEqual(SLOW, gateway.balancer.service_times.lasting(info.id))
+                self.assertAlmostEqual(SLOW, gateway.balancer.service_times.long_term(info.id))
 
         run(play())
 
