--- a/src/larkpost/gateway/fairness/starvation_guard.py
+++ b/src/larkpost/gateway/fairness/starvation_guard.py
@@ -71,7 +71,7 @@
         self._credits: dict[Flow, _Credit] = {}
         """In the order of the flows' last requests, oldest first."""
 
-    def admit(self, flow: Flow, *, is_over_share: bool) -> bool:
+    def record_request(self, flow: Flow, *, is_over_share: bool) -> bool:
         """Counts a request; returns whether it is exempted although its flow is over its share."""
         counts = self._counts(flow.group.service)
         counts.requested += 1
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -170,7 +170,7 @@
     def _forecast(self, request: ClientRequest, waiter: Waiter) -> QueueForecast:
         """Returns the forecast of a new request; the starvation guard may exempt it first."""
         queue_forecast = self._queues.forecast(waiter)
-        waiter.is_share_exempt = self._starvation_guard.admit(
+        waiter.is_share_exempt = self._starvation_guard.record_request(
             waiter.flow, is_over_share=queue_forecast.is_over_share
         )
         if not waiter.is_share_exempt:
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -158,7 +158,7 @@
             requested = 2000
             for number in range(requested):
                 await clock.sleep(0.01)
-                exempted += guard.admit(HEAVY, is_over_share=True)
+                exempted += guard.record_request(HEAVY, is_over_share=True)
                 if number % 10 == 0:
                     guard.record_slot_granted(LIGHT, is_share_exempt=False)
             fraction = exempted / requested
@@ -171,21 +171,23 @@
         async def play():
             guard = StarvationGuard(LoopClock(), random.Random(5))
             for _ in range(100):
-                guard.admit(HEAVY, is_over_share=False)
+                guard.record_request(HEAVY, is_over_share=False)
                 guard.record_slot_granted(HEAVY, is_share_exempt=False)
-            self.assertLessEqual(sum(guard.admit(HEAVY, is_over_share=True) for _ in range(3)), 1)
+            self.assertLessEqual(
+                sum(guard.record_request(HEAVY, is_over_share=True) for _ in range(3)), 1
+            )
 
         run(play())
 
     def test_credit_of_a_refused_request_is_refunded(self):
         async def play():
             guard = StarvationGuard(LoopClock(), random.Random(5))
-            while not guard.admit(HEAVY, is_over_share=True):
+            while not guard.record_request(HEAVY, is_over_share=True):
                 pass
             guard.refund_credit(HEAVY)
-            self.assertTrue(guard.admit(HEAVY, is_over_share=True))
+            self.assertTrue(guard.record_request(HEAVY, is_over_share=True))
             guard.record_slot_granted(HEAVY, is_share_exempt=True)
-            self.assertFalse(guard.admit(HEAVY, is_over_share=True))
+            self.assertFalse(guard.record_request(HEAVY, is_over_share=True))
 
         run(play())
 
@@ -193,9 +195,9 @@
         async def play():
             clock = LoopClock()
             guard = StarvationGuard(clock, random.Random(5))
-            guard.admit(HEAVY, is_over_share=False)
+            guard.record_request(HEAVY, is_over_share=False)
             await clock.sleep(4 * 3600.0)
-            self.assertFalse(guard.admit(LIGHT, is_over_share=False))
+            self.assertFalse(guard.record_request(LIGHT, is_over_share=False))
 
         run(play())
 
@@ -207,7 +209,7 @@
             for seed in range(daemons):
                 guard = StarvationGuard(clock, random.Random(seed))
                 guard.record_slot_granted(LIGHT, is_share_exempt=False)
-                exempted += guard.admit(HEAVY, is_over_share=True)
+                exempted += guard.record_request(HEAVY, is_over_share=True)
             self.assertGreater(exempted / daemons, STARVED_FRACTION)
 
         run(play())
