--- a/src/larkpost/gateway/proxy/shortage_detector.py
+++ b/src/larkpost/gateway/proxy/shortage_detector.py
@@ -32,7 +32,7 @@
     granted: float = 0.0
     missed: float = 0.0
 
-    def age(self, now: float) -> None:
+    def decay(self, now: float) -> None:
         """Decays the counts to the present."""
         weight = 0.5 ** ((now - self.at) / HALF_LIFE_SECONDS)
         self.granted *= weight
@@ -64,5 +64,5 @@
     def _counts(self, service: ServiceName) -> _Counts:
         now = self._clock.now()
         counts = self._services.setdefault(service, _Counts(now))
-        counts.age(now)
+        counts.decay(now)
         return counts
