--- a/src/larkpost/gateway/fairness/share_rule.py
+++ b/src/larkpost/gateway/fairness/share_rule.py
@@ -91,8 +91,8 @@
     """
     if not flow_share.is_over_share:
         return 0.0
-    missing = flow_share.use + flow_ahead + 1 - flow_share.share
-    return max(0.0, missing) * service_time / max(MIN_SHARE_SLOTS, flow_share.share)
+    excess_requests = flow_share.use + flow_ahead + 1 - flow_share.share
+    return max(0.0, excess_requests) * service_time / max(MIN_SHARE_SLOTS, flow_share.share)
 
 
 def _waiting_below(use: FlowUsage, level: float) -> int:
--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -125,10 +125,10 @@
     """Returns the expected seconds until a slot is free, at the rate at which requests end."""
     if not slot_counts.total:
         return NO_SLOT_RETRY_SECONDS
-    missing = slot_counts.taken + ahead + 1 - slot_counts.total
-    if missing <= 0 or slot_counts.is_mostly_free:
+    excess_requests = slot_counts.taken + ahead + 1 - slot_counts.total
+    if excess_requests <= 0 or slot_counts.is_mostly_free:
         return 0.0
-    return max(blocked_seconds, missing * service_time / slot_counts.total)
+    return max(blocked_seconds, excess_requests * service_time / slot_counts.total)
 
 
 def _is_infeasible(
