--- a/src/larkpost/gateway/fairness/share_rule.py
+++ b/src/larkpost/gateway/fairness/share_rule.py
@@ -97,5 +97,5 @@
 
 def _waiting_below(use: FlowUsage, level: float) -> int:
     """Returns how many of a flow's waiting requests fit into its share."""
-    room = min(use.running + use.waiting, level) - use.running
-    return min(use.waiting, max(0, math.ceil(room)))
+    remaining = min(use.running + use.waiting, level) - use.running
+    return min(use.waiting, max(0, math.ceil(remaining)))
