--- a/src/larkpost/gateway/proxy/latency.py
+++ b/src/larkpost/gateway/proxy/latency.py
@@ -55,7 +55,7 @@
         """Returns the factor on the response time at a distance relative to a nearer one."""
         if distance <= nearest:
             return 1.0
-        far, near = (self._quickest_seconds(service, place) for place in (distance, nearest))
+        far, near = (self._quickest_seconds(service, compared) for compared in (distance, nearest))
         if far is None or not near:
             return DEFAULT_FACTORS[distance] / DEFAULT_FACTORS[nearest]
         return min(MAX_FACTOR, max(1.0, far / near))
