--- a/src/larkpost/gateway/proxy/request.py
+++ b/src/larkpost/gateway/proxy/request.py
@@ -113,5 +113,5 @@
     async def abandon(self) -> None:
         """Cancels the call, as the server has not responded in full."""
         self.reservation.release()
-        given_up = asyncio.CancelledError()
-        await self.call.__aexit__(asyncio.CancelledError, given_up, None)
+        cancellation = asyncio.CancelledError()
+        await self.call.__aexit__(asyncio.CancelledError, cancellation, None)
