--- a/src/larkpost/gateway/proxy/share_record.py
+++ b/src/larkpost/gateway/proxy/share_record.py
@@ -29,12 +29,12 @@
 
     def record(self, request: ClientRequest, waiter: Waiter, outcome: ShareOutcome) -> None:
         """Records an outcome if the request's flow was over its share; HELD only once."""
-        is_repeated = outcome is ShareOutcome.HELD and waiter.is_recorded
+        is_repeated = outcome is ShareOutcome.HELD and waiter.is_outcome_recorded
         is_share_exempt = outcome is ShareOutcome.EXEMPTED
         flow_share = waiter.flow_share
         if flow_share is None or is_repeated or waiter.is_share_exempt != is_share_exempt:
             return
-        waiter.is_recorded = True
+        waiter.is_outcome_recorded = True
         self._metrics.count(Count.SHARES, waiter.service, outcome)
         age = self._ledger.report_age()
         self._log.record(
--- a/src/larkpost/gateway/proxy/waiter.py
+++ b/src/larkpost/gateway/proxy/waiter.py
@@ -40,7 +40,7 @@
     is_share_exempt: bool = False
     flow_share: FlowShare | None = None
     held_since: float | None = None
-    is_recorded: bool = False
+    is_outcome_recorded: bool = False
     turn: asyncio.Future[Forecast] | None = None
     missed_objective: bool = False
     ledger_entry: ExitStack | None = None
