--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -100,7 +100,7 @@
         self._order = CandidateOrder(
             self, clock, rng, dependencies.is_connected, self.service_times.has_latency
         )
-        self._forget_at = float("-inf")
+        self._next_cleanup_at = float("-inf")
         self._release_listeners: list[Callable[[InstanceId], None]] = []
 
     @property
@@ -359,9 +359,9 @@
     def _forget_unused(self) -> None:
         """Drops the records of instances and daemons that are gone, at intervals."""
         now = self._clock.now()
-        if now < self._forget_at:
+        if now < self._next_cleanup_at:
             return
-        self._forget_at = now + FORGET_SECONDS
+        self._next_cleanup_at = now + FORGET_SECONDS
         self._own.forget_unused(now)
         self._peers.forget_old(now)
         self.service_times.forget_old(now)
