--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -52,7 +52,7 @@
             not waiter.is_retry,
             would_miss_objective(slot_counts, waiter.deadlines, self._now),
             waiter.deadlines.expires_at,
-            waiter.since,
+            waiter.first_attempt_at,
         )
         return Rank(key, flow_share)
 
--- a/src/larkpost/gateway/proxy/waiter.py
+++ b/src/larkpost/gateway/proxy/waiter.py
@@ -34,7 +34,7 @@
     work: Work
     priority: int
     deadlines: Deadlines
-    since: float
+    first_attempt_at: float
     flow_name: str = ""
     is_retry: bool = False
     is_share_exempt: bool = False
