--- a/src/larkpost/gateway/fairness/ledger.py
+++ b/src/larkpost/gateway/fairness/ledger.py
@@ -32,7 +32,7 @@
     """A report of another daemon, and the monotonic time at which it was received."""
 
     at: float
-    tenants: Mapping[Flow, FlowUsage]
+    flow_uses: Mapping[Flow, FlowUsage]
 
 
 class FlowLedger:
@@ -70,13 +70,13 @@
         """Records that a service lacks slots."""
         self._shortage_at[service] = self._clock.now()
 
-    def record_report(self, daemon: DaemonId, tenants: Mapping[Flow, FlowUsage]) -> None:
+    def record_report(self, daemon: DaemonId, flow_uses: Mapping[Flow, FlowUsage]) -> None:
         """Records a report of another daemon, which replaces its previous one."""
         self._forget(daemon)
-        if not tenants:
+        if not flow_uses:
             return
-        self._reports[daemon] = _PeerReport(self._clock.now(), tenants)
-        for flow, use in tenants.items():
+        self._reports[daemon] = _PeerReport(self._clock.now(), flow_uses)
+        for flow, use in flow_uses.items():
             self._peers.add(flow, use.running, use.waiting)
 
     def uses(self, group: FlowGroup) -> Mapping[Flow, FlowUsage]:
@@ -137,5 +137,5 @@
         report = self._reports.pop(daemon, None)
         if report is None:
             return
-        for flow, use in report.tenants.items():
+        for flow, use in report.flow_uses.items():
             self._peers.add(flow, -use.running, -use.waiting)
