--- a/src/larkpost/gateway/fairness/ledger.py
+++ b/src/larkpost/gateway/fairness/ledger.py
@@ -1,7 +1,7 @@
 """Use of slots by flow: exact for this daemon, as last reported for the others.
 
-Daemons report only while a service lacks slots, and only the flows with the highest use, so that
-there is no overhead otherwise. A report is valid until it is replaced or expires; without reports,
+Daemons report only while a service lacks slots, so that there is no overhead otherwise, and only
+the flows with the highest use. A report is valid until it is replaced or expires; without reports,
 a daemon relies on its own requests alone.
 """
 
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _PeerReport:
-    """A report of another daemon, and the monotonic time at which it was received."""
+    """A report of another daemon, and the steady time at which it was received."""
 
     at: float
     flow_uses: Mapping[Flow, FlowUsage]
@@ -93,7 +93,7 @@
         return self._own.group_uses(flow.group).get(flow, NO_USE)
 
     def own_running(self, service: ServiceName) -> int:
-        """Returns this daemon's requests at the servers of a service."""
+        """Returns the number of this daemon's requests at the servers of a service."""
         return sum(use.running for flow, use in self._own.all() if flow.group.service == service)
 
     def report_age(self) -> float | None:
@@ -107,7 +107,7 @@
         return bool(self._short_services())
 
     def report(self) -> dict[Flow, FlowUsage]:
-        """Returns this daemon's report: its highest use by flow at services short of slots."""
+        """Returns this daemon's report: the flows with the highest use at services short of slots."""
         short_services = self._short_services()
         uses = [
             (flow, use)
--- a/src/larkpost/gateway/fairness/retry_schedule.py
+++ b/src/larkpost/gateway/fairness/retry_schedule.py
@@ -1,7 +1,7 @@
 """Schedules the retries of refused clients one after the other instead of all at once.
 
-Clients of one queue get retry times in the order in which they were refused, spaced by the time
-that one request takes at this daemon's rate of service. Owns the last assigned time of each queue.
+Clients of one queue get retry times in the order in which they were refused, spaced by the mean
+time between two requests that end at this daemon. Owns the last assigned time of each queue.
 """
 
 import random
@@ -13,8 +13,8 @@
 """Maximum number of queues remembered. Those whose last assigned time has passed are dropped first,
 then the one that was used least recently."""
 MIN_DELAY_FRACTION = 0.5
-"""Clients that cannot wait for their scheduled time retry at random times between this fraction of
-their maximum delay and all of it. Without unit."""
+"""Clients whose scheduled time exceeds their maximum delay retry after a random time between this
+fraction of that delay and all of it. Without unit."""
 
 
 class RetrySchedule:
--- a/src/larkpost/gateway/fairness/share_rule.py
+++ b/src/larkpost/gateway/fairness/share_rule.py
@@ -1,8 +1,8 @@
 """Computes the share of each flow in the slots of a service, and which flows are over their share.
 
-Only flows of one group, which have equal priority, compete. They share the slots that they occupy
-and the free ones; more urgent requests have already taken theirs. A flow is over its share only
-while a request of another flow below its own share waits. Pure functions.
+Only the flows of one group, which have equal priority, compete. They share the slots that they
+occupy and the free ones; more urgent groups have been given theirs before. A flow is over its
+share only while another flow that is below its own share has a waiting request. Pure functions.
 """
 
 import math
@@ -15,8 +15,8 @@
 NO_USE = FlowUsage(0, 0)
 """The use of a flow without requests."""
 MIN_SHARE_SLOTS = 1.0
-"""Minimum share used in forecasts of waits: a flow with a fraction of a slot gets a whole one at
-times."""
+"""Minimum share in the estimate of a wait: a flow entitled to a fraction of a slot gets a whole one
+at times."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,14 +25,14 @@
 
     Attributes:
         share: slots that it is entitled to; may be fractional.
-        use: slots that it occupies.
+        running: slots that it occupies.
         waiting: number of its requests that wait.
         waiting_ahead: waiting requests of other flows that fit into those flows' shares.
         total_slots: slots shared by the group: those that it occupies and the free ones.
     """
 
     share: float
-    use: int
+    running: int
     waiting: int
     waiting_ahead: int
     total_slots: int
@@ -40,7 +40,7 @@
     @property
     def is_over_share(self) -> bool:
         """Whether its next request must yield to other flows."""
-        return self.waiting_ahead > 0 and self.use >= self.share
+        return self.waiting_ahead > 0 and self.running >= self.share
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,7 +91,7 @@
     """
     if not flow_share.is_over_share:
         return 0.0
-    excess_requests = flow_share.use + flow_ahead + 1 - flow_share.share
+    excess_requests = flow_share.running + flow_ahead + 1 - flow_share.share
     return max(0.0, excess_requests) * service_time / max(MIN_SHARE_SLOTS, flow_share.share)
 
 
--- a/src/larkpost/gateway/fairness/starvation_guard.py
+++ b/src/larkpost/gateway/fairness/starvation_guard.py
@@ -1,10 +1,10 @@
 """Exempts part of each flow's requests from its share, so that no flow is starved.
 
-An equal share can be very little for a tenant that sends far more requests than the others. Each
-flow has a credit that grows with each of its requests, by a third of the fraction of all requests
-that get a slot. A whole credit exempts one request, and is refunded if that request gets no slot.
-So the fraction of a flow's requests that is served is at least about a third of the overall
-fraction. Each daemon enforces this by itself, without reports of the others.
+An equal share can be very little for a tenant that sends far more requests than the others. With
+each of its requests, the credit of a flow grows by a third of the fraction of all requests that get
+a slot. A credit of 1 exempts one request, and is refunded if that request gets no slot. So the
+fraction of a flow's requests that is served is at least about a third of the overall fraction. Each
+daemon enforces this by itself, without reports of the others.
 """
 
 import random
@@ -15,8 +15,8 @@
 from larkpost.gateway.blackboard.daemon_report import Flow
 
 MIN_RELATIVE_SERVICE = 1 / 3
-"""Minimum served fraction of a flow relative to that of all requests, without unit. It is above a
-quarter, below which a flow counts as starved, as some exempted requests get no slot in time."""
+"""Minimum served fraction of a flow relative to that of all requests, without unit. A flow counts
+as starved below a quarter; the margin allows for exempted requests that get no slot in time."""
 MAX_CREDIT = 2.0
 """Maximum credit of a flow, in requests."""
 WINDOW_SECONDS = 5.0
@@ -30,7 +30,7 @@
     """Counts of the requests of a service; earlier windows count less.
 
     Attributes:
-        window_started_at: monotonic time at which the current window began.
+        window_started_at: steady time at which the current window began.
         requested: all requests.
         granted: requests that got a slot.
     """
@@ -46,10 +46,10 @@
 
 @dataclass(slots=True)
 class _Credit:
-    """A flow's credit, and the monotonic time of its last request."""
+    """A flow's credit, and the steady time of its last request."""
 
     amount: float
-    at: float
+    last_request_at: float
 
     def add(self, change: float) -> None:
         """Adds to the credit, within its bounds."""
@@ -72,7 +72,10 @@
         """In the order of the flows' last requests, oldest first."""
 
     def record_request(self, flow: Flow, *, is_over_share: bool) -> bool:
-        """Counts a request; returns whether it is exempted although its flow is over its share."""
+        """Counts a request; returns whether it is exempted from its flow's share.
+
+        Only a request whose flow is over its share can be exempted; this uses a credit.
+        """
         counts = self._counts(flow.group.service)
         counts.requested += 1
         credit = self._touch_credit(flow)
@@ -83,7 +86,7 @@
         return is_share_exempt
 
     def record_slot_granted(self, flow: Flow, *, is_share_exempt: bool) -> None:
-        """Counts a request that got a slot; unless it was exempted, its credit is used now."""
+        """Counts a request that got a slot, and uses a credit unless its exemption already did."""
         self._counts(flow.group.service).granted += 1
         if not is_share_exempt and flow in self._credits:
             self._credits[flow].add(-1.0)
@@ -108,9 +111,9 @@
         """Returns a flow's credit, moved to the end, and drops the oldest one if it expired."""
         now = self._clock.now()
         credit = self._credits.pop(flow, None) or _Credit(self._rng.random(), now)
-        credit.at = now
+        credit.last_request_at = now
         self._credits[flow] = credit
         oldest = next(iter(self._credits))
-        if now - self._credits[oldest].at > FORGET_SECONDS:
+        if now - self._credits[oldest].last_request_at > FORGET_SECONDS:
             del self._credits[oldest]
         return credit
--- a/src/larkpost/gateway/proxy/admission.py
+++ b/src/larkpost/gateway/proxy/admission.py
@@ -1,9 +1,9 @@
 """Authorizes calls by the current configuration, and determines their route and tenant.
 
 A call is rejected permanently (404, 401) only by a configuration that is known to be recent. A
-daemon whose configuration may be outdated goes on serving the routes and keys that it knows. Others
-may have been added meanwhile, so it sends the client to another daemon (503) instead of rejecting
-the call.
+daemon whose configuration may be outdated still serves the routes and keys that it knows. It
+answers other calls with 503, so that the client tries another daemon, as their route or key may
+have been added meanwhile.
 """
 
 from collections.abc import Callable
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -2,8 +2,8 @@
 
 Combines the load and speed seen by this daemon's own requests (`instance_use`), the reports of
 other daemons (`peer_use`), the pool of instances to consider (`server_pool`) and the placement
-rules (`placement`), and has the candidates ordered by `candidate_order`. Itself only decides how
-many requests count as being at an instance, and what a request that did not run says about it.
+rules (`placement`), and orders the candidates with `candidate_order`. Estimates the number of
+requests at an instance, and decides whether an instance that did not run a request is avoided.
 """
 
 import random
@@ -46,7 +46,7 @@
     NotRunReason.ISOLATED,
     NotRunReason.QUARANTINED,
 )
-"""Reasons that say nothing about an instance: a placement rule forbade this send only."""
+"""Reasons for which an instance is not avoided: a placement rule forbade only this send."""
 
 
 def _never_connected(_: InstanceInfo) -> bool:
@@ -55,12 +55,12 @@
 
 @dataclass(frozen=True, slots=True)
 class BalancerDependencies:
-    """What a balancer relies on besides the use of instances.
+    """The optional dependencies of a balancer.
 
     Attributes:
         is_connected: returns whether a connection to an instance is open.
         placement: the placement rules; None to exclude only instances that are leaving.
-        cold: knows which instances are cold; None if none ever is.
+        cold: rate limit of cold instances, which knows them; None if no instance is ever cold.
         regions: the region of each zone; None if unknown.
         subsets: this daemon's subsets of large services; None if it is the only daemon.
     """
@@ -357,7 +357,7 @@
         )
 
     def _forget_unused(self) -> None:
-        """Drops the records of instances and daemons that are gone, at intervals."""
+        """Drops the records of removed instances and daemons, at most once per `FORGET_SECONDS`."""
         now = self._clock.now()
         if now < self._next_cleanup_at:
             return
--- a/src/larkpost/gateway/proxy/elapsed_time.py
+++ b/src/larkpost/gateway/proxy/elapsed_time.py
@@ -1,14 +1,14 @@
-"""Estimates how long a client has been trying, from the time that it says it still waits.
+"""Estimates the time since a client's first attempt, from the time left that it sends.
 
 A refused client retries with the rest of its time. The longest time left that was seen on a route
-is taken as the total time of its clients; what a client has less than that has elapsed. The
+is taken as the total time of its clients; the elapsed time is the total minus the time left. The
 estimate affects the order of requests and which are forecast late, but never refuses one.
 """
 
 from larkpost.common.clock import Clock
 
 WINDOW_SECONDS = 30.0
-"""How long the longest time left is remembered at least; at most it is twice as long."""
+"""Length of a window; the longest time left is remembered for one to two windows."""
 
 
 class ElapsedTimes:
@@ -25,7 +25,7 @@
 
         Args:
             route: name of the route.
-            time_left: seconds that the client still waits; None if it did not say.
+            time_left: seconds for which the client still waits; None if it did not send them.
         """
         if time_left is None:
             return 0.0
--- a/src/larkpost/gateway/proxy/fair_order.py
+++ b/src/larkpost/gateway/proxy/fair_order.py
@@ -4,7 +4,7 @@
 requests that can still meet their objective; earliest deadline; earliest first attempt.
 
 Requests over their share also yield to requests that wait at other daemons, but only briefly: the
-reports about those are some seconds old, and no slot should stay free for them unused.
+reports about those are some seconds old, so a slot kept free for them might stay unused.
 """
 
 from dataclasses import dataclass
@@ -17,8 +17,8 @@
 from larkpost.gateway.proxy.waiter import Waiter
 
 MAX_HOLD_SECONDS = 0.2
-"""How long a request over its share yields to other daemons' requests before it tries once: long
-enough for them to poll several times."""
+"""How long a request over its share yields to requests of other daemons before each attempt; long
+enough for the other daemons to poll several times."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
 
 
 class FairOrder:
-    """The order at one moment; shares are computed once per group and per flow."""
+    """The order at one moment; caches the shares by group or flow, and by number of free slots."""
 
     def __init__(self, ledger: FlowLedger, now: float) -> None:
         self._ledger = ledger
@@ -95,8 +95,9 @@
     def claim(self, waiter: Waiter, rank: Rank) -> bool:
         """Returns whether a request may try now; must be called in rank order.
 
-        Behind a request that yields, only requests that are over their share too and have been
-        held long enough may try: any other would take the slot that was yielded.
+        After a request has yielded, a later one within its share may not try: it would take the
+        slot left free for other daemons. One over its share may try once it has yielded long
+        enough.
         """
         if rank.is_over_share and self._must_yield(waiter):
             self._is_yielding = True
--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -1,8 +1,8 @@
 """Forecasts whether a request will be served, from the slots of its service and its deadlines.
 
-A response is most useful within the route's objective, counted from the client's first attempt,
-less useful until the client's deadline, and useless afterwards. So a request that can still be
-served waits, and any other is refused at once. Pure functions without state.
+A response is most useful within the route's objective, which starts at the client's first attempt,
+less useful until the client's deadline, and useless afterwards. A request that can still be served
+before its deadline waits; any other is refused at once. Pure functions without state.
 """
 
 import math
@@ -12,18 +12,18 @@
 from larkpost.gateway.proxy.slot_counting import SlotCounts
 
 MIN_SERVICE_TIME_FRACTION = 0.5
-"""Share of the service time that a request needs at least, without unit. It is low because an
-unnecessary refusal costs more than a failed attempt."""
+"""A request that will have less than this fraction of the service time left is refused. Without
+unit. Below 1, as an unnecessary refusal costs more than a failed attempt."""
 MIN_RETRY_SECONDS = 0.05
-"""Minimum retry delay; loads are not known more precisely than this."""
+"""Minimum retry delay; loads are not known with a finer resolution."""
 MAX_RETRY_SECONDS = 1.0
 """Maximum retry delay: reported loads and service times are used for about a second."""
 NO_SLOT_RETRY_SECONDS = 0.5
-"""Retry delay for a service without any slot: time for new instances to be listed."""
+"""Retry delay for a service without any slot: the time in which new instances become known."""
 MAX_RETRY_FRACTION = 1 / 3
-"""Maximum retry delay as a share of the time that the client has left, without unit."""
+"""Maximum retry delay as a fraction of the time that the client has left, without unit."""
 MILLISECONDS_PER_SECOND = 1000
-"""Milliseconds in a second; retry delays are whole milliseconds."""
+"""Retry delays are whole milliseconds."""
 
 
 class Expectation(StrEnum):
@@ -36,12 +36,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Deadlines:
-    """The deadlines of one request, in monotonic time.
+    """The deadlines of one request, in steady time.
 
     Attributes:
         objective_at: end of the route's objective.
         expires_at: deadline; nothing is sent to a server afterwards.
-        default_service_time: seconds it takes at a server while no service time is known.
+        default_service_time: seconds that it is assumed to take while no service time is known.
     """
 
     objective_at: float
@@ -81,9 +81,9 @@
     """Returns the forecast of one request.
 
     Args:
-        ahead: requests that wait at this daemon and precede it.
-        blocked_seconds: seconds since a slot was last seen free; the wait is taken to last as long
-            again, whatever the service times say.
+        ahead: number of requests that wait at this daemon and precede it.
+        blocked_seconds: seconds for which requests have found no free slot; 0 if none found so
+            recently. The wait is expected to last at least as long again.
         share_wait: seconds until its flow's share has room for it.
     """
     service_time = slot_counts.service_time or deadlines.default_service_time
@@ -141,8 +141,9 @@
     """Returns whether a request that needs at least ``min_seconds`` cannot be served in time.
 
     Args:
-        is_untried: whether few slots run a request and none was found taken recently. An attempt
-            is then allowed, as a failed one costs less than an unnecessary refusal.
+        may_find_free_slot: whether few slots run a request, and no request waits or recently found
+            no slot. An attempt is then allowed, as a failed one costs less than an unnecessary
+            refusal.
     """
     if now >= deadlines.expires_at or not slot_counts.total:
         return True
@@ -152,7 +153,7 @@
 
 
 def retry_after(wait: float, time_left: float) -> float:
-    """Returns the retry delay in seconds; it leaves the client enough time for the retry."""
+    """Returns the retry delay in seconds, short enough that the client has time for the retry."""
     return floor_to_milliseconds(min(max(MIN_RETRY_SECONDS, wait), max_retry_delay(time_left)))
 
 
--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -34,7 +34,7 @@
 
 
 class Forwarder:
-    """Forwards requests to the servers of their route's service."""
+    """Forwards requests to the servers of the service that is selected for their route."""
 
     def __init__(self, dependencies: ForwarderDependencies) -> None:
         self._clock = dependencies.clock
@@ -176,6 +176,6 @@
 
 
 def _max_servers(attempts: Attempts) -> int:
-    """Returns the maximum number of servers that may run a request, as known at its first try."""
+    """Returns the maximum number of servers that may run a request, given its present state."""
     route = attempts.route
     return max_servers(route.kind, route.max_attempts, is_trial=attempts.is_trial)
--- a/src/larkpost/gateway/proxy/instance_use.py
+++ b/src/larkpost/gateway/proxy/instance_use.py
@@ -24,7 +24,7 @@
 """Time without use after which the records of removed instances and daemons are dropped. It bounds
 memory, and is longer than any value in them is used."""
 PROBE_SECONDS = 0.15
-"""Interval between requests to an instance that refuses; short compared to loading weights."""
+"""Interval between requests to an instance that refuses; shorter than loading weights takes."""
 SUMMARY_DIGITS = 4
 """Decimal places of a reported service time in seconds."""
 
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class InstanceUse:
-    """What this daemon knows about one instance from its own requests; times are monotonic.
+    """What this daemon knows about one instance from its own requests; times are in steady time.
 
     Attributes:
         outstanding: this daemon's requests in flight there.
@@ -59,7 +59,7 @@
         service_time_at: when the service time was last measured.
         response_at: when a whole response was last measured, which includes the network latency.
         zone: its zone, kept for requests that outlive its directory entry; None if unknown.
-        speed_stats: its lasting and current speed; None if nothing is known.
+        speed_stats: its long-term and current speed; None if nothing is known.
     """
 
     outstanding: int = 0
--- a/src/larkpost/gateway/proxy/latency.py
+++ b/src/larkpost/gateway/proxy/latency.py
@@ -15,20 +15,20 @@
     Distance.SAME_REGION: 1.05,
     Distance.OTHER_REGION: 1.5,
 }
-"""Factors on the response time used until it is measured, without unit. They are small, so that
-they decide only between otherwise similar servers."""
+"""Factors on the response time used until it is measured, without unit. Small, so that they
+decide only between otherwise similar servers."""
 MAX_FACTOR = 4.0
 """Maximum factor, without unit, so that a single late response does not exclude a region."""
 RISE_WEIGHT = 0.05
 """Weight of a response slower than the estimate, without unit. Low, as slow responses indicate load
 rather than latency."""
 LIFETIME_SECONDS = 120.0
-"""How long a measurement is used; long, as distant servers are seldom measured."""
+"""How long a measurement is used; long enough for distant servers, which are seldom measured."""
 
 
 @dataclass(slots=True)
 class _Quickest:
-    """Estimate of the quickest recent responses in seconds, and when it was updated (monotonic)."""
+    """Estimated seconds of the quickest recent responses, and steady time of the last update."""
 
     seconds: float
     at: float
--- a/src/larkpost/gateway/proxy/peer_use.py
+++ b/src/larkpost/gateway/proxy/peer_use.py
@@ -10,8 +10,8 @@
 PEER_LIFETIME_SECONDS = 1.2
 """How long the requests in a report of another daemon are counted."""
 PEER_SERVICE_TIME_LIFETIME_SECONDS = 12.0
-"""How long a service time in a report of another daemon is used. Longer than for this daemon's own,
-as it is used only where there is none of its own."""
+"""How long a service time in a report of another daemon is used; longer than this daemon's own, as it
+is used only if there is none."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,7 +21,7 @@
     Attributes:
         requests: its requests in flight there.
         service_time: seconds that a unit of work takes there; 0 if unknown.
-        at: monotonic time of the report.
+        at: steady time of the report.
     """
 
     requests: int
--- a/src/larkpost/gateway/proxy/ranking.py
+++ b/src/larkpost/gateway/proxy/ranking.py
@@ -10,14 +10,10 @@
 from larkpost.gateway.blackboard.directory import InstanceInfo
 
 MAX_SERVICE_TIME_RATIO = 8.0
-"""Upper bound on an instance's service time relative to the fastest, without unit; it limits the
-effect of an outlier."""
+"""Maximum ratio of an instance's service time to the lowest one, without unit; it limits the effect
+of an outlier."""
 NEW_CONNECTION_FACTOR = 1.2
-"""Factor on the expected wait at an instance without an open connection, without unit.
-
-It exceeds the random variation between equal servers, and costs less than one more request in a
-queue of five.
-"""
+"""Factor on the expected response time at an instance without an open connection, without unit."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,9 +51,9 @@
 
 
 def expected_response_time(candidate: Candidate, best_service_time: float) -> float:
-    """Returns the expected response time at a candidate, relative to the best service time.
+    """Returns the expected response time at a candidate, relative to the lowest service time.
 
-    An instance with an unknown service time counts as the fastest.
+    A candidate with an unknown service time is taken to have the lowest one.
     """
     ratio = 1.0
     if candidate.service_time and best_service_time:
@@ -71,10 +67,10 @@
 
 
 def _order(candidate: Candidate, best_service_time: float) -> tuple[bool, bool, float, float]:
-    wait = expected_response_time(candidate, best_service_time)
+    response_time = expected_response_time(candidate, best_service_time)
     return (
         candidate.is_avoided,
         candidate.is_cold,
-        wait * candidate.latency_factor * candidate.connection_factor,
+        response_time * candidate.latency_factor * candidate.connection_factor,
         candidate.tie_break,
     )
--- a/src/larkpost/gateway/proxy/reported_service_times.py
+++ b/src/larkpost/gateway/proxy/reported_service_times.py
@@ -1,4 +1,4 @@
-"""The lasting service times that other daemons report with their heartbeats.
+"""The long-term service times that other daemons report with their heartbeats.
 
 A report stays valid after its daemon stops reporting, and is dropped with its instance.
 """
@@ -23,7 +23,7 @@
     """A service time that a daemon reported.
 
     Attributes:
-        at: monotonic time of the report.
+        at: steady time of the report.
         seconds: the service time.
     """
 
--- a/src/larkpost/gateway/proxy/request.py
+++ b/src/larkpost/gateway/proxy/request.py
@@ -55,7 +55,7 @@
     """A complete client request.
 
     Attributes:
-        received_at: monotonic time at which its head was read.
+        received_at: steady time at which its head was read.
         time_left: seconds that the client was still waiting then; None if it did not say.
         tenant: tenant of the request; None if it belongs to none.
         regions: the only regions in which it may be served; None for all.
@@ -111,7 +111,7 @@
         await self.call.__aexit__(*error)
 
     async def abandon(self) -> None:
-        """Cancels the call, as the server has not responded in full."""
+        """Releases the memory and cancels the call, as the rest of the response is not read."""
         self.reservation.release()
         cancellation = asyncio.CancelledError()
         await self.call.__aexit__(asyncio.CancelledError, cancellation, None)
--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -4,10 +4,10 @@
 or as soon as its forecast becomes infeasible.
 
 A queue is dispatched when a request of this daemon ends at the service, and by a timer, as a daemon
-is not notified when requests of other daemons end. Each dispatch lets one request try, or as many
-as there are slots estimated free.
+is not notified when requests of other daemons end. For each kind of work, a dispatch permits as
+many attempts as slots are estimated free, and at least one.
 
-A waiting request counts towards the shares of flows only during a persistent shortage.
+Waiting requests count towards the shares of flows only during a persistent shortage of slots.
 
 Owns the queues; relies on `slot_counting` for the slots of a service and on `forecast`.
 """
@@ -33,9 +33,9 @@
 POLL_INTERVAL_SECONDS = 0.02
 """Interval between dispatches while servers are full."""
 LARGE_SERVICE_SLOTS = 2000
-"""Above this many slots a queue is polled less often, as each poll counts all of them."""
+"""Above this many slots a queue is dispatched less often, as each dispatch counts all of them."""
 BLOCKED_LIFETIME_SECONDS = 1.0
-"""How long the observation that no slot is free stays valid."""
+"""How long a service counts as blocked after a request last found no free slot."""
 
 SlotCounter = Callable[[ServiceName, Work], SlotCounts]
 
@@ -63,11 +63,11 @@
 
 @dataclass(slots=True)
 class _Queue:
-    """The requests that wait for one service; times are monotonic.
+    """The requests that wait for one service; times are in steady time.
 
     Attributes:
-        blocked_since: when a request first found no slot, since one was last seen free.
-        blocked_seen_at: when that was last observed.
+        blocked_since: when the first request found no free slot, after one was last seen free.
+        blocked_seen_at: when the last request found no free slot.
         total_slots: slots of the service at the last poll.
     """
 
@@ -82,7 +82,8 @@
     """The requests that precede another one in its queue, at one moment.
 
     Args:
-        blocked_seconds: seconds since a slot was last seen free.
+        blocked_seconds: seconds for which requests have found no free slot; 0 if none found so
+            recently.
     """
 
     def __init__(self, now: float, blocked_seconds: float) -> None:
@@ -99,7 +100,7 @@
     def forecast(
         self, waiter: Waiter, rank: Rank, slot_counts: SlotCounts, waiting_elsewhere: int
     ) -> Forecast:
-        """Returns the forecast of a request behind these, and records its flow's share in it.
+        """Returns the forecast of a request behind these; sets its `flow_share` if over its share.
 
         Args:
             waiting_elsewhere: requests of its flow that precede it at other daemons.
@@ -200,7 +201,7 @@
             self._dispatch(queue)
 
     def _dispatch(self, queue: _Queue) -> None:
-        """Wakes the requests whose turn has come, and those that became infeasible."""
+        """Wakes the requests that may try the servers now, and those that became infeasible."""
         now = self._clock.now()
         self._update_shortage(queue, now)
         counts_by_work = {
@@ -234,19 +235,19 @@
                     waiter.turn.set_result(forecast)
 
     def _count_in_shortage(self, waiter: Waiter) -> None:
-        """Counts a waiting request towards the shares once the shortage of slots is persistent."""
+        """Enters a waiting request in the ledger once the shortage of slots is persistent."""
         if waiter.ledger_entry is None and self._shortage.is_persistent(waiter.service):
             waiter.ledger_entry = ExitStack()
             waiter.ledger_entry.enter_context(self._ledger.waiting(waiter.flow))
 
     def _stop_counting(self, waiter: Waiter) -> None:
-        """Stops counting a request that no longer waits."""
+        """Removes a request that no longer waits from the ledger."""
         if waiter.ledger_entry is not None:
             waiter.ledger_entry.close()
             waiter.ledger_entry = None
 
     def _update_shortage(self, queue: _Queue, now: float) -> None:
-        """Records requests that missed their objective, and counts those in a shortage."""
+        """Records requests that missed their objective; enters all in the ledger in a shortage."""
         for waiter in queue.waiters:
             if now > waiter.deadlines.objective_at:
                 self._record_missed(waiter)
@@ -262,7 +263,7 @@
             self._ledger.record_shortage(waiter.service)
 
     def _waiting_elsewhere(self, waiter: Waiter, rank: Rank) -> int:
-        """Returns how many requests of the same flow wait at other daemons, as last reported."""
+        """Returns how many requests of the flow wait at other daemons, as last reported."""
         if rank.flow_share is None:
             return 0
         return rank.flow_share.waiting - self._ledger.own_use(waiter.flow).waiting
--- a/src/larkpost/gateway/proxy/request_scheduler.py
+++ b/src/larkpost/gateway/proxy/request_scheduler.py
@@ -1,8 +1,9 @@
 """Decides whether a client request is sent to a server now, waits in a queue, or is refused.
 
-The checks, in order: a quarantined request needs a trial; a request that could reach no server, or
-that cannot be served before its deadline, is refused; a request that others precede, or that found
-no free slot, waits in its queue until it is sent or its forecast becomes infeasible.
+The checks, in order: a quarantined request is refused unless it gets a trial run; a request that
+could reach no server, or that cannot be served before its deadline, is refused; a request that
+others precede, or that found no free slot, waits in its queue until it may be sent or its forecast
+becomes infeasible.
 
 Owns the queues, the estimates of elapsed client time, and the retry times of refused requests.
 """
@@ -31,7 +32,7 @@
 from larkpost.gateway.proxy.waiter import Waiter
 
 DEFAULT_SERVICE_TIME_FRACTION = 0.25
-"""Share of the objective assumed as the service time while none is known."""
+"""Fraction of the objective that is assumed as the service time while none is known."""
 
 
 class SchedulingDecision(StrEnum):
@@ -60,8 +61,8 @@
 def decide_scheduling(inputs: SchedulingInputs) -> SchedulingDecision:
     """Returns the next step for a request that is not quarantined.
 
-    A request that reached no server is refused even if it has time left: waiting here frees no
-    slot, but another daemon may reach the servers.
+    A request that could reach no server is refused even if it has time left: waiting at this daemon
+    does not help, but another daemon may reach the servers.
     """
     if inputs.are_all_unreachable or inputs.is_infeasible:
         return SchedulingDecision.REFUSE
@@ -122,7 +123,10 @@
         return False
 
     def is_quarantined(self, attempts: Attempts) -> bool:
-        """Returns whether no server may get a request, as servers crashed on requests like it."""
+        """Returns whether a request is quarantined without a trial; updates its quarantine state.
+
+        A quarantined request is sent to no server, as servers crashed on requests like it.
+        """
         if attempts.is_trial:
             return False
         is_quarantined = self._dependencies.crashes.is_quarantined(
@@ -168,7 +172,11 @@
         return attempts.is_trial
 
     def _forecast(self, request: ClientRequest, waiter: Waiter) -> QueueForecast:
-        """Returns the forecast of a new request; the starvation guard may exempt it first."""
+        """Returns the forecast of a new request.
+
+        If its flow is over its share and the starvation guard exempts the request, the forecast is
+        made again without the share.
+        """
         queue_forecast = self._queues.forecast(waiter)
         waiter.is_share_exempt = self._starvation_guard.record_request(
             waiter.flow, is_over_share=queue_forecast.is_over_share
@@ -187,7 +195,7 @@
         self._share_record.record(attempts.request, waiter, ShareOutcome.REFUSED)
 
     def _refund_credit(self, waiter: Waiter) -> None:
-        """Refunds the credit of an exempted request that got no slot."""
+        """Refunds the credit of a request that got no slot, if it was exempted."""
         if waiter.is_share_exempt:
             self._starvation_guard.refund_credit(waiter.flow)
 
@@ -209,7 +217,7 @@
 
 
 def _deadlines(request: ClientRequest, route: Route, elapsed: float) -> Deadlines:
-    """Returns the deadlines of a request; the objective counts from the client's first attempt.
+    """Returns the deadlines of a request; the objective starts at the client's first attempt.
 
     Args:
         elapsed: seconds since the client's first attempt.
--- a/src/larkpost/gateway/proxy/response_body.py
+++ b/src/larkpost/gateway/proxy/response_body.py
@@ -32,7 +32,7 @@
 
 
 def join_chunks(chunks: deque[bytes]) -> bytes | bytearray:
-    """Joins the chunks of a body, dropping each one as it is copied to avoid a second full copy."""
+    """Joins the chunks of a body; drops each one after copying it, to avoid a second full copy."""
     if len(chunks) <= 1:
         return chunks.popleft() if chunks else b""
     body = bytearray()
--- a/src/larkpost/gateway/proxy/retry.py
+++ b/src/larkpost/gateway/proxy/retry.py
@@ -17,7 +17,7 @@
 )
 
 MIN_ERROR_STATUS = 500
-"""Responses with this status or a higher one are server failures, and another server is tried."""
+"""Responses with this status or a higher one are server failures; another server is tried."""
 MIN_NON_SUCCESS_STATUS = 300
 """Responses below this status are successes. They count only with the server's signature, as an
 intermediary may also send one."""
@@ -52,10 +52,10 @@
 
 
 def implies_not_run(status: int, kind: RouteKind) -> bool:
-    """Returns whether a status wrongly tells the client that its request did not run.
+    """Returns whether a response's status wrongly tells the client that its request did not run.
 
-    A server that did not run a request reports it in a separate header, which raises an error
-    instead of giving a response. For idempotent requests the status is harmless.
+    There is a response only if the request ran: if it did not, the server says so in a separate
+    header, and the attempt raises an error. For idempotent requests such a status is harmless.
     """
     return kind is not RouteKind.IDEMPOTENT and status in NOT_RUN_STATUSES
 
--- a/src/larkpost/gateway/proxy/retry_spreading.py
+++ b/src/larkpost/gateway/proxy/retry_spreading.py
@@ -1,7 +1,7 @@
 """Sets retry times of refused clients: one after the other, at the rate at which slots become free.
 
-Clients of flows over their share are scheduled per flow, all others per group. Relies on the ledger
-for the number of requests that this daemon has running.
+Clients of flows over their share are scheduled by flow, all others by group. Relies on the ledger
+for the number of this daemon's running requests.
 """
 
 import random
--- a/src/larkpost/gateway/proxy/server_choice.py
+++ b/src/larkpost/gateway/proxy/server_choice.py
@@ -1,4 +1,4 @@
-"""Chooses the next server for a client request, and when to hedge with a second one.
+"""Chooses the next server for a client request, and the delay before a hedged attempt.
 
 Relies on the balancer for the order of the servers and their service times.
 """
@@ -16,7 +16,7 @@
 HEDGE_SERVICE_TIME_FACTOR = 3.0
 """Hedge delay as a multiple of the fastest server's service time, without unit."""
 DEFAULT_SERVICE_TIME_DIVISOR = 2
-"""Divides the objective to get the service time assumed while none is known, without unit."""
+"""The service time assumed while none is known is the objective divided by this, without unit."""
 
 
 def hedge_delay(service_times: Collection[float], objective: float) -> float:
@@ -53,7 +53,7 @@
         return candidates[0] if candidates else None
 
     def hedge_delay(self, attempts: Attempts) -> float:
-        """Returns the seconds after which a second server is tried for a request."""
+        """Returns the seconds before a hedged attempt of a request."""
         pool = self._balancer.candidate_pool(attempts.waiter.service, attempts.waiter.work)
         service_times = [
             service_time
--- a/src/larkpost/gateway/proxy/server_pool.py
+++ b/src/larkpost/gateway/proxy/server_pool.py
@@ -1,9 +1,9 @@
 """Selects the instances to consider for a request: all of a small service, a sample of a large one.
 
 This keeps the cost of choosing an instance, and of counting slots, independent of the fleet size.
-Client requests consider the daemon's subset (`subset`), which it knows best and keeps connections
-to. Items of batches consider instances sampled each time from all that may hold their model, as
-one owner's items need more slots than a subset has.
+For client requests, the sample is drawn from the daemon's subset (`subset`), whose servers it knows
+best and keeps connections to. For items of batches it is drawn from all instances that may hold
+their model, as the items of one owner need more slots than a subset has.
 
 Decides only which instances are considered; `ranking` orders them.
 """
@@ -25,11 +25,10 @@
 POOL_SIZE = 40
 """Instances of a larger service that are considered."""
 POOL_EXTENSION_SIZE = 12
-"""Further instances considered if none of those has a free slot. A dozen random ones nearly always
-include one, unless almost all are full."""
+"""Further instances considered if none of those has a free slot."""
 MIN_OPEN_INSTANCES = 4
-"""Minimum number of considered instances that are open to the work, if there are that many: with
-fewer, all of them may have been tried or be full while others could serve."""
+"""Minimum number of considered instances that are open to the work, if there are that many. With
+fewer, all of them might be full or already tried while others could serve."""
 SEARCH_LIFETIME_SECONDS = 0.25
 """How long the result of a search through a whole service is reused."""
 SORTED_IDS_CACHE_SIZE = 64
@@ -41,8 +40,8 @@
     """The instances to consider for a request.
 
     Attributes:
-        total: number of instances that they represent, including themselves.
-        population: all instances that may be considered, including these; empty if these are all.
+        total: number of instances that the considered ones represent, including themselves.
+        population: all instances that may be considered; empty if `instances` are all.
     """
 
     instances: list[InstanceInfo]
@@ -65,7 +64,7 @@
     """The result of a search.
 
     Attributes:
-        at: monotonic time of the search.
+        at: steady time of the search.
         scale: number of matching instances that each found one represents, without unit.
     """
 
--- a/src/larkpost/gateway/proxy/service_time_history.py
+++ b/src/larkpost/gateway/proxy/service_time_history.py
@@ -1,10 +1,14 @@
-"""The lasting service time of one incarnation of a server, without short bursts of slowness.
+"""The long-term service time of one incarnation of a server, without short bursts of slowness.
 
 A server that shares its machine is slow for fractions of a second now and then, and for seconds
-when it is degraded; what distinguishes servers is their service time between such bursts. One
-smoothed average would mix both, so that equal servers look unequal.
+while it is degraded. Servers differ by their service time between such bursts; a smoothed average
+would include the bursts, so that equal servers would look unequal.
 
-Durations are in seconds and times are monotonic. Uses no network and no clock.
+The sustained service time is a low quantile of the recent slices. The baseline follows it,
+slowly when it rises. The long-term service time is the sustained one while measurements are recent,
+and the baseline afterwards.
+
+Durations are in seconds and times are in steady time. Uses no network and no clock.
 """
 
 from collections import deque
@@ -19,10 +23,10 @@
 MIN_SLICES = 2
 """Slices needed for a service time, as a single one may lie entirely within a burst."""
 LOW_QUANTILE = 0.3
-"""Quantile of the slices that is the sustained service time. It ignores bursts in up to two thirds
+"""The sustained service time is this quantile of the slices. It ignores bursts in up to two thirds
 of the slices, and a single slice that was too quick."""
 SLICE_LIFETIME_SECONDS = 60.0
-"""How long a slice is kept; long, for servers that are seldom used."""
+"""How long a slice is kept; long enough for servers that are seldom used."""
 SUSTAINED_SECONDS = 4.0
 """How long the sustained service time is used after the last measurement. The baseline is used
 afterwards, so that a server that was degraded is tried again."""
@@ -31,9 +35,10 @@
 BASELINE_LIFETIME_SECONDS = 180.0
 """How long the baseline is used after the last measurement."""
 FALL_WEIGHT = 0.3
-"""Weight of a quicker slice in the baseline."""
+"""Weight of a lower sustained service time in the baseline."""
 RISE_WEIGHT = 0.004
-"""Weight of a slower slice in the baseline; low, so that temporary slowness does not change it."""
+"""Weight of a higher sustained service time in the baseline; low, so that temporary slowness hardly
+changes it."""
 
 
 @dataclass(slots=True)
@@ -41,38 +46,38 @@
     """The measurements of one slice of time.
 
     Attributes:
-        measured: sum of the measured seconds.
-        corrected: sum of the measured seconds, corrected for the server's reported slowness.
+        measured_sum: sum of the measured seconds.
+        corrected_sum: sum of the measured seconds, corrected for the server's reported slowness.
         count: number of measurements.
     """
 
     began_at: float
-    measured: float = 0.0
-    corrected: float = 0.0
+    measured_sum: float = 0.0
+    corrected_sum: float = 0.0
     count: int = 0
 
     def add(self, measured: float, corrected: float) -> None:
         """Adds a measurement."""
-        self.measured += measured
-        self.corrected += corrected
+        self.measured_sum += measured
+        self.corrected_sum += corrected
         self.count += 1
 
     @property
     def measured_mean(self) -> float:
         """Mean of the measured seconds."""
-        return self.measured / self.count
+        return self.measured_sum / self.count
 
     @property
     def corrected_mean(self) -> float:
         """Mean of the seconds corrected for the server's reported slowness."""
-        return self.corrected / self.count
+        return self.corrected_sum / self.count
 
 
 class ServiceTimeHistory:
     """The service times that this daemon measured at one incarnation of a server.
 
     Attributes:
-        measured_at: monotonic time of the last measurement.
+        measured_at: steady time of the last measurement.
     """
 
     def __init__(self) -> None:
@@ -100,16 +105,16 @@
         self.measured_at = now
 
     def service_time(self, now: float) -> float:
-        """Returns the lasting service time; 0 if it is not known.
+        """Returns the long-term service time; 0 if it is not known.
 
-        It is the sustained one while the server is measured, and the baseline afterwards.
+        It is the sustained one while measurements are recent, and the baseline afterwards.
         """
         if self.is_recently_measured(now):
             return self._sustained
         return self._baseline if now - self.measured_at < BASELINE_LIFETIME_SECONDS else 0.0
 
     def is_recently_measured(self, now: float) -> bool:
-        """Returns whether the sustained service time is recent enough to be used."""
+        """Returns whether the sustained service time is known and recent enough to be used."""
         return now - self.measured_at < SUSTAINED_SECONDS and bool(self._sustained)
 
     @property
--- a/src/larkpost/gateway/proxy/service_time_tracker.py
+++ b/src/larkpost/gateway/proxy/service_time_tracker.py
@@ -1,9 +1,9 @@
-"""Service times of instances: the lasting ones, and the current ones.
+"""Long-term and current service times of instances.
 
 Combines the measurements of this daemon's own requests (`service_time_history`), the slowness that
 servers report (`slowness`), and the reports of other daemons (`reported_service_times`,
-`peer_use`). Short requests use the current service time, items of batches the lasting one. For a
-server that reports no slowness, short requests use the smoothed service time.
+`peer_use`). Short requests use the current service time, which is the smoothed one if the server
+reports no slowness. Items of batches use the long-term service time.
 """
 
 from larkpost.common.clock import Clock
@@ -18,9 +18,9 @@
 """Maximum number of service times in one heartbeat; instances take turns. It bounds the size of
 heartbeats, which many daemons read."""
 RECOVERY_SECONDS = 12.0
-"""How long after its last measurement the baseline of a degraded server is still reported, so that
-other daemons stop treating it as degraded. All other service times are reported only while they
-are measured; other daemons keep them for longer."""
+"""How long after its last measurement the baseline of a degraded server is reported, so that other
+daemons stop treating it as degraded. All other service times are reported only while measurements
+are recent; other daemons keep them for longer."""
 REPORTED_DIGITS = 4
 """Decimal places of a reported service time in seconds."""
 
@@ -88,7 +88,7 @@
     # Reports between daemons.
 
     def report(self) -> dict[InstanceId, float]:
-        """Returns at most `MAX_REPORTED_SERVICE_TIMES` measured service times, by turns."""
+        """Returns up to `MAX_REPORTED_SERVICE_TIMES` service times, least recently reported first."""
         measured = dict.fromkeys(self._own.measured())
         reported_before = dict.fromkeys(name for name in self._reported if name in measured)
         order = [name for name in measured if name not in reported_before] + list(reported_before)
@@ -111,7 +111,7 @@
         self._peer_reports.forget_old(now)
 
     def _long_term(self, instance: InstanceId, history: ServiceTimeHistory | None) -> float:
-        """Returns the lasting service time; current measurements, here or elsewhere, come first."""
+        """Returns the long-term service time, from recent measurements here or elsewhere first."""
         if history is not None and self._prefers_own(instance, history):
             return history.service_time(self._clock.now())
         return self._peer_reports.fresh(instance) or self._peer_reports.service_time(instance)
--- a/src/larkpost/gateway/proxy/share_record.py
+++ b/src/larkpost/gateway/proxy/share_record.py
@@ -47,7 +47,7 @@
             is_back=waiter.is_retry,
             held=round(self._clock.now() - request.received_at, 3),
             share=round(flow_share.share, 2),
-            use=flow_share.use,
+            use=flow_share.running,
             waiting=flow_share.waiting,
             ahead=flow_share.waiting_ahead,
             places=flow_share.total_slots,
--- a/src/larkpost/gateway/proxy/shortage_detector.py
+++ b/src/larkpost/gateway/proxy/shortage_detector.py
@@ -1,7 +1,7 @@
-"""Distinguishes a persistent shortage of slots from requests that wait only briefly.
+"""Distinguishes a persistent shortage of slots from short waits.
 
-As requests arrive at random, some wait even where the capacity is sufficient. Applying shares then
-would serve nobody more, but make more requests late. A shortage is persistent while a large
+As requests arrive at random, some wait even if the capacity is sufficient. Applying shares then
+would only make more requests late. A shortage is persistent while a large
 fraction of the requests gets no slot within its objective.
 """
 
@@ -13,9 +13,9 @@
 MIN_MISSED_FRACTION = 0.3
 """Minimum fraction of requests without a slot in time for a persistent shortage, without unit."""
 MIN_MISSED_REQUESTS = 3.0
-"""Minimum (decayed) number of such requests; fewer may occur by chance."""
+"""Minimum decayed number of requests without a slot in time; fewer may occur by chance."""
 HALF_LIFE_SECONDS = 3.0
-"""Half-life of the weight of a counted request."""
+"""Half-life of the counts."""
 
 
 @dataclass(slots=True)
@@ -23,7 +23,7 @@
     """Exponentially decayed counts of the requests of a service.
 
     Attributes:
-        at: monotonic time of the last change.
+        at: steady time of the last change.
         granted: requests that got a slot, in time or later.
         missed: requests that got no slot in time.
     """
--- a/src/larkpost/gateway/proxy/slot_counting.py
+++ b/src/larkpost/gateway/proxy/slot_counting.py
@@ -11,8 +11,8 @@
 from larkpost.gateway.proxy.balancer import Balancer
 
 MOSTLY_FREE_FRACTION = 0.5
-"""While less than this share of the slots is taken, no request waits or is refused: reports about
-other daemons' requests are too old to outweigh so many free slots."""
+"""While less than this fraction of the slots is taken, no request waits or is refused: reports
+about other daemons' requests are too old to justify that."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,8 +22,10 @@
     Attributes:
         total: slots of all instances that placement allows, now or once they are warm.
         taken: slots estimated taken; exceeds the total if instances queue requests.
-        service_time: seconds a request takes there; 0 if not known.
-        unavailable: taken slots without a request: their instance failed, refused or is cold.
+        service_time: seconds that a request takes there, as the harmonic mean over the slots whose
+            service time is known; 0 if none is.
+        unavailable: slots counted as taken although they run no request, as their instance failed,
+            refused or is cold.
     """
 
     total: int
@@ -43,7 +45,7 @@
 
     @property
     def has_few_running(self) -> bool:
-        """Whether so few slots run a request that instances which failed are worth another try."""
+        """Whether so few slots run a request that an instance that failed may be tried again."""
         return self.taken - self.unavailable < self.total * MOSTLY_FREE_FRACTION
 
 
--- a/src/larkpost/gateway/proxy/slowness.py
+++ b/src/larkpost/gateway/proxy/slowness.py
@@ -1,7 +1,7 @@
 """The current slowness that a server reports, relative to its own usual reports.
 
 Reports are compared only with earlier ones of the same server, so a constant offset in them affects
-no choice. Times are monotonic. Uses no network and no clock.
+no choice. Times are in steady time. Uses no network and no clock.
 """
 
 from collections import deque
@@ -18,7 +18,7 @@
     """The slowness reports of one incarnation of a server.
 
     Attributes:
-        reported_at: monotonic time of the last report.
+        reported_at: steady time of the last report.
     """
 
     def __init__(self) -> None:
--- a/src/larkpost/gateway/proxy/subset.py
+++ b/src/larkpost/gateway/proxy/subset.py
@@ -14,8 +14,8 @@
 from larkpost.gateway.blackboard.service_index import IndexedIdSet, ServiceIndex
 
 MIN_SUBSET_SIZE = 24
-"""Minimum average size of a subset: small enough that connections stay in use, large enough that it
-nearly always contains a server with a free slot."""
+"""Minimum average size of a subset. A small one keeps its connections in use; a large one nearly
+always contains a server with a free slot."""
 MIN_DAEMONS_PER_SERVER = 3
 """Minimum number of daemons whose subsets contain a server, if there are that many. It spreads the
 load of a daemon with many clients, or of one that was removed."""
@@ -24,7 +24,7 @@
 def daemons_per_server(daemons: int, servers: int) -> int:
     """Returns the number of daemons whose subsets contain a given server.
 
-    It grows by doubling, as each change of it changes all subsets.
+    It grows by doubling, so that it changes seldom: each change affects all subsets.
     """
     daemon_count = MIN_DAEMONS_PER_SERVER
     while daemon_count < daemons and daemon_count * servers < MIN_SUBSET_SIZE * daemons:
--- a/src/larkpost/gateway/proxy/waiter.py
+++ b/src/larkpost/gateway/proxy/waiter.py
@@ -17,16 +17,16 @@
 
     Attributes:
         priority: 0 is the most urgent.
-        since: estimated monotonic time of the client's first attempt.
+        first_attempt_at: estimated steady time of the client's first attempt.
         flow_name: name of its flow, which is its tenant or its route.
-        is_retry: whether its client was refused before.
+        is_retry: whether its client was refused before, as estimated from the elapsed time.
         is_share_exempt: whether the starvation guard exempts it from its flow's share.
         flow_share: its flow's share when it was last held back; None if it never was.
-        held_since: monotonic time since which it yields to others; None if it does not.
-        is_recorded: whether it is logged that it was held back.
+        held_since: steady time at which it began to yield to others; None if it does not.
+        is_outcome_recorded: whether an outcome of being over the share was logged for it.
         turn: resolved with the forecast when its turn comes or it becomes infeasible.
         missed_objective: whether it was recorded as getting no slot within its objective.
-        share_count: closed to stop counting it towards the shares; None while it is not counted.
+        ledger_entry: counts it as waiting in the ledger until closed; None while not counted.
         flow: the flow that it belongs to.
     """
 
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -341,10 +341,10 @@
 
 
 def mix_bursts_into_paces():
-    """Uses the smoothed service time, including bursts, as the lasting one."""
+    """Uses the smoothed service time, including bursts, as the long-term one."""
     from larkpost.gateway.proxy.service_time_tracker import ServiceTimeTracker
 
-    return mock.patch.object(ServiceTimeTracker, "lasting", lambda self, name: self._smoothed(name))
+    return mock.patch.object(ServiceTimeTracker, "long_term", lambda self, name: self._smoothed(name))
 
 
 def believe_any_slowness():
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -237,7 +237,7 @@
                 far.record_report("near", near.report())
                 for ledger in (near, far):
                     flow_share = compute_shares(ledger.uses(GROUP), free=0).flow_share(HEAVY)
-                    self.assertEqual(4, flow_share.use)
+                    self.assertEqual(4, flow_share.running)
                     self.assertEqual(1, flow_share.waiting_ahead)
                     self.assertTrue(flow_share.is_over_share)
 
--- a/tests/test_lasting_pace.py
+++ b/tests/test_lasting_pace.py
@@ -1,4 +1,4 @@
-"""Lasting service times and reported slowness: the pure rules, as tables of cases."""
+"""Long-term service times and reported slowness: the pure rules, as tables of cases."""
 
 import random
 import unittest
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -247,7 +247,7 @@
 
 
 class SlownessTest(unittest.TestCase):
-    """Short requests use the lasting service time and the current slowness."""
+    """Short requests use the long-term service time and the current slowness."""
 
     def test_burst_changes_the_choice_only_briefly(self):
         async def play():
@@ -280,7 +280,7 @@
         run(play())
 
     def test_first_service_time_of_a_server_includes_the_latency(self):
-        """Until the lasting service time is known, the smoothed one of this daemon is used."""
+        """Until the long-term service time is known, the smoothed one of this daemon is used."""
 
         async def play():
             fixture = ServerFixture()
