--- a/src/larkpost/gateway/fairness/ledger.py
+++ b/src/larkpost/gateway/fairness/ledger.py
@@ -107,7 +107,7 @@
         return bool(self._short_services())
 
     def report(self) -> dict[Flow, FlowUsage]:
-        """Returns this daemon's report: the flows with the highest use at services short of slots."""
+        """Returns this daemon's report: its largest flows at services that lack slots."""
         short_services = self._short_services()
         uses = [
             (flow, use)
--- a/src/larkpost/gateway/proxy/peer_use.py
+++ b/src/larkpost/gateway/proxy/peer_use.py
@@ -10,8 +10,8 @@
 PEER_LIFETIME_SECONDS = 1.2
 """How long the requests in a report of another daemon are counted."""
 PEER_SERVICE_TIME_LIFETIME_SECONDS = 12.0
-"""How long a service time in a report of another daemon is used; longer than this daemon's own, as it
-is used only if there is none."""
+"""How long a service time in a report of another daemon is used; longer than this daemon's own, as
+it is used only if there is none."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/larkpost/gateway/proxy/service_time_tracker.py
+++ b/src/larkpost/gateway/proxy/service_time_tracker.py
@@ -88,7 +88,7 @@
     # Reports between daemons.
 
     def report(self) -> dict[InstanceId, float]:
-        """Returns up to `MAX_REPORTED_SERVICE_TIMES` service times, least recently reported first."""
+        """Returns up to `MAX_REPORTED_SERVICE_TIMES` times, the least recently reported first."""
         measured = dict.fromkeys(self._own.measured())
         reported_before = dict.fromkeys(name for name in self._reported if name in measured)
         order = [name for name in measured if name not in reported_before] + list(reported_before)
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -344,7 +344,9 @@
     """Uses the smoothed service time, including bursts, as the long-term one."""
     from larkpost.gateway.proxy.service_time_tracker import ServiceTimeTracker
 
-    return mock.patch.object(ServiceTimeTracker, "long_term", lambda self, name: self._smoothed(name))
+    return mock.patch.object(
+        ServiceTimeTracker, "long_term", lambda self, name: self._smoothed(name)
+    )
 
 
 def believe_any_slowness():
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -229,7 +229,7 @@
                 stack.enter_context(near.running(HEAVY))
                 stack.enter_context(near.waiting(LIGHT))
                 alone = compute_shares(near.uses(GROUP), free=0)
-                self.assertEqual(1, alone.flow_share(HEAVY).use)
+                self.assertEqual(1, alone.flow_share(HEAVY).running)
                 self.assertFalse(
                     compute_shares(far.uses(GROUP), free=0).flow_share(HEAVY).is_over_share
                 )
--- a/tests/test_uneven_engines.py
+++ b/tests/test_uneven_engines.py
@@ -24,7 +24,9 @@
 
 def smoothed_service_times() -> AbstractContextManager:
     """Makes bursts indistinguishable from lasting differences between engines."""
-    return mock.patch.object(ServiceTimeTracker, "long_term", lambda self, name: self._smoothed(name))
+    return mock.patch.object(
+        ServiceTimeTracker, "long_term", lambda self, name: self._smoothed(name)
+    )
 
 
 async def slow_in_bursts(fleet: PlatformFleet, engine: ScriptedEngine, seed: int) -> None:
