--- a/src/larkpost/gateway/fairness/retry_schedule.py
+++ b/src/larkpost/gateway/fairness/retry_schedule.py
@@ -31,7 +31,7 @@
         self._last_times: dict[Hashable, float] = {}
         """The least recently used queue comes first."""
 
-    def reserve(self, queue: Hashable, wanted: float, spacing: float, max_delay: float) -> float:
+    def reserve(self, queue: Hashable, min_delay: float, spacing: float, max_delay: float) -> float:
         """Reserves a retry time; returns the seconds until then, at most ``max_delay``.
 
         Args:
@@ -41,7 +41,7 @@
             max_delay: maximum retry delay in seconds.
         """
         now = self._clock.now()
-        retry_at = max(now + wanted, self._last_times.get(queue, float("-inf")) + spacing)
+        retry_at = max(now + min_delay, self._last_times.get(queue, float("-inf")) + spacing)
         if retry_at - now > max_delay:
             return max_delay * self._rng.uniform(MIN_DELAY_FRACTION, 1.0)
         self._last_times.pop(queue, None)
--- a/src/larkpost/gateway/proxy/retry_spreading.py
+++ b/src/larkpost/gateway/proxy/retry_spreading.py
@@ -34,7 +34,7 @@
         """Returns the forecast of a refused request with its own retry time."""
         max_delay = max_retry_delay(waiter.deadlines.expires_at - self._clock.now())
         queue = waiter.flow if waiter.was_over_share else waiter.flow.group
-        wanted = max(MIN_RETRY_SECONDS, forecast.wait)
+        min_delay = max(MIN_RETRY_SECONDS, forecast.wait)
         spacing = forecast.service_time / max(MIN_RUNNING, self._ledger.own_running(waiter.service))
-        delay = self._times.reserve(queue, wanted, spacing, max(0.0, max_delay))
+        delay = self._times.reserve(queue, min_delay, spacing, max(0.0, max_delay))
         return replace(forecast, retry_after=floor_to_milliseconds(delay))
