--- a/src/larkpost/gateway/fairness/batch_shares.py
+++ b/src/larkpost/gateway/fairness/batch_shares.py
@@ -34,10 +34,10 @@
     by_tenant: dict[TenantName | None, dict[Batch, int]] = {}
     for batch, demand in demands.items():
         by_tenant.setdefault(demand.tenant, {})[batch] = demand.slots
-    wanted = {tenant: sum(batches.values()) for tenant, batches in by_tenant.items()}
-    tenant_level = fair_level(wanted.values(), slots)
+    tenant_demands = {tenant: sum(batches.values()) for tenant, batches in by_tenant.items()}
+    tenant_level = fair_level(tenant_demands.values(), slots)
     shares: dict[Batch, float] = {}
     for tenant, batches in by_tenant.items():
-        level = fair_level(batches.values(), min(wanted[tenant], tenant_level))
+        level = fair_level(batches.values(), min(tenant_demands[tenant], tenant_level))
         shares |= {batch: min(demand, level) for batch, demand in batches.items()}
     return shares
