--- a/src/larkpost/gateway/proxy/slowness.py
+++ b/src/larkpost/gateway/proxy/slowness.py
@@ -50,10 +50,10 @@
         """Returns the factor by which work takes longer there than usual; 1 if not known."""
         if now - self.reported_at >= SLOWNESS_LIFETIME_SECONDS:
             return 1.0
-        return believed_slowness(self._reported, self._usual)
+        return bounded_slowness(self._reported, self._usual)
 
 
-def believed_slowness(reported: float, usual: float) -> float:
+def bounded_slowness(reported: float, usual: float) -> float:
     """Returns the factor by which a server counts as slower than usual, within bounds.
 
     Args:
--- a/tests/test_lasting_pace.py
+++ b/tests/test_lasting_pace.py
@@ -17,7 +17,7 @@
     MAX_SLOWNESS,
     SLOWNESS_LIFETIME_SECONDS,
     ReportedSlowness,
-    believed_slowness,
+    bounded_slowness,
 )
 
 FAST, SLOW = 0.034, 0.082
@@ -85,7 +85,7 @@
     def test_slowness_factor(self):
         for reported, usual, expected in SLOWNESS_FACTORS:
             with self.subTest(reported=reported, usual=usual):
-                self.assertAlmostEqual(expected, believed_slowness(reported, usual))
+                self.assertAlmostEqual(expected, bounded_slowness(reported, usual))
 
 
 class ServiceTimeHistoryTest(unittest.TestCase):
