--- a/src/larkpost/gateway/fairness/retry_schedule.py
+++ b/src/larkpost/gateway/fairness/retry_schedule.py
@@ -36,7 +36,7 @@
 
         Args:
             queue: key of the client's queue; retries of one queue are spaced.
-            wanted: seconds until a slot is expected for it.
+            min_delay: minimum retry delay in seconds: the time until a slot is expected to be free.
             spacing: seconds between the retries of two clients.
             max_delay: maximum retry delay in seconds.
         """
--- a/src/larkpost/gateway/proxy/attempts.py
+++ b/src/larkpost/gateway/proxy/attempts.py
@@ -83,7 +83,7 @@
                     stack.push_async_callback(opened.abandon)
 
     def record_may_have_run(self, instance: InstanceId) -> None:
-        """Records that a server may have run it, including while that is not known yet."""
+        """Records that a server may have run it; also called while that is not known yet."""
         self.may_have_run_on.add(instance)
 
     def record_not_run(self, instance: InstanceId, reason: NotRunReason) -> None:
--- a/src/larkpost/gateway/proxy/balancer.py
+++ b/src/larkpost/gateway/proxy/balancer.py
@@ -59,7 +59,7 @@
 
     Attributes:
         is_connected: returns whether a connection to an instance is open.
-        placement: the placement rules; None to exclude only instances that are leaving.
+        placement: the placement rules; None for rules that exclude only leaving instances.
         cold: rate limit of cold instances, which knows them; None if no instance is ever cold.
         regions: the region of each zone; None if unknown.
         subsets: this daemon's subsets of large services; None if it is the only daemon.
--- a/src/larkpost/gateway/proxy/outcomes.py
+++ b/src/larkpost/gateway/proxy/outcomes.py
@@ -35,7 +35,7 @@
         self._usage = dependencies.usage
 
     def record_started(self, request: ClientRequest, at: float) -> None:
-        """Counts a run for its tenant, including one that only may have begun."""
+        """Counts a run, or a possible run, for the tenant of the request."""
         if self._usage is not None and request.tenant is not None:
             self._usage.record_started(request.tenant, at)
 
--- a/src/larkpost/gateway/proxy/request_queue.py
+++ b/src/larkpost/gateway/proxy/request_queue.py
@@ -66,8 +66,8 @@
     """The requests that wait for one service; times are in steady time.
 
     Attributes:
-        blocked_since: when the first request found no free slot, after one was last seen free.
-        blocked_seen_at: when the last request found no free slot.
+        blocked_since: when a request first found no free slot after one was last seen free.
+        blocked_seen_at: when a request last found no free slot.
         total_slots: slots of the service at the last poll.
     """
 
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -42,7 +42,7 @@
     async def make(
         self, instance: InstanceInfo, attempts: Attempts
     ) -> WholeResponse | StreamedResponse | None:
-        """Tries one server; returns None if it gave no response to return to the client now."""
+        """Tries one server; returns None if it gave no response that the client should get."""
         started_at = self._clock.now()
         try:
             response, is_signed = await self._exchange(instance, attempts)
--- a/src/larkpost/gateway/proxy/slot_counting.py
+++ b/src/larkpost/gateway/proxy/slot_counting.py
@@ -45,7 +45,7 @@
 
     @property
     def has_few_running(self) -> bool:
-        """Whether so few slots run a request that an instance that failed may be tried again."""
+        """Whether so few slots run a request that instances that failed may be tried again."""
         return self.taken - self.unavailable < self.total * MOSTLY_FREE_FRACTION
 
 
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -353,7 +353,7 @@
     """Trusts a server's reported slowness, whatever its responses show."""
     from larkpost.gateway.proxy import slowness
 
-    return mock.patch.object(slowness, "believed_slowness", lambda said, _: said)
+    return mock.patch.object(slowness, "bounded_slowness", lambda said, _: said)
 
 
 def forward_for_callers_that_left():
