--- a/src/larkpost/gateway/proxy/forwarder.py
+++ b/src/larkpost/gateway/proxy/forwarder.py
@@ -65,11 +65,11 @@
                 if await self._scheduler.wait_for_admission(attempts, must_wait=must_wait):
                     response = await self._forward_by_kind(attempts)
         except TimeoutError:
-            raise self._outcomes.record_failure(attempts, timed_out=True) from None
+            raise self._outcomes.failure(attempts, timed_out=True) from None
         finally:
             await attempts.close_unused(response)
         if response is None:
-            raise self._outcomes.record_failure(attempts, timed_out=False)
+            raise self._outcomes.failure(attempts, timed_out=False)
         if isinstance(response, StreamedResponse):
             rest = StreamedBody(response, attempts, self._outcomes, self._clock)
             return replace(response, rest=rest)
@@ -88,11 +88,11 @@
         """
         attempts, must_wait = self._scheduler.begin(request, route)
         if not await self._scheduler.wait_for_admission(attempts, must_wait=must_wait):
-            raise self._outcomes.record_failure(attempts, timed_out=False)
+            raise self._outcomes.failure(attempts, timed_out=False)
         while True:
             instance = await self._next_server(attempts)
             if instance is None:
-                raise self._outcomes.record_failure(attempts, timed_out=False)
+                raise self._outcomes.failure(attempts, timed_out=False)
             try:
                 async with (
                     asyncio.timeout_at(attempts.waiter.deadlines.expires_at) as limit,
@@ -108,12 +108,12 @@
                     return
             except TimeoutError:
                 attempts.record_may_have_run(instance.id)
-                raise self._outcomes.record_failure(attempts, timed_out=True) from None
+                raise self._outcomes.failure(attempts, timed_out=True) from None
             except NotRunError as error:
                 self._outcomes.record_not_run(instance, attempts, error)
             except BrokenResponseError:
                 attempts.record_may_have_run(instance.id)
-                raise self._outcomes.record_failure(attempts, timed_out=False) from None
+                raise self._outcomes.failure(attempts, timed_out=False) from None
 
     async def _forward_by_kind(self, attempts: Attempts) -> Response | None:
         if attempts.route.kind is RouteKind.IDEMPOTENT:
--- a/src/larkpost/gateway/proxy/outcomes.py
+++ b/src/larkpost/gateway/proxy/outcomes.py
@@ -100,7 +100,7 @@
         outcome = "in_time" if in_time else "late"
         self._count_forecast(attempts, NOT_SERVED if status >= MIN_ERROR_STATUS else outcome)
 
-    def record_failure(self, attempts: Attempts, *, timed_out: bool) -> LarkpostError:
+    def failure(self, attempts: Attempts, *, timed_out: bool) -> LarkpostError:
         """Records a failed request, and returns its error."""
         request, route = attempts.request, attempts.route
         error = final_error(
--- a/src/larkpost/gateway/proxy/streamed_body.py
+++ b/src/larkpost/gateway/proxy/streamed_body.py
@@ -60,4 +60,4 @@
     def _record_failed(self, reason: str, *, timed_out: bool) -> None:
         """Records the failure; the client already has part of the response and gets no error."""
         self._outcomes.record_broken(self._response.instance, self._attempts, reason)
-        self._outcomes.record_failure(self._attempts, timed_out=timed_out)
+        self._outcomes.failure(self._attempts, timed_out=timed_out)
