--- a/src/larkpost/gateway/fairness/retry_schedule.py
+++ b/src/larkpost/gateway/fairness/retry_schedule.py
@@ -1,7 +1,7 @@
 """Schedules the retries of refused clients one after the other instead of all at once.
 
-Clients of one queue get retry times in the order in which they were refused, spaced by the time
-that one request takes at this daemon's rate of service. Owns the last assigned time of each queue.
+Clients of one queue get retry times in the order in which they were refused, spaced by the mean
+time between two requests that end at this daemon. Owns the last assigned time of each queue.
 """
 
 import random
@@ -13,8 +13,8 @@
 """Maximum number of queues remembered. Those whose last assigned time has passed are dropped first,
 then the one that was used least recently."""
 MIN_DELAY_FRACTION = 0.5
-"""Clients that cannot wait for their scheduled time retry at random times between this fraction of
-their maximum delay and all of it. Without unit."""
+"""Clients whose scheduled time exceeds their maximum delay retry after a random time between this
+fraction of that delay and all of it. Without unit."""
 
 
 class RetrySchedule:
@@ -31,17 +31,17 @@
         self._last_times: dict[Hashable, float] = {}
         """The least recently used queue comes first."""
 
-    def reserve(self, queue: Hashable, wanted: float, spacing: float, max_delay: float) -> float:
+    def reserve(self, queue: Hashable, min_delay: float, spacing: float, max_delay: float) -> float:
         """Reserves a retry time; returns the seconds until then, at most ``max_delay``.
 
         Args:
             queue: key of the client's queue; retries of one queue are spaced.
-            wanted: seconds until a slot is expected for it.
+            min_delay: minimum retry delay in seconds: the time until a slot is expected to be free.
             spacing: seconds between the retries of two clients.
             max_delay: maximum retry delay in seconds.
         """
         now = self._clock.now()
-        retry_at = max(now + wanted, self._last_times.get(queue, float("-inf")) + spacing)
+        retry_at = max(now + min_delay, self._last_times.get(queue, float("-inf")) + spacing)
         if retry_at - now > max_delay:
             return max_delay * self._rng.uniform(MIN_DELAY_FRACTION, 1.0)
         self._last_times.pop(queue, None)
--- a/src/larkpost/gateway/proxy/forecast.py
+++ b/src/larkpost/gateway/proxy/forecast.py
@@ -1,8 +1,8 @@
 """Forecasts whether a request will be served, from the slots of its service and its deadlines.
 
-A response is most useful within the route's objective, counted from the client's first attempt,
-less useful until the client's deadline, and useless afterwards. So a request that can still be
-served waits, and any other is refused at once. Pure functions without state.
+A response is most useful within the route's objective, which starts at the client's first attempt,
+less useful until the client's deadline, and useless afterwards. A request that can still be served
+before its deadline waits; any other is refused at once. Pure functions without state.
 """
 
 import math
@@ -11,19 +11,19 @@
 
 from larkpost.gateway.proxy.slot_counting import SlotCounts
 
-MIN_SERVICE_TIME_SHARE = 0.5
-"""Share of the service time that a request needs at least, without unit. It is low because an
-unnecessary refusal costs more than a failed attempt."""
+MIN_SERVICE_TIME_FRACTION = 0.5
+"""A request that will have less than this fraction of the service time left is refused. Without
+unit. Below 1, as an unnecessary refusal costs more than a failed attempt."""
 MIN_RETRY_SECONDS = 0.05
-"""Minimum retry delay; loads are not known more precisely than this."""
+"""Minimum retry delay; loads are not known with a finer resolution."""
 MAX_RETRY_SECONDS = 1.0
 """Maximum retry delay: reported loads and service times are used for about a second."""
 NO_SLOT_RETRY_SECONDS = 0.5
-"""Retry delay for a service without any slot: time for new instances to be listed."""
-MAX_RETRY_SHARE = 1 / 3
-"""Maximum retry delay as a share of the time that the client has left, without unit."""
-MILLISECONDS = 1000
-"""Milliseconds in a second; retry delays are whole milliseconds."""
+"""Retry delay for a service without any slot: the time in which new instances become known."""
+MAX_RETRY_FRACTION = 1 / 3
+"""Maximum retry delay as a fraction of the time that the client has left, without unit."""
+MILLISECONDS_PER_SECOND = 1000
+"""Retry delays are whole milliseconds."""
 
 
 class Expectation(StrEnum):
@@ -36,12 +36,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Deadlines:
-    """The deadlines of one request, in monotonic time.
+    """The deadlines of one request, in steady time.
 
     Attributes:
         objective_at: end of the route's objective.
         expires_at: deadline; nothing is sent to a server afterwards.
-        default_service_time: seconds it takes at a server while no service time is known.
+        default_service_time: seconds that it is assumed to take while no service time is known.
     """
 
     objective_at: float
@@ -81,16 +81,20 @@
     """Returns the forecast of one request.
 
     Args:
-        ahead: requests that wait at this daemon and precede it.
-        blocked_seconds: seconds since a slot was last seen free; the wait is taken to last as long
-            again, whatever the service times say.
+        ahead: number of requests that wait at this daemon and precede it.
+        blocked_seconds: seconds for which requests have found no free slot; 0 if none found so
+            recently. The wait is expected to last at least as long again.
         share_wait: seconds until its flow's share has room for it.
     """
     service_time = slot_counts.service_time or deadlines.default_service_time
     wait = max(share_wait, _wait(slot_counts, service_time, ahead, blocked_seconds))
-    is_untried = slot_counts.has_few_running and not ahead and not blocked_seconds
+    may_find_free_slot = slot_counts.has_few_running and not ahead and not blocked_seconds
     if _is_infeasible(
-        slot_counts, deadlines, now, wait + service_time * MIN_SERVICE_TIME_SHARE, is_untried
+        slot_counts,
+        deadlines,
+        now,
+        wait + service_time * MIN_SERVICE_TIME_FRACTION,
+        may_find_free_slot,
     ):
         expectation = Expectation.NOT_AT_ALL
     elif now + wait + service_time <= deadlines.objective_at:
@@ -121,38 +125,43 @@
     """Returns the expected seconds until a slot is free, at the rate at which requests end."""
     if not slot_counts.total:
         return NO_SLOT_RETRY_SECONDS
-    missing = slot_counts.taken + ahead + 1 - slot_counts.total
-    if missing <= 0 or slot_counts.is_mostly_free:
+    excess_requests = slot_counts.taken + ahead + 1 - slot_counts.total
+    if excess_requests <= 0 or slot_counts.is_mostly_free:
         return 0.0
-    return max(blocked_seconds, missing * service_time / slot_counts.total)
+    return max(blocked_seconds, excess_requests * service_time / slot_counts.total)
 
 
 def _is_infeasible(
-    slot_counts: SlotCounts, deadlines: Deadlines, now: float, min_seconds: float, is_untried: bool
+    slot_counts: SlotCounts,
+    deadlines: Deadlines,
+    now: float,
+    min_seconds: float,
+    may_find_free_slot: bool,
 ) -> bool:
     """Returns whether a request that needs at least ``min_seconds`` cannot be served in time.
 
     Args:
-        is_untried: whether few slots run a request and none was found taken recently. An attempt
-            is then allowed, as a failed one costs less than an unnecessary refusal.
+        may_find_free_slot: whether few slots run a request, and no request waits or recently found
+            no slot. An attempt is then allowed, as a failed one costs less than an unnecessary
+            refusal.
     """
     if now >= deadlines.expires_at or not slot_counts.total:
         return True
-    if slot_counts.is_mostly_free or is_untried:
+    if slot_counts.is_mostly_free or may_find_free_slot:
         return False
     return now + min_seconds > deadlines.expires_at
 
 
 def retry_after(wait: float, time_left: float) -> float:
-    """Returns the retry delay in seconds; it leaves the client enough time for the retry."""
+    """Returns the retry delay in seconds, short enough that the client has time for the retry."""
     return floor_to_milliseconds(min(max(MIN_RETRY_SECONDS, wait), max_retry_delay(time_left)))
 
 
 def max_retry_delay(time_left: float) -> float:
     """Returns the maximum retry delay of a client with ``time_left`` seconds left."""
-    return min(MAX_RETRY_SECONDS, time_left * MAX_RETRY_SHARE)
+    return min(MAX_RETRY_SECONDS, time_left * MAX_RETRY_FRACTION)
 
 
 def floor_to_milliseconds(seconds: float) -> float:
     """Returns a time rounded down to whole milliseconds, at least one."""
-    return max(1, math.floor(seconds * MILLISECONDS)) / MILLISECONDS
+    return max(1, math.floor(seconds * MILLISECONDS_PER_SECOND)) / MILLISECONDS_PER_SECOND
--- a/src/larkpost/gateway/proxy/retry_spreading.py
+++ b/src/larkpost/gateway/proxy/retry_spreading.py
@@ -1,7 +1,7 @@
 """Sets retry times of refused clients: one after the other, at the rate at which slots become free.
 
-Clients of flows over their share are scheduled per flow, all others per group. Relies on the ledger
-for the number of requests that this daemon has running.
+Clients of flows over their share are scheduled by flow, all others by group. Relies on the ledger
+for the number of this daemon's running requests.
 """
 
 import random
@@ -34,7 +34,7 @@
         """Returns the forecast of a refused request with its own retry time."""
         max_delay = max_retry_delay(waiter.deadlines.expires_at - self._clock.now())
         queue = waiter.flow if waiter.was_over_share else waiter.flow.group
-        wanted = max(MIN_RETRY_SECONDS, forecast.wait)
+        min_delay = max(MIN_RETRY_SECONDS, forecast.wait)
         spacing = forecast.service_time / max(MIN_RUNNING, self._ledger.own_running(waiter.service))
-        delay = self._times.reserve(queue, wanted, spacing, max(0.0, max_delay))
+        delay = self._times.reserve(queue, min_delay, spacing, max(0.0, max_delay))
         return replace(forecast, retry_after=floor_to_milliseconds(delay))
--- a/src/larkpost/gateway/proxy/server_attempt.py
+++ b/src/larkpost/gateway/proxy/server_attempt.py
@@ -42,7 +42,7 @@
     async def make(
         self, instance: InstanceInfo, attempts: Attempts
     ) -> WholeResponse | StreamedResponse | None:
-        """Tries one server; returns None if it gave no response to return to the client now."""
+        """Tries one server; returns None if it gave no response that the client should get."""
         started_at = self._clock.now()
         try:
             response, is_signed = await self._exchange(instance, attempts)
@@ -79,7 +79,7 @@
         outgoing = self._outgoing(instance, attempts)
         with self._balancer.count_request(instance.id), self._scheduler.running(attempts.waiter):
             async with self._servers.send(instance, outgoing) as response:
-                self._scheduler.record_slot_found(attempts.waiter)
+                self._scheduler.record_accepted(attempts.waiter)
                 self._balancer.record_cold(instance.id, response.cold_left)
                 yield response
 
--- a/src/larkpost/gateway/proxy/service_time_tracker.py
+++ b/src/larkpost/gateway/proxy/service_time_tracker.py
@@ -1,9 +1,9 @@
-"""Service times of instances: the lasting ones, and the current ones.
+"""Long-term and current service times of instances.
 
 Combines the measurements of this daemon's own requests (`service_time_history`), the slowness that
 servers report (`slowness`), and the reports of other daemons (`reported_service_times`,
-`peer_use`). Short requests use the current service time, items of batches the lasting one. For a
-server that reports no slowness, short requests use the smoothed service time.
+`peer_use`). Short requests use the current service time, which is the smoothed one if the server
+reports no slowness. Items of batches use the long-term service time.
 """
 
 from larkpost.common.clock import Clock
@@ -18,9 +18,9 @@
 """Maximum number of service times in one heartbeat; instances take turns. It bounds the size of
 heartbeats, which many daemons read."""
 RECOVERY_SECONDS = 12.0
-"""How long after its last measurement the baseline of a degraded server is still reported, so that
-other daemons stop treating it as degraded. All other service times are reported only while they
-are measured; other daemons keep them for longer."""
+"""How long after its last measurement the baseline of a degraded server is reported, so that other
+daemons stop treating it as degraded. All other service times are reported only while measurements
+are recent; other daemons keep them for longer."""
 REPORTED_DIGITS = 4
 """Decimal places of a reported service time in seconds."""
 
@@ -47,8 +47,8 @@
         if speed_stats is None or not speed_stats.slowness.has_reports:
             return self._smoothed(instance)
         now = self._clock.now()
-        lasting = self._lasting(instance, speed_stats.responses)
-        return lasting * speed_stats.slowness.factor(now) or self._smoothed(instance)
+        long_term = self._long_term(instance, speed_stats.responses)
+        return long_term * speed_stats.slowness.factor(now) or self._smoothed(instance)
 
     def has_latency(self, instance: InstanceId) -> bool:
         """Returns whether the current service time comes from this daemon's own responses.
@@ -58,15 +58,15 @@
         speed_stats = self._own.speed_stats(instance)
         if speed_stats is None or not speed_stats.slowness.has_reports:
             return self._own.has_recent_response(instance)
-        if not self._lasting(instance, speed_stats.responses):
+        if not self._long_term(instance, speed_stats.responses):
             return self._own.has_recent_response(instance)
         return self._prefers_own(instance, speed_stats.responses)
 
-    def lasting(self, instance: InstanceId) -> float:
+    def long_term(self, instance: InstanceId) -> float:
         """Returns the seconds per event of an item, without short bursts; 0 if not known."""
         speed_stats = self._own.speed_stats(instance)
         history = speed_stats.events if speed_stats is not None else None
-        return self._lasting(instance, history) or self._smoothed(instance)
+        return self._long_term(instance, history) or self._smoothed(instance)
 
     def recent(self, engine: InstanceId) -> float:
         """Returns the seconds per event in the last slice measured here; 0 if not measured."""
@@ -88,7 +88,7 @@
     # Reports between daemons.
 
     def report(self) -> dict[InstanceId, float]:
-        """Returns at most `MAX_REPORTED_SERVICE_TIMES` measured service times, by turns."""
+        """Returns up to `MAX_REPORTED_SERVICE_TIMES` times, the least recently reported first."""
         measured = dict.fromkeys(self._own.measured())
         reported_before = dict.fromkeys(name for name in self._reported if name in measured)
         order = [name for name in measured if name not in reported_before] + list(reported_before)
@@ -110,8 +110,8 @@
         """Drops expired reports."""
         self._peer_reports.forget_old(now)
 
-    def _lasting(self, instance: InstanceId, history: ServiceTimeHistory | None) -> float:
-        """Returns the lasting service time; current measurements, here or elsewhere, come first."""
+    def _long_term(self, instance: InstanceId, history: ServiceTimeHistory | None) -> float:
+        """Returns the long-term service time, from recent measurements here or elsewhere first."""
         if history is not None and self._prefers_own(instance, history):
             return history.service_time(self._clock.now())
         return self._peer_reports.fresh(instance) or self._peer_reports.service_time(instance)
@@ -119,7 +119,7 @@
     def _prefers_own(self, instance: InstanceId, history: ServiceTimeHistory) -> bool:
         """Returns whether this daemon's measurements take precedence over reports."""
         now = self._clock.now()
-        if history.is_measured(now):
+        if history.is_recently_measured(now):
             return True
         return bool(history.service_time(now)) and not self._peer_reports.fresh(instance)
 
@@ -151,4 +151,4 @@
 def is_reported(history: ServiceTimeHistory, now: float) -> bool:
     """Returns whether a service time is reported: while measured, and shortly after degradation."""
     is_recovery = history.was_degraded and now - history.measured_at < RECOVERY_SECONDS
-    return history.is_measured(now) or is_recovery
+    return history.is_recently_measured(now) or is_recovery
--- a/src/larkpost/gateway/proxy/share_record.py
+++ b/src/larkpost/gateway/proxy/share_record.py
@@ -29,12 +29,12 @@
 
     def record(self, request: ClientRequest, waiter: Waiter, outcome: ShareOutcome) -> None:
         """Records an outcome if the request's flow was over its share; HELD only once."""
-        is_repeated = outcome is ShareOutcome.HELD and waiter.is_recorded
+        is_repeated = outcome is ShareOutcome.HELD and waiter.is_outcome_recorded
         is_share_exempt = outcome is ShareOutcome.EXEMPTED
         flow_share = waiter.flow_share
         if flow_share is None or is_repeated or waiter.is_share_exempt != is_share_exempt:
             return
-        waiter.is_recorded = True
+        waiter.is_outcome_recorded = True
         self._metrics.count(Count.SHARES, waiter.service, outcome)
         age = self._ledger.report_age()
         self._log.record(
@@ -47,7 +47,7 @@
             is_back=waiter.is_retry,
             held=round(self._clock.now() - request.received_at, 3),
             share=round(flow_share.share, 2),
-            use=flow_share.use,
+            use=flow_share.running,
             waiting=flow_share.waiting,
             ahead=flow_share.waiting_ahead,
             places=flow_share.total_slots,
--- a/tests/test_lasting_pace.py
+++ b/tests/test_lasting_pace.py
@@ -1,4 +1,4 @@
-"""Lasting service times and reported slowness: the pure rules, as tables of cases."""
+"""Long-term service times and reported slowness: the pure rules, as tables of cases."""
 
 import random
 import unittest
@@ -9,15 +9,15 @@
     SLICE_LIFETIME_SECONDS,
     SUSTAINED_SECONDS,
     ServiceTimeHistory,
+    correct_for_slowness,
     low_quantile,
     smooth_baseline,
-    without_slowness,
 )
 from larkpost.gateway.proxy.slowness import (
     MAX_SLOWNESS,
     SLOWNESS_LIFETIME_SECONDS,
     ReportedSlowness,
-    believed_slowness,
+    bounded_slowness,
 )
 
 FAST, SLOW = 0.034, 0.082
@@ -79,13 +79,13 @@
     def test_correction_for_slowness(self):
         for case, seconds, slowness, quickest, slowest, expected in CORRECTIONS:
             with self.subTest(case):
-                found = without_slowness(seconds, slowness, quickest, slowest)
+                found = correct_for_slowness(seconds, slowness, quickest, slowest)
                 self.assertAlmostEqual(expected, found)
 
     def test_slowness_factor(self):
         for reported, usual, expected in SLOWNESS_FACTORS:
             with self.subTest(reported=reported, usual=usual):
-                self.assertAlmostEqual(expected, believed_slowness(reported, usual))
+                self.assertAlmostEqual(expected, bounded_slowness(reported, usual))
 
 
 class ServiceTimeHistoryTest(unittest.TestCase):
@@ -161,7 +161,7 @@
         self.measure(3 * FAST, 5.0)
         self.now += 2 * BASELINE_LIFETIME_SECONDS
         self.history.record(self.now, FAST)
-        self.assertFalse(self.history.is_measured(self.now))
+        self.assertFalse(self.history.is_recently_measured(self.now))
         self.assertFalse(self.history.was_degraded)
         self.assertEqual(0.0, self.history.service_time(self.now))
         self.measure(FAST, 1.0)
@@ -173,7 +173,7 @@
         for _ in range(5):
             self.now += SLICE_LIFETIME_SECONDS + 1
             self.history.record(self.now, FAST)
-            self.assertFalse(self.history.is_measured(self.now))
+            self.assertFalse(self.history.is_recently_measured(self.now))
         self.assertEqual(0.0, self.history.service_time(self.now))
 
 
