--- a/src/larkpost/platform/server_control.py
+++ b/src/larkpost/platform/server_control.py
@@ -35,7 +35,7 @@
     412: OrderOutcome.FENCED,
     421: OrderOutcome.WRONG_INSTANCE,
 }
-CONTROL_LIMITS = CallOptions(kind=CallKind.CONTROL)
+CONTROL_OPTIONS = CallOptions(kind=CallKind.CONTROL)
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,7 +107,7 @@
                 server_url(instance.address, call.target),
                 data=call.body,
                 headers=call.headers(instance),
-                timeout=CONTROL_LIMITS,
+                timeout=CONTROL_OPTIONS,
             ) as response,
         ):
             if match_response(response.headers, None) is ResponseMatch.OTHER_REQUEST:
