--- a/src/larkpost/platform/http_protocol.py
+++ b/src/larkpost/platform/http_protocol.py
@@ -142,15 +142,15 @@
 
         After an early response, the connection becomes idle once the body has been discarded.
         """
-        is_before_body = self._in_body and self._current_cycle is self.cycle
-        if not is_before_body and not self.pipeline:
+        is_early_response = self._in_body and self._current_cycle is self.cycle
+        if not is_early_response and not self.pipeline:
             self.idle_since = self.loop.time()
         super().on_response_complete()
         if self.transport.is_closing():
             return
         if self._error_response is not None and self._current_cycle.response_complete:
             self._send_error_response()
-        elif is_before_body:
+        elif is_early_response:
             self._discard_body()
 
     def on_message_complete(self) -> None:
@@ -190,8 +190,8 @@
 
         Closing with unread bytes resets the connection, and the client may lose the response.
         """
-        is_before_body = self._in_body and self.cycle is cycle and cycle.response_complete
-        if is_before_body and not self._expects_continue:
+        is_early_response = self._in_body and self.cycle is cycle and cycle.response_complete
+        if is_early_response and not self._expects_continue:
             self._closes_after_body = True
         else:
             self.transport.close()
