--- a/src/larkpost/platform/server_refusals.py
+++ b/src/larkpost/platform/server_refusals.py
@@ -60,8 +60,8 @@
         NotRunError: the server did not execute it.
         BrokenResponseError: the response belongs to another request or has no request id.
     """
-    owner = match_response(response.headers, request.request_id)
-    if owner is ResponseMatch.OTHER_REQUEST:
+    id_match = match_response(response.headers, request.request_id)
+    if id_match is ResponseMatch.OTHER_REQUEST:
         raise BrokenResponseError("the response belongs to another request")
     if response.status == MISDIRECTED:
         actual_instance = response.headers.get(names.INSTANCE_ID.decode(), instance.name)
@@ -69,7 +69,7 @@
         raise NotRunError(NotRunReason.REPLACED if is_replaced else NotRunReason.MISDIRECTED)
     if names.NOT_EXECUTED.decode() in response.headers:
         raise NotRunError(NotRunReason.FULL, read_cold_seconds(response.headers))
-    if owner is ResponseMatch.UNIDENTIFIED:
+    if id_match is ResponseMatch.UNIDENTIFIED:
         raise BrokenResponseError("the response has no request id")
 
 
