--- a/src/larkpost/platform/process.py
+++ b/src/larkpost/platform/process.py
@@ -20,7 +20,7 @@
     open_clients,
 )
 from larkpost.platform.settings import PlatformSettings, load_platform_settings, settings_path
-from larkpost.platform.settings_watch import LiveSettings, SettingsWatcher, read_content
+from larkpost.platform.settings_watch import ReloadTargets, SettingsWatcher, read_content
 
 
 def run() -> None:
@@ -69,7 +69,7 @@
         Args:
             content: the file's content, read before the settings were loaded.
         """
-        live = LiveSettings(self._gateway.settings, self._clients.store, self._clients.duties)
+        live = ReloadTargets(self._gateway.settings, self._clients.store, self._clients.duties)
         return SettingsWatcher(path, content, self._reload, live, self._log)
 
     def handle_signals(self) -> None:
--- a/src/larkpost/platform/settings_watch.py
+++ b/src/larkpost/platform/settings_watch.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LiveSettings:
+class ReloadTargets:
     """The parts of a running daemon that changed settings are applied to.
 
     Attributes:
@@ -55,7 +55,7 @@
     """
 
     def __init__(
-        self, path: Path, content: bytes, reload: asyncio.Event, live: LiveSettings, log: EventLog
+        self, path: Path, content: bytes, reload: asyncio.Event, live: ReloadTargets, log: EventLog
     ) -> None:
         self._path = path
         self._content = content
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -14,7 +14,7 @@
 from larkpost.gateway.observability.eventlog import EventLog
 from larkpost.gateway.usage.port import UsageTerms
 from larkpost.platform.settings import load_platform_settings
-from larkpost.platform.settings_watch import LiveSettings, SettingsWatcher
+from larkpost.platform.settings_watch import ReloadTargets, SettingsWatcher
 from larkpost.platform.stand_in.daemon_settings import DaemonSettings, write_settings
 from larkpost.platform.store import HttpStore
 from larkpost.rehearsal.processes import ProcessGroup, free_address, wait_for
@@ -187,7 +187,7 @@
                 current = GatewaySettings("front-1", grace_time=7.5)
                 store = HttpStore(Address("10.9.0.1:8169"), 4096)
                 log = EventLog("front-1")
-                live = LiveSettings(current, store, None)
+                live = ReloadTargets(current, store, None)
                 watcher = SettingsWatcher(path, GOOD.encode(), reload, live, log)
                 watching = asyncio.create_task(watcher.watch())
                 await asyncio.sleep(0.05)
