--- a/src/larkpost/platform/process.py
+++ b/src/larkpost/platform/process.py
@@ -69,8 +69,8 @@
         Args:
             content: the file's content, read before the settings were loaded.
         """
-        live = ReloadTargets(self._gateway.settings, self._clients.store, self._clients.duties)
-        return SettingsWatcher(path, content, self._reload, live, self._log)
+        targets = ReloadTargets(self._gateway.settings, self._clients.store, self._clients.duties)
+        return SettingsWatcher(path, content, self._reload, targets, self._log)
 
     def handle_signals(self) -> None:
         """Installs handlers for signals and for event loop errors."""
--- a/src/larkpost/platform/settings_watch.py
+++ b/src/larkpost/platform/settings_watch.py
@@ -55,12 +55,17 @@
     """
 
     def __init__(
-        self, path: Path, content: bytes, reload: asyncio.Event, live: ReloadTargets, log: EventLog
+        self,
+        path: Path,
+        content: bytes,
+        reload: asyncio.Event,
+        targets: ReloadTargets,
+        log: EventLog,
     ) -> None:
         self._path = path
         self._content = content
         self._reload = reload
-        self._live = live
+        self._live = targets
         self._log = log
 
     async def watch(self) -> None:
