--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -67,7 +67,7 @@
         idle = self._conns.get(self._connection_keys.get(server))
         if not idle:
             return False
-        return self._is_usable(*idle[-1], self._oldest_usable(server))
+        return self._is_usable(*idle[-1], self._earliest_idle_since(server))
 
     def close_idle(self, server: Address) -> None:
         """Closes all idle connections to a server."""
@@ -83,7 +83,7 @@
         if not idle:
             self._conns.pop(self._connection_keys.get(server), None)
 
-    def _oldest_usable(self, server: Address) -> float:
+    def _earliest_idle_since(self, server: Address) -> float:
         """Returns the monotonic time before which a reusable connection must not have gone idle."""
         return steady_seconds() - self._keep_alive_seconds.get(server, DEFAULT_KEEP_ALIVE_SECONDS)
 
@@ -121,7 +121,7 @@
         self._track_server(server, key)
         idle = self._conns.get(key)
         if idle is not None:
-            oldest = self._oldest_usable(server)
+            oldest = self._earliest_idle_since(server)
             unusable = [entry for entry in idle if not self._is_usable(*entry, oldest)]
             for entry in unusable:
                 idle.remove(entry)
