--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -87,8 +87,8 @@
         """Returns the monotonic time before which a reusable connection must not have gone idle."""
         return steady_seconds() - self._keep_alive_seconds.get(server, DEFAULT_KEEP_ALIVE_SECONDS)
 
-    def _is_usable(self, protocol: WatchedConnection, idle_since: float, oldest: float) -> bool:
-        if protocol.should_close or idle_since < oldest:
+    def _is_usable(self, protocol: WatchedConnection, idle_since: float, earliest: float) -> bool:
+        if protocol.should_close or idle_since < earliest:
             return False
         return protocol.record is None or not self._detector.is_suspect(protocol.record)
 
@@ -121,8 +121,8 @@
         self._track_server(server, key)
         idle = self._conns.get(key)
         if idle is not None:
-            oldest = self._earliest_idle_since(server)
-            unusable = [entry for entry in idle if not self._is_usable(*entry, oldest)]
+            earliest = self._earliest_idle_since(server)
+            unusable = [entry for entry in idle if not self._is_usable(*entry, earliest)]
             for entry in unusable:
                 idle.remove(entry)
                 entry[0].close()
