--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -226,7 +226,7 @@
         return self._typical_latencies.get((record.address, record.kind), 0.0)
 
     def _record_latency(self, record: ConnectionRecord, seconds: float) -> None:
-        usual = self._typical_latency(record)
-        if seconds < usual:
-            seconds = usual + LATENCY_DECAY * (seconds - usual)
+        typical = self._typical_latency(record)
+        if seconds < typical:
+            seconds = typical + LATENCY_DECAY * (seconds - typical)
         self._typical_latencies[(record.address, record.kind)] = seconds
