--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -213,8 +213,8 @@
     def _evict_unused(self) -> None:
         oldest = self._now() - ADDRESS_RETENTION_SECONDS
         while self._unused_since:
-            address, left_at = next(iter(self._unused_since.items()))
-            if left_at > oldest:
+            address, unused_since = next(iter(self._unused_since.items()))
+            if unused_since > oldest:
                 return
             del self._unused_since[address]
             self._suspected_at.pop(address, None)
