--- a/src/larkpost/platform/duties.py
+++ b/src/larkpost/platform/duties.py
@@ -19,20 +19,20 @@
 
 CALL_FAILURES = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
 """Errors that a call may fail with."""
-NO_RESPONSE = 0
+NO_RESPONSE_STATUS = 0
 """Placeholder status of a call without a response."""
 REPORT_OUTCOMES = {
     200: ReportOutcome.TAKEN,
     409: ReportOutcome.FENCED,
     500: ReportOutcome.UNKNOWN,
-    NO_RESPONSE: ReportOutcome.UNKNOWN,
+    NO_RESPONSE_STATUS: ReportOutcome.UNKNOWN,
 }
 
 SCALING_OUTCOMES = {
     200: ScalingOutcome.TAKEN,
     409: ScalingOutcome.REFUSED,
     500: ScalingOutcome.UNKNOWN,
-    NO_RESPONSE: ScalingOutcome.UNKNOWN,
+    NO_RESPONSE_STATUS: ScalingOutcome.UNKNOWN,
 }
 
 
@@ -95,4 +95,4 @@
                 await response.read()
                 return response.status
         except CALL_FAILURES:
-            return NO_RESPONSE  # the lease holder logs it and retries
+            return NO_RESPONSE_STATUS  # the lease holder logs it and retries
--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -50,7 +50,7 @@
 """Timeout of a call for a peer, including its hold time."""
 NOT_SENT_STATUS = 503
 """Status for a peer whose call was definitely not sent."""
-NO_RESPONSE = 504
+NO_RESPONSE_STATUS = 504
 """Status for a peer whose call got no response; it may have been executed."""
 PROBE_TARGET = f"{names.READ_PATH}?table=members&part=proof&limit=1"
 """A read of no rows that checks whether the store responds on a new connection."""
@@ -157,7 +157,7 @@
         except CONNECT_FAILURES:
             return NOT_SENT_STATUS, b""  # tells the peer that the call was not sent
         except CALL_FAILURES:
-            return NO_RESPONSE, b""  # tells the peer that there was no response
+            return NO_RESPONSE_STATUS, b""  # tells the peer that there was no response
 
     async def read(
         self, table: str, part: str, first: str = "", end: str = "", limit: int = 0
