--- a/src/larkpost/platform/client_call.py
+++ b/src/larkpost/platform/client_call.py
@@ -176,11 +176,11 @@
             BodyStalledError: it did not arrive in time.
         """
         now = asyncio.get_running_loop().time()
-        slow_at = self.received_at + max(
+        rate_deadline = self.received_at + max(
             STALLED_SECONDS, self._body_bytes / MIN_BODY_BYTES_PER_SECOND
         )
         try:
-            async with asyncio.timeout_at(min(now + STALLED_SECONDS, slow_at)):
+            async with asyncio.timeout_at(min(now + STALLED_SECONDS, rate_deadline)):
                 message = await self._receive()
         except TimeoutError:
             raise BodyStalledError(
