--- a/src/larkpost/platform/process.py
+++ b/src/larkpost/platform/process.py
@@ -90,11 +90,11 @@
     async def run_until_stopped(self, watch_settings: Callable[[], Awaitable[None]]) -> None:
         """Runs until a signal asks to stop and the daemon has drained."""
         settings_task = asyncio.create_task(watch_settings())
-        guarding = asyncio.create_task(self._descriptor_monitor.watch())
+        descriptor_task = asyncio.create_task(self._descriptor_monitor.watch())
         await self._stop.wait()
         await self._gateway.drain()
         settings_task.cancel()
-        guarding.cancel()
+        descriptor_task.cancel()
 
     async def close(self) -> None:
         """Stops the daemon, then its listeners, then its clients."""
