--- a/src/larkpost/platform/server_requests.py
+++ b/src/larkpost/platform/server_requests.py
@@ -22,7 +22,7 @@
     session: aiohttp.ClientSession,
     instance: InstanceInfo,
     request: OutgoingRequest,
-    limits: CallOptions,
+    options: CallOptions,
 ) -> aiohttp.ClientResponse:
     """Sends a request and returns the response once its head has arrived.
 
@@ -35,7 +35,7 @@
         data=_payload(request.body),
         headers=_headers(instance, request),
         allow_redirects=False,
-        timeout=limits,
+        timeout=options,
     )
 
 
--- a/src/larkpost/platform/servers.py
+++ b/src/larkpost/platform/servers.py
@@ -133,12 +133,12 @@
         """Sends a request; if its connection is dead and it is repeatable, sends it once more."""
         if not request.repeat_if_silent or request.send_timeout is not None:
             # A send with a deadline was counted against a rate limit once, so it is made once.
-            limits = CallOptions(connect=request.send_timeout, disables_retry=True)
-            return await send_once(session, instance, request, limits)
+            options = CallOptions(connect=request.send_timeout, disables_retry=True)
+            return await send_once(session, instance, request, options)
         began = steady_seconds()
-        limits = CallOptions(aborts_if_dead=True, disables_retry=True)
+        options = CallOptions(aborts_if_dead=True, disables_retry=True)
         try:
-            return await send_once(session, instance, request, limits)
+            return await send_once(session, instance, request, options)
         except DeadConnectionError:
             again = _with_remaining_time(steady_seconds() - began, request)
         return await send_once(self._pooled, instance, again, CallOptions(disables_retry=True))
--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -227,9 +227,11 @@
     async def _exchange_once(self, call: StoreCall) -> tuple[int, bytes]:
         url = URL(self._base_url + call.target, encoded=True)
         start_probe = self._start_probe if call.body is not None else None
-        limits = CallOptions(hold_time=call.hold_time, aborts_if_dead=True, start_probe=start_probe)
+        options = CallOptions(
+            hold_time=call.hold_time, aborts_if_dead=True, start_probe=start_probe
+        )
         async with self._session.request(
-            call.method, url, data=call.body, headers=call.headers, timeout=limits
+            call.method, url, data=call.body, headers=call.headers, timeout=options
         ) as response:
             return response.status, await response.read()
 
--- a/src/larkpost/platform/watched_connection.py
+++ b/src/larkpost/platform/watched_connection.py
@@ -69,14 +69,14 @@
         self._probe_until: float | None = None
         self.record: ConnectionRecord | None = None
 
-    def begin_call(self, address: Address, limits: CallOptions) -> None:
+    def begin_call(self, address: Address, options: CallOptions) -> None:
         """Records the start of a call and schedules the check for a dead connection."""
         if self.record is None:
             self.record = self._detector.open(address)
-        self._detector.begin_call(self.record, limits.kind, limits.hold_time)
-        self._start_probe, self._probe_until = limits.start_probe, None
-        if limits.aborts_if_dead and self.record.received_at is not None:
-            self._schedule_check(limits.hold_time + self._detector.timeout_of(self.record))
+        self._detector.begin_call(self.record, options.kind, options.hold_time)
+        self._start_probe, self._probe_until = options.start_probe, None
+        if options.aborts_if_dead and self.record.received_at is not None:
+            self._schedule_check(options.hold_time + self._detector.timeout_of(self.record))
 
     def end_call(self) -> None:
         """Records that a call has ended or was abandoned."""
