--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -103,17 +103,17 @@
             aiohttp.ServerDisconnectedError: the call's connection was lost and it must not be
                 retried.
         """
-        limits = timeout if isinstance(timeout, CallOptions) else CallOptions()
-        if limits.disables_retry and limits.connection_count[0]:
+        call_options = timeout if isinstance(timeout, CallOptions) else CallOptions()
+        if call_options.disables_retry and call_options.connection_count[0]:
             raise aiohttp.ServerDisconnectedError("the connection was lost")
-        limits.connection_count[0] += 1
+        call_options.connection_count[0] += 1
         began = steady_seconds()
         connection = await super().connect(req, traces, timeout)
         if timeout.connect is not None and steady_seconds() - began > timeout.connect:
             connection.close()
             raise aiohttp.ConnectionTimeoutError("connected after the connect timeout")
         key = req.connection_key
-        connection.protocol.begin_call(Address(f"{key.host}:{key.port}"), limits)
+        connection.protocol.begin_call(Address(f"{key.host}:{key.port}"), call_options)
         return connection
 
     async def _get(self, key, traces):  # overrides a private method of aiohttp
