--- a/src/larkpost/platform/batch_endpoints.py
+++ b/src/larkpost/platform/batch_endpoints.py
@@ -103,7 +103,7 @@
         Raises:
             LarkpostError: the request cannot be served.
         """
-        caller = self._admission.caller(call.request_name, call.host_name, call.key)
+        caller = self._admission.caller(call.request_id_text, call.host_name, call.key)
         if call.path.startswith(names.BATCH_PATH_PREFIX):
             await self._serve_batch(call, response, caller)
         elif call.path.startswith(names.ITEM_PATH_PREFIX) and call.method == "GET":
--- a/src/larkpost/platform/client_call.py
+++ b/src/larkpost/platform/client_call.py
@@ -72,7 +72,7 @@
         self.headers: Headers = tuple(scope["headers"])
         self.request_id = self.header(names.REQUEST_ID)
         self.memory = memory
-        memory.owner = self.request_name
+        memory.owner = self.request_id_text
         self._is_body_requested = False
         self._body_bytes = 0
 
@@ -102,7 +102,7 @@
         return self.host.decode("latin-1").partition(":")[0].lower()
 
     @property
-    def request_name(self) -> str:
+    def request_id_text(self) -> str:
         """The request id as text, for logs."""
         return self.request_id.decode("latin-1")
 
--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -116,9 +116,11 @@
                 never fit into memory.
         """
         if call.path.startswith(names.RESERVED_PATH_PREFIX):
-            self._admission.caller(call.request_name, call.host_name, call.key)
+            self._admission.caller(call.request_id_text, call.host_name, call.key)
         else:
-            admitted = self._admission.admit(call.request_name, call.host_name, call.path, call.key)
+            admitted = self._admission.admit(
+                call.request_id_text, call.host_name, call.path, call.key
+            )
             declared = call.int_header(b"content-length") or 0
             if admitted.route.kind is RouteKind.BATCH and declared <= self.limits().body_bytes:
                 self._batch_endpoints.check_size(call, declared)
@@ -152,7 +154,7 @@
         if call.path.startswith(names.RESERVED_PATH_PREFIX):
             await self._batch_endpoints.serve(call, response)
             return
-        admitted = self._admission.admit(call.request_name, call.host_name, call.path, call.key)
+        admitted = self._admission.admit(call.request_id_text, call.host_name, call.path, call.key)
         route = admitted.route
         if route.kind is RouteKind.BATCH:
             await self._batch_endpoints.submit(call, response, body, admitted.tenant)
