--- a/src/larkpost/platform/batch_endpoints.py
+++ b/src/larkpost/platform/batch_endpoints.py
@@ -1,4 +1,4 @@
-"""HTTP endpoints for batches: submit a batch, read its results or an item, end it.
+"""HTTP endpoints for batches: submit a batch, read its results or one item's body, or end it.
 
 Translates between HTTP and `larkpost.gateway.rollouts.service.BatchService`.
 """
@@ -25,18 +25,18 @@
 NOT_FOUND = 404
 NOT_ALLOWED = 405
 SUBMISSION_MEMORY_FACTOR = 3
-"""Memory that a submission needs besides its body, as a multiple of the body's size: the decoded
-items, their rows and the store calls that carry these."""
+"""Memory that a submission needs in addition to its body, as a multiple of the body's size: for the
+decoded items, their rows, and the store calls that write the rows."""
 MAX_LONG_POLL_SECONDS = 10.0
 """Maximum time for which a request for results is held."""
 
 
 TOO_LARGE_RETRY_SECONDS = 5.0
-"""``Retry-After`` for a batch that this daemon can never hold; the caller should use another."""
+"""``Retry-After`` for a batch that this daemon can never hold; another daemon may accept it."""
 
 
 class BatchTooLargeError(LarkpostError):
-    """The batch exceeds this machine's memory; it was not accepted and never will be here."""
+    """The batch exceeds this daemon's memory limit; this daemon can never accept it."""
 
     code = "batch_too_large_here"
     status = 503
@@ -57,10 +57,10 @@
         body: bytes | bytearray,
         tenant: TenantName | None,
     ) -> None:
-        """Submits the batch in a request's body.
+        """Submits the batch that a request's body holds.
 
         Raises:
-            LarkpostError: the batch is not accepted.
+            LarkpostError: the batch is rejected.
         """
         if call.method != "POST":
             await response.send_whole(NOT_ALLOWED)
@@ -98,7 +98,7 @@
         await response.send_whole(ACCEPTED)
 
     async def serve(self, call: ClientCall, response: ClientResponse) -> None:
-        """Serves a request about a submitted batch.
+        """Serves a request that reads or ends a submitted batch.
 
         Raises:
             LarkpostError: the request cannot be served.
@@ -144,5 +144,5 @@
 
 
 def _batch_id_from_path(prefix: bytes, call: ClientCall) -> BatchId:
-    """Returns the batch id that follows a prefix in the path."""
+    """Returns the decoded batch id that follows ``prefix`` in the path."""
     return BatchId(unquote(call.path[len(prefix) :].decode("latin-1")))
--- a/src/larkpost/platform/client_call.py
+++ b/src/larkpost/platform/client_call.py
@@ -1,4 +1,4 @@
-"""A client's request: its head, its body, and the client's disconnect."""
+"""A client's request: parses its head, reads its body, and waits for the client's disconnect."""
 
 import asyncio
 from urllib.parse import parse_qs
@@ -28,7 +28,7 @@
         b"content-length",
     }
 )
-"""Hop-by-hop headers, and ``Content-Length``, which is set anew for each connection."""
+"""Headers that apply to one connection: hop-by-hop headers and ``Content-Length``."""
 
 OWN_REQUEST_HEADERS = names.CALLER_HEADERS | {
     b"host",
@@ -36,16 +36,16 @@
     names.REQUEST_ID,
     names.DEADLINE_MS,
 }
-"""Request headers that are not forwarded: larkpost consumes them or sets them anew."""
+"""Request headers that are not forwarded: larkpost reads them itself or sets its own values."""
 
 
 MIN_BODY_BYTES_PER_SECOND = 50_000.0
-"""Minimum average rate, measured from the head, at which a large body must arrive, as memory is
-reserved for it meanwhile. Enforced only after `STALLED_SECONDS`."""
+"""Minimum average rate at which a large body must arrive, as its memory stays reserved until then.
+The rate counts from the arrival of the head and is enforced after `STALLED_SECONDS`."""
 
 
 class BodyStalledError(LarkpostError):
-    """The body stalled or arrived too slowly; the request was not and will not be executed."""
+    """The request's body stalled or arrived too slowly; the request is not executed."""
 
     code = "body_stalled"
     status = 408
@@ -56,7 +56,7 @@
     """One request of a client.
 
     Attributes:
-        received_at: event loop time at which the head was read, in seconds.
+        received_at: event loop time at which the head had been read, in seconds.
         path: the encoded path as sent.
         headers: lower-case names and values, in the order in which they were sent.
         request_id: the caller's id of this attempt; empty if it sent none.
@@ -83,12 +83,12 @@
 
     @property
     def client_connection(self) -> ClientConnection | None:
-        """The connection that the response is written to; None if it is not known."""
+        """The connection to which the response is written; None if unknown."""
         return self._scope.get("state", {}).get(CLIENT_CONNECTION)
 
     @property
     def expects_continue(self) -> bool:
-        """Whether the client waits for ``100 Continue``, which has not been sent, with its body."""
+        """Whether the client sends its body only after a ``100 Continue`` that is not sent yet."""
         return not self._is_body_requested and self.header(b"expect").lower() == b"100-continue"
 
     @property
@@ -103,12 +103,12 @@
 
     @property
     def request_id_text(self) -> str:
-        """The request id as text, for logs."""
+        """The request id as text."""
         return self.request_id.decode("latin-1")
 
     @property
     def key(self) -> KeyDigest | None:
-        """The digest of the caller's API key; None without a key or with several different ones."""
+        """The digest of the caller's API key; None if there is no key or several different ones."""
         keys = {value for name, value in self.headers if name == names.API_KEY}
         return digest_key(keys.pop()) if len(keys) == 1 else None
 
@@ -122,7 +122,7 @@
         return next((value for key, value in self.headers if key == name), b"")
 
     def int_header(self, name: bytes) -> int | None:
-        """Returns a header's value as an integer; None if it is missing or not one."""
+        """Returns a header's value as an integer; None if it is missing or not an integer."""
         text = self.header(name)
         return int(text) if text.isdigit() else None
 
@@ -146,8 +146,8 @@
     async def read_body(self, limit: int) -> bytes | bytearray | None:
         """Returns the whole body, or None if it is larger than ``limit`` bytes.
 
-        The declared length is reserved before reading; without one, the reservation grows as the
-        body arrives.
+        Reserves memory for the declared length before reading. If no length is declared, the
+        reservation grows as the body arrives.
 
         Raises:
             ClientDisconnectedError: the client closed its connection.
--- a/src/larkpost/platform/connections.py
+++ b/src/larkpost/platform/connections.py
@@ -1,7 +1,6 @@
-"""The connection pool for servers and the store; validates connections before reuse.
+"""The connection pool for servers and the store; validates idle connections before reuse.
 
-Decides which idle connections are reused and records the keep-alive timeout of each server. It
-overrides private methods of aiohttp's connector, so the version of aiohttp is pinned.
+It overrides private methods of aiohttp's connector, so the version of aiohttp is pinned.
 """
 
 import functools
@@ -20,24 +19,27 @@
 MAX_KEEP_ALIVE_SECONDS = 30.0
 """Upper bound of the announced keep-alive timeout."""
 KEEP_ALIVE_MARGIN_SECONDS = 1.5
-"""Connections are not reused this shortly before their server closes them; servers announce the
-timeout in whole seconds."""
+"""Subtracted from the announced keep-alive timeout, so that a connection is not reused while its
+server closes it; servers announce the timeout in whole seconds."""
 MIN_TRACKED_ADDRESSES = 1000
-"""Number of tracked servers above which those without an idle connection are dropped."""
+"""Minimum number of tracked servers above which those without idle connections are dropped."""
 MAX_HEADER_LINE_BYTES = 65536
-"""Maximum length of a status line or a header line of a response."""
+"""Maximum length of a status line or header line of a response."""
 
-# aiohttp measures idle time with time.monotonic, which stops while the machine is suspended. A
-# connection that its server closed meanwhile would look fresh; steady_seconds counts that time.
+# aiohttp measures idle time with time.monotonic, which does not count the time for which the
+# machine is suspended, so connections that servers closed in that time would be reused.
 aiohttp.connector.monotonic = steady_seconds
 
 
 class CheckedConnector(aiohttp.TCPConnector):
     """A connector that validates idle connections before reuse.
 
-    A server may send a second response after a complete one. Those bytes stay in the buffer of the
-    idle connection, and aiohttp would take them for the response to the next request. Such
-    connections are closed, and so are those that their server is about to close and suspect ones.
+    It closes an idle connection instead of reusing it if the connection
+
+    - has received bytes since its last response, which aiohttp would take for the response to the
+      next request,
+    - may be about to be closed by its server, or
+    - is suspect.
 
     Args:
         detector: knows which connections are suspect.
@@ -84,7 +86,7 @@
             self._conns.pop(self._connection_keys.get(server), None)
 
     def _earliest_idle_since(self, server: Address) -> float:
-        """Returns the monotonic time before which a reusable connection must not have gone idle."""
+        """Returns the earliest steady time since which a reusable connection may have been idle."""
         return steady_seconds() - self._keep_alive_seconds.get(server, DEFAULT_KEEP_ALIVE_SECONDS)
 
     def _is_usable(self, protocol: WatchedConnection, idle_since: float, earliest: float) -> bool:
@@ -95,13 +97,13 @@
     async def connect(self, req, traces, timeout):
         """Returns a pooled or new connection for a call.
 
-        Checks the connect timeout itself: after the process was suspended, the connection may be
-        open before the timer has run.
+        Checks the connect timeout again after connecting: after the process was suspended, the
+        connection may be open before aiohttp's timer has run.
 
         Raises:
             aiohttp.ConnectionTimeoutError: the connect timeout has passed.
-            aiohttp.ServerDisconnectedError: the call's connection was lost and it must not be
-                retried.
+            aiohttp.ServerDisconnectedError: the call's connection was lost, and the call must not
+                be retried.
         """
         call_options = timeout if isinstance(timeout, CallOptions) else CallOptions()
         if call_options.disables_retry and call_options.connection_count[0]:
@@ -117,6 +119,7 @@
         return connection
 
     async def _get(self, key, traces):  # overrides a private method of aiohttp
+        """Closes the unusable idle connections to a server, then returns one of the others."""
         server = Address(f"{key.host}:{key.port}")
         self._track_server(server, key)
         idle = self._conns.get(key)
@@ -131,19 +134,19 @@
         return await super()._get(key, traces)
 
     def _track_server(self, server: Address, key: ConnectionKey) -> None:
-        """Records the pool key of a server; drops servers without idle connections at times."""
+        """Records a server's pool key; above a limit, drops servers without idle connections."""
         self._connection_keys[server] = key
         if len(self._connection_keys) <= self._max_tracked:
             return
         self._connection_keys = {
-            name: known
-            for name, known in self._connection_keys.items()
-            if known in self._conns or known == key
+            address: pool_key
+            for address, pool_key in self._connection_keys.items()
+            if pool_key in self._conns or pool_key == key
         }
         self._keep_alive_seconds = {
-            name: seconds
-            for name, seconds in self._keep_alive_seconds.items()
-            if name in self._connection_keys
+            address: seconds
+            for address, seconds in self._keep_alive_seconds.items()
+            if address in self._connection_keys
         }
         self._max_tracked = max(MIN_TRACKED_ADDRESSES, 2 * len(self._connection_keys))
 
--- a/src/larkpost/platform/dead_connections.py
+++ b/src/larkpost/platform/dead_connections.py
@@ -1,13 +1,14 @@
-"""Detects connections that are dead without having been reset, as opposed to slow servers.
+"""Detects dead connections that were not reset, and distinguishes them from slow servers.
 
 Keeps the state of each open connection, the typical latency of calls to each address, and the
-suspect addresses. The criteria are in `larkpost.platform.dead_connection_rule`. When a connection
-is dead, its address becomes suspect, and no connection that was open at that moment is reused.
-Connections opened since are trusted, so a slow server loses at most one set of connections per
-`SUSPECT_COOLDOWN_SECONDS`.
+suspect addresses. `larkpost.platform.dead_connection_rule` defines when a connection is dead.
 
-Operators see dead connections as ``connections_silent`` in the log and as
-``larkpost_silent_connections_total`` in the metrics.
+When a connection is dead, its address becomes suspect: none of the connections that are open at
+that moment is reused. Connections opened later may be reused, so a slow server that is wrongly
+suspected loses its open connections at most once per `SUSPECT_COOLDOWN_SECONDS`.
+
+Dead connections are logged as ``connections_silent`` and counted in the metric
+``larkpost_silent_connections_total``.
 """
 
 from collections.abc import Callable
@@ -29,16 +30,18 @@
 )
 
 LATENCY_DECAY = 0.1
-"""Weight of a faster call in the moving average of the latency; a slower call replaces it."""
+"""Weight of a new latency in the moving average if it is below the average; a higher latency
+replaces the average."""
 SUSPECT_COOLDOWN_SECONDS = 2.0
 """Minimum time before an address becomes suspect again, so that a server that is slow at times does
 not lose its connections repeatedly."""
 ADDRESS_RETENTION_SECONDS = 60.0
-"""How long the state of an address without connections is kept; restarted servers use new ones."""
+"""How long the state of an address without connections is kept; restarted servers use new
+addresses."""
 
 
 class UpstreamKind(StrEnum):
-    """What a connection leads to; the value is a metric label."""
+    """The other end of a connection; the value is a metric label."""
 
     STORE = "store"
     PEER = "peer"
@@ -54,14 +57,14 @@
 
 @dataclass(slots=True, eq=False)
 class ConnectionRecord:
-    """The state of one open connection. All times are monotonic.
+    """The state of one open connection; all times are in steady seconds.
 
     Attributes:
         received_at: time at which it last received bytes; None if it never did.
-        call_started_at: time at which its last call began.
-        kind: kind of that call.
-        hold_time: seconds for which the server may hold this call (long poll) before it responds.
-        awaits_response: whether the call has not received a byte of its response yet.
+        call_started_at: time at which its latest call began.
+        kind: kind of its latest call.
+        hold_time: seconds for which the server may hold its latest call (long poll).
+        awaits_response: whether a call is in progress and has received no bytes yet.
     """
 
     address: Address
@@ -73,7 +76,7 @@
     awaits_response: bool = False
 
     def waiting_since(self) -> float:
-        """Returns the time since which the call has waited for bytes."""
+        """Returns the time of the call's start or of the last bytes, whichever is later."""
         return max(self.call_started_at, self.received_at or 0.0)
 
 
@@ -81,10 +84,10 @@
     """Tracks the connections to all addresses of one kind and detects dead ones.
 
     Args:
-        upstream: what the connections lead to.
-        metrics: counts addresses that become suspect.
-        log: records them.
-        now: returns monotonic time.
+        upstream: the other end of the connections.
+        metrics: counts each time an address becomes suspect.
+        log: records each time an address becomes suspect.
+        now: returns steady seconds.
     """
 
     def __init__(
@@ -102,18 +105,18 @@
         self._typical_latencies: dict[tuple[Address, CallKind], float] = {}
         self._suspected_at: dict[Address, float] = {}
         self._unused_since: dict[Address, float] = {}
-        """Close time of the last connection, for addresses without any, oldest first."""
+        """Close time of the last connection to each address without connections, oldest first."""
 
-    def open(self, address: Address) -> ConnectionRecord:
-        """Returns the record of a new connection."""
+    def add_connection(self, address: Address) -> ConnectionRecord:
+        """Starts to track a new connection and returns its record."""
         record = ConnectionRecord(address, self._now())
         self._unused_since.pop(address, None)
         self._evict_unused()
         self._records.setdefault(address, set()).add(record)
         return record
 
-    def close(self, record: ConnectionRecord) -> None:
-        """Removes the record of a closed connection."""
+    def remove_connection(self, record: ConnectionRecord) -> None:
+        """Stops tracking a closed connection."""
         records = self._records.get(record.address)
         if records is not None:
             records.discard(record)
@@ -137,7 +140,10 @@
                 self._record_latency(record, record.received_at - record.call_started_at)
 
     def end_call(self, record: ConnectionRecord) -> None:
-        """Records the end of a call, complete or not; marks the address suspect if it timed out."""
+        """Records the end of a call; marks the address suspect if the connection is dead.
+
+        The elapsed time of a call without a response raises the typical latency if it exceeds it.
+        """
         if self.is_dead(record, ABANDONED_CALL_TIMEOUT):
             self.mark_suspect(record)
         elif record.awaits_response and not record.hold_time:
@@ -149,9 +155,9 @@
     def timeout_of(
         self, record: ConnectionRecord, timeout: AdaptiveTimeout = ABORT_TIMEOUT
     ) -> float:
-        """Returns the seconds without a byte after which a connection may be dead.
+        """Returns the seconds without bytes after which a call has timed out.
 
-        They count from the end of the call's hold time.
+        Before the response begins, the timeout starts at the end of the call's hold time.
         """
         if not record.awaits_response:
             return MAX_BODY_PAUSE_SECONDS
@@ -159,14 +165,14 @@
 
     def is_dead(self, record: ConnectionRecord, timeout: AdaptiveTimeout = ABORT_TIMEOUT) -> bool:
         """Returns whether a connection with a call in progress is dead."""
-        wait = PendingCall(
+        call = PendingCall(
             now=self._now(),
-            since=record.waiting_since(),
-            limit=self.timeout_of(record, timeout),
+            waiting_since=record.waiting_since(),
+            timeout=self.timeout_of(record, timeout),
             hold_time=record.hold_time if record.awaits_response else 0.0,
             received_at=record.received_at,
         )
-        return has_timed_out(wait) and not is_server_slow(wait, self._others_received_at(record))
+        return has_timed_out(call) and not is_server_slow(call, self._others_received_at(record))
 
     def is_newer_connection_alive(self, record: ConnectionRecord) -> bool:
         """Returns whether a connection opened after the call began has received bytes."""
@@ -178,7 +184,7 @@
     def mark_suspect(self, record: ConnectionRecord) -> None:
         """Marks all open connections to the record's address as suspect.
 
-        Does nothing during the cooldown, or if the connection was suspect already.
+        Does nothing during the cooldown, or if the connection is already suspect.
         """
         now = self._now()
         suspected_at = self._suspected_at.get(record.address, float("-inf"))
@@ -202,7 +208,7 @@
         return record.opened_at <= self._suspected_at.get(record.address, float("-inf"))
 
     def _others_received_at(self, record: ConnectionRecord) -> float | None:
-        """Returns when any connection that was open when the call began last received bytes."""
+        """Returns the latest time at which a connection opened before the call received bytes."""
         times = (
             other.received_at
             for other in self._records.get(record.address, ())
@@ -211,6 +217,7 @@
         return max(times, default=None)
 
     def _evict_unused(self) -> None:
+        """Drops the state of addresses unused for `ADDRESS_RETENTION_SECONDS`."""
         oldest = self._now() - ADDRESS_RETENTION_SECONDS
         while self._unused_since:
             address, unused_since = next(iter(self._unused_since.items()))
@@ -222,7 +229,7 @@
                 self._typical_latencies.pop((address, kind), None)
 
     def _typical_latency(self, record: ConnectionRecord) -> float:
-        """Returns the typical latency of calls like the connection's last; 0 if unknown."""
+        """Returns the typical latency of calls of the latest call's kind; 0 if unknown."""
         return self._typical_latencies.get((record.address, record.kind), 0.0)
 
     def _record_latency(self, record: ConnectionRecord, seconds: float) -> None:
--- a/src/larkpost/platform/descriptors.py
+++ b/src/larkpost/platform/descriptors.py
@@ -1,8 +1,8 @@
 """Keeps file descriptors free, so that a ready daemon can accept connections.
 
-When a process runs out of descriptors, the event loop stops accepting for a second at a time. To
-avoid that, idle client connections are closed early, and a daemon whose connections are all in use
-reports not ready until some have ended.
+When a process runs out of descriptors, the event loop stops accepting connections for a second at a
+time. To avoid that, idle client connections are closed when many descriptors are in use. If closing
+them does not free enough descriptors, the daemon reports that it is not ready.
 """
 
 import asyncio
@@ -15,13 +15,14 @@
 CHECK_INTERVAL_SECONDS = 0.5
 """Interval between checks."""
 RESERVED_DESCRIPTORS = 200
-"""Descriptors for files, listeners, the event loop and anything that is not counted."""
+"""Descriptors reserved for all but connections: files, listeners, the event loop and others."""
 CLOSE_IDLE_THRESHOLD = 0.85
-"""Fraction of descriptors in use at which idle connections are closed."""
+"""Fraction of descriptors in use from which idle connections are closed."""
 CLOSE_IDLE_TARGET = 0.75
-"""Fraction down to which they are closed; below the threshold, so that not every check closes."""
+"""Fraction in use at which closing stops; below the threshold, so that connections are not closed
+at every check."""
 NOT_READY_THRESHOLD = 0.95
-"""Fraction at which the daemon is not ready; the rest is for connections to servers."""
+"""Fraction in use from which the daemon is not ready; the rest is for connections to servers."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +38,7 @@
     limit: int
 
     def count_excess(self) -> int:
-        """Returns how many connections exceed `CLOSE_IDLE_TARGET`; negative if none do."""
+        """Returns the number of open sockets above `CLOSE_IDLE_TARGET`; negative if below."""
         return self.used - int(self.limit * CLOSE_IDLE_TARGET)
 
     def must_close_idle(self) -> bool:
@@ -45,15 +46,15 @@
         return self.used >= self.limit * CLOSE_IDLE_THRESHOLD
 
     def can_accept(self, closed: int) -> bool:
-        """Returns whether the daemon can accept connections after closing ``closed`` of them."""
+        """Returns whether the daemon can accept connections after ``closed`` sockets are closed."""
         return self.used - closed < self.limit * NOT_READY_THRESHOLD
 
 
 class DescriptorMonitor:
-    """Monitors the descriptors that one daemon uses.
+    """Monitors the file descriptors of one daemon.
 
     Args:
-        limit: maximum number of descriptors.
+        limit: maximum number of descriptors of the process.
         count_sockets: returns the number of open sockets.
         close_idle: closes up to the given number of idle client connections and returns how many
             it closed.
@@ -86,7 +87,10 @@
         self._set_accepting(use.used, closed, accepting=use.can_accept(closed))
 
     def handle_loop_error(self, loop: asyncio.AbstractEventLoop, context: dict) -> None:
-        """Handles failures to accept; passes other event loop errors to the default handler."""
+        """Closes idle connections after a failure to accept; passes other errors on.
+
+        The default handler of the event loop handles the other errors.
+        """
         if not _is_accept_failure(context):
             loop.default_exception_handler(context)
             return
--- a/src/larkpost/platform/duties.py
+++ b/src/larkpost/platform/duties.py
@@ -1,6 +1,6 @@
-"""The adapter to the platform's calls that only the holder of a lease makes.
+"""The adapter to the platform's API, which only the daemon that holds a lease calls.
 
-Sends usage reports and orders of servers, and translates the response statuses.
+Sends usage reports and scaling orders, and translates the statuses of the responses.
 """
 
 import asyncio
@@ -37,7 +37,7 @@
 
 
 class HttpDuties:
-    """Sends usage reports and orders of servers; implements `UsagePort` and `ScalingPort`.
+    """Sends usage reports and scaling orders; implements `UsagePort` and `ScalingPort`.
 
     Args:
         address: address of the platform's API.
@@ -58,7 +58,7 @@
     async def report_usage(
         self, report: UsageReport, holder: str, lease: Lease, timeout: float
     ) -> ReportOutcome:
-        """Sends a usage report; see the port."""
+        """Sends a usage report; see `UsagePort.report_usage`."""
         document = {"window-id": report.window, "counts": report.counts}
         status = await self._call(names.USAGE_PATH, document, holder, lease, timeout)
         return REPORT_OUTCOMES.get(status, ReportOutcome.NOT_TAKEN)
@@ -66,7 +66,7 @@
     async def order_servers(
         self, order: ScalingOrder, holder: str, lease: Lease, timeout: float
     ) -> ScalingOutcome:
-        """Orders servers; see the port."""
+        """Orders servers from the platform; see `ScalingPort.order_servers`."""
         document: dict[str, object] = {
             "service": order.service,
             "zone": order.zone,
@@ -80,7 +80,10 @@
     async def _call(
         self, call: str, document: dict[str, object], holder: str, lease: Lease, timeout: float
     ) -> int:
-        """Makes a call under a lease and returns its status; `NO_RESPONSE` if there was none."""
+        """Makes a call under a lease and returns its status.
+
+        Returns `NO_RESPONSE_STATUS` if there was no response.
+        """
         headers = {
             names.LEASE_HOLDER.decode(): holder,
             names.FENCING_TOKEN.decode(): str(lease.token),
--- a/src/larkpost/platform/http_protocol.py
+++ b/src/larkpost/platform/http_protocol.py
@@ -1,8 +1,8 @@
 """The HTTP server: uvicorn's protocol with configurable limits on clients.
 
-It limits the head of a request, tracks idle connections, and closes a connection safely after a
-response that was sent before the request's body was read. It overrides private methods of uvicorn's
-protocol, so the version of uvicorn is pinned.
+It limits the size and duration of a request's head and tracks idle connections. After an early
+response, which is complete before the request's body has been received, it discards the rest of the
+body. It overrides private methods of uvicorn's protocol, so the version of uvicorn is pinned.
 """
 
 import asyncio
@@ -24,14 +24,15 @@
 KEEPALIVE_INTERVAL_SECONDS = 1
 KEEPALIVE_PROBES = 3
 """TCP keepalive of client connections: a dead connection or machine is detected after six seconds,
-and the request's resources are released."""
+and the resources of its request are released."""
 CLIENT_USER_TIMEOUT_MS = 6000
-"""Maximum time for which sent bytes may stay unacknowledged; equal to the keepalive time."""
+"""Maximum time for which sent bytes may stay unacknowledged; equal to the time after which TCP
+keepalive detects a dead connection."""
 MAX_DISCARD_SECONDS = 15.0
 """Maximum time for which the rest of a body is discarded after an early response. Closing with
 unread bytes would reset the connection, and the client might lose the response."""
 CLIENT_CONNECTION = "outlet"
-"""Key in a request's ASGI state: the connection that the response is written to."""
+"""Key in a request's ASGI state: the connection to which the response is written."""
 OVERSIZED = "oversized"
 """Key in a request's ASGI state: whether its head exceeds the size limit."""
 HEAD_TOO_LARGE = (
@@ -93,7 +94,7 @@
         self._current_cycle: RequestResponseCycle | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Starts a connection with TCP keepalive enabled."""
+        """Enables TCP keepalive and sets the TCP user timeout on a new connection."""
         super().connection_made(transport)
         accepted = transport.get_extra_info("socket")
         enable_keepalive(
@@ -102,9 +103,9 @@
         accepted.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, CLIENT_USER_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
-        """Parses bytes from the client and counts those of the head.
+        """Parses bytes from the client and limits the size and duration of the head.
 
-        Bytes after a rejected head are dropped.
+        Bytes that arrive after rejected input are dropped.
         """
         if self._error_response is not None:
             return
@@ -138,9 +139,9 @@
         self.idle_since = None
 
     def on_response_complete(self) -> None:
-        """Marks the connection idle, unless a pipelined request waits.
+        """Marks the connection idle unless a pipelined request waits.
 
-        After an early response, the connection becomes idle once the body has been discarded.
+        After an early response, starts to discard the body; the connection becomes idle afterwards.
         """
         is_early_response = self._in_body and self._current_cycle is self.cycle
         if not is_early_response and not self.pipeline:
@@ -154,7 +155,7 @@
             self._discard_body()
 
     def on_message_complete(self) -> None:
-        """Handles the end of a request's body."""
+        """Handles the end of a request's body; ends the discarding of it."""
         self._in_body = False
         super().on_message_complete()
         if self._discard_timer is not None:
@@ -182,13 +183,14 @@
         super().on_headers_complete()
         self.cycle.transport = ResponseTransport(self, self.cycle)
         if len(self.pipeline) == 1:
-            # uvicorn stops reading at a pipelined request and would not detect a close.
+            # uvicorn pauses reading at a pipelined request and would not detect a close.
             self.flow.resume_reading()
 
     def close_after(self, cycle: RequestResponseCycle) -> None:
-        """Closes the connection after a response and, if it is being sent, the request's body.
+        """Closes the connection; after an early response, once the body has been discarded.
 
-        Closing with unread bytes resets the connection, and the client may lose the response.
+        Closing with unread bytes would reset the connection, and the client might lose the
+        response. If the client waits for ``100 Continue``, it sends no body.
         """
         is_early_response = self._in_body and self.cycle is cycle and cycle.response_complete
         if is_early_response and not self._expects_continue:
@@ -197,7 +199,7 @@
             self.transport.close()
 
     def shutdown(self) -> None:
-        """Closes the connection after the response and the body in progress."""
+        """Closes the connection once the response is complete and the body has been discarded."""
         if self._discard_timer is None:
             super().shutdown()
         elif not self._closes_after_body:
@@ -288,19 +290,19 @@
             self._discard_timer = None
 
     def _reject(self, response: bytes) -> None:
-        """Closes the connection with an error response to what was just read.
+        """Rejects the bytes just read: sends an error response and closes the connection.
 
-        Complete requests that precede it are answered first, as the client would otherwise take
-        the response for that of the oldest request.
+        Complete requests before those bytes are answered first, as the client would otherwise take
+        the error response for the response to the oldest of them.
         """
         self._stop_head_timer()
         if self._error_response is not None or self.transport.is_closing():
             return
         self._error_response = response
         if self._discard_timer is not None:
-            self.transport.close()  # the request was answered; the rest of its body is malformed
+            self.transport.close()  # already answered; the rest of the body is malformed
         elif self._in_body and self.pipeline:
-            self.pipeline.popleft()  # the newest, whose body is malformed
+            self.pipeline.popleft()  # the newest request, whose body is malformed
         elif self._has_answered_all or (self._in_body and not self.cycle.response_started):
             self._send_error_response()
 
@@ -315,7 +317,11 @@
 
 
 class Listener(HttpServer):
-    """Serves an application with the current limits on clients."""
+    """Serves an application and applies limits to its clients.
+
+    Args:
+        limits: returns the current limits.
+    """
 
     def __init__(self, app, address: Address, limits: LimitSource = RequestLimits) -> None:
         protocol = type("Protocol", (LimitedProtocol,), {"limits": staticmethod(limits)})
@@ -325,7 +331,7 @@
         """Closes up to ``max_count`` idle connections, longest idle first; returns how many."""
         idle = [connection for connection in self.connections if connection.idle_since is not None]
         idle.sort(key=attrgetter("idle_since"))
-        chosen = idle[:max_count]
-        for connection in chosen:
+        closing = idle[:max_count]
+        for connection in closing:
             connection.transport.close()
-        return len(chosen)
+        return len(closing)
--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -1,7 +1,8 @@
 """The ASGI application for clients: serves each request while its client is connected.
 
-It applies the request limits, watches for the client's disconnect, and passes the request to the
-service of its route, which `larkpost.gateway.proxy.admission` decides.
+It applies the request limits, cancels the work if the client disconnects, and passes the request to
+the forwarder or to the batch endpoints, as its route requires. `larkpost.gateway.proxy.admission`
+determines the route.
 """
 
 import asyncio
@@ -33,8 +34,9 @@
 TOO_LARGE = 413
 HEAD_TOO_LARGE = 431
 LOOP_TURNS_TO_DETECT_CLOSE = 4
-"""Event loop iterations from reading the last byte of a request until a close that follows it is
-known: read EOF, notify the protocol, wake the waiting task, and complete it."""
+"""Number of event loop iterations after reading a request's last byte within which a close that is
+already in the socket is detected: read EOF, notify the protocol, wake the waiting task, complete
+the task."""
 
 
 class Ingress:
@@ -72,7 +74,7 @@
                     await _wait_until_delivered(delivery, memory)
 
     def _track_delivery(self, call: ClientCall) -> AbstractContextManager[Delivery | None]:
-        """Tracks how the client receives its response, if the daemon's memory is limited."""
+        """Returns a context that tracks the response's delivery if the memory is limited."""
         if call.client_connection is None or not self._memory.is_limited:
             return nullcontext()
         return self._memory.delivery(call.client_connection, call.memory)
@@ -82,7 +84,7 @@
             try:
                 await self._respond(call, response)
             except ClientDisconnectedError:
-                return  # there is nobody to respond to
+                return  # nobody receives a response
             except LarkpostError as error:
                 response.closes_connection = call.expects_continue or isinstance(
                     error, BodyStalledError
@@ -109,11 +111,11 @@
             disconnect.cancel()
 
     def _check_admitted(self, call: ClientCall) -> None:
-        """Checks a request by its head, before any memory is reserved for its body.
+        """Checks a request's head before any memory is reserved for its body.
 
         Raises:
-            LarkpostError: the configuration does not admit the request, or it is a batch that can
-                never fit into memory.
+            LarkpostError: the configuration does not admit the request, or the request is a batch
+                that can never fit into memory.
         """
         if call.path.startswith(names.RESERVED_PATH_PREFIX):
             self._admission.caller(call.request_id_text, call.host_name, call.key)
@@ -166,14 +168,14 @@
     async def _forward(
         self, request: ClientRequest, route: Route, response: ClientResponse
     ) -> None:
-        answer = await self._forwarder.forward(request, route)
-        if not isinstance(answer, StreamedResponse):
-            await response.send_whole(answer.status, answer.body, answer.headers)
+        forwarded = await self._forwarder.forward(request, route)
+        if not isinstance(forwarded, StreamedResponse):
+            await response.send_whole(forwarded.status, forwarded.body, forwarded.headers)
             return
-        async with answer:
-            await response.begin_with_length(answer.status, answer.headers)
-            forwarded_body = BufferedBody(answer.rest, answer.reservation, answer.buffered)
-            await self._send_body(forwarded_body, response)
+        async with forwarded:
+            await response.begin_with_length(forwarded.status, forwarded.headers)
+            body = BufferedBody(forwarded.rest, forwarded.reservation, forwarded.buffered)
+            await self._send_body(body, response)
 
     async def _stream(self, request: ClientRequest, route: Route, response: ClientResponse) -> None:
         async with self._forwarder.stream(request, route) as streamed:
@@ -181,15 +183,15 @@
             stream_reservation = request.memory.reserve(MemoryPurpose.STREAMS)
             await self._send_body(BufferedBody(streamed.chunks(), stream_reservation), response)
 
-    async def _send_body(self, answer: BufferedBody, response: ClientResponse) -> None:
-        async with aclosing(read_ahead(answer, response.delivery, self._memory)) as parts:
+    async def _send_body(self, body: BufferedBody, response: ClientResponse) -> None:
+        async with aclosing(read_ahead(body, response.delivery, self._memory)) as parts:
             async for part in parts:
                 await response.send_chunk(part)
         await response.finish()
 
 
 async def _wait_until_delivered(delivery: Delivery, memory: RequestMemory) -> None:
-    """Keeps the unsent bytes reserved until they have been delivered."""
+    """Keeps memory reserved for the unsent bytes of a response until they have been delivered."""
     if delivery.unsent == 0:
         return
     memory.shrink_to(MemoryPurpose.ANSWERS, delivery.unsent)
@@ -198,9 +200,9 @@
 
 
 async def _detect_close(disconnect: asyncio.Task) -> None:
-    """Lets the event loop detect a close that follows the request in the socket.
+    """Runs the event loop until a close that the client sent right after its request is detected.
 
-    A daemon that was busy or suspended reads requests whose clients have given up meanwhile.
+    A daemon that was busy or suspended reads requests whose clients have disconnected meanwhile.
 
     Raises:
         ClientDisconnectedError: the client has closed its connection.
--- a/src/larkpost/platform/server_control.py
+++ b/src/larkpost/platform/server_control.py
@@ -66,7 +66,7 @@
         self._session = session
 
     async def report(self, instance: InstanceInfo, timeout: float) -> EngineReport | None:
-        """Requests an engine's report; see the port.
+        """Requests an engine's report; see `ServerPort.report`.
 
         A late response to an earlier request on the connection either carries the id of that
         request or cannot be parsed as a report; it is dropped in both cases.
@@ -81,7 +81,7 @@
     async def order(
         self, instance: InstanceInfo, order: VersionOrder, timeout: float
     ) -> OrderOutcome:
-        """Sends an engine an order; see the port."""
+        """Orders an engine to load a weight version; see `ServerPort.order`."""
         call = ControlCall("POST", names.ORDER_PATH, orjson.dumps(order_document(order)))
         try:
             status, _ = await self._call(call, instance, timeout)
--- a/src/larkpost/platform/server_refusals.py
+++ b/src/larkpost/platform/server_refusals.py
@@ -1,7 +1,7 @@
-"""Checks which request a server's response belongs to and whether that request was executed.
+"""Checks that a server's response belongs to the request and that the request was executed.
 
-A response may arrive late or twice on a reused connection, so it is accepted only if it repeats the
-id of the request.
+On a reused connection, the response to an earlier request may arrive late or twice, so a response
+is accepted only if it repeats the id of the request.
 """
 
 import asyncio
@@ -24,9 +24,9 @@
 
 MISDIRECTED = 421
 MAX_REFUSAL_BYTES = 4096
-"""Maximum body of a refusal that is read so that its connection can be reused."""
+"""Maximum size of a refusal's body that is read so that the connection can be reused."""
 REFUSAL_BODY_SECONDS = 0.05
-"""Timeout for reading that body; the request is to be sent to another server at once."""
+"""Timeout for reading that body; short, as the request waits to be sent to another server."""
 
 
 class ResponseMatch(Enum):
@@ -81,8 +81,8 @@
 ) -> None:
     """Reads a short refusal to its end so that its connection can be reused.
 
-    If the refusal does not carry the request's id, the connections to the server are closed: a
-    duplicate of the refusal would be taken for the refusal of the next request.
+    If the refusal does not repeat the request's id, closes the connections to the server: a
+    duplicate of the refusal would be taken for the response to the next request.
 
     Args:
         connector: the pool that holds the connections to the server.
@@ -98,4 +98,4 @@
         async with asyncio.timeout(REFUSAL_BODY_SECONDS):
             await response.read()
     except RESPONSE_FAILURES:
-        return  # only the connection is lost; the head already says that the request did not run
+        return  # the head shows that the request was not executed; the connection is not reused
--- a/src/larkpost/platform/server_responses.py
+++ b/src/larkpost/platform/server_responses.py
@@ -48,7 +48,7 @@
         self.signature = response.headers.get(names.SERVER_SIGNATURE.decode())
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yields the body; see the port."""
+        """Yields the body; see `ServerResponse.chunks`."""
         if "Content-Encoding" in self._response.headers:
             raise BrokenResponseError("the body is encoded, but no encoding was requested")
         try:
@@ -62,7 +62,7 @@
             )
 
     async def events(self) -> AsyncIterator[StreamEvent]:
-        """Yields the body's events; see the port."""
+        """Yields the body's events; see `ServerResponse.events`."""
         decoder = EventDecoder()
         async for chunk in self.chunks():
             try:
--- a/src/larkpost/platform/servers.py
+++ b/src/larkpost/platform/servers.py
@@ -1,7 +1,8 @@
-"""The server adapter: sends requests and orders to model servers over HTTP.
+"""The adapter to model servers: sends requests and control calls to them over HTTP.
 
-It has two sessions: one that reuses connections, and one that opens a connection for each request.
-The modules ``server_*`` hold the formats of requests and responses.
+Control calls are status reports and orders to load weight versions. There are two sessions: one
+reuses connections, the other opens a connection for each request. The modules ``server_*`` define
+the formats of requests and responses.
 """
 
 import asyncio
@@ -39,15 +40,15 @@
 from larkpost.platform.watched_connection import CallOptions, DeadConnectionError
 
 CONNECT_FAILURES = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
-"""Errors that mean that no connection was made, so nothing was sent."""
+"""Errors raised if no connection could be made, so nothing was sent."""
 
 
 class HttpServers:
-    """Sends requests and orders to servers; implements `larkpost.gateway.servers.port.ServerPort`.
+    """Sends requests and control calls; implements `larkpost.gateway.servers.port.ServerPort`.
 
     Args:
         metrics: counts dead connections.
-        log: records them.
+        log: records dead connections.
     """
 
     def __init__(self, metrics: Metrics | None = None, log: EventLog | None = None) -> None:
@@ -65,7 +66,7 @@
     async def send(
         self, instance: InstanceInfo, request: OutgoingRequest
     ) -> AsyncIterator[HttpResponse]:
-        """Sends a request; see the port."""
+        """Sends a request; see `ServerPort.send`."""
         session = self._unpooled if request.fresh_connection else self._pooled
         response = await self._receive_head(session, instance, request)
         try:
@@ -80,7 +81,7 @@
             response.close()
 
     async def probe(self, instance: InstanceInfo, timeout: float) -> PortState:
-        """Checks whether a server listens; see the port."""
+        """Checks whether a server listens; see `ServerPort.probe`."""
         host, port = split_address(instance.address)
         try:
             async with asyncio.timeout(timeout):
@@ -93,13 +94,13 @@
         return PortState.LISTENS
 
     async def report(self, instance: InstanceInfo, timeout: float) -> EngineReport | None:
-        """Requests an engine's report; see the port."""
+        """Requests an engine's report; see `ServerPort.report`."""
         return await self._control.report(instance, timeout)
 
     async def order(
         self, instance: InstanceInfo, order: VersionOrder, timeout: float
     ) -> OrderOutcome:
-        """Sends an engine an order; see the port."""
+        """Orders an engine to load a weight version; see `ServerPort.order`."""
         return await self._control.order(instance, order, timeout)
 
     @property
@@ -108,7 +109,7 @@
         return self._pooled.connector.open_connections + self._unpooled.connector.open_connections
 
     def is_connected(self, instance: InstanceInfo) -> bool:
-        """Returns whether there is a reusable idle connection to a server; see the port."""
+        """Returns whether there is a reusable idle connection; see `ServerPort.is_connected`."""
         return self._pooled.connector.has_idle(instance.address)
 
     async def _receive_head(
@@ -130,9 +131,9 @@
     async def _send(
         self, session: aiohttp.ClientSession, instance: InstanceInfo, request: OutgoingRequest
     ) -> aiohttp.ClientResponse:
-        """Sends a request; if its connection is dead and it is repeatable, sends it once more."""
+        """Sends a request; sends a repeatable request once more if its connection is dead."""
         if not request.repeat_if_silent or request.send_timeout is not None:
-            # A send with a deadline was counted against a rate limit once, so it is made once.
+            # A request with a send timeout was counted once against a rate limit: send it once.
             options = CallOptions(connect=request.send_timeout, disables_retry=True)
             return await send_once(session, instance, request, options)
         began = steady_seconds()
--- a/src/larkpost/platform/settings_watch.py
+++ b/src/larkpost/platform/settings_watch.py
@@ -1,7 +1,7 @@
 """Reloads the settings file of a running daemon.
 
-Only the addresses of the store and of the platform's calls, the times and the regions are reloaded.
-Changes to other settings take effect at the next start.
+It reloads the addresses of the store and of the platform's API, the settings in `RELOADABLE_TIMES`,
+and the regions. Changes to other settings take effect at the next start.
 """
 
 import asyncio
@@ -17,21 +17,21 @@
 from larkpost.platform.store import HttpStore
 
 SETTINGS_POLL_SECONDS = 1.0
-"""Interval at which the file is checked without a signal."""
+"""Interval at which the file is checked if there is no signal."""
 
 RELOADABLE_TIMES = ("contact_time", "lease_time", "apply_time", "grace_time", "batch_lifetime")
 
 
 @dataclass(frozen=True, slots=True)
 class ReloadTargets:
-    """The parts of a running daemon that changed settings are applied to.
+    """The parts of a running daemon to which reloaded settings are applied.
 
     Attributes:
-        gateway: the current settings, changed in place.
-        duties: client for the platform's calls; None if there are none.
+        settings: the gateway's current settings; changed in place.
+        duties: the client of the platform's API; None if no address was set at the start.
     """
 
-    gateway: GatewaySettings
+    settings: GatewaySettings
     store: HttpStore
     duties: HttpDuties | None
 
@@ -42,16 +42,17 @@
             self.duties.set_address(settings.duties)
         changed = gateway_settings(settings)
         for name in RELOADABLE_TIMES:
-            setattr(self.gateway, name, getattr(changed, name))
-        self.gateway.regions.update_from(changed.regions)
+            setattr(self.settings, name, getattr(changed, name))
+        self.settings.regions.update_from(changed.regions)
 
 
 class SettingsWatcher:
-    """Reloads the settings when the file has changed; a signal triggers a check at once.
+    """Reloads the settings when the file has changed; a signal triggers an immediate check.
 
     Args:
         content: the file's content, read before the current settings were loaded.
-        reload: set by the signal.
+        reload: event that the signal sets.
+        targets: the parts to which changed settings are applied.
     """
 
     def __init__(
@@ -69,13 +70,13 @@
         self._log = log
 
     async def watch(self) -> None:
-        """Checks the file until cancelled; invalid settings change nothing."""
+        """Checks the file until cancelled; invalid settings are logged and not applied."""
         while True:
             await self._wait()
             self._check()
 
     async def _wait(self) -> None:
-        """Waits for the signal, for at most `SETTINGS_POLL_SECONDS`."""
+        """Waits for the signal for at most `SETTINGS_POLL_SECONDS`."""
         try:
             async with asyncio.timeout(SETTINGS_POLL_SECONDS):
                 await self._reload.wait()
--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -1,7 +1,7 @@
-"""The store adapter: rows, transactions and the change feed over HTTP.
+"""The adapter to the store: rows, transactions and the change feed over HTTP.
 
-Holds the session to one address, the estimate of the store's clock and whether the store responds.
-The document formats are in `larkpost.platform.store_documents`.
+Keeps the connections to one address, an estimate of the store's clock, and whether the last call
+failed. The document formats are in `larkpost.platform.store_documents`.
 """
 
 import asyncio
@@ -45,21 +45,21 @@
 READ_TIMEOUT_SECONDS = 1.5
 """Timeout of a read call, in addition to its hold time."""
 RELAYED_LONG_POLL_SECONDS = 1.0
-"""Maximum hold time of a feed call for a peer."""
+"""Maximum hold time of a feed call that is relayed for a peer."""
 RELAYED_TIMEOUT_SECONDS = 3.0
-"""Timeout of a call for a peer, including its hold time."""
+"""Timeout of a call that is relayed for a peer, including its hold time."""
 NOT_SENT_STATUS = 503
-"""Status for a peer whose call was definitely not sent."""
+"""Status returned to a peer if its call was definitely not sent."""
 NO_RESPONSE_STATUS = 504
-"""Status for a peer whose call got no response; it may have been executed."""
+"""Status returned to a peer if its call got no response; the call may have been executed."""
 PROBE_TARGET = f"{names.READ_PATH}?table=members&part=proof&limit=1"
-"""A read of no rows that checks whether the store responds on a new connection."""
+"""A read that returns no rows; shows whether the store responds on a new connection."""
 CALL_LABELS = {names.READ_PATH: "read", names.FEED_PATH: "feed"}
 """Metric labels of the read calls."""
 CALL_FAILURES = (aiohttp.ClientError, asyncio.TimeoutError, OSError, ValueError, KeyError)
-"""Errors that a call may fail with, including malformed responses."""
+"""Errors that a call may raise, including those for malformed responses."""
 CONNECT_FAILURES = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
-"""Errors that mean that no connection was made, so the call was definitely not sent."""
+"""Errors raised if no connection could be made, so the call was definitely not sent."""
 SUCCESSFUL_OUTCOMES = ("answered", "410", WriteOutcome.DONE, WriteOutcome.CONFLICT)
 """Outcomes of calls that the store executed, or rejected for a reason in the call itself."""
 
@@ -126,11 +126,11 @@
         await self._session.close()
 
     def time(self) -> float | None:
-        """Returns the estimated monotonic clock of the store in seconds; None if unknown."""
+        """Returns the estimated time of the store's monotonic clock; see `Store.time`."""
         return self._clock.now()
 
     async def write(self, transaction: Transaction, timeout: float) -> WriteResult:
-        """Executes a transaction; see the port."""
+        """Applies a transaction; see `Store.write`."""
         body = orjson.dumps(transaction_document(transaction))
         started = steady_seconds()
         try:
@@ -144,31 +144,31 @@
         return result
 
     async def relay_call(self, method: str, target: str, body: bytes | None) -> tuple[int, bytes]:
-        """Makes a call for a peer.
+        """Relays a call for a peer.
 
         Returns:
-            The store's status and body, unchanged; `NOT_SENT_STATUS` or `NO_RESPONSE` with an
-            empty body if there was no response.
+            The store's status and body, unchanged. Without a response, `NOT_SENT_STATUS` or
+            `NO_RESPONSE_STATUS` and an empty body.
         """
         hold_time = RELAYED_LONG_POLL_SECONDS if target.startswith(names.FEED_PATH) else 0.0
         try:
             call = StoreCall(method, target, body, hold_time)
             return await self._exchange(call, RELAYED_TIMEOUT_SECONDS)
         except CONNECT_FAILURES:
-            return NOT_SENT_STATUS, b""  # tells the peer that the call was not sent
+            return NOT_SENT_STATUS, b""
         except CALL_FAILURES:
-            return NO_RESPONSE_STATUS, b""  # tells the peer that there was no response
+            return NO_RESPONSE_STATUS, b""
 
     async def read(
         self, table: str, part: str, first: str = "", end: str = "", limit: int = 0
     ) -> RowPage:
-        """Reads rows of a part; see the port."""
+        """Reads rows of a part; see `Store.read`."""
         query = urlencode(rows_query(table, part, first, end, limit))
         call = StoreCall("GET", f"{names.READ_PATH}?{query}")
         return read_page(*await self._get(names.READ_PATH, call, READ_TIMEOUT_SECONDS))
 
     async def changes(self, table: str, after: int, wait: float) -> RowPage:
-        """Returns the changes of a table; see the port."""
+        """Returns the changes of a table; see `Store.changes`."""
         query = urlencode(changes_query(table, after, wait))
         call = StoreCall("GET", f"{names.FEED_PATH}?{query}", hold_time=wait)
         status, document = await self._get(names.FEED_PATH, call, wait + READ_TIMEOUT_SECONDS)
@@ -177,7 +177,7 @@
         return read_page(status, document)
 
     async def _get(self, path: str, call: StoreCall, timeout: float) -> tuple[int, Any]:
-        """Makes a read call and returns the status and the document, if there is one.
+        """Makes a read call and returns the status and the document; None if there is none.
 
         Raises:
             StoreUnavailableError: there was no response, or it cannot be parsed.
@@ -198,7 +198,7 @@
         self._metrics.observe(Timing.STORE_CALL, steady_seconds() - started, label)
 
     async def _read_document(self, call: StoreCall, timeout: float) -> tuple[int, Any]:
-        """Makes a call and returns the status and the document; None for a status without one."""
+        """Makes a call and returns the status and the document; None if there is none."""
         sent = steady_seconds()
         status, content = await self._exchange(call, timeout)
         if status not in READABLE_STATUSES:
@@ -208,13 +208,13 @@
         return status, document
 
     async def _exchange(self, call: StoreCall, timeout: float) -> tuple[int, bytes]:
-        """Makes a call; repeats a read call once if its connection is dead.
+        """Makes a call and returns the status and body; retries a read on a dead connection once.
 
         Args:
             timeout: seconds for both attempts together.
 
         Raises:
-            DeadConnectionError: the connection of a write call is dead; the write may be done.
+            DeadConnectionError: the connection is dead; a write may have been executed.
         """
         async with asyncio.timeout(timeout):
             try:
@@ -238,14 +238,14 @@
     def _start_probe(self) -> None:
         """Starts a probe on a new connection unless one is running.
 
-        If it succeeds, the older connections are dead rather than the store slow.
+        A successful probe shows that the older connections are dead and the store is not slow.
         """
         if self._probe_task is None or self._probe_task.done():
             self._probe_task = asyncio.create_task(self._probe_store())
 
     async def _probe_store(self) -> None:
         url = URL(f"{self._base_url}{PROBE_TARGET}", encoded=True)
-        with contextlib.suppress(*CALL_FAILURES):  # without a response, the probe shows nothing
+        with contextlib.suppress(*CALL_FAILURES):  # a failed probe proves nothing
             async with (
                 asyncio.timeout(READ_TIMEOUT_SECONDS),
                 self._session.get(url) as response,
--- a/src/larkpost/platform/watched_connection.py
+++ b/src/larkpost/platform/watched_connection.py
@@ -14,10 +14,10 @@
 from larkpost.platform.dead_connections import CallKind, ConnectionRecord, DeadConnectionDetector
 
 CONNECT_TIMEOUT_SECONDS = 1.0
-"""Connect timeout."""
+"""Default connect timeout."""
 PROBE_WAIT_SECONDS = 0.2
-"""How much longer a call waits for its probe. If the server is slow rather than the connection
-dead, the probe is late as well, and the call may still be answered."""
+"""Maximum time for which a call waits for its probe before it is aborted. If the server is slow,
+the probe is late as well, and the call may still get its response."""
 PROBE_POLL_SECONDS = 0.01
 """Interval at which the result of a probe is checked."""
 
@@ -32,17 +32,18 @@
 
     Attributes:
         sock_connect: connect timeout in seconds.
-        kind: kind of calls whose latency applies.
+        kind: selects the typical latency from which the timeout is derived.
         hold_time: seconds for which the server may hold the call (long poll) before it responds.
         aborts_if_dead: whether the call fails with `DeadConnectionError` once its connection is
             dead; otherwise only its own timeout ends it.
-        start_probe: sends a probe on a new connection, for calls that should not be aborted
-            needlessly. The call is aborted once the probe succeeds, or `PROBE_WAIT_SECONDS`
-            later. None to abort without a probe.
-        disables_retry: whether the call fails when its connection is lost. aiohttp retries some
-            requests by itself and reports only the last attempt, so a server that crashed would
-            look as if it had never been reached.
-        connection_count: one number: the connections that were handed out to the call.
+        start_probe: sends a probe on a new connection before the call is aborted. The call is
+            aborted once a newer connection has received bytes, or `PROBE_WAIT_SECONDS` later.
+            None to abort without a probe.
+        disables_retry: whether the call fails when its connection is lost. Otherwise aiohttp
+            retries some requests by itself and reports only the last attempt, so a server that
+            crashed would look as if it had never been reached.
+        connection_count: number of connections that the call has been given, as a list with one
+            element, as the class is immutable.
     """
 
     sock_connect: float | None = CONNECT_TIMEOUT_SECONDS
@@ -72,7 +73,7 @@
     def begin_call(self, address: Address, options: CallOptions) -> None:
         """Records the start of a call and schedules the check for a dead connection."""
         if self.record is None:
-            self.record = self._detector.open(address)
+            self.record = self._detector.add_connection(address)
         self._detector.begin_call(self.record, options.kind, options.hold_time)
         self._start_probe, self._probe_until = options.start_probe, None
         if options.aborts_if_dead and self.record.received_at is not None:
@@ -95,7 +96,7 @@
         """Removes the connection's record."""
         self._cancel_timer()
         if self.record is not None:
-            self._detector.close(self.record)
+            self._detector.remove_connection(self.record)
         super().connection_lost(exc)
 
     def _is_reading_paused(self) -> bool:
@@ -118,7 +119,7 @@
         self.transport.abort()
 
     def _awaits_probe(self) -> bool:
-        """Returns whether a probe is in progress; starts it the first time."""
+        """Returns whether the call waits for its probe; starts the probe on the first call."""
         if self._start_probe is None:
             return False
         if self._probe_until is None:
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -212,24 +212,24 @@
         detector = DeadConnectionDetector(UpstreamKind.SERVER, now=lambda: now)
         for number in range(500):
             now += 1.0
-            record = detector.open(Address(f"10.0.0.1:{number}"))
+            record = detector.add_connection(Address(f"10.0.0.1:{number}"))
             detector.begin_call(record, CallKind.REQUEST, 0.0)
             detector.record_bytes(record)
             detector.mark_suspect(record)
-            detector.close(record)
+            detector.remove_connection(record)
         for kept in (detector._typical_latencies, detector._suspected_at, detector._unused_since):
             self.assertLessEqual(len(kept), ADDRESS_RETENTION_SECONDS + 1)
 
     def test_address_with_a_connection_is_remembered(self):
         now = 0.0
         detector = DeadConnectionDetector(UpstreamKind.SERVER, now=lambda: now)
-        record = detector.open(ADDRESS)
-        detector.close(detector.open(ADDRESS))
+        record = detector.add_connection(ADDRESS)
+        detector.remove_connection(detector.add_connection(ADDRESS))
         detector.begin_call(record, CallKind.REQUEST, 0.0)
         now = 0.3
         detector.record_bytes(record)
         now += 10 * ADDRESS_RETENTION_SECONDS
-        detector.open(Address("10.0.0.2:1"))
+        detector.add_connection(Address("10.0.0.2:1"))
         detector.begin_call(record, CallKind.REQUEST, 0.0)
         self.assertGreater(detector.timeout_of(record), MIN_ABORT_TIMEOUT_SECONDS)
 
@@ -547,7 +547,7 @@
 
     def open(self):
         """Returns a connection on which a call was answered."""
-        record = self.detector.open(ADDRESS)
+        record = self.detector.add_connection(ADDRESS)
         self.call(record, 0.01)
         return record
 
@@ -583,7 +583,7 @@
         self.assertTrue(self.detector.is_dead(record))
 
     def test_new_connection_without_bytes_is_never_dead(self):
-        record = self.detector.open(ADDRESS)
+        record = self.detector.add_connection(ADDRESS)
         self.call(record, None)
         self.time += 100.0
         self.assertFalse(self.detector.is_dead(record))
@@ -609,22 +609,24 @@
 
     def test_rule_by_cases(self):
         """Each case changes one input of a call that has timed out on a dead connection."""
-        dead = PendingCall(now=10.0, since=9.0, limit=0.5, hold_time=0.25, received_at=8.0)
+        dead = PendingCall(
+            now=10.0, waiting_since=9.0, timeout=0.5, hold_time=0.25, received_at=8.0
+        )
         for change, others_received_at, too_long, slow in (
             ({}, None, True, False),
             ({"received_at": None}, None, False, False),
-            ({"since": 9.25}, None, True, False),
-            ({"since": 9.375}, None, False, False),
-            ({"limit": 0.75}, None, True, False),
-            ({"limit": 0.875}, None, False, False),
+            ({"waiting_since": 9.25}, None, True, False),
+            ({"waiting_since": 9.375}, None, False, False),
+            ({"timeout": 0.75}, None, True, False),
+            ({"timeout": 0.875}, None, False, False),
             ({"hold_time": 0.5}, None, True, False),
             ({"hold_time": 0.625}, None, False, False),
             ({}, 9.5, True, False),
             ({}, 9.625, True, True),
-            ({"limit": 0.25}, 9.625, True, False),
+            ({"timeout": 0.25}, 9.625, True, False),
         ):
-            wait = replace(dead, **change)
-            found = (has_timed_out(wait), is_server_slow(wait, others_received_at))
+            call = replace(dead, **change)
+            found = (has_timed_out(call), is_server_slow(call, others_received_at))
             self.assertEqual((too_long, slow), found, (change, others_received_at))
 
     def test_timeouts_by_typical_latency(self):
@@ -640,7 +642,7 @@
             self.assertEqual(seconds, limit.seconds(usual), (limit, usual))
 
     def test_closed_connections_are_forgotten(self):
-        self.detector.close(self.open())
+        self.detector.remove_connection(self.open())
         self.assertEqual({}, self.detector._records)
 
 
