--- a/src/larkpost/platform/stand_in/memory_store.py
+++ b/src/larkpost/platform/stand_in/memory_store.py
@@ -128,7 +128,7 @@
         """Applies a transaction; see the port."""
         store = self._store
         faults = store.faults
-        if await self._is_silent(timeout):
+        if await self._has_timed_out(timeout):
             return WriteResult(WriteOutcome.UNKNOWN)
         if self._is_refused({key.part for key, _ in transaction.puts}):
             return WriteResult(WriteOutcome.NOT_DONE)
@@ -147,7 +147,7 @@
         self, table: str, part: str, first: str = "", end: str = "", limit: int = 0
     ) -> RowPage:
         """Reads rows of a part; see the port."""
-        if await self._is_silent(1.5) or self._is_refused({part}):
+        if await self._has_timed_out(1.5) or self._is_refused({part}):
             raise StoreUnavailableError("the store is unreachable or refuses the call")
         store = self._store
         store.carry_out_late()
@@ -164,7 +164,7 @@
 
     async def changes(self, table: str, after: int, wait: float) -> RowPage:
         """Returns the changes of a table; see the port."""
-        if await self._is_silent(wait + 1.5) or self._is_refused(set()):
+        if await self._has_timed_out(wait + 1.5) or self._is_refused(set()):
             raise StoreUnavailableError("the store is unreachable or refuses the call")
         store = self._store
         give_up_at = store.clock.now() + wait
@@ -181,7 +181,7 @@
                 return RowPage(rows, False, store.version)
             await store.clock.sleep(POLL_SECONDS)
 
-    async def _is_silent(self, timeout: float) -> bool:
+    async def _has_timed_out(self, timeout: float) -> bool:
         faults = self._store.faults
         if faults.down or self.cut_off:
             await self._store.clock.sleep(timeout)
