--- a/src/larkpost/platform/stand_in/memory_store.py
+++ b/src/larkpost/platform/stand_in/memory_store.py
@@ -62,10 +62,10 @@
 
     def apply(self, transaction: Transaction) -> WriteResult:
         """Applies a transaction at once."""
-        self.carry_out_late()
+        self.apply_late_writes()
         return self._apply(transaction)
 
-    def carry_out_late(self) -> None:
+    def apply_late_writes(self) -> None:
         """Applies the late writes that are due."""
         now = self.clock.now()
         due = [entry for entry in self.late if entry[0] <= now]
@@ -150,7 +150,7 @@
         if await self._has_timed_out(1.5) or self._is_refused({part}):
             raise StoreUnavailableError("the store is unreachable or refuses the call")
         store = self._store
-        store.carry_out_late()
+        store.apply_late_writes()
         found = [
             store.rows[key]
             for key in sorted(store.rows)
@@ -169,7 +169,7 @@
         store = self._store
         give_up_at = store.clock.now() + wait
         while True:
-            store.carry_out_late()
+            store.apply_late_writes()
             if after < store.oldest_change:
                 raise HistoryLostError(
                     f"the feed has no changes between {after} and {store.oldest_change}"
