--- a/src/larkpost/platform/stand_in/programs.py
+++ b/src/larkpost/platform/stand_in/programs.py
@@ -34,10 +34,10 @@
     await HttpServer(StoreApp(store, clock).app(), address).start()
     while True:
         await asyncio.sleep(HEARTBEAT_SECONDS)
-        drop_silent_servers(store, clock)
+        remove_expired_servers(store, clock)
 
 
-def drop_silent_servers(store: MemoryStore, clock: Clock) -> None:
+def remove_expired_servers(store: MemoryStore, clock: Clock) -> None:
     """Removes the entries of servers that have not been written for `ENTRY_TTL_SECONDS`."""
     removals = tuple(
         key
--- a/tests/process_soak/store_program.py
+++ b/tests/process_soak/store_program.py
@@ -19,7 +19,7 @@
 from larkpost.common.ids import Address
 from larkpost.platform import names
 from larkpost.platform.stand_in.memory_store import MemoryStore, StoreFaults
-from larkpost.platform.stand_in.programs import HEARTBEAT_SECONDS, drop_silent_servers
+from larkpost.platform.stand_in.programs import HEARTBEAT_SECONDS, remove_expired_servers
 from larkpost.platform.stand_in.store_app import StoreApp
 from tests.process_soak.records import FORGET_CALL, STORE_FAULTS_CALL, RecordKind, write_record
 
@@ -87,7 +87,7 @@
     await HttpServer(RecordingStoreApp(store, clock).app(), faulty).start()
     while True:
         await asyncio.sleep(HEARTBEAT_SECONDS)
-        drop_silent_servers(store, clock)
+        remove_expired_servers(store, clock)
 
 
 if __name__ == "__main__":
