--- a/src/larkpost/platform/stand_in/memory_store.py
+++ b/src/larkpost/platform/stand_in/memory_store.py
@@ -167,7 +167,7 @@
         if await self._has_timed_out(wait + 1.5) or self._is_refused(set()):
             raise StoreUnavailableError("the store is unreachable or refuses the call")
         store = self._store
-        give_up_at = store.clock.now() + wait
+        deadline = store.clock.now() + wait
         while True:
             store.apply_late_writes()
             if after < store.oldest_change:
@@ -177,7 +177,7 @@
             rows = tuple(
                 row for row in store.history if row.key.table == table and row.version > after
             )
-            if rows or store.clock.now() >= give_up_at:
+            if rows or store.clock.now() >= deadline:
                 return RowPage(rows, False, store.version)
             await store.clock.sleep(POLL_SECONDS)
 
