--- a/src/larkpost/platform/stand_in/store_app.py
+++ b/src/larkpost/platform/stand_in/store_app.py
@@ -42,14 +42,14 @@
         """Returns the application; it also accepts usage reports."""
         return Starlette(
             routes=[
-                Route(names.USAGE_PATH, self._take_usage, methods=["POST"]),
+                Route(names.USAGE_PATH, self._accept_usage, methods=["POST"]),
                 Route(names.TRANSACTION_PATH, self._write, methods=["POST"]),
                 Route(names.READ_PATH, self._read),
                 Route(names.FEED_PATH, self._changes),
             ]
         )
 
-    async def _take_usage(self, request: Request) -> Response:
+    async def _accept_usage(self, request: Request) -> Response:
         token = int(request.headers[names.FENCING_TOKEN.decode()])
         if token < self._highest_token:
             return Response(status_code=409)
