--- a/src/larkpost/platform/stand_in/store_app.py
+++ b/src/larkpost/platform/stand_in/store_app.py
@@ -69,7 +69,7 @@
         if result.outcome is WriteOutcome.UNKNOWN:
             return Response(status_code=500)
         fields = {"ver": result.version, "rows": [_document(row) for row in result.rows]}
-        return self._answer(WRITE_STATUSES[result.outcome], fields)
+        return self._json_response(WRITE_STATUSES[result.outcome], fields)
 
     async def _read(self, request: Request) -> Response:
         query = request.query_params
@@ -98,9 +98,9 @@
 
     def _page(self, page: RowPage) -> Response:
         rows = [_document(row) for row in page.rows]
-        return self._answer(200, {"rows": rows, "more": page.more, "ver": page.version})
+        return self._json_response(200, {"rows": rows, "more": page.more, "ver": page.version})
 
-    def _answer(self, status: int, fields: dict[str, Any]) -> Response:
+    def _json_response(self, status: int, fields: dict[str, Any]) -> Response:
         content = orjson.dumps(fields | {"now_ms": int(self._clock.now() * 1000)})
         return Response(content, status_code=status, media_type="application/json")
 
