--- a/src/larkpost/platform/stand_in/engine_state.py
+++ b/src/larkpost/platform/stand_in/engine_state.py
@@ -54,7 +54,7 @@
     orders: list[tuple[str, int, ModelName, int, float]] = field(default_factory=list)
 
 
-def take_order(state: EngineState, order: VersionOrder, now: float) -> OrderOutcome:
+def handle_order(state: EngineState, order: VersionOrder, now: float) -> OrderOutcome:
     """Validates an order as an engine does, and starts the load if it is accepted."""
     state.orders.append((order.holder, order.fencing_token, order.model, order.version, now))
     if order.fencing_token < state.highest_token:
--- a/src/larkpost/platform/stand_in/server_app.py
+++ b/src/larkpost/platform/stand_in/server_app.py
@@ -13,7 +13,7 @@
 from larkpost.gateway.blackboard.configuration import ModelName
 from larkpost.gateway.servers.port import OrderOutcome, VersionOrder
 from larkpost.platform import names
-from larkpost.platform.stand_in.engine_state import EngineState, expected_output, take_order
+from larkpost.platform.stand_in.engine_state import EngineState, expected_output, handle_order
 
 PAGE_SECONDS = 0.02
 STATUSES = {
@@ -111,4 +111,4 @@
             document["expected"],
         )
         now = asyncio.get_running_loop().time()
-        return Response(status_code=STATUSES[take_order(self._state, order, now)])
+        return Response(status_code=STATUSES[handle_order(self._state, order, now)])
--- a/src/larkpost/rehearsal/engine_model.py
+++ b/src/larkpost/rehearsal/engine_model.py
@@ -152,7 +152,7 @@
             swapping=self.swapping,
         )
 
-    def take_order(self, order: Order) -> None:
+    def handle_order(self, order: Order) -> None:
         """Accepts a fenced order and starts it.
 
         Raises:
--- a/src/larkpost/rehearsal/engine_server.py
+++ b/src/larkpost/rehearsal/engine_server.py
@@ -126,7 +126,7 @@
         fields["kind"] = OrderKind(fields["kind"])
         await self.model.thawed()
         try:
-            self.model.take_order(Order(**fields))
+            self.model.handle_order(Order(**fields))
         except StaleOrderError:
             return Response(orjson.dumps({"token": self.model.token}), 412)
         return Response(b"{}")
--- a/src/larkpost/rehearsal/simulation/ports.py
+++ b/src/larkpost/rehearsal/simulation/ports.py
@@ -142,7 +142,7 @@
 
         async def handle() -> None:
             await engine.model.thawed()
-            engine.model.take_order(order)
+            engine.model.handle_order(order)
 
         try:
             await self._call(engine.host, handle, timeout)
--- a/tests/scripted_engines.py
+++ b/tests/scripted_engines.py
@@ -23,7 +23,7 @@
     StreamEvent,
     VersionOrder,
 )
-from larkpost.platform.stand_in.engine_state import EngineState, expected_output, take_order
+from larkpost.platform.stand_in.engine_state import EngineState, expected_output, handle_order
 
 STALL_SECONDS = 1000.0
 CRASH_SECONDS = 0.08
@@ -217,4 +217,4 @@
         if state is None or state.down:
             return OrderOutcome.UNKNOWN
         now = self._clock.now()
-        return take_order(state, order, now)
+        return handle_order(state, order, now)
