--- a/src/larkpost/platform/server_messages.py
+++ b/src/larkpost/platform/server_messages.py
@@ -22,7 +22,7 @@
 """Number of values in a server's load header: running, waiting, slots and, optionally, the current
 duration of work in per cent."""
 LOAD_VALUE = re.compile(r"[0-9]{1,6}")
-IDLE_TIME = re.compile(r"timeout=(\d+)")
+KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=(\d+)")
 
 
 def read_int_header(headers: Mapping[str, str], name: bytes) -> int | None:
@@ -33,7 +33,7 @@
 
 def read_keep_alive(headers: Mapping[str, str]) -> float | None:
     """Returns the server's keep-alive timeout in seconds; None if it announces none."""
-    found = IDLE_TIME.search(headers.get("Keep-Alive", ""))
+    found = KEEP_ALIVE_TIMEOUT.search(headers.get("Keep-Alive", ""))
     return float(found[1]) if found is not None else None
 
 
