--- a/src/larkpost/platform/sockets.py
+++ b/src/larkpost/platform/sockets.py
@@ -17,15 +17,15 @@
 def open_socket(address_info: tuple) -> socket.socket:
     """Returns a socket for a connection to a server or to the store."""
     family, kind, protocol, _, _ = address_info
-    opened = socket.socket(family, kind, protocol)
-    opened.setblocking(False)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    enable_keepalive(opened, KEEPALIVE_IDLE_SECONDS, KEEPALIVE_INTERVAL_SECONDS, KEEPALIVE_PROBES)
-    opened.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
-    return opened
+    sock = socket.socket(family, kind, protocol)
+    sock.setblocking(False)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    enable_keepalive(sock, KEEPALIVE_IDLE_SECONDS, KEEPALIVE_INTERVAL_SECONDS, KEEPALIVE_PROBES)
+    sock.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+    return sock
 
 
-def enable_keepalive(opened: socket.socket, after: int, interval: int, probes: int) -> None:
+def enable_keepalive(sock: socket.socket, after: int, interval: int, probes: int) -> None:
     """Enables TCP keepalive.
 
     Args:
@@ -33,7 +33,7 @@
         interval: seconds between probes.
         probes: number of unanswered probes after which the connection is closed.
     """
-    opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, after)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, interval)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, probes)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, after)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, interval)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, probes)
