--- a/src/larkpost/platform/asgi.py
+++ b/src/larkpost/platform/asgi.py
@@ -13,7 +13,7 @@
 
 
 async def read_body(
-    receive: Receive, limit: int, reserved: Reservation | None = None
+    receive: Receive, limit: int, reservation: Reservation | None = None
 ) -> bytes | bytearray | None:
     """Returns a request's whole body, or None if it is larger than ``limit`` bytes.
 
@@ -35,8 +35,8 @@
         size = len(body) + len(part)
         if size > limit:
             return None
-        if reserved is not None and size > reserved.size:
-            reserved.grow(size - reserved.size)
+        if reservation is not None and size > reservation.size:
+            reservation.grow(size - reservation.size)
         is_last = not message.get("more_body", False)
         if is_last and not body:
             return part
--- a/src/larkpost/platform/client_call.py
+++ b/src/larkpost/platform/client_call.py
@@ -159,11 +159,11 @@
             return None
         is_large = declared > SMALL_BODY_BYTES if declared is not None else self._is_chunked
         purpose = MemoryPurpose.REQUEST_BODIES if is_large else MemoryPurpose.SMALL_BODIES
-        reserved = self.memory.reserve(purpose, declared or 0)
+        reservation = self.memory.reserve(purpose, declared or 0)
         self._is_body_requested = True
         if not self.memory.is_limited or not is_large:
-            return await asgi.read_body(self._receive, limit, reserved)
-        return await asgi.read_body(self._receive_before_deadline, limit, reserved)
+            return await asgi.read_body(self._receive, limit, reservation)
+        return await asgi.read_body(self._receive_before_deadline, limit, reservation)
 
     @property
     def _is_chunked(self) -> bool:
