--- a/src/larkpost/platform/asgi.py
+++ b/src/larkpost/platform/asgi.py
@@ -20,7 +20,8 @@
     Parts are appended to one buffer, so that a large body is not held twice.
 
     Args:
-        reserved: grows if the body is larger than reserved; None to reserve nothing.
+        reservation: memory reserved for the body; grows if the body is larger. None to reserve
+            nothing.
 
     Raises:
         ClientDisconnectedError: the client closed its connection.
--- a/src/larkpost/platform/assembly.py
+++ b/src/larkpost/platform/assembly.py
@@ -45,7 +45,7 @@
         store: the store, called directly.
         relayed_store: the store, called through peers when direct calls fail.
         servers: the model servers.
-        duties: the platform's calls that one daemon at a time makes; None if there are none.
+        duties: the platform's API, which one daemon at a time calls; None if no address is set.
     """
 
     store: HttpStore
@@ -115,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Listeners:
-    """The addresses at which the daemon listens.
+    """The HTTP servers at which the daemon listens.
 
     Attributes:
         front: for clients.
--- a/src/larkpost/platform/client_response.py
+++ b/src/larkpost/platform/client_response.py
@@ -22,12 +22,12 @@
 
     Args:
         request_id: the caller's id of the attempt, which the response repeats.
-        lifecycle: once the daemon is stopping, each response closes its connection.
-        delivery: tracks how the client receives the response; None if that is not tracked.
+        lifecycle: the daemon's state; while it is stopping, each response closes its connection.
 
     Attributes:
-        delivery: as given.
-        closes_connection: whether the response closes its connection, whatever the daemon's state.
+        delivery: tracks how the client receives the response; None if that is not tracked.
+        closes_connection: whether the response closes its connection even if the daemon is not
+            stopping.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         """Sends a complete response.
 
         Args:
-            headers: headers of a server's response; if given, they include the request id.
+            headers: headers to forward; unless empty, they must include the request id.
             retry_after: value of ``Retry-After`` in seconds; None to leave it out.
         """
         extra_headers: list[tuple[bytes, bytes]] = [(b"content-length", str(len(body)).encode())]
--- a/src/larkpost/platform/duties.py
+++ b/src/larkpost/platform/duties.py
@@ -18,7 +18,7 @@
 from larkpost.platform.dead_connections import DeadConnectionDetector, UpstreamKind
 
 CALL_FAILURES = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
-"""Errors that a call may fail with."""
+"""Errors that a call may raise."""
 NO_RESPONSE_STATUS = 0
 """Placeholder status of a call without a response."""
 REPORT_OUTCOMES = {
--- a/src/larkpost/platform/server_messages.py
+++ b/src/larkpost/platform/server_messages.py
@@ -20,13 +20,13 @@
 """How a server treats requests that run under the old version while it loads the new one."""
 LOAD_VALUE_COUNTS = (3, 4)
 """Number of values in a server's load header: running, waiting, slots and, optionally, the current
-duration of work in per cent."""
+service time in per cent of the usual one."""
 LOAD_VALUE = re.compile(r"[0-9]{1,6}")
 KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=(\d+)")
 
 
 def read_int_header(headers: Mapping[str, str], name: bytes) -> int | None:
-    """Returns a header's value as an integer; None if it is missing or not one."""
+    """Returns a header's value as an integer; None if it is missing or not an integer."""
     text = headers.get(name.decode())
     return int(text) if text is not None and text.isdigit() else None
 
@@ -38,9 +38,9 @@
 
 
 def read_cold_seconds(headers: Mapping[str, str]) -> float | None:
-    """Returns the seconds for which a server stays cold; None if it does not say."""
-    left = read_int_header(headers, names.COLD_MS)
-    return left / 1000 if left is not None else None
+    """Returns the seconds for which a server stays cold; None if it does not report them."""
+    cold_ms = read_int_header(headers, names.COLD_MS)
+    return cold_ms / 1000 if cold_ms is not None else None
 
 
 def read_load(headers: Mapping[str, str]) -> ServerLoad | None:
--- a/src/larkpost/platform/server_requests.py
+++ b/src/larkpost/platform/server_requests.py
@@ -12,10 +12,10 @@
 from larkpost.platform.watched_connection import CallOptions
 
 MAX_PIECE_BYTES = 65536
-"""Larger bodies are sent in pieces of this size, each once the connection has room for it, as a
-transport copies what it cannot send at once."""
+"""Larger bodies are sent in pieces of this size, each once the connection has room for it, as the
+transport copies bytes that it cannot send immediately."""
 MIN_DEADLINE_MS = 1
-"""Lower bound of the deadline sent to a server: without one, the server would apply no limit."""
+"""Minimum deadline sent to a server; a server applies no limit to a request without a deadline."""
 
 
 async def send_once(
--- a/src/larkpost/platform/server_responses.py
+++ b/src/larkpost/platform/server_responses.py
@@ -23,9 +23,9 @@
     aiohttp.ClientPayloadError,
     ConnectionError,
 )
-"""Errors that mean that the connection was lost before the response was complete."""
+"""Errors raised if the connection is lost before the response is complete."""
 RESPONSE_FAILURES = (aiohttp.ClientError, asyncio.TimeoutError, OSError, ValueError)
-"""Errors that a call may fail with."""
+"""Errors that a call may raise."""
 MAX_CHUNK_BYTES = 65536
 """Maximum size of a chunk of the body; smaller chunks are passed on as they arrive."""
 EMPTY_STATUSES = (204, 304)
@@ -74,7 +74,7 @@
             raise BrokenResponseError("the stream ended within an event", connection_lost=True)
 
     def _was_reset(self) -> bool:
-        """Returns whether a body without a length ended other than by an orderly close."""
+        """Returns whether the connection of a body without a length was not closed in order."""
         headers = self._response.headers
         is_framed = "Content-Length" in headers or "Transfer-Encoding" in headers
         if is_framed or self.status in EMPTY_STATUSES:
--- a/src/larkpost/platform/settings.py
+++ b/src/larkpost/platform/settings.py
@@ -45,6 +45,10 @@
 
     Attributes:
         regions: regions of the deployment's zones, relative to this daemon's zone.
+        front: address at which the daemon listens for clients.
+        ready: address at which the daemon reports its readiness.
+        store: address of the store.
+        row_bytes: maximum size of a row's value in bytes.
         contact_time: time without a fault after which updates from the store are trusted.
         lease_time: time after a holder's last order before another holder may order.
         apply_time: time within which a new configuration must be in force everywhere.
@@ -53,8 +57,7 @@
         peer: address at which this daemon relays store calls for peers; None if no port is
             configured.
         metrics: where metrics are served; None to serve none.
-        duties: address for the platform calls that one daemon at a time makes; None if there are
-            none.
+        duties: address of the platform's API, which one daemon at a time calls; None if not set.
         max_descriptors: maximum number of file descriptors of this daemon.
         memory_bytes: memory limit of this daemon; None if not set.
         cores: CPU limit of this daemon in reference cores; None if not set.
--- a/src/larkpost/platform/sockets.py
+++ b/src/larkpost/platform/sockets.py
@@ -3,7 +3,7 @@
 import socket
 
 USER_TIMEOUT_MS = 3000
-"""Time without an acknowledgement of sent bytes after which a connection is closed."""
+"""Maximum time for which sent bytes may stay unacknowledged before the connection is closed."""
 KEEPALIVE_IDLE_SECONDS = 2
 KEEPALIVE_INTERVAL_SECONDS = 1
 KEEPALIVE_PROBES = 2
--- a/src/larkpost/platform/stand_in/memory_store.py
+++ b/src/larkpost/platform/stand_in/memory_store.py
@@ -125,7 +125,7 @@
         return self._store.clock.now()
 
     async def write(self, transaction: Transaction, timeout: float) -> WriteResult:
-        """Applies a transaction; see the port."""
+        """Applies a transaction; see `Store.write`."""
         store = self._store
         faults = store.faults
         if await self._has_timed_out(timeout):
@@ -146,7 +146,7 @@
     async def read(
         self, table: str, part: str, first: str = "", end: str = "", limit: int = 0
     ) -> RowPage:
-        """Reads rows of a part; see the port."""
+        """Reads rows of a part; see `Store.read`."""
         if await self._has_timed_out(1.5) or self._is_refused({part}):
             raise StoreUnavailableError("the store is unreachable or refuses the call")
         store = self._store
@@ -163,7 +163,7 @@
         return RowPage(tuple(found[:size]), len(found) > size, store.version)
 
     async def changes(self, table: str, after: int, wait: float) -> RowPage:
-        """Returns the changes of a table; see the port."""
+        """Returns the changes of a table; see `Store.changes`."""
         if await self._has_timed_out(wait + 1.5) or self._is_refused(set()):
             raise StoreUnavailableError("the store is unreachable or refuses the call")
         store = self._store
--- a/src/larkpost/platform/store_clock.py
+++ b/src/larkpost/platform/store_clock.py
@@ -5,21 +5,21 @@
 from larkpost.common.steady_time import steady_seconds
 
 CLOCK_DRIFT = 0.001
-"""Upper bound of the relative drift of two monotonic clocks, in seconds per second."""
+"""Maximum relative drift of the store's clock against steady time, in seconds per second."""
 
 
 class StoreClock:
     """The estimated clock of the store.
 
-    The store reads its clock at some time between the call and its response, so half the round trip
-    bounds the error. As both clocks are monotonic, the estimate of a fast call stays valid, apart
+    The store reads its clock between the call and its response, so the error is at most half the
+    round-trip time. As both clocks are monotonic, the estimate from a fast call stays valid, apart
     from drift, until a response contradicts it.
     """
 
     def __init__(self) -> None:
         self._offset: float | None = None
         self._error = 0.0
-        """Error bound of the offset when it was measured, in seconds."""
+        """Maximum error of the offset at the time of its measurement, in seconds."""
         self._measured_at = 0.0
 
     def now(self) -> float | None:
@@ -33,7 +33,7 @@
 
         Args:
             document: the response's document, which may lack a timestamp.
-            sent: monotonic time at which the call was sent.
+            sent: steady time at which the call was sent.
         """
         now_ms = document.get("now_ms") if isinstance(document, dict) else None
         if not isinstance(now_ms, int | float):
--- a/tests/process_soak/store_program.py
+++ b/tests/process_soak/store_program.py
@@ -38,8 +38,8 @@
 class RecordingStoreApp(StoreApp):
     """The store as daemons see it; it records the usage reports that it accepts."""
 
-    async def _take_usage(self, request: Request) -> Response:
-        response = await super()._take_usage(request)
+    async def _accept_usage(self, request: Request) -> Response:
+        response = await super()._accept_usage(request)
         if response.status_code == 200:
             document = orjson.loads(await request.body())
             write_record(
