--- a/src/larkpost/platform/stand_in/callers.py
+++ b/src/larkpost/platform/stand_in/callers.py
@@ -81,9 +81,9 @@
                 aiohttp.ClientSession() as session,
                 session.request(
                     method, f"http://{daemon}{target}", data=body, headers=headers
-                ) as answer,
+                ) as response,
             ):
-                return answer.status, await answer.read()
+                return response.status, await response.read()
         except FAILURES:
             return None  # the caller counts it as a failure
 
@@ -92,9 +92,9 @@
     ) -> bytes:
         """Repeats a call until the response has the expected status."""
         while True:
-            answer = await self.call(method, target, request_id, body)
-            if answer is not None and answer[0] == expected_status:
-                return answer[1]
+            response = await self.call(method, target, request_id, body)
+            if response is not None and response[0] == expected_status:
+                return response[1]
             self.record.retries += 1
             await asyncio.sleep(RETRY_SECONDS)
 
@@ -235,10 +235,10 @@
         self._record.client_requests += 1
         for _ in range(2):
             request_id = secrets.token_hex(8)
-            answer = await self._caller.call("GET", f"{PAGE_PREFIX}{request_id}", request_id)
-            if answer is not None and answer[0] == 200:
+            response = await self._caller.call("GET", f"{PAGE_PREFIX}{request_id}", request_id)
+            if response is not None and response[0] == 200:
                 self._record.client_answers += 1
-                wrong = answer[1] != f"page for {request_id}".encode()
+                wrong = response[1] != f"page for {request_id}".encode()
                 self._record.answers_wrong += wrong
                 return
             await asyncio.sleep(RETRY_SECONDS)
