--- a/src/larkpost/platform/stand_in/callers.py
+++ b/src/larkpost/platform/stand_in/callers.py
@@ -225,13 +225,13 @@
         """Sends requests until an event loop time."""
         loop = asyncio.get_running_loop()
         while loop.time() < until:
-            task = asyncio.create_task(self._ask())
+            task = asyncio.create_task(self._request_page())
             self._running.add(task)
             task.add_done_callback(self._running.discard)
             await asyncio.sleep(self._interval)
         await asyncio.gather(*self._running)
 
-    async def _ask(self) -> None:
+    async def _request_page(self) -> None:
         self._record.client_requests += 1
         for _ in range(2):
             request_id = secrets.token_hex(8)
