--- a/src/larkpost/platform/stand_in/callers.py
+++ b/src/larkpost/platform/stand_in/callers.py
@@ -119,12 +119,12 @@
         self,
         caller: Caller,
         shape: BatchShape,
-        name_version: Callable[[ModelName, int], Awaitable[None]],
+        publish_version: Callable[[ModelName, int], Awaitable[None]],
     ) -> None:
         self._caller = caller
         self._record = caller.record
         self._shape = shape
-        self._name_version = name_version
+        self._name_version = publish_version
 
     async def run(self, until: float) -> None:
         """Trains until an event loop time; finishes the batch in progress."""
--- a/src/larkpost/rehearsal/demo.py
+++ b/src/larkpost/rehearsal/demo.py
@@ -104,11 +104,11 @@
     caller: Caller,
     until: float,
 ) -> None:
-    async def name_version(model: ModelName, version: int) -> None:
+    async def publish_version(model: ModelName, version: int) -> None:
         await _write(store, version_transaction(model, version))
 
     for shape in site.shape.trainers:
-        trainer = StandInTrainer(caller, shape, name_version)
+        trainer = StandInTrainer(caller, shape, publish_version)
         tasks.create_task(trainer.run(until))
     client = StandInClient(caller, site.shape.client_requests_per_second)
     tasks.create_task(client.run(until))
--- a/tests/process_soak/__main__.py
+++ b/tests/process_soak/__main__.py
@@ -80,7 +80,11 @@
         self._checker.evacuations = site.evacuations
         await _until_ready(site)
         callers = Callers(
-            site.fronts, self._checker, self._chance, site.name_version, lambda: site.configured_at
+            site.fronts,
+            self._checker,
+            self._chance,
+            site.publish_version,
+            lambda: site.configured_at,
         )
         until = time.monotonic() + self.report.seconds
         work = asyncio.gather(
--- a/tests/process_soak/callers.py
+++ b/tests/process_soak/callers.py
@@ -57,14 +57,14 @@
         fronts: Callable[[], list[Address]],
         checker: InvariantChecker,
         rng: random.Random,
-        name_version: Callable[[ModelName, int], Awaitable[None]],
+        publish_version: Callable[[ModelName, int], Awaitable[None]],
         configured_at: Callable[[], dict[int, float]],
     ) -> None:
         self._configured_at = configured_at
         self._fronts = fronts
         self._checker = checker
         self._rng = rng
-        self._name_version = name_version
+        self._name_version = publish_version
         self.step_seconds: list[float] = []
         self.abandoned = 0
         self.requests = 0
--- a/tests/process_soak/site.py
+++ b/tests/process_soak/site.py
@@ -153,7 +153,7 @@
         await self.write(Transaction(puts=((key, orjson.dumps(document)),)))
         self.configured_at[self._configuration] = time.monotonic()
 
-    async def name_version(self, model: ModelName, version: int) -> None:
+    async def publish_version(self, model: ModelName, version: int) -> None:
         """Publishes a weight version."""
         await self.write(version_transaction(model, version))
 
