--- a/src/larkpost/platform/stand_in/callers.py
+++ b/src/larkpost/platform/stand_in/callers.py
@@ -124,7 +124,7 @@
         self._caller = caller
         self._record = caller.record
         self._shape = shape
-        self._name_version = publish_version
+        self._publish_version = publish_version
 
     async def run(self, until: float) -> None:
         """Trains until an event loop time; finishes the batch in progress."""
@@ -133,7 +133,7 @@
             if loop.time() >= until:
                 return
             if step:
-                await self._name_version(self._shape.model, step + 1)
+                await self._publish_version(self._shape.model, step + 1)
             await self._step(step)
 
     async def _step(self, step: int) -> None:
--- a/tests/process_soak/callers.py
+++ b/tests/process_soak/callers.py
@@ -64,7 +64,7 @@
         self._fronts = fronts
         self._checker = checker
         self._rng = rng
-        self._name_version = publish_version
+        self._publish_version = publish_version
         self.step_seconds: list[float] = []
         self.abandoned = 0
         self.requests = 0
@@ -83,7 +83,7 @@
         step = 0
         while time.monotonic() < until:
             if step:
-                await self._name_version(model, step + 1)
+                await self._publish_version(model, step + 1)
             await self._step(model, step, items)
             step += 1
 
