--- a/src/larkpost/platform/ingress.py
+++ b/src/larkpost/platform/ingress.py
@@ -200,7 +200,7 @@
 
 
 async def _detect_close(disconnect: asyncio.Task) -> None:
-    """Runs the event loop until a close that the client sent right after its request is detected.
+    """Lets the event loop detect a close that the client sent right after its request.
 
     A daemon that was busy or suspended reads requests whose clients have disconnected meanwhile.
 
--- a/src/larkpost/platform/stand_in/callers.py
+++ b/src/larkpost/platform/stand_in/callers.py
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class CallerRecord:
-    """What trainers and clients observed; the counts in `violations` must be 0."""
+    """Counts of what trainers and clients observed; `violations` must be 0."""
 
     batches_accepted: int = 0
     batches_whole: int = 0
@@ -112,7 +112,7 @@
     """Submits batches one after another and publishes a weight version after each.
 
     Args:
-        name_version: writes a weight version of a model to the store.
+        publish_version: writes a weight version of a model to the store.
     """
 
     def __init__(
@@ -203,7 +203,7 @@
 
 
 def _reward_call(item: str) -> dict[str, str]:
-    """Returns the reward call of an item; the page servers answer it."""
+    """Returns the reward call of an item; the page servers execute it."""
     return {
         "id": _reward_call_id(item),
         "host": HOST,
--- a/tests/process_soak/callers.py
+++ b/tests/process_soak/callers.py
@@ -48,7 +48,7 @@
 
     Args:
         fronts: returns the addresses at which callers reach the daemons.
-        name_version: publishes a weight version of a model.
+        publish_version: publishes a weight version of a model.
         configured_at: returns the acknowledgement time of each configuration version.
     """
 
