--- a/tests/test_platform_fuzz.py
+++ b/tests/test_platform_fuzz.py
@@ -241,7 +241,7 @@
         state.status = 500 if trouble == "failing" else None
 
     @rule()
-    def publish_version(self):
+    def name_version(self):
         """A trainer announces the next version."""
         self.version += 1
         self.run(self._do(self.fleet.put, "operator", MODEL, str(self.version).encode()))
