--- a/src/larkpost/platform/batch_documents.py
+++ b/src/larkpost/platform/batch_documents.py
@@ -85,7 +85,7 @@
     for item in items:
         _check_sendable(item)
     if len({item.id for item in items}) != len(items):
-        raise ValueError("two requests of the batch have the same id")
+        raise ValueError("two requests of the batch have one id")
 
 
 def _check_sendable(item: Item) -> None:
