--- a/src/larkpost/platform/duties.py
+++ b/src/larkpost/platform/duties.py
@@ -1,6 +1,6 @@
-"""The adapter to the platform's calls that only the holder of a lease makes.
+"""The adapter to the platform's API, which only the daemon that holds a lease calls.
 
-Sends usage reports and orders of servers, and translates the response statuses.
+Sends usage reports and scaling orders, and translates the statuses of the responses.
 """
 
 import asyncio
@@ -18,26 +18,26 @@
 from larkpost.platform.dead_connections import DeadConnectionDetector, UpstreamKind
 
 CALL_FAILURES = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
-"""Errors that a call may fail with."""
-NO_RESPONSE = 0
+"""Errors that a call may raise."""
+NO_RESPONSE_STATUS = 0
 """Placeholder status of a call without a response."""
 REPORT_OUTCOMES = {
     200: ReportOutcome.TAKEN,
     409: ReportOutcome.FENCED,
     500: ReportOutcome.UNKNOWN,
-    NO_RESPONSE: ReportOutcome.UNKNOWN,
+    NO_RESPONSE_STATUS: ReportOutcome.UNKNOWN,
 }
 
 SCALING_OUTCOMES = {
     200: ScalingOutcome.TAKEN,
     409: ScalingOutcome.REFUSED,
     500: ScalingOutcome.UNKNOWN,
-    NO_RESPONSE: ScalingOutcome.UNKNOWN,
+    NO_RESPONSE_STATUS: ScalingOutcome.UNKNOWN,
 }
 
 
 class HttpDuties:
-    """Sends usage reports and orders of servers; implements `UsagePort` and `ScalingPort`.
+    """Sends usage reports and scaling orders; implements `UsagePort` and `ScalingPort`.
 
     Args:
         address: address of the platform's API.
@@ -58,7 +58,7 @@
     async def report_usage(
         self, report: UsageReport, holder: str, lease: Lease, timeout: float
     ) -> ReportOutcome:
-        """Sends a usage report; see the port."""
+        """Sends a usage report; see `UsagePort.report_usage`."""
         document = {"window-id": report.window, "counts": report.counts}
         status = await self._call(names.USAGE_PATH, document, holder, lease, timeout)
         return REPORT_OUTCOMES.get(status, ReportOutcome.NOT_TAKEN)
@@ -66,7 +66,7 @@
     async def order_servers(
         self, order: ScalingOrder, holder: str, lease: Lease, timeout: float
     ) -> ScalingOutcome:
-        """Orders servers; see the port."""
+        """Orders servers from the platform; see `ScalingPort.order_servers`."""
         document: dict[str, object] = {
             "service": order.service,
             "zone": order.zone,
@@ -80,7 +80,10 @@
     async def _call(
         self, call: str, document: dict[str, object], holder: str, lease: Lease, timeout: float
     ) -> int:
-        """Makes a call under a lease and returns its status; `NO_RESPONSE` if there was none."""
+        """Makes a call under a lease and returns its status.
+
+        Returns `NO_RESPONSE_STATUS` if there was no response.
+        """
         headers = {
             names.LEASE_HOLDER.decode(): holder,
             names.FENCING_TOKEN.decode(): str(lease.token),
@@ -95,4 +98,4 @@
                 await response.read()
                 return response.status
         except CALL_FAILURES:
-            return NO_RESPONSE  # the lease holder logs it and retries
+            return NO_RESPONSE_STATUS  # the lease holder logs it and retries
--- a/src/larkpost/platform/process.py
+++ b/src/larkpost/platform/process.py
@@ -20,7 +20,7 @@
     open_clients,
 )
 from larkpost.platform.settings import PlatformSettings, load_platform_settings, settings_path
-from larkpost.platform.settings_watch import LiveSettings, SettingsWatcher, read_content
+from larkpost.platform.settings_watch import ReloadTargets, SettingsWatcher, read_content
 
 
 def run() -> None:
@@ -69,8 +69,8 @@
         Args:
             content: the file's content, read before the settings were loaded.
         """
-        live = LiveSettings(self._gateway.settings, self._clients.store, self._clients.duties)
-        return SettingsWatcher(path, content, self._reload, live, self._log)
+        targets = ReloadTargets(self._gateway.settings, self._clients.store, self._clients.duties)
+        return SettingsWatcher(path, content, self._reload, targets, self._log)
 
     def handle_signals(self) -> None:
         """Installs handlers for signals and for event loop errors."""
@@ -89,12 +89,12 @@
 
     async def run_until_stopped(self, watch_settings: Callable[[], Awaitable[None]]) -> None:
         """Runs until a signal asks to stop and the daemon has drained."""
-        watching = asyncio.create_task(watch_settings())
-        guarding = asyncio.create_task(self._descriptor_monitor.watch())
+        settings_task = asyncio.create_task(watch_settings())
+        descriptor_task = asyncio.create_task(self._descriptor_monitor.watch())
         await self._stop.wait()
         await self._gateway.drain()
-        watching.cancel()
-        guarding.cancel()
+        settings_task.cancel()
+        descriptor_task.cancel()
 
     async def close(self) -> None:
         """Stops the daemon, then its listeners, then its clients."""
--- a/src/larkpost/platform/stand_in/callers.py
+++ b/src/larkpost/platform/stand_in/callers.py
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class CallerRecord:
-    """What trainers and clients observed; the counts in `violations` must be 0."""
+    """Counts of what trainers and clients observed; `violations` must be 0."""
 
     batches_accepted: int = 0
     batches_whole: int = 0
@@ -81,9 +81,9 @@
                 aiohttp.ClientSession() as session,
                 session.request(
                     method, f"http://{daemon}{target}", data=body, headers=headers
-                ) as answer,
+                ) as response,
             ):
-                return answer.status, await answer.read()
+                return response.status, await response.read()
         except FAILURES:
             return None  # the caller counts it as a failure
 
@@ -92,9 +92,9 @@
     ) -> bytes:
         """Repeats a call until the response has the expected status."""
         while True:
-            answer = await self.call(method, target, request_id, body)
-            if answer is not None and answer[0] == expected_status:
-                return answer[1]
+            response = await self.call(method, target, request_id, body)
+            if response is not None and response[0] == expected_status:
+                return response[1]
             self.record.retries += 1
             await asyncio.sleep(RETRY_SECONDS)
 
@@ -112,19 +112,19 @@
     """Submits batches one after another and publishes a weight version after each.
 
     Args:
-        name_version: writes a weight version of a model to the store.
+        publish_version: writes a weight version of a model to the store.
     """
 
     def __init__(
         self,
         caller: Caller,
         shape: BatchShape,
-        name_version: Callable[[ModelName, int], Awaitable[None]],
+        publish_version: Callable[[ModelName, int], Awaitable[None]],
     ) -> None:
         self._caller = caller
         self._record = caller.record
         self._shape = shape
-        self._name_version = name_version
+        self._publish_version = publish_version
 
     async def run(self, until: float) -> None:
         """Trains until an event loop time; finishes the batch in progress."""
@@ -133,7 +133,7 @@
             if loop.time() >= until:
                 return
             if step:
-                await self._name_version(self._shape.model, step + 1)
+                await self._publish_version(self._shape.model, step + 1)
             await self._step(step)
 
     async def _step(self, step: int) -> None:
@@ -203,7 +203,7 @@
 
 
 def _reward_call(item: str) -> dict[str, str]:
-    """Returns the reward call of an item; the page servers answer it."""
+    """Returns the reward call of an item; the page servers execute it."""
     return {
         "id": _reward_call_id(item),
         "host": HOST,
@@ -225,20 +225,20 @@
         """Sends requests until an event loop time."""
         loop = asyncio.get_running_loop()
         while loop.time() < until:
-            task = asyncio.create_task(self._ask())
+            task = asyncio.create_task(self._request_page())
             self._running.add(task)
             task.add_done_callback(self._running.discard)
             await asyncio.sleep(self._interval)
         await asyncio.gather(*self._running)
 
-    async def _ask(self) -> None:
+    async def _request_page(self) -> None:
         self._record.client_requests += 1
         for _ in range(2):
             request_id = secrets.token_hex(8)
-            answer = await self._caller.call("GET", f"{PAGE_PREFIX}{request_id}", request_id)
-            if answer is not None and answer[0] == 200:
+            response = await self._caller.call("GET", f"{PAGE_PREFIX}{request_id}", request_id)
+            if response is not None and response[0] == 200:
                 self._record.client_answers += 1
-                wrong = answer[1] != f"page for {request_id}".encode()
+                wrong = response[1] != f"page for {request_id}".encode()
                 self._record.answers_wrong += wrong
                 return
             await asyncio.sleep(RETRY_SECONDS)
--- a/src/larkpost/platform/stand_in/memory_store.py
+++ b/src/larkpost/platform/stand_in/memory_store.py
@@ -62,10 +62,10 @@
 
     def apply(self, transaction: Transaction) -> WriteResult:
         """Applies a transaction at once."""
-        self.carry_out_late()
+        self.apply_late_writes()
         return self._apply(transaction)
 
-    def carry_out_late(self) -> None:
+    def apply_late_writes(self) -> None:
         """Applies the late writes that are due."""
         now = self.clock.now()
         due = [entry for entry in self.late if entry[0] <= now]
@@ -125,10 +125,10 @@
         return self._store.clock.now()
 
     async def write(self, transaction: Transaction, timeout: float) -> WriteResult:
-        """Applies a transaction; see the port."""
+        """Applies a transaction; see `Store.write`."""
         store = self._store
         faults = store.faults
-        if await self._is_silent(timeout):
+        if await self._has_timed_out(timeout):
             return WriteResult(WriteOutcome.UNKNOWN)
         if self._is_refused({key.part for key, _ in transaction.puts}):
             return WriteResult(WriteOutcome.NOT_DONE)
@@ -146,11 +146,11 @@
     async def read(
         self, table: str, part: str, first: str = "", end: str = "", limit: int = 0
     ) -> RowPage:
-        """Reads rows of a part; see the port."""
-        if await self._is_silent(1.5) or self._is_refused({part}):
+        """Reads rows of a part; see `Store.read`."""
+        if await self._has_timed_out(1.5) or self._is_refused({part}):
             raise StoreUnavailableError("the store is unreachable or refuses the call")
         store = self._store
-        store.carry_out_late()
+        store.apply_late_writes()
         found = [
             store.rows[key]
             for key in sorted(store.rows)
@@ -163,13 +163,13 @@
         return RowPage(tuple(found[:size]), len(found) > size, store.version)
 
     async def changes(self, table: str, after: int, wait: float) -> RowPage:
-        """Returns the changes of a table; see the port."""
-        if await self._is_silent(wait + 1.5) or self._is_refused(set()):
+        """Returns the changes of a table; see `Store.changes`."""
+        if await self._has_timed_out(wait + 1.5) or self._is_refused(set()):
             raise StoreUnavailableError("the store is unreachable or refuses the call")
         store = self._store
-        give_up_at = store.clock.now() + wait
+        deadline = store.clock.now() + wait
         while True:
-            store.carry_out_late()
+            store.apply_late_writes()
             if after < store.oldest_change:
                 raise HistoryLostError(
                     f"the feed has no changes between {after} and {store.oldest_change}"
@@ -177,11 +177,11 @@
             rows = tuple(
                 row for row in store.history if row.key.table == table and row.version > after
             )
-            if rows or store.clock.now() >= give_up_at:
+            if rows or store.clock.now() >= deadline:
                 return RowPage(rows, False, store.version)
             await store.clock.sleep(POLL_SECONDS)
 
-    async def _is_silent(self, timeout: float) -> bool:
+    async def _has_timed_out(self, timeout: float) -> bool:
         faults = self._store.faults
         if faults.down or self.cut_off:
             await self._store.clock.sleep(timeout)
--- a/src/larkpost/platform/stand_in/store_app.py
+++ b/src/larkpost/platform/stand_in/store_app.py
@@ -42,14 +42,14 @@
         """Returns the application; it also accepts usage reports."""
         return Starlette(
             routes=[
-                Route(names.USAGE_PATH, self._take_usage, methods=["POST"]),
+                Route(names.USAGE_PATH, self._accept_usage, methods=["POST"]),
                 Route(names.TRANSACTION_PATH, self._write, methods=["POST"]),
                 Route(names.READ_PATH, self._read),
                 Route(names.FEED_PATH, self._changes),
             ]
         )
 
-    async def _take_usage(self, request: Request) -> Response:
+    async def _accept_usage(self, request: Request) -> Response:
         token = int(request.headers[names.FENCING_TOKEN.decode()])
         if token < self._highest_token:
             return Response(status_code=409)
@@ -69,7 +69,7 @@
         if result.outcome is WriteOutcome.UNKNOWN:
             return Response(status_code=500)
         fields = {"ver": result.version, "rows": [_document(row) for row in result.rows]}
-        return self._answer(WRITE_STATUSES[result.outcome], fields)
+        return self._json_response(WRITE_STATUSES[result.outcome], fields)
 
     async def _read(self, request: Request) -> Response:
         query = request.query_params
@@ -98,9 +98,9 @@
 
     def _page(self, page: RowPage) -> Response:
         rows = [_document(row) for row in page.rows]
-        return self._answer(200, {"rows": rows, "more": page.more, "ver": page.version})
+        return self._json_response(200, {"rows": rows, "more": page.more, "ver": page.version})
 
-    def _answer(self, status: int, fields: dict[str, Any]) -> Response:
+    def _json_response(self, status: int, fields: dict[str, Any]) -> Response:
         content = orjson.dumps(fields | {"now_ms": int(self._clock.now() * 1000)})
         return Response(content, status_code=status, media_type="application/json")
 
--- a/tests/process_soak/callers.py
+++ b/tests/process_soak/callers.py
@@ -48,7 +48,7 @@
 
     Args:
         fronts: returns the addresses at which callers reach the daemons.
-        name_version: publishes a weight version of a model.
+        publish_version: publishes a weight version of a model.
         configured_at: returns the acknowledgement time of each configuration version.
     """
 
@@ -57,14 +57,14 @@
         fronts: Callable[[], list[Address]],
         checker: InvariantChecker,
         rng: random.Random,
-        name_version: Callable[[ModelName, int], Awaitable[None]],
+        publish_version: Callable[[ModelName, int], Awaitable[None]],
         configured_at: Callable[[], dict[int, float]],
     ) -> None:
         self._configured_at = configured_at
         self._fronts = fronts
         self._checker = checker
         self._rng = rng
-        self._name_version = name_version
+        self._publish_version = publish_version
         self.step_seconds: list[float] = []
         self.abandoned = 0
         self.requests = 0
@@ -83,7 +83,7 @@
         step = 0
         while time.monotonic() < until:
             if step:
-                await self._name_version(model, step + 1)
+                await self._publish_version(model, step + 1)
             await self._step(model, step, items)
             step += 1
 
