--- a/src/larkpost/gateway/rollouts/batch_forecaster.py
+++ b/src/larkpost/gateway/rollouts/batch_forecaster.py
@@ -70,7 +70,7 @@
     def __init__(self, inputs: ForecastInputs) -> None:
         self._inputs = inputs
         self._reports: dict[DaemonId, tuple[float, dict[BatchId, BatchProgress]]] = {}
-        """Monotonic time and content of the last report of each owner."""
+        """Steady time and content of the last report of each owner."""
 
     def record_report(self, daemon: DaemonId, batches: dict[BatchId, BatchProgress]) -> None:
         """Records the batch progress reported by another daemon, replacing its last report."""
--- a/src/larkpost/gateway/rollouts/batch_head_cache.py
+++ b/src/larkpost/gateway/rollouts/batch_head_cache.py
@@ -33,7 +33,7 @@
 
     Attributes:
         version: version of the head's row.
-        owner_since: monotonic time at which this daemon first read the current owner.
+        owner_since: steady time at which this daemon first read the current owner.
         submitted_after: the model's newest weight version when the batch was accepted, and how long
             before that it was announced; None if this daemon did not observe both.
     """
--- a/src/larkpost/gateway/rollouts/engine_selector.py
+++ b/src/larkpost/gateway/rollouts/engine_selector.py
@@ -42,7 +42,7 @@
         self._started_at = services.clock.now()
         self.item_work = ItemWork(head, services)
         self._best_service_times: dict[tuple[ServiceName, Work, int], tuple[float, float]] = {}
-        """Monotonic time of computation and best service time, by service, placement requirements
+        """Steady time of computation and best service time, by service, placement requirements
         and minimum version."""
 
     def choose(
--- a/src/larkpost/gateway/rollouts/item_runner.py
+++ b/src/larkpost/gateway/rollouts/item_runner.py
@@ -60,7 +60,7 @@
         self._reserved_engines: dict[ItemId, InstanceInfo] = {}
         """Engines with a slot reserved by a migrating run, by item."""
         self._queued_at: dict[ItemId, float] = {}
-        """Monotonic times at which items that have not run yet were queued."""
+        """Steady times at which items that have not run yet were queued."""
 
     async def run_to_completion(self, progress: Progress) -> bool:
         """Runs an item until its output is complete; False if the item is given up."""
--- a/src/larkpost/gateway/rollouts/stall_detector.py
+++ b/src/larkpost/gateway/rollouts/stall_detector.py
@@ -36,8 +36,8 @@
 
     Attributes:
         event_timeout: timeout of the next event; rescheduled to now to abort the run.
-        started_at: monotonic time at which the run started.
-        last_event_at: monotonic time of the last event; `started_at` before the first one.
+        started_at: steady time at which the run started.
+        last_event_at: steady time of the last event; `started_at` before the first one.
         is_stalled: whether the run was aborted as stalled.
     """
 
--- a/src/larkpost/gateway/rollouts/view.py
+++ b/src/larkpost/gateway/rollouts/view.py
@@ -24,8 +24,8 @@
     Attributes:
         items: items of the batch by id; None if not loaded.
         size: bytes of texts and bodies, without object overhead.
-        confirmed_at: latest monotonic time at which the list held all results in the store.
-        used_at: monotonic time of the last use, for eviction.
+        confirmed_at: latest steady time at which the list held all results in the store.
+        used_at: steady time of the last use, for eviction.
     """
 
     def __init__(self, head: BatchHead) -> None:
@@ -69,7 +69,7 @@
         return bool(size) and complete_groups >= self.head.desired_groups
 
     def confirm(self, at: float) -> None:
-        """Records that the list held all results in the store at a monotonic time."""
+        """Records that the list held all results in the store at a steady time."""
         self.confirmed_at = max(self.confirmed_at, at)
 
     async def wait_for_change(self, timeout: float) -> None:
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -765,7 +765,7 @@
     "forget_evacuations": ("is in a zone evacuated",),
     "wait_on_silent_connections": ("TimeoutError",),
     "send_crashing_requests_on": ("but reached servers at",),
-    "take_any_wait_for_a_shortage": ("held back while there is room",),
-    "forget_shares": ("the small tenants pay for the heavy one",),
+    "take_any_wait_for_a_shortage": ("held back without a shortage",),
+    "forget_shares": ("the small tenants are held back for the heavy",),
 }
 """Text that the failure must contain; another failure proves nothing about the mutant."""
