--- a/src/larkpost/standalone/batches/ledger.py
+++ b/src/larkpost/standalone/batches/ledger.py
@@ -1,12 +1,13 @@
 """The state of one rollout batch: its slots (pending, running, finished or held) and its pages.
 
 Uses neither clock nor network. Invariants:
-- A slot gets one value: the first attempt to finish wins, results of later ones are dropped.
+- A slot gets one value, from the first attempt to finish; results of later ones are dropped.
 - A page contains only slots that the trainer does not report as held, so a held slot is never
   served again, neither by this daemon nor by one that takes over the batch.
 - A finished sample whose oldest version is below the trainer's staleness bound is never put on a
   page; its slot becomes pending again.
-- A repeated request for a page number at the same trainer version returns the identical page.
+- A repeated request for the last page at the same trainer version returns the identical page,
+  if it has samples and none of them has become held or stale since.
 """
 
 from collections.abc import Iterable
@@ -179,7 +180,7 @@
                 self._drop_stale(slot)
 
     def make_page(self, number: int, version: int, limit: int) -> Page:
-        """Builds a page, or returns the last one again if number and version are the same."""
+        """Builds a page, or returns the last if its number, version and samples are the same."""
         if self._last_page is not None:
             last_number, last_version, page = self._last_page
             unchanged = all(self._slots[s.slot].sample is s for s in page.samples)
@@ -198,7 +199,7 @@
         self._make_pending(slot)
 
     def _make_pending(self, slot: int) -> None:
-        """Puts a slot at the front of the pending ones, as it is the most delayed."""
+        """Makes a slot pending and the next to start, as it is the most delayed."""
         self._slots[slot].state = SlotState.PENDING
         self._pending = {slot: None, **self._pending}
 
--- a/src/larkpost/standalone/batches/placement.py
+++ b/src/larkpost/standalone/batches/placement.py
@@ -16,7 +16,7 @@
 
     Attributes:
         free: sequence slots that rollouts may still use.
-        running: sequences at the engine.
+        running: sequences that run or wait at the engine.
         is_slow: the engine is a straggler, used only when the others are full.
     """
 
--- a/src/larkpost/standalone/batches/replication.py
+++ b/src/larkpost/standalone/batches/replication.py
@@ -1,8 +1,8 @@
 """Replication of batches to a standby daemon, so that finished samples survive the owner's failure.
 
 The owner sends newly finished samples in groups to a standby, chosen by rendezvous hashing and
-preferably in another zone. A daemon asked for a batch it does not know fetches it from the likely
-standbys. If none has it, the trainer reopens the batch: it has the specification and the list of
+preferably in another zone. A daemon that is asked for an unknown batch fetches it from the standby
+candidates. If none has it, the trainer reopens the batch: it has the specification and the list of
 held slots, so no store is needed.
 """
 
@@ -27,7 +27,7 @@
 STANDBY_CANDIDATES = 3
 """Number of daemons tried as standby, those of other zones first."""
 REPLICATE_TIMEOUT = 1.0
-"""Seconds to wait for a standby's answer."""
+"""Seconds to wait for another daemon's answer."""
 MAX_REPLICAS = 1024
 """Maximum number of replicas at a daemon; the least recently updated are dropped."""
 
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class RecoveredBatch:
-    """A batch as recovered from other daemons."""
+    """A batch recovered from other daemons."""
 
     spec: BatchSpec
     samples: list[Sample]
@@ -122,7 +122,7 @@
             await self._send(member, spec, [], closed=True)
 
     async def recover(self, batch: BatchId) -> RecoveredBatch | None:
-        """Fetches a batch from the likely standbys and takes it over from its owner."""
+        """Fetches a batch from the standby candidates and takes it over from its owner."""
         payload = pb.BatchFetchRequest(id=batch).SerializeToString()
         candidates = self._candidates(batch)
         answers = await asyncio.gather(*(self._fetch(m, payload) for m in candidates))
--- a/src/larkpost/standalone/batches/service.py
+++ b/src/larkpost/standalone/batches/service.py
@@ -1,7 +1,7 @@
 """The batch service: opens, serves and closes batches, and takes over those of other daemons.
 
-Owns the batches that are open at this daemon. The ledger of a batch keeps its slots, and its runner
-the attempts.
+Owns the batches that are open at this daemon. Each has a ledger, which tracks its slots, and a
+runner, which runs the attempts.
 """
 
 import asyncio
--- a/src/larkpost/standalone/controllers/configuration.py
+++ b/src/larkpost/standalone/controllers/configuration.py
@@ -2,7 +2,7 @@
 
 The row's version is the epoch. Confirming a plan is a compare-and-set on that row. The row records
 the ids and epochs of recent plans, so that a write whose response was lost is detected by reading
-the row and never applied twice. Daemons only move to a higher epoch.
+the row and never applied twice. The epoch of a daemon never decreases.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
 WRITE_ATTEMPTS = 3
 """Maximum number of attempts to write one plan when the table service does not answer."""
 IN_FORCE_TIMEOUT = 5.0
-"""Seconds a confirmation waits for the zones before it reports the rest as pending."""
+"""Maximum seconds a confirmation waits for zones; it reports the others as pending."""
 IN_FORCE_POLL_INTERVAL = 0.2
 """Seconds between checks of the zones while a confirmation waits."""
 
@@ -107,8 +107,8 @@
         """Learns the configuration from the zone's daemons while the table service is unavailable.
 
         A majority of the zone's other daemons must answer that they are ready; the highest epoch
-        among them is adopted. Every epoch that was reported in force in the zone is held by a
-        quorum of it.
+        among them is adopted. A quorum of the zone's daemons has every epoch that was reported in
+        force there.
 
         Returns:
             Whether the highest epoch of that majority is now in force at this daemon.
@@ -151,7 +151,7 @@
         )
 
     async def _write(self, plan: Plan) -> int:
-        """Writes the plan; each attempt first reads whether an earlier one succeeded."""
+        """Writes the plan; each attempt first reads the row, in case an earlier one succeeded."""
         timeout = self._settings.platform_timeout
         for attempt in range(WRITE_ATTEMPTS):
             try:
@@ -237,7 +237,7 @@
         }
 
     def _is_zone_in_force(self, zone: ZoneId, updated: set[DaemonId]) -> bool:
-        """Whether a quorum of the zone has the epoch and no other daemon can act on an older."""
+        """Whether a quorum of the zone has the epoch and no other daemon can act on an old one."""
         if not self._readiness.has_quorum(zone, updated):
             return False
         others = [m for m in self._readiness.known_members(zone) if m.id not in updated]
--- a/src/larkpost/standalone/controllers/directory.py
+++ b/src/larkpost/standalone/controllers/directory.py
@@ -16,7 +16,7 @@
 from larkpost.standalone.table_service.ports import MachineEntry, MachineList
 
 FULL_LIST_EVERY_POLLS = 15
-"""Polls from one read of the whole machine list to the next; the others read one zone."""
+"""One in this many polls reads the whole machine list; the others read one zone."""
 
 
 class EngineDirectory:
--- a/src/larkpost/standalone/controllers/membership.py
+++ b/src/larkpost/standalone/controllers/membership.py
@@ -20,15 +20,15 @@
 UPDATES_PER_DATAGRAM = 6
 """Maximum number of member updates in one datagram."""
 EAGER_FANOUT = 3
-"""Number of daemons to which new updates are sent at once."""
+"""Number of daemons to which new updates are sent without waiting for the next probe."""
 MAX_EAGER_DATAGRAMS = 16
-"""Maximum number of datagrams sent at once to each of them."""
+"""Maximum number of such datagrams to one daemon for one group of new updates."""
 EAGER_DELAY_DIVISOR = 20
-"""New updates are collected for the probe interval divided by this before they are sent."""
+"""New updates are sent after a delay of the probe interval divided by this."""
 RETRANSMIT_FACTOR = 3
-"""An update is sent this many times for each doubling of the fleet's size."""
+"""An update is sent about ``RETRANSMIT_FACTOR * log2(fleet size)`` times."""
 HEAL_EVERY_PROBES = 5
-"""Probe rounds between attempts to reach dead daemons and missing peers across a partition."""
+"""Probe rounds between attempts to reach dead daemons and missing peers after a partition."""
 JOIN_TIMEOUT = 1.0
 """Seconds to wait for a peer's member table."""
 MIN_JOIN_REPLIES = 2
@@ -58,6 +58,7 @@
         ]
         self._rng = runtime.rng
         self._updates: dict[DaemonId, int] = {}
+        """Queued updates: for each daemon, how often its state is still to be sent."""
         self._new_update_count = 0
         """Updates queued since the last eager datagrams."""
         self._probe_order: list[DaemonId] = []
@@ -90,7 +91,7 @@
         self._queue_update(self._table.own.id)
 
     def leave(self) -> None:
-        """Announces that this daemon has left."""
+        """Announces that this daemon has left; gossip adds its state to the empty envelopes."""
         self._table.update_own(self._table.own.incarnation, MemberState.LEFT)
         targets = self._table.alive_others()
         for target in self._rng.sample(targets, min(len(targets), 2 * EAGER_FANOUT)):
@@ -183,9 +184,9 @@
         return [member.to_message() for member in members if member is not None]
 
     async def _confirm_death(self, suspect: MemberInfo) -> None:
-        # Suspicions and refutations take more hops to spread in a larger fleet.
-        growth = max(math.log10(len(self._table)), 1.0)
-        await self._clock.sleep(self._settings.suspicion_time * growth)
+        # In a larger fleet, suspicions and refutations take more hops, so the time is longer.
+        size_factor = max(math.log10(len(self._table)), 1.0)
+        await self._clock.sleep(self._settings.suspicion_time * size_factor)
         known = self._table.get(suspect.id)
         if known is not None and _is_unchanged(known, suspect):
             self._change_state(known, MemberState.DEAD)
--- a/src/larkpost/standalone/controllers/owner_map.py
+++ b/src/larkpost/standalone/controllers/owner_map.py
@@ -1,9 +1,9 @@
 """Assignment of engines to daemons, updated incrementally.
 
 The owner of an engine is the daemon of its zone with the highest rendezvous score; engines of a
-zone without daemons are assigned among all daemons. A full computation costs engines times daemons,
-so it is avoided: a joining daemon is compared with each engine's current owner only, and a leaving
-one has only its own engines reassigned. Owners are cached for the daemon's own zone and for zones
+zone without daemons are assigned among all daemons. Scoring every engine with every daemon is
+avoided: a joining daemon is compared only with each engine's current owner, and when a daemon
+leaves, only its engines are reassigned. Owners are cached for the daemon's own zone and for zones
 without daemons; those of other zones are computed on demand.
 """
 
@@ -61,8 +61,8 @@
             if zone in zones_with_daemons and zone != own_zone:
                 self._drop_zone(zone, engines)
             else:
-                own = {member.id for member in eligible if member.zone == zone}
-                self._update_zone(zone, engines, own or all_daemons)
+                zone_daemons = {member.id for member in eligible if member.zone == zone}
+                self._update_zone(zone, engines, zone_daemons or all_daemons)
 
     def _index_engines(self) -> None:
         """Groups the directory by zone and drops the owners of engines that are new to a zone."""
--- a/src/larkpost/standalone/controllers/ownership.py
+++ b/src/larkpost/standalone/controllers/ownership.py
@@ -1,9 +1,9 @@
-"""Ownership of engines: one daemon monitors each engine and orders it under a fencing token.
+"""Ownership of engines: one daemon monitors each engine and sends it orders with a fencing token.
 
 The owner is chosen by rendezvous hashing among the daemons of the engine's zone, so daemons with
-the same view agree without messages. The engine arbitrates between differing views: a claim needs a
-token above every token it has accepted, and orders of a replaced owner are refused. So no store is
-needed, and an owner that resumes after a pause cannot give an order under its old token.
+the same view agree without messages. If views differ, the engine decides: it accepts a claim only
+with a token above every token it has accepted, and refuses orders of a replaced owner. So no
+store is needed, and an owner that resumes after a pause cannot give an order with its old token.
 """
 
 from larkpost.common.ids import DaemonId, EngineId
@@ -51,11 +51,11 @@
         return self._assigned
 
     def owner_of(self, info: EngineInfo) -> DaemonId | None:
-        """Returns the daemon assigned to the engine; of another zone if its own has none."""
+        """Returns the daemon assigned to the engine, from another zone if the engine's has none."""
         return self._owners.owner_of(info.id)
 
     async def reconcile(self) -> None:
-        """Releases owned engines that are no longer assigned here and claims missing ones."""
+        """Releases owned engines that are no longer assigned here and claims assigned ones."""
         if self._board.phase == Phase.STOPPING:
             self._board.owned.clear()
             return
--- a/src/larkpost/standalone/controllers/probing.py
+++ b/src/larkpost/standalone/controllers/probing.py
@@ -65,7 +65,7 @@
     async def _await_ack(self, sequence: int, answered: asyncio.Event, timeout: float) -> bool:
         """Waits for an acknowledgement.
 
-        If this daemon's event loop is late, a missing answer proves nothing, so True is returned.
+        Also returns True if the event loop is late, as a missing ack is inconclusive then.
         """
         started = self._clock.now()
         while not answered.is_set() and self._clock.now() < started + timeout:
--- a/src/larkpost/standalone/controllers/weights.py
+++ b/src/larkpost/standalone/controllers/weights.py
@@ -2,8 +2,9 @@
 
 An engine's wave follows from its rank in the pool, so owners stagger swaps without messages and the
 whole pool never swaps at once. A wave starts once the engines of earlier waves that this daemon
-watches have the version, or at the latest after the pool's interval. A swap is complete when the
-engine reports the version, not when it accepts the order.
+watches have the version, and wave n (from 0) at the latest n swap intervals of the pool after this
+daemon learned the version. A swap is complete when the engine reports the version, not when it
+accepts the order.
 """
 
 from larkpost.common.ids import EngineId
@@ -21,7 +22,7 @@
 from larkpost.standalone.runtime import Runtime
 
 RETRY_BASE = 0.5
-"""Seconds between a first order and its retry; doubles with each further retry."""
+"""Maximum seconds between a first order and its retry; doubles with each further retry."""
 RETRY_LIMIT = 8.0
 """Maximum seconds between retries of an order."""
 
@@ -117,7 +118,10 @@
             self._telemetry.count("swap_failures")
 
     def _schedule_retry(self, engine: EngineId) -> None:
-        """Sets the earliest time of the next order; reaching the target version resets it."""
+        """Sets the earliest time of the next order, with exponential backoff.
+
+        The backoff restarts once the engine has the target version.
+        """
         failures = self._failures.get(engine, 0)
         self._failures[engine] = failures + 1
         wait = min(RETRY_BASE * 2**failures, RETRY_LIMIT)
--- a/src/larkpost/standalone/controllers/zone_pollers.py
+++ b/src/larkpost/standalone/controllers/zone_pollers.py
@@ -14,4 +14,4 @@
     """
     own = board.members.own
     pollers = rank_members(board.members.eligible(own.zone), resource)[:POLLERS_PER_ZONE]
-    return any(holder.id == own.id for holder in pollers)
+    return any(poller.id == own.id for poller in pollers)
--- a/src/larkpost/standalone/routing/dispatcher.py
+++ b/src/larkpost/standalone/routing/dispatcher.py
@@ -43,7 +43,7 @@
 MAX_REPORT_PROBES = 3
 """Maximum number of engines polled by one request when no report is fresh."""
 MAX_STREAMS_PER_ATTEMPT = 2
-"""Streams of one attempt: the first, and one that resumes it after a break."""
+"""Maximum number of streams of one attempt: the first, and one that resumes it."""
 
 
 class Dispatcher:
@@ -103,6 +103,7 @@
             await self._poll_stale_engines(work, progress)
             candidate = self._selector.choose(work, progress.excluded)
         if candidate is None and progress.excluded:
+            # No other engine is available, so the excluded ones are tried again.
             progress.excluded.clear()
             candidate = self._selector.choose(work, progress.excluded)
         if candidate is None:
--- a/src/larkpost/standalone/routing/progress.py
+++ b/src/larkpost/standalone/routing/progress.py
@@ -45,22 +45,22 @@
         raise EngineOutcomeUnknownError(
             f"received a chunk of attempt {chunk.attempt!r} instead of {request.attempt!r}"
         )
-    have = len(progress.tokens)
-    if chunk.offset > have:
+    received = len(progress.tokens)
+    if chunk.offset > received:
         raise EngineOutcomeUnknownError(
-            f"received a chunk at token {chunk.offset} after only {have} tokens"
+            f"received a chunk at token {chunk.offset} after only {received} tokens"
         )
-    fresh = chunk.tokens[have - chunk.offset :]
-    repeated = chunk.tokens[: have - chunk.offset]
+    new_tokens = chunk.tokens[received - chunk.offset :]
+    repeated = chunk.tokens[: received - chunk.offset]
     if repeated != tuple(progress.tokens[chunk.offset : chunk.offset + len(repeated)]):
         raise EngineOutcomeUnknownError(
             f"a repeated chunk at token {chunk.offset} differs from the tokens received before"
         )
-    progress.tokens.extend(fresh)
+    progress.tokens.extend(new_tokens)
     if chunk.total is not None:
         if chunk.total != len(progress.tokens):
             raise EngineOutcomeUnknownError(
                 f"the answer ended after {len(progress.tokens)} of {chunk.total} tokens"
             )
         progress.finished = True
-    return TokenRun(have, fresh, chunk.version)
+    return TokenRun(received, new_tokens, chunk.version)
--- a/src/larkpost/standalone/routing/run_once.py
+++ b/src/larkpost/standalone/routing/run_once.py
@@ -21,7 +21,7 @@
 REMOTE_TIMEOUT = 1.0
 """Seconds to wait for the daemon that issued a ticket."""
 MAX_OPEN_TICKETS = 1_000_000
-"""Maximum number of unused tickets; the oldest beyond it count as used."""
+"""Number of the last issued tickets that stay valid; older ones count as used."""
 
 
 class KeyStoreUnavailableError(LarkpostError):
@@ -70,7 +70,7 @@
         self._transport = transport
         self._settings = settings
         self._start_incarnation = board.members.own.incarnation
-        """Incarnation at start; refutations raise the member's without losing the open tickets."""
+        """Incarnation at start, which tickets name; later refutations do not invalidate them."""
         self._issued = 0
         self._open_tickets: set[int] = set()
 
@@ -82,7 +82,7 @@
         return Ticket(self._board.members.own.id, self._start_incarnation, self._issued)
 
     async def claim(self, key: str) -> None:
-        """Claims the right to run the key's request.
+        """Claims the key, so that no other request with it runs.
 
         Raises:
             AlreadyClaimedError: the key was claimed before; its request may have run.
@@ -110,11 +110,11 @@
         return True
 
     def _is_open(self, ticket: Ticket) -> bool:
-        own = (
+        is_own = (
             ticket.daemon == self._board.members.own.id
             and ticket.incarnation == self._start_incarnation
         )
-        return own and ticket.number in self._open_tickets
+        return is_own and ticket.number in self._open_tickets
 
     async def _claim_ticket(self, ticket: Ticket) -> bool:
         if ticket.daemon == self._board.members.own.id:
--- a/src/larkpost/standalone/routing/selection.py
+++ b/src/larkpost/standalone/routing/selection.py
@@ -11,9 +11,9 @@
 from larkpost.standalone.runtime import Runtime
 
 MAX_FULL_COMPARISON = 8
-"""Maximum number of candidates to compare all; of more, two random ones are compared."""
+"""Up to this number, all candidates are compared; above it, two random ones."""
 REMOTE_PENALTY = 0.5
-"""Added to the score of an engine in another zone; 1.0 is one full batch of load."""
+"""Added to the score of an engine in another zone; 1.0 is the load of all its slots."""
 
 SWAP_PENALTY = 2.0
 """Added to the score of an engine that swaps weights, as it generates nothing until it is done."""
@@ -82,7 +82,7 @@
         ]
 
     def is_full(self, work: Work) -> bool:
-        """Whether every candidate's batch is full and its queue at the pool's limit."""
+        """Whether all slots are busy and all queues at the pool's limit; False without candidates."""
         pool = self._board.configuration.intent.pool(work.pool)
         limit = pool.max_waiting if pool is not None else 0
         loads = [self._board.engines.loads[c.engine] for c in self.candidates(work, ())]
