--- a/src/larkpost/standalone/controllers/weights.py
+++ b/src/larkpost/standalone/controllers/weights.py
@@ -47,7 +47,7 @@
         self._telemetry = runtime.telemetry
         self._settings = runtime.settings.engines
         self._rng = runtime.rng
-        self._failures: dict[EngineId, int] = {}
+        self._orders_sent: dict[EngineId, int] = {}
         self._retry_at: dict[EngineId, float] = {}
 
     async def reconcile(self) -> None:
@@ -72,7 +72,7 @@
             return False
         target = self._board.policy_versions.get(pool.policy, 0)
         if load.version >= target:
-            self._failures.pop(engine, None)
+            self._orders_sent.pop(engine, None)
             return False
         if self._clock.now() < self._retry_at.get(engine, 0.0):
             return False
@@ -122,7 +122,7 @@
 
         The backoff restarts once the engine has the target version.
         """
-        failures = self._failures.get(engine, 0)
-        self._failures[engine] = failures + 1
+        failures = self._orders_sent.get(engine, 0)
+        self._orders_sent[engine] = failures + 1
         wait = min(RETRY_BASE * 2**failures, RETRY_LIMIT)
         self._retry_at[engine] = self._clock.now() + wait * self._rng.uniform(0.5, 1.0)
