--- a/src/larkpost/standalone/controllers/weights.py
+++ b/src/larkpost/standalone/controllers/weights.py
@@ -122,7 +122,7 @@
 
         The backoff restarts once the engine has the target version.
         """
-        failures = self._orders_sent.get(engine, 0)
-        self._orders_sent[engine] = failures + 1
-        wait = min(RETRY_BASE * 2**failures, RETRY_LIMIT)
+        orders_sent = self._orders_sent.get(engine, 0)
+        self._orders_sent[engine] = orders_sent + 1
+        wait = min(RETRY_BASE * 2**orders_sent, RETRY_LIMIT)
         self._retry_at[engine] = self._clock.now() + wait * self._rng.uniform(0.5, 1.0)
