--- a/src/larkpost/standalone/routing/dispatcher.py
+++ b/src/larkpost/standalone/routing/dispatcher.py
@@ -40,7 +40,7 @@
 """Maximum number of attempts at one request."""
 RETRY_AFTER_NO_ENGINE = 1.0
 """Seconds after which a caller may retry when no engine was available."""
-MAX_REPORT_PROBES = 3
+MAX_REPORT_POLLS = 3
 """Maximum number of engines polled by one request when no report is fresh."""
 MAX_STREAMS_PER_ATTEMPT = 2
 """Maximum number of streams of one attempt: the first, and one that resumes it."""
@@ -134,7 +134,7 @@
     async def _poll_stale_engines(self, work: Work, progress: Progress) -> None:
         """Polls engines with stale reports directly, so that a dead owner does not stop traffic."""
         stale_engines = self._selector.stale_engines(work.pool, progress.excluded)
-        for engine in self._rng.sample(stale_engines, min(len(stale_engines), MAX_REPORT_PROBES)):
+        for engine in self._rng.sample(stale_engines, min(len(stale_engines), MAX_REPORT_POLLS)):
             info = self._board.engines.directory[engine]
             if await self._monitor.poll_engine(info) is not None:
                 return
