--- a/src/larkpost/standalone/controllers/configuration.py
+++ b/src/larkpost/standalone/controllers/configuration.py
@@ -232,11 +232,9 @@
             await self._clock.sleep(IN_FORCE_POLL_INTERVAL)
 
     def _zones_in_force(self, updated: set[DaemonId]) -> set[ZoneId]:
-        return {
-            zone for zone in self._board.members.zones() if self._is_zone_in_force(zone, updated)
-        }
+        return {zone for zone in self._board.members.zones() if self._is_in_force_in(zone, updated)}
 
-    def _is_zone_in_force(self, zone: ZoneId, updated: set[DaemonId]) -> bool:
+    def _is_in_force_in(self, zone: ZoneId, updated: set[DaemonId]) -> bool:
         """Whether a quorum of the zone has the epoch and no other daemon can act on an old one."""
         if not self._readiness.has_quorum(zone, updated):
             return False
