--- a/src/larkpost/standalone/controllers/membership.py
+++ b/src/larkpost/standalone/controllers/membership.py
@@ -62,7 +62,7 @@
         self._new_update_count = 0
         """Updates queued since the last eager datagrams."""
         self._probe_order: list[DaemonId] = []
-        self._probes = 0
+        self._probe_rounds = 0
         gossip.pick_updates = self._pick_updates
         gossip.apply_updates = self.apply
         self._prober = Prober(runtime, gossip)
@@ -195,9 +195,9 @@
         self._store_member(replace(member, state=state, since=self._clock.now()))
 
     async def _probe_round(self) -> None:
-        self._probes += 1
+        self._probe_rounds += 1
         self._telemetry.gauge("members_alive", len(self._table.alive()))
-        if self._probes % HEAL_EVERY_PROBES == 0:
+        if self._probe_rounds % HEAL_EVERY_PROBES == 0:
             await self._heal_partition()
         target = self._next_target()
         if target is None:
