--- a/src/larkpost/standalone/blackboard/facts.py
+++ b/src/larkpost/standalone/blackboard/facts.py
@@ -1,4 +1,4 @@
-"""Replicated facts: versioned key-value pairs of which the highest version wins.
+"""Replicated facts: versioned key-value pairs; a higher version replaces a lower one.
 
 Configuration epochs, the newest weight version of each policy, machine entries and drain marks are
 facts. Each key has one writer or externally ordered versions, so merging needs no consensus and a
--- a/src/larkpost/standalone/routing/selection.py
+++ b/src/larkpost/standalone/routing/selection.py
@@ -82,7 +82,10 @@
         ]
 
     def is_full(self, work: Work) -> bool:
-        """Whether all slots are busy and all queues at the pool's limit; False without candidates."""
+        """Whether every candidate's slots are busy and its queue is at the pool's limit.
+
+        False if there are no candidates.
+        """
         pool = self._board.configuration.intent.pool(work.pool)
         limit = pool.max_waiting if pool is not None else 0
         loads = [self._board.engines.loads[c.engine] for c in self.candidates(work, ())]
