--- a/src/larkpost/standalone/routing/inference.py
+++ b/src/larkpost/standalone/routing/inference.py
@@ -105,7 +105,7 @@
         if service is None:
             raise InvalidRequestError(
                 f"service {call.service!r} is not in the intent",
-                remedy="Name a service of the intent in the field `model`, or add it there.",
+                remedy="Name a service of the intent in the field `model`, or admit it there.",
             )
         _check_call(call)
         work = self._make_work(call, service)
