--- a/src/larkpost/standalone/controllers/configuration.py
+++ b/src/larkpost/standalone/controllers/configuration.py
@@ -235,7 +235,7 @@
         return {zone for zone in self._board.members.zones() if self._is_in_force_in(zone, updated)}
 
     def _is_in_force_in(self, zone: ZoneId, updated: set[DaemonId]) -> bool:
-        """Whether a quorum of the zone has the epoch and no other daemon can act on an old one."""
+        """Whether a quorum of the zone has the epoch and no other daemon can act on a lower one."""
         if not self._readiness.has_quorum(zone, updated):
             return False
         others = [m for m in self._readiness.known_members(zone) if m.id not in updated]
--- a/src/larkpost/standalone/daemon.py
+++ b/src/larkpost/standalone/daemon.py
@@ -55,7 +55,7 @@
 LAG_INTERVAL = 1.0
 """Seconds between measurements of the event loop's lag."""
 REPLICA_LIFETIME_FACTOR = 2
-"""Replica lifetime as a multiple of the batches' idle timeout; above 1, so owners drop first."""
+"""Replica lifetime divided by the batch idle timeout; above 1, as the owner must drop first."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/larkpost/standalone/engines/http_adapter.py
+++ b/src/larkpost/standalone/engines/http_adapter.py
@@ -1,7 +1,7 @@
 """The engine port over HTTP: JSON requests, answers as server-sent events.
 
-The request body is sent only once connected and while the caller still permits it, and the sending
-is recorded. A failure before that proves that the engine has not run the request.
+A request body is sent only after connecting, and only if the caller still permits it. If a call
+fails before the body was sent, the engine has not run the request.
 """
 
 import asyncio
@@ -147,7 +147,7 @@
 
 
 async def _check_status(response: aiohttp.ClientResponse, attempt: AttemptId) -> None:
-    """Raises an error unless the status is 200; a refusal must name the attempt to count."""
+    """Raises an error unless the status is 200; a refusal counts only if it names the attempt."""
     if response.status == 200:
         return
     content = await response.read()
--- a/src/larkpost/standalone/routing/run_once.py
+++ b/src/larkpost/standalone/routing/run_once.py
@@ -21,7 +21,7 @@
 REMOTE_TIMEOUT = 1.0
 """Seconds to wait for the daemon that issued a ticket."""
 MAX_OPEN_TICKETS = 1_000_000
-"""Number of the last issued tickets that stay valid; older ones count as used."""
+"""Number of the last issued tickets that are kept; older ones count as used."""
 
 
 class KeyStoreUnavailableError(LarkpostError):
