--- a/src/larkpost/standalone/table_service/http_adapter.py
+++ b/src/larkpost/standalone/table_service/http_adapter.py
@@ -11,7 +11,7 @@
 from larkpost.standalone.documents import parse_json_object
 from larkpost.standalone.table_service.ports import MachineEntry, Row
 
-NETWORK_ERRORS = (aiohttp.ClientError, TimeoutError, OSError, ValueError, KeyError)
+CALL_ERRORS = (aiohttp.ClientError, TimeoutError, OSError, ValueError, KeyError)
 
 
 class HttpPlatform:
@@ -57,7 +57,7 @@
                 if response.status != 200:
                     raise PlatformError(f"{verb} {path}: status {response.status}")
                 return parse_json_object(content)
-        except NETWORK_ERRORS as error:
+        except CALL_ERRORS as error:
             raise PlatformError(f"{verb} {path}: {error!r}") from error
 
 
