--- a/src/larkpost/standalone/operator_calls.py
+++ b/src/larkpost/standalone/operator_calls.py
@@ -21,21 +21,21 @@
 """Seconds to wait for an answer; longer than a confirmation waits for the zones."""
 
 
-def call_daemon(daemon: Address, verb: str, path: str, body: bytes = b"") -> dict:
+def call_daemon(daemon: Address, method: str, path: str, body: bytes = b"") -> dict:
     """Calls a daemon and returns its decoded answer.
 
     Raises:
         LarkpostError: the daemon refused, or did not answer.
     """
-    return asyncio.run(_call(daemon, verb, path, body))
+    return asyncio.run(_call(daemon, method, path, body))
 
 
-async def _call(daemon: Address, verb: str, path: str, body: bytes) -> dict:
+async def _call(daemon: Address, method: str, path: str, body: bytes) -> dict:
     client_timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT, sock_connect=2.0)
     try:
         async with (
             aiohttp.ClientSession(timeout=client_timeout) as session,
-            session.request(verb, f"http://{daemon}{path}", data=body) as response,
+            session.request(method, f"http://{daemon}{path}", data=body) as response,
         ):
             content = await response.read()
     except (aiohttp.ClientError, TimeoutError, OSError) as error:
--- a/src/larkpost/standalone/table_service/http_adapter.py
+++ b/src/larkpost/standalone/table_service/http_adapter.py
@@ -44,21 +44,21 @@
         return [_parse_machine(entry) for entry in fields["machines"]]
 
     async def _call(
-        self, verb: str, path: str, params: dict[str, str], body: Any, timeout: float
+        self, method: str, path: str, params: dict[str, str], body: Any, timeout: float
     ) -> dict[str, Any]:
         client_timeout = aiohttp.ClientTimeout(total=timeout)
         data = orjson.dumps(body) if body is not None else None
         url = self._base + path
         try:
             async with self._session.request(
-                verb, url, params=params, data=data, timeout=client_timeout
+                method, url, params=params, data=data, timeout=client_timeout
             ) as response:
                 content = await response.read()
                 if response.status != 200:
-                    raise PlatformError(f"{verb} {path}: status {response.status}")
+                    raise PlatformError(f"{method} {path}: status {response.status}")
                 return parse_json_object(content)
         except CALL_ERRORS as error:
-            raise PlatformError(f"{verb} {path}: {error!r}") from error
+            raise PlatformError(f"{method} {path}: {error!r}") from error
 
 
 def _parse_machine(fields: dict[str, Any]) -> MachineEntry:
