--- a/src/larkpost/standalone/controllers/ownership.py
+++ b/src/larkpost/standalone/controllers/ownership.py
@@ -55,7 +55,7 @@
         return self._owners.owner_of(info.id)
 
     async def reconcile(self) -> None:
-        """Releases owned engines that are no longer assigned here and claims assigned ones."""
+        """Releases owned engines not assigned here, and claims assigned ones not yet owned."""
         if self._board.phase == Phase.STOPPING:
             self._board.owned.clear()
             return
