--- a/src/larkpost/common/tasks.py
+++ b/src/larkpost/common/tasks.py
@@ -28,7 +28,7 @@
         """Reports a task that ended with an error."""
 
 
-class UnreportedFailures:
+class NullFailureReporter:
     """Reports nothing: a failure that a task does not log itself leaves no trace."""
 
     def report_refused_round(self, task: str, error: LarkpostError) -> None:
--- a/src/larkpost/gateway/daemon.py
+++ b/src/larkpost/gateway/daemon.py
@@ -14,7 +14,7 @@
 import asyncio
 
 from larkpost.common.ids import DaemonId
-from larkpost.common.tasks import TaskSet, UnreportedFailures
+from larkpost.common.tasks import NullFailureReporter, TaskSet
 from larkpost.gateway.assembly.balancing import make_balancing
 from larkpost.gateway.assembly.client_requests import make_forwarder
 from larkpost.gateway.assembly.environment import GatewayPorts, GatewaySettings
@@ -72,7 +72,7 @@
         self._clock = ports.clock
         self._log = ports.log
         self._instruments = Instruments(ports.clock, ports.log, ports.metrics)
-        self._tasks = TaskSet(ports.clock, UnreportedFailures())
+        self._tasks = TaskSet(ports.clock, NullFailureReporter())
         self._event_loop_monitor = EventLoopMonitor(ports.clock, ports.log)
         self.lifecycle = Lifecycle()
         self.blackboard = Blackboard(settings.regions)
--- a/tests/test_uneven_machines.py
+++ b/tests/test_uneven_machines.py
@@ -11,7 +11,7 @@
 from larkpost.common.clock import LoopClock
 from larkpost.common.hashing import hash64
 from larkpost.common.ids import DaemonId
-from larkpost.common.tasks import TaskSet, UnreportedFailures
+from larkpost.common.tasks import NullFailureReporter, TaskSet
 from larkpost.gateway.assembly.daemon_capacity import (
     LATE_CAPACITY_FRACTION,
     LATE_CAPACITY_SECONDS,
@@ -166,7 +166,7 @@
         self.assertEqual(2.0, capacity.now())
 
         async def measure():
-            tasks = TaskSet(LoopClock(), UnreportedFailures())
+            tasks = TaskSet(LoopClock(), NullFailureReporter())
             monitor.start(tasks)
             while monitor.late_at < 0:
                 await asyncio.sleep(0)
@@ -198,7 +198,7 @@
             )
             log = EventLog(f"m{number}")
             membership = Membership(own, StoreClient(store), Instruments(clock, log), RegionMap())
-            membership.start(TaskSet(clock, UnreportedFailures()))
+            membership.start(TaskSet(clock, NullFailureReporter()))
             fleet.append(membership)
         await clock.sleep(12.0)
         return fleet
