--- a/src/larkpost/common/errors.py
+++ b/src/larkpost/common/errors.py
@@ -93,7 +93,7 @@
     remedy = "Ask again with a later deadline."
 
 
-class CallerLeftError(LarkpostError):
+class CallerDisconnectedError(LarkpostError):
     """The caller closed its connection before the answer was whole."""
 
     code = "caller_left"
--- a/src/larkpost/standalone/api/inference.py
+++ b/src/larkpost/standalone/api/inference.py
@@ -9,7 +9,7 @@
 from starlette.responses import Response, StreamingResponse
 from starlette.routing import Route
 
-from larkpost.common.errors import CallerLeftError, InvalidRequestError, LarkpostError, Ran
+from larkpost.common.errors import CallerDisconnectedError, InvalidRequestError, LarkpostError, Ran
 from larkpost.common.ids import RequestId
 from larkpost.standalone.api.responses import JSON, Endpoint, read_document, with_errors
 from larkpost.standalone.api.schema import CompletionRequest, error_document
@@ -118,7 +118,9 @@
         while not reading.done():
             await asyncio.wait({reading}, timeout=DISCONNECT_POLL_INTERVAL)
             if not reading.done() and await request.is_disconnected():
-                raise CallerLeftError("the caller has closed the connection", ran=Ran.UNKNOWN)
+                raise CallerDisconnectedError(
+                    "the caller has closed the connection", ran=Ran.UNKNOWN
+                )
         return reading.result()
     finally:
         reading.cancel()
