--- a/src/larkpost/common/steady_time.py
+++ b/src/larkpost/common/steady_time.py
@@ -31,7 +31,7 @@
         return steady_seconds()
 
 
-def run_steadily(work: Coroutine[Any, Any, Any]) -> None:
+def run_on_steady_loop(work: Coroutine[Any, Any, Any]) -> None:
     """Runs a coroutine to its end on a loop that goes by steady time."""
     with asyncio.Runner(loop_factory=SteadyLoop) as runner:
         runner.run(work)
--- a/src/larkpost/platform/process.py
+++ b/src/larkpost/platform/process.py
@@ -10,7 +10,7 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from larkpost.common.steady_time import run_steadily
+from larkpost.common.steady_time import run_on_steady_loop
 from larkpost.gateway.observability.eventlog import EventLog, NonBlockingWriter
 from larkpost.gateway.observability.metrics import Metrics
 from larkpost.platform.assembly import (
@@ -25,7 +25,7 @@
 
 def run() -> None:
     """Runs a daemon until it is asked to stop."""
-    run_steadily(serve(settings_path()))
+    run_on_steady_loop(serve(settings_path()))
 
 
 async def serve(path: Path) -> None:
--- a/src/larkpost/standalone/server.py
+++ b/src/larkpost/standalone/server.py
@@ -11,7 +11,7 @@
 from larkpost.common.clock import LoopClock
 from larkpost.common.errors import SettingsError
 from larkpost.common.http_server import HttpServer
-from larkpost.common.steady_time import run_steadily
+from larkpost.common.steady_time import run_on_steady_loop
 from larkpost.standalone.api.app import make_app
 from larkpost.standalone.daemon import Daemon, Ports
 from larkpost.standalone.engines.http_adapter import HttpEnginePort, close_session
@@ -26,7 +26,7 @@
 def run_server(settings: Settings) -> None:
     """Runs a daemon until SIGTERM or SIGINT, then drains and stops it."""
     to_file(sys.stdout)
-    run_steadily(serve(settings))
+    run_on_steady_loop(serve(settings))
 
 
 async def serve(settings: Settings) -> None:
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -8,7 +8,7 @@
 
 from larkpost.common import steady_time
 from larkpost.common.clock import LoopClock
-from larkpost.common.steady_time import SteadyLoop, run_steadily
+from larkpost.common.steady_time import SteadyLoop, run_on_steady_loop
 from larkpost.gateway.controllers.leases import Duty, LeaseSubject
 from tests.platform_checks import LEASE_SECONDS
 from tests.platform_fleet import MODEL, PlatformFleet
@@ -40,7 +40,7 @@
         """Runs a coroutine on such a loop."""
         self.machine = Suspension()
         with mock.patch.object(steady_time.time, "clock_gettime", self.machine.clock_gettime):
-            run_steadily(work())
+            run_on_steady_loop(work())
 
     def test_clock_counts_suspended_time(self):
         async def work():
