--- a/src/larkpost/common/incarnations.py
+++ b/src/larkpost/common/incarnations.py
@@ -7,7 +7,7 @@
 
 from larkpost.common.ids import InstanceId, InstanceName
 
-BORN_SEPARATOR = "@"
+START_TIME_SEPARATOR = "@"
 
 
 def instance_id(name: InstanceName, started_at_ms: int | None) -> InstanceId:
@@ -17,14 +17,14 @@
         born: Unix millisecond of its start; None if it does not say it.
     """
     if started_at_ms is not None:
-        return InstanceId(f"{name}{BORN_SEPARATOR}{started_at_ms}")
-    is_ambiguous = BORN_SEPARATOR in name
-    return InstanceId(f"{name}{BORN_SEPARATOR}" if is_ambiguous else name)
+        return InstanceId(f"{name}{START_TIME_SEPARATOR}{started_at_ms}")
+    is_ambiguous = START_TIME_SEPARATOR in name
+    return InstanceId(f"{name}{START_TIME_SEPARATOR}" if is_ambiguous else name)
 
 
 def split_instance_id(instance: InstanceId) -> tuple[InstanceName, int | None]:
     """Returns a server's name and the Unix millisecond of its start; None if it does not say it."""
-    name, separator, started_at_ms = instance.rpartition(BORN_SEPARATOR)
+    name, separator, started_at_ms = instance.rpartition(START_TIME_SEPARATOR)
     if not separator:
         return InstanceName(instance), None
     return InstanceName(name), int(started_at_ms) if started_at_ms else None
--- a/src/larkpost/gateway/observability/explain.py
+++ b/src/larkpost/gateway/observability/explain.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from larkpost.common.incarnations import BORN_SEPARATOR
+from larkpost.common.incarnations import START_TIME_SEPARATOR
 from larkpost.gateway.observability.eventlog import Event
 
 HIDDEN_FIELDS = frozenset({"timestamp", "task_uuid", "task_level", "message_type", "daemon"})
@@ -41,7 +41,7 @@
             for value in self.fields.values()
             for item in (value if isinstance(value, list) else (value,))
         )
-        prefix = f"{wanted}{BORN_SEPARATOR}"
+        prefix = f"{wanted}{START_TIME_SEPARATOR}"
         return any(
             value == wanted or (isinstance(value, str) and value.startswith(prefix))
             for value in values
