--- a/src/larkpost/common/tasks.py
+++ b/src/larkpost/common/tasks.py
@@ -18,7 +18,7 @@
 class FailureReporter(Protocol):
     """Is told of the failures of background tasks."""
 
-    def report_refused_round(self, task: str, error: LarkpostError) -> None:
+    def report_known_step_error(self, task: str, error: LarkpostError) -> None:
         """Reports a round of a repeated step that ended with an error of a known kind."""
 
     def report_failed_round(self, task: str, error: Exception) -> None:
@@ -31,7 +31,7 @@
 class NullFailureReporter:
     """Reports nothing: a failure that a task does not log itself leaves no trace."""
 
-    def report_refused_round(self, task: str, error: LarkpostError) -> None:
+    def report_known_step_error(self, task: str, error: LarkpostError) -> None:
         """Does nothing."""
 
     def report_failed_round(self, task: str, error: Exception) -> None:
@@ -85,7 +85,7 @@
             try:
                 await step()
             except LarkpostError as error:
-                self._reporter.report_refused_round(name, error)
+                self._reporter.report_known_step_error(name, error)
             except Exception as error:  # one failed round must not end the controller
                 self._reporter.report_failed_round(name, error)
             elapsed = self._clock.now() - started
--- a/src/larkpost/standalone/telemetry.py
+++ b/src/larkpost/standalone/telemetry.py
@@ -84,7 +84,7 @@
                 "larkpost:state", daemon=self._daemon, subject=subject, state=state, **details
             )
 
-    def report_refused_round(self, task: str, error: LarkpostError) -> None:
+    def report_known_step_error(self, task: str, error: LarkpostError) -> None:
         """Counts a controller round that failed with a known error, and logs the error code."""
         self.count("controller_errors", kind=task)
         self.log_state(f"controller.{task}", error.code)
