--- a/src/larkpost/common/tasks.py
+++ b/src/larkpost/common/tasks.py
@@ -21,7 +21,7 @@
     def report_known_step_error(self, task: str, error: LarkpostError) -> None:
         """Reports a round of a repeated step that ended with an error of a known kind."""
 
-    def report_failed_round(self, task: str, error: Exception) -> None:
+    def report_unexpected_step_error(self, task: str, error: Exception) -> None:
         """Reports a round of a repeated step that ended with an unexpected error."""
 
     def report_failed_task(self, task: str, error: BaseException) -> None:
@@ -34,7 +34,7 @@
     def report_known_step_error(self, task: str, error: LarkpostError) -> None:
         """Does nothing."""
 
-    def report_failed_round(self, task: str, error: Exception) -> None:
+    def report_unexpected_step_error(self, task: str, error: Exception) -> None:
         """Does nothing."""
 
     def report_failed_task(self, task: str, error: BaseException) -> None:
@@ -87,7 +87,7 @@
             except LarkpostError as error:
                 self._reporter.report_known_step_error(name, error)
             except Exception as error:  # one failed round must not end the controller
-                self._reporter.report_failed_round(name, error)
+                self._reporter.report_unexpected_step_error(name, error)
             elapsed = self._clock.now() - started
             interval = interval_of()
             await self._clock.sleep(max(interval - elapsed, interval / MIN_PAUSE_DIVISOR))
--- a/src/larkpost/standalone/telemetry.py
+++ b/src/larkpost/standalone/telemetry.py
@@ -89,7 +89,7 @@
         self.count("controller_errors", kind=task)
         self.log_state(f"controller.{task}", error.code)
 
-    def report_failed_round(self, task: str, error: Exception) -> None:
+    def report_unexpected_step_error(self, task: str, error: Exception) -> None:
         """Counts a controller round that failed with an unexpected error, and logs the error."""
         self.count("controller_errors", kind=task)
         self.log_error(task, error)
