--- a/src/larkpost/client.py
+++ b/src/larkpost/client.py
@@ -99,7 +99,7 @@
 
     async def open(self) -> None:
         """Opens the batch at the first daemon that takes it."""
-        await self._with_any_daemon(self._open_at)
+        await self._call_any_daemon(self._open_at)
 
     async def pages(self, trainer_version: int) -> AsyncIterator[Page]:
         """Yields pages until the batch is complete.
@@ -123,7 +123,7 @@
             return
 
     async def _pull(self, trainer_version: int) -> Page:
-        page = await self._with_any_daemon(lambda daemon: self._pull_at(daemon, trainer_version))
+        page = await self._call_any_daemon(lambda daemon: self._pull_at(daemon, trainer_version))
         self._next_page += 1
         return page
 
@@ -141,7 +141,7 @@
     async def _open_at(self, daemon: Address) -> None:
         await self._endpoint.open(daemon, self.spec, tuple(sorted(self.held)))
 
-    async def _with_any_daemon(self, call: Callable[[Address], Awaitable[Result]]) -> Result:
+    async def _call_any_daemon(self, call: Callable[[Address], Awaitable[Result]]) -> Result:
         """Calls the current daemon, and the next one after each failure."""
         while True:
             try:
