--- a/src/larkpost/rehearsal/simulation/network.py
+++ b/src/larkpost/rehearsal/simulation/network.py
@@ -39,7 +39,7 @@
         """Parts of answers on their way to the callers, as in a kernel's send buffers."""
         self._tasks: dict[asyncio.Task, None] = {}
 
-    async def gate(self) -> None:
+    async def wait_until_running(self) -> None:
         """Passes only while the host runs: waits while frozen, ends the task once dead."""
         while self.alive and (wait := self.frozen_until - _now()) > 0:
             await asyncio.sleep(max(wait, SHORTEST_WAIT))
@@ -116,7 +116,7 @@
         except asyncio.CancelledError:
             work.cancel()
             raise
-        await source.gate()
+        await source.wait_until_running()
         if not done:
             work.cancel()
             raise HostUnreachableError("no answer in time", progress.delivered)
@@ -144,7 +144,7 @@
         try:
             while True:
                 item = await self._next_item(items, item_timeout)
-                await source.gate()
+                await source.wait_until_running()
                 if item.end:
                     if item.error is not None:
                         raise item.error
@@ -163,7 +163,7 @@
     async def _deliver(self, source: Host, target: Host, deliver: Callable[[], None]) -> None:
         await asyncio.sleep(self._delay())
         if target.alive and self.passes(source, target):
-            task = target.spawn(target.gate())
+            task = target.spawn(target.wait_until_running())
             await asyncio.wait({task})
             if target.alive:
                 deliver()
@@ -192,26 +192,26 @@
     ) -> Result:
         target.calls += counted
         try:
-            await target.gate()
+            await target.wait_until_running()
             result = await handler()
-            await target.gate()
+            await target.wait_until_running()
             return result
         finally:
             target.calls -= counted
 
     async def _connect(self, source: Host, target: Host, timeout: float) -> None:
         """Waits for the way there; a cut swallows the message, a dead host refuses it."""
-        await source.gate()
+        await source.wait_until_running()
         await asyncio.sleep(self._delay())
         if not self.passes(source, target) or not self.passes(target, source):
             if timeout == NEVER:
                 await asyncio.Event().wait()
             await asyncio.sleep(timeout)
-            await source.gate()
+            await source.wait_until_running()
             raise HostUnreachableError("no connection in time", delivered=False)
         if not target.alive or target.refusing:
             raise HostUnreachableError("connection refused", delivered=False)
-        await source.gate()
+        await source.wait_until_running()
 
     async def _produce(
         self,
@@ -224,9 +224,9 @@
         generator = start()
         try:
             await asyncio.sleep(self._delay())
-            await target.gate()
+            await target.wait_until_running()
             async for value in generator:
-                await target.gate()
+                await target.wait_until_running()
                 await self._put(source, target, items, _Item(value))
             await self._put(source, target, items, _Item(end=True))
         except Exception as error:
--- a/src/larkpost/rehearsal/simulation/ports.py
+++ b/src/larkpost/rehearsal/simulation/ports.py
@@ -51,7 +51,7 @@
 
     async def sleep(self, seconds: float) -> None:
         await asyncio.sleep(seconds)
-        await self._host.gate()
+        await self._host.wait_until_running()
 
 
 class SimulatedTransport:
--- a/tests/disturbed_world.py
+++ b/tests/disturbed_world.py
@@ -99,7 +99,7 @@
 
     async def _flush(self, host: Host) -> None:
         """Waits for refusals being written; a frozen host writes them once it is thawed."""
-        await host.gate()
+        await host.wait_until_running()
         deadline = self.now + ANSWER_FLUSH
         while host.calls and self.now < deadline:
             await asyncio.sleep(STOP_POLL)
--- a/tests/test_regressions.py
+++ b/tests/test_regressions.py
@@ -218,7 +218,7 @@
 
         async def pass_gate():
             host.frozen_until = self.fleet.loop.time() + 1e-12
-            await asyncio.wait_for(host.gate(), 1.0)
+            await asyncio.wait_for(host.wait_until_running(), 1.0)
 
         self.fleet.run(pass_gate())
 
