--- a/src/larkpost/rehearsal/engine_model.py
+++ b/src/larkpost/rehearsal/engine_model.py
@@ -115,7 +115,7 @@
             chunk = await sequence.next_chunk(offset)
             if self.faults.late_seconds:
                 await asyncio.sleep(self.faults.late_seconds)
-            await self.thawed()
+            await self.wait_while_frozen()
             if self.faults.cut_streams and chunks:
                 self.faults.cut_streams -= 1
                 raise StreamCutError
@@ -171,7 +171,7 @@
         """Loads weights; sequences pause during the load and then go on under the new version."""
         fetched = await self._fetch_weights(policy, version)
         await asyncio.sleep(self.shape.swap_seconds)
-        await self.thawed()
+        await self.wait_while_frozen()
         if self.faults.failing_swaps:
             self.faults.failing_swaps -= 1
             fetched = False
@@ -182,7 +182,7 @@
 
     async def _generate(self) -> None:
         while True:
-            await self.thawed()
+            await self.wait_while_frozen()
             if self.swapping or not self.busy:
                 self._work.clear()
                 await self._work.wait()
@@ -191,7 +191,7 @@
             step = self.shape.step_base + self.shape.step_per_sequence * len(self._running)
             seconds = step * self.shape.tokens_per_step + prefill * self.shape.prefill_per_token
             await asyncio.sleep(seconds * self.faults.slow_factor)
-            await self.thawed()
+            await self.wait_while_frozen()
             if not self.swapping:
                 self._produce()
 
@@ -233,7 +233,7 @@
             return [chunk, chunk]
         return [chunk]
 
-    async def thawed(self) -> None:
+    async def wait_while_frozen(self) -> None:
         """Waits while the engine is frozen."""
         while (wait := self.faults.frozen_until - _now()) > 0:
             await asyncio.sleep(max(wait, SHORTEST_WAIT))
--- a/src/larkpost/rehearsal/engine_server.py
+++ b/src/larkpost/rehearsal/engine_server.py
@@ -83,7 +83,7 @@
         fields = orjson.loads(await request.body())
         fields["prefix"] = tuple(fields["prefix"])
         generate = GenerateRequest(**fields)
-        await self.model.thawed()
+        await self.model.wait_while_frozen()
         try:
             self.model.submit(generate)
         except QueueFullError as error:
@@ -118,13 +118,13 @@
         return Response(status_code=204)
 
     async def _report(self, _request: Request) -> Response:
-        await self.model.thawed()
+        await self.model.wait_while_frozen()
         return Response(orjson.dumps(asdict(self.model.report())))
 
     async def _order(self, request: Request) -> Response:
         fields = orjson.loads(await request.body())
         fields["kind"] = OrderKind(fields["kind"])
-        await self.model.thawed()
+        await self.model.wait_while_frozen()
         try:
             self.model.take_order(Order(**fields))
         except StaleOrderError:
--- a/src/larkpost/rehearsal/simulation/ports.py
+++ b/src/larkpost/rehearsal/simulation/ports.py
@@ -132,7 +132,7 @@
         engine = self._engine(address)
 
         async def handle() -> EngineReport:
-            await engine.model.thawed()
+            await engine.model.wait_while_frozen()
             return engine.model.report()
 
         return await self._call(engine.host, handle, timeout)
@@ -141,7 +141,7 @@
         engine = self._engine(address)
 
         async def handle() -> None:
-            await engine.model.thawed()
+            await engine.model.wait_while_frozen()
             engine.model.take_order(order)
 
         try:
@@ -188,7 +188,7 @@
 async def _submit_and_stream(
     model: EngineModel, request: GenerateRequest
 ) -> AsyncIterator[EngineChunk]:
-    await model.thawed()
+    await model.wait_while_frozen()
     model.submit(request)
     async for chunk in model.stream(request.attempt, len(request.prefix)):
         yield chunk
