--- a/src/larkpost/rehearsal/experiment/run.py
+++ b/src/larkpost/rehearsal/experiment/run.py
@@ -177,7 +177,7 @@
                 world.set_platform_down(True)
             case FaultKind.HEAL:
                 world.heal()
-                world.revive()
+                world.restart_all()
 
     def _measure(self, trainer: SimulatedTrainer | None) -> RunResult:
         records = self._world.records
--- a/src/larkpost/rehearsal/simulation/world.py
+++ b/src/larkpost/rehearsal/simulation/world.py
@@ -208,7 +208,7 @@
         self.platform.faults.lost_answers = 0
         self.faults.end_all()
 
-    def revive(self) -> None:
+    def restart_all(self) -> None:
         """Starts every daemon and engine that is not running."""
         for name in self.homes:
             if name not in self.daemons:
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -140,7 +140,7 @@
         """Ends all faults, lets everything finish, and returns what is wrong."""
         self.settling = True
         self.act(self.world.heal)
-        self.act(self.world.revive)
+        self.act(self.world.restart_all)
         for node in self.world.daemons.values():
             node.host.frozen_until = 0.0
         for node in self.world.engines.values():
@@ -149,7 +149,7 @@
             trainer.stop()
         wrong = self._wait_for_tasks()
         self.advance(10.0)
-        self.act(self.world.revive)
+        self.act(self.world.restart_all)
         self.advance(30.0)
         checks = (self.oracle.check, self._check_in_force, self._check_owners)
         return wrong + [text for check in checks for text in self.act(check)]
