--- a/src/larkpost/rehearsal/simulation/operators.py
+++ b/src/larkpost/rehearsal/simulation/operators.py
@@ -11,7 +11,7 @@
 from larkpost.rehearsal.simulation.network import Host, HostUnreachableError, Network
 from larkpost.rehearsal.simulation.records import (
     ConfirmedPlan,
-    LeavingMark,
+    LeavingNotice,
     LeavingSource,
     Records,
 )
@@ -79,7 +79,7 @@
             await self._call(node, handle)
         except (LarkpostError, HostUnreachableError):
             return
-        mark = LeavingMark(engine, LeavingSource.OPERATOR, _now())
+        mark = LeavingNotice(engine, LeavingSource.OPERATOR, _now())
         self._records.leaving.append(mark)
 
     async def _call(self, node: DaemonNode, handle: Callable[[], Awaitable[Result]]) -> Result:
--- a/src/larkpost/rehearsal/simulation/records.py
+++ b/src/larkpost/rehearsal/simulation/records.py
@@ -64,7 +64,7 @@
 
 
 @dataclass(slots=True)
-class LeavingMark:
+class LeavingNotice:
     """The time in which an engine was known as leaving to some source."""
 
     engine: EngineId
@@ -91,7 +91,7 @@
     calls: list[ClientCall] = field(default_factory=list)
     deliveries: list[Delivery] = field(default_factory=list)
     work: list[EngineWork] = field(default_factory=list)
-    leaving: list[LeavingMark] = field(default_factory=list)
+    leaving: list[LeavingNotice] = field(default_factory=list)
     confirmed: list[ConfirmedPlan] = field(default_factory=list)
     refused_plans: set[PlanId] = field(default_factory=set)
     """Plans that a daemon refused as outdated, so never in force."""
--- a/tests/disturbed_world.py
+++ b/tests/disturbed_world.py
@@ -7,7 +7,7 @@
 
 from larkpost.common.ids import DaemonId, EngineId
 from larkpost.rehearsal.simulation.network import Host
-from larkpost.rehearsal.simulation.records import LeavingMark, LeavingSource
+from larkpost.rehearsal.simulation.records import LeavingNotice, LeavingSource
 from larkpost.rehearsal.simulation.world import World
 
 STOP_POLL = 0.05
@@ -83,7 +83,7 @@
         else:
             self.platform.mark_leaving(engine)
             at += self.platform.machine_lag
-        self.records.leaving.append(LeavingMark(engine, source, at))
+        self.records.leaving.append(LeavingNotice(engine, source, at))
 
     # Network and platform
 
