--- a/src/larkpost/rehearsal/engine_model.py
+++ b/src/larkpost/rehearsal/engine_model.py
@@ -31,7 +31,7 @@
     OrderKind,
 )
 
-SHORTEST_WAIT = 0.001
+MIN_WAIT_SECONDS = 0.001
 """A shorter wait may not advance a virtual clock."""
 KEPT_ATTEMPTS = 4096
 """Ended attempts that can still be resumed."""
@@ -236,7 +236,7 @@
     async def wait_while_frozen(self) -> None:
         """Waits while the engine is frozen."""
         while (wait := self.faults.frozen_until - _now()) > 0:
-            await asyncio.sleep(max(wait, SHORTEST_WAIT))
+            await asyncio.sleep(max(wait, MIN_WAIT_SECONDS))
 
     def _remember(self, sequence: Sequence) -> None:
         self._attempts[sequence.request.attempt] = sequence
--- a/src/larkpost/rehearsal/simulation/network.py
+++ b/src/larkpost/rehearsal/simulation/network.py
@@ -9,7 +9,7 @@
 from larkpost.common.ids import Address, ZoneId
 
 Result = TypeVar("Result")
-SHORTEST_WAIT = 0.001
+MIN_WAIT_SECONDS = 0.001
 """A shorter wait may not advance a virtual clock."""
 NEVER = float("inf")
 
@@ -42,7 +42,7 @@
     async def wait_until_running(self) -> None:
         """Passes only while the host runs: waits while frozen, ends the task once dead."""
         while self.alive and (wait := self.frozen_until - _now()) > 0:
-            await asyncio.sleep(max(wait, SHORTEST_WAIT))
+            await asyncio.sleep(max(wait, MIN_WAIT_SECONDS))
         if not self.alive:
             raise asyncio.CancelledError
 
