--- a/src/larkpost/rehearsal/simulation/network.py
+++ b/src/larkpost/rehearsal/simulation/network.py
@@ -11,7 +11,7 @@
 Result = TypeVar("Result")
 MIN_WAIT_SECONDS = 0.001
 """A shorter wait may not advance a virtual clock."""
-NEVER = float("inf")
+NO_TIMEOUT = float("inf")
 
 
 class HostUnreachableError(Exception):
@@ -175,7 +175,7 @@
         handler: Callable[[], Awaitable[Result]],
         progress: "_CallProgress",
     ) -> Result:
-        await self._connect(source, target, NEVER)
+        await self._connect(source, target, NO_TIMEOUT)
         progress.delivered = True
         work = target.spawn(self._handle(target, handler, progress.counted))
         await asyncio.wait({work})
@@ -204,7 +204,7 @@
         await source.wait_until_running()
         await asyncio.sleep(self._delay())
         if not self.passes(source, target) or not self.passes(target, source):
-            if timeout == NEVER:
+            if timeout == NO_TIMEOUT:
                 await asyncio.Event().wait()
             await asyncio.sleep(timeout)
             await source.wait_until_running()
