--- a/src/larkpost/rehearsal/simulation/network.py
+++ b/src/larkpost/rehearsal/simulation/network.py
@@ -153,7 +153,7 @@
         finally:
             producer.cancel()
 
-    def passes(self, source: Host, target: Host) -> bool:
+    def is_reachable(self, source: Host, target: Host) -> bool:
         """Whether messages get from one host to the other now."""
         conditions = self.conditions
         if (source.zone, target.zone) in conditions.zone_cuts:
@@ -162,7 +162,7 @@
 
     async def _deliver(self, source: Host, target: Host, deliver: Callable[[], None]) -> None:
         await asyncio.sleep(self._delay())
-        if target.alive and self.passes(source, target):
+        if target.alive and self.is_reachable(source, target):
             task = target.spawn(target.wait_until_running())
             await asyncio.wait({task})
             if target.alive:
@@ -183,7 +183,7 @@
             raise HostUnreachableError("connection reset", delivered=True)
         result = work.result()
         await asyncio.sleep(self._delay())
-        if not self.passes(target, source):
+        if not self.is_reachable(target, source):
             await asyncio.Event().wait()
         return result
 
@@ -203,7 +203,7 @@
         """Waits for the way there; a cut swallows the message, a dead host refuses it."""
         await source.wait_until_running()
         await asyncio.sleep(self._delay())
-        if not self.passes(source, target) or not self.passes(target, source):
+        if not self.is_reachable(source, target) or not self.is_reachable(target, source):
             if timeout == NO_TIMEOUT:
                 await asyncio.Event().wait()
             await asyncio.sleep(timeout)
@@ -242,7 +242,7 @@
         target.in_transit += 1
         try:
             await asyncio.sleep(self._delay())
-            while not self.passes(target, source):
+            while not self.is_reachable(target, source):
                 await asyncio.sleep(0.1)
             items.put_nowait(item)
         finally:
