--- a/src/larkpost/rehearsal/simulation/callers.py
+++ b/src/larkpost/rehearsal/simulation/callers.py
@@ -72,7 +72,11 @@
             raise DaemonUnreachableError("connection refused", ran=Ran.NO)
         try:
             return await self._world.network.call(
-                self._caller, node.host, lambda: handle(node.daemon), timeout, counted=True
+                self._caller,
+                node.host,
+                lambda: handle(node.daemon),
+                timeout,
+                is_caller_request=True,
             )
         except HostUnreachableError as error:
             ran = Ran.UNKNOWN if error.delivered else Ran.NO
--- a/src/larkpost/rehearsal/simulation/network.py
+++ b/src/larkpost/rehearsal/simulation/network.py
@@ -99,7 +99,7 @@
         target: Host,
         handler: Callable[[], Awaitable[Result]],
         timeout: float,
-        counted: bool = False,
+        is_caller_request: bool = False,
     ) -> Result:
         """Runs ``handler`` on the target and returns its result to the source.
 
@@ -109,7 +109,7 @@
         Raises:
             HostUnreachableError: there was no answer within ``timeout`` seconds.
         """
-        progress = _CallProgress(counted)
+        progress = _CallProgress(is_caller_request)
         work = asyncio.ensure_future(self._call(source, target, handler, progress))
         try:
             done, _ = await asyncio.wait({work}, timeout=timeout)
@@ -177,7 +177,7 @@
     ) -> Result:
         await self._connect(source, target, NO_TIMEOUT)
         progress.delivered = True
-        work = target.spawn(self._handle(target, handler, progress.counted))
+        work = target.spawn(self._handle(target, handler, progress.is_caller_request))
         await asyncio.wait({work})
         if work.cancelled() or not target.alive:
             raise HostUnreachableError("connection reset", delivered=True)
@@ -188,16 +188,16 @@
         return result
 
     async def _handle(
-        self, target: Host, handler: Callable[[], Awaitable[Result]], counted: bool
+        self, target: Host, handler: Callable[[], Awaitable[Result]], is_caller_request: bool
     ) -> Result:
-        target.calls += counted
+        target.calls += is_caller_request
         try:
             await target.wait_until_running()
             result = await handler()
             await target.wait_until_running()
             return result
         finally:
-            target.calls -= counted
+            target.calls -= is_caller_request
 
     async def _connect(self, source: Host, target: Host, timeout: float) -> None:
         """Waits for the way there; a cut swallows the message, a dead host refuses it."""
@@ -265,7 +265,7 @@
 
 @dataclass(slots=True)
 class _CallProgress:
-    counted: bool
+    is_caller_request: bool
     delivered: bool = False
 
 
--- a/src/larkpost/rehearsal/simulation/operators.py
+++ b/src/larkpost/rehearsal/simulation/operators.py
@@ -84,7 +84,9 @@
 
     async def _call(self, node: DaemonNode, handle: Callable[[], Awaitable[Result]]) -> Result:
         caller = self._callers[node.host.zone]
-        return await self._network.call(caller, node.host, handle, CONFIRM_TIMEOUT, counted=True)
+        return await self._network.call(
+            caller, node.host, handle, CONFIRM_TIMEOUT, is_caller_request=True
+        )
 
 
 def _now() -> float:
