--- a/src/larkpost/rehearsal/simulation/callers.py
+++ b/src/larkpost/rehearsal/simulation/callers.py
@@ -28,16 +28,16 @@
     def __init__(self, world: World, zone: ZoneId) -> None:
         self._world = world
         self._caller = world.callers[zone]
-        self.double_next_pull = False
+        self.duplicate_next_pull = False
         """Send the next pull to a second daemon as well and take the first answer."""
 
     async def open(self, daemon: Address, spec: BatchSpec, held: tuple[int, ...]) -> None:
         await self._call(daemon, lambda d: d.batches.open(spec, held), CALL_TIMEOUT)
 
     async def pull(self, daemon: Address, call: Pull) -> Page:
-        if not self.double_next_pull:
+        if not self.duplicate_next_pull:
             return await self._call(daemon, lambda d: d.batches.pull(call), PULL_TIMEOUT)
-        self.double_next_pull = False
+        self.duplicate_next_pull = False
         return await self._pull_twice(daemon, call)
 
     async def close(self, daemon: Address, batch: BatchId) -> None:
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -113,7 +113,7 @@
 
     @rule(trainer=st.integers(0, 1))
     def pull_twice(self, trainer):
-        self.fleet.trainers[trainer].endpoint.double_next_pull = True
+        self.fleet.trainers[trainer].endpoint.duplicate_next_pull = True
 
     # Daemons
 
