--- a/src/larkpost/rehearsal/simulation/callers.py
+++ b/src/larkpost/rehearsal/simulation/callers.py
@@ -38,7 +38,7 @@
         if not self.duplicate_next_pull:
             return await self._call(daemon, lambda d: d.batches.pull(call), PULL_TIMEOUT)
         self.duplicate_next_pull = False
-        return await self._pull_twice(daemon, call)
+        return await self._pull_from_two_daemons(daemon, call)
 
     async def close(self, daemon: Address, batch: BatchId) -> None:
         await self._call(daemon, lambda d: d.batches.close(batch), CALL_TIMEOUT)
@@ -51,7 +51,7 @@
 
         await self._call(daemon, handle, CALL_TIMEOUT)
 
-    async def _pull_twice(self, daemon: Address, call: Pull) -> Page:
+    async def _pull_from_two_daemons(self, daemon: Address, call: Pull) -> Page:
         others = [n.host.address for n in self._world.daemons.values() if n.host.address != daemon]
         addresses = [daemon, *others[:1]]
         pulls = [
