--- a/src/larkpost/rehearsal/engine_model.py
+++ b/src/larkpost/rehearsal/engine_model.py
@@ -227,7 +227,7 @@
             others = [s for s in self._attempts.values() if s is not sequence and s.tokens]
             if others:
                 self.faults.crossed_chunks -= 1
-                return [others[-1].crossed_with(chunk)]
+                return [others[-1].misdirected_chunk(chunk)]
         if self.faults.doubled_chunks:
             self.faults.doubled_chunks -= 1
             return [chunk, chunk]
--- a/src/larkpost/rehearsal/engine_sequence.py
+++ b/src/larkpost/rehearsal/engine_sequence.py
@@ -74,7 +74,7 @@
             self.news.clear()
             await self.news.wait()
 
-    def crossed_with(self, chunk: EngineChunk) -> EngineChunk:
+    def misdirected_chunk(self, chunk: EngineChunk) -> EngineChunk:
         """Returns tokens of this attempt in place of another one's chunk."""
         tokens = tuple(self.tokens[: max(len(chunk.tokens), 1)])
         return EngineChunk(self.request.attempt, chunk.offset, tokens, chunk.version, chunk.total)
