--- a/src/larkpost/rehearsal/engine_model.py
+++ b/src/larkpost/rehearsal/engine_model.py
@@ -132,7 +132,7 @@
         if sequence is None or sequence.cancelled:
             return
         sequence.cancelled = True
-        sequence.news.set()
+        sequence.updated.set()
         self._running = [s for s in self._running if s is not sequence]
         self._waiting = [s for s in self._waiting if s is not sequence]
         self._record_load()
@@ -218,7 +218,7 @@
             for _ in range(self.shape.tokens_per_step):
                 if not sequence.done:
                     sequence.add_token(self.version)
-            sequence.news.set()
+            sequence.updated.set()
         self._running = [s for s in self._running if not s.done]
         self._record_load()
 
--- a/src/larkpost/rehearsal/engine_sequence.py
+++ b/src/larkpost/rehearsal/engine_sequence.py
@@ -30,7 +30,7 @@
     tokens: list[int]
     prefilled: bool = False
     cancelled: bool = False
-    news: asyncio.Event = field(default_factory=asyncio.Event)
+    updated: asyncio.Event = field(default_factory=asyncio.Event)
 
     @property
     def done(self) -> bool:
@@ -71,8 +71,8 @@
                 total = self.length if self.done and end >= self.length else None
                 tokens = tuple(self.tokens[offset:end])
                 return EngineChunk(self.request.attempt, offset, tokens, version, total)
-            self.news.clear()
-            await self.news.wait()
+            self.updated.clear()
+            await self.updated.wait()
 
     def misdirected_chunk(self, chunk: EngineChunk) -> EngineChunk:
         """Returns tokens of this attempt in place of another one's chunk."""
