--- a/src/larkpost/rehearsal/engine_model.py
+++ b/src/larkpost/rehearsal/engine_model.py
@@ -202,7 +202,7 @@
             Prompt tokens to compute in this step.
         """
         candidates = sorted(
-            self._running + self._waiting, key=lambda sequence: sequence.place_in_queue
+            self._running + self._waiting, key=lambda sequence: sequence.scheduling_key
         )
         self._running = candidates[: self.shape.slots]
         self._waiting = candidates[self.shape.slots :]
--- a/src/larkpost/rehearsal/engine_sequence.py
+++ b/src/larkpost/rehearsal/engine_sequence.py
@@ -38,7 +38,7 @@
         return len(self.tokens) >= self.length
 
     @property
-    def place_in_queue(self) -> tuple[int, int]:
+    def scheduling_key(self) -> tuple[int, int]:
         """What the batch is filled by, lowest first."""
         return (
             -self.request.priority,
