--- a/src/larkpost/rehearsal/bench.py
+++ b/src/larkpost/rehearsal/bench.py
@@ -22,9 +22,9 @@
 from larkpost.rehearsal.processes import (
     Process,
     ProcessGroup,
-    answers,
     call,
     free_address,
+    is_responding,
     wait_for,
 )
 from larkpost.standalone.config.intent import Intent, PoolIntent, ServiceIntent
@@ -111,11 +111,11 @@
 
 def _configure(platform: Address, engine: Address, daemon: Address) -> None:
     """Waits for the processes, lists the engine and confirms an intent with one service."""
-    wait_for(lambda: answers(platform, "/machines"), "platform")
-    wait_for(lambda: answers(engine, "/v1/report"), "engine")
+    wait_for(lambda: is_responding(platform, "/machines"), "platform")
+    wait_for(lambda: is_responding(engine, "/v1/report"), "engine")
     machine = {"zone": "bench", "address": engine, "pool": POOL}
     call(platform, "PUT", "/machines/instant", orjson.dumps(machine))
-    wait_for(lambda: answers(daemon, "/readyz"), "daemon")
+    wait_for(lambda: is_responding(daemon, "/readyz"), "daemon")
     intent = Intent(
         pools=(PoolIntent(name=POOL),), services=(ServiceIntent(name=SERVICE, pool=POOL),)
     )
--- a/src/larkpost/rehearsal/platform_site.py
+++ b/src/larkpost/rehearsal/platform_site.py
@@ -12,7 +12,13 @@
 from larkpost.platform.stand_in.daemon_settings import DaemonSettings, ready_path, write_settings
 from larkpost.platform.stand_in.programs import server_arguments
 from larkpost.platform.stand_in.rows import StandInServer
-from larkpost.rehearsal.processes import Process, ProcessGroup, answers, free_address, wait_for
+from larkpost.rehearsal.processes import (
+    Process,
+    ProcessGroup,
+    free_address,
+    is_responding,
+    wait_for,
+)
 from larkpost.rehearsal.sites import CASABLANCA_ZONES, SANTIAGO_ZONES
 
 DAEMON_MODULE = "larkpost.platform.process"
@@ -104,7 +110,7 @@
         RehearsalError: one does not in time.
     """
     for name, address in site.ready.items():
-        wait_for(lambda address=address: answers(address, ready_path()), f"{name} is ready")
+        wait_for(lambda address=address: is_responding(address, ready_path()), f"{name} is ready")
 
 
 def _start_server(group: ProcessGroup, site: PlatformSite, number: int, *, engine: bool) -> None:
--- a/src/larkpost/rehearsal/processes.py
+++ b/src/larkpost/rehearsal/processes.py
@@ -148,7 +148,7 @@
         time.sleep(POLL_SECONDS)
 
 
-def answers(address: Address, path: str) -> bool:
+def is_responding(address: Address, path: str) -> bool:
     """Whether an HTTP address answers with success."""
     try:
         with urllib.request.urlopen(f"http://{address}{path}", timeout=1.0) as response:
--- a/tests/process_fleet.py
+++ b/tests/process_fleet.py
@@ -8,9 +8,9 @@
 from larkpost.rehearsal.processes import (
     Process,
     ProcessGroup,
-    answers,
     call,
     free_address,
+    is_responding,
     wait_for,
 )
 from larkpost.rehearsal.sites import Machine, Site
@@ -77,7 +77,7 @@
     def wait_ready(self) -> None:
         """Waits until the daemons are ready and know every engine's load."""
         for name, node in self.daemons.items():
-            wait_for(lambda node=node: answers(node.address, "/readyz"), f"{name} ready")
+            wait_for(lambda node=node: is_responding(node.address, "/readyz"), f"{name} ready")
         for name, node in self.daemons.items():
             wait_for(lambda node=node: self._knows_engines(node), f"{name} sees all engines")
 
@@ -114,12 +114,12 @@
 def finish_fleet(fleet: Fleet) -> None:
     """Waits for the processes, lists the machines and confirms the intent."""
     platform = fleet.platform.address
-    wait_for(lambda: answers(platform, "/machines"), "platform ready")
+    wait_for(lambda: is_responding(platform, "/machines"), "platform ready")
     for machine in fleet.site.machines:
         address = fleet.engines[machine.engine].address
-        wait_for(lambda a=address: answers(a, "/v1/report"), f"{machine.engine} ready")
+        wait_for(lambda a=address: is_responding(a, "/v1/report"), f"{machine.engine} ready")
         fleet.list_machine(machine)
     for name, node in fleet.daemons.items():
-        wait_for(lambda node=node: answers(node.address, "/readyz"), f"{name} ready")
+        wait_for(lambda node=node: is_responding(node.address, "/readyz"), f"{name} ready")
     fleet.configure()
     fleet.wait_ready()
--- a/tests/process_soak/__main__.py
+++ b/tests/process_soak/__main__.py
@@ -18,7 +18,7 @@
 import typer
 
 from larkpost.platform.stand_in.daemon_settings import ready_path
-from larkpost.rehearsal.processes import ProcessGroup, answers
+from larkpost.rehearsal.processes import ProcessGroup, is_responding
 from tests.process_soak.callers import Callers
 from tests.process_soak.checker import CRASH_REPORT_SECONDS, InvariantChecker
 from tests.process_soak.plan import HINDERING, UNTOLD, Fault, Kind, draw_plan
@@ -173,7 +173,7 @@
     until = time.monotonic() + READY_SECONDS
     while time.monotonic() < until:
         ready = [
-            await asyncio.to_thread(answers, daemon.place.ready, ready_path())
+            await asyncio.to_thread(is_responding, daemon.place.ready, ready_path())
             for daemon in site.daemons
         ]
         if all(ready):
