--- a/src/larkpost/rehearsal/trainer.py
+++ b/src/larkpost/rehearsal/trainer.py
@@ -32,7 +32,7 @@
     staleness: list[int] = field(default_factory=list)
     step_waits: list[float] = field(default_factory=list)
 
-    def note_sample(self, spec: BatchSpec, sample: Sample, version: int, held: set[int]) -> None:
+    def record_sample(self, spec: BatchSpec, sample: Sample, version: int, held: set[int]) -> None:
         """Checks a received sample against the request, the trainer's step, and earlier ones."""
         if sample.slot in held:
             self.samples_doubled += 1
@@ -104,7 +104,7 @@
         self.record.samples_expected += session.spec.slot_count
         async for page in session.pages(self.version):
             for sample in page.samples:
-                self.record.note_sample(session.spec, sample, self.version, session.held)
+                self.record.record_sample(session.spec, sample, self.version, session.held)
         await session.close()
         self.record.samples_lost += session.spec.slot_count - len(session.held)
         waited = time.monotonic() - started
