--- a/src/larkpost/rehearsal/trainer.py
+++ b/src/larkpost/rehearsal/trainer.py
@@ -41,10 +41,10 @@
         age = version - sample.oldest_version
         self.staleness.append(age)
         self.samples_stale += age > spec.staleness_bound
-        self.version_mismatches += not is_right(spec, sample)
+        self.version_mismatches += not is_correct(spec, sample)
 
 
-def is_right(spec: BatchSpec, sample: Sample) -> bool:
+def is_correct(spec: BatchSpec, sample: Sample) -> bool:
     """Whether each token is the one that the named version gives to this slot's request."""
     prompt = spec.prompts[spec.prompt_index(sample.slot)]
     spans = [(s.version, s.first_token, s.count) for s in sample.spans]
