--- a/src/larkpost/rehearsal/experiment/report.py
+++ b/src/larkpost/rehearsal/experiment/report.py
@@ -17,8 +17,8 @@
 from larkpost.rehearsal.experiment.policies import POLICIES
 from larkpost.rehearsal.experiment.run import (
     RunResult,
-    rename,
     run_once,
+    with_policy_name,
     with_staleness_weight,
     without_trainer,
 )
@@ -76,7 +76,7 @@
         futures = {pool.submit(run_once, j.scenario, POLICIES[j.policy], j.seed): j for j in jobs}
         for future in as_completed(futures):
             label = futures[future].label
-            columns[label].append(rename(future.result(), label))
+            columns[label].append(with_policy_name(future.result(), label))
             progress.advance(bar)
     for results in columns.values():
         results.sort(key=attrgetter("seed"))
--- a/src/larkpost/rehearsal/experiment/run.py
+++ b/src/larkpost/rehearsal/experiment/run.py
@@ -274,6 +274,6 @@
     return scenario.model_copy(update={"trainer": None})
 
 
-def rename(result: RunResult, policy: str) -> RunResult:
+def with_policy_name(result: RunResult, policy: str) -> RunResult:
     """Returns the result under another policy name."""
     return replace(result, policy=policy)
