--- a/src/larkpost/rehearsal/engine_model.py
+++ b/src/larkpost/rehearsal/engine_model.py
@@ -119,7 +119,7 @@
             if self.faults.cut_streams and chunks:
                 self.faults.cut_streams -= 1
                 raise StreamCutError
-            for sent in self._disturb(sequence, chunk):
+            for sent in self._inject_stream_faults(sequence, chunk):
                 yield sent
             offset += len(chunk.tokens)
             chunks += 1
@@ -222,7 +222,7 @@
         self._running = [s for s in self._running if not s.done]
         self._record_load()
 
-    def _disturb(self, sequence: Sequence, chunk: EngineChunk) -> list[EngineChunk]:
+    def _inject_stream_faults(self, sequence: Sequence, chunk: EngineChunk) -> list[EngineChunk]:
         if self.faults.crossed_chunks:
             others = [s for s in self._attempts.values() if s is not sequence and s.tokens]
             if others:
