--- a/src/larkpost/rehearsal/simulation/oracle.py
+++ b/src/larkpost/rehearsal/simulation/oracle.py
@@ -66,7 +66,7 @@
                     wrong.append(f"{request}: version {span.version} did not produce {tokens}")
             prompt = delivery.spec.prompts[delivery.spec.prompt_index(delivery.sample.slot)]
             expected = expected_answer(
-                request, prompt, delivery.spec.max_tokens, _plain(delivery.sample.spans)
+                request, prompt, delivery.spec.max_tokens, _as_tuples(delivery.sample.spans)
             )
             if list(delivery.sample.tokens) != expected:
                 wrong.append(f"{request}: the tokens are not those of the named versions")
@@ -101,7 +101,7 @@
             if call.outcome != CallOutcome.ANSWER:
                 continue
             expected = expected_answer(
-                call.request, call.prompt, call.max_tokens, _plain(call.spans)
+                call.request, call.prompt, call.max_tokens, _as_tuples(call.spans)
             )
             if list(call.tokens) != expected:
                 wrong.append(f"{call.request}: its tokens are not those of the named versions")
@@ -198,5 +198,5 @@
         return by_request
 
 
-def _plain(spans) -> list[tuple[int, int, int]]:
+def _as_tuples(spans) -> list[tuple[int, int, int]]:
     return [(span.version, span.first_token, span.count) for span in spans]
