--- a/src/larkpost/rehearsal/demo.py
+++ b/src/larkpost/rehearsal/demo.py
@@ -92,7 +92,7 @@
             _start_callers(tasks, site, store, caller, until)
         if faults:
             await asyncio.sleep(seconds / 2)
-            _break_things(sites, console)
+            _inject_faults(sites, console)
     for store in stores:
         await store.close()
 
@@ -128,7 +128,7 @@
         await asyncio.sleep(RETRY_SECONDS)
 
 
-def _break_things(sites: list[PlatformSite], console: Console) -> None:
+def _inject_faults(sites: list[PlatformSite], console: Console) -> None:
     """Kills an engine and a daemon of each site, and stops another daemon as planned."""
     for site in sites:
         engine = next(iter(site.servers))
