--- a/src/larkpost/rehearsal/experiment/run.py
+++ b/src/larkpost/rehearsal/experiment/run.py
@@ -74,7 +74,7 @@
             self._site.zones,
             (scenario.daemons_per_zone,) * len(self._site.zones),
             self._site.machines,
-            _intent_under(self._site, scenario, policy),
+            _intent_for_policy(self._site, scenario, policy),
             ENGINE,
             {"batches": policy.batches},
         )
@@ -235,7 +235,7 @@
     return max(sum(lengths) / capacity, max(lengths) * alone)
 
 
-def _intent_under(site: Site, scenario: Scenario, policy: Policy) -> Intent:
+def _intent_for_policy(site: Site, scenario: Scenario, policy: Policy) -> Intent:
     intent = site.intent
     if policy.client_reserve is not None:
         pools = [
