--- a/src/larkpost/rehearsal/experiment/run.py
+++ b/src/larkpost/rehearsal/experiment/run.py
@@ -125,7 +125,7 @@
         asking = []
         while (elapsed := self._world.now - started) < self._scenario.seconds:
             position = elapsed / self._scenario.seconds
-            rate = load.peak_rate * _curve_at(load.curve, position)
+            rate = load.peak_rate * _interpolate(load.curve, position)
             await asyncio.sleep(rng.expovariate(max(rate, 0.01)))
             asking.append(asyncio.ensure_future(self._request(clients, rng)))
         await asyncio.gather(*asking)
@@ -253,7 +253,7 @@
     return intent
 
 
-def _curve_at(curve: tuple[float, ...], position: float) -> float:
+def _interpolate(curve: tuple[float, ...], position: float) -> float:
     """Interpolates the curve at a position between 0 and 1."""
     if len(curve) == 1:
         return curve[0]
