--- a/src/larkpost/rehearsal/simulation/fabric.py
+++ b/src/larkpost/rehearsal/simulation/fabric.py
@@ -18,7 +18,7 @@
 
 PLATFORM_ZONE = ZoneId("platform")
 PLATFORM_ADDRESS = Address("platform:1")
-WEIGHT_TRIES = 10
+WEIGHT_FETCH_ATTEMPTS = 10
 WEIGHT_PAUSE_SECONDS = 0.3
 WEIGHT_TIMEOUT_SECONDS = 5.0
 """An engine asks so often for weights, and so long each time. Far above the time until the
@@ -62,7 +62,7 @@
 
     async def fetch_weights(self, host: Host, policy: PolicyId, version: int) -> bool:
         """Fetches weights for an engine; False if the platform does not hand them out."""
-        for _ in range(WEIGHT_TRIES):
+        for _ in range(WEIGHT_FETCH_ATTEMPTS):
             try:
                 return await self.network.call(
                     host,
