--- a/src/larkpost/rehearsal/simulation/fabric.py
+++ b/src/larkpost/rehearsal/simulation/fabric.py
@@ -19,7 +19,7 @@
 PLATFORM_ZONE = ZoneId("platform")
 PLATFORM_ADDRESS = Address("platform:1")
 WEIGHT_FETCH_ATTEMPTS = 10
-WEIGHT_PAUSE_SECONDS = 0.3
+WEIGHT_FETCH_RETRY_SECONDS = 0.3
 WEIGHT_TIMEOUT_SECONDS = 5.0
 """An engine asks so often for weights, and so long each time. Far above the time until the
 platform's rate limit lets a fetch through."""
@@ -71,7 +71,7 @@
                     timeout=WEIGHT_TIMEOUT_SECONDS,
                 )
             except RateLimitedError:
-                await asyncio.sleep(WEIGHT_PAUSE_SECONDS)
+                await asyncio.sleep(WEIGHT_FETCH_RETRY_SECONDS)
             except (HostUnreachableError, PlatformDownError):
                 return False
         return False
