--- a/src/larkpost/rehearsal/simulation/fabric.py
+++ b/src/larkpost/rehearsal/simulation/fabric.py
@@ -20,7 +20,7 @@
 PLATFORM_ADDRESS = Address("platform:1")
 WEIGHT_FETCH_ATTEMPTS = 10
 WEIGHT_FETCH_RETRY_SECONDS = 0.3
-WEIGHT_TIMEOUT_SECONDS = 5.0
+WEIGHT_FETCH_TIMEOUT_SECONDS = 5.0
 """An engine asks so often for weights, and so long each time. Far above the time until the
 platform's rate limit lets a fetch through."""
 
@@ -68,7 +68,7 @@
                     host,
                     self.platform_host,
                     lambda: self.platform.fetch_weights(policy, version),
-                    timeout=WEIGHT_TIMEOUT_SECONDS,
+                    timeout=WEIGHT_FETCH_TIMEOUT_SECONDS,
                 )
             except RateLimitedError:
                 await asyncio.sleep(WEIGHT_FETCH_RETRY_SECONDS)
