--- a/src/larkpost/rehearsal/simulation/network.py
+++ b/src/larkpost/rehearsal/simulation/network.py
@@ -140,7 +140,7 @@
             raise HostUnreachableError("not sent", delivered=False)
         items: asyncio.Queue[_Item] = asyncio.Queue()
         producer = target.spawn(self._produce(source, target, start, items))
-        producer.add_done_callback(lambda task: _note_reset(task, items))
+        producer.add_done_callback(lambda task: _enqueue_reset(task, items))
         try:
             while True:
                 item = await self._next_item(items, item_timeout)
@@ -276,7 +276,7 @@
     error: Exception | None = None
 
 
-def _note_reset(task: asyncio.Task, items: "asyncio.Queue[_Item]") -> None:
+def _enqueue_reset(task: asyncio.Task, items: "asyncio.Queue[_Item]") -> None:
     if task.cancelled():
         error = HostUnreachableError("connection reset", delivered=True)
         items.put_nowait(_Item(end=True, error=error))
