--- a/src/larkpost/rehearsal/clients.py
+++ b/src/larkpost/rehearsal/clients.py
@@ -108,7 +108,7 @@
             try:
                 await self._try(name, f"question {number}", run_once)
             except _TryError as outcome:
-                self._note_failure(name, outcome)
+                self._record_failure(name, outcome)
                 if run_once and outcome.ran == Ran.UNKNOWN:
                     break
                 wait = outcome.retry_after or RETRY_SECONDS
@@ -119,7 +119,7 @@
                 return
         self.record.errors += 1
 
-    def _note_failure(self, name: str, outcome: _TryError) -> None:
+    def _record_failure(self, name: str, outcome: _TryError) -> None:
         codes = self.record.error_codes
         codes[outcome.code] = codes.get(outcome.code, 0) + 1
         if outcome.ran == Ran.NO:
