--- a/src/larkpost/rehearsal/experiment/run.py
+++ b/src/larkpost/rehearsal/experiment/run.py
@@ -138,12 +138,12 @@
             daemons = list(self._world.daemons)
             if daemons:
                 call = await clients.ask(rng.choice(daemons), rng.choice(self._site.zones))
-                if self._note(call, started):
+                if self._record_latency(call, started):
                     return
             await asyncio.sleep(rng.uniform(0.2, 0.4) * (attempt + 1))
         self._unanswered += 1
 
-    def _note(self, call: ClientCall, started: float) -> bool:
+    def _record_latency(self, call: ClientCall, started: float) -> bool:
         if call.outcome != CallOutcome.ANSWER:
             return False
         elapsed = self._world.now - started
