--- a/src/larkpost/rehearsal/experiment/run.py
+++ b/src/larkpost/rehearsal/experiment/run.py
@@ -216,7 +216,7 @@
         if load is None:
             return 0.0
         engines = sum(m.pool == self._site.trainer_pool for m in self._site.machines)
-        whole = self._world.records.batches_whole
+        whole = self._world.records.completed_batches
         specs = [s for s in self._world.records.batches_opened if s.id in whole]
         overlap = load.train_seconds if load.ahead > 0 else 0.0
         return sum(max(_batch_bound(spec, engines) - overlap, 0.0) for spec in specs)
--- a/src/larkpost/rehearsal/simulation/callers.py
+++ b/src/larkpost/rehearsal/simulation/callers.py
@@ -133,7 +133,7 @@
                         Delivery(session.spec, sample, self.version, held, self.world.now)
                     )
         await session.close()
-        records.batches_whole.append(session.spec.id)
+        records.completed_batches.append(session.spec.id)
         waited = self.world.now - started
         self.step_waits.append(waited)
         idle = records.idle_seconds
--- a/src/larkpost/rehearsal/simulation/oracle.py
+++ b/src/larkpost/rehearsal/simulation/oracle.py
@@ -90,7 +90,7 @@
                 wrong.append(f"{delivery.spec.id}/{delivery.sample.slot} was received twice")
             slots.add(delivery.sample.slot)
         for spec in self._records.batches_opened:
-            if spec.id in self._records.batches_whole and len(seen[spec.id]) != spec.slot_count:
+            if spec.id in self._records.completed_batches and len(seen[spec.id]) != spec.slot_count:
                 wrong.append(f"{spec.id} was called whole with {len(seen[spec.id])} samples")
         return wrong
 
--- a/src/larkpost/rehearsal/simulation/records.py
+++ b/src/larkpost/rehearsal/simulation/records.py
@@ -97,7 +97,7 @@
     """Plans that a daemon refused as outdated, so never in force."""
     cut_by_stop: list[str] = field(default_factory=list)
     batches_opened: list[BatchSpec] = field(default_factory=list)
-    batches_whole: list[str] = field(default_factory=list)
+    completed_batches: list[str] = field(default_factory=list)
     idle_seconds: dict[str, float] = field(default_factory=dict)
     train_seconds: dict[str, float] = field(default_factory=dict)
     last_fault_at: float = 0.0
