--- a/src/larkpost/rehearsal/simulation/oracle.py
+++ b/src/larkpost/rehearsal/simulation/oracle.py
@@ -148,7 +148,7 @@
 
     def check_stops(self) -> list[str]:
         """Point 8: no planned stop cut a request."""
-        return list(self._records.cut_by_stop)
+        return list(self._records.requests_cut_by_stop)
 
     def check_configuration(self) -> list[str]:
         """Point 9: one plan an epoch, no daemon goes back, new ones start where they must."""
--- a/src/larkpost/rehearsal/simulation/records.py
+++ b/src/larkpost/rehearsal/simulation/records.py
@@ -95,7 +95,7 @@
     confirmed: list[ConfirmedPlan] = field(default_factory=list)
     refused_plans: set[PlanId] = field(default_factory=set)
     """Plans that a daemon refused as outdated, so never in force."""
-    cut_by_stop: list[str] = field(default_factory=list)
+    requests_cut_by_stop: list[str] = field(default_factory=list)
     batches_opened: list[BatchSpec] = field(default_factory=list)
     completed_batches: list[str] = field(default_factory=list)
     idle_seconds: dict[str, float] = field(default_factory=dict)
--- a/tests/disturbed_world.py
+++ b/tests/disturbed_world.py
@@ -106,7 +106,9 @@
 
     def _note_cut(self, host: Host) -> None:
         if host.calls:
-            self.records.cut_by_stop.append(f"{host.address} at {self.now:.2f}: {host.calls}")
+            self.records.requests_cut_by_stop.append(
+                f"{host.address} at {self.now:.2f}: {host.calls}"
+            )
 
 
 async def _empty_buffers(host: Host) -> None:
--- a/tests/test_regressions.py
+++ b/tests/test_regressions.py
@@ -77,7 +77,7 @@
         self.fleet.run(self.world.stop_daemon(name))
         self.assertTrue(confirming.done())
         self.assertIsNotNone(confirming.result())
-        self.assertEqual(self.world.records.cut_by_stop, [])
+        self.assertEqual(self.world.records.requests_cut_by_stop, [])
 
     def test_new_daemon_starts_while_the_platform_is_down(self):
         confirmed = self.confirm(2)
