--- a/src/larkpost/rehearsal/engine_model.py
+++ b/src/larkpost/rehearsal/engine_model.py
@@ -33,7 +33,7 @@
 
 MIN_WAIT_SECONDS = 0.001
 """A shorter wait may not advance a virtual clock."""
-KEPT_ATTEMPTS = 4096
+MAX_KEPT_ATTEMPTS = 4096
 """Ended attempts that can still be resumed."""
 
 
@@ -240,7 +240,7 @@
 
     def _remember(self, sequence: Sequence) -> None:
         self._attempts[sequence.request.attempt] = sequence
-        while len(self._attempts) > KEPT_ATTEMPTS:
+        while len(self._attempts) > MAX_KEPT_ATTEMPTS:
             self._attempts.pop(next(iter(self._attempts)))
 
     def _record_load(self) -> None:
