--- a/src/larkpost/rehearsal/engine_load.py
+++ b/src/larkpost/rehearsal/engine_load.py
@@ -3,7 +3,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-KEPT_POINTS = 512
+MAX_KEPT_POINTS = 512
 """Changes of load that are kept. Some seconds of a busy engine."""
 
 
@@ -20,7 +20,7 @@
     """The last changes of an engine's load."""
 
     def __init__(self) -> None:
-        self._points: deque[LoadPoint] = deque([LoadPoint(0.0, 0, 0)], maxlen=KEPT_POINTS)
+        self._points: deque[LoadPoint] = deque([LoadPoint(0.0, 0, 0)], maxlen=MAX_KEPT_POINTS)
 
     def record(self, point: LoadPoint) -> None:
         """Adds the newest point."""
