--- a/src/larkpost/rehearsal/tokens.py
+++ b/src/larkpost/rehearsal/tokens.py
@@ -14,7 +14,7 @@
 VOCABULARY = 50_000
 MEDIAN_LENGTH_SHARE = 0.12
 """Median response length as a share of the longest."""
-SPREAD = 0.9
+LENGTH_LOG_STDDEV = 0.9
 """Standard deviation of the length's logarithm: a few answers run far longer than the rest."""
 
 
@@ -33,7 +33,7 @@
     """Returns the answer's length: log-normal, at least 1 and at most ``max_tokens``."""
     uniform = ((seed >> 11) + 0.5) / 2**53
     normal = NormalDist().inv_cdf(uniform)
-    length = round(max_tokens * MEDIAN_LENGTH_SHARE * math.exp(SPREAD * normal))
+    length = round(max_tokens * MEDIAN_LENGTH_SHARE * math.exp(LENGTH_LOG_STDDEV * normal))
     return min(max(length, 1), max_tokens)
 
 
