--- a/src/larkpost/rehearsal/bench.py
+++ b/src/larkpost/rehearsal/bench.py
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class BenchResult:
     """What one target gave."""
 
     p50_ms: float
@@ -68,7 +68,7 @@
     chunks_per_core_second: float
 
 
-def run_bench(output: Path | None) -> dict[str, Figures]:
+def run_bench(output: Path | None) -> dict[str, BenchResult]:
     """Measures the engine alone, the bare relay and larkpost, and prints ratios to the relay."""
     with (
         tempfile.TemporaryDirectory(prefix="larkpost-bench-") as folder,
@@ -129,7 +129,7 @@
     return bool(engines) and engines[0]["slots"] is not None
 
 
-async def _measure(target: Target) -> Figures:
+async def _measure(target: Target) -> BenchResult:
     async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session:
         await _repeat(session, target, 1, 200, CALLERS)
         histogram = HdrHistogram(1, 60 * MICROSECONDS, 3)
@@ -140,7 +140,7 @@
             histogram.record_value(max(1, round(elapsed * MICROSECONDS)))
         rate, per_core = await _repeat(session, target, 1, RATE_REQUESTS, CALLERS)
         _, streams_per_core = await _repeat(session, target, CHUNKS_PER_STREAM, STREAMS, STREAMS)
-    return Figures(
+    return BenchResult(
         histogram.get_value_at_percentile(50) / 1000,
         histogram.get_value_at_percentile(99) / 1000,
         rate,
@@ -178,17 +178,17 @@
             raise RuntimeError(f"{target.name} answered {response.status}")
 
 
-def _median(figures: list[Figures]) -> Figures:
-    names = Figures.__dataclass_fields__
+def _median(figures: list[BenchResult]) -> BenchResult:
+    names = BenchResult.__dataclass_fields__
     medians = [statistics.median(getattr(f, name) for f in figures) for name in names]
-    return Figures(*(round(value, 3) for value in medians))
+    return BenchResult(*(round(value, 3) for value in medians))
 
 
-def _print(figures: dict[str, Figures]) -> None:
+def _print(figures: dict[str, BenchResult]) -> None:
     table = Table(title=f"medians of {ROUNDS} rounds; ratio is larkpost to the bare relay")
     for column in ("figure", *figures, "ratio"):
         table.add_column(column, justify="right")
-    for name in Figures.__dataclass_fields__:
+    for name in BenchResult.__dataclass_fields__:
         values = [getattr(f, name) for f in figures.values()]
         ratio = getattr(figures["larkpost"], name) / getattr(figures["relay"], name)
         table.add_row(name, *(f"{value:,.2f}" for value in values), f"{ratio:.2f}")
