--- a/src/larkpost/rehearsal/experiment/report.py
+++ b/src/larkpost/rehearsal/experiment/report.py
@@ -24,7 +24,7 @@
 )
 from larkpost.rehearsal.experiment.scenario import Scenario
 
-PARALLEL = 3
+MAX_PROCESSES = 3
 CLIENTS_ONLY = "clients only"
 MEASURES = tuple(name for name in RunResult.__dataclass_fields__ if name not in ("policy", "seed"))
 
@@ -69,7 +69,7 @@
     """Runs all jobs in processes of their own; returns each column's results by seed."""
     columns: dict[str, list[RunResult]] = {job.label: [] for job in jobs}
     with (
-        ProcessPoolExecutor(PARALLEL, get_context("spawn")) as pool,
+        ProcessPoolExecutor(MAX_PROCESSES, get_context("spawn")) as pool,
         Progress(console=console, transient=True) as progress,
     ):
         bar = progress.add_task(title, total=len(jobs))
