--- a/src/larkpost/rehearsal/experiment/scenario.py
+++ b/src/larkpost/rehearsal/experiment/scenario.py
@@ -11,7 +11,7 @@
 from larkpost.rehearsal.sites import SITES, Site
 from larkpost.standalone.settings import describe_validation
 
-BUNDLED = Path(__file__).resolve().parent.parent / "scenarios"
+BUNDLED_SCENARIOS = Path(__file__).resolve().parent.parent / "scenarios"
 
 
 class _Section(BaseModel):
@@ -100,9 +100,9 @@
     """
     path = Path(name)
     if not path.exists():
-        path = BUNDLED / f"{name}.toml"
+        path = BUNDLED_SCENARIOS / f"{name}.toml"
     if not path.exists():
-        names = ", ".join(sorted(p.stem for p in BUNDLED.glob("*.toml")))
+        names = ", ".join(sorted(p.stem for p in BUNDLED_SCENARIOS.glob("*.toml")))
         raise InvalidRequestError(
             f"there is no scenario {name!r}", remedy=f"Name a TOML file, or one of {names}."
         )
