--- a/src/larkpost/rehearsal/experiment/run.py
+++ b/src/larkpost/rehearsal/experiment/run.py
@@ -207,7 +207,7 @@
         )
 
     def _count(self, counter: str, kind: str = "") -> float:
-        nodes = [*self._world.daemons.values(), *self._world.ended]
+        nodes = [*self._world.daemons.values(), *self._world.stopped_daemons]
         return sum(node.daemon.telemetry.value(counter, kind) for node in nodes)
 
     def _idle_bound(self) -> float:
--- a/src/larkpost/rehearsal/simulation/world.py
+++ b/src/larkpost/rehearsal/simulation/world.py
@@ -66,7 +66,7 @@
         self.platform_host = self.fabric.platform_host
         self.records = Records()
         self.daemons: dict[DaemonId, DaemonNode] = {}
-        self.ended: list[DaemonNode] = []
+        self.stopped_daemons: list[DaemonNode] = []
         """Daemons that were killed or have stopped, for their counters."""
         self.engines: dict[EngineId, EngineNode] = {}
         self.homes: dict[DaemonId, ZoneId] = self._name_daemons()
@@ -230,7 +230,7 @@
     def _remove_daemon(self, node: DaemonNode) -> None:
         node.host.kill()
         node.daemon.stop()
-        self.ended.append(node)
+        self.stopped_daemons.append(node)
         self.fabric.daemons.pop(node.host.address, None)
 
     def _machine(self, engine: EngineId) -> Machine:
--- a/tests/disturbed_world.py
+++ b/tests/disturbed_world.py
@@ -40,7 +40,7 @@
             del self.daemons[name]
             self._note_cut(node.host)
             node.daemon.stop()
-            self.ended.append(node)
+            self.stopped_daemons.append(node)
             self.fabric.daemons.pop(node.host.address, None)
             await _empty_buffers(node.host)
             node.host.kill()
