--- a/src/larkpost/standalone/api/inference.py
+++ b/src/larkpost/standalone/api/inference.py
@@ -104,7 +104,7 @@
     """Returns the complete answer.
 
     Raises:
-        CallerLeftError: the caller disconnected before the answer was complete.
+        CallerDisconnectedError: the caller disconnected before the answer was complete.
     """
 
     async def read() -> Answer:
