--- a/src/larkpost/rehearsal/simulation/callers.py
+++ b/src/larkpost/rehearsal/simulation/callers.py
@@ -117,7 +117,7 @@
         batch = BatchId(f"{self.shape.name}-{self._serial}")
         spec = self.shape.make_spec(batch, self.version, self._rng)
         self.world.records.batches_opened.append(spec)
-        addresses = [Address(f"{name}:1") for name in self.world.homes]
+        addresses = [Address(f"{name}:1") for name in self.world.daemon_zones]
         session = BatchSession(self.endpoint, addresses, spec, self._rng)
         await session.open()
         return session
--- a/src/larkpost/rehearsal/simulation/world.py
+++ b/src/larkpost/rehearsal/simulation/world.py
@@ -69,7 +69,7 @@
         self.stopped_daemons: list[DaemonNode] = []
         """Daemons that were killed or have stopped, for their counters."""
         self.engines: dict[EngineId, EngineNode] = {}
-        self.homes: dict[DaemonId, ZoneId] = self._name_daemons()
+        self.daemon_zones: dict[DaemonId, ZoneId] = self._name_daemons()
         self.callers = {zone: Host(Address(f"callers-{zone}:1"), zone) for zone in shape.zones}
         self.faults = FaultLog(self.records)
 
@@ -86,10 +86,10 @@
                 0,
             )
             self.platform.list_machine(entry, lag=0.0)
-        for name in self.homes:
+        for name in self.daemon_zones:
             self.start_daemon(name)
-        await self._wait_until(lambda: all(self.is_ready(name) for name in self.homes))
-        first = next(iter(self.homes))
+        await self._wait_until(lambda: all(self.is_ready(name) for name in self.daemon_zones))
+        first = next(iter(self.daemon_zones))
         operators = self.make_operators()
         await operators.confirm(first, operators.plan(first, self.shape.intent))
         await self._wait_until(self._all_loads_known)
@@ -114,13 +114,13 @@
 
     def start_daemon(self, name: DaemonId) -> None:
         """Starts a daemon with an empty memory."""
-        zone = self.homes[name]
+        zone = self.daemon_zones[name]
         host = Host(_daemon_address(name), zone)
         settings = Settings(
             daemon_id=name,
             zone=zone,
             listen=host.address,
-            peers=tuple(_daemon_address(peer) for peer in self.homes),
+            peers=tuple(_daemon_address(peer) for peer in self.daemon_zones),
             platform=self.platform_host.address,
             **self.shape.settings,
         )
@@ -184,7 +184,7 @@
 
     def lose_zone(self, zone: ZoneId) -> None:
         """Kills every daemon and engine of a zone."""
-        for name in [name for name in self.daemons if self.homes[name] == zone]:
+        for name in [name for name in self.daemons if self.daemon_zones[name] == zone]:
             self.kill_daemon(name)
         for machine in self.shape.machines:
             if machine.zone == zone and machine.engine in self.engines:
@@ -210,7 +210,7 @@
 
     def restart_all(self) -> None:
         """Starts every daemon and engine that is not running."""
-        for name in self.homes:
+        for name in self.daemon_zones:
             if name not in self.daemons:
                 self.start_daemon(name)
         for machine in self.shape.machines:
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -105,7 +105,7 @@
             self.spawn(self._ask_steadily(service, random.Random(rng.random())))
 
     async def _ask_steadily(self, service: str, rng: random.Random) -> None:
-        names = list(self.world.homes)
+        names = list(self.world.daemon_zones)
         asking = []
         while not self.settling:
             await asyncio.sleep(rng.expovariate(REQUESTS_PER_SECOND))
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -262,7 +262,7 @@
                 self.fleet.spawn(self.fleet.operators.confirm(name, plan))
 
     def _daemon_name(self, number):
-        return list(self.world.homes)[number]
+        return list(self.world.daemon_zones)[number]
 
     def _ask_with_key(self, daemon, zone, key):
         work = self.fleet.clients["assistant"].ask(daemon, ZONES[zone], run_once=True, key=key)
--- a/tests/test_regressions.py
+++ b/tests/test_regressions.py
@@ -20,7 +20,7 @@
     def setUp(self):
         self.fleet = SimulatedFleet(seed=7)
         self.world = self.fleet.world
-        self.names = list(self.world.homes)
+        self.names = list(self.world.daemon_zones)
 
     def tearDown(self):
         self.fleet.close()
