--- a/src/larkpost/__init__.py
+++ b/src/larkpost/__init__.py
@@ -1,3 +1,3 @@
-"""larkpost: a rollout service for reinforcement learning on shared model engines."""
+"""larkpost: a rollout service for reinforcement learning on shared model servers."""
 
 __version__ = "0.1.0"
--- a/src/larkpost/cli.py
+++ b/src/larkpost/cli.py
@@ -1,4 +1,4 @@
-"""The command line: ``serve`` runs a daemon, the other verbs speak to one."""
+"""The command line: ``serve`` and ``run`` run a daemon, other commands call one or read logs."""
 
 import fileinput
 from collections.abc import Iterable, Iterator
@@ -34,7 +34,7 @@
 
 @contextmanager
 def _reported_errors() -> Iterator[None]:
-    """Prints an error with its remedy and ends with status 1."""
+    """Prints an error with its remedy and exits with status 1."""
     try:
         yield
     except LarkpostError as error:
@@ -45,7 +45,7 @@
 
 @contextmanager
 def _log_lines(files: list[Path] | None) -> Iterator[Iterable[str]]:
-    """Yields the lines of logs, or of standard input; ends with status 1 if one is unreadable."""
+    """Yields the lines of log files or standard input; exits with status 1 on a read error."""
     with fileinput.input(files or (), encoding="utf-8", errors="replace") as lines:
         try:
             yield lines
--- a/src/larkpost/client.py
+++ b/src/larkpost/client.py
@@ -1,8 +1,8 @@
-"""The trainer's side of the batch API: pulls pages from any daemon until a batch is whole.
+"""Trainer client of the batch API: pulls pages from any daemon until a batch is complete.
 
-`BatchSession` holds what makes delivery exact: the slots the trainer has, and the number of the
-next page. It asks one daemon at a time, accepts one answer per page number, and tells each daemon
-what it holds, so any daemon can go on where another stopped.
+`BatchSession` delivers each slot exactly once: it tracks the slots that the trainer holds and the
+number of the next page. It calls one daemon at a time, accepts one response per page number, and
+sends the held slots with each call, so any daemon can continue where another stopped.
 """
 
 import asyncio
@@ -28,18 +28,18 @@
 
 Result = TypeVar("Result")
 RETRY_SECONDS = 0.2
-"""The pause after a failure grows by this with each failure in a row."""
+"""The retry delay grows by this with each consecutive failure, up to RETRY_LIMIT_SECONDS."""
 RETRY_LIMIT_SECONDS = 2.0
-"""Longest pause after a failure."""
+"""Maximum retry delay."""
 CALL_TIMEOUT_SECONDS = 10.0
-"""Longest time for one call: a daemon holds a pull for two seconds by default."""
+"""Timeout of one call; a daemon holds a pull open for two seconds by default."""
 CONNECT_TIMEOUT_SECONDS = 1.0
-"""Longest wait for a connection."""
+"""Connect timeout."""
 INVALID_REQUEST = 400
 
 
 class DaemonUnreachableError(LarkpostError):
-    """The daemon did not answer; another one is asked."""
+    """The daemon did not respond; the call is retried at another one."""
 
     code = "unreachable"
     status = 503
@@ -47,7 +47,7 @@
 
 
 class RemoteError(LarkpostError):
-    """A daemon answered with an error of this code and HTTP status."""
+    """A daemon responded with an error of this code and HTTP status."""
 
     def __init__(self, status: int, document: ErrorDocument) -> None:
         super().__init__(
@@ -61,7 +61,7 @@
 
 
 class BatchEndpoint(Protocol):
-    """Calls to one daemon. Every failure is a `LarkpostError`."""
+    """Batch API calls to a daemon. Every failure is raised as a `LarkpostError`."""
 
     async def open(self, daemon: Address, spec: BatchSpec, held: tuple[int, ...]) -> None:
         """Opens a batch."""
@@ -74,7 +74,7 @@
 
 
 class BatchSession:
-    """One batch, from opening to closing."""
+    """One batch, from open to close."""
 
     def __init__(
         self,
@@ -98,15 +98,15 @@
         return len(self.held) == self.spec.slot_count
 
     async def open(self) -> None:
-        """Opens the batch at the first daemon that takes it."""
+        """Opens the batch at the first daemon that accepts it."""
         await self._call_any_daemon(self._open_at)
 
     async def pages(self, trainer_version: int) -> AsyncIterator[Page]:
         """Yields pages until the batch is complete.
 
         Args:
-            trainer_version: the trainer's version for the whole iteration. When it rises, end this
-                iteration and start another one.
+            trainer_version: the trainer's weight version for the whole iteration. When it
+                increases, stop this iteration and start a new one.
         """
         while not self.complete:
             page = await self._pull(trainer_version)
@@ -116,7 +116,7 @@
             self.held |= {sample.slot for sample in page.samples}
 
     async def close(self) -> None:
-        """Closes the batch; a daemon that cannot be reached drops it by itself."""
+        """Closes the batch; a daemon that cannot be reached drops it on its own."""
         try:
             await self._endpoint.close(self._daemons[0], self.spec.id)
         except LarkpostError:
@@ -142,7 +142,11 @@
         await self._endpoint.open(daemon, self.spec, tuple(sorted(self.held)))
 
     async def _call_any_daemon(self, call: Callable[[Address], Awaitable[Result]]) -> Result:
-        """Calls the current daemon, and the next one after each failure."""
+        """Calls the current daemon, and after each failure the next one, until a call succeeds.
+
+        Raises:
+            LarkpostError: the daemon rejected the request as invalid (HTTP 400).
+        """
         while True:
             try:
                 result = await call(self._daemons[0])
@@ -159,7 +163,7 @@
 
 
 class HttpBatchEndpoint:
-    """Calls daemons over HTTP."""
+    """Batch API calls over HTTP."""
 
     def __init__(
         self, session: aiohttp.ClientSession, timeout: float = CALL_TIMEOUT_SECONDS
@@ -199,7 +203,7 @@
         await self._call("DELETE", f"http://{daemon}/v1/batches/{batch}", b"")
 
     async def announce_version(self, daemon: Address, policy: PolicyId, version: int) -> None:
-        """Announces to a daemon that a new weight version is in the weight store."""
+        """Tells a daemon that a new weight version is available in the weight store."""
         await self._call("PUT", f"http://{daemon}/v1/policies/{policy}/versions/{version}", b"")
 
     async def _call(self, verb: str, url: str, body: bytes) -> bytes:
@@ -216,14 +220,14 @@
 
 
 def parse_error(status: int, content: bytes) -> RemoteError:
-    """Returns the error in a response; one that is not larkpost's is an unknown outcome."""
+    """Returns the error in a response; for a body of another kind the outcome is unknown."""
     try:
         document = ErrorDocument.model_validate(orjson.loads(content)["error"])
     except (ValueError, KeyError, TypeError):
         document = ErrorDocument(
             code="bad_answer",
-            message=f"status {status} without an error of larkpost",
-            remedy="Check that the address is a daemon's.",
+            message=f"response with status {status} is not a larkpost error",
+            remedy="Check that the address is that of a larkpost daemon.",
             ran="unknown",
         )
     return RemoteError(status, document)
--- a/src/larkpost/common/__init__.py
+++ b/src/larkpost/common/__init__.py
@@ -1,5 +1,5 @@
-"""What both programs use: ids, clocks, error codes, tasks, and the HTTP server's settings.
+"""Modules shared by both programs: ids, clocks, error codes, tasks, and the HTTP server.
 
-Owns no state of a daemon and decides nothing. Relies on libraries alone: imports neither program,
-nor the adapter, nor the rehearsal.
+Holds no daemon state and makes no decisions. Imports third-party libraries only, never a program,
+the platform adapter or the rehearsal.
 """
--- a/src/larkpost/common/clock.py
+++ b/src/larkpost/common/clock.py
@@ -1,4 +1,4 @@
-"""The clock port: all waiting and reading of time goes through it, so tests can replace it."""
+"""The clock interface: code reads time and waits only through it, so tests can replace it."""
 
 import asyncio
 import time
@@ -6,20 +6,20 @@
 
 
 class Clock(Protocol):
-    """Monotonic time in seconds and waiting."""
+    """Reads monotonic time and waits."""
 
     def now(self) -> float:
-        """Returns monotonic seconds; only differences have a meaning."""
+        """Returns monotonic seconds; only differences between two readings are meaningful."""
 
     def wall_ms(self) -> int:
         """Returns milliseconds since the Unix epoch, for incarnations and log lines only."""
 
     async def sleep(self, seconds: float) -> None:
-        """Waits."""
+        """Waits for a number of seconds."""
 
 
 class LoopClock:
-    """The running event loop's clock."""
+    """The clock of the running event loop."""
 
     def now(self) -> float:
         return asyncio.get_running_loop().time()
--- a/src/larkpost/common/distance.py
+++ b/src/larkpost/common/distance.py
@@ -1,10 +1,10 @@
-"""How far two parts of a deployment are from each other."""
+"""Network distance between two parts of a deployment, by zone and region."""
 
 from enum import IntEnum
 
 
 class Distance(IntEnum):
-    """How far an instance or a daemon is from this daemon; less is nearer."""
+    """Distance of an instance or a daemon from this daemon; lower is nearer."""
 
     SAME_ZONE = 0
     SAME_REGION = 1
--- a/src/larkpost/common/errors.py
+++ b/src/larkpost/common/errors.py
@@ -1,13 +1,13 @@
-"""Typed error kinds: code, message, remedy, and whether the request ran."""
+"""Error types with a code, a message, a remedy, and whether the request was executed."""
 
 from enum import StrEnum
 
 
 class Ran(StrEnum):
-    """Whether a failed request was executed by an engine.
+    """Whether an engine executed a failed request.
 
-    ``NO`` is a proof, never a guess: no byte of the request left for an engine that could execute
-    it, or the engine itself refused it before execution. Everything else is ``UNKNOWN``.
+    ``NO`` is set only when execution is ruled out: no byte of the request was sent to an engine
+    that could execute it, or the engine refused it before execution. Otherwise ``UNKNOWN``.
     """
 
     NO = "no"
@@ -15,14 +15,14 @@
 
 
 class LarkpostError(Exception):
-    """Base of all errors that callers and operators see.
+    """Base class of all errors returned to callers and operators.
 
     Attributes:
-        code: stable machine-readable name of the error kind.
-        status: HTTP status of the answer.
+        code: stable machine-readable name of the error type.
+        status: HTTP status of the response.
         remedy: what the caller can do about it.
-        ran: whether the request was executed.
-        retry_after: seconds after which asking again makes sense, or None.
+        ran: whether an engine executed the request.
+        retry_after: seconds to wait before a retry, or None.
     """
 
     code = "internal"
@@ -46,7 +46,7 @@
 
 
 class InvalidRequestError(LarkpostError):
-    """The request is malformed; asking again unchanged cannot help."""
+    """The request is malformed; retrying it unchanged fails again."""
 
     code = "invalid_request"
     status = 400
@@ -54,7 +54,7 @@
 
 
 class NotReadyError(LarkpostError):
-    """The daemon has not yet learned the configuration in force."""
+    """The daemon has not yet read the current configuration."""
 
     code = "not_ready"
     status = 503
@@ -62,7 +62,7 @@
 
 
 class StoppingError(LarkpostError):
-    """The daemon is stopping and admits nothing new."""
+    """The daemon is shutting down and accepts no new requests."""
 
     code = "stopping"
     status = 503
@@ -70,7 +70,7 @@
 
 
 class OverloadedError(LarkpostError):
-    """A bounded queue is full or the retry budget is spent."""
+    """A bounded queue is full or the retry budget is exhausted."""
 
     code = "overloaded"
     status = 429
@@ -78,7 +78,7 @@
 
 
 class NoEngineError(LarkpostError):
-    """No engine of the pool can take the request now."""
+    """No engine of the pool can currently accept the request."""
 
     code = "no_engine"
     status = 503
@@ -94,7 +94,7 @@
 
 
 class CallerDisconnectedError(LarkpostError):
-    """The caller closed its connection before the answer was whole."""
+    """The caller closed its connection before the response was complete."""
 
     code = "caller_left"
     status = 499
@@ -102,7 +102,7 @@
 
 
 class BrokenAnswerError(LarkpostError):
-    """An engine's answer broke off and may not be run again."""
+    """An engine's response was interrupted and the request must not be executed again."""
 
     code = "broken_answer"
     status = 502
@@ -110,7 +110,7 @@
 
 
 class AlreadyClaimedError(LarkpostError):
-    """A request that may run only once was already taken, here or by another daemon."""
+    """A run-once request was already claimed, by this daemon or another one."""
 
     code = "already_claimed"
     status = 409
@@ -118,7 +118,7 @@
 
 
 class UnknownBatchError(LarkpostError):
-    """Neither this daemon nor a replica knows the batch."""
+    """Neither this daemon nor a replica holds the batch."""
 
     code = "unknown_batch"
     status = 404
@@ -126,7 +126,7 @@
 
 
 class BatchConflictError(LarkpostError):
-    """The batch id is in use with another content."""
+    """The batch id is already in use for a batch with different content."""
 
     code = "batch_conflict"
     status = 409
@@ -134,7 +134,7 @@
 
 
 class OutdatedPlanError(LarkpostError):
-    """The plan was made against a configuration that is no longer in force."""
+    """The plan is based on a configuration that is no longer current."""
 
     code = "outdated_plan"
     status = 409
@@ -142,7 +142,7 @@
 
 
 class PlatformError(LarkpostError):
-    """The platform did not answer, so the outcome of an operation is open."""
+    """The platform did not respond, so the outcome of the operation is unknown."""
 
     code = "platform_unavailable"
     status = 503
@@ -150,7 +150,7 @@
 
 
 class SettingsError(LarkpostError):
-    """A setting is unknown or wrong; the program does not start."""
+    """A setting is unknown or invalid; the program does not start."""
 
     code = "bad_setting"
     status = 400
--- a/src/larkpost/common/http_server.py
+++ b/src/larkpost/common/http_server.py
@@ -1,6 +1,6 @@
-"""An HTTP listener inside the process's one event loop; signals stay with the process.
+"""An HTTP server that runs in the process's event loop and leaves signal handling to the process.
 
-Owns the library's server; what is served is the application's.
+Wraps uvicorn; the application handles the requests.
 """
 
 import asyncio
@@ -14,24 +14,24 @@
 from larkpost.common.ids import Address
 
 BACKLOG = 1024
-"""Connections that may wait to be accepted."""
+"""Maximum number of connections waiting to be accepted."""
 KEEP_ALIVE_SECONDS = 75
-"""How long a connection may be idle."""
+"""Idle connections are closed after this time."""
 START_POLL_SECONDS = 0.005
-"""Between two checks whether the server has started: the library has no event for it."""
+"""Interval of the check whether the server has started: uvicorn has no event for it."""
 CLOSE_SECONDS = 0.4
-"""Longest wait for responses under way once the server is to end: whoever closes it has waited for
-them before, and a process that stays too long is killed."""
+"""Maximum wait for responses in progress on close. Callers of `close` drain them beforehand, and a
+process that takes too long to exit is killed."""
 
 
 Application = Callable[[dict, Callable, Callable], Awaitable[None]]
-"""An ASGI application: called with a scope, and with functions to receive and to send."""
+"""An ASGI application, called with a scope, a receive function and a send function."""
 
 
 class EmbeddedServer(uvicorn.Server):
-    """A uvicorn server that leaves signals to the process, and sleeps until it is closed.
+    """A uvicorn server without signal handlers that sleeps until it is closed.
 
-    The library's own server wakes ten times a second to renew a header that is not sent here.
+    uvicorn's own main loop wakes ten times a second to renew a date header that is not sent here.
     """
 
     def __init__(self, config: uvicorn.Config) -> None:
@@ -39,7 +39,7 @@
         self._closing = asyncio.Event()
 
     def close(self) -> None:
-        """Asks the server to end."""
+        """Requests shutdown of the server."""
         self.should_exit = True
         self._closing.set()
 
@@ -49,7 +49,7 @@
         yield
 
     async def main_loop(self) -> None:
-        """Waits until the server is asked to end."""
+        """Waits until `close` is called."""
         await self._closing.wait()
 
 
@@ -57,8 +57,9 @@
     """Serves an application until it is closed.
 
     Args:
-        protocol: the class that speaks HTTP on a connection, or the library's name for one.
-        idle_seconds: how long a connection may be idle; a protocol class may set its own.
+        protocol: the HTTP protocol class of a connection, or uvicorn's name for one.
+        idle_seconds: idle time after which a connection is closed; a protocol class may override
+            it.
     """
 
     def __init__(
@@ -93,7 +94,7 @@
 
     @property
     def connections(self) -> set[asyncio.Protocol]:
-        """The connections of clients."""
+        """The open client connections."""
         return self._server.server_state.connections
 
     async def start(self) -> None:
@@ -110,7 +111,7 @@
             await asyncio.sleep(START_POLL_SECONDS)
 
     async def close(self) -> None:
-        """Stops listening, and closes connections once their responses are complete, or late."""
+        """Stops listening; closes connections once responses complete or after CLOSE_SECONDS."""
         self._server.close()
         if self._task is not None:
             await self._task
@@ -119,5 +120,5 @@
         try:
             await self._server.serve()
         except SystemExit:
-            # The library exits the process if it cannot bind; that is the caller's decision.
+            # uvicorn exits the process if it cannot bind; the caller of `start` handles it instead.
             raise OSError(f"cannot listen on {self._address}") from None
--- a/src/larkpost/common/ids.py
+++ b/src/larkpost/common/ids.py
@@ -1,12 +1,12 @@
-"""Typed identifiers, so that two kinds of name are never exchanged by mistake."""
+"""Typed identifiers, so that a type checker detects a mix-up of two kinds of id."""
 
 from typing import NewType
 
 DaemonId = NewType("DaemonId", str)
 InstanceName = NewType("InstanceName", str)
-"""What a server calls itself; it keeps the name when it starts again."""
+"""Name of a server; it stays the same across restarts."""
 InstanceId = NewType("InstanceId", str)
-"""One incarnation of a server; see `larkpost.common.incarnations`."""
+"""Id of one incarnation of a server; see `larkpost.common.incarnations`."""
 EngineId = NewType("EngineId", str)
 ZoneId = NewType("ZoneId", str)
 RegionId = NewType("RegionId", str)
@@ -19,4 +19,4 @@
 PolicyId = NewType("PolicyId", str)
 
 Address = NewType("Address", str)
-"""``host:port`` of an HTTP listener; a daemon uses the same port number for UDP."""
+"""``host:port`` of an HTTP server; a daemon uses the same port number for UDP."""
--- a/src/larkpost/common/incarnations.py
+++ b/src/larkpost/common/incarnations.py
@@ -1,8 +1,7 @@
-"""Tells the incarnations of a server apart, which may start again under the name that it had.
+"""Ids that distinguish the incarnations of a server that restarts under the same name.
 
-An id is a server's name and the time of its start, so whatever is remembered by an id ends with the
-incarnation: nothing that was learnt of an earlier one is ever taken for the new one's. A server
-that does not say when it started is known by its name alone.
+An instance id consists of the server's name and its start time, so state stored under an id never
+applies to a later incarnation. The id of a server that does not report its start time is its name.
 """
 
 from larkpost.common.ids import InstanceId, InstanceName
@@ -14,7 +13,8 @@
     """Returns the id of an incarnation.
 
     Args:
-        born: Unix millisecond of its start; None if it does not say it.
+        name: the server's name.
+        started_at_ms: Unix time of its start in milliseconds; None if it does not report it.
     """
     if started_at_ms is not None:
         return InstanceId(f"{name}{START_TIME_SEPARATOR}{started_at_ms}")
@@ -23,7 +23,7 @@
 
 
 def split_instance_id(instance: InstanceId) -> tuple[InstanceName, int | None]:
-    """Returns a server's name and the Unix millisecond of its start; None if it does not say it."""
+    """Returns a server's name and its start time in Unix milliseconds, None if not reported."""
     name, separator, started_at_ms = instance.rpartition(START_TIME_SEPARATOR)
     if not separator:
         return InstanceName(instance), None
--- a/src/larkpost/common/steady_time.py
+++ b/src/larkpost/common/steady_time.py
@@ -1,8 +1,8 @@
-"""Steady time that counts the seconds for which the machine was suspended.
+"""Steady time, which includes time that the machine was suspended.
 
-A machine may be suspended for seconds. The system's plain steady clock stands still meanwhile, so a
-holder of a lease would take it for fresh when others have long taken over, and a request for young
-whose caller has left. Everything that measures ages and deadlines goes by this clock.
+A machine may be suspended for seconds. ``CLOCK_MONOTONIC`` stops meanwhile, so a lease holder would
+treat an expired lease as valid, and a request whose caller has disconnected as recent. Ages and
+deadlines are measured with this clock.
 """
 
 import asyncio
@@ -11,19 +11,19 @@
 from typing import Any
 
 CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-"""Linux has a clock that counts suspended time; elsewhere the plain steady clock must do."""
+"""Linux has a clock that includes suspended time; other systems use the monotonic clock."""
 
 
 def steady_seconds() -> float:
-    """Returns steady seconds; only differences have a meaning."""
+    """Returns steady seconds; only differences between two readings are meaningful."""
     return time.clock_gettime(CLOCK)
 
 
 class SteadyLoop(asyncio.SelectorEventLoop):
-    """An event loop whose timers go by steady time.
+    """An event loop whose timers use steady time.
 
-    The system's wait for the next event does not count suspended time: a timer that became due
-    while the machine was suspended runs with the first event or timer afterwards.
+    The selector's timeout does not include suspended time: a timer that became due while the
+    machine was suspended runs with the first event or timer after it resumes.
     """
 
     def time(self) -> float:
@@ -32,6 +32,6 @@
 
 
 def run_on_steady_loop(work: Coroutine[Any, Any, Any]) -> None:
-    """Runs a coroutine to its end on a loop that goes by steady time."""
+    """Runs a coroutine to completion on an event loop that uses steady time."""
     with asyncio.Runner(loop_factory=SteadyLoop) as runner:
         runner.run(work)
--- a/src/larkpost/common/tasks.py
+++ b/src/larkpost/common/tasks.py
@@ -1,6 +1,6 @@
-"""Background tasks of one daemon: started, watched and ended together.
+"""Background tasks of one daemon, cancelled together.
 
-Owns the tasks; what becomes of their failures is up to the reporter that the daemon gives.
+Failures are passed to the daemon's `FailureReporter`.
 """
 
 import asyncio
@@ -11,25 +11,25 @@
 from larkpost.common.errors import LarkpostError
 
 MIN_PAUSE_DIVISOR = 10
-"""A repeated step pauses for at least this part of its interval, however long it took: a slow step
-must not take the whole loop."""
+"""A periodic step pauses for at least its interval divided by this, however long it took, so that a
+slow step does not occupy the event loop."""
 
 
 class FailureReporter(Protocol):
-    """Is told of the failures of background tasks."""
+    """Receives the failures of background tasks."""
 
     def report_known_step_error(self, task: str, error: LarkpostError) -> None:
-        """Reports a round of a repeated step that ended with an error of a known kind."""
+        """Reports a run of a periodic step that failed with a `LarkpostError`."""
 
     def report_unexpected_step_error(self, task: str, error: Exception) -> None:
-        """Reports a round of a repeated step that ended with an unexpected error."""
+        """Reports a run of a periodic step that failed with an unexpected error."""
 
     def report_failed_task(self, task: str, error: BaseException) -> None:
-        """Reports a task that ended with an error."""
+        """Reports a task that failed."""
 
 
 class NullFailureReporter:
-    """Reports nothing: a failure that a task does not log itself leaves no trace."""
+    """Reports nothing; a failure that the task itself does not log is lost."""
 
     def report_known_step_error(self, task: str, error: LarkpostError) -> None:
         """Does nothing."""
@@ -42,7 +42,7 @@
 
 
 class TaskSet:
-    """Owns a daemon's background tasks."""
+    """The background tasks of a daemon."""
 
     def __init__(self, clock: Clock, reporter: FailureReporter) -> None:
         self._clock = clock
@@ -50,7 +50,7 @@
         self._tasks: dict[asyncio.Task, None] = {}
 
     def spawn(self, work: Coroutine[Any, Any, Any], name: str) -> asyncio.Task:
-        """Starts a task, whose failure is reported."""
+        """Starts a task; its failure is reported."""
         task = asyncio.create_task(work, name=name)
         self._tasks[task] = None
         task.add_done_callback(self._finished)
@@ -62,10 +62,10 @@
         step: Callable[[], Awaitable[None]],
         name: str,
     ) -> None:
-        """Runs ``step`` again and again, one start every ``interval`` seconds.
+        """Runs ``step`` periodically, once every ``interval`` seconds.
 
         Args:
-            interval: seconds, or a function that is asked for them after each step.
+            interval: seconds, or a function that returns them and is called after each step.
         """
         if callable(interval):
             self.spawn(self._repeat(interval, step, name), name)
@@ -86,7 +86,7 @@
                 await step()
             except LarkpostError as error:
                 self._reporter.report_known_step_error(name, error)
-            except Exception as error:  # one failed round must not end the controller
+            except Exception as error:  # one failed run must not end the task
                 self._reporter.report_unexpected_step_error(name, error)
             elapsed = self._clock.now() - started
             interval = interval_of()
--- a/src/larkpost/rehearsal/__init__.py
+++ b/src/larkpost/rehearsal/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the systems around larkpost, load, experiments and measurements."""
+"""Stand-ins for the systems around larkpost, load generators, experiments and benchmarks."""
--- a/src/larkpost/rehearsal/engine_cache.py
+++ b/src/larkpost/rehearsal/engine_cache.py
@@ -1,4 +1,4 @@
-"""A stand-in engine's prefix cache: limited memory, least recently used blocks go first."""
+"""Prefix cache of a stand-in engine, with limited size and LRU eviction."""
 
 from collections import OrderedDict
 
@@ -19,7 +19,7 @@
         """Stores a prompt's blocks.
 
         Returns:
-            Prompt tokens that were not cached and have to be computed.
+            Number of prompt tokens that were not cached and must be computed.
         """
         hit = 0
         matching = True
@@ -38,6 +38,6 @@
 
 
 def _prefix_blocks(prompt: str) -> list[int]:
-    """Returns a hash per whole block; each covers the prompt up to that block's end."""
+    """Returns a hash per full block; each covers the prompt up to that block's end."""
     ends = range(BLOCK_CHARACTERS, len(prompt) + 1, BLOCK_CHARACTERS)
     return [hash64(prompt[:end]) for end in ends]
--- a/src/larkpost/rehearsal/engine_load.py
+++ b/src/larkpost/rehearsal/engine_load.py
@@ -1,15 +1,15 @@
-"""The load of a stand-in engine as its reports show it: late."""
+"""Load history of a stand-in engine, whose reports show the load with a lag."""
 
 from collections import deque
 from dataclasses import dataclass
 
 MAX_KEPT_POINTS = 512
-"""Changes of load that are kept. Some seconds of a busy engine."""
+"""Maximum number of load changes kept; covers some seconds of a busy engine."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadPoint:
-    """The load from a time on, in seconds of the engine's loop."""
+    """The load since a time, in seconds of the engine's event loop."""
 
     at: float
     running: int
@@ -17,7 +17,7 @@
 
 
 class LoadHistory:
-    """The last changes of an engine's load."""
+    """The most recent changes of an engine's load."""
 
     def __init__(self) -> None:
         self._points: deque[LoadPoint] = deque([LoadPoint(0.0, 0, 0)], maxlen=MAX_KEPT_POINTS)
@@ -27,7 +27,7 @@
         self._points.append(point)
 
     def at(self, time: float) -> LoadPoint:
-        """Returns the load at a time, or the oldest that is known."""
+        """Returns the load at a time, or the oldest one kept."""
         for point in reversed(self._points):
             if point.at <= time:
                 return point
--- a/src/larkpost/rehearsal/engine_model.py
+++ b/src/larkpost/rehearsal/engine_model.py
@@ -1,9 +1,9 @@
-"""A stand-in model engine: continuous batching on a step-time model, with faults to switch on.
+"""A stand-in model engine: continuous batching with a step-time model and injectable faults.
 
-It follows the brief's engine: it honours priorities, resumes and cancels streams, reports load with
-a lag, and takes fenced orders that need time and can fail. It is no kinder than that: a leaving
-engine still runs what it is sent, the fence guards orders but not requests, and an answer can come
-late, twice, crossed with another's, or be cut.
+It honours priorities, resumes and cancels streams, reports load with a lag, and accepts fenced
+orders that take time and can fail. As a real engine may, a leaving engine still executes what it is
+sent, fencing applies to orders but not to requests, and chunks can be late, duplicated, replaced by
+another attempt's, or cut off.
 """
 
 import asyncio
@@ -34,11 +34,11 @@
 MIN_WAIT_SECONDS = 0.001
 """A shorter wait may not advance a virtual clock."""
 MAX_KEPT_ATTEMPTS = 4096
-"""Ended attempts that can still be resumed."""
+"""Maximum number of attempts kept, so that streams can be resumed after their end."""
 
 
 class EngineModel:
-    """One engine. ``start`` runs it on the current event loop."""
+    """One engine; `start` runs it on the current event loop."""
 
     def __init__(
         self,
@@ -71,13 +71,13 @@
         self._spawn(self._generate())
 
     def stop(self) -> None:
-        """Ends everything at once, as a crash does."""
+        """Stops immediately without finishing attempts, as a crash does."""
         for task in list(self._tasks):
             task.cancel()
 
     @property
     def busy(self) -> bool:
-        """Whether any sequence runs or waits."""
+        """Whether any sequence is running or waiting."""
         return bool(self._running or self._waiting)
 
     def submit(self, request: GenerateRequest) -> None:
@@ -87,7 +87,7 @@
             QueueFullError: the queue is full.
         """
         if len(self._waiting) >= self.shape.queue_limit:
-            raise QueueFullError(f"{len(self._waiting)} attempts wait")
+            raise QueueFullError(f"the queue is full: {len(self._waiting)} attempts are waiting")
         seed = answer_seed(request.request, request.prompt)
         length = answer_length(seed, request.max_tokens)
         start = len(request.prefix)
@@ -101,7 +101,7 @@
         self._work.set()
 
     async def stream(self, attempt: AttemptId, offset: int) -> AsyncIterator[EngineChunk]:
-        """Yields an attempt's chunks from ``offset`` on, through the faults.
+        """Yields an attempt's chunks from ``offset`` on, with the active faults applied.
 
         Raises:
             UnknownAttemptError: there is no such attempt, or it was cancelled.
@@ -127,7 +127,7 @@
                 return
 
     def cancel(self, attempt: AttemptId) -> None:
-        """Ends an attempt."""
+        """Cancels an attempt; does nothing for an unknown one."""
         sequence = self._attempts.get(attempt)
         if sequence is None or sequence.cancelled:
             return
@@ -138,7 +138,7 @@
         self._record_load()
 
     def report(self) -> EngineReport:
-        """Returns the report: load as it was ``report_lag`` ago, everything else as it is."""
+        """Returns a report with the load of ``report_lag`` seconds ago and the current state."""
         load = self._load.at(_now() - self.shape.report_lag)
         return EngineReport(
             engine=self.id,
@@ -156,7 +156,8 @@
         """Accepts a fenced order and starts it.
 
         Raises:
-            StaleOrderError: the token is too low.
+            StaleOrderError: the token is lower than the highest accepted one; a claim needs a higher
+                one.
         """
         is_claim = order.kind == OrderKind.CLAIM
         if order.token < self.token or (is_claim and order.token == self.token):
@@ -168,7 +169,7 @@
             self._spawn(self._swap(order.policy or PolicyId(""), order.version))
 
     async def _swap(self, policy: PolicyId, version: int) -> None:
-        """Loads weights; sequences pause during the load and then go on under the new version."""
+        """Loads weights; sequences pause meanwhile and then continue with the new version."""
         fetched = await self._fetch_weights(policy, version)
         await asyncio.sleep(self.shape.swap_seconds)
         await self.wait_while_frozen()
@@ -196,10 +197,10 @@
                 self._produce()
 
     def _admit(self) -> int:
-        """Fills the batch by priority, taking slots from lower priorities.
+        """Fills the batch by priority, preempting sequences of lower priority.
 
         Returns:
-            Prompt tokens to compute in this step.
+            Number of prompt tokens to compute in this step.
         """
         candidates = sorted(
             self._running + self._waiting, key=lambda sequence: sequence.scheduling_key
--- a/src/larkpost/rehearsal/engine_sequence.py
+++ b/src/larkpost/rehearsal/engine_sequence.py
@@ -1,4 +1,4 @@
-"""An attempt inside a stand-in engine: the tokens it has made, and the chunks they are sent in."""
+"""State of one attempt in a stand-in engine: its generated tokens, and the chunks sent."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -10,16 +10,16 @@
 
 @dataclass(slots=True)
 class Sequence:
-    """An attempt inside the engine.
+    """An attempt in the engine.
 
     Attributes:
         record: what the engine did for it.
-        seed: decides its tokens.
-        length: tokens of its whole answer.
-        arrival: its number in the order of arrival.
-        tokens: those made so far, and before them those it was sent with.
-        prefilled: its prompt has been computed.
-        news: set when there is a token more, or when it is cancelled.
+        seed: determines its tokens.
+        length: number of tokens of its complete answer.
+        arrival: its sequence number in order of arrival.
+        tokens: the prefix of the request, then the tokens generated so far.
+        prefilled: whether its prompt has been computed.
+        updated: set when a token is added or the attempt is cancelled.
     """
 
     request: GenerateRequest
@@ -34,19 +34,19 @@
 
     @property
     def done(self) -> bool:
-        """Whether its answer is whole."""
+        """Whether its answer is complete."""
         return len(self.tokens) >= self.length
 
     @property
     def scheduling_key(self) -> tuple[int, int]:
-        """What the batch is filled by, lowest first."""
+        """Sort key by which the batch is filled, lowest first."""
         return (
             -self.request.priority,
             self.arrival,
         )
 
     def add_token(self, version: int) -> None:
-        """Makes the next token under a weight version."""
+        """Generates the next token with a weight version."""
         index = len(self.tokens)
         self.tokens.append(token_at(self.seed, index, version))
         spans = self.record.spans
@@ -75,12 +75,12 @@
             await self.updated.wait()
 
     def misdirected_chunk(self, chunk: EngineChunk) -> EngineChunk:
-        """Returns tokens of this attempt in place of another one's chunk."""
+        """Returns another attempt's chunk with this attempt's id and tokens in place of its own."""
         tokens = tuple(self.tokens[: max(len(chunk.tokens), 1)])
         return EngineChunk(self.request.attempt, chunk.offset, tokens, chunk.version, chunk.total)
 
     def _span_end(self, offset: int) -> tuple[int, int]:
-        """Returns the version at ``offset`` and where its run of tokens ends so far."""
+        """Returns the version at ``offset`` and the current end of its token span."""
         for version, first, count in self.record.spans:
             if first <= offset < first + count:
                 return version, first + count
--- a/src/larkpost/rehearsal/engine_server.py
+++ b/src/larkpost/rehearsal/engine_server.py
@@ -1,4 +1,4 @@
-"""The stand-in engine as a process: HTTP routes, fault switches, and a record on stdout."""
+"""The stand-in engine as an HTTP server, with fault switches and a record of attempts on stdout."""
 
 import asyncio
 import os
@@ -55,7 +55,7 @@
         )
 
     async def close(self) -> None:
-        """Closes the session to the platform."""
+        """Stops the engine and closes the HTTP session to the platform."""
         self.model.stop()
         await self._session.close()
 
@@ -136,7 +136,7 @@
         freeze = fields.pop("freeze_seconds", 0.0)
         for name, value in fields.items():
             if not hasattr(self.model.faults, name):
-                return Response(f"no fault {name!r}\n", 400)
+                return Response(f"unknown fault {name!r}\n", 400)
             setattr(self.model.faults, name, value)
         if freeze:
             self.model.faults.frozen_until = asyncio.get_running_loop().time() + freeze
@@ -153,7 +153,7 @@
 async def run_engine(
     engine: EngineId, listen: Address, platform: Address, shape: EngineShape
 ) -> None:
-    """Runs the engine until SIGTERM; then it reports that it is leaving and ends when idle."""
+    """Runs the engine until SIGTERM; then it reports that it is leaving and exits once idle."""
     server = EngineServer(engine, platform, shape)
     listener = HttpServer(server.app(), listen)
     await listener.start()
--- a/src/larkpost/rehearsal/experiment/__init__.py
+++ b/src/larkpost/rehearsal/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments: a scenario on virtual time under several policies and seeds, and their report."""
+"""Experiments: run a scenario on virtual time under several policies and seeds, and report."""
--- a/src/larkpost/rehearsal/experiment/plot.py
+++ b/src/larkpost/rehearsal/experiment/plot.py
@@ -1,4 +1,4 @@
-"""Plots of an experiment; needs matplotlib (the extra ``plots``)."""
+"""Plots the results of an experiment; requires matplotlib (the extra ``plots``)."""
 
 import statistics
 from pathlib import Path
@@ -10,7 +10,7 @@
 
 
 def write_plot(title: str, columns: dict[str, list[RunResult]], path: Path) -> None:
-    """Writes one bar per column and panel, with the spread over the seeds.
+    """Writes a bar chart per panel: the median of each column, with the range over the seeds.
 
     Raises:
         InvalidRequestError: matplotlib is not installed.
--- a/src/larkpost/rehearsal/experiment/policies.py
+++ b/src/larkpost/rehearsal/experiment/policies.py
@@ -1,15 +1,15 @@
-"""The policies under comparison: larkpost, its parts switched off one by one, and baselines."""
+"""The policies to compare: larkpost, variants with single features disabled, and baselines."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """Settings that differ from the defaults.
+    """A named set of settings that override the defaults.
 
     Attributes:
         batches: settings of the section ``batches``.
-        client_reserve: replaces the intent's reserve of slots for clients, None to keep it.
+        client_reserve: overrides the slots that the intent reserves for clients; None keeps them.
     """
 
     name: str
--- a/src/larkpost/rehearsal/experiment/report.py
+++ b/src/larkpost/rehearsal/experiment/report.py
@@ -1,4 +1,4 @@
-"""Runs all policies and seeds of a scenario in parallel, and reports medians with their spread."""
+"""Runs all policies and seeds of a scenario in parallel; reports medians with their ranges."""
 
 import statistics
 from collections.abc import Iterator
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Job:
-    """One run; ``label`` is the column it is reported under."""
+    """One run; ``label`` is its column in the report."""
 
     label: str
     scenario: Scenario
@@ -42,15 +42,15 @@
 def run_experiment(
     scenario: Scenario, weights: list[float], output: Path | None, plot: Path | None
 ) -> dict[str, list[RunResult]]:
-    """Runs a scenario and prints its table.
+    """Runs a scenario and prints a table of results.
 
     Args:
-        weights: staleness weights to try with larkpost in place of comparing policies.
-        output: JSON report, or None.
-        plot: PNG file, or None; needs the extra ``plots``.
+        weights: staleness weights to compare under the policy larkpost, instead of the policies.
+        output: path of the JSON report, or None.
+        plot: path of the PNG plot, or None; requires the extra ``plots``.
 
     Returns:
-        The results of each column.
+        The results by column.
     """
     console = Console(width=140)
     jobs = list(_weight_jobs(scenario, weights) if weights else _policy_jobs(scenario))
@@ -66,7 +66,7 @@
 
 
 def _run_jobs(console: Console, title: str, jobs: list[_Job]) -> dict[str, list[RunResult]]:
-    """Runs all jobs in processes of their own; returns each column's results by seed."""
+    """Runs the jobs in worker processes; returns each column's results sorted by seed."""
     columns: dict[str, list[RunResult]] = {job.label: [] for job in jobs}
     with (
         ProcessPoolExecutor(MAX_PROCESSES, get_context("spawn")) as pool,
@@ -87,8 +87,8 @@
     unknown = set(scenario.policies) - set(POLICIES)
     if unknown:
         raise InvalidRequestError(
-            f"policies {sorted(unknown)} are not known",
-            remedy=f"Name some of {', '.join(POLICIES)}.",
+            f"unknown policies: {sorted(unknown)}",
+            remedy=f"Use policies of this list: {', '.join(POLICIES)}.",
         )
     for seed in scenario.seeds:
         for policy in scenario.policies:
--- a/src/larkpost/rehearsal/experiment/run.py
+++ b/src/larkpost/rehearsal/experiment/run.py
@@ -1,4 +1,4 @@
-"""Runs a scenario once: one policy, one seed, virtual time, the real daemon code."""
+"""Runs a scenario once, with one policy and one seed, on virtual time with the real daemon code."""
 
 import asyncio
 import random
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """The measures of one run. Latencies in milliseconds, shares as fractions."""
+    """The metrics of one run. Latencies in milliseconds, shares as fractions."""
 
     policy: str
     seed: int
@@ -50,7 +50,7 @@
 
 
 def run_once(scenario: Scenario, policy: Policy, seed: int) -> RunResult:
-    """Runs one policy under one seed."""
+    """Runs a scenario with one policy and one seed."""
     loop = async_solipsism.EventLoop()
     loop.set_exception_handler(lambda _loop, _context: None)
     asyncio.set_event_loop(loop)
@@ -84,7 +84,7 @@
         self._requests = 0
 
     async def run(self) -> RunResult:
-        """Runs load and faults, lets the trainer finish its batches, and measures."""
+        """Applies load and faults, waits for the trainer's open batches, and returns the metrics."""
         await self._world.start()
         trainer = self._make_trainer()
         work = [self._clients(service) for service in self._site.services]
@@ -111,7 +111,7 @@
             train_seconds=load.train_seconds,
             ahead=load.ahead,
         )
-        # The prompts and hints depend on the seed alone, so every policy gets the same work.
+        # Prompts and length hints depend only on the seed, so every policy gets the same work.
         return SimulatedTrainer(self._world, shape, self._site.zones[0], random.Random(self._seed))
 
     async def _clients(self, service: str) -> None:
@@ -131,7 +131,7 @@
         await asyncio.gather(*asking)
 
     async def _request(self, clients: SimulatedClients, rng: random.Random) -> None:
-        """Asks as a patient client does: at another daemon after each failure."""
+        """Sends a request with retries, each attempt to a random daemon."""
         self._requests += 1
         started = self._world.now
         for attempt in range(MAX_TRIES):
@@ -211,7 +211,7 @@
         return sum(node.daemon.telemetry.value(counter, kind) for node in nodes)
 
     def _idle_bound(self) -> float:
-        """Returns the idle time that no policy beats, from the lengths of the batches' samples."""
+        """Returns a lower bound of the idle time in seconds, from the lengths of the batches' samples."""
         load = self._scenario.trainer
         if load is None:
             return 0.0
@@ -223,7 +223,10 @@
 
 
 def _batch_bound(spec: BatchSpec, engines: int) -> float:
-    """Returns the larger of total work over capacity and the longest sample alone, in seconds."""
+    """Returns a lower bound of a batch's time in seconds.
+
+    It is the larger of total work over capacity, and the longest sample running alone.
+    """
     lengths = []
     for slot in range(spec.slot_count):
         prompt = spec.prompts[spec.prompt_index(slot)]
@@ -254,7 +257,7 @@
 
 
 def _interpolate(curve: tuple[float, ...], position: float) -> float:
-    """Interpolates the curve at a position between 0 and 1."""
+    """Interpolates the curve linearly at a position between 0 and 1."""
     if len(curve) == 1:
         return curve[0]
     scaled = min(max(position, 0.0), 1.0) * (len(curve) - 1)
@@ -264,16 +267,16 @@
 
 
 def with_staleness_weight(scenario: Scenario, weight: float) -> Scenario:
-    """Returns the scenario under another weight between idle time and staleness."""
+    """Returns the scenario with another weight between idle time and staleness."""
     trainer = scenario.trainer.model_copy(update={"staleness_weight": weight})
     return scenario.model_copy(update={"trainer": trainer})
 
 
 def without_trainer(scenario: Scenario) -> Scenario:
-    """Returns the scenario with clients only."""
+    """Returns the scenario without its trainer."""
     return scenario.model_copy(update={"trainer": None})
 
 
 def with_policy_name(result: RunResult, policy: str) -> RunResult:
-    """Returns the result under another policy name."""
+    """Returns the result with another policy name."""
     return replace(result, policy=policy)
--- a/src/larkpost/rehearsal/experiment/scenario.py
+++ b/src/larkpost/rehearsal/experiment/scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: a site, its load over a day's curve, and faults over time."""
+"""Scenario files: a site, its load over time, and scheduled faults."""
 
 import tomllib
 from enum import StrEnum
@@ -19,7 +19,7 @@
 
 
 class FaultKind(StrEnum):
-    """What can happen in a scenario."""
+    """The fault and recovery events of a scenario."""
 
     KILL_ENGINE = "kill_engine"
     SLOW_ENGINE = "slow_engine"
@@ -33,7 +33,7 @@
 
 
 class Fault(_Section):
-    """Something that happens at a time."""
+    """A fault or recovery event at a given time."""
 
     at: float = Field(ge=0, description="Virtual seconds after the start of the load.")
     kind: FaultKind
@@ -43,7 +43,7 @@
 
 
 class TrainerLoad(_Section):
-    """The site's trainer."""
+    """Load of the site's trainer."""
 
     prompts: int = 16
     samples_per_prompt: int = 4
@@ -57,7 +57,7 @@
 
 
 class ClientLoad(_Section):
-    """The site's clients; the rate follows the curve, as shares of the peak at even times."""
+    """Load of the site's clients; the curve gives shares of the peak rate at even intervals."""
 
     peak_rate: float = Field(default=10.0, ge=0, description="Requests a second, each service.")
     curve: tuple[float, ...] = (1.0,)
@@ -87,16 +87,14 @@
             if site.name == self.site:
                 return site
         names = ", ".join(site.name for site in SITES)
-        raise InvalidRequestError(
-            f"site {self.site!r} is not known", remedy=f"Name one of {names}."
-        )
+        raise InvalidRequestError(f"unknown site {self.site!r}", remedy=f"Use one of {names}.")
 
 
 def load_scenario(name: str) -> Scenario:
     """Reads a scenario from a file, or a bundled one by its name.
 
     Raises:
-        InvalidRequestError: it cannot be read, or a field is wrong.
+        InvalidRequestError: it does not exist, is not TOML, or a field is invalid.
     """
     path = Path(name)
     if not path.exists():
@@ -104,17 +102,23 @@
     if not path.exists():
         names = ", ".join(sorted(p.stem for p in BUNDLED_SCENARIOS.glob("*.toml")))
         raise InvalidRequestError(
-            f"there is no scenario {name!r}", remedy=f"Name a TOML file, or one of {names}."
+            f"scenario {name!r} does not exist", remedy=f"Use a TOML file, or one of {names}."
         )
     return parse_scenario(path.read_text(encoding="utf-8"))
 
 
 def parse_scenario(text: str) -> Scenario:
-    """Reads a scenario from TOML text."""
+    """Parses a scenario from TOML text.
+
+    Raises:
+        InvalidRequestError: the text is not TOML, or a field is invalid.
+    """
     try:
         values: dict[str, Any] = tomllib.loads(text)
         return Scenario.model_validate(values)
     except ValidationError as error:
         raise InvalidRequestError(describe_validation(error)) from None
     except tomllib.TOMLDecodeError as error:
-        raise InvalidRequestError(f"not TOML: {error}", remedy="Correct the file.") from None
+        raise InvalidRequestError(
+            f"the scenario is not valid TOML: {error}", remedy="Correct the file."
+        ) from None
--- a/src/larkpost/rehearsal/platform_model.py
+++ b/src/larkpost/rehearsal/platform_model.py
@@ -1,4 +1,4 @@
-"""A stand-in platform: table service, object store, weight store and machine list, with faults."""
+"""A stand-in platform: table service, object store, weight store, machine list, and faults."""
 
 import asyncio
 from dataclasses import dataclass, field, replace
@@ -8,19 +8,19 @@
 
 
 class PlatformDownError(Exception):
-    """The platform does not answer."""
+    """The platform is down."""
 
 
 class AnswerLostError(Exception):
-    """The operation took effect and its answer is lost."""
+    """The operation took effect, but its response was lost."""
 
 
 class RateLimitedError(Exception):
-    """The service's rate limit is exceeded; nothing was done."""
+    """The service's rate limit is exceeded; the operation had no effect."""
 
 
 class RateLimit:
-    """Allows ``rate`` operations a second, and a burst of one second."""
+    """Token bucket of ``rate`` operations per second, with a burst of one second."""
 
     def __init__(self, rate: float) -> None:
         self._rate = rate
@@ -28,10 +28,10 @@
         self._at: float | None = None
 
     def take(self, now: float) -> None:
-        """Uses one operation.
+        """Takes one operation from the bucket.
 
         Raises:
-            RateLimitedError: there is none left.
+            RateLimitedError: the bucket is empty.
         """
         if self._at is not None:
             self._tokens = min(self._rate, self._tokens + (now - self._at) * self._rate)
@@ -43,17 +43,17 @@
 
 @dataclass(slots=True)
 class PlatformFaults:
-    """Fault switches; all are off at first."""
+    """Fault switches, all off by default."""
 
     down: bool = False
     slow_seconds: float = 0.0
     lost_answers: int = 0
-    """So many writes take effect without an answer."""
+    """Number of writes that still take effect without a response."""
 
 
 @dataclass(slots=True)
 class PlatformLimits:
-    """Operations a second."""
+    """Rate limits in operations per second."""
 
     table: float = 200.0
     objects: float = 100.0
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True)
 class PlatformModel:
-    """State of the platform. Time is the running loop's."""
+    """State of the platform. Times are those of the running event loop."""
 
     limits: PlatformLimits = field(default_factory=PlatformLimits)
     machine_lag: float = 1.0
@@ -108,16 +108,16 @@
         return self.objects.get(key)
 
     async def fetch_weights(self, policy: PolicyId, version: int) -> bool:
-        """Hands out weights, if that version was published."""
+        """Returns whether that weight version was published."""
         await self._enter("weights")
         return version <= self.newest_versions.get(policy, 0)
 
     def publish_weights(self, policy: PolicyId, version: int) -> None:
-        """Stores new weights of a trainer."""
+        """Publishes a weight version of a policy."""
         self.newest_versions[policy] = max(self.newest_versions.get(policy, 0), version)
 
     async def machines(self, zone: ZoneId | None = None) -> list[MachineEntry]:
-        """Lists the machines of a zone, or of all, as they were ``machine_lag`` ago."""
+        """Lists the machines of a zone, or of all zones, as visible after their lag."""
         await self._enter("machines")
         now = _now()
         visible = []
@@ -127,7 +127,11 @@
         return [entry for entry in visible if zone is None or entry.zone == zone]
 
     def list_machine(self, entry: MachineEntry, lag: float | None = None) -> None:
-        """Adds or changes a machine; it becomes visible after the lag."""
+        """Adds or updates a machine; the change becomes visible after ``lag`` seconds.
+
+        Args:
+            lag: None stands for ``machine_lag``.
+        """
         history = self._machines.setdefault(entry.engine, [])
         entry = replace(entry, revision=len(history) + 1)
         lag = self.machine_lag if lag is None else lag
--- a/src/larkpost/rehearsal/simulation/__init__.py
+++ b/src/larkpost/rehearsal/simulation/__init__.py
@@ -1,5 +1,5 @@
-"""A whole fleet in one process on virtual time, around the real daemon code.
+"""Simulates a whole fleet in one process on virtual time, with the real daemon code.
 
-Only the ports are simulated: network, engines' transport, platform's transport and clock. Hosts can
-be killed, frozen and cut off at any await.
+Only the ports are simulated: network, engine transport, platform transport and clock. Hosts can be
+killed, frozen or disconnected at any await.
 """
--- a/src/larkpost/rehearsal/simulation/callers.py
+++ b/src/larkpost/rehearsal/simulation/callers.py
@@ -1,4 +1,4 @@
-"""Simulated trainers and clients of a fleet, with their own records."""
+"""Simulated trainers and clients of a fleet, which record what they observe."""
 
 import asyncio
 import random
@@ -23,13 +23,13 @@
 
 
 class SimulatedBatchEndpoint:
-    """Batch calls from a zone to daemons."""
+    """Batch API calls from a zone to daemons."""
 
     def __init__(self, world: World, zone: ZoneId) -> None:
         self._world = world
         self._caller = world.callers[zone]
         self.duplicate_next_pull = False
-        """Send the next pull to a second daemon as well and take the first answer."""
+        """Send the next pull to a second daemon as well and use the first response."""
 
     async def open(self, daemon: Address, spec: BatchSpec, held: tuple[int, ...]) -> None:
         await self._call(daemon, lambda d: d.batches.open(spec, held), CALL_TIMEOUT)
@@ -44,7 +44,7 @@
         await self._call(daemon, lambda d: d.batches.close(batch), CALL_TIMEOUT)
 
     async def announce(self, daemon: Address, policy, version: int) -> None:
-        """Tells a daemon of a new version."""
+        """Announces a new weight version to a daemon."""
 
         async def handle(target) -> None:
             target.directory.announce_version(policy, version)
@@ -84,7 +84,7 @@
 
 
 class SimulatedTrainer:
-    """Runs steps without end; ``stop`` lets the batches under way finish."""
+    """Runs training steps until `stop` is called; open batches are then completed."""
 
     def __init__(self, world: World, shape: TrainerShape, zone: ZoneId, rng: random.Random) -> None:
         self.world = world
@@ -98,11 +98,11 @@
         self._serial = 0
 
     def stop(self) -> None:
-        """Opens no more batches."""
+        """Stops opening new batches."""
         self._stopping = True
 
     async def run(self) -> None:
-        """Runs until stopped and the open batches are whole."""
+        """Runs until stopped and all open batches are complete."""
         await self._publish()
         opened: list[BatchSession] = []
         while opened or not self._stopping:
@@ -155,11 +155,11 @@
         try:
             await self.endpoint.announce(self._rng.choice(daemons), self.shape.policy, self.version)
         except LarkpostError:
-            return  # the next pull tells the version as well
+            return  # the next pull announces the version as well
 
 
 class SimulatedClients:
-    """Asks questions of a service."""
+    """Sends requests to a service."""
 
     def __init__(self, world: World, service: str, max_tokens: int = 24) -> None:
         self._world = world
@@ -176,7 +176,7 @@
         key: str | None = None,
         deadline: float | None = None,
     ) -> ClientCall:
-        """Makes one try at a daemon and records how it ended."""
+        """Sends one request to a daemon and records its outcome."""
         self._count += 1
         request = f"{self._service}-{self._count}"
         prompt = f"question {self._count}"
@@ -220,7 +220,7 @@
 
 
 def _inference_call(call: ClientCall, deadline: float | None) -> InferenceCall:
-    """Returns a client's try as a daemon takes it."""
+    """Converts a client call to the daemon's request type."""
     return InferenceCall(
         RequestId(call.request),
         call.service,
--- a/src/larkpost/rehearsal/simulation/fabric.py
+++ b/src/larkpost/rehearsal/simulation/fabric.py
@@ -1,6 +1,6 @@
-"""What the hosts of a simulated fleet can reach: the network, the platform, and one another.
+"""The network of a simulated fleet, with the platform, daemons and engines by address.
 
-Owns who listens at each address. A `World` writes it; the ports of daemons and callers read it.
+A `World` updates it; the ports of daemons and callers read it.
 """
 
 import asyncio
@@ -21,13 +21,13 @@
 WEIGHT_FETCH_ATTEMPTS = 10
 WEIGHT_FETCH_RETRY_SECONDS = 0.3
 WEIGHT_FETCH_TIMEOUT_SECONDS = 5.0
-"""An engine asks so often for weights, and so long each time. Far above the time until the
-platform's rate limit lets a fetch through."""
+"""Retries of an engine's weight fetch, far longer in total than the platform's rate limit delays
+it."""
 
 
 @dataclass(slots=True)
 class DaemonNode:
-    """A running daemon on its host."""
+    """A running daemon and its host."""
 
     host: Host
     daemon: Daemon
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class EngineNode:
-    """A running engine on its host."""
+    """A running engine and its host."""
 
     host: Host
     model: EngineModel
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class Fabric:
-    """The network with the platform and all that listens on it."""
+    """The network, the platform, and the daemons and engines that listen on it."""
 
     network: Network
     platform: PlatformModel = field(default_factory=PlatformModel)
@@ -61,7 +61,7 @@
         return self.engines.get(address)
 
     async def fetch_weights(self, host: Host, policy: PolicyId, version: int) -> bool:
-        """Fetches weights for an engine; False if the platform does not hand them out."""
+        """Fetches weights for an engine; returns False if the platform does not provide them."""
         for _ in range(WEIGHT_FETCH_ATTEMPTS):
             try:
                 return await self.network.call(
--- a/src/larkpost/rehearsal/simulation/faults.py
+++ b/src/larkpost/rehearsal/simulation/faults.py
@@ -1,4 +1,4 @@
-"""Keeps track of which faults last, so that the oracle knows when the last one ended."""
+"""Tracks active faults, so that the oracle knows when the last one ended."""
 
 import asyncio
 
@@ -6,18 +6,18 @@
 
 
 class FaultLog:
-    """Cuts, outages and freezes that last."""
+    """The active partitions, outages and freezes."""
 
     def __init__(self, records: Records) -> None:
         self._records = records
         self._active: set[str] = set()
 
     def begin(self, name: str) -> None:
-        """Records a fault that lasts until `end_all`."""
+        """Records a fault that stays active until `end_all`."""
         self.set(name, True)
 
     def set(self, name: str, active: bool) -> None:
-        """Records that a fault begins or ends."""
+        """Records the start or the end of a fault."""
         if active:
             self._active.add(name)
         else:
@@ -26,6 +26,6 @@
         self._records.last_fault_at = float("inf") if self._active else now
 
     def end_all(self) -> None:
-        """Records that every fault has ended."""
+        """Records the end of all faults."""
         self._active.clear()
         self._records.last_fault_at = asyncio.get_running_loop().time()
--- a/src/larkpost/rehearsal/simulation/network.py
+++ b/src/larkpost/rehearsal/simulation/network.py
@@ -1,4 +1,4 @@
-"""A simulated network: delay, loss, repetition, cuts in one direction, dead and frozen hosts."""
+"""A simulated network with delay, loss, duplication, one-way partitions, dead and frozen hosts."""
 
 import asyncio
 import random
@@ -15,16 +15,16 @@
 
 
 class HostUnreachableError(Exception):
-    """The connection was refused, reset, or nothing came within the time limit."""
+    """The connection was refused or reset, or timed out."""
 
     def __init__(self, message: str, delivered: bool) -> None:
         super().__init__(message)
         self.delivered = delivered
-        """Whether the request may have reached the other host."""
+        """Whether the request may have reached the target host."""
 
 
 class Host:
-    """A machine of the simulation."""
+    """A simulated machine."""
 
     def __init__(self, address: Address, zone: ZoneId) -> None:
         self.address = address
@@ -32,29 +32,29 @@
         self.alive = True
         self.frozen_until = 0.0
         self.refusing = False
-        """The listener is closed: new connections are refused, answers under way go on."""
+        """The listener is closed: new connections are refused, responses in progress continue."""
         self.calls = 0
-        """Streams and counted calls being answered here."""
+        """Streams and caller requests in progress on this host."""
         self.in_transit = 0
-        """Parts of answers on their way to the callers, as in a kernel's send buffers."""
+        """Response parts in transit to the callers, as in a kernel's send buffers."""
         self._tasks: dict[asyncio.Task, None] = {}
 
     async def wait_until_running(self) -> None:
-        """Passes only while the host runs: waits while frozen, ends the task once dead."""
+        """Waits while the host is frozen; cancels the task if the host is dead."""
         while self.alive and (wait := self.frozen_until - _now()) > 0:
             await asyncio.sleep(max(wait, MIN_WAIT_SECONDS))
         if not self.alive:
             raise asyncio.CancelledError
 
     def spawn(self, work: Awaitable[Any]) -> asyncio.Task:
-        """Runs work on this host; it ends when the host dies."""
+        """Runs a task on this host; it is cancelled when the host is killed."""
         task = asyncio.ensure_future(work)
         self._tasks[task] = None
         task.add_done_callback(lambda done: self._tasks.pop(done, None))
         return task
 
     def kill(self) -> None:
-        """Ends the host at once."""
+        """Kills the host and cancels its tasks."""
         self.alive = False
         for task in list(self._tasks):
             task.cancel()
@@ -62,17 +62,17 @@
 
 @dataclass(slots=True)
 class NetworkConditions:
-    """What the network does to messages. Times in seconds."""
+    """Faults that the network applies to messages. Times in seconds."""
 
     delay: float = 0.0005
     jitter: float = 0.0005
     datagram_loss: float = 0.0
     datagram_repeat: float = 0.0
     late_share: float = 0.0
-    """Share of messages that are late by up to ``late_seconds``, which reorders them."""
+    """Share of messages delayed by up to ``late_seconds``, which reorders them."""
     late_seconds: float = 1.0
     zone_cuts: set[tuple[ZoneId, ZoneId]] = field(default_factory=set)
-    """Ordered pairs: nothing passes from the first zone to the second."""
+    """Ordered pairs: no message gets from the first zone to the second."""
     link_cuts: set[tuple[Address, Address]] = field(default_factory=set)
 
 
@@ -84,7 +84,7 @@
         self._rng = rng
 
     def send_datagram(self, source: Host, target: Host, deliver: Callable[[], None]) -> None:
-        """Sends a message that may be lost, repeated or late."""
+        """Sends a message that may be lost, duplicated or delayed."""
         if not source.alive:
             return
         conditions = self.conditions
@@ -104,10 +104,11 @@
         """Runs ``handler`` on the target and returns its result to the source.
 
         Args:
-            counted: it is a caller's request, which a planned stop may not cut.
+            is_caller_request: whether a planned stop must wait for the call.
 
         Raises:
-            HostUnreachableError: there was no answer within ``timeout`` seconds.
+            HostUnreachableError: the connection failed, or there was no response within
+                ``timeout`` seconds.
         """
         progress = _CallProgress(is_caller_request)
         work = asyncio.ensure_future(self._call(source, target, handler, progress))
@@ -119,7 +120,7 @@
         await source.wait_until_running()
         if not done:
             work.cancel()
-            raise HostUnreachableError("no answer in time", progress.delivered)
+            raise HostUnreachableError(f"no response within {timeout:g} s", progress.delivered)
         return work.result()
 
     async def stream(
@@ -133,7 +134,8 @@
         """Runs a generator on the target and yields its items at the source.
 
         Raises:
-            HostUnreachableError: the connection failed, or no item came for ``item_timeout``.
+            HostUnreachableError: the connection failed, or there was no item within
+                ``item_timeout`` seconds.
         """
         await self._connect(source, target, item_timeout)
         if not may_send():
@@ -154,7 +156,7 @@
             producer.cancel()
 
     def is_reachable(self, source: Host, target: Host) -> bool:
-        """Whether messages get from one host to the other now."""
+        """Whether messages currently get from one host to the other."""
         conditions = self.conditions
         if (source.zone, target.zone) in conditions.zone_cuts:
             return False
@@ -200,7 +202,7 @@
             target.calls -= is_caller_request
 
     async def _connect(self, source: Host, target: Host, timeout: float) -> None:
-        """Waits for the way there; a cut swallows the message, a dead host refuses it."""
+        """Connects to the target; a partition drops the attempt, a dead host refuses it."""
         await source.wait_until_running()
         await asyncio.sleep(self._delay())
         if not self.is_reachable(source, target) or not self.is_reachable(target, source):
@@ -208,7 +210,7 @@
                 await asyncio.Event().wait()
             await asyncio.sleep(timeout)
             await source.wait_until_running()
-            raise HostUnreachableError("no connection in time", delivered=False)
+            raise HostUnreachableError(f"no connection within {timeout:g} s", delivered=False)
         if not target.alive or target.refusing:
             raise HostUnreachableError("connection refused", delivered=False)
         await source.wait_until_running()
@@ -253,7 +255,7 @@
         try:
             return await asyncio.wait_for(items.get(), timeout)
         except TimeoutError:
-            raise HostUnreachableError("no data in time", delivered=True) from None
+            raise HostUnreachableError(f"no data within {timeout:g} s", delivered=True) from None
 
     def _delay(self) -> float:
         conditions = self.conditions
--- a/src/larkpost/rehearsal/simulation/operators.py
+++ b/src/larkpost/rehearsal/simulation/operators.py
@@ -1,4 +1,4 @@
-"""Simulated operators: they plan, confirm and drain, and record the responses."""
+"""Simulated operators, which plan, confirm and drain, and record the responses."""
 
 import asyncio
 import itertools
@@ -23,13 +23,13 @@
 
 
 class SimulatedOperators:
-    """Everything operators do in a simulated fleet.
+    """Operator calls in a simulated fleet.
 
     Args:
-        daemons: the daemons that run, as they come and go.
-        callers: the host per zone from which an operator calls.
+        daemons: the running daemons; a live view.
+        callers: per zone, the host from which an operator calls.
         network: carries the calls.
-        records: takes what the daemons responded.
+        records: receives the responses of the daemons.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         return make_plan(state.intent, state.epoch, intent, board.engines.entries(), nonce)
 
     async def confirm(self, daemon: DaemonId, plan: Plan) -> ConfirmedPlan | None:
-        """Confirms a plan at a daemon; None if the answer was not a yes."""
+        """Confirms a plan at a daemon; returns None if that failed."""
         node = self._daemons[daemon]
         try:
             answer = await self._call(node, lambda: node.daemon.configuration.confirm(plan))
--- a/src/larkpost/rehearsal/simulation/oracle.py
+++ b/src/larkpost/rehearsal/simulation/oracle.py
@@ -1,7 +1,7 @@
-"""The oracle: checks what trainers, clients, engines and operators saw against the nine points.
+"""Checks the records of trainers, clients, engines and operators against nine invariants.
 
-It knows nothing of how larkpost works; it reads `Records` only, and for the configuration the
-table service's row and the epochs that daemons show in their status.
+The checks are independent of larkpost's implementation: they read `Records` only, and for the
+configuration the table service's row and the epochs in the daemons' status.
 """
 
 from collections import defaultdict
@@ -17,11 +17,11 @@
     LeavingSource.OPERATOR: 5.0,
     LeavingSource.LIST: 8.0,
 }
-"""Seconds after which a leaving engine gets no new work, by who said that it leaves."""
+"""Seconds after which a leaving engine receives no new work, by the source of the announcement."""
 
 
 class Oracle:
-    """Checks one simulated fleet. Each method returns what is wrong, in words."""
+    """Checks one simulated fleet. Each method returns descriptions of the violations."""
 
     def __init__(self, world: World) -> None:
         self._world = world
@@ -33,7 +33,7 @@
         return self._world.records
 
     def check(self) -> list[str]:
-        """Checks all points that hold at any moment."""
+        """Checks the invariants that hold at any time."""
         checks = (
             self.check_versions,
             self.check_staleness,
@@ -48,7 +48,7 @@
         return [f"{check.__name__}: {text}" for check in checks for text in check()]
 
     def check_versions(self) -> list[str]:
-        """Point 1: every span is what an engine's record says."""
+        """Point 1: every version span matches an engine's record."""
         by_request = self._work_by_request()
         wrong = []
         for delivery in self._records.deliveries:
@@ -73,7 +73,7 @@
         return wrong
 
     def check_staleness(self) -> list[str]:
-        """Point 2: no sample was older than its bound when it was received."""
+        """Point 2: no sample exceeded its staleness bound when it was received."""
         return [
             f"{d.spec.id}/{d.sample.slot}: version {d.sample.oldest_version} at {d.trainer_version}"
             for d in self._records.deliveries
@@ -81,7 +81,7 @@
         ]
 
     def check_once(self) -> list[str]:
-        """Point 3: no slot was received twice, and a whole batch has every slot."""
+        """Point 3: no slot was received twice, and a complete batch has every slot."""
         seen: dict[str, set[int]] = defaultdict(set)
         wrong = []
         for delivery in self._records.deliveries:
@@ -95,7 +95,7 @@
         return wrong
 
     def check_answers(self) -> list[str]:
-        """Point 4: every answer taken as whole is that of its own request."""
+        """Point 4: every complete answer belongs to its own request."""
         wrong = []
         for call in self._records.calls:
             if call.outcome != CallOutcome.ANSWER:
@@ -108,9 +108,9 @@
         return wrong
 
     def check_not_run(self) -> list[str]:
-        """Point 5: a request reported as not run is in no engine's record.
+        """Point 5: a request reported as not executed is in no engine's record.
 
-        The same request asked earlier under its key counts too; asked again later, it may run.
+        Earlier attempts under the same key count too; a later attempt may be executed.
         """
         by_request = self._work_by_request()
         ran = [c for c in self._records.calls if by_request[c.request]]
@@ -123,7 +123,7 @@
         ]
 
     def check_run_once(self) -> list[str]:
-        """Point 6: a request that must not be repeated is in the records at most once."""
+        """Point 6: a run-once request was executed at most once."""
         by_request = self._work_by_request()
         runs: dict[str, int] = defaultdict(int)
         for call in self._records.calls:
@@ -132,7 +132,7 @@
         return [f"{name} ran {count} times" for name, count in runs.items() if count > 1]
 
     def check_leaving(self) -> list[str]:
-        """Point 7: a leaving engine got no new work after the stated time."""
+        """Point 7: a leaving engine received no new work after its time limit."""
         wrong = []
         for mark in self._records.leaving:
             start = mark.at
@@ -147,11 +147,11 @@
         return wrong
 
     def check_stops(self) -> list[str]:
-        """Point 8: no planned stop cut a request."""
+        """Point 8: no planned stop interrupted a request."""
         return list(self._records.requests_cut_by_stop)
 
     def check_configuration(self) -> list[str]:
-        """Point 9: one plan an epoch, no daemon goes back, new ones start where they must."""
+        """Point 9: one plan per epoch, and no daemon goes back or acts behind its zone's epoch."""
         wrong = self._check_epochs_unique()
         for confirmed in self._records.confirmed:
             for zone in confirmed.zones_in_force:
@@ -185,7 +185,7 @@
         return wrong + [f"{p} has epochs {sorted(e)}" for p, e in epochs.items() if len(e) > 1]
 
     def _applied_plans(self) -> list[str]:
-        """Returns the plans that the table service's row says were applied."""
+        """Returns the applied plans according to the table service's row."""
         row = self._world.platform.rows.get(CONFIGURATION_KEY)
         if row is None:
             return []
--- a/src/larkpost/rehearsal/simulation/ports.py
+++ b/src/larkpost/rehearsal/simulation/ports.py
@@ -1,4 +1,4 @@
-"""A daemon's ports on the simulated network."""
+"""The ports of a daemon, implemented on the simulated network."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -38,7 +38,7 @@
 
 
 class SimulatedClock:
-    """The loop's virtual time, as a host sees it: a frozen host wakes late."""
+    """The loop's virtual time; a frozen host's sleep ends only once it resumes."""
 
     def __init__(self, host: Host) -> None:
         self._host = host
@@ -55,7 +55,7 @@
 
 
 class SimulatedTransport:
-    """Messages to other daemons."""
+    """Datagrams and requests to other daemons."""
 
     def __init__(self, fabric: Fabric, host: Host) -> None:
         self._fabric = fabric
--- a/src/larkpost/rehearsal/simulation/records.py
+++ b/src/larkpost/rehearsal/simulation/records.py
@@ -1,4 +1,4 @@
-"""What trainers, clients, engines and operators saw; the oracle reads only this."""
+"""Events observed by trainers, clients, engines and operators; the input of the oracle."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -10,7 +10,7 @@
 
 
 class CallOutcome(StrEnum):
-    """How one try of a client ended, as it saw it."""
+    """How one attempt of a client ended, as the client observed it."""
 
     NOTHING = "nothing"
     ANSWER = "answer"
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class ClientCall:
-    """One try of a client's request."""
+    """One attempt of a client's request."""
 
     request: str
     service: str
@@ -49,14 +49,14 @@
 
 @dataclass(slots=True)
 class EngineWork:
-    """One attempt at an engine, with the engine that ran it."""
+    """One attempt, with the engine that executed it."""
 
     engine: EngineId
     record: EngineRecord
 
 
 class LeavingSource(StrEnum):
-    """Who said that an engine leaves."""
+    """Who announced that an engine is leaving."""
 
     LIST = "machine list"
     ENGINE = "engine"
@@ -65,18 +65,18 @@
 
 @dataclass(slots=True)
 class LeavingNotice:
-    """The time in which an engine was known as leaving to some source."""
+    """The period in which one source announced an engine as leaving."""
 
     engine: EngineId
     source: LeavingSource
     at: float
     until: float = float("inf")
-    """When the process that said it leaves ended; another one may run under the name after it."""
+    """When the leaving process ended; a new one may then run under the same name."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConfirmedPlan:
-    """A confirmation that was answered yes."""
+    """A plan whose confirmation succeeded."""
 
     plan_id: PlanId
     epoch: int
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True)
 class Records:
-    """Everything seen from outside."""
+    """Everything observed from outside the daemons."""
 
     calls: list[ClientCall] = field(default_factory=list)
     deliveries: list[Delivery] = field(default_factory=list)
@@ -94,11 +94,11 @@
     leaving: list[LeavingNotice] = field(default_factory=list)
     confirmed: list[ConfirmedPlan] = field(default_factory=list)
     refused_plans: set[PlanId] = field(default_factory=set)
-    """Plans that a daemon refused as outdated, so never in force."""
+    """Plans that a daemon refused as outdated; they must never be applied."""
     requests_cut_by_stop: list[str] = field(default_factory=list)
     batches_opened: list[BatchSpec] = field(default_factory=list)
     completed_batches: list[str] = field(default_factory=list)
     idle_seconds: dict[str, float] = field(default_factory=dict)
     train_seconds: dict[str, float] = field(default_factory=dict)
     last_fault_at: float = 0.0
-    """When the last cut, outage or freeze ended; infinity while one lasts."""
+    """When the last partition, outage or freeze ended; infinity while one is active."""
--- a/src/larkpost/rehearsal/simulation/world.py
+++ b/src/larkpost/rehearsal/simulation/world.py
@@ -1,6 +1,6 @@
 """A simulated fleet: platform, engines and daemons, and the faults of an experiment.
 
-Owns which daemons and engines run. Tests add planned stops, freezes and more faults to it.
+Tests extend it with planned stops, freezes and more faults.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 
 READY_SECONDS = 60.0
 READY_POLL_SECONDS = 0.1
-"""How long a fleet may take until it is ready, and how often it is looked at."""
+"""Timeout until a fleet is ready, and the interval of the check."""
 SIMULATED_ENGINE = EngineShape(
     slots=6,
     queue_limit=12,
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorldShape:
-    """What a simulated fleet consists of."""
+    """Size and settings of a simulated fleet."""
 
     zones: tuple[ZoneId, ...]
     daemons_per_zone: tuple[int, ...]
@@ -51,11 +51,11 @@
     intent: Intent
     engine: EngineShape = SIMULATED_ENGINE
     settings: dict = field(default_factory=dict)
-    """Sections of the daemons' settings that differ from the defaults."""
+    """Sections of the daemon settings that override the defaults."""
 
 
 class World:
-    """The fleet and its faults. Build it inside a running loop's thread, then await ``start``."""
+    """The fleet and its faults. Create it in the event loop's thread, then await ``start``."""
 
     def __init__(self, shape: WorldShape, rng: random.Random) -> None:
         self.shape = shape
@@ -67,14 +67,14 @@
         self.records = Records()
         self.daemons: dict[DaemonId, DaemonNode] = {}
         self.stopped_daemons: list[DaemonNode] = []
-        """Daemons that were killed or have stopped, for their counters."""
+        """Daemons that were killed or have stopped, kept for their counters."""
         self.engines: dict[EngineId, EngineNode] = {}
         self.daemon_zones: dict[DaemonId, ZoneId] = self._name_daemons()
         self.callers = {zone: Host(Address(f"callers-{zone}:1"), zone) for zone in shape.zones}
         self.faults = FaultLog(self.records)
 
     async def start(self) -> None:
-        """Starts everything and confirms the intent."""
+        """Starts all engines and daemons and confirms the intent."""
         for machine in self.shape.machines:
             self.start_engine(machine)
             entry = MachineEntry(
@@ -95,25 +95,25 @@
         await self._wait_until(self._all_loads_known)
 
     def make_operators(self) -> SimulatedOperators:
-        """Returns operators of this fleet."""
+        """Returns the simulated operators of this fleet."""
         return SimulatedOperators(self.daemons, self.callers, self.network, self.records)
 
-    # Reading
+    # State
 
     def is_ready(self, name: DaemonId) -> bool:
-        """Whether the daemon runs and serves."""
+        """Whether the daemon is running and ready."""
         node = self.daemons.get(name)
         return node is not None and node.daemon.board.phase == "ready"
 
     @property
     def now(self) -> float:
-        """Virtual seconds."""
+        """The current virtual time in seconds."""
         return asyncio.get_running_loop().time()
 
     # Daemons
 
     def start_daemon(self, name: DaemonId) -> None:
-        """Starts a daemon with an empty memory."""
+        """Starts a daemon without any state."""
         zone = self.daemon_zones[name]
         host = Host(_daemon_address(name), zone)
         settings = Settings(
@@ -139,14 +139,14 @@
         daemon.start()
 
     def kill_daemon(self, name: DaemonId) -> None:
-        """Ends a daemon at once."""
+        """Kills a daemon immediately."""
         node = self.daemons.pop(name)
         self._remove_daemon(node)
 
     # Engines
 
     def start_engine(self, machine: Machine) -> None:
-        """Starts an engine with no weights and no token."""
+        """Starts an engine with no weights and no fencing token."""
         host = Host(_engine_address(machine.engine), machine.zone)
 
         async def fetch_weights(policy: PolicyId, version: int) -> bool:
@@ -162,11 +162,11 @@
         model.start()
 
     def restart_engine(self, engine: EngineId) -> None:
-        """Starts an engine again after it was killed."""
+        """Restarts an engine that was killed."""
         self.start_engine(self._machine(engine))
 
     def kill_engine(self, engine: EngineId) -> None:
-        """Crashes an engine."""
+        """Kills an engine immediately."""
         node = self.engines.pop(engine)
         node.model.stop()
         node.host.kill()
@@ -175,7 +175,7 @@
     # Network and platform
 
     def cut_zones(self, first: ZoneId, second: ZoneId, one_way: bool = False) -> None:
-        """Cuts a pair of zones, in one direction or both."""
+        """Partitions a pair of zones, in one direction or both."""
         cuts = self.network.conditions.zone_cuts
         cuts.add((first, second))
         if not one_way:
@@ -191,12 +191,12 @@
                 self.kill_engine(machine.engine)
 
     def set_platform_down(self, down: bool) -> None:
-        """Takes the platform down or up."""
+        """Takes the platform down or brings it up again."""
         self.platform.faults.down = down
         self.faults.set("platform", down)
 
     def heal(self) -> None:
-        """Ends every fault of network and platform, and thaws all hosts."""
+        """Ends every fault of the network and the platform."""
         conditions = self.network.conditions
         conditions.zone_cuts.clear()
         conditions.link_cuts.clear()
@@ -209,7 +209,7 @@
         self.faults.end_all()
 
     def restart_all(self) -> None:
-        """Starts every daemon and engine that is not running."""
+        """Starts all daemons and engines that are not running."""
         for name in self.daemon_zones:
             if name not in self.daemons:
                 self.start_daemon(name)
@@ -246,7 +246,7 @@
         deadline = self.now + READY_SECONDS
         while not condition():
             if self.now > deadline:
-                raise TimeoutError("the simulated fleet did not become ready")
+                raise TimeoutError(f"the simulated fleet was not ready within {READY_SECONDS:g} s")
             await asyncio.sleep(READY_POLL_SECONDS)
 
 
--- a/src/serve.py
+++ b/src/serve.py
@@ -2,11 +2,11 @@
 
 import os
 
-# The platform speaks plain HTTP. Without this the HTTP client reads all certificate authorities of
-# the machine when it is imported: a third of the processor time of a start, and 2 MB.
+# The platform uses plain HTTP. Without this, importing the HTTP client loads all certificate
+# authorities of the machine, which slows the start and takes 2 MB of memory.
 os.environ.setdefault("SSL_CERT_FILE", os.devnull)
 
-from larkpost.platform.process import run  # noqa: E402 (the line above must come first)
+from larkpost.platform.process import run  # noqa: E402 (the environment variable must be set first)
 
 if __name__ == "__main__":
     run()
