--- a/src/larkpost/rehearsal/bench.py
+++ b/src/larkpost/rehearsal/bench.py
@@ -1,7 +1,7 @@
-"""The relay measurement: larkpost beside a bare relay of the same libraries, in the same run.
+"""Benchmark of larkpost against a relay without logic that uses the same libraries.
 
-Three figures each: latency of one caller, requests per second of processor time with many callers,
-and stream chunks per second of processor time. Processor time is the relay's own.
+Measures the latency of one caller, and with many callers the requests and the stream chunks per
+second of processor time. Processor time is that of the measured process only.
 """
 
 import asyncio
@@ -42,14 +42,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """A server under measurement: what to ask, and the process whose time counts."""
+    """A server to measure: its URL, and the process whose processor time is measured."""
 
     name: str
     url: str
     process: Process
 
     def body(self, chunks: int) -> bytes:
-        """Returns a request for so many chunks."""
+        """Returns the body of a request for a number of chunks."""
         if self.name == "larkpost":
             fields = {"model": SERVICE, "prompt": "hi", "max_tokens": chunks, "stream": True}
         else:
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BenchResult:
-    """What one target gave."""
+    """Results of one target."""
 
     p50_ms: float
     p99_ms: float
@@ -69,7 +69,7 @@
 
 
 def run_bench(output: Path | None) -> dict[str, BenchResult]:
-    """Measures the engine alone, the bare relay and larkpost, and prints ratios to the relay."""
+    """Measures the engine, the relay and larkpost; prints the ratio of larkpost to the relay."""
     with (
         tempfile.TemporaryDirectory(prefix="larkpost-bench-") as folder,
         ProcessGroup(Path(folder)) as group,
@@ -110,7 +110,7 @@
 
 
 def _configure(platform: Address, engine: Address, daemon: Address) -> None:
-    """Waits for the processes, lists the engine and confirms an intent with one service."""
+    """Waits for the processes, registers the engine and confirms an intent with one service."""
     wait_for(lambda: is_responding(platform, "/machines"), "platform")
     wait_for(lambda: is_responding(engine, "/v1/report"), "engine")
     machine = {"zone": "bench", "address": engine, "pool": POOL}
@@ -152,7 +152,7 @@
 async def _repeat(
     session: aiohttp.ClientSession, target: Target, chunks: int, requests: int, callers: int
 ) -> tuple[float, float]:
-    """Returns requests per second, and per second of the target's processor time."""
+    """Returns requests per second, and requests per second of the target's processor time."""
     process = psutil.Process(target.process.popen.pid)
     before = process.cpu_times()
     started = time.perf_counter()
@@ -175,7 +175,9 @@
         async for data in response.content.iter_any():
             received += len(data)
         if response.status != 200 or received == 0:
-            raise RuntimeError(f"{target.name} answered {response.status}")
+            raise RuntimeError(
+                f"{target.name} responded with status {response.status} and {received} bytes"
+            )
 
 
 def _median(figures: list[BenchResult]) -> BenchResult:
--- a/src/larkpost/rehearsal/bench_servers.py
+++ b/src/larkpost/rehearsal/bench_servers.py
@@ -1,4 +1,4 @@
-"""Servers of the relay measurement: an engine that answers at once, and a bare relay."""
+"""Servers of the benchmark: an engine that responds immediately, and a bare relay."""
 
 import asyncio
 import signal
@@ -78,7 +78,7 @@
 
 
 def make_bare_relay(engine: Address, session: aiohttp.ClientSession) -> Starlette:
-    """Returns a relay of the same libraries with no logic: body in, stream out."""
+    """Returns a relay without logic: it forwards the body and streams the response back."""
 
     async def relay(request: Request) -> Response:
         body = await request.body()
--- a/src/larkpost/rehearsal/clients.py
+++ b/src/larkpost/rehearsal/clients.py
@@ -1,4 +1,4 @@
-"""Stand-in clients: requests over a day's curve, and their own record of the answers."""
+"""Stand-in clients, which send requests at a varying rate and verify the answers."""
 
 import asyncio
 import math
@@ -18,17 +18,17 @@
 MAX_TRIES = 6
 RETRY_SECONDS = 0.2
 TRY_TIMEOUT = aiohttp.ClientTimeout(total=30, sock_connect=1.0)
-"""Seconds that a try may take, and to connect."""
+"""Timeouts of one attempt: in total, and to connect."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClientShape:
-    """A service's traffic.
+    """Parameters of a service's traffic.
 
     Attributes:
-        rate: requests a second at the peak of the curve.
-        day_seconds: length of the curve; traffic rises from 20 % to the peak and falls again.
-        run_once_share: share of requests that must not be repeated.
+        rate: peak rate in requests per second.
+        day_seconds: period of the rate, which rises from 20 % to the peak and falls again.
+        run_once_share: share of requests that must be executed at most once.
         stream_share: share of requests that ask for a stream.
     """
 
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class ClientRecord:
-    """What the clients themselves saw."""
+    """Counts and times observed by the clients."""
 
     service: str
     requests: int = 0
@@ -57,7 +57,7 @@
 
 
 class _TryError(Exception):
-    """A try without a whole answer."""
+    """An attempt ended without a complete answer."""
 
     def __init__(self, code: str, ran: Ran, retry_after: float | None) -> None:
         super().__init__(code)
@@ -84,7 +84,7 @@
         self.record = ClientRecord(shape.service)
 
     async def run(self, seconds: float) -> ClientRecord:
-        """Sends requests for a time, then waits for the last answers."""
+        """Sends requests for a number of seconds, then waits for the remaining answers."""
         started = time.monotonic()
         tasks = []
         while (elapsed := time.monotonic() - started) < seconds:
@@ -98,7 +98,7 @@
         return self._shape.rate * (0.6 - 0.4 * math.cos(2 * math.pi * position))
 
     async def _request(self, number: int) -> None:
-        """Asks until there is an answer, the tries are spent, or another try could double it."""
+        """Retries until there is an answer, attempts run out, or a retry might execute twice."""
         self.record.requests += 1
         run_once = self._rng.random() < self._shape.run_once_share
         started = time.monotonic()
@@ -146,10 +146,10 @@
         self.record.wrong_answers += text != " ".join(map(str, expected))
 
     async def _post(self, daemon: Address, headers: dict[str, str], body: bytes) -> bytes:
-        """Sends a request and returns the whole content of a good response.
+        """Sends a request and returns the complete body of a successful response.
 
         Raises:
-            _TryError: there was none.
+            _TryError: there was no such response.
         """
         url = f"http://{daemon}/v1/completions"
         try:
@@ -176,7 +176,7 @@
 
 
 def _read_stream(content: bytes) -> tuple[str, list[tuple[int, int, int]]]:
-    """Reads a stream; without its end mark it is no answer."""
+    """Parses a stream; raises `_TryError` if it lacks the end marker."""
     events = [e[len(b"data: ") :] for e in content.split(b"\n\n") if e.startswith(b"data: ")]
     if not events or events[-1] != b"[DONE]":
         if events and b'"error"' in events[-1]:
@@ -195,7 +195,7 @@
 async def run_clients(
     shape: ClientShape, daemons: list[Address], seconds: float, seed: int
 ) -> dict:
-    """Runs a service's clients for a time and returns their record."""
+    """Runs a service's clients for a number of seconds and returns their record."""
     async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session:
         clients = Clients(shape, daemons, session, seed)
         return asdict(await clients.run(seconds))
--- a/src/larkpost/rehearsal/commands.py
+++ b/src/larkpost/rehearsal/commands.py
@@ -1,4 +1,4 @@
-"""The ``larkpost rehearsal`` commands: stand-ins as processes, the demonstration, experiments."""
+"""The ``larkpost rehearsal`` commands: stand-ins, demonstration, benchmark and experiments."""
 
 import asyncio
 import sys
--- a/src/larkpost/rehearsal/demo.py
+++ b/src/larkpost/rehearsal/demo.py
@@ -1,7 +1,7 @@
-"""The demonstration: both sites over the platform's stand-ins, as real processes under load.
+"""The demonstration: both sites on the platform's stand-ins, as real processes under load.
 
-Midway an engine and a daemon of each site are killed and another daemon is stopped as planned. The
-counts come from what trainers and clients saw, not from larkpost.
+Midway, an engine and a daemon of each site are killed and another daemon is stopped gracefully. The
+counts come from the records of trainers and clients, not from larkpost.
 """
 
 import asyncio
@@ -39,14 +39,14 @@
 RETRY_SECONDS = 0.1
 MUST_BE_ZERO = ("results_doubled", "results_lost", "results_wrong", "answers_wrong")
 LOAD_SLACK_SECONDS = 60.0
-"""After the load's time, for batches under way to become whole."""
+"""Time after the load in which open batches must complete."""
 
 
 def run_demo(seconds: float, faults: bool, output: Path | None = None) -> int:
-    """Runs the demonstration and prints its result.
+    """Runs the demonstration and prints its results.
 
     Returns:
-        0 if every must-hold count is zero and work was done, else 1.
+        0 if all counts that must be zero are zero and work was done, else 1.
     """
     console = Console(width=100)
     with tempfile.TemporaryDirectory(prefix="larkpost-demo-") as name:
@@ -104,11 +104,11 @@
     caller: Caller,
     until: float,
 ) -> None:
-    async def name_version(model: ModelName, version: int) -> None:
+    async def publish_version(model: ModelName, version: int) -> None:
         await _write(store, version_transaction(model, version))
 
     for shape in site.shape.trainers:
-        trainer = StandInTrainer(caller, shape, name_version)
+        trainer = StandInTrainer(caller, shape, publish_version)
         tasks.create_task(trainer.run(until))
     client = StandInClient(caller, site.shape.client_requests_per_second)
     tasks.create_task(client.run(until))
@@ -123,20 +123,20 @@
 
 
 async def _write(store: HttpStore, change: Transaction) -> None:
-    """Writes as the operator does: again until it is done."""
+    """Writes to the store, with retries until the write is done."""
     while (await store.write(change, WRITE_SECONDS)).outcome is not WriteOutcome.DONE:
         await asyncio.sleep(RETRY_SECONDS)
 
 
 def _inject_faults(sites: list[PlatformSite], console: Console) -> None:
-    """Kills an engine and a daemon of each site, and stops another daemon as planned."""
+    """Kills an engine and a daemon of each site, and stops another daemon gracefully."""
     for site in sites:
         engine = next(iter(site.servers))
         killed, stopped, *_ = site.daemons
         site.servers[engine].send(signal.SIGKILL)
         site.daemons[killed].send(signal.SIGKILL)
         site.daemons[stopped].send(signal.SIGTERM)
-        console.print(f"Killed {engine} and {killed}; stopped {stopped} as planned.")
+        console.print(f"Killed {engine} and {killed}; stopped {stopped} gracefully.")
 
 
 def _summarise(record: CallerRecord) -> dict:
--- a/src/larkpost/rehearsal/engine_model.py
+++ b/src/larkpost/rehearsal/engine_model.py
@@ -156,8 +156,8 @@
         """Accepts a fenced order and starts it.
 
         Raises:
-            StaleOrderError: the token is lower than the highest accepted one; a claim needs a higher
-                one.
+            StaleOrderError: the token is lower than the highest accepted one, or for a claim not
+                higher.
         """
         is_claim = order.kind == OrderKind.CLAIM
         if order.token < self.token or (is_claim and order.token == self.token):
--- a/src/larkpost/rehearsal/experiment/run.py
+++ b/src/larkpost/rehearsal/experiment/run.py
@@ -84,7 +84,7 @@
         self._requests = 0
 
     async def run(self) -> RunResult:
-        """Applies load and faults, waits for the trainer's open batches, and returns the metrics."""
+        """Applies load and faults, waits for open batches, and returns the metrics."""
         await self._world.start()
         trainer = self._make_trainer()
         work = [self._clients(service) for service in self._site.services]
@@ -211,7 +211,7 @@
         return sum(node.daemon.telemetry.value(counter, kind) for node in nodes)
 
     def _idle_bound(self) -> float:
-        """Returns a lower bound of the idle time in seconds, from the lengths of the batches' samples."""
+        """Returns a lower bound of the idle time in seconds, from the sample lengths."""
         load = self._scenario.trainer
         if load is None:
             return 0.0
--- a/src/larkpost/rehearsal/platform_server.py
+++ b/src/larkpost/rehearsal/platform_server.py
@@ -1,4 +1,4 @@
-"""The stand-in platform as a process: HTTP routes and fault switches."""
+"""The stand-in platform as an HTTP server with fault switches."""
 
 import asyncio
 import base64
@@ -24,11 +24,11 @@
 from larkpost.standalone.table_service.ports import MachineEntry
 
 LOST_ANSWER_SECONDS = 30.0
-"""A lost answer keeps its caller waiting for so long."""
+"""Delay of the response to a request whose answer is lost."""
 
 
 def make_platform_app(model: PlatformModel) -> Starlette:
-    """Returns the HTTP application of a platform."""
+    """Returns the HTTP application that serves a platform model."""
     routes = _PlatformRoutes(model)
     return Starlette(
         routes=[
@@ -108,7 +108,7 @@
     async def set_faults(self, request: Request) -> Response:
         for name, value in orjson.loads(await request.body()).items():
             if not hasattr(self._model.faults, name):
-                return Response(f"no fault {name!r}\n", 400)
+                return Response(f"unknown fault {name!r}\n", 400)
             setattr(self._model.faults, name, value)
         return Response(status_code=204)
 
--- a/src/larkpost/rehearsal/platform_site.py
+++ b/src/larkpost/rehearsal/platform_site.py
@@ -1,6 +1,6 @@
-"""A site over the platform's stand-ins, as real processes: store, servers and daemons.
+"""Starts a site on the platform's stand-ins as real processes: store, servers and daemons.
 
-The demonstration runs two of them. Owns the sizes of both sites and how their processes start.
+Defines the two sites of the demonstration.
 """
 
 from dataclasses import dataclass, field
@@ -24,12 +24,12 @@
 DAEMON_MODULE = "larkpost.platform.process"
 STAND_IN_MODULE = "larkpost.platform.stand_in.programs"
 PAGE_SLOTS = 6
-"""Requests that a server of pages answers at once."""
+"""Requests that a page server handles concurrently."""
 
 
 @dataclass(frozen=True, slots=True)
 class SiteShape:
-    """The sizes of a site."""
+    """The size and load of a site."""
 
     name: str
     zones: tuple[ZoneId, ...]
@@ -42,7 +42,7 @@
 
     @property
     def models(self) -> tuple[ModelName, ...]:
-        """The models that the engines hold."""
+        """The models that the engines serve."""
         return tuple(trainer.model for trainer in self.trainers)
 
 
@@ -86,7 +86,7 @@
 
 
 def start_site(group: ProcessGroup, shape: SiteShape, folder: Path) -> PlatformSite:
-    """Starts all processes of a site; `wait_until_ready` waits for them."""
+    """Starts all processes of a site without waiting; see `wait_until_ready`."""
     site = PlatformSite(
         shape,
         free_address(),
@@ -104,10 +104,10 @@
 
 
 def wait_until_ready(site: PlatformSite) -> None:
-    """Waits until every daemon takes clients.
+    """Waits until every daemon accepts clients.
 
     Raises:
-        RehearsalError: one does not in time.
+        RehearsalError: a daemon is not ready in time.
     """
     for name, address in site.ready.items():
         wait_for(lambda address=address: is_responding(address, ready_path()), f"{name} is ready")
@@ -133,8 +133,10 @@
 def _start_daemon(group: ProcessGroup, site: PlatformSite, number: int, folder: Path) -> None:
     zone = site.shape.zones[number % len(site.shape.zones)]
     name = f"front-{zone}-{number}"
-    place = DaemonSettings(name, zone, free_address(), free_address(), free_address(), site.store)
-    environment = write_settings(place, folder)
+    settings = DaemonSettings(
+        name, zone, free_address(), free_address(), free_address(), site.store
+    )
+    environment = write_settings(settings, folder)
     site.daemons[name] = group.start_module(name, DAEMON_MODULE, environment=environment)
-    site.fronts[name] = place.front
-    site.ready[name] = place.ready
+    site.fronts[name] = settings.front
+    site.ready[name] = settings.ready
--- a/src/larkpost/rehearsal/processes.py
+++ b/src/larkpost/rehearsal/processes.py
@@ -1,4 +1,4 @@
-"""Starts, signals and ends the processes of a rehearsal; each one's output goes to a file."""
+"""Starts, signals and stops the processes of a rehearsal; output is written to files."""
 
 import os
 import random
@@ -22,18 +22,18 @@
 LOOPBACK = "127.0.0.1"
 FIRST_PORT = 11_000
 LAST_PORT = 31_000
-"""Below the ports of outgoing connections, which begin at 32,768."""
+"""Below the ephemeral ports of outgoing connections, which begin at 32,768."""
 
 
 class RehearsalError(Exception):
-    """A process of the rehearsal did not do as it should."""
+    """A process of the rehearsal failed or did not respond in time."""
 
 
 def free_address() -> Address:
     """Returns a loopback address whose port is free for TCP and UDP.
 
-    Ports lie below those that the system gives to outgoing connections: a fleet's own connections
-    would else take a port between its choice here and its use.
+    The port lies below the ephemeral range, so that an outgoing connection cannot take it before
+    the caller binds it.
     """
     for _ in range(1000):
         port = next(_ports)
@@ -47,11 +47,11 @@
             except OSError:
                 continue
             return Address(f"{LOOPBACK}:{port}")
-    raise RehearsalError("no port is free for both TCP and UDP")
+    raise RehearsalError(f"no port from {FIRST_PORT} to {LAST_PORT - 1} is free for TCP and UDP")
 
 
 def _port_numbers() -> Iterator[int]:
-    """Counts through the range, from a start that differs between processes."""
+    """Yields the ports of the range cyclically, from a random start."""
     first = random.randrange(FIRST_PORT, LAST_PORT)
     while True:
         yield from range(first, LAST_PORT)
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class Process:
-    """One running process."""
+    """A started process and its output files."""
 
     name: str
     popen: subprocess.Popen
@@ -72,31 +72,31 @@
     _stderr: IO[bytes]
 
     def send(self, number: signal.Signals) -> None:
-        """Sends a signal if the process still runs."""
+        """Sends a signal if the process is still running."""
         if self.popen.poll() is None:
             self.popen.send_signal(number)
 
     def wait(self, timeout: float) -> int:
-        """Waits for the end and returns the exit status.
+        """Waits for the process to exit and returns its exit status.
 
         Raises:
-            RehearsalError: it did not end in time.
+            RehearsalError: it did not exit in time.
         """
         try:
             status = self.popen.wait(timeout)
         except subprocess.TimeoutExpired:
-            raise RehearsalError(f"{self.name} did not end within {timeout:g} s") from None
+            raise RehearsalError(f"{self.name} did not exit within {timeout:g} s") from None
         self._stdout.close()
         self._stderr.close()
         return status
 
     def lines(self) -> list[str]:
-        """Returns what the process has written to standard output."""
+        """Returns the lines that the process has written to standard output."""
         return self.output.read_text(encoding="utf-8").splitlines()
 
 
 class ProcessGroup:
-    """All processes of a rehearsal; leaving the context ends them."""
+    """The processes of a rehearsal; leaving the context kills them."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
@@ -113,13 +113,13 @@
             process.wait(STOP_TIMEOUT)
 
     def start(self, name: str, *arguments: str) -> Process:
-        """Starts ``larkpost`` with arguments."""
+        """Starts the ``larkpost`` command with arguments."""
         return self.start_module(name, "larkpost", *arguments)
 
     def start_module(
         self, name: str, module: str, *arguments: str, environment: dict[str, str] | None = None
     ) -> Process:
-        """Starts a module as a program, with variables added to the environment."""
+        """Starts a module with ``python -m``, with additional environment variables."""
         output = self._folder / f"{name}.out"
         stdout = output.open("ab")
         stderr = (self._folder / f"{name}.err").open("ab")
@@ -139,7 +139,7 @@
     """Waits until a condition holds.
 
     Raises:
-        RehearsalError: it did not in time.
+        RehearsalError: it did not hold in time.
     """
     deadline = time.monotonic() + timeout
     while not condition():
@@ -149,7 +149,7 @@
 
 
 def is_responding(address: Address, path: str) -> bool:
-    """Whether an HTTP address answers with success."""
+    """Whether an HTTP GET returns status 200."""
     try:
         with urllib.request.urlopen(f"http://{address}{path}", timeout=1.0) as response:
             return response.status == 200
@@ -158,7 +158,7 @@
 
 
 def call(address: Address, verb: str, path: str, body: bytes = b"") -> bytes:
-    """Makes one HTTP call and returns the answer's body."""
+    """Makes one HTTP call and returns the response body."""
     request = urllib.request.Request(f"http://{address}{path}", data=body, method=verb)
     with urllib.request.urlopen(request, timeout=10.0) as response:
         return response.read()
--- a/src/larkpost/rehearsal/sites.py
+++ b/src/larkpost/rehearsal/sites.py
@@ -1,4 +1,4 @@
-"""The two sites of today before `larkpost serve`, as intents and machines."""
+"""The two sites for `larkpost serve`, as intents and machines."""
 
 from dataclasses import dataclass
 
--- a/src/larkpost/rehearsal/trainer.py
+++ b/src/larkpost/rehearsal/trainer.py
@@ -1,4 +1,4 @@
-"""A stand-in trainer: steps of batches and training, and its own record of what it received."""
+"""A stand-in trainer, which records and verifies the samples that it receives."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class TrainerRecord:
-    """What the trainer itself saw."""
+    """Counts and times observed by the trainer."""
 
     trainer: str
     steps: int = 0
@@ -33,7 +33,7 @@
     step_waits: list[float] = field(default_factory=list)
 
     def record_sample(self, spec: BatchSpec, sample: Sample, version: int, held: set[int]) -> None:
-        """Checks a received sample against the request, the trainer's step, and earlier ones."""
+        """Checks a sample for duplication, staleness and correct tokens, and counts the result."""
         if sample.slot in held:
             self.samples_doubled += 1
             return
@@ -45,7 +45,7 @@
 
 
 def is_correct(spec: BatchSpec, sample: Sample) -> bool:
-    """Whether each token is the one that the named version gives to this slot's request."""
+    """Whether each token is the one that its weight version generates for the slot's request."""
     prompt = spec.prompts[spec.prompt_index(sample.slot)]
     spans = [(s.version, s.first_token, s.count) for s in sample.spans]
     expected = expected_answer(f"{spec.id}/{sample.slot}", prompt, spec.max_tokens, spans)
@@ -53,7 +53,7 @@
 
 
 class Trainer:
-    """Runs steps until `stop` is called."""
+    """Runs training steps until `stop` is called."""
 
     def __init__(
         self,
@@ -75,11 +75,11 @@
         self._stopping = False
 
     def stop(self) -> None:
-        """Ends after the batch under way."""
+        """Stops after the current step."""
         self._stopping = True
 
     async def run(self) -> TrainerRecord:
-        """Runs steps; returns the record of the whole run."""
+        """Runs steps and returns the record of the whole run."""
         await self._publish()
         opened: list[BatchSession] = []
         step = 0
@@ -118,7 +118,7 @@
         await self._publish()
 
     async def _publish(self) -> None:
-        """Stores new weights and tells larkpost."""
+        """Publishes a new weight version and announces it to a daemon."""
         self.version += 1
         url = f"http://{self._platform}/weights/{self._shape.policy}/{self.version}"
         async with self._http.put(url) as response:
@@ -127,13 +127,13 @@
         try:
             await self._endpoint.announce_version(daemon, self._shape.policy, self.version)
         except LarkpostError:
-            return  # the next pull tells the version as well
+            return  # the next pull announces the version as well
 
 
 async def run_trainer(
     shape: TrainerShape, daemons: list[Address], platform: Address, seconds: float, seed: int
 ) -> dict:
-    """Runs a trainer for a time and returns its record."""
+    """Runs a trainer for a number of seconds and returns its record."""
     async with aiohttp.ClientSession() as session:
         trainer = Trainer(shape, daemons, platform, session, seed)
         asyncio.get_running_loop().call_later(seconds, trainer.stop)
--- a/src/larkpost/rehearsal/workload.py
+++ b/src/larkpost/rehearsal/workload.py
@@ -1,4 +1,4 @@
-"""A stand-in trainer's work: what its batches ask for."""
+"""The batches of a stand-in trainer."""
 
 import random
 from dataclasses import dataclass
@@ -8,16 +8,16 @@
 from larkpost.standalone.batches.ledger import BatchSpec
 
 HINT_ERROR = 0.5
-"""Expected lengths are off by up to this share."""
+"""Maximum relative error of the expected lengths."""
 
 
 @dataclass(frozen=True, slots=True)
 class TrainerShape:
-    """A trainer's work.
+    """Batch and step parameters of a trainer.
 
     Attributes:
-        train_seconds: time of a training step once its batch is whole.
-        ahead: batches opened before the one that is trained on (0: strictly in turn).
+        train_seconds: duration of a training step once its batch is complete.
+        ahead: batches opened in advance of the one being trained on (0: strictly sequential).
     """
 
     name: TrainerId
@@ -31,7 +31,7 @@
     ahead: int = 1
 
     def make_spec(self, batch: BatchId, version: int, rng: random.Random) -> BatchSpec:
-        """Returns a batch with fresh prompts, opened at the trainer's version."""
+        """Returns a batch with new prompts for the trainer's current weight version."""
         prompts = tuple(
             f"{batch} prompt {i} " + "context " * rng.randrange(8, 64) for i in range(self.prompts)
         )
@@ -50,7 +50,7 @@
     def _hints(
         self, batch: BatchId, prompts: tuple[str, ...], rng: random.Random
     ) -> tuple[int, ...]:
-        """Returns the longest length per prompt, as badly as a trainer may know it."""
+        """Returns the longest answer length per prompt, with a random error of up to HINT_ERROR."""
         hints = []
         for index, prompt in enumerate(prompts):
             first = index * self.samples_per_prompt
