--- a/tests/process_soak/__main__.py
+++ b/tests/process_soak/__main__.py
@@ -24,7 +24,7 @@
 from tests.process_soak.plan import HINDERING, UNTOLD, Fault, Kind, draw_plan
 from tests.process_soak.records import read_records
 from tests.process_soak.site import DAEMONS, MODEL, Site
-from tests.process_soak.strikes import Strikes
+from tests.process_soak.strikes import FaultInjector
 
 CHECK_SECONDS = 3.0
 CRASHING_PAGES = 2
@@ -86,7 +86,7 @@
         work = asyncio.gather(
             callers.train(MODEL, ITEMS, until),
             callers.ask(REQUESTS_PER_SECOND, until),
-            self._strike(Strikes(site), callers),
+            self._strike(FaultInjector(site), callers),
         )
         try:
             while not work.done():
@@ -110,7 +110,7 @@
         self._fill_report(callers)
         return self.report
 
-    async def _strike(self, strikes: Strikes, callers: Callers) -> None:
+    async def _strike(self, strikes: FaultInjector, callers: Callers) -> None:
         """Carries the plan out; faults overlap as it says."""
         started = time.monotonic()
         running = []
@@ -120,7 +120,7 @@
             running.append(asyncio.create_task(self._strike_once(strikes, callers, fault)))
         await asyncio.gather(*running)
 
-    async def _strike_once(self, strikes: Strikes, callers: Callers, fault: Fault) -> None:
+    async def _strike_once(self, strikes: FaultInjector, callers: Callers, fault: Fault) -> None:
         began_at = time.monotonic()
         disruptions = self._checker.disruptions
         if fault.kind in HINDERING:
--- a/tests/process_soak/strikes.py
+++ b/tests/process_soak/strikes.py
@@ -47,7 +47,7 @@
 Strike = Callable[[Fault], Awaitable[None]]
 
 
-class Strikes:
+class FaultInjector:
     """The faults of one site."""
 
     def __init__(self, site: Site) -> None:
