--- a/tests/process_soak/__main__.py
+++ b/tests/process_soak/__main__.py
@@ -117,10 +117,10 @@
         for fault in self._plan:
             await asyncio.sleep(max(0.0, started + fault.at - time.monotonic()))
             print(f"{fault.at:7.2f} {fault}", file=sys.stderr)
-            running.append(asyncio.create_task(self._strike_once(strikes, callers, fault)))
+            running.append(asyncio.create_task(self._inject(strikes, callers, fault)))
         await asyncio.gather(*running)
 
-    async def _strike_once(self, strikes: FaultInjector, callers: Callers, fault: Fault) -> None:
+    async def _inject(self, strikes: FaultInjector, callers: Callers, fault: Fault) -> None:
         began_at = time.monotonic()
         disruptions = self._checker.disruptions
         if fault.kind in HINDERING:
