--- a/tests/process_soak/__main__.py
+++ b/tests/process_soak/__main__.py
@@ -86,7 +86,7 @@
         work = asyncio.gather(
             callers.train(MODEL, ITEMS, until),
             callers.ask(REQUESTS_PER_SECOND, until),
-            self._strike(FaultInjector(site), callers),
+            self._inject_faults(FaultInjector(site), callers),
         )
         try:
             while not work.done():
@@ -110,7 +110,7 @@
         self._fill_report(callers)
         return self.report
 
-    async def _strike(self, strikes: FaultInjector, callers: Callers) -> None:
+    async def _inject_faults(self, strikes: FaultInjector, callers: Callers) -> None:
         """Carries the plan out; faults overlap as it says."""
         started = time.monotonic()
         running = []
