--- a/tests/process_soak/__main__.py
+++ b/tests/process_soak/__main__.py
@@ -133,7 +133,7 @@
         if fault.kind is Kind.CRASHING_REQUEST:
             await callers.ask_again_and_again(fault.target % CRASHING_PAGES, fault.seconds)
         else:
-            await strikes.strike(fault)
+            await strikes.inject(fault)
         if fault.kind in UNTOLD:
             crash_report_gaps.remove((began_at, float("inf")))
             crash_report_gaps.append((began_at, time.monotonic()))
--- a/tests/process_soak/strikes.py
+++ b/tests/process_soak/strikes.py
@@ -76,7 +76,7 @@
             Kind.EVACUATION: self._evacuate,
         } | dict.fromkeys(STORE_FAULTS, self._trouble_store)
 
-    async def strike(self, fault: Fault) -> None:
+    async def inject(self, fault: Fault) -> None:
         """Carries a fault out and ends it."""
         await self._strikes[fault.kind](fault)
 
