--- a/tests/process_soak/strikes.py
+++ b/tests/process_soak/strikes.py
@@ -52,7 +52,7 @@
 
     def __init__(self, site: Site) -> None:
         self._site = site
-        self._strikes: dict[Kind, Strike] = {
+        self._handlers: dict[Kind, Strike] = {
             Kind.DAEMON_KILL: self._kill_daemon,
             Kind.DAEMON_STOP: self._stop_daemon,
             Kind.ALL_DAEMONS_KILL: self._kill_all_daemons,
@@ -78,7 +78,7 @@
 
     async def inject(self, fault: Fault) -> None:
         """Carries a fault out and ends it."""
-        await self._strikes[fault.kind](fault)
+        await self._handlers[fault.kind](fault)
 
     # Daemons
 
