--- a/tests/process_soak/strikes.py
+++ b/tests/process_soak/strikes.py
@@ -44,7 +44,7 @@
 """A daemon that has not ended by then after its planned stop is killed."""
 BAD_SETTINGS_SECONDS = 1.5
 
-Strike = Callable[[Fault], Awaitable[None]]
+FaultHandler = Callable[[Fault], Awaitable[None]]
 
 
 class FaultInjector:
@@ -52,7 +52,7 @@
 
     def __init__(self, site: Site) -> None:
         self._site = site
-        self._handlers: dict[Kind, Strike] = {
+        self._handlers: dict[Kind, FaultHandler] = {
             Kind.DAEMON_KILL: self._kill_daemon,
             Kind.DAEMON_STOP: self._stop_daemon,
             Kind.ALL_DAEMONS_KILL: self._kill_all_daemons,
