--- a/tests/process_soak/__main__.py
+++ b/tests/process_soak/__main__.py
@@ -21,10 +21,10 @@
 from larkpost.rehearsal.processes import ProcessGroup, is_responding
 from tests.process_soak.callers import Callers
 from tests.process_soak.checker import CRASH_REPORT_SECONDS, InvariantChecker
+from tests.process_soak.injector import FaultInjector
 from tests.process_soak.plan import HINDERING, UNTOLD, Fault, Kind, draw_plan
 from tests.process_soak.records import read_records
 from tests.process_soak.site import DAEMONS, MODEL, Site
-from tests.process_soak.strikes import FaultInjector
 
 CHECK_SECONDS = 3.0
 CRASHING_PAGES = 2
@@ -110,17 +110,17 @@
         self._fill_report(callers)
         return self.report
 
-    async def _inject_faults(self, strikes: FaultInjector, callers: Callers) -> None:
+    async def _inject_faults(self, injector: FaultInjector, callers: Callers) -> None:
         """Carries the plan out; faults overlap as it says."""
         started = time.monotonic()
         running = []
         for fault in self._plan:
             await asyncio.sleep(max(0.0, started + fault.at - time.monotonic()))
             print(f"{fault.at:7.2f} {fault}", file=sys.stderr)
-            running.append(asyncio.create_task(self._inject(strikes, callers, fault)))
+            running.append(asyncio.create_task(self._inject(injector, callers, fault)))
         await asyncio.gather(*running)
 
-    async def _inject(self, strikes: FaultInjector, callers: Callers, fault: Fault) -> None:
+    async def _inject(self, injector: FaultInjector, callers: Callers, fault: Fault) -> None:
         began_at = time.monotonic()
         disruptions = self._checker.disruptions
         if fault.kind in HINDERING:
@@ -133,7 +133,7 @@
         if fault.kind is Kind.CRASHING_REQUEST:
             await callers.ask_again_and_again(fault.target % CRASHING_PAGES, fault.seconds)
         else:
-            await strikes.inject(fault)
+            await injector.inject(fault)
         if fault.kind in UNTOLD:
             crash_report_gaps.remove((began_at, float("inf")))
             crash_report_gaps.append((began_at, time.monotonic()))
