--- a/tests/process_soak/__main__.py
+++ b/tests/process_soak/__main__.py
@@ -22,7 +22,7 @@
 from tests.process_soak.callers import Callers
 from tests.process_soak.checker import CRASH_REPORT_SECONDS, InvariantChecker
 from tests.process_soak.injector import FaultInjector
-from tests.process_soak.plan import HINDERING, UNTOLD, Fault, Kind, draw_plan
+from tests.process_soak.plan import DISRUPTIVE_KINDS, UNTOLD, Fault, Kind, draw_plan
 from tests.process_soak.records import read_records
 from tests.process_soak.site import DAEMONS, MODEL, Site
 
@@ -123,7 +123,7 @@
     async def _inject(self, injector: FaultInjector, callers: Callers, fault: Fault) -> None:
         began_at = time.monotonic()
         disruptions = self._checker.disruptions
-        if fault.kind in HINDERING:
+        if fault.kind in DISRUPTIVE_KINDS:
             disruptions.append((began_at, float("inf")))
         if fault.kind is not Kind.EVACUATION:  # which excuses nothing
             self._checker.fault_times.append(began_at)
@@ -139,7 +139,7 @@
             crash_report_gaps.append((began_at, time.monotonic()))
         if fault.kind is not Kind.EVACUATION:
             self._checker.fault_times.append(time.monotonic())
-        if fault.kind in HINDERING:
+        if fault.kind in DISRUPTIVE_KINDS:
             disruptions.remove((began_at, float("inf")))
             disruptions.append((began_at, time.monotonic()))
 
--- a/tests/process_soak/plan.py
+++ b/tests/process_soak/plan.py
@@ -45,7 +45,7 @@
     Kind.SCORER_FAILS: 2.0,
     Kind.EVACUATION: 20.0,
 }
-HINDERING = {
+DISRUPTIVE_KINDS = {
     Kind.DAEMON_PAUSE,
     Kind.DAEMON_SUSPEND,
     Kind.STORE_REFUSES,
@@ -57,7 +57,7 @@
     Kind.SERVER_PAUSE,
 }
 """What keeps news from daemons, or requests on their way to servers."""
-UNTOLD = HINDERING | {
+UNTOLD = DISRUPTIVE_KINDS | {
     Kind.DAEMON_KILL,
     Kind.DAEMON_MOVE,
     Kind.DAEMON_STOP,
