--- a/tests/process_soak/__main__.py
+++ b/tests/process_soak/__main__.py
@@ -22,7 +22,13 @@
 from tests.process_soak.callers import Callers
 from tests.process_soak.checker import CRASH_REPORT_SECONDS, InvariantChecker
 from tests.process_soak.injector import FaultInjector
-from tests.process_soak.plan import DISRUPTIVE_KINDS, UNTOLD, Fault, Kind, draw_plan
+from tests.process_soak.plan import (
+    CRASH_REPORT_LOSING_KINDS,
+    DISRUPTIVE_KINDS,
+    Fault,
+    Kind,
+    draw_plan,
+)
 from tests.process_soak.records import read_records
 from tests.process_soak.site import DAEMONS, MODEL, Site
 
@@ -128,13 +134,13 @@
         if fault.kind is not Kind.EVACUATION:  # which excuses nothing
             self._checker.fault_times.append(began_at)
         crash_report_gaps = self._checker.crash_report_gaps
-        if fault.kind in UNTOLD:
+        if fault.kind in CRASH_REPORT_LOSING_KINDS:
             crash_report_gaps.append((began_at, float("inf")))
         if fault.kind is Kind.CRASHING_REQUEST:
             await callers.ask_again_and_again(fault.target % CRASHING_PAGES, fault.seconds)
         else:
             await injector.inject(fault)
-        if fault.kind in UNTOLD:
+        if fault.kind in CRASH_REPORT_LOSING_KINDS:
             crash_report_gaps.remove((began_at, float("inf")))
             crash_report_gaps.append((began_at, time.monotonic()))
         if fault.kind is not Kind.EVACUATION:
--- a/tests/process_soak/plan.py
+++ b/tests/process_soak/plan.py
@@ -57,7 +57,7 @@
     Kind.SERVER_PAUSE,
 }
 """What keeps news from daemons, or requests on their way to servers."""
-UNTOLD = DISRUPTIVE_KINDS | {
+CRASH_REPORT_LOSING_KINDS = DISRUPTIVE_KINDS | {
     Kind.DAEMON_KILL,
     Kind.DAEMON_MOVE,
     Kind.DAEMON_STOP,
