--- a/tests/process_soak/strikes.py
+++ b/tests/process_soak/strikes.py
@@ -163,15 +163,15 @@
         await _pause(self._site.store, fault.seconds)
 
     async def _harm_store_link(self, fault: Fault) -> None:
-        await _harm(self._daemon(fault).store, fault)
+        await _apply_link_fault(self._daemon(fault).store, fault)
 
     # Servers
 
     async def _harm_front_link(self, fault: Fault) -> None:
-        await _harm(self._daemon(fault).front, fault)
+        await _apply_link_fault(self._daemon(fault).front, fault)
 
     async def _harm_server_link(self, fault: Fault) -> None:
-        await _harm(self._server(fault).proxy, fault)
+        await _apply_link_fault(self._server(fault).proxy, fault)
 
     async def _pause_server(self, fault: Fault) -> None:
         await _pause(self._server(fault).process, fault.seconds)
@@ -229,7 +229,7 @@
     process.send(signal.SIGCONT)
 
 
-async def _harm(proxy: FaultProxy, fault: Fault) -> None:
+async def _apply_link_fault(proxy: FaultProxy, fault: Fault) -> None:
     proxy.harm(fault.link)
     await asyncio.sleep(fault.seconds)
     proxy.harm(LinkFault.NONE)
