--- a/tests/process_soak/proxy.py
+++ b/tests/process_soak/proxy.py
@@ -64,7 +64,7 @@
         self.break_off()
         await self._server.close()
 
-    def harm(self, fault: LinkFault) -> None:
+    def set_fault(self, fault: LinkFault) -> None:
         """Begins a fault, or ends it with `LinkFault.NONE`.
 
         Connections whose bytes were held back are broken off when the fault ends: bytes are lost,
--- a/tests/process_soak/strikes.py
+++ b/tests/process_soak/strikes.py
@@ -230,9 +230,9 @@
 
 
 async def _apply_link_fault(proxy: FaultProxy, fault: Fault) -> None:
-    proxy.harm(fault.link)
+    proxy.set_fault(fault.link)
     await asyncio.sleep(fault.seconds)
-    proxy.harm(LinkFault.NONE)
+    proxy.set_fault(LinkFault.NONE)
 
 
 async def _control(address: Address, call: str, body: bytes) -> None:
--- a/tests/test_process_soak.py
+++ b/tests/test_process_soak.py
@@ -64,23 +64,23 @@
         self.assertEqual(b"", await self.reader.read(1))
 
     async def test_delay(self):
-        self.proxy.harm(LinkFault.DELAY)
+        self.proxy.set_fault(LinkFault.DELAY)
         began = time.monotonic()
         self.assertEqual(b"hello", await self.answer(b"hello"))
         self.assertGreater(time.monotonic() - began, 0.2)
 
     async def test_silence_holds_back_and_then_breaks_off(self):
-        self.proxy.harm(LinkFault.SILENT)
+        self.proxy.set_fault(LinkFault.SILENT)
         self.assertIsNone(await self.answer(b"hello"))
         self.assertEqual(b"", bytes(self.received))
-        self.proxy.harm(LinkFault.NONE)
+        self.proxy.set_fault(LinkFault.NONE)
         self.assertEqual(b"", await self.answer(b"x"))
 
     async def test_old_connections_are_silent_for_good_while_new_ones_work(self):
         self.assertEqual(b"a", await self.answer(b"a"))
-        self.proxy.harm(LinkFault.OLD_SILENT)
+        self.proxy.set_fault(LinkFault.OLD_SILENT)
         self.assertIsNone(await self.answer(b"b"))
-        self.proxy.harm(LinkFault.NONE)
+        self.proxy.set_fault(LinkFault.NONE)
         self.assertIsNone(await self.answer(b"c"))
         self.writer.transport.abort()
         self.reader, self.writer = await asyncio.open_connection(*split_address(self.proxy.address))
@@ -88,7 +88,7 @@
         self.assertEqual(b"ad", bytes(self.received))
 
     async def test_one_way_reaches_the_server_only(self):
-        self.proxy.harm(LinkFault.ONE_WAY)
+        self.proxy.set_fault(LinkFault.ONE_WAY)
         self.assertIsNone(await self.answer(b"hello"))
         self.assertEqual(b"hello", bytes(self.received))
 
@@ -115,21 +115,21 @@
         writer.transport.abort()
 
     async def test_half_a_message(self):
-        self.proxy.harm(LinkFault.HALF)
+        self.proxy.set_fault(LinkFault.HALF)
         self.assertEqual(b"h", await self.answer(b"helloo"))  # half of half: both directions
         self.assertEqual(b"hel", bytes(self.received))
         self.assertIsNone(await self.answer(b"more"))
 
     async def test_extra_and_garbled_answers(self):
-        self.proxy.harm(LinkFault.EXTRA)
+        self.proxy.set_fault(LinkFault.EXTRA)
         self.assertEqual(b"aa", await self.answer(b"a"))
-        self.proxy.harm(LinkFault.GARBLE)
+        self.proxy.set_fault(LinkFault.GARBLE)
         self.assertNotIn(b"b", await self.answer(b"b"))
         self.assertEqual(b"", await self.reader.read(1000))
 
     async def test_reset_breaks_old_and_new_connections_off(self):
         self.assertEqual(b"a", await self.answer(b"a"))
-        self.proxy.harm(LinkFault.RESET)
+        self.proxy.set_fault(LinkFault.RESET)
         self.assertEqual(b"", await self.answer(b"b"))
         self.reader, self.writer = await asyncio.open_connection(*split_address(self.proxy.address))
         self.assertEqual(b"", await self.answer(b"c"))
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -121,7 +121,7 @@
 
     async def test_write_is_unknown_soon_and_is_not_sent_again(self):
         await self.open_connections(self.store)
-        self.link.harm(LinkFault.OLD_SILENT)
+        self.link.set_fault(LinkFault.OLD_SILENT)
         async with asyncio.timeout(LATE_SECONDS):
             result = await self.store.write(CHANGE, 1.5)
         self.assertIs(WriteOutcome.UNKNOWN, result.outcome)
@@ -131,7 +131,7 @@
     async def test_write_to_a_store_that_turns_slow_is_answered(self):
         """All responses are late, also those on new connections."""
         await self.open_connections(self.store)
-        self.link.harm(LinkFault.DELAY)  # for 0.15 s there and 0.15 s back
+        self.link.set_fault(LinkFault.DELAY)  # for 0.15 s there and 0.15 s back
         writes = (self.store.write(CHANGE, 1.0) for _ in range(3))
         async with asyncio.timeout(LATE_SECONDS):
             results = await asyncio.gather(*writes)
@@ -139,7 +139,7 @@
 
     async def test_writes_on_dead_connections_share_one_probe(self):
         await self.open_connections(self.store)
-        self.link.harm(LinkFault.OLD_SILENT)
+        self.link.set_fault(LinkFault.OLD_SILENT)
         writes = (self.store.write(CHANGE, 1.5) for _ in range(3))
         async with asyncio.timeout(LATE_SECONDS):
             results = await asyncio.gather(*writes)
@@ -148,7 +148,7 @@
 
     async def test_next_write_goes_on_a_new_connection(self):
         await self.open_connections(self.store)
-        self.link.harm(LinkFault.OLD_SILENT)
+        self.link.set_fault(LinkFault.OLD_SILENT)
         await self.store.write(CHANGE, 0.6)
         async with asyncio.timeout(SLACK_SECONDS):
             result = await self.store.write(CHANGE, 1.5)
@@ -157,7 +157,7 @@
 
     async def test_read_is_answered_on_a_new_connection(self):
         await self.open_connections(self.store)
-        self.link.harm(LinkFault.OLD_SILENT)
+        self.link.set_fault(LinkFault.OLD_SILENT)
         async with asyncio.timeout(LATE_SECONDS):
             await self.store.read("table", "part")
         self.assertEqual(4, self.link.connections)
@@ -167,7 +167,7 @@
         await self.open_connections(self.store)
         feed = asyncio.create_task(self.store.changes("table", 0, wait))
         await asyncio.sleep(0.1)
-        self.link.harm(LinkFault.OLD_SILENT)
+        self.link.set_fault(LinkFault.OLD_SILENT)
         async with asyncio.timeout(2 * wait + LATE_SECONDS):
             await feed
         self.assertEqual(1.0, count_dead_connections(self.metrics, UpstreamKind.STORE))
@@ -180,7 +180,7 @@
 
     async def test_peer_is_reached_on_a_new_connection(self):
         await self.open_connections(self.by_peer)
-        self.peer_link.harm(LinkFault.OLD_SILENT)
+        self.peer_link.set_fault(LinkFault.OLD_SILENT)
         async with asyncio.timeout(LATE_SECONDS):
             await self.by_peer.read("table", "part")
         self.assertEqual(4, self.peer_link.connections)
@@ -188,14 +188,14 @@
 
     async def test_many_calls_at_once_open_no_more_connections_than_they_need(self):
         await self.open_connections(self.store)
-        self.link.harm(LinkFault.OLD_SILENT)
+        self.link.set_fault(LinkFault.OLD_SILENT)
         await self.open_connections(self.store)
         self.assertEqual(6, self.link.connections)
         self.assertEqual(1.0, count_dead_connections(self.metrics, UpstreamKind.STORE))
 
     async def test_store_that_is_gone_is_not_tried_for_longer_than_before(self):
         await self.open_connections(self.store)
-        self.link.harm(LinkFault.SILENT)
+        self.link.set_fault(LinkFault.SILENT)
         result = await asyncio.wait_for(self.store.write(CHANGE, 1.5), LATE_SECONDS)
         self.assertIs(WriteOutcome.UNKNOWN, result.outcome)
         async with asyncio.timeout(READ_TIMEOUT_SECONDS + SLACK_SECONDS):
@@ -342,7 +342,7 @@
 
     async def test_request_is_answered_by_the_same_server_on_a_new_connection(self):
         await self.open_connections()
-        self.pages.link.harm(LinkFault.OLD_SILENT)
+        self.pages.link.set_fault(LinkFault.OLD_SILENT)
         async with asyncio.timeout(LATE_SECONDS):
             await self.ask(9)
         self.assertEqual((4, 4), (self.pages.link.connections, self.pages.runs))
@@ -352,7 +352,7 @@
 
     async def test_connections_that_rest_are_not_handed_out_any_more(self):
         await self.open_connections()
-        self.pages.link.harm(LinkFault.OLD_SILENT)
+        self.pages.link.set_fault(LinkFault.OLD_SILENT)
         await self.ask(9)
         async with asyncio.timeout(SLACK_SECONDS):
             for number in range(10, 14):
@@ -362,7 +362,7 @@
     async def test_abandoned_attempt_marks_its_server_suspect(self):
         """The attempt lost to its hedge or timed out."""
         await self.open_connections()
-        self.pages.link.harm(LinkFault.OLD_SILENT)
+        self.pages.link.set_fault(LinkFault.OLD_SILENT)
         with self.assertRaises(TimeoutError):
             async with asyncio.timeout(2 * MIN_HEDGE_SECONDS):
                 await self.ask(9, repeat=False)
@@ -423,7 +423,7 @@
                     async for event in answer.events():
                         seen.append(event.id)
                         if event.id == 3:
-                            self.pages.link.harm(LinkFault.OLD_SILENT)
+                            self.pages.link.set_fault(LinkFault.OLD_SILENT)
                             now = asyncio.get_running_loop().time()
                             limit.reschedule(now + MAX_BODY_PAUSE_SECONDS + 0.2)
         self.assertEqual([1, 2, 3], seen)
@@ -435,7 +435,7 @@
         order = VersionOrder(ModelName("m"), 2, "daemon", 5, 3)
         reports = (self.servers.report(self.instance, 1.0) for _ in range(3))
         await asyncio.gather(*reports)
-        self.pages.link.harm(LinkFault.OLD_SILENT)
+        self.pages.link.set_fault(LinkFault.OLD_SILENT)
         outcome = await self.servers.order(self.instance, order, 0.4)
         self.assertIs(OrderOutcome.UNKNOWN, outcome)
         outcome = await self.servers.order(self.instance, order, 0.4)
@@ -449,7 +449,7 @@
         self.pages.delay = 0.5
         await self.ask(9, repeat=False)
         self.pages.delay = 0.0
-        self.pages.link.harm(LinkFault.OLD_SILENT)
+        self.pages.link.set_fault(LinkFault.OLD_SILENT)
         self.assertIsNone(await self.servers.report(self.instance, 0.4))
         self.assertEqual(1.0, count_dead_connections(self.metrics, UpstreamKind.SERVER))
 
@@ -511,7 +511,7 @@
 
     async def test_only_server(self):
         await self.begin("i-1")
-        self.all_pages[0].link.harm(LinkFault.OLD_SILENT)
+        self.all_pages[0].link.set_fault(LinkFault.OLD_SILENT)
         async with asyncio.timeout(self.late()):
             await self.ask()
         async with asyncio.timeout(SLACK_SECONDS):
@@ -520,7 +520,7 @@
     async def test_all_connections_to_both_servers(self):
         await self.begin("i-1", "i-2")
         for pages in self.all_pages:
-            pages.link.harm(LinkFault.OLD_SILENT)
+            pages.link.set_fault(LinkFault.OLD_SILENT)
         async with asyncio.timeout(self.late()):
             await asyncio.gather(*(self.ask() for _ in range(4)))
         for _ in range(4):
@@ -529,7 +529,7 @@
 
     async def test_connections_to_one_of_two_servers(self):
         await self.begin("i-1", "i-2")
-        self.all_pages[0].link.harm(LinkFault.OLD_SILENT)
+        self.all_pages[0].link.set_fault(LinkFault.OLD_SILENT)
         late = 0
         for _ in range(20):
             began = asyncio.get_running_loop().time()
