--- a/tests/process_soak/proxy.py
+++ b/tests/process_soak/proxy.py
@@ -61,7 +61,7 @@
         """Stops listening and breaks all connections off."""
         if self._return is not None:
             self._return.cancel()
-        self.break_off()
+        self.reset_connections()
         await self._server.close()
 
     def set_fault(self, fault: LinkFault) -> None:
@@ -75,7 +75,7 @@
         if fault is LinkFault.OLD_SILENT:
             self._silent_up_to = self.connections
         if fault is LinkFault.RESET or held_back:
-            self.break_off()
+            self.reset_connections()
         if fault is LinkFault.NONE:
             self._healed.set()
         else:
@@ -169,7 +169,7 @@
         self._writers.discard(writer)
         writer.transport.abort()
 
-    def break_off(self) -> None:
+    def reset_connections(self) -> None:
         """Breaks all connections off."""
         for writer in list(self._writers):
             writer.transport.abort()
--- a/tests/process_soak/strikes.py
+++ b/tests/process_soak/strikes.py
@@ -144,10 +144,10 @@
         """Lets the store refuse all calls of one daemon."""
         link = self._daemon(fault).store
         upstream, link.upstream = link.upstream, self._site.refuser_address
-        link.break_off()
+        link.reset_connections()
         await asyncio.sleep(fault.seconds)
         link.upstream = upstream
-        link.break_off()
+        link.reset_connections()
 
     async def _forget_history(self, fault: Fault) -> None:
         await _control(self._site.store_address, FORGET_CALL, b"")
