--- a/tests/process_soak/proxy.py
+++ b/tests/process_soak/proxy.py
@@ -12,7 +12,7 @@
 READ_BYTES = 65536
 NOISE = bytes(range(192, 256))
 DELAY_SECONDS = 0.15
-RETURN_LOOK_SECONDS = 0.05
+UPSTREAM_POLL_SECONDS = 0.05
 """Between two looks whether a server listens again."""
 
 
@@ -153,7 +153,7 @@
     async def _listen_again(self) -> None:
         """Listens again once the other port does."""
         while not await self._is_upstream_there():
-            await asyncio.sleep(RETURN_LOOK_SECONDS)
+            await asyncio.sleep(UPSTREAM_POLL_SECONDS)
         await self.start()
         self._is_dead = False
 
