--- a/tests/process_soak/proxy.py
+++ b/tests/process_soak/proxy.py
@@ -97,8 +97,8 @@
             server_reader, server_writer = await asyncio.open_connection(host, port)
             self._writers.add(server_writer)
             try:
-                to_server = self._pass_on(number, client_reader, server_writer, from_server=False)
-                to_client = self._pass_on(number, server_reader, client_writer, from_server=True)
+                to_server = self._forward(number, client_reader, server_writer, from_server=False)
+                to_client = self._forward(number, server_reader, client_writer, from_server=True)
                 await asyncio.gather(to_server, to_client)
             finally:
                 self._drop(server_writer)
@@ -107,7 +107,7 @@
         finally:
             self._drop(client_writer)
 
-    async def _pass_on(
+    async def _forward(
         self,
         number: int,
         reader: asyncio.StreamReader,
