--- a/tests/process_soak/proxy.py
+++ b/tests/process_soak/proxy.py
@@ -103,7 +103,9 @@
             finally:
                 self._drop(server_writer)
         except OSError:
-            await self._mirror()  # the server is gone, or a fault broke the connection off
+            await (
+                self._stop_if_upstream_is_down()
+            )  # the server is gone, or a fault broke the connection off
         finally:
             self._drop(client_writer)
 
@@ -137,12 +139,12 @@
                 await self._healed.wait()
                 raise ConnectionResetError("bytes were held back")
         if from_server:
-            await self._mirror()
+            await self._stop_if_upstream_is_down()
         if number > self._silent_up_to:
             with contextlib.suppress(OSError):
                 writer.write_eof()
 
-    async def _mirror(self) -> None:
+    async def _stop_if_upstream_is_down(self) -> None:
         """Lets the port be dead if the other one is, before anybody hears of it."""
         if not self._is_mirror or await self._is_upstream_there() or self._is_dead:
             return  # many connections may end at once
