--- a/tests/test_import_layers.py
+++ b/tests/test_import_layers.py
@@ -87,7 +87,7 @@
     }
 
 
-def circles(imports: Imports) -> list[list[str]]:
+def import_cycles(imports: Imports) -> list[list[str]]:
     """Returns the groups of modules that import each other, directly or by others."""
     reached = {module: _reached(module, imports) for module in imports}
     groups = {
@@ -135,7 +135,7 @@
         self.imports = read_imports()
 
     def test_no_modules_import_each_other_in_a_circle(self) -> None:
-        self.assertEqual(circles(self.imports), [])
+        self.assertEqual(import_cycles(self.imports), [])
 
     def test_only_known_imports_break_a_rule(self) -> None:
         broken = forbidden_imports(self.imports) | upward_imports(self.imports)
@@ -159,7 +159,7 @@
 
     def test_a_circle_over_three_modules_is_found(self) -> None:
         imports = {"a": {"b"}, "b": {"c"}, "c": {"a"}, "d": {"a"}}
-        self.assertEqual(circles(imports), [["a", "b", "c"]])
+        self.assertEqual(import_cycles(imports), [["a", "b", "c"]])
 
     def test_forbidden_and_upward_imports_are_found(self) -> None:
         imports = {
