--- a/tests/process_soak/strikes.py
+++ b/tests/process_soak/strikes.py
@@ -74,7 +74,7 @@
             Kind.SCORER_FAILS: self._fail_scorer,
             Kind.CONFIGURATION: self._configure,
             Kind.EVACUATION: self._evacuate,
-        } | dict.fromkeys(STORE_FAULTS, self._trouble_store)
+        } | dict.fromkeys(STORE_FAULTS, self._apply_store_faults)
 
     async def inject(self, fault: Fault) -> None:
         """Carries a fault out and ends it."""
@@ -152,7 +152,7 @@
     async def _forget_history(self, fault: Fault) -> None:
         await _control(self._site.store_address, FORGET_CALL, b"")
 
-    async def _trouble_store(self, fault: Fault) -> None:
+    async def _apply_store_faults(self, fault: Fault) -> None:
         """Lets faults strike the calls of all daemons; a later fault of the kind replaces them."""
         faults = orjson.dumps(STORE_FAULTS[fault.kind])
         await _control(self._site.store_address, STORE_FAULTS_CALL, faults)
