--- a/tests/process_soak/strikes.py
+++ b/tests/process_soak/strikes.py
@@ -61,7 +61,7 @@
             Kind.DAEMON_SUSPEND: self._suspend_daemon,
             Kind.GOOD_SETTINGS: self._change_settings,
             Kind.BAD_SETTINGS: self._break_settings,
-            Kind.STORE_TURNS_AWAY: self._turn_away,
+            Kind.STORE_TURNS_AWAY: self._refuse_calls_of_daemon,
             Kind.STORE_FORGETS: self._forget_history,
             Kind.STORE_PAUSE: self._pause_store,
             Kind.STORE_LINK: self._harm_store_link,
@@ -140,7 +140,7 @@
 
     # Store
 
-    async def _turn_away(self, fault: Fault) -> None:
+    async def _refuse_calls_of_daemon(self, fault: Fault) -> None:
         """Lets the store refuse all calls of one daemon."""
         link = self._daemon(fault).store
         upstream, link.upstream = link.upstream, self._site.refuser_address
