--- a/tests/process_soak/strikes.py
+++ b/tests/process_soak/strikes.py
@@ -98,7 +98,7 @@
         process = daemon.process
         process.send(signal.SIGCONT)
         process.send(number)
-        await _ended(process)
+        await _wait_for_exit(process)
         await asyncio.sleep(seconds)
         if daemon.process is process and daemon in self._site.daemons:
             daemon.process = self._site.start_daemon(daemon.place, daemon.environment)
@@ -180,7 +180,7 @@
         server = self._server(fault)
         process = server.process
         process.send(signal.SIGKILL)
-        await _ended(process)
+        await _wait_for_exit(process)
         await asyncio.sleep(fault.seconds)
         self._site.follow(server, process)
 
@@ -248,7 +248,7 @@
         return
 
 
-async def _ended(process: Process) -> None:
+async def _wait_for_exit(process: Process) -> None:
     """Waits for the end of a process; kills it if a planned stop takes too long."""
     give_up_at = time.monotonic() + STOP_SECONDS
     while process.popen.poll() is None:
