--- a/tests/disturbed_world.py
+++ b/tests/disturbed_world.py
@@ -38,7 +38,7 @@
         await self._flush(node.host)
         if self.daemons.get(name) is node:
             del self.daemons[name]
-            self._note_cut(node.host)
+            self._record_cut_requests(node.host)
             node.daemon.stop()
             self.stopped_daemons.append(node)
             self.fabric.daemons.pop(node.host.address, None)
@@ -70,7 +70,7 @@
         node.host.refusing = True
         await self._flush(node.host)
         if self.engines.get(engine) is node:
-            self._note_cut(node.host)
+            self._record_cut_requests(node.host)
             await _empty_buffers(node.host)
         if self.engines.get(engine) is node:
             self.kill_engine(engine)
@@ -104,7 +104,7 @@
         while host.calls and self.now < deadline:
             await asyncio.sleep(STOP_POLL)
 
-    def _note_cut(self, host: Host) -> None:
+    def _record_cut_requests(self, host: Host) -> None:
         if host.calls:
             self.records.requests_cut_by_stop.append(
                 f"{host.address} at {self.now:.2f}: {host.calls}"
