--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -25,7 +25,7 @@
             fleet = begin_fleet(group, SANTIAGO, daemons_per_zone=2)
             finish_fleet(fleet)
             load = start_load(fleet, LOAD_SECONDS, seed=3)
-            self._disturb(fleet)
+            self._inject_faults(fleet)
             wait_for_load([load], LOAD_SECONDS)
             summary = summarise([load])
         broken = {name: summary[name] for name in MUST_BE_ZERO if summary[name]}
@@ -34,7 +34,7 @@
         self.assertGreater(summary["trainer_steps"], 1)
         self.assertGreater(summary["client_requests"], 20)
 
-    def _disturb(self, fleet: Fleet) -> None:
+    def _inject_faults(self, fleet: Fleet) -> None:
         killed, frozen, stopped = list(fleet.daemons.values())[:3]
         time.sleep(2.0)
         killed.process.send(signal.SIGKILL)
