--- a/tests/disturbed_world.py
+++ b/tests/disturbed_world.py
@@ -11,7 +11,7 @@
 from larkpost.rehearsal.simulation.world import World
 
 STOP_POLL = 0.05
-ANSWER_FLUSH = 1.0
+RESPONSE_FLUSH_SECONDS = 1.0
 """Seconds in which answers already written reach their callers after a planned stop."""
 
 
@@ -100,7 +100,7 @@
     async def _flush(self, host: Host) -> None:
         """Waits for refusals being written; a frozen host writes them once it is thawed."""
         await host.wait_until_running()
-        deadline = self.now + ANSWER_FLUSH
+        deadline = self.now + RESPONSE_FLUSH_SECONDS
         while host.calls and self.now < deadline:
             await asyncio.sleep(STOP_POLL)
 
