--- a/tests/process_soak/__main__.py
+++ b/tests/process_soak/__main__.py
@@ -21,7 +21,6 @@
 from larkpost.rehearsal.processes import ProcessGroup, is_responding
 from tests.process_soak.callers import Callers
 from tests.process_soak.checker import CRASH_REPORT_SECONDS, InvariantChecker
-from tests.process_soak.injector import FaultInjector
 from tests.process_soak.plan import (
     CRASH_REPORT_LOSING_KINDS,
     DISRUPTIVE_KINDS,
@@ -31,6 +30,7 @@
 )
 from tests.process_soak.records import read_records
 from tests.process_soak.site import DAEMONS, MODEL, Site
+from tests.process_soak.strikes import FaultInjector
 
 CHECK_SECONDS = 3.0
 CRASHING_PAGES = 2
