--- a/tests/connections.py
+++ b/tests/connections.py
@@ -1,4 +1,4 @@
-"""A server of bytes for tests, whose connections end with it and leave no traceback."""
+"""A TCP server for tests that ends its connections on close without a traceback."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -30,7 +30,7 @@
         self._server = await asyncio.start_server(self._serve, host, port)
 
     def stop_listening(self) -> None:
-        """Lets the port be dead, until it is started again; open connections stay."""
+        """Stops listening until `start` is called again; open connections stay."""
         self._server.close()
 
     async def close(self) -> None:
--- a/tests/days/write_days.py
+++ b/tests/days/write_days.py
@@ -1,7 +1,7 @@
-"""Writes a day of the users' bench for each kind of fault and each of its variants.
+"""Writes a scenario ("day") of the users' test bench for each kind and variant of fault.
 
-``python tests/days/write_days.py FOLDER ENGINE_SERVICE PAGE_SERVICE`` writes a TOML file for each;
-the bench plays one with ``run SITE FILE``. docs/FAULTS.md has the results.
+``python tests/days/write_days.py FOLDER ENGINE_SERVICE PAGE_SERVICE`` writes one TOML file per day;
+the bench runs one with ``run SITE FILE``. docs/FAULTS.md has the results.
 """
 
 import sys
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Day:
-    """A day: planned work, faults, and perhaps a fault at its end."""
+    """A scenario: planned operations, faults, and an optional fault at its end."""
 
     name: str
     plan: tuple[Entry, ...] = ()
@@ -22,17 +22,17 @@
 
 
 def entry(kind: str, at: float, **fields: str | int | float) -> Entry:
-    """Returns one entry of a day."""
+    """Returns one operation or fault of a day."""
     return {"kind": kind, "at": at, **fields}
 
 
 def label(how: str) -> str:
-    """Returns a variant's name as part of a file's name."""
+    """Returns a variant's name for use in a file name."""
     return how.replace(" ", "-") or "plain"
 
 
 def server_days(engines: str, pages: str) -> list[Day]:
-    """Returns the days on which servers fail."""
+    """Returns the days with failures of servers."""
     days = [
         Day(
             f"srv-crash-{label(how)}",
@@ -88,7 +88,7 @@
 
 
 def machine_days() -> list[Day]:
-    """Returns the days on which machines of larkpost fail."""
+    """Returns the days with failures of larkpost's machines."""
     days = []
     variants: dict[str, tuple[str, ...]] = {
         "node_kill": ("", "power", "leader", "taken", "giver", "leader race drain", "meet drain"),
@@ -125,7 +125,7 @@
 
 
 def store_days() -> list[Day]:
-    """Returns the days on which the platform's store fails."""
+    """Returns the days with failures of the platform's store."""
     days = []
     for how in ("silent", "busy", "reset", "busy lapse"):
         for share in (0.0, 0.5):
@@ -146,7 +146,7 @@
 
 
 def configuration_days() -> list[Day]:
-    """Returns the days on which the configuration changes."""
+    """Returns the days with configuration changes."""
     days = [
         Day(
             f"config-change-{how}",
@@ -160,7 +160,7 @@
 
 
 def further_days() -> list[Day]:
-    """Returns the days of the kinds that may come too, and pairs that meet."""
+    """Returns the days of other kinds of faults, and of pairs of faults at the same time."""
     days = []
     for how in ("errors", "shed", "busy", "hang", "reset", "mute", "slow", "hang one_zone"):
         faults = (entry("srv_grey", 5, share=0.4, x=0.5, for_s=10, how=how),)
@@ -220,7 +220,7 @@
 
 
 def write(day: Day, folder: Path) -> None:
-    """Writes a day's file."""
+    """Writes the TOML file of a day."""
     lines = [
         "[[day]]",
         f'name = "{day.name}"',
@@ -240,7 +240,7 @@
 
 
 def table(fields: Entry) -> str:
-    """Returns an entry as an inline table."""
+    """Returns an entry as a TOML inline table."""
     parts = [
         f'{name} = "{value}"' if isinstance(value, str) else f"{name} = {value}"
         for name, value in fields.items()
@@ -249,7 +249,7 @@
 
 
 def main(folder: Path, engines: str, pages: str) -> None:
-    """Writes all days."""
+    """Writes the files of all days."""
     folder.mkdir(parents=True, exist_ok=True)
     days = [
         *server_days(engines, pages),
--- a/tests/disturbed_world.py
+++ b/tests/disturbed_world.py
@@ -1,6 +1,6 @@
-"""A simulated fleet with what only tests do to it: planned stops, freezes, lost links.
+"""A simulated fleet with faults that only tests inject: planned stops, freezes, link failures.
 
-It notes the marks and cuts by which `larkpost.rehearsal.simulation.oracle` judges stops.
+It records the leaving notices and interrupted requests that the oracle checks.
 """
 
 import asyncio
@@ -12,11 +12,11 @@
 
 STOP_POLL = 0.05
 RESPONSE_FLUSH_SECONDS = 1.0
-"""Seconds in which answers already written reach their callers after a planned stop."""
+"""Time in which responses already written reach their callers after a planned stop."""
 
 
 class DisturbedWorld(World):
-    """A fleet whose hosts also freeze, stop as planned and lose single links."""
+    """A fleet whose hosts also freeze, stop gracefully and lose single links."""
 
     # Daemons
 
@@ -28,7 +28,7 @@
         asyncio.get_running_loop().call_later(seconds, self.faults.set, fault, False)
 
     async def stop_daemon(self, name: DaemonId) -> None:
-        """Stops a daemon as planned."""
+        """Stops a daemon gracefully."""
         node = self.daemons[name]
         if node.stopping:
             return
@@ -48,7 +48,7 @@
     # Engines
 
     def kill_engine(self, engine: EngineId) -> None:
-        """Crashes an engine; what it said itself of leaving ends with it."""
+        """Kills an engine; its own leaving notice ends with it."""
         for mark in self.records.leaving:
             if mark.engine == engine and mark.source == LeavingSource.ENGINE:
                 mark.until = min(mark.until, self.now)
@@ -59,9 +59,10 @@
         self.engines[engine].model.faults.frozen_until = self.now + seconds
 
     async def stop_engine(self, engine: EngineId) -> None:
-        """Stops an engine as planned: it reports that it leaves and ends once idle.
+        """Stops an engine gracefully: it reports that it is leaving and exits once idle.
 
-        Idle means that nothing is generated and every answer is sent, late as a fault may make it.
+        Idle means that nothing is generated and all responses are sent, also those that a fault
+        delays.
         """
         node = self.engines[engine]
         self.mark_leaving(engine, LeavingSource.ENGINE)
@@ -76,7 +77,7 @@
             self.kill_engine(engine)
 
     def mark_leaving(self, engine: EngineId, source: LeavingSource) -> None:
-        """Marks an engine as leaving, on the machine list or by itself."""
+        """Marks an engine as leaving, in the machine list or in its own reports."""
         at = self.now
         if source == LeavingSource.ENGINE:
             self.engines[engine].model.leaving = True
@@ -93,12 +94,12 @@
         self.faults.begin("links")
 
     def set_platform_slow(self, seconds: float) -> None:
-        """Delays every answer of the platform."""
+        """Delays every response of the platform."""
         self.platform.faults.slow_seconds = seconds
         self.faults.set("slow platform", seconds > 0)
 
     async def _flush(self, host: Host) -> None:
-        """Waits for refusals being written; a frozen host writes them once it is thawed."""
+        """Waits for refusals in progress; a frozen host writes them once it resumes."""
         await host.wait_until_running()
         deadline = self.now + RESPONSE_FLUSH_SECONDS
         while host.calls and self.now < deadline:
@@ -112,6 +113,6 @@
 
 
 async def _empty_buffers(host: Host) -> None:
-    """Waits until what was sent has arrived; a kernel does so after the process has ended."""
+    """Waits until sent data has arrived, as a kernel does after the process has exited."""
     while host.in_transit:
         await asyncio.sleep(STOP_POLL)
--- a/tests/platform_checks.py
+++ b/tests/platform_checks.py
@@ -1,25 +1,25 @@
-"""Checks of single promises on the platform, shared by the fuzz's oracle and the process soak."""
+"""Invariant checks on the platform, shared by the fuzz test's oracle and the process soak."""
 
 from collections.abc import Collection, Iterable, Mapping
 
 LEASE_SECONDS = 3.0
 SECOND = 1.0
 CALL_ATTEMPTS = 4
-"""Attempts that the route of reward calls allows in tests."""
+"""Attempts that the reward call route allows in tests."""
 CRASHES_TO_KNOW = 3
-"""Servers that a request has crashed when it must be known to do so."""
+"""Number of crashed servers after which a request must be known to crash servers."""
 RETRIES_ALLOWED = 3
 CONTACT_SECONDS = 3.0
-"""Within this of a change or the end of a fault a daemon has heard of it."""
+"""Time after a change, or after the end of a fault, by which a daemon has read the change."""
 EVACUATE_SECONDS = 5.0
-"""Within this of the store's answer nothing new is sent to an evacuated zone."""
+"""Time after the store's response from which nothing new is sent to an evacuated zone."""
 
 
 def check_turns(orders: list[tuple[str, int, float]], instance: str) -> None:
-    """Checks that holders never take turns at an engine within a lease, and that tokens rise.
+    """Checks that fencing tokens increase and that no two holders give orders within one lease.
 
     Args:
-        orders: holder, fencing token and time of each order, as they arrived.
+        orders: holder, fencing token and time of each order, in order of arrival.
     """
     for before, after in zip(orders, orders[1:], strict=False):
         assert before[1] < after[1], f"{instance}: tokens do not rise: {orders}"
@@ -28,7 +28,7 @@
 
 
 def check_reports(reports: Iterable[tuple[int, Mapping[str, int]]]) -> None:
-    """Checks that no window of usage was reported with two different counts."""
+    """Checks that no usage window was reported with two different counts."""
     known: dict[int, Mapping[str, int]] = {}
     for window, counts in reports:
         before = known.setdefault(window, counts)
@@ -36,11 +36,11 @@
 
 
 def known_by(began_at: float, troubles: Iterable[tuple[float, float]]) -> float:
-    """Returns when a daemon must know of an evacuation that began at a time.
+    """Returns the time by which a daemon must know of an evacuation.
 
     Args:
-        troubles: spans in which it could not read the store, in their order. One that began after
-            it had to know, and so knew, is no excuse.
+        troubles: spans in which it could not read the store, in order. One that began after the
+            daemon had to know does not extend the time.
     """
     latest = began_at + EVACUATE_SECONDS
     for start, end in troubles:
@@ -50,7 +50,7 @@
 
 
 def check_evacuated(instance: str, sent_at: float, known_at: float, ended_at: float) -> None:
-    """Checks that a request was not sent to an evacuated zone after its sender had to know."""
+    """Checks that a sender that must know of an evacuation sent no request to the zone."""
     assert not known_at < sent_at < ended_at, (
         f"{instance} is in a zone evacuated until {ended_at}, "
         f"as its sender knows since {known_at}, but got a request at {sent_at}"
@@ -58,11 +58,11 @@
 
 
 def check_crashes(content: str, crashed: list[float], arrivals: list[float]) -> None:
-    """Checks that a request that crashes servers is hardly sent on once it has crashed three.
+    """Checks that a request that crashed three servers is retried only a few times after that.
 
     Args:
-        crashed: when it crashed a server, in order.
-        arrivals: when servers began to run it, of daemons that could know.
+        crashed: times at which it crashed a server, in order.
+        arrivals: times at which servers began to run it, for daemons that could know.
     """
     if len(crashed) < CRASHES_TO_KNOW:
         return
@@ -75,7 +75,7 @@
 
 
 def check_once(batch: str, listed: list[str], items: set[str]) -> None:
-    """Checks that each item listed is the batch's and stands once."""
+    """Checks that each listed item belongs to the batch and is listed once."""
     assert len(set(listed)) == len(listed), f"{batch} doubled"
     assert set(listed) <= items, f"{batch} lists an item of another batch"
 
@@ -83,31 +83,31 @@
 def check_text(
     item: str, text: str, whole: str, versions: Iterable[int], minimum_version: int
 ) -> None:
-    """Checks that a result's text is whole, and made under versions that are new enough."""
+    """Checks that a result's text is complete and that its versions are new enough."""
     assert text == whole, f"{item}: the text is not the whole output"
     assert min(versions) >= minimum_version, f"{item}: below minimum_version"
 
 
 def check_score(item: str, began: list[float], whole_at: float) -> None:
-    """Checks that a score is a signature, of a call that began after the text was first whole.
+    """Checks that a score is the signature of a call that began after the text was complete.
 
     Args:
-        began: when the runs of the item's reward call began that were answered with the score.
+        began: start times of the item's reward calls that returned the score.
     """
     assert began, f"the score of {item} is nobody's signature"
     assert min(began) >= whole_at, f"{item} was scored before its text was whole"
 
 
 def check_given_up(item: str, failures: int) -> None:
-    """Checks that an item with a reward call is dead only after enough failures of the call."""
+    """Checks that an item with a reward call is given up only after enough failed attempts."""
     assert failures >= CALL_ATTEMPTS, f"{item} given up early"
 
 
 def check_cold(instance: str, arrivals: list[float], bound: float) -> None:
-    """Checks that no second has more requests at a cold instance than it bears.
+    """Checks that a cold instance receives no more requests per second than its limit.
 
     Args:
-        arrivals: when each request arrived while it was cold, in order.
+        arrivals: arrival times of the requests while it was cold, in order.
     """
     most = int(bound)
     for first, last in zip(arrivals, arrivals[most:], strict=False):
@@ -115,7 +115,7 @@
 
 
 def check_home(what: str, region: str | None, homes: Collection[str] | None) -> None:
-    """Checks that something that holds a request's body is where the request may be served.
+    """Checks that a request's body is held only in a region where the request may be served.
 
     Args:
         homes: the only regions in which it may be served; None for all.
--- a/tests/process_fleet.py
+++ b/tests/process_fleet.py
@@ -1,4 +1,4 @@
-"""One site as real processes: platform, engines and daemons, configured and ready."""
+"""Runs one site as real processes: platform, engines and daemons."""
 
 from dataclasses import dataclass, field
 
@@ -35,11 +35,11 @@
     daemons: dict[str, Node] = field(default_factory=dict)
 
     def daemon_list(self) -> str:
-        """Returns the daemons' addresses as the commands take them."""
+        """Returns the daemons' addresses as a comma-separated command argument."""
         return ",".join(node.address for node in self.daemons.values())
 
     def start_engine(self, machine: Machine) -> None:
-        """Starts an engine and lists its machine."""
+        """Starts an engine; see `list_machine`."""
         address = free_address()
         process = self.group.start(
             machine.engine,
@@ -52,7 +52,7 @@
         self.engines[machine.engine] = Node(process, address)
 
     def list_machine(self, machine: Machine) -> None:
-        """Puts an engine on the machine list."""
+        """Adds an engine to the machine list."""
         fields = {
             "zone": machine.zone,
             "address": self.engines[machine.engine].address,
--- a/tests/process_load.py
+++ b/tests/process_load.py
@@ -1,4 +1,4 @@
-"""Load on a site's processes, and the summary of what trainers, clients and engines recorded."""
+"""Load on a site's processes, and a summary of the records of trainers, clients and engines."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -39,7 +39,7 @@
 
 
 def start_load(fleet: Fleet, seconds: float, seed: int) -> SiteLoad:
-    """Starts a site's trainer and clients for a time."""
+    """Starts a site's trainer and clients for a number of seconds."""
     site = fleet.site
     daemons = f"--daemons={fleet.daemon_list()}"
     trainer = fleet.group.start(
@@ -71,19 +71,19 @@
 
 
 def wait_for_load(loads: list[SiteLoad], seconds: float) -> None:
-    """Waits until trainers and clients have ended.
+    """Waits until trainers and clients have exited.
 
     Raises:
-        RehearsalError: one ended with an error, or not in time.
+        RehearsalError: one failed, or did not exit in time.
     """
     for load in loads:
         for process in [load.trainer, *load.clients]:
             if process.wait(seconds + END_TIMEOUT) != 0:
-                raise RehearsalError(f"{process.name} ended with an error")
+                raise RehearsalError(f"{process.name} exited with an error")
 
 
 def summarise(loads: list[SiteLoad]) -> dict:
-    """Returns the counts, from the records of trainers, clients and engines only."""
+    """Returns the counts, computed only from the records of trainers, clients and engines."""
     trainers = [orjson.loads(load.trainer.lines()[-1]) for load in loads]
     clients = [orjson.loads(c.lines()[-1]) for load in loads for c in load.clients]
     attempts = Counter()
@@ -100,7 +100,7 @@
 
 
 def _summarise_clients(clients: list[dict], attempts: Counter[str]) -> dict[str, int]:
-    """Returns the clients' counts, held against how often each request began to run."""
+    """Returns the clients' counts, compared with how often engines started each request."""
     return {
         "client_requests": sum(record["requests"] for record in clients),
         "client_wrong_answers": sum(record["wrong_answers"] for record in clients),
@@ -110,7 +110,7 @@
 
 
 def _started_requests(process: Process) -> list[str]:
-    """Returns the request of each attempt that an engine recorded, cut-off lines left out."""
+    """Returns the request of each attempt that an engine recorded; skips truncated lines."""
     requests = []
     for line in process.lines():
         try:
--- a/tests/process_soak/__init__.py
+++ b/tests/process_soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak of the real programs: processes on loopback, faults from outside, judged from outside."""
+"""Soak test of the real programs on loopback, with external faults and external checks."""
--- a/tests/process_soak/__main__.py
+++ b/tests/process_soak/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the soak: ``python -m tests.process_soak``; exit 1 if a promise broke."""
+"""Runs the soak: ``python -m tests.process_soak``; exits with status 1 on a violation."""
 
 import asyncio
 import random
@@ -34,9 +34,9 @@
 
 CHECK_SECONDS = 3.0
 CRASHING_PAGES = 2
-"""Pages that crash servers, of which each such fault asks for one: it comes again."""
+"""Number of pages that crash servers; each such fault requests one of them repeatedly."""
 CALM_SECONDS = 12.0
-"""So long does each such page come again in calm times: crashed servers are back four times."""
+"""Time for which each such page is requested after the faults; enough for four server restarts."""
 HEAL_SECONDS = 60.0
 READY_SECONDS = 30.0
 ITEMS = 24
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class Report:
-    """What one run saw; durations in seconds."""
+    """Results of one run; durations in seconds."""
 
     seed: int
     seconds: float
@@ -66,9 +66,10 @@
     """One run.
 
     Args:
-        report: names the seed, the length and the mutant; the run fills in the rest.
-        plan: the faults, by time.
-        daemons: how many there are.
+        report: has the seed, the duration and the mutant; the run fills in the rest.
+        plan: the faults, in order of time.
+        folder: for the files of the run.
+        daemons: number of daemons.
     """
 
     def __init__(self, report: Report, plan: list[Fault], folder: Path, daemons: int) -> None:
@@ -80,7 +81,7 @@
         self._chance = random.Random(report.seed)
 
     async def play(self, group: ProcessGroup) -> Report:
-        """Plays a run and returns what it saw."""
+        """Runs the soak and returns its report."""
         site = Site(group, self._folder, self.report.mutant, self._daemons)
         await site.start()
         self._checker.evacuations = site.evacuations
@@ -117,7 +118,7 @@
         return self.report
 
     async def _inject_faults(self, injector: FaultInjector, callers: Callers) -> None:
-        """Carries the plan out; faults overlap as it says."""
+        """Injects the faults of the plan, which may overlap."""
         started = time.monotonic()
         running = []
         for fault in self._plan:
@@ -131,7 +132,7 @@
         disruptions = self._checker.disruptions
         if fault.kind in DISRUPTIVE_KINDS:
             disruptions.append((began_at, float("inf")))
-        if fault.kind is not Kind.EVACUATION:  # which excuses nothing
+        if fault.kind is not Kind.EVACUATION:  # an evacuation excuses no violation
             self._checker.fault_times.append(began_at)
         crash_report_gaps = self._checker.crash_report_gaps
         if fault.kind in CRASH_REPORT_LOSING_KINDS:
@@ -150,9 +151,9 @@
             disruptions.append((began_at, time.monotonic()))
 
     async def _heal(self, callers: Callers) -> None:
-        """Waits until every accepted batch that nobody ended is whole.
+        """Waits until every accepted batch that was not ended is complete.
 
-        Then what has crashed servers comes once more, in calm times, at every daemon.
+        Then the pages that crashed servers are requested again at every daemon, without faults.
         """
         until = time.monotonic() + HEAL_SECONDS
         for name in self._checker.missing():
@@ -190,7 +191,7 @@
 def play(
     seed: int, seconds: float, gap: float, mutant: str | None = None, daemons: int = DAEMONS
 ) -> Report:
-    """Plays one run in a folder of its own; logs of a broken run are kept."""
+    """Runs the soak once in a temporary folder; keeps the logs if an invariant was violated."""
     with tempfile.TemporaryDirectory(prefix="larkpost-soak-") as name:
         folder = Path(name)
         with ProcessGroup(folder) as group:
@@ -210,7 +211,7 @@
     daemons: Annotated[int, typer.Option(help="Daemons, a process each.")] = DAEMONS,
     runs: Annotated[int, typer.Option(help="Runs, each with the next seed.")] = 1,
 ) -> None:
-    """Plays runs and prints one line of JSON for each."""
+    """Runs the soak several times and prints one line of JSON for each run."""
     first = secrets.randbelow(1_000_000) if seed is None else seed
     broken = False
     for number in range(first, first + runs):
--- a/tests/process_soak/plan.py
+++ b/tests/process_soak/plan.py
@@ -1,4 +1,4 @@
-"""The faults of a run, drawn from its seed before it begins."""
+"""The faults of a run, generated from its seed before it starts."""
 
 import random
 from dataclasses import dataclass
@@ -8,13 +8,13 @@
 
 
 class Kind(StrEnum):
-    """Kinds of faults; each names the targets it may strike."""
+    """Kinds of faults; the prefix names the target."""
 
-    DAEMON_KILL = "daemon_kill"  # SIGKILL, started again under its address after a while
-    DAEMON_MOVE = "daemon_move"  # SIGKILL, another one starts under a new address
-    DAEMON_STOP = "daemon_stop"  # SIGTERM with work in flight, then started again
+    DAEMON_KILL = "daemon_kill"  # SIGKILL, restarted at its address after a while
+    DAEMON_MOVE = "daemon_move"  # SIGKILL, another one starts at a new address
+    DAEMON_STOP = "daemon_stop"  # SIGTERM with requests in flight, then restarted
     DAEMON_PAUSE = "daemon_pause"  # SIGSTOP and SIGCONT, also past the lease
-    DAEMON_SUSPEND = "daemon_suspend"  # paused, while its plain steady clock stands still
+    DAEMON_SUSPEND = "daemon_suspend"  # paused while its monotonic clock is stopped
     ALL_DAEMONS_KILL = "all_daemons_kill"
     GOOD_SETTINGS = "good_settings"  # SIGHUP after a harmless change of the settings
     BAD_SETTINGS = "bad_settings"  # SIGHUP after a change that must be refused
@@ -25,17 +25,17 @@
     STORE_SLOW = "store_slow"
     STORE_PARTS_DOWN = "store_parts_down"
     STORE_FORGETS = "store_forgets"  # its history
-    STORE_PAUSE = "store_pause"  # the store is silent to all
+    STORE_PAUSE = "store_pause"  # the store is paused for all callers
     STORE_LINK = "store_link"  # a daemon's link to the store
     SERVER_LINK = "server_link"  # all daemons' link to a server
     FRONT_LINK = "front_link"  # the callers' link to a daemon
-    SERVER_GARBLES = "server_garbles"  # answers too many, or noise in their place
-    ORDERS_LATE = "orders_late"  # an engine leaves orders unanswered and carries them out later
-    SERVER_KILL = "server_kill"  # a new instance follows at the same address
+    SERVER_GARBLES = "server_garbles"  # extra responses, or noise in their place
+    ORDERS_LATE = "orders_late"  # an engine leaves orders unanswered and executes them later
+    SERVER_KILL = "server_kill"  # a new instance starts at the same address
     SERVER_PAUSE = "server_pause"
-    CRASHING_REQUEST = "crashing_request"  # comes again and again, and crashes servers
+    CRASHING_REQUEST = "crashing_request"  # is sent repeatedly, and crashes servers
     SCORER_FAILS = "scorer_fails"  # a server answers every page with 500
-    CONFIGURATION = "configuration"  # a newer one, with another route
+    CONFIGURATION = "configuration"  # a new configuration with another route
     EVACUATION = "evacuation"  # of a zone, ended after a while
 
 
@@ -56,7 +56,7 @@
     Kind.SERVER_LINK,
     Kind.SERVER_PAUSE,
 }
-"""What keeps news from daemons, or requests on their way to servers."""
+"""Faults that delay updates to daemons, or requests in transit to servers."""
 CRASH_REPORT_LOSING_KINDS = DISRUPTIVE_KINDS | {
     Kind.DAEMON_KILL,
     Kind.DAEMON_MOVE,
@@ -66,11 +66,11 @@
     Kind.STORE_WRITES_LATE,
     Kind.STORE_PARTS_DOWN,
 }
-"""What may lose or delay the news of a crash: ends of daemons, and all faults of the store."""
+"""Faults that may lose or delay crash reports: daemon exits and all faults of the store."""
 USUAL_LONGEST_SECONDS = 5.0
 SHORTEST_SECONDS = 0.3
 GARBLES = (LinkFault.EXTRA, LinkFault.GARBLE)
-"""What only servers do: the store and the daemons keep their protocol."""
+"""Link faults for servers only; the store and the daemons keep to the protocol."""
 LINK_FAULTS = tuple(fault for fault in LinkFault if fault not in (LinkFault.NONE, *GARBLES))
 
 
@@ -79,10 +79,10 @@
     """One fault.
 
     Attributes:
-        at: seconds from the start of the load.
-        seconds: how long it lasts.
-        target: a number; the site takes it modulo the count of what the kind may strike.
-        link: what becomes of the bytes, if it strikes a link.
+        at: seconds after the start of the load.
+        seconds: its duration.
+        target: index of the target, modulo the number of targets of the kind.
+        link: the effect on the bytes, for faults of links.
     """
 
     at: float
@@ -93,7 +93,7 @@
 
 
 def draw_plan(seed: int, seconds: float, gap: float) -> list[Fault]:
-    """Returns the faults of a run of so many seconds, one about each ``gap`` seconds."""
+    """Returns the faults of a run, with a mean interval of ``gap`` seconds."""
     rng = random.Random(seed)
     faults = []
     at = rng.uniform(0.5, 1.5) * gap
--- a/tests/process_soak/proxy.py
+++ b/tests/process_soak/proxy.py
@@ -1,4 +1,4 @@
-"""A proxy between two processes that passes bytes and can harm the link."""
+"""A TCP proxy between two processes that can inject link faults."""
 
 import asyncio
 import contextlib
@@ -13,28 +13,28 @@
 NOISE = bytes(range(192, 256))
 DELAY_SECONDS = 0.15
 UPSTREAM_POLL_SECONDS = 0.05
-"""Between two looks whether a server listens again."""
+"""Interval of the check whether the upstream server is listening again."""
 
 
 class LinkFault(StrEnum):
-    """What a proxy does with the bytes of its connections."""
+    """Faults that a proxy applies to its connections."""
 
     NONE = "none"
-    DELAY = "delay"  # passes them late
-    RESET = "reset"  # breaks connections off, old and new ones
-    SILENT = "silent"  # holds all of them back; the connections end with the fault
-    ONE_WAY = "one_way"  # passes what goes to the server, holds back what comes from it
-    EXTRA = "extra"  # passes what comes from the server twice
-    GARBLE = "garble"  # passes noise in place of what comes from the server, then breaks off
-    OLD_SILENT = "old_silent"  # swallows all bytes of the connections that are open, for good
-    HALF = "half"  # passes half of what it reads next in a direction, then holds back
+    DELAY = "delay"  # forwards bytes late
+    RESET = "reset"  # aborts open and new connections
+    SILENT = "silent"  # withholds all bytes; the connections end with the fault
+    ONE_WAY = "one_way"  # forwards requests, withholds the server's bytes
+    EXTRA = "extra"  # forwards the server's bytes twice
+    GARBLE = "garble"  # replaces the server's bytes with noise, then aborts
+    OLD_SILENT = "old_silent"  # discards all bytes of the open connections permanently
+    HALF = "half"  # forwards half of the next read per direction, then withholds
 
 
 class FaultProxy:
-    """Listens at an address of its own and passes connections on to another one.
+    """Listens at its own address and forwards connections to another one.
 
     Args:
-        is_mirror: whether its port is dead while the other one is.
+        is_mirror: whether it stops listening while the upstream port is closed.
     """
 
     def __init__(self, upstream: Address, *, is_mirror: bool = False) -> None:
@@ -47,7 +47,7 @@
         self._writers: set[asyncio.StreamWriter] = set()
         self.connections = 0
         self._silent_up_to = 0
-        """The last connection, counted from 1, that was open when they went silent for good."""
+        """Number, from 1, of the last connection whose bytes are discarded permanently."""
         self._healed = asyncio.Event()
         self._healed.set()
         self._server = ConnectionServer(self._serve)
@@ -58,17 +58,17 @@
         await self._server.start(host, port)
 
     async def close(self) -> None:
-        """Stops listening and breaks all connections off."""
+        """Stops listening and aborts all connections."""
         if self._return is not None:
             self._return.cancel()
         self.reset_connections()
         await self._server.close()
 
     def set_fault(self, fault: LinkFault) -> None:
-        """Begins a fault, or ends it with `LinkFault.NONE`.
+        """Starts a fault, or ends it with `LinkFault.NONE`.
 
-        Connections whose bytes were held back are broken off when the fault ends: bytes are lost,
-        and none arrives twice or out of order.
+        Connections with withheld bytes are aborted when the fault ends: their bytes are lost, and
+        none arrives twice or out of order.
         """
         held_back = self.fault in (LinkFault.SILENT, LinkFault.ONE_WAY, LinkFault.HALF)
         self.fault = fault
@@ -105,7 +105,7 @@
         except OSError:
             await (
                 self._stop_if_upstream_is_down()
-            )  # the server is gone, or a fault broke the connection off
+            )  # the server is down, or a fault aborted the connection
         finally:
             self._drop(client_writer)
 
@@ -145,7 +145,7 @@
                 writer.write_eof()
 
     async def _stop_if_upstream_is_down(self) -> None:
-        """Lets the port be dead if the other one is, before anybody hears of it."""
+        """Stops listening if the upstream port is closed, before the client connection ends."""
         if not self._is_mirror or await self._is_upstream_there() or self._is_dead:
             return  # many connections may end at once
         self._is_dead = True
@@ -153,7 +153,7 @@
         self._return = asyncio.create_task(self._listen_again())
 
     async def _listen_again(self) -> None:
-        """Listens again once the other port does."""
+        """Starts listening again once the upstream port is open."""
         while not await self._is_upstream_there():
             await asyncio.sleep(UPSTREAM_POLL_SECONDS)
         await self.start()
@@ -172,6 +172,6 @@
         writer.transport.abort()
 
     def reset_connections(self) -> None:
-        """Breaks all connections off."""
+        """Aborts all connections."""
         for writer in list(self._writers):
             writer.transport.abort()
--- a/tests/process_soak/records.py
+++ b/tests/process_soak/records.py
@@ -1,4 +1,4 @@
-"""What the stand-ins of a soak have recorded of their work."""
+"""Records written by the stand-in servers of a soak."""
 
 import time
 from collections import defaultdict
@@ -13,21 +13,21 @@
 from larkpost.common.ids import ZoneId
 
 FAILING_CALL = "/-/failing"
-"""Tells a server whether to answer all pages with 500."""
+"""Path of the call that makes a server respond to all pages with 500, or stops it."""
 
 
 CRASHING_PAGE = "crashing-"
-"""Begins the last part of the path of a page that crashes each server that begins to make it."""
+"""Prefix of the last path segment of a page that crashes every server that starts to run it."""
 LATE_ORDERS_CALL = "/-/late-orders"
-"""Tells an engine whether to leave orders unanswered and carry them out later."""
+"""Path of the call that makes an engine execute orders late without a response, or stops it."""
 STORE_FAULTS_CALL = "/-/faults"
-"""Sets the faults that strike the daemons' calls to the store."""
+"""Path of the call that sets the faults of the daemons' calls to the store."""
 FORGET_CALL = "/-/forget"
-"""Makes the store forget its history."""
+"""Path of the call that makes the store drop its history."""
 
 
 class RecordKind(StrEnum):
-    """Kinds of records that a server writes."""
+    """Kinds of records written by a server."""
 
     RUN = "run"
     WHOLE = "whole"
@@ -43,10 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One run of a request; `began` is steady time, `tenant` what the request named.
+    """One run of a request; `began` is steady time, `tenant` the request's tenant.
 
     Attributes:
-        zone: of the server that ran it.
+        zone: zone of the server that ran it.
     """
 
     path: str
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """A usage report that was taken; `at` is steady time."""
+    """An accepted usage report; `at` is steady time."""
 
     window: int
     counts: dict[str, int]
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """An order that reached an instance; `at` is steady time."""
+    """An order received by an instance; `at` is steady time."""
 
     holder: str
     token: int
@@ -87,7 +87,7 @@
 
 @dataclass(slots=True)
 class Evacuation:
-    """An evacuation; `began_at` is when the store acknowledged it, `ended_at` when its end went."""
+    """An evacuation; `began_at`: the store acknowledged it, `ended_at`: its end was sent."""
 
     zone: ZoneId
     began_at: float
@@ -100,10 +100,10 @@
 
     Attributes:
         runs: by request.
-        whole_at: when a stream of the request first came to its end.
-        orders: by instance, as they arrived.
-        usage: all usage reports that were taken, as they arrived.
-        crashes: by path, as they began.
+        whole_at: when a stream of the request was first complete.
+        orders: by instance, in order of arrival.
+        usage: all accepted usage reports, in order of arrival.
+        crashes: by path, in order of their start.
     """
 
     runs: dict[str, list[Run]] = field(default_factory=lambda: defaultdict(list))
@@ -113,7 +113,7 @@
     crashes: dict[str, list[CrashingRun]] = field(default_factory=lambda: defaultdict(list))
 
     def take(self, document: dict[str, Any]) -> None:
-        """Takes one record."""
+        """Adds one record."""
         match document["kind"]:
             case RecordKind.RUN:
                 run = Run(
@@ -140,7 +140,7 @@
 
 
 def read_records(files: Iterable[Path]) -> Records:
-    """Reads the records in the servers' outputs; a line cut off by a kill is passed over."""
+    """Reads the records in the servers' output files; skips lines truncated by a kill."""
     records = Records()
     for file in files:
         for line in file.read_bytes().splitlines():
--- a/tests/process_soak/strikes.py
+++ b/tests/process_soak/strikes.py
@@ -1,4 +1,4 @@
-"""Carries the faults of a plan out on a soak's site, and ends each after its time."""
+"""Injects the faults of a plan into a soak's site and ends each after its duration."""
 
 import asyncio
 import signal
@@ -41,14 +41,14 @@
     Kind.STORE_PARTS_DOWN: {"parts_down": ["b0", "b1", "b2", "b3"]},
 }
 STOP_SECONDS = 12.0
-"""A daemon that has not ended by then after its planned stop is killed."""
+"""Timeout of a planned stop, after which the daemon is killed."""
 BAD_SETTINGS_SECONDS = 1.5
 
 FaultHandler = Callable[[Fault], Awaitable[None]]
 
 
 class FaultInjector:
-    """The faults of one site."""
+    """Injects faults into one site."""
 
     def __init__(self, site: Site) -> None:
         self._site = site
@@ -77,7 +77,7 @@
         } | dict.fromkeys(STORE_FAULTS, self._apply_store_faults)
 
     async def inject(self, fault: Fault) -> None:
-        """Carries a fault out and ends it."""
+        """Injects a fault and ends it after its duration."""
         await self._handlers[fault.kind](fault)
 
     # Daemons
@@ -104,7 +104,7 @@
             daemon.process = self._site.start_daemon(daemon.place, daemon.environment)
 
     async def _move_daemon(self, fault: Fault) -> None:
-        """Kills a daemon for good; another one starts under a new address."""
+        """Kills a daemon permanently; another one starts at a new address."""
         old = self._daemon(fault)
         old.process.send(signal.SIGKILL)
         self._site.daemons.remove(old)
@@ -116,7 +116,7 @@
         await _pause(self._daemon(fault).process, fault.seconds)
 
     async def _suspend_daemon(self, fault: Fault) -> None:
-        """Stops a daemon's process; its plain steady clock stands still meanwhile."""
+        """Stops a daemon's process, whose monotonic clock does not advance meanwhile."""
         process = self._daemon(fault).process
         process.send(signal.SIGSTOP)
         await asyncio.sleep(fault.seconds)
@@ -124,14 +124,14 @@
         process.send(signal.SIGCONT)
 
     async def _change_settings(self, fault: Fault) -> None:
-        """Changes a daemon's settings so that nothing is different."""
+        """Changes a daemon's settings file without changing any setting."""
         daemon = self._daemon(fault)
         path, changed = _changed_settings(daemon)
         path.write_text(changed, encoding="utf-8")
         daemon.process.send(signal.SIGHUP)
 
     async def _break_settings(self, fault: Fault) -> None:
-        """Changes a daemon's settings to what it must refuse, and to good ones a while later."""
+        """Writes settings that a daemon must refuse, and valid ones a while later."""
         daemon = self._daemon(fault)
         path, changed = _changed_settings(daemon)
         path.write_text("this is no TOML = [", encoding="utf-8")
@@ -141,7 +141,7 @@
     # Store
 
     async def _refuse_calls_of_daemon(self, fault: Fault) -> None:
-        """Lets the store refuse all calls of one daemon."""
+        """Makes the store refuse all calls of one daemon."""
         link = self._daemon(fault).store
         upstream, link.upstream = link.upstream, self._site.refuser_address
         link.reset_connections()
@@ -153,7 +153,7 @@
         await _control(self._site.store_address, FORGET_CALL, b"")
 
     async def _apply_store_faults(self, fault: Fault) -> None:
-        """Lets faults strike the calls of all daemons; a later fault of the kind replaces them."""
+        """Sets faults of the daemons' store calls; a later fault of this kind replaces them."""
         faults = orjson.dumps(STORE_FAULTS[fault.kind])
         await _control(self._site.store_address, STORE_FAULTS_CALL, faults)
         await asyncio.sleep(fault.seconds)
@@ -236,7 +236,7 @@
 
 
 async def _control(address: Address, call: str, body: bytes) -> None:
-    """Tells a stand-in what to do, unless another fault has struck it too."""
+    """Sends a control call to a stand-in; ignores a failure, as another fault may affect it too."""
     try:
         async with (
             aiohttp.ClientSession() as session,
@@ -249,7 +249,7 @@
 
 
 async def _wait_for_exit(process: Process) -> None:
-    """Waits for the end of a process; kills it if a planned stop takes too long."""
+    """Waits for a process to exit; kills it after STOP_SECONDS."""
     give_up_at = time.monotonic() + STOP_SECONDS
     while process.popen.poll() is None:
         if time.monotonic() > give_up_at:
@@ -258,6 +258,6 @@
 
 
 def _changed_settings(daemon: Daemon) -> tuple[Path, str]:
-    """Returns a daemon's settings file, and its text with a harmless change."""
+    """Returns a daemon's settings file and its text with an added comment."""
     path = Path(daemon.environment[names.SETTINGS_VARIABLE])
     return path, path.read_text(encoding="utf-8") + f"# changed at {time.monotonic()}\n"
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""A simulated fleet of `larkpost serve` that tests drive: each step runs the virtual-time loop."""
+"""A simulated fleet of `larkpost serve` for synchronous tests, on a virtual-time event loop."""
 
 import asyncio
 import random
@@ -21,7 +21,7 @@
 SERVICES = ("quotes", "assistant")
 REQUESTS_PER_SECOND = 2.0
 LIVENESS_SECONDS = 150.0
-"""Virtual seconds after the last fault within which everything is finished and consistent."""
+"""Virtual seconds after the last fault within which all work ends and state is consistent."""
 
 
 def _machine(pool: PoolId, number: int) -> Machine:
@@ -49,8 +49,8 @@
     )
 
 
-# The first trainer takes nothing but its own version; the second one opens its batches so early
-# that their first samples are too old when it pulls them.
+# The first trainer accepts only its own version; the second one opens its batches so early that
+# their first samples are too stale when it pulls them.
 TRAINERS = (_trainer(0, staleness_bound=0, ahead=0), _trainer(1, staleness_bound=1, ahead=2))
 INTENT = Intent(
     pools=(
@@ -65,7 +65,7 @@
         TrainerIntent(name=shape.name, pools=(shape.pool,), staleness_bound=2) for shape in TRAINERS
     ),
 )
-# Scaled down, so that a freeze can outlast them within an example.
+# Shorter than the defaults, so that a freeze can outlast them within an example.
 CONFIGURATION = {"validity_time": 4.0, "lost_grace": 9.0}
 WORLD_SHAPE = WorldShape(
     ZONES, (2, 2, 1), MACHINES, INTENT, settings={"configuration": CONFIGURATION}
@@ -73,7 +73,7 @@
 
 
 class SimulatedFleet:
-    """A started world with clients and, if asked, trainers."""
+    """A started world with clients and optional trainers."""
 
     def __init__(self, seed: int, shape: WorldShape = WORLD_SHAPE, trainers: bool = False) -> None:
         self.loop = async_solipsism.EventLoop()
@@ -100,7 +100,7 @@
             self.spawn(trainer.run())
 
     def start_traffic(self, rng: random.Random) -> None:
-        """Starts a steady stream of requests, so that every fault meets some in flight."""
+        """Starts a steady stream of requests, so that faults hit requests in flight."""
         for service in SERVICES:
             self.spawn(self._ask_steadily(service, random.Random(rng.random())))
 
@@ -115,11 +115,11 @@
         await asyncio.gather(*asking)
 
     def run(self, work: Coroutine):
-        """Runs work to its end and returns its result."""
+        """Runs a coroutine to completion and returns its result."""
         return self.loop.run_until_complete(work)
 
     def act(self, operation: Callable, *arguments):
-        """Calls an operation that needs the loop to be running, and returns its result."""
+        """Calls a function while the loop is running and returns its result."""
 
         async def call():
             return operation(*arguments)
@@ -127,17 +127,17 @@
         return self.run(call())
 
     def spawn(self, work: Coroutine) -> asyncio.Task:
-        """Starts work that goes on while the test advances."""
+        """Starts a background task, which runs while virtual time advances."""
         task = self.loop.create_task(work)
         self.tasks.append(task)
         return task
 
     def advance(self, seconds: float) -> None:
-        """Lets virtual time pass."""
+        """Advances virtual time."""
         self.run(asyncio.sleep(seconds))
 
     def settle(self) -> list[str]:
-        """Ends all faults, lets everything finish, and returns what is wrong."""
+        """Ends all faults, waits for all work, and returns the violations found."""
         self.settling = True
         self.act(self.world.heal)
         self.act(self.world.restart_all)
@@ -155,7 +155,7 @@
         return wrong + [text for check in checks for text in self.act(check)]
 
     def close(self) -> None:
-        """Ends the loop with everything on it."""
+        """Cancels all tasks and closes the loop."""
         for task in asyncio.all_tasks(self.loop):
             task.cancel()
         self.advance(0.0)
@@ -163,7 +163,7 @@
         asyncio.set_event_loop(None)
 
     def _check_in_force(self) -> list[str]:
-        """Point 9, once the faults have ended: the newest epoch is in force everywhere."""
+        """Point 9, after the faults: every daemon has the newest epoch."""
         newest = max((c.epoch for c in self.world.records.confirmed), default=0)
         return [
             f"{name} is at epoch {node.daemon.board.configuration.epoch}, not {newest}"
@@ -172,7 +172,7 @@
         ]
 
     def _check_owners(self) -> list[str]:
-        """Liveness: every running engine has exactly one owner, which holds its token."""
+        """Liveness: every running engine has exactly one owner, which holds its fencing token."""
         wrong = []
         for engine, node in self.world.engines.items():
             owners = [
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -1,4 +1,4 @@
-"""What is deployed: the daemon must start with the libraries that the deployment installs."""
+"""Checks that the daemon imports only libraries that the deployment installs."""
 
 import json
 import re
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,7 +1,6 @@
-"""Stateful fuzzing of a simulated fleet, checked by the oracle against the nine points.
+"""Stateful fuzzing of a simulated fleet with the real daemon code, checked by the oracle.
 
-The daemons' real code runs; hypothesis decides every fault and schedule. ``make fuzz`` runs it with
-fresh seeds and more examples.
+Hypothesis chooses all faults and schedules. ``make fuzz`` uses fresh seeds and more examples.
 """
 
 import os
@@ -18,7 +17,7 @@
 STEPS = int(os.environ.get("LARKPOST_FUZZ_STEPS", "40"))
 FRESH = os.environ.get("LARKPOST_FUZZ_FRESH") == "1"
 SHRINK = os.environ.get("LARKPOST_FUZZ_SHRINK") == "1"
-"""Shrinking takes minutes, so a failing example is first reported as it was found."""
+"""Off by default: shrinking takes minutes, so failing examples are reported unshrunk."""
 STEP_SECONDS = 0.4
 MAX_LEAVING = 3
 
@@ -31,7 +30,7 @@
 
 
 class FleetMachine(RuleBasedStateMachine):
-    """Operations and faults; the oracle judges after each example."""
+    """Operations and faults; the oracle checks the records after each example."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -57,7 +56,7 @@
 
     @invariant()
     def configuration_never_reverts(self):
-        """Lets a little time pass after each operation, whichever rules hypothesis draws."""
+        """Advances time after each operation, whichever rules hypothesis chooses."""
         if self.fleet is not None:
             self.fleet.advance(STEP_SECONDS)
             wrong = self.fleet.act(self.fleet.oracle.check_configuration)
--- a/tests/test_import_layers.py
+++ b/tests/test_import_layers.py
@@ -1,6 +1,6 @@
-"""Which parts of larkpost may import which.
+"""Checks which packages of larkpost may import each other.
 
-The modules are read, not imported, so that an import within a function counts as well.
+Source files are parsed, not imported, so that imports inside functions are checked as well.
 """
 
 import ast
@@ -11,7 +11,7 @@
 SOURCES = Path(__file__).resolve().parent.parent / "src"
 
 Imports = dict[str, set[str]]
-"""Per module the modules of larkpost that it imports, by full names."""
+"""For each module, the full names of the larkpost modules that it imports."""
 
 PROGRAMS = ("gateway", "standalone", "platform", "rehearsal")
 
@@ -21,7 +21,7 @@
     "platform": ("standalone", "rehearsal"),
     "standalone": ("gateway", "platform", "rehearsal"),
 }
-"""Per folder the folders that none of its modules may import."""
+"""For each package, the packages that its modules must not import."""
 
 GATEWAY_ORDER = (
     "observability",
@@ -47,7 +47,7 @@
 """
 
 KNOWN_VIOLATIONS: set[tuple[str, str]] = set()
-"""Imports that break a rule and still stand, as (importing module, imported module)."""
+"""Accepted violations, as (importing module, imported module)."""
 
 
 def read_imports() -> Imports:
@@ -88,7 +88,7 @@
 
 
 def import_cycles(imports: Imports) -> list[list[str]]:
-    """Returns the groups of modules that import each other, directly or by others."""
+    """Returns the groups of modules that import each other, directly or indirectly."""
     reached = {module: _reached(module, imports) for module in imports}
     groups = {
         tuple(sorted(other for other in reached[module] if module in reached[other]))
@@ -129,7 +129,7 @@
 
 
 class ImportLayersTest(unittest.TestCase):
-    """The rules between the folders, on the sources as they are."""
+    """Applies the import rules to the sources."""
 
     def setUp(self) -> None:
         self.imports = read_imports()
@@ -147,7 +147,7 @@
         self.assertEqual(parts, set(GATEWAY_ORDER))
 
     def test_no_import_is_relative(self) -> None:
-        """A relative import would not be seen by the other tests."""
+        """The other tests do not detect relative imports."""
         for path in SOURCES.glob("larkpost/**/*.py"):
             for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
                 if isinstance(node, ast.ImportFrom):
@@ -155,7 +155,7 @@
 
 
 class ImportRulesTest(unittest.TestCase):
-    """The rules find what they are for."""
+    """The rules detect violations."""
 
     def test_a_circle_over_three_modules_is_found(self) -> None:
         imports = {"a": {"b"}, "b": {"c"}, "c": {"a"}, "d": {"a"}}
--- a/tests/test_mutants.py
+++ b/tests/test_mutants.py
@@ -1,6 +1,6 @@
-"""The mutants patch parts by name: the names exist, and so do the tests that must catch them.
+"""Checks that the names that mutants patch exist, and the tests that must detect them.
 
-That a mutant is caught shows only `make mutants`, which runs the tests under each.
+`make mutants` runs the tests under each mutant and checks that it is detected.
 """
 
 import unittest
@@ -9,7 +9,7 @@
 
 
 class MutantsTest(unittest.TestCase):
-    """Every mutant, entered and left."""
+    """Applies and reverts every mutant."""
 
     def test_every_mutant_finds_what_it_patches(self) -> None:
         for name, mutant in MUTANTS.items():
--- a/tests/test_platform_boundary.py
+++ b/tests/test_platform_boundary.py
@@ -1,4 +1,4 @@
-"""Nothing outside platform/ and deploy/ knows the names of the users' platform."""
+"""Checks that only platform/ and deploy/ use names of the users' platform."""
 
 import re
 import unittest
@@ -44,7 +44,7 @@
 
 
 class BoundaryTest(unittest.TestCase):
-    """Reads the sources outside platform/."""
+    """Searches the sources outside platform/ for headers, paths and fields of the platform."""
 
     def sources(self):
         """Yields each source outside platform/ with its text."""
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Real daemons on loopback, killed, frozen and stopped under load, judged by outside records."""
+"""Kills, freezes and stops real daemons under load; checks the records of their callers."""
 
 import os
 import signal
@@ -18,7 +18,7 @@
 
 
 class ProcessTest(unittest.TestCase):
-    """One fleet of six daemons in three zones for all signals."""
+    """One fleet of six daemons in three zones."""
 
     def test_kill_freeze_and_planned_stop_under_load_break_no_promise(self):
         with tempfile.TemporaryDirectory() as folder, ProcessGroup(Path(folder)) as group:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak, and proof that it can fail."""
+"""A short soak, and a check that it detects a broken mechanism."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 
 
 class SoakTest(unittest.TestCase):
-    """Fixed seeds: the same verdict each time."""
+    """Uses fixed seeds, so results are reproducible."""
 
     def test_promises_hold_under_overlapping_faults_in_a_fleet_with_idle_daemons(self):
         report = soak(seed=11, daemons=14, gap=0.6, **SHORT)
--- a/tests/test_store_clock.py
+++ b/tests/test_store_clock.py
@@ -1,4 +1,4 @@
-"""The store's clock, as a daemon estimates it from quick and slow answers."""
+"""Tests the estimate of the store's clock from fast and slow responses."""
 
 import unittest
 from unittest import mock
@@ -11,7 +11,7 @@
 
 
 class StoreClockTest(unittest.TestCase):
-    """Answers arrive at times that the test sets."""
+    """Each test sets the times of the responses."""
 
     def setUp(self):
         self.clock = StoreClock()
@@ -21,14 +21,14 @@
         self.addCleanup(clock.stop)
 
     def answer(self, there: float, back: float, ahead: float = AHEAD) -> None:
-        """Lets an answer arrive; the call took so many seconds there and back."""
+        """Records a response; ``there`` and ``back`` are the call's seconds in each direction."""
         sent = self.now
         told = sent + there + ahead
         self.now = sent + there + back
         self.clock.record({"now_ms": told * 1000}, sent)
 
     def error(self, ahead: float = AHEAD) -> float:
-        """Returns by how much the estimate is off."""
+        """Returns the absolute error of the estimate in seconds."""
         return abs(self.clock.now() - self.now - ahead)
 
     def test_unknown_until_an_answer_tells_it(self):
--- a/tests/test_swallowed_errors.py
+++ b/tests/test_swallowed_errors.py
@@ -1,4 +1,4 @@
-"""No error of the system in use is swallowed without a reason that a reader finds there."""
+"""Checks that every exception handler acts on the error or has a comment with the reason."""
 
 import ast
 import unittest
@@ -6,15 +6,15 @@
 
 SOURCES = Path(__file__).resolve().parent.parent / "src" / "larkpost"
 PACKAGES = ("gateway", "platform")
-"""The program on the platform."""
+"""The packages of the program that runs on the platform."""
 MODULES = ("common/tasks.py",)
 
 
 def find_swallowed(source: str) -> list[int]:
     """Returns the lines of handlers that do nothing with an error and give no reason.
 
-    A handler does something if it raises, calls or assigns anything. Otherwise it must bear a
-    comment, at its head or on one of its lines.
+    A handler acts if it raises, calls or assigns anything. Otherwise it needs a comment on one of
+    its lines.
     """
     lines = source.splitlines()
     found = []
@@ -31,7 +31,7 @@
 
 
 class SwallowedErrorsTest(unittest.TestCase):
-    """The handlers of all modules in use."""
+    """Checks the exception handlers of the gateway, the platform and common/tasks.py."""
 
     def test_every_handler_acts_or_says_why_not(self):
         paths = [path for name in PACKAGES for path in sorted((SOURCES / name).rglob("*.py"))]
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -1,4 +1,4 @@
-"""Runs coroutines of a test on virtual time."""
+"""Runs coroutines of tests on virtual time."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -8,7 +8,7 @@
 
 
 def run(work: Coroutine[Any, Any, Any]) -> Any:
-    """Runs a coroutine to its end on a loop whose clock jumps from timer to timer."""
+    """Runs a coroutine to completion on an event loop whose clock skips to the next timer."""
     loop = async_solipsism.EventLoop()
     try:
         return loop.run_until_complete(work)
