--- a/src/larkpost/rehearsal/platform_model.py
+++ b/src/larkpost/rehearsal/platform_model.py
@@ -11,7 +11,7 @@
     """The platform is down."""
 
 
-class AnswerLostError(Exception):
+class ResponseLostError(Exception):
     """The operation took effect, but its response was lost."""
 
 
@@ -153,7 +153,7 @@
     def _lose_answer(self) -> None:
         if self.faults.lost_answers:
             self.faults.lost_answers -= 1
-            raise AnswerLostError
+            raise ResponseLostError
 
 
 def _now() -> float:
--- a/src/larkpost/rehearsal/platform_server.py
+++ b/src/larkpost/rehearsal/platform_server.py
@@ -16,10 +16,10 @@
 from larkpost.common.http_server import HttpServer
 from larkpost.common.ids import Address, EngineId, PolicyId, PoolId, ZoneId
 from larkpost.rehearsal.platform_model import (
-    AnswerLostError,
     PlatformDownError,
     PlatformModel,
     RateLimitedError,
+    ResponseLostError,
 )
 from larkpost.standalone.table_service.ports import MachineEntry
 
@@ -137,7 +137,7 @@
             return Response("rate limit\n", 429)
         except PlatformDownError:
             return Response("down\n", 503)
-        except AnswerLostError:
+        except ResponseLostError:
             await asyncio.sleep(LOST_ANSWER_SECONDS)
             return Response("lost\n", 504)
 
--- a/src/larkpost/rehearsal/simulation/ports.py
+++ b/src/larkpost/rehearsal/simulation/ports.py
@@ -14,10 +14,10 @@
     UnknownAttemptError,
 )
 from larkpost.rehearsal.platform_model import (
-    AnswerLostError,
     PlatformDownError,
     PlatformModel,
     RateLimitedError,
+    ResponseLostError,
 )
 from larkpost.rehearsal.simulation.fabric import EngineNode, Fabric
 from larkpost.rehearsal.simulation.network import Host, HostUnreachableError
@@ -226,7 +226,7 @@
         except (
             HostUnreachableError,
             PlatformDownError,
-            AnswerLostError,
+            ResponseLostError,
             RateLimitedError,
         ) as error:
             raise PlatformError(repr(error)) from error
