--- a/src/larkpost/rehearsal/platform_server.py
+++ b/src/larkpost/rehearsal/platform_server.py
@@ -23,7 +23,7 @@
 )
 from larkpost.standalone.table_service.ports import MachineEntry
 
-LOST_ANSWER_SECONDS = 30.0
+LOST_RESPONSE_SECONDS = 30.0
 """Delay of the response to a request whose answer is lost."""
 
 
@@ -138,7 +138,7 @@
         except PlatformDownError:
             return Response("down\n", 503)
         except ResponseLostError:
-            await asyncio.sleep(LOST_ANSWER_SECONDS)
+            await asyncio.sleep(LOST_RESPONSE_SECONDS)
             return Response("lost\n", 504)
 
     return guarded
