--- a/src/larkpost/rehearsal/platform_model.py
+++ b/src/larkpost/rehearsal/platform_model.py
@@ -93,14 +93,14 @@
         written = version == expected_version
         if written:
             self.rows[key] = Row(version + 1, value)
-        self._lose_answer()
+        self._drop_response()
         return written
 
     async def put_object(self, key: str, value: bytes) -> None:
         """Stores an object."""
         await self._enter("objects")
         self.objects[key] = value
-        self._lose_answer()
+        self._drop_response()
 
     async def get_object(self, key: str) -> bytes | None:
         """Reads an object."""
@@ -150,7 +150,7 @@
         rate = self._rates.setdefault(service, RateLimit(getattr(self.limits, service)))
         rate.take(_now())
 
-    def _lose_answer(self) -> None:
+    def _drop_response(self) -> None:
         if self.faults.lost_answers:
             self.faults.lost_answers -= 1
             raise ResponseLostError
