--- a/src/larkpost/rehearsal/platform_model.py
+++ b/src/larkpost/rehearsal/platform_model.py
@@ -82,12 +82,12 @@
 
     async def read(self, key: str) -> Row | None:
         """Reads a row."""
-        await self._enter("table")
+        await self._apply_faults_and_limits("table")
         return self.rows.get(key)
 
     async def compare_and_set(self, key: str, expected_version: int, value: bytes) -> bool:
         """Writes a row if its version is the expected one."""
-        await self._enter("table")
+        await self._apply_faults_and_limits("table")
         row = self.rows.get(key)
         version = row.version if row is not None else 0
         written = version == expected_version
@@ -98,18 +98,18 @@
 
     async def put_object(self, key: str, value: bytes) -> None:
         """Stores an object."""
-        await self._enter("objects")
+        await self._apply_faults_and_limits("objects")
         self.objects[key] = value
         self._drop_response()
 
     async def get_object(self, key: str) -> bytes | None:
         """Reads an object."""
-        await self._enter("objects")
+        await self._apply_faults_and_limits("objects")
         return self.objects.get(key)
 
     async def fetch_weights(self, policy: PolicyId, version: int) -> bool:
         """Returns whether that weight version was published."""
-        await self._enter("weights")
+        await self._apply_faults_and_limits("weights")
         return version <= self.newest_versions.get(policy, 0)
 
     def publish_weights(self, policy: PolicyId, version: int) -> None:
@@ -118,7 +118,7 @@
 
     async def machines(self, zone: ZoneId | None = None) -> list[MachineEntry]:
         """Lists the machines of a zone, or of all zones, as visible after their lag."""
-        await self._enter("machines")
+        await self._apply_faults_and_limits("machines")
         now = _now()
         visible = []
         for history in self._machines.values():
@@ -142,7 +142,7 @@
         last = self._machines[engine][-1].entry
         self.list_machine(replace(last, leaving=True))
 
-    async def _enter(self, service: str) -> None:
+    async def _apply_faults_and_limits(self, service: str) -> None:
         if self.faults.slow_seconds:
             await asyncio.sleep(self.faults.slow_seconds)
         if self.faults.down:
