--- a/src/larkpost/rehearsal/engine_model.py
+++ b/src/larkpost/rehearsal/engine_model.py
@@ -95,7 +95,7 @@
         self._arrivals += 1
         sequence = Sequence(request, record, seed, length, self._arrivals, list(request.prefix))
         self._on_record(record)
-        self._remember(sequence)
+        self._store_sequence(sequence)
         self._waiting.append(sequence)
         self._record_load()
         self._work.set()
@@ -239,7 +239,7 @@
         while (wait := self.faults.frozen_until - _now()) > 0:
             await asyncio.sleep(max(wait, MIN_WAIT_SECONDS))
 
-    def _remember(self, sequence: Sequence) -> None:
+    def _store_sequence(self, sequence: Sequence) -> None:
         self._attempts[sequence.request.attempt] = sequence
         while len(self._attempts) > MAX_KEPT_ATTEMPTS:
             self._attempts.pop(next(iter(self._attempts)))
