--- a/src/larkpost/rehearsal/clients.py
+++ b/src/larkpost/rehearsal/clients.py
@@ -56,7 +56,7 @@
     error_codes: dict[str, int] = field(default_factory=dict)
 
 
-class _TryError(Exception):
+class _AttemptError(Exception):
     """An attempt ended without a complete answer."""
 
     def __init__(self, code: str, ran: Ran, retry_after: float | None) -> None:
@@ -107,7 +107,7 @@
             self.record.tries += 1
             try:
                 await self._try(name, f"question {number}", run_once)
-            except _TryError as outcome:
+            except _AttemptError as outcome:
                 self._record_failure(name, outcome)
                 if run_once and outcome.ran == Ran.UNKNOWN:
                     break
@@ -119,7 +119,7 @@
                 return
         self.record.errors += 1
 
-    def _record_failure(self, name: str, outcome: _TryError) -> None:
+    def _record_failure(self, name: str, outcome: _AttemptError) -> None:
         codes = self.record.error_codes
         codes[outcome.code] = codes.get(outcome.code, 0) + 1
         if outcome.ran == Ran.NO:
@@ -158,16 +158,16 @@
             ) as response:
                 content = await response.read()
         except aiohttp.ClientConnectorError:
-            raise _TryError("connect", Ran.NO, None) from None
+            raise _AttemptError("connect", Ran.NO, None) from None
         except (aiohttp.ClientError, TimeoutError, OSError):
-            raise _TryError("broken", Ran.UNKNOWN, None) from None
+            raise _AttemptError("broken", Ran.UNKNOWN, None) from None
         if response.status != 200:
             raise _try_error_of(parse_error(response.status, content))
         return content
 
 
-def _try_error_of(error: LarkpostError) -> _TryError:
-    return _TryError(error.code, error.ran, error.retry_after)
+def _try_error_of(error: LarkpostError) -> _AttemptError:
+    return _AttemptError(error.code, error.ran, error.retry_after)
 
 
 def _read_whole(content: bytes) -> tuple[str, list[tuple[int, int, int]]]:
@@ -181,7 +181,7 @@
     if not events or events[-1] != b"[DONE]":
         if events and b'"error"' in events[-1]:
             raise _try_error_of(parse_error(502, events[-1]))
-        raise _TryError("cut", Ran.UNKNOWN, None)
+        raise _AttemptError("cut", Ran.UNKNOWN, None)
     parts = [orjson.loads(event) for event in events[:-1]]
     text = "".join(part["choices"][0]["text"] for part in parts)
     return text, _spans(parts[-1])
