--- a/src/larkpost/rehearsal/clients.py
+++ b/src/larkpost/rehearsal/clients.py
@@ -162,11 +162,11 @@
         except (aiohttp.ClientError, TimeoutError, OSError):
             raise _AttemptError("broken", Ran.UNKNOWN, None) from None
         if response.status != 200:
-            raise _try_error_of(parse_error(response.status, content))
+            raise _attempt_error(parse_error(response.status, content))
         return content
 
 
-def _try_error_of(error: LarkpostError) -> _AttemptError:
+def _attempt_error(error: LarkpostError) -> _AttemptError:
     return _AttemptError(error.code, error.ran, error.retry_after)
 
 
@@ -180,7 +180,7 @@
     events = [e[len(b"data: ") :] for e in content.split(b"\n\n") if e.startswith(b"data: ")]
     if not events or events[-1] != b"[DONE]":
         if events and b'"error"' in events[-1]:
-            raise _try_error_of(parse_error(502, events[-1]))
+            raise _attempt_error(parse_error(502, events[-1]))
         raise _AttemptError("cut", Ran.UNKNOWN, None)
     parts = [orjson.loads(event) for event in events[:-1]]
     text = "".join(part["choices"][0]["text"] for part in parts)
