--- a/src/larkpost/rehearsal/clients.py
+++ b/src/larkpost/rehearsal/clients.py
@@ -17,7 +17,7 @@
 
 MAX_TRIES = 6
 RETRY_SECONDS = 0.2
-TRY_TIMEOUT = aiohttp.ClientTimeout(total=30, sock_connect=1.0)
+ATTEMPT_TIMEOUT = aiohttp.ClientTimeout(total=30, sock_connect=1.0)
 """Timeouts of one attempt: in total, and to connect."""
 
 
@@ -154,7 +154,7 @@
         url = f"http://{daemon}/v1/completions"
         try:
             async with self._session.post(
-                url, data=body, headers=headers, timeout=TRY_TIMEOUT
+                url, data=body, headers=headers, timeout=ATTEMPT_TIMEOUT
             ) as response:
                 content = await response.read()
         except aiohttp.ClientConnectorError:
