--- a/src/larkpost/rehearsal/clients.py
+++ b/src/larkpost/rehearsal/clients.py
@@ -15,7 +15,7 @@
 from larkpost.rehearsal.tokens import expected_answer
 from larkpost.standalone.api.inference import KEY_HEADER, REQUEST_HEADER, RUN_ONCE_HEADER
 
-MAX_TRIES = 6
+MAX_ATTEMPTS = 6
 RETRY_SECONDS = 0.2
 ATTEMPT_TIMEOUT = aiohttp.ClientTimeout(total=30, sock_connect=1.0)
 """Timeouts of one attempt: in total, and to connect."""
@@ -102,7 +102,7 @@
         self.record.requests += 1
         run_once = self._rng.random() < self._shape.run_once_share
         started = time.monotonic()
-        for attempt in range(MAX_TRIES):
+        for attempt in range(MAX_ATTEMPTS):
             name = f"{self._name}-{number}-{attempt}"
             self.record.tries += 1
             try:
--- a/src/larkpost/rehearsal/experiment/run.py
+++ b/src/larkpost/rehearsal/experiment/run.py
@@ -21,7 +21,7 @@
 from larkpost.standalone.config.intent import Intent
 
 ENGINE = EngineShape(tokens_per_step=4, step_base=0.008, step_per_sequence=0.0004)
-MAX_TRIES = 5
+MAX_ATTEMPTS = 5
 MICROSECONDS = 1_000_000
 FINISH_SECONDS = 300.0
 
@@ -134,7 +134,7 @@
         """Sends a request with retries, each attempt to a random daemon."""
         self._requests += 1
         started = self._world.now
-        for attempt in range(MAX_TRIES):
+        for attempt in range(MAX_ATTEMPTS):
             daemons = list(self._world.daemons)
             if daemons:
                 call = await clients.ask(rng.choice(daemons), rng.choice(self._site.zones))
