--- a/src/larkpost/rehearsal/clients.py
+++ b/src/larkpost/rehearsal/clients.py
@@ -106,7 +106,7 @@
             name = f"{self._name}-{number}-{attempt}"
             self.record.tries += 1
             try:
-                await self._try(name, f"question {number}", run_once)
+                await self._send(name, f"question {number}", run_once)
             except _AttemptError as outcome:
                 self._record_failure(name, outcome)
                 if run_once and outcome.ran == Ran.UNKNOWN:
@@ -125,7 +125,7 @@
         if outcome.ran == Ran.NO:
             self.record.told_not_run.append(name)
 
-    async def _try(self, name: str, prompt: str, run_once: bool) -> None:
+    async def _send(self, name: str, prompt: str, run_once: bool) -> None:
         daemon = self._rng.choice(self._daemons)
         stream = self._rng.random() < self._shape.stream_share
         headers = {REQUEST_HEADER: name}
--- a/src/larkpost/rehearsal/simulation/callers.py
+++ b/src/larkpost/rehearsal/simulation/callers.py
@@ -184,13 +184,13 @@
             request, self._service, prompt, self._max_tokens, run_once, key, self._world.now
         )
         self._world.records.calls.append(call)
-        await self._try(call, daemon, zone, deadline)
+        await self._send(call, daemon, zone, deadline)
         call.ended_at = self._world.now
         if call.outcome == CallOutcome.ANSWER:
             self.latencies.append(call.ended_at - call.asked_at)
         return call
 
-    async def _try(
+    async def _send(
         self, call: ClientCall, daemon: DaemonId, zone: ZoneId, deadline: float | None
     ) -> None:
         node = self._world.daemons.get(daemon)
