--- a/src/larkpost/rehearsal/workload.py
+++ b/src/larkpost/rehearsal/workload.py
@@ -7,7 +7,7 @@
 from larkpost.rehearsal.tokens import answer_length, answer_seed
 from larkpost.standalone.batches.ledger import BatchSpec
 
-HINT_ERROR = 0.5
+MAX_HINT_ERROR = 0.5
 """Maximum relative error of the expected lengths."""
 
 
@@ -57,5 +57,7 @@
             slots = range(first, first + self.samples_per_prompt)
             seeds = [answer_seed(f"{batch}/{slot}", prompt) for slot in slots]
             longest = max(answer_length(seed, self.max_tokens) for seed in seeds)
-            hints.append(max(1, round(longest * rng.uniform(1 - HINT_ERROR, 1 + HINT_ERROR))))
+            hints.append(
+                max(1, round(longest * rng.uniform(1 - MAX_HINT_ERROR, 1 + MAX_HINT_ERROR)))
+            )
         return tuple(hints)
