--- a/src/larkpost/rehearsal/experiment/run.py
+++ b/src/larkpost/rehearsal/experiment/run.py
@@ -87,7 +87,7 @@
         """Applies load and faults, waits for open batches, and returns the metrics."""
         await self._world.start()
         trainer = self._make_trainer()
-        work = [self._clients(service) for service in self._site.services]
+        work = [self._run_clients(service) for service in self._site.services]
         work.append(self._faults())
         training = asyncio.ensure_future(trainer.run()) if trainer is not None else None
         await asyncio.gather(*work)
@@ -114,7 +114,7 @@
         # Prompts and length hints depend only on the seed, so every policy gets the same work.
         return SimulatedTrainer(self._world, shape, self._site.zones[0], random.Random(self._seed))
 
-    async def _clients(self, service: str) -> None:
+    async def _run_clients(self, service: str) -> None:
         load = self._scenario.clients
         if load.peak_rate == 0:
             await asyncio.sleep(self._scenario.seconds)
