--- a/src/larkpost/rehearsal/experiment/run.py
+++ b/src/larkpost/rehearsal/experiment/run.py
@@ -88,7 +88,7 @@
         await self._world.start()
         trainer = self._make_trainer()
         work = [self._run_clients(service) for service in self._site.services]
-        work.append(self._faults())
+        work.append(self._inject_faults())
         training = asyncio.ensure_future(trainer.run()) if trainer is not None else None
         await asyncio.gather(*work)
         if training is not None:
@@ -150,7 +150,7 @@
         self._latency.record_value(max(1, round(elapsed * MICROSECONDS)))
         return True
 
-    async def _faults(self) -> None:
+    async def _inject_faults(self) -> None:
         started = self._world.now
         for fault in sorted(self._scenario.faults, key=lambda f: f.at):
             await asyncio.sleep(max(0.0, fault.at - (self._world.now - started)))
