--- a/src/larkpost/rehearsal/experiment/report.py
+++ b/src/larkpost/rehearsal/experiment/report.py
@@ -116,8 +116,8 @@
 
 
 def _cell(values: list[float]) -> str:
-    middle, minimum, largest = statistics.median(values), min(values), max(values)
-    return f"{middle:.4g} ({minimum:.4g} to {largest:.4g})"
+    middle, minimum, maximum = statistics.median(values), min(values), max(values)
+    return f"{middle:.4g} ({minimum:.4g} to {maximum:.4g})"
 
 
 def _encode(scenario: Scenario, columns: dict[str, list[RunResult]]) -> bytes:
