--- a/src/larkpost/rehearsal/experiment/plot.py
+++ b/src/larkpost/rehearsal/experiment/plot.py
@@ -27,10 +27,10 @@
     figure, axes = pyplot.subplots(2, 2, figsize=(12, 8))
     for axis, measure in zip(axes.flat, PANELS, strict=True):
         values = [[getattr(r, measure) for r in results] for results in columns.values()]
-        middles = [statistics.median(v) for v in values]
-        below = [m - min(v) for m, v in zip(middles, values, strict=True)]
-        above = [max(v) - m for m, v in zip(middles, values, strict=True)]
-        axis.bar(list(columns), middles, yerr=[below, above], capsize=4)
+        medians = [statistics.median(v) for v in values]
+        below = [m - min(v) for m, v in zip(medians, values, strict=True)]
+        above = [max(v) - m for m, v in zip(medians, values, strict=True)]
+        axis.bar(list(columns), medians, yerr=[below, above], capsize=4)
         axis.set_title(measure.replace("_", " "))
         axis.tick_params(axis="x", rotation=30)
     figure.suptitle(title)
