--- a/src/larkpost/rehearsal/experiment/run.py
+++ b/src/larkpost/rehearsal/experiment/run.py
@@ -122,13 +122,13 @@
         clients = SimulatedClients(self._world, service, load.max_tokens)
         rng = random.Random(f"{self._seed}/{service}")
         started = self._world.now
-        asking = []
+        pending = []
         while (elapsed := self._world.now - started) < self._scenario.seconds:
             position = elapsed / self._scenario.seconds
             rate = load.peak_rate * _interpolate(load.curve, position)
             await asyncio.sleep(rng.expovariate(max(rate, 0.01)))
-            asking.append(asyncio.ensure_future(self._request(clients, rng)))
-        await asyncio.gather(*asking)
+            pending.append(asyncio.ensure_future(self._request(clients, rng)))
+        await asyncio.gather(*pending)
 
     async def _request(self, clients: SimulatedClients, rng: random.Random) -> None:
         """Sends a request with retries, each attempt to a random daemon."""
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -106,13 +106,13 @@
 
     async def _ask_steadily(self, service: str, rng: random.Random) -> None:
         names = list(self.world.daemon_zones)
-        asking = []
+        pending = []
         while not self.settling:
             await asyncio.sleep(rng.expovariate(REQUESTS_PER_SECOND))
             run_once = rng.random() < 0.6
             ask = self.clients[service].ask(rng.choice(names), rng.choice(ZONES), run_once)
-            asking.append(self.loop.create_task(ask))
-        await asyncio.gather(*asking)
+            pending.append(self.loop.create_task(ask))
+        await asyncio.gather(*pending)
 
     def run(self, work: Coroutine):
         """Runs a coroutine to completion and returns its result."""
