--- a/src/larkpost/rehearsal/clients.py
+++ b/src/larkpost/rehearsal/clients.py
@@ -149,7 +149,7 @@
         """Sends a request and returns the complete body of a successful response.
 
         Raises:
-            _TryError: there was no such response.
+            _AttemptError: there was no such response.
         """
         url = f"http://{daemon}/v1/completions"
         try:
@@ -176,7 +176,7 @@
 
 
 def _read_stream(content: bytes) -> tuple[str, list[tuple[int, int, int]]]:
-    """Parses a stream; raises `_TryError` if it lacks the end marker."""
+    """Parses a stream; raises `_AttemptError` if it lacks the end marker."""
     events = [e[len(b"data: ") :] for e in content.split(b"\n\n") if e.startswith(b"data: ")]
     if not events or events[-1] != b"[DONE]":
         if events and b'"error"' in events[-1]:
--- a/src/larkpost/rehearsal/simulation/oracle.py
+++ b/src/larkpost/rehearsal/simulation/oracle.py
@@ -91,7 +91,7 @@
             slots.add(delivery.sample.slot)
         for spec in self._records.batches_opened:
             if spec.id in self._records.completed_batches and len(seen[spec.id]) != spec.slot_count:
-                wrong.append(f"{spec.id} was called whole with {len(seen[spec.id])} samples")
+                wrong.append(f"{spec.id} was reported complete with {len(seen[spec.id])} samples")
         return wrong
 
     def check_answers(self) -> list[str]:
@@ -116,7 +116,7 @@
         ran = [c for c in self._records.calls if by_request[c.request]]
         keys = {c.key: c.asked_at for c in reversed(ran) if c.key}
         return [
-            f"{call.request} (key {call.key}) was told {call.code}, not run, but it ran"
+            f"{call.request} (key {call.key}) was reported as {call.code}, not executed, but it was executed"
             for call in self._records.calls
             if call.outcome == CallOutcome.NOT_RUN
             and (by_request[call.request] or keys.get(call.key, call.ended_at) < call.ended_at)
