--- a/src/larkpost/rehearsal/simulation/oracle.py
+++ b/src/larkpost/rehearsal/simulation/oracle.py
@@ -116,7 +116,7 @@
         ran = [c for c in self._records.calls if by_request[c.request]]
         keys = {c.key: c.asked_at for c in reversed(ran) if c.key}
         return [
-            f"{call.request} (key {call.key}) was reported as {call.code}, not executed, but it was executed"
+            f"{call.request} (key {call.key}) was reported as not run ({call.code}), but it ran"
             for call in self._records.calls
             if call.outcome == CallOutcome.NOT_RUN
             and (by_request[call.request] or keys.get(call.key, call.ended_at) < call.ended_at)
--- a/src/larkpost/rehearsal/workload.py
+++ b/src/larkpost/rehearsal/workload.py
@@ -50,7 +50,7 @@
     def _hints(
         self, batch: BatchId, prompts: tuple[str, ...], rng: random.Random
     ) -> tuple[int, ...]:
-        """Returns the longest answer length per prompt, with a random error of up to MAX_HINT_ERROR."""
+        """Returns the longest answer length per prompt, off by up to MAX_HINT_ERROR at random."""
         hints = []
         for index, prompt in enumerate(prompts):
             first = index * self.samples_per_prompt
