--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -28,7 +28,7 @@
     server_transaction,
 )
 from larkpost.platform.store import HttpStore
-from larkpost.rehearsal.processes import ProcessGroup, answers, free_address
+from larkpost.rehearsal.processes import ProcessGroup, free_address, is_responding
 from tests.connections import ConnectionServer
 
 MACHINE_MB = 160
@@ -101,7 +101,7 @@
         listing_task = asyncio.create_task(self.keep_listed(server_address))
         self.addCleanup(listing_task.cancel)
         async with asyncio.timeout(START_SECONDS):
-            while not await asyncio.to_thread(answers, ready, ready_path()):
+            while not await asyncio.to_thread(is_responding, ready, ready_path()):
                 await asyncio.sleep(0.1)
             while (await self.ask(b"small"))[0] != 200:
                 await asyncio.sleep(0.1)
