--- a/tests/test_store_clock.py
+++ b/tests/test_store_clock.py
@@ -36,7 +36,7 @@
         self.clock.record({}, self.now)
         self.assertIsNone(self.clock.now())
 
-    def test_a_slow_answer_does_not_spoil_what_a_quick_one_told(self):
+    def test_slow_response_does_not_replace_a_fast_one(self):
         self.answer(0.002, 0.002)
         self.answer(0.5, 0.01)
         self.assertLess(self.error(), 0.003)
