--- a/tests/test_store_clock.py
+++ b/tests/test_store_clock.py
@@ -52,7 +52,7 @@
         self.answer(0.02, 0.02, ahead=3.0)
         self.assertLess(self.error(3.0), 0.03)
 
-    def test_old_knowledge_gives_way(self):
+    def test_old_estimate_is_replaced(self):
         self.answer(0.002, 0.002)
         self.now += 60.0
         self.answer(0.01, 0.01, ahead=AHEAD + 0.03)
