--- a/tests/test_store_clock.py
+++ b/tests/test_store_clock.py
@@ -31,7 +31,7 @@
         """Returns the absolute error of the estimate in seconds."""
         return abs(self.clock.now() - self.now - ahead)
 
-    def test_unknown_until_an_answer_tells_it(self):
+    def test_time_is_unknown_before_the_first_response(self):
         self.assertIsNone(self.clock.now())
         self.clock.record({}, self.now)
         self.assertIsNone(self.clock.now())
