--- a/tests/test_store_clock.py
+++ b/tests/test_store_clock.py
@@ -41,7 +41,7 @@
         self.answer(0.5, 0.01)
         self.assertLess(self.error(), 0.003)
 
-    def test_a_quicker_answer_is_taken(self):
+    def test_faster_response_replaces_the_estimate(self):
         self.answer(0.3, 0.01)
         self.assertGreater(self.error(), 0.1)
         self.answer(0.002, 0.002)
