--- a/tests/test_store_clock.py
+++ b/tests/test_store_clock.py
@@ -47,7 +47,7 @@
         self.answer(0.002, 0.002)
         self.assertLess(self.error(), 0.003)
 
-    def test_an_answer_that_contradicts_is_taken(self):
+    def test_contradicting_response_replaces_the_estimate(self):
         self.answer(0.002, 0.002)
         self.answer(0.02, 0.02, ahead=3.0)
         self.assertLess(self.error(3.0), 0.03)
