--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -20,7 +20,7 @@
 class ProcessTest(unittest.TestCase):
     """One fleet of six daemons in three zones."""
 
-    def test_kill_freeze_and_planned_stop_under_load_break_no_promise(self):
+    def test_kill_freeze_and_planned_stop_under_load_violate_no_invariant(self):
         with tempfile.TemporaryDirectory() as folder, ProcessGroup(Path(folder)) as group:
             fleet = begin_fleet(group, SANTIAGO, daemons_per_zone=2)
             finish_fleet(fleet)
