--- a/tests/test_import_layers.py
+++ b/tests/test_import_layers.py
@@ -157,7 +157,7 @@
 class ImportRulesTest(unittest.TestCase):
     """The rules detect violations."""
 
-    def test_a_circle_over_three_modules_is_found(self) -> None:
+    def test_cycle_of_three_modules_is_found(self) -> None:
         imports = {"a": {"b"}, "b": {"c"}, "c": {"a"}, "d": {"a"}}
         self.assertEqual(import_cycles(imports), [["a", "b", "c"]])
 
