--- a/tests/process_soak/proxy.py
+++ b/tests/process_soak/proxy.py
@@ -103,9 +103,8 @@
             finally:
                 self._drop(server_writer)
         except OSError:
-            await (
-                self._stop_if_upstream_is_down()
-            )  # the server is down, or a fault aborted the connection
+            # The server is down, or a fault aborted the connection.
+            await self._stop_if_upstream_is_down()
         finally:
             self._drop(client_writer)
 
--- a/tests/process_soak/records.py
+++ b/tests/process_soak/records.py
@@ -37,13 +37,13 @@
 
 
 def write_record(kind: RecordKind, **fields) -> None:
-    """Writes a record; all processes of a machine share the steady clock."""
+    """Writes a record; all processes of a machine share the monotonic clock."""
     print(orjson.dumps({"kind": kind, "at": time.monotonic()} | fields).decode(), flush=True)
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One run of a request; `began` is steady time, `tenant` the request's tenant.
+    """One run of a request; `began` is monotonic time, `tenant` the request's tenant.
 
     Attributes:
         zone: zone of the server that ran it.
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """An accepted usage report; `at` is steady time."""
+    """An accepted usage report; `at` is monotonic time."""
 
     window: int
     counts: dict[str, int]
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """An order received by an instance; `at` is steady time."""
+    """An order received by an instance; `at` is monotonic time."""
 
     holder: str
     token: int
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashingRun:
-    """A run that crashed its server; `began` is steady time."""
+    """A run that crashed its server; `began` is monotonic time."""
 
     request: str
     began: float
--- a/tests/process_soak/strikes.py
+++ b/tests/process_soak/strikes.py
@@ -236,7 +236,7 @@
 
 
 async def _control(address: Address, call: str, body: bytes) -> None:
-    """Sends a control call to a stand-in; ignores a failure, as another fault may affect it too."""
+    """Sends a control call to a stand-in; ignores lost calls, as other faults may affect it."""
     try:
         async with (
             aiohttp.ClientSession() as session,
