--- a/src/larkpost/rehearsal/bench.py
+++ b/src/larkpost/rehearsal/bench.py
@@ -1,7 +1,7 @@
-"""The relay measurement: larkpost beside a bare relay of the same libraries, in the same run.
+"""Benchmark of larkpost against a relay without logic that uses the same libraries.
 
-Three figures each: latency of one caller, requests per second of processor time with many callers,
-and stream chunks per second of processor time. Processor time is the relay's own.
+Measures the latency of one caller, and with many callers the requests and the stream chunks per
+second of processor time. Processor time is that of the measured process only.
 """
 
 import asyncio
@@ -22,9 +22,9 @@
 from larkpost.rehearsal.processes import (
     Process,
     ProcessGroup,
-    answers,
     call,
     free_address,
+    is_responding,
     wait_for,
 )
 from larkpost.standalone.config.intent import Intent, PoolIntent, ServiceIntent
@@ -42,14 +42,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """A server under measurement: what to ask, and the process whose time counts."""
+    """A server to measure: its URL, and the process whose processor time is measured."""
 
     name: str
     url: str
     process: Process
 
     def body(self, chunks: int) -> bytes:
-        """Returns a request for so many chunks."""
+        """Returns the body of a request for a number of chunks."""
         if self.name == "larkpost":
             fields = {"model": SERVICE, "prompt": "hi", "max_tokens": chunks, "stream": True}
         else:
@@ -58,8 +58,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
-    """What one target gave."""
+class BenchResult:
+    """Results of one target."""
 
     p50_ms: float
     p99_ms: float
@@ -68,8 +68,8 @@
     chunks_per_core_second: float
 
 
-def run_bench(output: Path | None) -> dict[str, Figures]:
-    """Measures the engine alone, the bare relay and larkpost, and prints ratios to the relay."""
+def run_bench(output: Path | None) -> dict[str, BenchResult]:
+    """Measures the engine, the relay and larkpost; prints the ratio of larkpost to the relay."""
     with (
         tempfile.TemporaryDirectory(prefix="larkpost-bench-") as folder,
         ProcessGroup(Path(folder)) as group,
@@ -110,12 +110,12 @@
 
 
 def _configure(platform: Address, engine: Address, daemon: Address) -> None:
-    """Waits for the processes, lists the engine and confirms an intent with one service."""
-    wait_for(lambda: answers(platform, "/machines"), "platform")
-    wait_for(lambda: answers(engine, "/v1/report"), "engine")
+    """Waits for the processes, registers the engine and confirms an intent with one service."""
+    wait_for(lambda: is_responding(platform, "/machines"), "platform")
+    wait_for(lambda: is_responding(engine, "/v1/report"), "engine")
     machine = {"zone": "bench", "address": engine, "pool": POOL}
     call(platform, "PUT", "/machines/instant", orjson.dumps(machine))
-    wait_for(lambda: answers(daemon, "/readyz"), "daemon")
+    wait_for(lambda: is_responding(daemon, "/readyz"), "daemon")
     intent = Intent(
         pools=(PoolIntent(name=POOL),), services=(ServiceIntent(name=SERVICE, pool=POOL),)
     )
@@ -129,7 +129,7 @@
     return bool(engines) and engines[0]["slots"] is not None
 
 
-async def _measure(target: Target) -> Figures:
+async def _measure(target: Target) -> BenchResult:
     async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session:
         await _repeat(session, target, 1, 200, CALLERS)
         histogram = HdrHistogram(1, 60 * MICROSECONDS, 3)
@@ -140,7 +140,7 @@
             histogram.record_value(max(1, round(elapsed * MICROSECONDS)))
         rate, per_core = await _repeat(session, target, 1, RATE_REQUESTS, CALLERS)
         _, streams_per_core = await _repeat(session, target, CHUNKS_PER_STREAM, STREAMS, STREAMS)
-    return Figures(
+    return BenchResult(
         histogram.get_value_at_percentile(50) / 1000,
         histogram.get_value_at_percentile(99) / 1000,
         rate,
@@ -152,7 +152,7 @@
 async def _repeat(
     session: aiohttp.ClientSession, target: Target, chunks: int, requests: int, callers: int
 ) -> tuple[float, float]:
-    """Returns requests per second, and per second of the target's processor time."""
+    """Returns requests per second, and requests per second of the target's processor time."""
     process = psutil.Process(target.process.popen.pid)
     before = process.cpu_times()
     started = time.perf_counter()
@@ -175,20 +175,22 @@
         async for data in response.content.iter_any():
             received += len(data)
         if response.status != 200 or received == 0:
-            raise RuntimeError(f"{target.name} answered {response.status}")
+            raise RuntimeError(
+                f"{target.name} responded with status {response.status} and {received} bytes"
+            )
 
 
-def _median(figures: list[Figures]) -> Figures:
-    names = Figures.__dataclass_fields__
+def _median(figures: list[BenchResult]) -> BenchResult:
+    names = BenchResult.__dataclass_fields__
     medians = [statistics.median(getattr(f, name) for f in figures) for name in names]
-    return Figures(*(round(value, 3) for value in medians))
+    return BenchResult(*(round(value, 3) for value in medians))
 
 
-def _print(figures: dict[str, Figures]) -> None:
+def _print(figures: dict[str, BenchResult]) -> None:
     table = Table(title=f"medians of {ROUNDS} rounds; ratio is larkpost to the bare relay")
     for column in ("figure", *figures, "ratio"):
         table.add_column(column, justify="right")
-    for name in Figures.__dataclass_fields__:
+    for name in BenchResult.__dataclass_fields__:
         values = [getattr(f, name) for f in figures.values()]
         ratio = getattr(figures["larkpost"], name) / getattr(figures["relay"], name)
         table.add_row(name, *(f"{value:,.2f}" for value in values), f"{ratio:.2f}")
--- a/src/larkpost/rehearsal/clients.py
+++ b/src/larkpost/rehearsal/clients.py
@@ -1,4 +1,4 @@
-"""Stand-in clients: requests over a day's curve, and their own record of the answers."""
+"""Stand-in clients, which send requests at a varying rate and verify the answers."""
 
 import asyncio
 import math
@@ -15,20 +15,20 @@
 from larkpost.rehearsal.tokens import expected_answer
 from larkpost.standalone.api.inference import KEY_HEADER, REQUEST_HEADER, RUN_ONCE_HEADER
 
-MAX_TRIES = 6
+MAX_ATTEMPTS = 6
 RETRY_SECONDS = 0.2
-TRY_TIMEOUT = aiohttp.ClientTimeout(total=30, sock_connect=1.0)
-"""Seconds that a try may take, and to connect."""
+ATTEMPT_TIMEOUT = aiohttp.ClientTimeout(total=30, sock_connect=1.0)
+"""Timeouts of one attempt: in total, and to connect."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClientShape:
-    """A service's traffic.
+    """Parameters of a service's traffic.
 
     Attributes:
-        rate: requests a second at the peak of the curve.
-        day_seconds: length of the curve; traffic rises from 20 % to the peak and falls again.
-        run_once_share: share of requests that must not be repeated.
+        rate: peak rate in requests per second.
+        day_seconds: period of the rate, which rises from 20 % to the peak and falls again.
+        run_once_share: share of requests that must be executed at most once.
         stream_share: share of requests that ask for a stream.
     """
 
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class ClientRecord:
-    """What the clients themselves saw."""
+    """Counts and times observed by the clients."""
 
     service: str
     requests: int = 0
@@ -56,8 +56,8 @@
     error_codes: dict[str, int] = field(default_factory=dict)
 
 
-class _TryError(Exception):
-    """A try without a whole answer."""
+class _AttemptError(Exception):
+    """An attempt ended without a complete answer."""
 
     def __init__(self, code: str, ran: Ran, retry_after: float | None) -> None:
         super().__init__(code)
@@ -84,7 +84,7 @@
         self.record = ClientRecord(shape.service)
 
     async def run(self, seconds: float) -> ClientRecord:
-        """Sends requests for a time, then waits for the last answers."""
+        """Sends requests for a number of seconds, then waits for the remaining answers."""
         started = time.monotonic()
         tasks = []
         while (elapsed := time.monotonic() - started) < seconds:
@@ -98,17 +98,17 @@
         return self._shape.rate * (0.6 - 0.4 * math.cos(2 * math.pi * position))
 
     async def _request(self, number: int) -> None:
-        """Asks until there is an answer, the tries are spent, or another try could double it."""
+        """Retries until there is an answer, attempts run out, or a retry might execute twice."""
         self.record.requests += 1
         run_once = self._rng.random() < self._shape.run_once_share
         started = time.monotonic()
-        for attempt in range(MAX_TRIES):
+        for attempt in range(MAX_ATTEMPTS):
             name = f"{self._name}-{number}-{attempt}"
             self.record.tries += 1
             try:
-                await self._try(name, f"question {number}", run_once)
-            except _TryError as outcome:
-                self._note_failure(name, outcome)
+                await self._send(name, f"question {number}", run_once)
+            except _AttemptError as outcome:
+                self._record_failure(name, outcome)
                 if run_once and outcome.ran == Ran.UNKNOWN:
                     break
                 wait = outcome.retry_after or RETRY_SECONDS
@@ -119,13 +119,13 @@
                 return
         self.record.errors += 1
 
-    def _note_failure(self, name: str, outcome: _TryError) -> None:
+    def _record_failure(self, name: str, outcome: _AttemptError) -> None:
         codes = self.record.error_codes
         codes[outcome.code] = codes.get(outcome.code, 0) + 1
         if outcome.ran == Ran.NO:
             self.record.told_not_run.append(name)
 
-    async def _try(self, name: str, prompt: str, run_once: bool) -> None:
+    async def _send(self, name: str, prompt: str, run_once: bool) -> None:
         daemon = self._rng.choice(self._daemons)
         stream = self._rng.random() < self._shape.stream_share
         headers = {REQUEST_HEADER: name}
@@ -146,28 +146,28 @@
         self.record.wrong_answers += text != " ".join(map(str, expected))
 
     async def _post(self, daemon: Address, headers: dict[str, str], body: bytes) -> bytes:
-        """Sends a request and returns the whole content of a good response.
+        """Sends a request and returns the complete body of a successful response.
 
         Raises:
-            _TryError: there was none.
+            _AttemptError: there was no such response.
         """
         url = f"http://{daemon}/v1/completions"
         try:
             async with self._session.post(
-                url, data=body, headers=headers, timeout=TRY_TIMEOUT
+                url, data=body, headers=headers, timeout=ATTEMPT_TIMEOUT
             ) as response:
                 content = await response.read()
         except aiohttp.ClientConnectorError:
-            raise _TryError("connect", Ran.NO, None) from None
+            raise _AttemptError("connect", Ran.NO, None) from None
         except (aiohttp.ClientError, TimeoutError, OSError):
-            raise _TryError("broken", Ran.UNKNOWN, None) from None
+            raise _AttemptError("broken", Ran.UNKNOWN, None) from None
         if response.status != 200:
-            raise _try_error_of(parse_error(response.status, content))
+            raise _attempt_error(parse_error(response.status, content))
         return content
 
 
-def _try_error_of(error: LarkpostError) -> _TryError:
-    return _TryError(error.code, error.ran, error.retry_after)
+def _attempt_error(error: LarkpostError) -> _AttemptError:
+    return _AttemptError(error.code, error.ran, error.retry_after)
 
 
 def _read_whole(content: bytes) -> tuple[str, list[tuple[int, int, int]]]:
@@ -176,12 +176,12 @@
 
 
 def _read_stream(content: bytes) -> tuple[str, list[tuple[int, int, int]]]:
-    """Reads a stream; without its end mark it is no answer."""
+    """Parses a stream; raises `_AttemptError` if it lacks the end marker."""
     events = [e[len(b"data: ") :] for e in content.split(b"\n\n") if e.startswith(b"data: ")]
     if not events or events[-1] != b"[DONE]":
         if events and b'"error"' in events[-1]:
-            raise _try_error_of(parse_error(502, events[-1]))
-        raise _TryError("cut", Ran.UNKNOWN, None)
+            raise _attempt_error(parse_error(502, events[-1]))
+        raise _AttemptError("cut", Ran.UNKNOWN, None)
     parts = [orjson.loads(event) for event in events[:-1]]
     text = "".join(part["choices"][0]["text"] for part in parts)
     return text, _spans(parts[-1])
@@ -195,7 +195,7 @@
 async def run_clients(
     shape: ClientShape, daemons: list[Address], seconds: float, seed: int
 ) -> dict:
-    """Runs a service's clients for a time and returns their record."""
+    """Runs a service's clients for a number of seconds and returns their record."""
     async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session:
         clients = Clients(shape, daemons, session, seed)
         return asdict(await clients.run(seconds))
--- a/src/larkpost/rehearsal/engine_model.py
+++ b/src/larkpost/rehearsal/engine_model.py
@@ -1,9 +1,9 @@
-"""A stand-in model engine: continuous batching on a step-time model, with faults to switch on.
+"""A stand-in model engine: continuous batching with a step-time model and injectable faults.
 
-It follows the brief's engine: it honours priorities, resumes and cancels streams, reports load with
-a lag, and takes fenced orders that need time and can fail. It is no kinder than that: a leaving
-engine still runs what it is sent, the fence guards orders but not requests, and an answer can come
-late, twice, crossed with another's, or be cut.
+It honours priorities, resumes and cancels streams, reports load with a lag, and accepts fenced
+orders that take time and can fail. As a real engine may, a leaving engine still executes what it is
+sent, fencing applies to orders but not to requests, and chunks can be late, duplicated, replaced by
+another attempt's, or cut off.
 """
 
 import asyncio
@@ -31,14 +31,14 @@
     OrderKind,
 )
 
-SHORTEST_WAIT = 0.001
+MIN_WAIT_SECONDS = 0.001
 """A shorter wait may not advance a virtual clock."""
-KEPT_ATTEMPTS = 4096
-"""Ended attempts that can still be resumed."""
+MAX_KEPT_ATTEMPTS = 4096
+"""Maximum number of attempts kept, so that streams can be resumed after their end."""
 
 
 class EngineModel:
-    """One engine. ``start`` runs it on the current event loop."""
+    """One engine; `start` runs it on the current event loop."""
 
     def __init__(
         self,
@@ -71,13 +71,13 @@
         self._spawn(self._generate())
 
     def stop(self) -> None:
-        """Ends everything at once, as a crash does."""
+        """Stops immediately without finishing attempts, as a crash does."""
         for task in list(self._tasks):
             task.cancel()
 
     @property
     def busy(self) -> bool:
-        """Whether any sequence runs or waits."""
+        """Whether any sequence is running or waiting."""
         return bool(self._running or self._waiting)
 
     def submit(self, request: GenerateRequest) -> None:
@@ -87,7 +87,7 @@
             QueueFullError: the queue is full.
         """
         if len(self._waiting) >= self.shape.queue_limit:
-            raise QueueFullError(f"{len(self._waiting)} attempts wait")
+            raise QueueFullError(f"the queue is full: {len(self._waiting)} attempts are waiting")
         seed = answer_seed(request.request, request.prompt)
         length = answer_length(seed, request.max_tokens)
         start = len(request.prefix)
@@ -95,13 +95,13 @@
         self._arrivals += 1
         sequence = Sequence(request, record, seed, length, self._arrivals, list(request.prefix))
         self._on_record(record)
-        self._remember(sequence)
+        self._store_sequence(sequence)
         self._waiting.append(sequence)
         self._record_load()
         self._work.set()
 
     async def stream(self, attempt: AttemptId, offset: int) -> AsyncIterator[EngineChunk]:
-        """Yields an attempt's chunks from ``offset`` on, through the faults.
+        """Yields an attempt's chunks from ``offset`` on, with the active faults applied.
 
         Raises:
             UnknownAttemptError: there is no such attempt, or it was cancelled.
@@ -115,11 +115,11 @@
             chunk = await sequence.next_chunk(offset)
             if self.faults.late_seconds:
                 await asyncio.sleep(self.faults.late_seconds)
-            await self.thawed()
+            await self.wait_while_frozen()
             if self.faults.cut_streams and chunks:
                 self.faults.cut_streams -= 1
                 raise StreamCutError
-            for sent in self._disturb(sequence, chunk):
+            for sent in self._inject_stream_faults(sequence, chunk):
                 yield sent
             offset += len(chunk.tokens)
             chunks += 1
@@ -127,18 +127,18 @@
                 return
 
     def cancel(self, attempt: AttemptId) -> None:
-        """Ends an attempt."""
+        """Cancels an attempt; does nothing for an unknown one."""
         sequence = self._attempts.get(attempt)
         if sequence is None or sequence.cancelled:
             return
         sequence.cancelled = True
-        sequence.news.set()
+        sequence.updated.set()
         self._running = [s for s in self._running if s is not sequence]
         self._waiting = [s for s in self._waiting if s is not sequence]
         self._record_load()
 
     def report(self) -> EngineReport:
-        """Returns the report: load as it was ``report_lag`` ago, everything else as it is."""
+        """Returns a report with the load of ``report_lag`` seconds ago and the current state."""
         load = self._load.at(_now() - self.shape.report_lag)
         return EngineReport(
             engine=self.id,
@@ -156,7 +156,8 @@
         """Accepts a fenced order and starts it.
 
         Raises:
-            StaleOrderError: the token is too low.
+            StaleOrderError: the token is lower than the highest accepted one, or for a claim not
+                higher.
         """
         is_claim = order.kind == OrderKind.CLAIM
         if order.token < self.token or (is_claim and order.token == self.token):
@@ -168,10 +169,10 @@
             self._spawn(self._swap(order.policy or PolicyId(""), order.version))
 
     async def _swap(self, policy: PolicyId, version: int) -> None:
-        """Loads weights; sequences pause during the load and then go on under the new version."""
+        """Loads weights; sequences pause meanwhile and then continue with the new version."""
         fetched = await self._fetch_weights(policy, version)
         await asyncio.sleep(self.shape.swap_seconds)
-        await self.thawed()
+        await self.wait_while_frozen()
         if self.faults.failing_swaps:
             self.faults.failing_swaps -= 1
             fetched = False
@@ -182,7 +183,7 @@
 
     async def _generate(self) -> None:
         while True:
-            await self.thawed()
+            await self.wait_while_frozen()
             if self.swapping or not self.busy:
                 self._work.clear()
                 await self._work.wait()
@@ -191,18 +192,18 @@
             step = self.shape.step_base + self.shape.step_per_sequence * len(self._running)
             seconds = step * self.shape.tokens_per_step + prefill * self.shape.prefill_per_token
             await asyncio.sleep(seconds * self.faults.slow_factor)
-            await self.thawed()
+            await self.wait_while_frozen()
             if not self.swapping:
                 self._produce()
 
     def _admit(self) -> int:
-        """Fills the batch by priority, taking slots from lower priorities.
+        """Fills the batch by priority, preempting sequences of lower priority.
 
         Returns:
-            Prompt tokens to compute in this step.
+            Number of prompt tokens to compute in this step.
         """
         candidates = sorted(
-            self._running + self._waiting, key=lambda sequence: sequence.place_in_queue
+            self._running + self._waiting, key=lambda sequence: sequence.scheduling_key
         )
         self._running = candidates[: self.shape.slots]
         self._waiting = candidates[self.shape.slots :]
@@ -218,29 +219,29 @@
             for _ in range(self.shape.tokens_per_step):
                 if not sequence.done:
                     sequence.add_token(self.version)
-            sequence.news.set()
+            sequence.updated.set()
         self._running = [s for s in self._running if not s.done]
         self._record_load()
 
-    def _disturb(self, sequence: Sequence, chunk: EngineChunk) -> list[EngineChunk]:
+    def _inject_stream_faults(self, sequence: Sequence, chunk: EngineChunk) -> list[EngineChunk]:
         if self.faults.crossed_chunks:
             others = [s for s in self._attempts.values() if s is not sequence and s.tokens]
             if others:
                 self.faults.crossed_chunks -= 1
-                return [others[-1].crossed_with(chunk)]
+                return [others[-1].misdirected_chunk(chunk)]
         if self.faults.doubled_chunks:
             self.faults.doubled_chunks -= 1
             return [chunk, chunk]
         return [chunk]
 
-    async def thawed(self) -> None:
+    async def wait_while_frozen(self) -> None:
         """Waits while the engine is frozen."""
         while (wait := self.faults.frozen_until - _now()) > 0:
-            await asyncio.sleep(max(wait, SHORTEST_WAIT))
+            await asyncio.sleep(max(wait, MIN_WAIT_SECONDS))
 
-    def _remember(self, sequence: Sequence) -> None:
+    def _store_sequence(self, sequence: Sequence) -> None:
         self._attempts[sequence.request.attempt] = sequence
-        while len(self._attempts) > KEPT_ATTEMPTS:
+        while len(self._attempts) > MAX_KEPT_ATTEMPTS:
             self._attempts.pop(next(iter(self._attempts)))
 
     def _record_load(self) -> None:
--- a/src/larkpost/rehearsal/experiment/plot.py
+++ b/src/larkpost/rehearsal/experiment/plot.py
@@ -1,4 +1,4 @@
-"""Plots of an experiment; needs matplotlib (the extra ``plots``)."""
+"""Plots the results of an experiment; requires matplotlib (the extra ``plots``)."""
 
 import statistics
 from pathlib import Path
@@ -10,7 +10,7 @@
 
 
 def write_plot(title: str, columns: dict[str, list[RunResult]], path: Path) -> None:
-    """Writes one bar per column and panel, with the spread over the seeds.
+    """Writes a bar chart per panel: the median of each column, with the range over the seeds.
 
     Raises:
         InvalidRequestError: matplotlib is not installed.
@@ -27,10 +27,10 @@
     figure, axes = pyplot.subplots(2, 2, figsize=(12, 8))
     for axis, measure in zip(axes.flat, PANELS, strict=True):
         values = [[getattr(r, measure) for r in results] for results in columns.values()]
-        middles = [statistics.median(v) for v in values]
-        below = [m - min(v) for m, v in zip(middles, values, strict=True)]
-        above = [max(v) - m for m, v in zip(middles, values, strict=True)]
-        axis.bar(list(columns), middles, yerr=[below, above], capsize=4)
+        medians = [statistics.median(v) for v in values]
+        below = [m - min(v) for m, v in zip(medians, values, strict=True)]
+        above = [max(v) - m for m, v in zip(medians, values, strict=True)]
+        axis.bar(list(columns), medians, yerr=[below, above], capsize=4)
         axis.set_title(measure.replace("_", " "))
         axis.tick_params(axis="x", rotation=30)
     figure.suptitle(title)
--- a/src/larkpost/rehearsal/experiment/run.py
+++ b/src/larkpost/rehearsal/experiment/run.py
@@ -1,4 +1,4 @@
-"""Runs a scenario once: one policy, one seed, virtual time, the real daemon code."""
+"""Runs a scenario once, with one policy and one seed, on virtual time with the real daemon code."""
 
 import asyncio
 import random
@@ -21,14 +21,14 @@
 from larkpost.standalone.config.intent import Intent
 
 ENGINE = EngineShape(tokens_per_step=4, step_base=0.008, step_per_sequence=0.0004)
-MAX_TRIES = 5
+MAX_ATTEMPTS = 5
 MICROSECONDS = 1_000_000
 FINISH_SECONDS = 300.0
 
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """The measures of one run. Latencies in milliseconds, shares as fractions."""
+    """The metrics of one run. Latencies in milliseconds, shares as fractions."""
 
     policy: str
     seed: int
@@ -50,7 +50,7 @@
 
 
 def run_once(scenario: Scenario, policy: Policy, seed: int) -> RunResult:
-    """Runs one policy under one seed."""
+    """Runs a scenario with one policy and one seed."""
     loop = async_solipsism.EventLoop()
     loop.set_exception_handler(lambda _loop, _context: None)
     asyncio.set_event_loop(loop)
@@ -74,7 +74,7 @@
             self._site.zones,
             (scenario.daemons_per_zone,) * len(self._site.zones),
             self._site.machines,
-            _intent_under(self._site, scenario, policy),
+            _intent_for_policy(self._site, scenario, policy),
             ENGINE,
             {"batches": policy.batches},
         )
@@ -84,11 +84,11 @@
         self._requests = 0
 
     async def run(self) -> RunResult:
-        """Runs load and faults, lets the trainer finish its batches, and measures."""
+        """Applies load and faults, waits for open batches, and returns the metrics."""
         await self._world.start()
         trainer = self._make_trainer()
-        work = [self._clients(service) for service in self._site.services]
-        work.append(self._faults())
+        work = [self._run_clients(service) for service in self._site.services]
+        work.append(self._inject_faults())
         training = asyncio.ensure_future(trainer.run()) if trainer is not None else None
         await asyncio.gather(*work)
         if training is not None:
@@ -111,10 +111,10 @@
             train_seconds=load.train_seconds,
             ahead=load.ahead,
         )
-        # The prompts and hints depend on the seed alone, so every policy gets the same work.
+        # Prompts and length hints depend only on the seed, so every policy gets the same work.
         return SimulatedTrainer(self._world, shape, self._site.zones[0], random.Random(self._seed))
 
-    async def _clients(self, service: str) -> None:
+    async def _run_clients(self, service: str) -> None:
         load = self._scenario.clients
         if load.peak_rate == 0:
             await asyncio.sleep(self._scenario.seconds)
@@ -122,35 +122,35 @@
         clients = SimulatedClients(self._world, service, load.max_tokens)
         rng = random.Random(f"{self._seed}/{service}")
         started = self._world.now
-        asking = []
+        pending = []
         while (elapsed := self._world.now - started) < self._scenario.seconds:
             position = elapsed / self._scenario.seconds
-            rate = load.peak_rate * _curve_at(load.curve, position)
+            rate = load.peak_rate * _interpolate(load.curve, position)
             await asyncio.sleep(rng.expovariate(max(rate, 0.01)))
-            asking.append(asyncio.ensure_future(self._request(clients, rng)))
-        await asyncio.gather(*asking)
+            pending.append(asyncio.ensure_future(self._request(clients, rng)))
+        await asyncio.gather(*pending)
 
     async def _request(self, clients: SimulatedClients, rng: random.Random) -> None:
-        """Asks as a patient client does: at another daemon after each failure."""
+        """Sends a request with retries, each attempt to a random daemon."""
         self._requests += 1
         started = self._world.now
-        for attempt in range(MAX_TRIES):
+        for attempt in range(MAX_ATTEMPTS):
             daemons = list(self._world.daemons)
             if daemons:
                 call = await clients.ask(rng.choice(daemons), rng.choice(self._site.zones))
-                if self._note(call, started):
+                if self._record_latency(call, started):
                     return
             await asyncio.sleep(rng.uniform(0.2, 0.4) * (attempt + 1))
         self._unanswered += 1
 
-    def _note(self, call: ClientCall, started: float) -> bool:
+    def _record_latency(self, call: ClientCall, started: float) -> bool:
         if call.outcome != CallOutcome.ANSWER:
             return False
         elapsed = self._world.now - started
         self._latency.record_value(max(1, round(elapsed * MICROSECONDS)))
         return True
 
-    async def _faults(self) -> None:
+    async def _inject_faults(self) -> None:
         started = self._world.now
         for fault in sorted(self._scenario.faults, key=lambda f: f.at):
             await asyncio.sleep(max(0.0, fault.at - (self._world.now - started)))
@@ -177,7 +177,7 @@
                 world.set_platform_down(True)
             case FaultKind.HEAL:
                 world.heal()
-                world.revive()
+                world.restart_all()
 
     def _measure(self, trainer: SimulatedTrainer | None) -> RunResult:
         records = self._world.records
@@ -207,23 +207,26 @@
         )
 
     def _count(self, counter: str, kind: str = "") -> float:
-        nodes = [*self._world.daemons.values(), *self._world.ended]
+        nodes = [*self._world.daemons.values(), *self._world.stopped_daemons]
         return sum(node.daemon.telemetry.value(counter, kind) for node in nodes)
 
     def _idle_bound(self) -> float:
-        """Returns the idle time that no policy beats, from the lengths of the batches' samples."""
+        """Returns a lower bound of the idle time in seconds, from the sample lengths."""
         load = self._scenario.trainer
         if load is None:
             return 0.0
         engines = sum(m.pool == self._site.trainer_pool for m in self._site.machines)
-        whole = self._world.records.batches_whole
+        whole = self._world.records.completed_batches
         specs = [s for s in self._world.records.batches_opened if s.id in whole]
         overlap = load.train_seconds if load.ahead > 0 else 0.0
         return sum(max(_batch_bound(spec, engines) - overlap, 0.0) for spec in specs)
 
 
 def _batch_bound(spec: BatchSpec, engines: int) -> float:
-    """Returns the larger of total work over capacity and the longest sample alone, in seconds."""
+    """Returns a lower bound of a batch's time in seconds.
+
+    It is the larger of total work over capacity, and the longest sample running alone.
+    """
     lengths = []
     for slot in range(spec.slot_count):
         prompt = spec.prompts[spec.prompt_index(slot)]
@@ -235,7 +238,7 @@
     return max(sum(lengths) / capacity, max(lengths) * alone)
 
 
-def _intent_under(site: Site, scenario: Scenario, policy: Policy) -> Intent:
+def _intent_for_policy(site: Site, scenario: Scenario, policy: Policy) -> Intent:
     intent = site.intent
     if policy.client_reserve is not None:
         pools = [
@@ -253,8 +256,8 @@
     return intent
 
 
-def _curve_at(curve: tuple[float, ...], position: float) -> float:
-    """Interpolates the curve at a position between 0 and 1."""
+def _interpolate(curve: tuple[float, ...], position: float) -> float:
+    """Interpolates the curve linearly at a position between 0 and 1."""
     if len(curve) == 1:
         return curve[0]
     scaled = min(max(position, 0.0), 1.0) * (len(curve) - 1)
@@ -264,16 +267,16 @@
 
 
 def with_staleness_weight(scenario: Scenario, weight: float) -> Scenario:
-    """Returns the scenario under another weight between idle time and staleness."""
+    """Returns the scenario with another weight between idle time and staleness."""
     trainer = scenario.trainer.model_copy(update={"staleness_weight": weight})
     return scenario.model_copy(update={"trainer": trainer})
 
 
 def without_trainer(scenario: Scenario) -> Scenario:
-    """Returns the scenario with clients only."""
+    """Returns the scenario without its trainer."""
     return scenario.model_copy(update={"trainer": None})
 
 
-def rename(result: RunResult, policy: str) -> RunResult:
-    """Returns the result under another policy name."""
+def with_policy_name(result: RunResult, policy: str) -> RunResult:
+    """Returns the result with another policy name."""
     return replace(result, policy=policy)
--- a/src/larkpost/rehearsal/platform_server.py
+++ b/src/larkpost/rehearsal/platform_server.py
@@ -1,4 +1,4 @@
-"""The stand-in platform as a process: HTTP routes and fault switches."""
+"""The stand-in platform as an HTTP server with fault switches."""
 
 import asyncio
 import base64
@@ -16,19 +16,19 @@
 from larkpost.common.http_server import HttpServer
 from larkpost.common.ids import Address, EngineId, PolicyId, PoolId, ZoneId
 from larkpost.rehearsal.platform_model import (
-    AnswerLostError,
     PlatformDownError,
     PlatformModel,
     RateLimitedError,
+    ResponseLostError,
 )
 from larkpost.standalone.table_service.ports import MachineEntry
 
-LOST_ANSWER_SECONDS = 30.0
-"""A lost answer keeps its caller waiting for so long."""
+LOST_RESPONSE_SECONDS = 30.0
+"""Delay of the response to a request whose answer is lost."""
 
 
 def make_platform_app(model: PlatformModel) -> Starlette:
-    """Returns the HTTP application of a platform."""
+    """Returns the HTTP application that serves a platform model."""
     routes = _PlatformRoutes(model)
     return Starlette(
         routes=[
@@ -108,7 +108,7 @@
     async def set_faults(self, request: Request) -> Response:
         for name, value in orjson.loads(await request.body()).items():
             if not hasattr(self._model.faults, name):
-                return Response(f"no fault {name!r}\n", 400)
+                return Response(f"unknown fault {name!r}\n", 400)
             setattr(self._model.faults, name, value)
         return Response(status_code=204)
 
@@ -137,8 +137,8 @@
             return Response("rate limit\n", 429)
         except PlatformDownError:
             return Response("down\n", 503)
-        except AnswerLostError:
-            await asyncio.sleep(LOST_ANSWER_SECONDS)
+        except ResponseLostError:
+            await asyncio.sleep(LOST_RESPONSE_SECONDS)
             return Response("lost\n", 504)
 
     return guarded
--- a/src/larkpost/rehearsal/simulation/callers.py
+++ b/src/larkpost/rehearsal/simulation/callers.py
@@ -1,4 +1,4 @@
-"""Simulated trainers and clients of a fleet, with their own records."""
+"""Simulated trainers and clients of a fleet, which record what they observe."""
 
 import asyncio
 import random
@@ -23,35 +23,35 @@
 
 
 class SimulatedBatchEndpoint:
-    """Batch calls from a zone to daemons."""
+    """Batch API calls from a zone to daemons."""
 
     def __init__(self, world: World, zone: ZoneId) -> None:
         self._world = world
         self._caller = world.callers[zone]
-        self.double_next_pull = False
-        """Send the next pull to a second daemon as well and take the first answer."""
+        self.duplicate_next_pull = False
+        """Send the next pull to a second daemon as well and use the first response."""
 
     async def open(self, daemon: Address, spec: BatchSpec, held: tuple[int, ...]) -> None:
         await self._call(daemon, lambda d: d.batches.open(spec, held), CALL_TIMEOUT)
 
     async def pull(self, daemon: Address, call: Pull) -> Page:
-        if not self.double_next_pull:
+        if not self.duplicate_next_pull:
             return await self._call(daemon, lambda d: d.batches.pull(call), PULL_TIMEOUT)
-        self.double_next_pull = False
-        return await self._pull_twice(daemon, call)
+        self.duplicate_next_pull = False
+        return await self._pull_from_two_daemons(daemon, call)
 
     async def close(self, daemon: Address, batch: BatchId) -> None:
         await self._call(daemon, lambda d: d.batches.close(batch), CALL_TIMEOUT)
 
     async def announce(self, daemon: Address, policy, version: int) -> None:
-        """Tells a daemon of a new version."""
+        """Announces a new weight version to a daemon."""
 
         async def handle(target) -> None:
             target.directory.announce_version(policy, version)
 
         await self._call(daemon, handle, CALL_TIMEOUT)
 
-    async def _pull_twice(self, daemon: Address, call: Pull) -> Page:
+    async def _pull_from_two_daemons(self, daemon: Address, call: Pull) -> Page:
         others = [n.host.address for n in self._world.daemons.values() if n.host.address != daemon]
         addresses = [daemon, *others[:1]]
         pulls = [
@@ -72,7 +72,11 @@
             raise DaemonUnreachableError("connection refused", ran=Ran.NO)
         try:
             return await self._world.network.call(
-                self._caller, node.host, lambda: handle(node.daemon), timeout, counted=True
+                self._caller,
+                node.host,
+                lambda: handle(node.daemon),
+                timeout,
+                is_caller_request=True,
             )
         except HostUnreachableError as error:
             ran = Ran.UNKNOWN if error.delivered else Ran.NO
@@ -80,7 +84,7 @@
 
 
 class SimulatedTrainer:
-    """Runs steps without end; ``stop`` lets the batches under way finish."""
+    """Runs training steps until `stop` is called; open batches are then completed."""
 
     def __init__(self, world: World, shape: TrainerShape, zone: ZoneId, rng: random.Random) -> None:
         self.world = world
@@ -94,11 +98,11 @@
         self._serial = 0
 
     def stop(self) -> None:
-        """Opens no more batches."""
+        """Stops opening new batches."""
         self._stopping = True
 
     async def run(self) -> None:
-        """Runs until stopped and the open batches are whole."""
+        """Runs until stopped and all open batches are complete."""
         await self._publish()
         opened: list[BatchSession] = []
         while opened or not self._stopping:
@@ -113,7 +117,7 @@
         batch = BatchId(f"{self.shape.name}-{self._serial}")
         spec = self.shape.make_spec(batch, self.version, self._rng)
         self.world.records.batches_opened.append(spec)
-        addresses = [Address(f"{name}:1") for name in self.world.homes]
+        addresses = [Address(f"{name}:1") for name in self.world.daemon_zones]
         session = BatchSession(self.endpoint, addresses, spec, self._rng)
         await session.open()
         return session
@@ -129,7 +133,7 @@
                         Delivery(session.spec, sample, self.version, held, self.world.now)
                     )
         await session.close()
-        records.batches_whole.append(session.spec.id)
+        records.completed_batches.append(session.spec.id)
         waited = self.world.now - started
         self.step_waits.append(waited)
         idle = records.idle_seconds
@@ -151,11 +155,11 @@
         try:
             await self.endpoint.announce(self._rng.choice(daemons), self.shape.policy, self.version)
         except LarkpostError:
-            return  # the next pull tells the version as well
+            return  # the next pull announces the version as well
 
 
 class SimulatedClients:
-    """Asks questions of a service."""
+    """Sends requests to a service."""
 
     def __init__(self, world: World, service: str, max_tokens: int = 24) -> None:
         self._world = world
@@ -172,7 +176,7 @@
         key: str | None = None,
         deadline: float | None = None,
     ) -> ClientCall:
-        """Makes one try at a daemon and records how it ended."""
+        """Sends one request to a daemon and records its outcome."""
         self._count += 1
         request = f"{self._service}-{self._count}"
         prompt = f"question {self._count}"
@@ -180,13 +184,13 @@
             request, self._service, prompt, self._max_tokens, run_once, key, self._world.now
         )
         self._world.records.calls.append(call)
-        await self._try(call, daemon, zone, deadline)
+        await self._send(call, daemon, zone, deadline)
         call.ended_at = self._world.now
         if call.outcome == CallOutcome.ANSWER:
             self.latencies.append(call.ended_at - call.asked_at)
         return call
 
-    async def _try(
+    async def _send(
         self, call: ClientCall, daemon: DaemonId, zone: ZoneId, deadline: float | None
     ) -> None:
         node = self._world.daemons.get(daemon)
@@ -216,7 +220,7 @@
 
 
 def _inference_call(call: ClientCall, deadline: float | None) -> InferenceCall:
-    """Returns a client's try as a daemon takes it."""
+    """Converts a client call to the daemon's request type."""
     return InferenceCall(
         RequestId(call.request),
         call.service,
--- a/src/larkpost/rehearsal/simulation/network.py
+++ b/src/larkpost/rehearsal/simulation/network.py
@@ -1,4 +1,4 @@
-"""A simulated network: delay, loss, repetition, cuts in one direction, dead and frozen hosts."""
+"""A simulated network with delay, loss, duplication, one-way partitions, dead and frozen hosts."""
 
 import asyncio
 import random
@@ -9,22 +9,22 @@
 from larkpost.common.ids import Address, ZoneId
 
 Result = TypeVar("Result")
-SHORTEST_WAIT = 0.001
+MIN_WAIT_SECONDS = 0.001
 """A shorter wait may not advance a virtual clock."""
-NEVER = float("inf")
+NO_TIMEOUT = float("inf")
 
 
 class HostUnreachableError(Exception):
-    """The connection was refused, reset, or nothing came within the time limit."""
+    """The connection was refused or reset, or timed out."""
 
     def __init__(self, message: str, delivered: bool) -> None:
         super().__init__(message)
         self.delivered = delivered
-        """Whether the request may have reached the other host."""
+        """Whether the request may have reached the target host."""
 
 
 class Host:
-    """A machine of the simulation."""
+    """A simulated machine."""
 
     def __init__(self, address: Address, zone: ZoneId) -> None:
         self.address = address
@@ -32,29 +32,29 @@
         self.alive = True
         self.frozen_until = 0.0
         self.refusing = False
-        """The listener is closed: new connections are refused, answers under way go on."""
+        """The listener is closed: new connections are refused, responses in progress continue."""
         self.calls = 0
-        """Streams and counted calls being answered here."""
+        """Streams and caller requests in progress on this host."""
         self.in_transit = 0
-        """Parts of answers on their way to the callers, as in a kernel's send buffers."""
+        """Response parts in transit to the callers, as in a kernel's send buffers."""
         self._tasks: dict[asyncio.Task, None] = {}
 
-    async def gate(self) -> None:
-        """Passes only while the host runs: waits while frozen, ends the task once dead."""
+    async def wait_until_running(self) -> None:
+        """Waits while the host is frozen; cancels the task if the host is dead."""
         while self.alive and (wait := self.frozen_until - _now()) > 0:
-            await asyncio.sleep(max(wait, SHORTEST_WAIT))
+            await asyncio.sleep(max(wait, MIN_WAIT_SECONDS))
         if not self.alive:
             raise asyncio.CancelledError
 
     def spawn(self, work: Awaitable[Any]) -> asyncio.Task:
-        """Runs work on this host; it ends when the host dies."""
+        """Runs a task on this host; it is cancelled when the host is killed."""
         task = asyncio.ensure_future(work)
         self._tasks[task] = None
         task.add_done_callback(lambda done: self._tasks.pop(done, None))
         return task
 
     def kill(self) -> None:
-        """Ends the host at once."""
+        """Kills the host and cancels its tasks."""
         self.alive = False
         for task in list(self._tasks):
             task.cancel()
@@ -62,17 +62,17 @@
 
 @dataclass(slots=True)
 class NetworkConditions:
-    """What the network does to messages. Times in seconds."""
+    """Faults that the network applies to messages. Times in seconds."""
 
     delay: float = 0.0005
     jitter: float = 0.0005
     datagram_loss: float = 0.0
     datagram_repeat: float = 0.0
     late_share: float = 0.0
-    """Share of messages that are late by up to ``late_seconds``, which reorders them."""
+    """Share of messages delayed by up to ``late_seconds``, which reorders them."""
     late_seconds: float = 1.0
     zone_cuts: set[tuple[ZoneId, ZoneId]] = field(default_factory=set)
-    """Ordered pairs: nothing passes from the first zone to the second."""
+    """Ordered pairs: no message gets from the first zone to the second."""
     link_cuts: set[tuple[Address, Address]] = field(default_factory=set)
 
 
@@ -84,7 +84,7 @@
         self._rng = rng
 
     def send_datagram(self, source: Host, target: Host, deliver: Callable[[], None]) -> None:
-        """Sends a message that may be lost, repeated or late."""
+        """Sends a message that may be lost, duplicated or delayed."""
         if not source.alive:
             return
         conditions = self.conditions
@@ -99,27 +99,28 @@
         target: Host,
         handler: Callable[[], Awaitable[Result]],
         timeout: float,
-        counted: bool = False,
+        is_caller_request: bool = False,
     ) -> Result:
         """Runs ``handler`` on the target and returns its result to the source.
 
         Args:
-            counted: it is a caller's request, which a planned stop may not cut.
+            is_caller_request: whether a planned stop must wait for the call.
 
         Raises:
-            HostUnreachableError: there was no answer within ``timeout`` seconds.
+            HostUnreachableError: the connection failed, or there was no response within
+                ``timeout`` seconds.
         """
-        progress = _CallProgress(counted)
+        progress = _CallProgress(is_caller_request)
         work = asyncio.ensure_future(self._call(source, target, handler, progress))
         try:
             done, _ = await asyncio.wait({work}, timeout=timeout)
         except asyncio.CancelledError:
             work.cancel()
             raise
-        await source.gate()
+        await source.wait_until_running()
         if not done:
             work.cancel()
-            raise HostUnreachableError("no answer in time", progress.delivered)
+            raise HostUnreachableError(f"no response within {timeout:g} s", progress.delivered)
         return work.result()
 
     async def stream(
@@ -133,18 +134,19 @@
         """Runs a generator on the target and yields its items at the source.
 
         Raises:
-            HostUnreachableError: the connection failed, or no item came for ``item_timeout``.
+            HostUnreachableError: the connection failed, or there was no item within
+                ``item_timeout`` seconds.
         """
         await self._connect(source, target, item_timeout)
         if not may_send():
             raise HostUnreachableError("not sent", delivered=False)
         items: asyncio.Queue[_Item] = asyncio.Queue()
         producer = target.spawn(self._produce(source, target, start, items))
-        producer.add_done_callback(lambda task: _note_reset(task, items))
+        producer.add_done_callback(lambda task: _enqueue_reset(task, items))
         try:
             while True:
                 item = await self._next_item(items, item_timeout)
-                await source.gate()
+                await source.wait_until_running()
                 if item.end:
                     if item.error is not None:
                         raise item.error
@@ -153,8 +155,8 @@
         finally:
             producer.cancel()
 
-    def passes(self, source: Host, target: Host) -> bool:
-        """Whether messages get from one host to the other now."""
+    def is_reachable(self, source: Host, target: Host) -> bool:
+        """Whether messages currently get from one host to the other."""
         conditions = self.conditions
         if (source.zone, target.zone) in conditions.zone_cuts:
             return False
@@ -162,8 +164,8 @@
 
     async def _deliver(self, source: Host, target: Host, deliver: Callable[[], None]) -> None:
         await asyncio.sleep(self._delay())
-        if target.alive and self.passes(source, target):
-            task = target.spawn(target.gate())
+        if target.alive and self.is_reachable(source, target):
+            task = target.spawn(target.wait_until_running())
             await asyncio.wait({task})
             if target.alive:
                 deliver()
@@ -175,43 +177,43 @@
         handler: Callable[[], Awaitable[Result]],
         progress: "_CallProgress",
     ) -> Result:
-        await self._connect(source, target, NEVER)
+        await self._connect(source, target, NO_TIMEOUT)
         progress.delivered = True
-        work = target.spawn(self._handle(target, handler, progress.counted))
+        work = target.spawn(self._handle(target, handler, progress.is_caller_request))
         await asyncio.wait({work})
         if work.cancelled() or not target.alive:
             raise HostUnreachableError("connection reset", delivered=True)
         result = work.result()
         await asyncio.sleep(self._delay())
-        if not self.passes(target, source):
+        if not self.is_reachable(target, source):
             await asyncio.Event().wait()
         return result
 
     async def _handle(
-        self, target: Host, handler: Callable[[], Awaitable[Result]], counted: bool
+        self, target: Host, handler: Callable[[], Awaitable[Result]], is_caller_request: bool
     ) -> Result:
-        target.calls += counted
+        target.calls += is_caller_request
         try:
-            await target.gate()
+            await target.wait_until_running()
             result = await handler()
-            await target.gate()
+            await target.wait_until_running()
             return result
         finally:
-            target.calls -= counted
+            target.calls -= is_caller_request
 
     async def _connect(self, source: Host, target: Host, timeout: float) -> None:
-        """Waits for the way there; a cut swallows the message, a dead host refuses it."""
-        await source.gate()
+        """Connects to the target; a partition drops the attempt, a dead host refuses it."""
+        await source.wait_until_running()
         await asyncio.sleep(self._delay())
-        if not self.passes(source, target) or not self.passes(target, source):
-            if timeout == NEVER:
+        if not self.is_reachable(source, target) or not self.is_reachable(target, source):
+            if timeout == NO_TIMEOUT:
                 await asyncio.Event().wait()
             await asyncio.sleep(timeout)
-            await source.gate()
-            raise HostUnreachableError("no connection in time", delivered=False)
+            await source.wait_until_running()
+            raise HostUnreachableError(f"no connection within {timeout:g} s", delivered=False)
         if not target.alive or target.refusing:
             raise HostUnreachableError("connection refused", delivered=False)
-        await source.gate()
+        await source.wait_until_running()
 
     async def _produce(
         self,
@@ -224,9 +226,9 @@
         generator = start()
         try:
             await asyncio.sleep(self._delay())
-            await target.gate()
+            await target.wait_until_running()
             async for value in generator:
-                await target.gate()
+                await target.wait_until_running()
                 await self._put(source, target, items, _Item(value))
             await self._put(source, target, items, _Item(end=True))
         except Exception as error:
@@ -242,7 +244,7 @@
         target.in_transit += 1
         try:
             await asyncio.sleep(self._delay())
-            while not self.passes(target, source):
+            while not self.is_reachable(target, source):
                 await asyncio.sleep(0.1)
             items.put_nowait(item)
         finally:
@@ -253,7 +255,7 @@
         try:
             return await asyncio.wait_for(items.get(), timeout)
         except TimeoutError:
-            raise HostUnreachableError("no data in time", delivered=True) from None
+            raise HostUnreachableError(f"no data within {timeout:g} s", delivered=True) from None
 
     def _delay(self) -> float:
         conditions = self.conditions
@@ -265,7 +267,7 @@
 
 @dataclass(slots=True)
 class _CallProgress:
-    counted: bool
+    is_caller_request: bool
     delivered: bool = False
 
 
@@ -276,7 +278,7 @@
     error: Exception | None = None
 
 
-def _note_reset(task: asyncio.Task, items: "asyncio.Queue[_Item]") -> None:
+def _enqueue_reset(task: asyncio.Task, items: "asyncio.Queue[_Item]") -> None:
     if task.cancelled():
         error = HostUnreachableError("connection reset", delivered=True)
         items.put_nowait(_Item(end=True, error=error))
--- a/src/larkpost/rehearsal/simulation/ports.py
+++ b/src/larkpost/rehearsal/simulation/ports.py
@@ -1,4 +1,4 @@
-"""A daemon's ports on the simulated network."""
+"""The ports of a daemon, implemented on the simulated network."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -14,10 +14,10 @@
     UnknownAttemptError,
 )
 from larkpost.rehearsal.platform_model import (
-    AnswerLostError,
     PlatformDownError,
     PlatformModel,
     RateLimitedError,
+    ResponseLostError,
 )
 from larkpost.rehearsal.simulation.fabric import EngineNode, Fabric
 from larkpost.rehearsal.simulation.network import Host, HostUnreachableError
@@ -38,7 +38,7 @@
 
 
 class SimulatedClock:
-    """The loop's virtual time, as a host sees it: a frozen host wakes late."""
+    """The loop's virtual time; a frozen host's sleep ends only once it resumes."""
 
     def __init__(self, host: Host) -> None:
         self._host = host
@@ -51,11 +51,11 @@
 
     async def sleep(self, seconds: float) -> None:
         await asyncio.sleep(seconds)
-        await self._host.gate()
+        await self._host.wait_until_running()
 
 
 class SimulatedTransport:
-    """Messages to other daemons."""
+    """Datagrams and requests to other daemons."""
 
     def __init__(self, fabric: Fabric, host: Host) -> None:
         self._fabric = fabric
@@ -132,7 +132,7 @@
         engine = self._engine(address)
 
         async def handle() -> EngineReport:
-            await engine.model.thawed()
+            await engine.model.wait_while_frozen()
             return engine.model.report()
 
         return await self._call(engine.host, handle, timeout)
@@ -141,7 +141,7 @@
         engine = self._engine(address)
 
         async def handle() -> None:
-            await engine.model.thawed()
+            await engine.model.wait_while_frozen()
             engine.model.handle_order(order)
 
         try:
@@ -188,7 +188,7 @@
 async def _submit_and_stream(
     model: EngineModel, request: GenerateRequest
 ) -> AsyncIterator[EngineChunk]:
-    await model.thawed()
+    await model.wait_while_frozen()
     model.submit(request)
     async for chunk in model.stream(request.attempt, len(request.prefix)):
         yield chunk
@@ -226,7 +226,7 @@
         except (
             HostUnreachableError,
             PlatformDownError,
-            AnswerLostError,
+            ResponseLostError,
             RateLimitedError,
         ) as error:
             raise PlatformError(repr(error)) from error
--- a/src/larkpost/standalone/telemetry.py
+++ b/src/larkpost/standalone/telemetry.py
@@ -84,12 +84,12 @@
                 "larkpost:state", daemon=self._daemon, subject=subject, state=state, **details
             )
 
-    def report_refused_round(self, task: str, error: LarkpostError) -> None:
+    def report_known_step_error(self, task: str, error: LarkpostError) -> None:
         """Counts a controller round that failed with a known error, and logs the error code."""
         self.count("controller_errors", kind=task)
         self.log_state(f"controller.{task}", error.code)
 
-    def report_failed_round(self, task: str, error: Exception) -> None:
+    def report_unexpected_step_error(self, task: str, error: Exception) -> None:
         """Counts a controller round that failed with an unexpected error, and logs the error."""
         self.count("controller_errors", kind=task)
         self.log_error(task, error)
--- a/tests/process_fleet.py
+++ b/tests/process_fleet.py
@@ -1,4 +1,4 @@
-"""One site as real processes: platform, engines and daemons, configured and ready."""
+"""Runs one site as real processes: platform, engines and daemons."""
 
 from dataclasses import dataclass, field
 
@@ -8,9 +8,9 @@
 from larkpost.rehearsal.processes import (
     Process,
     ProcessGroup,
-    answers,
     call,
     free_address,
+    is_responding,
     wait_for,
 )
 from larkpost.rehearsal.sites import Machine, Site
@@ -35,11 +35,11 @@
     daemons: dict[str, Node] = field(default_factory=dict)
 
     def daemon_list(self) -> str:
-        """Returns the daemons' addresses as the commands take them."""
+        """Returns the daemons' addresses as a comma-separated command argument."""
         return ",".join(node.address for node in self.daemons.values())
 
     def start_engine(self, machine: Machine) -> None:
-        """Starts an engine and lists its machine."""
+        """Starts an engine; see `list_machine`."""
         address = free_address()
         process = self.group.start(
             machine.engine,
@@ -52,7 +52,7 @@
         self.engines[machine.engine] = Node(process, address)
 
     def list_machine(self, machine: Machine) -> None:
-        """Puts an engine on the machine list."""
+        """Adds an engine to the machine list."""
         fields = {
             "zone": machine.zone,
             "address": self.engines[machine.engine].address,
@@ -77,7 +77,7 @@
     def wait_ready(self) -> None:
         """Waits until the daemons are ready and know every engine's load."""
         for name, node in self.daemons.items():
-            wait_for(lambda node=node: answers(node.address, "/readyz"), f"{name} ready")
+            wait_for(lambda node=node: is_responding(node.address, "/readyz"), f"{name} ready")
         for name, node in self.daemons.items():
             wait_for(lambda node=node: self._knows_engines(node), f"{name} sees all engines")
 
@@ -114,12 +114,12 @@
 def finish_fleet(fleet: Fleet) -> None:
     """Waits for the processes, lists the machines and confirms the intent."""
     platform = fleet.platform.address
-    wait_for(lambda: answers(platform, "/machines"), "platform ready")
+    wait_for(lambda: is_responding(platform, "/machines"), "platform ready")
     for machine in fleet.site.machines:
         address = fleet.engines[machine.engine].address
-        wait_for(lambda a=address: answers(a, "/v1/report"), f"{machine.engine} ready")
+        wait_for(lambda a=address: is_responding(a, "/v1/report"), f"{machine.engine} ready")
         fleet.list_machine(machine)
     for name, node in fleet.daemons.items():
-        wait_for(lambda node=node: answers(node.address, "/readyz"), f"{name} ready")
+        wait_for(lambda node=node: is_responding(node.address, "/readyz"), f"{name} ready")
     fleet.configure()
     fleet.wait_ready()
--- a/tests/process_soak/__main__.py
+++ b/tests/process_soak/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the soak: ``python -m tests.process_soak``; exit 1 if a promise broke."""
+"""Runs the soak: ``python -m tests.process_soak``; exits with status 1 on a violation."""
 
 import asyncio
 import random
@@ -18,19 +18,25 @@
 import typer
 
 from larkpost.platform.stand_in.daemon_settings import ready_path
-from larkpost.rehearsal.processes import ProcessGroup, answers
+from larkpost.rehearsal.processes import ProcessGroup, is_responding
 from tests.process_soak.callers import Callers
 from tests.process_soak.checker import CRASH_REPORT_SECONDS, InvariantChecker
-from tests.process_soak.plan import HINDERING, UNTOLD, Fault, Kind, draw_plan
+from tests.process_soak.plan import (
+    CRASH_REPORT_LOSING_KINDS,
+    DISRUPTIVE_KINDS,
+    Fault,
+    Kind,
+    draw_plan,
+)
 from tests.process_soak.records import read_records
 from tests.process_soak.site import DAEMONS, MODEL, Site
-from tests.process_soak.strikes import Strikes
+from tests.process_soak.strikes import FaultInjector
 
 CHECK_SECONDS = 3.0
 CRASHING_PAGES = 2
-"""Pages that crash servers, of which each such fault asks for one: it comes again."""
+"""Number of pages that crash servers; each such fault requests one of them repeatedly."""
 CALM_SECONDS = 12.0
-"""So long does each such page come again in calm times: crashed servers are back four times."""
+"""Time for which each such page is requested after the faults; enough for four server restarts."""
 HEAL_SECONDS = 60.0
 READY_SECONDS = 30.0
 ITEMS = 24
@@ -41,7 +47,7 @@
 
 @dataclass(slots=True)
 class Report:
-    """What one run saw; durations in seconds."""
+    """Results of one run; durations in seconds."""
 
     seed: int
     seconds: float
@@ -60,9 +66,10 @@
     """One run.
 
     Args:
-        report: names the seed, the length and the mutant; the run fills in the rest.
-        plan: the faults, by time.
-        daemons: how many there are.
+        report: has the seed, the duration and the mutant; the run fills in the rest.
+        plan: the faults, in order of time.
+        folder: for the files of the run.
+        daemons: number of daemons.
     """
 
     def __init__(self, report: Report, plan: list[Fault], folder: Path, daemons: int) -> None:
@@ -74,7 +81,7 @@
         self._chance = random.Random(report.seed)
 
     async def play(self, group: ProcessGroup) -> Report:
-        """Plays a run and returns what it saw."""
+        """Runs the soak and returns its report."""
         site = Site(group, self._folder, self.report.mutant, self._daemons)
         await site.start()
         self._checker.evacuations = site.evacuations
@@ -90,7 +97,7 @@
         work = asyncio.gather(
             callers.train(MODEL, ITEMS, until),
             callers.ask(REQUESTS_PER_SECOND, until),
-            self._strike(Strikes(site), callers),
+            self._inject_faults(FaultInjector(site), callers),
         )
         try:
             while not work.done():
@@ -114,43 +121,43 @@
         self._fill_report(callers)
         return self.report
 
-    async def _strike(self, strikes: Strikes, callers: Callers) -> None:
-        """Carries the plan out; faults overlap as it says."""
+    async def _inject_faults(self, injector: FaultInjector, callers: Callers) -> None:
+        """Injects the faults of the plan, which may overlap."""
         started = time.monotonic()
         running = []
         for fault in self._plan:
             await asyncio.sleep(max(0.0, started + fault.at - time.monotonic()))
             print(f"{fault.at:7.2f} {fault}", file=sys.stderr)
-            running.append(asyncio.create_task(self._strike_once(strikes, callers, fault)))
+            running.append(asyncio.create_task(self._inject(injector, callers, fault)))
         await asyncio.gather(*running)
 
-    async def _strike_once(self, strikes: Strikes, callers: Callers, fault: Fault) -> None:
+    async def _inject(self, injector: FaultInjector, callers: Callers, fault: Fault) -> None:
         began_at = time.monotonic()
         disruptions = self._checker.disruptions
-        if fault.kind in HINDERING:
+        if fault.kind in DISRUPTIVE_KINDS:
             disruptions.append((began_at, float("inf")))
-        if fault.kind is not Kind.EVACUATION:  # which excuses nothing
+        if fault.kind is not Kind.EVACUATION:  # an evacuation excuses no violation
             self._checker.fault_times.append(began_at)
         crash_report_gaps = self._checker.crash_report_gaps
-        if fault.kind in UNTOLD:
+        if fault.kind in CRASH_REPORT_LOSING_KINDS:
             crash_report_gaps.append((began_at, float("inf")))
         if fault.kind is Kind.CRASHING_REQUEST:
             await callers.ask_again_and_again(fault.target % CRASHING_PAGES, fault.seconds)
         else:
-            await strikes.strike(fault)
-        if fault.kind in UNTOLD:
+            await injector.inject(fault)
+        if fault.kind in CRASH_REPORT_LOSING_KINDS:
             crash_report_gaps.remove((began_at, float("inf")))
             crash_report_gaps.append((began_at, time.monotonic()))
         if fault.kind is not Kind.EVACUATION:
             self._checker.fault_times.append(time.monotonic())
-        if fault.kind in HINDERING:
+        if fault.kind in DISRUPTIVE_KINDS:
             disruptions.remove((began_at, float("inf")))
             disruptions.append((began_at, time.monotonic()))
 
     async def _heal(self, callers: Callers) -> None:
-        """Waits until every accepted batch that nobody ended is whole.
+        """Waits until every accepted batch that was not ended is complete.
 
-        Then what has crashed servers comes once more, in calm times, at every daemon.
+        Then the pages that crashed servers are requested again at every daemon, without faults.
         """
         until = time.monotonic() + HEAL_SECONDS
         for name in self._checker.missing():
@@ -177,7 +184,7 @@
     until = time.monotonic() + READY_SECONDS
     while time.monotonic() < until:
         ready = [
-            await asyncio.to_thread(answers, daemon.place.ready, ready_path())
+            await asyncio.to_thread(is_responding, daemon.place.ready, ready_path())
             for daemon in site.daemons
         ]
         if all(ready):
@@ -188,7 +195,7 @@
 def play(
     seed: int, seconds: float, gap: float, mutant: str | None = None, daemons: int = DAEMONS
 ) -> Report:
-    """Plays one run in a folder of its own; logs of a broken run are kept."""
+    """Runs the soak once in a temporary folder; keeps the logs if an invariant was violated."""
     with tempfile.TemporaryDirectory(prefix="larkpost-soak-") as name:
         folder = Path(name)
         with ProcessGroup(folder) as group:
@@ -208,7 +215,7 @@
     daemons: Annotated[int, typer.Option(help="Daemons, a process each.")] = DAEMONS,
     runs: Annotated[int, typer.Option(help="Runs, each with the next seed.")] = 1,
 ) -> None:
-    """Plays runs and prints one line of JSON for each."""
+    """Runs the soak several times and prints one line of JSON for each run."""
     first = secrets.randbelow(1_000_000) if seed is None else seed
     broken = False
     for number in range(first, first + runs):
--- a/tests/process_soak/strikes.py
+++ b/tests/process_soak/strikes.py
@@ -1,4 +1,4 @@
-"""Carries the faults of a plan out on a soak's site, and ends each after its time."""
+"""Injects the faults of a plan into a soak's site and ends each after its duration."""
 
 import asyncio
 import signal
@@ -41,18 +41,18 @@
     Kind.STORE_PARTS_DOWN: {"parts_down": ["b0", "b1", "b2", "b3"]},
 }
 STOP_SECONDS = 12.0
-"""A daemon that has not ended by then after its planned stop is killed."""
+"""Timeout of a planned stop, after which the daemon is killed."""
 BAD_SETTINGS_SECONDS = 1.5
 
-Strike = Callable[[Fault], Awaitable[None]]
+FaultHandler = Callable[[Fault], Awaitable[None]]
 
 
-class Strikes:
-    """The faults of one site."""
+class FaultInjector:
+    """Injects faults into one site."""
 
     def __init__(self, site: Site) -> None:
         self._site = site
-        self._strikes: dict[Kind, Strike] = {
+        self._handlers: dict[Kind, FaultHandler] = {
             Kind.DAEMON_KILL: self._kill_daemon,
             Kind.DAEMON_STOP: self._stop_daemon,
             Kind.ALL_DAEMONS_KILL: self._kill_all_daemons,
@@ -61,7 +61,7 @@
             Kind.DAEMON_SUSPEND: self._suspend_daemon,
             Kind.GOOD_SETTINGS: self._change_settings,
             Kind.BAD_SETTINGS: self._break_settings,
-            Kind.STORE_TURNS_AWAY: self._turn_away,
+            Kind.STORE_TURNS_AWAY: self._refuse_calls_of_daemon,
             Kind.STORE_FORGETS: self._forget_history,
             Kind.STORE_PAUSE: self._pause_store,
             Kind.STORE_LINK: self._harm_store_link,
@@ -74,11 +74,11 @@
             Kind.SCORER_FAILS: self._fail_scorer,
             Kind.CONFIGURATION: self._configure,
             Kind.EVACUATION: self._evacuate,
-        } | dict.fromkeys(STORE_FAULTS, self._trouble_store)
+        } | dict.fromkeys(STORE_FAULTS, self._apply_store_faults)
 
-    async def strike(self, fault: Fault) -> None:
-        """Carries a fault out and ends it."""
-        await self._strikes[fault.kind](fault)
+    async def inject(self, fault: Fault) -> None:
+        """Injects a fault and ends it after its duration."""
+        await self._handlers[fault.kind](fault)
 
     # Daemons
 
@@ -98,13 +98,13 @@
         process = daemon.process
         process.send(signal.SIGCONT)
         process.send(number)
-        await _ended(process)
+        await _wait_for_exit(process)
         await asyncio.sleep(seconds)
         if daemon.process is process and daemon in self._site.daemons:
             daemon.process = self._site.start_daemon(daemon.place, daemon.environment)
 
     async def _move_daemon(self, fault: Fault) -> None:
-        """Kills a daemon for good; another one starts under a new address."""
+        """Kills a daemon permanently; another one starts at a new address."""
         old = self._daemon(fault)
         old.process.send(signal.SIGKILL)
         self._site.daemons.remove(old)
@@ -116,7 +116,7 @@
         await _pause(self._daemon(fault).process, fault.seconds)
 
     async def _suspend_daemon(self, fault: Fault) -> None:
-        """Stops a daemon's process; its plain steady clock stands still meanwhile."""
+        """Stops a daemon's process, whose monotonic clock does not advance meanwhile."""
         process = self._daemon(fault).process
         process.send(signal.SIGSTOP)
         await asyncio.sleep(fault.seconds)
@@ -124,14 +124,14 @@
         process.send(signal.SIGCONT)
 
     async def _change_settings(self, fault: Fault) -> None:
-        """Changes a daemon's settings so that nothing is different."""
+        """Changes a daemon's settings file without changing any setting."""
         daemon = self._daemon(fault)
         path, changed = _changed_settings(daemon)
         path.write_text(changed, encoding="utf-8")
         daemon.process.send(signal.SIGHUP)
 
     async def _break_settings(self, fault: Fault) -> None:
-        """Changes a daemon's settings to what it must refuse, and to good ones a while later."""
+        """Writes settings that a daemon must refuse, and valid ones a while later."""
         daemon = self._daemon(fault)
         path, changed = _changed_settings(daemon)
         path.write_text("this is no TOML = [", encoding="utf-8")
@@ -140,20 +140,20 @@
 
     # Store
 
-    async def _turn_away(self, fault: Fault) -> None:
-        """Lets the store refuse all calls of one daemon."""
+    async def _refuse_calls_of_daemon(self, fault: Fault) -> None:
+        """Makes the store refuse all calls of one daemon."""
         link = self._daemon(fault).store
         upstream, link.upstream = link.upstream, self._site.refuser_address
-        link.break_off()
+        link.reset_connections()
         await asyncio.sleep(fault.seconds)
         link.upstream = upstream
-        link.break_off()
+        link.reset_connections()
 
     async def _forget_history(self, fault: Fault) -> None:
         await _control(self._site.store_address, FORGET_CALL, b"")
 
-    async def _trouble_store(self, fault: Fault) -> None:
-        """Lets faults strike the calls of all daemons; a later fault of the kind replaces them."""
+    async def _apply_store_faults(self, fault: Fault) -> None:
+        """Sets faults of the daemons' store calls; a later fault of this kind replaces them."""
         faults = orjson.dumps(STORE_FAULTS[fault.kind])
         await _control(self._site.store_address, STORE_FAULTS_CALL, faults)
         await asyncio.sleep(fault.seconds)
@@ -163,15 +163,15 @@
         await _pause(self._site.store, fault.seconds)
 
     async def _harm_store_link(self, fault: Fault) -> None:
-        await _harm(self._daemon(fault).store, fault)
+        await _apply_link_fault(self._daemon(fault).store, fault)
 
     # Servers
 
     async def _harm_front_link(self, fault: Fault) -> None:
-        await _harm(self._daemon(fault).front, fault)
+        await _apply_link_fault(self._daemon(fault).front, fault)
 
     async def _harm_server_link(self, fault: Fault) -> None:
-        await _harm(self._server(fault).proxy, fault)
+        await _apply_link_fault(self._server(fault).proxy, fault)
 
     async def _pause_server(self, fault: Fault) -> None:
         await _pause(self._server(fault).process, fault.seconds)
@@ -180,7 +180,7 @@
         server = self._server(fault)
         process = server.process
         process.send(signal.SIGKILL)
-        await _ended(process)
+        await _wait_for_exit(process)
         await asyncio.sleep(fault.seconds)
         self._site.follow(server, process)
 
@@ -229,14 +229,14 @@
     process.send(signal.SIGCONT)
 
 
-async def _harm(proxy: FaultProxy, fault: Fault) -> None:
-    proxy.harm(fault.link)
+async def _apply_link_fault(proxy: FaultProxy, fault: Fault) -> None:
+    proxy.set_fault(fault.link)
     await asyncio.sleep(fault.seconds)
-    proxy.harm(LinkFault.NONE)
+    proxy.set_fault(LinkFault.NONE)
 
 
 async def _control(address: Address, call: str, body: bytes) -> None:
-    """Tells a stand-in what to do, unless another fault has struck it too."""
+    """Sends a control call to a stand-in; ignores lost calls, as other faults may affect it."""
     try:
         async with (
             aiohttp.ClientSession() as session,
@@ -248,8 +248,8 @@
         return
 
 
-async def _ended(process: Process) -> None:
-    """Waits for the end of a process; kills it if a planned stop takes too long."""
+async def _wait_for_exit(process: Process) -> None:
+    """Waits for a process to exit; kills it after STOP_SECONDS."""
     give_up_at = time.monotonic() + STOP_SECONDS
     while process.popen.poll() is None:
         if time.monotonic() > give_up_at:
@@ -258,6 +258,6 @@
 
 
 def _changed_settings(daemon: Daemon) -> tuple[Path, str]:
-    """Returns a daemon's settings file, and its text with a harmless change."""
+    """Returns a daemon's settings file and its text with an added comment."""
     path = Path(daemon.environment[names.SETTINGS_VARIABLE])
     return path, path.read_text(encoding="utf-8") + f"# changed at {time.monotonic()}\n"
--- a/tests/test_import_layers.py
+++ b/tests/test_import_layers.py
@@ -1,6 +1,6 @@
-"""Which parts of larkpost may import which.
+"""Checks which packages of larkpost may import each other.
 
-The modules are read, not imported, so that an import within a function counts as well.
+Source files are parsed, not imported, so that imports inside functions are checked as well.
 """
 
 import ast
@@ -11,7 +11,7 @@
 SOURCES = Path(__file__).resolve().parent.parent / "src"
 
 Imports = dict[str, set[str]]
-"""Per module the modules of larkpost that it imports, by full names."""
+"""For each module, the full names of the larkpost modules that it imports."""
 
 PROGRAMS = ("gateway", "standalone", "platform", "rehearsal")
 
@@ -21,7 +21,7 @@
     "platform": ("standalone", "rehearsal"),
     "standalone": ("gateway", "platform", "rehearsal"),
 }
-"""Per folder the folders that none of its modules may import."""
+"""For each package, the packages that its modules must not import."""
 
 GATEWAY_ORDER = (
     "observability",
@@ -46,8 +46,8 @@
 The package's documentation names the same order.
 """
 
-KNOWN: set[tuple[str, str]] = set()
-"""Imports that break a rule and still stand, as (importing module, imported module)."""
+KNOWN_VIOLATIONS: set[tuple[str, str]] = set()
+"""Accepted violations, as (importing module, imported module)."""
 
 
 def read_imports() -> Imports:
@@ -87,8 +87,8 @@
     }
 
 
-def circles(imports: Imports) -> list[list[str]]:
-    """Returns the groups of modules that import each other, directly or by others."""
+def import_cycles(imports: Imports) -> list[list[str]]:
+    """Returns the groups of modules that import each other, directly or indirectly."""
     reached = {module: _reached(module, imports) for module in imports}
     groups = {
         tuple(sorted(other for other in reached[module] if module in reached[other]))
@@ -129,25 +129,25 @@
 
 
 class ImportLayersTest(unittest.TestCase):
-    """The rules between the folders, on the sources as they are."""
+    """Applies the import rules to the sources."""
 
     def setUp(self) -> None:
         self.imports = read_imports()
 
-    def test_no_modules_import_each_other_in_a_circle(self) -> None:
-        self.assertEqual(circles(self.imports), [])
+    def test_there_are_no_import_cycles(self) -> None:
+        self.assertEqual(import_cycles(self.imports), [])
 
     def test_only_known_imports_break_a_rule(self) -> None:
         broken = forbidden_imports(self.imports) | upward_imports(self.imports)
-        self.assertEqual(broken - KNOWN, set(), "imports that break a rule")
-        self.assertEqual(KNOWN - broken, set(), "gone: take them out of KNOWN")
+        self.assertEqual(broken - KNOWN_VIOLATIONS, set(), "imports that break a rule")
+        self.assertEqual(KNOWN_VIOLATIONS - broken, set(), "gone: take them out of KNOWN")
 
     def test_every_part_of_the_gateway_has_a_place_in_the_order(self) -> None:
         parts = {gateway_part(m) for m in self.imports if part(m) == "gateway"} - {""}
         self.assertEqual(parts, set(GATEWAY_ORDER))
 
     def test_no_import_is_relative(self) -> None:
-        """A relative import would not be seen by the other tests."""
+        """The other tests do not detect relative imports."""
         for path in SOURCES.glob("larkpost/**/*.py"):
             for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
                 if isinstance(node, ast.ImportFrom):
@@ -155,11 +155,11 @@
 
 
 class ImportRulesTest(unittest.TestCase):
-    """The rules find what they are for."""
+    """The rules detect violations."""
 
-    def test_a_circle_over_three_modules_is_found(self) -> None:
+    def test_cycle_of_three_modules_is_found(self) -> None:
         imports = {"a": {"b"}, "b": {"c"}, "c": {"a"}, "d": {"a"}}
-        self.assertEqual(circles(imports), [["a", "b", "c"]])
+        self.assertEqual(import_cycles(imports), [["a", "b", "c"]])
 
     def test_forbidden_and_upward_imports_are_found(self) -> None:
         imports = {
--- a/tests/test_regressions.py
+++ b/tests/test_regressions.py
@@ -20,7 +20,7 @@
     def setUp(self):
         self.fleet = SimulatedFleet(seed=7)
         self.world = self.fleet.world
-        self.names = list(self.world.homes)
+        self.names = list(self.world.daemon_zones)
 
     def tearDown(self):
         self.fleet.close()
@@ -77,7 +77,7 @@
         self.fleet.run(self.world.stop_daemon(name))
         self.assertTrue(confirming.done())
         self.assertIsNotNone(confirming.result())
-        self.assertEqual(self.world.records.cut_by_stop, [])
+        self.assertEqual(self.world.records.requests_cut_by_stop, [])
 
     def test_new_daemon_starts_while_the_platform_is_down(self):
         confirmed = self.confirm(2)
@@ -218,7 +218,7 @@
 
         async def pass_gate():
             host.frozen_until = self.fleet.loop.time() + 1e-12
-            await asyncio.wait_for(host.gate(), 1.0)
+            await asyncio.wait_for(host.wait_until_running(), 1.0)
 
         self.fleet.run(pass_gate())
 
--- a/tests/test_store_clock.py
+++ b/tests/test_store_clock.py
@@ -1,4 +1,4 @@
-"""The store's clock, as a daemon estimates it from quick and slow answers."""
+"""Tests the estimate of the store's clock from fast and slow responses."""
 
 import unittest
 from unittest import mock
@@ -11,7 +11,7 @@
 
 
 class StoreClockTest(unittest.TestCase):
-    """Answers arrive at times that the test sets."""
+    """Each test sets the times of the responses."""
 
     def setUp(self):
         self.clock = StoreClock()
@@ -21,38 +21,38 @@
         self.addCleanup(clock.stop)
 
     def answer(self, there: float, back: float, ahead: float = AHEAD) -> None:
-        """Lets an answer arrive; the call took so many seconds there and back."""
+        """Records a response; ``there`` and ``back`` are the call's seconds in each direction."""
         sent = self.now
         told = sent + there + ahead
         self.now = sent + there + back
         self.clock.record({"now_ms": told * 1000}, sent)
 
     def error(self, ahead: float = AHEAD) -> float:
-        """Returns by how much the estimate is off."""
+        """Returns the absolute error of the estimate in seconds."""
         return abs(self.clock.now() - self.now - ahead)
 
-    def test_unknown_until_an_answer_tells_it(self):
+    def test_time_is_unknown_before_the_first_response(self):
         self.assertIsNone(self.clock.now())
         self.clock.record({}, self.now)
         self.assertIsNone(self.clock.now())
 
-    def test_a_slow_answer_does_not_spoil_what_a_quick_one_told(self):
+    def test_slow_response_does_not_replace_a_fast_one(self):
         self.answer(0.002, 0.002)
         self.answer(0.5, 0.01)
         self.assertLess(self.error(), 0.003)
 
-    def test_a_quicker_answer_is_taken(self):
+    def test_faster_response_replaces_the_estimate(self):
         self.answer(0.3, 0.01)
         self.assertGreater(self.error(), 0.1)
         self.answer(0.002, 0.002)
         self.assertLess(self.error(), 0.003)
 
-    def test_an_answer_that_contradicts_is_taken(self):
+    def test_contradicting_response_replaces_the_estimate(self):
         self.answer(0.002, 0.002)
         self.answer(0.02, 0.02, ahead=3.0)
         self.assertLess(self.error(3.0), 0.03)
 
-    def test_old_knowledge_gives_way(self):
+    def test_old_estimate_is_replaced(self):
         self.answer(0.002, 0.002)
         self.now += 60.0
         self.answer(0.01, 0.01, ahead=AHEAD + 0.03)
