--- a/src/larkpost/platform/store.py
+++ b/src/larkpost/platform/store.py
@@ -155,9 +155,9 @@
             call = StoreCall(method, target, body, hold_time)
             return await self._exchange(call, RELAYED_TIMEOUT_SECONDS)
         except CONNECT_FAILURES:
-            return NOT_SENT_STATUS, b""
+            return NOT_SENT_STATUS, b""  # tells the peer that the call was not made
         except CALL_FAILURES:
-            return NO_RESPONSE_STATUS, b""
+            return NO_RESPONSE_STATUS, b""  # tells the peer that nobody answered
 
     async def read(
         self, table: str, part: str, first: str = "", end: str = "", limit: int = 0
--- a/tests/platform_mutants.py
+++ b/tests/platform_mutants.py
@@ -215,7 +215,7 @@
     from larkpost.gateway.store import relay
 
     return mock.patch.object(
-        relay, "REFUSED_OUTCOMES", (*relay.REJECTED_OUTCOMES, WriteOutcome.UNKNOWN)
+        relay, "REJECTED_OUTCOMES", (*relay.REJECTED_OUTCOMES, WriteOutcome.UNKNOWN)
     )
 
 
