--- a/src/larkpost/platform/watched_connection.py
+++ b/src/larkpost/platform/watched_connection.py
@@ -65,7 +65,7 @@
     def __init__(self, detector: DeadConnectionDetector, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
         self._detector = detector
-        self._timer: asyncio.TimerHandle | None = None
+        self._check_timer: asyncio.TimerHandle | None = None
         self._start_probe: Callable[[], None] | None = None
         self._probe_until: float | None = None
         self.record: ConnectionRecord | None = None
@@ -104,7 +104,7 @@
         return self._reading_paused or self._buffer_paused
 
     def _schedule_check(self, delay: float) -> None:
-        self._timer = self._loop.call_later(delay, self._check)
+        self._check_timer = self._loop.call_later(delay, self._check)
 
     def _check(self) -> None:
         """Aborts the call if its connection is dead."""
@@ -131,6 +131,6 @@
         )
 
     def _cancel_timer(self) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
+        if self._check_timer is not None:
+            self._check_timer.cancel()
+            self._check_timer = None
